--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -1,10 +1,15 @@
 package sim
 
 import (
+	"encoding/binary"
 	"encoding/json"
 	"flag"
 	"fmt"
+	"math"
 	"os"
+	"reflect"
+	"slices"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -14,48 +19,190 @@
 	"dewlift/core"
 )
 
-var update = flag.Bool("update", false, "write the digests anew: behaviour was changed on purpose")
+var (
+	update      = flag.Bool("update", false, "write the digests anew: behaviour was changed on purpose")
+	digestSeeds = flag.Int("digest-seeds", 0, "also play so many seeds of every kind of world, and write their digests")
+	digestFile  = flag.String("digest-file", "digests.json", "where the digests of -digest-seeds go")
+)
+
+const digestLength = 240 * time.Second
 
 // digestWorlds are worlds of every kind.
 func digestWorlds() map[string]Options {
-	long := 240 * time.Second
 	out := map[string]Options{
-		"quiet":   {Seed: 1, Length: long, Jobs: 25, Quiet: true},
+		"quiet":   {Seed: 1, Length: digestLength, Jobs: 25, Quiet: true},
 		"large":   {Seed: 2, Length: 60 * time.Second, Jobs: 60, Nodes: 5, Fleet: 300, Tasks: 400},
-		"chains":  {Seed: 3, Length: long, Jobs: 5, Chains: 12},
-		"upgrade": {Seed: 4, Length: long, Jobs: 20, Upgrade: true, Chains: 8},
-		"history": {Seed: 6, Length: long, Jobs: 40, Tasks: 4, Chains: 4, History: true},
-		"rights":  {Seed: 7, Length: long, Jobs: 40, Tasks: 4, Chains: 2, Rights: true},
-		"audit":   {Seed: 8, Length: long, Jobs: 40, Tasks: 4, Chains: 2, Rights: true, Audit: true, History: true},
+		"chains":  {Seed: 3, Length: digestLength, Jobs: 5, Chains: 12},
+		"upgrade": {Seed: 4, Length: digestLength, Jobs: 20, Upgrade: true, Chains: 8},
+		"history": {Seed: 6, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 4, History: true},
+		"rights":  {Seed: 7, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 2, Rights: true},
+		"audit":   {Seed: 8, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 2, Rights: true, Audit: true, History: true},
 	}
 	for seed := uint64(10); seed < 16; seed++ {
-		out[fmt.Sprint("rough", seed)] = Options{Seed: seed, Length: long, Jobs: 25, CloudBad: seed%3 == 0}
+		out[fmt.Sprint("rough", seed)] = Options{Seed: seed, Length: digestLength, Jobs: 25, CloudBad: seed%3 == 0}
 	}
 	return out
 }
 
+// outputKind is a number for each kind of output: it stays when the Go type gets another name.
+func outputKind(out core.Output) (kind byte, ok bool) {
+	switch out.(type) {
+	case core.Reply:
+		return 1, true
+	case core.Commit:
+		return 2, true
+	case core.Changes:
+		return 3, true
+	case core.Load:
+		return 4, true
+	case core.Scan:
+		return 5, true
+	case core.LeaseOp:
+		return 6, true
+	case core.Orders:
+		return 7, true
+	case core.Probe:
+		return 8, true
+	case core.CloudOp:
+		return 9, true
+	case core.ToPeer:
+		return 10, true
+	case core.Bookings:
+		return 11, true
+	case core.Queue:
+		return 12, true
+	}
+	return 0, false
+}
+
+// digester hashes outputs by their values: by the order of the fields of a type, and not by their names in Go.
+type digester struct {
+	hash *xxhash.Digest
+	buf  []byte
+}
+
+func newDigester() *digester { return &digester{hash: xxhash.New()} }
+
+// add takes the next output. What is logged may change, and permissions are told by a pointer: they are left out.
+func (d *digester) add(now time.Duration, node string, out core.Output) error {
+	switch out.(type) {
+	case core.Note, core.Rights:
+		return nil
+	}
+	kind, ok := outputKind(out)
+	if !ok {
+		return fmt.Errorf("no kind of output: %T", out)
+	}
+	d.buf = binary.BigEndian.AppendUint64(d.buf[:0], uint64(now))
+	d.text(node)
+	d.buf = append(d.buf, kind)
+	if err := d.value(reflect.ValueOf(out)); err != nil {
+		return fmt.Errorf("%T: %w", out, err)
+	}
+	_, _ = d.hash.Write(d.buf) // never fails
+	return nil
+}
+
+func (d *digester) sum() uint64 { return d.hash.Sum64() }
+
+func (d *digester) number(n uint64) { d.buf = binary.BigEndian.AppendUint64(d.buf, n) }
+
+func (d *digester) text(s string) {
+	d.number(uint64(len(s)))
+	d.buf = append(d.buf, s...)
+}
+
+// value writes a value with its kind, its length and all it holds.
+func (d *digester) value(v reflect.Value) error {
+	d.buf = append(d.buf, byte(v.Kind()))
+	if v.IsValid() && v.Type().Implements(reflect.TypeFor[json.Marshaler]()) && v.Kind() != reflect.Pointer && v.Kind() != reflect.Slice {
+		raw, err := v.Interface().(json.Marshaler).MarshalJSON()
+		d.text(string(raw))
+		return err
+	}
+	switch v.Kind() {
+	case reflect.Invalid: // a nil interface
+	case reflect.Bool:
+		d.buf = append(d.buf, map[bool]byte{true: 1}[v.Bool()])
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		d.number(uint64(v.Int()))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		d.number(v.Uint())
+	case reflect.Float32, reflect.Float64:
+		d.number(math.Float64bits(v.Float()))
+	case reflect.String:
+		d.text(v.String())
+	case reflect.Pointer, reflect.Interface:
+		d.buf = append(d.buf, map[bool]byte{true: 1}[v.IsNil()])
+		if !v.IsNil() {
+			return d.value(v.Elem())
+		}
+	case reflect.Slice, reflect.Array:
+		d.number(uint64(v.Len()))
+		for i := range v.Len() {
+			if err := d.value(v.Index(i)); err != nil {
+				return err
+			}
+		}
+	case reflect.Struct:
+		return d.fields(v)
+	case reflect.Map:
+		return d.entries(v)
+	default:
+		return fmt.Errorf("a value of kind %v", v.Kind())
+	}
+	return nil
+}
+
+// fields writes the fields that others may read, in their order; what is in others shows in no output.
+func (d *digester) fields(v reflect.Value) error {
+	for i := range v.NumField() {
+		if f := v.Type().Field(i); !f.IsExported() && !f.Anonymous {
+			continue
+		}
+		if err := d.value(v.Field(i)); err != nil {
+			return fmt.Errorf("field %d: %w", i, err)
+		}
+	}
+	return nil
+}
+
+// entries writes a map in the order of its keys as they are written.
+func (d *digester) entries(v reflect.Value) error {
+	d.number(uint64(v.Len()))
+	list := make([]string, 0, v.Len())
+	for it := v.MapRange(); it.Next(); {
+		entry := digester{}
+		if err := entry.value(it.Key()); err != nil {
+			return err
+		}
+		if err := entry.value(it.Value()); err != nil {
+			return err
+		}
+		list = append(list, string(entry.buf))
+	}
+	slices.Sort(list)
+	for _, e := range list {
+		d.text(e)
+	}
+	return nil
+}
+
 // digestOf is that of all that the controllers of a world put out, in order.
 func digestOf(t *testing.T, o Options) string {
 	t.Helper()
 	w := New(o)
-	h := xxhash.New()
+	d := newDigester()
 	w.Seen = func(node string, out core.Output) {
-		switch out.(type) {
-		case core.Note, core.Rights: // what is logged may change; rights are told by a pointer
-			return
-		}
-		raw, err := json.Marshal(out)
-		if err != nil {
+		if err := d.add(w.now, node, out); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(h, "%v %s %T ", w.now, node, out)
-		_, _ = h.Write(raw) // never fails
 	}
 	w.Run()
 	if len(w.Check.Broken) > 0 {
 		t.Errorf("%v", w.Check.Broken)
 	}
-	return fmt.Sprintf("%016x %d starts", h.Sum64(), w.Check.Starts)
+	return fmt.Sprintf("%016x %d starts", d.sum(), w.Check.Starts)
 }
 
 // A change that is meant to keep the behaviour of controllers keeps every output of these worlds. One that is meant to
@@ -64,15 +211,7 @@
 	const file = "testdata/digests.json"
 	want := map[string]string{}
 	if *update {
-		t.Cleanup(func() {
-			raw, err := json.MarshalIndent(want, "", "  ")
-			if err == nil {
-				err = os.WriteFile(file, append(raw, '\n'), 0o644)
-			}
-			if err != nil {
-				t.Fatal(err)
-			}
-		})
+		t.Cleanup(func() { writeDigests(t, file, want) })
 	} else if raw, err := os.ReadFile(file); err != nil || json.Unmarshal(raw, &want) != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
@@ -91,3 +230,186 @@
 		})
 	}
 }
+
+func writeDigests(t *testing.T, file string, digests map[string]string) {
+	t.Helper()
+	raw, err := json.MarshalIndent(digests, "", "  ")
+	if err == nil {
+		err = os.WriteFile(file, append(raw, '\n'), 0o644)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// manyWorlds is a world of every kind for a seed, with what may be turned on changing from seed to seed.
+func manyWorlds(seed uint64) map[string]Options {
+	odd, third, tenth := seed%2 == 1, seed%3 == 0, seed%10 == 0
+	return map[string]Options{
+		"rough":    {Seed: seed, Length: digestLength, Jobs: 25, CloudBad: third},
+		"quiet":    {Seed: seed, Length: digestLength, Jobs: 25, Quiet: true},
+		"large":    {Seed: seed, Length: 30 * time.Second, Jobs: 40, Nodes: 5, Fleet: 200, Tasks: 300},
+		"chains":   {Seed: seed, Length: digestLength, Jobs: 5, Chains: 12, Quiet: tenth},
+		"upgrade":  {Seed: seed, Length: digestLength, Jobs: 20, Upgrade: true, Chains: 8},
+		"history":  {Seed: seed, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 4, History: true, Upgrade: third},
+		"rights":   {Seed: seed, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 2, Rights: true, History: odd},
+		"audit":    {Seed: seed, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 2, Rights: true, Audit: true, History: odd},
+		"shared":   {Seed: seed, Length: digestLength, Jobs: 40, Shared: true, Quiet: tenth, Upgrade: third, History: odd},
+		"lanes":    {Seed: seed, Length: 120 * time.Second, Jobs: 80, Fleet: 8, Lanes: true},
+		"bookings": {Seed: seed, Length: 180 * time.Second, Jobs: 8, Tasks: 4, Bookers: 40, Rights: odd, Audit: odd},
+		"mistakes": {Seed: seed, Length: digestLength, Jobs: 30, Mistakes: 10, Quiet: odd},
+		"meet":     {Seed: seed, Length: digestLength, Jobs: 25, Meet: true, Apart: odd, AtLimit: third},
+		"flap":     {Seed: seed, Length: digestLength, Jobs: 30, Tasks: 6, Flap: true, Shared: third},
+		"beside":   {Seed: seed, Length: digestLength, Jobs: 20, Beside: true, OneTask: 10, InZones: odd},
+	}
+}
+
+// With -digest-seeds, the digests of many worlds are written to a file: made by two versions that are meant to behave
+// alike, the files are the same.
+func TestDigestsOfManyWorldsAreWritten(t *testing.T) {
+	if *digestSeeds == 0 {
+		t.Skip("only with -digest-seeds")
+	}
+	var mu sync.Mutex
+	digests := map[string]string{}
+	t.Cleanup(func() { writeDigests(t, *digestFile, digests) })
+	for seed := range uint64(*digestSeeds) {
+		for name, o := range manyWorlds(seed + 1000) {
+			name = fmt.Sprint(name, " ", seed)
+			t.Run(name, func(t *testing.T) {
+				t.Parallel()
+				got := digestOf(t, o)
+				mu.Lock()
+				defer mu.Unlock()
+				digests[name] = got
+			})
+		}
+	}
+}
+
+// The digest tells any change of an output, of their number and of their order.
+func TestDigestTellsOutputsApart(t *testing.T) {
+	type entry struct {
+		now  time.Duration
+		node string
+		out  core.Output
+	}
+	list := []entry{
+		{1, "n0", core.Load{From: "a"}},
+		{1, "n0", core.Changes{From: 7, Hold: true}},
+		{2, "n1", core.ToPeer{Peer: "n2", Msg: core.Msg{Push: &core.Push{Acks: map[string]uint64{"n0": 1, "n1": 2}}}}},
+		{2, "n1", core.CloudOp{ID: 3, Names: []string{"x", "y"}}},
+	}
+	sum := func(list []entry) uint64 {
+		d := newDigester()
+		for _, e := range list {
+			if err := d.add(e.now, e.node, e.out); err != nil {
+				t.Fatal(err)
+			}
+		}
+		return d.sum()
+	}
+	with := func(i int, e entry) []entry {
+		out := slices.Clone(list)
+		out[i] = e
+		return out
+	}
+	want := sum(list)
+	for name, other := range map[string][]entry{
+		"left out":       list[1:],
+		"swapped":        {list[1], list[0], list[2], list[3]},
+		"said twice":     {list[0], list[0], list[1], list[2], list[3]},
+		"later":          with(0, entry{2, "n0", list[0].out}),
+		"another node":   with(0, entry{1, "n1", list[0].out}),
+		"another kind":   with(0, entry{1, "n0", core.ToPeer{Peer: "a"}}),
+		"a value":        with(1, entry{1, "n0", core.Changes{From: 8, Hold: true}}),
+		"a flag":         with(1, entry{1, "n0", core.Changes{From: 7}}),
+		"in a map":       with(2, entry{2, "n1", core.ToPeer{Peer: "n2", Msg: core.Msg{Push: &core.Push{Acks: map[string]uint64{"n0": 1, "n1": 3}}}}}),
+		"a part unset":   with(2, entry{2, "n1", core.ToPeer{Peer: "n2", Msg: core.Msg{}}}),
+		"split in two":   with(3, entry{2, "n1", core.CloudOp{ID: 3, Names: []string{"xy"}}}),
+		"another member": with(3, entry{2, "n1", core.CloudOp{ID: 3, Names: []string{"x", "z"}}}),
+	} {
+		if sum(other) == want {
+			t.Errorf("%s: the digest stays", name)
+		}
+	}
+	if again := sum(list); again != want {
+		t.Errorf("the same outputs: %x, then %x", want, again)
+	}
+}
+
+// Every value in every kind of output counts: with any one of them changed, the digest is another.
+func TestDigestCountsEveryValue(t *testing.T) {
+	for _, out := range []core.Output{core.Reply{}, core.Commit{}, core.Changes{}, core.Load{}, core.Scan{}, core.LeaseOp{}, core.Orders{},
+		core.Probe{}, core.CloudOp{}, core.ToPeer{}, core.Bookings{}, core.Queue{}} {
+		sum := func(out core.Output) uint64 {
+			d := newDigester()
+			if err := d.add(0, "n0", out); err != nil {
+				t.Fatal(err)
+			}
+			return d.sum()
+		}
+		plain, seen := sum(out), map[uint64]string{}
+		for i := range reflect.TypeOf(out).NumField() {
+			v := reflect.New(reflect.TypeOf(out)).Elem()
+			changed := changeValues(v.Field(i), func(path string) {
+				s := sum(v.Interface().(core.Output))
+				path = fmt.Sprintf("%T field %d%s", out, i, path)
+				if other, twice := seen[s]; twice || s == plain {
+					t.Errorf("%s: does not count, or as %q does", path, other)
+				}
+				seen[s] = path
+			}, "", 0)
+			if !changed {
+				t.Errorf("%T field %d: nothing of it was changed", out, i)
+			}
+		}
+	}
+}
+
+// changeValues sets each value below v in turn, calls did, and puts it back.
+func changeValues(v reflect.Value, did func(path string), path string, depth int) bool {
+	was := reflect.New(v.Type()).Elem()
+	was.Set(v)
+	defer v.Set(was)
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(1)
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(1)
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(1)
+	case reflect.String:
+		v.SetString("x")
+	case reflect.Interface:
+		v.Set(reflect.ValueOf("x"))
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		did(path + " set")
+		return depth > 6 || changeValues(v.Elem(), did, path, depth+1)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		did(path + " of one")
+		return depth > 6 || changeValues(v.Index(0), did, path+"[0]", depth+1)
+	case reflect.Map:
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(reflect.Zero(v.Type().Key()), reflect.Zero(v.Type().Elem()))
+	case reflect.Array:
+		return changeValues(v.Index(v.Len()-1), did, path+"[]", depth+1)
+	case reflect.Struct:
+		changed := false
+		for i := range v.NumField() {
+			f := v.Type().Field(i)
+			if f.IsExported() && !strings.HasPrefix(f.Tag.Get("json"), "-") {
+				changed = changeValues(v.Field(i), did, fmt.Sprintf("%s.%d", path, i), depth+1) || changed
+			}
+		}
+		return changed
+	default:
+		return false
+	}
+	did(path)
+	return true
+}
