--- a/core/types.go
+++ b/core/types.go
@@ -208,12 +208,12 @@
 		Machine string
 		Report  *wire.Report
 	}
-	// Ordered is the outcome of orders sent to a worker.
+	// Ordered is the outcome of orders sent to a worker. Controllers pass it on to each other (Msg).
 	Ordered struct {
-		ID     uint64
-		Status int  // 0: no answer
-		Sent   bool // the request may have reached the worker
-		Report *wire.Report
+		ID     uint64       `json:"ID"`
+		Status int          `json:"Status"` // 0: no answer
+		Sent   bool         `json:"Sent"`   // the request may have reached the worker
+		Report *wire.Report `json:"Report"`
 	}
 	// Committed is the outcome of a transaction.
 	Committed struct {
@@ -335,12 +335,12 @@
 		TTL   time.Duration
 		Lease uint64
 	}
-	// Orders go straight to a worker.
+	// Orders go straight to a worker, or by way of another controller (Msg).
 	Orders struct {
-		ID      uint64
-		Machine string
-		Addr    string
-		Body    wire.OrdersBody
+		ID      uint64          `json:"ID"`
+		Machine string          `json:"Machine"`
+		Addr    string          `json:"Addr"`
+		Body    wire.OrdersBody `json:"Body"`
 	}
 	// Probe asks a worker for its report.
 	Probe struct {
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -15,6 +15,7 @@
 	"dewlift/access"
 	"dewlift/audit"
 	"dewlift/core"
+	"dewlift/core/ledger"
 	"dewlift/settings"
 	"dewlift/wire"
 )
@@ -205,3 +206,35 @@
 		}
 	}
 }
+
+// Every field of what is sent or stored as JSON has its name written out: else its Go name would be its name on the wire.
+func TestEveryFieldIsNamed(t *testing.T) {
+	seen := map[reflect.Type]bool{}
+	var walk func(x reflect.Type)
+	walk = func(x reflect.Type) {
+		if seen[x] || x == reflect.TypeFor[time.Time]() {
+			return
+		}
+		seen[x] = true
+		switch x.Kind() {
+		case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
+			walk(x.Elem())
+		case reflect.Struct:
+			for i := range x.NumField() {
+				f := x.Field(i)
+				if !f.IsExported() {
+					continue
+				}
+				if name, _, _ := strings.Cut(f.Tag.Get("json"), ","); name == "" && !f.Anonymous {
+					t.Errorf("%v.%s has no name for JSON", x, f.Name)
+				}
+				walk(f.Type)
+			}
+		}
+	}
+	for _, types := range []map[string]any{bodies(), messages(), {"record": new(ledger.Record), "head": new(audit.Head), "carried": new(audit.Carried), "platform": new(settings.Platform)}} {
+		for _, v := range types {
+			walk(reflect.TypeOf(v))
+		}
+	}
+}
