--- a/core/audit.go
+++ b/core/audit.go
@@ -90,7 +90,7 @@
 	if c.stateDown() || !c.leaseOK() {
 		r.GiveUp()
 	}
-	if r.Busy() || !c.leaseOK() || c.budget.Paused(c.now) || c.budget.Writes < 2 {
+	if r.Busy() || !c.leaseOK() || c.transactions.rateLimit.Paused(c.now) || c.transactions.rateLimit.Writes < 2 {
 		return
 	}
 	if r.Ready() {
@@ -123,7 +123,7 @@
 		return
 	}
 	x.busy = true
-	t := wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leader.mark}, {Key: KeyRestored, Mark: x.mark}}, Then: []wire.Write{{Delete: KeyRestored}}}
+	t := wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}, {Key: KeyRestored, Mark: x.mark}}, Then: []wire.Write{{Delete: KeyRestored}}}
 	told := c.carryBeside(&t, "restored", recorder.Act{Verb: recorder.Restore, Object: "state", Why: x.what})
 	c.commit(t, &txn{done: func(status int, _ wire.TxnReply) {
 		told(status)
@@ -173,7 +173,7 @@
 		c.reply(in.Req, 200, out)
 		return
 	}
-	if c.budget.Reads < 1 {
+	if c.transactions.rateLimit.Reads < 1 {
 		c.refuse(in.Req, "too busy")
 		return
 	}
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -134,18 +134,18 @@
 	for i := range 3000 {
 		at := 2*time.Second + time.Duration(i)*time.Millisecond
 		if i%100 == 0 {
-			c.leaseUntil = at + time.Minute
+			c.ownLease.expiresAt = at + time.Minute
 			follow(t, c, at, at+time.Millisecond)
 		}
 		c.refusedAct(potter, "cancel", fmt.Sprint("wk-", i%5), "no right to cancel it")
 		c.Handle(at, Refused{Items: []*pb.AuditItem{{Verb: "GET", Object: "/v1/jobs/x", Why: "a token is needed", Count: 2}}})
 	}
 	c.Handle(5*time.Second, Committed{ID: 0, Status: 503})
-	c.leaseUntil = 0 // an outage
+	c.ownLease.expiresAt = 0 // an outage
 	if out := outputs[Commit](c.Advance(30 * time.Second)); len(out) != 0 {
 		t.Errorf("written without a lease: %+v", out)
 	}
-	c.leaseUntil = 3 * time.Minute
+	c.ownLease.expiresAt = 3 * time.Minute
 	c.stateAnswered(200)
 	writes := follow(t, c, 30*time.Second, 40*time.Second)
 	total, mine := uint32(0), 0
@@ -167,7 +167,7 @@
 func TestReadingIsRecordedFirst(t *testing.T) {
 	c := recording(t)
 	ask := func(at time.Duration, by Cred, node string) (out []Output) {
-		c.leaseUntil = at + time.Minute
+		c.ownLease.expiresAt = at + time.Minute
 		c.Handle(at, ReadAudit{Req: 9, By: by, Node: node})
 		return append(c.Advance(at), barrier(c, at+300*time.Millisecond)...)
 	}
@@ -190,7 +190,7 @@
 	if e := entries[len(entries)-1]; e.Items[0].Who != "anna" || e.Items[0].Verb != "audit" {
 		t.Errorf("recorded %+v", e)
 	}
-	c.Handle(20500*time.Millisecond, Committed{ID: commits[0].ID, Status: 200, Reply: wire.TxnReply{Ledger: c.seen + 1}})
+	c.Handle(20500*time.Millisecond, Committed{ID: commits[0].ID, Status: 200, Reply: wire.TxnReply{Ledger: c.replica.revision + 1}})
 	r := outputs[Reply](c.Advance(20500 * time.Millisecond))
 	if len(r) != 1 || r[0].Status != 200 || len(r[0].Body.(wire.AuditHeads).Heads) != 1 {
 		t.Fatalf("got %+v", r)
@@ -215,7 +215,7 @@
 func TestNothingIsDoneUnrecordedOnceOthersRecord(t *testing.T) {
 	c := withRights(t)
 	records(c, time.Hour, time.Hour, nil)
-	c.formNow = formAccess
+	c.schema.active = formAccess
 	c.Handle(1200*time.Millisecond, as(anna, submitted("wk-1")))
 	w := accepted(c.Advance(1200*time.Millisecond), "wk-1")
 	if w == nil || !slices.Contains(w.Txn.If, wire.Cond{Key: recorder.KeyBegun}) {
@@ -289,7 +289,7 @@
 	if n := len(c.audit.Heads()["n0"].Lives); n != 41 {
 		t.Errorf("%d lives are kept", n)
 	}
-	c.leaseUntil = time.Minute
+	c.ownLease.expiresAt = time.Minute
 	c.recorder().Read("anna", "audit", "audit", func(bool) {})
 	follow(t, c, 20*time.Second, 25*time.Second)
 	if lives := c.audit.Heads()["n0"].Lives; len(lives) != 1 || lives[0].Life != 41 {
--- a/core/awaits.go
+++ b/core/awaits.go
@@ -71,7 +71,7 @@
 		for _, n := range next {
 			if n.waits--; n.waits == 0 && !n.final() {
 				n.readyMS, n.readyAt = c.unixMS(), max(n.readyAt, j.mark)
-				n.pending = true
+				n.placement.hasUnplacedTasks = true
 				c.touch(n)
 			}
 		}
@@ -82,7 +82,7 @@
 			if n.final() {
 				continue
 			}
-			n.cause, n.pending = j.root(), false
+			n.cause, n.placement.hasUnplacedTasks = j.root(), false
 			c.touch(n)
 			c.settleCancels(n)
 			list = append(list, n.next...)
--- a/core/awaits_test.go
+++ b/core/awaits_test.go
@@ -36,10 +36,10 @@
 					return o
 				}
 			case Commit:
-				c.Handle(c.now, Committed{ID: o.ID, Status: 200, Reply: wire.TxnReply{Ledger: max(c.seen, 1000) + o.ID}})
+				c.Handle(c.now, Committed{ID: o.ID, Status: 200, Reply: wire.TxnReply{Ledger: max(c.replica.revision, 1000) + o.ID}})
 			case Changes:
 				if !o.Hold {
-					c.Handle(c.now, Changed{Status: 200, Changes: wire.Changes{Ledger: c.seen}})
+					c.Handle(c.now, Changed{Status: 200, Changes: wire.Changes{Ledger: c.replica.revision}})
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 func TestAwaitedJobThatComesWithTheBarrier(t *testing.T) {
 	c := piped(t)
 	c.Advance(2 * time.Second)
-	c.barrierAt = time.Hour
+	c.replica.nextBarrierAt = time.Hour
 	c.Handle(2*time.Second, awaiting1("wk-2", "wk-1"))
 	asked := false
 	for _, o := range outputs[Changes](c.Advance(2 * time.Second)) {
@@ -251,7 +251,7 @@
 		known(c, 101, wire.Spec{EstimateMS: 5_000, DeadlineMS: tc.due}, "wk-2", ledger.Queued, "wk-1")
 		s := known(c, 102, wire.Spec{Service: tc.service}, "wk-3", ledger.Queued)
 		for _, j := range []*job{a, s} {
-			m.asg[taskKey{j.idx, 0}] = ledger.Asg{Task: 0, Machine: m.idx, Session: 1, Try: 1}
+			m.allocation.assignments[taskKey{j.idx, 0}] = ledger.Asg{Task: 0, Machine: m.idx, Session: 1, Try: 1}
 		}
 		if got := c.hurried(m, 10*time.Second); got != tc.want {
 			t.Errorf("due %d, replica %v: given up %v", tc.due, tc.service, got)
--- a/core/bookings.go
+++ b/core/bookings.go
@@ -48,7 +48,7 @@
 	switch {
 	case c.closed():
 		c.refuse(req, notYet)
-	case !c.loaded:
+	case !c.replica.loaded:
 		c.refuse(req, "not caught up")
 	case c.stateDown():
 		c.refuse(req, "state service not reached")
@@ -116,14 +116,14 @@
 	for _, id := range c.desk.Reads() {
 		c.readPast(id, func() {})
 	}
-	if c.desk.Due(c.now, c.unixS()) && !c.budget.PausedAll(c.now) && c.budget.Reads >= 1 && c.budget.Writes >= 1-c.writeRPS()/4 {
+	if c.desk.Due(c.now, c.unixS()) && !c.transactions.rateLimit.PausedAll(c.now) && c.transactions.rateLimit.Reads >= 1 && c.transactions.rateLimit.Writes >= 1-c.writeRPS()/4 {
 		c.sendBookings()
 		return
 	}
-	if c.leads() && c.budget.Writes >= 0.75*c.budget.Burst(c.cfg.TxnOps) && !c.budget.Paused(c.now) {
+	if c.leads() && c.transactions.rateLimit.Writes >= 0.75*c.transactions.rateLimit.Burst(c.cfg.TxnOps) && !c.transactions.rateLimit.Paused(c.now) {
 		over := c.unixS() - int64(c.cfg.BookingKeep/time.Second)
 		c.desk.Forget(c.now, over)
-		if t := c.desk.Move([]wire.Cond{{Key: keyLeader, Mark: c.leader.mark}}, over, c.cfg.ValueBytes); t != nil {
+		if t := c.desk.Move([]wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}}, over, c.cfg.ValueBytes); t != nil {
 			c.commit(*t, &txn{done: func(int, wire.TxnReply) {
 				c.afterBarrier(func(bool) { c.desk.Moved(t) })
 			}})
@@ -141,7 +141,7 @@
 
 // seedEquipment puts the list of the file in force where there is none.
 func (c *Core) seedEquipment() {
-	if c.cfg.Equipment == nil || c.desk.Version() != 0 || !c.leads() || !c.leaseOK() || c.now < c.deskState.seedAt || c.budget.Paused(c.now) || c.budget.Writes < 1 {
+	if c.cfg.Equipment == nil || c.desk.Version() != 0 || !c.leads() || !c.leaseOK() || c.now < c.deskState.seedAt || c.transactions.rateLimit.Paused(c.now) || c.transactions.rateLimit.Writes < 1 {
 		return
 	}
 	c.deskState.seedAt = c.now + 2*time.Second
@@ -179,7 +179,7 @@
 			c.answerBooking(a)
 		}
 		if read {
-			c.barrierAt = min(c.barrierAt, c.now) // somebody was quicker: read at once, or they always are
+			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now) // somebody was quicker: read at once, or they always are
 			c.afterBarrier(func(bool) { c.desk.Read() })
 		}
 	}})
@@ -325,7 +325,7 @@
 // showBookings answers a question about bookings, as of a barrier. Only how a booking ended is told without one, where no rights are in force.
 func (c *Core) showBookings(in ShowBookings) {
 	q := in.Query
-	if q.ID != "" && c.loaded && !c.closed() && !c.guarded() {
+	if q.ID != "" && c.replica.loaded && !c.closed() && !c.guarded() {
 		ended := false
 		c.desk.View(func(l *ledger.Ledger) {
 			if b := l.Get(q.ID); b != nil && b.State == pb.BookingState_ended {
--- a/core/cancellations.go
+++ b/core/cancellations.go
@@ -52,23 +52,23 @@
 }
 
 // cancelledAt is a revision at which a cancelled job's cancellation was there: whoever has seen it knows of that.
-func (j *job) cancelledAt() uint64 { return max(j.mark, j.cancelMark) }
+func (j *job) cancelledAt() uint64 { return max(j.mark, j.cancellation.markerRevision) }
 
 // mayTell reports whether users may be told that a job is cancelled.
 func (c *Core) mayTell(j *job) bool {
-	if !j.lingers() || j.mayTell {
+	if !j.lingers() || j.ack.allowed {
 		return true
 	}
 	// A controller of an older version neither vouches nor asks: as long as there may be one, the tasks must be gone.
-	j.mayTell = c.form() >= formQuorum && c.view.MayTell(j.cancelledAt(), j.heldBy)
-	return j.mayTell
+	j.ack.allowed = c.form() >= formQuorum && c.cancelAcks.quorum.MayTell(j.cancelledAt(), j.ack.heldBy)
+	return j.ack.allowed
 }
 
 // tellOrWait answers with a job's state, once that may be told.
 func (c *Core) tellOrWait(req uint64, status int, s wire.JobState) {
 	if s.Stage == wire.StageCancelled {
 		if j := c.knownJob(s.ID); j != nil && !c.mayTell(j) {
-			c.untold = append(c.untold, untold{req, j, c.now + tellWait})
+			c.cancelAcks.pending = append(c.cancelAcks.pending, untold{req, j, c.now + tellWait})
 			return
 		}
 	}
@@ -77,17 +77,17 @@
 
 // tellStep sees to it that the news of cancellations is current, and that those may be told that users wait for.
 func (c *Core) tellStep() {
-	if c.view.ReadDue(c.now) && c.now >= c.readAt {
-		c.readAt = c.now + time.Second
+	if c.cancelAcks.quorum.ReadDue(c.now) && c.now >= c.cancelAcks.nextReadAt {
+		c.cancelAcks.nextReadAt = c.now + time.Second
 		c.afterBarrier(func(bool) {})
 	}
-	if c.view.AskDue(c.now) {
+	if c.cancelAcks.quorum.AskDue(c.now) {
 		q := &QuorumRead{Nonce: c.rng.Uint64() | 1, Since: c.heldUpTo()}
-		c.view.Ask(c.now, q.Nonce)
+		c.cancelAcks.quorum.Ask(c.now, q.Nonce)
 		c.tell("", Msg{QuorumRead: q})
 	}
 	var news []*job
-	c.untold = slices.DeleteFunc(c.untold, func(u untold) bool {
+	c.cancelAcks.pending = slices.DeleteFunc(c.cancelAcks.pending, func(u untold) bool {
 		switch {
 		case c.mayTell(u.j):
 			c.emit(Reply{Req: u.req, Status: 200, Body: c.state(u.j)})
@@ -96,8 +96,8 @@
 			c.refuse(u.req, "its tasks may still run: other controllers do not know yet that it is cancelled")
 			return true
 		}
-		if c.form() >= formQuorum && c.now >= u.j.toldAt {
-			u.j.toldAt = c.now + tellAgain
+		if c.form() >= formQuorum && c.now >= u.j.ack.nextBroadcastAt {
+			u.j.ack.nextBroadcastAt = c.now + tellAgain
 			news = append(news, u.j)
 		}
 		return false
@@ -109,10 +109,10 @@
 
 // heldUpTo is the revision up to which all cancellations are known here.
 func (c *Core) heldUpTo() uint64 {
-	if !c.loaded {
+	if !c.replica.loaded {
 		return 0
 	}
-	return max(c.seen, c.heldTo)
+	return max(c.replica.revision, c.cancelAcks.peersKnowUpTo)
 }
 
 // cancellations are the values of cancelled jobs, as the state service holds them.
@@ -124,9 +124,9 @@
 			continue
 		}
 		items = append(items, wire.Item{Key: keyJob + j.id, Value: raw, Mark: j.mark})
-		if j.cancelMark != 0 {
-			raw := cancelMark{CancelMS: j.markedMS, Carried: j.markCarried}.encode()
-			items = append(items, wire.Item{Key: keyCancel + j.id, Value: raw, Mark: j.cancelMark})
+		if j.cancellation.markerRevision != 0 {
+			raw := cancelMark{CancelMS: j.cancellation.markerMS, Carried: j.cancellation.markerAudit}.encode()
+			items = append(items, wire.Item{Key: keyCancel + j.id, Value: raw, Mark: j.cancellation.markerRevision})
 		}
 	}
 	return items
@@ -141,7 +141,7 @@
 			continue
 		}
 		// What the stream has shown is held, and may have left memory since: a copy that comes late must not bring it back.
-		shown := it.Mark <= c.seen
+		shown := it.Mark <= c.replica.revision
 		if !shown {
 			c.put(it.Key, it.Value, it.Mark)
 		}
@@ -164,7 +164,7 @@
 // quorumMsg takes what another controller says of cancellations, and answers it. A controller that has not read all keys holds nothing: it may
 // vouch that the state service is down, but not for this.
 func (c *Core) quorumMsg(peer string, m *Msg) {
-	if !c.loaded {
+	if !c.replica.loaded {
 		return
 	}
 	held := c.toldOf(m.Cancels)
@@ -173,10 +173,10 @@
 	}
 	for _, id := range m.CancelAcks {
 		if j := c.knownJob(id); j != nil {
-			if j.heldBy == nil {
-				j.heldBy = map[string]bool{}
+			if j.ack.heldBy == nil {
+				j.ack.heldBy = map[string]bool{}
 			}
-			j.heldBy[peer] = true
+			j.ack.heldBy[peer] = true
 		}
 	}
 	if q := m.QuorumRead; q != nil {
@@ -189,10 +189,10 @@
 		c.tell(peer, Msg{QuorumReply: &QuorumReply{q.Nonce, c.heldUpTo()}, Cancels: c.cancellations(list)})
 	}
 	if v := m.QuorumReply; v != nil {
-		if c.view.Answered(peer, v.Nonce) {
-			c.heldTo = max(c.heldTo, v.Upto)
+		if c.cancelAcks.quorum.Answered(peer, v.Nonce) {
+			c.cancelAcks.peersKnowUpTo = max(c.cancelAcks.peersKnowUpTo, v.Upto)
 		}
-		c.view.Acked(peer, v.Upto)
+		c.cancelAcks.quorum.Acked(peer, v.Upto)
 	}
 }
 
@@ -200,7 +200,7 @@
 // to the job's shard.
 func (c *Core) stopsFor(m *machine) []wire.Order {
 	var keys []attKey // mostly none: only these are sorted, as each report is answered
-	for k, p := range m.pieces {
+	for k, p := range m.status.tasks {
 		if j := c.jobs[k.job]; p.state != wire.TaskExited && j != nil && j.rec != nil && j.rec.Stage == ledger.Cancelled {
 			keys = append(keys, k)
 		}
@@ -218,12 +218,12 @@
 // of the machine's session: who does not renew its lease ends that. (In an outage no higher token can be had, which would do it too.)
 func (c *Core) mayComeBack(m *machine) string {
 	var late []taskKey // mostly none
-	for k, a := range m.asg {
+	for k, a := range m.allocation.assignments {
 		j := c.jobs[k.job]
-		if !j.lingers() || a.Session != m.session || c.sinceCancelled(j) <= c.bound() {
+		if !j.lingers() || a.Session != m.status.incarnation || c.sinceCancelled(j) <= c.bound() {
 			continue
 		}
-		if _, there := m.pieces[attKey{k.job, k.task, a.Try}]; there {
+		if _, there := m.status.tasks[attKey{k.job, k.task, a.Try}]; there {
 			continue // the answer stops it
 		}
 		if ended, _ := c.fate(j, a); !ended {
@@ -244,9 +244,9 @@
 	switch {
 	case !c.entitled():
 		return "not entitled"
-	case !c.view.Fresh(c.now):
+	case !c.cancelAcks.quorum.Fresh(c.now):
 		return fmt.Sprintf("cancellations of more than %v ago may not be known here", c.bound().Round(time.Second))
-	case r.Token > c.epoch:
+	case r.Token > c.leadership.fencingToken:
 		return "token not current"
 	}
 	if late := c.mayComeBack(m); late != "" {
--- a/core/cancellations_test.go
+++ b/core/cancellations_test.go
@@ -27,7 +27,7 @@
 	for _, ahead := range []bool{false, true} {
 		c := leading(t)
 		drive(c, time.Second, 2*time.Second)
-		mark := c.seen
+		mark := c.replica.revision
 		if ahead {
 			mark += 5
 		}
@@ -57,7 +57,7 @@
 func TestAnswerToAReportStopsWhatIsCancelled(t *testing.T) {
 	c := leading(t)
 	drive(c, time.Second, 2*time.Second)
-	c.Handle(2*time.Second, FromPeer{Peer: "n1", Msg: Msg{Cancels: []wire.Item{cancelledItem(t, c, "wk-7", c.seen+5)}}})
+	c.Handle(2*time.Second, FromPeer{Peer: "n1", Msg: Msg{Cancels: []wire.Item{cancelledItem(t, c, "wk-7", c.replica.revision+5)}}})
 	c.Handle(2*time.Second, Beat{Req: 77, Report: report(50, wire.Piece{Piece: "wk-7/0", Try: 1, Stage: wire.TaskRunning}, wire.Piece{Piece: "wk-8/0", Try: 1, Stage: wire.TaskRunning})})
 	for _, r := range outputs[Reply](c.Advance(2 * time.Second)) {
 		if b, ok := r.Body.(wire.BeatReply); ok && r.Req == 77 {
--- a/core/core.go
+++ b/core/core.go
@@ -82,53 +82,18 @@
 }
 
 type machine struct {
-	name    string
-	idx     int32
-	addr    string
-	typ     string
-	zone    string
-	spot    bool
-	session uint64
-	seq     uint64
-	token   uint64
-	up      bool          // it has reported
-	first   time.Duration // first known here
-	heard   time.Duration
-	changed time.Duration // when its report or its assignments changed last
-	shown   time.Duration // when it was asked for its report last
-	asked   int           // how often it was, since it was heard of
-	missed  time.Duration // when orders to it stayed without an answer last
-	noticed time.Duration // when the notice runs out; 0: none
-	digest  uint64        // of what it reported last
-	pieces  map[attKey]piece
-	asg     map[taskKey]ledger.Asg
-	att     map[attKey]*attempt
-
-	occ      ccs.Vec // room taken, if occKnown
-	occKnown bool
-	stay     time.Duration // how long its tasks keep it, as of stayAt
-	stayAt   time.Duration
-
-	gone      bool // proof that it and all on it are gone
-	returning bool // its return was asked of the cloud
-	refused   time.Duration
-	errs      int
-	failedAt  time.Duration  // when something failed there last
-	failed    map[int32]bool // jobs that failed on it since a task last completed
-
-	send     uint64 // id of the orders on their way; 0: none
-	sendTok  uint64
-	sendKeys []attKey
-	misses   int // requests unanswered in a row
-	nextSend time.Duration
-	clearAt  time.Duration // when its ended tasks are to be forgotten; 0: none is
-	touched  bool
-	hot      bool // in the list of machines that may need orders
-	probed   time.Duration
-	images   map[string]bool
-	ranked   uint64 // as of which controllers, by c.around, rank holds
-	rank     int    // of this controller among those that may use it, see Core.order
-	lead     leadMachine
+	name string
+	idx  int32
+
+	lead leadMachine
+
+	identity   machineIdentity
+	status     agentStatus
+	lifecycle  machineLifecycle
+	commands   machineCommands
+	allocation machineAllocation
+	health     machineHealth
+	ranking    rankCache
 }
 
 type job struct {
@@ -138,44 +103,17 @@
 	rec   *ledger.Record
 	place []ledger.Asg
 
-	inflight bool
-	resync   bool // an unknown outcome is being cleared up by a read barrier
-	dirty    bool
-	listed   bool          // in the list of open jobs
-	since    time.Duration // dirty since
-	lookAt   time.Duration // not looked at before, although dirty
-	ended    int           // assigned tasks that have completed, as their machines say
-	accept   *accept
-	cancels  []cancelReq
-	cancelMS int64
-	cancelBy time.Duration // until when an answer must be given
-	errs     int
-	backoff  time.Duration
-	pending  bool          // has tasks to place now
-	lost     bool          // tasks of it are gone, and must be started again
-	missing  int           // replicas of it that are gone, as of the last turn that ordered writes
-	placedMS int64         // time of day when tasks of it were placed last
-	size     int           // of its record, as it is stored
-	accepted uint64        // revision of its acceptance: its place in its lane
-	rank     rank          // as it was worked out last
-	boosted  time.Duration // until then it is ordered as one of the first lane, for the share of its own
-	settling bool          // its next record only tells of ends, and waits for others
-	ownKey   bool          // its next write is to be of its own key: it did not fit its slot
-
-	mayTell bool            // users may be told that it is cancelled
-	heldBy  map[string]bool // controllers that have said that they hold its cancellation
-	toldAt  time.Duration   // when the others are told of that again
-
-	cancelMark  uint64 // of the mark of its cancellation; 0: there is none
-	markedMS    int64
-	markCarried []audit.Carried // by that mark
-
-	counted  bool   // among the ended jobs in memory whose records have not moved
-	archived bool   // it has moved
-	leaving  bool   // to be dropped from memory
-	load     uint64 // when all keys were read last, it was there
+	accept *accept
 
 	awaiting // see awaits.go
+
+	stored       storedRecord
+	write        jobWrite
+	cancellation jobCancellation
+	ack          cancelAck
+	queue        jobQueueState
+	placement    jobPlacement
+	archive      jobArchiveState
 }
 
 // cancelReq is somebody who waits for a job's cancellation; 0: nobody waits for the answer.
@@ -214,11 +152,11 @@
 
 // held is a leased key: a shard or the leadership.
 type held struct {
-	Node  string `json:"n"`
-	Lease uint64 `json:"t"`
-	Token uint64 `json:"b"`
-	mark  uint64
-	since time.Duration // absent since
+	Node  string        `json:"n"`
+	Lease uint64        `json:"t"`
+	Token uint64        `json:"b"`
+	mark  uint64        `json:"-"`
+	since time.Duration `json:"-"` // absent since
 }
 
 // Core is the state machine of one controller.
@@ -237,134 +175,49 @@
 	jobs       []*job
 	open       []*job     // those not over
 	alive      []*machine // those not known to be gone
-	hot        []*machine // those that may need orders
-	probing    int        // requests for reports on their way
-	zones      map[string]*zoneNews
-	teamIdx    map[string]int
-	teams      []*team
-	links      *links.Links
 
-	// The replica of the state service.
-	seen    uint64
-	loaded  bool
-	loading bool
-	retryAt time.Duration
-	epoch   uint64
-	epochMk uint64
-	shards  []held
-	slots   map[int]*shared.Slot // by shard, see share.go
-	leader  held
-	nodes   map[string]held
-	around  uint64 // counts how often nodes changed
-
-	hist      history // see history.go
-	rights    rights  // see rights.go
-	audit     *recorder.Recorder
-	lanes     *lanes.List // see lanes.go
-	lanesMark uint64      // 0: that of the priorities is in force
-	lanesAt   time.Duration
-	lanesTold bool
-	shares    shares
-	waits     []Waiting     // of each lane, the first of its jobs that wait for room, of late
+	teamIdx map[string]int
+	teams   []*team
+
+	hist   history // see history.go
+	rights rights  // see rights.go
+	audit  *recorder.Recorder
+
 	desk      *booking.Desk // see bookings.go
 	deskState bookings
 	restored  restored
-	sweep     *sweep // see sweep.go
-	sweepLook time.Duration
-	loadFrom  string // the key up to which all keys were read
-	loadAt    uint64 // revision of the first page
-	loads     uint64
-	loadPages int
-
-	forms     map[string]int // what each controller declared
-	formNow   int
-	formMark  uint64        // of this controller's declaration
-	formAt    time.Duration // since when it may be written
-	declaring bool
-	declareAt time.Duration
-
-	watching  bool
-	watchAt   time.Duration
-	waiting   []func(ok bool) // for the next read barrier
-	inBarrier []func(ok bool)
-	barrier   bool
-	barrierAt time.Duration
-	barrierOf time.Duration // when the barrier on its way was sent
-	watchOf   time.Duration // when the watch was
-	loadOf    time.Duration // when the first page of all keys was asked for
-	readLost  time.Duration // when the first of the reads of changes was sent that got no answer, since the last that did; 0: there is none
-	stateGood time.Duration // last answer of the state service
-	stateBad  time.Duration // last failure
-	anyGood   bool
-
-	lease      uint64
-	leaseUntil time.Duration
-	leaseOp    string
-	leaseSent  time.Duration
-	nodePut    bool
-	claiming   bool
-	claimAt    time.Duration
-	giveAt     time.Duration
-	bumping    bool
-	bumpAt     time.Duration
-
-	txns   map[uint64]*txn
-	budget budget.Budget
-	settle time.Duration // how long ends may wait to share a write
-
-	load        overload.State
-	scanAt      time.Duration // when what waits for a write is looked at even if none can be made
-	cancelsTill time.Duration // until then, somebody may wait for a cancellation
-
-	view   *quorum.View // see cancellations.go
-	untold []untold
-	heldTo uint64        // up to this revision others have told of all cancellations
-	readAt time.Duration // when the state service is read next for the sake of that
-	rescue rescue        // see orders.go
-
-	waiters int // jobs that waited to be looked at for a write, at the last look
-
-	copy      ccs.Copy
-	copyRev   uint64 // revision and leader of the last push taken
-	copyTok   uint64
-	copyAcks  map[string]uint64 // what it had counted
-	resendAt  time.Duration
-	hold      *Hold         // as the leader told with the last push
-	noRoom    []noRoom      // claims that found no room since some became free
-	heardAt   time.Duration // when the others are told next of machines that report nothing new
-	reports   []*wire.Report
-	heardOf   []Heard
-	wanted    map[string][]string // by controller: machines whose reports it has and this one lacks
-	deltas    []DeltaMsg
-	batches   map[string][]deltaBatch // of each controller, not yet counted by the leader
-	batchSeq  uint64
-	ackTime   time.Duration // how long it takes of late until a push shows that a batch was counted
-	deltaAt   time.Duration
-	healthAt  time.Duration
-	placeAt   time.Duration
-	sweepAt   time.Duration
-	lookAllAt time.Duration
-	drainAt   time.Duration
-	room      bool          // room may have become free
-	turnAt    time.Duration // when room is to be looked at that was another's to take first; 0: there is none
-	askAt     time.Duration
-
-	catalog   map[string]*wire.MachineType
-	types     []string // its names, sorted
-	catalogAt time.Duration
-	typesMark uint64       // of the kept catalog
-	typesKept wire.Catalog // as the state service holds it
-	typesBusy bool
-	catalogOp bool
-	lead      *lead
-	classes   map[string]*classStat
-	clouds    map[uint64]func(Clouded)
-	sends     map[uint64]send
-	relayed   map[uint64]relayed
-	started   time.Duration
-	advanced  time.Duration // when time passed here last
-	awake     time.Duration // since when it has without a pause: what was not heard in one is no sign of silence
-	Stats     Stats
+
+	nodePut bool
+
+	load overload.State
+
+	rescue rescue // see orders.go
+
+	lead *lead
+
+	started time.Duration
+
+	Stats Stats
+
+	replica      storeReplica
+	storeHealth  storeHealth
+	ownLease     controllerLease
+	leadership   leadershipState
+	ownership    shardOwnership
+	controllers  controllerSet
+	agents       agentLiveness
+	commands     commandDispatch
+	transactions transactionState
+	priority     priorityState
+	clusterCopy  clusterCopy
+	deltaLog     deltaLog
+	placement    placementState
+	autoscaler   autoscalerState
+	schema       schemaState
+	cancelAcks   cancelAcks
+	archiving    archivingState
+	maintenance  maintenanceState
+	stalls       stallDetector
 }
 
 // Stats counts what the log reports at a modest rate.
@@ -402,16 +255,31 @@
 
 // New makes a core; seed feeds its randomness.
 func New(cfg Config, now time.Duration, seed uint64) *Core {
-	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, started: now,
-		machineIdx: map[string]int32{}, jobIdx: map[string]int32{}, teamIdx: map[string]int{}, links: links.New(cfg.Peers, cfg.LinkLost),
-		shards: make([]held, cfg.Shards), slots: map[int]*shared.Slot{}, nodes: map[string]held{}, forms: map[string]int{}, txns: map[uint64]*txn{},
-		zones: map[string]*zoneNews{}, wanted: map[string][]string{}, clouds: map[uint64]func(Clouded){}, batches: map[string][]deltaBatch{}, sends: map[uint64]send{}, relayed: map[uint64]relayed{},
-		budget: budget.New(now), settle: cfg.Settle, desk: booking.New(), lanes: lanes.ByPriority(cfg.RiseAfter), hist: newHistory(&cfg), rights: rights{who: map[string]storedIdentity{}}}
+	c := &Core{
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, started: now,
+		machineIdx: map[string]int32{}, jobIdx: map[string]int32{}, teamIdx: map[string]int{},
+		desk: booking.New(), hist: newHistory(&cfg), rights: rights{who: map[string]storedIdentity{}},
+	}
+	c.replica.batchValues = map[int]*shared.Slot{}
+	c.controllers.membership = links.New(cfg.Peers, cfg.LinkLost)
+	c.controllers.nodeKeys = map[string]held{}
+	c.ownership.shards = make([]held, cfg.Shards)
+	c.schema.declared = map[string]int{}
+	c.transactions.inFlight = map[uint64]*txn{}
+	c.transactions.rateLimit = budget.New(now)
+	c.transactions.endBatchDelay = cfg.Settle
+	c.agents.zones = map[string]*zoneNews{}
+	c.agents.missingHeartbeats = map[string][]string{}
+	c.commands.inFlight = map[uint64]send{}
+	c.commands.relayed = map[uint64]relayed{}
+	c.autoscaler.calls = map[uint64]func(Clouded){}
+	c.deltaLog.uncounted = map[string][]deltaBatch{}
+	c.priority.classes = lanes.ByPriority(cfg.RiseAfter)
 	c.audit = c.newRecorder()
-	c.view = quorum.New(quorum.Site{Peers: cfg.Peers, CancelIn: cfg.CancelIn, Lease: cfg.WorkerLease})
-	c.copy.Expire = cfg.CopyExpire
+	c.cancelAcks.quorum = quorum.New(quorum.Site{Peers: cfg.Peers, CancelIn: cfg.CancelIn, Lease: cfg.WorkerLease})
+	c.clusterCopy.state.Expire = cfg.CopyExpire
 	c.shareBudget()
-	c.budget.Fill()
+	c.transactions.rateLimit.Fill()
 	for i, t := range cfg.Teams {
 		c.teamIdx[t.Name] = i
 		c.teams = append(c.teams, &team{Team: t})
@@ -431,8 +299,13 @@
 	if i, ok := c.machineIdx[name]; ok {
 		return c.machines[i]
 	}
-	m := &machine{name: name, idx: int32(len(c.machines)), first: c.now, heard: c.now, pieces: map[attKey]piece{},
-		asg: map[taskKey]ledger.Asg{}, att: map[attKey]*attempt{}, images: map[string]bool{}}
+	m := &machine{name: name, idx: int32(len(c.machines))}
+	m.identity.firstSeenAt = c.now
+	m.status.lastHeartbeatAt = c.now
+	m.status.tasks = map[attKey]piece{}
+	m.status.images = map[string]bool{}
+	m.allocation.assignments = map[taskKey]ledger.Asg{}
+	m.commands.attempts = map[attKey]*attempt{}
 	c.machineIdx[name] = m.idx
 	c.machines = append(c.machines, m)
 	c.alive = append(c.alive, m)
@@ -442,8 +315,8 @@
 // seat interns a machine in a zone; of one that has not reported, the zone is not known otherwise.
 func (c *Core) seat(name, zone string) int32 {
 	m := c.machine(name)
-	if m.zone == "" {
-		m.zone = zone
+	if m.identity.zone == "" {
+		m.identity.zone = zone
 	}
 	return m.idx
 }
@@ -452,7 +325,7 @@
 func (c *Core) encodeRecord(r *ledger.Record, place []ledger.Asg, packed bool) (json.RawMessage, error) {
 	return ledger.Encode(r, place, packed, func(machine int32) (name, zone string) {
 		m := c.machines[machine]
-		return m.name, m.zone
+		return m.name, m.identity.zone
 	})
 }
 
@@ -491,22 +364,22 @@
 func (c *Core) shardByName(id string) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return int(h.Sum32() % uint32(len(c.shards)))
+	return int(h.Sum32() % uint32(len(c.ownership.shards)))
 }
 
 func (c *Core) mineShard(s int) bool {
-	return s >= 0 && s < len(c.shards) && c.lease != 0 && c.shards[s].Lease == c.lease && c.shards[s].mark != 0 &&
-		c.shards[s].Node == c.cfg.Name
+	return s >= 0 && s < len(c.ownership.shards) && c.ownLease.id != 0 && c.ownership.shards[s].Lease == c.ownLease.id && c.ownership.shards[s].mark != 0 &&
+		c.ownership.shards[s].Node == c.cfg.Name
 }
 
 func (c *Core) mine(j *job) bool { return c.mineShard(c.shardOf(j)) }
 
 func (c *Core) leads() bool {
-	return c.lease != 0 && c.leader.mark != 0 && c.leader.Node == c.cfg.Name && c.leader.Lease == c.lease
+	return c.ownLease.id != 0 && c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name && c.leadership.leader.Lease == c.ownLease.id
 }
 
 // leaseOK reports whether this controller's lease is certain to be in force.
-func (c *Core) leaseOK() bool { return c.lease != 0 && c.now < c.leaseUntil }
+func (c *Core) leaseOK() bool { return c.ownLease.id != 0 && c.now < c.ownLease.expiresAt }
 
 // outage reports whether the state service seems down for everyone: a majority of the
 // controllers is in reach and none of them reaches it.
@@ -514,19 +387,21 @@
 	if c.leaseOK() || c.stateFresh() {
 		return false
 	}
-	return c.links.Outage(c.now)
+	return c.controllers.membership.Outage(c.now)
 }
 
 func (c *Core) stateFresh() bool {
-	return c.anyGood && c.now-c.stateGood < 2*time.Second && (c.stateBad <= c.stateGood)
+	return c.storeHealth.everAnswered && c.now-c.storeHealth.lastAnswerAt < 2*time.Second && (c.storeHealth.lastFailureAt <= c.storeHealth.lastAnswerAt)
 }
 
 // entitled reports whether this controller may answer workers.
-func (c *Core) entitled() bool { return c.loaded && c.epoch > 0 && (c.leaseOK() || c.outage()) }
+func (c *Core) entitled() bool {
+	return c.replica.loaded && c.leadership.fencingToken > 0 && (c.leaseOK() || c.outage())
+}
 
 // Healthy is the answer to health checks.
 func (c *Core) Healthy() bool {
-	return c.loaded && !c.closed() && c.catalog != nil && (c.leaseOK() || c.outage())
+	return c.replica.loaded && !c.closed() && c.autoscaler.catalog != nil && (c.leaseOK() || c.outage())
 }
 
 // Handle takes an input; Advance returns what comes of it.
@@ -564,7 +439,7 @@
 	case Beat:
 		c.beat(in)
 	case Seen:
-		c.probing = max(0, c.probing-1)
+		c.agents.pollsInFlight = max(0, c.agents.pollsInFlight-1)
 		if in.Report != nil && in.Report.Machine == in.Machine {
 			c.observe(in.Report, true)
 		}
@@ -579,8 +454,8 @@
 	case Leased:
 		c.leased(in)
 	case Clouded:
-		if f := c.clouds[in.ID]; f != nil {
-			delete(c.clouds, in.ID)
+		if f := c.autoscaler.calls[in.ID]; f != nil {
+			delete(c.autoscaler.calls, in.ID)
 			f(in)
 		}
 	case Scanned:
@@ -599,16 +474,16 @@
 // Advance lets time pass, does what is due and returns all outputs since the last call.
 func (c *Core) Advance(now time.Duration) []Output {
 	c.now = max(c.now, now)
-	if c.now-c.advanced > stoodStill {
-		c.awake = c.now
+	if c.now-c.stalls.lastAdvanceAt > stoodStill {
+		c.stalls.runningSince = c.now
 	}
-	c.advanced = c.now
-	c.budget.Advance(c.now, c.cfg.TxnOps)
+	c.stalls.lastAdvanceAt = c.now
+	c.transactions.rateLimit.Advance(c.now, c.cfg.TxnOps)
 	c.follow()
 	c.keepLease()
 	c.compact()
 	c.tellHealth()
-	if c.loaded {
+	if c.replica.loaded {
 		c.tellStep()
 		c.own()
 		c.declare()
@@ -634,27 +509,27 @@
 
 // compact drops what is over from the lists that are walked often.
 func (c *Core) compact() {
-	if c.now < c.sweepAt {
+	if c.now < c.maintenance.nextCompactionAt {
 		return
 	}
-	c.sweepAt = c.now + time.Second
+	c.maintenance.nextCompactionAt = c.now + time.Second
 	c.open = slices.DeleteFunc(c.open, func(j *job) bool {
 		// What waits for other jobs is touched when they are over.
-		over := !j.dirty && !j.inflight && j.accept == nil && len(j.cancels) == 0 &&
+		over := !j.write.dirty && !j.write.inFlight && j.accept == nil && len(j.cancellation.waiters) == 0 &&
 			(j.rec == nil || j.rec.Spec == nil || j.waits > 0 && j.cause == nil && len(j.place) == 0)
 		if over {
-			j.listed = false
+			j.write.inOpenList = false
 		}
 		return over
 	})
-	c.alive = slices.DeleteFunc(c.alive, func(m *machine) bool { return m.gone && len(m.asg) == 0 })
+	c.alive = slices.DeleteFunc(c.alive, func(m *machine) bool { return m.lifecycle.gone && len(m.allocation.assignments) == 0 })
 	c.countZones()
 	c.prune()
 	c.countHistory()
 	// Only what changed is looked at otherwise; now and then everything is, as a safeguard against
 	// a change that nobody noted.
-	if c.loaded && c.now >= c.lookAllAt && (c.load.Level() == overload.Calm || c.now >= c.lookAllAt+c.cfg.LookAll) {
-		c.lookAllAt = c.now + c.cfg.LookAll
+	if c.replica.loaded && c.now >= c.maintenance.nextFullScanAt && (c.load.Level() == overload.Calm || c.now >= c.maintenance.nextFullScanAt+c.cfg.LookAll) {
+		c.maintenance.nextFullScanAt = c.now + c.cfg.LookAll
 		for _, j := range c.open {
 			c.touchLater(j)
 		}
@@ -666,33 +541,33 @@
 
 // follow keeps the replica current: first all keys, then a watch, and barriers when asked.
 func (c *Core) follow() {
-	if !c.loaded {
-		if !c.loading && c.now >= c.retryAt {
-			if c.loadPages >= loadFast && c.behind() {
-				c.retryAt = c.now + time.Second
+	if !c.replica.loaded {
+		if !c.replica.pageInFlight && c.now >= c.replica.nextPageAt {
+			if c.replica.pagesRead >= loadFast && c.behind() {
+				c.replica.nextPageAt = c.now + time.Second
 				return
 			}
-			c.loading = true
-			if c.loadFrom == "" {
-				c.loadOf = c.now
+			c.replica.pageInFlight = true
+			if c.replica.lastPageKey == "" {
+				c.replica.snapshotStartedAt = c.now
 			}
-			c.emit(Load{From: c.loadFrom})
+			c.emit(Load{From: c.replica.lastPageKey})
 		}
 		return
 	}
 	// A barrier brings the changes too: while users ask all the time, no watch is needed.
-	if !c.watching && c.now >= c.watchAt && !c.barrier && len(c.waiting) == 0 {
-		c.watching, c.watchOf = true, c.now
-		c.watchAt = c.now + c.budget.Gap(c.cfg.WatchGap, 0.25)
-		c.budget.Request()
-		c.emit(Changes{From: c.seen, Hold: true})
+	if !c.replica.watchInFlight && c.now >= c.replica.nextWatchAt && !c.replica.barrierInFlight && len(c.replica.barrierWaiters) == 0 {
+		c.replica.watchInFlight, c.replica.watchSentAt = true, c.now
+		c.replica.nextWatchAt = c.now + c.transactions.rateLimit.Gap(c.cfg.WatchGap, 0.25)
+		c.transactions.rateLimit.Request()
+		c.emit(Changes{From: c.replica.revision, Hold: true})
 	}
-	if !c.barrier && len(c.waiting) > 0 && c.now >= c.barrierAt {
-		c.barrier, c.barrierOf = true, c.now
-		c.barrierAt = c.now + c.budget.Gap(c.cfg.ReadGap, 0.35)
-		c.inBarrier, c.waiting = c.waiting, nil
-		c.budget.Request()
-		c.emit(Changes{From: c.seen})
+	if !c.replica.barrierInFlight && len(c.replica.barrierWaiters) > 0 && c.now >= c.replica.nextBarrierAt {
+		c.replica.barrierInFlight, c.replica.barrierSentAt = true, c.now
+		c.replica.nextBarrierAt = c.now + c.transactions.rateLimit.Gap(c.cfg.ReadGap, 0.35)
+		c.replica.inFlightWaiters, c.replica.barrierWaiters = c.replica.barrierWaiters, nil
+		c.transactions.rateLimit.Request()
+		c.emit(Changes{From: c.replica.revision})
 	}
 }
 
@@ -700,84 +575,84 @@
 // them: an equal one, and of the changes also what the others leave.
 func (c *Core) shareBudget() {
 	live := float64(len(c.live()))
-	if len(c.nodes) == 0 {
+	if len(c.controllers.nodeKeys) == 0 {
 		live = float64(len(c.cfg.Peers) + 1)
 	}
 	all := c.writeRPS()
 	left := 0.9 * all
 	for _, n := range c.cfg.Peers {
-		if c.links.Linked(c.now, n) {
-			left -= c.links.Peer(n).Used
-		} else if _, ok := c.nodes[n]; ok {
+		if c.controllers.membership.Linked(c.now, n) {
+			left -= c.controllers.membership.Peer(n).Used
+		} else if _, ok := c.controllers.nodeKeys[n]; ok {
 			left -= all / live
 		}
 	}
-	c.budget.Share(all, c.cfg.StateRPS, live, left, c.cfg.WriteShare)
+	c.transactions.rateLimit.Share(all, c.cfg.StateRPS, live, left, c.cfg.WriteShare)
 }
 
 // afterBarrier calls f once all changes committed until now are known here, or with false.
 func (c *Core) afterBarrier(f func(ok bool)) {
-	if !c.loaded || len(c.waiting) > 20000 {
+	if !c.replica.loaded || len(c.replica.barrierWaiters) > 20000 {
 		f(false)
 		return
 	}
-	c.waiting = append(c.waiting, f)
+	c.replica.barrierWaiters = append(c.replica.barrierWaiters, f)
 }
 
 // soonAfterBarrier is afterBarrier for a submission: its user counts the milliseconds, and there are
 // few that need one. The barrier does not wait for its turn, as long as requests are left.
 func (c *Core) soonAfterBarrier(f func(ok bool)) {
 	c.afterBarrier(f)
-	if c.budget.Reads > 1 {
-		c.barrierAt = min(c.barrierAt, c.now)
+	if c.transactions.rateLimit.Reads > 1 {
+		c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
 	}
 }
 
 func (c *Core) stateAnswered(status int) {
 	if status == 0 || status == 503 {
-		c.stateBad = c.now
+		c.storeHealth.lastFailureAt = c.now
 		return
 	}
-	c.anyGood = true
-	c.stateGood = c.now
+	c.storeHealth.everAnswered = true
+	c.storeHealth.lastAnswerAt = c.now
 }
 
 func (c *Core) changed(in Changed) {
 	if in.Hold {
-		c.watching = false
+		c.replica.watchInFlight = false
 		if in.Status != 200 {
-			c.watchAt = max(c.watchAt, c.now+300*time.Millisecond)
+			c.replica.nextWatchAt = max(c.replica.nextWatchAt, c.now+300*time.Millisecond)
 		}
 	} else {
 		c.stateAnswered(in.Status)
-		c.barrier = false
+		c.replica.barrierInFlight = false
 		if in.Status == 429 {
-			c.waiting = append(c.inBarrier, c.waiting...)
-			c.inBarrier = nil
-			c.barrierAt = c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond)
+			c.replica.barrierWaiters = append(c.replica.inFlightWaiters, c.replica.barrierWaiters...)
+			c.replica.inFlightWaiters = nil
+			c.replica.nextBarrierAt = c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond)
 			return
 		}
 	}
 	switch in.Status {
 	case 0:
-		if !in.Hold && c.readLost == 0 {
-			c.readLost = c.barrierOf
+		if !in.Hold && c.storeHealth.firstLostReadAt == 0 {
+			c.storeHealth.firstLostReadAt = c.replica.barrierSentAt
 		}
 	case 200:
-		c.readLost = 0
+		c.storeHealth.firstLostReadAt = 0
 		c.apply(in.Changes)
 		if in.Hold {
-			c.view.Read(c.watchOf)
+			c.cancelAcks.quorum.Read(c.replica.watchSentAt)
 		} else {
-			c.view.Read(c.barrierOf)
+			c.cancelAcks.quorum.Read(c.replica.barrierSentAt)
 		}
 	case 410:
-		c.loaded, c.loadFrom = false, ""
-		c.retryAt = c.now
+		c.replica.loaded, c.replica.lastPageKey = false, ""
+		c.replica.nextPageAt = c.now
 	}
 	if !in.Hold {
-		fs := c.inBarrier
-		c.inBarrier = nil
+		fs := c.replica.inFlightWaiters
+		c.replica.inFlightWaiters = nil
 		for _, f := range fs {
 			f(in.Status == 200)
 		}
@@ -792,7 +667,7 @@
 // answers may overlap, and an older one must not undo a newer.
 func (c *Core) apply(ch wire.Changes) {
 	for _, e := range ch.Log {
-		if e.Mark <= c.seen {
+		if e.Mark <= c.replica.revision {
 			continue
 		}
 		if e.Delete != "" {
@@ -801,72 +676,72 @@
 			c.put(e.Put, e.Value, e.Mark)
 		}
 	}
-	c.seen = max(c.seen, ch.Ledger)
+	c.replica.revision = max(c.replica.revision, ch.Ledger)
 }
 
 // loadedPage takes a page of all keys. Later pages may show later changes than the first:
 // following from the first shows them again. Only what is not over stays in memory, and what ended last.
 func (c *Core) loadedPage(in Loaded) {
-	c.loading = false
+	c.replica.pageInFlight = false
 	if !in.OK {
 		if in.Status != 429 {
-			c.stateBad = c.now
+			c.storeHealth.lastFailureAt = c.now
 		}
-		c.retryAt = c.now + 200*time.Millisecond + c.jitter(200*time.Millisecond)
+		c.replica.nextPageAt = c.now + 200*time.Millisecond + c.jitter(200*time.Millisecond)
 		return
 	}
 	c.stateAnswered(200)
-	if c.loadFrom == "" {
-		for i := range c.shards {
-			c.shards[i] = held{since: c.now}
+	if c.replica.lastPageKey == "" {
+		for i := range c.ownership.shards {
+			c.ownership.shards[i] = held{since: c.now}
 		}
-		for _, s := range c.slots {
+		for _, s := range c.replica.batchValues {
 			s.Mark, s.Entries = 0, nil
 		}
-		c.leader = held{since: c.now}
-		c.nodes = map[string]held{}
-		c.around++
+		c.leadership.leader = held{since: c.now}
+		c.controllers.nodeKeys = map[string]held{}
+		c.controllers.nodesVersion++
 		c.hist.cold, c.hist.marker = 0, 0
 		c.rights = rights{who: map[string]storedIdentity{}}
 		c.hist.index.Clear()
 		c.desk.Clear()
 		c.setLanes(nil, 0)
-		c.sweep = nil
+		c.archiving.sweep = nil
 		c.restored.mark = 0
-		c.loadAt, c.loadPages = in.Ledger, 0
-		c.loads++
+		c.replica.snapshotRevision, c.replica.pagesRead = in.Ledger, 0
+		c.replica.snapshots++
 	}
 	for _, it := range in.Items {
 		c.put(it.Key, it.Value, it.Mark)
-		c.loadFrom = it.Key
+		c.replica.lastPageKey = it.Key
 	}
-	c.loadPages++
+	c.replica.pagesRead++
 	c.prune()
 	if in.More && len(in.Items) > 0 {
-		if c.loadPages >= loadFast {
-			c.retryAt = c.now + time.Duration(float64(time.Second)/(loadShare*c.cfg.StateRPS))
+		if c.replica.pagesRead >= loadFast {
+			c.replica.nextPageAt = c.now + time.Duration(float64(time.Second)/(loadShare*c.cfg.StateRPS))
 		}
 		return
 	}
 	c.hist.loadedTo = in.Ledger
 	for _, j := range slices.Clone(c.jobs) {
-		if j != nil && j.mark != 0 && !j.archived && j.load != c.loads {
-			c.leaveArchived(j, c.loadAt) // it moved while the changes were not followed
+		if j != nil && j.mark != 0 && !j.archive.archived && j.stored.snapshot != c.replica.snapshots {
+			c.leaveArchived(j, c.replica.snapshotRevision) // it moved while the changes were not followed
 		}
 	}
-	c.seen = c.loadAt
-	c.loadFrom = ""
-	c.loaded = true
-	c.view.Read(c.loadOf)
-	c.watching = false
-	c.note("info", "state loaded", "ledger", c.seen, "pages", c.loadPages, "jobs", len(c.jobIdx), "ended", len(c.hist.ended), "cold", c.hist.cold)
+	c.replica.revision = c.replica.snapshotRevision
+	c.replica.lastPageKey = ""
+	c.replica.loaded = true
+	c.cancelAcks.quorum.Read(c.replica.snapshotStartedAt)
+	c.replica.watchInFlight = false
+	c.note("info", "state loaded", "ledger", c.replica.revision, "pages", c.replica.pagesRead, "jobs", len(c.jobIdx), "ended", len(c.hist.ended), "cold", c.hist.cold)
 }
 
 // behind reports whether another controller is further in reading all keys. One after the other,
 // the first serves when it has read its own; at a time, all would serve when everything was read by all.
 func (c *Core) behind() bool {
 	for _, n := range c.cfg.Peers {
-		if p := c.links.Peer(n); c.links.Linked(c.now, n) && (p.Loading > c.loadPages || p.Loading == c.loadPages && n < c.cfg.Name) {
+		if p := c.controllers.membership.Peer(n); c.controllers.membership.Linked(c.now, n) && (p.Loading > c.replica.pagesRead || p.Loading == c.replica.pagesRead && n < c.cfg.Name) {
 			return true
 		}
 	}
@@ -892,8 +767,8 @@
 			bad(err)
 			return
 		}
-		if mark >= c.epochMk {
-			c.epoch, c.epochMk = v, mark
+		if mark >= c.leadership.fencingTokenRevision {
+			c.leadership.fencingToken, c.leadership.fencingTokenRevision = v, mark
 		}
 	case key == keyLeader:
 		var h held
@@ -902,7 +777,7 @@
 			return
 		}
 		h.mark = mark
-		c.leader = h
+		c.leadership.leader = h
 	case strings.HasPrefix(key, keyNode):
 		var h held
 		if err := json.Unmarshal(raw, &h); err != nil {
@@ -910,8 +785,8 @@
 			return
 		}
 		h.mark = mark
-		c.nodes[key[len(keyNode):]] = h
-		c.around++
+		c.controllers.nodeKeys[key[len(keyNode):]] = h
+		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
 		var h held
 		n := c.shardNum(key)
@@ -920,8 +795,8 @@
 			return
 		}
 		h.mark = mark
-		c.shards[n] = h
-		if h.Node == c.cfg.Name && h.Lease == c.lease {
+		c.ownership.shards[n] = h
+		if h.Node == c.cfg.Name && h.Lease == c.ownLease.id {
 			c.gained(n)
 		}
 	case key == keyTypes:
@@ -930,8 +805,8 @@
 			bad(err)
 			return
 		}
-		c.typesMark, c.typesKept = mark, v
-		if c.catalog == nil {
+		c.autoscaler.storedRevision, c.autoscaler.storedCatalog = mark, v
+		if c.autoscaler.catalog == nil {
 			c.setCatalog(&v)
 		}
 	case strings.HasPrefix(key, keyTeam):
@@ -940,7 +815,7 @@
 		}
 	case strings.HasPrefix(key, keyJob):
 		j := c.job(key[len(keyJob):])
-		j.load = c.loads
+		j.stored.snapshot = c.replica.snapshots
 		if mark <= j.mark {
 			if j.rec != nil { // its own write's reply came before
 				c.recorder().Saw(key, j.mark, j.rec.Carried)
@@ -978,7 +853,7 @@
 }
 
 func (c *Core) shardNum(key string) int {
-	for i := range c.shards {
+	for i := range c.ownership.shards {
 		if shardKey(i) == key {
 			return i
 		}
@@ -989,13 +864,13 @@
 func (c *Core) drop(key string, mark uint64) {
 	switch {
 	case key == keyLeader:
-		c.leader = held{since: c.now}
+		c.leadership.leader = held{since: c.now}
 	case strings.HasPrefix(key, keyNode):
-		delete(c.nodes, key[len(keyNode):])
-		c.around++
+		delete(c.controllers.nodeKeys, key[len(keyNode):])
+		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
 		if n := c.shardNum(key); n >= 0 {
-			c.shards[n] = held{since: c.now}
+			c.ownership.shards[n] = held{since: c.now}
 		}
 	case strings.HasPrefix(key, keyAccess):
 		c.dropAccess(key)
@@ -1011,44 +886,44 @@
 // adopt makes a committed record of a size the known state of a job.
 func (c *Core) adopt(j *job, r *ledger.Record, place []ledger.Asg, mark uint64, size int) {
 	was, held := j.final(), len(j.place)
-	if j.cancelMark != 0 && r.Stage == ledger.Queued {
-		r.Stage, r.CancelMS = ledger.Cancelled, j.markedMS
+	if j.cancellation.markerRevision != 0 && r.Stage == ledger.Queued {
+		r.Stage, r.CancelMS = ledger.Cancelled, j.cancellation.markerMS
 	}
 	c.unplace(j)
 	if j.mark == 0 && r.Spec != nil {
 		c.sawJob(r)
 	}
 	if mark != j.mark {
-		j.ownKey = false
+		j.stored.needsOwnKey = false
 	}
-	j.rec, j.place, j.mark, j.size = r, place, mark, size
-	if r.Turn != 0 || j.accepted == 0 {
-		j.accepted = cmp.Or(r.Turn, mark)
+	j.rec, j.place, j.mark, j.stored.bytes = r, place, mark, size
+	if r.Turn != 0 || j.queue.enqueueRevision == 0 {
+		j.queue.enqueueRevision = cmp.Or(r.Turn, mark)
 	}
 	if r.Spec != nil {
 		r.Spec.ID = j.id
 	}
 	c.link(j)
 	tm, claim := c.claimOf(j)
-	j.ended = 0
+	j.placement.completedTasks = 0
 	for _, a := range place {
 		m := c.machines[a.Machine]
-		m.asg[taskKey{j.idx, a.Task}] = a
+		m.allocation.assignments[taskKey{j.idx, a.Task}] = a
 		c.changedOn(m)
-		if p := m.pieces[attKey{j.idx, a.Task, a.Try}]; p.state == wire.TaskExited && p.cause == wire.CauseDone {
-			j.ended++
+		if p := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; p.state == wire.TaskExited && p.cause == wire.CauseDone {
+			j.placement.completedTasks++
 		}
 		if tm != nil {
 			tm.cpu += claim[0]
 			tm.gpu += claim[1]
 		}
 	}
-	j.lost = false
-	j.pending = !j.final() && r.Spec != nil && j.waits == 0 && r.Done.Count()+len(place) < r.Spec.Tasks
-	if !j.endedWhole() || j.accept != nil || len(j.cancels) > 0 {
+	j.placement.tasksLost = false
+	j.placement.hasUnplacedTasks = !j.final() && r.Spec != nil && j.waits == 0 && r.Done.Count()+len(place) < r.Spec.Tasks
+	if !j.endedWhole() || j.accept != nil || len(j.cancellation.waiters) > 0 {
 		c.touch(j)
 	}
-	c.room = c.room || len(place) < held
+	c.placement.capacityFreed = c.placement.capacityFreed || len(place) < held
 	if j.final() && !was {
 		c.over(j)
 	}
@@ -1060,8 +935,8 @@
 	tm, claim := c.claimOf(j)
 	for _, a := range j.place {
 		m := c.machines[a.Machine]
-		if cur, ok := m.asg[taskKey{j.idx, a.Task}]; ok && cur == a {
-			delete(m.asg, taskKey{j.idx, a.Task})
+		if cur, ok := m.allocation.assignments[taskKey{j.idx, a.Task}]; ok && cur == a {
+			delete(m.allocation.assignments, taskKey{j.idx, a.Task})
 		}
 		c.changedOn(m)
 		if tm != nil {
@@ -1084,33 +959,33 @@
 // touch has a job looked at again.
 func (c *Core) touch(j *job) {
 	c.touchLater(j)
-	j.lookAt = 0
+	j.write.nextLookAt = 0
 }
 
 // touchLater has a job looked at again, when its last look asked for one.
 func (c *Core) touchLater(j *job) {
-	if !j.listed {
-		j.listed = true
+	if !j.write.inOpenList {
+		j.write.inOpenList = true
 		c.open = append(c.open, j)
 	}
-	if !j.dirty {
-		j.dirty = true
-		j.since = c.now
+	if !j.write.dirty {
+		j.write.dirty = true
+		j.write.dirtySince = c.now
 	}
 }
 
 // touchMachine has a machine's orders looked at again.
 func (c *Core) touchMachine(m *machine) {
-	m.touched = true
-	if !m.hot {
-		m.hot = true
-		c.hot = append(c.hot, m)
+	m.commands.dirty = true
+	if !m.commands.queued {
+		m.commands.queued = true
+		c.commands.dirtyMachines = append(c.commands.dirtyMachines, m)
 	}
 }
 
 // changedOn notes that a machine's tasks are others than they were.
 func (c *Core) changedOn(m *machine) {
-	m.changed, m.occKnown = c.now, false
+	m.status.lastChangeAt, m.allocation.known = c.now, false
 	c.touchMachine(m)
 }
 
@@ -1138,30 +1013,30 @@
 // of other controllers.
 func (c *Core) observe(r *wire.Report, direct bool) {
 	m := c.machine(r.Machine)
-	if m.gone || r.Session < m.session || r.Session == m.session && r.Seq <= m.seq {
+	if m.lifecycle.gone || r.Session < m.status.incarnation || r.Session == m.status.incarnation && r.Seq <= m.status.heartbeatSeq {
 		return
 	}
 	d := digest(r)
-	if m.up && m.session == r.Session && m.digest == d {
+	if m.status.reported && m.status.incarnation == r.Session && m.status.digest == d {
 		// Nothing new: most reports of a large fleet. The others need only know that it lives.
 		c.signOfLife(m, r.Seq, r.Token)
 		if direct {
-			c.heardOf = append(c.heardOf, Heard{r.Machine, r.Session, r.Seq, r.Token, d})
+			c.agents.digestsToRelay = append(c.agents.digestsToRelay, Heard{r.Machine, r.Session, r.Seq, r.Token, d})
 		}
 		return
 	}
-	m.digest = d
-	if r.Session > m.session {
-		m.images = map[string]bool{}
+	m.status.digest = d
+	if r.Session > m.status.incarnation {
+		m.status.images = map[string]bool{}
 	}
-	fresh, renewed := !m.up, m.up && m.session != r.Session
-	m.up = true
-	m.addr, m.typ, m.zone, m.spot = r.Addr, r.Type, r.Zone, r.Spot
-	m.session = r.Session
+	fresh, renewed := !m.status.reported, m.status.reported && m.status.incarnation != r.Session
+	m.status.reported = true
+	m.identity.address, m.identity.machineType, m.identity.zone, m.identity.spot = r.Addr, r.Type, r.Zone, r.Spot
+	m.status.incarnation = r.Session
 	if r.NoticeS != nil {
-		m.noticed = c.now + time.Duration(*r.NoticeS*float64(time.Second))
+		m.lifecycle.interruptionDeadline = c.now + time.Duration(*r.NoticeS*float64(time.Second))
 		if *r.NoticeS < 0 || *r.NoticeS > 1e6 {
-			m.noticed = c.now + time.Second
+			m.lifecycle.interruptionDeadline = c.now + time.Second
 		}
 	}
 	next := make(map[attKey]piece, len(r.Pieces))
@@ -1173,27 +1048,27 @@
 		j := c.job(id)
 		k := attKey{j.idx, int32(t), p.Try}
 		n := piece{state: p.Stage, cause: p.Cause, kept: p.Kept}
-		old := m.pieces[k]
+		old := m.status.tasks[k]
 		n.since = old.since
 		if !old.same(n) {
 			n.since = c.now
 		}
 		next[k] = n
-		delete(m.pieces, k)
+		delete(m.status.tasks, k)
 		if old.same(n) {
 			continue
 		}
-		a, assigned := m.asg[taskKey{j.idx, int32(t)}]
-		assigned = assigned && a.Try == p.Try && a.Session == m.session
+		a, assigned := m.allocation.assignments[taskKey{j.idx, int32(t)}]
+		assigned = assigned && a.Try == p.Try && a.Session == m.status.incarnation
 		if p.Stage == wire.TaskExited {
 			if assigned {
 				c.freed(j, a)
 				if p.Cause == wire.CauseDone {
-					j.ended++
+					j.placement.completedTasks++
 				}
 			}
 			if p.Cause == wire.CauseDone && assigned && !j.final() && j.rec != nil && j.rec.Spec != nil &&
-				j.rec.Done.Count()+j.ended < j.rec.Spec.Tasks {
+				j.rec.Done.Count()+j.placement.completedTasks < j.rec.Spec.Tasks {
 				c.touchLater(j) // others of its tasks run on: the write of this end may wait for theirs
 			} else {
 				c.touch(j)
@@ -1201,13 +1076,13 @@
 			c.judgeEnd(m, j, p.Cause)
 		}
 		if p.Stage == wire.TaskRunning && j.rec != nil && j.rec.Spec != nil {
-			m.images[j.rec.Spec.Image] = true
+			m.status.images[j.rec.Spec.Image] = true
 		}
 	}
-	for k := range m.pieces { // what is not reported any more
+	for k := range m.status.tasks { // what is not reported any more
 		c.touch(c.jobs[k.job])
 	}
-	m.pieces = next
+	m.status.tasks = next
 	c.signOfLife(m, r.Seq, r.Token)
 	c.changedOn(m)
 	if renewed {
@@ -1217,10 +1092,10 @@
 		for _, a := range m.sortedTasks() {
 			c.touch(c.jobs[a.job])
 		}
-		c.room = true
+		c.placement.capacityFreed = true
 	}
 	if direct {
-		c.reports = append(c.reports, r)
+		c.agents.heartbeatsToRelay = append(c.agents.heartbeatsToRelay, r)
 	}
 	c.leadSaw(m)
 }
@@ -1228,11 +1103,11 @@
 // signOfLife notes that a machine gave a sign of life with these numbers. A higher token
 // settles what became of earlier orders.
 func (c *Core) signOfLife(m *machine, seq, token uint64) {
-	m.heard, m.seq, m.asked = c.now, seq, 0
-	c.zoneOf(m.zone).heard = c.now
-	if token > m.token {
-		m.token = token
-		m.changed = c.now
+	m.status.lastHeartbeatAt, m.status.heartbeatSeq, m.status.polls = c.now, seq, 0
+	c.zoneOf(m.identity.zone).heard = c.now
+	if token > m.status.fencingToken {
+		m.status.fencingToken = token
+		m.status.lastChangeAt = c.now
 		c.touchMachine(m)
 		for _, a := range m.sortedTasks() {
 			if j := c.jobs[a.job]; j.final() {
@@ -1245,27 +1120,27 @@
 // heard takes the news that a machine reported nothing new to another controller.
 func (c *Core) heard(peer string, h Heard) {
 	m := c.machine(h.Machine)
-	if m.gone || h.Session < m.session || h.Session == m.session && h.Seq <= m.seq {
+	if m.lifecycle.gone || h.Session < m.status.incarnation || h.Session == m.status.incarnation && h.Seq <= m.status.heartbeatSeq {
 		return
 	}
-	if m.up && m.session == h.Session && m.digest == h.Digest {
+	if m.status.reported && m.status.incarnation == h.Session && m.status.digest == h.Digest {
 		c.signOfLife(m, h.Seq, h.Token)
 		return
 	}
 	// What changed there before was not heard of here.
-	m.heard = c.now
-	c.wanted[peer] = append(c.wanted[peer], h.Machine)
+	m.status.lastHeartbeatAt = c.now
+	c.agents.missingHeartbeats[peer] = append(c.agents.missingHeartbeats[peer], h.Machine)
 }
 
 // reportOf is a machine's last report, for a controller that lacks it.
 func (c *Core) reportOf(m *machine) *wire.Report {
-	r := &wire.Report{Machine: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq, Token: m.token}
-	if m.noticed != 0 {
-		left := (m.noticed - c.now).Seconds()
+	r := &wire.Report{Machine: m.name, Addr: m.identity.address, Type: m.identity.machineType, Zone: m.identity.zone, Spot: m.identity.spot, Session: m.status.incarnation, Seq: m.status.heartbeatSeq, Token: m.status.fencingToken}
+	if m.lifecycle.interruptionDeadline != 0 {
+		left := (m.lifecycle.interruptionDeadline - c.now).Seconds()
 		r.NoticeS = &left
 	}
 	for _, k := range m.sortedPieces() {
-		p := m.pieces[k]
+		p := m.status.tasks[k]
 		r.Pieces = append(r.Pieces, wire.Piece{Piece: wire.TaskName(c.jobs[k.job].id, int(k.task)), Try: k.try, Stage: p.state, Cause: p.cause, Kept: p.kept})
 	}
 	return r
@@ -1275,22 +1150,22 @@
 func (c *Core) judgeEnd(m *machine, j *job, cause string) {
 	switch cause {
 	case wire.CauseDone:
-		m.failed, m.errs = nil, 0
+		m.health.failedJobs, m.health.failures = nil, 0
 	case wire.CauseError:
-		if m.failed == nil {
-			m.failed = map[int32]bool{}
+		if m.health.failedJobs == nil {
+			m.health.failedJobs = map[int32]bool{}
 		}
-		m.failed[j.idx], m.failedAt = true, c.now
+		m.health.failedJobs[j.idx], m.health.lastFailureAt = true, c.now
 	}
 }
 
 // markGone records the proof that a machine and all on it are gone.
 func (c *Core) markGone(m *machine) {
-	if m.gone {
+	if m.lifecycle.gone {
 		return
 	}
-	m.gone = true
-	c.copy.Drop(m.idx)
+	m.lifecycle.gone = true
+	c.clusterCopy.state.Drop(m.idx)
 	c.lostTasks(m)
 	if c.lead != nil {
 		c.lead.array.Remove(m.idx)
@@ -1303,20 +1178,20 @@
 func (c *Core) lostTasks(m *machine) {
 	for _, a := range m.sortedTasks() {
 		j := c.jobs[a.job]
-		j.lost = true
-		if j.dirty || j.rec == nil || j.rec.Spec == nil || j.rec.Spec.Service || j.final() {
+		j.placement.tasksLost = true
+		if j.write.dirty || j.rec == nil || j.rec.Spec == nil || j.rec.Spec.Service || j.final() {
 			c.touch(j)
 			continue
 		}
 		c.touchLater(j)
-		j.lookAt = max(j.lookAt, c.now+c.cfg.LossGather)
+		j.write.nextLookAt = max(j.write.nextLookAt, c.now+c.cfg.LossGather)
 	}
 }
 
 // sortedTasks lists a machine's assignments in a fixed order.
 func (m *machine) sortedTasks() []asg2 {
-	out := make([]asg2, 0, len(m.asg))
-	for k, a := range m.asg {
+	out := make([]asg2, 0, len(m.allocation.assignments))
+	for k, a := range m.allocation.assignments {
 		out = append(out, asg2{k.job, a})
 	}
 	slices.SortFunc(out, func(x, y asg2) int {
@@ -1327,8 +1202,8 @@
 
 // sortedPieces lists what a machine reported in a fixed order.
 func (m *machine) sortedPieces() []attKey {
-	out := make([]attKey, 0, len(m.pieces))
-	for k := range m.pieces {
+	out := make([]attKey, 0, len(m.status.tasks))
+	for k := range m.status.tasks {
 		out = append(out, k)
 	}
 	slices.SortFunc(out, attKey.compare)
@@ -1340,3 +1215,311 @@
 	job int32
 	ledger.Asg
 }
+
+// storeReplica is this controller's copy of the key-value store: how far it has read, the snapshot load, the watch and the read barriers.
+type storeReplica struct {
+	// The replica of the state service.
+	revision          uint64
+	loaded            bool
+	pageInFlight      bool
+	nextPageAt        time.Duration
+	batchValues       map[int]*shared.Slot // by shard, see share.go
+	lastPageKey       string               // the key up to which all keys were read
+	snapshotRevision  uint64               // revision of the first page
+	snapshots         uint64
+	pagesRead         int
+	watchInFlight     bool
+	nextWatchAt       time.Duration
+	barrierWaiters    []func(ok bool) // for the next read barrier
+	inFlightWaiters   []func(ok bool)
+	barrierInFlight   bool
+	nextBarrierAt     time.Duration
+	barrierSentAt     time.Duration // when the barrier on its way was sent
+	watchSentAt       time.Duration // when the watch was
+	snapshotStartedAt time.Duration // when the first page of all keys was asked for
+}
+
+// storeHealth is whether the key-value store answers this controller: its last answer and failure, and the first unanswered read.
+type storeHealth struct {
+	firstLostReadAt time.Duration // when the first of the reads of changes was sent that got no answer, since the last that did; 0: there is none
+	lastAnswerAt    time.Duration // last answer of the state service
+	lastFailureAt   time.Duration // last failure
+	everAnswered    bool
+}
+
+// controllerLease is this controller's own lease in the store and the grant or extension on its way.
+type controllerLease struct {
+	id            uint64
+	expiresAt     time.Duration
+	opInFlight    string
+	requestSentAt time.Duration
+}
+
+// leadershipState is who leads, by which fencing token, and raising that token.
+type leadershipState struct {
+	fencingToken         uint64
+	fencingTokenRevision uint64
+	leader               held
+	raiseInFlight        bool
+	nextRaiseAt          time.Duration
+}
+
+// shardOwnership is which controller holds each shard, and claiming and handing over shards.
+type shardOwnership struct {
+	shards         []held
+	claimInFlight  bool
+	nextClaimAt    time.Duration
+	nextHandoverAt time.Duration
+}
+
+// controllerSet is the other controllers: their leased keys, which are in reach, what health was told them.
+type controllerSet struct {
+	membership   *links.Links
+	nodeKeys     map[string]held
+	nodesVersion uint64 // counts how often nodes changed
+	nextHealthAt time.Duration
+}
+
+// agentLiveness is what agents said of late and what of it goes to the other controllers; status polls; liveness of zones.
+type agentLiveness struct {
+	pollsInFlight     int // requests for reports on their way
+	zones             map[string]*zoneNews
+	nextDigestAt      time.Duration // when the others are told next of machines that report nothing new
+	heartbeatsToRelay []*wire.Report
+	digestsToRelay    []Heard
+	missingHeartbeats map[string][]string // by controller: machines whose reports it has and this one lacks
+}
+
+// commandDispatch is commands to agents: which machines may need some, requests in flight, requests relayed for other controllers.
+type commandDispatch struct {
+	dirtyMachines       []*machine // those that may need orders
+	nextDrainAt         time.Duration
+	nextReturnRequestAt time.Duration
+	inFlight            map[uint64]send
+	relayed             map[uint64]relayed
+}
+
+// transactionState is transactions in flight, the rate limit of the store, and what waits to be written.
+type transactionState struct {
+	inFlight          map[uint64]*txn
+	rateLimit         budget.Budget
+	endBatchDelay     time.Duration // how long ends may wait to share a write
+	nextBlockedScanAt time.Duration // when what waits for a write is looked at even if none can be made
+	backlog           int           // jobs that waited to be looked at for a write, at the last look
+}
+
+// priorityState is the list of priority classes in force, their shares of starts, and the first waiting job of each.
+type priorityState struct {
+	classes          *lanes.List // see lanes.go
+	revision         uint64      // 0: that of the priorities is in force
+	nextSeedAt       time.Duration
+	enabledPublished bool
+	startShares      shares
+	firstWaiting     []Waiting // of each lane, the first of its jobs that wait for room, of late
+}
+
+// clusterCopy is this controller's copy of the shared cluster state, as of the leader's last push.
+type clusterCopy struct {
+	state          ccs.Copy
+	revision       uint64 // revision and leader of the last push taken
+	leaderToken    uint64
+	countedBatches map[string]uint64 // what it had counted
+	nextResendAt   time.Duration
+	capacityHold   *Hold // as the leader told with the last push
+}
+
+// deltaLog is start and finish tuples of this controller on their way to the leader and the others.
+type deltaLog struct {
+	unsent        []DeltaMsg
+	uncounted     map[string][]deltaBatch // of each controller, not yet counted by the leader
+	lastSeq       uint64
+	countingDelay time.Duration // how long it takes of late until a push shows that a batch was counted
+	nextBatchAt   time.Duration
+}
+
+// placementState is when waiting tasks are placed next, and which requests are known to find no capacity.
+type placementState struct {
+	unplaceable   []noRoom // claims that found no room since some became free
+	nextScanAt    time.Duration
+	capacityFreed bool          // room may have become free
+	yieldedUntil  time.Duration // when room is to be looked at that was another's to take first; 0: there is none
+}
+
+// autoscalerState is the catalog of machine types (from the cloud, and as stored), arrivals by job class, cloud calls in flight.
+type autoscalerState struct {
+	catalog         map[string]*wire.MachineType
+	typeNames       []string // its names, sorted
+	nextCatalogAt   time.Duration
+	storedRevision  uint64       // of the kept catalog
+	storedCatalog   wire.Catalog // as the state service holds it
+	storeInFlight   bool
+	catalogInFlight bool
+	classStats      map[string]*classStat
+	calls           map[uint64]func(Clouded)
+}
+
+// schemaState is schema versions: what each controller declared, the one in force, this controller's own declaration.
+type schemaState struct {
+	declared            map[string]int // what each controller declared
+	active              int
+	declarationRevision uint64        // of this controller's declaration
+	activeSince         time.Duration // since when it may be written
+	declarationInFlight bool
+	nextDeclarationAt   time.Duration
+}
+
+// cancelAcks is acknowledging cancellations: the quorum's view, answers that wait for it, and how long somebody may wait.
+type cancelAcks struct {
+	waitersUntil  time.Duration // until then, somebody may wait for a cancellation
+	quorum        *quorum.View  // see cancellations.go
+	pending       []untold
+	peersKnowUpTo uint64        // up to this revision others have told of all cancellations
+	nextReadAt    time.Duration // when the state service is read next for the sake of that
+}
+
+// archivingState is the sweep that moves ended jobs into the archive.
+type archivingState struct {
+	sweep            *sweep // see sweep.go
+	nextSweepCheckAt time.Duration
+}
+
+// maintenanceState is periodic upkeep: compaction of the walked lists and the full scan, a safeguard against missed changes.
+type maintenanceState struct {
+	nextCompactionAt time.Duration
+	nextFullScanAt   time.Duration
+}
+
+// stallDetector is pauses of this process: silence in one is no sign that a machine is silent.
+type stallDetector struct {
+	lastAdvanceAt time.Duration // when time passed here last
+	runningSince  time.Duration // since when it has without a pause: what was not heard in one is no sign of silence
+}
+
+// machineIdentity is what the machine is, as its agent says.
+type machineIdentity struct {
+	address     string
+	machineType string
+	zone        string
+	spot        bool
+	firstSeenAt time.Duration // first known here
+}
+
+// agentStatus is the last heartbeat of its agent and the status polls since.
+type agentStatus struct {
+	incarnation     uint64
+	heartbeatSeq    uint64
+	fencingToken    uint64
+	reported        bool // it has reported
+	lastHeartbeatAt time.Duration
+	lastChangeAt    time.Duration // when its report or its assignments changed last
+	lastPollAt      time.Duration // when it was asked for its report last
+	polls           int           // how often it was, since it was heard of
+	digest          uint64        // of what it reported last
+	tasks           map[attKey]piece
+	images          map[string]bool
+}
+
+// machineLifecycle is its end: interruption notice, return to the cloud, proof that it is gone.
+type machineLifecycle struct {
+	interruptionDeadline time.Duration // when the notice runs out; 0: none
+	gone                 bool          // proof that it and all on it are gone
+	returnRequested      bool          // its return was asked of the cloud
+}
+
+// machineCommands is commands to its agent: attempts known, the request in flight, when the next may go.
+type machineCommands struct {
+	lastUnansweredAt time.Duration // when orders to it stayed without an answer last
+	attempts         map[attKey]*attempt
+	requestID        uint64 // id of the orders on their way; 0: none
+	requestToken     uint64
+	requestAttempts  []attKey
+	unanswered       int // requests unanswered in a row
+	nextSendAt       time.Duration
+	nextClearAt      time.Duration // when its ended tasks are to be forgotten; 0: none is
+	dirty            bool
+	queued           bool // in the list of machines that may need orders
+	lastExaminedAt   time.Duration
+}
+
+// machineAllocation is tasks assigned to it, resources allocated for them, and how long they keep it busy.
+type machineAllocation struct {
+	assignments   map[taskKey]ledger.Asg
+	allocated     ccs.Vec // room taken, if occKnown
+	known         bool
+	busyHorizon   time.Duration // how long its tasks keep it, as of stayAt
+	busyHorizonAt time.Duration
+}
+
+// machineHealth is failures there: from when it takes work again, and what points to a faulty machine.
+type machineHealth struct {
+	avoidUntil    time.Duration
+	failures      int
+	lastFailureAt time.Duration  // when something failed there last
+	failedJobs    map[int32]bool // jobs that failed on it since a task last completed
+}
+
+// rankCache is this controller's cached rank among those that may use the machine.
+type rankCache struct {
+	nodesVersion uint64 // as of which controllers, by c.around, rank holds
+	rank         int    // of this controller among those that may use it, see Core.order
+}
+
+// storedRecord is how its record lies in the store.
+type storedRecord struct {
+	bytes       int    // of its record, as it is stored
+	needsOwnKey bool   // its next write is to be of its own key: it did not fit its slot
+	snapshot    uint64 // when all keys were read last, it was there
+}
+
+// jobWrite is when its record is looked at for a write, and the write on its way.
+type jobWrite struct {
+	inFlight       bool
+	outcomeUnknown bool // an unknown outcome is being cleared up by a read barrier
+	dirty          bool
+	inOpenList     bool          // in the list of open jobs
+	dirtySince     time.Duration // dirty since
+	nextLookAt     time.Duration // not looked at before, although dirty
+	waitsForEnds   bool          // its next record only tells of ends, and waits for others
+}
+
+// jobCancellation is who waits for its cancellation, and the cancel marker in a key of its own.
+type jobCancellation struct {
+	waiters        []cancelReq
+	requestedMS    int64
+	answerBy       time.Duration // until when an answer must be given
+	markerRevision uint64        // of the mark of its cancellation; 0: there is none
+	markerMS       int64
+	markerAudit    []audit.Carried // by that mark
+}
+
+// cancelAck is whether its cancellation may be acknowledged, and which controllers hold it.
+type cancelAck struct {
+	allowed         bool            // users may be told that it is cancelled
+	heldBy          map[string]bool // controllers that have said that they hold its cancellation
+	nextBroadcastAt time.Duration   // when the others are told of that again
+}
+
+// jobQueueState is its position among the waiting jobs.
+type jobQueueState struct {
+	missingReplicas int           // replicas of it that are gone, as of the last turn that ordered writes
+	enqueueRevision uint64        // revision of its acceptance: its place in its lane
+	rank            rank          // as it was worked out last
+	boostedUntil    time.Duration // until then it is ordered as one of the first lane, for the share of its own
+}
+
+// jobPlacement is its tasks: to be placed, lost, ended; back-off after failures.
+type jobPlacement struct {
+	completedTasks   int // assigned tasks that have completed, as their machines say
+	failures         int
+	backoffUntil     time.Duration
+	hasUnplacedTasks bool  // has tasks to place now
+	tasksLost        bool  // tasks of it are gone, and must be started again
+	lastPlacedMS     int64 // time of day when tasks of it were placed last
+}
+
+// jobArchiveState is its way out of memory once it has ended.
+type jobArchiveState struct {
+	counted  bool // among the ended jobs in memory whose records have not moved
+	archived bool // it has moved
+	evicting bool // to be dropped from memory
+}
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -80,7 +80,7 @@
 			p := &proposal{rec: rec, spec: spec, place: place}
 			for i, task := range rec.Waiting(place, c.maxPlaced()-len(place)) {
 				m := c.machine(wire.TaskName("m", 100000+1000*round+i/perMachine))
-				m.zone = "a-zone"
+				m.identity.zone = "a-zone"
 				rec.Tries++
 				a := ledger.Asg{Task: task, Machine: m.idx, Session: 1, Try: rec.Tries}
 				p.place, p.started = append(p.place, a), append(p.started, a)
@@ -147,7 +147,7 @@
 	p := &proposal{rec: &ledger.Record{Spec: spec, Tries: 500}, spec: spec}
 	for i := 0; i < 500; i++ {
 		m := c.machine(wire.TaskName("m", 100000+i/5))
-		m.zone = []string{"a-zone", "b-zone"}[i/5%2]
+		m.identity.zone = []string{"a-zone", "b-zone"}[i/5%2]
 		p.place = append(p.place, ledger.Asg{Task: int32(i), Machine: m.idx, Session: 1, Try: uint64(i + 1)})
 	}
 	p.started = p.place
@@ -271,7 +271,7 @@
 				}
 				c.Handle(now, in)
 			case LeaseOp:
-				c.Handle(now, Leased{Op: o.Op, Status: 200, Lease: c.lease})
+				c.Handle(now, Leased{Op: o.Op, Status: 200, Lease: c.ownLease.id})
 			case Orders:
 				orders = append(orders, o)
 				c.Handle(now, Ordered{ID: o.ID, Status: 200, Sent: true})
@@ -344,7 +344,7 @@
 	if r := c.lead.array.Row(m); r == nil || r.Avail[0] != 3000 {
 		t.Errorf("the array's row is %+v, one task of 1 CPU runs on 4", r)
 	}
-	if r := c.copy.Row(m); r == nil || r.Avail[0] != 3000 {
+	if r := c.clusterCopy.state.Row(m); r == nil || r.Avail[0] != 3000 {
 		t.Errorf("the copy's row is %+v", r)
 	}
 }
@@ -388,7 +388,7 @@
 func TestOthersAskQuietMachines(t *testing.T) {
 	c := leading(t)
 	asked := map[string]int{}
-	c.leaseUntil = time.Hour
+	c.ownLease.expiresAt = time.Hour
 	for now := time.Second; now < 7*time.Second; now += 100 * time.Millisecond {
 		for _, n := range c.cfg.Peers {
 			c.Handle(now, FromPeer{Peer: n, Msg: Msg{Health: &Health{}}})
@@ -409,7 +409,7 @@
 			c.Handle(now, Beat{Req: 9, Report: report(2)})
 		}
 		c.Advance(8 * time.Second)
-		c.machine("m-1").shown = 0
+		c.machine("m-1").status.lastPollAt = 0
 		c.Handle(8100*time.Millisecond, FromPeer{Peer: "n1", Msg: Msg{Show: []string{"m-1", "m-unknown"}}})
 		probes, told := 0, 0
 		for _, o := range c.Advance(8100 * time.Millisecond) {
@@ -488,7 +488,7 @@
 			Log: []wire.Event{{Put: keyLeader, Value: other, Mark: 200}}}})
 		c.Advance(2 * time.Second)
 		if !cut {
-			c.leaseUntil = time.Hour
+			c.ownLease.expiresAt = time.Hour
 		}
 		asked := false
 		for _, o := range outputs[ToPeer](c.Advance(40 * time.Second)) {
@@ -559,7 +559,7 @@
 // on there, and nothing was up to take them. Now others are rented first.
 func TestCutZoneIsReplacedBeforeItIsReturned(t *testing.T) {
 	c := leading(t)
-	c.catalog["x"].Zones, c.catalog["x"].BootS = []string{"a", "b"}, 6
+	c.autoscaler.catalog["x"].Zones, c.autoscaler.catalog["x"].BootS = []string{"a", "b"}, 6
 	say := func(now time.Duration, seq uint64, zone string) {
 		c.Handle(now, Beat{Req: 9, Report: report(seq)})
 		for i := 2; i < 8; i++ {
@@ -582,7 +582,7 @@
 		j.mark, j.rec, j.place = 1, &ledger.Record{Spec: &wire.Spec{ID: "wk-8", Tasks: 8, Team: "t", Claim: [3]int64{4000, 0, 1000}}}, nil
 		for i := int32(0); i < 8; i++ { // more than the other zone has room for
 			j.place = append(j.place, ledger.Asg{Task: i, Machine: lost.idx, Session: 1, Try: 1})
-			lost.asg[taskKey{j.idx, i}] = j.place[i]
+			lost.allocation.assignments[taskKey{j.idx, i}] = j.place[i]
 		}
 		c.touch(j)
 		drive(c, now, now+time.Second)
@@ -608,8 +608,8 @@
 		c := leading(t)
 		drive(c, time.Second, 2*time.Second) // the machine of 4 CPUs is in the array
 		c.lead = nil
-		c.leader.Node = "n1"
-		c.hold = &Hold{Priority: 1, Claim: ccs.Vec{2000, 0, 1000}}
+		c.leadership.leader.Node = "n1"
+		c.clusterCopy.capacityHold = &Hold{Priority: 1, Claim: ccs.Vec{2000, 0, 1000}}
 		in := submitted("wk-1")
 		in.Spec.Priority = prio
 		in.Spec.Tasks = 4
@@ -721,8 +721,8 @@
 	j := c.job("wk-1")
 	before := c.urgency(j)
 	c.markGone(c.machine("m-1"))
-	if got := c.urgency(j); got >= before || !j.dirty || j.lookAt > c.now {
-		t.Errorf("urgency %d before, %d after the loss; looked at %v later", before, got, j.lookAt-c.now)
+	if got := c.urgency(j); got >= before || !j.write.dirty || j.write.nextLookAt > c.now {
+		t.Errorf("urgency %d before, %d after the loss; looked at %v later", before, got, j.write.nextLookAt-c.now)
 	}
 }
 
@@ -743,7 +743,7 @@
 	}
 	c.markGone(c.machine("m-1"))
 	var order []string
-	c.budget.Writes = 100
+	c.transactions.rateLimit.Writes = 100
 	c.cfg.TxnOps = 12
 	for _, o := range outputs[Commit](c.Advance(3 * time.Second)) {
 		for _, w := range o.Txn.Then {
@@ -761,7 +761,7 @@
 // was used up, all of them were in vain.
 func TestEachKindIsAskedForBeforeAnyTwice(t *testing.T) {
 	c := leading(t)
-	c.catalog["x"].Zones = []string{"a", "b", "c", "d"}
+	c.autoscaler.catalog["x"].Zones = []string{"a", "b", "c", "d"}
 	in := submitted("wk-1")
 	in.Spec.Tasks, in.Spec.Claim = 400, [3]int64{4000, 0, 1000} // a machine each
 	c.Handle(time.Second, in)
@@ -873,7 +873,7 @@
 			}
 			for _, o := range outputs[Changes](out) {
 				if !o.Hold {
-					c.Handle(now, Changed{Status: status, Changes: wire.Changes{Ledger: c.seen}})
+					c.Handle(now, Changed{Status: status, Changes: wire.Changes{Ledger: c.replica.revision}})
 				}
 			}
 			c.afterBarrier(func(bool) {})
--- a/core/crush_test.go
+++ b/core/crush_test.go
@@ -15,8 +15,8 @@
 // there were not: most of the processor's time, so that polls timed out.
 func TestPlansOfAFullFleetAreBounded(t *testing.T) {
 	c := New(Config{Form: Form, Name: "n0", Shards: 1, CloudRPS: 4, TxnOps: 12, ValueBytes: 8192, WriteRPS: 30, StateRPS: 100}, 0, 1)
-	c.catalog = map[string]*wire.MachineType{"x": {Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b"}, BootS: 15, Price: 1, SpotPrice: 0.5}}
-	c.types = []string{"x"}
+	c.autoscaler.catalog = map[string]*wire.MachineType{"x": {Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b"}, BootS: 15, Price: 1, SpotPrice: 0.5}}
+	c.autoscaler.typeNames = []string{"x"}
 	c.lead = &lead{blocked: map[pool]time.Duration{}, stopped: map[int32]time.Duration{}}
 	const machines, jobs = 1000, 500
 	var bins []*bin
@@ -87,21 +87,21 @@
 	for _, held := range []int{0, 1} { // tasks that zone a has already
 		c := New(Config{Form: Form, Name: "n0", Shards: 1, TxnOps: 12, ValueBytes: 8192, WriteRPS: 30, StateRPS: 100, ReportEvery: time.Minute,
 			ProbeRatio: 2, PreferImage: true, CopyExpire: time.Hour}, 0, 1)
-		c.catalog = map[string]*wire.MachineType{"x": {Name: "x", CPUs: 8, MemoryGB: 8, Zones: []string{"a", "b"}}}
-		c.lease, c.leaseUntil = 1, time.Hour
+		c.autoscaler.catalog = map[string]*wire.MachineType{"x": {Name: "x", CPUs: 8, MemoryGB: 8, Zones: []string{"a", "b"}}}
+		c.ownLease.id, c.ownLease.expiresAt = 1, time.Hour
 		array := ccs.NewArray()
 		for i := range 40 {
 			m := c.machine(string(rune('A' + i)))
-			m.up, m.session, m.addr, m.typ, m.zone = true, 1, "x:1", "x", "a"
+			m.status.reported, m.status.incarnation, m.identity.address, m.identity.machineType, m.identity.zone = true, 1, "x:1", "x", "a"
 			if i >= 20 {
-				m.zone = "b"
+				m.identity.zone = "b"
 			} else {
-				m.images["i"] = true
+				m.status.images["i"] = true
 			}
 			array.Seed(m.idx, ccs.Vec{8000, 0, 8000}, ccs.Vec{}, true)
 		}
 		rows, _ := array.Rows(0)
-		c.copy.Replace(c.now, rows, nil)
+		c.clusterCopy.state.Replace(c.now, rows, nil)
 		s := &wire.Spec{Service: true, Spread: true, Tasks: 2, Claim: [3]int64{1000, 0, 1000}, Image: "i"}
 		p := &proposal{j: &job{}, rec: &ledger.Record{Spec: s}, spec: s, accept: true}
 		for i := range held {
@@ -110,7 +110,7 @@
 		c.assign(p, &builder{c: c})
 		zones := map[string]int{}
 		for _, a := range p.place {
-			zones[c.machines[a.Machine].zone]++
+			zones[c.machines[a.Machine].identity.zone]++
 		}
 		if zones["a"] != 1 || zones["b"] != 1 {
 			t.Errorf("with %d in zone a: tasks are in %v", held, zones)
--- a/core/form.go
+++ b/core/form.go
@@ -39,26 +39,26 @@
 )
 
 // form is the newest form that may be written.
-func (c *Core) form() int { return c.formNow }
+func (c *Core) form() int { return c.schema.active }
 
 // sawForm takes a controller's declaration.
 func (c *Core) sawForm(name string, form int) {
-	c.forms[name] = max(c.forms[name], form)
+	c.schema.declared[name] = max(c.schema.declared[name], form)
 	if name == c.cfg.Name && form > c.cfg.Form {
 		c.note("error", "a newer version has run here before: this one may not understand what it stored", "form", form)
 	}
-	least := min(c.forms[c.cfg.Name], c.cfg.Form)
+	least := min(c.schema.declared[c.cfg.Name], c.cfg.Form)
 	for _, p := range c.cfg.Peers {
-		least = min(least, c.forms[p])
+		least = min(least, c.schema.declared[p])
 	}
-	if least <= c.formNow {
+	if least <= c.schema.active {
 		return
 	}
 	c.note("info", "every controller knows this form now", "form", least)
-	c.formNow, c.formAt = least, c.now
+	c.schema.active, c.schema.activeSince = least, c.now
 	c.shareBudget()
 	for _, j := range c.open { // what is too large is written again before it has to be
-		if j.size > c.cfg.ValueBytes {
+		if j.stored.bytes > c.cfg.ValueBytes {
 			c.touch(j)
 		}
 	}
@@ -66,19 +66,19 @@
 
 // declare writes this controller's declaration.
 func (c *Core) declare() {
-	if c.forms[c.cfg.Name] >= c.cfg.Form || c.declaring || c.now < c.declareAt || c.budget.Paused(c.now) || !c.leaseOK() {
+	if c.schema.declared[c.cfg.Name] >= c.cfg.Form || c.schema.declarationInFlight || c.now < c.schema.nextDeclarationAt || c.transactions.rateLimit.Paused(c.now) || !c.leaseOK() {
 		return
 	}
-	c.declaring = true
-	c.declareAt = c.now + time.Second
+	c.schema.declarationInFlight = true
+	c.schema.nextDeclarationAt = c.now + time.Second
 	key := keyForm + c.cfg.Name
 	raw, err := json.Marshal(c.cfg.Form)
 	if err != nil {
 		panic(err) // a number
 	}
-	c.commit(wire.Txn{If: []wire.Cond{{Key: key, Mark: c.formMark}}, Then: []wire.Write{{Put: key, Value: raw}}},
+	c.commit(wire.Txn{If: []wire.Cond{{Key: key, Mark: c.schema.declarationRevision}}, Then: []wire.Write{{Put: key, Value: raw}}},
 		&txn{done: func(int, wire.TxnReply) {
-			c.declaring = false
+			c.schema.declarationInFlight = false
 			c.afterBarrier(func(bool) {}) // what came of it shows there
 		}})
 }
@@ -91,7 +91,7 @@
 	}
 	name := strings.TrimPrefix(key, keyForm)
 	if name == c.cfg.Name {
-		c.formMark = mark
+		c.schema.declarationRevision = mark
 	}
 	c.sawForm(name, form)
 	return nil
@@ -143,18 +143,18 @@
 // record follows as its tasks end, and its writers see to it that there is no mark.
 func (c *Core) markCancelled(j *job, ms int64, conds []wire.Cond, acts []recorder.Act) {
 	key := keyCancel + j.id
-	list, ids := c.recorder().Carry(key, j.cancelMark, j.markCarried, acts)
+	list, ids := c.recorder().Carry(key, j.cancellation.markerRevision, j.cancellation.markerAudit, acts)
 	raw := cancelMark{CancelMS: ms, Carried: list}.encode()
-	j.inflight = true
-	c.commit(wire.Txn{If: append(conds, wire.Cond{Key: keyJob + j.id, Mark: j.mark}, wire.Cond{Key: key, Mark: j.cancelMark}),
+	j.write.inFlight = true
+	c.commit(wire.Txn{If: append(conds, wire.Cond{Key: keyJob + j.id, Mark: j.mark}, wire.Cond{Key: key, Mark: j.cancellation.markerRevision}),
 		Then: []wire.Write{{Put: key, Value: raw}}}, &txn{done: func(status int, _ wire.TxnReply) {
 		c.recorder().Outcome(ids, status)
-		j.inflight = false
+		j.write.inFlight = false
 		c.touch(j)
 		if status == 429 || status == 503 {
 			return
 		}
-		j.resync = true
+		j.write.outcomeUnknown = true
 		c.clearUp([]*job{j}, nil, nil) // answers the users once the mark has come
 	}})
 }
@@ -167,10 +167,10 @@
 	}
 	j := c.job(key[len(keyCancel):])
 	c.recorder().Saw(key, mark, v.Carried)
-	j.cancelMark, j.markedMS, j.markCarried = mark, v.CancelMS, v.Carried
+	j.cancellation.markerRevision, j.cancellation.markerMS, j.cancellation.markerAudit = mark, v.CancelMS, v.Carried
 	if j.mark != 0 && j.rec.Stage == ledger.Queued {
 		rec := *j.rec
-		c.adopt(j, &rec, j.place, j.mark, j.size)
+		c.adopt(j, &rec, j.place, j.mark, j.stored.bytes)
 	}
 	return nil
 }
--- a/core/form_test.go
+++ b/core/form_test.go
@@ -42,7 +42,7 @@
 // in its terms.
 func TestReadsWhatProductionStored(t *testing.T) {
 	c := New(testConfig(), 0, 1)
-	c.shards = make([]held, 6)
+	c.ownership.shards = make([]held, 6)
 	c.Advance(time.Second)
 	items := stored(t)
 	c.Handle(time.Second, Loaded{OK: true, Ledger: 1 << 20, Items: items})
@@ -91,8 +91,8 @@
 			}
 		}
 	}
-	if jobs < 30 || assigned < 1000 || c.epoch == 0 || c.leader.mark == 0 || c.catalog == nil {
-		t.Errorf("%d jobs, %d assignments, epoch %d, leader %+v", jobs, assigned, c.epoch, c.leader)
+	if jobs < 30 || assigned < 1000 || c.leadership.fencingToken == 0 || c.leadership.leader.mark == 0 || c.autoscaler.catalog == nil {
+		t.Errorf("%d jobs, %d assignments, epoch %d, leader %+v", jobs, assigned, c.leadership.fencingToken, c.leadership.leader)
 	}
 }
 
@@ -207,9 +207,9 @@
 	// The worst for packing: sessions and attempts without any order.
 	for i := range 600 {
 		m := c.machine(fmt.Sprintf("m-%d", 7919*(i+1)%1_000_000))
-		m.zone, m.up, m.typ = "a", true, "x"
-		m.session = uint64(1 + c.rng.IntN(1<<30))
-		place = append(place, ledger.Asg{Task: int32(i), Machine: m.idx, Session: m.session, Try: uint64(1 + c.rng.IntN(1<<30))})
+		m.identity.zone, m.status.reported, m.identity.machineType = "a", true, "x"
+		m.status.incarnation = uint64(1 + c.rng.IntN(1<<30))
+		place = append(place, ledger.Asg{Task: int32(i), Machine: m.idx, Session: m.status.incarnation, Try: uint64(1 + c.rng.IntN(1<<30))})
 	}
 	raw, err := c.encodeRecord(rec, place, false)
 	if err != nil {
@@ -223,7 +223,7 @@
 // answer answers the core's writes like the state service and tells it of them; those that takes
 // refuses are refused as too large.
 func answer(c *Core, from, to time.Duration, takes func(wire.Txn) bool) {
-	ledger := max(uint64(1000), c.seen)
+	ledger := max(uint64(1000), c.replica.revision)
 	for now := from; now < to; now += 50 * time.Millisecond {
 		for _, o := range c.Advance(now) {
 			switch o := o.(type) {
@@ -244,7 +244,7 @@
 					c.Handle(now, Changed{Status: 200, Changes: wire.Changes{Ledger: ledger}})
 				}
 			case LeaseOp:
-				c.Handle(now, Leased{Op: o.Op, Status: 200, Lease: c.lease})
+				c.Handle(now, Leased{Op: o.Op, Status: 200, Lease: c.ownLease.id})
 			}
 		}
 	}
@@ -269,8 +269,8 @@
 // as one small write, and known to everyone who reads the keys later.
 func TestCancelOfARecordTooLargeToWrite(t *testing.T) {
 	c, j := small(t)
-	if j.size <= c.cfg.ValueBytes {
-		t.Fatalf("the record has %d bytes", j.size)
+	if j.stored.bytes <= c.cfg.ValueBytes {
+		t.Fatalf("the record has %d bytes", j.stored.bytes)
 	}
 	if raw, err := c.encodeRecord(j.rec, j.place, true); err != nil || len(raw) <= c.cfg.ValueBytes {
 		t.Fatalf("packed it has %d bytes (%v)", len(raw), err)
@@ -310,7 +310,7 @@
 	c, j := small(t)
 	for i, a := range j.place {
 		m := c.machines[a.Machine]
-		c.Handle(2*time.Second, Beat{Req: 1, Report: &wire.Report{Machine: m.name, Addr: "x:1", Type: "x", Zone: "a", Session: m.session, Seq: 1, Token: 1,
+		c.Handle(2*time.Second, Beat{Req: 1, Report: &wire.Report{Machine: m.name, Addr: "x:1", Type: "x", Zone: "a", Session: m.status.incarnation, Seq: 1, Token: 1,
 			Pieces: []wire.Piece{{Piece: wire.TaskName(j.id, int(a.Task)), Try: a.Try, Stage: wire.TaskExited, Cause: wire.CauseDone}}}})
 		if i%100 == 0 {
 			follow(t, c, c.now, c.now+200*time.Millisecond)
@@ -326,12 +326,12 @@
 func TestJobOfHundredsUnderSmallLimits(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	c.cfg.ValueBytes = 2048
-	c.formNow = formAwaits
+	c.schema.active = formAwaits
 	spec := &wire.Spec{ID: "wk-1", Class: "some-class", Team: "t", Tasks: 500, Claim: [3]int64{4000, 0, 8900}, Image: "an-image"}
 	p := &proposal{rec: &ledger.Record{Spec: spec, Tries: 500}, spec: spec}
 	for i := 0; i < 500; i++ {
 		m := c.machine(wire.TaskName("m", 100000+(7*i)%500))
-		m.zone = []string{"a-zone", "b-zone"}[i%2]
+		m.identity.zone = []string{"a-zone", "b-zone"}[i%2]
 		p.place = append(p.place, ledger.Asg{Task: int32(i), Machine: m.idx, Session: 1, Try: uint64(i + 1)})
 	}
 	p.started = p.place
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -33,7 +33,7 @@
 	if raw := (cancelMark{CancelMS: 7}).encode(); string(raw) != `{"cm":7}` {
 		t.Errorf("a mark of cancellation is %s", raw)
 	}
-	c := &Core{cfg: Config{Name: "node-a"}, lease: 5}
+	c := &Core{cfg: Config{Name: "node-a"}, ownLease: controllerLease{id: 5}}
 	if raw := c.heldValue(6); string(raw) != `{"n":"node-a","t":5,"b":6}` {
 		t.Errorf("a leased key is %s", raw)
 	}
@@ -57,14 +57,14 @@
 // What a controller declares: a number, as every version reads it.
 func TestDeclarationStays(t *testing.T) {
 	c := New(testConfig(), 0, 1)
-	if err := c.putForm("dl/form/node-b", json.RawMessage("8"), 3); err != nil || c.forms["node-b"] != 8 {
-		t.Errorf("a declaration is read as %v (%v)", c.forms, err)
+	if err := c.putForm("dl/form/node-b", json.RawMessage("8"), 3); err != nil || c.schema.declared["node-b"] != 8 {
+		t.Errorf("a declaration is read as %v (%v)", c.schema.declared, err)
 	}
 	if err := c.putRestored(json.RawMessage(`"what"`), 3); err != nil || c.restored.what != "what" {
 		t.Errorf("a restored state is read as %q (%v)", c.restored.what, err)
 	}
 	c.put("dl/epoch", json.RawMessage("17"), 4)
-	if c.epoch != 17 {
-		t.Errorf("the token is read as %d", c.epoch)
+	if c.leadership.fencingToken != 17 {
+		t.Errorf("the token is read as %d", c.leadership.fencingToken)
 	}
 }
--- a/core/history.go
+++ b/core/history.go
@@ -73,8 +73,8 @@
 
 // noteEnd counts a job that has ended among those in memory.
 func (c *Core) noteEnd(j *job) {
-	if !j.counted && !j.archived && j.endedWhole() {
-		j.counted = true
+	if !j.archive.counted && !j.archive.archived && j.endedWhole() {
+		j.archive.counted = true
 		c.hist.ended = append(c.hist.ended, j)
 	}
 }
@@ -89,13 +89,13 @@
 	if len(h.ended) <= c.mostEnded() {
 		return
 	}
-	h.ended = slices.DeleteFunc(h.ended, func(j *job) bool { return j.archived || !j.counted })
+	h.ended = slices.DeleteFunc(h.ended, func(j *job) bool { return j.archive.archived || !j.archive.counted })
 	if len(h.ended) <= c.mostEnded() {
 		return
 	}
 	slices.SortFunc(h.ended, func(a, b *job) int { return -compareMarks(a, b) })
 	for _, j := range h.ended[2*c.cfg.EndedKept:] {
-		j.counted = false
+		j.archive.counted = false
 		c.leaveMemory(j)
 	}
 	h.ended = slices.Clone(h.ended[:2*c.cfg.EndedKept])
@@ -103,8 +103,8 @@
 
 // leaveMemory has a job dropped from memory once nothing refers to it.
 func (c *Core) leaveMemory(j *job) {
-	if !j.leaving {
-		j.leaving = true
+	if !j.archive.evicting {
+		j.archive.evicting = true
 		c.hist.leaving = append(c.hist.leaving, j)
 	}
 }
@@ -124,19 +124,19 @@
 func (c *Core) referred() map[int32]bool {
 	refs := map[int32]bool{}
 	for _, m := range c.alive {
-		for k := range m.pieces {
+		for k := range m.status.tasks {
 			refs[k.job] = true
 		}
-		for k := range m.att {
+		for k := range m.commands.attempts {
 			refs[k.job] = true
 		}
-		for k := range m.asg {
+		for k := range m.allocation.assignments {
 			refs[k.job] = true
 		}
-		for j := range m.failed {
+		for j := range m.health.failedJobs {
 			refs[j] = true
 		}
-		for _, k := range m.sendKeys {
+		for _, k := range m.commands.requestAttempts {
 			refs[k.job] = true
 		}
 	}
@@ -158,10 +158,10 @@
 	}
 	refs := c.referred()
 	h.leaving = slices.DeleteFunc(h.leaving, func(j *job) bool {
-		if refs[j.idx] || j.listed || j.inflight || j.resync || j.accept != nil || len(j.cancels) > 0 || len(j.next) > 0 {
+		if refs[j.idx] || j.write.inOpenList || j.write.inFlight || j.write.outcomeUnknown || j.accept != nil || len(j.cancellation.waiters) > 0 || len(j.next) > 0 {
 			return false
 		}
-		if !j.archived {
+		if !j.archive.archived {
 			h.cold++
 		}
 		delete(c.jobIdx, j.id)
@@ -180,7 +180,7 @@
 	if !archived {
 		c.hist.cold--
 	}
-	j.rec, j.mark, j.archived = r, mark, archived
+	j.rec, j.mark, j.archive.archived = r, mark, archived
 	c.hist.recalled = append(c.hist.recalled, j)
 	c.touch(j)
 	c.over(j)
@@ -206,14 +206,14 @@
 // the changes were not followed: it counts as unknown until the archive is read.
 func (c *Core) leaveArchived(j *job, mark uint64) {
 	if j.endedWhole() {
-		if !j.archived {
-			j.archived, j.counted, j.mark = true, false, mark
+		if !j.archive.archived {
+			j.archive.archived, j.archive.counted, j.mark = true, false, mark
 			c.leaveMemory(j)
 		}
 		return
 	}
 	c.unplace(j)
-	j.place, j.rec, j.mark, j.pending, j.lost = nil, nil, 0, false, false
+	j.place, j.rec, j.mark, j.placement.hasUnplacedTasks, j.placement.tasksLost = nil, nil, 0, false, false
 	if len(j.next) > 0 {
 		c.hist.unresolved = append(c.hist.unresolved, j)
 	}
@@ -229,7 +229,7 @@
 			return false, nil
 		}
 		// Its record may have moved shortly before it was read, and the news of that not be here yet.
-		if since = x.keyAt; c.seen >= since {
+		if since = x.keyAt; c.replica.revision >= since {
 			since = 0
 		}
 	}
@@ -333,7 +333,7 @@
 }
 
 // findRate is how many reads a second finds may take.
-func (c *Core) findRate() float64 { return c.cfg.HistoryShare * c.budget.ReadRate }
+func (c *Core) findRate() float64 { return c.cfg.HistoryShare * c.transactions.rateLimit.ReadRate }
 
 // lookup carries finds on, within their share of the requests.
 func (c *Core) lookup() {
@@ -348,7 +348,7 @@
 		case x.busy || x.over:
 		case c.now-x.since > findWait:
 			c.found(x, false)
-		case h.tokens >= 1 && h.reading < findsOut && !c.budget.Paused(c.now):
+		case h.tokens >= 1 && h.reading < findsOut && !c.transactions.rateLimit.Paused(c.now):
 			c.readFor(x)
 		}
 	}
@@ -394,7 +394,7 @@
 			switch {
 			case in.Status == 404:
 				x.keyRead, x.keyAt = true, in.Ledger
-			case in.Status == 200 && len(in.Items) == 1 && in.Items[0].Mark > c.seen:
+			case in.Status == 200 && len(in.Items) == 1 && in.Items[0].Mark > c.replica.revision:
 				// It is on its way with the stream of changes, and was never counted as cold: counted out here, it left one job too few, and another
 				// that had left memory was denied.
 				x.busy = true
@@ -460,7 +460,7 @@
 
 func (c *Core) ask1(s Scan, f func(Scanned)) {
 	s.ID = c.id()
-	c.budget.Request()
+	c.transactions.rateLimit.Request()
 	c.hist.reads[s.ID] = f
 	c.emit(s)
 }
@@ -469,7 +469,7 @@
 	f := c.hist.reads[in.ID]
 	delete(c.hist.reads, in.ID)
 	if in.Status == 429 {
-		c.budget.PauseOthers(c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond))
+		c.transactions.rateLimit.PauseOthers(c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond))
 	} else {
 		c.stateAnswered(in.Status)
 	}
--- a/core/history_test.go
+++ b/core/history_test.go
@@ -34,7 +34,7 @@
 
 // barrier answers a read barrier: nothing has changed.
 func barrier(c *Core, at time.Duration) []Output {
-	c.Handle(at, Changed{Status: 200, Changes: wire.Changes{Ledger: c.seen}})
+	c.Handle(at, Changed{Status: 200, Changes: wire.Changes{Ledger: c.replica.revision}})
 	return c.Advance(at)
 }
 
@@ -147,7 +147,7 @@
 			t.Fatal("it does not wait")
 		}
 		gives(t, c, 1300*time.Millisecond, out, block(t, 9, 11, archive.Entry{ID: "wk-1", Cancelled: cancelled, Done: 1}))
-		if !cancelled && (j.waits != 0 || !j.pending) || cancelled && (!j.final() || j.cause.id != "wk-1") {
+		if !cancelled && (j.waits != 0 || !j.placement.hasUnplacedTasks) || cancelled && (!j.final() || j.cause.id != "wk-1") {
 			t.Errorf("cancelled %v: waits %d, final %v", cancelled, j.waits, j.final())
 		}
 	}
@@ -158,7 +158,7 @@
 func TestJobMovedWhileChangesWereNotFollowed(t *testing.T) {
 	c := withArchive(t)
 	stream(c, 1200*time.Millisecond, 11, event(keyJob+"wk-2", `{"h":0,"s":{"tm":"t","n":1,"rc":[1000,0,1000]},"a":[{"z":"a","s":1,"p":"m-1","m":[""],"n":[1],"r":[0,1,1]}]}`, 11))
-	if len(c.machine("m-1").asg) != 1 {
+	if len(c.machine("m-1").allocation.assignments) != 1 {
 		t.Fatal("not assigned")
 	}
 	c.Handle(1300*time.Millisecond, Changed{Hold: true, Status: 410})
@@ -167,7 +167,7 @@
 	c.Advance(1500 * time.Millisecond)
 	out := gives(t, c, 1700*time.Millisecond, barrier(c, 1600*time.Millisecond), block(t, 15000, 20000, archive.Entry{ID: "wk-2", Done: 1}))
 	r := outputs[Reply](out)
-	if len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageDone || len(c.machine("m-1").asg) != 0 {
+	if len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageDone || len(c.machine("m-1").allocation.assignments) != 0 {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -284,11 +284,11 @@
 		if out := c.Advance(at); len(outputs[Scan](out)) == 1 {
 			return c, out, page
 		}
-		c.leaseUntil, c.barrier, c.waiting = at+time.Minute, false, nil
-		for _, x := range c.txns {
+		c.ownLease.expiresAt, c.replica.barrierInFlight, c.replica.barrierWaiters = at+time.Minute, false, nil
+		for _, x := range c.transactions.inFlight {
 			x.done(200, wire.TxnReply{})
 		}
-		clear(c.txns)
+		clear(c.transactions.inFlight)
 	}
 	t.Fatal("no sweep begins")
 	return nil, nil, page
@@ -344,7 +344,7 @@
 			t.Fatalf("moved again: %+v", x.Txn)
 		}
 	}
-	if c.sweep != nil && len(c.sweep.todo) > 0 {
+	if c.archiving.sweep != nil && len(c.archiving.sweep.todo) > 0 {
 		t.Error("the sweep does not end")
 	}
 }
@@ -370,7 +370,7 @@
 		}
 		at += 2 * time.Second // it is not heard of any more
 		c.Advance(at)
-		if c.loading == false && len(outputs[Load](c.Advance(at))) == 0 {
+		if c.replica.pageInFlight == false && len(outputs[Load](c.Advance(at))) == 0 {
 			t.Error("it waits for ever")
 		}
 	}
--- a/core/lanes.go
+++ b/core/lanes.go
@@ -24,22 +24,22 @@
 
 // ownLane is the lane of a job by its record.
 func (c *Core) ownLane(r *ledger.Record) int {
-	if i, ok := c.lanes.Named(r.Lane); ok {
+	if i, ok := c.priority.classes.Named(r.Lane); ok {
 		return i
 	}
-	return c.lanes.Of(r.Spec) // it was accepted where there was no list, or its lane is none any more
+	return c.priority.classes.Of(r.Spec) // it was accepted where there was no list, or its lane is none any more
 }
 
 // laneOf is the lane by which a job is ordered: its own or that of a job that needs it, or one above after it has waited.
 func (c *Core) laneOf(j *job) int {
-	if c.now < j.boosted {
+	if c.now < j.queue.boostedUntil {
 		return 0
 	}
 	return c.risen(j)
 }
 
 func (c *Core) risen(j *job) int {
-	return c.lanes.Risen(j.prio, time.Duration(c.unixMS()-j.turn())*time.Millisecond)
+	return c.priority.classes.Risen(j.prio, time.Duration(c.unixMS()-j.turn())*time.Millisecond)
 }
 
 // rank is what orders a job: its lane, replicas that it lost, whether it would miss its deadline, its place. A lost zone takes replicas of
@@ -55,11 +55,11 @@
 func (c *Core) rankOf(j *job) rank {
 	switch {
 	case j.accept != nil:
-		return rank{lane: c.lanes.Of(&j.accept.spec), nr: math.MaxUint64, at: j.accept.unixMS}
+		return rank{lane: c.priority.classes.Of(&j.accept.spec), nr: math.MaxUint64, at: j.accept.unixMS}
 	case j.rec == nil || j.rec.Spec == nil:
 		return rank{lane: math.MaxInt}
 	}
-	r := rank{lane: c.laneOf(j), missing: j.missing, before: j.rec.Before, nr: max(j.accepted, j.readyAt), at: j.turn()}
+	r := rank{lane: c.laneOf(j), missing: j.queue.missingReplicas, before: j.rec.Before, nr: max(j.queue.enqueueRevision, j.readyAt), at: j.turn()}
 	if r.at < j.rec.AtMS {
 		r.late = r.at
 	}
@@ -79,11 +79,11 @@
 
 // setLanes puts a list in force here; nil: a lane for each priority.
 func (c *Core) setLanes(l *lanes.List, mark uint64) {
-	c.lanesMark = mark
+	c.priority.revision = mark
 	if l == nil {
 		l = lanes.ByPriority(c.cfg.RiseAfter)
 	}
-	c.lanes = l
+	c.priority.classes = l
 	var again []*job
 	for _, j := range c.jobs { // also those that wait for others, and are in no list
 		if j != nil && j.rec != nil && j.rec.Spec != nil {
@@ -95,7 +95,7 @@
 }
 
 func (c *Core) putLanes(raw json.RawMessage, mark uint64) error {
-	if mark <= c.lanesMark {
+	if mark <= c.priority.revision {
 		return nil
 	}
 	var p pb.Lanes
@@ -106,21 +106,21 @@
 			c.setLanes(l, mark)
 		}
 	}
-	c.lanesMark = mark
+	c.priority.revision = mark
 	return err
 }
 
 // laneStep puts the list of the file in force where there is none, and tells the edges whether there is one.
 func (c *Core) laneStep() {
-	if open := c.lanesMark != 0; open != c.lanesTold {
-		c.lanesTold = open
+	if open := c.priority.revision != 0; open != c.priority.enabledPublished {
+		c.priority.enabledPublished = open
 		c.emit(Queue{Open: open})
 	}
-	if c.cfg.Lanes == nil || c.lanesMark != 0 || c.form() < formLanes || c.mute() || !c.leads() || !c.leaseOK() || c.now < c.lanesAt ||
-		c.budget.Paused(c.now) || c.budget.Writes < 1 {
+	if c.cfg.Lanes == nil || c.priority.revision != 0 || c.form() < formLanes || c.mute() || !c.leads() || !c.leaseOK() || c.now < c.priority.nextSeedAt ||
+		c.transactions.rateLimit.Paused(c.now) || c.transactions.rateLimit.Writes < 1 {
 		return
 	}
-	c.lanesAt = c.now + 2*time.Second
+	c.priority.nextSeedAt = c.now + 2*time.Second
 	raw, err := ledger.PackMessage(c.cfg.Lanes.Source())
 	if err != nil || len(raw) > c.cfg.ValueBytes {
 		c.note("error", "the list of lanes does not fit a value", "bytes", len(raw))
@@ -151,7 +151,7 @@
 			c.reply(in.Req, 400, wire.Error{Error: "lanes: too long to be stored"})
 			return
 		}
-		t := wire.Txn{If: append(c.onRights(in.By), wire.Cond{Key: keyLanes, Mark: c.lanesMark}), Then: []wire.Write{{Put: keyLanes, Value: raw}}}
+		t := wire.Txn{If: append(c.onRights(in.By), wire.Cond{Key: keyLanes, Mark: c.priority.revision}), Then: []wire.Write{{Put: keyLanes, Value: raw}}}
 		c.commit(t, &txn{done: func(status int, r wire.TxnReply) {
 			c.afterBarrier(func(bool) {}) // every controller sees it there
 			if status != 200 {
@@ -176,8 +176,8 @@
 		return
 	}
 	lane := c.ownLane(p.rec)
-	if len(s.starts) != c.lanes.Len() {
-		s.starts = make([]float64, c.lanes.Len())
+	if len(s.starts) != c.priority.classes.Len() {
+		s.starts = make([]float64, c.priority.classes.Len())
 	}
 	keep := math.Exp2(-(now - s.at).Seconds() / shareTime.Seconds())
 	s.at = now
@@ -204,24 +204,24 @@
 
 // keepShares puts the first job of the lanes below one that takes more than its part ahead of the others that wait for room.
 func (c *Core) keepShares(todo []*job) []*job {
-	for lane := range c.lanes.Len() - 1 {
-		if share := c.lanes.Share(lane); share == 0 || c.shares.below(lane) >= share {
+	for lane := range c.priority.classes.Len() - 1 {
+		if share := c.priority.classes.Share(lane); share == 0 || c.priority.startShares.below(lane) >= share {
 			continue
 		}
 		var first *job
 		for _, j := range c.open { // also those that were looked at and found no room: who came last must not have what is theirs
-			if j.pending && !j.inflight && !j.resync && c.mine(j) && j.rec.Spec != nil && c.ownLane(j.rec) > lane && c.now >= j.backoff &&
+			if j.placement.hasUnplacedTasks && !j.write.inFlight && !j.write.outcomeUnknown && c.mine(j) && j.rec.Spec != nil && c.ownLane(j.rec) > lane && c.now >= j.placement.backoffUntil &&
 				c.teamOf(j.rec.Spec).hasRoom(j.rec.Spec.Claim) {
-				if j.rank = c.rankOf(j); first == nil || j.rank.compare(first.rank) < 0 {
+				if j.queue.rank = c.rankOf(j); first == nil || j.queue.rank.compare(first.queue.rank) < 0 {
 					first = j
 				}
 			}
 		}
-		if first == nil || c.links.Before(c.now, c.there, links.Wait{Priority: c.risen(first), AtMS: first.turn()}, lane) {
+		if first == nil || c.controllers.membership.Before(c.now, c.there, links.Wait{Priority: c.risen(first), AtMS: first.turn()}, lane) {
 			continue // what comes first of these lanes is another controller's
 		}
-		first.boosted = c.now + time.Second
-		first.dirty, first.lookAt = true, 0
+		first.queue.boostedUntil = c.now + time.Second
+		first.write.dirty, first.write.nextLookAt = true, 0
 		if i := slices.Index(todo, first); i >= 0 {
 			todo = slices.Delete(todo, i, i+1)
 		}
@@ -240,7 +240,7 @@
 	case c.closed():
 		c.refuse(in.Req, notYet)
 		return
-	case !c.loaded || c.stateDown():
+	case !c.replica.loaded || c.stateDown():
 		c.refuse(in.Req, "state service not reached")
 		return
 	}
@@ -250,12 +250,12 @@
 			return
 		}
 		if in.Lanes {
-			text, err := prototext.MarshalOptions{Multiline: true}.Marshal(c.lanes.Source())
+			text, err := prototext.MarshalOptions{Multiline: true}.Marshal(c.priority.classes.Source())
 			if err != nil {
 				c.refuse(in.Req, err.Error())
 				return
 			}
-			c.reply(in.Req, 200, wire.Queue{Version: c.lanesMark, Lanes: string(text)})
+			c.reply(in.Req, 200, wire.Queue{Version: c.priority.revision, Lanes: string(text)})
 			return
 		}
 		list := c.queue()
@@ -268,7 +268,7 @@
 			c.reply(in.Req, 200, wire.Queue{Jobs: []wire.QueuedJob{c.queued(list, i, &[]noRoom{})}, All: len(list)})
 			return
 		}
-		out, know := wire.Queue{All: len(list), Version: c.lanesMark}, []noRoom{}
+		out, know := wire.Queue{All: len(list), Version: c.priority.revision}, []noRoom{}
 		for i := max(0, in.After); i < len(list) && len(out.Jobs) < min(max(1, in.Most), queuePage); i++ {
 			if c.mayRead(in.By, list[i]) {
 				out.Jobs = append(out.Jobs, c.queued(list, i, &know))
@@ -288,15 +288,15 @@
 func (c *Core) queue() (list []*job) {
 	for _, j := range c.open {
 		if j.rec != nil && j.rec.Spec != nil && !j.final() && j.rec.Done.Count()+len(j.place) < j.rec.Spec.Tasks {
-			j.missing = c.lostReplicas(j)
+			j.queue.missingReplicas = c.lostReplicas(j)
 			list = append(list, j)
 		}
 	}
 	for _, j := range list {
-		j.rank = c.rankOf(j)
+		j.queue.rank = c.rankOf(j)
 	}
 	slices.SortFunc(list, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(min(a.waits, 1), min(b.waits, 1)), a.rank.compare(b.rank), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(min(a.waits, 1), min(b.waits, 1)), a.queue.rank.compare(b.queue.rank), cmp.Compare(a.id, b.id))
 	})
 	return list
 }
@@ -307,17 +307,17 @@
 	j := list[i]
 	s := j.rec.Spec
 	own, by := c.ownLane(j.rec), c.laneOf(j)
-	q := wire.QueuedJob{ID: j.id, Number: i + 1, Lane: c.lanes.Name(own), Class: s.Class, Team: s.Team, Tasks: s.Tasks, Done: j.rec.Done.Count(),
+	q := wire.QueuedJob{ID: j.id, Number: i + 1, Lane: c.priority.classes.Name(own), Class: s.Class, Team: s.Team, Tasks: s.Tasks, Done: j.rec.Done.Count(),
 		Assigned: len(j.place), WaitedS: max(0, (c.unixMS()-j.rec.AtMS)/1000)}
 	if by != own {
-		q.OrderedAs = c.lanes.Name(by)
+		q.OrderedAs = c.priority.classes.Name(by)
 	}
 	switch {
 	case j.waits > 0:
 		q.For, q.Why = "jobs", "it waits for other jobs to be done"
 	case failing(j.rec, c.unixMS()):
 		q.For, q.Why = "errors", whyFailing(j.rec, c.unixMS())
-	case c.now < j.backoff:
+	case c.now < j.placement.backoffUntil:
 		q.For, q.Why = "errors", "its tasks failed several times in a row; it is tried again in a moment"
 	case !c.teamOf(s).hasRoom(s.Claim):
 		q.For, q.Why = "limit", "its team "+s.Team+" uses all that it may; it begins when other work of the team ends"
@@ -335,7 +335,7 @@
 		return false
 	}
 	any := slices.ContainsFunc(c.alive, func(m *machine) bool {
-		r := c.copy.Row(m.idx)
+		r := c.clusterCopy.state.Row(m.idx)
 		return r != nil && r.Offered && r.Has(s.Claim, s.Spot) && c.usable(m) && c.allowed(s, m)
 	})
 	if !any && s.Types == nil && s.Zone == "" {
--- a/core/lead.go
+++ b/core/lead.go
@@ -72,20 +72,20 @@
 
 // getCatalog keeps the machine types; every controller needs them.
 func (c *Core) getCatalog() {
-	if c.catalogOp || c.now < c.catalogAt {
+	if c.autoscaler.catalogInFlight || c.now < c.autoscaler.nextCatalogAt {
 		return
 	}
-	c.catalogOp = true
+	c.autoscaler.catalogInFlight = true
 	id := c.id()
-	c.clouds[id] = func(in Clouded) {
-		c.catalogOp = false
+	c.autoscaler.calls[id] = func(in Clouded) {
+		c.autoscaler.catalogInFlight = false
 		if in.Status != 200 || in.Catalog == nil {
-			c.catalogAt = c.now + 500*time.Millisecond + c.jitter(time.Second)
+			c.autoscaler.nextCatalogAt = c.now + 500*time.Millisecond + c.jitter(time.Second)
 			return
 		}
-		c.catalogAt = c.now + 45*time.Second + c.jitter(15*time.Second)
-		if c.typesMark == 0 {
-			c.catalogAt = c.now + 5*time.Second // until the leader has kept it
+		c.autoscaler.nextCatalogAt = c.now + 45*time.Second + c.jitter(15*time.Second)
+		if c.autoscaler.storedRevision == 0 {
+			c.autoscaler.nextCatalogAt = c.now + 5*time.Second // until the leader has kept it
 		}
 		c.setCatalog(in.Catalog)
 		c.keepCatalog(in.Catalog)
@@ -105,17 +105,17 @@
 		next[t.Name] = t
 	}
 	if len(next) > 0 {
-		c.catalog, c.types = next, sortedKeys(next)
+		c.autoscaler.catalog, c.autoscaler.typeNames = next, sortedKeys(next)
 	}
 }
 
 // keepCatalog has the leader keep the machine types in the state service: a controller that
 // restarts while the cloud is down would otherwise serve nobody until it is back.
 func (c *Core) keepCatalog(k *wire.Catalog) {
-	if c.lead == nil || c.typesBusy || !c.leaseOK() {
+	if c.lead == nil || c.autoscaler.storeInFlight || !c.leaseOK() {
 		return
 	}
-	same := slices.EqualFunc(k.Types, c.typesKept.Types, func(a, b wire.MachineType) bool {
+	same := slices.EqualFunc(k.Types, c.autoscaler.storedCatalog.Types, func(a, b wire.MachineType) bool {
 		return a.Name == b.Name && a.CPUs == b.CPUs && a.GPUs == b.GPUs && a.MemoryGB == b.MemoryGB && a.Price == b.Price &&
 			a.BootS == b.BootS && slices.Equal(a.Zones, b.Zones)
 	})
@@ -126,9 +126,9 @@
 	if err != nil || len(raw) > c.cfg.ValueBytes {
 		return
 	}
-	c.typesBusy = true
-	t := wire.Txn{If: []wire.Cond{{Key: keyTypes, Mark: c.typesMark}}, Then: []wire.Write{{Put: keyTypes, Value: raw}}}
-	c.commit(t, &txn{done: func(int, wire.TxnReply) { c.typesBusy = false }})
+	c.autoscaler.storeInFlight = true
+	t := wire.Txn{If: []wire.Cond{{Key: keyTypes, Mark: c.autoscaler.storedRevision}}, Then: []wire.Write{{Put: keyTypes, Value: raw}}}
+	c.commit(t, &txn{done: func(int, wire.TxnReply) { c.autoscaler.storeInFlight = false }})
 }
 
 func (c *Core) leadStep() {
@@ -139,8 +139,8 @@
 		}
 		return
 	}
-	if c.lead == nil || c.lead.token != c.leader.Token {
-		c.lead = &lead{token: c.leader.Token, since: c.now, array: ccs.NewArray(), acks: map[string]uint64{},
+	if c.lead == nil || c.lead.token != c.leadership.leader.Token {
+		c.lead = &lead{token: c.leadership.leader.Token, since: c.now, array: ccs.NewArray(), acks: map[string]uint64{},
 			rentals: map[string]*rental{}, stopped: map[int32]time.Duration{}, blocked: map[pool]time.Duration{}, callsAt: c.now}
 		for _, m := range c.alive {
 			r := m.lead.rented
@@ -152,7 +152,7 @@
 	l := c.lead
 	l.calls = min(l.calls+(c.now-l.callsAt).Seconds()*c.cfg.CloudRPS, c.cfg.CloudRPS)
 	l.callsAt = c.now
-	if c.catalog == nil {
+	if c.autoscaler.catalog == nil {
 		return
 	}
 	if c.now >= l.planAt {
@@ -177,7 +177,7 @@
 
 // leadSaw gives a machine a row at its first report.
 func (c *Core) leadSaw(m *machine) {
-	if c.lead == nil || m.gone || !m.up || m.lead.counted != 0 || c.catalog == nil {
+	if c.lead == nil || m.lifecycle.gone || !m.status.reported || m.lead.counted != 0 || c.autoscaler.catalog == nil {
 		return
 	}
 	if c.count(m) {
@@ -187,12 +187,12 @@
 
 // occupied is the room taken on a machine, by the committed assignments and its report.
 func (c *Core) occupied(m *machine) ccs.Vec {
-	if m.occKnown {
-		return m.occ
+	if m.allocation.known {
+		return m.allocation.allocated
 	}
 	var occ ccs.Vec
-	for k, a := range m.asg {
-		if p := m.pieces[attKey{k.job, k.task, a.Try}]; p.state == wire.TaskExited {
+	for k, a := range m.allocation.assignments {
+		if p := m.status.tasks[attKey{k.job, k.task, a.Try}]; p.state == wire.TaskExited {
 			continue // ended, only the write of it is not seen yet
 		}
 		if s := c.jobs[k.job].rec.Spec; s != nil {
@@ -200,11 +200,11 @@
 		}
 	}
 	known := true
-	for k, p := range m.pieces {
+	for k, p := range m.status.tasks {
 		if p.state == wire.TaskExited {
 			continue
 		}
-		if a, ok := m.asg[taskKey{k.job, k.task}]; ok && a.Try == k.try {
+		if a, ok := m.allocation.assignments[taskKey{k.job, k.task}]; ok && a.Try == k.try {
 			continue
 		}
 		if r := c.jobs[k.job].rec; r != nil && r.Spec != nil {
@@ -213,24 +213,24 @@
 			known = false // its job's record may come, without a change here
 		}
 	}
-	m.occ, m.occKnown = occ, known
+	m.allocation.allocated, m.allocation.known = occ, known
 	return occ
 }
 
 // count works out a machine's row.
 func (c *Core) count(m *machine) bool {
-	t := c.catalog[m.typ]
+	t := c.autoscaler.catalog[m.identity.machineType]
 	if t == nil {
 		return false
 	}
-	seen := make([]account.Seen, 0, len(m.asg))
-	for k, a := range m.asg {
+	seen := make([]account.Seen, 0, len(m.allocation.assignments))
+	for k, a := range m.allocation.assignments {
 		if s := c.jobs[k.job].rec.Spec; s != nil {
 			seen = append(seen, account.Seen{Key: taskHash(c.jobs[k.job].id, k.task, a.Try), Claim: s.Claim})
 		}
 	}
-	for k, p := range m.pieces {
-		if a, ok := m.asg[taskKey{k.job, k.task}]; ok && a.Try == k.try || p.state == wire.TaskExited {
+	for k, p := range m.status.tasks {
+		if a, ok := m.allocation.assignments[taskKey{k.job, k.task}]; ok && a.Try == k.try || p.state == wire.TaskExited {
 			continue
 		}
 		if r := c.jobs[k.job].rec; r != nil && r.Spec != nil {
@@ -250,7 +250,7 @@
 }
 
 func (c *Core) offered(m *machine) bool {
-	return m.lead.cordon == 0 && m.lead.why == "" && m.noticed == 0 && !m.returning
+	return m.lead.cordon == 0 && m.lead.why == "" && m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested
 }
 
 // take counts a controller's tuples.
@@ -272,11 +272,11 @@
 	l := c.lead
 	l.pushAt, l.pushNow, l.pushed = c.now+c.cfg.PushEvery, false, c.now
 	for _, m := range c.alive {
-		if m.gone || !m.up {
+		if m.lifecycle.gone || !m.status.reported {
 			continue
 		}
 		// Tuples can be lost: a row with open ones is worked out again now and then.
-		if last := max(m.lead.told, m.changed); last >= m.lead.counted || m.lead.account.Open() && c.now-m.lead.counted > time.Second {
+		if last := max(m.lead.told, m.status.lastChangeAt); last >= m.lead.counted || m.lead.account.Open() && c.now-m.lead.counted > time.Second {
 			c.count(m)
 		}
 		l.array.Offer(m.idx, c.offered(m), m.lead.closed, m.lead.keep)
@@ -296,7 +296,7 @@
 	p.Rev, l.pushRev = rev, rev
 	for _, r := range rows {
 		m := c.machines[r.Machine]
-		p.Rows = append(p.Rows, PushRow{Machine: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot,
+		p.Rows = append(p.Rows, PushRow{Machine: m.name, Type: m.identity.machineType, Zone: m.identity.zone, Spot: m.identity.spot,
 			Avail: r.Avail, Occ: r.Occ, Keep: r.Keep, Last: r.Last, Closed: !r.Offered})
 	}
 	p.Stop, l.stops = l.stops, nil
@@ -317,7 +317,7 @@
 func (l *lead) asked(c *Core, must, silent []string) {
 	look := func(n string) *machine {
 		m := c.machine(n)
-		if !m.gone {
+		if !m.lifecycle.gone {
 			return m
 		}
 		if !slices.Contains(l.goneNew, n) {
@@ -336,10 +336,10 @@
 }
 
 func (c *Core) mustReturn(m *machine, why string) {
-	if m.lead.why == "" && !m.gone {
+	if m.lead.why == "" && !m.lifecycle.gone {
 		m.lead.why = why
-		c.note("info", "machine to be returned", "machine", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot, "why", why,
-			"tasks", len(m.asg), "quiet_ms", (c.now - m.heard).Milliseconds())
+		c.note("info", "machine to be returned", "machine", m.name, "type", m.identity.machineType, "zone", m.identity.zone, "spot", m.identity.spot, "why", why,
+			"tasks", len(m.allocation.assignments), "quiet_ms", (c.now - m.status.lastHeartbeatAt).Milliseconds())
 	}
 }
 
@@ -350,7 +350,7 @@
 	}
 	l.calls--
 	op.ID = c.id()
-	c.clouds[op.ID] = func(in Clouded) {
+	c.autoscaler.calls[op.ID] = func(in Clouded) {
 		if c.lead == l && (in.Status == 429 || in.Status == 0 || in.Status == 503 && in.Error != noCapacity) {
 			l.backoff = c.now + 300*time.Millisecond + c.jitter(300*time.Millisecond)
 		}
@@ -389,14 +389,14 @@
 		l.listed = l.listed || l.listFrom == ""
 		for _, e := range in.Machines {
 			m := c.machine(e.Name)
-			if m.gone {
+			if m.lifecycle.gone {
 				continue
 			}
-			if m.typ == "" {
-				m.typ, m.zone, m.spot = e.Type, e.Zone, e.Spot
+			if m.identity.machineType == "" {
+				m.identity.machineType, m.identity.zone, m.identity.spot = e.Type, e.Zone, e.Spot
 			}
-			if m.addr == "" {
-				m.addr = e.Addr
+			if m.identity.address == "" {
+				m.identity.address = e.Addr
 			}
 			if at := c.now - time.Duration(e.AgeS*float64(time.Second)); m.lead.rented == 0 && e.AgeS >= 0 && e.AgeS < 1e9 {
 				m.lead.rented = at
@@ -412,7 +412,7 @@
 
 // proved records and tells proof that a machine is gone.
 func (c *Core) proved(m *machine) {
-	if m.gone {
+	if m.lifecycle.gone {
 		return
 	}
 	c.markGone(m)
@@ -426,17 +426,17 @@
 	type count struct{ up, silent int }
 	zones, all := map[string]*count{}, &count{}
 	for _, m := range c.alive {
-		if m.gone || !m.up {
+		if m.lifecycle.gone || !m.status.reported {
 			continue
 		}
-		z := zones[m.zone]
+		z := zones[m.identity.zone]
 		if z == nil {
 			z = &count{}
-			zones[m.zone] = z
+			zones[m.identity.zone] = z
 		}
 		for _, n := range []*count{z, all} {
 			n.up++
-			if c.now-m.heard > c.silent()*4/5 {
+			if c.now-m.status.lastHeartbeatAt > c.silent()*4/5 {
 				n.silent++
 			}
 		}
@@ -448,7 +448,7 @@
 			delete(zones, zone)
 			continue
 		}
-		for _, typ := range c.types { // what would be rented there could not be used
+		for _, typ := range c.autoscaler.typeNames { // what would be rented there could not be used
 			for _, spot := range []bool{false, true} {
 				l.blocked[pool{typ, zone, spot}] = c.now + 3*time.Second
 			}
@@ -456,21 +456,21 @@
 	}
 	var others []string // machines that others are to ask
 	for _, m := range c.alive {
-		if m.gone || m.lead.why != "" {
+		if m.lifecycle.gone || m.lead.why != "" {
 			continue
 		}
-		quiet := c.now - m.heard
-		if m.up && quiet > c.reportDue() {
+		quiet := c.now - m.status.lastHeartbeatAt
+		if m.status.reported && quiet > c.reportDue() {
 			others = append(others, m.name)
 		}
-		m.lead.cut = m.up && (zones[m.zone] != nil && quiet > c.reportDue() || c.quiet(m.zone, quietForRoom))
+		m.lead.cut = m.status.reported && (zones[m.identity.zone] != nil && quiet > c.reportDue() || c.quiet(m.identity.zone, quietForRoom))
 		switch {
-		case !m.up:
-			boot := cmp.Or(c.boot(m.typ), 30*time.Second)
-			if c.now-max(m.first, m.lead.rented, l.since-boot) > times(boot, c.cfg.BootPatience)+c.cfg.ListLag*2 {
+		case !m.status.reported:
+			boot := cmp.Or(c.boot(m.identity.machineType), 30*time.Second)
+			if c.now-max(m.identity.firstSeenAt, m.lead.rented, l.since-boot) > times(boot, c.cfg.BootPatience)+c.cfg.ListLag*2 {
 				c.mustReturn(m, "never came up")
 			}
-		case m.noticed > 0 && c.now > m.noticed-1500*time.Millisecond:
+		case m.lifecycle.interruptionDeadline > 0 && c.now > m.lifecycle.interruptionDeadline-1500*time.Millisecond:
 			c.mustReturn(m, "its notice runs out")
 		case m.lead.cut && quiet < c.cutPatience(m) && !c.hurried(m, c.cutPatience(m)-quiet):
 			c.probe(m)
@@ -490,7 +490,7 @@
 // returned when those should be up. When they were returned at once, all tasks there ended
 // while nothing was up to take them.
 func (c *Core) cutPatience(m *machine) time.Duration {
-	ready := c.silent() + c.boot(m.typ) + c.cfg.RentAhead
+	ready := c.silent() + c.boot(m.identity.machineType) + c.cfg.RentAhead
 	return max(c.silent(), min(ready, c.cfg.WorkerLease-c.cfg.RentAhead))
 }
 
@@ -498,10 +498,10 @@
 // that of one which needs it. Machines with replicas are not given up for it: these serve on.
 func (c *Core) hurried(m *machine, wait time.Duration) bool {
 	late := false
-	for k, a := range m.asg {
+	for k, a := range m.allocation.assignments {
 		j := c.jobs[k.job]
 		s := j.rec.Spec
-		if s == nil || j.final() || m.pieces[attKey{k.job, k.task, a.Try}].state == wire.TaskExited {
+		if s == nil || j.final() || m.status.tasks[attKey{k.job, k.task, a.Try}].state == wire.TaskExited {
 			continue
 		}
 		if s.Service {
@@ -525,12 +525,12 @@
 // is asked less and less often, and few are asked at a time: every controller asked every machine of a lost zone once a second,
 // and each question held a socket until its timeout. Machines that answer make room for the next at once.
 func (c *Core) probe(m *machine) {
-	if c.probing >= c.cfg.ProbesMost || !m.up || c.now-m.heard <= c.reportDue() || m.asked > 0 && c.now-m.shown <= time.Second<<min(m.asked-1, 4) {
+	if c.agents.pollsInFlight >= c.cfg.ProbesMost || !m.status.reported || c.now-m.status.lastHeartbeatAt <= c.reportDue() || m.status.polls > 0 && c.now-m.status.lastPollAt <= time.Second<<min(m.status.polls-1, 4) {
 		return
 	}
-	m.shown, m.asked = c.now, m.asked+1
-	c.probing++
-	c.emit(Probe{Machine: m.name, Addr: m.addr})
+	m.status.lastPollAt, m.status.polls = c.now, m.status.polls+1
+	c.agents.pollsInFlight++
+	c.emit(Probe{Machine: m.name, Addr: m.identity.address})
 }
 
 // returnSome returns what must be returned, once at a time and again until it is confirmed.
@@ -543,7 +543,7 @@
 	var due, later []*machine
 	for _, m := range c.alive {
 		switch {
-		case m.gone || m.lead.why == "":
+		case m.lifecycle.gone || m.lead.why == "":
 		case c.horizon(m) < forever:
 			later = append(later, m)
 		default:
@@ -553,7 +553,7 @@
 	due = append(due, later...)
 	names := slices.Clone(l.cleanup[:min(len(l.cleanup), 50)])
 	for _, m := range due[:min(len(due), 100-len(names))] {
-		m.returning = true
+		m.lifecycle.returnRequested = true
 		names = append(names, m.name)
 	}
 	if len(names) == 0 {
@@ -599,8 +599,8 @@
 				}
 				for _, n := range in.Names {
 					m := c.machine(n)
-					if m.typ == "" {
-						m.typ, m.zone, m.spot = p.typ, p.zone, p.spot
+					if m.identity.machineType == "" {
+						m.identity.machineType, m.identity.zone, m.identity.spot = p.typ, p.zone, p.spot
 					}
 					m.lead.rented = c.now
 				}
--- a/core/mistaken.go
+++ b/core/mistaken.go
@@ -73,7 +73,7 @@
 func (c *Core) steady(j *job, place []ledger.Asg) (n int) {
 	for _, a := range place {
 		m := c.machines[a.Machine]
-		if p, ok := m.pieces[attKey{j.idx, a.Task, a.Try}]; ok && p.state == wire.TaskRunning && m.session == a.Session && c.now-p.since >= steadyAfter {
+		if p, ok := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; ok && p.state == wire.TaskRunning && m.status.incarnation == a.Session && c.now-p.since >= steadyAfter {
 			n++
 		}
 	}
@@ -83,11 +83,11 @@
 // faulty reports whether a machine fails whatever runs there: several jobs have failed on it since a task last completed. One that fails everywhere
 // is not among them, however often it fails.
 func (c *Core) faulty(m *machine) bool {
-	if len(m.failed) < faultyJobs || c.now-m.failedAt >= faultyLong {
+	if len(m.health.failedJobs) < faultyJobs || c.now-m.health.lastFailureAt >= faultyLong {
 		return false
 	}
 	n := 0
-	for i := range m.failed {
+	for i := range m.health.failedJobs {
 		if j := c.jobs[i]; j != nil && !mistaken(j.rec, c.unixMS()) {
 			n++
 		}
@@ -101,7 +101,7 @@
 		return false
 	}
 	sound := 0
-	for i := range m.failed {
+	for i := range m.health.failedJobs {
 		if j := c.jobs[i]; j != nil && c.doesWell(j) {
 			sound++
 		}
@@ -114,7 +114,7 @@
 	if j.rec == nil {
 		return false
 	}
-	return j.rec.Stage == ledger.Done || j.rec.Done.Count() > 0 || j.ended > 0 || c.steady(j, j.place) > 0
+	return j.rec.Stage == ledger.Done || j.rec.Done.Count() > 0 || j.placement.completedTasks > 0 || c.steady(j, j.place) > 0
 }
 
 // whyFailing says in plain words what becomes of a job that has done nothing but fail of late.
--- a/core/orders.go
+++ b/core/orders.go
@@ -17,44 +17,46 @@
 	// Requests are sockets, and those to machines that do not answer hold theirs for seconds: in a lost zone that are
 	// all machines at once. So they are bounded, and those that probably hang have a part for themselves.
 	hanging := 0
-	for _, s := range c.sends {
+	for _, s := range c.commands.inFlight {
 		if c.strained(c.machines[s.machine]) {
 			hanging++
 		}
 	}
 	// Only machines where something changed or is not settled yet are looked at.
-	c.hot = slices.DeleteFunc(c.hot, func(m *machine) bool {
-		if m.gone || !m.up {
-			m.hot = false // its first report touches it again
+	c.commands.dirtyMachines = slices.DeleteFunc(c.commands.dirtyMachines, func(m *machine) bool {
+		if m.lifecycle.gone || !m.status.reported {
+			m.commands.queued = false // its first report touches it again
 			return true
 		}
-		if m.send != 0 || c.now < m.nextSend || !m.touched && c.now < m.probed+c.cfg.OrderAgain {
+		if m.commands.requestID != 0 || c.now < m.commands.nextSendAt || !m.commands.dirty && c.now < m.commands.lastExaminedAt+c.cfg.OrderAgain {
 			return false
 		}
 		strained := c.strained(m)
-		if len(c.sends) >= c.cfg.OrdersMost || strained && hanging >= c.cfg.OrdersMost/4 {
+		if len(c.commands.inFlight) >= c.cfg.OrdersMost || strained && hanging >= c.cfg.OrdersMost/4 {
 			return false // another's turn
 		}
-		m.touched = false
-		m.probed = c.now
+		m.commands.dirty = false
+		m.commands.lastExaminedAt = c.now
 		c.Stats.Looks++
 		open := c.orderMachine(m)
-		if strained && m.send != 0 {
+		if strained && m.commands.requestID != 0 {
 			hanging++
 		}
-		m.hot = open || m.send != 0
-		return !m.hot
+		m.commands.queued = open || m.commands.requestID != 0
+		return !m.commands.queued
 	})
 }
 
 // strained reports whether orders to a machine will probably stay without an answer.
-func (c *Core) strained(m *machine) bool { return m.misses > 0 || c.now-m.heard > c.reportDue() }
+func (c *Core) strained(m *machine) bool {
+	return m.commands.unanswered > 0 || c.now-m.status.lastHeartbeatAt > c.reportDue()
+}
 
 func (c *Core) attempt(m *machine, k attKey) *attempt {
-	a := m.att[k]
+	a := m.commands.attempts[k]
 	if a == nil {
 		a = &attempt{}
-		m.att[k] = a
+		m.commands.attempts[k] = a
 	}
 	return a
 }
@@ -84,17 +86,17 @@
 		}
 		list = append(list, due{k, o})
 	}
-	for t, at := range m.asg {
+	for t, at := range m.allocation.assignments {
 		j := c.jobs[t.job]
-		if at.Session != m.session || !c.mine(j) {
+		if at.Session != m.status.incarnation || !c.mine(j) {
 			continue
 		}
 		k := attKey{t.job, t.task, at.Try}
-		p, there := m.pieces[k]
+		p, there := m.status.tasks[k]
 		open = open || !there || j.final()
 		switch {
 		case !there && !j.final():
-			if m.noticed == 0 && !m.returning && c.leaseOK() && c.view.Fresh(c.now) && len(j.cancels) == 0 {
+			if m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested && c.leaseOK() && c.cancelAcks.quorum.Fresh(c.now) && len(j.cancellation.waiters) == 0 {
 				add(wire.OpStart, k, 0)
 			}
 		case !there || p.state == wire.TaskExited:
@@ -102,19 +104,19 @@
 			c.again(m, k)
 			add(wire.OpStop, k, 0)
 		default:
-			if a := m.att[k]; a != nil && a.stop != "" && p.state != wire.TaskSaving {
+			if a := m.commands.attempts[k]; a != nil && a.stop != "" && p.state != wire.TaskSaving {
 				open = true
 				add(wire.OpStop, k, a.grace)
 			}
 		}
 	}
-	for k, p := range m.pieces {
+	for k, p := range m.status.tasks {
 		j := c.jobs[k.job]
-		if a, ok := m.asg[taskKey{k.job, k.task}]; ok && a.Try == k.try && a.Session == m.session || !c.mine(j) {
+		if a, ok := m.allocation.assignments[taskKey{k.job, k.task}]; ok && a.Try == k.try && a.Session == m.status.incarnation || !c.mine(j) {
 			continue
 		}
 		open = true
-		if j.inflight || j.resync || !c.settled(m, j, k) {
+		if j.write.inFlight || j.write.outcomeUnknown || !c.settled(m, j, k) {
 			continue
 		}
 		if j.mark == 0 && !c.orphan(m, j, k) {
@@ -130,23 +132,23 @@
 	}
 	// Nobody waits for a task to be forgotten: that goes with other orders, or after a while.
 	if len(clears) == 0 {
-		m.clearAt = 0
-	} else if m.clearAt == 0 {
-		m.clearAt = c.now + c.cfg.ClearWait
+		m.commands.nextClearAt = 0
+	} else if m.commands.nextClearAt == 0 {
+		m.commands.nextClearAt = c.now + c.cfg.ClearWait
 	}
-	if len(list) > 0 || m.clearAt != 0 && c.now >= m.clearAt || len(clears) > clearMost {
+	if len(list) > 0 || m.commands.nextClearAt != 0 && c.now >= m.commands.nextClearAt || len(clears) > clearMost {
 		for _, k := range clears {
 			add(wire.OpForget, k, 0)
 		}
 	}
-	for k, a := range m.att { // what is neither recorded nor reported is over
+	for k, a := range m.commands.attempts { // what is neither recorded nor reported is over
 		open = open || a.inFlight
-		if _, ok := m.pieces[k]; ok || a.inFlight || c.now-a.sent < 10*time.Second {
+		if _, ok := m.status.tasks[k]; ok || a.inFlight || c.now-a.sent < 10*time.Second {
 			continue
 		}
-		if cur, ok := m.asg[taskKey{k.job, k.task}]; !ok || cur.Try != k.try {
-			if a.lost < m.token || a.lost == 0 {
-				delete(m.att, k)
+		if cur, ok := m.allocation.assignments[taskKey{k.job, k.task}]; !ok || cur.Try != k.try {
+			if a.lost < m.status.fencingToken || a.lost == 0 {
+				delete(m.commands.attempts, k)
 			}
 		}
 	}
@@ -154,19 +156,19 @@
 		return open
 	}
 	slices.SortFunc(list, func(x, y due) int { return x.compare(y.attKey) })
-	body := wire.OrdersBody{Token: c.epoch, Session: m.session}
+	body := wire.OrdersBody{Token: c.leadership.fencingToken, Session: m.status.incarnation}
 	for _, d := range list {
 		body.Orders = append(body.Orders, d.order)
 	}
 	id := c.id()
-	m.send, m.sendTok, m.sendKeys = id, c.epoch, keys
-	o := Orders{ID: id, Machine: m.name, Addr: m.addr, Body: body}
+	m.commands.requestID, m.commands.requestToken, m.commands.requestAttempts = id, c.leadership.fencingToken, keys
+	o := Orders{ID: id, Machine: m.name, Addr: m.identity.address, Body: body}
 	if by := c.otherWay(m); by != "" {
-		c.sends[id] = send{m.idx, c.now + c.cfg.PassTime}
+		c.commands.inFlight[id] = send{m.idx, c.now + c.cfg.PassTime}
 		c.emit(ToPeer{Peer: by, Msg: Msg{Orders: &o}})
 		return true
 	}
-	c.sends[id] = send{machine: m.idx}
+	c.commands.inFlight[id] = send{machine: m.idx}
 	c.emit(o)
 	return true
 }
@@ -175,17 +177,17 @@
 
 // otherWay is the peer by which a machine that does not answer is tried, every other time.
 func (c *Core) otherWay(m *machine) string {
-	in := c.links.InReach(c.now, "")
-	if m.misses%2 == 0 || len(in) == 0 {
+	in := c.controllers.membership.InReach(c.now, "")
+	if m.commands.unanswered%2 == 0 || len(in) == 0 {
 		return ""
 	}
-	return in[m.misses/2%len(in)]
+	return in[m.commands.unanswered/2%len(in)]
 }
 
 // expireSends gives up requests passed on by others that stay without an outcome.
 func (c *Core) expireSends() {
-	for _, id := range sortedKeys(c.sends) {
-		if s := c.sends[id]; s.by != 0 && c.now >= s.by {
+	for _, id := range sortedKeys(c.commands.inFlight) {
+		if s := c.commands.inFlight[id]; s.by != 0 && c.now >= s.by {
 			c.ordered(Ordered{ID: id, Sent: true})
 		}
 	}
@@ -210,15 +212,15 @@
 
 // again lets a different order for an attempt go out at once.
 func (c *Core) again(m *machine, k attKey) {
-	if a := m.att[k]; a != nil && !a.switched {
+	if a := m.commands.attempts[k]; a != nil && !a.switched {
 		a.switched = true
 		a.everSent = false
 	}
 }
 
 func (c *Core) ordered(in Ordered) {
-	if r, ok := c.relayed[in.ID]; ok {
-		delete(c.relayed, in.ID)
+	if r, ok := c.commands.relayed[in.ID]; ok {
+		delete(c.commands.relayed, in.ID)
 		if in.Report != nil {
 			c.observe(in.Report, true)
 		}
@@ -226,29 +228,29 @@
 		c.tell(r.peer, Msg{Ordered: &in})
 		return
 	}
-	s, ok := c.sends[in.ID]
+	s, ok := c.commands.inFlight[in.ID]
 	if !ok {
 		return
 	}
-	delete(c.sends, in.ID)
+	delete(c.commands.inFlight, in.ID)
 	m := c.machines[s.machine]
-	m.send = 0
-	m.misses++
+	m.commands.requestID = 0
+	m.commands.unanswered++
 	if in.Status != 0 {
-		m.misses = 0
+		m.commands.unanswered = 0
 	} else {
-		m.missed = c.now
+		m.commands.lastUnansweredAt = c.now
 	}
 	answered := in.Status == 200 || in.Status == 409 || !in.Sent
-	for _, k := range m.sendKeys {
-		if a := m.att[k]; a != nil {
+	for _, k := range m.commands.requestAttempts {
+		if a := m.commands.attempts[k]; a != nil {
 			a.inFlight = false
 			if !answered {
-				a.lost = max(a.lost, m.sendTok)
+				a.lost = max(a.lost, m.commands.requestToken)
 			}
 		}
 	}
-	m.sendKeys = nil
+	m.commands.requestAttempts = nil
 	c.touchMachine(m)
 	if in.Report != nil && in.Report.Machine == m.name {
 		c.observe(in.Report, true)
@@ -256,12 +258,12 @@
 	switch in.Status {
 	case 200:
 	case 409:
-		m.nextSend = c.now + 300*time.Millisecond
-		if in.Report != nil && in.Report.Token > c.epoch {
+		m.commands.nextSendAt = c.now + 300*time.Millisecond
+		if in.Report != nil && in.Report.Token > c.leadership.fencingToken {
 			c.afterBarrier(func(bool) {})
 		}
 	default:
-		m.nextSend = c.now + c.cfg.OrderAgain
+		m.commands.nextSendAt = c.now + c.cfg.OrderAgain
 	}
 }
 
@@ -280,12 +282,12 @@
 // gains nothing: those that should not complete in time restart elsewhere at once, and those
 // that save are given the time for it.
 func (c *Core) drain() {
-	if c.now < c.drainAt {
+	if c.now < c.commands.nextDrainAt {
 		return
 	}
-	c.drainAt = c.now + 100*time.Millisecond
+	c.commands.nextDrainAt = c.now + 100*time.Millisecond
 	for _, m := range c.alive {
-		if m.gone || m.noticed == 0 {
+		if m.lifecycle.gone || m.lifecycle.interruptionDeadline == 0 {
 			continue
 		}
 		for _, t := range m.sortedTasks() {
@@ -296,11 +298,11 @@
 			}
 			k := attKey{t.job, t.Task, t.Try}
 			a := c.attempt(m, k)
-			p, there := m.pieces[k]
+			p, there := m.status.tasks[k]
 			if a.stop != "" || !there || p.state == wire.TaskExited || p.state == wire.TaskSaving {
 				continue
 			}
-			notice := m.noticed - c.now
+			notice := m.lifecycle.interruptionDeadline - c.now
 			left := time.Duration(s.EstimateMS) * time.Millisecond
 			save := time.Duration(s.SaveMS) * time.Millisecond
 			if p.state == wire.TaskRunning {
@@ -338,7 +340,7 @@
 		if !c.mine(j) {
 			return
 		}
-		if t := m.att[attKey{j.idx, a.Task, a.Try}]; t != nil && t.lost != 0 && m.token <= t.lost && c.epoch <= t.lost {
+		if t := m.commands.attempts[attKey{j.idx, a.Task, a.Try}]; t != nil && t.lost != 0 && m.status.fencingToken <= t.lost && c.leadership.fencingToken <= t.lost {
 			c.bump()
 		}
 		if age > time.Duration(c.cfg.CancelShare*float64(c.cfg.CancelIn)) {
@@ -373,9 +375,9 @@
 	due := map[string]bool{}
 	c.unproven(func(j *job, a ledger.Asg, m *machine, age time.Duration) {
 		share := rescueShare
-		if c.now-max(m.heard, c.awake) > c.silent() {
+		if c.now-max(m.status.lastHeartbeatAt, c.stalls.runningSince) > c.silent() {
 			share = c.cfg.CancelShare
-		} else if _, there := m.pieces[attKey{j.idx, a.Task, a.Try}]; !there {
+		} else if _, there := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; !there {
 			return // it has ended and was cleared by somebody with newer records; one that may still come is mayComeBack's
 		}
 		if age > time.Duration((share+rescueRank*float64(c.order(m)))*float64(c.cfg.CancelIn)) {
@@ -390,7 +392,7 @@
 	c.note("info", "machines returned in an outage: cancelled tasks may be on them", "machines", names)
 	r.busy = true
 	op := CloudOp{ID: c.id(), Op: "return", Names: names}
-	c.clouds[op.ID] = func(in Clouded) {
+	c.autoscaler.calls[op.ID] = func(in Clouded) {
 		r.busy = false
 		if in.Status == 200 {
 			for _, n := range names {
--- a/core/own.go
+++ b/core/own.go
@@ -19,50 +19,52 @@
 	if c.unfit() || c.blind() { // it must not act: its lease runs out, and others take over
 		return
 	}
-	if c.leaseOp != "" || c.now < c.leaseSent+150*time.Millisecond {
+	if c.ownLease.opInFlight != "" || c.now < c.ownLease.requestSentAt+150*time.Millisecond {
 		return
 	}
 	switch {
-	case c.lease == 0:
-		c.leaseOp = "grant"
-	case c.now >= c.leaseUntil-c.cfg.Lease*2/3:
-		c.leaseOp = "extend"
+	case c.ownLease.id == 0:
+		c.ownLease.opInFlight = "grant"
+	case c.now >= c.ownLease.expiresAt-c.cfg.Lease*2/3:
+		c.ownLease.opInFlight = "extend"
 	default:
 		return
 	}
-	c.leaseSent = c.now
-	c.emit(LeaseOp{Op: c.leaseOp, TTL: c.cfg.Lease, Lease: c.lease})
+	c.ownLease.requestSentAt = c.now
+	c.emit(LeaseOp{Op: c.ownLease.opInFlight, TTL: c.cfg.Lease, Lease: c.ownLease.id})
 }
 
 // blind reports whether reads of changes have stayed without an answer for a while. Such a controller may write and hold its lease, and know neither
 // what it holds nor what others do: one that had just begun to lead did nothing for twenty seconds, and nobody else could.
-func (c *Core) blind() bool { return c.readLost != 0 && c.now-c.readLost > blindAfter }
+func (c *Core) blind() bool {
+	return c.storeHealth.firstLostReadAt != 0 && c.now-c.storeHealth.firstLostReadAt > blindAfter
+}
 
 const blindAfter = 5 * time.Second // two reads in a row without an answer, and some
 
 func (c *Core) leased(in Leased) {
-	if in.Op != c.leaseOp {
+	if in.Op != c.ownLease.opInFlight {
 		return
 	}
 	c.stateAnswered(in.Status)
-	c.leaseOp = ""
+	c.ownLease.opInFlight = ""
 	switch {
 	case in.Status == 200 && in.Op == "grant" && in.Lease != 0:
-		c.lease = in.Lease
-		c.leaseUntil = c.leaseSent + c.cfg.Lease
+		c.ownLease.id = in.Lease
+		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Lease
 	case in.Status == 200 && in.Op == "extend":
 		// Counted from the sending: the service counts from its receipt, later.
-		c.leaseUntil = c.leaseSent + c.cfg.Lease
+		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Lease
 	case in.Status == 404 && in.Op == "extend":
-		c.note("info", "lease lost", "lease", c.lease)
-		c.lease = 0
+		c.note("info", "lease lost", "lease", c.ownLease.id)
+		c.ownLease.id = 0
 	}
 }
 
 // live lists the controllers with a lease, this one included, in name order.
 func (c *Core) live() []string {
 	out := []string{c.cfg.Name}
-	for n := range c.nodes {
+	for n := range c.controllers.nodeKeys {
 		if n != c.cfg.Name {
 			out = append(out, n)
 		}
@@ -73,7 +75,7 @@
 
 // there reports whether a controller holds a lease, as far as is known here.
 func (c *Core) there(name string) bool {
-	_, ok := c.nodes[name]
+	_, ok := c.controllers.nodeKeys[name]
 	return ok
 }
 
@@ -101,36 +103,36 @@
 
 // own claims absent shards and the leadership, and gives up surplus shards.
 func (c *Core) own() {
-	if c.mute() || !c.leaseOK() || c.claiming || c.now < c.claimAt || c.budget.Paused(c.now) {
+	if c.mute() || !c.leaseOK() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt || c.transactions.rateLimit.Paused(c.now) {
 		return
 	}
-	node, have := c.nodes[c.cfg.Name]
+	node, have := c.controllers.nodeKeys[c.cfg.Name]
 	live := c.live()
 	var t wire.Txn
 	ops := 0
-	if !have || node.Lease != c.lease {
+	if !have || node.Lease != c.ownLease.id {
 		t.If = append(t.If, wire.Cond{Key: keyNode + c.cfg.Name, Mark: node.mark})
-		t.Then = append(t.Then, wire.Write{Put: keyNode + c.cfg.Name, Value: c.heldValue(0), Lease: c.lease})
+		t.Then = append(t.Then, wire.Write{Put: keyNode + c.cfg.Name, Value: c.heldValue(0), Lease: c.ownLease.id})
 		ops++
 	}
 	// Everyone has a moment to show itself, so that the shards spread at a common start.
 	settled := have && c.now-c.started > 700*time.Millisecond
-	fair := (len(c.shards) + len(live) - 1) / len(live)
+	fair := (len(c.ownership.shards) + len(live) - 1) / len(live)
 	counts := map[string]int{}
-	for i := range c.shards {
-		if s := &c.shards[i]; s.mark != 0 {
+	for i := range c.ownership.shards {
+		if s := &c.ownership.shards[i]; s.mark != 0 {
 			counts[s.Node]++
 		}
 	}
-	count, fewest, most := counts[c.cfg.Name], len(c.shards), 0
+	count, fewest, most := counts[c.cfg.Name], len(c.ownership.shards), 0
 	for _, n := range live {
 		fewest, most = min(fewest, counts[n]), max(most, counts[n])
 	}
 	// Twelve shards among five: by the rounded share alone, four had three and one none.
 	uneven := count == most && most-fewest >= 2
 	var claims []int
-	for i := range c.shards {
-		s := &c.shards[i]
+	for i := range c.ownership.shards {
+		s := &c.ownership.shards[i]
 		if c.mineShard(i) || ops+len(claims)+2+c.besides() > c.cfg.TxnOps {
 			continue
 		}
@@ -150,41 +152,41 @@
 		}
 	}
 	lead := false
-	if c.leader.mark == 0 && settled && c.now-c.leader.since >= time.Duration(c.rank(keyLeader, live))*300*time.Millisecond ||
-		c.leader.mark != 0 && c.leader.Node == c.cfg.Name && c.leader.Lease != c.lease {
+	if c.leadership.leader.mark == 0 && settled && c.now-c.leadership.leader.since >= time.Duration(c.rank(keyLeader, live))*300*time.Millisecond ||
+		c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name && c.leadership.leader.Lease != c.ownLease.id {
 		lead = ops+len(claims)+2+c.besides() <= c.cfg.TxnOps
 	}
 	told := func(int) {}
 	if len(claims) > 0 || lead {
-		token := c.epoch + 1
-		t.If = append(t.If, wire.Cond{Key: keyEpoch, Mark: c.epochMk})
+		token := c.leadership.fencingToken + 1
+		t.If = append(t.If, wire.Cond{Key: keyEpoch, Mark: c.leadership.fencingTokenRevision})
 		t.Then = append(t.Then, wire.Write{Put: keyEpoch, Value: json.RawMessage(fmt.Sprint(token))})
 		for _, i := range claims {
-			t.If = append(t.If, wire.Cond{Key: shardKey(i), Mark: c.shards[i].mark})
-			t.Then = append(t.Then, wire.Write{Put: shardKey(i), Value: c.heldValue(token), Lease: c.lease})
+			t.If = append(t.If, wire.Cond{Key: shardKey(i), Mark: c.ownership.shards[i].mark})
+			t.Then = append(t.Then, wire.Write{Put: shardKey(i), Value: c.heldValue(token), Lease: c.ownLease.id})
 		}
 		if lead {
-			t.If = append(t.If, wire.Cond{Key: keyLeader, Mark: c.leader.mark})
-			t.Then = append(t.Then, wire.Write{Put: keyLeader, Value: c.heldValue(token), Lease: c.lease})
+			t.If = append(t.If, wire.Cond{Key: keyLeader, Mark: c.leadership.leader.mark})
+			t.Then = append(t.Then, wire.Write{Put: keyLeader, Value: c.heldValue(token), Lease: c.ownLease.id})
 		}
 		told = c.carryBeside(&t, "take/"+c.cfg.Name, recorder.Act{Verb: recorder.Take, Object: taken(claims, lead), Why: fmt.Sprintf("token %d", token)})
-	} else if ops == 0 && (count > fair || uneven) && c.now >= c.giveAt {
-		c.giveAt = c.now + 1500*time.Millisecond
+	} else if ops == 0 && (count > fair || uneven) && c.now >= c.ownership.nextHandoverAt {
+		c.ownership.nextHandoverAt = c.now + 1500*time.Millisecond
 		if i := c.surplus(); i >= 0 {
-			t.If = append(t.If, wire.Cond{Key: shardKey(i), Mark: c.shards[i].mark})
+			t.If = append(t.If, wire.Cond{Key: shardKey(i), Mark: c.ownership.shards[i].mark})
 			t.Then = append(t.Then, wire.Write{Delete: shardKey(i)})
 		}
 	}
 	if len(t.Then) == 0 {
 		return
 	}
-	c.claiming = true
-	c.claimAt = c.now + 100*time.Millisecond
+	c.ownership.claimInFlight = true
+	c.ownership.nextClaimAt = c.now + 100*time.Millisecond
 	c.commit(t, &txn{done: func(status int, _ wire.TxnReply) {
-		c.claiming = false
+		c.ownership.claimInFlight = false
 		told(status)
 		if status != 200 {
-			c.claimAt = c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond)
+			c.ownership.nextClaimAt = c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond)
 		}
 		// What came of it is learnt from the stream of changes, in its order.
 		c.afterBarrier(func(bool) {})
@@ -204,7 +206,7 @@
 }
 
 func (c *Core) heldValue(token uint64) json.RawMessage {
-	raw, err := json.Marshal(held{Node: c.cfg.Name, Lease: c.lease, Token: token})
+	raw, err := json.Marshal(held{Node: c.cfg.Name, Lease: c.ownLease.id, Token: token})
 	if err != nil {
 		panic(err) // a struct of strings and numbers
 	}
@@ -215,13 +217,13 @@
 func (c *Core) surplus() int {
 	live := c.live()
 	best, bestRank := -1, -1
-	for i := range c.shards {
+	for i := range c.ownership.shards {
 		if !c.mineShard(i) {
 			continue
 		}
 		busy := false
 		for _, j := range c.open {
-			if j.rec != nil && j.rec.Shard == i && (j.inflight || j.resync) {
+			if j.rec != nil && j.rec.Shard == i && (j.write.inFlight || j.write.outcomeUnknown) {
 				busy = true
 				break
 			}
@@ -243,7 +245,7 @@
 			}
 		}
 	}
-	c.room = true
+	c.placement.capacityFreed = true
 	for _, m := range c.alive {
 		c.touchMachine(m)
 	}
@@ -252,15 +254,15 @@
 // bump raises the token, so that orders on their way can't be executed any more once the
 // machine has seen it.
 func (c *Core) bump() {
-	if c.bumping || c.claiming || c.now < c.bumpAt || !c.leaseOK() || c.budget.Paused(c.now) {
+	if c.leadership.raiseInFlight || c.ownership.claimInFlight || c.now < c.leadership.nextRaiseAt || !c.leaseOK() || c.transactions.rateLimit.Paused(c.now) {
 		return
 	}
-	c.bumping = true
-	c.bumpAt = c.now + 5*time.Second
-	t := wire.Txn{If: []wire.Cond{{Key: keyEpoch, Mark: c.epochMk}},
-		Then: []wire.Write{{Put: keyEpoch, Value: json.RawMessage(fmt.Sprint(c.epoch + 1))}}}
+	c.leadership.raiseInFlight = true
+	c.leadership.nextRaiseAt = c.now + 5*time.Second
+	t := wire.Txn{If: []wire.Cond{{Key: keyEpoch, Mark: c.leadership.fencingTokenRevision}},
+		Then: []wire.Write{{Put: keyEpoch, Value: json.RawMessage(fmt.Sprint(c.leadership.fencingToken + 1))}}}
 	c.commit(t, &txn{done: func(status int, _ wire.TxnReply) {
-		c.bumping = false
+		c.leadership.raiseInFlight = false
 		c.afterBarrier(func(bool) {})
 	}})
 }
@@ -270,13 +272,13 @@
 // controller that had just started, or that was one too many for the shards, refused users.)
 func (c *Core) pickShard() int {
 	var own []int
-	for i := range c.shards {
+	for i := range c.ownership.shards {
 		if c.mineShard(i) {
 			own = append(own, i)
 		}
 	}
 	if len(own) == 0 {
-		return c.rng.IntN(len(c.shards))
+		return c.rng.IntN(len(c.ownership.shards))
 	}
 	return own[c.rng.IntN(len(own))]
 }
--- a/core/peers.go
+++ b/core/peers.go
@@ -17,7 +17,7 @@
 		if peer != "" && peer != to {
 			continue
 		}
-		if by := c.links.Way(c.now, to); by != "" {
+		if by := c.controllers.membership.Way(c.now, to); by != "" {
 			via := m
 			via.To, via.From = to, c.cfg.Name
 			c.emit(ToPeer{Peer: by, Msg: via})
@@ -30,9 +30,9 @@
 // waitingHere lists, of each lane, the first of this controller's jobs that wait for room, and have for so long that others give way. What
 // is short for seconds is had by whoever can use it at once: when all gave way after a second, hardly any work began within two.
 func (c *Core) waitingHere() (out []Waiting) {
-	first := make([]*job, c.lanes.Len())
+	first := make([]*job, c.priority.classes.Len())
 	for _, j := range c.open {
-		if !j.pending || j.inflight || !c.mine(j) || j.rec.Spec == nil || j.rec.Spec.Types != nil || j.rec.Spec.Zone != "" || c.now < j.backoff ||
+		if !j.placement.hasUnplacedTasks || j.write.inFlight || !c.mine(j) || j.rec.Spec == nil || j.rec.Spec.Types != nil || j.rec.Spec.Zone != "" || c.now < j.placement.backoffUntil ||
 			c.unixMS()-j.turn() < c.cfg.GiveWay.Milliseconds() || !c.teamOf(j.rec.Spec).hasRoom(j.rec.Spec.Claim) {
 			continue
 		}
@@ -52,46 +52,46 @@
 // a moment after it was accepted: when they were placed with its acceptance, which comes before all placements, new jobs passed those that
 // had waited longest.
 func (c *Core) othersFirst(s *wire.Spec) bool {
-	return len(c.waits) > 0 && c.waits[0].Priority <= c.lanes.Of(s) && (c.waits[0].Spot || !s.Spot)
+	return len(c.priority.firstWaiting) > 0 && c.priority.firstWaiting[0].Priority <= c.priority.classes.Of(s) && (c.priority.firstWaiting[0].Spot || !s.Spot)
 }
 
 // waitsBehind reports whether a job that waits comes after another of this controller's that does. When it was looked at by itself, as soon as it
 // was accepted, it had room that had come free since the others were.
 func (c *Core) waitsBehind(j *job) bool {
-	if len(c.waits) == 0 || j.rec.Spec == nil {
+	if len(c.priority.firstWaiting) == 0 || j.rec.Spec == nil {
 		return false
 	}
-	w, lane := c.waits[0], c.laneOf(j)
+	w, lane := c.priority.firstWaiting[0], c.laneOf(j)
 	return w.Priority < lane || w.Priority == lane && w.AtMS < j.turn()
 }
 
 // tellHealth tells the others whether the state service is in reach here. A controller that
 // has not loaded yet does so too: in an outage, the ones left need a majority's word for it.
 func (c *Core) tellHealth() {
-	if c.now >= c.healthAt {
-		c.healthAt = c.now + c.cfg.HealthEvery
-		c.waits = c.waitingHere()
-		c.emit(ToPeer{Msg: Msg{Health: &Health{StateOK: c.stateFresh(), Used: c.budget.Used(c.cfg.HealthEvery), Hears: c.links.InReach(c.now, ""), Loading: c.pagesRead(), Wait: c.waits, Upto: c.heldUpTo()}}})
+	if c.now >= c.controllers.nextHealthAt {
+		c.controllers.nextHealthAt = c.now + c.cfg.HealthEvery
+		c.priority.firstWaiting = c.waitingHere()
+		c.emit(ToPeer{Msg: Msg{Health: &Health{StateOK: c.stateFresh(), Used: c.transactions.rateLimit.Used(c.cfg.HealthEvery), Hears: c.controllers.membership.InReach(c.now, ""), Loading: c.pagesRead(), Wait: c.priority.firstWaiting, Upto: c.heldUpTo()}}})
 		c.shareBudget()
 	}
 }
 
 // pagesRead is how many pages of all keys were read, while they are.
 func (c *Core) pagesRead() int {
-	if c.loaded {
+	if c.replica.loaded {
 		return 0
 	}
-	return c.loadPages
+	return c.replica.pagesRead
 }
 
 func (c *Core) tellPeers() {
-	if c.now >= c.deltaAt {
-		c.deltaAt = c.now + c.cfg.DeltaEvery
+	if c.now >= c.deltaLog.nextBatchAt {
+		c.deltaLog.nextBatchAt = c.now + c.cfg.DeltaEvery
 		c.sendDeltas()
 		c.sendReports()
 	}
-	if c.now >= c.askAt {
-		c.askAt = c.now + time.Second
+	if c.now >= c.commands.nextReturnRequestAt {
+		c.commands.nextReturnRequestAt = c.now + time.Second
 		c.ask()
 	}
 }
@@ -100,13 +100,13 @@
 // to the other controllers as well, so that no two of them choose the same room between two
 // pushes. A batch is kept until a push shows that the leader counted it.
 func (c *Core) sendDeltas() {
-	if len(c.deltas) == 0 || c.leader.mark == 0 {
+	if len(c.deltaLog.unsent) == 0 || c.leadership.leader.mark == 0 {
 		return
 	}
-	c.batchSeq++
-	c.keepBatch(c.cfg.Name, deltaBatch{c.batchSeq, c.now, c.leader.Token, c.deltas})
-	d := &Deltas{Seq: c.batchSeq, List: c.deltas}
-	c.deltas = nil
+	c.deltaLog.lastSeq++
+	c.keepBatch(c.cfg.Name, deltaBatch{c.deltaLog.lastSeq, c.now, c.leadership.leader.Token, c.deltaLog.unsent})
+	d := &Deltas{Seq: c.deltaLog.lastSeq, List: c.deltaLog.unsent}
+	c.deltaLog.unsent = nil
 	if c.lead != nil {
 		c.lead.take(c, c.cfg.Name, d)
 	}
@@ -119,26 +119,26 @@
 // nothing new, most of them in a large fleet, go as a line each.
 func (c *Core) sendReports() {
 	var heard []Heard
-	if c.now >= c.heardAt {
-		c.heardAt = c.now + c.eased(heardBatch*c.cfg.DeltaEvery)
-		heard, c.heardOf = c.heardOf, nil
+	if c.now >= c.agents.nextDigestAt {
+		c.agents.nextDigestAt = c.now + c.eased(heardBatch*c.cfg.DeltaEvery)
+		heard, c.agents.digestsToRelay = c.agents.digestsToRelay, nil
 	}
-	if len(c.reports)+len(heard) > 0 {
-		c.tell("", Msg{Reports: c.reports, Heard: heard})
-		c.reports = nil
+	if len(c.agents.heartbeatsToRelay)+len(heard) > 0 {
+		c.tell("", Msg{Reports: c.agents.heartbeatsToRelay, Heard: heard})
+		c.agents.heartbeatsToRelay = nil
 	}
-	for _, peer := range sortedKeys(c.wanted) {
-		c.tell(peer, Msg{Want: c.wanted[peer]})
-		delete(c.wanted, peer)
+	for _, peer := range sortedKeys(c.agents.missingHeartbeats) {
+		c.tell(peer, Msg{Want: c.agents.missingHeartbeats[peer]})
+		delete(c.agents.missingHeartbeats, peer)
 	}
 }
 
 func (c *Core) keepBatch(from string, b deltaBatch) {
-	list := append(c.batches[from], b)
+	list := append(c.deltaLog.uncounted[from], b)
 	if len(list) > 64 {
 		list = list[len(list)-64:]
 	}
-	c.batches[from] = list
+	c.deltaLog.uncounted[from] = list
 }
 
 // ask names to the leader machines whose return is needed as proof: those that hold cancelled
@@ -152,11 +152,11 @@
 	must := c.sweepCancels()
 	var silent []string
 	for _, m := range c.alive {
-		if m.gone || !c.concerns(m) {
+		if m.lifecycle.gone || !c.concerns(m) {
 			continue
 		}
 		c.probe(m)
-		if c.now-m.heard > c.silent()+2*time.Second {
+		if c.now-m.status.lastHeartbeatAt > c.silent()+2*time.Second {
 			silent = append(silent, m.name)
 		}
 	}
@@ -165,14 +165,14 @@
 	}
 	if c.lead != nil {
 		c.lead.asked(c, must, silent)
-	} else if c.leader.mark != 0 {
-		c.tell(c.leader.Node, Msg{Return: must, Silent: silent})
+	} else if c.leadership.leader.mark != 0 {
+		c.tell(c.leadership.leader.Node, Msg{Return: must, Silent: silent})
 	}
 }
 
 // concerns reports whether a machine holds tasks of this controller's jobs.
 func (c *Core) concerns(m *machine) bool {
-	for k := range m.asg {
+	for k := range m.allocation.assignments {
 		if c.mine(c.jobs[k.job]) {
 			return true
 		}
@@ -181,27 +181,27 @@
 }
 
 func (c *Core) fromPeer(in FromPeer) {
-	p := c.links.Peer(in.Peer)
+	p := c.controllers.membership.Peer(in.Peer)
 	if p == nil {
 		return
 	}
 	m := in.Msg
-	c.links.Heard(c.now, in.Peer)
+	c.controllers.membership.Heard(c.now, in.Peer)
 	if m.To != "" {
 		if m.To != c.cfg.Name {
-			if c.links.Peer(m.To) != nil && m.From == in.Peer {
+			if c.controllers.membership.Peer(m.To) != nil && m.From == in.Peer {
 				c.emit(ToPeer{Peer: m.To, Msg: m})
 			}
 			return
 		}
-		if c.links.Peer(m.From) == nil {
+		if c.controllers.membership.Peer(m.From) == nil {
 			return
 		}
 		in.Peer = m.From
 	}
 	if m.Orders != nil {
 		id := c.id()
-		c.relayed[id] = relayed{in.Peer, m.Orders.ID}
+		c.commands.relayed[id] = relayed{in.Peer, m.Orders.ID}
 		o := *m.Orders
 		o.ID = id
 		c.emit(o)
@@ -211,7 +211,7 @@
 	}
 	c.quorumMsg(in.Peer, &m)
 	if m.Health != nil {
-		c.view.Acked(in.Peer, m.Health.Upto)
+		c.cancelAcks.quorum.Acked(in.Peer, m.Health.Upto)
 		p.StateOK, p.Used, p.Hears, p.Loading = m.Health.StateOK, max(0, m.Health.Used), m.Health.Hears, m.Health.Loading
 		p.Waits = p.Waits[:0]
 		for _, w := range m.Health.Wait {
@@ -236,10 +236,10 @@
 		}
 		// A push may have counted it already: it came by another way. Counted twice, an end would
 		// show room on a full machine until the row changes.
-		if m.Deltas.Seq > c.copyAcks[in.Peer] || c.copyTok != c.leader.Token {
-			c.keepBatch(in.Peer, deltaBatch{m.Deltas.Seq, 0, c.leader.Token, m.Deltas.List})
+		if m.Deltas.Seq > c.clusterCopy.countedBatches[in.Peer] || c.clusterCopy.leaderToken != c.leadership.leader.Token {
+			c.keepBatch(in.Peer, deltaBatch{m.Deltas.Seq, 0, c.leadership.leader.Token, m.Deltas.List})
 			c.reapply(m.Deltas.List)
-			c.room = true
+			c.placement.capacityFreed = true
 		}
 	}
 	if len(m.Return)+len(m.Silent) > 0 && c.lead != nil {
@@ -258,7 +258,7 @@
 func (c *Core) sendWanted(peer string, names []string) {
 	var rs []*wire.Report
 	for _, n := range names {
-		if i, ok := c.machineIdx[n]; ok && c.machines[i].up && !c.machines[i].gone {
+		if i, ok := c.machineIdx[n]; ok && c.machines[i].status.reported && !c.machines[i].lifecycle.gone {
 			rs = append(rs, c.reportOf(c.machines[i]))
 		}
 	}
@@ -276,9 +276,9 @@
 		if !ok {
 			continue
 		}
-		if m := c.machines[i]; c.now-m.heard <= c.reportDue() {
+		if m := c.machines[i]; c.now-m.status.lastHeartbeatAt <= c.reportDue() {
 			known = append(known, n)
-		} else if !m.gone {
+		} else if !m.lifecycle.gone {
 			c.probe(m)
 		}
 	}
@@ -289,7 +289,7 @@
 // may be cut off from each other: the machines of one that had reported to the other are well,
 // but take longer to find a controller in reach than a silent machine is waited for.
 func (l *lead) askOthers(c *Core, quiet []string) {
-	in := c.links.InReach(c.now, "")
+	in := c.controllers.membership.InReach(c.now, "")
 	if len(quiet) == 0 || len(in) == 0 {
 		return
 	}
@@ -305,52 +305,52 @@
 	}
 	for _, x := range p.Stop {
 		m, j := c.machine(x.Machine), c.job(x.Job)
-		if a, ok := m.asg[taskKey{j.idx, x.Task}]; ok && a.Try == x.Try && c.mine(j) && !j.final() {
+		if a, ok := m.allocation.assignments[taskKey{j.idx, x.Task}]; ok && a.Try == x.Try && c.mine(j) && !j.final() {
 			c.stopTask(m, attKey{j.idx, x.Task, x.Try}, j.rec.Spec, "made room for higher priority")
 		}
 	}
-	c.hold = p.Hold
+	c.clusterCopy.capacityHold = p.Hold
 	whole := p.After == 0
-	if !whole && (p.Token != c.copyTok || p.After != c.copyRev) {
+	if !whole && (p.Token != c.clusterCopy.leaderToken || p.After != c.clusterCopy.revision) {
 		// A push was lost on the way. The copy ages until the whole array comes.
-		if c.now >= c.resendAt && c.leader.mark != 0 {
-			c.resendAt = c.now + 500*time.Millisecond
-			c.tell(c.leader.Node, Msg{Resend: true})
+		if c.now >= c.clusterCopy.nextResendAt && c.leadership.leader.mark != 0 {
+			c.clusterCopy.nextResendAt = c.now + 500*time.Millisecond
+			c.tell(c.leadership.leader.Node, Msg{Resend: true})
 		}
 		return
 	}
-	c.copyTok, c.copyRev, c.copyAcks = p.Token, p.Rev, p.Acks
+	c.clusterCopy.leaderToken, c.clusterCopy.revision, c.clusterCopy.countedBatches = p.Token, p.Rev, p.Acks
 	rows := make([]ccs.Row, 0, len(p.Rows))
 	for _, r := range p.Rows {
 		m := c.machine(r.Machine)
-		if m.gone {
+		if m.lifecycle.gone {
 			continue
 		}
-		if m.typ == "" {
-			m.typ, m.zone, m.spot = r.Type, r.Zone, r.Spot
+		if m.identity.machineType == "" {
+			m.identity.machineType, m.identity.zone, m.identity.spot = r.Type, r.Zone, r.Spot
 		}
 		rows = append(rows, ccs.Row{Machine: m.idx, Avail: r.Avail, Occ: r.Occ, Keep: r.Keep, Last: r.Last, Offered: !r.Closed})
 	}
 	var pending []ccs.Delta
-	for _, from := range sortedKeys(c.batches) {
+	for _, from := range sortedKeys(c.deltaLog.uncounted) {
 		// A new leader seeds from reports instead.
-		c.batches[from] = slices.DeleteFunc(c.batches[from], func(b deltaBatch) bool {
+		c.deltaLog.uncounted[from] = slices.DeleteFunc(c.deltaLog.uncounted[from], func(b deltaBatch) bool {
 			if from == c.cfg.Name && b.token == p.Token && b.seq <= p.Acks[from] {
-				c.ackTime += (c.now - b.sent - c.ackTime) / 8
+				c.deltaLog.countingDelay += (c.now - b.sent - c.deltaLog.countingDelay) / 8
 			}
 			return b.token != p.Token || b.seq <= p.Acks[from]
 		})
-		for _, b := range c.batches[from] {
+		for _, b := range c.deltaLog.uncounted[from] {
 			pending = c.tuples(pending, b.deltas)
 		}
 	}
-	pending = c.tuples(pending, c.deltas)
+	pending = c.tuples(pending, c.deltaLog.unsent)
 	if whole {
-		c.copy.Replace(c.now, rows, pending)
+		c.clusterCopy.state.Replace(c.now, rows, pending)
 	} else {
-		c.copy.Update(c.now, rows, pending)
+		c.clusterCopy.state.Update(c.now, rows, pending)
 	}
-	c.room = true
+	c.placement.capacityFreed = true
 }
 
 // tuples appends tuples by the indices of their machines.
@@ -364,6 +364,6 @@
 // reapply takes the tuples of another controller on the copy.
 func (c *Core) reapply(ds []DeltaMsg) {
 	for _, d := range c.tuples(nil, ds) {
-		c.copy.Apply(c.now, d)
+		c.clusterCopy.state.Apply(c.now, d)
 	}
 }
--- a/core/place.go
+++ b/core/place.go
@@ -51,25 +51,25 @@
 func (c *Core) commit(t wire.Txn, x *txn) {
 	id := c.id()
 	x.txn = t
-	c.txns[id] = x
-	c.budget.Txn(len(t.Then))
+	c.transactions.inFlight[id] = x
+	c.transactions.rateLimit.Txn(len(t.Then))
 	c.Stats.Commits++
 	c.emit(Commit{ID: id, Txn: t})
 }
 
 func (c *Core) committed(in Committed) {
-	x := c.txns[in.ID]
+	x := c.transactions.inFlight[in.ID]
 	if x == nil {
 		return
 	}
-	delete(c.txns, in.ID)
+	delete(c.transactions.inFlight, in.ID)
 	c.stateAnswered(in.Status)
 	if in.Status == 429 {
-		c.budget.Pause(c.now+80*time.Millisecond+c.jitter(150*time.Millisecond), c.now+20*time.Millisecond+c.jitter(40*time.Millisecond))
+		c.transactions.rateLimit.Pause(c.now+80*time.Millisecond+c.jitter(150*time.Millisecond), c.now+20*time.Millisecond+c.jitter(40*time.Millisecond))
 	}
 	if in.Status == 503 || in.Status == 0 {
 		until := c.now + 100*time.Millisecond + c.jitter(100*time.Millisecond)
-		c.budget.Pause(until, until)
+		c.transactions.rateLimit.Pause(until, until)
 	}
 	if in.Status != 200 {
 		c.note("debug", "transaction not committed", "status", in.Status, "failed", in.Reply.Failed, "error", in.Reply.Error)
@@ -101,7 +101,7 @@
 	var resync []*job
 	for _, p := range x.props {
 		j := p.j
-		j.inflight = false
+		j.write.inFlight = false
 		c.recorder().Outcome(p.ids, in.Status)
 		if in.Status == 200 {
 			for _, a := range p.ended {
@@ -110,7 +110,7 @@
 			switch {
 			case p.shared:
 				if c.slot(p.slot).Mark == in.Reply.Ledger && j.rec.V == p.rec.V && !j.final() {
-					c.adopt(j, p.rec, p.place, j.mark, j.size)
+					c.adopt(j, p.rec, p.place, j.mark, j.stored.bytes)
 				}
 			case in.Reply.Ledger > j.mark:
 				c.adopt(j, p.rec, p.place, in.Reply.Ledger, p.size)
@@ -140,16 +140,16 @@
 			fallthrough
 		default:
 			// Applied late, or overtaken: read before proposing anything again.
-			j.resync = true
+			j.write.outcomeUnknown = true
 			if in.Status == 400 {
-				j.lookAt = c.now + time.Second
+				j.write.nextLookAt = c.now + time.Second
 			}
 			resync = append(resync, j)
 		}
 	}
 	if behind {
 		// Whoever was overtaken reads at once: else a controller that writes often wins always.
-		c.barrierAt = c.now
+		c.replica.nextBarrierAt = c.now
 		c.clearUp(resync, x.teams, locked)
 	}
 }
@@ -157,7 +157,7 @@
 // clearUp frees jobs, teams and slots for new proposals once a read barrier has shown their state.
 func (c *Core) clearUp(js []*job, teams []*team, slots []int) {
 	// Queued directly: while all keys are being read again, it waits for that to end.
-	c.waiting = append(c.waiting, func(ok bool) {
+	c.replica.barrierWaiters = append(c.replica.barrierWaiters, func(ok bool) {
 		if !ok {
 			c.clearUp(js, teams, slots)
 			return
@@ -169,7 +169,7 @@
 			t.locked = false
 		}
 		for _, j := range js {
-			j.resync = false
+			j.write.outcomeUnknown = false
 			c.touch(j)
 			if j.accept != nil && j.mark != 0 {
 				c.settleAccept(j, 200, "")
@@ -184,10 +184,10 @@
 // the write fails, an end follows.
 func (c *Core) delta(start bool, j *job, a ledger.Asg, claim ccs.Vec) {
 	m := c.machines[a.Machine]
-	c.deltas = append(c.deltas, DeltaMsg{Start: start, Machine: m.name, Claim: claim, Key: taskHash(j.id, a.Task, a.Try)})
+	c.deltaLog.unsent = append(c.deltaLog.unsent, DeltaMsg{Start: start, Machine: m.name, Claim: claim, Key: taskHash(j.id, a.Task, a.Try)})
 	if !start {
-		c.copy.Apply(c.now, ccs.Delta{Machine: a.Machine, Claim: claim})
-		c.room = true
+		c.clusterCopy.state.Apply(c.now, ccs.Delta{Machine: a.Machine, Claim: claim})
+		c.placement.capacityFreed = true
 	}
 }
 
@@ -205,15 +205,15 @@
 func (c *Core) fate(j *job, a ledger.Asg) (ended bool, cause string) {
 	m := c.machines[a.Machine]
 	switch {
-	case m.gone:
+	case m.lifecycle.gone:
 		return true, "machine gone"
-	case m.session > a.Session:
+	case m.status.incarnation > a.Session:
 		return true, "machine lost its lease"
-	case m.session < a.Session || !m.up:
+	case m.status.incarnation < a.Session || !m.status.reported:
 		return false, ""
 	}
 	k := attKey{j.idx, a.Task, a.Try}
-	p, ok := m.pieces[k]
+	p, ok := m.status.tasks[k]
 	if ok {
 		return p.state == wire.TaskExited, p.cause
 	}
@@ -230,11 +230,11 @@
 // and so were those of former owners.
 func (c *Core) settled(m *machine, j *job, k attKey) bool {
 	s := c.shardOf(j)
-	if !c.mineShard(s) || m.token < c.shards[s].Token {
+	if !c.mineShard(s) || m.status.fencingToken < c.ownership.shards[s].Token {
 		return false
 	}
-	t := m.att[k]
-	return t == nil || !t.inFlight && (t.lost == 0 || m.token > t.lost)
+	t := m.commands.attempts[k]
+	return t == nil || !t.inFlight && (t.lost == 0 || m.status.fencingToken > t.lost)
 }
 
 // maxPlaced bounds the tasks of a job assigned at one time, so that its record fits a value;
@@ -252,64 +252,64 @@
 		return
 	}
 	inflight := 0
-	for _, x := range c.txns {
+	for _, x := range c.transactions.inFlight {
 		if x.done == nil {
 			inflight++
 		}
 	}
-	if c.turnAt != 0 && c.now >= c.turnAt {
-		c.turnAt, c.placeAt, c.room = 0, c.now, true
+	if c.placement.yieldedUntil != 0 && c.now >= c.placement.yieldedUntil {
+		c.placement.yieldedUntil, c.placement.nextScanAt, c.placement.capacityFreed = 0, c.now, true
 	}
-	if c.room && c.now >= c.placeAt {
-		c.room = false
-		c.noRoom = c.noRoom[:0]
-		c.placeAt = c.now + c.lookGap()
+	if c.placement.capacityFreed && c.now >= c.placement.nextScanAt {
+		c.placement.capacityFreed = false
+		c.placement.unplaceable = c.placement.unplaceable[:0]
+		c.placement.nextScanAt = c.now + c.lookGap()
 		for _, j := range c.open {
-			if j.pending && c.mine(j) {
+			if j.placement.hasUnplacedTasks && c.mine(j) {
 				c.touch(j)
 			}
 		}
 	}
 	// With hundreds of jobs that wait, finding out that nothing can be written now is most of what a turn takes.
-	if c.accepting == 0 && c.now >= c.cancelsTill && c.now < c.scanAt &&
-		(c.budget.Paused(c.now) || inflight >= 3 || c.budget.Reads < 1 || c.budget.Writes < 1+writesKept) {
+	if c.accepting == 0 && c.now >= c.cancelAcks.waitersUntil && c.now < c.transactions.nextBlockedScanAt &&
+		(c.transactions.rateLimit.Paused(c.now) || inflight >= 3 || c.transactions.rateLimit.Reads < 1 || c.transactions.rateLimit.Writes < 1+writesKept) {
 		return
 	}
-	c.scanAt = c.now + scanGap
+	c.transactions.nextBlockedScanAt = c.now + scanGap
 	var todo []*job
 	for _, j := range c.open {
-		if j.accept != nil && !j.inflight && c.now >= j.accept.until {
+		if j.accept != nil && !j.write.inFlight && c.now >= j.accept.until {
 			c.settleAccept(j, 503, tooBusy)
 		}
-		if len(j.cancels) > 0 && !j.inflight && c.now >= j.cancelBy {
+		if len(j.cancellation.waiters) > 0 && !j.write.inFlight && c.now >= j.cancellation.answerBy {
 			c.failCancels(j, tooBusy)
 		}
-		if !j.dirty || j.inflight || j.resync || c.now < j.lookAt {
+		if !j.write.dirty || j.write.inFlight || j.write.outcomeUnknown || c.now < j.write.nextLookAt {
 			continue
 		}
 		if j.mark != 0 && j.accept != nil {
 			c.settleAccept(j, 200, "")
 		}
-		if j.mark == 0 && j.accept == nil || j.mark != 0 && len(j.cancels) == 0 && !c.mine(j) {
-			j.dirty = false
+		if j.mark == 0 && j.accept == nil || j.mark != 0 && len(j.cancellation.waiters) == 0 && !c.mine(j) {
+			j.write.dirty = false
 			continue
 		}
-		if c.room && c.now < c.placeAt && j.pending && !j.lost && j.mark != 0 && len(j.cancels) == 0 && c.waitsBehind(j) {
-			j.lookAt = c.placeAt // all that wait are looked at then, in their order
+		if c.placement.capacityFreed && c.now < c.placement.nextScanAt && j.placement.hasUnplacedTasks && !j.placement.tasksLost && j.mark != 0 && len(j.cancellation.waiters) == 0 && c.waitsBehind(j) {
+			j.write.nextLookAt = c.placement.nextScanAt // all that wait are looked at then, in their order
 			continue
 		}
 		todo = append(todo, j)
 	}
-	c.waiters = len(todo)
+	c.transactions.backlog = len(todo)
 	// What users wait for goes out sooner: a full budget or slow answers hold it back less.
-	paused, most, reads := c.budget.Paused(c.now), 3, 1.0
+	paused, most, reads := c.transactions.rateLimit.Paused(c.now), 3, 1.0
 	if slices.ContainsFunc(todo, func(j *job) bool { return c.urgency(j) <= urgentAccept }) {
-		paused, most, reads = c.budget.PausedAll(c.now), 6, -c.budget.ReadRate/2
+		paused, most, reads = c.transactions.rateLimit.PausedAll(c.now), 6, -c.transactions.rateLimit.ReadRate/2
 	}
-	if paused || inflight >= most || !c.leaseOK() || len(todo) == 0 || c.budget.Reads < reads {
+	if paused || inflight >= most || !c.leaseOK() || len(todo) == 0 || c.transactions.rateLimit.Reads < reads {
 		return
 	}
-	if most == 3 && c.budget.Writes < 1+writesKept {
+	if most == 3 && c.transactions.rateLimit.Writes < 1+writesKept {
 		return // nothing could be written: with thousands of jobs to look at, that is not worth finding out
 	}
 	// A team's key is one more change for each transaction. Where changes are few and many jobs
@@ -320,7 +320,7 @@
 			many++
 		}
 	}
-	if most == 3 && many >= gatherMany && c.budget.Writes < 0.7*c.budget.Burst(c.cfg.TxnOps) {
+	if most == 3 && many >= gatherMany && c.transactions.rateLimit.Writes < 0.7*c.transactions.rateLimit.Burst(c.cfg.TxnOps) {
 		return
 	}
 	// Ends of tasks share writes: the more jobs run, the longer they wait for others.
@@ -330,16 +330,16 @@
 			running++
 		}
 	}
-	c.settle = min(c.cfg.SettleMost, max(c.cfg.Settle, time.Duration(float64(running)/(0.5*c.budget.WriteRate)*float64(time.Second))))
+	c.transactions.endBatchDelay = min(c.cfg.SettleMost, max(c.cfg.Settle, time.Duration(float64(running)/(0.5*c.transactions.rateLimit.WriteRate)*float64(time.Second))))
 	for _, j := range todo {
-		j.missing = c.lostReplicas(j)
-		j.rank = c.rankOf(j)
+		j.queue.missingReplicas = c.lostReplicas(j)
+		j.queue.rank = c.rankOf(j)
 	}
 	slices.SortStableFunc(todo, func(a, b *job) int {
 		if d := c.urgency(a) - c.urgency(b); d != 0 {
 			return d
 		}
-		return a.rank.compare(b.rank)
+		return a.queue.rank.compare(b.queue.rank)
 	})
 	todo = c.keepShares(todo)
 	b := &builder{c: c, add: map[*team][2]int64{}}
@@ -350,7 +350,7 @@
 	}
 	if len(b.slots) > 0 { // ends that would have waited for others go with them
 		for _, j := range c.open {
-			if j.settling && !j.inflight && !j.resync && j.rec.Spec != nil && b.slots[c.slotOf(j.id, j.rec)] != nil && c.mine(j) && !b.take(j) {
+			if j.write.waitsForEnds && !j.write.inFlight && !j.write.outcomeUnknown && j.rec.Spec != nil && b.slots[c.slotOf(j.id, j.rec)] != nil && c.mine(j) && !b.take(j) {
 				break
 			}
 		}
@@ -367,11 +367,11 @@
 // urgency orders writes: cancellations, then acceptances, then placements, then completions.
 func (c *Core) urgency(j *job) int {
 	switch {
-	case len(j.cancels) > 0:
+	case len(j.cancellation.waiters) > 0:
 		return 0
 	case j.accept != nil:
 		return urgentAccept
-	case j.pending || j.lost || len(j.next) > 0:
+	case j.placement.hasUnplacedTasks || j.placement.tasksLost || len(j.next) > 0:
 		return 2
 	}
 	return 3
@@ -385,7 +385,7 @@
 // lostReplicas counts a job's replicas that are gone.
 func (c *Core) lostReplicas(j *job) int {
 	n := 0
-	if j.lost && j.rec != nil && j.rec.Spec != nil && j.rec.Spec.Service {
+	if j.placement.tasksLost && j.rec != nil && j.rec.Spec != nil && j.rec.Spec.Service {
 		for _, a := range j.place {
 			if ended, _ := c.fate(j, a); ended {
 				n++
@@ -431,17 +431,17 @@
 		b.waitedFor = true
 		cost -= c.writeRPS() / 2
 	}
-	if b.changes()+3 > c.cfg.TxnOps || len(b.props) >= propsMost || b.bytes > 40<<10 || c.budget.Writes < cost {
+	if b.changes()+3 > c.cfg.TxnOps || len(b.props) >= propsMost || b.bytes > 40<<10 || c.transactions.rateLimit.Writes < cost {
 		return false
 	}
 	if slot >= 0 && c.slot(slot).Writing && c.form() >= formShared {
-		j.lookAt = c.now + slotAgain
+		j.write.nextLookAt = c.now + slotAgain
 		return true
 	}
 	p, again := c.propose(j, b)
 	if p == nil {
-		j.dirty = again != 0
-		j.lookAt = again
+		j.write.dirty = again != 0
+		j.write.nextLookAt = again
 		return true
 	}
 	p.slot = slot
@@ -453,17 +453,17 @@
 		return false
 	}
 	// What nobody waits for leaves a part of the budget to what somebody does.
-	if p.routine && c.budget.Writes < cost+c.budget.WriteRate*0.2 {
-		j.lookAt = c.now + 100*time.Millisecond
+	if p.routine && c.transactions.rateLimit.Writes < cost+c.transactions.rateLimit.WriteRate*0.2 {
+		j.write.nextLookAt = c.now + 100*time.Millisecond
 		return true
 	}
 	old := p.rec.Carried
-	if j.cancelMark != 0 && p.rec.Spec == nil { // its mark goes
-		old = append(slices.Clone(old), j.markCarried...)
+	if j.cancellation.markerRevision != 0 && p.rec.Spec == nil { // its mark goes
+		old = append(slices.Clone(old), j.cancellation.markerAudit...)
 	}
 	if entry := c.entryOf(p); entry != nil && b.slots[slot] == nil && c.slot(slot).Keyed > 0 {
 		c.undo(p)
-		j.lookAt = c.now + slotAgain
+		j.write.nextLookAt = c.now + slotAgain
 		return true
 	} else if entry != nil && b.share(p, entry) {
 		b.onShard(p)
@@ -480,7 +480,7 @@
 		// leaves many pieces. It is written once more of them have ended; a job that is over always
 		// fits. Nothing is lost meanwhile: its machines keep what they reported.
 		c.undo(p)
-		j.lookAt = c.now + time.Second
+		j.write.nextLookAt = c.now + time.Second
 		if p.cancel && c.form() >= formAwaits {
 			c.markCancelled(j, p.rec.CancelMS, p.conds, p.acts[:p.asked])
 		}
@@ -491,7 +491,7 @@
 		c.recorder().Unsent(p.ids)
 		// No start fits the value before others of its tasks have ended. Without this, such a job
 		// was written again and again as it was, and the others starved.
-		j.lookAt = c.now + time.Second
+		j.write.nextLookAt = c.now + time.Second
 		return true
 	}
 	b.onShard(p)
@@ -512,10 +512,10 @@
 		b.need(k)
 	}
 	b.t.Then = append(b.t.Then, wire.Write{Put: keyJob + j.id, Value: raw})
-	if j.size > c.cfg.ValueBytes || j.cancelMark != 0 {
-		b.t.If = append(b.t.If, wire.Cond{Key: keyCancel + j.id, Mark: j.cancelMark})
+	if j.stored.bytes > c.cfg.ValueBytes || j.cancellation.markerRevision != 0 {
+		b.t.If = append(b.t.If, wire.Cond{Key: keyCancel + j.id, Mark: j.cancellation.markerRevision})
 	}
-	if j.cancelMark != 0 && p.rec.Spec == nil {
+	if j.cancellation.markerRevision != 0 && p.rec.Spec == nil {
 		b.t.Then = append(b.t.Then, wire.Write{Delete: keyCancel + j.id})
 	}
 	b.bytes += len(raw) + 200
@@ -526,8 +526,8 @@
 // join puts a proposal into the transaction.
 func (b *builder) join(p *proposal) {
 	b.countStarts(p)
-	b.c.shares.started(b.c.now, p, b.c)
-	p.j.dirty, p.j.inflight = false, true
+	b.c.priority.startShares.started(b.c.now, p, b.c)
+	p.j.write.dirty, p.j.write.inFlight = false, true
 	b.props = append(b.props, *p)
 }
 
@@ -545,7 +545,7 @@
 		b.shard = map[int]bool{}
 	}
 	b.shard[shard] = true
-	b.t.If = append(b.t.If, wire.Cond{Key: shardKey(shard), Mark: b.c.shards[shard].mark})
+	b.t.If = append(b.t.If, wire.Cond{Key: shardKey(shard), Mark: b.c.ownership.shards[shard].mark})
 }
 
 // countStarts counts a proposal's starts against its team's limits, which all who start tasks of the team write.
@@ -598,14 +598,14 @@
 func (c *Core) undo(p *proposal) {
 	c.recorder().Unsent(p.ids)
 	for _, a := range p.started {
-		c.copy.Apply(c.now, ccs.Delta{Machine: a.Machine, Claim: p.spec.Claim})
+		c.clusterCopy.state.Apply(c.now, ccs.Delta{Machine: a.Machine, Claim: p.spec.Claim})
 	}
 }
 
 func (b *builder) flush() {
 	for _, p := range b.closeSlots() {
 		b.c.undo(&p)
-		p.j.inflight, p.j.ownKey = false, true
+		p.j.write.inFlight, p.j.stored.needsOwnKey = false, true
 		b.c.touch(p.j)
 	}
 	if len(b.props) == 0 {
@@ -653,8 +653,8 @@
 		}
 		s := c.pickShard()
 		lane := ""
-		if c.lanesMark != 0 && c.form() >= formLanes {
-			lane = c.lanes.Name(c.lanes.Of(&spec))
+		if c.priority.revision != 0 && c.form() >= formLanes {
+			lane = c.priority.classes.Name(c.priority.classes.Of(&spec))
 		}
 		rec := &ledger.Record{Lane: lane, Shard: s, Spec: &spec, AtMS: j.accept.unixMS, Who: j.accept.by.Who}
 		p = &proposal{j: j, rec: rec, spec: rec.Spec, accept: true, conds: append(c.onRights(j.accept.by), unless),
@@ -681,21 +681,21 @@
 		c.settleCancels(j)
 		return nil, 0
 	}
-	j.settling = false
+	j.write.waitsForEnds = false
 	rec := *j.rec
 	rec.Why = slices.Clone(j.rec.Why)
 	if c.form() >= formLanes {
-		rec.Turn = j.accepted
+		rec.Turn = j.queue.enqueueRevision
 	}
 	p = &proposal{j: j, rec: &rec, spec: j.rec.Spec}
-	if len(j.cancels) > 0 && rec.Stage == ledger.Queued {
+	if len(j.cancellation.waiters) > 0 && rec.Stage == ledger.Queued {
 		p.conds = c.stillMay(j)
 	}
-	if len(j.cancels) > 0 && rec.Stage == ledger.Queued {
+	if len(j.cancellation.waiters) > 0 && rec.Stage == ledger.Queued {
 		p.cancel = true
 		rec.Stage = ledger.Cancelled
-		rec.CancelMS = j.cancelMS
-		for _, x := range j.cancels {
+		rec.CancelMS = j.cancellation.requestedMS
+		for _, x := range j.cancellation.waiters {
 			if a := actOf(x.by, "cancel", j.id, ""); !slices.Contains(p.acts, a) {
 				p.acts = append(p.acts, a)
 			}
@@ -715,10 +715,10 @@
 		return p, 0
 	}
 	// Where changes are left over, a full slot is made roomy again.
-	crowded := c.budget.Writes >= 0.9*c.budget.Burst(c.cfg.TxnOps) && c.slot(c.slotOf(j.id, j.rec)).Crowded(c.mostShared())
-	overlaid := (j.ownKey || crowded) && c.entryOn(j.id, j.rec) != nil
-	p.fold = j.ownKey || overlaid
-	changed := overlaid || p.cancel || ended || j.size > c.cfg.ValueBytes && c.form() >= formAwaits
+	crowded := c.transactions.rateLimit.Writes >= 0.9*c.transactions.rateLimit.Burst(c.cfg.TxnOps) && c.slot(c.slotOf(j.id, j.rec)).Crowded(c.mostShared())
+	overlaid := (j.stored.needsOwnKey || crowded) && c.entryOn(j.id, j.rec) != nil
+	p.fold = j.stored.needsOwnKey || overlaid
+	changed := overlaid || p.cancel || ended || j.stored.bytes > c.cfg.ValueBytes && c.form() >= formAwaits
 	quick := p.cancel
 	var stopped []ledger.Reason
 	for _, a := range j.place {
@@ -731,13 +731,13 @@
 		p.ended = append(p.ended, a)
 		if cause == wire.CauseDone && rec.Stage == ledger.Queued {
 			rec.Done = rec.Done.Add(int(a.Task))
-			j.errs = 0
+			j.placement.failures = 0
 			continue
 		}
 		quick = true
 		m := c.machines[a.Machine]
 		if rec.Stage == ledger.Queued {
-			if t := m.att[attKey{j.idx, a.Task, a.Try}]; t != nil && t.stop != "" && cause == wire.CauseStopped {
+			if t := m.commands.attempts[attKey{j.idx, a.Task, a.Try}]; t != nil && t.stop != "" && cause == wire.CauseStopped {
 				cause = t.stop
 			}
 			stopped = append(stopped, ledger.Reason{Task: int(a.Task), Machine: m.name, Cause: cause, AtMS: c.unixMS()})
@@ -753,7 +753,7 @@
 		changed = true
 	case rec.Stage == ledger.Queued && rec.Done.Count() == rec.Spec.Tasks:
 		c.note("debug", "job done", "job", j.id, "class", rec.Spec.Class, "team", rec.Spec.Team, "tasks", rec.Spec.Tasks, "tries", rec.Tries,
-			"estimate_s", rec.Spec.EstimateMS/1000, "took_ms", c.unixMS()-rec.AtMS, "placed_ms", j.placedMS-rec.AtMS, "why", rec.Why)
+			"estimate_s", rec.Spec.EstimateMS/1000, "took_ms", c.unixMS()-rec.AtMS, "placed_ms", j.placement.lastPlacedMS-rec.AtMS, "why", rec.Why)
 		rec = ledger.Record{Shard: rec.Shard, Stage: ledger.Done, Done: ledger.Ranges{0, rec.Spec.Tasks - 1}, Carried: rec.Carried}
 		c.keepGroup(&rec, p.spec)
 		changed, quick = true, true
@@ -763,17 +763,17 @@
 		if len(p.place) > before {
 			p.starts = !changed
 			changed, quick = true, true
-			j.placedMS = c.unixMS()
+			j.placement.lastPlacedMS = c.unixMS()
 			c.note("debug", "tasks placed late", "job", j.id, "class", rec.Spec.Class, "tasks", len(p.place)-before,
-				"after_ms", j.placedMS-rec.AtMS, "tries", rec.Tries, "spread", rec.Spec.Spread, "why", rec.Why)
+				"after_ms", j.placement.lastPlacedMS-rec.AtMS, "tries", rec.Tries, "spread", rec.Spec.Spread, "why", rec.Why)
 		}
 	}
 	if !changed {
 		return nil, again
 	}
 	// Completions alone may wait a little, to share a write.
-	if due := j.since + c.settle; !quick && c.now < due && b.slots[c.slotOf(j.id, j.rec)] == nil {
-		j.settling = true
+	if due := j.write.dirtySince + c.transactions.endBatchDelay; !quick && c.now < due && b.slots[c.slotOf(j.id, j.rec)] == nil {
+		j.write.waitsForEnds = true
 		if again == 0 {
 			again = due
 		}
@@ -816,7 +816,7 @@
 
 // blame draws conclusions from a task's failure.
 func (c *Core) blame(j *job, m *machine, cause string, a ledger.Asg, mistaken bool) {
-	t := m.att[attKey{j.idx, a.Task, a.Try}]
+	t := m.commands.attempts[attKey{j.idx, a.Task, a.Try}]
 	if t == nil || t.blamed {
 		return
 	}
@@ -824,34 +824,34 @@
 	switch cause {
 	case wire.CauseFull, wire.CauseBusy:
 		c.Stats.Refusals++
-		m.refused = c.now + 2*time.Second
-		c.room = true
+		m.health.avoidUntil = c.now + 2*time.Second
+		c.placement.capacityFreed = true
 	case wire.CauseError:
 		// A job that was submitted with a mistake fails everywhere: back off. A machine
 		// on which different jobs fail is faulty.
-		j.errs++
-		if j.errs > 2 {
-			j.backoff = c.now + min(30*time.Second, time.Second<<min(j.errs-3, 5))
+		j.placement.failures++
+		if j.placement.failures > 2 {
+			j.placement.backoffUntil = c.now + min(30*time.Second, time.Second<<min(j.placement.failures-3, 5))
 		}
 		if mistaken { // of the machine it says nothing: one such job kept a tenth of a fleet from all work
 			return
 		}
-		m.errs++
-		m.refused = c.now + time.Duration(min(m.errs, 6))*5*time.Second
+		m.health.failures++
+		m.health.avoidUntil = c.now + time.Duration(min(m.health.failures, 6))*5*time.Second
 	case wire.CauseUnknown:
-		j.backoff = c.now + 2*time.Second
+		j.placement.backoffUntil = c.now + 2*time.Second
 	}
 }
 
 // usable reports whether new tasks may go to a machine now.
 func (c *Core) usable(m *machine) bool {
-	return m.up && !m.gone && !m.returning && !c.faulty(m) && m.noticed == 0 && m.session > 0 && m.addr != "" &&
-		c.now >= m.refused && c.now-m.heard < c.cfg.ReportEvery*2 && (m.missed == 0 || m.heard > m.missed) && !c.quiet(m.zone, quietForWork)
+	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested && !c.faulty(m) && m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
+		c.now >= m.health.avoidUntil && c.now-m.status.lastHeartbeatAt < c.cfg.ReportEvery*2 && (m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) && !c.quiet(m.identity.zone, quietForWork)
 }
 
 func (c *Core) allowed(s *wire.Spec, m *machine) bool {
-	mt := c.catalog[m.typ]
-	return mt != nil && c.typeAllowed(s, m.typ) && (s.Zone == "" || s.Zone == m.zone) && (s.Spot || !m.spot) &&
+	mt := c.autoscaler.catalog[m.identity.machineType]
+	return mt != nil && c.typeAllowed(s, m.identity.machineType) && (s.Zone == "" || s.Zone == m.identity.zone) && (s.Spot || !m.identity.spot) &&
 		fits(mt.Room(), s.Claim)
 }
 
@@ -868,7 +868,7 @@
 // full reports whether a claim can find no room, as a smaller one of a job before it found none since some became
 // free. Without it, all waiting jobs of a full fleet look at all its machines, several times a second.
 func (c *Core) full(s *wire.Spec, prio int, at int64, held bool) bool {
-	return slices.ContainsFunc(c.noRoom, func(x noRoom) bool {
+	return slices.ContainsFunc(c.placement.unplaceable, func(x noRoom) bool {
 		switch {
 		case x.spot != s.Spot || !ccs.Vec(s.Claim).Fits(x.claim) || x.held && !held:
 			return false
@@ -885,12 +885,12 @@
 // work has waited longer than the job that is placed: when each controller filled the same share of the new room, jobs of the same
 // priority and age began two minutes apart, by whose they were.
 func (c *Core) turn(machine int32, o places) time.Duration {
-	r, m := c.copy.Row(machine), c.machines[machine]
-	if r == nil || !c.copy.Valid(c.now) {
+	r, m := c.clusterCopy.state.Row(machine), c.machines[machine]
+	if r == nil || !c.clusterCopy.state.Valid(c.now) {
 		return 0
 	}
 	x := o[0]
-	if m.spot {
+	if m.identity.spot {
 		x = o[1]
 	}
 	rank := x.before + min(c.order(m), x.alike)
@@ -905,7 +905,7 @@
 
 func (c *Core) placesOf(priority int, atMS int64) (o places) {
 	for i := range o {
-		o[i].before, o[i].alike = c.links.Order(c.now, c.there, links.Wait{Priority: priority, AtMS: atMS}, i == 1)
+		o[i].before, o[i].alike = c.controllers.membership.Order(c.now, c.there, links.Wait{Priority: priority, AtMS: atMS}, i == 1)
 	}
 	return o
 }
@@ -913,10 +913,10 @@
 // order is the place of this controller among those that use a machine. Of machines that are as good, a job's tasks go to those
 // where it is the first: between two pushes, controllers that choose at the same moment would all choose the same.
 func (c *Core) order(m *machine) int {
-	if m.ranked != c.around+1 {
-		m.ranked, m.rank = c.around+1, c.rank(m.name, c.live())
+	if m.ranking.nodesVersion != c.controllers.nodesVersion+1 {
+		m.ranking.nodesVersion, m.ranking.rank = c.controllers.nodesVersion+1, c.rank(m.name, c.live())
 	}
-	return m.rank
+	return m.ranking.rank
 }
 
 // courtesy is how long a controller has new room to itself: until it looks for room again, and the others know what it took.
@@ -924,13 +924,13 @@
 
 // newsTake is how long it takes until the others know of a start: a batch's time, or what it takes of late, if that is more.
 func (c *Core) newsTake() time.Duration {
-	return min(max(2*c.cfg.DeltaEvery, c.ackTime/2), 2*time.Second)
+	return min(max(2*c.cfg.DeltaEvery, c.deltaLog.countingDelay/2), 2*time.Second)
 }
 
 // lookGap is the time between two looks at all waiting jobs. Tasks of a job that find room one by one would take
 // a write each, and its team's key another: where changes are few, they gather.
 func (c *Core) lookGap() time.Duration {
-	return max(200*time.Millisecond, time.Duration(2/(0.5*c.budget.WriteRate)*float64(time.Second)))
+	return max(200*time.Millisecond, time.Duration(2/(0.5*c.transactions.rateLimit.WriteRate)*float64(time.Second)))
 }
 
 const lockedAgain = 20 * time.Millisecond // until a team's state is looked at again
@@ -939,11 +939,11 @@
 // copy, most room first, the rest at random. It tells when another look is due, if set.
 func (c *Core) assign(p *proposal, b *builder) (again time.Duration) {
 	s := p.rec.Spec
-	if c.catalog == nil || !c.leaseOK() {
+	if c.autoscaler.catalog == nil || !c.leaseOK() {
 		return 0
 	}
-	if c.now < p.j.backoff {
-		return p.j.backoff
+	if c.now < p.j.placement.backoffUntil {
+		return p.j.placement.backoffUntil
 	}
 	limit := min(c.maxPlaced()-len(p.place), s.Tasks)
 	if failing(p.rec, c.unixMS()) {
@@ -961,11 +961,11 @@
 			limit = min(limit, int((t.GPUMax-t.gpu-u[1])/s.Claim[1]))
 		}
 	}
-	prio, at := c.lanes.Of(s), p.rec.AtMS
+	prio, at := c.priority.classes.Of(s), p.rec.AtMS
 	if !p.accept {
 		prio, at = c.laneOf(p.j), p.j.turn()
 	}
-	held := c.hold != nil && prio > c.hold.Priority && c.copy.Valid(c.now)
+	held := c.clusterCopy.capacityHold != nil && prio > c.clusterCopy.capacityHold.Priority && c.clusterCopy.state.Valid(c.now)
 	if limit <= 0 || c.full(s, prio, at, held) {
 		return 0
 	}
@@ -975,7 +975,7 @@
 	}
 	zones := map[string]int{}
 	for _, a := range p.place {
-		zones[c.machines[a.Machine].zone]++
+		zones[c.machines[a.Machine].identity.zone]++
 	}
 	only := ""
 	if s.OneZone {
@@ -990,11 +990,11 @@
 	ask := ccs.Ask{N: int(math.Ceil(c.cfg.ProbeRatio * float64(len(tasks)))), Claim: s.Claim, Fill: c.cfg.RandomFill, Keep: s.Spot,
 		Allow: func(i int32) bool {
 			m := c.machines[i]
-			return c.usable(m) && c.allowed(s, m) && !slices.Contains(shun, m.name) && (only == "" || m.zone == only) && !(held && c.copy.Row(i).Avail.Fits(c.hold.Claim))
+			return c.usable(m) && c.allowed(s, m) && !slices.Contains(shun, m.name) && (only == "" || m.identity.zone == only) && !(held && c.clusterCopy.state.Row(i).Avail.Fits(c.clusterCopy.capacityHold.Claim))
 		}}
-	if !c.copy.Valid(c.now) {
+	if !c.clusterCopy.state.Valid(c.now) {
 		for _, m := range c.alive {
-			if m.up && !m.gone {
+			if m.status.reported && !m.lifecycle.gone {
 				ask.Others = append(ask.Others, m.idx)
 			}
 		}
@@ -1004,10 +1004,10 @@
 	ask.Tier = func(i int32) int {
 		m, t := c.machines[i], 0
 		h := c.horizon(m)
-		if c.cfg.PreferSpot && s.Spot && !m.spot && h < forever {
+		if c.cfg.PreferSpot && s.Spot && !m.identity.spot && h < forever {
 			t += 200
 		}
-		if c.cfg.PreferImage && s.Image != "" && !m.images[s.Image] {
+		if c.cfg.PreferImage && s.Image != "" && !m.status.images[s.Image] {
 			t += 100
 		}
 		// A machine is paid for until its last task ends: a task that ends before costs nothing.
@@ -1033,7 +1033,7 @@
 	var early time.Duration // until the first room that is another's to take now; 0: there is none
 	allow := ask.Allow
 	ask.Allow = func(i int32) bool {
-		if !allow(i) || s.Spread && zones[c.machines[i].zone] >= most {
+		if !allow(i) || s.Spread && zones[c.machines[i].identity.zone] >= most {
 			return false
 		}
 		wait := c.turn(i, others)
@@ -1045,16 +1045,16 @@
 	untried := map[int32]bool{} // machines that seem full get one try each
 	for len(tasks) > 0 {
 		before := full()
-		cands := c.copy.Candidates(c.now, ask, c.rng)
-		if at := c.now + early; early > 0 && len(cands) < ask.N && (c.turnAt == 0 || at < c.turnAt) {
-			c.turnAt = at
+		cands := c.clusterCopy.state.Candidates(c.now, ask, c.rng)
+		if at := c.now + early; early > 0 && len(cands) < ask.N && (c.placement.yieldedUntil == 0 || at < c.placement.yieldedUntil) {
+			c.placement.yieldedUntil = at
 		}
-		if len(cands) == 0 && s.Zone == "" && s.Types == nil && only == "" && before == 0 && c.copy.Valid(c.now) {
+		if len(cands) == 0 && s.Zone == "" && s.Types == nil && only == "" && before == 0 && c.clusterCopy.state.Valid(c.now) {
 			x := noRoom{claim: s.Claim, spot: s.Spot, held: held, prio: prio, at: at}
 			if early > 0 {
 				x.until = c.now + early
 			}
-			c.noRoom = append(c.noRoom, x)
+			c.placement.unplaceable = append(c.placement.unplaceable, x)
 		}
 		for progress := true; progress && len(tasks) > 0; {
 			progress = false
@@ -1063,29 +1063,29 @@
 					break
 				}
 				m := c.machines[mi]
-				r := c.copy.Row(mi)
+				r := c.clusterCopy.state.Row(mi)
 				if r == nil || !r.Has(s.Claim, s.Spot) {
-					if untried[mi] || c.copy.Valid(c.now) && !c.cfg.RandomFill {
+					if untried[mi] || c.clusterCopy.state.Valid(c.now) && !c.cfg.RandomFill {
 						continue
 					}
 					untried[mi] = true
 				}
-				if s.Spread && zones[m.zone] >= most || c.holds(m, p.j, tasks[0]) {
+				if s.Spread && zones[m.identity.zone] >= most || c.holds(m, p.j, tasks[0]) {
 					continue
 				}
-				if s.OneZone && only != "" && m.zone != only {
+				if s.OneZone && only != "" && m.identity.zone != only {
 					continue
 				}
 				if s.OneZone {
-					only = m.zone // the first task decides where no zone could be preferred
+					only = m.identity.zone // the first task decides where no zone could be preferred
 				}
 				p.rec.Tries++
-				a := ledger.Asg{Task: tasks[0], Machine: mi, Session: m.session, Try: p.rec.Tries}
+				a := ledger.Asg{Task: tasks[0], Machine: mi, Session: m.status.incarnation, Try: p.rec.Tries}
 				tasks = tasks[1:]
 				p.place = append(p.place, a)
 				p.started = append(p.started, a)
-				zones[m.zone]++
-				c.copy.Apply(c.now, ccs.Delta{Start: true, Machine: mi, Claim: s.Claim})
+				zones[m.identity.zone]++
+				c.clusterCopy.state.Apply(c.now, ccs.Delta{Start: true, Machine: mi, Claim: s.Claim})
 				progress = true
 			}
 		}
@@ -1101,16 +1101,16 @@
 // horizon is how long a machine's tasks are expected to keep it; services keep it forever. It
 // is worked out again when the tasks change, and once a second.
 func (c *Core) horizon(m *machine) time.Duration {
-	if m.stayAt != 0 && m.stayAt > m.changed && c.now-m.stayAt < time.Second {
-		return max(0, m.stay)
+	if m.allocation.busyHorizonAt != 0 && m.allocation.busyHorizonAt > m.status.lastChangeAt && c.now-m.allocation.busyHorizonAt < time.Second {
+		return max(0, m.allocation.busyHorizon)
 	}
-	m.stay, m.stayAt = c.stay(m), c.now
-	return m.stay
+	m.allocation.busyHorizon, m.allocation.busyHorizonAt = c.stay(m), c.now
+	return m.allocation.busyHorizon
 }
 
 func (c *Core) stay(m *machine) time.Duration {
 	var h time.Duration
-	for k, a := range m.asg {
+	for k, a := range m.allocation.assignments {
 		s := c.jobs[k.job].rec.Spec
 		if s == nil {
 			continue
@@ -1126,7 +1126,7 @@
 // leftOf is how long an assigned task should still take, by its owner's estimate.
 func (c *Core) leftOf(j *job, m *machine, a ledger.Asg) time.Duration {
 	left := time.Duration(j.rec.Spec.EstimateMS) * time.Millisecond
-	switch p := m.pieces[attKey{j.idx, a.Task, a.Try}]; p.state {
+	switch p := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; p.state {
 	case wire.TaskExited:
 		return 0
 	case wire.TaskRunning:
@@ -1138,7 +1138,7 @@
 
 // holds reports whether a machine still reports an attempt of a task that has not exited.
 func (c *Core) holds(m *machine, j *job, task int32) bool {
-	for k, p := range m.pieces {
+	for k, p := range m.status.tasks {
 		if k.job == j.idx && k.task == task && p.state != wire.TaskExited {
 			return true
 		}
@@ -1150,8 +1150,8 @@
 func (c *Core) bestZone(s *wire.Spec) string {
 	room := map[string]int64{}
 	for _, m := range c.alive {
-		if r := c.copy.Row(m.idx); r != nil && r.Offered && c.usable(m) && c.allowed(s, m) {
-			room[m.zone] += capacity(r.Avail, s.Claim)
+		if r := c.clusterCopy.state.Row(m.idx); r != nil && r.Offered && c.usable(m) && c.allowed(s, m) {
+			room[m.identity.zone] += capacity(r.Avail, s.Claim)
 		}
 	}
 	best := ""
