--- a/core/plan.go
+++ b/core/plan.go
@@ -30,14 +30,14 @@
 
 // sawJob keeps the mean size of the jobs of a class, for spare room.
 func (c *Core) sawJob(r *ledger.Record) {
-	if c.classes == nil {
-		c.classes = map[string]*classStat{}
+	if c.autoscaler.classStats == nil {
+		c.autoscaler.classStats = map[string]*classStat{}
 	}
 	key := r.Spec.Class
-	st := c.classes[key]
+	st := c.autoscaler.classStats[key]
 	if st == nil {
 		st = &classStat{tasks: float64(r.Spec.Tasks), square: float64(r.Spec.Tasks) * float64(r.Spec.Tasks)}
-		c.classes[key] = st
+		c.autoscaler.classStats[key] = st
 	}
 	st.square += (float64(r.Spec.Tasks)*float64(r.Spec.Tasks) - st.square) / 16
 	st.tasks += (float64(r.Spec.Tasks) - st.tasks) / 8
@@ -117,23 +117,23 @@
 	l := c.lead
 	var bins []*bin
 	for _, m := range c.alive {
-		t := c.catalog[m.typ]
-		if m.gone || m.lead.why != "" || m.lead.cut || m.noticed > 0 || t == nil || c.faulty(m) {
+		t := c.autoscaler.catalog[m.identity.machineType]
+		if m.lifecycle.gone || m.lead.why != "" || m.lead.cut || m.lifecycle.interruptionDeadline > 0 || t == nil || c.faulty(m) {
 			continue
 		}
-		b := &bin{m: m, pool: pool{m.typ, m.zone, m.spot}, room: t.Room()}
-		if m.up {
+		b := &bin{m: m, pool: pool{m.identity.machineType, m.identity.zone, m.identity.spot}, room: t.Room()}
+		if m.status.reported {
 			b.avail = b.room.Add(c.occupied(m), -1)
 			b.soon = c.soonFree(m)
 			b.horizon = c.horizon(m)
 		} else {
-			age := c.now - max(m.first, m.lead.rented)
-			if age > times(c.boot(m.typ), 1.7)+2*time.Second {
+			age := c.now - max(m.identity.firstSeenAt, m.lead.rented)
+			if age > times(c.boot(m.identity.machineType), 1.7)+2*time.Second {
 				continue // late: do not count on it
 			}
 			b.avail = b.room
 		}
-		b.busy = len(m.asg) > 0
+		b.busy = len(m.allocation.assignments) > 0
 		bins = append(bins, b)
 	}
 	// What was not sent yet is planned anew, together with what came since: the calls are few, so
@@ -141,7 +141,7 @@
 	maps.DeleteFunc(l.rentals, func(_ string, r *rental) bool { return !r.sent })
 	for _, name := range sortedKeys(l.rentals) {
 		r := l.rentals[name]
-		if t := c.catalog[r.req.Type]; t != nil {
+		if t := c.autoscaler.catalog[r.req.Type]; t != nil {
 			for i := 0; i < r.req.Count; i++ {
 				bins = append(bins, &bin{pool: pool{r.req.Type, r.req.Zone, r.req.Spot}, avail: t.Room(), room: t.Room()})
 			}
@@ -182,11 +182,11 @@
 	// Machines that nothing needs are emptied and returned.
 	for _, b := range bins {
 		m := b.m
-		if m == nil || !m.up {
+		if m == nil || !m.status.reported {
 			continue
 		}
 		m.lead.keep = b.keep
-		if len(m.asg) > 0 || c.busy(m) {
+		if len(m.allocation.assignments) > 0 || c.busy(m) {
 			m.lead.emptyAt = 0
 		} else if m.lead.emptyAt == 0 {
 			m.lead.emptyAt = c.now
@@ -204,7 +204,7 @@
 			}
 			continue
 		}
-		old := c.now-max(m.first, m.lead.rented) > 60*time.Second || m.lead.rented != 0 && c.now-m.lead.rented > 60*time.Second
+		old := c.now-max(m.identity.firstSeenAt, m.lead.rented) > 60*time.Second || m.lead.rented != 0 && c.now-m.lead.rented > 60*time.Second
 		if m.lead.cordon == 0 && c.now-m.lead.emptyAt >= c.idleFor(m) && old {
 			m.lead.cordon = c.now
 			l.pushNow = true
@@ -226,7 +226,7 @@
 	var total, occ int64
 	for _, b := range bins {
 		switch {
-		case b.m == nil || !b.m.up:
+		case b.m == nil || !b.m.status.reported:
 			boot++
 			continue
 		case b.m.lead.closed:
@@ -252,11 +252,11 @@
 
 // idleFor is how long an empty machine is kept: the longer it took to boot, the longer.
 func (c *Core) idleFor(m *machine) time.Duration {
-	return c.cfg.Idle + times(c.boot(m.typ), c.cfg.IdleBoots)
+	return c.cfg.Idle + times(c.boot(m.identity.machineType), c.cfg.IdleBoots)
 }
 
 func (c *Core) busy(m *machine) bool {
-	for _, p := range m.pieces {
+	for _, p := range m.status.tasks {
 		if p.state != wire.TaskExited {
 			return true
 		}
@@ -289,8 +289,8 @@
 // quickest type.
 func (c *Core) bootTime(s *wire.Spec) time.Duration {
 	var quickest time.Duration
-	for _, name := range c.types {
-		if t := c.catalog[name]; c.typeAllowed(s, name) && ccs.Vec(t.Room()).Fits(s.Claim) && (quickest == 0 || c.boot(name) < quickest) {
+	for _, name := range c.autoscaler.typeNames {
+		if t := c.autoscaler.catalog[name]; c.typeAllowed(s, name) && ccs.Vec(t.Room()).Fits(s.Claim) && (quickest == 0 || c.boot(name) < quickest) {
 			quickest = c.boot(name)
 		}
 	}
@@ -299,7 +299,7 @@
 
 // boot is the nominal boot time of a machine type; 0 if the type is not known.
 func (c *Core) boot(typ string) time.Duration {
-	t := c.catalog[typ]
+	t := c.autoscaler.catalog[typ]
 	if t == nil {
 		return 0
 	}
@@ -352,20 +352,20 @@
 			if m := c.machines[a.Machine]; m.lead.cut {
 				cut++
 			} else {
-				zones[m.zone]++
+				zones[m.identity.zone]++
 			}
 		}
 		if failing(j.rec, c.unixMS()) {
 			n = min(n, max(0, c.mostTried(j, j.place)-len(j.place)))
 		}
-		if n > 0 && c.now >= j.backoff {
+		if n > 0 && c.now >= j.placement.backoffUntil {
 			out = append(out, need{job: j, spec: s, n: min(n, c.maxPlaced()), zones: zones, prio: c.laneOf(j), at: j.turn()})
 		}
 		if cut > 0 {
 			out = append(out, need{job: j, spec: s, n: cut, zones: zones, standby: true, prio: c.laneOf(j), at: j.turn()})
 		}
 	}
-	for class, st := range c.classes {
+	for class, st := range c.autoscaler.classStats {
 		if running[class] == 0 && c.now-st.last > 3*time.Minute {
 			continue
 		}
@@ -375,7 +375,7 @@
 		}
 		s := st.spec
 		s.Tasks = n
-		out = append(out, need{spec: &s, n: n, zones: map[string]int{}, reserve: true, prio: c.lanes.Of(&s)})
+		out = append(out, need{spec: &s, n: n, zones: map[string]int{}, reserve: true, prio: c.priority.classes.Of(&s)})
 	}
 	slices.SortStableFunc(out, func(a, b need) int {
 		// Spare room for work that may not use spot machines comes before waiting work that
@@ -417,12 +417,12 @@
 // time of a machine like theirs.
 func (c *Core) soonFree(m *machine) ccs.Vec {
 	var v ccs.Vec
-	for k, a := range m.asg {
+	for k, a := range m.allocation.assignments {
 		j := c.jobs[k.job]
-		p := m.pieces[attKey{k.job, k.task, a.Try}]
+		p := m.status.tasks[attKey{k.job, k.task, a.Try}]
 		if s := j.rec.Spec; s != nil && !s.Service && p.state == wire.TaskRunning {
 			left := time.Duration(s.EstimateMS)*time.Millisecond - (c.now - p.since)
-			if left < times(c.boot(m.typ), c.cfg.SoonBoots) && left > -time.Duration(s.EstimateMS)*time.Millisecond/4 {
+			if left < times(c.boot(m.identity.machineType), c.cfg.SoonBoots) && left > -time.Duration(s.EstimateMS)*time.Millisecond/4 {
 				v = v.Add(s.Claim, 1)
 			}
 		}
@@ -566,7 +566,7 @@
 		}
 		n.n -= int(k)
 		n.zones[b.pool.zone] += int(k)
-		if b.m != nil && b.m.up {
+		if b.m != nil && b.m.status.reported {
 			now += int(k)
 		}
 	}
@@ -589,7 +589,7 @@
 		}
 	}
 	if !n.reserve && !n.standby && s.Service {
-		fill(func(b *bin) bool { return b.m != nil && b.m.up })
+		fill(func(b *bin) bool { return b.m != nil && b.m.status.reported })
 		if made := c.makeRoom(n, h.bins, room); made > 0 {
 			n.n -= made
 			h.full = [2][]seen{} // what was stopped may leave room over
@@ -622,7 +622,7 @@
 		if !ok {
 			break
 		}
-		t := c.catalog[p.typ]
+		t := c.autoscaler.catalog[p.typ]
 		b := &bin{pool: p, avail: t.Room(), room: t.Room()}
 		if order[p] == 0 {
 			*pools = append(*pools, p)
@@ -648,7 +648,7 @@
 	}
 	var places []place
 	for _, b := range bins {
-		if b.m == nil || !b.m.up || b.pool.spot && !n.spec.Spot || n.spec.Spread && room(b.pool.zone) <= 0 || !b.usable(c) || !c.allowed(n.spec, b.m) {
+		if b.m == nil || !b.m.status.reported || b.pool.spot && !n.spec.Spot || n.spec.Spread && room(b.pool.zone) <= 0 || !b.usable(c) || !c.allowed(n.spec, b.m) {
 			continue
 		}
 		if vs, cost, ok := c.victims(n, b); ok {
@@ -711,7 +711,7 @@
 	all := []asg2{}
 	for _, v := range b.m.sortedTasks() {
 		s := c.jobs[v.job].rec.Spec
-		p, there := b.m.pieces[attKey{v.job, v.Task, v.Try}]
+		p, there := b.m.status.tasks[attKey{v.job, v.Task, v.Try}]
 		if s != nil && there && !s.Service && s.Priority > below && !slices.Contains(b.stopped, v) &&
 			(p.state == wire.TaskRunning || p.state == wire.TaskFetching) {
 			all = append(all, v)
@@ -724,7 +724,7 @@
 
 // ran is how long a task has been in its state.
 func (c *Core) ran(m *machine, v asg2) time.Duration {
-	return c.now - m.pieces[attKey{v.job, v.Task, v.Try}].since
+	return c.now - m.status.tasks[attKey{v.job, v.Task, v.Try}].since
 }
 
 // choosePool is the cheapest kind of machine for the rest of a need, by price per task that
@@ -732,8 +732,8 @@
 func (c *Core) choosePool(s *wire.Spec, n need, room func(string) int64, h *shelf) (pool, bool) {
 	var best pool
 	bestScore, found := 0.0, false
-	for _, name := range c.types {
-		t := c.catalog[name]
+	for _, name := range c.autoscaler.typeNames {
+		t := c.autoscaler.catalog[name]
 		if !c.typeAllowed(s, name) {
 			continue
 		}
--- a/core/rights.go
+++ b/core/rights.go
@@ -218,7 +218,7 @@
 // lookAt calls f with a job as of a barrier that begins now; nil: there is none.
 func (c *Core) lookAt(req uint64, id string, f func(j *job)) {
 	switch {
-	case !c.loaded:
+	case !c.replica.loaded:
 		c.refuse(req, "not caught up")
 	case c.stateDown():
 		c.refuse(req, "state service not reached")
@@ -278,7 +278,7 @@
 // conditions under which the others have it.
 func (c *Core) stillMay(j *job) []wire.Cond {
 	var conds []wire.Cond
-	j.cancels = slices.DeleteFunc(j.cancels, func(x cancelReq) bool {
+	j.cancellation.waiters = slices.DeleteFunc(j.cancellation.waiters, func(x cancelReq) bool {
 		if c.guarded() && !c.mayCancel(x.by, j) {
 			c.forbid(x.req, x.by, "cancel", j.id, "no right to cancel it")
 			return true
@@ -297,11 +297,11 @@
 // they come into force. A seeding that was interrupted goes on.
 func (c *Core) seedAccess() {
 	r := &c.rights
-	if c.cfg.Access == nil || c.guarded() || c.mute() || c.cfg.AuditKey != nil && !c.auditing() || !c.leads() || !c.leaseOK() || c.form() < formAccess || r.seeding || c.now < r.seedAt || c.budget.Paused(c.now) || c.budget.Writes < 1 {
+	if c.cfg.Access == nil || c.guarded() || c.mute() || c.cfg.AuditKey != nil && !c.auditing() || !c.leads() || !c.leaseOK() || c.form() < formAccess || r.seeding || c.now < r.seedAt || c.transactions.rateLimit.Paused(c.now) || c.transactions.rateLimit.Writes < 1 {
 		return
 	}
 	seed := c.cfg.Access.Source()
-	t := wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leader.mark}, {Key: keyRoles}}}
+	t := wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}, {Key: keyRoles}}}
 	put := func(key string, m protobuf.Message) bool {
 		raw, err := ledger.PackMessage(m)
 		if err != nil || len(raw) > c.cfg.ValueBytes {
@@ -315,7 +315,7 @@
 		return true
 	}
 	for _, id := range seed.Identities {
-		if _, there := r.who[id.Name]; !there && len(t.Then) < max(1, min(c.cfg.TxnOps, int(c.budget.Writes))-c.besides()) && !put(keyWho+id.Name, id) {
+		if _, there := r.who[id.Name]; !there && len(t.Then) < max(1, min(c.cfg.TxnOps, int(c.transactions.rateLimit.Writes))-c.besides()) && !put(keyWho+id.Name, id) {
 			r.seedAt = c.now + 10*time.Second
 			return
 		}
@@ -339,7 +339,7 @@
 // change carries out a change of an identity's rights by somebody who may.
 func (c *Core) change(in Change) {
 	switch {
-	case !c.loaded || c.stateDown() || !c.leaseOK():
+	case !c.replica.loaded || c.stateDown() || !c.leaseOK():
 		c.refuse(in.Req, "state service not reached")
 	case !c.guarded():
 		c.refuse(in.Req, "rights are not in force")
--- a/core/rights_test.go
+++ b/core/rights_test.go
@@ -82,7 +82,7 @@
 	}
 	written := func(from, to time.Duration) (txns []wire.Txn) {
 		for at := from; at < to; at += 100 * time.Millisecond {
-			c.leaseUntil = at + time.Minute
+			c.ownLease.expiresAt = at + time.Minute
 			for _, o := range outputs[Commit](append(c.Advance(at), barrier(c, at)...)) {
 				if slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool { return strings.HasPrefix(w.Put, keyAccess) }) {
 					txns = append(txns, o.Txn)
@@ -91,11 +91,11 @@
 					}
 					var log []wire.Event
 					for _, w := range o.Txn.Then {
-						log = append(log, wire.Event{Put: w.Put, Value: w.Value, Mark: c.seen + 1})
+						log = append(log, wire.Event{Put: w.Put, Value: w.Value, Mark: c.replica.revision + 1})
 					}
-					stream(c, at, c.seen+1, log...)
+					stream(c, at, c.replica.revision+1, log...)
 				}
-				c.Handle(at, Committed{ID: o.ID, Status: 200, Reply: wire.TxnReply{Ledger: c.seen}})
+				c.Handle(at, Committed{ID: o.ID, Status: 200, Reply: wire.TxnReply{Ledger: c.replica.revision}})
 			}
 		}
 		return txns
@@ -118,7 +118,7 @@
 	stream(c, 1200*time.Millisecond, 11, event(keyJob+"wk-1", `{"h":0,"s":{"cl":"x","tm":"t","n":1,"rc":[1000,0,1000]}}`, 11))
 	awaits := submitted("wk-3")
 	awaits.Spec.Awaits = []string{"wk-1"}
-	c.formNow = Form
+	c.schema.active = Form
 	ask := func(at time.Duration, in Input) Reply {
 		c.Handle(at, in)
 		out := c.Advance(at)
@@ -142,10 +142,10 @@
 		{as(potter, awaits), as(potter, func() Submit { s := awaits; s.Spec.Awaits = []string{"wk-2"}; return s }()), 422},
 	} {
 		at += 2 * time.Second
-		c.leaseUntil = at + time.Minute
+		c.ownLease.expiresAt = at + time.Minute
 		a := ask(at, x.real)
 		at += 2 * time.Second
-		c.leaseUntil = at + time.Minute
+		c.ownLease.expiresAt = at + time.Minute
 		b := ask(at, x.never)
 		if a.Status != x.status || strings.ReplaceAll(fmt.Sprint(a.Body), "wk-1", "wk-2") != fmt.Sprint(b.Body) || a.Status != b.Status {
 			t.Errorf("%T: %+v differs from %+v", x.real, a, b)
--- a/core/share.go
+++ b/core/share.go
@@ -35,10 +35,10 @@
 
 // slot is what is known of a slot.
 func (c *Core) slot(n int) *shared.Slot {
-	s := c.slots[n]
+	s := c.replica.batchValues[n]
 	if s == nil {
 		s = &shared.Slot{}
-		c.slots[n] = s
+		c.replica.batchValues[n] = s
 	}
 	return s
 }
@@ -58,7 +58,7 @@
 // mark, of which the slot knows nothing.
 func (c *Core) entryOf(p *proposal) json.RawMessage {
 	j, r := p.j, p.rec
-	if !c.mayShare() || j.mark == 0 || p.accept || p.cancel || r.Stage != ledger.Queued || r.Spec == nil || j.cancelMark != 0 || j.size > c.cfg.ValueBytes*3/4 ||
+	if !c.mayShare() || j.mark == 0 || p.accept || p.cancel || r.Stage != ledger.Queued || r.Spec == nil || j.cancellation.markerRevision != 0 || j.stored.bytes > c.cfg.ValueBytes*3/4 ||
 		p.fold || len(p.conds) > 0 || len(r.Carried) > 0 || !c.mine(j) || len(p.place) > c.cfg.ValueBytes/40 {
 		return nil
 	}
@@ -118,7 +118,7 @@
 		}
 		if j := c.knownJob(id); j != nil && j.rec.Spec != nil && !j.final() {
 			if r := c.laid(id, j.rec); r != j.rec {
-				c.adopt(j, r, r.Assigned(c.seat), j.mark, j.size)
+				c.adopt(j, r, r.Assigned(c.seat), j.mark, j.stored.bytes)
 			}
 		}
 	}
--- a/core/share_test.go
+++ b/core/share_test.go
@@ -118,7 +118,7 @@
 	c = sharing(t)
 	c.put(keyJob+"wk-1", recordOn(t, c, 1, "m-1", true), 10)
 	c.put(n, slotValue(t, shared.Entries{"wk-1": recordOn(t, c, 1, "m-2", false), "wk-2": json.RawMessage(`{"v":1}`)}), 20)
-	c.shards[0].Node = "n1"
+	c.ownership.shards[0].Node = "n1"
 	c.Handle(time.Second, Cancel{Req: 5, ID: "wk-1", UnixMS: 1})
 	y = txnOf(c.Advance(1100*time.Millisecond), n)
 	if y == nil || txnOf([]Output{*y}, keyJob+"wk-1") == nil || !slices.Contains(y.Txn.If, wire.Cond{Key: n, Mark: 20}) {
@@ -151,14 +151,14 @@
 		c.put(keyJob+id, raw, uint64(10+i))
 	}
 	for _, m := range c.alive {
-		m.gone = true
+		m.lifecycle.gone = true
 	}
 	for _, j := range c.jobs {
 		c.touch(j)
 	}
 	drive(c, time.Second, 5*time.Second)
 	for _, j := range c.jobs {
-		if len(j.place) != 0 || j.inflight {
+		if len(j.place) != 0 || j.write.inFlight {
 			t.Errorf("%s: %d tasks are still on machines that are gone", j.id, len(j.place))
 		}
 	}
--- a/core/strain.go
+++ b/core/strain.go
@@ -9,7 +9,7 @@
 
 // strain works out the level of overload from how the process stands.
 func (c *Core) strain(in Strain) {
-	signs := overload.Signs{Late: in.Late, Queue: in.Queue, Sockets: in.Sockets, Backlog: c.toWrite(c.waiters)}
+	signs := overload.Signs{Late: in.Late, Queue: in.Queue, Sockets: in.Sockets, Backlog: c.toWrite(c.transactions.backlog)}
 	if c.load.Look(c.now, signs) {
 		c.note("info", "load", "level", c.load.Level().String(), "late_ms", in.Late.Milliseconds(), "queue", in.Queue, "sockets", in.Sockets,
 			"backlog_ms", signs.Backlog.Milliseconds())
@@ -18,7 +18,7 @@
 
 // toWrite is how long so many changes take this controller.
 func (c *Core) toWrite(changes int) time.Duration {
-	return time.Duration(float64(changes) / max(1, c.budget.WriteRate) * float64(time.Second))
+	return time.Duration(float64(changes) / max(1, c.transactions.rateLimit.WriteRate) * float64(time.Second))
 }
 
 // eased is an interval of work that can wait: the longer, the more there is to do.
@@ -37,7 +37,7 @@
 func (c *Core) acceptMost() int {
 	rate := c.writeRPS()
 	if c.load.Level() == overload.Over {
-		rate = min(rate, c.budget.WriteRate)
+		rate = min(rate, c.transactions.rateLimit.WriteRate)
 	}
 	return max(8, int(rate*c.cfg.AcceptWait.Seconds()))
 }
--- a/core/strain_test.go
+++ b/core/strain_test.go
@@ -32,7 +32,7 @@
 	drive(c, time.Second, 2500*time.Millisecond)
 	usable := func(zone string) (n int) {
 		for _, m := range c.alive {
-			if m.zone == zone && c.usable(m) {
+			if m.identity.zone == zone && c.usable(m) {
 				n++
 			}
 		}
@@ -80,7 +80,7 @@
 				open = append(open, ask{now, o.Machine})
 				asked[o.Machine]++
 			case LeaseOp:
-				c.Handle(now, Leased{Op: o.Op, Status: 200, Lease: c.lease})
+				c.Handle(now, Leased{Op: o.Op, Status: 200, Lease: c.ownLease.id})
 			}
 		}
 		if len(open) > c.cfg.ProbesMost {
@@ -106,25 +106,25 @@
 	fleetOf(c, time.Second, 200)
 	for i, m := range c.alive {
 		if i%2 == 0 {
-			m.misses = 1
+			m.commands.unanswered = 1
 		}
 		k := attKey{c.job("wk-1").idx, int32(i), 1}
-		m.pieces[k] = piece{state: wire.TaskExited, cause: wire.CauseDone}
+		m.status.tasks[k] = piece{state: wire.TaskExited, cause: wire.CauseDone}
 		c.job("wk-1").mark = 1 // a record that assigns nothing: all that machines report is to be forgotten
-		m.clearAt = time.Millisecond
+		m.commands.nextClearAt = time.Millisecond
 		c.touchMachine(m)
 	}
 	drive(c, time.Second, 1050*time.Millisecond)
-	if len(c.sends) != 0 {
-		t.Fatalf("%d requests are on their way after all were answered", len(c.sends))
+	if len(c.commands.inFlight) != 0 {
+		t.Fatalf("%d requests are on their way after all were answered", len(c.commands.inFlight))
 	}
 	for _, m := range c.alive {
-		m.nextSend = 0
+		m.commands.nextSendAt = 0
 		c.touchMachine(m)
-		for k := range m.att {
-			delete(m.att, k)
+		for k := range m.commands.attempts {
+			delete(m.commands.attempts, k)
 		}
-		m.clearAt = time.Millisecond
+		m.commands.nextClearAt = time.Millisecond
 	}
 	strained := 0
 	orders := outputs[Orders](c.Advance(1100 * time.Millisecond))
@@ -141,7 +141,7 @@
 // Whoever is refused for too much work comes back when what waits now is written, and not all at the same moment.
 func TestRefusedComeBackWhenThereIsTime(t *testing.T) {
 	c := serving(t)
-	c.budget.WriteRate = 10
+	c.transactions.rateLimit.WriteRate = 10
 	if s := c.comeBack(); s != 1 {
 		t.Errorf("come back in %d s when nothing waits", s)
 	}
--- a/core/sweep.go
+++ b/core/sweep.go
@@ -44,25 +44,25 @@
 // mayMove reports whether records may move now: no one may be running a version that does not
 // look into the archive, and nobody waits for the changes it takes.
 func (c *Core) mayMove() bool {
-	return c.load.Level() == overload.Calm && c.cfg.Archive && c.form() >= formHistory && c.leads() && c.leaseOK() && c.now >= c.formAt+c.cfg.HistoryWait &&
-		!c.budget.Paused(c.now) && c.accepting == 0 && len(c.txns) == 0 && c.budget.Writes >= 0.75*c.budget.Burst(c.cfg.TxnOps) && c.budget.Reads > 1
+	return c.load.Level() == overload.Calm && c.cfg.Archive && c.form() >= formHistory && c.leads() && c.leaseOK() && c.now >= c.schema.activeSince+c.cfg.HistoryWait &&
+		!c.transactions.rateLimit.Paused(c.now) && c.accepting == 0 && len(c.transactions.inFlight) == 0 && c.transactions.rateLimit.Writes >= 0.75*c.transactions.rateLimit.Burst(c.cfg.TxnOps) && c.transactions.rateLimit.Reads > 1
 }
 
 // sweepStep starts a sweep when one is due, and takes the next step of it.
 func (c *Core) sweepStep() {
-	if c.sweep == nil {
-		if c.now < c.sweepLook || !c.mayMove() {
+	if c.archiving.sweep == nil {
+		if c.now < c.archiving.nextSweepCheckAt || !c.mayMove() {
 			return
 		}
-		c.sweepLook = c.now + time.Second
+		c.archiving.nextSweepCheckAt = c.now + time.Second
 		c.startSweep()
 		return
 	}
-	s := c.sweep
+	s := c.archiving.sweep
 	switch {
 	case s.busy:
 	case !c.leads():
-		c.sweep = nil
+		c.archiving.sweep = nil
 	case !c.mayMove():
 	case len(s.todo) > 0:
 		c.move(s)
@@ -70,19 +70,19 @@
 		c.nextPage(s)
 	default:
 		c.note("info", "ended jobs moved to the archive", "jobs", s.moved, "changes", s.changes, "took_ms", (c.now - s.from).Milliseconds())
-		c.sweep = nil
+		c.archiving.sweep = nil
 	}
 }
 
 // startSweep begins a sweep if more ended jobs have records than twice those to be kept.
 func (c *Core) startSweep() {
 	h := &c.hist
-	h.ended = slices.DeleteFunc(h.ended, func(j *job) bool { return j.archived || !j.counted })
+	h.ended = slices.DeleteFunc(h.ended, func(j *job) bool { return j.archive.archived || !j.archive.counted })
 	if len(h.ended)+h.cold <= 2*c.cfg.EndedKept || len(h.ended) <= c.cfg.EndedKept {
 		return
 	}
 	slices.SortFunc(h.ended, func(a, b *job) int { return -compareMarks(a, b) })
-	c.sweep = &sweep{below: h.ended[c.cfg.EndedKept].mark, refs: c.referred(), from: c.now}
+	c.archiving.sweep = &sweep{below: h.ended[c.cfg.EndedKept].mark, refs: c.referred(), from: c.now}
 }
 
 // nextPage reads the next records.
@@ -90,7 +90,7 @@
 	s.busy = true
 	c.scan(keyJob, s.after, pageItems/2, func(in Scanned) {
 		s.busy = false
-		if in.Status != 200 || s != c.sweep {
+		if in.Status != 200 || s != c.archiving.sweep {
 			return
 		}
 		for _, it := range in.Items {
@@ -157,7 +157,7 @@
 		s.todo = s.todo[n:]
 		return
 	}
-	t := wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leader.mark}}}
+	t := wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}}}
 	for i, p := range pieces {
 		cond := wire.Cond{Key: archive.Key(p.High)}
 		if i == len(pieces)-1 {
@@ -199,7 +199,7 @@
 // markHistory writes the sign that something may be archived, ahead of the first move.
 func (c *Core) markHistory(s *sweep) {
 	s.busy = true
-	c.commit(wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leader.mark}, {Key: keyHistory}},
+	c.commit(wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}, {Key: keyHistory}},
 		Then: []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}}}, &txn{done: func(int, wire.TxnReply) {
 		c.afterBarrier(func(bool) { s.busy = false }) // what came of it shows there
 	}})
--- a/core/turn_test.go
+++ b/core/turn_test.go
@@ -20,8 +20,8 @@
 		for _, n := range []string{"n0", "n1", "n2"} {
 			c.put(keyNode+n, []byte(`{"t":7}`), 8)
 		}
-		for i := range c.shards {
-			c.shards[i].Node = name
+		for i := range c.ownership.shards {
+			c.ownership.shards[i].Node = name
 		}
 		push := &Push{Rev: 1, Token: 1}
 		for i := range machines {
--- a/core/users.go
+++ b/core/users.go
@@ -65,7 +65,7 @@
 	}
 	for _, a := range j.place {
 		m := c.machines[a.Machine]
-		if p, ok := m.pieces[attKey{j.idx, a.Task, a.Try}]; ok && m.session == a.Session &&
+		if p, ok := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; ok && m.status.incarnation == a.Session &&
 			(p.state == wire.TaskRunning || p.state == wire.TaskSaving) {
 			s.Running++
 		}
@@ -98,7 +98,7 @@
 // what was true only before they asked: others may have been told an end or a cancellation since. Whoever asks, repeats a submission, or joins one
 // whose write was sent before, is answered here.
 func (c *Core) tellCurrent(req uint64, id string) {
-	if !c.loaded {
+	if !c.replica.loaded {
 		c.refuse(req, "not caught up")
 		return
 	}
@@ -133,7 +133,7 @@
 
 // stateDown reports whether the state service seems out of reach at this moment.
 func (c *Core) stateDown() bool {
-	return !c.loaded || c.stateBad > c.stateGood && c.now-c.stateGood > 400*time.Millisecond
+	return !c.replica.loaded || c.storeHealth.lastFailureAt > c.storeHealth.lastAnswerAt && c.now-c.storeHealth.lastAnswerAt > 400*time.Millisecond
 }
 
 func (c *Core) submit(in Submit) {
@@ -153,7 +153,7 @@
 		c.reply(in.Req, 400, wire.Error{Error: in.Bad})
 		return
 	}
-	if !c.loaded {
+	if !c.replica.loaded {
 		c.refuse(in.Req, "not caught up")
 		return
 	}
@@ -269,7 +269,7 @@
 
 // impossible tells why a job can never run; 503 if that can't be decided yet, 0 if it can run.
 func (c *Core) impossible(s *wire.Spec) (int, string) {
-	if c.catalog == nil {
+	if c.autoscaler.catalog == nil {
 		return 503, "machine types not known yet"
 	}
 	ti, ok := c.teamIdx[s.Team]
@@ -284,7 +284,7 @@
 	if t.CPUMax > 0 && s.Claim[0]*n > t.CPUMax || t.GPUMax > 0 && s.Claim[1]*n > t.GPUMax {
 		return 422, "needs more than the team's limit"
 	}
-	for _, mt := range c.catalog {
+	for _, mt := range c.autoscaler.catalog {
 		if c.typeAllowed(s, mt.Name) && fits(mt.Room(), s.Claim) {
 			for _, z := range mt.Zones {
 				if s.Zone == "" || s.Zone == z {
@@ -351,7 +351,7 @@
 		c.reply(in.Req, 404, wire.Error{Error: "no such job"})
 		return
 	}
-	if !c.loaded {
+	if !c.replica.loaded {
 		c.refuse(in.Req, "not caught up")
 		return
 	}
@@ -382,34 +382,34 @@
 		c.reply(in.Req, 200, c.state(j))
 		return
 	}
-	j.cancels = append(j.cancels, cancelReq{in.Req, in.By})
-	j.cancelMS = in.UnixMS
-	j.cancelBy = c.now + c.cfg.AcceptWait
-	c.cancelsTill = j.cancelBy + 5*time.Second // a write of it may be on its way as long
+	j.cancellation.waiters = append(j.cancellation.waiters, cancelReq{in.Req, in.By})
+	j.cancellation.requestedMS = in.UnixMS
+	j.cancellation.answerBy = c.now + c.cfg.AcceptWait
+	c.cancelAcks.waitersUntil = j.cancellation.answerBy + 5*time.Second // a write of it may be on its way as long
 	c.touch(j)
 }
 
 // settleCancels answers those who wait for a job's end once it is final.
 func (c *Core) settleCancels(j *job) {
-	if len(j.cancels) == 0 || !j.final() {
+	if len(j.cancellation.waiters) == 0 || !j.final() {
 		return
 	}
-	for _, r := range j.cancels {
+	for _, r := range j.cancellation.waiters {
 		c.reply(r.req, 200, c.state(j))
 	}
-	j.cancels = nil
+	j.cancellation.waiters = nil
 }
 
 func (c *Core) failCancels(j *job, why string) {
-	for _, r := range j.cancels {
+	for _, r := range j.cancellation.waiters {
 		c.refuse(r.req, why)
 	}
-	j.cancels = nil
+	j.cancellation.waiters = nil
 }
 
 // beat answers a worker's report.
 func (c *Core) beat(in Beat) {
-	if !c.loaded {
+	if !c.replica.loaded {
 		c.refuse(in.Req, "not caught up")
 		return
 	}
@@ -420,7 +420,7 @@
 		}
 	}
 	c.observe(in.Report, true)
-	if in.Report.Token <= c.epoch {
+	if in.Report.Token <= c.leadership.fencingToken {
 		c.answerBeat(in)
 		return
 	}
@@ -438,5 +438,5 @@
 		c.refuse(in.Req, why)
 		return
 	}
-	c.reply(in.Req, 200, wire.BeatReply{Token: c.epoch, Orders: c.stopsFor(m)})
+	c.reply(in.Req, 200, wire.BeatReply{Token: c.leadership.fencingToken, Orders: c.stopsFor(m)})
 }
--- a/core/zones.go
+++ b/core/zones.go
@@ -17,22 +17,22 @@
 )
 
 func (c *Core) zoneOf(zone string) *zoneNews {
-	z := c.zones[zone]
+	z := c.agents.zones[zone]
 	if z == nil {
 		z = &zoneNews{}
-		c.zones[zone] = z
+		c.agents.zones[zone] = z
 	}
 	return z
 }
 
 // countZones counts the machines that are up.
 func (c *Core) countZones() {
-	for _, z := range c.zones {
+	for _, z := range c.agents.zones {
 		z.up = 0
 	}
 	for _, m := range c.alive {
-		if m.up && !m.gone {
-			c.zoneOf(m.zone).up++
+		if m.status.reported && !m.lifecycle.gone {
+			c.zoneOf(m.identity.zone).up++
 		}
 	}
 }
@@ -44,11 +44,11 @@
 
 // quiet reports whether nothing has been heard of a zone for a time, although it has many machines and others are heard of.
 func (c *Core) quiet(zone string, least time.Duration) bool {
-	z := c.zones[zone]
+	z := c.agents.zones[zone]
 	if z == nil || z.up < leastOfZone || c.now-z.heard <= max(least, c.pause(z)) {
 		return false
 	}
-	for _, o := range c.zones {
+	for _, o := range c.agents.zones {
 		if o.up >= leastOfZone && c.now-o.heard <= c.pause(o) {
 			return true
 		}
