--- a/api/api.go
+++ b/api/api.go
@@ -26,44 +26,44 @@
 // Service is what the edge needs of the controller.
 type Service interface {
 	// Put hands an input to the core; false if the queue is full.
-	Put(core.Input) bool
+	Enqueue(core.Input) bool
 	// Healthy tells whether this controller can take requests.
 	Healthy() bool
 	// Site tells where the state service is.
-	Site() wire.Site
+	StoreEndpoint() wire.StoreEndpoint
 }
 
 // Server holds the requests that wait for the core's answers.
 type Server struct {
-	svc     Service
-	log     *slog.Logger
-	mu      sync.Mutex
-	next    uint64
-	pending map[uint64]chan core.Reply
-	gate    *gate
-	tls     *tls.Config
+	service          Service
+	log              *slog.Logger
+	mu               sync.Mutex
+	lastRequestID    uint64
+	pendingResponses map[uint64]chan core.Reply
+	authenticator    *authenticator
+	tlsConfig        *tls.Config
 
-	booking atomic.Bool // something can be booked
-	queue   atomic.Bool // there is a list of lanes
+	reservationsEnabled atomic.Bool // something can be booked
+	queueEnabled        atomic.Bool // there is a list of lanes
 
-	refusedMu sync.Mutex
-	refused   audit.Gather
+	deniedMu sync.Mutex
+	denied   audit.Gather
 }
 
 const (
-	mostRefused = 8 << 10 // bytes of refused requests that are told apart
+	maxDeniedBytes = 8 << 10 // bytes of refused requests that are told apart
 
-	userWait = 1900 * time.Millisecond // users wait 2 s for a poll
-	beatWait = 3 * time.Second         // workers wait 4 s
+	userResponseTimeout      = 1900 * time.Millisecond // users wait 2 s for a poll
+	heartbeatResponseTimeout = 3 * time.Second         // workers wait 4 s
 )
 
 // New returns a server; bound is how far the time of day may be off. Without TLS settings it is in plain text.
-func New(svc Service, bound time.Duration, secure *tls.Config, log *slog.Logger) *Server {
-	return &Server{svc: svc, log: log, pending: map[uint64]chan core.Reply{}, gate: newGate(bound), tls: secure, refused: audit.Gather{Most: mostRefused}}
+func New(service Service, clockErrorBound time.Duration, tlsConfig *tls.Config, log *slog.Logger) *Server {
+	return &Server{service: service, log: log, pendingResponses: map[uint64]chan core.Reply{}, authenticator: newAuthenticator(clockErrorBound), tlsConfig: tlsConfig, denied: audit.Gather{Most: maxDeniedBytes}}
 }
 
-// SetRights puts rights in force: from now on, requests need a token.
-func (s *Server) SetRights(p *access.Policy) { s.gate.set(p) }
+// SetPermissions puts rights in force: from now on, requests need a token.
+func (s *Server) SetPermissions(p *access.Policy) { s.authenticator.setPolicy(p) }
 
 // commonName is that of the certificate which a user has proven to hold, "" if there is none. Who signed it
 // was verified with the connection.
@@ -74,14 +74,14 @@
 	return ""
 }
 
-// as makes a handler of one that is told who asks.
-func (s *Server) as(h func(c fiber.Ctx, by core.Cred) error) fiber.Handler {
+// authenticated makes a handler of one that is told who asks.
+func (s *Server) authenticated(h func(c fiber.Ctx, by core.Cred) error) fiber.Handler {
 	return func(c fiber.Ctx) error {
-		by, status, why := s.gate.who(c.Get(fiber.HeaderAuthorization), commonName(c), time.Now())
+		by, status, why := s.authenticator.authenticate(c.Get(fiber.HeaderAuthorization), commonName(c), time.Now())
 		if status == 0 {
 			return h(c, by)
 		}
-		s.refuse(c, status, why)
+		s.recordDenied(c, status, why)
 		if status == fiber.StatusTooManyRequests {
 			c.Set(fiber.HeaderRetryAfter, "1")
 		} else {
@@ -91,43 +91,43 @@
 	}
 }
 
-// refuse notes a request of somebody who has not proven who they are.
-func (s *Server) refuse(c fiber.Ctx, status int, why string) {
+// recordDenied notes a request of somebody who has not proven who they are.
+func (s *Server) recordDenied(c fiber.Ctx, status int, why string) {
 	path := string([]byte(c.Path())) // the request's memory is used again
 	s.log.Info("refused", "path", path, "status", status, "why", why)
-	s.refusedMu.Lock()
-	defer s.refusedMu.Unlock()
-	s.refused.Add(audit.Item{Verb: c.Method(), Object: path, Why: why}, 1)
+	s.deniedMu.Lock()
+	defer s.deniedMu.Unlock()
+	s.denied.Add(audit.Item{Verb: c.Method(), Object: path, Why: why}, 1)
 }
 
-// Refused takes what was refused since the last call, to be recorded.
-func (s *Server) Refused() []*pb.AuditItem {
-	s.refusedMu.Lock()
-	defer s.refusedMu.Unlock()
-	return s.refused.Take(4 * mostRefused)
+// TakeDenied takes what was refused since the last call, to be recorded.
+func (s *Server) TakeDenied() []*pb.AuditItem {
+	s.deniedMu.Lock()
+	defer s.deniedMu.Unlock()
+	return s.denied.Take(4 * maxDeniedBytes)
 }
 
-// Answer delivers a reply of the core.
-func (s *Server) Answer(r core.Reply) {
+// DeliverResponse delivers a reply of the core.
+func (s *Server) DeliverResponse(r core.Reply) {
 	s.mu.Lock()
-	ch := s.pending[r.Req]
-	delete(s.pending, r.Req)
+	ch := s.pendingResponses[r.Req]
+	delete(s.pendingResponses, r.Req)
 	s.mu.Unlock()
 	if ch != nil {
 		ch <- r
 	}
 }
 
-// ask hands an input to the core and waits for its answer.
-func (s *Server) ask(c fiber.Ctx, wait time.Duration, make func(req uint64) core.Input) error {
-	ch := newWaiter()
+// handleInput hands an input to the core and waits for its answer.
+func (s *Server) handleInput(c fiber.Ctx, wait time.Duration, make func(req uint64) core.Input) error {
+	ch := newResponseChannel()
 	s.mu.Lock()
-	s.next++
-	id := s.next
-	s.pending[id] = ch
+	s.lastRequestID++
+	id := s.lastRequestID
+	s.pendingResponses[id] = ch
 	s.mu.Unlock()
-	if !s.svc.Put(make(id)) {
-		s.forget(id)
+	if !s.service.Enqueue(make(id)) {
+		s.dropPendingResponse(id)
 		return unavailable(c, "too busy")
 	}
 	t := time.NewTimer(wait)
@@ -139,16 +139,16 @@
 		}
 		return c.Status(r.Status).JSON(r.Body)
 	case <-t.C:
-		s.forget(id)
+		s.dropPendingResponse(id)
 		return unavailable(c, "no answer in time")
 	}
 }
 
-func newWaiter() chan core.Reply { return make(chan core.Reply, 1) }
+func newResponseChannel() chan core.Reply { return make(chan core.Reply, 1) }
 
-func (s *Server) forget(id uint64) {
+func (s *Server) dropPendingResponse(id uint64) {
 	s.mu.Lock()
-	delete(s.pending, id)
+	delete(s.pendingResponses, id)
 	s.mu.Unlock()
 }
 
@@ -157,10 +157,10 @@
 	return c.Status(fiber.StatusServiceUnavailable).JSON(wire.Error{Error: why})
 }
 
-// app builds the routes.
-func (s *Server) app() *fiber.App {
+// newApp builds the routes.
+func (s *Server) newApp() *fiber.App {
 	app := fiber.New(fiber.Config{
-		AppName: "dewlift", BodyLimit: wire.MaxBody, ReadBufferSize: 8 << 10, WriteBufferSize: 4 << 10,
+		AppName: "dewlift", BodyLimit: wire.MaxBodyBytes, ReadBufferSize: 8 << 10, WriteBufferSize: 4 << 10,
 		IdleTimeout: 2 * time.Minute, ReadTimeout: time.Minute, WriteTimeout: 10 * time.Second,
 		ErrorHandler: func(c fiber.Ctx, err error) error {
 			status := fiber.StatusInternalServerError
@@ -175,15 +175,15 @@
 		},
 	})
 	app.Get(wire.PathHealth, func(c fiber.Ctx) error {
-		if s.svc.Healthy() {
+		if s.service.Healthy() {
 			return c.SendStatus(fiber.StatusOK)
 		}
 		return unavailable(c, "not serving")
 	})
-	app.Get(wire.PathSite, s.as(func(c fiber.Ctx, by core.Cred) error {
-		err := s.ask(c, userWait, func(req uint64) core.Input {
+	app.Get(wire.PathStoreEndpoint, s.authenticated(func(c fiber.Ctx, by core.Cred) error {
+		err := s.handleInput(c, userResponseTimeout, func(req uint64) core.Input {
 			object := "site"
-			if c.Query("for") == wire.ForSnapshot {
+			if c.Query("for") == wire.EndpointForSnapshot {
 				object = "snapshot"
 			}
 			return core.Check{Req: req, By: by, Verb: pb.Verb_administer, Object: object}
@@ -191,9 +191,9 @@
 		if err != nil || c.Response().StatusCode() != fiber.StatusOK {
 			return err
 		}
-		return c.JSON(s.svc.Site())
+		return c.JSON(s.service.StoreEndpoint())
 	}))
-	app.Get(wire.PathAudit, s.as(func(c fiber.Ctx, by core.Cred) error {
+	app.Get(wire.PathAudit, s.authenticated(func(c fiber.Ctx, by core.Cred) error {
 		in := core.ReadAudit{By: by, Node: string([]byte(c.Query("node")))}
 		if after := c.Query("after"); after != "" {
 			var err error
@@ -201,21 +201,21 @@
 				return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: "after: not the number of a block"})
 			}
 		}
-		return s.ask(c, userWait, func(req uint64) core.Input { in.Req = req; return in })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
 	}))
-	app.Get(wire.PathAccess, s.as(func(c fiber.Ctx, by core.Cred) error {
-		return s.ask(c, userWait, func(req uint64) core.Input { return core.ShowRights{Req: req, By: by} })
+	app.Get(wire.PathPermissions, s.authenticated(func(c fiber.Ctx, by core.Cred) error {
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.ShowRights{Req: req, By: by} })
 	}))
-	app.Post(wire.PathAccess+"/:who", s.as(func(c fiber.Ctx, by core.Cred) error {
+	app.Post(wire.PathPermissions+"/:who", s.authenticated(func(c fiber.Ctx, by core.Cred) error {
 		in := core.Change{By: by, Who: string([]byte(c.Params("who")))}
 		if err := json.Unmarshal(c.Body(), &in.Edit); err != nil {
 			return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: "not a change of rights: " + err.Error()})
 		}
-		return s.ask(c, userWait, func(req uint64) core.Input { in.Req = req; return in })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
 	}))
-	s.bookingRoutes(app)
-	s.queueRoutes(app)
-	app.Post(wire.PathJobs, s.as(func(c fiber.Ctx, by core.Cred) error {
+	s.addReservationRoutes(app)
+	s.addQueueRoutes(app)
+	app.Post(wire.PathJobs, s.authenticated(func(c fiber.Ctx, by core.Cred) error {
 		in := core.Submit{By: by, UnixMS: time.Now().UnixMilli()}
 		spec, err := wire.ParseSubmission(c.Body())
 		if err != nil {
@@ -223,42 +223,42 @@
 		} else {
 			in.ID, in.Spec = spec.ID, spec
 		}
-		return s.ask(c, userWait, func(req uint64) core.Input { in.Req = req; return in })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
 	}))
-	app.Get(wire.PathJobs+"/:id", s.as(func(c fiber.Ctx, by core.Cred) error {
+	app.Get(wire.PathJobs+"/:id", s.authenticated(func(c fiber.Ctx, by core.Cred) error {
 		id := string([]byte(c.Params("id")))
-		return s.ask(c, userWait, func(req uint64) core.Input { return core.Poll{Req: req, ID: id, By: by} })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.Poll{Req: req, ID: id, By: by} })
 	}))
-	app.Post(wire.PathJobs+"/:id/withdraw", s.as(func(c fiber.Ctx, by core.Cred) error {
+	app.Post(wire.PathJobs+"/:id/withdraw", s.authenticated(func(c fiber.Ctx, by core.Cred) error {
 		id := string([]byte(c.Params("id")))
 		now := time.Now().UnixMilli()
-		return s.ask(c, userWait, func(req uint64) core.Input { return core.Cancel{Req: req, ID: id, UnixMS: now, By: by} })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.Cancel{Req: req, ID: id, UnixMS: now, By: by} })
 	}))
-	app.Post(wire.PathBeat, func(c fiber.Ctx) error {
-		r, err := wire.ParseReport(c.Body())
+	app.Post(wire.PathHeartbeat, func(c fiber.Ctx) error {
+		r, err := wire.ParseHeartbeat(c.Body())
 		if err != nil {
 			return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: err.Error()})
 		}
 		var by core.Cred
-		if p := s.gate.policy.Load(); p != nil && p.WorkersSign() {
+		if p := s.authenticator.policy.Load(); p != nil && p.WorkersSign() {
 			var status int
 			var why string
-			if by, status, why = s.gate.who(c.Get(fiber.HeaderAuthorization), commonName(c), time.Now()); status != 0 {
-				s.refuse(c, status, why)
+			if by, status, why = s.authenticator.authenticate(c.Get(fiber.HeaderAuthorization), commonName(c), time.Now()); status != 0 {
+				s.recordDenied(c, status, why)
 				return c.Status(status).JSON(wire.Error{Error: access.ErrToken.Error()})
 			}
 		}
-		return s.ask(c, beatWait, func(req uint64) core.Input { return core.Beat{Req: req, Report: r, By: by} })
+		return s.handleInput(c, heartbeatResponseTimeout, func(req uint64) core.Input { return core.Beat{Req: req, Report: r, By: by} })
 	})
 	return app
 }
 
 // Serve answers on a listener until the context ends. It closes the listener.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
-	if s.tls != nil {
-		ln = tls.NewListener(ln, s.tls)
+	if s.tlsConfig != nil {
+		ln = tls.NewListener(ln, s.tlsConfig)
 	}
-	app := s.app()
+	app := s.newApp()
 	go func() {
 		<-ctx.Done()
 		_ = app.Shutdown() // the process is ending
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -21,16 +21,18 @@
 	"dewlift/wire"
 )
 
-// echo answers every input like a core that accepts everything but what is malformed.
-type echo struct {
-	s    *Server
-	full bool
+// fakeController answers every input like a core that accepts everything but what is malformed.
+type fakeController struct {
+	server    *Server
+	queueFull bool
 }
 
-func (e *echo) Healthy() bool   { return !e.full }
-func (e *echo) Site() wire.Site { return wire.Site{State: "127.0.0.1:1"} }
-func (e *echo) Put(in core.Input) bool {
-	if e.full {
+func (e *fakeController) Healthy() bool { return !e.queueFull }
+func (e *fakeController) StoreEndpoint() wire.StoreEndpoint {
+	return wire.StoreEndpoint{Addr: "127.0.0.1:1"}
+}
+func (e *fakeController) Enqueue(in core.Input) bool {
+	if e.queueFull {
 		return false
 	}
 	switch in := in.(type) {
@@ -39,40 +41,40 @@
 		if in.Bad != "" {
 			r.Status, r.Body = 400, wire.Error{Error: in.Bad}
 		}
-		go e.s.Answer(r)
+		go e.server.DeliverResponse(r)
 	case core.Poll:
-		go e.s.Answer(core.Reply{Req: in.Req, Status: 503, RetryAfter: 1, Body: wire.Error{}})
+		go e.server.DeliverResponse(core.Reply{Req: in.Req, Status: 503, RetryAfter: 1, Body: wire.Error{}})
 	}
 	return true
 }
 
-const good = `{"uid":"wk-000412","ware":"train","crew":"vision","form":"batch","heat":"high","pieces":16,
+const validSubmission = `{"uid":"wk-000412","ware":"train","crew":"vision","form":"batch","heat":"high","pieces":16,
  "cpus":8.0,"cards":1.0,"ram_gb":64.0,"mould":"img-07","image_gb":6.2,"kilns":["g8"],"yard":null,"one_zone":true,
  "spread":false,"borrowed":true,"firing_s":240.0,"glaze_s":30.0,"cool_s":4.0,"due_s":900.0}`
 
-func TestStatuses(t *testing.T) {
-	e := &echo{}
-	e.s = New(e, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	app := e.s.app()
+func TestResponseStatuses(t *testing.T) {
+	e := &fakeController{}
+	e.server = New(e, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	app := e.server.newApp()
 	for name, tc := range map[string]struct {
 		method, path, body string
 		want               int
 	}{
-		"good":           {"POST", "/v1/jobs", good, 201},
+		"good":           {"POST", "/v1/jobs", validSubmission, 201},
 		"not json":       {"POST", "/v1/jobs", "{", 400},
 		"an array":       {"POST", "/v1/jobs", "[]", 400},
 		"empty":          {"POST", "/v1/jobs", "", 400},
-		"wrong type":     {"POST", "/v1/jobs", strings.Replace(good, "16", `"16"`, 1), 400},
-		"no tasks":       {"POST", "/v1/jobs", strings.Replace(good, "16", "0", 1), 400},
-		"too many tasks": {"POST", "/v1/jobs", strings.Replace(good, "16", "100001", 1), 400},
-		"negative":       {"POST", "/v1/jobs", strings.Replace(good, "8.0", "-8.0", 1), 400},
-		"huge":           {"POST", "/v1/jobs", strings.Replace(good, "8.0", "1e300", 1), 400},
-		"beyond floats":  {"POST", "/v1/jobs", strings.Replace(good, "8.0", "1e999", 1), 400},
-		"bad priority":   {"POST", "/v1/jobs", strings.Replace(good, "high", "higher", 1), 400},
-		"gang":           {"POST", "/v1/jobs", strings.Replace(good, "batch", "group", 1), 400},
-		"id missing":     {"POST", "/v1/jobs", strings.Replace(good, "uid", "xid", 1), 400},
-		"id not ours":    {"POST", "/v1/jobs", strings.Replace(good, "wk-000412", "../wk", 1), 400},
-		"unknown field":  {"POST", "/v1/jobs", strings.Replace(good, "{", `{"later":1,`, 1), 201},
+		"wrong type":     {"POST", "/v1/jobs", strings.Replace(validSubmission, "16", `"16"`, 1), 400},
+		"no tasks":       {"POST", "/v1/jobs", strings.Replace(validSubmission, "16", "0", 1), 400},
+		"too many tasks": {"POST", "/v1/jobs", strings.Replace(validSubmission, "16", "100001", 1), 400},
+		"negative":       {"POST", "/v1/jobs", strings.Replace(validSubmission, "8.0", "-8.0", 1), 400},
+		"huge":           {"POST", "/v1/jobs", strings.Replace(validSubmission, "8.0", "1e300", 1), 400},
+		"beyond floats":  {"POST", "/v1/jobs", strings.Replace(validSubmission, "8.0", "1e999", 1), 400},
+		"bad priority":   {"POST", "/v1/jobs", strings.Replace(validSubmission, "high", "higher", 1), 400},
+		"gang":           {"POST", "/v1/jobs", strings.Replace(validSubmission, "batch", "group", 1), 400},
+		"id missing":     {"POST", "/v1/jobs", strings.Replace(validSubmission, "uid", "xid", 1), 400},
+		"id not ours":    {"POST", "/v1/jobs", strings.Replace(validSubmission, "wk-000412", "../wk", 1), 400},
+		"unknown field":  {"POST", "/v1/jobs", strings.Replace(validSubmission, "{", `{"later":1,`, 1), 201},
 		"unknown route":  {"GET", "/v2/jobs", "", 404},
 		"bad method":     {"DELETE", "/v1/jobs", "", 405},
 		"bad report":     {"POST", "/agent/beat", `{"hearth":"m-1"}`, 400},
@@ -95,12 +97,12 @@
 }
 
 // Every field is needed but those that may be null. A job without an image was accepted.
-func TestEachFieldIsNeeded(t *testing.T) {
-	e := &echo{}
-	e.s = New(e, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	app := e.s.app()
+func TestEachFieldIsRequired(t *testing.T) {
+	e := &fakeController{}
+	e.server = New(e, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	app := e.server.newApp()
 	var fields map[string]any
-	if err := json.Unmarshal([]byte(good), &fields); err != nil {
+	if err := json.Unmarshal([]byte(validSubmission), &fields); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
@@ -126,11 +128,11 @@
 	}
 }
 
-func TestFullQueueRefusesAtOnce(t *testing.T) {
-	e := &echo{full: true}
-	e.s = New(e, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+func TestFullInputQueueRefusesAtOnce(t *testing.T) {
+	e := &fakeController{queueFull: true}
+	e.server = New(e, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, path := range []string{"/v1/jobs/wk-1", "/healthz"} {
-		resp, err := e.s.app().Test(httptest.NewRequest("GET", path, nil))
+		resp, err := e.server.newApp().Test(httptest.NewRequest("GET", path, nil))
 		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: got %v, %v", path, resp, err)
 		}
@@ -143,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	app := New(nil, 0, nil, nil).app()
+	app := New(nil, 0, nil, nil).newApp()
 	done := make(chan error, 1)
 	go func() { done <- app.Listener(ln, fiber.ListenConfig{DisableStartupMessage: true}) }()
 	conn, err := net.Dial("tcp4", ln.Addr().String())
@@ -151,7 +153,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", wire.PathJobs, wire.MaxBody+1); err != nil {
+	if _, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", wire.PathJobs, wire.MaxBodyBytes+1); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/api/gate_test.go
+++ b/api/authenticator_test.go
@@ -20,10 +20,10 @@
 	"dewlift/audit"
 	"dewlift/internal/testcert"
 	pb "dewlift/proto"
-	"dewlift/secure"
+	"dewlift/tlsconfig"
 )
 
-func gateFor(t testing.TB, names ...string) (*gate, map[string]*access.Private) {
+func newTestAuthenticator(t testing.TB, names ...string) (*authenticator, map[string]*access.Private) {
 	t.Helper()
 	a := &pb.Access{}
 	keys := map[string]*access.Private{}
@@ -39,12 +39,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newGate(50 * time.Millisecond)
-	g.set(p)
+	g := newAuthenticator(50 * time.Millisecond)
+	g.setPolicy(p)
 	return g, keys
 }
 
-func bearer(t testing.TB, k *access.Private, now time.Time) string {
+func bearerHeader(t testing.TB, k *access.Private, now time.Time) string {
 	t.Helper()
 	s, err := k.Token(now, time.Minute)
 	if err != nil {
@@ -55,69 +55,69 @@
 
 // Without rights in force nothing is asked; with them a token is, and one that was good once is not when its
 // key or its time is over.
-func TestGateTellsWhoAsks(t *testing.T) {
+func TestTokenIdentifiesCaller(t *testing.T) {
 	now := time.Now()
-	if _, status, _ := newGate(0).who("", "", now); status != 0 {
+	if _, status, _ := newAuthenticator(0).authenticate("", "", now); status != 0 {
 		t.Errorf("no rights in force: %d", status)
 	}
-	g, keys := gateFor(t, "anna", "potter")
-	token := bearer(t, keys["anna"], now)
+	g, keys := newTestAuthenticator(t, "anna", "potter")
+	token := bearerHeader(t, keys["anna"], now)
 	for range 2 { // verified, then remembered
-		if cr, status, _ := g.who(token, "", now); status != 0 || cr.Who != "anna" || cr.Key != "key-anna" {
+		if cr, status, _ := g.authenticate(token, "", now); status != 0 || cr.Who != "anna" || cr.Key != "key-anna" {
 			t.Fatalf("got %+v, %d", cr, status)
 		}
 	}
-	if _, status, _ := g.who(token, "", now.Add(2*time.Minute)); status != 401 {
+	if _, status, _ := g.authenticate(token, "", now.Add(2*time.Minute)); status != 401 {
 		t.Errorf("after its time: %d", status)
 	}
 	for _, header := range []string{"", "Basic YTpi", "Bearer", "Bearer x.y.z", "Bearer " + base64.RawURLEncoding.EncodeToString([]byte(`{"kid":"key-anna"}`)) + ".e30.AAAA"} {
-		if cr, status, _ := g.who(header, "", now); status != 401 {
+		if cr, status, _ := g.authenticate(header, "", now); status != 401 {
 			t.Errorf("%q: %+v, %d", header, cr, status)
 		}
 	}
-	g.who(token, "", now)
-	other, _ := gateFor(t, "anna")
-	g.set(other.policy.Load()) // another key of the same name
-	if _, status, _ := g.who(token, "", now); status != 401 {
+	g.authenticate(token, "", now)
+	other, _ := newTestAuthenticator(t, "anna")
+	g.setPolicy(other.policy.Load()) // another key of the same name
+	if _, status, _ := g.authenticate(token, "", now); status != 401 {
 		t.Errorf("after its key was replaced: %d", status)
 	}
 }
 
 // A flood of bad tokens in one's name costs a bounded number of signatures, and slows neither others nor
 // whoever was accepted before.
-func TestFloodOfBadTokensIsBounded(t *testing.T) {
-	g, keys := gateFor(t, "anna", "potter")
+func TestFloodOfBadTokensCostsBoundedVerifications(t *testing.T) {
+	g, keys := newTestAuthenticator(t, "anna", "potter")
 	now := time.Now()
-	old := bearer(t, keys["anna"], now)
-	g.who(old, "", now)
+	old := bearerHeader(t, keys["anna"], now)
+	g.authenticate(old, "", now)
 	tried := 0
 	for i := range 5000 {
-		bad := bearer(t, keys["anna"], now.Add(time.Duration(i)*time.Nanosecond))
-		if _, status, _ := g.who(bad[:len(bad)-8]+fmt.Sprintf("%08d", i), "", now); status == 401 {
+		bad := bearerHeader(t, keys["anna"], now.Add(time.Duration(i)*time.Nanosecond))
+		if _, status, _ := g.authenticate(bad[:len(bad)-8]+fmt.Sprintf("%08d", i), "", now); status == 401 {
 			tried++
 		} else if status != 429 {
 			t.Fatalf("a bad token got %d", status)
 		}
 	}
-	if tried == 0 || tried > verifications {
+	if tried == 0 || tried > verificationsPerSecond {
 		t.Errorf("%d signatures were checked", tried)
 	}
-	if _, status, _ := g.who(old, "", now); status != 0 {
+	if _, status, _ := g.authenticate(old, "", now); status != 0 {
 		t.Errorf("one accepted before: %d", status)
 	}
-	if _, status, _ := g.who(bearer(t, keys["potter"], now), "", now); status != 0 {
+	if _, status, _ := g.authenticate(bearerHeader(t, keys["potter"], now), "", now); status != 0 {
 		t.Errorf("another: %d", status)
 	}
 }
 
-func BenchmarkGate(b *testing.B) {
-	g, keys := gateFor(b, "anna")
+func BenchmarkAuthenticate(b *testing.B) {
+	g, keys := newTestAuthenticator(b, "anna")
 	now := time.Now()
-	good := bearer(b, keys["anna"], now)
-	for name, header := range map[string]string{"known": good, "none": "", "unknown key": bearer(b, func() *access.Private { k := *keys["anna"]; k.ID = "other"; return &k }(), now)} {
+	good := bearerHeader(b, keys["anna"], now)
+	for name, header := range map[string]string{"known": good, "none": "", "unknown key": bearerHeader(b, func() *access.Private { k := *keys["anna"]; k.ID = "other"; return &k }(), now)} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				g.who(header, "", now)
+				g.authenticate(header, "", now)
 			}
 		})
 	}
@@ -133,7 +133,7 @@
 
 // A user may prove who they are by a certificate that an authority of the site has signed, if their
 // identity says so.
-func TestCertificateTellsWhoAsks(t *testing.T) {
+func TestCertificateIdentifiesCaller(t *testing.T) {
 	own, other := testcert.New(t), testcert.New(t)
 	dir := t.TempDir()
 	file := func(name string) string { return filepath.Join(dir, name) }
@@ -142,24 +142,26 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	files, err := secure.Load(file("tls"), log)
+	files, err := tlsconfig.Load(file("tls"), log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &echo{}
-	s := New(e, 0, files.Serve(), log)
-	e.s = s
+	e := &fakeController{}
+	s := New(e, 0, files.ServerConfig(), log)
+	e.server = s
 	p, err := access.New(&pb.Access{Identities: []*pb.Identity{{Name: "anna", Certificate: true}, {Name: "potter"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.SetRights(p)
+	s.SetPermissions(p)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	app := s.app()
-	go func() { _ = app.Listener(tls.NewListener(ln, s.tls), fiber.ListenConfig{DisableStartupMessage: true}) }() // ends with the test
+	app := s.newApp()
+	go func() {
+		_ = app.Listener(tls.NewListener(ln, s.tlsConfig), fiber.ListenConfig{DisableStartupMessage: true})
+	}() // ends with the test
 	t.Cleanup(func() { _ = app.Shutdown() })
 	raw, err := os.ReadFile(own.File)
 	if err != nil {
@@ -199,14 +201,14 @@
 		f.Add(s, "")
 	}
 	f.Add("anna", "Bearer x.y.z")
-	g, _ := gateFor(f, "anna", "potter")
+	g, _ := newTestAuthenticator(f, "anna", "potter")
 	p, err := access.New(&pb.Access{Identities: []*pb.Identity{{Name: "anna", Certificate: true}, {Name: "potter"}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	g.set(p)
+	g.setPolicy(p)
 	f.Fuzz(func(t *testing.T, name, header string) {
-		by, status, why := g.who(header, name, time.Unix(1_800_000_000, 0))
+		by, status, why := g.authenticate(header, name, time.Unix(1_800_000_000, 0))
 		good := header == "" && name == "anna"
 		if (status == 0) != good || good && (by.Who != "anna" || by.Key != access.CertificateKey) || !good && (by.Who != "" || why == "") {
 			t.Errorf("%q with %q: %+v, %d %s", name, header, by, status, why)
@@ -215,11 +217,11 @@
 }
 
 // Requests of nobody known are handed on to be recorded, counted, and what a flood asked for takes bounded room.
-func TestRefusedRequestsAreHandedOn(t *testing.T) {
-	g, _ := gateFor(t, "anna")
+func TestDeniedRequestsAreHandedToTheAuditLog(t *testing.T) {
+	g, _ := newTestAuthenticator(t, "anna")
 	s := New(nil, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s.gate = g
-	app := s.app()
+	s.authenticator = g
+	app := s.newApp()
 	for i := range 2000 {
 		req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("/v1/jobs/wk-%d", i), nil)
 		if err != nil {
@@ -230,14 +232,14 @@
 			t.Fatal(resp, err)
 		}
 	}
-	items, total := s.Refused(), uint32(0)
+	items, total := s.TakeDenied(), uint32(0)
 	for _, it := range items {
 		total += it.Count
 		if it.Who != "" || it.Verb != http.MethodGet || it.Why == "" && it.Object != audit.Others {
 			t.Errorf("%+v", it)
 		}
 	}
-	if total != 2000 || len(items) > 300 || len(s.Refused()) != 0 {
+	if total != 2000 || len(items) > 300 || len(s.TakeDenied()) != 0 {
 		t.Errorf("%d requests in %d items", total, len(items))
 	}
 }
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	timeout  = 4 * time.Second
-	pageSize = 500
+	requestTimeout = 4 * time.Second
+	pageSize       = 500
 )
 
 // Client carries out the core's calls to the cloud.
 type Client struct {
-	base string
-	http *call.Client
+	baseURL    string
+	httpClient *call.Client
 }
 
 // New returns a client of the cloud at addr.
 func New(addr string) *Client {
-	return &Client{base: "http://" + addr, http: call.New(4, 4, 4<<20)}
+	return &Client{baseURL: "http://" + addr, httpClient: call.New(4, 4, 4<<20)}
 }
 
-// Do makes one call.
-func (c *Client) Do(ctx context.Context, o core.CloudOp) core.Clouded {
+// Execute makes one call.
+func (c *Client) Execute(ctx context.Context, o core.CloudOp) core.Clouded {
 	out := core.Clouded{ID: o.ID}
 	var r call.Result
 	switch o.Op {
 	case "catalog":
 		var v wire.Catalog
-		v, r = call.Get[wire.Catalog](c.http.Do(ctx, timeout, http.MethodGet, c.base+wire.PathCatalog, nil))
+		v, r = call.Get[wire.Catalog](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathCatalog, nil))
 		out.Catalog = &v
 	case "list":
-		return c.list(ctx, o)
+		return c.listMachines(ctx, o)
 	case "rent":
-		var v wire.Names
-		v, r = call.Get[wire.Names](c.http.Do(ctx, timeout, http.MethodPost, c.base+wire.PathRentals, o.Rent))
+		var v wire.MachineNames
+		v, r = call.Get[wire.MachineNames](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathInstances, o.Rent))
 		out.Names = v.Machines
 	case "return":
-		r = c.http.Do(ctx, timeout, http.MethodPost, c.base+wire.PathReturn, wire.Names{Machines: o.Names})
+		r = c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathScaleIn, wire.MachineNames{Machines: o.Names})
 	}
 	out.Status = r.Status
 	if r.Status != 200 {
@@ -58,12 +58,12 @@
 	return out
 }
 
-// list reads one page of the list of machines.
-func (c *Client) list(ctx context.Context, o core.CloudOp) core.Clouded {
-	u := fmt.Sprintf("%s%s?most=%d", c.base, wire.PathRentals, pageSize)
+// listMachines reads one page of the list of machines.
+func (c *Client) listMachines(ctx context.Context, o core.CloudOp) core.Clouded {
+	u := fmt.Sprintf("%s%s?most=%d", c.baseURL, wire.PathInstances, pageSize)
 	if o.From != "" {
 		u += "&from=" + url.QueryEscape(o.From)
 	}
-	v, r := call.Get[wire.MachineList](c.http.Do(ctx, timeout, http.MethodGet, u, nil))
+	v, r := call.Get[wire.MachineList](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, u, nil))
 	return core.Clouded{ID: o.ID, Status: r.Status, Machines: v.Machines, More: v.More}
 }
--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -30,19 +30,19 @@
 	"dewlift/wire"
 )
 
-// leastAuditOps is how many changes a transaction takes at least where something is recorded: a controller's first block,
+// minAuditTxnOps is how many changes a transaction takes at least where something is recorded: a controller's first block,
 // the chain's head, its settings, and the sign that something is recorded.
-const leastAuditOps = 4
+const minAuditTxnOps = 4
 
-// auditKeyOf reads the key that rights name; none, nothing is recorded.
-func auditKeyOf(rights *access.Policy, p *settings.Platform) (audit.Key, error) {
+// auditKeyFor reads the key that rights name; none, nothing is recorded.
+func auditKeyFor(rights *access.Policy, p *settings.Platform) (audit.Key, error) {
 	path := rights.Source().AuditKey
 	if path == "" {
 		return nil, nil
 	}
 	for _, n := range []*int{&p.Cluster.State.TxnOps, p.Cluster.State.Next.TxnOps} {
-		if n != nil && *n < leastAuditOps {
-			return nil, fmt.Errorf("audit_key: a record needs cluster.state.txn_ops of at least %d", leastAuditOps)
+		if n != nil && *n < minAuditTxnOps {
+			return nil, fmt.Errorf("audit_key: a record needs cluster.state.txn_ops of at least %d", minAuditTxnOps)
 		}
 	}
 	return loadAuditKey(path)
@@ -60,28 +60,28 @@
 	return k, nil
 }
 
-// chains is where blocks are read: from a site, or from a saved state.
-type chains interface {
-	heads(ctx context.Context) ([]wire.AuditHead, error)
+// auditChains is where blocks are read: from a site, or from a saved state.
+type auditChains interface {
+	heads(ctx context.Context) ([]wire.AuditChainHead, error)
 	blocks(ctx context.Context, node string, after uint64) (wire.AuditPage, error)
 }
 
-// siteChains reads through a controller, in somebody's name.
-type siteChains struct {
-	me     *self
-	server string
+// liveChains reads through a controller, in somebody's name.
+type liveChains struct {
+	identity *clientIdentity
+	server   string
 }
 
-const auditTries = 30 // of a page, a second or so apart, while a controller is busy
+const maxAuditPageAttempts = 30 // of a page, a second or so apart, while a controller is busy
 
-func get[T any](ctx context.Context, s *siteChains, query string) (T, error) {
+func fetchAudit[T any](ctx context.Context, s *liveChains, query string) (T, error) {
 	for try := 1; ; try++ {
-		r, err := s.me.ask(ctx, http.MethodGet, s.server, wire.PathAudit+query, nil)
+		r, err := s.identity.request(ctx, http.MethodGet, s.server, wire.PathAudit+query, nil)
 		if err != nil {
 			var none T
 			return none, err
 		}
-		if busy := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests; busy && try < auditTries {
+		if busy := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests; busy && try < maxAuditPageAttempts {
 			select {
 			case <-time.After(time.Second):
 				continue
@@ -91,24 +91,24 @@
 			}
 		}
 		out, r := call.Get[T](r)
-		return out, answered(s.server, r)
+		return out, checkResponse(s.server, r)
 	}
 }
 
-func (s *siteChains) heads(ctx context.Context) ([]wire.AuditHead, error) {
-	h, err := get[wire.AuditHeads](ctx, s, "")
+func (s *liveChains) heads(ctx context.Context) ([]wire.AuditChainHead, error) {
+	h, err := fetchAudit[wire.AuditChainHeads](ctx, s, "")
 	return h.Heads, err
 }
 
-func (s *siteChains) blocks(ctx context.Context, node string, after uint64) (wire.AuditPage, error) {
-	return get[wire.AuditPage](ctx, s, fmt.Sprintf("?node=%s&after=%d", url.QueryEscape(node), after))
+func (s *liveChains) blocks(ctx context.Context, node string, after uint64) (wire.AuditPage, error) {
+	return fetchAudit[wire.AuditPage](ctx, s, fmt.Sprintf("?node=%s&after=%d", url.QueryEscape(node), after))
 }
 
-// savedChains are those of a snapshot.
-type savedChains map[string][]wire.AuditBlock
+// snapshotChains are those of a snapshot.
+type snapshotChains map[string][]wire.AuditBlock
 
-func readSaved(path string) (savedChains, error) {
-	out := savedChains{}
+func readSnapshotChains(path string) (snapshotChains, error) {
+	out := snapshotChains{}
 	_, err := snapshot.ReadFile(path, func(k *pb.Key) error {
 		if node, n, ok := audit.SplitBlockKey(k.Name); ok {
 			out[node] = append(out[node], wire.AuditBlock{Number: n, Value: bytes.Clone(k.Value)})
@@ -118,33 +118,33 @@
 	return out, err
 }
 
-func (s savedChains) heads(context.Context) ([]wire.AuditHead, error) {
-	var out []wire.AuditHead
+func (s snapshotChains) heads(context.Context) ([]wire.AuditChainHead, error) {
+	var out []wire.AuditChainHead
 	for _, node := range slices.Sorted(maps.Keys(s)) {
-		out = append(out, wire.AuditHead{Node: node, Number: s[node][len(s[node])-1].Number})
+		out = append(out, wire.AuditChainHead{Node: node, BlockNumber: s[node][len(s[node])-1].Number})
 	}
 	return out, nil
 }
 
-func (s savedChains) blocks(_ context.Context, node string, after uint64) (wire.AuditPage, error) {
+func (s snapshotChains) blocks(_ context.Context, node string, after uint64) (wire.AuditPage, error) {
 	i, _ := slices.BinarySearchFunc(s[node], after+1, func(b wire.AuditBlock, n uint64) int { return cmp.Compare(b.Number, n) })
 	return wire.AuditPage{Blocks: s[node][i:]}, nil
 }
 
 // auditFlags choose what is read, and how times are shown.
 type auditFlags struct {
-	server, saved, node, zone, since, until string
-	filter                                  audit.Filter
-	location                                *time.Location
+	server, snapshotFile, node, zone, since, until string
+	filter                                         audit.Filter
+	location                                       *time.Location
 }
 
-func (f *auditFlags) source(c *cobra.Command) {
+func (f *auditFlags) addSourceFlags(c *cobra.Command) {
 	c.Flags().StringVar(&f.server, "server", "127.0.0.1:8080", "address of a controller")
-	c.Flags().StringVar(&f.saved, "snapshot", "", "read a saved state instead of a site")
+	c.Flags().StringVar(&f.snapshotFile, "snapshot", "", "read a saved state instead of a site")
 	c.Flags().StringVar(&f.node, "node", "", "of this controller alone")
 }
 
-func (f *auditFlags) filters(c *cobra.Command) {
+func (f *auditFlags) addFilterFlags(c *cobra.Command) {
 	c.Flags().StringVar(&f.filter.Who, "who", "", "acts of an identity")
 	c.Flags().StringVar(&f.filter.Verb, "verb", "", "submit, cancel, read, administer, audit, start, take, stop, restore; of a refused request: its method")
 	c.Flags().StringVar(&f.filter.Object, "object", "", "acts on a job, an identity or whatever else")
@@ -154,25 +154,25 @@
 	c.Flags().StringVar(&f.zone, "tz", "UTC", "time zone of times and calendar days, as Europe/Zurich")
 }
 
-// check reads the flags that are text.
-func (f *auditFlags) check() (err error) {
+// parseTimes reads the flags that are text.
+func (f *auditFlags) parseTimes() (err error) {
 	if f.location, err = time.LoadLocation(f.zone); err != nil {
 		return fmt.Errorf("--tz: no time zone %q", f.zone)
 	}
 	if o := f.filter.Outcome; o != "" && o != audit.Done && o != audit.Refused {
 		return fmt.Errorf("--outcome: %q is neither %s nor %s", o, audit.Done, audit.Refused)
 	}
-	if f.filter.Since, err = when(f.since, f.location, 0); err != nil {
+	if f.filter.Since, err = parseTime(f.since, f.location, 0); err != nil {
 		return fmt.Errorf("--since: %w", err)
 	}
-	if f.filter.Until, err = when(f.until, f.location, 1); err != nil {
+	if f.filter.Until, err = parseTime(f.until, f.location, 1); err != nil {
 		return fmt.Errorf("--until: %w", err)
 	}
 	return nil
 }
 
-// when reads a time, or a calendar day: its begin, or that of so many days later, which may be 23 or 25 hours away.
-func when(text string, zone *time.Location, days int) (time.Time, error) {
+// parseTime reads a time, or a calendar day: its begin, or that of so many days later, which may be 23 or 25 hours away.
+func parseTime(text string, zone *time.Location, days int) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
@@ -191,37 +191,37 @@
 	return t, nil
 }
 
-func (f *auditFlags) open(me *self) (chains, error) {
-	if f.saved != "" {
-		return readSaved(f.saved)
+func (f *auditFlags) openChains(me *clientIdentity) (auditChains, error) {
+	if f.snapshotFile != "" {
+		return readSnapshotChains(f.snapshotFile)
 	}
-	return &siteChains{me, f.server}, nil
+	return &liveChains{me, f.server}, nil
 }
 
-// ends lists the ends of the chains that are asked for.
-func (f *auditFlags) ends(ctx context.Context, s chains) ([]wire.AuditHead, error) {
+// chainHeads lists the ends of the chains that are asked for.
+func (f *auditFlags) chainHeads(ctx context.Context, s auditChains) ([]wire.AuditChainHead, error) {
 	heads, err := s.heads(ctx)
 	if err != nil || f.node == "" {
 		return heads, err
 	}
-	heads = slices.DeleteFunc(heads, func(h wire.AuditHead) bool { return h.Node != f.node })
+	heads = slices.DeleteFunc(heads, func(h wire.AuditChainHead) bool { return h.Node != f.node })
 	if len(heads) == 0 {
 		return nil, fmt.Errorf("--node: no controller %q has recorded anything", f.node)
 	}
 	return heads, nil
 }
 
-// cursor goes through the acts of one chain.
-type cursor struct {
-	node  string
-	after uint64
-	acts  []audit.Act
-	over  bool
+// chainCursor goes through the acts of one chain.
+type chainCursor struct {
+	node        string
+	after       uint64
+	pendingActs []audit.Act
+	exhausted   bool
 }
 
-// fill sees to it that there is an act, unless there are no more.
-func (u *cursor) fill(ctx context.Context, s chains, zone *time.Location, keep func(*audit.Act) bool) error {
-	for len(u.acts) == 0 && !u.over {
+// fetchNext sees to it that there is an act, unless there are no more.
+func (u *chainCursor) fetchNext(ctx context.Context, s auditChains, zone *time.Location, keep func(*audit.Act) bool) error {
+	for len(u.pendingActs) == 0 && !u.exhausted {
 		p, err := s.blocks(ctx, u.node, u.after)
 		if err != nil {
 			return err
@@ -233,57 +233,57 @@
 			}
 			for _, a := range b.Acts(u.node, zone) {
 				if keep(&a) {
-					u.acts = append(u.acts, a)
+					u.pendingActs = append(u.pendingActs, a)
 				}
 			}
 			u.after = raw.Number
 		}
-		u.over = !p.More || len(p.Blocks) == 0
+		u.exhausted = !p.More || len(p.Blocks) == 0
 	}
 	return nil
 }
 
-// each calls do for all acts that are asked for, those of all chains merged by their times.
-func (f *auditFlags) each(ctx context.Context, me *self, do func(*audit.Act) error) error {
-	if err := f.check(); err != nil {
+// forEachAct calls do for all acts that are asked for, those of all chains merged by their times.
+func (f *auditFlags) forEachAct(ctx context.Context, me *clientIdentity, do func(*audit.Act) error) error {
+	if err := f.parseTimes(); err != nil {
 		return err
 	}
-	s, err := f.open(me)
+	s, err := f.openChains(me)
 	if err != nil {
 		return err
 	}
-	heads, err := f.ends(ctx, s)
+	heads, err := f.chainHeads(ctx, s)
 	if err != nil {
 		return err
 	}
-	var list []*cursor
+	var list []*chainCursor
 	for _, h := range heads {
-		list = append(list, &cursor{node: h.Node})
+		list = append(list, &chainCursor{node: h.Node})
 	}
-	show, done := progress("reading", -1)
+	show, done := newProgress("reading", -1)
 	defer done()
 	for n := 0; ; n++ {
-		var next *cursor
+		var next *chainCursor
 		for _, u := range list {
-			if err := u.fill(ctx, s, f.location, f.filter.Takes); err != nil {
+			if err := u.fetchNext(ctx, s, f.location, f.filter.Takes); err != nil {
 				return err
 			}
-			if len(u.acts) > 0 && (next == nil || u.acts[0].At.Before(next.acts[0].At)) {
+			if len(u.pendingActs) > 0 && (next == nil || u.pendingActs[0].At.Before(next.pendingActs[0].At)) {
 				next = u
 			}
 		}
 		if next == nil {
 			return nil
 		}
-		if err := do(&next.acts[0]); err != nil {
+		if err := do(&next.pendingActs[0]); err != nil {
 			return err
 		}
-		next.acts = next.acts[1:]
+		next.pendingActs = next.pendingActs[1:]
 		show(n, -1)
 	}
 }
 
-func auditCommand(me *self) *cobra.Command {
+func auditCommand(me *clientIdentity) *cobra.Command {
 	cmd := &cobra.Command{Use: "audit", Short: "Read and verify the record of who did what"}
 	cmd.AddCommand(auditKeyCommand(), auditListCommand(me), auditVerifyCommand(me), auditReportCommand(me))
 	return cmd
@@ -302,7 +302,7 @@
 	}
 }
 
-func auditListCommand(me *self) *cobra.Command {
+func auditListCommand(me *clientIdentity) *cobra.Command {
 	var f auditFlags
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -311,7 +311,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			enc := json.NewEncoder(out)
-			return f.each(cmd.Context(), me, func(a *audit.Act) error {
+			return f.forEachAct(cmd.Context(), me, func(a *audit.Act) error {
 				if asJSON {
 					return enc.Encode(a)
 				}
@@ -319,8 +319,8 @@
 			})
 		},
 	}
-	f.source(cmd)
-	f.filters(cmd)
+	f.addSourceFlags(cmd)
+	f.addFilterFlags(cmd)
 	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON, one act a line")
 	return cmd
 }
@@ -337,7 +337,7 @@
 	return err
 }
 
-func auditVerifyCommand(me *self) *cobra.Command {
+func auditVerifyCommand(me *clientIdentity) *cobra.Command {
 	var f auditFlags
 	var keys []string
 	var known string
@@ -359,27 +359,27 @@
 				}
 				list = append(list, k)
 			}
-			s, err := f.open(me)
+			s, err := f.openChains(me)
 			if err != nil {
 				return err
 			}
 			return f.verify(cmd, s, list, known)
 		},
 	}
-	f.source(cmd)
+	f.addSourceFlags(cmd)
 	cmd.Flags().StringSliceVar(&keys, "audit-key", nil, "a key's file; repeated where controllers have their own, or the key was changed")
 	cmd.Flags().StringVar(&known, "ends", "", "the file of ends that were found before")
 	return cmd
 }
 
-// end is where a chain ended when it was found whole.
-type end struct {
+// chainEnd is where a chain ended when it was found whole.
+type chainEnd struct {
 	Number uint64 `json:"number"`
 	Code   []byte `json:"code"`
 }
 
-func (f *auditFlags) verify(cmd *cobra.Command, s chains, keys []audit.Key, known string) error {
-	before := map[string]end{}
+func (f *auditFlags) verify(cmd *cobra.Command, s auditChains, keys []audit.Key, known string) error {
+	before := map[string]chainEnd{}
 	if known != "" {
 		raw, err := os.ReadFile(known)
 		if err == nil {
@@ -389,16 +389,16 @@
 			return fmt.Errorf("ends %s: %w", known, err)
 		}
 	}
-	heads, err := f.ends(cmd.Context(), s)
+	heads, err := f.chainHeads(cmd.Context(), s)
 	if err != nil {
 		return err
 	}
 	for node := range before { // one that is there no more
-		if f.node == "" && !slices.ContainsFunc(heads, func(h wire.AuditHead) bool { return h.Node == node }) {
-			heads = append(heads, wire.AuditHead{Node: node})
+		if f.node == "" && !slices.ContainsFunc(heads, func(h wire.AuditChainHead) bool { return h.Node == node }) {
+			heads = append(heads, wire.AuditChainHead{Node: node})
 		}
 	}
-	show, done := progress("verifying", -1)
+	show, done := newProgress("verifying", -1)
 	defer done()
 	now := maps.Clone(before)
 	total := uint64(0)
@@ -406,7 +406,7 @@
 		c := &audit.Chain{Node: h.Node, Keys: keys}
 		must := map[uint64][]byte{} // codes of blocks as others know them
 		if h.Code != nil {
-			must[h.Number] = h.Code
+			must[h.BlockNumber] = h.Code
 		}
 		if e, ok := before[h.Node]; ok {
 			must[e.Number] = e.Code
@@ -433,17 +433,17 @@
 			}
 		}
 		total += c.Entries
-		now[h.Node] = end{c.Number, c.Code}
+		now[h.Node] = chainEnd{c.Number, c.Code}
 		fmt.Fprintf(cmd.OutOrStdout(), "chain of %s: %d blocks, %d entries, whole\n", h.Node, c.Number, c.Entries)
 	}
 	if known == "" {
 		return nil
 	}
-	return saveEnds(known, now)
+	return saveChainEnds(known, now)
 }
 
-// saveEnds replaces the file of ends whole, or not at all.
-func saveEnds(path string, ends map[string]end) error {
+// saveChainEnds replaces the file of ends whole, or not at all.
+func saveChainEnds(path string, ends map[string]chainEnd) error {
 	raw, err := json.MarshalIndent(ends, "", "  ")
 	if err != nil {
 		return err
@@ -466,7 +466,7 @@
 	return nil
 }
 
-func auditReportCommand(me *self) *cobra.Command {
+func auditReportCommand(me *clientIdentity) *cobra.Command {
 	var f auditFlags
 	var file string
 	cmd := &cobra.Command{
@@ -476,11 +476,11 @@
 			if file == "" {
 				return errors.New("--html FILE is needed")
 			}
-			if err := f.check(); err != nil {
+			if err := f.parseTimes(); err != nil {
 				return err
 			}
 			r := &report.Report{Zone: f.location}
-			if err := f.each(cmd.Context(), me, func(a *audit.Act) error { r.Add(a); return nil }); err != nil {
+			if err := f.forEachAct(cmd.Context(), me, func(a *audit.Act) error { r.Add(a); return nil }); err != nil {
 				return err
 			}
 			out, err := os.Create(file)
@@ -504,8 +504,8 @@
 			return nil
 		},
 	}
-	f.source(cmd)
-	f.filters(cmd)
+	f.addSourceFlags(cmd)
+	f.addFilterFlags(cmd)
 	cmd.Flags().StringVar(&file, "html", "", "the page's file")
 	return cmd
 }
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -32,45 +32,45 @@
 	"dewlift/wire"
 )
 
-// cooperative is a site with rights and a record, whose controller can be killed and started again.
-type cooperative struct {
+// testSite is a site with rights and a record, whose controller can be killed and started again.
+type testSite struct {
 	t        *testing.T
 	state    *standin.State
 	addr     string
-	guards   dewlift.Guards
+	options  dewlift.Options
 	keys     map[string]*access.Private
 	dir      string
 	platform *settings.Platform
 	stop     func()
 }
 
-func newCooperative(t *testing.T) *cooperative {
+func newTestSite(t *testing.T) *testSite {
 	t.Helper()
-	s := &cooperative{t: t, state: standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12}), dir: t.TempDir(), stop: func() {}}
+	s := &testSite{t: t, state: standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12}), dir: t.TempDir(), stop: func() {}}
 	srv := httptest.NewServer(s.state)
 	t.Cleanup(srv.Close)
 	s.addr = strings.TrimPrefix(srv.URL, "http://")
 	s.state.Types(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 	var err error
-	if s.guards.Rights, s.keys, err = standin.People(); err != nil {
+	if s.options.Permissions, s.keys, err = standin.People(); err != nil {
 		t.Fatal(err)
 	}
 	if err := saveKey(s.file("root.key"), s.keys["root"]); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := command("audit", "key", s.file("audit.key")); err != nil {
+	if _, err := runCommand("audit", "key", s.file("audit.key")); err != nil {
 		t.Fatal(err)
 	}
-	if s.guards.Audit, err = loadAuditKey(s.file("audit.key")); err != nil {
+	if s.options.AuditKey, err = loadAuditKey(s.file("audit.key")); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func (s *cooperative) file(name string) string { return filepath.Join(s.dir, name) }
+func (s *testSite) file(name string) string { return filepath.Join(s.dir, name) }
 
-// listen holds a free address on loopback.
-func listen(t *testing.T) net.Listener {
+// listenLoopback holds a free address on loopback.
+func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -80,20 +80,20 @@
 }
 
 // start runs the controller against a state service until stop is called, and waits until it is healthy.
-func (s *cooperative) start(state string) {
+func (s *testSite) start(state string) {
 	s.t.Helper()
-	users, peers := listen(s.t), listen(s.t)
+	users, peers := listenLoopback(s.t), listenLoopback(s.t)
 	p := &settings.Platform{Name: "n0", Zone: "a", Listen: users.Addr().String(), MeshAddr: peers.Addr().String()}
 	p.Services.State, p.Services.Cloud = state, "127.0.0.1:1" // no cloud
 	k := &p.Cluster
 	k.Teams = []settings.Team{{Name: "t"}}
 	k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 3, 30, 60, 500
 	k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps, k.Cloud.RPS, k.Quota.FDLimit = 500, 200, 8, 12, 4, 1000
-	tuning := settings.Defaults()
+	tuning := settings.DefaultTuning()
 	tuning.LeaseMs, tuning.AuditGatherMs, tuning.AuditBlockMs = new(uint32(1000)), new(uint32(1000)), new(uint32(1000))
 	ctx, cancel := context.WithCancel(s.t.Context())
 	ended := make(chan error, 1)
-	c := dewlift.New(p, tuning, s.guards, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c := dewlift.New(p, tuning, s.options, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go func() { ended <- c.Serve(ctx, users, peers) }()
 	s.platform = p
 	s.stop = func() {
@@ -108,7 +108,7 @@
 	})
 }
 
-func (s *cooperative) eventually(what string, f func() bool) {
+func (s *testSite) eventually(what string, f func() bool) {
 	s.t.Helper()
 	for range 1200 {
 		if f() {
@@ -119,8 +119,8 @@
 	s.t.Fatalf("not %s within a minute", what)
 }
 
-// ask asks once, in somebody's name.
-func (s *cooperative) ask(who, method, path string, body any) int {
+// request asks once, in somebody's name.
+func (s *testSite) request(who, method, path string, body any) int {
 	c := call.New(1, 1, 1<<20)
 	if k := s.keys[who]; k != nil {
 		var err error
@@ -132,12 +132,12 @@
 }
 
 // run runs a command as root, against the site.
-func (s *cooperative) run(args ...string) (string, error) {
-	return command(append(args, "--key", s.file("root.key"), "--server", s.platform.Listen)...)
+func (s *testSite) run(args ...string) (string, error) {
+	return runCommand(append(args, "--key", s.file("root.key"), "--server", s.platform.Listen)...)
 }
 
 // list lists acts by the command.
-func (s *cooperative) list(args ...string) (acts []audit.Act) {
+func (s *testSite) list(args ...string) (acts []audit.Act) {
 	s.t.Helper()
 	out, err := s.run(append([]string{"audit", "list", "--json"}, args...)...)
 	if err != nil {
@@ -157,7 +157,7 @@
 // kills of the controller amid their acts: every act that was granted is in the record exactly once, every refused one of
 // a life that went on is found, and the record verifies, also as a snapshot and where that was restored.
 func TestEveryActIsRecordedOverKills(t *testing.T) {
-	s := newCooperative(t)
+	s := newTestSite(t)
 	rng := rand.New(rand.NewPCG(14, 1))
 	s.start(s.addr)
 	type did struct {
@@ -177,7 +177,7 @@
 			} else {
 				killed <- false
 			}
-			status := s.ask(who, method, path, body)
+			status := s.request(who, method, path, body)
 			if <-killed {
 				clear(refusedNow)
 				s.start(s.addr)
@@ -209,7 +209,7 @@
 		do("potter", get, "/v1/jobs/"+id("fire"), nil, did{"potter", "read", id("fire"), true}, 404)
 		do("nobody", get, "/v1/jobs/"+id("fire"), nil, did{"", "GET", "/v1/jobs/" + id("fire"), true}, 401)
 		do("anna", post, "/v1/jobs/"+id("fire")+"/withdraw", struct{}{}, did{"anna", "cancel", id("fire"), false}, 200)
-		do("root", post, "/v1/access/guest"+fmt.Sprint(i), wire.RightsEdit{GrantRoles: []string{"visitor"}}, did{"root", "administer", fmt.Sprint("guest", i), false}, 200)
+		do("root", post, "/v1/access/guest"+fmt.Sprint(i), wire.PermissionsEdit{GrantRoles: []string{"visitor"}}, did{"root", "administer", fmt.Sprint("guest", i), false}, 200)
 	}
 	missing := "nothing was listed"
 	s.eventually("recorded", func() bool {
@@ -249,7 +249,7 @@
 	if out, err := s.run("key", "revoke", "pia", "pia-1"); err != nil || !strings.Contains(out, "no key of pia") {
 		t.Fatalf("%s %v", out, err)
 	}
-	s.eventually("shut out", func() bool { return s.ask("pia", get, "/v1/jobs/wk-label0", nil) == http.StatusUnauthorized })
+	s.eventually("shut out", func() bool { return s.request("pia", get, "/v1/jobs/wk-label0", nil) == http.StatusUnauthorized })
 	s.eventually("recorded that a key was revoked", func() bool {
 		acts := s.list("--verb", "administer", "--object", "pia")
 		return len(acts) == 1 && acts[0].Why == "revoke keys pia-1"
@@ -261,7 +261,7 @@
 		t.Fatal(err)
 	}
 	s.eventually("recorded that the state was saved", func() bool { return len(s.list("--object", "snapshot", "--who", "root")) > 0 })
-	if out, err := command("audit", "verify", "--snapshot", saved, "--audit-key", s.file("audit.key"), "--ends", s.file("ends")); err != nil || !strings.Contains(out, "whole") {
+	if out, err := runCommand("audit", "verify", "--snapshot", saved, "--audit-key", s.file("audit.key"), "--ends", s.file("ends")); err != nil || !strings.Contains(out, "whole") {
 		t.Errorf("%s %v", out, err)
 	}
 	s.stop()
@@ -276,11 +276,11 @@
 	if _, err := s.run("snapshot", "save", s.file("again"), "--share", "1"); err != nil {
 		t.Fatal(err)
 	}
-	was, err := readSaved(saved)
+	was, err := readSnapshotChains(saved)
 	if err != nil {
 		t.Fatal(err)
 	}
-	is, err := readSaved(s.file("again"))
+	is, err := readSnapshotChains(s.file("again"))
 	if err != nil || len(is["n0"]) <= len(was["n0"]) {
 		t.Fatalf("%d blocks, %d when it was saved: %v", len(is["n0"]), len(was["n0"]), err)
 	}
@@ -295,8 +295,8 @@
 	s.stop()
 }
 
-// savedRecord is a snapshot with a chain of two blocks; tamper changes its keys.
-func savedRecord(t *testing.T, key audit.Key, tamper func(keys []*pb.Key) []*pb.Key) string {
+// savedAuditLog is a snapshot with a chain of two blocks; tamper changes its keys.
+func savedAuditLog(t *testing.T, key audit.Key, tamper func(keys []*pb.Key) []*pb.Key) string {
 	t.Helper()
 	h := &audit.Head{}
 	var keys []*pb.Key
@@ -316,7 +316,7 @@
 	}
 	s := standin.NewState(standin.Limits{})
 	for _, k := range tamper(keys) {
-		s.Fill([]wire.Item{{Key: k.Name, Value: k.Value}})
+		s.Fill([]wire.KeyValue{{Key: k.Name, Value: k.Value}})
 	}
 	srv := httptest.NewServer(s)
 	defer srv.Close()
@@ -328,10 +328,10 @@
 }
 
 // The first entry that is not as it was written is named; blocks cut off the end are noticed by the file of ends.
-func TestVerifyNamesWhatWasChanged(t *testing.T) {
+func TestVerifyReportsTamperedBlocks(t *testing.T) {
 	dir := t.TempDir()
 	file, ends := filepath.Join(dir, "audit.key"), filepath.Join(dir, "ends")
-	if _, err := command("audit", "key", file); err != nil {
+	if _, err := runCommand("audit", "key", file); err != nil {
 		t.Fatal(err)
 	}
 	key, err := loadAuditKey(file)
@@ -340,23 +340,23 @@
 	}
 	whole := func(keys []*pb.Key) []*pb.Key { return keys }
 	verify := func(path string, more ...string) (string, error) {
-		return command(append([]string{"audit", "verify", "--snapshot", path, "--audit-key", file}, more...)...)
+		return runCommand(append([]string{"audit", "verify", "--snapshot", path, "--audit-key", file}, more...)...)
 	}
-	if out, err := verify(savedRecord(t, key, whole), "--ends", ends); err != nil || out != "chain of n0: 3 blocks, 9 entries, whole\n" {
+	if out, err := verify(savedAuditLog(t, key, whole), "--ends", ends); err != nil || out != "chain of n0: 3 blocks, 9 entries, whole\n" {
 		t.Fatalf("%q %v", out, err)
 	}
 	forger := audit.Key(slices.Repeat([]byte("x"), 32))
 	for name, x := range map[string]struct {
 		path, want string
 	}{
-		"removed": {savedRecord(t, key, func(k []*pb.Key) []*pb.Key { return slices.Delete(k, 1, 2) }), "chain of n0: block 2 is missing"},
-		"swapped": {savedRecord(t, key, func(k []*pb.Key) []*pb.Key {
+		"removed": {savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return slices.Delete(k, 1, 2) }), "chain of n0: block 2 is missing"},
+		"swapped": {savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key {
 			k[1].Value, k[2].Value = k[2].Value, k[1].Value
 			return k
 		}), "chain of n0: block 2 is block 3"},
-		"cut off":           {savedRecord(t, key, func(k []*pb.Key) []*pb.Key { return k[:2] }), "chain of n0: block 3 and those behind it, up to 3, were removed"},
-		"all removed":       {savedRecord(t, key, func(k []*pb.Key) []*pb.Key { return nil }), "chain of n0: block 1 and those behind it"},
-		"made with another": {savedRecord(t, forger, whole), "chain of n0: block 1 is signed with another key"},
+		"cut off":           {savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return k[:2] }), "chain of n0: block 3 and those behind it, up to 3, were removed"},
+		"all removed":       {savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return nil }), "chain of n0: block 1 and those behind it"},
+		"made with another": {savedAuditLog(t, forger, whole), "chain of n0: block 1 is signed with another key"},
 	} {
 		_, err := verify(x.path, "--ends", ends)
 		if fault := (*audit.Fault)(nil); !errors.As(err, &fault) || !strings.HasPrefix(err.Error(), x.want) {
@@ -375,7 +375,7 @@
 // Days are those of the calendar in a zone, 23 or 25 hours long where clocks change.
 func TestListByCalendarDays(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "audit.key")
-	if _, err := command("audit", "key", file); err != nil {
+	if _, err := runCommand("audit", "key", file); err != nil {
 		t.Fatal(err)
 	}
 	key, err := loadAuditKey(file)
@@ -383,7 +383,7 @@
 		t.Fatal(err)
 	}
 	// Every two hours from 2026-09-21 16:13:20 UTC on.
-	path := savedRecord(t, key, func(keys []*pb.Key) []*pb.Key { return keys })
+	path := savedAuditLog(t, key, func(keys []*pb.Key) []*pb.Key { return keys })
 	for _, x := range []struct {
 		args string
 		want int
@@ -391,7 +391,7 @@
 		{"", 9}, {"--since 2026-09-22", 5}, {"--since 2026-09-22 --tz Asia/Tokyo", 9}, {"--until 2026-09-21 --tz Asia/Tokyo", 0}, {"--until 2026-09-21", 4},
 		{"--since 2026-09-21T20:00 --until 2026-09-22T02:00", 3}, {"--since 2026-09-21T20:00:00+02:00", 8}, {"--who potter", 0}, {"--object wk-4", 1}, {"--node n0 --verb submit --outcome done", 9},
 	} {
-		out, err := command(append(strings.Fields("audit list --snapshot "+path), strings.Fields(x.args)...)...)
+		out, err := runCommand(append(strings.Fields("audit list --snapshot "+path), strings.Fields(x.args)...)...)
 		if n := strings.Count(out, "\n"); err != nil || n != x.want {
 			t.Errorf("%s: %d acts, want %d: %v\n%s", x.args, n, x.want, err, out)
 		}
@@ -401,8 +401,8 @@
 		t.Fatal(err)
 	}
 	for day, hours := range map[string]float64{"2026-03-29": 23, "2026-10-25": 25, "2026-12-31": 24} {
-		from, err := when(day, zurich, 0)
-		to, err2 := when(day, zurich, 1)
+		from, err := parseTime(day, zurich, 0)
+		to, err2 := parseTime(day, zurich, 1)
 		if err != nil || err2 != nil || to.Sub(from).Hours() != hours {
 			t.Errorf("%s lasts %v", day, to.Sub(from))
 		}
@@ -410,7 +410,7 @@
 	for _, x := range []struct{ args, want string }{
 		{"--tz Nowhere/Land", "no time zone"}, {"--since yesterday", "--since:"}, {"--until 2026-02-30", "--until:"}, {"--outcome maybe", "--outcome:"}, {"--node n9", `no controller "n9"`},
 	} {
-		if _, err := command(append(strings.Fields("audit list --snapshot "+path), strings.Fields(x.args)...)...); err == nil || !strings.Contains(err.Error(), x.want) {
+		if _, err := runCommand(append(strings.Fields("audit list --snapshot "+path), strings.Fields(x.args)...)...); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s: %v", x.args, err)
 		}
 	}
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -27,23 +27,23 @@
 )
 
 const (
-	demoNodes    = 3
-	demoMachines = 240 // over the demo's life: one that was returned does not come back
-	demoAgain    = time.Second
-	demoWait     = time.Minute // until all serve
+	demoNodes        = 3
+	demoMachines     = 240 // over the demo's life: one that was returned does not come back
+	demoRestartDelay = time.Second
+	demoStartTimeout = time.Minute // until all serve
 )
 
-// demo is a site on loopback: the stand-ins in this process, and a process for each controller.
-type demo struct {
-	out     io.Writer
-	mu      sync.Mutex // of out
-	dir     string
-	args    []string // of a controller, beside its settings
-	addrs   []string
-	running sync.WaitGroup
+// demoSite is a site on loopback: the stand-ins in this process, and a process for each controller.
+type demoSite struct {
+	out            io.Writer
+	outMu          sync.Mutex // of out
+	dir            string
+	controllerArgs []string // of a controller, beside its settings
+	addrs          []string
+	running        sync.WaitGroup
 }
 
-func demoCommand(on *files, tuning *string) *cobra.Command {
+func demoCommand(on *featureFiles, tuning *string) *cobra.Command {
 	var logs string
 	cmd := &cobra.Command{
 		Use: "demo", Short: "Serve a site on loopback to try dewlift on: three controllers around stand-ins of all else", Args: cobra.NoArgs,
@@ -53,8 +53,8 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			d := &demo{out: cmd.OutOrStdout()}
-			for flag, path := range map[string]string{"--tuning": *tuning, "--access": on.access, "--tls": on.secure, "--booking": on.booking, "--lanes": on.lanes} {
+			d := &demoSite{out: cmd.OutOrStdout()}
+			for flag, path := range map[string]string{"--tuning": *tuning, "--access": on.permissionsFile, "--tls": on.tlsFile, "--booking": on.equipmentFile, "--lanes": on.priorityClassesFile} {
 				if path == "" {
 					continue
 				}
@@ -62,9 +62,9 @@
 				if err != nil {
 					return err
 				}
-				d.args = append(d.args, flag, whole)
+				d.controllerArgs = append(d.controllerArgs, flag, whole)
 			}
-			if err := on.check(*tuning); err != nil {
+			if err := on.validate(*tuning); err != nil {
 				return err
 			}
 			var err error
@@ -84,14 +84,14 @@
 	return cmd
 }
 
-func (d *demo) say(format string, args ...any) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (d *demoSite) printLine(format string, args ...any) {
+	d.outMu.Lock()
+	defer d.outMu.Unlock()
 	fmt.Fprintf(d.out, format+"\n", args...)
 }
 
 // serve has a handler answer on a free address of loopback until the context ends.
-func (d *demo) serve(ctx context.Context, h http.Handler) (string, error) {
+func (d *demoSite) serve(ctx context.Context, h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -116,7 +116,7 @@
 	return out, nil
 }
 
-func (d *demo) run(ctx context.Context, logs string) error {
+func (d *demoSite) run(ctx context.Context, logs string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer d.running.Wait()
 	defer cancel()
@@ -133,16 +133,16 @@
 	d.addrs = addrs[:demoNodes]
 	// A worker fetches a job's description by itself; here from where it was stored.
 	fleet := standin.NewWorkers(demoMachines, kind, d.addrs, 2*time.Second, func(piece string) ([3]int64, time.Duration) {
-		id, _, _ := wire.SplitTask(piece)
+		id, _, _ := wire.SplitTaskName(piece)
 		r, err := ledger.Decode(store.Value(core.KeyJob + id))
 		if err != nil || r.Spec == nil {
 			return [3]int64{}, time.Second // its job is over
 		}
-		run := time.Duration(r.Spec.EstimateMS) * time.Millisecond
+		run := time.Duration(r.Spec.EstimatedRuntimeMS) * time.Millisecond
 		if !r.Spec.Service {
 			run = max(run, time.Second)
 		}
-		return r.Spec.Claim, run
+		return r.Spec.Request, run
 	})
 	d.running.Go(func() { _ = fleet.Run(ctx) }) // without it, nothing can be rented, which shows
 	cloud, err := d.serve(ctx, fleet.Cloud())
@@ -158,7 +158,7 @@
 			}
 		}
 		k := &p.Cluster
-		k.Count, k.Zones, k.Teams = demoNodes, kind.Zones, []settings.Team{{Name: "workshop"}, {Name: "packing", CPUs: 20, CPUsMax: 40}}
+		k.Count, k.Zones, k.Teams = demoNodes, kind.Zones, []settings.Team{{Name: "workshop"}, {Name: "packing", ReservedCPUs: 20, MaxCPUs: 40}}
 		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 2, 20, 40, 5
 		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = 150, 30, 8, 24
 		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit, k.Quota.CoreShare, k.Quota.MemMB = 4, 1, 1000, 0.25, 200
@@ -175,46 +175,46 @@
 			return err
 		}
 		defer log.Close()
-		d.running.Go(func() { d.keep(ctx, p, path, log) })
+		d.running.Go(func() { d.keepControllerRunning(ctx, p, path, log) })
 	}
-	if err := d.healthy(ctx); err != nil {
+	if err := d.waitHealthy(ctx); err != nil {
 		return err
 	}
-	d.say("ready http://%s", strings.Join(d.addrs, ",http://"))
+	d.printLine("ready http://%s", strings.Join(d.addrs, ",http://"))
 	<-ctx.Done()
 	return nil
 }
 
-// keep runs a controller, and starts it again when it ends.
-func (d *demo) keep(ctx context.Context, p *settings.Platform, config string, log io.Writer) {
+// keepControllerRunning runs a controller, and starts it again when it ends.
+func (d *demoSite) keepControllerRunning(ctx context.Context, p *settings.Platform, config string, log io.Writer) {
 	self, err := os.Executable()
 	if err != nil {
-		d.say("controller %s can't be started: %v", p.Name, err)
+		d.printLine("controller %s can't be started: %v", p.Name, err)
 		return
 	}
 	for ctx.Err() == nil {
-		cmd := exec.CommandContext(ctx, self, append([]string{"--config", config}, d.args...)...)
+		cmd := exec.CommandContext(ctx, self, append([]string{"--config", config}, d.controllerArgs...)...)
 		cmd.Stderr = log
 		if err := cmd.Start(); err != nil {
-			d.say("controller %s can't be started: %v", p.Name, err)
+			d.printLine("controller %s can't be started: %v", p.Name, err)
 			return
 		}
-		d.say("controller %s http://%s pid %d", p.Name, p.Listen, cmd.Process.Pid)
+		d.printLine("controller %s http://%s pid %d", p.Name, p.Listen, cmd.Process.Pid)
 		err := cmd.Wait()
 		if ctx.Err() == nil {
-			d.say("controller %s ended: %v", p.Name, err)
+			d.printLine("controller %s ended: %v", p.Name, err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(demoAgain):
+		case <-time.After(demoRestartDelay):
 		}
 	}
 }
 
-// healthy waits until all controllers serve.
-func (d *demo) healthy(ctx context.Context) error {
+// waitHealthy waits until all controllers serve.
+func (d *demoSite) waitHealthy(ctx context.Context) error {
 	client := http.Client{Timeout: time.Second}
-	for end := time.Now().Add(demoWait); time.Now().Before(end); {
+	for end := time.Now().Add(demoStartTimeout); time.Now().Before(end); {
 		up := 0
 		for _, a := range d.addrs {
 			if resp, err := client.Get("http://" + a + wire.PathHealth); err == nil {
--- a/cmd/dewlift/golden_test.go
+++ b/cmd/dewlift/golden_test.go
@@ -79,7 +79,7 @@
 			walk(x)
 		}
 	}
-	walk(root())
+	walk(rootCommand())
 	compare(t, "testdata/commands.json", got)
 }
 
@@ -87,7 +87,7 @@
 func TestSettingsStay(t *testing.T) {
 	got := map[string][]string{}
 	for name, args := range map[string][]string{"list": {"settings"}, "json": {"settings", "--json"}, "version": {"version"}} {
-		out, err := command(args...)
+		out, err := runCommand(args...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,9 +102,9 @@
 		v    any
 		want string
 	}{
-		{&end{Number: 7, Code: []byte("code")}, `{"number":7,"code":"Y29kZQ=="}`},
-		{&described{}, `{"name":"","default":"","min":0,"max":0,"does":""}`},
-		{&described{Name: "n", Default: "d", Switch: true, Min: 1, Max: 2.5, Does: "does", More: "more", Less: "less"},
+		{&chainEnd{Number: 7, Code: []byte("code")}, `{"number":7,"code":"Y29kZQ=="}`},
+		{&settingDescription{}, `{"name":"","default":"","min":0,"max":0,"does":""}`},
+		{&settingDescription{Name: "n", Default: "d", Switch: true, Min: 1, Max: 2.5, Does: "does", More: "more", Less: "less"},
 			`{"name":"n","default":"d","switch":true,"min":1,"max":2.5,"does":"does","more":"more","less":"less"}`},
 	} {
 		raw, err := json.Marshal(x.v)
--- a/cmd/dewlift/job.go
+++ b/cmd/dewlift/job.go
@@ -14,16 +14,16 @@
 	"dewlift/wire"
 )
 
-// jobs makes the commands about jobs.
-type jobs struct {
-	me     *self
-	server string
-	asJSON bool
+// jobCommands makes the commands about jobs.
+type jobCommands struct {
+	identity *clientIdentity
+	server   string
+	asJSON   bool
 }
 
-// ask asks a controller about a job; what it refuses is a refusal.
-func (j *jobs) ask(cmd *cobra.Command, method, path string, body any) (s wire.JobState, err error) {
-	r, err := j.me.ask(cmd.Context(), method, j.server, path, body)
+// request asks a controller about a job; what it refuses is a refusal.
+func (j *jobCommands) request(cmd *cobra.Command, method, path string, body any) (s wire.JobState, err error) {
+	r, err := j.identity.request(cmd.Context(), method, j.server, path, body)
 	if err != nil {
 		return s, err
 	}
@@ -31,7 +31,7 @@
 		return s, fmt.Errorf("controller %s: %w", j.server, r.Err)
 	}
 	if r.Status != http.StatusOK && r.Status != http.StatusCreated {
-		return s, refusal(fmt.Sprintf("status %d: %s", r.Status, whyNot(r)))
+		return s, refusedError(fmt.Sprintf("status %d: %s", r.Status, refusalReason(r)))
 	}
 	if err := json.Unmarshal(r.Body, &s); err != nil {
 		return s, fmt.Errorf("answer not understood: %w", err)
@@ -39,7 +39,7 @@
 	return s, nil
 }
 
-func (j *jobs) print(out io.Writer, s *wire.JobState) error {
+func (j *jobCommands) print(out io.Writer, s *wire.JobState) error {
 	if j.asJSON {
 		return json.NewEncoder(out).Encode(s)
 	}
@@ -47,20 +47,20 @@
 	if s.Note != "" {
 		fmt.Fprintf(out, "  %s\n", s.Note)
 	}
-	if s.AwaitsCount > 0 {
-		fmt.Fprintf(out, "  waits for %d jobs: %s\n", s.AwaitsCount, strings.Join(s.Awaits, " "))
+	if s.DependencyCount > 0 {
+		fmt.Fprintf(out, "  waits for %d jobs: %s\n", s.DependencyCount, strings.Join(s.Dependencies, " "))
 	}
 	if s.CancelledBy != "" {
 		fmt.Fprintf(out, "  cancelled with %s, which it needs\n", s.CancelledBy)
 	}
-	for _, w := range s.Reasons {
+	for _, w := range s.TaskStops {
 		fmt.Fprintf(out, "  task %d stopped on %s at %s: %s\n", w.Task, w.Machine, time.UnixMilli(w.AtMS).UTC().Format(time.RFC3339), w.Cause)
 	}
 	return nil
 }
 
-// about makes a command about one job by its id.
-func (j *jobs) about(use, short string, do func(cmd *cobra.Command, id string) error) *cobra.Command {
+// subcommand makes a command about one job by its id.
+func (j *jobCommands) subcommand(use, short string, do func(cmd *cobra.Command, id string) error) *cobra.Command {
 	return &cobra.Command{Use: use + " ID", Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !wire.ValidJobID(args[0]) {
@@ -70,21 +70,21 @@
 		}}
 }
 
-func jobCommand(me *self) *cobra.Command {
-	j := &jobs{me: me}
+func jobCommand(me *clientIdentity) *cobra.Command {
+	j := &jobCommands{identity: me}
 	job := &cobra.Command{Use: "job", Short: "Submit jobs, look at them and withdraw them"}
 	job.PersistentFlags().StringVar(&j.server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
 	job.PersistentFlags().BoolVar(&j.asJSON, "json", false, "as JSON")
 	job.AddCommand(j.submit(), j.wait(),
-		j.about("get", "Show a job and why its tasks stopped", func(cmd *cobra.Command, id string) error {
-			s, err := j.ask(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
+		j.subcommand("get", "Show a job and why its tasks stopped", func(cmd *cobra.Command, id string) error {
+			s, err := j.request(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
 			if err != nil {
 				return err
 			}
 			return j.print(cmd.OutOrStdout(), &s)
 		}),
-		j.about("why", "Tell in words why a job waits", func(cmd *cobra.Command, id string) error {
-			q, err := askQueue(cmd, j.me, j.server, http.MethodGet, wire.PathQueue+"/"+id, nil)
+		j.subcommand("why", "Tell in words why a job waits", func(cmd *cobra.Command, id string) error {
+			q, err := requestQueue(cmd, j.identity, j.server, http.MethodGet, wire.PathQueue+"/"+id, nil)
 			if err != nil || len(q.Jobs) == 0 {
 				return err
 			}
@@ -92,11 +92,11 @@
 			if j.asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(x)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is number %d of %d in the queue, in lane %s, since %d s: %s\n", x.ID, x.Number, q.All, x.Lane, x.WaitedS, x.Why)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s is number %d of %d in the queue, in lane %s, since %d s: %s\n", x.ID, x.Position, q.Total, x.PriorityClass, x.WaitedS, x.Explanation)
 			return nil
 		}),
-		j.about("cancel", "Withdraw a job", func(cmd *cobra.Command, id string) error {
-			s, err := j.ask(cmd, http.MethodPost, wire.PathJobs+"/"+id+"/withdraw", struct{}{})
+		j.subcommand("cancel", "Withdraw a job", func(cmd *cobra.Command, id string) error {
+			s, err := j.request(cmd, http.MethodPost, wire.PathJobs+"/"+id+"/withdraw", struct{}{})
 			if err != nil {
 				return err
 			}
@@ -105,14 +105,14 @@
 	return job
 }
 
-func (j *jobs) submit() *cobra.Command {
+func (j *jobCommands) submit() *cobra.Command {
 	return &cobra.Command{
 		Use: "submit FILE", Short: "Submit a job that a file describes as JSON; - is standard input", Args: cobra.ExactArgs(1),
 		Long: "The file holds the body of a submission. Submitted again, it is answered with the job's state.",
 		RunE: func(cmd *cobra.Command, args []string) (err error) {
 			var raw []byte
 			if args[0] == "-" {
-				raw, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), wire.MaxBody+1))
+				raw, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), wire.MaxBodyBytes+1))
 			} else {
 				raw, err = os.ReadFile(args[0])
 			}
@@ -122,7 +122,7 @@
 			if _, err := wire.ParseSubmission(raw); err != nil {
 				return fmt.Errorf("job %s: %w", args[0], err)
 			}
-			s, err := j.ask(cmd, http.MethodPost, wire.PathJobs, json.RawMessage(raw))
+			s, err := j.request(cmd, http.MethodPost, wire.PathJobs, json.RawMessage(raw))
 			if err != nil {
 				return err
 			}
@@ -130,28 +130,28 @@
 		}}
 }
 
-const waitEvery = time.Second // between two looks at a job
+const jobPollInterval = time.Second // between two looks at a job
 
-func (j *jobs) wait() *cobra.Command {
+func (j *jobCommands) wait() *cobra.Command {
 	var most time.Duration
-	cmd := j.about("wait", "Wait until a job is done; exit code 1 if it is cancelled or not done in time", func(cmd *cobra.Command, id string) error {
+	cmd := j.subcommand("wait", "Wait until a job is done; exit code 1 if it is cancelled or not done in time", func(cmd *cobra.Command, id string) error {
 		// One that can't be answered now may be in a moment: it is asked for until the time is over.
 		for end := time.Now().Add(most); ; {
-			s, err := j.ask(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
+			s, err := j.request(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
 			switch {
 			case err == nil && s.Stage == wire.StageDone:
 				return j.print(cmd.OutOrStdout(), &s)
 			case err == nil && s.Stage == wire.StageCancelled:
-				return refusal(id + " is cancelled")
+				return refusedError(id + " is cancelled")
 			case time.Now().After(end) && err != nil:
 				return err
 			case time.Now().After(end):
-				return refusal(fmt.Sprintf("%s is %s after %s", id, s.Stage, most))
+				return refusedError(fmt.Sprintf("%s is %s after %s", id, s.Stage, most))
 			}
 			select {
 			case <-cmd.Context().Done():
 				return cmd.Context().Err()
-			case <-time.After(waitEvery):
+			case <-time.After(jobPollInterval):
 			}
 		}
 	})
--- a/cmd/dewlift/main_test.go
+++ b/cmd/dewlift/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-func command(args ...string) (string, error) {
-	cmd := root()
+func runCommand(args ...string) (string, error) {
+	cmd := rootCommand()
 	var out bytes.Buffer
 	cmd.SetOut(&out)
 	cmd.SetArgs(args)
@@ -18,7 +18,7 @@
 }
 
 // Bad use is named in one line.
-func TestBadUseIsNamedInOneLine(t *testing.T) {
+func TestUsageErrorsAreOneLine(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad")
 	if err := os.WriteFile(bad, []byte("roles {\n name: 5 }"), 0o600); err != nil {
@@ -47,7 +47,7 @@
 		{"audit report", "--html FILE is needed"},
 		{"audit list --snapshot " + bad, "damaged snapshot"},
 	} {
-		_, err := command(strings.Fields(x.args)...)
+		_, err := runCommand(strings.Fields(x.args)...)
 		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", x.args, err)
 		}
@@ -55,8 +55,8 @@
 }
 
 // The page of settings is the one that their descriptions give.
-func TestPageOfSettingsIsCurrent(t *testing.T) {
-	want, err := command("settings", "--markdown")
+func TestSettingsPageIsCurrent(t *testing.T) {
+	want, err := runCommand("settings", "--markdown")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,14 +70,14 @@
 func TestFirstKeys(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "admin.key")
-	line, err := command("key", "new", "admin", "--id", "admin-1", "--out", file)
+	line, err := runCommand("key", "new", "admin", "--id", "admin-1", "--out", file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s, err := os.Stat(file); err != nil || s.Mode().Perm() != 0o600 {
 		t.Errorf("the private key's file: %v, %v", s.Mode(), err)
 	}
-	if _, err := command("key", "new", "admin", "--id", "admin-1", "--out", file); err == nil {
+	if _, err := runCommand("key", "new", "admin", "--id", "admin-1", "--out", file); err == nil {
 		t.Error("a key file was replaced")
 	}
 	raw, err := os.ReadFile("../../deploy/access.textproto")
@@ -90,13 +90,13 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := command("access", "check", path); err != nil || !strings.Contains(out, "1 keys") {
+	if out, err := runCommand("access", "check", path); err != nil || !strings.Contains(out, "1 keys") {
 		t.Errorf("%s %v", out, err)
 	}
-	if out, err := command("access", "explain", path, "--who", "portal", "--verb", "submit", "--team", "t", "--class", "c", "--priority", "high"); err != nil || !strings.Contains(out, "portal may submit: role planner, grant 2") {
+	if out, err := runCommand("access", "explain", path, "--who", "portal", "--verb", "submit", "--team", "t", "--class", "c", "--priority", "high"); err != nil || !strings.Contains(out, "portal may submit: role planner, grant 2") {
 		t.Errorf("%s %v", out, err)
 	}
-	if out, err := command("key", "token", file); err != nil || strings.Count(out, ".") != 2 {
+	if out, err := runCommand("key", "token", file); err != nil || strings.Count(out, ".") != 2 {
 		t.Errorf("%s %v", out, err)
 	}
 }
--- a/cmd/dewlift/access.go
+++ b/cmd/dewlift/permissions.go
@@ -20,51 +20,51 @@
 	"dewlift/wire"
 )
 
-const tokenLife = 5 * time.Minute // of a token that a command makes for itself
+const tokenLifetime = 5 * time.Minute // of a token that a command makes for itself
 
-// self is who asks, and how a controller is reached.
-type self struct{ key, ca, certificate, certificateKey string }
+// clientIdentity is who asks, and how a controller is reached.
+type clientIdentity struct{ keyFile, caFile, certificateFile, certificateKeyFile string }
 
-func (me *self) flags(f *pflag.FlagSet) {
-	f.StringVar(&me.key, "key", os.Getenv("DEWLIFT_KEY"), "a private key, to prove who asks")
-	f.StringVar(&me.ca, "ca", os.Getenv("DEWLIFT_CA"), "authorities of controllers' certificates (PEM): TLS is used")
-	f.StringVar(&me.certificate, "certificate", os.Getenv("DEWLIFT_CERTIFICATE"), "a certificate, to prove who asks (PEM)")
-	f.StringVar(&me.certificateKey, "certificate-key", os.Getenv("DEWLIFT_CERTIFICATE_KEY"), "its key (PEM)")
+func (me *clientIdentity) addFlags(f *pflag.FlagSet) {
+	f.StringVar(&me.keyFile, "key", os.Getenv("DEWLIFT_KEY"), "a private key, to prove who asks")
+	f.StringVar(&me.caFile, "ca", os.Getenv("DEWLIFT_CA"), "authorities of controllers' certificates (PEM): TLS is used")
+	f.StringVar(&me.certificateFile, "certificate", os.Getenv("DEWLIFT_CERTIFICATE"), "a certificate, to prove who asks (PEM)")
+	f.StringVar(&me.certificateKeyFile, "certificate-key", os.Getenv("DEWLIFT_CERTIFICATE_KEY"), "its key (PEM)")
 }
 
-// ask makes a request in one's name to a controller, or to the first that answers of several, separated by commas. Whatever is asked may be
+// request makes a request in one's name to a controller, or to the first that answers of several, separated by commas. Whatever is asked may be
 // repeated: one that answers nothing may have done it.
-func (me *self) ask(ctx context.Context, method, servers, path string, body any) (r call.Result, err error) {
+func (me *clientIdentity) request(ctx context.Context, method, servers, path string, body any) (r call.Result, err error) {
 	for server := range strings.SplitSeq(servers, ",") {
-		if r, err = me.askOne(ctx, method, strings.TrimPrefix(server, "http://"), path, body); err != nil || r.Err == nil && r.Status != http.StatusServiceUnavailable {
+		if r, err = me.requestOne(ctx, method, strings.TrimPrefix(server, "http://"), path, body); err != nil || r.Err == nil && r.Status != http.StatusServiceUnavailable {
 			return r, err
 		}
 	}
 	return r, err
 }
 
-func (me *self) askOne(ctx context.Context, method, server, path string, body any) (call.Result, error) {
+func (me *clientIdentity) requestOne(ctx context.Context, method, server, path string, body any) (call.Result, error) {
 	c, scheme := call.New(1, 1, 16<<20), "http://"
-	if me.key != "" {
-		k, err := loadKey(me.key)
+	if me.keyFile != "" {
+		k, err := loadKey(me.keyFile)
 		if err != nil {
 			return call.Result{}, err
 		}
-		if c.Token, err = k.Token(time.Now(), tokenLife); err != nil {
+		if c.Token, err = k.Token(time.Now(), tokenLifetime); err != nil {
 			return call.Result{}, err
 		}
 	}
-	if me.ca != "" {
-		raw, err := os.ReadFile(me.ca)
+	if me.caFile != "" {
+		raw, err := os.ReadFile(me.caFile)
 		if err != nil {
 			return call.Result{}, fmt.Errorf("read authorities: %w", err)
 		}
 		cfg := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: x509.NewCertPool()}
 		if !cfg.RootCAs.AppendCertsFromPEM(raw) {
-			return call.Result{}, fmt.Errorf("no certificate in %s", me.ca)
+			return call.Result{}, fmt.Errorf("no certificate in %s", me.caFile)
 		}
-		if me.certificate != "" {
-			pair, err := tls.LoadX509KeyPair(me.certificate, me.certificateKey)
+		if me.certificateFile != "" {
+			pair, err := tls.LoadX509KeyPair(me.certificateFile, me.certificateKeyFile)
 			if err != nil {
 				return call.Result{}, fmt.Errorf("certificate: %w", err)
 			}
@@ -88,8 +88,8 @@
 	return k, nil
 }
 
-// loadAccess reads rights that can be put in force.
-func loadAccess(path string) (*access.Policy, error) {
+// loadPermissions reads rights that can be put in force.
+func loadPermissions(path string) (*access.Policy, error) {
 	p, err := parseAccess(path)
 	if err == nil && !p.Administered() {
 		return nil, fmt.Errorf("access %s: nobody with a key may administer: rights could never be changed", path)
@@ -97,10 +97,10 @@
 	return p, err
 }
 
-func parseAccess(path string) (*access.Policy, error) { return load(path, "access", access.Parse) }
+func parseAccess(path string) (*access.Policy, error) { return loadFile(path, "access", access.Parse) }
 
-// load reads an operators' file.
-func load[T any](path, what string, parse func([]byte) (T, error)) (v T, err error) {
+// loadFile reads an operators' file.
+func loadFile[T any](path, what string, parse func([]byte) (T, error)) (v T, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return v, fmt.Errorf("read %s: %w", what, err)
@@ -111,12 +111,12 @@
 	return v, nil
 }
 
-func accessCommand(me *self) *cobra.Command {
+func accessCommand(me *clientIdentity) *cobra.Command {
 	cmd := &cobra.Command{Use: "access", Short: "Check, explain and change who may do what"}
 	cmd.AddCommand(&cobra.Command{
 		Use: "check FILE", Short: "Check a file of rights", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := loadAccess(args[0])
+			p, err := loadPermissions(args[0])
 			if err != nil {
 				return err
 			}
@@ -124,7 +124,7 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "rights are valid: %d roles, %d identities, %d keys\n", roles, people, keys)
 			return nil
 		},
-	}, explainCommand(), showCommand(me), grantCommand(me), revokeCommand(me))
+	}, explainCommand(), showPermissionsCommand(me), grantCommand(me), revokeCommand(me))
 	return cmd
 }
 
@@ -169,31 +169,31 @@
 	return cmd
 }
 
-// edit sends a change of rights.
-func edit(ctx context.Context, me *self, server, who string, e wire.RightsEdit) (*wire.Changed, error) {
-	if me.key == "" && me.certificate == "" {
+// editPermissions sends a change of rights.
+func editPermissions(ctx context.Context, me *clientIdentity, server, who string, e wire.PermissionsEdit) (*wire.PermissionsEditResult, error) {
+	if me.keyFile == "" && me.certificateFile == "" {
 		return nil, errors.New("--key FILE or --certificate FILE is needed: rights are changed in somebody's name")
 	}
-	r, err := me.ask(ctx, http.MethodPost, server, wire.PathAccess+"/"+who, e)
+	r, err := me.request(ctx, http.MethodPost, server, wire.PathPermissions+"/"+who, e)
 	if err != nil {
 		return nil, err
 	}
-	out, r := call.Get[wire.Changed](r)
-	return &out, answered(server, r)
+	out, r := call.Get[wire.PermissionsEditResult](r)
+	return &out, checkResponse(server, r)
 }
 
-func answered(server string, r call.Result) error {
+func checkResponse(server string, r call.Result) error {
 	switch {
 	case r.Err != nil:
 		return fmt.Errorf("controller %s: %w", server, r.Err)
 	case r.Status != http.StatusOK:
-		return fmt.Errorf("controller %s answers %d: %s", server, r.Status, whyNot(r))
+		return fmt.Errorf("controller %s answers %d: %s", server, r.Status, refusalReason(r))
 	}
 	return nil
 }
 
-// whyNot is what a controller says of a request that it refuses.
-func whyNot(r call.Result) string {
+// refusalReason is what a controller says of a request that it refuses.
+func refusalReason(r call.Result) string {
 	var e wire.Error
 	if json.Unmarshal(r.Body, &e) != nil || e.Error == "" {
 		return http.StatusText(r.Status)
@@ -201,34 +201,34 @@
 	return e.Error
 }
 
-func showCommand(me *self) *cobra.Command {
+func showPermissionsCommand(me *clientIdentity) *cobra.Command {
 	var server string
 	cmd := &cobra.Command{
 		Use: "show", Short: "Show the rights in force, as a file of rights", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := me.ask(cmd.Context(), http.MethodGet, server, wire.PathAccess, nil)
+			r, err := me.request(cmd.Context(), http.MethodGet, server, wire.PathPermissions, nil)
 			if err != nil {
 				return err
 			}
-			out, r := call.Get[wire.Rights](r)
-			if err := answered(server, r); err != nil {
+			out, r := call.Get[wire.Permissions](r)
+			if err := checkResponse(server, r); err != nil {
 				return err
 			}
 			fmt.Fprint(cmd.OutOrStdout(), out.Text)
 			return nil
 		},
 	}
-	serverFlag(cmd, &server)
+	addServerFlag(cmd, &server)
 	return cmd
 }
 
-func serverFlag(cmd *cobra.Command, server *string) {
+func addServerFlag(cmd *cobra.Command, server *string) {
 	cmd.Flags().StringVar(server, "server", "127.0.0.1:8080", "address of a controller")
 }
 
-func grantCommand(me *self) *cobra.Command {
+func grantCommand(me *clientIdentity) *cobra.Command {
 	var server string
-	var e wire.RightsEdit
+	var e wire.PermissionsEdit
 	var id, public string
 	var certificate bool
 	cmd := &cobra.Command{
@@ -239,7 +239,7 @@
 				return errors.New("--key-id and --public go together")
 			}
 			if id != "" {
-				e.AddKeys = []wire.RightsKey{{ID: id, Ed25519: public}}
+				e.AddKeys = []wire.PublicKey{{ID: id, Ed25519: public}}
 			}
 			if certificate {
 				e.Certificate = &certificate
@@ -247,14 +247,14 @@
 			if len(e.GrantRoles)+len(e.AddKeys) == 0 && !certificate {
 				return errors.New("nothing to grant: name --role, --by-certificate, or --key-id and --public")
 			}
-			if _, err := edit(cmd.Context(), me, server, args[0], e); err != nil {
+			if _, err := editPermissions(cmd.Context(), me, server, args[0], e); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "granted to %s\n", args[0])
 			return nil
 		},
 	}
-	serverFlag(cmd, &server)
+	addServerFlag(cmd, &server)
 	cmd.Flags().StringSliceVar(&e.GrantRoles, "role", nil, "a role; may be repeated")
 	cmd.Flags().StringVar(&id, "key-id", "", "the id of a new key")
 	cmd.Flags().StringVar(&public, "public", "", "its public half, as `dewlift key show` prints it")
@@ -263,9 +263,9 @@
 	return cmd
 }
 
-func revokeCommand(me *self) *cobra.Command {
+func revokeCommand(me *clientIdentity) *cobra.Command {
 	var server string
-	var e wire.RightsEdit
+	var e wire.PermissionsEdit
 	var certificate bool
 	cmd := &cobra.Command{
 		Use: "revoke WHO", Short: "Take roles or keys away; in force everywhere once this has ended well", Args: cobra.ExactArgs(1),
@@ -277,7 +277,7 @@
 			if !e.Delete && !certificate && len(e.RevokeRoles)+len(e.RevokeKeys) == 0 {
 				return errors.New("nothing to revoke: name --role, --key-id, --by-certificate or --all")
 			}
-			out, err := edit(cmd.Context(), me, server, args[0], e)
+			out, err := editPermissions(cmd.Context(), me, server, args[0], e)
 			if err != nil {
 				return err
 			}
@@ -288,7 +288,7 @@
 			return nil
 		},
 	}
-	serverFlag(cmd, &server)
+	addServerFlag(cmd, &server)
 	cmd.Flags().StringSliceVar(&e.RevokeRoles, "role", nil, "a role; may be repeated")
 	cmd.Flags().StringSliceVar(&e.RevokeKeys, "key-id", nil, "a key; may be repeated")
 	cmd.Flags().BoolVar(&certificate, "by-certificate", false, "a certificate proves no more who it is")
@@ -297,7 +297,7 @@
 	return cmd
 }
 
-func keyCommand(me *self) *cobra.Command {
+func keyCommand(me *clientIdentity) *cobra.Command {
 	cmd := &cobra.Command{Use: "key", Short: "Make keys and tokens"}
 	var id, out string
 	create := &cobra.Command{
@@ -316,7 +316,7 @@
 			if err := saveKey(out, k); err != nil {
 				return err
 			}
-			show(cmd, k)
+			printPublicKey(cmd, k)
 			return nil
 		},
 	}
@@ -343,32 +343,32 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			k, err := loadKey(args[0])
 			if err == nil {
-				show(cmd, k)
+				printPublicKey(cmd, k)
 			}
 			return err
 		},
-	}, rotateCommand(me), revokeKeyCommand(me))
+	}, rotateKeyCommand(me), revokeKeyCommand(me))
 	return cmd
 }
 
-func revokeKeyCommand(me *self) *cobra.Command {
+func revokeKeyCommand(me *clientIdentity) *cobra.Command {
 	var server string
 	cmd := &cobra.Command{
 		Use: "revoke HOLDER ID", Short: "Take a key away; it is good nowhere once this has ended well", Args: cobra.ExactArgs(2),
 		Example: "  dewlift key revoke anna anna-1 --key admin.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if _, err := edit(cmd.Context(), me, server, args[0], wire.RightsEdit{RevokeKeys: []string{args[1]}}); err != nil {
+			if _, err := editPermissions(cmd.Context(), me, server, args[0], wire.PermissionsEdit{RevokeKeys: []string{args[1]}}); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s is no key of %s any more\n", args[1], args[0])
 			return nil
 		},
 	}
-	serverFlag(cmd, &server)
+	addServerFlag(cmd, &server)
 	return cmd
 }
 
-func show(cmd *cobra.Command, k *access.Private) {
+func printPublicKey(cmd *cobra.Command, k *access.Private) {
 	fmt.Fprintf(cmd.OutOrStdout(), "keys { id: %q ed25519: %q }\n", k.ID, k.Public())
 }
 
@@ -396,16 +396,16 @@
 	return nil
 }
 
-func rotateCommand(me *self) *cobra.Command {
+func rotateKeyCommand(me *clientIdentity) *cobra.Command {
 	var server, id, out string
 	cmd := &cobra.Command{
 		Use: "rotate", Short: "Replace your own key: the old one is good no more", Args: cobra.NoArgs,
 		Example: "  dewlift key rotate --key anna.key --id anna-2 --out anna-2.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if me.key == "" || id == "" || out == "" {
+			if me.keyFile == "" || id == "" || out == "" {
 				return errors.New("--key, --id and --out are needed")
 			}
-			old, err := loadKey(me.key)
+			old, err := loadKey(me.keyFile)
 			if err != nil {
 				return err
 			}
@@ -416,14 +416,14 @@
 			if err := saveKey(out, k); err != nil { // before the site knows it: a key that is nowhere would shut out
 				return err
 			}
-			if _, err := edit(cmd.Context(), me, server, old.Holder, wire.RightsEdit{AddKeys: []wire.RightsKey{{ID: id, Ed25519: k.Public()}}, RevokeKeys: []string{old.ID}}); err != nil {
+			if _, err := editPermissions(cmd.Context(), me, server, old.Holder, wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: id, Ed25519: k.Public()}}, RevokeKeys: []string{old.ID}}); err != nil {
 				return fmt.Errorf("%w (%s holds the new key; the old one may still be good)", err, out)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s holds the key of %s from now on\n", out, old.Holder)
 			return nil
 		},
 	}
-	serverFlag(cmd, &server)
+	addServerFlag(cmd, &server)
 	cmd.Flags().StringVar(&id, "id", "", "the new key's id")
 	cmd.Flags().StringVar(&out, "out", "", "the new key's file")
 	return cmd
--- a/cmd/dewlift/lanes.go
+++ b/cmd/dewlift/priorityclass.go
@@ -14,12 +14,14 @@
 	"dewlift/wire"
 )
 
-// loadLanes reads a list of lanes.
-func loadLanes(path string) (*lanes.List, error) { return load(path, "lanes", lanes.Parse) }
+// loadPriorityClasses reads a list of lanes.
+func loadPriorityClasses(path string) (*lanes.List, error) {
+	return loadFile(path, "lanes", lanes.Parse)
+}
 
-// askQueue asks about the queue or the lanes; what is refused is a refusal.
-func askQueue(cmd *cobra.Command, me *self, server, method, path string, body any) (q wire.Queue, err error) {
-	r, err := me.ask(cmd.Context(), method, server, path, body)
+// requestQueue asks about the queue or the lanes; what is refused is a refusal.
+func requestQueue(cmd *cobra.Command, me *clientIdentity, server, method, path string, body any) (q wire.JobQueue, err error) {
+	r, err := me.request(cmd.Context(), method, server, path, body)
 	if err != nil {
 		return q, err
 	}
@@ -28,25 +30,25 @@
 		if json.Unmarshal(r.Body, &e) != nil || e.Error == "Not Found" {
 			e.Error = "this site has no lanes"
 		}
-		return q, refusal(e.Error)
+		return q, refusedError(e.Error)
 	}
-	q, r = call.Get[wire.Queue](r)
+	q, r = call.Get[wire.JobQueue](r)
 	if r.Err == nil && r.Status != http.StatusOK {
 		var e wire.Error
 		_ = json.Unmarshal(r.Body, &e) // the status says the rest
-		return q, refusal(fmt.Sprintf("status %d: %s", r.Status, e.Error))
+		return q, refusedError(fmt.Sprintf("status %d: %s", r.Status, e.Error))
 	}
-	return q, answered(server, r)
+	return q, checkResponse(server, r)
 }
 
-func lanesCommand(me *self) *cobra.Command {
+func priorityClassesCommand(me *clientIdentity) *cobra.Command {
 	var server string
 	cmd := &cobra.Command{Use: "lanes", Short: "Check, show and change which work goes ahead of which"}
 	cmd.PersistentFlags().StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
 	cmd.AddCommand(&cobra.Command{
 		Use: "check FILE", Short: "Check a list of lanes, and tell how long work waits at most until it goes ahead", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			l, err := loadLanes(args[0])
+			l, err := loadPriorityClasses(args[0])
 			if err != nil {
 				return err
 			}
@@ -65,23 +67,23 @@
 	}, &cobra.Command{
 		Use: "show", Short: "Show the lanes in force", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			q, err := askQueue(cmd, me, server, http.MethodGet, wire.PathLanes, nil)
+			q, err := requestQueue(cmd, me, server, http.MethodGet, wire.PathPriorityClasses, nil)
 			if err == nil {
-				fmt.Fprint(cmd.OutOrStdout(), q.Lanes)
+				fmt.Fprint(cmd.OutOrStdout(), q.PriorityClasses)
 			}
 			return err
 		},
 	}, &cobra.Command{
 		Use: "put FILE", Short: "Put another list in force; jobs keep the lanes that they were accepted into", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if _, err := loadLanes(args[0]); err != nil {
+			if _, err := loadPriorityClasses(args[0]); err != nil {
 				return err
 			}
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
 				return fmt.Errorf("read lanes: %w", err)
 			}
-			q, err := askQueue(cmd, me, server, http.MethodPost, wire.PathLanes, wire.Queue{Lanes: string(raw)})
+			q, err := requestQueue(cmd, me, server, http.MethodPost, wire.PathPriorityClasses, wire.JobQueue{PriorityClasses: string(raw)})
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "the lanes are in force, as version %d\n", q.Version)
 			}
@@ -91,7 +93,7 @@
 	return cmd
 }
 
-func queueCommand(me *self) *cobra.Command {
+func queueCommand(me *clientIdentity) *cobra.Command {
 	var server string
 	var most int
 	var asJSON bool
@@ -100,14 +102,14 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-			all := wire.Queue{}
+			all := wire.JobQueue{}
 			for after := 0; ; {
-				q, err := askQueue(cmd, me, server, http.MethodGet, fmt.Sprintf("%s?after=%d&most=%d", wire.PathQueue, after, min(100, most-after)), nil)
+				q, err := requestQueue(cmd, me, server, http.MethodGet, fmt.Sprintf("%s?after=%d&most=%d", wire.PathQueue, after, min(100, most-after)), nil)
 				if err != nil {
 					return err
 				}
-				all.Jobs, all.All, all.Version = append(all.Jobs, q.Jobs...), q.All, q.Version
-				if after = q.Next; after == 0 || after >= most {
+				all.Jobs, all.Total, all.Version = append(all.Jobs, q.Jobs...), q.Total, q.Version
+				if after = q.NextOffset; after == 0 || after >= most {
 					break
 				}
 			}
@@ -118,16 +120,16 @@
 				if i == 0 {
 					fmt.Fprintln(w, "NUMBER\tJOB\tLANE\tCLASS\tTEAM\tTASKS\tASSIGNED\tWAITED\tFOR")
 				}
-				lane := j.Lane
-				if j.OrderedAs != "" {
-					lane += " as " + j.OrderedAs
+				lane := j.PriorityClass
+				if j.EffectivePriorityClass != "" {
+					lane += " as " + j.EffectivePriorityClass
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d s\t%s\n", j.Number, j.ID, lane, j.Class, j.Team, j.Tasks, j.Assigned, j.WaitedS, j.For)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d s\t%s\n", j.Position, j.ID, lane, j.Class, j.Team, j.Tasks, j.Assigned, j.WaitedS, j.WaitingFor)
 			}
 			if err := w.Flush(); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "%d jobs wait\n", all.All)
+			fmt.Fprintf(out, "%d jobs wait\n", all.Total)
 			return nil
 		},
 	}
--- a/cmd/dewlift/booking.go
+++ b/cmd/dewlift/reservation.go
@@ -19,31 +19,33 @@
 	"dewlift/wire"
 )
 
-// refusal is a "no" that is no bad use: exit code 1.
-type refusal string
+// refusedError is a "no" that is no bad use: exit code 1.
+type refusedError string
 
-func (r refusal) Error() string { return string(r) }
+func (r refusedError) Error() string { return string(r) }
 
 // loadEquipment reads a list of equipment.
-func loadEquipment(path string) (*booking.Site, error) { return load(path, "equipment", booking.Parse) }
+func loadEquipment(path string) (*booking.Site, error) {
+	return loadFile(path, "equipment", booking.Parse)
+}
 
-// booker makes the commands about bookings, which have the same flags for where to ask and how to answer.
-type booker struct {
-	me     *self
-	server string
-	asJSON bool
+// reservationCommands makes the commands about bookings, which have the same flags for where to ask and how to answer.
+type reservationCommands struct {
+	identity *clientIdentity
+	server   string
+	asJSON   bool
 }
 
-// ask asks a controller and prints its answer; what is refused is a refusal, in one line.
-func (b *booker) ask(cmd *cobra.Command, method, path string, body any, print func(w io.Writer, a *wire.BookingAnswer)) error {
-	r, err := b.me.ask(cmd.Context(), method, b.server, path, body)
+// request asks a controller and prints its answer; what is refused is a refusal, in one line.
+func (b *reservationCommands) request(cmd *cobra.Command, method, path string, body any, print func(w io.Writer, a *wire.ReservationResponse)) error {
+	r, err := b.identity.request(cmd.Context(), method, b.server, path, body)
 	if err != nil {
 		return err
 	}
 	if r.Err != nil {
 		return fmt.Errorf("controller %s: %w", b.server, r.Err)
 	}
-	var a wire.BookingAnswer
+	var a wire.ReservationResponse
 	err = json.Unmarshal(r.Body, &a)
 	out := cmd.OutOrStdout()
 	switch {
@@ -71,7 +73,7 @@
 		if i == 0 {
 			line += "; free instead:"
 		}
-		line += fmt.Sprintf(" %s %s", f.Piece, f.From)
+		line += fmt.Sprintf(" %s %s", f.Equipment, f.From)
 	}
 	for i, x := range a.Displaced {
 		if i == 0 {
@@ -79,60 +81,60 @@
 		}
 		line += " " + x.ID
 	}
-	return refusal(line)
+	return refusedError(line)
 }
 
-func printBooking(w io.Writer, a *wire.BookingAnswer) {
-	if a.Booking != nil {
-		printOne(w, a.Booking)
+func printReservationResponse(w io.Writer, a *wire.ReservationResponse) {
+	if a.Reservation != nil {
+		printReservation(w, a.Reservation)
 	}
 }
 
-func printOne(w io.Writer, b *wire.Booking) {
+func printReservation(w io.Writer, b *wire.Reservation) {
 	state := b.State
 	switch {
 	case b.HeldUntil != "":
 		state += " until " + b.HeldUntil
-	case b.Place > 0:
-		state += fmt.Sprintf(", number %d in line", b.Place)
-	case b.Why != "":
-		state += " at " + b.EndedAt + ": " + b.Why
+	case b.WaitlistPosition > 0:
+		state += fmt.Sprintf(", number %d in line", b.WaitlistPosition)
+	case b.EndReason != "":
+		state += " at " + b.EndedAt + ": " + b.EndReason
 	}
 	fmt.Fprintf(w, "%s: %s\n", b.ID, state)
 	for _, s := range b.Slots {
 		if s.To == "" {
-			fmt.Fprintf(w, "  wants %s%s from %s, %d slots\n", s.Piece, s.Kind, s.From, s.Slots)
+			fmt.Fprintf(w, "  wants %s%s from %s, %d slots\n", s.Equipment, s.Kind, s.From, s.Slots)
 			continue
 		}
-		fmt.Fprintf(w, "  %s unit %d from %s to %s\n", s.Piece, s.Unit, s.From, s.To)
+		fmt.Fprintf(w, "  %s unit %d from %s to %s\n", s.Equipment, s.Unit, s.From, s.To)
 	}
 }
 
-// wantFlags are the flags of slots that are asked for.
-type wantFlags struct {
+// slotFlags are the flags of slots that are asked for.
+type slotFlags struct {
 	equipment, kind, zone, from, repeat string
 	slots                               uint32
-	more                                []string
+	extraSlots                          []string
 }
 
-func (w *wantFlags) add(f *pflag.FlagSet) {
+func (w *slotFlags) addFlags(f *pflag.FlagSet) {
 	f.StringVar(&w.equipment, "equipment", "", "the piece of equipment")
 	f.StringVar(&w.kind, "kind", "", "instead of it, any piece of a kind")
 	f.StringVar(&w.zone, "zone", "", "of that kind: only in a zone")
 	f.StringVar(&w.from, "from", "", "when it begins, by the site's clocks: 2027-03-04T08:00, or with an offset")
 	f.Uint32Var(&w.slots, "slots", 1, "how many slots in a row")
 	f.StringVar(&w.repeat, "repeat", "", "again by a rule: FREQ=WEEKLY;COUNT=8")
-	f.StringArrayVar(&w.more, "and", nil, "another slot, all or none: EQUIPMENT,FROM[,SLOTS]")
+	f.StringArrayVar(&w.extraSlots, "and", nil, "another slot, all or none: EQUIPMENT,FROM[,SLOTS]")
 }
 
-func (w *wantFlags) list() ([]wire.BookingWant, error) {
+func (w *slotFlags) slotRequests() ([]wire.SlotRequest, error) {
 	if (w.equipment == "") == (w.kind == "") || w.from == "" {
 		return nil, errors.New("--from and one of --equipment and --kind are needed")
 	}
-	out := []wire.BookingWant{{Piece: w.equipment, Kind: w.kind, Zone: w.zone, From: w.from, Slots: w.slots}}
-	for _, text := range w.more {
+	out := []wire.SlotRequest{{Equipment: w.equipment, Kind: w.kind, Zone: w.zone, From: w.from, Slots: w.slots}}
+	for _, text := range w.extraSlots {
 		f := strings.Split(text, ",")
-		x := wire.BookingWant{Piece: f[0], Slots: 1}
+		x := wire.SlotRequest{Equipment: f[0], Slots: 1}
 		if len(f) == 3 {
 			n, err := strconv.ParseUint(f[2], 10, 16)
 			if err != nil {
@@ -149,8 +151,8 @@
 	return out, nil
 }
 
-func bookingCommand(me *self) *cobra.Command {
-	b := &booker{me: me}
+func reservationCommand(me *clientIdentity) *cobra.Command {
+	b := &reservationCommands{identity: me}
 	cmd := &cobra.Command{Use: "booking", Short: "Book shared equipment, and ask who has it when"}
 	cmd.PersistentFlags().StringVar(&b.server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
 	cmd.PersistentFlags().BoolVar(&b.asJSON, "json", false, "as JSON")
@@ -168,14 +170,14 @@
 	return cmd
 }
 
-func (b *booker) make(use, short string, hold bool) *cobra.Command {
-	var w wantFlags
-	var a wire.BookingAsk
+func (b *reservationCommands) make(use, short string, hold bool) *cobra.Command {
+	var w slotFlags
+	var a wire.ReservationRequest
 	var keep time.Duration
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1),
 		Example: "  dewlift booking make glaze-81 --equipment kiln-2 --from 2027-03-04T08:00 --slots 4",
 		RunE: func(cmd *cobra.Command, args []string) (err error) {
-			if a.Slots, err = w.list(); err != nil {
+			if a.Slots, err = w.slotRequests(); err != nil {
 				return err
 			}
 			if hold {
@@ -184,11 +186,11 @@
 				}
 			}
 			a.ID, a.Repeat = args[0], w.repeat
-			return b.ask(cmd, http.MethodPost, wire.PathBookings, a, printBooking)
+			return b.request(cmd, http.MethodPost, wire.PathReservations, a, printReservationResponse)
 		}}
-	w.add(cmd.Flags())
+	w.addFlags(cmd.Flags())
 	cmd.Flags().StringVar(&a.Team, "team", "", "whose booking it is")
-	cmd.Flags().BoolVar(&a.Wait, "wait", false, "go on the waiting list if it is taken")
+	cmd.Flags().BoolVar(&a.Waitlist, "wait", false, "go on the waiting list if it is taken")
 	cmd.Flags().StringVar(&a.Priority, "priority", wire.PriorityName(wire.PriorityStandard), "on the waiting list")
 	if hold {
 		cmd.Flags().DurationVar(&keep, "for", 15*time.Minute, "how long it is held")
@@ -196,46 +198,46 @@
 	return cmd
 }
 
-func (b *booker) change(use, short, verb string) *cobra.Command {
+func (b *reservationCommands) change(use, short, verb string) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.ask(cmd, http.MethodPost, wire.PathBookings+"/"+url.PathEscape(args[0])+"/"+verb, nil, printBooking)
+			return b.request(cmd, http.MethodPost, wire.PathReservations+"/"+url.PathEscape(args[0])+"/"+verb, nil, printReservationResponse)
 		}}
 }
 
-func (b *booker) move() *cobra.Command {
-	var w wantFlags
+func (b *reservationCommands) move() *cobra.Command {
+	var w slotFlags
 	cmd := &cobra.Command{Use: "move ID", Short: "Give a booking other slots: it keeps its own until it has them", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			list, err := w.list()
+			list, err := w.slotRequests()
 			if err != nil {
 				return err
 			}
-			return b.ask(cmd, http.MethodPost, wire.PathBookings+"/"+url.PathEscape(args[0])+"/move", wire.BookingAsk{Slots: list, Repeat: w.repeat}, printBooking)
+			return b.request(cmd, http.MethodPost, wire.PathReservations+"/"+url.PathEscape(args[0])+"/move", wire.ReservationRequest{Slots: list, Repeat: w.repeat}, printReservationResponse)
 		}}
-	w.add(cmd.Flags())
+	w.addFlags(cmd.Flags())
 	return cmd
 }
 
-func (b *booker) end() *cobra.Command {
-	var a wire.BookingAsk
+func (b *reservationCommands) end() *cobra.Command {
+	var a wire.ReservationRequest
 	cmd := &cobra.Command{Use: "end ID", Short: "End a booking: its slots become free", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.ask(cmd, http.MethodPost, wire.PathBookings+"/"+url.PathEscape(args[0])+"/end", a, printBooking)
+			return b.request(cmd, http.MethodPost, wire.PathReservations+"/"+url.PathEscape(args[0])+"/end", a, printReservationResponse)
 		}}
-	cmd.Flags().StringVar(&a.Why, "why", "", "the reason, which is kept")
+	cmd.Flags().StringVar(&a.Reason, "why", "", "the reason, which is kept")
 	return cmd
 }
 
-func (b *booker) show() *cobra.Command {
+func (b *reservationCommands) show() *cobra.Command {
 	return &cobra.Command{Use: "show ID", Short: "Show a booking, and why it ended", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.ask(cmd, http.MethodGet, wire.PathBookings+"/"+url.PathEscape(args[0]), nil, printBooking)
+			return b.request(cmd, http.MethodGet, wire.PathReservations+"/"+url.PathEscape(args[0]), nil, printReservationResponse)
 		}}
 }
 
-func (b *booker) free() *cobra.Command {
-	var w wantFlags
+func (b *reservationCommands) free() *cobra.Command {
+	var w slotFlags
 	var by, team string
 	cmd := &cobra.Command{Use: "free", Short: "List the next free times", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -244,54 +246,54 @@
 			}
 			q := url.Values{"list": {"free"}, "piece": {w.equipment}, "kind": {w.kind}, "zone": {w.zone}, "from": {w.from}, "by": {by}, "team": {team},
 				"slots": {strconv.Itoa(int(w.slots))}}
-			return b.ask(cmd, http.MethodGet, wire.PathBookings+"?"+q.Encode(), nil, func(out io.Writer, a *wire.BookingAnswer) {
+			return b.request(cmd, http.MethodGet, wire.PathReservations+"?"+q.Encode(), nil, func(out io.Writer, a *wire.ReservationResponse) {
 				for _, f := range a.Free {
-					fmt.Fprintf(out, "%s from %s to %s\n", f.Piece, f.From, f.To)
+					fmt.Fprintf(out, "%s from %s to %s\n", f.Equipment, f.From, f.To)
 				}
 				if len(a.Free) == 0 {
 					fmt.Fprintln(out, "nothing is free then")
 				}
 			})
 		}}
-	w.add(cmd.Flags())
+	w.addFlags(cmd.Flags())
 	cmd.Flags().StringVar(&by, "by", "", "when it must be over")
 	cmd.Flags().StringVar(&team, "team", "", "whose booking it would be")
 	return cmd
 }
 
-func printList(none string) func(io.Writer, *wire.BookingAnswer) {
-	return func(out io.Writer, a *wire.BookingAnswer) {
-		for i := range a.Bookings {
-			printOne(out, &a.Bookings[i])
+func printReservationList(none string) func(io.Writer, *wire.ReservationResponse) {
+	return func(out io.Writer, a *wire.ReservationResponse) {
+		for i := range a.Reservations {
+			printReservation(out, &a.Reservations[i])
 		}
-		if len(a.Bookings) == 0 {
+		if len(a.Reservations) == 0 {
 			fmt.Fprintln(out, none)
 		}
 	}
 }
 
-func (b *booker) day() *cobra.Command {
+func (b *reservationCommands) day() *cobra.Command {
 	return &cobra.Command{Use: "day EQUIPMENT DAY", Short: "List a day's bookings of a piece of equipment", Args: cobra.ExactArgs(2),
 		Example: "  dewlift booking day kiln-2 2027-03-04",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			q := url.Values{"piece": {args[0]}, "day": {args[1]}}
-			return b.ask(cmd, http.MethodGet, wire.PathBookings+"?"+q.Encode(), nil, printList("nothing is booked then"))
+			return b.request(cmd, http.MethodGet, wire.PathReservations+"?"+q.Encode(), nil, printReservationList("nothing is booked then"))
 		}}
 }
 
-func (b *booker) waiting() *cobra.Command {
+func (b *reservationCommands) waiting() *cobra.Command {
 	return &cobra.Command{Use: "waiting", Short: "List the waiting list", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return b.ask(cmd, http.MethodGet, wire.PathBookings+"?list=waiting", nil, printList("nobody waits"))
+			return b.request(cmd, http.MethodGet, wire.PathReservations+"?list=waiting", nil, printReservationList("nobody waits"))
 		}}
 }
 
-func (b *booker) equipment() *cobra.Command {
+func (b *reservationCommands) equipment() *cobra.Command {
 	var e wire.EquipmentEdit
 	cmd := &cobra.Command{Use: "equipment [FILE]", Short: "Show the list of equipment, or put another in force", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return b.ask(cmd, http.MethodGet, wire.PathEquipment, nil, func(out io.Writer, a *wire.BookingAnswer) { fmt.Fprint(out, a.Equipment) })
+				return b.request(cmd, http.MethodGet, wire.PathEquipment, nil, func(out io.Writer, a *wire.ReservationResponse) { fmt.Fprint(out, a.Equipment) })
 			}
 			if _, err := loadEquipment(args[0]); err != nil {
 				return err
@@ -301,14 +303,14 @@
 				return fmt.Errorf("read equipment: %w", err)
 			}
 			e.Text = string(raw)
-			return b.ask(cmd, http.MethodPost, wire.PathEquipment, e, func(out io.Writer, a *wire.BookingAnswer) {
+			return b.request(cmd, http.MethodPost, wire.PathEquipment, e, func(out io.Writer, a *wire.ReservationResponse) {
 				fmt.Fprintf(out, "the list is in force, as version %d\n", a.Version)
 				for i := range a.Displaced {
 					fmt.Fprintf(out, "ended with it: %s\n", a.Displaced[i].ID)
 				}
 			})
 		}}
-	cmd.Flags().BoolVar(&e.End, "end-displaced", false, "end the bookings that the new list has no place for; without it, they are listed and nothing changes")
-	cmd.Flags().StringVar(&e.Why, "why", "", "the reason why they end, which is kept")
+	cmd.Flags().BoolVar(&e.EndDisplaced, "end-displaced", false, "end the bookings that the new list has no place for; without it, they are listed and nothing changes")
+	cmd.Flags().StringVar(&e.Reason, "why", "", "the reason why they end, which is kept")
 	return cmd
 }
--- a/cmd/dewlift/settings.go
+++ b/cmd/dewlift/settings.go
@@ -12,8 +12,8 @@
 	"dewlift/settings"
 )
 
-// described is a setting as it is shown.
-type described struct {
+// settingDescription is a setting as it is shown.
+type settingDescription struct {
 	Name    string  `json:"name"`
 	Default string  `json:"default"`
 	Switch  bool    `json:"switch,omitempty"` // true or false
@@ -24,17 +24,17 @@
 	Less    string  `json:"less,omitempty"`
 }
 
-func (d described) Range() string {
+func (d settingDescription) Range() string {
 	if d.Switch {
 		return "true or false"
 	}
 	return fmt.Sprintf("%v to %v", d.Min, d.Max)
 }
 
-func allSettings() (out []described) {
-	for _, s := range settings.Own() {
+func allSettings() (out []settingDescription) {
+	for _, s := range settings.OperatorSettings() {
 		a := s.About
-		out = append(out, described{Name: s.Name, Default: s.Default(), Switch: s.Kind == protoreflect.BoolKind, Min: a.GetMin(), Max: a.GetMax(), Does: a.GetDoes(), More: a.GetMore(), Less: a.GetLess()})
+		out = append(out, settingDescription{Name: s.Name, Default: s.Default(), Switch: s.Kind == protoreflect.BoolKind, Min: a.GetMin(), Max: a.GetMax(), Does: a.GetDoes(), More: a.GetMore(), Less: a.GetLess()})
 	}
 	return out
 }
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -26,30 +26,30 @@
 
 // snapshotFlags say where the state is and how much of its service may be used.
 type snapshotFlags struct {
-	server, state string
-	share         float64
-	site          wire.Site
+	server, storeAddr string
+	requestShare      float64
+	endpoint          wire.StoreEndpoint
 }
 
-func snapshotCommand(config *string, me *self) *cobra.Command {
+func snapshotCommand(config *string, me *clientIdentity) *cobra.Command {
 	var f snapshotFlags
 	cmd := &cobra.Command{Use: "snapshot", Short: "Save, check and restore the whole state of a site"}
 	at := func(c *cobra.Command) {
-		c.Flags().StringVar(&f.state, "state", "", "address of the state service")
-		c.Flags().Float64Var(&f.site.RPS, "rps", 20, "its requests a second, if only --state is given")
+		c.Flags().StringVar(&f.storeAddr, "state", "", "address of the state service")
+		c.Flags().Float64Var(&f.endpoint.RPS, "rps", 20, "its requests a second, if only --state is given")
 	}
 	save := &cobra.Command{
 		Use: "save FILE", Short: "Save the state as of one moment, while the site serves", Args: cobra.ExactArgs(1),
 		Example: "  dewlift snapshot save --server 10.0.0.1:8080 monday.snapshot",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := f.find(cmd.Context(), *config, me); err != nil {
+			if err := f.resolveStore(cmd.Context(), *config, me); err != nil {
 				return err
 			}
-			if !(f.share > 0 && f.share <= 1) {
-				return fmt.Errorf("--share is %v, must be more than 0 and at most 1", f.share)
+			if !(f.requestShare > 0 && f.requestShare <= 1) {
+				return fmt.Errorf("--share is %v, must be more than 0 and at most 1", f.requestShare)
 			}
-			show, done := progress("saving", -1)
-			t, err := snapshot.Save(cmd.Context(), &snapshot.Source{Addr: f.site.State, RPS: f.site.RPS * f.share}, args[0], func(n int) { show(n, -1) })
+			show, done := newProgress("saving", -1)
+			t, err := snapshot.Save(cmd.Context(), &snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS * f.requestShare}, args[0], func(n int) { show(n, -1) })
 			done()
 			if err != nil {
 				return err
@@ -60,18 +60,18 @@
 	}
 	at(save)
 	save.Flags().StringVar(&f.server, "server", "", "address of a controller, which names the state service")
-	save.Flags().Float64Var(&f.share, "share", 0.1, "share of the state service's requests that may be used")
+	save.Flags().Float64Var(&f.requestShare, "share", 0.1, "share of the state service's requests that may be used")
 	restore := &cobra.Command{
 		Use: "restore FILE", Short: "Restore a state to an empty state service", Args: cobra.ExactArgs(1),
 		Long:    "Restore a state to an empty state service. No controller may be running, and every machine must have been returned.",
 		Example: "  dewlift snapshot restore --config settings.json monday.snapshot",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := f.find(cmd.Context(), *config, me); err != nil {
+			if err := f.resolveStore(cmd.Context(), *config, me); err != nil {
 				return err
 			}
-			show, done := progress("restoring", 0)
-			t, err := snapshot.Restore(cmd.Context(), &snapshot.Target{Source: snapshot.Source{Addr: f.site.State, RPS: f.site.RPS},
-				WriteRPS: f.site.WriteRPS, TxnOps: f.site.TxnOps}, args[0], show)
+			show, done := newProgress("restoring", 0)
+			t, err := snapshot.Restore(cmd.Context(), &snapshot.Target{Source: snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS},
+				WriteRPS: f.endpoint.WriteRPS, TxnOps: f.endpoint.TxnOps}, args[0], show)
 			done()
 			if err != nil {
 				return err
@@ -81,8 +81,8 @@
 		},
 	}
 	at(restore)
-	restore.Flags().Float64Var(&f.site.WriteRPS, "write-rps", 10, "its changes a second, if only --state is given")
-	restore.Flags().IntVar(&f.site.TxnOps, "txn-ops", 10, "changes of a transaction, if only --state is given")
+	restore.Flags().Float64Var(&f.endpoint.WriteRPS, "write-rps", 10, "its changes a second, if only --state is given")
+	restore.Flags().IntVar(&f.endpoint.TxnOps, "txn-ops", 10, "changes of a transaction, if only --state is given")
 	cmd.AddCommand(save, restore, &cobra.Command{
 		Use: "verify FILE", Short: "Read a whole snapshot and check every part", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -127,46 +127,46 @@
 	return cmd
 }
 
-// find works out where the state service is and what it takes: from a controller, the platform's
+// resolveStore works out where the state service is and what it takes: from a controller, the platform's
 // settings, or the flags alone.
-func (f *snapshotFlags) find(ctx context.Context, config string, me *self) error {
+func (f *snapshotFlags) resolveStore(ctx context.Context, config string, me *clientIdentity) error {
 	switch {
 	case f.server != "":
-		r, err := me.ask(ctx, http.MethodGet, f.server, wire.PathSite+"?for="+wire.ForSnapshot, nil)
+		r, err := me.request(ctx, http.MethodGet, f.server, wire.PathStoreEndpoint+"?for="+wire.EndpointForSnapshot, nil)
 		if err != nil {
 			return err
 		}
-		site, r := call.Get[wire.Site](r)
+		site, r := call.Get[wire.StoreEndpoint](r)
 		if r.Err != nil {
 			return fmt.Errorf("controller %s: %w", f.server, r.Err)
 		}
 		if r.Status != http.StatusOK {
 			return fmt.Errorf("controller %s answers %d", f.server, r.Status)
 		}
-		f.site = site
+		f.endpoint = site
 	case config != "":
-		p, err := settings.Load(config)
+		p, err := settings.LoadPlatform(config)
 		if err != nil {
 			return err
 		}
-		f.site = wire.Site{State: p.Services.State, RPS: p.Cluster.State.RPS, WriteRPS: p.Cluster.State.WriteRPS, TxnOps: p.Cluster.State.TxnOps}
-	case f.state == "":
+		f.endpoint = wire.StoreEndpoint{Addr: p.Services.State, RPS: p.Cluster.State.RPS, WriteRPS: p.Cluster.State.WriteRPS, TxnOps: p.Cluster.State.TxnOps}
+	case f.storeAddr == "":
 		return errors.New("name a controller with --server, the settings with --config, or the state service with --state")
 	}
-	if f.state != "" {
-		f.site.State = f.state
+	if f.storeAddr != "" {
+		f.endpoint.Addr = f.storeAddr
 	}
-	if _, err := netip.ParseAddrPort(f.site.State); err != nil {
-		return fmt.Errorf("state service: not an address and port: %q", f.site.State)
+	if _, err := netip.ParseAddrPort(f.endpoint.Addr); err != nil {
+		return fmt.Errorf("state service: not an address and port: %q", f.endpoint.Addr)
 	}
-	if !(f.site.RPS > 0) {
-		return fmt.Errorf("--rps is %v, must be more than 0", f.site.RPS)
+	if !(f.endpoint.RPS > 0) {
+		return fmt.Errorf("--rps is %v, must be more than 0", f.endpoint.RPS)
 	}
 	return nil
 }
 
-// progress shows how far a long work is, on a terminal only.
-func progress(what string, of int) (show func(n, of int), done func()) {
+// newProgress shows how far a long work is, on a terminal only.
+func newProgress(what string, of int) (show func(n, of int), done func()) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
 		return func(int, int) {}, func() {}
 	}
--- a/sockets/sockets_test.go
+++ b/connlimit/connlimit_test.go
@@ -1,4 +1,4 @@
-package sockets
+package connlimit
 
 import (
 	"net"
@@ -8,24 +8,24 @@
 )
 
 // The parts of all uses together must leave sockets for the rest.
-func TestPartsLeaveSockets(t *testing.T) {
+func TestLimitsLeaveSpareSockets(t *testing.T) {
 	for _, all := range []int{512, 1000, 2847, 3172, 100_000} {
-		p := Of(all)
-		if used := p.Orders + p.Probes + p.Idle + hard(p.In); used > all || p.Orders <= 0 || p.Probes <= 0 || p.Idle <= 0 || p.In <= 0 {
+		p := Divide(all)
+		if used := p.AgentCommands + p.AgentPolls + p.IdleAgentConns + hardLimitFor(p.Inbound); used > all || p.AgentCommands <= 0 || p.AgentPolls <= 0 || p.IdleAgentConns <= 0 || p.Inbound <= 0 {
 			t.Errorf("of %d sockets: %+v", all, p)
 		}
 	}
 }
 
 // Users' connections that nobody used any more held the sockets that workers needed.
-func TestQuietConnectionsMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreClosedFirst(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer inner.Close()
 	var clock atomic.Int64
-	l := Listen(inner, Parts{In: 10})
+	l := NewListener(inner, Limits{Inbound: 10})
 	l.now = func() time.Time { return time.Unix(0, clock.Load()) }
 	connect := func() (client, server net.Conn) {
 		client, err := net.Dial("tcp4", inner.Addr().String())
@@ -59,20 +59,20 @@
 	}
 	clock.Add(int64(6 * time.Second))
 	connect()
-	if l.Open() != 10 {
-		t.Errorf("%d connections, at most 10 with one abandoned", l.Open())
+	if l.OpenConns() != 10 {
+		t.Errorf("%d connections, at most 10 with one abandoned", l.OpenConns())
 	}
 	if err := ping(all[0].client, all[0].server); err == nil {
 		t.Error("the abandoned connection is still open")
 	}
 	connect()
 	connect()
-	if l.Open() != 12 {
-		t.Errorf("%d connections: one that was used 6 s ago was closed without need", l.Open())
+	if l.OpenConns() != 12 {
+		t.Errorf("%d connections: one that was used 6 s ago was closed without need", l.OpenConns())
 	}
 	connect() // now there are more than can be
-	if l.Open() != 12 {
-		t.Errorf("%d connections, at most 12", l.Open())
+	if l.OpenConns() != 12 {
+		t.Errorf("%d connections, at most 12", l.OpenConns())
 	}
 	for _, p := range all[2:] {
 		if err := ping(p.client, p.server); err != nil {
@@ -83,7 +83,7 @@
 		}
 		_ = p.server.Close() // a server may close twice; it counts once
 	}
-	if l.Open() != 4 {
-		t.Errorf("%d connections after eight of twelve were closed", l.Open())
+	if l.OpenConns() != 4 {
+		t.Errorf("%d connections after eight of twelve were closed", l.OpenConns())
 	}
 }
--- a/controller.go
+++ b/controller.go
@@ -17,72 +17,72 @@
 	"dewlift/audit"
 	"dewlift/booking"
 	"dewlift/cloud"
+	"dewlift/connlimit"
 	"dewlift/core"
 	"dewlift/lanes"
 	"dewlift/mesh"
 	pb "dewlift/proto"
-	"dewlift/secure"
 	"dewlift/settings"
-	"dewlift/sockets"
 	"dewlift/statestore"
+	"dewlift/tlsconfig"
 	"dewlift/wire"
 )
 
 // Controller is one running controller.
 type Controller struct {
-	log     *slog.Logger
-	core    *core.Core
-	inputs  chan core.Input
-	healthy atomic.Bool
-	started time.Time
+	log       *slog.Logger
+	core      *core.Core
+	inputs    chan core.Input
+	healthy   atomic.Bool
+	startedAt time.Time
 
-	state *statestore.Client
-	cloud *cloud.Client
-	agent *agent.Client
-	mesh  *mesh.Mesh
-	api   *api.Server
-	p     *settings.Platform
+	store    *statestore.Client
+	cloud    *cloud.Client
+	agents   *agent.Client
+	mesh     *mesh.Mesh
+	server   *api.Server
+	platform *settings.Platform
 
-	figures *figures
+	metrics *metrics
 }
 
 const (
-	lateMost = 15 * time.Minute // that a request to the state service is executed late; minutes were seen
-	tick     = 25 * time.Millisecond
-	queueLen = 4096
+	maxStoreRequestDelay = 15 * time.Minute // that a request to the state service is executed late; minutes were seen
+	tickInterval         = 25 * time.Millisecond
+	inputQueueLength     = 4096
 )
 
-// Guards are what a controller may be guarded with, and what else is turned on by a file; the zero value is none of it.
-type Guards struct {
-	Rights *access.Policy // put in force where the state service has none
-	Audit  audit.Key      // of the audit record
-	Files  *secure.Files  // of TLS; nil: all is in plain text
+// Options are what a controller may be guarded with, and what else is turned on by a file; the zero value is none of it.
+type Options struct {
+	Permissions *access.Policy   // put in force where the state service has none
+	AuditKey    audit.Key        // of the audit record
+	TLSFiles    *tlsconfig.Files // of TLS; nil: all is in plain text
 	// Equipment is what can be booked where the state service has no list; nil: nothing.
 	Equipment *booking.Site
 	// Lanes is the order of work where the state service has none; nil: by priority.
-	Lanes *lanes.List
+	PriorityClasses *lanes.List
 }
 
 // New assembles a controller.
-func New(p *settings.Platform, t *pb.Tuning, g Guards, log *slog.Logger) *Controller {
-	c := &Controller{log: log, p: p, inputs: make(chan core.Input, queueLen), started: time.Now(),
-		state: statestore.New(p.Services.State), cloud: cloud.New(p.Services.Cloud), agent: agent.New(sockets.Of(p.Cluster.Quota.FDLimit).Idle), figures: newFigures()}
+func New(p *settings.Platform, t *pb.Tuning, g Options, log *slog.Logger) *Controller {
+	c := &Controller{log: log, platform: p, inputs: make(chan core.Input, inputQueueLength), startedAt: time.Now(),
+		store: statestore.New(p.Services.State), cloud: cloud.New(p.Services.Cloud), agents: agent.New(connlimit.Divide(p.Cluster.Quota.FDLimit).IdleAgentConns), metrics: newMetrics()}
 	cfg := CoreConfig(p, t)
-	cfg.Access, cfg.AuditKey, cfg.Equipment, cfg.Lanes, cfg.Settings = g.Rights, g.Audit, g.Equipment, g.Lanes, settings.Recorded(p, t)
+	cfg.Access, cfg.AuditKey, cfg.Equipment, cfg.Lanes, cfg.Settings = g.Permissions, g.AuditKey, g.Equipment, g.PriorityClasses, settings.AuditedValues(p, t)
 	c.core = core.New(cfg, 0, rand.Uint64())
 	peers := map[string]string{}
 	for _, q := range p.Peers {
 		peers[q.Name] = q.Addr
 	}
-	c.mesh = mesh.New(p.Name, peers, g.Files, log)
-	c.api = api.New(c, time.Duration(p.Cluster.TimeBoundMS*float64(time.Millisecond)), g.Files.Serve(), log)
+	c.mesh = mesh.New(p.Name, peers, g.TLSFiles, log)
+	c.server = api.New(c, time.Duration(p.Cluster.TimeBoundMS*float64(time.Millisecond)), g.TLSFiles.ServerConfig(), log)
 	return c
 }
 
 // CoreConfig is what a core needs to know of the platform and of the operators' own settings.
 func CoreConfig(p *settings.Platform, t *pb.Tuning) core.Config {
 	k := &p.Cluster
-	parts := sockets.Of(k.Quota.FDLimit)
+	parts := connlimit.Divide(k.Quota.FDLimit)
 	ms := func(v uint32) time.Duration { return time.Duration(v) * time.Millisecond }
 	now, next := &k.State, &k.State.Next
 	cfg := core.Config{
@@ -90,20 +90,20 @@
 		Form:         core.Form,
 		Name:         p.Name,
 		Zone:         p.Zone,
-		StateRPS:     least(now.RPS, next.RPS),
+		StateRPS:     lowerLimit(now.RPS, next.RPS),
 		WriteRPS:     now.WriteRPS,
-		NextWriteRPS: least(now.WriteRPS, next.WriteRPS),
-		ValueBytes:   int(least(now.ValueKB, next.ValueKB) * 1024),
-		TxnOps:       least(now.TxnOps, next.TxnOps),
+		NextWriteRPS: lowerLimit(now.WriteRPS, next.WriteRPS),
+		ValueBytes:   int(lowerLimit(now.ValueKB, next.ValueKB) * 1024),
+		TxnOps:       lowerLimit(now.TxnOps, next.TxnOps),
 		CloudRPS:     max(1, k.Cloud.RPS*0.9),
-		ListLag:      settings.Seconds(k.Cloud.ListLagS),
-		ReportEvery:  settings.Seconds(k.Workers.ReportS),
-		WorkerLease:  settings.Seconds(k.Workers.LeaseS),
-		CancelIn:     settings.Seconds(k.Workers.CancelS),
-		AuditForget:  lateMost,
+		ListLag:      settings.DurationFromSeconds(k.Cloud.ListLagS),
+		ReportEvery:  settings.DurationFromSeconds(k.Workers.ReportS),
+		WorkerLease:  settings.DurationFromSeconds(k.Workers.LeaseS),
+		CancelIn:     settings.DurationFromSeconds(k.Workers.CancelS),
+		AuditForget:  maxStoreRequestDelay,
 		TimeBoundMS:  uint32(k.TimeBoundMS),
-		OrdersMost:   parts.Orders,
-		ProbesMost:   parts.Probes,
+		OrdersMost:   parts.AgentCommands,
+		ProbesMost:   parts.AgentPolls,
 
 		// Of the operators: `dewlift settings` tells what they do.
 		Lease:        ms(t.GetLeaseMs()),
@@ -159,22 +159,22 @@
 		cfg.Peers = append(cfg.Peers, q.Name)
 	}
 	for _, q := range k.Teams {
-		cfg.Teams = append(cfg.Teams, core.Team{Name: q.Name, CPU: int64(q.CPUs * 1000), GPU: int64(q.GPUs * 1000),
-			CPUMax: int64(q.CPUsMax * 1000), GPUMax: int64(q.GPUsMax * 1000)})
+		cfg.Teams = append(cfg.Teams, core.Team{Name: q.Name, CPU: int64(q.ReservedCPUs * 1000), GPU: int64(q.ReservedGPUs * 1000),
+			CPUMax: int64(q.MaxCPUs * 1000), GPUMax: int64(q.MaxGPUs * 1000)})
 	}
 	return cfg
 }
 
-// least is the smaller of a limit that is in force and one that will be, if that is known.
-func least[T int | float64](now T, next *T) T {
+// lowerLimit is the smaller of a limit that is in force and one that will be, if that is known.
+func lowerLimit[T int | float64](now T, next *T) T {
 	if next == nil {
 		return now
 	}
 	return min(now, *next)
 }
 
-// Put hands an input to the core.
-func (c *Controller) Put(in core.Input) bool {
+// Enqueue hands an input to the core.
+func (c *Controller) Enqueue(in core.Input) bool {
 	select {
 	case c.inputs <- in:
 		return true
@@ -183,8 +183,8 @@
 	}
 }
 
-// must hands over the outcome of a request; it waits, as none may be lost.
-func (c *Controller) must(ctx context.Context, in core.Input) {
+// enqueueResult hands over the outcome of a request; it waits, as none may be lost.
+func (c *Controller) enqueueResult(ctx context.Context, in core.Input) {
 	select {
 	case c.inputs <- in:
 	case <-ctx.Done():
@@ -194,19 +194,19 @@
 // Healthy tells whether this controller can take requests.
 func (c *Controller) Healthy() bool { return c.healthy.Load() }
 
-// Site tells where the state service is and what it takes.
-func (c *Controller) Site() wire.Site {
-	s := &c.p.Cluster.State
-	return wire.Site{State: c.p.Services.State, RPS: s.RPS, WriteRPS: s.WriteRPS, TxnOps: s.TxnOps}
+// StoreEndpoint tells where the state service is and what it takes.
+func (c *Controller) StoreEndpoint() wire.StoreEndpoint {
+	s := &c.platform.Cluster.State
+	return wire.StoreEndpoint{Addr: c.platform.Services.State, RPS: s.RPS, WriteRPS: s.WriteRPS, TxnOps: s.TxnOps}
 }
 
 // Run runs the controller on the addresses of its platform until the context ends or a listener fails.
 func (c *Controller) Run(ctx context.Context) error {
-	users, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", c.p.Listen)
+	users, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", c.platform.Listen)
 	if err != nil {
 		return fmt.Errorf("users and workers: %w", err)
 	}
-	peers, err := (&net.ListenConfig{}).Listen(ctx, "tcp", c.p.MeshAddr)
+	peers, err := (&net.ListenConfig{}).Listen(ctx, "tcp", c.platform.MeshAddr)
 	if err != nil {
 		return errors.Join(fmt.Errorf("mesh: %w", err), users.Close())
 	}
@@ -219,20 +219,20 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	errs := make(chan error, 2)
-	in := sockets.Listen(users, sockets.Of(c.p.Cluster.Quota.FDLimit))
-	go func() { errs <- c.api.Serve(ctx, in) }()
+	in := connlimit.NewListener(users, connlimit.Divide(c.platform.Cluster.Quota.FDLimit))
+	go func() { errs <- c.server.Serve(ctx, in) }()
 	go func() {
-		errs <- c.mesh.Serve(ctx, peers, func(peer string, m core.Msg) { c.Put(core.FromPeer{Peer: peer, Msg: m}) })
+		errs <- c.mesh.Serve(ctx, peers, func(peer string, m core.Msg) { c.Enqueue(core.FromPeer{Peer: peer, Msg: m}) })
 	}()
-	c.log.Info("controller started", "node", c.p.Name, "zone", c.p.Zone)
-	return c.loop(ctx, in, errs)
+	c.log.Info("controller started", "node", c.platform.Name, "zone", c.platform.Zone)
+	return c.eventLoop(ctx, in, errs)
 }
 
-// loop is the one place that touches the core.
-func (c *Controller) loop(ctx context.Context, users *sockets.Listener, errs <-chan error) error {
-	t := time.NewTicker(tick)
+// eventLoop is the one place that touches the core.
+func (c *Controller) eventLoop(ctx context.Context, users *connlimit.Listener, errs <-chan error) error {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	clock, last := time.Duration(-1), time.Since(c.started)
+	clock, last := time.Duration(-1), time.Since(c.startedAt)
 	var strain core.Strain
 	report := 10 * time.Second
 	for {
@@ -248,46 +248,46 @@
 		case first = <-c.inputs:
 		case <-t.C:
 		}
-		now := time.Since(c.started)
+		now := time.Since(c.startedAt)
 		// Whatever comes in, there is a turn at every tick: the time beyond it was spent on the turn before, or the processor
 		// was not to be had.
-		strain.Late = max(strain.Late, now-last-tick)
-		strain.Queue = max(strain.Queue, float64(len(c.inputs))/queueLen)
+		strain.Late = max(strain.Late, now-last-tickInterval)
+		strain.Queue = max(strain.Queue, float64(len(c.inputs))/inputQueueLength)
 		last = now
 		if clock < 0 || now-clock > time.Second {
 			clock = now
 			c.core.Handle(now, core.Clock{UnixMS: time.Now().UnixMilli()})
-			strain.Sockets = users.Used()
+			strain.Sockets = users.Utilization()
 			c.core.Handle(now, strain)
 			strain = core.Strain{}
-			if items := c.api.Refused(); len(items) > 0 {
+			if items := c.server.TakeDenied(); len(items) > 0 {
 				c.core.Handle(now, core.Refused{Items: items})
 			}
 		}
 		if first != nil {
 			c.core.Handle(now, first)
 		}
-		now = max(now, drain(c.inputs, inputsMost, func() time.Duration { return time.Since(c.started) }, c.core.Handle))
+		now = max(now, handleQueuedInputs(c.inputs, maxInputsPerTurn, func() time.Duration { return time.Since(c.startedAt) }, c.core.Handle))
 		for _, o := range c.core.Advance(now) {
-			c.do(ctx, o)
+			c.execute(ctx, o)
 		}
-		c.figures.record(c.figures.decision, time.Since(c.started)-now)
+		c.metrics.recordLatency(c.metrics.turnLatency, time.Since(c.startedAt)-now)
 		if h := c.core.Healthy(); h != c.healthy.Load() {
 			c.healthy.Store(h)
 			c.log.Info("health", "healthy", h)
 		}
 		if now > report {
 			report = now + 10*time.Second
-			c.figures.log(c.log, c.core.Stats)
+			c.metrics.logSummary(c.log, c.core.Stats)
 		}
 	}
 }
 
-const inputsMost = 256 // that are taken before what comes of them is carried out
+const maxInputsPerTurn = 256 // that are taken before what comes of them is carried out
 
-// drain hands over what waits, each with the time that it was after it had come. With one time for all of them, read before, a process that had
+// handleQueuedInputs hands over what waits, each with the time that it was after it had come. With one time for all of them, read before, a process that had
 // stood still in between answered workers as of then: it renewed leases on what it had known before.
-func drain(inputs <-chan core.Input, most int, clock func() time.Duration, take func(now time.Duration, in core.Input)) (last time.Duration) {
+func handleQueuedInputs(inputs <-chan core.Input, most int, clock func() time.Duration, take func(now time.Duration, in core.Input)) (last time.Duration) {
 	for range most {
 		select {
 		case in := <-inputs:
@@ -300,40 +300,40 @@
 	return last
 }
 
-// do carries out an output.
-func (c *Controller) do(ctx context.Context, o core.Output) {
+// execute carries out an output.
+func (c *Controller) execute(ctx context.Context, o core.Output) {
 	switch o := o.(type) {
 	case core.Reply:
-		c.api.Answer(o)
+		c.server.DeliverResponse(o)
 	case core.ToPeer:
 		c.mesh.Send(o.Peer, o.Msg)
 	case core.Commit:
 		go func() {
 			sent := time.Now()
-			out := c.state.Commit(ctx, o)
-			c.figures.record(c.figures.write, time.Since(sent))
-			c.must(ctx, out)
+			out := c.store.CommitTxn(ctx, o)
+			c.metrics.recordLatency(c.metrics.txnLatency, time.Since(sent))
+			c.enqueueResult(ctx, out)
 		}()
 	case core.Changes:
-		go func() { c.must(ctx, c.state.Changes(ctx, o)) }()
+		go func() { c.enqueueResult(ctx, c.store.Watch(ctx, o)) }()
 	case core.Load:
-		go func() { c.must(ctx, c.state.Load(ctx, o)) }()
+		go func() { c.enqueueResult(ctx, c.store.LoadSnapshot(ctx, o)) }()
 	case core.Scan:
-		go func() { c.must(ctx, c.state.Scan(ctx, o)) }()
+		go func() { c.enqueueResult(ctx, c.store.ReadRange(ctx, o)) }()
 	case core.LeaseOp:
-		go func() { c.must(ctx, c.state.Lease(ctx, o)) }()
+		go func() { c.enqueueResult(ctx, c.store.GrantOrRenewLease(ctx, o)) }()
 	case core.Orders:
-		go func() { c.must(ctx, c.agent.Orders(ctx, o)) }()
+		go func() { c.enqueueResult(ctx, c.agents.SendCommands(ctx, o)) }()
 	case core.Probe:
-		go func() { c.must(ctx, c.agent.Show(ctx, o)) }()
+		go func() { c.enqueueResult(ctx, c.agents.PollAgent(ctx, o)) }()
 	case core.CloudOp:
-		go func() { c.must(ctx, c.cloud.Do(ctx, o)) }()
+		go func() { c.enqueueResult(ctx, c.cloud.Execute(ctx, o)) }()
 	case core.Rights:
-		c.api.SetRights(o.Policy)
+		c.server.SetPermissions(o.Policy)
 	case core.Queue:
-		c.api.SetQueue(o.Open)
+		c.server.SetQueueEnabled(o.Open)
 	case core.Bookings:
-		c.api.SetBooking(o.Open)
+		c.server.SetReservationsEnabled(o.Open)
 	case core.Note:
 		level := slog.LevelInfo
 		switch o.Level {
--- a/controller_test.go
+++ b/controller_test.go
@@ -29,8 +29,8 @@
 	"dewlift/wire"
 )
 
-// listen holds a free address on loopback.
-func listen(t *testing.T) net.Listener {
+// listenLoopback holds a free address on loopback.
+func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -39,21 +39,21 @@
 	return ln
 }
 
-// serve runs a controller against a state service until the test ends, and waits until it is healthy.
-func serve(t *testing.T, state string, rights *access.Policy, more ...func(*Guards)) string {
+// startController runs a controller against a state service until the test ends, and waits until it is healthy.
+func startController(t *testing.T, state string, rights *access.Policy, more ...func(*Options)) string {
 	t.Helper()
-	users, peers := listen(t), listen(t)
+	users, peers := listenLoopback(t), listenLoopback(t)
 	p := &settings.Platform{Name: "n0", Zone: "a", Listen: users.Addr().String(), MeshAddr: peers.Addr().String()}
 	p.Services.State, p.Services.Cloud = state, "127.0.0.1:1" // no cloud
 	k := &p.Cluster
 	k.Teams = []settings.Team{{Name: "t"}}
 	k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS = 3, 30, 60
 	k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps, k.Cloud.RPS, k.Quota.FDLimit = 500, 200, 8, 12, 4, 1000
-	tuning := settings.Defaults()
+	tuning := settings.DefaultTuning()
 	tuning.Archive, tuning.HistoryWaitMs, tuning.EndedKept = new(true), new(uint32(0)), new(uint32(20))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	g := Guards{Rights: rights}
+	g := Options{Permissions: rights}
 	for _, f := range more {
 		f(&g)
 	}
@@ -87,7 +87,7 @@
 	t.Fatalf("not %s within a minute", what)
 }
 
-func poll(server, id string) (int, wire.JobState) {
+func getJob(server, id string) (int, wire.JobState) {
 	var s wire.JobState
 	resp, err := http.Get("http://" + server + wire.PathJobs + "/" + id)
 	if err != nil {
@@ -111,9 +111,9 @@
 	const jobs = 400
 	s.Types(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 	for i := range jobs {
-		s.Fill([]wire.Item{{Key: fmt.Sprintf("%sjob/wk-%03d", core.Root, i), Value: json.RawMessage(fmt.Sprintf(`{"h":1,"st":"d","d":[0,%d]}`, i))}})
+		s.Fill([]wire.KeyValue{{Key: fmt.Sprintf("%sjob/wk-%03d", core.Root, i), Value: json.RawMessage(fmt.Sprintf(`{"h":1,"st":"d","d":[0,%d]}`, i))}})
 	}
-	first := serve(t, addr, nil)
+	first := startController(t, addr, nil)
 	path := filepath.Join(t.TempDir(), "s")
 	half := false
 	eventually(t, "compacted", func() bool {
@@ -145,18 +145,18 @@
 	if _, err := snapshot.Restore(t.Context(), &snapshot.Target{Source: snapshot.Source{Addr: copied, RPS: 1000}, WriteRPS: 1000, TxnOps: 12}, path, nil); err != nil {
 		t.Fatal(err)
 	}
-	for _, server := range []string{first, serve(t, copied, nil)} {
+	for _, server := range []string{first, startController(t, copied, nil)} {
 		for i := 0; i < jobs; i += 7 {
 			id := fmt.Sprintf("wk-%03d", i)
 			eventually(t, "answered", func() bool {
-				status, got := poll(server, id)
+				status, got := getJob(server, id)
 				if status == 200 && (got.Stage != wire.StageDone || got.Done != i+1) || status == 404 {
 					t.Fatalf("%s: %d %+v", id, status, got)
 				}
 				return status == 200
 			})
 		}
-		if status, _ := poll(server, "wk-never"); status != 404 && status != 503 {
+		if status, _ := getJob(server, "wk-never"); status != 404 && status != 503 {
 			t.Errorf("a job that never was: %d", status)
 		}
 	}
@@ -164,7 +164,7 @@
 
 // A glaze technician, a visiting potter, a packer who may not cancel a reroast, and a service, over sockets: each
 // may do what their role says, and nothing else; a revocation holds at once, also at another controller.
-func TestPeopleMayDoWhatTheirRolesSay(t *testing.T) {
+func TestRolesLimitWhatUsersMayDo(t *testing.T) {
 	srv := httptest.NewServer(standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12}))
 	t.Cleanup(srv.Close)
 	state := strings.TrimPrefix(srv.URL, "http://")
@@ -174,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := serve(t, state, rights)
+	server := startController(t, state, rights)
 	ask := func(who, method, path string, body any) int {
 		t.Helper()
 		for range 100 { // a 503 is no answer
@@ -218,10 +218,10 @@
 		{"pia", get, "/v1/site", nil, 403},
 		{"root", get, "/v1/access", nil, 200},
 		{"root", get, "/v1/site", nil, 200},
-		{"root", post, "/v1/access/potter", wire.RightsEdit{RevokeRoles: []string{"visitor"}}, 200},
+		{"root", post, "/v1/access/potter", wire.PermissionsEdit{RevokeRoles: []string{"visitor"}}, 200},
 		{"potter", post, "/v1/jobs", standin.Job("wk-7", "plan"), 403},
 		{"potter", get, "/v1/jobs/wk-2", nil, 404},
-		{"root", post, "/v1/access/pia", wire.RightsEdit{Delete: true}, 200},
+		{"root", post, "/v1/access/pia", wire.PermissionsEdit{Delete: true}, 200},
 	} {
 		if got := ask(x.who, x.method, x.path, x.body); got != x.want {
 			t.Errorf("%s %s %s: %d, want %d", x.who, x.method, x.path, got, x.want)
@@ -238,8 +238,8 @@
 	}
 }
 
-// ask makes a request and decodes its answer.
-func ask[T any](t *testing.T, method, url, body string) (status int, raw string, v T) {
+// requestJSON makes a request and decodes its answer.
+func requestJSON[T any](t *testing.T, method, url, body string) (status int, raw string, v T) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+url, strings.NewReader(body))
 	if err != nil {
@@ -260,7 +260,7 @@
 
 // With no file, the paths of bookings and of the queue are as unknown as any other; with one, a booking is made, held, moved and ended, and outlives its
 // controller.
-func TestBookingsAndQueueOverHTTP(t *testing.T) {
+func TestReservationsAndQueueOverHTTP(t *testing.T) {
 	s := standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12, PageItems: 50})
 	s.Types(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 	srv := httptest.NewServer(s)
@@ -271,31 +271,34 @@
 		off.Types(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 		none := httptest.NewServer(off)
 		t.Cleanup(none.Close)
-		server := serve(t, strings.TrimPrefix(none.URL, "http://"), nil)
-		status, want, _ := ask[any](t, "GET", server+"/v1/nothing", "")
-		for _, path := range []string{wire.PathBookings, wire.PathBookings + "/x", wire.PathEquipment, wire.PathQueue, wire.PathQueue + "/x", wire.PathLanes} {
-			if got, body, _ := ask[any](t, "GET", server+path, ""); got != status || body != want {
+		server := startController(t, strings.TrimPrefix(none.URL, "http://"), nil)
+		status, want, _ := requestJSON[any](t, "GET", server+"/v1/nothing", "")
+		for _, path := range []string{wire.PathReservations, wire.PathReservations + "/x", wire.PathEquipment, wire.PathQueue, wire.PathQueue + "/x", wire.PathPriorityClasses} {
+			if got, body, _ := requestJSON[any](t, "GET", server+path, ""); got != status || body != want {
 				t.Errorf("%s: %d %s, an unknown path gets %d %s", path, got, body, status, want)
 			}
 		}
 	})
-	on := func(g *Guards) {
+	on := func(g *Options) {
 		var err error
 		if g.Equipment, err = booking.Parse([]byte(`pieces { name: "k" kind: "kiln" slot_minutes: 60 cool_minutes: 60 }`)); err != nil {
 			t.Fatal(err)
 		}
-		if g.Lanes, err = lanes.Parse([]byte(`lanes { name: "urgent" priorities: "high" } lanes { name: "rest" }`)); err != nil {
+		if g.PriorityClasses, err = lanes.Parse([]byte(`lanes { name: "urgent" priorities: "high" } lanes { name: "rest" }`)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	day := time.Now().UTC().AddDate(0, 0, 3).Format("2006-01-02")
-	type answer = wire.BookingAnswer
+	type answer = wire.ReservationResponse
 	make := func(server, id, hour, more string) (int, string, answer) {
-		return ask[answer](t, "POST", server+wire.PathBookings, fmt.Sprintf(`{"id":%q,"slots":[{"piece":"k","from":"%sT%s:00"}]%s}`, id, day, hour, more))
+		return requestJSON[answer](t, "POST", server+wire.PathReservations, fmt.Sprintf(`{"id":%q,"slots":[{"piece":"k","from":"%sT%s:00"}]%s}`, id, day, hour, more))
 	}
 	t.Run("first life", func(t *testing.T) {
-		server := serve(t, state, nil, on)
-		eventually(t, "open", func() bool { status, _, _ := ask[any](t, "GET", server+wire.PathEquipment, ""); return status == 200 })
+		server := startController(t, state, nil, on)
+		eventually(t, "open", func() bool {
+			status, _, _ := requestJSON[any](t, "GET", server+wire.PathEquipment, "")
+			return status == 200
+		})
 		for i, x := range []struct {
 			status int
 			state  string
@@ -306,28 +309,32 @@
 			{409, "confirmed", func() (int, string, answer) { return make(server, "a", "12", "") }},
 			{409, "", func() (int, string, answer) { return make(server, "b", "09", "") }}, // it cools
 			{201, "held", func() (int, string, answer) { return make(server, "b", "10", `,"hold_s":600`) }},
-			{200, "confirmed", func() (int, string, answer) { return ask[answer](t, "POST", server+wire.PathBookings+"/b/confirm", "") }},
 			{200, "confirmed", func() (int, string, answer) {
-				return ask[answer](t, "POST", server+wire.PathBookings+"/b/move", fmt.Sprintf(`{"slots":[{"piece":"k","from":"%sT14:00"}]}`, day))
+				return requestJSON[answer](t, "POST", server+wire.PathReservations+"/b/confirm", "")
+			}},
+			{200, "confirmed", func() (int, string, answer) {
+				return requestJSON[answer](t, "POST", server+wire.PathReservations+"/b/move", fmt.Sprintf(`{"slots":[{"piece":"k","from":"%sT14:00"}]}`, day))
 			}},
 			{200, "ended", func() (int, string, answer) {
-				return ask[answer](t, "POST", server+wire.PathBookings+"/b/end", `{"why":"cracked"}`)
+				return requestJSON[answer](t, "POST", server+wire.PathReservations+"/b/end", `{"why":"cracked"}`)
 			}},
 			{422, "", func() (int, string, answer) {
 				return make(server, "c", "08", `,"slots":[{"piece":"z","from":"`+day+`T08:00"}]`)
 			}},
 			{400, "", func() (int, string, answer) { return make(server, "a b", "08", "") }},
-			{404, "", func() (int, string, answer) { return ask[answer](t, "GET", server+wire.PathBookings+"/nobody", "") }},
+			{404, "", func() (int, string, answer) {
+				return requestJSON[answer](t, "GET", server+wire.PathReservations+"/nobody", "")
+			}},
 		} {
 			status, body, a := x.do()
-			if status != x.status || (a.Booking == nil) != (x.state == "") || a.Booking != nil && a.Booking.State != x.state {
+			if status != x.status || (a.Reservation == nil) != (x.state == "") || a.Reservation != nil && a.Reservation.State != x.state {
 				t.Errorf("step %d: %d %s, want %d %s", i, status, body, x.status, x.state)
 			}
 			if status == 409 && x.state == "" && len(a.Free) == 0 {
 				t.Errorf("step %d: nothing is named that is free instead", i)
 			}
 		}
-		status, body, a := ask[answer](t, "POST", server+wire.PathEquipment, `{"equipment":"pieces { name: \"k\" kind: \"kiln\" slot_minutes: 60 out: 1 }"}`)
+		status, body, a := requestJSON[answer](t, "POST", server+wire.PathEquipment, `{"equipment":"pieces { name: \"k\" kind: \"kiln\" slot_minutes: 60 out: 1 }"}`)
 		if status != 409 || len(a.Displaced) != 1 || a.Displaced[0].ID != "a" {
 			t.Errorf("a list that has no place for a booking: %d %s", status, body)
 		}
@@ -338,44 +345,44 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if status, body, _ := ask[any](t, "POST", server+wire.PathJobs, string(raw)); status != 201 {
+			if status, body, _ := requestJSON[any](t, "POST", server+wire.PathJobs, string(raw)); status != 201 {
 				t.Fatalf("%d %s", status, body)
 			}
 		}
-		_, body, q := ask[wire.Queue](t, "GET", server+wire.PathQueue, "")
-		if len(q.Jobs) != 2 || q.Jobs[0].ID != "wk-000002" || q.Jobs[0].Lane != "urgent" || q.Jobs[1].For != "room" {
+		_, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue, "")
+		if len(q.Jobs) != 2 || q.Jobs[0].ID != "wk-000002" || q.Jobs[0].PriorityClass != "urgent" || q.Jobs[1].WaitingFor != "room" {
 			t.Errorf("queue: %s", body)
 		}
-		if _, body, q := ask[wire.Queue](t, "GET", server+wire.PathQueue+"?most=1", ""); len(q.Jobs) != 1 || q.Next != 1 || q.All != 2 {
+		if _, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"?most=1", ""); len(q.Jobs) != 1 || q.NextOffset != 1 || q.Total != 2 {
 			t.Errorf("a page: %s", body)
 		}
 	})
 	// Another process, with no file: what is in force lives in the state service.
-	server := serve(t, state, nil)
+	server := startController(t, state, nil)
 	eventually(t, "open", func() bool {
-		status, _, a := ask[answer](t, "GET", server+wire.PathBookings+"/a", "")
-		return status == 200 && a.Booking.State == "confirmed"
+		status, _, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"/a", "")
+		return status == 200 && a.Reservation.State == "confirmed"
 	})
-	if _, body, a := ask[answer](t, "GET", server+wire.PathBookings+"/b", ""); a.Booking == nil || a.Booking.Why != "cracked" {
+	if _, body, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"/b", ""); a.Reservation == nil || a.Reservation.EndReason != "cracked" {
 		t.Errorf("one that had ended: %s", body)
 	}
-	if _, body, a := ask[answer](t, "GET", server+wire.PathBookings+"?piece=k&day="+day, ""); len(a.Bookings) != 1 {
+	if _, body, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"?piece=k&day="+day, ""); len(a.Reservations) != 1 {
 		t.Errorf("the day: %s", body)
 	}
-	if _, body, q := ask[wire.Queue](t, "GET", server+wire.PathQueue+"/wk-000001", ""); len(q.Jobs) != 1 || q.Jobs[0].Number != 2 || q.Jobs[0].Lane != "rest" {
+	if _, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"/wk-000001", ""); len(q.Jobs) != 1 || q.Jobs[0].Position != 2 || q.Jobs[0].PriorityClass != "rest" {
 		t.Errorf("its place: %s", body)
 	}
 }
 
 // A process that stands still while it takes inputs must see the time that has passed at the next: a report that came after the stop was answered
 // as of before it.
-func TestEachInputIsTakenWithItsTime(t *testing.T) {
+func TestEachQueuedInputIsHandledWithItsOwnTime(t *testing.T) {
 	inputs := make(chan core.Input, 4)
 	now := time.Second
 	inputs <- core.Clock{UnixMS: 1}
 	inputs <- core.Clock{UnixMS: 2}
 	var got []time.Duration
-	last := drain(inputs, inputsMost, func() time.Duration { return now }, func(at time.Duration, in core.Input) {
+	last := handleQueuedInputs(inputs, maxInputsPerTurn, func() time.Duration { return now }, func(at time.Duration, in core.Input) {
 		got = append(got, at)
 		now += time.Minute // it stands still, and a report comes
 		if in == (core.Clock{UnixMS: 1}) {
--- a/core/audit.go
+++ b/core/audit.go
@@ -52,11 +52,11 @@
 
 // unrecorded are the conditions under which a change needs no entry: a controller that does not record yet must not
 // act once another one does.
-func (c *Core) unrecorded() []wire.Cond {
+func (c *Core) unrecorded() []wire.Compare {
 	if c.auditing() || c.cfg.AuditKey == nil && !c.guarded() {
 		return nil
 	}
-	return []wire.Cond{{Key: recorder.KeyBegun}}
+	return []wire.Compare{{Key: recorder.KeyBegun}}
 }
 
 // besides is how many changes carryBeside adds.
@@ -71,8 +71,8 @@
 func (c *Core) carryBeside(t *wire.Txn, name string, x recorder.Act) func(status int) {
 	if !c.auditing() {
 		for _, k := range c.unrecorded() {
-			if !slices.Contains(t.If, k) {
-				t.If = append(t.If, k)
+			if !slices.Contains(t.Compare, k) {
+				t.Compare = append(t.Compare, k)
 			}
 		}
 		return func(int) {}
@@ -100,11 +100,11 @@
 	if t == nil {
 		return
 	}
-	c.commit(*t, &txn{done: func(status int, reply wire.TxnReply) {
+	c.commit(*t, &txn{done: func(status int, reply wire.TxnResponse) {
 		if status == 400 {
 			c.shrink(t)
 		}
-		if c.recorder().Written(status, reply.Ledger) { // what is there now shows with the next barrier
+		if c.recorder().Written(status, reply.Revision) { // what is there now shows with the next barrier
 			c.afterBarrier(func(bool) { r.Settled() })
 		}
 	}})
@@ -123,9 +123,9 @@
 		return
 	}
 	x.busy = true
-	t := wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}, {Key: KeyRestored, Mark: x.mark}}, Then: []wire.Write{{Delete: KeyRestored}}}
+	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: KeyRestored, Revision: x.mark}}, Then: []wire.Write{{Delete: KeyRestored}}}
 	told := c.carryBeside(&t, "restored", recorder.Act{Verb: recorder.Restore, Object: "state", Why: x.what})
-	c.commit(t, &txn{done: func(status int, _ wire.TxnReply) {
+	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
 		told(status)
 		c.afterBarrier(func(bool) { x.busy = false })
 	}})
@@ -165,10 +165,10 @@
 
 func (c *Core) giveAudit(in ReadAudit) {
 	if in.Node == "" {
-		var out wire.AuditHeads
+		var out wire.AuditChainHeads
 		for _, n := range sortedKeys(c.audit.Heads()) {
 			h := c.audit.Heads()[n]
-			out.Heads = append(out.Heads, wire.AuditHead{Node: n, Number: h.Number, Code: h.Code})
+			out.Heads = append(out.Heads, wire.AuditChainHead{Node: n, BlockNumber: h.Number, Code: h.Code})
 		}
 		c.reply(in.Req, 200, out)
 		return
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -190,9 +190,9 @@
 	if e := entries[len(entries)-1]; e.Items[0].Who != "anna" || e.Items[0].Verb != "audit" {
 		t.Errorf("recorded %+v", e)
 	}
-	c.Handle(20500*time.Millisecond, Committed{ID: commits[0].ID, Status: 200, Reply: wire.TxnReply{Ledger: c.replica.revision + 1}})
+	c.Handle(20500*time.Millisecond, Committed{ID: commits[0].ID, Status: 200, Reply: wire.TxnResponse{Revision: c.replica.revision + 1}})
 	r := outputs[Reply](c.Advance(20500 * time.Millisecond))
-	if len(r) != 1 || r[0].Status != 200 || len(r[0].Body.(wire.AuditHeads).Heads) != 1 {
+	if len(r) != 1 || r[0].Status != 200 || len(r[0].Body.(wire.AuditChainHeads).Heads) != 1 {
 		t.Fatalf("got %+v", r)
 	}
 	if scans := outputs[Scan](ask(21*time.Second, anna, "n0")); len(scans) != 1 || scans[0].Prefix != audit.Prefix+"n0/" {
@@ -218,7 +218,7 @@
 	c.schema.active = formAccess
 	c.Handle(1200*time.Millisecond, as(anna, submitted("wk-1")))
 	w := accepted(c.Advance(1200*time.Millisecond), "wk-1")
-	if w == nil || !slices.Contains(w.Txn.If, wire.Cond{Key: recorder.KeyBegun}) {
+	if w == nil || !slices.Contains(w.Txn.Compare, wire.Compare{Key: recorder.KeyBegun}) {
 		t.Errorf("got %+v", w)
 	}
 }
@@ -233,7 +233,7 @@
 	c = withRights(t)
 	records(c, 2*time.Second, 4*time.Second, map[string]string{"idle_ms": "8000", "spare": "1"})
 	c.Handle(1200*time.Millisecond, declared("n0", "n1", "n2"))
-	c.Handle(1200*time.Millisecond, Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: 1000, Log: []wire.Event{event(recorder.KeyBegun, "1", 991),
+	c.Handle(1200*time.Millisecond, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{event(recorder.KeyBegun, "1", 991),
 		event(recorder.KeyHead+"n0", string(head), 992), event(recorder.Prefix+"settings/"+"n0", `{"idle_ms":"4000","gone":"x"}`, 992),
 		event(KeyRestored, `"snapshot of monday"`, 993), event(keyLeader, string(c.heldValue(1)), 994)}}})
 	b := blocksOf(t, follow(t, c, 1300*time.Millisecond, 10*time.Second))
@@ -281,7 +281,7 @@
 	c := withRights(t)
 	records(c, time.Hour, time.Hour, nil)
 	c.Handle(1200*time.Millisecond, declared("n0", "n1", "n2"))
-	c.Handle(1200*time.Millisecond, Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: 1000, Log: []wire.Event{event(recorder.KeyBegun, "1", 991),
+	c.Handle(1200*time.Millisecond, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{event(recorder.KeyBegun, "1", 991),
 		event(recorder.KeyHead+"n0", string(raw), 992), event(key, string(left), 993)}}})
 	if got := verbsOf(blocksOf(t, follow(t, c, 1300*time.Millisecond, 5*time.Second))); !slices.Equal(got, []string{"start n0", "administer potter"}) {
 		t.Errorf("blocks hold %v", got)
--- a/core/awaits.go
+++ b/core/awaits.go
@@ -33,7 +33,7 @@
 	}
 	j.linked = true
 	j.prio = c.ownLane(j.rec)
-	for _, id := range j.rec.Spec.Awaits {
+	for _, id := range j.rec.Spec.Dependencies {
 		o := c.job(id)
 		j.needs = append(j.needs, o)
 		if o.rec != nil && o.rec.Stage == ledger.Done {
@@ -120,7 +120,7 @@
 			if n.dueMS == 0 {
 				continue
 			}
-			if by := n.dueMS - n.rec.Spec.EstimateMS; due == 0 || by < due {
+			if by := n.dueMS - n.rec.Spec.EstimatedRuntimeMS; due == 0 || by < due {
 				due = by
 			}
 		}
@@ -137,15 +137,15 @@
 func (j *job) turn() int64 {
 	at := max(j.rec.AtMS, j.readyMS)
 	if j.dueMS != 0 {
-		at = min(at, j.dueMS-j.rec.Spec.EstimateMS)
+		at = min(at, j.dueMS-j.rec.Spec.EstimatedRuntimeMS)
 	}
 	return at
 }
 
 // unmet lists the jobs that a description names and that are not done; unknown is one that was
 // never accepted, as far as is known here, and cancelled one that is cancelled.
-func (c *Core) unmet(s *wire.Spec) (left []string, unknown string, cancelled *job) {
-	for _, id := range s.Awaits {
+func (c *Core) unmet(s *wire.JobSpec) (left []string, unknown string, cancelled *job) {
+	for _, id := range s.Dependencies {
 		o := c.knownJob(id)
 		switch {
 		case o == nil:
--- a/core/awaits_test.go
+++ b/core/awaits_test.go
@@ -20,7 +20,7 @@
 
 func awaiting1(id string, awaits ...string) Submit {
 	in := submitted(id)
-	in.Spec.Awaits = awaits
+	in.Spec.Dependencies = awaits
 	return in
 }
 
@@ -36,10 +36,10 @@
 					return o
 				}
 			case Commit:
-				c.Handle(c.now, Committed{ID: o.ID, Status: 200, Reply: wire.TxnReply{Ledger: max(c.replica.revision, 1000) + o.ID}})
+				c.Handle(c.now, Committed{ID: o.ID, Status: 200, Reply: wire.TxnResponse{Revision: max(c.replica.revision, 1000) + o.ID}})
 			case Changes:
 				if !o.Hold {
-					c.Handle(c.now, Changed{Status: 200, Changes: wire.Changes{Ledger: c.replica.revision}})
+					c.Handle(c.now, Changed{Status: 200, Changes: wire.WatchResponse{Revision: c.replica.revision}})
 				}
 			}
 		}
@@ -58,7 +58,7 @@
 	}
 	submitAnd(t, c, awaiting1("wk-1"))
 	r := submitAnd(t, c, awaiting1("wk-2", "wk-1"))
-	if st, ok := r.Body.(wire.JobState); r.Status != 201 || !ok || st.Stage != wire.StageQueued || st.AwaitsCount != 1 || st.Awaits[0] != "wk-1" {
+	if st, ok := r.Body.(wire.JobState); r.Status != 201 || !ok || st.Stage != wire.StageQueued || st.DependencyCount != 1 || st.Dependencies[0] != "wk-1" {
 		t.Errorf("got %+v", r)
 	}
 	if r := submitAnd(t, c, awaiting1("wk-2", "wk-77")); r.Status != 200 {
@@ -69,7 +69,7 @@
 	for i := range 4000 {
 		id := fmt.Sprintf("wk-%s%d", strings.Repeat("x", i%7), 7919*i%100_000)
 		j := c.job(id)
-		j.mark, j.rec = 1, &ledger.Record{Spec: &wire.Spec{Tasks: 1}}
+		j.mark, j.rec = 1, &ledger.Record{Spec: &wire.JobSpec{Tasks: 1}}
 		if many = append(many, id); i < 700 {
 			some = append(some, id)
 		}
@@ -97,11 +97,11 @@
 	if !asked {
 		t.Fatal("no barrier")
 	}
-	raw, err := c.encodeRecord(&ledger.Record{Spec: &wire.Spec{Team: "t", Tasks: 1, Claim: [3]int64{1, 0, 1}}}, nil, false)
+	raw, err := c.encodeRecord(&ledger.Record{Spec: &wire.JobSpec{Team: "t", Tasks: 1, Request: [3]int64{1, 0, 1}}}, nil, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Handle(2*time.Second, Changed{Status: 200, Changes: wire.Changes{Ledger: 70, Log: []wire.Event{{Put: keyJob + "wk-1", Value: raw, Mark: 70}}}})
+	c.Handle(2*time.Second, Changed{Status: 200, Changes: wire.WatchResponse{Revision: 70, Events: []wire.WatchEvent{{Put: keyJob + "wk-1", Value: raw, Revision: 70}}}})
 	if r := outputs[Reply](c.Advance(2 * time.Second)); len(r) > 0 {
 		t.Errorf("answered %+v", r)
 	}
@@ -111,8 +111,8 @@
 }
 
 // known puts a job with these needs into the replica.
-func known(c *Core, mark uint64, s wire.Spec, id string, stage string, awaits ...string) *job {
-	s.Team, s.Tasks, s.Claim, s.Awaits = "t", 1, [3]int64{1000, 0, 1000}, awaits
+func known(c *Core, mark uint64, s wire.JobSpec, id string, stage string, awaits ...string) *job {
+	s.Team, s.Tasks, s.Request, s.Dependencies = "t", 1, [3]int64{1000, 0, 1000}, awaits
 	r := &ledger.Record{Spec: &s, Stage: stage, AtMS: 1000}
 	if stage != ledger.Queued {
 		r.Spec = nil
@@ -124,9 +124,9 @@
 
 func TestNothingStartsBeforeAllItAwaitsIsDone(t *testing.T) {
 	c := piped(t)
-	a, b := known(c, 100, wire.Spec{}, "wk-1", ledger.Queued), known(c, 101, wire.Spec{}, "wk-2", ledger.Queued)
-	d := known(c, 102, wire.Spec{}, "wk-3", ledger.Queued, "wk-1", "wk-2")
-	e := known(c, 103, wire.Spec{}, "wk-4", ledger.Queued, "wk-3")
+	a, b := known(c, 100, wire.JobSpec{}, "wk-1", ledger.Queued), known(c, 101, wire.JobSpec{}, "wk-2", ledger.Queued)
+	d := known(c, 102, wire.JobSpec{}, "wk-3", ledger.Queued, "wk-1", "wk-2")
+	e := known(c, 103, wire.JobSpec{}, "wk-4", ledger.Queued, "wk-3")
 	drive(c, 2*time.Second, 4*time.Second)
 	if len(a.place) != 1 || len(b.place) != 1 || len(d.place)+len(e.place) != 0 {
 		t.Fatalf("placed %d, %d, %d, %d", len(a.place), len(b.place), len(d.place), len(e.place))
@@ -152,10 +152,10 @@
 		c := piped(t)
 		put := func(i int) {
 			if i == 0 {
-				known(c, uint64(100+i), wire.Spec{}, name(0), ledger.Cancelled)
+				known(c, uint64(100+i), wire.JobSpec{}, name(0), ledger.Cancelled)
 				return
 			}
-			known(c, uint64(100+i), wire.Spec{}, name(i), ledger.Queued, name(i-1))
+			known(c, uint64(100+i), wire.JobSpec{}, name(i), ledger.Queued, name(i-1))
 		}
 		for i := range n {
 			switch order {
@@ -188,8 +188,8 @@
 // A cancellation that is answered with done cancels nothing after it.
 func TestCancelOfADoneJobCancelsNothing(t *testing.T) {
 	c := piped(t)
-	a := known(c, 100, wire.Spec{}, "wk-1", ledger.Done)
-	d := known(c, 101, wire.Spec{}, "wk-2", ledger.Queued, "wk-1")
+	a := known(c, 100, wire.JobSpec{}, "wk-1", ledger.Done)
+	d := known(c, 101, wire.JobSpec{}, "wk-2", ledger.Queued, "wk-1")
 	c.Advance(2 * time.Second)
 	c.Handle(2*time.Second, Cancel{Req: 7, ID: a.id})
 	r := outputs[Reply](c.Advance(2 * time.Second))
@@ -202,12 +202,12 @@
 // comes late, and is dropped with it.
 func TestPriorityAndDeadlineArePassedBack(t *testing.T) {
 	c := piped(t)
-	est := wire.Spec{Priority: 3, EstimateMS: 10_000}
+	est := wire.JobSpec{Priority: 3, EstimatedRuntimeMS: 10_000}
 	a, b := known(c, 100, est, "wk-1", ledger.Queued), known(c, 101, est, "wk-2", ledger.Queued, "wk-1")
 	if a.prio != 3 || a.dueMS != 0 {
 		t.Fatalf("priority %d, due %d", a.prio, a.dueMS)
 	}
-	last := known(c, 102, wire.Spec{Priority: 1, EstimateMS: 5_000, DeadlineMS: 60_000}, "wk-3", ledger.Queued, "wk-1", "wk-2")
+	last := known(c, 102, wire.JobSpec{Priority: 1, EstimatedRuntimeMS: 5_000, DeadlineMS: 60_000}, "wk-3", ledger.Queued, "wk-1", "wk-2")
 	if a.prio != 1 || b.prio != 1 || last.dueMS != 61_000 || b.dueMS != 56_000 || a.dueMS != 46_000 {
 		t.Errorf("priorities %d, %d; due %d, %d, %d", a.prio, b.prio, a.dueMS, b.dueMS, last.dueMS)
 	}
@@ -221,9 +221,9 @@
 // the one for what is about to be ready.
 func TestWaitingJobsAreNoDemand(t *testing.T) {
 	c := piped(t)
-	known(c, 100, wire.Spec{EstimateMS: 600_000}, "wk-1", ledger.Queued)
+	known(c, 100, wire.JobSpec{EstimatedRuntimeMS: 600_000}, "wk-1", ledger.Queued)
 	for i := 2; i < 3000; i++ {
-		known(c, uint64(100+i), wire.Spec{}, fmt.Sprintf("wk-%d", i), ledger.Queued, "wk-1")
+		known(c, uint64(100+i), wire.JobSpec{}, fmt.Sprintf("wk-%d", i), ledger.Queued, "wk-1")
 	}
 	drive(c, 2*time.Second, 4*time.Second)
 	if len(c.open) > 10 {
@@ -247,9 +247,9 @@
 	}{{0, false, false}, {60_000, false, false}, {20_000, false, true}, {20_000, true, false}} {
 		c := piped(t)
 		m := c.machine("m-1")
-		a := known(c, 100, wire.Spec{EstimateMS: 10_000}, "wk-1", ledger.Queued)
-		known(c, 101, wire.Spec{EstimateMS: 5_000, DeadlineMS: tc.due}, "wk-2", ledger.Queued, "wk-1")
-		s := known(c, 102, wire.Spec{Service: tc.service}, "wk-3", ledger.Queued)
+		a := known(c, 100, wire.JobSpec{EstimatedRuntimeMS: 10_000}, "wk-1", ledger.Queued)
+		known(c, 101, wire.JobSpec{EstimatedRuntimeMS: 5_000, DeadlineMS: tc.due}, "wk-2", ledger.Queued, "wk-1")
+		s := known(c, 102, wire.JobSpec{Service: tc.service}, "wk-3", ledger.Queued)
 		for _, j := range []*job{a, s} {
 			m.allocation.assignments[taskKey{j.idx, 0}] = ledger.Asg{Task: 0, Machine: m.idx, Session: 1, Try: 1}
 		}
--- a/core/booking/desk.go
+++ b/core/booking/desk.go
@@ -50,7 +50,7 @@
 // Ask is somebody's wish that waits for its answer.
 type Ask struct {
 	Wish  ledger.Wish
-	Wants []wire.BookingWant // in the words of whoever asks: what they mean depends on the list in force
+	Wants []wire.SlotRequest // in the words of whoever asks: what they mean depends on the list in force
 	Again string             // the rule by which they come again
 	Until time.Duration      // when it is answered that it could not be decided
 	Tag   any                // of the caller
@@ -64,7 +64,7 @@
 	Conds      int // the most that a transaction may have
 	// May decides whether the one who asks may do so with a team's bookings of pieces of these kinds: the conditions under which that
 	// holds, or why not.
-	May func(a *Ask, team string, kinds []string) (conds []wire.Cond, why string)
+	May func(a *Ask, team string, kinds []string) (conds []wire.Compare, why string)
 	// Carry returns what the head carries of the audit record, with entries of the asks that are granted and of the other bookings that change.
 	Carry func(mark uint64, old []audit.Carried, granted []*Ask, changed []*pb.Booking) []audit.Carried
 }
@@ -325,11 +325,11 @@
 	}
 }
 
-func (d *Desk) compare(conds []wire.Cond) *wire.Txn {
-	t := &wire.Txn{If: []wire.Cond{{Key: KeyHead, Mark: d.head}, {Key: KeyList, Mark: d.list}}}
+func (d *Desk) compare(conds []wire.Compare) *wire.Txn {
+	t := &wire.Txn{Compare: []wire.Compare{{Key: KeyHead, Revision: d.head}, {Key: KeyList, Revision: d.list}}}
 	for _, k := range conds {
-		if !slices.Contains(t.If, k) {
-			t.If = append(t.If, k)
+		if !slices.Contains(t.Compare, k) {
+			t.Compare = append(t.Compare, k)
 		}
 	}
 	return t
@@ -344,7 +344,7 @@
 	if d.ledger.Due(env.UnixS) { // else each change has given what it freed, and nobody waits for what they could have
 		site.Advance(f.draft, env.UnixS)
 	}
-	var conds []wire.Cond
+	var conds []wire.Compare
 	var asks []*Ask
 	for _, a := range d.queue[:most] {
 		ans, more := d.decide(env, site, f.draft, a)
@@ -390,7 +390,7 @@
 		f.spilled, f.spilling = fmt.Sprintf("%s%016x", prePage, change-uint64(len(f.draft.Bookings))), d.top
 		var old json.RawMessage
 		if old, err = encode(d.top, 0, nil); err == nil {
-			t.If = append(t.If, wire.Cond{Key: f.spilled})
+			t.Compare = append(t.Compare, wire.Compare{Key: f.spilled})
 			t.Then = append(t.Then, wire.Write{Put: f.spilled, Value: old})
 			raw, err = encode(f.top, change, f.carried)
 		}
@@ -405,7 +405,7 @@
 }
 
 // decide answers an ask.
-func (d *Desk) decide(env Env, site *ledger.Site, draft *ledger.Draft, a *Ask) (Answer, []wire.Cond) {
+func (d *Desk) decide(env Env, site *ledger.Site, draft *ledger.Draft, a *Ask) (Answer, []wire.Compare) {
 	w := &a.Wish
 	if w.Verb == ledger.Make || w.Verb == ledger.Move {
 		wants, err := Wants(site, a.Wants, a.Again)
@@ -415,9 +415,9 @@
 		w.Wants = wants
 	}
 	b := d.ledger.Get(w.ID)
-	var held []wire.Cond // under which it is not among those that are past
+	var held []wire.Compare // under which it is not among those that are past
 	if b == nil && w.Verb != ledger.Equip {
-		var cond wire.Cond
+		var cond wire.Compare
 		if b, cond, _ = d.archived(w.ID); b != nil {
 			d.ledger.Put(b) // it does not change any more
 		}
@@ -444,12 +444,12 @@
 }
 
 // Wants makes what somebody asks for what it means at a site.
-func Wants(site *ledger.Site, list []wire.BookingWant, rule string) (out []*pb.Want, err error) {
+func Wants(site *ledger.Site, list []wire.SlotRequest, rule string) (out []*pb.Want, err error) {
 	for _, x := range list {
-		if (x.Piece == "") == (x.Kind == "") {
+		if (x.Equipment == "") == (x.Kind == "") {
 			return nil, fmt.Errorf("a slot names a piece of equipment or a kind")
 		}
-		w := &pb.Want{Piece: x.Piece, Kind: x.Kind, Zone: x.Zone, Slots: max(1, x.Slots)}
+		w := &pb.Want{Piece: x.Equipment, Kind: x.Kind, Zone: x.Zone, Slots: max(1, x.Slots)}
 		if w.From, err = site.Time(x.From); err != nil {
 			return nil, err
 		}
@@ -526,19 +526,19 @@
 	for _, k := range sortedPages(d.pages) {
 		p := d.pages[k]
 		live := slices.DeleteFunc(slices.Clone(p.bookings), func(b *pb.Booking) bool { return d.ledger.Get(b.Id).GetChange() != b.Change })
-		if 3*len(live) > 2*len(p.bookings) && len(t.If) == 0 {
+		if 3*len(live) > 2*len(p.bookings) && len(t.Compare) == 0 {
 			continue
 		}
 		all = append(slices.Clone(kept), live...)
 		next, err := encode(all, 0, nil)
-		if err != nil || len(next) > valueBytes || len(t.If) == ops {
+		if err != nil || len(next) > valueBytes || len(t.Compare) == ops {
 			break
 		}
 		kept, into, raw = all, k, next
-		t.If = append(t.If, wire.Cond{Key: k, Mark: p.mark})
+		t.Compare = append(t.Compare, wire.Compare{Key: k, Revision: p.mark})
 		t.Then = append(t.Then, wire.Write{Delete: k})
 	}
-	if len(t.If) == 0 {
+	if len(t.Compare) == 0 {
 		return nil
 	}
 	if len(kept) > 0 {
--- a/core/booking/desk_test.go
+++ b/core/booking/desk_test.go
@@ -18,13 +18,13 @@
 
 // store is what the state service does with conditions.
 type store struct {
-	keys   map[string]wire.Item
+	keys   map[string]wire.KeyValue
 	ledger uint64
 }
 
 func (s *store) commit(t *wire.Txn) (int, uint64) {
-	for _, c := range t.If {
-		if s.keys[c.Key].Mark != c.Mark {
+	for _, c := range t.Compare {
+		if s.keys[c.Key].Revision != c.Revision {
 			return 409, 0
 		}
 	}
@@ -34,7 +34,7 @@
 			delete(s.keys, w.Delete)
 			continue
 		}
-		s.keys[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Mark: s.ledger}
+		s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.ledger}
 	}
 	return 200, s.ledger
 }
@@ -42,7 +42,7 @@
 func (s *store) show(t *testing.T, d *Desk) {
 	t.Helper()
 	for k, it := range s.keys {
-		if _, err := d.Put(k, it.Value, it.Mark); err != nil {
+		if _, err := d.Put(k, it.Value, it.Revision); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -50,7 +50,7 @@
 
 func env(now time.Duration) Env {
 	return Env{Now: now, UnixS: begin + int64(now.Seconds()), ValueBytes: 8192, Conds: 48,
-		May:   func(*Ask, string, []string) ([]wire.Cond, string) { return nil, "" },
+		May:   func(*Ask, string, []string) ([]wire.Compare, string) { return nil, "" },
 		Carry: func(uint64, []audit.Carried, []*Ask, []*pb.Booking) []audit.Carried { return nil }}
 }
 
@@ -64,13 +64,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &store{keys: map[string]wire.Item{}}
+	s := &store{keys: map[string]wire.KeyValue{}}
 	s.commit(&wire.Txn{Then: []wire.Write{{Put: KeyList, Value: raw}}})
 	return s
 }
 
 func ask(id string, minute int) *Ask {
-	return &Ask{Wish: ledger.Wish{ID: id}, Wants: []wire.BookingWant{{Piece: "k", From: time.Unix(begin+int64(60*minute), 0).UTC().Format(time.RFC3339)}}, Until: time.Hour}
+	return &Ask{Wish: ledger.Wish{ID: id}, Wants: []wire.SlotRequest{{Equipment: "k", From: time.Unix(begin+int64(60*minute), 0).UTC().Format(time.RFC3339)}}, Until: time.Hour}
 }
 
 func outcomes(t *testing.T, list []Answer, want ...ledger.Outcome) {
@@ -253,7 +253,7 @@
 func (s *store) read(t *testing.T, d *Desk) {
 	t.Helper()
 	for _, id := range d.Reads() {
-		var it *wire.Item
+		var it *wire.KeyValue
 		for k, x := range s.keys {
 			if strings.HasPrefix(k, PastPrefix) && k > PastPrefix+id && (it == nil || k < it.Key) {
 				it = &x
@@ -343,8 +343,8 @@
 	}
 	s.read(t, other)
 	tx := other.Step(env(now + time.Hour))
-	if !slices.ContainsFunc(tx.If, func(c wire.Cond) bool { return strings.HasPrefix(c.Key, PastPrefix) && c.Mark != 0 }) {
-		t.Errorf("conditions %v", tx.If)
+	if !slices.ContainsFunc(tx.Compare, func(c wire.Compare) bool { return strings.HasPrefix(c.Key, PastPrefix) && c.Revision != 0 }) {
+		t.Errorf("conditions %v", tx.Compare)
 	}
 }
 
--- a/core/booking/past.go
+++ b/core/booking/past.go
@@ -70,15 +70,15 @@
 
 // archived looks for a booking among those that are past. It tells the condition under which what it found holds; not known is what must be
 // read first.
-func (d *Desk) archived(id string) (b *pb.Booking, cond wire.Cond, known bool) {
+func (d *Desk) archived(id string) (b *pb.Booking, cond wire.Compare, known bool) {
 	if d.past == 0 {
-		return nil, wire.Cond{Key: keyPast}, true
+		return nil, wire.Compare{Key: keyPast}, true
 	}
 	k := d.covering(id)
 	if k == nil {
 		return nil, cond, false
 	}
-	return k.find(id), wire.Cond{Key: PastPrefix + k.high, Mark: k.mark}, true
+	return k.find(id), wire.Compare{Key: PastPrefix + k.high, Revision: k.mark}, true
 }
 
 // lookAhead puts those aside whose bookings must be looked for among the past ones.
@@ -116,7 +116,7 @@
 }
 
 // Found takes the block that was read for an id at a revision; nil if there is none. Whoever waits for it waits in the queue again.
-func (d *Desk) Found(id string, it *wire.Item, at uint64, ok bool) error {
+func (d *Desk) Found(id string, it *wire.KeyValue, at uint64, ok bool) error {
 	list := d.looking[id]
 	delete(d.looking, id)
 	d.queue = append(d.queue, list...)
@@ -129,7 +129,7 @@
 		if err != nil {
 			return err
 		}
-		k = &block{low: p.Low, high: strings.TrimPrefix(it.Key, PastPrefix), mark: it.Mark, read: at, bookings: p.Bookings}
+		k = &block{low: p.Low, high: strings.TrimPrefix(it.Key, PastPrefix), mark: it.Revision, read: at, bookings: p.Bookings}
 	}
 	d.blocks = slices.DeleteFunc(d.blocks, func(o *block) bool { return o.low < k.high && k.low < o.high })
 	d.blocks = slices.Insert(d.blocks, 0, k)
@@ -145,7 +145,7 @@
 
 // Move returns a transaction that moves bookings that were over at a time into their block, on conditions of the caller's; nil if none is due. Its
 // outcome goes to Moved.
-func (d *Desk) Move(conds []wire.Cond, over int64, valueBytes int) *wire.Txn {
+func (d *Desk) Move(conds []wire.Compare, over int64, valueBytes int) *wire.Txn {
 	if d.moving || d.merging || d.flight != nil {
 		return nil
 	}
@@ -162,7 +162,7 @@
 		}
 		d.moving = true
 		if d.past == 0 {
-			return &wire.Txn{If: append(conds, wire.Cond{Key: keyPast}), Then: []wire.Write{{Put: keyPast, Value: []byte("1")}}}
+			return &wire.Txn{Compare: append(conds, wire.Compare{Key: keyPast}), Then: []wire.Write{{Put: keyPast, Value: []byte("1")}}}
 		}
 		slices.SortFunc(out, func(a, b *pb.Booking) int { return strings.Compare(a.Id, b.Id) })
 		k := d.covering(out[0].Id)
@@ -174,7 +174,7 @@
 		out = slices.DeleteFunc(out, func(b *pb.Booking) bool { return b.Id >= k.high })
 		for ; len(out) > 0; out = out[:len(out)/2] {
 			if t := d.moveTo(k, out, key, p, valueBytes); t != nil {
-				t.If = append(t.If, conds...)
+				t.Compare = append(t.Compare, conds...)
 				return t
 			}
 		}
@@ -188,7 +188,7 @@
 func (d *Desk) moveTo(k *block, out []*pb.Booking, key string, p page, valueBytes int) *wire.Txn {
 	all := append(slices.Clone(k.bookings), out...)
 	slices.SortFunc(all, func(a, b *pb.Booking) int { return strings.Compare(a.Id, b.Id) })
-	t := &wire.Txn{If: []wire.Cond{{Key: key, Mark: p.mark}, {Key: PastPrefix + k.high, Mark: k.mark}}}
+	t := &wire.Txn{Compare: []wire.Compare{{Key: key, Revision: p.mark}, {Key: PastPrefix + k.high, Revision: k.mark}}}
 	put := func(low, high string, list []*pb.Booking) bool {
 		raw, err := pack(&pb.Page{Bookings: list, Low: low, High: high}, nil)
 		t.Then = append(t.Then, wire.Write{Put: PastPrefix + high, Value: raw})
@@ -201,7 +201,7 @@
 		if half == 0 || !put(k.low, mid, all[:half]) || !put(mid, k.high, all[half:]) {
 			return nil
 		}
-		t.If = append(t.If, wire.Cond{Key: PastPrefix + mid})
+		t.Compare = append(t.Compare, wire.Compare{Key: PastPrefix + mid})
 	}
 	left := slices.DeleteFunc(slices.Clone(p.bookings), func(b *pb.Booking) bool { return slices.Contains(out, b) })
 	if len(left) == 0 {
--- a/core/bookings.go
+++ b/core/bookings.go
@@ -64,18 +64,18 @@
 func (c *Core) book(in Book) {
 	b := in.Ask
 	if !ledger.ValidID(b.ID) {
-		c.reply(in.Req, 400, wire.BookingAnswer{Error: "id: letters, digits, dots, dashes and underscores, at most 64"})
+		c.reply(in.Req, 400, wire.ReservationResponse{Error: "id: letters, digits, dots, dashes and underscores, at most 64"})
 		return
 	}
 	rank, ok := wire.Priority(cmp.Or(b.Priority, wire.PriorityName(wire.PriorityStandard)))
 	if !ok {
-		c.reply(in.Req, 400, wire.BookingAnswer{Error: "priority: there is no " + b.Priority})
+		c.reply(in.Req, 400, wire.ReservationResponse{Error: "priority: there is no " + b.Priority})
 		return
 	}
 	if !c.mayAsk(in.Req) {
 		return
 	}
-	w := ledger.Wish{Verb: in.Verb, ID: b.ID, Team: b.Team, Who: in.By.Who, HoldS: b.HoldS, Rank: uint32(rank), Wait: b.Wait, Why: b.Why}
+	w := ledger.Wish{Verb: in.Verb, ID: b.ID, Team: b.Team, Who: in.By.Who, HoldS: b.HoldS, Rank: uint32(rank), Wait: b.Waitlist, Why: b.Reason}
 	c.askDesk(&booking.Ask{Wish: w, Wants: b.Slots, Again: b.Repeat, Tag: booker{req: in.Req, by: in.By}})
 }
 
@@ -90,13 +90,13 @@
 func (c *Core) equip(in Equip) {
 	site, err := ledger.Parse([]byte(in.Edit.Text))
 	if err != nil {
-		c.reply(in.Req, 400, wire.BookingAnswer{Error: "equipment: " + err.Error()})
+		c.reply(in.Req, 400, wire.ReservationResponse{Error: "equipment: " + err.Error()})
 		return
 	}
 	if !c.mayAsk(in.Req) {
 		return
 	}
-	w := ledger.Wish{Verb: ledger.Equip, Replace: site, EndThem: in.Edit.End, Why: in.Edit.Why}
+	w := ledger.Wish{Verb: ledger.Equip, Replace: site, EndThem: in.Edit.EndDisplaced, Why: in.Edit.Reason}
 	c.askDesk(&booking.Ask{Wish: w, Tag: booker{req: in.Req, by: in.By}})
 }
 
@@ -123,14 +123,14 @@
 	if c.leads() && c.transactions.rateLimit.Writes >= 0.75*c.transactions.rateLimit.Burst(c.cfg.TxnOps) && !c.transactions.rateLimit.Paused(c.now) {
 		over := c.unixS() - int64(c.cfg.BookingKeep/time.Second)
 		c.desk.Forget(c.now, over)
-		if t := c.desk.Move([]wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}}, over, c.cfg.ValueBytes); t != nil {
-			c.commit(*t, &txn{done: func(int, wire.TxnReply) {
+		if t := c.desk.Move([]wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}}, over, c.cfg.ValueBytes); t != nil {
+			c.commit(*t, &txn{done: func(int, wire.TxnResponse) {
 				c.afterBarrier(func(bool) { c.desk.Moved(t) })
 			}})
 			return
 		}
 		if t := c.desk.Merge(max(2, c.cfg.TxnOps/2), c.cfg.ValueBytes); t != nil {
-			c.commit(*t, &txn{done: func(int, wire.TxnReply) {
+			c.commit(*t, &txn{done: func(int, wire.TxnResponse) {
 				c.afterBarrier(func(bool) { c.desk.Merged() }) // what came of it shows there
 			}})
 		}
@@ -151,8 +151,8 @@
 		c.deskState.seedAt = c.now + time.Minute
 		return
 	}
-	c.commit(wire.Txn{If: []wire.Cond{{Key: booking.KeyList}}, Then: []wire.Write{{Put: booking.KeyList, Value: raw}}},
-		&txn{done: func(int, wire.TxnReply) { c.afterBarrier(func(bool) {}) }})
+	c.commit(wire.Txn{Compare: []wire.Compare{{Key: booking.KeyList}}, Then: []wire.Write{{Put: booking.KeyList, Value: raw}}},
+		&txn{done: func(int, wire.TxnResponse) { c.afterBarrier(func(bool) {}) }})
 }
 
 // sendBookings decides the asks that wait.
@@ -168,13 +168,13 @@
 	}
 	ids := s.ids
 	s.ids = nil
-	c.commit(*t, &txn{done: func(status int, r wire.TxnReply) {
+	c.commit(*t, &txn{done: func(status int, r wire.TxnResponse) {
 		c.recorder().Outcome(ids, status)
 		if status == 400 && len(t.Then) > 0 {
 			c.shrink(t)
 		}
 		c.desk.Overtaken(r.Failed)
-		answers, read := c.desk.Outcome(status, r.Ledger)
+		answers, read := c.desk.Outcome(status, r.Revision)
 		for _, a := range answers {
 			c.answerBooking(a)
 		}
@@ -189,7 +189,7 @@
 	ledger.End: "end booking", ledger.Equip: "change equipment"}
 
 // mayBook decides whether somebody may do with a team's bookings what they ask for.
-func (c *Core) mayBook(a *booking.Ask, team string, kinds []string) (conds []wire.Cond, why string) {
+func (c *Core) mayBook(a *booking.Ask, team string, kinds []string) (conds []wire.Compare, why string) {
 	by := a.Tag.(booker).by
 	conds = c.onRights(by)
 	if !c.guarded() {
@@ -248,9 +248,9 @@
 	if a.Outcome == ledger.Done && a.Ask.Wish.Verb == ledger.Make {
 		status = 201
 	}
-	out := wire.BookingAnswer{Error: a.Why, Free: c.freeTimes(a.Free), Displaced: c.bookingsOf(a.Displaced)}
+	out := wire.ReservationResponse{Error: a.Why, Free: c.freeTimes(a.Free), Displaced: c.bookingsOf(a.Displaced)}
 	if a.Booking != nil && c.maySee(who.by, a.Booking) {
-		out.Booking = new(c.bookingOf(a.Booking))
+		out.Reservation = new(c.bookingOf(a.Booking))
 	}
 	if a.Ask.Wish.Verb == ledger.Equip {
 		out.Version = c.desk.Version()
@@ -275,7 +275,7 @@
 	return c.may(by, access.Act{Verb: pb.Verb_read, Team: b.Team, Class: kind}).Allowed
 }
 
-func (c *Core) bookingOf(b *pb.Booking) wire.Booking {
+func (c *Core) bookingOf(b *pb.Booking) wire.Reservation {
 	site := c.desk.Site()
 	at := func(t int64) string {
 		if t == 0 || site == nil {
@@ -283,19 +283,19 @@
 		}
 		return site.Text(t)
 	}
-	out := wire.Booking{ID: b.Id, State: b.State.String(), Team: b.Team, Who: b.Who, Slots: []wire.BookedSlot{}, HeldUntil: at(b.HeldUntil),
-		Priority: wire.PriorityName(int(min(b.Rank, uint32(wire.PriorityLeast)))), Why: b.Why, EndedAt: at(b.EndedAt)}
+	out := wire.Reservation{ID: b.Id, State: b.State.String(), Team: b.Team, Owner: b.Who, Slots: []wire.ReservedSlot{}, HeldUntil: at(b.HeldUntil),
+		Priority: wire.PriorityName(int(min(b.Rank, uint32(wire.PriorityLowest)))), EndReason: b.Why, EndedAt: at(b.EndedAt)}
 	for _, x := range b.Slots {
-		out.Slots = append(out.Slots, wire.BookedSlot{Piece: x.Piece, Unit: x.Unit, From: at(x.From), To: at(x.To), Clear: at(x.Clear)})
+		out.Slots = append(out.Slots, wire.ReservedSlot{Equipment: x.Piece, Unit: x.Unit, From: at(x.From), To: at(x.To), ReusableFrom: at(x.Clear)})
 	}
 	for _, x := range b.Wants {
-		out.Slots = append(out.Slots, wire.BookedSlot{Piece: x.Piece, Kind: x.Kind, From: at(x.From), Slots: x.Slots})
+		out.Slots = append(out.Slots, wire.ReservedSlot{Equipment: x.Piece, Kind: x.Kind, From: at(x.From), Slots: x.Slots})
 	}
 	if b.State == pb.BookingState_waiting {
 		c.desk.View(func(l *ledger.Ledger) {
 			for i, o := range l.Waiting() {
 				if o.Id == b.Id {
-					out.Place = i + 1
+					out.WaitlistPosition = i + 1
 				}
 			}
 		})
@@ -303,16 +303,16 @@
 	return out
 }
 
-func (c *Core) bookingsOf(list []*pb.Booking) (out []wire.Booking) {
+func (c *Core) bookingsOf(list []*pb.Booking) (out []wire.Reservation) {
 	for _, b := range list {
 		out = append(out, c.bookingOf(b))
 	}
 	return out
 }
 
-func (c *Core) freeTimes(list []ledger.Free) (out []wire.FreeTime) {
+func (c *Core) freeTimes(list []ledger.Free) (out []wire.FreeInterval) {
 	for _, f := range list {
-		out = append(out, wire.FreeTime{Piece: f.Piece, From: c.desk.Site().Text(f.From), To: c.desk.Site().Text(f.To)})
+		out = append(out, wire.FreeInterval{Equipment: f.Piece, From: c.desk.Site().Text(f.From), To: c.desk.Site().Text(f.To)})
 	}
 	return out
 }
@@ -330,7 +330,7 @@
 		c.desk.View(func(l *ledger.Ledger) {
 			if b := l.Get(q.ID); b != nil && b.State == pb.BookingState_ended {
 				ended = true
-				c.reply(in.Req, 200, wire.BookingAnswer{Booking: new(c.bookingOf(b))})
+				c.reply(in.Req, 200, wire.ReservationResponse{Reservation: new(c.bookingOf(b))})
 			}
 		})
 		if ended {
@@ -366,7 +366,7 @@
 // readPast reads the block of those that are past which a booking would be in.
 func (c *Core) readPast(id string, then func()) {
 	c.scan(booking.PastPrefix, booking.PastPrefix+id, 1, func(in Scanned) {
-		var it *wire.Item
+		var it *wire.KeyValue
 		if len(in.Items) > 0 {
 			it = &in.Items[0]
 		}
@@ -393,30 +393,32 @@
 }
 
 // lookUp answers a question from the ledger.
-func (c *Core) lookUp(by Cred, l *ledger.Ledger, q *wire.BookingQuery) (int, wire.BookingAnswer) {
+func (c *Core) lookUp(by Cred, l *ledger.Ledger, q *wire.ReservationQuery) (int, wire.ReservationResponse) {
 	site := c.desk.Site()
-	bad := func(err error) (int, wire.BookingAnswer) { return 400, wire.BookingAnswer{Error: err.Error()} }
+	bad := func(err error) (int, wire.ReservationResponse) {
+		return 400, wire.ReservationResponse{Error: err.Error()}
+	}
 	switch {
 	case q.ID != "":
 		b := l.Get(q.ID)
 		if b == nil || !c.maySee(by, b) {
-			return 404, wire.BookingAnswer{Error: "there is no booking " + q.ID}
+			return 404, wire.ReservationResponse{Error: "there is no booking " + q.ID}
 		}
-		return 200, wire.BookingAnswer{Booking: new(c.bookingOf(b))}
+		return 200, wire.ReservationResponse{Reservation: new(c.bookingOf(b))}
 	case q.Day != "":
 		from, to, err := site.Day(q.Day)
 		if err != nil {
 			return bad(err)
 		}
-		list, ok := l.Day(site, q.Piece, from, to)
+		list, ok := l.Day(site, q.Equipment, from, to)
 		if !ok {
-			return 404, wire.BookingAnswer{Error: "there is no " + q.Piece}
+			return 404, wire.ReservationResponse{Error: "there is no " + q.Equipment}
 		}
 		return 200, c.readable(by, list)
 	case q.Waiting:
 		return 200, c.readable(by, l.Waiting())
-	case q.Free:
-		w := &pb.Want{Piece: q.Piece, Kind: q.Kind, Zone: q.Zone, Slots: max(1, q.Slots)}
+	case q.FreeSlots:
+		w := &pb.Want{Piece: q.Equipment, Kind: q.Kind, Zone: q.Zone, Slots: max(1, q.Slots)}
 		from, until := c.unixS(), int64(0)
 		var err error
 		if q.From != "" {
@@ -424,28 +426,28 @@
 				return bad(err)
 			}
 		}
-		if q.By != "" {
-			if until, err = site.Time(q.By); err != nil {
+		if q.Before != "" {
+			if until, err = site.Time(q.Before); err != nil {
 				return bad(err)
 			}
 		}
-		free := site.Next(l, "", q.Team, w, max(from, c.unixS()), until, min(max(1, q.Most), shownFree))
-		return 200, wire.BookingAnswer{Free: c.freeTimes(free)}
+		free := site.Next(l, "", q.Team, w, max(from, c.unixS()), until, min(max(1, q.Limit), shownFree))
+		return 200, wire.ReservationResponse{Free: c.freeTimes(free)}
 	}
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(site.Source())
 	if err != nil {
-		return 500, wire.BookingAnswer{Error: err.Error()}
+		return 500, wire.ReservationResponse{Error: err.Error()}
 	}
-	return 200, wire.BookingAnswer{Equipment: string(text), Version: c.desk.Version()}
+	return 200, wire.ReservationResponse{Equipment: string(text), Version: c.desk.Version()}
 }
 
 // readable are those of a list that somebody may read, as far as they fit an answer.
-func (c *Core) readable(by Cred, list []*pb.Booking) wire.BookingAnswer {
-	var out []wire.Booking
+func (c *Core) readable(by Cred, list []*pb.Booking) wire.ReservationResponse {
+	var out []wire.Reservation
 	for _, b := range list {
 		if c.maySee(by, b) && len(out) < shownBookings {
 			out = append(out, c.bookingOf(b))
 		}
 	}
-	return wire.BookingAnswer{Bookings: out}
+	return wire.ReservationResponse{Reservations: out}
 }
--- a/core/cancellations.go
+++ b/core/cancellations.go
@@ -116,17 +116,17 @@
 }
 
 // cancellations are the values of cancelled jobs, as the state service holds them.
-func (c *Core) cancellations(list []*job) (items []wire.Item) {
+func (c *Core) cancellations(list []*job) (items []wire.KeyValue) {
 	for _, j := range list {
 		raw, err := c.encodeRecord(j.rec, j.place, false)
 		if err != nil {
 			c.note("error", "a cancellation can't be told", "job", j.id, "err", err.Error())
 			continue
 		}
-		items = append(items, wire.Item{Key: keyJob + j.id, Value: raw, Mark: j.mark})
+		items = append(items, wire.KeyValue{Key: keyJob + j.id, Value: raw, Revision: j.mark})
 		if j.cancellation.markerRevision != 0 {
 			raw := cancelMark{CancelMS: j.cancellation.markerMS, Carried: j.cancellation.markerAudit}.encode()
-			items = append(items, wire.Item{Key: keyCancel + j.id, Value: raw, Mark: j.cancellation.markerRevision})
+			items = append(items, wire.KeyValue{Key: keyCancel + j.id, Value: raw, Revision: j.cancellation.markerRevision})
 		}
 	}
 	return items
@@ -134,16 +134,16 @@
 
 // toldOf takes cancellations that another controller holds, as if the stream of changes had shown them: what it shows later of the same
 // writes or older ones is ignored. It names the jobs that are held now.
-func (c *Core) toldOf(items []wire.Item) (held []string) {
+func (c *Core) toldOf(items []wire.KeyValue) (held []string) {
 	for _, it := range items {
 		id, ok := jobOfCancellation(it.Key)
 		if !ok {
 			continue
 		}
 		// What the stream has shown is held, and may have left memory since: a copy that comes late must not bring it back.
-		shown := it.Mark <= c.replica.revision
+		shown := it.Revision <= c.replica.revision
 		if !shown {
-			c.put(it.Key, it.Value, it.Mark)
+			c.put(it.Key, it.Value, it.Revision)
 		}
 		if j := c.knownJob(id); (shown || j != nil && j.rec.Stage == ledger.Cancelled) && !slices.Contains(held, id) {
 			held = append(held, id)
@@ -198,7 +198,7 @@
 
 // stopsFor are the orders that go with the answer to a worker's report: whatever is cancelled there stops. That needs no write and no right
 // to the job's shard.
-func (c *Core) stopsFor(m *machine) []wire.Order {
+func (c *Core) stopsFor(m *machine) []wire.Command {
 	var keys []attKey // mostly none: only these are sorted, as each report is answered
 	for k, p := range m.status.tasks {
 		if j := c.jobs[k.job]; p.state != wire.TaskExited && j != nil && j.rec != nil && j.rec.Stage == ledger.Cancelled {
@@ -206,10 +206,10 @@
 		}
 	}
 	slices.SortFunc(keys, attKey.compare)
-	list := []wire.Order{}
+	list := []wire.Command{}
 	for _, k := range keys {
 		grace := 0.0
-		list = append(list, wire.Order{Op: wire.OpStop, Piece: wire.TaskName(c.jobs[k.job].id, int(k.task)), Try: k.try, GraceS: &grace})
+		list = append(list, wire.Command{Op: wire.OpStop, Task: wire.TaskName(c.jobs[k.job].id, int(k.task)), Attempt: k.try, GracePeriodS: &grace})
 	}
 	return list
 }
@@ -240,13 +240,13 @@
 func (c *Core) bound() time.Duration { return quorum.MaxStale(c.cfg.CancelIn, c.cfg.WorkerLease) }
 
 // whyNot tells why this controller may not renew the lease of a machine, by its report, now; "" if it may.
-func (c *Core) whyNot(m *machine, r *wire.Report) string {
+func (c *Core) whyNot(m *machine, r *wire.Heartbeat) string {
 	switch {
 	case !c.entitled():
 		return "not entitled"
 	case !c.cancelAcks.quorum.Fresh(c.now):
 		return fmt.Sprintf("cancellations of more than %v ago may not be known here", c.bound().Round(time.Second))
-	case r.Token > c.leadership.fencingToken:
+	case r.FencingToken > c.leadership.fencingToken:
 		return "token not current"
 	}
 	if late := c.mayComeBack(m); late != "" {
