--- a/core/core.go
+++ b/core/core.go
@@ -126,7 +126,7 @@
 	reqs    []uint64
 	sent    int // how many of them came before its write was sent
 	by      Cred
-	spec    wire.Spec
+	spec    wire.JobSpec
 	unixMS  int64
 	since   time.Duration
 	until   time.Duration
@@ -665,18 +665,18 @@
 
 // apply takes the changes of a watch or barrier. Those up to seen are known already: two
 // answers may overlap, and an older one must not undo a newer.
-func (c *Core) apply(ch wire.Changes) {
-	for _, e := range ch.Log {
-		if e.Mark <= c.replica.revision {
+func (c *Core) apply(ch wire.WatchResponse) {
+	for _, e := range ch.Events {
+		if e.Revision <= c.replica.revision {
 			continue
 		}
 		if e.Delete != "" {
-			c.drop(e.Delete, e.Mark)
+			c.drop(e.Delete, e.Revision)
 		} else {
-			c.put(e.Put, e.Value, e.Mark)
+			c.put(e.Put, e.Value, e.Revision)
 		}
 	}
-	c.replica.revision = max(c.replica.revision, ch.Ledger)
+	c.replica.revision = max(c.replica.revision, ch.Revision)
 }
 
 // loadedPage takes a page of all keys. Later pages may show later changes than the first:
@@ -712,7 +712,7 @@
 		c.replica.snapshots++
 	}
 	for _, it := range in.Items {
-		c.put(it.Key, it.Value, it.Mark)
+		c.put(it.Key, it.Value, it.Revision)
 		c.replica.lastPageKey = it.Key
 	}
 	c.replica.pagesRead++
@@ -951,9 +951,9 @@
 		return nil, ccs.Vec{}
 	}
 	if i, ok := c.teamIdx[j.rec.Spec.Team]; ok {
-		return c.teams[i], j.rec.Spec.Claim
+		return c.teams[i], j.rec.Spec.Request
 	}
-	return nil, j.rec.Spec.Claim
+	return nil, j.rec.Spec.Request
 }
 
 // touch has a job looked at again.
@@ -990,20 +990,20 @@
 }
 
 // digest is the same for two reports that say the same of their tasks, in whatever order.
-func digest(r *wire.Report) uint64 {
+func digest(r *wire.Heartbeat) uint64 {
 	var sum uint64
 	var buf []byte
 	h := fnv.New64a()
-	for i := range r.Pieces {
-		p := &r.Pieces[i]
-		buf = append(buf[:0], p.Piece...)
+	for i := range r.Tasks {
+		p := &r.Tasks[i]
+		buf = append(buf[:0], p.Task...)
 		buf = append(append(append(append(buf, ' '), p.Stage...), ' '), p.Cause...)
-		buf = strconv.AppendBool(strconv.AppendUint(append(buf, ' '), p.Try, 10), p.Kept)
+		buf = strconv.AppendBool(strconv.AppendUint(append(buf, ' '), p.Attempt, 10), p.Checkpointed)
 		h.Reset()
 		h.Write(buf)
 		sum += h.Sum64()
 	}
-	if r.NoticeS != nil {
+	if r.InterruptionNoticeS != nil {
 		sum++
 	}
 	return sum
@@ -1011,43 +1011,43 @@
 
 // observe takes a worker's report. Older ones are ignored: reports may come late and by way
 // of other controllers.
-func (c *Core) observe(r *wire.Report, direct bool) {
+func (c *Core) observe(r *wire.Heartbeat, direct bool) {
 	m := c.machine(r.Machine)
-	if m.lifecycle.gone || r.Session < m.status.incarnation || r.Session == m.status.incarnation && r.Seq <= m.status.heartbeatSeq {
+	if m.lifecycle.gone || r.Incarnation < m.status.incarnation || r.Incarnation == m.status.incarnation && r.Sequence <= m.status.heartbeatSeq {
 		return
 	}
 	d := digest(r)
-	if m.status.reported && m.status.incarnation == r.Session && m.status.digest == d {
+	if m.status.reported && m.status.incarnation == r.Incarnation && m.status.digest == d {
 		// Nothing new: most reports of a large fleet. The others need only know that it lives.
-		c.signOfLife(m, r.Seq, r.Token)
+		c.signOfLife(m, r.Sequence, r.FencingToken)
 		if direct {
-			c.agents.digestsToRelay = append(c.agents.digestsToRelay, Heard{r.Machine, r.Session, r.Seq, r.Token, d})
+			c.agents.digestsToRelay = append(c.agents.digestsToRelay, Heard{r.Machine, r.Incarnation, r.Sequence, r.FencingToken, d})
 		}
 		return
 	}
 	m.status.digest = d
-	if r.Session > m.status.incarnation {
+	if r.Incarnation > m.status.incarnation {
 		m.status.images = map[string]bool{}
 	}
-	fresh, renewed := !m.status.reported, m.status.reported && m.status.incarnation != r.Session
+	fresh, renewed := !m.status.reported, m.status.reported && m.status.incarnation != r.Incarnation
 	m.status.reported = true
 	m.identity.address, m.identity.machineType, m.identity.zone, m.identity.spot = r.Addr, r.Type, r.Zone, r.Spot
-	m.status.incarnation = r.Session
-	if r.NoticeS != nil {
-		m.lifecycle.interruptionDeadline = c.now + time.Duration(*r.NoticeS*float64(time.Second))
-		if *r.NoticeS < 0 || *r.NoticeS > 1e6 {
+	m.status.incarnation = r.Incarnation
+	if r.InterruptionNoticeS != nil {
+		m.lifecycle.interruptionDeadline = c.now + time.Duration(*r.InterruptionNoticeS*float64(time.Second))
+		if *r.InterruptionNoticeS < 0 || *r.InterruptionNoticeS > 1e6 {
 			m.lifecycle.interruptionDeadline = c.now + time.Second
 		}
 	}
-	next := make(map[attKey]piece, len(r.Pieces))
-	for _, p := range r.Pieces {
-		id, t, ok := wire.SplitTask(p.Piece)
+	next := make(map[attKey]piece, len(r.Tasks))
+	for _, p := range r.Tasks {
+		id, t, ok := wire.SplitTaskName(p.Task)
 		if !ok {
 			continue
 		}
 		j := c.job(id)
-		k := attKey{j.idx, int32(t), p.Try}
-		n := piece{state: p.Stage, cause: p.Cause, kept: p.Kept}
+		k := attKey{j.idx, int32(t), p.Attempt}
+		n := piece{state: p.Stage, cause: p.Cause, kept: p.Checkpointed}
 		old := m.status.tasks[k]
 		n.since = old.since
 		if !old.same(n) {
@@ -1059,7 +1059,7 @@
 			continue
 		}
 		a, assigned := m.allocation.assignments[taskKey{j.idx, int32(t)}]
-		assigned = assigned && a.Try == p.Try && a.Session == m.status.incarnation
+		assigned = assigned && a.Try == p.Attempt && a.Session == m.status.incarnation
 		if p.Stage == wire.TaskExited {
 			if assigned {
 				c.freed(j, a)
@@ -1083,7 +1083,7 @@
 		c.touch(c.jobs[k.job])
 	}
 	m.status.tasks = next
-	c.signOfLife(m, r.Seq, r.Token)
+	c.signOfLife(m, r.Sequence, r.FencingToken)
 	c.changedOn(m)
 	if renewed {
 		c.lostTasks(m)
@@ -1133,15 +1133,15 @@
 }
 
 // reportOf is a machine's last report, for a controller that lacks it.
-func (c *Core) reportOf(m *machine) *wire.Report {
-	r := &wire.Report{Machine: m.name, Addr: m.identity.address, Type: m.identity.machineType, Zone: m.identity.zone, Spot: m.identity.spot, Session: m.status.incarnation, Seq: m.status.heartbeatSeq, Token: m.status.fencingToken}
+func (c *Core) reportOf(m *machine) *wire.Heartbeat {
+	r := &wire.Heartbeat{Machine: m.name, Addr: m.identity.address, Type: m.identity.machineType, Zone: m.identity.zone, Spot: m.identity.spot, Incarnation: m.status.incarnation, Sequence: m.status.heartbeatSeq, FencingToken: m.status.fencingToken}
 	if m.lifecycle.interruptionDeadline != 0 {
 		left := (m.lifecycle.interruptionDeadline - c.now).Seconds()
-		r.NoticeS = &left
+		r.InterruptionNoticeS = &left
 	}
 	for _, k := range m.sortedPieces() {
 		p := m.status.tasks[k]
-		r.Pieces = append(r.Pieces, wire.Piece{Piece: wire.TaskName(c.jobs[k.job].id, int(k.task)), Try: k.try, Stage: p.state, Cause: p.cause, Kept: p.kept})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(c.jobs[k.job].id, int(k.task)), Attempt: k.try, Stage: p.state, Cause: p.cause, Checkpointed: p.kept})
 	}
 	return r
 }
@@ -1285,7 +1285,7 @@
 	pollsInFlight     int // requests for reports on their way
 	zones             map[string]*zoneNews
 	nextDigestAt      time.Duration // when the others are told next of machines that report nothing new
-	heartbeatsToRelay []*wire.Report
+	heartbeatsToRelay []*wire.Heartbeat
 	digestsToRelay    []Heard
 	missingHeartbeats map[string][]string // by controller: machines whose reports it has and this one lacks
 }
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -46,7 +46,7 @@
 		c.Advance(time.Second)
 		in := Loaded{OK: true, Ledger: 5}
 		if kept {
-			in.Items = []wire.Item{{Key: keyTypes, Value: raw, Mark: 5}}
+			in.Items = []wire.KeyValue{{Key: keyTypes, Value: raw, Revision: 5}}
 		}
 		c.Handle(1001*time.Millisecond, in)
 		c.Handle(1002*time.Millisecond, Leased{Op: "grant", Status: 200, Lease: 7})
@@ -72,7 +72,7 @@
 func TestLargestJobFitsAValue(t *testing.T) {
 	for _, perMachine := range []int{1, 8} {
 		c := New(testConfig(), 0, 1)
-		spec := &wire.Spec{ID: "wk-1", Class: "c", Team: "t", Tasks: wire.MaxTasks, Claim: [3]int64{100, 0, 100}}
+		spec := &wire.JobSpec{ID: "wk-1", Class: "c", Team: "t", Tasks: wire.MaxTasksPerJob, Request: [3]int64{100, 0, 100}}
 		rec := &ledger.Record{Spec: spec, Done: ledger.Ranges{0, 90_000}, Tries: 91_000}
 		var place []ledger.Asg
 		least := 1 << 20
@@ -120,7 +120,7 @@
 	c := leading(t)
 	c.cfg.ValueBytes = 1700
 	in := submitted("wk-1")
-	in.Spec.Tasks, in.Spec.Claim, in.Spec.Class = 300, [3]int64{1, 0, 1}, strings.Repeat("c", 1200)
+	in.Spec.Tasks, in.Spec.Request, in.Spec.Class = 300, [3]int64{1, 0, 1}, strings.Repeat("c", 1200)
 	c.Handle(time.Second, in)
 	drive(c, time.Second, 3*time.Second)
 	j := c.job("wk-1")
@@ -143,7 +143,7 @@
 // the one before.
 func TestJobOfHundredsIsPlacedAtOnce(t *testing.T) {
 	c := New(testConfig(), 0, 1)
-	spec := &wire.Spec{ID: "wk-1", Class: "some-class", Team: "t", Tasks: 500, Claim: [3]int64{4000, 0, 8900}, Image: "an-image"}
+	spec := &wire.JobSpec{ID: "wk-1", Class: "some-class", Team: "t", Tasks: 500, Request: [3]int64{4000, 0, 8900}, Image: "an-image"}
 	p := &proposal{rec: &ledger.Record{Spec: spec, Tries: 500}, spec: spec}
 	for i := 0; i < 500; i++ {
 		m := c.machine(wire.TaskName("m", 100000+i/5))
@@ -186,18 +186,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Handle(time.Second, Loaded{OK: true, Ledger: 5, Items: []wire.Item{{Key: keyTypes, Value: types, Mark: 5}}})
+	c.Handle(time.Second, Loaded{OK: true, Ledger: 5, Items: []wire.KeyValue{{Key: keyTypes, Value: types, Revision: 5}}})
 	c.Handle(time.Second, Leased{Op: "grant", Status: 200, Lease: 7})
-	ev := []wire.Event{{Put: keyEpoch, Value: json.RawMessage("1"), Mark: 6}}
+	ev := []wire.WatchEvent{{Put: keyEpoch, Value: json.RawMessage("1"), Revision: 6}}
 	for i := range cfg.Shards {
-		ev = append(ev, wire.Event{Put: shardKey(i), Value: c.heldValue(1), Mark: 6})
+		ev = append(ev, wire.WatchEvent{Put: shardKey(i), Value: c.heldValue(1), Revision: 6})
 	}
-	c.Handle(time.Second, Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: 6, Log: ev}})
+	c.Handle(time.Second, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 6, Events: ev}})
 	return c
 }
 
 func submitted(id string) Submit {
-	return Submit{Req: 1, ID: id, Spec: wire.Spec{ID: id, Class: "c", Team: "t", Tasks: 1, Claim: [3]int64{1000, 0, 1000}}}
+	return Submit{Req: 1, ID: id, Spec: wire.JobSpec{ID: id, Class: "c", Team: "t", Tasks: 1, Request: [3]int64{1000, 0, 1000}}}
 }
 
 // A transaction whose outcome stays unknown while all keys are read again once sent the core
@@ -230,8 +230,8 @@
 		want   int
 	}{
 		"unknown team":  {func(s *Submit) { s.Spec.Team = "nobody" }, 422},
-		"fits nowhere":  {func(s *Submit) { s.Spec.Claim[0] = 5000 }, 422},
-		"unknown type":  {func(s *Submit) { s.Spec.Types = []string{"y"} }, 422},
+		"fits nowhere":  {func(s *Submit) { s.Spec.Request[0] = 5000 }, 422},
+		"unknown type":  {func(s *Submit) { s.Spec.MachineTypes = []string{"y"} }, 422},
 		"malformed":     {func(s *Submit) { s.Bad = "no" }, 400},
 		"nothing known": {func(s *Submit) { s.Bad, s.ID = "no", "" }, 400},
 	} {
@@ -242,7 +242,7 @@
 		out := c.Advance(1100 * time.Millisecond)
 		replies := outputs[Reply](out)
 		if len(replies) == 0 { // it is first learnt whether the job was accepted before
-			c.Handle(1110*time.Millisecond, Changed{Status: 200, Changes: wire.Changes{Ledger: 6}})
+			c.Handle(1110*time.Millisecond, Changed{Status: 200, Changes: wire.WatchResponse{Revision: 6}})
 			replies = outputs[Reply](c.Advance(1110 * time.Millisecond))
 		}
 		if len(replies) != 1 || replies[0].Status != tc.want {
@@ -263,7 +263,7 @@
 			switch o := o.(type) {
 			case Commit:
 				ledger++
-				c.Handle(now, Committed{ID: o.ID, Status: 200, Reply: wire.TxnReply{Ledger: ledger}})
+				c.Handle(now, Committed{ID: o.ID, Status: 200, Reply: wire.TxnResponse{Revision: ledger}})
 			case CloudOp:
 				in := Clouded{ID: o.ID, Status: 200}
 				if o.Op == "rent" {
@@ -283,15 +283,15 @@
 	return msgs, orders
 }
 
-func report(seq uint64, pieces ...wire.Piece) *wire.Report {
-	return &wire.Report{Machine: "m-1", Addr: "x:1", Type: "x", Zone: "a", Session: 1, Seq: seq, Token: 1, Pieces: pieces}
+func report(seq uint64, pieces ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "m-1", Addr: "x:1", Type: "x", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1, Tasks: pieces}
 }
 
 func leading(t *testing.T) *Core {
 	t.Helper()
 	c := serving(t)
-	c.Handle(time.Second, Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: 7,
-		Log: []wire.Event{{Put: keyLeader, Value: c.heldValue(1), Mark: 7}}}})
+	c.Handle(time.Second, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 7,
+		Events: []wire.WatchEvent{{Put: keyLeader, Value: c.heldValue(1), Revision: 7}}}})
 	c.Handle(time.Second, Beat{Req: 9, Report: report(1)})
 	return c
 }
@@ -301,22 +301,22 @@
 	for _, prio := range []int{0, 2} {
 		c := leading(t)
 		low := submitted("wk-1")
-		low.Spec.Priority, low.Spec.Claim, low.Spec.EstimateMS = 2, [3]int64{4000, 0, 1000}, 60000
+		low.Spec.Priority, low.Spec.Request, low.Spec.EstimatedRuntimeMS = 2, [3]int64{4000, 0, 1000}, 60000
 		c.Handle(time.Second, low)
 		drive(c, time.Second, 2*time.Second)
 		try := c.job("wk-1").rec.Tries
 		if try == 0 {
 			t.Fatal("the first job was not placed")
 		}
-		c.Handle(2*time.Second, Beat{Req: 10, Report: report(2, wire.Piece{Piece: "wk-1/0", Try: try, Stage: wire.TaskRunning})})
+		c.Handle(2*time.Second, Beat{Req: 10, Report: report(2, wire.TaskStatus{Task: "wk-1/0", Attempt: try, Stage: wire.TaskRunning})})
 		high := submitted("wk-2")
 		high.Spec.Service, high.Spec.Priority = true, prio
 		c.Handle(2*time.Second, high)
 		_, orders := drive(c, 2*time.Second, 5*time.Second)
 		stopped := false
 		for _, o := range orders {
-			for _, x := range o.Body.Orders {
-				stopped = stopped || x.Op == wire.OpStop && x.Piece == "wk-1/0"
+			for _, x := range o.Body.Commands {
+				stopped = stopped || x.Op == wire.OpStop && x.Task == "wk-1/0"
 			}
 		}
 		if stopped != (prio == 0) {
@@ -333,8 +333,8 @@
 	in.Spec.Tasks = 2
 	c.Handle(time.Second, in)
 	drive(c, time.Second, 6*time.Second)
-	p := func(task string, try uint64, stage, cause string) wire.Piece {
-		return wire.Piece{Piece: "wk-1/" + task, Try: try, Stage: stage, Cause: cause}
+	p := func(task string, try uint64, stage, cause string) wire.TaskStatus {
+		return wire.TaskStatus{Task: "wk-1/" + task, Attempt: try, Stage: stage, Cause: cause}
 	}
 	c.Handle(6*time.Second, Beat{Req: 10, Report: report(2, p("0", 1, wire.TaskRunning, ""), p("1", 2, wire.TaskRunning, ""))})
 	drive(c, 6*time.Second, 10*time.Second)
@@ -433,7 +433,7 @@
 	c := leading(t)
 	m := c.machine("m-1")
 	fail := func(seq uint64, id string, try uint64, cause string) {
-		c.Handle(2*time.Second, Beat{Req: seq, Report: report(seq, wire.Piece{Piece: id + "/0", Try: try, Stage: wire.TaskExited, Cause: cause})})
+		c.Handle(2*time.Second, Beat{Req: seq, Report: report(seq, wire.TaskStatus{Task: id + "/0", Attempt: try, Stage: wire.TaskExited, Cause: cause})})
 	}
 	for i := uint64(0); i < 5; i++ {
 		fail(10+i, "wk-1", i, wire.CauseError)
@@ -465,7 +465,7 @@
 	seq := uint64(10)
 	for now := 6500 * time.Millisecond; now < 12*time.Second; now += time.Second {
 		seq++
-		c.Handle(now, Beat{Req: seq, Report: report(seq, wire.Piece{Piece: "wk-1/0", Try: seq, Stage: wire.TaskExited, Cause: wire.CauseFull})})
+		c.Handle(now, Beat{Req: seq, Report: report(seq, wire.TaskStatus{Task: "wk-1/0", Attempt: seq, Stage: wire.TaskExited, Cause: wire.CauseNoCapacity})})
 		drive(c, now, now+time.Second)
 	}
 	if r := c.lead.array.Row(m.idx); r.Avail[0] != 4000 {
@@ -484,8 +484,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Handle(2*time.Second, Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: 200,
-			Log: []wire.Event{{Put: keyLeader, Value: other, Mark: 200}}}})
+		c.Handle(2*time.Second, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 200,
+			Events: []wire.WatchEvent{{Put: keyLeader, Value: other, Revision: 200}}}})
 		c.Advance(2 * time.Second)
 		if !cut {
 			c.ownLease.expiresAt = time.Hour
@@ -508,7 +508,7 @@
 	m := c.machine("m-1")
 	m.lead.rented = time.Second
 	for at := 1 * time.Second; at < 30*time.Second; at += 7500 * time.Millisecond {
-		c.Handle(at, Beat{Req: uint64(at), Report: report(uint64(at/time.Millisecond), wire.Piece{Piece: "wk-1/0", Try: 1, Stage: wire.TaskRunning})})
+		c.Handle(at, Beat{Req: uint64(at), Report: report(uint64(at/time.Millisecond), wire.TaskStatus{Task: "wk-1/0", Attempt: 1, Stage: wire.TaskRunning})})
 		drive(c, at, at+7500*time.Millisecond)
 		if m.lead.why != "" {
 			t.Fatalf("returned at %v as %s", c.now, m.lead.why)
@@ -542,7 +542,7 @@
 		c.Handle(time.Second, submitted("wk-1"))
 		drive(c, time.Second, 2*time.Second)
 		j := c.job("wk-1")
-		p := wire.Piece{Piece: "wk-1/0", Try: j.place[0].Try, Stage: wire.TaskRunning}
+		p := wire.TaskStatus{Task: "wk-1/0", Attempt: j.place[0].Try, Stage: wire.TaskRunning}
 		if stopped {
 			p.Stage, p.Cause = wire.TaskExited, wire.CauseStopped
 		}
@@ -565,7 +565,7 @@
 		for i := 2; i < 8; i++ {
 			r := report(seq)
 			r.Machine, r.Zone = wire.TaskName("m", i), []string{"a", "b"}[i%2]
-			r.Pieces = []wire.Piece{{Piece: wire.TaskName("wk-9", i), Try: 1, Stage: wire.TaskRunning}}
+			r.Tasks = []wire.TaskStatus{{Task: wire.TaskName("wk-9", i), Attempt: 1, Stage: wire.TaskRunning}}
 			if zone == "" || r.Zone == zone {
 				c.Handle(now, Beat{Req: 9, Report: r})
 			}
@@ -579,7 +579,7 @@
 		seq++
 		say(now, seq, "a")
 		j := c.job("wk-8")
-		j.mark, j.rec, j.place = 1, &ledger.Record{Spec: &wire.Spec{ID: "wk-8", Tasks: 8, Team: "t", Claim: [3]int64{4000, 0, 1000}}}, nil
+		j.mark, j.rec, j.place = 1, &ledger.Record{Spec: &wire.JobSpec{ID: "wk-8", Tasks: 8, Team: "t", Request: [3]int64{4000, 0, 1000}}}, nil
 		for i := int32(0); i < 8; i++ { // more than the other zone has room for
 			j.place = append(j.place, ledger.Asg{Task: i, Machine: lost.idx, Session: 1, Try: 1})
 			lost.allocation.assignments[taskKey{j.idx, i}] = j.place[i]
@@ -645,16 +645,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		in := Loaded{OK: true, Ledger: 5, Items: []wire.Item{{Key: keyTypes, Value: types, Mark: 5}, {Key: keyEpoch, Value: json.RawMessage("1"), Mark: 5}}}
+		in := Loaded{OK: true, Ledger: 5, Items: []wire.KeyValue{{Key: keyTypes, Value: types, Revision: 5}, {Key: keyEpoch, Value: json.RawMessage("1"), Revision: 5}}}
 		names := []string{"n1", "n2", "n3", "n4", "n0"}
 		for i := range names {
 			raw, err := json.Marshal(held{Node: names[i], Lease: uint64(7 + i), Token: 1})
 			if err != nil {
 				t.Fatal(err)
 			}
-			in.Items = append(in.Items, wire.Item{Key: keyNode + names[i], Value: raw, Mark: 5}, wire.Item{Key: keyLeader, Value: raw, Mark: 5})
+			in.Items = append(in.Items, wire.KeyValue{Key: keyNode + names[i], Value: raw, Revision: 5}, wire.KeyValue{Key: keyLeader, Value: raw, Revision: 5})
 			for s := 0; s < 3 && i < 4; s++ {
-				in.Items = append(in.Items, wire.Item{Key: shardKey(i*3 + s), Value: raw, Mark: 5})
+				in.Items = append(in.Items, wire.KeyValue{Key: shardKey(i*3 + s), Value: raw, Revision: 5})
 			}
 		}
 		c.cfg.Name = names[me]
@@ -667,7 +667,7 @@
 	accepted := false
 	for _, o := range outputs[Commit](c.Advance(1100 * time.Millisecond)) {
 		for _, w := range o.Txn.Then {
-			accepted = accepted || w.Put == keyJob+"wk-1" && len(o.Txn.If) == 2 // the job's key and the sign of an archive, no shard
+			accepted = accepted || w.Put == keyJob+"wk-1" && len(o.Txn.Compare) == 2 // the job's key and the sign of an archive, no shard
 		}
 	}
 	if !accepted {
@@ -698,7 +698,7 @@
 		t.Fatal("the first replica was not placed")
 	}
 	r := report(2)
-	r.Machine, r.Pieces = "m-2", nil
+	r.Machine, r.Tasks = "m-2", nil
 	c.Handle(2*time.Second, Beat{Req: 10, Report: r})
 	drive(c, 2*time.Second, 3*time.Second)
 	in = submitted("wk-2")
@@ -731,7 +731,7 @@
 	c := leading(t)
 	for i, n := range []int{1, 3, 2} {
 		in := submitted("wk-" + strconv.Itoa(i+1))
-		in.Req, in.Spec.Service, in.Spec.Tasks, in.Spec.Claim = uint64(i+1), true, n, [3]int64{100, 0, 100}
+		in.Req, in.Spec.Service, in.Spec.Tasks, in.Spec.Request = uint64(i+1), true, n, [3]int64{100, 0, 100}
 		c.Handle(time.Second+time.Duration(i)*100*time.Millisecond, in)
 		drive(c, c.now, c.now+100*time.Millisecond)
 	}
@@ -763,7 +763,7 @@
 	c := leading(t)
 	c.autoscaler.catalog["x"].Zones = []string{"a", "b", "c", "d"}
 	in := submitted("wk-1")
-	in.Spec.Tasks, in.Spec.Claim = 400, [3]int64{4000, 0, 1000} // a machine each
+	in.Spec.Tasks, in.Spec.Request = 400, [3]int64{4000, 0, 1000} // a machine each
 	c.Handle(time.Second, in)
 	drive(c, time.Second, 3*time.Second)
 	c.lead.blocked = map[pool]time.Duration{}
@@ -786,7 +786,7 @@
 	type work struct{ looks, rows, reports, heard int }
 	second := func(n int) (w work) {
 		c := leading(t)
-		say := func(now time.Duration, seq uint64, i int, pieces ...wire.Piece) {
+		say := func(now time.Duration, seq uint64, i int, pieces ...wire.TaskStatus) {
 			r := report(seq, pieces...)
 			r.Machine = wire.TaskName("m", i)
 			c.Handle(now, Beat{Req: 1, Report: r})
@@ -805,7 +805,7 @@
 		for i := range n {
 			say(10*time.Second, 20, i)
 		}
-		say(10*time.Second, 21, 0, wire.Piece{Piece: "wk-1/0", Try: 1, Stage: wire.TaskRunning})
+		say(10*time.Second, 21, 0, wire.TaskStatus{Task: "wk-1/0", Attempt: 1, Stage: wire.TaskRunning})
 		in := submitted("wk-2")
 		in.Spec.Tasks = 3
 		c.Handle(10*time.Second, in)
@@ -873,7 +873,7 @@
 			}
 			for _, o := range outputs[Changes](out) {
 				if !o.Hold {
-					c.Handle(now, Changed{Status: status, Changes: wire.Changes{Ledger: c.replica.revision}})
+					c.Handle(now, Changed{Status: status, Changes: wire.WatchResponse{Revision: c.replica.revision}})
 				}
 			}
 			c.afterBarrier(func(bool) {})
--- a/core/crush_test.go
+++ b/core/crush_test.go
@@ -28,7 +28,7 @@
 	order := map[pool]int{}
 	var pools []pool
 	for range jobs {
-		s := &wire.Spec{Tasks: 100, Spot: true, Claim: [3]int64{3000 + rng.Int64N(2000), 0, 8000}}
+		s := &wire.JobSpec{Tasks: 100, Spot: true, Request: [3]int64{3000 + rng.Int64N(2000), 0, 8000}}
 		c.fit(need{spec: s, n: 100, zones: map[string]int{}, prio: 1}, h, order, &pools)
 	}
 	if most := uint64(30 * (machines + c.rentAtOnce())); c.Stats.PlanLooks > most {
@@ -38,7 +38,7 @@
 		t.Errorf("%d machines are ordered, %d can be asked for in a while", h.added, c.rentAtOnce())
 	}
 	// What needs less than those that found nothing still finds it.
-	if now := c.fit(need{spec: &wire.Spec{Tasks: 3, Spot: true, Claim: [3]int64{400, 0, 900}}, n: 3, zones: map[string]int{}}, h, order, &pools); now != 0 || !bins[0].used {
+	if now := c.fit(need{spec: &wire.JobSpec{Tasks: 3, Spot: true, Request: [3]int64{400, 0, 900}}, n: 3, zones: map[string]int{}}, h, order, &pools); now != 0 || !bins[0].used {
 		t.Errorf("small tasks found no room: %d", now)
 	}
 }
@@ -102,7 +102,7 @@
 		}
 		rows, _ := array.Rows(0)
 		c.clusterCopy.state.Replace(c.now, rows, nil)
-		s := &wire.Spec{Service: true, Spread: true, Tasks: 2, Claim: [3]int64{1000, 0, 1000}, Image: "i"}
+		s := &wire.JobSpec{Service: true, Spread: true, Tasks: 2, Request: [3]int64{1000, 0, 1000}, Image: "i"}
 		p := &proposal{j: &job{}, rec: &ledger.Record{Spec: s}, spec: s, accept: true}
 		for i := range held {
 			p.place = append(p.place, ledger.Asg{Task: int32(i), Machine: 0, Session: 1})
--- a/core/form.go
+++ b/core/form.go
@@ -76,8 +76,8 @@
 	if err != nil {
 		panic(err) // a number
 	}
-	c.commit(wire.Txn{If: []wire.Cond{{Key: key, Mark: c.schema.declarationRevision}}, Then: []wire.Write{{Put: key, Value: raw}}},
-		&txn{done: func(int, wire.TxnReply) {
+	c.commit(wire.Txn{Compare: []wire.Compare{{Key: key, Revision: c.schema.declarationRevision}}, Then: []wire.Write{{Put: key, Value: raw}}},
+		&txn{done: func(int, wire.TxnResponse) {
 			c.schema.declarationInFlight = false
 			c.afterBarrier(func(bool) {}) // what came of it shows there
 		}})
@@ -141,13 +141,13 @@
 // markCancelled cancels a job whose record is too large to be written again as it is: an older
 // version may have stored it under larger limits. The mark is one small durable write. The
 // record follows as its tasks end, and its writers see to it that there is no mark.
-func (c *Core) markCancelled(j *job, ms int64, conds []wire.Cond, acts []recorder.Act) {
+func (c *Core) markCancelled(j *job, ms int64, conds []wire.Compare, acts []recorder.Act) {
 	key := keyCancel + j.id
 	list, ids := c.recorder().Carry(key, j.cancellation.markerRevision, j.cancellation.markerAudit, acts)
 	raw := cancelMark{CancelMS: ms, Carried: list}.encode()
 	j.write.inFlight = true
-	c.commit(wire.Txn{If: append(conds, wire.Cond{Key: keyJob + j.id, Mark: j.mark}, wire.Cond{Key: key, Mark: j.cancellation.markerRevision}),
-		Then: []wire.Write{{Put: key, Value: raw}}}, &txn{done: func(status int, _ wire.TxnReply) {
+	c.commit(wire.Txn{Compare: append(conds, wire.Compare{Key: keyJob + j.id, Revision: j.mark}, wire.Compare{Key: key, Revision: j.cancellation.markerRevision}),
+		Then: []wire.Write{{Put: key, Value: raw}}}, &txn{done: func(status int, _ wire.TxnResponse) {
 		c.recorder().Outcome(ids, status)
 		j.write.inFlight = false
 		c.touch(j)
--- a/core/form_test.go
+++ b/core/form_test.go
@@ -16,13 +16,13 @@
 )
 
 // stored are keys as the version in production wrote them.
-func stored(t *testing.T) []wire.Item {
+func stored(t *testing.T) []wire.KeyValue {
 	t.Helper()
 	raw, err := os.ReadFile("../internal/production/testdata/keys.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var items []wire.Item
+	var items []wire.KeyValue
 	if err := json.Unmarshal(raw, &items); err != nil {
 		t.Fatal(err)
 	}
@@ -143,9 +143,9 @@
 
 // declared are the declarations of these controllers.
 func declared(names ...string) Changed {
-	in := Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: 50}}
+	in := Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 50}}
 	for _, n := range names {
-		in.Changes.Log = append(in.Changes.Log, wire.Event{Put: keyForm + n, Value: json.RawMessage(fmt.Sprint(Form)), Mark: 50})
+		in.Changes.Events = append(in.Changes.Events, wire.WatchEvent{Put: keyForm + n, Value: json.RawMessage(fmt.Sprint(Form)), Revision: 50})
 	}
 	return in
 }
@@ -170,13 +170,13 @@
 		t.Error("a new form begins without the last controller's word")
 	}
 	awaits := submitted("wk-2")
-	awaits.Spec.Awaits = []string{"wk-1"}
+	awaits.Spec.Dependencies = []string{"wk-1"}
 	c.Handle(100*time.Second, awaits)
 	if r := outputs[Reply](c.Advance(100 * time.Second)); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
 		t.Errorf("awaits before the form: %+v", r)
 	}
 	in := declared("n2")
-	in.Changes.Ledger, in.Changes.Log[0].Mark = 60, 60
+	in.Changes.Revision, in.Changes.Events[0].Revision = 60, 60
 	c.Handle(101*time.Second, in)
 	if c.form() != Form {
 		t.Error("the form does not begin")
@@ -184,9 +184,9 @@
 	// A controller that starts later, while another is long gone, reads it.
 	late := New(testConfig(), 0, 1)
 	late.Advance(time.Second)
-	var items []wire.Item
+	var items []wire.KeyValue
 	for _, n := range []string{"n0", "n1", "n2"} {
-		items = append(items, wire.Item{Key: keyForm + n, Value: json.RawMessage(fmt.Sprint(Form)), Mark: 5})
+		items = append(items, wire.KeyValue{Key: keyForm + n, Value: json.RawMessage(fmt.Sprint(Form)), Revision: 5})
 	}
 	late.Handle(time.Second, Loaded{OK: true, Ledger: 9, Items: items})
 	if late.form() != Form {
@@ -201,7 +201,7 @@
 	c = leading(t)
 	c.cfg.ValueBytes, c.cfg.TxnOps = 2048, 4
 	c.Handle(time.Second, declared("n0", "n1", "n2"))
-	spec := &wire.Spec{Class: "some-class", Team: "t", Tasks: 600, Claim: [3]int64{1, 0, 1}}
+	spec := &wire.JobSpec{Class: "some-class", Team: "t", Tasks: 600, Request: [3]int64{1, 0, 1}}
 	rec := &ledger.Record{Spec: spec, Tries: 600}
 	var place []ledger.Asg
 	// The worst for packing: sessions and attempts without any order.
@@ -215,8 +215,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Handle(time.Second, Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: 90,
-		Log: []wire.Event{{Put: keyJob + "wk-9", Value: raw, Mark: 90}}}})
+	c.Handle(time.Second, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 90,
+		Events: []wire.WatchEvent{{Put: keyJob + "wk-9", Value: raw, Revision: 90}}}})
 	return c, c.job("wk-9")
 }
 
@@ -233,15 +233,15 @@
 					continue
 				}
 				ledger++
-				var log []wire.Event
+				var log []wire.WatchEvent
 				for _, w := range o.Txn.Then {
-					log = append(log, wire.Event{Put: w.Put, Delete: w.Delete, Value: w.Value, Mark: ledger})
+					log = append(log, wire.WatchEvent{Put: w.Put, Delete: w.Delete, Value: w.Value, Revision: ledger})
 				}
-				c.Handle(now, Committed{ID: o.ID, Status: 200, Reply: wire.TxnReply{Ledger: ledger}})
-				c.Handle(now, Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: ledger, Log: log}})
+				c.Handle(now, Committed{ID: o.ID, Status: 200, Reply: wire.TxnResponse{Revision: ledger}})
+				c.Handle(now, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: ledger, Events: log}})
 			case Changes:
 				if !o.Hold {
-					c.Handle(now, Changed{Status: 200, Changes: wire.Changes{Ledger: ledger}})
+					c.Handle(now, Changed{Status: 200, Changes: wire.WatchResponse{Revision: ledger}})
 				}
 			case LeaseOp:
 				c.Handle(now, Leased{Op: o.Op, Status: 200, Lease: c.ownLease.id})
@@ -281,12 +281,14 @@
 		t.Fatalf("not cancelled: %+v, %d writes", j.rec.Stage, len(writes))
 	}
 	// Another controller reads it the same, in whatever order the keys come.
-	mark := func(key string, raw json.RawMessage) wire.Item { return wire.Item{Key: key, Value: raw, Mark: 90} }
+	mark := func(key string, raw json.RawMessage) wire.KeyValue {
+		return wire.KeyValue{Key: key, Value: raw, Revision: 90}
+	}
 	raw, err := c.encodeRecord(&ledger.Record{Spec: j.rec.Spec, Tries: 600}, j.place, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, items := range [][]wire.Item{
+	for _, items := range [][]wire.KeyValue{
 		{mark(keyCancel+j.id, []byte(`{"cm":77}`)), mark(keyJob+j.id, raw)}, {mark(keyJob+j.id, raw), mark(keyCancel+j.id, []byte(`{"cm":77}`))}} {
 		other := New(testConfig(), 0, 1)
 		other.Handle(time.Second, Loaded{OK: true, Ledger: 90, Items: items})
@@ -310,8 +312,8 @@
 	c, j := small(t)
 	for i, a := range j.place {
 		m := c.machines[a.Machine]
-		c.Handle(2*time.Second, Beat{Req: 1, Report: &wire.Report{Machine: m.name, Addr: "x:1", Type: "x", Zone: "a", Session: m.status.incarnation, Seq: 1, Token: 1,
-			Pieces: []wire.Piece{{Piece: wire.TaskName(j.id, int(a.Task)), Try: a.Try, Stage: wire.TaskExited, Cause: wire.CauseDone}}}})
+		c.Handle(2*time.Second, Beat{Req: 1, Report: &wire.Heartbeat{Machine: m.name, Addr: "x:1", Type: "x", Zone: "a", Incarnation: m.status.incarnation, Sequence: 1, FencingToken: 1,
+			Tasks: []wire.TaskStatus{{Task: wire.TaskName(j.id, int(a.Task)), Attempt: a.Try, Stage: wire.TaskExited, Cause: wire.CauseDone}}}})
 		if i%100 == 0 {
 			follow(t, c, c.now, c.now+200*time.Millisecond)
 		}
@@ -327,7 +329,7 @@
 	c := New(testConfig(), 0, 1)
 	c.cfg.ValueBytes = 2048
 	c.schema.active = formAwaits
-	spec := &wire.Spec{ID: "wk-1", Class: "some-class", Team: "t", Tasks: 500, Claim: [3]int64{4000, 0, 8900}, Image: "an-image"}
+	spec := &wire.JobSpec{ID: "wk-1", Class: "some-class", Team: "t", Tasks: 500, Request: [3]int64{4000, 0, 8900}, Image: "an-image"}
 	p := &proposal{rec: &ledger.Record{Spec: spec, Tries: 500}, spec: spec}
 	for i := 0; i < 500; i++ {
 		m := c.machine(wire.TaskName("m", 100000+(7*i)%500))
--- a/core/history.go
+++ b/core/history.go
@@ -266,18 +266,18 @@
 }
 
 // unchanged is the condition under which a job that is absent can't have been archived meanwhile.
-func (c *Core) unchanged(id string) (wire.Cond, bool) {
+func (c *Core) unchanged(id string) (wire.Compare, bool) {
 	if c.hist.marker == 0 {
-		return wire.Cond{Key: keyHistory}, true
+		return wire.Compare{Key: keyHistory}, true
 	}
 	b, mark, err := c.hist.index.Block(id, 0)
 	if b == nil || err != nil {
-		return wire.Cond{}, false
+		return wire.Compare{}, false
 	}
 	if c.rememberFrom(b, mark, id) { // the block was read anew since the job was submitted
-		return wire.Cond{}, false
+		return wire.Compare{}, false
 	}
-	return wire.Cond{Key: archive.Key(b.High), Mark: mark}, true
+	return wire.Compare{Key: archive.Key(b.High), Revision: mark}, true
 }
 
 // find has a job looked for that is not in memory, and then calls f: with false if that failed;
@@ -394,7 +394,7 @@
 			switch {
 			case in.Status == 404:
 				x.keyRead, x.keyAt = true, in.Ledger
-			case in.Status == 200 && len(in.Items) == 1 && in.Items[0].Mark > c.replica.revision:
+			case in.Status == 200 && len(in.Items) == 1 && in.Items[0].Revision > c.replica.revision:
 				// It is on its way with the stream of changes, and was never counted as cold: counted out here, it left one job too few, and another
 				// that had left memory was denied.
 				x.busy = true
@@ -437,7 +437,7 @@
 }
 
 // readRecord takes the record of a job that was not in memory; false if it can't be read.
-func (c *Core) readRecord(id string, it wire.Item) bool {
+func (c *Core) readRecord(id string, it wire.KeyValue) bool {
 	r, err := ledger.Decode(it.Value)
 	if err != nil {
 		c.note("error", "value not understood", "key", it.Key, "err", err.Error())
@@ -445,7 +445,7 @@
 	}
 	if r.Spec == nil && r.Stage != ledger.Queued {
 		c.Stats.Recalled++
-		c.remember(id, r, it.Mark, false)
+		c.remember(id, r, it.Revision, false)
 	}
 	// Any other is in memory.
 	return true
@@ -504,9 +504,9 @@
 		}
 		if err != nil {
 			c.note("error", "block of ended jobs not understood: those in it can't be answered for", "key", it.Key, "err", err.Error())
-			h.index.PutBad(id, strings.TrimPrefix(it.Key, archive.Prefix), it.Mark, in.Ledger)
+			h.index.PutBad(id, strings.TrimPrefix(it.Key, archive.Prefix), it.Revision, in.Ledger)
 		} else {
-			h.index.Put(b, it.Value, it.Mark, in.Ledger)
+			h.index.Put(b, it.Value, it.Revision, in.Ledger)
 		}
 		f(true)
 	})
--- a/core/history_test.go
+++ b/core/history_test.go
@@ -20,21 +20,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Scanned{Status: 200, Ledger: ledger, Items: []wire.Item{{Key: archive.Key(b.High), Value: raw, Mark: mark}}}
+	return Scanned{Status: 200, Ledger: ledger, Items: []wire.KeyValue{{Key: archive.Key(b.High), Value: raw, Revision: mark}}}
 }
 
-func event(key, value string, mark uint64) wire.Event {
-	return wire.Event{Put: key, Value: json.RawMessage(value), Mark: mark}
+func event(key, value string, mark uint64) wire.WatchEvent {
+	return wire.WatchEvent{Put: key, Value: json.RawMessage(value), Revision: mark}
 }
 
-func stream(c *Core, at time.Duration, ledger uint64, log ...wire.Event) []Output {
-	c.Handle(at, Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: ledger, Log: log}})
+func stream(c *Core, at time.Duration, ledger uint64, log ...wire.WatchEvent) []Output {
+	c.Handle(at, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: ledger, Events: log}})
 	return c.Advance(at)
 }
 
 // barrier answers a read barrier: nothing has changed.
 func barrier(c *Core, at time.Duration) []Output {
-	c.Handle(at, Changed{Status: 200, Changes: wire.Changes{Ledger: c.replica.revision}})
+	c.Handle(at, Changed{Status: 200, Changes: wire.WatchResponse{Revision: c.replica.revision}})
 	return c.Advance(at)
 }
 
@@ -75,7 +75,7 @@
 func TestNewJobIsWrittenOnlyIfItIsNotArchived(t *testing.T) {
 	c := serving(t)
 	c.Handle(time.Second, submitted("wk-1"))
-	if x := accepted(c.Advance(1100*time.Millisecond), "wk-1"); x == nil || !slices.Contains(x.Txn.If, wire.Cond{Key: keyHistory}) {
+	if x := accepted(c.Advance(1100*time.Millisecond), "wk-1"); x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyHistory}) {
 		t.Errorf("before there is an archive: %+v", x)
 	}
 	c = withArchive(t)
@@ -86,11 +86,11 @@
 	}
 	out = gives(t, c, 1300*time.Millisecond, out, block(t, 9, 10, archive.Entry{ID: "wk-6", Done: 3}))
 	x := accepted(out, "wk-5")
-	if x == nil || !slices.Contains(x.Txn.If, wire.Cond{Key: archive.Key(archive.Top), Mark: 9}) {
+	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.Key(archive.Top), Revision: 9}) {
 		t.Fatalf("got %+v", x)
 	}
 	// Overtaken by a move into that block: it is read again, and holds the job now.
-	c.Handle(1400*time.Millisecond, Committed{ID: x.ID, Status: 409, Reply: wire.TxnReply{Failed: []string{archive.Key(archive.Top)}}})
+	c.Handle(1400*time.Millisecond, Committed{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{archive.Key(archive.Top)}}})
 	c.Advance(1400 * time.Millisecond)
 	out = barrier(c, 1500*time.Millisecond)
 	out = gives(t, c, 1600*time.Millisecond, out, block(t, 12, 12, archive.Entry{ID: "wk-5", Done: 1}))
@@ -111,7 +111,7 @@
 	c.Handle(1500*time.Millisecond, Submit{Req: 3, ID: "wk-7", Bad: "nonsense"})
 	c.Handle(1500*time.Millisecond, Changed{Hold: true, Status: 503}) // also in an outage
 	out = append(out, c.Advance(1500*time.Millisecond)...)
-	want := wire.JobState{ID: "wk-7", Stage: wire.StageCancelled, Done: 2, CancelledBy: "wk-3", Reasons: []wire.Reason{{Task: 1, Machine: "m-1", Cause: "idle", AtMS: 77}}}
+	want := wire.JobState{ID: "wk-7", Stage: wire.StageCancelled, Done: 2, CancelledBy: "wk-3", TaskStops: []wire.TaskStop{{Task: 1, Machine: "m-1", Cause: "idle", AtMS: 77}}}
 	rs := outputs[Reply](out)
 	if len(rs) != 3 {
 		t.Fatalf("got %+v", rs)
@@ -129,7 +129,7 @@
 		t.Errorf("got %+v", out)
 	}
 	// After a move into its range, the block is no word for that any more.
-	stream(c, 1800*time.Millisecond, 20, wire.Event{Delete: keyJob + "wk-8", Mark: 20})
+	stream(c, 1800*time.Millisecond, 20, wire.WatchEvent{Delete: keyJob + "wk-8", Revision: 20})
 	c.Handle(1900*time.Millisecond, Poll{Req: 5, ID: "wk-8"})
 	c.Advance(1900 * time.Millisecond)
 	if out = barrier(c, 2000*time.Millisecond); len(outputs[Scan](out)) != 1 {
@@ -162,7 +162,7 @@
 		t.Fatal("not assigned")
 	}
 	c.Handle(1300*time.Millisecond, Changed{Hold: true, Status: 410})
-	c.Handle(1400*time.Millisecond, Loaded{OK: true, Ledger: 20000, Items: []wire.Item{{Key: keyHistory, Value: json.RawMessage("1"), Mark: 10}}})
+	c.Handle(1400*time.Millisecond, Loaded{OK: true, Ledger: 20000, Items: []wire.KeyValue{{Key: keyHistory, Value: json.RawMessage("1"), Revision: 10}}})
 	c.Handle(1500*time.Millisecond, Poll{Req: 1, ID: "wk-2"})
 	c.Advance(1500 * time.Millisecond)
 	out := gives(t, c, 1700*time.Millisecond, barrier(c, 1600*time.Millisecond), block(t, 15000, 20000, archive.Entry{ID: "wk-2", Done: 1}))
@@ -213,7 +213,7 @@
 		in := Loaded{OK: true, Status: 200, Ledger: 50000, More: page < 19}
 		for i := range 500 {
 			n := page*500 + i
-			in.Items = append(in.Items, wire.Item{Key: fmt.Sprintf("%swk-%06d", keyJob, n), Value: json.RawMessage(`{"h":1,"st":"d","d":[0,4]}`), Mark: uint64(1 + n*7919%10000)})
+			in.Items = append(in.Items, wire.KeyValue{Key: fmt.Sprintf("%swk-%06d", keyJob, n), Value: json.RawMessage(`{"h":1,"st":"d","d":[0,4]}`), Revision: uint64(1 + n*7919%10000)})
 		}
 		c.Handle(time.Duration(3+page)*time.Second, in)
 		most = max(most, len(c.jobIdx))
@@ -235,7 +235,7 @@
 	if s := outputs[Scan](out); len(s) != 1 || s[0].Key != keyJob+id {
 		t.Fatalf("got %+v", out)
 	}
-	out = gives(t, c, 41*time.Second, out, Scanned{Status: 200, Ledger: 50000, Items: []wire.Item{{Key: keyJob + id, Value: json.RawMessage(`{"h":1,"st":"d","d":[0,4]}`), Mark: 1}}})
+	out = gives(t, c, 41*time.Second, out, Scanned{Status: 200, Ledger: 50000, Items: []wire.KeyValue{{Key: keyJob + id, Value: json.RawMessage(`{"h":1,"st":"d","d":[0,4]}`), Revision: 1}}})
 	if r := outputs[Reply](out); len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Done != 5 {
 		t.Errorf("got %+v", r)
 	}
@@ -267,7 +267,7 @@
 	t.Helper()
 	c := withArchive(t)
 	c.cfg.EndedKept = 2
-	log := []wire.Event{event(keyLeader, string(c.heldValue(1)), 11), event(keyNode+"n0", string(c.heldValue(0)), 11)}
+	log := []wire.WatchEvent{event(keyLeader, string(c.heldValue(1)), 11), event(keyNode+"n0", string(c.heldValue(0)), 11)}
 	for _, name := range []string{"n0", "n1", "n2"} {
 		log = append(log, event(keyForm+name, fmt.Sprint(Form), 11))
 	}
@@ -275,7 +275,7 @@
 	for i := range n {
 		e := event(fmt.Sprintf("%swk-%03d", keyJob, i), `{"h":0,"st":"d","d":[0,1]}`, uint64(12+i))
 		log = append(log, e)
-		page.Items = append(page.Items, wire.Item{Key: e.Put, Value: e.Value, Mark: e.Mark})
+		page.Items = append(page.Items, wire.KeyValue{Key: e.Put, Value: e.Value, Revision: e.Revision})
 	}
 	page.Status, page.Ledger = 200, uint64(12+n)
 	stream(c, 1200*time.Millisecond, page.Ledger, log...)
@@ -286,7 +286,7 @@
 		}
 		c.ownLease.expiresAt, c.replica.barrierInFlight, c.replica.barrierWaiters = at+time.Minute, false, nil
 		for _, x := range c.transactions.inFlight {
-			x.done(200, wire.TxnReply{})
+			x.done(200, wire.TxnResponse{})
 		}
 		clear(c.transactions.inFlight)
 	}
@@ -322,13 +322,13 @@
 			continue
 		}
 		deletes++
-		i := slices.IndexFunc(page.Items, func(it wire.Item) bool { return it.Key == w.Delete })
-		if !slices.Contains(x.Txn.If, wire.Cond{Key: w.Delete, Mark: page.Items[i].Mark}) || i > 5 {
+		i := slices.IndexFunc(page.Items, func(it wire.KeyValue) bool { return it.Key == w.Delete })
+		if !slices.Contains(x.Txn.Compare, wire.Compare{Key: w.Delete, Revision: page.Items[i].Revision}) || i > 5 {
 			t.Errorf("%s moves without a condition, or too soon", w.Delete)
 		}
 	}
-	if deletes != 6 || len(x.Txn.Then) != 7 || !slices.Contains(x.Txn.If, wire.Cond{Key: keyLeader, Mark: 11}) ||
-		!slices.Contains(x.Txn.If, wire.Cond{Key: archive.Key(archive.Top)}) {
+	if deletes != 6 || len(x.Txn.Then) != 7 || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyLeader, Revision: 11}) ||
+		!slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.Key(archive.Top)}) {
 		t.Errorf("got %+v", x.Txn)
 	}
 	c.Handle(at+4*time.Second, Committed{ID: x.ID})
@@ -358,7 +358,7 @@
 		c.Advance(at)
 		for p := range loadFast {
 			at += 100 * time.Millisecond
-			c.Handle(at, Loaded{OK: true, Status: 200, Ledger: 9, More: true, Items: []wire.Item{{Key: fmt.Sprintf("%swk-%d", keyJob, p), Value: json.RawMessage(`{"st":"d"}`), Mark: 5}}})
+			c.Handle(at, Loaded{OK: true, Status: 200, Ledger: 9, More: true, Items: []wire.KeyValue{{Key: fmt.Sprintf("%swk-%d", keyJob, p), Value: json.RawMessage(`{"st":"d"}`), Revision: 5}}})
 			if p < loadFast-1 && len(outputs[Load](c.Advance(at))) != 1 {
 				t.Fatal("a short history is not read at once")
 			}
@@ -382,7 +382,7 @@
 	stream(c, 1100*time.Millisecond, 10, event(keyJob+"wk-7", `{"st":5}`, 10))
 	c.Handle(1200*time.Millisecond, Poll{Req: 1, ID: "wk-7"})
 	c.Advance(1200 * time.Millisecond)
-	out := gives(t, c, 1400*time.Millisecond, barrier(c, 1300*time.Millisecond), Scanned{Status: 200, Ledger: 10, Items: []wire.Item{{Key: keyJob + "wk-7", Value: json.RawMessage(`{"st":5}`), Mark: 10}}})
+	out := gives(t, c, 1400*time.Millisecond, barrier(c, 1300*time.Millisecond), Scanned{Status: 200, Ledger: 10, Items: []wire.KeyValue{{Key: keyJob + "wk-7", Value: json.RawMessage(`{"st":5}`), Revision: 10}}})
 	if r := outputs[Reply](out); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfter == 0 {
 		t.Errorf("got %+v", r)
 	}
@@ -425,9 +425,9 @@
 			replies = append(replies, outputs[Reply](out)...)
 			for _, s := range outputs[Scan](out) {
 				in := Scanned{ID: s.ID, Status: 404, Ledger: 9}
-				for _, e := range []wire.Event{old, fresh} {
+				for _, e := range []wire.WatchEvent{old, fresh} {
 					if e.Put == s.Key {
-						in.Status, in.Items = 200, []wire.Item{{Key: e.Put, Value: e.Value, Mark: e.Mark}}
+						in.Status, in.Items = 200, []wire.KeyValue{{Key: e.Put, Value: e.Value, Revision: e.Revision}}
 					}
 				}
 				c.Handle(now, in)
@@ -436,9 +436,9 @@
 				if x.Hold {
 					continue
 				}
-				in := Changed{Status: 200, Changes: wire.Changes{Ledger: 6}}
+				in := Changed{Status: 200, Changes: wire.WatchResponse{Revision: 6}}
 				if shown > 0 {
-					in.Changes = wire.Changes{Ledger: shown, Log: []wire.Event{fresh}}
+					in.Changes = wire.WatchResponse{Revision: shown, Events: []wire.WatchEvent{fresh}}
 				}
 				c.Handle(now, in)
 				shown = 9 // wk-000002 is accepted and cancelled between the read of changes and that of its record
--- a/core/lanes.go
+++ b/core/lanes.go
@@ -126,8 +126,8 @@
 		c.note("error", "the list of lanes does not fit a value", "bytes", len(raw))
 		return
 	}
-	c.commit(wire.Txn{If: []wire.Cond{{Key: keyLanes}}, Then: []wire.Write{{Put: keyLanes, Value: raw}}},
-		&txn{done: func(int, wire.TxnReply) { c.afterBarrier(func(bool) {}) }})
+	c.commit(wire.Txn{Compare: []wire.Compare{{Key: keyLanes}}, Then: []wire.Write{{Put: keyLanes, Value: raw}}},
+		&txn{done: func(int, wire.TxnResponse) { c.afterBarrier(func(bool) {}) }})
 }
 
 // changeLanes puts another list in force, for somebody who may. Jobs keep the lane that they were accepted into, if it is still there.
@@ -151,14 +151,14 @@
 			c.reply(in.Req, 400, wire.Error{Error: "lanes: too long to be stored"})
 			return
 		}
-		t := wire.Txn{If: append(c.onRights(in.By), wire.Cond{Key: keyLanes, Mark: c.priority.revision}), Then: []wire.Write{{Put: keyLanes, Value: raw}}}
-		c.commit(t, &txn{done: func(status int, r wire.TxnReply) {
+		t := wire.Txn{Compare: append(c.onRights(in.By), wire.Compare{Key: keyLanes, Revision: c.priority.revision}), Then: []wire.Write{{Put: keyLanes, Value: raw}}}
+		c.commit(t, &txn{done: func(status int, r wire.TxnResponse) {
 			c.afterBarrier(func(bool) {}) // every controller sees it there
 			if status != 200 {
 				c.refuse(in.Req, "not changed, or not known whether: ask again")
 				return
 			}
-			c.reply(in.Req, 200, wire.Queue{Version: r.Ledger, Lanes: in.Text})
+			c.reply(in.Req, 200, wire.JobQueue{Version: r.Revision, PriorityClasses: in.Text})
 		}})
 	}))
 }
@@ -211,7 +211,7 @@
 		var first *job
 		for _, j := range c.open { // also those that were looked at and found no room: who came last must not have what is theirs
 			if j.placement.hasUnplacedTasks && !j.write.inFlight && !j.write.outcomeUnknown && c.mine(j) && j.rec.Spec != nil && c.ownLane(j.rec) > lane && c.now >= j.placement.backoffUntil &&
-				c.teamOf(j.rec.Spec).hasRoom(j.rec.Spec.Claim) {
+				c.teamOf(j.rec.Spec).hasRoom(j.rec.Spec.Request) {
 				if j.queue.rank = c.rankOf(j); first == nil || j.queue.rank.compare(first.queue.rank) < 0 {
 					first = j
 				}
@@ -255,7 +255,7 @@
 				c.refuse(in.Req, err.Error())
 				return
 			}
-			c.reply(in.Req, 200, wire.Queue{Version: c.priority.revision, Lanes: string(text)})
+			c.reply(in.Req, 200, wire.JobQueue{Version: c.priority.revision, PriorityClasses: string(text)})
 			return
 		}
 		list := c.queue()
@@ -265,18 +265,18 @@
 				c.reply(in.Req, 404, wire.Error{Error: in.ID + " does not wait: it runs, is over or never was"})
 				return
 			}
-			c.reply(in.Req, 200, wire.Queue{Jobs: []wire.QueuedJob{c.queued(list, i, &[]noRoom{})}, All: len(list)})
+			c.reply(in.Req, 200, wire.JobQueue{Jobs: []wire.QueuedJob{c.queued(list, i, &[]noRoom{})}, Total: len(list)})
 			return
 		}
-		out, know := wire.Queue{All: len(list), Version: c.priority.revision}, []noRoom{}
+		out, know := wire.JobQueue{Total: len(list), Version: c.priority.revision}, []noRoom{}
 		for i := max(0, in.After); i < len(list) && len(out.Jobs) < min(max(1, in.Most), queuePage); i++ {
 			if c.mayRead(in.By, list[i]) {
 				out.Jobs = append(out.Jobs, c.queued(list, i, &know))
 			}
-			out.Next = i + 1
+			out.NextOffset = i + 1
 		}
-		if out.Next >= len(list) {
-			out.Next = 0
+		if out.NextOffset >= len(list) {
+			out.NextOffset = 0
 		}
 		c.reply(in.Req, 200, out)
 	})
@@ -307,39 +307,39 @@
 	j := list[i]
 	s := j.rec.Spec
 	own, by := c.ownLane(j.rec), c.laneOf(j)
-	q := wire.QueuedJob{ID: j.id, Number: i + 1, Lane: c.priority.classes.Name(own), Class: s.Class, Team: s.Team, Tasks: s.Tasks, Done: j.rec.Done.Count(),
+	q := wire.QueuedJob{ID: j.id, Position: i + 1, PriorityClass: c.priority.classes.Name(own), Class: s.Class, Team: s.Team, Tasks: s.Tasks, Done: j.rec.Done.Count(),
 		Assigned: len(j.place), WaitedS: max(0, (c.unixMS()-j.rec.AtMS)/1000)}
 	if by != own {
-		q.OrderedAs = c.priority.classes.Name(by)
+		q.EffectivePriorityClass = c.priority.classes.Name(by)
 	}
 	switch {
 	case j.waits > 0:
-		q.For, q.Why = "jobs", "it waits for other jobs to be done"
+		q.WaitingFor, q.Explanation = "jobs", "it waits for other jobs to be done"
 	case failing(j.rec, c.unixMS()):
-		q.For, q.Why = "errors", whyFailing(j.rec, c.unixMS())
+		q.WaitingFor, q.Explanation = "errors", whyFailing(j.rec, c.unixMS())
 	case c.now < j.placement.backoffUntil:
-		q.For, q.Why = "errors", "its tasks failed several times in a row; it is tried again in a moment"
-	case !c.teamOf(s).hasRoom(s.Claim):
-		q.For, q.Why = "limit", "its team "+s.Team+" uses all that it may; it begins when other work of the team ends"
+		q.WaitingFor, q.Explanation = "errors", "its tasks failed several times in a row; it is tried again in a moment"
+	case !c.teamOf(s).hasRoom(s.Request):
+		q.WaitingFor, q.Explanation = "limit", "its team "+s.Team+" uses all that it may; it begins when other work of the team ends"
 	case !c.anyRoom(s, know):
-		q.For, q.Why = "room", "no machine has room for one of its tasks; machines are rented if there are any to be had, and those before it in the queue come first"
+		q.WaitingFor, q.Explanation = "room", "no machine has room for one of its tasks; machines are rented if there are any to be had, and those before it in the queue come first"
 	default:
-		q.For, q.Why = "changes", "there is room; it begins when its turn to be written comes"
+		q.WaitingFor, q.Explanation = "changes", "there is room; it begins when its turn to be written comes"
 	}
 	return q
 }
 
 // anyRoom reports whether a task could be placed somewhere, by the array.
-func (c *Core) anyRoom(s *wire.Spec, know *[]noRoom) bool {
-	if slices.ContainsFunc(*know, func(x noRoom) bool { return x.spot == s.Spot && ccs.Vec(s.Claim).Fits(x.claim) }) {
+func (c *Core) anyRoom(s *wire.JobSpec, know *[]noRoom) bool {
+	if slices.ContainsFunc(*know, func(x noRoom) bool { return x.spot == s.Spot && ccs.Vec(s.Request).Fits(x.claim) }) {
 		return false
 	}
 	any := slices.ContainsFunc(c.alive, func(m *machine) bool {
 		r := c.clusterCopy.state.Row(m.idx)
-		return r != nil && r.Offered && r.Has(s.Claim, s.Spot) && c.usable(m) && c.allowed(s, m)
+		return r != nil && r.Offered && r.Has(s.Request, s.Spot) && c.usable(m) && c.allowed(s, m)
 	})
-	if !any && s.Types == nil && s.Zone == "" {
-		*know = append(*know, noRoom{claim: s.Claim, spot: s.Spot})
+	if !any && s.MachineTypes == nil && s.Zone == "" {
+		*know = append(*know, noRoom{claim: s.Request, spot: s.Spot})
 	}
 	return any
 }
--- a/core/lead.go
+++ b/core/lead.go
@@ -29,7 +29,7 @@
 }
 
 type rental struct {
-	req   wire.RentRequest
+	req   wire.ScaleOutRequest
 	busy  bool
 	sent  bool // it may have been executed: only the same name may be asked again
 	again time.Duration
@@ -127,8 +127,8 @@
 		return
 	}
 	c.autoscaler.storeInFlight = true
-	t := wire.Txn{If: []wire.Cond{{Key: keyTypes, Mark: c.autoscaler.storedRevision}}, Then: []wire.Write{{Put: keyTypes, Value: raw}}}
-	c.commit(t, &txn{done: func(int, wire.TxnReply) { c.autoscaler.storeInFlight = false }})
+	t := wire.Txn{Compare: []wire.Compare{{Key: keyTypes, Revision: c.autoscaler.storedRevision}}, Then: []wire.Write{{Put: keyTypes, Value: raw}}}
+	c.commit(t, &txn{done: func(int, wire.TxnResponse) { c.autoscaler.storeInFlight = false }})
 }
 
 func (c *Core) leadStep() {
@@ -196,7 +196,7 @@
 			continue // ended, only the write of it is not seen yet
 		}
 		if s := c.jobs[k.job].rec.Spec; s != nil {
-			occ = occ.Add(s.Claim, 1)
+			occ = occ.Add(s.Request, 1)
 		}
 	}
 	known := true
@@ -208,7 +208,7 @@
 			continue
 		}
 		if r := c.jobs[k.job].rec; r != nil && r.Spec != nil {
-			occ = occ.Add(r.Spec.Claim, 1)
+			occ = occ.Add(r.Spec.Request, 1)
 		} else {
 			known = false // its job's record may come, without a change here
 		}
@@ -226,7 +226,7 @@
 	seen := make([]account.Seen, 0, len(m.allocation.assignments))
 	for k, a := range m.allocation.assignments {
 		if s := c.jobs[k.job].rec.Spec; s != nil {
-			seen = append(seen, account.Seen{Key: taskHash(c.jobs[k.job].id, k.task, a.Try), Claim: s.Claim})
+			seen = append(seen, account.Seen{Key: taskHash(c.jobs[k.job].id, k.task, a.Try), Claim: s.Request})
 		}
 	}
 	for k, p := range m.status.tasks {
@@ -234,10 +234,10 @@
 			continue
 		}
 		if r := c.jobs[k.job].rec; r != nil && r.Spec != nil {
-			seen = append(seen, account.Seen{Key: taskHash(c.jobs[k.job].id, k.task, k.try), Claim: r.Spec.Claim})
+			seen = append(seen, account.Seen{Key: taskHash(c.jobs[k.job].id, k.task, k.try), Claim: r.Spec.Request})
 		}
 	}
-	c.lead.array.Seed(m.idx, t.Room(), m.lead.account.Taken(c.now, seen), c.offered(m))
+	c.lead.array.Seed(m.idx, t.Capacity(), m.lead.account.Taken(c.now, seen), c.offered(m))
 	m.lead.counted = max(1, c.now)
 	return true
 }
@@ -507,7 +507,7 @@
 		if s.Service {
 			return false
 		}
-		late = late || j.dueMS != 0 && c.unixMS()+wait.Milliseconds()+s.EstimateMS > j.dueMS
+		late = late || j.dueMS != 0 && c.unixMS()+wait.Milliseconds()+s.EstimatedRuntimeMS > j.dueMS
 	}
 	return late
 }
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 // A packed value that was damaged is an error, never a crash.
 func TestDamagedPackedRecord(t *testing.T) {
 	r := &Record{Place: []Placed{{Zone: "a", Session: 3, Prefix: "m-", Names: []string{"001", "017"}, Runs: []int{1, 2}, Tasks: []uint64{0, 5, 2, 7, 9, 1, 8, 1, 1}}},
-		Done: Ranges{2, 3}, Spec: &wire.Spec{Tasks: 10, Awaits: []string{"wk-1", "wk-12"}}}
+		Done: Ranges{2, 3}, Spec: &wire.JobSpec{Tasks: 10, Dependencies: []string{"wk-1", "wk-12"}}}
 	want := *r
 	wantSpec := *r.Spec
 	if err := r.packAll(); err != nil {
@@ -37,7 +37,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				raw, err := json.Marshal(Record{Packed: packed, Spec: &wire.Spec{Tasks: 10}})
+				raw, err := json.Marshal(Record{Packed: packed, Spec: &wire.JobSpec{Tasks: 10}})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -126,7 +126,7 @@
 // A snapshot's jobs keep their order, before all that come after it, also when it is restored again and again.
 func TestRestoredKeepsItsPlace(t *testing.T) {
 	raw := func(r Record) json.RawMessage {
-		r.Spec = &wire.Spec{Tasks: 1}
+		r.Spec = &wire.JobSpec{Tasks: 1}
 		out, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
--- a/core/ledger/pack.go
+++ b/core/ledger/pack.go
@@ -29,9 +29,9 @@
 	p.ranges(r.Done)
 	r.Place, r.Done = nil, nil
 	if r.Spec != nil {
-		p.names(r.Spec.Awaits)
+		p.names(r.Spec.Dependencies)
 		s := *r.Spec
-		s.Awaits = nil
+		s.Dependencies = nil
 		r.Spec = &s
 	}
 	var err error
@@ -52,7 +52,7 @@
 	}
 	r.Done = u.ranges()
 	if r.Spec != nil {
-		r.Spec.Awaits = u.names()
+		r.Spec.Dependencies = u.names()
 	}
 	if u.bad || len(u.b) > 0 {
 		return errPacked
@@ -163,7 +163,7 @@
 // num is a number of things that follow, each a byte at least, or a small number.
 func (u *unpacker) num() int {
 	v := u.uint()
-	if v > wire.MaxTasks {
+	if v > wire.MaxTasksPerJob {
 		u.bad, u.b = true, nil
 		return 0
 	}
@@ -246,7 +246,7 @@
 	last := uint64(0)
 	for n := u.num(); n > 0 && !u.bad; n-- {
 		last = u.diff(last)
-		if last > wire.MaxTasks {
+		if last > wire.MaxTasksPerJob {
 			u.bad = true
 			return nil
 		}
--- a/core/ledger/record.go
+++ b/core/ledger/record.go
@@ -27,7 +27,7 @@
 type Record struct {
 	Shard    int             `json:"h"`
 	Stage    string          `json:"st,omitempty"`
-	Spec     *wire.Spec      `json:"s,omitempty"` // absent once the job is over
+	Spec     *wire.JobSpec   `json:"s,omitempty"` // absent once the job is over
 	Place    []Placed        `json:"a,omitempty"`
 	Done     Ranges          `json:"d,omitempty"`
 	Tries    uint64          `json:"t,omitempty"`  // highest attempt given out
@@ -66,7 +66,7 @@
 	}
 	for i, name := range p.Names {
 		for k := 0; k < p.Runs[i]; k++ {
-			if at+3 > len(p.Tasks) || p.Tasks[at] >= wire.MaxTasks || p.Tasks[at+2] > wire.MaxTasks-p.Tasks[at] {
+			if at+3 > len(p.Tasks) || p.Tasks[at] >= wire.MaxTasksPerJob || p.Tasks[at+2] > wire.MaxTasksPerJob-p.Tasks[at] {
 				return false
 			}
 			f(p.Prefix+name, p.Tasks[at], p.Tasks[at+1], p.Tasks[at+2])
--- a/core/mistaken_test.go
+++ b/core/mistaken_test.go
@@ -23,7 +23,7 @@
 		"with machines gone":      {"a error b gone b error c gone c gone c error d gone", true, true},
 		"one of it has completed": {"a error b error done c error d error", false, false},
 	} {
-		r := &ledger.Record{Spec: &wire.Spec{Tasks: 9}}
+		r := &ledger.Record{Spec: &wire.JobSpec{Tasks: 9}}
 		f := strings.Fields(x.why)
 		for i := 0; i < len(f); i++ {
 			if f[i] == "done" {
@@ -50,7 +50,7 @@
 		m := c.machine(fmt.Sprint("m-", i))
 		for k := range 3 {
 			j := c.job(fmt.Sprint("wk-", kind, k))
-			j.rec = &ledger.Record{Spec: &wire.Spec{Tasks: 9}}
+			j.rec = &ledger.Record{Spec: &wire.JobSpec{Tasks: 9}}
 			switch kind {
 			case "mistaken":
 				for n := range 3 {
--- a/core/orders.go
+++ b/core/orders.go
@@ -65,7 +65,7 @@
 func (c *Core) orderMachine(m *machine) (open bool) {
 	type due struct {
 		attKey
-		order wire.Order
+		order wire.Command
 	}
 	var list []due
 	var keys, clears []attKey
@@ -75,9 +75,9 @@
 			return
 		}
 		a.sent, a.everSent = c.now, true
-		o := wire.Order{Op: op, Piece: wire.TaskName(c.jobs[k.job].id, int(k.task)), Try: k.try}
+		o := wire.Command{Op: op, Task: wire.TaskName(c.jobs[k.job].id, int(k.task)), Attempt: k.try}
 		if op == wire.OpStop {
-			o.GraceS = &grace
+			o.GracePeriodS = &grace
 		}
 		if op == wire.OpStart {
 			a.inFlight = true
@@ -104,7 +104,7 @@
 			c.again(m, k)
 			add(wire.OpStop, k, 0)
 		default:
-			if a := m.commands.attempts[k]; a != nil && a.stop != "" && p.state != wire.TaskSaving {
+			if a := m.commands.attempts[k]; a != nil && a.stop != "" && p.state != wire.TaskCheckpointing {
 				open = true
 				add(wire.OpStop, k, a.grace)
 			}
@@ -138,7 +138,7 @@
 	}
 	if len(list) > 0 || m.commands.nextClearAt != 0 && c.now >= m.commands.nextClearAt || len(clears) > clearMost {
 		for _, k := range clears {
-			add(wire.OpForget, k, 0)
+			add(wire.OpClear, k, 0)
 		}
 	}
 	for k, a := range m.commands.attempts { // what is neither recorded nor reported is over
@@ -156,9 +156,9 @@
 		return open
 	}
 	slices.SortFunc(list, func(x, y due) int { return x.compare(y.attKey) })
-	body := wire.OrdersBody{Token: c.leadership.fencingToken, Session: m.status.incarnation}
+	body := wire.CommandBatch{FencingToken: c.leadership.fencingToken, Incarnation: m.status.incarnation}
 	for _, d := range list {
-		body.Orders = append(body.Orders, d.order)
+		body.Commands = append(body.Commands, d.order)
 	}
 	id := c.id()
 	m.commands.requestID, m.commands.requestToken, m.commands.requestAttempts = id, c.leadership.fencingToken, keys
@@ -259,7 +259,7 @@
 	case 200:
 	case 409:
 		m.commands.nextSendAt = c.now + 300*time.Millisecond
-		if in.Report != nil && in.Report.Token > c.leadership.fencingToken {
+		if in.Report != nil && in.Report.FencingToken > c.leadership.fencingToken {
 			c.afterBarrier(func(bool) {})
 		}
 	default:
@@ -268,11 +268,11 @@
 }
 
 // stopTask has a task stopped, with time to save if it can.
-func (c *Core) stopTask(m *machine, k attKey, s *wire.Spec, why string) {
+func (c *Core) stopTask(m *machine, k attKey, s *wire.JobSpec, why string) {
 	a := c.attempt(m, k)
 	a.stop = why
-	if s.Saves {
-		a.grace = float64(s.SaveMS)/1000 + 1
+	if s.CanCheckpoint {
+		a.grace = float64(s.CheckpointTimeMS)/1000 + 1
 	}
 	c.again(m, k)
 	c.touchMachine(m)
@@ -299,16 +299,16 @@
 			k := attKey{t.job, t.Task, t.Try}
 			a := c.attempt(m, k)
 			p, there := m.status.tasks[k]
-			if a.stop != "" || !there || p.state == wire.TaskExited || p.state == wire.TaskSaving {
+			if a.stop != "" || !there || p.state == wire.TaskExited || p.state == wire.TaskCheckpointing {
 				continue
 			}
 			notice := m.lifecycle.interruptionDeadline - c.now
-			left := time.Duration(s.EstimateMS) * time.Millisecond
-			save := time.Duration(s.SaveMS) * time.Millisecond
+			left := time.Duration(s.EstimatedRuntimeMS) * time.Millisecond
+			save := time.Duration(s.CheckpointTimeMS) * time.Millisecond
 			if p.state == wire.TaskRunning {
 				left -= c.now - p.since
 			}
-			if !s.Service && left < notice || s.Saves && !s.Service && notice > save+4*time.Second {
+			if !s.Service && left < notice || s.CanCheckpoint && !s.Service && notice > save+4*time.Second {
 				continue
 			}
 			c.stopTask(m, k, s, "spot notice")
--- a/core/own.go
+++ b/core/own.go
@@ -111,8 +111,8 @@
 	var t wire.Txn
 	ops := 0
 	if !have || node.Lease != c.ownLease.id {
-		t.If = append(t.If, wire.Cond{Key: keyNode + c.cfg.Name, Mark: node.mark})
-		t.Then = append(t.Then, wire.Write{Put: keyNode + c.cfg.Name, Value: c.heldValue(0), Lease: c.ownLease.id})
+		t.Compare = append(t.Compare, wire.Compare{Key: keyNode + c.cfg.Name, Revision: node.mark})
+		t.Then = append(t.Then, wire.Write{Put: keyNode + c.cfg.Name, Value: c.heldValue(0), LeaseID: c.ownLease.id})
 		ops++
 	}
 	// Everyone has a moment to show itself, so that the shards spread at a common start.
@@ -159,21 +159,21 @@
 	told := func(int) {}
 	if len(claims) > 0 || lead {
 		token := c.leadership.fencingToken + 1
-		t.If = append(t.If, wire.Cond{Key: keyEpoch, Mark: c.leadership.fencingTokenRevision})
+		t.Compare = append(t.Compare, wire.Compare{Key: keyEpoch, Revision: c.leadership.fencingTokenRevision})
 		t.Then = append(t.Then, wire.Write{Put: keyEpoch, Value: json.RawMessage(fmt.Sprint(token))})
 		for _, i := range claims {
-			t.If = append(t.If, wire.Cond{Key: shardKey(i), Mark: c.ownership.shards[i].mark})
-			t.Then = append(t.Then, wire.Write{Put: shardKey(i), Value: c.heldValue(token), Lease: c.ownLease.id})
+			t.Compare = append(t.Compare, wire.Compare{Key: shardKey(i), Revision: c.ownership.shards[i].mark})
+			t.Then = append(t.Then, wire.Write{Put: shardKey(i), Value: c.heldValue(token), LeaseID: c.ownLease.id})
 		}
 		if lead {
-			t.If = append(t.If, wire.Cond{Key: keyLeader, Mark: c.leadership.leader.mark})
-			t.Then = append(t.Then, wire.Write{Put: keyLeader, Value: c.heldValue(token), Lease: c.ownLease.id})
+			t.Compare = append(t.Compare, wire.Compare{Key: keyLeader, Revision: c.leadership.leader.mark})
+			t.Then = append(t.Then, wire.Write{Put: keyLeader, Value: c.heldValue(token), LeaseID: c.ownLease.id})
 		}
 		told = c.carryBeside(&t, "take/"+c.cfg.Name, recorder.Act{Verb: recorder.Take, Object: taken(claims, lead), Why: fmt.Sprintf("token %d", token)})
 	} else if ops == 0 && (count > fair || uneven) && c.now >= c.ownership.nextHandoverAt {
 		c.ownership.nextHandoverAt = c.now + 1500*time.Millisecond
 		if i := c.surplus(); i >= 0 {
-			t.If = append(t.If, wire.Cond{Key: shardKey(i), Mark: c.ownership.shards[i].mark})
+			t.Compare = append(t.Compare, wire.Compare{Key: shardKey(i), Revision: c.ownership.shards[i].mark})
 			t.Then = append(t.Then, wire.Write{Delete: shardKey(i)})
 		}
 	}
@@ -182,7 +182,7 @@
 	}
 	c.ownership.claimInFlight = true
 	c.ownership.nextClaimAt = c.now + 100*time.Millisecond
-	c.commit(t, &txn{done: func(status int, _ wire.TxnReply) {
+	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
 		c.ownership.claimInFlight = false
 		told(status)
 		if status != 200 {
@@ -259,9 +259,9 @@
 	}
 	c.leadership.raiseInFlight = true
 	c.leadership.nextRaiseAt = c.now + 5*time.Second
-	t := wire.Txn{If: []wire.Cond{{Key: keyEpoch, Mark: c.leadership.fencingTokenRevision}},
+	t := wire.Txn{Compare: []wire.Compare{{Key: keyEpoch, Revision: c.leadership.fencingTokenRevision}},
 		Then: []wire.Write{{Put: keyEpoch, Value: json.RawMessage(fmt.Sprint(c.leadership.fencingToken + 1))}}}
-	c.commit(t, &txn{done: func(status int, _ wire.TxnReply) {
+	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
 		c.leadership.raiseInFlight = false
 		c.afterBarrier(func(bool) {})
 	}})
--- a/core/peers.go
+++ b/core/peers.go
@@ -32,8 +32,8 @@
 func (c *Core) waitingHere() (out []Waiting) {
 	first := make([]*job, c.priority.classes.Len())
 	for _, j := range c.open {
-		if !j.placement.hasUnplacedTasks || j.write.inFlight || !c.mine(j) || j.rec.Spec == nil || j.rec.Spec.Types != nil || j.rec.Spec.Zone != "" || c.now < j.placement.backoffUntil ||
-			c.unixMS()-j.turn() < c.cfg.GiveWay.Milliseconds() || !c.teamOf(j.rec.Spec).hasRoom(j.rec.Spec.Claim) {
+		if !j.placement.hasUnplacedTasks || j.write.inFlight || !c.mine(j) || j.rec.Spec == nil || j.rec.Spec.MachineTypes != nil || j.rec.Spec.Zone != "" || c.now < j.placement.backoffUntil ||
+			c.unixMS()-j.turn() < c.cfg.GiveWay.Milliseconds() || !c.teamOf(j.rec.Spec).hasRoom(j.rec.Spec.Request) {
 			continue
 		}
 		if at := &first[c.risen(j)]; *at == nil || j.turn() < (*at).turn() {
@@ -51,7 +51,7 @@
 // othersFirst reports whether work that a new job must not pass waits for the same room here. Its tasks are then placed in the order of work,
 // a moment after it was accepted: when they were placed with its acceptance, which comes before all placements, new jobs passed those that
 // had waited longest.
-func (c *Core) othersFirst(s *wire.Spec) bool {
+func (c *Core) othersFirst(s *wire.JobSpec) bool {
 	return len(c.priority.firstWaiting) > 0 && c.priority.firstWaiting[0].Priority <= c.priority.classes.Of(s) && (c.priority.firstWaiting[0].Spot || !s.Spot)
 }
 
@@ -256,7 +256,7 @@
 
 // sendWanted sends a controller the reports that it lacks, unless they went out meanwhile.
 func (c *Core) sendWanted(peer string, names []string) {
-	var rs []*wire.Report
+	var rs []*wire.Heartbeat
 	for _, n := range names {
 		if i, ok := c.machineIdx[n]; ok && c.machines[i].status.reported && !c.machines[i].lifecycle.gone {
 			rs = append(rs, c.reportOf(c.machines[i]))
--- a/core/place.go
+++ b/core/place.go
@@ -21,7 +21,7 @@
 	teams []*team
 	slots map[int]*shared.Draft // that it writes
 	keyed map[int]bool          // and those on whose marks writes of jobs' own keys depend
-	done  func(status int, r wire.TxnReply)
+	done  func(status int, r wire.TxnResponse)
 	txn   wire.Txn
 }
 
@@ -29,7 +29,7 @@
 type proposal struct {
 	j       *job
 	rec     *ledger.Record
-	spec    *wire.Spec // also there when the record is final
+	spec    *wire.JobSpec // also there when the record is final
 	place   []ledger.Asg
 	started []ledger.Asg
 	ended   []ledger.Asg
@@ -44,7 +44,7 @@
 	acts    []recorder.Act // to be recorded
 	asked   int            // how many of them, the first, are cancellations that users asked for
 	ids     []uint64       // of their entries
-	conds   []wire.Cond    // under which a new job can't have been archived, and its user still may
+	conds   []wire.Compare // under which a new job can't have been archived, and its user still may
 }
 
 // commit sends a transaction and pays for it.
@@ -81,11 +81,11 @@
 		c.hist.index.Overtaken(key)
 	}
 	behind := in.Status != 200 && in.Status != 429 && in.Status != 503
-	locked := c.released(x, in.Status, in.Reply.Ledger)
+	locked := c.released(x, in.Status, in.Reply.Revision)
 	for _, t := range x.teams {
 		t.locked = behind // a team's state must be read before it is used again
 		if in.Status == 200 {
-			t.mark = max(t.mark, in.Reply.Ledger)
+			t.mark = max(t.mark, in.Reply.Revision)
 		}
 	}
 	if x.done != nil {
@@ -109,11 +109,11 @@
 			}
 			switch {
 			case p.shared:
-				if c.slot(p.slot).Mark == in.Reply.Ledger && j.rec.V == p.rec.V && !j.final() {
+				if c.slot(p.slot).Mark == in.Reply.Revision && j.rec.V == p.rec.V && !j.final() {
 					c.adopt(j, p.rec, p.place, j.mark, j.stored.bytes)
 				}
-			case in.Reply.Ledger > j.mark:
-				c.adopt(j, p.rec, p.place, in.Reply.Ledger, p.size)
+			case in.Reply.Revision > j.mark:
+				c.adopt(j, p.rec, p.place, in.Reply.Revision, p.size)
 			}
 			if p.accept {
 				c.settleAccept(j, 201, "")
@@ -122,7 +122,7 @@
 			continue
 		}
 		for _, a := range p.started {
-			c.delta(false, j, a, p.spec.Claim)
+			c.delta(false, j, a, p.spec.Request)
 		}
 		c.touch(j)
 		if j.accept != nil {
@@ -197,7 +197,7 @@
 	t := c.attempt(c.machines[a.Machine], attKey{j.idx, a.Task, a.Try})
 	if !t.freed && c.mine(j) && j.rec != nil && j.rec.Spec != nil {
 		t.freed = true
-		c.delta(false, j, a, j.rec.Spec.Claim)
+		c.delta(false, j, a, j.rec.Spec.Request)
 	}
 }
 
@@ -448,7 +448,7 @@
 	if len(p.acts) > 0 {
 		p.conds = append(p.conds, c.unrecorded()...)
 	}
-	if len(b.props) > 0 && len(b.t.If)+len(b.slots)+len(p.conds)+condsOfJob > 4*c.cfg.TxnOps {
+	if len(b.props) > 0 && len(b.t.Compare)+len(b.slots)+len(p.conds)+condsOfJob > 4*c.cfg.TxnOps {
 		c.undo(p)
 		return false
 	}
@@ -496,7 +496,7 @@
 	}
 	b.onShard(p)
 	if n := slot; n >= 0 && c.form() >= formShared {
-		b.need(wire.Cond{Key: slotKey(n), Mark: c.slot(n).Mark})
+		b.need(wire.Compare{Key: slotKey(n), Revision: c.slot(n).Mark})
 		switch {
 		case !c.mine(j): // its holder may be about to write the slot, and must not without knowing of this
 			b.drop(n, j.id)
@@ -507,13 +507,13 @@
 			b.keyed[n] = true
 		}
 	}
-	b.t.If = append(b.t.If, wire.Cond{Key: keyJob + j.id, Mark: j.mark})
+	b.t.Compare = append(b.t.Compare, wire.Compare{Key: keyJob + j.id, Revision: j.mark})
 	for _, k := range p.conds {
 		b.need(k)
 	}
 	b.t.Then = append(b.t.Then, wire.Write{Put: keyJob + j.id, Value: raw})
 	if j.stored.bytes > c.cfg.ValueBytes || j.cancellation.markerRevision != 0 {
-		b.t.If = append(b.t.If, wire.Cond{Key: keyCancel + j.id, Mark: j.cancellation.markerRevision})
+		b.t.Compare = append(b.t.Compare, wire.Compare{Key: keyCancel + j.id, Revision: j.cancellation.markerRevision})
 	}
 	if j.cancellation.markerRevision != 0 && p.rec.Spec == nil {
 		b.t.Then = append(b.t.Then, wire.Write{Delete: keyCancel + j.id})
@@ -545,7 +545,7 @@
 		b.shard = map[int]bool{}
 	}
 	b.shard[shard] = true
-	b.t.If = append(b.t.If, wire.Cond{Key: shardKey(shard), Mark: b.c.ownership.shards[shard].mark})
+	b.t.Compare = append(b.t.Compare, wire.Compare{Key: shardKey(shard), Revision: b.c.ownership.shards[shard].mark})
 }
 
 // countStarts counts a proposal's starts against its team's limits, which all who start tasks of the team write.
@@ -556,12 +556,12 @@
 	}
 	if _, ok := b.add[tm]; !ok {
 		b.teams = append(b.teams, tm)
-		b.t.If = append(b.t.If, wire.Cond{Key: keyTeam + tm.Name, Mark: tm.mark})
+		b.t.Compare = append(b.t.Compare, wire.Compare{Key: keyTeam + tm.Name, Revision: tm.mark})
 		b.t.Then = append(b.t.Then, wire.Write{Put: keyTeam + tm.Name, Value: json.RawMessage("1")})
 	}
 	u := b.add[tm]
 	n := int64(len(p.started))
-	b.add[tm] = [2]int64{u[0] + n*p.rec.Spec.Claim[0], u[1] + n*p.rec.Spec.Claim[1]}
+	b.add[tm] = [2]int64{u[0] + n*p.rec.Spec.Request[0], u[1] + n*p.rec.Spec.Request[1]}
 }
 
 // fitValue encodes a proposal's record: readable if there is room to spare, else packed if that
@@ -598,7 +598,7 @@
 func (c *Core) undo(p *proposal) {
 	c.recorder().Unsent(p.ids)
 	for _, a := range p.started {
-		c.clusterCopy.state.Apply(c.now, ccs.Delta{Machine: a.Machine, Claim: p.spec.Claim})
+		c.clusterCopy.state.Apply(c.now, ccs.Delta{Machine: a.Machine, Claim: p.spec.Request})
 	}
 }
 
@@ -619,7 +619,7 @@
 			p.j.accept.sent = len(p.j.accept.reqs)
 		}
 		for _, a := range p.started {
-			b.c.delta(true, p.j, a, p.spec.Claim)
+			b.c.delta(true, p.j, a, p.spec.Request)
 		}
 	}
 	x := &txn{props: b.props, teams: b.teams, slots: b.slots, keyed: b.keyed}
@@ -627,7 +627,7 @@
 	b.c.commit(b.t, x)
 }
 
-func (c *Core) teamOf(s *wire.Spec) *team {
+func (c *Core) teamOf(s *wire.JobSpec) *team {
 	if s == nil {
 		return nil
 	}
@@ -666,7 +666,7 @@
 			p.acts = append(p.acts, recorder.Act{Verb: "cancel", Object: j.id, Why: "needs " + cancelled.id})
 			return p, 0
 		}
-		spec.Awaits = left // what is over needs no keeping
+		spec.Dependencies = left // what is over needs no keeping
 		// Its tasks are placed with the same write if that costs its user no time: a team's key may
 		// be locked, or written by others so often that the write fails.
 		if t := c.teamOf(&spec); t != nil && t.limited() && t.locked && len(left) == 0 && c.mineShard(s) && c.now < j.accept.since+2*lockedAgain {
@@ -753,7 +753,7 @@
 		changed = true
 	case rec.Stage == ledger.Queued && rec.Done.Count() == rec.Spec.Tasks:
 		c.note("debug", "job done", "job", j.id, "class", rec.Spec.Class, "team", rec.Spec.Team, "tasks", rec.Spec.Tasks, "tries", rec.Tries,
-			"estimate_s", rec.Spec.EstimateMS/1000, "took_ms", c.unixMS()-rec.AtMS, "placed_ms", j.placement.lastPlacedMS-rec.AtMS, "why", rec.Why)
+			"estimate_s", rec.Spec.EstimatedRuntimeMS/1000, "took_ms", c.unixMS()-rec.AtMS, "placed_ms", j.placement.lastPlacedMS-rec.AtMS, "why", rec.Why)
 		rec = ledger.Record{Shard: rec.Shard, Stage: ledger.Done, Done: ledger.Ranges{0, rec.Spec.Tasks - 1}, Carried: rec.Carried}
 		c.keepGroup(&rec, p.spec)
 		changed, quick = true, true
@@ -784,7 +784,7 @@
 }
 
 // keepGroup keeps in an ended job's record what its readers' rights depend on.
-func (c *Core) keepGroup(r *ledger.Record, s *wire.Spec) {
+func (c *Core) keepGroup(r *ledger.Record, s *wire.JobSpec) {
 	if c.guarded() {
 		r.Team, r.Class = s.Team, s.Class
 	}
@@ -798,7 +798,7 @@
 		return c.now + lockedAgain
 	}
 	a.looking = true
-	c.findAll(append([]string{j.id}, a.spec.Awaits...), func(ok bool) {
+	c.findAll(append([]string{j.id}, a.spec.Dependencies...), func(ok bool) {
 		if j.accept != a {
 			return
 		}
@@ -822,7 +822,7 @@
 	}
 	t.blamed = true
 	switch cause {
-	case wire.CauseFull, wire.CauseBusy:
+	case wire.CauseNoCapacity, wire.CauseBusy:
 		c.Stats.Refusals++
 		m.health.avoidUntil = c.now + 2*time.Second
 		c.placement.capacityFreed = true
@@ -838,7 +838,7 @@
 		}
 		m.health.failures++
 		m.health.avoidUntil = c.now + time.Duration(min(m.health.failures, 6))*5*time.Second
-	case wire.CauseUnknown:
+	case wire.CauseNoSuchTask:
 		j.placement.backoffUntil = c.now + 2*time.Second
 	}
 }
@@ -849,10 +849,10 @@
 		c.now >= m.health.avoidUntil && c.now-m.status.lastHeartbeatAt < c.cfg.ReportEvery*2 && (m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) && !c.quiet(m.identity.zone, quietForWork)
 }
 
-func (c *Core) allowed(s *wire.Spec, m *machine) bool {
+func (c *Core) allowed(s *wire.JobSpec, m *machine) bool {
 	mt := c.autoscaler.catalog[m.identity.machineType]
 	return mt != nil && c.typeAllowed(s, m.identity.machineType) && (s.Zone == "" || s.Zone == m.identity.zone) && (s.Spot || !m.identity.spot) &&
-		fits(mt.Room(), s.Claim)
+		fits(mt.Capacity(), s.Request)
 }
 
 // noRoom is a claim for which no machine had room, as a job that comes at this place in the order of work found.
@@ -867,10 +867,10 @@
 
 // full reports whether a claim can find no room, as a smaller one of a job before it found none since some became
 // free. Without it, all waiting jobs of a full fleet look at all its machines, several times a second.
-func (c *Core) full(s *wire.Spec, prio int, at int64, held bool) bool {
+func (c *Core) full(s *wire.JobSpec, prio int, at int64, held bool) bool {
 	return slices.ContainsFunc(c.placement.unplaceable, func(x noRoom) bool {
 		switch {
-		case x.spot != s.Spot || !ccs.Vec(s.Claim).Fits(x.claim) || x.held && !held:
+		case x.spot != s.Spot || !ccs.Vec(s.Request).Fits(x.claim) || x.held && !held:
 			return false
 		case x.until == 0:
 			return true
@@ -954,11 +954,11 @@
 			return c.now + lockedAgain
 		}
 		u := b.add[t]
-		if t.CPUMax > 0 && s.Claim[0] > 0 {
-			limit = min(limit, int((t.CPUMax-t.cpu-u[0])/s.Claim[0]))
+		if t.CPUMax > 0 && s.Request[0] > 0 {
+			limit = min(limit, int((t.CPUMax-t.cpu-u[0])/s.Request[0]))
 		}
-		if t.GPUMax > 0 && s.Claim[1] > 0 {
-			limit = min(limit, int((t.GPUMax-t.gpu-u[1])/s.Claim[1]))
+		if t.GPUMax > 0 && s.Request[1] > 0 {
+			limit = min(limit, int((t.GPUMax-t.gpu-u[1])/s.Request[1]))
 		}
 	}
 	prio, at := c.priority.classes.Of(s), p.rec.AtMS
@@ -987,7 +987,7 @@
 		}
 	}
 	others, shun := c.placesOf(prio, at), c.failedOn(p.rec)
-	ask := ccs.Ask{N: int(math.Ceil(c.cfg.ProbeRatio * float64(len(tasks)))), Claim: s.Claim, Fill: c.cfg.RandomFill, Keep: s.Spot,
+	ask := ccs.Ask{N: int(math.Ceil(c.cfg.ProbeRatio * float64(len(tasks)))), Claim: s.Request, Fill: c.cfg.RandomFill, Keep: s.Spot,
 		Allow: func(i int32) bool {
 			m := c.machines[i]
 			return c.usable(m) && c.allowed(s, m) && !slices.Contains(shun, m.name) && (only == "" || m.identity.zone == only) && !(held && c.clusterCopy.state.Row(i).Avail.Fits(c.clusterCopy.capacityHold.Claim))
@@ -1000,7 +1000,7 @@
 		}
 	}
 	ask.Far = func(i int32) int { return c.order(c.machines[i]) }
-	est := time.Duration(s.EstimateMS) * time.Millisecond
+	est := time.Duration(s.EstimatedRuntimeMS) * time.Millisecond
 	ask.Tier = func(i int32) int {
 		m, t := c.machines[i], 0
 		h := c.horizon(m)
@@ -1049,8 +1049,8 @@
 		if at := c.now + early; early > 0 && len(cands) < ask.N && (c.placement.yieldedUntil == 0 || at < c.placement.yieldedUntil) {
 			c.placement.yieldedUntil = at
 		}
-		if len(cands) == 0 && s.Zone == "" && s.Types == nil && only == "" && before == 0 && c.clusterCopy.state.Valid(c.now) {
-			x := noRoom{claim: s.Claim, spot: s.Spot, held: held, prio: prio, at: at}
+		if len(cands) == 0 && s.Zone == "" && s.MachineTypes == nil && only == "" && before == 0 && c.clusterCopy.state.Valid(c.now) {
+			x := noRoom{claim: s.Request, spot: s.Spot, held: held, prio: prio, at: at}
 			if early > 0 {
 				x.until = c.now + early
 			}
@@ -1064,7 +1064,7 @@
 				}
 				m := c.machines[mi]
 				r := c.clusterCopy.state.Row(mi)
-				if r == nil || !r.Has(s.Claim, s.Spot) {
+				if r == nil || !r.Has(s.Request, s.Spot) {
 					if untried[mi] || c.clusterCopy.state.Valid(c.now) && !c.cfg.RandomFill {
 						continue
 					}
@@ -1085,7 +1085,7 @@
 				p.place = append(p.place, a)
 				p.started = append(p.started, a)
 				zones[m.identity.zone]++
-				c.clusterCopy.state.Apply(c.now, ccs.Delta{Start: true, Machine: mi, Claim: s.Claim})
+				c.clusterCopy.state.Apply(c.now, ccs.Delta{Start: true, Machine: mi, Claim: s.Request})
 				progress = true
 			}
 		}
@@ -1125,7 +1125,7 @@
 
 // leftOf is how long an assigned task should still take, by its owner's estimate.
 func (c *Core) leftOf(j *job, m *machine, a ledger.Asg) time.Duration {
-	left := time.Duration(j.rec.Spec.EstimateMS) * time.Millisecond
+	left := time.Duration(j.rec.Spec.EstimatedRuntimeMS) * time.Millisecond
 	switch p := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; p.state {
 	case wire.TaskExited:
 		return 0
@@ -1147,11 +1147,11 @@
 }
 
 // bestZone is the zone whose offered machines have the most room for a job.
-func (c *Core) bestZone(s *wire.Spec) string {
+func (c *Core) bestZone(s *wire.JobSpec) string {
 	room := map[string]int64{}
 	for _, m := range c.alive {
 		if r := c.clusterCopy.state.Row(m.idx); r != nil && r.Offered && c.usable(m) && c.allowed(s, m) {
-			room[m.identity.zone] += capacity(r.Avail, s.Claim)
+			room[m.identity.zone] += capacity(r.Avail, s.Request)
 		}
 	}
 	best := ""
--- a/core/plan.go
+++ b/core/plan.go
@@ -20,7 +20,7 @@
 }
 
 type classStat struct {
-	spec   wire.Spec
+	spec   wire.JobSpec
 	tasks  float64       // mean size of its jobs
 	square float64       // mean square of it
 	gap    time.Duration // mean time between them
@@ -89,7 +89,7 @@
 
 type need struct {
 	job     *job // nil for spare room
-	spec    *wire.Spec
+	spec    *wire.JobSpec
 	n       int
 	zones   map[string]int
 	reserve bool
@@ -121,7 +121,7 @@
 		if m.lifecycle.gone || m.lead.why != "" || m.lead.cut || m.lifecycle.interruptionDeadline > 0 || t == nil || c.faulty(m) {
 			continue
 		}
-		b := &bin{m: m, pool: pool{m.identity.machineType, m.identity.zone, m.identity.spot}, room: t.Room()}
+		b := &bin{m: m, pool: pool{m.identity.machineType, m.identity.zone, m.identity.spot}, room: t.Capacity()}
 		if m.status.reported {
 			b.avail = b.room.Add(c.occupied(m), -1)
 			b.soon = c.soonFree(m)
@@ -143,7 +143,7 @@
 		r := l.rentals[name]
 		if t := c.autoscaler.catalog[r.req.Type]; t != nil {
 			for i := 0; i < r.req.Count; i++ {
-				bins = append(bins, &bin{pool: pool{r.req.Type, r.req.Zone, r.req.Spot}, avail: t.Room(), room: t.Room()})
+				bins = append(bins, &bin{pool: pool{r.req.Type, r.req.Zone, r.req.Spot}, avail: t.Capacity(), room: t.Capacity()})
 			}
 		}
 	}
@@ -157,8 +157,8 @@
 		if now < n.n && !n.reserve {
 			l.unmet++
 		}
-		if now < n.n && !n.reserve && !n.standby && n.spec.Spot && n.spec.Types == nil && n.spec.Zone == "" {
-			l.hold = l.hold.with(n.prio, n.spec.Claim)
+		if now < n.n && !n.reserve && !n.standby && n.spec.Spot && n.spec.MachineTypes == nil && n.spec.Zone == "" {
+			l.hold = l.hold.with(n.prio, n.spec.Request)
 		}
 	}
 	bins = h.bins
@@ -175,7 +175,7 @@
 			more = true
 			l.hires++
 			name := fmt.Sprintf("h-%d-%s-%06d", l.token, c.cfg.Name, l.hires)
-			l.rentals[name] = &rental{req: wire.RentRequest{Name: name, Type: p.typ, Zone: p.zone, Spot: p.spot, Count: n}}
+			l.rentals[name] = &rental{req: wire.ScaleOutRequest{IdempotencyKey: name, Type: p.typ, Zone: p.zone, Spot: p.spot, Count: n}}
 		}
 	}
 	c.planNote(bins, needs)
@@ -287,10 +287,10 @@
 
 // bootTime is how long it takes from a need to the room for it: renting, and the boot of the
 // quickest type.
-func (c *Core) bootTime(s *wire.Spec) time.Duration {
+func (c *Core) bootTime(s *wire.JobSpec) time.Duration {
 	var quickest time.Duration
 	for _, name := range c.autoscaler.typeNames {
-		if t := c.autoscaler.catalog[name]; c.typeAllowed(s, name) && ccs.Vec(t.Room()).Fits(s.Claim) && (quickest == 0 || c.boot(name) < quickest) {
+		if t := c.autoscaler.catalog[name]; c.typeAllowed(s, name) && ccs.Vec(t.Capacity()).Fits(s.Request) && (quickest == 0 || c.boot(name) < quickest) {
 			quickest = c.boot(name)
 		}
 	}
@@ -399,13 +399,13 @@
 		}
 		u := left[t]
 		for k := 0; k < 2; k++ {
-			if n.spec.Claim[k] > 0 && u[k] != math.MaxInt64 {
-				n.n = min(n.n, int(max(0, u[k])/n.spec.Claim[k]))
+			if n.spec.Request[k] > 0 && u[k] != math.MaxInt64 {
+				n.n = min(n.n, int(max(0, u[k])/n.spec.Request[k]))
 			}
 		}
 		for k := 0; k < 2; k++ {
 			if u[k] != math.MaxInt64 {
-				u[k] -= int64(n.n) * n.spec.Claim[k]
+				u[k] -= int64(n.n) * n.spec.Request[k]
 			}
 		}
 		left[t] = u
@@ -421,9 +421,9 @@
 		j := c.jobs[k.job]
 		p := m.status.tasks[attKey{k.job, k.task, a.Try}]
 		if s := j.rec.Spec; s != nil && !s.Service && p.state == wire.TaskRunning {
-			left := time.Duration(s.EstimateMS)*time.Millisecond - (c.now - p.since)
-			if left < times(c.boot(m.identity.machineType), c.cfg.SoonBoots) && left > -time.Duration(s.EstimateMS)*time.Millisecond/4 {
-				v = v.Add(s.Claim, 1)
+			left := time.Duration(s.EstimatedRuntimeMS)*time.Millisecond - (c.now - p.since)
+			if left < times(c.boot(m.identity.machineType), c.cfg.SoonBoots) && left > -time.Duration(s.EstimatedRuntimeMS)*time.Millisecond/4 {
+				v = v.Add(s.Request, 1)
 			}
 		}
 	}
@@ -451,7 +451,7 @@
 func (h *shelf) from(n *need) (first int) {
 	if n.anywhere() {
 		for _, x := range h.full[n.kind()] {
-			if ccs.Vec(n.spec.Claim).Fits(x.claim) {
+			if ccs.Vec(n.spec.Request).Fits(x.claim) {
 				first = max(first, x.bins)
 			}
 		}
@@ -465,8 +465,8 @@
 		return
 	}
 	list := &h.full[n.kind()]
-	*list = slices.DeleteFunc(*list, func(x seen) bool { return x.claim.Fits(n.spec.Claim) })
-	*list = append(*list, seen{n.spec.Claim, len(h.order[n.kind()])})
+	*list = slices.DeleteFunc(*list, func(x seen) bool { return x.claim.Fits(n.spec.Request) })
+	*list = append(*list, seen{n.spec.Request, len(h.order[n.kind()])})
 }
 
 // kind is the order of the shelf that a need looks at.
@@ -480,7 +480,7 @@
 // anywhere reports whether a need takes any machine of its order that has room.
 func (n *need) anywhere() bool {
 	s := n.spec
-	return !s.Spread && s.Types == nil && s.Zone == "" && !n.reserve
+	return !s.Spread && s.MachineTypes == nil && s.Zone == "" && !n.reserve
 }
 
 // newShelf orders bins. Machines that stay longest are filled first, so that the others empty;
@@ -555,14 +555,14 @@
 		return int64(min(n.n, limit-n.zones[zone]))
 	}
 	put := func(b *bin) {
-		k := min(capacity(b.avail, s.Claim), room(b.pool.zone))
+		k := min(capacity(b.avail, s.Request), room(b.pool.zone))
 		if k <= 0 {
 			return
 		}
-		b.avail = b.avail.Add(s.Claim, -k)
+		b.avail = b.avail.Add(s.Request, -k)
 		b.used = true
 		if !s.Spot {
-			b.keep = b.keep.Add(s.Claim, k)
+			b.keep = b.keep.Add(s.Request, k)
 		}
 		n.n -= int(k)
 		n.zones[b.pool.zone] += int(k)
@@ -583,7 +583,7 @@
 				return
 			}
 			c.Stats.PlanLooks++
-			if ccs.Vec(b.avail).Fits(s.Claim) && may(b) && when(b) {
+			if ccs.Vec(b.avail).Fits(s.Request) && may(b) && when(b) {
 				put(b)
 			}
 		}
@@ -606,8 +606,8 @@
 			if b.soon == (ccs.Vec{}) || !may(b) {
 				continue
 			}
-			if k := min(capacity(b.soon, s.Claim), room(b.pool.zone)); k > 0 {
-				b.soon = b.soon.Add(s.Claim, -k)
+			if k := min(capacity(b.soon, s.Request), room(b.pool.zone)); k > 0 {
+				b.soon = b.soon.Add(s.Request, -k)
 				b.used = true
 				n.n -= int(k)
 				n.zones[b.pool.zone] += int(k)
@@ -623,7 +623,7 @@
 			break
 		}
 		t := c.autoscaler.catalog[p.typ]
-		b := &bin{pool: p, avail: t.Room(), room: t.Room()}
+		b := &bin{pool: p, avail: t.Capacity(), room: t.Capacity()}
 		if order[p] == 0 {
 			*pools = append(*pools, p)
 		}
@@ -667,13 +667,13 @@
 		}
 		for _, v := range p.victims {
 			l.stops = append(l.stops, StopMsg{Machine: b.m.name, Job: c.jobs[v.job].id, Task: v.Task, Try: v.Try})
-			b.avail = b.avail.Add(c.jobs[v.job].rec.Spec.Claim, 1)
+			b.avail = b.avail.Add(c.jobs[v.job].rec.Spec.Request, 1)
 			b.stopped = append(b.stopped, v)
 		}
 		b.movable = nil
-		for made < n.n && b.avail.Fits(n.spec.Claim) && room(b.pool.zone) > 0 {
-			b.avail = b.avail.Add(n.spec.Claim, -1)
-			b.keep = b.keep.Add(n.spec.Claim, 1)
+		for made < n.n && b.avail.Fits(n.spec.Request) && room(b.pool.zone) > 0 {
+			b.avail = b.avail.Add(n.spec.Request, -1)
+			b.keep = b.keep.Add(n.spec.Request, 1)
 			n.zones[b.pool.zone]++
 			made++
 		}
@@ -692,14 +692,14 @@
 	free := b.avail
 	all := c.movable(b, n.spec.Priority)
 	for i, v := range all {
-		if free.Fits(n.spec.Claim) {
+		if free.Fits(n.spec.Request) {
 			break
 		}
-		free = free.Add(c.jobs[v.job].rec.Spec.Claim, 1)
+		free = free.Add(c.jobs[v.job].rec.Spec.Request, 1)
 		cost += c.ran(b.m, v)
 		vs = all[:i+1]
 	}
-	return vs, cost, len(vs) > 0 && free.Fits(n.spec.Claim)
+	return vs, cost, len(vs) > 0 && free.Fits(n.spec.Request)
 }
 
 // movable lists the tasks of a machine that may be stopped for a priority, those that have run least first. It is worked
@@ -713,7 +713,7 @@
 		s := c.jobs[v.job].rec.Spec
 		p, there := b.m.status.tasks[attKey{v.job, v.Task, v.Try}]
 		if s != nil && there && !s.Service && s.Priority > below && !slices.Contains(b.stopped, v) &&
-			(p.state == wire.TaskRunning || p.state == wire.TaskFetching) {
+			(p.state == wire.TaskRunning || p.state == wire.TaskPullingImage) {
 			all = append(all, v)
 		}
 	}
@@ -729,7 +729,7 @@
 
 // choosePool is the cheapest kind of machine for the rest of a need, by price per task that
 // it takes, with regard to its boot time; among equals the zone with fewest machines.
-func (c *Core) choosePool(s *wire.Spec, n need, room func(string) int64, h *shelf) (pool, bool) {
+func (c *Core) choosePool(s *wire.JobSpec, n need, room func(string) int64, h *shelf) (pool, bool) {
 	var best pool
 	bestScore, found := 0.0, false
 	for _, name := range c.autoscaler.typeNames {
@@ -749,7 +749,7 @@
 				if n.reserve && s.Spot && !spot {
 					continue // spare room for work that may use spot machines is worth only their price
 				}
-				k := min(capacity(t.Room(), s.Claim), room(z))
+				k := min(capacity(t.Capacity(), s.Request), room(z))
 				if k <= 0 {
 					continue
 				}
--- a/core/recorder/recorder.go
+++ b/core/recorder/recorder.go
@@ -236,7 +236,7 @@
 	if err != nil {
 		panic(err) // bytes and numbers
 	}
-	t.If = append(t.If, wire.Cond{Key: key, Mark: old.mark})
+	t.Compare = append(t.Compare, wire.Compare{Key: key, Revision: old.mark})
 	t.Then = append(t.Then, wire.Write{Put: key, Value: raw})
 	return ids
 }
@@ -453,13 +453,13 @@
 	r.life, r.count = h.Number+1, 0
 	var t wire.Txn
 	if r.begun == 0 {
-		t.If = append(t.If, wire.Cond{Key: KeyBegun})
+		t.Compare = append(t.Compare, wire.Compare{Key: KeyBegun})
 		t.Then = append(t.Then, wire.Write{Put: KeyBegun, Value: json.RawMessage("1")})
 	}
 	changed := differ(r.settings, r.cfg.Settings)
 	if len(changed) > 0 || r.setMark == 0 {
 		if raw, err := json.Marshal(r.cfg.Settings); err == nil && len(raw) <= r.Env.ValueBytes {
-			t.If = append(t.If, wire.Cond{Key: keySettings + r.cfg.Node, Mark: r.setMark})
+			t.Compare = append(t.Compare, wire.Compare{Key: keySettings + r.cfg.Node, Revision: r.setMark})
 			t.Then = append(t.Then, wire.Write{Put: keySettings + r.cfg.Node, Value: raw})
 		}
 	}
@@ -506,7 +506,7 @@
 		panic(err) // bytes and numbers
 	}
 	key := audit.BlockKey(r.cfg.Node, next.Number)
-	t.If = append(t.If, wire.Cond{Key: KeyHead + r.cfg.Node, Mark: r.marks[r.cfg.Node]}, wire.Cond{Key: key})
+	t.Compare = append(t.Compare, wire.Compare{Key: KeyHead + r.cfg.Node, Revision: r.marks[r.cfg.Node]}, wire.Compare{Key: key})
 	t.Then = append(t.Then, wire.Write{Put: key, Value: raw}, wire.Write{Put: KeyHead + r.cfg.Node, Value: head})
 	r.tries = append(r.tries, x)
 	r.next = next
--- a/core/recorder/recorder_test.go
+++ b/core/recorder/recorder_test.go
@@ -19,21 +19,21 @@
 
 // store is a state service, and what is on its way to it.
 type store struct {
-	keys   map[string]wire.Item
+	keys   map[string]wire.KeyValue
 	ledger uint64
 	late   []wire.Txn
 	made   map[[2]uint64]bool // entries whose change was made
 }
 
 func (s *store) execute(t wire.Txn) bool {
-	for _, c := range t.If {
-		if s.keys[c.Key].Mark != c.Mark {
+	for _, c := range t.Compare {
+		if s.keys[c.Key].Revision != c.Revision {
 			return false
 		}
 	}
 	s.ledger++
 	for _, w := range t.Then {
-		s.keys[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Mark: s.ledger}
+		s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.ledger}
 		for _, x := range carriedBy(w.Value) {
 			s.made[[2]uint64{x.Life, x.Count}] = true
 		}
@@ -52,11 +52,11 @@
 	for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 		it := s.keys[k]
 		if strings.HasPrefix(k, Prefix) {
-			if err := r.Put(k, it.Value, it.Mark); err != nil {
+			if err := r.Put(k, it.Value, it.Revision); err != nil {
 				return err
 			}
 		} else if strings.HasPrefix(k, "dl/") {
-			r.Saw(k, it.Mark, carriedBy(it.Value))
+			r.Saw(k, it.Revision, carriedBy(it.Value))
 		}
 	}
 	return nil
@@ -66,7 +66,7 @@
 // once, and no other is.
 func TestEveryEntryIsPutOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &store{keys: map[string]wire.Item{}, made: map[[2]uint64]bool{}}
+		s := &store{keys: map[string]wire.KeyValue{}, made: map[[2]uint64]bool{}}
 		var r *Recorder
 		var now time.Duration
 		pass := func(d time.Duration) {
@@ -141,12 +141,12 @@
 					}
 				}
 				it := s.keys[k]
-				list, ids := r.Carry(k, it.Mark, carriedBy(it.Value), []Act{{Verb: "submit", Object: k}})
+				list, ids := r.Carry(k, it.Revision, carriedBy(it.Value), []Act{{Verb: "submit", Object: k}})
 				raw, err := json.Marshal(carrierValue{list})
 				if err != nil {
 					t.Fatal(err)
 				}
-				r.Outcome(ids, send(wire.Txn{If: []wire.Cond{{Key: k, Mark: it.Mark}}, Then: []wire.Write{{Put: k, Value: raw}}}, how))
+				r.Outcome(ids, send(wire.Txn{Compare: []wire.Compare{{Key: k, Revision: it.Revision}}, Then: []wire.Write{{Put: k, Value: raw}}}, how))
 			}
 		}
 		for range 60 { // all is well now
--- a/core/rights.go
+++ b/core/rights.go
@@ -139,14 +139,14 @@
 }
 
 // onRights are the conditions under which a decision about somebody still holds.
-func (c *Core) onRights(cr Cred) []wire.Cond {
+func (c *Core) onRights(cr Cred) []wire.Compare {
 	if !c.guarded() {
 		if c.form() < formAccess {
 			return nil
 		}
-		return []wire.Cond{{Key: keyRoles}} // they may come into force meanwhile
+		return []wire.Compare{{Key: keyRoles}} // they may come into force meanwhile
 	}
-	return append([]wire.Cond{{Key: keyRoles, Mark: c.rights.rolesMark}, {Key: keyWho + cr.Who, Mark: c.rights.who[cr.Who].mark}}, c.unrecorded()...)
+	return append([]wire.Compare{{Key: keyRoles, Revision: c.rights.rolesMark}, {Key: keyWho + cr.Who, Revision: c.rights.who[cr.Who].mark}}, c.unrecorded()...)
 }
 
 func (c *Core) mayRead(cr Cred, j *job) bool {
@@ -159,7 +159,7 @@
 
 // mayRepeat decides whether the submission of a job that exists is answered with its state: to whoever may
 // read it, and to whoever may submit such a job and repeats just that.
-func (c *Core) mayRepeat(cr Cred, s *wire.Spec, j *job) bool {
+func (c *Core) mayRepeat(cr Cred, s *wire.JobSpec, j *job) bool {
 	if c.mayRead(cr, j) {
 		return true
 	}
@@ -167,7 +167,7 @@
 	return s != nil && s.Team == team && s.Class == class && c.may(cr, submission(s)).Allowed
 }
 
-func submission(s *wire.Spec) access.Act {
+func submission(s *wire.JobSpec) access.Act {
 	return access.Act{Verb: pb.Verb_submit, Team: s.Team, Class: s.Class, Priority: s.Priority}
 }
 
@@ -267,7 +267,7 @@
 }
 
 // spec is what was submitted, nil if it was malformed.
-func (in *Submit) spec() *wire.Spec {
+func (in *Submit) spec() *wire.JobSpec {
 	if in.Bad != "" {
 		return nil
 	}
@@ -276,8 +276,8 @@
 
 // stillMay drops the cancellations of those who have lost the right since they asked, and returns the
 // conditions under which the others have it.
-func (c *Core) stillMay(j *job) []wire.Cond {
-	var conds []wire.Cond
+func (c *Core) stillMay(j *job) []wire.Compare {
+	var conds []wire.Compare
 	j.cancellation.waiters = slices.DeleteFunc(j.cancellation.waiters, func(x cancelReq) bool {
 		if c.guarded() && !c.mayCancel(x.by, j) {
 			c.forbid(x.req, x.by, "cancel", j.id, "no right to cancel it")
@@ -301,7 +301,7 @@
 		return
 	}
 	seed := c.cfg.Access.Source()
-	t := wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}, {Key: keyRoles}}}
+	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyRoles}}}
 	put := func(key string, m protobuf.Message) bool {
 		raw, err := ledger.PackMessage(m)
 		if err != nil || len(raw) > c.cfg.ValueBytes {
@@ -309,7 +309,7 @@
 			return false
 		}
 		if key != keyRoles {
-			t.If = append(t.If, wire.Cond{Key: key})
+			t.Compare = append(t.Compare, wire.Compare{Key: key})
 		}
 		t.Then = append(t.Then, wire.Write{Put: key, Value: raw})
 		return true
@@ -330,7 +330,7 @@
 	}
 	told := c.carryBeside(&t, "rights", recorder.Act{Verb: "administer", Object: "rights", Why: "first rights: " + strings.Join(seeded, " ")})
 	r.seeding = true
-	c.commit(t, &txn{done: func(status int, _ wire.TxnReply) {
+	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
 		told(status)
 		c.afterBarrier(func(bool) { r.seeding = false }) // what came of it shows there
 	}})
@@ -391,12 +391,12 @@
 		c.reply(in.Req, 422, wire.Error{Error: err.Error()})
 		return
 	}
-	t := wire.Txn{If: c.onRights(in.By), Then: []wire.Write{w}}
+	t := wire.Txn{Compare: c.onRights(in.By), Then: []wire.Write{w}}
 	if in.By.Who != in.Who {
-		t.If = append(t.If, wire.Cond{Key: keyWho + in.Who, Mark: old.mark})
+		t.Compare = append(t.Compare, wire.Compare{Key: keyWho + in.Who, Revision: old.mark})
 	}
 	told := c.carryBeside(&t, "who/"+in.Who, actOf(in.By, "administer", in.Who, in.summary()))
-	c.commit(t, &txn{done: func(status int, _ wire.TxnReply) {
+	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
 		told(status)
 		c.afterBarrier(func(bool) {}) // it shows here too, soon
 		if status != 200 {
@@ -404,7 +404,7 @@
 			return
 		}
 		c.note("info", "rights changed", "by", in.By.Who, "who", in.Who, "change", in.Edit)
-		c.reply(in.Req, 200, wire.Changed{Who: in.Who, Cancelled: c.cancelQueued(in)})
+		c.reply(in.Req, 200, wire.PermissionsEditResult{Identity: in.Who, Cancelled: c.cancelQueued(in)})
 	}})
 }
 
@@ -540,6 +540,6 @@
 		return
 	}
 	c.afterBarrier(c.ifMay(in.Req, in.By, pb.Verb_administer, "rights", func() {
-		c.reply(in.Req, 200, wire.Rights{Text: access.Format(c.rights.whole())})
+		c.reply(in.Req, 200, wire.Permissions{Text: access.Format(c.rights.whole())})
 	}))
 }
--- a/core/rights_test.go
+++ b/core/rights_test.go
@@ -38,12 +38,12 @@
 	t.Helper()
 	c := serving(t)
 	p := cooperative(t)
-	log := []wire.Event{}
+	log := []wire.WatchEvent{}
 	put := func(key string, raw json.RawMessage, err error) {
 		if err != nil {
 			t.Fatal(err)
 		}
-		log = append(log, wire.Event{Put: key, Value: raw, Mark: 10})
+		log = append(log, wire.WatchEvent{Put: key, Value: raw, Revision: 10})
 	}
 	for _, id := range p.Source().Identities {
 		raw, err := ledger.PackMessage(id)
@@ -86,16 +86,16 @@
 			for _, o := range outputs[Commit](append(c.Advance(at), barrier(c, at)...)) {
 				if slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool { return strings.HasPrefix(w.Put, keyAccess) }) {
 					txns = append(txns, o.Txn)
-					if !slices.Contains(o.Txn.If, wire.Cond{Key: keyRoles}) {
-						t.Errorf("rights are written without a condition: %+v", o.Txn.If)
+					if !slices.Contains(o.Txn.Compare, wire.Compare{Key: keyRoles}) {
+						t.Errorf("rights are written without a condition: %+v", o.Txn.Compare)
 					}
-					var log []wire.Event
+					var log []wire.WatchEvent
 					for _, w := range o.Txn.Then {
-						log = append(log, wire.Event{Put: w.Put, Value: w.Value, Mark: c.replica.revision + 1})
+						log = append(log, wire.WatchEvent{Put: w.Put, Value: w.Value, Revision: c.replica.revision + 1})
 					}
 					stream(c, at, c.replica.revision+1, log...)
 				}
-				c.Handle(at, Committed{ID: o.ID, Status: 200, Reply: wire.TxnReply{Ledger: c.replica.revision}})
+				c.Handle(at, Committed{ID: o.ID, Status: 200, Reply: wire.TxnResponse{Revision: c.replica.revision}})
 			}
 		}
 		return txns
@@ -104,7 +104,7 @@
 	if x := written(1300*time.Millisecond, 3*time.Second); len(x) != 0 {
 		t.Errorf("written while another controller does not know rights: %+v", x)
 	}
-	c.Handle(3*time.Second, Changed{Hold: true, Status: 200, Changes: wire.Changes{Ledger: 50, Log: []wire.Event{event(keyForm+"n1", fmt.Sprint(Form), 50)}}})
+	c.Handle(3*time.Second, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 50, Events: []wire.WatchEvent{event(keyForm+"n1", fmt.Sprint(Form), 50)}}})
 	x := written(3*time.Second, 6*time.Second)
 	if len(x) != 2 || len(x[0].Then) != 2 || x[1].Then[0].Put != keyRoles || !c.guarded() || !c.Healthy() {
 		t.Fatalf("got %+v, guarded %v, healthy %v", x, c.guarded(), c.Healthy())
@@ -117,7 +117,7 @@
 	c := withRights(t)
 	stream(c, 1200*time.Millisecond, 11, event(keyJob+"wk-1", `{"h":0,"s":{"cl":"x","tm":"t","n":1,"rc":[1000,0,1000]}}`, 11))
 	awaits := submitted("wk-3")
-	awaits.Spec.Awaits = []string{"wk-1"}
+	awaits.Spec.Dependencies = []string{"wk-1"}
 	c.schema.active = Form
 	ask := func(at time.Duration, in Input) Reply {
 		c.Handle(at, in)
@@ -139,7 +139,7 @@
 		{Poll{Req: 1, ID: "wk-1", By: potter}, Poll{Req: 1, ID: "wk-2", By: potter}, 404},
 		{Cancel{Req: 1, ID: "wk-1", By: potter}, Cancel{Req: 1, ID: "wk-2", By: potter}, 404},
 		{Submit{Req: 1, ID: "wk-1", Bad: "nonsense", By: potter}, Submit{Req: 1, ID: "wk-2", Bad: "nonsense", By: potter}, 400},
-		{as(potter, awaits), as(potter, func() Submit { s := awaits; s.Spec.Awaits = []string{"wk-2"}; return s }()), 422},
+		{as(potter, awaits), as(potter, func() Submit { s := awaits; s.Spec.Dependencies = []string{"wk-2"}; return s }()), 422},
 	} {
 		at += 2 * time.Second
 		c.ownLease.expiresAt = at + time.Minute
@@ -163,15 +163,15 @@
 	c := withRights(t)
 	c.Handle(1200*time.Millisecond, as(potter, submitted("wk-1")))
 	x := accepted(c.Advance(1200*time.Millisecond), "wk-1")
-	if x == nil || !slices.Contains(x.Txn.If, wire.Cond{Key: keyWho + "potter", Mark: 10}) || !slices.Contains(x.Txn.If, wire.Cond{Key: keyRoles, Mark: 10}) {
+	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyWho + "potter", Revision: 10}) || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyRoles, Revision: 10}) {
 		t.Fatalf("got %+v", x)
 	}
 	raw, err := ledger.PackMessage(&pb.Identity{Name: "potter", Keys: []*pb.PublicKey{c.rights.who["potter"].id.Keys[0]}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	stream(c, 1300*time.Millisecond, 11, wire.Event{Put: keyWho + "potter", Value: raw, Mark: 11})
-	c.Handle(1300*time.Millisecond, Committed{ID: x.ID, Status: 409, Reply: wire.TxnReply{Failed: []string{keyWho + "potter"}}})
+	stream(c, 1300*time.Millisecond, 11, wire.WatchEvent{Put: keyWho + "potter", Value: raw, Revision: 11})
+	c.Handle(1300*time.Millisecond, Committed{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{keyWho + "potter"}}})
 	out := append(c.Advance(1300*time.Millisecond), barrier(c, 1400*time.Millisecond)...)
 	if s := statusOf(t, out); s != 403 || accepted(out, "wk-1") != nil {
 		t.Errorf("answered %d", s)
@@ -182,7 +182,7 @@
 	if c.knownJob("wk-2").final() {
 		t.Fatal("a queued job ended with its user's right")
 	}
-	c.Handle(2*time.Second, Change{Req: 5, By: anna, Who: "potter", Edit: wire.RightsEdit{Delete: true, CancelQueued: true}})
+	c.Handle(2*time.Second, Change{Req: 5, By: anna, Who: "potter", Edit: wire.PermissionsEdit{Delete: true, CancelQueued: true}})
 	c.Advance(2 * time.Second)
 	out = barrier(c, 2100*time.Millisecond)
 	var change *Commit
@@ -191,15 +191,15 @@
 			change = &o
 		}
 	}
-	if change == nil || !slices.Contains(change.Txn.If, wire.Cond{Key: keyWho + "anna", Mark: 10}) || !slices.Contains(change.Txn.If, wire.Cond{Key: keyWho + "potter", Mark: 11}) {
+	if change == nil || !slices.Contains(change.Txn.Compare, wire.Compare{Key: keyWho + "anna", Revision: 10}) || !slices.Contains(change.Txn.Compare, wire.Compare{Key: keyWho + "potter", Revision: 11}) {
 		t.Fatalf("got %+v", out)
 	}
-	c.Handle(2200*time.Millisecond, Committed{ID: change.ID, Status: 200, Reply: wire.TxnReply{Ledger: 13}})
+	c.Handle(2200*time.Millisecond, Committed{ID: change.ID, Status: 200, Reply: wire.TxnResponse{Revision: 13}})
 	out = c.Advance(2200 * time.Millisecond)
 	cancelled := slices.ContainsFunc(outputs[Commit](out), func(o Commit) bool {
 		return slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool {
 			return w.Put == keyJob+"wk-2" && strings.Contains(string(w.Value), `"st":"c"`)
-		}) && slices.Contains(o.Txn.If, wire.Cond{Key: keyWho + "anna", Mark: 10})
+		}) && slices.Contains(o.Txn.Compare, wire.Compare{Key: keyWho + "anna", Revision: 10})
 	})
 	if s := statusOf(t, out); s != 200 || !cancelled {
 		t.Errorf("answered %d, cancelled %v", s, cancelled)
@@ -213,18 +213,18 @@
 	for _, x := range []struct {
 		by     Cred
 		who    string
-		edit   wire.RightsEdit
+		edit   wire.PermissionsEdit
 		status int // 0: it is written
 	}{
-		{anna, "anna", wire.RightsEdit{RevokeRoles: []string{"admin"}}, 422},
-		{anna, "anna", wire.RightsEdit{RevokeKeys: []string{"a1"}}, 422},
-		{anna, "pia", wire.RightsEdit{GrantRoles: []string{"nothing"}}, 422},
-		{anna, "pia", wire.RightsEdit{AddKeys: []wire.RightsKey{{ID: "a1", Ed25519: next}}}, 422},
-		{anna, "pia", wire.RightsEdit{GrantRoles: []string{"visitor"}}, 0},
-		{potter, "potter", wire.RightsEdit{GrantRoles: []string{"technician"}}, 403},
-		{potter, "anna", wire.RightsEdit{RevokeKeys: []string{"a1"}}, 403},
-		{potter, "potter", wire.RightsEdit{AddKeys: []wire.RightsKey{{ID: "p2", Ed25519: next}}, RevokeKeys: []string{"p1"}}, 0},
-		{Cred{"potter", "a1"}, "potter", wire.RightsEdit{RevokeKeys: []string{"p1"}}, 403},
+		{anna, "anna", wire.PermissionsEdit{RevokeRoles: []string{"admin"}}, 422},
+		{anna, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, 422},
+		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"nothing"}}, 422},
+		{anna, "pia", wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: "a1", Ed25519: next}}}, 422},
+		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"visitor"}}, 0},
+		{potter, "potter", wire.PermissionsEdit{GrantRoles: []string{"technician"}}, 403},
+		{potter, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, 403},
+		{potter, "potter", wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: "p2", Ed25519: next}}, RevokeKeys: []string{"p1"}}, 0},
+		{Cred{"potter", "a1"}, "potter", wire.PermissionsEdit{RevokeKeys: []string{"p1"}}, 403},
 	} {
 		c := withRights(t)
 		c.Handle(1200*time.Millisecond, Change{Req: 5, By: x.by, Who: x.who, Edit: x.edit})
--- a/core/share.go
+++ b/core/share.go
@@ -175,9 +175,9 @@
 func (b *builder) changes() int { return len(b.t.Then) + len(b.slots) }
 
 // need adds a condition, once.
-func (b *builder) need(k wire.Cond) {
-	if !slices.Contains(b.t.If, k) {
-		b.t.If = append(b.t.If, k)
+func (b *builder) need(k wire.Compare) {
+	if !slices.Contains(b.t.Compare, k) {
+		b.t.Compare = append(b.t.Compare, k)
 	}
 }
 
@@ -187,7 +187,7 @@
 		d := b.slots[n]
 		raw, err := d.Entries.Encode()
 		if err == nil && len(raw) <= b.c.cfg.ValueBytes {
-			b.need(wire.Cond{Key: slotKey(n), Mark: b.c.slot(n).Mark})
+			b.need(wire.Compare{Key: slotKey(n), Revision: b.c.slot(n).Mark})
 			b.t.Then = append(b.t.Then, wire.Write{Put: slotKey(n), Value: raw})
 			continue
 		}
--- a/core/share_test.go
+++ b/core/share_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	r := &ledger.Record{V: v, Tries: 1}
 	if described {
-		r.Spec = &wire.Spec{Class: "c", Team: "t", Tasks: 2, Claim: [3]int64{1000, 0, 1000}, Service: true}
+		r.Spec = &wire.JobSpec{Class: "c", Team: "t", Tasks: 2, Request: [3]int64{1000, 0, 1000}, Service: true}
 	}
 	raw, err := c.encodeRecord(r, []ledger.Asg{{Machine: c.seat(machine, "a"), Session: 1, Try: 1}}, false)
 	if err != nil {
@@ -53,7 +53,7 @@
 	for _, first := range []string{"record", "slot"} {
 		c := sharing(t)
 		on := func() string { return c.machines[c.job("wk-1").place[0].Machine].name }
-		n := c.slotOf("wk-1", &ledger.Record{Spec: &wire.Spec{Service: true}})
+		n := c.slotOf("wk-1", &ledger.Record{Spec: &wire.JobSpec{Service: true}})
 		value := slotValue(t, shared.Entries{"wk-1": recordOn(t, c, 3, "m-2", false)})
 		if first == "slot" {
 			c.put(slotKey(n), value, 20)
@@ -101,7 +101,7 @@
 	c.Handle(time.Second, Seen{Machine: "m-1", Report: r})
 	c.markGone(c.machine("m-1")) // a replica is lost: its record changes
 	x := txnOf(c.Advance(1100*time.Millisecond), n)
-	if x == nil || !slices.Contains(x.Txn.If, wire.Cond{Key: n}) || len(x.Txn.Then) != 1 || !slices.ContainsFunc(x.Txn.If, func(k wire.Cond) bool { return k.Key == shardKey(0) }) {
+	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: n}) || len(x.Txn.Then) != 1 || !slices.ContainsFunc(x.Txn.Compare, func(k wire.Compare) bool { return k.Key == shardKey(0) }) {
 		t.Fatalf("the loss is not in the slot: %+v", x)
 	}
 	// While that is on its way, a cancellation waits; once it is answered, it is on condition of the new mark.
@@ -109,9 +109,9 @@
 	if y := txnOf(c.Advance(1250*time.Millisecond), keyJob+"wk-1"); y != nil {
 		t.Fatalf("cancelled beside a write of its slot: %+v", y.Txn)
 	}
-	c.Handle(1300*time.Millisecond, Committed{ID: x.ID, Status: 200, Reply: wire.TxnReply{Ledger: 60}})
+	c.Handle(1300*time.Millisecond, Committed{ID: x.ID, Status: 200, Reply: wire.TxnResponse{Revision: 60}})
 	y := txnOf(c.Advance(1350*time.Millisecond), keyJob+"wk-1")
-	if y == nil || !slices.Contains(y.Txn.If, wire.Cond{Key: n, Mark: 60}) || !slices.Contains(y.Txn.If, wire.Cond{Key: keyJob + "wk-1", Mark: 10}) {
+	if y == nil || !slices.Contains(y.Txn.Compare, wire.Compare{Key: n, Revision: 60}) || !slices.Contains(y.Txn.Compare, wire.Compare{Key: keyJob + "wk-1", Revision: 10}) {
 		t.Fatalf("the cancellation is %+v", y)
 	}
 	// A controller that does not hold the shard writes the slot as well.
@@ -121,7 +121,7 @@
 	c.ownership.shards[0].Node = "n1"
 	c.Handle(time.Second, Cancel{Req: 5, ID: "wk-1", UnixMS: 1})
 	y = txnOf(c.Advance(1100*time.Millisecond), n)
-	if y == nil || txnOf([]Output{*y}, keyJob+"wk-1") == nil || !slices.Contains(y.Txn.If, wire.Cond{Key: n, Mark: 20}) {
+	if y == nil || txnOf([]Output{*y}, keyJob+"wk-1") == nil || !slices.Contains(y.Txn.Compare, wire.Compare{Key: n, Revision: 20}) {
 		t.Fatalf("the cancellation by another is %+v", y)
 	}
 	for _, w := range y.Txn.Then {
@@ -139,7 +139,7 @@
 	c := sharing(t)
 	c.cfg.ValueBytes = 600
 	for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6", "wk-7", "wk-8"} {
-		r := &ledger.Record{V: 1, Tries: 40, Spec: &wire.Spec{Class: "c", Team: "t", Tasks: 40, Claim: [3]int64{1, 0, 1}}}
+		r := &ledger.Record{V: 1, Tries: 40, Spec: &wire.JobSpec{Class: "c", Team: "t", Tasks: 40, Request: [3]int64{1, 0, 1}}}
 		var place []ledger.Asg
 		for k := range 6 {
 			place = append(place, ledger.Asg{Task: int32(k * 3), Machine: c.seat("m-"+id+string(rune('a'+k)), "a"), Session: uint64(k + 1), Try: uint64(k*7 + i)})
--- a/core/strain_test.go
+++ b/core/strain_test.go
@@ -15,7 +15,7 @@
 	again = func(now time.Duration, zone string) {
 		seq++
 		for i := range n {
-			r := &wire.Report{Machine: fmt.Sprintf("f-%d", i), Addr: "x:1", Type: "x", Zone: "ab"[i%2 : i%2+1], Session: 1, Seq: seq, Token: 1}
+			r := &wire.Heartbeat{Machine: fmt.Sprintf("f-%d", i), Addr: "x:1", Type: "x", Zone: "ab"[i%2 : i%2+1], Incarnation: 1, Sequence: seq, FencingToken: 1}
 			if zone == "" || zone == r.Zone {
 				c.Handle(now, Seen{Machine: r.Machine, Report: r})
 			}
--- a/core/sweep.go
+++ b/core/sweep.go
@@ -96,7 +96,7 @@
 		for _, it := range in.Items {
 			s.after = it.Key
 			r, err := ledger.Decode(it.Value)
-			if err != nil || r.Spec != nil || r.Stage == ledger.Queued || it.Mark > s.below || !c.recorder().AllInBlocks(r.Carried) {
+			if err != nil || r.Spec != nil || r.Stage == ledger.Queued || it.Revision > s.below || !c.recorder().AllInBlocks(r.Carried) {
 				continue
 			}
 			id := strings.TrimPrefix(it.Key, keyJob)
@@ -104,7 +104,7 @@
 			if i, ok := c.jobIdx[id]; ok && (s.refs[i] || len(c.jobs[i].next) > 0) {
 				continue
 			}
-			s.todo = append(s.todo, ended{r.ToArchive(id), it.Key, it.Mark})
+			s.todo = append(s.todo, ended{r.ToArchive(id), it.Key, it.Revision})
 		}
 		s.last = !in.More || len(in.Items) == 0
 	})
@@ -157,26 +157,26 @@
 		s.todo = s.todo[n:]
 		return
 	}
-	t := wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}}}
+	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}}}
 	for i, p := range pieces {
-		cond := wire.Cond{Key: archive.Key(p.High)}
+		cond := wire.Compare{Key: archive.Key(p.High)}
 		if i == len(pieces)-1 {
-			cond.Mark = mark
+			cond.Revision = mark
 		}
-		t.If = append(t.If, cond)
+		t.Compare = append(t.Compare, cond)
 		t.Then = append(t.Then, wire.Write{Put: cond.Key, Value: p.Value})
 	}
 	for _, e := range s.todo[:k] {
-		t.If = append(t.If, wire.Cond{Key: e.key, Mark: e.mark})
+		t.Compare = append(t.Compare, wire.Compare{Key: e.key, Revision: e.mark})
 		t.Then = append(t.Then, wire.Write{Delete: e.key})
 	}
 	s.busy = true
-	c.commit(t, &txn{done: func(status int, r wire.TxnReply) {
+	c.commit(t, &txn{done: func(status int, r wire.TxnResponse) {
 		s.busy = false
 		switch status {
 		case 200:
 			for _, p := range pieces {
-				h.index.Put(p.Block, p.Value, r.Ledger, r.Ledger)
+				h.index.Put(p.Block, p.Value, r.Revision, r.Revision)
 			}
 			c.Stats.Archived += uint64(k)
 			c.Stats.ArchiveChanges += uint64(len(t.Then))
@@ -199,8 +199,8 @@
 // markHistory writes the sign that something may be archived, ahead of the first move.
 func (c *Core) markHistory(s *sweep) {
 	s.busy = true
-	c.commit(wire.Txn{If: []wire.Cond{{Key: keyLeader, Mark: c.leadership.leader.mark}, {Key: keyHistory}},
-		Then: []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}}}, &txn{done: func(int, wire.TxnReply) {
+	c.commit(wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyHistory}},
+		Then: []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}}}, &txn{done: func(int, wire.TxnResponse) {
 		c.afterBarrier(func(bool) { s.busy = false }) // what came of it shows there
 	}})
 }
--- a/core/turn_test.go
+++ b/core/turn_test.go
@@ -25,7 +25,7 @@
 		}
 		push := &Push{Rev: 1, Token: 1}
 		for i := range machines {
-			r := &wire.Report{Machine: fmt.Sprintf("m-%d", i), Addr: "x:1", Type: "x", Zone: "a", Session: 1, Seq: 1, Token: 1}
+			r := &wire.Heartbeat{Machine: fmt.Sprintf("m-%d", i), Addr: "x:1", Type: "x", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1}
 			c.Handle(time.Second, Seen{Machine: r.Machine, Report: r})
 			push.Rows = append(push.Rows, PushRow{Machine: r.Machine, Type: "x", Zone: "a", Avail: ccs.Vec{4000, 0, 8000}})
 		}
--- a/core/types.go
+++ b/core/types.go
@@ -115,7 +115,7 @@
 	Submit struct {
 		Req    uint64
 		ID     string
-		Spec   wire.Spec
+		Spec   wire.JobSpec
 		Bad    string
 		UnixMS int64
 		By     Cred
@@ -138,7 +138,7 @@
 		Req  uint64
 		By   Cred
 		Who  string
-		Edit wire.RightsEdit
+		Edit wire.PermissionsEdit
 	}
 	// Check asks whether somebody may do what is bound to no job.
 	Check struct {
@@ -168,13 +168,13 @@
 		Req  uint64
 		By   Cred
 		Verb booking.Verb
-		Ask  wire.BookingAsk
+		Ask  wire.ReservationRequest
 	}
 	// ShowBookings asks about bookings.
 	ShowBookings struct {
 		Req   uint64
 		By    Cred
-		Query wire.BookingQuery
+		Query wire.ReservationQuery
 	}
 	// Equip puts another list of equipment in force.
 	Equip struct {
@@ -200,46 +200,46 @@
 	// Beat is a worker's report to this controller.
 	Beat struct {
 		Req    uint64
-		Report *wire.Report
+		Report *wire.Heartbeat
 		By     Cred
 	}
 	// Seen is a report that came as an answer of a worker; nil if none came.
 	Seen struct {
 		Machine string
-		Report  *wire.Report
+		Report  *wire.Heartbeat
 	}
 	// Ordered is the outcome of orders sent to a worker. Controllers pass it on to each other (Msg).
 	Ordered struct {
-		ID     uint64       `json:"ID"`
-		Status int          `json:"Status"` // 0: no answer
-		Sent   bool         `json:"Sent"`   // the request may have reached the worker
-		Report *wire.Report `json:"Report"`
+		ID     uint64          `json:"ID"`
+		Status int             `json:"Status"` // 0: no answer
+		Sent   bool            `json:"Sent"`   // the request may have reached the worker
+		Report *wire.Heartbeat `json:"Report"`
 	}
 	// Committed is the outcome of a transaction.
 	Committed struct {
 		ID     uint64
 		Status int // 0: unknown
-		Reply  wire.TxnReply
+		Reply  wire.TxnResponse
 	}
 	// Changed is the outcome of a watch or read barrier.
 	Changed struct {
 		Hold    bool
 		Status  int
-		Changes wire.Changes
+		Changes wire.WatchResponse
 	}
 	// Loaded is a page of all keys.
 	Loaded struct {
 		OK     bool
 		Status int  // if not OK; 0: no answer
 		More   bool // there are pages behind it
-		Items  []wire.Item
+		Items  []wire.KeyValue
 		Ledger uint64
 	}
 	// Scanned is the outcome of a Scan; 404 if the key does not exist.
 	Scanned struct {
 		ID     uint64
 		Status int // 0: no answer
-		Items  []wire.Item
+		Items  []wire.KeyValue
 		More   bool
 		Ledger uint64 // revision that was read
 	}
@@ -337,10 +337,10 @@
 	}
 	// Orders go straight to a worker, or by way of another controller (Msg).
 	Orders struct {
-		ID      uint64          `json:"ID"`
-		Machine string          `json:"Machine"`
-		Addr    string          `json:"Addr"`
-		Body    wire.OrdersBody `json:"Body"`
+		ID      uint64            `json:"ID"`
+		Machine string            `json:"Machine"`
+		Addr    string            `json:"Addr"`
+		Body    wire.CommandBatch `json:"Body"`
 	}
 	// Probe asks a worker for its report.
 	Probe struct {
@@ -351,7 +351,7 @@
 	CloudOp struct {
 		ID    uint64
 		Op    string
-		Rent  wire.RentRequest
+		Rent  wire.ScaleOutRequest
 		Names []string
 		From  string // of a list: it begins after this machine
 	}
@@ -393,24 +393,24 @@
 
 // Msg is a message between controllers. Exactly the fields that are set count.
 type Msg struct {
-	To          string         `json:"to,omitempty"` // to be passed on to this controller
-	From        string         `json:"fr,omitempty"` // the sender of a message passed on
-	Orders      *Orders        `json:"o,omitempty"`  // to be sent to a worker that the sender does not reach
-	Ordered     *Ordered       `json:"od,omitempty"` // what came of it
-	Health      *Health        `json:"h,omitempty"`
-	Reports     []*wire.Report `json:"r,omitempty"` // of machines on which something changed
-	Heard       []Heard        `json:"e,omitempty"` // of machines on which nothing did
-	Want        []string       `json:"w,omitempty"` // machines whose reports the sender lacks
-	Deltas      *Deltas        `json:"d,omitempty"`
-	Push        *Push          `json:"p,omitempty"`
-	Resend      bool           `json:"a,omitempty"` // the sender missed a push
-	Return      []string       `json:"s,omitempty"` // machines that the leader must return
-	Silent      []string       `json:"q,omitempty"` // machines that the sender does not hear of
-	QuorumRead  *QuorumRead    `json:"v,omitempty"` // which cancellations the receiver holds
-	QuorumReply *QuorumReply   `json:"vd,omitempty"`
-	Cancels     []wire.Item    `json:"c,omitempty"` // cancellations, as the state service holds them
-	CancelAcks  []string       `json:"y,omitempty"` // jobs that the sender knows to be cancelled
-	Show        []string       `json:"l,omitempty"` // machines to be asked for their reports: the sender may not reach them
+	To          string            `json:"to,omitempty"` // to be passed on to this controller
+	From        string            `json:"fr,omitempty"` // the sender of a message passed on
+	Orders      *Orders           `json:"o,omitempty"`  // to be sent to a worker that the sender does not reach
+	Ordered     *Ordered          `json:"od,omitempty"` // what came of it
+	Health      *Health           `json:"h,omitempty"`
+	Reports     []*wire.Heartbeat `json:"r,omitempty"` // of machines on which something changed
+	Heard       []Heard           `json:"e,omitempty"` // of machines on which nothing did
+	Want        []string          `json:"w,omitempty"` // machines whose reports the sender lacks
+	Deltas      *Deltas           `json:"d,omitempty"`
+	Push        *Push             `json:"p,omitempty"`
+	Resend      bool              `json:"a,omitempty"` // the sender missed a push
+	Return      []string          `json:"s,omitempty"` // machines that the leader must return
+	Silent      []string          `json:"q,omitempty"` // machines that the sender does not hear of
+	QuorumRead  *QuorumRead       `json:"v,omitempty"` // which cancellations the receiver holds
+	QuorumReply *QuorumReply      `json:"vd,omitempty"`
+	Cancels     []wire.KeyValue   `json:"c,omitempty"` // cancellations, as the state service holds them
+	CancelAcks  []string          `json:"y,omitempty"` // jobs that the sender knows to be cancelled
+	Show        []string          `json:"l,omitempty"` // machines to be asked for their reports: the sender may not reach them
 }
 
 // Heard is a report that says nothing new. The digest shows whether its receiver knows what the
--- a/core/users.go
+++ b/core/users.go
@@ -39,7 +39,7 @@
 		return s
 	}
 	for _, w := range j.rec.Why {
-		s.Reasons = append(s.Reasons, wire.Reason(w))
+		s.TaskStops = append(s.TaskStops, wire.TaskStop(w))
 	}
 	s.Done = j.rec.Done.Count()
 	switch {
@@ -58,15 +58,15 @@
 	}
 	for _, o := range j.needs {
 		if o.rec == nil || o.rec.Stage != ledger.Done {
-			if s.AwaitsCount++; s.AwaitsCount <= awaitsShown {
-				s.Awaits = append(s.Awaits, o.id)
+			if s.DependencyCount++; s.DependencyCount <= awaitsShown {
+				s.Dependencies = append(s.Dependencies, o.id)
 			}
 		}
 	}
 	for _, a := range j.place {
 		m := c.machines[a.Machine]
 		if p, ok := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; ok && m.status.incarnation == a.Session &&
-			(p.state == wire.TaskRunning || p.state == wire.TaskSaving) {
+			(p.state == wire.TaskRunning || p.state == wire.TaskCheckpointing) {
 			s.Running++
 		}
 	}
@@ -175,7 +175,7 @@
 				c.refuse(in.Req, "state service not reached")
 				return
 			}
-			c.findAll(append([]string{in.ID}, in.Spec.Awaits...), func(ok bool) {
+			c.findAll(append([]string{in.ID}, in.Spec.Dependencies...), func(ok bool) {
 				j := c.knownJob(in.ID)
 				status, why := c.judge(&in)
 				switch {
@@ -217,7 +217,7 @@
 
 // repeat answers the submission of a job that is there already, by somebody who could submit it. A submission that finds it without rights in force
 // goes the way of a question.
-func (c *Core) repeat(req uint64, by Cred, s *wire.Spec, id string) {
+func (c *Core) repeat(req uint64, by Cred, s *wire.JobSpec, id string) {
 	if !c.guarded() {
 		c.tellCurrent(req, id)
 		return
@@ -244,12 +244,12 @@
 	if status, why := c.impossible(&s); status != 0 {
 		return status, why
 	}
-	if len(s.Awaits) > 0 {
+	if len(s.Dependencies) > 0 {
 		if c.form() < formAwaits {
 			return 503, "a controller may still run a version that does not know awaits"
 		}
 		left, unknown, _ := c.unmet(&s)
-		for _, id := range s.Awaits { // nobody is told of jobs that they may not read
+		for _, id := range s.Dependencies { // nobody is told of jobs that they may not read
 			if o := c.knownJob(id); o != nil && !c.mayRead(in.By, o) {
 				unknown = id
 			}
@@ -257,7 +257,7 @@
 		if unknown != "" {
 			return 422, "awaits a job that was never accepted: " + unknown
 		}
-		s.Awaits = left
+		s.Dependencies = left
 	}
 	// What a record holds beside the description must find room in its value.
 	raw, err := c.encodeRecord(&ledger.Record{Spec: &s}, nil, c.form() >= formAwaits)
@@ -268,7 +268,7 @@
 }
 
 // impossible tells why a job can never run; 503 if that can't be decided yet, 0 if it can run.
-func (c *Core) impossible(s *wire.Spec) (int, string) {
+func (c *Core) impossible(s *wire.JobSpec) (int, string) {
 	if c.autoscaler.catalog == nil {
 		return 503, "machine types not known yet"
 	}
@@ -281,11 +281,11 @@
 		n = int64(s.Tasks)
 	}
 	t := c.teams[ti]
-	if t.CPUMax > 0 && s.Claim[0]*n > t.CPUMax || t.GPUMax > 0 && s.Claim[1]*n > t.GPUMax {
+	if t.CPUMax > 0 && s.Request[0]*n > t.CPUMax || t.GPUMax > 0 && s.Request[1]*n > t.GPUMax {
 		return 422, "needs more than the team's limit"
 	}
 	for _, mt := range c.autoscaler.catalog {
-		if c.typeAllowed(s, mt.Name) && fits(mt.Room(), s.Claim) {
+		if c.typeAllowed(s, mt.Name) && fits(mt.Capacity(), s.Request) {
 			for _, z := range mt.Zones {
 				if s.Zone == "" || s.Zone == z {
 					return 0, ""
@@ -300,11 +300,11 @@
 	return room[0] >= claim[0] && room[1] >= claim[1] && room[2] >= claim[2]
 }
 
-func (c *Core) typeAllowed(s *wire.Spec, typ string) bool {
-	if s.Types == nil {
+func (c *Core) typeAllowed(s *wire.JobSpec, typ string) bool {
+	if s.MachineTypes == nil {
 		return true
 	}
-	for _, t := range s.Types {
+	for _, t := range s.MachineTypes {
 		if t == typ {
 			return true
 		}
@@ -420,7 +420,7 @@
 		}
 	}
 	c.observe(in.Report, true)
-	if in.Report.Token <= c.leadership.fencingToken {
+	if in.Report.FencingToken <= c.leadership.fencingToken {
 		c.answerBeat(in)
 		return
 	}
@@ -438,5 +438,5 @@
 		c.refuse(in.Req, why)
 		return
 	}
-	c.reply(in.Req, 200, wire.BeatReply{Token: c.leadership.fencingToken, Orders: c.stopsFor(m)})
+	c.reply(in.Req, 200, wire.HeartbeatResponse{FencingToken: c.leadership.fencingToken, Commands: c.stopsFor(m)})
 }
--- a/core/users_test.go
+++ b/core/users_test.go
@@ -14,7 +14,7 @@
 	const cancelled = `{"h":0,"st":"c","cm":1}`
 	for name, answer := range map[string]func(c *Core, x *Commit) []Output{
 		"the write's answer": func(c *Core, x *Commit) []Output {
-			c.Handle(1200*time.Millisecond, Committed{ID: x.ID, Status: 200, Reply: wire.TxnReply{Ledger: 7}})
+			c.Handle(1200*time.Millisecond, Committed{ID: x.ID, Status: 200, Reply: wire.TxnResponse{Revision: 7}})
 			return c.Advance(1200 * time.Millisecond)
 		},
 		"overtaken, and the stream": func(c *Core, x *Commit) []Output {
@@ -42,7 +42,7 @@
 			t.Errorf("%s: no read was sent", name)
 			continue
 		}
-		c.Handle(1700*time.Millisecond, Changed{Status: 200, Changes: wire.Changes{Ledger: 8, Log: []wire.Event{event(keyJob+"wk-000001", cancelled, 8)}}})
+		c.Handle(1700*time.Millisecond, Changed{Status: 200, Changes: wire.WatchResponse{Revision: 8, Events: []wire.WatchEvent{event(keyJob+"wk-000001", cancelled, 8)}}})
 		got := ""
 		for _, r := range outputs[Reply](c.Advance(1700 * time.Millisecond)) {
 			if st, ok := r.Body.(wire.JobState); ok && r.Req == 2 {
--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -225,7 +225,7 @@
 	entries := shared.Entries{"wk-1": json.RawMessage(`{"h":3,"v":7}`), "wk-2": json.RawMessage(`{"h":3,"v":8,"d":[0,1]}`)}
 	list := messageOf(&pb.Equipment{}, "list")
 	restored := storedRecord(numbers, false)
-	first := ledger.Record{V: 1, Shard: 2, Turn: 11, Spec: filled[wire.Spec]("spec")}
+	first := ledger.Record{V: 1, Shard: 2, Turn: 11, Spec: filled[wire.JobSpec]("spec")}
 	all := map[string]stored{
 		"record, machines by number":         storedRecord(numbers, false),
 		"record, machines by number, packed": storedRecord(numbers, true),
--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -77,7 +77,7 @@
 		users, peers, addrs = append(users, u), append(peers, p), append(addrs, u.Addr().String())
 	}
 	fleet := standin.NewWorkers(*machines, kind, addrs, 6*time.Second, func(piece string) ([3]int64, time.Duration) {
-		if id, _, _ := wire.SplitTask(piece); id < "wk-100000" {
+		if id, _, _ := wire.SplitTaskName(piece); id < "wk-100000" {
 			return [3]int64{1000, 0, 2200}, 0
 		}
 		return [3]int64{4000, 0, 8900}, 40 * time.Second
@@ -96,7 +96,7 @@
 		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 6, 36, 66, 5
 		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = 150, 30, 8, 24
 		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit = 4, 5, 3172
-		c := dewlift.New(p, settings.Defaults(), dewlift.Guards{}, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo})))
+		c := dewlift.New(p, settings.DefaultTuning(), dewlift.Options{}, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo})))
 		go func() {
 			if err := c.Serve(ctx, users[i], peers[i]); ctx.Err() == nil {
 				log.Fatal("fleet: ", err)
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -140,7 +140,7 @@
 func state() *standin.State {
 	s := standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 24, PageItems: 1000, PageKB: 512})
 	s.Types(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
-	s.Fill([]wire.Item{{Key: core.Root + "form/n0", Value: json.RawMessage(fmt.Sprint(core.Form))}})
+	s.Fill([]wire.KeyValue{{Key: core.Root + "form/n0", Value: json.RawMessage(fmt.Sprint(core.Form))}})
 	return s
 }
 
@@ -393,12 +393,12 @@
 		at += n
 		h = &audit.Head{Number: h.Number + 1, Code: code, Lives: []audit.Life{{Life: 1, Next: uint64(at + 1)}}}
 		stored += len(raw)
-		s.Fill([]wire.Item{{Key: audit.BlockKey("n0", h.Number), Value: raw}})
+		s.Fill([]wire.KeyValue{{Key: audit.BlockKey("n0", h.Number), Value: raw}})
 	}
 	raw, err := json.Marshal(h)
 	if err != nil {
 		return 0, 0, err
 	}
-	s.Fill([]wire.Item{{Key: core.Root + "audit/head/n0", Value: raw}, {Key: core.Root + "audit/begun", Value: json.RawMessage("1")}})
+	s.Fill([]wire.KeyValue{{Key: core.Root + "audit/head/n0", Value: raw}, {Key: core.Root + "audit/begun", Value: json.RawMessage("1")}})
 	return int(h.Number), stored, nil
 }
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -152,9 +152,9 @@
 // fill puts a site's keys into the stand-in: what a controller needs to serve, live jobs and ended ones.
 func fill(s *standin.State, entries []archive.Entry, archived bool) error {
 	s.Types(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
-	var items []wire.Item
+	var items []wire.KeyValue
 	add := func(key, value string) {
-		items = append(items, wire.Item{Key: key, Value: json.RawMessage(value)})
+		items = append(items, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
 	}
 	add(core.Root+"form/n0", fmt.Sprint(core.Form))
 	for i := range liveJobs {
--- a/internal/measure/scale/site.go
+++ b/internal/measure/scale/site.go
@@ -40,8 +40,8 @@
 
 	// The state service.
 	ledger  uint64
-	keys    map[string]wire.Item
-	log     []wire.Event
+	keys    map[string]wire.KeyValue
+	log     []wire.WatchEvent
 	waiting []func()
 
 	counted counts
@@ -75,7 +75,7 @@
 	rented     time.Duration
 	node       int
 	seq, token uint64
-	pieces     []wire.Piece
+	pieces     []wire.TaskStatus
 	due        time.Duration // of the next report
 	said       time.Duration
 	claimed    int64
@@ -83,7 +83,7 @@
 }
 
 func newSite(n int, seed uint64) *site {
-	s := &site{most: n, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*machine{}, keys: map[string]wire.Item{}, unbegun: map[string]time.Duration{}}
+	s := &site{most: n, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*machine{}, keys: map[string]wire.KeyValue{}, unbegun: map[string]time.Duration{}}
 	raw, err := json.Marshal(wire.Catalog{Types: []wire.MachineType{kind}})
 	if err != nil {
 		panic(err) // strings and numbers
@@ -102,7 +102,7 @@
 		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = roomy, writes, 8, 24
 		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit = 40, 5, 100_000
 		x := &node{name: p.Name, lease: uint64(i + 1), answered: map[uint64]func(core.Reply){}}
-		t := settings.Defaults()
+		t := settings.DefaultTuning()
 		if writes == roomy {
 			t.SettleMs = t.SettleMostMs // ends gather for as long as they do where changes are few
 		}
@@ -138,7 +138,7 @@
 	m.gone = true
 	s.machines = slices.DeleteFunc(s.machines, func(o *machine) bool { return o == m })
 	for _, p := range m.pieces {
-		if id, _, _ := wire.SplitTask(p.Piece); id < firstArray && p.Stage != wire.TaskExited {
+		if id, _, _ := wire.SplitTaskName(p.Task); id < firstArray && p.Stage != wire.TaskExited {
 			s.counted.lost++
 		}
 	}
@@ -239,7 +239,7 @@
 				s.after(2*time.Second, func() { back(core.Ordered{ID: o.ID, Sent: true}) })
 				return
 			}
-			m.take(o.Body.Token, o.Body.Orders)
+			m.take(o.Body.FencingToken, o.Body.Commands)
 			out := core.Ordered{ID: o.ID, Status: 200, Sent: true, Report: m.says()}
 			s.after(near, func() { back(out) })
 		})
@@ -282,23 +282,23 @@
 func (s *site) put(w wire.Write) {
 	if w.Delete != "" {
 		delete(s.keys, w.Delete)
-		s.log = append(s.log, wire.Event{Delete: w.Delete, Mark: s.ledger})
+		s.log = append(s.log, wire.WatchEvent{Delete: w.Delete, Revision: s.ledger})
 		return
 	}
-	s.keys[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Mark: s.ledger, Lease: w.Lease}
-	s.log = append(s.log, wire.Event{Put: w.Put, Value: w.Value, Mark: s.ledger})
+	s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.ledger, LeaseID: w.LeaseID}
+	s.log = append(s.log, wire.WatchEvent{Put: w.Put, Value: w.Value, Revision: s.ledger})
 }
 
-func (s *site) commit(t wire.Txn) (int, wire.TxnReply) {
+func (s *site) commit(t wire.Txn) (int, wire.TxnResponse) {
 	var failed []string
-	for _, c := range t.If {
-		if s.keys[c.Key].Mark != c.Mark {
+	for _, c := range t.Compare {
+		if s.keys[c.Key].Revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	s.counted.changes += len(t.Then)
 	if len(failed) > 0 {
-		return 409, wire.TxnReply{Ledger: s.ledger, Failed: failed}
+		return 409, wire.TxnResponse{Revision: s.ledger, Failed: failed}
 	}
 	s.ledger++
 	for _, w := range t.Then {
@@ -309,19 +309,19 @@
 	for _, f := range ws {
 		f()
 	}
-	return 200, wire.TxnReply{Ledger: s.ledger}
+	return 200, wire.TxnResponse{Revision: s.ledger}
 }
 
 func (s *site) changes(o core.Changes, back func(core.Input)) {
 	answer := func() {
-		out := core.Changed{Hold: o.Hold, Status: 200, Changes: wire.Changes{Ledger: s.ledger}}
-		i, _ := slices.BinarySearchFunc(s.log, o.From+1, func(e wire.Event, mark uint64) int {
-			if e.Mark < mark {
+		out := core.Changed{Hold: o.Hold, Status: 200, Changes: wire.WatchResponse{Revision: s.ledger}}
+		i, _ := slices.BinarySearchFunc(s.log, o.From+1, func(e wire.WatchEvent, mark uint64) int {
+			if e.Revision < mark {
 				return -1
 			}
 			return 1
 		})
-		out.Changes.Log = slices.Clone(s.log[i:])
+		out.Changes.Events = slices.Clone(s.log[i:])
 		s.after(far/2, func() { back(out) })
 	}
 	if o.Hold && s.ledger <= o.From {
@@ -331,9 +331,9 @@
 	answer()
 }
 
-func (m *machine) says() *wire.Report {
+func (m *machine) says() *wire.Heartbeat {
 	m.seq++
-	return &wire.Report{Machine: m.name, Addr: "x:1", Type: kind.Name, Zone: m.zone, Session: 1, Seq: m.seq, Token: m.token, Pieces: slices.Clone(m.pieces)}
+	return &wire.Heartbeat{Machine: m.name, Addr: "x:1", Type: kind.Name, Zone: m.zone, Incarnation: 1, Sequence: m.seq, FencingToken: m.token, Tasks: slices.Clone(m.pieces)}
 }
 
 // report sends a report, if one is due.
@@ -349,8 +349,8 @@
 		return
 	}
 	s.ask(s.nodes[m.node], func(req uint64) core.Input { return core.Beat{Req: req, Report: m.says()} }, func(r core.Reply) {
-		if b, ok := r.Body.(wire.BeatReply); ok {
-			m.take(b.Token, b.Orders)
+		if b, ok := r.Body.(wire.HeartbeatResponse); ok {
+			m.take(b.FencingToken, b.Commands)
 		}
 	})
 }
@@ -363,21 +363,21 @@
 	}
 }
 
-func (m *machine) take(token uint64, orders []wire.Order) {
+func (m *machine) take(token uint64, orders []wire.Command) {
 	s := m.s
 	m.token = max(m.token, token)
 	for _, o := range orders {
-		i := slices.IndexFunc(m.pieces, func(p wire.Piece) bool { return p.Piece == o.Piece && p.Try == o.Try })
+		i := slices.IndexFunc(m.pieces, func(p wire.TaskStatus) bool { return p.Task == o.Task && p.Attempt == o.Attempt })
 		switch {
 		case o.Op == wire.OpStart && i < 0:
-			id, _, _ := wire.SplitTask(o.Piece)
+			id, _, _ := wire.SplitTaskName(o.Task)
 			cpus, run := int64(1), time.Duration(0)
 			if id >= firstArray {
 				cpus, run = 3, 30*time.Second+time.Duration(s.rng.Int64N(int64(40*time.Second)))
 			}
-			p := wire.Piece{Piece: o.Piece, Try: o.Try, Stage: wire.TaskFetching}
+			p := wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Stage: wire.TaskPullingImage}
 			if m.claimed+cpus > int64(kind.CPUs) {
-				p.Stage, p.Cause = wire.TaskExited, wire.CauseFull
+				p.Stage, p.Cause = wire.TaskExited, wire.CauseNoCapacity
 				s.counted.refused++
 				m.pieces = append(m.pieces, p)
 				break
@@ -389,29 +389,29 @@
 			}
 			m.claimed += cpus
 			m.pieces = append(m.pieces, p)
-			if run == 0 && o.Try > 9 { // a replica's first attempts have the numbers 1 to 9
+			if run == 0 && o.Attempt > 9 { // a replica's first attempts have the numbers 1 to 9
 				s.counted.replaced++
 			}
-			s.after(200*time.Millisecond, func() { m.becomes(o, wire.TaskFetching, wire.TaskRunning, "", 0) })
+			s.after(200*time.Millisecond, func() { m.becomes(o, wire.TaskPullingImage, wire.TaskRunning, "", 0) })
 			if run > 0 {
 				s.after(run, func() { m.becomes(o, wire.TaskRunning, wire.TaskExited, wire.CauseDone, cpus) })
 			}
 		case o.Op == wire.OpStop && i >= 0 && m.pieces[i].Stage != wire.TaskExited:
-			id, _, _ := wire.SplitTask(o.Piece)
+			id, _, _ := wire.SplitTaskName(o.Task)
 			m.claimed--
 			if id >= firstArray {
 				m.claimed -= 2
 			}
 			m.pieces[i].Stage, m.pieces[i].Cause = wire.TaskExited, wire.CauseStopped
-		case o.Op == wire.OpForget && i >= 0 && m.pieces[i].Stage == wire.TaskExited:
+		case o.Op == wire.OpClear && i >= 0 && m.pieces[i].Stage == wire.TaskExited:
 			m.pieces = slices.Delete(m.pieces, i, i+1)
 		}
 	}
 }
 
-func (m *machine) becomes(o wire.Order, from, to, cause string, freed int64) {
+func (m *machine) becomes(o wire.Command, from, to, cause string, freed int64) {
 	for i := range m.pieces {
-		if p := &m.pieces[i]; p.Piece == o.Piece && p.Try == o.Try && p.Stage == from {
+		if p := &m.pieces[i]; p.Task == o.Task && p.Attempt == o.Attempt && p.Stage == from {
 			p.Stage, p.Cause = to, cause
 			m.claimed -= freed
 			m.tell()
@@ -429,7 +429,7 @@
 const firstArray = "wk-500000" // ids below are services
 
 // submit submits a job, again and again until it is accepted.
-func (s *site) submit(spec wire.Spec) {
+func (s *site) submit(spec wire.JobSpec) {
 	s.ask(s.nodes[s.rng.IntN(controllers)], func(req uint64) core.Input {
 		return core.Submit{Req: req, ID: spec.ID, Spec: spec, UnixMS: startMS + s.now.Milliseconds()}
 	}, func(r core.Reply) {
@@ -455,10 +455,10 @@
 
 // job submits the next job.
 func (s *site) job(n int, service bool) {
-	spec := wire.Spec{ID: fmt.Sprintf("wk-%06d", n), Class: "firings", Team: "t", Priority: 1, Tasks: 90, Claim: [3]int64{3000, 0, 6000}, Image: "i", Spot: true, EstimateMS: 50_000}
+	spec := wire.JobSpec{ID: fmt.Sprintf("wk-%06d", n), Class: "firings", Team: "t", Priority: 1, Tasks: 90, Request: [3]int64{3000, 0, 6000}, Image: "i", Spot: true, EstimatedRuntimeMS: 50_000}
 	if service {
-		spec.Class, spec.Service, spec.Priority, spec.Tasks, spec.Spread, spec.Spot, spec.EstimateMS = "desk", true, 0, 9, true, false, 0
-		spec.Claim = [3]int64{1000, 0, 2200}
+		spec.Class, spec.Service, spec.Priority, spec.Tasks, spec.Spread, spec.Spot, spec.EstimatedRuntimeMS = "desk", true, 0, 9, true, false, 0
+		spec.Request = [3]int64{1000, 0, 2200}
 	}
 	if !service {
 		s.unbegun[spec.ID] = s.now
@@ -467,7 +467,7 @@
 	s.poll(spec.ID)
 }
 
-func sorted(m map[string]wire.Item) []string {
+func sorted(m map[string]wire.KeyValue) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
 		out = append(out, k)
--- a/internal/sim/audit.go
+++ b/internal/sim/audit.go
@@ -96,7 +96,7 @@
 }
 
 // Txn checks a transaction that is about to be executed.
-func (r *recorder) Txn(keys map[string]*wire.Item, t wire.Txn) {
+func (r *recorder) Txn(keys map[string]*wire.KeyValue, t wire.Txn) {
 	const begun, carrier = core.Root + "audit/begun", core.Root + "audit/of/"
 	was := func(key string) carrying {
 		if it := keys[key]; it != nil {
@@ -176,7 +176,7 @@
 }
 
 // block takes a block.
-func (r *recorder) block(keys map[string]*wire.Item, x wire.Write) {
+func (r *recorder) block(keys map[string]*wire.KeyValue, x wire.Write) {
 	node, number, ok := audit.SplitBlockKey(x.Put)
 	if keys[x.Put] != nil || !ok {
 		r.broken("%s is written twice, or is no key of a block", x.Put)
@@ -206,7 +206,7 @@
 }
 
 // Finish checks that every entry is in a block, or carried, and every chain whole.
-func (r *recorder) Finish(keys map[string]*wire.Item) {
+func (r *recorder) Finish(keys map[string]*wire.KeyValue) {
 	left := map[entryID]bool{}
 	chains := map[string]*audit.Chain{}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
--- a/internal/sim/booking.go
+++ b/internal/sim/booking.go
@@ -66,7 +66,7 @@
 }
 
 // stored checks what the state service holds after a write.
-func (k *bookings) stored(keys map[string]*wire.Item) {
+func (k *bookings) stored(keys map[string]*wire.KeyValue) {
 	now := map[string]*pb.Booking{}
 	pages := 0
 	k.archived = 0
@@ -204,14 +204,14 @@
 func (k *bookings) unix() int64 { return startMS/1000 + int64(k.w.now.Seconds()) - 1 }
 
 // answered checks an answer about a booking that was asked for at began.
-func (k *bookings) answered(began time.Duration, id string, r core.Reply) *wire.Booking {
-	a, _ := r.Body.(wire.BookingAnswer)
+func (k *bookings) answered(began time.Duration, id string, r core.Reply) *wire.Reservation {
+	a, _ := r.Body.(wire.ReservationResponse)
 	t, known := k.told[id]
 	broken := k.w.Check.broken
 	if r.Status == 404 && known && began >= t.at {
 		broken("booking_lost", "%s was called %s and is unknown", id, t.state)
 	}
-	b := a.Booking
+	b := a.Reservation
 	if b == nil || b.ID != id || r.Status >= 300 && r.Status != 409 {
 		return nil
 	}
@@ -233,7 +233,7 @@
 }
 
 // ask sends a request about a booking until an answer decides it.
-func (k *bookings) ask(id string, in func(req uint64) core.Input, then func(r core.Reply, b *wire.Booking)) {
+func (k *bookings) ask(id string, in func(req uint64) core.Input, then func(r core.Reply, b *wire.Reservation)) {
 	w := k.w
 	began := w.now
 	by := func(req uint64) core.Input {
@@ -266,20 +266,20 @@
 func (k *bookings) clock(t int64) string { return time.Unix(t, 0).UTC().Format(time.RFC3339) }
 
 // wish is a slot or a few, close together, so that many want the same.
-func (k *bookings) wish() (ask []wire.BookingWant) {
+func (k *bookings) wish() (ask []wire.SlotRequest) {
 	w := k.w
 	hour := (startMS/1000/3600 + 30) * 3600
 	for range 1 + w.rng.IntN(4)/3*(1+w.rng.IntN(2)) {
-		x := wire.BookingWant{From: k.clock(hour + 3600*int64(w.rng.IntN(12))), Slots: uint32(1 + w.rng.IntN(2))}
+		x := wire.SlotRequest{From: k.clock(hour + 3600*int64(w.rng.IntN(12))), Slots: uint32(1 + w.rng.IntN(2))}
 		switch w.rng.IntN(4) {
 		case 0:
-			x.Piece = "k1"
+			x.Equipment = "k1"
 		case 1:
-			x.Piece = "k2"
+			x.Equipment = "k2"
 		case 2:
 			x.Kind = "kiln"
 		case 3:
-			x.Piece = "r"
+			x.Equipment = "r"
 		}
 		ask = append(ask, x)
 	}
@@ -287,7 +287,7 @@
 }
 
 // wants notes what a booking is asked to have.
-func (k *bookings) wants(id string, list []wire.BookingWant) {
+func (k *bookings) wants(id string, list []wire.SlotRequest) {
 	wants, err := desk.Wants(k.site, list, "")
 	if err != nil {
 		panic(err)
@@ -323,8 +323,8 @@
 	text := equipment(more).Source().String()
 	k.list = k.list || end
 	k.ask("", func(req uint64) core.Input {
-		return core.Equip{Req: req, Edit: wire.EquipmentEdit{Text: text, End: end, Why: "the kiln is out of order"}}
-	}, func(r core.Reply, _ *wire.Booking) {
+		return core.Equip{Req: req, Edit: wire.EquipmentEdit{Text: text, EndDisplaced: end, Reason: "the kiln is out of order"}}
+	}, func(r core.Reply, _ *wire.Reservation) {
 		if r.Status != 200 && r.Status != 409 {
 			k.w.Check.broken("booking", "a list of equipment got %d: %v", r.Status, r.Body)
 		}
@@ -333,13 +333,13 @@
 
 func (k *bookings) booker(id string) {
 	w := k.w
-	a := wire.BookingAsk{ID: id, Slots: k.wish(), Wait: w.chance(0.5)}
+	a := wire.ReservationRequest{ID: id, Slots: k.wish(), Waitlist: w.chance(0.5)}
 	if w.chance(0.4) {
 		a.HoldS = uint32(2 + w.rng.IntN(30))
 	}
 	a.Priority = wire.PriorityName(w.rng.IntN(3))
 	k.wants(id, a.Slots)
-	send := func(verb booking.Verb, a wire.BookingAsk, then func(r core.Reply, b *wire.Booking)) {
+	send := func(verb booking.Verb, a wire.ReservationRequest, then func(r core.Reply, b *wire.Reservation)) {
 		k.ask(id, func(req uint64) core.Input { return core.Book{Req: req, Verb: verb, Ask: a} }, then)
 	}
 	var life func()
@@ -347,23 +347,23 @@
 		w.after(w.between(500*time.Millisecond, 12*time.Second), func() {
 			switch w.rng.IntN(6) {
 			case 0:
-				send(booking.Confirm, wire.BookingAsk{ID: id}, func(core.Reply, *wire.Booking) { life() })
+				send(booking.Confirm, wire.ReservationRequest{ID: id}, func(core.Reply, *wire.Reservation) { life() })
 			case 1:
-				next := wire.BookingAsk{ID: id, Slots: k.wish()}
+				next := wire.ReservationRequest{ID: id, Slots: k.wish()}
 				k.wants(id, next.Slots)
-				send(booking.Move, next, func(core.Reply, *wire.Booking) { life() })
+				send(booking.Move, next, func(core.Reply, *wire.Reservation) { life() })
 			case 2:
 				k.ends[id] = true
-				send(booking.End, wire.BookingAsk{ID: id, Why: "done with it"}, func(core.Reply, *wire.Booking) { life() })
+				send(booking.End, wire.ReservationRequest{ID: id, Reason: "done with it"}, func(core.Reply, *wire.Reservation) { life() })
 			case 3: // a repeat
-				send(booking.Make, a, func(core.Reply, *wire.Booking) { life() })
+				send(booking.Make, a, func(core.Reply, *wire.Reservation) { life() })
 			default:
-				k.ask(id, func(req uint64) core.Input { return core.ShowBookings{Req: req, Query: wire.BookingQuery{ID: id}} },
-					func(core.Reply, *wire.Booking) { life() })
+				k.ask(id, func(req uint64) core.Input { return core.ShowBookings{Req: req, Query: wire.ReservationQuery{ID: id}} },
+					func(core.Reply, *wire.Reservation) { life() })
 			}
 		})
 	}
-	send(booking.Make, a, func(r core.Reply, _ *wire.Booking) {
+	send(booking.Make, a, func(r core.Reply, _ *wire.Reservation) {
 		switch r.Status {
 		case 200, 201:
 			life()
@@ -384,12 +384,12 @@
 func (k *bookings) register(id string) {
 	w := k.w
 	slot := k.clock((startMS/1000/3600 + 200 + 2*int64(w.rng.IntN(3))) * 3600)
-	k.wants(id, []wire.BookingWant{{Piece: "k1", From: slot}})
+	k.wants(id, []wire.SlotRequest{{Equipment: "k1", From: slot}})
 	op := func(end bool, in func(req uint64) core.Input, then func()) {
 		call := w.now
 		k.n++
 		client := k.n
-		k.ask(id, in, func(r core.Reply, b *wire.Booking) {
+		k.ask(id, in, func(r core.Reply, b *wire.Reservation) {
 			out := "none"
 			if b != nil {
 				out = b.State
@@ -399,11 +399,11 @@
 		})
 	}
 	make := func(req uint64) core.Input {
-		return core.Book{Req: req, Verb: booking.Make, Ask: wire.BookingAsk{ID: id, Slots: []wire.BookingWant{{Piece: "k1", From: slot}}}}
+		return core.Book{Req: req, Verb: booking.Make, Ask: wire.ReservationRequest{ID: id, Slots: []wire.SlotRequest{{Equipment: "k1", From: slot}}}}
 	}
 	end := func(req uint64) core.Input {
 		k.ends[id] = true
-		return core.Book{Req: req, Verb: booking.End, Ask: wire.BookingAsk{ID: id}}
+		return core.Book{Req: req, Verb: booking.End, Ask: wire.ReservationRequest{ID: id}}
 	}
 	op(false, make, func() {
 		w.after(w.between(time.Second, 10*time.Second), func() {
--- a/internal/sim/chains.go
+++ b/internal/sim/chains.go
@@ -37,7 +37,7 @@
 		s.Service, s.Spread = false, false
 		for back := 1; back <= len(ids); back++ {
 			if back == 1 && !w.chance(0.2) || back > 1 && back < 6 && w.chance(0.3) {
-				s.Awaits = append(s.Awaits, ids[len(ids)-back])
+				s.Dependencies = append(s.Dependencies, ids[len(ids)-back])
 			}
 		}
 		if len(ids) == n-1 {
@@ -54,17 +54,17 @@
 }
 
 // someJob is a job of some kind that nobody has submitted.
-func (w *World) someJob() wire.Spec {
-	s := wire.Spec{ID: fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)), Class: "c", Team: w.teams[w.rng.IntN(2)].Name,
-		Service: w.chance(0.3), Priority: w.rng.IntN(4), Tasks: 1 + w.rng.IntN(w.opt.Tasks), Claim: [3]int64{1000 * int64(1+w.rng.IntN(4)), 0, 2000},
-		Image: fmt.Sprintf("i%d", w.rng.IntN(3)), OneZone: w.chance(0.2), Spot: w.chance(0.5), EstimateMS: 10000}
+func (w *World) someJob() wire.JobSpec {
+	s := wire.JobSpec{ID: fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)), Class: "c", Team: w.teams[w.rng.IntN(2)].Name,
+		Service: w.chance(0.3), Priority: w.rng.IntN(4), Tasks: 1 + w.rng.IntN(w.opt.Tasks), Request: [3]int64{1000 * int64(1+w.rng.IntN(4)), 0, 2000},
+		Image: fmt.Sprintf("i%d", w.rng.IntN(3)), OneZone: w.chance(0.2), Spot: w.chance(0.5), EstimatedRuntimeMS: 10000}
 	s.Spread = !s.OneZone && w.chance(0.4)
 	if w.chance(0.2) {
 		s.Zone = zones[w.rng.IntN(3)]
 		s.Spread = false
 	}
 	if w.chance(0.2) {
-		s.Types = []string{"big"}
+		s.MachineTypes = []string{"big"}
 	}
 	return s
 }
--- a/internal/sim/check.go
+++ b/internal/sim/check.go
@@ -33,7 +33,7 @@
 
 // truth is what the users know of a job.
 type truth struct {
-	spec       wire.Spec
+	spec       wire.JobSpec
 	submitted  bool
 	accepted   bool
 	acceptedAt time.Duration
@@ -63,13 +63,13 @@
 }
 
 // Submitted notes a job that a user submits.
-func (k *Checker) Submitted(s wire.Spec) {
+func (k *Checker) Submitted(s wire.JobSpec) {
 	if k.jobs[s.ID] != nil {
 		return
 	}
 	j := &truth{spec: s, submitted: true, done: map[int]bool{}, zones: map[string]int{}}
 	k.jobs[s.ID] = j
-	for _, id := range s.Awaits {
+	for _, id := range s.Dependencies {
 		k.next[id] = append(k.next[id], j)
 		if o := k.jobs[id]; o == nil || len(o.done) < o.spec.Tasks {
 			j.ready = waits
@@ -94,7 +94,7 @@
 // asked for it.
 func (k *Checker) causes(j *truth) bool {
 	seen := map[string]bool{}
-	for list := j.spec.Awaits; len(list) > 0; {
+	for list := j.spec.Dependencies; len(list) > 0; {
 		id := list[len(list)-1]
 		list = list[: len(list)-1 : len(list)-1]
 		if o := k.jobs[id]; o != nil && !seen[id] {
@@ -102,7 +102,7 @@
 			if o.asked && o.stage != wire.StageDone {
 				return true
 			}
-			list = append(list, o.spec.Awaits...)
+			list = append(list, o.spec.Dependencies...)
 		}
 	}
 	return false
@@ -121,7 +121,7 @@
 		}
 		if !j.accepted {
 			j.accepted, j.acceptedAt = true, now
-			for _, id := range j.spec.Awaits { // one that names a cancelled job is cancelled too
+			for _, id := range j.spec.Dependencies { // one that names a cancelled job is cancelled too
 				if o := k.jobs[id]; o != nil && (o.doomed || o.stage == wire.StageCancelled) && !j.doomed {
 					j.doomed, j.doomedAt = true, now
 				}
@@ -195,7 +195,7 @@
 		k.AfterEnd++
 	}
 	s := &j.spec
-	for _, id := range s.Awaits {
+	for _, id := range s.Dependencies {
 		if o := k.jobs[id]; o == nil || len(o.done) < o.spec.Tasks {
 			k.broken("too_early", "%s starts before %s is done", name, id)
 		}
@@ -205,8 +205,8 @@
 		k.on[name][m.Name] = true
 		k.count(j, m.Zone, 1)
 	}
-	ok := s.Types == nil
-	for _, t := range s.Types {
+	ok := s.MachineTypes == nil
+	for _, t := range s.MachineTypes {
 		ok = ok || t == m.Type
 	}
 	if !ok || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.Spot {
@@ -235,7 +235,7 @@
 	j.on += n
 	u := k.use[j.spec.Team]
 	for i := range u {
-		u[i] += int64(n) * j.spec.Claim[i]
+		u[i] += int64(n) * j.spec.Request[i]
 	}
 	k.use[j.spec.Team] = u
 }
@@ -349,7 +349,7 @@
 	j.done[task] = true
 	for _, n := range k.next[id] {
 		n.ready = k.at
-		for _, o := range n.spec.Awaits {
+		for _, o := range n.spec.Dependencies {
 			if x := k.jobs[o]; x == nil || len(x.done) < x.spec.Tasks {
 				n.ready = waits
 			}
--- a/internal/sim/gap_test.go
+++ b/internal/sim/gap_test.go
@@ -61,7 +61,7 @@
 	return func() *node { return list[w.rng.IntN(len(list))] }
 }
 
-func (w *World) submitAt(pick func() *node, s wire.Spec) {
+func (w *World) submitAt(pick func() *node, s wire.JobSpec) {
 	w.Check.Submitted(s)
 	w.until(pick, func(r uint64) core.Input {
 		return core.Submit{Req: r, ID: s.ID, Spec: s, UnixMS: w.unixNow()}
@@ -92,14 +92,14 @@
 	w := New(o)
 	const jobs = 12
 	for i := 1; i < jobs; i += 4 { // jobs that await cancelled ones are called cancelled with them
-		s := wire.Spec{ID: fmt.Sprintf("wk-1%05d", i), Class: "c", Team: "t0", Tasks: 1, Claim: [3]int64{1000, 0, 1000}, Awaits: []string{fmt.Sprintf("wk-%06d", i)}}
+		s := wire.JobSpec{ID: fmt.Sprintf("wk-1%05d", i), Class: "c", Team: "t0", Tasks: 1, Request: [3]int64{1000, 0, 1000}, Dependencies: []string{fmt.Sprintf("wk-%06d", i)}}
 		if o.Beside {
 			break
 		}
 		w.after(30*time.Second, func() { w.user(s) })
 	}
-	spec := func(i int) wire.Spec {
-		return wire.Spec{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "t0", Service: true, Tasks: 3, Claim: [3]int64{1000, 0, 1000}, Spread: i%2 == 0}
+	spec := func(i int) wire.JobSpec {
+		return wire.JobSpec{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "t0", Service: true, Tasks: 3, Request: [3]int64{1000, 0, 1000}, Spread: i%2 == 0}
 	}
 	for i := range jobs {
 		s := spec(i)
@@ -249,13 +249,13 @@
 func TestHeldStartOfACancelledTaskComesToNothing(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		w := New(Options{Seed: seed, Length: 200 * time.Second, Quiet: true})
-		s := wire.Spec{ID: "wk-000001", Class: "c", Team: "t0", Service: true, Tasks: 2, Claim: [3]int64{1000, 0, 1000}}
+		s := wire.JobSpec{ID: "wk-000001", Class: "c", Team: "t0", Service: true, Tasks: 2, Request: [3]int64{1000, 0, 1000}}
 		first := s
 		first.ID = "wk-000000" // so that there are machines with room
 		held := 0
 		w.lateOrder = func(o core.Orders) time.Duration {
-			for _, x := range o.Body.Orders {
-				if id, _, _ := wire.SplitTask(x.Piece); id == s.ID && x.Op == wire.OpStart {
+			for _, x := range o.Body.Commands {
+				if id, _, _ := wire.SplitTaskName(x.Task); id == s.ID && x.Op == wire.OpStart {
 					held++
 					return 55 * time.Second
 				}
--- a/internal/sim/lanes.go
+++ b/internal/sim/lanes.go
@@ -23,7 +23,7 @@
 
 // inLine is a job in a lane.
 type inLine struct {
-	spec  wire.Spec
+	spec  wire.JobSpec
 	lane  string
 	nr    uint64        // revision of its acceptance
 	at    time.Duration // when it was accepted
@@ -111,14 +111,14 @@
 }
 
 // alike reports whether two jobs could use the same room.
-func alike(a, b *wire.Spec) bool {
-	return a.Claim == b.Claim && a.Spot == b.Spot && a.Service == b.Service && a.Team == b.Team && a.Priority == b.Priority
+func alike(a, b *wire.JobSpec) bool {
+	return a.Request == b.Request && a.Spot == b.Spot && a.Service == b.Service && a.Team == b.Team && a.Priority == b.Priority
 }
 
 // laneJob is one of a few shapes, so that many wait for the same room.
-func (w *World) laneJob() wire.Spec {
-	return wire.Spec{ID: fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)), Class: "c", Team: "t0", Priority: w.rng.IntN(4), Tasks: 1 + w.rng.IntN(3),
-		Claim: [3]int64{3000, 0, 2000}, Image: "i0", EstimateMS: 10000}
+func (w *World) laneJob() wire.JobSpec {
+	return wire.JobSpec{ID: fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)), Class: "c", Team: "t0", Priority: w.rng.IntN(4), Tasks: 1 + w.rng.IntN(3),
+		Request: [3]int64{3000, 0, 2000}, Image: "i0", EstimatedRuntimeMS: 10000}
 }
 
 // kills ends controllers, one or all, at any moment.
--- a/internal/sim/looks.go
+++ b/internal/sim/looks.go
@@ -46,7 +46,7 @@
 }
 
 // repeatAt submits a job, known or not, at a controller, once.
-func (w *World) repeatAt(n *node, by core.Cred, s wire.Spec) {
+func (w *World) repeatAt(n *node, by core.Cred, s wire.JobSpec) {
 	w.submitOnce(n, core.Submit{ID: s.ID, Spec: s, By: by}, func(core.Reply, bool) {})
 }
 
@@ -100,7 +100,7 @@
 			if id, ok := some(w.jobsThat(func(j *truth) bool { return j.stage == "" })); ok {
 				s := w.Check.jobs[id].spec
 				if w.chance(0.5) {
-					s.Tasks, s.Claim = s.Tasks+1, [3]int64{1_000_000, 0, 0}
+					s.Tasks, s.Request = s.Tasks+1, [3]int64{1_000_000, 0, 0}
 				}
 				w.repeatAt(n, by, s)
 			}
@@ -135,20 +135,20 @@
 }
 
 // unfitJob is a job that can never run.
-func (w *World) unfitJob() wire.Spec {
+func (w *World) unfitJob() wire.JobSpec {
 	s := w.someJob()
 	s.ID = fmt.Sprintf("wk-z%05d", w.rng.IntN(100000))
 	switch w.rng.IntN(5) {
 	case 0:
-		s.Claim[0] = 17_000 // more than any machine has
+		s.Request[0] = 17_000 // more than any machine has
 	case 1:
 		s.Team = "nobody"
 	case 2:
-		s.Types = []string{"huge"}
+		s.MachineTypes = []string{"huge"}
 	case 3:
 		s.Zone = "z"
 	case 4:
-		s.Team, s.Service, s.Tasks, s.Claim = "t1", true, 100, [3]int64{1000, 0, 0} // more than its team's limit
+		s.Team, s.Service, s.Tasks, s.Request = "t1", true, 100, [3]int64{1000, 0, 0} // more than its team's limit
 	}
 	return s
 }
@@ -176,7 +176,7 @@
 		}
 		fits := false
 		for i, m := range free {
-			fits = fits || rooms[i] >= j.spec.Claim[0] && k.mayGo(j, m.m)
+			fits = fits || rooms[i] >= j.spec.Request[0] && k.mayGo(j, m.m)
 		}
 		switch {
 		case !fits:
@@ -194,7 +194,7 @@
 	room := coresOf(m.m.Type)
 	for _, t := range m.tasks {
 		if t.stage != wire.TaskExited {
-			room -= m.w.Check.jobs[t.job].spec.Claim[0]
+			room -= m.w.Check.jobs[t.job].spec.Request[0]
 		}
 	}
 	return room
@@ -209,10 +209,10 @@
 	return 0
 }
 
-func (k *Checker) atLimit(s *wire.Spec) bool {
+func (k *Checker) atLimit(s *wire.JobSpec) bool {
 	lim, use := k.limit[s.Team], k.use[s.Team]
 	for i := range use {
-		if lim[i] > 0 && use[i]+s.Claim[i] > lim[i] {
+		if lim[i] > 0 && use[i]+s.Request[i] > lim[i] {
 			return true
 		}
 	}
@@ -222,7 +222,7 @@
 // mayGo reports whether a job's next task may go to a machine, room aside.
 func (k *Checker) mayGo(j *truth, m wire.Machine) bool {
 	s := &j.spec
-	if s.Types != nil && !slices.Contains(s.Types, m.Type) || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.Spot {
+	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, m.Type) || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.Spot {
 		return false
 	}
 	if s.OneZone && len(j.zones) > 0 && j.zones[m.Zone] == 0 {
--- a/internal/sim/meet.go
+++ b/internal/sim/meet.go
@@ -111,7 +111,7 @@
 func (w *World) lateReports() {
 	w.Trace("%v late reports", w.now)
 	till, share := w.now+w.between(10*time.Second, 30*time.Second), 0.1+0.6*w.rng.Float64()
-	w.lateReport = func(r *wire.Report) {
+	w.lateReport = func(r *wire.Heartbeat) {
 		if w.now > till || !w.chance(share) {
 			return
 		}
@@ -123,7 +123,7 @@
 }
 
 // copyTo has a copy of a report arrive at a controller; nobody waits for the answer.
-func (w *World) copyTo(n *node, r *wire.Report) {
+func (w *World) copyTo(n *node, r *wire.Heartbeat) {
 	w.req++
 	w.step(n, core.Beat{Req: w.req, Report: r})
 }
@@ -224,15 +224,15 @@
 func (w *World) reportsForNext() {
 	w.Trace("%v reports are kept for the next leader", w.now)
 	till := w.now + w.between(5*time.Second, 60*time.Second)
-	var kept []wire.Report
-	w.lateReport = func(r *wire.Report) {
+	var kept []wire.Heartbeat
+	w.lateReport = func(r *wire.Heartbeat) {
 		if w.now <= till && len(kept) < 200 && w.chance(0.5) {
 			kept = append(kept, *r)
 		}
 	}
 	leader := func() uint64 {
 		if it := w.state.keys[core.Root+"leader"]; it != nil {
-			return it.Mark
+			return it.Revision
 		}
 		return 0
 	}
--- a/internal/sim/rights.go
+++ b/internal/sim/rights.go
@@ -89,9 +89,9 @@
 		var next func()
 		next = func() {
 			held = !held
-			edit := wire.RightsEdit{GrantRoles: []string{"all"}}
+			edit := wire.PermissionsEdit{GrantRoles: []string{"all"}}
 			if !held {
-				edit = wire.RightsEdit{RevokeRoles: []string{"all"}, CancelQueued: w.chance(0.2)}
+				edit = wire.PermissionsEdit{RevokeRoles: []string{"all"}, CancelQueued: w.chance(0.2)}
 			}
 			w.Check.Asking(who)
 			w.setRight(who, edit, func() {
@@ -104,7 +104,7 @@
 }
 
 // setRight asks for a change until it is answered.
-func (w *World) setRight(who string, edit wire.RightsEdit, done func()) {
+func (w *World) setRight(who string, edit wire.PermissionsEdit, done func()) {
 	w.ask(w.nodes[w.rng.IntN(len(w.nodes))], 5*time.Second, func(r uint64) core.Input {
 		return core.Change{Req: r, By: cred(root), Who: who, Edit: edit}
 	}, func(r core.Reply, ok bool) {
@@ -112,7 +112,7 @@
 			w.after(time.Second, func() { w.setRight(who, edit, done) })
 			return
 		}
-		for _, id := range r.Body.(wire.Changed).Cancelled {
+		for _, id := range r.Body.(wire.PermissionsEditResult).Cancelled {
 			w.Check.Asked(id)
 		}
 		done()
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -232,9 +232,9 @@
 func TestCheckerOfTheOrderFires(t *testing.T) {
 	for rule, step := range map[string]func(o *order){
 		"demoted": func(o *order) {
-			o.wrote("a", &ledger.Record{Lane: "second", Turn: 7, Spec: &wire.Spec{}}, 9)
+			o.wrote("a", &ledger.Record{Lane: "second", Turn: 7, Spec: &wire.JobSpec{}}, 9)
 		},
-		"demoted: place": func(o *order) { o.wrote("a", &ledger.Record{Lane: "first", Turn: 9, Spec: &wire.Spec{}}, 9) },
+		"demoted: place": func(o *order) { o.wrote("a", &ledger.Record{Lane: "first", Turn: 9, Spec: &wire.JobSpec{}}, 9) },
 		"jumped": func(o *order) {
 			o.begins("b")
 			o.w.now += jumpWindow + time.Second
@@ -244,7 +244,7 @@
 		w := New(Options{Seed: 1})
 		for i, id := range []string{"a", "b"} {
 			w.now += time.Duration(i) * (apart + time.Second)
-			w.order.wrote(id, &ledger.Record{Lane: "first", Spec: &wire.Spec{}}, uint64(7+i))
+			w.order.wrote(id, &ledger.Record{Lane: "first", Spec: &wire.JobSpec{}}, uint64(7+i))
 		}
 		w.now++
 		step(w.order)
@@ -280,7 +280,7 @@
 		m := &workerStandIn{w: w, m: wire.Machine{Name: "m1", Type: "small", Zone: "a"}, up: true, token: 1, tasks: map[string]*workerTask{}}
 		w.cloud.machines = append(w.cloud.machines, m)
 		for _, id := range []string{"wk-000001", "wk-000002"} {
-			w.Check.Submitted(wire.Spec{ID: id, Team: "t0", Tasks: 1, Claim: [3]int64{4000, 0, 0}})
+			w.Check.Submitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
 		}
 		w.Check.Answered(0, 0, "submit", "wk-000001", 201, wire.StageQueued)
 		c.change(w, m)
@@ -314,7 +314,7 @@
 		k := NewChecker(cancelIn, nil)
 		k.calmFrom, k.Starts = 100*time.Second, 1
 		for i, id := range []string{"wk-000001", "wk-000002"} {
-			k.Submitted(wire.Spec{ID: id, Class: "c", Team: "t0", Tasks: 3 - i})
+			k.Submitted(wire.JobSpec{ID: id, Class: "c", Team: "t0", Tasks: 3 - i})
 			k.Answered(time.Second, time.Second, "submit", id, 201, wire.StageQueued)
 		}
 		step(k)
@@ -434,8 +434,8 @@
 	m1 := wire.Machine{Name: "m1", Type: "big", Zone: "a"}
 	m2 := wire.Machine{Name: "m2", Type: "big", Zone: "b"}
 	m3 := wire.Machine{Name: "m3", Type: "big", Zone: "a", Spot: true}
-	spec := wire.Spec{ID: "wk-1", Team: "t", Tasks: 2, Claim: [3]int64{1000, 0, 0}}
-	after := wire.Spec{ID: "wk-2", Team: "t", Tasks: 1, Awaits: []string{"wk-1"}}
+	spec := wire.JobSpec{ID: "wk-1", Team: "t", Tasks: 2, Request: [3]int64{1000, 0, 0}}
+	after := wire.JobSpec{ID: "wk-2", Team: "t", Tasks: 1, Dependencies: []string{"wk-1"}}
 	for rule, step := range map[string]func(k *Checker){
 		"ran_twice": func(k *Checker) { k.On(0, "wk-1", 0, m1); k.On(0, "wk-1", 0, m2) },
 		"quota": func(k *Checker) {
@@ -536,7 +536,7 @@
 		for _, broken := range []bool{false, true} { // all but the last transaction must be good
 			k := NewChecker(time.Second, nil)
 			r := newRecorder(k, func() time.Duration { return 0 })
-			keys := map[string]*wire.Item{core.Root + "audit/begun": {}}
+			keys := map[string]*wire.KeyValue{core.Root + "audit/begun": {}}
 			list := txns
 			if !broken {
 				list = txns[:len(txns)-1]
@@ -544,7 +544,7 @@
 			for _, then := range list {
 				r.Txn(keys, wire.Txn{Then: then})
 				for _, x := range then {
-					keys[x.Put] = &wire.Item{Value: x.Value}
+					keys[x.Put] = &wire.KeyValue{Value: x.Value}
 				}
 			}
 			if (len(k.Broken) > 0) != broken || broken && !strings.HasPrefix(k.Broken[0], "unrecorded") {
@@ -555,7 +555,7 @@
 	k := NewChecker(time.Second, nil)
 	r := newRecorder(k, func() time.Duration { return time.Hour })
 	r.carried[entryID{"n0", 1, 1}] = 0
-	r.Finish(map[string]*wire.Item{job: {Value: good.Value}})
+	r.Finish(map[string]*wire.KeyValue{job: {Value: good.Value}})
 	if len(k.Broken) != 1 {
 		t.Errorf("an entry that is carried for ever: %v", k.Broken)
 	}
@@ -564,7 +564,7 @@
 func TestCheckerCatchesSpreadAndOneZone(t *testing.T) {
 	m1 := wire.Machine{Name: "m1", Type: "big", Zone: "a"}
 	m2 := wire.Machine{Name: "m2", Type: "big", Zone: "b"}
-	for _, s := range []wire.Spec{{ID: "wk-1", Tasks: 2, Spread: true}, {ID: "wk-1", Tasks: 2, OneZone: true}} {
+	for _, s := range []wire.JobSpec{{ID: "wk-1", Tasks: 2, Spread: true}, {ID: "wk-1", Tasks: 2, OneZone: true}} {
 		k := NewChecker(time.Second, nil)
 		k.Submitted(s)
 		k.On(0, "wk-1", 0, m1)
--- a/internal/sim/stand.go
+++ b/internal/sim/stand.go
@@ -18,8 +18,8 @@
 type stateService struct {
 	w       *World
 	ledger  uint64
-	keys    map[string]*wire.Item
-	log     []wire.Event
+	keys    map[string]*wire.KeyValue
+	log     []wire.WatchEvent
 	leases  map[uint64]*leaseState
 	nextID  uint64
 	down    bool
@@ -43,7 +43,7 @@
 }
 
 func newState(w *World) *stateService {
-	s := &stateService{w: w, keys: map[string]*wire.Item{}, leases: map[uint64]*leaseState{}, refused: map[string]bool{}, stuck: map[string]bool{},
+	s := &stateService{w: w, keys: map[string]*wire.KeyValue{}, leases: map[uint64]*leaseState{}, refused: map[string]bool{}, stuck: map[string]bool{},
 		limits: limits{ops: 12, value: 8192}}
 	w.after(50*time.Millisecond, s.expire)
 	return s
@@ -58,7 +58,7 @@
 			delete(s.leases, id)
 			var gone []string
 			for k, it := range s.keys {
-				if it.Lease == id {
+				if it.LeaseID == id {
 					gone = append(gone, k)
 				}
 			}
@@ -68,7 +68,7 @@
 			}
 			for _, k := range gone {
 				delete(s.keys, k)
-				s.log = append(s.log, wire.Event{Delete: k, Mark: s.ledger})
+				s.log = append(s.log, wire.WatchEvent{Delete: k, Revision: s.ledger})
 			}
 			s.wake()
 		}
@@ -119,7 +119,7 @@
 }
 
 func (l limits) exceeded(t wire.Txn) bool {
-	if len(t.Then) > l.ops || len(t.If) > 4*l.ops {
+	if len(t.Then) > l.ops || len(t.Compare) > 4*l.ops {
 		return true
 	}
 	for _, w := range t.Then {
@@ -144,33 +144,33 @@
 	return true
 }
 
-func (s *stateService) commit(node string, t wire.Txn) (int, wire.TxnReply) {
+func (s *stateService) commit(node string, t wire.Txn) (int, wire.TxnResponse) {
 	if s.bad(node) {
-		return 503, wire.TxnReply{}
+		return 503, wire.TxnResponse{}
 	}
 	if s.limits.exceeded(t) {
-		return 400, wire.TxnReply{Error: "too large"}
+		return 400, wire.TxnResponse{Error: "too large"}
 	}
 	if !s.pay(len(t.Then)) {
-		return 429, wire.TxnReply{}
+		return 429, wire.TxnResponse{}
 	}
 	for _, w := range t.Then {
-		if w.Put != "" && w.Lease != 0 && s.leases[w.Lease] == nil {
-			return 400, wire.TxnReply{Error: "no such lease"}
+		if w.Put != "" && w.LeaseID != 0 && s.leases[w.LeaseID] == nil {
+			return 400, wire.TxnResponse{Error: "no such lease"}
 		}
 	}
 	var failed []string
-	for _, c := range t.If {
+	for _, c := range t.Compare {
 		var mark uint64
 		if it := s.keys[c.Key]; it != nil {
-			mark = it.Mark
+			mark = it.Revision
 		}
-		if mark != c.Mark {
+		if mark != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return 409, wire.TxnReply{Failed: failed, Ledger: s.ledger}
+		return 409, wire.TxnResponse{Failed: failed, Revision: s.ledger}
 	}
 	if s.w.opt.Audit {
 		s.w.recorder.Txn(s.keys, t)
@@ -178,11 +178,11 @@
 	s.ledger++
 	for _, w := range t.Then {
 		if w.Put != "" {
-			s.keys[w.Put] = &wire.Item{Key: w.Put, Value: w.Value, Mark: s.ledger, Lease: w.Lease}
-			s.log = append(s.log, wire.Event{Put: w.Put, Value: w.Value, Mark: s.ledger})
+			s.keys[w.Put] = &wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.ledger, LeaseID: w.LeaseID}
+			s.log = append(s.log, wire.WatchEvent{Put: w.Put, Value: w.Value, Revision: s.ledger})
 		} else {
 			delete(s.keys, w.Delete)
-			s.log = append(s.log, wire.Event{Delete: w.Delete, Mark: s.ledger})
+			s.log = append(s.log, wire.WatchEvent{Delete: w.Delete, Revision: s.ledger})
 		}
 	}
 	if s.w.opt.Lanes {
@@ -192,13 +192,13 @@
 		s.w.booked.stored(s.keys)
 	}
 	s.wake()
-	return 200, wire.TxnReply{Ledger: s.ledger}
+	return 200, wire.TxnResponse{Revision: s.ledger}
 }
 
-func (s *stateService) since(from uint64) wire.Changes {
-	out := wire.Changes{Ledger: s.ledger}
-	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Mark > from })
-	out.Log = append(out.Log, s.log[i:]...)
+func (s *stateService) since(from uint64) wire.WatchResponse {
+	out := wire.WatchResponse{Revision: s.ledger}
+	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Revision > from })
+	out.Events = append(out.Events, s.log[i:]...)
 	return out
 }
 
@@ -261,7 +261,7 @@
 }
 
 // page lists the keys with a prefix that lie behind another, in order.
-func (s *stateService) page(prefix, from string, most int) (items []wire.Item, more bool) {
+func (s *stateService) page(prefix, from string, most int) (items []wire.KeyValue, more bool) {
 	var names []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, prefix) && k > from {
@@ -345,7 +345,7 @@
 	if o.Key == "" {
 		out.Items, out.More = s.page(o.Prefix, o.From, o.Most)
 	} else if it := s.keys[o.Key]; it != nil {
-		out.Items = []wire.Item{*it}
+		out.Items = []wire.KeyValue{*it}
 	} else {
 		out.Status = 404
 	}
@@ -387,8 +387,8 @@
 }
 
 var catalog = wire.Catalog{Types: []wire.MachineType{
-	{Name: "big", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootS: 8, Zones: zones},
-	{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchRate: 1, Price: 0.3, SpotPrice: 0.1, BootS: 5, Zones: zones},
+	{Name: "big", CPUs: 16, MemoryGB: 64, LocalDiskGB: 50, ImagePullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 8, Zones: zones},
+	{Name: "small", CPUs: 4, MemoryGB: 16, LocalDiskGB: 50, ImagePullGBPerS: 1, Price: 0.3, SpotPrice: 0.1, BootS: 5, Zones: zones},
 }}
 
 func (c *cloudStandIn) find(name string) *workerStandIn { return c.byName[name] }
@@ -417,7 +417,7 @@
 		k := catalog
 		out.Catalog = &k
 	case "rent":
-		if names, ok := c.hires[o.Rent.Name]; ok {
+		if names, ok := c.hires[o.Rent.IdempotencyKey]; ok {
 			out.Names = names
 			return out
 		}
@@ -450,7 +450,7 @@
 				c.w.after(c.w.between(10*time.Second, 300*time.Second), m.take)
 			}
 		}
-		c.hires[o.Rent.Name] = out.Names
+		c.hires[o.Rent.IdempotencyKey] = out.Names
 	case "return":
 		for _, n := range o.Names {
 			if m := c.find(n); m != nil {
@@ -573,7 +573,7 @@
 }
 
 func (m *workerStandIn) off(t *workerTask) {
-	if t.stage == wire.TaskRunning || t.stage == wire.TaskSaving {
+	if t.stage == wire.TaskRunning || t.stage == wire.TaskCheckpointing {
 		m.w.Check.Off(t.job, t.task, m.m.Name)
 	}
 }
@@ -602,17 +602,17 @@
 	m.w.after(m.w.between(reportEvery*3/4, reportEvery*5/4), m.loop)
 }
 
-func (m *workerStandIn) report() *wire.Report {
+func (m *workerStandIn) report() *wire.Heartbeat {
 	m.seq++
-	r := &wire.Report{Machine: m.m.Name, Addr: m.m.Addr, Type: m.m.Type, Zone: m.m.Zone, Spot: m.m.Spot, Session: m.session,
-		Seq: m.seq, Token: m.token}
+	r := &wire.Heartbeat{Machine: m.m.Name, Addr: m.m.Addr, Type: m.m.Type, Zone: m.m.Zone, Spot: m.m.Spot, Incarnation: m.session,
+		Sequence: m.seq, FencingToken: m.token}
 	if m.notice > 0 {
 		s := (m.notice - m.w.now).Seconds()
-		r.NoticeS = &s
+		r.InterruptionNoticeS = &s
 	}
 	for _, k := range m.names() {
 		t := m.tasks[k]
-		r.Pieces = append(r.Pieces, wire.Piece{Piece: wire.TaskName(t.job, t.task), Try: t.try, Stage: t.stage, Cause: t.cause})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(t.job, t.task), Attempt: t.try, Stage: t.stage, Cause: t.cause})
 	}
 	return r
 }
@@ -632,18 +632,18 @@
 		}
 		over = true
 		m.inFlight = false
-		b, isBeat := rep.Body.(wire.BeatReply)
+		b, isBeat := rep.Body.(wire.HeartbeatResponse)
 		if !ok || rep.Status != 200 || !isBeat {
 			m.at = (m.at + 1) % len(m.w.nodes)
 			m.w.after(time.Second, m.beat)
 			return
 		}
-		if b.Token < m.token || session != m.session || m.w.now < m.frozen {
+		if b.FencingToken < m.token || session != m.session || m.w.now < m.frozen {
 			return
 		}
-		m.token = b.Token
+		m.token = b.FencingToken
 		m.answered = sent
-		m.execute(b.Orders)
+		m.execute(b.Commands)
 	}
 	m.w.after(4*time.Second, func() { finish(core.Reply{}, false) })
 	m.w.send(m.m.Name, n.name, func() {
@@ -660,7 +660,7 @@
 }
 
 // orders executes direct orders; a hanging machine does so when it goes on.
-func (m *workerStandIn) orders(b wire.OrdersBody) (int, *wire.Report) {
+func (m *workerStandIn) orders(b wire.CommandBatch) (int, *wire.Heartbeat) {
 	if m.gone || !m.up {
 		return 0, nil
 	}
@@ -668,17 +668,17 @@
 		m.w.after(m.frozen-m.w.now+time.Millisecond, func() { m.orders(b) })
 		return 0, nil
 	}
-	if b.Token < m.token || b.Session != m.session {
+	if b.FencingToken < m.token || b.Incarnation != m.session {
 		return 409, m.report()
 	}
-	m.token = b.Token
-	m.execute(b.Orders)
+	m.token = b.FencingToken
+	m.execute(b.Commands)
 	return 200, m.report()
 }
 
-func (m *workerStandIn) execute(orders []wire.Order) {
+func (m *workerStandIn) execute(orders []wire.Command) {
 	for _, o := range orders {
-		key := fmt.Sprintf("%s#%d", o.Piece, o.Try)
+		key := fmt.Sprintf("%s#%d", o.Task, o.Attempt)
 		t := m.tasks[key]
 		switch o.Op {
 		case wire.OpStart:
@@ -689,7 +689,7 @@
 			if t != nil && t.stage != wire.TaskExited {
 				m.exit(t, wire.CauseStopped)
 			}
-		case wire.OpForget:
+		case wire.OpClear:
 			if t != nil && t.stage == wire.TaskExited {
 				delete(m.tasks, key)
 			}
@@ -703,13 +703,13 @@
 	t.run++
 }
 
-func (m *workerStandIn) startTask(key string, o wire.Order) {
-	id, n, _ := wire.SplitTask(o.Piece)
-	t := &workerTask{job: id, task: n, try: o.Try, stage: wire.TaskFetching}
+func (m *workerStandIn) startTask(key string, o wire.Command) {
+	id, n, _ := wire.SplitTaskName(o.Task)
+	t := &workerTask{job: id, task: n, try: o.Attempt, stage: wire.TaskPullingImage}
 	m.tasks[key] = t
 	j := m.w.Check.jobs[id]
 	if j == nil {
-		m.exit(t, wire.CauseUnknown)
+		m.exit(t, wire.CauseNoSuchTask)
 		return
 	}
 	for _, x := range m.tasks {
@@ -719,7 +719,7 @@
 		}
 	}
 	if m.room() < 0 {
-		m.exit(t, wire.CauseFull)
+		m.exit(t, wire.CauseNoCapacity)
 		return
 	}
 	run := t.run
--- a/internal/sim/upgrade.go
+++ b/internal/sim/upgrade.go
@@ -104,7 +104,7 @@
 	}
 	switch in := in.(type) {
 	case core.Loaded:
-		var items []wire.Item
+		var items []wire.KeyValue
 		for _, it := range in.Items {
 			if v, ok := see(it.Key, it.Value); ok {
 				it.Value = v
@@ -114,8 +114,8 @@
 		in.Items = items
 		return in
 	case core.Changed:
-		var log []wire.Event
-		for _, e := range in.Changes.Log {
+		var log []wire.WatchEvent
+		for _, e := range in.Changes.Events {
 			if e.Put == "" {
 				log = append(log, e)
 			} else if v, ok := see(e.Put, e.Value); ok {
@@ -123,13 +123,13 @@
 				log = append(log, e)
 			}
 		}
-		in.Changes.Log = log
+		in.Changes.Events = log
 		return in
 	case core.FromPeer:
 		in.Msg = throughOld(w, in.Msg)
 		return in
 	case core.Submit:
-		in.Spec.Awaits = nil
+		in.Spec.Dependencies = nil
 		return in
 	}
 	return in
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -81,7 +81,7 @@
 	// How much later a transaction or orders are executed, beside what is late by chance; and what comes of a report.
 	lateWrite  func(t wire.Txn) time.Duration
 	lateOrder  func(o core.Orders) time.Duration
-	lateReport func(r *wire.Report)
+	lateReport func(r *wire.Heartbeat)
 	lateAnswer func(t wire.Txn) time.Duration   // a transaction is executed at once, and its answer so much later; under 0: it is lost
 	atEnd      func(id string)                  // the last task of a job is ending at this moment
 	deaf       map[string]time.Duration         // machines that nothing reaches until then
@@ -105,7 +105,7 @@
 	opt.Nodes, opt.Fleet, opt.Tasks = cmp.Or(opt.Nodes, 3), cmp.Or(opt.Fleet, 14), cmp.Or(opt.Tasks, 9)
 	opt.CancelIn, opt.Lease = cmp.Or(opt.CancelIn, cancelIn), cmp.Or(opt.Lease, workerLease)
 	w := &World{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 77)), cut: map[[2]string]bool{}, held: map[[2]string][]func(){},
-		lateWrite: func(wire.Txn) time.Duration { return 0 }, lateOrder: func(core.Orders) time.Duration { return 0 }, lateReport: func(*wire.Report) {},
+		lateWrite: func(wire.Txn) time.Duration { return 0 }, lateOrder: func(core.Orders) time.Duration { return 0 }, lateReport: func(*wire.Heartbeat) {},
 		lateAnswer: func(wire.Txn) time.Duration { return 0 }, atEnd: func(string) {}, deaf: map[string]time.Duration{}, muted: map[string]time.Duration{}, Trace: func(string, ...any) {}, Seen: func(string, core.Output) {}}
 	limit := 40000 * int64(opt.Tasks) / 9
 	w.teams = []core.Team{{Name: "t0"}, {Name: "t1", CPU: limit * 2 / 5, CPUMax: limit}}
@@ -688,7 +688,7 @@
 	}
 	for range w.opt.Mistakes {
 		s := w.someJob()
-		s.Awaits, s.Service = nil, w.chance(0.2)
+		s.Dependencies, s.Service = nil, w.chance(0.2)
 		w.Check.mistaken[s.ID] = &mistake{}
 		w.after(w.between(0, w.opt.Length/3), func() { w.user(s) })
 	}
@@ -749,10 +749,10 @@
 	})
 }
 
-func (w *World) user(s wire.Spec) { w.userThen(s, func() {}) }
+func (w *World) user(s wire.JobSpec) { w.userThen(s, func() {}) }
 
 // userThen is a user who submits a job and goes on with something else once it is accepted.
-func (w *World) userThen(s wire.Spec, accepted func()) {
+func (w *World) userThen(s wire.JobSpec, accepted func()) {
 	if w.Check.jobs[s.ID] != nil {
 		return
 	}
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		panic(err) // strings and numbers
 	}
-	s.Fill([]wire.Item{{Key: core.Root + "types", Value: raw}})
+	s.Fill([]wire.KeyValue{{Key: core.Root + "types", Value: raw}})
 }
 
 // Job is the submission of a small job of the team t.
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -35,8 +35,8 @@
 	limits  Limits
 	down    bool
 	ledger  uint64
-	keys    *btree.BTreeG[wire.Item]
-	log     []wire.Event
+	keys    *btree.BTreeG[wire.KeyValue]
+	log     []wire.WatchEvent
 	leases  map[uint64]*lease
 	nextID  uint64
 	changed chan struct{} // closed at the next change
@@ -73,7 +73,7 @@
 
 // NewState returns an empty state service.
 func NewState(l Limits) *State {
-	return &State{limits: l, keys: btree.NewG(32, func(a, b wire.Item) bool { return a.Key < b.Key }),
+	return &State{limits: l, keys: btree.NewG(32, func(a, b wire.KeyValue) bool { return a.Key < b.Key }),
 		leases: map[uint64]*lease{}, changed: make(chan struct{}), count: map[string]int{}}
 }
 
@@ -101,12 +101,12 @@
 }
 
 // Fill puts keys without asking for any limit, as one change.
-func (s *State) Fill(items []wire.Item) {
+func (s *State) Fill(items []wire.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger++
 	for _, it := range items {
-		it.Mark = s.ledger
+		it.Revision = s.ledger
 		s.keys.ReplaceOrInsert(it)
 	}
 }
@@ -115,7 +115,7 @@
 func (s *State) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	it, _ := s.keys.Get(wire.Item{Key: key})
+	it, _ := s.keys.Get(wire.KeyValue{Key: key})
 	return it.Value
 }
 
@@ -123,7 +123,7 @@
 func (s *State) Keys(prefix string) (n, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keys.AscendGreaterOrEqual(wire.Item{Key: prefix}, func(it wire.Item) bool {
+	s.keys.AscendGreaterOrEqual(wire.KeyValue{Key: prefix}, func(it wire.KeyValue) bool {
 		if !strings.HasPrefix(it.Key, prefix) {
 			return false
 		}
@@ -186,7 +186,7 @@
 
 func (s *State) get(w http.ResponseWriter, key string) {
 	s.mu.Lock()
-	it, ok := s.keys.Get(wire.Item{Key: key})
+	it, ok := s.keys.Get(wire.KeyValue{Key: key})
 	ledger := s.ledger
 	s.mu.Unlock()
 	if !ok {
@@ -206,11 +206,11 @@
 	if n := s.limits.PageItems; n > 0 {
 		most = min(most, n)
 	}
-	out := wire.Page{Items: []wire.Item{}}
+	out := wire.RangeResponse{Items: []wire.KeyValue{}}
 	s.mu.Lock()
-	out.Ledger = s.ledger
+	out.Revision = s.ledger
 	bytes := 0
-	s.keys.AscendGreaterOrEqual(wire.Item{Key: max(prefix, from)}, func(it wire.Item) bool {
+	s.keys.AscendGreaterOrEqual(wire.KeyValue{Key: max(prefix, from)}, func(it wire.KeyValue) bool {
 		switch {
 		case !strings.HasPrefix(it.Key, prefix):
 			return it.Key < prefix
@@ -239,15 +239,15 @@
 }
 
 // Commit carries out a transaction, without a request.
-func (s *State) Commit(t wire.Txn) (status int, reply wire.TxnReply) {
+func (s *State) Commit(t wire.Txn) (status int, reply wire.TxnResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.apply(t)
 }
 
-func (s *State) apply(t wire.Txn) (int, wire.TxnReply) {
-	refuse := func(why string) (int, wire.TxnReply) { return http.StatusBadRequest, wire.TxnReply{Error: why} }
-	if n := s.limits.Ops; n > 0 && (len(t.Then) > n || len(t.If) > 4*n) {
+func (s *State) apply(t wire.Txn) (int, wire.TxnResponse) {
+	refuse := func(why string) (int, wire.TxnResponse) { return http.StatusBadRequest, wire.TxnResponse{Error: why} }
+	if n := s.limits.Ops; n > 0 && (len(t.Then) > n || len(t.Compare) > 4*n) {
 		return refuse("too many changes or conditions")
 	}
 	for _, x := range t.Then {
@@ -258,22 +258,22 @@
 			return refuse("no value, or a long key")
 		case s.limits.ValueBytes > 0 && len(x.Value) > s.limits.ValueBytes:
 			return refuse("value too large")
-		case x.Lease != 0 && s.leases[x.Lease] == nil:
+		case x.LeaseID != 0 && s.leases[x.LeaseID] == nil:
 			return refuse("no such lease")
 		}
 	}
 	if !s.writes.take(float64(len(t.Then)), s.limits.WriteRPS) {
 		s.count["refused"]++
-		return http.StatusTooManyRequests, wire.TxnReply{Error: "too many changes"}
+		return http.StatusTooManyRequests, wire.TxnResponse{Error: "too many changes"}
 	}
 	var failed []string
-	for _, c := range t.If {
-		if it, _ := s.keys.Get(wire.Item{Key: c.Key}); it.Mark != c.Mark {
+	for _, c := range t.Compare {
+		if it, _ := s.keys.Get(wire.KeyValue{Key: c.Key}); it.Revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return http.StatusConflict, wire.TxnReply{Failed: failed, Ledger: s.ledger}
+		return http.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.ledger}
 	}
 	s.count["changed"] += len(t.Then) // "changes" are the requests of that path
 	if len(t.Then) > 0 {
@@ -281,33 +281,33 @@
 	}
 	for _, x := range t.Then {
 		if x.Put != "" {
-			s.put(wire.Item{Key: x.Put, Value: x.Value, Mark: s.ledger, Lease: x.Lease})
+			s.put(wire.KeyValue{Key: x.Put, Value: x.Value, Revision: s.ledger, LeaseID: x.LeaseID})
 		} else {
 			s.drop(x.Delete)
 		}
 	}
 	s.wake()
-	return http.StatusOK, wire.TxnReply{Ledger: s.ledger}
+	return http.StatusOK, wire.TxnResponse{Revision: s.ledger}
 }
 
-func (s *State) put(it wire.Item) {
-	if old, ok := s.keys.ReplaceOrInsert(it); ok && old.Lease != 0 && s.leases[old.Lease] != nil {
-		delete(s.leases[old.Lease].keys, it.Key)
+func (s *State) put(it wire.KeyValue) {
+	if old, ok := s.keys.ReplaceOrInsert(it); ok && old.LeaseID != 0 && s.leases[old.LeaseID] != nil {
+		delete(s.leases[old.LeaseID].keys, it.Key)
 	}
-	if it.Lease != 0 {
-		s.leases[it.Lease].keys[it.Key] = true
+	if it.LeaseID != 0 {
+		s.leases[it.LeaseID].keys[it.Key] = true
 	}
-	s.note(wire.Event{Put: it.Key, Value: it.Value, Mark: s.ledger})
+	s.note(wire.WatchEvent{Put: it.Key, Value: it.Value, Revision: s.ledger})
 }
 
 func (s *State) drop(key string) {
-	if old, ok := s.keys.Delete(wire.Item{Key: key}); ok && old.Lease != 0 && s.leases[old.Lease] != nil {
-		delete(s.leases[old.Lease].keys, key)
+	if old, ok := s.keys.Delete(wire.KeyValue{Key: key}); ok && old.LeaseID != 0 && s.leases[old.LeaseID] != nil {
+		delete(s.leases[old.LeaseID].keys, key)
 	}
-	s.note(wire.Event{Delete: key, Mark: s.ledger})
+	s.note(wire.WatchEvent{Delete: key, Revision: s.ledger})
 }
 
-func (s *State) note(e wire.Event) {
+func (s *State) note(e wire.WatchEvent) {
 	s.log = append(s.log, e)
 	if len(s.log) >= 2*logChanges {
 		s.log = slices.Clone(s.log[len(s.log)-logChanges:])
@@ -332,17 +332,17 @@
 	late := hold <= 0
 	for {
 		s.mu.Lock()
-		out := wire.Changes{Ledger: s.ledger, Log: []wire.Event{}}
-		gone := len(s.log) > 0 && s.log[0].Mark > from+1 && s.ledger > from
-		i, _ := slices.BinarySearchFunc(s.log, from+1, func(e wire.Event, m uint64) int {
-			if e.Mark < m {
+		out := wire.WatchResponse{Revision: s.ledger, Events: []wire.WatchEvent{}}
+		gone := len(s.log) > 0 && s.log[0].Revision > from+1 && s.ledger > from
+		i, _ := slices.BinarySearchFunc(s.log, from+1, func(e wire.WatchEvent, m uint64) int {
+			if e.Revision < m {
 				return -1
 			}
 			return 1
 		})
 		for _, e := range s.log[i:] {
 			if strings.HasPrefix(e.Put+e.Delete, q.Get("starts")) {
-				out.Log = append(out.Log, e)
+				out.Events = append(out.Events, e)
 			}
 		}
 		wait, down := s.changed, s.down
@@ -351,7 +351,7 @@
 		case gone && !down:
 			answer(w, http.StatusGone, wire.Error{Error: "too old"})
 			return
-		case !down && len(out.Log) > 0 || late:
+		case !down && len(out.Events) > 0 || late:
 			answer(w, http.StatusOK, out)
 			return
 		}
@@ -379,7 +379,7 @@
 		l.timer = time.AfterFunc(l.life, func() { s.end(id) })
 		s.leases[id] = l
 		s.mu.Unlock()
-		answer(w, http.StatusOK, wire.LeaseReply{Lease: id})
+		answer(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
 		return
 	}
 	name, verb, _ := strings.Cut(strings.Join(rest, "/"), "/")
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -46,7 +46,7 @@
 	mu               sync.Mutex
 	seq              uint64
 	token            uint64
-	pieces           []wire.Piece
+	pieces           []wire.TaskStatus
 	changed          chan struct{}
 	node             int
 	answered, failed int // reports
@@ -103,7 +103,7 @@
 	mux.HandleFunc("GET "+wire.PathCatalog, func(w http.ResponseWriter, r *http.Request) {
 		answer(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{all.kind}})
 	})
-	mux.HandleFunc("GET "+wire.PathRentals, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
 		most, err := strconv.Atoi(r.URL.Query().Get("most"))
 		if err != nil {
 			answer(w, http.StatusBadRequest, wire.Error{Error: "most: " + err.Error()})
@@ -111,20 +111,20 @@
 		}
 		answer(w, http.StatusOK, all.page(r.URL.Query().Get("from"), most))
 	})
-	mux.HandleFunc("POST "+wire.PathRentals, func(w http.ResponseWriter, r *http.Request) {
-		var req wire.RentRequest
+	mux.HandleFunc("POST "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
+		var req wire.ScaleOutRequest
 		if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 			answer(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
 		}
 		if names := all.hire(req); len(names) > 0 {
-			answer(w, http.StatusOK, wire.Names{Machines: names})
+			answer(w, http.StatusOK, wire.MachineNames{Machines: names})
 			return
 		}
 		answer(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 	})
-	mux.HandleFunc("POST "+wire.PathReturn, func(w http.ResponseWriter, r *http.Request) {
-		var names wire.Names
+	mux.HandleFunc("POST "+wire.PathScaleIn, func(w http.ResponseWriter, r *http.Request) {
+		var names wire.MachineNames
 		if err := json.NewDecoder(r.Body).Decode(&names); err != nil {
 			answer(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
@@ -153,10 +153,10 @@
 }
 
 // hire rents as many as there are, once for each name of a request.
-func (all *Workers) hire(r wire.RentRequest) []string {
+func (all *Workers) hire(r wire.ScaleOutRequest) []string {
 	all.rent.Lock()
 	defer all.rent.Unlock()
-	if names, ok := all.hires[r.Name]; ok || all.ctx == nil || r.Type != all.kind.Name {
+	if names, ok := all.hires[r.IdempotencyKey]; ok || all.ctx == nil || r.Type != all.kind.Name {
 		return names
 	}
 	var names []string
@@ -173,7 +173,7 @@
 		go w.reports(w.ctx)
 	}
 	if len(names) > 0 {
-		all.hires[r.Name] = names
+		all.hires[r.IdempotencyKey] = names
 	}
 	return names
 }
@@ -238,13 +238,13 @@
 		case <-time.After(fetch):
 		}
 	}
-	if r.URL.Path == wire.PathOrders {
-		var o wire.OrdersBody
+	if r.URL.Path == wire.PathAgentCommands {
+		var o wire.CommandBatch
 		if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 			http.Error(rw, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if !w.take(o.Token, o.Orders) {
+		if !w.take(o.FencingToken, o.Commands) {
 			answer(rw, http.StatusConflict, w.report())
 			return
 		}
@@ -258,16 +258,16 @@
 	return w.ctx != nil && !w.over && time.Since(w.rented) > boot
 }
 
-func (w *Worker) report() *wire.Report {
+func (w *Worker) report() *wire.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.seq++
 	m := &w.machine
-	return &wire.Report{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: 1, Seq: w.seq, Token: w.token, Pieces: slices.Clone(w.pieces)}
+	return &wire.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Sequence: w.seq, FencingToken: w.token, Tasks: slices.Clone(w.pieces)}
 }
 
 // take executes orders under a token; false if the machine has seen a higher one.
-func (w *Worker) take(token uint64, orders []wire.Order) bool {
+func (w *Worker) take(token uint64, orders []wire.Command) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if token < w.token {
@@ -275,24 +275,24 @@
 	}
 	w.token = token
 	for _, o := range orders {
-		i := slices.IndexFunc(w.pieces, func(p wire.Piece) bool { return p.Piece == o.Piece && p.Try == o.Try })
+		i := slices.IndexFunc(w.pieces, func(p wire.TaskStatus) bool { return p.Task == o.Task && p.Attempt == o.Attempt })
 		switch {
 		case o.Op == wire.OpStart && i < 0:
-			claim, d := w.all.task(o.Piece)
+			claim, d := w.all.task(o.Task)
 			if !w.fits(claim) {
-				w.pieces = append(w.pieces, wire.Piece{Piece: o.Piece, Try: o.Try, Stage: wire.TaskExited, Cause: wire.CauseFull})
+				w.pieces = append(w.pieces, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Stage: wire.TaskExited, Cause: wire.CauseNoCapacity})
 				w.all.refused.Add(1)
 				w.tell()
 				break
 			}
-			w.pieces = append(w.pieces, wire.Piece{Piece: o.Piece, Try: o.Try, Stage: wire.TaskFetching})
-			time.AfterFunc(fetch, func() { w.becomes(o, wire.TaskFetching, wire.TaskRunning, "") })
+			w.pieces = append(w.pieces, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Stage: wire.TaskPullingImage})
+			time.AfterFunc(fetch, func() { w.becomes(o, wire.TaskPullingImage, wire.TaskRunning, "") })
 			if d > 0 {
 				time.AfterFunc(fetch+d, func() { w.becomes(o, wire.TaskRunning, wire.TaskExited, wire.CauseDone) })
 			}
 		case o.Op == wire.OpStop && i >= 0 && w.pieces[i].Stage != wire.TaskExited:
 			w.pieces[i].Stage, w.pieces[i].Cause = wire.TaskExited, wire.CauseStopped
-		case o.Op == wire.OpForget && i >= 0 && w.pieces[i].Stage == wire.TaskExited:
+		case o.Op == wire.OpClear && i >= 0 && w.pieces[i].Stage == wire.TaskExited:
 			w.pieces = slices.Delete(w.pieces, i, i+1)
 		}
 	}
@@ -300,11 +300,11 @@
 }
 
 // becomes has a task go from one state to the next, and is told at once.
-func (w *Worker) becomes(o wire.Order, from, to, cause string) {
+func (w *Worker) becomes(o wire.Command, from, to, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.pieces {
-		if p := &w.pieces[i]; p.Piece == o.Piece && p.Try == o.Try && p.Stage == from {
+		if p := &w.pieces[i]; p.Task == o.Task && p.Attempt == o.Attempt && p.Stage == from {
 			p.Stage, p.Cause = to, cause
 			w.tell()
 		}
@@ -321,10 +321,10 @@
 
 // fits reports whether there is room beside the tasks that have not exited.
 func (w *Worker) fits(claim [3]int64) bool {
-	room := w.all.kind.Room()
+	room := w.all.kind.Capacity()
 	for _, p := range w.pieces {
 		if p.Stage != wire.TaskExited {
-			c, _ := w.all.task(p.Piece)
+			c, _ := w.all.task(p.Task)
 			for i := range room {
 				room[i] -= c[i]
 			}
@@ -378,7 +378,7 @@
 	if err != nil {
 		panic(err) // strings and numbers
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.all.nodes[w.node]+wire.PathBeat, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.all.nodes[w.node]+wire.PathHeartbeat, bytes.NewReader(raw))
 	if err != nil {
 		return false
 	}
@@ -388,10 +388,10 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	var b wire.BeatReply
+	var b wire.HeartbeatResponse
 	if err != nil || resp.StatusCode != http.StatusOK || json.Unmarshal(body, &b) != nil {
 		return false
 	}
-	w.take(b.Token, b.Orders)
+	w.take(b.FencingToken, b.Commands)
 	return true
 }
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -12,20 +12,22 @@
 	kind := wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}}
 	all := NewWorkers(1, kind, []string{"127.0.0.1:1"}, time.Minute, func(string) ([3]int64, time.Duration) { return [3]int64{2000, 0, 1000}, 0 })
 	w := all.list[0]
-	order := func(op, piece string, try uint64) wire.Order { return wire.Order{Op: op, Piece: piece, Try: try} }
-	start := []wire.Order{order(wire.OpStart, "wk-1/0", 1), order(wire.OpStart, "wk-1/0", 1), order(wire.OpStart, "wk-1/1", 2), order(wire.OpStart, "wk-1/2", 3)}
-	if !w.take(5, start) || w.take(4, []wire.Order{order(wire.OpStop, "wk-1/0", 1)}) {
+	order := func(op, piece string, try uint64) wire.Command {
+		return wire.Command{Op: op, Task: piece, Attempt: try}
+	}
+	start := []wire.Command{order(wire.OpStart, "wk-1/0", 1), order(wire.OpStart, "wk-1/0", 1), order(wire.OpStart, "wk-1/1", 2), order(wire.OpStart, "wk-1/2", 3)}
+	if !w.take(5, start) || w.take(4, []wire.Command{order(wire.OpStop, "wk-1/0", 1)}) {
 		t.Fatal("the token decides who gives orders")
 	}
-	if r := w.report(); len(r.Pieces) != 3 || r.Pieces[2].Cause != wire.CauseFull || all.Refused() != 1 {
-		t.Errorf("two of three tasks fit: %+v, %d refused", r.Pieces, all.Refused())
+	if r := w.report(); len(r.Tasks) != 3 || r.Tasks[2].Cause != wire.CauseNoCapacity || all.Refused() != 1 {
+		t.Errorf("two of three tasks fit: %+v, %d refused", r.Tasks, all.Refused())
 	}
-	w.take(5, []wire.Order{order(wire.OpForget, "wk-1/0", 1), order(wire.OpStop, "wk-1/0", 1), order(wire.OpForget, "wk-1/2", 3)})
+	w.take(5, []wire.Command{order(wire.OpClear, "wk-1/0", 1), order(wire.OpStop, "wk-1/0", 1), order(wire.OpClear, "wk-1/2", 3)})
 	r := w.report()
-	if len(r.Pieces) != 2 || r.Pieces[0].Cause != wire.CauseStopped || r.Pieces[1].Stage == wire.TaskExited {
-		t.Errorf("one is stopped, one goes on, and one is forgotten: %+v", r.Pieces)
+	if len(r.Tasks) != 2 || r.Tasks[0].Cause != wire.CauseStopped || r.Tasks[1].Stage == wire.TaskExited {
+		t.Errorf("one is stopped, one goes on, and one is forgotten: %+v", r.Tasks)
 	}
-	if w.take(5, []wire.Order{order(wire.OpStart, "wk-1/2", 4)}); len(w.report().Pieces) != 3 || all.Refused() != 1 {
+	if w.take(5, []wire.Command{order(wire.OpStart, "wk-1/2", 4)}); len(w.report().Tasks) != 3 || all.Refused() != 1 {
 		t.Error("the stopped task's room is not free again")
 	}
 }
@@ -35,7 +37,7 @@
 	kind := wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a", "b"}}
 	all := NewWorkers(4, kind, []string{"127.0.0.1:1"}, time.Minute, nil)
 	all.ctx = t.Context()
-	ask := wire.RentRequest{Name: "h-1", Type: "x", Zone: "a", Count: 5}
+	ask := wire.ScaleOutRequest{IdempotencyKey: "h-1", Type: "x", Zone: "a", Count: 5}
 	first, again := all.hire(ask), all.hire(ask)
 	if len(first) != 2 || len(again) != 2 || first[0] != again[0] || all.Up() != 2 {
 		t.Errorf("%v, then %v", first, again)
@@ -44,7 +46,7 @@
 		t.Errorf("a page of one of two: %+v", list)
 	}
 	all.giveBack(first[:1])
-	ask.Name = "h-2"
+	ask.IdempotencyKey = "h-2"
 	if all.Up() != 1 || len(all.hire(ask)) != 0 || len(all.page("", 9).Machines) != 1 {
 		t.Error("a machine that was returned is rented again")
 	}
--- a/lanes/lanes.go
+++ b/lanes/lanes.go
@@ -37,9 +37,9 @@
 // ByPriority is the list without a file: a lane for each priority, and routine work rises after a time; 0: never.
 func ByPriority(rise time.Duration) *List {
 	p := &pb.Lanes{}
-	for i := range wire.PriorityLeast + 1 {
+	for i := range wire.PriorityLowest + 1 {
 		l := &pb.Lane{Name: wire.PriorityName(i)}
-		if i < wire.PriorityLeast {
+		if i < wire.PriorityLowest {
 			l.Priorities = []string{l.Name}
 		}
 		if i > 1 { // nothing rises to critical
@@ -118,7 +118,7 @@
 }
 
 // Of is the lane to which a job belongs.
-func (l *List) Of(s *wire.Spec) int {
+func (l *List) Of(s *wire.JobSpec) int {
 	for i, x := range l.lanes {
 		if (len(x.priorities) == 0 || slices.Contains(x.priorities, s.Priority)) &&
 			(len(x.Classes) == 0 || slices.Contains(x.Classes, s.Class)) &&
--- a/lanes/lanes_test.go
+++ b/lanes/lanes_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for want, s := range map[string]wire.Spec{
+	for want, s := range map[string]wire.JobSpec{
 		"reroast": {Class: "reroast", DeadlineMS: 60_000, Priority: 3},
 		"desk":    {Class: "reroast", Team: "shop"},
 		"rest":    {Class: "reroast", DeadlineMS: 60_001, Team: "shop", Priority: 1},
