--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -15,16 +15,16 @@
 	"time"
 
 	"dewlift/core"
-	"dewlift/secure"
+	"dewlift/tlsconfig"
 )
 
 const (
-	path      = "/mesh"
-	header    = "Dewlift-Node"
-	queueLen  = 2048
-	maxLine   = 8 << 20
-	aliveTick = 500 * time.Millisecond
-	deadAfter = 2500 * time.Millisecond
+	streamPath               = "/mesh"
+	nodeHeader               = "Dewlift-Node"
+	outboxLength             = 2048
+	maxMessageBytes          = 8 << 20
+	defaultKeepAliveInterval = 500 * time.Millisecond
+	peerTimeout              = 2500 * time.Millisecond
 )
 
 // Handler takes a message of a peer.
@@ -32,24 +32,24 @@
 
 // Mesh holds the streams of one controller.
 type Mesh struct {
-	name  string
-	peers map[string]*link
-	log   *slog.Logger
-	alive time.Duration // between two signs of life
-	tls   *secure.Files
+	nodeName          string
+	peers             map[string]*peerLink
+	log               *slog.Logger
+	keepAliveInterval time.Duration // between two signs of life
+	tlsFiles          *tlsconfig.Files
 }
 
-type link struct {
-	name  string
-	addr  string
-	queue chan []byte
+type peerLink struct {
+	name   string
+	addr   string
+	outbox chan []byte
 }
 
 // New returns a mesh that knows its peers by name and address; without files it is in plain text.
-func New(name string, peers map[string]string, files *secure.Files, log *slog.Logger) *Mesh {
-	m := &Mesh{name: name, peers: map[string]*link{}, log: log, alive: aliveTick, tls: files}
+func New(name string, peers map[string]string, files *tlsconfig.Files, log *slog.Logger) *Mesh {
+	m := &Mesh{nodeName: name, peers: map[string]*peerLink{}, log: log, keepAliveInterval: defaultKeepAliveInterval, tlsFiles: files}
 	for n, a := range peers {
-		m.peers[n] = &link{name: n, addr: a, queue: make(chan []byte, queueLen)}
+		m.peers[n] = &peerLink{name: n, addr: a, outbox: make(chan []byte, outboxLength)}
 	}
 	return m
 }
@@ -66,7 +66,7 @@
 	for n, l := range m.peers {
 		if peer == "" || peer == n {
 			select {
-			case l.queue <- line:
+			case l.outbox <- line:
 			default:
 			}
 		}
@@ -77,13 +77,13 @@
 func (m *Mesh) Serve(ctx context.Context, ln net.Listener, h Handler) error {
 	var protos http.Protocols
 	protos.SetHTTP2(true)
-	protos.SetUnencryptedHTTP2(m.tls.MeshServer() == nil)
+	protos.SetUnencryptedHTTP2(m.tlsFiles.MeshServerConfig() == nil)
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) { m.serve(w, r, h) })
-	srv := &http.Server{Handler: mux, Protocols: &protos, ReadHeaderTimeout: 5 * time.Second, TLSConfig: m.tls.MeshServer(),
+	mux.HandleFunc("POST "+streamPath, func(w http.ResponseWriter, r *http.Request) { m.receiveStream(w, r, h) })
+	srv := &http.Server{Handler: mux, Protocols: &protos, ReadHeaderTimeout: 5 * time.Second, TLSConfig: m.tlsFiles.MeshServerConfig(),
 		ErrorLog: slog.NewLogLogger(m.log.Handler(), slog.LevelDebug)}
 	for _, l := range m.peers {
-		go m.keep(ctx, l)
+		go m.maintainStream(ctx, l)
 	}
 	go func() {
 		<-ctx.Done()
@@ -101,9 +101,9 @@
 	return nil
 }
 
-// serve reads a peer's stream and shows on the answer that it does.
-func (m *Mesh) serve(w http.ResponseWriter, r *http.Request, h Handler) {
-	peer := r.Header.Get(header)
+// receiveStream reads a peer's stream and shows on the answer that it does.
+func (m *Mesh) receiveStream(w http.ResponseWriter, r *http.Request, h Handler) {
+	peer := r.Header.Get(nodeHeader)
 	if m.peers[peer] == nil {
 		http.Error(w, "unknown node", http.StatusForbidden)
 		return
@@ -125,7 +125,7 @@
 	defer func() { cancel(); <-ended }()
 	go func() {
 		defer close(ended)
-		t := time.NewTicker(m.alive)
+		t := time.NewTicker(m.keepAliveInterval)
 		defer t.Stop()
 		for {
 			select {
@@ -139,8 +139,8 @@
 		}
 	}()
 	sc := bufio.NewScanner(r.Body)
-	sc.Buffer(make([]byte, 0, 16<<10), maxLine)
-	sc.Split(wholeLines)
+	sc.Buffer(make([]byte, 0, 16<<10), maxMessageBytes)
+	sc.Split(splitCompleteLines)
 	for sc.Scan() {
 		if len(sc.Bytes()) == 0 {
 			continue
@@ -153,13 +153,13 @@
 		h(peer, msg)
 	}
 	if errors.Is(sc.Err(), bufio.ErrTooLong) {
-		m.log.Error("mesh message too long", "peer", peer, "most", maxLine)
+		m.log.Error("mesh message too long", "peer", peer, "most", maxMessageBytes)
 	}
 }
 
-// wholeLines splits a stream into lines. One that ends within a line has ended, as it does when its sender is
+// splitCompleteLines splits a stream into lines. One that ends within a line has ended, as it does when its sender is
 // stopped or cut off: what there is of the line is no message.
-func wholeLines(data []byte, atEOF bool) (advance int, line []byte, err error) {
+func splitCompleteLines(data []byte, atEOF bool) (advance int, line []byte, err error) {
 	advance, line, err = bufio.ScanLines(data, false)
 	if atEOF && advance == 0 {
 		advance = len(data)
@@ -167,14 +167,14 @@
 	return advance, line, err
 }
 
-// keep holds a stream to a peer open, again and again.
-func (m *Mesh) keep(ctx context.Context, l *link) {
+// maintainStream holds a stream to a peer open, again and again.
+func (m *Mesh) maintainStream(ctx context.Context, l *peerLink) {
 	for ctx.Err() == nil {
-		if err := m.stream(ctx, l); err != nil && ctx.Err() == nil {
+		if err := m.runStream(ctx, l); err != nil && ctx.Err() == nil {
 			m.log.Debug("mesh stream ended", "peer", l.name, "err", err)
 		}
-		for len(l.queue) > 0 { // old news
-			<-l.queue
+		for len(l.outbox) > 0 { // old news
+			<-l.outbox
 		}
 		select {
 		case <-ctx.Done():
@@ -183,11 +183,11 @@
 	}
 }
 
-func (m *Mesh) stream(ctx context.Context, l *link) error {
+func (m *Mesh) runStream(ctx context.Context, l *peerLink) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var protos http.Protocols
-	client, scheme := m.tls.MeshClient(l.name), "http://"
+	client, scheme := m.tlsFiles.MeshClientConfig(l.name), "http://"
 	protos.SetUnencryptedHTTP2(client == nil)
 	if client != nil {
 		protos.SetHTTP2(true)
@@ -197,11 +197,11 @@
 	defer tr.CloseIdleConnections()
 	pr, pw := io.Pipe()
 	defer pw.Close()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, scheme+l.addr+path, pr)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, scheme+l.addr+streamPath, pr)
 	if err != nil {
 		return fmt.Errorf("mesh request: %w", err)
 	}
-	req.Header.Set(header, m.name)
+	req.Header.Set(nodeHeader, m.nodeName)
 	alive := make(chan struct{}, 1)
 	fail := make(chan error, 2)
 	go func() {
@@ -237,9 +237,9 @@
 			case <-ctx.Done():
 				_ = pr.CloseWithError(ctx.Err())
 				return
-			case line := <-l.queue:
+			case line := <-l.outbox:
 				_, err := w.Write(line)
-				if err == nil && len(l.queue) == 0 {
+				if err == nil && len(l.outbox) == 0 {
 					err = w.Flush()
 				}
 				if err != nil {
@@ -249,7 +249,7 @@
 			}
 		}
 	}()
-	dead := time.NewTimer(deadAfter)
+	dead := time.NewTimer(peerTimeout)
 	defer dead.Stop()
 	for {
 		select {
@@ -258,7 +258,7 @@
 		case err := <-fail:
 			return err
 		case <-alive:
-			dead.Reset(deadAfter)
+			dead.Reset(peerTimeout)
 		case <-dead.C:
 			return errors.New("no sign of life")
 		}
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -18,22 +18,22 @@
 
 	"dewlift/core"
 	"dewlift/internal/testcert"
-	"dewlift/secure"
+	"dewlift/tlsconfig"
 )
 
 // A sign of life written after its stream had ended was a panic, and ended the process when a
 // zone was cut off.
-func TestStreamsThatEndWhileSignsOfLifeAreWritten(t *testing.T) {
+func TestStreamsThatEndWhileKeepAlivesAreWritten(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	m := New("n0", map[string]string{"n1": "127.0.0.1:1"}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	m.alive = 20 * time.Microsecond
+	m.keepAliveInterval = 20 * time.Microsecond
 	var mu sync.Mutex
 	heard := 0
 	var protos http.Protocols
 	protos.SetUnencryptedHTTP2(true)
 	srv := &http.Server{Protocols: &protos, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		m.serve(w, r, func(string, core.Msg) {
+		m.receiveStream(w, r, func(string, core.Msg) {
 			mu.Lock()
 			heard++
 			mu.Unlock()
@@ -49,11 +49,11 @@
 	defer tr.CloseIdleConnections()
 	const streams = 300
 	for range streams {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ln.Addr().String()+path, strings.NewReader("{\"w\":[\"m-1\"]}\n"))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ln.Addr().String()+streamPath, strings.NewReader("{\"w\":[\"m-1\"]}\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		req.Header.Set(header, "n1")
+		req.Header.Set(nodeHeader, "n1")
 		resp, err := tr.RoundTrip(req)
 		if err != nil {
 			t.Fatal(err)
@@ -70,9 +70,9 @@
 	}
 }
 
-// filesOf are a node's TLS files: its certificate is for a name, and signed by an authority that the
+// newTLSFiles are a node's TLS files: its certificate is for a name, and signed by an authority that the
 // others trust, or not.
-func filesOf(t *testing.T, name string, by, trusted *testcert.Authority) *secure.Files {
+func newTLSFiles(t *testing.T, name string, by, trusted *testcert.Authority) *tlsconfig.Files {
 	t.Helper()
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
@@ -81,7 +81,7 @@
 	if err := os.WriteFile(path, []byte(fmt.Sprintf("mesh { certificate: %q key: %q authorities: %q }", cert, key, trusted.File)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := secure.Load(path, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	f, err := tlsconfig.Load(path, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,16 +90,16 @@
 
 // Controllers reach each other by certificates for their names alone: another authority's, another
 // name's, and plain text are refused.
-func TestMeshIsMutuallyVerified(t *testing.T) {
+func TestPeersAuthenticateEachOther(t *testing.T) {
 	own, other := testcert.New(t), testcert.New(t)
-	good := func(name string) *secure.Files { return filesOf(t, name, own, own) }
+	good := func(name string) *tlsconfig.Files { return newTLSFiles(t, name, own, own) }
 	for what, x := range map[string]struct {
-		sender, receiver *secure.Files
+		sender, receiver *tlsconfig.Files
 		heard            bool
 	}{
 		"both good":               {good("n0"), good("n1"), true},
-		"sender's authority":      {filesOf(t, "n0", other, own), good("n1"), false},
-		"receiver's authority":    {good("n0"), filesOf(t, "n1", other, own), false},
+		"sender's authority":      {newTLSFiles(t, "n0", other, own), good("n1"), false},
+		"receiver's authority":    {good("n0"), newTLSFiles(t, "n1", other, own), false},
 		"sender's name":           {good("n2"), good("n1"), false},
 		"receiver's name":         {good("n0"), good("n2"), false},
 		"sender in plain text":    {nil, good("n1"), false},
@@ -127,7 +127,7 @@
 			}()
 			go func() {
 				defer ended.Done()
-				from.keep(ctx, from.peers["n1"])
+				from.maintainStream(ctx, from.peers["n1"])
 			}()
 			t.Cleanup(func() { cancel(); ended.Wait() })
 			tries := 40 // where nothing may be heard, two seconds of trying tell
@@ -153,21 +153,21 @@
 }
 
 // A stream that ended in the middle of a message was logged as one that was not understood.
-func TestStreamThatEndsWithinAMessageIsAnEnd(t *testing.T) {
+func TestStreamCutWithinAMessageIsNotLogged(t *testing.T) {
 	var logged strings.Builder
 	m := New("n0", map[string]string{"n1": "127.0.0.1:1"}, nil, slog.New(slog.NewTextHandler(&logged, nil)))
 	for text, want := range map[string]int{"{\"w\":[\"m-1\"]}\n{\"w\":[\"m-": 1, "{\"w\":[\"m-1\"]}\n\n{\"w\":[\"m-2\"]}\n": 2, "{\"w\"": 0, "": 0} {
 		heard := 0
-		r := httptest.NewRequest(http.MethodPost, path, io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF)))
-		r.Header.Set(header, "n1")
-		m.serve(httptest.NewRecorder(), r, func(string, core.Msg) { heard++ })
+		r := httptest.NewRequest(http.MethodPost, streamPath, io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF)))
+		r.Header.Set(nodeHeader, "n1")
+		m.receiveStream(httptest.NewRecorder(), r, func(string, core.Msg) { heard++ })
 		if heard != want || logged.Len() > 0 {
 			t.Errorf("%q: %d messages, logged %s", text, heard, logged.String())
 		}
 	}
-	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader("{\"w\"\n"))
-	r.Header.Set(header, "n1")
-	m.serve(httptest.NewRecorder(), r, func(string, core.Msg) { t.Error("nonsense was heard") })
+	r := httptest.NewRequest(http.MethodPost, streamPath, strings.NewReader("{\"w\"\n"))
+	r.Header.Set(nodeHeader, "n1")
+	m.receiveStream(httptest.NewRecorder(), r, func(string, core.Msg) { t.Error("nonsense was heard") })
 	if !strings.Contains(logged.String(), "not understood") {
 		t.Error("a line that is no message was not logged")
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -27,24 +27,24 @@
 
 // Team is a team with its guarantee and limit; 0 means none.
 type Team struct {
-	Name    string  `json:"name"`
-	CPUs    float64 `json:"cpus"`
-	CPUsMax float64 `json:"cpus_max"`
-	GPUs    float64 `json:"gpus"`
-	GPUsMax float64 `json:"gpus_max"`
+	Name         string  `json:"name"`
+	ReservedCPUs float64 `json:"cpus"`
+	MaxCPUs      float64 `json:"cpus_max"`
+	ReservedGPUs float64 `json:"gpus"`
+	MaxGPUs      float64 `json:"gpus_max"`
 }
 
 // Objective is an aim that the users stated.
 type Objective struct {
-	Kind     string  `json:"kind"`
-	Class    string  `json:"class"`
-	WithinS  float64 `json:"within_s"`
-	WithinMS float64 `json:"within_ms"`
-	Share    float64 `json:"share"`
+	Kind        string  `json:"kind"`
+	Class       string  `json:"class"`
+	WithinS     float64 `json:"within_s"`
+	WithinMS    float64 `json:"within_ms"`
+	TargetShare float64 `json:"share"`
 }
 
-// Limits are those that the state service will have some day; nil means as they are now.
-type Limits struct {
+// NextStoreLimits are those that the state service will have some day; nil means as they are now.
+type NextStoreLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
 	ValueKB  *float64 `json:"value_kb"`
@@ -73,11 +73,11 @@
 			CancelS float64 `json:"cancel_s"`
 		} `json:"workers"`
 		State struct {
-			RPS      float64 `json:"rps"`
-			WriteRPS float64 `json:"write_rps"`
-			ValueKB  float64 `json:"value_kb"`
-			TxnOps   int     `json:"txn_ops"`
-			Next     Limits  `json:"next"`
+			RPS      float64         `json:"rps"`
+			WriteRPS float64         `json:"write_rps"`
+			ValueKB  float64         `json:"value_kb"`
+			TxnOps   int             `json:"txn_ops"`
+			Next     NextStoreLimits `json:"next"`
 		} `json:"state"`
 		Cloud struct {
 			RPS      float64 `json:"rps"`
@@ -92,8 +92,8 @@
 	} `json:"cluster"`
 }
 
-// Load reads and checks the platform's settings file.
-func Load(path string) (*Platform, error) {
+// LoadPlatform reads and checks the platform's settings file.
+func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read settings: %w", err)
@@ -102,20 +102,20 @@
 	if err := json.Unmarshal(raw, p); err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
 	return p, nil
 }
 
-// Seconds is a duration as the platform writes it.
-func Seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
+// DurationFromSeconds is a duration as the platform writes it.
+func DurationFromSeconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// leastOps is the least number of changes a transaction must take: a claim raises the token, and
+// minTxnOps is the least number of changes a transaction must take: a claim raises the token, and
 // starts of a team with a limit write its key.
-const leastOps = 2
+const minTxnOps = 2
 
-func (p *Platform) check() error {
+func (p *Platform) validate() error {
 	if p.Name == "" {
 		return errors.New("node_name is missing")
 	}
@@ -145,12 +145,12 @@
 			return fmt.Errorf("cluster.%s must be greater than 0", v.field)
 		}
 	}
-	if quorum.MaxStale(Seconds(c.Workers.CancelS), Seconds(c.Workers.LeaseS)) < quorum.Least {
+	if quorum.MaxStale(DurationFromSeconds(c.Workers.CancelS), DurationFromSeconds(c.Workers.LeaseS)) < quorum.Least {
 		return fmt.Errorf("cluster.workers.cancel_s is too little above lease_s (%v and %v): a task could outlive its cancellation in an outage; some 6 s more are needed",
 			c.Workers.CancelS, c.Workers.LeaseS)
 	}
-	if c.State.TxnOps < leastOps {
-		return fmt.Errorf("cluster.state.txn_ops must be at least %d", leastOps)
+	if c.State.TxnOps < minTxnOps {
+		return fmt.Errorf("cluster.state.txn_ops must be at least %d", minTxnOps)
 	}
 	n := &c.State.Next
 	for _, v := range []struct {
@@ -161,8 +161,8 @@
 			return fmt.Errorf("cluster.state.next.%s must be greater than 0", v.field)
 		}
 	}
-	if n.TxnOps != nil && *n.TxnOps < leastOps {
-		return fmt.Errorf("cluster.state.next.txn_ops must be at least %d", leastOps)
+	if n.TxnOps != nil && *n.TxnOps < minTxnOps {
+		return fmt.Errorf("cluster.state.next.txn_ops must be at least %d", minTxnOps)
 	}
 	teams := map[string]bool{}
 	for i, t := range c.Teams {
@@ -170,7 +170,7 @@
 			return fmt.Errorf("cluster.teams[%d]: name is missing or used twice", i)
 		}
 		teams[t.Name] = true
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
+		for _, v := range []float64{t.ReservedCPUs, t.MaxCPUs, t.ReservedGPUs, t.MaxGPUs} {
 			if !(v >= 0) || v > 1e9 {
 				return fmt.Errorf("cluster.teams[%d]: an amount is out of range", i)
 			}
@@ -181,26 +181,26 @@
 
 // Setting is one of the operators' own settings, as proto/tuning.proto describes it.
 type Setting struct {
-	Name  string
-	Kind  protoreflect.Kind // bool, uint32 or double
-	About *pb.About
-	field protoreflect.FieldDescriptor
+	Name       string
+	Kind       protoreflect.Kind // bool, uint32 or double
+	About      *pb.About
+	descriptor protoreflect.FieldDescriptor
 }
 
-// Own lists the operators' own settings, in the order of their descriptions.
-func Own() []Setting {
+// OperatorSettings lists the operators' own settings, in the order of their descriptions.
+func OperatorSettings() []Setting {
 	fields := (&pb.Tuning{}).ProtoReflect().Descriptor().Fields()
 	out := make([]Setting, fields.Len())
 	for i := range out {
 		f := fields.Get(i)
 		about, _ := protobuf.GetExtension(f.Options(), pb.E_About).(*pb.About) // without one its range is empty, which tests find
-		out[i] = Setting{Name: string(f.Name()), Kind: f.Kind(), About: about, field: f}
+		out[i] = Setting{Name: string(f.Name()), Kind: f.Kind(), About: about, descriptor: f}
 	}
 	return out
 }
 
-// value is a number as a field of the setting holds it.
-func (s *Setting) value(v float64) protoreflect.Value {
+// protoValue is a number as a field of the setting holds it.
+func (s *Setting) protoValue(v float64) protoreflect.Value {
 	switch s.Kind {
 	case protoreflect.BoolKind:
 		return protoreflect.ValueOfBool(v != 0)
@@ -211,19 +211,19 @@
 }
 
 // Default is the setting's value by default, as it is written in a file.
-func (s *Setting) Default() string { return s.value(s.About.Is).String() }
+func (s *Setting) Default() string { return s.protoValue(s.About.Is).String() }
 
-// Defaults returns the built-in tuning.
-func Defaults() *pb.Tuning {
+// DefaultTuning returns the built-in tuning.
+func DefaultTuning() *pb.Tuning {
 	t := &pb.Tuning{}
-	for _, s := range Own() {
-		t.ProtoReflect().Set(s.field, s.value(s.About.Is))
+	for _, s := range OperatorSettings() {
+		t.ProtoReflect().Set(s.descriptor, s.protoValue(s.About.Is))
 	}
 	return t
 }
 
-// Recorded lists all settings by name, as the audit record has them.
-func Recorded(p *Platform, t *pb.Tuning) map[string]string {
+// AuditedValues lists all settings by name, as the audit record has them.
+func AuditedValues(p *Platform, t *pb.Tuning) map[string]string {
 	out := map[string]string{}
 	t.ProtoReflect().Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		out[string(f.Name())] = v.String()
@@ -237,20 +237,20 @@
 	if err != nil {
 		panic(err) // it was read from JSON
 	}
-	flatten("", tree, out)
+	flattenJSON("", tree, out)
 	return out
 }
 
-// flatten lists the leaves of JSON by their paths.
-func flatten(path string, v any, out map[string]string) {
+// flattenJSON lists the leaves of JSON by their paths.
+func flattenJSON(path string, v any, out map[string]string) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
-			flatten(strings.TrimPrefix(path+"."+k, "."), x, out)
+			flattenJSON(strings.TrimPrefix(path+"."+k, "."), x, out)
 		}
 	case []any:
 		for i, x := range v {
-			flatten(fmt.Sprintf("%s[%d]", path, i), x, out)
+			flattenJSON(fmt.Sprintf("%s[%d]", path, i), x, out)
 		}
 	case nil:
 	default:
@@ -260,7 +260,7 @@
 
 // LoadTuning reads the operators' settings over the defaults; no path means defaults alone.
 func LoadTuning(path string) (*pb.Tuning, error) {
-	t := Defaults()
+	t := DefaultTuning()
 	if path == "" {
 		return t, nil
 	}
@@ -273,23 +273,23 @@
 		return nil, fmt.Errorf("tuning %s: %w", path, err)
 	}
 	protobuf.Merge(t, &own)
-	if err := CheckTuning(t); err != nil {
+	if err := ValidateTuning(t); err != nil {
 		return nil, fmt.Errorf("tuning %s: %w", path, err)
 	}
 	return t, nil
 }
 
-// CheckTuning names the first bad value.
-func CheckTuning(t *pb.Tuning) error {
-	for _, s := range Own() {
+// ValidateTuning names the first bad value.
+func ValidateTuning(t *pb.Tuning) error {
+	for _, s := range OperatorSettings() {
 		var v float64
 		switch s.Kind {
 		case protoreflect.BoolKind:
 			continue
 		case protoreflect.Uint32Kind:
-			v = float64(t.ProtoReflect().Get(s.field).Uint())
+			v = float64(t.ProtoReflect().Get(s.descriptor).Uint())
 		default:
-			v = t.ProtoReflect().Get(s.field).Float()
+			v = t.ProtoReflect().Get(s.descriptor).Float()
 		}
 		if !(v >= s.About.GetMin() && v <= s.About.GetMax()) {
 			return fmt.Errorf("%s is %v, must be from %v to %v", s.Name, v, s.About.GetMin(), s.About.GetMax())
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -95,7 +95,7 @@
 	if recorded { // the controllers will record that it was restored
 		last.Then = append(last.Then, wire.Write{Put: core.KeyRestored, Value: text})
 	}
-	_, status, err := ask[wire.TxnReply](ctx, &t.Source, http.MethodPost, wire.PathCommit, last)
+	_, status, err := ask[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn, last)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("state service answers %d", status)
 	}
@@ -122,8 +122,8 @@
 		}
 		return nil
 	}
-	_, status, err := ask[wire.TxnReply](ctx, &t.Source, http.MethodPost, wire.PathCommit,
-		wire.Txn{If: []wire.Cond{{Key: keyRestoring}}, Then: []wire.Write{{Put: keyRestoring, Value: mine}}})
+	_, status, err := ask[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn,
+		wire.Txn{Compare: []wire.Compare{{Key: keyRestoring}}, Then: []wire.Write{{Put: keyRestoring, Value: mine}}})
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("state service answers %d", status)
 	}
@@ -156,9 +156,9 @@
 		}
 		t := wire.Txn{Then: w.list}
 		for _, x := range w.list {
-			t.If = append(t.If, wire.Cond{Key: x.Put})
+			t.Compare = append(t.Compare, wire.Compare{Key: x.Put})
 		}
-		reply, status, err := ask[wire.TxnReply](ctx, &w.t.Source, http.MethodPost, wire.PathCommit, t)
+		reply, status, err := ask[wire.TxnResponse](ctx, &w.t.Source, http.MethodPost, wire.PathTxn, t)
 		switch {
 		case err != nil:
 			return err
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -73,8 +73,8 @@
 	return none, last.Status, fmt.Errorf("state service answers %d", last.Status)
 }
 
-func (s *Source) page(ctx context.Context, prefix, from string, most int) (wire.Page, error) {
-	p, status, err := ask[wire.Page](ctx, s, http.MethodGet, wire.ListPath(prefix, from, most), nil)
+func (s *Source) page(ctx context.Context, prefix, from string, most int) (wire.RangeResponse, error) {
+	p, status, err := ask[wire.RangeResponse](ctx, s, http.MethodGet, wire.RangePath(prefix, from, most), nil)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("state service answers %d", status)
 	}
@@ -82,8 +82,8 @@
 }
 
 // changes are the last ones of each key since a revision, and the revision that they lead to.
-func (s *Source) changes(ctx context.Context, from uint64, into map[string]wire.Event) (uint64, error) {
-	ch, status, err := ask[wire.Changes](ctx, s, http.MethodGet, fmt.Sprintf("%s?starts=%s&from=%d", wire.PathChanges, root, from), nil)
+func (s *Source) changes(ctx context.Context, from uint64, into map[string]wire.WatchEvent) (uint64, error) {
+	ch, status, err := ask[wire.WatchResponse](ctx, s, http.MethodGet, fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, root, from), nil)
 	switch {
 	case err != nil:
 		return 0, err
@@ -92,10 +92,10 @@
 	case status != http.StatusOK:
 		return 0, fmt.Errorf("state service answers %d", status)
 	}
-	for _, e := range ch.Log {
+	for _, e := range ch.Events {
 		into[e.Put+e.Delete] = e
 	}
-	return max(from, ch.Ledger), nil
+	return max(from, ch.Revision), nil
 }
 
 // Save writes all keys as of one revision to a file, which is there only once it is whole. Reading takes
@@ -110,7 +110,7 @@
 	}
 	defer os.Remove(aside.Name())
 	defer aside.Close()
-	changed := map[string]wire.Event{}
+	changed := map[string]wire.WatchEvent{}
 	ledger, err := s.readPages(ctx, aside, changed, progress)
 	if err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 }
 
 // readPages reads all keys, and what changed since the first page until after the last.
-func (s *Source) readPages(ctx context.Context, w io.Writer, changed map[string]wire.Event, progress func(int)) (uint64, error) {
+func (s *Source) readPages(ctx context.Context, w io.Writer, changed map[string]wire.WatchEvent, progress func(int)) (uint64, error) {
 	out, err := NewWriter(w)
 	if err != nil {
 		return 0, err
@@ -148,10 +148,10 @@
 			return 0, err
 		}
 		if from == "" {
-			ledger = p.Ledger
+			ledger = p.Revision
 		}
 		for _, it := range p.Items {
-			if err := out.Add(&pb.Key{Name: it.Key, Value: it.Value, Mark: it.Mark}); err != nil {
+			if err := out.Add(&pb.Key{Name: it.Key, Value: it.Value, Mark: it.Revision}); err != nil {
 				return 0, err
 			}
 			from = it.Key
@@ -172,7 +172,7 @@
 }
 
 // merge writes the pages with what changed in its place.
-func merge(pages *os.File, w io.Writer, changed map[string]wire.Event, ledger uint64) error {
+func merge(pages *os.File, w io.Writer, changed map[string]wire.WatchEvent, ledger uint64) error {
 	if _, err := pages.Seek(0, io.SeekStart); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
@@ -183,7 +183,7 @@
 	names := slices.Sorted(maps.Keys(changed))
 	put := func(name string) error {
 		if e := changed[name]; e.Put != "" {
-			return out.Add(&pb.Key{Name: name, Value: e.Value, Mark: e.Mark})
+			return out.Add(&pb.Key{Name: name, Value: e.Value, Mark: e.Revision})
 		}
 		return nil
 	}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -41,10 +41,10 @@
 // revision has both of a pair or neither, and the same in them.
 func TestSaveIsAConsistentCut(t *testing.T) {
 	s, src := serve(t, standin.Limits{PageItems: 7})
-	var items []wire.Item
+	var items []wire.KeyValue
 	for i := range 300 {
 		for _, side := range []string{"dl/a/", "dl/z/"} {
-			items = append(items, wire.Item{Key: fmt.Sprintf("%s%03d", side, i), Value: json.RawMessage("0")})
+			items = append(items, wire.KeyValue{Key: fmt.Sprintf("%s%03d", side, i), Value: json.RawMessage("0")})
 		}
 	}
 	s.Fill(items)
@@ -60,7 +60,7 @@
 			if n%3 == 0 {
 				x.Then = []wire.Write{{Delete: "dl/a/" + id}, {Delete: "dl/z/" + id}}
 			}
-			if _, status, err := ask[wire.TxnReply](ctx, &writer, "POST", wire.PathCommit, x); err != nil || status != 200 {
+			if _, status, err := ask[wire.TxnResponse](ctx, &writer, "POST", wire.PathTxn, x); err != nil || status != 200 {
 				t.Error(status, err)
 			}
 		}
@@ -144,9 +144,9 @@
 	for i := range 50 {
 		want[fmt.Sprintf("dl/job/wk-%03d", i)] = fmt.Sprintf(`{"h":%d}`, i)
 	}
-	var items []wire.Item
+	var items []wire.KeyValue
 	for k, v := range want {
-		items = append(items, wire.Item{Key: k, Value: json.RawMessage(v)})
+		items = append(items, wire.KeyValue{Key: k, Value: json.RawMessage(v)})
 	}
 	s.Fill(items)
 	path := filepath.Join(t.TempDir(), "s")
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -14,75 +14,75 @@
 )
 
 const (
-	timeout  = 2 * time.Second
-	holdTime = 10 * time.Second
-	pageSize = 1000 // the most that the service gives
+	requestTimeout = 2 * time.Second
+	watchHoldTime  = 10 * time.Second
+	maxPageSize    = 1000 // the most that the service gives
 )
 
 // Client carries out the core's requests to the state service.
 type Client struct {
-	base string
-	http *call.Client
+	baseURL    string
+	httpClient *call.Client
 }
 
 // New returns a client of the service at addr.
 func New(addr string) *Client {
-	return &Client{base: "http://" + addr, http: call.New(16, 16, 16<<20)}
+	return &Client{baseURL: "http://" + addr, httpClient: call.New(16, 16, 16<<20)}
 }
 
-// Commit sends a transaction.
-func (c *Client) Commit(ctx context.Context, o core.Commit) core.Committed {
-	reply, r := call.Get[wire.TxnReply](c.http.Do(ctx, timeout, http.MethodPost, c.base+wire.PathCommit, o.Txn))
+// CommitTxn sends a transaction.
+func (c *Client) CommitTxn(ctx context.Context, o core.Commit) core.Committed {
+	reply, r := call.Get[wire.TxnResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathTxn, o.Txn))
 	if !r.Sent { // never reached the service
 		return core.Committed{ID: o.ID, Status: 503}
 	}
 	return core.Committed{ID: o.ID, Status: r.Status, Reply: reply}
 }
 
-// Changes waits for changes, or reads those until now.
-func (c *Client) Changes(ctx context.Context, o core.Changes) core.Changed {
+// Watch waits for changes, or reads those until now.
+func (c *Client) Watch(ctx context.Context, o core.Changes) core.Changed {
 	hold := time.Duration(0)
 	if o.Hold {
-		hold = holdTime
+		hold = watchHoldTime
 	}
-	u := fmt.Sprintf("%s%s?starts=%s&from=%d&hold_ms=%d", c.base, wire.PathChanges, url.QueryEscape(core.Root), o.From, hold.Milliseconds())
-	ch, r := call.Get[wire.Changes](c.http.Do(ctx, hold+timeout, http.MethodGet, u, nil))
+	u := fmt.Sprintf("%s%s?starts=%s&from=%d&hold_ms=%d", c.baseURL, wire.PathWatch, url.QueryEscape(core.Root), o.From, hold.Milliseconds())
+	ch, r := call.Get[wire.WatchResponse](c.httpClient.Do(ctx, hold+requestTimeout, http.MethodGet, u, nil))
 	return core.Changed{Hold: o.Hold, Status: r.Status, Changes: ch}
 }
 
-// Load reads a page of all keys.
-func (c *Client) Load(ctx context.Context, o core.Load) core.Loaded {
-	page, r := c.page(ctx, core.Root, o.From, pageSize)
-	return core.Loaded{OK: r.Status == http.StatusOK, Status: r.Status, Items: page.Items, More: page.More, Ledger: page.Ledger}
+// LoadSnapshot reads a page of all keys.
+func (c *Client) LoadSnapshot(ctx context.Context, o core.Load) core.Loaded {
+	page, r := c.readPage(ctx, core.Root, o.From, maxPageSize)
+	return core.Loaded{OK: r.Status == http.StatusOK, Status: r.Status, Items: page.Items, More: page.More, Ledger: page.Revision}
 }
 
-// Scan reads a key, or a page of keys.
-func (c *Client) Scan(ctx context.Context, o core.Scan) core.Scanned {
+// ReadRange reads a key, or a page of keys.
+func (c *Client) ReadRange(ctx context.Context, o core.Scan) core.Scanned {
 	if o.Key != "" {
-		item, r := call.Get[wire.Found](c.http.Do(ctx, timeout, http.MethodGet, c.base+wire.PathStore+"/"+o.Key, nil))
-		out := core.Scanned{ID: o.ID, Status: r.Status, Ledger: item.Ledger}
+		item, r := call.Get[wire.GetResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathKeys+"/"+o.Key, nil))
+		out := core.Scanned{ID: o.ID, Status: r.Status, Ledger: item.StoreRevision}
 		if r.Status == http.StatusOK {
-			out.Items = []wire.Item{item.Item}
+			out.Items = []wire.KeyValue{item.KeyValue}
 		}
 		return out
 	}
-	page, r := c.page(ctx, o.Prefix, o.From, o.Most)
-	return core.Scanned{ID: o.ID, Status: r.Status, Items: page.Items, More: page.More, Ledger: page.Ledger}
+	page, r := c.readPage(ctx, o.Prefix, o.From, o.Most)
+	return core.Scanned{ID: o.ID, Status: r.Status, Items: page.Items, More: page.More, Ledger: page.Revision}
 }
 
-func (c *Client) page(ctx context.Context, prefix, from string, most int) (wire.Page, call.Result) {
-	return call.Get[wire.Page](c.http.Do(ctx, timeout, http.MethodGet, c.base+wire.ListPath(prefix, from, most), nil))
+func (c *Client) readPage(ctx context.Context, prefix, from string, most int) (wire.RangeResponse, call.Result) {
+	return call.Get[wire.RangeResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.RangePath(prefix, from, most), nil))
 }
 
-// Lease grants or extends a lease.
-func (c *Client) Lease(ctx context.Context, o core.LeaseOp) core.Leased {
+// GrantOrRenewLease grants or extends a lease.
+func (c *Client) GrantOrRenewLease(ctx context.Context, o core.LeaseOp) core.Leased {
 	switch o.Op {
 	case "grant":
-		v, r := call.Get[wire.LeaseReply](c.http.Do(ctx, timeout/2, http.MethodPost, c.base+wire.PathHolds,
+		v, r := call.Get[wire.LeaseResponse](c.httpClient.Do(ctx, requestTimeout/2, http.MethodPost, c.baseURL+wire.PathLeases,
 			wire.LeaseRequest{TTLMS: uint64(o.TTL.Milliseconds())}))
-		return core.Leased{Op: o.Op, Status: r.Status, Lease: v.Lease}
+		return core.Leased{Op: o.Op, Status: r.Status, Lease: v.LeaseID}
 	default:
-		r := c.http.Do(ctx, timeout/2, http.MethodPost, fmt.Sprintf("%s%s/%d/extend", c.base, wire.PathHolds, o.Lease), struct{}{})
+		r := c.httpClient.Do(ctx, requestTimeout/2, http.MethodPost, fmt.Sprintf("%s%s/%d/extend", c.baseURL, wire.PathLeases, o.Lease), struct{}{})
 		return core.Leased{Op: o.Op, Status: r.Status, Lease: o.Lease}
 	}
 }
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -13,7 +13,7 @@
 	"dewlift/wire"
 )
 
-func serve(t *testing.T, l standin.Limits) (*standin.State, *Client) {
+func startFakeStore(t *testing.T, l standin.Limits) (*standin.State, *Client) {
 	t.Helper()
 	s := standin.NewState(l)
 	srv := httptest.NewServer(s)
@@ -24,16 +24,16 @@
 // Keys, pages, conditions, leases, watches and an outage, as the protocol has them.
 func TestClientSpeaksTheProtocol(t *testing.T) {
 	ctx := t.Context()
-	s, c := serve(t, standin.Limits{PageItems: 40, Ops: 4})
-	var items []wire.Item
+	s, c := startFakeStore(t, standin.Limits{PageItems: 40, Ops: 4})
+	var items []wire.KeyValue
 	for i := range 100 {
-		items = append(items, wire.Item{Key: fmt.Sprintf("dl/job/wk-%03d", i), Value: json.RawMessage("1")})
+		items = append(items, wire.KeyValue{Key: fmt.Sprintf("dl/job/wk-%03d", i), Value: json.RawMessage("1")})
 	}
 	s.Fill(items)
-	s.Fill([]wire.Item{{Key: "da/b/wk-050", Value: json.RawMessage("5")}, {Key: "da/b/~", Value: json.RawMessage("9")}})
+	s.Fill([]wire.KeyValue{{Key: "da/b/wk-050", Value: json.RawMessage("5")}, {Key: "da/b/~", Value: json.RawMessage("9")}})
 	seen, from := 0, ""
 	for more := true; more; {
-		p := c.Load(ctx, core.Load{From: from})
+		p := c.LoadSnapshot(ctx, core.Load{From: from})
 		if !p.OK || len(p.Items) == 0 {
 			t.Fatalf("got %+v", p)
 		}
@@ -43,30 +43,30 @@
 		t.Errorf("%d keys were loaded", seen)
 	}
 	for id, want := range map[string]string{"wk-049": "5", "wk-050": "9", "wk-9": "9", "wk-0": "5"} { // the block of an id
-		if p := c.Scan(ctx, core.Scan{ID: 3, Prefix: "da/b/", From: "da/b/" + id, Most: 1}); p.ID != 3 || p.Status != 200 || string(p.Items[0].Value) != want {
+		if p := c.ReadRange(ctx, core.Scan{ID: 3, Prefix: "da/b/", From: "da/b/" + id, Most: 1}); p.ID != 3 || p.Status != 200 || string(p.Items[0].Value) != want {
 			t.Errorf("%s: %+v", id, p)
 		}
 	}
-	if p := c.Scan(ctx, core.Scan{Key: "dl/job/wk-007"}); p.Status != 200 || len(p.Items) != 1 || p.Items[0].Mark != 1 {
+	if p := c.ReadRange(ctx, core.Scan{Key: "dl/job/wk-007"}); p.Status != 200 || len(p.Items) != 1 || p.Items[0].Revision != 1 {
 		t.Errorf("got %+v", p)
 	}
-	if p := c.Scan(ctx, core.Scan{Key: "dl/job/wk-x"}); p.Status != 404 || p.Ledger != 2 {
+	if p := c.ReadRange(ctx, core.Scan{Key: "dl/job/wk-x"}); p.Status != 404 || p.Ledger != 2 {
 		t.Errorf("got %+v", p)
 	}
 
-	l := c.Lease(ctx, core.LeaseOp{Op: "grant", TTL: 200 * time.Millisecond})
+	l := c.GrantOrRenewLease(ctx, core.LeaseOp{Op: "grant", TTL: 200 * time.Millisecond})
 	put := func(mark, lease uint64) core.Committed {
-		return c.Commit(ctx, core.Commit{Txn: wire.Txn{If: []wire.Cond{{Key: "dl/x", Mark: mark}}, Then: []wire.Write{{Put: "dl/x", Value: json.RawMessage("1"), Lease: lease}}}})
+		return c.CommitTxn(ctx, core.Commit{Txn: wire.Txn{Compare: []wire.Compare{{Key: "dl/x", Revision: mark}}, Then: []wire.Write{{Put: "dl/x", Value: json.RawMessage("1"), LeaseID: lease}}}})
 	}
 	first, again := put(0, l.Lease), put(0, 0)
 	if first.Status != 200 || again.Status != 409 || len(again.Reply.Failed) != 1 {
 		t.Errorf("got %+v, %+v", first, again)
 	}
-	ch := c.Changes(ctx, core.Changes{From: first.Reply.Ledger, Hold: true}) // until the lease ends
-	if ch.Status != 200 || len(ch.Changes.Log) != 1 || ch.Changes.Log[0].Delete != "dl/x" {
+	ch := c.Watch(ctx, core.Changes{From: first.Reply.Revision, Hold: true}) // until the lease ends
+	if ch.Status != 200 || len(ch.Changes.Events) != 1 || ch.Changes.Events[0].Delete != "dl/x" {
 		t.Errorf("got %+v", ch)
 	}
-	if r := c.Lease(ctx, core.LeaseOp{Op: "extend", Lease: l.Lease}); r.Status != 404 {
+	if r := c.GrantOrRenewLease(ctx, core.LeaseOp{Op: "extend", Lease: l.Lease}); r.Status != 404 {
 		t.Errorf("an ended lease was extended: %+v", r)
 	}
 	if r := put(0, l.Lease); r.Status != 400 {
@@ -84,11 +84,11 @@
 		}
 		if i%1000 != 0 { // most of them without the way over the network
 			s.Commit(tx)
-		} else if r := c.Commit(ctx, core.Commit{Txn: tx}); r.Status != 200 {
+		} else if r := c.CommitTxn(ctx, core.Commit{Txn: tx}); r.Status != 200 {
 			t.Fatalf("got %+v", r)
 		}
 	}
-	if ch := c.Changes(ctx, core.Changes{From: 2}); ch.Status != 410 {
+	if ch := c.Watch(ctx, core.Changes{From: 2}); ch.Status != 410 {
 		t.Errorf("too old: %+v", ch.Status)
 	}
 	s.SetLimits(standin.Limits{WriteRPS: 1})
--- a/secure/secure_test.go
+++ b/tlsconfig/tlsconfig_test.go
@@ -1,4 +1,4 @@
-package secure
+package tlsconfig
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"dewlift/internal/testcert"
 )
 
-func load(t *testing.T, text string) (*Files, error) {
+func loadFromText(t *testing.T, text string) (*Files, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tls")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -34,7 +34,7 @@
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	first.Issue(t, "n0", cert, key)
-	f, err := load(t, fmt.Sprintf("serve { certificate: %q key: %q }", cert, key))
+	f, err := loadFromText(t, fmt.Sprintf("serve { certificate: %q key: %q }", cert, key))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })}
-	go func() { _ = srv.Serve(tls.NewListener(inner, f.Serve())) }() // ends with the test
+	go func() { _ = srv.Serve(tls.NewListener(inner, f.ServerConfig())) }() // ends with the test
 	t.Cleanup(func() { _ = srv.Close() })
 	client := func(ca string) *http.Client {
 		raw, err := os.ReadFile(ca)
@@ -70,7 +70,7 @@
 	if err := get(fresh); err == nil {
 		t.Fatal("another authority is trusted")
 	}
-	back := func() { f.serve.mu.Lock(); f.serve.look = time.Time{}; f.serve.mu.Unlock() } // the next look is due
+	back := func() { f.serverCerts.mu.Lock(); f.serverCerts.lastCheck = time.Time{}; f.serverCerts.mu.Unlock() } // the next look is due
 	if err := os.WriteFile(cert, []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestBadFilesAreNamedInOneLine(t *testing.T) {
+func TestBadFilesGiveOneLineErrors(t *testing.T) {
 	a := testcert.New(t)
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
@@ -112,12 +112,12 @@
 		fmt.Sprintf("mesh { certificate: %q key: %q authorities: %q }", cert, key, key): "no certificate in",
 		fmt.Sprintf("serve { certificate: %q key: %q }", key, cert):                     "certificate:",
 	} {
-		if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := loadFromText(t, text); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	f, err := load(t, "")
-	if err != nil || f.Serve() != nil || f.MeshServer() != nil || f.MeshClient("n1") != nil {
+	f, err := loadFromText(t, "")
+	if err != nil || f.ServerConfig() != nil || f.MeshServerConfig() != nil || f.MeshClientConfig("n1") != nil {
 		t.Errorf("nothing set: %v", err)
 	}
 }
