--- a/access/access.go
+++ b/access/access.go
@@ -19,20 +19,20 @@
 // Verb is what somebody wants to do.
 type Verb = pb.Verb
 
-// All is the team or class that stands for all of them.
-const All = "*"
+// AnyGroup is the team or class that stands for all of them.
+const AnyGroup = "*"
 
 // limits of an access file, so that its rights fit memory and a listing
 const (
-	mostIdentities = 10_000
-	mostRoles      = 1_000
-	mostGrants     = 100 // of a role
-	mostKeys       = 10  // of an identity: the old and the new one while a key is rotated, and a few
+	maxIdentities      = 10_000
+	maxRoles           = 1_000
+	maxGrantsPerRole   = 100 // of a role
+	maxKeysPerIdentity = 10  // of an identity: the old and the new one while a key is rotated, and a few
 )
 
-// Act is what somebody wants to do; Team and Class are those of the job, if it is about one. Priority counts for
+// Action is what somebody wants to do; Team and Class are those of the job, if it is about one. Priority counts for
 // submissions: 0 is the most important.
-type Act struct {
+type Action struct {
 	Verb     Verb
 	Team     string
 	Class    string
@@ -41,10 +41,10 @@
 
 // Decision tells whether an act is allowed, and by which grant.
 type Decision struct {
-	Allowed bool   `json:"allowed"`
-	Role    string `json:"role,omitempty"`  // whose grant decides
-	Grant   int    `json:"grant,omitempty"` // its place there, from 1
-	Why     string `json:"why"`
+	Allowed     bool   `json:"allowed"`
+	Role        string `json:"role,omitempty"`  // whose grant decides
+	GrantNumber int    `json:"grant,omitempty"` // its place there, from 1
+	Reason      string `json:"why"`
 }
 
 // Policy is a site's rights, checked. It never changes.
@@ -61,16 +61,16 @@
 }
 
 type grant struct {
-	verbs   map[Verb]bool
-	teams   map[string]bool
-	classes map[string]bool
-	upTo    int
+	verbs           map[Verb]bool
+	teams           map[string]bool
+	classes         map[string]bool
+	highestPriority int
 }
 
 type identity struct {
-	name        string
-	certificate bool
-	roles       []*role
+	name              string
+	allowsCertificate bool
+	roles             []*role
 }
 
 // Key is a key that may sign for an identity.
@@ -80,7 +80,7 @@
 	Public ed25519.PublicKey
 }
 
-var name = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._@-]{0,79}$`)
+var validName = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._@-]{0,79}$`)
 
 // Parse reads rights in protobuf text format. An error is one line and names the place.
 func Parse(text []byte) (*Policy, error) {
@@ -94,8 +94,8 @@
 // New checks rights.
 func New(a *pb.Access) (*Policy, error) {
 	p := &Policy{source: a, roles: map[string]*role{}, identities: map[string]*identity{}, keys: map[string]*Key{}}
-	if len(a.Roles) > mostRoles || len(a.Identities) > mostIdentities {
-		return nil, fmt.Errorf("%d roles and %d identities, at most %d and %d are allowed", len(a.Roles), len(a.Identities), mostRoles, mostIdentities)
+	if len(a.Roles) > maxRoles || len(a.Identities) > maxIdentities {
+		return nil, fmt.Errorf("%d roles and %d identities, at most %d and %d are allowed", len(a.Roles), len(a.Identities), maxRoles, maxIdentities)
 	}
 	for i, r := range a.Roles {
 		if err := p.addRole(r); err != nil {
@@ -111,11 +111,11 @@
 }
 
 func (p *Policy) addRole(r *pb.Role) error {
-	if !name.MatchString(r.Name) || p.roles[r.Name] != nil {
+	if !validName.MatchString(r.Name) || p.roles[r.Name] != nil {
 		return fmt.Errorf(".name: %q is no name, or used twice", r.Name)
 	}
-	if len(r.Grants) == 0 || len(r.Grants) > mostGrants {
-		return fmt.Errorf(" (%s).grants: %d of them, must be from 1 to %d", r.Name, len(r.Grants), mostGrants)
+	if len(r.Grants) == 0 || len(r.Grants) > maxGrantsPerRole {
+		return fmt.Errorf(" (%s).grants: %d of them, must be from 1 to %d", r.Name, len(r.Grants), maxGrantsPerRole)
 	}
 	out := &role{name: r.Name}
 	for i, g := range r.Grants {
@@ -130,7 +130,7 @@
 }
 
 func newGrant(g *pb.Grant) (grant, error) {
-	out := grant{verbs: map[Verb]bool{}, teams: map[string]bool{}, classes: map[string]bool{}, upTo: wire.PriorityStandard}
+	out := grant{verbs: map[Verb]bool{}, teams: map[string]bool{}, classes: map[string]bool{}, highestPriority: wire.PriorityStandard}
 	about := false
 	if len(g.Verbs) == 0 {
 		return out, errors.New(".verbs: there are none")
@@ -140,7 +140,7 @@
 			return out, fmt.Errorf(".verbs[%d]: unknown verb", i)
 		}
 		out.verbs[v] = true
-		about = about || aboutJobs(v)
+		about = about || isJobVerb(v)
 	}
 	for _, l := range []struct {
 		field string
@@ -148,7 +148,7 @@
 		into  map[string]bool
 	}{{"teams", g.Teams, out.teams}, {"classes", g.Classes, out.classes}} {
 		if about && len(l.names) == 0 {
-			return out, fmt.Errorf(".%s: there are none; %q stands for all", l.field, All)
+			return out, fmt.Errorf(".%s: there are none; %q stands for all", l.field, AnyGroup)
 		}
 		for i, s := range l.names {
 			if s == "" || len(s) > 200 || l.into[s] {
@@ -162,7 +162,7 @@
 	}
 	if g.UpTo != "" {
 		var ok bool
-		if out.upTo, ok = wire.Priority(g.UpTo); !ok {
+		if out.highestPriority, ok = wire.Priority(g.UpTo); !ok {
 			return out, fmt.Errorf(".up_to: no priority %q", g.UpTo)
 		}
 	}
@@ -170,10 +170,10 @@
 }
 
 func (p *Policy) addIdentity(x *pb.Identity) error {
-	if !name.MatchString(x.Name) || p.identities[x.Name] != nil {
+	if !validName.MatchString(x.Name) || p.identities[x.Name] != nil {
 		return fmt.Errorf(".name: %q is no name, or used twice", x.Name)
 	}
-	out := &identity{name: x.Name, certificate: x.Certificate}
+	out := &identity{name: x.Name, allowsCertificate: x.Certificate}
 	for i, r := range x.Roles {
 		have := p.roles[r]
 		if have == nil || slices.Contains(out.roles, have) {
@@ -181,15 +181,15 @@
 		}
 		out.roles = append(out.roles, have)
 	}
-	if len(x.Keys) > mostKeys {
-		return fmt.Errorf(" (%s).keys: %d of them, at most %d are allowed", x.Name, len(x.Keys), mostKeys)
+	if len(x.Keys) > maxKeysPerIdentity {
+		return fmt.Errorf(" (%s).keys: %d of them, at most %d are allowed", x.Name, len(x.Keys), maxKeysPerIdentity)
 	}
 	for i, k := range x.Keys {
 		raw, err := base64.StdEncoding.DecodeString(k.Ed25519)
 		if err != nil || len(raw) != ed25519.PublicKeySize {
 			return fmt.Errorf(" (%s).keys[%d].ed25519: not %d bytes in base64", x.Name, i, ed25519.PublicKeySize)
 		}
-		if !name.MatchString(k.Id) || k.Id == CertificateKey || p.keys[k.Id] != nil {
+		if !validName.MatchString(k.Id) || k.Id == CertificateKey || p.keys[k.Id] != nil {
 			return fmt.Errorf(" (%s).keys[%d].id: %q is no name, or used twice", x.Name, i, k.Id)
 		}
 		p.keys[k.Id] = &Key{ID: k.Id, Holder: x.Name, Public: raw}
@@ -198,13 +198,13 @@
 	return nil
 }
 
-// aboutJobs reports whether a verb is about jobs, and so bound to teams and classes.
-func aboutJobs(v Verb) bool {
+// isJobVerb reports whether a verb is about jobs, and so bound to teams and classes.
+func isJobVerb(v Verb) bool {
 	return v != pb.Verb_administer && v != pb.Verb_audit && v != pb.Verb_report && v != pb.Verb_equip
 }
 
-// WorkersSign reports whether workers' reports need a token.
-func (p *Policy) WorkersSign() bool { return p.source.WorkersSign }
+// AgentsMustSign reports whether workers' reports need a token.
+func (p *Policy) AgentsMustSign() bool { return p.source.WorkersSign }
 
 // Format renders rights in protobuf text format, as Parse reads them.
 func Format(a *pb.Access) string {
@@ -214,13 +214,13 @@
 // Source is the rights as they were given; they must not be changed.
 func (p *Policy) Source() *pb.Access { return p.source }
 
-// Has reports whether there is an identity of that name.
-func (p *Policy) Has(who string) bool { return p.identities[who] != nil }
+// HasIdentity reports whether there is an identity of that name.
+func (p *Policy) HasIdentity(identityName string) bool { return p.identities[identityName] != nil }
 
-// Administered reports whether somebody may change rights and has a key to prove it.
-func (p *Policy) Administered() bool {
+// HasAdministrator reports whether somebody may change rights and has a key to prove it.
+func (p *Policy) HasAdministrator() bool {
 	for _, k := range p.keys {
-		if p.Decide(k.Holder, Act{Verb: pb.Verb_administer}).Allowed {
+		if p.Decide(k.Holder, Action{Verb: pb.Verb_administer}).Allowed {
 			return true
 		}
 	}
@@ -242,19 +242,19 @@
 // CertificateKey stands for a certificate where a key is named.
 const CertificateKey = "certificate"
 
-// ByCertificate reports whether an identity may prove who it is by a certificate.
-func (p *Policy) ByCertificate(who string) bool {
-	x := p.identities[who]
-	return x != nil && x.certificate
+// AllowsCertificate reports whether an identity may prove who it is by a certificate.
+func (p *Policy) AllowsCertificate(identityName string) bool {
+	x := p.identities[identityName]
+	return x != nil && x.allowsCertificate
 }
 
-// Holds reports whether a key, or a certificate, is good for an identity.
-func (p *Policy) Holds(who, key string) bool {
+// KeyBelongsTo reports whether a key, or a certificate, is good for an identity.
+func (p *Policy) KeyBelongsTo(identityName, key string) bool {
 	if key == CertificateKey {
-		return p.ByCertificate(who)
+		return p.AllowsCertificate(identityName)
 	}
 	k, ok := p.keys[key]
-	return ok && k.Holder == who
+	return ok && k.Holder == identityName
 }
 
 // Counts tells how many roles, identities and keys there are.
@@ -264,38 +264,38 @@
 
 // Decide tells whether somebody may do something. The first grant that covers it decides; none: it is
 // refused. Above standard priority a submission needs both: to submit, and to prioritise as far.
-func (p *Policy) Decide(who string, a Act) Decision {
-	x := p.identities[who]
+func (p *Policy) Decide(identityName string, a Action) Decision {
+	x := p.identities[identityName]
 	if x == nil {
-		return Decision{Why: "nobody of that name"}
+		return Decision{Reason: "nobody of that name"}
 	}
-	d := p.covered(x, a)
+	d := p.findGrant(x, a)
 	if !d.Allowed || a.Verb != pb.Verb_submit || a.Priority >= wire.PriorityStandard {
 		return d
 	}
 	a.Verb = pb.Verb_prioritise
-	return p.covered(x, a)
+	return p.findGrant(x, a)
 }
 
-func (p *Policy) covered(x *identity, a Act) Decision {
+func (p *Policy) findGrant(x *identity, a Action) Decision {
 	near := "no grant of " + a.Verb.String()
 	for _, r := range x.roles {
 		for i, g := range r.grants {
 			if !g.verbs[a.Verb] {
 				continue
 			}
-			if aboutJobs(a.Verb) && !(covers(g.teams, a.Team) && covers(g.classes, a.Class)) {
+			if isJobVerb(a.Verb) && !(matches(g.teams, a.Team) && matches(g.classes, a.Class)) {
 				near = fmt.Sprintf("no grant of %s covers team %q and class %q", a.Verb, a.Team, a.Class)
 				continue
 			}
-			if a.Verb == pb.Verb_prioritise && a.Priority < g.upTo {
-				near = fmt.Sprintf("prioritise goes up to %s only", wire.PriorityName(g.upTo))
+			if a.Verb == pb.Verb_prioritise && a.Priority < g.highestPriority {
+				near = fmt.Sprintf("prioritise goes up to %s only", wire.PriorityName(g.highestPriority))
 				continue
 			}
-			return Decision{Allowed: true, Role: r.name, Grant: i + 1, Why: fmt.Sprintf("role %s, grant %d", r.name, i+1)}
+			return Decision{Allowed: true, Role: r.name, GrantNumber: i + 1, Reason: fmt.Sprintf("role %s, grant %d", r.name, i+1)}
 		}
 	}
-	return Decision{Why: near}
+	return Decision{Reason: near}
 }
 
-func covers(set map[string]bool, s string) bool { return set[All] || s != "" && set[s] }
+func matches(set map[string]bool, s string) bool { return set[AnyGroup] || s != "" && set[s] }
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -12,7 +12,7 @@
 	pb "dewlift/proto"
 )
 
-const coop = `
+const testPolicy = `
 roles { name: "technician" grants { verbs: submit verbs: read verbs: cancel teams: "kiln-floor" classes: "*" } grants { verbs: prioritise teams: "kiln-floor" classes: "firing" up_to: "high" } }
 roles { name: "visitor" grants { verbs: submit verbs: read teams: "potters" classes: "plan" } }
 roles { name: "packer" grants { verbs: submit verbs: read verbs: cancel teams: "*" classes: "labels" } grants { verbs: read teams: "*" classes: "reroast" } }
@@ -24,7 +24,7 @@
 `
 
 func TestDecisionsNameTheirGrant(t *testing.T) {
-	p, err := Parse([]byte(coop))
+	p, err := Parse([]byte(testPolicy))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,19 +52,19 @@
 		if !ok {
 			t.Fatal(x.verb)
 		}
-		d := p.Decide(x.who, Act{Verb: v, Team: x.team, Class: x.class, Priority: x.prio})
+		d := p.Decide(x.who, Action{Verb: v, Team: x.team, Class: x.class, Priority: x.prio})
 		got := ""
 		if d.Allowed {
-			got = fmt.Sprint(d.Role, " ", d.Grant)
+			got = fmt.Sprint(d.Role, " ", d.GrantNumber)
 		}
-		if got != x.want || d.Why == "" {
+		if got != x.want || d.Reason == "" {
 			t.Errorf("%+v: %+v", x, d)
 		}
 	}
 }
 
 // A bad file gives one line that names the place.
-func TestBadRightsAreNamed(t *testing.T) {
+func TestInvalidPoliciesAreNamed(t *testing.T) {
 	for text, want := range map[string]string{
 		`roles { name: "a" }`: "roles[0] (a).grants",
 		`roles { name: "a" grants { verbs: read teams: "t" } }`:                                             "grants[0].classes",
@@ -84,35 +84,35 @@
 	}
 }
 
-func withKey(t testing.TB) (*Policy, *Private) {
+func withKey(t testing.TB) (*Policy, *PrivateKey) {
 	t.Helper()
 	k, err := NewKey("anna", "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Parse([]byte(coop + fmt.Sprintf(`identities { name: "eva" keys { id: "k2" ed25519: %q } }`, k.Public())))
+	p, err := Parse([]byte(testPolicy + fmt.Sprintf(`identities { name: "eva" keys { id: "k2" ed25519: %q } }`, k.PublicBase64())))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.source.Identities[0].Keys = []*pb.PublicKey{{Id: "k1", Ed25519: k.Public()}}
+	p.source.Identities[0].Keys = []*pb.PublicKey{{Id: "k1", Ed25519: k.PublicBase64()}}
 	if p, err = New(p.source); err != nil {
 		t.Fatal(err)
 	}
 	return p, k
 }
 
-func TestTokensAreGoodForTheirTimeAndHolder(t *testing.T) {
+func TestTokensAreBoundToTimeAndHolder(t *testing.T) {
 	p, k := withKey(t)
 	now, bound := time.Unix(1_800_000_000, 0), 50*time.Millisecond
-	token := func(k *Private, at time.Time, life time.Duration) string {
-		s, err := k.Token(at, life)
+	token := func(k *PrivateKey, at time.Time, life time.Duration) string {
+		s, err := k.SignToken(at, life)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s
 	}
 	good := token(k, now, time.Minute)
-	if got, until, err := p.Verify(good, now, bound); err != nil || got.Holder != "anna" || !until.Equal(now.Add(time.Minute)) {
+	if got, until, err := p.VerifyToken(good, now, bound); err != nil || got.Holder != "anna" || !until.Equal(now.Add(time.Minute)) {
 		t.Fatalf("got %+v %v %v", got, until, err)
 	}
 	if id, ok := PeekKey(good); !ok || id != "k1" {
@@ -139,21 +139,21 @@
 		"unknown key":   {token(&stranger, now, time.Minute), now},
 		"not signed":    {none + "." + parts[1] + ".", now},
 		"other claims":  {parts[0] + "." + base64.RawURLEncoding.EncodeToString([]byte(`{"sub":"anna","aud":"dewlift","iat":1,"exp":9999999999}`)) + "." + parts[2], now},
-		"too long":      {good + strings.Repeat("x", mostToken), now},
+		"too long":      {good + strings.Repeat("x", maxTokenBytes), now},
 		"empty":         {"", now},
-		"life too long": {func() string { long := *k; s, _ := long.Token(now, MostLife); return s }(), now.Add(MostLife + time.Second)},
+		"life too long": {func() string { long := *k; s, _ := long.SignToken(now, MaxTokenLifetime); return s }(), now.Add(MaxTokenLifetime + time.Second)},
 	} {
-		if got, _, err := p.Verify(x.token, x.at, bound); !errors.Is(err, ErrToken) {
+		if got, _, err := p.VerifyToken(x.token, x.at, bound); !errors.Is(err, ErrInvalidToken) {
 			t.Errorf("%s: %+v %v", what, got, err)
 		}
 	}
-	if _, err := k.Token(now, MostLife+time.Second); err == nil {
+	if _, err := k.SignToken(now, MaxTokenLifetime+time.Second); err == nil {
 		t.Error("a token that lives too long was signed")
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(coop))
+	f.Add([]byte(testPolicy))
 	f.Add([]byte(`identities { name: "x" keys { id: "k" ed25519: "AAAA" } }`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		p, err := Parse(text)
@@ -173,7 +173,7 @@
 func FuzzVerify(f *testing.F) {
 	p, k := withKey(f)
 	now := time.Unix(1_800_000_000, 0)
-	good, err := k.Token(now, time.Minute)
+	good, err := k.SignToken(now, time.Minute)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		PeekKey(string(raw))
 		parts, mine := bytes.Split([]byte(good), []byte(".")), bytes.Split(raw, []byte("."))
-		if got, _, err := p.Verify(string(raw), now, 0); err == nil && !(len(mine) == 3 && bytes.Equal(parts[0], mine[0]) && bytes.Equal(parts[1], mine[1])) {
+		if got, _, err := p.VerifyToken(string(raw), now, 0); err == nil && !(len(mine) == 3 && bytes.Equal(parts[0], mine[0]) && bytes.Equal(parts[1], mine[1])) {
 			t.Fatalf("%s is accepted as %s's", raw, got.Holder)
 		}
 	})
--- a/api/api.go
+++ b/api/api.go
@@ -47,7 +47,7 @@
 	queueEnabled        atomic.Bool // there is a list of lanes
 
 	deniedMu sync.Mutex
-	denied   audit.Gather
+	denied   audit.Aggregator
 }
 
 const (
@@ -59,7 +59,7 @@
 
 // New returns a server; bound is how far the time of day may be off. Without TLS settings it is in plain text.
 func New(service Service, clockErrorBound time.Duration, tlsConfig *tls.Config, log *slog.Logger) *Server {
-	return &Server{service: service, log: log, pendingResponses: map[uint64]chan core.Reply{}, authenticator: newAuthenticator(clockErrorBound), tlsConfig: tlsConfig, denied: audit.Gather{Most: maxDeniedBytes}}
+	return &Server{service: service, log: log, pendingResponses: map[uint64]chan core.Reply{}, authenticator: newAuthenticator(clockErrorBound), tlsConfig: tlsConfig, denied: audit.Aggregator{MaxBytes: maxDeniedBytes}}
 }
 
 // SetPermissions puts rights in force: from now on, requests need a token.
@@ -97,14 +97,14 @@
 	s.log.Info("refused", "path", path, "status", status, "why", why)
 	s.deniedMu.Lock()
 	defer s.deniedMu.Unlock()
-	s.denied.Add(audit.Item{Verb: c.Method(), Object: path, Why: why}, 1)
+	s.denied.Add(audit.GatheredEvent{Verb: c.Method(), Object: path, Reason: why}, 1)
 }
 
 // TakeDenied takes what was refused since the last call, to be recorded.
 func (s *Server) TakeDenied() []*pb.AuditItem {
 	s.deniedMu.Lock()
 	defer s.deniedMu.Unlock()
-	return s.denied.Take(4 * maxDeniedBytes)
+	return s.denied.Drain(4 * maxDeniedBytes)
 }
 
 // DeliverResponse delivers a reply of the core.
@@ -240,12 +240,12 @@
 			return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: err.Error()})
 		}
 		var by core.Cred
-		if p := s.authenticator.policy.Load(); p != nil && p.WorkersSign() {
+		if p := s.authenticator.policy.Load(); p != nil && p.AgentsMustSign() {
 			var status int
 			var why string
 			if by, status, why = s.authenticator.authenticate(c.Get(fiber.HeaderAuthorization), commonName(c), time.Now()); status != 0 {
 				s.recordDenied(c, status, why)
-				return c.Status(status).JSON(wire.Error{Error: access.ErrToken.Error()})
+				return c.Status(status).JSON(wire.Error{Error: access.ErrInvalidToken.Error()})
 			}
 		}
 		return s.handleInput(c, heartbeatResponseTimeout, func(req uint64) core.Input { return core.Beat{Req: req, Report: r, By: by} })
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -58,7 +58,7 @@
 		return core.Cred{}, 0, ""
 	}
 	if header == "" && certificate != "" {
-		if p.ByCertificate(certificate) {
+		if p.AllowsCertificate(certificate) {
 			return core.Cred{Who: certificate, Key: access.CertificateKey}, 0, ""
 		}
 		return cr, fiber.StatusUnauthorized, "the certificate is nobody's"
@@ -75,14 +75,14 @@
 	}
 	id, ok := access.PeekKey(token)
 	if _, there := p.Key(id); !ok || !there {
-		return cr, fiber.StatusUnauthorized, access.ErrToken.Error()
+		return cr, fiber.StatusUnauthorized, access.ErrInvalidToken.Error()
 	}
 	if !g.allowVerification(id, now) {
 		return cr, fiber.StatusTooManyRequests, "too many tokens of this key"
 	}
-	k, until, err := p.Verify(token, now, g.clockErrorBound)
+	k, until, err := p.VerifyToken(token, now, g.clockErrorBound)
 	if err != nil {
-		return cr, fiber.StatusUnauthorized, access.ErrToken.Error()
+		return cr, fiber.StatusUnauthorized, access.ErrInvalidToken.Error()
 	}
 	g.verifiedTokens.Add(token, verifiedToken{k, until})
 	return core.Cred{Who: k.Holder, Key: k.ID}, 0, ""
--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -23,17 +23,17 @@
 	"dewlift/tlsconfig"
 )
 
-func newTestAuthenticator(t testing.TB, names ...string) (*authenticator, map[string]*access.Private) {
+func newTestAuthenticator(t testing.TB, names ...string) (*authenticator, map[string]*access.PrivateKey) {
 	t.Helper()
 	a := &pb.Access{}
-	keys := map[string]*access.Private{}
+	keys := map[string]*access.PrivateKey{}
 	for _, n := range names {
 		k, err := access.NewKey(n, "key-"+n)
 		if err != nil {
 			t.Fatal(err)
 		}
 		keys[n] = k
-		a.Identities = append(a.Identities, &pb.Identity{Name: n, Keys: []*pb.PublicKey{{Id: k.ID, Ed25519: k.Public()}}})
+		a.Identities = append(a.Identities, &pb.Identity{Name: n, Keys: []*pb.PublicKey{{Id: k.ID, Ed25519: k.PublicBase64()}}})
 	}
 	p, err := access.New(a)
 	if err != nil {
@@ -44,9 +44,9 @@
 	return g, keys
 }
 
-func bearerHeader(t testing.TB, k *access.Private, now time.Time) string {
+func bearerHeader(t testing.TB, k *access.PrivateKey, now time.Time) string {
 	t.Helper()
-	s, err := k.Token(now, time.Minute)
+	s, err := k.SignToken(now, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	g, keys := newTestAuthenticator(b, "anna")
 	now := time.Now()
 	good := bearerHeader(b, keys["anna"], now)
-	for name, header := range map[string]string{"known": good, "none": "", "unknown key": bearerHeader(b, func() *access.Private { k := *keys["anna"]; k.ID = "other"; return &k }(), now)} {
+	for name, header := range map[string]string{"known": good, "none": "", "unknown key": bearerHeader(b, func() *access.PrivateKey { k := *keys["anna"]; k.ID = "other"; return &k }(), now)} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				g.authenticate(header, "", now)
@@ -124,7 +124,7 @@
 	b.Run("signature", func(b *testing.B) {
 		p := g.policy.Load()
 		for b.Loop() {
-			if _, _, err := p.Verify(good[len("Bearer "):], now, 0); err != nil {
+			if _, _, err := p.VerifyToken(good[len("Bearer "):], now, 0); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -235,7 +235,7 @@
 	items, total := s.TakeDenied(), uint32(0)
 	for _, it := range items {
 		total += it.Count
-		if it.Who != "" || it.Verb != http.MethodGet || it.Why == "" && it.Object != audit.Others {
+		if it.Who != "" || it.Verb != http.MethodGet || it.Why == "" && it.Object != audit.OtherValues {
 			t.Errorf("%+v", it)
 		}
 	}
--- a/api/reservation.go
+++ b/api/reservation.go
@@ -69,8 +69,8 @@
 		}
 		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
 	}))
-	app.Post(wire.PathReservations, open(func(c fiber.Ctx, by core.Cred) error { return s.handleReservation(c, by, booking.Make, "") }))
-	for verb, path := range map[booking.Verb]string{booking.Confirm: "confirm", booking.Move: "move", booking.End: "end"} {
+	app.Post(wire.PathReservations, open(func(c fiber.Ctx, by core.Cred) error { return s.handleReservation(c, by, booking.VerbCreate, "") }))
+	for verb, path := range map[booking.Verb]string{booking.VerbConfirm: "confirm", booking.VerbMove: "move", booking.VerbEnd: "end"} {
 		app.Post(wire.PathReservations+"/:id/"+path, open(func(c fiber.Ctx, by core.Cred) error { return s.handleReservation(c, by, verb, text(c.Params("id"))) }))
 	}
 }
--- a/archive/block.go
+++ b/archive/block.go
@@ -23,28 +23,28 @@
 
 const (
 	// Prefix begins the keys of all blocks. No controller follows it by watch.
-	Prefix = "da/b/"
+	BlockPrefix = "da/b/"
 	// Top ends the range of the last block: it is behind all job ids.
-	Top = "~"
+	MaxID = "~"
 
-	mostExpanded = 4 << 20 // bytes, of a block
+	maxExpandedBytes = 4 << 20 // bytes, of a block
 )
 
-// ErrTooMany tells that a block, written under larger limits, would take more pieces than a
+// ErrTooManyBlocks tells that a block, written under larger limits, would take more pieces than a
 // transaction has changes. It stays as it is, readable.
-var ErrTooMany = errors.New("block takes more pieces than a transaction has changes")
+var ErrTooManyBlocks = errors.New("block takes more pieces than a transaction has changes")
 
 // ErrCorrupt tells that a value is not a block.
 var ErrCorrupt = errors.New("corrupt block")
 
-// Key is the key of the block whose range ends at high.
-func Key(high string) string { return Prefix + high }
+// BlockKey is the key of the block whose range ends at high.
+func BlockKey(high string) string { return BlockPrefix + high }
 
-// Before is the key from which a listing begins so that its first row is the block of an id.
-func Before(id string) string { return Prefix + id }
+// SeekKey is the key from which a listing begins so that its first row is the block of an id.
+func SeekKey(id string) string { return BlockPrefix + id }
 
-// Reason tells why a task of a job stopped. Times are of day, in ms.
-type Reason struct {
+// StopReason tells why a task of a job stopped. Times are of day, in ms.
+type StopReason struct {
 	Task    int
 	Machine string
 	Cause   string
@@ -53,13 +53,13 @@
 
 // Entry is the end of a job.
 type Entry struct {
-	ID        string
-	Cancelled bool
-	Done      int    // tasks completed
-	By        string // the cancelled job because of which it was cancelled
-	Why       []Reason
-	Team      string // "" and "": not known
-	Class     string
+	ID             string
+	Cancelled      bool
+	CompletedTasks int    // tasks completed
+	CancelledByJob string // the cancelled job because of which it was cancelled
+	StopReasons    []StopReason
+	Team           string // "" and "": not known
+	Class          string
 }
 
 // Block holds the ends of all archived jobs whose ids lie in [Low, High), in their order.
@@ -68,8 +68,8 @@
 	Entries   []Entry
 }
 
-// Empty is the block of an archive that holds nothing.
-func Empty() *Block { return &Block{High: Top} }
+// EmptyBlock is the block of an archive that holds nothing.
+func EmptyBlock() *Block { return &Block{High: MaxID} }
 
 // Covers reports whether an id lies in the block's range.
 func (b *Block) Covers(id string) bool { return b.Low <= id && id < b.High }
@@ -101,43 +101,43 @@
 	return out
 }
 
-// halve splits a block of two entries at least in the middle.
-func (b *Block) halve() (lower, upper *Block) {
+// splitInHalf splits a block of two entries at least in the middle.
+func (b *Block) splitInHalf() (lower, upper *Block) {
 	n := len(b.Entries) / 2
 	at := b.Entries[n].ID
 	return &Block{Low: b.Low, High: at, Entries: b.Entries[:n]}, &Block{Low: at, High: b.High, Entries: b.Entries[n:]}
 }
 
-// Piece is a block as it is written.
-type Piece struct {
+// EncodedBlock is a block as it is written.
+type EncodedBlock struct {
 	*Block
 	Value json.RawMessage
 }
 
-// Fit encodes a block in as few pieces as fit values of at most so many bytes, in order of their
+// EncodeToFit encodes a block in as few pieces as fit values of at most so many bytes, in order of their
 // ranges; the last keeps the block's key. One entry that does not fit alone is an error.
-func (b *Block) Fit(most int) ([]Piece, error) {
+func (b *Block) EncodeToFit(most int) ([]EncodedBlock, error) {
 	raw, err := b.Encode()
 	if err != nil {
 		return nil, err
 	}
 	if len(raw) <= most {
-		return []Piece{{b, raw}}, nil
+		return []EncodedBlock{{b, raw}}, nil
 	}
 	if len(b.Entries) < 2 {
 		return nil, fmt.Errorf("a block of %d entries takes %d bytes, %d are allowed", len(b.Entries), len(raw), most)
 	}
-	lower, upper := b.halve()
-	ps, err := lower.Fit(most)
+	lower, upper := b.splitInHalf()
+	ps, err := lower.EncodeToFit(most)
 	if err != nil {
 		return nil, err
 	}
-	more, err := upper.Fit(most)
+	more, err := upper.EncodeToFit(most)
 	return append(ps, more...), err
 }
 
-// value is a block as the state service holds it.
-type value struct {
+// storedValue is a block as the state service holds it.
+type storedValue struct {
 	Digest uint64 `json:"x,string"` // xxHash64 of Data
 	Data   []byte `json:"z"`        // a message, compressed
 }
@@ -157,7 +157,7 @@
 		m.Shared = append(m.Shared, uint32(n))
 		m.Rest = append(m.Rest, uint32(len(e.ID)-n))
 		m.Tails = append(m.Tails, e.ID[n:]...)
-		m.Done = append(m.Done, uint32(e.Done))
+		m.Done = append(m.Done, uint32(e.CompletedTasks))
 		if e.Cancelled {
 			m.Cancelled = append(m.Cancelled, uint32(i-lastCancelled))
 			lastCancelled = i
@@ -170,11 +170,11 @@
 			m.Group = append(m.Group, make([]uint32, i-len(m.Group))...)
 			m.Group = append(m.Group, groups[g])
 		}
-		if e.By == "" && len(e.Why) == 0 {
+		if e.CancelledByJob == "" && len(e.StopReasons) == 0 {
 			continue
 		}
-		d := &pb.Detail{Entry: uint32(i), By: e.By}
-		for _, w := range e.Why {
+		d := &pb.Detail{Entry: uint32(i), By: e.CancelledByJob}
+		for _, w := range e.StopReasons {
 			d.Why = append(d.Why, &pb.Stop{Task: uint32(w.Task), Machine: w.Machine, Cause: w.Cause, AtMs: w.AtMS})
 		}
 		m.Details = append(m.Details, d)
@@ -192,19 +192,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode block: %w", err)
 	}
-	return json.Marshal(value{Digest: xxhash.Sum64(data), Data: data})
+	return json.Marshal(storedValue{Digest: xxhash.Sum64(data), Data: data})
 }
 
 // Unpack is the reverse of Pack; its errors wrap ErrCorrupt.
 func Unpack(raw json.RawMessage, m protobuf.Message) error {
-	var v value
+	var v storedValue
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if xxhash.Sum64(v.Data) != v.Digest {
 		return fmt.Errorf("%w: its digest does not match", ErrCorrupt)
 	}
-	plain, err := squeeze.Inflate(v.Data, mostExpanded)
+	plain, err := squeeze.Inflate(v.Data, maxExpandedBytes)
 	if err == nil {
 		err = protobuf.Unmarshal(plain, m)
 	}
@@ -246,7 +246,7 @@
 			return nil, errors.New("an id is out of order or out of range")
 		}
 		last = id
-		b.Entries[i] = Entry{ID: id, Done: int(m.Done[i])}
+		b.Entries[i] = Entry{ID: id, CompletedTasks: int(m.Done[i])}
 	}
 	if tails != "" {
 		return nil, errors.New("something follows the ids")
@@ -274,9 +274,9 @@
 			return nil, errors.New("details of no entry")
 		}
 		e := &b.Entries[d.Entry]
-		e.By = d.By
+		e.CancelledByJob = d.By
 		for _, w := range d.Why {
-			e.Why = append(e.Why, Reason{Task: int(w.Task), Machine: w.Machine, Cause: w.Cause, AtMS: w.AtMs})
+			e.StopReasons = append(e.StopReasons, StopReason{Task: int(w.Task), Machine: w.Machine, Cause: w.Cause, AtMS: w.AtMs})
 		}
 	}
 	return b, nil
--- a/audit/chain.go
+++ b/audit/chain.go
@@ -15,19 +15,19 @@
 	pb "dewlift/proto"
 )
 
-// Prefix begins the keys of all blocks. No controller follows it by watch.
-const Prefix = "da/a/"
+// BlockPrefix begins the keys of all blocks. No controller follows it by watch.
+const BlockPrefix = "da/a/"
 
 const tagBytes = 8
 
 // BlockKey is the key of a block. Blocks of a controller are listed in the order of their numbers.
 func BlockKey(node string, number uint64) string {
-	return fmt.Sprintf("%s%s/%012d", Prefix, node, number)
+	return fmt.Sprintf("%s%s/%012d", BlockPrefix, node, number)
 }
 
 // SplitBlockKey is the reverse of BlockKey.
 func SplitBlockKey(key string) (node string, number uint64, ok bool) {
-	rest, ok := strings.CutPrefix(key, Prefix)
+	rest, ok := strings.CutPrefix(key, BlockPrefix)
 	i := strings.LastIndexByte(rest, '/')
 	if !ok || i < 0 {
 		return "", 0, false
@@ -38,12 +38,12 @@
 	return rest[:i], number, true
 }
 
-// first is the code that a block's entries follow.
-func (k Key) first(b *pb.AuditBlock) []byte {
+// initialMAC is the code that a block's entries follow.
+func (k Key) initialMAC(b *pb.AuditBlock) []byte {
 	var n [12]byte
 	binary.BigEndian.PutUint64(n[:], b.Number)
 	binary.BigEndian.PutUint32(n[8:], b.BoundMs)
-	return k.code([]byte("block"), []byte(b.Node), n[:], b.KeyId, b.Prev)
+	return k.mac([]byte("block"), []byte(b.Node), n[:], b.KeyId, b.Prev)
 }
 
 // Encode renders an entry for a block.
@@ -55,13 +55,13 @@
 	return raw
 }
 
-// Extend makes the block behind a head of as many of the entries, of which there is one at least, as fit a value of at most so many bytes.
-func (k Key) Extend(h *Head, node string, boundMS uint32, entries [][]byte, most int) (raw json.RawMessage, n int, code []byte, err error) {
+// EncodeNextBlock makes the block behind a head of as many of the entries, of which there is one at least, as fit a value of at most so many bytes.
+func (k Key) EncodeNextBlock(h *Head, node string, boundMS uint32, entries [][]byte, most int) (raw json.RawMessage, n int, code []byte, err error) {
 	for n = len(entries); n > 0; n = n * 3 / 4 {
-		b := &pb.AuditBlock{Node: node, Number: h.Number + 1, KeyId: k.ID(), Prev: h.Code, BoundMs: boundMS, Entries: entries[:n]}
-		code = k.first(b)
+		b := &pb.AuditBlock{Node: node, Number: h.BlockNumber + 1, KeyId: k.ID(), Prev: h.MAC, BoundMs: boundMS, Entries: entries[:n]}
+		code = k.initialMAC(b)
 		for _, e := range b.Entries {
-			code = k.code(code, e)
+			code = k.mac(code, e)
 			b.Tags = append(b.Tags, code[:tagBytes]...)
 		}
 		b.Code = code
@@ -74,42 +74,42 @@
 
 // Fault is the first place at which a chain is not as it was written.
 type Fault struct {
-	Node  string
-	Block uint64
-	Entry int // from 1; 0: the block as a whole
-	Why   string
+	Node   string
+	Block  uint64
+	Entry  int // from 1; 0: the block as a whole
+	Reason string
 }
 
 func (f *Fault) Error() string {
 	if f.Entry == 0 {
-		return fmt.Sprintf("chain of %s: block %d %s", f.Node, f.Block, f.Why)
+		return fmt.Sprintf("chain of %s: block %d %s", f.Node, f.Block, f.Reason)
 	}
-	return fmt.Sprintf("chain of %s: entry %d of block %d %s", f.Node, f.Entry, f.Block, f.Why)
+	return fmt.Sprintf("chain of %s: entry %d of block %d %s", f.Node, f.Entry, f.Block, f.Reason)
 }
 
-// Chain checks the blocks of a controller one after the other.
-type Chain struct {
-	Node    string
-	Keys    []Key
-	Number  uint64 // of the last block
-	Code    []byte
-	Entries uint64
+// ChainVerifier checks the blocks of a controller one after the other.
+type ChainVerifier struct {
+	Node        string
+	Keys        []Key
+	BlockNumber uint64 // of the last block
+	MAC         []byte
+	EntryCount  uint64
 }
 
 // Block is a block that was read.
 type Block struct {
-	Number  uint64
-	BoundMS uint32
-	Entries []*pb.AuditEntry
+	Number       uint64
+	ClockErrorMS uint32
+	Entries      []*pb.AuditEntry
 }
 
-// Next checks the next block; its error is a *Fault. Entries before the fault are as they were written.
-func (c *Chain) Next(number uint64, raw json.RawMessage) (*Block, error) {
+// VerifyNext checks the next block; its error is a *Fault. Entries before the fault are as they were written.
+func (c *ChainVerifier) VerifyNext(number uint64, raw json.RawMessage) (*Block, error) {
 	fault := func(entry int, why string) error {
-		return &Fault{Node: c.Node, Block: number, Entry: entry, Why: why}
+		return &Fault{Node: c.Node, Block: number, Entry: entry, Reason: why}
 	}
-	if number != c.Number+1 {
-		return nil, &Fault{Node: c.Node, Block: c.Number + 1, Why: fmt.Sprintf("is missing: block %d follows", number)}
+	if number != c.BlockNumber+1 {
+		return nil, &Fault{Node: c.Node, Block: c.BlockNumber + 1, Reason: fmt.Sprintf("is missing: block %d follows", number)}
 	}
 	var m pb.AuditBlock
 	if err := archive.Unpack(raw, &m); err != nil {
@@ -118,7 +118,7 @@
 	if m.Node != c.Node || m.Number != number {
 		return nil, fault(0, fmt.Sprintf("is block %d of %s", m.Number, m.Node))
 	}
-	if !bytes.Equal(m.Prev, c.Code) {
+	if !bytes.Equal(m.Prev, c.MAC) {
 		return nil, fault(0, "does not follow the one before: that, or this one, was replaced")
 	}
 	var key Key
@@ -130,10 +130,10 @@
 	if key == nil {
 		return nil, fault(0, fmt.Sprintf("is signed with another key (%x)", m.KeyId))
 	}
-	out := &Block{Number: number, BoundMS: m.BoundMs}
-	code := key.first(&m)
+	out := &Block{Number: number, ClockErrorMS: m.BoundMs}
+	code := key.initialMAC(&m)
 	for i, raw := range m.Entries {
-		code = key.code(code, raw)
+		code = key.mac(code, raw)
 		if len(m.Tags) < (i+1)*tagBytes || !hmac.Equal(code[:tagBytes], m.Tags[i*tagBytes:(i+1)*tagBytes]) {
 			return out, fault(i+1, "was altered, added, removed or moved")
 		}
@@ -146,18 +146,18 @@
 	if len(m.Tags) != len(m.Entries)*tagBytes || !hmac.Equal(code, m.Code) {
 		return out, fault(len(m.Entries)+1, "was removed, or the block's code was altered")
 	}
-	c.Number, c.Code = number, code
-	c.Entries += uint64(len(m.Entries))
+	c.BlockNumber, c.MAC = number, code
+	c.EntryCount += uint64(len(m.Entries))
 	return out, nil
 }
 
-// Reads reads a block without checking it.
-func Reads(raw json.RawMessage) (*Block, error) {
+// DecodeBlock reads a block without checking it.
+func DecodeBlock(raw json.RawMessage) (*Block, error) {
 	var m pb.AuditBlock
 	if err := archive.Unpack(raw, &m); err != nil {
 		return nil, err
 	}
-	out := &Block{Number: m.Number, BoundMS: m.BoundMs}
+	out := &Block{Number: m.Number, ClockErrorMS: m.BoundMs}
 	for _, raw := range m.Entries {
 		e := &pb.AuditEntry{}
 		if err := protobuf.Unmarshal(raw, e); err != nil {
@@ -168,33 +168,33 @@
 	return out, nil
 }
 
-// Carried is an entry in the value whose change it tells of, until it is in a block.
-type Carried struct {
-	Node  string `json:"a"`
-	Life  uint64 `json:"l"`
-	Count uint64 `json:"q"`
-	Entry []byte `json:"e"` // pb.AuditEntry
-	Tag   []byte `json:"t"` // 16 bytes of a code
+// PendingEntry is an entry in the value whose change it tells of, until it is in a block.
+type PendingEntry struct {
+	Node        string `json:"a"`
+	Incarnation uint64 `json:"l"`
+	Sequence    uint64 `json:"q"`
+	Entry       []byte `json:"e"` // pb.AuditEntry
+	MAC         []byte `json:"t"` // 16 bytes of a code
 }
 
 // ErrForged tells that a carried entry is not as its controller wrote it.
 var ErrForged = errors.New("carried entry is not as it was written")
 
-// Carry makes an entry ready to be put with the change it tells of, in a value of this key.
-func (k Key) Carry(node, at string, e *pb.AuditEntry) Carried {
-	c := Carried{Node: node, Life: e.Life, Count: e.Count, Entry: Encode(e)}
-	c.Tag = k.carryTag(at, &c)
+// SignEntry makes an entry ready to be put with the change it tells of, in a value of this key.
+func (k Key) SignEntry(node, at string, e *pb.AuditEntry) PendingEntry {
+	c := PendingEntry{Node: node, Incarnation: e.Life, Sequence: e.Count, Entry: Encode(e)}
+	c.MAC = k.entryMAC(at, &c)
 	return c
 }
 
-func (k Key) carryTag(at string, c *Carried) []byte {
-	return k.code([]byte("carried"), []byte(c.Node), []byte(at), c.Entry)[:16]
+func (k Key) entryMAC(at string, c *PendingEntry) []byte {
+	return k.mac([]byte("carried"), []byte(c.Node), []byte(at), c.Entry)[:16]
 }
 
-// Open checks a carried entry that was read.
-func (k Key) Open(at string, c *Carried) (*pb.AuditEntry, error) {
+// VerifyEntry checks a carried entry that was read.
+func (k Key) VerifyEntry(at string, c *PendingEntry) (*pb.AuditEntry, error) {
 	e := &pb.AuditEntry{}
-	if err := protobuf.Unmarshal(c.Entry, e); err != nil || !hmac.Equal(c.Tag, k.carryTag(at, c)) || e.Life != c.Life || e.Count != c.Count {
+	if err := protobuf.Unmarshal(c.Entry, e); err != nil || !hmac.Equal(c.MAC, k.entryMAC(at, c)) || e.Life != c.Incarnation || e.Count != c.Sequence {
 		return nil, ErrForged
 	}
 	return e, nil
--- a/audit/key.go
+++ b/audit/key.go
@@ -38,11 +38,11 @@
 }
 
 // ID names a key without telling it.
-func (k Key) ID() []byte { return k.code([]byte("dewlift audit key"))[:8] }
+func (k Key) ID() []byte { return k.mac([]byte("dewlift audit key"))[:8] }
 
-// code is the HMAC-SHA256 of parts, each of which is preceded by its length: no two lists of parts have the
+// mac is the HMAC-SHA256 of parts, each of which is preceded by its length: no two lists of parts have the
 // same code by being cut otherwise.
-func (k Key) code(parts ...[]byte) []byte {
+func (k Key) mac(parts ...[]byte) []byte {
 	h := hmac.New(sha256.New, k)
 	for _, p := range parts {
 		var n [8]byte
--- a/audit/report/report.go
+++ b/audit/report/report.go
@@ -21,49 +21,49 @@
 
 // Report counts acts by day. Its zero value is ready.
 type Report struct {
-	Zone  *time.Location
-	days  map[string]map[Kind]*Line
-	acts  uint64
-	nodes map[string]bool
+	Zone        *time.Location
+	days        map[string]map[EventKind]*EventCount
+	eventTotal  uint64
+	controllers map[string]bool
 }
 
-// Kind is what is counted together.
-type Kind struct{ Who, Verb, Outcome string }
+// EventKind is what is counted together.
+type EventKind struct{ Who, Verb, Outcome string }
 
-// Line is how often somebody did something on a day.
-type Line struct {
-	Kind
+// EventCount is how often somebody did something on a day.
+type EventCount struct {
+	EventKind
 	Count   uint64
 	Objects []string // the first of them
 	More    bool     // there are others
 }
 
-const objectsShown = 3
+const maxObjectsShown = 3
 
 // Add counts an act, on the calendar day that its time has in the report's zone.
-func (r *Report) Add(a *audit.Act) {
+func (r *Report) Add(a *audit.Event) {
 	if r.days == nil {
-		r.days, r.nodes = map[string]map[Kind]*Line{}, map[string]bool{}
+		r.days, r.controllers = map[string]map[EventKind]*EventCount{}, map[string]bool{}
 	}
 	day := a.At.In(r.Zone).Format(time.DateOnly)
 	if r.days[day] == nil {
-		r.days[day] = map[Kind]*Line{}
+		r.days[day] = map[EventKind]*EventCount{}
 	}
-	k := Kind{cmp.Or(a.Who, "(the service)"), a.Verb, a.Outcome}
-	if a.Who == "" && a.Outcome == audit.Refused {
+	k := EventKind{cmp.Or(a.Identity, "(the service)"), a.Verb, a.Outcome}
+	if a.Identity == "" && a.Outcome == audit.OutcomeRefused {
 		k.Who = "(nobody known)"
 	}
 	l := r.days[day][k]
 	if l == nil {
-		l = &Line{Kind: k}
+		l = &EventCount{EventKind: k}
 		r.days[day][k] = l
 	}
 	l.Count += uint64(a.Count)
-	r.acts += uint64(a.Count)
-	r.nodes[a.Node] = true
+	r.eventTotal += uint64(a.Count)
+	r.controllers[a.Node] = true
 	switch {
 	case slices.Contains(l.Objects, a.Object):
-	case len(l.Objects) < objectsShown:
+	case len(l.Objects) < maxObjectsShown:
 		l.Objects = append(l.Objects, a.Object)
 	default:
 		l.More = true
@@ -73,16 +73,16 @@
 // Days lists the days with acts, in order.
 func (r *Report) Days() []string { return slices.Sorted(maps.Keys(r.days)) }
 
-// Lines lists what was done on a day, by who and verb.
-func (r *Report) Lines(day string) []*Line {
+// CountsOn lists what was done on a day, by who and verb.
+func (r *Report) CountsOn(day string) []*EventCount {
 	out := slices.Collect(maps.Values(r.days[day]))
-	slices.SortFunc(out, func(a, b *Line) int {
+	slices.SortFunc(out, func(a, b *EventCount) int {
 		return cmp.Or(cmp.Compare(a.Who, b.Who), cmp.Compare(a.Verb, b.Verb), cmp.Compare(a.Outcome, b.Outcome))
 	})
 	return out
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>dewlift: who did what</title>
 <style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:62em;color:#222}table{border-collapse:collapse;margin:.5em 0 1.5em;width:100%}
 td,th{border:1px solid #ccc;padding:.25em .6em;text-align:left}th{background:#f3f3f3}td.n{text-align:right}tr.refused td{color:#a00}img{max-width:100%}</style>
@@ -95,21 +95,21 @@
 {{end}}</table>
 {{end}}`))
 
-// HTML writes the page, which needs nothing beside itself. note is put beside the counts.
-func (r *Report) HTML(w io.Writer, note string) error {
+// WriteHTML writes the page, which needs nothing beside itself. note is put beside the counts.
+func (r *Report) WriteHTML(w io.Writer, note string) error {
 	type day struct {
 		Day   string
-		Lines []*Line
+		Lines []*EventCount
 	}
 	var days []day
 	for _, d := range r.Days() {
-		days = append(days, day{d, r.Lines(d)})
+		days = append(days, day{d, r.CountsOn(d)})
 	}
 	img, err := r.plot()
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
-	return page.Execute(w, map[string]any{"Acts": r.acts, "Days": days, "Nodes": len(r.nodes), "Zone": r.Zone.String(), "Plot": img, "Note": note})
+	return pageTemplate.Execute(w, map[string]any{"Acts": r.eventTotal, "Days": days, "Nodes": len(r.controllers), "Zone": r.Zone.String(), "Plot": img, "Note": note})
 }
 
 // plot draws the acts of each day, one bar for each verb upon the other; refusals are one of them.
@@ -122,8 +122,8 @@
 	for i, d := range days {
 		for k, l := range r.days[d] {
 			verb := k.Verb
-			if k.Outcome == audit.Refused {
-				verb = audit.Refused
+			if k.Outcome == audit.OutcomeRefused {
+				verb = audit.OutcomeRefused
 			}
 			if values[verb] == nil {
 				values[verb] = make(plotter.Values, len(days))
--- a/booking/decide.go
+++ b/booking/decide.go
@@ -18,14 +18,14 @@
 
 // Limits of a booking.
 const (
-	MostWants   = 60          // slots of a booking
-	mostSlots   = 1000        // of a want, in the piece's slots
-	mostHold    = 7 * 24 * 60 // minutes
-	shownFree   = 3           // times that are named instead of one that is taken
-	lookAhead   = 60          // days for which free times are looked for
-	MostWaiting = 2000        // bookings on waiting lists
-	mostWhy     = 200         // bytes of a reason
-	mostYears   = 10          // that a series may take
+	MaxWants        = 60          // slots of a booking
+	maxSlotsPerWant = 1000        // of a want, in the piece's slots
+	maxHoldMinutes  = 7 * 24 * 60 // minutes
+	maxAlternatives = 3           // times that are named instead of one that is taken
+	searchDays      = 60          // days for which free times are looked for
+	MaxWaitlist     = 2000        // bookings on waiting lists
+	maxReasonBytes  = 200         // bytes of a reason
+	maxSeriesYears  = 10          // that a series may take
 )
 
 var validID = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
@@ -33,19 +33,19 @@
 // ValidID reports whether a booking may have an id.
 func ValidID(id string) bool { return validID.MatchString(id) }
 
-// Wish is what a user asks for.
-type Wish struct {
-	Verb    Verb
-	ID      string
-	Team    string
-	Who     string
-	Wants   []*pb.Want // of Make and Move
-	HoldS   uint32     // of Make: held so long, until it is confirmed; 0: it is confirmed at once
-	Rank    uint32     // of Make: on the waiting list
-	Wait    bool       // of Make: if it is not to be had, it goes on the waiting list
-	Why     string     // of End
-	Replace *Site      // of Equip
-	EndThem bool       // of Equip: bookings that the new list has no place for are ended, for Why
+// Request is what a user asks for.
+type Request struct {
+	Verb         Verb
+	ID           string
+	Team         string
+	Identity     string
+	Wants        []*pb.Want // of Make and Move
+	HoldSeconds  uint32     // of Make: held so long, until it is confirmed; 0: it is confirmed at once
+	WaitlistRank uint32     // of Make: on the waiting list
+	JoinWaitlist bool       // of Make: if it is not to be had, it goes on the waiting list
+	Reason       string     // of End
+	Replacement  *Inventory // of Equip
+	EndDisplaced bool       // of Equip: bookings that the new list has no place for are ended, for Why
 }
 
 // Verb is what a wish is about.
@@ -53,11 +53,11 @@
 
 // Verbs.
 const (
-	Make Verb = iota
-	Confirm
-	Move
-	End
-	Equip
+	VerbCreate Verb = iota
+	VerbConfirm
+	VerbMove
+	VerbEnd
+	VerbSetInventory
 )
 
 // Outcome is what became of a wish.
@@ -65,180 +65,180 @@
 
 // Outcomes.
 const (
-	Done    Outcome = iota
-	Again           // it was done before
-	Refused         // it can't be had: Why tells what is in its way
-	Bad             // nothing like it can ever be had
-	Unknown         // there is no such booking
+	OutcomeDone     Outcome = iota
+	OutcomeRepeated         // it was done before
+	OutcomeRefused          // it can't be had: Why tells what is in its way
+	OutcomeInvalid          // nothing like it can ever be had
+	OutcomeNotFound         // there is no such booking
 )
 
-// Answer tells what became of a wish.
-type Answer struct {
-	Outcome   Outcome
-	Why       string
-	Booking   *pb.Booking // as it stands
-	Free      []Free      // what could be had instead
-	Displaced []*pb.Booking
+// Result tells what became of a wish.
+type Result struct {
+	Outcome      Outcome
+	Reason       string
+	Booking      *pb.Booking // as it stands
+	Alternatives []FreeSlot  // what could be had instead
+	Displaced    []*pb.Booking
 }
 
-// Free is a time at which a piece could be booked.
-type Free struct {
+// FreeSlot is a time at which a piece could be booked.
+type FreeSlot struct {
 	Piece    string
 	From, To int64
 }
 
 // Decide answers a wish, and puts what it changes into a draft. now is the time of day in s. A wish that is granted holds once the draft
 // is stored, on condition that nothing else was stored since the ledger was read.
-func (s *Site) Decide(d *Draft, now int64, w *Wish) Answer {
-	var a Answer
+func (s *Inventory) Decide(d *Draft, now int64, w *Request) Result {
+	var a Result
 	switch w.Verb {
-	case Make:
-		a = s.make(d, now, w)
-	case Equip:
-		a = s.replaced(d, now, w)
+	case VerbCreate:
+		a = s.createBooking(d, now, w)
+	case VerbSetInventory:
+		a = s.replaceInventory(d, now, w)
 	default:
-		b := d.l.byID[w.ID]
+		b := d.schedule.byID[w.ID]
 		switch {
 		case b == nil:
-			return Answer{Outcome: Unknown, Why: "there is no booking " + w.ID}
-		case w.Verb == Confirm:
-			a = confirm(d, b)
-		case w.Verb == Move:
-			a = s.move(d, now, b, w)
-		case b.State != pb.BookingState_ended && Over(b, now):
-			a = refused(b, "%s is over", b.Id)
+			return Result{Outcome: OutcomeNotFound, Reason: "there is no booking " + w.ID}
+		case w.Verb == VerbConfirm:
+			a = confirmBooking(d, b)
+		case w.Verb == VerbMove:
+			a = s.moveBooking(d, now, b, w)
+		case b.State != pb.BookingState_ended && IsOver(b, now):
+			a = refusal(b, "%s is over", b.Id)
 		default:
-			a = end(d, now, b, cmp.Or(short(w.Why), "ended by its booker"))
+			a = endBooking(d, now, b, cmp.Or(truncateReason(w.Reason), "ended by its booker"))
 		}
 	}
-	if a.Outcome == Done && w.Verb != Make && w.Verb != Confirm {
+	if a.Outcome == OutcomeDone && w.Verb != VerbCreate && w.Verb != VerbConfirm {
 		after := s
-		if w.Verb == Equip {
-			after = w.Replace
+		if w.Verb == VerbSetInventory {
+			after = w.Replacement
 		}
 		after.Advance(d, now)
 	}
 	if a.Booking != nil {
-		a.Booking = d.l.byID[a.Booking.Id]
+		a.Booking = d.schedule.byID[a.Booking.Id]
 	}
 	return a
 }
 
-func short(why string) string { return why[:min(len(why), mostWhy)] }
+func truncateReason(why string) string { return why[:min(len(why), maxReasonBytes)] }
 
-func refused(b *pb.Booking, format string, args ...any) Answer {
-	return Answer{Outcome: Refused, Booking: b, Why: fmt.Sprintf(format, args...)}
+func refusal(b *pb.Booking, format string, args ...any) Result {
+	return Result{Outcome: OutcomeRefused, Booking: b, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Due reports whether Advance would change something.
-func (l *Ledger) Due(now int64) bool {
+// HasDueChanges reports whether Advance would change something.
+func (l *Schedule) HasDueChanges(now int64) bool {
 	for _, b := range l.held {
 		if b.HeldUntil <= now {
 			return true
 		}
 	}
-	return slices.ContainsFunc(l.waiting, func(b *pb.Booking) bool { return begun(b.Wants, now) })
+	return slices.ContainsFunc(l.waitlist, func(b *pb.Booking) bool { return hasBegun(b.Wants, now) })
 }
 
-func begun(wants []*pb.Want, now int64) bool {
+func hasBegun(wants []*pb.Want, now int64) bool {
 	return slices.ContainsFunc(wants, func(w *pb.Want) bool { return w.From <= now })
 }
 
 // Advance ends what time has ended, and gives what is free to those who wait for it, the first first. After it, nobody waits for what
 // they could have; so whoever comes later gets nothing ahead of them.
-func (s *Site) Advance(d *Draft, now int64) {
+func (s *Inventory) Advance(d *Draft, now int64) {
 	var over []*pb.Booking
-	for _, b := range d.l.held {
+	for _, b := range d.schedule.held {
 		if b.HeldUntil <= now {
 			over = append(over, b)
 		}
 	}
 	slices.SortFunc(over, func(a, b *pb.Booking) int { return cmp.Compare(a.Change, b.Change) })
 	for _, b := range over {
-		end(d, now, b, "its hold ran out unconfirmed")
+		endBooking(d, now, b, "its hold ran out unconfirmed")
 	}
-	for _, b := range slices.Clone(d.l.waiting) {
-		if begun(b.Wants, now) {
-			end(d, now, b, "nothing had become free when it was to begin")
+	for _, b := range slices.Clone(d.schedule.waitlist) {
+		if hasBegun(b.Wants, now) {
+			endBooking(d, now, b, "nothing had become free when it was to begin")
 			continue
 		}
-		if slots, _, err := s.find(d.l, b.Id, b.Team, b.Wants); err == nil {
-			n := copied(b)
+		if slots, _, err := s.findUnits(d.schedule, b.Id, b.Team, b.Wants); err == nil {
+			n := nextVersion(b)
 			n.Slots, n.Wants = slots, nil
-			s.grant(n, now)
+			s.grantSlots(n, now)
 			d.put(n)
 		}
 	}
 }
 
-func copied(b *pb.Booking) *pb.Booking {
+func nextVersion(b *pb.Booking) *pb.Booking {
 	n := protobuf.CloneOf(b)
 	n.Change = 0
 	return n
 }
 
-// grant gives a booking its slots.
-func (s *Site) grant(b *pb.Booking, now int64) {
+// grantSlots gives a booking its slots.
+func (s *Inventory) grantSlots(b *pb.Booking, now int64) {
 	b.State = pb.BookingState_confirmed
 	if b.HoldS > 0 {
 		b.State, b.HeldUntil = pb.BookingState_held, now+int64(b.HoldS)
 	}
 }
 
-func digest(w *Wish) uint64 {
+func requestDigest(w *Request) uint64 {
 	var t strings.Builder
-	fmt.Fprintf(&t, "%s|%s|%d|%d|%v", w.ID, w.Team, w.HoldS, w.Rank, w.Wait)
+	fmt.Fprintf(&t, "%s|%s|%d|%d|%v", w.ID, w.Team, w.HoldSeconds, w.WaitlistRank, w.JoinWaitlist)
 	for _, x := range w.Wants {
 		fmt.Fprintf(&t, "|%s,%s,%s,%d,%d", x.Piece, x.Kind, x.Zone, x.From, x.Slots)
 	}
 	return xxhash.Sum64String(t.String())
 }
 
-// make books something new.
-func (s *Site) make(d *Draft, now int64, w *Wish) Answer {
-	asked := digest(w)
-	if b := d.l.byID[w.ID]; b != nil {
-		if b.Asked != asked || b.Who != w.Who {
-			return refused(b, "%s is the id of another booking", w.ID)
+// createBooking books something new.
+func (s *Inventory) createBooking(d *Draft, now int64, w *Request) Result {
+	asked := requestDigest(w)
+	if b := d.schedule.byID[w.ID]; b != nil {
+		if b.Asked != asked || b.Who != w.Identity {
+			return refusal(b, "%s is the id of another booking", w.ID)
 		}
-		return Answer{Outcome: Again, Booking: b}
+		return Result{Outcome: OutcomeRepeated, Booking: b}
 	}
-	if why := s.judge(w.Team, w.Wants, now); why != nil {
-		return Answer{Outcome: Bad, Why: why.Error()}
+	if why := s.validateWants(w.Team, w.Wants, now); why != nil {
+		return Result{Outcome: OutcomeInvalid, Reason: why.Error()}
 	}
-	if w.HoldS > mostHold*60 {
-		return Answer{Outcome: Bad, Why: fmt.Sprintf("may be held for %d minutes at most", mostHold)}
+	if w.HoldSeconds > maxHoldMinutes*60 {
+		return Result{Outcome: OutcomeInvalid, Reason: fmt.Sprintf("may be held for %d minutes at most", maxHoldMinutes)}
 	}
-	n := &pb.Booking{Id: w.ID, Team: w.Team, Who: w.Who, HoldS: w.HoldS, Rank: w.Rank, Asked: asked}
-	slots, at, err := s.find(d.l, w.ID, w.Team, w.Wants)
+	n := &pb.Booking{Id: w.ID, Team: w.Team, Who: w.Identity, HoldS: w.HoldSeconds, Rank: w.WaitlistRank, Asked: asked}
+	slots, at, err := s.findUnits(d.schedule, w.ID, w.Team, w.Wants)
 	switch {
 	case err == nil:
 		n.Slots = slots
-		s.grant(n, now)
-	case w.Wait && len(d.l.waiting) >= MostWaiting:
-		return refused(nil, "%s, and %d bookings wait already", err, len(d.l.waiting))
-	case w.Wait:
+		s.grantSlots(n, now)
+	case w.JoinWaitlist && len(d.schedule.waitlist) >= MaxWaitlist:
+		return refusal(nil, "%s, and %d bookings wait already", err, len(d.schedule.waitlist))
+	case w.JoinWaitlist:
 		n.State, n.Wants = pb.BookingState_waiting, w.Wants
 	default:
-		a := refused(nil, "%s", err)
-		a.Free = s.Next(d.l, w.ID, w.Team, w.Wants[at], max(now, w.Wants[at].From), 0, shownFree)
+		a := refusal(nil, "%s", err)
+		a.Alternatives = s.NextFree(d.schedule, w.ID, w.Team, w.Wants[at], max(now, w.Wants[at].From), 0, maxAlternatives)
 		return a
 	}
 	d.put(n)
-	return Answer{Booking: n}
+	return Result{Booking: n}
 }
 
-// judge tells why wants can never be met.
-func (s *Site) judge(team string, wants []*pb.Want, now int64) error {
-	if len(wants) == 0 || len(wants) > MostWants {
-		return fmt.Errorf("%d slots, must be from 1 to %d", len(wants), MostWants)
+// validateWants tells why wants can never be met.
+func (s *Inventory) validateWants(team string, wants []*pb.Want, now int64) error {
+	if len(wants) == 0 || len(wants) > MaxWants {
+		return fmt.Errorf("%d slots, must be from 1 to %d", len(wants), MaxWants)
 	}
 	for _, w := range wants {
-		if w.Slots < 1 || w.Slots > mostSlots {
-			return fmt.Errorf("%d slots in a row, must be from 1 to %d", w.Slots, mostSlots)
+		if w.Slots < 1 || w.Slots > maxSlotsPerWant {
+			return fmt.Errorf("%d slots in a row, must be from 1 to %d", w.Slots, maxSlotsPerWant)
 		}
 		if w.From < now {
-			return fmt.Errorf("%s is past", s.Text(w.From))
+			return fmt.Errorf("%s is past", s.FormatTime(w.From))
 		}
 		list := s.candidates(w)
 		if len(list) == 0 {
@@ -246,9 +246,9 @@
 		}
 		var why error
 		for _, p := range list {
-			if !p.admits(team) {
+			if !p.allowsTeam(team) {
 				why = cmp.Or(why, fmt.Errorf("team %s may not book %s", team, p.Name))
-			} else if err := s.fits(p, w.From, int(w.Slots)); err != nil {
+			} else if err := s.checkSlots(p, w.From, int(w.Slots)); err != nil {
 				why = cmp.Or(why, err)
 			} else {
 				why = nil
@@ -262,161 +262,161 @@
 	return nil
 }
 
-// mostTries bounds the search for a way to have several slots together.
-const mostTries = 5000
-
-// search is a search for units for all wants.
-type search struct {
-	s     *Site
-	l     *Ledger
-	id    string
-	team  string
-	wants []*pb.Want
-	order []int // in which they are looked at: those with the least choice first, as one that has more must not take what these need
-	slots []*pb.Slot
-	tries int
-	deep  int // how many could be had together at most
-	at    int // the want that could not be had beside these
-	why   error
+// maxSearchSteps bounds the search for a way to have several slots together.
+const maxSearchSteps = 5000
+
+// unitSearch is a search for units for all wants.
+type unitSearch struct {
+	inventory  *Inventory
+	schedule   *Schedule
+	bookingID  string
+	team       string
+	wants      []*pb.Want
+	wantOrder  []int // in which they are looked at: those with the least choice first, as one that has more must not take what these need
+	slots      []*pb.Slot
+	steps      int
+	bestDepth  int // how many could be had together at most
+	failedWant int // the want that could not be had beside these
+	failure    error
 }
 
-// find chooses a unit for each want, all or none. If there is no way, it tells for which want and why.
-func (s *Site) find(l *Ledger, id, team string, wants []*pb.Want) (slots []*pb.Slot, at int, err error) {
-	x := &search{s: s, l: l, id: id, team: team, wants: wants, slots: make([]*pb.Slot, len(wants)), deep: -1}
+// findUnits chooses a unit for each want, all or none. If there is no way, it tells for which want and why.
+func (s *Inventory) findUnits(l *Schedule, id, team string, wants []*pb.Want) (slots []*pb.Slot, at int, err error) {
+	x := &unitSearch{inventory: s, schedule: l, bookingID: id, team: team, wants: wants, slots: make([]*pb.Slot, len(wants)), bestDepth: -1}
 	for i := range wants {
-		x.order = append(x.order, i)
+		x.wantOrder = append(x.wantOrder, i)
 	}
-	slices.SortStableFunc(x.order, func(a, b int) int { return cmp.Compare(len(s.candidates(wants[a])), len(s.candidates(wants[b]))) })
-	if x.from(0) {
+	slices.SortStableFunc(x.wantOrder, func(a, b int) int { return cmp.Compare(len(s.candidates(wants[a])), len(s.candidates(wants[b]))) })
+	if x.assignFrom(0) {
 		return x.slots, 0, nil
 	}
-	return nil, x.at, x.why
+	return nil, x.failedWant, x.failure
 }
 
-// from chooses units for the wants from one on in the order.
-func (x *search) from(n int) bool {
-	if n == len(x.order) {
+// assignFrom chooses units for the wants from one on in the order.
+func (x *unitSearch) assignFrom(n int) bool {
+	if n == len(x.wantOrder) {
 		return true
 	}
-	i := x.order[n]
+	i := x.wantOrder[n]
 	w := x.wants[i]
 	var why error
-	for _, p := range x.s.candidates(w) {
-		if !p.admits(x.team) || x.s.fits(p, w.From, int(w.Slots)) != nil {
+	for _, p := range x.inventory.candidates(w) {
+		if !p.allowsTeam(x.team) || x.inventory.checkSlots(p, w.From, int(w.Slots)) != nil {
 			continue
 		}
-		to := w.From + int64(w.Slots)*p.slot
-		at := span{w.From, to + p.cool}
+		to := w.From + int64(w.Slots)*p.slotSeconds
+		at := interval{w.From, to + p.cooldownSeconds}
 		free := int64(0) // when the first of its units could be had
-		for u := uint32(1); int(u) <= p.units; u++ {
-			if !p.works(int(u)) {
+		for u := uint32(1); int(u) <= p.unitCount; u++ {
+			if !p.isUnitUsable(int(u)) {
 				continue
 			}
-			if o, ok := x.l.blocked(unit{p.Name, u}, at, x.id); ok {
+			if o, ok := x.schedule.firstConflict(unitKey{p.Name, u}, at, x.bookingID); ok {
 				free = cmp.Or(min(free, o.to), free, o.to)
 				continue
 			}
-			own := slices.IndexFunc(x.order[:n], func(k int) bool {
+			own := slices.IndexFunc(x.wantOrder[:n], func(k int) bool {
 				o := x.slots[k]
 				return o.Piece == p.Name && o.Unit == u && o.From < at.to && at.from < o.Clear
 			})
 			if own >= 0 {
-				o := x.slots[x.order[own]]
+				o := x.slots[x.wantOrder[own]]
 				free = cmp.Or(min(free, o.Clear), free, o.Clear)
 				continue
 			}
 			x.slots[i] = &pb.Slot{Piece: p.Name, Unit: u, From: w.From, To: to, Clear: at.to}
-			if x.tries++; x.tries > mostTries || x.from(n+1) {
-				return x.tries <= mostTries
+			if x.steps++; x.steps > maxSearchSteps || x.assignFrom(n+1) {
+				return x.steps <= maxSearchSteps
 			}
 		}
 		switch {
 		case why != nil:
 		case free == 0:
-			why = fmt.Errorf("%s has no unit in order at %s", p.Name, x.s.Text(w.From))
+			why = fmt.Errorf("%s has no unit in order at %s", p.Name, x.inventory.FormatTime(w.From))
 		default:
-			why = fmt.Errorf("%s is taken at %s, until %s", p.Name, x.s.Text(w.From), x.s.Text(free))
+			why = fmt.Errorf("%s is taken at %s, until %s", p.Name, x.inventory.FormatTime(w.From), x.inventory.FormatTime(free))
 		}
 	}
-	if n > x.deep {
-		x.deep, x.at, x.why = n, i, cmp.Or(why, errors.New("it fits nowhere"))
+	if n > x.bestDepth {
+		x.bestDepth, x.failedWant, x.failure = n, i, cmp.Or(why, errors.New("it fits nowhere"))
 	}
 	return false
 }
 
-func confirm(d *Draft, b *pb.Booking) Answer {
+func confirmBooking(d *Draft, b *pb.Booking) Result {
 	switch b.State {
 	case pb.BookingState_confirmed:
-		return Answer{Outcome: Again, Booking: b}
+		return Result{Outcome: OutcomeRepeated, Booking: b}
 	case pb.BookingState_held:
-		n := copied(b)
+		n := nextVersion(b)
 		n.State, n.HeldUntil = pb.BookingState_confirmed, 0
 		d.put(n)
-		return Answer{Booking: n}
+		return Result{Booking: n}
 	case pb.BookingState_waiting:
-		return refused(b, "%s waits for its slots", b.Id)
+		return refusal(b, "%s waits for its slots", b.Id)
 	}
-	return refused(b, "%s has ended: %s", b.Id, b.Why)
+	return refusal(b, "%s has ended: %s", b.Id, b.Why)
 }
 
-// move has a booking have other slots instead of its own, or keep them.
-func (s *Site) move(d *Draft, now int64, b *pb.Booking, w *Wish) Answer {
+// moveBooking has a booking have other slots instead of its own, or keep them.
+func (s *Inventory) moveBooking(d *Draft, now int64, b *pb.Booking, w *Request) Result {
 	if b.State == pb.BookingState_ended {
-		return refused(b, "%s has ended: %s", b.Id, b.Why)
+		return refusal(b, "%s has ended: %s", b.Id, b.Why)
 	}
-	if s.has(b, w.Wants) {
-		return Answer{Outcome: Again, Booking: b}
+	if s.hasWants(b, w.Wants) {
+		return Result{Outcome: OutcomeRepeated, Booking: b}
 	}
-	if Over(b, now) {
-		return refused(b, "%s is over", b.Id)
+	if IsOver(b, now) {
+		return refusal(b, "%s is over", b.Id)
 	}
-	if why := s.judge(b.Team, w.Wants, now); why != nil {
-		return Answer{Outcome: Bad, Why: why.Error()}
+	if why := s.validateWants(b.Team, w.Wants, now); why != nil {
+		return Result{Outcome: OutcomeInvalid, Reason: why.Error()}
 	}
-	n := copied(b)
-	slots, at, err := s.find(d.l, b.Id, b.Team, w.Wants)
+	n := nextVersion(b)
+	slots, at, err := s.findUnits(d.schedule, b.Id, b.Team, w.Wants)
 	switch {
 	case err == nil && b.State == pb.BookingState_waiting:
 		n.Slots, n.Wants = slots, nil
-		s.grant(n, now)
+		s.grantSlots(n, now)
 	case err == nil:
 		n.Slots = slots
 	default:
-		a := refused(b, "%s", err)
-		a.Free = s.Next(d.l, b.Id, b.Team, w.Wants[at], max(now, w.Wants[at].From), 0, shownFree)
+		a := refusal(b, "%s", err)
+		a.Alternatives = s.NextFree(d.schedule, b.Id, b.Team, w.Wants[at], max(now, w.Wants[at].From), 0, maxAlternatives)
 		return a
 	}
 	d.put(n)
-	return Answer{Booking: n}
+	return Result{Booking: n}
 }
 
-// has reports whether a booking has what is wanted: a move that is repeated finds that it was made.
-func (s *Site) has(b *pb.Booking, wants []*pb.Want) bool {
+// hasWants reports whether a booking has what is wanted: a move that is repeated finds that it was made.
+func (s *Inventory) hasWants(b *pb.Booking, wants []*pb.Want) bool {
 	if b.State == pb.BookingState_waiting || len(b.Slots) != len(wants) {
 		return false
 	}
 	for i, w := range wants {
 		x := b.Slots[i]
-		p := s.pieces[x.Piece]
-		if p == nil || x.From != w.From || x.To != w.From+int64(w.Slots)*p.slot || !slices.Contains(s.candidates(w), p) {
+		p := s.itemsByName[x.Piece]
+		if p == nil || x.From != w.From || x.To != w.From+int64(w.Slots)*p.slotSeconds || !slices.Contains(s.candidates(w), p) {
 			return false
 		}
 	}
 	return true
 }
 
-func end(d *Draft, now int64, b *pb.Booking, why string) Answer {
+func endBooking(d *Draft, now int64, b *pb.Booking, why string) Result {
 	if b.State == pb.BookingState_ended {
-		return Answer{Outcome: Again, Booking: b}
+		return Result{Outcome: OutcomeRepeated, Booking: b}
 	}
-	n := copied(b)
+	n := nextVersion(b)
 	n.State, n.Why, n.EndedAt, n.HeldUntil = pb.BookingState_ended, why, now, 0
 	d.put(n)
-	return Answer{Booking: n}
+	return Result{Booking: n}
 }
 
-// Over reports whether nothing about a booking changes any more: it ended, or its time is past.
-func Over(b *pb.Booking, now int64) bool {
+// IsOver reports whether nothing about a booking changes any more: it ended, or its time is past.
+func IsOver(b *pb.Booking, now int64) bool {
 	switch b.State {
 	case pb.BookingState_ended:
 		return true
@@ -426,42 +426,42 @@
 	return false
 }
 
-// MostDisplaced is how many bookings one change of the list may end: they are stored together.
-const MostDisplaced = 40
+// MaxDisplaced is how many bookings one change of the list may end: they are stored together.
+const MaxDisplaced = 40
 
-// replaced puts another list of equipment in the place of this one. What it has no place for is told, and ended only if that is asked for.
-func (s *Site) replaced(d *Draft, now int64, w *Wish) Answer {
-	out := w.Replace.Displaced(d.l, now)
+// replaceInventory puts another list of equipment in the place of this one. What it has no place for is told, and ended only if that is asked for.
+func (s *Inventory) replaceInventory(d *Draft, now int64, w *Request) Result {
+	out := w.Replacement.Displaced(d.schedule, now)
 	switch {
 	case len(out) == 0:
-	case !w.EndThem:
-		a := refused(nil, "%d bookings have no place in the new list; end or move them, or say that they are ended with it, and why", len(out))
+	case !w.EndDisplaced:
+		a := refusal(nil, "%d bookings have no place in the new list; end or move them, or say that they are ended with it, and why", len(out))
 		a.Displaced = out
 		return a
-	case w.Why == "":
-		return Answer{Outcome: Bad, Why: "a reason is needed"}
-	case len(out) > MostDisplaced:
-		a := refused(nil, "%d bookings have no place in the new list, more than the %d that can be ended with it", len(out), MostDisplaced)
+	case w.Reason == "":
+		return Result{Outcome: OutcomeInvalid, Reason: "a reason is needed"}
+	case len(out) > MaxDisplaced:
+		a := refusal(nil, "%d bookings have no place in the new list, more than the %d that can be ended with it", len(out), MaxDisplaced)
 		a.Displaced = out
 		return a
 	}
 	for _, b := range out {
-		end(d, now, b, short(w.Why))
+		endBooking(d, now, b, truncateReason(w.Reason))
 	}
-	return Answer{Displaced: out}
+	return Result{Displaced: out}
 }
 
 // Displaced lists the bookings that have or want what the list has no place for, in the order in which they were made. A booking keeps the
 // length and the cooling time that it was made with.
-func (s *Site) Displaced(l *Ledger, now int64) (out []*pb.Booking) {
+func (s *Inventory) Displaced(l *Schedule, now int64) (out []*pb.Booking) {
 	for _, b := range l.byID {
 		switch b.State {
 		case pb.BookingState_held, pb.BookingState_confirmed:
-			if slices.ContainsFunc(b.Slots, func(x *pb.Slot) bool { return x.To > now && !s.holds(b.Team, x) }) {
+			if slices.ContainsFunc(b.Slots, func(x *pb.Slot) bool { return x.To > now && !s.offersSlot(b.Team, x) }) {
 				out = append(out, b)
 			}
 		case pb.BookingState_waiting:
-			if !begun(b.Wants, now) && s.judge(b.Team, b.Wants, now) != nil {
+			if !hasBegun(b.Wants, now) && s.validateWants(b.Team, b.Wants, now) != nil {
 				out = append(out, b)
 			}
 		}
@@ -470,14 +470,14 @@
 	return out
 }
 
-// holds reports whether a slot lies in what the list offers to a team.
-func (s *Site) holds(team string, x *pb.Slot) bool {
-	p := s.pieces[x.Piece]
-	if p == nil || !p.works(int(x.Unit)) || !p.admits(team) {
+// offersSlot reports whether a slot lies in what the list offers to a team.
+func (s *Inventory) offersSlot(team string, x *pb.Slot) bool {
+	p := s.itemsByName[x.Piece]
+	if p == nil || !p.isUnitUsable(int(x.Unit)) || !p.allowsTeam(team) {
 		return false
 	}
 	for at := x.From; at < x.To; {
-		o, ok := s.openOn(p, s.dayOf(at))
+		o, ok := s.openingOn(p, s.dayOf(at))
 		if !ok || at < o.from || at >= o.to {
 			return false
 		}
@@ -486,48 +486,48 @@
 	return true
 }
 
-// Next lists the first times from one on, until another if it is not 0, at which a want could be had; by a booking with an id, what it
+// NextFree lists the first times from one on, until another if it is not 0, at which a want could be had; by a booking with an id, what it
 // has itself is not in its way.
-func (s *Site) Next(l *Ledger, id, team string, w *pb.Want, from, by int64, most int) (out []Free) {
-	for day, last := s.dayOf(from), s.dayOf(from)+lookAhead; day <= last && len(out) < most; day++ {
-		var today []Free
+func (s *Inventory) NextFree(l *Schedule, id, team string, w *pb.Want, from, by int64, most int) (out []FreeSlot) {
+	for day, last := s.dayOf(from), s.dayOf(from)+searchDays; day <= last && len(out) < most; day++ {
+		var today []FreeSlot
 		for _, p := range s.candidates(w) {
-			o, ok := s.openOn(p, day)
-			if !ok || !p.admits(team) {
+			o, ok := s.openingOn(p, day)
+			if !ok || !p.allowsTeam(team) {
 				continue
 			}
 			at := o.from
 			if at < from {
-				at += (from - at + p.slot - 1) / p.slot * p.slot
+				at += (from - at + p.slotSeconds - 1) / p.slotSeconds * p.slotSeconds
 			}
-			for n := 0; at < o.to && n < most; at += p.slot {
+			for n := 0; at < o.to && n < most; at += p.slotSeconds {
 				t := &pb.Want{Piece: p.Name, From: at, Slots: max(1, w.Slots)}
-				if by != 0 && at+int64(t.Slots)*p.slot > by {
+				if by != 0 && at+int64(t.Slots)*p.slotSeconds > by {
 					break
 				}
-				if x, _, err := s.find(l, id, team, []*pb.Want{t}); err == nil {
-					today = append(today, Free{p.Name, x[0].From, x[0].To})
+				if x, _, err := s.findUnits(l, id, team, []*pb.Want{t}); err == nil {
+					today = append(today, FreeSlot{p.Name, x[0].From, x[0].To})
 					n++
 				}
 			}
 		}
-		slices.SortStableFunc(today, func(a, b Free) int { return cmp.Compare(a.From, b.From) })
+		slices.SortStableFunc(today, func(a, b FreeSlot) int { return cmp.Compare(a.From, b.From) })
 		out = append(out, today[:min(len(today), most-len(out))]...)
 	}
 	return out
 }
 
-// Day lists the bookings that have a piece at some time between two, in the order of time.
-func (l *Ledger) Day(site *Site, name string, from, to int64) (out []*pb.Booking, ok bool) {
-	p := site.pieces[name]
+// BookingsBetween lists the bookings that have a piece at some time between two, in the order of time.
+func (l *Schedule) BookingsBetween(site *Inventory, name string, from, to int64) (out []*pb.Booking, ok bool) {
+	p := site.itemsByName[name]
 	if p == nil {
 		return nil, false
 	}
-	for n := uint32(1); int(n) <= p.units; n++ {
-		list := l.taken[unit{name, n}]
-		i, _ := slices.BinarySearchFunc(list, to, func(x use, to int64) int { return cmp.Compare(x.from, to) })
+	for n := uint32(1); int(n) <= p.unitCount; n++ {
+		list := l.occupied[unitKey{name, n}]
+		i, _ := slices.BinarySearchFunc(list, to, func(x occupancy, to int64) int { return cmp.Compare(x.from, to) })
 		for i--; i >= 0 && list[i].to > from; i-- {
-			out = append(out, l.byID[list[i].id])
+			out = append(out, l.byID[list[i].bookingID])
 		}
 	}
 	slices.SortFunc(out, func(a, b *pb.Booking) int {
@@ -536,21 +536,21 @@
 	return slices.Compact(out), true
 }
 
-// Waiting lists the waiting list, the first first.
-func (l *Ledger) Waiting() []*pb.Booking { return slices.Clone(l.waiting) }
+// Waitlist lists the waiting list, the first first.
+func (l *Schedule) Waitlist() []*pb.Booking { return slices.Clone(l.waitlist) }
 
-// Repeat makes a want that comes again by a rule of recurrence one for each time: at the same time of the site's clocks.
-func (s *Site) Repeat(w *pb.Want, rule string) ([]*pb.Want, error) {
+// ExpandRecurrence makes a want that comes again by a rule of recurrence one for each time: at the same time of the site's clocks.
+func (s *Inventory) ExpandRecurrence(w *pb.Want, rule string) ([]*pb.Want, error) {
 	o, err := rrule.StrToROption(rule)
 	if err != nil {
 		return nil, fmt.Errorf("rule of recurrence: %w", err)
 	}
-	if o.Freq > rrule.DAILY || o.Count < 1 || o.Count > MostWants || !o.Dtstart.IsZero() || len(o.Byhour)+len(o.Byminute)+len(o.Bysecond) > 0 {
-		return nil, fmt.Errorf("rule of recurrence: days, weeks, months or years with a COUNT from 1 to %d", MostWants)
+	if o.Freq > rrule.DAILY || o.Count < 1 || o.Count > MaxWants || !o.Dtstart.IsZero() || len(o.Byhour)+len(o.Byminute)+len(o.Bysecond) > 0 {
+		return nil, fmt.Errorf("rule of recurrence: days, weeks, months or years with a COUNT from 1 to %d", MaxWants)
 	}
-	local := time.Unix(w.From, 0).In(s.zone)
+	local := time.Unix(w.From, 0).In(s.location)
 	o.Dtstart = time.Date(local.Year(), local.Month(), local.Day(), 0, 0, 0, 0, time.UTC)
-	if last := o.Dtstart.AddDate(mostYears, 0, 0); o.Until.IsZero() || o.Until.After(last) {
+	if last := o.Dtstart.AddDate(maxSeriesYears, 0, 0); o.Until.IsZero() || o.Until.After(last) {
 		o.Until = last // a rule that names no day is looked for until then
 	}
 	r, err := rrule.NewRRule(*o)
@@ -560,7 +560,7 @@
 	var out []*pb.Want
 	for _, day := range r.All() {
 		n := protobuf.CloneOf(w)
-		n.From = s.clock(int(day.Unix()/86400), local.Hour()*60+local.Minute())
+		n.From = s.timeOnDay(int(day.Unix()/86400), local.Hour()*60+local.Minute())
 		out = append(out, n)
 	}
 	if len(out) == 0 {
--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -145,7 +145,7 @@
 }
 
 func (f *auditFlags) addFilterFlags(c *cobra.Command) {
-	c.Flags().StringVar(&f.filter.Who, "who", "", "acts of an identity")
+	c.Flags().StringVar(&f.filter.Identity, "who", "", "acts of an identity")
 	c.Flags().StringVar(&f.filter.Verb, "verb", "", "submit, cancel, read, administer, audit, start, take, stop, restore; of a refused request: its method")
 	c.Flags().StringVar(&f.filter.Object, "object", "", "acts on a job, an identity or whatever else")
 	c.Flags().StringVar(&f.filter.Outcome, "outcome", "", "done or refused")
@@ -159,8 +159,8 @@
 	if f.location, err = time.LoadLocation(f.zone); err != nil {
 		return fmt.Errorf("--tz: no time zone %q", f.zone)
 	}
-	if o := f.filter.Outcome; o != "" && o != audit.Done && o != audit.Refused {
-		return fmt.Errorf("--outcome: %q is neither %s nor %s", o, audit.Done, audit.Refused)
+	if o := f.filter.Outcome; o != "" && o != audit.OutcomeDone && o != audit.OutcomeRefused {
+		return fmt.Errorf("--outcome: %q is neither %s nor %s", o, audit.OutcomeDone, audit.OutcomeRefused)
 	}
 	if f.filter.Since, err = parseTime(f.since, f.location, 0); err != nil {
 		return fmt.Errorf("--since: %w", err)
@@ -215,23 +215,23 @@
 type chainCursor struct {
 	node        string
 	after       uint64
-	pendingActs []audit.Act
+	pendingActs []audit.Event
 	exhausted   bool
 }
 
 // fetchNext sees to it that there is an act, unless there are no more.
-func (u *chainCursor) fetchNext(ctx context.Context, s auditChains, zone *time.Location, keep func(*audit.Act) bool) error {
+func (u *chainCursor) fetchNext(ctx context.Context, s auditChains, zone *time.Location, keep func(*audit.Event) bool) error {
 	for len(u.pendingActs) == 0 && !u.exhausted {
 		p, err := s.blocks(ctx, u.node, u.after)
 		if err != nil {
 			return err
 		}
 		for _, raw := range p.Blocks {
-			b, err := audit.Reads(raw.Value)
+			b, err := audit.DecodeBlock(raw.Value)
 			if err != nil {
 				return fmt.Errorf("chain of %s, block %d: %w; `dewlift audit verify` tells more", u.node, raw.Number, err)
 			}
-			for _, a := range b.Acts(u.node, zone) {
+			for _, a := range b.Events(u.node, zone) {
 				if keep(&a) {
 					u.pendingActs = append(u.pendingActs, a)
 				}
@@ -244,7 +244,7 @@
 }
 
 // forEachAct calls do for all acts that are asked for, those of all chains merged by their times.
-func (f *auditFlags) forEachAct(ctx context.Context, me *clientIdentity, do func(*audit.Act) error) error {
+func (f *auditFlags) forEachAct(ctx context.Context, me *clientIdentity, do func(*audit.Event) error) error {
 	if err := f.parseTimes(); err != nil {
 		return err
 	}
@@ -265,7 +265,7 @@
 	for n := 0; ; n++ {
 		var next *chainCursor
 		for _, u := range list {
-			if err := u.fetchNext(ctx, s, f.location, f.filter.Takes); err != nil {
+			if err := u.fetchNext(ctx, s, f.location, f.filter.Matches); err != nil {
 				return err
 			}
 			if len(u.pendingActs) > 0 && (next == nil || u.pendingActs[0].At.Before(next.pendingActs[0].At)) {
@@ -311,7 +311,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			enc := json.NewEncoder(out)
-			return f.forEachAct(cmd.Context(), me, func(a *audit.Act) error {
+			return f.forEachAct(cmd.Context(), me, func(a *audit.Event) error {
 				if asJSON {
 					return enc.Encode(a)
 				}
@@ -325,15 +325,15 @@
 	return cmd
 }
 
-func printAct(w io.Writer, a *audit.Act) error {
+func printAct(w io.Writer, a *audit.Event) error {
 	times, why := "", ""
 	if a.Count > 1 {
 		times = fmt.Sprintf(" (%d times)", a.Count)
 	}
-	if a.Why != "" {
-		why = ": " + a.Why
+	if a.Reason != "" {
+		why = ": " + a.Reason
 	}
-	_, err := fmt.Fprintf(w, "%s %-8s %-12s %s %s%s %s%s\n", a.At.Format("2006-01-02T15:04:05.000Z07:00"), a.Node, cmp.Or(a.Who, "-"), a.Verb, cmp.Or(a.Object, "-"), times, a.Outcome, why)
+	_, err := fmt.Fprintf(w, "%s %-8s %-12s %s %s%s %s%s\n", a.At.Format("2006-01-02T15:04:05.000Z07:00"), a.Node, cmp.Or(a.Identity, "-"), a.Verb, cmp.Or(a.Object, "-"), times, a.Outcome, why)
 	return err
 }
 
@@ -403,7 +403,7 @@
 	now := maps.Clone(before)
 	total := uint64(0)
 	for _, h := range heads {
-		c := &audit.Chain{Node: h.Node, Keys: keys}
+		c := &audit.ChainVerifier{Node: h.Node, Keys: keys}
 		must := map[uint64][]byte{} // codes of blocks as others know them
 		if h.Code != nil {
 			must[h.BlockNumber] = h.Code
@@ -412,29 +412,29 @@
 			must[e.Number] = e.Code
 		}
 		for more := true; more; {
-			p, err := s.blocks(cmd.Context(), h.Node, c.Number)
+			p, err := s.blocks(cmd.Context(), h.Node, c.BlockNumber)
 			if err != nil {
 				return err
 			}
 			for _, b := range p.Blocks {
-				if _, err := c.Next(b.Number, b.Value); err != nil {
+				if _, err := c.VerifyNext(b.Number, b.Value); err != nil {
 					return err
 				}
-				if code, ok := must[b.Number]; ok && !bytes.Equal(code, c.Code) {
-					return &audit.Fault{Node: h.Node, Block: b.Number, Why: "is another than was known: the chain was replaced"}
+				if code, ok := must[b.Number]; ok && !bytes.Equal(code, c.MAC) {
+					return &audit.Fault{Node: h.Node, Block: b.Number, Reason: "is another than was known: the chain was replaced"}
 				}
 			}
-			show(int(total+c.Entries), -1)
+			show(int(total+c.EntryCount), -1)
 			more = p.More && len(p.Blocks) > 0
 		}
 		for n := range must {
-			if n > c.Number {
-				return &audit.Fault{Node: h.Node, Block: c.Number + 1, Why: fmt.Sprintf("and those behind it, up to %d, were removed", n)}
+			if n > c.BlockNumber {
+				return &audit.Fault{Node: h.Node, Block: c.BlockNumber + 1, Reason: fmt.Sprintf("and those behind it, up to %d, were removed", n)}
 			}
 		}
-		total += c.Entries
-		now[h.Node] = chainEnd{c.Number, c.Code}
-		fmt.Fprintf(cmd.OutOrStdout(), "chain of %s: %d blocks, %d entries, whole\n", h.Node, c.Number, c.Entries)
+		total += c.EntryCount
+		now[h.Node] = chainEnd{c.BlockNumber, c.MAC}
+		fmt.Fprintf(cmd.OutOrStdout(), "chain of %s: %d blocks, %d entries, whole\n", h.Node, c.BlockNumber, c.EntryCount)
 	}
 	if known == "" {
 		return nil
@@ -480,7 +480,7 @@
 				return err
 			}
 			r := &report.Report{Zone: f.location}
-			if err := f.forEachAct(cmd.Context(), me, func(a *audit.Act) error { r.Add(a); return nil }); err != nil {
+			if err := f.forEachAct(cmd.Context(), me, func(a *audit.Event) error { r.Add(a); return nil }); err != nil {
 				return err
 			}
 			out, err := os.Create(file)
@@ -488,7 +488,7 @@
 				return fmt.Errorf("report: %w", err)
 			}
 			var chosen []string
-			for _, x := range [][2]string{{"who", f.filter.Who}, {"verb", f.filter.Verb}, {"object", f.filter.Object}, {"outcome", f.filter.Outcome}, {"since", f.since}, {"until", f.until}} {
+			for _, x := range [][2]string{{"who", f.filter.Identity}, {"verb", f.filter.Verb}, {"object", f.filter.Object}, {"outcome", f.filter.Outcome}, {"since", f.since}, {"until", f.until}} {
 				if x[1] != "" {
 					chosen = append(chosen, x[0]+" "+x[1])
 				}
@@ -497,7 +497,7 @@
 			if len(chosen) > 0 {
 				note = "Only: " + strings.Join(chosen, ", ") + "."
 			}
-			if err := errors.Join(r.HTML(out, note), out.Close()); err != nil {
+			if err := errors.Join(r.WriteHTML(out, note), out.Close()); err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d days\n", file, len(r.Days()))
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -38,7 +38,7 @@
 	state    *standin.State
 	addr     string
 	options  dewlift.Options
-	keys     map[string]*access.Private
+	keys     map[string]*access.PrivateKey
 	dir      string
 	platform *settings.Platform
 	stop     func()
@@ -124,7 +124,7 @@
 	c := call.New(1, 1, 1<<20)
 	if k := s.keys[who]; k != nil {
 		var err error
-		if c.Token, err = k.Token(time.Now(), time.Minute); err != nil {
+		if c.Token, err = k.SignToken(time.Now(), time.Minute); err != nil {
 			s.t.Fatal(err)
 		}
 	}
@@ -137,14 +137,14 @@
 }
 
 // list lists acts by the command.
-func (s *testSite) list(args ...string) (acts []audit.Act) {
+func (s *testSite) list(args ...string) (acts []audit.Event) {
 	s.t.Helper()
 	out, err := s.run(append([]string{"audit", "list", "--json"}, args...)...)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	for dec := json.NewDecoder(strings.NewReader(out)); dec.More(); {
-		var a audit.Act
+		var a audit.Event
 		if err := dec.Decode(&a); err != nil {
 			s.t.Fatal(err)
 		}
@@ -215,7 +215,7 @@
 	s.eventually("recorded", func() bool {
 		count, times := map[did]uint32{}, map[did]int{}
 		for _, a := range s.list() {
-			d := did{a.Who, a.Verb, a.Object, a.Outcome == audit.Refused}
+			d := did{a.Identity, a.Verb, a.Object, a.Outcome == audit.OutcomeRefused}
 			count[d] += a.Count
 			times[d]++
 		}
@@ -228,7 +228,7 @@
 		}
 		return missing == ""
 	})
-	if starts := s.list("--verb", "start"); len(starts) < 4 || !strings.HasPrefix(starts[1].Why, "settings differ: ") {
+	if starts := s.list("--verb", "start"); len(starts) < 4 || !strings.HasPrefix(starts[1].Reason, "settings differ: ") {
 		t.Errorf("starts: %+v", starts)
 	}
 	if reads := s.list("--verb", "audit", "--who", "root"); len(reads) == 0 {
@@ -252,7 +252,7 @@
 	s.eventually("shut out", func() bool { return s.request("pia", get, "/v1/jobs/wk-label0", nil) == http.StatusUnauthorized })
 	s.eventually("recorded that a key was revoked", func() bool {
 		acts := s.list("--verb", "administer", "--object", "pia")
-		return len(acts) == 1 && acts[0].Why == "revoke keys pia-1"
+		return len(acts) == 1 && acts[0].Reason == "revoke keys pia-1"
 	})
 
 	// Saved, and restored to another state service: the chain goes on, and says so.
@@ -307,12 +307,12 @@
 			count++
 			list = append(list, audit.Encode(&pb.AuditEntry{Life: 1, Count: count, AtMs: 1_790_000_000_000 + int64(count)*7_200_000, Who: "anna", Verb: "submit", Object: fmt.Sprintf("wk-%d", count)}))
 		}
-		raw, _, code, err := key.Extend(h, "n0", 0, list, 8192)
+		raw, _, code, err := key.EncodeNextBlock(h, "n0", 0, list, 8192)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h = &audit.Head{Number: uint64(b + 1), Code: code}
-		keys = append(keys, &pb.Key{Name: audit.BlockKey("n0", h.Number), Value: raw})
+		h = &audit.Head{BlockNumber: uint64(b + 1), MAC: code}
+		keys = append(keys, &pb.Key{Name: audit.BlockKey("n0", h.BlockNumber), Value: raw})
 	}
 	s := standin.NewState(standin.Limits{})
 	for _, k := range tamper(keys) {
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -20,7 +20,7 @@
 	"github.com/spf13/cobra"
 
 	"dewlift/core"
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/internal/standin"
 	"dewlift/settings"
 	"dewlift/wire"
@@ -134,7 +134,7 @@
 	// A worker fetches a job's description by itself; here from where it was stored.
 	fleet := standin.NewWorkers(demoMachines, kind, d.addrs, 2*time.Second, func(piece string) ([3]int64, time.Duration) {
 		id, _, _ := wire.SplitTaskName(piece)
-		r, err := ledger.Decode(store.Value(core.KeyJob + id))
+		r, err := jobrecord.Decode(store.Value(core.KeyJob + id))
 		if err != nil || r.Spec == nil {
 			return [3]int64{}, time.Second // its job is over
 		}
--- a/cmd/dewlift/permissions.go
+++ b/cmd/dewlift/permissions.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			return call.Result{}, err
 		}
-		if c.Token, err = k.Token(time.Now(), tokenLifetime); err != nil {
+		if c.Token, err = k.SignToken(time.Now(), tokenLifetime); err != nil {
 			return call.Result{}, err
 		}
 	}
@@ -76,12 +76,12 @@
 	return c.Do(ctx, 5*time.Second, method, scheme+server+path, body), nil
 }
 
-func loadKey(path string) (*access.Private, error) {
+func loadKey(path string) (*access.PrivateKey, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read key: %w", err)
 	}
-	k, err := access.ParsePrivate(raw)
+	k, err := access.ParsePrivateKey(raw)
 	if err != nil {
 		return nil, fmt.Errorf("key %s: %w", path, err)
 	}
@@ -91,7 +91,7 @@
 // loadPermissions reads rights that can be put in force.
 func loadPermissions(path string) (*access.Policy, error) {
 	p, err := parseAccess(path)
-	if err == nil && !p.Administered() {
+	if err == nil && !p.HasAdministrator() {
 		return nil, fmt.Errorf("access %s: nobody with a key may administer: rights could never be changed", path)
 	}
 	return p, err
@@ -147,7 +147,7 @@
 			if !ok {
 				return fmt.Errorf("--priority: no priority %q", priority)
 			}
-			d := p.Decide(who, access.Act{Verb: v, Team: team, Class: class, Priority: prio})
+			d := p.Decide(who, access.Action{Verb: v, Team: team, Class: class, Priority: prio})
 			if asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(d)
 			}
@@ -155,7 +155,7 @@
 			if d.Allowed {
 				word = "may"
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s %s %s: %s\n", who, word, verb, d.Why)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s %s %s: %s\n", who, word, verb, d.Reason)
 			return nil
 		},
 	}
@@ -330,7 +330,7 @@
 			if err != nil {
 				return err
 			}
-			t, err := k.Token(time.Now(), life)
+			t, err := k.SignToken(time.Now(), life)
 			if err == nil {
 				fmt.Fprintln(cmd.OutOrStdout(), t)
 			}
@@ -368,12 +368,12 @@
 	return cmd
 }
 
-func printPublicKey(cmd *cobra.Command, k *access.Private) {
-	fmt.Fprintf(cmd.OutOrStdout(), "keys { id: %q ed25519: %q }\n", k.ID, k.Public())
+func printPublicKey(cmd *cobra.Command, k *access.PrivateKey) {
+	fmt.Fprintf(cmd.OutOrStdout(), "keys { id: %q ed25519: %q }\n", k.ID, k.PublicBase64())
 }
 
 // saveKey writes a private key that only its owner can read; a file that is there is never replaced.
-func saveKey(path string, k *access.Private) error {
+func saveKey(path string, k *access.PrivateKey) error {
 	raw, err := json.Marshal(k)
 	if err != nil {
 		return fmt.Errorf("write key: %w", err)
@@ -416,7 +416,7 @@
 			if err := saveKey(out, k); err != nil { // before the site knows it: a key that is nowhere would shut out
 				return err
 			}
-			if _, err := editPermissions(cmd.Context(), me, server, old.Holder, wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: id, Ed25519: k.Public()}}, RevokeKeys: []string{old.ID}}); err != nil {
+			if _, err := editPermissions(cmd.Context(), me, server, old.Holder, wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: id, Ed25519: k.PublicBase64()}}, RevokeKeys: []string{old.ID}}); err != nil {
 				return fmt.Errorf("%w (%s holds the new key; the old one may still be good)", err, out)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s holds the key of %s from now on\n", out, old.Holder)
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -10,13 +10,13 @@
 	"github.com/spf13/cobra"
 
 	"dewlift/internal/call"
-	"dewlift/lanes"
+	"dewlift/priorityclass"
 	"dewlift/wire"
 )
 
 // loadPriorityClasses reads a list of lanes.
-func loadPriorityClasses(path string) (*lanes.List, error) {
-	return loadFile(path, "lanes", lanes.Parse)
+func loadPriorityClasses(path string) (*priorityclass.List, error) {
+	return loadFile(path, "lanes", priorityclass.Parse)
 }
 
 // requestQueue asks about the queue or the lanes; what is refused is a refusal.
@@ -55,8 +55,8 @@
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "lanes are valid: %d\n", l.Len())
 			for i := range l.Len() {
-				to := l.Risen(i, 1<<62)
-				if d, ok := l.Longest(i, to); ok && to < i {
+				to := l.EffectiveClass(i, 1<<62)
+				if d, ok := l.RiseTime(i, to); ok && to < i {
 					fmt.Fprintf(out, "  %s: after %s, work is ordered as in %s\n", l.Name(i), d, l.Name(to))
 				} else {
 					fmt.Fprintf(out, "  %s: work stays in its lane\n", l.Name(i))
--- a/cmd/dewlift/reservation.go
+++ b/cmd/dewlift/reservation.go
@@ -25,7 +25,7 @@
 func (r refusedError) Error() string { return string(r) }
 
 // loadEquipment reads a list of equipment.
-func loadEquipment(path string) (*booking.Site, error) {
+func loadEquipment(path string) (*booking.Inventory, error) {
 	return loadFile(path, "equipment", booking.Parse)
 }
 
--- a/controller.go
+++ b/controller.go
@@ -19,8 +19,8 @@
 	"dewlift/cloud"
 	"dewlift/connlimit"
 	"dewlift/core"
-	"dewlift/lanes"
 	"dewlift/mesh"
+	"dewlift/priorityclass"
 	pb "dewlift/proto"
 	"dewlift/settings"
 	"dewlift/statestore"
@@ -58,9 +58,9 @@
 	AuditKey    audit.Key        // of the audit record
 	TLSFiles    *tlsconfig.Files // of TLS; nil: all is in plain text
 	// Equipment is what can be booked where the state service has no list; nil: nothing.
-	Equipment *booking.Site
+	Equipment *booking.Inventory
 	// Lanes is the order of work where the state service has none; nil: by priority.
-	PriorityClasses *lanes.List
+	PriorityClasses *priorityclass.List
 }
 
 // New assembles a controller.
--- a/controller_test.go
+++ b/controller_test.go
@@ -22,7 +22,7 @@
 	"dewlift/core"
 	"dewlift/internal/call"
 	"dewlift/internal/standin"
-	"dewlift/lanes"
+	"dewlift/priorityclass"
 	pb "dewlift/proto"
 	"dewlift/settings"
 	"dewlift/snapshot"
@@ -128,7 +128,7 @@
 	})
 	archived, records := 0, 0
 	if _, err := snapshot.ReadFile(path, func(k *pb.Key) error {
-		if strings.HasPrefix(k.Name, archive.Prefix) {
+		if strings.HasPrefix(k.Name, archive.BlockPrefix) {
 			b, err := archive.Decode(k.Value)
 			if err != nil {
 				return err
@@ -181,7 +181,7 @@
 			c := call.New(1, 1, 1<<20)
 			if keys[who] != nil {
 				var err error
-				if c.Token, err = keys[who].Token(time.Now(), time.Minute); err != nil {
+				if c.Token, err = keys[who].SignToken(time.Now(), time.Minute); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -284,7 +284,7 @@
 		if g.Equipment, err = booking.Parse([]byte(`pieces { name: "k" kind: "kiln" slot_minutes: 60 cool_minutes: 60 }`)); err != nil {
 			t.Fatal(err)
 		}
-		if g.PriorityClasses, err = lanes.Parse([]byte(`lanes { name: "urgent" priorities: "high" } lanes { name: "rest" }`)); err != nil {
+		if g.PriorityClasses, err = priorityclass.Parse([]byte(`lanes { name: "urgent" priorities: "high" } lanes { name: "rest" }`)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/core/account/account_test.go
+++ b/core/allocation/tracker_test.go
@@ -1,20 +1,20 @@
-package account
+package allocation
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"dewlift/ccs"
+	"dewlift/clusterstate"
 )
 
-var one = ccs.Vec{1000, 0, 1000}
+var oneTaskRequest = clusterstate.Resources{1000, 0, 1000}
 
 // Whatever comes first, tuple or record, and however late, a task counts from its first news to the first news of its end.
-func TestEachTaskCountsOnce(t *testing.T) {
+func TestEachTaskIsAllocatedOnce(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var a Account
+		var a Tracker
 		type task struct{ started, ended, recorded, unrecorded time.Duration }
 		tasks := make([]task, 1+rng.IntN(12))
 		late := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
@@ -27,23 +27,23 @@
 		}
 		for now := time.Duration(0); now < 45*time.Second; now += 10 * time.Millisecond {
 			want := int64(0)
-			var seen []Seen
+			var seen []ObservedTask
 			for i, x := range tasks {
 				k := uint64(i + 1)
 				if at := x.started; at > now-10*time.Millisecond && at <= now {
-					a.Take(now, true, k, one)
+					a.RecordDelta(now, true, k, oneTaskRequest)
 				}
 				if at := x.ended; at > now-10*time.Millisecond && at <= now {
-					a.Take(now, false, k, one)
+					a.RecordDelta(now, false, k, oneTaskRequest)
 				}
 				if x.recorded <= now && now < x.unrecorded {
-					seen = append(seen, Seen{Key: k, Claim: one})
+					seen = append(seen, ObservedTask{AttemptKey: k, Request: oneTaskRequest})
 				}
 				if min(x.started, x.recorded) <= now && min(x.ended, x.unrecorded) > now {
 					want++
 				}
 			}
-			if got := a.Taken(now, seen); got[0] != want*1000 {
+			if got := a.Allocated(now, seen); got[0] != want*1000 {
 				t.Fatalf("seed %d at %v: %d taken, %d tasks run", seed, now, got[0], want)
 			}
 		}
@@ -51,16 +51,16 @@
 }
 
 // The end that follows a failed write must not hide the task when the next write of it succeeds.
-func TestAttemptIsTriedAgain(t *testing.T) {
-	var a Account
-	a.Take(0, true, 1, one)
-	a.Take(1, false, 1, one)
-	if got := a.Taken(2, nil); got != (ccs.Vec{}) {
+func TestRetriedWriteKeepsTaskAllocated(t *testing.T) {
+	var a Tracker
+	a.RecordDelta(0, true, 1, oneTaskRequest)
+	a.RecordDelta(1, false, 1, oneTaskRequest)
+	if got := a.Allocated(2, nil); got != (clusterstate.Resources{}) {
 		t.Errorf("%v taken after the write failed", got)
 	}
-	a.Take(3, true, 1, one)
-	for _, seen := range [][]Seen{nil, {{Key: 1, Claim: one}}, {{Key: 1, Claim: one}}} {
-		if got := a.Taken(4, seen); got != one {
+	a.RecordDelta(3, true, 1, oneTaskRequest)
+	for _, seen := range [][]ObservedTask{nil, {{AttemptKey: 1, Request: oneTaskRequest}}, {{AttemptKey: 1, Request: oneTaskRequest}}} {
+		if got := a.Allocated(4, seen); got != oneTaskRequest {
 			t.Errorf("%v taken by one task, seen %v", got, seen)
 		}
 	}
@@ -68,21 +68,21 @@
 
 // A start whose write failed, or whose end was lost on the way, must not keep room for ever; nor may a tuple that does not say of
 // which task it is.
-func TestTuplesAreForgotten(t *testing.T) {
-	var a Account
-	a.Take(0, true, 1, one)
-	a.Take(0, true, 2, one)
-	a.Take(0, false, 2, one)
-	a.Take(0, true, 0, one)
-	a.Take(0, true, 0, one)
-	a.Take(0, false, 0, one)
-	if got := a.Taken(time.Second, nil); got[0] != 2000 {
+func TestDeltasExpire(t *testing.T) {
+	var a Tracker
+	a.RecordDelta(0, true, 1, oneTaskRequest)
+	a.RecordDelta(0, true, 2, oneTaskRequest)
+	a.RecordDelta(0, false, 2, oneTaskRequest)
+	a.RecordDelta(0, true, 0, oneTaskRequest)
+	a.RecordDelta(0, true, 0, oneTaskRequest)
+	a.RecordDelta(0, false, 0, oneTaskRequest)
+	if got := a.Allocated(time.Second, nil); got[0] != 2000 {
 		t.Errorf("%v taken by one start, and by two without a key of which one has ended", got)
 	}
-	if got := a.Taken(3*time.Second, nil); got[0] != 1000 {
+	if got := a.Allocated(3*time.Second, nil); got[0] != 1000 {
 		t.Errorf("%v taken by one start", got)
 	}
-	if got := a.Taken(11*time.Second, nil); got != (ccs.Vec{}) || a.Open() {
-		t.Errorf("%v taken after all was lost, open %v", got, a.Open())
+	if got := a.Allocated(11*time.Second, nil); got != (clusterstate.Resources{}) || a.HasPending() {
+		t.Errorf("%v taken after all was lost, open %v", got, a.HasPending())
 	}
 }
--- a/core/audit.go
+++ b/core/audit.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"dewlift/audit"
-	"dewlift/core/ledger"
-	"dewlift/core/recorder"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -25,30 +25,30 @@
 	busy bool
 }
 
-func (c *Core) newRecorder() *recorder.Recorder {
+func (c *Core) newRecorder() *auditlog.Recorder {
 	k := &c.cfg
-	return recorder.New(recorder.Config{Key: k.AuditKey, Node: k.Name, Gather: k.AuditGather, Block: k.AuditBlock, Forget: k.AuditForget,
-		BoundMS: k.TimeBoundMS, Settings: k.Settings, Started: c.now, Note: c.note})
+	return auditlog.New(auditlog.Config{Key: k.AuditKey, Node: k.Name, GatherInterval: k.AuditGather, BlockDelay: k.AuditBlock, LateTxnWindow: k.AuditForget,
+		ClockErrorMS: k.TimeBoundMS, Settings: k.Settings, StartedAt: c.now, Log: c.note})
 }
 
 // recorder is the audit record, as of this moment.
-func (c *Core) recorder() *recorder.Recorder {
-	c.audit.Env = recorder.Env{Now: c.now, UnixMS: c.unixMS(), On: c.auditing(), ValueBytes: c.cfg.ValueBytes}
+func (c *Core) recorder() *auditlog.Recorder {
+	c.audit.Env = auditlog.Env{Now: c.now, UnixMS: c.unixMS(), Enabled: c.auditing(), MaxValueBytes: c.cfg.ValueBytes}
 	return c.audit
 }
 
-func actOf(by Cred, verb, object, why string) recorder.Act {
-	return recorder.Act{Who: by.Who, Key: by.Key, Verb: verb, Object: object, Why: why}
+func actOf(by Cred, verb, object, why string) auditlog.Event {
+	return auditlog.Event{Identity: by.Who, Key: by.Key, Verb: verb, Object: object, Reason: why}
 }
 
 // auditing reports whether this controller records.
 func (c *Core) auditing() bool { return c.cfg.AuditKey != nil && c.form() >= formAudit }
 
 // unfit reports whether others record and this controller has no key to: it must not act.
-func (c *Core) unfit() bool { return c.cfg.AuditKey == nil && c.audit.Begun() }
+func (c *Core) unfit() bool { return c.cfg.AuditKey == nil && c.audit.IsInitialized() }
 
 // mute reports whether nothing may be written yet that is to be recorded.
-func (c *Core) mute() bool { return c.unfit() || c.auditing() && !c.audit.Ready() }
+func (c *Core) mute() bool { return c.unfit() || c.auditing() && !c.audit.IsStarted() }
 
 // unrecorded are the conditions under which a change needs no entry: a controller that does not record yet must not
 // act once another one does.
@@ -56,7 +56,7 @@
 	if c.auditing() || c.cfg.AuditKey == nil && !c.guarded() {
 		return nil
 	}
-	return []wire.Compare{{Key: recorder.KeyBegun}}
+	return []wire.Compare{{Key: auditlog.KeyInitialized}}
 }
 
 // besides is how many changes carryBeside adds.
@@ -68,7 +68,7 @@
 }
 
 // carryBeside adds a carrier with the entry of an act to a transaction, and returns what must be told of its outcome.
-func (c *Core) carryBeside(t *wire.Txn, name string, x recorder.Act) func(status int) {
+func (c *Core) carryBeside(t *wire.Txn, name string, x auditlog.Event) func(status int) {
 	if !c.auditing() {
 		for _, k := range c.unrecorded() {
 			if !slices.Contains(t.Compare, k) {
@@ -77,8 +77,8 @@
 		}
 		return func(int) {}
 	}
-	ids := c.recorder().CarryBeside(t, name, x)
-	return func(status int) { c.recorder().Outcome(ids, status) }
+	ids := c.recorder().AttachCarrier(t, name, x)
+	return func(status int) { c.recorder().HandleOutcome(ids, status) }
 }
 
 // auditStep writes blocks when it is due.
@@ -88,15 +88,15 @@
 	}
 	r := c.recorder()
 	if c.stateDown() || !c.leaseOK() {
-		r.GiveUp()
+		r.RejectReadWaiters()
 	}
-	if r.Busy() || !c.leaseOK() || c.transactions.rateLimit.Paused(c.now) || c.transactions.rateLimit.Writes < 2 {
+	if r.IsBusy() || !c.leaseOK() || c.transactions.rateLimit.IsPaused(c.now) || c.transactions.rateLimit.WriteTokens < 2 {
 		return
 	}
-	if r.Ready() {
+	if r.IsStarted() {
 		c.recordRestore()
 	}
-	t := r.Step()
+	t := r.NextBlockTxn()
 	if t == nil {
 		return
 	}
@@ -104,8 +104,8 @@
 		if status == 400 {
 			c.shrink(t)
 		}
-		if c.recorder().Written(status, reply.Revision) { // what is there now shows with the next barrier
-			c.afterBarrier(func(bool) { r.Settled() })
+		if c.recorder().HandleBlockOutcome(status, reply.Revision) { // what is there now shows with the next barrier
+			c.afterBarrier(func(bool) { r.ClearBusy() })
 		}
 	}})
 }
@@ -124,7 +124,7 @@
 	}
 	x.busy = true
 	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: KeyRestored, Revision: x.mark}}, Then: []wire.Write{{Delete: KeyRestored}}}
-	told := c.carryBeside(&t, "restored", recorder.Act{Verb: recorder.Restore, Object: "state", Why: x.what})
+	told := c.carryBeside(&t, "restored", auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: x.what})
 	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
 		told(status)
 		c.afterBarrier(func(bool) { x.busy = false })
@@ -135,7 +135,7 @@
 func (c *Core) refusedAct(by Cred, verb, object, why string) {
 	c.note("info", "refused", "who", by.Who, "verb", verb, "object", object, "why", why)
 	c.Stats.Forbidden++
-	c.recorder().Refused(audit.Item{Who: by.Who, Verb: verb, Object: object, Why: why}, 1)
+	c.recorder().RecordRefusal(audit.GatheredEvent{Identity: by.Who, Verb: verb, Object: object, Reason: why}, 1)
 }
 
 // readAudit answers with a part of the record, to those who may read it.
@@ -153,7 +153,7 @@
 		object = "audit of " + in.Node
 	}
 	c.soonAfterBarrier(c.ifMay(in.Req, in.By, pb.Verb_audit, object, func() {
-		c.recorder().Read(in.By.Who, "audit", object, func(ok bool) {
+		c.recorder().RecordRead(in.By.Who, "audit", object, func(ok bool) {
 			if !ok {
 				c.refuse(in.Req, "reading can't be recorded now")
 				return
@@ -168,16 +168,16 @@
 		var out wire.AuditChainHeads
 		for _, n := range sortedKeys(c.audit.Heads()) {
 			h := c.audit.Heads()[n]
-			out.Heads = append(out.Heads, wire.AuditChainHead{Node: n, BlockNumber: h.Number, Code: h.Code})
+			out.Heads = append(out.Heads, wire.AuditChainHead{Node: n, BlockNumber: h.BlockNumber, Code: h.MAC})
 		}
 		c.reply(in.Req, 200, out)
 		return
 	}
-	if c.transactions.rateLimit.Reads < 1 {
+	if c.transactions.rateLimit.ReadTokens < 1 {
 		c.refuse(in.Req, "too busy")
 		return
 	}
-	c.scan(audit.Prefix+in.Node+"/", audit.BlockKey(in.Node, in.After), auditPage, func(x Scanned) {
+	c.scan(audit.BlockPrefix+in.Node+"/", audit.BlockKey(in.Node, in.After), auditPage, func(x Scanned) {
 		if x.Status != 200 {
 			c.refuse(in.Req, "state service not reached")
 			return
@@ -193,19 +193,19 @@
 }
 
 // stopsOf are the acts of tasks that were stopped, one for each cause.
-func stopsOf(id string, why []ledger.Reason) (acts []recorder.Act) {
+func stopsOf(id string, why []jobrecord.StopReason) (acts []auditlog.Event) {
 	if len(why) == 0 { // most writes
 		return nil
 	}
 	causes := map[string]*struct {
-		tasks    ledger.Ranges
+		tasks    jobrecord.TaskSet
 		machines []string
 	}{}
 	for _, w := range why {
 		x := causes[w.Cause]
 		if x == nil {
 			x = new(struct {
-				tasks    ledger.Ranges
+				tasks    jobrecord.TaskSet
 				machines []string
 			})
 			causes[w.Cause] = x
@@ -230,7 +230,7 @@
 		if n := len(x.machines) - 3; n > 0 {
 			machines += fmt.Sprintf(" and %d more", n)
 		}
-		acts = append(acts, recorder.Act{Verb: recorder.Stop, Object: id, Why: fmt.Sprintf("%s: %d tasks on %s: %s", cause, x.tasks.Count(), machines, strings.Join(tasks, " "))})
+		acts = append(acts, auditlog.Event{Verb: auditlog.VerbStop, Object: id, Reason: fmt.Sprintf("%s: %d tasks on %s: %s", cause, x.tasks.Count(), machines, strings.Join(tasks, " "))})
 	}
 	return acts
 }
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -9,15 +9,15 @@
 	"time"
 
 	"dewlift/audit"
-	"dewlift/core/ledger"
-	"dewlift/core/recorder"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
 
 // carriers is what values with entries have in common.
 type carriers struct {
-	Carried []audit.Carried `json:"e"`
+	Carried []audit.PendingEntry `json:"e"`
 }
 
 var testKey = audit.Key("the key of the tests of the core")
@@ -29,7 +29,7 @@
 	records(c, 2*time.Second, 4*time.Second, map[string]string{"idle_ms": "4000"})
 	c.Handle(1200*time.Millisecond, declared("n0", "n1", "n2"))
 	follow(t, c, 1200*time.Millisecond, 1500*time.Millisecond)
-	if h := c.audit.Heads()["n0"]; !c.audit.Ready() || h.Number != 1 {
+	if h := c.audit.Heads()["n0"]; !c.audit.IsStarted() || h.BlockNumber != 1 {
 		t.Fatalf("its life has not begun: %+v", h)
 	}
 	return c
@@ -45,8 +45,8 @@
 func blocksOf(t *testing.T, writes []wire.Write) (entries []*pb.AuditEntry) {
 	t.Helper()
 	for _, w := range writes {
-		if strings.HasPrefix(w.Put, audit.Prefix) {
-			b, err := audit.Reads(w.Value)
+		if strings.HasPrefix(w.Put, audit.BlockPrefix) {
+			b, err := audit.DecodeBlock(w.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -76,7 +76,7 @@
 		}
 	}
 	for _, x := range v.Carried {
-		e, err := testKey.Open(key, &x)
+		e, err := testKey.VerifyEntry(key, &x)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,8 +123,8 @@
 		c.markGone(c.machines[a.Machine])
 	}
 	follow(t, c, 4*time.Second, 9*time.Second)
-	if len(j.rec.Carried) != 1 || j.rec.Stage != ledger.Cancelled || j.rec.Spec != nil {
-		t.Errorf("the record carries %+v", j.rec.Carried)
+	if len(j.rec.PendingAudit) != 1 || j.rec.Stage != jobrecord.Cancelled || j.rec.Spec != nil {
+		t.Errorf("the record carries %+v", j.rec.PendingAudit)
 	}
 }
 
@@ -195,7 +195,7 @@
 	if len(r) != 1 || r[0].Status != 200 || len(r[0].Body.(wire.AuditChainHeads).Heads) != 1 {
 		t.Fatalf("got %+v", r)
 	}
-	if scans := outputs[Scan](ask(21*time.Second, anna, "n0")); len(scans) != 1 || scans[0].Prefix != audit.Prefix+"n0/" {
+	if scans := outputs[Scan](ask(21*time.Second, anna, "n0")); len(scans) != 1 || scans[0].Prefix != audit.BlockPrefix+"n0/" {
 		t.Errorf("the next page waits: %+v", scans)
 	}
 }
@@ -203,7 +203,7 @@
 // A controller without the key in a site that records serves nobody, and lets its lease run out.
 func TestWithoutTheKeyNothingIsDone(t *testing.T) {
 	c := withRights(t)
-	stream(c, 1200*time.Millisecond, 11, event(recorder.KeyBegun, "1", 11))
+	stream(c, 1200*time.Millisecond, 11, event(auditlog.KeyInitialized, "1", 11))
 	c.Handle(1200*time.Millisecond, as(anna, submitted("wk-1")))
 	out := c.Advance(5 * time.Second)
 	if s := statusOf(t, out); s != 503 || c.Healthy() || len(outputs[LeaseOp](out)) != 0 || len(outputs[Commit](out)) != 0 {
@@ -218,7 +218,7 @@
 	c.schema.active = formAccess
 	c.Handle(1200*time.Millisecond, as(anna, submitted("wk-1")))
 	w := accepted(c.Advance(1200*time.Millisecond), "wk-1")
-	if w == nil || !slices.Contains(w.Txn.Compare, wire.Compare{Key: recorder.KeyBegun}) {
+	if w == nil || !slices.Contains(w.Txn.Compare, wire.Compare{Key: auditlog.KeyInitialized}) {
 		t.Errorf("got %+v", w)
 	}
 }
@@ -233,8 +233,8 @@
 	c = withRights(t)
 	records(c, 2*time.Second, 4*time.Second, map[string]string{"idle_ms": "8000", "spare": "1"})
 	c.Handle(1200*time.Millisecond, declared("n0", "n1", "n2"))
-	c.Handle(1200*time.Millisecond, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{event(recorder.KeyBegun, "1", 991),
-		event(recorder.KeyHead+"n0", string(head), 992), event(recorder.Prefix+"settings/"+"n0", `{"idle_ms":"4000","gone":"x"}`, 992),
+	c.Handle(1200*time.Millisecond, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{event(auditlog.KeyInitialized, "1", 991),
+		event(auditlog.HeadPrefix+"n0", string(head), 992), event(auditlog.Prefix+"settings/"+"n0", `{"idle_ms":"4000","gone":"x"}`, 992),
 		event(KeyRestored, `"snapshot of monday"`, 993), event(keyLeader, string(c.heldValue(1)), 994)}}})
 	b := blocksOf(t, follow(t, c, 1300*time.Millisecond, 10*time.Second))
 	if got := verbsOf(b); len(got) != 2 || got[0] != "start n0" || got[1] != "restore state" {
@@ -248,16 +248,16 @@
 // An entry that was altered before it was in a block is told of.
 func TestAlteredEntryIsTold(t *testing.T) {
 	c := recording(t)
-	key := recorder.Prefix + "of/" + "who/potter"
-	forged := testKey.Carry("n0", key, &pb.AuditEntry{Life: 1, Count: 9, Who: "anna"})
-	forged.Life = 2 // of a life that is not
-	raw, err := json.Marshal(carriers{[]audit.Carried{forged}})
+	key := auditlog.Prefix + "of/" + "who/potter"
+	forged := testKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 9, Who: "anna"})
+	forged.Incarnation = 2 // of a life that is not
+	raw, err := json.Marshal(carriers{[]audit.PendingEntry{forged}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	stream(c, 2*time.Second, 1100, event(key, string(raw), 1100))
 	b := blocksOf(t, follow(t, c, 2*time.Second, 9*time.Second))
-	if len(b) != 1 || b[0].Verb != recorder.Forged || b[0].Object != key {
+	if len(b) != 1 || b[0].Verb != auditlog.VerbForged || b[0].Object != key {
 		t.Errorf("got %+v", b)
 	}
 }
@@ -265,14 +265,14 @@
 // A controller that is ended time and again before it puts anything into a block still puts what its first life has left:
 // when only the last eight lives were kept, that was lost.
 func TestNoEntryIsLostInALoopOfCrashes(t *testing.T) {
-	key := recorder.Prefix + "of/" + "who/potter"
-	left, err := json.Marshal(carriers{[]audit.Carried{testKey.Carry("n0", key, &pb.AuditEntry{Life: 1, Count: 2, Verb: "administer", Object: "potter"})}})
+	key := auditlog.Prefix + "of/" + "who/potter"
+	left, err := json.Marshal(carriers{[]audit.PendingEntry{testKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 2, Verb: "administer", Object: "potter"})}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	head := &audit.Head{}
 	for life := range uint64(40) {
-		head = &audit.Head{Number: life + 1, Code: make([]byte, 32), Lives: head.Begin(audit.Life{Life: life + 1, Next: 2})}
+		head = &audit.Head{BlockNumber: life + 1, MAC: make([]byte, 32), Incarnations: head.WithIncarnation(audit.Incarnation{Number: life + 1, NextSequence: 2})}
 	}
 	raw, err := json.Marshal(head)
 	if err != nil {
@@ -281,31 +281,31 @@
 	c := withRights(t)
 	records(c, time.Hour, time.Hour, nil)
 	c.Handle(1200*time.Millisecond, declared("n0", "n1", "n2"))
-	c.Handle(1200*time.Millisecond, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{event(recorder.KeyBegun, "1", 991),
-		event(recorder.KeyHead+"n0", string(raw), 992), event(key, string(left), 993)}}})
+	c.Handle(1200*time.Millisecond, Changed{Hold: true, Status: 200, Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{event(auditlog.KeyInitialized, "1", 991),
+		event(auditlog.HeadPrefix+"n0", string(raw), 992), event(key, string(left), 993)}}})
 	if got := verbsOf(blocksOf(t, follow(t, c, 1300*time.Millisecond, 5*time.Second))); !slices.Equal(got, []string{"start n0", "administer potter"}) {
 		t.Errorf("blocks hold %v", got)
 	}
-	if n := len(c.audit.Heads()["n0"].Lives); n != 41 {
+	if n := len(c.audit.Heads()["n0"].Incarnations); n != 41 {
 		t.Errorf("%d lives are kept", n)
 	}
 	c.ownLease.expiresAt = time.Minute
-	c.recorder().Read("anna", "audit", "audit", func(bool) {})
+	c.recorder().RecordRead("anna", "audit", "audit", func(bool) {})
 	follow(t, c, 20*time.Second, 25*time.Second)
-	if lives := c.audit.Heads()["n0"].Lives; len(lives) != 1 || lives[0].Life != 41 {
+	if lives := c.audit.Heads()["n0"].Incarnations; len(lives) != 1 || lives[0].Number != 41 {
 		t.Errorf("former lives are not forgotten: %+v", lives)
 	}
 }
 
 // What stopped is told by cause, in short.
 func TestStopsAreToldByCause(t *testing.T) {
-	var why []ledger.Reason
+	var why []jobrecord.StopReason
 	for i := range 6 {
-		why = append(why, ledger.Reason{Task: i, Machine: fmt.Sprint("m", i), Cause: "silent"})
+		why = append(why, jobrecord.StopReason{Task: i, Machine: fmt.Sprint("m", i), Cause: "silent"})
 	}
-	why = append(why, ledger.Reason{Task: 9, Machine: "m1", Cause: "error"})
+	why = append(why, jobrecord.StopReason{Task: 9, Machine: "m1", Cause: "error"})
 	acts := stopsOf("wk-1", why)
-	if len(acts) != 2 || acts[0].Why != "error: 1 tasks on m1: 9" || acts[1].Why != "silent: 6 tasks on m0 m1 m2 and 3 more: 0-5" {
+	if len(acts) != 2 || acts[0].Reason != "error: 1 tasks on m1: 9" || acts[1].Reason != "silent: 6 tasks on m0 m1 m2 and 3 more: 0-5" {
 		t.Errorf("%+v", acts)
 	}
 }
--- a/core/recorder/recorder_test.go
+++ b/core/auditlog/recorder_test.go
@@ -1,4 +1,4 @@
-package recorder
+package auditlog
 
 import (
 	"encoding/json"
@@ -17,46 +17,46 @@
 
 var key = audit.Key("a key for the tests of the recorder")
 
-// store is a state service, and what is on its way to it.
-type store struct {
-	keys   map[string]wire.KeyValue
-	ledger uint64
-	late   []wire.Txn
-	made   map[[2]uint64]bool // entries whose change was made
+// fakeStore is a state service, and what is on its way to it.
+type fakeStore struct {
+	keys             map[string]wire.KeyValue
+	revision         uint64
+	delayedTxns      []wire.Txn
+	committedEntries map[[2]uint64]bool // entries whose change was made
 }
 
-func (s *store) execute(t wire.Txn) bool {
+func (s *fakeStore) execute(t wire.Txn) bool {
 	for _, c := range t.Compare {
 		if s.keys[c.Key].Revision != c.Revision {
 			return false
 		}
 	}
-	s.ledger++
+	s.revision++
 	for _, w := range t.Then {
-		s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.ledger}
-		for _, x := range carriedBy(w.Value) {
-			s.made[[2]uint64{x.Life, x.Count}] = true
+		s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.revision}
+		for _, x := range entriesIn(w.Value) {
+			s.committedEntries[[2]uint64{x.Incarnation, x.Sequence}] = true
 		}
 	}
 	return true
 }
 
-func carriedBy(raw json.RawMessage) []audit.Carried {
+func entriesIn(raw json.RawMessage) []audit.PendingEntry {
 	var v carrierValue
 	_ = json.Unmarshal(raw, &v) // blocks and heads carry nothing
-	return v.Carried
+	return v.Entries
 }
 
-// tell gives a recorder all keys, in their order: as when they are read, and as the changes would.
-func (s *store) tell(r *Recorder) error {
+// replayTo gives a recorder all keys, in their order: as when they are read, and as the changes would.
+func (s *fakeStore) replayTo(r *Recorder) error {
 	for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 		it := s.keys[k]
 		if strings.HasPrefix(k, Prefix) {
-			if err := r.Put(k, it.Value, it.Revision); err != nil {
+			if err := r.ApplyPut(k, it.Value, it.Revision); err != nil {
 				return err
 			}
 		} else if strings.HasPrefix(k, "dl/") {
-			r.Saw(k, it.Revision, carriedBy(it.Value))
+			r.ObserveEntries(k, it.Revision, entriesIn(it.Value))
 		}
 	}
 	return nil
@@ -64,20 +64,20 @@
 
 // Whatever becomes of its transactions and its processes, every entry whose change was made is put into a block
 // once, and no other is.
-func TestEveryEntryIsPutOnce(t *testing.T) {
+func TestEveryCommittedEntryIsRecordedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &store{keys: map[string]wire.KeyValue{}, made: map[[2]uint64]bool{}}
+		s := &fakeStore{keys: map[string]wire.KeyValue{}, committedEntries: map[[2]uint64]bool{}}
 		var r *Recorder
 		var now time.Duration
 		pass := func(d time.Duration) {
 			now += d
-			r.Env = Env{Now: now, UnixMS: now.Milliseconds(), On: true, ValueBytes: 1200}
+			r.Env = Env{Now: now, UnixMS: now.Milliseconds(), Enabled: true, MaxValueBytes: 1200}
 		}
 		start := func() {
-			r = New(Config{Key: key, Node: "n0", Gather: time.Second, Block: 2 * time.Second, Forget: time.Hour, Started: now,
-				Note: func(string, string, ...any) {}})
+			r = New(Config{Key: key, Node: "n0", GatherInterval: time.Second, BlockDelay: 2 * time.Second, LateTxnWindow: time.Hour, StartedAt: now,
+				Log: func(string, string, ...any) {}})
 			pass(0)
-			if err := s.tell(r); err != nil {
+			if err := s.replayTo(r); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -86,7 +86,7 @@
 		send := func(x wire.Txn, how int) int {
 			switch {
 			case how == 0:
-				s.late = append(s.late, x)
+				s.delayedTxns = append(s.delayedTxns, x)
 				return 0
 			case how == 1:
 				s.execute(x)
@@ -99,15 +99,15 @@
 			return 200
 		}
 		step := func(how int) {
-			if r.Busy() {
+			if r.IsBusy() {
 				return
 			}
-			if x := r.Step(); x != nil {
-				if r.Written(send(*x, how), s.ledger) {
-					if err := s.tell(r); err != nil {
+			if x := r.NextBlockTxn(); x != nil {
+				if r.HandleBlockOutcome(send(*x, how), s.revision) {
+					if err := s.replayTo(r); err != nil {
 						t.Fatal(err)
 					}
-					r.Settled()
+					r.ClearBusy()
 				}
 			}
 		}
@@ -118,62 +118,62 @@
 			case 0:
 				start()
 			case 1, 2:
-				if n := len(s.late); n > 0 {
+				if n := len(s.delayedTxns); n > 0 {
 					i := rapid.IntRange(0, n-1).Draw(t, "late")
-					s.execute(s.late[i])
-					s.late = slices.Delete(s.late, i, i+1)
+					s.execute(s.delayedTxns[i])
+					s.delayedTxns = slices.Delete(s.delayedTxns, i, i+1)
 				}
 			case 3, 4:
 				step(how)
 			case 5:
-				if err := s.tell(r); err != nil {
+				if err := s.replayTo(r); err != nil {
 					t.Fatal(err)
 				}
 			default:
-				if !r.Ready() {
+				if !r.IsStarted() {
 					step(how)
 					continue
 				}
 				k := fmt.Sprint("dl/job/", rapid.IntRange(0, 3).Draw(t, "key"))
-				if len(r.unsure[k]) > 0 { // its owner reads before it writes again
-					if err := s.tell(r); err != nil {
+				if len(r.unknownOutcome[k]) > 0 { // its owner reads before it writes again
+					if err := s.replayTo(r); err != nil {
 						t.Fatal(err)
 					}
 				}
 				it := s.keys[k]
-				list, ids := r.Carry(k, it.Revision, carriedBy(it.Value), []Act{{Verb: "submit", Object: k}})
+				list, ids := r.AttachEntries(k, it.Revision, entriesIn(it.Value), []Event{{Verb: "submit", Object: k}})
 				raw, err := json.Marshal(carrierValue{list})
 				if err != nil {
 					t.Fatal(err)
 				}
-				r.Outcome(ids, send(wire.Txn{Compare: []wire.Compare{{Key: k, Revision: it.Revision}}, Then: []wire.Write{{Put: k, Value: raw}}}, how))
+				r.HandleOutcome(ids, send(wire.Txn{Compare: []wire.Compare{{Key: k, Revision: it.Revision}}, Then: []wire.Write{{Put: k, Value: raw}}}, how))
 			}
 		}
 		for range 60 { // all is well now
 			pass(3 * time.Second)
-			if err := s.tell(r); err != nil {
+			if err := s.replayTo(r); err != nil {
 				t.Fatal(err)
 			}
 			step(7)
 		}
 		in := map[[2]uint64]int{}
 		for k, it := range s.keys {
-			if !strings.HasPrefix(k, audit.Prefix) {
+			if !strings.HasPrefix(k, audit.BlockPrefix) {
 				continue
 			}
-			b, err := audit.Reads(it.Value)
+			b, err := audit.DecodeBlock(it.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, e := range b.Entries {
-				if id := [2]uint64{e.Life, e.Count}; e.Verb != Start {
-					if in[id]++; !s.made[id] || in[id] > 1 {
-						t.Fatalf("entry %v is in %d blocks, its change was made: %v", id, in[id], s.made[id])
+				if id := [2]uint64{e.Life, e.Count}; e.Verb != VerbStart {
+					if in[id]++; !s.committedEntries[id] || in[id] > 1 {
+						t.Fatalf("entry %v is in %d blocks, its change was made: %v", id, in[id], s.committedEntries[id])
 					}
 				}
 			}
 		}
-		for id := range s.made {
+		for id := range s.committedEntries {
 			if in[id] != 1 {
 				t.Fatalf("entry %v is in %d blocks", id, in[id])
 			}
--- a/core/awaits.go
+++ b/core/awaits.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -36,7 +36,7 @@
 	for _, id := range j.rec.Spec.Dependencies {
 		o := c.job(id)
 		j.needs = append(j.needs, o)
-		if o.rec != nil && o.rec.Stage == ledger.Done {
+		if o.rec != nil && o.rec.Stage == jobrecord.Done {
 			j.readyAt = max(j.readyAt, o.mark)
 			continue
 		}
@@ -67,7 +67,7 @@
 	next := j.next
 	j.next = nil
 	c.leave(j)
-	if j.rec.Stage == ledger.Done {
+	if j.rec.Stage == jobrecord.Done {
 		for _, n := range next {
 			if n.waits--; n.waits == 0 && !n.final() {
 				n.readyMS, n.readyAt = c.unixMS(), max(n.readyAt, j.mark)
@@ -113,7 +113,7 @@
 		s := j.rec.Spec
 		prio, due := c.ownLane(j.rec), int64(0)
 		if s.DeadlineMS > 0 {
-			due = j.rec.AtMS + s.DeadlineMS
+			due = j.rec.AcceptedAtMS + s.DeadlineMS
 		}
 		for _, n := range j.next {
 			prio = min(prio, n.prio)
@@ -135,7 +135,7 @@
 // turn is the time of day by which controllers compare whose work has waited longest, and plans order needs: since when a job could
 // run, or when it must run to be done in time, if that is earlier.
 func (j *job) turn() int64 {
-	at := max(j.rec.AtMS, j.readyMS)
+	at := max(j.rec.AcceptedAtMS, j.readyMS)
 	if j.dueMS != 0 {
 		at = min(at, j.dueMS-j.rec.Spec.EstimatedRuntimeMS)
 	}
@@ -150,7 +150,7 @@
 		switch {
 		case o == nil:
 			unknown = id
-		case o.rec.Stage == ledger.Done:
+		case o.rec.Stage == jobrecord.Done:
 		case o.final():
 			cancelled = o.root()
 			left = append(left, id)
@@ -165,10 +165,10 @@
 // all jobs that it needs have started all their tasks.
 func (c *Core) readyIn(j *job) (in time.Duration, ok bool) {
 	for _, o := range j.needs {
-		if o.rec == nil || o.rec.Stage == ledger.Done {
+		if o.rec == nil || o.rec.Stage == jobrecord.Done {
 			continue
 		}
-		if o.rec.Spec == nil || o.waits > 0 || o.final() || o.rec.Done.Count()+len(o.place) < o.rec.Spec.Tasks {
+		if o.rec.Spec == nil || o.waits > 0 || o.final() || o.rec.CompletedTasks.Count()+len(o.place) < o.rec.Spec.Tasks {
 			return 0, false
 		}
 		for _, a := range o.place {
--- a/core/awaits_test.go
+++ b/core/awaits_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -69,7 +69,7 @@
 	for i := range 4000 {
 		id := fmt.Sprintf("wk-%s%d", strings.Repeat("x", i%7), 7919*i%100_000)
 		j := c.job(id)
-		j.mark, j.rec = 1, &ledger.Record{Spec: &wire.JobSpec{Tasks: 1}}
+		j.mark, j.rec = 1, &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 1}}
 		if many = append(many, id); i < 700 {
 			some = append(some, id)
 		}
@@ -97,7 +97,7 @@
 	if !asked {
 		t.Fatal("no barrier")
 	}
-	raw, err := c.encodeRecord(&ledger.Record{Spec: &wire.JobSpec{Team: "t", Tasks: 1, Request: [3]int64{1, 0, 1}}}, nil, false)
+	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &wire.JobSpec{Team: "t", Tasks: 1, Request: [3]int64{1, 0, 1}}}, nil, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,8 +113,8 @@
 // known puts a job with these needs into the replica.
 func known(c *Core, mark uint64, s wire.JobSpec, id string, stage string, awaits ...string) *job {
 	s.Team, s.Tasks, s.Request, s.Dependencies = "t", 1, [3]int64{1000, 0, 1000}, awaits
-	r := &ledger.Record{Spec: &s, Stage: stage, AtMS: 1000}
-	if stage != ledger.Queued {
+	r := &jobrecord.Record{Spec: &s, Stage: stage, AcceptedAtMS: 1000}
+	if stage != jobrecord.Queued {
 		r.Spec = nil
 	}
 	j := c.job(id)
@@ -124,19 +124,19 @@
 
 func TestNothingStartsBeforeAllItAwaitsIsDone(t *testing.T) {
 	c := piped(t)
-	a, b := known(c, 100, wire.JobSpec{}, "wk-1", ledger.Queued), known(c, 101, wire.JobSpec{}, "wk-2", ledger.Queued)
-	d := known(c, 102, wire.JobSpec{}, "wk-3", ledger.Queued, "wk-1", "wk-2")
-	e := known(c, 103, wire.JobSpec{}, "wk-4", ledger.Queued, "wk-3")
+	a, b := known(c, 100, wire.JobSpec{}, "wk-1", jobrecord.Queued), known(c, 101, wire.JobSpec{}, "wk-2", jobrecord.Queued)
+	d := known(c, 102, wire.JobSpec{}, "wk-3", jobrecord.Queued, "wk-1", "wk-2")
+	e := known(c, 103, wire.JobSpec{}, "wk-4", jobrecord.Queued, "wk-3")
 	drive(c, 2*time.Second, 4*time.Second)
 	if len(a.place) != 1 || len(b.place) != 1 || len(d.place)+len(e.place) != 0 {
 		t.Fatalf("placed %d, %d, %d, %d", len(a.place), len(b.place), len(d.place), len(e.place))
 	}
-	c.adopt(a, &ledger.Record{Stage: ledger.Done, Done: ledger.Ranges{0, 0}}, nil, 3000, 10)
+	c.adopt(a, &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}, nil, 3000, 10)
 	drive(c, 4*time.Second, 5*time.Second)
 	if len(d.place) != 0 {
 		t.Error("placed before both are done")
 	}
-	c.adopt(b, &ledger.Record{Stage: ledger.Done, Done: ledger.Ranges{0, 0}}, nil, 3001, 10)
+	c.adopt(b, &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}, nil, 3001, 10)
 	drive(c, 5*time.Second, 6*time.Second)
 	if len(d.place) != 1 || len(e.place) != 0 {
 		t.Errorf("placed %d and %d", len(d.place), len(e.place))
@@ -152,10 +152,10 @@
 		c := piped(t)
 		put := func(i int) {
 			if i == 0 {
-				known(c, uint64(100+i), wire.JobSpec{}, name(0), ledger.Cancelled)
+				known(c, uint64(100+i), wire.JobSpec{}, name(0), jobrecord.Cancelled)
 				return
 			}
-			known(c, uint64(100+i), wire.JobSpec{}, name(i), ledger.Queued, name(i-1))
+			known(c, uint64(100+i), wire.JobSpec{}, name(i), jobrecord.Queued, name(i-1))
 		}
 		for i := range n {
 			switch order {
@@ -188,8 +188,8 @@
 // A cancellation that is answered with done cancels nothing after it.
 func TestCancelOfADoneJobCancelsNothing(t *testing.T) {
 	c := piped(t)
-	a := known(c, 100, wire.JobSpec{}, "wk-1", ledger.Done)
-	d := known(c, 101, wire.JobSpec{}, "wk-2", ledger.Queued, "wk-1")
+	a := known(c, 100, wire.JobSpec{}, "wk-1", jobrecord.Done)
+	d := known(c, 101, wire.JobSpec{}, "wk-2", jobrecord.Queued, "wk-1")
 	c.Advance(2 * time.Second)
 	c.Handle(2*time.Second, Cancel{Req: 7, ID: a.id})
 	r := outputs[Reply](c.Advance(2 * time.Second))
@@ -203,15 +203,15 @@
 func TestPriorityAndDeadlineArePassedBack(t *testing.T) {
 	c := piped(t)
 	est := wire.JobSpec{Priority: 3, EstimatedRuntimeMS: 10_000}
-	a, b := known(c, 100, est, "wk-1", ledger.Queued), known(c, 101, est, "wk-2", ledger.Queued, "wk-1")
+	a, b := known(c, 100, est, "wk-1", jobrecord.Queued), known(c, 101, est, "wk-2", jobrecord.Queued, "wk-1")
 	if a.prio != 3 || a.dueMS != 0 {
 		t.Fatalf("priority %d, due %d", a.prio, a.dueMS)
 	}
-	last := known(c, 102, wire.JobSpec{Priority: 1, EstimatedRuntimeMS: 5_000, DeadlineMS: 60_000}, "wk-3", ledger.Queued, "wk-1", "wk-2")
+	last := known(c, 102, wire.JobSpec{Priority: 1, EstimatedRuntimeMS: 5_000, DeadlineMS: 60_000}, "wk-3", jobrecord.Queued, "wk-1", "wk-2")
 	if a.prio != 1 || b.prio != 1 || last.dueMS != 61_000 || b.dueMS != 56_000 || a.dueMS != 46_000 {
 		t.Errorf("priorities %d, %d; due %d, %d, %d", a.prio, b.prio, a.dueMS, b.dueMS, last.dueMS)
 	}
-	c.adopt(last, &ledger.Record{Stage: ledger.Cancelled}, nil, 500, 10)
+	c.adopt(last, &jobrecord.Record{Stage: jobrecord.Cancelled}, nil, 500, 10)
 	if a.prio != 3 || b.prio != 3 || a.dueMS != 0 || b.dueMS != 0 {
 		t.Errorf("after the end of the last: priorities %d, %d, due %d, %d", a.prio, b.prio, a.dueMS, b.dueMS)
 	}
@@ -221,9 +221,9 @@
 // the one for what is about to be ready.
 func TestWaitingJobsAreNoDemand(t *testing.T) {
 	c := piped(t)
-	known(c, 100, wire.JobSpec{EstimatedRuntimeMS: 600_000}, "wk-1", ledger.Queued)
+	known(c, 100, wire.JobSpec{EstimatedRuntimeMS: 600_000}, "wk-1", jobrecord.Queued)
 	for i := 2; i < 3000; i++ {
-		known(c, uint64(100+i), wire.JobSpec{}, fmt.Sprintf("wk-%d", i), ledger.Queued, "wk-1")
+		known(c, uint64(100+i), wire.JobSpec{}, fmt.Sprintf("wk-%d", i), jobrecord.Queued, "wk-1")
 	}
 	drive(c, 2*time.Second, 4*time.Second)
 	if len(c.open) > 10 {
@@ -247,11 +247,11 @@
 	}{{0, false, false}, {60_000, false, false}, {20_000, false, true}, {20_000, true, false}} {
 		c := piped(t)
 		m := c.machine("m-1")
-		a := known(c, 100, wire.JobSpec{EstimatedRuntimeMS: 10_000}, "wk-1", ledger.Queued)
-		known(c, 101, wire.JobSpec{EstimatedRuntimeMS: 5_000, DeadlineMS: tc.due}, "wk-2", ledger.Queued, "wk-1")
-		s := known(c, 102, wire.JobSpec{Service: tc.service}, "wk-3", ledger.Queued)
+		a := known(c, 100, wire.JobSpec{EstimatedRuntimeMS: 10_000}, "wk-1", jobrecord.Queued)
+		known(c, 101, wire.JobSpec{EstimatedRuntimeMS: 5_000, DeadlineMS: tc.due}, "wk-2", jobrecord.Queued, "wk-1")
+		s := known(c, 102, wire.JobSpec{Service: tc.service}, "wk-3", jobrecord.Queued)
 		for _, j := range []*job{a, s} {
-			m.allocation.assignments[taskKey{j.idx, 0}] = ledger.Asg{Task: 0, Machine: m.idx, Session: 1, Try: 1}
+			m.allocation.assignments[taskKey{j.idx, 0}] = jobrecord.Assignment{Task: 0, Machine: m.idx, Incarnation: 1, Attempt: 1}
 		}
 		if got := c.hurried(m, 10*time.Second); got != tc.want {
 			t.Errorf("due %d, replica %v: given up %v", tc.due, tc.service, got)
--- a/core/shared/shared_test.go
+++ b/core/batchvalue/slot_test.go
@@ -1,4 +1,4 @@
-package shared
+package batchvalue
 
 import (
 	"bytes"
@@ -41,19 +41,19 @@
 }
 
 // A draft begins with what still counts, and never grows beyond its bound.
-func TestDraftIsBounded(t *testing.T) {
+func TestDraftStaysWithinLimit(t *testing.T) {
 	s := Slot{Entries: Entries{"wk-1": json.RawMessage(`{"v":1}`), "wk-2": json.RawMessage(`{"v":2}`)}}
-	d := s.Draft(func(id string, _ json.RawMessage) bool { return id == "wk-2" })
-	if len(d.Entries) != 1 || d.Put("wk-3", json.RawMessage(`{"v":3}`), 21) || !d.Put("wk-3", json.RawMessage(`{"v":3}`), 22) {
+	d := s.BeginDraft(func(id string, _ json.RawMessage) bool { return id == "wk-2" })
+	if len(d.Entries) != 1 || d.TryPut("wk-3", json.RawMessage(`{"v":3}`), 21) || !d.TryPut("wk-3", json.RawMessage(`{"v":3}`), 22) {
 		t.Errorf("entries %v", d.Entries)
 	}
-	if !d.Put("wk-2", json.RawMessage(`{"v":4}`), 22) || d.Put("wk-2", json.RawMessage(`{"v":44}`), 22) {
+	if !d.TryPut("wk-2", json.RawMessage(`{"v":4}`), 22) || d.TryPut("wk-2", json.RawMessage(`{"v":44}`), 22) {
 		t.Error("an entry in place of one of the same size must fit, a larger one must not")
 	}
 	if left := d.Entries.Without("wk-2"); len(left) != 1 || len(d.Entries) != 2 {
 		t.Errorf("%v without one, of %v", left, d.Entries)
 	}
-	if s.Crowded(30) || !s.Crowded(20) {
+	if s.IsNearlyFull(30) || !s.IsNearlyFull(20) {
 		t.Error("22 bytes are more than three quarters of 20, and less of 30")
 	}
 }
--- a/core/cancellations.go
+++ b/core/cancellations.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/core/quorum"
 	"dewlift/wire"
 )
@@ -43,12 +43,12 @@
 
 // lingers reports whether a job is cancelled while tasks of it may be on machines.
 func (j *job) lingers() bool {
-	return j.rec != nil && j.rec.Stage == ledger.Cancelled && len(j.place) > 0
+	return j.rec != nil && j.rec.Stage == jobrecord.Cancelled && len(j.place) > 0
 }
 
 // sinceCancelled is the time since somebody asked for a job's cancellation, by the time of day.
 func (c *Core) sinceCancelled(j *job) time.Duration {
-	return time.Duration(c.unixMS()-j.rec.CancelMS) * time.Millisecond
+	return time.Duration(c.unixMS()-j.rec.CancelledAtMS) * time.Millisecond
 }
 
 // cancelledAt is a revision at which a cancelled job's cancellation was there: whoever has seen it knows of that.
@@ -60,7 +60,7 @@
 		return true
 	}
 	// A controller of an older version neither vouches nor asks: as long as there may be one, the tasks must be gone.
-	j.ack.allowed = c.form() >= formQuorum && c.cancelAcks.quorum.MayTell(j.cancelledAt(), j.ack.heldBy)
+	j.ack.allowed = c.form() >= formQuorum && c.cancelAcks.quorum.CanAcknowledge(j.cancelledAt(), j.ack.heldBy)
 	return j.ack.allowed
 }
 
@@ -77,13 +77,13 @@
 
 // tellStep sees to it that the news of cancellations is current, and that those may be told that users wait for.
 func (c *Core) tellStep() {
-	if c.cancelAcks.quorum.ReadDue(c.now) && c.now >= c.cancelAcks.nextReadAt {
+	if c.cancelAcks.quorum.IsReadDue(c.now) && c.now >= c.cancelAcks.nextReadAt {
 		c.cancelAcks.nextReadAt = c.now + time.Second
 		c.afterBarrier(func(bool) {})
 	}
-	if c.cancelAcks.quorum.AskDue(c.now) {
+	if c.cancelAcks.quorum.IsQueryDue(c.now) {
 		q := &QuorumRead{Nonce: c.rng.Uint64() | 1, Since: c.heldUpTo()}
-		c.cancelAcks.quorum.Ask(c.now, q.Nonce)
+		c.cancelAcks.quorum.BeginQuery(c.now, q.Nonce)
 		c.tell("", Msg{QuorumRead: q})
 	}
 	var news []*job
@@ -145,7 +145,7 @@
 		if !shown {
 			c.put(it.Key, it.Value, it.Revision)
 		}
-		if j := c.knownJob(id); (shown || j != nil && j.rec.Stage == ledger.Cancelled) && !slices.Contains(held, id) {
+		if j := c.knownJob(id); (shown || j != nil && j.rec.Stage == jobrecord.Cancelled) && !slices.Contains(held, id) {
 			held = append(held, id)
 		}
 	}
@@ -189,10 +189,10 @@
 		c.tell(peer, Msg{QuorumReply: &QuorumReply{q.Nonce, c.heldUpTo()}, Cancels: c.cancellations(list)})
 	}
 	if v := m.QuorumReply; v != nil {
-		if c.cancelAcks.quorum.Answered(peer, v.Nonce) {
+		if c.cancelAcks.quorum.HandleReply(peer, v.Nonce) {
 			c.cancelAcks.peersKnowUpTo = max(c.cancelAcks.peersKnowUpTo, v.Upto)
 		}
-		c.cancelAcks.quorum.Acked(peer, v.Upto)
+		c.cancelAcks.quorum.RecordHeldRevision(peer, v.Upto)
 	}
 }
 
@@ -201,7 +201,7 @@
 func (c *Core) stopsFor(m *machine) []wire.Command {
 	var keys []attKey // mostly none: only these are sorted, as each report is answered
 	for k, p := range m.status.tasks {
-		if j := c.jobs[k.job]; p.state != wire.TaskExited && j != nil && j.rec != nil && j.rec.Stage == ledger.Cancelled {
+		if j := c.jobs[k.job]; p.state != wire.TaskExited && j != nil && j.rec != nil && j.rec.Stage == jobrecord.Cancelled {
 			keys = append(keys, k)
 		}
 	}
@@ -220,10 +220,10 @@
 	var late []taskKey // mostly none
 	for k, a := range m.allocation.assignments {
 		j := c.jobs[k.job]
-		if !j.lingers() || a.Session != m.status.incarnation || c.sinceCancelled(j) <= c.bound() {
+		if !j.lingers() || a.Incarnation != m.status.incarnation || c.sinceCancelled(j) <= c.bound() {
 			continue
 		}
-		if _, there := m.status.tasks[attKey{k.job, k.task, a.Try}]; there {
+		if _, there := m.status.tasks[attKey{k.job, k.task, a.Attempt}]; there {
 			continue // the answer stops it
 		}
 		if ended, _ := c.fate(j, a); !ended {
@@ -237,14 +237,14 @@
 	return wire.TaskName(c.jobs[first.job].id, int(first.task))
 }
 
-func (c *Core) bound() time.Duration { return quorum.MaxStale(c.cfg.CancelIn, c.cfg.WorkerLease) }
+func (c *Core) bound() time.Duration { return quorum.MaxStaleness(c.cfg.CancelIn, c.cfg.WorkerLease) }
 
 // whyNot tells why this controller may not renew the lease of a machine, by its report, now; "" if it may.
 func (c *Core) whyNot(m *machine, r *wire.Heartbeat) string {
 	switch {
 	case !c.entitled():
 		return "not entitled"
-	case !c.cancelAcks.quorum.Fresh(c.now):
+	case !c.cancelAcks.quorum.IsFresh(c.now):
 		return fmt.Sprintf("cancellations of more than %v ago may not be known here", c.bound().Round(time.Second))
 	case r.FencingToken > c.leadership.fencingToken:
 		return "token not current"
--- a/core/cancellations_test.go
+++ b/core/cancellations_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -13,8 +13,8 @@
 func cancelledItem(t *testing.T, c *Core, id string, mark uint64) wire.KeyValue {
 	t.Helper()
 	m := c.machine("m-1")
-	raw, err := c.encodeRecord(&ledger.Record{Stage: ledger.Cancelled, CancelMS: c.unixMS(), Spec: &wire.JobSpec{ID: id, Class: "c", Team: "t", Tasks: 1, Request: [3]int64{1000, 0, 1000}}},
-		[]ledger.Asg{{Task: 0, Machine: m.idx, Session: 1, Try: 1}}, false)
+	raw, err := c.encodeRecord(&jobrecord.Record{Stage: jobrecord.Cancelled, CancelledAtMS: c.unixMS(), Spec: &wire.JobSpec{ID: id, Class: "c", Team: "t", Tasks: 1, Request: [3]int64{1000, 0, 1000}}},
+		[]jobrecord.Assignment{{Task: 0, Machine: m.idx, Incarnation: 1, Attempt: 1}}, false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/core/core.go
+++ b/core/core.go
@@ -11,16 +11,16 @@
 	"time"
 
 	"dewlift/audit"
-	"dewlift/ccs"
-	"dewlift/core/booking"
-	"dewlift/core/budget"
-	"dewlift/core/ledger"
-	"dewlift/core/links"
+	"dewlift/clusterstate"
+	"dewlift/core/auditlog"
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
+	"dewlift/core/membership"
 	"dewlift/core/quorum"
-	"dewlift/core/recorder"
-	"dewlift/core/shared"
-	"dewlift/lanes"
+	"dewlift/core/ratelimit"
+	"dewlift/core/reservations"
 	"dewlift/overload"
+	"dewlift/priorityclass"
 	"dewlift/wire"
 )
 
@@ -100,8 +100,8 @@
 	idx   int32
 	id    string
 	mark  uint64 // 0: not known to exist
-	rec   *ledger.Record
-	place []ledger.Asg
+	rec   *jobrecord.Record
+	place []jobrecord.Assignment
 
 	accept *accept
 
@@ -146,7 +146,7 @@
 func (t *team) limited() bool { return t.CPUMax > 0 || t.GPUMax > 0 }
 
 // hasRoom reports whether a task may be added within the team's limits; a job of no team has none.
-func (t *team) hasRoom(claim ccs.Vec) bool {
+func (t *team) hasRoom(claim clusterstate.Resources) bool {
 	return t == nil || (t.CPUMax == 0 || t.cpu+claim[0] <= t.CPUMax) && (t.GPUMax == 0 || t.gpu+claim[1] <= t.GPUMax)
 }
 
@@ -181,9 +181,9 @@
 
 	hist   history // see history.go
 	rights rights  // see rights.go
-	audit  *recorder.Recorder
+	audit  *auditlog.Recorder
 
-	desk      *booking.Desk // see bookings.go
+	desk      *reservations.Service // see bookings.go
 	deskState bookings
 	restored  restored
 
@@ -258,15 +258,15 @@
 	c := &Core{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, started: now,
 		machineIdx: map[string]int32{}, jobIdx: map[string]int32{}, teamIdx: map[string]int{},
-		desk: booking.New(), hist: newHistory(&cfg), rights: rights{who: map[string]storedIdentity{}},
+		desk: reservations.New(), hist: newHistory(&cfg), rights: rights{who: map[string]storedIdentity{}},
 	}
-	c.replica.batchValues = map[int]*shared.Slot{}
-	c.controllers.membership = links.New(cfg.Peers, cfg.LinkLost)
+	c.replica.batchValues = map[int]*batchvalue.Slot{}
+	c.controllers.membership = membership.New(cfg.Peers, cfg.LinkLost)
 	c.controllers.nodeKeys = map[string]held{}
 	c.ownership.shards = make([]held, cfg.Shards)
 	c.schema.declared = map[string]int{}
 	c.transactions.inFlight = map[uint64]*txn{}
-	c.transactions.rateLimit = budget.New(now)
+	c.transactions.rateLimit = ratelimit.New(now)
 	c.transactions.endBatchDelay = cfg.Settle
 	c.agents.zones = map[string]*zoneNews{}
 	c.agents.missingHeartbeats = map[string][]string{}
@@ -274,12 +274,12 @@
 	c.commands.relayed = map[uint64]relayed{}
 	c.autoscaler.calls = map[uint64]func(Clouded){}
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
-	c.priority.classes = lanes.ByPriority(cfg.RiseAfter)
+	c.priority.classes = priorityclass.Default(cfg.RiseAfter)
 	c.audit = c.newRecorder()
-	c.cancelAcks.quorum = quorum.New(quorum.Site{Peers: cfg.Peers, CancelIn: cfg.CancelIn, Lease: cfg.WorkerLease})
-	c.clusterCopy.state.Expire = cfg.CopyExpire
+	c.cancelAcks.quorum = quorum.New(quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.CancelIn, AgentLeaseTTL: cfg.WorkerLease})
+	c.clusterCopy.state.MaxAge = cfg.CopyExpire
 	c.shareBudget()
-	c.transactions.rateLimit.Fill()
+	c.transactions.rateLimit.FillBurst()
 	for i, t := range cfg.Teams {
 		c.teamIdx[t.Name] = i
 		c.teams = append(c.teams, &team{Team: t})
@@ -304,7 +304,7 @@
 	m.status.lastHeartbeatAt = c.now
 	m.status.tasks = map[attKey]piece{}
 	m.status.images = map[string]bool{}
-	m.allocation.assignments = map[taskKey]ledger.Asg{}
+	m.allocation.assignments = map[taskKey]jobrecord.Assignment{}
 	m.commands.attempts = map[attKey]*attempt{}
 	c.machineIdx[name] = m.idx
 	c.machines = append(c.machines, m)
@@ -322,8 +322,8 @@
 }
 
 // encodeRecord renders a job's record.
-func (c *Core) encodeRecord(r *ledger.Record, place []ledger.Asg, packed bool) (json.RawMessage, error) {
-	return ledger.Encode(r, place, packed, func(machine int32) (name, zone string) {
+func (c *Core) encodeRecord(r *jobrecord.Record, place []jobrecord.Assignment, packed bool) (json.RawMessage, error) {
+	return jobrecord.Encode(r, place, packed, func(machine int32) (name, zone string) {
 		m := c.machines[machine]
 		return m.name, m.identity.zone
 	})
@@ -387,7 +387,7 @@
 	if c.leaseOK() || c.stateFresh() {
 		return false
 	}
-	return c.controllers.membership.Outage(c.now)
+	return c.controllers.membership.IsStoreOutage(c.now)
 }
 
 func (c *Core) stateFresh() bool {
@@ -434,7 +434,7 @@
 		c.changeLanes(in)
 	case Refused:
 		for _, it := range in.Items {
-			c.recorder().Refused(audit.Item{Who: it.Who, Verb: it.Verb, Object: it.Object, Why: it.Why}, it.Count)
+			c.recorder().RecordRefusal(audit.GatheredEvent{Identity: it.Who, Verb: it.Verb, Object: it.Object, Reason: it.Why}, it.Count)
 		}
 	case Beat:
 		c.beat(in)
@@ -478,7 +478,7 @@
 		c.stalls.runningSince = c.now
 	}
 	c.stalls.lastAdvanceAt = c.now
-	c.transactions.rateLimit.Advance(c.now, c.cfg.TxnOps)
+	c.transactions.rateLimit.Refill(c.now, c.cfg.TxnOps)
 	c.follow()
 	c.keepLease()
 	c.compact()
@@ -528,7 +528,7 @@
 	c.countHistory()
 	// Only what changed is looked at otherwise; now and then everything is, as a safeguard against
 	// a change that nobody noted.
-	if c.replica.loaded && c.now >= c.maintenance.nextFullScanAt && (c.load.Level() == overload.Calm || c.now >= c.maintenance.nextFullScanAt+c.cfg.LookAll) {
+	if c.replica.loaded && c.now >= c.maintenance.nextFullScanAt && (c.load.Level() == overload.Normal || c.now >= c.maintenance.nextFullScanAt+c.cfg.LookAll) {
 		c.maintenance.nextFullScanAt = c.now + c.cfg.LookAll
 		for _, j := range c.open {
 			c.touchLater(j)
@@ -558,15 +558,15 @@
 	// A barrier brings the changes too: while users ask all the time, no watch is needed.
 	if !c.replica.watchInFlight && c.now >= c.replica.nextWatchAt && !c.replica.barrierInFlight && len(c.replica.barrierWaiters) == 0 {
 		c.replica.watchInFlight, c.replica.watchSentAt = true, c.now
-		c.replica.nextWatchAt = c.now + c.transactions.rateLimit.Gap(c.cfg.WatchGap, 0.25)
-		c.transactions.rateLimit.Request()
+		c.replica.nextWatchAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.WatchGap, 0.25)
+		c.transactions.rateLimit.SpendRequest()
 		c.emit(Changes{From: c.replica.revision, Hold: true})
 	}
 	if !c.replica.barrierInFlight && len(c.replica.barrierWaiters) > 0 && c.now >= c.replica.nextBarrierAt {
 		c.replica.barrierInFlight, c.replica.barrierSentAt = true, c.now
-		c.replica.nextBarrierAt = c.now + c.transactions.rateLimit.Gap(c.cfg.ReadGap, 0.35)
+		c.replica.nextBarrierAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.ReadGap, 0.35)
 		c.replica.inFlightWaiters, c.replica.barrierWaiters = c.replica.barrierWaiters, nil
-		c.transactions.rateLimit.Request()
+		c.transactions.rateLimit.SpendRequest()
 		c.emit(Changes{From: c.replica.revision})
 	}
 }
@@ -581,13 +581,13 @@
 	all := c.writeRPS()
 	left := 0.9 * all
 	for _, n := range c.cfg.Peers {
-		if c.controllers.membership.Linked(c.now, n) {
-			left -= c.controllers.membership.Peer(n).Used
+		if c.controllers.membership.IsReachable(c.now, n) {
+			left -= c.controllers.membership.Peer(n).WriteRate
 		} else if _, ok := c.controllers.nodeKeys[n]; ok {
 			left -= all / live
 		}
 	}
-	c.transactions.rateLimit.Share(all, c.cfg.StateRPS, live, left, c.cfg.WriteShare)
+	c.transactions.rateLimit.SetRates(all, c.cfg.StateRPS, live, left, c.cfg.WriteShare)
 }
 
 // afterBarrier calls f once all changes committed until now are known here, or with false.
@@ -603,7 +603,7 @@
 // few that need one. The barrier does not wait for its turn, as long as requests are left.
 func (c *Core) soonAfterBarrier(f func(ok bool)) {
 	c.afterBarrier(f)
-	if c.transactions.rateLimit.Reads > 1 {
+	if c.transactions.rateLimit.ReadTokens > 1 {
 		c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
 	}
 }
@@ -642,9 +642,9 @@
 		c.storeHealth.firstLostReadAt = 0
 		c.apply(in.Changes)
 		if in.Hold {
-			c.cancelAcks.quorum.Read(c.replica.watchSentAt)
+			c.cancelAcks.quorum.ConfirmRead(c.replica.watchSentAt)
 		} else {
-			c.cancelAcks.quorum.Read(c.replica.barrierSentAt)
+			c.cancelAcks.quorum.ConfirmRead(c.replica.barrierSentAt)
 		}
 	case 410:
 		c.replica.loaded, c.replica.lastPageKey = false, ""
@@ -696,7 +696,7 @@
 			c.ownership.shards[i] = held{since: c.now}
 		}
 		for _, s := range c.replica.batchValues {
-			s.Mark, s.Entries = 0, nil
+			s.Revision, s.Entries = 0, nil
 		}
 		c.leadership.leader = held{since: c.now}
 		c.controllers.nodeKeys = map[string]held{}
@@ -704,7 +704,7 @@
 		c.hist.cold, c.hist.marker = 0, 0
 		c.rights = rights{who: map[string]storedIdentity{}}
 		c.hist.index.Clear()
-		c.desk.Clear()
+		c.desk.Reset()
 		c.setLanes(nil, 0)
 		c.archiving.sweep = nil
 		c.restored.mark = 0
@@ -732,7 +732,7 @@
 	c.replica.revision = c.replica.snapshotRevision
 	c.replica.lastPageKey = ""
 	c.replica.loaded = true
-	c.cancelAcks.quorum.Read(c.replica.snapshotStartedAt)
+	c.cancelAcks.quorum.ConfirmRead(c.replica.snapshotStartedAt)
 	c.replica.watchInFlight = false
 	c.note("info", "state loaded", "ledger", c.replica.revision, "pages", c.replica.pagesRead, "jobs", len(c.jobIdx), "ended", len(c.hist.ended), "cold", c.hist.cold)
 }
@@ -741,7 +741,7 @@
 // the first serves when it has read its own; at a time, all would serve when everything was read by all.
 func (c *Core) behind() bool {
 	for _, n := range c.cfg.Peers {
-		if p := c.controllers.membership.Peer(n); c.controllers.membership.Linked(c.now, n) && (p.Loading > c.replica.pagesRead || p.Loading == c.replica.pagesRead && n < c.cfg.Name) {
+		if p := c.controllers.membership.Peer(n); c.controllers.membership.IsReachable(c.now, n) && (p.SnapshotPagesLoaded > c.replica.pagesRead || p.SnapshotPagesLoaded == c.replica.pagesRead && n < c.cfg.Name) {
 			return true
 		}
 	}
@@ -800,7 +800,7 @@
 			c.gained(n)
 		}
 	case key == keyTypes:
-		v, err := ledger.DecodeCatalog(raw)
+		v, err := jobrecord.DecodeCatalog(raw)
 		if err != nil {
 			bad(err)
 			return
@@ -818,34 +818,34 @@
 		j.stored.snapshot = c.replica.snapshots
 		if mark <= j.mark {
 			if j.rec != nil { // its own write's reply came before
-				c.recorder().Saw(key, j.mark, j.rec.Carried)
+				c.recorder().ObserveEntries(key, j.mark, j.rec.PendingAudit)
 			}
 			return
 		}
-		r, err := ledger.Decode(raw)
+		r, err := jobrecord.Decode(raw)
 		if err != nil {
 			c.hist.cold++ // it exists: whoever asks for it must not be told otherwise
 			bad(err)
 			return
 		}
-		c.recorder().Saw(key, mark, r.Carried)
+		c.recorder().ObserveEntries(key, mark, r.PendingAudit)
 		r = c.laid(j.id, r)
-		c.adopt(j, r, r.Assigned(c.seat), mark, len(raw))
+		c.adopt(j, r, r.ExpandAssignments(c.seat), mark, len(raw))
 	case strings.HasPrefix(key, keySlot):
 		bad(c.putSlot(key, raw, mark))
 	case strings.HasPrefix(key, keyForm):
 		bad(c.putForm(key, raw, mark))
 	case strings.HasPrefix(key, keyAccess):
 		bad(c.putAccess(key, raw, mark))
-	case strings.HasPrefix(key, recorder.Prefix):
-		bad(c.recorder().Put(key, raw, mark))
+	case strings.HasPrefix(key, auditlog.Prefix):
+		bad(c.recorder().ApplyPut(key, raw, mark))
 	case key == KeyRestored:
 		bad(c.putRestored(raw, mark))
 	case key == keyHistory:
 		c.putHistory(mark)
 	case key == keyLanes:
 		bad(c.putLanes(raw, mark))
-	case strings.HasPrefix(key, booking.Prefix):
+	case strings.HasPrefix(key, reservations.Prefix):
 		bad(c.putBooking(key, raw, mark))
 	case strings.HasPrefix(key, keyCancel):
 		bad(c.putCancel(key, raw, mark))
@@ -876,18 +876,18 @@
 		c.dropAccess(key)
 	case key == KeyRestored:
 		c.restored.mark = 0
-	case strings.HasPrefix(key, booking.Prefix):
-		c.desk.Drop(key, mark)
+	case strings.HasPrefix(key, reservations.Prefix):
+		c.desk.ApplyDelete(key, mark)
 	case strings.HasPrefix(key, keyJob):
 		c.moved(key[len(keyJob):], mark)
 	}
 }
 
 // adopt makes a committed record of a size the known state of a job.
-func (c *Core) adopt(j *job, r *ledger.Record, place []ledger.Asg, mark uint64, size int) {
+func (c *Core) adopt(j *job, r *jobrecord.Record, place []jobrecord.Assignment, mark uint64, size int) {
 	was, held := j.final(), len(j.place)
-	if j.cancellation.markerRevision != 0 && r.Stage == ledger.Queued {
-		r.Stage, r.CancelMS = ledger.Cancelled, j.cancellation.markerMS
+	if j.cancellation.markerRevision != 0 && r.Stage == jobrecord.Queued {
+		r.Stage, r.CancelledAtMS = jobrecord.Cancelled, j.cancellation.markerMS
 	}
 	c.unplace(j)
 	if j.mark == 0 && r.Spec != nil {
@@ -897,8 +897,8 @@
 		j.stored.needsOwnKey = false
 	}
 	j.rec, j.place, j.mark, j.stored.bytes = r, place, mark, size
-	if r.Turn != 0 || j.queue.enqueueRevision == 0 {
-		j.queue.enqueueRevision = cmp.Or(r.Turn, mark)
+	if r.EnqueueRevision != 0 || j.queue.enqueueRevision == 0 {
+		j.queue.enqueueRevision = cmp.Or(r.EnqueueRevision, mark)
 	}
 	if r.Spec != nil {
 		r.Spec.ID = j.id
@@ -910,7 +910,7 @@
 		m := c.machines[a.Machine]
 		m.allocation.assignments[taskKey{j.idx, a.Task}] = a
 		c.changedOn(m)
-		if p := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; p.state == wire.TaskExited && p.cause == wire.CauseDone {
+		if p := m.status.tasks[attKey{j.idx, a.Task, a.Attempt}]; p.state == wire.TaskExited && p.cause == wire.CauseDone {
 			j.placement.completedTasks++
 		}
 		if tm != nil {
@@ -919,7 +919,7 @@
 		}
 	}
 	j.placement.tasksLost = false
-	j.placement.hasUnplacedTasks = !j.final() && r.Spec != nil && j.waits == 0 && r.Done.Count()+len(place) < r.Spec.Tasks
+	j.placement.hasUnplacedTasks = !j.final() && r.Spec != nil && j.waits == 0 && r.CompletedTasks.Count()+len(place) < r.Spec.Tasks
 	if !j.endedWhole() || j.accept != nil || len(j.cancellation.waiters) > 0 {
 		c.touch(j)
 	}
@@ -946,9 +946,9 @@
 	}
 }
 
-func (c *Core) claimOf(j *job) (*team, ccs.Vec) {
+func (c *Core) claimOf(j *job) (*team, clusterstate.Resources) {
 	if j.rec == nil || j.rec.Spec == nil {
-		return nil, ccs.Vec{}
+		return nil, clusterstate.Resources{}
 	}
 	if i, ok := c.teamIdx[j.rec.Spec.Team]; ok {
 		return c.teams[i], j.rec.Spec.Request
@@ -1059,7 +1059,7 @@
 			continue
 		}
 		a, assigned := m.allocation.assignments[taskKey{j.idx, int32(t)}]
-		assigned = assigned && a.Try == p.Attempt && a.Session == m.status.incarnation
+		assigned = assigned && a.Attempt == p.Attempt && a.Incarnation == m.status.incarnation
 		if p.Stage == wire.TaskExited {
 			if assigned {
 				c.freed(j, a)
@@ -1068,7 +1068,7 @@
 				}
 			}
 			if p.Cause == wire.CauseDone && assigned && !j.final() && j.rec != nil && j.rec.Spec != nil &&
-				j.rec.Done.Count()+j.placement.completedTasks < j.rec.Spec.Tasks {
+				j.rec.CompletedTasks.Count()+j.placement.completedTasks < j.rec.Spec.Tasks {
 				c.touchLater(j) // others of its tasks run on: the write of this end may wait for theirs
 			} else {
 				c.touch(j)
@@ -1165,7 +1165,7 @@
 		return
 	}
 	m.lifecycle.gone = true
-	c.clusterCopy.state.Drop(m.idx)
+	c.clusterCopy.state.Remove(m.idx)
 	c.lostTasks(m)
 	if c.lead != nil {
 		c.lead.array.Remove(m.idx)
@@ -1213,7 +1213,7 @@
 // asg2 is an assignment with its job.
 type asg2 struct {
 	job int32
-	ledger.Asg
+	jobrecord.Assignment
 }
 
 // storeReplica is this controller's copy of the key-value store: how far it has read, the snapshot load, the watch and the read barriers.
@@ -1223,9 +1223,9 @@
 	loaded            bool
 	pageInFlight      bool
 	nextPageAt        time.Duration
-	batchValues       map[int]*shared.Slot // by shard, see share.go
-	lastPageKey       string               // the key up to which all keys were read
-	snapshotRevision  uint64               // revision of the first page
+	batchValues       map[int]*batchvalue.Slot // by shard, see share.go
+	lastPageKey       string                   // the key up to which all keys were read
+	snapshotRevision  uint64                   // revision of the first page
 	snapshots         uint64
 	pagesRead         int
 	watchInFlight     bool
@@ -1274,7 +1274,7 @@
 
 // controllerSet is the other controllers: their leased keys, which are in reach, what health was told them.
 type controllerSet struct {
-	membership   *links.Links
+	membership   *membership.Members
 	nodeKeys     map[string]held
 	nodesVersion uint64 // counts how often nodes changed
 	nextHealthAt time.Duration
@@ -1302,7 +1302,7 @@
 // transactionState is transactions in flight, the rate limit of the store, and what waits to be written.
 type transactionState struct {
 	inFlight          map[uint64]*txn
-	rateLimit         budget.Budget
+	rateLimit         ratelimit.Limiter
 	endBatchDelay     time.Duration // how long ends may wait to share a write
 	nextBlockedScanAt time.Duration // when what waits for a write is looked at even if none can be made
 	backlog           int           // jobs that waited to be looked at for a write, at the last look
@@ -1310,8 +1310,8 @@
 
 // priorityState is the list of priority classes in force, their shares of starts, and the first waiting job of each.
 type priorityState struct {
-	classes          *lanes.List // see lanes.go
-	revision         uint64      // 0: that of the priorities is in force
+	classes          *priorityclass.List // see lanes.go
+	revision         uint64              // 0: that of the priorities is in force
 	nextSeedAt       time.Duration
 	enabledPublished bool
 	startShares      shares
@@ -1320,7 +1320,7 @@
 
 // clusterCopy is this controller's copy of the shared cluster state, as of the leader's last push.
 type clusterCopy struct {
-	state          ccs.Copy
+	state          clusterstate.Copy
 	revision       uint64 // revision and leader of the last push taken
 	leaderToken    uint64
 	countedBatches map[string]uint64 // what it had counted
@@ -1443,8 +1443,8 @@
 
 // machineAllocation is tasks assigned to it, resources allocated for them, and how long they keep it busy.
 type machineAllocation struct {
-	assignments   map[taskKey]ledger.Asg
-	allocated     ccs.Vec // room taken, if occKnown
+	assignments   map[taskKey]jobrecord.Assignment
+	allocated     clusterstate.Resources // room taken, if occKnown
 	known         bool
 	busyHorizon   time.Duration // how long its tasks keep it, as of stayAt
 	busyHorizonAt time.Duration
@@ -1489,7 +1489,7 @@
 	answerBy       time.Duration // until when an answer must be given
 	markerRevision uint64        // of the mark of its cancellation; 0: there is none
 	markerMS       int64
-	markerAudit    []audit.Carried // by that mark
+	markerAudit    []audit.PendingEntry // by that mark
 }
 
 // cancelAck is whether its cancellation may be acknowledged, and which controllers hold it.
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dewlift/ccs"
-	"dewlift/core/ledger"
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -73,29 +73,29 @@
 	for _, perMachine := range []int{1, 8} {
 		c := New(testConfig(), 0, 1)
 		spec := &wire.JobSpec{ID: "wk-1", Class: "c", Team: "t", Tasks: wire.MaxTasksPerJob, Request: [3]int64{100, 0, 100}}
-		rec := &ledger.Record{Spec: spec, Done: ledger.Ranges{0, 90_000}, Tries: 91_000}
-		var place []ledger.Asg
+		rec := &jobrecord.Record{Spec: spec, CompletedTasks: jobrecord.TaskSet{0, 90_000}, LastAttempt: 91_000}
+		var place []jobrecord.Assignment
 		least := 1 << 20
 		for round := 0; round < 40; round++ {
 			p := &proposal{rec: rec, spec: spec, place: place}
-			for i, task := range rec.Waiting(place, c.maxPlaced()-len(place)) {
+			for i, task := range rec.UnassignedTasks(place, c.maxPlaced()-len(place)) {
 				m := c.machine(wire.TaskName("m", 100000+1000*round+i/perMachine))
 				m.identity.zone = "a-zone"
-				rec.Tries++
-				a := ledger.Asg{Task: task, Machine: m.idx, Session: 1, Try: rec.Tries}
+				rec.LastAttempt++
+				a := jobrecord.Assignment{Task: task, Machine: m.idx, Incarnation: 1, Attempt: rec.LastAttempt}
 				p.place, p.started = append(p.place, a), append(p.started, a)
 			}
 			if _, err := c.fitValue(p); err != nil {
 				t.Fatal(err)
 			}
 			least = min(least, len(p.place))
-			var odd []ledger.Asg
+			var odd []jobrecord.Assignment
 			for i, a := range p.place {
 				if i%2 == 0 {
 					odd = append(odd, a)
 					continue
 				}
-				rec.Done = rec.Done.Add(int(a.Task))
+				rec.CompletedTasks = rec.CompletedTasks.Add(int(a.Task))
 				if raw, err := c.encodeRecord(rec, append(slices.Clone(odd), p.place[i+1:]...), false); err != nil || len(raw) > c.cfg.ValueBytes {
 					t.Fatalf("round %d: %d bytes, at most %d fit (%v)", round, len(raw), c.cfg.ValueBytes, err)
 				}
@@ -103,7 +103,7 @@
 			place = odd
 			if round%2 == 1 { // then all the rest
 				for _, a := range place {
-					rec.Done = rec.Done.Add(int(a.Task))
+					rec.CompletedTasks = rec.CompletedTasks.Add(int(a.Task))
 				}
 				place = nil
 			}
@@ -144,11 +144,11 @@
 func TestJobOfHundredsIsPlacedAtOnce(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	spec := &wire.JobSpec{ID: "wk-1", Class: "some-class", Team: "t", Tasks: 500, Request: [3]int64{4000, 0, 8900}, Image: "an-image"}
-	p := &proposal{rec: &ledger.Record{Spec: spec, Tries: 500}, spec: spec}
+	p := &proposal{rec: &jobrecord.Record{Spec: spec, LastAttempt: 500}, spec: spec}
 	for i := 0; i < 500; i++ {
 		m := c.machine(wire.TaskName("m", 100000+i/5))
 		m.identity.zone = []string{"a-zone", "b-zone"}[i/5%2]
-		p.place = append(p.place, ledger.Asg{Task: int32(i), Machine: m.idx, Session: 1, Try: uint64(i + 1)})
+		p.place = append(p.place, jobrecord.Assignment{Task: int32(i), Machine: m.idx, Incarnation: 1, Attempt: uint64(i + 1)})
 	}
 	p.started = p.place
 	raw, err := c.fitValue(p)
@@ -159,14 +159,14 @@
 }
 
 // keepsAll checks that a record says all of its assignments.
-func keepsAll(t *testing.T, c *Core, raw json.RawMessage, place []ledger.Asg) {
+func keepsAll(t *testing.T, c *Core, raw json.RawMessage, place []jobrecord.Assignment) {
 	t.Helper()
-	r, err := ledger.Decode(raw)
+	r, err := jobrecord.Decode(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := map[ledger.Asg]bool{}
-	for _, a := range r.Assigned(c.seat) {
+	back := map[jobrecord.Assignment]bool{}
+	for _, a := range r.ExpandAssignments(c.seat) {
 		back[a] = true
 	}
 	for _, a := range place {
@@ -304,7 +304,7 @@
 		low.Spec.Priority, low.Spec.Request, low.Spec.EstimatedRuntimeMS = 2, [3]int64{4000, 0, 1000}, 60000
 		c.Handle(time.Second, low)
 		drive(c, time.Second, 2*time.Second)
-		try := c.job("wk-1").rec.Tries
+		try := c.job("wk-1").rec.LastAttempt
 		if try == 0 {
 			t.Fatal("the first job was not placed")
 		}
@@ -341,10 +341,10 @@
 	c.Handle(10*time.Second, Beat{Req: 11, Report: report(3, p("0", 1, wire.TaskExited, wire.CauseDone), p("1", 2, wire.TaskRunning, ""))})
 	drive(c, 10*time.Second, 12500*time.Millisecond)
 	m := c.machine("m-1").idx
-	if r := c.lead.array.Row(m); r == nil || r.Avail[0] != 3000 {
+	if r := c.lead.array.Row(m); r == nil || r.Available[0] != 3000 {
 		t.Errorf("the array's row is %+v, one task of 1 CPU runs on 4", r)
 	}
-	if r := c.clusterCopy.state.Row(m); r == nil || r.Avail[0] != 3000 {
+	if r := c.clusterCopy.state.Row(m); r == nil || r.Available[0] != 3000 {
 		t.Errorf("the copy's row is %+v", r)
 	}
 }
@@ -457,10 +457,10 @@
 	c := leading(t)
 	drive(c, time.Second, 6*time.Second)
 	m := c.machine("m-1")
-	c.lead.take(c, "n1", &Deltas{Seq: 1, List: []DeltaMsg{{Machine: "m-1", Claim: ccs.Vec{2000, 0, 2000}}}})
+	c.lead.take(c, "n1", &Deltas{Seq: 1, List: []DeltaMsg{{Machine: "m-1", Claim: clusterstate.Resources{2000, 0, 2000}}}})
 	drive(c, 6*time.Second, 6500*time.Millisecond)
-	if r := c.lead.array.Row(m.idx); r.Avail[0] != 6000 {
-		t.Errorf("the row shows %v free after the tuple", r.Avail[0])
+	if r := c.lead.array.Row(m.idx); r.Available[0] != 6000 {
+		t.Errorf("the row shows %v free after the tuple", r.Available[0])
 	}
 	seq := uint64(10)
 	for now := 6500 * time.Millisecond; now < 12*time.Second; now += time.Second {
@@ -468,8 +468,8 @@
 		c.Handle(now, Beat{Req: seq, Report: report(seq, wire.TaskStatus{Task: "wk-1/0", Attempt: seq, Stage: wire.TaskExited, Cause: wire.CauseNoCapacity})})
 		drive(c, now, now+time.Second)
 	}
-	if r := c.lead.array.Row(m.idx); r.Avail[0] != 4000 {
-		t.Errorf("the row still shows %v of 4000 free", r.Avail[0])
+	if r := c.lead.array.Row(m.idx); r.Available[0] != 4000 {
+		t.Errorf("the row still shows %v of 4000 free", r.Available[0])
 	}
 }
 
@@ -542,11 +542,11 @@
 		c.Handle(time.Second, submitted("wk-1"))
 		drive(c, time.Second, 2*time.Second)
 		j := c.job("wk-1")
-		p := wire.TaskStatus{Task: "wk-1/0", Attempt: j.place[0].Try, Stage: wire.TaskRunning}
+		p := wire.TaskStatus{Task: "wk-1/0", Attempt: j.place[0].Attempt, Stage: wire.TaskRunning}
 		if stopped {
 			p.Stage, p.Cause = wire.TaskExited, wire.CauseStopped
 		}
-		j.rec.Stage, j.rec.CancelMS = ledger.Cancelled, c.unixMS()
+		j.rec.Stage, j.rec.CancelledAtMS = jobrecord.Cancelled, c.unixMS()
 		c.Handle(2*time.Second, Beat{Req: 10, Report: report(2, p)})
 		c.now = 2*time.Second + c.cfg.CancelIn/2
 		if got := len(c.sweepCancels()); got != map[bool]int{false: 1, true: 0}[stopped] {
@@ -579,9 +579,9 @@
 		seq++
 		say(now, seq, "a")
 		j := c.job("wk-8")
-		j.mark, j.rec, j.place = 1, &ledger.Record{Spec: &wire.JobSpec{ID: "wk-8", Tasks: 8, Team: "t", Request: [3]int64{4000, 0, 1000}}}, nil
+		j.mark, j.rec, j.place = 1, &jobrecord.Record{Spec: &wire.JobSpec{ID: "wk-8", Tasks: 8, Team: "t", Request: [3]int64{4000, 0, 1000}}}, nil
 		for i := int32(0); i < 8; i++ { // more than the other zone has room for
-			j.place = append(j.place, ledger.Asg{Task: i, Machine: lost.idx, Session: 1, Try: 1})
+			j.place = append(j.place, jobrecord.Assignment{Task: i, Machine: lost.idx, Incarnation: 1, Attempt: 1})
 			lost.allocation.assignments[taskKey{j.idx, i}] = j.place[i]
 		}
 		c.touch(j)
@@ -609,7 +609,7 @@
 		drive(c, time.Second, 2*time.Second) // the machine of 4 CPUs is in the array
 		c.lead = nil
 		c.leadership.leader.Node = "n1"
-		c.clusterCopy.capacityHold = &Hold{Priority: 1, Claim: ccs.Vec{2000, 0, 1000}}
+		c.clusterCopy.capacityHold = &Hold{Priority: 1, Claim: clusterstate.Resources{2000, 0, 1000}}
 		in := submitted("wk-1")
 		in.Spec.Priority = prio
 		in.Spec.Tasks = 4
@@ -624,11 +624,11 @@
 
 func TestHoldIsForTheMostUrgent(t *testing.T) {
 	var h *Hold
-	h = h.with(2, ccs.Vec{4000, 0, 4000})
-	h = h.with(1, ccs.Vec{3000, 0, 9000})
-	h = h.with(2, ccs.Vec{1, 0, 1})
-	h = h.with(1, ccs.Vec{5000, 0, 8000})
-	if *h != (Hold{1, ccs.Vec{3000, 0, 8000}}) {
+	h = h.with(2, clusterstate.Resources{4000, 0, 4000})
+	h = h.with(1, clusterstate.Resources{3000, 0, 9000})
+	h = h.with(2, clusterstate.Resources{1, 0, 1})
+	h = h.with(1, clusterstate.Resources{5000, 0, 8000})
+	if *h != (Hold{1, clusterstate.Resources{3000, 0, 8000}}) {
 		t.Errorf("got %+v", *h)
 	}
 }
@@ -743,7 +743,7 @@
 	}
 	c.markGone(c.machine("m-1"))
 	var order []string
-	c.transactions.rateLimit.Writes = 100
+	c.transactions.rateLimit.WriteTokens = 100
 	c.cfg.TxnOps = 12
 	for _, o := range outputs[Commit](c.Advance(3 * time.Second)) {
 		for _, w := range o.Txn.Then {
--- a/core/crush_test.go
+++ b/core/crush_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"dewlift/ccs"
-	"dewlift/core/ledger"
-	"dewlift/core/links"
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
+	"dewlift/core/membership"
 	"dewlift/wire"
 )
 
@@ -21,7 +21,7 @@
 	const machines, jobs = 1000, 500
 	var bins []*bin
 	for range machines {
-		bins = append(bins, &bin{pool: pool{"x", "a", true}, room: ccs.Vec{32000, 0, 128000}, avail: ccs.Vec{500, 0, 1000}})
+		bins = append(bins, &bin{pool: pool{"x", "a", true}, room: clusterstate.Resources{32000, 0, 128000}, avail: clusterstate.Resources{500, 0, 1000}})
 	}
 	h := c.newShelf(bins)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -45,38 +45,38 @@
 
 // Controllers took the same share of new room whatever waited at each: jobs of the same age began two minutes apart.
 func TestNewRoomGoesToTheOldestWork(t *testing.T) {
-	l := links.New([]string{"n1", "n2", "n3"}, time.Second)
+	l := membership.New([]string{"n1", "n2", "n3"}, time.Second)
 	here := func(n string) bool { return n != "n3" } // it is not there
-	for _, n := range l.Names() {
-		l.Heard(0, n)
-		l.Peer(n).StateOK = true
+	for _, n := range l.PeerNames() {
+		l.MarkHeard(0, n)
+		l.Peer(n).StoreReachable = true
 	}
-	l.Peer("n1").Waits = []links.Wait{{Priority: 1, AtMS: 50_000, Spot: true}, {Priority: 2, AtMS: 20_000, Spot: true}}
-	l.Peer("n3").Waits = []links.Wait{{AtMS: 1}}
+	l.Peer("n1").QueueHeads = []membership.QueuePosition{{Priority: 1, AtMS: 50_000, Spot: true}, {Priority: 2, AtMS: 20_000, Spot: true}}
+	l.Peer("n3").QueueHeads = []membership.QueuePosition{{AtMS: 1}}
 	for i, x := range []struct {
-		job           links.Wait
+		job           membership.QueuePosition
 		spot          bool
 		before, alike int
 	}{
-		{links.Wait{Priority: 1, AtMS: 60_000}, false, 1, 1},
-		{links.Wait{Priority: 1, AtMS: 51_000}, false, 0, 2}, // about as old
-		{links.Wait{Priority: 1, AtMS: 40_000}, false, 0, 1},
-		{links.Wait{Priority: 0, AtMS: 60_000}, false, 0, 1},
-		{links.Wait{Priority: 2, AtMS: 10_000}, true, 1, 1},
+		{membership.QueuePosition{Priority: 1, AtMS: 60_000}, false, 1, 1},
+		{membership.QueuePosition{Priority: 1, AtMS: 51_000}, false, 0, 2}, // about as old
+		{membership.QueuePosition{Priority: 1, AtMS: 40_000}, false, 0, 1},
+		{membership.QueuePosition{Priority: 0, AtMS: 60_000}, false, 0, 1},
+		{membership.QueuePosition{Priority: 2, AtMS: 10_000}, true, 1, 1},
 	} {
-		if before, alike := l.Order(0, here, x.job, x.spot); before != x.before || alike != x.alike {
+		if before, alike := l.CountCompetitors(0, here, x.job, x.spot); before != x.before || alike != x.alike {
 			t.Errorf("%d: %d before and %d alike", i, before, alike)
 		}
 	}
-	l.Peer("n1").Waits[0].Spot = false
-	if before, _ := l.Order(0, here, links.Wait{Priority: 1, AtMS: 60_000}, true); before != 0 {
+	l.Peer("n1").QueueHeads[0].Spot = false
+	if before, _ := l.CountCompetitors(0, here, membership.QueuePosition{Priority: 1, AtMS: 60_000}, true); before != 0 {
 		t.Error("work that may not use spot machines is in the way on one")
 	}
-	if !l.Before(0, here, links.Wait{Priority: 2, AtMS: 60_000}, 1) || l.Before(0, here, links.Wait{Priority: 2, AtMS: 10_000}, 1) || l.Before(0, here, links.Wait{Priority: 2, AtMS: 60_000}, 2) {
+	if !l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, AtMS: 60_000}, 1) || l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, AtMS: 10_000}, 1) || l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, AtMS: 60_000}, 2) {
 		t.Error("what comes first below a lane")
 	}
-	l.Peer("n1").StateOK = false
-	if before, _ := l.Order(0, here, links.Wait{Priority: 1, AtMS: 60_000}, false); before != 0 {
+	l.Peer("n1").StoreReachable = false
+	if before, _ := l.CountCompetitors(0, here, membership.QueuePosition{Priority: 1, AtMS: 60_000}, false); before != 0 {
 		t.Error("one that can write nothing is waited for")
 	}
 }
@@ -89,7 +89,7 @@
 			ProbeRatio: 2, PreferImage: true, CopyExpire: time.Hour}, 0, 1)
 		c.autoscaler.catalog = map[string]*wire.MachineType{"x": {Name: "x", CPUs: 8, MemoryGB: 8, Zones: []string{"a", "b"}}}
 		c.ownLease.id, c.ownLease.expiresAt = 1, time.Hour
-		array := ccs.NewArray()
+		array := clusterstate.NewArray()
 		for i := range 40 {
 			m := c.machine(string(rune('A' + i)))
 			m.status.reported, m.status.incarnation, m.identity.address, m.identity.machineType, m.identity.zone = true, 1, "x:1", "x", "a"
@@ -98,14 +98,14 @@
 			} else {
 				m.status.images["i"] = true
 			}
-			array.Seed(m.idx, ccs.Vec{8000, 0, 8000}, ccs.Vec{}, true)
+			array.SetMachine(m.idx, clusterstate.Resources{8000, 0, 8000}, clusterstate.Resources{}, true)
 		}
-		rows, _ := array.Rows(0)
+		rows, _ := array.ChangedSince(0)
 		c.clusterCopy.state.Replace(c.now, rows, nil)
 		s := &wire.JobSpec{Service: true, Spread: true, Tasks: 2, Request: [3]int64{1000, 0, 1000}, Image: "i"}
-		p := &proposal{j: &job{}, rec: &ledger.Record{Spec: s}, spec: s, accept: true}
+		p := &proposal{j: &job{}, rec: &jobrecord.Record{Spec: s}, spec: s, accept: true}
 		for i := range held {
-			p.place = append(p.place, ledger.Asg{Task: int32(i), Machine: 0, Session: 1})
+			p.place = append(p.place, jobrecord.Assignment{Task: int32(i), Machine: 0, Incarnation: 1})
 		}
 		c.assign(p, &builder{c: c})
 		zones := map[string]int{}
--- a/core/form.go
+++ b/core/form.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"dewlift/audit"
-	"dewlift/core/ledger"
-	"dewlift/core/recorder"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -66,7 +66,7 @@
 
 // declare writes this controller's declaration.
 func (c *Core) declare() {
-	if c.schema.declared[c.cfg.Name] >= c.cfg.Form || c.schema.declarationInFlight || c.now < c.schema.nextDeclarationAt || c.transactions.rateLimit.Paused(c.now) || !c.leaseOK() {
+	if c.schema.declared[c.cfg.Name] >= c.cfg.Form || c.schema.declarationInFlight || c.now < c.schema.nextDeclarationAt || c.transactions.rateLimit.IsPaused(c.now) || !c.leaseOK() {
 		return
 	}
 	c.schema.declarationInFlight = true
@@ -126,8 +126,8 @@
 
 // cancelMark is the value of a mark of cancellation.
 type cancelMark struct {
-	CancelMS int64           `json:"cm"`
-	Carried  []audit.Carried `json:"e,omitempty"`
+	CancelMS int64                `json:"cm"`
+	Carried  []audit.PendingEntry `json:"e,omitempty"`
 }
 
 func (m cancelMark) encode() json.RawMessage {
@@ -141,14 +141,14 @@
 // markCancelled cancels a job whose record is too large to be written again as it is: an older
 // version may have stored it under larger limits. The mark is one small durable write. The
 // record follows as its tasks end, and its writers see to it that there is no mark.
-func (c *Core) markCancelled(j *job, ms int64, conds []wire.Compare, acts []recorder.Act) {
+func (c *Core) markCancelled(j *job, ms int64, conds []wire.Compare, acts []auditlog.Event) {
 	key := keyCancel + j.id
-	list, ids := c.recorder().Carry(key, j.cancellation.markerRevision, j.cancellation.markerAudit, acts)
+	list, ids := c.recorder().AttachEntries(key, j.cancellation.markerRevision, j.cancellation.markerAudit, acts)
 	raw := cancelMark{CancelMS: ms, Carried: list}.encode()
 	j.write.inFlight = true
 	c.commit(wire.Txn{Compare: append(conds, wire.Compare{Key: keyJob + j.id, Revision: j.mark}, wire.Compare{Key: key, Revision: j.cancellation.markerRevision}),
 		Then: []wire.Write{{Put: key, Value: raw}}}, &txn{done: func(status int, _ wire.TxnResponse) {
-		c.recorder().Outcome(ids, status)
+		c.recorder().HandleOutcome(ids, status)
 		j.write.inFlight = false
 		c.touch(j)
 		if status == 429 || status == 503 {
@@ -166,9 +166,9 @@
 		return err
 	}
 	j := c.job(key[len(keyCancel):])
-	c.recorder().Saw(key, mark, v.Carried)
+	c.recorder().ObserveEntries(key, mark, v.Carried)
 	j.cancellation.markerRevision, j.cancellation.markerMS, j.cancellation.markerAudit = mark, v.CancelMS, v.Carried
-	if j.mark != 0 && j.rec.Stage == ledger.Queued {
+	if j.mark != 0 && j.rec.Stage == jobrecord.Queued {
 		rec := *j.rec
 		c.adopt(j, &rec, j.place, j.mark, j.stored.bytes)
 	}
--- a/core/form_test.go
+++ b/core/form_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/internal/production"
 	"dewlift/wire"
 )
@@ -69,11 +69,11 @@
 				t.Fatal(err)
 			}
 			if packed { // back through the packed form
-				r, err := ledger.Decode(raw)
+				r, err := jobrecord.Decode(raw)
 				if err != nil {
 					t.Fatalf("%s: %v", it.Key, err)
 				}
-				if raw, err = c.encodeRecord(r, r.Assigned(c.seat), false); err != nil {
+				if raw, err = c.encodeRecord(r, r.ExpandAssignments(c.seat), false); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -202,14 +202,14 @@
 	c.cfg.ValueBytes, c.cfg.TxnOps = 2048, 4
 	c.Handle(time.Second, declared("n0", "n1", "n2"))
 	spec := &wire.JobSpec{Class: "some-class", Team: "t", Tasks: 600, Request: [3]int64{1, 0, 1}}
-	rec := &ledger.Record{Spec: spec, Tries: 600}
-	var place []ledger.Asg
+	rec := &jobrecord.Record{Spec: spec, LastAttempt: 600}
+	var place []jobrecord.Assignment
 	// The worst for packing: sessions and attempts without any order.
 	for i := range 600 {
 		m := c.machine(fmt.Sprintf("m-%d", 7919*(i+1)%1_000_000))
 		m.identity.zone, m.status.reported, m.identity.machineType = "a", true, "x"
 		m.status.incarnation = uint64(1 + c.rng.IntN(1<<30))
-		place = append(place, ledger.Asg{Task: int32(i), Machine: m.idx, Session: m.status.incarnation, Try: uint64(1 + c.rng.IntN(1<<30))})
+		place = append(place, jobrecord.Assignment{Task: int32(i), Machine: m.idx, Incarnation: m.status.incarnation, Attempt: uint64(1 + c.rng.IntN(1<<30))})
 	}
 	raw, err := c.encodeRecord(rec, place, false)
 	if err != nil {
@@ -284,7 +284,7 @@
 	mark := func(key string, raw json.RawMessage) wire.KeyValue {
 		return wire.KeyValue{Key: key, Value: raw, Revision: 90}
 	}
-	raw, err := c.encodeRecord(&ledger.Record{Spec: j.rec.Spec, Tries: 600}, j.place, false)
+	raw, err := c.encodeRecord(&jobrecord.Record{Spec: j.rec.Spec, LastAttempt: 600}, j.place, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -292,7 +292,7 @@
 		{mark(keyCancel+j.id, []byte(`{"cm":77}`)), mark(keyJob+j.id, raw)}, {mark(keyJob+j.id, raw), mark(keyCancel+j.id, []byte(`{"cm":77}`))}} {
 		other := New(testConfig(), 0, 1)
 		other.Handle(time.Second, Loaded{OK: true, Ledger: 90, Items: items})
-		if o := other.knownJob(j.id); o == nil || !o.final() || o.rec.CancelMS != 77 || len(o.place) != 600 {
+		if o := other.knownJob(j.id); o == nil || !o.final() || o.rec.CancelledAtMS != 77 || len(o.place) != 600 {
 			t.Errorf("another controller does not know of the cancellation")
 		}
 	}
@@ -301,7 +301,7 @@
 		c.markGone(c.machines[a.Machine])
 	}
 	writes = follow(t, c, 3*time.Second, 8*time.Second)
-	if j.rec.Stage != ledger.Cancelled || len(j.place) != 0 || !slices.ContainsFunc(writes, func(w wire.Write) bool { return w.Delete == keyCancel+j.id }) {
+	if j.rec.Stage != jobrecord.Cancelled || len(j.place) != 0 || !slices.ContainsFunc(writes, func(w wire.Write) bool { return w.Delete == keyCancel+j.id }) {
 		t.Errorf("the record ended as %+v", j.rec)
 	}
 }
@@ -313,14 +313,14 @@
 	for i, a := range j.place {
 		m := c.machines[a.Machine]
 		c.Handle(2*time.Second, Beat{Req: 1, Report: &wire.Heartbeat{Machine: m.name, Addr: "x:1", Type: "x", Zone: "a", Incarnation: m.status.incarnation, Sequence: 1, FencingToken: 1,
-			Tasks: []wire.TaskStatus{{Task: wire.TaskName(j.id, int(a.Task)), Attempt: a.Try, Stage: wire.TaskExited, Cause: wire.CauseDone}}}})
+			Tasks: []wire.TaskStatus{{Task: wire.TaskName(j.id, int(a.Task)), Attempt: a.Attempt, Stage: wire.TaskExited, Cause: wire.CauseDone}}}})
 		if i%100 == 0 {
 			follow(t, c, c.now, c.now+200*time.Millisecond)
 		}
 	}
 	follow(t, c, c.now, c.now+5*time.Second)
-	if j.rec.Stage != ledger.Done {
-		t.Errorf("%d tasks of 600 done", j.rec.Done.Count())
+	if j.rec.Stage != jobrecord.Done {
+		t.Errorf("%d tasks of 600 done", j.rec.CompletedTasks.Count())
 	}
 }
 
@@ -330,11 +330,11 @@
 	c.cfg.ValueBytes = 2048
 	c.schema.active = formAwaits
 	spec := &wire.JobSpec{ID: "wk-1", Class: "some-class", Team: "t", Tasks: 500, Request: [3]int64{4000, 0, 8900}, Image: "an-image"}
-	p := &proposal{rec: &ledger.Record{Spec: spec, Tries: 500}, spec: spec}
+	p := &proposal{rec: &jobrecord.Record{Spec: spec, LastAttempt: 500}, spec: spec}
 	for i := 0; i < 500; i++ {
 		m := c.machine(wire.TaskName("m", 100000+(7*i)%500))
 		m.identity.zone = []string{"a-zone", "b-zone"}[i%2]
-		p.place = append(p.place, ledger.Asg{Task: int32(i), Machine: m.idx, Session: 1, Try: uint64(i + 1)})
+		p.place = append(p.place, jobrecord.Assignment{Task: int32(i), Machine: m.idx, Incarnation: 1, Attempt: uint64(i + 1)})
 	}
 	p.started = p.place
 	raw, err := c.fitValue(p)
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -11,7 +11,7 @@
 
 // What is stored in types of this package: the same bytes are written, and those of before are read. (All else: internal/golden.)
 func TestStoredBytesStay(t *testing.T) {
-	carried := []audit.Carried{{Node: "node-a", Life: 3, Count: 4, Entry: []byte("entry"), Tag: []byte("tag")}}
+	carried := []audit.PendingEntry{{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")}}
 	for _, x := range []struct {
 		v    any
 		want string
--- a/core/history.go
+++ b/core/history.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dewlift/archive"
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -33,7 +33,7 @@
 	leaving  []*job // to be dropped once nothing refers to them
 	free     []int32
 
-	index      *archive.Index
+	index      *archive.BlockCache
 	movedTo    uint64 // revision of the last move seen
 	finds      map[string]*find
 	queue      []*find
@@ -63,12 +63,12 @@
 )
 
 func newHistory(cfg *Config) history {
-	return history{index: archive.NewIndex(cfg.HistoryCache), finds: map[string]*find{}, reads: map[uint64]func(Scanned){}}
+	return history{index: archive.NewBlockCache(cfg.HistoryCache), finds: map[string]*find{}, reads: map[uint64]func(Scanned){}}
 }
 
 // endedWhole reports whether a job is over and nothing of it is left to be done: its record is final.
 func (j *job) endedWhole() bool {
-	return j.rec != nil && j.rec.Spec == nil && j.rec.Stage != ledger.Queued
+	return j.rec != nil && j.rec.Spec == nil && j.rec.Stage != jobrecord.Queued
 }
 
 // noteEnd counts a job that has ended among those in memory.
@@ -172,7 +172,7 @@
 }
 
 // remember puts the end of a job that somebody asked for into memory.
-func (c *Core) remember(id string, r *ledger.Record, mark uint64, archived bool) {
+func (c *Core) remember(id string, r *jobrecord.Record, mark uint64, archived bool) {
 	j := c.job(id)
 	if j.mark != 0 {
 		return
@@ -190,8 +190,8 @@
 func (c *Core) moved(id string, mark uint64) {
 	h := &c.hist
 	h.movedTo = max(h.movedTo, mark)
-	h.index.Moved(id, mark)
-	c.recorder().NotCarried(keyJob+id, mark) // what it carried was in blocks before it moved
+	h.index.InvalidateOlder(id, mark)
+	c.recorder().ResolveUnknown(keyJob+id, mark) // what it carried was in blocks before it moved
 	i, ok := c.jobIdx[id]
 	if !ok || c.jobs[i].mark == 0 {
 		if mark > h.loadedTo {
@@ -236,7 +236,7 @@
 	if h.marker == 0 {
 		return since == 0, nil
 	}
-	b, mark, err := h.index.Block(id, since)
+	b, mark, err := h.index.Lookup(id, since)
 	if b == nil || err != nil {
 		return false, err
 	}
@@ -249,7 +249,7 @@
 	e, ok := b.Find(id)
 	if ok {
 		c.Stats.Recalled++
-		c.remember(id, ledger.FromArchive(e, c.shardByName(id)), mark, true)
+		c.remember(id, jobrecord.FromArchive(e, c.shardByName(id)), mark, true)
 	}
 	return ok
 }
@@ -259,7 +259,7 @@
 	if c.hist.marker == 0 || c.knownJob(id) != nil {
 		return c.knownJob(id)
 	}
-	if b, mark, _ := c.hist.index.Block(id, 0); b != nil {
+	if b, mark, _ := c.hist.index.Lookup(id, 0); b != nil {
 		c.rememberFrom(b, mark, id)
 	}
 	return c.knownJob(id)
@@ -270,14 +270,14 @@
 	if c.hist.marker == 0 {
 		return wire.Compare{Key: keyHistory}, true
 	}
-	b, mark, err := c.hist.index.Block(id, 0)
+	b, mark, err := c.hist.index.Lookup(id, 0)
 	if b == nil || err != nil {
 		return wire.Compare{}, false
 	}
 	if c.rememberFrom(b, mark, id) { // the block was read anew since the job was submitted
 		return wire.Compare{}, false
 	}
-	return wire.Compare{Key: archive.Key(b.High), Revision: mark}, true
+	return wire.Compare{Key: archive.BlockKey(b.High), Revision: mark}, true
 }
 
 // find has a job looked for that is not in memory, and then calls f: with false if that failed;
@@ -348,7 +348,7 @@
 		case x.busy || x.over:
 		case c.now-x.since > findWait:
 			c.found(x, false)
-		case h.tokens >= 1 && h.reading < findsOut && !c.transactions.rateLimit.Paused(c.now):
+		case h.tokens >= 1 && h.reading < findsOut && !c.transactions.rateLimit.IsPaused(c.now):
 			c.readFor(x)
 		}
 	}
@@ -438,12 +438,12 @@
 
 // readRecord takes the record of a job that was not in memory; false if it can't be read.
 func (c *Core) readRecord(id string, it wire.KeyValue) bool {
-	r, err := ledger.Decode(it.Value)
+	r, err := jobrecord.Decode(it.Value)
 	if err != nil {
 		c.note("error", "value not understood", "key", it.Key, "err", err.Error())
 		return false
 	}
-	if r.Spec == nil && r.Stage != ledger.Queued {
+	if r.Spec == nil && r.Stage != jobrecord.Queued {
 		c.Stats.Recalled++
 		c.remember(id, r, it.Revision, false)
 	}
@@ -460,7 +460,7 @@
 
 func (c *Core) ask1(s Scan, f func(Scanned)) {
 	s.ID = c.id()
-	c.transactions.rateLimit.Request()
+	c.transactions.rateLimit.SpendRequest()
 	c.hist.reads[s.ID] = f
 	c.emit(s)
 }
@@ -469,7 +469,7 @@
 	f := c.hist.reads[in.ID]
 	delete(c.hist.reads, in.ID)
 	if in.Status == 429 {
-		c.transactions.rateLimit.PauseOthers(c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond))
+		c.transactions.rateLimit.PauseNonUrgent(c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond))
 	} else {
 		c.stateAnswered(in.Status)
 	}
@@ -482,7 +482,7 @@
 // with false if the state service did not answer.
 func (c *Core) readBlock(id string, f func(ok bool)) {
 	h := &c.hist
-	c.scan(archive.Prefix, archive.Before(id), 1, func(in Scanned) {
+	c.scan(archive.BlockPrefix, archive.SeekKey(id), 1, func(in Scanned) {
 		if in.Status != 200 {
 			f(in.Status == 429)
 			return
@@ -493,18 +493,18 @@
 		}
 		if len(in.Items) == 0 {
 			// The marker alone was written yet.
-			h.index.Put(archive.Empty(), nil, 0, in.Ledger)
+			h.index.Put(archive.EmptyBlock(), nil, 0, in.Ledger)
 			f(true)
 			return
 		}
 		it := in.Items[0]
 		b, err := archive.Decode(it.Value)
-		if err == nil && (archive.Key(b.High) != it.Key || !b.Covers(id)) {
+		if err == nil && (archive.BlockKey(b.High) != it.Key || !b.Covers(id)) {
 			err = errors.New("its range is not where it stands")
 		}
 		if err != nil {
 			c.note("error", "block of ended jobs not understood: those in it can't be answered for", "key", it.Key, "err", err.Error())
-			h.index.PutBad(id, strings.TrimPrefix(it.Key, archive.Prefix), it.Revision, in.Ledger)
+			h.index.PutCorrupt(id, strings.TrimPrefix(it.Key, archive.BlockPrefix), it.Revision, in.Ledger)
 		} else {
 			h.index.Put(b, it.Value, it.Revision, in.Ledger)
 		}
--- a/core/history_test.go
+++ b/core/history_test.go
@@ -15,12 +15,12 @@
 // block is a block of the archive, as a page of the state service.
 func block(t *testing.T, mark, ledger uint64, entries ...archive.Entry) Scanned {
 	t.Helper()
-	b := archive.Empty().Merge(entries)
+	b := archive.EmptyBlock().Merge(entries)
 	raw, err := b.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Scanned{Status: 200, Ledger: ledger, Items: []wire.KeyValue{{Key: archive.Key(b.High), Value: raw, Revision: mark}}}
+	return Scanned{Status: 200, Ledger: ledger, Items: []wire.KeyValue{{Key: archive.BlockKey(b.High), Value: raw, Revision: mark}}}
 }
 
 func event(key, value string, mark uint64) wire.WatchEvent {
@@ -84,16 +84,16 @@
 	if accepted(out, "wk-5") != nil {
 		t.Fatal("written without a look into the archive")
 	}
-	out = gives(t, c, 1300*time.Millisecond, out, block(t, 9, 10, archive.Entry{ID: "wk-6", Done: 3}))
+	out = gives(t, c, 1300*time.Millisecond, out, block(t, 9, 10, archive.Entry{ID: "wk-6", CompletedTasks: 3}))
 	x := accepted(out, "wk-5")
-	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.Key(archive.Top), Revision: 9}) {
+	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.BlockKey(archive.MaxID), Revision: 9}) {
 		t.Fatalf("got %+v", x)
 	}
 	// Overtaken by a move into that block: it is read again, and holds the job now.
-	c.Handle(1400*time.Millisecond, Committed{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{archive.Key(archive.Top)}}})
+	c.Handle(1400*time.Millisecond, Committed{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{archive.BlockKey(archive.MaxID)}}})
 	c.Advance(1400 * time.Millisecond)
 	out = barrier(c, 1500*time.Millisecond)
-	out = gives(t, c, 1600*time.Millisecond, out, block(t, 12, 12, archive.Entry{ID: "wk-5", Done: 1}))
+	out = gives(t, c, 1600*time.Millisecond, out, block(t, 12, 12, archive.Entry{ID: "wk-5", CompletedTasks: 1}))
 	r := outputs[Reply](out)
 	if len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageDone {
 		t.Errorf("the repeat of an archived job got %+v", r)
@@ -103,7 +103,7 @@
 // All that a user may ask of an archived job is answered as before it moved, and again without a read.
 func TestArchivedJobIsAnswered(t *testing.T) {
 	c := withArchive(t)
-	e := archive.Entry{ID: "wk-7", Cancelled: true, Done: 2, By: "wk-3", Why: []archive.Reason{{Task: 1, Machine: "m-1", Cause: "idle", AtMS: 77}}}
+	e := archive.Entry{ID: "wk-7", Cancelled: true, CompletedTasks: 2, CancelledByJob: "wk-3", StopReasons: []archive.StopReason{{Task: 1, Machine: "m-1", Cause: "idle", AtMS: 77}}}
 	c.Handle(1200*time.Millisecond, Poll{Req: 1, ID: "wk-7"})
 	c.Advance(1200 * time.Millisecond)
 	out := gives(t, c, 1400*time.Millisecond, barrier(c, 1300*time.Millisecond), block(t, 9, 10, e))
@@ -146,7 +146,7 @@
 		if j.waits != 1 || j.final() {
 			t.Fatal("it does not wait")
 		}
-		gives(t, c, 1300*time.Millisecond, out, block(t, 9, 11, archive.Entry{ID: "wk-1", Cancelled: cancelled, Done: 1}))
+		gives(t, c, 1300*time.Millisecond, out, block(t, 9, 11, archive.Entry{ID: "wk-1", Cancelled: cancelled, CompletedTasks: 1}))
 		if !cancelled && (j.waits != 0 || !j.placement.hasUnplacedTasks) || cancelled && (!j.final() || j.cause.id != "wk-1") {
 			t.Errorf("cancelled %v: waits %d, final %v", cancelled, j.waits, j.final())
 		}
@@ -165,7 +165,7 @@
 	c.Handle(1400*time.Millisecond, Loaded{OK: true, Ledger: 20000, Items: []wire.KeyValue{{Key: keyHistory, Value: json.RawMessage("1"), Revision: 10}}})
 	c.Handle(1500*time.Millisecond, Poll{Req: 1, ID: "wk-2"})
 	c.Advance(1500 * time.Millisecond)
-	out := gives(t, c, 1700*time.Millisecond, barrier(c, 1600*time.Millisecond), block(t, 15000, 20000, archive.Entry{ID: "wk-2", Done: 1}))
+	out := gives(t, c, 1700*time.Millisecond, barrier(c, 1600*time.Millisecond), block(t, 15000, 20000, archive.Entry{ID: "wk-2", CompletedTasks: 1}))
 	r := outputs[Reply](out)
 	if len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageDone || len(c.machine("m-1").allocation.assignments) != 0 {
 		t.Errorf("got %+v", r)
@@ -175,7 +175,7 @@
 // A damaged block must not deny a job that it may hold, nor let it be accepted again; all else is served.
 func TestCorruptBlockAnswersForNothing(t *testing.T) {
 	c := withArchive(t)
-	bad := block(t, 9, 10, archive.Entry{ID: "wk-7", Done: 2})
+	bad := block(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2})
 	raw := slices.Clone(bad.Items[0].Value)
 	raw[len(raw)-8]++
 	bad.Items[0].Value = raw
@@ -183,7 +183,7 @@
 	c.Advance(1200 * time.Millisecond)
 	out := gives(t, c, 1400*time.Millisecond, barrier(c, 1300*time.Millisecond), bad)
 	named := slices.ContainsFunc(outputs[Note](out), func(n Note) bool {
-		return n.Level == "error" && strings.Contains(fmt.Sprint(n.Args), archive.Key(archive.Top))
+		return n.Level == "error" && strings.Contains(fmt.Sprint(n.Args), archive.BlockKey(archive.MaxID))
 	})
 	c.Handle(1500*time.Millisecond, submitted("wk-8"))
 	out = append(out, c.Advance(1500*time.Millisecond)...)
@@ -247,7 +247,7 @@
 	c := withArchive(t)
 	c.Handle(1200*time.Millisecond, Poll{Req: 1, ID: "wk-1"}) // brings the block into memory
 	c.Advance(1200 * time.Millisecond)
-	gives(t, c, 1400*time.Millisecond, barrier(c, 1300*time.Millisecond), block(t, 9, 10, archive.Entry{ID: "wk-7", Done: 2}))
+	gives(t, c, 1400*time.Millisecond, barrier(c, 1300*time.Millisecond), block(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2}))
 	c.hist.cold = 3
 	c.Handle(1600*time.Millisecond, Poll{Req: 2, ID: "wk-2"})
 	c.Advance(1600 * time.Millisecond)
@@ -256,7 +256,7 @@
 	if len(outputs[Reply](out)) != 0 {
 		t.Fatalf("answered from an older block: %+v", out)
 	}
-	out = gives(t, c, 2000*time.Millisecond, out, block(t, 28, 30, archive.Entry{ID: "wk-2", Done: 2}))
+	out = gives(t, c, 2000*time.Millisecond, out, block(t, 28, 30, archive.Entry{ID: "wk-2", CompletedTasks: 2}))
 	if r := outputs[Reply](out); len(r) != 1 || r[0].Status != 200 {
 		t.Errorf("got %+v", r)
 	}
@@ -296,7 +296,7 @@
 
 func moves(out []Output) *Commit {
 	for _, o := range outputs[Commit](out) {
-		if slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool { return strings.HasPrefix(w.Put, archive.Prefix) }) {
+		if slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool { return strings.HasPrefix(w.Put, archive.BlockPrefix) }) {
 			return &o
 		}
 	}
@@ -328,7 +328,7 @@
 		}
 	}
 	if deletes != 6 || len(x.Txn.Then) != 7 || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyLeader, Revision: 11}) ||
-		!slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.Key(archive.Top)}) {
+		!slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.BlockKey(archive.MaxID)}) {
 		t.Errorf("got %+v", x.Txn)
 	}
 	c.Handle(at+4*time.Second, Committed{ID: x.ID})
@@ -394,9 +394,9 @@
 	c := withArchive(t)
 	c.Handle(1200*time.Millisecond, Poll{Req: 1, ID: "wk-1"}) // brings the block into memory
 	c.Advance(1200 * time.Millisecond)
-	gives(t, c, 1400*time.Millisecond, barrier(c, 1300*time.Millisecond), block(t, 9, 10, archive.Entry{ID: "wk-7", Done: 2}))
+	gives(t, c, 1400*time.Millisecond, barrier(c, 1300*time.Millisecond), block(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2}))
 	c.Handle(1500*time.Millisecond, submitted("wk-5"))
-	b := archive.Empty().Merge([]archive.Entry{{ID: "wk-5", Done: 1}})
+	b := archive.EmptyBlock().Merge([]archive.Entry{{ID: "wk-5", CompletedTasks: 1}})
 	raw, err := b.Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/core/ledger/ledger_test.go
+++ b/core/jobrecord/record_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobrecord
 
 import (
 	"encoding/json"
@@ -12,19 +12,19 @@
 )
 
 // A packed value that was damaged is an error, never a crash.
-func TestDamagedPackedRecord(t *testing.T) {
-	r := &Record{Place: []Placed{{Zone: "a", Session: 3, Prefix: "m-", Names: []string{"001", "017"}, Runs: []int{1, 2}, Tasks: []uint64{0, 5, 2, 7, 9, 1, 8, 1, 1}}},
-		Done: Ranges{2, 3}, Spec: &wire.JobSpec{Tasks: 10, Dependencies: []string{"wk-1", "wk-12"}}}
+func TestDamagedPackedRecordIsAnError(t *testing.T) {
+	r := &Record{Assignments: []AssignmentGroup{{Zone: "a", Incarnation: 3, NamePrefix: "m-", NameSuffixes: []string{"001", "017"}, RunsPerMachine: []int{1, 2}, TaskRuns: []uint64{0, 5, 2, 7, 9, 1, 8, 1, 1}}},
+		CompletedTasks: TaskSet{2, 3}, Spec: &wire.JobSpec{Tasks: 10, Dependencies: []string{"wk-1", "wk-12"}}}
 	want := *r
 	wantSpec := *r.Spec
-	if err := r.packAll(); err != nil {
+	if err := r.packLists(); err != nil {
 		t.Fatal(err)
 	}
-	plain, err := squeeze.Inflate(r.Packed, mostUnpacked)
+	plain, err := squeeze.Inflate(r.PackedLists, maxUnpackedBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.unpackAll(); err != nil || !reflect.DeepEqual(r.Place, want.Place) || !reflect.DeepEqual(r.Done, want.Done) || !reflect.DeepEqual(*r.Spec, wantSpec) {
+	if err := r.unpackLists(); err != nil || !reflect.DeepEqual(r.Assignments, want.Assignments) || !reflect.DeepEqual(r.CompletedTasks, want.CompletedTasks) || !reflect.DeepEqual(*r.Spec, wantSpec) {
 		t.Fatalf("got %+v %+v (%v)", r, r.Spec, err)
 	}
 	bad := 0
@@ -37,7 +37,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				raw, err := json.Marshal(Record{Packed: packed, Spec: &wire.JobSpec{Tasks: 10}})
+				raw, err := json.Marshal(Record{PackedLists: packed, Spec: &wire.JobSpec{Tasks: 10}})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -78,7 +78,7 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r, err := Decode(raw)
-		if err != nil || len(r.Place) > 20 {
+		if err != nil || len(r.Assignments) > 20 {
 			return
 		}
 		var names, zones []string // machines are interned as they come
@@ -89,42 +89,42 @@
 			names, zones = append(names, name), append(zones, zone)
 			return int32(len(names) - 1)
 		}
-		for _, p := range r.Place { // what no controller writes: it would only be slow
-			for i := 2; i < len(p.Tasks); i += 3 {
-				if p.Tasks[i] > 1000 {
+		for _, p := range r.Assignments { // what no controller writes: it would only be slow
+			for i := 2; i < len(p.TaskRuns); i += 3 {
+				if p.TaskRuns[i] > 1000 {
 					return
 				}
 			}
 		}
-		place := r.Assigned(seat)
+		place := r.ExpandAssignments(seat)
 		again, err := Encode(r, place, false, func(m int32) (string, string) { return names[m], zones[m] })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r, err = Decode(again); err != nil || len(r.Assigned(seat)) != len(place) {
+		if r, err = Decode(again); err != nil || len(r.ExpandAssignments(seat)) != len(place) {
 			t.Fatalf("%s became %s: %v", raw, again, err)
 		}
 	})
 }
 
-func TestRangesStayASet(t *testing.T) {
-	var r Ranges
+func TestTaskSetMembership(t *testing.T) {
+	var r TaskSet
 	for _, v := range []int{5, 3, 4, 9, 0, 8, 5} {
 		r = r.Add(v)
 	}
-	if r.Count() != 6 || len(r) != 6 || !r.Valid(10) || r.Valid(9) {
+	if r.Count() != 6 || len(r) != 6 || !r.IsValid(10) || r.IsValid(9) {
 		t.Fatalf("got %v", r)
 	}
 	for v := 0; v < 10; v++ {
 		want := v == 0 || v >= 3 && v <= 5 || v >= 8
-		if r.Has(v) != want {
+		if r.Contains(v) != want {
 			t.Errorf("has(%d) is %v", v, !want)
 		}
 	}
 }
 
 // A snapshot's jobs keep their order, before all that come after it, also when it is restored again and again.
-func TestRestoredKeepsItsPlace(t *testing.T) {
+func TestRestoredJobsKeepQueueOrder(t *testing.T) {
 	raw := func(r Record) json.RawMessage {
 		r.Spec = &wire.JobSpec{Tasks: 1}
 		out, err := json.Marshal(r)
@@ -135,19 +135,19 @@
 	}
 	before := func(raw json.RawMessage) uint64 {
 		r, err := Decode(raw)
-		if err != nil || r.Turn != 0 || r.Spec == nil {
+		if err != nil || r.EnqueueRevision != 0 || r.Spec == nil {
 			t.Fatal(r, err)
 		}
-		return r.Before
+		return r.RestoreOrder
 	}
 	// Accepted as 10 and written again as 90; as 50, once; restored earlier, first and second.
-	a, b := Restored(raw(Record{Turn: 10}), 90, 100), Restored(raw(Record{}), 50, 100)
-	c, d := Restored(raw(Record{Before: 7, Turn: 3}), 60, 100), Restored(raw(Record{Before: 5, Turn: 3}), 60, 100)
+	a, b := PrepareForRestore(raw(Record{EnqueueRevision: 10}), 90, 100), PrepareForRestore(raw(Record{}), 50, 100)
+	c, d := PrepareForRestore(raw(Record{RestoreOrder: 7, EnqueueRevision: 3}), 60, 100), PrepareForRestore(raw(Record{RestoreOrder: 5, EnqueueRevision: 3}), 60, 100)
 	if !(before(c) > before(d) && before(d) > before(a) && before(a) > before(b) && before(b) > 0) {
 		t.Errorf("%d, %d, %d, %d", before(a), before(b), before(c), before(d))
 	}
 	over := json.RawMessage(`{"h":1,"st":"d"}`)
-	if string(Restored(over, 5, 100)) != string(over) {
+	if string(PrepareForRestore(over, 5, 100)) != string(over) {
 		t.Error("one that is over")
 	}
 }
--- a/core/ledger/restored.go
+++ b/core/jobrecord/restore.go
@@ -1,4 +1,4 @@
-package ledger
+package jobrecord
 
 import (
 	"cmp"
@@ -6,15 +6,15 @@
 	"strconv"
 )
 
-// room is what a record may grow by when its place is put into it, in bytes.
-const room = 40
+// maxRestoreGrowth is what a record may grow by when its place is put into it, in bytes.
+const maxRestoreGrowth = 40
 
-// Restored is a record that is put into another state service, whose revisions begin anew: a queued job keeps its place before all that are
+// PrepareForRestore is a record that is put into another state service, whose revisions begin anew: a queued job keeps its place before all that are
 // accepted from then on, in the order that it had. mark is that of its key, and at the revision that the snapshot shows. A record that nearly fills
 // whole KiB, as limits are, is left as it was.
-func Restored(raw json.RawMessage, mark, at uint64) json.RawMessage {
+func PrepareForRestore(raw json.RawMessage, modRevision, snapshotRevision uint64) json.RawMessage {
 	var m map[string]json.RawMessage
-	if json.Unmarshal(raw, &m) != nil || m["s"] == nil || len(raw)%1024 > 1024-room {
+	if json.Unmarshal(raw, &m) != nil || m["s"] == nil || len(raw)%1024 > 1024-maxRestoreGrowth {
 		return raw
 	}
 	number := func(key string) uint64 {
@@ -24,9 +24,9 @@
 		}
 		return v
 	}
-	before := at + 1 - min(at, cmp.Or(number("nr"), mark))
+	before := snapshotRevision + 1 - min(snapshotRevision, cmp.Or(number("nr"), modRevision))
 	if n := number("ob"); n > 0 { // it was restored before: it stays ahead of those accepted since
-		before = at + 1 + n
+		before = snapshotRevision + 1 + n
 	}
 	m["ob"] = json.RawMessage(strconv.FormatUint(before, 10))
 	delete(m, "nr")
