--- a/core/ledger/message.go
+++ b/core/jobrecord/value.go
@@ -1,4 +1,4 @@
-package ledger
+package jobrecord
 
 import (
 	"encoding/json"
@@ -10,24 +10,24 @@
 	"dewlift/wire"
 )
 
-// packed is a value that is compressed.
-type packed struct {
+// compressedValue is a value that is compressed.
+type compressedValue struct {
 	Data []byte `json:"b"`
 }
 
-func pack(raw []byte) (json.RawMessage, error) {
+func packValue(raw []byte) (json.RawMessage, error) {
 	data, err := squeeze.Deflate(raw)
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(packed{data})
+	return json.Marshal(compressedValue{data})
 }
 
 // PackMessage renders a message as a value.
 func PackMessage(m protobuf.Message) (json.RawMessage, error) {
 	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err == nil {
-		raw, err = pack(raw)
+		raw, err = packValue(raw)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("pack message: %w", err)
@@ -37,11 +37,11 @@
 
 // UnpackMessage is the reverse of PackMessage.
 func UnpackMessage(raw json.RawMessage, m protobuf.Message) error {
-	var v packed
+	var v compressedValue
 	err := json.Unmarshal(raw, &v)
 	if err == nil {
 		var plain []byte
-		if plain, err = squeeze.Inflate(v.Data, mostUnpacked); err == nil {
+		if plain, err = squeeze.Inflate(v.Data, maxUnpackedBytes); err == nil {
 			err = protobuf.Unmarshal(plain, m)
 		}
 	}
@@ -58,19 +58,19 @@
 	if err != nil || len(raw) <= most || !mayPack {
 		return raw, err
 	}
-	return pack(raw)
+	return packValue(raw)
 }
 
 // DecodeCatalog reads machine types, packed or not.
 func DecodeCatalog(raw json.RawMessage) (wire.Catalog, error) {
 	var v struct {
-		packed
+		compressedValue
 		wire.Catalog
 	}
 	err := json.Unmarshal(raw, &v)
 	if err == nil && v.Data != nil {
 		var plain []byte
-		if plain, err = squeeze.Inflate(v.Data, mostUnpacked); err == nil {
+		if plain, err = squeeze.Inflate(v.Data, maxUnpackedBytes); err == nil {
 			err = json.Unmarshal(plain, &v.Catalog)
 		}
 	}
--- a/core/lanes.go
+++ b/core/lanes.go
@@ -9,10 +9,10 @@
 
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"dewlift/ccs"
-	"dewlift/core/ledger"
-	"dewlift/core/links"
-	"dewlift/lanes"
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
+	"dewlift/core/membership"
+	"dewlift/priorityclass"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -23,11 +23,11 @@
 const keyLanes = Root + "lanes"
 
 // ownLane is the lane of a job by its record.
-func (c *Core) ownLane(r *ledger.Record) int {
-	if i, ok := c.priority.classes.Named(r.Lane); ok {
+func (c *Core) ownLane(r *jobrecord.Record) int {
+	if i, ok := c.priority.classes.IndexOf(r.PriorityClass); ok {
 		return i
 	}
-	return c.priority.classes.Of(r.Spec) // it was accepted where there was no list, or its lane is none any more
+	return c.priority.classes.Classify(r.Spec) // it was accepted where there was no list, or its lane is none any more
 }
 
 // laneOf is the lane by which a job is ordered: its own or that of a job that needs it, or one above after it has waited.
@@ -39,7 +39,7 @@
 }
 
 func (c *Core) risen(j *job) int {
-	return c.priority.classes.Risen(j.prio, time.Duration(c.unixMS()-j.turn())*time.Millisecond)
+	return c.priority.classes.EffectiveClass(j.prio, time.Duration(c.unixMS()-j.turn())*time.Millisecond)
 }
 
 // rank is what orders a job: its lane, replicas that it lost, whether it would miss its deadline, its place. A lost zone takes replicas of
@@ -55,12 +55,12 @@
 func (c *Core) rankOf(j *job) rank {
 	switch {
 	case j.accept != nil:
-		return rank{lane: c.priority.classes.Of(&j.accept.spec), nr: math.MaxUint64, at: j.accept.unixMS}
+		return rank{lane: c.priority.classes.Classify(&j.accept.spec), nr: math.MaxUint64, at: j.accept.unixMS}
 	case j.rec == nil || j.rec.Spec == nil:
 		return rank{lane: math.MaxInt}
 	}
-	r := rank{lane: c.laneOf(j), missing: j.queue.missingReplicas, before: j.rec.Before, nr: max(j.queue.enqueueRevision, j.readyAt), at: j.turn()}
-	if r.at < j.rec.AtMS {
+	r := rank{lane: c.laneOf(j), missing: j.queue.missingReplicas, before: j.rec.RestoreOrder, nr: max(j.queue.enqueueRevision, j.readyAt), at: j.turn()}
+	if r.at < j.rec.AcceptedAtMS {
 		r.late = r.at
 	}
 	return r
@@ -78,10 +78,10 @@
 }
 
 // setLanes puts a list in force here; nil: a lane for each priority.
-func (c *Core) setLanes(l *lanes.List, mark uint64) {
+func (c *Core) setLanes(l *priorityclass.List, mark uint64) {
 	c.priority.revision = mark
 	if l == nil {
-		l = lanes.ByPriority(c.cfg.RiseAfter)
+		l = priorityclass.Default(c.cfg.RiseAfter)
 	}
 	c.priority.classes = l
 	var again []*job
@@ -99,10 +99,10 @@
 		return nil
 	}
 	var p pb.Lanes
-	err := ledger.UnpackMessage(raw, &p)
+	err := jobrecord.UnpackMessage(raw, &p)
 	if err == nil {
-		var l *lanes.List
-		if l, err = lanes.New(&p); err == nil {
+		var l *priorityclass.List
+		if l, err = priorityclass.New(&p); err == nil {
 			c.setLanes(l, mark)
 		}
 	}
@@ -117,11 +117,11 @@
 		c.emit(Queue{Open: open})
 	}
 	if c.cfg.Lanes == nil || c.priority.revision != 0 || c.form() < formLanes || c.mute() || !c.leads() || !c.leaseOK() || c.now < c.priority.nextSeedAt ||
-		c.transactions.rateLimit.Paused(c.now) || c.transactions.rateLimit.Writes < 1 {
+		c.transactions.rateLimit.IsPaused(c.now) || c.transactions.rateLimit.WriteTokens < 1 {
 		return
 	}
 	c.priority.nextSeedAt = c.now + 2*time.Second
-	raw, err := ledger.PackMessage(c.cfg.Lanes.Source())
+	raw, err := jobrecord.PackMessage(c.cfg.Lanes.Source())
 	if err != nil || len(raw) > c.cfg.ValueBytes {
 		c.note("error", "the list of lanes does not fit a value", "bytes", len(raw))
 		return
@@ -132,7 +132,7 @@
 
 // changeLanes puts another list in force, for somebody who may. Jobs keep the lane that they were accepted into, if it is still there.
 func (c *Core) changeLanes(in SetLanes) {
-	l, err := lanes.Parse([]byte(in.Text))
+	l, err := priorityclass.Parse([]byte(in.Text))
 	if err != nil {
 		c.reply(in.Req, 400, wire.Error{Error: "lanes: " + err.Error()})
 		return
@@ -146,7 +146,7 @@
 		return
 	}
 	c.afterBarrier(c.ifMay(in.Req, in.By, pb.Verb_administer, "lanes", func() {
-		raw, err := ledger.PackMessage(l.Source())
+		raw, err := jobrecord.PackMessage(l.Source())
 		if err != nil || len(raw) > c.cfg.ValueBytes {
 			c.reply(in.Req, 400, wire.Error{Error: "lanes: too long to be stored"})
 			return
@@ -205,7 +205,7 @@
 // keepShares puts the first job of the lanes below one that takes more than its part ahead of the others that wait for room.
 func (c *Core) keepShares(todo []*job) []*job {
 	for lane := range c.priority.classes.Len() - 1 {
-		if share := c.priority.classes.Share(lane); share == 0 || c.priority.startShares.below(lane) >= share {
+		if share := c.priority.classes.ReservedShare(lane); share == 0 || c.priority.startShares.below(lane) >= share {
 			continue
 		}
 		var first *job
@@ -217,7 +217,7 @@
 				}
 			}
 		}
-		if first == nil || c.controllers.membership.Before(c.now, c.there, links.Wait{Priority: c.risen(first), AtMS: first.turn()}, lane) {
+		if first == nil || c.controllers.membership.HasEarlierWork(c.now, c.there, membership.QueuePosition{Priority: c.risen(first), AtMS: first.turn()}, lane) {
 			continue // what comes first of these lanes is another controller's
 		}
 		first.queue.boostedUntil = c.now + time.Second
@@ -287,7 +287,7 @@
 // queue lists the jobs that have tasks which wait, in the order of work.
 func (c *Core) queue() (list []*job) {
 	for _, j := range c.open {
-		if j.rec != nil && j.rec.Spec != nil && !j.final() && j.rec.Done.Count()+len(j.place) < j.rec.Spec.Tasks {
+		if j.rec != nil && j.rec.Spec != nil && !j.final() && j.rec.CompletedTasks.Count()+len(j.place) < j.rec.Spec.Tasks {
 			j.queue.missingReplicas = c.lostReplicas(j)
 			list = append(list, j)
 		}
@@ -307,8 +307,8 @@
 	j := list[i]
 	s := j.rec.Spec
 	own, by := c.ownLane(j.rec), c.laneOf(j)
-	q := wire.QueuedJob{ID: j.id, Position: i + 1, PriorityClass: c.priority.classes.Name(own), Class: s.Class, Team: s.Team, Tasks: s.Tasks, Done: j.rec.Done.Count(),
-		Assigned: len(j.place), WaitedS: max(0, (c.unixMS()-j.rec.AtMS)/1000)}
+	q := wire.QueuedJob{ID: j.id, Position: i + 1, PriorityClass: c.priority.classes.Name(own), Class: s.Class, Team: s.Team, Tasks: s.Tasks, Done: j.rec.CompletedTasks.Count(),
+		Assigned: len(j.place), WaitedS: max(0, (c.unixMS()-j.rec.AcceptedAtMS)/1000)}
 	if by != own {
 		q.EffectivePriorityClass = c.priority.classes.Name(by)
 	}
@@ -331,12 +331,12 @@
 
 // anyRoom reports whether a task could be placed somewhere, by the array.
 func (c *Core) anyRoom(s *wire.JobSpec, know *[]noRoom) bool {
-	if slices.ContainsFunc(*know, func(x noRoom) bool { return x.spot == s.Spot && ccs.Vec(s.Request).Fits(x.claim) }) {
+	if slices.ContainsFunc(*know, func(x noRoom) bool { return x.spot == s.Spot && clusterstate.Resources(s.Request).Fits(x.claim) }) {
 		return false
 	}
 	any := slices.ContainsFunc(c.alive, func(m *machine) bool {
 		r := c.clusterCopy.state.Row(m.idx)
-		return r != nil && r.Offered && r.Has(s.Request, s.Spot) && c.usable(m) && c.allowed(s, m)
+		return r != nil && r.Schedulable && r.HasRoom(s.Request, s.Spot) && c.usable(m) && c.allowed(s, m)
 	})
 	if !any && s.MachineTypes == nil && s.Zone == "" {
 		*know = append(*know, noRoom{claim: s.Request, spot: s.Spot})
--- a/core/lead.go
+++ b/core/lead.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"dewlift/ccs"
-	"dewlift/core/account"
-	"dewlift/core/ledger"
+	"dewlift/clusterstate"
+	"dewlift/core/allocation"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 
 	"github.com/cespare/xxhash/v2"
@@ -16,16 +16,16 @@
 
 // leadMachine is what the leader keeps about a machine.
 type leadMachine struct {
-	account account.Account
-	told    time.Duration // when a tuple of it came last
-	counted time.Duration // when its row was worked out last; 0: it has none
-	rented  time.Duration // when it was rented, by our clock; 0: not known
-	emptyAt time.Duration // since when it has had no task; 0: it has some
-	cordon  time.Duration // since when it is being returned as idle; 0: it is not
-	closed  bool          // offered last: the rest of the machines has room enough
-	keep    ccs.Vec       // room kept for work that may not use spot machines
-	why     string        // why it must be returned; "": it need not
-	cut     bool          // it is quiet with most of its zone: others are to take its work over
+	account allocation.Tracker
+	told    time.Duration          // when a tuple of it came last
+	counted time.Duration          // when its row was worked out last; 0: it has none
+	rented  time.Duration          // when it was rented, by our clock; 0: not known
+	emptyAt time.Duration          // since when it has had no task; 0: it has some
+	cordon  time.Duration          // since when it is being returned as idle; 0: it is not
+	closed  bool                   // offered last: the rest of the machines has room enough
+	keep    clusterstate.Resources // room kept for work that may not use spot machines
+	why     string                 // why it must be returned; "": it need not
+	cut     bool                   // it is quiet with most of its zone: others are to take its work over
 }
 
 type rental struct {
@@ -39,7 +39,7 @@
 type lead struct {
 	token    uint64
 	since    time.Duration
-	array    *ccs.Array
+	array    *clusterstate.Array
 	acks     map[string]uint64
 	pushAt   time.Duration
 	pushed   time.Duration
@@ -122,7 +122,7 @@
 	if same {
 		return
 	}
-	raw, err := ledger.EncodeCatalog(k, c.cfg.ValueBytes, c.form() >= formAwaits)
+	raw, err := jobrecord.EncodeCatalog(k, c.cfg.ValueBytes, c.form() >= formAwaits)
 	if err != nil || len(raw) > c.cfg.ValueBytes {
 		return
 	}
@@ -140,7 +140,7 @@
 		return
 	}
 	if c.lead == nil || c.lead.token != c.leadership.leader.Token {
-		c.lead = &lead{token: c.leadership.leader.Token, since: c.now, array: ccs.NewArray(), acks: map[string]uint64{},
+		c.lead = &lead{token: c.leadership.leader.Token, since: c.now, array: clusterstate.NewArray(), acks: map[string]uint64{},
 			rentals: map[string]*rental{}, stopped: map[int32]time.Duration{}, blocked: map[pool]time.Duration{}, callsAt: c.now}
 		for _, m := range c.alive {
 			r := m.lead.rented
@@ -186,17 +186,17 @@
 }
 
 // occupied is the room taken on a machine, by the committed assignments and its report.
-func (c *Core) occupied(m *machine) ccs.Vec {
+func (c *Core) occupied(m *machine) clusterstate.Resources {
 	if m.allocation.known {
 		return m.allocation.allocated
 	}
-	var occ ccs.Vec
+	var occ clusterstate.Resources
 	for k, a := range m.allocation.assignments {
-		if p := m.status.tasks[attKey{k.job, k.task, a.Try}]; p.state == wire.TaskExited {
+		if p := m.status.tasks[attKey{k.job, k.task, a.Attempt}]; p.state == wire.TaskExited {
 			continue // ended, only the write of it is not seen yet
 		}
 		if s := c.jobs[k.job].rec.Spec; s != nil {
-			occ = occ.Add(s.Request, 1)
+			occ = occ.AddScaled(s.Request, 1)
 		}
 	}
 	known := true
@@ -204,11 +204,11 @@
 		if p.state == wire.TaskExited {
 			continue
 		}
-		if a, ok := m.allocation.assignments[taskKey{k.job, k.task}]; ok && a.Try == k.try {
+		if a, ok := m.allocation.assignments[taskKey{k.job, k.task}]; ok && a.Attempt == k.try {
 			continue
 		}
 		if r := c.jobs[k.job].rec; r != nil && r.Spec != nil {
-			occ = occ.Add(r.Spec.Request, 1)
+			occ = occ.AddScaled(r.Spec.Request, 1)
 		} else {
 			known = false // its job's record may come, without a change here
 		}
@@ -223,21 +223,21 @@
 	if t == nil {
 		return false
 	}
-	seen := make([]account.Seen, 0, len(m.allocation.assignments))
+	seen := make([]allocation.ObservedTask, 0, len(m.allocation.assignments))
 	for k, a := range m.allocation.assignments {
 		if s := c.jobs[k.job].rec.Spec; s != nil {
-			seen = append(seen, account.Seen{Key: taskHash(c.jobs[k.job].id, k.task, a.Try), Claim: s.Request})
+			seen = append(seen, allocation.ObservedTask{AttemptKey: taskHash(c.jobs[k.job].id, k.task, a.Attempt), Request: s.Request})
 		}
 	}
 	for k, p := range m.status.tasks {
-		if a, ok := m.allocation.assignments[taskKey{k.job, k.task}]; ok && a.Try == k.try || p.state == wire.TaskExited {
+		if a, ok := m.allocation.assignments[taskKey{k.job, k.task}]; ok && a.Attempt == k.try || p.state == wire.TaskExited {
 			continue
 		}
 		if r := c.jobs[k.job].rec; r != nil && r.Spec != nil {
-			seen = append(seen, account.Seen{Key: taskHash(c.jobs[k.job].id, k.task, k.try), Claim: r.Spec.Request})
+			seen = append(seen, allocation.ObservedTask{AttemptKey: taskHash(c.jobs[k.job].id, k.task, k.try), Request: r.Spec.Request})
 		}
 	}
-	c.lead.array.Seed(m.idx, t.Capacity(), m.lead.account.Taken(c.now, seen), c.offered(m))
+	c.lead.array.SetMachine(m.idx, t.Capacity(), m.lead.account.Allocated(c.now, seen), c.offered(m))
 	m.lead.counted = max(1, c.now)
 	return true
 }
@@ -262,7 +262,7 @@
 	for _, t := range d.List {
 		m := c.machine(t.Machine)
 		m.lead.told = c.now
-		m.lead.account.Take(c.now, t.Start, t.Key, t.Claim)
+		m.lead.account.RecordDelta(c.now, t.Start, t.Key, t.Claim)
 	}
 }
 
@@ -276,10 +276,10 @@
 			continue
 		}
 		// Tuples can be lost: a row with open ones is worked out again now and then.
-		if last := max(m.lead.told, m.status.lastChangeAt); last >= m.lead.counted || m.lead.account.Open() && c.now-m.lead.counted > time.Second {
+		if last := max(m.lead.told, m.status.lastChangeAt); last >= m.lead.counted || m.lead.account.HasPending() && c.now-m.lead.counted > time.Second {
 			c.count(m)
 		}
-		l.array.Offer(m.idx, c.offered(m), m.lead.closed, m.lead.keep)
+		l.array.SetOffer(m.idx, c.offered(m), m.lead.closed, m.lead.keep)
 	}
 	p := &Push{Token: l.token, Acks: map[string]uint64{}, After: l.pushRev}
 	for k, v := range l.acks {
@@ -292,12 +292,12 @@
 		l.gone = l.gone[max(0, len(l.gone)-goneKept):]
 		p.Gone = slices.Clone(l.gone)
 	}
-	rows, rev := l.array.Rows(p.After)
+	rows, rev := l.array.ChangedSince(p.After)
 	p.Rev, l.pushRev = rev, rev
 	for _, r := range rows {
 		m := c.machines[r.Machine]
 		p.Rows = append(p.Rows, PushRow{Machine: m.name, Type: m.identity.machineType, Zone: m.identity.zone, Spot: m.identity.spot,
-			Avail: r.Avail, Occ: r.Occ, Keep: r.Keep, Last: r.Last, Closed: !r.Offered})
+			Avail: r.Available, Occ: r.Allocated, Keep: r.Reserved, Last: r.OfferedLast, Closed: !r.Schedulable})
 	}
 	p.Stop, l.stops = l.stops, nil
 	p.Hold = l.hold
@@ -501,7 +501,7 @@
 	for k, a := range m.allocation.assignments {
 		j := c.jobs[k.job]
 		s := j.rec.Spec
-		if s == nil || j.final() || m.status.tasks[attKey{k.job, k.task, a.Try}].state == wire.TaskExited {
+		if s == nil || j.final() || m.status.tasks[attKey{k.job, k.task, a.Attempt}].state == wire.TaskExited {
 			continue
 		}
 		if s.Service {
--- a/core/mistaken.go
+++ b/core/mistaken.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -24,12 +24,12 @@
 )
 
 // failing reports whether a job, by its record, has done nothing but fail of late.
-func failing(r *ledger.Record, nowMS int64) bool {
-	if r == nil || r.Done.Count() > 0 {
+func failing(r *jobrecord.Record, nowMS int64) bool {
+	if r == nil || r.CompletedTasks.Count() > 0 {
 		return false
 	}
 	n := 0
-	for _, w := range r.Why {
+	for _, w := range r.StopReasons {
 		if w.Cause == wire.CauseError && nowMS-w.AtMS < ofLate.Milliseconds() {
 			n++
 		}
@@ -38,9 +38,9 @@
 }
 
 // mistaken reports whether a job, by its record, seems to fail wherever it is started.
-func mistaken(r *ledger.Record, nowMS int64) bool {
+func mistaken(r *jobrecord.Record, nowMS int64) bool {
 	on := ""
-	return failing(r, nowMS) && slices.ContainsFunc(r.Why, func(w ledger.Reason) bool {
+	return failing(r, nowMS) && slices.ContainsFunc(r.StopReasons, func(w jobrecord.StopReason) bool {
 		if w.Cause != wire.CauseError {
 			return false
 		}
@@ -51,11 +51,11 @@
 
 // failedOn lists the machines on which tasks of a job have failed of late. One of which nothing has completed is tried elsewhere first: else its tasks
 // went to the same machine again and again, and neither was told from the other.
-func (c *Core) failedOn(r *ledger.Record) (machines []string) {
-	if r.Done.Count() > 0 {
+func (c *Core) failedOn(r *jobrecord.Record) (machines []string) {
+	if r.CompletedTasks.Count() > 0 {
 		return nil
 	}
-	for _, w := range r.Why {
+	for _, w := range r.StopReasons {
 		if w.Cause == wire.CauseError && c.unixMS()-w.AtMS < elsewhere.Milliseconds() {
 			machines = append(machines, w.Machine)
 		}
@@ -65,15 +65,15 @@
 
 // mostTried is how many tasks of a job that seems to fail everywhere may be assigned at a time: more with each that keeps running. Nothing of a service ever
 // completes, nor soon of an array of long tasks, and one that met a few faulty machines is not to stand still.
-func (c *Core) mostTried(j *job, place []ledger.Asg) int {
+func (c *Core) mostTried(j *job, place []jobrecord.Assignment) int {
 	return 1 + 2*c.steady(j, place)
 }
 
 // steady counts the tasks of a job that keep running.
-func (c *Core) steady(j *job, place []ledger.Asg) (n int) {
+func (c *Core) steady(j *job, place []jobrecord.Assignment) (n int) {
 	for _, a := range place {
 		m := c.machines[a.Machine]
-		if p, ok := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; ok && p.state == wire.TaskRunning && m.status.incarnation == a.Session && c.now-p.since >= steadyAfter {
+		if p, ok := m.status.tasks[attKey{j.idx, a.Task, a.Attempt}]; ok && p.state == wire.TaskRunning && m.status.incarnation == a.Incarnation && c.now-p.since >= steadyAfter {
 			n++
 		}
 	}
@@ -114,11 +114,11 @@
 	if j.rec == nil {
 		return false
 	}
-	return j.rec.Stage == ledger.Done || j.rec.Done.Count() > 0 || j.placement.completedTasks > 0 || c.steady(j, j.place) > 0
+	return j.rec.Stage == jobrecord.Done || j.rec.CompletedTasks.Count() > 0 || j.placement.completedTasks > 0 || c.steady(j, j.place) > 0
 }
 
 // whyFailing says in plain words what becomes of a job that has done nothing but fail of late.
-func whyFailing(r *ledger.Record, nowMS int64) string {
+func whyFailing(r *jobrecord.Record, nowMS int64) string {
 	if mistaken(r, nowMS) {
 		return "nothing of it has completed, and its tasks failed on several machines: it was probably submitted with a mistake; it is tried a task at a time until it is cancelled or one completes"
 	}
--- a/core/mistaken_test.go
+++ b/core/mistaken_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -23,18 +23,18 @@
 		"with machines gone":      {"a error b gone b error c gone c gone c error d gone", true, true},
 		"one of it has completed": {"a error b error done c error d error", false, false},
 	} {
-		r := &ledger.Record{Spec: &wire.JobSpec{Tasks: 9}}
+		r := &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 9}}
 		f := strings.Fields(x.why)
 		for i := 0; i < len(f); i++ {
 			if f[i] == "done" {
-				r.Done = r.Done.Add(0)
+				r.CompletedTasks = r.CompletedTasks.Add(0)
 				continue
 			}
-			r.AddReason(ledger.Reason{Machine: f[i], Cause: f[i+1]})
+			r.AddStopReason(jobrecord.StopReason{Machine: f[i], Cause: f[i+1]})
 			i++
 		}
 		if failing(r, 1000) != x.failing || mistaken(r, 1000) != x.mistaken {
-			t.Errorf("%s: failing %v, mistaken %v: %v", name, failing(r, 1000), mistaken(r, 1000), r.Why)
+			t.Errorf("%s: failing %v, mistaken %v: %v", name, failing(r, 1000), mistaken(r, 1000), r.StopReasons)
 		}
 		if failing(r, 1000+ofLate.Milliseconds()) {
 			t.Errorf("%s: failing for ever", name)
@@ -50,14 +50,14 @@
 		m := c.machine(fmt.Sprint("m-", i))
 		for k := range 3 {
 			j := c.job(fmt.Sprint("wk-", kind, k))
-			j.rec = &ledger.Record{Spec: &wire.JobSpec{Tasks: 9}}
+			j.rec = &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 9}}
 			switch kind {
 			case "mistaken":
 				for n := range 3 {
-					j.rec.AddReason(ledger.Reason{Machine: fmt.Sprint("x", n), Cause: wire.CauseError, AtMS: c.unixMS()})
+					j.rec.AddStopReason(jobrecord.StopReason{Machine: fmt.Sprint("x", n), Cause: wire.CauseError, AtMS: c.unixMS()})
 				}
 			case "sound":
-				j.rec.Done = j.rec.Done.Add(4)
+				j.rec.CompletedTasks = j.rec.CompletedTasks.Add(4)
 			}
 			c.judgeEnd(m, j, wire.CauseError)
 		}
--- a/core/orders.go
+++ b/core/orders.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -88,15 +88,15 @@
 	}
 	for t, at := range m.allocation.assignments {
 		j := c.jobs[t.job]
-		if at.Session != m.status.incarnation || !c.mine(j) {
+		if at.Incarnation != m.status.incarnation || !c.mine(j) {
 			continue
 		}
-		k := attKey{t.job, t.task, at.Try}
+		k := attKey{t.job, t.task, at.Attempt}
 		p, there := m.status.tasks[k]
 		open = open || !there || j.final()
 		switch {
 		case !there && !j.final():
-			if m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested && c.leaseOK() && c.cancelAcks.quorum.Fresh(c.now) && len(j.cancellation.waiters) == 0 {
+			if m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested && c.leaseOK() && c.cancelAcks.quorum.IsFresh(c.now) && len(j.cancellation.waiters) == 0 {
 				add(wire.OpStart, k, 0)
 			}
 		case !there || p.state == wire.TaskExited:
@@ -112,7 +112,7 @@
 	}
 	for k, p := range m.status.tasks {
 		j := c.jobs[k.job]
-		if a, ok := m.allocation.assignments[taskKey{k.job, k.task}]; ok && a.Try == k.try && a.Session == m.status.incarnation || !c.mine(j) {
+		if a, ok := m.allocation.assignments[taskKey{k.job, k.task}]; ok && a.Attempt == k.try && a.Incarnation == m.status.incarnation || !c.mine(j) {
 			continue
 		}
 		open = true
@@ -146,7 +146,7 @@
 		if _, ok := m.status.tasks[k]; ok || a.inFlight || c.now-a.sent < 10*time.Second {
 			continue
 		}
-		if cur, ok := m.allocation.assignments[taskKey{k.job, k.task}]; !ok || cur.Try != k.try {
+		if cur, ok := m.allocation.assignments[taskKey{k.job, k.task}]; !ok || cur.Attempt != k.try {
 			if a.lost < m.status.fencingToken || a.lost == 0 {
 				delete(m.commands.attempts, k)
 			}
@@ -177,7 +177,7 @@
 
 // otherWay is the peer by which a machine that does not answer is tried, every other time.
 func (c *Core) otherWay(m *machine) string {
-	in := c.controllers.membership.InReach(c.now, "")
+	in := c.controllers.membership.ReachableExcept(c.now, "")
 	if m.commands.unanswered%2 == 0 || len(in) == 0 {
 		return ""
 	}
@@ -296,7 +296,7 @@
 			if s == nil || !c.mine(j) || j.final() {
 				continue
 			}
-			k := attKey{t.job, t.Task, t.Try}
+			k := attKey{t.job, t.Task, t.Attempt}
 			a := c.attempt(m, k)
 			p, there := m.status.tasks[k]
 			if a.stop != "" || !there || p.state == wire.TaskExited || p.state == wire.TaskCheckpointing {
@@ -317,7 +317,7 @@
 }
 
 // unproven calls f for each task of a cancelled job that is not proven to be off its machine, with the time since its cancellation.
-func (c *Core) unproven(f func(j *job, a ledger.Asg, m *machine, age time.Duration)) {
+func (c *Core) unproven(f func(j *job, a jobrecord.Assignment, m *machine, age time.Duration)) {
 	for _, j := range c.open {
 		if !j.lingers() {
 			continue
@@ -336,11 +336,11 @@
 // sweepCancels sees to it that cancelled tasks are gone in time: unanswered starts are fenced
 // off with a higher token, and a machine that does not confirm is returned.
 func (c *Core) sweepCancels() (suspects []string) {
-	c.unproven(func(j *job, a ledger.Asg, m *machine, age time.Duration) {
+	c.unproven(func(j *job, a jobrecord.Assignment, m *machine, age time.Duration) {
 		if !c.mine(j) {
 			return
 		}
-		if t := m.commands.attempts[attKey{j.idx, a.Task, a.Try}]; t != nil && t.lost != 0 && m.status.fencingToken <= t.lost && c.leadership.fencingToken <= t.lost {
+		if t := m.commands.attempts[attKey{j.idx, a.Task, a.Attempt}]; t != nil && t.lost != 0 && m.status.fencingToken <= t.lost && c.leadership.fencingToken <= t.lost {
 			c.bump()
 		}
 		if age > time.Duration(c.cfg.CancelShare*float64(c.cfg.CancelIn)) {
@@ -373,11 +373,11 @@
 	}
 	r.at = c.now + rescueEvery
 	due := map[string]bool{}
-	c.unproven(func(j *job, a ledger.Asg, m *machine, age time.Duration) {
+	c.unproven(func(j *job, a jobrecord.Assignment, m *machine, age time.Duration) {
 		share := rescueShare
 		if c.now-max(m.status.lastHeartbeatAt, c.stalls.runningSince) > c.silent() {
 			share = c.cfg.CancelShare
-		} else if _, there := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; !there {
+		} else if _, there := m.status.tasks[attKey{j.idx, a.Task, a.Attempt}]; !there {
 			return // it has ended and was cleared by somebody with newer records; one that may still come is mayComeBack's
 		}
 		if age > time.Duration((share+rescueRank*float64(c.order(m)))*float64(c.cfg.CancelIn)) {
--- a/core/own.go
+++ b/core/own.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"dewlift/core/recorder"
+	"dewlift/core/auditlog"
 	"dewlift/wire"
 )
 
@@ -103,7 +103,7 @@
 
 // own claims absent shards and the leadership, and gives up surplus shards.
 func (c *Core) own() {
-	if c.mute() || !c.leaseOK() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt || c.transactions.rateLimit.Paused(c.now) {
+	if c.mute() || !c.leaseOK() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt || c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
 	node, have := c.controllers.nodeKeys[c.cfg.Name]
@@ -169,7 +169,7 @@
 			t.Compare = append(t.Compare, wire.Compare{Key: keyLeader, Revision: c.leadership.leader.mark})
 			t.Then = append(t.Then, wire.Write{Put: keyLeader, Value: c.heldValue(token), LeaseID: c.ownLease.id})
 		}
-		told = c.carryBeside(&t, "take/"+c.cfg.Name, recorder.Act{Verb: recorder.Take, Object: taken(claims, lead), Why: fmt.Sprintf("token %d", token)})
+		told = c.carryBeside(&t, "take/"+c.cfg.Name, auditlog.Event{Verb: auditlog.VerbTakeOver, Object: taken(claims, lead), Reason: fmt.Sprintf("token %d", token)})
 	} else if ops == 0 && (count > fair || uneven) && c.now >= c.ownership.nextHandoverAt {
 		c.ownership.nextHandoverAt = c.now + 1500*time.Millisecond
 		if i := c.surplus(); i >= 0 {
@@ -254,7 +254,7 @@
 // bump raises the token, so that orders on their way can't be executed any more once the
 // machine has seen it.
 func (c *Core) bump() {
-	if c.leadership.raiseInFlight || c.ownership.claimInFlight || c.now < c.leadership.nextRaiseAt || !c.leaseOK() || c.transactions.rateLimit.Paused(c.now) {
+	if c.leadership.raiseInFlight || c.ownership.claimInFlight || c.now < c.leadership.nextRaiseAt || !c.leaseOK() || c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
 	c.leadership.raiseInFlight = true
--- a/core/peers.go
+++ b/core/peers.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"dewlift/ccs"
-	"dewlift/core/links"
+	"dewlift/clusterstate"
+	"dewlift/core/membership"
 	"dewlift/wire"
 )
 
@@ -17,7 +17,7 @@
 		if peer != "" && peer != to {
 			continue
 		}
-		if by := c.controllers.membership.Way(c.now, to); by != "" {
+		if by := c.controllers.membership.RelayFor(c.now, to); by != "" {
 			via := m
 			via.To, via.From = to, c.cfg.Name
 			c.emit(ToPeer{Peer: by, Msg: via})
@@ -52,7 +52,7 @@
 // a moment after it was accepted: when they were placed with its acceptance, which comes before all placements, new jobs passed those that
 // had waited longest.
 func (c *Core) othersFirst(s *wire.JobSpec) bool {
-	return len(c.priority.firstWaiting) > 0 && c.priority.firstWaiting[0].Priority <= c.priority.classes.Of(s) && (c.priority.firstWaiting[0].Spot || !s.Spot)
+	return len(c.priority.firstWaiting) > 0 && c.priority.firstWaiting[0].Priority <= c.priority.classes.Classify(s) && (c.priority.firstWaiting[0].Spot || !s.Spot)
 }
 
 // waitsBehind reports whether a job that waits comes after another of this controller's that does. When it was looked at by itself, as soon as it
@@ -71,7 +71,7 @@
 	if c.now >= c.controllers.nextHealthAt {
 		c.controllers.nextHealthAt = c.now + c.cfg.HealthEvery
 		c.priority.firstWaiting = c.waitingHere()
-		c.emit(ToPeer{Msg: Msg{Health: &Health{StateOK: c.stateFresh(), Used: c.transactions.rateLimit.Used(c.cfg.HealthEvery), Hears: c.controllers.membership.InReach(c.now, ""), Loading: c.pagesRead(), Wait: c.priority.firstWaiting, Upto: c.heldUpTo()}}})
+		c.emit(ToPeer{Msg: Msg{Health: &Health{StateOK: c.stateFresh(), Used: c.transactions.rateLimit.SampleWriteRate(c.cfg.HealthEvery), Hears: c.controllers.membership.ReachableExcept(c.now, ""), Loading: c.pagesRead(), Wait: c.priority.firstWaiting, Upto: c.heldUpTo()}}})
 		c.shareBudget()
 	}
 }
@@ -186,7 +186,7 @@
 		return
 	}
 	m := in.Msg
-	c.controllers.membership.Heard(c.now, in.Peer)
+	c.controllers.membership.MarkHeard(c.now, in.Peer)
 	if m.To != "" {
 		if m.To != c.cfg.Name {
 			if c.controllers.membership.Peer(m.To) != nil && m.From == in.Peer {
@@ -211,11 +211,11 @@
 	}
 	c.quorumMsg(in.Peer, &m)
 	if m.Health != nil {
-		c.cancelAcks.quorum.Acked(in.Peer, m.Health.Upto)
-		p.StateOK, p.Used, p.Hears, p.Loading = m.Health.StateOK, max(0, m.Health.Used), m.Health.Hears, m.Health.Loading
-		p.Waits = p.Waits[:0]
+		c.cancelAcks.quorum.RecordHeldRevision(in.Peer, m.Health.Upto)
+		p.StoreReachable, p.WriteRate, p.ReachablePeers, p.SnapshotPagesLoaded = m.Health.StateOK, max(0, m.Health.Used), m.Health.Hears, m.Health.Loading
+		p.QueueHeads = p.QueueHeads[:0]
 		for _, w := range m.Health.Wait {
-			p.Waits = append(p.Waits, links.Wait(w))
+			p.QueueHeads = append(p.QueueHeads, membership.QueuePosition(w))
 		}
 	}
 	for _, r := range m.Reports {
@@ -289,7 +289,7 @@
 // may be cut off from each other: the machines of one that had reported to the other are well,
 // but take longer to find a controller in reach than a silent machine is waited for.
 func (l *lead) askOthers(c *Core, quiet []string) {
-	in := c.controllers.membership.InReach(c.now, "")
+	in := c.controllers.membership.ReachableExcept(c.now, "")
 	if len(quiet) == 0 || len(in) == 0 {
 		return
 	}
@@ -305,7 +305,7 @@
 	}
 	for _, x := range p.Stop {
 		m, j := c.machine(x.Machine), c.job(x.Job)
-		if a, ok := m.allocation.assignments[taskKey{j.idx, x.Task}]; ok && a.Try == x.Try && c.mine(j) && !j.final() {
+		if a, ok := m.allocation.assignments[taskKey{j.idx, x.Task}]; ok && a.Attempt == x.Try && c.mine(j) && !j.final() {
 			c.stopTask(m, attKey{j.idx, x.Task, x.Try}, j.rec.Spec, "made room for higher priority")
 		}
 	}
@@ -320,7 +320,7 @@
 		return
 	}
 	c.clusterCopy.leaderToken, c.clusterCopy.revision, c.clusterCopy.countedBatches = p.Token, p.Rev, p.Acks
-	rows := make([]ccs.Row, 0, len(p.Rows))
+	rows := make([]clusterstate.Row, 0, len(p.Rows))
 	for _, r := range p.Rows {
 		m := c.machine(r.Machine)
 		if m.lifecycle.gone {
@@ -329,9 +329,9 @@
 		if m.identity.machineType == "" {
 			m.identity.machineType, m.identity.zone, m.identity.spot = r.Type, r.Zone, r.Spot
 		}
-		rows = append(rows, ccs.Row{Machine: m.idx, Avail: r.Avail, Occ: r.Occ, Keep: r.Keep, Last: r.Last, Offered: !r.Closed})
+		rows = append(rows, clusterstate.Row{Machine: m.idx, Available: r.Avail, Allocated: r.Occ, Reserved: r.Keep, OfferedLast: r.Last, Schedulable: !r.Closed})
 	}
-	var pending []ccs.Delta
+	var pending []clusterstate.Delta
 	for _, from := range sortedKeys(c.deltaLog.uncounted) {
 		// A new leader seeds from reports instead.
 		c.deltaLog.uncounted[from] = slices.DeleteFunc(c.deltaLog.uncounted[from], func(b deltaBatch) bool {
@@ -354,9 +354,9 @@
 }
 
 // tuples appends tuples by the indices of their machines.
-func (c *Core) tuples(list []ccs.Delta, ds []DeltaMsg) []ccs.Delta {
+func (c *Core) tuples(list []clusterstate.Delta, ds []DeltaMsg) []clusterstate.Delta {
 	for _, d := range ds {
-		list = append(list, ccs.Delta{Start: d.Start, Machine: c.machine(d.Machine).idx, Claim: d.Claim})
+		list = append(list, clusterstate.Delta{Start: d.Start, Machine: c.machine(d.Machine).idx, Request: d.Claim})
 	}
 	return list
 }
--- a/core/place.go
+++ b/core/place.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"dewlift/ccs"
-	"dewlift/core/ledger"
-	"dewlift/core/links"
-	"dewlift/core/recorder"
-	"dewlift/core/shared"
+	"dewlift/clusterstate"
+	"dewlift/core/auditlog"
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
+	"dewlift/core/membership"
 	"dewlift/wire"
 )
 
@@ -19,8 +19,8 @@
 type txn struct {
 	props []proposal
 	teams []*team
-	slots map[int]*shared.Draft // that it writes
-	keyed map[int]bool          // and those on whose marks writes of jobs' own keys depend
+	slots map[int]*batchvalue.Draft // that it writes
+	keyed map[int]bool              // and those on whose marks writes of jobs' own keys depend
 	done  func(status int, r wire.TxnResponse)
 	txn   wire.Txn
 }
@@ -28,23 +28,23 @@
 // proposal is a job's next record, to be adopted once it is committed.
 type proposal struct {
 	j       *job
-	rec     *ledger.Record
+	rec     *jobrecord.Record
 	spec    *wire.JobSpec // also there when the record is final
-	place   []ledger.Asg
-	started []ledger.Asg
-	ended   []ledger.Asg
+	place   []jobrecord.Assignment
+	started []jobrecord.Assignment
+	ended   []jobrecord.Assignment
 	size    int // of the record, as it is written
 	accept  bool
 	cancel  bool
-	routine bool           // it only tells of ends
-	starts  bool           // it only starts tasks
-	slot    int            // of a job that was there before
-	shared  bool           // it is in its slot
-	fold    bool           // it is to have its own key
-	acts    []recorder.Act // to be recorded
-	asked   int            // how many of them, the first, are cancellations that users asked for
-	ids     []uint64       // of their entries
-	conds   []wire.Compare // under which a new job can't have been archived, and its user still may
+	routine bool             // it only tells of ends
+	starts  bool             // it only starts tasks
+	slot    int              // of a job that was there before
+	shared  bool             // it is in its slot
+	fold    bool             // it is to have its own key
+	acts    []auditlog.Event // to be recorded
+	asked   int              // how many of them, the first, are cancellations that users asked for
+	ids     []uint64         // of their entries
+	conds   []wire.Compare   // under which a new job can't have been archived, and its user still may
 }
 
 // commit sends a transaction and pays for it.
@@ -52,7 +52,7 @@
 	id := c.id()
 	x.txn = t
 	c.transactions.inFlight[id] = x
-	c.transactions.rateLimit.Txn(len(t.Then))
+	c.transactions.rateLimit.SpendTxn(len(t.Then))
 	c.Stats.Commits++
 	c.emit(Commit{ID: id, Txn: t})
 }
@@ -78,7 +78,7 @@
 		c.shrink(&x.txn)
 	}
 	for _, key := range in.Reply.Failed {
-		c.hist.index.Overtaken(key)
+		c.hist.index.Invalidate(key)
 	}
 	behind := in.Status != 200 && in.Status != 429 && in.Status != 503
 	locked := c.released(x, in.Status, in.Reply.Revision)
@@ -102,14 +102,14 @@
 	for _, p := range x.props {
 		j := p.j
 		j.write.inFlight = false
-		c.recorder().Outcome(p.ids, in.Status)
+		c.recorder().HandleOutcome(p.ids, in.Status)
 		if in.Status == 200 {
 			for _, a := range p.ended {
 				c.freed(j, a)
 			}
 			switch {
 			case p.shared:
-				if c.slot(p.slot).Mark == in.Reply.Revision && j.rec.V == p.rec.V && !j.final() {
+				if c.slot(p.slot).Revision == in.Reply.Revision && j.rec.WriteNumber == p.rec.WriteNumber && !j.final() {
 					c.adopt(j, p.rec, p.place, j.mark, j.stored.bytes)
 				}
 			case in.Reply.Revision > j.mark:
@@ -163,7 +163,7 @@
 			return
 		}
 		for _, n := range slots {
-			c.slot(n).Writing = false
+			c.slot(n).WriteInFlight = false
 		}
 		for _, t := range teams {
 			t.locked = false
@@ -182,19 +182,19 @@
 // delta notes a start or finish for the leader; the own copy already shows starts. A start is
 // noted when its write is sent: the sooner the others know, the fewer choose the same room. If
 // the write fails, an end follows.
-func (c *Core) delta(start bool, j *job, a ledger.Asg, claim ccs.Vec) {
+func (c *Core) delta(start bool, j *job, a jobrecord.Assignment, claim clusterstate.Resources) {
 	m := c.machines[a.Machine]
-	c.deltaLog.unsent = append(c.deltaLog.unsent, DeltaMsg{Start: start, Machine: m.name, Claim: claim, Key: taskHash(j.id, a.Task, a.Try)})
+	c.deltaLog.unsent = append(c.deltaLog.unsent, DeltaMsg{Start: start, Machine: m.name, Claim: claim, Key: taskHash(j.id, a.Task, a.Attempt)})
 	if !start {
-		c.clusterCopy.state.Apply(c.now, ccs.Delta{Machine: a.Machine, Claim: claim})
+		c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Machine: a.Machine, Request: claim})
 		c.placement.capacityFreed = true
 	}
 }
 
 // freed gives back the room of a task that has ended, once. The write of its end may follow
 // later: the room is free for others as soon as the machine says so.
-func (c *Core) freed(j *job, a ledger.Asg) {
-	t := c.attempt(c.machines[a.Machine], attKey{j.idx, a.Task, a.Try})
+func (c *Core) freed(j *job, a jobrecord.Assignment) {
+	t := c.attempt(c.machines[a.Machine], attKey{j.idx, a.Task, a.Attempt})
 	if !t.freed && c.mine(j) && j.rec != nil && j.rec.Spec != nil {
 		t.freed = true
 		c.delta(false, j, a, j.rec.Spec.Request)
@@ -202,17 +202,17 @@
 }
 
 // fate tells whether a task's assignment has ended, with its cause.
-func (c *Core) fate(j *job, a ledger.Asg) (ended bool, cause string) {
+func (c *Core) fate(j *job, a jobrecord.Assignment) (ended bool, cause string) {
 	m := c.machines[a.Machine]
 	switch {
 	case m.lifecycle.gone:
 		return true, "machine gone"
-	case m.status.incarnation > a.Session:
+	case m.status.incarnation > a.Incarnation:
 		return true, "machine lost its lease"
-	case m.status.incarnation < a.Session || !m.status.reported:
+	case m.status.incarnation < a.Incarnation || !m.status.reported:
 		return false, ""
 	}
-	k := attKey{j.idx, a.Task, a.Try}
+	k := attKey{j.idx, a.Task, a.Attempt}
 	p, ok := m.status.tasks[k]
 	if ok {
 		return p.state == wire.TaskExited, p.cause
@@ -272,7 +272,7 @@
 	}
 	// With hundreds of jobs that wait, finding out that nothing can be written now is most of what a turn takes.
 	if c.accepting == 0 && c.now >= c.cancelAcks.waitersUntil && c.now < c.transactions.nextBlockedScanAt &&
-		(c.transactions.rateLimit.Paused(c.now) || inflight >= 3 || c.transactions.rateLimit.Reads < 1 || c.transactions.rateLimit.Writes < 1+writesKept) {
+		(c.transactions.rateLimit.IsPaused(c.now) || inflight >= 3 || c.transactions.rateLimit.ReadTokens < 1 || c.transactions.rateLimit.WriteTokens < 1+writesKept) {
 		return
 	}
 	c.transactions.nextBlockedScanAt = c.now + scanGap
@@ -302,14 +302,14 @@
 	}
 	c.transactions.backlog = len(todo)
 	// What users wait for goes out sooner: a full budget or slow answers hold it back less.
-	paused, most, reads := c.transactions.rateLimit.Paused(c.now), 3, 1.0
+	paused, most, reads := c.transactions.rateLimit.IsPaused(c.now), 3, 1.0
 	if slices.ContainsFunc(todo, func(j *job) bool { return c.urgency(j) <= urgentAccept }) {
-		paused, most, reads = c.transactions.rateLimit.PausedAll(c.now), 6, -c.transactions.rateLimit.ReadRate/2
+		paused, most, reads = c.transactions.rateLimit.IsUrgentPaused(c.now), 6, -c.transactions.rateLimit.ReadRate/2
 	}
-	if paused || inflight >= most || !c.leaseOK() || len(todo) == 0 || c.transactions.rateLimit.Reads < reads {
+	if paused || inflight >= most || !c.leaseOK() || len(todo) == 0 || c.transactions.rateLimit.ReadTokens < reads {
 		return
 	}
-	if most == 3 && c.transactions.rateLimit.Writes < 1+writesKept {
+	if most == 3 && c.transactions.rateLimit.WriteTokens < 1+writesKept {
 		return // nothing could be written: with thousands of jobs to look at, that is not worth finding out
 	}
 	// A team's key is one more change for each transaction. Where changes are few and many jobs
@@ -320,7 +320,7 @@
 			many++
 		}
 	}
-	if most == 3 && many >= gatherMany && c.transactions.rateLimit.Writes < 0.7*c.transactions.rateLimit.Burst(c.cfg.TxnOps) {
+	if most == 3 && many >= gatherMany && c.transactions.rateLimit.WriteTokens < 0.7*c.transactions.rateLimit.WriteBurst(c.cfg.TxnOps) {
 		return
 	}
 	// Ends of tasks share writes: the more jobs run, the longer they wait for others.
@@ -404,7 +404,7 @@
 	t     wire.Txn
 	bytes int
 	shard map[int]bool
-	slots map[int]*shared.Draft
+	slots map[int]*batchvalue.Draft
 	keyed map[int]bool
 
 	waitedFor bool // users wait for it
@@ -431,10 +431,10 @@
 		b.waitedFor = true
 		cost -= c.writeRPS() / 2
 	}
-	if b.changes()+3 > c.cfg.TxnOps || len(b.props) >= propsMost || b.bytes > 40<<10 || c.transactions.rateLimit.Writes < cost {
+	if b.changes()+3 > c.cfg.TxnOps || len(b.props) >= propsMost || b.bytes > 40<<10 || c.transactions.rateLimit.WriteTokens < cost {
 		return false
 	}
-	if slot >= 0 && c.slot(slot).Writing && c.form() >= formShared {
+	if slot >= 0 && c.slot(slot).WriteInFlight && c.form() >= formShared {
 		j.write.nextLookAt = c.now + slotAgain
 		return true
 	}
@@ -453,15 +453,15 @@
 		return false
 	}
 	// What nobody waits for leaves a part of the budget to what somebody does.
-	if p.routine && c.transactions.rateLimit.Writes < cost+c.transactions.rateLimit.WriteRate*0.2 {
+	if p.routine && c.transactions.rateLimit.WriteTokens < cost+c.transactions.rateLimit.WriteRate*0.2 {
 		j.write.nextLookAt = c.now + 100*time.Millisecond
 		return true
 	}
-	old := p.rec.Carried
+	old := p.rec.PendingAudit
 	if j.cancellation.markerRevision != 0 && p.rec.Spec == nil { // its mark goes
 		old = append(slices.Clone(old), j.cancellation.markerAudit...)
 	}
-	if entry := c.entryOf(p); entry != nil && b.slots[slot] == nil && c.slot(slot).Keyed > 0 {
+	if entry := c.entryOf(p); entry != nil && b.slots[slot] == nil && c.slot(slot).JobKeyWritesInFlight > 0 {
 		c.undo(p)
 		j.write.nextLookAt = c.now + slotAgain
 		return true
@@ -471,9 +471,9 @@
 		return true
 	}
 	if c.form() >= formShared {
-		p.rec.V++
+		p.rec.WriteNumber++
 	}
-	p.rec.Carried, p.ids = c.recorder().Carry(keyJob+j.id, j.mark, old, p.acts)
+	p.rec.PendingAudit, p.ids = c.recorder().AttachEntries(keyJob+j.id, j.mark, old, p.acts)
 	raw, err := c.fitValue(p)
 	if err != nil || len(raw) > c.cfg.ValueBytes {
 		// An older version may have stored it under larger limits, or its tasks end in an order that
@@ -482,13 +482,13 @@
 		c.undo(p)
 		j.write.nextLookAt = c.now + time.Second
 		if p.cancel && c.form() >= formAwaits {
-			c.markCancelled(j, p.rec.CancelMS, p.conds, p.acts[:p.asked])
+			c.markCancelled(j, p.rec.CancelledAtMS, p.conds, p.acts[:p.asked])
 		}
 		return true
 	}
 	p.size = len(raw)
 	if p.starts && len(p.started) == 0 {
-		c.recorder().Unsent(p.ids)
+		c.recorder().DiscardEntries(p.ids)
 		// No start fits the value before others of its tasks have ended. Without this, such a job
 		// was written again and again as it was, and the others starved.
 		j.write.nextLookAt = c.now + time.Second
@@ -496,7 +496,7 @@
 	}
 	b.onShard(p)
 	if n := slot; n >= 0 && c.form() >= formShared {
-		b.need(wire.Compare{Key: slotKey(n), Revision: c.slot(n).Mark})
+		b.need(wire.Compare{Key: slotKey(n), Revision: c.slot(n).Revision})
 		switch {
 		case !c.mine(j): // its holder may be about to write the slot, and must not without knowing of this
 			b.drop(n, j.id)
@@ -570,7 +570,7 @@
 	for {
 		starts := len(p.started)
 		raw, err := c.encodeRecord(p.rec, p.place, false)
-		if err != nil || len(raw) <= c.cfg.ValueBytes*7/8 && len(raw)+p.rec.Growth(p.place) <= c.cfg.ValueBytes {
+		if err != nil || len(raw) <= c.cfg.ValueBytes*7/8 && len(raw)+p.rec.MaxGrowth(p.place) <= c.cfg.ValueBytes {
 			return raw, err
 		}
 		if c.form() >= formAwaits {
@@ -585,9 +585,9 @@
 			c.undo(&proposal{started: p.started[starts-n:], spec: p.spec})
 			p.started = p.started[:starts-n]
 			p.place = p.place[:len(p.place)-n]
-			p.rec.Tries -= uint64(n)
-		case len(raw) > c.cfg.ValueBytes && len(p.rec.Why) > 0:
-			p.rec.Why = nil
+			p.rec.LastAttempt -= uint64(n)
+		case len(raw) > c.cfg.ValueBytes && len(p.rec.StopReasons) > 0:
+			p.rec.StopReasons = nil
 		default:
 			return raw, nil
 		}
@@ -596,9 +596,9 @@
 
 // undo gives back the room of starts that were not committed.
 func (c *Core) undo(p *proposal) {
-	c.recorder().Unsent(p.ids)
+	c.recorder().DiscardEntries(p.ids)
 	for _, a := range p.started {
-		c.clusterCopy.state.Apply(c.now, ccs.Delta{Machine: a.Machine, Claim: p.spec.Request})
+		c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Machine: a.Machine, Request: p.spec.Request})
 	}
 }
 
@@ -648,22 +648,22 @@
 			return nil, c.lookFor(j)
 		}
 		if d := c.may(j.accept.by, submission(&spec)); !d.Allowed {
-			c.settleAccept(j, 403, d.Why)
+			c.settleAccept(j, 403, d.Reason)
 			return nil, 0
 		}
 		s := c.pickShard()
 		lane := ""
 		if c.priority.revision != 0 && c.form() >= formLanes {
-			lane = c.priority.classes.Name(c.priority.classes.Of(&spec))
+			lane = c.priority.classes.Name(c.priority.classes.Classify(&spec))
 		}
-		rec := &ledger.Record{Lane: lane, Shard: s, Spec: &spec, AtMS: j.accept.unixMS, Who: j.accept.by.Who}
+		rec := &jobrecord.Record{PriorityClass: lane, Shard: s, Spec: &spec, AcceptedAtMS: j.accept.unixMS, Submitter: j.accept.by.Who}
 		p = &proposal{j: j, rec: rec, spec: rec.Spec, accept: true, conds: append(c.onRights(j.accept.by), unless),
-			acts: []recorder.Act{actOf(j.accept.by, "submit", j.id, fmt.Sprintf("%s %s %s", spec.Team, spec.Class, wire.PriorityName(spec.Priority)))}}
+			acts: []auditlog.Event{actOf(j.accept.by, "submit", j.id, fmt.Sprintf("%s %s %s", spec.Team, spec.Class, wire.PriorityName(spec.Priority)))}}
 		left, _, cancelled := c.unmet(&spec)
 		if cancelled != nil {
-			p.rec = &ledger.Record{Shard: s, Stage: ledger.Cancelled, CancelMS: c.unixMS(), By: cancelled.id}
+			p.rec = &jobrecord.Record{Shard: s, Stage: jobrecord.Cancelled, CancelledAtMS: c.unixMS(), CancelledByJob: cancelled.id}
 			c.keepGroup(p.rec, &spec)
-			p.acts = append(p.acts, recorder.Act{Verb: "cancel", Object: j.id, Why: "needs " + cancelled.id})
+			p.acts = append(p.acts, auditlog.Event{Verb: "cancel", Object: j.id, Reason: "needs " + cancelled.id})
 			return p, 0
 		}
 		spec.Dependencies = left // what is over needs no keeping
@@ -683,18 +683,18 @@
 	}
 	j.write.waitsForEnds = false
 	rec := *j.rec
-	rec.Why = slices.Clone(j.rec.Why)
+	rec.StopReasons = slices.Clone(j.rec.StopReasons)
 	if c.form() >= formLanes {
-		rec.Turn = j.queue.enqueueRevision
+		rec.EnqueueRevision = j.queue.enqueueRevision
 	}
 	p = &proposal{j: j, rec: &rec, spec: j.rec.Spec}
-	if len(j.cancellation.waiters) > 0 && rec.Stage == ledger.Queued {
+	if len(j.cancellation.waiters) > 0 && rec.Stage == jobrecord.Queued {
 		p.conds = c.stillMay(j)
 	}
-	if len(j.cancellation.waiters) > 0 && rec.Stage == ledger.Queued {
+	if len(j.cancellation.waiters) > 0 && rec.Stage == jobrecord.Queued {
 		p.cancel = true
-		rec.Stage = ledger.Cancelled
-		rec.CancelMS = j.cancellation.requestedMS
+		rec.Stage = jobrecord.Cancelled
+		rec.CancelledAtMS = j.cancellation.requestedMS
 		for _, x := range j.cancellation.waiters {
 			if a := actOf(x.by, "cancel", j.id, ""); !slices.Contains(p.acts, a) {
 				p.acts = append(p.acts, a)
@@ -702,10 +702,10 @@
 		}
 		p.asked = len(p.acts)
 	}
-	ended := j.cause != nil && rec.Stage == ledger.Queued // with a job that it needs
+	ended := j.cause != nil && rec.Stage == jobrecord.Queued // with a job that it needs
 	if ended {
-		rec.Stage, rec.By, rec.CancelMS = ledger.Cancelled, j.cause.id, c.unixMS()
-		p.acts = append(p.acts, recorder.Act{Verb: "cancel", Object: j.id, Why: "needs " + j.cause.id})
+		rec.Stage, rec.CancelledByJob, rec.CancelledAtMS = jobrecord.Cancelled, j.cause.id, c.unixMS()
+		p.acts = append(p.acts, auditlog.Event{Verb: "cancel", Object: j.id, Reason: "needs " + j.cause.id})
 	}
 	if !c.mine(j) {
 		if !p.cancel {
@@ -715,12 +715,12 @@
 		return p, 0
 	}
 	// Where changes are left over, a full slot is made roomy again.
-	crowded := c.transactions.rateLimit.Writes >= 0.9*c.transactions.rateLimit.Burst(c.cfg.TxnOps) && c.slot(c.slotOf(j.id, j.rec)).Crowded(c.mostShared())
+	crowded := c.transactions.rateLimit.WriteTokens >= 0.9*c.transactions.rateLimit.WriteBurst(c.cfg.TxnOps) && c.slot(c.slotOf(j.id, j.rec)).IsNearlyFull(c.mostShared())
 	overlaid := (j.stored.needsOwnKey || crowded) && c.entryOn(j.id, j.rec) != nil
 	p.fold = j.stored.needsOwnKey || overlaid
 	changed := overlaid || p.cancel || ended || j.stored.bytes > c.cfg.ValueBytes && c.form() >= formAwaits
 	quick := p.cancel
-	var stopped []ledger.Reason
+	var stopped []jobrecord.StopReason
 	for _, a := range j.place {
 		ended, cause := c.fate(j, a)
 		if !ended {
@@ -729,35 +729,35 @@
 		}
 		changed = true
 		p.ended = append(p.ended, a)
-		if cause == wire.CauseDone && rec.Stage == ledger.Queued {
-			rec.Done = rec.Done.Add(int(a.Task))
+		if cause == wire.CauseDone && rec.Stage == jobrecord.Queued {
+			rec.CompletedTasks = rec.CompletedTasks.Add(int(a.Task))
 			j.placement.failures = 0
 			continue
 		}
 		quick = true
 		m := c.machines[a.Machine]
-		if rec.Stage == ledger.Queued {
-			if t := m.commands.attempts[attKey{j.idx, a.Task, a.Try}]; t != nil && t.stop != "" && cause == wire.CauseStopped {
+		if rec.Stage == jobrecord.Queued {
+			if t := m.commands.attempts[attKey{j.idx, a.Task, a.Attempt}]; t != nil && t.stop != "" && cause == wire.CauseStopped {
 				cause = t.stop
 			}
-			stopped = append(stopped, ledger.Reason{Task: int(a.Task), Machine: m.name, Cause: cause, AtMS: c.unixMS()})
-			rec.AddReason(stopped[len(stopped)-1])
+			stopped = append(stopped, jobrecord.StopReason{Task: int(a.Task), Machine: m.name, Cause: cause, AtMS: c.unixMS()})
+			rec.AddStopReason(stopped[len(stopped)-1])
 			c.blame(j, m, cause, a, mistaken(&rec, c.unixMS()))
 		}
 	}
 	p.acts = append(p.acts, stopsOf(j.id, stopped)...)
 	switch {
-	case rec.Stage == ledger.Cancelled && len(p.place) == 0:
-		rec = ledger.Record{Shard: rec.Shard, Stage: ledger.Cancelled, Done: rec.Done, Why: rec.Why, By: rec.By, Carried: rec.Carried}
+	case rec.Stage == jobrecord.Cancelled && len(p.place) == 0:
+		rec = jobrecord.Record{Shard: rec.Shard, Stage: jobrecord.Cancelled, CompletedTasks: rec.CompletedTasks, StopReasons: rec.StopReasons, CancelledByJob: rec.CancelledByJob, PendingAudit: rec.PendingAudit}
 		c.keepGroup(&rec, p.spec)
 		changed = true
-	case rec.Stage == ledger.Queued && rec.Done.Count() == rec.Spec.Tasks:
-		c.note("debug", "job done", "job", j.id, "class", rec.Spec.Class, "team", rec.Spec.Team, "tasks", rec.Spec.Tasks, "tries", rec.Tries,
-			"estimate_s", rec.Spec.EstimatedRuntimeMS/1000, "took_ms", c.unixMS()-rec.AtMS, "placed_ms", j.placement.lastPlacedMS-rec.AtMS, "why", rec.Why)
-		rec = ledger.Record{Shard: rec.Shard, Stage: ledger.Done, Done: ledger.Ranges{0, rec.Spec.Tasks - 1}, Carried: rec.Carried}
+	case rec.Stage == jobrecord.Queued && rec.CompletedTasks.Count() == rec.Spec.Tasks:
+		c.note("debug", "job done", "job", j.id, "class", rec.Spec.Class, "team", rec.Spec.Team, "tasks", rec.Spec.Tasks, "tries", rec.LastAttempt,
+			"estimate_s", rec.Spec.EstimatedRuntimeMS/1000, "took_ms", c.unixMS()-rec.AcceptedAtMS, "placed_ms", j.placement.lastPlacedMS-rec.AcceptedAtMS, "why", rec.StopReasons)
+		rec = jobrecord.Record{Shard: rec.Shard, Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, rec.Spec.Tasks - 1}, PendingAudit: rec.PendingAudit}
 		c.keepGroup(&rec, p.spec)
 		changed, quick = true, true
-	case rec.Stage == ledger.Queued && j.waits == 0:
+	case rec.Stage == jobrecord.Queued && j.waits == 0:
 		before := len(p.place)
 		again = c.assign(p, b)
 		if len(p.place) > before {
@@ -765,7 +765,7 @@
 			changed, quick = true, true
 			j.placement.lastPlacedMS = c.unixMS()
 			c.note("debug", "tasks placed late", "job", j.id, "class", rec.Spec.Class, "tasks", len(p.place)-before,
-				"after_ms", j.placement.lastPlacedMS-rec.AtMS, "tries", rec.Tries, "spread", rec.Spec.Spread, "why", rec.Why)
+				"after_ms", j.placement.lastPlacedMS-rec.AcceptedAtMS, "tries", rec.LastAttempt, "spread", rec.Spec.Spread, "why", rec.StopReasons)
 		}
 	}
 	if !changed {
@@ -784,7 +784,7 @@
 }
 
 // keepGroup keeps in an ended job's record what its readers' rights depend on.
-func (c *Core) keepGroup(r *ledger.Record, s *wire.JobSpec) {
+func (c *Core) keepGroup(r *jobrecord.Record, s *wire.JobSpec) {
 	if c.guarded() {
 		r.Team, r.Class = s.Team, s.Class
 	}
@@ -815,8 +815,8 @@
 }
 
 // blame draws conclusions from a task's failure.
-func (c *Core) blame(j *job, m *machine, cause string, a ledger.Asg, mistaken bool) {
-	t := m.commands.attempts[attKey{j.idx, a.Task, a.Try}]
+func (c *Core) blame(j *job, m *machine, cause string, a jobrecord.Assignment, mistaken bool) {
+	t := m.commands.attempts[attKey{j.idx, a.Task, a.Attempt}]
 	if t == nil || t.blamed {
 		return
 	}
@@ -857,7 +857,7 @@
 
 // noRoom is a claim for which no machine had room, as a job that comes at this place in the order of work found.
 type noRoom struct {
-	claim ccs.Vec
+	claim clusterstate.Resources
 	spot  bool
 	held  bool          // some may have had, but it is held for more important work
 	until time.Duration // some had, which is left to others until then; 0: none had
@@ -870,7 +870,7 @@
 func (c *Core) full(s *wire.JobSpec, prio int, at int64, held bool) bool {
 	return slices.ContainsFunc(c.placement.unplaceable, func(x noRoom) bool {
 		switch {
-		case x.spot != s.Spot || !ccs.Vec(s.Request).Fits(x.claim) || x.held && !held:
+		case x.spot != s.Spot || !clusterstate.Resources(s.Request).Fits(x.claim) || x.held && !held:
 			return false
 		case x.until == 0:
 			return true
@@ -886,7 +886,7 @@
 // priority and age began two minutes apart, by whose they were.
 func (c *Core) turn(machine int32, o places) time.Duration {
 	r, m := c.clusterCopy.state.Row(machine), c.machines[machine]
-	if r == nil || !c.clusterCopy.state.Valid(c.now) {
+	if r == nil || !c.clusterCopy.state.IsFresh(c.now) {
 		return 0
 	}
 	x := o[0]
@@ -897,7 +897,7 @@
 	if rank == 0 {
 		return 0
 	}
-	return max(0, r.Since()+c.courtesy()+time.Duration(rank-1)*c.newsTake()-c.now)
+	return max(0, r.RoomFreedAt()+c.courtesy()+time.Duration(rank-1)*c.newsTake()-c.now)
 }
 
 // places tell how many other controllers come before a job, and how many are alike, on ordinary and on spot machines.
@@ -905,7 +905,7 @@
 
 func (c *Core) placesOf(priority int, atMS int64) (o places) {
 	for i := range o {
-		o[i].before, o[i].alike = c.controllers.membership.Order(c.now, c.there, links.Wait{Priority: priority, AtMS: atMS}, i == 1)
+		o[i].before, o[i].alike = c.controllers.membership.CountCompetitors(c.now, c.there, membership.QueuePosition{Priority: priority, AtMS: atMS}, i == 1)
 	}
 	return o
 }
@@ -961,15 +961,15 @@
 			limit = min(limit, int((t.GPUMax-t.gpu-u[1])/s.Request[1]))
 		}
 	}
-	prio, at := c.priority.classes.Of(s), p.rec.AtMS
+	prio, at := c.priority.classes.Classify(s), p.rec.AcceptedAtMS
 	if !p.accept {
 		prio, at = c.laneOf(p.j), p.j.turn()
 	}
-	held := c.clusterCopy.capacityHold != nil && prio > c.clusterCopy.capacityHold.Priority && c.clusterCopy.state.Valid(c.now)
+	held := c.clusterCopy.capacityHold != nil && prio > c.clusterCopy.capacityHold.Priority && c.clusterCopy.state.IsFresh(c.now)
 	if limit <= 0 || c.full(s, prio, at, held) {
 		return 0
 	}
-	tasks := p.rec.Waiting(p.place, limit)
+	tasks := p.rec.UnassignedTasks(p.place, limit)
 	if len(tasks) == 0 {
 		return 0
 	}
@@ -987,21 +987,21 @@
 		}
 	}
 	others, shun := c.placesOf(prio, at), c.failedOn(p.rec)
-	ask := ccs.Ask{N: int(math.Ceil(c.cfg.ProbeRatio * float64(len(tasks)))), Claim: s.Request, Fill: c.cfg.RandomFill, Keep: s.Spot,
-		Allow: func(i int32) bool {
+	ask := clusterstate.CandidateQuery{Count: int(math.Ceil(c.cfg.ProbeRatio * float64(len(tasks)))), Request: s.Request, FillRandomly: c.cfg.RandomFill, HonorReserved: s.Spot,
+		IsAllowed: func(i int32) bool {
 			m := c.machines[i]
-			return c.usable(m) && c.allowed(s, m) && !slices.Contains(shun, m.name) && (only == "" || m.identity.zone == only) && !(held && c.clusterCopy.state.Row(i).Avail.Fits(c.clusterCopy.capacityHold.Claim))
+			return c.usable(m) && c.allowed(s, m) && !slices.Contains(shun, m.name) && (only == "" || m.identity.zone == only) && !(held && c.clusterCopy.state.Row(i).Available.Fits(c.clusterCopy.capacityHold.Claim))
 		}}
-	if !c.clusterCopy.state.Valid(c.now) {
+	if !c.clusterCopy.state.IsFresh(c.now) {
 		for _, m := range c.alive {
 			if m.status.reported && !m.lifecycle.gone {
-				ask.Others = append(ask.Others, m.idx)
+				ask.OtherMachines = append(ask.OtherMachines, m.idx)
 			}
 		}
 	}
-	ask.Far = func(i int32) int { return c.order(c.machines[i]) }
+	ask.DistanceOf = func(i int32) int { return c.order(c.machines[i]) }
 	est := time.Duration(s.EstimatedRuntimeMS) * time.Millisecond
-	ask.Tier = func(i int32) int {
+	ask.TierOf = func(i int32) int {
 		m, t := c.machines[i], 0
 		h := c.horizon(m)
 		if c.cfg.PreferSpot && s.Spot && !m.identity.spot && h < forever {
@@ -1031,8 +1031,8 @@
 		return n
 	}
 	var early time.Duration // until the first room that is another's to take now; 0: there is none
-	allow := ask.Allow
-	ask.Allow = func(i int32) bool {
+	allow := ask.IsAllowed
+	ask.IsAllowed = func(i int32) bool {
 		if !allow(i) || s.Spread && zones[c.machines[i].identity.zone] >= most {
 			return false
 		}
@@ -1046,10 +1046,10 @@
 	for len(tasks) > 0 {
 		before := full()
 		cands := c.clusterCopy.state.Candidates(c.now, ask, c.rng)
-		if at := c.now + early; early > 0 && len(cands) < ask.N && (c.placement.yieldedUntil == 0 || at < c.placement.yieldedUntil) {
+		if at := c.now + early; early > 0 && len(cands) < ask.Count && (c.placement.yieldedUntil == 0 || at < c.placement.yieldedUntil) {
 			c.placement.yieldedUntil = at
 		}
-		if len(cands) == 0 && s.Zone == "" && s.MachineTypes == nil && only == "" && before == 0 && c.clusterCopy.state.Valid(c.now) {
+		if len(cands) == 0 && s.Zone == "" && s.MachineTypes == nil && only == "" && before == 0 && c.clusterCopy.state.IsFresh(c.now) {
 			x := noRoom{claim: s.Request, spot: s.Spot, held: held, prio: prio, at: at}
 			if early > 0 {
 				x.until = c.now + early
@@ -1064,8 +1064,8 @@
 				}
 				m := c.machines[mi]
 				r := c.clusterCopy.state.Row(mi)
-				if r == nil || !r.Has(s.Request, s.Spot) {
-					if untried[mi] || c.clusterCopy.state.Valid(c.now) && !c.cfg.RandomFill {
+				if r == nil || !r.HasRoom(s.Request, s.Spot) {
+					if untried[mi] || c.clusterCopy.state.IsFresh(c.now) && !c.cfg.RandomFill {
 						continue
 					}
 					untried[mi] = true
@@ -1079,13 +1079,13 @@
 				if s.OneZone {
 					only = m.identity.zone // the first task decides where no zone could be preferred
 				}
-				p.rec.Tries++
-				a := ledger.Asg{Task: tasks[0], Machine: mi, Session: m.status.incarnation, Try: p.rec.Tries}
+				p.rec.LastAttempt++
+				a := jobrecord.Assignment{Task: tasks[0], Machine: mi, Incarnation: m.status.incarnation, Attempt: p.rec.LastAttempt}
 				tasks = tasks[1:]
 				p.place = append(p.place, a)
 				p.started = append(p.started, a)
 				zones[m.identity.zone]++
-				c.clusterCopy.state.Apply(c.now, ccs.Delta{Start: true, Machine: mi, Claim: s.Request})
+				c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Start: true, Machine: mi, Request: s.Request})
 				progress = true
 			}
 		}
@@ -1124,9 +1124,9 @@
 }
 
 // leftOf is how long an assigned task should still take, by its owner's estimate.
-func (c *Core) leftOf(j *job, m *machine, a ledger.Asg) time.Duration {
+func (c *Core) leftOf(j *job, m *machine, a jobrecord.Assignment) time.Duration {
 	left := time.Duration(j.rec.Spec.EstimatedRuntimeMS) * time.Millisecond
-	switch p := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; p.state {
+	switch p := m.status.tasks[attKey{j.idx, a.Task, a.Attempt}]; p.state {
 	case wire.TaskExited:
 		return 0
 	case wire.TaskRunning:
@@ -1150,8 +1150,8 @@
 func (c *Core) bestZone(s *wire.JobSpec) string {
 	room := map[string]int64{}
 	for _, m := range c.alive {
-		if r := c.clusterCopy.state.Row(m.idx); r != nil && r.Offered && c.usable(m) && c.allowed(s, m) {
-			room[m.identity.zone] += capacity(r.Avail, s.Request)
+		if r := c.clusterCopy.state.Row(m.idx); r != nil && r.Schedulable && c.usable(m) && c.allowed(s, m) {
+			room[m.identity.zone] += capacity(r.Available, s.Request)
 		}
 	}
 	best := ""
--- a/core/plan.go
+++ b/core/plan.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"dewlift/ccs"
-	"dewlift/core/ledger"
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -29,7 +29,7 @@
 }
 
 // sawJob keeps the mean size of the jobs of a class, for spare room.
-func (c *Core) sawJob(r *ledger.Record) {
+func (c *Core) sawJob(r *jobrecord.Record) {
 	if c.autoscaler.classStats == nil {
 		c.autoscaler.classStats = map[string]*classStat{}
 	}
@@ -41,10 +41,10 @@
 	}
 	st.square += (float64(r.Spec.Tasks)*float64(r.Spec.Tasks) - st.square) / 16
 	st.tasks += (float64(r.Spec.Tasks) - st.tasks) / 8
-	if at := time.Duration(r.AtMS-st.atMS) * time.Millisecond; st.atMS != 0 && at >= 0 {
+	if at := time.Duration(r.AcceptedAtMS-st.atMS) * time.Millisecond; st.atMS != 0 && at >= 0 {
 		st.gap += (at - st.gap) / 8
 	}
-	st.spec, st.last, st.atMS = *r.Spec, c.now, r.AtMS
+	st.spec, st.last, st.atMS = *r.Spec, c.now, r.AcceptedAtMS
 }
 
 const (
@@ -63,10 +63,10 @@
 type bin struct {
 	m       *machine
 	pool    pool
-	avail   ccs.Vec
-	room    ccs.Vec
-	soon    ccs.Vec // room of tasks that should end before a new machine could be up
-	keep    ccs.Vec
+	avail   clusterstate.Resources
+	room    clusterstate.Resources
+	soon    clusterstate.Resources // room of tasks that should end before a new machine could be up
+	keep    clusterstate.Resources
 	horizon time.Duration // how long its tasks keep it
 	step    time.Duration // that, in steps of the setting
 	free    float64
@@ -123,7 +123,7 @@
 		}
 		b := &bin{m: m, pool: pool{m.identity.machineType, m.identity.zone, m.identity.spot}, room: t.Capacity()}
 		if m.status.reported {
-			b.avail = b.room.Add(c.occupied(m), -1)
+			b.avail = b.room.AddScaled(c.occupied(m), -1)
 			b.soon = c.soonFree(m)
 			b.horizon = c.horizon(m)
 		} else {
@@ -290,7 +290,7 @@
 func (c *Core) bootTime(s *wire.JobSpec) time.Duration {
 	var quickest time.Duration
 	for _, name := range c.autoscaler.typeNames {
-		if t := c.autoscaler.catalog[name]; c.typeAllowed(s, name) && ccs.Vec(t.Capacity()).Fits(s.Request) && (quickest == 0 || c.boot(name) < quickest) {
+		if t := c.autoscaler.catalog[name]; c.typeAllowed(s, name) && clusterstate.Resources(t.Capacity()).Fits(s.Request) && (quickest == 0 || c.boot(name) < quickest) {
 			quickest = c.boot(name)
 		}
 	}
@@ -345,7 +345,7 @@
 		}
 		s := j.rec.Spec
 		running[s.Class] += len(j.place)
-		n := s.Tasks - j.rec.Done.Count() - len(j.place)
+		n := s.Tasks - j.rec.CompletedTasks.Count() - len(j.place)
 		cut := 0
 		zones := map[string]int{}
 		for _, a := range j.place {
@@ -375,7 +375,7 @@
 		}
 		s := st.spec
 		s.Tasks = n
-		out = append(out, need{spec: &s, n: n, zones: map[string]int{}, reserve: true, prio: c.priority.classes.Of(&s)})
+		out = append(out, need{spec: &s, n: n, zones: map[string]int{}, reserve: true, prio: c.priority.classes.Classify(&s)})
 	}
 	slices.SortStableFunc(out, func(a, b need) int {
 		// Spare room for work that may not use spot machines comes before waiting work that
@@ -415,15 +415,15 @@
 
 // soonFree is the room of tasks that should end, by their owners' estimates, within the boot
 // time of a machine like theirs.
-func (c *Core) soonFree(m *machine) ccs.Vec {
-	var v ccs.Vec
+func (c *Core) soonFree(m *machine) clusterstate.Resources {
+	var v clusterstate.Resources
 	for k, a := range m.allocation.assignments {
 		j := c.jobs[k.job]
-		p := m.status.tasks[attKey{k.job, k.task, a.Try}]
+		p := m.status.tasks[attKey{k.job, k.task, a.Attempt}]
 		if s := j.rec.Spec; s != nil && !s.Service && p.state == wire.TaskRunning {
 			left := time.Duration(s.EstimatedRuntimeMS)*time.Millisecond - (c.now - p.since)
 			if left < times(c.boot(m.identity.machineType), c.cfg.SoonBoots) && left > -time.Duration(s.EstimatedRuntimeMS)*time.Millisecond/4 {
-				v = v.Add(s.Request, 1)
+				v = v.AddScaled(s.Request, 1)
 			}
 		}
 	}
@@ -442,7 +442,7 @@
 
 // seen is a claim for which the first bins of an order have no room, now or soon.
 type seen struct {
-	claim ccs.Vec
+	claim clusterstate.Resources
 	bins  int
 }
 
@@ -451,7 +451,7 @@
 func (h *shelf) from(n *need) (first int) {
 	if n.anywhere() {
 		for _, x := range h.full[n.kind()] {
-			if ccs.Vec(n.spec.Request).Fits(x.claim) {
+			if clusterstate.Resources(n.spec.Request).Fits(x.claim) {
 				first = max(first, x.bins)
 			}
 		}
@@ -490,8 +490,8 @@
 	for _, b := range bins {
 		h.have[b.pool]++
 		h.zone[b.pool.zone]++
-		r := ccs.Row{Avail: b.avail, Occ: b.room.Add(b.avail, -1)}
-		b.free = r.FreeShare()
+		r := clusterstate.Row{Available: b.avail, Allocated: b.room.AddScaled(b.avail, -1)}
+		b.free = r.MinFreeFraction()
 		if c.cfg.HorizonStep > 0 {
 			b.step = b.horizon / c.cfg.HorizonStep
 		}
@@ -531,7 +531,7 @@
 }
 
 // with is the hold with one more kind of task that waits for room.
-func (h *Hold) with(prio int, claim ccs.Vec) *Hold {
+func (h *Hold) with(prio int, claim clusterstate.Resources) *Hold {
 	switch {
 	case h == nil || prio < h.Priority:
 		return &Hold{prio, claim}
@@ -559,10 +559,10 @@
 		if k <= 0 {
 			return
 		}
-		b.avail = b.avail.Add(s.Request, -k)
+		b.avail = b.avail.AddScaled(s.Request, -k)
 		b.used = true
 		if !s.Spot {
-			b.keep = b.keep.Add(s.Request, k)
+			b.keep = b.keep.AddScaled(s.Request, k)
 		}
 		n.n -= int(k)
 		n.zones[b.pool.zone] += int(k)
@@ -583,7 +583,7 @@
 				return
 			}
 			c.Stats.PlanLooks++
-			if ccs.Vec(b.avail).Fits(s.Request) && may(b) && when(b) {
+			if clusterstate.Resources(b.avail).Fits(s.Request) && may(b) && when(b) {
 				put(b)
 			}
 		}
@@ -603,11 +603,11 @@
 			if n.n <= 0 {
 				return now
 			}
-			if b.soon == (ccs.Vec{}) || !may(b) {
+			if b.soon == (clusterstate.Resources{}) || !may(b) {
 				continue
 			}
 			if k := min(capacity(b.soon, s.Request), room(b.pool.zone)); k > 0 {
-				b.soon = b.soon.Add(s.Request, -k)
+				b.soon = b.soon.AddScaled(s.Request, -k)
 				b.used = true
 				n.n -= int(k)
 				n.zones[b.pool.zone] += int(k)
@@ -666,14 +666,14 @@
 			continue
 		}
 		for _, v := range p.victims {
-			l.stops = append(l.stops, StopMsg{Machine: b.m.name, Job: c.jobs[v.job].id, Task: v.Task, Try: v.Try})
-			b.avail = b.avail.Add(c.jobs[v.job].rec.Spec.Request, 1)
+			l.stops = append(l.stops, StopMsg{Machine: b.m.name, Job: c.jobs[v.job].id, Task: v.Task, Try: v.Attempt})
+			b.avail = b.avail.AddScaled(c.jobs[v.job].rec.Spec.Request, 1)
 			b.stopped = append(b.stopped, v)
 		}
 		b.movable = nil
 		for made < n.n && b.avail.Fits(n.spec.Request) && room(b.pool.zone) > 0 {
-			b.avail = b.avail.Add(n.spec.Request, -1)
-			b.keep = b.keep.Add(n.spec.Request, 1)
+			b.avail = b.avail.AddScaled(n.spec.Request, -1)
+			b.keep = b.keep.AddScaled(n.spec.Request, 1)
 			n.zones[b.pool.zone]++
 			made++
 		}
@@ -695,7 +695,7 @@
 		if free.Fits(n.spec.Request) {
 			break
 		}
-		free = free.Add(c.jobs[v.job].rec.Spec.Request, 1)
+		free = free.AddScaled(c.jobs[v.job].rec.Spec.Request, 1)
 		cost += c.ran(b.m, v)
 		vs = all[:i+1]
 	}
@@ -711,7 +711,7 @@
 	all := []asg2{}
 	for _, v := range b.m.sortedTasks() {
 		s := c.jobs[v.job].rec.Spec
-		p, there := b.m.status.tasks[attKey{v.job, v.Task, v.Try}]
+		p, there := b.m.status.tasks[attKey{v.job, v.Task, v.Attempt}]
 		if s != nil && there && !s.Service && s.Priority > below && !slices.Contains(b.stopped, v) &&
 			(p.state == wire.TaskRunning || p.state == wire.TaskPullingImage) {
 			all = append(all, v)
@@ -724,7 +724,7 @@
 
 // ran is how long a task has been in its state.
 func (c *Core) ran(m *machine, v asg2) time.Duration {
-	return c.now - m.status.tasks[attKey{v.job, v.Task, v.Try}].since
+	return c.now - m.status.tasks[attKey{v.job, v.Task, v.Attempt}].since
 }
 
 // choosePool is the cheapest kind of machine for the rest of a need, by price per task that
--- a/core/rights.go
+++ b/core/rights.go
@@ -10,8 +10,8 @@
 	protobuf "google.golang.org/protobuf/proto"
 
 	"dewlift/access"
-	"dewlift/core/ledger"
-	"dewlift/core/recorder"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -62,14 +62,14 @@
 			return nil
 		}
 		r.rolesMark, r.roles = mark, &pb.Access{} // unreadable roles let nobody in
-		return ledger.UnpackMessage(raw, r.roles)
+		return jobrecord.UnpackMessage(raw, r.roles)
 	}
 	name := strings.TrimPrefix(key, keyWho)
 	if old, ok := r.who[name]; ok && mark <= old.mark {
 		return nil
 	}
 	id := &pb.Identity{}
-	err := ledger.UnpackMessage(raw, id)
+	err := jobrecord.UnpackMessage(raw, id)
 	if err != nil || id.Name != name {
 		id = &pb.Identity{Name: name}
 	}
@@ -127,13 +127,13 @@
 }
 
 // may decides whether somebody may do something, by the rights as they are known here.
-func (c *Core) may(cr Cred, a access.Act) access.Decision {
+func (c *Core) may(cr Cred, a access.Action) access.Decision {
 	if !c.guarded() {
 		return access.Decision{Allowed: !c.closed()}
 	}
 	p := c.freshRights()
 	if !c.holdsKey(cr) {
-		return access.Decision{Why: "the key was revoked"}
+		return access.Decision{Reason: "the key was revoked"}
 	}
 	return p.Decide(cr.Who, a)
 }
@@ -153,8 +153,8 @@
 	if !c.guarded() {
 		return true
 	}
-	team, class := j.rec.Group()
-	return c.may(cr, access.Act{Verb: pb.Verb_read, Team: team, Class: class}).Allowed
+	team, class := j.rec.TeamAndClass()
+	return c.may(cr, access.Action{Verb: pb.Verb_read, Team: team, Class: class}).Allowed
 }
 
 // mayRepeat decides whether the submission of a job that exists is answered with its state: to whoever may
@@ -163,12 +163,12 @@
 	if c.mayRead(cr, j) {
 		return true
 	}
-	team, class := j.rec.Group()
+	team, class := j.rec.TeamAndClass()
 	return s != nil && s.Team == team && s.Class == class && c.may(cr, submission(s)).Allowed
 }
 
-func submission(s *wire.JobSpec) access.Act {
-	return access.Act{Verb: pb.Verb_submit, Team: s.Team, Class: s.Class, Priority: s.Priority}
+func submission(s *wire.JobSpec) access.Action {
+	return access.Action{Verb: pb.Verb_submit, Team: s.Team, Class: s.Class, Priority: s.Priority}
 }
 
 // forbid refuses somebody for lack of a right, and has that recorded.
@@ -211,8 +211,8 @@
 }
 
 func (c *Core) mayCancel(cr Cred, j *job) bool {
-	team, class := j.rec.Group()
-	return c.may(cr, access.Act{Verb: pb.Verb_cancel, Team: team, Class: class}).Allowed
+	team, class := j.rec.TeamAndClass()
+	return c.may(cr, access.Action{Verb: pb.Verb_cancel, Team: team, Class: class}).Allowed
 }
 
 // lookAt calls f with a job as of a barrier that begins now; nil: there is none.
@@ -256,7 +256,7 @@
 			c.reply(in.Req, 400, wire.Error{Error: in.Bad})
 		default:
 			if d := c.may(in.By, submission(&in.Spec)); !d.Allowed {
-				c.forbid(in.Req, in.By, "submit", in.ID, d.Why)
+				c.forbid(in.Req, in.By, "submit", in.ID, d.Reason)
 			} else if j != nil {
 				c.forbid(in.Req, in.By, "submit", in.ID, "the id is another's")
 			} else {
@@ -297,13 +297,13 @@
 // they come into force. A seeding that was interrupted goes on.
 func (c *Core) seedAccess() {
 	r := &c.rights
-	if c.cfg.Access == nil || c.guarded() || c.mute() || c.cfg.AuditKey != nil && !c.auditing() || !c.leads() || !c.leaseOK() || c.form() < formAccess || r.seeding || c.now < r.seedAt || c.transactions.rateLimit.Paused(c.now) || c.transactions.rateLimit.Writes < 1 {
+	if c.cfg.Access == nil || c.guarded() || c.mute() || c.cfg.AuditKey != nil && !c.auditing() || !c.leads() || !c.leaseOK() || c.form() < formAccess || r.seeding || c.now < r.seedAt || c.transactions.rateLimit.IsPaused(c.now) || c.transactions.rateLimit.WriteTokens < 1 {
 		return
 	}
 	seed := c.cfg.Access.Source()
 	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyRoles}}}
 	put := func(key string, m protobuf.Message) bool {
-		raw, err := ledger.PackMessage(m)
+		raw, err := jobrecord.PackMessage(m)
 		if err != nil || len(raw) > c.cfg.ValueBytes {
 			c.note("error", "rights can't be written", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
 			return false
@@ -315,7 +315,7 @@
 		return true
 	}
 	for _, id := range seed.Identities {
-		if _, there := r.who[id.Name]; !there && len(t.Then) < max(1, min(c.cfg.TxnOps, int(c.transactions.rateLimit.Writes))-c.besides()) && !put(keyWho+id.Name, id) {
+		if _, there := r.who[id.Name]; !there && len(t.Then) < max(1, min(c.cfg.TxnOps, int(c.transactions.rateLimit.WriteTokens))-c.besides()) && !put(keyWho+id.Name, id) {
 			r.seedAt = c.now + 10*time.Second
 			return
 		}
@@ -328,7 +328,7 @@
 	for _, w := range t.Then {
 		seeded = append(seeded, strings.TrimPrefix(w.Put, keyAccess))
 	}
-	told := c.carryBeside(&t, "rights", recorder.Act{Verb: "administer", Object: "rights", Why: "first rights: " + strings.Join(seeded, " ")})
+	told := c.carryBeside(&t, "rights", auditlog.Event{Verb: "administer", Object: "rights", Reason: "first rights: " + strings.Join(seeded, " ")})
 	r.seeding = true
 	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
 		told(status)
@@ -359,9 +359,9 @@
 
 func (c *Core) changeNow(in Change) {
 	r := &c.rights
-	d := c.may(in.By, access.Act{Verb: pb.Verb_administer})
+	d := c.may(in.By, access.Action{Verb: pb.Verb_administer})
 	if !d.Allowed && !(in.ownKeys() && c.holdsKey(in.By)) {
-		c.forbid(in.Req, in.By, "administer", in.Who, d.Why)
+		c.forbid(in.Req, in.By, "administer", in.Who, d.Reason)
 		return
 	}
 	old := r.who[in.Who]
@@ -376,7 +376,7 @@
 	if next != nil {
 		all.Identities = append(all.Identities, next)
 		w = wire.Write{Put: keyWho + in.Who}
-		if w.Value, err = ledger.PackMessage(next); err == nil && len(w.Value) > c.cfg.ValueBytes {
+		if w.Value, err = jobrecord.PackMessage(next); err == nil && len(w.Value) > c.cfg.ValueBytes {
 			err = fmt.Errorf("identity takes %d bytes, %d are allowed", len(w.Value), c.cfg.ValueBytes)
 		}
 	}
@@ -384,7 +384,7 @@
 	if err == nil {
 		p, err = access.New(all)
 	}
-	if err == nil && !p.Administered() {
+	if err == nil && !p.HasAdministrator() {
 		err = fmt.Errorf("nobody with a key could change rights any more")
 	}
 	if err != nil {
@@ -414,7 +414,7 @@
 		return nil
 	}
 	for _, j := range c.open {
-		if j.rec != nil && j.rec.Spec != nil && j.rec.Who == in.Who && !j.final() && len(j.place) == 0 && j.rec.Done.Count() == 0 && c.mayCancel(in.By, j) {
+		if j.rec != nil && j.rec.Spec != nil && j.rec.Submitter == in.Who && !j.final() && len(j.place) == 0 && j.rec.CompletedTasks.Count() == 0 && c.mayCancel(in.By, j) {
 			ids = append(ids, j.id)
 			c.queueCancel(j, Cancel{ID: j.id, By: in.By, UnixMS: c.unixMS()})
 		}
@@ -431,7 +431,7 @@
 
 // holdsKey reports whether a key is still its holder's.
 func (c *Core) holdsKey(cr Cred) bool {
-	return c.freshRights().Holds(cr.Who, cr.Key)
+	return c.freshRights().KeyBelongsTo(cr.Who, cr.Key)
 }
 
 // summary tells in short what is changed.
@@ -509,7 +509,7 @@
 		return
 	}
 	c.afterBarrier(c.ifMay(in.Req, in.By, in.Verb, in.Object, func() {
-		c.recorder().Read(in.By.Who, in.Verb.String(), in.Object, func(ok bool) {
+		c.recorder().RecordRead(in.By.Who, in.Verb.String(), in.Object, func(ok bool) {
 			if !ok {
 				c.refuse(in.Req, "this can't be recorded now")
 				return
@@ -522,11 +522,11 @@
 // ifMay is what follows a barrier: f, if somebody may do what is bound to no job.
 func (c *Core) ifMay(req uint64, by Cred, verb access.Verb, object string, f func()) func(ok bool) {
 	return func(ok bool) {
-		switch d := c.may(by, access.Act{Verb: verb}); {
+		switch d := c.may(by, access.Action{Verb: verb}); {
 		case !ok:
 			c.refuse(req, "state service not reached")
 		case !d.Allowed:
-			c.forbid(req, by, verb.String(), object, d.Why)
+			c.forbid(req, by, verb.String(), object, d.Reason)
 		default:
 			f()
 		}
--- a/core/rights_test.go
+++ b/core/rights_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"dewlift/access"
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -46,12 +46,12 @@
 		log = append(log, wire.WatchEvent{Put: key, Value: raw, Revision: 10})
 	}
 	for _, id := range p.Source().Identities {
-		raw, err := ledger.PackMessage(id)
+		raw, err := jobrecord.PackMessage(id)
 		put(keyWho+id.Name, raw, err)
 	}
-	raw, err := ledger.PackMessage(&pb.Access{Roles: p.Source().Roles})
+	raw, err := jobrecord.PackMessage(&pb.Access{Roles: p.Source().Roles})
 	put(keyRoles, raw, err)
-	if out := outputs[Rights](stream(c, 1100*time.Millisecond, 10, log...)); len(out) != 1 || !out[0].Policy.Has("potter") {
+	if out := outputs[Rights](stream(c, 1100*time.Millisecond, 10, log...)); len(out) != 1 || !out[0].Policy.HasIdentity("potter") {
 		t.Fatalf("the edges are told %+v", out)
 	}
 	return c
@@ -166,7 +166,7 @@
 	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyWho + "potter", Revision: 10}) || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyRoles, Revision: 10}) {
 		t.Fatalf("got %+v", x)
 	}
-	raw, err := ledger.PackMessage(&pb.Identity{Name: "potter", Keys: []*pb.PublicKey{c.rights.who["potter"].id.Keys[0]}})
+	raw, err := jobrecord.PackMessage(&pb.Identity{Name: "potter", Keys: []*pb.PublicKey{c.rights.who["potter"].id.Keys[0]}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/core/share.go
+++ b/core/share.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strconv"
 
-	"dewlift/core/ledger"
-	"dewlift/core/shared"
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 
 	"github.com/cespare/xxhash/v2"
@@ -25,7 +25,7 @@
 )
 
 // slotOf is the number of the slot of a job that is not over.
-func (c *Core) slotOf(id string, r *ledger.Record) int {
+func (c *Core) slotOf(id string, r *jobrecord.Record) int {
 	n := r.Shard * (1 + serviceSlots)
 	if r.Spec.Service {
 		n += 1 + int(xxhash.Sum64String(id)%serviceSlots)
@@ -34,10 +34,10 @@
 }
 
 // slot is what is known of a slot.
-func (c *Core) slot(n int) *shared.Slot {
+func (c *Core) slot(n int) *batchvalue.Slot {
 	s := c.replica.batchValues[n]
 	if s == nil {
-		s = &shared.Slot{}
+		s = &batchvalue.Slot{}
 		c.replica.batchValues[n] = s
 	}
 	return s
@@ -58,11 +58,11 @@
 // mark, of which the slot knows nothing.
 func (c *Core) entryOf(p *proposal) json.RawMessage {
 	j, r := p.j, p.rec
-	if !c.mayShare() || j.mark == 0 || p.accept || p.cancel || r.Stage != ledger.Queued || r.Spec == nil || j.cancellation.markerRevision != 0 || j.stored.bytes > c.cfg.ValueBytes*3/4 ||
-		p.fold || len(p.conds) > 0 || len(r.Carried) > 0 || !c.mine(j) || len(p.place) > c.cfg.ValueBytes/40 {
+	if !c.mayShare() || j.mark == 0 || p.accept || p.cancel || r.Stage != jobrecord.Queued || r.Spec == nil || j.cancellation.markerRevision != 0 || j.stored.bytes > c.cfg.ValueBytes*3/4 ||
+		p.fold || len(p.conds) > 0 || len(r.PendingAudit) > 0 || !c.mine(j) || len(p.place) > c.cfg.ValueBytes/40 {
 		return nil
 	}
-	raw, err := c.encodeRecord(&ledger.Record{V: r.V, Shard: r.Shard, Done: r.Done, Tries: r.Tries, Why: r.Why}, p.place, false)
+	raw, err := c.encodeRecord(&jobrecord.Record{WriteNumber: r.WriteNumber, Shard: r.Shard, CompletedTasks: r.CompletedTasks, LastAttempt: r.LastAttempt, StopReasons: r.StopReasons}, p.place, false)
 	if err != nil || len(raw) > c.cfg.ValueBytes/4 {
 		return nil
 	}
@@ -70,21 +70,21 @@
 }
 
 // entryOn is the entry that counts on top of this write of a queued job's record; nil if there is none.
-func (c *Core) entryOn(id string, r *ledger.Record) *ledger.Record {
+func (c *Core) entryOn(id string, r *jobrecord.Record) *jobrecord.Record {
 	raw, ok := c.slot(c.slotOf(id, r)).Entries[id]
 	if !ok {
 		return nil
 	}
-	e, err := ledger.Decode(raw)
-	if err != nil || e.V != r.V || !e.Done.Valid(r.Spec.Tasks) {
+	e, err := jobrecord.Decode(raw)
+	if err != nil || e.WriteNumber != r.WriteNumber || !e.CompletedTasks.IsValid(r.Spec.Tasks) {
 		return nil
 	}
 	return e
 }
 
 // laid is a job's record with its slot's entry on top of it, if there is one that counts.
-func (c *Core) laid(id string, r *ledger.Record) *ledger.Record {
-	if r.Spec == nil || r.Stage != ledger.Queued {
+func (c *Core) laid(id string, r *jobrecord.Record) *jobrecord.Record {
+	if r.Spec == nil || r.Stage != jobrecord.Queued {
 		return r
 	}
 	e := c.entryOn(id, r)
@@ -92,7 +92,7 @@
 		return r
 	}
 	out := *r
-	out.Place, out.Done, out.Tries, out.Why = e.Place, e.Done, e.Tries, e.Why
+	out.Assignments, out.CompletedTasks, out.LastAttempt, out.StopReasons = e.Assignments, e.CompletedTasks, e.LastAttempt, e.StopReasons
 	return &out
 }
 
@@ -103,22 +103,22 @@
 		return fmt.Errorf("slot: %w", err)
 	}
 	s := c.slot(n)
-	if mark <= s.Mark {
+	if mark <= s.Revision {
 		return nil // its own write's reply came before
 	}
-	entries, err := shared.Decode(raw)
+	entries, err := batchvalue.Decode(raw)
 	if err != nil {
 		return err
 	}
 	old := s.Entries
-	s.Mark, s.Entries = mark, entries
+	s.Revision, s.Entries = mark, entries
 	for _, id := range sortedKeys(entries) {
 		if bytes.Equal(old[id], entries[id]) {
 			continue
 		}
 		if j := c.knownJob(id); j != nil && j.rec.Spec != nil && !j.final() {
 			if r := c.laid(id, j.rec); r != j.rec {
-				c.adopt(j, r, r.Assigned(c.seat), j.mark, j.stored.bytes)
+				c.adopt(j, r, r.ExpandAssignments(c.seat), j.mark, j.stored.bytes)
 			}
 		}
 	}
@@ -126,26 +126,26 @@
 }
 
 // draft is the next value of a slot in a transaction.
-func (b *builder) draft(n int) *shared.Draft {
+func (b *builder) draft(n int) *batchvalue.Draft {
 	if d := b.slots[n]; d != nil {
 		return d
 	}
-	d := b.c.slot(n).Draft(func(id string, raw json.RawMessage) bool {
+	d := b.c.slot(n).BeginDraft(func(id string, raw json.RawMessage) bool {
 		j := b.c.knownJob(id)
 		if j == nil || j.rec.Spec == nil || j.final() {
 			return false
 		}
-		e, err := ledger.Decode(raw)
-		return err != nil || e.V >= j.rec.V // one of a write that is not seen yet is another's to judge
+		e, err := jobrecord.Decode(raw)
+		return err != nil || e.WriteNumber >= j.rec.WriteNumber // one of a write that is not seen yet is another's to judge
 	})
 	b.begin(n, d)
 	return d
 }
 
 // begin has a transaction write a slot.
-func (b *builder) begin(n int, d *shared.Draft) {
+func (b *builder) begin(n int, d *batchvalue.Draft) {
 	if b.slots == nil {
-		b.slots = map[int]*shared.Draft{}
+		b.slots = map[int]*batchvalue.Draft{}
 	}
 	b.slots[n] = d
 	b.bytes += b.c.cfg.ValueBytes // all of its entries are written
@@ -155,7 +155,7 @@
 func (b *builder) drop(n int, id string) {
 	d := b.slots[n]
 	if d == nil {
-		d = &shared.Draft{Entries: b.c.slot(n).Entries}
+		d = &batchvalue.Draft{Entries: b.c.slot(n).Entries}
 		b.begin(n, d)
 	}
 	d.Entries = d.Entries.Without(id)
@@ -163,7 +163,7 @@
 
 // share puts a proposal's entry into its slot, if there is room.
 func (b *builder) share(p *proposal, entry json.RawMessage) bool {
-	if !b.draft(p.slot).Put(p.j.id, entry, b.c.mostShared()) {
+	if !b.draft(p.slot).TryPut(p.j.id, entry, b.c.mostShared()) {
 		return false
 	}
 	b.bytes += len(entry)
@@ -187,7 +187,7 @@
 		d := b.slots[n]
 		raw, err := d.Entries.Encode()
 		if err == nil && len(raw) <= b.c.cfg.ValueBytes {
-			b.need(wire.Compare{Key: slotKey(n), Revision: b.c.slot(n).Mark})
+			b.need(wire.Compare{Key: slotKey(n), Revision: b.c.slot(n).Revision})
 			b.t.Then = append(b.t.Then, wire.Write{Put: slotKey(n), Value: raw})
 			continue
 		}
@@ -209,28 +209,28 @@
 // depend notes that a transaction on its way depends on slots.
 func (c *Core) depend(x *txn) {
 	for n := range x.slots {
-		c.slot(n).Writing = true
+		c.slot(n).WriteInFlight = true
 	}
 	for n := range x.keyed {
-		c.slot(n).Keyed++
+		c.slot(n).JobKeyWritesInFlight++
 	}
 }
 
 // released notes that it does no more. A slot whose write may have been executed, or that was overtaken, must be read first.
 func (c *Core) released(x *txn, status int, at uint64) (behind []int) {
 	for n := range x.keyed {
-		c.slot(n).Keyed--
+		c.slot(n).JobKeyWritesInFlight--
 	}
 	for _, n := range sortedKeys(x.slots) {
 		s := c.slot(n)
 		switch status {
 		case 200:
-			s.Writing = false
-			if at > s.Mark {
-				s.Mark, s.Entries = at, x.slots[n].Entries
+			s.WriteInFlight = false
+			if at > s.Revision {
+				s.Revision, s.Entries = at, x.slots[n].Entries
 			}
 		case 429, 503: // not executed
-			s.Writing = false
+			s.WriteInFlight = false
 		default:
 			behind = append(behind, n)
 		}
--- a/core/share_test.go
+++ b/core/share_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"dewlift/core/ledger"
-	"dewlift/core/shared"
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -28,18 +28,18 @@
 // recordOn is a record as it is stored, with a task on a machine.
 func recordOn(t *testing.T, c *Core, v uint64, machine string, described bool) json.RawMessage {
 	t.Helper()
-	r := &ledger.Record{V: v, Tries: 1}
+	r := &jobrecord.Record{WriteNumber: v, LastAttempt: 1}
 	if described {
 		r.Spec = &wire.JobSpec{Class: "c", Team: "t", Tasks: 2, Request: [3]int64{1000, 0, 1000}, Service: true}
 	}
-	raw, err := c.encodeRecord(r, []ledger.Asg{{Machine: c.seat(machine, "a"), Session: 1, Try: 1}}, false)
+	raw, err := c.encodeRecord(r, []jobrecord.Assignment{{Machine: c.seat(machine, "a"), Incarnation: 1, Attempt: 1}}, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return raw
 }
 
-func slotValue(t *testing.T, e shared.Entries) json.RawMessage {
+func slotValue(t *testing.T, e batchvalue.Entries) json.RawMessage {
 	t.Helper()
 	raw, err := e.Encode()
 	if err != nil {
@@ -53,8 +53,8 @@
 	for _, first := range []string{"record", "slot"} {
 		c := sharing(t)
 		on := func() string { return c.machines[c.job("wk-1").place[0].Machine].name }
-		n := c.slotOf("wk-1", &ledger.Record{Spec: &wire.JobSpec{Service: true}})
-		value := slotValue(t, shared.Entries{"wk-1": recordOn(t, c, 3, "m-2", false)})
+		n := c.slotOf("wk-1", &jobrecord.Record{Spec: &wire.JobSpec{Service: true}})
+		value := slotValue(t, batchvalue.Entries{"wk-1": recordOn(t, c, 3, "m-2", false)})
 		if first == "slot" {
 			c.put(slotKey(n), value, 20)
 		}
@@ -69,11 +69,11 @@
 		if on() != "m-3" {
 			t.Errorf("%s first: on %s after the record was written again", first, on())
 		}
-		c.put(slotKey(n), slotValue(t, shared.Entries{"wk-1": recordOn(t, c, 3, "m-2", false), "wk-9": json.RawMessage(`{"v":1}`)}), 40)
+		c.put(slotKey(n), slotValue(t, batchvalue.Entries{"wk-1": recordOn(t, c, 3, "m-2", false), "wk-9": json.RawMessage(`{"v":1}`)}), 40)
 		if on() != "m-3" {
 			t.Errorf("%s first: a void entry counted", first)
 		}
-		c.put(slotKey(n), slotValue(t, shared.Entries{"wk-1": recordOn(t, c, 4, "m-4", false)}), 50)
+		c.put(slotKey(n), slotValue(t, batchvalue.Entries{"wk-1": recordOn(t, c, 4, "m-4", false)}), 50)
 		if c.put(slotKey(n), value, 45); on() != "m-4" { // a page that was read before
 			t.Errorf("%s first: on %s, an older value counted", first, on())
 		}
@@ -117,7 +117,7 @@
 	// A controller that does not hold the shard writes the slot as well.
 	c = sharing(t)
 	c.put(keyJob+"wk-1", recordOn(t, c, 1, "m-1", true), 10)
-	c.put(n, slotValue(t, shared.Entries{"wk-1": recordOn(t, c, 1, "m-2", false), "wk-2": json.RawMessage(`{"v":1}`)}), 20)
+	c.put(n, slotValue(t, batchvalue.Entries{"wk-1": recordOn(t, c, 1, "m-2", false), "wk-2": json.RawMessage(`{"v":1}`)}), 20)
 	c.ownership.shards[0].Node = "n1"
 	c.Handle(time.Second, Cancel{Req: 5, ID: "wk-1", UnixMS: 1})
 	y = txnOf(c.Advance(1100*time.Millisecond), n)
@@ -128,7 +128,7 @@
 		if w.Put != n {
 			continue
 		}
-		if e, err := shared.Decode(w.Value); err != nil || len(e) != 1 || e["wk-2"] == nil {
+		if e, err := batchvalue.Decode(w.Value); err != nil || len(e) != 1 || e["wk-2"] == nil {
 			t.Errorf("it leaves %v in the slot, %v", e, err)
 		}
 	}
@@ -139,10 +139,10 @@
 	c := sharing(t)
 	c.cfg.ValueBytes = 600
 	for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6", "wk-7", "wk-8"} {
-		r := &ledger.Record{V: 1, Tries: 40, Spec: &wire.JobSpec{Class: "c", Team: "t", Tasks: 40, Request: [3]int64{1, 0, 1}}}
-		var place []ledger.Asg
+		r := &jobrecord.Record{WriteNumber: 1, LastAttempt: 40, Spec: &wire.JobSpec{Class: "c", Team: "t", Tasks: 40, Request: [3]int64{1, 0, 1}}}
+		var place []jobrecord.Assignment
 		for k := range 6 {
-			place = append(place, ledger.Asg{Task: int32(k * 3), Machine: c.seat("m-"+id+string(rune('a'+k)), "a"), Session: uint64(k + 1), Try: uint64(k*7 + i)})
+			place = append(place, jobrecord.Assignment{Task: int32(k * 3), Machine: c.seat("m-"+id+string(rune('a'+k)), "a"), Incarnation: uint64(k + 1), Attempt: uint64(k*7 + i)})
 		}
 		raw, err := c.encodeRecord(r, place, true)
 		if err != nil {
--- a/core/strain.go
+++ b/core/strain.go
@@ -9,10 +9,10 @@
 
 // strain works out the level of overload from how the process stands.
 func (c *Core) strain(in Strain) {
-	signs := overload.Signs{Late: in.Late, Queue: in.Queue, Sockets: in.Sockets, Backlog: c.toWrite(c.transactions.backlog)}
-	if c.load.Look(c.now, signs) {
+	signs := overload.Signals{QueueDelay: in.Late, QueueUsage: in.Queue, ConnectionUsage: in.Sockets, WriteBacklog: c.toWrite(c.transactions.backlog)}
+	if c.load.Update(c.now, signs) {
 		c.note("info", "load", "level", c.load.Level().String(), "late_ms", in.Late.Milliseconds(), "queue", in.Queue, "sockets", in.Sockets,
-			"backlog_ms", signs.Backlog.Milliseconds())
+			"backlog_ms", signs.WriteBacklog.Milliseconds())
 	}
 }
 
@@ -26,7 +26,7 @@
 
 // planGap is the time between two plans of the leader.
 func (c *Core) planGap() time.Duration {
-	if c.load.Level() == overload.Over {
+	if c.load.Level() == overload.Overloaded {
 		return time.Second
 	}
 	return 500 * time.Millisecond
@@ -36,7 +36,7 @@
 // controller counts on its own share of the changes alone.
 func (c *Core) acceptMost() int {
 	rate := c.writeRPS()
-	if c.load.Level() == overload.Over {
+	if c.load.Level() == overload.Overloaded {
 		rate = min(rate, c.transactions.rateLimit.WriteRate)
 	}
 	return max(8, int(rate*c.cfg.AcceptWait.Seconds()))
--- a/core/strain_test.go
+++ b/core/strain_test.go
@@ -163,7 +163,7 @@
 	}
 	calm := c.acceptMost()
 	c.Handle(c.now, Strain{Late: 2 * time.Second})
-	if c.load.Level() != overload.Over || c.acceptMost() >= calm {
+	if c.load.Level() != overload.Overloaded || c.acceptMost() >= calm {
 		t.Errorf("at %v %d submissions may wait, %d when calm", c.load.Level(), c.acceptMost(), calm)
 	}
 }
--- a/core/sweep.go
+++ b/core/sweep.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"dewlift/archive"
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/overload"
 	"dewlift/wire"
 )
@@ -44,8 +44,8 @@
 // mayMove reports whether records may move now: no one may be running a version that does not
 // look into the archive, and nobody waits for the changes it takes.
 func (c *Core) mayMove() bool {
-	return c.load.Level() == overload.Calm && c.cfg.Archive && c.form() >= formHistory && c.leads() && c.leaseOK() && c.now >= c.schema.activeSince+c.cfg.HistoryWait &&
-		!c.transactions.rateLimit.Paused(c.now) && c.accepting == 0 && len(c.transactions.inFlight) == 0 && c.transactions.rateLimit.Writes >= 0.75*c.transactions.rateLimit.Burst(c.cfg.TxnOps) && c.transactions.rateLimit.Reads > 1
+	return c.load.Level() == overload.Normal && c.cfg.Archive && c.form() >= formHistory && c.leads() && c.leaseOK() && c.now >= c.schema.activeSince+c.cfg.HistoryWait &&
+		!c.transactions.rateLimit.IsPaused(c.now) && c.accepting == 0 && len(c.transactions.inFlight) == 0 && c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.TxnOps) && c.transactions.rateLimit.ReadTokens > 1
 }
 
 // sweepStep starts a sweep when one is due, and takes the next step of it.
@@ -95,8 +95,8 @@
 		}
 		for _, it := range in.Items {
 			s.after = it.Key
-			r, err := ledger.Decode(it.Value)
-			if err != nil || r.Spec != nil || r.Stage == ledger.Queued || it.Revision > s.below || !c.recorder().AllInBlocks(r.Carried) {
+			r, err := jobrecord.Decode(it.Value)
+			if err != nil || r.Spec != nil || r.Stage == jobrecord.Queued || it.Revision > s.below || !c.recorder().AllRecorded(r.PendingAudit) {
 				continue
 			}
 			id := strings.TrimPrefix(it.Key, keyJob)
@@ -131,7 +131,7 @@
 		c.markHistory(s)
 		return
 	}
-	b, mark, err := h.index.Block(s.todo[0].ID, 0)
+	b, mark, err := h.index.Lookup(s.todo[0].ID, 0)
 	if b == nil && err == nil {
 		s.busy = true
 		c.readBlock(s.todo[0].ID, func(bool) { s.busy = false })
@@ -141,14 +141,14 @@
 	for n < len(s.todo) && (b == nil && n == 0 || b != nil && s.todo[n].ID < b.High) {
 		n++
 	}
-	var pieces []archive.Piece
+	var pieces []archive.EncodedBlock
 	k := 0
 	if err == nil {
 		list := make([]archive.Entry, 0, n)
 		for _, e := range s.todo[:n] {
 			list = append(list, e.Entry)
 		}
-		pieces, k, err = b.Take(list, c.cfg.ValueBytes, max(2, min(c.cfg.TxnOps, int(c.writeRPS()/2))))
+		pieces, k, err = b.PlanMerge(list, c.cfg.ValueBytes, max(2, min(c.cfg.TxnOps, int(c.writeRPS()/2))))
 	}
 	if err != nil {
 		if !errors.Is(err, archive.ErrCorrupt) { // that was told when it was read
@@ -159,7 +159,7 @@
 	}
 	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}}}
 	for i, p := range pieces {
-		cond := wire.Compare{Key: archive.Key(p.High)}
+		cond := wire.Compare{Key: archive.BlockKey(p.High)}
 		if i == len(pieces)-1 {
 			cond.Revision = mark
 		}
@@ -189,7 +189,7 @@
 				c.shrink(&t)
 			}
 			for _, p := range pieces {
-				h.index.Overtaken(archive.Key(p.High))
+				h.index.Invalidate(archive.BlockKey(p.High))
 			}
 			s.again()
 		}
--- a/core/turn_test.go
+++ b/core/turn_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dewlift/ccs"
+	"dewlift/clusterstate"
 	"dewlift/wire"
 )
 
@@ -27,7 +27,7 @@
 		for i := range machines {
 			r := &wire.Heartbeat{Machine: fmt.Sprintf("m-%d", i), Addr: "x:1", Type: "x", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1}
 			c.Handle(time.Second, Seen{Machine: r.Machine, Report: r})
-			push.Rows = append(push.Rows, PushRow{Machine: r.Machine, Type: "x", Zone: "a", Avail: ccs.Vec{4000, 0, 8000}})
+			push.Rows = append(push.Rows, PushRow{Machine: r.Machine, Type: "x", Zone: "a", Avail: clusterstate.Resources{4000, 0, 8000}})
 		}
 		in := submitted("wk-1")
 		in.Spec.Tasks = 2 * machines * perMachine
--- a/core/types.go
+++ b/core/types.go
@@ -9,8 +9,8 @@
 	"dewlift/access"
 	"dewlift/audit"
 	"dewlift/booking"
-	"dewlift/ccs"
-	"dewlift/lanes"
+	"dewlift/clusterstate"
+	"dewlift/priorityclass"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -73,27 +73,27 @@
 	LossGather   time.Duration // how long the losses of a job of many tasks wait for each other
 	AcceptWait   time.Duration // for the write of a submission or cancellation
 	HealthEvery  time.Duration
-	LookAll      time.Duration     // between two looks at everything
-	GiveWay      time.Duration     // that a job has waited for room when later ones no longer pass it
-	RiseAfter    time.Duration     // after which waiting work counts as a step more important; 0: never
-	RentAhead    time.Duration     // from a need to the rental, and from a boot to the first start
-	Access       *access.Policy    // rights where the state service has none; nil: none, and everyone may do everything
-	SharedValues bool              // small jobs share values
-	BookingKeep  time.Duration     // how long bookings that are over stay in pages
-	Lanes        *lanes.List       // where the state service has none; nil: a lane for each priority
-	Equipment    *booking.Site     // what can be booked where the state service has no list; nil: nothing
-	Archive      bool              // ended jobs may move into the archive
-	EndedKept    int               // of the ended jobs, those of late that stay in memory and keep their records
-	HistoryCache int               // bytes of blocks that are remembered
-	HistoryShare float64           // of the requests, what looking for ended jobs may take
-	HistoryWait  time.Duration     // after every controller knows the archive, until the first move
-	AuditKey     audit.Key         // nil: nothing is recorded
-	AuditGather  time.Duration     // how long refusals and reads are gathered
-	AuditBlock   time.Duration     // how long other entries wait to share a block
-	AuditForget  time.Duration     // after which nothing of a controller's former lives is executed any more
-	TimeBoundMS  uint32            // how far the time of day may be off
-	Settings     map[string]string // as they are recorded
-	CancelShare  float64           // of CancelIn, after which machines with cancelled tasks are returned
+	LookAll      time.Duration       // between two looks at everything
+	GiveWay      time.Duration       // that a job has waited for room when later ones no longer pass it
+	RiseAfter    time.Duration       // after which waiting work counts as a step more important; 0: never
+	RentAhead    time.Duration       // from a need to the rental, and from a boot to the first start
+	Access       *access.Policy      // rights where the state service has none; nil: none, and everyone may do everything
+	SharedValues bool                // small jobs share values
+	BookingKeep  time.Duration       // how long bookings that are over stay in pages
+	Lanes        *priorityclass.List // where the state service has none; nil: a lane for each priority
+	Equipment    *booking.Inventory  // what can be booked where the state service has no list; nil: nothing
+	Archive      bool                // ended jobs may move into the archive
+	EndedKept    int                 // of the ended jobs, those of late that stay in memory and keep their records
+	HistoryCache int                 // bytes of blocks that are remembered
+	HistoryShare float64             // of the requests, what looking for ended jobs may take
+	HistoryWait  time.Duration       // after every controller knows the archive, until the first move
+	AuditKey     audit.Key           // nil: nothing is recorded
+	AuditGather  time.Duration       // how long refusals and reads are gathered
+	AuditBlock   time.Duration       // how long other entries wait to share a block
+	AuditForget  time.Duration       // after which nothing of a controller's former lives is executed any more
+	TimeBoundMS  uint32              // how far the time of day may be off
+	Settings     map[string]string   // as they are recorded
+	CancelShare  float64             // of CancelIn, after which machines with cancelled tasks are returned
 }
 
 // Team is a team with its guarantee and limit in thousandths; 0 means none.
@@ -448,10 +448,10 @@
 
 // DeltaMsg is a start or finish tuple by machine name.
 type DeltaMsg struct {
-	Start   bool    `json:"st,omitempty"`
-	Machine string  `json:"m"`
-	Claim   ccs.Vec `json:"c"`
-	Key     uint64  `json:"k,omitempty"` // of the attempt; the version before does not tell it
+	Start   bool                   `json:"st,omitempty"`
+	Machine string                 `json:"m"`
+	Claim   clusterstate.Resources `json:"c"`
+	Key     uint64                 `json:"k,omitempty"` // of the attempt; the version before does not tell it
 }
 
 // Push is the leader's array: all of it from time to time, and in between the rows that
@@ -470,8 +470,8 @@
 // Hold says that tasks of a priority wait for room: work of lower priority leaves them what
 // their smallest claim fits into.
 type Hold struct {
-	Priority int     `json:"p"`
-	Claim    ccs.Vec `json:"c"`
+	Priority int                    `json:"p"`
+	Claim    clusterstate.Resources `json:"c"`
 }
 
 // StopMsg names a task's attempt that must make room for work of higher priority.
@@ -484,13 +484,13 @@
 
 // PushRow is a machine in a pushed array.
 type PushRow struct {
-	Machine string  `json:"m"`
-	Type    string  `json:"t"`
-	Zone    string  `json:"z"`
-	Spot    bool    `json:"s,omitempty"`
-	Avail   ccs.Vec `json:"a"`
-	Occ     ccs.Vec `json:"o"`
-	Keep    ccs.Vec `json:"k"`
-	Last    bool    `json:"l,omitempty"`
-	Closed  bool    `json:"x,omitempty"`
+	Machine string                 `json:"m"`
+	Type    string                 `json:"t"`
+	Zone    string                 `json:"z"`
+	Spot    bool                   `json:"s,omitempty"`
+	Avail   clusterstate.Resources `json:"a"`
+	Occ     clusterstate.Resources `json:"o"`
+	Keep    clusterstate.Resources `json:"k"`
+	Last    bool                   `json:"l,omitempty"`
+	Closed  bool                   `json:"x,omitempty"`
 }
--- a/core/users.go
+++ b/core/users.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"dewlift/access"
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -38,16 +38,16 @@
 	if j.rec == nil {
 		return s
 	}
-	for _, w := range j.rec.Why {
+	for _, w := range j.rec.StopReasons {
 		s.TaskStops = append(s.TaskStops, wire.TaskStop(w))
 	}
-	s.Done = j.rec.Done.Count()
+	s.Done = j.rec.CompletedTasks.Count()
 	switch {
-	case j.rec.Stage == ledger.Done:
+	case j.rec.Stage == jobrecord.Done:
 		s.Stage = wire.StageDone
 		return s
 	case j.final():
-		s.Stage, s.CancelledBy = wire.StageCancelled, j.rec.By
+		s.Stage, s.CancelledBy = wire.StageCancelled, j.rec.CancelledByJob
 		if j.cause != nil {
 			s.CancelledBy = j.cause.id
 		}
@@ -57,7 +57,7 @@
 		s.Note = whyFailing(j.rec, c.unixMS())
 	}
 	for _, o := range j.needs {
-		if o.rec == nil || o.rec.Stage != ledger.Done {
+		if o.rec == nil || o.rec.Stage != jobrecord.Done {
 			if s.DependencyCount++; s.DependencyCount <= awaitsShown {
 				s.Dependencies = append(s.Dependencies, o.id)
 			}
@@ -65,7 +65,7 @@
 	}
 	for _, a := range j.place {
 		m := c.machines[a.Machine]
-		if p, ok := m.status.tasks[attKey{j.idx, a.Task, a.Try}]; ok && m.status.incarnation == a.Session &&
+		if p, ok := m.status.tasks[attKey{j.idx, a.Task, a.Attempt}]; ok && m.status.incarnation == a.Incarnation &&
 			(p.state == wire.TaskRunning || p.state == wire.TaskCheckpointing) {
 			s.Running++
 		}
@@ -80,7 +80,9 @@
 
 // final reports whether a job is done or cancelled. One that needs a cancelled job is cancelled
 // with it, from the write of that cancellation on; its own record follows.
-func (j *job) final() bool { return j.rec != nil && (j.rec.Stage != ledger.Queued || j.cause != nil) }
+func (j *job) final() bool {
+	return j.rec != nil && (j.rec.Stage != jobrecord.Queued || j.cause != nil)
+}
 
 func (c *Core) poll(in Poll) {
 	switch {
@@ -260,7 +262,7 @@
 		s.Dependencies = left
 	}
 	// What a record holds beside the description must find room in its value.
-	raw, err := c.encodeRecord(&ledger.Record{Spec: &s}, nil, c.form() >= formAwaits)
+	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &s}, nil, c.form() >= formAwaits)
 	if err != nil || len(raw) > c.cfg.ValueBytes*3/4 {
 		return 400, "the description and the unfinished jobs that it awaits are too long to be stored"
 	}
@@ -413,9 +415,9 @@
 		c.refuse(in.Req, "not caught up")
 		return
 	}
-	if c.guarded() && c.freshRights().WorkersSign() {
-		if d := c.may(in.By, access.Act{Verb: pb.Verb_report}); !d.Allowed {
-			c.forbid(in.Req, in.By, "report", in.Report.Machine, d.Why)
+	if c.guarded() && c.freshRights().AgentsMustSign() {
+		if d := c.may(in.By, access.Action{Verb: pb.Verb_report}); !d.Allowed {
+			c.forbid(in.Req, in.By, "report", in.Report.Machine, d.Reason)
 			return
 		}
 	}
--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -15,10 +15,10 @@
 	"dewlift/archive"
 	"dewlift/audit"
 	"dewlift/core"
-	"dewlift/core/booking"
-	"dewlift/core/ledger"
-	"dewlift/core/recorder"
-	"dewlift/core/shared"
+	"dewlift/core/auditlog"
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
+	"dewlift/core/reservations"
 	pb "dewlift/proto"
 	"dewlift/snapshot"
 	"dewlift/wire"
@@ -48,32 +48,32 @@
 
 // placed is a record with its assignments.
 type placed struct {
-	record ledger.Record
-	place  []ledger.Asg
+	record jobrecord.Record
+	place  []jobrecord.Assignment
 }
 
 type machine struct{ name, zone string }
 
 // storedRecord is a job's record with everything in it, on machines.
 func storedRecord(machines []machine, packed bool) stored {
-	r := filled[ledger.Record]("record")
-	r.Place, r.Packed, r.Done, r.Spec.Tasks = nil, nil, ledger.Ranges{0, 2, 9, 9}, 40
-	place := []ledger.Asg{{Task: 3, Machine: 0, Session: 5, Try: 7}, {Task: 4, Machine: 0, Session: 5, Try: 8}, {Task: 12, Machine: 0, Session: 5, Try: 30},
-		{Task: 6, Machine: 1, Session: 5, Try: 9}, {Task: 10, Machine: 2, Session: 1 << 40, Try: 1}, {Task: 11, Machine: 3, Session: 6, Try: 2}}
+	r := filled[jobrecord.Record]("record")
+	r.Assignments, r.PackedLists, r.CompletedTasks, r.Spec.Tasks = nil, nil, jobrecord.TaskSet{0, 2, 9, 9}, 40
+	place := []jobrecord.Assignment{{Task: 3, Machine: 0, Incarnation: 5, Attempt: 7}, {Task: 4, Machine: 0, Incarnation: 5, Attempt: 8}, {Task: 12, Machine: 0, Incarnation: 5, Attempt: 30},
+		{Task: 6, Machine: 1, Incarnation: 5, Attempt: 9}, {Task: 10, Machine: 2, Incarnation: 1 << 40, Attempt: 1}, {Task: 11, Machine: 3, Incarnation: 6, Attempt: 2}}
 	return stored{
 		write: func() ([]byte, error) {
-			return ledger.Encode(r, place, packed, func(m int32) (string, string) { return machines[m].name, machines[m].zone })
+			return jobrecord.Encode(r, place, packed, func(m int32) (string, string) { return machines[m].name, machines[m].zone })
 		},
 		read: func(raw []byte) (any, error) {
-			got, err := ledger.Decode(raw)
+			got, err := jobrecord.Decode(raw)
 			if err != nil {
 				return nil, err
 			}
-			list := got.Assigned(func(name, zone string) int32 { return int32(slices.Index(machines, machine{name, zone})) })
-			slices.SortFunc(list, func(a, b ledger.Asg) int {
+			list := got.ExpandAssignments(func(name, zone string) int32 { return int32(slices.Index(machines, machine{name, zone})) })
+			slices.SortFunc(list, func(a, b jobrecord.Assignment) int {
 				return cmp.Or(cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.Task, b.Task))
 			})
-			got.Place = nil
+			got.Assignments = nil
 			return placed{*got, list}, nil
 		},
 		want: placed{*r, place},
@@ -81,11 +81,11 @@
 }
 
 // plainRecord is a record without assignments.
-func plainRecord(r ledger.Record) stored {
+func plainRecord(r jobrecord.Record) stored {
 	return stored{
-		write: func() ([]byte, error) { return ledger.Encode(&r, nil, false, nil) },
+		write: func() ([]byte, error) { return jobrecord.Encode(&r, nil, false, nil) },
 		read: func(raw []byte) (any, error) {
-			got, err := ledger.Decode(raw)
+			got, err := jobrecord.Decode(raw)
 			if err != nil {
 				return nil, err
 			}
@@ -97,10 +97,10 @@
 
 func storedMessage(m protobuf.Message) stored {
 	return stored{
-		write: func() ([]byte, error) { return ledger.PackMessage(m) },
+		write: func() ([]byte, error) { return jobrecord.PackMessage(m) },
 		read: func(raw []byte) (any, error) {
 			got := m.ProtoReflect().New().Interface()
-			return got, ledger.UnpackMessage(raw, got)
+			return got, jobrecord.UnpackMessage(raw, got)
 		},
 		want: m,
 	}
@@ -109,8 +109,8 @@
 func storedCatalog(most int) stored {
 	k := filled[wire.Catalog]("types")
 	return stored{
-		write: func() ([]byte, error) { return ledger.EncodeCatalog(k, most, true) },
-		read:  func(raw []byte) (any, error) { return ledger.DecodeCatalog(raw) },
+		write: func() ([]byte, error) { return jobrecord.EncodeCatalog(k, most, true) },
+		read:  func(raw []byte) (any, error) { return jobrecord.DecodeCatalog(raw) },
 		want:  *k,
 	}
 }
@@ -123,25 +123,25 @@
 	entries := []*pb.AuditEntry{messageOf(&pb.AuditEntry{}, "first"), messageOf(&pb.AuditEntry{}, "second")}
 	return stored{
 		write: func() ([]byte, error) {
-			raw, n, _, err := auditKey.Extend(h, "node-a", 250, [][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])}, 1<<20)
+			raw, n, _, err := auditKey.EncodeNextBlock(h, "node-a", 250, [][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])}, 1<<20)
 			if n != 2 {
 				return nil, errors.New("not all entries are in the block")
 			}
 			return raw, err
 		},
 		read: func(raw []byte) (any, error) {
-			c := audit.Chain{Node: "node-a", Keys: []audit.Key{auditKey}, Number: h.Number, Code: h.Code}
-			b, err := c.Next(h.Number+1, raw)
+			c := audit.ChainVerifier{Node: "node-a", Keys: []audit.Key{auditKey}, BlockNumber: h.BlockNumber, MAC: h.MAC}
+			b, err := c.VerifyNext(h.BlockNumber+1, raw)
 			if err != nil {
 				return nil, err
 			}
-			out := &pb.AuditBlock{Number: b.Number, BoundMs: b.BoundMS}
+			out := &pb.AuditBlock{Number: b.Number, BoundMs: b.ClockErrorMS}
 			for _, e := range b.Entries {
 				out.Entries = append(out.Entries, audit.Encode(e))
 			}
 			return out, nil
 		},
-		want: &pb.AuditBlock{Number: h.Number + 1, BoundMs: 250, Entries: [][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])}},
+		want: &pb.AuditBlock{Number: h.BlockNumber + 1, BoundMs: 250, Entries: [][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])}},
 	}
 }
 
@@ -149,23 +149,23 @@
 func storedCarried() stored {
 	e := messageOf(&pb.AuditEntry{}, "carried")
 	return stored{
-		write: func() ([]byte, error) { return json.Marshal(auditKey.Carry("node-a", "dl/job/wk-1", e)) },
+		write: func() ([]byte, error) { return json.Marshal(auditKey.SignEntry("node-a", "dl/job/wk-1", e)) },
 		read: func(raw []byte) (any, error) {
-			var c audit.Carried
+			var c audit.PendingEntry
 			if err := json.Unmarshal(raw, &c); err != nil {
 				return nil, err
 			}
-			return auditKey.Open("dl/job/wk-1", &c)
+			return auditKey.VerifyEntry("dl/job/wk-1", &c)
 		},
 		want: e,
 	}
 }
 
 func storedArchive() stored {
-	b := &archive.Block{Low: "wk-", High: archive.Top, Entries: []archive.Entry{
-		{ID: "wk-1", Done: 7, Team: "team", Class: "class"},
-		{ID: "wk-12", Cancelled: true, Done: 1, By: "wk-0", Team: "team", Class: "other", Why: []archive.Reason{{Task: 3, Machine: "m-1", Cause: "idle", AtMS: 1_700_000_000_000}}},
-		{ID: "wk-3", Done: 100_000},
+	b := &archive.Block{Low: "wk-", High: archive.MaxID, Entries: []archive.Entry{
+		{ID: "wk-1", CompletedTasks: 7, Team: "team", Class: "class"},
+		{ID: "wk-12", Cancelled: true, CompletedTasks: 1, CancelledByJob: "wk-0", Team: "team", Class: "other", StopReasons: []archive.StopReason{{Task: 3, Machine: "m-1", Cause: "idle", AtMS: 1_700_000_000_000}}},
+		{ID: "wk-3", CompletedTasks: 100_000},
 	}}
 	return stored{
 		write: func() ([]byte, error) { return b.Encode() },
@@ -219,53 +219,53 @@
 func TestStored(t *testing.T) {
 	numbers := []machine{{"m-001", "a"}, {"m-017", "a"}, {"m-900", "b"}, {"m-002", "c"}}
 	words := []machine{{"kiln-ab", "a"}, {"kiln-cdé", "a"}, {"oven", "b"}, {"x", "c"}}
-	entry := ledger.Record{V: 7, Shard: 3, Done: ledger.Ranges{1, 4}, Tries: 12, Why: []ledger.Reason{*filled[ledger.Reason]("reason")}}
-	ended := ledger.Record{V: 9, Shard: 3, Stage: ledger.Done, Done: ledger.Ranges{0, 39}, AtMS: 1_700_000_000_000, Who: "anna", Team: "team", Class: "class"}
-	cancelled := ledger.Record{V: 9, Shard: 3, Stage: ledger.Cancelled, CancelMS: 1_700_000_000_000, By: "wk-2", Team: "team", Class: "class"}
-	entries := shared.Entries{"wk-1": json.RawMessage(`{"h":3,"v":7}`), "wk-2": json.RawMessage(`{"h":3,"v":8,"d":[0,1]}`)}
+	entry := jobrecord.Record{WriteNumber: 7, Shard: 3, CompletedTasks: jobrecord.TaskSet{1, 4}, LastAttempt: 12, StopReasons: []jobrecord.StopReason{*filled[jobrecord.StopReason]("reason")}}
+	ended := jobrecord.Record{WriteNumber: 9, Shard: 3, Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 39}, AcceptedAtMS: 1_700_000_000_000, Submitter: "anna", Team: "team", Class: "class"}
+	cancelled := jobrecord.Record{WriteNumber: 9, Shard: 3, Stage: jobrecord.Cancelled, CancelledAtMS: 1_700_000_000_000, CancelledByJob: "wk-2", Team: "team", Class: "class"}
+	entries := batchvalue.Entries{"wk-1": json.RawMessage(`{"h":3,"v":7}`), "wk-2": json.RawMessage(`{"h":3,"v":8,"d":[0,1]}`)}
 	list := messageOf(&pb.Equipment{}, "list")
 	restored := storedRecord(numbers, false)
-	first := ledger.Record{V: 1, Shard: 2, Turn: 11, Spec: filled[wire.JobSpec]("spec")}
+	first := jobrecord.Record{WriteNumber: 1, Shard: 2, EnqueueRevision: 11, Spec: filled[wire.JobSpec]("spec")}
 	all := map[string]stored{
 		"record, machines by number":         storedRecord(numbers, false),
 		"record, machines by number, packed": storedRecord(numbers, true),
 		"record, machines by name":           storedRecord(words, false),
 		"record, machines by name, packed":   storedRecord(words, true),
-		"record, nothing in it":              plainRecord(ledger.Record{}),
+		"record, nothing in it":              plainRecord(jobrecord.Record{}),
 		"record of a job that is done":       plainRecord(ended),
 		"record of a cancelled job":          plainRecord(cancelled),
 		"entry of a shared value":            plainRecord(entry),
 		"record that was restored": {
 			write: func() ([]byte, error) {
 				raw, err := restored.write()
-				return ledger.Restored(raw, 7, 2_000_000), err
+				return jobrecord.PrepareForRestore(raw, 7, 2_000_000), err
 			},
 			read: func(raw []byte) (any, error) {
-				got, err := ledger.Decode(raw)
+				got, err := jobrecord.Decode(raw)
 				if err != nil {
 					return nil, err
 				}
-				return []uint64{got.Turn, got.Before}, nil
+				return []uint64{got.EnqueueRevision, got.RestoreOrder}, nil
 			},
 			want: []uint64{0, 2_000_001 + number("record.ob")},
 		},
 		"record that was restored for the first time": {
 			write: func() ([]byte, error) {
-				raw, err := ledger.Encode(&first, nil, false, nil)
-				return ledger.Restored(raw, 7, 30), err
+				raw, err := jobrecord.Encode(&first, nil, false, nil)
+				return jobrecord.PrepareForRestore(raw, 7, 30), err
 			},
 			read: func(raw []byte) (any, error) {
-				got, err := ledger.Decode(raw)
+				got, err := jobrecord.Decode(raw)
 				if err != nil {
 					return nil, err
 				}
-				return []uint64{got.Turn, got.Before}, nil
+				return []uint64{got.EnqueueRevision, got.RestoreOrder}, nil
 			},
 			want: []uint64{0, 20},
 		},
 		"shared value": {
 			write: func() ([]byte, error) { return entries.Encode() },
-			read:  func(raw []byte) (any, error) { return shared.Decode(raw) },
+			read:  func(raw []byte) (any, error) { return batchvalue.Decode(raw) },
 			want:  entries,
 		},
 		"machine types":         storedCatalog(1 << 20),
@@ -274,7 +274,7 @@
 		"identity":              storedMessage(messageOf(&pb.Identity{}, "identity")),
 		"lanes":                 storedMessage(messageOf(&pb.Lanes{}, "lanes")),
 		"list of equipment": {
-			write: func() ([]byte, error) { return booking.EncodeList(list) },
+			write: func() ([]byte, error) { return reservations.EncodeInventory(list) },
 			read: func(raw []byte) (any, error) { // core/booking reads it; here it is the packed message, under another name
 				var v struct {
 					Data []byte `json:"p"`
@@ -287,7 +287,7 @@
 					return nil, err
 				}
 				got := &pb.Equipment{}
-				return got, ledger.UnpackMessage(again, got)
+				return got, jobrecord.UnpackMessage(again, got)
 			},
 			want: list,
 		},
@@ -340,14 +340,14 @@
 // The keys of the state service, as far as they are exported, and the forms.
 func TestKeys(t *testing.T) {
 	same(t, "keys", map[string]any{
-		"all": []string{core.Root, core.KeyEpoch, core.KeyJob, core.KeyRestored, recorder.Prefix, recorder.KeyBegun, recorder.KeyHead, booking.Prefix, booking.KeyHead,
-			booking.KeyList, booking.PastPrefix, archive.Prefix, archive.Key("wk-7"), archive.Before("wk-7"), archive.Top, audit.Prefix, audit.BlockKey("node-a", 7)},
+		"all": []string{core.Root, core.KeyEpoch, core.KeyJob, core.KeyRestored, auditlog.Prefix, auditlog.KeyInitialized, auditlog.HeadPrefix, reservations.Prefix, reservations.KeyHead,
+			reservations.KeyInventory, reservations.ArchivePrefix, archive.BlockPrefix, archive.BlockKey("wk-7"), archive.SeekKey("wk-7"), archive.MaxID, audit.BlockPrefix, audit.BlockKey("node-a", 7)},
 		"leased":       core.LeasedKeys,
 		"form":         core.Form,
-		"acts":         []string{recorder.Take, recorder.Start, recorder.Stop, recorder.Restore, recorder.Forged},
-		"audit states": []string{audit.Done, audit.Refused},
-		"job stages":   []string{ledger.Queued, ledger.Done, ledger.Cancelled},
+		"acts":         []string{auditlog.VerbTakeOver, auditlog.VerbStart, auditlog.VerbStop, auditlog.VerbRestore, auditlog.VerbForged},
+		"audit states": []string{audit.OutcomeDone, audit.OutcomeRefused},
+		"job stages":   []string{jobrecord.Queued, jobrecord.Done, jobrecord.Cancelled},
 		"snapshot":     snapshot.Magic,
-		"its version":  snapshot.Version,
+		"its version":  snapshot.FormatVersion,
 	})
 }
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -15,7 +15,7 @@
 	"dewlift/access"
 	"dewlift/audit"
 	"dewlift/core"
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/settings"
 	"dewlift/wire"
 )
@@ -68,9 +68,9 @@
 		"changes":          new(wire.WatchResponse),
 		"lease request":    new(wire.LeaseRequest),
 		"lease reply":      new(wire.LeaseResponse),
-		"private key":      new(access.Private),
+		"private key":      new(access.PrivateKey),
 		"access decision":  new(access.Decision),
-		"act of the audit": new(audit.Act),
+		"act of the audit": new(audit.Event),
 	}
 }
 
@@ -181,17 +181,17 @@
 
 // A token, as its holder signs it.
 func TestToken(t *testing.T) {
-	k := access.Private{Holder: "anna", ID: "anna-1", Seed: []byte("a seed of thirty-two bytes, just")}
+	k := access.PrivateKey{Holder: "anna", ID: "anna-1", Seed: []byte("a seed of thirty-two bytes, just")}
 	now := time.Unix(1_700_000_000, 0)
-	token, err := k.Token(now, time.Hour)
+	token, err := k.SignToken(now, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := access.Parse([]byte(`roles { name: "r" grants { verbs: administer } } identities { name: "anna" roles: "r" keys { id: "anna-1" ed25519: "` + k.Public() + `" } }`))
+	p, err := access.Parse([]byte(`roles { name: "r" grants { verbs: administer } } identities { name: "anna" roles: "r" keys { id: "anna-1" ed25519: "` + k.PublicBase64() + `" } }`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, raw := range same(t, "token", map[string]any{"token": token, "public key": k.Public()}) {
+	for name, raw := range same(t, "token", map[string]any{"token": token, "public key": k.PublicBase64()}) {
 		if name != "token" {
 			continue
 		}
@@ -200,7 +200,7 @@
 			t.Fatal(err)
 		}
 		id, ok := access.PeekKey(was)
-		key, until, err := p.Verify(was, now, time.Second)
+		key, until, err := p.VerifyToken(was, now, time.Second)
 		if err != nil || !ok || id != "anna-1" || key.Holder != "anna" || !until.Equal(now.Add(time.Hour)) {
 			t.Errorf("the token is one of %q until %v (%v)", id, until, err)
 		}
@@ -232,7 +232,7 @@
 			}
 		}
 	}
-	for _, types := range []map[string]any{bodies(), messages(), {"record": new(ledger.Record), "head": new(audit.Head), "carried": new(audit.Carried), "platform": new(settings.Platform)}} {
+	for _, types := range []map[string]any{bodies(), messages(), {"record": new(jobrecord.Record), "head": new(audit.Head), "carried": new(audit.PendingEntry), "platform": new(settings.Platform)}} {
 		for _, v := range types {
 			walk(reflect.TypeOf(v))
 		}
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -104,7 +104,7 @@
 var kinds = []string{"none", "rights", "rights and record"}
 
 type keys struct {
-	user   *access.Private
+	user   *access.PrivateKey
 	rights string
 	audit  string
 }
@@ -120,7 +120,7 @@
 	}
 	return &keys{user: user, audit: text, rights: fmt.Sprintf(`roles { name: "all" grants { verbs: submit verbs: read verbs: cancel verbs: administer verbs: audit teams: "*" classes: "*" } }
 		identities { name: "portal" roles: "all" keys { id: %q ed25519: %q } }
-		`, user.ID, user.Public())}, nil
+		`, user.ID, user.PublicBase64())}, nil
 }
 
 func (k *keys) options(kind string) process.Options {
@@ -242,7 +242,7 @@
 	token := ""
 	if kind != kinds[0] {
 		var err error
-		if token, err = k.user.Token(time.Now(), time.Hour); err != nil {
+		if token, err = k.user.SignToken(time.Now(), time.Hour); err != nil {
 			return nil, err
 		}
 	}
@@ -386,19 +386,19 @@
 			}
 			list = append(list, audit.Encode(e))
 		}
-		raw, n, code, err := key.Extend(h, "n0", 5, list, 8192*15/16)
+		raw, n, code, err := key.EncodeNextBlock(h, "n0", 5, list, 8192*15/16)
 		if err != nil {
 			return 0, 0, err
 		}
 		at += n
-		h = &audit.Head{Number: h.Number + 1, Code: code, Lives: []audit.Life{{Life: 1, Next: uint64(at + 1)}}}
+		h = &audit.Head{BlockNumber: h.BlockNumber + 1, MAC: code, Incarnations: []audit.Incarnation{{Number: 1, NextSequence: uint64(at + 1)}}}
 		stored += len(raw)
-		s.Fill([]wire.KeyValue{{Key: audit.BlockKey("n0", h.Number), Value: raw}})
+		s.Fill([]wire.KeyValue{{Key: audit.BlockKey("n0", h.BlockNumber), Value: raw}})
 	}
 	raw, err := json.Marshal(h)
 	if err != nil {
 		return 0, 0, err
 	}
 	s.Fill([]wire.KeyValue{{Key: core.Root + "audit/head/n0", Value: raw}, {Key: core.Root + "audit/begun", Value: json.RawMessage("1")}})
-	return int(h.Number), stored, nil
+	return int(h.BlockNumber), stored, nil
 }
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -136,7 +136,7 @@
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	out := make([]archive.Entry, n)
 	for i := range out {
-		out[i] = archive.Entry{ID: fmt.Sprintf("wk-%08d", 3*i+rng.IntN(3)), Done: 1 + rng.IntN(120), Cancelled: rng.IntN(20) == 0}
+		out[i] = archive.Entry{ID: fmt.Sprintf("wk-%08d", 3*i+rng.IntN(3)), CompletedTasks: 1 + rng.IntN(120), Cancelled: rng.IntN(20) == 0}
 	}
 	return out
 }
@@ -146,7 +146,7 @@
 	if e.Cancelled {
 		stage = "c"
 	}
-	return fmt.Sprintf(`{"h":%d,"st":"%s","d":[0,%d]}`, e.Done%12, stage, e.Done-1)
+	return fmt.Sprintf(`{"h":%d,"st":"%s","d":[0,%d]}`, e.CompletedTasks%12, stage, e.CompletedTasks-1)
 }
 
 // fill puts a site's keys into the stand-in: what a controller needs to serve, live jobs and ended ones.
@@ -174,7 +174,7 @@
 		low := ""
 		for i := 0; i < len(entries); { // blocks as full as they are on average
 			n := min(1200, len(entries)-i)
-			b := &archive.Block{Low: low, High: archive.Top, Entries: entries[i : i+n]}
+			b := &archive.Block{Low: low, High: archive.MaxID, Entries: entries[i : i+n]}
 			if i += n; i < len(entries) {
 				b.High = entries[i].ID
 			}
@@ -185,7 +185,7 @@
 			if len(raw) > 8192 {
 				return fmt.Errorf("a block takes %d bytes", len(raw))
 			}
-			add(archive.Key(b.High), string(raw))
+			add(archive.BlockKey(b.High), string(raw))
 			low = b.High
 		}
 	}
@@ -231,7 +231,7 @@
 		if e.Cancelled {
 			stage = wire.StageCancelled
 		}
-		right, t := poll(x, e.ID, stage, e.Done)
+		right, t := poll(x, e.ID, stage, e.CompletedTasks)
 		if took = append(took, t); !right {
 			wrong++
 		}
@@ -251,7 +251,7 @@
 	}
 	prefix := core.Root + "job/wk-0"
 	if f.Form == "archive" {
-		prefix = archive.Prefix
+		prefix = archive.BlockPrefix
 	}
 	_, bytes := s.Keys(prefix)
 	f.StoreB = float64(bytes) / float64(f.Jobs)
@@ -333,7 +333,7 @@
 	gone := n - left
 	m.Jobs, m.Changes = gone, s.Count()["changed"]
 	var bytes int
-	m.Blocks, bytes = s.Keys(archive.Prefix)
+	m.Blocks, bytes = s.Keys(archive.BlockPrefix)
 	m.PerJob = float64(m.Changes) / float64(gone)
 	m.Beyond, m.BytesPerJob = m.PerJob-1, float64(bytes)/float64(gone)
 	if _, m.PeakMB, err = x.Usage(); err != nil {
--- a/internal/sim/audit.go
+++ b/internal/sim/audit.go
@@ -10,7 +10,7 @@
 
 	"dewlift/audit"
 	"dewlift/core"
-	"dewlift/core/booking"
+	"dewlift/core/reservations"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -39,13 +39,13 @@
 
 // carrying is what values with entries have in common, and what records tell of changes.
 type carrying struct {
-	Carried []audit.Carried `json:"e"`
-	Stage   string          `json:"st"`
-	Who     string          `json:"u"`
-	Why     []wireReason    `json:"w"`
-	Spec    json.RawMessage `json:"s"`
-	Node    string          `json:"n"`
-	Lease   uint64          `json:"t"`
+	Carried []audit.PendingEntry `json:"e"`
+	Stage   string               `json:"st"`
+	Who     string               `json:"u"`
+	Why     []wireReason         `json:"w"`
+	Spec    json.RawMessage      `json:"s"`
+	Node    string               `json:"n"`
+	Lease   uint64               `json:"t"`
 }
 
 type wireReason struct {
@@ -63,20 +63,20 @@
 }
 
 // fresh lists the entries of a value that the old one and the others of its transaction did not carry, by verb.
-func (r *recorder) fresh(key string, old []audit.Carried, now []audit.Carried) map[string][]*pb.AuditEntry {
+func (r *recorder) fresh(key string, old []audit.PendingEntry, now []audit.PendingEntry) map[string][]*pb.AuditEntry {
 	out := map[string][]*pb.AuditEntry{}
 	had := map[entryID]bool{}
 	for _, x := range old {
-		had[entryID{x.Node, x.Life, x.Count}] = true
+		had[entryID{x.Node, x.Incarnation, x.Sequence}] = true
 	}
 	has := map[entryID]bool{}
 	for _, x := range now {
-		id := entryID{x.Node, x.Life, x.Count}
+		id := entryID{x.Node, x.Incarnation, x.Sequence}
 		has[id] = true
 		if had[id] {
 			continue
 		}
-		e, err := auditKey.Open(key, &x)
+		e, err := auditKey.VerifyEntry(key, &x)
 		if err != nil {
 			r.broken("%s carries a bad entry: %v", key, err)
 			continue
@@ -112,10 +112,10 @@
 				beside[verb] += len(list)
 			}
 		}
-		if strings.HasPrefix(x.Put, audit.Prefix) {
+		if strings.HasPrefix(x.Put, audit.BlockPrefix) {
 			r.block(keys, x)
 		}
-		if strings.HasPrefix(x.Delete, audit.Prefix) {
+		if strings.HasPrefix(x.Delete, audit.BlockPrefix) {
 			r.broken("%s is deleted", x.Delete)
 		}
 	}
@@ -127,7 +127,7 @@
 		key := x.Put + x.Delete
 		old, now := was(key), decodeCarrying(x.Value)
 		switch id, isJob := strings.CutPrefix(key, core.Root+"job/"); {
-		case key == booking.KeyHead:
+		case key == reservations.KeyHead:
 			if len(r.fresh(key, old.Carried, now.Carried)) == 0 {
 				r.broken("bookings change without an entry")
 			}
@@ -182,7 +182,7 @@
 		r.broken("%s is written twice, or is no key of a block", x.Put)
 		return
 	}
-	b, err := audit.Reads(x.Value)
+	b, err := audit.DecodeBlock(x.Value)
 	if err != nil || b.Number != number {
 		r.broken("%s: %v", x.Put, err)
 		return
@@ -208,16 +208,16 @@
 // Finish checks that every entry is in a block, or carried, and every chain whole.
 func (r *recorder) Finish(keys map[string]*wire.KeyValue) {
 	left := map[entryID]bool{}
-	chains := map[string]*audit.Chain{}
+	chains := map[string]*audit.ChainVerifier{}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		for _, x := range decodeCarrying(keys[key].Value).Carried {
-			left[entryID{x.Node, x.Life, x.Count}] = true
+			left[entryID{x.Node, x.Incarnation, x.Sequence}] = true
 		}
 		if node, number, ok := audit.SplitBlockKey(key); ok {
 			if chains[node] == nil {
-				chains[node] = &audit.Chain{Node: node, Keys: []audit.Key{auditKey}}
+				chains[node] = &audit.ChainVerifier{Node: node, Keys: []audit.Key{auditKey}}
 			}
-			if _, err := chains[node].Next(number, keys[key].Value); err != nil {
+			if _, err := chains[node].VerifyNext(number, keys[key].Value); err != nil {
 				r.broken("%v", err)
 			}
 		}
--- a/internal/sim/booking.go
+++ b/internal/sim/booking.go
@@ -12,7 +12,7 @@
 
 	"dewlift/booking"
 	"dewlift/core"
-	desk "dewlift/core/booking"
+	"dewlift/core/reservations"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -21,7 +21,7 @@
 // code of its own that looks at every pair of bookings.
 type bookings struct {
 	w     *World
-	site  *booking.Site
+	site  *booking.Inventory
 	last  map[string]*pb.Booking // as it is stored
 	told  map[string]told
 	asked map[string][][]string // by booking: all sets of slots that it was ever asked to have
@@ -42,7 +42,7 @@
 }
 
 // equipment of a world: one kiln that is to cool, two that are alike, a roaster; all are always open.
-func equipment(more string) *booking.Site {
+func equipment(more string) *booking.Inventory {
 	s, err := booking.Parse([]byte(`pieces { name: "k1" kind: "kiln" slot_minutes: 60 cool_minutes: 30 }
 pieces { name: "k2" kind: "kiln" units: 2 slot_minutes: 60 }
 pieces { name: "r" kind: "roaster" slot_minutes: 30 }` + more))
@@ -58,7 +58,7 @@
 
 // books reports whether a transaction writes bookings.
 func books(t wire.Txn) bool {
-	return slices.ContainsFunc(t.Then, func(x wire.Write) bool { return strings.HasPrefix(x.Put+x.Delete, desk.Prefix) })
+	return slices.ContainsFunc(t.Then, func(x wire.Write) bool { return strings.HasPrefix(x.Put+x.Delete, reservations.Prefix) })
 }
 
 func uses(b *pb.Booking) bool {
@@ -71,14 +71,14 @@
 	pages := 0
 	k.archived = 0
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		past := strings.HasPrefix(key, desk.PastPrefix)
-		if !past && (!strings.HasPrefix(key, desk.Prefix) || key == desk.KeyList || key == desk.Prefix+"past") {
+		past := strings.HasPrefix(key, reservations.ArchivePrefix)
+		if !past && (!strings.HasPrefix(key, reservations.Prefix) || key == reservations.KeyInventory || key == reservations.Prefix+"past") {
 			continue
 		}
 		if !past {
 			pages++
 		}
-		p, _, err := desk.Decode(keys[key].Value)
+		p, _, err := reservations.Decode(keys[key].Value)
 		if past {
 			k.archived += len(p.GetBookings())
 		}
@@ -170,7 +170,7 @@
 func (k *bookings) whole(b *pb.Booking) {
 	var has []string
 	for _, x := range b.Slots {
-		has = append(has, fmt.Sprintf("%s %d %d", k.site.Kind(x.Piece), x.From, x.To))
+		has = append(has, fmt.Sprintf("%s %d %d", k.site.ItemKind(x.Piece), x.From, x.To))
 	}
 	if !slices.ContainsFunc(k.asked[b.Id], func(w []string) bool { return slices.Equal(w, has) }) {
 		k.w.Check.broken("half_booked", "%v has %v, asked for was %v", b, has, k.asked[b.Id])
@@ -288,14 +288,14 @@
 
 // wants notes what a booking is asked to have.
 func (k *bookings) wants(id string, list []wire.SlotRequest) {
-	wants, err := desk.Wants(k.site, list, "")
+	wants, err := reservations.ResolveWants(k.site, list, "")
 	if err != nil {
 		panic(err)
 	}
 	var has []string
 	for _, x := range wants {
 		minutes := int64(60)
-		kind := k.site.KindOf(x)
+		kind := k.site.WantKind(x)
 		if kind == "roaster" {
 			minutes = 30
 		}
@@ -347,23 +347,23 @@
 		w.after(w.between(500*time.Millisecond, 12*time.Second), func() {
 			switch w.rng.IntN(6) {
 			case 0:
-				send(booking.Confirm, wire.ReservationRequest{ID: id}, func(core.Reply, *wire.Reservation) { life() })
+				send(booking.VerbConfirm, wire.ReservationRequest{ID: id}, func(core.Reply, *wire.Reservation) { life() })
 			case 1:
 				next := wire.ReservationRequest{ID: id, Slots: k.wish()}
 				k.wants(id, next.Slots)
-				send(booking.Move, next, func(core.Reply, *wire.Reservation) { life() })
+				send(booking.VerbMove, next, func(core.Reply, *wire.Reservation) { life() })
 			case 2:
 				k.ends[id] = true
-				send(booking.End, wire.ReservationRequest{ID: id, Reason: "done with it"}, func(core.Reply, *wire.Reservation) { life() })
+				send(booking.VerbEnd, wire.ReservationRequest{ID: id, Reason: "done with it"}, func(core.Reply, *wire.Reservation) { life() })
 			case 3: // a repeat
-				send(booking.Make, a, func(core.Reply, *wire.Reservation) { life() })
+				send(booking.VerbCreate, a, func(core.Reply, *wire.Reservation) { life() })
 			default:
 				k.ask(id, func(req uint64) core.Input { return core.ShowBookings{Req: req, Query: wire.ReservationQuery{ID: id}} },
 					func(core.Reply, *wire.Reservation) { life() })
 			}
 		})
 	}
-	send(booking.Make, a, func(r core.Reply, _ *wire.Reservation) {
+	send(booking.VerbCreate, a, func(r core.Reply, _ *wire.Reservation) {
 		switch r.Status {
 		case 200, 201:
 			life()
@@ -399,11 +399,11 @@
 		})
 	}
 	make := func(req uint64) core.Input {
-		return core.Book{Req: req, Verb: booking.Make, Ask: wire.ReservationRequest{ID: id, Slots: []wire.SlotRequest{{Equipment: "k1", From: slot}}}}
+		return core.Book{Req: req, Verb: booking.VerbCreate, Ask: wire.ReservationRequest{ID: id, Slots: []wire.SlotRequest{{Equipment: "k1", From: slot}}}}
 	}
 	end := func(req uint64) core.Input {
 		k.ends[id] = true
-		return core.Book{Req: req, Verb: booking.End, Ask: wire.ReservationRequest{ID: id}}
+		return core.Book{Req: req, Verb: booking.VerbEnd, Ask: wire.ReservationRequest{ID: id}}
 	}
 	op(false, make, func() {
 		w.after(w.between(time.Second, 10*time.Second), func() {
--- a/internal/sim/lanes.go
+++ b/internal/sim/lanes.go
@@ -8,15 +8,15 @@
 	"time"
 
 	"dewlift/core"
-	"dewlift/core/ledger"
-	"dewlift/lanes"
+	"dewlift/core/jobrecord"
+	"dewlift/priorityclass"
 	"dewlift/wire"
 )
 
 // order is what the state service's own order of acceptances says of jobs, by their records. It is kept apart from what controllers think.
 type order struct {
 	w    *World
-	list *lanes.List
+	list *priorityclass.List
 	ends []time.Duration // when controllers ended
 	jobs map[string]*inLine
 }
@@ -42,7 +42,7 @@
 const jumpWindow = 75 * time.Second
 
 func newOrder(w *World) *order {
-	list, err := lanes.Parse([]byte(`lanes { name: "first" priorities: "critical" priorities: "high" share_percent: 20 }
+	list, err := priorityclass.Parse([]byte(`lanes { name: "first" priorities: "critical" priorities: "high" share_percent: 20 }
 		lanes { name: "second" priorities: "standard" } lanes { name: "rest" rise_after_s: 60 }`))
 	if err != nil {
 		panic(err)
@@ -57,7 +57,7 @@
 		if !ok {
 			continue
 		}
-		r, err := ledger.Decode(x.Value)
+		r, err := jobrecord.Decode(x.Value)
 		if err != nil {
 			o.w.Check.broken("order", "%s: %v", id, err)
 			continue
@@ -66,18 +66,18 @@
 	}
 }
 
-func (o *order) wrote(id string, r *ledger.Record, mark uint64) {
+func (o *order) wrote(id string, r *jobrecord.Record, mark uint64) {
 	j := o.jobs[id]
 	if j == nil {
-		j = &inLine{lane: r.Lane, nr: mark, at: o.w.now}
+		j = &inLine{lane: r.PriorityClass, nr: mark, at: o.w.now}
 		if r.Spec != nil {
 			j.spec = *r.Spec
 		}
 		o.jobs[id] = j
-	} else if r.Spec != nil && (r.Lane != j.lane || r.Turn != j.nr) {
-		o.w.Check.broken("demoted", "%s was accepted into lane %q as %d and is in %q as %d", id, j.lane, j.nr, r.Lane, r.Turn)
+	} else if r.Spec != nil && (r.PriorityClass != j.lane || r.EnqueueRevision != j.nr) {
+		o.w.Check.broken("demoted", "%s was accepted into lane %q as %d and is in %q as %d", id, j.lane, j.nr, r.PriorityClass, r.EnqueueRevision)
 	}
-	j.over = r.Spec == nil || r.Stage != ledger.Queued
+	j.over = r.Spec == nil || r.Stage != jobrecord.Queued
 }
 
 // begins tells that a task of a job runs.
--- a/internal/sim/rights.go
+++ b/internal/sim/rights.go
@@ -51,7 +51,7 @@
 // policy are the first rights of a world: everyone may do everything with jobs, root may change rights.
 func policy() *access.Policy {
 	verbs := []pb.Verb{pb.Verb_submit, pb.Verb_read, pb.Verb_cancel, pb.Verb_prioritise, pb.Verb_book}
-	all := []string{access.All}
+	all := []string{access.AnyGroup}
 	a := &pb.Access{Roles: []*pb.Role{
 		{Name: "all", Grants: []*pb.Grant{{Verbs: verbs, Teams: all, Classes: all, UpTo: wire.PriorityName(0)}}},
 		{Name: "admin", Grants: []*pb.Grant{{Verbs: []pb.Verb{pb.Verb_administer, pb.Verb_audit, pb.Verb_equip}}}}}}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -11,7 +11,7 @@
 
 	"dewlift/audit"
 	"dewlift/core"
-	"dewlift/core/ledger"
+	"dewlift/core/jobrecord"
 	"dewlift/internal/agenda"
 	pb "dewlift/proto"
 	"dewlift/wire"
@@ -232,9 +232,11 @@
 func TestCheckerOfTheOrderFires(t *testing.T) {
 	for rule, step := range map[string]func(o *order){
 		"demoted": func(o *order) {
-			o.wrote("a", &ledger.Record{Lane: "second", Turn: 7, Spec: &wire.JobSpec{}}, 9)
+			o.wrote("a", &jobrecord.Record{PriorityClass: "second", EnqueueRevision: 7, Spec: &wire.JobSpec{}}, 9)
+		},
+		"demoted: place": func(o *order) {
+			o.wrote("a", &jobrecord.Record{PriorityClass: "first", EnqueueRevision: 9, Spec: &wire.JobSpec{}}, 9)
 		},
-		"demoted: place": func(o *order) { o.wrote("a", &ledger.Record{Lane: "first", Turn: 9, Spec: &wire.JobSpec{}}, 9) },
 		"jumped": func(o *order) {
 			o.begins("b")
 			o.w.now += jumpWindow + time.Second
@@ -244,7 +246,7 @@
 		w := New(Options{Seed: 1})
 		for i, id := range []string{"a", "b"} {
 			w.now += time.Duration(i) * (apart + time.Second)
-			w.order.wrote(id, &ledger.Record{Lane: "first", Spec: &wire.JobSpec{}}, uint64(7+i))
+			w.order.wrote(id, &jobrecord.Record{PriorityClass: "first", Spec: &wire.JobSpec{}}, uint64(7+i))
 		}
 		w.now++
 		step(w.order)
@@ -492,10 +494,10 @@
 // dropped, put twice or lost, and a block that is written again.
 func TestCheckerCatchesWhatIsUnrecorded(t *testing.T) {
 	const job, shard, who = core.Root + "job/wk-1", core.Root + "shard/00", core.Root + "access/who/u"
-	entry := func(key, verb, by string, count uint64) audit.Carried {
-		return auditKey.Carry("n0", key, &pb.AuditEntry{Life: 1, Count: count, Verb: verb, Who: by, Object: "wk-1"})
+	entry := func(key, verb, by string, count uint64) audit.PendingEntry {
+		return auditKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: count, Verb: verb, Who: by, Object: "wk-1"})
 	}
-	value := func(stage string, list ...audit.Carried) json.RawMessage {
+	value := func(stage string, list ...audit.PendingEntry) json.RawMessage {
 		raw, err := json.Marshal(carrying{Carried: list, Stage: stage, Who: "u"})
 		if err != nil {
 			t.Fatal(err)
@@ -503,12 +505,12 @@
 		return raw
 	}
 	put := func(key string, raw json.RawMessage) wire.Write { return wire.Write{Put: key, Value: raw} }
-	block := func(number uint64, list ...audit.Carried) wire.Write {
+	block := func(number uint64, list ...audit.PendingEntry) wire.Write {
 		var raws [][]byte
 		for _, x := range list {
 			raws = append(raws, x.Entry)
 		}
-		raw, _, _, err := auditKey.Extend(&audit.Head{Number: number - 1}, "n0", 0, raws, 8192)
+		raw, _, _, err := auditKey.EncodeNextBlock(&audit.Head{BlockNumber: number - 1}, "n0", 0, raws, 8192)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sim/stand.go
+++ b/internal/sim/stand.go
@@ -282,11 +282,11 @@
 func (s *stateService) archived() map[string]archive.Entry {
 	out := map[string]archive.Entry{}
 	for k, it := range s.keys {
-		if !strings.HasPrefix(k, archive.Prefix) {
+		if !strings.HasPrefix(k, archive.BlockPrefix) {
 			continue
 		}
 		b, err := archive.Decode(it.Value)
-		if err != nil || archive.Key(b.High) != k {
+		if err != nil || archive.BlockKey(b.High) != k {
 			s.w.Check.broken("archive", "%s: %v", k, err)
 			continue
 		}
@@ -302,12 +302,12 @@
 
 // moves reports whether a transaction moves ended jobs into the archive.
 func moves(t wire.Txn) bool {
-	return slices.ContainsFunc(t.Then, func(x wire.Write) bool { return strings.HasPrefix(x.Put, archive.Prefix) })
+	return slices.ContainsFunc(t.Then, func(x wire.Write) bool { return strings.HasPrefix(x.Put, archive.BlockPrefix) })
 }
 
 // records reports whether a transaction extends the audit record.
 func records(t wire.Txn) bool {
-	return slices.ContainsFunc(t.Then, func(x wire.Write) bool { return strings.HasPrefix(x.Put, audit.Prefix) })
+	return slices.ContainsFunc(t.Then, func(x wire.Write) bool { return strings.HasPrefix(x.Put, audit.BlockPrefix) })
 }
 
 // checkKept checks that every accepted job is kept once, by its record or in the archive, and as its
@@ -319,7 +319,7 @@
 		if record := w.state.keys[core.Root+"job/"+id] != nil; j.accepted && record == there {
 			w.Check.broken("forgotten", "%s: has a record: %v, is archived: %v", id, record, there)
 		}
-		if there && (j.stage == wire.StageDone && e.Cancelled || j.stage == wire.StageCancelled && !e.Cancelled || !e.Cancelled && e.Done != j.spec.Tasks) {
+		if there && (j.stage == wire.StageDone && e.Cancelled || j.stage == wire.StageCancelled && !e.Cancelled || !e.Cancelled && e.CompletedTasks != j.spec.Tasks) {
 			w.Check.broken("went_back", "%s was called %s and is archived as %+v", id, j.stage, e)
 		}
 	}
--- a/internal/sim/upgrade.go
+++ b/internal/sim/upgrade.go
@@ -71,7 +71,7 @@
 		return
 	}
 	for _, x := range t.Then {
-		if strings.HasPrefix(x.Put, archive.Prefix) || strings.HasPrefix(x.Delete, core.Root+"job/") {
+		if strings.HasPrefix(x.Put, archive.BlockPrefix) || strings.HasPrefix(x.Delete, core.Root+"job/") {
 			w.Check.broken("forms", "%s moves an ended job while an old process may run", n.name)
 		}
 		if x.Put == "" {
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -26,21 +26,21 @@
 
 // People are the users of a cooperative and a roastery, each with a key: a glaze technician, a visiting potter, a packer
 // who may reprint labels and not cancel a reroast, a service, and who administers.
-func People() (*access.Policy, map[string]*access.Private, error) {
+func People() (*access.Policy, map[string]*access.PrivateKey, error) {
 	text := `
 		roles { name: "technician" grants { verbs: submit verbs: read verbs: cancel teams: "t" classes: "firing" } }
 		roles { name: "visitor" grants { verbs: submit verbs: read teams: "t" classes: "plan" } }
 		roles { name: "packer" grants { verbs: submit verbs: read verbs: cancel teams: "t" classes: "labels" } grants { verbs: read teams: "t" classes: "reroast" } }
 		roles { name: "portal" grants { verbs: submit verbs: cancel verbs: read teams: "t" classes: "reroast" } }
 		roles { name: "admin" grants { verbs: administer verbs: audit } }`
-	keys := map[string]*access.Private{}
+	keys := map[string]*access.PrivateKey{}
 	for _, x := range [][2]string{{"anna", "technician"}, {"potter", "visitor"}, {"pia", "packer"}, {"portal", "portal"}, {"root", "admin"}} {
 		k, err := access.NewKey(x[0], x[0]+"-1")
 		if err != nil {
 			return nil, nil, err
 		}
 		keys[x[0]] = k
-		text += fmt.Sprintf("identities { name: %q roles: %q keys { id: %q ed25519: %q } }", x[0], x[1], k.ID, k.Public())
+		text += fmt.Sprintf("identities { name: %q roles: %q keys { id: %q ed25519: %q } }", x[0], x[1], k.ID, k.PublicBase64())
 	}
 	p, err := access.Parse([]byte(text))
 	return p, keys, err
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -8,67 +8,67 @@
 
 // The levels.
 const (
-	Calm  Level = iota
-	Busy        // what can wait waits
-	Over        // what is new is refused, with an honest time to come back
-	count = iota
+	Normal     Level = iota
+	Busy             // what can wait waits
+	Overloaded       // what is new is refused, with an honest time to come back
+	levelCount = iota
 )
 
-func (l Level) String() string { return [count]string{"calm", "busy", "over"}[l] }
+func (l Level) String() string { return [levelCount]string{"calm", "busy", "over"}[l] }
 
-// Signs are what it is known by.
-type Signs struct {
-	Late    time.Duration // what came in last had waited for so long when it was decided
-	Queue   float64       // part of the queue of what came in that is in use
-	Sockets float64       // part of the connections that may be open which are
-	Backlog time.Duration // that writing what waits to be written would take
+// Signals are what it is known by.
+type Signals struct {
+	QueueDelay      time.Duration // what came in last had waited for so long when it was decided
+	QueueUsage      float64       // part of the queue of what came in that is in use
+	ConnectionUsage float64       // part of the connections that may be open which are
+	WriteBacklog    time.Duration // that writing what waits to be written would take
 }
 
-// enter are the least signs of each level but the first. One is enough.
-var enter = [count]Signs{Busy: {100 * time.Millisecond, 0.25, 0.85, 4 * time.Second}, Over: {600 * time.Millisecond, 0.6, 0.98, 15 * time.Second}}
+// enterThresholds are the least signs of each level but the first. One is enough.
+var enterThresholds = [levelCount]Signals{Busy: {100 * time.Millisecond, 0.25, 0.85, 4 * time.Second}, Overloaded: {600 * time.Millisecond, 0.6, 0.98, 15 * time.Second}}
 
 const (
-	leave = 0.5             // of all signs of a level, under which it can be left
-	stay  = 3 * time.Second // for which they must have been
+	leaveFactor = 0.5             // of all signs of a level, under which it can be left
+	leaveDelay  = 3 * time.Second // for which they must have been
 )
 
 // State is a controller's level. The zero value is calm.
 type State struct {
-	level Level
-	since time.Duration // when a sign of the level was last there
-	Signs Signs         // as of the last look
+	level        Level
+	lastSignalAt time.Duration // when a sign of the level was last there
+	Signals      Signals       // as of the last look
 }
 
 // Level is the present one.
 func (s *State) Level() Level { return s.level }
 
-// Look takes the signs as they are, and reports whether the level has changed. A level is entered at once, and left for the next
+// Update takes the signs as they are, and reports whether the level has changed. A level is entered at once, and left for the next
 // lower when its signs have been gone for a while.
-func (s *State) Look(now time.Duration, x Signs) (changed bool) {
-	s.Signs = x
-	for l := Over; l > s.level; l-- {
-		if x.reach(enter[l], 1) {
-			s.level, s.since = l, now
+func (s *State) Update(now time.Duration, x Signals) (changed bool) {
+	s.Signals = x
+	for l := Overloaded; l > s.level; l-- {
+		if x.anyReaches(enterThresholds[l], 1) {
+			s.level, s.lastSignalAt = l, now
 			return true
 		}
 	}
-	if s.level == Calm {
+	if s.level == Normal {
 		return false
 	}
-	if x.reach(enter[s.level], leave) {
-		s.since = now
+	if x.anyReaches(enterThresholds[s.level], leaveFactor) {
+		s.lastSignalAt = now
 		return false
 	}
-	if now-s.since < stay {
+	if now-s.lastSignalAt < leaveDelay {
 		return false
 	}
 	s.level--
-	s.since = now
+	s.lastSignalAt = now
 	return true
 }
 
-// reach reports whether one of the signs is at a part of what it is compared with.
-func (x Signs) reach(o Signs, part float64) bool {
-	return float64(x.Late) >= part*float64(o.Late) || x.Queue >= part*o.Queue || x.Sockets >= part*o.Sockets ||
-		float64(x.Backlog) >= part*float64(o.Backlog)
+// anyReaches reports whether one of the signs is at a part of what it is compared with.
+func (x Signals) anyReaches(o Signals, part float64) bool {
+	return float64(x.QueueDelay) >= part*float64(o.QueueDelay) || x.QueueUsage >= part*o.QueueUsage || x.ConnectionUsage >= part*o.ConnectionUsage ||
+		float64(x.WriteBacklog) >= part*float64(o.WriteBacklog)
 }
--- a/lanes/lanes.go
+++ b/priorityclass/list.go
@@ -1,6 +1,6 @@
-// Package lanes decides which work goes ahead of which. It is pure: the same list, the same job and the same time always give the same
+// Package priorityclass decides which work goes ahead of which. It is pure: the same list, the same job and the same time always give the same
 // place. The place of a job in its lane comes from the state service's own order of acceptances, no clock's.
-package lanes
+package priorityclass
 
 import (
 	"errors"
@@ -16,26 +16,26 @@
 )
 
 const (
-	mostLanes = 20
-	mostShare = 90 // percent
+	maxClasses      = 20
+	maxSharePercent = 90 // percent
 )
 
-var name = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,29}$`)
+var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,29}$`)
 
 // List is a list of lanes, checked. It never changes.
 type List struct {
-	source *pb.Lanes
-	lanes  []lane
-	byName map[string]int
+	source      *pb.Lanes
+	classes     []class
+	indexByName map[string]int
 }
 
-type lane struct {
+type class struct {
 	*pb.Lane
 	priorities []int
 }
 
-// ByPriority is the list without a file: a lane for each priority, and routine work rises after a time; 0: never.
-func ByPriority(rise time.Duration) *List {
+// Default is the list without a file: a lane for each priority, and routine work rises after a time; 0: never.
+func Default(riseAfter time.Duration) *List {
 	p := &pb.Lanes{}
 	for i := range wire.PriorityLowest + 1 {
 		l := &pb.Lane{Name: wire.PriorityName(i)}
@@ -43,7 +43,7 @@
 			l.Priorities = []string{l.Name}
 		}
 		if i > 1 { // nothing rises to critical
-			l.RiseAfterS = uint32(rise / time.Second)
+			l.RiseAfterS = uint32(riseAfter / time.Second)
 		}
 		p.Lanes = append(p.Lanes, l)
 	}
@@ -65,18 +65,18 @@
 
 // New checks a list.
 func New(p *pb.Lanes) (*List, error) {
-	if len(p.Lanes) == 0 || len(p.Lanes) > mostLanes {
-		return nil, fmt.Errorf("%d lanes, must be from 1 to %d", len(p.Lanes), mostLanes)
+	if len(p.Lanes) == 0 || len(p.Lanes) > maxClasses {
+		return nil, fmt.Errorf("%d lanes, must be from 1 to %d", len(p.Lanes), maxClasses)
 	}
-	l := &List{source: p, byName: map[string]int{}}
+	l := &List{source: p, indexByName: map[string]int{}}
 	for i, x := range p.Lanes {
-		n := lane{Lane: x}
+		n := class{Lane: x}
 		var err error
-		switch _, twice := l.byName[x.Name]; {
-		case !name.MatchString(x.Name) || twice:
+		switch _, twice := l.indexByName[x.Name]; {
+		case !validName.MatchString(x.Name) || twice:
 			err = errors.New(".name: no name, or used twice")
-		case x.SharePercent > mostShare:
-			err = fmt.Errorf(".share_percent: %d, at most %d is allowed", x.SharePercent, mostShare)
+		case x.SharePercent > maxSharePercent:
+			err = fmt.Errorf(".share_percent: %d, at most %d is allowed", x.SharePercent, maxSharePercent)
 		case x.SharePercent > 0 && i == len(p.Lanes)-1:
 			err = errors.New(".share_percent: no lane is below the last")
 		case x.RiseAfterS > 0 && i == 0:
@@ -96,8 +96,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("lanes[%d] (%s)%w", i, x.Name, err)
 		}
-		l.byName[x.Name] = i
-		l.lanes = append(l.lanes, n)
+		l.indexByName[x.Name] = i
+		l.classes = append(l.classes, n)
 	}
 	return l, nil
 }
@@ -106,20 +106,20 @@
 func (l *List) Source() *pb.Lanes { return l.source }
 
 // Len is how many lanes there are.
-func (l *List) Len() int { return len(l.lanes) }
+func (l *List) Len() int { return len(l.classes) }
 
 // Name is a lane's name.
-func (l *List) Name(i int) string { return l.lanes[i].Name }
+func (l *List) Name(i int) string { return l.classes[i].Name }
 
-// Named is the lane of a name.
-func (l *List) Named(name string) (int, bool) {
-	i, ok := l.byName[name]
+// IndexOf is the lane of a name.
+func (l *List) IndexOf(name string) (int, bool) {
+	i, ok := l.indexByName[name]
 	return i, ok
 }
 
-// Of is the lane to which a job belongs.
-func (l *List) Of(s *wire.JobSpec) int {
-	for i, x := range l.lanes {
+// Classify is the lane to which a job belongs.
+func (l *List) Classify(s *wire.JobSpec) int {
+	for i, x := range l.classes {
 		if (len(x.priorities) == 0 || slices.Contains(x.priorities, s.Priority)) &&
 			(len(x.Classes) == 0 || slices.Contains(x.Classes, s.Class)) &&
 			(len(x.Teams) == 0 || slices.Contains(x.Teams, s.Team)) &&
@@ -127,34 +127,36 @@
 			return i
 		}
 	}
-	return len(l.lanes) - 1
+	return len(l.classes) - 1
 }
 
-// Risen is the lane by which a job of a lane is ordered after it has waited: a lane higher for each time of rising of the lane that it has come
+// EffectiveClass is the lane by which a job of a lane is ordered after it has waited: a lane higher for each time of rising of the lane that it has come
 // to. It rises to the first lane whose jobs do not rise, or to the lane above the last one that do.
-func (l *List) Risen(lane int, waited time.Duration) int {
-	for lane > 0 {
-		after := time.Duration(l.lanes[lane].RiseAfterS) * time.Second
+func (l *List) EffectiveClass(classIndex int, waited time.Duration) int {
+	for classIndex > 0 {
+		after := time.Duration(l.classes[classIndex].RiseAfterS) * time.Second
 		if after == 0 || waited < after {
 			break
 		}
 		waited -= after
-		lane--
+		classIndex--
 	}
-	return lane
+	return classIndex
 }
 
-// Share is the least part of the starts that the lanes below one keep, while they have work that waits.
-func (l *List) Share(lane int) float64 { return float64(l.lanes[lane].SharePercent) / 100 }
+// ReservedShare is the least part of the starts that the lanes below one keep, while they have work that waits.
+func (l *List) ReservedShare(classIndex int) float64 {
+	return float64(l.classes[classIndex].SharePercent) / 100
+}
 
-// Longest is for how long a job of a lane waits at most until it is ordered as one of another: the sum of the times of rising between them; false
+// RiseTime is for how long a job of a lane waits at most until it is ordered as one of another: the sum of the times of rising between them; false
 // if it never is.
-func (l *List) Longest(lane, to int) (sum time.Duration, ok bool) {
-	for ; lane > to; lane-- {
-		if l.lanes[lane].RiseAfterS == 0 {
+func (l *List) RiseTime(classIndex, to int) (sum time.Duration, ok bool) {
+	for ; classIndex > to; classIndex-- {
+		if l.classes[classIndex].RiseAfterS == 0 {
 			return 0, false
 		}
-		sum += time.Duration(l.lanes[lane].RiseAfterS) * time.Second
+		sum += time.Duration(l.classes[classIndex].RiseAfterS) * time.Second
 	}
 	return sum, true
 }
--- a/lanes/lanes_test.go
+++ b/priorityclass/list_test.go
@@ -1,4 +1,4 @@
-package lanes
+package priorityclass
 
 import (
 	"strings"
@@ -10,7 +10,7 @@
 	"dewlift/wire"
 )
 
-func TestBadLists(t *testing.T) {
+func TestInvalidListsAreNamed(t *testing.T) {
 	for text, want := range map[string]string{
 		``:                    "0 lanes, must be from 1 to 20",
 		`lanes { name: "A" }`: "lanes[0] (A).name: no name, or used twice",
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestLaneOfAJob(t *testing.T) {
+func TestClassifyJob(t *testing.T) {
 	l, err := Parse([]byte(`lanes { name: "reroast" classes: "reroast" due_within_s: 60 } lanes { name: "desk" priorities: "critical" teams: "shop" } lanes { name: "rest" }`))
 	if err != nil {
 		t.Fatal(err)
@@ -37,14 +37,14 @@
 		"desk":    {Class: "reroast", Team: "shop"},
 		"rest":    {Class: "reroast", DeadlineMS: 60_001, Team: "shop", Priority: 1},
 	} {
-		if got := l.Name(l.Of(&s)); got != want {
+		if got := l.Name(l.Classify(&s)); got != want {
 			t.Errorf("%+v is in %s, want %s", s, got, want)
 		}
 	}
 }
 
 // Work never sinks by waiting, never passes what does not rise, and after the longest time has come as far as it ever does.
-func TestRising(t *testing.T) {
+func TestRisingIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text strings.Builder
 		n := rapid.IntRange(2, 6).Draw(t, "lanes")
@@ -64,12 +64,12 @@
 		}
 		lane := rapid.IntRange(0, n-1).Draw(t, "lane")
 		a, b := time.Duration(rapid.IntRange(0, 500).Draw(t, "a"))*time.Second, time.Duration(rapid.IntRange(0, 500).Draw(t, "b"))*time.Second
-		at, later := l.Risen(lane, a), l.Risen(lane, a+b)
+		at, later := l.EffectiveClass(lane, a), l.EffectiveClass(lane, a+b)
 		if later > at || at > lane {
 			t.Fatalf("lane %d is %d after %v and %d after %v", lane, at, a, later, a+b)
 		}
-		end := l.Risen(lane, 1<<62)
-		if d, ok := l.Longest(lane, end); !ok || l.Risen(lane, d) != end || d > 0 && l.Risen(lane, d-1) == end {
+		end := l.EffectiveClass(lane, 1<<62)
+		if d, ok := l.RiseTime(lane, end); !ok || l.EffectiveClass(lane, d) != end || d > 0 && l.EffectiveClass(lane, d-1) == end {
 			t.Fatalf("lane %d comes to %d after %v", lane, end, d)
 		}
 	})
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -145,7 +145,7 @@
 			return fmt.Errorf("cluster.%s must be greater than 0", v.field)
 		}
 	}
-	if quorum.MaxStale(DurationFromSeconds(c.Workers.CancelS), DurationFromSeconds(c.Workers.LeaseS)) < quorum.Least {
+	if quorum.MaxStaleness(DurationFromSeconds(c.Workers.CancelS), DurationFromSeconds(c.Workers.LeaseS)) < quorum.MinUsableStaleness {
 		return fmt.Errorf("cluster.workers.cancel_s is too little above lease_s (%v and %v): a task could outlive its cancellation in an outage; some 6 s more are needed",
 			c.Workers.CancelS, c.Workers.LeaseS)
 	}
--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -28,20 +28,20 @@
 	// Magic begins a file.
 	Magic = "dewlift snapshot\n"
 	// Version is the newest version of the format that is written and read.
-	Version = 1
+	FormatVersion = 1
 
-	partBytes = 256 << 10 // of keys, before compression, from which a part is full
-	mostPart  = 16 << 20  // bytes of a part that are read, before and after decompression
+	fullPartBytes = 256 << 10 // of keys, before compression, from which a part is full
+	maxPartBytes  = 16 << 20  // bytes of a part that are read, before and after decompression
 )
 
 // Writer writes a snapshot.
 type Writer struct {
-	w    io.Writer
-	enc  *zstd.Encoder
-	keys pb.Keys
-	size int
-	sum  hash.Hash
-	t    pb.Trailer
+	out          io.Writer
+	encoder      *zstd.Encoder
+	pendingKeys  pb.Keys
+	pendingBytes int
+	digestSum    hash.Hash
+	trailer      pb.Trailer
 }
 
 // NewWriter begins a snapshot.
@@ -53,41 +53,41 @@
 	if _, err := io.WriteString(w, Magic); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	return &Writer{w: w, enc: enc, sum: sha256.New(), t: pb.Trailer{Version: Version}}, nil
+	return &Writer{out: w, encoder: enc, digestSum: sha256.New(), trailer: pb.Trailer{Version: FormatVersion}}, nil
 }
 
 // Add writes a key; keys come in order.
 func (w *Writer) Add(k *pb.Key) error {
-	w.keys.Keys = append(w.keys.Keys, k)
-	w.t.Keys++
-	if w.size += len(k.Name) + len(k.Value) + 16; w.size < partBytes {
+	w.pendingKeys.Keys = append(w.pendingKeys.Keys, k)
+	w.trailer.Keys++
+	if w.pendingBytes += len(k.Name) + len(k.Value) + 16; w.pendingBytes < fullPartBytes {
 		return nil
 	}
 	return w.flush()
 }
 
 func (w *Writer) flush() error {
-	if len(w.keys.Keys) == 0 {
+	if len(w.pendingKeys.Keys) == 0 {
 		return nil
 	}
-	w.t.Parts++
-	err := w.part(w.t.Parts, &w.keys, false)
-	w.keys.Keys, w.size = nil, 0
+	w.trailer.Parts++
+	err := w.writePart(w.trailer.Parts, &w.pendingKeys, false)
+	w.pendingKeys.Keys, w.pendingBytes = nil, 0
 	return err
 }
 
-func (w *Writer) part(number uint32, m protobuf.Message, last bool) error {
+func (w *Writer) writePart(number uint32, m protobuf.Message, last bool) error {
 	raw, err := protobuf.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	data := w.enc.EncodeAll(raw, nil)
-	p := &pb.Part{Number: number, Digest: digest(number, data), Keys: data}
+	data := w.encoder.EncodeAll(raw, nil)
+	p := &pb.Part{Number: number, Digest: partDigest(number, data), Keys: data}
 	if last {
 		p.Keys, p.Trailer = nil, data
 	}
-	w.sum.Write(p.Digest)
-	if _, err := protodelim.MarshalTo(w.w, p); err != nil {
+	w.digestSum.Write(p.Digest)
+	if _, err := protodelim.MarshalTo(w.out, p); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return nil
@@ -98,11 +98,11 @@
 	if err := w.flush(); err != nil {
 		return err
 	}
-	w.t.Ledger, w.t.TakenMs, w.t.Digest = ledger, taken.UnixMilli(), w.sum.Sum(nil)
-	return w.part(w.t.Parts+1, &w.t, true)
+	w.trailer.Ledger, w.trailer.TakenMs, w.trailer.Digest = ledger, taken.UnixMilli(), w.digestSum.Sum(nil)
+	return w.writePart(w.trailer.Parts+1, &w.trailer, true)
 }
 
-func digest(number uint32, data []byte) []byte {
+func partDigest(number uint32, data []byte) []byte {
 	h := sha256.New()
 	h.Write(binary.BigEndian.AppendUint32(nil, number))
 	h.Write(data)
@@ -120,7 +120,7 @@
 	if _, err := io.ReadFull(in, magic); err != nil || string(magic) != Magic {
 		return nil, fmt.Errorf("%w: it does not begin as one", ErrDamaged)
 	}
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostPart))
+	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPartBytes))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
@@ -128,14 +128,14 @@
 	sum, keys, last := sha256.New(), uint64(0), ""
 	for n := uint32(1); ; n++ {
 		var p pb.Part
-		if err := (protodelim.UnmarshalOptions{MaxSize: mostPart}).UnmarshalFrom(in, &p); err != nil {
+		if err := (protodelim.UnmarshalOptions{MaxSize: maxPartBytes}).UnmarshalFrom(in, &p); err != nil {
 			if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 				return nil, fmt.Errorf("%w: it ends in part %d", ErrDamaged, n)
 			}
 			return nil, fmt.Errorf("%w: part %d: %w", ErrDamaged, n, err)
 		}
 		data := append(p.Keys, p.Trailer...) // one of them is empty
-		if p.Number != n || !bytes.Equal(p.Digest, digest(n, data)) {
+		if p.Number != n || !bytes.Equal(p.Digest, partDigest(n, data)) {
 			return nil, fmt.Errorf("%w: part %d: its digest does not match", ErrDamaged, n)
 		}
 		raw, err := dec.DecodeAll(data, nil)
@@ -143,7 +143,7 @@
 			return nil, fmt.Errorf("%w: part %d: %w", ErrDamaged, n, err)
 		}
 		if p.Trailer != nil {
-			return trailer(in, raw, n, keys, sum.Sum(nil))
+			return readTrailer(in, raw, n, keys, sum.Sum(nil))
 		}
 		sum.Write(p.Digest)
 		var list pb.Keys
@@ -163,7 +163,7 @@
 	}
 }
 
-func trailer(in *bufio.Reader, raw []byte, n uint32, keys uint64, sum []byte) (*pb.Trailer, error) {
+func readTrailer(in *bufio.Reader, raw []byte, n uint32, keys uint64, sum []byte) (*pb.Trailer, error) {
 	var t pb.Trailer
 	err := protobuf.Unmarshal(raw, &t)
 	if _, end := in.ReadByte(); err == nil && !errors.Is(end, io.EOF) {
@@ -171,8 +171,8 @@
 	}
 	switch {
 	case err != nil:
-	case t.Version > Version:
-		return nil, fmt.Errorf("snapshot of format %d: this version reads up to %d", t.Version, Version)
+	case t.Version > FormatVersion:
+		return nil, fmt.Errorf("snapshot of format %d: this version reads up to %d", t.Version, FormatVersion)
 	case t.Parts != n-1 || t.Keys != keys || !bytes.Equal(t.Digest, sum):
 		err = errors.New("the trailer does not match the parts")
 	}
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -14,8 +14,8 @@
 	"golang.org/x/time/rate"
 
 	"dewlift/core"
-	"dewlift/core/ledger"
-	"dewlift/core/recorder"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -31,15 +31,15 @@
 	keyRestoring = core.Root + "restoring" // names the snapshot while it is being restored
 	// tokenLeap is by how much the token rises: workers refuse any that is lower than they have seen,
 	// and the site may have gone on after the snapshot was taken.
-	tokenLeap = 1_000_000
-	bodyBytes = 40 << 10 // of a transaction
+	fencingTokenLeap = 1_000_000
+	maxTxnBytes      = 40 << 10 // of a transaction
 )
 
 // ErrNotEmpty tells that a state service holds something.
 var ErrNotEmpty = errors.New("the state service isn't empty")
 
-// leased reports whether a key belongs to a controller that holds a lease: it ends with that.
-func leased(name string) bool {
+// isLeaseBound reports whether a key belongs to a controller that holds a lease: it ends with that.
+func isLeaseBound(name string) bool {
 	for _, p := range core.LeasedKeys {
 		if strings.HasPrefix(name, p) {
 			return true
@@ -52,33 +52,33 @@
 // changes nothing. One that was interrupted goes on with the same file. No controller may be running
 // meanwhile. progress is told the keys put, of how many; it may be nil.
 func Restore(ctx context.Context, t *Target, path string, progress func(keys, of int)) (*pb.Trailer, error) {
-	t.open()
+	t.connect()
 	head, err := Verify(path)
 	if err != nil {
 		return nil, err
 	}
 	name := fmt.Sprintf("%x", head.Digest)
-	if err := t.begin(ctx, name); err != nil {
+	if err := t.claimEmptyStore(ctx, name); err != nil {
 		return nil, err
 	}
-	w := &putter{t: t, pace: rate.NewLimiter(rate.Limit(t.WriteRPS), max(t.TxnOps, int(t.WriteRPS)))}
+	w := &txnBatcher{target: t, limiter: rate.NewLimiter(rate.Limit(t.WriteRPS), max(t.TxnOps, int(t.WriteRPS)))}
 	n, recorded := 0, false
 	if _, err := ReadFile(path, func(k *pb.Key) error {
 		if n++; progress != nil {
 			progress(n, int(head.Keys))
 		}
-		recorded = recorded || k.Name == recorder.KeyBegun
+		recorded = recorded || k.Name == auditlog.KeyInitialized
 		switch {
-		case leased(k.Name):
+		case isLeaseBound(k.Name):
 			return nil
 		case k.Name == core.KeyEpoch:
 			v, err := strconv.ParseUint(string(k.Value), 10, 64)
 			if err != nil {
 				return fmt.Errorf("the snapshot's token is not a number: %w", err)
 			}
-			k.Value = []byte(strconv.FormatUint(v+tokenLeap, 10))
+			k.Value = []byte(strconv.FormatUint(v+fencingTokenLeap, 10))
 		case strings.HasPrefix(k.Name, core.KeyJob):
-			k.Value = ledger.Restored(k.Value, k.Mark, head.Ledger)
+			k.Value = jobrecord.PrepareForRestore(k.Value, k.Mark, head.Ledger)
 		}
 		return w.put(ctx, wire.Write{Put: k.Name, Value: k.Value})
 	}); err != nil {
@@ -95,16 +95,16 @@
 	if recorded { // the controllers will record that it was restored
 		last.Then = append(last.Then, wire.Write{Put: core.KeyRestored, Value: text})
 	}
-	_, status, err := ask[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn, last)
+	_, status, err := requestWithRetry[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn, last)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("state service answers %d", status)
 	}
 	return head, err
 }
 
-// begin sees to it that the service is empty, or holds a part of the same snapshot.
-func (t *Target) begin(ctx context.Context, name string) error {
-	p, err := t.page(ctx, root, "", 1)
+// claimEmptyStore sees to it that the service is empty, or holds a part of the same snapshot.
+func (t *Target) claimEmptyStore(ctx context.Context, name string) error {
+	p, err := t.readPage(ctx, siteRoot, "", 1)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 		return err
 	}
 	if len(p.Items) > 0 {
-		q, err := t.page(ctx, keyRestoring, "", 1)
+		q, err := t.readPage(ctx, keyRestoring, "", 1)
 		if err != nil {
 			return err
 		}
@@ -122,7 +122,7 @@
 		}
 		return nil
 	}
-	_, status, err := ask[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn,
+	_, status, err := requestWithRetry[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn,
 		wire.Txn{Compare: []wire.Compare{{Key: keyRestoring}}, Then: []wire.Write{{Put: keyRestoring, Value: mine}}})
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("state service answers %d", status)
@@ -130,55 +130,55 @@
 	return err
 }
 
-// putter gathers puts into transactions.
-type putter struct {
-	t     *Target
-	pace  *rate.Limiter
-	list  []wire.Write
-	bytes int
+// txnBatcher gathers puts into transactions.
+type txnBatcher struct {
+	target  *Target
+	limiter *rate.Limiter
+	writes  []wire.Write
+	bytes   int
 }
 
-func (w *putter) put(ctx context.Context, x wire.Write) error {
-	if len(w.list) == w.t.TxnOps || w.bytes+len(x.Value) > bodyBytes {
+func (w *txnBatcher) put(ctx context.Context, x wire.Write) error {
+	if len(w.writes) == w.target.TxnOps || w.bytes+len(x.Value) > maxTxnBytes {
 		if err := w.flush(ctx); err != nil {
 			return err
 		}
 	}
-	w.list = append(w.list, x)
+	w.writes = append(w.writes, x)
 	w.bytes += len(x.Put) + len(x.Value) + 50
 	return nil
 }
 
-func (w *putter) flush(ctx context.Context) error {
-	for len(w.list) > 0 {
-		if err := w.pace.WaitN(ctx, len(w.list)); err != nil {
+func (w *txnBatcher) flush(ctx context.Context) error {
+	for len(w.writes) > 0 {
+		if err := w.limiter.WaitN(ctx, len(w.writes)); err != nil {
 			return err
 		}
-		t := wire.Txn{Then: w.list}
-		for _, x := range w.list {
+		t := wire.Txn{Then: w.writes}
+		for _, x := range w.writes {
 			t.Compare = append(t.Compare, wire.Compare{Key: x.Put})
 		}
-		reply, status, err := ask[wire.TxnResponse](ctx, &w.t.Source, http.MethodPost, wire.PathTxn, t)
+		reply, status, err := requestWithRetry[wire.TxnResponse](ctx, &w.target.Source, http.MethodPost, wire.PathTxn, t)
 		switch {
 		case err != nil:
 			return err
 		case status == http.StatusOK:
-			w.list = nil
+			w.writes = nil
 		case status == http.StatusConflict: // put before it was interrupted
-			left := w.list[:0]
-			for _, x := range w.list {
+			left := w.writes[:0]
+			for _, x := range w.writes {
 				if !slices.Contains(reply.Failed, x.Put) {
 					left = append(left, x)
 				}
 			}
 			if len(left) == len(t.Then) {
-				return fmt.Errorf("%s: the state service refuses it", w.list[0].Put)
+				return fmt.Errorf("%s: the state service refuses it", w.writes[0].Put)
 			}
-			w.list = left
+			w.writes = left
 		default:
-			return fmt.Errorf("%s and others: the state service answers %d: %s", w.list[0].Put, status, reply.Error)
+			return fmt.Errorf("%s and others: the state service answers %d: %s", w.writes[0].Put, status, reply.Error)
 		}
 	}
-	w.list, w.bytes = nil, 0
+	w.writes, w.bytes = nil, 0
 	return nil
 }
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -24,34 +24,34 @@
 	Addr string
 	RPS  float64 // requests a second
 
-	http *call.Client
-	pace *rate.Limiter
+	client  *call.Client
+	limiter *rate.Limiter
 }
 
 const (
-	root       = "d" // begins all keys of a site
-	pageItems  = 1000
-	lookEvery  = 20 // pages, after which the changes until then are read: the service keeps only so many
-	timeout    = 10 * time.Second
-	mostAnswer = 64 << 20
+	siteRoot         = "d" // begins all keys of a site
+	pageItems        = 1000
+	pagesPerWatch    = 20 // pages, after which the changes until then are read: the service keeps only so many
+	requestTimeout   = 10 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
-func (s *Source) open() {
-	if s.http == nil {
-		s.http = call.New(1, 1, mostAnswer)
-		s.pace = rate.NewLimiter(rate.Limit(s.RPS), 1)
+func (s *Source) connect() {
+	if s.client == nil {
+		s.client = call.New(1, 1, maxResponseBytes)
+		s.limiter = rate.NewLimiter(rate.Limit(s.RPS), 1)
 	}
 }
 
-// ask makes a request, and again while the service is busy or does not answer.
-func ask[T any](ctx context.Context, s *Source, method, path string, body any) (T, int, error) {
+// requestWithRetry makes a request, and again while the service is busy or does not answer.
+func requestWithRetry[T any](ctx context.Context, s *Source, method, path string, body any) (T, int, error) {
 	var last call.Result
 	for try := range 20 {
-		if err := s.pace.Wait(ctx); err != nil {
+		if err := s.limiter.Wait(ctx); err != nil {
 			var none T
 			return none, 0, err
 		}
-		v, r := call.Get[T](s.http.Do(ctx, timeout, method, "http://"+s.Addr+path, body))
+		v, r := call.Get[T](s.client.Do(ctx, requestTimeout, method, "http://"+s.Addr+path, body))
 		switch {
 		case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable || r.Status == 0 && method == http.MethodGet:
 		case r.Status == 0:
@@ -73,17 +73,17 @@
 	return none, last.Status, fmt.Errorf("state service answers %d", last.Status)
 }
 
-func (s *Source) page(ctx context.Context, prefix, from string, most int) (wire.RangeResponse, error) {
-	p, status, err := ask[wire.RangeResponse](ctx, s, http.MethodGet, wire.RangePath(prefix, from, most), nil)
+func (s *Source) readPage(ctx context.Context, prefix, from string, most int) (wire.RangeResponse, error) {
+	p, status, err := requestWithRetry[wire.RangeResponse](ctx, s, http.MethodGet, wire.RangePath(prefix, from, most), nil)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("state service answers %d", status)
 	}
 	return p, err
 }
 
-// changes are the last ones of each key since a revision, and the revision that they lead to.
-func (s *Source) changes(ctx context.Context, from uint64, into map[string]wire.WatchEvent) (uint64, error) {
-	ch, status, err := ask[wire.WatchResponse](ctx, s, http.MethodGet, fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, root, from), nil)
+// readChanges are the last ones of each key since a revision, and the revision that they lead to.
+func (s *Source) readChanges(ctx context.Context, from uint64, into map[string]wire.WatchEvent) (uint64, error) {
+	ch, status, err := requestWithRetry[wire.WatchResponse](ctx, s, http.MethodGet, fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, siteRoot, from), nil)
 	switch {
 	case err != nil:
 		return 0, err
@@ -102,7 +102,7 @@
 // a while, and the site goes on meanwhile: so the pages are kept aside, and the keys that changed since
 // the first page are then put in their place. progress is told the keys read; it may be nil.
 func Save(ctx context.Context, s *Source, path string, progress func(keys int)) (t *pb.Trailer, err error) {
-	s.open()
+	s.connect()
 	dir := filepath.Dir(path)
 	aside, err := os.CreateTemp(dir, ".snapshot-pages-*")
 	if err != nil {
@@ -120,7 +120,7 @@
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	defer os.Remove(out.Name()) // once it has its own name, there is none
-	if err := merge(aside, out, changed, ledger); err != nil {
+	if err := mergeChanges(aside, out, changed, ledger); err != nil {
 		return nil, errors.Join(err, out.Close())
 	}
 	if err := errors.Join(out.Sync(), out.Close()); err != nil {
@@ -143,7 +143,7 @@
 	}
 	from, ledger, n := "", uint64(0), 0
 	for pages := 1; ; pages++ {
-		p, err := s.page(ctx, root, from, pageItems)
+		p, err := s.readPage(ctx, siteRoot, from, pageItems)
 		if err != nil {
 			return 0, err
 		}
@@ -160,8 +160,8 @@
 			progress(n)
 		}
 		last := !p.More || len(p.Items) == 0
-		if last || pages%lookEvery == 0 {
-			if ledger, err = s.changes(ctx, ledger, changed); err != nil {
+		if last || pages%pagesPerWatch == 0 {
+			if ledger, err = s.readChanges(ctx, ledger, changed); err != nil {
 				return 0, err
 			}
 		}
@@ -171,8 +171,8 @@
 	}
 }
 
-// merge writes the pages with what changed in its place.
-func merge(pages *os.File, w io.Writer, changed map[string]wire.WatchEvent, ledger uint64) error {
+// mergeChanges writes the pages with what changed in its place.
+func mergeChanges(pages *os.File, w io.Writer, changed map[string]wire.WatchEvent, ledger uint64) error {
 	if _, err := pages.Seek(0, io.SeekStart); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -20,7 +20,7 @@
 	"dewlift/wire"
 )
 
-func serve(t *testing.T, l standin.Limits) (*standin.State, Source) {
+func serveStore(t *testing.T, l standin.Limits) (*standin.State, Source) {
 	t.Helper()
 	s := standin.NewState(l)
 	srv := httptest.NewServer(s)
@@ -39,8 +39,8 @@
 
 // While it is read, keys change, come and go, always in pairs of one transaction: a cut as of one
 // revision has both of a pair or neither, and the same in them.
-func TestSaveIsAConsistentCut(t *testing.T) {
-	s, src := serve(t, standin.Limits{PageItems: 7})
+func TestSaveIsConsistentAtOneRevision(t *testing.T) {
+	s, src := serveStore(t, standin.Limits{PageItems: 7})
 	var items []wire.KeyValue
 	for i := range 300 {
 		for _, side := range []string{"dl/a/", "dl/z/"} {
@@ -50,7 +50,7 @@
 	s.Fill(items)
 	ctx := t.Context()
 	writer := Source{Addr: src.Addr, RPS: 1e6}
-	writer.open()
+	writer.connect()
 	n := 0
 	write := func() { // at each page that is read, some pairs change
 		for range 5 {
@@ -60,7 +60,7 @@
 			if n%3 == 0 {
 				x.Then = []wire.Write{{Delete: "dl/a/" + id}, {Delete: "dl/z/" + id}}
 			}
-			if _, status, err := ask[wire.TxnResponse](ctx, &writer, "POST", wire.PathTxn, x); err != nil || status != 200 {
+			if _, status, err := requestWithRetry[wire.TxnResponse](ctx, &writer, "POST", wire.PathTxn, x); err != nil || status != 200 {
 				t.Error(status, err)
 			}
 		}
@@ -85,7 +85,7 @@
 	}
 }
 
-func small(t *testing.T) []byte {
+func smallSnapshot(t *testing.T) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	w, err := NewWriter(&b)
@@ -109,8 +109,8 @@
 }
 
 // A file that ends anywhere before its end, or has any bit flipped, is named as damaged.
-func TestEveryDamageIsNoticed(t *testing.T) {
-	good := small(t)
+func TestEveryDamageIsDetected(t *testing.T) {
+	good := smallSnapshot(t)
 	read := func(raw []byte) error {
 		_, err := Read(bytes.NewReader(raw), func(*pb.Key) error { return nil })
 		return err
@@ -137,9 +137,9 @@
 
 // A restore puts all keys but those of leases, raises the token, and refuses a damaged file and a state
 // service that holds something, without a change. One that was interrupted goes on.
-func TestRestore(t *testing.T) {
+func TestRestoreRebuildsTheStore(t *testing.T) {
 	ctx := t.Context()
-	s, src := serve(t, standin.Limits{})
+	s, src := serveStore(t, standin.Limits{})
 	want := map[string]string{"dl/epoch": "7", "dl/node/n0": "{}", "dl/shard/03": "{}", "dl/leader": "{}", "da/b/~": `{"x":"1"}`}
 	for i := range 50 {
 		want[fmt.Sprintf("dl/job/wk-%03d", i)] = fmt.Sprintf(`{"h":%d}`, i)
@@ -160,7 +160,7 @@
 	if _, err := Restore(ctx, target(src), path, nil); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("a service that holds something: %v", err)
 	}
-	to, dst := serve(t, standin.Limits{Ops: 4})
+	to, dst := serveStore(t, standin.Limits{Ops: 4})
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -198,7 +198,7 @@
 	for _, k := range []string{"dl/node/n0", "dl/shard/03", "dl/leader"} {
 		delete(want, k)
 	}
-	want["dl/epoch"] = fmt.Sprint(7 + tokenLeap)
+	want["dl/epoch"] = fmt.Sprint(7 + fencingTokenLeap)
 	if got := keysOf(t, again); !maps.Equal(got, want) {
 		t.Errorf("restored %v", got)
 	}
