--- a/agent/agent.go
+++ b/agent/agent.go
@@ -7,17 +7,17 @@
 	"time"
 
 	"dewlift/core"
-	"dewlift/internal/call"
+	"dewlift/internal/httpjson"
 	"dewlift/wire"
 )
 
 const requestTimeout = 2 * time.Second
 
 // Client speaks to workers.
-type Client struct{ httpClient *call.Client }
+type Client struct{ httpClient *httpjson.Client }
 
 // New returns a client that keeps at most idle connections to workers open.
-func New(maxIdleConns int) *Client { return &Client{httpClient: call.New(2, maxIdleConns, 4<<20)} }
+func New(maxIdleConns int) *Client { return &Client{httpClient: httpjson.New(2, maxIdleConns, 4<<20)} }
 
 // SendCommands sends orders; the answer is the worker's report.
 func (c *Client) SendCommands(ctx context.Context, o core.Orders) core.Ordered {
--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -138,7 +138,7 @@
 	dir := t.TempDir()
 	file := func(name string) string { return filepath.Join(dir, name) }
 	own.Issue(t, "n0", file("n0.pem"), file("n0.key"))
-	if err := os.WriteFile(file("tls"), []byte(fmt.Sprintf("serve { certificate: %q key: %q users: %q }", file("n0.pem"), file("n0.key"), own.File)), 0o600); err != nil {
+	if err := os.WriteFile(file("tls"), []byte(fmt.Sprintf("serve { certificate: %q key: %q users: %q }", file("n0.pem"), file("n0.key"), own.CertFile)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -163,7 +163,7 @@
 		_ = app.Listener(tls.NewListener(ln, s.tlsConfig), fiber.ListenConfig{DisableStartupMessage: true})
 	}() // ends with the test
 	t.Cleanup(func() { _ = app.Shutdown() })
-	raw, err := os.ReadFile(own.File)
+	raw, err := os.ReadFile(own.CertFile)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/archive/block.go
+++ b/archive/block.go
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 	protobuf "google.golang.org/protobuf/proto"
 
-	"dewlift/internal/squeeze"
+	"dewlift/internal/compress"
 	pb "dewlift/proto"
 )
 
@@ -188,7 +188,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode block: %w", err)
 	}
-	data, err := squeeze.Deflate(raw)
+	data, err := compress.Deflate(raw)
 	if err != nil {
 		return nil, fmt.Errorf("encode block: %w", err)
 	}
@@ -204,7 +204,7 @@
 	if xxhash.Sum64(v.Data) != v.Digest {
 		return fmt.Errorf("%w: its digest does not match", ErrCorrupt)
 	}
-	plain, err := squeeze.Inflate(v.Data, maxExpandedBytes)
+	plain, err := compress.Inflate(v.Data, maxExpandedBytes)
 	if err == nil {
 		err = protobuf.Unmarshal(plain, m)
 	}
--- a/audit/report/report.go
+++ b/audit/report/report.go
@@ -158,5 +158,5 @@
 	}
 	p.Legend.Top = true
 	p.X.Max += max(0.5, 0.2*float64(len(days))) // room for the legend
-	return chart.Embed(p)
+	return chart.PNGDataURL(p)
 }
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"dewlift/core"
-	"dewlift/internal/call"
+	"dewlift/internal/httpjson"
 	"dewlift/wire"
 )
 
@@ -22,28 +22,28 @@
 // Client carries out the core's calls to the cloud.
 type Client struct {
 	baseURL    string
-	httpClient *call.Client
+	httpClient *httpjson.Client
 }
 
 // New returns a client of the cloud at addr.
 func New(addr string) *Client {
-	return &Client{baseURL: "http://" + addr, httpClient: call.New(4, 4, 4<<20)}
+	return &Client{baseURL: "http://" + addr, httpClient: httpjson.New(4, 4, 4<<20)}
 }
 
 // Execute makes one call.
 func (c *Client) Execute(ctx context.Context, o core.CloudOp) core.Clouded {
 	out := core.Clouded{ID: o.ID}
-	var r call.Result
+	var r httpjson.Response
 	switch o.Op {
 	case "catalog":
 		var v wire.Catalog
-		v, r = call.Get[wire.Catalog](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathCatalog, nil))
+		v, r = httpjson.Decode[wire.Catalog](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathCatalog, nil))
 		out.Catalog = &v
 	case "list":
 		return c.listMachines(ctx, o)
 	case "rent":
 		var v wire.MachineNames
-		v, r = call.Get[wire.MachineNames](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathInstances, o.Rent))
+		v, r = httpjson.Decode[wire.MachineNames](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathInstances, o.Rent))
 		out.Names = v.Machines
 	case "return":
 		r = c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathScaleIn, wire.MachineNames{Machines: o.Names})
@@ -64,6 +64,6 @@
 	if o.From != "" {
 		u += "&from=" + url.QueryEscape(o.From)
 	}
-	v, r := call.Get[wire.MachineList](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, u, nil))
+	v, r := httpjson.Decode[wire.MachineList](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, u, nil))
 	return core.Clouded{ID: o.ID, Status: r.Status, Machines: v.Machines, More: v.More}
 }
--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -23,7 +23,7 @@
 	"dewlift/access"
 	"dewlift/audit"
 	"dewlift/audit/report"
-	"dewlift/internal/call"
+	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
 	"dewlift/settings"
 	"dewlift/snapshot"
@@ -90,7 +90,7 @@
 				return none, ctx.Err()
 			}
 		}
-		out, r := call.Get[T](r)
+		out, r := httpjson.Decode[T](r)
 		return out, checkResponse(s.server, r)
 	}
 }
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -24,8 +24,8 @@
 	"dewlift"
 	"dewlift/access"
 	"dewlift/audit"
-	"dewlift/internal/call"
-	"dewlift/internal/standin"
+	"dewlift/internal/fakes"
+	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
 	"dewlift/settings"
 	"dewlift/snapshot"
@@ -35,7 +35,7 @@
 // testSite is a site with rights and a record, whose controller can be killed and started again.
 type testSite struct {
 	t        *testing.T
-	state    *standin.State
+	state    *fakes.Store
 	addr     string
 	options  dewlift.Options
 	keys     map[string]*access.PrivateKey
@@ -46,13 +46,13 @@
 
 func newTestSite(t *testing.T) *testSite {
 	t.Helper()
-	s := &testSite{t: t, state: standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12}), dir: t.TempDir(), stop: func() {}}
+	s := &testSite{t: t, state: fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}), dir: t.TempDir(), stop: func() {}}
 	srv := httptest.NewServer(s.state)
 	t.Cleanup(srv.Close)
 	s.addr = strings.TrimPrefix(srv.URL, "http://")
-	s.state.Types(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
+	s.state.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 	var err error
-	if s.options.Permissions, s.keys, err = standin.People(); err != nil {
+	if s.options.Permissions, s.keys, err = fakes.TestPolicy(); err != nil {
 		t.Fatal(err)
 	}
 	if err := saveKey(s.file("root.key"), s.keys["root"]); err != nil {
@@ -103,7 +103,7 @@
 		}
 	}
 	s.eventually("healthy", func() bool {
-		r := call.New(1, 1, 1<<10).Do(s.t.Context(), time.Second, http.MethodGet, "http://"+p.Listen+wire.PathHealth, nil)
+		r := httpjson.New(1, 1, 1<<10).Do(s.t.Context(), time.Second, http.MethodGet, "http://"+p.Listen+wire.PathHealth, nil)
 		return r.Status == http.StatusOK
 	})
 }
@@ -121,7 +121,7 @@
 
 // request asks once, in somebody's name.
 func (s *testSite) request(who, method, path string, body any) int {
-	c := call.New(1, 1, 1<<20)
+	c := httpjson.New(1, 1, 1<<20)
 	if k := s.keys[who]; k != nil {
 		var err error
 		if c.Token, err = k.SignToken(time.Now(), time.Minute); err != nil {
@@ -200,11 +200,11 @@
 	post, get := http.MethodPost, http.MethodGet
 	for i := range 5 {
 		id := func(s string) string { return fmt.Sprintf("wk-%s%d", s, i) }
-		do("anna", post, "/v1/jobs", standin.Job(id("fire"), "firing"), did{"anna", "submit", id("fire"), false}, 201)
-		do("potter", post, "/v1/jobs", standin.Job(id("plan"), "plan"), did{"potter", "submit", id("plan"), false}, 201)
-		do("potter", post, "/v1/jobs", standin.Job(id("no"), "firing"), did{"potter", "submit", id("no"), true}, 403)
-		do("portal", post, "/v1/jobs", standin.Job(id("roast"), "reroast"), did{"portal", "submit", id("roast"), false}, 201)
-		do("pia", post, "/v1/jobs", standin.Job(id("label"), "labels"), did{"pia", "submit", id("label"), false}, 201)
+		do("anna", post, "/v1/jobs", fakes.JobRequest(id("fire"), "firing"), did{"anna", "submit", id("fire"), false}, 201)
+		do("potter", post, "/v1/jobs", fakes.JobRequest(id("plan"), "plan"), did{"potter", "submit", id("plan"), false}, 201)
+		do("potter", post, "/v1/jobs", fakes.JobRequest(id("no"), "firing"), did{"potter", "submit", id("no"), true}, 403)
+		do("portal", post, "/v1/jobs", fakes.JobRequest(id("roast"), "reroast"), did{"portal", "submit", id("roast"), false}, 201)
+		do("pia", post, "/v1/jobs", fakes.JobRequest(id("label"), "labels"), did{"pia", "submit", id("label"), false}, 201)
 		do("pia", post, "/v1/jobs/"+id("roast")+"/withdraw", struct{}{}, did{"pia", "cancel", id("roast"), true}, 403)
 		do("potter", get, "/v1/jobs/"+id("fire"), nil, did{"potter", "read", id("fire"), true}, 404)
 		do("nobody", get, "/v1/jobs/"+id("fire"), nil, did{"", "GET", "/v1/jobs/" + id("fire"), true}, 401)
@@ -265,7 +265,7 @@
 		t.Errorf("%s %v", out, err)
 	}
 	s.stop()
-	other := httptest.NewServer(standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12}))
+	other := httptest.NewServer(fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}))
 	t.Cleanup(other.Close)
 	to := strings.TrimPrefix(other.URL, "http://")
 	if _, err := snapshot.Restore(t.Context(), &snapshot.Target{Source: snapshot.Source{Addr: to, RPS: 1000}, WriteRPS: 1000, TxnOps: 12}, saved, nil); err != nil {
@@ -314,9 +314,9 @@
 		h = &audit.Head{BlockNumber: uint64(b + 1), MAC: code}
 		keys = append(keys, &pb.Key{Name: audit.BlockKey("n0", h.BlockNumber), Value: raw})
 	}
-	s := standin.NewState(standin.Limits{})
+	s := fakes.NewStore(fakes.Limits{})
 	for _, k := range tamper(keys) {
-		s.Fill([]wire.KeyValue{{Key: k.Name, Value: k.Value}})
+		s.PutUnchecked([]wire.KeyValue{{Key: k.Name, Value: k.Value}})
 	}
 	srv := httptest.NewServer(s)
 	defer srv.Close()
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -21,7 +21,7 @@
 
 	"dewlift/core"
 	"dewlift/core/jobrecord"
-	"dewlift/internal/standin"
+	"dewlift/internal/fakes"
 	"dewlift/settings"
 	"dewlift/wire"
 )
@@ -121,7 +121,7 @@
 	defer d.running.Wait()
 	defer cancel()
 	kind := wire.MachineType{Name: "bench-8", CPUs: 8, MemoryGB: 32, Zones: []string{"a", "b", "c"}, BootS: 2, Price: 1, SpotPrice: 0.4}
-	store := standin.NewState(standin.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, Ops: 24, PageItems: 500, PageKB: 256})
+	store := fakes.NewStore(fakes.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256})
 	state, err := d.serve(ctx, store)
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 	}
 	d.addrs = addrs[:demoNodes]
 	// A worker fetches a job's description by itself; here from where it was stored.
-	fleet := standin.NewWorkers(demoMachines, kind, d.addrs, 2*time.Second, func(piece string) ([3]int64, time.Duration) {
+	fleet := fakes.NewWorkers(demoMachines, kind, d.addrs, 2*time.Second, func(piece string) ([3]int64, time.Duration) {
 		id, _, _ := wire.SplitTaskName(piece)
 		r, err := jobrecord.Decode(store.Value(core.KeyJob + id))
 		if err != nil || r.Spec == nil {
@@ -145,7 +145,7 @@
 		return r.Spec.Request, run
 	})
 	d.running.Go(func() { _ = fleet.Run(ctx) }) // without it, nothing can be rented, which shows
-	cloud, err := d.serve(ctx, fleet.Cloud())
+	cloud, err := d.serve(ctx, fleet.CloudHandler())
 	if err != nil {
 		return err
 	}
--- a/cmd/dewlift/permissions.go
+++ b/cmd/dewlift/permissions.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/pflag"
 
 	"dewlift/access"
-	"dewlift/internal/call"
+	"dewlift/internal/httpjson"
 	"dewlift/wire"
 )
 
@@ -34,7 +34,7 @@
 
 // request makes a request in one's name to a controller, or to the first that answers of several, separated by commas. Whatever is asked may be
 // repeated: one that answers nothing may have done it.
-func (me *clientIdentity) request(ctx context.Context, method, servers, path string, body any) (r call.Result, err error) {
+func (me *clientIdentity) request(ctx context.Context, method, servers, path string, body any) (r httpjson.Response, err error) {
 	for server := range strings.SplitSeq(servers, ",") {
 		if r, err = me.requestOne(ctx, method, strings.TrimPrefix(server, "http://"), path, body); err != nil || r.Err == nil && r.Status != http.StatusServiceUnavailable {
 			return r, err
@@ -43,34 +43,34 @@
 	return r, err
 }
 
-func (me *clientIdentity) requestOne(ctx context.Context, method, server, path string, body any) (call.Result, error) {
-	c, scheme := call.New(1, 1, 16<<20), "http://"
+func (me *clientIdentity) requestOne(ctx context.Context, method, server, path string, body any) (httpjson.Response, error) {
+	c, scheme := httpjson.New(1, 1, 16<<20), "http://"
 	if me.keyFile != "" {
 		k, err := loadKey(me.keyFile)
 		if err != nil {
-			return call.Result{}, err
+			return httpjson.Response{}, err
 		}
 		if c.Token, err = k.SignToken(time.Now(), tokenLifetime); err != nil {
-			return call.Result{}, err
+			return httpjson.Response{}, err
 		}
 	}
 	if me.caFile != "" {
 		raw, err := os.ReadFile(me.caFile)
 		if err != nil {
-			return call.Result{}, fmt.Errorf("read authorities: %w", err)
+			return httpjson.Response{}, fmt.Errorf("read authorities: %w", err)
 		}
 		cfg := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: x509.NewCertPool()}
 		if !cfg.RootCAs.AppendCertsFromPEM(raw) {
-			return call.Result{}, fmt.Errorf("no certificate in %s", me.caFile)
+			return httpjson.Response{}, fmt.Errorf("no certificate in %s", me.caFile)
 		}
 		if me.certificateFile != "" {
 			pair, err := tls.LoadX509KeyPair(me.certificateFile, me.certificateKeyFile)
 			if err != nil {
-				return call.Result{}, fmt.Errorf("certificate: %w", err)
+				return httpjson.Response{}, fmt.Errorf("certificate: %w", err)
 			}
 			cfg.Certificates = []tls.Certificate{pair}
 		}
-		c.Secure(cfg)
+		c.UseTLS(cfg)
 		scheme = "https://"
 	}
 	return c.Do(ctx, 5*time.Second, method, scheme+server+path, body), nil
@@ -178,11 +178,11 @@
 	if err != nil {
 		return nil, err
 	}
-	out, r := call.Get[wire.PermissionsEditResult](r)
+	out, r := httpjson.Decode[wire.PermissionsEditResult](r)
 	return &out, checkResponse(server, r)
 }
 
-func checkResponse(server string, r call.Result) error {
+func checkResponse(server string, r httpjson.Response) error {
 	switch {
 	case r.Err != nil:
 		return fmt.Errorf("controller %s: %w", server, r.Err)
@@ -193,7 +193,7 @@
 }
 
 // refusalReason is what a controller says of a request that it refuses.
-func refusalReason(r call.Result) string {
+func refusalReason(r httpjson.Response) string {
 	var e wire.Error
 	if json.Unmarshal(r.Body, &e) != nil || e.Error == "" {
 		return http.StatusText(r.Status)
@@ -210,7 +210,7 @@
 			if err != nil {
 				return err
 			}
-			out, r := call.Get[wire.Permissions](r)
+			out, r := httpjson.Decode[wire.Permissions](r)
 			if err := checkResponse(server, r); err != nil {
 				return err
 			}
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dewlift/internal/call"
+	"dewlift/internal/httpjson"
 	"dewlift/priorityclass"
 	"dewlift/wire"
 )
@@ -32,7 +32,7 @@
 		}
 		return q, refusedError(e.Error)
 	}
-	q, r = call.Get[wire.JobQueue](r)
+	q, r = httpjson.Decode[wire.JobQueue](r)
 	if r.Err == nil && r.Status != http.StatusOK {
 		var e wire.Error
 		_ = json.Unmarshal(r.Body, &e) // the status says the rest
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -17,7 +17,7 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"dewlift/internal/call"
+	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
 	"dewlift/settings"
 	"dewlift/snapshot"
@@ -136,7 +136,7 @@
 		if err != nil {
 			return err
 		}
-		site, r := call.Get[wire.StoreEndpoint](r)
+		site, r := httpjson.Decode[wire.StoreEndpoint](r)
 		if r.Err != nil {
 			return fmt.Errorf("controller %s: %w", f.server, r.Err)
 		}
--- a/controller_test.go
+++ b/controller_test.go
@@ -20,8 +20,8 @@
 	"dewlift/archive"
 	"dewlift/booking"
 	"dewlift/core"
-	"dewlift/internal/call"
-	"dewlift/internal/standin"
+	"dewlift/internal/fakes"
+	"dewlift/internal/httpjson"
 	"dewlift/priorityclass"
 	pb "dewlift/proto"
 	"dewlift/settings"
@@ -101,23 +101,23 @@
 // A controller over real sockets: a site of the old form compacts itself while it is saved, the copy is
 // restored to another state service, and a controller there answers for every job as the first one does.
 func TestSiteIsCompactedSavedAndRestored(t *testing.T) {
-	state := func() (*standin.State, string) {
-		s := standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12, PageItems: 50})
+	state := func() (*fakes.Store, string) {
+		s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50})
 		srv := httptest.NewServer(s)
 		t.Cleanup(srv.Close)
 		return s, strings.TrimPrefix(srv.URL, "http://")
 	}
 	s, addr := state()
 	const jobs = 400
-	s.Types(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
+	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 	for i := range jobs {
-		s.Fill([]wire.KeyValue{{Key: fmt.Sprintf("%sjob/wk-%03d", core.Root, i), Value: json.RawMessage(fmt.Sprintf(`{"h":1,"st":"d","d":[0,%d]}`, i))}})
+		s.PutUnchecked([]wire.KeyValue{{Key: fmt.Sprintf("%sjob/wk-%03d", core.Root, i), Value: json.RawMessage(fmt.Sprintf(`{"h":1,"st":"d","d":[0,%d]}`, i))}})
 	}
 	first := startController(t, addr, nil)
 	path := filepath.Join(t.TempDir(), "s")
 	half := false
 	eventually(t, "compacted", func() bool {
-		left, _ := s.Keys(core.Root + "job/")
+		left, _ := s.CountKeys(core.Root + "job/")
 		if left < jobs*2/3 && !half { // in the middle of it
 			half = true
 			if _, err := snapshot.Save(t.Context(), &snapshot.Source{Addr: addr, RPS: 1000}, path, nil); err != nil {
@@ -165,12 +165,12 @@
 // A glaze technician, a visiting potter, a packer who may not cancel a reroast, and a service, over sockets: each
 // may do what their role says, and nothing else; a revocation holds at once, also at another controller.
 func TestRolesLimitWhatUsersMayDo(t *testing.T) {
-	srv := httptest.NewServer(standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12}))
+	srv := httptest.NewServer(fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}))
 	t.Cleanup(srv.Close)
 	state := strings.TrimPrefix(srv.URL, "http://")
-	s := srv.Config.Handler.(*standin.State)
-	s.Types(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
-	rights, keys, err := standin.People()
+	s := srv.Config.Handler.(*fakes.Store)
+	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
+	rights, keys, err := fakes.TestPolicy()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 	ask := func(who, method, path string, body any) int {
 		t.Helper()
 		for range 100 { // a 503 is no answer
-			c := call.New(1, 1, 1<<20)
+			c := httpjson.New(1, 1, 1<<20)
 			if keys[who] != nil {
 				var err error
 				if c.Token, err = keys[who].SignToken(time.Now(), time.Minute); err != nil {
@@ -198,14 +198,14 @@
 		body              any
 		want              int
 	}{
-		{"anna", post, "/v1/jobs", standin.Job("wk-1", "firing"), 201},
-		{"anna", post, "/v1/jobs", standin.Job("wk-1", "firing"), 200},
-		{"potter", post, "/v1/jobs", standin.Job("wk-2", "plan"), 201},
-		{"potter", post, "/v1/jobs", standin.Job("wk-3", "firing"), 403},
+		{"anna", post, "/v1/jobs", fakes.JobRequest("wk-1", "firing"), 201},
+		{"anna", post, "/v1/jobs", fakes.JobRequest("wk-1", "firing"), 200},
+		{"potter", post, "/v1/jobs", fakes.JobRequest("wk-2", "plan"), 201},
+		{"potter", post, "/v1/jobs", fakes.JobRequest("wk-3", "firing"), 403},
 		{"potter", post, "/v1/jobs/wk-2/withdraw", struct{}{}, 403}, // may read it, not cancel it
 		{"potter", get, "/v1/jobs/wk-1", nil, 404},                  // is not told that it exists
-		{"portal", post, "/v1/jobs", standin.Job("wk-4", "reroast"), 201},
-		{"pia", post, "/v1/jobs", standin.Job("wk-5", "labels"), 201},
+		{"portal", post, "/v1/jobs", fakes.JobRequest("wk-4", "reroast"), 201},
+		{"pia", post, "/v1/jobs", fakes.JobRequest("wk-5", "labels"), 201},
 		{"pia", get, "/v1/jobs/wk-4", nil, 200},
 		{"pia", post, "/v1/jobs/wk-4/withdraw", struct{}{}, 403},
 		{"pia", post, "/v1/jobs/wk-5/withdraw", struct{}{}, 200},
@@ -213,13 +213,13 @@
 		{"portal", get, "/v1/jobs/wk-4", nil, 200}, // is over, and its readers' rights hold still
 		{"anna", get, "/v1/jobs/wk-4", nil, 404},
 		{"nobody", get, "/v1/jobs/wk-1", nil, 401},
-		{"nobody", post, "/v1/jobs", standin.Job("wk-6", "plan"), 401},
+		{"nobody", post, "/v1/jobs", fakes.JobRequest("wk-6", "plan"), 401},
 		{"pia", get, "/v1/access", nil, 403},
 		{"pia", get, "/v1/site", nil, 403},
 		{"root", get, "/v1/access", nil, 200},
 		{"root", get, "/v1/site", nil, 200},
 		{"root", post, "/v1/access/potter", wire.PermissionsEdit{RevokeRoles: []string{"visitor"}}, 200},
-		{"potter", post, "/v1/jobs", standin.Job("wk-7", "plan"), 403},
+		{"potter", post, "/v1/jobs", fakes.JobRequest("wk-7", "plan"), 403},
 		{"potter", get, "/v1/jobs/wk-2", nil, 404},
 		{"root", post, "/v1/access/pia", wire.PermissionsEdit{Delete: true}, 200},
 	} {
@@ -232,7 +232,7 @@
 		t.Errorf("another one gets %d", got)
 	}
 	// The potter's job was accepted: it stays.
-	raw, _ := s.Keys(core.Root + "job/wk-2")
+	raw, _ := s.CountKeys(core.Root + "job/wk-2")
 	if raw != 1 {
 		t.Error("a queued job ended with its user's right")
 	}
@@ -261,14 +261,14 @@
 // With no file, the paths of bookings and of the queue are as unknown as any other; with one, a booking is made, held, moved and ended, and outlives its
 // controller.
 func TestReservationsAndQueueOverHTTP(t *testing.T) {
-	s := standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12, PageItems: 50})
-	s.Types(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
+	s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50})
+	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 	srv := httptest.NewServer(s)
 	t.Cleanup(srv.Close)
 	state := strings.TrimPrefix(srv.URL, "http://")
 	t.Run("off", func(t *testing.T) {
-		off := standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 12, PageItems: 50})
-		off.Types(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
+		off := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50})
+		off.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 		none := httptest.NewServer(off)
 		t.Cleanup(none.Close)
 		server := startController(t, strings.TrimPrefix(none.URL, "http://"), nil)
@@ -339,7 +339,7 @@
 			t.Errorf("a list that has no place for a booking: %d %s", status, body)
 		}
 		for id, heat := range map[string]string{"wk-000001": "standard", "wk-000002": "high"} {
-			job := standin.Job(id, "x")
+			job := fakes.JobRequest(id, "x")
 			job["heat"] = heat
 			raw, err := json.Marshal(job)
 			if err != nil {
--- a/core/batchvalue/slot.go
+++ b/core/batchvalue/slot.go
@@ -11,7 +11,7 @@
 	"fmt"
 	"maps"
 
-	"dewlift/internal/squeeze"
+	"dewlift/internal/compress"
 )
 
 // Slot is one value, as far as it is known, and what this controller has on its way that depends on it.
@@ -38,7 +38,7 @@
 	err := json.Unmarshal(raw, &v)
 	if err == nil {
 		var plain []byte
-		if plain, err = squeeze.Inflate(v.Data, maxExpandedBytes); err == nil {
+		if plain, err = compress.Inflate(v.Data, maxExpandedBytes); err == nil {
 			var e Entries
 			if err = json.Unmarshal(plain, &e); err == nil {
 				return e, nil
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("shared value: %w", err)
 	}
-	data, err := squeeze.Deflate(plain)
+	data, err := compress.Deflate(plain)
 	if err != nil {
 		return nil, fmt.Errorf("shared value: %w", err)
 	}
--- a/core/form_test.go
+++ b/core/form_test.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"dewlift/core/jobrecord"
-	"dewlift/internal/production"
+	"dewlift/internal/previousversion"
 	"dewlift/wire"
 )
 
 // stored are keys as the version in production wrote them.
 func stored(t *testing.T) []wire.KeyValue {
 	t.Helper()
-	raw, err := os.ReadFile("../internal/production/testdata/keys.json")
+	raw, err := os.ReadFile("../internal/previousversion/testdata/keys.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 			continue
 		}
 		jobs++
-		was, err := production.ReadRecord(it.Value)
+		was, err := previousversion.ReadRecord(it.Value)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -62,7 +62,7 @@
 			t.Fatalf("%s is not known, or waits", it.Key)
 		}
 		want := assignments(t, was)
-		was.Place = nil
+		was.Groups = nil
 		for _, packed := range []bool{false, true} {
 			raw, err := c.encodeRecord(j.rec, j.place, packed)
 			if err != nil {
@@ -77,7 +77,7 @@
 					t.Fatal(err)
 				}
 			}
-			now, err := production.ReadRecord(raw)
+			now, err := previousversion.ReadRecord(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -85,7 +85,7 @@
 				t.Errorf("%s (packed %v): assignments differ", it.Key, packed)
 			}
 			assigned += len(want)
-			now.Place = nil
+			now.Groups = nil
 			if !reflect.DeepEqual(was, now) {
 				t.Errorf("%s (packed %v): %+v became %+v", it.Key, packed, was, now)
 			}
@@ -96,19 +96,19 @@
 	}
 }
 
-func assignments(t *testing.T, r *production.Record) []production.Assignment {
+func assignments(t *testing.T, r *previousversion.Record) []previousversion.Assignment {
 	t.Helper()
 	out, ok := r.Assignments()
 	if !ok {
 		t.Fatal("assignments do not fit together")
 	}
-	slices.SortFunc(out, func(a, b production.Assignment) int { return cmp.Compare(a.Task, b.Task) })
+	slices.SortFunc(out, func(a, b previousversion.Assignment) int { return cmp.Compare(a.Task, b.Task) })
 	return out
 }
 
 // Messages of the old version are read whole, and ours say the same in its terms.
 func TestReadsWhatProductionSends(t *testing.T) {
-	raw, err := os.ReadFile("../internal/production/testdata/messages.json")
+	raw, err := os.ReadFile("../internal/previousversion/testdata/messages.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var was, now production.Msg
+		var was, now previousversion.Message
 		if err := json.Unmarshal(raw, &was); err != nil {
 			t.Fatal(err)
 		}
--- a/core/jobrecord/pack.go
+++ b/core/jobrecord/pack.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strconv"
 
-	"dewlift/internal/squeeze"
+	"dewlift/internal/compress"
 	"dewlift/wire"
 )
 
@@ -35,13 +35,13 @@
 		r.Spec = &s
 	}
 	var err error
-	r.PackedLists, err = squeeze.Deflate(p.buf)
+	r.PackedLists, err = compress.Deflate(p.buf)
 	return err
 }
 
 // unpackLists is the reverse of packAll.
 func (r *Record) unpackLists() error {
-	raw, err := squeeze.Inflate(r.PackedLists, maxUnpackedBytes)
+	raw, err := compress.Inflate(r.PackedLists, maxUnpackedBytes)
 	if err != nil {
 		return err
 	}
--- a/core/jobrecord/record_test.go
+++ b/core/jobrecord/record_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"dewlift/internal/squeeze"
+	"dewlift/internal/compress"
 	"dewlift/wire"
 )
 
@@ -20,7 +20,7 @@
 	if err := r.packLists(); err != nil {
 		t.Fatal(err)
 	}
-	plain, err := squeeze.Inflate(r.PackedLists, maxUnpackedBytes)
+	plain, err := compress.Inflate(r.PackedLists, maxUnpackedBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 			x := slices.Clone(plain)
 			x[i] = b
 			for _, cut := range [][]byte{x, x[:i]} {
-				packed, err := squeeze.Deflate(cut)
+				packed, err := compress.Deflate(cut)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/core/jobrecord/value.go
+++ b/core/jobrecord/value.go
@@ -6,7 +6,7 @@
 
 	protobuf "google.golang.org/protobuf/proto"
 
-	"dewlift/internal/squeeze"
+	"dewlift/internal/compress"
 	"dewlift/wire"
 )
 
@@ -16,7 +16,7 @@
 }
 
 func packValue(raw []byte) (json.RawMessage, error) {
-	data, err := squeeze.Deflate(raw)
+	data, err := compress.Deflate(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 	err := json.Unmarshal(raw, &v)
 	if err == nil {
 		var plain []byte
-		if plain, err = squeeze.Inflate(v.Data, maxUnpackedBytes); err == nil {
+		if plain, err = compress.Inflate(v.Data, maxUnpackedBytes); err == nil {
 			err = protobuf.Unmarshal(plain, m)
 		}
 	}
@@ -70,7 +70,7 @@
 	err := json.Unmarshal(raw, &v)
 	if err == nil && v.Data != nil {
 		var plain []byte
-		if plain, err = squeeze.Inflate(v.Data, maxUnpackedBytes); err == nil {
+		if plain, err = compress.Inflate(v.Data, maxUnpackedBytes); err == nil {
 			err = json.Unmarshal(plain, &v.Catalog)
 		}
 	}
--- a/core/reservations/service.go
+++ b/core/reservations/service.go
@@ -23,7 +23,7 @@
 
 	"dewlift/audit"
 	"dewlift/booking"
-	"dewlift/internal/squeeze"
+	"dewlift/internal/compress"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -81,8 +81,8 @@
 type Service struct {
 	schedule          *booking.Schedule
 	inventory         *booking.Inventory // nil: nothing can be booked
-	inventoryRevision uint64            // mark of the list
-	headRevision      uint64            // mark of the head
+	inventoryRevision uint64             // mark of the list
+	headRevision      uint64             // mark of the head
 	headBookings      []*pb.Booking
 	pendingAudit      []audit.PendingEntry
 	pages             map[string]page
@@ -160,7 +160,7 @@
 func packMessage(m protobuf.Message, carried []audit.PendingEntry) (json.RawMessage, error) {
 	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err == nil {
-		raw, err = squeeze.Deflate(raw)
+		raw, err = compress.Deflate(raw)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("encode bookings: %w", err)
@@ -178,7 +178,7 @@
 func unpackMessage(raw json.RawMessage, m protobuf.Message) (v storedValue, err error) {
 	if err = json.Unmarshal(raw, &v); err == nil {
 		var plain []byte
-		if plain, err = squeeze.Inflate(v.Data, maxExpandedBytes); err == nil {
+		if plain, err = compress.Inflate(v.Data, maxExpandedBytes); err == nil {
 			err = protobuf.Unmarshal(plain, m)
 		}
 	}
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Embed renders a plot as the address of an image that holds it.
-func Embed(p *plot.Plot) (template.URL, error) {
+// PNGDataURL renders a plot as the address of an image that holds it.
+func PNGDataURL(p *plot.Plot) (template.URL, error) {
 	w, err := p.WriterTo(8*vg.Inch, 4*vg.Inch, "png")
 	if err != nil {
 		return "", err
--- a/internal/squeeze/squeeze.go
+++ b/internal/compress/compress.go
@@ -1,5 +1,5 @@
-// Package squeeze compresses small values, and bounds what they expand to.
-package squeeze
+// Package compress compresses small values, and bounds what they expand to.
+package compress
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 // ErrTooLarge tells that a value expands to more than its reader allows.
 var ErrTooLarge = errors.New("expands to too much")
 
-var deflaters = sync.Pool{New: func() any {
+var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestCompression)
 	if err != nil {
 		panic(err) // the level is a constant
@@ -23,8 +23,8 @@
 
 // Deflate compresses raw.
 func Deflate(raw []byte) ([]byte, error) {
-	w := deflaters.Get().(*flate.Writer)
-	defer deflaters.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	var b bytes.Buffer
 	w.Reset(&b)
 	if _, err := w.Write(raw); err != nil {
@@ -37,12 +37,12 @@
 }
 
 // Inflate is the reverse of Deflate; it fails with ErrTooLarge beyond most bytes.
-func Inflate(raw []byte, most int) ([]byte, error) {
-	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(raw)), int64(most)+1))
+func Inflate(raw []byte, maxBytes int) ([]byte, error) {
+	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(raw)), int64(maxBytes)+1))
 	if err != nil {
 		return nil, fmt.Errorf("expand: %w", err)
 	}
-	if len(out) > most {
+	if len(out) > maxBytes {
 		return nil, ErrTooLarge
 	}
 	return out, nil
--- a/internal/standin/site.go
+++ b/internal/fakes/fixtures.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -9,24 +9,24 @@
 	"dewlift/wire"
 )
 
-// Types has a controller know one type of machines, as if the cloud had told it.
-func (s *State) Types(t wire.MachineType) {
+// SetMachineType has a controller know one type of machines, as if the cloud had told it.
+func (s *Store) SetMachineType(t wire.MachineType) {
 	raw, err := json.Marshal(wire.Catalog{Types: []wire.MachineType{t}})
 	if err != nil {
 		panic(err) // strings and numbers
 	}
-	s.Fill([]wire.KeyValue{{Key: core.Root + "types", Value: raw}})
+	s.PutUnchecked([]wire.KeyValue{{Key: core.Root + "types", Value: raw}})
 }
 
-// Job is the submission of a small job of the team t.
-func Job(id, class string) map[string]any {
+// JobRequest is the submission of a small job of the team t.
+func JobRequest(id, class string) map[string]any {
 	return map[string]any{"uid": id, "ware": class, "crew": "t", "form": "batch", "heat": "standard", "pieces": 1, "cpus": 1, "cards": 0, "ram_gb": 1,
 		"mould": "i", "image_gb": 1, "one_zone": false, "spread": false, "borrowed": true, "firing_s": 10, "glaze_s": 0, "cool_s": 0}
 }
 
-// People are the users of a cooperative and a roastery, each with a key: a glaze technician, a visiting potter, a packer
+// TestPolicy are the users of a cooperative and a roastery, each with a key: a glaze technician, a visiting potter, a packer
 // who may reprint labels and not cancel a reroast, a service, and who administers.
-func People() (*access.Policy, map[string]*access.PrivateKey, error) {
+func TestPolicy() (*access.Policy, map[string]*access.PrivateKey, error) {
 	text := `
 		roles { name: "technician" grants { verbs: submit verbs: read verbs: cancel teams: "t" classes: "firing" } }
 		roles { name: "visitor" grants { verbs: submit verbs: read teams: "t" classes: "plan" } }
--- a/internal/standin/state.go
+++ b/internal/fakes/store.go
@@ -1,6 +1,6 @@
-// Package standin holds stand-ins of our own for the platform's services, which speak its protocol
+// Package fakes holds stand-ins of our own for the platform's services, which speak its protocol
 // over real sockets, for tests and measurements.
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -19,51 +19,51 @@
 
 // Limits are those of a state service; 0: none.
 type Limits struct {
-	RPS, WriteRPS     float64 // requests and changes a second, with bursts of one second's worth
-	ValueBytes, Ops   int     // of a value, and changes of a transaction
-	PageItems, PageKB int     // of a listing
+	RPS, WriteRPS      float64 // requests and changes a second, with bursts of one second's worth
+	ValueBytes, TxnOps int     // of a value, and changes of a transaction
+	PageItems, PageKB  int     // of a listing
 }
 
 const (
-	logChanges = 10_000 // that watches can go back
-	bodyBytes  = 64 << 10
+	keptEvents   = 10_000 // that watches can go back
+	maxBodyBytes = 64 << 10
 )
 
-// State is a state service in memory.
-type State struct {
-	mu      sync.Mutex
-	limits  Limits
-	down    bool
-	ledger  uint64
-	keys    *btree.BTreeG[wire.KeyValue]
-	log     []wire.WatchEvent
-	leases  map[uint64]*lease
-	nextID  uint64
-	changed chan struct{} // closed at the next change
-	rps     bucket
-	writes  bucket
-	count   map[string]int
+// Store is a state service in memory.
+type Store struct {
+	mu            sync.Mutex
+	limits        Limits
+	outage        bool
+	revision      uint64
+	keys          *btree.BTreeG[wire.KeyValue]
+	events        []wire.WatchEvent
+	leases        map[uint64]*lease
+	lastLeaseID   uint64
+	changed       chan struct{} // closed at the next change
+	requestBucket rateBucket
+	writeBucket   rateBucket
+	counters      map[string]int
 }
 
 type lease struct {
-	life  time.Duration
+	ttl   time.Duration
 	timer *time.Timer
 	keys  map[string]bool
 }
 
-// bucket allows a rate, with bursts of one second's worth.
-type bucket struct {
-	used float64
-	at   time.Time
+// rateBucket allows a rate, with bursts of one second's worth.
+type rateBucket struct {
+	used      float64
+	updatedAt time.Time
 }
 
-func (b *bucket) take(n, rate float64) bool {
+func (b *rateBucket) allow(n, rate float64) bool {
 	if rate == 0 {
 		return true
 	}
 	now := time.Now()
-	b.used = max(0, b.used-now.Sub(b.at).Seconds()*rate)
-	b.at = now
+	b.used = max(0, b.used-now.Sub(b.updatedAt).Seconds()*rate)
+	b.updatedAt = now
 	if b.used+n > rate {
 		return false
 	}
@@ -71,14 +71,14 @@
 	return true
 }
 
-// NewState returns an empty state service.
-func NewState(l Limits) *State {
-	return &State{limits: l, keys: btree.NewG(32, func(a, b wire.KeyValue) bool { return a.Key < b.Key }),
-		leases: map[uint64]*lease{}, changed: make(chan struct{}), count: map[string]int{}}
+// NewStore returns an empty state service.
+func NewStore(l Limits) *Store {
+	return &Store{limits: l, keys: btree.NewG(32, func(a, b wire.KeyValue) bool { return a.Key < b.Key }),
+		leases: map[uint64]*lease{}, changed: make(chan struct{}), counters: map[string]int{}}
 }
 
 // SetLimits has other limits come into force.
-func (s *State) SetLimits(l Limits) {
+func (s *Store) SetLimits(l Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = l
@@ -86,41 +86,41 @@
 
 // SetDown begins or ends an outage: requests get 503 and open watches wait; at its end, every lease has
 // its full time again.
-func (s *State) SetDown(down bool) {
+func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = down
+	s.outage = down
 	for _, l := range s.leases {
 		if down {
 			l.timer.Stop()
 		} else {
-			l.timer.Reset(l.life)
+			l.timer.Reset(l.ttl)
 		}
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-// Fill puts keys without asking for any limit, as one change.
-func (s *State) Fill(items []wire.KeyValue) {
+// PutUnchecked puts keys without asking for any limit, as one change.
+func (s *Store) PutUnchecked(items []wire.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger++
+	s.revision++
 	for _, it := range items {
-		it.Revision = s.ledger
+		it.Revision = s.revision
 		s.keys.ReplaceOrInsert(it)
 	}
 }
 
 // Value is a key's value, nil if there is none.
-func (s *State) Value(key string) json.RawMessage {
+func (s *Store) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	it, _ := s.keys.Get(wire.KeyValue{Key: key})
 	return it.Value
 }
 
-// Keys counts the keys with a prefix, and the bytes of their names and values.
-func (s *State) Keys(prefix string) (n, bytes int) {
+// CountKeys counts the keys with a prefix, and the bytes of their names and values.
+func (s *Store) CountKeys(prefix string) (n, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys.AscendGreaterOrEqual(wire.KeyValue{Key: prefix}, func(it wire.KeyValue) bool {
@@ -133,70 +133,70 @@
 	return n, bytes
 }
 
-// Count tells how many requests of each kind there were, and "changes".
-func (s *State) Count() map[string]int {
+// Counters tells how many requests of each kind there were, and "changes".
+func (s *Store) Counters() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]int{}
-	for k, n := range s.count {
+	for k, n := range s.counters {
 		out[k] = n
 	}
 	return out
 }
 
 // ServeHTTP answers the controllers.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	part := strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)
 	s.mu.Lock()
-	s.count[part[0]]++
-	s.count["requests"]++
+	s.counters[part[0]]++
+	s.counters["requests"]++
 	switch {
-	case s.down:
+	case s.outage:
 		s.mu.Unlock()
-		answer(w, http.StatusServiceUnavailable, wire.Error{Error: "outage"})
+		writeJSON(w, http.StatusServiceUnavailable, wire.Error{Error: "outage"})
 		return
-	case !s.rps.take(1, s.limits.RPS):
-		s.count["refused"]++
+	case !s.requestBucket.allow(1, s.limits.RPS):
+		s.counters["refused"]++
 		s.mu.Unlock()
-		answer(w, http.StatusTooManyRequests, wire.Error{Error: "too many requests"})
+		writeJSON(w, http.StatusTooManyRequests, wire.Error{Error: "too many requests"})
 		return
 	}
 	s.mu.Unlock()
 	switch {
 	case part[0] == "store" && len(part) == 2 && r.Method == http.MethodGet:
-		s.get(w, part[1])
+		s.serveGet(w, part[1])
 	case part[0] == "store" && r.Method == http.MethodGet:
-		s.list(w, r)
+		s.serveList(w, r)
 	case part[0] == "commit" && r.Method == http.MethodPost:
-		s.commit(w, r)
+		s.serveCommit(w, r)
 	case part[0] == "changes" && r.Method == http.MethodGet:
-		s.changes(w, r)
+		s.serveWatch(w, r)
 	case part[0] == "holds":
-		s.holds(w, r, part[1:])
+		s.serveLeases(w, r, part[1:])
 	default:
-		answer(w, http.StatusNotFound, wire.Error{Error: "no such path"})
+		writeJSON(w, http.StatusNotFound, wire.Error{Error: "no such path"})
 	}
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body) // whoever asked may be gone
 }
 
-func (s *State) get(w http.ResponseWriter, key string) {
+func (s *Store) serveGet(w http.ResponseWriter, key string) {
 	s.mu.Lock()
 	it, ok := s.keys.Get(wire.KeyValue{Key: key})
-	ledger := s.ledger
+	ledger := s.revision
 	s.mu.Unlock()
 	if !ok {
-		answer(w, http.StatusNotFound, map[string]uint64{"ledger": ledger})
+		writeJSON(w, http.StatusNotFound, map[string]uint64{"ledger": ledger})
 		return
 	}
-	answer(w, http.StatusOK, it)
+	writeJSON(w, http.StatusOK, it)
 }
 
-func (s *State) list(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	prefix, from := q.Get("starts"), q.Get("from")
 	most, err := strconv.Atoi(q.Get("most"))
@@ -208,7 +208,7 @@
 	}
 	out := wire.RangeResponse{Items: []wire.KeyValue{}}
 	s.mu.Lock()
-	out.Revision = s.ledger
+	out.Revision = s.revision
 	bytes := 0
 	s.keys.AscendGreaterOrEqual(wire.KeyValue{Key: max(prefix, from)}, func(it wire.KeyValue) bool {
 		switch {
@@ -225,29 +225,29 @@
 		return true
 	})
 	s.mu.Unlock()
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
 
-func (s *State) commit(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveCommit(w http.ResponseWriter, r *http.Request) {
 	var t wire.Txn
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyBytes)).Decode(&t); err != nil {
-		answer(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&t); err != nil {
+		writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 		return
 	}
 	status, reply := s.Commit(t)
-	answer(w, status, reply)
+	writeJSON(w, status, reply)
 }
 
 // Commit carries out a transaction, without a request.
-func (s *State) Commit(t wire.Txn) (status int, reply wire.TxnResponse) {
+func (s *Store) Commit(t wire.Txn) (status int, reply wire.TxnResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.apply(t)
+	return s.applyTxn(t)
 }
 
-func (s *State) apply(t wire.Txn) (int, wire.TxnResponse) {
+func (s *Store) applyTxn(t wire.Txn) (int, wire.TxnResponse) {
 	refuse := func(why string) (int, wire.TxnResponse) { return http.StatusBadRequest, wire.TxnResponse{Error: why} }
-	if n := s.limits.Ops; n > 0 && (len(t.Then) > n || len(t.Compare) > 4*n) {
+	if n := s.limits.TxnOps; n > 0 && (len(t.Then) > n || len(t.Compare) > 4*n) {
 		return refuse("too many changes or conditions")
 	}
 	for _, x := range t.Then {
@@ -262,8 +262,8 @@
 			return refuse("no such lease")
 		}
 	}
-	if !s.writes.take(float64(len(t.Then)), s.limits.WriteRPS) {
-		s.count["refused"]++
+	if !s.writeBucket.allow(float64(len(t.Then)), s.limits.WriteRPS) {
+		s.counters["refused"]++
 		return http.StatusTooManyRequests, wire.TxnResponse{Error: "too many changes"}
 	}
 	var failed []string
@@ -273,57 +273,57 @@
 		}
 	}
 	if len(failed) > 0 {
-		return http.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.ledger}
+		return http.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.revision}
 	}
-	s.count["changed"] += len(t.Then) // "changes" are the requests of that path
+	s.counters["changed"] += len(t.Then) // "changes" are the requests of that path
 	if len(t.Then) > 0 {
-		s.ledger++
+		s.revision++
 	}
 	for _, x := range t.Then {
 		if x.Put != "" {
-			s.put(wire.KeyValue{Key: x.Put, Value: x.Value, Revision: s.ledger, LeaseID: x.LeaseID})
+			s.putItem(wire.KeyValue{Key: x.Put, Value: x.Value, Revision: s.revision, LeaseID: x.LeaseID})
 		} else {
-			s.drop(x.Delete)
+			s.deleteKey(x.Delete)
 		}
 	}
-	s.wake()
-	return http.StatusOK, wire.TxnResponse{Revision: s.ledger}
+	s.notifyWatchers()
+	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-func (s *State) put(it wire.KeyValue) {
+func (s *Store) putItem(it wire.KeyValue) {
 	if old, ok := s.keys.ReplaceOrInsert(it); ok && old.LeaseID != 0 && s.leases[old.LeaseID] != nil {
 		delete(s.leases[old.LeaseID].keys, it.Key)
 	}
 	if it.LeaseID != 0 {
 		s.leases[it.LeaseID].keys[it.Key] = true
 	}
-	s.note(wire.WatchEvent{Put: it.Key, Value: it.Value, Revision: s.ledger})
+	s.appendEvent(wire.WatchEvent{Put: it.Key, Value: it.Value, Revision: s.revision})
 }
 
-func (s *State) drop(key string) {
+func (s *Store) deleteKey(key string) {
 	if old, ok := s.keys.Delete(wire.KeyValue{Key: key}); ok && old.LeaseID != 0 && s.leases[old.LeaseID] != nil {
 		delete(s.leases[old.LeaseID].keys, key)
 	}
-	s.note(wire.WatchEvent{Delete: key, Revision: s.ledger})
+	s.appendEvent(wire.WatchEvent{Delete: key, Revision: s.revision})
 }
 
-func (s *State) note(e wire.WatchEvent) {
-	s.log = append(s.log, e)
-	if len(s.log) >= 2*logChanges {
-		s.log = slices.Clone(s.log[len(s.log)-logChanges:])
+func (s *Store) appendEvent(e wire.WatchEvent) {
+	s.events = append(s.events, e)
+	if len(s.events) >= 2*keptEvents {
+		s.events = slices.Clone(s.events[len(s.events)-keptEvents:])
 	}
 }
 
-func (s *State) wake() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *State) changes(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
 	if err != nil {
-		answer(w, http.StatusBadRequest, wire.Error{Error: "from is missing"})
+		writeJSON(w, http.StatusBadRequest, wire.Error{Error: "from is missing"})
 		return
 	}
 	hold, _ := strconv.Atoi(q.Get("hold_ms")) // 0 by default
@@ -332,27 +332,27 @@
 	late := hold <= 0
 	for {
 		s.mu.Lock()
-		out := wire.WatchResponse{Revision: s.ledger, Events: []wire.WatchEvent{}}
-		gone := len(s.log) > 0 && s.log[0].Revision > from+1 && s.ledger > from
-		i, _ := slices.BinarySearchFunc(s.log, from+1, func(e wire.WatchEvent, m uint64) int {
+		out := wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
+		gone := len(s.events) > 0 && s.events[0].Revision > from+1 && s.revision > from
+		i, _ := slices.BinarySearchFunc(s.events, from+1, func(e wire.WatchEvent, m uint64) int {
 			if e.Revision < m {
 				return -1
 			}
 			return 1
 		})
-		for _, e := range s.log[i:] {
+		for _, e := range s.events[i:] {
 			if strings.HasPrefix(e.Put+e.Delete, q.Get("starts")) {
 				out.Events = append(out.Events, e)
 			}
 		}
-		wait, down := s.changed, s.down
+		wait, down := s.changed, s.outage
 		s.mu.Unlock()
 		switch {
 		case gone && !down:
-			answer(w, http.StatusGone, wire.Error{Error: "too old"})
+			writeJSON(w, http.StatusGone, wire.Error{Error: "too old"})
 			return
 		case !down && len(out.Events) > 0 || late:
-			answer(w, http.StatusOK, out)
+			writeJSON(w, http.StatusOK, out)
 			return
 		}
 		select {
@@ -365,21 +365,21 @@
 	}
 }
 
-func (s *State) holds(w http.ResponseWriter, r *http.Request, rest []string) {
+func (s *Store) serveLeases(w http.ResponseWriter, r *http.Request, rest []string) {
 	if len(rest) == 0 && r.Method == http.MethodPost {
 		var in wire.LeaseRequest
 		if err := json.NewDecoder(r.Body).Decode(&in); err != nil || in.TTLMS < 100 || in.TTLMS > 600_000 {
-			answer(w, http.StatusBadRequest, wire.Error{Error: "life_ms is missing or out of range"})
+			writeJSON(w, http.StatusBadRequest, wire.Error{Error: "life_ms is missing or out of range"})
 			return
 		}
 		s.mu.Lock()
-		s.nextID++
-		id := s.nextID
-		l := &lease{life: time.Duration(in.TTLMS) * time.Millisecond, keys: map[string]bool{}}
-		l.timer = time.AfterFunc(l.life, func() { s.end(id) })
+		s.lastLeaseID++
+		id := s.lastLeaseID
+		l := &lease{ttl: time.Duration(in.TTLMS) * time.Millisecond, keys: map[string]bool{}}
+		l.timer = time.AfterFunc(l.ttl, func() { s.endLease(id) })
 		s.leases[id] = l
 		s.mu.Unlock()
-		answer(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
+		writeJSON(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
 		return
 	}
 	name, verb, _ := strings.Cut(strings.Join(rest, "/"), "/")
@@ -387,24 +387,24 @@
 	s.mu.Lock()
 	l := s.leases[id]
 	if err == nil && l != nil && verb == "extend" {
-		l.timer.Reset(l.life)
+		l.timer.Reset(l.ttl)
 	}
 	s.mu.Unlock()
 	switch {
 	case err != nil || l == nil:
-		answer(w, http.StatusNotFound, wire.Error{Error: "no such lease"})
+		writeJSON(w, http.StatusNotFound, wire.Error{Error: "no such lease"})
 	case r.Method == http.MethodDelete:
-		s.end(id)
-		answer(w, http.StatusOK, struct{}{})
+		s.endLease(id)
+		writeJSON(w, http.StatusOK, struct{}{})
 	case verb == "extend" && r.Method == http.MethodPost:
-		answer(w, http.StatusOK, struct{}{})
+		writeJSON(w, http.StatusOK, struct{}{})
 	default:
-		answer(w, http.StatusBadRequest, wire.Error{Error: fmt.Sprintf("unknown request %s", verb)})
+		writeJSON(w, http.StatusBadRequest, wire.Error{Error: fmt.Sprintf("unknown request %s", verb)})
 	}
 }
 
-// end ends a lease, and with it the keys attached to it.
-func (s *State) end(id uint64) {
+// endLease ends a lease, and with it the keys attached to it.
+func (s *Store) endLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.leases[id]
@@ -414,12 +414,12 @@
 	l.timer.Stop()
 	delete(s.leases, id)
 	if len(l.keys) > 0 {
-		s.ledger++
+		s.revision++
 	}
 	for _, k := range sortedNames(l.keys) {
-		s.drop(k)
+		s.deleteKey(k)
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
 func sortedNames(m map[string]bool) []string {
--- a/internal/call/call.go
+++ b/internal/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package call makes JSON requests over HTTP/1.1 with bounded time and size.
-package call
+// Package httpjson makes JSON requests over HTTP/1.1 with bounded time and size.
+package httpjson
 
 import (
 	"bytes"
@@ -21,27 +21,29 @@
 	// Token, if set, is sent with every request.
 	Token string
 
-	http http.Client
-	max  int64
+	httpClient   http.Client
+	maxBodyBytes int64
 }
 
 // New returns a client that keeps at most idle connections to a host open and reads at most
 // max bytes of an answer.
-func New(perHost, idle int, max int64) *Client {
+func New(maxConnsPerHost, maxIdleConns int, maxBodyBytes int64) *Client {
 	d := &net.Dialer{Timeout: 1500 * time.Millisecond, KeepAlive: -1}
-	return &Client{max: max, http: http.Client{
-		Transport: &http.Transport{DialContext: d.DialContext, MaxConnsPerHost: perHost, MaxIdleConnsPerHost: perHost,
-			MaxIdleConns: idle, IdleConnTimeout: 60 * time.Second, DisableCompression: true},
+	return &Client{maxBodyBytes: maxBodyBytes, httpClient: http.Client{
+		Transport: &http.Transport{DialContext: d.DialContext, MaxConnsPerHost: maxConnsPerHost, MaxIdleConnsPerHost: maxConnsPerHost,
+			MaxIdleConns: maxIdleConns, IdleConnTimeout: 60 * time.Second, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// Secure makes the client use TLS.
-func (c *Client) Secure(cfg *tls.Config) { c.http.Transport.(*http.Transport).TLSClientConfig = cfg }
+// UseTLS makes the client use TLS.
+func (c *Client) UseTLS(cfg *tls.Config) {
+	c.httpClient.Transport.(*http.Transport).TLSClientConfig = cfg
+}
 
-// Result is an answer. Status is 0 if none came; Sent tells whether the request may have
+// Response is an answer. Status is 0 if none came; Sent tells whether the request may have
 // reached the server all the same.
-type Result struct {
+type Response struct {
 	Status int
 	Sent   bool
 	Body   []byte
@@ -49,14 +51,14 @@
 }
 
 // Do makes a request and reads its answer.
-func (c *Client) Do(ctx context.Context, timeout time.Duration, method, url string, body any) Result {
+func (c *Client) Do(ctx context.Context, timeout time.Duration, method, url string, body any) Response {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var rd io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
-			return Result{Err: fmt.Errorf("encode request: %w", err)}
+			return Response{Err: fmt.Errorf("encode request: %w", err)}
 		}
 		rd = bytes.NewReader(raw)
 	}
@@ -64,7 +66,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
 	req, err := http.NewRequestWithContext(ctx, method, url, rd)
 	if err != nil {
-		return Result{Err: fmt.Errorf("build request: %w", err)}
+		return Response{Err: fmt.Errorf("build request: %w", err)}
 	}
 	if body != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -74,20 +76,20 @@
 	}
 	// A transaction or rental must not be sent twice by the transport on its own.
 	req.GetBody = nil
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
-		return Result{Sent: sent.Load(), Err: err}
+		return Response{Sent: sent.Load(), Err: err}
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, c.max+1))
-	if err != nil || int64(len(raw)) > c.max {
-		return Result{Sent: true, Err: fmt.Errorf("read answer: %w", err)}
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBodyBytes+1))
+	if err != nil || int64(len(raw)) > c.maxBodyBytes {
+		return Response{Sent: true, Err: fmt.Errorf("read answer: %w", err)}
 	}
-	return Result{Status: resp.StatusCode, Sent: true, Body: raw}
+	return Response{Status: resp.StatusCode, Sent: true, Body: raw}
 }
 
-// Get decodes the body of a 200 into a value; an answer that can't be decoded counts as none.
-func Get[T any](r Result) (T, Result) {
+// Decode decodes the body of a 200 into a value; an answer that can't be decoded counts as none.
+func Decode[T any](r Response) (T, Response) {
 	var v T
 	if r.Status != 200 && r.Status != 404 && r.Status != 409 {
 		return v, r
--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -21,20 +21,20 @@
 	"time"
 
 	"dewlift"
-	"dewlift/internal/standin"
+	"dewlift/internal/fakes"
 	"dewlift/settings"
 	"dewlift/wire"
 )
 
 var (
-	machines = flag.Int("machines", 1000, "machines")
-	nodes    = flag.Int("controllers", 3, "controllers")
-	services = flag.Int("services", 250, "services of 8 tasks that are there from the start")
-	arrays   = flag.Float64("arrays", 0.75, "arrays of 90 tasks that come a second; each task takes 40 s")
-	seconds  = flag.Int("seconds", 30, "of steady load that are measured")
-	polls    = flag.Float64("polls", 100, "polls a second")
-	cut      = flag.String("cut", "", "a zone that is cut off when the measured time begins")
-	profile  = flag.String("profile", "fleet.prof", "file for the processor profile of the measured time")
+	machineCount    = flag.Int("machines", 1000, "machines")
+	controllerCount = flag.Int("controllers", 3, "controllers")
+	serviceCount    = flag.Int("services", 250, "services of 8 tasks that are there from the start")
+	arrayRate       = flag.Float64("arrays", 0.75, "arrays of 90 tasks that come a second; each task takes 40 s")
+	measuredSeconds = flag.Int("seconds", 30, "of steady load that are measured")
+	pollRate        = flag.Float64("polls", 100, "polls a second")
+	cutZone         = flag.String("cut", "", "a zone that is cut off when the measured time begins")
+	profileFile     = flag.String("profile", "fleet.prof", "file for the processor profile of the measured time")
 )
 
 func main() {
@@ -50,9 +50,9 @@
 func run() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	store := standin.NewState(standin.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, Ops: 24, PageItems: 500, PageKB: 256})
+	store := fakes.NewStore(fakes.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256})
 	kind := wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b", "c"}, BootS: 15, Price: 1, SpotPrice: 0.4}
-	store.Types(kind)
+	store.SetMachineType(kind)
 	sl, err := listen()
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 
 	var addrs []string
 	var users, peers []net.Listener
-	for range *nodes {
+	for range *controllerCount {
 		u, err := listen()
 		if err != nil {
 			return err
@@ -76,13 +76,13 @@
 		}
 		users, peers, addrs = append(users, u), append(peers, p), append(addrs, u.Addr().String())
 	}
-	fleet := standin.NewWorkers(*machines, kind, addrs, 6*time.Second, func(piece string) ([3]int64, time.Duration) {
+	fleet := fakes.NewWorkers(*machineCount, kind, addrs, 6*time.Second, func(piece string) ([3]int64, time.Duration) {
 		if id, _, _ := wire.SplitTaskName(piece); id < "wk-100000" {
 			return [3]int64{1000, 0, 2200}, 0
 		}
 		return [3]int64{4000, 0, 8900}, 40 * time.Second
 	})
-	go func() { _ = http.Serve(cl, fleet.Cloud()) }() // ends with the process
+	go func() { _ = http.Serve(cl, fleet.CloudHandler()) }() // ends with the process
 	for i := range users {
 		p := &settings.Platform{Name: fmt.Sprintf("n%d", i), Zone: kind.Zones[i%3]}
 		p.Services.State, p.Services.Cloud = sl.Addr().String(), cl.Addr().String()
@@ -110,39 +110,39 @@
 	}()
 	time.Sleep(8 * time.Second)
 	var accepted, refused, polled, late atomic.Int64
-	u := user{http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}, addrs}
+	u := jobClient{http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}, addrs}
 	var first sync.WaitGroup
-	for i := range *services {
+	for i := range *serviceCount {
 		first.Go(func() { u.submit(fmt.Sprintf("wk-%06d", i), true, 8, &accepted, &refused) })
 		time.Sleep(30 * time.Millisecond)
 	}
 	first.Wait()
 	next := 100_000
-	go every(ctx, *arrays, func() {
+	go runAtRate(ctx, *arrayRate, func() {
 		next++
 		id := fmt.Sprintf("wk-%06d", next)
 		go u.submit(id, false, 90, &accepted, &refused)
 	})
 	time.Sleep(45 * time.Second)
-	go every(ctx, *polls, func() { go u.poll(fmt.Sprintf("wk-%06d", time.Now().UnixNano()%int64(*services)), &polled, &late) })
-	f, err := os.Create(*profile)
+	go runAtRate(ctx, *pollRate, func() { go u.poll(fmt.Sprintf("wk-%06d", time.Now().UnixNano()%int64(*serviceCount)), &polled, &late) })
+	f, err := os.Create(*profileFile)
 	if err != nil {
 		return err
 	}
-	fleet.Cut(*cut)
-	before, missed := fleet.Reports()
+	fleet.CutZone(*cutZone)
+	before, missed := fleet.HeartbeatCounts()
 	if err := pprof.StartCPUProfile(f); err != nil {
 		return err
 	}
-	time.Sleep(time.Duration(*seconds) * time.Second)
+	time.Sleep(time.Duration(*measuredSeconds) * time.Second)
 	pprof.StopCPUProfile()
-	after, failed := fleet.Reports()
+	after, failed := fleet.HeartbeatCounts()
 	fmt.Printf("%d machines, %d controllers: %d reports a second, %d in all failed, %d starts refused, %d accepted, %d refused, %d polls, %d late or refused\n",
-		fleet.Up(), *nodes, (after-before)/(*seconds), failed-missed, fleet.Refused(), accepted.Load(), refused.Load(), polled.Load(), late.Load())
+		fleet.RentedCount(), *controllerCount, (after-before)/(*measuredSeconds), failed-missed, fleet.StartsRefused(), accepted.Load(), refused.Load(), polled.Load(), late.Load())
 	return f.Close()
 }
 
-func every(ctx context.Context, rate float64, f func()) {
+func runAtRate(ctx context.Context, rate float64, f func()) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer t.Stop()
 	for {
@@ -155,13 +155,13 @@
 	}
 }
 
-type user struct {
-	http  http.Client
-	addrs []string
+type jobClient struct {
+	httpClient http.Client
+	addrs      []string
 }
 
-func (u *user) submit(id string, service bool, tasks int, accepted, refused *atomic.Int64) {
-	job := standin.Job(id, "x")
+func (u *jobClient) submit(id string, service bool, tasks int, accepted, refused *atomic.Int64) {
+	job := fakes.JobRequest(id, "x")
 	job["pieces"], job["cpus"], job["ram_gb"], job["heat"] = tasks, 4, 8.9, "high"
 	if service {
 		job["form"], job["firing_s"], job["heat"], job["cpus"], job["ram_gb"], job["spread"], job["borrowed"] = "daemon", 0, "critical", 1, 2.2, true, false
@@ -171,7 +171,7 @@
 		panic(err) // strings and numbers
 	}
 	for try := range 30 {
-		status := u.do(http.MethodPost, u.addrs[(int(time.Now().UnixNano())+try)%len(u.addrs)]+wire.PathJobs, raw)
+		status := u.doRequest(http.MethodPost, u.addrs[(int(time.Now().UnixNano())+try)%len(u.addrs)]+wire.PathJobs, raw)
 		if status == 200 || status == 201 {
 			accepted.Add(1)
 			return
@@ -181,19 +181,19 @@
 	}
 }
 
-func (u *user) poll(id string, polled, late *atomic.Int64) {
+func (u *jobClient) poll(id string, polled, late *atomic.Int64) {
 	polled.Add(1)
-	if u.do(http.MethodGet, u.addrs[int(time.Now().UnixNano()>>8)%len(u.addrs)]+wire.PathJobs+"/"+id, nil) != 200 {
+	if u.doRequest(http.MethodGet, u.addrs[int(time.Now().UnixNano()>>8)%len(u.addrs)]+wire.PathJobs+"/"+id, nil) != 200 {
 		late.Add(1)
 	}
 }
 
-func (u *user) do(method, url string, body []byte) int {
+func (u *jobClient) doRequest(method, url string, body []byte) int {
 	req, err := http.NewRequest(method, "http://"+url, bytes.NewReader(body))
 	if err != nil {
 		return 0
 	}
-	resp, err := u.http.Do(req)
+	resp, err := u.httpClient.Do(req)
 	if err != nil {
 		return 0
 	}
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -26,27 +26,27 @@
 	"dewlift/access"
 	"dewlift/audit"
 	"dewlift/core"
+	"dewlift/internal/fakes"
 	"dewlift/internal/measure/process"
-	"dewlift/internal/standin"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
 
-// Cost is what requests of one kind took.
-type Cost struct {
-	Guards  string  `json:"guards"` // "none", "rights" or "rights and record"
-	What    string  `json:"what"`
-	Count   int     `json:"count"`
-	Again   int64   `json:"again"` // answers of 429 and 503, after which it was tried again
-	P50     float64 `json:"p50_ms"`
-	P99     float64 `json:"p99_ms"`
-	CPU     float64 `json:"cpu_us"`  // of the controller, a request
-	Changes float64 `json:"changes"` // of the state service, a request
+// RequestCost is what requests of one kind took.
+type RequestCost struct {
+	Guards    string  `json:"guards"` // "none", "rights" or "rights and record"
+	Operation string  `json:"what"`
+	Count     int     `json:"count"`
+	Retries   int64   `json:"again"` // answers of 429 and 503, after which it was tried again
+	P50       float64 `json:"p50_ms"`
+	P99       float64 `json:"p99_ms"`
+	CPU       float64 `json:"cpu_us"`  // of the controller, a request
+	Changes   float64 `json:"changes"` // of the state service, a request
 }
 
-// Read is what reading a long record took.
-type Read struct {
-	What    string  `json:"what"`
+// AuditReadCost is what reading a long record took.
+type AuditReadCost struct {
+	Command string  `json:"what"`
 	Entries int     `json:"entries"`
 	Blocks  int     `json:"blocks"`
 	Stored  float64 `json:"stored_bytes_per_entry"`
@@ -72,25 +72,25 @@
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
 	}
-	k, err := newKeys()
+	k, err := newGuardKeys()
 	if err != nil {
 		return err
 	}
-	var costs []*Cost
+	var costs []*RequestCost
 	for r := range rounds {
-		for i := range kinds { // in another order each round
-			c, err := k.round(bin, kinds[(i+r)%len(kinds)], n, false)
+		for i := range guardKinds { // in another order each round
+			c, err := k.measureRound(bin, guardKinds[(i+r)%len(guardKinds)], n, false)
 			if err != nil {
 				return err
 			}
 			costs = append(costs, c...)
 		}
 	}
-	flood, err := k.round(bin, kinds[2], n, true)
+	flood, err := k.measureRound(bin, guardKinds[2], n, true)
 	if err != nil {
 		return err
 	}
-	reads, err := k.long(bin, entries)
+	reads, err := k.measureAuditReads(bin, entries)
 	if err != nil {
 		return err
 	}
@@ -101,15 +101,15 @@
 	return os.WriteFile(filepath.Join(out, "figures.json"), raw, 0o644)
 }
 
-var kinds = []string{"none", "rights", "rights and record"}
+var guardKinds = []string{"none", "rights", "rights and record"}
 
-type keys struct {
-	user   *access.PrivateKey
-	rights string
-	audit  string
+type guardKeys struct {
+	user         *access.PrivateKey
+	accessPolicy string
+	auditKey     string
 }
 
-func newKeys() (*keys, error) {
+func newGuardKeys() (*guardKeys, error) {
 	user, err := access.NewKey("portal", "portal-1")
 	if err != nil {
 		return nil, err
@@ -118,63 +118,63 @@
 	if err != nil {
 		return nil, err
 	}
-	return &keys{user: user, audit: text, rights: fmt.Sprintf(`roles { name: "all" grants { verbs: submit verbs: read verbs: cancel verbs: administer verbs: audit teams: "*" classes: "*" } }
+	return &guardKeys{user: user, auditKey: text, accessPolicy: fmt.Sprintf(`roles { name: "all" grants { verbs: submit verbs: read verbs: cancel verbs: administer verbs: audit teams: "*" classes: "*" } }
 		identities { name: "portal" roles: "all" keys { id: %q ed25519: %q } }
 		`, user.ID, user.PublicBase64())}, nil
 }
 
-func (k *keys) options(kind string) process.Options {
+func (k *guardKeys) processOptions(kind string) process.Options {
 	o := process.Options{RPS: 1000, WriteRPS: 1000, MemMB: 186, Files: map[string]string{}}
-	if kind == kinds[0] {
+	if kind == guardKinds[0] {
 		return o
 	}
-	o.Files["access"] = k.rights
+	o.Files["access"] = k.accessPolicy
 	o.Args = []string{"--access", "%DIR%/access"}
-	if kind == kinds[2] {
-		o.Files["audit"] = k.audit
+	if kind == guardKinds[2] {
+		o.Files["audit"] = k.auditKey
 		o.Files["access"] += `audit_key: "%DIR%/audit"`
 	}
 	return o
 }
 
-func state() *standin.State {
-	s := standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 24, PageItems: 1000, PageKB: 512})
-	s.Types(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
-	s.Fill([]wire.KeyValue{{Key: core.Root + "form/n0", Value: json.RawMessage(fmt.Sprint(core.Form))}})
+func newStore() *fakes.Store {
+	s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 24, PageItems: 1000, PageKB: 512})
+	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
+	s.PutUnchecked([]wire.KeyValue{{Key: core.Root + "form/n0", Value: json.RawMessage(fmt.Sprint(core.Form))}})
 	return s
 }
 
-const clients = 8
+const clientCount = 8
 
-// round starts a controller and measures acceptances and polls; with a flood, polls alone, at the controller's share
+// measureRound starts a controller and measures acceptances and polls; with a flood, polls alone, at the controller's share
 // of a core, without and with bad credentials coming in as fast as they are answered.
-func (k *keys) round(bin, kind string, n int, flood bool) (costs []*Cost, err error) {
-	s := state()
-	x, err := process.Start(bin, s, k.options(kind))
+func (k *guardKeys) measureRound(bin, kind string, n int, flood bool) (costs []*RequestCost, err error) {
+	s := newStore()
+	x, err := process.Start(bin, s, k.processOptions(kind))
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, x.Stop()) }()
-	if _, err := x.Healthy(); err != nil {
+	if _, err := x.WaitHealthy(); err != nil {
 		return nil, err
 	}
 	time.Sleep(2 * time.Second) // until it holds its shards
 	post := func(i int) (string, string, any) {
-		return http.MethodPost, wire.PathJobs, standin.Job(fmt.Sprintf("wk-%06d", i), "c")
+		return http.MethodPost, wire.PathJobs, fakes.JobRequest(fmt.Sprintf("wk-%06d", i), "c")
 	}
 	get := func(i int) (string, string, any) {
 		return http.MethodGet, fmt.Sprintf("%s/wk-%06d", wire.PathJobs, i), nil
 	}
-	c, err := k.requests(x, kind, "acceptance", n, post)
+	c, err := k.measureRequests(x, kind, "acceptance", n, post)
 	if err != nil {
 		return nil, err
 	}
 	costs = append(costs, c)
 	if !flood {
-		c, err := k.requests(x, kind, "poll", n, get)
+		c, err := k.measureRequests(x, kind, "poll", n, get)
 		return append(costs, c), err
 	}
-	stop := throttle(x)
+	stop := throttleProcess(x)
 	defer stop()
 	for _, bad := range []int{0, 16} {
 		end := make(chan bool)
@@ -202,23 +202,23 @@
 			})
 		}
 		began := time.Now()
-		c, err := k.requests(x, kind, fmt.Sprintf("poll beside %d connections with bad credentials", bad), n/3, get)
+		c, err := k.measureRequests(x, kind, fmt.Sprintf("poll beside %d connections with bad credentials", bad), n/3, get)
 		close(end)
 		wg.Wait()
 		if err != nil {
 			return nil, err
 		}
 		if bad > 0 {
-			c.What += fmt.Sprintf(", %.0f refused a second", float64(refused.Load())/time.Since(began).Seconds())
+			c.Operation += fmt.Sprintf(", %.0f refused a second", float64(refused.Load())/time.Since(began).Seconds())
 		}
 		costs = append(costs, c)
-		log.Print("  ", c.What)
+		log.Print("  ", c.Operation)
 	}
 	return costs, nil
 }
 
-// throttle gives the process its share of a core: it is stopped for the rest of every 25 ms.
-func throttle(x *process.Site) (stop func()) {
+// throttleProcess gives the process its share of a core: it is stopped for the rest of every 25 ms.
+func throttleProcess(x *process.Process) (stop func()) {
 	end, done := make(chan bool), make(chan bool)
 	go func() {
 		defer close(done)
@@ -227,20 +227,20 @@
 			select {
 			case <-end:
 				return
-			case <-time.After(time.Duration(process.Share * float64(turn))):
+			case <-time.After(time.Duration(process.CoreShare * float64(turn))):
 			}
 			_ = x.Signal(syscall.SIGSTOP) // a process that has ended shows in its answers
-			time.Sleep(time.Duration((1 - process.Share) * float64(turn)))
+			time.Sleep(time.Duration((1 - process.CoreShare) * float64(turn)))
 			_ = x.Signal(syscall.SIGCONT)
 		}
 	}()
 	return func() { close(end); <-done }
 }
 
-// requests sends so many requests by a few clients and measures them.
-func (k *keys) requests(x *process.Site, kind, what string, n int, make func(i int) (method, path string, body any)) (*Cost, error) {
+// measureRequests sends so many requests by a few clients and measures them.
+func (k *guardKeys) measureRequests(x *process.Process, kind, what string, n int, make func(i int) (method, path string, body any)) (*RequestCost, error) {
 	token := ""
-	if kind != kinds[0] {
+	if kind != guardKinds[0] {
 		var err error
 		if token, err = k.user.SignToken(time.Now(), time.Hour); err != nil {
 			return nil, err
@@ -254,14 +254,14 @@
 	if err != nil {
 		return nil, err
 	}
-	changes := x.State.Count()["changed"]
+	changes := x.Store.Counters()["changed"]
 	var wg sync.WaitGroup
-	for range clients {
+	for range clientCount {
 		wg.Go(func() {
 			client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
 			for i := next.Add(1); i <= int64(n); i = next.Add(1) {
-				took, tries, err := once(client, x.Addr, token, func() (string, string, any) { return make(int(i)) })
+				took, tries, err := sendUntilAnswered(client, x.Addr, token, func() (string, string, any) { return make(int(i)) })
 				again.Add(int64(tries))
 				mu.Lock()
 				if err != nil && failed == nil {
@@ -277,14 +277,14 @@
 	if err != nil || failed != nil {
 		return nil, errors.Join(err, failed)
 	}
-	c := &Cost{Guards: kind, What: what, Count: n, Again: again.Load(), P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000,
-		CPU: float64((after - cpu).Microseconds()) / float64(n), Changes: float64(x.State.Count()["changed"]-changes) / float64(n)}
-	log.Printf("%-18s %-12s p50 %6.2f ms, p99 %7.2f ms, %5.0f us of processor, %.3f changes, %d again", c.Guards, c.What, c.P50, c.P99, c.CPU, c.Changes, c.Again)
+	c := &RequestCost{Guards: kind, Operation: what, Count: n, Retries: again.Load(), P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000,
+		CPU: float64((after - cpu).Microseconds()) / float64(n), Changes: float64(x.Store.Counters()["changed"]-changes) / float64(n)}
+	log.Printf("%-18s %-12s p50 %6.2f ms, p99 %7.2f ms, %5.0f us of processor, %.3f changes, %d again", c.Guards, c.Operation, c.P50, c.P99, c.CPU, c.Changes, c.Retries)
 	return c, nil
 }
 
-// once sends a request until it is answered well.
-func once(client *http.Client, addr, token string, make func() (method, path string, body any)) (took time.Duration, again int, err error) {
+// sendUntilAnswered sends a request until it is answered well.
+func sendUntilAnswered(client *http.Client, addr, token string, make func() (method, path string, body any)) (took time.Duration, again int, err error) {
 	method, path, body := make()
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -316,25 +316,25 @@
 	return 0, again, fmt.Errorf("%s %s: no answer", method, path)
 }
 
-// long reads and verifies a long record through a controller, at the limits of the users' state service.
-func (k *keys) long(bin string, entries int) (reads []*Read, err error) {
-	s := state()
-	key, err := audit.ParseKey(k.audit)
+// measureAuditReads reads and verifies a long record through a controller, at the limits of the users' state service.
+func (k *guardKeys) measureAuditReads(bin string, entries int) (reads []*AuditReadCost, err error) {
+	s := newStore()
+	key, err := audit.ParseKey(k.auditKey)
 	if err != nil {
 		return nil, err
 	}
-	blocks, stored, err := fill(s, key, entries)
+	blocks, stored, err := fillAuditBlocks(s, key, entries)
 	if err != nil {
 		return nil, err
 	}
-	o := k.options(kinds[2])
+	o := k.processOptions(guardKinds[2])
 	o.RPS, o.WriteRPS = 150, 30
 	x, err := process.Start(bin, s, o)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, x.Stop()) }()
-	if _, err := x.Healthy(); err != nil {
+	if _, err := x.WaitHealthy(); err != nil {
 		return nil, err
 	}
 	dir, err := os.MkdirTemp("", "guards-*")
@@ -347,7 +347,7 @@
 		return nil, err
 	}
 	own, signed := filepath.Join(dir, "portal.key"), filepath.Join(dir, "audit.key")
-	if err := errors.Join(os.WriteFile(own, raw, 0o600), os.WriteFile(signed, []byte(k.audit), 0o600)); err != nil {
+	if err := errors.Join(os.WriteFile(own, raw, 0o600), os.WriteFile(signed, []byte(k.auditKey), 0o600)); err != nil {
 		return nil, err
 	}
 	for _, args := range []string{"audit verify --audit-key " + signed, "audit list --who user-7 --outcome done", "audit report --html " + filepath.Join(dir, "report.html") + " --tz Europe/Zurich"} {
@@ -362,9 +362,9 @@
 		if !ok {
 			return nil, errors.New("the command's memory is not known here")
 		}
-		r := &Read{What: strings.Join(strings.Fields(args)[:2], " "), Entries: entries, Blocks: blocks, Stored: float64(stored) / float64(entries), TookS: time.Since(began).Seconds(),
+		r := &AuditReadCost{Command: strings.Join(strings.Fields(args)[:2], " "), Entries: entries, Blocks: blocks, Stored: float64(stored) / float64(entries), TookS: time.Since(began).Seconds(),
 			PeakMB: float64(use.Maxrss) / 1024, Printed: bytes.Count(out.Bytes(), []byte("\n"))}
-		log.Printf("%s: %d entries in %d blocks, %.1f bytes each: %.1f s, %.0f MB, %d lines", r.What, entries, blocks, r.Stored, r.TookS, r.PeakMB, r.Printed)
+		log.Printf("%s: %d entries in %d blocks, %.1f bytes each: %.1f s, %.0f MB, %d lines", r.Command, entries, blocks, r.Stored, r.TookS, r.PeakMB, r.Printed)
 		reads = append(reads, r)
 	}
 	_, peak, err := x.Usage()
@@ -372,8 +372,8 @@
 	return reads, err
 }
 
-// fill puts a chain of so many entries into the stand-in.
-func fill(s *standin.State, key audit.Key, entries int) (blocks, stored int, err error) {
+// fillAuditBlocks puts a chain of so many entries into the stand-in.
+func fillAuditBlocks(s *fakes.Store, key audit.Key, entries int) (blocks, stored int, err error) {
 	h := &audit.Head{}
 	const perBlock = 160 // as many as fit a value, nearly
 	for at := 0; at < entries; {
@@ -393,12 +393,12 @@
 		at += n
 		h = &audit.Head{BlockNumber: h.BlockNumber + 1, MAC: code, Incarnations: []audit.Incarnation{{Number: 1, NextSequence: uint64(at + 1)}}}
 		stored += len(raw)
-		s.Fill([]wire.KeyValue{{Key: audit.BlockKey("n0", h.BlockNumber), Value: raw}})
+		s.PutUnchecked([]wire.KeyValue{{Key: audit.BlockKey("n0", h.BlockNumber), Value: raw}})
 	}
 	raw, err := json.Marshal(h)
 	if err != nil {
 		return 0, 0, err
 	}
-	s.Fill([]wire.KeyValue{{Key: core.Root + "audit/head/n0", Value: raw}, {Key: core.Root + "audit/begun", Value: json.RawMessage("1")}})
+	s.PutUnchecked([]wire.KeyValue{{Key: core.Root + "audit/head/n0", Value: raw}, {Key: core.Root + "audit/begun", Value: json.RawMessage("1")}})
 	return int(h.BlockNumber), stored, nil
 }
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -22,8 +22,8 @@
 
 	"dewlift/archive"
 	"dewlift/core"
+	"dewlift/internal/fakes"
 	"dewlift/internal/measure/process"
-	"dewlift/internal/standin"
 	"dewlift/wire"
 )
 
@@ -33,8 +33,8 @@
 	keptRecords = 7500 // of an archived history, the jobs that ended last, which have records still
 )
 
-// Figure is what one start took.
-type Figure struct {
+// StartCost is what one start took.
+type StartCost struct {
 	Version   string  `json:"version"`
 	Form      string  `json:"form"` // "records": a key each; "archive": compact blocks
 	Jobs      int     `json:"jobs"`
@@ -68,7 +68,7 @@
 	}
 }
 
-func numbers(s string) ([]float64, error) {
+func parseNumbers(s string) ([]float64, error) {
 	var out []float64
 	for _, x := range strings.Split(s, ",") {
 		v, err := strconv.ParseFloat(x, 64)
@@ -81,27 +81,27 @@
 }
 
 func run(bin, before, sizes, rates string, quota float64, out string, compact int) error {
-	jobs, err := numbers(sizes)
+	jobs, err := parseNumbers(sizes)
 	if err != nil {
 		return err
 	}
-	rps, err := numbers(rates)
+	rps, err := parseNumbers(rates)
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
 	}
-	var all []*Figure
+	var all []*StartCost
 	for _, r := range rps {
 		for _, kind := range []struct{ version, bin, form string }{{"before", before, "records"}, {"now", bin, "records"}, {"now", bin, "archive"}} {
 			if kind.bin == "" {
 				continue
 			}
-			var first *Figure
+			var first *StartCost
 			for _, n := range jobs {
-				f := &Figure{Version: kind.version, Form: kind.form, Jobs: int(n), RPS: r}
-				if err := f.measure(kind.bin, quota); err != nil {
+				f := &StartCost{Version: kind.version, Form: kind.form, Jobs: int(n), RPS: r}
+				if err := f.measureStart(kind.bin, quota); err != nil {
 					return err
 				}
 				if first == nil {
@@ -115,9 +115,9 @@
 			}
 		}
 	}
-	var moved *Moved
+	var moved *ArchivingCost
 	if compact > 0 {
-		if moved, err = compaction(bin, compact, quota); err != nil {
+		if moved, err = measureArchiving(bin, compact, quota); err != nil {
 			return err
 		}
 	}
@@ -128,11 +128,11 @@
 	if err := os.WriteFile(filepath.Join(out, "figures.json"), raw, 0o644); err != nil {
 		return err
 	}
-	return report(filepath.Join(out, "report.html"), all, moved)
+	return writeReport(filepath.Join(out, "report.html"), all, moved)
 }
 
-// history makes so many ended jobs, in the order of their ids.
-func history(n int) []archive.Entry {
+// endedJobs makes so many ended jobs, in the order of their ids.
+func endedJobs(n int) []archive.Entry {
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	out := make([]archive.Entry, n)
 	for i := range out {
@@ -141,7 +141,7 @@
 	return out
 }
 
-func record(e archive.Entry) string {
+func encodeRecord(e archive.Entry) string {
 	stage := "d"
 	if e.Cancelled {
 		stage = "c"
@@ -149,9 +149,9 @@
 	return fmt.Sprintf(`{"h":%d,"st":"%s","d":[0,%d]}`, e.CompletedTasks%12, stage, e.CompletedTasks-1)
 }
 
-// fill puts a site's keys into the stand-in: what a controller needs to serve, live jobs and ended ones.
-func fill(s *standin.State, entries []archive.Entry, archived bool) error {
-	s.Types(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
+// fillStore puts a site's keys into the stand-in: what a controller needs to serve, live jobs and ended ones.
+func fillStore(s *fakes.Store, entries []archive.Entry, archived bool) error {
+	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
 	var items []wire.KeyValue
 	add := func(key, value string) {
 		items = append(items, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
@@ -162,12 +162,12 @@
 	}
 	if !archived {
 		for _, e := range entries {
-			add(core.Root+"job/"+e.ID, record(e))
+			add(core.Root+"job/"+e.ID, encodeRecord(e))
 		}
 	} else {
 		recent := min(len(entries), keptRecords)
 		for _, e := range entries[len(entries)-recent:] {
-			add(core.Root+"job/"+e.ID, record(e))
+			add(core.Root+"job/"+e.ID, encodeRecord(e))
 		}
 		entries = entries[:len(entries)-recent]
 		add(core.Root+"history", "1")
@@ -191,19 +191,19 @@
 	}
 	for len(items) > 0 { // in revisions, as they would have come
 		n := min(100, len(items))
-		s.Fill(items[:n])
+		s.PutUnchecked(items[:n])
 		items = items[n:]
 	}
 	return nil
 }
 
-var client = http.Client{Timeout: 2 * time.Second}
+var httpClient = http.Client{Timeout: 2 * time.Second}
 
-// poll asks for a job and tells whether the answer is right.
-func poll(x *process.Site, id, stage string, done int) (right bool, took time.Duration) {
+// pollJob asks for a job and tells whether the answer is right.
+func pollJob(x *process.Process, id, stage string, done int) (right bool, took time.Duration) {
 	began := time.Now()
 	for range 5 { // a 503 is no answer
-		resp, err := client.Get("http://" + x.Addr + wire.PathJobs + "/" + id)
+		resp, err := httpClient.Get("http://" + x.Addr + wire.PathJobs + "/" + id)
 		if err != nil {
 			continue
 		}
@@ -221,8 +221,8 @@
 	return false, time.Since(began)
 }
 
-// polls asks for ended jobs chosen at random, and for some that never were.
-func polls(x *process.Site, entries []archive.Entry, n int) (wrong int, median time.Duration) {
+// pollRandomJobs asks for ended jobs chosen at random, and for some that never were.
+func pollRandomJobs(x *process.Process, entries []archive.Entry, n int) (wrong int, median time.Duration) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var took []time.Duration
 	for range n {
@@ -231,11 +231,11 @@
 		if e.Cancelled {
 			stage = wire.StageCancelled
 		}
-		right, t := poll(x, e.ID, stage, e.CompletedTasks)
+		right, t := pollJob(x, e.ID, stage, e.CompletedTasks)
 		if took = append(took, t); !right {
 			wrong++
 		}
-		if right, _ := poll(x, "wk-never-"+e.ID[3:], "", 0); !right {
+		if right, _ := pollJob(x, "wk-never-"+e.ID[3:], "", 0); !right {
 			wrong++
 		}
 	}
@@ -243,51 +243,51 @@
 	return wrong, took[n/2]
 }
 
-func (f *Figure) measure(bin string, quota float64) error {
-	entries := history(f.Jobs)
-	s := standin.NewState(standin.Limits{RPS: f.RPS, WriteRPS: 30, ValueBytes: 8192, Ops: 24, PageItems: 1000, PageKB: 512})
-	if err := fill(s, entries, f.Form == "archive"); err != nil {
+func (f *StartCost) measureStart(bin string, quota float64) error {
+	entries := endedJobs(f.Jobs)
+	s := fakes.NewStore(fakes.Limits{RPS: f.RPS, WriteRPS: 30, ValueBytes: 8192, TxnOps: 24, PageItems: 1000, PageKB: 512})
+	if err := fillStore(s, entries, f.Form == "archive"); err != nil {
 		return err
 	}
 	prefix := core.Root + "job/wk-0"
 	if f.Form == "archive" {
 		prefix = archive.BlockPrefix
 	}
-	_, bytes := s.Keys(prefix)
+	_, bytes := s.CountKeys(prefix)
 	f.StoreB = float64(bytes) / float64(f.Jobs)
 	tuning := ""
 	if f.Version == "now" {
 		tuning = "archive: true history_wait_ms: 0"
 	}
-	x, err := process.Start(bin, s, process.Options{RPS: f.RPS, WriteRPS: 30, MemMB: quota, Tuning: tuning})
+	x, err := process.Start(bin, s, process.Options{RPS: f.RPS, WriteRPS: 30, MemMB: quota, TuningText: tuning})
 	if err != nil {
 		return err
 	}
-	took, err := x.Healthy()
+	took, err := x.WaitHealthy()
 	if err != nil {
 		f.Ended = err.Error()
 		return x.Stop()
 	}
 	f.HealthyS = took.Seconds()
-	f.Requests = s.Count()["requests"]
+	f.Requests = s.Counters()["requests"]
 	cpu, _, err := x.Usage()
 	if err != nil {
 		return errors.Join(err, x.Stop())
 	}
 	f.CPUS = cpu.Seconds()
-	f.ShareS = max(f.HealthyS, f.CPUS/process.Share)
+	f.ShareS = max(f.HealthyS, f.CPUS/process.CoreShare)
 	f.Polls = 60
-	wrong, median := polls(x, entries, f.Polls/2)
+	wrong, median := pollRandomJobs(x, entries, f.Polls/2)
 	f.Wrong, f.PollMS = wrong, float64(median.Microseconds())/1000
-	f.Committed = s.Count()["changed"]
+	f.Committed = s.Counters()["changed"]
 	if _, f.PeakMB, err = x.Usage(); err != nil {
 		return errors.Join(err, x.Stop())
 	}
 	return x.Stop()
 }
 
-// Moved is what moving records took.
-type Moved struct {
+// ArchivingCost is what moving records took.
+type ArchivingCost struct {
 	Jobs        int     `json:"jobs"`
 	TookS       float64 `json:"took_s"`
 	Changes     int     `json:"changes"` // all that were made meanwhile
@@ -300,21 +300,21 @@
 	Polls       int     `json:"polls"`
 }
 
-// compaction has a site of the old form move its records, asks for jobs all along, and counts.
-func compaction(bin string, n int, quota float64) (*Moved, error) {
-	entries := history(n)
-	s := standin.NewState(standin.Limits{ValueBytes: 8192, Ops: 24, PageItems: 1000, PageKB: 512})
-	if err := fill(s, entries, false); err != nil {
+// measureArchiving has a site of the old form move its records, asks for jobs all along, and counts.
+func measureArchiving(bin string, n int, quota float64) (*ArchivingCost, error) {
+	entries := endedJobs(n)
+	s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 24, PageItems: 1000, PageKB: 512})
+	if err := fillStore(s, entries, false); err != nil {
 		return nil, err
 	}
-	x, err := process.Start(bin, s, process.Options{RPS: 1000, WriteRPS: 1000, MemMB: quota, Tuning: "archive: true history_wait_ms: 0"})
+	x, err := process.Start(bin, s, process.Options{RPS: 1000, WriteRPS: 1000, MemMB: quota, TuningText: "archive: true history_wait_ms: 0"})
 	if err != nil {
 		return nil, err
 	}
-	if _, err := x.Healthy(); err != nil {
+	if _, err := x.WaitHealthy(); err != nil {
 		return nil, errors.Join(err, x.Stop())
 	}
-	m := &Moved{Jobs: n}
+	m := &ArchivingCost{Jobs: n}
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Minute)
 	defer cancel()
@@ -324,16 +324,16 @@
 			return nil, errors.Join(fmt.Errorf("%d records are left", left), x.Stop())
 		case <-time.After(200 * time.Millisecond):
 		}
-		wrong, _ := polls(x, entries, 2)
+		wrong, _ := pollRandomJobs(x, entries, 2)
 		m.Wrong, m.Polls = m.Wrong+wrong, m.Polls+4
-		left, _ = s.Keys(core.Root + "job/wk-0")
+		left, _ = s.CountKeys(core.Root + "job/wk-0")
 	}
 	m.TookS = time.Since(began).Seconds()
-	left, _ := s.Keys(core.Root + "job/wk-0")
+	left, _ := s.CountKeys(core.Root + "job/wk-0")
 	gone := n - left
-	m.Jobs, m.Changes = gone, s.Count()["changed"]
+	m.Jobs, m.Changes = gone, s.Counters()["changed"]
 	var bytes int
-	m.Blocks, bytes = s.Keys(archive.BlockPrefix)
+	m.Blocks, bytes = s.CountKeys(archive.BlockPrefix)
 	m.PerJob = float64(m.Changes) / float64(gone)
 	m.Beyond, m.BytesPerJob = m.PerJob-1, float64(bytes)/float64(gone)
 	if _, m.PeakMB, err = x.Usage(); err != nil {
--- a/internal/measure/history/report.go
+++ b/internal/measure/history/report.go
@@ -16,7 +16,7 @@
 	"dewlift/internal/measure/process"
 )
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>dewlift: what a long history costs</title>
 <style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:62em;color:#222}table{border-collapse:collapse;margin:1em 0}
 td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}th{background:#f3f3f3}td:first-child,td:nth-child(2){text-align:left}img{max-width:100%}.bad{color:#a00}</style>
@@ -33,8 +33,8 @@
 them beyond the deletion of its record. {{.Blocks}} blocks, {{printf "%.1f" .BytesPerJob}} bytes a job; peak memory {{printf "%.0f" .PeakMB}} MB. Asked for jobs all along: {{.Wrong}} of {{.Polls}} answers wrong.</p>{{end}}
 `))
 
-// draw draws a value of the starts against the number of ended jobs.
-func draw(title, unit string, starts []*Figure, rps, limit float64, of func(*Figure) float64) (template.URL, error) {
+// plotStarts draws a value of the starts against the number of ended jobs.
+func plotStarts(title, unit string, starts []*StartCost, rps, limit float64, of func(*StartCost) float64) (template.URL, error) {
 	p := plot.New()
 	p.Title.Text, p.Title.Padding = title, vg.Points(10)
 	p.X.Label.Text, p.Y.Label.Text = "ended jobs", unit
@@ -74,11 +74,11 @@
 		p.Legend.Add(fmt.Sprintf("aim: %v", limit), line)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
-	return chart.Embed(p)
+	return chart.PNGDataURL(p)
 }
 
-// report writes the HTML page, which needs nothing beside itself.
-func report(path string, starts []*Figure, moved *Moved) error {
+// writeReport writes the HTML page, which needs nothing beside itself.
+func writeReport(path string, starts []*StartCost, moved *ArchivingCost) error {
 	var plots []template.URL
 	seen := map[float64]bool{}
 	for _, f := range starts {
@@ -89,10 +89,10 @@
 		for _, c := range []struct {
 			title, unit string
 			limit       float64
-			of          func(*Figure) float64
-		}{{"Peak memory", "MB", 120, func(f *Figure) float64 { return f.PeakMB }},
-			{"Time to healthy, at its share of a core", "s", 60, func(f *Figure) float64 { return f.ShareS }}} {
-			u, err := draw(fmt.Sprintf("%s, %v requests a second", c.title, f.RPS), c.unit, starts, f.RPS, c.limit, c.of)
+			of          func(*StartCost) float64
+		}{{"Peak memory", "MB", 120, func(f *StartCost) float64 { return f.PeakMB }},
+			{"Time to healthy, at its share of a core", "s", 60, func(f *StartCost) float64 { return f.ShareS }}} {
+			u, err := plotStarts(fmt.Sprintf("%s, %v requests a second", c.title, f.RPS), c.unit, starts, f.RPS, c.limit, c.of)
 			if err != nil {
 				return err
 			}
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	err = page.Execute(out, map[string]any{"Starts": starts, "Moved": moved, "Plots": plots, "Live": liveJobs, "Share": process.Share,
+	err = pageTemplate.Execute(out, map[string]any{"Starts": starts, "Moved": moved, "Plots": plots, "Live": liveJobs, "Share": process.CoreShare,
 		"Machine": fmt.Sprintf("Measured on %d processors, %s", runtime.NumCPU(), runtime.Version())})
 	if cerr := out.Close(); err == nil {
 		err = cerr
--- a/internal/measure/process/process.go
+++ b/internal/measure/process/process.go
@@ -14,35 +14,35 @@
 	"strings"
 	"time"
 
-	"dewlift/internal/standin"
+	"dewlift/internal/fakes"
 	"dewlift/wire"
 )
 
 const (
 	// Share is what a controller has of a core; the processes here have a whole one.
-	Share    = 0.276
-	patience = 3 * time.Minute // for a process to be healthy
+	CoreShare      = 0.276
+	healthyTimeout = 3 * time.Minute // for a process to be healthy
 )
 
 // Options are the settings of a site with one controller.
 type Options struct {
 	RPS, WriteRPS float64           // of the state service
 	MemMB         float64           // that the controller may use
-	Tuning        string            // the operators' own settings; "": the defaults
+	TuningText    string            // the operators' own settings; "": the defaults
 	Files         map[string]string // written to the process's folder
 	Args          []string          // beside the settings; %DIR% stands for that folder
 }
 
-// Site is a controller's process and the stand-in that it uses.
-type Site struct {
-	State *standin.State
-	Addr  string // of the controller
-	Store string // of the stand-in
-	srv   *http.Server
-	cmd   *exec.Cmd
-	done  chan error
-	dir   string
-	began time.Time
+// Process is a controller's process and the stand-in that it uses.
+type Process struct {
+	Store       *fakes.Store
+	Addr        string // of the controller
+	StoreAddr   string // of the stand-in
+	storeServer *http.Server
+	cmd         *exec.Cmd
+	exited      chan error
+	dir         string
+	startedAt   time.Time
 }
 
 // freeAddr is an address on loopback that nobody listens on: a process of its own can't be handed a listener.
@@ -55,35 +55,35 @@
 }
 
 // Start starts a controller.
-func Start(bin string, s *standin.State, o Options) (*Site, error) {
-	x := &Site{State: s, done: make(chan error, 1)}
+func Start(bin string, s *fakes.Store, o Options) (*Process, error) {
+	x := &Process{Store: s, exited: make(chan error, 1)}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	x.srv = &http.Server{Handler: s}
-	go func() { _ = x.srv.Serve(ln) }()
+	x.storeServer = &http.Server{Handler: s}
+	go func() { _ = x.storeServer.Serve(ln) }()
 	ports := make([]string, 3)
 	for i := range ports { // free ones; the cloud's has nobody behind it
 		if ports[i], err = freeAddr(); err != nil {
 			return nil, err
 		}
 	}
-	x.Addr, x.Store = ports[0], ln.Addr().String()
+	x.Addr, x.StoreAddr = ports[0], ln.Addr().String()
 	if x.dir, err = os.MkdirTemp("", "dewlift-*"); err != nil {
 		return nil, err
 	}
 	cfg := fmt.Sprintf(`{"node_name":"n0","zone":"a","serve_on":%q,"mesh_addr":%q,"peers":[],"services":{"cloud":%q,"state":%q},
 		"cluster":{"count":1,"zones":["a"],"teams":[{"name":"t"}],"workers":{"report_s":6,"lease_s":36,"cancel_s":66},
 		"state":{"rps":%v,"write_rps":%v,"value_kb":8,"txn_ops":24},"cloud":{"rps":4,"list_lag_s":5},"quota":{"core_share":%v,"mem_mb":%v,"fd_limit":3172},"time_bound_ms":5}}`,
-		ports[0], ports[1], ports[2], ln.Addr().String(), o.RPS, o.WriteRPS, Share, o.MemMB)
+		ports[0], ports[1], ports[2], ln.Addr().String(), o.RPS, o.WriteRPS, CoreShare, o.MemMB)
 	args := []string{"--config", filepath.Join(x.dir, "settings.json")}
 	if err := os.WriteFile(args[1], []byte(cfg), 0o600); err != nil {
 		return nil, err
 	}
-	if o.Tuning != "" {
+	if o.TuningText != "" {
 		args = append(args, "--tuning", filepath.Join(x.dir, "tuning.textproto"))
-		if err := os.WriteFile(args[3], []byte(o.Tuning), 0o600); err != nil {
+		if err := os.WriteFile(args[3], []byte(o.TuningText), 0o600); err != nil {
 			return nil, err
 		}
 	}
@@ -102,44 +102,44 @@
 	defer logs.Close()
 	x.cmd = exec.Command(bin, args...)
 	x.cmd.Stderr = logs
-	x.began = time.Now()
+	x.startedAt = time.Now()
 	if err := x.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go func() { x.done <- x.cmd.Wait() }()
+	go func() { x.exited <- x.cmd.Wait() }()
 	return x, nil
 }
 
 // Stop ends the process and the stand-in.
-func (x *Site) Stop() error {
+func (x *Process) Stop() error {
 	if x.cmd.ProcessState == nil {
 		_ = x.cmd.Process.Kill() // it may have ended by itself
-		<-x.done
+		<-x.exited
 	}
-	return errors.Join(x.srv.Close(), os.RemoveAll(x.dir))
+	return errors.Join(x.storeServer.Close(), os.RemoveAll(x.dir))
 }
 
-// Healthy waits until the process can take requests.
-func (x *Site) Healthy() (time.Duration, error) {
+// WaitHealthy waits until the process can take requests.
+func (x *Process) WaitHealthy() (time.Duration, error) {
 	client := http.Client{Timeout: 2 * time.Second}
-	for time.Since(x.began) < patience {
+	for time.Since(x.startedAt) < healthyTimeout {
 		select {
-		case err := <-x.done:
+		case err := <-x.exited:
 			return 0, fmt.Errorf("it ended: %w", err)
 		case <-time.After(20 * time.Millisecond):
 		}
 		if resp, err := client.Get("http://" + x.Addr + wire.PathHealth); err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				return time.Since(x.began), nil
+				return time.Since(x.startedAt), nil
 			}
 		}
 	}
-	return 0, fmt.Errorf("not healthy after %v", patience)
+	return 0, fmt.Errorf("not healthy after %v", healthyTimeout)
 }
 
 // Usage is the processor time and the peak of memory of the process.
-func (x *Site) Usage() (cpu time.Duration, peakMB float64, err error) {
+func (x *Process) Usage() (cpu time.Duration, peakMB float64, err error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", x.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0, err
@@ -171,4 +171,4 @@
 }
 
 // Signal sends the process a signal.
-func (x *Site) Signal(s os.Signal) error { return x.cmd.Process.Signal(s) }
+func (x *Process) Signal(s os.Signal) error { return x.cmd.Process.Signal(s) }
--- a/internal/measure/scale/main.go
+++ b/internal/measure/scale/main.go
@@ -22,8 +22,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"dewlift/internal/agenda"
 	"dewlift/internal/chart"
+	"dewlift/internal/eventqueue"
 )
 
 // The limits of a controller, and of the changes a second of all, that the curve is compared with.
@@ -32,19 +32,19 @@
 	limitMB      = 200.0
 	limitChanges = 20.0
 
-	servicesAMachine = 0.5
-	arraysAMachine   = 0.0012 // a second
-	warm             = 100 * time.Second
-	measured         = 30 * time.Second
+	servicesPerMachine = 0.5
+	arraysPerMachine   = 0.0012 // a second
+	warmUpTime         = 100 * time.Second
+	measuredTime       = 30 * time.Second
 )
 
 var (
-	share  bool
-	writes float64
+	batchValues bool
+	writeLimit  float64
 )
 
-// Figure is what one size takes. A second is a simulated one, of one controller but for changes; of the three, the one that needs most.
-type Figure struct {
+// SizeCost is what one size takes. A second is a simulated one, of one controller but for changes; of the three, the one that needs most.
+type SizeCost struct {
 	Machines int `json:"machines"`
 	Tasks    int `json:"tasks"`
 
@@ -75,8 +75,8 @@
 	log.SetFlags(0)
 	sizes := flag.String("machines", "500,1500,3000,6000,10000", "numbers of machines")
 	out := flag.String("out", "scale", "folder for figures.json, report.html and curve.svg")
-	flag.Float64Var(&writes, "changes", roomy, "changes a second that the state service takes of all; without it, what is needed shows")
-	flag.BoolVar(&share, "shared", false, "small jobs share values")
+	flag.Float64Var(&writeLimit, "changes", unlimitedRate, "changes a second that the state service takes of all; without it, what is needed shows")
+	flag.BoolVar(&batchValues, "shared", false, "small jobs share values")
 	seed := flag.Uint64("seed", 1, "seed")
 	factor := flag.Float64("crush", 0, "instead: how many times more arrays come than the first number of machines has room for, while a zone is lost")
 	profile := flag.String("profile", "", "file for the processor's profile of that")
@@ -84,7 +84,7 @@
 	if *factor > 0 {
 		n, err := strconv.Atoi(strings.Split(*sizes, ",")[0])
 		if err == nil {
-			err = crush(n, *factor, *seed, *profile)
+			err = runOverload(n, *factor, *seed, *profile)
 		}
 		if err != nil {
 			log.Fatal("scale: ", err)
@@ -97,44 +97,44 @@
 }
 
 func run(sizes, out string, seed uint64) error {
-	var figures []*Figure
+	var figures []*SizeCost
 	for _, x := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(x)
 		if err != nil || n < 100 {
 			return fmt.Errorf("not a number of machines from 100 on: %q", x)
 		}
 		began := time.Now()
-		f := measure(n, seed)
+		f := measureSize(n, seed)
 		figures = append(figures, f)
 		log.Printf("%d machines, %d tasks: %.3f of a core (%.3f for messages), %.0f MB, %.1f changes/s, %.2f a job, %.4f a task, %.1f%% refused; zone lost: %d replicas, %.2f changes each, back in %.0f s; %s is nearest (%.0f%%); took %.0f s",
 			f.Machines, f.Tasks, f.CoreS+f.CodecS, f.CodecS, f.MB, f.Changes, f.PerJob, f.PerTask, f.RefusedPct, f.LostReplicas, f.PerReplica, f.LostReplacedIn, f.Binds, 100*f.Part, time.Since(began).Seconds())
 	}
-	return report(out, figures)
+	return writeReport(out, figures)
 }
 
-// measure plays a site of a size.
-func measure(n int, seed uint64) *Figure {
-	s := newSite(n, seed)
-	services := int(servicesAMachine * float64(n))
+// measureSize plays a site of a size.
+func measureSize(n int, seed uint64) *SizeCost {
+	s := newSimCluster(n, seed)
+	services := int(servicesPerMachine * float64(n))
 	for i := range services {
-		s.after(3*time.Second+time.Duration(i)*30*time.Second/time.Duration(services), func() { s.job(i, true) })
+		s.schedule(3*time.Second+time.Duration(i)*30*time.Second/time.Duration(services), func() { s.submitJob(i, true) })
 	}
 	next := 500_000
-	gap := time.Duration(float64(time.Second) / (arraysAMachine * float64(n)))
+	gap := time.Duration(float64(time.Second) / (arraysPerMachine * float64(n)))
 	var arrive func()
 	arrive = func() {
 		next++
-		s.job(next, false)
-		s.after(gap, arrive)
+		s.submitJob(next, false)
+		s.schedule(gap, arrive)
 	}
-	s.after(20*time.Second, arrive)
-	s.run(warm)
+	s.schedule(20*time.Second, arrive)
+	s.runUntil(warmUpTime)
 
 	tasks := 0
 	for _, m := range s.machines {
-		tasks += len(m.pieces)
+		tasks += len(m.tasks)
 	}
-	f := &Figure{Machines: len(s.machines), Tasks: tasks}
+	f := &SizeCost{Machines: len(s.machines), Tasks: tasks}
 	look := func() (from []node) {
 		for _, x := range s.nodes {
 			from = append(from, *x)
@@ -142,54 +142,54 @@
 		return from
 	}
 	from := look()
-	s.counted = counts{}
-	s.run(warm + measured)
-	secs := measured.Seconds()
+	s.counters = eventCounts{}
+	s.runUntil(warmUpTime + measuredTime)
+	secs := measuredTime.Seconds()
 	for i, x := range s.nodes {
-		busy := (x.busy - from[i].busy).Seconds() / secs
+		busy := (x.coreTime - from[i].coreTime).Seconds() / secs
 		inputs := float64(x.inputs - from[i].inputs)
 		if busy > f.CoreS {
-			f.CoreS, f.Inputs, f.InputUS = busy, inputs/secs, 1e6*(x.busy-from[i].busy).Seconds()/inputs
+			f.CoreS, f.Inputs, f.InputUS = busy, inputs/secs, 1e6*(x.coreTime-from[i].coreTime).Seconds()/inputs
 		}
-		f.CodecS = max(f.CodecS, (x.codec-from[i].codec).Seconds()/secs)
-		f.Messages, f.KB = max(f.Messages, float64(x.sent-from[i].sent)/secs), max(f.KB, float64(x.bytes-from[i].bytes)/1e3/secs)
+		f.CodecS = max(f.CodecS, (x.codecTime-from[i].codecTime).Seconds()/secs)
+		f.Messages, f.KB = max(f.Messages, float64(x.messagesSent-from[i].messagesSent)/secs), max(f.KB, float64(x.bytesSent-from[i].bytesSent)/1e3/secs)
 	}
-	c := s.counted
-	f.Changes = float64(c.changes) / secs
-	f.PerJob, f.PerTask = float64(c.changes)/float64(max(1, c.accepted)), float64(c.changes)/float64(max(1, c.started))
+	c := s.counters
+	f.Changes = float64(c.writes) / secs
+	f.PerJob, f.PerTask = float64(c.writes)/float64(max(1, c.accepted)), float64(c.writes)/float64(max(1, c.started))
 	f.RefusedPct = 100 * float64(c.refused) / float64(max(1, c.refused+c.started))
 	quiet := f.Changes
 
 	// A zone is lost; its machines are given up and their replicas started elsewhere.
 	from = look()
-	s.counted = counts{}
+	s.counters = eventCounts{}
 	cut := s.now
-	s.cut = kind.Zones[1]
+	s.cutZone = machineType.Zones[1]
 	type step struct {
 		at       time.Duration
 		replaced int
 	}
 	var steps []step
 	for s.now < cut+time.Minute {
-		s.run(s.now + 250*time.Millisecond)
-		steps = append(steps, step{s.now - cut, s.counted.replaced})
+		s.runUntil(s.now + 250*time.Millisecond)
+		steps = append(steps, step{s.now - cut, s.counters.replaced})
 	}
 	for _, x := range steps {
-		if float64(x.replaced) >= 0.95*float64(s.counted.lost) {
+		if float64(x.replaced) >= 0.95*float64(s.counters.lost) {
 			f.LostReplacedIn = x.at.Seconds()
 			break
 		}
 	}
 	for i, x := range s.nodes {
-		f.LostCoreS = max(f.LostCoreS, (x.busy+x.codec-from[i].busy-from[i].codec).Seconds()/60)
+		f.LostCoreS = max(f.LostCoreS, (x.coreTime+x.codecTime-from[i].coreTime-from[i].codecTime).Seconds()/60)
 	}
-	f.LostReplicas, f.LostChanges = s.counted.lost, float64(s.counted.changes)/60
-	f.PerReplica = (float64(s.counted.changes) - 60*quiet) / float64(max(1, s.counted.lost))
+	f.LostReplicas, f.LostChanges = s.counters.lost, float64(s.counters.writes)/60
+	f.PerReplica = (float64(s.counters.writes) - 60*quiet) / float64(max(1, s.counters.lost))
 
 	whole := heapBytes()
 	x := s.nodes[2]
-	s.nodes, s.queue = s.nodes[:2:2], agenda.Agenda{} // what is on its way holds on to the core
-	x.core, x.answered, x.pending = nil, nil, nil
+	s.nodes, s.events = s.nodes[:2:2], eventqueue.Queue{} // what is on its way holds on to the core
+	x.core, x.pendingRequests, x.pendingInputs = nil, nil, nil
 	f.MB = (whole - heapBytes()) / 1e6
 	f.MachineB = f.MB * 1e6 / float64(f.Machines)
 	runtime.KeepAlive(s)
@@ -204,7 +204,7 @@
 	return f
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>dewlift: at what size the limits end</title>
 <style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:66em;color:#222}table{border-collapse:collapse;margin:1em 0}
 td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}th{background:#f3f3f3}img{max-width:100%}</style>
@@ -220,7 +220,7 @@
 {{end}}</table>
 `))
 
-func report(out string, figures []*Figure) error {
+func writeReport(out string, figures []*SizeCost) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
 	}
@@ -238,10 +238,10 @@
 	p.Add(plotter.NewGrid())
 	for i, l := range []struct {
 		name string
-		of   func(*Figure) float64
-	}{{fmt.Sprintf("processor (%v of a core)", limitCore), func(f *Figure) float64 { return (f.CoreS + f.CodecS) / limitCore }},
-		{fmt.Sprintf("memory (%v MB)", limitMB), func(f *Figure) float64 { return f.MB / limitMB }},
-		{fmt.Sprintf("changes (%v a second)", limitChanges), func(f *Figure) float64 { return f.Changes / limitChanges }}} {
+		of   func(*SizeCost) float64
+	}{{fmt.Sprintf("processor (%v of a core)", limitCore), func(f *SizeCost) float64 { return (f.CoreS + f.CodecS) / limitCore }},
+		{fmt.Sprintf("memory (%v MB)", limitMB), func(f *SizeCost) float64 { return f.MB / limitMB }},
+		{fmt.Sprintf("changes (%v a second)", limitChanges), func(f *SizeCost) float64 { return f.Changes / limitChanges }}} {
 		var xy plotter.XYs
 		for _, f := range figures {
 			xy = append(xy, plotter.XY{X: float64(f.Machines), Y: l.of(f)})
@@ -262,7 +262,7 @@
 	if err := p.Save(8*vg.Inch, 4*vg.Inch, filepath.Join(out, "curve.svg")); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
-	image, err := chart.Embed(p)
+	image, err := chart.PNGDataURL(p)
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
@@ -271,6 +271,6 @@
 		return err
 	}
 	defer f.Close()
-	return page.Execute(f, map[string]any{"Figures": figures, "Plot": image,
+	return pageTemplate.Execute(f, map[string]any{"Figures": figures, "Plot": image,
 		"Machine": fmt.Sprintf("%s, %s/%s, %d processors", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())})
 }
--- a/internal/measure/scale/scale_test.go
+++ b/internal/measure/scale/scale_test.go
@@ -8,9 +8,9 @@
 
 // The experiment itself must hold: a small site accepts its jobs, runs ten tasks a machine, wastes no starts, and replaces what a lost
 // zone takes with it.
-func TestSmallSite(t *testing.T) {
-	writes = roomy
-	f := measure(120, 1)
+func TestSmallCluster(t *testing.T) {
+	writeLimit = unlimitedRate
+	f := measureSize(120, 1)
 	if f.Machines == 0 || f.Tasks < 6*f.Machines || f.RefusedPct > 5 || f.PerJob <= 0 || f.MB <= 0 {
 		t.Errorf("%+v", f)
 	}
@@ -22,25 +22,25 @@
 // Counted work, which does not depend on the machine that counts it: looks at machines and inputs a simulated second, by the
 // size of the site.
 func BenchmarkFleet(b *testing.B) {
-	writes = roomy
+	writeLimit = unlimitedRate
 	for _, n := range []int{200, 400, 800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				s := newSite(n, 1)
+				s := newSimCluster(n, 1)
 				for i := range n / 2 {
-					s.after(3*time.Second, func() { s.job(i, true) })
+					s.schedule(3*time.Second, func() { s.submitJob(i, true) })
 				}
-				s.run(30 * time.Second)
+				s.runUntil(30 * time.Second)
 				looks, inputs, bytes := uint64(0), 0, 0
 				for _, x := range s.nodes {
 					looks += x.core.Stats.Looks
 					inputs += x.inputs
-					bytes += x.bytes
+					bytes += x.bytesSent
 				}
 				b.ReportMetric(float64(looks)/float64(n)/30, "looks/machine/s")
 				b.ReportMetric(float64(inputs)/float64(n)/30, "inputs/machine/s")
 				b.ReportMetric(float64(bytes)/float64(n)/30, "message-bytes/machine/s")
-				b.ReportMetric(float64(s.counted.changes)/float64(s.counted.accepted), "changes/job")
+				b.ReportMetric(float64(s.counters.writes)/float64(s.counters.accepted), "changes/job")
 			}
 		})
 	}
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -20,26 +20,26 @@
 )
 
 var (
-	update      = flag.Bool("update", false, "write the digests anew: behaviour was changed on purpose")
-	digestSeeds = flag.Int("digest-seeds", 0, "also play so many seeds of every kind of world, and write their digests")
-	digestFile  = flag.String("digest-file", "digests.json", "where the digests of -digest-seeds go")
+	updateDigests = flag.Bool("update", false, "write the digests anew: behaviour was changed on purpose")
+	digestSeeds   = flag.Int("digest-seeds", 0, "also play so many seeds of every kind of world, and write their digests")
+	digestFile    = flag.String("digest-file", "digests.json", "where the digests of -digest-seeds go")
 )
 
 const digestLength = 240 * time.Second
 
-// digestWorlds are worlds of every kind.
-func digestWorlds() map[string]Options {
+// digestScenarios are worlds of every kind.
+func digestScenarios() map[string]Options {
 	out := map[string]Options{
-		"quiet":   {Seed: 1, Length: digestLength, Jobs: 25, Quiet: true},
-		"large":   {Seed: 2, Length: 60 * time.Second, Jobs: 60, Nodes: 5, Fleet: 300, Tasks: 400},
-		"chains":  {Seed: 3, Length: digestLength, Jobs: 5, Chains: 12},
-		"upgrade": {Seed: 4, Length: digestLength, Jobs: 20, Upgrade: true, Chains: 8},
-		"history": {Seed: 6, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 4, History: true},
-		"rights":  {Seed: 7, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 2, Rights: true},
-		"audit":   {Seed: 8, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 2, Rights: true, Audit: true, History: true},
+		"quiet":   {Seed: 1, Duration: digestLength, Jobs: 25, NoFaults: true},
+		"large":   {Seed: 2, Duration: 60 * time.Second, Jobs: 60, Controllers: 5, MaxMachines: 300, MaxTasksPerJob: 400},
+		"chains":  {Seed: 3, Duration: digestLength, Jobs: 5, Pipelines: 12},
+		"upgrade": {Seed: 4, Duration: digestLength, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
+		"history": {Seed: 6, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true},
+		"rights":  {Seed: 7, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true},
+		"audit":   {Seed: 8, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, AuditLog: true, Archive: true},
 	}
 	for seed := uint64(10); seed < 16; seed++ {
-		out[fmt.Sprint("rough", seed)] = Options{Seed: seed, Length: digestLength, Jobs: 25, CloudBad: seed%3 == 0}
+		out[fmt.Sprint("rough", seed)] = Options{Seed: seed, Duration: digestLength, Jobs: 25, FlakyCloud: seed%3 == 0}
 	}
 	return out
 }
@@ -188,21 +188,21 @@
 	return nil
 }
 
-// digestOf is that of all that the controllers of a world put out, in order.
-func digestOf(t *testing.T, o Options) string {
+// outputDigest is that of all that the controllers of a world put out, in order.
+func outputDigest(t *testing.T, o Options) string {
 	t.Helper()
 	w := New(o)
 	d := newDigester()
-	w.Seen = func(node string, out core.Output) {
+	w.OnOutput = func(node string, out core.Output) {
 		if err := d.add(w.now, node, out); err != nil {
 			t.Fatal(err)
 		}
 	}
 	w.Run()
-	if len(w.Check.Broken) > 0 {
-		t.Errorf("%v", w.Check.Broken)
+	if len(w.Checker.Violations) > 0 {
+		t.Errorf("%v", w.Checker.Violations)
 	}
-	return fmt.Sprintf("%016x %d starts", d.sum(), w.Check.Starts)
+	return fmt.Sprintf("%016x %d starts", d.sum(), w.Checker.Starts)
 }
 
 // A change that is meant to keep the behaviour of controllers keeps every output of these worlds. One that is meant to
@@ -210,19 +210,19 @@
 func TestDigestOfOutputsIsKept(t *testing.T) {
 	const file = "testdata/digests.json"
 	want := map[string]string{}
-	if *update {
+	if *updateDigests {
 		t.Cleanup(func() { writeDigests(t, file, want) })
 	} else if raw, err := os.ReadFile(file); err != nil || json.Unmarshal(raw, &want) != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
 	var mu sync.Mutex
-	for name, o := range digestWorlds() {
+	for name, o := range digestScenarios() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := digestOf(t, o)
+			got := outputDigest(t, o)
 			mu.Lock()
 			defer mu.Unlock()
-			if *update {
+			if *updateDigests {
 				want[name] = got
 			} else if got != want[name] {
 				t.Errorf("%s, was %s", got, want[name])
@@ -246,21 +246,21 @@
 func manyWorlds(seed uint64) map[string]Options {
 	odd, third, tenth := seed%2 == 1, seed%3 == 0, seed%10 == 0
 	return map[string]Options{
-		"rough":    {Seed: seed, Length: digestLength, Jobs: 25, CloudBad: third},
-		"quiet":    {Seed: seed, Length: digestLength, Jobs: 25, Quiet: true},
-		"large":    {Seed: seed, Length: 30 * time.Second, Jobs: 40, Nodes: 5, Fleet: 200, Tasks: 300},
-		"chains":   {Seed: seed, Length: digestLength, Jobs: 5, Chains: 12, Quiet: tenth},
-		"upgrade":  {Seed: seed, Length: digestLength, Jobs: 20, Upgrade: true, Chains: 8},
-		"history":  {Seed: seed, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 4, History: true, Upgrade: third},
-		"rights":   {Seed: seed, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 2, Rights: true, History: odd},
-		"audit":    {Seed: seed, Length: digestLength, Jobs: 40, Tasks: 4, Chains: 2, Rights: true, Audit: true, History: odd},
-		"shared":   {Seed: seed, Length: digestLength, Jobs: 40, Shared: true, Quiet: tenth, Upgrade: third, History: odd},
-		"lanes":    {Seed: seed, Length: 120 * time.Second, Jobs: 80, Fleet: 8, Lanes: true},
-		"bookings": {Seed: seed, Length: 180 * time.Second, Jobs: 8, Tasks: 4, Bookers: 40, Rights: odd, Audit: odd},
-		"mistakes": {Seed: seed, Length: digestLength, Jobs: 30, Mistakes: 10, Quiet: odd},
-		"meet":     {Seed: seed, Length: digestLength, Jobs: 25, Meet: true, Apart: odd, AtLimit: third},
-		"flap":     {Seed: seed, Length: digestLength, Jobs: 30, Tasks: 6, Flap: true, Shared: third},
-		"beside":   {Seed: seed, Length: digestLength, Jobs: 20, Beside: true, OneTask: 10, InZones: odd},
+		"rough":    {Seed: seed, Duration: digestLength, Jobs: 25, FlakyCloud: third},
+		"quiet":    {Seed: seed, Duration: digestLength, Jobs: 25, NoFaults: true},
+		"large":    {Seed: seed, Duration: 30 * time.Second, Jobs: 40, Controllers: 5, MaxMachines: 200, MaxTasksPerJob: 300},
+		"chains":   {Seed: seed, Duration: digestLength, Jobs: 5, Pipelines: 12, NoFaults: tenth},
+		"upgrade":  {Seed: seed, Duration: digestLength, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
+		"history":  {Seed: seed, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true, RollingUpgrade: third},
+		"rights":   {Seed: seed, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, Archive: odd},
+		"audit":    {Seed: seed, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, AuditLog: true, Archive: odd},
+		"shared":   {Seed: seed, Duration: digestLength, Jobs: 40, BatchValues: true, NoFaults: tenth, RollingUpgrade: third, Archive: odd},
+		"lanes":    {Seed: seed, Duration: 120 * time.Second, Jobs: 80, MaxMachines: 8, PriorityClasses: true},
+		"bookings": {Seed: seed, Duration: 180 * time.Second, Jobs: 8, MaxTasksPerJob: 4, ReservationUsers: 40, Permissions: odd, AuditLog: odd},
+		"mistakes": {Seed: seed, Duration: digestLength, Jobs: 30, FailingJobs: 10, NoFaults: odd},
+		"meet":     {Seed: seed, Duration: digestLength, Jobs: 25, OverlappingFaults: true, LongTasks: odd, QuotaLimited: third},
+		"flap":     {Seed: seed, Duration: digestLength, Jobs: 30, MaxTasksPerJob: 6, FlappingProcesses: true, BatchValues: third},
+		"beside":   {Seed: seed, Duration: digestLength, Jobs: 20, MixedVersions: true, SingleTaskJobs: 10, ZonePinnedJobs: odd},
 	}
 }
 
@@ -278,7 +278,7 @@
 			name = fmt.Sprint(name, " ", seed)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				got := digestOf(t, o)
+				got := outputDigest(t, o)
 				mu.Lock()
 				defer mu.Unlock()
 				digests[name] = got
--- a/internal/sim/chains.go
+++ b/internal/sim/pipelines.go
@@ -7,20 +7,20 @@
 	"dewlift/wire"
 )
 
-// chainsFrom is when users begin to submit pipelines: nothing new is asked before every process
+// pipelinesStartAt is when users begin to submit pipelines: nothing new is asked before every process
 // is new.
-func (w *World) chainsFrom() time.Duration {
-	if !w.opt.Upgrade {
+func (w *Simulator) pipelinesStartAt() time.Duration {
+	if !w.options.RollingUpgrade {
 		return 0
 	}
 	return 40*time.Second + time.Duration(len(w.nodes))*15*time.Second
 }
 
-// chain submits a pipeline of some shape: one or several roots, stages that await some or all of
+// submitPipeline submits a pipeline of some shape: one or several roots, stages that await some or all of
 // the jobs before, a last job that may come late. Some of its jobs are cancelled, like any.
-func (w *World) chain() {
-	if w.opt.Upgrade && w.oldOnes() {
-		w.after(time.Second, w.chain) // a replaced process is not back yet
+func (w *Simulator) submitPipeline() {
+	if w.options.RollingUpgrade && w.previousVersionMayRun() {
+		w.schedule(time.Second, w.submitPipeline) // a replaced process is not back yet
 		return
 	}
 	n := 3 + w.rng.IntN(5)
@@ -33,7 +33,7 @@
 		if len(ids) == n {
 			return
 		}
-		s := w.someJob()
+		s := w.randomJob()
 		s.Service, s.Spread = false, false
 		for back := 1; back <= len(ids); back++ {
 			if back == 1 && !w.chance(0.2) || back > 1 && back < 6 && w.chance(0.3) {
@@ -46,17 +46,17 @@
 		ids = append(ids, s.ID)
 		wait := time.Duration(0)
 		if len(ids) == n && w.chance(0.4) {
-			wait = w.between(time.Second, 60*time.Second) // the last is submitted late
+			wait = w.randomDuration(time.Second, 60*time.Second) // the last is submitted late
 		}
-		w.after(wait, func() { w.userThen(s, step) })
+		w.schedule(wait, func() { w.runUserThen(s, step) })
 	}
 	step()
 }
 
-// someJob is a job of some kind that nobody has submitted.
-func (w *World) someJob() wire.JobSpec {
+// randomJob is a job of some kind that nobody has submitted.
+func (w *Simulator) randomJob() wire.JobSpec {
 	s := wire.JobSpec{ID: fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)), Class: "c", Team: w.teams[w.rng.IntN(2)].Name,
-		Service: w.chance(0.3), Priority: w.rng.IntN(4), Tasks: 1 + w.rng.IntN(w.opt.Tasks), Request: [3]int64{1000 * int64(1+w.rng.IntN(4)), 0, 2000},
+		Service: w.chance(0.3), Priority: w.rng.IntN(4), Tasks: 1 + w.rng.IntN(w.options.MaxTasksPerJob), Request: [3]int64{1000 * int64(1+w.rng.IntN(4)), 0, 2000},
 		Image: fmt.Sprintf("i%d", w.rng.IntN(3)), OneZone: w.chance(0.2), Spot: w.chance(0.5), EstimatedRuntimeMS: 10000}
 	s.Spread = !s.OneZone && w.chance(0.4)
 	if w.chance(0.2) {
--- a/internal/sim/booking_test.go
+++ b/internal/sim/reservations_test.go
@@ -14,7 +14,7 @@
 
 // Users book the same few hours while controllers end in the middle of a write, writes are executed late, the state service is out of
 // reach, the list of equipment changes and a new version replaces the old one.
-func TestRulesHoldForBookings(t *testing.T) {
+func TestInvariantsHoldForReservations(t *testing.T) {
 	seeds := []uint64{212, 88, 15, 12} // found a block that was read before a move
 	for seed := uint64(1); seed <= 16; seed++ {
 		seeds = append(seeds, seed)
@@ -22,32 +22,32 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{Seed: seed, Length: 180 * time.Second, Jobs: 8, Tasks: 4, Bookers: 60, Nodes: []int{3, 5}[seed%2], Quiet: seed%10 == 0, Upgrade: seed%5 == 1}
-			w := play(t, o)
-			k := w.booked
-			if k.ended["confirmed"] < 5 || k.ended["ended"] < 5 || seed%5 != 1 && (k.ended["waiting"] == 0 || k.ended["held"] == 0) {
-				t.Errorf("bookings came to %v", k.ended)
+			o := Options{Seed: seed, Duration: 180 * time.Second, Jobs: 8, MaxTasksPerJob: 4, ReservationUsers: 60, Controllers: []int{3, 5}[seed%2], NoFaults: seed%10 == 0, RollingUpgrade: seed%5 == 1}
+			w := runSimulation(t, o)
+			k := w.reservations
+			if k.stateCounts["confirmed"] < 5 || k.stateCounts["ended"] < 5 || seed%5 != 1 && (k.stateCounts["waiting"] == 0 || k.stateCounts["held"] == 0) {
+				t.Errorf("bookings came to %v", k.stateCounts)
 			}
-			if got := k.Linear(); got == porcupine.Illegal || len(k.hist) < 20 {
-				t.Errorf("%d operations, in order: %v", len(k.hist), got)
+			if got := k.CheckLinearizable(); got == porcupine.Illegal || len(k.history) < 20 {
+				t.Errorf("%d operations, in order: %v", len(k.history), got)
 			}
-			if seed%5 != 1 && (k.merged == 0 || k.archived < 10) {
-				t.Errorf("%d values, merged %d times, %d bookings in blocks", k.pages, k.merged, k.archived)
+			if seed%5 != 1 && (k.pageMerges == 0 || k.archived < 10) {
+				t.Errorf("%d values, merged %d times, %d bookings in blocks", k.pages, k.pageMerges, k.archived)
 			}
-			t.Logf("bookings came to %v, %d operations, %d values, merged %d times, %d in blocks", k.ended, len(k.hist), k.pages, k.merged, k.archived)
+			t.Logf("bookings came to %v, %d operations, %d values, merged %d times, %d in blocks", k.stateCounts, len(k.history), k.pages, k.pageMerges, k.archived)
 		})
 	}
 }
 
 // With rights and the audit record in force, what is done with bookings is recorded with its own write.
-func TestBookingsAreRecorded(t *testing.T) {
+func TestReservationsAreAudited(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, Options{Seed: seed, Length: 180 * time.Second, Jobs: 8, Tasks: 4, Bookers: 40, Rights: true, Audit: true})
+			w := runSimulation(t, Options{Seed: seed, Duration: 180 * time.Second, Jobs: 8, MaxTasksPerJob: 4, ReservationUsers: 40, Permissions: true, AuditLog: true})
 			for _, verb := range []string{"book", "move booking", "end booking", "change equipment"} {
-				if w.recorder.verbs[verb] == 0 {
-					t.Errorf("no %s in the record: %v", verb, w.recorder.verbs)
+				if w.auditChecker.verbCounts[verb] == 0 {
+					t.Errorf("no %s in the record: %v", verb, w.auditChecker.verbCounts)
 				}
 			}
 		})
@@ -55,11 +55,11 @@
 }
 
 // Each rule of bookings breaks on a step that is wrong.
-func TestCheckerOfBookingsFires(t *testing.T) {
+func TestReservationCheckerDetectsViolations(t *testing.T) {
 	slot := func(piece string, from int64) *pb.Slot {
 		return &pb.Slot{Piece: piece, Unit: 1, From: from, To: from + 3600, Clear: from + 3600 + 1800}
 	}
-	later := startMS/1000 + 86400
+	later := startUnixMS/1000 + 86400
 	one := func(id string, change uint64, state pb.BookingState, slots ...*pb.Slot) *pb.Booking {
 		return &pb.Booking{Id: id, Change: change, Made: change, State: state, Slots: slots}
 	}
@@ -76,14 +76,14 @@
 		"overtaken: ":        {state{"w": wait, "a": a}, state{"w": wait, "a": one("a", 3, pb.BookingState_ended)}},
 	} {
 		w := New(Options{Seed: 1})
-		k := w.booked
+		k := w.reservations
 		for _, id := range []string{"a", "b"} {
 			for at := later; at <= later+3600; at += 3600 {
-				k.asked[id] = append(k.asked[id], []string{fmt.Sprintf("kiln %d %d", at, at+3600)})
+				k.requested[id] = append(k.requested[id], []string{fmt.Sprintf("kiln %d %d", at, at+3600)})
 			}
 		}
 		if strings.HasPrefix(rule, "overtaken") {
-			k.ends["a"] = true
+			k.endRequested["a"] = true
 		}
 		clone := func(s state) state {
 			out := state{}
@@ -92,10 +92,10 @@
 			}
 			return out
 		}
-		k.check(clone(x.was), clone(x.now))
+		k.checkTransition(clone(x.was), clone(x.now))
 		name, _, _ := strings.Cut(rule, ":")
-		if len(w.Check.Broken) == 0 || !strings.HasPrefix(w.Check.Broken[0], name+":") {
-			t.Errorf("%s: broken are %v", rule, w.Check.Broken)
+		if len(w.Checker.Violations) == 0 || !strings.HasPrefix(w.Checker.Violations[0], name+":") {
+			t.Errorf("%s: broken are %v", rule, w.Checker.Violations)
 		}
 	}
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -12,30 +12,30 @@
 	"dewlift/audit"
 	"dewlift/core"
 	"dewlift/core/jobrecord"
-	"dewlift/internal/agenda"
+	"dewlift/internal/eventqueue"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
 
-func play(t *testing.T, o Options) *World {
+func runSimulation(t *testing.T, o Options) *Simulator {
 	t.Helper()
-	return playSeen(t, o, func(string, core.Output) {})
+	return runObserved(t, o, func(string, core.Output) {})
 }
 
-// playSeen plays a world and shows what its controllers put out.
-func playSeen(t *testing.T, o Options, seen func(node string, out core.Output)) *World {
+// runObserved plays a world and shows what its controllers put out.
+func runObserved(t *testing.T, o Options, seen func(node string, out core.Output)) *Simulator {
 	t.Helper()
 	w := New(o)
-	w.Seen = seen
+	w.OnOutput = seen
 	w.Run()
-	if len(w.Check.Broken) > 0 {
-		t.Fatalf("seed %d at %v: %s", o.Seed, w.now, strings.Join(w.Check.Broken, "; "))
+	if len(w.Checker.Violations) > 0 {
+		t.Fatalf("seed %d at %v: %s", o.Seed, w.now, strings.Join(w.Checker.Violations, "; "))
 	}
 	return w
 }
 
-// stages counts how the users see their jobs at the end.
-func (k *Checker) stages() map[string]int {
+// stageCounts counts how the users see their jobs at the end.
+func (k *Checker) stageCounts() map[string]int {
 	out := map[string]int{}
 	for _, j := range k.jobs {
 		switch {
@@ -50,19 +50,19 @@
 	return out
 }
 
-func TestQuietWorldFinishesItsWork(t *testing.T) {
-	w := play(t, Options{Seed: 1, Length: 200 * time.Second, Jobs: 20, Quiet: true})
-	for id, j := range w.Check.jobs {
+func TestAllJobsFinishWithoutFaults(t *testing.T) {
+	w := runSimulation(t, Options{Seed: 1, Duration: 200 * time.Second, Jobs: 20, NoFaults: true})
+	for id, j := range w.Checker.jobs {
 		if !j.accepted {
 			t.Errorf("%s was not accepted", id)
 		}
-		if !j.spec.Service && !j.asked && len(j.done) < j.spec.Tasks {
-			t.Errorf("%s: %d of %d tasks done", id, len(j.done), j.spec.Tasks)
+		if !j.spec.Service && !j.cancelRequested && len(j.completedTasks) < j.spec.Tasks {
+			t.Errorf("%s: %d of %d tasks done", id, len(j.completedTasks), j.spec.Tasks)
 		}
 	}
 }
 
-func TestRulesHoldInRoughWorlds(t *testing.T) {
+func TestInvariantsHoldUnderFaults(t *testing.T) {
 	seeds := []uint64{1096, 1539, 3094} // found a new job's tasks stopped by another controller
 	for seed := uint64(1); seed <= 60; seed++ {
 		seeds = append(seeds, seed)
@@ -70,57 +70,57 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, Options{Seed: seed, Length: 240 * time.Second, Jobs: 25, CloudBad: seed%6 == 0})
-			t.Logf("%d starts, %v", w.Check.Starts, w.Check.stages())
+			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 25, FlakyCloud: seed%6 == 0})
+			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
 }
 
 // Controllers that end around a write, or five times within three seconds, are back within a second, before their former life's lease, streams and
 // transactions have ended; copies of what they sent and wrote come late. Then all is calm: nothing may be forgotten, and all are served.
-func TestRulesHoldWhenProcessesFlap(t *testing.T) {
+func TestInvariantsHoldWhenProcessesFlap(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{Seed: seed, Length: 420 * time.Second, Jobs: 40, Tasks: 6, Flap: true, Nodes: []int{3, 5}[seed%2], Shared: seed%3 == 0,
-				History: seed%4 == 0, Chains: int(seed % 3)}
-			w := play(t, o)
-			t.Logf("%d starts, %v", w.Check.Starts, w.Check.stages())
+			o := Options{Seed: seed, Duration: 420 * time.Second, Jobs: 40, MaxTasksPerJob: 6, FlappingProcesses: true, Controllers: []int{3, 5}[seed%2], BatchValues: seed%3 == 0,
+				Archive: seed%4 == 0, Pipelines: int(seed % 3)}
+			w := runSimulation(t, o)
+			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
 }
 
-var worlds = flag.Uint64("worlds", 24, "how many worlds in which troubles meet are played")
+var overlapSeeds = flag.Uint64("worlds", 24, "how many worlds in which troubles meet are played")
 
 // Troubles that meet: each comes while another lasts (docs/notes/meetings.md).
-func TestRulesHoldWhenTroublesMeet(t *testing.T) {
-	for seed := uint64(1); seed <= *worlds; seed++ {
+func TestInvariantsHoldUnderOverlappingFaults(t *testing.T) {
+	for seed := uint64(1); seed <= *overlapSeeds; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, MeetingOf(seed))
-			t.Logf("%d starts, %v", w.Check.Starts, w.Check.stages())
+			w := runSimulation(t, OverlappingFaultOptions(seed))
+			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
 }
 
 // The meetings that the operators have seen rules break in, one by one, in worlds that have no other troubles.
-func TestRulesHoldInEachMeeting(t *testing.T) {
+func TestInvariantsHoldForEachFaultPair(t *testing.T) {
 	for name, m := range map[string]struct {
 		pair []string
 		opt  func(o *Options)
 	}{
 		"slow, then refused, then down for all":        {pair: []string{"slow", "refused, then all"}},
-		"small jobs end far apart as the leader does":  {[]string{"leader ends", "late reports"}, func(o *Options) { o.Tasks, o.Apart = 3, true }},
-		"far apart, and machines that hang":            {[]string{"leader ends", "hang", "all end"}, func(o *Options) { o.Tasks, o.Apart = 3, true }},
-		"handed over and back":                         {[]string{"all end", "leader ends"}, func(o *Options) { o.Nodes = 3 }},
+		"small jobs end far apart as the leader does":  {[]string{"leader ends", "late reports"}, func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true }},
+		"far apart, and machines that hang":            {[]string{"leader ends", "hang", "all end"}, func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true }},
+		"handed over and back":                         {[]string{"all end", "leader ends"}, func(o *Options) { o.Controllers = 3 }},
 		"handed over and back, with late writes":       {[]string{"all end", "late writes"}, nil},
 		"late writes of ended controllers":             {[]string{"late writes", "leader ends"}, nil},
-		"late writes with rights and a record":         {[]string{"late writes", "leader ends"}, func(o *Options) { o.Rights, o.Audit, o.Shared = true, true, false }},
-		"late writes of bookings":                      {[]string{"late writes", "all end"}, func(o *Options) { o.Bookers, o.Jobs = 10, 20 }},
+		"late writes with rights and a record":         {[]string{"late writes", "leader ends"}, func(o *Options) { o.Permissions, o.AuditLog, o.BatchValues = true, true, false }},
+		"late writes of bookings":                      {[]string{"late writes", "all end"}, func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 }},
 		"old reports of earlier sessions":              {[]string{"late reports", "deaf"}, nil},
 		"old reports at controllers that have ended":   {[]string{"late reports", "all end"}, nil},
-		"the leader ends and machines are deaf":        {[]string{"leader ends", "deaf"}, func(o *Options) { o.Apart = true }},
-		"the leader ends and machines hang":            {[]string{"leader ends", "hang"}, func(o *Options) { o.Apart = true }},
+		"the leader ends and machines are deaf":        {[]string{"leader ends", "deaf"}, func(o *Options) { o.LongTasks = true }},
+		"the leader ends and machines hang":            {[]string{"leader ends", "hang"}, func(o *Options) { o.LongTasks = true }},
 		"cut with its users, and another leads":        {[]string{"cut with users", "leader ends"}, nil},
 		"cut with its users, then down for all":        {[]string{"cut with users", "refused, then all"}, nil},
 		"held orders, and machines that hang":          {[]string{"held orders", "hang"}, nil},
@@ -130,25 +130,25 @@
 		"close looks":                                        {[]string{"close looks", "leader ends"}, nil},
 		"close looks, and slow answers":                      {[]string{"close looks", "slow"}, nil},
 		"close looks, and reads that hang":                   {[]string{"close looks", "reads hang"}, nil},
-		"close looks, with an archive":                       {[]string{"close looks", "answers lost"}, func(o *Options) { o.History, o.Tasks = true, 2 }},
-		"close looks, with rights":                           {[]string{"close looks", "answers lost"}, func(o *Options) { o.Rights, o.Shared = true, false }},
+		"close looks, with an archive":                       {[]string{"close looks", "answers lost"}, func(o *Options) { o.Archive, o.MaxTasksPerJob = true, 2 }},
+		"close looks, with rights":                           {[]string{"close looks", "answers lost"}, func(o *Options) { o.Permissions, o.BatchValues = true, false }},
 		"answers lost":                                       {[]string{"answers lost", "close looks"}, nil},
 		"answers lost, and the leader ends":                  {[]string{"answers lost", "leader ends"}, nil},
-		"answers lost of bookings":                           {[]string{"answers lost", "leader ends"}, func(o *Options) { o.Bookers, o.Jobs = 10, 20 }},
-		"at the limit, cancelled, machines hang":             {[]string{"cancelled at once", "leader ends"}, func(o *Options) { o.AtLimit = true }},
-		"at the limit, cancelled, machines deaf":             {[]string{"cancelled at once", "deaf", "leader ends"}, func(o *Options) { o.AtLimit = true }},
-		"at the limit, cancelled, a zone cut off":            {[]string{"cancelled at once", "zone cut off", "leader ends"}, func(o *Options) { o.AtLimit = true }},
+		"answers lost of bookings":                           {[]string{"answers lost", "leader ends"}, func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 }},
+		"at the limit, cancelled, machines hang":             {[]string{"cancelled at once", "leader ends"}, func(o *Options) { o.QuotaLimited = true }},
+		"at the limit, cancelled, machines deaf":             {[]string{"cancelled at once", "deaf", "leader ends"}, func(o *Options) { o.QuotaLimited = true }},
+		"at the limit, cancelled, a zone cut off":            {[]string{"cancelled at once", "zone cut off", "leader ends"}, func(o *Options) { o.QuotaLimited = true }},
 		"cancelled in a handover":                            {[]string{"handed over", "cancelled at once"}, nil},
 		"cancelled in a handover, answers lost":              {[]string{"handed over", "answers lost"}, nil},
 		"up at once, late writes":                            {[]string{"up at once", "late writes", "leader ends"}, nil},
 		"up at once, answers lost":                           {[]string{"up at once", "answers lost", "leader ends"}, nil},
 		"old reports as a new leader begins":                 {[]string{"reports for the next", "leader ends"}, nil},
 		"old reports as a new leader begins, all end":        {[]string{"reports for the next", "all end"}, nil},
-		"a report is held back, machines hang":               {[]string{"reports for the next", "hang", "leader ends"}, func(o *Options) { o.Apart = true }},
-		"one-task jobs four a second":                        {[]string{"leader ends", "slow"}, func(o *Options) { o.OneTask, o.Jobs, o.Fleet = 400, 10, 30 }},
-		"one-task jobs four a second, close looks":           {[]string{"close looks", "answers lost"}, func(o *Options) { o.OneTask, o.Jobs, o.Fleet = 400, 10, 30 }},
+		"a report is held back, machines hang":               {[]string{"reports for the next", "hang", "leader ends"}, func(o *Options) { o.LongTasks = true }},
+		"one-task jobs four a second":                        {[]string{"leader ends", "slow"}, func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 }},
+		"one-task jobs four a second, close looks":           {[]string{"close looks", "answers lost"}, func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 }},
 		"mute machines":                                      {[]string{"mute", "cancelled at once"}, nil},
-		"mute machines, and the leader ends":                 {[]string{"mute", "leader ends"}, func(o *Options) { o.Apart = true }},
+		"mute machines, and the leader ends":                 {[]string{"mute", "leader ends"}, func(o *Options) { o.LongTasks = true }},
 		"all away for longer than a lease":                   {[]string{"all away", "cancelled at once"}, nil},
 		"all away, and close looks":                          {[]string{"all away", "close looks"}, nil},
 		"ten leaders in two minutes":                         {[]string{"ten leaders", "cancelled at once"}, nil},
@@ -156,27 +156,27 @@
 		"a zone is cut off with its controller":              {[]string{"zone cut off", "cancelled at once"}, nil},
 		"a zone is cut off, and the leader ends":             {[]string{"zone cut off", "leader ends"}, nil},
 		"cancelled as the leader is refused, then an outage": {[]string{"cancelled at once", "refused, then all"}, nil},
-		"cancelled at the end of the last task":              {[]string{"cancelled at the end", "close looks"}, func(o *Options) { o.Tasks = 2 }},
-		"cancelled at the end, answers lost":                 {[]string{"cancelled at the end", "answers lost"}, func(o *Options) { o.Tasks = 2 }},
+		"cancelled at the end of the last task":              {[]string{"cancelled at the end", "close looks"}, func(o *Options) { o.MaxTasksPerJob = 2 }},
+		"cancelled at the end, answers lost":                 {[]string{"cancelled at the end", "answers lost"}, func(o *Options) { o.MaxTasksPerJob = 2 }},
 		"odd requests":                                       {[]string{"odd requests", "close looks"}, nil},
 		"odd requests, and the leader ends":                  {[]string{"odd requests", "leader ends"}, nil},
 		"more work than room over slow links": {[]string{"leader ends", "slow"}, func(o *Options) {
-			o.Fleet, o.Jobs, o.Tasks, o.SlowBy = 6, 40, 3, 300*time.Millisecond
+			o.MaxMachines, o.Jobs, o.MaxTasksPerJob, o.MaxNetworkDelay = 6, 40, 3, 300*time.Millisecond
 		}},
-		"jobs bound to a zone lose machines":             {[]string{"zone loses machines", "leader ends"}, func(o *Options) { o.InZones = true }},
-		"jobs bound to a zone lose machines, up at once": {[]string{"zone loses machines", "up at once"}, func(o *Options) { o.InZones = true }},
+		"jobs bound to a zone lose machines":             {[]string{"zone loses machines", "leader ends"}, func(o *Options) { o.ZonePinnedJobs = true }},
+		"jobs bound to a zone lose machines, up at once": {[]string{"zone loses machines", "up at once"}, func(o *Options) { o.ZonePinnedJobs = true }},
 	} {
-		for seed := uint64(1); seed <= max(1, *worlds/16); seed++ {
+		for seed := uint64(1); seed <= max(1, *overlapSeeds/16); seed++ {
 			t.Run(fmt.Sprint(name, " seed", seed), func(t *testing.T) {
 				t.Parallel()
-				o := MeetingOf(seed)
-				o.Pair = m.pair
+				o := OverlappingFaultOptions(seed)
+				o.FaultNames = m.pair
 				if m.opt != nil {
 					m.opt(&o)
 				}
-				o.Beside = o.Beside && !o.Rights // beside production, rights can't be in force, and nobody is served
-				w := play(t, o)
-				t.Logf("%d starts, %d after a confirmed cancellation, %v", w.Check.Starts, w.Check.AfterEnd, w.Check.stages())
+				o.MixedVersions = o.MixedVersions && !o.Permissions // beside production, rights can't be in force, and nobody is served
+				w := runSimulation(t, o)
+				t.Logf("%d starts, %d after a confirmed cancellation, %v", w.Checker.Starts, w.Checker.StartsAfterCancel, w.Checker.stageCounts())
 			})
 		}
 	}
@@ -184,23 +184,23 @@
 
 // Jobs that were submitted with a mistake fail wherever they are started, until somebody looks. They cost a bounded number of starts, no machine is
 // taken for faulty because of them, and what else there is to do is done.
-func TestJobsWithAMistakeCostLittle(t *testing.T) {
+func TestFailingJobsCostBoundedStarts(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := New(Options{Seed: seed, Length: 240 * time.Second, Jobs: 30, Mistakes: 10, Quiet: seed%2 == 0})
+			w := New(Options{Seed: seed, Duration: 240 * time.Second, Jobs: 30, FailingJobs: 10, NoFaults: seed%2 == 0})
 			w.Trace = func(f string, a ...any) {
-				if line := fmt.Sprintf(f, a...); w.opt.Quiet && strings.Contains(line, "faulty") {
+				if line := fmt.Sprintf(f, a...); w.options.NoFaults && strings.Contains(line, "faulty") {
 					t.Error(line)
 				}
 			}
 			w.Run()
-			if len(w.Check.Broken) > 0 {
-				t.Errorf("at %v: %s", w.now, strings.Join(w.Check.Broken, "; "))
+			if len(w.Checker.Violations) > 0 {
+				t.Errorf("at %v: %s", w.now, strings.Join(w.Checker.Violations, "; "))
 			}
-			for id, j := range w.Check.jobs {
-				if w.Check.mistaken[id] == nil && w.opt.Quiet && !j.spec.Service && !j.asked && len(j.done) < j.spec.Tasks {
-					t.Errorf("%s: %d of %d tasks done", id, len(j.done), j.spec.Tasks)
+			for id, j := range w.Checker.jobs {
+				if w.Checker.failingJobs[id] == nil && w.options.NoFaults && !j.spec.Service && !j.cancelRequested && len(j.completedTasks) < j.spec.Tasks {
+					t.Errorf("%s: %d of %d tasks done", id, len(j.completedTasks), j.spec.Tasks)
 				}
 			}
 		})
@@ -209,142 +209,142 @@
 
 // Controllers end at random moments while the lanes are full: no job is passed for long by a later one of its lane and shape, and none changes
 // its lane or place.
-func TestOrderHoldsThroughKills(t *testing.T) {
+func TestQueueOrderHoldsThroughCrashes(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, Options{Seed: seed, Length: 240 * time.Second, Jobs: 150, Fleet: 8, Lanes: true, Nodes: []int{3, 5}[seed%2]})
+			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 150, MaxMachines: 8, PriorityClasses: true, Controllers: []int{3, 5}[seed%2]})
 			waited := 0
-			for _, j := range w.order.jobs {
-				if j.began > j.at+5*time.Second {
+			for _, j := range w.queueOrder.jobs {
+				if j.startedAt > j.acceptedAt+5*time.Second {
 					waited++
 				}
 			}
 			if waited < 20 {
-				t.Errorf("%d jobs of %d waited", waited, len(w.order.jobs))
+				t.Errorf("%d jobs of %d waited", waited, len(w.queueOrder.jobs))
 			}
-			t.Logf("%d of %d jobs waited, %v", waited, len(w.order.jobs), w.Check.stages())
+			t.Logf("%d of %d jobs waited, %v", waited, len(w.queueOrder.jobs), w.Checker.stageCounts())
 		})
 	}
 }
 
 // Each rule of the order breaks on a step that is wrong.
-func TestCheckerOfTheOrderFires(t *testing.T) {
-	for rule, step := range map[string]func(o *order){
-		"demoted": func(o *order) {
-			o.wrote("a", &jobrecord.Record{PriorityClass: "second", EnqueueRevision: 7, Spec: &wire.JobSpec{}}, 9)
+func TestQueueOrderCheckerDetectsViolations(t *testing.T) {
+	for rule, step := range map[string]func(o *queueOrderChecker){
+		"demoted": func(o *queueOrderChecker) {
+			o.jobWritten("a", &jobrecord.Record{PriorityClass: "second", EnqueueRevision: 7, Spec: &wire.JobSpec{}}, 9)
 		},
-		"demoted: place": func(o *order) {
-			o.wrote("a", &jobrecord.Record{PriorityClass: "first", EnqueueRevision: 9, Spec: &wire.JobSpec{}}, 9)
+		"demoted: place": func(o *queueOrderChecker) {
+			o.jobWritten("a", &jobrecord.Record{PriorityClass: "first", EnqueueRevision: 9, Spec: &wire.JobSpec{}}, 9)
 		},
-		"jumped": func(o *order) {
-			o.begins("b")
-			o.w.now += jumpWindow + time.Second
-			o.jumped()
+		"jumped": func(o *queueOrderChecker) {
+			o.jobStarted("b")
+			o.w.now += maxOvertakeDelay + time.Second
+			o.checkOvertaking()
 		},
 	} {
 		w := New(Options{Seed: 1})
 		for i, id := range []string{"a", "b"} {
-			w.now += time.Duration(i) * (apart + time.Second)
-			w.order.wrote(id, &jobrecord.Record{PriorityClass: "first", Spec: &wire.JobSpec{}}, uint64(7+i))
+			w.now += time.Duration(i) * (minAcceptGap + time.Second)
+			w.queueOrder.jobWritten(id, &jobrecord.Record{PriorityClass: "first", Spec: &wire.JobSpec{}}, uint64(7+i))
 		}
 		w.now++
-		step(w.order)
+		step(w.queueOrder)
 		name, _, _ := strings.Cut(rule, ":")
-		if len(w.Check.Broken) == 0 || !strings.HasPrefix(w.Check.Broken[0], name+":") {
-			t.Errorf("%s: broken are %v", rule, w.Check.Broken)
+		if len(w.Checker.Violations) == 0 || !strings.HasPrefix(w.Checker.Violations[0], name+":") {
+			t.Errorf("%s: broken are %v", rule, w.Checker.Violations)
 		}
 	}
 }
 
 // A job that is left waiting while a machine that fits has room and its team is under its limit shows, and one that has to wait does not.
-func TestCheckerOfJobsLeftWaitingFires(t *testing.T) {
+func TestStarvationCheckerDetectsViolations(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(w *World, m *workerStandIn)
+		change func(w *Simulator, m *fakeWorker)
 		fires  bool
 	}{
-		"left waiting": {func(*World, *workerStandIn) {}, true},
-		"no room": {func(_ *World, m *workerStandIn) {
-			m.tasks["x"] = &workerTask{job: "wk-000002", stage: wire.TaskRunning}
+		"left waiting": {func(*Simulator, *fakeWorker) {}, true},
+		"no room": {func(_ *Simulator, m *fakeWorker) {
+			m.tasks["x"] = &fakeTask{job: "wk-000002", stage: wire.TaskRunning}
 		}, false},
-		"other zone":   {func(w *World, _ *workerStandIn) { w.Check.jobs["wk-000001"].spec.Zone = "b" }, false},
-		"at its limit": {func(w *World, _ *workerStandIn) { w.Check.limit["t0"] = [2]int64{3000, 0} }, false},
-		"it hangs":     {func(w *World, m *workerStandIn) { m.hang(200 * time.Second) }, false},
-		"cancelled":    {func(w *World, _ *workerStandIn) { w.Check.Asked("wk-000001") }, false},
-		"it starts": {func(w *World, m *workerStandIn) {
-			w.after(50*time.Second, func() { w.Check.On(w.now, "wk-000001", 0, m.m) })
-			w.Check.jobs["wk-000001"].spec.Tasks = 2
+		"other zone":   {func(w *Simulator, _ *fakeWorker) { w.Checker.jobs["wk-000001"].spec.Zone = "b" }, false},
+		"at its limit": {func(w *Simulator, _ *fakeWorker) { w.Checker.quotas["t0"] = [2]int64{3000, 0} }, false},
+		"it hangs":     {func(w *Simulator, m *fakeWorker) { m.hangFor(200 * time.Second) }, false},
+		"cancelled":    {func(w *Simulator, _ *fakeWorker) { w.Checker.CancelRequested("wk-000001") }, false},
+		"it starts": {func(w *Simulator, m *fakeWorker) {
+			w.schedule(50*time.Second, func() { w.Checker.TaskStarted(w.now, "wk-000001", 0, m.machine) })
+			w.Checker.jobs["wk-000001"].spec.Tasks = 2
 		}, false},
 	} {
-		w := New(Options{Seed: 1, Quiet: true})
-		w.queue = agenda.Agenda{} // no controller does anything
-		w.Check.calmFrom = 1
-		m := &workerStandIn{w: w, m: wire.Machine{Name: "m1", Type: "small", Zone: "a"}, up: true, token: 1, tasks: map[string]*workerTask{}}
+		w := New(Options{Seed: 1, NoFaults: true})
+		w.events = eventqueue.Queue{} // no controller does anything
+		w.Checker.faultFreeFrom = 1
+		m := &fakeWorker{w: w, machine: wire.Machine{Name: "m1", Type: "small", Zone: "a"}, up: true, fencingToken: 1, tasks: map[string]*fakeTask{}}
 		w.cloud.machines = append(w.cloud.machines, m)
 		for _, id := range []string{"wk-000001", "wk-000002"} {
-			w.Check.Submitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
+			w.Checker.JobSubmitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
 		}
-		w.Check.Answered(0, 0, "submit", "wk-000001", 201, wire.StageQueued)
+		w.Checker.CheckResponse(0, 0, "submit", "wk-000001", 201, wire.StageQueued)
 		c.change(w, m)
-		w.after(time.Second, w.lookForLeft)
-		for at, do, ok := w.queue.Next(120 * time.Second); ok; at, do, ok = w.queue.Next(120 * time.Second) {
+		w.schedule(time.Second, w.checkStarvation)
+		for at, do, ok := w.events.PopUntil(120 * time.Second); ok; at, do, ok = w.events.PopUntil(120 * time.Second) {
 			w.now = at
 			do()
 		}
-		if fired := len(w.Check.Broken) > 0 && strings.HasPrefix(w.Check.Broken[0], "left_waiting:"); fired != c.fires || len(w.Check.Broken) > 0 && !c.fires {
-			t.Errorf("%s: broken are %v", name, w.Check.Broken)
+		if fired := len(w.Checker.Violations) > 0 && strings.HasPrefix(w.Checker.Violations[0], "left_waiting:"); fired != c.fires || len(w.Checker.Violations) > 0 && !c.fires {
+			t.Errorf("%s: broken are %v", name, w.Checker.Violations)
 		}
 	}
 }
 
 // Each rule by which the operators judge a day breaks on a step that is wrong.
-func TestCheckerOfDaysFires(t *testing.T) {
+func TestServiceLevelCheckerDetectsViolations(t *testing.T) {
 	for rule, step := range map[string]func(k *Checker){
 		"forgotten": func(k *Checker) {
 			for at := 110 * time.Second; at < 200*time.Second; at += 5 * time.Second {
-				k.Heard(at, at+2*time.Second, "wk-000001", 503)
-				k.Heard(at, at+2*time.Second, "wk-000002", 200) // others fare well
+				k.CheckResponsive(at, at+2*time.Second, "wk-000001", 503)
+				k.CheckResponsive(at, at+2*time.Second, "wk-000002", 200) // others fare well
 			}
 		},
 		"unserved": func(k *Checker) { k.Finish(200 * time.Second) },
 		"late_largest": func(k *Checker) {
-			k.jobs["wk-000001"].began = 300 * time.Second
-			k.jobs["wk-000002"].began = 1
+			k.jobs["wk-000001"].startedAt = 300 * time.Second
+			k.jobs["wk-000002"].startedAt = 1
 			k.Finish(400 * time.Second)
 		},
 	} {
-		k := NewChecker(cancelIn, nil)
-		k.calmFrom, k.Starts = 100*time.Second, 1
+		k := NewChecker(defaultCancelTimeout, nil)
+		k.faultFreeFrom, k.Starts = 100*time.Second, 1
 		for i, id := range []string{"wk-000001", "wk-000002"} {
-			k.Submitted(wire.JobSpec{ID: id, Class: "c", Team: "t0", Tasks: 3 - i})
-			k.Answered(time.Second, time.Second, "submit", id, 201, wire.StageQueued)
+			k.JobSubmitted(wire.JobSpec{ID: id, Class: "c", Team: "t0", Tasks: 3 - i})
+			k.CheckResponse(time.Second, time.Second, "submit", id, 201, wire.StageQueued)
 		}
 		step(k)
-		if len(k.Broken) == 0 || !strings.HasPrefix(k.Broken[0], rule+":") {
-			t.Errorf("%s: broken are %v", rule, k.Broken)
+		if len(k.Violations) == 0 || !strings.HasPrefix(k.Violations[0], rule+":") {
+			t.Errorf("%s: broken are %v", rule, k.Violations)
 		}
 	}
 }
 
 // The version in production is replaced process by process, in troubles; then the limits of the
 // state service fall, and users submit pipelines.
-func TestRulesHoldThroughAnUpgrade(t *testing.T) {
+func TestInvariantsHoldThroughRollingUpgrade(t *testing.T) {
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{Seed: seed, Length: 240 * time.Second, Jobs: 20, Upgrade: true, Chains: 8}
+			o := Options{Seed: seed, Duration: 240 * time.Second, Jobs: 20, RollingUpgrade: true, Pipelines: 8}
 			if seed%8 == 0 { // jobs that outgrow a value under the limits to come
-				o.Fleet, o.Tasks, o.Jobs = 300, 400, 40
+				o.MaxMachines, o.MaxTasksPerJob, o.Jobs = 300, 400, 40
 			}
-			w := play(t, o)
-			t.Logf("%d starts, %v", w.Check.Starts, w.Check.stages())
+			w := runSimulation(t, o)
+			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
 }
 
 // Ended jobs move into the archive as soon as they can, and are asked for, repeated, cancelled and
 // awaited all along, in troubles and through upgrades.
-func TestRulesHoldWithAnArchive(t *testing.T) {
+func TestInvariantsHoldWithArchive(t *testing.T) {
 	var moved atomic.Int64
 	t.Cleanup(func() {
 		if moved.Load() < 100 {
@@ -354,30 +354,30 @@
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{Seed: seed, Length: 240 * time.Second, Jobs: 40, Tasks: 4, Chains: 4, History: true, Quiet: seed%10 == 0, Upgrade: seed%3 == 0}
-			w := play(t, o)
-			n := len(w.state.archived())
+			o := Options{Seed: seed, Duration: 240 * time.Second, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true, NoFaults: seed%10 == 0, RollingUpgrade: seed%3 == 0}
+			w := runSimulation(t, o)
+			n := len(w.store.archivedJobs())
 			moved.Add(int64(n))
-			t.Logf("%d starts, %d archived, %v", w.Check.Starts, n, w.Check.stages())
+			t.Logf("%d starts, %d archived, %v", w.Checker.Starts, n, w.Checker.stageCounts())
 		})
 	}
 }
 
 // Rights come and go amid troubles: nobody is let in after a revocation was answered, at any
 // controller, however cut off, late or restarted; and nobody who may is shut out.
-func TestRulesHoldWithRights(t *testing.T) {
+func TestInvariantsHoldWithPermissions(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, Options{Seed: seed, Length: 240 * time.Second, Jobs: 40, Tasks: 4, Chains: 2, Rights: true, History: seed%2 == 0, Quiet: seed%10 == 0})
-			t.Logf("%d starts, %v", w.Check.Starts, w.Check.stages())
+			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, Archive: seed%2 == 0, NoFaults: seed%10 == 0})
+			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
 }
 
 // What is done is recorded amid troubles: no change without its entry, no entry without its change, none lost
 // or put twice, no block written again.
-func TestRulesHoldWithAnAuditRecord(t *testing.T) {
+func TestInvariantsHoldWithAuditLog(t *testing.T) {
 	seeds := []uint64{191} // a former life's last block was written after its entries were read
 	for seed := uint64(1); seed <= 20; seed++ {
 		seeds = append(seeds, seed)
@@ -385,46 +385,46 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, Options{Seed: seed, Length: 240 * time.Second, Jobs: 40, Tasks: 4, Chains: 2, Rights: true, Audit: true, History: seed%2 == 0, Quiet: seed%10 == 0})
-			if w.recorder.verbs["submit"] == 0 || w.recorder.verbs["administer"] == 0 {
-				t.Errorf("entries %v", w.recorder.verbs)
+			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, AuditLog: true, Archive: seed%2 == 0, NoFaults: seed%10 == 0})
+			if w.auditChecker.verbCounts["submit"] == 0 || w.auditChecker.verbCounts["administer"] == 0 {
+				t.Errorf("entries %v", w.auditChecker.verbCounts)
 			}
-			t.Logf("%d starts, %v, entries %v", w.Check.Starts, w.Check.stages(), w.recorder.verbs)
+			t.Logf("%d starts, %v, entries %v", w.Checker.Starts, w.Checker.stageCounts(), w.auditChecker.verbCounts)
 		})
 	}
 }
 
 // Pipelines of all shapes, with cancellations at any time.
-func TestRulesHoldForPipelines(t *testing.T) {
+func TestInvariantsHoldForPipelines(t *testing.T) {
 	for seed := uint64(1); seed <= 16; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, Options{Seed: seed, Length: 240 * time.Second, Jobs: 5, Chains: 12, Quiet: seed%5 == 0})
-			t.Logf("%d starts, %v", w.Check.Starts, w.Check.stages())
+			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 5, Pipelines: 12, NoFaults: seed%5 == 0})
+			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
 }
 
 // Five controllers, and jobs and machines enough to cross the limits of a value and of a
 // transaction, in troubles.
-func TestRulesHoldInLargeWorlds(t *testing.T) {
+func TestInvariantsHoldInLargeClusters(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := play(t, Options{Seed: seed, Length: 120 * time.Second, Jobs: 60, Nodes: 5, Fleet: 300, Tasks: 400})
-			t.Logf("%d starts, %v", w.Check.Starts, w.Check.stages())
+			w := runSimulation(t, Options{Seed: seed, Duration: 120 * time.Second, Jobs: 60, Controllers: 5, MaxMachines: 300, MaxTasksPerJob: 400})
+			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
 }
 
 // The same seed must give the same run, or a failing seed could not be looked into.
-func TestWorldRepeats(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	run := func() string {
 		var b strings.Builder
-		w := New(Options{Seed: 5, Length: 120 * time.Second, Jobs: 20})
+		w := New(Options{Seed: 5, Duration: 120 * time.Second, Jobs: 20})
 		w.Trace = func(f string, a ...any) { fmt.Fprintf(&b, f+"\n", a...) }
 		w.Run()
-		return fmt.Sprint(b.String(), w.Check.Starts, w.state.ledger)
+		return fmt.Sprint(b.String(), w.Checker.Starts, w.store.revision)
 	}
 	if a, b := run(), run(); a != b {
 		t.Fatal("two runs of one seed differ")
@@ -432,73 +432,77 @@
 }
 
 // Each rule of the checker must catch a step that breaks it.
-func TestCheckerCatchesEveryRule(t *testing.T) {
+func TestCheckerDetectsEveryViolation(t *testing.T) {
 	m1 := wire.Machine{Name: "m1", Type: "big", Zone: "a"}
 	m2 := wire.Machine{Name: "m2", Type: "big", Zone: "b"}
 	m3 := wire.Machine{Name: "m3", Type: "big", Zone: "a", Spot: true}
 	spec := wire.JobSpec{ID: "wk-1", Team: "t", Tasks: 2, Request: [3]int64{1000, 0, 0}}
 	after := wire.JobSpec{ID: "wk-2", Team: "t", Tasks: 1, Dependencies: []string{"wk-1"}}
 	for rule, step := range map[string]func(k *Checker){
-		"ran_twice": func(k *Checker) { k.On(0, "wk-1", 0, m1); k.On(0, "wk-1", 0, m2) },
+		"ran_twice": func(k *Checker) { k.TaskStarted(0, "wk-1", 0, m1); k.TaskStarted(0, "wk-1", 0, m2) },
 		"quota": func(k *Checker) {
-			k.limit["t"] = [2]int64{1500, 0}
-			k.On(0, "wk-1", 0, m1)
-			k.On(0, "wk-1", 1, m1)
+			k.quotas["t"] = [2]int64{1500, 0}
+			k.TaskStarted(0, "wk-1", 0, m1)
+			k.TaskStarted(0, "wk-1", 1, m1)
 		},
-		"wrong_place": func(k *Checker) { k.On(0, "wk-1", 0, m3) },
+		"wrong_place": func(k *Checker) { k.TaskStarted(0, "wk-1", 0, m3) },
 		"ran_cancelled": func(k *Checker) {
-			k.On(0, "wk-1", 0, m1)
-			k.Asked("wk-1")
-			k.Answered(0, 0, "cancel", "wk-1", 200, "cancelled")
+			k.TaskStarted(0, "wk-1", 0, m1)
+			k.CancelRequested("wk-1")
+			k.CheckResponse(0, 0, "cancel", "wk-1", 200, "cancelled")
 			k.Tick(11 * time.Second)
 		},
 		"forgotten": func(k *Checker) {
-			k.Answered(0, 0, "submit", "wk-1", 201, "queued")
-			k.Answered(0, 0, "poll", "wk-1", 404, "")
+			k.CheckResponse(0, 0, "submit", "wk-1", 201, "queued")
+			k.CheckResponse(0, 0, "poll", "wk-1", 404, "")
 		},
-		"invented": func(k *Checker) { k.Answered(0, 0, "poll", "wk-2", 200, "queued") },
-		"not_done": func(k *Checker) { k.Completed("wk-1", 0); k.Answered(0, 0, "poll", "wk-1", 200, "done") },
+		"invented": func(k *Checker) { k.CheckResponse(0, 0, "poll", "wk-2", 200, "queued") },
+		"not_done": func(k *Checker) { k.TaskCompleted("wk-1", 0); k.CheckResponse(0, 0, "poll", "wk-1", 200, "done") },
 		"went_back": func(k *Checker) {
-			k.Asked("wk-1")
-			k.Answered(0, 0, "cancel", "wk-1", 200, "cancelled")
-			k.Answered(1, 2, "poll", "wk-1", 200, "queued")
+			k.CancelRequested("wk-1")
+			k.CheckResponse(0, 0, "cancel", "wk-1", 200, "cancelled")
+			k.CheckResponse(1, 2, "poll", "wk-1", 200, "queued")
 		},
 		"let_in": func(k *Checker) {
-			k.Asking("u")
-			k.LetIn(1, "u", "poll", "wk-1") // it may not be revoked yet
-			k.Changed(2, "u", false)
-			k.LetIn(1, "u", "poll", "wk-1") // asked for before
-			k.LetIn(3, "u", "poll", "wk-1")
+			k.PermissionChanging("u")
+			k.CheckAuthorized(1, "u", "poll", "wk-1") // it may not be revoked yet
+			k.PermissionChanged(2, "u", false)
+			k.CheckAuthorized(1, "u", "poll", "wk-1") // asked for before
+			k.CheckAuthorized(3, "u", "poll", "wk-1")
 		},
 		"nothing_ran": func(k *Checker) { k.Finish(0) },
-		"unfit":       func(k *Checker) { k.Odd("wk-3", 422, 422); k.Odd("wk-3", 503, 422); k.Odd("wk-3", 400, 422) },
-		"too_early":   func(k *Checker) { k.Submitted(after); k.Completed("wk-1", 0); k.On(0, "wk-2", 0, m1) },
+		"unfit": func(k *Checker) {
+			k.CheckRejected("wk-3", 422, 422)
+			k.CheckRejected("wk-3", 503, 422)
+			k.CheckRejected("wk-3", 400, 422)
+		},
+		"too_early": func(k *Checker) { k.JobSubmitted(after); k.TaskCompleted("wk-1", 0); k.TaskStarted(0, "wk-2", 0, m1) },
 		"orphaned": func(k *Checker) {
-			k.Submitted(after)
-			k.Answered(0, 0, "submit", "wk-2", 201, "queued")
-			k.Asked("wk-1")
-			k.Answered(0, 0, "cancel", "wk-1", 200, "cancelled")
-			k.Answered(11*time.Second, 11*time.Second, "poll", "wk-2", 200, "queued")
+			k.JobSubmitted(after)
+			k.CheckResponse(0, 0, "submit", "wk-2", 201, "queued")
+			k.CancelRequested("wk-1")
+			k.CheckResponse(0, 0, "cancel", "wk-1", 200, "cancelled")
+			k.CheckResponse(11*time.Second, 11*time.Second, "poll", "wk-2", 200, "queued")
 		},
 	} {
 		k := NewChecker(10*time.Second, map[string][2]int64{})
-		k.Submitted(spec)
+		k.JobSubmitted(spec)
 		step(k)
-		if len(k.Broken) == 0 || !strings.HasPrefix(k.Broken[0], rule) {
-			t.Errorf("%s was not caught: %v", rule, k.Broken)
+		if len(k.Violations) == 0 || !strings.HasPrefix(k.Violations[0], rule) {
+			t.Errorf("%s was not caught: %v", rule, k.Violations)
 		}
 	}
 }
 
 // The rule about the record must catch a change without its entry, an entry without its change, one that is
 // dropped, put twice or lost, and a block that is written again.
-func TestCheckerCatchesWhatIsUnrecorded(t *testing.T) {
+func TestAuditCheckerDetectsViolations(t *testing.T) {
 	const job, shard, who = core.Root + "job/wk-1", core.Root + "shard/00", core.Root + "access/who/u"
 	entry := func(key, verb, by string, count uint64) audit.PendingEntry {
 		return auditKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: count, Verb: verb, Who: by, Object: "wk-1"})
 	}
 	value := func(stage string, list ...audit.PendingEntry) json.RawMessage {
-		raw, err := json.Marshal(carrying{Carried: list, Stage: stage, Who: "u"})
+		raw, err := json.Marshal(entryCarrier{Carried: list, Stage: stage, User: "u"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -537,53 +541,53 @@
 	} {
 		for _, broken := range []bool{false, true} { // all but the last transaction must be good
 			k := NewChecker(time.Second, nil)
-			r := newRecorder(k, func() time.Duration { return 0 })
+			r := newAuditChecker(k, func() time.Duration { return 0 })
 			keys := map[string]*wire.KeyValue{core.Root + "audit/begun": {}}
 			list := txns
 			if !broken {
 				list = txns[:len(txns)-1]
 			}
 			for _, then := range list {
-				r.Txn(keys, wire.Txn{Then: then})
+				r.CheckTxn(keys, wire.Txn{Then: then})
 				for _, x := range then {
 					keys[x.Put] = &wire.KeyValue{Value: x.Value}
 				}
 			}
-			if (len(k.Broken) > 0) != broken || broken && !strings.HasPrefix(k.Broken[0], "unrecorded") {
-				t.Errorf("%s (%v): %v", name, broken, k.Broken)
+			if (len(k.Violations) > 0) != broken || broken && !strings.HasPrefix(k.Violations[0], "unrecorded") {
+				t.Errorf("%s (%v): %v", name, broken, k.Violations)
 			}
 		}
 	}
 	k := NewChecker(time.Second, nil)
-	r := newRecorder(k, func() time.Duration { return time.Hour })
-	r.carried[entryID{"n0", 1, 1}] = 0
+	r := newAuditChecker(k, func() time.Duration { return time.Hour })
+	r.carriedAt[entryID{"n0", 1, 1}] = 0
 	r.Finish(map[string]*wire.KeyValue{job: {Value: good.Value}})
-	if len(k.Broken) != 1 {
-		t.Errorf("an entry that is carried for ever: %v", k.Broken)
+	if len(k.Violations) != 1 {
+		t.Errorf("an entry that is carried for ever: %v", k.Violations)
 	}
 }
 
-func TestCheckerCatchesSpreadAndOneZone(t *testing.T) {
+func TestCheckerDetectsSpreadAndOneZoneViolations(t *testing.T) {
 	m1 := wire.Machine{Name: "m1", Type: "big", Zone: "a"}
 	m2 := wire.Machine{Name: "m2", Type: "big", Zone: "b"}
 	for _, s := range []wire.JobSpec{{ID: "wk-1", Tasks: 2, Spread: true}, {ID: "wk-1", Tasks: 2, OneZone: true}} {
 		k := NewChecker(time.Second, nil)
-		k.Submitted(s)
-		k.On(0, "wk-1", 0, m1)
+		k.JobSubmitted(s)
+		k.TaskStarted(0, "wk-1", 0, m1)
 		other := m2
 		if s.Spread {
 			other = m1
 		}
-		k.On(0, "wk-1", 1, other)
-		if len(k.Broken) != 1 {
-			t.Errorf("spread %v: %v", s.Spread, k.Broken)
+		k.TaskStarted(0, "wk-1", 1, other)
+		if len(k.Violations) != 1 {
+			t.Errorf("spread %v: %v", s.Spread, k.Violations)
 		}
 	}
 }
 
 // Small jobs share values, in troubles of all kinds and through upgrades: late writes, cuts, cancellations by controllers that do not
 // hold the shard.
-func TestRulesHoldWithSharedValues(t *testing.T) {
+func TestInvariantsHoldWithBatchValues(t *testing.T) {
 	var slots atomic.Int64
 	t.Cleanup(func() {
 		if slots.Load() < 500 {
@@ -593,14 +597,14 @@
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{Seed: seed, Length: 240 * time.Second, Jobs: 40, Shared: true, Quiet: seed%10 == 0, Upgrade: seed%4 == 0, History: seed%3 == 0, CloudBad: seed%7 == 0}
+			o := Options{Seed: seed, Duration: 240 * time.Second, Jobs: 40, BatchValues: true, NoFaults: seed%10 == 0, RollingUpgrade: seed%4 == 0, Archive: seed%3 == 0, FlakyCloud: seed%7 == 0}
 			if seed%5 == 0 {
-				o.Chains = 6
+				o.Pipelines = 6
 			}
 			if seed%12 == 0 {
-				o.Length, o.Jobs, o.Nodes, o.Fleet, o.Tasks, o.Chains = 120*time.Second, 60, 5, 300, 400, 0
+				o.Duration, o.Jobs, o.Controllers, o.MaxMachines, o.MaxTasksPerJob, o.Pipelines = 120*time.Second, 60, 5, 300, 400, 0
 			}
-			w := playSeen(t, o, func(_ string, out core.Output) {
+			w := runObserved(t, o, func(_ string, out core.Output) {
 				if x, ok := out.(core.Commit); ok {
 					for _, y := range x.Txn.Then {
 						if strings.HasPrefix(y.Put, core.Root+"over/") {
@@ -609,7 +613,7 @@
 					}
 				}
 			})
-			t.Logf("%d starts, %v", w.Check.Starts, w.Check.stages())
+			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
 }
--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -18,20 +18,20 @@
 
 // Authority signs certificates.
 type Authority struct {
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	File string // its own certificate
+	cert     *x509.Certificate
+	key      *ecdsa.PrivateKey
+	CertFile string // its own certificate
 }
 
-var serial int64
+var lastSerial int64
 
 // New makes an authority, whose files are in a folder of the test.
 func New(t *testing.T) *Authority {
 	t.Helper()
-	a := &Authority{File: filepath.Join(t.TempDir(), "ca.pem")}
+	a := &Authority{CertFile: filepath.Join(t.TempDir(), "ca.pem")}
 	var der []byte
 	a.cert, a.key, der = a.sign(t, &x509.Certificate{IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, Subject: pkix.Name{CommonName: "test"}})
-	write(t, a.File, "CERTIFICATE", der)
+	writePEM(t, a.CertFile, "CERTIFICATE", der)
 	return a
 }
 
@@ -41,8 +41,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	serial++
-	c.SerialNumber, c.NotBefore, c.NotAfter = big.NewInt(serial), time.Now().Add(-time.Hour), time.Now().Add(time.Hour)
+	lastSerial++
+	c.SerialNumber, c.NotBefore, c.NotAfter = big.NewInt(lastSerial), time.Now().Add(-time.Hour), time.Now().Add(time.Hour)
 	parent, signer := a.cert, a.key
 	if parent == nil {
 		parent, signer = c, key
@@ -63,15 +63,15 @@
 	t.Helper()
 	_, key, der := a.sign(t, &x509.Certificate{Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}})
-	write(t, certFile, "CERTIFICATE", der)
+	writePEM(t, certFile, "CERTIFICATE", der)
 	raw, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, keyFile, "EC PRIVATE KEY", raw)
+	writePEM(t, keyFile, "EC PRIVATE KEY", raw)
 }
 
-func write(t *testing.T, file, kind string, der []byte) {
+func writePEM(t *testing.T, file, kind string, der []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		t.Fatal(err)
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -78,7 +78,7 @@
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	by.Issue(t, name, cert, key)
 	path := filepath.Join(dir, "tls")
-	if err := os.WriteFile(path, []byte(fmt.Sprintf("mesh { certificate: %q key: %q authorities: %q }", cert, key, trusted.File)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(fmt.Sprintf("mesh { certificate: %q key: %q authorities: %q }", cert, key, trusted.CertFile)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	f, err := tlsconfig.Load(path, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/time/rate"
 
-	"dewlift/internal/call"
+	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
@@ -24,7 +24,7 @@
 	Addr string
 	RPS  float64 // requests a second
 
-	client  *call.Client
+	client  *httpjson.Client
 	limiter *rate.Limiter
 }
 
@@ -38,20 +38,20 @@
 
 func (s *Source) connect() {
 	if s.client == nil {
-		s.client = call.New(1, 1, maxResponseBytes)
+		s.client = httpjson.New(1, 1, maxResponseBytes)
 		s.limiter = rate.NewLimiter(rate.Limit(s.RPS), 1)
 	}
 }
 
 // requestWithRetry makes a request, and again while the service is busy or does not answer.
 func requestWithRetry[T any](ctx context.Context, s *Source, method, path string, body any) (T, int, error) {
-	var last call.Result
+	var last httpjson.Response
 	for try := range 20 {
 		if err := s.limiter.Wait(ctx); err != nil {
 			var none T
 			return none, 0, err
 		}
-		v, r := call.Get[T](s.client.Do(ctx, requestTimeout, method, "http://"+s.Addr+path, body))
+		v, r := httpjson.Decode[T](s.client.Do(ctx, requestTimeout, method, "http://"+s.Addr+path, body))
 		switch {
 		case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable || r.Status == 0 && method == http.MethodGet:
 		case r.Status == 0:
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -15,14 +15,14 @@
 	"testing"
 	"time"
 
-	"dewlift/internal/standin"
+	"dewlift/internal/fakes"
 	pb "dewlift/proto"
 	"dewlift/wire"
 )
 
-func serveStore(t *testing.T, l standin.Limits) (*standin.State, Source) {
+func serveStore(t *testing.T, l fakes.Limits) (*fakes.Store, Source) {
 	t.Helper()
-	s := standin.NewState(l)
+	s := fakes.NewStore(l)
 	srv := httptest.NewServer(s)
 	t.Cleanup(srv.Close)
 	return s, Source{Addr: strings.TrimPrefix(srv.URL, "http://"), RPS: 1e6}
@@ -40,14 +40,14 @@
 // While it is read, keys change, come and go, always in pairs of one transaction: a cut as of one
 // revision has both of a pair or neither, and the same in them.
 func TestSaveIsConsistentAtOneRevision(t *testing.T) {
-	s, src := serveStore(t, standin.Limits{PageItems: 7})
+	s, src := serveStore(t, fakes.Limits{PageItems: 7})
 	var items []wire.KeyValue
 	for i := range 300 {
 		for _, side := range []string{"dl/a/", "dl/z/"} {
 			items = append(items, wire.KeyValue{Key: fmt.Sprintf("%s%03d", side, i), Value: json.RawMessage("0")})
 		}
 	}
-	s.Fill(items)
+	s.PutUnchecked(items)
 	ctx := t.Context()
 	writer := Source{Addr: src.Addr, RPS: 1e6}
 	writer.connect()
@@ -139,7 +139,7 @@
 // service that holds something, without a change. One that was interrupted goes on.
 func TestRestoreRebuildsTheStore(t *testing.T) {
 	ctx := t.Context()
-	s, src := serveStore(t, standin.Limits{})
+	s, src := serveStore(t, fakes.Limits{})
 	want := map[string]string{"dl/epoch": "7", "dl/node/n0": "{}", "dl/shard/03": "{}", "dl/leader": "{}", "da/b/~": `{"x":"1"}`}
 	for i := range 50 {
 		want[fmt.Sprintf("dl/job/wk-%03d", i)] = fmt.Sprintf(`{"h":%d}`, i)
@@ -148,7 +148,7 @@
 	for k, v := range want {
 		items = append(items, wire.KeyValue{Key: k, Value: json.RawMessage(v)})
 	}
-	s.Fill(items)
+	s.PutUnchecked(items)
 	path := filepath.Join(t.TempDir(), "s")
 	if _, err := Save(ctx, &src, path, nil); err != nil {
 		t.Fatal(err)
@@ -160,7 +160,7 @@
 	if _, err := Restore(ctx, target(src), path, nil); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("a service that holds something: %v", err)
 	}
-	to, dst := serveStore(t, standin.Limits{Ops: 4})
+	to, dst := serveStore(t, fakes.Limits{TxnOps: 4})
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -173,7 +173,7 @@
 	if _, err := Restore(ctx, target(dst), bad, nil); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a damaged file: %v", err)
 	}
-	if n, _ := to.Keys(""); n != 0 {
+	if n, _ := to.CountKeys(""); n != 0 {
 		t.Errorf("%d keys were put", n)
 	}
 	stopped, stop := context.WithCancel(ctx)
@@ -185,7 +185,7 @@
 	}); err == nil {
 		t.Fatal("not interrupted")
 	}
-	if n, _ := to.Keys(""); n < 10 || n > 40 {
+	if n, _ := to.CountKeys(""); n < 10 || n > 40 {
 		t.Fatalf("%d keys were put", n)
 	}
 	if _, err := Restore(ctx, target(dst), path, nil); err != nil {
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"dewlift/core"
-	"dewlift/internal/call"
+	"dewlift/internal/httpjson"
 	"dewlift/wire"
 )
 
@@ -22,17 +22,17 @@
 // Client carries out the core's requests to the state service.
 type Client struct {
 	baseURL    string
-	httpClient *call.Client
+	httpClient *httpjson.Client
 }
 
 // New returns a client of the service at addr.
 func New(addr string) *Client {
-	return &Client{baseURL: "http://" + addr, httpClient: call.New(16, 16, 16<<20)}
+	return &Client{baseURL: "http://" + addr, httpClient: httpjson.New(16, 16, 16<<20)}
 }
 
 // CommitTxn sends a transaction.
 func (c *Client) CommitTxn(ctx context.Context, o core.Commit) core.Committed {
-	reply, r := call.Get[wire.TxnResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathTxn, o.Txn))
+	reply, r := httpjson.Decode[wire.TxnResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathTxn, o.Txn))
 	if !r.Sent { // never reached the service
 		return core.Committed{ID: o.ID, Status: 503}
 	}
@@ -46,7 +46,7 @@
 		hold = watchHoldTime
 	}
 	u := fmt.Sprintf("%s%s?starts=%s&from=%d&hold_ms=%d", c.baseURL, wire.PathWatch, url.QueryEscape(core.Root), o.From, hold.Milliseconds())
-	ch, r := call.Get[wire.WatchResponse](c.httpClient.Do(ctx, hold+requestTimeout, http.MethodGet, u, nil))
+	ch, r := httpjson.Decode[wire.WatchResponse](c.httpClient.Do(ctx, hold+requestTimeout, http.MethodGet, u, nil))
 	return core.Changed{Hold: o.Hold, Status: r.Status, Changes: ch}
 }
 
@@ -59,7 +59,7 @@
 // ReadRange reads a key, or a page of keys.
 func (c *Client) ReadRange(ctx context.Context, o core.Scan) core.Scanned {
 	if o.Key != "" {
-		item, r := call.Get[wire.GetResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathKeys+"/"+o.Key, nil))
+		item, r := httpjson.Decode[wire.GetResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathKeys+"/"+o.Key, nil))
 		out := core.Scanned{ID: o.ID, Status: r.Status, Ledger: item.StoreRevision}
 		if r.Status == http.StatusOK {
 			out.Items = []wire.KeyValue{item.KeyValue}
@@ -70,15 +70,15 @@
 	return core.Scanned{ID: o.ID, Status: r.Status, Items: page.Items, More: page.More, Ledger: page.Revision}
 }
 
-func (c *Client) readPage(ctx context.Context, prefix, from string, most int) (wire.RangeResponse, call.Result) {
-	return call.Get[wire.RangeResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.RangePath(prefix, from, most), nil))
+func (c *Client) readPage(ctx context.Context, prefix, from string, most int) (wire.RangeResponse, httpjson.Response) {
+	return httpjson.Decode[wire.RangeResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.RangePath(prefix, from, most), nil))
 }
 
 // GrantOrRenewLease grants or extends a lease.
 func (c *Client) GrantOrRenewLease(ctx context.Context, o core.LeaseOp) core.Leased {
 	switch o.Op {
 	case "grant":
-		v, r := call.Get[wire.LeaseResponse](c.httpClient.Do(ctx, requestTimeout/2, http.MethodPost, c.baseURL+wire.PathLeases,
+		v, r := httpjson.Decode[wire.LeaseResponse](c.httpClient.Do(ctx, requestTimeout/2, http.MethodPost, c.baseURL+wire.PathLeases,
 			wire.LeaseRequest{TTLMS: uint64(o.TTL.Milliseconds())}))
 		return core.Leased{Op: o.Op, Status: r.Status, Lease: v.LeaseID}
 	default:
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -9,13 +9,13 @@
 	"time"
 
 	"dewlift/core"
-	"dewlift/internal/standin"
+	"dewlift/internal/fakes"
 	"dewlift/wire"
 )
 
-func startFakeStore(t *testing.T, l standin.Limits) (*standin.State, *Client) {
+func startFakeStore(t *testing.T, l fakes.Limits) (*fakes.Store, *Client) {
 	t.Helper()
-	s := standin.NewState(l)
+	s := fakes.NewStore(l)
 	srv := httptest.NewServer(s)
 	t.Cleanup(srv.Close)
 	return s, New(strings.TrimPrefix(srv.URL, "http://"))
@@ -24,13 +24,13 @@
 // Keys, pages, conditions, leases, watches and an outage, as the protocol has them.
 func TestClientSpeaksTheProtocol(t *testing.T) {
 	ctx := t.Context()
-	s, c := startFakeStore(t, standin.Limits{PageItems: 40, Ops: 4})
+	s, c := startFakeStore(t, fakes.Limits{PageItems: 40, TxnOps: 4})
 	var items []wire.KeyValue
 	for i := range 100 {
 		items = append(items, wire.KeyValue{Key: fmt.Sprintf("dl/job/wk-%03d", i), Value: json.RawMessage("1")})
 	}
-	s.Fill(items)
-	s.Fill([]wire.KeyValue{{Key: "da/b/wk-050", Value: json.RawMessage("5")}, {Key: "da/b/~", Value: json.RawMessage("9")}})
+	s.PutUnchecked(items)
+	s.PutUnchecked([]wire.KeyValue{{Key: "da/b/wk-050", Value: json.RawMessage("5")}, {Key: "da/b/~", Value: json.RawMessage("9")}})
 	seen, from := 0, ""
 	for more := true; more; {
 		p := c.LoadSnapshot(ctx, core.Load{From: from})
@@ -91,7 +91,7 @@
 	if ch := c.Watch(ctx, core.Changes{From: 2}); ch.Status != 410 {
 		t.Errorf("too old: %+v", ch.Status)
 	}
-	s.SetLimits(standin.Limits{WriteRPS: 1})
+	s.SetLimits(fakes.Limits{WriteRPS: 1})
 	put(0, 0)
 	if r := put(0, 0); r.Status != 429 {
 		t.Errorf("too many changes: %+v", r)
--- a/tlsconfig/tlsconfig_test.go
+++ b/tlsconfig/tlsconfig_test.go
@@ -54,7 +54,7 @@
 		pool.AppendCertsFromPEM(raw)
 		return &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	}
-	old, fresh := client(first.File), client(second.File)
+	old, fresh := client(first.CertFile), client(second.CertFile)
 	get := func(c *http.Client) error {
 		resp, err := c.Get("https://" + inner.Addr().String())
 		if err != nil {
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	back()
-	if err := get(client(first.File)); err != nil {
+	if err := get(client(first.CertFile)); err != nil {
 		t.Errorf("while the files are replaced: %v", err)
 	}
 	second.Issue(t, "n0", cert, key)
