--- a/agent/agent.go
+++ b/agent/agent.go
@@ -20,9 +20,9 @@
 func New(maxIdleConns int) *Client { return &Client{httpClient: httpjson.New(2, maxIdleConns, 4<<20)} }
 
 // SendCommands sends orders; the answer is the worker's report.
-func (c *Client) SendCommands(ctx context.Context, o core.Orders) core.Ordered {
-	r := c.httpClient.Do(ctx, requestTimeout, http.MethodPost, "http://"+o.Addr+wire.PathAgentCommands, o.Body)
-	out := core.Ordered{ID: o.ID, Status: r.Status, Sent: r.Sent}
+func (c *Client) SendCommands(ctx context.Context, o core.SendCommands) core.CommandsResult {
+	r := c.httpClient.Do(ctx, requestTimeout, http.MethodPost, "http://"+o.Addr+wire.PathAgentCommands, o.Batch)
+	out := core.CommandsResult{ID: o.ID, Status: r.Status, MaybeDelivered: r.Sent}
 	if r.Status != 200 && r.Status != 409 {
 		return out
 	}
@@ -31,17 +31,17 @@
 		out.Status = 0 // an answer that can't be understood is none
 		return out
 	}
-	out.Report = rep
+	out.Heartbeat = rep
 	return out
 }
 
 // PollAgent asks a worker for its report.
-func (c *Client) PollAgent(ctx context.Context, o core.Probe) core.Seen {
+func (c *Client) PollAgent(ctx context.Context, o core.PollAgent) core.AgentPolled {
 	r := c.httpClient.Do(ctx, requestTimeout, http.MethodGet, "http://"+o.Addr+wire.PathAgentStatus, nil)
-	out := core.Seen{Machine: o.Machine}
+	out := core.AgentPolled{Machine: o.Machine}
 	if r.Status == 200 {
 		if rep, err := wire.ParseHeartbeat(r.Body); err == nil {
-			out.Report = rep
+			out.Heartbeat = rep
 		}
 	}
 	return out
--- a/api/api.go
+++ b/api/api.go
@@ -39,7 +39,7 @@
 	log              *slog.Logger
 	mu               sync.Mutex
 	lastRequestID    uint64
-	pendingResponses map[uint64]chan core.Reply
+	pendingResponses map[uint64]chan core.Response
 	authenticator    *authenticator
 	tlsConfig        *tls.Config
 
@@ -59,7 +59,7 @@
 
 // New returns a server; bound is how far the time of day may be off. Without TLS settings it is in plain text.
 func New(service Service, clockErrorBound time.Duration, tlsConfig *tls.Config, log *slog.Logger) *Server {
-	return &Server{service: service, log: log, pendingResponses: map[uint64]chan core.Reply{}, authenticator: newAuthenticator(clockErrorBound), tlsConfig: tlsConfig, denied: audit.Aggregator{MaxBytes: maxDeniedBytes}}
+	return &Server{service: service, log: log, pendingResponses: map[uint64]chan core.Response{}, authenticator: newAuthenticator(clockErrorBound), tlsConfig: tlsConfig, denied: audit.Aggregator{MaxBytes: maxDeniedBytes}}
 }
 
 // SetPermissions puts rights in force: from now on, requests need a token.
@@ -75,7 +75,7 @@
 }
 
 // authenticated makes a handler of one that is told who asks.
-func (s *Server) authenticated(h func(c fiber.Ctx, by core.Cred) error) fiber.Handler {
+func (s *Server) authenticated(h func(c fiber.Ctx, by core.Credential) error) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		by, status, why := s.authenticator.authenticate(c.Get(fiber.HeaderAuthorization), commonName(c), time.Now())
 		if status == 0 {
@@ -108,10 +108,10 @@
 }
 
 // DeliverResponse delivers a reply of the core.
-func (s *Server) DeliverResponse(r core.Reply) {
+func (s *Server) DeliverResponse(r core.Response) {
 	s.mu.Lock()
-	ch := s.pendingResponses[r.Req]
-	delete(s.pendingResponses, r.Req)
+	ch := s.pendingResponses[r.RequestID]
+	delete(s.pendingResponses, r.RequestID)
 	s.mu.Unlock()
 	if ch != nil {
 		ch <- r
@@ -134,8 +134,8 @@
 	defer t.Stop()
 	select {
 	case r := <-ch:
-		if r.RetryAfter > 0 {
-			c.Set(fiber.HeaderRetryAfter, strconv.Itoa(r.RetryAfter))
+		if r.RetryAfterSeconds > 0 {
+			c.Set(fiber.HeaderRetryAfter, strconv.Itoa(r.RetryAfterSeconds))
 		}
 		return c.Status(r.Status).JSON(r.Body)
 	case <-t.C:
@@ -144,7 +144,7 @@
 	}
 }
 
-func newResponseChannel() chan core.Reply { return make(chan core.Reply, 1) }
+func newResponseChannel() chan core.Response { return make(chan core.Response, 1) }
 
 func (s *Server) dropPendingResponse(id uint64) {
 	s.mu.Lock()
@@ -180,66 +180,66 @@
 		}
 		return unavailable(c, "not serving")
 	})
-	app.Get(wire.PathStoreEndpoint, s.authenticated(func(c fiber.Ctx, by core.Cred) error {
+	app.Get(wire.PathStoreEndpoint, s.authenticated(func(c fiber.Ctx, by core.Credential) error {
 		err := s.handleInput(c, userResponseTimeout, func(req uint64) core.Input {
 			object := "site"
 			if c.Query("for") == wire.EndpointForSnapshot {
 				object = "snapshot"
 			}
-			return core.Check{Req: req, By: by, Verb: pb.Verb_administer, Object: object}
+			return core.CheckPermission{RequestID: req, Caller: by, Verb: pb.Verb_administer, Object: object}
 		})
 		if err != nil || c.Response().StatusCode() != fiber.StatusOK {
 			return err
 		}
 		return c.JSON(s.service.StoreEndpoint())
 	}))
-	app.Get(wire.PathAudit, s.authenticated(func(c fiber.Ctx, by core.Cred) error {
-		in := core.ReadAudit{By: by, Node: string([]byte(c.Query("node")))}
+	app.Get(wire.PathAudit, s.authenticated(func(c fiber.Ctx, by core.Credential) error {
+		in := core.ReadAudit{Caller: by, Node: string([]byte(c.Query("node")))}
 		if after := c.Query("after"); after != "" {
 			var err error
-			if in.After, err = strconv.ParseUint(after, 10, 64); err != nil {
+			if in.AfterBlock, err = strconv.ParseUint(after, 10, 64); err != nil {
 				return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: "after: not the number of a block"})
 			}
 		}
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
 	}))
-	app.Get(wire.PathPermissions, s.authenticated(func(c fiber.Ctx, by core.Cred) error {
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.ShowRights{Req: req, By: by} })
+	app.Get(wire.PathPermissions, s.authenticated(func(c fiber.Ctx, by core.Credential) error {
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.ListPermissions{RequestID: req, Caller: by} })
 	}))
-	app.Post(wire.PathPermissions+"/:who", s.authenticated(func(c fiber.Ctx, by core.Cred) error {
-		in := core.Change{By: by, Who: string([]byte(c.Params("who")))}
+	app.Post(wire.PathPermissions+"/:who", s.authenticated(func(c fiber.Ctx, by core.Credential) error {
+		in := core.UpdatePermissions{Caller: by, Identity: string([]byte(c.Params("who")))}
 		if err := json.Unmarshal(c.Body(), &in.Edit); err != nil {
 			return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: "not a change of rights: " + err.Error()})
 		}
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
 	}))
 	s.addReservationRoutes(app)
 	s.addQueueRoutes(app)
-	app.Post(wire.PathJobs, s.authenticated(func(c fiber.Ctx, by core.Cred) error {
-		in := core.Submit{By: by, UnixMS: time.Now().UnixMilli()}
+	app.Post(wire.PathJobs, s.authenticated(func(c fiber.Ctx, by core.Credential) error {
+		in := core.SubmitJob{Caller: by, UnixMS: time.Now().UnixMilli()}
 		spec, err := wire.ParseSubmission(c.Body())
 		if err != nil {
-			in.ID, in.Bad = wire.PeekJobID(c.Body()), err.Error()
+			in.ID, in.DecodeError = wire.PeekJobID(c.Body()), err.Error()
 		} else {
 			in.ID, in.Spec = spec.ID, spec
 		}
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
 	}))
-	app.Get(wire.PathJobs+"/:id", s.authenticated(func(c fiber.Ctx, by core.Cred) error {
+	app.Get(wire.PathJobs+"/:id", s.authenticated(func(c fiber.Ctx, by core.Credential) error {
 		id := string([]byte(c.Params("id")))
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.Poll{Req: req, ID: id, By: by} })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id, Caller: by} })
 	}))
-	app.Post(wire.PathJobs+"/:id/withdraw", s.authenticated(func(c fiber.Ctx, by core.Cred) error {
+	app.Post(wire.PathJobs+"/:id/withdraw", s.authenticated(func(c fiber.Ctx, by core.Credential) error {
 		id := string([]byte(c.Params("id")))
 		now := time.Now().UnixMilli()
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.Cancel{Req: req, ID: id, UnixMS: now, By: by} })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: id, UnixMS: now, Caller: by} })
 	}))
 	app.Post(wire.PathHeartbeat, func(c fiber.Ctx) error {
 		r, err := wire.ParseHeartbeat(c.Body())
 		if err != nil {
 			return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: err.Error()})
 		}
-		var by core.Cred
+		var by core.Credential
 		if p := s.authenticator.policy.Load(); p != nil && p.AgentsMustSign() {
 			var status int
 			var why string
@@ -248,7 +248,7 @@
 				return c.Status(status).JSON(wire.Error{Error: access.ErrInvalidToken.Error()})
 			}
 		}
-		return s.handleInput(c, heartbeatResponseTimeout, func(req uint64) core.Input { return core.Beat{Req: req, Report: r, By: by} })
+		return s.handleInput(c, heartbeatResponseTimeout, func(req uint64) core.Input { return core.AgentHeartbeat{RequestID: req, Heartbeat: r, Caller: by} })
 	})
 	return app
 }
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -36,14 +36,14 @@
 		return false
 	}
 	switch in := in.(type) {
-	case core.Submit:
-		r := core.Reply{Req: in.Req, Status: 201, Body: wire.JobState{ID: in.ID, Stage: wire.StageQueued}}
-		if in.Bad != "" {
-			r.Status, r.Body = 400, wire.Error{Error: in.Bad}
+	case core.SubmitJob:
+		r := core.Response{RequestID: in.RequestID, Status: 201, Body: wire.JobState{ID: in.ID, Stage: wire.StageQueued}}
+		if in.DecodeError != "" {
+			r.Status, r.Body = 400, wire.Error{Error: in.DecodeError}
 		}
 		go e.server.DeliverResponse(r)
-	case core.Poll:
-		go e.server.DeliverResponse(core.Reply{Req: in.Req, Status: 503, RetryAfter: 1, Body: wire.Error{}})
+	case core.GetJob:
+		go e.server.DeliverResponse(core.Response{RequestID: in.RequestID, Status: 503, RetryAfterSeconds: 1, Body: wire.Error{}})
 	}
 	return true
 }
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -52,14 +52,14 @@
 }
 
 // authenticate tells who sent a request, by a certificate that was verified or a token; a status other than 0 refuses it.
-func (g *authenticator) authenticate(header, certificate string, now time.Time) (cr core.Cred, status int, why string) {
+func (g *authenticator) authenticate(header, certificate string, now time.Time) (cr core.Credential, status int, why string) {
 	p := g.policy.Load()
 	if p == nil {
-		return core.Cred{}, 0, ""
+		return core.Credential{}, 0, ""
 	}
 	if header == "" && certificate != "" {
 		if p.AllowsCertificate(certificate) {
-			return core.Cred{Who: certificate, Key: access.CertificateKey}, 0, ""
+			return core.Credential{Identity: certificate, KeyID: access.CertificateKey}, 0, ""
 		}
 		return cr, fiber.StatusUnauthorized, "the certificate is nobody's"
 	}
@@ -69,7 +69,7 @@
 	}
 	if a, ok := g.verifiedTokens.Get(token); ok {
 		if k, there := p.Key(a.key.ID); there && k.Holder == a.key.Holder && k.Public.Equal(a.key.Public) && now.Before(a.validUntil) {
-			return core.Cred{Who: k.Holder, Key: k.ID}, 0, ""
+			return core.Credential{Identity: k.Holder, KeyID: k.ID}, 0, ""
 		}
 		g.verifiedTokens.Remove(token)
 	}
@@ -85,7 +85,7 @@
 		return cr, fiber.StatusUnauthorized, access.ErrInvalidToken.Error()
 	}
 	g.verifiedTokens.Add(token, verifiedToken{k, until})
-	return core.Cred{Who: k.Holder, Key: k.ID}, 0, ""
+	return core.Credential{Identity: k.Holder, KeyID: k.ID}, 0, ""
 }
 
 func (g *authenticator) allowVerification(key string, now time.Time) bool {
--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -63,7 +63,7 @@
 	g, keys := newTestAuthenticator(t, "anna", "potter")
 	token := bearerHeader(t, keys["anna"], now)
 	for range 2 { // verified, then remembered
-		if cr, status, _ := g.authenticate(token, "", now); status != 0 || cr.Who != "anna" || cr.Key != "key-anna" {
+		if cr, status, _ := g.authenticate(token, "", now); status != 0 || cr.Identity != "anna" || cr.KeyID != "key-anna" {
 			t.Fatalf("got %+v, %d", cr, status)
 		}
 	}
@@ -210,7 +210,7 @@
 	f.Fuzz(func(t *testing.T, name, header string) {
 		by, status, why := g.authenticate(header, name, time.Unix(1_800_000_000, 0))
 		good := header == "" && name == "anna"
-		if (status == 0) != good || good && (by.Who != "anna" || by.Key != access.CertificateKey) || !good && (by.Who != "" || why == "") {
+		if (status == 0) != good || good && (by.Identity != "anna" || by.KeyID != access.CertificateKey) || !good && (by.Identity != "" || why == "") {
 			t.Errorf("%q with %q: %+v, %d %s", name, header, by, status, why)
 		}
 	})
--- a/api/reservation.go
+++ b/api/reservation.go
@@ -17,7 +17,7 @@
 func (s *Server) SetReservationsEnabled(open bool) { s.reservationsEnabled.Store(open) }
 
 // whenEnabled makes a handler of a path that is unknown until something is turned on.
-func (s *Server) whenEnabled(on *atomic.Bool, h func(c fiber.Ctx, by core.Cred) error) fiber.Handler {
+func (s *Server) whenEnabled(on *atomic.Bool, h func(c fiber.Ctx, by core.Credential) error) fiber.Handler {
 	as := s.authenticated(h)
 	return func(c fiber.Ctx) error {
 		if !on.Load() {
@@ -29,16 +29,16 @@
 
 // addReservationRoutes are the paths of bookings and equipment.
 func (s *Server) addReservationRoutes(app *fiber.App) {
-	open := func(h func(c fiber.Ctx, by core.Cred) error) fiber.Handler {
+	open := func(h func(c fiber.Ctx, by core.Credential) error) fiber.Handler {
 		return s.whenEnabled(&s.reservationsEnabled, h)
 	}
 	query := func(read func(c fiber.Ctx, q *wire.ReservationQuery) error) fiber.Handler {
-		return open(func(c fiber.Ctx, by core.Cred) error {
-			in := core.ShowBookings{By: by}
+		return open(func(c fiber.Ctx, by core.Credential) error {
+			in := core.ListReservations{Caller: by}
 			if err := read(c, &in.Query); err != nil {
 				return badReservation(c, err.Error())
 			}
-			return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
+			return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
 		})
 	}
 	// Text of the request is copied, as its memory is used again.
@@ -62,16 +62,18 @@
 	}))
 	app.Get(wire.PathReservations+"/:id", query(func(c fiber.Ctx, q *wire.ReservationQuery) error { q.ID = text(c.Params("id")); return nil }))
 	app.Get(wire.PathEquipment, query(func(fiber.Ctx, *wire.ReservationQuery) error { return nil }))
-	app.Post(wire.PathEquipment, open(func(c fiber.Ctx, by core.Cred) error {
-		in := core.Equip{By: by}
+	app.Post(wire.PathEquipment, open(func(c fiber.Ctx, by core.Credential) error {
+		in := core.SetEquipment{Caller: by}
 		if err := json.Unmarshal(c.Body(), &in.Edit); err != nil {
 			return badReservation(c, "not a change of the equipment: "+err.Error())
 		}
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
+		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
 	}))
-	app.Post(wire.PathReservations, open(func(c fiber.Ctx, by core.Cred) error { return s.handleReservation(c, by, booking.VerbCreate, "") }))
+	app.Post(wire.PathReservations, open(func(c fiber.Ctx, by core.Credential) error { return s.handleReservation(c, by, booking.VerbCreate, "") }))
 	for verb, path := range map[booking.Verb]string{booking.VerbConfirm: "confirm", booking.VerbMove: "move", booking.VerbEnd: "end"} {
-		app.Post(wire.PathReservations+"/:id/"+path, open(func(c fiber.Ctx, by core.Cred) error { return s.handleReservation(c, by, verb, text(c.Params("id"))) }))
+		app.Post(wire.PathReservations+"/:id/"+path, open(func(c fiber.Ctx, by core.Credential) error {
+			return s.handleReservation(c, by, verb, text(c.Params("id")))
+		}))
 	}
 }
 
@@ -80,15 +82,15 @@
 }
 
 // handleReservation hands on what is asked of a booking; the path names it, except when it is made.
-func (s *Server) handleReservation(c fiber.Ctx, by core.Cred, verb booking.Verb, id string) error {
-	in := core.Book{By: by, Verb: verb}
+func (s *Server) handleReservation(c fiber.Ctx, by core.Credential, verb booking.Verb, id string) error {
+	in := core.ReserveEquipment{Caller: by, Verb: verb}
 	if len(c.Body()) > 0 {
-		if err := json.Unmarshal(c.Body(), &in.Ask); err != nil {
+		if err := json.Unmarshal(c.Body(), &in.Request); err != nil {
 			return badReservation(c, "not a booking: "+err.Error())
 		}
 	}
 	if id != "" {
-		in.Ask.ID = id
+		in.Request.ID = id
 	}
-	return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.Req = req; return in })
+	return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
 }
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -31,8 +31,8 @@
 }
 
 // Execute makes one call.
-func (c *Client) Execute(ctx context.Context, o core.CloudOp) core.Clouded {
-	out := core.Clouded{ID: o.ID}
+func (c *Client) Execute(ctx context.Context, o core.CloudRequest) core.CloudResult {
+	out := core.CloudResult{ID: o.ID}
 	var r httpjson.Response
 	switch o.Op {
 	case "catalog":
@@ -43,10 +43,10 @@
 		return c.listMachines(ctx, o)
 	case "rent":
 		var v wire.MachineNames
-		v, r = httpjson.Decode[wire.MachineNames](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathInstances, o.Rent))
-		out.Names = v.Machines
+		v, r = httpjson.Decode[wire.MachineNames](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathInstances, o.ScaleOut))
+		out.MachineNames = v.Machines
 	case "return":
-		r = c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathScaleIn, wire.MachineNames{Machines: o.Names})
+		r = c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathScaleIn, wire.MachineNames{Machines: o.MachineNames})
 	}
 	out.Status = r.Status
 	if r.Status != 200 {
@@ -59,11 +59,11 @@
 }
 
 // listMachines reads one page of the list of machines.
-func (c *Client) listMachines(ctx context.Context, o core.CloudOp) core.Clouded {
+func (c *Client) listMachines(ctx context.Context, o core.CloudRequest) core.CloudResult {
 	u := fmt.Sprintf("%s%s?most=%d", c.baseURL, wire.PathInstances, pageSize)
-	if o.From != "" {
-		u += "&from=" + url.QueryEscape(o.From)
+	if o.AfterMachine != "" {
+		u += "&from=" + url.QueryEscape(o.AfterMachine)
 	}
 	v, r := httpjson.Decode[wire.MachineList](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, u, nil))
-	return core.Clouded{ID: o.ID, Status: r.Status, Machines: v.Machines, More: v.More}
+	return core.CloudResult{ID: o.ID, Status: r.Status, Machines: v.Machines, More: v.More}
 }
--- a/controller.go
+++ b/controller.go
@@ -68,7 +68,7 @@
 	c := &Controller{log: log, platform: p, inputs: make(chan core.Input, inputQueueLength), startedAt: time.Now(),
 		store: statestore.New(p.Services.State), cloud: cloud.New(p.Services.Cloud), agents: agent.New(connlimit.Divide(p.Cluster.Quota.FDLimit).IdleAgentConns), metrics: newMetrics()}
 	cfg := CoreConfig(p, t)
-	cfg.Access, cfg.AuditKey, cfg.Equipment, cfg.Lanes, cfg.Settings = g.Permissions, g.AuditKey, g.Equipment, g.PriorityClasses, settings.AuditedValues(p, t)
+	cfg.Permissions, cfg.AuditKey, cfg.Equipment, cfg.PriorityClasses, cfg.Settings = g.Permissions, g.AuditKey, g.Equipment, g.PriorityClasses, settings.AuditedValues(p, t)
 	c.core = core.New(cfg, 0, rand.Uint64())
 	peers := map[string]string{}
 	for _, q := range p.Peers {
@@ -87,80 +87,80 @@
 	now, next := &k.State, &k.State.Next
 	cfg := core.Config{
 		// Of the platform.
-		Form:         core.Form,
-		Name:         p.Name,
-		Zone:         p.Zone,
-		StateRPS:     lowerLimit(now.RPS, next.RPS),
-		WriteRPS:     now.WriteRPS,
-		NextWriteRPS: lowerLimit(now.WriteRPS, next.WriteRPS),
-		ValueBytes:   int(lowerLimit(now.ValueKB, next.ValueKB) * 1024),
-		TxnOps:       lowerLimit(now.TxnOps, next.TxnOps),
-		CloudRPS:     max(1, k.Cloud.RPS*0.9),
-		ListLag:      settings.DurationFromSeconds(k.Cloud.ListLagS),
-		ReportEvery:  settings.DurationFromSeconds(k.Workers.ReportS),
-		WorkerLease:  settings.DurationFromSeconds(k.Workers.LeaseS),
-		CancelIn:     settings.DurationFromSeconds(k.Workers.CancelS),
-		AuditForget:  maxStoreRequestDelay,
-		TimeBoundMS:  uint32(k.TimeBoundMS),
-		OrdersMost:   parts.AgentCommands,
-		ProbesMost:   parts.AgentPolls,
+		SchemaVersion:      core.SchemaVersion,
+		Name:               p.Name,
+		Zone:               p.Zone,
+		StoreRequestRate:   lowerLimit(now.RPS, next.RPS),
+		StoreWriteRate:     now.WriteRPS,
+		NextStoreWriteRate: lowerLimit(now.WriteRPS, next.WriteRPS),
+		MaxValueBytes:      int(lowerLimit(now.ValueKB, next.ValueKB) * 1024),
+		MaxTxnOps:          lowerLimit(now.TxnOps, next.TxnOps),
+		CloudRequestRate:   max(1, k.Cloud.RPS*0.9),
+		CloudListLag:       settings.DurationFromSeconds(k.Cloud.ListLagS),
+		HeartbeatInterval:  settings.DurationFromSeconds(k.Workers.ReportS),
+		AgentLeaseTTL:      settings.DurationFromSeconds(k.Workers.LeaseS),
+		CancelTimeout:      settings.DurationFromSeconds(k.Workers.CancelS),
+		AuditForgetAfter:   maxStoreRequestDelay,
+		MaxClockErrorMS:    uint32(k.TimeBoundMS),
+		MaxCommandRequests: parts.AgentCommands,
+		MaxPollRequests:    parts.AgentPolls,
 
 		// Of the operators: `dewlift settings` tells what they do.
-		Lease:        ms(t.GetLeaseMs()),
-		Shards:       int(t.GetShards()),
-		WatchGap:     ms(t.GetWatchGapMs()),
-		ReadGap:      ms(t.GetBarrierGapMs()),
-		WriteShare:   t.GetWriteShare(),
-		DeltaEvery:   ms(t.GetDeltaMs()),
-		PushEvery:    ms(t.GetPushMs()),
-		CopyExpire:   ms(t.GetExpireMs()),
-		ProbeRatio:   t.GetProbeRatio(),
-		RandomFill:   t.GetRandomFill(),
-		PreferImage:  t.GetPreferImage(),
-		PreferSpot:   t.GetPreferSpot(),
-		HorizonStep:  ms(t.GetHorizonMs()),
-		SpareShare:   t.GetSpareShare(),
-		SpareService: t.GetSpareService(),
-		SpareDev:     t.GetSpareDeviations(),
-		Idle:         ms(t.GetIdleMs()),
-		IdleBoots:    t.GetIdleBoots(),
-		SoonBoots:    t.GetSoonBoots(),
-		Silent:       ms(t.GetSilentMs()),
-		BootPatience: t.GetBootPatience(),
-		Settle:       ms(t.GetSettleMs()),
-		CancelShare:  t.GetCancelShare(),
-		SharedValues: t.GetSharedValues(),
-		Archive:      t.GetArchive(),
-		EndedKept:    int(t.GetEndedKept()),
-		HistoryCache: int(t.GetHistoryCacheKb()) << 10,
-		AuditGather:  ms(t.GetAuditGatherMs()),
-		AuditBlock:   ms(t.GetAuditBlockMs()),
-		HistoryShare: t.GetHistoryShare(),
-		HistoryWait:  ms(t.GetHistoryWaitMs()),
-		WholePush:    ms(t.GetWholePushMs()),
-		PushGap:      ms(t.GetPushGapMs()),
-		OrderAgain:   ms(t.GetOrderAgainMs()),
-		ClearWait:    ms(t.GetClearMs()),
-		PassTime:     ms(t.GetPassMs()),
-		LinkLost:     ms(t.GetLinkLostMs()),
-		RoomAgain:    ms(t.GetRoomAgainMs()),
-		ListEvery:    ms(t.GetListMs()),
-		SettleMost:   ms(t.GetSettleMostMs()),
-		LossGather:   ms(t.GetLossGatherMs()),
-		AcceptWait:   ms(t.GetAcceptWaitMs()),
-		HealthEvery:  ms(t.GetHealthMs()),
-		LookAll:      ms(t.GetLookAllMs()),
-		RentAhead:    ms(t.GetRentAheadMs()),
-		GiveWay:      ms(t.GetGiveWayMs()),
-		RiseAfter:    ms(t.GetRiseMs()),
-		BookingKeep:  time.Duration(t.GetBookingKeepMin()) * time.Minute,
+		LeaseTTL:                ms(t.GetLeaseMs()),
+		Shards:                  int(t.GetShards()),
+		MinWatchInterval:        ms(t.GetWatchGapMs()),
+		MinReadBarrierInterval:  ms(t.GetBarrierGapMs()),
+		MaxWriteShare:           t.GetWriteShare(),
+		DeltaInterval:           ms(t.GetDeltaMs()),
+		StatePushInterval:       ms(t.GetPushMs()),
+		StateCopyExpiry:         ms(t.GetExpireMs()),
+		CandidateRatio:          t.GetProbeRatio(),
+		RandomPlacement:         t.GetRandomFill(),
+		PreferImage:             t.GetPreferImage(),
+		PreferSpot:              t.GetPreferSpot(),
+		BusyHorizonStep:         ms(t.GetHorizonMs()),
+		HeadroomShare:           t.GetSpareShare(),
+		ServiceHeadroomShare:    t.GetSpareService(),
+		HeadroomDeviations:      t.GetSpareDeviations(),
+		IdleTimeout:             ms(t.GetIdleMs()),
+		IdleBootFactor:          t.GetIdleBoots(),
+		SoonFreeBootFactor:      t.GetSoonBoots(),
+		SilenceTimeout:          ms(t.GetSilentMs()),
+		BootTimeoutFactor:       t.GetBootPatience(),
+		MinEndBatchDelay:        ms(t.GetSettleMs()),
+		CancelScaleInShare:      t.GetCancelShare(),
+		SharedValues:            t.GetSharedValues(),
+		Archive:                 t.GetArchive(),
+		MaxEndedJobs:            int(t.GetEndedKept()),
+		HistoryCacheBytes:       int(t.GetHistoryCacheKb()) << 10,
+		AuditGatherDelay:        ms(t.GetAuditGatherMs()),
+		AuditBlockDelay:         ms(t.GetAuditBlockMs()),
+		HistoryReadShare:        t.GetHistoryShare(),
+		ArchiveStartDelay:       ms(t.GetHistoryWaitMs()),
+		FullStatePushInterval:   ms(t.GetWholePushMs()),
+		MinStatePushInterval:    ms(t.GetPushGapMs()),
+		CommandRetryInterval:    ms(t.GetOrderAgainMs()),
+		EndedTaskClearDelay:     ms(t.GetClearMs()),
+		RelayTimeout:            ms(t.GetPassMs()),
+		PeerTimeout:             ms(t.GetLinkLostMs()),
+		PreemptionRetryInterval: ms(t.GetRoomAgainMs()),
+		CloudListInterval:       ms(t.GetListMs()),
+		MaxEndBatchDelay:        ms(t.GetSettleMostMs()),
+		LostTaskBatchDelay:      ms(t.GetLossGatherMs()),
+		SubmitWriteTimeout:      ms(t.GetAcceptWaitMs()),
+		HealthInterval:          ms(t.GetHealthMs()),
+		FullScanInterval:        ms(t.GetLookAllMs()),
+		ScaleOutLeadTime:        ms(t.GetRentAheadMs()),
+		YieldAfter:              ms(t.GetGiveWayMs()),
+		PriorityAgingInterval:   ms(t.GetRiseMs()),
+		ReservationRetention:    time.Duration(t.GetBookingKeepMin()) * time.Minute,
 	}
 	for _, q := range p.Peers {
 		cfg.Peers = append(cfg.Peers, q.Name)
 	}
 	for _, q := range k.Teams {
-		cfg.Teams = append(cfg.Teams, core.Team{Name: q.Name, CPU: int64(q.ReservedCPUs * 1000), GPU: int64(q.ReservedGPUs * 1000),
-			CPUMax: int64(q.MaxCPUs * 1000), GPUMax: int64(q.MaxGPUs * 1000)})
+		cfg.Teams = append(cfg.Teams, core.Team{Name: q.Name, ReservedCPU: int64(q.ReservedCPUs * 1000), ReservedGPU: int64(q.ReservedGPUs * 1000),
+			MaxCPU: int64(q.MaxCPUs * 1000), MaxGPU: int64(q.MaxGPUs * 1000)})
 	}
 	return cfg
 }
@@ -222,7 +222,7 @@
 	in := connlimit.NewListener(users, connlimit.Divide(c.platform.Cluster.Quota.FDLimit))
 	go func() { errs <- c.server.Serve(ctx, in) }()
 	go func() {
-		errs <- c.mesh.Serve(ctx, peers, func(peer string, m core.Msg) { c.Enqueue(core.FromPeer{Peer: peer, Msg: m}) })
+		errs <- c.mesh.Serve(ctx, peers, func(peer string, m core.Message) { c.Enqueue(core.PeerMessage{Peer: peer, Message: m}) })
 	}()
 	c.log.Info("controller started", "node", c.platform.Name, "zone", c.platform.Zone)
 	return c.eventLoop(ctx, in, errs)
@@ -233,7 +233,7 @@
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	clock, last := time.Duration(-1), time.Since(c.startedAt)
-	var strain core.Strain
+	var strain core.LoadSample
 	report := 10 * time.Second
 	for {
 		var first core.Input
@@ -251,17 +251,17 @@
 		now := time.Since(c.startedAt)
 		// Whatever comes in, there is a turn at every tick: the time beyond it was spent on the turn before, or the processor
 		// was not to be had.
-		strain.Late = max(strain.Late, now-last-tickInterval)
-		strain.Queue = max(strain.Queue, float64(len(c.inputs))/inputQueueLength)
+		strain.MaxLoopDelay = max(strain.MaxLoopDelay, now-last-tickInterval)
+		strain.InputQueueUsage = max(strain.InputQueueUsage, float64(len(c.inputs))/inputQueueLength)
 		last = now
 		if clock < 0 || now-clock > time.Second {
 			clock = now
-			c.core.Handle(now, core.Clock{UnixMS: time.Now().UnixMilli()})
-			strain.Sockets = users.Utilization()
+			c.core.Handle(now, core.WallClock{UnixMS: time.Now().UnixMilli()})
+			strain.ConnectionUsage = users.Utilization()
 			c.core.Handle(now, strain)
-			strain = core.Strain{}
+			strain = core.LoadSample{}
 			if items := c.server.TakeDenied(); len(items) > 0 {
-				c.core.Handle(now, core.Refused{Items: items})
+				c.core.Handle(now, core.RequestsDenied{Items: items})
 			}
 		}
 		if first != nil {
@@ -303,38 +303,38 @@
 // execute carries out an output.
 func (c *Controller) execute(ctx context.Context, o core.Output) {
 	switch o := o.(type) {
-	case core.Reply:
+	case core.Response:
 		c.server.DeliverResponse(o)
-	case core.ToPeer:
-		c.mesh.Send(o.Peer, o.Msg)
-	case core.Commit:
+	case core.SendToPeer:
+		c.mesh.Send(o.Peer, o.Message)
+	case core.CommitTxn:
 		go func() {
 			sent := time.Now()
 			out := c.store.CommitTxn(ctx, o)
 			c.metrics.recordLatency(c.metrics.txnLatency, time.Since(sent))
 			c.enqueueResult(ctx, out)
 		}()
-	case core.Changes:
+	case core.Watch:
 		go func() { c.enqueueResult(ctx, c.store.Watch(ctx, o)) }()
-	case core.Load:
+	case core.LoadSnapshot:
 		go func() { c.enqueueResult(ctx, c.store.LoadSnapshot(ctx, o)) }()
-	case core.Scan:
+	case core.ReadRange:
 		go func() { c.enqueueResult(ctx, c.store.ReadRange(ctx, o)) }()
-	case core.LeaseOp:
+	case core.LeaseRequest:
 		go func() { c.enqueueResult(ctx, c.store.GrantOrRenewLease(ctx, o)) }()
-	case core.Orders:
+	case core.SendCommands:
 		go func() { c.enqueueResult(ctx, c.agents.SendCommands(ctx, o)) }()
-	case core.Probe:
+	case core.PollAgent:
 		go func() { c.enqueueResult(ctx, c.agents.PollAgent(ctx, o)) }()
-	case core.CloudOp:
+	case core.CloudRequest:
 		go func() { c.enqueueResult(ctx, c.cloud.Execute(ctx, o)) }()
-	case core.Rights:
+	case core.PermissionsChanged:
 		c.server.SetPermissions(o.Policy)
-	case core.Queue:
-		c.server.SetQueueEnabled(o.Open)
-	case core.Bookings:
-		c.server.SetReservationsEnabled(o.Open)
-	case core.Note:
+	case core.QueueEnabled:
+		c.server.SetQueueEnabled(o.Enabled)
+	case core.ReservationsEnabled:
+		c.server.SetReservationsEnabled(o.Enabled)
+	case core.LogLine:
 		level := slog.LevelInfo
 		switch o.Level {
 		case "error":
@@ -342,6 +342,6 @@
 		case "debug":
 			level = slog.LevelDebug
 		}
-		c.log.Log(ctx, level, o.Text, o.Args...)
+		c.log.Log(ctx, level, o.Message, o.Args...)
 	}
 }
--- a/controller_test.go
+++ b/controller_test.go
@@ -379,14 +379,14 @@
 func TestEachQueuedInputIsHandledWithItsOwnTime(t *testing.T) {
 	inputs := make(chan core.Input, 4)
 	now := time.Second
-	inputs <- core.Clock{UnixMS: 1}
-	inputs <- core.Clock{UnixMS: 2}
+	inputs <- core.WallClock{UnixMS: 1}
+	inputs <- core.WallClock{UnixMS: 2}
 	var got []time.Duration
 	last := handleQueuedInputs(inputs, maxInputsPerTurn, func() time.Duration { return now }, func(at time.Duration, in core.Input) {
 		got = append(got, at)
 		now += time.Minute // it stands still, and a report comes
-		if in == (core.Clock{UnixMS: 1}) {
-			inputs <- core.Beat{}
+		if in == (core.WallClock{UnixMS: 1}) {
+			inputs <- core.AgentHeartbeat{}
 		}
 	})
 	if want := []time.Duration{time.Second, 61 * time.Second, 121 * time.Second}; !slices.Equal(got, want) || last != want[2] {
--- a/core/audit.go
+++ b/core/audit.go
@@ -16,170 +16,172 @@
 // KeyRestored exists where a snapshot was restored and that is not recorded yet.
 const KeyRestored = Root + "restored"
 
-const auditPage = 40 // blocks in an answer
+const auditPageBlocks = 40 // blocks in an answer
 
-// restored is a restored state that is not recorded yet.
-type restored struct {
-	mark uint64 // of KeyRestored; 0: there is none
-	what string
-	busy bool
+// restoreMarker is a restored state that is not recorded yet.
+type restoreMarker struct {
+	revision      uint64 // of KeyRestored; 0: there is none
+	description   string
+	writeInFlight bool
 }
 
-func (c *Core) newRecorder() *auditlog.Recorder {
+func (c *Core) newAuditLog() *auditlog.Recorder {
 	k := &c.cfg
-	return auditlog.New(auditlog.Config{Key: k.AuditKey, Node: k.Name, GatherInterval: k.AuditGather, BlockDelay: k.AuditBlock, LateTxnWindow: k.AuditForget,
-		ClockErrorMS: k.TimeBoundMS, Settings: k.Settings, StartedAt: c.now, Log: c.note})
+	return auditlog.New(auditlog.Config{Key: k.AuditKey, Node: k.Name, GatherInterval: k.AuditGatherDelay, BlockDelay: k.AuditBlockDelay, LateTxnWindow: k.AuditForgetAfter,
+		ClockErrorMS: k.MaxClockErrorMS, Settings: k.Settings, StartedAt: c.now, Log: c.log})
 }
 
-// recorder is the audit record, as of this moment.
-func (c *Core) recorder() *auditlog.Recorder {
-	c.audit.Env = auditlog.Env{Now: c.now, UnixMS: c.unixMS(), Enabled: c.auditing(), MaxValueBytes: c.cfg.ValueBytes}
-	return c.audit
+// currentAuditLog is the audit record, as of this moment.
+func (c *Core) currentAuditLog() *auditlog.Recorder {
+	c.auditLog.Env = auditlog.Env{Now: c.now, UnixMS: c.unixMS(), Enabled: c.isAuditing(), MaxValueBytes: c.cfg.MaxValueBytes}
+	return c.auditLog
 }
 
-func actOf(by Cred, verb, object, why string) auditlog.Event {
-	return auditlog.Event{Identity: by.Who, Key: by.Key, Verb: verb, Object: object, Reason: why}
+func newAuditEvent(by Credential, verb, object, why string) auditlog.Event {
+	return auditlog.Event{Identity: by.Identity, Key: by.KeyID, Verb: verb, Object: object, Reason: why}
 }
 
-// auditing reports whether this controller records.
-func (c *Core) auditing() bool { return c.cfg.AuditKey != nil && c.form() >= formAudit }
+// isAuditing reports whether this controller records.
+func (c *Core) isAuditing() bool { return c.cfg.AuditKey != nil && c.schemaVersion() >= schemaAudit }
 
-// unfit reports whether others record and this controller has no key to: it must not act.
-func (c *Core) unfit() bool { return c.cfg.AuditKey == nil && c.audit.IsInitialized() }
+// lacksAuditKey reports whether others record and this controller has no key to: it must not act.
+func (c *Core) lacksAuditKey() bool { return c.cfg.AuditKey == nil && c.auditLog.IsInitialized() }
 
-// mute reports whether nothing may be written yet that is to be recorded.
-func (c *Core) mute() bool { return c.unfit() || c.auditing() && !c.audit.IsStarted() }
+// auditNotReady reports whether nothing may be written yet that is to be recorded.
+func (c *Core) auditNotReady() bool {
+	return c.lacksAuditKey() || c.isAuditing() && !c.auditLog.IsStarted()
+}
 
-// unrecorded are the conditions under which a change needs no entry: a controller that does not record yet must not
+// unauditedCompares are the conditions under which a change needs no entry: a controller that does not record yet must not
 // act once another one does.
-func (c *Core) unrecorded() []wire.Compare {
-	if c.auditing() || c.cfg.AuditKey == nil && !c.guarded() {
+func (c *Core) unauditedCompares() []wire.Compare {
+	if c.isAuditing() || c.cfg.AuditKey == nil && !c.permissionsInForce() {
 		return nil
 	}
 	return []wire.Compare{{Key: auditlog.KeyInitialized}}
 }
 
-// besides is how many changes carryBeside adds.
-func (c *Core) besides() int {
-	if c.auditing() {
+// auditOpsPerTxn is how many changes carryBeside adds.
+func (c *Core) auditOpsPerTxn() int {
+	if c.isAuditing() {
 		return 1
 	}
 	return 0
 }
 
-// carryBeside adds a carrier with the entry of an act to a transaction, and returns what must be told of its outcome.
-func (c *Core) carryBeside(t *wire.Txn, name string, x auditlog.Event) func(status int) {
-	if !c.auditing() {
-		for _, k := range c.unrecorded() {
+// addAuditEntry adds a carrier with the entry of an act to a transaction, and returns what must be told of its outcome.
+func (c *Core) addAuditEntry(t *wire.Txn, name string, x auditlog.Event) func(status int) {
+	if !c.isAuditing() {
+		for _, k := range c.unauditedCompares() {
 			if !slices.Contains(t.Compare, k) {
 				t.Compare = append(t.Compare, k)
 			}
 		}
 		return func(int) {}
 	}
-	ids := c.recorder().AttachCarrier(t, name, x)
-	return func(status int) { c.recorder().HandleOutcome(ids, status) }
+	ids := c.currentAuditLog().AttachCarrier(t, name, x)
+	return func(status int) { c.currentAuditLog().HandleOutcome(ids, status) }
 }
 
-// auditStep writes blocks when it is due.
-func (c *Core) auditStep() {
-	if !c.auditing() {
+// advanceAuditLog writes blocks when it is due.
+func (c *Core) advanceAuditLog() {
+	if !c.isAuditing() {
 		return
 	}
-	r := c.recorder()
-	if c.stateDown() || !c.leaseOK() {
+	r := c.currentAuditLog()
+	if c.storeUnreachable() || !c.holdsLease() {
 		r.RejectReadWaiters()
 	}
-	if r.IsBusy() || !c.leaseOK() || c.transactions.rateLimit.IsPaused(c.now) || c.transactions.rateLimit.WriteTokens < 2 {
+	if r.IsBusy() || !c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) || c.transactions.rateLimit.WriteTokens < 2 {
 		return
 	}
 	if r.IsStarted() {
-		c.recordRestore()
+		c.auditRestore()
 	}
 	t := r.NextBlockTxn()
 	if t == nil {
 		return
 	}
-	c.commit(*t, &txn{done: func(status int, reply wire.TxnResponse) {
+	c.commitTxn(*t, &pendingTxn{onDone: func(status int, reply wire.TxnResponse) {
 		if status == 400 {
-			c.shrink(t)
+			c.reduceTxnLimits(t)
 		}
-		if c.recorder().HandleBlockOutcome(status, reply.Revision) { // what is there now shows with the next barrier
-			c.afterBarrier(func(bool) { r.ClearBusy() })
+		if c.currentAuditLog().HandleBlockOutcome(status, reply.Revision) { // what is there now shows with the next barrier
+			c.afterReadBarrier(func(bool) { r.ClearBusy() })
 		}
 	}})
 }
 
-// putRestored takes the sign that a snapshot was restored.
-func (c *Core) putRestored(raw json.RawMessage, mark uint64) error {
-	c.restored.mark = max(c.restored.mark, mark)
-	return json.Unmarshal(raw, &c.restored.what)
+// applyRestoreMarker takes the sign that a snapshot was restored.
+func (c *Core) applyRestoreMarker(raw json.RawMessage, mark uint64) error {
+	c.restoreMarker.revision = max(c.restoreMarker.revision, mark)
+	return json.Unmarshal(raw, &c.restoreMarker.description)
 }
 
-// recordRestore records that the state was restored from a snapshot.
-func (c *Core) recordRestore() {
-	x := &c.restored
-	if x.mark == 0 || x.busy || !c.leads() {
+// auditRestore records that the state was restored from a snapshot.
+func (c *Core) auditRestore() {
+	x := &c.restoreMarker
+	if x.revision == 0 || x.writeInFlight || !c.isLeader() {
 		return
 	}
-	x.busy = true
-	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: KeyRestored, Revision: x.mark}}, Then: []wire.Write{{Delete: KeyRestored}}}
-	told := c.carryBeside(&t, "restored", auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: x.what})
-	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
+	x.writeInFlight = true
+	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: KeyRestored, Revision: x.revision}}, Then: []wire.Write{{Delete: KeyRestored}}}
+	told := c.addAuditEntry(&t, "restored", auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: x.description})
+	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
 		told(status)
-		c.afterBarrier(func(bool) { x.busy = false })
+		c.afterReadBarrier(func(bool) { x.writeInFlight = false })
 	}})
 }
 
-// refusedAct notes and records an act that was refused.
-func (c *Core) refusedAct(by Cred, verb, object, why string) {
-	c.note("info", "refused", "who", by.Who, "verb", verb, "object", object, "why", why)
-	c.Stats.Forbidden++
-	c.recorder().RecordRefusal(audit.GatheredEvent{Identity: by.Who, Verb: verb, Object: object, Reason: why}, 1)
+// auditDenial notes and records an act that was refused.
+func (c *Core) auditDenial(by Credential, verb, object, why string) {
+	c.log("info", "refused", "who", by.Identity, "verb", verb, "object", object, "why", why)
+	c.Stats.PermissionDenials++
+	c.currentAuditLog().RecordRefusal(audit.GatheredEvent{Identity: by.Identity, Verb: verb, Object: object, Reason: why}, 1)
 }
 
-// readAudit answers with a part of the record, to those who may read it.
-func (c *Core) readAudit(in ReadAudit) {
+// handleReadAudit answers with a part of the record, to those who may read it.
+func (c *Core) handleReadAudit(in ReadAudit) {
 	switch {
-	case c.closed() || c.cfg.AuditKey != nil && !c.auditing():
-		c.refuse(in.Req, notYet)
+	case c.isNotServing() || c.cfg.AuditKey != nil && !c.isAuditing():
+		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	case c.cfg.AuditKey == nil:
-		c.reply(in.Req, 404, wire.Error{Error: "nothing is recorded here"})
+		c.respond(in.RequestID, 404, wire.Error{Error: "nothing is recorded here"})
 		return
 	}
 	object := "audit"
 	if in.Node != "" {
 		object = "audit of " + in.Node
 	}
-	c.soonAfterBarrier(c.ifMay(in.Req, in.By, pb.Verb_audit, object, func() {
-		c.recorder().RecordRead(in.By.Who, "audit", object, func(ok bool) {
+	c.afterUrgentReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_audit, object, func() {
+		c.currentAuditLog().RecordRead(in.Caller.Identity, "audit", object, func(ok bool) {
 			if !ok {
-				c.refuse(in.Req, "reading can't be recorded now")
+				c.respondUnavailable(in.RequestID, "reading can't be recorded now")
 				return
 			}
-			c.giveAudit(in)
+			c.respondWithAuditPage(in)
 		})
 	}))
 }
 
-func (c *Core) giveAudit(in ReadAudit) {
+func (c *Core) respondWithAuditPage(in ReadAudit) {
 	if in.Node == "" {
 		var out wire.AuditChainHeads
-		for _, n := range sortedKeys(c.audit.Heads()) {
-			h := c.audit.Heads()[n]
+		for _, n := range sortedKeys(c.auditLog.Heads()) {
+			h := c.auditLog.Heads()[n]
 			out.Heads = append(out.Heads, wire.AuditChainHead{Node: n, BlockNumber: h.BlockNumber, Code: h.MAC})
 		}
-		c.reply(in.Req, 200, out)
+		c.respond(in.RequestID, 200, out)
 		return
 	}
 	if c.transactions.rateLimit.ReadTokens < 1 {
-		c.refuse(in.Req, "too busy")
+		c.respondUnavailable(in.RequestID, "too busy")
 		return
 	}
-	c.scan(audit.BlockPrefix+in.Node+"/", audit.BlockKey(in.Node, in.After), auditPage, func(x Scanned) {
+	c.readPrefix(audit.BlockPrefix+in.Node+"/", audit.BlockKey(in.Node, in.AfterBlock), auditPageBlocks, func(x RangeResult) {
 		if x.Status != 200 {
-			c.refuse(in.Req, "state service not reached")
+			c.respondUnavailable(in.RequestID, "state service not reached")
 			return
 		}
 		out := wire.AuditPage{More: x.More}
@@ -188,12 +190,12 @@
 				out.Blocks = append(out.Blocks, wire.AuditBlock{Number: n, Value: it.Value})
 			}
 		}
-		c.reply(in.Req, 200, out)
+		c.respond(in.RequestID, 200, out)
 	})
 }
 
-// stopsOf are the acts of tasks that were stopped, one for each cause.
-func stopsOf(id string, why []jobrecord.StopReason) (acts []auditlog.Event) {
+// taskStopEvents are the acts of tasks that were stopped, one for each cause.
+func taskStopEvents(id string, why []jobrecord.StopReason) (acts []auditlog.Event) {
 	if len(why) == 0 { // most writes
 		return nil
 	}
--- a/core/core.go
+++ b/core/core.go
@@ -26,66 +26,66 @@
 
 // Keys of the state service. All start with Root, so that one watch follows them.
 const (
-	Root      = "dl/"
-	keyNode   = Root + "node/"
-	keyLeader = Root + "leader"
-	keyShard  = Root + "shard/"
-	keyEpoch  = Root + "epoch"
-	keyJob    = Root + "job/"
-	keyTeam   = Root + "team/"
-	keyTypes  = Root + "types"
+	Root            = "dl/"
+	keyNode         = Root + "node/"
+	keyLeader       = Root + "leader"
+	keyShard        = Root + "shard/"
+	keyFencingToken = Root + "epoch"
+	keyJob          = Root + "job/"
+	keyTeam         = Root + "team/"
+	keyMachineTypes = Root + "types"
 
 	// KeyEpoch is the token, and KeyJob begins the keys of jobs.
-	KeyEpoch = keyEpoch
-	KeyJob   = keyJob
+	KeyFencingToken = keyFencingToken
+	KeyJob          = keyJob
 )
 
-// LeasedKeys begin the keys that are attached to a controller's lease.
-var LeasedKeys = []string{keyNode, keyLeader, keyShard}
+// LeasedKeyPrefixes begin the keys that are attached to a controller's lease.
+var LeasedKeyPrefixes = []string{keyNode, keyLeader, keyShard}
 
-type taskKey struct{ job, task int32 }
+type taskKey struct{ jobIndex, task int32 }
 
-type attKey struct {
-	job, task int32
-	try       uint64
+type attemptKey struct {
+	jobIndex, task int32
+	attempt        uint64
 }
 
-func (k attKey) compare(o attKey) int {
-	return cmp.Or(cmp.Compare(k.job, o.job), cmp.Compare(k.task, o.task), cmp.Compare(k.try, o.try))
+func (k attemptKey) compare(o attemptKey) int {
+	return cmp.Or(cmp.Compare(k.jobIndex, o.jobIndex), cmp.Compare(k.task, o.task), cmp.Compare(k.attempt, o.attempt))
 }
 
-// piece is a task as its machine reported it last.
-type piece struct {
-	state string
-	cause string
-	kept  bool
-	since time.Duration // when it was seen in this state first
+// taskStatus is a task as its machine reported it last.
+type taskStatus struct {
+	state        string
+	cause        string
+	checkpointed bool
+	stateSince   time.Duration // when it was seen in this state first
 }
 
-func (p piece) same(q piece) bool {
-	return p.state == q.state && p.cause == q.cause && p.kept == q.kept
+func (p taskStatus) equal(q taskStatus) bool {
+	return p.state == q.state && p.cause == q.cause && p.checkpointed == q.checkpointed
 }
 
 // attempt is what this controller knows of its orders for an attempt.
 type attempt struct {
-	inFlight bool          // a start is in a request that is not answered
-	lost     uint64        // highest token of an unanswered request with a start of it; it may be executed late
-	sent     time.Duration // when an order for it was sent last
-	everSent bool
-	stop     string // why it is to be stopped; "": not
-	grace    float64
-	blamed   bool // its failure was counted
-	freed    bool // its room was given back
-	asked    bool // whether its job exists is being asked
-	orphan   bool // its job does not exist
-	switched bool // an order other than its start was sent
+	startInFlight       bool          // a start is in a request that is not answered
+	maxUnansweredToken  uint64        // highest token of an unanswered request with a start of it; it may be executed late
+	lastCommandAt       time.Duration // when an order for it was sent last
+	commandSent         bool
+	stopReason          string // why it is to be stopped; "": not
+	stopGraceSeconds    float64
+	failureCounted      bool // its failure was counted
+	resourcesReleased   bool // its room was given back
+	orphanCheckInFlight bool // whether its job exists is being asked
+	isOrphan            bool // its job does not exist
+	resentAtOnce        bool // an order other than its start was sent
 }
 
 type machine struct {
-	name string
-	idx  int32
+	name  string
+	index int32
 
-	lead leadMachine
+	leaderView nodeState
 
 	identity   machineIdentity
 	status     agentStatus
@@ -97,15 +97,15 @@
 }
 
 type job struct {
-	idx   int32
-	id    string
-	mark  uint64 // 0: not known to exist
-	rec   *jobrecord.Record
-	place []jobrecord.Assignment
+	index       int32
+	id          string
+	revision    uint64 // 0: not known to exist
+	record      *jobrecord.Record
+	assignments []jobrecord.Assignment
 
-	accept *accept
+	submission *pendingSubmission
 
-	awaiting // see awaits.go
+	jobDependencies // see awaits.go
 
 	stored       storedRecord
 	write        jobWrite
@@ -116,86 +116,86 @@
 	archive      jobArchiveState
 }
 
-// cancelReq is somebody who waits for a job's cancellation; 0: nobody waits for the answer.
-type cancelReq struct {
-	req uint64
-	by  Cred
+// cancelWaiter is somebody who waits for a job's cancellation; 0: nobody waits for the answer.
+type cancelWaiter struct {
+	requestID uint64
+	caller    Credential
 }
 
-type accept struct {
-	reqs    []uint64
-	sent    int // how many of them came before its write was sent
-	by      Cred
-	spec    wire.JobSpec
-	unixMS  int64
-	since   time.Duration
-	until   time.Duration
-	failed  bool // a write of it has failed
-	looking bool // it is looked for among the jobs that ended long ago
-	looked  bool
+type pendingSubmission struct {
+	requestIDs          []uint64
+	requestsBeforeWrite int // how many of them came before its write was sent
+	caller              Credential
+	spec                wire.JobSpec
+	submittedMS         int64
+	receivedAt          time.Duration
+	deadline            time.Duration
+	writeFailed         bool // a write of it has failed
+	lookupInFlight      bool // it is looked for among the jobs that ended long ago
+	lookupDone          bool
 }
 
 type team struct {
 	Team
-	mark   uint64
-	cpu    int64
-	gpu    int64
-	locked bool
+	revision uint64
+	usedCPU  int64
+	usedGPU  int64
+	locked   bool
 }
 
-func (t *team) limited() bool { return t.CPUMax > 0 || t.GPUMax > 0 }
+func (t *team) hasMaxQuota() bool { return t.MaxCPU > 0 || t.MaxGPU > 0 }
 
-// hasRoom reports whether a task may be added within the team's limits; a job of no team has none.
-func (t *team) hasRoom(claim clusterstate.Resources) bool {
-	return t == nil || (t.CPUMax == 0 || t.cpu+claim[0] <= t.CPUMax) && (t.GPUMax == 0 || t.gpu+claim[1] <= t.GPUMax)
+// fitsMaxQuota reports whether a task may be added within the team's limits; a job of no team has none.
+func (t *team) fitsMaxQuota(claim clusterstate.Resources) bool {
+	return t == nil || (t.MaxCPU == 0 || t.usedCPU+claim[0] <= t.MaxCPU) && (t.MaxGPU == 0 || t.usedGPU+claim[1] <= t.MaxGPU)
 }
 
-// held is a leased key: a shard or the leadership.
-type held struct {
-	Node  string        `json:"n"`
-	Lease uint64        `json:"t"`
-	Token uint64        `json:"b"`
-	mark  uint64        `json:"-"`
-	since time.Duration `json:"-"` // absent since
+// leasedKey is a leased key: a shard or the leadership.
+type leasedKey struct {
+	Node         string        `json:"n"`
+	LeaseID      uint64        `json:"t"`
+	FencingToken uint64        `json:"b"`
+	mark         uint64        `json:"-"`
+	since        time.Duration `json:"-"` // absent since
 }
 
 // Core is the state machine of one controller.
 type Core struct {
-	cfg  Config
-	rng  *rand.Rand
-	now  time.Duration
-	unix int64 // time of day minus now, in ms
-	out  []Output
-	ids  uint64
-
-	accepting  int // submissions whose write is waited for
-	machineIdx map[string]int32
-	machines   []*machine
-	jobIdx     map[string]int32
-	jobs       []*job
-	open       []*job     // those not over
-	alive      []*machine // those not known to be gone
-
-	teamIdx map[string]int
-	teams   []*team
-
-	hist   history // see history.go
-	rights rights  // see rights.go
-	audit  *auditlog.Recorder
-
-	desk      *reservations.Service // see bookings.go
-	deskState bookings
-	restored  restored
+	cfg          Config
+	rng          *rand.Rand
+	now          time.Duration
+	unixOffsetMS int64 // time of day minus now, in ms
+	outputs      []Output
+	lastID       uint64
+
+	pendingSubmissions int // submissions whose write is waited for
+	machineIndex       map[string]int32
+	machines           []*machine
+	jobIndex           map[string]int32
+	jobs               []*job
+	openJobs           []*job     // those not over
+	aliveMachines      []*machine // those not known to be gone
+
+	teamIndex map[string]int
+	teams     []*team
+
+	history     history         // see history.go
+	permissions permissionState // see rights.go
+	auditLog    *auditlog.Recorder
+
+	reservations     *reservations.Service // see bookings.go
+	reservationState reservationState
+	restoreMarker    restoreMarker
 
 	nodePut bool
 
-	load overload.State
+	overload overload.State
 
-	rescue rescue // see orders.go
+	outageReturn outageReturnState // see orders.go
 
-	lead *lead
+	leaderState *leaderState
 
-	started time.Duration
+	startedAt time.Duration
 
 	Stats Stats
 
@@ -222,103 +222,103 @@
 
 // Stats counts what the log reports at a modest rate.
 type Stats struct {
-	Accepted, Starts, Refusals, Commits, Conflicts, Unknown uint64
-	Looks                                                   uint64 // at what a machine must be told
-	PlanLooks                                               uint64 // at machines, for what needs room in plans
+	Accepted, TaskStarts, StartRefusals, Commits, Conflicts, UnknownOutcomes uint64
+	MachineLooks                                                             uint64 // at what a machine must be told
+	PlanMachineLooks                                                         uint64 // at machines, for what needs room in plans
 
-	Archived, ArchiveChanges          uint64 // jobs whose records moved, and the changes that took
-	RecordReads, BlockReads, Recalled uint64 // reads of ended jobs, and answers that they or what they had left in memory gave
-	Forbidden                         uint64 // acts refused for lack of a right
-	Ended, Cold                       int    // ended jobs in memory, and others that still have records
-	BlocksKept, HistoryBytes          int    // blocks, and all that ended jobs take in memory
+	Archived, ArchiveWrites               uint64 // jobs whose records moved, and the changes that took
+	RecordReads, BlockReads, RecalledJobs uint64 // reads of ended jobs, and answers that they or what they had left in memory gave
+	PermissionDenials                     uint64 // acts refused for lack of a right
+	EndedInMemory, ColdRecords            int    // ended jobs in memory, and others that still have records
+	CachedBlocks, HistoryBytes            int    // blocks, and all that ended jobs take in memory
 }
 
-// send is a request with orders on its way; one that another controller passes on has a time
+// inFlightCommands is a request with orders on its way; one that another controller passes on has a time
 // by which it counts as unanswered.
-type send struct {
-	machine int32
-	by      time.Duration
+type inFlightCommands struct {
+	machineIndex int32
+	deadline     time.Duration
 }
 
-// relayed is another controller's request that this one passed on.
-type relayed struct {
-	peer string
-	id   uint64
+// relayedCommands is another controller's request that this one passed on.
+type relayedCommands struct {
+	peer      string
+	requestID uint64
 }
 
 type deltaBatch struct {
-	seq    uint64
-	sent   time.Duration // by this controller
-	token  uint64        // of the leader it was sent to
-	deltas []DeltaMsg
+	seq         uint64
+	sentAt      time.Duration // by this controller
+	leaderToken uint64        // of the leader it was sent to
+	deltas      []AllocationDelta
 }
 
 // New makes a core; seed feeds its randomness.
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, started: now,
-		machineIdx: map[string]int32{}, jobIdx: map[string]int32{}, teamIdx: map[string]int{},
-		desk: reservations.New(), hist: newHistory(&cfg), rights: rights{who: map[string]storedIdentity{}},
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, startedAt: now,
+		machineIndex: map[string]int32{}, jobIndex: map[string]int32{}, teamIndex: map[string]int{},
+		reservations: reservations.New(), history: newHistory(&cfg), permissions: permissionState{identities: map[string]storedIdentity{}},
 	}
 	c.replica.batchValues = map[int]*batchvalue.Slot{}
-	c.controllers.membership = membership.New(cfg.Peers, cfg.LinkLost)
-	c.controllers.nodeKeys = map[string]held{}
-	c.ownership.shards = make([]held, cfg.Shards)
+	c.controllers.membership = membership.New(cfg.Peers, cfg.PeerTimeout)
+	c.controllers.nodeKeys = map[string]leasedKey{}
+	c.ownership.shards = make([]leasedKey, cfg.Shards)
 	c.schema.declared = map[string]int{}
-	c.transactions.inFlight = map[uint64]*txn{}
+	c.transactions.inFlight = map[uint64]*pendingTxn{}
 	c.transactions.rateLimit = ratelimit.New(now)
-	c.transactions.endBatchDelay = cfg.Settle
-	c.agents.zones = map[string]*zoneNews{}
+	c.transactions.endBatchDelay = cfg.MinEndBatchDelay
+	c.agents.zones = map[string]*zoneLiveness{}
 	c.agents.missingHeartbeats = map[string][]string{}
-	c.commands.inFlight = map[uint64]send{}
-	c.commands.relayed = map[uint64]relayed{}
-	c.autoscaler.calls = map[uint64]func(Clouded){}
+	c.commands.inFlight = map[uint64]inFlightCommands{}
+	c.commands.relayed = map[uint64]relayedCommands{}
+	c.autoscaler.calls = map[uint64]func(CloudResult){}
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
-	c.priority.classes = priorityclass.Default(cfg.RiseAfter)
-	c.audit = c.newRecorder()
-	c.cancelAcks.quorum = quorum.New(quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.CancelIn, AgentLeaseTTL: cfg.WorkerLease})
-	c.clusterCopy.state.MaxAge = cfg.CopyExpire
-	c.shareBudget()
+	c.priority.classes = priorityclass.Default(cfg.PriorityAgingInterval)
+	c.auditLog = c.newAuditLog()
+	c.cancelAcks.quorum = quorum.New(quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.CancelTimeout, AgentLeaseTTL: cfg.AgentLeaseTTL})
+	c.clusterCopy.state.MaxAge = cfg.StateCopyExpiry
+	c.updateRateLimit()
 	c.transactions.rateLimit.FillBurst()
 	for i, t := range cfg.Teams {
-		c.teamIdx[t.Name] = i
+		c.teamIndex[t.Name] = i
 		c.teams = append(c.teams, &team{Team: t})
 	}
 	return c
 }
 
-func (c *Core) emit(o Output) { c.out = append(c.out, o) }
-func (c *Core) id() uint64    { c.ids++; return c.ids }
-func (c *Core) unixMS() int64 { return c.unix + c.now.Milliseconds() }
-func (c *Core) note(level, text string, args ...any) {
-	c.emit(Note{Level: level, Text: text, Args: args})
+func (c *Core) emit(o Output)  { c.outputs = append(c.outputs, o) }
+func (c *Core) nextID() uint64 { c.lastID++; return c.lastID }
+func (c *Core) unixMS() int64  { return c.unixOffsetMS + c.now.Milliseconds() }
+func (c *Core) log(level, text string, args ...any) {
+	c.emit(LogLine{Level: level, Message: text, Args: args})
 }
 
-// machine interns a machine by name.
-func (c *Core) machine(name string) *machine {
-	if i, ok := c.machineIdx[name]; ok {
+// internMachine interns a machine by name.
+func (c *Core) internMachine(name string) *machine {
+	if i, ok := c.machineIndex[name]; ok {
 		return c.machines[i]
 	}
-	m := &machine{name: name, idx: int32(len(c.machines))}
+	m := &machine{name: name, index: int32(len(c.machines))}
 	m.identity.firstSeenAt = c.now
 	m.status.lastHeartbeatAt = c.now
-	m.status.tasks = map[attKey]piece{}
+	m.status.tasks = map[attemptKey]taskStatus{}
 	m.status.images = map[string]bool{}
 	m.allocation.assignments = map[taskKey]jobrecord.Assignment{}
-	m.commands.attempts = map[attKey]*attempt{}
-	c.machineIdx[name] = m.idx
+	m.commands.attempts = map[attemptKey]*attempt{}
+	c.machineIndex[name] = m.index
 	c.machines = append(c.machines, m)
-	c.alive = append(c.alive, m)
+	c.aliveMachines = append(c.aliveMachines, m)
 	return m
 }
 
-// seat interns a machine in a zone; of one that has not reported, the zone is not known otherwise.
-func (c *Core) seat(name, zone string) int32 {
-	m := c.machine(name)
+// internMachineInZone interns a machine in a zone; of one that has not reported, the zone is not known otherwise.
+func (c *Core) internMachineInZone(name, zone string) int32 {
+	m := c.internMachine(name)
 	if m.identity.zone == "" {
 		m.identity.zone = zone
 	}
-	return m.idx
+	return m.index
 }
 
 // encodeRecord renders a job's record.
@@ -329,25 +329,25 @@
 	})
 }
 
-// job interns a job by id.
-func (c *Core) job(id string) *job {
-	if i, ok := c.jobIdx[id]; ok {
+// internJob interns a job by id.
+func (c *Core) internJob(id string) *job {
+	if i, ok := c.jobIndex[id]; ok {
 		return c.jobs[i]
 	}
-	j := &job{idx: int32(len(c.jobs)), id: id}
-	if free := c.hist.free; len(free) > 0 {
-		j.idx = free[len(free)-1]
-		c.hist.free = free[:len(free)-1]
-		c.jobs[j.idx] = j
+	j := &job{index: int32(len(c.jobs)), id: id}
+	if free := c.history.freeIndexes; len(free) > 0 {
+		j.index = free[len(free)-1]
+		c.history.freeIndexes = free[:len(free)-1]
+		c.jobs[j.index] = j
 	} else {
 		c.jobs = append(c.jobs, j)
 	}
-	c.jobIdx[id] = j.idx
+	c.jobIndex[id] = j.index
 	return j
 }
 
 func (c *Core) knownJob(id string) *job {
-	if i, ok := c.jobIdx[id]; ok && c.jobs[i].mark != 0 {
+	if i, ok := c.jobIndex[id]; ok && c.jobs[i].revision != 0 {
 		return c.jobs[i]
 	}
 	return nil
@@ -355,195 +355,195 @@
 
 // shardOf is the shard of a job; unknown jobs have one by their name.
 func (c *Core) shardOf(j *job) int {
-	if j.rec != nil {
-		return j.rec.Shard
+	if j.record != nil {
+		return j.record.Shard
 	}
-	return c.shardByName(j.id)
+	return c.shardOfID(j.id)
 }
 
-func (c *Core) shardByName(id string) int {
+func (c *Core) shardOfID(id string) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return int(h.Sum32() % uint32(len(c.ownership.shards)))
 }
 
-func (c *Core) mineShard(s int) bool {
-	return s >= 0 && s < len(c.ownership.shards) && c.ownLease.id != 0 && c.ownership.shards[s].Lease == c.ownLease.id && c.ownership.shards[s].mark != 0 &&
+func (c *Core) ownsShard(s int) bool {
+	return s >= 0 && s < len(c.ownership.shards) && c.ownLease.id != 0 && c.ownership.shards[s].LeaseID == c.ownLease.id && c.ownership.shards[s].mark != 0 &&
 		c.ownership.shards[s].Node == c.cfg.Name
 }
 
-func (c *Core) mine(j *job) bool { return c.mineShard(c.shardOf(j)) }
+func (c *Core) ownsJob(j *job) bool { return c.ownsShard(c.shardOf(j)) }
 
-func (c *Core) leads() bool {
-	return c.ownLease.id != 0 && c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name && c.leadership.leader.Lease == c.ownLease.id
+func (c *Core) isLeader() bool {
+	return c.ownLease.id != 0 && c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name && c.leadership.leader.LeaseID == c.ownLease.id
 }
 
-// leaseOK reports whether this controller's lease is certain to be in force.
-func (c *Core) leaseOK() bool { return c.ownLease.id != 0 && c.now < c.ownLease.expiresAt }
+// holdsLease reports whether this controller's lease is certain to be in force.
+func (c *Core) holdsLease() bool { return c.ownLease.id != 0 && c.now < c.ownLease.expiresAt }
 
-// outage reports whether the state service seems down for everyone: a majority of the
+// isStoreOutage reports whether the state service seems down for everyone: a majority of the
 // controllers is in reach and none of them reaches it.
-func (c *Core) outage() bool {
-	if c.leaseOK() || c.stateFresh() {
+func (c *Core) isStoreOutage() bool {
+	if c.holdsLease() || c.isStoreReachable() {
 		return false
 	}
 	return c.controllers.membership.IsStoreOutage(c.now)
 }
 
-func (c *Core) stateFresh() bool {
+func (c *Core) isStoreReachable() bool {
 	return c.storeHealth.everAnswered && c.now-c.storeHealth.lastAnswerAt < 2*time.Second && (c.storeHealth.lastFailureAt <= c.storeHealth.lastAnswerAt)
 }
 
-// entitled reports whether this controller may answer workers.
-func (c *Core) entitled() bool {
-	return c.replica.loaded && c.leadership.fencingToken > 0 && (c.leaseOK() || c.outage())
+// canAnswerAgents reports whether this controller may answer workers.
+func (c *Core) canAnswerAgents() bool {
+	return c.replica.loaded && c.leadership.fencingToken > 0 && (c.holdsLease() || c.isStoreOutage())
 }
 
 // Healthy is the answer to health checks.
 func (c *Core) Healthy() bool {
-	return c.replica.loaded && !c.closed() && c.autoscaler.catalog != nil && (c.leaseOK() || c.outage())
+	return c.replica.loaded && !c.isNotServing() && c.autoscaler.catalog != nil && (c.holdsLease() || c.isStoreOutage())
 }
 
 // Handle takes an input; Advance returns what comes of it.
 func (c *Core) Handle(now time.Duration, in Input) {
 	c.now = max(c.now, now)
 	switch in := in.(type) {
-	case Submit:
-		c.submit(in)
-	case Poll:
-		c.poll(in)
-	case Cancel:
-		c.cancel(in)
-	case Change:
-		c.change(in)
-	case Check:
-		c.check(in)
-	case ShowRights:
-		c.showRights(in)
+	case SubmitJob:
+		c.handleSubmitJob(in)
+	case GetJob:
+		c.handleGetJob(in)
+	case CancelJob:
+		c.handleCancelJob(in)
+	case UpdatePermissions:
+		c.handleUpdatePermissions(in)
+	case CheckPermission:
+		c.handleCheckPermission(in)
+	case ListPermissions:
+		c.handleListPermissions(in)
 	case ReadAudit:
-		c.readAudit(in)
-	case Book:
-		c.book(in)
-	case ShowBookings:
-		c.showBookings(in)
-	case Equip:
-		c.equip(in)
-	case ShowQueue:
-		c.showQueue(in)
-	case SetLanes:
-		c.changeLanes(in)
-	case Refused:
+		c.handleReadAudit(in)
+	case ReserveEquipment:
+		c.handleReserveEquipment(in)
+	case ListReservations:
+		c.handleListReservations(in)
+	case SetEquipment:
+		c.handleSetEquipment(in)
+	case ListQueue:
+		c.handleListQueue(in)
+	case SetPriorityClasses:
+		c.handleSetPriorityClasses(in)
+	case RequestsDenied:
 		for _, it := range in.Items {
-			c.recorder().RecordRefusal(audit.GatheredEvent{Identity: it.Who, Verb: it.Verb, Object: it.Object, Reason: it.Why}, it.Count)
+			c.currentAuditLog().RecordRefusal(audit.GatheredEvent{Identity: it.Who, Verb: it.Verb, Object: it.Object, Reason: it.Why}, it.Count)
 		}
-	case Beat:
-		c.beat(in)
-	case Seen:
+	case AgentHeartbeat:
+		c.handleHeartbeat(in)
+	case AgentPolled:
 		c.agents.pollsInFlight = max(0, c.agents.pollsInFlight-1)
-		if in.Report != nil && in.Report.Machine == in.Machine {
-			c.observe(in.Report, true)
+		if in.Heartbeat != nil && in.Heartbeat.Machine == in.Machine {
+			c.applyHeartbeat(in.Heartbeat, true)
 		}
-	case Ordered:
-		c.ordered(in)
-	case Committed:
-		c.committed(in)
-	case Changed:
-		c.changed(in)
-	case Loaded:
-		c.loadedPage(in)
-	case Leased:
-		c.leased(in)
-	case Clouded:
+	case CommandsResult:
+		c.handleCommandsResult(in)
+	case TxnResult:
+		c.handleTxnResult(in)
+	case WatchResult:
+		c.handleWatchResult(in)
+	case SnapshotPage:
+		c.handleSnapshotPage(in)
+	case LeaseResult:
+		c.handleLeaseResult(in)
+	case CloudResult:
 		if f := c.autoscaler.calls[in.ID]; f != nil {
 			delete(c.autoscaler.calls, in.ID)
 			f(in)
 		}
-	case Scanned:
-		c.scanned(in)
-	case FromPeer:
-		c.fromPeer(in)
-	case Strain:
-		c.strain(in)
-	case Clock:
-		c.unix = in.UnixMS - c.now.Milliseconds()
+	case RangeResult:
+		c.handleRangeResult(in)
+	case PeerMessage:
+		c.handlePeerMessage(in)
+	case LoadSample:
+		c.handleLoadSample(in)
+	case WallClock:
+		c.unixOffsetMS = in.UnixMS - c.now.Milliseconds()
 	}
 }
 
-const stoodStill = time.Second // without any input: a controller has a clock that ticks many times a second
+const stallThreshold = time.Second // without any input: a controller has a clock that ticks many times a second
 
 // Advance lets time pass, does what is due and returns all outputs since the last call.
 func (c *Core) Advance(now time.Duration) []Output {
 	c.now = max(c.now, now)
-	if c.now-c.stalls.lastAdvanceAt > stoodStill {
+	if c.now-c.stalls.lastAdvanceAt > stallThreshold {
 		c.stalls.runningSince = c.now
 	}
 	c.stalls.lastAdvanceAt = c.now
-	c.transactions.rateLimit.Refill(c.now, c.cfg.TxnOps)
-	c.follow()
-	c.keepLease()
-	c.compact()
-	c.tellHealth()
+	c.transactions.rateLimit.Refill(c.now, c.cfg.MaxTxnOps)
+	c.syncReplica()
+	c.maintainLease()
+	c.runMaintenance()
+	c.broadcastHealth()
 	if c.replica.loaded {
-		c.tellStep()
-		c.own()
-		c.declare()
-		c.auditStep()
-		c.seedAccess()
-		c.tellRights()
-		c.place()
-		c.bookStep()
-		c.laneStep()
-		c.resolve()
-		c.lookup()
-		c.sweepStep()
-		c.leadStep()
-		c.drain()
-		c.returnInOutage()
-		c.orders()
-		c.tellPeers()
-	}
-	out := c.out
-	c.out = nil
+		c.advanceCancelAcks()
+		c.acquireOwnership()
+		c.declareSchemaVersion()
+		c.advanceAuditLog()
+		c.seedPermissions()
+		c.publishPolicy()
+		c.scheduleJobs()
+		c.advanceReservations()
+		c.advancePriorityClasses()
+		c.resolveDependencies()
+		c.advanceLookups()
+		c.advanceArchiveSweep()
+		c.runLeader()
+		c.drainInterrupted()
+		c.returnMachinesInOutage()
+		c.dispatchCommands()
+		c.broadcastUpdates()
+	}
+	out := c.outputs
+	c.outputs = nil
 	return out
 }
 
-// compact drops what is over from the lists that are walked often.
-func (c *Core) compact() {
+// runMaintenance drops what is over from the lists that are walked often.
+func (c *Core) runMaintenance() {
 	if c.now < c.maintenance.nextCompactionAt {
 		return
 	}
 	c.maintenance.nextCompactionAt = c.now + time.Second
-	c.open = slices.DeleteFunc(c.open, func(j *job) bool {
+	c.openJobs = slices.DeleteFunc(c.openJobs, func(j *job) bool {
 		// What waits for other jobs is touched when they are over.
-		over := !j.write.dirty && !j.write.inFlight && j.accept == nil && len(j.cancellation.waiters) == 0 &&
-			(j.rec == nil || j.rec.Spec == nil || j.waits > 0 && j.cause == nil && len(j.place) == 0)
+		over := !j.write.dirty && !j.write.inFlight && j.submission == nil && len(j.cancellation.waiters) == 0 &&
+			(j.record == nil || j.record.Spec == nil || j.unmetDependencies > 0 && j.cancelledBy == nil && len(j.assignments) == 0)
 		if over {
 			j.write.inOpenList = false
 		}
 		return over
 	})
-	c.alive = slices.DeleteFunc(c.alive, func(m *machine) bool { return m.lifecycle.gone && len(m.allocation.assignments) == 0 })
-	c.countZones()
-	c.prune()
-	c.countHistory()
+	c.aliveMachines = slices.DeleteFunc(c.aliveMachines, func(m *machine) bool { return m.lifecycle.gone && len(m.allocation.assignments) == 0 })
+	c.countZoneMachines()
+	c.evictUnreferencedJobs()
+	c.updateHistoryStats()
 	// Only what changed is looked at otherwise; now and then everything is, as a safeguard against
 	// a change that nobody noted.
-	if c.replica.loaded && c.now >= c.maintenance.nextFullScanAt && (c.load.Level() == overload.Normal || c.now >= c.maintenance.nextFullScanAt+c.cfg.LookAll) {
-		c.maintenance.nextFullScanAt = c.now + c.cfg.LookAll
-		for _, j := range c.open {
-			c.touchLater(j)
+	if c.replica.loaded && c.now >= c.maintenance.nextFullScanAt && (c.overload.Level() == overload.Normal || c.now >= c.maintenance.nextFullScanAt+c.cfg.FullScanInterval) {
+		c.maintenance.nextFullScanAt = c.now + c.cfg.FullScanInterval
+		for _, j := range c.openJobs {
+			c.markDirtyKeepingDelay(j)
 		}
-		for _, m := range c.alive {
-			c.touchMachine(m)
+		for _, m := range c.aliveMachines {
+			c.markMachineDirty(m)
 		}
 	}
 }
 
-// follow keeps the replica current: first all keys, then a watch, and barriers when asked.
-func (c *Core) follow() {
+// syncReplica keeps the replica current: first all keys, then a watch, and barriers when asked.
+func (c *Core) syncReplica() {
 	if !c.replica.loaded {
 		if !c.replica.pageInFlight && c.now >= c.replica.nextPageAt {
-			if c.replica.pagesRead >= loadFast && c.behind() {
+			if c.replica.pagesRead >= fastSnapshotPages && c.isSlowestToLoad() {
 				c.replica.nextPageAt = c.now + time.Second
 				return
 			}
@@ -551,34 +551,34 @@
 			if c.replica.lastPageKey == "" {
 				c.replica.snapshotStartedAt = c.now
 			}
-			c.emit(Load{From: c.replica.lastPageKey})
+			c.emit(LoadSnapshot{AfterKey: c.replica.lastPageKey})
 		}
 		return
 	}
 	// A barrier brings the changes too: while users ask all the time, no watch is needed.
 	if !c.replica.watchInFlight && c.now >= c.replica.nextWatchAt && !c.replica.barrierInFlight && len(c.replica.barrierWaiters) == 0 {
 		c.replica.watchInFlight, c.replica.watchSentAt = true, c.now
-		c.replica.nextWatchAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.WatchGap, 0.25)
+		c.replica.nextWatchAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.MinWatchInterval, 0.25)
 		c.transactions.rateLimit.SpendRequest()
-		c.emit(Changes{From: c.replica.revision, Hold: true})
+		c.emit(Watch{SinceRevision: c.replica.revision, LongPoll: true})
 	}
 	if !c.replica.barrierInFlight && len(c.replica.barrierWaiters) > 0 && c.now >= c.replica.nextBarrierAt {
 		c.replica.barrierInFlight, c.replica.barrierSentAt = true, c.now
-		c.replica.nextBarrierAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.ReadGap, 0.35)
+		c.replica.nextBarrierAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.MinReadBarrierInterval, 0.35)
 		c.replica.inFlightWaiters, c.replica.barrierWaiters = c.replica.barrierWaiters, nil
 		c.transactions.rateLimit.SpendRequest()
-		c.emit(Changes{From: c.replica.revision})
+		c.emit(Watch{SinceRevision: c.replica.revision})
 	}
 }
 
-// shareBudget works out this controller's part of what the state service takes from all of
+// updateRateLimit works out this controller's part of what the state service takes from all of
 // them: an equal one, and of the changes also what the others leave.
-func (c *Core) shareBudget() {
-	live := float64(len(c.live()))
+func (c *Core) updateRateLimit() {
+	live := float64(len(c.liveControllers()))
 	if len(c.controllers.nodeKeys) == 0 {
 		live = float64(len(c.cfg.Peers) + 1)
 	}
-	all := c.writeRPS()
+	all := c.storeWriteRate()
 	left := 0.9 * all
 	for _, n := range c.cfg.Peers {
 		if c.controllers.membership.IsReachable(c.now, n) {
@@ -587,11 +587,11 @@
 			left -= all / live
 		}
 	}
-	c.transactions.rateLimit.SetRates(all, c.cfg.StateRPS, live, left, c.cfg.WriteShare)
+	c.transactions.rateLimit.SetRates(all, c.cfg.StoreRequestRate, live, left, c.cfg.MaxWriteShare)
 }
 
-// afterBarrier calls f once all changes committed until now are known here, or with false.
-func (c *Core) afterBarrier(f func(ok bool)) {
+// afterReadBarrier calls f once all changes committed until now are known here, or with false.
+func (c *Core) afterReadBarrier(f func(ok bool)) {
 	if !c.replica.loaded || len(c.replica.barrierWaiters) > 20000 {
 		f(false)
 		return
@@ -599,16 +599,16 @@
 	c.replica.barrierWaiters = append(c.replica.barrierWaiters, f)
 }
 
-// soonAfterBarrier is afterBarrier for a submission: its user counts the milliseconds, and there are
+// afterUrgentReadBarrier is afterBarrier for a submission: its user counts the milliseconds, and there are
 // few that need one. The barrier does not wait for its turn, as long as requests are left.
-func (c *Core) soonAfterBarrier(f func(ok bool)) {
-	c.afterBarrier(f)
+func (c *Core) afterUrgentReadBarrier(f func(ok bool)) {
+	c.afterReadBarrier(f)
 	if c.transactions.rateLimit.ReadTokens > 1 {
 		c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
 	}
 }
 
-func (c *Core) stateAnswered(status int) {
+func (c *Core) recordStoreStatus(status int) {
 	if status == 0 || status == 503 {
 		c.storeHealth.lastFailureAt = c.now
 		return
@@ -617,14 +617,14 @@
 	c.storeHealth.lastAnswerAt = c.now
 }
 
-func (c *Core) changed(in Changed) {
-	if in.Hold {
+func (c *Core) handleWatchResult(in WatchResult) {
+	if in.LongPoll {
 		c.replica.watchInFlight = false
 		if in.Status != 200 {
 			c.replica.nextWatchAt = max(c.replica.nextWatchAt, c.now+300*time.Millisecond)
 		}
 	} else {
-		c.stateAnswered(in.Status)
+		c.recordStoreStatus(in.Status)
 		c.replica.barrierInFlight = false
 		if in.Status == 429 {
 			c.replica.barrierWaiters = append(c.replica.inFlightWaiters, c.replica.barrierWaiters...)
@@ -635,13 +635,13 @@
 	}
 	switch in.Status {
 	case 0:
-		if !in.Hold && c.storeHealth.firstLostReadAt == 0 {
+		if !in.LongPoll && c.storeHealth.firstLostReadAt == 0 {
 			c.storeHealth.firstLostReadAt = c.replica.barrierSentAt
 		}
 	case 200:
 		c.storeHealth.firstLostReadAt = 0
-		c.apply(in.Changes)
-		if in.Hold {
+		c.applyWatchEvents(in.Changes)
+		if in.LongPoll {
 			c.cancelAcks.quorum.ConfirmRead(c.replica.watchSentAt)
 		} else {
 			c.cancelAcks.quorum.ConfirmRead(c.replica.barrierSentAt)
@@ -650,7 +650,7 @@
 		c.replica.loaded, c.replica.lastPageKey = false, ""
 		c.replica.nextPageAt = c.now
 	}
-	if !in.Hold {
+	if !in.LongPoll {
 		fs := c.replica.inFlightWaiters
 		c.replica.inFlightWaiters = nil
 		for _, f := range fs {
@@ -663,25 +663,25 @@
 	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
 
-// apply takes the changes of a watch or barrier. Those up to seen are known already: two
+// applyWatchEvents takes the changes of a watch or barrier. Those up to seen are known already: two
 // answers may overlap, and an older one must not undo a newer.
-func (c *Core) apply(ch wire.WatchResponse) {
+func (c *Core) applyWatchEvents(ch wire.WatchResponse) {
 	for _, e := range ch.Events {
 		if e.Revision <= c.replica.revision {
 			continue
 		}
 		if e.Delete != "" {
-			c.drop(e.Delete, e.Revision)
+			c.applyDelete(e.Delete, e.Revision)
 		} else {
-			c.put(e.Put, e.Value, e.Revision)
+			c.applyPut(e.Put, e.Value, e.Revision)
 		}
 	}
 	c.replica.revision = max(c.replica.revision, ch.Revision)
 }
 
-// loadedPage takes a page of all keys. Later pages may show later changes than the first:
+// handleSnapshotPage takes a page of all keys. Later pages may show later changes than the first:
 // following from the first shows them again. Only what is not over stays in memory, and what ended last.
-func (c *Core) loadedPage(in Loaded) {
+func (c *Core) handleSnapshotPage(in SnapshotPage) {
 	c.replica.pageInFlight = false
 	if !in.OK {
 		if in.Status != 429 {
@@ -690,43 +690,43 @@
 		c.replica.nextPageAt = c.now + 200*time.Millisecond + c.jitter(200*time.Millisecond)
 		return
 	}
-	c.stateAnswered(200)
+	c.recordStoreStatus(200)
 	if c.replica.lastPageKey == "" {
 		for i := range c.ownership.shards {
-			c.ownership.shards[i] = held{since: c.now}
+			c.ownership.shards[i] = leasedKey{since: c.now}
 		}
 		for _, s := range c.replica.batchValues {
 			s.Revision, s.Entries = 0, nil
 		}
-		c.leadership.leader = held{since: c.now}
-		c.controllers.nodeKeys = map[string]held{}
+		c.leadership.leader = leasedKey{since: c.now}
+		c.controllers.nodeKeys = map[string]leasedKey{}
 		c.controllers.nodesVersion++
-		c.hist.cold, c.hist.marker = 0, 0
-		c.rights = rights{who: map[string]storedIdentity{}}
-		c.hist.index.Clear()
-		c.desk.Reset()
-		c.setLanes(nil, 0)
+		c.history.coldRecords, c.history.markerRevision = 0, 0
+		c.permissions = permissionState{identities: map[string]storedIdentity{}}
+		c.history.archiveIndex.Clear()
+		c.reservations.Reset()
+		c.setPriorityClasses(nil, 0)
 		c.archiving.sweep = nil
-		c.restored.mark = 0
-		c.replica.snapshotRevision, c.replica.pagesRead = in.Ledger, 0
+		c.restoreMarker.revision = 0
+		c.replica.snapshotRevision, c.replica.pagesRead = in.Revision, 0
 		c.replica.snapshots++
 	}
 	for _, it := range in.Items {
-		c.put(it.Key, it.Value, it.Revision)
+		c.applyPut(it.Key, it.Value, it.Revision)
 		c.replica.lastPageKey = it.Key
 	}
 	c.replica.pagesRead++
-	c.prune()
+	c.evictUnreferencedJobs()
 	if in.More && len(in.Items) > 0 {
-		if c.replica.pagesRead >= loadFast {
-			c.replica.nextPageAt = c.now + time.Duration(float64(time.Second)/(loadShare*c.cfg.StateRPS))
+		if c.replica.pagesRead >= fastSnapshotPages {
+			c.replica.nextPageAt = c.now + time.Duration(float64(time.Second)/(snapshotRequestShare*c.cfg.StoreRequestRate))
 		}
 		return
 	}
-	c.hist.loadedTo = in.Ledger
+	c.history.snapshotRevision = in.Revision
 	for _, j := range slices.Clone(c.jobs) {
-		if j != nil && j.mark != 0 && !j.archive.archived && j.stored.snapshot != c.replica.snapshots {
-			c.leaveArchived(j, c.replica.snapshotRevision) // it moved while the changes were not followed
+		if j != nil && j.revision != 0 && !j.archive.archived && j.stored.snapshot != c.replica.snapshots {
+			c.evictArchivedJob(j, c.replica.snapshotRevision) // it moved while the changes were not followed
 		}
 	}
 	c.replica.revision = c.replica.snapshotRevision
@@ -734,12 +734,12 @@
 	c.replica.loaded = true
 	c.cancelAcks.quorum.ConfirmRead(c.replica.snapshotStartedAt)
 	c.replica.watchInFlight = false
-	c.note("info", "state loaded", "ledger", c.replica.revision, "pages", c.replica.pagesRead, "jobs", len(c.jobIdx), "ended", len(c.hist.ended), "cold", c.hist.cold)
+	c.log("info", "state loaded", "ledger", c.replica.revision, "pages", c.replica.pagesRead, "jobs", len(c.jobIndex), "ended", len(c.history.endedJobs), "cold", c.history.coldRecords)
 }
 
-// behind reports whether another controller is further in reading all keys. One after the other,
+// isSlowestToLoad reports whether another controller is further in reading all keys. One after the other,
 // the first serves when it has read its own; at a time, all would serve when everything was read by all.
-func (c *Core) behind() bool {
+func (c *Core) isSlowestToLoad() bool {
 	for _, n := range c.cfg.Peers {
 		if p := c.controllers.membership.Peer(n); c.controllers.membership.IsReachable(c.now, n) && (p.SnapshotPagesLoaded > c.replica.pagesRead || p.SnapshotPagesLoaded == c.replica.pagesRead && n < c.cfg.Name) {
 			return true
@@ -749,19 +749,19 @@
 }
 
 const (
-	loadFast  = 20  // pages that are read one after the other, when all keys are
-	loadShare = 0.5 // of the requests, for the others: those that serve need theirs
+	fastSnapshotPages    = 20  // pages that are read one after the other, when all keys are
+	snapshotRequestShare = 0.5 // of the requests, for the others: those that serve need theirs
 )
 
-// put takes a key's new value into the replica.
-func (c *Core) put(key string, raw json.RawMessage, mark uint64) {
+// applyPut takes a key's new value into the replica.
+func (c *Core) applyPut(key string, raw json.RawMessage, mark uint64) {
 	bad := func(err error) {
 		if err != nil {
-			c.note("error", "value not understood", "key", key, "err", err.Error())
+			c.log("error", "value not understood", "key", key, "err", err.Error())
 		}
 	}
 	switch {
-	case key == keyEpoch:
+	case key == keyFencingToken:
 		var v uint64
 		if err := json.Unmarshal(raw, &v); err != nil {
 			bad(err)
@@ -771,7 +771,7 @@
 			c.leadership.fencingToken, c.leadership.fencingTokenRevision = v, mark
 		}
 	case key == keyLeader:
-		var h held
+		var h leasedKey
 		if err := json.Unmarshal(raw, &h); err != nil {
 			bad(err)
 			return
@@ -779,7 +779,7 @@
 		h.mark = mark
 		c.leadership.leader = h
 	case strings.HasPrefix(key, keyNode):
-		var h held
+		var h leasedKey
 		if err := json.Unmarshal(raw, &h); err != nil {
 			bad(err)
 			return
@@ -788,18 +788,18 @@
 		c.controllers.nodeKeys[key[len(keyNode):]] = h
 		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
-		var h held
-		n := c.shardNum(key)
+		var h leasedKey
+		n := c.shardOfKey(key)
 		if err := json.Unmarshal(raw, &h); err != nil || n < 0 {
 			bad(err)
 			return
 		}
 		h.mark = mark
 		c.ownership.shards[n] = h
-		if h.Node == c.cfg.Name && h.Lease == c.ownLease.id {
-			c.gained(n)
+		if h.Node == c.cfg.Name && h.LeaseID == c.ownLease.id {
+			c.handleShardGained(n)
 		}
-	case key == keyTypes:
+	case key == keyMachineTypes:
 		v, err := jobrecord.DecodeCatalog(raw)
 		if err != nil {
 			bad(err)
@@ -810,49 +810,49 @@
 			c.setCatalog(&v)
 		}
 	case strings.HasPrefix(key, keyTeam):
-		if i, ok := c.teamIdx[key[len(keyTeam):]]; ok {
-			c.teams[i].mark = max(c.teams[i].mark, mark)
+		if i, ok := c.teamIndex[key[len(keyTeam):]]; ok {
+			c.teams[i].revision = max(c.teams[i].revision, mark)
 		}
 	case strings.HasPrefix(key, keyJob):
-		j := c.job(key[len(keyJob):])
+		j := c.internJob(key[len(keyJob):])
 		j.stored.snapshot = c.replica.snapshots
-		if mark <= j.mark {
-			if j.rec != nil { // its own write's reply came before
-				c.recorder().ObserveEntries(key, j.mark, j.rec.PendingAudit)
+		if mark <= j.revision {
+			if j.record != nil { // its own write's reply came before
+				c.currentAuditLog().ObserveEntries(key, j.revision, j.record.PendingAudit)
 			}
 			return
 		}
 		r, err := jobrecord.Decode(raw)
 		if err != nil {
-			c.hist.cold++ // it exists: whoever asks for it must not be told otherwise
+			c.history.coldRecords++ // it exists: whoever asks for it must not be told otherwise
 			bad(err)
 			return
 		}
-		c.recorder().ObserveEntries(key, mark, r.PendingAudit)
-		r = c.laid(j.id, r)
-		c.adopt(j, r, r.ExpandAssignments(c.seat), mark, len(raw))
+		c.currentAuditLog().ObserveEntries(key, mark, r.PendingAudit)
+		r = c.withSlotEntry(j.id, r)
+		c.adoptRecord(j, r, r.ExpandAssignments(c.internMachineInZone), mark, len(raw))
 	case strings.HasPrefix(key, keySlot):
-		bad(c.putSlot(key, raw, mark))
-	case strings.HasPrefix(key, keyForm):
-		bad(c.putForm(key, raw, mark))
-	case strings.HasPrefix(key, keyAccess):
-		bad(c.putAccess(key, raw, mark))
+		bad(c.applySlot(key, raw, mark))
+	case strings.HasPrefix(key, keySchemaVersion):
+		bad(c.applySchemaVersion(key, raw, mark))
+	case strings.HasPrefix(key, keyPermissions):
+		bad(c.applyPermission(key, raw, mark))
 	case strings.HasPrefix(key, auditlog.Prefix):
-		bad(c.recorder().ApplyPut(key, raw, mark))
+		bad(c.currentAuditLog().ApplyPut(key, raw, mark))
 	case key == KeyRestored:
-		bad(c.putRestored(raw, mark))
+		bad(c.applyRestoreMarker(raw, mark))
 	case key == keyHistory:
-		c.putHistory(mark)
-	case key == keyLanes:
-		bad(c.putLanes(raw, mark))
+		c.applyHistoryMarker(mark)
+	case key == keyPriorityClasses:
+		bad(c.applyPriorityClasses(raw, mark))
 	case strings.HasPrefix(key, reservations.Prefix):
-		bad(c.putBooking(key, raw, mark))
+		bad(c.applyReservation(key, raw, mark))
 	case strings.HasPrefix(key, keyCancel):
-		bad(c.putCancel(key, raw, mark))
+		bad(c.applyCancelMarker(key, raw, mark))
 	}
 }
 
-func (c *Core) shardNum(key string) int {
+func (c *Core) shardOfKey(key string) int {
 	for i := range c.ownership.shards {
 		if shardKey(i) == key {
 			return i
@@ -861,112 +861,112 @@
 	return -1
 }
 
-func (c *Core) drop(key string, mark uint64) {
+func (c *Core) applyDelete(key string, mark uint64) {
 	switch {
 	case key == keyLeader:
-		c.leadership.leader = held{since: c.now}
+		c.leadership.leader = leasedKey{since: c.now}
 	case strings.HasPrefix(key, keyNode):
 		delete(c.controllers.nodeKeys, key[len(keyNode):])
 		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
-		if n := c.shardNum(key); n >= 0 {
-			c.ownership.shards[n] = held{since: c.now}
+		if n := c.shardOfKey(key); n >= 0 {
+			c.ownership.shards[n] = leasedKey{since: c.now}
 		}
-	case strings.HasPrefix(key, keyAccess):
-		c.dropAccess(key)
+	case strings.HasPrefix(key, keyPermissions):
+		c.applyPermissionDelete(key)
 	case key == KeyRestored:
-		c.restored.mark = 0
+		c.restoreMarker.revision = 0
 	case strings.HasPrefix(key, reservations.Prefix):
-		c.desk.ApplyDelete(key, mark)
+		c.reservations.ApplyDelete(key, mark)
 	case strings.HasPrefix(key, keyJob):
-		c.moved(key[len(keyJob):], mark)
+		c.handleRecordArchived(key[len(keyJob):], mark)
 	}
 }
 
-// adopt makes a committed record of a size the known state of a job.
-func (c *Core) adopt(j *job, r *jobrecord.Record, place []jobrecord.Assignment, mark uint64, size int) {
-	was, held := j.final(), len(j.place)
+// adoptRecord makes a committed record of a size the known state of a job.
+func (c *Core) adoptRecord(j *job, r *jobrecord.Record, place []jobrecord.Assignment, mark uint64, size int) {
+	was, held := j.isFinal(), len(j.assignments)
 	if j.cancellation.markerRevision != 0 && r.Stage == jobrecord.Queued {
 		r.Stage, r.CancelledAtMS = jobrecord.Cancelled, j.cancellation.markerMS
 	}
-	c.unplace(j)
-	if j.mark == 0 && r.Spec != nil {
-		c.sawJob(r)
+	c.removeAssignments(j)
+	if j.revision == 0 && r.Spec != nil {
+		c.recordClassArrival(r)
 	}
-	if mark != j.mark {
+	if mark != j.revision {
 		j.stored.needsOwnKey = false
 	}
-	j.rec, j.place, j.mark, j.stored.bytes = r, place, mark, size
+	j.record, j.assignments, j.revision, j.stored.bytes = r, place, mark, size
 	if r.EnqueueRevision != 0 || j.queue.enqueueRevision == 0 {
 		j.queue.enqueueRevision = cmp.Or(r.EnqueueRevision, mark)
 	}
 	if r.Spec != nil {
 		r.Spec.ID = j.id
 	}
-	c.link(j)
-	tm, claim := c.claimOf(j)
+	c.indexDependencies(j)
+	tm, claim := c.teamAndRequestOf(j)
 	j.placement.completedTasks = 0
 	for _, a := range place {
 		m := c.machines[a.Machine]
-		m.allocation.assignments[taskKey{j.idx, a.Task}] = a
-		c.changedOn(m)
-		if p := m.status.tasks[attKey{j.idx, a.Task, a.Attempt}]; p.state == wire.TaskExited && p.cause == wire.CauseDone {
+		m.allocation.assignments[taskKey{j.index, a.Task}] = a
+		c.noteMachineChange(m)
+		if p := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; p.state == wire.TaskExited && p.cause == wire.CauseDone {
 			j.placement.completedTasks++
 		}
 		if tm != nil {
-			tm.cpu += claim[0]
-			tm.gpu += claim[1]
+			tm.usedCPU += claim[0]
+			tm.usedGPU += claim[1]
 		}
 	}
 	j.placement.tasksLost = false
-	j.placement.hasUnplacedTasks = !j.final() && r.Spec != nil && j.waits == 0 && r.CompletedTasks.Count()+len(place) < r.Spec.Tasks
-	if !j.endedWhole() || j.accept != nil || len(j.cancellation.waiters) > 0 {
-		c.touch(j)
+	j.placement.hasUnplacedTasks = !j.isFinal() && r.Spec != nil && j.unmetDependencies == 0 && r.CompletedTasks.Count()+len(place) < r.Spec.Tasks
+	if !j.hasFinalRecord() || j.submission != nil || len(j.cancellation.waiters) > 0 {
+		c.markDirty(j)
 	}
 	c.placement.capacityFreed = c.placement.capacityFreed || len(place) < held
-	if j.final() && !was {
-		c.over(j)
+	if j.isFinal() && !was {
+		c.propagateJobEnd(j)
 	}
-	c.noteEnd(j)
+	c.trackEndedJob(j)
 }
 
-// unplace takes what a job's record assigned off the machines and off its team's use.
-func (c *Core) unplace(j *job) {
-	tm, claim := c.claimOf(j)
-	for _, a := range j.place {
+// removeAssignments takes what a job's record assigned off the machines and off its team's use.
+func (c *Core) removeAssignments(j *job) {
+	tm, claim := c.teamAndRequestOf(j)
+	for _, a := range j.assignments {
 		m := c.machines[a.Machine]
-		if cur, ok := m.allocation.assignments[taskKey{j.idx, a.Task}]; ok && cur == a {
-			delete(m.allocation.assignments, taskKey{j.idx, a.Task})
+		if cur, ok := m.allocation.assignments[taskKey{j.index, a.Task}]; ok && cur == a {
+			delete(m.allocation.assignments, taskKey{j.index, a.Task})
 		}
-		c.changedOn(m)
+		c.noteMachineChange(m)
 		if tm != nil {
-			tm.cpu -= claim[0]
-			tm.gpu -= claim[1]
+			tm.usedCPU -= claim[0]
+			tm.usedGPU -= claim[1]
 		}
 	}
 }
 
-func (c *Core) claimOf(j *job) (*team, clusterstate.Resources) {
-	if j.rec == nil || j.rec.Spec == nil {
+func (c *Core) teamAndRequestOf(j *job) (*team, clusterstate.Resources) {
+	if j.record == nil || j.record.Spec == nil {
 		return nil, clusterstate.Resources{}
 	}
-	if i, ok := c.teamIdx[j.rec.Spec.Team]; ok {
-		return c.teams[i], j.rec.Spec.Request
+	if i, ok := c.teamIndex[j.record.Spec.Team]; ok {
+		return c.teams[i], j.record.Spec.Request
 	}
-	return nil, j.rec.Spec.Request
+	return nil, j.record.Spec.Request
 }
 
-// touch has a job looked at again.
-func (c *Core) touch(j *job) {
-	c.touchLater(j)
+// markDirty has a job looked at again.
+func (c *Core) markDirty(j *job) {
+	c.markDirtyKeepingDelay(j)
 	j.write.nextLookAt = 0
 }
 
-// touchLater has a job looked at again, when its last look asked for one.
-func (c *Core) touchLater(j *job) {
+// markDirtyKeepingDelay has a job looked at again, when its last look asked for one.
+func (c *Core) markDirtyKeepingDelay(j *job) {
 	if !j.write.inOpenList {
 		j.write.inOpenList = true
-		c.open = append(c.open, j)
+		c.openJobs = append(c.openJobs, j)
 	}
 	if !j.write.dirty {
 		j.write.dirty = true
@@ -974,8 +974,8 @@
 	}
 }
 
-// touchMachine has a machine's orders looked at again.
-func (c *Core) touchMachine(m *machine) {
+// markMachineDirty has a machine's orders looked at again.
+func (c *Core) markMachineDirty(m *machine) {
 	m.commands.dirty = true
 	if !m.commands.queued {
 		m.commands.queued = true
@@ -983,14 +983,14 @@
 	}
 }
 
-// changedOn notes that a machine's tasks are others than they were.
-func (c *Core) changedOn(m *machine) {
+// noteMachineChange notes that a machine's tasks are others than they were.
+func (c *Core) noteMachineChange(m *machine) {
 	m.status.lastChangeAt, m.allocation.known = c.now, false
-	c.touchMachine(m)
+	c.markMachineDirty(m)
 }
 
-// digest is the same for two reports that say the same of their tasks, in whatever order.
-func digest(r *wire.Heartbeat) uint64 {
+// taskStatusDigest is the same for two reports that say the same of their tasks, in whatever order.
+func taskStatusDigest(r *wire.Heartbeat) uint64 {
 	var sum uint64
 	var buf []byte
 	h := fnv.New64a()
@@ -1009,19 +1009,19 @@
 	return sum
 }
 
-// observe takes a worker's report. Older ones are ignored: reports may come late and by way
+// applyHeartbeat takes a worker's report. Older ones are ignored: reports may come late and by way
 // of other controllers.
-func (c *Core) observe(r *wire.Heartbeat, direct bool) {
-	m := c.machine(r.Machine)
+func (c *Core) applyHeartbeat(r *wire.Heartbeat, direct bool) {
+	m := c.internMachine(r.Machine)
 	if m.lifecycle.gone || r.Incarnation < m.status.incarnation || r.Incarnation == m.status.incarnation && r.Sequence <= m.status.heartbeatSeq {
 		return
 	}
-	d := digest(r)
+	d := taskStatusDigest(r)
 	if m.status.reported && m.status.incarnation == r.Incarnation && m.status.digest == d {
 		// Nothing new: most reports of a large fleet. The others need only know that it lives.
-		c.signOfLife(m, r.Sequence, r.FencingToken)
+		c.recordLiveness(m, r.Sequence, r.FencingToken)
 		if direct {
-			c.agents.digestsToRelay = append(c.agents.digestsToRelay, Heard{r.Machine, r.Incarnation, r.Sequence, r.FencingToken, d})
+			c.agents.digestsToRelay = append(c.agents.digestsToRelay, HeartbeatDigest{r.Machine, r.Incarnation, r.Sequence, r.FencingToken, d})
 		}
 		return
 	}
@@ -1039,92 +1039,92 @@
 			m.lifecycle.interruptionDeadline = c.now + time.Second
 		}
 	}
-	next := make(map[attKey]piece, len(r.Tasks))
+	next := make(map[attemptKey]taskStatus, len(r.Tasks))
 	for _, p := range r.Tasks {
 		id, t, ok := wire.SplitTaskName(p.Task)
 		if !ok {
 			continue
 		}
-		j := c.job(id)
-		k := attKey{j.idx, int32(t), p.Attempt}
-		n := piece{state: p.Stage, cause: p.Cause, kept: p.Checkpointed}
+		j := c.internJob(id)
+		k := attemptKey{j.index, int32(t), p.Attempt}
+		n := taskStatus{state: p.Stage, cause: p.Cause, checkpointed: p.Checkpointed}
 		old := m.status.tasks[k]
-		n.since = old.since
-		if !old.same(n) {
-			n.since = c.now
+		n.stateSince = old.stateSince
+		if !old.equal(n) {
+			n.stateSince = c.now
 		}
 		next[k] = n
 		delete(m.status.tasks, k)
-		if old.same(n) {
+		if old.equal(n) {
 			continue
 		}
-		a, assigned := m.allocation.assignments[taskKey{j.idx, int32(t)}]
+		a, assigned := m.allocation.assignments[taskKey{j.index, int32(t)}]
 		assigned = assigned && a.Attempt == p.Attempt && a.Incarnation == m.status.incarnation
 		if p.Stage == wire.TaskExited {
 			if assigned {
-				c.freed(j, a)
+				c.releaseOnce(j, a)
 				if p.Cause == wire.CauseDone {
 					j.placement.completedTasks++
 				}
 			}
-			if p.Cause == wire.CauseDone && assigned && !j.final() && j.rec != nil && j.rec.Spec != nil &&
-				j.rec.CompletedTasks.Count()+j.placement.completedTasks < j.rec.Spec.Tasks {
-				c.touchLater(j) // others of its tasks run on: the write of this end may wait for theirs
+			if p.Cause == wire.CauseDone && assigned && !j.isFinal() && j.record != nil && j.record.Spec != nil &&
+				j.record.CompletedTasks.Count()+j.placement.completedTasks < j.record.Spec.Tasks {
+				c.markDirtyKeepingDelay(j) // others of its tasks run on: the write of this end may wait for theirs
 			} else {
-				c.touch(j)
+				c.markDirty(j)
 			}
-			c.judgeEnd(m, j, p.Cause)
+			c.recordTaskEnd(m, j, p.Cause)
 		}
-		if p.Stage == wire.TaskRunning && j.rec != nil && j.rec.Spec != nil {
-			m.status.images[j.rec.Spec.Image] = true
+		if p.Stage == wire.TaskRunning && j.record != nil && j.record.Spec != nil {
+			m.status.images[j.record.Spec.Image] = true
 		}
 	}
 	for k := range m.status.tasks { // what is not reported any more
-		c.touch(c.jobs[k.job])
+		c.markDirty(c.jobs[k.jobIndex])
 	}
 	m.status.tasks = next
-	c.signOfLife(m, r.Sequence, r.FencingToken)
-	c.changedOn(m)
+	c.recordLiveness(m, r.Sequence, r.FencingToken)
+	c.noteMachineChange(m)
 	if renewed {
-		c.lostTasks(m)
+		c.markTasksLost(m)
 	}
 	if fresh {
-		for _, a := range m.sortedTasks() {
-			c.touch(c.jobs[a.job])
+		for _, a := range m.sortedAssignments() {
+			c.markDirty(c.jobs[a.jobIndex])
 		}
 		c.placement.capacityFreed = true
 	}
 	if direct {
 		c.agents.heartbeatsToRelay = append(c.agents.heartbeatsToRelay, r)
 	}
-	c.leadSaw(m)
+	c.addRowOnFirstHeartbeat(m)
 }
 
-// signOfLife notes that a machine gave a sign of life with these numbers. A higher token
+// recordLiveness notes that a machine gave a sign of life with these numbers. A higher token
 // settles what became of earlier orders.
-func (c *Core) signOfLife(m *machine, seq, token uint64) {
+func (c *Core) recordLiveness(m *machine, seq, token uint64) {
 	m.status.lastHeartbeatAt, m.status.heartbeatSeq, m.status.polls = c.now, seq, 0
-	c.zoneOf(m.identity.zone).heard = c.now
+	c.zoneLivenessOf(m.identity.zone).lastHeartbeat = c.now
 	if token > m.status.fencingToken {
 		m.status.fencingToken = token
 		m.status.lastChangeAt = c.now
-		c.touchMachine(m)
-		for _, a := range m.sortedTasks() {
-			if j := c.jobs[a.job]; j.final() {
-				c.touch(j)
+		c.markMachineDirty(m)
+		for _, a := range m.sortedAssignments() {
+			if j := c.jobs[a.jobIndex]; j.isFinal() {
+				c.markDirty(j)
 			}
 		}
 	}
 }
 
-// heard takes the news that a machine reported nothing new to another controller.
-func (c *Core) heard(peer string, h Heard) {
-	m := c.machine(h.Machine)
-	if m.lifecycle.gone || h.Session < m.status.incarnation || h.Session == m.status.incarnation && h.Seq <= m.status.heartbeatSeq {
+// applyHeartbeatDigest takes the news that a machine reported nothing new to another controller.
+func (c *Core) applyHeartbeatDigest(peer string, h HeartbeatDigest) {
+	m := c.internMachine(h.Machine)
+	if m.lifecycle.gone || h.Incarnation < m.status.incarnation || h.Incarnation == m.status.incarnation && h.Seq <= m.status.heartbeatSeq {
 		return
 	}
-	if m.status.reported && m.status.incarnation == h.Session && m.status.digest == h.Digest {
-		c.signOfLife(m, h.Seq, h.Token)
+	if m.status.reported && m.status.incarnation == h.Incarnation && m.status.digest == h.Digest {
+		c.recordLiveness(m, h.Seq, h.FencingToken)
 		return
 	}
 	// What changed there before was not heard of here.
@@ -1132,22 +1132,22 @@
 	c.agents.missingHeartbeats[peer] = append(c.agents.missingHeartbeats[peer], h.Machine)
 }
 
-// reportOf is a machine's last report, for a controller that lacks it.
-func (c *Core) reportOf(m *machine) *wire.Heartbeat {
+// lastHeartbeatOf is a machine's last report, for a controller that lacks it.
+func (c *Core) lastHeartbeatOf(m *machine) *wire.Heartbeat {
 	r := &wire.Heartbeat{Machine: m.name, Addr: m.identity.address, Type: m.identity.machineType, Zone: m.identity.zone, Spot: m.identity.spot, Incarnation: m.status.incarnation, Sequence: m.status.heartbeatSeq, FencingToken: m.status.fencingToken}
 	if m.lifecycle.interruptionDeadline != 0 {
 		left := (m.lifecycle.interruptionDeadline - c.now).Seconds()
 		r.InterruptionNoticeS = &left
 	}
-	for _, k := range m.sortedPieces() {
+	for _, k := range m.sortedAttemptKeys() {
 		p := m.status.tasks[k]
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(c.jobs[k.job].id, int(k.task)), Attempt: k.try, Stage: p.state, Cause: p.cause, Checkpointed: p.kept})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(c.jobs[k.jobIndex].id, int(k.task)), Attempt: k.attempt, Stage: p.state, Cause: p.cause, Checkpointed: p.checkpointed})
 	}
 	return r
 }
 
-// judgeEnd draws conclusions about a machine from the end of a task there.
-func (c *Core) judgeEnd(m *machine, j *job, cause string) {
+// recordTaskEnd draws conclusions about a machine from the end of a task there.
+func (c *Core) recordTaskEnd(m *machine, j *job, cause string) {
 	switch cause {
 	case wire.CauseDone:
 		m.health.failedJobs, m.health.failures = nil, 0
@@ -1155,64 +1155,64 @@
 		if m.health.failedJobs == nil {
 			m.health.failedJobs = map[int32]bool{}
 		}
-		m.health.failedJobs[j.idx], m.health.lastFailureAt = true, c.now
+		m.health.failedJobs[j.index], m.health.lastFailureAt = true, c.now
 	}
 }
 
-// markGone records the proof that a machine and all on it are gone.
-func (c *Core) markGone(m *machine) {
+// markMachineGone records the proof that a machine and all on it are gone.
+func (c *Core) markMachineGone(m *machine) {
 	if m.lifecycle.gone {
 		return
 	}
 	m.lifecycle.gone = true
-	c.clusterCopy.state.Remove(m.idx)
-	c.lostTasks(m)
-	if c.lead != nil {
-		c.lead.array.Remove(m.idx)
+	c.clusterCopy.state.Remove(m.index)
+	c.markTasksLost(m)
+	if c.leaderState != nil {
+		c.leaderState.array.Remove(m.index)
 	}
 }
 
-// lostTasks has the jobs looked at whose tasks were lost with a machine or its session. The
+// markTasksLost has the jobs looked at whose tasks were lost with a machine or its session. The
 // machines of a lost zone go one after the other: a job of many tasks waits a moment for the
 // others, as it would take a write for each; replicas do not wait.
-func (c *Core) lostTasks(m *machine) {
-	for _, a := range m.sortedTasks() {
-		j := c.jobs[a.job]
+func (c *Core) markTasksLost(m *machine) {
+	for _, a := range m.sortedAssignments() {
+		j := c.jobs[a.jobIndex]
 		j.placement.tasksLost = true
-		if j.write.dirty || j.rec == nil || j.rec.Spec == nil || j.rec.Spec.Service || j.final() {
-			c.touch(j)
+		if j.write.dirty || j.record == nil || j.record.Spec == nil || j.record.Spec.Service || j.isFinal() {
+			c.markDirty(j)
 			continue
 		}
-		c.touchLater(j)
-		j.write.nextLookAt = max(j.write.nextLookAt, c.now+c.cfg.LossGather)
+		c.markDirtyKeepingDelay(j)
+		j.write.nextLookAt = max(j.write.nextLookAt, c.now+c.cfg.LostTaskBatchDelay)
 	}
 }
 
-// sortedTasks lists a machine's assignments in a fixed order.
-func (m *machine) sortedTasks() []asg2 {
-	out := make([]asg2, 0, len(m.allocation.assignments))
+// sortedAssignments lists a machine's assignments in a fixed order.
+func (m *machine) sortedAssignments() []jobAssignment {
+	out := make([]jobAssignment, 0, len(m.allocation.assignments))
 	for k, a := range m.allocation.assignments {
-		out = append(out, asg2{k.job, a})
+		out = append(out, jobAssignment{k.jobIndex, a})
 	}
-	slices.SortFunc(out, func(x, y asg2) int {
-		return cmp.Or(cmp.Compare(x.job, y.job), cmp.Compare(x.Task, y.Task))
+	slices.SortFunc(out, func(x, y jobAssignment) int {
+		return cmp.Or(cmp.Compare(x.jobIndex, y.jobIndex), cmp.Compare(x.Task, y.Task))
 	})
 	return out
 }
 
-// sortedPieces lists what a machine reported in a fixed order.
-func (m *machine) sortedPieces() []attKey {
-	out := make([]attKey, 0, len(m.status.tasks))
+// sortedAttemptKeys lists what a machine reported in a fixed order.
+func (m *machine) sortedAttemptKeys() []attemptKey {
+	out := make([]attemptKey, 0, len(m.status.tasks))
 	for k := range m.status.tasks {
 		out = append(out, k)
 	}
-	slices.SortFunc(out, attKey.compare)
+	slices.SortFunc(out, attemptKey.compare)
 	return out
 }
 
-// asg2 is an assignment with its job.
-type asg2 struct {
-	job int32
+// jobAssignment is an assignment with its job.
+type jobAssignment struct {
+	jobIndex int32
 	jobrecord.Assignment
 }
 
@@ -1259,14 +1259,14 @@
 type leadershipState struct {
 	fencingToken         uint64
 	fencingTokenRevision uint64
-	leader               held
+	leader               leasedKey
 	raiseInFlight        bool
 	nextRaiseAt          time.Duration
 }
 
 // shardOwnership is which controller holds each shard, and claiming and handing over shards.
 type shardOwnership struct {
-	shards         []held
+	shards         []leasedKey
 	claimInFlight  bool
 	nextClaimAt    time.Duration
 	nextHandoverAt time.Duration
@@ -1275,7 +1275,7 @@
 // controllerSet is the other controllers: their leased keys, which are in reach, what health was told them.
 type controllerSet struct {
 	membership   *membership.Members
-	nodeKeys     map[string]held
+	nodeKeys     map[string]leasedKey
 	nodesVersion uint64 // counts how often nodes changed
 	nextHealthAt time.Duration
 }
@@ -1283,10 +1283,10 @@
 // agentLiveness is what agents said of late and what of it goes to the other controllers; status polls; liveness of zones.
 type agentLiveness struct {
 	pollsInFlight     int // requests for reports on their way
-	zones             map[string]*zoneNews
+	zones             map[string]*zoneLiveness
 	nextDigestAt      time.Duration // when the others are told next of machines that report nothing new
 	heartbeatsToRelay []*wire.Heartbeat
-	digestsToRelay    []Heard
+	digestsToRelay    []HeartbeatDigest
 	missingHeartbeats map[string][]string // by controller: machines whose reports it has and this one lacks
 }
 
@@ -1295,13 +1295,13 @@
 	dirtyMachines       []*machine // those that may need orders
 	nextDrainAt         time.Duration
 	nextReturnRequestAt time.Duration
-	inFlight            map[uint64]send
-	relayed             map[uint64]relayed
+	inFlight            map[uint64]inFlightCommands
+	relayed             map[uint64]relayedCommands
 }
 
 // transactionState is transactions in flight, the rate limit of the store, and what waits to be written.
 type transactionState struct {
-	inFlight          map[uint64]*txn
+	inFlight          map[uint64]*pendingTxn
 	rateLimit         ratelimit.Limiter
 	endBatchDelay     time.Duration // how long ends may wait to share a write
 	nextBlockedScanAt time.Duration // when what waits for a write is looked at even if none can be made
@@ -1314,8 +1314,8 @@
 	revision         uint64              // 0: that of the priorities is in force
 	nextSeedAt       time.Duration
 	enabledPublished bool
-	startShares      shares
-	firstWaiting     []Waiting // of each lane, the first of its jobs that wait for room, of late
+	startShares      startShares
+	firstWaiting     []QueueHead // of each lane, the first of its jobs that wait for room, of late
 }
 
 // clusterCopy is this controller's copy of the shared cluster state, as of the leader's last push.
@@ -1325,12 +1325,12 @@
 	leaderToken    uint64
 	countedBatches map[string]uint64 // what it had counted
 	nextResendAt   time.Duration
-	capacityHold   *Hold // as the leader told with the last push
+	capacityHold   *CapacityHold // as the leader told with the last push
 }
 
 // deltaLog is start and finish tuples of this controller on their way to the leader and the others.
 type deltaLog struct {
-	unsent        []DeltaMsg
+	unsent        []AllocationDelta
 	uncounted     map[string][]deltaBatch // of each controller, not yet counted by the leader
 	lastSeq       uint64
 	countingDelay time.Duration // how long it takes of late until a push shows that a batch was counted
@@ -1339,7 +1339,7 @@
 
 // placementState is when waiting tasks are placed next, and which requests are known to find no capacity.
 type placementState struct {
-	unplaceable   []noRoom // claims that found no room since some became free
+	unplaceable   []unplaceable // claims that found no room since some became free
 	nextScanAt    time.Duration
 	capacityFreed bool          // room may have become free
 	yieldedUntil  time.Duration // when room is to be looked at that was another's to take first; 0: there is none
@@ -1354,8 +1354,8 @@
 	storedCatalog   wire.Catalog // as the state service holds it
 	storeInFlight   bool
 	catalogInFlight bool
-	classStats      map[string]*classStat
-	calls           map[uint64]func(Clouded)
+	classStats      map[string]*classStats
+	calls           map[uint64]func(CloudResult)
 }
 
 // schemaState is schema versions: what each controller declared, the one in force, this controller's own declaration.
@@ -1372,14 +1372,14 @@
 type cancelAcks struct {
 	waitersUntil  time.Duration // until then, somebody may wait for a cancellation
 	quorum        *quorum.View  // see cancellations.go
-	pending       []untold
+	pending       []pendingAck
 	peersKnowUpTo uint64        // up to this revision others have told of all cancellations
 	nextReadAt    time.Duration // when the state service is read next for the sake of that
 }
 
 // archivingState is the sweep that moves ended jobs into the archive.
 type archivingState struct {
-	sweep            *sweep // see sweep.go
+	sweep            *archiveSweep // see sweep.go
 	nextSweepCheckAt time.Duration
 }
 
@@ -1415,7 +1415,7 @@
 	lastPollAt      time.Duration // when it was asked for its report last
 	polls           int           // how often it was, since it was heard of
 	digest          uint64        // of what it reported last
-	tasks           map[attKey]piece
+	tasks           map[attemptKey]taskStatus
 	images          map[string]bool
 }
 
@@ -1429,10 +1429,10 @@
 // machineCommands is commands to its agent: attempts known, the request in flight, when the next may go.
 type machineCommands struct {
 	lastUnansweredAt time.Duration // when orders to it stayed without an answer last
-	attempts         map[attKey]*attempt
+	attempts         map[attemptKey]*attempt
 	requestID        uint64 // id of the orders on their way; 0: none
 	requestToken     uint64
-	requestAttempts  []attKey
+	requestAttempts  []attemptKey
 	unanswered       int // requests unanswered in a row
 	nextSendAt       time.Duration
 	nextClearAt      time.Duration // when its ended tasks are to be forgotten; 0: none is
@@ -1484,7 +1484,7 @@
 
 // jobCancellation is who waits for its cancellation, and the cancel marker in a key of its own.
 type jobCancellation struct {
-	waiters        []cancelReq
+	waiters        []cancelWaiter
 	requestedMS    int64
 	answerBy       time.Duration // until when an answer must be given
 	markerRevision uint64        // of the mark of its cancellation; 0: there is none
@@ -1503,7 +1503,7 @@
 type jobQueueState struct {
 	missingReplicas int           // replicas of it that are gone, as of the last turn that ordered writes
 	enqueueRevision uint64        // revision of its acceptance: its place in its lane
-	rank            rank          // as it was worked out last
+	rank            queueRank     // as it was worked out last
 	boostedUntil    time.Duration // until then it is ordered as one of the first lane, for the share of its own
 }
 
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -16,10 +16,10 @@
 		v    any
 		want string
 	}{
-		{&cancelMark{CancelMS: 1_700_000_000_123}, `{"cm":1700000000123}`},
-		{&cancelMark{CancelMS: 1_700_000_000_123, Carried: carried}, `{"cm":1700000000123,"e":[{"a":"node-a","l":3,"q":4,"e":"ZW50cnk=","t":"dGFn"}]}`},
-		{&held{}, `{"n":"","t":0,"b":0}`},
-		{&held{Node: "node-a", Lease: 5, Token: 6}, `{"n":"node-a","t":5,"b":6}`},
+		{&cancelMarker{CancelMS: 1_700_000_000_123}, `{"cm":1700000000123}`},
+		{&cancelMarker{CancelMS: 1_700_000_000_123, Carried: carried}, `{"cm":1700000000123,"e":[{"a":"node-a","l":3,"q":4,"e":"ZW50cnk=","t":"dGFn"}]}`},
+		{&leasedKey{}, `{"n":"","t":0,"b":0}`},
+		{&leasedKey{Node: "node-a", LeaseID: 5, FencingToken: 6}, `{"n":"node-a","t":5,"b":6}`},
 	} {
 		raw, err := json.Marshal(x.v)
 		if err != nil || string(raw) != x.want {
@@ -30,25 +30,25 @@
 			t.Errorf("%s is read as %+v (%v)", x.want, read, err)
 		}
 	}
-	if raw := (cancelMark{CancelMS: 7}).encode(); string(raw) != `{"cm":7}` {
+	if raw := (cancelMarker{CancelMS: 7}).encode(); string(raw) != `{"cm":7}` {
 		t.Errorf("a mark of cancellation is %s", raw)
 	}
 	c := &Core{cfg: Config{Name: "node-a"}, ownLease: controllerLease{id: 5}}
-	if raw := c.heldValue(6); string(raw) != `{"n":"node-a","t":5,"b":6}` {
+	if raw := c.leasedValue(6); string(raw) != `{"n":"node-a","t":5,"b":6}` {
 		t.Errorf("a leased key is %s", raw)
 	}
 }
 
 // The keys of the state service that this package has, and the numbers of the forms.
 func TestStoredKeysStay(t *testing.T) {
-	got := []string{Root, keyNode, keyLeader, keyShard, shardKey(7), keyEpoch, keyJob, keyTeam, keyTypes, keyForm, keyCancel, keySlot, slotKey(7), keyAccess, keyRoles,
-		keyWho, keyLanes, keyHistory, KeyRestored}
+	got := []string{Root, keyNode, keyLeader, keyShard, shardKey(7), keyFencingToken, keyJob, keyTeam, keyMachineTypes, keySchemaVersion, keyCancel, keySlot, slotKey(7), keyPermissions, keyRoles,
+		keyIdentity, keyPriorityClasses, keyHistory, KeyRestored}
 	want := "dl/ dl/node/ dl/leader dl/shard/ dl/shard/07 dl/epoch dl/job/ dl/team/ dl/types dl/form/ dl/cancel/ dl/over/ dl/over/07 dl/access/ dl/access/roles " +
 		"dl/access/who/ dl/lanes dl/history dl/restored"
 	if s := strings.Join(got, " "); s != want {
 		t.Errorf("keys are %s, were %s", s, want)
 	}
-	forms := []int{formFirst, formAwaits, formHistory, formAccess, formAudit, formShared, formBooking, formLanes, formQuorum, Form}
+	forms := []int{schemaInitial, schemaDependencies, schemaArchive, schemaPermissions, schemaAudit, schemaSharedValues, schemaReservations, schemaPriorityClasses, schemaCancelQuorum, SchemaVersion}
 	if !reflect.DeepEqual(forms, []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 8}) {
 		t.Errorf("forms are %v", forms)
 	}
@@ -57,13 +57,13 @@
 // What a controller declares: a number, as every version reads it.
 func TestDeclarationStays(t *testing.T) {
 	c := New(testConfig(), 0, 1)
-	if err := c.putForm("dl/form/node-b", json.RawMessage("8"), 3); err != nil || c.schema.declared["node-b"] != 8 {
+	if err := c.applySchemaVersion("dl/form/node-b", json.RawMessage("8"), 3); err != nil || c.schema.declared["node-b"] != 8 {
 		t.Errorf("a declaration is read as %v (%v)", c.schema.declared, err)
 	}
-	if err := c.putRestored(json.RawMessage(`"what"`), 3); err != nil || c.restored.what != "what" {
-		t.Errorf("a restored state is read as %q (%v)", c.restored.what, err)
+	if err := c.applyRestoreMarker(json.RawMessage(`"what"`), 3); err != nil || c.restoreMarker.description != "what" {
+		t.Errorf("a restored state is read as %q (%v)", c.restoreMarker.description, err)
 	}
-	c.put("dl/epoch", json.RawMessage("17"), 4)
+	c.applyPut("dl/epoch", json.RawMessage("17"), 4)
 	if c.leadership.fencingToken != 17 {
 		t.Errorf("the token is read as %d", c.leadership.fencingToken)
 	}
--- a/core/strain_test.go
+++ b/core/loadshedding_test.go
@@ -9,15 +9,15 @@
 	"dewlift/wire"
 )
 
-// fleetOf has n machines report in two zones, and returns what has those of a zone report again.
-func fleetOf(c *Core, now time.Duration, n int) (again func(now time.Duration, zone string)) {
+// addFleet has n machines report in two zones, and returns what has those of a zone report again.
+func addFleet(c *Core, now time.Duration, n int) (again func(now time.Duration, zone string)) {
 	seq := uint64(1)
 	again = func(now time.Duration, zone string) {
 		seq++
 		for i := range n {
 			r := &wire.Heartbeat{Machine: fmt.Sprintf("f-%d", i), Addr: "x:1", Type: "x", Zone: "ab"[i%2 : i%2+1], Incarnation: 1, Sequence: seq, FencingToken: 1}
 			if zone == "" || zone == r.Zone {
-				c.Handle(now, Seen{Machine: r.Machine, Report: r})
+				c.Handle(now, AgentPolled{Machine: r.Machine, Heartbeat: r})
 			}
 		}
 	}
@@ -26,13 +26,13 @@
 }
 
 // A lost zone's machines counted as well for two reports' time each, and what was started there was lost.
-func TestQuietZoneTakesNoWork(t *testing.T) {
-	c := leading(t)
-	again := fleetOf(c, time.Second, 40)
-	drive(c, time.Second, 2500*time.Millisecond)
+func TestSilentZoneTakesNoWork(t *testing.T) {
+	c := newLeadingCore(t)
+	again := addFleet(c, time.Second, 40)
+	runFor(c, time.Second, 2500*time.Millisecond)
 	usable := func(zone string) (n int) {
-		for _, m := range c.alive {
-			if m.identity.zone == zone && c.usable(m) {
+		for _, m := range c.aliveMachines {
+			if m.identity.zone == zone && c.isSchedulable(m) {
 				n++
 			}
 		}
@@ -60,9 +60,9 @@
 
 // Every machine of a lost zone was asked for its report once a second, and each request held a socket until its timeout.
 func TestLostZoneTakesFewRequests(t *testing.T) {
-	c := leading(t)
+	c := newLeadingCore(t)
 	const machines = 400
-	fleetOf(c, time.Second, machines)
+	addFleet(c, time.Second, machines)
 	type ask struct {
 		at      time.Duration
 		machine string
@@ -71,19 +71,19 @@
 	asked := map[string]int{}
 	for now := time.Second; now < 30*time.Second; now += 50 * time.Millisecond {
 		for len(open) > 0 && open[0].at <= now-1500*time.Millisecond { // nobody answers
-			c.Handle(now, Seen{Machine: open[0].machine})
+			c.Handle(now, AgentPolled{Machine: open[0].machine})
 			open = open[1:]
 		}
 		for _, o := range c.Advance(now) {
 			switch o := o.(type) {
-			case Probe:
+			case PollAgent:
 				open = append(open, ask{now, o.Machine})
 				asked[o.Machine]++
-			case LeaseOp:
-				c.Handle(now, Leased{Op: o.Op, Status: 200, Lease: c.ownLease.id})
+			case LeaseRequest:
+				c.Handle(now, LeaseResult{Op: o.Op, Status: 200, LeaseID: c.ownLease.id})
 			}
 		}
-		if len(open) > c.cfg.ProbesMost {
+		if len(open) > c.cfg.MaxPollRequests {
 			t.Fatalf("%d requests for reports on their way", len(open))
 		}
 	}
@@ -100,36 +100,36 @@
 }
 
 // Orders to machines that hang must leave room for those to others.
-func TestHangingMachinesLeaveRoomForOrders(t *testing.T) {
-	c := leading(t)
-	c.cfg.OrdersMost = 40
-	fleetOf(c, time.Second, 200)
-	for i, m := range c.alive {
+func TestHangingMachinesLeaveRoomForCommands(t *testing.T) {
+	c := newLeadingCore(t)
+	c.cfg.MaxCommandRequests = 40
+	addFleet(c, time.Second, 200)
+	for i, m := range c.aliveMachines {
 		if i%2 == 0 {
 			m.commands.unanswered = 1
 		}
-		k := attKey{c.job("wk-1").idx, int32(i), 1}
-		m.status.tasks[k] = piece{state: wire.TaskExited, cause: wire.CauseDone}
-		c.job("wk-1").mark = 1 // a record that assigns nothing: all that machines report is to be forgotten
+		k := attemptKey{c.internJob("wk-1").index, int32(i), 1}
+		m.status.tasks[k] = taskStatus{state: wire.TaskExited, cause: wire.CauseDone}
+		c.internJob("wk-1").revision = 1 // a record that assigns nothing: all that machines report is to be forgotten
 		m.commands.nextClearAt = time.Millisecond
-		c.touchMachine(m)
+		c.markMachineDirty(m)
 	}
-	drive(c, time.Second, 1050*time.Millisecond)
+	runFor(c, time.Second, 1050*time.Millisecond)
 	if len(c.commands.inFlight) != 0 {
 		t.Fatalf("%d requests are on their way after all were answered", len(c.commands.inFlight))
 	}
-	for _, m := range c.alive {
+	for _, m := range c.aliveMachines {
 		m.commands.nextSendAt = 0
-		c.touchMachine(m)
+		c.markMachineDirty(m)
 		for k := range m.commands.attempts {
 			delete(m.commands.attempts, k)
 		}
 		m.commands.nextClearAt = time.Millisecond
 	}
 	strained := 0
-	orders := outputs[Orders](c.Advance(1100 * time.Millisecond))
+	orders := outputsOfType[SendCommands](c.Advance(1100 * time.Millisecond))
 	for _, o := range orders {
-		if c.strained(c.machine(o.Machine)) {
+		if c.isUnresponsive(c.internMachine(o.Machine)) {
 			strained++
 		}
 	}
@@ -139,16 +139,16 @@
 }
 
 // Whoever is refused for too much work comes back when what waits now is written, and not all at the same moment.
-func TestRefusedComeBackWhenThereIsTime(t *testing.T) {
-	c := serving(t)
+func TestRetryAfterGrowsWithTheBacklog(t *testing.T) {
+	c := newServingCore(t)
 	c.transactions.rateLimit.WriteRate = 10
-	if s := c.comeBack(); s != 1 {
+	if s := c.retryAfterSeconds(); s != 1 {
 		t.Errorf("come back in %d s when nothing waits", s)
 	}
-	c.accepting = 50
+	c.pendingSubmissions = 50
 	times := map[int]int{}
 	for range 200 {
-		s := c.comeBack()
+		s := c.retryAfterSeconds()
 		if s < 5 || s > 10 {
 			t.Fatalf("come back in %d s, 50 changes at 10 a second wait", s)
 		}
@@ -157,13 +157,13 @@
 	if len(times) < 4 {
 		t.Errorf("they come back at %d moments", len(times))
 	}
-	c.accepting = 1000
-	if s := c.comeBack(); s > longestBack {
+	c.pendingSubmissions = 1000
+	if s := c.retryAfterSeconds(); s > maxRetryAfterSeconds {
 		t.Errorf("come back in %d s", s)
 	}
-	calm := c.acceptMost()
-	c.Handle(c.now, Strain{Late: 2 * time.Second})
-	if c.load.Level() != overload.Overloaded || c.acceptMost() >= calm {
-		t.Errorf("at %v %d submissions may wait, %d when calm", c.load.Level(), c.acceptMost(), calm)
+	calm := c.maxPendingSubmissions()
+	c.Handle(c.now, LoadSample{MaxLoopDelay: 2 * time.Second})
+	if c.overload.Level() != overload.Overloaded || c.maxPendingSubmissions() >= calm {
+		t.Errorf("at %v %d submissions may wait, %d when calm", c.overload.Level(), c.maxPendingSubmissions(), calm)
 	}
 }
--- a/core/membership/members.go
+++ b/core/membership/members.go
@@ -21,14 +21,14 @@
 
 // QueuePosition is the place of a job in the order of work: a smaller priority comes first, then the earlier time of day.
 type QueuePosition struct {
-	Priority int
-	AtMS     int64
-	Spot     bool // it may use spot machines
+	Priority     int
+	EnqueuedAtMS int64
+	Spot         bool // it may use spot machines
 }
 
 // clearlyBefore reports whether a job's turn comes clearly before another's.
 func (w QueuePosition) clearlyBefore(o QueuePosition) bool {
-	return w.Priority < o.Priority || w.Priority == o.Priority && w.AtMS+positionToleranceMS < o.AtMS
+	return w.Priority < o.Priority || w.Priority == o.Priority && w.EnqueuedAtMS+positionToleranceMS < o.EnqueuedAtMS
 }
 
 const positionToleranceMS = 3000 // by which two jobs' turns must differ: what is known of the others' is older than that it is told
--- a/core/own.go
+++ b/core/ownership.go
@@ -14,9 +14,9 @@
 
 func shardKey(n int) string { return fmt.Sprintf("%s%02d", keyShard, n) }
 
-// keepLease keeps this controller's lease, and gets a new one when it is lost.
-func (c *Core) keepLease() {
-	if c.unfit() || c.blind() { // it must not act: its lease runs out, and others take over
+// maintainLease keeps this controller's lease, and gets a new one when it is lost.
+func (c *Core) maintainLease() {
+	if c.lacksAuditKey() || c.isWatchStalled() { // it must not act: its lease runs out, and others take over
 		return
 	}
 	if c.ownLease.opInFlight != "" || c.now < c.ownLease.requestSentAt+150*time.Millisecond {
@@ -25,44 +25,44 @@
 	switch {
 	case c.ownLease.id == 0:
 		c.ownLease.opInFlight = "grant"
-	case c.now >= c.ownLease.expiresAt-c.cfg.Lease*2/3:
+	case c.now >= c.ownLease.expiresAt-c.cfg.LeaseTTL*2/3:
 		c.ownLease.opInFlight = "extend"
 	default:
 		return
 	}
 	c.ownLease.requestSentAt = c.now
-	c.emit(LeaseOp{Op: c.ownLease.opInFlight, TTL: c.cfg.Lease, Lease: c.ownLease.id})
+	c.emit(LeaseRequest{Op: c.ownLease.opInFlight, TTL: c.cfg.LeaseTTL, LeaseID: c.ownLease.id})
 }
 
-// blind reports whether reads of changes have stayed without an answer for a while. Such a controller may write and hold its lease, and know neither
+// isWatchStalled reports whether reads of changes have stayed without an answer for a while. Such a controller may write and hold its lease, and know neither
 // what it holds nor what others do: one that had just begun to lead did nothing for twenty seconds, and nobody else could.
-func (c *Core) blind() bool {
-	return c.storeHealth.firstLostReadAt != 0 && c.now-c.storeHealth.firstLostReadAt > blindAfter
+func (c *Core) isWatchStalled() bool {
+	return c.storeHealth.firstLostReadAt != 0 && c.now-c.storeHealth.firstLostReadAt > watchStalledAfter
 }
 
-const blindAfter = 5 * time.Second // two reads in a row without an answer, and some
+const watchStalledAfter = 5 * time.Second // two reads in a row without an answer, and some
 
-func (c *Core) leased(in Leased) {
+func (c *Core) handleLeaseResult(in LeaseResult) {
 	if in.Op != c.ownLease.opInFlight {
 		return
 	}
-	c.stateAnswered(in.Status)
+	c.recordStoreStatus(in.Status)
 	c.ownLease.opInFlight = ""
 	switch {
-	case in.Status == 200 && in.Op == "grant" && in.Lease != 0:
-		c.ownLease.id = in.Lease
-		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Lease
+	case in.Status == 200 && in.Op == "grant" && in.LeaseID != 0:
+		c.ownLease.id = in.LeaseID
+		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.LeaseTTL
 	case in.Status == 200 && in.Op == "extend":
 		// Counted from the sending: the service counts from its receipt, later.
-		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Lease
+		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.LeaseTTL
 	case in.Status == 404 && in.Op == "extend":
-		c.note("info", "lease lost", "lease", c.ownLease.id)
+		c.log("info", "lease lost", "lease", c.ownLease.id)
 		c.ownLease.id = 0
 	}
 }
 
-// live lists the controllers with a lease, this one included, in name order.
-func (c *Core) live() []string {
+// liveControllers lists the controllers with a lease, this one included, in name order.
+func (c *Core) liveControllers() []string {
 	out := []string{c.cfg.Name}
 	for n := range c.controllers.nodeKeys {
 		if n != c.cfg.Name {
@@ -73,14 +73,14 @@
 	return out
 }
 
-// there reports whether a controller holds a lease, as far as is known here.
-func (c *Core) there(name string) bool {
+// isControllerLive reports whether a controller holds a lease, as far as is known here.
+func (c *Core) isControllerLive(name string) bool {
 	_, ok := c.controllers.nodeKeys[name]
 	return ok
 }
 
-// rank is the place of this controller in a key's rendezvous order among the live ones.
-func (c *Core) rank(key string, live []string) int {
+// rendezvousRank is the place of this controller in a key's rendezvous order among the live ones.
+func (c *Core) rendezvousRank(key string, live []string) int {
 	weight := func(n string) uint64 {
 		h := fnv.New64a()
 		h.Write([]byte(n))
@@ -101,22 +101,22 @@
 	return r
 }
 
-// own claims absent shards and the leadership, and gives up surplus shards.
-func (c *Core) own() {
-	if c.mute() || !c.leaseOK() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt || c.transactions.rateLimit.IsPaused(c.now) {
+// acquireOwnership claims absent shards and the leadership, and gives up surplus shards.
+func (c *Core) acquireOwnership() {
+	if c.auditNotReady() || !c.holdsLease() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt || c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
 	node, have := c.controllers.nodeKeys[c.cfg.Name]
-	live := c.live()
+	live := c.liveControllers()
 	var t wire.Txn
 	ops := 0
-	if !have || node.Lease != c.ownLease.id {
+	if !have || node.LeaseID != c.ownLease.id {
 		t.Compare = append(t.Compare, wire.Compare{Key: keyNode + c.cfg.Name, Revision: node.mark})
-		t.Then = append(t.Then, wire.Write{Put: keyNode + c.cfg.Name, Value: c.heldValue(0), LeaseID: c.ownLease.id})
+		t.Then = append(t.Then, wire.Write{Put: keyNode + c.cfg.Name, Value: c.leasedValue(0), LeaseID: c.ownLease.id})
 		ops++
 	}
 	// Everyone has a moment to show itself, so that the shards spread at a common start.
-	settled := have && c.now-c.started > 700*time.Millisecond
+	settled := have && c.now-c.startedAt > 700*time.Millisecond
 	fair := (len(c.ownership.shards) + len(live) - 1) / len(live)
 	counts := map[string]int{}
 	for i := range c.ownership.shards {
@@ -133,14 +133,14 @@
 	var claims []int
 	for i := range c.ownership.shards {
 		s := &c.ownership.shards[i]
-		if c.mineShard(i) || ops+len(claims)+2+c.besides() > c.cfg.TxnOps {
+		if c.ownsShard(i) || ops+len(claims)+2+c.auditOpsPerTxn() > c.cfg.MaxTxnOps {
 			continue
 		}
 		old := s.mark != 0 && s.Node == c.cfg.Name // held by an earlier life of this controller
 		if s.mark != 0 && !old || !settled && !old {
 			continue
 		}
-		wait := time.Duration(c.rank(shardKey(i), live)) * 300 * time.Millisecond
+		wait := time.Duration(c.rendezvousRank(shardKey(i), live)) * 300 * time.Millisecond
 		if count+len(claims) >= fair {
 			wait += 700 * time.Millisecond
 		}
@@ -152,27 +152,27 @@
 		}
 	}
 	lead := false
-	if c.leadership.leader.mark == 0 && settled && c.now-c.leadership.leader.since >= time.Duration(c.rank(keyLeader, live))*300*time.Millisecond ||
-		c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name && c.leadership.leader.Lease != c.ownLease.id {
-		lead = ops+len(claims)+2+c.besides() <= c.cfg.TxnOps
+	if c.leadership.leader.mark == 0 && settled && c.now-c.leadership.leader.since >= time.Duration(c.rendezvousRank(keyLeader, live))*300*time.Millisecond ||
+		c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name && c.leadership.leader.LeaseID != c.ownLease.id {
+		lead = ops+len(claims)+2+c.auditOpsPerTxn() <= c.cfg.MaxTxnOps
 	}
 	told := func(int) {}
 	if len(claims) > 0 || lead {
 		token := c.leadership.fencingToken + 1
-		t.Compare = append(t.Compare, wire.Compare{Key: keyEpoch, Revision: c.leadership.fencingTokenRevision})
-		t.Then = append(t.Then, wire.Write{Put: keyEpoch, Value: json.RawMessage(fmt.Sprint(token))})
+		t.Compare = append(t.Compare, wire.Compare{Key: keyFencingToken, Revision: c.leadership.fencingTokenRevision})
+		t.Then = append(t.Then, wire.Write{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(token))})
 		for _, i := range claims {
 			t.Compare = append(t.Compare, wire.Compare{Key: shardKey(i), Revision: c.ownership.shards[i].mark})
-			t.Then = append(t.Then, wire.Write{Put: shardKey(i), Value: c.heldValue(token), LeaseID: c.ownLease.id})
+			t.Then = append(t.Then, wire.Write{Put: shardKey(i), Value: c.leasedValue(token), LeaseID: c.ownLease.id})
 		}
 		if lead {
 			t.Compare = append(t.Compare, wire.Compare{Key: keyLeader, Revision: c.leadership.leader.mark})
-			t.Then = append(t.Then, wire.Write{Put: keyLeader, Value: c.heldValue(token), LeaseID: c.ownLease.id})
+			t.Then = append(t.Then, wire.Write{Put: keyLeader, Value: c.leasedValue(token), LeaseID: c.ownLease.id})
 		}
-		told = c.carryBeside(&t, "take/"+c.cfg.Name, auditlog.Event{Verb: auditlog.VerbTakeOver, Object: taken(claims, lead), Reason: fmt.Sprintf("token %d", token)})
+		told = c.addAuditEntry(&t, "take/"+c.cfg.Name, auditlog.Event{Verb: auditlog.VerbTakeOver, Object: describeClaims(claims, lead), Reason: fmt.Sprintf("token %d", token)})
 	} else if ops == 0 && (count > fair || uneven) && c.now >= c.ownership.nextHandoverAt {
 		c.ownership.nextHandoverAt = c.now + 1500*time.Millisecond
-		if i := c.surplus(); i >= 0 {
+		if i := c.surplusShard(); i >= 0 {
 			t.Compare = append(t.Compare, wire.Compare{Key: shardKey(i), Revision: c.ownership.shards[i].mark})
 			t.Then = append(t.Then, wire.Write{Delete: shardKey(i)})
 		}
@@ -182,19 +182,19 @@
 	}
 	c.ownership.claimInFlight = true
 	c.ownership.nextClaimAt = c.now + 100*time.Millisecond
-	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
+	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
 		c.ownership.claimInFlight = false
 		told(status)
 		if status != 200 {
 			c.ownership.nextClaimAt = c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond)
 		}
 		// What came of it is learnt from the stream of changes, in its order.
-		c.afterBarrier(func(bool) {})
+		c.afterReadBarrier(func(bool) {})
 	}})
 }
 
-// taken names what is claimed.
-func taken(claims []int, lead bool) string {
+// describeClaims names what is claimed.
+func describeClaims(claims []int, lead bool) string {
 	var list []string
 	if lead {
 		list = append(list, "leadership")
@@ -205,65 +205,65 @@
 	return strings.Join(list, ", ")
 }
 
-func (c *Core) heldValue(token uint64) json.RawMessage {
-	raw, err := json.Marshal(held{Node: c.cfg.Name, Lease: c.ownLease.id, Token: token})
+func (c *Core) leasedValue(token uint64) json.RawMessage {
+	raw, err := json.Marshal(leasedKey{Node: c.cfg.Name, LeaseID: c.ownLease.id, FencingToken: token})
 	if err != nil {
 		panic(err) // a struct of strings and numbers
 	}
 	return raw
 }
 
-// surplus chooses a shard to give up: the one this controller ranks lowest for.
-func (c *Core) surplus() int {
-	live := c.live()
+// surplusShard chooses a shard to give up: the one this controller ranks lowest for.
+func (c *Core) surplusShard() int {
+	live := c.liveControllers()
 	best, bestRank := -1, -1
 	for i := range c.ownership.shards {
-		if !c.mineShard(i) {
+		if !c.ownsShard(i) {
 			continue
 		}
 		busy := false
-		for _, j := range c.open {
-			if j.rec != nil && j.rec.Shard == i && (j.write.inFlight || j.write.outcomeUnknown) {
+		for _, j := range c.openJobs {
+			if j.record != nil && j.record.Shard == i && (j.write.inFlight || j.write.outcomeUnknown) {
 				busy = true
 				break
 			}
 		}
-		if r := c.rank(shardKey(i), live); !busy && r > bestRank {
+		if r := c.rendezvousRank(shardKey(i), live); !busy && r > bestRank {
 			best, bestRank = i, r
 		}
 	}
 	return best
 }
 
-// gained is called when the stream shows that a shard is this controller's.
-func (c *Core) gained(n int) {
-	for _, j := range c.open {
-		if j.rec != nil && j.rec.Shard == n {
-			c.touch(j)
-			for _, a := range j.place {
-				c.touchMachine(c.machines[a.Machine])
+// handleShardGained is called when the stream shows that a shard is this controller's.
+func (c *Core) handleShardGained(n int) {
+	for _, j := range c.openJobs {
+		if j.record != nil && j.record.Shard == n {
+			c.markDirty(j)
+			for _, a := range j.assignments {
+				c.markMachineDirty(c.machines[a.Machine])
 			}
 		}
 	}
 	c.placement.capacityFreed = true
-	for _, m := range c.alive {
-		c.touchMachine(m)
+	for _, m := range c.aliveMachines {
+		c.markMachineDirty(m)
 	}
 }
 
-// bump raises the token, so that orders on their way can't be executed any more once the
+// raiseFencingToken raises the token, so that orders on their way can't be executed any more once the
 // machine has seen it.
-func (c *Core) bump() {
-	if c.leadership.raiseInFlight || c.ownership.claimInFlight || c.now < c.leadership.nextRaiseAt || !c.leaseOK() || c.transactions.rateLimit.IsPaused(c.now) {
+func (c *Core) raiseFencingToken() {
+	if c.leadership.raiseInFlight || c.ownership.claimInFlight || c.now < c.leadership.nextRaiseAt || !c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
 	c.leadership.raiseInFlight = true
 	c.leadership.nextRaiseAt = c.now + 5*time.Second
-	t := wire.Txn{Compare: []wire.Compare{{Key: keyEpoch, Revision: c.leadership.fencingTokenRevision}},
-		Then: []wire.Write{{Put: keyEpoch, Value: json.RawMessage(fmt.Sprint(c.leadership.fencingToken + 1))}}}
-	c.commit(t, &txn{done: func(status int, _ wire.TxnResponse) {
+	t := wire.Txn{Compare: []wire.Compare{{Key: keyFencingToken, Revision: c.leadership.fencingTokenRevision}},
+		Then: []wire.Write{{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(c.leadership.fencingToken + 1))}}}
+	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
 		c.leadership.raiseInFlight = false
-		c.afterBarrier(func(bool) {})
+		c.afterReadBarrier(func(bool) {})
 	}})
 }
 
@@ -273,7 +273,7 @@
 func (c *Core) pickShard() int {
 	var own []int
 	for i := range c.ownership.shards {
-		if c.mineShard(i) {
+		if c.ownsShard(i) {
 			own = append(own, i)
 		}
 	}
--- a/core/mistaken_test.go
+++ b/core/quarantine_test.go
@@ -12,7 +12,7 @@
 
 // A job with a mistake kept the machines that it failed on from all work for up to half a minute, was started whole again and again, and had healthy
 // machines returned. What its record says tells it from a faulty machine, at every controller.
-func TestMistakenJobIsToldFromAFaultyMachine(t *testing.T) {
+func TestJobFailingEverywhereIsToldFromAFaultyMachine(t *testing.T) {
 	for name, x := range map[string]struct {
 		why               string // machine and cause, or "done"
 		failing, mistaken bool
@@ -33,10 +33,10 @@
 			r.AddStopReason(jobrecord.StopReason{Machine: f[i], Cause: f[i+1]})
 			i++
 		}
-		if failing(r, 1000) != x.failing || mistaken(r, 1000) != x.mistaken {
-			t.Errorf("%s: failing %v, mistaken %v: %v", name, failing(r, 1000), mistaken(r, 1000), r.StopReasons)
+		if isFailing(r, 1000) != x.failing || failsEverywhere(r, 1000) != x.mistaken {
+			t.Errorf("%s: failing %v, mistaken %v: %v", name, isFailing(r, 1000), failsEverywhere(r, 1000), r.StopReasons)
 		}
-		if failing(r, 1000+ofLate.Milliseconds()) {
+		if isFailing(r, 1000+failureWindow.Milliseconds()) {
 			t.Errorf("%s: failing for ever", name)
 		}
 	}
@@ -44,31 +44,31 @@
 
 // Three jobs fail on two machines. Those of one are mistaken, so it stays in use; those of the other do well elsewhere, so it is returned. Where nothing is
 // known of them, it is tried again after a while.
-func TestOnlyAMachineThatFailsSoundJobsIsReturned(t *testing.T) {
-	c := leading(t)
+func TestOnlyAMachineThatFailsHealthyJobsIsReturned(t *testing.T) {
+	c := newLeadingCore(t)
 	for i, kind := range []string{"mistaken", "sound", "unknown"} {
-		m := c.machine(fmt.Sprint("m-", i))
+		m := c.internMachine(fmt.Sprint("m-", i))
 		for k := range 3 {
-			j := c.job(fmt.Sprint("wk-", kind, k))
-			j.rec = &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 9}}
+			j := c.internJob(fmt.Sprint("wk-", kind, k))
+			j.record = &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 9}}
 			switch kind {
 			case "mistaken":
 				for n := range 3 {
-					j.rec.AddStopReason(jobrecord.StopReason{Machine: fmt.Sprint("x", n), Cause: wire.CauseError, AtMS: c.unixMS()})
+					j.record.AddStopReason(jobrecord.StopReason{Machine: fmt.Sprint("x", n), Cause: wire.CauseError, AtMS: c.unixMS()})
 				}
 			case "sound":
-				j.rec.CompletedTasks = j.rec.CompletedTasks.Add(4)
+				j.record.CompletedTasks = j.record.CompletedTasks.Add(4)
 			}
-			c.judgeEnd(m, j, wire.CauseError)
+			c.recordTaskEnd(m, j, wire.CauseError)
 		}
-		if got, want := c.faulty(m), kind != "mistaken"; got != want {
+		if got, want := c.isQuarantined(m), kind != "mistaken"; got != want {
 			t.Errorf("%s: faulty %v", kind, got)
 		}
-		if got, want := c.mustGo(m), kind == "sound"; got != want {
+		if got, want := c.isProvenFaulty(m), kind == "sound"; got != want {
 			t.Errorf("%s: to be returned %v", kind, got)
 		}
-		c.now += faultyLong
-		if c.faulty(m) {
+		c.now += quarantineDuration
+		if c.isQuarantined(m) {
 			t.Errorf("%s: not tried again", kind)
 		}
 		c.now += time.Second
--- a/core/turn_test.go
+++ b/core/yield_test.go
@@ -11,31 +11,31 @@
 
 // While more work waited than there was room, every controller filled each new machine, and half of all starts were refused.
 // Each is to fill those where it comes first, and the others' after a moment.
-func TestNewRoomIsTakenInTurns(t *testing.T) {
+func TestControllersTakeTurnsForFreedCapacity(t *testing.T) {
 	const machines, perMachine = 40, 4
 	first := map[string]int{}
 	for _, name := range []string{"n0", "n1", "n2"} {
-		c := serving(t)
+		c := newServingCore(t)
 		c.cfg.Name = name
 		for _, n := range []string{"n0", "n1", "n2"} {
-			c.put(keyNode+n, []byte(`{"t":7}`), 8)
+			c.applyPut(keyNode+n, []byte(`{"t":7}`), 8)
 		}
 		for i := range c.ownership.shards {
 			c.ownership.shards[i].Node = name
 		}
-		push := &Push{Rev: 1, Token: 1}
+		push := &StatePush{Revision: 1, FencingToken: 1}
 		for i := range machines {
 			r := &wire.Heartbeat{Machine: fmt.Sprintf("m-%d", i), Addr: "x:1", Type: "x", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1}
-			c.Handle(time.Second, Seen{Machine: r.Machine, Report: r})
-			push.Rows = append(push.Rows, PushRow{Machine: r.Machine, Type: "x", Zone: "a", Avail: clusterstate.Resources{4000, 0, 8000}})
+			c.Handle(time.Second, AgentPolled{Machine: r.Machine, Heartbeat: r})
+			push.Rows = append(push.Rows, MachineCapacity{Machine: r.Machine, Type: "x", Zone: "a", Available: clusterstate.Resources{4000, 0, 8000}})
 		}
-		in := submitted("wk-1")
+		in := testSubmission("wk-1")
 		in.Spec.Tasks = 2 * machines * perMachine
 		c.Handle(time.Second, in)
-		c.pushed(push)
-		drive(c, time.Second, 1050*time.Millisecond)
+		c.applyPush(push)
+		runFor(c, time.Second, 1050*time.Millisecond)
 		own := map[string]int{}
-		for _, a := range c.job("wk-1").place {
+		for _, a := range c.internJob("wk-1").assignments {
 			own[c.machines[a.Machine].name]++
 		}
 		for m, n := range own {
@@ -44,8 +44,8 @@
 				t.Errorf("%s: %d tasks on %s, there is room for %d", name, n, m, perMachine)
 			}
 		}
-		drive(c, 1050*time.Millisecond, 3*time.Second)
-		if got := len(c.job("wk-1").place); got != machines*perMachine {
+		runFor(c, 1050*time.Millisecond, 3*time.Second)
+		if got := len(c.internJob("wk-1").assignments); got != machines*perMachine {
 			t.Errorf("%s: %d tasks placed in the end, there is room for %d", name, got, machines*perMachine)
 		}
 	}
--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -340,10 +340,10 @@
 // The keys of the state service, as far as they are exported, and the forms.
 func TestKeys(t *testing.T) {
 	same(t, "keys", map[string]any{
-		"all": []string{core.Root, core.KeyEpoch, core.KeyJob, core.KeyRestored, auditlog.Prefix, auditlog.KeyInitialized, auditlog.HeadPrefix, reservations.Prefix, reservations.KeyHead,
+		"all": []string{core.Root, core.KeyFencingToken, core.KeyJob, core.KeyRestored, auditlog.Prefix, auditlog.KeyInitialized, auditlog.HeadPrefix, reservations.Prefix, reservations.KeyHead,
 			reservations.KeyInventory, reservations.ArchivePrefix, archive.BlockPrefix, archive.BlockKey("wk-7"), archive.SeekKey("wk-7"), archive.MaxID, audit.BlockPrefix, audit.BlockKey("node-a", 7)},
-		"leased":       core.LeasedKeys,
-		"form":         core.Form,
+		"leased":       core.LeasedKeyPrefixes,
+		"form":         core.SchemaVersion,
 		"acts":         []string{auditlog.VerbTakeOver, auditlog.VerbStart, auditlog.VerbStop, auditlog.VerbRestore, auditlog.VerbForged},
 		"audit states": []string{audit.OutcomeDone, audit.OutcomeRefused},
 		"job stages":   []string{jobrecord.Queued, jobrecord.Done, jobrecord.Cancelled},
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -140,7 +140,7 @@
 func newStore() *fakes.Store {
 	s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 24, PageItems: 1000, PageKB: 512})
 	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
-	s.PutUnchecked([]wire.KeyValue{{Key: core.Root + "form/n0", Value: json.RawMessage(fmt.Sprint(core.Form))}})
+	s.PutUnchecked([]wire.KeyValue{{Key: core.Root + "form/n0", Value: json.RawMessage(fmt.Sprint(core.SchemaVersion))}})
 	return s
 }
 
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -156,7 +156,7 @@
 	add := func(key, value string) {
 		items = append(items, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
 	}
-	add(core.Root+"form/n0", fmt.Sprint(core.Form))
+	add(core.Root+"form/n0", fmt.Sprint(core.SchemaVersion))
 	for i := range liveJobs {
 		add(fmt.Sprintf("%sjob/wk-live-%04d", core.Root, i), `{"h":1,"s":{"cl":"c","tm":"t","pr":2,"n":4,"rc":[4000,0,8000],"im":"img"},"at":1700000000000}`)
 	}
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -64,7 +64,7 @@
 	inputs           int
 	messagesSent     int // messages to others
 	bytesSent        int
-	pendingRequests  map[uint64]func(core.Reply)
+	pendingRequests  map[uint64]func(core.Response)
 	advanceScheduled bool // one is due
 	pendingInputs    []core.Input
 }
@@ -101,7 +101,7 @@
 		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = heartbeatInterval.Seconds(), 36, 66, 5
 		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = unlimitedRate, writeLimit, 8, 24
 		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit = 40, 5, 100_000
-		x := &node{name: p.Name, leaseID: uint64(i + 1), pendingRequests: map[uint64]func(core.Reply){}}
+		x := &node{name: p.Name, leaseID: uint64(i + 1), pendingRequests: map[uint64]func(core.Response){}}
 		t := settings.DefaultTuning()
 		if writeLimit == unlimitedRate {
 			t.SettleMs = t.SettleMostMs // ends gather for as long as they do where changes are few
@@ -111,7 +111,7 @@
 		s.nodes = append(s.nodes, x)
 		var tick func()
 		tick = func() {
-			s.deliver(x, core.Clock{UnixMS: startUnixMS + s.now.Milliseconds()})
+			s.deliver(x, core.WallClock{UnixMS: startUnixMS + s.now.Milliseconds()})
 			s.schedule(25*time.Millisecond, tick)
 		}
 		s.schedule(time.Duration(i)*time.Millisecond, tick)
@@ -188,14 +188,14 @@
 func (s *simCluster) performOutput(n *node, o core.Output) {
 	back := func(in core.Input) { s.deliver(n, in) }
 	switch o := o.(type) {
-	case core.Reply:
-		if f := n.pendingRequests[o.Req]; f != nil {
-			delete(n.pendingRequests, o.Req)
+	case core.Response:
+		if f := n.pendingRequests[o.RequestID]; f != nil {
+			delete(n.pendingRequests, o.RequestID)
 			f(o)
 		}
-	case core.ToPeer:
+	case core.SendToPeer:
 		t := time.Now()
-		raw, err := json.Marshal(o.Msg)
+		raw, err := json.Marshal(o.Message)
 		n.codecTime += time.Since(t)
 		if err != nil {
 			panic(err)
@@ -207,54 +207,54 @@
 			n.messagesSent++
 			n.bytesSent += len(raw)
 			s.schedule(localLatency, func() {
-				var m core.Msg
+				var m core.Message
 				t := time.Now()
 				if err := json.Unmarshal(raw, &m); err != nil {
 					panic(err)
 				}
 				p.codecTime += time.Since(t)
-				s.deliver(p, core.FromPeer{Peer: n.name, Msg: m})
+				s.deliver(p, core.PeerMessage{Peer: n.name, Message: m})
 			})
 		}
-	case core.Commit:
+	case core.CommitTxn:
 		s.schedule(storeLatency/2, func() {
-			out := core.Committed{ID: o.ID}
+			out := core.TxnResult{ID: o.ID}
 			out.Status, out.Reply = s.commit(o.Txn)
 			s.schedule(storeLatency/2, func() { back(out) })
 		})
-	case core.Changes:
+	case core.Watch:
 		s.schedule(storeLatency/2, func() { s.serveWatch(o, back) })
-	case core.Load:
-		out := core.Loaded{OK: true, Ledger: s.revision}
+	case core.LoadSnapshot:
+		out := core.SnapshotPage{OK: true, Revision: s.revision}
 		for _, k := range sortedKeys(s.keys) {
 			out.Items = append(out.Items, s.keys[k])
 		}
 		s.schedule(storeLatency, func() { back(out) })
-	case core.LeaseOp:
-		s.schedule(storeLatency, func() { back(core.Leased{Op: o.Op, Status: 200, Lease: n.leaseID}) })
-	case core.Orders:
+	case core.LeaseRequest:
+		s.schedule(storeLatency, func() { back(core.LeaseResult{Op: o.Op, Status: 200, LeaseID: n.leaseID}) })
+	case core.SendCommands:
 		m := s.byName[o.Machine]
 		s.schedule(localLatency, func() {
 			if m.gone || m.zone == s.cutZone {
-				s.schedule(2*time.Second, func() { back(core.Ordered{ID: o.ID, Sent: true}) })
+				s.schedule(2*time.Second, func() { back(core.CommandsResult{ID: o.ID, MaybeDelivered: true}) })
 				return
 			}
-			m.executeCommands(o.Body.FencingToken, o.Body.Commands)
-			out := core.Ordered{ID: o.ID, Status: 200, Sent: true, Report: m.nextHeartbeat()}
+			m.executeCommands(o.Batch.FencingToken, o.Batch.Commands)
+			out := core.CommandsResult{ID: o.ID, Status: 200, MaybeDelivered: true, Heartbeat: m.nextHeartbeat()}
 			s.schedule(localLatency, func() { back(out) })
 		})
-	case core.Probe:
+	case core.PollAgent:
 		m := s.byName[o.Machine]
 		s.schedule(localLatency, func() {
 			if m.gone || m.zone == s.cutZone {
-				s.schedule(2*time.Second, func() { back(core.Seen{Machine: o.Machine}) })
+				s.schedule(2*time.Second, func() { back(core.AgentPolled{Machine: o.Machine}) })
 				return
 			}
-			out := core.Seen{Machine: o.Machine, Report: m.nextHeartbeat()}
+			out := core.AgentPolled{Machine: o.Machine, Heartbeat: m.nextHeartbeat()}
 			s.schedule(localLatency, func() { back(out) })
 		})
-	case core.CloudOp:
-		out := core.Clouded{ID: o.ID, Status: 200}
+	case core.CloudRequest:
+		out := core.CloudResult{ID: o.ID, Status: 200}
 		switch o.Op {
 		case "catalog":
 			out.Catalog = &wire.Catalog{Types: []wire.MachineType{machineType}}
@@ -264,14 +264,14 @@
 					Stage: wire.MachineRunning, AgeS: (s.now - m.rentedAt).Seconds()})
 			}
 		case "rent":
-			for range min(o.Rent.Count, s.maxMachines-len(s.machines)) {
-				out.Names = append(out.Names, s.rentMachine(o.Rent.Zone, o.Rent.Spot).name)
+			for range min(o.ScaleOut.Count, s.maxMachines-len(s.machines)) {
+				out.MachineNames = append(out.MachineNames, s.rentMachine(o.ScaleOut.Zone, o.ScaleOut.Spot).name)
 			}
-			if len(out.Names) == 0 {
+			if len(out.MachineNames) == 0 {
 				out.Status, out.Error = 503, "no capacity"
 			}
 		case "return":
-			for _, name := range o.Names {
+			for _, name := range o.MachineNames {
 				s.returnMachine(name)
 			}
 		}
@@ -312,10 +312,10 @@
 	return 200, wire.TxnResponse{Revision: s.revision}
 }
 
-func (s *simCluster) serveWatch(o core.Changes, back func(core.Input)) {
+func (s *simCluster) serveWatch(o core.Watch, back func(core.Input)) {
 	answer := func() {
-		out := core.Changed{Hold: o.Hold, Status: 200, Changes: wire.WatchResponse{Revision: s.revision}}
-		i, _ := slices.BinarySearchFunc(s.storeEvents, o.From+1, func(e wire.WatchEvent, mark uint64) int {
+		out := core.WatchResult{LongPoll: o.LongPoll, Status: 200, Changes: wire.WatchResponse{Revision: s.revision}}
+		i, _ := slices.BinarySearchFunc(s.storeEvents, o.SinceRevision+1, func(e wire.WatchEvent, mark uint64) int {
 			if e.Revision < mark {
 				return -1
 			}
@@ -324,7 +324,7 @@
 		out.Changes.Events = slices.Clone(s.storeEvents[i:])
 		s.schedule(storeLatency/2, func() { back(out) })
 	}
-	if o.Hold && s.revision <= o.From {
+	if o.LongPoll && s.revision <= o.SinceRevision {
 		s.pendingWatches = append(s.pendingWatches, answer)
 		return
 	}
@@ -348,7 +348,7 @@
 	if m.zone == s.cutZone {
 		return
 	}
-	s.sendRequest(s.nodes[m.controllerIndex], func(req uint64) core.Input { return core.Beat{Req: req, Report: m.nextHeartbeat()} }, func(r core.Reply) {
+	s.sendRequest(s.nodes[m.controllerIndex], func(req uint64) core.Input { return core.AgentHeartbeat{RequestID: req, Heartbeat: m.nextHeartbeat()} }, func(r core.Response) {
 		if b, ok := r.Body.(wire.HeartbeatResponse); ok {
 			m.executeCommands(b.FencingToken, b.Commands)
 		}
@@ -419,10 +419,10 @@
 	}
 }
 
-func (s *simCluster) sendRequest(n *node, in func(req uint64) core.Input, then func(core.Reply)) {
+func (s *simCluster) sendRequest(n *node, in func(req uint64) core.Input, then func(core.Response)) {
 	s.lastRequestID++
 	req := s.lastRequestID
-	n.pendingRequests[req] = func(r core.Reply) { s.schedule(localLatency, func() { then(r) }) }
+	n.pendingRequests[req] = func(r core.Response) { s.schedule(localLatency, func() { then(r) }) }
 	s.schedule(localLatency, func() { s.deliver(n, in(req)) })
 }
 
@@ -431,20 +431,20 @@
 // submitUntilAccepted submits a job, again and again until it is accepted.
 func (s *simCluster) submitUntilAccepted(spec wire.JobSpec) {
 	s.sendRequest(s.nodes[s.rng.IntN(controllerCount)], func(req uint64) core.Input {
-		return core.Submit{Req: req, ID: spec.ID, Spec: spec, UnixMS: startUnixMS + s.now.Milliseconds()}
-	}, func(r core.Reply) {
+		return core.SubmitJob{RequestID: req, ID: spec.ID, Spec: spec, UnixMS: startUnixMS + s.now.Milliseconds()}
+	}, func(r core.Response) {
 		if r.Status == 201 || r.Status == 200 {
 			s.counters.accepted++
 			return
 		}
-		s.schedule(time.Duration(max(1, r.RetryAfter))*time.Second, func() { s.submitUntilAccepted(spec) })
+		s.schedule(time.Duration(max(1, r.RetryAfterSeconds))*time.Second, func() { s.submitUntilAccepted(spec) })
 	})
 }
 
 // pollUntilDone asks for a job now and then, as its user does.
 func (s *simCluster) pollUntilDone(id string) {
 	s.schedule(5*time.Second, func() {
-		s.sendRequest(s.nodes[s.rng.IntN(controllerCount)], func(req uint64) core.Input { return core.Poll{Req: req, ID: id} }, func(r core.Reply) {
+		s.sendRequest(s.nodes[s.rng.IntN(controllerCount)], func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id} }, func(r core.Response) {
 			if st, ok := r.Body.(wire.JobState); ok && st.Stage == wire.StageDone {
 				return
 			}
--- a/internal/measure/scale/scale_test.go
+++ b/internal/measure/scale/scale_test.go
@@ -33,7 +33,7 @@
 				s.runUntil(30 * time.Second)
 				looks, inputs, bytes := uint64(0), 0, 0
 				for _, x := range s.nodes {
-					looks += x.core.Stats.Looks
+					looks += x.core.Stats.MachineLooks
 					inputs += x.inputs
 					bytes += x.bytesSent
 				}
--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -242,13 +242,13 @@
 		if w.chance(0.5) {
 			by = credentialOf("u0")
 		}
-		in := core.ReadAudit{By: by}
+		in := core.ReadAudit{Caller: by}
 		if w.chance(0.5) {
 			in.Node = w.nodes[0].name
 		}
-		w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 2*time.Second, func(r uint64) core.Input { in.Req = r; return in }, func(r core.Reply, ok bool) {
-			if ok && (r.Status == 200) != (by.Who == rootUser) && r.Status != 503 {
-				w.Checker.violated("let_in", "%s reads the audit record: %d", by.Who, r.Status)
+		w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 2*time.Second, func(r uint64) core.Input { in.RequestID = r; return in }, func(r core.Response, ok bool) {
+			if ok && (r.Status == 200) != (by.Identity == rootUser) && r.Status != 503 {
+				w.Checker.violated("let_in", "%s reads the audit record: %d", by.Identity, r.Status)
 			}
 		})
 		w.schedule(w.randomDuration(2*time.Second, 20*time.Second), read)
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -27,12 +27,12 @@
 const cancellationTime = 60 * time.Second
 
 // requestUntil repeats a request of a user to controllers of a choice until it is answered so.
-func (w *Simulator) requestUntil(pick func() *node, in func(req uint64) core.Input, verb, id string, ok func(r core.Reply) bool, then func(n *node)) {
+func (w *Simulator) requestUntil(pick func() *node, in func(req uint64) core.Input, verb, id string, ok func(r core.Response) bool, then func(n *node)) {
 	var try func()
 	try = func() {
 		began, n := w.now, pick()
-		w.sendRequest(n, 3*time.Second, in, func(r core.Reply, got bool) {
-			w.checkJobResponse(core.Cred{}, began, verb, id, r, got)
+		w.sendRequest(n, 3*time.Second, in, func(r core.Response, got bool) {
+			w.checkJobResponse(core.Credential{}, began, verb, id, r, got)
 			if !got || !ok(r) {
 				w.schedule(500*time.Millisecond, try)
 				return
@@ -43,8 +43,8 @@
 	try()
 }
 
-func hasStage(stage string) func(core.Reply) bool {
-	return func(r core.Reply) bool {
+func hasStage(stage string) func(core.Response) bool {
+	return func(r core.Response) bool {
 		st, _ := r.Body.(wire.JobState)
 		return r.Status == 200 && st.Stage == stage
 	}
@@ -64,19 +64,19 @@
 func (w *Simulator) submitUntilAccepted(pick func() *node, s wire.JobSpec) {
 	w.Checker.JobSubmitted(s)
 	w.requestUntil(pick, func(r uint64) core.Input {
-		return core.Submit{Req: r, ID: s.ID, Spec: s, UnixMS: w.nowUnixMS()}
-	}, "submit", s.ID, func(r core.Reply) bool { return r.Status == 200 || r.Status == 201 }, func(*node) {})
+		return core.SubmitJob{RequestID: r, ID: s.ID, Spec: s, UnixMS: w.nowUnixMS()}
+	}, "submit", s.ID, func(r core.Response) bool { return r.Status == 200 || r.Status == 201 }, func(*node) {})
 }
 
 func (w *Simulator) cancelUntilTold(pick func() *node, id string, told func(*node)) {
 	w.Checker.CancelRequested(id)
 	w.requestUntil(pick, func(r uint64) core.Input {
-		return core.Cancel{Req: r, ID: id, UnixMS: w.nowUnixMS()}
+		return core.CancelJob{RequestID: r, ID: id, UnixMS: w.nowUnixMS()}
 	}, "cancel", id, hasStage(wire.StageCancelled), told)
 }
 
 func (w *Simulator) pollUntilCancelled(pick func() *node, id string, told func(*node)) {
-	w.requestUntil(pick, func(r uint64) core.Input { return core.Poll{Req: r, ID: id} }, "poll", id, hasStage(wire.StageCancelled), told)
+	w.requestUntil(pick, func(r uint64) core.Input { return core.GetJob{RequestID: r, ID: id} }, "poll", id, hasStage(wire.StageCancelled), told)
 }
 
 // runOutageScenario plays a meeting, and checks both sides: cancelled tasks are gone in time, and all others run on.
@@ -203,7 +203,7 @@
 		"told by a question": {beforeCancel: refuseNodes(1), cancel: func(w *Simulator, id string, blind []*node) {
 			pick := w.randomNodeExcept(blind[:1])
 			w.Checker.CancelRequested(id)
-			w.sendRequest(pick(), time.Second, func(r uint64) core.Input { return core.Cancel{Req: r, ID: id, UnixMS: w.nowUnixMS()} }, func(core.Reply, bool) {})
+			w.sendRequest(pick(), time.Second, func(r uint64) core.Input { return core.CancelJob{RequestID: r, ID: id, UnixMS: w.nowUnixMS()} }, func(core.Response, bool) {})
 			w.schedule(300*time.Millisecond, func() { w.pollUntilCancelled(pick, id, func(*node) {}) })
 		}},
 		"the teller ends": {beforeCancel: refuseNodes(1), onCancelTold: func(w *Simulator, n *node) {
@@ -255,8 +255,8 @@
 		first := s
 		first.ID = "wk-000000" // so that there are machines with room
 		held := 0
-		w.commandDelay = func(o core.Orders) time.Duration {
-			for _, x := range o.Body.Commands {
+		w.commandDelay = func(o core.SendCommands) time.Duration {
+			for _, x := range o.Batch.Commands {
 				if id, _, _ := wire.SplitTaskName(x.Task); id == s.ID && x.Op == wire.OpStart {
 					held++
 					return 55 * time.Second
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -47,29 +47,29 @@
 // outputKind is a number for each kind of output: it stays when the Go type gets another name.
 func outputKind(out core.Output) (kind byte, ok bool) {
 	switch out.(type) {
-	case core.Reply:
+	case core.Response:
 		return 1, true
-	case core.Commit:
+	case core.CommitTxn:
 		return 2, true
-	case core.Changes:
+	case core.Watch:
 		return 3, true
-	case core.Load:
+	case core.LoadSnapshot:
 		return 4, true
-	case core.Scan:
+	case core.ReadRange:
 		return 5, true
-	case core.LeaseOp:
+	case core.LeaseRequest:
 		return 6, true
-	case core.Orders:
+	case core.SendCommands:
 		return 7, true
-	case core.Probe:
+	case core.PollAgent:
 		return 8, true
-	case core.CloudOp:
+	case core.CloudRequest:
 		return 9, true
-	case core.ToPeer:
+	case core.SendToPeer:
 		return 10, true
-	case core.Bookings:
+	case core.ReservationsEnabled:
 		return 11, true
-	case core.Queue:
+	case core.QueueEnabled:
 		return 12, true
 	}
 	return 0, false
@@ -86,7 +86,7 @@
 // add takes the next output. What is logged may change, and permissions are told by a pointer: they are left out.
 func (d *digester) add(now time.Duration, node string, out core.Output) error {
 	switch out.(type) {
-	case core.Note, core.Rights:
+	case core.LogLine, core.PermissionsChanged:
 		return nil
 	}
 	kind, ok := outputKind(out)
@@ -295,10 +295,10 @@
 		out  core.Output
 	}
 	list := []entry{
-		{1, "n0", core.Load{From: "a"}},
-		{1, "n0", core.Changes{From: 7, Hold: true}},
-		{2, "n1", core.ToPeer{Peer: "n2", Msg: core.Msg{Push: &core.Push{Acks: map[string]uint64{"n0": 1, "n1": 2}}}}},
-		{2, "n1", core.CloudOp{ID: 3, Names: []string{"x", "y"}}},
+		{1, "n0", core.LoadSnapshot{AfterKey: "a"}},
+		{1, "n0", core.Watch{SinceRevision: 7, LongPoll: true}},
+		{2, "n1", core.SendToPeer{Peer: "n2", Message: core.Message{StatePush: &core.StatePush{DeltaAcks: map[string]uint64{"n0": 1, "n1": 2}}}}},
+		{2, "n1", core.CloudRequest{ID: 3, MachineNames: []string{"x", "y"}}},
 	}
 	sum := func(list []entry) uint64 {
 		d := newDigester()
@@ -321,13 +321,13 @@
 		"said twice":     {list[0], list[0], list[1], list[2], list[3]},
 		"later":          with(0, entry{2, "n0", list[0].out}),
 		"another node":   with(0, entry{1, "n1", list[0].out}),
-		"another kind":   with(0, entry{1, "n0", core.ToPeer{Peer: "a"}}),
-		"a value":        with(1, entry{1, "n0", core.Changes{From: 8, Hold: true}}),
-		"a flag":         with(1, entry{1, "n0", core.Changes{From: 7}}),
-		"in a map":       with(2, entry{2, "n1", core.ToPeer{Peer: "n2", Msg: core.Msg{Push: &core.Push{Acks: map[string]uint64{"n0": 1, "n1": 3}}}}}),
-		"a part unset":   with(2, entry{2, "n1", core.ToPeer{Peer: "n2", Msg: core.Msg{}}}),
-		"split in two":   with(3, entry{2, "n1", core.CloudOp{ID: 3, Names: []string{"xy"}}}),
-		"another member": with(3, entry{2, "n1", core.CloudOp{ID: 3, Names: []string{"x", "z"}}}),
+		"another kind":   with(0, entry{1, "n0", core.SendToPeer{Peer: "a"}}),
+		"a value":        with(1, entry{1, "n0", core.Watch{SinceRevision: 8, LongPoll: true}}),
+		"a flag":         with(1, entry{1, "n0", core.Watch{SinceRevision: 7}}),
+		"in a map":       with(2, entry{2, "n1", core.SendToPeer{Peer: "n2", Message: core.Message{StatePush: &core.StatePush{DeltaAcks: map[string]uint64{"n0": 1, "n1": 3}}}}}),
+		"a part unset":   with(2, entry{2, "n1", core.SendToPeer{Peer: "n2", Message: core.Message{}}}),
+		"split in two":   with(3, entry{2, "n1", core.CloudRequest{ID: 3, MachineNames: []string{"xy"}}}),
+		"another member": with(3, entry{2, "n1", core.CloudRequest{ID: 3, MachineNames: []string{"x", "z"}}}),
 	} {
 		if sum(other) == want {
 			t.Errorf("%s: the digest stays", name)
@@ -340,8 +340,8 @@
 
 // Every value in every kind of output counts: with any one of them changed, the digest is another.
 func TestDigestCountsEveryValue(t *testing.T) {
-	for _, out := range []core.Output{core.Reply{}, core.Commit{}, core.Changes{}, core.Load{}, core.Scan{}, core.LeaseOp{}, core.Orders{},
-		core.Probe{}, core.CloudOp{}, core.ToPeer{}, core.Bookings{}, core.Queue{}} {
+	for _, out := range []core.Output{core.Response{}, core.CommitTxn{}, core.Watch{}, core.LoadSnapshot{}, core.ReadRange{}, core.LeaseRequest{}, core.SendCommands{},
+		core.PollAgent{}, core.CloudRequest{}, core.SendToPeer{}, core.ReservationsEnabled{}, core.QueueEnabled{}} {
 		sum := func(out core.Output) uint64 {
 			d := newDigester()
 			if err := d.add(0, "n0", out); err != nil {
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -28,7 +28,7 @@
 	return userView{}
 }
 
-func (w *Simulator) pollEagerly(by core.Cred, id string) {
+func (w *Simulator) pollEagerly(by core.Credential, id string) {
 	s := w.Checker.jobs[id].spec
 	for round := range eagerPollRounds {
 		for _, n := range w.nodes {
@@ -46,18 +46,20 @@
 }
 
 // resubmit submits a job, known or not, at a controller, once.
-func (w *Simulator) resubmit(n *node, by core.Cred, s wire.JobSpec) {
-	w.submitOnce(n, core.Submit{ID: s.ID, Spec: s, By: by}, func(core.Reply, bool) {})
+func (w *Simulator) resubmit(n *node, by core.Credential, s wire.JobSpec) {
+	w.submitOnce(n, core.SubmitJob{ID: s.ID, Spec: s, Caller: by}, func(core.Response, bool) {})
 }
 
 // cancelUntilAnswered has a user cancel a job until that is answered.
-func (w *Simulator) cancelUntilAnswered(by core.Cred, id string) {
+func (w *Simulator) cancelUntilAnswered(by core.Credential, id string) {
 	w.Checker.CancelRequested(id)
 	var try func()
 	try = func() {
 		began := w.now
-		w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 5*time.Second, func(r uint64) core.Input { return core.Cancel{Req: r, ID: id, UnixMS: w.nowUnixMS(), By: by} },
-			func(r core.Reply, ok bool) {
+		w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 5*time.Second, func(r uint64) core.Input {
+			return core.CancelJob{RequestID: r, ID: id, UnixMS: w.nowUnixMS(), Caller: by}
+		},
+			func(r core.Response, ok bool) {
 				w.checkJobResponse(by, began, "cancel", id, r, ok)
 				if !ok || r.Status != 200 && r.Status != 404 {
 					w.schedule(time.Second, try)
@@ -110,14 +112,14 @@
 			}
 		case 2:
 			s := w.infeasibleJob()
-			w.submitOnce(n, core.Submit{ID: s.ID, Spec: s, By: by}, func(r core.Reply, ok bool) {
+			w.submitOnce(n, core.SubmitJob{ID: s.ID, Spec: s, Caller: by}, func(r core.Response, ok bool) {
 				if ok {
 					w.Checker.CheckRejected(fmt.Sprintf("%+v", s), r.Status, 422)
 				}
 			})
 		case 3:
 			id := fmt.Sprintf("wk-y%05d", w.rng.IntN(100000))
-			w.submitOnce(n, core.Submit{ID: id, Bad: "pieces is missing", By: by}, func(r core.Reply, ok bool) {
+			w.submitOnce(n, core.SubmitJob{ID: id, DecodeError: "pieces is missing", Caller: by}, func(r core.Response, ok bool) {
 				if ok {
 					w.Checker.CheckRejected("a job that lacks a field", r.Status, 400)
 				}
--- a/internal/sim/fakes.go
+++ b/internal/sim/fakes.go
@@ -203,30 +203,30 @@
 }
 
 // serveWatch serves watches; while the service is down or refuses the caller, open ones wait.
-func (s *fakeStore) serveWatch(n *node, o core.Changes, back func(core.Input)) {
-	out := core.Changed{Hold: o.Hold}
+func (s *fakeStore) serveWatch(n *node, o core.Watch, back func(core.Input)) {
+	out := core.WatchResult{LongPoll: o.LongPoll}
 	w := s.w
 	if s.stalledWatches[n.name] {
-		w.schedule(map[bool]time.Duration{false: 2 * time.Second, true: 12 * time.Second}[o.Hold], func() { back(core.Changed{Hold: o.Hold}) })
+		w.schedule(map[bool]time.Duration{false: 2 * time.Second, true: 12 * time.Second}[o.LongPoll], func() { back(core.WatchResult{LongPoll: o.LongPoll}) })
 		return
 	}
-	if !o.Hold {
+	if !o.LongPoll {
 		w.rpc(n.name, "state", 2*time.Second, 0, func() time.Duration {
 			out.Status = 503
 			if !s.isUnavailable(n.name) {
-				out.Status, out.Changes = 200, s.eventsSince(o.From)
+				out.Status, out.Changes = 200, s.eventsSince(o.SinceRevision)
 			}
 			return 0
 		}, func(ok bool) {
 			if !ok {
-				out = core.Changed{}
+				out = core.WatchResult{}
 			}
 			back(out)
 		})
 		return
 	}
 	over := false
-	answer := func(c core.Changed) {
+	answer := func(c core.WatchResult) {
 		if over {
 			return
 		}
@@ -236,23 +236,23 @@
 	w.schedule(12*time.Second, func() { // the caller gives up
 		if !over {
 			over = true
-			back(core.Changed{Hold: true})
+			back(core.WatchResult{LongPoll: true})
 		}
 	})
 	w.send(n.name, "state", func() {
 		if s.isUnavailable(n.name) {
-			answer(core.Changed{Hold: true, Status: 503})
+			answer(core.WatchResult{LongPoll: true, Status: 503})
 			return
 		}
-		x := &pendingWatch{from: o.From}
+		x := &pendingWatch{from: o.SinceRevision}
 		x.respond = func() {
 			if s.refusedNodes[n.name] {
 				w.schedule(time.Second, x.respond)
 				return
 			}
-			answer(core.Changed{Hold: true, Status: 200, Changes: s.eventsSince(o.From)})
+			answer(core.WatchResult{LongPoll: true, Status: 200, Changes: s.eventsSince(o.SinceRevision)})
 		}
-		if s.revision > o.From {
+		if s.revision > o.SinceRevision {
 			x.respond()
 			return
 		}
@@ -327,23 +327,23 @@
 
 const snapshotPageSize = 20 // keys of a page when all are read: small, so that much changes meanwhile
 
-func (s *fakeStore) loadSnapshot(node string, o core.Load) core.Loaded {
+func (s *fakeStore) loadSnapshot(node string, o core.LoadSnapshot) core.SnapshotPage {
 	if s.isUnavailable(node) {
-		return core.Loaded{Status: 503}
+		return core.SnapshotPage{Status: 503}
 	}
-	out := core.Loaded{OK: true, Status: 200, Ledger: s.revision}
-	out.Items, out.More = s.rangePage(core.Root, o.From, snapshotPageSize)
+	out := core.SnapshotPage{OK: true, Status: 200, Revision: s.revision}
+	out.Items, out.More = s.rangePage(core.Root, o.AfterKey, snapshotPageSize)
 	return out
 }
 
-func (s *fakeStore) readRange(node string, o core.Scan) core.Scanned {
-	out := core.Scanned{ID: o.ID, Status: 503}
+func (s *fakeStore) readRange(node string, o core.ReadRange) core.RangeResult {
+	out := core.RangeResult{ID: o.ID, Status: 503}
 	if s.isUnavailable(node) {
 		return out
 	}
-	out.Status, out.Ledger = 200, s.revision
+	out.Status, out.Revision = 200, s.revision
 	if o.Key == "" {
-		out.Items, out.More = s.rangePage(o.Prefix, o.From, o.Most)
+		out.Items, out.More = s.rangePage(o.Prefix, o.AfterKey, o.Limit)
 	} else if it := s.keys[o.Key]; it != nil {
 		out.Items = []wire.KeyValue{*it}
 	} else {
@@ -352,8 +352,8 @@
 	return out
 }
 
-func (s *fakeStore) serveLease(node string, o core.LeaseOp) core.Leased {
-	out := core.Leased{Op: o.Op, Lease: o.Lease, Status: 503}
+func (s *fakeStore) serveLease(node string, o core.LeaseRequest) core.LeaseResult {
+	out := core.LeaseResult{Op: o.Op, LeaseID: o.LeaseID, Status: 503}
 	if s.isUnavailable(node) {
 		return out
 	}
@@ -361,10 +361,10 @@
 	if o.Op == "grant" {
 		s.lastLeaseID++
 		s.leases[s.lastLeaseID] = &leaseState{o.TTL, s.w.now + o.TTL}
-		out.Lease = s.lastLeaseID
+		out.LeaseID = s.lastLeaseID
 		return out
 	}
-	l := s.leases[o.Lease]
+	l := s.leases[o.LeaseID]
 	if l == nil {
 		out.Status = 404
 		return out
@@ -406,8 +406,8 @@
 	return live[c.w.rng.IntN(len(live))]
 }
 
-func (c *fakeCloud) serve(o core.CloudOp) core.Clouded {
-	out := core.Clouded{ID: o.ID, Status: 200}
+func (c *fakeCloud) serve(o core.CloudRequest) core.CloudResult {
+	out := core.CloudResult{ID: o.ID, Status: 200}
 	if c.down || c.w.options.FlakyCloud && c.w.chance(0.7) {
 		out.Status, out.Error = 503, "trouble"
 		return out
@@ -417,8 +417,8 @@
 		k := catalog
 		out.Catalog = &k
 	case "rent":
-		if names, ok := c.rentals[o.Rent.IdempotencyKey]; ok {
-			out.Names = names
+		if names, ok := c.rentals[o.ScaleOut.IdempotencyKey]; ok {
+			out.MachineNames = names
 			return out
 		}
 		live := 0
@@ -427,18 +427,18 @@
 				live++
 			}
 		}
-		n := min(o.Rent.Count, max(0, c.w.options.MaxMachines-live))
+		n := min(o.ScaleOut.Count, max(0, c.w.options.MaxMachines-live))
 		if n == 0 || !c.w.options.NoFaults && c.w.chance(0.2) {
 			out.Status, out.Error = 503, "no capacity"
 			return out
 		}
 		for i := 0; i < n; i++ {
 			name := fmt.Sprintf("m-%06d", len(c.machines)+1)
-			m := &fakeWorker{w: c.w, machine: wire.Machine{Name: name, Addr: "x:" + name, Type: o.Rent.Type, Zone: o.Rent.Zone,
-				Spot: o.Rent.Spot, Stage: wire.MachineBooting}, rentedAt: c.w.now, tasks: map[string]*fakeTask{}, images: map[string]bool{}}
+			m := &fakeWorker{w: c.w, machine: wire.Machine{Name: name, Addr: "x:" + name, Type: o.ScaleOut.Type, Zone: o.ScaleOut.Zone,
+				Spot: o.ScaleOut.Spot, Stage: wire.MachineBooting}, rentedAt: c.w.now, tasks: map[string]*fakeTask{}, images: map[string]bool{}}
 			c.machines = append(c.machines, m)
 			c.byName[name] = m
-			out.Names = append(out.Names, name)
+			out.MachineNames = append(out.MachineNames, name)
 			if c.w.options.NoFaults || !c.w.chance(0.05) {
 				boot := c.w.randomDuration(2*time.Second, 12*time.Second)
 				if c.w.now < c.w.fastBootsUntil {
@@ -450,16 +450,16 @@
 				c.w.schedule(c.w.randomDuration(10*time.Second, 300*time.Second), m.reclaimSpot)
 			}
 		}
-		c.rentals[o.Rent.IdempotencyKey] = out.Names
+		c.rentals[o.ScaleOut.IdempotencyKey] = out.MachineNames
 	case "return":
-		for _, n := range o.Names {
+		for _, n := range o.MachineNames {
 			if m := c.find(n); m != nil {
 				m.returnToCloud()
 			}
 		}
 	case "list":
 		for _, m := range c.machines {
-			if m.machine.Name > o.From && (!m.gone || m.failed || c.w.now-m.goneAt < 5*time.Second) && c.w.now-m.rentedAt > 3*time.Second && !m.returned {
+			if m.machine.Name > o.AfterMachine && (!m.gone || m.failed || c.w.now-m.goneAt < 5*time.Second) && c.w.now-m.rentedAt > 3*time.Second && !m.returned {
 				if len(out.Machines) == cloudPageSize {
 					out.More = true
 					break
@@ -626,7 +626,7 @@
 	r := m.nextHeartbeat()
 	sent, session := m.w.now, m.incarnation
 	over := false
-	finish := func(rep core.Reply, ok bool) {
+	finish := func(rep core.Response, ok bool) {
 		if over || m.gone {
 			return
 		}
@@ -645,17 +645,17 @@
 		m.lastAckedAt = sent
 		m.executeCommands(b.Commands)
 	}
-	m.w.schedule(4*time.Second, func() { finish(core.Reply{}, false) })
+	m.w.schedule(4*time.Second, func() { finish(core.Response{}, false) })
 	m.w.send(m.machine.Name, n.name, func() {
 		if n.down || m.w.now < m.w.outboundBlockedUntil[m.machine.Name] {
-			m.w.schedule(time.Millisecond, func() { finish(core.Reply{}, false) })
+			m.w.schedule(time.Millisecond, func() { finish(core.Response{}, false) })
 			return
 		}
 		m.w.onHeartbeat(r)
 		m.w.lastRequestID++
 		id := m.w.lastRequestID
-		n.pendingRequests[id] = func(rep core.Reply) { m.w.send(n.name, m.machine.Name, func() { finish(rep, true) }) }
-		m.w.deliver(n, core.Beat{Req: id, Report: r})
+		n.pendingRequests[id] = func(rep core.Response) { m.w.send(n.name, m.machine.Name, func() { finish(rep, true) }) }
+		m.w.deliver(n, core.AgentHeartbeat{RequestID: id, Heartbeat: r})
 	})
 }
 
--- a/internal/sim/overlapping_faults.go
+++ b/internal/sim/overlapping_faults.go
@@ -125,7 +125,7 @@
 // deliverHeartbeatCopy has a copy of a report arrive at a controller; nobody waits for the answer.
 func (w *Simulator) deliverHeartbeatCopy(n *node, r *wire.Heartbeat) {
 	w.lastRequestID++
-	w.deliver(n, core.Beat{Req: w.lastRequestID, Report: r})
+	w.deliver(n, core.AgentHeartbeat{RequestID: w.lastRequestID, Heartbeat: r})
 }
 
 // blockInbound has reports of some machines arrive while answers and orders to them are lost.
@@ -197,7 +197,7 @@
 func (w *Simulator) delayCommands() {
 	w.Trace("%v held orders", w.now)
 	till := w.now + w.randomDuration(5*time.Second, 20*time.Second)
-	w.commandDelay = func(core.Orders) time.Duration {
+	w.commandDelay = func(core.SendCommands) time.Duration {
 		if w.now > till || w.chance(0.5) {
 			return 0
 		}
--- a/internal/sim/permissions.go
+++ b/internal/sim/permissions.go
@@ -48,7 +48,9 @@
 	rootUser  = "root"
 )
 
-func credentialOf(who string) core.Cred { return core.Cred{Who: who, Key: "key-" + who} }
+func credentialOf(who string) core.Credential {
+	return core.Credential{Identity: who, KeyID: "key-" + who}
+}
 
 // initialPolicy are the first rights of a world: everyone may do everything with jobs, root may change rights.
 func initialPolicy() *access.Policy {
@@ -61,7 +63,7 @@
 		public := make([]byte, 32)
 		copy(public, who)
 		a.Identities = append(a.Identities, &pb.Identity{Name: who, Roles: roles,
-			Keys: []*pb.PublicKey{{Id: credentialOf(who).Key, Ed25519: base64.StdEncoding.EncodeToString(public)}}})
+			Keys: []*pb.PublicKey{{Id: credentialOf(who).KeyID, Ed25519: base64.StdEncoding.EncodeToString(public)}}})
 	}
 	add(rootUser, "all", "admin")
 	for i := range userCount {
@@ -75,9 +77,9 @@
 }
 
 // randomUser is who submits a job.
-func (w *Simulator) randomUser() core.Cred {
+func (w *Simulator) randomUser() core.Credential {
 	if !w.options.Permissions {
-		return core.Cred{}
+		return core.Credential{}
 	}
 	return credentialOf(fmt.Sprintf("u%d", w.rng.IntN(userCount)))
 }
@@ -108,8 +110,8 @@
 // setPermission asks for a change until it is answered.
 func (w *Simulator) setPermission(who string, edit wire.PermissionsEdit, done func()) {
 	w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 5*time.Second, func(r uint64) core.Input {
-		return core.Change{Req: r, By: credentialOf(rootUser), Who: who, Edit: edit}
-	}, func(r core.Reply, ok bool) {
+		return core.UpdatePermissions{RequestID: r, Caller: credentialOf(rootUser), Identity: who, Edit: edit}
+	}, func(r core.Response, ok bool) {
 		if !ok || r.Status != 200 {
 			w.schedule(time.Second, func() { w.setPermission(who, edit, done) })
 			return
@@ -123,16 +125,16 @@
 
 // checkPermission checks an answer by the rights of whoever asked; false if it says nothing about the job, as
 // they may not have been allowed to know.
-func (w *Simulator) checkPermission(by core.Cred, began time.Duration, verb, id string, status int) bool {
+func (w *Simulator) checkPermission(by core.Credential, began time.Duration, verb, id string, status int) bool {
 	if !w.options.Permissions {
 		return true
 	}
 	if slices.Contains([]int{200, 201}, status) {
-		w.Checker.CheckAuthorized(began, by.Who, verb, id)
+		w.Checker.CheckAuthorized(began, by.Identity, verb, id)
 		return true
 	}
-	if status == 403 && w.Checker.isSurelyGranted(began, by.Who) {
-		w.Checker.violated("shut_out", "%s of %s by %s, who may", verb, id, by.Who)
+	if status == 403 && w.Checker.isSurelyGranted(began, by.Identity) {
+		w.Checker.violated("shut_out", "%s of %s by %s, who may", verb, id, by.Identity)
 	}
-	return status != 403 && w.Checker.isSurelyGranted(began, by.Who)
+	return status != 403 && w.Checker.isSurelyGranted(began, by.Identity)
 }
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -206,7 +206,7 @@
 }
 
 // checkAnswer checks an answer about a booking that was asked for at began.
-func (k *reservationChecker) checkAnswer(began time.Duration, id string, r core.Reply) *wire.Reservation {
+func (k *reservationChecker) checkAnswer(began time.Duration, id string, r core.Response) *wire.Reservation {
 	a, _ := r.Body.(wire.ReservationResponse)
 	t, known := k.views[id]
 	broken := k.w.Checker.violated
@@ -235,25 +235,25 @@
 }
 
 // requestUntilDecided sends a request about a booking until an answer decides it.
-func (k *reservationChecker) requestUntilDecided(id string, in func(req uint64) core.Input, then func(r core.Reply, b *wire.Reservation)) {
+func (k *reservationChecker) requestUntilDecided(id string, in func(req uint64) core.Input, then func(r core.Response, b *wire.Reservation)) {
 	w := k.w
 	began := w.now
 	by := func(req uint64) core.Input {
 		switch x := in(req).(type) {
-		case core.Book:
-			x.By = credentialOf(rootUser)
+		case core.ReserveEquipment:
+			x.Caller = credentialOf(rootUser)
 			return x
-		case core.Equip:
-			x.By = credentialOf(rootUser)
+		case core.SetEquipment:
+			x.Caller = credentialOf(rootUser)
 			return x
-		case core.ShowBookings:
-			x.By = credentialOf(rootUser)
+		case core.ListReservations:
+			x.Caller = credentialOf(rootUser)
 			return x
 		default:
 			return x
 		}
 	}
-	w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 2*time.Second, by, func(r core.Reply, ok bool) {
+	w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 2*time.Second, by, func(r core.Response, ok bool) {
 		if ok {
 			b := k.checkAnswer(began, id, r)
 			if r.Status != 503 {
@@ -327,8 +327,8 @@
 	text := parseEquipment(more).Source().String()
 	k.equipmentChanged = k.equipmentChanged || end
 	k.requestUntilDecided("", func(req uint64) core.Input {
-		return core.Equip{Req: req, Edit: wire.EquipmentEdit{Text: text, EndDisplaced: end, Reason: "the kiln is out of order"}}
-	}, func(r core.Reply, _ *wire.Reservation) {
+		return core.SetEquipment{RequestID: req, Edit: wire.EquipmentEdit{Text: text, EndDisplaced: end, Reason: "the kiln is out of order"}}
+	}, func(r core.Response, _ *wire.Reservation) {
 		if r.Status != 200 && r.Status != 409 {
 			k.w.Checker.violated("booking", "a list of equipment got %d: %v", r.Status, r.Body)
 		}
@@ -343,31 +343,33 @@
 	}
 	a.Priority = wire.PriorityName(w.rng.IntN(3))
 	k.noteRequested(id, a.Slots)
-	send := func(verb booking.Verb, a wire.ReservationRequest, then func(r core.Reply, b *wire.Reservation)) {
-		k.requestUntilDecided(id, func(req uint64) core.Input { return core.Book{Req: req, Verb: verb, Ask: a} }, then)
+	send := func(verb booking.Verb, a wire.ReservationRequest, then func(r core.Response, b *wire.Reservation)) {
+		k.requestUntilDecided(id, func(req uint64) core.Input { return core.ReserveEquipment{RequestID: req, Verb: verb, Request: a} }, then)
 	}
 	var life func()
 	life = func() {
 		w.schedule(w.randomDuration(500*time.Millisecond, 12*time.Second), func() {
 			switch w.rng.IntN(6) {
 			case 0:
-				send(booking.VerbConfirm, wire.ReservationRequest{ID: id}, func(core.Reply, *wire.Reservation) { life() })
+				send(booking.VerbConfirm, wire.ReservationRequest{ID: id}, func(core.Response, *wire.Reservation) { life() })
 			case 1:
 				next := wire.ReservationRequest{ID: id, Slots: k.randomWants()}
 				k.noteRequested(id, next.Slots)
-				send(booking.VerbMove, next, func(core.Reply, *wire.Reservation) { life() })
+				send(booking.VerbMove, next, func(core.Response, *wire.Reservation) { life() })
 			case 2:
 				k.endRequested[id] = true
-				send(booking.VerbEnd, wire.ReservationRequest{ID: id, Reason: "done with it"}, func(core.Reply, *wire.Reservation) { life() })
+				send(booking.VerbEnd, wire.ReservationRequest{ID: id, Reason: "done with it"}, func(core.Response, *wire.Reservation) { life() })
 			case 3: // a repeat
-				send(booking.VerbCreate, a, func(core.Reply, *wire.Reservation) { life() })
+				send(booking.VerbCreate, a, func(core.Response, *wire.Reservation) { life() })
 			default:
-				k.requestUntilDecided(id, func(req uint64) core.Input { return core.ShowBookings{Req: req, Query: wire.ReservationQuery{ID: id}} },
-					func(core.Reply, *wire.Reservation) { life() })
+				k.requestUntilDecided(id, func(req uint64) core.Input {
+					return core.ListReservations{RequestID: req, Query: wire.ReservationQuery{ID: id}}
+				},
+					func(core.Response, *wire.Reservation) { life() })
 			}
 		})
 	}
-	send(booking.VerbCreate, a, func(r core.Reply, _ *wire.Reservation) {
+	send(booking.VerbCreate, a, func(r core.Response, _ *wire.Reservation) {
 		switch r.Status {
 		case 200, 201:
 			life()
@@ -393,7 +395,7 @@
 		call := w.now
 		k.lastClientID++
 		client := k.lastClientID
-		k.requestUntilDecided(id, in, func(r core.Reply, b *wire.Reservation) {
+		k.requestUntilDecided(id, in, func(r core.Response, b *wire.Reservation) {
 			out := "none"
 			if b != nil {
 				out = b.State
@@ -403,11 +405,11 @@
 		})
 	}
 	make := func(req uint64) core.Input {
-		return core.Book{Req: req, Verb: booking.VerbCreate, Ask: wire.ReservationRequest{ID: id, Slots: []wire.SlotRequest{{Equipment: "k1", From: slot}}}}
+		return core.ReserveEquipment{RequestID: req, Verb: booking.VerbCreate, Request: wire.ReservationRequest{ID: id, Slots: []wire.SlotRequest{{Equipment: "k1", From: slot}}}}
 	}
 	end := func(req uint64) core.Input {
 		k.endRequested[id] = true
-		return core.Book{Req: req, Verb: booking.VerbEnd, Ask: wire.ReservationRequest{ID: id}}
+		return core.ReserveEquipment{RequestID: req, Verb: booking.VerbEnd, Request: wire.ReservationRequest{ID: id}}
 	}
 	op(false, make, func() {
 		w.schedule(w.randomDuration(time.Second, 10*time.Second), func() {
--- a/internal/sim/rolling_upgrade.go
+++ b/internal/sim/rolling_upgrade.go
@@ -103,7 +103,7 @@
 		return v, ok && err == nil
 	}
 	switch in := in.(type) {
-	case core.Loaded:
+	case core.SnapshotPage:
 		var items []wire.KeyValue
 		for _, it := range in.Items {
 			if v, ok := see(it.Key, it.Value); ok {
@@ -113,7 +113,7 @@
 		}
 		in.Items = items
 		return in
-	case core.Changed:
+	case core.WatchResult:
 		var log []wire.WatchEvent
 		for _, e := range in.Changes.Events {
 			if e.Put == "" {
@@ -125,10 +125,10 @@
 		}
 		in.Changes.Events = log
 		return in
-	case core.FromPeer:
-		in.Msg = throughPreviousVersion(w, in.Msg)
+	case core.PeerMessage:
+		in.Message = throughPreviousVersion(w, in.Message)
 		return in
-	case core.Submit:
+	case core.SubmitJob:
 		in.Spec.Dependencies = nil
 		return in
 	}
@@ -136,9 +136,9 @@
 }
 
 // throughPreviousVersion is a message as the old version reads it.
-func throughPreviousVersion(w *Simulator, m core.Msg) core.Msg {
+func throughPreviousVersion(w *Simulator, m core.Message) core.Message {
 	var old previousversion.Message
-	var out core.Msg
+	var out core.Message
 	raw, err := json.Marshal(m)
 	if err == nil {
 		err = json.Unmarshal(raw, &old)
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -605,7 +605,7 @@
 				o.Duration, o.Jobs, o.Controllers, o.MaxMachines, o.MaxTasksPerJob, o.Pipelines = 120*time.Second, 60, 5, 300, 400, 0
 			}
 			w := runObserved(t, o, func(_ string, out core.Output) {
-				if x, ok := out.(core.Commit); ok {
+				if x, ok := out.(core.CommitTxn); ok {
 					for _, y := range x.Txn.Then {
 						if strings.HasPrefix(y.Put, core.Root+"over/") {
 							slots.Add(1)
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -50,7 +50,7 @@
 	down            bool
 	clockOffset     time.Duration // its clock began this much off
 	startedAt       time.Duration
-	pendingRequests map[uint64]func(core.Reply)
+	pendingRequests map[uint64]func(core.Response)
 
 	pausedUntil time.Duration // its process stands still until then
 
@@ -80,7 +80,7 @@
 
 	// How much later a transaction or orders are executed, beside what is late by chance; and what comes of a report.
 	commitDelay          func(t wire.Txn) time.Duration
-	commandDelay         func(o core.Orders) time.Duration
+	commandDelay         func(o core.SendCommands) time.Duration
 	onHeartbeat          func(r *wire.Heartbeat)
 	commitResponseDelay  func(t wire.Txn) time.Duration   // a transaction is executed at once, and its answer so much later; under 0: it is lost
 	onLastTaskEnding     func(id string)                  // the last task of a job is ending at this moment
@@ -105,13 +105,13 @@
 	opt.Controllers, opt.MaxMachines, opt.MaxTasksPerJob = cmp.Or(opt.Controllers, 3), cmp.Or(opt.MaxMachines, 14), cmp.Or(opt.MaxTasksPerJob, 9)
 	opt.CancelTimeout, opt.WorkerLease = cmp.Or(opt.CancelTimeout, defaultCancelTimeout), cmp.Or(opt.WorkerLease, defaultWorkerLease)
 	w := &Simulator{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 77)), partitioned: map[[2]string]bool{}, heldPackets: map[[2]string][]func(){},
-		commitDelay: func(wire.Txn) time.Duration { return 0 }, commandDelay: func(core.Orders) time.Duration { return 0 }, onHeartbeat: func(*wire.Heartbeat) {},
+		commitDelay: func(wire.Txn) time.Duration { return 0 }, commandDelay: func(core.SendCommands) time.Duration { return 0 }, onHeartbeat: func(*wire.Heartbeat) {},
 		commitResponseDelay: func(wire.Txn) time.Duration { return 0 }, onLastTaskEnding: func(string) {}, inboundBlockedUntil: map[string]time.Duration{}, outboundBlockedUntil: map[string]time.Duration{}, Trace: func(string, ...any) {}, OnOutput: func(string, core.Output) {}}
 	limit := 40000 * int64(opt.MaxTasksPerJob) / 9
-	w.teams = []core.Team{{Name: "t0"}, {Name: "t1", CPU: limit * 2 / 5, CPUMax: limit}}
+	w.teams = []core.Team{{Name: "t0"}, {Name: "t1", ReservedCPU: limit * 2 / 5, MaxCPU: limit}}
 	limits := map[string][2]int64{"t1": {limit, 0}}
 	if opt.QuotaLimited {
-		w.teams[0].CPUMax = limit
+		w.teams[0].MaxCPU = limit
 		limits["t0"] = [2]int64{limit, 0}
 	}
 	w.Checker = NewChecker(opt.CancelTimeout, limits)
@@ -194,43 +194,43 @@
 }
 
 func (w *Simulator) coreConfig(n *node) core.Config {
-	cfg := core.Config{Form: core.Form, Name: n.name, Zone: "a", Teams: w.teams, Lease: 4 * time.Second, Shards: 6,
-		WatchGap: 100 * time.Millisecond, ReadGap: 150 * time.Millisecond, StateRPS: 100, WriteRPS: 40, WriteShare: 0.6, ValueBytes: 8192,
-		TxnOps: 12, CloudRPS: 4, ListLag: 3 * time.Second, ReportEvery: heartbeatInterval, WorkerLease: w.options.WorkerLease,
-		CancelIn: w.options.CancelTimeout, DeltaEvery: 500 * time.Millisecond, PushEvery: time.Second, CopyExpire: 10 * time.Second,
-		ProbeRatio: 2, PreferImage: true, PreferSpot: true, SpareShare: 0.2, Idle: 5 * time.Second, Silent: 4 * time.Second,
-		BootPatience: 3, Settle: 300 * time.Millisecond, WholePush: 10 * time.Second, PushGap: 100 * time.Millisecond, OrderAgain: time.Second, OrdersMost: 400, ProbesMost: 100,
-		ClearWait: 2 * time.Second, PassTime: 3 * time.Second, LinkLost: 1500 * time.Millisecond, RoomAgain: 4 * time.Second,
-		ListEvery: 2500 * time.Millisecond, SettleMost: 2 * time.Second, CancelShare: 0.35,
-		LossGather: 700 * time.Millisecond, AcceptWait: 1500 * time.Millisecond, HealthEvery: 500 * time.Millisecond, LookAll: 20 * time.Second, RentAhead: 3 * time.Second, GiveWay: time.Second}
-	cfg.EndedKept, cfg.HistoryCache, cfg.HistoryShare = 5000, 1<<20, 0.2
+	cfg := core.Config{SchemaVersion: core.SchemaVersion, Name: n.name, Zone: "a", Teams: w.teams, LeaseTTL: 4 * time.Second, Shards: 6,
+		MinWatchInterval: 100 * time.Millisecond, MinReadBarrierInterval: 150 * time.Millisecond, StoreRequestRate: 100, StoreWriteRate: 40, MaxWriteShare: 0.6, MaxValueBytes: 8192,
+		MaxTxnOps: 12, CloudRequestRate: 4, CloudListLag: 3 * time.Second, HeartbeatInterval: heartbeatInterval, AgentLeaseTTL: w.options.WorkerLease,
+		CancelTimeout: w.options.CancelTimeout, DeltaInterval: 500 * time.Millisecond, StatePushInterval: time.Second, StateCopyExpiry: 10 * time.Second,
+		CandidateRatio: 2, PreferImage: true, PreferSpot: true, HeadroomShare: 0.2, IdleTimeout: 5 * time.Second, SilenceTimeout: 4 * time.Second,
+		BootTimeoutFactor: 3, MinEndBatchDelay: 300 * time.Millisecond, FullStatePushInterval: 10 * time.Second, MinStatePushInterval: 100 * time.Millisecond, CommandRetryInterval: time.Second, MaxCommandRequests: 400, MaxPollRequests: 100,
+		EndedTaskClearDelay: 2 * time.Second, RelayTimeout: 3 * time.Second, PeerTimeout: 1500 * time.Millisecond, PreemptionRetryInterval: 4 * time.Second,
+		CloudListInterval: 2500 * time.Millisecond, MaxEndBatchDelay: 2 * time.Second, CancelScaleInShare: 0.35,
+		LostTaskBatchDelay: 700 * time.Millisecond, SubmitWriteTimeout: 1500 * time.Millisecond, HealthInterval: 500 * time.Millisecond, FullScanInterval: 20 * time.Second, ScaleOutLeadTime: 3 * time.Second, YieldAfter: time.Second}
+	cfg.MaxEndedJobs, cfg.HistoryCacheBytes, cfg.HistoryReadShare = 5000, 1<<20, 0.2
 	cfg.SharedValues = w.options.BatchValues
 	if w.options.Permissions {
-		cfg.Access = initialPolicy()
+		cfg.Permissions = initialPolicy()
 	}
 	if w.options.AuditLog {
-		cfg.AuditKey, cfg.TimeBoundMS, cfg.Settings = auditKey, 500, settingsFor(n)
-		cfg.AuditForget = 60 * time.Second // requests are late by 40 s at most
-		cfg.AuditGather, cfg.AuditBlock = 2*time.Second, w.randomDuration(time.Second, 8*time.Second)
+		cfg.AuditKey, cfg.MaxClockErrorMS, cfg.Settings = auditKey, 500, settingsFor(n)
+		cfg.AuditForgetAfter = 60 * time.Second // requests are late by 40 s at most
+		cfg.AuditGatherDelay, cfg.AuditBlockDelay = 2*time.Second, w.randomDuration(time.Second, 8*time.Second)
 	}
 	if w.options.Archive {
-		cfg.Archive, cfg.EndedKept, cfg.HistoryCache = true, 1+int(w.options.Seed%4), 1<<10
+		cfg.Archive, cfg.MaxEndedJobs, cfg.HistoryCacheBytes = true, 1+int(w.options.Seed%4), 1<<10
 	}
 	if w.options.PriorityClasses && !n.bootsPrevious {
-		cfg.Lanes = w.queueOrder.classes
+		cfg.PriorityClasses = w.queueOrder.classes
 	}
 	if w.options.ReservationUsers > 0 && !n.bootsPrevious {
-		cfg.Equipment, cfg.ValueBytes = w.reservations.site, 640 // so that there are many pages
+		cfg.Equipment, cfg.MaxValueBytes = w.reservations.site, 640 // so that there are many pages
 		if w.options.AuditLog {
-			cfg.ValueBytes = 4096 // entries of the record need room
+			cfg.MaxValueBytes = 4096 // entries of the record need room
 		}
-		cfg.BookingKeep = time.Duration(w.options.Seed%3) * 10 * time.Second
+		cfg.ReservationRetention = time.Duration(w.options.Seed%3) * 10 * time.Second
 	}
 	if w.options.RollingUpgrade && !n.bootsPrevious {
-		cfg.ValueBytes, cfg.TxnOps, cfg.NextWriteRPS = announcedLimits.valueBytes, announcedLimits.txnOps, announcedLimits.writesPerSecond
+		cfg.MaxValueBytes, cfg.MaxTxnOps, cfg.NextStoreWriteRate = announcedLimits.valueBytes, announcedLimits.txnOps, announcedLimits.writesPerSecond
 	}
 	if n.bootsPrevious {
-		cfg.Form = 0
+		cfg.SchemaVersion = 0
 	}
 	for _, o := range w.nodes {
 		if o != n {
@@ -244,7 +244,7 @@
 	n.incarnation++
 	n.down, n.runsPrevious = false, n.bootsPrevious
 	n.startedAt = w.now
-	n.pendingRequests = map[uint64]func(core.Reply){}
+	n.pendingRequests = map[uint64]func(core.Response){}
 	n.core = core.New(w.coreConfig(n), 0, w.rng.Uint64())
 	life := n.incarnation
 	var tick func()
@@ -252,7 +252,7 @@
 		if n.incarnation != life || n.down {
 			return
 		}
-		w.deliver(n, core.Clock{UnixMS: w.nowUnixMS() + int64(n.clockOffset/time.Second)})
+		w.deliver(n, core.WallClock{UnixMS: w.nowUnixMS() + int64(n.clockOffset/time.Second)})
 		w.schedule(50*time.Millisecond, tick)
 	}
 	w.schedule(time.Millisecond, tick)
@@ -320,12 +320,12 @@
 		}
 	}
 	switch o := o.(type) {
-	case core.Reply:
-		if f := n.pendingRequests[o.Req]; f != nil {
-			delete(n.pendingRequests, o.Req)
+	case core.Response:
+		if f := n.pendingRequests[o.RequestID]; f != nil {
+			delete(n.pendingRequests, o.RequestID)
 			f(o)
 		}
-	case core.ToPeer:
+	case core.SendToPeer:
 		for _, p := range w.nodes {
 			if p == n || o.Peer != "" && o.Peer != p.name {
 				continue
@@ -333,7 +333,7 @@
 			p := p
 			arrive := func() {
 				if !p.down {
-					w.deliver(p, core.FromPeer{Peer: n.name, Msg: o.Msg})
+					w.deliver(p, core.PeerMessage{Peer: n.name, Message: o.Message})
 				}
 			}
 			w.send(n.name, p.name, arrive)
@@ -341,8 +341,8 @@
 				w.schedule(w.randomDuration(0, 3*time.Second), arrive)
 			}
 		}
-	case core.Commit:
-		out := core.Committed{ID: o.ID}
+	case core.CommitTxn:
+		out := core.TxnResult{ID: o.ID}
 		w.checkWrittenSchema(n, o.Txn)
 		late := 0.01
 		if w.options.FlappingProcesses {
@@ -370,74 +370,74 @@
 			return answer
 		}, func(ok bool) {
 			if !ok {
-				out = core.Committed{ID: o.ID}
+				out = core.TxnResult{ID: o.ID}
 			}
 			back(out)
 		})
-	case core.Changes:
+	case core.Watch:
 		w.store.serveWatch(n, o, back)
-	case core.Load:
-		var out core.Loaded
+	case core.LoadSnapshot:
+		var out core.SnapshotPage
 		w.rpc(n.name, "state", 2*time.Second, 0, func() time.Duration { out = w.store.loadSnapshot(n.name, o); return 0 }, func(ok bool) {
 			if !ok {
-				out = core.Loaded{}
+				out = core.SnapshotPage{}
 			}
 			back(out)
 		})
-	case core.Scan:
-		out := core.Scanned{ID: o.ID}
+	case core.ReadRange:
+		out := core.RangeResult{ID: o.ID}
 		w.rpc(n.name, "state", 2*time.Second, 0, func() time.Duration { out = w.store.readRange(n.name, o); return 0 }, func(ok bool) {
 			if !ok {
-				out = core.Scanned{ID: o.ID}
+				out = core.RangeResult{ID: o.ID}
 			}
 			back(out)
 		})
-	case core.LeaseOp:
-		out := core.Leased{Op: o.Op}
+	case core.LeaseRequest:
+		out := core.LeaseResult{Op: o.Op}
 		w.rpc(n.name, "state", time.Second, w.randomDelay(0.005), func() time.Duration { out = w.store.serveLease(n.name, o); return 0 }, func(ok bool) {
 			if !ok {
-				out = core.Leased{Op: o.Op}
+				out = core.LeaseResult{Op: o.Op}
 			}
 			back(out)
 		})
-	case core.Orders:
-		out := core.Ordered{ID: o.ID, Sent: true}
+	case core.SendCommands:
+		out := core.CommandsResult{ID: o.ID, MaybeDelivered: true}
 		m := w.cloud.find(o.Machine)
 		w.rpc(n.name, o.Machine, 2*time.Second, max(w.commandDelay(o), w.randomDelay(0.02)), func() time.Duration {
 			if m != nil && !m.gone {
-				out.Status, out.Report = m.handleCommands(o.Body)
+				out.Status, out.Heartbeat = m.handleCommands(o.Batch)
 			}
 			return 0
 		}, func(ok bool) {
 			if !ok {
-				out = core.Ordered{ID: o.ID, Sent: true}
+				out = core.CommandsResult{ID: o.ID, MaybeDelivered: true}
 			}
 			back(out)
 		})
-	case core.Probe:
+	case core.PollAgent:
 		m := w.cloud.find(o.Machine)
-		out := core.Seen{Machine: o.Machine}
+		out := core.AgentPolled{Machine: o.Machine}
 		w.rpc(n.name, o.Machine, 2*time.Second, 0, func() time.Duration {
 			if m != nil && m.up && !m.gone {
-				out.Report = m.nextHeartbeat()
+				out.Heartbeat = m.nextHeartbeat()
 			}
 			return 0
 		}, func(ok bool) {
 			if !ok {
-				out.Report = nil
+				out.Heartbeat = nil
 			}
 			back(out)
 		})
-	case core.CloudOp:
-		out := core.Clouded{ID: o.ID}
+	case core.CloudRequest:
+		out := core.CloudResult{ID: o.ID}
 		w.rpc(n.name, "cloud", 4*time.Second, w.randomDelay(0.02), func() time.Duration { out = w.cloud.serve(o); return 0 }, func(ok bool) {
 			if !ok {
-				out = core.Clouded{ID: o.ID}
+				out = core.CloudResult{ID: o.ID}
 			}
 			back(out)
 		})
-	case core.Note:
-		w.Trace("%v %s %s %v", w.now, n.name, o.Text, o.Args)
+	case core.LogLine:
+		w.Trace("%v %s %s %v", w.now, n.name, o.Message, o.Args)
 	}
 }
 
@@ -646,9 +646,9 @@
 }
 
 // sendRequest sends a request of a user or worker to a controller.
-func (w *Simulator) sendRequest(n *node, timeout time.Duration, in func(req uint64) core.Input, done func(r core.Reply, ok bool)) {
+func (w *Simulator) sendRequest(n *node, timeout time.Duration, in func(req uint64) core.Input, done func(r core.Response, ok bool)) {
 	over := false
-	finish := func(r core.Reply, ok bool) {
+	finish := func(r core.Response, ok bool) {
 		if !over {
 			over = true
 			done(r, ok)
@@ -660,15 +660,15 @@
 		}
 		return time.Millisecond
 	}
-	w.schedule(timeout, func() { finish(core.Reply{}, false) })
+	w.schedule(timeout, func() { finish(core.Response{}, false) })
 	w.schedule(way(), func() {
 		if n.down {
-			finish(core.Reply{}, false)
+			finish(core.Response{}, false)
 			return
 		}
 		w.lastRequestID++
 		id := w.lastRequestID
-		n.pendingRequests[id] = func(r core.Reply) { w.schedule(way(), func() { finish(r, true) }) }
+		n.pendingRequests[id] = func(r core.Response) { w.schedule(way(), func() { finish(r, true) }) }
 		w.deliver(n, in(id))
 	})
 }
@@ -709,7 +709,7 @@
 	w.schedule(time.Second, stranger)
 }
 
-func (w *Simulator) checkJobResponse(by core.Cred, began time.Duration, verb, id string, r core.Reply, ok bool) string {
+func (w *Simulator) checkJobResponse(by core.Credential, began time.Duration, verb, id string, r core.Response, ok bool) string {
 	if !ok {
 		w.Checker.CheckResponsive(began, w.now, id, 0)
 	}
@@ -729,21 +729,21 @@
 func (w *Simulator) nowUnixMS() int64 { return startUnixMS + w.now.Milliseconds() }
 
 // submitOnce sends a submission to a controller.
-func (w *Simulator) submitOnce(n *node, in core.Submit, then func(r core.Reply, ok bool)) {
+func (w *Simulator) submitOnce(n *node, in core.SubmitJob, then func(r core.Response, ok bool)) {
 	began := w.now
 	w.sendRequest(n, 5*time.Second, func(r uint64) core.Input {
-		in.Req, in.UnixMS = r, w.nowUnixMS()
+		in.RequestID, in.UnixMS = r, w.nowUnixMS()
 		return in
-	}, func(r core.Reply, ok bool) {
-		w.checkJobResponse(in.By, began, "submit", in.ID, r, ok)
+	}, func(r core.Response, ok bool) {
+		w.checkJobResponse(in.Caller, began, "submit", in.ID, r, ok)
 		then(r, ok)
 	})
 }
 
 // pollOnce asks a controller about a job.
-func (w *Simulator) pollOnce(n *node, by core.Cred, id string, then func()) {
+func (w *Simulator) pollOnce(n *node, by core.Credential, id string, then func()) {
 	began := w.now
-	w.sendRequest(n, 2*time.Second, func(r uint64) core.Input { return core.Poll{Req: r, ID: id, By: by} }, func(r core.Reply, ok bool) {
+	w.sendRequest(n, 2*time.Second, func(r uint64) core.Input { return core.GetJob{RequestID: r, ID: id, Caller: by} }, func(r core.Response, ok bool) {
 		w.checkJobResponse(by, began, "poll", id, r, ok)
 		then()
 	})
@@ -767,8 +767,8 @@
 				w.schedule(w.randomDuration(0, 300*time.Millisecond), func() { w.resubmit(pick(), by, s) })
 			}
 		}
-		w.submitOnce(pick(), core.Submit{ID: s.ID, Spec: s, By: by},
-			func(r core.Reply, ok bool) {
+		w.submitOnce(pick(), core.SubmitJob{ID: s.ID, Spec: s, Caller: by},
+			func(r core.Response, ok bool) {
 				if !ok || r.Status != 200 && r.Status != 201 {
 					w.schedule(time.Second, submit)
 					return
@@ -782,7 +782,7 @@
 				}
 				if w.chance(0.3) { // a late repeat, with another body
 					w.schedule(w.randomDuration(time.Second, 50*time.Second), func() {
-						w.submitOnce(pick(), core.Submit{ID: s.ID, Bad: "nonsense", By: by}, func(core.Reply, bool) {})
+						w.submitOnce(pick(), core.SubmitJob{ID: s.ID, DecodeError: "nonsense", Caller: by}, func(core.Response, bool) {})
 					})
 				}
 			})
@@ -797,8 +797,10 @@
 	cancel = func() {
 		w.Checker.CancelRequested(s.ID)
 		began := w.now
-		w.sendRequest(pick(), 5*time.Second, func(r uint64) core.Input { return core.Cancel{Req: r, ID: s.ID, UnixMS: w.nowUnixMS(), By: by} },
-			func(r core.Reply, ok bool) {
+		w.sendRequest(pick(), 5*time.Second, func(r uint64) core.Input {
+			return core.CancelJob{RequestID: r, ID: s.ID, UnixMS: w.nowUnixMS(), Caller: by}
+		},
+			func(r core.Response, ok bool) {
 				w.checkJobResponse(by, began, "cancel", s.ID, r, ok)
 				if !ok || r.Status != 200 {
 					w.schedule(time.Second, cancel)
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -28,7 +28,7 @@
 )
 
 // Handler takes a message of a peer.
-type Handler func(peer string, m core.Msg)
+type Handler func(peer string, m core.Message)
 
 // Mesh holds the streams of one controller.
 type Mesh struct {
@@ -56,7 +56,7 @@
 
 // Send queues a message to a peer, or to all if the name is empty. When a peer's queue is
 // full the message is dropped.
-func (m *Mesh) Send(peer string, msg core.Msg) {
+func (m *Mesh) Send(peer string, msg core.Message) {
 	line, err := json.Marshal(msg) // once for all: the array of a large fleet is long
 	if err != nil {
 		m.log.Error("mesh message not encoded", "err", err)
@@ -145,7 +145,7 @@
 		if len(sc.Bytes()) == 0 {
 			continue
 		}
-		var msg core.Msg
+		var msg core.Message
 		if err := json.Unmarshal(sc.Bytes(), &msg); err != nil {
 			m.log.Error("mesh message not understood", "peer", peer, "err", err)
 			return
