--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -33,7 +33,7 @@
 	var protos http.Protocols
 	protos.SetUnencryptedHTTP2(true)
 	srv := &http.Server{Protocols: &protos, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		m.receiveStream(w, r, func(string, core.Msg) {
+		m.receiveStream(w, r, func(string, core.Message) {
 			mu.Lock()
 			heard++
 			mu.Unlock()
@@ -121,7 +121,7 @@
 			ended.Add(2)
 			go func() {
 				defer ended.Done()
-				if err := to.Serve(ctx, ln, func(peer string, m core.Msg) { heard <- peer + m.Want[0] }); err != nil && ctx.Err() == nil {
+				if err := to.Serve(ctx, ln, func(peer string, m core.Message) { heard <- peer + m.WantedHeartbeats[0] }); err != nil && ctx.Err() == nil {
 					t.Error(err)
 				}
 			}()
@@ -135,7 +135,7 @@
 				tries = 1200
 			}
 			for range tries {
-				from.Send("n1", core.Msg{Want: []string{"m"}})
+				from.Send("n1", core.Message{WantedHeartbeats: []string{"m"}})
 				select {
 				case got := <-heard:
 					if !x.heard || got != "n0m" {
@@ -160,14 +160,14 @@
 		heard := 0
 		r := httptest.NewRequest(http.MethodPost, streamPath, io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF)))
 		r.Header.Set(nodeHeader, "n1")
-		m.receiveStream(httptest.NewRecorder(), r, func(string, core.Msg) { heard++ })
+		m.receiveStream(httptest.NewRecorder(), r, func(string, core.Message) { heard++ })
 		if heard != want || logged.Len() > 0 {
 			t.Errorf("%q: %d messages, logged %s", text, heard, logged.String())
 		}
 	}
 	r := httptest.NewRequest(http.MethodPost, streamPath, strings.NewReader("{\"w\"\n"))
 	r.Header.Set(nodeHeader, "n1")
-	m.receiveStream(httptest.NewRecorder(), r, func(string, core.Msg) { t.Error("nonsense was heard") })
+	m.receiveStream(httptest.NewRecorder(), r, func(string, core.Message) { t.Error("nonsense was heard") })
 	if !strings.Contains(logged.String(), "not understood") {
 		t.Error("a line that is no message was not logged")
 	}
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -40,7 +40,7 @@
 
 // isLeaseBound reports whether a key belongs to a controller that holds a lease: it ends with that.
 func isLeaseBound(name string) bool {
-	for _, p := range core.LeasedKeys {
+	for _, p := range core.LeasedKeyPrefixes {
 		if strings.HasPrefix(name, p) {
 			return true
 		}
@@ -71,7 +71,7 @@
 		switch {
 		case isLeaseBound(k.Name):
 			return nil
-		case k.Name == core.KeyEpoch:
+		case k.Name == core.KeyFencingToken:
 			v, err := strconv.ParseUint(string(k.Value), 10, 64)
 			if err != nil {
 				return fmt.Errorf("the snapshot's token is not a number: %w", err)
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -33,7 +33,7 @@
 	s.PutUnchecked([]wire.KeyValue{{Key: "da/b/wk-050", Value: json.RawMessage("5")}, {Key: "da/b/~", Value: json.RawMessage("9")}})
 	seen, from := 0, ""
 	for more := true; more; {
-		p := c.LoadSnapshot(ctx, core.Load{From: from})
+		p := c.LoadSnapshot(ctx, core.LoadSnapshot{AfterKey: from})
 		if !p.OK || len(p.Items) == 0 {
 			t.Fatalf("got %+v", p)
 		}
@@ -43,33 +43,33 @@
 		t.Errorf("%d keys were loaded", seen)
 	}
 	for id, want := range map[string]string{"wk-049": "5", "wk-050": "9", "wk-9": "9", "wk-0": "5"} { // the block of an id
-		if p := c.ReadRange(ctx, core.Scan{ID: 3, Prefix: "da/b/", From: "da/b/" + id, Most: 1}); p.ID != 3 || p.Status != 200 || string(p.Items[0].Value) != want {
+		if p := c.ReadRange(ctx, core.ReadRange{ID: 3, Prefix: "da/b/", AfterKey: "da/b/" + id, Limit: 1}); p.ID != 3 || p.Status != 200 || string(p.Items[0].Value) != want {
 			t.Errorf("%s: %+v", id, p)
 		}
 	}
-	if p := c.ReadRange(ctx, core.Scan{Key: "dl/job/wk-007"}); p.Status != 200 || len(p.Items) != 1 || p.Items[0].Revision != 1 {
+	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-007"}); p.Status != 200 || len(p.Items) != 1 || p.Items[0].Revision != 1 {
 		t.Errorf("got %+v", p)
 	}
-	if p := c.ReadRange(ctx, core.Scan{Key: "dl/job/wk-x"}); p.Status != 404 || p.Ledger != 2 {
+	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-x"}); p.Status != 404 || p.Revision != 2 {
 		t.Errorf("got %+v", p)
 	}
 
-	l := c.GrantOrRenewLease(ctx, core.LeaseOp{Op: "grant", TTL: 200 * time.Millisecond})
-	put := func(mark, lease uint64) core.Committed {
-		return c.CommitTxn(ctx, core.Commit{Txn: wire.Txn{Compare: []wire.Compare{{Key: "dl/x", Revision: mark}}, Then: []wire.Write{{Put: "dl/x", Value: json.RawMessage("1"), LeaseID: lease}}}})
+	l := c.GrantOrRenewLease(ctx, core.LeaseRequest{Op: "grant", TTL: 200 * time.Millisecond})
+	put := func(mark, lease uint64) core.TxnResult {
+		return c.CommitTxn(ctx, core.CommitTxn{Txn: wire.Txn{Compare: []wire.Compare{{Key: "dl/x", Revision: mark}}, Then: []wire.Write{{Put: "dl/x", Value: json.RawMessage("1"), LeaseID: lease}}}})
 	}
-	first, again := put(0, l.Lease), put(0, 0)
+	first, again := put(0, l.LeaseID), put(0, 0)
 	if first.Status != 200 || again.Status != 409 || len(again.Reply.Failed) != 1 {
 		t.Errorf("got %+v, %+v", first, again)
 	}
-	ch := c.Watch(ctx, core.Changes{From: first.Reply.Revision, Hold: true}) // until the lease ends
+	ch := c.Watch(ctx, core.Watch{SinceRevision: first.Reply.Revision, LongPoll: true}) // until the lease ends
 	if ch.Status != 200 || len(ch.Changes.Events) != 1 || ch.Changes.Events[0].Delete != "dl/x" {
 		t.Errorf("got %+v", ch)
 	}
-	if r := c.GrantOrRenewLease(ctx, core.LeaseOp{Op: "extend", Lease: l.Lease}); r.Status != 404 {
+	if r := c.GrantOrRenewLease(ctx, core.LeaseRequest{Op: "extend", LeaseID: l.LeaseID}); r.Status != 404 {
 		t.Errorf("an ended lease was extended: %+v", r)
 	}
-	if r := put(0, l.Lease); r.Status != 400 {
+	if r := put(0, l.LeaseID); r.Status != 400 {
 		t.Errorf("a key of an ended lease: %+v", r)
 	}
 	s.SetDown(true)
@@ -84,11 +84,11 @@
 		}
 		if i%1000 != 0 { // most of them without the way over the network
 			s.Commit(tx)
-		} else if r := c.CommitTxn(ctx, core.Commit{Txn: tx}); r.Status != 200 {
+		} else if r := c.CommitTxn(ctx, core.CommitTxn{Txn: tx}); r.Status != 200 {
 			t.Fatalf("got %+v", r)
 		}
 	}
-	if ch := c.Watch(ctx, core.Changes{From: 2}); ch.Status != 410 {
+	if ch := c.Watch(ctx, core.Watch{SinceRevision: 2}); ch.Status != 410 {
 		t.Errorf("too old: %+v", ch.Status)
 	}
 	s.SetLimits(fakes.Limits{WriteRPS: 1})
