--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -204,3 +204,9 @@
 		c.afterReadBarrier(func(bool) { s.inFlight = false }) // what came of it shows there
 	}})
 }
+
+// archivingState is the sweep that moves ended jobs into the archive.
+type archivingState struct {
+	sweep            *archiveSweep // see sweep.go
+	nextSweepCheckAt time.Duration
+}
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -258,3 +258,12 @@
 	}
 	return ""
 }
+
+// cancelAcks is acknowledging cancellations: the quorum's view, answers that wait for it, and how long somebody may wait.
+type cancelAcks struct {
+	waitersUntil  time.Duration // until then, somebody may wait for a cancellation
+	quorum        *quorum.View  // see cancellations.go
+	pending       []pendingAck
+	peersKnowUpTo uint64        // up to this revision others have told of all cancellations
+	nextReadAt    time.Duration // when the state service is read next for the sake of that
+}
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -4,7 +4,6 @@
 	"slices"
 	"time"
 
-	"dewlift/core/jobrecord"
 	"dewlift/wire"
 )
 
@@ -52,15 +51,6 @@
 	return m.commands.unanswered > 0 || c.now-m.status.lastHeartbeatAt > c.maxHeartbeatGap()
 }
 
-func (c *Core) attemptOf(m *machine, k attemptKey) *attempt {
-	a := m.commands.attempts[k]
-	if a == nil {
-		a = &attempt{}
-		m.commands.attempts[k] = a
-	}
-	return a
-}
-
 // dispatchTo sends what a machine must be told now, and reports whether another look is due.
 func (c *Core) dispatchTo(m *machine) (open bool) {
 	type due struct {
@@ -267,138 +257,24 @@
 	}
 }
 
-// stopTask has a task stopped, with time to save if it can.
-func (c *Core) stopTask(m *machine, k attemptKey, s *wire.JobSpec, why string) {
-	a := c.attemptOf(m, k)
-	a.stopReason = why
-	if s.CanCheckpoint {
-		a.stopGraceSeconds = float64(s.CheckpointTimeMS)/1000 + 1
-	}
-	c.allowImmediateResend(m, k)
-	c.markMachineDirty(m)
-}
-
-// drainInterrupted stops the tasks of machines that the cloud is about to take, where waiting for the end
-// gains nothing: those that should not complete in time restart elsewhere at once, and those
-// that save are given the time for it.
-func (c *Core) drainInterrupted() {
-	if c.now < c.commands.nextDrainAt {
-		return
-	}
-	c.commands.nextDrainAt = c.now + 100*time.Millisecond
-	for _, m := range c.aliveMachines {
-		if m.lifecycle.gone || m.lifecycle.interruptionDeadline == 0 {
-			continue
-		}
-		for _, t := range m.sortedAssignments() {
-			j := c.jobs[t.jobIndex]
-			s := j.record.Spec
-			if s == nil || !c.ownsJob(j) || j.isFinal() {
-				continue
-			}
-			k := attemptKey{t.jobIndex, t.Task, t.Attempt}
-			a := c.attemptOf(m, k)
-			p, there := m.status.tasks[k]
-			if a.stopReason != "" || !there || p.state == wire.TaskExited || p.state == wire.TaskCheckpointing {
-				continue
-			}
-			notice := m.lifecycle.interruptionDeadline - c.now
-			left := time.Duration(s.EstimatedRuntimeMS) * time.Millisecond
-			save := time.Duration(s.CheckpointTimeMS) * time.Millisecond
-			if p.state == wire.TaskRunning {
-				left -= c.now - p.stateSince
-			}
-			if !s.Service && left < notice || s.CanCheckpoint && !s.Service && notice > save+4*time.Second {
-				continue
-			}
-			c.stopTask(m, k, s, "spot notice")
-		}
-	}
-}
-
-// forEachUnconfirmedStop calls f for each task of a cancelled job that is not proven to be off its machine, with the time since its cancellation.
-func (c *Core) forEachUnconfirmedStop(f func(j *job, a jobrecord.Assignment, m *machine, age time.Duration)) {
-	for _, j := range c.openJobs {
-		if !j.isCancelledWithTasks() {
-			continue
-		}
-		age := c.timeSinceCancel(j)
-		for _, a := range j.assignments {
-			// A reported end is proof, also while the write of it waits for the change budget:
-			// machines were returned for tasks that had long stopped.
-			if ended, _ := c.attemptOutcome(j, a); !ended {
-				f(j, a, c.machines[a.Machine], age)
-			}
-		}
-	}
-}
-
-// enforceCancellations sees to it that cancelled tasks are gone in time: unanswered starts are fenced
-// off with a higher token, and a machine that does not confirm is returned.
-func (c *Core) enforceCancellations() (suspects []string) {
-	c.forEachUnconfirmedStop(func(j *job, a jobrecord.Assignment, m *machine, age time.Duration) {
-		if !c.ownsJob(j) {
-			return
-		}
-		if t := m.commands.attempts[attemptKey{j.index, a.Task, a.Attempt}]; t != nil && t.maxUnansweredToken != 0 && m.status.fencingToken <= t.maxUnansweredToken && c.leadership.fencingToken <= t.maxUnansweredToken {
-			c.raiseFencingToken()
-		}
-		if age > time.Duration(c.cfg.CancelScaleInShare*float64(c.cfg.CancelTimeout)) {
-			suspects = append(suspects, m.name)
-		}
-	})
-	return suspects
+// inFlightCommands is a request with orders on its way; one that another controller passes on has a time
+// by which it counts as unanswered.
+type inFlightCommands struct {
+	machineIndex int32
+	deadline     time.Duration
 }
 
-// outageReturnState is this controller's work for cancelled jobs while nobody leads.
-type outageReturnState struct {
-	inFlight      bool // a return is on its way
-	nextAttemptAt time.Duration
+// relayedCommands is another controller's request that this one passed on.
+type relayedCommands struct {
+	peer      string
+	requestID uint64
 }
 
-const (
-	outageReturnInterval  = time.Second
-	outageReturnShare     = 0.7  // of the time of a cancellation, after which also machines that report are returned
-	outageReturnRankShare = 0.04 // of it, that each controller leaves to the one before it in a machine's order
-)
-
-// returnMachinesInOutage returns machines on which cancelled tasks may still be, while the state service is down for all and so nobody leads: one that
-// hangs or is cut off kept them beyond their time, as nothing but its return takes them off it. Returning needs neither a write nor a right. It
-// may be repeated by anybody, and what is returned in vain costs work that is begun again. Whoever leads afterwards has the proof by returning
-// them once more.
-func (c *Core) returnMachinesInOutage() {
-	r := &c.outageReturn
-	if r.inFlight || c.now < r.nextAttemptAt || c.holdsLease() || !c.isStoreOutage() {
-		return
-	}
-	r.nextAttemptAt = c.now + outageReturnInterval
-	due := map[string]bool{}
-	c.forEachUnconfirmedStop(func(j *job, a jobrecord.Assignment, m *machine, age time.Duration) {
-		share := outageReturnShare
-		if c.now-max(m.status.lastHeartbeatAt, c.stalls.runningSince) > c.silenceTimeout() {
-			share = c.cfg.CancelScaleInShare
-		} else if _, there := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; !there {
-			return // it has ended and was cleared by somebody with newer records; one that may still come is mayComeBack's
-		}
-		if age > time.Duration((share+outageReturnRankShare*float64(c.machineRank(m)))*float64(c.cfg.CancelTimeout)) {
-			due[m.name] = true
-		}
-	})
-	names := sortedKeys(due)
-	names = names[:min(len(names), 100)] // in one request
-	if len(names) == 0 {
-		return
-	}
-	c.log("info", "machines returned in an outage: cancelled tasks may be on them", "machines", names)
-	r.inFlight = true
-	op := CloudRequest{ID: c.nextID(), Op: "return", MachineNames: names}
-	c.autoscaler.calls[op.ID] = func(in CloudResult) {
-		r.inFlight = false
-		if in.Status == 200 {
-			for _, n := range names {
-				c.markMachineGone(c.internMachine(n))
-			}
-		}
-	}
-	c.emit(op)
+// commandDispatch is commands to agents: which machines may need some, requests in flight, requests relayed for other controllers.
+type commandDispatch struct {
+	dirtyMachines       []*machine // those that may need orders
+	nextDrainAt         time.Duration
+	nextReturnRequestAt time.Duration
+	inFlight            map[uint64]inFlightCommands
+	relayed             map[uint64]relayedCommands
 }
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -14,53 +14,6 @@
 
 func shardKey(n int) string { return fmt.Sprintf("%s%02d", keyShard, n) }
 
-// maintainLease keeps this controller's lease, and gets a new one when it is lost.
-func (c *Core) maintainLease() {
-	if c.lacksAuditKey() || c.isWatchStalled() { // it must not act: its lease runs out, and others take over
-		return
-	}
-	if c.ownLease.opInFlight != "" || c.now < c.ownLease.requestSentAt+150*time.Millisecond {
-		return
-	}
-	switch {
-	case c.ownLease.id == 0:
-		c.ownLease.opInFlight = "grant"
-	case c.now >= c.ownLease.expiresAt-c.cfg.LeaseTTL*2/3:
-		c.ownLease.opInFlight = "extend"
-	default:
-		return
-	}
-	c.ownLease.requestSentAt = c.now
-	c.emit(LeaseRequest{Op: c.ownLease.opInFlight, TTL: c.cfg.LeaseTTL, LeaseID: c.ownLease.id})
-}
-
-// isWatchStalled reports whether reads of changes have stayed without an answer for a while. Such a controller may write and hold its lease, and know neither
-// what it holds nor what others do: one that had just begun to lead did nothing for twenty seconds, and nobody else could.
-func (c *Core) isWatchStalled() bool {
-	return c.storeHealth.firstLostReadAt != 0 && c.now-c.storeHealth.firstLostReadAt > watchStalledAfter
-}
-
-const watchStalledAfter = 5 * time.Second // two reads in a row without an answer, and some
-
-func (c *Core) handleLeaseResult(in LeaseResult) {
-	if in.Op != c.ownLease.opInFlight {
-		return
-	}
-	c.recordStoreStatus(in.Status)
-	c.ownLease.opInFlight = ""
-	switch {
-	case in.Status == 200 && in.Op == "grant" && in.LeaseID != 0:
-		c.ownLease.id = in.LeaseID
-		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.LeaseTTL
-	case in.Status == 200 && in.Op == "extend":
-		// Counted from the sending: the service counts from its receipt, later.
-		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.LeaseTTL
-	case in.Status == 404 && in.Op == "extend":
-		c.log("info", "lease lost", "lease", c.ownLease.id)
-		c.ownLease.id = 0
-	}
-}
-
 // liveControllers lists the controllers with a lease, this one included, in name order.
 func (c *Core) liveControllers() []string {
 	out := []string{c.cfg.Name}
@@ -205,14 +158,6 @@
 	return strings.Join(list, ", ")
 }
 
-func (c *Core) leasedValue(token uint64) json.RawMessage {
-	raw, err := json.Marshal(leasedKey{Node: c.cfg.Name, LeaseID: c.ownLease.id, FencingToken: token})
-	if err != nil {
-		panic(err) // a struct of strings and numbers
-	}
-	return raw
-}
-
 // surplusShard chooses a shard to give up: the one this controller ranks lowest for.
 func (c *Core) surplusShard() int {
 	live := c.liveControllers()
@@ -251,22 +196,6 @@
 	}
 }
 
-// raiseFencingToken raises the token, so that orders on their way can't be executed any more once the
-// machine has seen it.
-func (c *Core) raiseFencingToken() {
-	if c.leadership.raiseInFlight || c.ownership.claimInFlight || c.now < c.leadership.nextRaiseAt || !c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) {
-		return
-	}
-	c.leadership.raiseInFlight = true
-	c.leadership.nextRaiseAt = c.now + 5*time.Second
-	t := wire.Txn{Compare: []wire.Compare{{Key: keyFencingToken, Revision: c.leadership.fencingTokenRevision}},
-		Then: []wire.Write{{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(c.leadership.fencingToken + 1))}}}
-	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
-		c.leadership.raiseInFlight = false
-		c.afterReadBarrier(func(bool) {})
-	}})
-}
-
 // pickShard is a shard for a new job: one held by this controller if there is one. Else it is
 // another's: its holder learns of the job from the stream of changes and places its tasks. (A
 // controller that had just started, or that was one too many for the shards, refused users.)
@@ -282,3 +211,41 @@
 	}
 	return own[c.rng.IntN(len(own))]
 }
+
+// shardOwnership is which controller holds each shard, and claiming and handing over shards.
+type shardOwnership struct {
+	shards         []leasedKey
+	claimInFlight  bool
+	nextClaimAt    time.Duration
+	nextHandoverAt time.Duration
+}
+
+func (c *Core) shardOfKey(key string) int {
+	for i := range c.ownership.shards {
+		if shardKey(i) == key {
+			return i
+		}
+	}
+	return -1
+}
+
+// shardOf is the shard of a job; unknown jobs have one by their name.
+func (c *Core) shardOf(j *job) int {
+	if j.record != nil {
+		return j.record.Shard
+	}
+	return c.shardOfID(j.id)
+}
+
+func (c *Core) shardOfID(id string) int {
+	h := fnv.New32a()
+	h.Write([]byte(id))
+	return int(h.Sum32() % uint32(len(c.ownership.shards)))
+}
+
+func (c *Core) ownsShard(s int) bool {
+	return s >= 0 && s < len(c.ownership.shards) && c.ownLease.id != 0 && c.ownership.shards[s].LeaseID == c.ownLease.id && c.ownership.shards[s].mark != 0 &&
+		c.ownership.shards[s].Node == c.cfg.Name
+}
+
+func (c *Core) ownsJob(j *job) bool { return c.ownsShard(c.shardOf(j)) }
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -9,7 +9,6 @@
 
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"dewlift/clusterstate"
 	"dewlift/core/jobrecord"
 	"dewlift/core/membership"
 	"dewlift/priorityclass"
@@ -329,19 +328,12 @@
 	return q
 }
 
-// hasFeasibleMachine reports whether a task could be placed somewhere, by the array.
-func (c *Core) hasFeasibleMachine(s *wire.JobSpec, know *[]unplaceable) bool {
-	if slices.ContainsFunc(*know, func(x unplaceable) bool {
-		return x.allowsSpot == s.Spot && clusterstate.Resources(s.Request).Fits(x.request)
-	}) {
-		return false
-	}
-	any := slices.ContainsFunc(c.aliveMachines, func(m *machine) bool {
-		r := c.clusterCopy.state.Row(m.index)
-		return r != nil && r.Schedulable && r.HasRoom(s.Request, s.Spot) && c.isSchedulable(m) && c.isFeasible(s, m)
-	})
-	if !any && s.MachineTypes == nil && s.Zone == "" {
-		*know = append(*know, unplaceable{request: s.Request, allowsSpot: s.Spot})
-	}
-	return any
+// priorityState is the list of priority classes in force, their shares of starts, and the first waiting job of each.
+type priorityState struct {
+	classes          *priorityclass.List // see lanes.go
+	revision         uint64              // 0: that of the priorities is in force
+	nextSeedAt       time.Duration
+	enabledPublished bool
+	startShares      startShares
+	firstWaiting     []QueueHead // of each lane, the first of its jobs that wait for room, of late
 }
--- a/core/requests.go
+++ b/core/requests.go
@@ -3,9 +3,7 @@
 import (
 	"time"
 
-	"dewlift/access"
 	"dewlift/core/jobrecord"
-	pb "dewlift/proto"
 	"dewlift/wire"
 )
 
@@ -78,12 +76,6 @@
 
 const maxDependenciesShown = 20 // of the jobs that a queued one waits for
 
-// isFinal reports whether a job is done or cancelled. One that needs a cancelled job is cancelled
-// with it, from the write of that cancellation on; its own record follows.
-func (j *job) isFinal() bool {
-	return j.record != nil && (j.record.Stage != jobrecord.Queued || j.cancelledBy != nil)
-}
-
 func (c *Core) handleGetJob(in GetJob) {
 	switch {
 	case c.isNotServing():
@@ -133,11 +125,6 @@
 
 const reasonHistoryUnreadable = "what ended long ago can't be read now"
 
-// storeUnreachable reports whether the state service seems out of reach at this moment.
-func (c *Core) storeUnreachable() bool {
-	return !c.replica.loaded || c.storeHealth.lastFailureAt > c.storeHealth.lastAnswerAt && c.now-c.storeHealth.lastAnswerAt > 400*time.Millisecond
-}
-
 func (c *Core) handleSubmitJob(in SubmitJob) {
 	switch {
 	case c.isNotServing():
@@ -269,51 +256,6 @@
 	return 0, ""
 }
 
-// checkEverFeasible tells why a job can never run; 503 if that can't be decided yet, 0 if it can run.
-func (c *Core) checkEverFeasible(s *wire.JobSpec) (int, string) {
-	if c.autoscaler.catalog == nil {
-		return 503, "machine types not known yet"
-	}
-	ti, ok := c.teamIndex[s.Team]
-	if !ok {
-		return 422, "unknown team"
-	}
-	n := int64(1)
-	if s.Service {
-		n = int64(s.Tasks)
-	}
-	t := c.teams[ti]
-	if t.MaxCPU > 0 && s.Request[0]*n > t.MaxCPU || t.MaxGPU > 0 && s.Request[1]*n > t.MaxGPU {
-		return 422, "needs more than the team's limit"
-	}
-	for _, mt := range c.autoscaler.catalog {
-		if c.isMachineTypeAllowed(s, mt.Name) && fits(mt.Capacity(), s.Request) {
-			for _, z := range mt.Zones {
-				if s.Zone == "" || s.Zone == z {
-					return 0, ""
-				}
-			}
-		}
-	}
-	return 422, "fits no allowed machine type"
-}
-
-func fits(room, claim [3]int64) bool {
-	return room[0] >= claim[0] && room[1] >= claim[1] && room[2] >= claim[2]
-}
-
-func (c *Core) isMachineTypeAllowed(s *wire.JobSpec, typ string) bool {
-	if s.MachineTypes == nil {
-		return true
-	}
-	for _, t := range s.MachineTypes {
-		if t == typ {
-			return true
-		}
-	}
-	return false
-}
-
 // completeSubmission answers all who wait for a job's acceptance.
 func (c *Core) completeSubmission(j *job, status int, why string) {
 	a := j.submission
@@ -408,37 +350,3 @@
 	}
 	j.cancellation.waiters = nil
 }
-
-// handleHeartbeat answers a worker's report.
-func (c *Core) handleHeartbeat(in AgentHeartbeat) {
-	if !c.replica.loaded {
-		c.respondUnavailable(in.RequestID, "not caught up")
-		return
-	}
-	if c.permissionsInForce() && c.currentPolicy().AgentsMustSign() {
-		if d := c.authorize(in.Caller, access.Action{Verb: pb.Verb_report}); !d.Allowed {
-			c.respondForbidden(in.RequestID, in.Caller, "report", in.Heartbeat.Machine, d.Reason)
-			return
-		}
-	}
-	c.applyHeartbeat(in.Heartbeat, true)
-	if in.Heartbeat.FencingToken <= c.leadership.fencingToken {
-		c.respondToHeartbeat(in)
-		return
-	}
-	// The worker has seen a higher token: whoever gave it knows more than this controller.
-	if c.storeUnreachable() {
-		c.respondUnavailable(in.RequestID, "token not current")
-		return
-	}
-	c.afterReadBarrier(func(bool) { c.respondToHeartbeat(in) })
-}
-
-func (c *Core) respondToHeartbeat(in AgentHeartbeat) {
-	m := c.internMachine(in.Heartbeat.Machine)
-	if why := c.leaseDenialReason(m, in.Heartbeat); why != "" {
-		c.respondUnavailable(in.RequestID, why)
-		return
-	}
-	c.respond(in.RequestID, 200, wire.HeartbeatResponse{FencingToken: c.leadership.fencingToken, Commands: c.stopCommandsFor(m)})
-}
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -174,3 +174,13 @@
 	}
 	return nil
 }
+
+// schemaState is schema versions: what each controller declared, the one in force, this controller's own declaration.
+type schemaState struct {
+	declared            map[string]int // what each controller declared
+	active              int
+	declarationRevision uint64        // of this controller's declaration
+	activeSince         time.Duration // since when it may be written
+	declarationInFlight bool
+	nextDeclarationAt   time.Duration
+}
