--- a/access/access.go
+++ b/access/access.go
@@ -95,7 +95,13 @@
 func New(a *pb.Access) (*Policy, error) {
 	p := &Policy{source: a, roles: map[string]*role{}, identities: map[string]*identity{}, keys: map[string]*Key{}}
 	if len(a.Roles) > maxRoles || len(a.Identities) > maxIdentities {
-		return nil, fmt.Errorf("%d roles and %d identities, at most %d and %d are allowed", len(a.Roles), len(a.Identities), maxRoles, maxIdentities)
+		return nil, fmt.Errorf(
+			"%d roles and %d identities, at most %d and %d are allowed",
+			len(a.Roles),
+			len(a.Identities),
+			maxRoles,
+			maxIdentities,
+		)
 	}
 	for i, r := range a.Roles {
 		if err := p.addRole(r); err != nil {
@@ -130,7 +136,12 @@
 }
 
 func newGrant(g *pb.Grant) (grant, error) {
-	out := grant{verbs: map[Verb]bool{}, teams: map[string]bool{}, classes: map[string]bool{}, highestPriority: wire.PriorityStandard}
+	out := grant{
+		verbs:           map[Verb]bool{},
+		teams:           map[string]bool{},
+		classes:         map[string]bool{},
+		highestPriority: wire.PriorityStandard,
+	}
 	about := false
 	if len(g.Verbs) == 0 {
 		return out, errors.New(".verbs: there are none")
@@ -292,7 +303,12 @@
 				near = fmt.Sprintf("prioritise goes up to %s only", wire.PriorityName(g.highestPriority))
 				continue
 			}
-			return Decision{Allowed: true, Role: r.name, GrantNumber: i + 1, Reason: fmt.Sprintf("role %s, grant %d", r.name, i+1)}
+			return Decision{
+				Allowed:     true,
+				Role:        r.name,
+				GrantNumber: i + 1,
+				Reason:      fmt.Sprintf("role %s, grant %d", r.name, i+1),
+			}
 		}
 	}
 	return Decision{Reason: near}
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -78,7 +78,8 @@
 		`identities { name: "a b" }`:                                                                        "identities[0].name",
 		`roles { name: "a" grants { verbs: administer } } roles { name: "a" grants { verbs: administer } }`: "roles[1].name",
 	} {
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %s", text, err, want)
 		}
 	}
@@ -90,7 +91,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Parse([]byte(testPolicy + fmt.Sprintf(`identities { name: "eva" keys { id: "k2" ed25519: %q } }`, k.PublicBase64())))
+	p, err := Parse(
+		[]byte(
+			testPolicy + fmt.Sprintf(`identities { name: "eva" keys { id: "k2" ed25519: %q } }`, k.PublicBase64()),
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +117,8 @@
 		return s
 	}
 	good := token(k, now, time.Minute)
-	if got, until, err := p.VerifyToken(good, now, bound); err != nil || got.Holder != "anna" || !until.Equal(now.Add(time.Minute)) {
+	if got, until, err := p.VerifyToken(good, now, bound); err != nil || got.Holder != "anna" ||
+		!until.Equal(now.Add(time.Minute)) {
 		t.Fatalf("got %+v %v %v", got, until, err)
 	}
 	if id, ok := PeekKey(good); !ok || id != "k1" {
@@ -132,16 +138,22 @@
 		token string
 		at    time.Time
 	}{
-		"too late":      {good, now.Add(time.Minute + 200*time.Millisecond)},
-		"too early":     {good, now.Add(-time.Second)},
-		"another key":   {token(other, now, time.Minute), now},
-		"another name":  {token(&borrowed, now, time.Minute), now},
-		"unknown key":   {token(&stranger, now, time.Minute), now},
-		"not signed":    {none + "." + parts[1] + ".", now},
-		"other claims":  {parts[0] + "." + base64.RawURLEncoding.EncodeToString([]byte(`{"sub":"anna","aud":"dewlift","iat":1,"exp":9999999999}`)) + "." + parts[2], now},
-		"too long":      {good + strings.Repeat("x", maxTokenBytes), now},
-		"empty":         {"", now},
-		"life too long": {func() string { long := *k; s, _ := long.SignToken(now, MaxTokenLifetime); return s }(), now.Add(MaxTokenLifetime + time.Second)},
+		"too late":     {good, now.Add(time.Minute + 200*time.Millisecond)},
+		"too early":    {good, now.Add(-time.Second)},
+		"another key":  {token(other, now, time.Minute), now},
+		"another name": {token(&borrowed, now, time.Minute), now},
+		"unknown key":  {token(&stranger, now, time.Minute), now},
+		"not signed":   {none + "." + parts[1] + ".", now},
+		"other claims": {
+			parts[0] + "." + base64.RawURLEncoding.EncodeToString([]byte(`{"sub":"anna","aud":"dewlift","iat":1,"exp":9999999999}`)) + "." + parts[2],
+			now,
+		},
+		"too long": {good + strings.Repeat("x", maxTokenBytes), now},
+		"empty":    {"", now},
+		"life too long": {
+			func() string { long := *k; s, _ := long.SignToken(now, MaxTokenLifetime); return s }(),
+			now.Add(MaxTokenLifetime + time.Second),
+		},
 	} {
 		if got, _, err := p.VerifyToken(x.token, x.at, bound); !errors.Is(err, ErrInvalidToken) {
 			t.Errorf("%s: %+v %v", what, got, err)
@@ -182,7 +194,8 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		PeekKey(string(raw))
 		parts, mine := bytes.Split([]byte(good), []byte(".")), bytes.Split(raw, []byte("."))
-		if got, _, err := p.VerifyToken(string(raw), now, 0); err == nil && !(len(mine) == 3 && bytes.Equal(parts[0], mine[0]) && bytes.Equal(parts[1], mine[1])) {
+		if got, _, err := p.VerifyToken(string(raw), now, 0); err == nil &&
+			!(len(mine) == 3 && bytes.Equal(parts[0], mine[0]) && bytes.Equal(parts[1], mine[1])) {
 			t.Fatalf("%s is accepted as %s's", raw, got.Holder)
 		}
 	})
--- a/access/token.go
+++ b/access/token.go
@@ -65,8 +65,12 @@
 	if lifetime <= 0 || lifetime > MaxTokenLifetime {
 		return "", fmt.Errorf("a token lives more than 0 and at most %v", MaxTokenLifetime)
 	}
-	t := jwt.NewWithClaims(jwt.SigningMethodEdDSA, jwt.RegisteredClaims{Subject: k.Holder, Audience: jwt.ClaimStrings{audience},
-		IssuedAt: jwt.NewNumericDate(now), NotBefore: jwt.NewNumericDate(now), ExpiresAt: jwt.NewNumericDate(now.Add(lifetime))})
+	t := jwt.NewWithClaims(jwt.SigningMethodEdDSA, jwt.RegisteredClaims{
+		Subject: k.Holder, Audience: jwt.ClaimStrings{audience},
+		IssuedAt: jwt.NewNumericDate(
+			now,
+		), NotBefore: jwt.NewNumericDate(now), ExpiresAt: jwt.NewNumericDate(now.Add(lifetime)),
+	})
 	t.Header["kid"] = k.ID
 	out, err := t.SignedString(ed25519.NewKeyFromSeed(k.Seed))
 	if err != nil {
@@ -94,8 +98,8 @@
 	return h.Kid, h.Kid != ""
 }
 
-// VerifyToken tells whose token it is, which key signed it, and until when it is good. now is the time of day, which is right within
-// bound here, and at whoever signed.
+// VerifyToken tells whose token it is, which key signed it, and until when it is good. now is the
+// time of day, which is right within bound here, and at whoever signed.
 func (p *Policy) VerifyToken(token string, now time.Time, clockError time.Duration) (*Key, time.Time, error) {
 	if len(token) > maxTokenBytes {
 		return nil, now, fmt.Errorf("%w: too long", ErrInvalidToken)
@@ -110,7 +114,9 @@
 		}
 		key = k
 		return k.Public, nil
-	}, jwt.WithValidMethods([]string{jwt.SigningMethodEdDSA.Alg()}), jwt.WithAudience(audience), jwt.WithExpirationRequired(),
+	}, jwt.WithValidMethods([]string{
+		jwt.SigningMethodEdDSA.Alg(),
+	}), jwt.WithAudience(audience), jwt.WithExpirationRequired(),
 		jwt.WithIssuedAt(), jwt.WithLeeway(2*clockError), jwt.WithTimeFunc(func() time.Time { return now }))
 	switch {
 	case err != nil:
--- a/api/api.go
+++ b/api/api.go
@@ -59,7 +59,14 @@
 
 // New returns a server; bound is how far the time of day may be off. Without TLS settings it is in plain text.
 func New(service Service, clockErrorBound time.Duration, tlsConfig *tls.Config, log *slog.Logger) *Server {
-	return &Server{service: service, log: log, pendingResponses: map[uint64]chan core.Response{}, authenticator: newAuthenticator(clockErrorBound), tlsConfig: tlsConfig, denied: audit.Aggregator{MaxBytes: maxDeniedBytes}}
+	return &Server{
+		service:          service,
+		log:              log,
+		pendingResponses: map[uint64]chan core.Response{},
+		authenticator:    newAuthenticator(clockErrorBound),
+		tlsConfig:        tlsConfig,
+		denied:           audit.Aggregator{MaxBytes: maxDeniedBytes},
+	}
 }
 
 // SetPermissions puts rights in force: from now on, requests need a token.
@@ -204,7 +211,11 @@
 		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
 	}))
 	app.Get(wire.PathPermissions, s.authenticated(func(c fiber.Ctx, by core.Credential) error {
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.ListPermissions{RequestID: req, Caller: by} })
+		return s.handleInput(
+			c,
+			userResponseTimeout,
+			func(req uint64) core.Input { return core.ListPermissions{RequestID: req, Caller: by} },
+		)
 	}))
 	app.Post(wire.PathPermissions+"/:who", s.authenticated(func(c fiber.Ctx, by core.Credential) error {
 		in := core.UpdatePermissions{Caller: by, Identity: string([]byte(c.Params("who")))}
@@ -227,12 +238,20 @@
 	}))
 	app.Get(wire.PathJobs+"/:id", s.authenticated(func(c fiber.Ctx, by core.Credential) error {
 		id := string([]byte(c.Params("id")))
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id, Caller: by} })
+		return s.handleInput(
+			c,
+			userResponseTimeout,
+			func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id, Caller: by} },
+		)
 	}))
 	app.Post(wire.PathJobs+"/:id/withdraw", s.authenticated(func(c fiber.Ctx, by core.Credential) error {
 		id := string([]byte(c.Params("id")))
 		now := time.Now().UnixMilli()
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: id, UnixMS: now, Caller: by} })
+		return s.handleInput(
+			c,
+			userResponseTimeout,
+			func(req uint64) core.Input { return core.CancelJob{RequestID: req, ID: id, UnixMS: now, Caller: by} },
+		)
 	}))
 	app.Post(wire.PathHeartbeat, func(c fiber.Ctx) error {
 		r, err := wire.ParseHeartbeat(c.Body())
@@ -248,7 +267,11 @@
 				return c.Status(status).JSON(wire.Error{Error: access.ErrInvalidToken.Error()})
 			}
 		}
-		return s.handleInput(c, heartbeatResponseTimeout, func(req uint64) core.Input { return core.AgentHeartbeat{RequestID: req, Heartbeat: r, Caller: by} })
+		return s.handleInput(
+			c,
+			heartbeatResponseTimeout,
+			func(req uint64) core.Input { return core.AgentHeartbeat{RequestID: req, Heartbeat: r, Caller: by} },
+		)
 	})
 	return app
 }
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -31,19 +31,29 @@
 func (e *fakeController) StoreEndpoint() wire.StoreEndpoint {
 	return wire.StoreEndpoint{Addr: "127.0.0.1:1"}
 }
+
 func (e *fakeController) Enqueue(in core.Input) bool {
 	if e.queueFull {
 		return false
 	}
 	switch in := in.(type) {
 	case core.SubmitJob:
-		r := core.Response{RequestID: in.RequestID, Status: 201, Body: wire.JobState{ID: in.ID, Stage: wire.StageQueued}}
+		r := core.Response{
+			RequestID: in.RequestID,
+			Status:    201,
+			Body:      wire.JobState{ID: in.ID, Stage: wire.StageQueued},
+		}
 		if in.DecodeError != "" {
 			r.Status, r.Body = 400, wire.Error{Error: in.DecodeError}
 		}
 		go e.server.DeliverResponse(r)
 	case core.GetJob:
-		go e.server.DeliverResponse(core.Response{RequestID: in.RequestID, Status: 503, RetryAfterSeconds: 1, Body: wire.Error{}})
+		go e.server.DeliverResponse(core.Response{
+			RequestID:         in.RequestID,
+			Status:            503,
+			RetryAfterSeconds: 1,
+			Body:              wire.Error{},
+		})
 	}
 	return true
 }
@@ -78,9 +88,14 @@
 		"unknown route":  {"GET", "/v2/jobs", "", 404},
 		"bad method":     {"DELETE", "/v1/jobs", "", 405},
 		"bad report":     {"POST", "/agent/beat", `{"hearth":"m-1"}`, 400},
-		"bad task":       {"POST", "/agent/beat", `{"hearth":"m-1","address":"x","kiln":"g","yard":"a","shift":1,"pieces":[{"piece":"q"}]}`, 400},
-		"poll":           {"GET", "/v1/jobs/wk-1", "", 503},
-		"healthy":        {"GET", "/healthz", "", 200},
+		"bad task": {
+			"POST",
+			"/agent/beat",
+			`{"hearth":"m-1","address":"x","kiln":"g","yard":"a","shift":1,"pieces":[{"piece":"q"}]}`,
+			400,
+		},
+		"poll":    {"GET", "/v1/jobs/wk-1", "", 503},
+		"healthy": {"GET", "/healthz", "", 200},
 	} {
 		req := httptest.NewRequest(tc.method, tc.path, strings.NewReader(tc.body))
 		resp, err := app.Test(req)
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -14,9 +14,9 @@
 	"dewlift/core"
 )
 
-// authenticator tells from tokens who asks. What it costs is bounded: a token of an unknown key costs no signature, one that was
-// accepted before is remembered, and each key has its own share of signatures, so that a flood in one name
-// slows nobody else.
+// authenticator tells from tokens who asks. What it costs is bounded: a token of an unknown key
+// costs no signature, one that was accepted before is remembered, and each key has its own share of
+// signatures, so that a flood in one name slows nobody else.
 type authenticator struct {
 	policy          atomic.Pointer[access.Policy] // nil: no rights are in force
 	clockErrorBound time.Duration                 // of the time of day
@@ -51,8 +51,12 @@
 	clear(g.verifyLimiters)
 }
 
-// authenticate tells who sent a request, by a certificate that was verified or a token; a status other than 0 refuses it.
-func (g *authenticator) authenticate(header, certificate string, now time.Time) (cr core.Credential, status int, why string) {
+// authenticate tells who sent a request, by a certificate that was verified or a token; a status
+// other than 0 refuses it.
+func (g *authenticator) authenticate(
+	header, certificate string,
+	now time.Time,
+) (cr core.Credential, status int, why string) {
 	p := g.policy.Load()
 	if p == nil {
 		return core.Credential{}, 0, ""
@@ -68,7 +72,8 @@
 		return cr, fiber.StatusUnauthorized, "a token is needed"
 	}
 	if a, ok := g.verifiedTokens.Get(token); ok {
-		if k, there := p.Key(a.key.ID); there && k.Holder == a.key.Holder && k.Public.Equal(a.key.Public) && now.Before(a.validUntil) {
+		if k, there := p.Key(a.key.ID); there && k.Holder == a.key.Holder && k.Public.Equal(a.key.Public) &&
+			now.Before(a.validUntil) {
 			return core.Credential{Identity: k.Holder, KeyID: k.ID}, 0, ""
 		}
 		g.verifiedTokens.Remove(token)
--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -33,7 +33,10 @@
 			t.Fatal(err)
 		}
 		keys[n] = k
-		a.Identities = append(a.Identities, &pb.Identity{Name: n, Keys: []*pb.PublicKey{{Id: k.ID, Ed25519: k.PublicBase64()}}})
+		a.Identities = append(
+			a.Identities,
+			&pb.Identity{Name: n, Keys: []*pb.PublicKey{{Id: k.ID, Ed25519: k.PublicBase64()}}},
+		)
 	}
 	p, err := access.New(a)
 	if err != nil {
@@ -63,14 +66,21 @@
 	g, keys := newTestAuthenticator(t, "anna", "potter")
 	token := bearerHeader(t, keys["anna"], now)
 	for range 2 { // verified, then remembered
-		if cr, status, _ := g.authenticate(token, "", now); status != 0 || cr.Identity != "anna" || cr.KeyID != "key-anna" {
+		if cr, status, _ := g.authenticate(token, "", now); status != 0 || cr.Identity != "anna" ||
+			cr.KeyID != "key-anna" {
 			t.Fatalf("got %+v, %d", cr, status)
 		}
 	}
 	if _, status, _ := g.authenticate(token, "", now.Add(2*time.Minute)); status != 401 {
 		t.Errorf("after its time: %d", status)
 	}
-	for _, header := range []string{"", "Basic YTpi", "Bearer", "Bearer x.y.z", "Bearer " + base64.RawURLEncoding.EncodeToString([]byte(`{"kid":"key-anna"}`)) + ".e30.AAAA"} {
+	for _, header := range []string{
+		"",
+		"Basic YTpi",
+		"Bearer",
+		"Bearer x.y.z",
+		"Bearer " + base64.RawURLEncoding.EncodeToString([]byte(`{"kid":"key-anna"}`)) + ".e30.AAAA",
+	} {
 		if cr, status, _ := g.authenticate(header, "", now); status != 401 {
 			t.Errorf("%q: %+v, %d", header, cr, status)
 		}
@@ -114,7 +124,11 @@
 	g, keys := newTestAuthenticator(b, "anna")
 	now := time.Now()
 	good := bearerHeader(b, keys["anna"], now)
-	for name, header := range map[string]string{"known": good, "none": "", "unknown key": bearerHeader(b, func() *access.PrivateKey { k := *keys["anna"]; k.ID = "other"; return &k }(), now)} {
+	for name, header := range map[string]string{
+		"known":       good,
+		"none":        "",
+		"unknown key": bearerHeader(b, func() *access.PrivateKey { k := *keys["anna"]; k.ID = "other"; return &k }(), now),
+	} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				g.authenticate(header, "", now)
@@ -210,7 +224,8 @@
 	f.Fuzz(func(t *testing.T, name, header string) {
 		by, status, why := g.authenticate(header, name, time.Unix(1_800_000_000, 0))
 		good := header == "" && name == "anna"
-		if (status == 0) != good || good && (by.Identity != "anna" || by.KeyID != access.CertificateKey) || !good && (by.Identity != "" || why == "") {
+		if (status == 0) != good || good && (by.Identity != "anna" || by.KeyID != access.CertificateKey) ||
+			!good && (by.Identity != "" || why == "") {
 			t.Errorf("%q with %q: %+v, %d %s", name, header, by, status, why)
 		}
 	})
--- a/api/queue.go
+++ b/api/queue.go
@@ -21,7 +21,11 @@
 			if err := read(c, &in); err != nil {
 				return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: err.Error()})
 			}
-			return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
+			return s.handleInput(
+				c,
+				userResponseTimeout,
+				func(req uint64) core.Input { in.RequestID = req; return in },
+			)
 		})
 	}
 	app.Get(wire.PathQueue, show(func(c fiber.Ctx, in *core.ListQueue) (err error) {
@@ -34,8 +38,14 @@
 		}
 		return err
 	}))
-	app.Get(wire.PathQueue+"/:id", show(func(c fiber.Ctx, in *core.ListQueue) error { in.ID = string([]byte(c.Params("id"))); return nil }))
-	app.Get(wire.PathPriorityClasses, show(func(_ fiber.Ctx, in *core.ListQueue) error { in.ShowPriorityClasses = true; return nil }))
+	app.Get(
+		wire.PathQueue+"/:id",
+		show(func(c fiber.Ctx, in *core.ListQueue) error { in.ID = string([]byte(c.Params("id"))); return nil }),
+	)
+	app.Get(
+		wire.PathPriorityClasses,
+		show(func(_ fiber.Ctx, in *core.ListQueue) error { in.ShowPriorityClasses = true; return nil }),
+	)
 	app.Post(wire.PathPriorityClasses, s.whenEnabled(&s.queueEnabled, func(c fiber.Ctx, by core.Credential) error {
 		var q wire.JobQueue
 		if err := json.Unmarshal(c.Body(), &q); err != nil {
--- a/api/reservation.go
+++ b/api/reservation.go
@@ -38,13 +38,27 @@
 			if err := read(c, &in.Query); err != nil {
 				return badReservation(c, err.Error())
 			}
-			return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
+			return s.handleInput(
+				c,
+				userResponseTimeout,
+				func(req uint64) core.Input { in.RequestID = req; return in },
+			)
 		})
 	}
 	// Text of the request is copied, as its memory is used again.
 	text := func(v string) string { return string([]byte(v)) }
 	app.Get(wire.PathReservations, query(func(c fiber.Ctx, q *wire.ReservationQuery) error {
-		q.Day, q.Equipment, q.Kind, q.Zone, q.Team = text(c.Query("day")), text(c.Query("piece")), text(c.Query("kind")), text(c.Query("zone")), text(c.Query("team"))
+		q.Day, q.Equipment, q.Kind, q.Zone, q.Team = text(
+			c.Query("day"),
+		), text(
+			c.Query("piece"),
+		), text(
+			c.Query("kind"),
+		), text(
+			c.Query("zone"),
+		), text(
+			c.Query("team"),
+		)
 		q.From, q.Before = text(c.Query("from")), text(c.Query("by"))
 		q.Waiting, q.FreeSlots = c.Query("list") == "waiting", c.Query("list") == "free"
 		if q.Day == "" && !q.Waiting && !q.FreeSlots {
@@ -60,7 +74,10 @@
 		}
 		return nil
 	}))
-	app.Get(wire.PathReservations+"/:id", query(func(c fiber.Ctx, q *wire.ReservationQuery) error { q.ID = text(c.Params("id")); return nil }))
+	app.Get(
+		wire.PathReservations+"/:id",
+		query(func(c fiber.Ctx, q *wire.ReservationQuery) error { q.ID = text(c.Params("id")); return nil }),
+	)
 	app.Get(wire.PathEquipment, query(func(fiber.Ctx, *wire.ReservationQuery) error { return nil }))
 	app.Post(wire.PathEquipment, open(func(c fiber.Ctx, by core.Credential) error {
 		in := core.SetEquipment{Caller: by}
@@ -69,8 +86,17 @@
 		}
 		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
 	}))
-	app.Post(wire.PathReservations, open(func(c fiber.Ctx, by core.Credential) error { return s.handleReservation(c, by, booking.VerbCreate, "") }))
-	for verb, path := range map[booking.Verb]string{booking.VerbConfirm: "confirm", booking.VerbMove: "move", booking.VerbEnd: "end"} {
+	app.Post(
+		wire.PathReservations,
+		open(
+			func(c fiber.Ctx, by core.Credential) error { return s.handleReservation(c, by, booking.VerbCreate, "") },
+		),
+	)
+	for verb, path := range map[booking.Verb]string{
+		booking.VerbConfirm: "confirm",
+		booking.VerbMove:    "move",
+		booking.VerbEnd:     "end",
+	} {
 		app.Post(wire.PathReservations+"/:id/"+path, open(func(c fiber.Ctx, by core.Credential) error {
 			return s.handleReservation(c, by, verb, text(c.Params("id")))
 		}))
--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -15,16 +15,31 @@
 )
 
 func drawEntry(t *rapid.T) Entry {
-	e := Entry{ID: rapid.StringMatching(`wk-[0-9a-zA-Z_-]{1,12}`).Draw(t, "id"), Cancelled: rapid.Bool().Draw(t, "cancelled"),
-		CompletedTasks: rapid.IntRange(0, 100_000).Draw(t, "done")}
+	e := Entry{
+		ID: rapid.StringMatching(`wk-[0-9a-zA-Z_-]{1,12}`).
+			Draw(t, "id"),
+		Cancelled:      rapid.Bool().Draw(t, "cancelled"),
+		CompletedTasks: rapid.IntRange(0, 100_000).Draw(t, "done"),
+	}
 	if e.Cancelled && rapid.Bool().Draw(t, "by") {
 		e.CancelledByJob = "wk-1"
 	}
 	if rapid.Bool().Draw(t, "group") {
-		e.Team, e.Class = rapid.SampledFrom([]string{"t", "u"}).Draw(t, "team"), rapid.SampledFrom([]string{"c", "d"}).Draw(t, "class")
+		e.Team, e.Class = rapid.SampledFrom([]string{"t", "u"}).
+			Draw(t, "team"),
+			rapid.SampledFrom([]string{"c", "d"}).
+				Draw(t, "class")
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "reasons") {
-		e.StopReasons = append(e.StopReasons, StopReason{Task: rapid.IntRange(0, 99).Draw(t, "task"), Machine: "m-1", Cause: "idle", AtMS: rapid.Int64().Draw(t, "at")})
+		e.StopReasons = append(
+			e.StopReasons,
+			StopReason{
+				Task:    rapid.IntRange(0, 99).Draw(t, "task"),
+				Machine: "m-1",
+				Cause:   "idle",
+				AtMS:    rapid.Int64().Draw(t, "at"),
+			},
+		)
 	}
 	return e
 }
@@ -118,7 +133,9 @@
 // A move that is made twice changes nothing, and an end that is there stays as it was.
 func TestMergeIsIdempotent(t *testing.T) {
 	b := EmptyBlock().Merge([]Entry{{ID: "wk-1", CompletedTasks: 1}, {ID: "wk-3", CompletedTasks: 3}})
-	again := b.Merge([]Entry{{ID: "wk-1", CompletedTasks: 9}, {ID: "wk-2", CompletedTasks: 2}, {ID: "wk-3", CompletedTasks: 9}})
+	again := b.Merge(
+		[]Entry{{ID: "wk-1", CompletedTasks: 9}, {ID: "wk-2", CompletedTasks: 2}, {ID: "wk-3", CompletedTasks: 9}},
+	)
 	want := []Entry{{ID: "wk-1", CompletedTasks: 1}, {ID: "wk-2", CompletedTasks: 2}, {ID: "wk-3", CompletedTasks: 3}}
 	if !reflect.DeepEqual(again.Entries, want) || len(b.Entries) != 2 {
 		t.Errorf("got %+v", again.Entries)
@@ -127,7 +144,11 @@
 
 // Any flipped bit of a stored block is an error, and never another answer.
 func TestEveryFlippedBitIsDetected(t *testing.T) {
-	raw, err := EmptyBlock().Merge([]Entry{{ID: "wk-1", CompletedTasks: 1}, {ID: "wk-3", Cancelled: true, StopReasons: []StopReason{{Cause: "idle"}}}}).Encode()
+	raw, err := EmptyBlock().Merge([]Entry{
+		{ID: "wk-1", CompletedTasks: 1},
+		{ID: "wk-3", Cancelled: true, StopReasons: []StopReason{{Cause: "idle"}}},
+	}).
+		Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +159,8 @@
 	for i := range len(raw) * 8 {
 		bad := bytes.Clone(raw)
 		bad[i/8] ^= 1 << (i % 8)
-		if b, err := Decode(bad); err == nil && !reflect.DeepEqual(b, want) || err != nil && !errors.Is(err, ErrCorrupt) {
+		if b, err := Decode(bad); err == nil && !reflect.DeepEqual(b, want) ||
+			err != nil && !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("bit %d: %+v %v", i, b, err)
 		}
 	}
@@ -222,7 +244,10 @@
 	for n := range 4 {
 		var es []Entry
 		for i := range n {
-			es = append(es, Entry{ID: fmt.Sprintf("wk-%d", i), CompletedTasks: i, Cancelled: i%2 == 0, CancelledByJob: "wk-x"})
+			es = append(
+				es,
+				Entry{ID: fmt.Sprintf("wk-%d", i), CompletedTasks: i, Cancelled: i%2 == 0, CancelledByJob: "wk-x"},
+			)
 		}
 		raw, err := EmptyBlock().Merge(es).Encode()
 		if err != nil {
@@ -255,7 +280,10 @@
 	for {
 		var group []Entry
 		for range 50 {
-			group = append(group, Entry{ID: fmt.Sprintf("wk-%06d", rng.IntN(1_000_000)), CompletedTasks: 1 + rng.IntN(90)})
+			group = append(
+				group,
+				Entry{ID: fmt.Sprintf("wk-%06d", rng.IntN(1_000_000)), CompletedTasks: 1 + rng.IntN(90)},
+			)
 		}
 		next := block.Merge(slices.CompactFunc(sortedByID(group), func(a, b Entry) bool { return a.ID == b.ID }))
 		enc, err := next.Encode()
@@ -267,7 +295,9 @@
 		}
 		block, raw = next, enc
 	}
-	group := sortedByID([]Entry{{ID: "wk-x1", CompletedTasks: 4}, {ID: "wk-x2", CompletedTasks: 5}, {ID: "wk-x3", CompletedTasks: 6}})
+	group := sortedByID(
+		[]Entry{{ID: "wk-x1", CompletedTasks: 4}, {ID: "wk-x2", CompletedTasks: 5}, {ID: "wk-x3", CompletedTasks: 6}},
+	)
 	for b.Loop() {
 		old, err := Decode(raw)
 		if err != nil {
--- a/archive/block.go
+++ b/archive/block.go
@@ -276,7 +276,10 @@
 		e := &b.Entries[d.Entry]
 		e.CancelledByJob = d.By
 		for _, w := range d.Why {
-			e.StopReasons = append(e.StopReasons, StopReason{Task: int(w.Task), Machine: w.Machine, Cause: w.Cause, AtMS: w.AtMs})
+			e.StopReasons = append(
+				e.StopReasons,
+				StopReason{Task: int(w.Task), Machine: w.Machine, Cause: w.Cause, AtMS: w.AtMs},
+			)
 		}
 	}
 	return b, nil
--- a/archive/cache.go
+++ b/archive/cache.go
@@ -61,7 +61,11 @@
 		x.release(o)
 		return true
 	})
-	i, _ := slices.BinarySearchFunc(x.byRange, k.high, func(o *cachedBlock, high string) int { return strings.Compare(o.high, high) })
+	i, _ := slices.BinarySearchFunc(
+		x.byRange,
+		k.high,
+		func(o *cachedBlock, high string) int { return strings.Compare(o.high, high) },
+	)
 	x.byRange = slices.Insert(x.byRange, i, k)
 	k.lruElement = x.lru.PushFront(k)
 	x.usedBytes += len(k.raw) + blockOverheadBytes
@@ -122,8 +126,9 @@
 // Clear forgets all.
 func (x *BlockCache) Clear() { x.byRange, x.decoded, x.usedBytes = nil, nil, 0; x.lru.Init() }
 
-// Lookup returns the block that covers an id, which must not be changed, with its key's mark, if it is remembered as of a
-// revision that no move after since can have changed. ErrCorrupt tells that it can't be read.
+// Lookup returns the block that covers an id, which must not be changed, with its key's mark, if it
+// is remembered as of a revision that no move after since can have changed. ErrCorrupt tells that
+// it can't be read.
 func (x *BlockCache) Lookup(id string, since uint64) (b *Block, revision uint64, err error) {
 	k := x.find(id)
 	if k == nil || k.readRevision < since {
--- a/audit/aggregator.go
+++ b/audit/aggregator.go
@@ -12,8 +12,9 @@
 // GatheredEvent is an act of which only how often it was done is recorded.
 type GatheredEvent struct{ Identity, Verb, Object, Reason string }
 
-// Aggregator counts acts until they are recorded together. What goes beyond its bound is counted without its object, and
-// beyond twice the bound without who did it: a flood takes bounded room, and nothing is dropped in silence.
+// Aggregator counts acts until they are recorded together. What goes beyond its bound is counted
+// without its object, and beyond twice the bound without who did it: a flood takes bounded room,
+// and nothing is dropped in silence.
 type Aggregator struct {
 	MaxBytes  int // bytes
 	usedBytes int
@@ -30,7 +31,12 @@
 
 // Add counts an act n times.
 func (g *Aggregator) Add(it GatheredEvent, n uint32) {
-	it = GatheredEvent{TruncateText(it.Identity), TruncateText(it.Verb), TruncateText(it.Object), TruncateText(it.Reason)}
+	it = GatheredEvent{
+		TruncateText(it.Identity),
+		TruncateText(it.Verb),
+		TruncateText(it.Object),
+		TruncateText(it.Reason),
+	}
 	if g.counts == nil {
 		g.counts = map[GatheredEvent]uint32{}
 	}
@@ -62,14 +68,22 @@
 		all = append(all, it)
 	}
 	slices.SortFunc(all, func(a, b GatheredEvent) int {
-		return cmp.Or(strings.Compare(a.Identity, b.Identity), strings.Compare(a.Verb, b.Verb), strings.Compare(a.Object, b.Object), strings.Compare(a.Reason, b.Reason))
+		return cmp.Or(
+			strings.Compare(a.Identity, b.Identity),
+			strings.Compare(a.Verb, b.Verb),
+			strings.Compare(a.Object, b.Object),
+			strings.Compare(a.Reason, b.Reason),
+		)
 	})
 	var out []*pb.AuditItem
 	for _, it := range all {
 		if most -= it.size(); most < 0 && len(out) > 0 {
 			break
 		}
-		out = append(out, &pb.AuditItem{Who: it.Identity, Verb: it.Verb, Object: it.Object, Why: it.Reason, Count: g.counts[it]})
+		out = append(
+			out,
+			&pb.AuditItem{Who: it.Identity, Verb: it.Verb, Object: it.Object, Why: it.Reason, Count: g.counts[it]},
+		)
 		g.usedBytes -= it.size()
 		delete(g.counts, it)
 	}
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -28,7 +28,19 @@
 		var list [][]byte
 		for range n {
 			count++
-			list = append(list, Encode(&pb.AuditEntry{Life: 1, Count: count, AtMs: int64(count) * 1000, Who: "anna", Verb: "submit", Object: fmt.Sprintf("wk-%d", count)}))
+			list = append(
+				list,
+				Encode(
+					&pb.AuditEntry{
+						Life:   1,
+						Count:  count,
+						AtMs:   int64(count) * 1000,
+						Who:    "anna",
+						Verb:   "submit",
+						Object: fmt.Sprintf("wk-%d", count),
+					},
+				),
+			)
 		}
 		raw, took, code, err := key.EncodeNextBlock(h, "n0", 500, list, 1<<20)
 		if err != nil || took != n {
@@ -109,21 +121,28 @@
 			b.Entries = append(b.Entries, b.Entries[0])
 			b.Tags = append(b.Tags, b.Tags[:tagBytes]...)
 		}, 5},
-		"swapped":                   {func(b *pb.AuditBlock) { b.Entries[1], b.Entries[2] = b.Entries[2], b.Entries[1] }, 2},
-		"bound":                     {func(b *pb.AuditBlock) { b.BoundMs = 1 }, 1},
-		"node":                      {func(b *pb.AuditBlock) { b.Node = "n1" }, 0},
-		"number":                    {func(b *pb.AuditBlock) { b.Number = 7 }, 0},
-		"key":                       {func(b *pb.AuditBlock) { b.KeyId = []byte("mine") }, 0},
-		"other key of the verifier": {func(b *pb.AuditBlock) { b.KeyId = Key("another key, which is of no use").ID() }, 1},
-		"prev":                      {func(b *pb.AuditBlock) { b.Prev[0]++ }, 0},
-		"code":                      {func(b *pb.AuditBlock) { b.Code[31]++ }, 5},
-		"tags":                      {func(b *pb.AuditBlock) { b.Tags = b.Tags[:8] }, 2},
-		"no tags":                   {func(b *pb.AuditBlock) { b.Tags, b.Entries = nil, nil }, 1},
+		"swapped": {
+			func(b *pb.AuditBlock) { b.Entries[1], b.Entries[2] = b.Entries[2], b.Entries[1] },
+			2,
+		},
+		"bound":  {func(b *pb.AuditBlock) { b.BoundMs = 1 }, 1},
+		"node":   {func(b *pb.AuditBlock) { b.Node = "n1" }, 0},
+		"number": {func(b *pb.AuditBlock) { b.Number = 7 }, 0},
+		"key":    {func(b *pb.AuditBlock) { b.KeyId = []byte("mine") }, 0},
+		"other key of the verifier": {
+			func(b *pb.AuditBlock) { b.KeyId = Key("another key, which is of no use").ID() },
+			1,
+		},
+		"prev":    {func(b *pb.AuditBlock) { b.Prev[0]++ }, 0},
+		"code":    {func(b *pb.AuditBlock) { b.Code[31]++ }, 5},
+		"tags":    {func(b *pb.AuditBlock) { b.Tags = b.Tags[:8] }, 2},
+		"no tags": {func(b *pb.AuditBlock) { b.Tags, b.Entries = nil, nil }, 1},
 	} {
 		bad := slices.Clone(raws)
 		bad[1] = alterBlock(t, raws[1], x.f)
 		_, err := verifyChain(bad)
-		if f := (*Fault)(nil); !errors.As(err, &f) || f.Block != 2 || f.Entry != x.entry || strings.Contains(err.Error(), "\n") {
+		if f := (*Fault)(nil); !errors.As(err, &f) || f.Block != 2 || f.Entry != x.entry ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -137,7 +156,11 @@
 		"blocks swapped":                 {[]json.RawMessage{raws[1], raws[0], raws[2]}, nil, 1},
 		"the first block removed":        {raws[1:], []uint64{2, 3}, 1},
 		"a block replaced by an other's": {[]json.RawMessage{raws[0], newChain(t, 4, 4)[1], raws[2]}, nil, 2},
-		"a block that is none":           {[]json.RawMessage{raws[0], json.RawMessage(`{"x":"1","z":"AAAA"}`)}, nil, 2},
+		"a block that is none": {
+			[]json.RawMessage{raws[0], json.RawMessage(`{"x":"1","z":"AAAA"}`)},
+			nil,
+			2,
+		},
 	} {
 		_, err := verifyChain(x.raws, x.numbers...)
 		if f := (*Fault)(nil); !errors.As(err, &f) || f.Block != x.block {
@@ -207,7 +230,14 @@
 			for l := uint64(1); l <= life; l++ {
 				for n := uint64(1); n <= next[l]+3; n++ {
 					if h.Contains(l, n) != in[[2]uint64{l, n}] {
-						t.Fatalf("entry %d of life %d: %v, should be %v: %+v", n, l, h.Contains(l, n), in[[2]uint64{l, n}], h.Incarnations)
+						t.Fatalf(
+							"entry %d of life %d: %v, should be %v: %+v",
+							n,
+							l,
+							h.Contains(l, n),
+							in[[2]uint64{l, n}],
+							h.Incarnations,
+						)
 					}
 				}
 			}
@@ -217,7 +247,10 @@
 	for life := uint64(1); life <= 2*maxIncarnations; life++ {
 		h.Incarnations = h.WithIncarnation(Incarnation{Number: life, NextSequence: 5})
 	}
-	if len(h.Incarnations) != maxIncarnations || !h.Contains(1, 9) || h.Contains(maxIncarnations+1, 9) || h.Contains(2*maxIncarnations, 9) || h.Contains(2*maxIncarnations+1, 1) || (&Head{}).Contains(1, 1) {
+	if len(h.Incarnations) != maxIncarnations || !h.Contains(1, 9) || h.Contains(maxIncarnations+1, 9) ||
+		h.Contains(2*maxIncarnations, 9) ||
+		h.Contains(2*maxIncarnations+1, 1) ||
+		(&Head{}).Contains(1, 1) {
 		t.Errorf("%+v", h.Incarnations)
 	}
 }
@@ -226,7 +259,15 @@
 func TestFloodIsCountedInBoundedMemory(t *testing.T) {
 	g := Aggregator{MaxBytes: 4096}
 	for i := range 200_000 {
-		g.Add(GatheredEvent{Identity: fmt.Sprint("w", i%5000), Verb: "GET", Object: fmt.Sprint("/v1/jobs/wk-", i), Reason: strings.Repeat("x", 500)}, 1)
+		g.Add(
+			GatheredEvent{
+				Identity: fmt.Sprint("w", i%5000),
+				Verb:     "GET",
+				Object:   fmt.Sprint("/v1/jobs/wk-", i),
+				Reason:   strings.Repeat("x", 500),
+			},
+			1,
+		)
 	}
 	if g.usedBytes > 4*4096 || g.Len() > 1000 {
 		t.Errorf("%d kinds in %d bytes", g.Len(), g.usedBytes)
@@ -256,19 +297,33 @@
 	at := time.Date(2026, 10, 25, 0, 30, 0, 0, time.UTC)
 	b := &Block{Number: 4, ClockErrorMS: 500, Entries: []*pb.AuditEntry{
 		{AtMs: at.UnixMilli(), Who: "anna", Verb: "cancel", Object: "wk-1"},
-		{AtMs: at.Add(time.Hour).UnixMilli(), Verb: "refused", Outcome: pb.AuditOutcome_refused,
-			Items: []*pb.AuditItem{{Who: "potter", Verb: "cancel", Object: "wk-1", Count: 3}, {Verb: "GET", Object: "/v1/jobs/x", Count: 9}}},
+		{
+			AtMs: at.Add(time.Hour).UnixMilli(), Verb: "refused", Outcome: pb.AuditOutcome_refused,
+			Items: []*pb.AuditItem{
+				{Who: "potter", Verb: "cancel", Object: "wk-1", Count: 3},
+				{Verb: "GET", Object: "/v1/jobs/x", Count: 9},
+			},
+		},
 	}}
 	acts := b.Events("n0", zurich)
-	if len(acts) != 3 || acts[0].At.Format(time.TimeOnly) != "02:30:00" || acts[1].At.Format(time.TimeOnly) != "02:30:00" || acts[1].Count != 3 || acts[2].Entry != 2 {
+	if len(acts) != 3 || acts[0].At.Format(time.TimeOnly) != "02:30:00" ||
+		acts[1].At.Format(time.TimeOnly) != "02:30:00" ||
+		acts[1].Count != 3 ||
+		acts[2].Entry != 2 {
 		t.Fatalf("%+v", acts) // the hour that the clocks go back is there twice
 	}
 	for _, x := range []struct {
 		f    Filter
 		want int
 	}{
-		{Filter{}, 3}, {Filter{Verb: "cancel"}, 2}, {Filter{Identity: "potter"}, 1}, {Filter{Outcome: OutcomeRefused}, 2}, {Filter{Object: "wk-1", Outcome: OutcomeDone}, 1},
-		{Filter{Since: at.Add(time.Minute)}, 2}, {Filter{Until: at.Add(time.Hour)}, 1}, {Filter{Since: at, Until: at}, 0},
+		{Filter{}, 3},
+		{Filter{Verb: "cancel"}, 2},
+		{Filter{Identity: "potter"}, 1},
+		{Filter{Outcome: OutcomeRefused}, 2},
+		{Filter{Object: "wk-1", Outcome: OutcomeDone}, 1},
+		{Filter{Since: at.Add(time.Minute)}, 2},
+		{Filter{Until: at.Add(time.Hour)}, 1},
+		{Filter{Since: at, Until: at}, 0},
 	} {
 		n := 0
 		for i := range acts {
--- a/audit/chain.go
+++ b/audit/chain.go
@@ -55,10 +55,24 @@
 	return raw
 }
 
-// EncodeNextBlock makes the block behind a head of as many of the entries, of which there is one at least, as fit a value of at most so many bytes.
-func (k Key) EncodeNextBlock(h *Head, node string, boundMS uint32, entries [][]byte, most int) (raw json.RawMessage, n int, code []byte, err error) {
+// EncodeNextBlock makes the block behind a head of as many of the entries, of which there is one at
+// least, as fit a value of at most so many bytes.
+func (k Key) EncodeNextBlock(
+	h *Head,
+	node string,
+	boundMS uint32,
+	entries [][]byte,
+	most int,
+) (raw json.RawMessage, n int, code []byte, err error) {
 	for n = len(entries); n > 0; n = n * 3 / 4 {
-		b := &pb.AuditBlock{Node: node, Number: h.BlockNumber + 1, KeyId: k.ID(), Prev: h.MAC, BoundMs: boundMS, Entries: entries[:n]}
+		b := &pb.AuditBlock{
+			Node:    node,
+			Number:  h.BlockNumber + 1,
+			KeyId:   k.ID(),
+			Prev:    h.MAC,
+			BoundMs: boundMS,
+			Entries: entries[:n],
+		}
 		code = k.initialMAC(b)
 		for _, e := range b.Entries {
 			code = k.mac(code, e)
@@ -109,7 +123,11 @@
 		return &Fault{Node: c.Node, Block: number, Entry: entry, Reason: why}
 	}
 	if number != c.BlockNumber+1 {
-		return nil, &Fault{Node: c.Node, Block: c.BlockNumber + 1, Reason: fmt.Sprintf("is missing: block %d follows", number)}
+		return nil, &Fault{
+			Node:   c.Node,
+			Block:  c.BlockNumber + 1,
+			Reason: fmt.Sprintf("is missing: block %d follows", number),
+		}
 	}
 	var m pb.AuditBlock
 	if err := archive.Unpack(raw, &m); err != nil {
@@ -194,7 +212,9 @@
 // VerifyEntry checks a carried entry that was read.
 func (k Key) VerifyEntry(at string, c *PendingEntry) (*pb.AuditEntry, error) {
 	e := &pb.AuditEntry{}
-	if err := protobuf.Unmarshal(c.Entry, e); err != nil || !hmac.Equal(c.MAC, k.entryMAC(at, c)) || e.Life != c.Incarnation || e.Count != c.Sequence {
+	if err := protobuf.Unmarshal(c.Entry, e); err != nil || !hmac.Equal(c.MAC, k.entryMAC(at, c)) ||
+		e.Life != c.Incarnation ||
+		e.Count != c.Sequence {
 		return nil, ErrForged
 	}
 	return e, nil
--- a/audit/event.go
+++ b/audit/event.go
@@ -26,8 +26,20 @@
 func (b *Block) Events(node string, zone *time.Location) []Event {
 	var out []Event
 	for i, e := range b.Entries {
-		a := Event{Node: node, Block: b.Number, Entry: i + 1, At: time.UnixMilli(e.AtMs).In(zone), ClockErrorMS: b.ClockErrorMS, Identity: e.Who, Key: e.Key,
-			Verb: e.Verb, Object: e.Object, Outcome: e.Outcome.String(), Reason: e.Why, Count: 1}
+		a := Event{
+			Node:         node,
+			Block:        b.Number,
+			Entry:        i + 1,
+			At:           time.UnixMilli(e.AtMs).In(zone),
+			ClockErrorMS: b.ClockErrorMS,
+			Identity:     e.Who,
+			Key:          e.Key,
+			Verb:         e.Verb,
+			Object:       e.Object,
+			Outcome:      e.Outcome.String(),
+			Reason:       e.Why,
+			Count:        1,
+		}
 		if len(e.Items) == 0 {
 			out = append(out, a)
 			continue
--- a/audit/incarnations.go
+++ b/audit/incarnations.go
@@ -10,15 +10,17 @@
 	Incarnations []Incarnation `json:"s"` // those of which something may not be in blocks, oldest first
 }
 
-// Incarnation tells which entries of a process's life are in blocks, or will never be: those below Next that are not open.
+// Incarnation tells which entries of a process's life are in blocks, or will never be: those below
+// Next that are not open.
 type Incarnation struct {
 	Number           uint64   `json:"l"`
 	NextSequence     uint64   `json:"n"`
 	PendingSequences []uint64 `json:"o,omitempty"` // sorted
 }
 
-// maxIncarnations bounds the lives. A controller that was ended time and again before it had put what its former lives have left
-// into blocks keeps them all; they are forgotten once that is done, and no act of theirs can be executed late.
+// maxIncarnations bounds the lives. A controller that was ended time and again before it had put
+// what its former lives have left into blocks keeps them all; they are forgotten once that is done,
+// and no act of theirs can be executed late.
 const maxIncarnations = 100
 
 // Contains reports whether an entry is in a block. A former life that is not listed has left nothing open.
--- a/audit/report/report.go
+++ b/audit/report/report.go
@@ -109,7 +109,17 @@
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
-	return pageTemplate.Execute(w, map[string]any{"Acts": r.eventTotal, "Days": days, "Nodes": len(r.controllers), "Zone": r.Zone.String(), "Plot": img, "Note": note})
+	return pageTemplate.Execute(
+		w,
+		map[string]any{
+			"Acts":  r.eventTotal,
+			"Days":  days,
+			"Nodes": len(r.controllers),
+			"Zone":  r.Zone.String(),
+			"Plot":  img,
+			"Note":  note,
+		},
+	)
 }
 
 // plot draws the acts of each day, one bar for each verb upon the other; refusals are one of them.
--- a/booking/booking_test.go
+++ b/booking/booking_test.go
@@ -65,7 +65,10 @@
 		t.Errorf("%v", a)
 	}
 	// A series keeps the time that clocks show.
-	list, err := s.ExpandRecurrence(&pb.Want{Piece: "k1", From: mustParseTime(t, s, "2027-03-23T08:00"), Slots: 1}, "FREQ=WEEKLY;COUNT=2")
+	list, err := s.ExpandRecurrence(
+		&pb.Want{Piece: "k1", From: mustParseTime(t, s, "2027-03-23T08:00"), Slots: 1},
+		"FREQ=WEEKLY;COUNT=2",
+	)
 	if err != nil || len(list) != 2 || s.FormatTime(list[1].From) != "2027-03-30T08:00:00+02:00" {
 		t.Errorf("%v, %v", list, err)
 	}
@@ -74,10 +77,18 @@
 	}
 }
 
-// Any minute of any day comes at the time at which clocks show it, or at which they jump over it, and never before the one before.
+// Any minute of any day comes at the time at which clocks show it, or at which they jump over it,
+// and never before the one before.
 func TestTimeOnDay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		zone := rapid.SampledFrom([]string{"Europe/Zurich", "Pacific/Fiji", "Australia/Lord_Howe", "America/St_Johns", "UTC"}).Draw(t, "zone")
+		zone := rapid.SampledFrom([]string{
+			"Europe/Zurich",
+			"Pacific/Fiji",
+			"Australia/Lord_Howe",
+			"America/St_Johns",
+			"UTC",
+		}).
+			Draw(t, "zone")
 		s, err := NewInventory(&pb.Equipment{TimeZone: zone})
 		if err != nil {
 			t.Fatal(err)
@@ -151,13 +162,19 @@
 		{Request{ID: "a", Wants: want("k1", "2027-03-04T08:00", 4)}, "0 confirmed"},
 		{Request{ID: "a", Wants: want("k1", "2027-03-04T08:00", 4)}, "1 confirmed"},
 		{Request{ID: "a", Wants: want("k1", "2027-03-04T09:00", 4)}, "2 confirmed a is the id of another booking"},
-		{Request{ID: "b", Wants: want("k1", "2027-03-04T13:00", 1)}, "2 none k1 is taken at 2027-03-04T13:00:00+01:00, until 2027-03-04T13:30:00+01:00 [14 15 16]"}, // it still cools
+		{
+			Request{ID: "b", Wants: want("k1", "2027-03-04T13:00", 1)},
+			"2 none k1 is taken at 2027-03-04T13:00:00+01:00, until 2027-03-04T13:30:00+01:00 [14 15 16]",
+		}, // it still cools
 		{Request{ID: "b", Wants: want("k1", "2027-03-04T14:00", 1), HoldSeconds: 600}, "0 held"},
 		{Request{ID: "c", Team: "x", Wants: want("r", "2027-03-04T14:00", 1)}, "3 none team x may not book r"},
 		{Request{ID: "c", Wants: want("k9", "2027-03-04T14:00", 1)}, "3 none there is no k9"},
 		{Request{ID: "c", Wants: want("k1", "2027-02-04T14:00", 1)}, "3 none 2027-02-04T14:00:00+01:00 is past"},
 		{Request{ID: "w", Wants: want("k1", "2027-03-04T14:00", 1), JoinWaitlist: true}, "0 waiting"},
-		{Request{Verb: VerbMove, ID: "a", Wants: want("k1", "2027-03-04T09:00", 4)}, "2 confirmed k1 is taken at 2027-03-04T09:00:00+01:00, until 2027-03-04T16:30:00+01:00 [17 18 19]"},
+		{
+			Request{Verb: VerbMove, ID: "a", Wants: want("k1", "2027-03-04T09:00", 4)},
+			"2 confirmed k1 is taken at 2027-03-04T09:00:00+01:00, until 2027-03-04T16:30:00+01:00 [17 18 19]",
+		},
 		{Request{Verb: VerbConfirm, ID: "w"}, "2 waiting w waits for its slots"},
 		{Request{Verb: VerbMove, ID: "b", Wants: want("k1", "2027-03-05T14:00", 1)}, "0 held"},
 		{Request{Verb: VerbConfirm, ID: "w"}, "1 confirmed"}, // it got what b left
@@ -166,8 +183,20 @@
 		{Request{Verb: VerbEnd, ID: "b", Reason: "again"}, "1 ended"},
 		{Request{Verb: VerbMove, ID: "b", Wants: want("k1", "2027-03-05T14:00", 1)}, "2 ended b has ended: cracked"},
 		{Request{Verb: VerbEnd, ID: "z"}, "4 none there is no booking z"},
-		{Request{ID: "all", Wants: append(want("k1", "2027-03-08T14:00", 1), want("k1", "2027-03-04T09:00", 1)...)}, "2 none k1 is taken at 2027-03-04T09:00:00+01:00, until 2027-03-04T13:30:00+01:00 [17 18 19]"},
-		{Request{ID: "two", Wants: append(want("k1", "2027-03-09T14:00", 1), want("k1", "2027-03-09T15:00", 1)...)}, "2 none"}, // itself in the way: it cools
+		{
+			Request{
+				ID:    "all",
+				Wants: append(want("k1", "2027-03-08T14:00", 1), want("k1", "2027-03-04T09:00", 1)...),
+			},
+			"2 none k1 is taken at 2027-03-04T09:00:00+01:00, until 2027-03-04T13:30:00+01:00 [17 18 19]",
+		},
+		{
+			Request{
+				ID:    "two",
+				Wants: append(want("k1", "2027-03-09T14:00", 1), want("k1", "2027-03-09T15:00", 1)...),
+			},
+			"2 none",
+		}, // itself in the way: it cools
 	}
 	for i, x := range steps {
 		a := s.Decide(d, now, &x.w)
@@ -190,18 +219,36 @@
 		}
 	}
 	// What a new list has no place for is told first.
-	less := mustParse(t, strings.ReplaceAll(workshop, `"kiln" slot_minutes: 60 cool_minutes: 90`, `"kiln" slot_minutes: 60 out: 1`))
+	less := mustParse(
+		t,
+		strings.ReplaceAll(workshop, `"kiln" slot_minutes: 60 cool_minutes: 90`, `"kiln" slot_minutes: 60 out: 1`),
+	)
 	a := s.Decide(d, now, &Request{Verb: VerbSetInventory, Replacement: less})
 	if a.Outcome != OutcomeRefused || len(a.Displaced) != 2 || l.Get("a").State != pb.BookingState_confirmed {
 		t.Errorf("%v", a)
 	}
-	if a = s.Decide(d, now, &Request{Verb: VerbSetInventory, Replacement: less, EndDisplaced: true}); a.Outcome != OutcomeInvalid {
+	if a = s.Decide(d, now, &Request{
+		Verb:         VerbSetInventory,
+		Replacement:  less,
+		EndDisplaced: true,
+	}); a.Outcome != OutcomeInvalid {
 		t.Errorf("without a reason: %v", a)
 	}
-	if a = s.Decide(d, now, &Request{Verb: VerbSetInventory, Replacement: less, EndDisplaced: true, Reason: "relined"}); a.Outcome != OutcomeDone || l.Get("a").Why != "relined" {
+	if a = s.Decide(d, now, &Request{
+		Verb:         VerbSetInventory,
+		Replacement:  less,
+		EndDisplaced: true,
+		Reason:       "relined",
+	}); a.Outcome != OutcomeDone ||
+		l.Get("a").Why != "relined" {
 		t.Errorf("%v", a)
 	}
-	list, ok := l.BookingsBetween(s, "k1", mustParseTime(t, s, "2027-03-04T00:00"), mustParseTime(t, s, "2027-03-05T00:00"))
+	list, ok := l.BookingsBetween(
+		s,
+		"k1",
+		mustParseTime(t, s, "2027-03-04T00:00"),
+		mustParseTime(t, s, "2027-03-05T00:00"),
+	)
 	if !ok || len(list) != 0 {
 		t.Errorf("%v", list)
 	}
@@ -222,8 +269,8 @@
 	return true
 }
 
-// Whatever is wished in whatever order: no unit is had twice, what waits could not be had, free times are free and none before them is,
-// and a draft that is undone leaves no trace.
+// Whatever is wished in whatever order: no unit is had twice, what waits could not be had, free
+// times are free and none before them is, and a draft that is undone leaves no trace.
 func TestScheduleKeepsItsInvariants(t *testing.T) {
 	base := mustParse(t, workshop)
 	start := mustParseTime(t, base, "2027-03-04T00:00")
@@ -231,7 +278,10 @@
 		s, l, now := base, NewSchedule(), start-86400
 		want := func(label string) (out []*pb.Want) {
 			for range rapid.IntRange(1, 2).Draw(t, label) {
-				w := &pb.Want{From: start + 3600*rapid.Int64Range(8, 16).Draw(t, "hour"), Slots: rapid.Uint32Range(1, 3).Draw(t, "slots")}
+				w := &pb.Want{
+					From:  start + 3600*rapid.Int64Range(8, 16).Draw(t, "hour"),
+					Slots: rapid.Uint32Range(1, 3).Draw(t, "slots"),
+				}
 				if w.Kind = rapid.SampledFrom([]string{"", "kiln"}).Draw(t, "kind"); w.Kind == "" {
 					w.Piece = rapid.SampledFrom([]string{"k1", "k2", "r"}).Draw(t, "piece")
 				}
@@ -245,9 +295,25 @@
 			d := l.NewDraft()
 			s.Advance(d, now)
 			for range rapid.IntRange(1, 3).Draw(t, "wishes") {
-				w := &Request{Verb: rapid.SampledFrom([]Verb{VerbCreate, VerbCreate, VerbCreate, VerbConfirm, VerbMove, VerbEnd}).Draw(t, "verb"), Team: "packing",
-					ID: fmt.Sprint("b", rapid.IntRange(0, 25).Draw(t, "id")), Wants: want("wants"), JoinWaitlist: rapid.Bool().Draw(t, "wait"),
-					HoldSeconds: rapid.SampledFrom([]uint32{0, 30}).Draw(t, "hold"), WaitlistRank: rapid.Uint32Range(0, 2).Draw(t, "rank")}
+				w := &Request{
+					Verb: rapid.SampledFrom([]Verb{
+						VerbCreate,
+						VerbCreate,
+						VerbCreate,
+						VerbConfirm,
+						VerbMove,
+						VerbEnd,
+					}).
+						Draw(t, "verb"),
+					Team: "packing",
+					ID: fmt.Sprint(
+						"b",
+						rapid.IntRange(0, 25).Draw(t, "id"),
+					), Wants: want("wants"), JoinWaitlist: rapid.Bool().Draw(t, "wait"),
+					HoldSeconds: rapid.SampledFrom([]uint32{0, 30}).
+						Draw(t, "hold"),
+					WaitlistRank: rapid.Uint32Range(0, 2).Draw(t, "rank"),
+				}
 				s.Decide(d, now, w)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "undo") == 0 {
@@ -293,7 +359,9 @@
 			for from := o.from; from < o.to; from += p.slotSeconds {
 				to := from + int64(w.Slots)*p.slotSeconds
 				for n := uint32(1); int(n) <= p.unitCount; n++ {
-					if s.checkSlots(p, from, int(w.Slots)) == nil && isFreeByBruteForce(l, p, n, from, to+p.cooldownSeconds, "") && from < free[0].From {
+					if s.checkSlots(p, from, int(w.Slots)) == nil &&
+						isFreeByBruteForce(l, p, n, from, to+p.cooldownSeconds, "") &&
+						from < free[0].From {
 						t.Fatalf("%s is free at %s, before %v", p.Name, s.FormatTime(from), free)
 					}
 				}
@@ -308,7 +376,11 @@
 	d := l.NewDraft()
 	now := mustParseTime(b, s, "2027-03-01T00:00")
 	for i := range 1_500 {
-		s.Decide(d, now, &Request{ID: fmt.Sprint("x", i), Wants: []*pb.Want{{Kind: "kiln", From: now + 3600*int64(i), Slots: 1}}})
+		s.Decide(
+			d,
+			now,
+			&Request{ID: fmt.Sprint("x", i), Wants: []*pb.Want{{Kind: "kiln", From: now + 3600*int64(i), Slots: 1}}},
+		)
 	}
 	w := Request{ID: "n", Wants: []*pb.Want{{Piece: "k1", From: now + 3600*900, Slots: 1}}}
 	for b.Loop() {
@@ -321,13 +393,16 @@
 
 func FuzzParse(f *testing.F) {
 	f.Add(workshop)
-	f.Add(`pieces { name: "a" kind: "k" slot_minutes: 5 hours { rule: "FREQ=YEARLY;BYEASTER=1" from: "0:00" to: "24:00" } }`)
+	f.Add(
+		`pieces { name: "a" kind: "k" slot_minutes: 5 hours { rule: "FREQ=YEARLY;BYEASTER=1" from: "0:00" to: "24:00" } }`,
+	)
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse([]byte(text))
 		if err != nil {
 			return
 		}
-		if again, err := NewInventory(protobuf.CloneOf(s.Source())); err != nil || !protobuf.Equal(again.Source(), s.Source()) {
+		if again, err := NewInventory(protobuf.CloneOf(s.Source())); err != nil ||
+			!protobuf.Equal(again.Source(), s.Source()) {
 			t.Fatal(err)
 		}
 		for _, p := range s.items {
--- a/booking/decide.go
+++ b/booking/decide.go
@@ -87,8 +87,9 @@
 	From, To int64
 }
 
-// Decide answers a wish, and puts what it changes into a draft. now is the time of day in s. A wish that is granted holds once the draft
-// is stored, on condition that nothing else was stored since the ledger was read.
+// Decide answers a wish, and puts what it changes into a draft. now is the time of day in s. A wish
+// that is granted holds once the draft is stored, on condition that nothing else was stored since
+// the ledger was read.
 func (s *Inventory) Decide(d *Draft, now int64, w *Request) Result {
 	var a Result
 	switch w.Verb {
@@ -144,8 +145,9 @@
 	return slices.ContainsFunc(wants, func(w *pb.Want) bool { return w.From <= now })
 }
 
-// Advance ends what time has ended, and gives what is free to those who wait for it, the first first. After it, nobody waits for what
-// they could have; so whoever comes later gets nothing ahead of them.
+// Advance ends what time has ended, and gives what is free to those who wait for it, the first
+// first. After it, nobody waits for what they could have; so whoever comes later gets nothing ahead
+// of them.
 func (s *Inventory) Advance(d *Draft, now int64) {
 	var over []*pb.Booking
 	for _, b := range d.schedule.held {
@@ -207,9 +209,19 @@
 		return Result{Outcome: OutcomeInvalid, Reason: why.Error()}
 	}
 	if w.HoldSeconds > maxHoldMinutes*60 {
-		return Result{Outcome: OutcomeInvalid, Reason: fmt.Sprintf("may be held for %d minutes at most", maxHoldMinutes)}
+		return Result{
+			Outcome: OutcomeInvalid,
+			Reason:  fmt.Sprintf("may be held for %d minutes at most", maxHoldMinutes),
+		}
+	}
+	n := &pb.Booking{
+		Id:    w.ID,
+		Team:  w.Team,
+		Who:   w.Identity,
+		HoldS: w.HoldSeconds,
+		Rank:  w.WaitlistRank,
+		Asked: asked,
 	}
-	n := &pb.Booking{Id: w.ID, Team: w.Team, Who: w.Identity, HoldS: w.HoldSeconds, Rank: w.WaitlistRank, Asked: asked}
 	slots, at, err := s.findUnits(d.schedule, w.ID, w.Team, w.Wants)
 	switch {
 	case err == nil:
@@ -221,7 +233,15 @@
 		n.State, n.Wants = pb.BookingState_waiting, w.Wants
 	default:
 		a := refusal(nil, "%s", err)
-		a.Alternatives = s.NextFree(d.schedule, w.ID, w.Team, w.Wants[at], max(now, w.Wants[at].From), 0, maxAlternatives)
+		a.Alternatives = s.NextFree(
+			d.schedule,
+			w.ID,
+			w.Team,
+			w.Wants[at],
+			max(now, w.Wants[at].From),
+			0,
+			maxAlternatives,
+		)
 		return a
 	}
 	d.put(n)
@@ -267,12 +287,14 @@
 
 // unitSearch is a search for units for all wants.
 type unitSearch struct {
-	inventory  *Inventory
-	schedule   *Schedule
-	bookingID  string
-	team       string
-	wants      []*pb.Want
-	wantOrder  []int // in which they are looked at: those with the least choice first, as one that has more must not take what these need
+	inventory *Inventory
+	schedule  *Schedule
+	bookingID string
+	team      string
+	wants     []*pb.Want
+	// in which they are looked at: those with the least choice first, as one that has more must not
+	// take what these need
+	wantOrder  []int
 	slots      []*pb.Slot
 	steps      int
 	bestDepth  int // how many could be had together at most
@@ -282,11 +304,22 @@
 
 // findUnits chooses a unit for each want, all or none. If there is no way, it tells for which want and why.
 func (s *Inventory) findUnits(l *Schedule, id, team string, wants []*pb.Want) (slots []*pb.Slot, at int, err error) {
-	x := &unitSearch{inventory: s, schedule: l, bookingID: id, team: team, wants: wants, slots: make([]*pb.Slot, len(wants)), bestDepth: -1}
+	x := &unitSearch{
+		inventory: s,
+		schedule:  l,
+		bookingID: id,
+		team:      team,
+		wants:     wants,
+		slots:     make([]*pb.Slot, len(wants)),
+		bestDepth: -1,
+	}
 	for i := range wants {
 		x.wantOrder = append(x.wantOrder, i)
 	}
-	slices.SortStableFunc(x.wantOrder, func(a, b int) int { return cmp.Compare(len(s.candidates(wants[a])), len(s.candidates(wants[b]))) })
+	slices.SortStableFunc(
+		x.wantOrder,
+		func(a, b int) int { return cmp.Compare(len(s.candidates(wants[a])), len(s.candidates(wants[b]))) },
+	)
 	if x.assignFrom(0) {
 		return x.slots, 0, nil
 	}
@@ -335,7 +368,12 @@
 		case free == 0:
 			why = fmt.Errorf("%s has no unit in order at %s", p.Name, x.inventory.FormatTime(w.From))
 		default:
-			why = fmt.Errorf("%s is taken at %s, until %s", p.Name, x.inventory.FormatTime(w.From), x.inventory.FormatTime(free))
+			why = fmt.Errorf(
+				"%s is taken at %s, until %s",
+				p.Name,
+				x.inventory.FormatTime(w.From),
+				x.inventory.FormatTime(free),
+			)
 		}
 	}
 	if n > x.bestDepth {
@@ -383,7 +421,15 @@
 		n.Slots = slots
 	default:
 		a := refusal(b, "%s", err)
-		a.Alternatives = s.NextFree(d.schedule, b.Id, b.Team, w.Wants[at], max(now, w.Wants[at].From), 0, maxAlternatives)
+		a.Alternatives = s.NextFree(
+			d.schedule,
+			b.Id,
+			b.Team,
+			w.Wants[at],
+			max(now, w.Wants[at].From),
+			0,
+			maxAlternatives,
+		)
 		return a
 	}
 	d.put(n)
@@ -398,7 +444,8 @@
 	for i, w := range wants {
 		x := b.Slots[i]
 		p := s.itemsByName[x.Piece]
-		if p == nil || x.From != w.From || x.To != w.From+int64(w.Slots)*p.slotSeconds || !slices.Contains(s.candidates(w), p) {
+		if p == nil || x.From != w.From || x.To != w.From+int64(w.Slots)*p.slotSeconds ||
+			!slices.Contains(s.candidates(w), p) {
 			return false
 		}
 	}
@@ -429,19 +476,29 @@
 // MaxDisplaced is how many bookings one change of the list may end: they are stored together.
 const MaxDisplaced = 40
 
-// replaceInventory puts another list of equipment in the place of this one. What it has no place for is told, and ended only if that is asked for.
+// replaceInventory puts another list of equipment in the place of this one. What it has no place
+// for is told, and ended only if that is asked for.
 func (s *Inventory) replaceInventory(d *Draft, now int64, w *Request) Result {
 	out := w.Replacement.Displaced(d.schedule, now)
 	switch {
 	case len(out) == 0:
 	case !w.EndDisplaced:
-		a := refusal(nil, "%d bookings have no place in the new list; end or move them, or say that they are ended with it, and why", len(out))
+		a := refusal(
+			nil,
+			"%d bookings have no place in the new list; end or move them, or say that they are ended with it, and why",
+			len(out),
+		)
 		a.Displaced = out
 		return a
 	case w.Reason == "":
 		return Result{Outcome: OutcomeInvalid, Reason: "a reason is needed"}
 	case len(out) > MaxDisplaced:
-		a := refusal(nil, "%d bookings have no place in the new list, more than the %d that can be ended with it", len(out), MaxDisplaced)
+		a := refusal(
+			nil,
+			"%d bookings have no place in the new list, more than the %d that can be ended with it",
+			len(out),
+			MaxDisplaced,
+		)
 		a.Displaced = out
 		return a
 	}
@@ -451,8 +508,8 @@
 	return Result{Displaced: out}
 }
 
-// Displaced lists the bookings that have or want what the list has no place for, in the order in which they were made. A booking keeps the
-// length and the cooling time that it was made with.
+// Displaced lists the bookings that have or want what the list has no place for, in the order in
+// which they were made. A booking keeps the length and the cooling time that it was made with.
 func (s *Inventory) Displaced(l *Schedule, now int64) (out []*pb.Booking) {
 	for _, b := range l.byID {
 		switch b.State {
@@ -486,8 +543,8 @@
 	return true
 }
 
-// NextFree lists the first times from one on, until another if it is not 0, at which a want could be had; by a booking with an id, what it
-// has itself is not in its way.
+// NextFree lists the first times from one on, until another if it is not 0, at which a want could
+// be had; by a booking with an id, what it has itself is not in its way.
 func (s *Inventory) NextFree(l *Schedule, id, team string, w *pb.Want, from, by int64, most int) (out []FreeSlot) {
 	for day, last := s.dayOf(from), s.dayOf(from)+searchDays; day <= last && len(out) < most; day++ {
 		var today []FreeSlot
@@ -539,13 +596,15 @@
 // Waitlist lists the waiting list, the first first.
 func (l *Schedule) Waitlist() []*pb.Booking { return slices.Clone(l.waitlist) }
 
-// ExpandRecurrence makes a want that comes again by a rule of recurrence one for each time: at the same time of the site's clocks.
+// ExpandRecurrence makes a want that comes again by a rule of recurrence one for each time: at the
+// same time of the site's clocks.
 func (s *Inventory) ExpandRecurrence(w *pb.Want, rule string) ([]*pb.Want, error) {
 	o, err := rrule.StrToROption(rule)
 	if err != nil {
 		return nil, fmt.Errorf("rule of recurrence: %w", err)
 	}
-	if o.Freq > rrule.DAILY || o.Count < 1 || o.Count > MaxWants || !o.Dtstart.IsZero() || len(o.Byhour)+len(o.Byminute)+len(o.Bysecond) > 0 {
+	if o.Freq > rrule.DAILY || o.Count < 1 || o.Count > MaxWants || !o.Dtstart.IsZero() ||
+		len(o.Byhour)+len(o.Byminute)+len(o.Bysecond) > 0 {
 		return nil, fmt.Errorf("rule of recurrence: days, weeks, months or years with a COUNT from 1 to %d", MaxWants)
 	}
 	local := time.Unix(w.From, 0).In(s.location)
--- a/booking/inventory.go
+++ b/booking/inventory.go
@@ -1,6 +1,7 @@
-// Package booking decides who has shared equipment when. It is pure: it reads no file, asks nobody and knows no
-// clock; the same bookings, the same list of equipment, the same time and the same wish always give the same answer.
-// What must outlast a controller comes in as values of the state service and goes out as changes of them (core/booking).
+// Package booking decides who has shared equipment when. It is pure: it reads no file, asks nobody
+// and knows no clock; the same bookings, the same list of equipment, the same time and the same
+// wish always give the same answer. What must outlast a controller comes in as values of the state
+// service and goes out as changes of them (core/booking).
 package booking
 
 import (
@@ -34,7 +35,8 @@
 
 var validName = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,39}$`)
 
-// Inventory is a list of equipment, checked. It never changes but for what it remembers of the calendar; it is for one goroutine.
+// Inventory is a list of equipment, checked. It never changes but for what it remembers of the
+// calendar; it is for one goroutine.
 type Inventory struct {
 	source      *pb.Equipment
 	location    *time.Location
@@ -100,7 +102,13 @@
 }
 
 func newEquipmentItem(p *pb.Piece) (*equipmentItem, error) {
-	x := &equipmentItem{Piece: p, slotSeconds: 60 * int64(p.SlotMinutes), cooldownSeconds: 60 * int64(p.CoolMinutes), unitCount: max(1, int(p.Units)), openingCache: map[int]interval{}}
+	x := &equipmentItem{
+		Piece:           p,
+		slotSeconds:     60 * int64(p.SlotMinutes),
+		cooldownSeconds: 60 * int64(p.CoolMinutes),
+		unitCount:       max(1, int(p.Units)),
+		openingCache:    map[int]interval{},
+	}
 	switch {
 	case !validName.MatchString(p.Name):
 		return nil, fmt.Errorf(".name: %q is no name", p.Name)
@@ -113,7 +121,12 @@
 	case p.CoolMinutes > maxCooldownMinutes:
 		return nil, fmt.Errorf(".cool_minutes: %d, at most %d are allowed", p.CoolMinutes, maxCooldownMinutes)
 	case len(p.Hours) > maxRules || len(p.Closed) > maxRules:
-		return nil, fmt.Errorf(": %d hours and %d closed, at most %d of each are allowed", len(p.Hours), len(p.Closed), maxRules)
+		return nil, fmt.Errorf(
+			": %d hours and %d closed, at most %d of each are allowed",
+			len(p.Hours),
+			len(p.Closed),
+			maxRules,
+		)
 	}
 	for _, u := range p.Out {
 		if u < 1 || int(u) > x.unitCount {
@@ -163,7 +176,8 @@
 		return dayRule{}, nil
 	}
 	o, err := rrule.StrToROption(text)
-	if err == nil && (o.Freq > rrule.DAILY || o.Count > 0 || !o.Until.IsZero() || !o.Dtstart.IsZero() || o.Interval > 1 || len(o.Byhour)+len(o.Byminute)+len(o.Bysecond) > 0) {
+	if err == nil &&
+		(o.Freq > rrule.DAILY || o.Count > 0 || !o.Until.IsZero() || !o.Dtstart.IsZero() || o.Interval > 1 || len(o.Byhour)+len(o.Byminute)+len(o.Bysecond) > 0) {
 		err = errors.New("only rules of days are allowed, without count, interval, start or end")
 	}
 	return dayRule{rule: o}, err
@@ -200,8 +214,8 @@
 	return int(time.Date(y, m, d, 0, 0, 0, 0, time.UTC).Unix() / 86400)
 }
 
-// timeOnDay is the time at which the clocks of the site show so many minutes of a day. Where they are put forward over it, it is the
-// moment at which they are; where they show it twice, the first.
+// timeOnDay is the time at which the clocks of the site show so many minutes of a day. Where they
+// are put forward over it, it is the moment at which they are; where they show it twice, the first.
 func (s *Inventory) timeOnDay(day, minute int) int64 {
 	y, m, d := time.Unix(int64(day)*86400, 0).UTC().Date()
 	t := time.Date(y, m, d, minute/60, minute%60, 0, 0, s.location)
@@ -263,7 +277,13 @@
 		return fmt.Errorf("%s is closed at %s", p.Name, s.FormatTime(from))
 	}
 	if off := (from - o.from) % p.slotSeconds; off != 0 {
-		return fmt.Errorf("slots of %s are %d minutes from %s on: the next begins at %s", p.Name, p.SlotMinutes, s.FormatTime(o.from), s.FormatTime(from-off+p.slotSeconds))
+		return fmt.Errorf(
+			"slots of %s are %d minutes from %s on: the next begins at %s",
+			p.Name,
+			p.SlotMinutes,
+			s.FormatTime(o.from),
+			s.FormatTime(from-off+p.slotSeconds),
+		)
 	}
 	to := from + int64(slots)*p.slotSeconds
 	for o.to < to {
--- a/booking/schedule.go
+++ b/booking/schedule.go
@@ -7,8 +7,9 @@
 	pb "dewlift/proto"
 )
 
-// Schedule is all bookings that are known, and who has which unit when. It holds what was stored, and for the time of a draft what
-// that would store. Bookings in it are never changed, only replaced.
+// Schedule is all bookings that are known, and who has which unit when. It holds what was stored,
+// and for the time of a draft what that would store. Bookings in it are never changed, only
+// replaced.
 type Schedule struct {
 	byID       map[string]*pb.Booking
 	occupied   map[unitKey][]occupancy // by unit, in the order of time
@@ -30,7 +31,11 @@
 
 // NewSchedule is one without bookings.
 func NewSchedule() *Schedule {
-	return &Schedule{byID: map[string]*pb.Booking{}, occupied: map[unitKey][]occupancy{}, held: map[string]*pb.Booking{}}
+	return &Schedule{
+		byID:     map[string]*pb.Booking{},
+		occupied: map[unitKey][]occupancy{},
+		held:     map[string]*pb.Booking{},
+	}
 }
 
 // Len is how many bookings it holds, ended ones too.
@@ -82,7 +87,11 @@
 	case pb.BookingState_confirmed:
 		for _, s := range b.Slots {
 			u := unitKey{s.Piece, s.Unit}
-			i, _ := slices.BinarySearchFunc(l.occupied[u], s.From, func(x occupancy, from int64) int { return cmp.Compare(x.from, from) })
+			i, _ := slices.BinarySearchFunc(
+				l.occupied[u],
+				s.From,
+				func(x occupancy, from int64) int { return cmp.Compare(x.from, from) },
+			)
 			l.occupied[u] = slices.Insert(l.occupied[u], i, occupancy{interval{s.From, s.Clear}, id})
 		}
 	}
@@ -96,7 +105,10 @@
 		delete(l.held, old.Id)
 		for _, s := range old.Slots {
 			u := unitKey{s.Piece, s.Unit}
-			l.occupied[u] = slices.DeleteFunc(l.occupied[u], func(x occupancy) bool { return x.bookingID == old.Id && x.from == s.From })
+			l.occupied[u] = slices.DeleteFunc(
+				l.occupied[u],
+				func(x occupancy) bool { return x.bookingID == old.Id && x.from == s.From },
+			)
 			if len(l.occupied[u]) == 0 {
 				delete(l.occupied, u)
 			}
@@ -113,8 +125,8 @@
 func (l *Schedule) firstConflict(u unitKey, at interval, exceptID string) (occupancy, bool) {
 	list := l.occupied[u]
 	i, _ := slices.BinarySearchFunc(list, at.to, func(x occupancy, to int64) int { return cmp.Compare(x.from, to) })
-	// Uses of a unit do not meet each other, so they end in the order in which they begin; those that a list of equipment left
-	// behind may, and are few.
+	// Uses of a unit do not meet each other, so they end in the order in which they begin; those
+	// that a list of equipment left behind may, and are few.
 	for i--; i >= 0; i-- {
 		if list[i].bookingID == exceptID {
 			continue
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -37,16 +37,26 @@
 	switch o.Op {
 	case "catalog":
 		var v wire.Catalog
-		v, r = httpjson.Decode[wire.Catalog](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathCatalog, nil))
+		v, r = httpjson.Decode[wire.Catalog](
+			c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathCatalog, nil),
+		)
 		out.Catalog = &v
 	case "list":
 		return c.listMachines(ctx, o)
 	case "rent":
 		var v wire.MachineNames
-		v, r = httpjson.Decode[wire.MachineNames](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathInstances, o.ScaleOut))
+		v, r = httpjson.Decode[wire.MachineNames](
+			c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathInstances, o.ScaleOut),
+		)
 		out.MachineNames = v.Machines
 	case "return":
-		r = c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathScaleIn, wire.MachineNames{Machines: o.MachineNames})
+		r = c.httpClient.Do(
+			ctx,
+			requestTimeout,
+			http.MethodPost,
+			c.baseURL+wire.PathScaleIn,
+			wire.MachineNames{Machines: o.MachineNames},
+		)
 	}
 	out.Status = r.Status
 	if r.Status != 200 {
--- a/clusterstate/array.go
+++ b/clusterstate/array.go
@@ -189,7 +189,8 @@
 	}
 	for i, old := range before {
 		r := fresh[rows[i].Machine]
-		if r.roomFreedAt = now; old != nil && (old.Schedulable || !r.Schedulable) && !r.Available.exceedsAny(old.Available) {
+		if r.roomFreedAt = now; old != nil && (old.Schedulable || !r.Schedulable) &&
+			!r.Available.exceedsAny(old.Available) {
 			r.roomFreedAt = old.roomFreedAt
 		}
 	}
@@ -280,7 +281,12 @@
 		fits = append(fits, k)
 	}
 	slices.SortFunc(fits, func(x, y ranked) int {
-		return cmp.Or(cmp.Compare(x.tier, y.tier), cmp.Compare(x.far, y.far), cmp.Compare(y.share, x.share), cmp.Compare(x.dice, y.dice))
+		return cmp.Or(
+			cmp.Compare(x.tier, y.tier),
+			cmp.Compare(x.far, y.far),
+			cmp.Compare(y.share, x.share),
+			cmp.Compare(x.dice, y.dice),
+		)
 	})
 	fits = fits[:min(len(fits), ask.Count)]
 	out := make([]int32, 0, len(fits))
--- a/clusterstate/array_test.go
+++ b/clusterstate/array_test.go
@@ -24,7 +24,11 @@
 	}
 	c := copyOf(rows...)
 	rng := rand.New(rand.NewPCG(1, 2))
-	got := c.Candidates(time.Second, CandidateQuery{Count: 4, Request: Resources{1000, 0, 1000}, IsAllowed: allowAll, FillRandomly: true}, rng)
+	got := c.Candidates(
+		time.Second,
+		CandidateQuery{Count: 4, Request: Resources{1000, 0, 1000}, IsAllowed: allowAll, FillRandomly: true},
+		rng,
+	)
 	want := []int32{1, 4, 0, 2}
 	if len(got) != len(want) {
 		t.Fatalf("got %v, want %v", got, want)
@@ -34,7 +38,13 @@
 			t.Fatalf("got %v, want %v", got, want)
 		}
 	}
-	if got = c.Candidates(time.Second, CandidateQuery{Count: 4, Request: Resources{1000, 0, 1000}, IsAllowed: allowAll}, rng); len(got) != 3 {
+	if got = c.Candidates(time.Second, CandidateQuery{
+		Count:     4,
+		Request:   Resources{1000, 0, 1000},
+		IsAllowed: allowAll,
+	}, rng); len(
+		got,
+	) != 3 {
 		t.Fatalf("without random fill: got %v, want the three with room", got)
 	}
 }
@@ -44,7 +54,16 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	seen := map[int32]bool{}
 	for i := 0; i < 50; i++ {
-		got := c.Candidates(time.Minute, CandidateQuery{Count: 1, Request: Resources{1, 0, 0}, IsAllowed: allowAll, OtherMachines: []int32{0, 1, 2}}, rng)
+		got := c.Candidates(
+			time.Minute,
+			CandidateQuery{
+				Count:         1,
+				Request:       Resources{1, 0, 0},
+				IsAllowed:     allowAll,
+				OtherMachines: []int32{0, 1, 2},
+			},
+			rng,
+		)
 		if len(got) != 1 {
 			t.Fatalf("got %v", got)
 		}
--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -30,8 +30,9 @@
 	"dewlift/wire"
 )
 
-// minAuditTxnOps is how many changes a transaction takes at least where something is recorded: a controller's first block,
-// the chain's head, its settings, and the sign that something is recorded.
+// minAuditTxnOps is how many changes a transaction takes at least where something is recorded: a
+// controller's first block, the chain's head, its settings, and the sign that something is
+// recorded.
 const minAuditTxnOps = 4
 
 // auditKeyFor reads the key that rights name; none, nothing is recorded.
@@ -81,7 +82,8 @@
 			var none T
 			return none, err
 		}
-		if busy := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests; busy && try < maxAuditPageAttempts {
+		if busy := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests; busy &&
+			try < maxAuditPageAttempts {
 			select {
 			case <-time.After(time.Second):
 				continue
@@ -127,7 +129,11 @@
 }
 
 func (s snapshotChains) blocks(_ context.Context, node string, after uint64) (wire.AuditPage, error) {
-	i, _ := slices.BinarySearchFunc(s[node], after+1, func(b wire.AuditBlock, n uint64) int { return cmp.Compare(b.Number, n) })
+	i, _ := slices.BinarySearchFunc(
+		s[node],
+		after+1,
+		func(b wire.AuditBlock, n uint64) int { return cmp.Compare(b.Number, n) },
+	)
 	return wire.AuditPage{Blocks: s[node][i:]}, nil
 }
 
@@ -146,10 +152,12 @@
 
 func (f *auditFlags) addFilterFlags(c *cobra.Command) {
 	c.Flags().StringVar(&f.filter.Identity, "who", "", "acts of an identity")
-	c.Flags().StringVar(&f.filter.Verb, "verb", "", "submit, cancel, read, administer, audit, start, take, stop, restore; of a refused request: its method")
+	c.Flags().
+		StringVar(&f.filter.Verb, "verb", "", "submit, cancel, read, administer, audit, start, take, stop, restore; of a refused request: its method")
 	c.Flags().StringVar(&f.filter.Object, "object", "", "acts on a job, an identity or whatever else")
 	c.Flags().StringVar(&f.filter.Outcome, "outcome", "", "done or refused")
-	c.Flags().StringVar(&f.since, "since", "", "from a day, or a time: 2026-12-01, 2026-12-01T14:00, or with a zone as in RFC 3339")
+	c.Flags().
+		StringVar(&f.since, "since", "", "from a day, or a time: 2026-12-01, 2026-12-01T14:00, or with a zone as in RFC 3339")
 	c.Flags().StringVar(&f.until, "until", "", "to the end of a day, or before a time")
 	c.Flags().StringVar(&f.zone, "tz", "UTC", "time zone of times and calendar days, as Europe/Zurich")
 }
@@ -171,7 +179,8 @@
 	return nil
 }
 
-// parseTime reads a time, or a calendar day: its begin, or that of so many days later, which may be 23 or 25 hours away.
+// parseTime reads a time, or a calendar day: its begin, or that of so many days later, which may be
+// 23 or 25 hours away.
 func parseTime(text string, zone *time.Location, days int) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
@@ -220,7 +229,12 @@
 }
 
 // fetchNext sees to it that there is an act, unless there are no more.
-func (u *chainCursor) fetchNext(ctx context.Context, s auditChains, zone *time.Location, keep func(*audit.Event) bool) error {
+func (u *chainCursor) fetchNext(
+	ctx context.Context,
+	s auditChains,
+	zone *time.Location,
+	keep func(*audit.Event) bool,
+) error {
 	for len(u.pendingActs) == 0 && !u.exhausted {
 		p, err := s.blocks(ctx, u.node, u.after)
 		if err != nil {
@@ -229,7 +243,12 @@
 		for _, raw := range p.Blocks {
 			b, err := audit.DecodeBlock(raw.Value)
 			if err != nil {
-				return fmt.Errorf("chain of %s, block %d: %w; `dewlift audit verify` tells more", u.node, raw.Number, err)
+				return fmt.Errorf(
+					"chain of %s, block %d: %w; `dewlift audit verify` tells more",
+					u.node,
+					raw.Number,
+					err,
+				)
 			}
 			for _, a := range b.Events(u.node, zone) {
 				if keep(&a) {
@@ -333,7 +352,18 @@
 	if a.Reason != "" {
 		why = ": " + a.Reason
 	}
-	_, err := fmt.Fprintf(w, "%s %-8s %-12s %s %s%s %s%s\n", a.At.Format("2006-01-02T15:04:05.000Z07:00"), a.Node, cmp.Or(a.Identity, "-"), a.Verb, cmp.Or(a.Object, "-"), times, a.Outcome, why)
+	_, err := fmt.Fprintf(
+		w,
+		"%s %-8s %-12s %s %s%s %s%s\n",
+		a.At.Format("2006-01-02T15:04:05.000Z07:00"),
+		a.Node,
+		cmp.Or(a.Identity, "-"),
+		a.Verb,
+		cmp.Or(a.Object, "-"),
+		times,
+		a.Outcome,
+		why,
+	)
 	return err
 }
 
@@ -367,7 +397,8 @@
 		},
 	}
 	f.addSourceFlags(cmd)
-	cmd.Flags().StringSliceVar(&keys, "audit-key", nil, "a key's file; repeated where controllers have their own, or the key was changed")
+	cmd.Flags().
+		StringSliceVar(&keys, "audit-key", nil, "a key's file; repeated where controllers have their own, or the key was changed")
 	cmd.Flags().StringVar(&known, "ends", "", "the file of ends that were found before")
 	return cmd
 }
@@ -421,7 +452,11 @@
 					return err
 				}
 				if code, ok := must[b.Number]; ok && !bytes.Equal(code, c.MAC) {
-					return &audit.Fault{Node: h.Node, Block: b.Number, Reason: "is another than was known: the chain was replaced"}
+					return &audit.Fault{
+						Node:   h.Node,
+						Block:  b.Number,
+						Reason: "is another than was known: the chain was replaced",
+					}
 				}
 			}
 			show(int(total+c.EntryCount), -1)
@@ -429,12 +464,22 @@
 		}
 		for n := range must {
 			if n > c.BlockNumber {
-				return &audit.Fault{Node: h.Node, Block: c.BlockNumber + 1, Reason: fmt.Sprintf("and those behind it, up to %d, were removed", n)}
+				return &audit.Fault{
+					Node:   h.Node,
+					Block:  c.BlockNumber + 1,
+					Reason: fmt.Sprintf("and those behind it, up to %d, were removed", n),
+				}
 			}
 		}
 		total += c.EntryCount
 		now[h.Node] = chainEnd{c.BlockNumber, c.MAC}
-		fmt.Fprintf(cmd.OutOrStdout(), "chain of %s: %d blocks, %d entries, whole\n", h.Node, c.BlockNumber, c.EntryCount)
+		fmt.Fprintf(
+			cmd.OutOrStdout(),
+			"chain of %s: %d blocks, %d entries, whole\n",
+			h.Node,
+			c.BlockNumber,
+			c.EntryCount,
+		)
 	}
 	if known == "" {
 		return nil
@@ -488,7 +533,14 @@
 				return fmt.Errorf("report: %w", err)
 			}
 			var chosen []string
-			for _, x := range [][2]string{{"who", f.filter.Identity}, {"verb", f.filter.Verb}, {"object", f.filter.Object}, {"outcome", f.filter.Outcome}, {"since", f.since}, {"until", f.until}} {
+			for _, x := range [][2]string{
+				{"who", f.filter.Identity},
+				{"verb", f.filter.Verb},
+				{"object", f.filter.Object},
+				{"outcome", f.filter.Outcome},
+				{"since", f.since},
+				{"until", f.until},
+			} {
 				if x[1] != "" {
 					chosen = append(chosen, x[0]+" "+x[1])
 				}
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -8,10 +8,9 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
-
 	"log/slog"
 	"math/rand/v2"
+	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -46,7 +45,12 @@
 
 func newTestSite(t *testing.T) *testSite {
 	t.Helper()
-	s := &testSite{t: t, state: fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}), dir: t.TempDir(), stop: func() {}}
+	s := &testSite{
+		t:     t,
+		state: fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}),
+		dir:   t.TempDir(),
+		stop:  func() {},
+	}
 	srv := httptest.NewServer(s.state)
 	t.Cleanup(srv.Close)
 	s.addr = strings.TrimPrefix(srv.URL, "http://")
@@ -90,7 +94,13 @@
 	k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 3, 30, 60, 500
 	k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps, k.Cloud.RPS, k.Quota.FDLimit = 500, 200, 8, 12, 4, 1000
 	tuning := settings.DefaultTuning()
-	tuning.LeaseMs, tuning.AuditGatherMs, tuning.AuditBlockMs = new(uint32(1000)), new(uint32(1000)), new(uint32(1000))
+	tuning.LeaseMs, tuning.AuditGatherMs, tuning.AuditBlockMs = new(
+		uint32(1000),
+	), new(
+		uint32(1000),
+	), new(
+		uint32(1000),
+	)
 	ctx, cancel := context.WithCancel(s.t.Context())
 	ended := make(chan error, 1)
 	c := dewlift.New(p, tuning, s.options, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -103,7 +113,8 @@
 		}
 	}
 	s.eventually("healthy", func() bool {
-		r := httpjson.New(1, 1, 1<<10).Do(s.t.Context(), time.Second, http.MethodGet, "http://"+p.Listen+wire.PathHealth, nil)
+		r := httpjson.New(1, 1, 1<<10).
+			Do(s.t.Context(), time.Second, http.MethodGet, "http://"+p.Listen+wire.PathHealth, nil)
 		return r.Status == http.StatusOK
 	})
 }
@@ -153,9 +164,10 @@
 	return acts
 }
 
-// A glaze technician, a visiting potter, a packer who may reprint labels and not cancel a reroast, and a service, over
-// kills of the controller amid their acts: every act that was granted is in the record exactly once, every refused one of
-// a life that went on is found, and the record verifies, also as a snapshot and where that was restored.
+// A glaze technician, a visiting potter, a packer who may reprint labels and not cancel a reroast,
+// and a service, over kills of the controller amid their acts: every act that was granted is in the
+// record exactly once, every refused one of a life that went on is found, and the record verifies,
+// also as a snapshot and where that was restored.
 func TestEveryActIsRecordedOverKills(t *testing.T) {
 	s := newTestSite(t)
 	rng := rand.New(rand.NewPCG(14, 1))
@@ -168,7 +180,8 @@
 	refusedNow := map[did]uint32{} // of this life
 	do := func(who, method, path string, body any, d did, want int) {
 		t.Helper()
-		die, wait := rng.Float64() < 0.12, time.Duration(rng.Int64N(int64(25*time.Millisecond))) // the same in every run
+		// the same in every run
+		die, wait := rng.Float64() < 0.12, time.Duration(rng.Int64N(int64(25*time.Millisecond)))
 		for try := range 200 {
 			killed := make(chan bool, 1)
 			if die && try == 0 {
@@ -200,16 +213,65 @@
 	post, get := http.MethodPost, http.MethodGet
 	for i := range 5 {
 		id := func(s string) string { return fmt.Sprintf("wk-%s%d", s, i) }
-		do("anna", post, "/v1/jobs", fakes.JobRequest(id("fire"), "firing"), did{"anna", "submit", id("fire"), false}, 201)
-		do("potter", post, "/v1/jobs", fakes.JobRequest(id("plan"), "plan"), did{"potter", "submit", id("plan"), false}, 201)
-		do("potter", post, "/v1/jobs", fakes.JobRequest(id("no"), "firing"), did{"potter", "submit", id("no"), true}, 403)
-		do("portal", post, "/v1/jobs", fakes.JobRequest(id("roast"), "reroast"), did{"portal", "submit", id("roast"), false}, 201)
-		do("pia", post, "/v1/jobs", fakes.JobRequest(id("label"), "labels"), did{"pia", "submit", id("label"), false}, 201)
+		do(
+			"anna",
+			post,
+			"/v1/jobs",
+			fakes.JobRequest(id("fire"), "firing"),
+			did{"anna", "submit", id("fire"), false},
+			201,
+		)
+		do(
+			"potter",
+			post,
+			"/v1/jobs",
+			fakes.JobRequest(id("plan"), "plan"),
+			did{"potter", "submit", id("plan"), false},
+			201,
+		)
+		do(
+			"potter",
+			post,
+			"/v1/jobs",
+			fakes.JobRequest(id("no"), "firing"),
+			did{"potter", "submit", id("no"), true},
+			403,
+		)
+		do(
+			"portal",
+			post,
+			"/v1/jobs",
+			fakes.JobRequest(id("roast"), "reroast"),
+			did{"portal", "submit", id("roast"), false},
+			201,
+		)
+		do(
+			"pia",
+			post,
+			"/v1/jobs",
+			fakes.JobRequest(id("label"), "labels"),
+			did{"pia", "submit", id("label"), false},
+			201,
+		)
 		do("pia", post, "/v1/jobs/"+id("roast")+"/withdraw", struct{}{}, did{"pia", "cancel", id("roast"), true}, 403)
 		do("potter", get, "/v1/jobs/"+id("fire"), nil, did{"potter", "read", id("fire"), true}, 404)
 		do("nobody", get, "/v1/jobs/"+id("fire"), nil, did{"", "GET", "/v1/jobs/" + id("fire"), true}, 401)
-		do("anna", post, "/v1/jobs/"+id("fire")+"/withdraw", struct{}{}, did{"anna", "cancel", id("fire"), false}, 200)
-		do("root", post, "/v1/access/guest"+fmt.Sprint(i), wire.PermissionsEdit{GrantRoles: []string{"visitor"}}, did{"root", "administer", fmt.Sprint("guest", i), false}, 200)
+		do(
+			"anna",
+			post,
+			"/v1/jobs/"+id("fire")+"/withdraw",
+			struct{}{},
+			did{"anna", "cancel", id("fire"), false},
+			200,
+		)
+		do(
+			"root",
+			post,
+			"/v1/access/guest"+fmt.Sprint(i),
+			wire.PermissionsEdit{GrantRoles: []string{"visitor"}},
+			did{"root", "administer", fmt.Sprint("guest", i), false},
+			200,
+		)
 	}
 	missing := "nothing was listed"
 	s.eventually("recorded", func() bool {
@@ -221,23 +283,28 @@
 		}
 		missing = ""
 		for _, d := range acts {
-			// A refusal of a life that was ended may be lost with it. A change of rights that was asked for twice is two.
-			if n := refusedNow[d]; d.refused && count[d] < n || !d.refused && (times[d] == 0 || times[d] > 1 && d.verb != "administer") {
+			// A refusal of a life that was ended may be lost with it. A change of rights that was
+			// asked for twice is two.
+			if n := refusedNow[d]; d.refused && count[d] < n ||
+				!d.refused && (times[d] == 0 || times[d] > 1 && d.verb != "administer") {
 				missing += fmt.Sprintf("%+v: %d times in %d entries; ", d, count[d], times[d])
 			}
 		}
 		return missing == ""
 	})
-	if starts := s.list("--verb", "start"); len(starts) < 4 || !strings.HasPrefix(starts[1].Reason, "settings differ: ") {
+	if starts := s.list("--verb", "start"); len(starts) < 4 ||
+		!strings.HasPrefix(starts[1].Reason, "settings differ: ") {
 		t.Errorf("starts: %+v", starts)
 	}
 	if reads := s.list("--verb", "audit", "--who", "root"); len(reads) == 0 {
 		t.Error("reading the record is not recorded")
 	}
-	if out, err := s.run("audit", "verify", "--audit-key", s.file("audit.key"), "--ends", s.file("ends")); err != nil || !strings.Contains(out, "whole") {
+	if out, err := s.run("audit", "verify", "--audit-key", s.file("audit.key"), "--ends", s.file("ends")); err != nil ||
+		!strings.Contains(out, "whole") {
 		t.Fatalf("%s %v", out, err)
 	}
-	if out, err := s.run("audit", "report", "--html", s.file("report.html"), "--tz", "Europe/Zurich"); err != nil || !strings.Contains(out, "days") {
+	if out, err := s.run("audit", "report", "--html", s.file("report.html"), "--tz", "Europe/Zurich"); err != nil ||
+		!strings.Contains(out, "days") {
 		t.Fatalf("%s %v", out, err)
 	}
 	page, err := os.ReadFile(s.file("report.html"))
@@ -249,7 +316,10 @@
 	if out, err := s.run("key", "revoke", "pia", "pia-1"); err != nil || !strings.Contains(out, "no key of pia") {
 		t.Fatalf("%s %v", out, err)
 	}
-	s.eventually("shut out", func() bool { return s.request("pia", get, "/v1/jobs/wk-label0", nil) == http.StatusUnauthorized })
+	s.eventually(
+		"shut out",
+		func() bool { return s.request("pia", get, "/v1/jobs/wk-label0", nil) == http.StatusUnauthorized },
+	)
 	s.eventually("recorded that a key was revoked", func() bool {
 		acts := s.list("--verb", "administer", "--object", "pia")
 		return len(acts) == 1 && acts[0].Reason == "revoke keys pia-1"
@@ -260,15 +330,23 @@
 	if _, err := s.run("snapshot", "save", saved, "--share", "1"); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually("recorded that the state was saved", func() bool { return len(s.list("--object", "snapshot", "--who", "root")) > 0 })
-	if out, err := runCommand("audit", "verify", "--snapshot", saved, "--audit-key", s.file("audit.key"), "--ends", s.file("ends")); err != nil || !strings.Contains(out, "whole") {
+	s.eventually(
+		"recorded that the state was saved",
+		func() bool { return len(s.list("--object", "snapshot", "--who", "root")) > 0 },
+	)
+	if out, err := runCommand("audit", "verify", "--snapshot", saved, "--audit-key", s.file("audit.key"), "--ends", s.file("ends")); err != nil ||
+		!strings.Contains(out, "whole") {
 		t.Errorf("%s %v", out, err)
 	}
 	s.stop()
 	other := httptest.NewServer(fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}))
 	t.Cleanup(other.Close)
 	to := strings.TrimPrefix(other.URL, "http://")
-	if _, err := snapshot.Restore(t.Context(), &snapshot.Target{Source: snapshot.Source{Addr: to, RPS: 1000}, WriteRPS: 1000, TxnOps: 12}, saved, nil); err != nil {
+	if _, err := snapshot.Restore(t.Context(), &snapshot.Target{
+		Source:   snapshot.Source{Addr: to, RPS: 1000},
+		WriteRPS: 1000,
+		TxnOps:   12,
+	}, saved, nil); err != nil {
 		t.Fatal(err)
 	}
 	s.start(to)
@@ -305,7 +383,19 @@
 		var list [][]byte
 		for range 3 {
 			count++
-			list = append(list, audit.Encode(&pb.AuditEntry{Life: 1, Count: count, AtMs: 1_790_000_000_000 + int64(count)*7_200_000, Who: "anna", Verb: "submit", Object: fmt.Sprintf("wk-%d", count)}))
+			list = append(
+				list,
+				audit.Encode(
+					&pb.AuditEntry{
+						Life:   1,
+						Count:  count,
+						AtMs:   1_790_000_000_000 + int64(count)*7_200_000,
+						Who:    "anna",
+						Verb:   "submit",
+						Object: fmt.Sprintf("wk-%d", count),
+					},
+				),
+			)
 		}
 		raw, _, code, err := key.EncodeNextBlock(h, "n0", 0, list, 8192)
 		if err != nil {
@@ -321,7 +411,10 @@
 	srv := httptest.NewServer(s)
 	defer srv.Close()
 	path := filepath.Join(t.TempDir(), "saved")
-	if _, err := snapshot.Save(t.Context(), &snapshot.Source{Addr: strings.TrimPrefix(srv.URL, "http://"), RPS: 1000}, path, nil); err != nil {
+	if _, err := snapshot.Save(t.Context(), &snapshot.Source{
+		Addr: strings.TrimPrefix(srv.URL, "http://"),
+		RPS:  1000,
+	}, path, nil); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -342,20 +435,30 @@
 	verify := func(path string, more ...string) (string, error) {
 		return runCommand(append([]string{"audit", "verify", "--snapshot", path, "--audit-key", file}, more...)...)
 	}
-	if out, err := verify(savedAuditLog(t, key, whole), "--ends", ends); err != nil || out != "chain of n0: 3 blocks, 9 entries, whole\n" {
+	if out, err := verify(savedAuditLog(t, key, whole), "--ends", ends); err != nil ||
+		out != "chain of n0: 3 blocks, 9 entries, whole\n" {
 		t.Fatalf("%q %v", out, err)
 	}
 	forger := audit.Key(slices.Repeat([]byte("x"), 32))
 	for name, x := range map[string]struct {
 		path, want string
 	}{
-		"removed": {savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return slices.Delete(k, 1, 2) }), "chain of n0: block 2 is missing"},
+		"removed": {
+			savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return slices.Delete(k, 1, 2) }),
+			"chain of n0: block 2 is missing",
+		},
 		"swapped": {savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key {
 			k[1].Value, k[2].Value = k[2].Value, k[1].Value
 			return k
 		}), "chain of n0: block 2 is block 3"},
-		"cut off":           {savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return k[:2] }), "chain of n0: block 3 and those behind it, up to 3, were removed"},
-		"all removed":       {savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return nil }), "chain of n0: block 1 and those behind it"},
+		"cut off": {
+			savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return k[:2] }),
+			"chain of n0: block 3 and those behind it, up to 3, were removed",
+		},
+		"all removed": {
+			savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return nil }),
+			"chain of n0: block 1 and those behind it",
+		},
 		"made with another": {savedAuditLog(t, forger, whole), "chain of n0: block 1 is signed with another key"},
 	} {
 		_, err := verify(x.path, "--ends", ends)
@@ -388,8 +491,16 @@
 		args string
 		want int
 	}{
-		{"", 9}, {"--since 2026-09-22", 5}, {"--since 2026-09-22 --tz Asia/Tokyo", 9}, {"--until 2026-09-21 --tz Asia/Tokyo", 0}, {"--until 2026-09-21", 4},
-		{"--since 2026-09-21T20:00 --until 2026-09-22T02:00", 3}, {"--since 2026-09-21T20:00:00+02:00", 8}, {"--who potter", 0}, {"--object wk-4", 1}, {"--node n0 --verb submit --outcome done", 9},
+		{"", 9},
+		{"--since 2026-09-22", 5},
+		{"--since 2026-09-22 --tz Asia/Tokyo", 9},
+		{"--until 2026-09-21 --tz Asia/Tokyo", 0},
+		{"--until 2026-09-21", 4},
+		{"--since 2026-09-21T20:00 --until 2026-09-22T02:00", 3},
+		{"--since 2026-09-21T20:00:00+02:00", 8},
+		{"--who potter", 0},
+		{"--object wk-4", 1},
+		{"--node n0 --verb submit --outcome done", 9},
 	} {
 		out, err := runCommand(append(strings.Fields("audit list --snapshot "+path), strings.Fields(x.args)...)...)
 		if n := strings.Count(out, "\n"); err != nil || n != x.want {
@@ -408,9 +519,14 @@
 		}
 	}
 	for _, x := range []struct{ args, want string }{
-		{"--tz Nowhere/Land", "no time zone"}, {"--since yesterday", "--since:"}, {"--until 2026-02-30", "--until:"}, {"--outcome maybe", "--outcome:"}, {"--node n9", `no controller "n9"`},
+		{"--tz Nowhere/Land", "no time zone"},
+		{"--since yesterday", "--since:"},
+		{"--until 2026-02-30", "--until:"},
+		{"--outcome maybe", "--outcome:"},
+		{"--node n9", `no controller "n9"`},
 	} {
-		if _, err := runCommand(append(strings.Fields("audit list --snapshot "+path), strings.Fields(x.args)...)...); err == nil || !strings.Contains(err.Error(), x.want) {
+		if _, err := runCommand(append(strings.Fields("audit list --snapshot "+path), strings.Fields(x.args)...)...); err == nil ||
+			!strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s: %v", x.args, err)
 		}
 	}
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -46,7 +46,9 @@
 func demoCommand(on *featureFiles, tuning *string) *cobra.Command {
 	var logs string
 	cmd := &cobra.Command{
-		Use: "demo", Short: "Serve a site on loopback to try dewlift on: three controllers around stand-ins of all else", Args: cobra.NoArgs,
+		Use:   "demo",
+		Short: "Serve a site on loopback to try dewlift on: three controllers around stand-ins of all else",
+		Args:  cobra.NoArgs,
 		Long: "Three controllers, each a process of this program, around stand-ins of the state service, the cloud and the workers. Tasks take their\n" +
 			"estimated time and do nothing. A controller that ends is started again. All is gone when the demo ends.",
 		Example: "  dewlift demo --booking deploy/booking.textproto",
@@ -54,7 +56,13 @@
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			d := &demoSite{out: cmd.OutOrStdout()}
-			for flag, path := range map[string]string{"--tuning": *tuning, "--access": on.permissionsFile, "--tls": on.tlsFile, "--booking": on.equipmentFile, "--lanes": on.priorityClassesFile} {
+			for flag, path := range map[string]string{
+				"--tuning":  *tuning,
+				"--access":  on.permissionsFile,
+				"--tls":     on.tlsFile,
+				"--booking": on.equipmentFile,
+				"--lanes":   on.priorityClassesFile,
+			} {
 				if path == "" {
 					continue
 				}
@@ -120,8 +128,18 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer d.running.Wait()
 	defer cancel()
-	kind := wire.MachineType{Name: "bench-8", CPUs: 8, MemoryGB: 32, Zones: []string{"a", "b", "c"}, BootS: 2, Price: 1, SpotPrice: 0.4}
-	store := fakes.NewStore(fakes.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256})
+	kind := wire.MachineType{
+		Name:      "bench-8",
+		CPUs:      8,
+		MemoryGB:  32,
+		Zones:     []string{"a", "b", "c"},
+		BootS:     2,
+		Price:     1,
+		SpotPrice: 0.4,
+	}
+	store := fakes.NewStore(
+		fakes.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256},
+	)
 	state, err := d.serve(ctx, store)
 	if err != nil {
 		return err
@@ -132,33 +150,50 @@
 	}
 	d.addrs = addrs[:demoNodes]
 	// A worker fetches a job's description by itself; here from where it was stored.
-	fleet := fakes.NewWorkers(demoMachines, kind, d.addrs, 2*time.Second, func(piece string) ([3]int64, time.Duration) {
-		id, _, _ := wire.SplitTaskName(piece)
-		r, err := jobrecord.Decode(store.Value(core.KeyJob + id))
-		if err != nil || r.Spec == nil {
-			return [3]int64{}, time.Second // its job is over
-		}
-		run := time.Duration(r.Spec.EstimatedRuntimeMS) * time.Millisecond
-		if !r.Spec.Service {
-			run = max(run, time.Second)
-		}
-		return r.Spec.Request, run
-	})
+	fleet := fakes.NewWorkers(
+		demoMachines,
+		kind,
+		d.addrs,
+		2*time.Second,
+		func(piece string) ([3]int64, time.Duration) {
+			id, _, _ := wire.SplitTaskName(piece)
+			r, err := jobrecord.Decode(store.Value(core.KeyJob + id))
+			if err != nil || r.Spec == nil {
+				return [3]int64{}, time.Second // its job is over
+			}
+			run := time.Duration(r.Spec.EstimatedRuntimeMS) * time.Millisecond
+			if !r.Spec.Service {
+				run = max(run, time.Second)
+			}
+			return r.Spec.Request, run
+		},
+	)
 	d.running.Go(func() { _ = fleet.Run(ctx) }) // without it, nothing can be rented, which shows
 	cloud, err := d.serve(ctx, fleet.CloudHandler())
 	if err != nil {
 		return err
 	}
 	for i := range demoNodes {
-		p := &settings.Platform{Name: fmt.Sprintf("n%d", i), Zone: kind.Zones[i%3], Listen: addrs[i], MeshAddr: addrs[demoNodes+i]}
+		p := &settings.Platform{
+			Name:     fmt.Sprintf("n%d", i),
+			Zone:     kind.Zones[i%3],
+			Listen:   addrs[i],
+			MeshAddr: addrs[demoNodes+i],
+		}
 		p.Services.State, p.Services.Cloud = state, cloud
 		for k := range demoNodes {
 			if k != i {
-				p.Peers = append(p.Peers, settings.Peer{Name: fmt.Sprintf("n%d", k), Zone: kind.Zones[k%3], Addr: addrs[demoNodes+k]})
+				p.Peers = append(
+					p.Peers,
+					settings.Peer{Name: fmt.Sprintf("n%d", k), Zone: kind.Zones[k%3], Addr: addrs[demoNodes+k]},
+				)
 			}
 		}
 		k := &p.Cluster
-		k.Count, k.Zones, k.Teams = demoNodes, kind.Zones, []settings.Team{{Name: "workshop"}, {Name: "packing", ReservedCPUs: 20, MaxCPUs: 40}}
+		k.Count, k.Zones, k.Teams = demoNodes, kind.Zones, []settings.Team{
+			{Name: "workshop"},
+			{Name: "packing", ReservedCPUs: 20, MaxCPUs: 40},
+		}
 		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 2, 20, 40, 5
 		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = 150, 30, 8, 24
 		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit, k.Quota.CoreShare, k.Quota.MemMB = 4, 1, 1000, 0.25, 200
--- a/cmd/dewlift/golden_test.go
+++ b/cmd/dewlift/golden_test.go
@@ -52,7 +52,18 @@
 
 // Scripts of operators use the verbs and flags, and read what they say of themselves.
 func TestCommandLineStays(t *testing.T) {
-	for _, name := range []string{"ACCESS", "TLS", "LANES", "BOOKING", "TUNING", "KEY", "CA", "CERTIFICATE", "CERTIFICATE_KEY"} { // they are shown as defaults
+	// they are shown as defaults
+	for _, name := range []string{
+		"ACCESS",
+		"TLS",
+		"LANES",
+		"BOOKING",
+		"TUNING",
+		"KEY",
+		"CA",
+		"CERTIFICATE",
+		"CERTIFICATE_KEY",
+	} {
 		t.Setenv("DEWLIFT_"+name, "")
 	}
 	got := map[string][]string{}
@@ -72,7 +83,18 @@
 			lines = append(lines, "hidden")
 		}
 		c.LocalFlags().VisitAll(func(f *pflag.Flag) {
-			lines = append(lines, fmt.Sprintf("--%s -%s %s, %q by default, %q without a value: %s", f.Name, f.Shorthand, f.Value.Type(), f.DefValue, f.NoOptDefVal, f.Usage))
+			lines = append(
+				lines,
+				fmt.Sprintf(
+					"--%s -%s %s, %q by default, %q without a value: %s",
+					f.Name,
+					f.Shorthand,
+					f.Value.Type(),
+					f.DefValue,
+					f.NoOptDefVal,
+					f.Usage,
+				),
+			)
 		})
 		got[c.CommandPath()] = lines
 		for _, x := range c.Commands() {
@@ -86,7 +108,11 @@
 // The list of settings, as it is printed, and as JSON.
 func TestSettingsStay(t *testing.T) {
 	got := map[string][]string{}
-	for name, args := range map[string][]string{"list": {"settings"}, "json": {"settings", "--json"}, "version": {"version"}} {
+	for name, args := range map[string][]string{
+		"list":    {"settings"},
+		"json":    {"settings", "--json"},
+		"version": {"version"},
+	} {
 		out, err := runCommand(args...)
 		if err != nil {
 			t.Fatal(err)
@@ -104,8 +130,19 @@
 	}{
 		{&chainEnd{Number: 7, Code: []byte("code")}, `{"number":7,"code":"Y29kZQ=="}`},
 		{&settingDescription{}, `{"name":"","default":"","min":0,"max":0,"does":""}`},
-		{&settingDescription{Name: "n", Default: "d", Switch: true, Min: 1, Max: 2.5, Does: "does", More: "more", Less: "less"},
-			`{"name":"n","default":"d","switch":true,"min":1,"max":2.5,"does":"does","more":"more","less":"less"}`},
+		{
+			&settingDescription{
+				Name:    "n",
+				Default: "d",
+				Switch:  true,
+				Min:     1,
+				Max:     2.5,
+				Does:    "does",
+				More:    "more",
+				Less:    "less",
+			},
+			`{"name":"n","default":"d","switch":true,"min":1,"max":2.5,"does":"does","more":"more","less":"less"}`,
+		},
 	} {
 		raw, err := json.Marshal(x.v)
 		if err != nil || string(raw) != x.want {
--- a/cmd/dewlift/job.go
+++ b/cmd/dewlift/job.go
@@ -54,26 +54,36 @@
 		fmt.Fprintf(out, "  cancelled with %s, which it needs\n", s.CancelledBy)
 	}
 	for _, w := range s.TaskStops {
-		fmt.Fprintf(out, "  task %d stopped on %s at %s: %s\n", w.Task, w.Machine, time.UnixMilli(w.AtMS).UTC().Format(time.RFC3339), w.Cause)
+		fmt.Fprintf(
+			out,
+			"  task %d stopped on %s at %s: %s\n",
+			w.Task,
+			w.Machine,
+			time.UnixMilli(w.AtMS).UTC().Format(time.RFC3339),
+			w.Cause,
+		)
 	}
 	return nil
 }
 
 // subcommand makes a command about one job by its id.
 func (j *jobCommands) subcommand(use, short string, do func(cmd *cobra.Command, id string) error) *cobra.Command {
-	return &cobra.Command{Use: use + " ID", Short: short, Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: use + " ID", Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !wire.ValidJobID(args[0]) {
 				return fmt.Errorf("not a job id: %q", args[0])
 			}
 			return do(cmd, args[0])
-		}}
+		},
+	}
 }
 
 func jobCommand(me *clientIdentity) *cobra.Command {
 	j := &jobCommands{identity: me}
 	job := &cobra.Command{Use: "job", Short: "Submit jobs, look at them and withdraw them"}
-	job.PersistentFlags().StringVar(&j.server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
+	job.PersistentFlags().
+		StringVar(&j.server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
 	job.PersistentFlags().BoolVar(&j.asJSON, "json", false, "as JSON")
 	job.AddCommand(j.submit(), j.wait(),
 		j.subcommand("get", "Show a job and why its tasks stopped", func(cmd *cobra.Command, id string) error {
@@ -92,7 +102,16 @@
 			if j.asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(x)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is number %d of %d in the queue, in lane %s, since %d s: %s\n", x.ID, x.Position, q.Total, x.PriorityClass, x.WaitedS, x.Explanation)
+			fmt.Fprintf(
+				cmd.OutOrStdout(),
+				"%s is number %d of %d in the queue, in lane %s, since %d s: %s\n",
+				x.ID,
+				x.Position,
+				q.Total,
+				x.PriorityClass,
+				x.WaitedS,
+				x.Explanation,
+			)
 			return nil
 		}),
 		j.subcommand("cancel", "Withdraw a job", func(cmd *cobra.Command, id string) error {
@@ -107,8 +126,10 @@
 
 func (j *jobCommands) submit() *cobra.Command {
 	return &cobra.Command{
-		Use: "submit FILE", Short: "Submit a job that a file describes as JSON; - is standard input", Args: cobra.ExactArgs(1),
-		Long: "The file holds the body of a submission. Submitted again, it is answered with the job's state.",
+		Use:   "submit FILE",
+		Short: "Submit a job that a file describes as JSON; - is standard input",
+		Args:  cobra.ExactArgs(1),
+		Long:  "The file holds the body of a submission. Submitted again, it is answered with the job's state.",
 		RunE: func(cmd *cobra.Command, args []string) (err error) {
 			var raw []byte
 			if args[0] == "-" {
@@ -127,34 +148,39 @@
 				return err
 			}
 			return j.print(cmd.OutOrStdout(), &s)
-		}}
+		},
+	}
 }
 
 const jobPollInterval = time.Second // between two looks at a job
 
 func (j *jobCommands) wait() *cobra.Command {
 	var most time.Duration
-	cmd := j.subcommand("wait", "Wait until a job is done; exit code 1 if it is cancelled or not done in time", func(cmd *cobra.Command, id string) error {
-		// One that can't be answered now may be in a moment: it is asked for until the time is over.
-		for end := time.Now().Add(most); ; {
-			s, err := j.request(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
-			switch {
-			case err == nil && s.Stage == wire.StageDone:
-				return j.print(cmd.OutOrStdout(), &s)
-			case err == nil && s.Stage == wire.StageCancelled:
-				return refusedError(id + " is cancelled")
-			case time.Now().After(end) && err != nil:
-				return err
-			case time.Now().After(end):
-				return refusedError(fmt.Sprintf("%s is %s after %s", id, s.Stage, most))
-			}
-			select {
-			case <-cmd.Context().Done():
-				return cmd.Context().Err()
-			case <-time.After(jobPollInterval):
+	cmd := j.subcommand(
+		"wait",
+		"Wait until a job is done; exit code 1 if it is cancelled or not done in time",
+		func(cmd *cobra.Command, id string) error {
+			// One that can't be answered now may be in a moment: it is asked for until the time is over.
+			for end := time.Now().Add(most); ; {
+				s, err := j.request(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
+				switch {
+				case err == nil && s.Stage == wire.StageDone:
+					return j.print(cmd.OutOrStdout(), &s)
+				case err == nil && s.Stage == wire.StageCancelled:
+					return refusedError(id + " is cancelled")
+				case time.Now().After(end) && err != nil:
+					return err
+				case time.Now().After(end):
+					return refusedError(fmt.Sprintf("%s is %s after %s", id, s.Stage, most))
+				}
+				select {
+				case <-cmd.Context().Done():
+					return cmd.Context().Err()
+				case <-time.After(jobPollInterval):
+				}
 			}
-		}
-	})
+		},
+	)
 	cmd.Flags().DurationVar(&most, "for", 10*time.Minute, "how long it is waited for")
 	return cmd
 }
--- a/cmd/dewlift/main.go
+++ b/cmd/dewlift/main.go
@@ -21,8 +21,9 @@
 
 const version = "0.1.0"
 
-// memoryLimitShare is the part of the memory that may be used which the runtime keeps to; the rest is for what it does not count, and for moments in which
-// more comes in than it collects. With 0.8, collections were fewer, and a leader of a full fleet ended in the runtime on one day.
+// memoryLimitShare is the part of the memory that may be used which the runtime keeps to; the rest
+// is for what it does not count, and for moments in which more comes in than it collects. With 0.8,
+// collections were fewer, and a leader of a full fleet ended in the runtime on one day.
 const memoryLimitShare = 0.7
 
 func main() {
@@ -69,10 +70,25 @@
 
 // addFlags are those that name the files.
 func (on *featureFiles) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&on.permissionsFile, "access", os.Getenv("DEWLIFT_ACCESS"), "the site's first rights (protobuf text format)")
+	f.StringVar(
+		&on.permissionsFile,
+		"access",
+		os.Getenv("DEWLIFT_ACCESS"),
+		"the site's first rights (protobuf text format)",
+	)
 	f.StringVar(&on.tlsFile, "tls", os.Getenv("DEWLIFT_TLS"), "files of certificates and keys (protobuf text format)")
-	f.StringVar(&on.priorityClassesFile, "lanes", os.Getenv("DEWLIFT_LANES"), "the site's first list of lanes (protobuf text format)")
-	f.StringVar(&on.equipmentFile, "booking", os.Getenv("DEWLIFT_BOOKING"), "the site's first list of equipment that can be booked (protobuf text format)")
+	f.StringVar(
+		&on.priorityClassesFile,
+		"lanes",
+		os.Getenv("DEWLIFT_LANES"),
+		"the site's first list of lanes (protobuf text format)",
+	)
+	f.StringVar(
+		&on.equipmentFile,
+		"booking",
+		os.Getenv("DEWLIFT_BOOKING"),
+		"the site's first list of equipment that can be booked (protobuf text format)",
+	)
 }
 
 func rootCommand() *cobra.Command {
@@ -87,7 +103,8 @@
 		},
 	}
 	cmd.PersistentFlags().StringVar(&config, "config", "", "the platform's settings file (JSON)")
-	cmd.PersistentFlags().StringVar(&tuning, "tuning", os.Getenv("DEWLIFT_TUNING"), "the operators' own settings (protobuf text format)")
+	cmd.PersistentFlags().
+		StringVar(&tuning, "tuning", os.Getenv("DEWLIFT_TUNING"), "the operators' own settings (protobuf text format)")
 	on.addFlags(cmd.Flags())
 	me.addFlags(cmd.PersistentFlags())
 	demo := demoCommand(&on, &tuning)
--- a/cmd/dewlift/main_test.go
+++ b/cmd/dewlift/main_test.go
@@ -93,7 +93,8 @@
 	if out, err := runCommand("access", "check", path); err != nil || !strings.Contains(out, "1 keys") {
 		t.Errorf("%s %v", out, err)
 	}
-	if out, err := runCommand("access", "explain", path, "--who", "portal", "--verb", "submit", "--team", "t", "--class", "c", "--priority", "high"); err != nil || !strings.Contains(out, "portal may submit: role planner, grant 2") {
+	if out, err := runCommand("access", "explain", path, "--who", "portal", "--verb", "submit", "--team", "t", "--class", "c", "--priority", "high"); err != nil ||
+		!strings.Contains(out, "portal may submit: role planner, grant 2") {
 		t.Errorf("%s %v", out, err)
 	}
 	if out, err := runCommand("key", "token", file); err != nil || strings.Count(out, ".") != 2 {
--- a/cmd/dewlift/permissions.go
+++ b/cmd/dewlift/permissions.go
@@ -27,23 +27,43 @@
 
 func (me *clientIdentity) addFlags(f *pflag.FlagSet) {
 	f.StringVar(&me.keyFile, "key", os.Getenv("DEWLIFT_KEY"), "a private key, to prove who asks")
-	f.StringVar(&me.caFile, "ca", os.Getenv("DEWLIFT_CA"), "authorities of controllers' certificates (PEM): TLS is used")
-	f.StringVar(&me.certificateFile, "certificate", os.Getenv("DEWLIFT_CERTIFICATE"), "a certificate, to prove who asks (PEM)")
+	f.StringVar(
+		&me.caFile,
+		"ca",
+		os.Getenv("DEWLIFT_CA"),
+		"authorities of controllers' certificates (PEM): TLS is used",
+	)
+	f.StringVar(
+		&me.certificateFile,
+		"certificate",
+		os.Getenv("DEWLIFT_CERTIFICATE"),
+		"a certificate, to prove who asks (PEM)",
+	)
 	f.StringVar(&me.certificateKeyFile, "certificate-key", os.Getenv("DEWLIFT_CERTIFICATE_KEY"), "its key (PEM)")
 }
 
-// request makes a request in one's name to a controller, or to the first that answers of several, separated by commas. Whatever is asked may be
-// repeated: one that answers nothing may have done it.
-func (me *clientIdentity) request(ctx context.Context, method, servers, path string, body any) (r httpjson.Response, err error) {
+// request makes a request in one's name to a controller, or to the first that answers of several,
+// separated by commas. Whatever is asked may be repeated: one that answers nothing may have done
+// it.
+func (me *clientIdentity) request(
+	ctx context.Context,
+	method, servers, path string,
+	body any,
+) (r httpjson.Response, err error) {
 	for server := range strings.SplitSeq(servers, ",") {
-		if r, err = me.requestOne(ctx, method, strings.TrimPrefix(server, "http://"), path, body); err != nil || r.Err == nil && r.Status != http.StatusServiceUnavailable {
+		if r, err = me.requestOne(ctx, method, strings.TrimPrefix(server, "http://"), path, body); err != nil ||
+			r.Err == nil && r.Status != http.StatusServiceUnavailable {
 			return r, err
 		}
 	}
 	return r, err
 }
 
-func (me *clientIdentity) requestOne(ctx context.Context, method, server, path string, body any) (httpjson.Response, error) {
+func (me *clientIdentity) requestOne(
+	ctx context.Context,
+	method, server, path string,
+	body any,
+) (httpjson.Response, error) {
 	c, scheme := httpjson.New(1, 1, 16<<20), "http://"
 	if me.keyFile != "" {
 		k, err := loadKey(me.keyFile)
@@ -121,7 +141,13 @@
 				return err
 			}
 			roles, people, keys := p.Counts()
-			fmt.Fprintf(cmd.OutOrStdout(), "rights are valid: %d roles, %d identities, %d keys\n", roles, people, keys)
+			fmt.Fprintf(
+				cmd.OutOrStdout(),
+				"rights are valid: %d roles, %d identities, %d keys\n",
+				roles,
+				people,
+				keys,
+			)
 			return nil
 		},
 	}, explainCommand(), showPermissionsCommand(me), grantCommand(me), revokeCommand(me))
@@ -170,7 +196,12 @@
 }
 
 // editPermissions sends a change of rights.
-func editPermissions(ctx context.Context, me *clientIdentity, server, who string, e wire.PermissionsEdit) (*wire.PermissionsEditResult, error) {
+func editPermissions(
+	ctx context.Context,
+	me *clientIdentity,
+	server, who string,
+	e wire.PermissionsEdit,
+) (*wire.PermissionsEditResult, error) {
 	if me.keyFile == "" && me.certificateFile == "" {
 		return nil, errors.New("--key FILE or --certificate FILE is needed: rights are changed in somebody's name")
 	}
@@ -268,7 +299,9 @@
 	var e wire.PermissionsEdit
 	var certificate bool
 	cmd := &cobra.Command{
-		Use: "revoke WHO", Short: "Take roles or keys away; in force everywhere once this has ended well", Args: cobra.ExactArgs(1),
+		Use:     "revoke WHO",
+		Short:   "Take roles or keys away; in force everywhere once this has ended well",
+		Args:    cobra.ExactArgs(1),
 		Example: "  dewlift access revoke potter --all --cancel-queued --key admin.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if certificate {
@@ -293,7 +326,8 @@
 	cmd.Flags().StringSliceVar(&e.RevokeKeys, "key-id", nil, "a key; may be repeated")
 	cmd.Flags().BoolVar(&certificate, "by-certificate", false, "a certificate proves no more who it is")
 	cmd.Flags().BoolVar(&e.Delete, "all", false, "the identity with all it has")
-	cmd.Flags().BoolVar(&e.CancelQueued, "cancel-queued", false, "cancel, in your name, jobs that it has submitted and that have not begun")
+	cmd.Flags().
+		BoolVar(&e.CancelQueued, "cancel-queued", false, "cancel, in your name, jobs that it has submitted and that have not begun")
 	return cmd
 }
 
@@ -324,7 +358,9 @@
 	create.Flags().StringVar(&out, "out", "", "the file; it must not exist")
 	var life time.Duration
 	token := &cobra.Command{
-		Use: "token FILE", Short: "Print a token, to be sent as `Authorization: Bearer TOKEN`", Args: cobra.ExactArgs(1),
+		Use:   "token FILE",
+		Short: "Print a token, to be sent as `Authorization: Bearer TOKEN`",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			k, err := loadKey(args[0])
 			if err != nil {
@@ -354,10 +390,14 @@
 func revokeKeyCommand(me *clientIdentity) *cobra.Command {
 	var server string
 	cmd := &cobra.Command{
-		Use: "revoke HOLDER ID", Short: "Take a key away; it is good nowhere once this has ended well", Args: cobra.ExactArgs(2),
+		Use:     "revoke HOLDER ID",
+		Short:   "Take a key away; it is good nowhere once this has ended well",
+		Args:    cobra.ExactArgs(2),
 		Example: "  dewlift key revoke anna anna-1 --key admin.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if _, err := editPermissions(cmd.Context(), me, server, args[0], wire.PermissionsEdit{RevokeKeys: []string{args[1]}}); err != nil {
+			if _, err := editPermissions(cmd.Context(), me, server, args[0], wire.PermissionsEdit{
+				RevokeKeys: []string{args[1]},
+			}); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s is no key of %s any more\n", args[1], args[0])
@@ -416,7 +456,10 @@
 			if err := saveKey(out, k); err != nil { // before the site knows it: a key that is nowhere would shut out
 				return err
 			}
-			if _, err := editPermissions(cmd.Context(), me, server, old.Holder, wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: id, Ed25519: k.PublicBase64()}}, RevokeKeys: []string{old.ID}}); err != nil {
+			if _, err := editPermissions(cmd.Context(), me, server, old.Holder, wire.PermissionsEdit{
+				AddKeys:    []wire.PublicKey{{ID: id, Ed25519: k.PublicBase64()}},
+				RevokeKeys: []string{old.ID},
+			}); err != nil {
 				return fmt.Errorf("%w (%s holds the new key; the old one may still be good)", err, out)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s holds the key of %s from now on\n", out, old.Holder)
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -20,7 +20,12 @@
 }
 
 // requestQueue asks about the queue or the lanes; what is refused is a refusal.
-func requestQueue(cmd *cobra.Command, me *clientIdentity, server, method, path string, body any) (q wire.JobQueue, err error) {
+func requestQueue(
+	cmd *cobra.Command,
+	me *clientIdentity,
+	server, method, path string,
+	body any,
+) (q wire.JobQueue, err error) {
 	r, err := me.request(cmd.Context(), method, server, path, body)
 	if err != nil {
 		return q, err
@@ -44,9 +49,12 @@
 func priorityClassesCommand(me *clientIdentity) *cobra.Command {
 	var server string
 	cmd := &cobra.Command{Use: "lanes", Short: "Check, show and change which work goes ahead of which"}
-	cmd.PersistentFlags().StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
+	cmd.PersistentFlags().
+		StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
 	cmd.AddCommand(&cobra.Command{
-		Use: "check FILE", Short: "Check a list of lanes, and tell how long work waits at most until it goes ahead", Args: cobra.ExactArgs(1),
+		Use:   "check FILE",
+		Short: "Check a list of lanes, and tell how long work waits at most until it goes ahead",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			l, err := loadPriorityClasses(args[0])
 			if err != nil {
@@ -74,7 +82,9 @@
 			return err
 		},
 	}, &cobra.Command{
-		Use: "put FILE", Short: "Put another list in force; jobs keep the lanes that they were accepted into", Args: cobra.ExactArgs(1),
+		Use:   "put FILE",
+		Short: "Put another list in force; jobs keep the lanes that they were accepted into",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := loadPriorityClasses(args[0]); err != nil {
 				return err
@@ -83,7 +93,14 @@
 			if err != nil {
 				return fmt.Errorf("read lanes: %w", err)
 			}
-			q, err := requestQueue(cmd, me, server, http.MethodPost, wire.PathPriorityClasses, wire.JobQueue{PriorityClasses: string(raw)})
+			q, err := requestQueue(
+				cmd,
+				me,
+				server,
+				http.MethodPost,
+				wire.PathPriorityClasses,
+				wire.JobQueue{PriorityClasses: string(raw)},
+			)
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "the lanes are in force, as version %d\n", q.Version)
 			}
@@ -98,13 +115,22 @@
 	var most int
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use: "queue", Short: "List the jobs that wait, in the order of work, and what each waits for", Args: cobra.NoArgs,
+		Use:   "queue",
+		Short: "List the jobs that wait, in the order of work, and what each waits for",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			all := wire.JobQueue{}
 			for after := 0; ; {
-				q, err := requestQueue(cmd, me, server, http.MethodGet, fmt.Sprintf("%s?after=%d&most=%d", wire.PathQueue, after, min(100, most-after)), nil)
+				q, err := requestQueue(
+					cmd,
+					me,
+					server,
+					http.MethodGet,
+					fmt.Sprintf("%s?after=%d&most=%d", wire.PathQueue, after, min(100, most-after)),
+					nil,
+				)
 				if err != nil {
 					return err
 				}
@@ -124,7 +150,19 @@
 				if j.EffectivePriorityClass != "" {
 					lane += " as " + j.EffectivePriorityClass
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d s\t%s\n", j.Position, j.ID, lane, j.Class, j.Team, j.Tasks, j.Assigned, j.WaitedS, j.WaitingFor)
+				fmt.Fprintf(
+					w,
+					"%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d s\t%s\n",
+					j.Position,
+					j.ID,
+					lane,
+					j.Class,
+					j.Team,
+					j.Tasks,
+					j.Assigned,
+					j.WaitedS,
+					j.WaitingFor,
+				)
 			}
 			if err := w.Flush(); err != nil {
 				return err
@@ -133,7 +171,8 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
+	cmd.Flags().
+		StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
 	cmd.Flags().IntVar(&most, "most", 1000, "how many are listed at most")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return cmd
--- a/cmd/dewlift/reservation.go
+++ b/cmd/dewlift/reservation.go
@@ -37,7 +37,12 @@
 }
 
 // request asks a controller and prints its answer; what is refused is a refusal, in one line.
-func (b *reservationCommands) request(cmd *cobra.Command, method, path string, body any, print func(w io.Writer, a *wire.ReservationResponse)) error {
+func (b *reservationCommands) request(
+	cmd *cobra.Command,
+	method, path string,
+	body any,
+	print func(w io.Writer, a *wire.ReservationResponse),
+) error {
 	r, err := b.identity.request(cmd.Context(), method, b.server, path, body)
 	if err != nil {
 		return err
@@ -154,11 +159,26 @@
 func reservationCommand(me *clientIdentity) *cobra.Command {
 	b := &reservationCommands{identity: me}
 	cmd := &cobra.Command{Use: "booking", Short: "Book shared equipment, and ask who has it when"}
-	cmd.PersistentFlags().StringVar(&b.server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
+	cmd.PersistentFlags().
+		StringVar(&b.server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
 	cmd.PersistentFlags().BoolVar(&b.asJSON, "json", false, "as JSON")
-	cmd.AddCommand(b.make("make ID", "Book equipment", false), b.make("hold ID", "Hold equipment until it is confirmed", true),
-		b.change("confirm ID", "Confirm a booking that is held", "confirm"), b.move(), b.end(), b.show(), b.free(), b.day(), b.waiting(), b.equipment(),
-		&cobra.Command{Use: "check FILE", Short: "Check a list of equipment", Args: cobra.ExactArgs(1),
+	cmd.AddCommand(
+		b.make("make ID", "Book equipment", false),
+		b.make("hold ID", "Hold equipment until it is confirmed", true),
+		b.change(
+			"confirm ID",
+			"Confirm a booking that is held",
+			"confirm",
+		),
+		b.move(),
+		b.end(),
+		b.show(),
+		b.free(),
+		b.day(),
+		b.waiting(),
+		b.equipment(),
+		&cobra.Command{
+			Use: "check FILE", Short: "Check a list of equipment", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				s, err := loadEquipment(args[0])
 				if err != nil {
@@ -166,7 +186,9 @@
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "equipment is valid: %d pieces\n", len(s.Source().Pieces))
 				return nil
-			}})
+			},
+		},
+	)
 	return cmd
 }
 
@@ -174,7 +196,8 @@
 	var w slotFlags
 	var a wire.ReservationRequest
 	var keep time.Duration
-	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{
+		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		Example: "  dewlift booking make glaze-81 --equipment kiln-2 --from 2027-03-04T08:00 --slots 4",
 		RunE: func(cmd *cobra.Command, args []string) (err error) {
 			if a.Slots, err = w.slotRequests(); err != nil {
@@ -187,7 +210,8 @@
 			}
 			a.ID, a.Repeat = args[0], w.repeat
 			return b.request(cmd, http.MethodPost, wire.PathReservations, a, printReservationResponse)
-		}}
+		},
+	}
 	w.addFlags(cmd.Flags())
 	cmd.Flags().StringVar(&a.Team, "team", "", "whose booking it is")
 	cmd.Flags().BoolVar(&a.Waitlist, "wait", false, "go on the waiting list if it is taken")
@@ -199,62 +223,114 @@
 }
 
 func (b *reservationCommands) change(use, short, verb string) *cobra.Command {
-	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.request(cmd, http.MethodPost, wire.PathReservations+"/"+url.PathEscape(args[0])+"/"+verb, nil, printReservationResponse)
-		}}
+			return b.request(
+				cmd,
+				http.MethodPost,
+				wire.PathReservations+"/"+url.PathEscape(args[0])+"/"+verb,
+				nil,
+				printReservationResponse,
+			)
+		},
+	}
 }
 
 func (b *reservationCommands) move() *cobra.Command {
 	var w slotFlags
-	cmd := &cobra.Command{Use: "move ID", Short: "Give a booking other slots: it keeps its own until it has them", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{
+		Use:   "move ID",
+		Short: "Give a booking other slots: it keeps its own until it has them",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			list, err := w.slotRequests()
 			if err != nil {
 				return err
 			}
-			return b.request(cmd, http.MethodPost, wire.PathReservations+"/"+url.PathEscape(args[0])+"/move", wire.ReservationRequest{Slots: list, Repeat: w.repeat}, printReservationResponse)
-		}}
+			return b.request(
+				cmd,
+				http.MethodPost,
+				wire.PathReservations+"/"+url.PathEscape(args[0])+"/move",
+				wire.ReservationRequest{Slots: list, Repeat: w.repeat},
+				printReservationResponse,
+			)
+		},
+	}
 	w.addFlags(cmd.Flags())
 	return cmd
 }
 
 func (b *reservationCommands) end() *cobra.Command {
 	var a wire.ReservationRequest
-	cmd := &cobra.Command{Use: "end ID", Short: "End a booking: its slots become free", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{
+		Use: "end ID", Short: "End a booking: its slots become free", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.request(cmd, http.MethodPost, wire.PathReservations+"/"+url.PathEscape(args[0])+"/end", a, printReservationResponse)
-		}}
+			return b.request(
+				cmd,
+				http.MethodPost,
+				wire.PathReservations+"/"+url.PathEscape(args[0])+"/end",
+				a,
+				printReservationResponse,
+			)
+		},
+	}
 	cmd.Flags().StringVar(&a.Reason, "why", "", "the reason, which is kept")
 	return cmd
 }
 
 func (b *reservationCommands) show() *cobra.Command {
-	return &cobra.Command{Use: "show ID", Short: "Show a booking, and why it ended", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: "show ID", Short: "Show a booking, and why it ended", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.request(cmd, http.MethodGet, wire.PathReservations+"/"+url.PathEscape(args[0]), nil, printReservationResponse)
-		}}
+			return b.request(
+				cmd,
+				http.MethodGet,
+				wire.PathReservations+"/"+url.PathEscape(args[0]),
+				nil,
+				printReservationResponse,
+			)
+		},
+	}
 }
 
 func (b *reservationCommands) free() *cobra.Command {
 	var w slotFlags
 	var by, team string
-	cmd := &cobra.Command{Use: "free", Short: "List the next free times", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "free", Short: "List the next free times", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if (w.equipment == "") == (w.kind == "") {
 				return errors.New("one of --equipment and --kind is needed")
 			}
-			q := url.Values{"list": {"free"}, "piece": {w.equipment}, "kind": {w.kind}, "zone": {w.zone}, "from": {w.from}, "by": {by}, "team": {team},
-				"slots": {strconv.Itoa(int(w.slots))}}
-			return b.request(cmd, http.MethodGet, wire.PathReservations+"?"+q.Encode(), nil, func(out io.Writer, a *wire.ReservationResponse) {
-				for _, f := range a.Free {
-					fmt.Fprintf(out, "%s from %s to %s\n", f.Equipment, f.From, f.To)
-				}
-				if len(a.Free) == 0 {
-					fmt.Fprintln(out, "nothing is free then")
-				}
-			})
-		}}
+			q := url.Values{
+				"list": {
+					"free",
+				},
+				"piece": {w.equipment},
+				"kind":  {w.kind},
+				"zone":  {w.zone},
+				"from":  {w.from},
+				"by":    {by},
+				"team":  {team},
+				"slots": {strconv.Itoa(int(w.slots))},
+			}
+			return b.request(
+				cmd,
+				http.MethodGet,
+				wire.PathReservations+"?"+q.Encode(),
+				nil,
+				func(out io.Writer, a *wire.ReservationResponse) {
+					for _, f := range a.Free {
+						fmt.Fprintf(out, "%s from %s to %s\n", f.Equipment, f.From, f.To)
+					}
+					if len(a.Free) == 0 {
+						fmt.Fprintln(out, "nothing is free then")
+					}
+				},
+			)
+		},
+	}
 	w.addFlags(cmd.Flags())
 	cmd.Flags().StringVar(&by, "by", "", "when it must be over")
 	cmd.Flags().StringVar(&team, "team", "", "whose booking it would be")
@@ -273,27 +349,52 @@
 }
 
 func (b *reservationCommands) day() *cobra.Command {
-	return &cobra.Command{Use: "day EQUIPMENT DAY", Short: "List a day's bookings of a piece of equipment", Args: cobra.ExactArgs(2),
+	return &cobra.Command{
+		Use: "day EQUIPMENT DAY", Short: "List a day's bookings of a piece of equipment", Args: cobra.ExactArgs(2),
 		Example: "  dewlift booking day kiln-2 2027-03-04",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			q := url.Values{"piece": {args[0]}, "day": {args[1]}}
-			return b.request(cmd, http.MethodGet, wire.PathReservations+"?"+q.Encode(), nil, printReservationList("nothing is booked then"))
-		}}
+			return b.request(
+				cmd,
+				http.MethodGet,
+				wire.PathReservations+"?"+q.Encode(),
+				nil,
+				printReservationList("nothing is booked then"),
+			)
+		},
+	}
 }
 
 func (b *reservationCommands) waiting() *cobra.Command {
-	return &cobra.Command{Use: "waiting", Short: "List the waiting list", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "waiting", Short: "List the waiting list", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return b.request(cmd, http.MethodGet, wire.PathReservations+"?list=waiting", nil, printReservationList("nobody waits"))
-		}}
+			return b.request(
+				cmd,
+				http.MethodGet,
+				wire.PathReservations+"?list=waiting",
+				nil,
+				printReservationList("nobody waits"),
+			)
+		},
+	}
 }
 
 func (b *reservationCommands) equipment() *cobra.Command {
 	var e wire.EquipmentEdit
-	cmd := &cobra.Command{Use: "equipment [FILE]", Short: "Show the list of equipment, or put another in force", Args: cobra.MaximumNArgs(1),
+	cmd := &cobra.Command{
+		Use:   "equipment [FILE]",
+		Short: "Show the list of equipment, or put another in force",
+		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return b.request(cmd, http.MethodGet, wire.PathEquipment, nil, func(out io.Writer, a *wire.ReservationResponse) { fmt.Fprint(out, a.Equipment) })
+				return b.request(
+					cmd,
+					http.MethodGet,
+					wire.PathEquipment,
+					nil,
+					func(out io.Writer, a *wire.ReservationResponse) { fmt.Fprint(out, a.Equipment) },
+				)
 			}
 			if _, err := loadEquipment(args[0]); err != nil {
 				return err
@@ -303,14 +404,22 @@
 				return fmt.Errorf("read equipment: %w", err)
 			}
 			e.Text = string(raw)
-			return b.request(cmd, http.MethodPost, wire.PathEquipment, e, func(out io.Writer, a *wire.ReservationResponse) {
-				fmt.Fprintf(out, "the list is in force, as version %d\n", a.Version)
-				for i := range a.Displaced {
-					fmt.Fprintf(out, "ended with it: %s\n", a.Displaced[i].ID)
-				}
-			})
-		}}
-	cmd.Flags().BoolVar(&e.EndDisplaced, "end-displaced", false, "end the bookings that the new list has no place for; without it, they are listed and nothing changes")
+			return b.request(
+				cmd,
+				http.MethodPost,
+				wire.PathEquipment,
+				e,
+				func(out io.Writer, a *wire.ReservationResponse) {
+					fmt.Fprintf(out, "the list is in force, as version %d\n", a.Version)
+					for i := range a.Displaced {
+						fmt.Fprintf(out, "ended with it: %s\n", a.Displaced[i].ID)
+					}
+				},
+			)
+		},
+	}
+	cmd.Flags().
+		BoolVar(&e.EndDisplaced, "end-displaced", false, "end the bookings that the new list has no place for; without it, they are listed and nothing changes")
 	cmd.Flags().StringVar(&e.Reason, "why", "", "the reason why they end, which is kept")
 	return cmd
 }
--- a/cmd/dewlift/settings.go
+++ b/cmd/dewlift/settings.go
@@ -34,7 +34,19 @@
 func allSettings() (out []settingDescription) {
 	for _, s := range settings.OperatorSettings() {
 		a := s.About
-		out = append(out, settingDescription{Name: s.Name, Default: s.Default(), Switch: s.Kind == protoreflect.BoolKind, Min: a.GetMin(), Max: a.GetMax(), Does: a.GetDoes(), More: a.GetMore(), Less: a.GetLess()})
+		out = append(
+			out,
+			settingDescription{
+				Name:    s.Name,
+				Default: s.Default(),
+				Switch:  s.Kind == protoreflect.BoolKind,
+				Min:     a.GetMin(),
+				Max:     a.GetMax(),
+				Does:    a.GetDoes(),
+				More:    a.GetMore(),
+				Less:    a.GetLess(),
+			},
+		)
 	}
 	return out
 }
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -49,7 +49,12 @@
 				return fmt.Errorf("--share is %v, must be more than 0 and at most 1", f.requestShare)
 			}
 			show, done := newProgress("saving", -1)
-			t, err := snapshot.Save(cmd.Context(), &snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS * f.requestShare}, args[0], func(n int) { show(n, -1) })
+			t, err := snapshot.Save(
+				cmd.Context(),
+				&snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS * f.requestShare},
+				args[0],
+				func(n int) { show(n, -1) },
+			)
 			done()
 			if err != nil {
 				return err
@@ -70,8 +75,10 @@
 				return err
 			}
 			show, done := newProgress("restoring", 0)
-			t, err := snapshot.Restore(cmd.Context(), &snapshot.Target{Source: snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS},
-				WriteRPS: f.endpoint.WriteRPS, TxnOps: f.endpoint.TxnOps}, args[0], show)
+			t, err := snapshot.Restore(cmd.Context(), &snapshot.Target{
+				Source:   snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS},
+				WriteRPS: f.endpoint.WriteRPS, TxnOps: f.endpoint.TxnOps,
+			}, args[0], show)
 			done()
 			if err != nil {
 				return err
@@ -81,7 +88,8 @@
 		},
 	}
 	at(restore)
-	restore.Flags().Float64Var(&f.endpoint.WriteRPS, "write-rps", 10, "its changes a second, if only --state is given")
+	restore.Flags().
+		Float64Var(&f.endpoint.WriteRPS, "write-rps", 10, "its changes a second, if only --state is given")
 	restore.Flags().IntVar(&f.endpoint.TxnOps, "txn-ops", 10, "changes of a transaction, if only --state is given")
 	cmd.AddCommand(save, restore, &cobra.Command{
 		Use: "verify FILE", Short: "Read a whole snapshot and check every part", Args: cobra.ExactArgs(1),
@@ -113,10 +121,21 @@
 			out := cmd.OutOrStdout()
 			taken := time.UnixMilli(t.TakenMs).UTC().Format(time.RFC3339)
 			if asJSON {
-				return json.NewEncoder(out).Encode(map[string]any{"version": t.Version, "taken": taken, "revision": t.Ledger, "parts": t.Parts,
-					"keys": t.Keys, "kinds": kinds, "digest": fmt.Sprintf("%x", t.Digest)})
+				return json.NewEncoder(out).Encode(map[string]any{
+					"version": t.Version, "taken": taken, "revision": t.Ledger, "parts": t.Parts,
+					"keys": t.Keys, "kinds": kinds, "digest": fmt.Sprintf("%x", t.Digest),
+				})
 			}
-			fmt.Fprintf(out, "format %d, taken %s, revision %d\n%d keys in %d parts, digest %x\n", t.Version, taken, t.Ledger, t.Keys, t.Parts, t.Digest)
+			fmt.Fprintf(
+				out,
+				"format %d, taken %s, revision %d\n%d keys in %d parts, digest %x\n",
+				t.Version,
+				taken,
+				t.Ledger,
+				t.Keys,
+				t.Parts,
+				t.Digest,
+			)
 			for _, k := range slices.Sorted(maps.Keys(kinds)) {
 				fmt.Fprintf(out, "  %-14s %d\n", k, kinds[k])
 			}
@@ -132,7 +151,13 @@
 func (f *snapshotFlags) resolveStore(ctx context.Context, config string, me *clientIdentity) error {
 	switch {
 	case f.server != "":
-		r, err := me.request(ctx, http.MethodGet, f.server, wire.PathStoreEndpoint+"?for="+wire.EndpointForSnapshot, nil)
+		r, err := me.request(
+			ctx,
+			http.MethodGet,
+			f.server,
+			wire.PathStoreEndpoint+"?for="+wire.EndpointForSnapshot,
+			nil,
+		)
 		if err != nil {
 			return err
 		}
@@ -149,9 +174,16 @@
 		if err != nil {
 			return err
 		}
-		f.endpoint = wire.StoreEndpoint{Addr: p.Services.State, RPS: p.Cluster.State.RPS, WriteRPS: p.Cluster.State.WriteRPS, TxnOps: p.Cluster.State.TxnOps}
+		f.endpoint = wire.StoreEndpoint{
+			Addr:     p.Services.State,
+			RPS:      p.Cluster.State.RPS,
+			WriteRPS: p.Cluster.State.WriteRPS,
+			TxnOps:   p.Cluster.State.TxnOps,
+		}
 	case f.storeAddr == "":
-		return errors.New("name a controller with --server, the settings with --config, or the state service with --state")
+		return errors.New(
+			"name a controller with --server, the settings with --config, or the state service with --state",
+		)
 	}
 	if f.storeAddr != "" {
 		f.endpoint.Addr = f.storeAddr
@@ -170,8 +202,14 @@
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
 		return func(int, int) {}, func() {}
 	}
-	bar := progressbar.NewOptions(of, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription(what),
-		progressbar.OptionShowCount(), progressbar.OptionThrottle(100*time.Millisecond), progressbar.OptionClearOnFinish())
+	bar := progressbar.NewOptions(
+		of,
+		progressbar.OptionSetWriter(os.Stderr),
+		progressbar.OptionSetDescription(what),
+		progressbar.OptionShowCount(),
+		progressbar.OptionThrottle(100*time.Millisecond),
+		progressbar.OptionClearOnFinish(),
+	)
 	return func(n, of int) {
 		if of > 0 {
 			bar.ChangeMax(of)
--- a/connlimit/connlimit_test.go
+++ b/connlimit/connlimit_test.go
@@ -11,7 +11,11 @@
 func TestLimitsLeaveSpareSockets(t *testing.T) {
 	for _, all := range []int{512, 1000, 2847, 3172, 100_000} {
 		p := Divide(all)
-		if used := p.AgentCommands + p.AgentPolls + p.IdleAgentConns + hardLimitFor(p.Inbound); used > all || p.AgentCommands <= 0 || p.AgentPolls <= 0 || p.IdleAgentConns <= 0 || p.Inbound <= 0 {
+		if used := p.AgentCommands + p.AgentPolls + p.IdleAgentConns + hardLimitFor(p.Inbound); used > all ||
+			p.AgentCommands <= 0 ||
+			p.AgentPolls <= 0 ||
+			p.IdleAgentConns <= 0 ||
+			p.Inbound <= 0 {
 			t.Errorf("of %d sockets: %+v", all, p)
 		}
 	}
--- a/connlimit/listener.go
+++ b/connlimit/listener.go
@@ -8,12 +8,14 @@
 )
 
 const (
-	softIdleTimeout = 10 * time.Second // a connection that is quiet for this long is no worker's: these report more often
-	hardIdleTimeout = 4 * time.Second  // the same, and whoever waits for an answer on it has given up
+	// a connection that is quiet for this long is no worker's: these report more often
+	softIdleTimeout = 10 * time.Second
+	hardIdleTimeout = 4 * time.Second // the same, and whoever waits for an answer on it has given up
 )
 
-// Listener bounds the connections that it accepted: before there are too many, those that have been quiet for longest are closed.
-// Whoever comes back to one of them opens another; a new one that finds no socket fails.
+// Listener bounds the connections that it accepted: before there are too many, those that have been
+// quiet for longest are closed. Whoever comes back to one of them opens another; a new one that
+// finds no socket fails.
 type Listener struct {
 	net.Listener
 	softLimit, hardLimit int // from these many on, connections are closed that are abandoned, that are answered
--- a/controller.go
+++ b/controller.go
@@ -52,7 +52,8 @@
 	inputQueueLength     = 4096
 )
 
-// Options are what a controller may be guarded with, and what else is turned on by a file; the zero value is none of it.
+// Options are what a controller may be guarded with, and what else is turned on by a file; the zero
+// value is none of it.
 type Options struct {
 	Permissions *access.Policy   // put in force where the state service has none
 	AuditKey    audit.Key        // of the audit record
@@ -65,17 +66,35 @@
 
 // New assembles a controller.
 func New(p *settings.Platform, t *pb.Tuning, g Options, log *slog.Logger) *Controller {
-	c := &Controller{log: log, platform: p, inputs: make(chan core.Input, inputQueueLength), startedAt: time.Now(),
-		store: statestore.New(p.Services.State), cloud: cloud.New(p.Services.Cloud), agents: agent.New(connlimit.Divide(p.Cluster.Quota.FDLimit).IdleAgentConns), metrics: newMetrics()}
+	c := &Controller{
+		log:       log,
+		platform:  p,
+		inputs:    make(chan core.Input, inputQueueLength),
+		startedAt: time.Now(),
+		store: statestore.New(
+			p.Services.State,
+		),
+		cloud:   cloud.New(p.Services.Cloud),
+		agents:  agent.New(connlimit.Divide(p.Cluster.Quota.FDLimit).IdleAgentConns),
+		metrics: newMetrics(),
+	}
 	cfg := CoreConfig(p, t)
-	cfg.Permissions, cfg.AuditKey, cfg.Equipment, cfg.PriorityClasses, cfg.Settings = g.Permissions, g.AuditKey, g.Equipment, g.PriorityClasses, settings.AuditedValues(p, t)
+	cfg.Permissions, cfg.AuditKey, cfg.Equipment, cfg.PriorityClasses, cfg.Settings = g.Permissions, g.AuditKey, g.Equipment, g.PriorityClasses, settings.AuditedValues(
+		p,
+		t,
+	)
 	c.core = core.New(cfg, 0, rand.Uint64())
 	peers := map[string]string{}
 	for _, q := range p.Peers {
 		peers[q.Name] = q.Addr
 	}
 	c.mesh = mesh.New(p.Name, peers, g.TLSFiles, log)
-	c.server = api.New(c, time.Duration(p.Cluster.TimeBoundMS*float64(time.Millisecond)), g.TLSFiles.ServerConfig(), log)
+	c.server = api.New(
+		c,
+		time.Duration(p.Cluster.TimeBoundMS*float64(time.Millisecond)),
+		g.TLSFiles.ServerConfig(),
+		log,
+	)
 	return c
 }
 
@@ -159,8 +178,10 @@
 		cfg.Peers = append(cfg.Peers, q.Name)
 	}
 	for _, q := range k.Teams {
-		cfg.Teams = append(cfg.Teams, core.Team{Name: q.Name, ReservedCPU: int64(q.ReservedCPUs * 1000), ReservedGPU: int64(q.ReservedGPUs * 1000),
-			MaxCPU: int64(q.MaxCPUs * 1000), MaxGPU: int64(q.MaxGPUs * 1000)})
+		cfg.Teams = append(cfg.Teams, core.Team{
+			Name: q.Name, ReservedCPU: int64(q.ReservedCPUs * 1000), ReservedGPU: int64(q.ReservedGPUs * 1000),
+			MaxCPU: int64(q.MaxCPUs * 1000), MaxGPU: int64(q.MaxGPUs * 1000),
+		})
 	}
 	return cfg
 }
@@ -213,8 +234,8 @@
 	return c.Serve(ctx, users, peers)
 }
 
-// Serve runs the controller on two listeners, one for users and workers and one for the other controllers, until the context
-// ends or one of them fails. It closes them.
+// Serve runs the controller on two listeners, one for users and workers and one for the other
+// controllers, until the context ends or one of them fails. It closes them.
 func (c *Controller) Serve(ctx context.Context, users, peers net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -222,7 +243,12 @@
 	in := connlimit.NewListener(users, connlimit.Divide(c.platform.Cluster.Quota.FDLimit))
 	go func() { errs <- c.server.Serve(ctx, in) }()
 	go func() {
-		errs <- c.mesh.Serve(ctx, peers, func(peer string, m core.Message) { c.Enqueue(core.PeerMessage{Peer: peer, Message: m}) })
+		errs <- c.mesh.Serve(ctx, peers, func(peer string, m core.Message) {
+			c.Enqueue(core.PeerMessage{
+				Peer:    peer,
+				Message: m,
+			})
+		})
 	}()
 	c.log.Info("controller started", "node", c.platform.Name, "zone", c.platform.Zone)
 	return c.eventLoop(ctx, in, errs)
@@ -249,8 +275,8 @@
 		case <-t.C:
 		}
 		now := time.Since(c.startedAt)
-		// Whatever comes in, there is a turn at every tick: the time beyond it was spent on the turn before, or the processor
-		// was not to be had.
+		// Whatever comes in, there is a turn at every tick: the time beyond it was spent on the
+		// turn before, or the processor was not to be had.
 		strain.MaxLoopDelay = max(strain.MaxLoopDelay, now-last-tickInterval)
 		strain.InputQueueUsage = max(strain.InputQueueUsage, float64(len(c.inputs))/inputQueueLength)
 		last = now
@@ -267,7 +293,15 @@
 		if first != nil {
 			c.core.Handle(now, first)
 		}
-		now = max(now, handleQueuedInputs(c.inputs, maxInputsPerTurn, func() time.Duration { return time.Since(c.startedAt) }, c.core.Handle))
+		now = max(
+			now,
+			handleQueuedInputs(
+				c.inputs,
+				maxInputsPerTurn,
+				func() time.Duration { return time.Since(c.startedAt) },
+				c.core.Handle,
+			),
+		)
 		for _, o := range c.core.Advance(now) {
 			c.execute(ctx, o)
 		}
@@ -285,9 +319,15 @@
 
 const maxInputsPerTurn = 256 // that are taken before what comes of them is carried out
 
-// handleQueuedInputs hands over what waits, each with the time that it was after it had come. With one time for all of them, read before, a process that had
-// stood still in between answered workers as of then: it renewed leases on what it had known before.
-func handleQueuedInputs(inputs <-chan core.Input, most int, clock func() time.Duration, take func(now time.Duration, in core.Input)) (last time.Duration) {
+// handleQueuedInputs hands over what waits, each with the time that it was after it had come. With
+// one time for all of them, read before, a process that had stood still in between answered workers
+// as of then: it renewed leases on what it had known before.
+func handleQueuedInputs(
+	inputs <-chan core.Input,
+	most int,
+	clock func() time.Duration,
+	take func(now time.Duration, in core.Input),
+) (last time.Duration) {
 	for range most {
 		select {
 		case in := <-inputs:
--- a/controller_test.go
+++ b/controller_test.go
@@ -111,7 +111,14 @@
 	const jobs = 400
 	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 	for i := range jobs {
-		s.PutUnchecked([]wire.KeyValue{{Key: fmt.Sprintf("%sjob/wk-%03d", core.Root, i), Value: json.RawMessage(fmt.Sprintf(`{"h":1,"st":"d","d":[0,%d]}`, i))}})
+		s.PutUnchecked(
+			[]wire.KeyValue{
+				{
+					Key:   fmt.Sprintf("%sjob/wk-%03d", core.Root, i),
+					Value: json.RawMessage(fmt.Sprintf(`{"h":1,"st":"d","d":[0,%d]}`, i)),
+				},
+			},
+		)
 	}
 	first := startController(t, addr, nil)
 	path := filepath.Join(t.TempDir(), "s")
@@ -142,7 +149,11 @@
 		t.Fatalf("%d archived and %d records in the snapshot: %v", archived, records, err)
 	}
 	_, copied := state()
-	if _, err := snapshot.Restore(t.Context(), &snapshot.Target{Source: snapshot.Source{Addr: copied, RPS: 1000}, WriteRPS: 1000, TxnOps: 12}, path, nil); err != nil {
+	if _, err := snapshot.Restore(t.Context(), &snapshot.Target{
+		Source:   snapshot.Source{Addr: copied, RPS: 1000},
+		WriteRPS: 1000,
+		TxnOps:   12,
+	}, path, nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, server := range []string{first, startController(t, copied, nil)} {
@@ -185,7 +196,8 @@
 					t.Fatal(err)
 				}
 			}
-			if r := c.Do(t.Context(), 5*time.Second, method, "http://"+server+path, body); r.Status != 503 && r.Status != 0 {
+			if r := c.Do(t.Context(), 5*time.Second, method, "http://"+server+path, body); r.Status != 503 &&
+				r.Status != 0 {
 				return r.Status
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -258,8 +270,8 @@
 	return resp.StatusCode, string(b), v
 }
 
-// With no file, the paths of bookings and of the queue are as unknown as any other; with one, a booking is made, held, moved and ended, and outlives its
-// controller.
+// With no file, the paths of bookings and of the queue are as unknown as any other; with one, a
+// booking is made, held, moved and ended, and outlives its controller.
 func TestReservationsAndQueueOverHTTP(t *testing.T) {
 	s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50})
 	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
@@ -273,7 +285,14 @@
 		t.Cleanup(none.Close)
 		server := startController(t, strings.TrimPrefix(none.URL, "http://"), nil)
 		status, want, _ := requestJSON[any](t, "GET", server+"/v1/nothing", "")
-		for _, path := range []string{wire.PathReservations, wire.PathReservations + "/x", wire.PathEquipment, wire.PathQueue, wire.PathQueue + "/x", wire.PathPriorityClasses} {
+		for _, path := range []string{
+			wire.PathReservations,
+			wire.PathReservations + "/x",
+			wire.PathEquipment,
+			wire.PathQueue,
+			wire.PathQueue + "/x",
+			wire.PathPriorityClasses,
+		} {
 			if got, body, _ := requestJSON[any](t, "GET", server+path, ""); got != status || body != want {
 				t.Errorf("%s: %d %s, an unknown path gets %d %s", path, got, body, status, want)
 			}
@@ -291,7 +310,12 @@
 	day := time.Now().UTC().AddDate(0, 0, 3).Format("2006-01-02")
 	type answer = wire.ReservationResponse
 	make := func(server, id, hour, more string) (int, string, answer) {
-		return requestJSON[answer](t, "POST", server+wire.PathReservations, fmt.Sprintf(`{"id":%q,"slots":[{"piece":"k","from":"%sT%s:00"}]%s}`, id, day, hour, more))
+		return requestJSON[answer](
+			t,
+			"POST",
+			server+wire.PathReservations,
+			fmt.Sprintf(`{"id":%q,"slots":[{"piece":"k","from":"%sT%s:00"}]%s}`, id, day, hour, more),
+		)
 	}
 	t.Run("first life", func(t *testing.T) {
 		server := startController(t, state, nil, on)
@@ -327,14 +351,20 @@
 			}},
 		} {
 			status, body, a := x.do()
-			if status != x.status || (a.Reservation == nil) != (x.state == "") || a.Reservation != nil && a.Reservation.State != x.state {
+			if status != x.status || (a.Reservation == nil) != (x.state == "") ||
+				a.Reservation != nil && a.Reservation.State != x.state {
 				t.Errorf("step %d: %d %s, want %d %s", i, status, body, x.status, x.state)
 			}
 			if status == 409 && x.state == "" && len(a.Free) == 0 {
 				t.Errorf("step %d: nothing is named that is free instead", i)
 			}
 		}
-		status, body, a := requestJSON[answer](t, "POST", server+wire.PathEquipment, `{"equipment":"pieces { name: \"k\" kind: \"kiln\" slot_minutes: 60 out: 1 }"}`)
+		status, body, a := requestJSON[answer](
+			t,
+			"POST",
+			server+wire.PathEquipment,
+			`{"equipment":"pieces { name: \"k\" kind: \"kiln\" slot_minutes: 60 out: 1 }"}`,
+		)
 		if status != 409 || len(a.Displaced) != 1 || a.Displaced[0].ID != "a" {
 			t.Errorf("a list that has no place for a booking: %d %s", status, body)
 		}
@@ -350,10 +380,15 @@
 			}
 		}
 		_, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue, "")
-		if len(q.Jobs) != 2 || q.Jobs[0].ID != "wk-000002" || q.Jobs[0].PriorityClass != "urgent" || q.Jobs[1].WaitingFor != "room" {
+		if len(q.Jobs) != 2 || q.Jobs[0].ID != "wk-000002" || q.Jobs[0].PriorityClass != "urgent" ||
+			q.Jobs[1].WaitingFor != "room" {
 			t.Errorf("queue: %s", body)
 		}
-		if _, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"?most=1", ""); len(q.Jobs) != 1 || q.NextOffset != 1 || q.Total != 2 {
+		if _, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"?most=1", ""); len(
+			q.Jobs,
+		) != 1 ||
+			q.NextOffset != 1 ||
+			q.Total != 2 {
 			t.Errorf("a page: %s", body)
 		}
 	})
@@ -363,33 +398,44 @@
 		status, _, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"/a", "")
 		return status == 200 && a.Reservation.State == "confirmed"
 	})
-	if _, body, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"/b", ""); a.Reservation == nil || a.Reservation.EndReason != "cracked" {
+	if _, body, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"/b", ""); a.Reservation == nil ||
+		a.Reservation.EndReason != "cracked" {
 		t.Errorf("one that had ended: %s", body)
 	}
-	if _, body, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"?piece=k&day="+day, ""); len(a.Reservations) != 1 {
+	if _, body, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"?piece=k&day="+day, ""); len(
+		a.Reservations,
+	) != 1 {
 		t.Errorf("the day: %s", body)
 	}
-	if _, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"/wk-000001", ""); len(q.Jobs) != 1 || q.Jobs[0].Position != 2 || q.Jobs[0].PriorityClass != "rest" {
+	if _, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"/wk-000001", ""); len(q.Jobs) != 1 ||
+		q.Jobs[0].Position != 2 ||
+		q.Jobs[0].PriorityClass != "rest" {
 		t.Errorf("its place: %s", body)
 	}
 }
 
-// A process that stands still while it takes inputs must see the time that has passed at the next: a report that came after the stop was answered
-// as of before it.
+// A process that stands still while it takes inputs must see the time that has passed at the next:
+// a report that came after the stop was answered as of before it.
 func TestEachQueuedInputIsHandledWithItsOwnTime(t *testing.T) {
 	inputs := make(chan core.Input, 4)
 	now := time.Second
 	inputs <- core.WallClock{UnixMS: 1}
 	inputs <- core.WallClock{UnixMS: 2}
 	var got []time.Duration
-	last := handleQueuedInputs(inputs, maxInputsPerTurn, func() time.Duration { return now }, func(at time.Duration, in core.Input) {
-		got = append(got, at)
-		now += time.Minute // it stands still, and a report comes
-		if in == (core.WallClock{UnixMS: 1}) {
-			inputs <- core.AgentHeartbeat{}
-		}
-	})
-	if want := []time.Duration{time.Second, 61 * time.Second, 121 * time.Second}; !slices.Equal(got, want) || last != want[2] {
+	last := handleQueuedInputs(
+		inputs,
+		maxInputsPerTurn,
+		func() time.Duration { return now },
+		func(at time.Duration, in core.Input) {
+			got = append(got, at)
+			now += time.Minute // it stands still, and a report comes
+			if in == (core.WallClock{UnixMS: 1}) {
+				inputs <- core.AgentHeartbeat{}
+			}
+		},
+	)
+	if want := []time.Duration{time.Second, 61 * time.Second, 121 * time.Second}; !slices.Equal(got, want) ||
+		last != want[2] {
 		t.Errorf("taken at %v, last at %v", got, last)
 	}
 }
--- a/core/allocation/tracker.go
+++ b/core/allocation/tracker.go
@@ -1,8 +1,10 @@
-// Package allocation keeps the room taken on one machine right, at the leader, while the news of a task come by two ways: its start and
-// finish tuples, which are quick, and its record, which shows for certain, but later. Each task is counted once, whichever comes first.
-// That a machine reports an end does not count: the copies of the array count the tuple of it on top of the rows
-// that they are sent, until those are known to show it. (Rows were seeded anew from records and reports once a machine was quiet for a time; under load,
-// tuples and records came later than that, tasks were counted twice or not at all, and up to a third of all starts were refused.)
+// Package allocation keeps the room taken on one machine right, at the leader, while the news of a
+// task come by two ways: its start and finish tuples, which are quick, and its record, which shows
+// for certain, but later. Each task is counted once, whichever comes first. That a machine reports
+// an end does not count: the copies of the array count the tuple of it on top of the rows that they
+// are sent, until those are known to show it. (Rows were seeded anew from records and reports once
+// a machine was quiet for a time; under load, tuples and records came later than that, tasks were
+// counted twice or not at all, and up to a third of all starts were refused.)
 //
 // It has no clock: times, since the process began, come in.
 package allocation
@@ -14,7 +16,8 @@
 )
 
 const (
-	deltaTTL        = 10 * time.Second        // that a tuple counts without its task being seen: it may be lost, or its end
+	// that a tuple counts without its task being seen: it may be lost, or its end
+	deltaTTL        = 10 * time.Second
 	keylessDeltaTTL = 2500 * time.Millisecond // the same of one that does not say which task it is of
 )
 
--- a/core/allocation/tracker_test.go
+++ b/core/allocation/tracker_test.go
@@ -10,7 +10,8 @@
 
 var oneTaskRequest = clusterstate.Resources{1000, 0, 1000}
 
-// Whatever comes first, tuple or record, and however late, a task counts from its first news to the first news of its end.
+// Whatever comes first, tuple or record, and however late, a task counts from its first news to the
+// first news of its end.
 func TestEachTaskIsAllocatedOnce(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -59,15 +60,19 @@
 		t.Errorf("%v taken after the write failed", got)
 	}
 	a.RecordDelta(3, true, 1, oneTaskRequest)
-	for _, seen := range [][]ObservedTask{nil, {{AttemptKey: 1, Request: oneTaskRequest}}, {{AttemptKey: 1, Request: oneTaskRequest}}} {
+	for _, seen := range [][]ObservedTask{
+		nil,
+		{{AttemptKey: 1, Request: oneTaskRequest}},
+		{{AttemptKey: 1, Request: oneTaskRequest}},
+	} {
 		if got := a.Allocated(4, seen); got != oneTaskRequest {
 			t.Errorf("%v taken by one task, seen %v", got, seen)
 		}
 	}
 }
 
-// A start whose write failed, or whose end was lost on the way, must not keep room for ever; nor may a tuple that does not say of
-// which task it is.
+// A start whose write failed, or whose end was lost on the way, must not keep room for ever; nor
+// may a tuple that does not say of which task it is.
 func TestDeltasExpire(t *testing.T) {
 	var a Tracker
 	a.RecordDelta(0, true, 1, oneTaskRequest)
--- a/core/apply.go
+++ b/core/apply.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
+	"encoding/json"
+	"strings"
+
 	"dewlift/core/auditlog"
 	"dewlift/core/jobrecord"
 	"dewlift/core/reservations"
 	"dewlift/wire"
-	"encoding/json"
-	"strings"
 )
 
 // applyPut takes a key's new value into the replica.
@@ -158,7 +159,8 @@
 		m := c.machines[a.Machine]
 		m.allocation.assignments[taskKey{j.index, a.Task}] = a
 		c.noteMachineChange(m)
-		if p := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; p.state == wire.TaskExited && p.cause == wire.CauseDone {
+		if p := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; p.state == wire.TaskExited &&
+			p.cause == wire.CauseDone {
 			j.placement.completedTasks++
 		}
 		if tm != nil {
@@ -167,7 +169,8 @@
 		}
 	}
 	j.placement.tasksLost = false
-	j.placement.hasUnplacedTasks = !j.isFinal() && r.Spec != nil && j.unmetDependencies == 0 && r.CompletedTasks.Count()+len(place) < r.Spec.Tasks
+	j.placement.hasUnplacedTasks = !j.isFinal() && r.Spec != nil && j.unmetDependencies == 0 &&
+		r.CompletedTasks.Count()+len(place) < r.Spec.Tasks
 	if !j.hasFinalRecord() || j.submission != nil || len(j.cancellation.waiters) > 0 {
 		c.markDirty(j)
 	}
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -45,7 +45,10 @@
 // look into the archive, and nobody waits for the changes it takes.
 func (c *Core) canArchive() bool {
 	return c.overload.Level() == overload.Normal && c.cfg.Archive && c.schemaVersion() >= schemaArchive && c.isLeader() && c.holdsLease() && c.now >= c.schema.activeSince+c.cfg.ArchiveStartDelay &&
-		!c.transactions.rateLimit.IsPaused(c.now) && c.pendingSubmissions == 0 && len(c.transactions.inFlight) == 0 && c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) && c.transactions.rateLimit.ReadTokens > 1
+		!c.transactions.rateLimit.IsPaused(c.now) && c.pendingSubmissions == 0 &&
+		len(c.transactions.inFlight) == 0 &&
+		c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) &&
+		c.transactions.rateLimit.ReadTokens > 1
 }
 
 // advanceArchiveSweep starts a sweep when one is due, and takes the next step of it.
@@ -69,7 +72,16 @@
 	case !s.lastPageRead:
 		c.readSweepPage(s)
 	default:
-		c.log("info", "ended jobs moved to the archive", "jobs", s.movedJobs, "changes", s.storeWrites, "took_ms", (c.now - s.startedAt).Milliseconds())
+		c.log(
+			"info",
+			"ended jobs moved to the archive",
+			"jobs",
+			s.movedJobs,
+			"changes",
+			s.storeWrites,
+			"took_ms",
+			(c.now - s.startedAt).Milliseconds(),
+		)
 		c.archiving.sweep = nil
 	}
 }
@@ -77,12 +89,19 @@
 // startArchiveSweep begins a sweep if more ended jobs have records than twice those to be kept.
 func (c *Core) startArchiveSweep() {
 	h := &c.history
-	h.endedJobs = slices.DeleteFunc(h.endedJobs, func(j *job) bool { return j.archive.archived || !j.archive.counted })
+	h.endedJobs = slices.DeleteFunc(
+		h.endedJobs,
+		func(j *job) bool { return j.archive.archived || !j.archive.counted },
+	)
 	if len(h.endedJobs)+h.coldRecords <= 2*c.cfg.MaxEndedJobs || len(h.endedJobs) <= c.cfg.MaxEndedJobs {
 		return
 	}
 	slices.SortFunc(h.endedJobs, func(a, b *job) int { return -compareByRevision(a, b) })
-	c.archiving.sweep = &archiveSweep{maxRevision: h.endedJobs[c.cfg.MaxEndedJobs].revision, referencedJobs: c.referencedJobs(), startedAt: c.now}
+	c.archiving.sweep = &archiveSweep{
+		maxRevision:    h.endedJobs[c.cfg.MaxEndedJobs].revision,
+		referencedJobs: c.referencedJobs(),
+		startedAt:      c.now,
+	}
 }
 
 // readSweepPage reads the next records.
@@ -96,7 +115,8 @@
 		for _, it := range in.Items {
 			s.afterKey = it.Key
 			r, err := jobrecord.Decode(it.Value)
-			if err != nil || r.Spec != nil || r.Stage == jobrecord.Queued || it.Revision > s.maxRevision || !c.currentAuditLog().AllRecorded(r.PendingAudit) {
+			if err != nil || r.Spec != nil || r.Stage == jobrecord.Queued || it.Revision > s.maxRevision ||
+				!c.currentAuditLog().AllRecorded(r.PendingAudit) {
 				continue
 			}
 			id := strings.TrimPrefix(it.Key, keyJob)
@@ -148,7 +168,11 @@
 		for _, e := range s.pending[:n] {
 			list = append(list, e.Entry)
 		}
-		pieces, k, err = b.PlanMerge(list, c.cfg.MaxValueBytes, max(2, min(c.cfg.MaxTxnOps, int(c.storeWriteRate()/2))))
+		pieces, k, err = b.PlanMerge(
+			list,
+			c.cfg.MaxValueBytes,
+			max(2, min(c.cfg.MaxTxnOps, int(c.storeWriteRate()/2))),
+		)
 	}
 	if err != nil {
 		if !errors.Is(err, archive.ErrCorrupt) { // that was told when it was read
@@ -199,8 +223,10 @@
 // writeHistoryMarker writes the sign that something may be archived, ahead of the first move.
 func (c *Core) writeHistoryMarker(s *archiveSweep) {
 	s.inFlight = true
-	c.commitTxn(wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyHistory}},
-		Then: []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}}}, &pendingTxn{onDone: func(int, wire.TxnResponse) {
+	c.commitTxn(wire.Txn{
+		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyHistory}},
+		Then:    []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}},
+	}, &pendingTxn{onDone: func(int, wire.TxnResponse) {
 		c.afterReadBarrier(func(bool) { s.inFlight = false }) // what came of it shows there
 	}})
 }
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"math"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // assignTasks chooses machines for a job's waiting tasks by the design: 2t candidates from the
@@ -39,7 +40,8 @@
 	if !p.isAcceptance {
 		prio, at = c.effectivePriorityClass(p.job), p.job.effectiveEnqueueMS()
 	}
-	held := c.clusterCopy.capacityHold != nil && prio > c.clusterCopy.capacityHold.Priority && c.clusterCopy.state.IsFresh(c.now)
+	held := c.clusterCopy.capacityHold != nil && prio > c.clusterCopy.capacityHold.Priority &&
+		c.clusterCopy.state.IsFresh(c.now)
 	if limit <= 0 || c.isKnownUnplaceable(s, prio, at, held) {
 		return 0
 	}
@@ -61,11 +63,17 @@
 		}
 	}
 	others, shun := c.queuePositionsOf(prio, at), c.recentlyFailedMachines(p.record)
-	ask := clusterstate.CandidateQuery{Count: int(math.Ceil(c.cfg.CandidateRatio * float64(len(tasks)))), Request: s.Request, FillRandomly: c.cfg.RandomPlacement, HonorReserved: s.Spot,
+	ask := clusterstate.CandidateQuery{
+		Count: int(
+			math.Ceil(c.cfg.CandidateRatio * float64(len(tasks))),
+		), Request: s.Request, FillRandomly: c.cfg.RandomPlacement, HonorReserved: s.Spot,
 		IsAllowed: func(i int32) bool {
 			m := c.machines[i]
-			return c.isSchedulable(m) && c.isFeasible(s, m) && !slices.Contains(shun, m.name) && (only == "" || m.identity.zone == only) && !(held && c.clusterCopy.state.Row(i).Available.Fits(c.clusterCopy.capacityHold.Request))
-		}}
+			return c.isSchedulable(m) && c.isFeasible(s, m) && !slices.Contains(shun, m.name) &&
+				(only == "" || m.identity.zone == only) &&
+				!(held && c.clusterCopy.state.Row(i).Available.Fits(c.clusterCopy.capacityHold.Request))
+		},
+	}
 	if !c.clusterCopy.state.IsFresh(c.now) {
 		for _, m := range c.aliveMachines {
 			if m.status.reported && !m.lifecycle.gone {
@@ -93,8 +101,9 @@
 		}
 		return t
 	}
-	// A zone that has all of a job's tasks that may be there holds no candidates for it. The best of all candidates were often there, as its machines
-	// hold the image: replicas that a lost zone had taken waited for minutes beside hundreds of machines with room in the others.
+	// A zone that has all of a job's tasks that may be there holds no candidates for it. The best
+	// of all candidates were often there, as its machines hold the image: replicas that a lost zone
+	// had taken waited for minutes beside hundreds of machines with room in the others.
 	most := (s.Tasks + 1) / 2
 	full := func() (n int) {
 		for _, k := range zones {
@@ -120,11 +129,19 @@
 	for len(tasks) > 0 {
 		before := full()
 		cands := c.clusterCopy.state.Candidates(c.now, ask, c.rng)
-		if at := c.now + early; early > 0 && len(cands) < ask.Count && (c.placement.yieldedUntil == 0 || at < c.placement.yieldedUntil) {
+		if at := c.now + early; early > 0 && len(cands) < ask.Count &&
+			(c.placement.yieldedUntil == 0 || at < c.placement.yieldedUntil) {
 			c.placement.yieldedUntil = at
 		}
-		if len(cands) == 0 && s.Zone == "" && s.MachineTypes == nil && only == "" && before == 0 && c.clusterCopy.state.IsFresh(c.now) {
-			x := unplaceable{request: s.Request, allowsSpot: s.Spot, heldBack: held, priorityClass: prio, enqueuedAtMS: at}
+		if len(cands) == 0 && s.Zone == "" && s.MachineTypes == nil && only == "" && before == 0 &&
+			c.clusterCopy.state.IsFresh(c.now) {
+			x := unplaceable{
+				request:       s.Request,
+				allowsSpot:    s.Spot,
+				heldBack:      held,
+				priorityClass: prio,
+				enqueuedAtMS:  at,
+			}
 			if early > 0 {
 				x.yieldUntil = c.now + early
 			}
@@ -154,7 +171,12 @@
 					only = m.identity.zone // the first task decides where no zone could be preferred
 				}
 				p.record.LastAttempt++
-				a := jobrecord.Assignment{Task: tasks[0], Machine: mi, Incarnation: m.status.incarnation, Attempt: p.record.LastAttempt}
+				a := jobrecord.Assignment{
+					Task:        tasks[0],
+					Machine:     mi,
+					Incarnation: m.status.incarnation,
+					Attempt:     p.record.LastAttempt,
+				}
 				tasks = tasks[1:]
 				p.assignments = append(p.assignments, a)
 				p.started = append(p.started, a)
@@ -175,7 +197,8 @@
 // busyHorizon is how long a machine's tasks are expected to keep it; services keep it forever. It
 // is worked out again when the tasks change, and once a second.
 func (c *Core) busyHorizon(m *machine) time.Duration {
-	if m.allocation.busyHorizonAt != 0 && m.allocation.busyHorizonAt > m.status.lastChangeAt && c.now-m.allocation.busyHorizonAt < time.Second {
+	if m.allocation.busyHorizonAt != 0 && m.allocation.busyHorizonAt > m.status.lastChangeAt &&
+		c.now-m.allocation.busyHorizonAt < time.Second {
 		return max(0, m.allocation.busyHorizon)
 	}
 	m.allocation.busyHorizon, m.allocation.busyHorizonAt = c.computeBusyHorizon(m), c.now
@@ -224,7 +247,8 @@
 func (c *Core) roomiestZone(s *wire.JobSpec) string {
 	room := map[string]int64{}
 	for _, m := range c.aliveMachines {
-		if r := c.clusterCopy.state.Row(m.index); r != nil && r.Schedulable && c.isSchedulable(m) && c.isFeasible(s, m) {
+		if r := c.clusterCopy.state.Row(m.index); r != nil && r.Schedulable && c.isSchedulable(m) &&
+			c.isFeasible(s, m) {
 			room[m.identity.zone] += tasksFitting(r.Available, s.Request)
 		}
 	}
--- a/core/audit.go
+++ b/core/audit.go
@@ -27,13 +27,27 @@
 
 func (c *Core) newAuditLog() *auditlog.Recorder {
 	k := &c.cfg
-	return auditlog.New(auditlog.Config{Key: k.AuditKey, Node: k.Name, GatherInterval: k.AuditGatherDelay, BlockDelay: k.AuditBlockDelay, LateTxnWindow: k.AuditForgetAfter,
-		ClockErrorMS: k.MaxClockErrorMS, Settings: k.Settings, StartedAt: c.now, Log: c.log})
+	return auditlog.New(auditlog.Config{
+		Key:            k.AuditKey,
+		Node:           k.Name,
+		GatherInterval: k.AuditGatherDelay,
+		BlockDelay:     k.AuditBlockDelay,
+		LateTxnWindow:  k.AuditForgetAfter,
+		ClockErrorMS:   k.MaxClockErrorMS,
+		Settings:       k.Settings,
+		StartedAt:      c.now,
+		Log:            c.log,
+	})
 }
 
 // currentAuditLog is the audit record, as of this moment.
 func (c *Core) currentAuditLog() *auditlog.Recorder {
-	c.auditLog.Env = auditlog.Env{Now: c.now, UnixMS: c.unixMS(), Enabled: c.isAuditing(), MaxValueBytes: c.cfg.MaxValueBytes}
+	c.auditLog.Env = auditlog.Env{
+		Now:           c.now,
+		UnixMS:        c.unixMS(),
+		Enabled:       c.isAuditing(),
+		MaxValueBytes: c.cfg.MaxValueBytes,
+	}
 	return c.auditLog
 }
 
@@ -52,8 +66,8 @@
 	return c.lacksAuditKey() || c.isAuditing() && !c.auditLog.IsStarted()
 }
 
-// unauditedCompares are the conditions under which a change needs no entry: a controller that does not record yet must not
-// act once another one does.
+// unauditedCompares are the conditions under which a change needs no entry: a controller that does
+// not record yet must not act once another one does.
 func (c *Core) unauditedCompares() []wire.Compare {
 	if c.isAuditing() || c.cfg.AuditKey == nil && !c.permissionsInForce() {
 		return nil
@@ -92,7 +106,8 @@
 	if c.storeUnreachable() || !c.holdsLease() {
 		r.RejectReadWaiters()
 	}
-	if r.IsBusy() || !c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) || c.transactions.rateLimit.WriteTokens < 2 {
+	if r.IsBusy() || !c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) ||
+		c.transactions.rateLimit.WriteTokens < 2 {
 		return
 	}
 	if r.IsStarted() {
@@ -106,7 +121,8 @@
 		if status == 400 {
 			c.reduceTxnLimits(t)
 		}
-		if c.currentAuditLog().HandleBlockOutcome(status, reply.Revision) { // what is there now shows with the next barrier
+		// what is there now shows with the next barrier
+		if c.currentAuditLog().HandleBlockOutcome(status, reply.Revision) {
 			c.afterReadBarrier(func(bool) { r.ClearBusy() })
 		}
 	}})
@@ -125,8 +141,18 @@
 		return
 	}
 	x.writeInFlight = true
-	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: KeyRestored, Revision: x.revision}}, Then: []wire.Write{{Delete: KeyRestored}}}
-	told := c.addAuditEntry(&t, "restored", auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: x.description})
+	t := wire.Txn{
+		Compare: []wire.Compare{
+			{Key: keyLeader, Revision: c.leadership.leader.mark},
+			{Key: KeyRestored, Revision: x.revision},
+		},
+		Then: []wire.Write{{Delete: KeyRestored}},
+	}
+	told := c.addAuditEntry(
+		&t,
+		"restored",
+		auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: x.description},
+	)
 	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
 		told(status)
 		c.afterReadBarrier(func(bool) { x.writeInFlight = false })
@@ -137,7 +163,8 @@
 func (c *Core) auditDenial(by Credential, verb, object, why string) {
 	c.log("info", "refused", "who", by.Identity, "verb", verb, "object", object, "why", why)
 	c.Stats.PermissionDenials++
-	c.currentAuditLog().RecordRefusal(audit.GatheredEvent{Identity: by.Identity, Verb: verb, Object: object, Reason: why}, 1)
+	c.currentAuditLog().
+		RecordRefusal(audit.GatheredEvent{Identity: by.Identity, Verb: verb, Object: object, Reason: why}, 1)
 }
 
 // handleReadAudit answers with a part of the record, to those who may read it.
@@ -179,19 +206,24 @@
 		c.respondUnavailable(in.RequestID, "too busy")
 		return
 	}
-	c.readPrefix(audit.BlockPrefix+in.Node+"/", audit.BlockKey(in.Node, in.AfterBlock), auditPageBlocks, func(x RangeResult) {
-		if x.Status != 200 {
-			c.respondUnavailable(in.RequestID, "state service not reached")
-			return
-		}
-		out := wire.AuditPage{More: x.More}
-		for _, it := range x.Items {
-			if _, n, ok := audit.SplitBlockKey(it.Key); ok {
-				out.Blocks = append(out.Blocks, wire.AuditBlock{Number: n, Value: it.Value})
+	c.readPrefix(
+		audit.BlockPrefix+in.Node+"/",
+		audit.BlockKey(in.Node, in.AfterBlock),
+		auditPageBlocks,
+		func(x RangeResult) {
+			if x.Status != 200 {
+				c.respondUnavailable(in.RequestID, "state service not reached")
+				return
 			}
-		}
-		c.respond(in.RequestID, 200, out)
-	})
+			out := wire.AuditPage{More: x.More}
+			for _, it := range x.Items {
+				if _, n, ok := audit.SplitBlockKey(it.Key); ok {
+					out.Blocks = append(out.Blocks, wire.AuditBlock{Number: n, Value: it.Value})
+				}
+			}
+			c.respond(in.RequestID, 200, out)
+		},
+	)
 }
 
 // taskStopEvents are the acts of tasks that were stopped, one for each cause.
@@ -232,7 +264,20 @@
 		if n := len(x.machines) - 3; n > 0 {
 			machines += fmt.Sprintf(" and %d more", n)
 		}
-		acts = append(acts, auditlog.Event{Verb: auditlog.VerbStop, Object: id, Reason: fmt.Sprintf("%s: %d tasks on %s: %s", cause, x.tasks.Count(), machines, strings.Join(tasks, " "))})
+		acts = append(
+			acts,
+			auditlog.Event{
+				Verb:   auditlog.VerbStop,
+				Object: id,
+				Reason: fmt.Sprintf(
+					"%s: %d tasks on %s: %s",
+					cause,
+					x.tasks.Count(),
+					machines,
+					strings.Join(tasks, " "),
+				),
+			},
+		)
 	}
 	return acts
 }
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -138,7 +138,12 @@
 			answerAndCollectWrites(t, c, at, at+time.Millisecond)
 		}
 		c.auditDenial(potter, "cancel", fmt.Sprint("wk-", i%5), "no right to cancel it")
-		c.Handle(at, RequestsDenied{Items: []*pb.AuditItem{{Verb: "GET", Object: "/v1/jobs/x", Why: "a token is needed", Count: 2}}})
+		c.Handle(
+			at,
+			RequestsDenied{
+				Items: []*pb.AuditItem{{Verb: "GET", Object: "/v1/jobs/x", Why: "a token is needed", Count: 2}},
+			},
+		)
 	}
 	c.Handle(5*time.Second, TxnResult{ID: 0, Status: 503})
 	c.ownLease.expiresAt = 0 // an outage
@@ -178,7 +183,10 @@
 	if r := outputsOfType[Response](ask(3*time.Second, anna, "")); len(r) != 1 || r[0].Status != 403 {
 		t.Errorf("anna reads: %+v", r)
 	}
-	c.permissions.roles.Roles[0].Grants = append(c.permissions.roles.Roles[0].Grants, &pb.Grant{Verbs: []pb.Verb{pb.Verb_audit}})
+	c.permissions.roles.Roles[0].Grants = append(
+		c.permissions.roles.Roles[0].Grants,
+		&pb.Grant{Verbs: []pb.Verb{pb.Verb_audit}},
+	)
 	c.permissions.policyStale = true
 	answerAndCollectWrites(t, c, 6*time.Second, 18*time.Second)
 	out := ask(20*time.Second, anna, "")
@@ -190,12 +198,16 @@
 	if e := entries[len(entries)-1]; e.Items[0].Who != "anna" || e.Items[0].Verb != "audit" {
 		t.Errorf("recorded %+v", e)
 	}
-	c.Handle(20500*time.Millisecond, TxnResult{ID: commits[0].ID, Status: 200, Reply: wire.TxnResponse{Revision: c.replica.revision + 1}})
+	c.Handle(
+		20500*time.Millisecond,
+		TxnResult{ID: commits[0].ID, Status: 200, Reply: wire.TxnResponse{Revision: c.replica.revision + 1}},
+	)
 	r := outputsOfType[Response](c.Advance(20500 * time.Millisecond))
 	if len(r) != 1 || r[0].Status != 200 || len(r[0].Body.(wire.AuditChainHeads).Heads) != 1 {
 		t.Fatalf("got %+v", r)
 	}
-	if scans := outputsOfType[ReadRange](ask(21*time.Second, anna, "n0")); len(scans) != 1 || scans[0].Prefix != audit.BlockPrefix+"n0/" {
+	if scans := outputsOfType[ReadRange](ask(21*time.Second, anna, "n0")); len(scans) != 1 ||
+		scans[0].Prefix != audit.BlockPrefix+"n0/" {
 		t.Errorf("the next page waits: %+v", scans)
 	}
 }
@@ -206,7 +218,8 @@
 	watchEvents(c, 1200*time.Millisecond, 11, event(auditlog.KeyInitialized, "1", 11))
 	c.Handle(1200*time.Millisecond, submittedBy(anna, testSubmission("wk-1")))
 	out := c.Advance(5 * time.Second)
-	if s := statusOf(t, out); s != 503 || c.Healthy() || len(outputsOfType[LeaseRequest](out)) != 0 || len(outputsOfType[CommitTxn](out)) != 0 {
+	if s := statusOf(t, out); s != 503 || c.Healthy() || len(outputsOfType[LeaseRequest](out)) != 0 ||
+		len(outputsOfType[CommitTxn](out)) != 0 {
 		t.Errorf("answered %d, healthy %v, did %+v", s, c.Healthy(), out)
 	}
 }
@@ -233,14 +246,29 @@
 	c = newCoreWithPermissions(t)
 	enableAuditing(c, 2*time.Second, 4*time.Second, map[string]string{"idle_ms": "8000", "spare": "1"})
 	c.Handle(1200*time.Millisecond, schemaDeclarations("n0", "n1", "n2"))
-	c.Handle(1200*time.Millisecond, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{event(auditlog.KeyInitialized, "1", 991),
-		event(auditlog.HeadPrefix+"n0", string(head), 992), event(auditlog.Prefix+"settings/"+"n0", `{"idle_ms":"4000","gone":"x"}`, 992),
-		event(KeyRestored, `"snapshot of monday"`, 993), event(keyLeader, string(c.leasedValue(1)), 994)}}})
+	c.Handle(
+		1200*time.Millisecond,
+		WatchResult{
+			LongPoll: true,
+			Status:   200,
+			Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{
+				event(auditlog.KeyInitialized, "1", 991),
+				event(
+					auditlog.HeadPrefix+"n0",
+					string(head),
+					992,
+				), event(auditlog.Prefix+"settings/"+"n0", `{"idle_ms":"4000","gone":"x"}`, 992),
+				event(KeyRestored, `"snapshot of monday"`, 993), event(keyLeader, string(c.leasedValue(1)), 994),
+			}},
+		},
+	)
 	b := auditEntriesIn(t, answerAndCollectWrites(t, c, 1300*time.Millisecond, 10*time.Second))
 	if got := auditVerbs(b); len(got) != 2 || got[0] != "start n0" || got[1] != "restore state" {
 		t.Fatalf("blocks hold %v", got)
 	}
-	if b[0].Why != "settings differ: idle_ms 8000, was 4000, spare 1, was unset, gone unset, was x" || b[0].Life != 2 || b[1].Why != "snapshot of monday" {
+	if b[0].Why != "settings differ: idle_ms 8000, was 4000, spare 1, was unset, gone unset, was x" ||
+		b[0].Life != 2 ||
+		b[1].Why != "snapshot of monday" {
 		t.Errorf("%+v", b)
 	}
 }
@@ -262,17 +290,27 @@
 	}
 }
 
-// A controller that is ended time and again before it puts anything into a block still puts what its first life has left:
-// when only the last eight lives were kept, that was lost.
+// A controller that is ended time and again before it puts anything into a block still puts what
+// its first life has left: when only the last eight lives were kept, that was lost.
 func TestNoAuditEntryIsLostInACrashLoop(t *testing.T) {
 	key := auditlog.Prefix + "of/" + "who/potter"
-	left, err := json.Marshal(carriedValue{[]audit.PendingEntry{testKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 2, Verb: "administer", Object: "potter"})}})
+	left, err := json.Marshal(
+		carriedValue{
+			[]audit.PendingEntry{
+				testKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 2, Verb: "administer", Object: "potter"}),
+			},
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	head := &audit.Head{}
 	for life := range uint64(40) {
-		head = &audit.Head{BlockNumber: life + 1, MAC: make([]byte, 32), Incarnations: head.WithIncarnation(audit.Incarnation{Number: life + 1, NextSequence: 2})}
+		head = &audit.Head{
+			BlockNumber:  life + 1,
+			MAC:          make([]byte, 32),
+			Incarnations: head.WithIncarnation(audit.Incarnation{Number: life + 1, NextSequence: 2}),
+		}
 	}
 	raw, err := json.Marshal(head)
 	if err != nil {
@@ -281,9 +319,21 @@
 	c := newCoreWithPermissions(t)
 	enableAuditing(c, time.Hour, time.Hour, nil)
 	c.Handle(1200*time.Millisecond, schemaDeclarations("n0", "n1", "n2"))
-	c.Handle(1200*time.Millisecond, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{event(auditlog.KeyInitialized, "1", 991),
-		event(auditlog.HeadPrefix+"n0", string(raw), 992), event(key, string(left), 993)}}})
-	if got := auditVerbs(auditEntriesIn(t, answerAndCollectWrites(t, c, 1300*time.Millisecond, 5*time.Second))); !slices.Equal(got, []string{"start n0", "administer potter"}) {
+	c.Handle(
+		1200*time.Millisecond,
+		WatchResult{
+			LongPoll: true,
+			Status:   200,
+			Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{
+				event(auditlog.KeyInitialized, "1", 991),
+				event(auditlog.HeadPrefix+"n0", string(raw), 992), event(key, string(left), 993),
+			}},
+		},
+	)
+	if got := auditVerbs(auditEntriesIn(t, answerAndCollectWrites(t, c, 1300*time.Millisecond, 5*time.Second))); !slices.Equal(
+		got,
+		[]string{"start n0", "administer potter"},
+	) {
 		t.Errorf("blocks hold %v", got)
 	}
 	if n := len(c.auditLog.Heads()["n0"].Incarnations); n != 41 {
@@ -305,7 +355,8 @@
 	}
 	why = append(why, jobrecord.StopReason{Task: 9, Machine: "m1", Cause: "error"})
 	acts := taskStopEvents("wk-1", why)
-	if len(acts) != 2 || acts[0].Reason != "error: 1 tasks on m1: 9" || acts[1].Reason != "silent: 6 tasks on m0 m1 m2 and 3 more: 0-5" {
+	if len(acts) != 2 || acts[0].Reason != "error: 1 tasks on m1: 9" ||
+		acts[1].Reason != "silent: 6 tasks on m0 m1 m2 and 3 more: 0-5" {
 		t.Errorf("%+v", acts)
 	}
 }
--- a/core/auditlog/golden_test.go
+++ b/core/auditlog/golden_test.go
@@ -11,7 +11,11 @@
 
 // What a carrier is stored as, and its key: the same bytes are written, and those of before are read.
 func TestStoredBytesStay(t *testing.T) {
-	v := carrierValue{[]audit.PendingEntry{{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")}}}
+	v := carrierValue{
+		[]audit.PendingEntry{
+			{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")},
+		},
+	}
 	const want = `{"e":[{"a":"node-a","l":3,"q":4,"e":"ZW50cnk=","t":"dGFn"}]}`
 	raw, err := json.Marshal(v)
 	if err != nil || string(raw) != want {
@@ -25,7 +29,13 @@
 	if keys != "dl/audit/ dl/audit/begun dl/audit/head/ dl/audit/of/ dl/audit/settings/" {
 		t.Errorf("keys are %s", keys)
 	}
-	if acts := strings.Join([]string{VerbTakeOver, VerbStart, VerbStop, VerbRestore, VerbForged}, " "); acts != "take start stop restore forged" {
+	if acts := strings.Join([]string{
+		VerbTakeOver,
+		VerbStart,
+		VerbStop,
+		VerbRestore,
+		VerbForged,
+	}, " "); acts != "take start stop restore forged" {
 		t.Errorf("acts are %s", acts)
 	}
 }
--- a/core/auditlog/recorder.go
+++ b/core/auditlog/recorder.go
@@ -1,15 +1,18 @@
-// Package auditlog writes a controller's part of the audit record. It decides what is carried by which value, and when a
-// block is written; it does no I/O: transactions go out, their outcomes and the changes of the state service come in.
+// Package auditlog writes a controller's part of the audit record. It decides what is carried by
+// which value, and when a block is written; it does no I/O: transactions go out, their outcomes and
+// the changes of the state service come in.
 //
-// An entry is written with the change it tells of, at no change more: the job's record carries it, or
-// where no value could, a carrier beside it. The controller that wrote it gathers its entries and puts them into the next
-// block of its chain, once each; the block and the head, which tells all controllers what is in blocks, are one
-// transaction on condition of the head before. Whoever writes a value next drops from it what is in blocks.
+// An entry is written with the change it tells of, at no change more: the job's record carries it,
+// or where no value could, a carrier beside it. The controller that wrote it gathers its entries
+// and puts them into the next block of its chain, once each; the block and the head, which tells
+// all controllers what is in blocks, are one transaction on condition of the head before. Whoever
+// writes a value next drops from it what is in blocks.
 //
-// An entry is named by the life of its process and a count. Whether a former life's entry is in a block is told by the
-// head: so a controller that starts again, reading all keys anyway, finds what its former life has left, and neither
-// forgets an entry nor puts it twice. A transaction whose outcome is not known is settled by what its key carries once
-// that changes; one executed late carries its entry, and is found by the stream of changes.
+// An entry is named by the life of its process and a count. Whether a former life's entry is in a
+// block is told by the head: so a controller that starts again, reading all keys anyway, finds what
+// its former life has left, and neither forgets an entry nor puts it twice. A transaction whose
+// outcome is not known is settled by what its key carries once that changes; one executed late
+// carries its entry, and is found by the stream of changes.
 package auditlog
 
 import (
@@ -142,9 +145,18 @@
 
 // New is a recorder that has recorded nothing.
 func New(cfg Config) *Recorder {
-	return &Recorder{cfg: cfg, heads: map[string]*audit.Head{}, headRevisions: map[string]uint64{}, carriers: map[string]carrier{}, inFlight: map[uint64]*inFlightEntry{},
-		unknownOutcome: map[string][]uint64{}, formerEntries: map[[2]uint64]bool{}, recordedUntil: map[string]time.Duration{},
-		refusals: audit.Aggregator{MaxBytes: maxGatheredBytes}, reads: audit.Aggregator{MaxBytes: maxGatheredBytes}}
+	return &Recorder{
+		cfg:            cfg,
+		heads:          map[string]*audit.Head{},
+		headRevisions:  map[string]uint64{},
+		carriers:       map[string]carrier{},
+		inFlight:       map[uint64]*inFlightEntry{},
+		unknownOutcome: map[string][]uint64{},
+		formerEntries:  map[[2]uint64]bool{},
+		recordedUntil:  map[string]time.Duration{},
+		refusals:       audit.Aggregator{MaxBytes: maxGatheredBytes},
+		reads:          audit.Aggregator{MaxBytes: maxGatheredBytes},
+	}
 }
 
 // IsInitialized reports whether any controller records.
@@ -174,7 +186,9 @@
 		return r.beginIncarnation()
 	}
 	now := r.Env.Now
-	due := len(r.queue) >= fullBlockEntries || len(r.queue) > 0 && now-r.queue[0].queuedAt >= r.cfg.BlockDelay || len(r.readWaiters) > 0 || len(r.formerEntries) > 0 ||
+	due := len(r.queue) >= fullBlockEntries || len(r.queue) > 0 && now-r.queue[0].queuedAt >= r.cfg.BlockDelay ||
+		len(r.readWaiters) > 0 ||
+		len(r.formerEntries) > 0 ||
 		slices.ContainsFunc(r.queue, func(q queuedEntry) bool { return len(q.onRecorded) > 0 })
 	for _, g := range []struct {
 		g     *audit.Aggregator
@@ -202,13 +216,26 @@
 	if len(why) > maxReasonBytes {
 		why = strings.ToValidUTF8(why[:maxReasonBytes], "") + "..."
 	}
-	return &pb.AuditEntry{Life: r.incarnation, Count: r.lastSequence, AtMs: r.Env.UnixMS, Who: audit.TruncateText(x.Identity), Key: audit.TruncateText(x.Key),
-		Verb: x.Verb, Object: audit.TruncateText(x.Object), Why: strings.ToValidUTF8(why, "?")}
+	return &pb.AuditEntry{
+		Life:   r.incarnation,
+		Count:  r.lastSequence,
+		AtMs:   r.Env.UnixMS,
+		Who:    audit.TruncateText(x.Identity),
+		Key:    audit.TruncateText(x.Key),
+		Verb:   x.Verb,
+		Object: audit.TruncateText(x.Object),
+		Why:    strings.ToValidUTF8(why, "?"),
+	}
 }
 
-// AttachEntries returns what a value carries when it is written on condition of its key's mark: what it did and is not in a
-// block, and the entries of the acts, which are named by ids.
-func (r *Recorder) AttachEntries(key string, mark uint64, old []audit.PendingEntry, acts []Event) (list []audit.PendingEntry, ids []uint64) {
+// AttachEntries returns what a value carries when it is written on condition of its key's mark:
+// what it did and is not in a block, and the entries of the acts, which are named by ids.
+func (r *Recorder) AttachEntries(
+	key string,
+	mark uint64,
+	old []audit.PendingEntry,
+	acts []Event,
+) (list []audit.PendingEntry, ids []uint64) {
 	for _, x := range old {
 		if !r.IsRecorded(&x) {
 			list = append(list, x)
@@ -282,7 +309,10 @@
 func (r *Recorder) enqueueWritten(id uint64) {
 	if s := r.inFlight[id]; s != nil {
 		delete(r.inFlight, id)
-		r.queue = append(r.queue, queuedEntry{incarnation: r.incarnation, sequence: id, encoded: s.encoded, queuedAt: r.Env.Now})
+		r.queue = append(
+			r.queue,
+			queuedEntry{incarnation: r.incarnation, sequence: id, encoded: s.encoded, queuedAt: r.Env.Now},
+		)
 	}
 }
 
@@ -303,11 +333,33 @@
 		default:
 			raw := x.Entry
 			if _, err := r.cfg.Key.VerifyEntry(key, x); err != nil {
-				r.cfg.Log("error", "an entry of the audit record was altered", "key", key, "life", x.Incarnation, "count", x.Sequence)
-				raw = audit.Encode(&pb.AuditEntry{Life: x.Incarnation, Count: x.Sequence, AtMs: r.Env.UnixMS, Verb: VerbForged, Object: audit.TruncateText(key), Outcome: pb.AuditOutcome_refused, Why: err.Error()})
+				r.cfg.Log(
+					"error",
+					"an entry of the audit record was altered",
+					"key",
+					key,
+					"life",
+					x.Incarnation,
+					"count",
+					x.Sequence,
+				)
+				raw = audit.Encode(
+					&pb.AuditEntry{
+						Life:    x.Incarnation,
+						Count:   x.Sequence,
+						AtMs:    r.Env.UnixMS,
+						Verb:    VerbForged,
+						Object:  audit.TruncateText(key),
+						Outcome: pb.AuditOutcome_refused,
+						Why:     err.Error(),
+					},
+				)
 			}
 			r.formerEntries[id] = true
-			r.queue = append(r.queue, queuedEntry{incarnation: x.Incarnation, sequence: x.Sequence, encoded: raw, queuedAt: r.Env.Now})
+			r.queue = append(
+				r.queue,
+				queuedEntry{incarnation: x.Incarnation, sequence: x.Sequence, encoded: raw, queuedAt: r.Env.Now},
+			)
 		}
 	}
 	r.ResolveUnknown(key, revision)
@@ -369,10 +421,18 @@
 	if node != r.cfg.Node || r.cfg.Key == nil {
 		return
 	}
-	i := slices.IndexFunc(r.blockAttempts, func(t blockAttempt) bool { return t.blockNumber == h.BlockNumber && string(t.mac) == string(h.MAC) })
+	i := slices.IndexFunc(
+		r.blockAttempts,
+		func(t blockAttempt) bool { return t.blockNumber == h.BlockNumber && string(t.mac) == string(h.MAC) },
+	)
 	if i < 0 {
 		if r.started {
-			r.cfg.Log("error", "the chain of the audit record was continued by another process, or set back", "block", h.BlockNumber)
+			r.cfg.Log(
+				"error",
+				"the chain of the audit record was continued by another process, or set back",
+				"block",
+				h.BlockNumber,
+			)
 		}
 		// What this life has sent shows with the changes, as a former life's.
 		r.started, r.incarnation, r.blockAttempts = false, 0, nil
@@ -409,7 +469,10 @@
 	x := r.newEntry(Event{Verb: verb})
 	x.Outcome, x.Items = outcome, g.Drain(min(gatheredEntryBytes, r.Env.MaxValueBytes/4))
 	*since = r.Env.Now
-	r.queue = append(r.queue, queuedEntry{incarnation: r.incarnation, sequence: x.Count, encoded: audit.Encode(x), queuedAt: r.Env.Now})
+	r.queue = append(
+		r.queue,
+		queuedEntry{incarnation: r.incarnation, sequence: x.Count, encoded: audit.Encode(x), queuedAt: r.Env.Now},
+	)
 }
 
 // nextBlock writes the next block.
@@ -432,7 +495,8 @@
 		}
 	}
 	// All that former lives have left was read at the start. What they did is not executed later than some minutes.
-	if r.Env.Now-r.cfg.StartedAt >= r.cfg.LateTxnWindow && !slices.ContainsFunc(r.queue[n:], func(q queuedEntry) bool { return q.incarnation != r.incarnation }) {
+	if r.Env.Now-r.cfg.StartedAt >= r.cfg.LateTxnWindow &&
+		!slices.ContainsFunc(r.queue[n:], func(q queuedEntry) bool { return q.incarnation != r.incarnation }) {
 		lives = &audit.Head{Incarnations: lives.Incarnations[len(lives.Incarnations)-1:]}
 	}
 	open := slices.Sorted(maps.Keys(r.inFlight))
@@ -443,7 +507,11 @@
 	}
 	slices.Sort(open)
 	next := &audit.Head{BlockNumber: h.BlockNumber + 1, MAC: code, Incarnations: slices.Clone(lives.Incarnations)}
-	next.Incarnations[len(next.Incarnations)-1] = audit.Incarnation{Number: r.incarnation, NextSequence: r.lastSequence + 1, PendingSequences: open}
+	next.Incarnations[len(next.Incarnations)-1] = audit.Incarnation{
+		Number:           r.incarnation,
+		NextSequence:     r.lastSequence + 1,
+		PendingSequences: open,
+	}
 	return r.blockTxn(raw, next, wire.Txn{}, blockAttempt{blockNumber: next.BlockNumber, mac: code, entryCount: n})
 }
 
@@ -459,7 +527,10 @@
 	changed := diffSettings(r.storedSettings, r.cfg.Settings)
 	if len(changed) > 0 || r.settingsRevision == 0 {
 		if raw, err := json.Marshal(r.cfg.Settings); err == nil && len(raw) <= r.Env.MaxValueBytes {
-			t.Compare = append(t.Compare, wire.Compare{Key: settingsPrefix + r.cfg.Node, Revision: r.settingsRevision})
+			t.Compare = append(
+				t.Compare,
+				wire.Compare{Key: settingsPrefix + r.cfg.Node, Revision: r.settingsRevision},
+			)
 			t.Then = append(t.Then, wire.Write{Put: settingsPrefix + r.cfg.Node, Value: raw})
 		}
 	}
@@ -471,13 +542,23 @@
 		why = "settings differ: " + strings.Join(changed, ", ")
 	}
 	e := r.newEntry(Event{Verb: VerbStart, Object: r.cfg.Node, Reason: why})
-	raw, _, code, err := r.cfg.Key.EncodeNextBlock(h, r.cfg.Node, r.cfg.ClockErrorMS, [][]byte{audit.Encode(e)}, r.Env.MaxValueBytes)
+	raw, _, code, err := r.cfg.Key.EncodeNextBlock(
+		h,
+		r.cfg.Node,
+		r.cfg.ClockErrorMS,
+		[][]byte{audit.Encode(e)},
+		r.Env.MaxValueBytes,
+	)
 	if err != nil {
 		r.cfg.Log("error", "the audit record can't begin", "err", err.Error())
 		r.nextBlockAt = r.Env.Now + 10*time.Second
 		return nil
 	}
-	next := &audit.Head{BlockNumber: h.BlockNumber + 1, MAC: code, Incarnations: h.WithIncarnation(audit.Incarnation{Number: r.incarnation, NextSequence: r.lastSequence + 1})}
+	next := &audit.Head{
+		BlockNumber:  h.BlockNumber + 1,
+		MAC:          code,
+		Incarnations: h.WithIncarnation(audit.Incarnation{Number: r.incarnation, NextSequence: r.lastSequence + 1}),
+	}
 	return r.blockTxn(raw, next, t, blockAttempt{blockNumber: next.BlockNumber, mac: code, startsIncarnation: true})
 }
 
@@ -506,7 +587,11 @@
 		panic(err) // bytes and numbers
 	}
 	key := audit.BlockKey(r.cfg.Node, next.BlockNumber)
-	t.Compare = append(t.Compare, wire.Compare{Key: HeadPrefix + r.cfg.Node, Revision: r.headRevisions[r.cfg.Node]}, wire.Compare{Key: key})
+	t.Compare = append(
+		t.Compare,
+		wire.Compare{Key: HeadPrefix + r.cfg.Node, Revision: r.headRevisions[r.cfg.Node]},
+		wire.Compare{Key: key},
+	)
 	t.Then = append(t.Then, wire.Write{Put: key, Value: raw}, wire.Write{Put: HeadPrefix + r.cfg.Node, Value: head})
 	r.blockAttempts = append(r.blockAttempts, x)
 	r.nextHead = next
@@ -514,8 +599,8 @@
 	return &t
 }
 
-// HandleBlockOutcome takes the outcome of the transaction that Step gave. It reports whether what is there must be read first;
-// then Settled is to be called.
+// HandleBlockOutcome takes the outcome of the transaction that Step gave. It reports whether what
+// is there must be read first; then Settled is to be called.
 func (r *Recorder) HandleBlockOutcome(status int, revision uint64) (mustRead bool) {
 	switch status {
 	case 200:
--- a/core/auditlog/recorder_test.go
+++ b/core/auditlog/recorder_test.go
@@ -74,8 +74,15 @@
 			r.Env = Env{Now: now, UnixMS: now.Milliseconds(), Enabled: true, MaxValueBytes: 1200}
 		}
 		start := func() {
-			r = New(Config{Key: key, Node: "n0", GatherInterval: time.Second, BlockDelay: 2 * time.Second, LateTxnWindow: time.Hour, StartedAt: now,
-				Log: func(string, string, ...any) {}})
+			r = New(Config{
+				Key:            key,
+				Node:           "n0",
+				GatherInterval: time.Second,
+				BlockDelay:     2 * time.Second,
+				LateTxnWindow:  time.Hour,
+				StartedAt:      now,
+				Log:            func(string, string, ...any) {},
+			})
 			pass(0)
 			if err := s.replayTo(r); err != nil {
 				t.Fatal(err)
@@ -141,12 +148,26 @@
 					}
 				}
 				it := s.keys[k]
-				list, ids := r.AttachEntries(k, it.Revision, entriesIn(it.Value), []Event{{Verb: "submit", Object: k}})
+				list, ids := r.AttachEntries(
+					k,
+					it.Revision,
+					entriesIn(it.Value),
+					[]Event{{Verb: "submit", Object: k}},
+				)
 				raw, err := json.Marshal(carrierValue{list})
 				if err != nil {
 					t.Fatal(err)
 				}
-				r.HandleOutcome(ids, send(wire.Txn{Compare: []wire.Compare{{Key: k, Revision: it.Revision}}, Then: []wire.Write{{Put: k, Value: raw}}}, how))
+				r.HandleOutcome(
+					ids,
+					send(
+						wire.Txn{
+							Compare: []wire.Compare{{Key: k, Revision: it.Revision}},
+							Then:    []wire.Write{{Put: k, Value: raw}},
+						},
+						how,
+					),
+				)
 			}
 		}
 		for range 60 { // all is well now
@@ -168,7 +189,12 @@
 			for _, e := range b.Entries {
 				if id := [2]uint64{e.Life, e.Count}; e.Verb != VerbStart {
 					if in[id]++; !s.committedEntries[id] || in[id] > 1 {
-						t.Fatalf("entry %v is in %d blocks, its change was made: %v", id, in[id], s.committedEntries[id])
+						t.Fatalf(
+							"entry %v is in %d blocks, its change was made: %v",
+							id,
+							in[id],
+							s.committedEntries[id],
+						)
 					}
 				}
 			}
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -22,8 +22,9 @@
 	rentPlanningWindow = 4 * time.Second // for which rentals are planned
 )
 
-// maxScaleOut is how many machines a plan orders at most, those that the cloud's calls can ask for in a while. What is not sent is planned
-// anew; without a bound, each plan of a full fleet was about thousands of machines that there are not.
+// maxScaleOut is how many machines a plan orders at most, those that the cloud's calls can ask for
+// in a while. What is not sent is planned anew; without a bound, each plan of a full fleet was
+// about thousands of machines that there are not.
 func (c *Core) maxScaleOut() int {
 	return max(4*maxMachinesPerRent, int(c.cfg.CloudRequestRate*rentPlanningWindow.Seconds())*maxMachinesPerRent)
 }
@@ -34,10 +35,17 @@
 	var bins []*bin
 	for _, m := range c.aliveMachines {
 		t := c.autoscaler.catalog[m.identity.machineType]
-		if m.lifecycle.gone || m.leaderView.returnReason != "" || m.leaderView.zoneUnreachable || m.lifecycle.interruptionDeadline > 0 || t == nil || c.isQuarantined(m) {
+		if m.lifecycle.gone || m.leaderView.returnReason != "" || m.leaderView.zoneUnreachable ||
+			m.lifecycle.interruptionDeadline > 0 ||
+			t == nil ||
+			c.isQuarantined(m) {
 			continue
 		}
-		b := &bin{machine: m, nodeGroup: nodeGroup{m.identity.machineType, m.identity.zone, m.identity.spot}, capacity: t.Capacity()}
+		b := &bin{
+			machine:   m,
+			nodeGroup: nodeGroup{m.identity.machineType, m.identity.zone, m.identity.spot},
+			capacity:  t.Capacity(),
+		}
 		if m.status.reported {
 			b.available = b.capacity.AddScaled(c.allocatedOn(m), -1)
 			b.availableSoon = c.releasedSoon(m)
@@ -59,7 +67,14 @@
 		r := l.scaleOutRequests[name]
 		if t := c.autoscaler.catalog[r.request.Type]; t != nil {
 			for i := 0; i < r.request.Count; i++ {
-				bins = append(bins, &bin{nodeGroup: nodeGroup{r.request.Type, r.request.Zone, r.request.Spot}, available: t.Capacity(), capacity: t.Capacity()})
+				bins = append(
+					bins,
+					&bin{
+						nodeGroup: nodeGroup{r.request.Type, r.request.Zone, r.request.Spot},
+						available: t.Capacity(),
+						capacity:  t.Capacity(),
+					},
+				)
 			}
 		}
 	}
@@ -73,7 +88,8 @@
 		if now < n.tasks && !n.isHeadroom {
 			l.unmetJobs++
 		}
-		if now < n.tasks && !n.isHeadroom && !n.isReplacement && n.spec.Spot && n.spec.MachineTypes == nil && n.spec.Zone == "" {
+		if now < n.tasks && !n.isHeadroom && !n.isReplacement && n.spec.Spot && n.spec.MachineTypes == nil &&
+			n.spec.Zone == "" {
 			l.capacityHold = l.capacityHold.withWaiting(n.priorityClass, n.spec.Request)
 		}
 	}
@@ -91,7 +107,15 @@
 			more = true
 			l.scaleOutSeq++
 			name := fmt.Sprintf("h-%d-%s-%06d", l.fencingToken, c.cfg.Name, l.scaleOutSeq)
-			l.scaleOutRequests[name] = &scaleOutRequest{request: wire.ScaleOutRequest{IdempotencyKey: name, Type: p.machineType, Zone: p.zone, Spot: p.spot, Count: n}}
+			l.scaleOutRequests[name] = &scaleOutRequest{
+				request: wire.ScaleOutRequest{
+					IdempotencyKey: name,
+					Type:           p.machineType,
+					Zone:           p.zone,
+					Spot:           p.spot,
+					Count:          n,
+				},
+			}
 		}
 	}
 	c.logPlan(bins, needs)
@@ -120,7 +144,8 @@
 			}
 			continue
 		}
-		old := c.now-max(m.identity.firstSeenAt, m.leaderView.rentedAt) > 60*time.Second || m.leaderView.rentedAt != 0 && c.now-m.leaderView.rentedAt > 60*time.Second
+		old := c.now-max(m.identity.firstSeenAt, m.leaderView.rentedAt) > 60*time.Second ||
+			m.leaderView.rentedAt != 0 && c.now-m.leaderView.rentedAt > 60*time.Second
 		if m.leaderView.cordonedAt == 0 && c.now-m.leaderView.emptySince >= c.idleTimeout(m) && old {
 			m.leaderView.cordonedAt = c.now
 			l.pushRequested = true
@@ -182,7 +207,8 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// autoscalerState is the catalog of machine types (from the cloud, and as stored), arrivals by job class, cloud calls in flight.
+// autoscalerState is the catalog of machine types (from the cloud, and as stored), arrivals by job
+// class, cloud calls in flight.
 type autoscalerState struct {
 	catalog         map[string]*wire.MachineType
 	typeNames       []string // its names, sorted
--- a/core/batchvalue/slot.go
+++ b/core/batchvalue/slot.go
@@ -1,9 +1,11 @@
-// Package batchvalue keeps what changes often of many jobs in one value: their assignments, which tasks are done. A change of the state
-// service then serves all jobs of a slot at once, where a key for each took a change for each.
+// Package batchvalue keeps what changes often of many jobs in one value: their assignments, which
+// tasks are done. A change of the state service then serves all jobs of a slot at once, where a key
+// for each took a change for each.
 //
-// A job's own key stays, with its description and with everything as of its last write, which has a number. An entry of a slot counts on
-// top of the write that it names; with the next write of the key it is void. So nobody needs to take it away, and a reader of both, in
-// whatever order they come, knows which of them is newer.
+// A job's own key stays, with its description and with everything as of its last write, which has a
+// number. An entry of a slot counts on top of the write that it names; with the next write of the
+// key it is void. So nobody needs to take it away, and a reader of both, in whatever order they
+// come, knows which of them is newer.
 package batchvalue
 
 import (
--- a/core/batchvalue/slot_test.go
+++ b/core/batchvalue/slot_test.go
@@ -44,7 +44,8 @@
 func TestDraftStaysWithinLimit(t *testing.T) {
 	s := Slot{Entries: Entries{"wk-1": json.RawMessage(`{"v":1}`), "wk-2": json.RawMessage(`{"v":2}`)}}
 	d := s.BeginDraft(func(id string, _ json.RawMessage) bool { return id == "wk-2" })
-	if len(d.Entries) != 1 || d.TryPut("wk-3", json.RawMessage(`{"v":3}`), 21) || !d.TryPut("wk-3", json.RawMessage(`{"v":3}`), 22) {
+	if len(d.Entries) != 1 || d.TryPut("wk-3", json.RawMessage(`{"v":3}`), 21) ||
+		!d.TryPut("wk-3", json.RawMessage(`{"v":3}`), 22) {
 		t.Errorf("entries %v", d.Entries)
 	}
 	if !d.TryPut("wk-2", json.RawMessage(`{"v":4}`), 22) || d.TryPut("wk-2", json.RawMessage(`{"v":44}`), 22) {
