--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -14,14 +14,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Small jobs share values (docs/notes/shared.md). Each shard has a few slots, which its holder writes, on condition of the shard and of the
-// slot; every write of a job's own key that was there before is on condition of its slot's mark as well, and one by a controller
-// that does not hold the shard, a cancellation, writes the slot too. So of a write of the slot and one of a key that do not know of each
-// other, only one succeeds, however late either is executed.
+// Small jobs share values (docs/notes/shared.md). Each shard has a few slots, which its holder
+// writes, on condition of the shard and of the slot; every write of a job's own key that was there
+// before is on condition of its slot's mark as well, and one by a controller that does not hold the
+// shard, a cancellation, writes the slot too. So of a write of the slot and one of a key that do
+// not know of each other, only one succeeds, however late either is executed.
 
 const (
-	keySlot              = Root + "over/" // slots, by number
-	serviceSlotsPerShard = 2              // of a shard, beside one for arrays: these are written all the time, and services when something is lost
+	keySlot = Root + "over/" // slots, by number
+	// of a shard, beside one for arrays: these are written all the time, and services when something is lost
+	serviceSlotsPerShard = 2
 )
 
 // slotNumber is the number of the slot of a job that is not over.
@@ -45,24 +47,39 @@
 
 func slotKey(n int) string { return fmt.Sprintf("%s%02d", keySlot, n) }
 
-// canShareValues reports whether this controller puts jobs into slots. What carries entries of the audit record, or depends on rights, is
-// written under its own key.
+// canShareValues reports whether this controller puts jobs into slots. What carries entries of the
+// audit record, or depends on rights, is written under its own key.
 func (c *Core) canShareValues() bool {
-	return c.cfg.SharedValues && c.schemaVersion() >= schemaSharedValues && c.cfg.AuditKey == nil && !c.permissionsInForce()
+	return c.cfg.SharedValues && c.schemaVersion() >= schemaSharedValues && c.cfg.AuditKey == nil &&
+		!c.permissionsInForce()
 }
 
-// maxSlotBytes is how many bytes of entries, before they are compressed, may be in a slot: they shrink to half and less.
+// maxSlotBytes is how many bytes of entries, before they are compressed, may be in a slot: they
+// shrink to half and less.
 func (c *Core) maxSlotBytes() int { return c.cfg.MaxValueBytes * 7 / 4 }
 
-// encodeSlotEntry renders what changes of a proposal's job; nil if it can't be shared. A record that nearly fills its value may be cancelled by a
-// mark, of which the slot knows nothing.
+// encodeSlotEntry renders what changes of a proposal's job; nil if it can't be shared. A record
+// that nearly fills its value may be cancelled by a mark, of which the slot knows nothing.
 func (c *Core) encodeSlotEntry(p *proposal) json.RawMessage {
 	j, r := p.job, p.record
 	if !c.canShareValues() || j.revision == 0 || p.isAcceptance || p.isCancellation || r.Stage != jobrecord.Queued || r.Spec == nil || j.cancellation.markerRevision != 0 || j.stored.bytes > c.cfg.MaxValueBytes*3/4 ||
-		p.wantsOwnKey || len(p.compares) > 0 || len(r.PendingAudit) > 0 || !c.ownsJob(j) || len(p.assignments) > c.cfg.MaxValueBytes/40 {
+		p.wantsOwnKey || len(p.compares) > 0 ||
+		len(r.PendingAudit) > 0 ||
+		!c.ownsJob(j) ||
+		len(p.assignments) > c.cfg.MaxValueBytes/40 {
 		return nil
 	}
-	raw, err := c.encodeRecord(&jobrecord.Record{WriteNumber: r.WriteNumber, Shard: r.Shard, CompletedTasks: r.CompletedTasks, LastAttempt: r.LastAttempt, StopReasons: r.StopReasons}, p.assignments, false)
+	raw, err := c.encodeRecord(
+		&jobrecord.Record{
+			WriteNumber:    r.WriteNumber,
+			Shard:          r.Shard,
+			CompletedTasks: r.CompletedTasks,
+			LastAttempt:    r.LastAttempt,
+			StopReasons:    r.StopReasons,
+		},
+		p.assignments,
+		false,
+	)
 	if err != nil || len(raw) > c.cfg.MaxValueBytes/4 {
 		return nil
 	}
@@ -136,7 +153,8 @@
 			return false
 		}
 		e, err := jobrecord.Decode(raw)
-		return err != nil || e.WriteNumber >= j.record.WriteNumber // one of a write that is not seen yet is another's to judge
+		// one of a write that is not seen yet is another's to judge
+		return err != nil || e.WriteNumber >= j.record.WriteNumber
 	})
 	b.addSlot(n, d)
 	return d
@@ -216,7 +234,8 @@
 	}
 }
 
-// releaseSlots notes that it does no more. A slot whose write may have been executed, or that was overtaken, must be read first.
+// releaseSlots notes that it does no more. A slot whose write may have been executed, or that was
+// overtaken, must be read first.
 func (c *Core) releaseSlots(x *pendingTxn, status int, at uint64) (behind []int) {
 	for n := range x.dependentSlots {
 		c.slotState(n).JobKeyWritesInFlight--
--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -32,7 +32,11 @@
 	if described {
 		r.Spec = &wire.JobSpec{Class: "c", Team: "t", Tasks: 2, Request: [3]int64{1000, 0, 1000}, Service: true}
 	}
-	raw, err := c.encodeRecord(r, []jobrecord.Assignment{{Machine: c.internMachineInZone(machine, "a"), Incarnation: 1, Attempt: 1}}, false)
+	raw, err := c.encodeRecord(
+		r,
+		[]jobrecord.Assignment{{Machine: c.internMachineInZone(machine, "a"), Incarnation: 1, Attempt: 1}},
+		false,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,11 +73,22 @@
 		if on() != "m-3" {
 			t.Errorf("%s first: on %s after the record was written again", first, on())
 		}
-		c.applyPut(slotKey(n), encodeSlotValue(t, batchvalue.Entries{"wk-1": recordPlacedOn(t, c, 3, "m-2", false), "wk-9": json.RawMessage(`{"v":1}`)}), 40)
+		c.applyPut(
+			slotKey(n),
+			encodeSlotValue(
+				t,
+				batchvalue.Entries{"wk-1": recordPlacedOn(t, c, 3, "m-2", false), "wk-9": json.RawMessage(`{"v":1}`)},
+			),
+			40,
+		)
 		if on() != "m-3" {
 			t.Errorf("%s first: a void entry counted", first)
 		}
-		c.applyPut(slotKey(n), encodeSlotValue(t, batchvalue.Entries{"wk-1": recordPlacedOn(t, c, 4, "m-4", false)}), 50)
+		c.applyPut(
+			slotKey(n),
+			encodeSlotValue(t, batchvalue.Entries{"wk-1": recordPlacedOn(t, c, 4, "m-4", false)}),
+			50,
+		)
 		if c.applyPut(slotKey(n), value, 45); on() != "m-4" { // a page that was read before
 			t.Errorf("%s first: on %s, an older value counted", first, on())
 		}
@@ -90,8 +105,9 @@
 	return nil
 }
 
-// Of a write of a slot and one of a job's own key that do not know of each other only one may succeed, however late either is
-// executed: a cancellation that did not see a placement would lose the task's machine.
+// Of a write of a slot and one of a job's own key that do not know of each other only one may
+// succeed, however late either is executed: a cancellation that did not see a placement would lose
+// the task's machine.
 func TestSharedWritesExcludeEachOther(t *testing.T) {
 	c := newCoreWithSharedValues(t)
 	c.applyPut(keyJob+"wk-1", recordPlacedOn(t, c, 1, "m-1", true), 10)
@@ -101,7 +117,8 @@
 	c.Handle(time.Second, AgentPolled{Machine: "m-1", Heartbeat: r})
 	c.markMachineGone(c.internMachine("m-1")) // a replica is lost: its record changes
 	x := findTxnWriting(c.Advance(1100*time.Millisecond), n)
-	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: n}) || len(x.Txn.Then) != 1 || !slices.ContainsFunc(x.Txn.Compare, func(k wire.Compare) bool { return k.Key == shardKey(0) }) {
+	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: n}) || len(x.Txn.Then) != 1 ||
+		!slices.ContainsFunc(x.Txn.Compare, func(k wire.Compare) bool { return k.Key == shardKey(0) }) {
 		t.Fatalf("the loss is not in the slot: %+v", x)
 	}
 	// While that is on its way, a cancellation waits; once it is answered, it is on condition of the new mark.
@@ -111,17 +128,26 @@
 	}
 	c.Handle(1300*time.Millisecond, TxnResult{ID: x.ID, Status: 200, Reply: wire.TxnResponse{Revision: 60}})
 	y := findTxnWriting(c.Advance(1350*time.Millisecond), keyJob+"wk-1")
-	if y == nil || !slices.Contains(y.Txn.Compare, wire.Compare{Key: n, Revision: 60}) || !slices.Contains(y.Txn.Compare, wire.Compare{Key: keyJob + "wk-1", Revision: 10}) {
+	if y == nil || !slices.Contains(y.Txn.Compare, wire.Compare{Key: n, Revision: 60}) ||
+		!slices.Contains(y.Txn.Compare, wire.Compare{Key: keyJob + "wk-1", Revision: 10}) {
 		t.Fatalf("the cancellation is %+v", y)
 	}
 	// A controller that does not hold the shard writes the slot as well.
 	c = newCoreWithSharedValues(t)
 	c.applyPut(keyJob+"wk-1", recordPlacedOn(t, c, 1, "m-1", true), 10)
-	c.applyPut(n, encodeSlotValue(t, batchvalue.Entries{"wk-1": recordPlacedOn(t, c, 1, "m-2", false), "wk-2": json.RawMessage(`{"v":1}`)}), 20)
+	c.applyPut(
+		n,
+		encodeSlotValue(
+			t,
+			batchvalue.Entries{"wk-1": recordPlacedOn(t, c, 1, "m-2", false), "wk-2": json.RawMessage(`{"v":1}`)},
+		),
+		20,
+	)
 	c.ownership.shards[0].Node = "n1"
 	c.Handle(time.Second, CancelJob{RequestID: 5, ID: "wk-1", UnixMS: 1})
 	y = findTxnWriting(c.Advance(1100*time.Millisecond), n)
-	if y == nil || findTxnWriting([]Output{*y}, keyJob+"wk-1") == nil || !slices.Contains(y.Txn.Compare, wire.Compare{Key: n, Revision: 20}) {
+	if y == nil || findTxnWriting([]Output{*y}, keyJob+"wk-1") == nil ||
+		!slices.Contains(y.Txn.Compare, wire.Compare{Key: n, Revision: 20}) {
 		t.Fatalf("the cancellation by another is %+v", y)
 	}
 	for _, w := range y.Txn.Then {
@@ -139,10 +165,22 @@
 	c := newCoreWithSharedValues(t)
 	c.cfg.MaxValueBytes = 600
 	for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6", "wk-7", "wk-8"} {
-		r := &jobrecord.Record{WriteNumber: 1, LastAttempt: 40, Spec: &wire.JobSpec{Class: "c", Team: "t", Tasks: 40, Request: [3]int64{1, 0, 1}}}
+		r := &jobrecord.Record{
+			WriteNumber: 1,
+			LastAttempt: 40,
+			Spec:        &wire.JobSpec{Class: "c", Team: "t", Tasks: 40, Request: [3]int64{1, 0, 1}},
+		}
 		var place []jobrecord.Assignment
 		for k := range 6 {
-			place = append(place, jobrecord.Assignment{Task: int32(k * 3), Machine: c.internMachineInZone("m-"+id+string(rune('a'+k)), "a"), Incarnation: uint64(k + 1), Attempt: uint64(k*7 + i)})
+			place = append(
+				place,
+				jobrecord.Assignment{
+					Task:        int32(k * 3),
+					Machine:     c.internMachineInZone("m-"+id+string(rune('a'+k)), "a"),
+					Incarnation: uint64(k + 1),
+					Attempt:     uint64(k*7 + i),
+				},
+			)
 		}
 		raw, err := c.encodeRecord(r, place, true)
 		if err != nil {
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -12,10 +12,11 @@
 	"dewlift/wire"
 )
 
-// A user is told that a job is cancelled once a majority of the controllers holds that, or nothing of the job is on a machine; and whoever
-// renews a worker's lease knows what was told (core/quorum, docs/notes/cancellation.md). Here is what the core does for it: it holds answers
-// back, asks and answers for what others hold, has the news of cancellations current, and stops with each answer to a worker what is
-// cancelled there.
+// A user is told that a job is cancelled once a majority of the controllers holds that, or nothing
+// of the job is on a machine; and whoever renews a worker's lease knows what was told (core/quorum,
+// docs/notes/cancellation.md). Here is what the core does for it: it holds answers back, asks and
+// answers for what others hold, has the news of cancellations current, and stops with each answer
+// to a worker what is cancelled there.
 
 // QuorumRead asks for the cancellations that a controller holds and the sender may lack.
 type QuorumRead struct {
@@ -51,7 +52,8 @@
 	return time.Duration(c.unixMS()-j.record.CancelledAtMS) * time.Millisecond
 }
 
-// latestCancelRevision is a revision at which a cancelled job's cancellation was there: whoever has seen it knows of that.
+// latestCancelRevision is a revision at which a cancelled job's cancellation was there: whoever has
+// seen it knows of that.
 func (j *job) latestCancelRevision() uint64 { return max(j.revision, j.cancellation.markerRevision) }
 
 // canAckCancellation reports whether users may be told that a job is cancelled.
@@ -60,7 +62,8 @@
 		return true
 	}
 	// A controller of an older version neither vouches nor asks: as long as there may be one, the tasks must be gone.
-	j.ack.allowed = c.schemaVersion() >= schemaCancelQuorum && c.cancelAcks.quorum.CanAcknowledge(j.latestCancelRevision(), j.ack.heldBy)
+	j.ack.allowed = c.schemaVersion() >= schemaCancelQuorum &&
+		c.cancelAcks.quorum.CanAcknowledge(j.latestCancelRevision(), j.ack.heldBy)
 	return j.ack.allowed
 }
 
@@ -75,7 +78,8 @@
 	c.emit(Response{RequestID: req, Status: status, Body: s})
 }
 
-// advanceCancelAcks sees to it that the news of cancellations is current, and that those may be told that users wait for.
+// advanceCancelAcks sees to it that the news of cancellations is current, and that those may be
+// told that users wait for.
 func (c *Core) advanceCancelAcks() {
 	if c.cancelAcks.quorum.IsReadDue(c.now) && c.now >= c.cancelAcks.nextReadAt {
 		c.cancelAcks.nextReadAt = c.now + time.Second
@@ -93,7 +97,10 @@
 			c.emit(Response{RequestID: u.requestID, Status: 200, Body: c.jobState(u.job)})
 			return true
 		case c.now >= u.deadline:
-			c.respondUnavailable(u.requestID, "its tasks may still run: other controllers do not know yet that it is cancelled")
+			c.respondUnavailable(
+				u.requestID,
+				"its tasks may still run: other controllers do not know yet that it is cancelled",
+			)
 			return true
 		}
 		if c.schemaVersion() >= schemaCancelQuorum && c.now >= u.job.ack.nextBroadcastAt {
@@ -126,26 +133,32 @@
 		items = append(items, wire.KeyValue{Key: keyJob + j.id, Value: raw, Revision: j.revision})
 		if j.cancellation.markerRevision != 0 {
 			raw := cancelMarker{CancelMS: j.cancellation.markerMS, Carried: j.cancellation.markerAudit}.encode()
-			items = append(items, wire.KeyValue{Key: keyCancel + j.id, Value: raw, Revision: j.cancellation.markerRevision})
+			items = append(
+				items,
+				wire.KeyValue{Key: keyCancel + j.id, Value: raw, Revision: j.cancellation.markerRevision},
+			)
 		}
 	}
 	return items
 }
 
-// applyPeerCancellations takes cancellations that another controller holds, as if the stream of changes had shown them: what it shows later of the same
-// writes or older ones is ignored. It names the jobs that are held now.
+// applyPeerCancellations takes cancellations that another controller holds, as if the stream of
+// changes had shown them: what it shows later of the same writes or older ones is ignored. It names
+// the jobs that are held now.
 func (c *Core) applyPeerCancellations(items []wire.KeyValue) (held []string) {
 	for _, it := range items {
 		id, ok := jobIDOfCancelKey(it.Key)
 		if !ok {
 			continue
 		}
-		// What the stream has shown is held, and may have left memory since: a copy that comes late must not bring it back.
+		// What the stream has shown is held, and may have left memory since: a copy that comes late
+		// must not bring it back.
 		shown := it.Revision <= c.replica.revision
 		if !shown {
 			c.applyPut(it.Key, it.Value, it.Revision)
 		}
-		if j := c.knownJob(id); (shown || j != nil && j.record.Stage == jobrecord.Cancelled) && !slices.Contains(held, id) {
+		if j := c.knownJob(id); (shown || j != nil && j.record.Stage == jobrecord.Cancelled) &&
+			!slices.Contains(held, id) {
 			held = append(held, id)
 		}
 	}
@@ -161,8 +174,9 @@
 	return "", false
 }
 
-// handleQuorumMessage takes what another controller says of cancellations, and answers it. A controller that has not read all keys holds nothing: it may
-// vouch that the state service is down, but not for this.
+// handleQuorumMessage takes what another controller says of cancellations, and answers it. A
+// controller that has not read all keys holds nothing: it may vouch that the state service is down,
+// but not for this.
 func (c *Core) handleQuorumMessage(peer string, m *Message) {
 	if !c.replica.loaded {
 		return
@@ -186,7 +200,13 @@
 				list = append(list, j)
 			}
 		}
-		c.sendToPeers(peer, Message{QuorumReply: &QuorumReply{q.Nonce, c.cancellationsKnownUpTo()}, Cancellations: c.cancellationItems(list)})
+		c.sendToPeers(
+			peer,
+			Message{
+				QuorumReply:   &QuorumReply{q.Nonce, c.cancellationsKnownUpTo()},
+				Cancellations: c.cancellationItems(list),
+			},
+		)
 	}
 	if v := m.QuorumReply; v != nil {
 		if c.cancelAcks.quorum.HandleReply(peer, v.Nonce) {
@@ -196,12 +216,13 @@
 	}
 }
 
-// stopCommandsFor are the orders that go with the answer to a worker's report: whatever is cancelled there stops. That needs no write and no right
-// to the job's shard.
+// stopCommandsFor are the orders that go with the answer to a worker's report: whatever is
+// cancelled there stops. That needs no write and no right to the job's shard.
 func (c *Core) stopCommandsFor(m *machine) []wire.Command {
 	var keys []attemptKey // mostly none: only these are sorted, as each report is answered
 	for k, p := range m.status.tasks {
-		if j := c.jobs[k.jobIndex]; p.state != wire.TaskExited && j != nil && j.record != nil && j.record.Stage == jobrecord.Cancelled {
+		if j := c.jobs[k.jobIndex]; p.state != wire.TaskExited && j != nil && j.record != nil &&
+			j.record.Stage == jobrecord.Cancelled {
 			keys = append(keys, k)
 		}
 	}
@@ -209,18 +230,29 @@
 	list := []wire.Command{}
 	for _, k := range keys {
 		grace := 0.0
-		list = append(list, wire.Command{Op: wire.OpStop, Task: wire.TaskName(c.jobs[k.jobIndex].id, int(k.task)), Attempt: k.attempt, GracePeriodS: &grace})
+		list = append(
+			list,
+			wire.Command{
+				Op:           wire.OpStop,
+				Task:         wire.TaskName(c.jobs[k.jobIndex].id, int(k.task)),
+				Attempt:      k.attempt,
+				GracePeriodS: &grace,
+			},
+		)
 	}
 	return list
 }
 
-// findRestartableCancelledTask names a cancelled task that is not on a machine and may still be started there by an order on its way, too late. Such an order is
-// of the machine's session: who does not renew its lease ends that. (In an outage no higher token can be had, which would do it too.)
+// findRestartableCancelledTask names a cancelled task that is not on a machine and may still be
+// started there by an order on its way, too late. Such an order is of the machine's session: who
+// does not renew its lease ends that. (In an outage no higher token can be had, which would do it
+// too.)
 func (c *Core) findRestartableCancelledTask(m *machine) string {
 	var late []taskKey // mostly none
 	for k, a := range m.allocation.assignments {
 		j := c.jobs[k.jobIndex]
-		if !j.isCancelledWithTasks() || a.Incarnation != m.status.incarnation || c.timeSinceCancel(j) <= c.cancelStalenessBound() {
+		if !j.isCancelledWithTasks() || a.Incarnation != m.status.incarnation ||
+			c.timeSinceCancel(j) <= c.cancelStalenessBound() {
 			continue
 		}
 		if _, there := m.status.tasks[attemptKey{k.jobIndex, k.task, a.Attempt}]; there {
@@ -249,7 +281,10 @@
 	case !c.canAnswerAgents():
 		return "not entitled"
 	case !c.cancelAcks.quorum.IsFresh(c.now):
-		return fmt.Sprintf("cancellations of more than %v ago may not be known here", c.cancelStalenessBound().Round(time.Second))
+		return fmt.Sprintf(
+			"cancellations of more than %v ago may not be known here",
+			c.cancelStalenessBound().Round(time.Second),
+		)
 	case r.FencingToken > c.leadership.fencingToken:
 		return "token not current"
 	}
@@ -259,7 +294,8 @@
 	return ""
 }
 
-// cancelAcks is acknowledging cancellations: the quorum's view, answers that wait for it, and how long somebody may wait.
+// cancelAcks is acknowledging cancellations: the quorum's view, answers that wait for it, and how
+// long somebody may wait.
 type cancelAcks struct {
 	waitersUntil  time.Duration // until then, somebody may wait for a cancellation
 	quorum        *quorum.View  // see cancellations.go
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -1,12 +1,14 @@
 package core
 
 import (
-	"dewlift/core/jobrecord"
 	"slices"
 	"time"
+
+	"dewlift/core/jobrecord"
 )
 
-// forEachUnconfirmedStop calls f for each task of a cancelled job that is not proven to be off its machine, with the time since its cancellation.
+// forEachUnconfirmedStop calls f for each task of a cancelled job that is not proven to be off its
+// machine, with the time since its cancellation.
 func (c *Core) forEachUnconfirmedStop(f func(j *job, a jobrecord.Assignment, m *machine, age time.Duration)) {
 	for _, j := range c.openJobs {
 		if !j.isCancelledWithTasks() {
@@ -30,7 +32,9 @@
 		if !c.ownsJob(j) {
 			return
 		}
-		if t := m.commands.attempts[attemptKey{j.index, a.Task, a.Attempt}]; t != nil && t.maxUnansweredToken != 0 && m.status.fencingToken <= t.maxUnansweredToken && c.leadership.fencingToken <= t.maxUnansweredToken {
+		if t := m.commands.attempts[attemptKey{j.index, a.Task, a.Attempt}]; t != nil && t.maxUnansweredToken != 0 &&
+			m.status.fencingToken <= t.maxUnansweredToken &&
+			c.leadership.fencingToken <= t.maxUnansweredToken {
 			c.raiseFencingToken()
 		}
 		if age > time.Duration(c.cfg.CancelScaleInShare*float64(c.cfg.CancelTimeout)) {
@@ -52,10 +56,11 @@
 	outageReturnRankShare = 0.04 // of it, that each controller leaves to the one before it in a machine's order
 )
 
-// returnMachinesInOutage returns machines on which cancelled tasks may still be, while the state service is down for all and so nobody leads: one that
-// hangs or is cut off kept them beyond their time, as nothing but its return takes them off it. Returning needs neither a write nor a right. It
-// may be repeated by anybody, and what is returned in vain costs work that is begun again. Whoever leads afterwards has the proof by returning
-// them once more.
+// returnMachinesInOutage returns machines on which cancelled tasks may still be, while the state
+// service is down for all and so nobody leads: one that hangs or is cut off kept them beyond their
+// time, as nothing but its return takes them off it. Returning needs neither a write nor a right.
+// It may be repeated by anybody, and what is returned in vain costs work that is begun again.
+// Whoever leads afterwards has the proof by returning them once more.
 func (c *Core) returnMachinesInOutage() {
 	r := &c.outageReturn
 	if r.inFlight || c.now < r.nextAttemptAt || c.holdsLease() || !c.isStoreOutage() {
@@ -68,7 +73,8 @@
 		if c.now-max(m.status.lastHeartbeatAt, c.stalls.runningSince) > c.silenceTimeout() {
 			share = c.cfg.CancelScaleInShare
 		} else if _, there := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; !there {
-			return // it has ended and was cleared by somebody with newer records; one that may still come is mayComeBack's
+			// it has ended and was cleared by somebody with newer records; one that may still come is mayComeBack's
+			return
 		}
 		if age > time.Duration((share+outageReturnRankShare*float64(c.machineRank(m)))*float64(c.cfg.CancelTimeout)) {
 			due[m.name] = true
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // fetchCatalog keeps the machine types; every controller needs them.
@@ -53,8 +54,10 @@
 		return
 	}
 	same := slices.EqualFunc(k.Types, c.autoscaler.storedCatalog.Types, func(a, b wire.MachineType) bool {
-		return a.Name == b.Name && a.CPUs == b.CPUs && a.GPUs == b.GPUs && a.MemoryGB == b.MemoryGB && a.Price == b.Price &&
-			a.BootS == b.BootS && slices.Equal(a.Zones, b.Zones)
+		return a.Name == b.Name && a.CPUs == b.CPUs && a.GPUs == b.GPUs && a.MemoryGB == b.MemoryGB &&
+			a.Price == b.Price &&
+			a.BootS == b.BootS &&
+			slices.Equal(a.Zones, b.Zones)
 	})
 	if same {
 		return
@@ -64,6 +67,9 @@
 		return
 	}
 	c.autoscaler.storeInFlight = true
-	t := wire.Txn{Compare: []wire.Compare{{Key: keyMachineTypes, Revision: c.autoscaler.storedRevision}}, Then: []wire.Write{{Put: keyMachineTypes, Value: raw}}}
+	t := wire.Txn{
+		Compare: []wire.Compare{{Key: keyMachineTypes, Revision: c.autoscaler.storedRevision}},
+		Then:    []wire.Write{{Put: keyMachineTypes, Value: raw}},
+	}
 	c.commitTxn(t, &pendingTxn{onDone: func(int, wire.TxnResponse) { c.autoscaler.storeInFlight = false }})
 }
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/wire"
 )
 
 type scaleOutRequest struct {
@@ -68,7 +69,8 @@
 			if m.identity.address == "" {
 				m.identity.address = e.Addr
 			}
-			if at := c.now - time.Duration(e.AgeS*float64(time.Second)); m.leaderView.rentedAt == 0 && e.AgeS >= 0 && e.AgeS < 1e9 {
+			if at := c.now - time.Duration(e.AgeS*float64(time.Second)); m.leaderView.rentedAt == 0 && e.AgeS >= 0 &&
+				e.AgeS < 1e9 {
 				m.leaderView.rentedAt = at
 			}
 			if e.Stage == wire.MachineFailed {
@@ -83,8 +85,24 @@
 func (c *Core) markForReturn(m *machine, why string) {
 	if m.leaderView.returnReason == "" && !m.lifecycle.gone {
 		m.leaderView.returnReason = why
-		c.log("info", "machine to be returned", "machine", m.name, "type", m.identity.machineType, "zone", m.identity.zone, "spot", m.identity.spot, "why", why,
-			"tasks", len(m.allocation.assignments), "quiet_ms", (c.now - m.status.lastHeartbeatAt).Milliseconds())
+		c.log(
+			"info",
+			"machine to be returned",
+			"machine",
+			m.name,
+			"type",
+			m.identity.machineType,
+			"zone",
+			m.identity.zone,
+			"spot",
+			m.identity.spot,
+			"why",
+			why,
+			"tasks",
+			len(m.allocation.assignments),
+			"quiet_ms",
+			(c.now - m.status.lastHeartbeatAt).Milliseconds(),
+		)
 	}
 }
 
@@ -139,7 +157,10 @@
 		for _, n := range names {
 			c.confirmGone(c.internMachine(n))
 		}
-		l.failedMachines = slices.DeleteFunc(l.failedMachines, func(n string) bool { return slices.Contains(names, n) })
+		l.failedMachines = slices.DeleteFunc(
+			l.failedMachines,
+			func(n string) bool { return slices.Contains(names, n) },
+		)
 	})
 }
 
@@ -178,7 +199,20 @@
 		}
 		if !r.sent {
 			r.sent = true
-			c.log("info", "renting", "hire", name, "type", r.request.Type, "zone", r.request.Zone, "spot", r.request.Spot, "count", r.request.Count)
+			c.log(
+				"info",
+				"renting",
+				"hire",
+				name,
+				"type",
+				r.request.Type,
+				"zone",
+				r.request.Zone,
+				"spot",
+				r.request.Spot,
+				"count",
+				r.request.Count,
+			)
 		}
 	}
 }
--- a/core/config.go
+++ b/core/config.go
@@ -1,11 +1,12 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/access"
 	"dewlift/audit"
 	"dewlift/booking"
 	"dewlift/priorityclass"
-	"time"
 )
 
 // Config is all that a core needs to know at its start.
@@ -66,27 +67,30 @@
 	LostTaskBatchDelay      time.Duration // how long the losses of a job of many tasks wait for each other
 	SubmitWriteTimeout      time.Duration // for the write of a submission or cancellation
 	HealthInterval          time.Duration
-	FullScanInterval        time.Duration       // between two looks at everything
-	YieldAfter              time.Duration       // that a job has waited for room when later ones no longer pass it
-	PriorityAgingInterval   time.Duration       // after which waiting work counts as a step more important; 0: never
-	ScaleOutLeadTime        time.Duration       // from a need to the rental, and from a boot to the first start
-	Permissions             *access.Policy      // rights where the state service has none; nil: none, and everyone may do everything
-	SharedValues            bool                // small jobs share values
-	ReservationRetention    time.Duration       // how long bookings that are over stay in pages
-	PriorityClasses         *priorityclass.List // where the state service has none; nil: a lane for each priority
-	Equipment               *booking.Inventory  // what can be booked where the state service has no list; nil: nothing
-	Archive                 bool                // ended jobs may move into the archive
-	MaxEndedJobs            int                 // of the ended jobs, those of late that stay in memory and keep their records
-	HistoryCacheBytes       int                 // bytes of blocks that are remembered
-	HistoryReadShare        float64             // of the requests, what looking for ended jobs may take
-	ArchiveStartDelay       time.Duration       // after every controller knows the archive, until the first move
-	AuditKey                audit.Key           // nil: nothing is recorded
-	AuditGatherDelay        time.Duration       // how long refusals and reads are gathered
-	AuditBlockDelay         time.Duration       // how long other entries wait to share a block
-	AuditForgetAfter        time.Duration       // after which nothing of a controller's former lives is executed any more
-	MaxClockErrorMS         uint32              // how far the time of day may be off
-	Settings                map[string]string   // as they are recorded
-	CancelScaleInShare      float64             // of CancelIn, after which machines with cancelled tasks are returned
+	FullScanInterval        time.Duration // between two looks at everything
+	YieldAfter              time.Duration // that a job has waited for room when later ones no longer pass it
+	PriorityAgingInterval   time.Duration // after which waiting work counts as a step more important; 0: never
+	ScaleOutLeadTime        time.Duration // from a need to the rental, and from a boot to the first start
+	// rights where the state service has none; nil: none, and everyone may do everything
+	Permissions          *access.Policy
+	SharedValues         bool                // small jobs share values
+	ReservationRetention time.Duration       // how long bookings that are over stay in pages
+	PriorityClasses      *priorityclass.List // where the state service has none; nil: a lane for each priority
+	Equipment            *booking.Inventory  // what can be booked where the state service has no list; nil: nothing
+	Archive              bool                // ended jobs may move into the archive
+	// of the ended jobs, those of late that stay in memory and keep their records
+	MaxEndedJobs      int
+	HistoryCacheBytes int           // bytes of blocks that are remembered
+	HistoryReadShare  float64       // of the requests, what looking for ended jobs may take
+	ArchiveStartDelay time.Duration // after every controller knows the archive, until the first move
+	AuditKey          audit.Key     // nil: nothing is recorded
+	AuditGatherDelay  time.Duration // how long refusals and reads are gathered
+	AuditBlockDelay   time.Duration // how long other entries wait to share a block
+	// after which nothing of a controller's former lives is executed any more
+	AuditForgetAfter   time.Duration
+	MaxClockErrorMS    uint32            // how far the time of day may be off
+	Settings           map[string]string // as they are recorded
+	CancelScaleInShare float64           // of CancelIn, after which machines with cancelled tasks are returned
 }
 
 // Team is a team with its guarantee and limit in thousandths; 0 means none.
--- a/core/core.go
+++ b/core/core.go
@@ -43,8 +43,6 @@
 	reservationState reservationState
 	restoreMarker    restoreMarker
 
-	nodePut bool
-
 	overload overload.State
 
 	outageReturn outageReturnState // see orders.go
@@ -79,9 +77,16 @@
 // New makes a core; seed feeds its randomness.
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, startedAt: now,
-		machineIndex: map[string]int32{}, jobIndex: map[string]int32{}, teamIndex: map[string]int{},
-		reservations: reservations.New(), history: newHistory(&cfg), permissions: permissionState{identities: map[string]storedIdentity{}},
+		cfg:          cfg,
+		rng:          rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		now:          now,
+		startedAt:    now,
+		machineIndex: map[string]int32{},
+		jobIndex:     map[string]int32{},
+		teamIndex:    map[string]int{},
+		reservations: reservations.New(),
+		history:      newHistory(&cfg),
+		permissions:  permissionState{identities: map[string]storedIdentity{}},
 	}
 	c.replica.batchValues = map[int]*batchvalue.Slot{}
 	c.controllers.membership = membership.New(cfg.Peers, cfg.PeerTimeout)
@@ -99,7 +104,9 @@
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
 	c.priority.classes = priorityclass.Default(cfg.PriorityAgingInterval)
 	c.auditLog = c.newAuditLog()
-	c.cancelAcks.quorum = quorum.New(quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.CancelTimeout, AgentLeaseTTL: cfg.AgentLeaseTTL})
+	c.cancelAcks.quorum = quorum.New(
+		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.CancelTimeout, AgentLeaseTTL: cfg.AgentLeaseTTL},
+	)
 	c.clusterCopy.state.MaxAge = cfg.StateCopyExpiry
 	c.updateRateLimit()
 	c.transactions.rateLimit.FillBurst()
@@ -119,7 +126,8 @@
 
 // Healthy is the answer to health checks.
 func (c *Core) Healthy() bool {
-	return c.replica.loaded && !c.isNotServing() && c.autoscaler.catalog != nil && (c.holdsLease() || c.isStoreOutage())
+	return c.replica.loaded && !c.isNotServing() && c.autoscaler.catalog != nil &&
+		(c.holdsLease() || c.isStoreOutage())
 }
 
 // Handle takes an input; Advance returns what comes of it.
@@ -152,7 +160,12 @@
 		c.handleSetPriorityClasses(in)
 	case RequestsDenied:
 		for _, it := range in.Items {
-			c.currentAuditLog().RecordRefusal(audit.GatheredEvent{Identity: it.Who, Verb: it.Verb, Object: it.Object, Reason: it.Why}, it.Count)
+			c.currentAuditLog().RecordRefusal(audit.GatheredEvent{
+				Identity: it.Who,
+				Verb:     it.Verb,
+				Object:   it.Object,
+				Reason:   it.Why,
+			}, it.Count)
 		}
 	case AgentHeartbeat:
 		c.handleHeartbeat(in)
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -14,14 +14,50 @@
 )
 
 func testConfig() Config {
-	return Config{SchemaVersion: SchemaVersion, Name: "n0", Peers: []string{"n1", "n2"}, Teams: []Team{{Name: "t"}}, LeaseTTL: 4 * time.Second, Shards: 4,
-		StoreRequestRate: 100, StoreWriteRate: 100, MaxWriteShare: 0.6, MaxValueBytes: 8192, MaxTxnOps: 12, CloudRequestRate: 4, HeartbeatInterval: 3 * time.Second,
-		AgentLeaseTTL: 20 * time.Second, CancelTimeout: 40 * time.Second, DeltaInterval: 50 * time.Millisecond, StatePushInterval: 200 * time.Millisecond,
-		StateCopyExpiry: 10 * time.Second, CandidateRatio: 2, SilenceTimeout: 2 * time.Second, BootTimeoutFactor: 3, FullStatePushInterval: 10 * time.Second, MinStatePushInterval: 100 * time.Millisecond, CommandRetryInterval: time.Second, MaxCommandRequests: 400, MaxPollRequests: 100,
-		EndedTaskClearDelay: 2 * time.Second, RelayTimeout: 3 * time.Second, PeerTimeout: 1500 * time.Millisecond, PreemptionRetryInterval: 4 * time.Second,
-		CloudListInterval: 2500 * time.Millisecond, MaxEndBatchDelay: 2 * time.Second, CancelScaleInShare: 0.35,
-		LostTaskBatchDelay: 700 * time.Millisecond, SubmitWriteTimeout: 1500 * time.Millisecond, HealthInterval: 500 * time.Millisecond, FullScanInterval: 20 * time.Second, ScaleOutLeadTime: 3 * time.Second,
-		MaxEndedJobs: 100, HistoryCacheBytes: 1 << 20, HistoryReadShare: 0.5, Archive: true}
+	return Config{
+		SchemaVersion:           SchemaVersion,
+		Name:                    "n0",
+		Peers:                   []string{"n1", "n2"},
+		Teams:                   []Team{{Name: "t"}},
+		LeaseTTL:                4 * time.Second,
+		Shards:                  4,
+		StoreRequestRate:        100,
+		StoreWriteRate:          100,
+		MaxWriteShare:           0.6,
+		MaxValueBytes:           8192,
+		MaxTxnOps:               12,
+		CloudRequestRate:        4,
+		HeartbeatInterval:       3 * time.Second,
+		AgentLeaseTTL:           20 * time.Second,
+		CancelTimeout:           40 * time.Second,
+		DeltaInterval:           50 * time.Millisecond,
+		StatePushInterval:       200 * time.Millisecond,
+		StateCopyExpiry:         10 * time.Second,
+		CandidateRatio:          2,
+		SilenceTimeout:          2 * time.Second,
+		BootTimeoutFactor:       3,
+		FullStatePushInterval:   10 * time.Second,
+		MinStatePushInterval:    100 * time.Millisecond,
+		CommandRetryInterval:    time.Second,
+		MaxCommandRequests:      400,
+		MaxPollRequests:         100,
+		EndedTaskClearDelay:     2 * time.Second,
+		RelayTimeout:            3 * time.Second,
+		PeerTimeout:             1500 * time.Millisecond,
+		PreemptionRetryInterval: 4 * time.Second,
+		CloudListInterval:       2500 * time.Millisecond,
+		MaxEndBatchDelay:        2 * time.Second,
+		CancelScaleInShare:      0.35,
+		LostTaskBatchDelay:      700 * time.Millisecond,
+		SubmitWriteTimeout:      1500 * time.Millisecond,
+		HealthInterval:          500 * time.Millisecond,
+		FullScanInterval:        20 * time.Second,
+		ScaleOutLeadTime:        3 * time.Second,
+		MaxEndedJobs:            100,
+		HistoryCacheBytes:       1 << 20,
+		HistoryReadShare:        0.5,
+		Archive:                 true,
+	}
 }
 
 func outputsOfType[T Output](out []Output) []T {
@@ -37,7 +73,9 @@
 // Controllers that restarted while the cloud was down served nobody until it was back: they
 // did not know the machine types.
 func TestServesWithStoredMachineTypesWhileCloudIsDown(t *testing.T) {
-	raw, err := json.Marshal(wire.Catalog{Types: []wire.MachineType{{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}}}})
+	raw, err := json.Marshal(
+		wire.Catalog{Types: []wire.MachineType{{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}}}},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +110,13 @@
 func TestLargestJobFitsAValue(t *testing.T) {
 	for _, perMachine := range []int{1, 8} {
 		c := New(testConfig(), 0, 1)
-		spec := &wire.JobSpec{ID: "wk-1", Class: "c", Team: "t", Tasks: wire.MaxTasksPerJob, Request: [3]int64{100, 0, 100}}
+		spec := &wire.JobSpec{
+			ID:      "wk-1",
+			Class:   "c",
+			Team:    "t",
+			Tasks:   wire.MaxTasksPerJob,
+			Request: [3]int64{100, 0, 100},
+		}
 		rec := &jobrecord.Record{Spec: spec, CompletedTasks: jobrecord.TaskSet{0, 90_000}, LastAttempt: 91_000}
 		var place []jobrecord.Assignment
 		least := 1 << 20
@@ -96,7 +140,8 @@
 					continue
 				}
 				rec.CompletedTasks = rec.CompletedTasks.Add(int(a.Task))
-				if raw, err := c.encodeRecord(rec, append(slices.Clone(odd), p.assignments[i+1:]...), false); err != nil || len(raw) > c.cfg.MaxValueBytes {
+				if raw, err := c.encodeRecord(rec, append(slices.Clone(odd), p.assignments[i+1:]...), false); err != nil ||
+					len(raw) > c.cfg.MaxValueBytes {
 					t.Fatalf("round %d: %d bytes, at most %d fit (%v)", round, len(raw), c.cfg.MaxValueBytes, err)
 				}
 			}
@@ -143,12 +188,22 @@
 // the one before.
 func TestJobOfHundredsIsPlacedAtOnce(t *testing.T) {
 	c := New(testConfig(), 0, 1)
-	spec := &wire.JobSpec{ID: "wk-1", Class: "some-class", Team: "t", Tasks: 500, Request: [3]int64{4000, 0, 8900}, Image: "an-image"}
+	spec := &wire.JobSpec{
+		ID:      "wk-1",
+		Class:   "some-class",
+		Team:    "t",
+		Tasks:   500,
+		Request: [3]int64{4000, 0, 8900},
+		Image:   "an-image",
+	}
 	p := &proposal{record: &jobrecord.Record{Spec: spec, LastAttempt: 500}, spec: spec}
 	for i := 0; i < 500; i++ {
 		m := c.internMachine(wire.TaskName("m", 100000+i/5))
 		m.identity.zone = []string{"a-zone", "b-zone"}[i/5%2]
-		p.assignments = append(p.assignments, jobrecord.Assignment{Task: int32(i), Machine: m.index, Incarnation: 1, Attempt: uint64(i + 1)})
+		p.assignments = append(
+			p.assignments,
+			jobrecord.Assignment{Task: int32(i), Machine: m.index, Incarnation: 1, Attempt: uint64(i + 1)},
+		)
 	}
 	p.started = p.assignments
 	raw, err := c.encodeWithinLimit(p)
@@ -182,22 +237,38 @@
 	cfg := testConfig()
 	c := New(cfg, 0, 1)
 	c.Advance(time.Second)
-	types, err := json.Marshal(wire.Catalog{Types: []wire.MachineType{{Name: "x", CPUs: 4, MemoryGB: 8, Price: 1, Zones: []string{"a"}}}})
+	types, err := json.Marshal(
+		wire.Catalog{Types: []wire.MachineType{{Name: "x", CPUs: 4, MemoryGB: 8, Price: 1, Zones: []string{"a"}}}},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Handle(time.Second, SnapshotPage{OK: true, Revision: 5, Items: []wire.KeyValue{{Key: keyMachineTypes, Value: types, Revision: 5}}})
+	c.Handle(
+		time.Second,
+		SnapshotPage{
+			OK:       true,
+			Revision: 5,
+			Items:    []wire.KeyValue{{Key: keyMachineTypes, Value: types, Revision: 5}},
+		},
+	)
 	c.Handle(time.Second, LeaseResult{Op: "grant", Status: 200, LeaseID: 7})
 	ev := []wire.WatchEvent{{Put: keyFencingToken, Value: json.RawMessage("1"), Revision: 6}}
 	for i := range cfg.Shards {
 		ev = append(ev, wire.WatchEvent{Put: shardKey(i), Value: c.leasedValue(1), Revision: 6})
 	}
-	c.Handle(time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 6, Events: ev}})
+	c.Handle(
+		time.Second,
+		WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 6, Events: ev}},
+	)
 	return c
 }
 
 func testSubmission(id string) SubmitJob {
-	return SubmitJob{RequestID: 1, ID: id, Spec: wire.JobSpec{ID: id, Class: "c", Team: "t", Tasks: 1, Request: [3]int64{1000, 0, 1000}}}
+	return SubmitJob{
+		RequestID: 1,
+		ID:        id,
+		Spec:      wire.JobSpec{ID: id, Class: "c", Team: "t", Tasks: 1, Request: [3]int64{1000, 0, 1000}},
+	}
 }
 
 // A transaction whose outcome stays unknown while all keys are read again once sent the core
@@ -284,14 +355,25 @@
 }
 
 func testHeartbeat(seq uint64, pieces ...wire.TaskStatus) *wire.Heartbeat {
-	return &wire.Heartbeat{Machine: "m-1", Addr: "x:1", Type: "x", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 1, Tasks: pieces}
+	return &wire.Heartbeat{
+		Machine:      "m-1",
+		Addr:         "x:1",
+		Type:         "x",
+		Zone:         "a",
+		Incarnation:  1,
+		Sequence:     seq,
+		FencingToken: 1,
+		Tasks:        pieces,
+	}
 }
 
 func newLeadingCore(t *testing.T) *Core {
 	t.Helper()
 	c := newServingCore(t)
-	c.Handle(time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 7,
-		Events: []wire.WatchEvent{{Put: keyLeader, Value: c.leasedValue(1), Revision: 7}}}})
+	c.Handle(time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{
+		Revision: 7,
+		Events:   []wire.WatchEvent{{Put: keyLeader, Value: c.leasedValue(1), Revision: 7}},
+	}})
 	c.Handle(time.Second, AgentHeartbeat{RequestID: 9, Heartbeat: testHeartbeat(1)})
 	return c
 }
@@ -308,7 +390,13 @@
 		if try == 0 {
 			t.Fatal("the first job was not placed")
 		}
-		c.Handle(2*time.Second, AgentHeartbeat{RequestID: 10, Heartbeat: testHeartbeat(2, wire.TaskStatus{Task: "wk-1/0", Attempt: try, Stage: wire.TaskRunning})})
+		c.Handle(
+			2*time.Second,
+			AgentHeartbeat{
+				RequestID: 10,
+				Heartbeat: testHeartbeat(2, wire.TaskStatus{Task: "wk-1/0", Attempt: try, Stage: wire.TaskRunning}),
+			},
+		)
 		high := testSubmission("wk-2")
 		high.Spec.Service, high.Spec.Priority = true, prio
 		c.Handle(2*time.Second, high)
@@ -336,9 +424,21 @@
 	p := func(task string, try uint64, stage, cause string) wire.TaskStatus {
 		return wire.TaskStatus{Task: "wk-1/" + task, Attempt: try, Stage: stage, Cause: cause}
 	}
-	c.Handle(6*time.Second, AgentHeartbeat{RequestID: 10, Heartbeat: testHeartbeat(2, p("0", 1, wire.TaskRunning, ""), p("1", 2, wire.TaskRunning, ""))})
+	c.Handle(
+		6*time.Second,
+		AgentHeartbeat{
+			RequestID: 10,
+			Heartbeat: testHeartbeat(2, p("0", 1, wire.TaskRunning, ""), p("1", 2, wire.TaskRunning, "")),
+		},
+	)
 	runFor(c, 6*time.Second, 10*time.Second)
-	c.Handle(10*time.Second, AgentHeartbeat{RequestID: 11, Heartbeat: testHeartbeat(3, p("0", 1, wire.TaskExited, wire.CauseDone), p("1", 2, wire.TaskRunning, ""))})
+	c.Handle(
+		10*time.Second,
+		AgentHeartbeat{
+			RequestID: 11,
+			Heartbeat: testHeartbeat(3, p("0", 1, wire.TaskExited, wire.CauseDone), p("1", 2, wire.TaskRunning, "")),
+		},
+	)
 	runFor(c, 10*time.Second, 12500*time.Millisecond)
 	m := c.internMachine("m-1").index
 	if r := c.leaderState.array.Row(m); r == nil || r.Available[0] != 3000 {
@@ -373,7 +473,13 @@
 		t.Errorf("%d reports for n1 went by way of n2, want 1", via)
 	}
 	// And one that is to be passed on is passed on unchanged.
-	c.Handle(4*time.Second, PeerMessage{Peer: "n2", Message: Message{RelayTo: "n1", RelayedFrom: "n2", MachinesToReturn: []string{"m-9"}}})
+	c.Handle(
+		4*time.Second,
+		PeerMessage{
+			Peer:    "n2",
+			Message: Message{RelayTo: "n1", RelayedFrom: "n2", MachinesToReturn: []string{"m-9"}},
+		},
+	)
 	passed := false
 	for _, o := range outputsOfType[SendToPeer](c.Advance(4 * time.Second)) {
 		passed = passed || o.Peer == "n1" && len(o.Message.MachinesToReturn) == 1
@@ -410,7 +516,10 @@
 		}
 		c.Advance(8 * time.Second)
 		c.internMachine("m-1").status.lastPollAt = 0
-		c.Handle(8100*time.Millisecond, PeerMessage{Peer: "n1", Message: Message{PollMachines: []string{"m-1", "m-unknown"}}})
+		c.Handle(
+			8100*time.Millisecond,
+			PeerMessage{Peer: "n1", Message: Message{PollMachines: []string{"m-1", "m-unknown"}}},
+		)
 		probes, told := 0, 0
 		for _, o := range c.Advance(8100 * time.Millisecond) {
 			switch o := o.(type) {
@@ -433,7 +542,16 @@
 	c := newLeadingCore(t)
 	m := c.internMachine("m-1")
 	fail := func(seq uint64, id string, try uint64, cause string) {
-		c.Handle(2*time.Second, AgentHeartbeat{RequestID: seq, Heartbeat: testHeartbeat(seq, wire.TaskStatus{Task: id + "/0", Attempt: try, Stage: wire.TaskExited, Cause: cause})})
+		c.Handle(
+			2*time.Second,
+			AgentHeartbeat{
+				RequestID: seq,
+				Heartbeat: testHeartbeat(
+					seq,
+					wire.TaskStatus{Task: id + "/0", Attempt: try, Stage: wire.TaskExited, Cause: cause},
+				),
+			},
+		)
 	}
 	for i := uint64(0); i < 5; i++ {
 		fail(10+i, "wk-1", i, wire.CauseError)
@@ -457,7 +575,14 @@
 	c := newLeadingCore(t)
 	runFor(c, time.Second, 6*time.Second)
 	m := c.internMachine("m-1")
-	c.leaderState.applyDeltas(c, "n1", &AllocationDeltas{Seq: 1, Deltas: []AllocationDelta{{Machine: "m-1", Request: clusterstate.Resources{2000, 0, 2000}}}})
+	c.leaderState.applyDeltas(
+		c,
+		"n1",
+		&AllocationDeltas{
+			Seq:    1,
+			Deltas: []AllocationDelta{{Machine: "m-1", Request: clusterstate.Resources{2000, 0, 2000}}},
+		},
+	)
 	runFor(c, 6*time.Second, 6500*time.Millisecond)
 	if r := c.leaderState.array.Row(m.index); r.Available[0] != 6000 {
 		t.Errorf("the row shows %v free after the tuple", r.Available[0])
@@ -465,7 +590,21 @@
 	seq := uint64(10)
 	for now := 6500 * time.Millisecond; now < 12*time.Second; now += time.Second {
 		seq++
-		c.Handle(now, AgentHeartbeat{RequestID: seq, Heartbeat: testHeartbeat(seq, wire.TaskStatus{Task: "wk-1/0", Attempt: seq, Stage: wire.TaskExited, Cause: wire.CauseNoCapacity})})
+		c.Handle(
+			now,
+			AgentHeartbeat{
+				RequestID: seq,
+				Heartbeat: testHeartbeat(
+					seq,
+					wire.TaskStatus{
+						Task:    "wk-1/0",
+						Attempt: seq,
+						Stage:   wire.TaskExited,
+						Cause:   wire.CauseNoCapacity,
+					},
+				),
+			},
+		)
 		runFor(c, now, now+time.Second)
 	}
 	if r := c.leaderState.array.Row(m.index); r.Available[0] != 4000 {
@@ -484,8 +623,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Handle(2*time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 200,
-			Events: []wire.WatchEvent{{Put: keyLeader, Value: other, Revision: 200}}}})
+		c.Handle(2*time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{
+			Revision: 200,
+			Events:   []wire.WatchEvent{{Put: keyLeader, Value: other, Revision: 200}},
+		}})
 		c.Advance(2 * time.Second)
 		if !cut {
 			c.ownLease.expiresAt = time.Hour
@@ -508,7 +649,16 @@
 	m := c.internMachine("m-1")
 	m.leaderView.rentedAt = time.Second
 	for at := 1 * time.Second; at < 30*time.Second; at += 7500 * time.Millisecond {
-		c.Handle(at, AgentHeartbeat{RequestID: uint64(at), Heartbeat: testHeartbeat(uint64(at/time.Millisecond), wire.TaskStatus{Task: "wk-1/0", Attempt: 1, Stage: wire.TaskRunning})})
+		c.Handle(
+			at,
+			AgentHeartbeat{
+				RequestID: uint64(at),
+				Heartbeat: testHeartbeat(
+					uint64(at/time.Millisecond),
+					wire.TaskStatus{Task: "wk-1/0", Attempt: 1, Stage: wire.TaskRunning},
+				),
+			},
+		)
 		runFor(c, at, at+7500*time.Millisecond)
 		if m.leaderView.returnReason != "" {
 			t.Fatalf("returned at %v as %s", c.now, m.leaderView.returnReason)
@@ -579,9 +729,14 @@
 		seq++
 		say(now, seq, "a")
 		j := c.internJob("wk-8")
-		j.revision, j.record, j.assignments = 1, &jobrecord.Record{Spec: &wire.JobSpec{ID: "wk-8", Tasks: 8, Team: "t", Request: [3]int64{4000, 0, 1000}}}, nil
+		j.revision, j.record, j.assignments = 1, &jobrecord.Record{
+			Spec: &wire.JobSpec{ID: "wk-8", Tasks: 8, Team: "t", Request: [3]int64{4000, 0, 1000}},
+		}, nil
 		for i := int32(0); i < 8; i++ { // more than the other zone has room for
-			j.assignments = append(j.assignments, jobrecord.Assignment{Task: i, Machine: lost.index, Incarnation: 1, Attempt: 1})
+			j.assignments = append(
+				j.assignments,
+				jobrecord.Assignment{Task: i, Machine: lost.index, Incarnation: 1, Attempt: 1},
+			)
 			lost.allocation.assignments[taskKey{j.index, i}] = j.assignments[i]
 		}
 		c.markDirty(j)
@@ -641,18 +796,33 @@
 		cfg.Shards, cfg.Peers = 12, []string{"n1", "n2", "n3", "n4"}
 		c := New(cfg, 0, 1)
 		c.Advance(time.Second)
-		types, err := json.Marshal(wire.Catalog{Types: []wire.MachineType{{Name: "x", CPUs: 4, MemoryGB: 8, Price: 1, Zones: []string{"a"}}}})
+		types, err := json.Marshal(
+			wire.Catalog{
+				Types: []wire.MachineType{{Name: "x", CPUs: 4, MemoryGB: 8, Price: 1, Zones: []string{"a"}}},
+			},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
-		in := SnapshotPage{OK: true, Revision: 5, Items: []wire.KeyValue{{Key: keyMachineTypes, Value: types, Revision: 5}, {Key: keyFencingToken, Value: json.RawMessage("1"), Revision: 5}}}
+		in := SnapshotPage{
+			OK:       true,
+			Revision: 5,
+			Items: []wire.KeyValue{
+				{Key: keyMachineTypes, Value: types, Revision: 5},
+				{Key: keyFencingToken, Value: json.RawMessage("1"), Revision: 5},
+			},
+		}
 		names := []string{"n1", "n2", "n3", "n4", "n0"}
 		for i := range names {
 			raw, err := json.Marshal(leasedKey{Node: names[i], LeaseID: uint64(7 + i), FencingToken: 1})
 			if err != nil {
 				t.Fatal(err)
 			}
-			in.Items = append(in.Items, wire.KeyValue{Key: keyNode + names[i], Value: raw, Revision: 5}, wire.KeyValue{Key: keyLeader, Value: raw, Revision: 5})
+			in.Items = append(
+				in.Items,
+				wire.KeyValue{Key: keyNode + names[i], Value: raw, Revision: 5},
+				wire.KeyValue{Key: keyLeader, Value: raw, Revision: 5},
+			)
 			for s := 0; s < 3 && i < 4; s++ {
 				in.Items = append(in.Items, wire.KeyValue{Key: shardKey(i*3 + s), Value: raw, Revision: 5})
 			}
@@ -667,7 +837,8 @@
 	accepted := false
 	for _, o := range outputsOfType[CommitTxn](c.Advance(1100 * time.Millisecond)) {
 		for _, w := range o.Txn.Then {
-			accepted = accepted || w.Put == keyJob+"wk-1" && len(o.Txn.Compare) == 2 // the job's key and the sign of an archive, no shard
+			// the job's key and the sign of an archive, no shard
+			accepted = accepted || w.Put == keyJob+"wk-1" && len(o.Txn.Compare) == 2
 		}
 	}
 	if !accepted {
@@ -857,8 +1028,8 @@
 	}
 }
 
-// A controller whose reads of changes get no answer, while its writes do, held its lease and its shards and did nothing with them: it lets them
-// go until a read is answered.
+// A controller whose reads of changes get no answer, while its writes do, held its lease and its
+// shards and did nothing with them: it lets them go until a read is answered.
 func TestControllerWithStalledWatchLetsItsLeaseExpire(t *testing.T) {
 	c := newServingCore(t)
 	extended := func(from, to time.Duration, status int) (n int) {
@@ -873,7 +1044,10 @@
 			}
 			for _, o := range outputsOfType[Watch](out) {
 				if !o.LongPoll {
-					c.Handle(now, WatchResult{Status: status, Changes: wire.WatchResponse{Revision: c.replica.revision}})
+					c.Handle(
+						now,
+						WatchResult{Status: status, Changes: wire.WatchResponse{Revision: c.replica.revision}},
+					)
 				}
 			}
 			c.afterReadBarrier(func(bool) {})
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
 	"encoding/binary"
 	"slices"
 	"time"
 
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
+
 	"github.com/cespare/xxhash/v2"
 )
 
@@ -41,7 +42,15 @@
 // the write fails, an end follows.
 func (c *Core) recordDelta(start bool, j *job, a jobrecord.Assignment, claim clusterstate.Resources) {
 	m := c.machines[a.Machine]
-	c.deltaLog.unsent = append(c.deltaLog.unsent, AllocationDelta{Start: start, Machine: m.name, Request: claim, AttemptHash: attemptHash(j.id, a.Task, a.Attempt)})
+	c.deltaLog.unsent = append(
+		c.deltaLog.unsent,
+		AllocationDelta{
+			Start:       start,
+			Machine:     m.name,
+			Request:     claim,
+			AttemptHash: attemptHash(j.id, a.Task, a.Attempt),
+		},
+	)
 	if !start {
 		c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Machine: a.Machine, Request: claim})
 		c.placement.capacityFreed = true
@@ -66,7 +75,10 @@
 		return
 	}
 	c.deltaLog.lastSeq++
-	c.retainBatch(c.cfg.Name, deltaBatch{c.deltaLog.lastSeq, c.now, c.leadership.leader.FencingToken, c.deltaLog.unsent})
+	c.retainBatch(
+		c.cfg.Name,
+		deltaBatch{c.deltaLog.lastSeq, c.now, c.leadership.leader.FencingToken, c.deltaLog.unsent},
+	)
 	d := &AllocationDeltas{Seq: c.deltaLog.lastSeq, Deltas: c.deltaLog.unsent}
 	c.deltaLog.unsent = nil
 	if c.leaderState != nil {
@@ -91,7 +103,9 @@
 	}
 	for _, x := range p.Preempted {
 		m, j := c.internMachine(x.Machine), c.internJob(x.Job)
-		if a, ok := m.allocation.assignments[taskKey{j.index, x.Task}]; ok && a.Attempt == x.Attempt && c.ownsJob(j) && !j.isFinal() {
+		if a, ok := m.allocation.assignments[taskKey{j.index, x.Task}]; ok && a.Attempt == x.Attempt &&
+			c.ownsJob(j) &&
+			!j.isFinal() {
 			c.stopTask(m, attemptKey{j.index, x.Task, x.Attempt}, j.record.Spec, "made room for higher priority")
 		}
 	}
@@ -115,7 +129,17 @@
 		if m.identity.machineType == "" {
 			m.identity.machineType, m.identity.zone, m.identity.spot = r.Type, r.Zone, r.Spot
 		}
-		rows = append(rows, clusterstate.Row{Machine: m.index, Available: r.Available, Allocated: r.Allocated, Reserved: r.Reserved, OfferedLast: r.OfferedLast, Schedulable: !r.Unschedulable})
+		rows = append(
+			rows,
+			clusterstate.Row{
+				Machine:     m.index,
+				Available:   r.Available,
+				Allocated:   r.Allocated,
+				Reserved:    r.Reserved,
+				OfferedLast: r.OfferedLast,
+				Schedulable: !r.Unschedulable,
+			},
+		)
 	}
 	var pending []clusterstate.Delta
 	for _, from := range sortedKeys(c.deltaLog.uncounted) {
@@ -142,7 +166,10 @@
 // appendDeltas appends tuples by the indices of their machines.
 func (c *Core) appendDeltas(list []clusterstate.Delta, ds []AllocationDelta) []clusterstate.Delta {
 	for _, d := range ds {
-		list = append(list, clusterstate.Delta{Start: d.Start, Machine: c.internMachine(d.Machine).index, Request: d.Request})
+		list = append(
+			list,
+			clusterstate.Delta{Start: d.Start, Machine: c.internMachine(d.Machine).index, Request: d.Request},
+		)
 	}
 	return list
 }
--- a/core/demand.go
+++ b/core/demand.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"math"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 type classStats struct {
@@ -27,7 +28,10 @@
 	key := r.Spec.Class
 	st := c.autoscaler.classStats[key]
 	if st == nil {
-		st = &classStats{meanTasks: float64(r.Spec.Tasks), meanSquareTasks: float64(r.Spec.Tasks) * float64(r.Spec.Tasks)}
+		st = &classStats{
+			meanTasks:       float64(r.Spec.Tasks),
+			meanSquareTasks: float64(r.Spec.Tasks) * float64(r.Spec.Tasks),
+		}
 		c.autoscaler.classStats[key] = st
 	}
 	st.meanSquareTasks += (float64(r.Spec.Tasks)*float64(r.Spec.Tasks) - st.meanSquareTasks) / 16
@@ -103,8 +107,15 @@
 			}
 			asked[o] = true
 			if in, ok := c.estimateReadyIn(o); ok && in < c.provisioningTime(o.record.Spec) {
-				out = append(out, demand{job: o, spec: o.record.Spec, tasks: min(o.record.Spec.Tasks, c.maxAssignedTasks()), tasksByZone: map[string]int{},
-					isHeadroom: true, priorityClass: o.effectiveClass, enqueuedAtMS: o.effectiveEnqueueMS()})
+				out = append(out, demand{
+					job:           o,
+					spec:          o.record.Spec,
+					tasks:         min(o.record.Spec.Tasks, c.maxAssignedTasks()),
+					tasksByZone:   map[string]int{},
+					isHeadroom:    true,
+					priorityClass: o.effectiveClass,
+					enqueuedAtMS:  o.effectiveEnqueueMS(),
+				})
 			}
 		}
 		if j.unmetDependencies > 0 {
@@ -126,10 +137,31 @@
 			n = min(n, max(0, c.maxTasksWhileFailing(j, j.assignments)-len(j.assignments)))
 		}
 		if n > 0 && c.now >= j.placement.backoffUntil {
-			out = append(out, demand{job: j, spec: s, tasks: min(n, c.maxAssignedTasks()), tasksByZone: zones, priorityClass: c.effectivePriorityClass(j), enqueuedAtMS: j.effectiveEnqueueMS()})
+			out = append(
+				out,
+				demand{
+					job:           j,
+					spec:          s,
+					tasks:         min(n, c.maxAssignedTasks()),
+					tasksByZone:   zones,
+					priorityClass: c.effectivePriorityClass(j),
+					enqueuedAtMS:  j.effectiveEnqueueMS(),
+				},
+			)
 		}
 		if cut > 0 {
-			out = append(out, demand{job: j, spec: s, tasks: cut, tasksByZone: zones, isReplacement: true, priorityClass: c.effectivePriorityClass(j), enqueuedAtMS: j.effectiveEnqueueMS()})
+			out = append(
+				out,
+				demand{
+					job:           j,
+					spec:          s,
+					tasks:         cut,
+					tasksByZone:   zones,
+					isReplacement: true,
+					priorityClass: c.effectivePriorityClass(j),
+					enqueuedAtMS:  j.effectiveEnqueueMS(),
+				},
+			)
 		}
 	}
 	for class, st := range c.autoscaler.classStats {
@@ -142,7 +174,16 @@
 		}
 		s := st.lastSpec
 		s.Tasks = n
-		out = append(out, demand{spec: &s, tasks: n, tasksByZone: map[string]int{}, isHeadroom: true, priorityClass: c.priority.classes.Classify(&s)})
+		out = append(
+			out,
+			demand{
+				spec:          &s,
+				tasks:         n,
+				tasksByZone:   map[string]int{},
+				isHeadroom:    true,
+				priorityClass: c.priority.classes.Classify(&s),
+			},
+		)
 	}
 	slices.SortStableFunc(out, func(a, b demand) int {
 		// Spare room for work that may not use spot machines comes before waiting work that
@@ -206,7 +247,9 @@
 func (c *Core) provisioningTime(s *wire.JobSpec) time.Duration {
 	var quickest time.Duration
 	for _, name := range c.autoscaler.typeNames {
-		if t := c.autoscaler.catalog[name]; c.isMachineTypeAllowed(s, name) && clusterstate.Resources(t.Capacity()).Fits(s.Request) && (quickest == 0 || c.nominalBootTime(name) < quickest) {
+		if t := c.autoscaler.catalog[name]; c.isMachineTypeAllowed(s, name) &&
+			clusterstate.Resources(t.Capacity()).Fits(s.Request) &&
+			(quickest == 0 || c.nominalBootTime(name) < quickest) {
 			quickest = c.nominalBootTime(name)
 		}
 	}
--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -132,8 +132,9 @@
 	}
 }
 
-// effectiveEnqueueMS is the time of day by which controllers compare whose work has waited longest, and plans order needs: since when a job could
-// run, or when it must run to be done in time, if that is earlier.
+// effectiveEnqueueMS is the time of day by which controllers compare whose work has waited longest,
+// and plans order needs: since when a job could run, or when it must run to be done in time, if
+// that is earlier.
 func (j *job) effectiveEnqueueMS() int64 {
 	at := max(j.record.AcceptedAtMS, j.readySinceMS)
 	if j.effectiveDeadlineMS != 0 {
@@ -168,7 +169,8 @@
 		if o.record == nil || o.record.Stage == jobrecord.Done {
 			continue
 		}
-		if o.record.Spec == nil || o.unmetDependencies > 0 || o.isFinal() || o.record.CompletedTasks.Count()+len(o.assignments) < o.record.Spec.Tasks {
+		if o.record.Spec == nil || o.unmetDependencies > 0 || o.isFinal() ||
+			o.record.CompletedTasks.Count()+len(o.assignments) < o.record.Spec.Tasks {
 			return 0, false
 		}
 		for _, a := range o.assignments {
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -36,10 +36,17 @@
 					return o
 				}
 			case CommitTxn:
-				c.Handle(c.now, TxnResult{ID: o.ID, Status: 200, Reply: wire.TxnResponse{Revision: max(c.replica.revision, 1000) + o.ID}})
+				c.Handle(c.now, TxnResult{
+					ID:     o.ID,
+					Status: 200,
+					Reply:  wire.TxnResponse{Revision: max(c.replica.revision, 1000) + o.ID},
+				})
 			case Watch:
 				if !o.LongPoll {
-					c.Handle(c.now, WatchResult{Status: 200, Changes: wire.WatchResponse{Revision: c.replica.revision}})
+					c.Handle(c.now, WatchResult{
+						Status:  200,
+						Changes: wire.WatchResponse{Revision: c.replica.revision},
+					})
 				}
 			}
 		}
@@ -58,7 +65,9 @@
 	}
 	submitAndRespond(t, c, dependentSubmission("wk-1"))
 	r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1"))
-	if st, ok := r.Body.(wire.JobState); r.Status != 201 || !ok || st.Stage != wire.StageQueued || st.DependencyCount != 1 || st.Dependencies[0] != "wk-1" {
+	if st, ok := r.Body.(wire.JobState); r.Status != 201 || !ok || st.Stage != wire.StageQueued ||
+		st.DependencyCount != 1 ||
+		st.Dependencies[0] != "wk-1" {
 		t.Errorf("got %+v", r)
 	}
 	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-77")); r.Status != 200 {
@@ -97,11 +106,24 @@
 	if !asked {
 		t.Fatal("no barrier")
 	}
-	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &wire.JobSpec{Team: "t", Tasks: 1, Request: [3]int64{1, 0, 1}}}, nil, false)
+	raw, err := c.encodeRecord(
+		&jobrecord.Record{Spec: &wire.JobSpec{Team: "t", Tasks: 1, Request: [3]int64{1, 0, 1}}},
+		nil,
+		false,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Handle(2*time.Second, WatchResult{Status: 200, Changes: wire.WatchResponse{Revision: 70, Events: []wire.WatchEvent{{Put: keyJob + "wk-1", Value: raw, Revision: 70}}}})
+	c.Handle(
+		2*time.Second,
+		WatchResult{
+			Status: 200,
+			Changes: wire.WatchResponse{
+				Revision: 70,
+				Events:   []wire.WatchEvent{{Put: keyJob + "wk-1", Value: raw, Revision: 70}},
+			},
+		},
+	)
 	if r := outputsOfType[Response](c.Advance(2 * time.Second)); len(r) > 0 {
 		t.Errorf("answered %+v", r)
 	}
@@ -124,12 +146,30 @@
 
 func TestNothingStartsBeforeItsDependenciesAreDone(t *testing.T) {
 	c := newCoreWithDependencies(t)
-	a, b := addKnownJob(c, 100, wire.JobSpec{}, "wk-1", jobrecord.Queued), addKnownJob(c, 101, wire.JobSpec{}, "wk-2", jobrecord.Queued)
+	a, b := addKnownJob(
+		c,
+		100,
+		wire.JobSpec{},
+		"wk-1",
+		jobrecord.Queued,
+	), addKnownJob(
+		c,
+		101,
+		wire.JobSpec{},
+		"wk-2",
+		jobrecord.Queued,
+	)
 	d := addKnownJob(c, 102, wire.JobSpec{}, "wk-3", jobrecord.Queued, "wk-1", "wk-2")
 	e := addKnownJob(c, 103, wire.JobSpec{}, "wk-4", jobrecord.Queued, "wk-3")
 	runFor(c, 2*time.Second, 4*time.Second)
 	if len(a.assignments) != 1 || len(b.assignments) != 1 || len(d.assignments)+len(e.assignments) != 0 {
-		t.Fatalf("placed %d, %d, %d, %d", len(a.assignments), len(b.assignments), len(d.assignments), len(e.assignments))
+		t.Fatalf(
+			"placed %d, %d, %d, %d",
+			len(a.assignments),
+			len(b.assignments),
+			len(d.assignments),
+			len(e.assignments),
+		)
 	}
 	c.adoptRecord(a, &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}, nil, 3000, 10)
 	runFor(c, 4*time.Second, 5*time.Second)
@@ -203,17 +243,53 @@
 func TestDependenciesInheritPriorityAndDeadline(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	est := wire.JobSpec{Priority: 3, EstimatedRuntimeMS: 10_000}
-	a, b := addKnownJob(c, 100, est, "wk-1", jobrecord.Queued), addKnownJob(c, 101, est, "wk-2", jobrecord.Queued, "wk-1")
+	a, b := addKnownJob(
+		c,
+		100,
+		est,
+		"wk-1",
+		jobrecord.Queued,
+	), addKnownJob(
+		c,
+		101,
+		est,
+		"wk-2",
+		jobrecord.Queued,
+		"wk-1",
+	)
 	if a.effectiveClass != 3 || a.effectiveDeadlineMS != 0 {
 		t.Fatalf("priority %d, due %d", a.effectiveClass, a.effectiveDeadlineMS)
 	}
-	last := addKnownJob(c, 102, wire.JobSpec{Priority: 1, EstimatedRuntimeMS: 5_000, DeadlineMS: 60_000}, "wk-3", jobrecord.Queued, "wk-1", "wk-2")
-	if a.effectiveClass != 1 || b.effectiveClass != 1 || last.effectiveDeadlineMS != 61_000 || b.effectiveDeadlineMS != 56_000 || a.effectiveDeadlineMS != 46_000 {
-		t.Errorf("priorities %d, %d; due %d, %d, %d", a.effectiveClass, b.effectiveClass, a.effectiveDeadlineMS, b.effectiveDeadlineMS, last.effectiveDeadlineMS)
+	last := addKnownJob(
+		c,
+		102,
+		wire.JobSpec{Priority: 1, EstimatedRuntimeMS: 5_000, DeadlineMS: 60_000},
+		"wk-3",
+		jobrecord.Queued,
+		"wk-1",
+		"wk-2",
+	)
+	if a.effectiveClass != 1 || b.effectiveClass != 1 || last.effectiveDeadlineMS != 61_000 ||
+		b.effectiveDeadlineMS != 56_000 ||
+		a.effectiveDeadlineMS != 46_000 {
+		t.Errorf(
+			"priorities %d, %d; due %d, %d, %d",
+			a.effectiveClass,
+			b.effectiveClass,
+			a.effectiveDeadlineMS,
+			b.effectiveDeadlineMS,
+			last.effectiveDeadlineMS,
+		)
 	}
 	c.adoptRecord(last, &jobrecord.Record{Stage: jobrecord.Cancelled}, nil, 500, 10)
 	if a.effectiveClass != 3 || b.effectiveClass != 3 || a.effectiveDeadlineMS != 0 || b.effectiveDeadlineMS != 0 {
-		t.Errorf("after the end of the last: priorities %d, %d, due %d, %d", a.effectiveClass, b.effectiveClass, a.effectiveDeadlineMS, b.effectiveDeadlineMS)
+		t.Errorf(
+			"after the end of the last: priorities %d, %d, due %d, %d",
+			a.effectiveClass,
+			b.effectiveClass,
+			a.effectiveDeadlineMS,
+			b.effectiveDeadlineMS,
+		)
 	}
 }
 
@@ -248,10 +324,22 @@
 		c := newCoreWithDependencies(t)
 		m := c.internMachine("m-1")
 		a := addKnownJob(c, 100, wire.JobSpec{EstimatedRuntimeMS: 10_000}, "wk-1", jobrecord.Queued)
-		addKnownJob(c, 101, wire.JobSpec{EstimatedRuntimeMS: 5_000, DeadlineMS: tc.due}, "wk-2", jobrecord.Queued, "wk-1")
+		addKnownJob(
+			c,
+			101,
+			wire.JobSpec{EstimatedRuntimeMS: 5_000, DeadlineMS: tc.due},
+			"wk-2",
+			jobrecord.Queued,
+			"wk-1",
+		)
 		s := addKnownJob(c, 102, wire.JobSpec{Service: tc.service}, "wk-3", jobrecord.Queued)
 		for _, j := range []*job{a, s} {
-			m.allocation.assignments[taskKey{j.index, 0}] = jobrecord.Assignment{Task: 0, Machine: m.index, Incarnation: 1, Attempt: 1}
+			m.allocation.assignments[taskKey{j.index, 0}] = jobrecord.Assignment{
+				Task:        0,
+				Machine:     m.index,
+				Incarnation: 1,
+				Attempt:     1,
+			}
 		}
 		if got := c.delayMissesDeadline(m, 10*time.Second); got != tc.want {
 			t.Errorf("due %d, replica %v: given up %v", tc.due, tc.service, got)
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -27,7 +27,8 @@
 			m.commands.queued = false // its first report touches it again
 			return true
 		}
-		if m.commands.requestID != 0 || c.now < m.commands.nextSendAt || !m.commands.dirty && c.now < m.commands.lastExaminedAt+c.cfg.CommandRetryInterval {
+		if m.commands.requestID != 0 || c.now < m.commands.nextSendAt ||
+			!m.commands.dirty && c.now < m.commands.lastExaminedAt+c.cfg.CommandRetryInterval {
 			return false
 		}
 		strained := c.isUnresponsive(m)
@@ -86,7 +87,9 @@
 		open = open || !there || j.isFinal()
 		switch {
 		case !there && !j.isFinal():
-			if m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested && c.holdsLease() && c.cancelAcks.quorum.IsFresh(c.now) && len(j.cancellation.waiters) == 0 {
+			if m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested && c.holdsLease() &&
+				c.cancelAcks.quorum.IsFresh(c.now) &&
+				len(j.cancellation.waiters) == 0 {
 				add(wire.OpStart, k, 0)
 			}
 		case !there || p.state == wire.TaskExited:
@@ -102,7 +105,9 @@
 	}
 	for k, p := range m.status.tasks {
 		j := c.jobs[k.jobIndex]
-		if a, ok := m.allocation.assignments[taskKey{k.jobIndex, k.task}]; ok && a.Attempt == k.attempt && a.Incarnation == m.status.incarnation || !c.ownsJob(j) {
+		if a, ok := m.allocation.assignments[taskKey{k.jobIndex, k.task}]; ok && a.Attempt == k.attempt &&
+			a.Incarnation == m.status.incarnation ||
+			!c.ownsJob(j) {
 			continue
 		}
 		open = true
@@ -126,7 +131,8 @@
 	} else if m.commands.nextClearAt == 0 {
 		m.commands.nextClearAt = c.now + c.cfg.EndedTaskClearDelay
 	}
-	if len(list) > 0 || m.commands.nextClearAt != 0 && c.now >= m.commands.nextClearAt || len(clears) > maxEndedReported {
+	if len(list) > 0 || m.commands.nextClearAt != 0 && c.now >= m.commands.nextClearAt ||
+		len(clears) > maxEndedReported {
 		for _, k := range clears {
 			add(wire.OpClear, k, 0)
 		}
@@ -270,7 +276,8 @@
 	requestID uint64
 }
 
-// commandDispatch is commands to agents: which machines may need some, requests in flight, requests relayed for other controllers.
+// commandDispatch is commands to agents: which machines may need some, requests in flight, requests
+// relayed for other controllers.
 type commandDispatch struct {
 	dirtyMachines       []*machine // those that may need orders
 	nextDrainAt         time.Duration
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -1,8 +1,9 @@
 package core
 
 import (
-	"dewlift/wire"
 	"time"
+
+	"dewlift/wire"
 )
 
 // drainInterrupted stops the tasks of machines that the cloud is about to take, where waiting for the end
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -1,21 +1,27 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/wire"
 )
 
 // isSchedulable reports whether new tasks may go to a machine now.
 func (c *Core) isSchedulable(m *machine) bool {
 	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested && !c.isQuarantined(m) && m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
-		c.now >= m.health.avoidUntil && c.now-m.status.lastHeartbeatAt < c.cfg.HeartbeatInterval*2 && (m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) && !c.isZoneSilent(m.identity.zone, placementSilenceLimit)
+		c.now >= m.health.avoidUntil &&
+		c.now-m.status.lastHeartbeatAt < c.cfg.HeartbeatInterval*2 &&
+		(m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) &&
+		!c.isZoneSilent(m.identity.zone, placementSilenceLimit)
 }
 
 func (c *Core) isFeasible(s *wire.JobSpec, m *machine) bool {
 	mt := c.autoscaler.catalog[m.identity.machineType]
-	return mt != nil && c.isMachineTypeAllowed(s, m.identity.machineType) && (s.Zone == "" || s.Zone == m.identity.zone) && (s.Spot || !m.identity.spot) &&
+	return mt != nil && c.isMachineTypeAllowed(s, m.identity.machineType) &&
+		(s.Zone == "" || s.Zone == m.identity.zone) &&
+		(s.Spot || !m.identity.spot) &&
 		fits(mt.Capacity(), s.Request)
 }
 
@@ -91,8 +97,9 @@
 	enqueuedAtMS  int64
 }
 
-// isKnownUnplaceable reports whether a claim can find no room, as a smaller one of a job before it found none since some became
-// free. Without it, all waiting jobs of a full fleet look at all its machines, several times a second.
+// isKnownUnplaceable reports whether a claim can find no room, as a smaller one of a job before it
+// found none since some became free. Without it, all waiting jobs of a full fleet look at all its
+// machines, several times a second.
 func (c *Core) isKnownUnplaceable(s *wire.JobSpec, prio int, at int64, held bool) bool {
 	return slices.ContainsFunc(c.placement.unplaceable, func(x unplaceable) bool {
 		switch {
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -1,15 +1,17 @@
 package core
 
 import (
-	"dewlift/access"
-	pb "dewlift/proto"
-	"dewlift/wire"
 	"hash/fnv"
 	"strconv"
 	"time"
+
+	"dewlift/access"
+	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
-// agentLiveness is what agents said of late and what of it goes to the other controllers; status polls; liveness of zones.
+// agentLiveness is what agents said of late and what of it goes to the other controllers; status
+// polls; liveness of zones.
 type agentLiveness struct {
 	pollsInFlight     int // requests for reports on their way
 	zones             map[string]*zoneLiveness
@@ -50,7 +52,11 @@
 		c.respondUnavailable(in.RequestID, why)
 		return
 	}
-	c.respond(in.RequestID, 200, wire.HeartbeatResponse{FencingToken: c.leadership.fencingToken, Commands: c.stopCommandsFor(m)})
+	c.respond(
+		in.RequestID,
+		200,
+		wire.HeartbeatResponse{FencingToken: c.leadership.fencingToken, Commands: c.stopCommandsFor(m)},
+	)
 }
 
 // taskStatusDigest is the same for two reports that say the same of their tasks, in whatever order.
@@ -77,7 +83,8 @@
 // of other controllers.
 func (c *Core) applyHeartbeat(r *wire.Heartbeat, direct bool) {
 	m := c.internMachine(r.Machine)
-	if m.lifecycle.gone || r.Incarnation < m.status.incarnation || r.Incarnation == m.status.incarnation && r.Sequence <= m.status.heartbeatSeq {
+	if m.lifecycle.gone || r.Incarnation < m.status.incarnation ||
+		r.Incarnation == m.status.incarnation && r.Sequence <= m.status.heartbeatSeq {
 		return
 	}
 	d := taskStatusDigest(r)
@@ -85,7 +92,10 @@
 		// Nothing new: most reports of a large fleet. The others need only know that it lives.
 		c.recordLiveness(m, r.Sequence, r.FencingToken)
 		if direct {
-			c.agents.digestsToRelay = append(c.agents.digestsToRelay, HeartbeatDigest{r.Machine, r.Incarnation, r.Sequence, r.FencingToken, d})
+			c.agents.digestsToRelay = append(
+				c.agents.digestsToRelay,
+				HeartbeatDigest{r.Machine, r.Incarnation, r.Sequence, r.FencingToken, d},
+			)
 		}
 		return
 	}
@@ -184,7 +194,8 @@
 // applyHeartbeatDigest takes the news that a machine reported nothing new to another controller.
 func (c *Core) applyHeartbeatDigest(peer string, h HeartbeatDigest) {
 	m := c.internMachine(h.Machine)
-	if m.lifecycle.gone || h.Incarnation < m.status.incarnation || h.Incarnation == m.status.incarnation && h.Seq <= m.status.heartbeatSeq {
+	if m.lifecycle.gone || h.Incarnation < m.status.incarnation ||
+		h.Incarnation == m.status.incarnation && h.Seq <= m.status.heartbeatSeq {
 		return
 	}
 	if m.status.reported && m.status.incarnation == h.Incarnation && m.status.digest == h.Digest {
@@ -211,19 +222,38 @@
 
 // lastHeartbeatOf is a machine's last report, for a controller that lacks it.
 func (c *Core) lastHeartbeatOf(m *machine) *wire.Heartbeat {
-	r := &wire.Heartbeat{Machine: m.name, Addr: m.identity.address, Type: m.identity.machineType, Zone: m.identity.zone, Spot: m.identity.spot, Incarnation: m.status.incarnation, Sequence: m.status.heartbeatSeq, FencingToken: m.status.fencingToken}
+	r := &wire.Heartbeat{
+		Machine:      m.name,
+		Addr:         m.identity.address,
+		Type:         m.identity.machineType,
+		Zone:         m.identity.zone,
+		Spot:         m.identity.spot,
+		Incarnation:  m.status.incarnation,
+		Sequence:     m.status.heartbeatSeq,
+		FencingToken: m.status.fencingToken,
+	}
 	if m.lifecycle.interruptionDeadline != 0 {
 		left := (m.lifecycle.interruptionDeadline - c.now).Seconds()
 		r.InterruptionNoticeS = &left
 	}
 	for _, k := range m.sortedAttemptKeys() {
 		p := m.status.tasks[k]
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(c.jobs[k.jobIndex].id, int(k.task)), Attempt: k.attempt, Stage: p.state, Cause: p.cause, Checkpointed: p.checkpointed})
+		r.Tasks = append(
+			r.Tasks,
+			wire.TaskStatus{
+				Task:         wire.TaskName(c.jobs[k.jobIndex].id, int(k.task)),
+				Attempt:      k.attempt,
+				Stage:        p.state,
+				Cause:        p.cause,
+				Checkpointed: p.checkpointed,
+			},
+		)
 	}
 	return r
 }
 
-const batchesPerDigest = 4 // batches of tuples from one of reports that say nothing new to the next: a machine is given up after seconds
+// batches of tuples from one of reports that say nothing new to the next: a machine is given up after seconds
+const batchesPerDigest = 4
 
 // broadcastHeartbeats tells the others what machines reported to this controller. Reports that say
 // nothing new, most of them in a large fleet, go as a line each.
@@ -266,12 +296,15 @@
 // and healthy ones were returned.
 func (c *Core) silenceTimeout() time.Duration { return c.maxHeartbeatGap() + c.cfg.SilenceTimeout }
 
-// pollQuietAgent asks a machine for its report when none has come, directly or from others: while the
-// controllers can't reach each other, it is the only news of tasks that report elsewhere. One that does not answer
-// is asked less and less often, and few are asked at a time: every controller asked every machine of a lost zone once a second,
-// and each question held a socket until its timeout. Machines that answer make room for the next at once.
+// pollQuietAgent asks a machine for its report when none has come, directly or from others: while
+// the controllers can't reach each other, it is the only news of tasks that report elsewhere. One
+// that does not answer is asked less and less often, and few are asked at a time: every controller
+// asked every machine of a lost zone once a second, and each question held a socket until its
+// timeout. Machines that answer make room for the next at once.
 func (c *Core) pollQuietAgent(m *machine) {
-	if c.agents.pollsInFlight >= c.cfg.MaxPollRequests || !m.status.reported || c.now-m.status.lastHeartbeatAt <= c.maxHeartbeatGap() || m.status.polls > 0 && c.now-m.status.lastPollAt <= time.Second<<min(m.status.polls-1, 4) {
+	if c.agents.pollsInFlight >= c.cfg.MaxPollRequests || !m.status.reported ||
+		c.now-m.status.lastHeartbeatAt <= c.maxHeartbeatGap() ||
+		m.status.polls > 0 && c.now-m.status.lastPollAt <= time.Second<<min(m.status.polls-1, 4) {
 		return
 	}
 	m.status.lastPollAt, m.status.polls = c.now, m.status.polls+1
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -1,11 +1,12 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/access"
 	"dewlift/booking"
 	pb "dewlift/proto"
 	"dewlift/wire"
-	"time"
 )
 
 // Input is something that happened.
@@ -170,8 +171,9 @@
 	WallClock struct{ UnixMS int64 }
 	// LoadSample tells how the process stands.
 	LoadSample struct {
-		MaxLoopDelay                     time.Duration // the longest that the core's turn was late of late
-		InputQueueUsage, ConnectionUsage float64       // parts of the queue of inputs, and of the connections, that are in use
+		MaxLoopDelay time.Duration // the longest that the core's turn was late of late
+		// parts of the queue of inputs, and of the connections, that are in use
+		InputQueueUsage, ConnectionUsage float64
 	}
 )
 
--- a/core/job.go
+++ b/core/job.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
+	"time"
+
 	"dewlift/audit"
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
-	"time"
 )
 
 type job struct {
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -63,7 +63,11 @@
 )
 
 func newHistory(cfg *Config) history {
-	return history{archiveIndex: archive.NewBlockCache(cfg.HistoryCacheBytes), lookups: map[string]*jobLookup{}, pendingReads: map[uint64]func(RangeResult){}}
+	return history{
+		archiveIndex: archive.NewBlockCache(cfg.HistoryCacheBytes),
+		lookups:      map[string]*jobLookup{},
+		pendingReads: map[uint64]func(RangeResult){},
+	}
 }
 
 // hasFinalRecord reports whether a job is over and nothing of it is left to be done: its record is final.
@@ -89,7 +93,10 @@
 	if len(h.endedJobs) <= c.maxEndedInMemory() {
 		return
 	}
-	h.endedJobs = slices.DeleteFunc(h.endedJobs, func(j *job) bool { return j.archive.archived || !j.archive.counted })
+	h.endedJobs = slices.DeleteFunc(
+		h.endedJobs,
+		func(j *job) bool { return j.archive.archived || !j.archive.counted },
+	)
 	if len(h.endedJobs) <= c.maxEndedInMemory() {
 		return
 	}
@@ -158,7 +165,9 @@
 	}
 	refs := c.referencedJobs()
 	h.evicting = slices.DeleteFunc(h.evicting, func(j *job) bool {
-		if refs[j.index] || j.write.inOpenList || j.write.inFlight || j.write.outcomeUnknown || j.submission != nil || len(j.cancellation.waiters) > 0 || len(j.dependents) > 0 {
+		if refs[j.index] || j.write.inOpenList || j.write.inFlight || j.write.outcomeUnknown || j.submission != nil ||
+			len(j.cancellation.waiters) > 0 ||
+			len(j.dependents) > 0 {
 			return false
 		}
 		if !j.archive.archived {
@@ -219,8 +228,9 @@
 	}
 }
 
-// checkAbsent looks for a job that is not in memory, as of the changes that are known here. It is known whether there is one,
-// and an archived one is remembered, or something must be read first. x tells what a find has read for it; nil: nothing.
+// checkAbsent looks for a job that is not in memory, as of the changes that are known here. It is
+// known whether there is one, and an archived one is remembered, or something must be read first. x
+// tells what a find has read for it; nil: nothing.
 func (c *Core) checkAbsent(id string, x *jobLookup) (known bool, err error) {
 	h := &c.history
 	since := uint64(0)
@@ -397,8 +407,9 @@
 			case in.Status == 404:
 				x.recordAbsent, x.recordAbsentAt = true, in.Revision
 			case in.Status == 200 && len(in.Items) == 1 && in.Items[0].Revision > c.replica.revision:
-				// It is on its way with the stream of changes, and was never counted as cold: counted out here, it left one job too few, and another
-				// that had left memory was denied.
+				// It is on its way with the stream of changes, and was never counted as cold:
+				// counted out here, it left one job too few, and another that had left memory was
+				// denied.
 				x.readInFlight = true
 				c.afterReadBarrier(func(bool) {
 					x.readInFlight = false
@@ -505,7 +516,14 @@
 			err = errors.New("its range is not where it stands")
 		}
 		if err != nil {
-			c.log("error", "block of ended jobs not understood: those in it can't be answered for", "key", it.Key, "err", err.Error())
+			c.log(
+				"error",
+				"block of ended jobs not understood: those in it can't be answered for",
+				"key",
+				it.Key,
+				"err",
+				err.Error(),
+			)
 			h.archiveIndex.PutCorrupt(id, strings.TrimPrefix(it.Key, archive.BlockPrefix), it.Revision, in.Revision)
 		} else {
 			h.archiveIndex.Put(b, it.Value, it.Revision, in.Revision)
@@ -521,7 +539,10 @@
 		return
 	}
 	h.nextResolveAt = c.now + time.Second
-	h.unresolvedDependencies = slices.DeleteFunc(h.unresolvedDependencies, func(j *job) bool { return j.revision != 0 || len(j.dependents) == 0 })
+	h.unresolvedDependencies = slices.DeleteFunc(
+		h.unresolvedDependencies,
+		func(j *job) bool { return j.revision != 0 || len(j.dependents) == 0 },
+	)
 	for _, j := range slices.Clone(h.unresolvedDependencies) {
 		if j.revision == 0 {
 			c.lookUpJob(j.id, func(bool) {})
--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -20,7 +20,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return RangeResult{Status: 200, Revision: ledger, Items: []wire.KeyValue{{Key: archive.BlockKey(b.High), Value: raw, Revision: mark}}}
+	return RangeResult{
+		Status:   200,
+		Revision: ledger,
+		Items:    []wire.KeyValue{{Key: archive.BlockKey(b.High), Value: raw, Revision: mark}},
+	}
 }
 
 func event(key, value string, mark uint64) wire.WatchEvent {
@@ -75,7 +79,8 @@
 func TestNewJobIsWrittenOnlyIfItIsNotArchived(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(time.Second, testSubmission("wk-1"))
-	if x := findAcceptTxn(c.Advance(1100*time.Millisecond), "wk-1"); x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyHistory}) {
+	if x := findAcceptTxn(c.Advance(1100*time.Millisecond), "wk-1"); x == nil ||
+		!slices.Contains(x.Txn.Compare, wire.Compare{Key: keyHistory}) {
 		t.Errorf("before there is an archive: %+v", x)
 	}
 	c = newCoreWithArchive(t)
@@ -84,16 +89,31 @@
 	if findAcceptTxn(out, "wk-5") != nil {
 		t.Fatal("written without a look into the archive")
 	}
-	out = answerRead(t, c, 1300*time.Millisecond, out, archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-6", CompletedTasks: 3}))
+	out = answerRead(
+		t,
+		c,
+		1300*time.Millisecond,
+		out,
+		archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-6", CompletedTasks: 3}),
+	)
 	x := findAcceptTxn(out, "wk-5")
 	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.BlockKey(archive.MaxID), Revision: 9}) {
 		t.Fatalf("got %+v", x)
 	}
 	// Overtaken by a move into that block: it is read again, and holds the job now.
-	c.Handle(1400*time.Millisecond, TxnResult{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{archive.BlockKey(archive.MaxID)}}})
+	c.Handle(
+		1400*time.Millisecond,
+		TxnResult{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{archive.BlockKey(archive.MaxID)}}},
+	)
 	c.Advance(1400 * time.Millisecond)
 	out = completeBarrier(c, 1500*time.Millisecond)
-	out = answerRead(t, c, 1600*time.Millisecond, out, archiveBlockPage(t, 12, 12, archive.Entry{ID: "wk-5", CompletedTasks: 1}))
+	out = answerRead(
+		t,
+		c,
+		1600*time.Millisecond,
+		out,
+		archiveBlockPage(t, 12, 12, archive.Entry{ID: "wk-5", CompletedTasks: 1}),
+	)
 	r := outputsOfType[Response](out)
 	if len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageDone {
 		t.Errorf("the repeat of an archived job got %+v", r)
@@ -103,15 +123,33 @@
 // All that a user may ask of an archived job is answered as before it moved, and again without a read.
 func TestArchivedJobIsAnswered(t *testing.T) {
 	c := newCoreWithArchive(t)
-	e := archive.Entry{ID: "wk-7", Cancelled: true, CompletedTasks: 2, CancelledByJob: "wk-3", StopReasons: []archive.StopReason{{Task: 1, Machine: "m-1", Cause: "idle", AtMS: 77}}}
+	e := archive.Entry{
+		ID:             "wk-7",
+		Cancelled:      true,
+		CompletedTasks: 2,
+		CancelledByJob: "wk-3",
+		StopReasons:    []archive.StopReason{{Task: 1, Machine: "m-1", Cause: "idle", AtMS: 77}},
+	}
 	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-7"})
 	c.Advance(1200 * time.Millisecond)
-	out := answerRead(t, c, 1400*time.Millisecond, completeBarrier(c, 1300*time.Millisecond), archiveBlockPage(t, 9, 10, e))
+	out := answerRead(
+		t,
+		c,
+		1400*time.Millisecond,
+		completeBarrier(c, 1300*time.Millisecond),
+		archiveBlockPage(t, 9, 10, e),
+	)
 	c.Handle(1500*time.Millisecond, CancelJob{RequestID: 2, ID: "wk-7"})
 	c.Handle(1500*time.Millisecond, SubmitJob{RequestID: 3, ID: "wk-7", DecodeError: "nonsense"})
 	c.Handle(1500*time.Millisecond, WatchResult{LongPoll: true, Status: 503}) // also in an outage
 	out = append(out, c.Advance(1500*time.Millisecond)...)
-	want := wire.JobState{ID: "wk-7", Stage: wire.StageCancelled, Done: 2, CancelledBy: "wk-3", TaskStops: []wire.TaskStop{{Task: 1, Machine: "m-1", Cause: "idle", AtMS: 77}}}
+	want := wire.JobState{
+		ID:          "wk-7",
+		Stage:       wire.StageCancelled,
+		Done:        2,
+		CancelledBy: "wk-3",
+		TaskStops:   []wire.TaskStop{{Task: 1, Machine: "m-1", Cause: "idle", AtMS: 77}},
+	}
 	rs := outputsOfType[Response](out)
 	if len(rs) != 3 {
 		t.Fatalf("got %+v", rs)
@@ -125,7 +163,8 @@
 	c.Handle(1600*time.Millisecond, GetJob{RequestID: 4, ID: "wk-8"})
 	c.Advance(1600 * time.Millisecond)
 	out = completeBarrier(c, 1700*time.Millisecond)
-	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != 404 || len(outputsOfType[ReadRange](out)) != 0 {
+	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != 404 ||
+		len(outputsOfType[ReadRange](out)) != 0 {
 		t.Errorf("got %+v", out)
 	}
 	// After a move into its range, the block is no word for that any more.
@@ -141,13 +180,25 @@
 func TestAwaitedJobIsArchivedAtStart(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		c := newCoreWithArchive(t)
-		out := watchEvents(c, 1200*time.Millisecond, 11, event(keyJob+"wk-2", `{"h":0,"s":{"tm":"t","n":1,"rc":[1000,0,1000],"aw":["wk-1"]}}`, 11))
+		out := watchEvents(
+			c,
+			1200*time.Millisecond,
+			11,
+			event(keyJob+"wk-2", `{"h":0,"s":{"tm":"t","n":1,"rc":[1000,0,1000],"aw":["wk-1"]}}`, 11),
+		)
 		j := c.knownJob("wk-2")
 		if j.unmetDependencies != 1 || j.isFinal() {
 			t.Fatal("it does not wait")
 		}
-		answerRead(t, c, 1300*time.Millisecond, out, archiveBlockPage(t, 9, 11, archive.Entry{ID: "wk-1", Cancelled: cancelled, CompletedTasks: 1}))
-		if !cancelled && (j.unmetDependencies != 0 || !j.placement.hasUnplacedTasks) || cancelled && (!j.isFinal() || j.cancelledBy.id != "wk-1") {
+		answerRead(
+			t,
+			c,
+			1300*time.Millisecond,
+			out,
+			archiveBlockPage(t, 9, 11, archive.Entry{ID: "wk-1", Cancelled: cancelled, CompletedTasks: 1}),
+		)
+		if !cancelled && (j.unmetDependencies != 0 || !j.placement.hasUnplacedTasks) ||
+			cancelled && (!j.isFinal() || j.cancelledBy.id != "wk-1") {
 			t.Errorf("cancelled %v: waits %d, final %v", cancelled, j.unmetDependencies, j.isFinal())
 		}
 	}
@@ -157,17 +208,40 @@
 // until the archive is read: as its replica has them, they run.
 func TestJobMovedWhileChangesWereNotFollowed(t *testing.T) {
 	c := newCoreWithArchive(t)
-	watchEvents(c, 1200*time.Millisecond, 11, event(keyJob+"wk-2", `{"h":0,"s":{"tm":"t","n":1,"rc":[1000,0,1000]},"a":[{"z":"a","s":1,"p":"m-1","m":[""],"n":[1],"r":[0,1,1]}]}`, 11))
+	watchEvents(
+		c,
+		1200*time.Millisecond,
+		11,
+		event(
+			keyJob+"wk-2",
+			`{"h":0,"s":{"tm":"t","n":1,"rc":[1000,0,1000]},"a":[{"z":"a","s":1,"p":"m-1","m":[""],"n":[1],"r":[0,1,1]}]}`,
+			11,
+		),
+	)
 	if len(c.internMachine("m-1").allocation.assignments) != 1 {
 		t.Fatal("not assigned")
 	}
 	c.Handle(1300*time.Millisecond, WatchResult{LongPoll: true, Status: 410})
-	c.Handle(1400*time.Millisecond, SnapshotPage{OK: true, Revision: 20000, Items: []wire.KeyValue{{Key: keyHistory, Value: json.RawMessage("1"), Revision: 10}}})
+	c.Handle(
+		1400*time.Millisecond,
+		SnapshotPage{
+			OK:       true,
+			Revision: 20000,
+			Items:    []wire.KeyValue{{Key: keyHistory, Value: json.RawMessage("1"), Revision: 10}},
+		},
+	)
 	c.Handle(1500*time.Millisecond, GetJob{RequestID: 1, ID: "wk-2"})
 	c.Advance(1500 * time.Millisecond)
-	out := answerRead(t, c, 1700*time.Millisecond, completeBarrier(c, 1600*time.Millisecond), archiveBlockPage(t, 15000, 20000, archive.Entry{ID: "wk-2", CompletedTasks: 1}))
+	out := answerRead(
+		t,
+		c,
+		1700*time.Millisecond,
+		completeBarrier(c, 1600*time.Millisecond),
+		archiveBlockPage(t, 15000, 20000, archive.Entry{ID: "wk-2", CompletedTasks: 1}),
+	)
 	r := outputsOfType[Response](out)
-	if len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageDone || len(c.internMachine("m-1").allocation.assignments) != 0 {
+	if len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageDone ||
+		len(c.internMachine("m-1").allocation.assignments) != 0 {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -213,7 +287,14 @@
 		in := SnapshotPage{OK: true, Status: 200, Revision: 50000, More: page < 19}
 		for i := range 500 {
 			n := page*500 + i
-			in.Items = append(in.Items, wire.KeyValue{Key: fmt.Sprintf("%swk-%06d", keyJob, n), Value: json.RawMessage(`{"h":1,"st":"d","d":[0,4]}`), Revision: uint64(1 + n*7919%10000)})
+			in.Items = append(
+				in.Items,
+				wire.KeyValue{
+					Key:      fmt.Sprintf("%swk-%06d", keyJob, n),
+					Value:    json.RawMessage(`{"h":1,"st":"d","d":[0,4]}`),
+					Revision: uint64(1 + n*7919%10000),
+				},
+			)
 		}
 		c.Handle(time.Duration(3+page)*time.Second, in)
 		most = max(most, len(c.jobIndex))
@@ -235,7 +316,19 @@
 	if s := outputsOfType[ReadRange](out); len(s) != 1 || s[0].Key != keyJob+id {
 		t.Fatalf("got %+v", out)
 	}
-	out = answerRead(t, c, 41*time.Second, out, RangeResult{Status: 200, Revision: 50000, Items: []wire.KeyValue{{Key: keyJob + id, Value: json.RawMessage(`{"h":1,"st":"d","d":[0,4]}`), Revision: 1}}})
+	out = answerRead(
+		t,
+		c,
+		41*time.Second,
+		out,
+		RangeResult{
+			Status:   200,
+			Revision: 50000,
+			Items: []wire.KeyValue{
+				{Key: keyJob + id, Value: json.RawMessage(`{"h":1,"st":"d","d":[0,4]}`), Revision: 1},
+			},
+		},
+	)
 	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Done != 5 {
 		t.Errorf("got %+v", r)
 	}
@@ -247,7 +340,13 @@
 	c := newCoreWithArchive(t)
 	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"}) // brings the block into memory
 	c.Advance(1200 * time.Millisecond)
-	answerRead(t, c, 1400*time.Millisecond, completeBarrier(c, 1300*time.Millisecond), archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2}))
+	answerRead(
+		t,
+		c,
+		1400*time.Millisecond,
+		completeBarrier(c, 1300*time.Millisecond),
+		archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2}),
+	)
 	c.history.coldRecords = 3
 	c.Handle(1600*time.Millisecond, GetJob{RequestID: 2, ID: "wk-2"})
 	c.Advance(1600 * time.Millisecond)
@@ -256,7 +355,13 @@
 	if len(outputsOfType[Response](out)) != 0 {
 		t.Fatalf("answered from an older block: %+v", out)
 	}
-	out = answerRead(t, c, 2000*time.Millisecond, out, archiveBlockPage(t, 28, 30, archive.Entry{ID: "wk-2", CompletedTasks: 2}))
+	out = answerRead(
+		t,
+		c,
+		2000*time.Millisecond,
+		out,
+		archiveBlockPage(t, 28, 30, archive.Entry{ID: "wk-2", CompletedTasks: 2}),
+	)
 	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != 200 {
 		t.Errorf("got %+v", r)
 	}
@@ -267,7 +372,10 @@
 	t.Helper()
 	c := newCoreWithArchive(t)
 	c.cfg.MaxEndedJobs = 2
-	log := []wire.WatchEvent{event(keyLeader, string(c.leasedValue(1)), 11), event(keyNode+"n0", string(c.leasedValue(0)), 11)}
+	log := []wire.WatchEvent{
+		event(keyLeader, string(c.leasedValue(1)), 11),
+		event(keyNode+"n0", string(c.leasedValue(0)), 11),
+	}
 	for _, name := range []string{"n0", "n1", "n2"} {
 		log = append(log, event(keySchemaVersion+name, fmt.Sprint(SchemaVersion), 11))
 	}
@@ -296,7 +404,10 @@
 
 func findArchiveTxn(out []Output) *CommitTxn {
 	for _, o := range outputsOfType[CommitTxn](out) {
-		if slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool { return strings.HasPrefix(w.Put, archive.BlockPrefix) }) {
+		if slices.ContainsFunc(
+			o.Txn.Then,
+			func(w wire.Write) bool { return strings.HasPrefix(w.Put, archive.BlockPrefix) },
+		) {
 			return &o
 		}
 	}
@@ -327,7 +438,8 @@
 			t.Errorf("%s moves without a condition, or too soon", w.Delete)
 		}
 	}
-	if deletes != 6 || len(x.Txn.Then) != 7 || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyLeader, Revision: 11}) ||
+	if deletes != 6 || len(x.Txn.Then) != 7 ||
+		!slices.Contains(x.Txn.Compare, wire.Compare{Key: keyLeader, Revision: 11}) ||
 		!slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.BlockKey(archive.MaxID)}) {
 		t.Errorf("got %+v", x.Txn)
 	}
@@ -358,7 +470,18 @@
 		c.Advance(at)
 		for p := range fastSnapshotPages {
 			at += 100 * time.Millisecond
-			c.Handle(at, SnapshotPage{OK: true, Status: 200, Revision: 9, More: true, Items: []wire.KeyValue{{Key: fmt.Sprintf("%swk-%d", keyJob, p), Value: json.RawMessage(`{"st":"d"}`), Revision: 5}}})
+			c.Handle(
+				at,
+				SnapshotPage{
+					OK:       true,
+					Status:   200,
+					Revision: 9,
+					More:     true,
+					Items: []wire.KeyValue{
+						{Key: fmt.Sprintf("%swk-%d", keyJob, p), Value: json.RawMessage(`{"st":"d"}`), Revision: 5},
+					},
+				},
+			)
 			if p < fastSnapshotPages-1 && len(outputsOfType[LoadSnapshot](c.Advance(at))) != 1 {
 				t.Fatal("a short history is not read at once")
 			}
@@ -382,7 +505,17 @@
 	watchEvents(c, 1100*time.Millisecond, 10, event(keyJob+"wk-7", `{"st":5}`, 10))
 	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-7"})
 	c.Advance(1200 * time.Millisecond)
-	out := answerRead(t, c, 1400*time.Millisecond, completeBarrier(c, 1300*time.Millisecond), RangeResult{Status: 200, Revision: 10, Items: []wire.KeyValue{{Key: keyJob + "wk-7", Value: json.RawMessage(`{"st":5}`), Revision: 10}}})
+	out := answerRead(
+		t,
+		c,
+		1400*time.Millisecond,
+		completeBarrier(c, 1300*time.Millisecond),
+		RangeResult{
+			Status:   200,
+			Revision: 10,
+			Items:    []wire.KeyValue{{Key: keyJob + "wk-7", Value: json.RawMessage(`{"st":5}`), Revision: 10}},
+		},
+	)
 	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfterSeconds == 0 {
 		t.Errorf("got %+v", r)
 	}
@@ -394,7 +527,13 @@
 	c := newCoreWithArchive(t)
 	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"}) // brings the block into memory
 	c.Advance(1200 * time.Millisecond)
-	answerRead(t, c, 1400*time.Millisecond, completeBarrier(c, 1300*time.Millisecond), archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2}))
+	answerRead(
+		t,
+		c,
+		1400*time.Millisecond,
+		completeBarrier(c, 1300*time.Millisecond),
+		archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2}),
+	)
 	c.Handle(1500*time.Millisecond, testSubmission("wk-5"))
 	b := archive.EmptyBlock().Merge([]archive.Entry{{ID: "wk-5", CompletedTasks: 1}})
 	raw, err := b.Encode()
@@ -408,8 +547,9 @@
 	}
 }
 
-// A record read by its key that the stream of changes has not shown yet is not one of those that were counted as cold. It was counted out, and
-// the next accepted job that had left memory was denied, as no record seemed to be left to look for.
+// A record read by its key that the stream of changes has not shown yet is not one of those that
+// were counted as cold. It was counted out, and the next accepted job that had left memory was
+// denied, as no record seemed to be left to look for.
 func TestRecordAheadOfTheWatchIsNotCountedAsCold(t *testing.T) {
 	const over = `{"h":0,"st":"c"}`
 	old, fresh := event(keyJob+"wk-000001", over, 4), event(keyJob+"wk-000002", over, 9)
@@ -447,7 +587,8 @@
 		return replies
 	}
 	for _, id := range []string{"wk-000002", "wk-000001"} {
-		if r := asks(id); len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageCancelled {
+		if r := asks(id); len(r) != 1 || r[0].Status != 200 ||
+			r[0].Body.(wire.JobState).Stage != wire.StageCancelled {
 			t.Errorf("%s, accepted and cancelled: got %+v", id, r)
 		}
 	}
--- a/core/jobrecord/record.go
+++ b/core/jobrecord/record.go
@@ -1,5 +1,6 @@
-// Package jobrecord is what the state service holds of jobs: their records, in all forms, and how values are packed. It knows
-// no controller: machines are dense indices, and names only where a record is written or read.
+// Package jobrecord is what the state service holds of jobs: their records, in all forms, and how
+// values are packed. It knows no controller: machines are dense indices, and names only where a
+// record is written or read.
 package jobrecord
 
 import (
@@ -25,25 +26,29 @@
 
 // Record is a job as the state service holds it.
 type Record struct {
-	Shard           int                  `json:"h"`
-	Stage           string               `json:"st,omitempty"`
-	Spec            *wire.JobSpec        `json:"s,omitempty"` // absent once the job is over
-	Assignments     []AssignmentGroup    `json:"a,omitempty"`
-	CompletedTasks  TaskSet              `json:"d,omitempty"`
-	LastAttempt     uint64               `json:"t,omitempty"`  // highest attempt given out
-	AcceptedAtMS    int64                `json:"at,omitempty"` // time of day of acceptance
-	CancelledAtMS   int64                `json:"cm,omitempty"` // time of day of cancellation
-	StopReasons     []StopReason         `json:"w,omitempty"`
-	Submitter       string               `json:"u,omitempty"`  // who submitted it, where there are rights
-	Team            string               `json:"gt,omitempty"` // of a job that is over, from form 3 on
-	Class           string               `json:"gc,omitempty"` // likewise
-	CancelledByJob  string               `json:"by,omitempty"` // the cancelled job because of which this one is
-	PendingAudit    []audit.PendingEntry `json:"e,omitempty"`  // entries of the audit record, until they are in blocks
-	PackedLists     []byte               `json:"b,omitempty"`  // Place, Done and what the description awaits, packed
-	PriorityClass   string               `json:"ln,omitempty"` // that it was accepted into, where there is a list of lanes; from form 7 on
-	EnqueueRevision uint64               `json:"nr,omitempty"` // revision of its acceptance, which is its place in its lane; absent: that of this write
-	RestoreOrder    uint64               `json:"ob,omitempty"` // of one that was restored: it comes before all that were accepted since, those with more first
-	WriteNumber     uint64               `json:"v,omitempty"`  // number of this write of the job's key, from form 5 on; of a slot's entry, that on which it counts
+	Shard          int                  `json:"h"`
+	Stage          string               `json:"st,omitempty"`
+	Spec           *wire.JobSpec        `json:"s,omitempty"` // absent once the job is over
+	Assignments    []AssignmentGroup    `json:"a,omitempty"`
+	CompletedTasks TaskSet              `json:"d,omitempty"`
+	LastAttempt    uint64               `json:"t,omitempty"`  // highest attempt given out
+	AcceptedAtMS   int64                `json:"at,omitempty"` // time of day of acceptance
+	CancelledAtMS  int64                `json:"cm,omitempty"` // time of day of cancellation
+	StopReasons    []StopReason         `json:"w,omitempty"`
+	Submitter      string               `json:"u,omitempty"`  // who submitted it, where there are rights
+	Team           string               `json:"gt,omitempty"` // of a job that is over, from form 3 on
+	Class          string               `json:"gc,omitempty"` // likewise
+	CancelledByJob string               `json:"by,omitempty"` // the cancelled job because of which this one is
+	PendingAudit   []audit.PendingEntry `json:"e,omitempty"`  // entries of the audit record, until they are in blocks
+	PackedLists    []byte               `json:"b,omitempty"`  // Place, Done and what the description awaits, packed
+	// that it was accepted into, where there is a list of lanes; from form 7 on
+	PriorityClass string `json:"ln,omitempty"`
+	// revision of its acceptance, which is its place in its lane; absent: that of this write
+	EnqueueRevision uint64 `json:"nr,omitempty"`
+	// of one that was restored: it comes before all that were accepted since, those with more first
+	RestoreOrder uint64 `json:"ob,omitempty"`
+	// number of this write of the job's key, from form 5 on; of a slot's entry, that on which it counts
+	WriteNumber uint64 `json:"v,omitempty"`
 }
 
 // AssignmentGroup lists the tasks assigned to machines of one zone that are in the same session. Jobs
@@ -66,7 +71,8 @@
 	}
 	for i, name := range p.NameSuffixes {
 		for k := 0; k < p.RunsPerMachine[i]; k++ {
-			if at+3 > len(p.TaskRuns) || p.TaskRuns[at] >= wire.MaxTasksPerJob || p.TaskRuns[at+2] > wire.MaxTasksPerJob-p.TaskRuns[at] {
+			if at+3 > len(p.TaskRuns) || p.TaskRuns[at] >= wire.MaxTasksPerJob ||
+				p.TaskRuns[at+2] > wire.MaxTasksPerJob-p.TaskRuns[at] {
 				return false
 			}
 			f(p.NamePrefix+name, p.TaskRuns[at], p.TaskRuns[at+1], p.TaskRuns[at+2])
@@ -86,8 +92,9 @@
 
 const maxStopReasons = 4 // the last ones
 
-// AddStopReason notes why a task stopped; of many only the last are kept. As long as nothing of a job has completed, its errors outlast the other reasons: they
-// tell that it was submitted with a mistake.
+// AddStopReason notes why a task stopped; of many only the last are kept. As long as nothing of a
+// job has completed, its errors outlast the other reasons: they tell that it was submitted with a
+// mistake.
 func (r *Record) AddStopReason(w StopReason) {
 	r.StopReasons = append(r.StopReasons, w)
 	if len(r.StopReasons) <= maxStopReasons {
@@ -211,10 +218,16 @@
 		sorted[i] = named{a, name, zone}
 	}
 	slices.SortFunc(sorted, func(a, b named) int {
-		return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.name, b.name), cmp.Compare(a.Task, b.Task))
+		return cmp.Or(
+			cmp.Compare(a.zone, b.zone),
+			cmp.Compare(a.Incarnation, b.Incarnation),
+			cmp.Compare(a.name, b.name),
+			cmp.Compare(a.Task, b.Task),
+		)
 	})
 	for i, a := range sorted {
-		if n := len(out.Assignments); n == 0 || out.Assignments[n-1].Zone != a.zone || out.Assignments[n-1].Incarnation != a.Incarnation {
+		if n := len(out.Assignments); n == 0 || out.Assignments[n-1].Zone != a.zone ||
+			out.Assignments[n-1].Incarnation != a.Incarnation {
 			out.Assignments = append(out.Assignments, AssignmentGroup{Zone: a.zone, Incarnation: a.Incarnation})
 		}
 		p := &out.Assignments[len(out.Assignments)-1]
@@ -224,7 +237,8 @@
 			p.RunsPerMachine = append(p.RunsPerMachine, 0)
 		}
 		last := len(p.TaskRuns) - 3
-		if same && p.TaskRuns[last]+p.TaskRuns[last+2] == uint64(a.Task) && p.TaskRuns[last+1]+p.TaskRuns[last+2] == a.Attempt {
+		if same && p.TaskRuns[last]+p.TaskRuns[last+2] == uint64(a.Task) &&
+			p.TaskRuns[last+1]+p.TaskRuns[last+2] == a.Attempt {
 			p.TaskRuns[last+2]++
 			continue
 		}
@@ -336,7 +350,14 @@
 
 // ToArchive is what is archived of an ended job's record.
 func (r *Record) ToArchive(id string) archive.Entry {
-	e := archive.Entry{ID: id, Cancelled: r.Stage == Cancelled, CompletedTasks: r.CompletedTasks.Count(), CancelledByJob: r.CancelledByJob, Team: r.Team, Class: r.Class}
+	e := archive.Entry{
+		ID:             id,
+		Cancelled:      r.Stage == Cancelled,
+		CompletedTasks: r.CompletedTasks.Count(),
+		CancelledByJob: r.CancelledByJob,
+		Team:           r.Team,
+		Class:          r.Class,
+	}
 	for _, w := range r.StopReasons {
 		e.StopReasons = append(e.StopReasons, archive.StopReason(w))
 	}
--- a/core/jobrecord/record_test.go
+++ b/core/jobrecord/record_test.go
@@ -13,8 +13,19 @@
 
 // A packed value that was damaged is an error, never a crash.
 func TestDamagedPackedRecordIsAnError(t *testing.T) {
-	r := &Record{Assignments: []AssignmentGroup{{Zone: "a", Incarnation: 3, NamePrefix: "m-", NameSuffixes: []string{"001", "017"}, RunsPerMachine: []int{1, 2}, TaskRuns: []uint64{0, 5, 2, 7, 9, 1, 8, 1, 1}}},
-		CompletedTasks: TaskSet{2, 3}, Spec: &wire.JobSpec{Tasks: 10, Dependencies: []string{"wk-1", "wk-12"}}}
+	r := &Record{
+		Assignments: []AssignmentGroup{
+			{
+				Zone:           "a",
+				Incarnation:    3,
+				NamePrefix:     "m-",
+				NameSuffixes:   []string{"001", "017"},
+				RunsPerMachine: []int{1, 2},
+				TaskRuns:       []uint64{0, 5, 2, 7, 9, 1, 8, 1, 1},
+			},
+		},
+		CompletedTasks: TaskSet{2, 3}, Spec: &wire.JobSpec{Tasks: 10, Dependencies: []string{"wk-1", "wk-12"}},
+	}
 	want := *r
 	wantSpec := *r.Spec
 	if err := r.packLists(); err != nil {
@@ -24,7 +35,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.unpackLists(); err != nil || !reflect.DeepEqual(r.Assignments, want.Assignments) || !reflect.DeepEqual(r.CompletedTasks, want.CompletedTasks) || !reflect.DeepEqual(*r.Spec, wantSpec) {
+	if err := r.unpackLists(); err != nil || !reflect.DeepEqual(r.Assignments, want.Assignments) ||
+		!reflect.DeepEqual(r.CompletedTasks, want.CompletedTasks) ||
+		!reflect.DeepEqual(*r.Spec, wantSpec) {
 		t.Fatalf("got %+v %+v (%v)", r, r.Spec, err)
 	}
 	bad := 0
@@ -57,7 +70,16 @@
 func TestManyMachineTypesFitAValue(t *testing.T) {
 	var k wire.Catalog
 	for i := range 20 {
-		k.Types = append(k.Types, wire.MachineType{Name: fmt.Sprintf("some-type-%d", i), CPUs: float64(i), MemoryGB: 8, Price: 1.5, Zones: []string{"a-zone", "b-zone"}})
+		k.Types = append(
+			k.Types,
+			wire.MachineType{
+				Name:     fmt.Sprintf("some-type-%d", i),
+				CPUs:     float64(i),
+				MemoryGB: 8,
+				Price:    1.5,
+				Zones:    []string{"a-zone", "b-zone"},
+			},
+		)
 	}
 	raw, err := EncodeCatalog(&k, 2048, true)
 	if err != nil || len(raw) > 2048 {
@@ -71,9 +93,11 @@
 
 // A stored record, damaged in any way, is an error or a record that says the same when written again.
 func FuzzDecodeRecord(f *testing.F) {
-	for _, raw := range []string{`{"h":1,"st":"d","d":[0,4]}`, `{"h":1,"st":"c","by":"wk-2","w":[{"i":1,"m":"m","c":"idle","t":5}]}`,
+	for _, raw := range []string{
+		`{"h":1,"st":"d","d":[0,4]}`, `{"h":1,"st":"c","by":"wk-2","w":[{"i":1,"m":"m","c":"idle","t":5}]}`,
 		`{"h":0,"s":{"tm":"t","n":4,"rc":[1000,0,1000],"aw":["wk-1"]},"a":[{"z":"a","s":1,"p":"m-","m":["1","2"],"n":[1,1],"r":[0,1,1,2,3,2]}],"d":[1,1],"t":4}`,
-		`{"h":1,"b":"AA=="}`, `{"h":1,"d":[0]}`} {
+		`{"h":1,"b":"AA=="}`, `{"h":1,"d":[0]}`,
+	} {
 		f.Add([]byte(raw))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -142,7 +166,15 @@
 	}
 	// Accepted as 10 and written again as 90; as 50, once; restored earlier, first and second.
 	a, b := PrepareForRestore(raw(Record{EnqueueRevision: 10}), 90, 100), PrepareForRestore(raw(Record{}), 50, 100)
-	c, d := PrepareForRestore(raw(Record{RestoreOrder: 7, EnqueueRevision: 3}), 60, 100), PrepareForRestore(raw(Record{RestoreOrder: 5, EnqueueRevision: 3}), 60, 100)
+	c, d := PrepareForRestore(
+		raw(Record{RestoreOrder: 7, EnqueueRevision: 3}),
+		60,
+		100,
+	), PrepareForRestore(
+		raw(Record{RestoreOrder: 5, EnqueueRevision: 3}),
+		60,
+		100,
+	)
 	if !(before(c) > before(d) && before(d) > before(a) && before(a) > before(b) && before(b) > 0) {
 		t.Errorf("%d, %d, %d, %d", before(a), before(b), before(c), before(d))
 	}
--- a/core/jobrecord/restore.go
+++ b/core/jobrecord/restore.go
@@ -9,8 +9,9 @@
 // maxRestoreGrowth is what a record may grow by when its place is put into it, in bytes.
 const maxRestoreGrowth = 40
 
-// PrepareForRestore is a record that is put into another state service, whose revisions begin anew: a queued job keeps its place before all that are
-// accepted from then on, in the order that it had. mark is that of its key, and at the revision that the snapshot shows. A record that nearly fills
+// PrepareForRestore is a record that is put into another state service, whose revisions begin anew:
+// a queued job keeps its place before all that are accepted from then on, in the order that it had.
+// mark is that of its key, and at the revision that the snapshot shows. A record that nearly fills
 // whole KiB, as limits are, is left as it was.
 func PrepareForRestore(raw json.RawMessage, modRevision, snapshotRevision uint64) json.RawMessage {
 	var m map[string]json.RawMessage
--- a/core/leader.go
+++ b/core/leader.go
@@ -67,8 +67,16 @@
 		return
 	}
 	if c.leaderState == nil || c.leaderState.fencingToken != c.leadership.leader.FencingToken {
-		c.leaderState = &leaderState{fencingToken: c.leadership.leader.FencingToken, leadingSince: c.now, array: clusterstate.NewArray(), ackedBatchSeqs: map[string]uint64{},
-			scaleOutRequests: map[string]*scaleOutRequest{}, lastPreemptedFor: map[int32]time.Duration{}, blockedUntil: map[nodeGroup]time.Duration{}, cloudCallBudgetAt: c.now}
+		c.leaderState = &leaderState{
+			fencingToken:      c.leadership.leader.FencingToken,
+			leadingSince:      c.now,
+			array:             clusterstate.NewArray(),
+			ackedBatchSeqs:    map[string]uint64{},
+			scaleOutRequests:  map[string]*scaleOutRequest{},
+			lastPreemptedFor:  map[int32]time.Duration{},
+			blockedUntil:      map[nodeGroup]time.Duration{},
+			cloudCallBudgetAt: c.now,
+		}
 		for _, m := range c.aliveMachines {
 			r := m.leaderView.rentedAt
 			m.leaderView = nodeState{rentedAt: r}
@@ -77,7 +85,10 @@
 		c.log("info", "leading", "token", c.leaderState.fencingToken)
 	}
 	l := c.leaderState
-	l.cloudCallBudget = min(l.cloudCallBudget+(c.now-l.cloudCallBudgetAt).Seconds()*c.cfg.CloudRequestRate, c.cfg.CloudRequestRate)
+	l.cloudCallBudget = min(
+		l.cloudCallBudget+(c.now-l.cloudCallBudgetAt).Seconds()*c.cfg.CloudRequestRate,
+		c.cfg.CloudRequestRate,
+	)
 	l.cloudCallBudgetAt = c.now
 	if c.autoscaler.catalog == nil {
 		return
@@ -88,7 +99,8 @@
 		c.checkMachines()
 		if l.listComplete && c.now-l.leadingSince > 2*time.Second {
 			c.planScaling()
-			if len(l.scaleOutRequests) == 0 && l.unmetJobs > manyUnmetJobs { // there is nothing to rent, so the next plan is much like this one
+			// there is nothing to rent, so the next plan is much like this one
+			if len(l.scaleOutRequests) == 0 && l.unmetJobs > manyUnmetJobs {
 				l.nextPlanAt += c.planInterval()
 			}
 		}
@@ -104,7 +116,8 @@
 
 // addRowOnFirstHeartbeat gives a machine a row at its first report.
 func (c *Core) addRowOnFirstHeartbeat(m *machine) {
-	if c.leaderState == nil || m.lifecycle.gone || !m.status.reported || m.leaderView.rowComputedAt != 0 || c.autoscaler.catalog == nil {
+	if c.leaderState == nil || m.lifecycle.gone || !m.status.reported || m.leaderView.rowComputedAt != 0 ||
+		c.autoscaler.catalog == nil {
 		return
 	}
 	if c.recomputeRow(m) {
@@ -153,24 +166,43 @@
 	seen := make([]allocation.ObservedTask, 0, len(m.allocation.assignments))
 	for k, a := range m.allocation.assignments {
 		if s := c.jobs[k.jobIndex].record.Spec; s != nil {
-			seen = append(seen, allocation.ObservedTask{AttemptKey: attemptHash(c.jobs[k.jobIndex].id, k.task, a.Attempt), Request: s.Request})
+			seen = append(
+				seen,
+				allocation.ObservedTask{
+					AttemptKey: attemptHash(c.jobs[k.jobIndex].id, k.task, a.Attempt),
+					Request:    s.Request,
+				},
+			)
 		}
 	}
 	for k, p := range m.status.tasks {
-		if a, ok := m.allocation.assignments[taskKey{k.jobIndex, k.task}]; ok && a.Attempt == k.attempt || p.state == wire.TaskExited {
+		if a, ok := m.allocation.assignments[taskKey{k.jobIndex, k.task}]; ok && a.Attempt == k.attempt ||
+			p.state == wire.TaskExited {
 			continue
 		}
 		if r := c.jobs[k.jobIndex].record; r != nil && r.Spec != nil {
-			seen = append(seen, allocation.ObservedTask{AttemptKey: attemptHash(c.jobs[k.jobIndex].id, k.task, k.attempt), Request: r.Spec.Request})
+			seen = append(
+				seen,
+				allocation.ObservedTask{
+					AttemptKey: attemptHash(c.jobs[k.jobIndex].id, k.task, k.attempt),
+					Request:    r.Spec.Request,
+				},
+			)
 		}
 	}
-	c.leaderState.array.SetMachine(m.index, t.Capacity(), m.leaderView.allocations.Allocated(c.now, seen), c.isOffered(m))
+	c.leaderState.array.SetMachine(
+		m.index,
+		t.Capacity(),
+		m.leaderView.allocations.Allocated(c.now, seen),
+		c.isOffered(m),
+	)
 	m.leaderView.rowComputedAt = max(1, c.now)
 	return true
 }
 
 func (c *Core) isOffered(m *machine) bool {
-	return m.leaderView.cordonedAt == 0 && m.leaderView.returnReason == "" && m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested
+	return m.leaderView.cordonedAt == 0 && m.leaderView.returnReason == "" && m.lifecycle.interruptionDeadline == 0 &&
+		!m.lifecycle.returnRequested
 }
 
 // applyDeltas counts a controller's tuples.
@@ -196,7 +228,8 @@
 			continue
 		}
 		// Tuples can be lost: a row with open ones is worked out again now and then.
-		if last := max(m.leaderView.lastDeltaAt, m.status.lastChangeAt); last >= m.leaderView.rowComputedAt || m.leaderView.allocations.HasPending() && c.now-m.leaderView.rowComputedAt > time.Second {
+		if last := max(m.leaderView.lastDeltaAt, m.status.lastChangeAt); last >= m.leaderView.rowComputedAt ||
+			m.leaderView.allocations.HasPending() && c.now-m.leaderView.rowComputedAt > time.Second {
 			c.recomputeRow(m)
 		}
 		l.array.SetOffer(m.index, c.isOffered(m), m.leaderView.offeredLast, m.leaderView.onDemandReserved)
@@ -216,8 +249,17 @@
 	p.Revision, l.pushedRevision = rev, rev
 	for _, r := range rows {
 		m := c.machines[r.Machine]
-		p.Rows = append(p.Rows, MachineCapacity{Machine: m.name, Type: m.identity.machineType, Zone: m.identity.zone, Spot: m.identity.spot,
-			Available: r.Available, Allocated: r.Allocated, Reserved: r.Reserved, OfferedLast: r.OfferedLast, Unschedulable: !r.Schedulable})
+		p.Rows = append(p.Rows, MachineCapacity{
+			Machine:       m.name,
+			Type:          m.identity.machineType,
+			Zone:          m.identity.zone,
+			Spot:          m.identity.spot,
+			Available:     r.Available,
+			Allocated:     r.Allocated,
+			Reserved:      r.Reserved,
+			OfferedLast:   r.OfferedLast,
+			Unschedulable: !r.Schedulable,
+		})
 	}
 	p.Preempted, l.pendingPreemptions = l.pendingPreemptions, nil
 	p.CapacityHold = l.capacityHold
--- a/core/lease.go
+++ b/core/lease.go
@@ -45,8 +45,9 @@
 	c.emit(LeaseRequest{Op: c.ownLease.opInFlight, TTL: c.cfg.LeaseTTL, LeaseID: c.ownLease.id})
 }
 
-// isWatchStalled reports whether reads of changes have stayed without an answer for a while. Such a controller may write and hold its lease, and know neither
-// what it holds nor what others do: one that had just begun to lead did nothing for twenty seconds, and nobody else could.
+// isWatchStalled reports whether reads of changes have stayed without an answer for a while. Such a
+// controller may write and hold its lease, and know neither what it holds nor what others do: one
+// that had just begun to lead did nothing for twenty seconds, and nobody else could.
 func (c *Core) isWatchStalled() bool {
 	return c.storeHealth.firstLostReadAt != 0 && c.now-c.storeHealth.firstLostReadAt > watchStalledAfter
 }
--- a/core/loadshedding.go
+++ b/core/loadshedding.go
@@ -9,10 +9,27 @@
 
 // handleLoadSample works out the level of overload from how the process stands.
 func (c *Core) handleLoadSample(in LoadSample) {
-	signs := overload.Signals{QueueDelay: in.MaxLoopDelay, QueueUsage: in.InputQueueUsage, ConnectionUsage: in.ConnectionUsage, WriteBacklog: c.estimateWriteTime(c.transactions.backlog)}
+	signs := overload.Signals{
+		QueueDelay:      in.MaxLoopDelay,
+		QueueUsage:      in.InputQueueUsage,
+		ConnectionUsage: in.ConnectionUsage,
+		WriteBacklog:    c.estimateWriteTime(c.transactions.backlog),
+	}
 	if c.overload.Update(c.now, signs) {
-		c.log("info", "load", "level", c.overload.Level().String(), "late_ms", in.MaxLoopDelay.Milliseconds(), "queue", in.InputQueueUsage, "sockets", in.ConnectionUsage,
-			"backlog_ms", signs.WriteBacklog.Milliseconds())
+		c.log(
+			"info",
+			"load",
+			"level",
+			c.overload.Level().String(),
+			"late_ms",
+			in.MaxLoopDelay.Milliseconds(),
+			"queue",
+			in.InputQueueUsage,
+			"sockets",
+			in.ConnectionUsage,
+			"backlog_ms",
+			signs.WriteBacklog.Milliseconds(),
+		)
 	}
 }
 
@@ -32,8 +49,9 @@
 	return 500 * time.Millisecond
 }
 
-// maxPendingSubmissions is how many submissions may wait for their write: what is written until they would be refused. Beyond what it can do, a
-// controller counts on its own share of the changes alone.
+// maxPendingSubmissions is how many submissions may wait for their write: what is written until
+// they would be refused. Beyond what it can do, a controller counts on its own share of the changes
+// alone.
 func (c *Core) maxPendingSubmissions() int {
 	rate := c.storeWriteRate()
 	if c.overload.Level() == overload.Overloaded {
@@ -42,8 +60,8 @@
 	return max(8, int(rate*c.cfg.SubmitWriteTimeout.Seconds()))
 }
 
-// retryAfterSeconds is when somebody who was refused for too much work should come back, in seconds: when what waits now is written, and not all
-// at the same moment.
+// retryAfterSeconds is when somebody who was refused for too much work should come back, in
+// seconds: when what waits now is written, and not all at the same moment.
 func (c *Core) retryAfterSeconds() int {
 	s := c.estimateWriteTime(c.pendingSubmissions).Seconds()
 	return int(min(maxRetryAfterSeconds, max(1, math.Ceil(s*(1+c.rng.Float64())))))
--- a/core/loadshedding_test.go
+++ b/core/loadshedding_test.go
@@ -15,7 +15,15 @@
 	again = func(now time.Duration, zone string) {
 		seq++
 		for i := range n {
-			r := &wire.Heartbeat{Machine: fmt.Sprintf("f-%d", i), Addr: "x:1", Type: "x", Zone: "ab"[i%2 : i%2+1], Incarnation: 1, Sequence: seq, FencingToken: 1}
+			r := &wire.Heartbeat{
+				Machine:      fmt.Sprintf("f-%d", i),
+				Addr:         "x:1",
+				Type:         "x",
+				Zone:         "ab"[i%2 : i%2+1],
+				Incarnation:  1,
+				Sequence:     seq,
+				FencingToken: 1,
+			}
 			if zone == "" || zone == r.Zone {
 				c.Handle(now, AgentPolled{Machine: r.Machine, Heartbeat: r})
 			}
@@ -58,7 +66,8 @@
 	}
 }
 
-// Every machine of a lost zone was asked for its report once a second, and each request held a socket until its timeout.
+// Every machine of a lost zone was asked for its report once a second, and each request held a
+// socket until its timeout.
 func TestLostZoneTakesFewRequests(t *testing.T) {
 	c := newLeadingCore(t)
 	const machines = 400
--- a/core/machine.go
+++ b/core/machine.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
 )
 
 type machine struct {
@@ -106,8 +107,9 @@
 
 // attempt is what this controller knows of its orders for an attempt.
 type attempt struct {
-	startInFlight       bool          // a start is in a request that is not answered
-	maxUnansweredToken  uint64        // highest token of an unanswered request with a start of it; it may be executed late
+	startInFlight bool // a start is in a request that is not answered
+	// highest token of an unanswered request with a start of it; it may be executed late
+	maxUnansweredToken  uint64
 	lastCommandAt       time.Duration // when an order for it was sent last
 	commandSent         bool
 	stopReason          string // why it is to be stopped; "": not
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"dewlift/wire"
 	"time"
+
+	"dewlift/wire"
 )
 
 // checkMachines finds machines that must be returned: silent ones, those that never came up,
@@ -50,11 +51,19 @@
 		if m.status.reported && quiet > c.maxHeartbeatGap() {
 			others = append(others, m.name)
 		}
-		m.leaderView.zoneUnreachable = m.status.reported && (zones[m.identity.zone] != nil && quiet > c.maxHeartbeatGap() || c.isZoneSilent(m.identity.zone, replacementSilenceLimit))
+		m.leaderView.zoneUnreachable = m.status.reported &&
+			(zones[m.identity.zone] != nil && quiet > c.maxHeartbeatGap() || c.isZoneSilent(m.identity.zone, replacementSilenceLimit))
 		switch {
 		case !m.status.reported:
 			boot := cmp.Or(c.nominalBootTime(m.identity.machineType), 30*time.Second)
-			if c.now-max(m.identity.firstSeenAt, m.leaderView.rentedAt, l.leadingSince-boot) > scaleDuration(boot, c.cfg.BootTimeoutFactor)+c.cfg.CloudListLag*2 {
+			if c.now-max(
+				m.identity.firstSeenAt,
+				m.leaderView.rentedAt,
+				l.leadingSince-boot,
+			) > scaleDuration(
+				boot,
+				c.cfg.BootTimeoutFactor,
+			)+c.cfg.CloudListLag*2 {
 				c.markForReturn(m, "never came up")
 			}
 		case m.lifecycle.interruptionDeadline > 0 && c.now > m.lifecycle.interruptionDeadline-1500*time.Millisecond:
@@ -88,13 +97,15 @@
 	for k, a := range m.allocation.assignments {
 		j := c.jobs[k.jobIndex]
 		s := j.record.Spec
-		if s == nil || j.isFinal() || m.status.tasks[attemptKey{k.jobIndex, k.task, a.Attempt}].state == wire.TaskExited {
+		if s == nil || j.isFinal() ||
+			m.status.tasks[attemptKey{k.jobIndex, k.task, a.Attempt}].state == wire.TaskExited {
 			continue
 		}
 		if s.Service {
 			return false
 		}
-		late = late || j.effectiveDeadlineMS != 0 && c.unixMS()+wait.Milliseconds()+s.EstimatedRuntimeMS > j.effectiveDeadlineMS
+		late = late ||
+			j.effectiveDeadlineMS != 0 && c.unixMS()+wait.Milliseconds()+s.EstimatedRuntimeMS > j.effectiveDeadlineMS
 	}
 	return late
 }
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -1,12 +1,14 @@
 package core
 
 import (
-	"dewlift/overload"
 	"slices"
 	"time"
+
+	"dewlift/overload"
 )
 
-// maintenanceState is periodic upkeep: compaction of the walked lists and the full scan, a safeguard against missed changes.
+// maintenanceState is periodic upkeep: compaction of the walked lists and the full scan, a
+// safeguard against missed changes.
 type maintenanceState struct {
 	nextCompactionAt time.Duration
 	nextFullScanAt   time.Duration
@@ -27,13 +29,17 @@
 		}
 		return over
 	})
-	c.aliveMachines = slices.DeleteFunc(c.aliveMachines, func(m *machine) bool { return m.lifecycle.gone && len(m.allocation.assignments) == 0 })
+	c.aliveMachines = slices.DeleteFunc(
+		c.aliveMachines,
+		func(m *machine) bool { return m.lifecycle.gone && len(m.allocation.assignments) == 0 },
+	)
 	c.countZoneMachines()
 	c.evictUnreferencedJobs()
 	c.updateHistoryStats()
 	// Only what changed is looked at otherwise; now and then everything is, as a safeguard against
 	// a change that nobody noted.
-	if c.replica.loaded && c.now >= c.maintenance.nextFullScanAt && (c.overload.Level() == overload.Normal || c.now >= c.maintenance.nextFullScanAt+c.cfg.FullScanInterval) {
+	if c.replica.loaded && c.now >= c.maintenance.nextFullScanAt &&
+		(c.overload.Level() == overload.Normal || c.now >= c.maintenance.nextFullScanAt+c.cfg.FullScanInterval) {
 		c.maintenance.nextFullScanAt = c.now + c.cfg.FullScanInterval
 		for _, j := range c.openJobs {
 			c.markDirtyKeepingDelay(j)
--- a/core/membership/members.go
+++ b/core/membership/members.go
@@ -1,5 +1,5 @@
-// Package membership knows which of the other controllers are in reach, by when they were heard of, and how one that is not
-// is reached by way of another. It sends nothing, and times come in.
+// Package membership knows which of the other controllers are in reach, by when they were heard of,
+// and how one that is not is reached by way of another. It sends nothing, and times come in.
 package membership
 
 import (
@@ -19,7 +19,8 @@
 	lastHeardAt time.Duration
 }
 
-// QueuePosition is the place of a job in the order of work: a smaller priority comes first, then the earlier time of day.
+// QueuePosition is the place of a job in the order of work: a smaller priority comes first, then
+// the earlier time of day.
 type QueuePosition struct {
 	Priority     int
 	EnqueuedAtMS int64
@@ -31,11 +32,18 @@
 	return w.Priority < o.Priority || w.Priority == o.Priority && w.EnqueuedAtMS+positionToleranceMS < o.EnqueuedAtMS
 }
 
-const positionToleranceMS = 3000 // by which two jobs' turns must differ: what is known of the others' is older than that it is told
-
-// CountCompetitors tells how many of the controllers that are there have work that comes before a job, and how many have none that comes clearly before
-// or after it. What may not use spot machines is not in the way on one.
-func (l *Members) CountCompetitors(now time.Duration, isLive func(name string) bool, job QueuePosition, spot bool) (before, alike int) {
+// by which two jobs' turns must differ: what is known of the others' is older than that it is told
+const positionToleranceMS = 3000
+
+// CountCompetitors tells how many of the controllers that are there have work that comes before a
+// job, and how many have none that comes clearly before or after it. What may not use spot machines
+// is not in the way on one.
+func (l *Members) CountCompetitors(
+	now time.Duration,
+	isLive func(name string) bool,
+	job QueuePosition,
+	spot bool,
+) (before, alike int) {
 	for _, n := range l.peerNames {
 		p := l.peers[n]
 		switch {
@@ -51,11 +59,21 @@
 	return before, alike
 }
 
-// HasEarlierWork reports whether another controller that is there has work below a lane that comes before a job of these.
-func (l *Members) HasEarlierWork(now time.Duration, isLive func(name string) bool, job QueuePosition, below int) bool {
+// HasEarlierWork reports whether another controller that is there has work below a lane that comes
+// before a job of these.
+func (l *Members) HasEarlierWork(
+	now time.Duration,
+	isLive func(name string) bool,
+	job QueuePosition,
+	below int,
+) bool {
 	return slices.ContainsFunc(l.peerNames, func(n string) bool {
 		p := l.peers[n]
-		return isLive(n) && p.StoreReachable && l.IsReachable(now, n) && slices.ContainsFunc(p.QueueHeads, func(w QueuePosition) bool { return w.Priority > below && w.clearlyBefore(job) })
+		return isLive(n) && p.StoreReachable && l.IsReachable(now, n) &&
+			slices.ContainsFunc(
+				p.QueueHeads,
+				func(w QueuePosition) bool { return w.Priority > below && w.clearlyBefore(job) },
+			)
 	})
 }
 
@@ -106,8 +124,9 @@
 	return out
 }
 
-// RelayFor is by whom one that was known and is not in reach is reached; "": straight. As long as none in reach says that
-// it reaches it, all of them are tried in turn: one in the same zone is cut off from the other zone as well.
+// RelayFor is by whom one that was known and is not in reach is reached; "": straight. As long as
+// none in reach says that it reaches it, all of them are tried in turn: one in the same zone is cut
+// off from the other zone as well.
 func (l *Members) RelayFor(now time.Duration, to string) string {
 	if !l.peers[to].everHeard || l.IsReachable(now, to) {
 		return ""
--- a/core/membership/members_test.go
+++ b/core/membership/members_test.go
@@ -46,7 +46,13 @@
 		heard []string
 		good  string
 		want  bool
-	}{{nil, "", false}, {[]string{"n1"}, "", false}, {[]string{"n1", "n2"}, "", true}, {[]string{"n1", "n2", "n3", "n4"}, "", true}, {[]string{"n1", "n2", "n3"}, "n3", false}} {
+	}{
+		{nil, "", false},
+		{[]string{"n1"}, "", false},
+		{[]string{"n1", "n2"}, "", true},
+		{[]string{"n1", "n2", "n3", "n4"}, "", true},
+		{[]string{"n1", "n2", "n3"}, "n3", false},
+	} {
 		l := New([]string{"n1", "n2", "n3", "n4"}, time.Second)
 		for _, n := range x.heard {
 			l.MarkHeard(5*time.Second, n)
--- a/core/messages.go
+++ b/core/messages.go
@@ -24,7 +24,8 @@
 	QuorumReply      *QuorumReply      `json:"vd,omitempty"`
 	Cancellations    []wire.KeyValue   `json:"c,omitempty"` // cancellations, as the state service holds them
 	CancelAcks       []string          `json:"y,omitempty"` // jobs that the sender knows to be cancelled
-	PollMachines     []string          `json:"l,omitempty"` // machines to be asked for their reports: the sender may not reach them
+	// machines to be asked for their reports: the sender may not reach them
+	PollMachines []string `json:"l,omitempty"`
 }
 
 // HeartbeatDigest is a report that says nothing new. The digest shows whether its receiver knows what the
@@ -39,12 +40,14 @@
 
 // Health tells how a controller stands.
 type Health struct {
-	StoreReachable    bool        `json:"ok"`          // it reached the state service of late
-	WriteRate         float64     `json:"u"`           // changes of the state service a second that it made of late
-	ReachablePeers    []string    `json:"n,omitempty"` // controllers in reach; the version without forms does not tell
-	SnapshotPagesRead int         `json:"g,omitempty"` // pages of all keys that it has read, while it reads them
-	CancellationsUpTo uint64      `json:"v,omitempty"` // the sender knows all cancellations up to this revision; 0: it has not read all keys, or its version does not tell
-	QueueHeads        []QueueHead `json:"w,omitempty"` // of each lane, the first of its jobs that wait for room; none: none does, or its version does not tell
+	StoreReachable    bool     `json:"ok"`          // it reached the state service of late
+	WriteRate         float64  `json:"u"`           // changes of the state service a second that it made of late
+	ReachablePeers    []string `json:"n,omitempty"` // controllers in reach; the version without forms does not tell
+	SnapshotPagesRead int      `json:"g,omitempty"` // pages of all keys that it has read, while it reads them
+	// the sender knows all cancellations up to this revision; 0: it has not read all keys, or its version does not tell
+	CancellationsUpTo uint64 `json:"v,omitempty"`
+	// of each lane, the first of its jobs that wait for room; none: none does, or its version does not tell
+	QueueHeads []QueueHead `json:"w,omitempty"`
 }
 
 // QueueHead is the place of a job in the order of work: its lane, by how much its priority counts, and its turn.
@@ -71,8 +74,9 @@
 // StatePush is the leader's array: all of it from time to time, and in between the rows that
 // changed since the push before.
 type StatePush struct {
-	AfterRevision uint64            `json:"after,omitempty"` // revision that the rows lead on from; 0: these are all rows
-	Revision      uint64            `json:"rev"`             // revision that they lead to
+	// revision that the rows lead on from; 0: these are all rows
+	AfterRevision uint64            `json:"after,omitempty"`
+	Revision      uint64            `json:"rev"` // revision that they lead to
 	Rows          []MachineCapacity `json:"rows,omitempty"`
 	Preempted     []PreemptedTask   `json:"stop,omitempty"` // tasks that must make room
 	GoneMachines  []string          `json:"gone,omitempty"` // machines that are gone for certain
--- a/core/outputs.go
+++ b/core/outputs.go
@@ -1,9 +1,10 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/access"
 	"dewlift/wire"
-	"time"
 )
 
 // Output is something to do.
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -56,7 +56,8 @@
 
 // acquireOwnership claims absent shards and the leadership, and gives up surplus shards.
 func (c *Core) acquireOwnership() {
-	if c.auditNotReady() || !c.holdsLease() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt || c.transactions.rateLimit.IsPaused(c.now) {
+	if c.auditNotReady() || !c.holdsLease() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
+		c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
 	node, have := c.controllers.nodeKeys[c.cfg.Name]
@@ -65,7 +66,10 @@
 	ops := 0
 	if !have || node.LeaseID != c.ownLease.id {
 		t.Compare = append(t.Compare, wire.Compare{Key: keyNode + c.cfg.Name, Revision: node.mark})
-		t.Then = append(t.Then, wire.Write{Put: keyNode + c.cfg.Name, Value: c.leasedValue(0), LeaseID: c.ownLease.id})
+		t.Then = append(
+			t.Then,
+			wire.Write{Put: keyNode + c.cfg.Name, Value: c.leasedValue(0), LeaseID: c.ownLease.id},
+		)
 		ops++
 	}
 	// Everyone has a moment to show itself, so that the shards spread at a common start.
@@ -105,8 +109,10 @@
 		}
 	}
 	lead := false
-	if c.leadership.leader.mark == 0 && settled && c.now-c.leadership.leader.since >= time.Duration(c.rendezvousRank(keyLeader, live))*300*time.Millisecond ||
-		c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name && c.leadership.leader.LeaseID != c.ownLease.id {
+	if c.leadership.leader.mark == 0 && settled &&
+		c.now-c.leadership.leader.since >= time.Duration(c.rendezvousRank(keyLeader, live))*300*time.Millisecond ||
+		c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name &&
+			c.leadership.leader.LeaseID != c.ownLease.id {
 		lead = ops+len(claims)+2+c.auditOpsPerTxn() <= c.cfg.MaxTxnOps
 	}
 	told := func(int) {}
@@ -122,7 +128,15 @@
 			t.Compare = append(t.Compare, wire.Compare{Key: keyLeader, Revision: c.leadership.leader.mark})
 			t.Then = append(t.Then, wire.Write{Put: keyLeader, Value: c.leasedValue(token), LeaseID: c.ownLease.id})
 		}
-		told = c.addAuditEntry(&t, "take/"+c.cfg.Name, auditlog.Event{Verb: auditlog.VerbTakeOver, Object: describeClaims(claims, lead), Reason: fmt.Sprintf("token %d", token)})
+		told = c.addAuditEntry(
+			&t,
+			"take/"+c.cfg.Name,
+			auditlog.Event{
+				Verb:   auditlog.VerbTakeOver,
+				Object: describeClaims(claims, lead),
+				Reason: fmt.Sprintf("token %d", token),
+			},
+		)
 	} else if ops == 0 && (count > fair || uneven) && c.now >= c.ownership.nextHandoverAt {
 		c.ownership.nextHandoverAt = c.now + 1500*time.Millisecond
 		if i := c.surplusShard(); i >= 0 {
@@ -244,7 +258,9 @@
 }
 
 func (c *Core) ownsShard(s int) bool {
-	return s >= 0 && s < len(c.ownership.shards) && c.ownLease.id != 0 && c.ownership.shards[s].LeaseID == c.ownLease.id && c.ownership.shards[s].mark != 0 &&
+	return s >= 0 && s < len(c.ownership.shards) && c.ownLease.id != 0 &&
+		c.ownership.shards[s].LeaseID == c.ownLease.id &&
+		c.ownership.shards[s].mark != 0 &&
 		c.ownership.shards[s].Node == c.cfg.Name
 }
 
--- a/core/peers.go
+++ b/core/peers.go
@@ -30,7 +30,20 @@
 	if c.now >= c.controllers.nextHealthAt {
 		c.controllers.nextHealthAt = c.now + c.cfg.HealthInterval
 		c.priority.firstWaiting = c.firstWaitingByClass()
-		c.emit(SendToPeer{Message: Message{Health: &Health{StoreReachable: c.isStoreReachable(), WriteRate: c.transactions.rateLimit.SampleWriteRate(c.cfg.HealthInterval), ReachablePeers: c.controllers.membership.ReachableExcept(c.now, ""), SnapshotPagesRead: c.snapshotPagesRead(), QueueHeads: c.priority.firstWaiting, CancellationsUpTo: c.cancellationsKnownUpTo()}}})
+		c.emit(
+			SendToPeer{
+				Message: Message{
+					Health: &Health{
+						StoreReachable:    c.isStoreReachable(),
+						WriteRate:         c.transactions.rateLimit.SampleWriteRate(c.cfg.HealthInterval),
+						ReachablePeers:    c.controllers.membership.ReachableExcept(c.now, ""),
+						SnapshotPagesRead: c.snapshotPagesRead(),
+						QueueHeads:        c.priority.firstWaiting,
+						CancellationsUpTo: c.cancellationsKnownUpTo(),
+					},
+				},
+			},
+		)
 		c.updateRateLimit()
 	}
 }
@@ -79,7 +92,10 @@
 	c.handleQuorumMessage(in.Peer, &m)
 	if m.Health != nil {
 		c.cancelAcks.quorum.RecordHeldRevision(in.Peer, m.Health.CancellationsUpTo)
-		p.StoreReachable, p.WriteRate, p.ReachablePeers, p.SnapshotPagesLoaded = m.Health.StoreReachable, max(0, m.Health.WriteRate), m.Health.ReachablePeers, m.Health.SnapshotPagesRead
+		p.StoreReachable, p.WriteRate, p.ReachablePeers, p.SnapshotPagesLoaded = m.Health.StoreReachable, max(
+			0,
+			m.Health.WriteRate,
+		), m.Health.ReachablePeers, m.Health.SnapshotPagesRead
 		p.QueueHeads = p.QueueHeads[:0]
 		for _, w := range m.Health.QueueHeads {
 			p.QueueHeads = append(p.QueueHeads, membership.QueuePosition(w))
@@ -103,8 +119,12 @@
 		}
 		// A push may have counted it already: it came by another way. Counted twice, an end would
 		// show room on a full machine until the row changes.
-		if m.AllocationDeltas.Seq > c.clusterCopy.countedBatches[in.Peer] || c.clusterCopy.leaderToken != c.leadership.leader.FencingToken {
-			c.retainBatch(in.Peer, deltaBatch{m.AllocationDeltas.Seq, 0, c.leadership.leader.FencingToken, m.AllocationDeltas.Deltas})
+		if m.AllocationDeltas.Seq > c.clusterCopy.countedBatches[in.Peer] ||
+			c.clusterCopy.leaderToken != c.leadership.leader.FencingToken {
+			c.retainBatch(
+				in.Peer,
+				deltaBatch{m.AllocationDeltas.Seq, 0, c.leadership.leader.FencingToken, m.AllocationDeltas.Deltas},
+			)
 			c.applyPeerDeltas(m.AllocationDeltas.Deltas)
 			c.placement.capacityFreed = true
 		}
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -87,7 +87,8 @@
 
 const reasonNotReady = "rights are not in force yet, or what is done can't be recorded yet"
 
-// isNotServing reports whether rights shall be in force and are not yet, or what is done can't be recorded yet: nobody is served.
+// isNotServing reports whether rights shall be in force and are not yet, or what is done can't be
+// recorded yet: nobody is served.
 func (c *Core) isNotServing() bool {
 	return c.cfg.Permissions != nil && !c.permissionsInForce() || c.auditNotReady()
 }
@@ -148,7 +149,12 @@
 		}
 		return []wire.Compare{{Key: keyRoles}} // they may come into force meanwhile
 	}
-	return append([]wire.Compare{{Key: keyRoles, Revision: c.permissions.rolesRevision}, {Key: keyIdentity + cr.Identity, Revision: c.permissions.identities[cr.Identity].revision}}, c.unauditedCompares()...)
+	return append(
+		[]wire.Compare{
+			{Key: keyRoles, Revision: c.permissions.rolesRevision},
+			{Key: keyIdentity + cr.Identity, Revision: c.permissions.identities[cr.Identity].revision},
+		},
+		c.unauditedCompares()...)
 }
 
 func (c *Core) canReadJob(cr Credential, j *job) bool {
@@ -246,7 +252,8 @@
 		c.respond(in.RequestID, 400, wire.Error{Error: in.DecodeError})
 		return
 	}
-	if in.DecodeError == "" && c.authorize(in.Caller, submitAction(&in.Spec)).Allowed && c.recallFromArchive(in.ID) == nil {
+	if in.DecodeError == "" && c.authorize(in.Caller, submitAction(&in.Spec)).Allowed &&
+		c.recallFromArchive(in.ID) == nil {
 		c.admitSubmission(in)
 		return
 	}
@@ -276,8 +283,8 @@
 	return &in.Spec
 }
 
-// dropUnauthorizedCancellations drops the cancellations of those who have lost the right since they asked, and returns the
-// conditions under which the others have it.
+// dropUnauthorizedCancellations drops the cancellations of those who have lost the right since they
+// asked, and returns the conditions under which the others have it.
 func (c *Core) dropUnauthorizedCancellations(j *job) []wire.Compare {
 	var conds []wire.Compare
 	j.cancellation.waiters = slices.DeleteFunc(j.cancellation.waiters, func(x cancelWaiter) bool {
@@ -299,7 +306,15 @@
 // they come into force. A seeding that was interrupted goes on.
 func (c *Core) seedPermissions() {
 	r := &c.permissions
-	if c.cfg.Permissions == nil || c.permissionsInForce() || c.auditNotReady() || c.cfg.AuditKey != nil && !c.isAuditing() || !c.isLeader() || !c.holdsLease() || c.schemaVersion() < schemaPermissions || r.seeding || c.now < r.nextSeedAt || c.transactions.rateLimit.IsPaused(c.now) || c.transactions.rateLimit.WriteTokens < 1 {
+	if c.cfg.Permissions == nil || c.permissionsInForce() || c.auditNotReady() ||
+		c.cfg.AuditKey != nil && !c.isAuditing() ||
+		!c.isLeader() ||
+		!c.holdsLease() ||
+		c.schemaVersion() < schemaPermissions ||
+		r.seeding ||
+		c.now < r.nextSeedAt ||
+		c.transactions.rateLimit.IsPaused(c.now) ||
+		c.transactions.rateLimit.WriteTokens < 1 {
 		return
 	}
 	seed := c.cfg.Permissions.Source()
@@ -317,7 +332,14 @@
 		return true
 	}
 	for _, id := range seed.Identities {
-		if _, there := r.identities[id.Name]; !there && len(t.Then) < max(1, min(c.cfg.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens))-c.auditOpsPerTxn()) && !put(keyIdentity+id.Name, id) {
+		if _, there := r.identities[id.Name]; !there &&
+			len(
+				t.Then,
+			) < max(
+				1,
+				min(c.cfg.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens))-c.auditOpsPerTxn(),
+			) &&
+			!put(keyIdentity+id.Name, id) {
 			r.nextSeedAt = c.now + 10*time.Second
 			return
 		}
@@ -330,7 +352,11 @@
 	for _, w := range t.Then {
 		seeded = append(seeded, strings.TrimPrefix(w.Put, keyPermissions))
 	}
-	told := c.addAuditEntry(&t, "rights", auditlog.Event{Verb: "administer", Object: "rights", Reason: "first rights: " + strings.Join(seeded, " ")})
+	told := c.addAuditEntry(
+		&t,
+		"rights",
+		auditlog.Event{Verb: "administer", Object: "rights", Reason: "first rights: " + strings.Join(seeded, " ")},
+	)
 	r.seeding = true
 	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
 		told(status)
@@ -406,7 +432,11 @@
 			return
 		}
 		c.log("info", "rights changed", "by", in.Caller.Identity, "who", in.Identity, "change", in.Edit)
-		c.respond(in.RequestID, 200, wire.PermissionsEditResult{Identity: in.Identity, Cancelled: c.cancelQueuedJobs(in)})
+		c.respond(
+			in.RequestID,
+			200,
+			wire.PermissionsEditResult{Identity: in.Identity, Cancelled: c.cancelQueuedJobs(in)},
+		)
 	}})
 }
 
@@ -416,7 +446,10 @@
 		return nil
 	}
 	for _, j := range c.openJobs {
-		if j.record != nil && j.record.Spec != nil && j.record.Submitter == in.Identity && !j.isFinal() && len(j.assignments) == 0 && j.record.CompletedTasks.Count() == 0 && c.canCancelJob(in.Caller, j) {
+		if j.record != nil && j.record.Spec != nil && j.record.Submitter == in.Identity && !j.isFinal() &&
+			len(j.assignments) == 0 &&
+			j.record.CompletedTasks.Count() == 0 &&
+			c.canCancelJob(in.Caller, j) {
 			ids = append(ids, j.id)
 			c.enqueueCancellation(j, CancelJob{ID: j.id, Caller: in.Caller, UnixMS: c.unixMS()})
 		}
@@ -428,7 +461,9 @@
 // their own.
 func (in *UpdatePermissions) changesOnlyOwnKeys() bool {
 	e := &in.Edit
-	return in.Caller.Identity == in.Identity && len(e.GrantRoles)+len(e.RevokeRoles) == 0 && !e.Delete && !e.CancelQueued && e.Certificate == nil
+	return in.Caller.Identity == in.Identity && len(e.GrantRoles)+len(e.RevokeRoles) == 0 && !e.Delete &&
+		!e.CancelQueued &&
+		e.Certificate == nil
 }
 
 // hasValidKey reports whether a key is still its holder's.
@@ -493,7 +528,10 @@
 		}
 	}
 	for _, k := range e.AddKeys {
-		if !slices.ContainsFunc(next.Keys, func(x *pb.PublicKey) bool { return x.Id == k.ID && x.Ed25519 == k.Ed25519 }) {
+		if !slices.ContainsFunc(
+			next.Keys,
+			func(x *pb.PublicKey) bool { return x.Id == k.ID && x.Ed25519 == k.Ed25519 },
+		) {
 			next.Keys = append(next.Keys, &pb.PublicKey{Id: k.ID, Ed25519: k.Ed25519})
 		}
 	}
--- a/core/permissions_test.go
+++ b/core/permissions_test.go
@@ -15,7 +15,8 @@
 	"dewlift/wire"
 )
 
-// examplePolicy has a technician, who also changes rights, and a visiting potter; the team of test jobs is t, their class c.
+// examplePolicy has a technician, who also changes rights, and a visiting potter; the team of test
+// jobs is t, their class c.
 func examplePolicy(t *testing.T) *access.Policy {
 	t.Helper()
 	key := func(b byte) string { return base64.StdEncoding.EncodeToString(append(make([]byte, 31), b)) }
@@ -51,7 +52,8 @@
 	}
 	raw, err := jobrecord.PackMessage(&pb.Access{Roles: p.Source().Roles})
 	put(keyRoles, raw, err)
-	if out := outputsOfType[PermissionsChanged](watchEvents(c, 1100*time.Millisecond, 10, log...)); len(out) != 1 || !out[0].Policy.HasIdentity("potter") {
+	if out := outputsOfType[PermissionsChanged](watchEvents(c, 1100*time.Millisecond, 10, log...)); len(out) != 1 ||
+		!out[0].Policy.HasIdentity("potter") {
 		t.Fatalf("the edges are told %+v", out)
 	}
 	return c
@@ -84,14 +86,20 @@
 		for at := from; at < to; at += 100 * time.Millisecond {
 			c.ownLease.expiresAt = at + time.Minute
 			for _, o := range outputsOfType[CommitTxn](append(c.Advance(at), completeBarrier(c, at)...)) {
-				if slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool { return strings.HasPrefix(w.Put, keyPermissions) }) {
+				if slices.ContainsFunc(
+					o.Txn.Then,
+					func(w wire.Write) bool { return strings.HasPrefix(w.Put, keyPermissions) },
+				) {
 					txns = append(txns, o.Txn)
 					if !slices.Contains(o.Txn.Compare, wire.Compare{Key: keyRoles}) {
 						t.Errorf("rights are written without a condition: %+v", o.Txn.Compare)
 					}
 					var log []wire.WatchEvent
 					for _, w := range o.Txn.Then {
-						log = append(log, wire.WatchEvent{Put: w.Put, Value: w.Value, Revision: c.replica.revision + 1})
+						log = append(
+							log,
+							wire.WatchEvent{Put: w.Put, Value: w.Value, Revision: c.replica.revision + 1},
+						)
 					}
 					watchEvents(c, at, c.replica.revision+1, log...)
 				}
@@ -100,11 +108,29 @@
 		}
 		return txns
 	}
-	watchEvents(c, 1200*time.Millisecond, 11, event(keyLeader, string(c.leasedValue(1)), 11), event(keySchemaVersion+"n1", fmt.Sprint(schemaPermissions-1), 11), event(keySchemaVersion+"n2", fmt.Sprint(SchemaVersion), 11), event(keySchemaVersion+"n0", fmt.Sprint(SchemaVersion), 11))
+	watchEvents(
+		c,
+		1200*time.Millisecond,
+		11,
+		event(keyLeader, string(c.leasedValue(1)), 11),
+		event(keySchemaVersion+"n1", fmt.Sprint(schemaPermissions-1), 11),
+		event(keySchemaVersion+"n2", fmt.Sprint(SchemaVersion), 11),
+		event(keySchemaVersion+"n0", fmt.Sprint(SchemaVersion), 11),
+	)
 	if x := written(1300*time.Millisecond, 3*time.Second); len(x) != 0 {
 		t.Errorf("written while another controller does not know rights: %+v", x)
 	}
-	c.Handle(3*time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 50, Events: []wire.WatchEvent{event(keySchemaVersion+"n1", fmt.Sprint(SchemaVersion), 50)}}})
+	c.Handle(
+		3*time.Second,
+		WatchResult{
+			LongPoll: true,
+			Status:   200,
+			Changes: wire.WatchResponse{
+				Revision: 50,
+				Events:   []wire.WatchEvent{event(keySchemaVersion+"n1", fmt.Sprint(SchemaVersion), 50)},
+			},
+		},
+	)
 	x := written(3*time.Second, 6*time.Second)
 	if len(x) != 2 || len(x[0].Then) != 2 || x[1].Then[0].Put != keyRoles || !c.permissionsInForce() || !c.Healthy() {
 		t.Fatalf("got %+v, guarded %v, healthy %v", x, c.permissionsInForce(), c.Healthy())
@@ -115,7 +141,12 @@
 // submission or a job that awaits it.
 func TestUnreadableJobsAreNotRevealed(t *testing.T) {
 	c := newCoreWithPermissions(t)
-	watchEvents(c, 1200*time.Millisecond, 11, event(keyJob+"wk-1", `{"h":0,"s":{"cl":"x","tm":"t","n":1,"rc":[1000,0,1000]}}`, 11))
+	watchEvents(
+		c,
+		1200*time.Millisecond,
+		11,
+		event(keyJob+"wk-1", `{"h":0,"s":{"cl":"x","tm":"t","n":1,"rc":[1000,0,1000]}}`, 11),
+	)
 	awaits := testSubmission("wk-3")
 	awaits.Spec.Dependencies = []string{"wk-1"}
 	c.schema.active = SchemaVersion
@@ -137,9 +168,21 @@
 		status      int
 	}{
 		{GetJob{RequestID: 1, ID: "wk-1", Caller: potter}, GetJob{RequestID: 1, ID: "wk-2", Caller: potter}, 404},
-		{CancelJob{RequestID: 1, ID: "wk-1", Caller: potter}, CancelJob{RequestID: 1, ID: "wk-2", Caller: potter}, 404},
-		{SubmitJob{RequestID: 1, ID: "wk-1", DecodeError: "nonsense", Caller: potter}, SubmitJob{RequestID: 1, ID: "wk-2", DecodeError: "nonsense", Caller: potter}, 400},
-		{submittedBy(potter, awaits), submittedBy(potter, func() SubmitJob { s := awaits; s.Spec.Dependencies = []string{"wk-2"}; return s }()), 422},
+		{
+			CancelJob{RequestID: 1, ID: "wk-1", Caller: potter},
+			CancelJob{RequestID: 1, ID: "wk-2", Caller: potter},
+			404,
+		},
+		{
+			SubmitJob{RequestID: 1, ID: "wk-1", DecodeError: "nonsense", Caller: potter},
+			SubmitJob{RequestID: 1, ID: "wk-2", DecodeError: "nonsense", Caller: potter},
+			400,
+		},
+		{
+			submittedBy(potter, awaits),
+			submittedBy(potter, func() SubmitJob { s := awaits; s.Spec.Dependencies = []string{"wk-2"}; return s }()),
+			422,
+		},
 	} {
 		at += 2 * time.Second
 		c.ownLease.expiresAt = at + time.Minute
@@ -147,7 +190,8 @@
 		at += 2 * time.Second
 		c.ownLease.expiresAt = at + time.Minute
 		b := ask(at, x.never)
-		if a.Status != x.status || strings.ReplaceAll(fmt.Sprint(a.Body), "wk-1", "wk-2") != fmt.Sprint(b.Body) || a.Status != b.Status {
+		if a.Status != x.status || strings.ReplaceAll(fmt.Sprint(a.Body), "wk-1", "wk-2") != fmt.Sprint(b.Body) ||
+			a.Status != b.Status {
 			t.Errorf("%T: %+v differs from %+v", x.real, a, b)
 		}
 	}
@@ -163,26 +207,45 @@
 	c := newCoreWithPermissions(t)
 	c.Handle(1200*time.Millisecond, submittedBy(potter, testSubmission("wk-1")))
 	x := findAcceptTxn(c.Advance(1200*time.Millisecond), "wk-1")
-	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyIdentity + "potter", Revision: 10}) || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyRoles, Revision: 10}) {
+	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyIdentity + "potter", Revision: 10}) ||
+		!slices.Contains(x.Txn.Compare, wire.Compare{Key: keyRoles, Revision: 10}) {
 		t.Fatalf("got %+v", x)
 	}
-	raw, err := jobrecord.PackMessage(&pb.Identity{Name: "potter", Keys: []*pb.PublicKey{c.permissions.identities["potter"].identity.Keys[0]}})
+	raw, err := jobrecord.PackMessage(
+		&pb.Identity{Name: "potter", Keys: []*pb.PublicKey{c.permissions.identities["potter"].identity.Keys[0]}},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	watchEvents(c, 1300*time.Millisecond, 11, wire.WatchEvent{Put: keyIdentity + "potter", Value: raw, Revision: 11})
-	c.Handle(1300*time.Millisecond, TxnResult{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{keyIdentity + "potter"}}})
+	c.Handle(
+		1300*time.Millisecond,
+		TxnResult{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{keyIdentity + "potter"}}},
+	)
 	out := append(c.Advance(1300*time.Millisecond), completeBarrier(c, 1400*time.Millisecond)...)
 	if s := statusOf(t, out); s != 403 || findAcceptTxn(out, "wk-1") != nil {
 		t.Errorf("answered %d", s)
 	}
 	// A job that was accepted before stays, and is cancelled only by somebody with the right, by name.
-	watchEvents(c, 1500*time.Millisecond, 12, event(keyJob+"wk-2", `{"h":0,"u":"potter","s":{"cl":"c","tm":"t","n":1,"rc":[1000,0,1000]}}`, 12))
+	watchEvents(
+		c,
+		1500*time.Millisecond,
+		12,
+		event(keyJob+"wk-2", `{"h":0,"u":"potter","s":{"cl":"c","tm":"t","n":1,"rc":[1000,0,1000]}}`, 12),
+	)
 	c.Advance(1600 * time.Millisecond)
 	if c.knownJob("wk-2").isFinal() {
 		t.Fatal("a queued job ended with its user's right")
 	}
-	c.Handle(2*time.Second, UpdatePermissions{RequestID: 5, Caller: anna, Identity: "potter", Edit: wire.PermissionsEdit{Delete: true, CancelQueued: true}})
+	c.Handle(
+		2*time.Second,
+		UpdatePermissions{
+			RequestID: 5,
+			Caller:    anna,
+			Identity:  "potter",
+			Edit:      wire.PermissionsEdit{Delete: true, CancelQueued: true},
+		},
+	)
 	c.Advance(2 * time.Second)
 	out = completeBarrier(c, 2100*time.Millisecond)
 	var change *CommitTxn
@@ -191,7 +254,8 @@
 			change = &o
 		}
 	}
-	if change == nil || !slices.Contains(change.Txn.Compare, wire.Compare{Key: keyIdentity + "anna", Revision: 10}) || !slices.Contains(change.Txn.Compare, wire.Compare{Key: keyIdentity + "potter", Revision: 11}) {
+	if change == nil || !slices.Contains(change.Txn.Compare, wire.Compare{Key: keyIdentity + "anna", Revision: 10}) ||
+		!slices.Contains(change.Txn.Compare, wire.Compare{Key: keyIdentity + "potter", Revision: 11}) {
 		t.Fatalf("got %+v", out)
 	}
 	c.Handle(2200*time.Millisecond, TxnResult{ID: change.ID, Status: 200, Reply: wire.TxnResponse{Revision: 13}})
@@ -223,14 +287,23 @@
 		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"visitor"}}, 0},
 		{potter, "potter", wire.PermissionsEdit{GrantRoles: []string{"technician"}}, 403},
 		{potter, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, 403},
-		{potter, "potter", wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: "p2", Ed25519: next}}, RevokeKeys: []string{"p1"}}, 0},
+		{
+			potter,
+			"potter",
+			wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: "p2", Ed25519: next}}, RevokeKeys: []string{"p1"}},
+			0,
+		},
 		{Credential{"potter", "a1"}, "potter", wire.PermissionsEdit{RevokeKeys: []string{"p1"}}, 403},
 	} {
 		c := newCoreWithPermissions(t)
 		c.Handle(1200*time.Millisecond, UpdatePermissions{RequestID: 5, Caller: x.by, Identity: x.who, Edit: x.edit})
 		out := append(c.Advance(1200*time.Millisecond), completeBarrier(c, 1300*time.Millisecond)...)
-		wrote := slices.ContainsFunc(outputsOfType[CommitTxn](out), func(o CommitTxn) bool { return o.Txn.Then[0].Put == keyIdentity+x.who })
-		if r := outputsOfType[Response](out); x.status == 0 && (!wrote || len(r) != 0) || x.status != 0 && (wrote || len(r) != 1 || r[0].Status != x.status) {
+		wrote := slices.ContainsFunc(
+			outputsOfType[CommitTxn](out),
+			func(o CommitTxn) bool { return o.Txn.Then[0].Put == keyIdentity+x.who },
+		)
+		if r := outputsOfType[Response](out); x.status == 0 && (!wrote || len(r) != 0) ||
+			x.status != 0 && (wrote || len(r) != 1 || r[0].Status != x.status) {
 			t.Errorf("%+v: wrote %v, answered %+v", x, wrote, r)
 		}
 	}
--- a/core/preemption.go
+++ b/core/preemption.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"dewlift/clusterstate"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/wire"
 )
 
 // preemptForReplicas stops tasks of lower priority for replicas that find no room now: machines that
@@ -22,7 +23,10 @@
 	}
 	var places []place
 	for _, b := range bins {
-		if b.machine == nil || !b.machine.status.reported || b.nodeGroup.spot && !n.spec.Spot || n.spec.Spread && room(b.nodeGroup.zone) <= 0 || !b.isSchedulable(c) || !c.isFeasible(n.spec, b.machine) {
+		if b.machine == nil || !b.machine.status.reported || b.nodeGroup.spot && !n.spec.Spot ||
+			n.spec.Spread && room(b.nodeGroup.zone) <= 0 ||
+			!b.isSchedulable(c) ||
+			!c.isFeasible(n.spec, b.machine) {
 			continue
 		}
 		if vs, cost, ok := c.chooseVictims(n, b); ok {
@@ -40,7 +44,10 @@
 			continue
 		}
 		for _, v := range p.victims {
-			l.pendingPreemptions = append(l.pendingPreemptions, PreemptedTask{Machine: b.machine.name, Job: c.jobs[v.jobIndex].id, Task: v.Task, Attempt: v.Attempt})
+			l.pendingPreemptions = append(
+				l.pendingPreemptions,
+				PreemptedTask{Machine: b.machine.name, Job: c.jobs[v.jobIndex].id, Task: v.Task, Attempt: v.Attempt},
+			)
 			b.available = b.available.AddScaled(c.jobs[v.jobIndex].record.Spec.Request, 1)
 			b.preempted = append(b.preempted, v)
 		}
@@ -76,8 +83,9 @@
 	return vs, cost, len(vs) > 0 && free.Fits(n.spec.Request)
 }
 
-// preemptibleTasks lists the tasks of a machine that may be stopped for a priority, those that have run least first. It is worked
-// out once a plan: hundreds of replicas that find no room look at all machines.
+// preemptibleTasks lists the tasks of a machine that may be stopped for a priority, those that have
+// run least first. It is worked out once a plan: hundreds of replicas that find no room look at all
+// machines.
 func (c *Core) preemptibleTasks(b *bin, below int) []jobAssignment {
 	if b.preemptible != nil && b.preemptiblePriority == below {
 		return b.preemptible
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -16,9 +16,10 @@
 	"dewlift/wire"
 )
 
-// The order of work. A job's lane, and its place in it, stand in its record: the lane that it was accepted into, and the state service's own
-// revision of its acceptance. So it is the same at whichever controller, after a take-over, a restart of all and an upgrade, and no
-// clock decides it but for what the list of lanes says of time.
+// The order of work. A job's lane, and its place in it, stand in its record: the lane that it was
+// accepted into, and the state service's own revision of its acceptance. So it is the same at
+// whichever controller, after a take-over, a restart of all and an upgrade, and no clock decides it
+// but for what the list of lanes says of time.
 const keyPriorityClasses = Root + "lanes"
 
 // ownPriorityClass is the lane of a job by its record.
@@ -26,10 +27,13 @@
 	if i, ok := c.priority.classes.IndexOf(r.PriorityClass); ok {
 		return i
 	}
-	return c.priority.classes.Classify(r.Spec) // it was accepted where there was no list, or its lane is none any more
+	return c.priority.classes.Classify(
+		r.Spec,
+	) // it was accepted where there was no list, or its lane is none any more
 }
 
-// effectivePriorityClass is the lane by which a job is ordered: its own or that of a job that needs it, or one above after it has waited.
+// effectivePriorityClass is the lane by which a job is ordered: its own or that of a job that needs
+// it, or one above after it has waited.
 func (c *Core) effectivePriorityClass(j *job) int {
 	if c.now < j.queue.boostedUntil {
 		return 0
@@ -38,27 +42,42 @@
 }
 
 func (c *Core) agedPriorityClass(j *job) int {
-	return c.priority.classes.EffectiveClass(j.effectiveClass, time.Duration(c.unixMS()-j.effectiveEnqueueMS())*time.Millisecond)
+	return c.priority.classes.EffectiveClass(
+		j.effectiveClass,
+		time.Duration(c.unixMS()-j.effectiveEnqueueMS())*time.Millisecond,
+	)
 }
 
-// queueRank is what orders a job: its lane, replicas that it lost, whether it would miss its deadline, its place. A lost zone takes replicas of
-// nearly every service with it, and each takes a write: in the order of their age, half of all replicas waited for half of the writes; so
-// those that lost most come first in their lane.
+// queueRank is what orders a job: its lane, replicas that it lost, whether it would miss its
+// deadline, its place. A lost zone takes replicas of nearly every service with it, and each takes a
+// write: in the order of their age, half of all replicas waited for half of the writes; so those
+// that lost most come first in their lane.
 type queueRank struct {
 	priorityClass, missingReplicas int
-	latestStartMS                  int64 // turn of one that must begin before it was accepted to be in time; 0: it need not
-	before, enqueueRevision        uint64
-	enqueueMS                      int64
+	// turn of one that must begin before it was accepted to be in time; 0: it need not
+	latestStartMS           int64
+	before, enqueueRevision uint64
+	enqueueMS               int64
 }
 
 func (c *Core) queueRankOf(j *job) queueRank {
 	switch {
 	case j.submission != nil:
-		return queueRank{priorityClass: c.priority.classes.Classify(&j.submission.spec), enqueueRevision: math.MaxUint64, enqueueMS: j.submission.submittedMS}
+		return queueRank{
+			priorityClass:   c.priority.classes.Classify(&j.submission.spec),
+			enqueueRevision: math.MaxUint64,
+			enqueueMS:       j.submission.submittedMS,
+		}
 	case j.record == nil || j.record.Spec == nil:
 		return queueRank{priorityClass: math.MaxInt}
 	}
-	r := queueRank{priorityClass: c.effectivePriorityClass(j), missingReplicas: j.queue.missingReplicas, before: j.record.RestoreOrder, enqueueRevision: max(j.queue.enqueueRevision, j.readyRevision), enqueueMS: j.effectiveEnqueueMS()}
+	r := queueRank{
+		priorityClass:   c.effectivePriorityClass(j),
+		missingReplicas: j.queue.missingReplicas,
+		before:          j.record.RestoreOrder,
+		enqueueRevision: max(j.queue.enqueueRevision, j.readyRevision),
+		enqueueMS:       j.effectiveEnqueueMS(),
+	}
 	if r.enqueueMS < j.record.AcceptedAtMS {
 		r.latestStartMS = r.enqueueMS
 	}
@@ -72,8 +91,14 @@
 		}
 		return r.latestStartMS
 	}
-	return cmp.Or(cmp.Compare(a.priorityClass, b.priorityClass), cmp.Compare(b.missingReplicas, a.missingReplicas), cmp.Compare(late(a), late(b)), cmp.Compare(b.before, a.before),
-		cmp.Compare(a.enqueueRevision, b.enqueueRevision), cmp.Compare(a.enqueueMS, b.enqueueMS))
+	return cmp.Or(
+		cmp.Compare(a.priorityClass, b.priorityClass),
+		cmp.Compare(b.missingReplicas, a.missingReplicas),
+		cmp.Compare(late(a), late(b)),
+		cmp.Compare(b.before, a.before),
+		cmp.Compare(a.enqueueRevision, b.enqueueRevision),
+		cmp.Compare(a.enqueueMS, b.enqueueMS),
+	)
 }
 
 // setPriorityClasses puts a list in force here; nil: a lane for each priority.
@@ -109,14 +134,20 @@
 	return err
 }
 
-// advancePriorityClasses puts the list of the file in force where there is none, and tells the edges whether there is one.
+// advancePriorityClasses puts the list of the file in force where there is none, and tells the
+// edges whether there is one.
 func (c *Core) advancePriorityClasses() {
 	if open := c.priority.revision != 0; open != c.priority.enabledPublished {
 		c.priority.enabledPublished = open
 		c.emit(QueueEnabled{Enabled: open})
 	}
-	if c.cfg.PriorityClasses == nil || c.priority.revision != 0 || c.schemaVersion() < schemaPriorityClasses || c.auditNotReady() || !c.isLeader() || !c.holdsLease() || c.now < c.priority.nextSeedAt ||
-		c.transactions.rateLimit.IsPaused(c.now) || c.transactions.rateLimit.WriteTokens < 1 {
+	if c.cfg.PriorityClasses == nil || c.priority.revision != 0 || c.schemaVersion() < schemaPriorityClasses ||
+		c.auditNotReady() ||
+		!c.isLeader() ||
+		!c.holdsLease() ||
+		c.now < c.priority.nextSeedAt ||
+		c.transactions.rateLimit.IsPaused(c.now) ||
+		c.transactions.rateLimit.WriteTokens < 1 {
 		return
 	}
 	c.priority.nextSeedAt = c.now + 2*time.Second
@@ -125,11 +156,17 @@
 		c.log("error", "the list of lanes does not fit a value", "bytes", len(raw))
 		return
 	}
-	c.commitTxn(wire.Txn{Compare: []wire.Compare{{Key: keyPriorityClasses}}, Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}}},
-		&pendingTxn{onDone: func(int, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }})
+	c.commitTxn(
+		wire.Txn{
+			Compare: []wire.Compare{{Key: keyPriorityClasses}},
+			Then:    []wire.Write{{Put: keyPriorityClasses, Value: raw}},
+		},
+		&pendingTxn{onDone: func(int, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }},
+	)
 }
 
-// handleSetPriorityClasses puts another list in force, for somebody who may. Jobs keep the lane that they were accepted into, if it is still there.
+// handleSetPriorityClasses puts another list in force, for somebody who may. Jobs keep the lane
+// that they were accepted into, if it is still there.
 func (c *Core) handleSetPriorityClasses(in SetPriorityClasses) {
 	l, err := priorityclass.Parse([]byte(in.Text))
 	if err != nil {
@@ -141,7 +178,10 @@
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	case c.storeUnreachable() || c.schemaVersion() < schemaPriorityClasses:
-		c.respondUnavailable(in.RequestID, "state service not reached, or a controller may still run a version that does not know lanes")
+		c.respondUnavailable(
+			in.RequestID,
+			"state service not reached, or a controller may still run a version that does not know lanes",
+		)
 		return
 	}
 	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "lanes", func() {
@@ -150,7 +190,13 @@
 			c.respond(in.RequestID, 400, wire.Error{Error: "lanes: too long to be stored"})
 			return
 		}
-		t := wire.Txn{Compare: append(c.permissionCompares(in.Caller), wire.Compare{Key: keyPriorityClasses, Revision: c.priority.revision}), Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}}}
+		t := wire.Txn{
+			Compare: append(
+				c.permissionCompares(in.Caller),
+				wire.Compare{Key: keyPriorityClasses, Revision: c.priority.revision},
+			),
+			Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}},
+		}
 		c.commitTxn(t, &pendingTxn{onDone: func(status int, r wire.TxnResponse) {
 			c.afterReadBarrier(func(bool) {}) // every controller sees it there
 			if status != 200 {
@@ -201,22 +247,37 @@
 	return part / all
 }
 
-// enforceStartShares puts the first job of the lanes below one that takes more than its part ahead of the others that wait for room.
+// enforceStartShares puts the first job of the lanes below one that takes more than its part ahead
+// of the others that wait for room.
 func (c *Core) enforceStartShares(todo []*job) []*job {
 	for lane := range c.priority.classes.Len() - 1 {
-		if share := c.priority.classes.ReservedShare(lane); share == 0 || c.priority.startShares.shareBelow(lane) >= share {
+		if share := c.priority.classes.ReservedShare(lane); share == 0 ||
+			c.priority.startShares.shareBelow(lane) >= share {
 			continue
 		}
 		var first *job
-		for _, j := range c.openJobs { // also those that were looked at and found no room: who came last must not have what is theirs
-			if j.placement.hasUnplacedTasks && !j.write.inFlight && !j.write.outcomeUnknown && c.ownsJob(j) && j.record.Spec != nil && c.ownPriorityClass(j.record) > lane && c.now >= j.placement.backoffUntil &&
+		// also those that were looked at and found no room: who came last must not have what is theirs
+		for _, j := range c.openJobs {
+			if j.placement.hasUnplacedTasks && !j.write.inFlight && !j.write.outcomeUnknown && c.ownsJob(j) &&
+				j.record.Spec != nil &&
+				c.ownPriorityClass(j.record) > lane &&
+				c.now >= j.placement.backoffUntil &&
 				c.teamOf(j.record.Spec).fitsMaxQuota(j.record.Spec.Request) {
 				if j.queue.rank = c.queueRankOf(j); first == nil || j.queue.rank.compare(first.queue.rank) < 0 {
 					first = j
 				}
 			}
 		}
-		if first == nil || c.controllers.membership.HasEarlierWork(c.now, c.isControllerLive, membership.QueuePosition{Priority: c.agedPriorityClass(first), EnqueuedAtMS: first.effectiveEnqueueMS()}, lane) {
+		if first == nil ||
+			c.controllers.membership.HasEarlierWork(
+				c.now,
+				c.isControllerLive,
+				membership.QueuePosition{
+					Priority:     c.agedPriorityClass(first),
+					EnqueuedAtMS: first.effectiveEnqueueMS(),
+				},
+				lane,
+			) {
 			continue // what comes first of these lanes is another controller's
 		}
 		first.queue.boostedUntil = c.now + time.Second
@@ -261,10 +322,21 @@
 		if in.ID != "" {
 			i := slices.IndexFunc(list, func(j *job) bool { return j.id == in.ID })
 			if i < 0 || !c.canReadJob(in.Caller, list[i]) {
-				c.respond(in.RequestID, 404, wire.Error{Error: in.ID + " does not wait: it runs, is over or never was"})
+				c.respond(
+					in.RequestID,
+					404,
+					wire.Error{Error: in.ID + " does not wait: it runs, is over or never was"},
+				)
 				return
 			}
-			c.respond(in.RequestID, 200, wire.JobQueue{Jobs: []wire.QueuedJob{c.describeQueuedJob(list, i, &[]unplaceable{})}, Total: len(list)})
+			c.respond(
+				in.RequestID,
+				200,
+				wire.JobQueue{
+					Jobs:  []wire.QueuedJob{c.describeQueuedJob(list, i, &[]unplaceable{})},
+					Total: len(list),
+				},
+			)
 			return
 		}
 		out, know := wire.JobQueue{Total: len(list), Version: c.priority.revision}, []unplaceable{}
@@ -286,7 +358,8 @@
 // queuedJobs lists the jobs that have tasks which wait, in the order of work.
 func (c *Core) queuedJobs() (list []*job) {
 	for _, j := range c.openJobs {
-		if j.record != nil && j.record.Spec != nil && !j.isFinal() && j.record.CompletedTasks.Count()+len(j.assignments) < j.record.Spec.Tasks {
+		if j.record != nil && j.record.Spec != nil && !j.isFinal() &&
+			j.record.CompletedTasks.Count()+len(j.assignments) < j.record.Spec.Tasks {
 			j.queue.missingReplicas = c.countLostReplicas(j)
 			list = append(list, j)
 		}
@@ -295,19 +368,32 @@
 		j.queue.rank = c.queueRankOf(j)
 	}
 	slices.SortFunc(list, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(min(a.unmetDependencies, 1), min(b.unmetDependencies, 1)), a.queue.rank.compare(b.queue.rank), cmp.Compare(a.id, b.id))
+		return cmp.Or(
+			cmp.Compare(min(a.unmetDependencies, 1), min(b.unmetDependencies, 1)),
+			a.queue.rank.compare(b.queue.rank),
+			cmp.Compare(a.id, b.id),
+		)
 	})
 	return list
 }
 
-// describeQueuedJob is a job of the queue, and what it waits for, as far as every controller can tell. know are claims for which there is no room, found for
-// those before it in the same answer.
+// describeQueuedJob is a job of the queue, and what it waits for, as far as every controller can
+// tell. know are claims for which there is no room, found for those before it in the same answer.
 func (c *Core) describeQueuedJob(list []*job, i int, know *[]unplaceable) wire.QueuedJob {
 	j := list[i]
 	s := j.record.Spec
 	own, by := c.ownPriorityClass(j.record), c.effectivePriorityClass(j)
-	q := wire.QueuedJob{ID: j.id, Position: i + 1, PriorityClass: c.priority.classes.Name(own), Class: s.Class, Team: s.Team, Tasks: s.Tasks, Done: j.record.CompletedTasks.Count(),
-		Assigned: len(j.assignments), WaitedS: max(0, (c.unixMS()-j.record.AcceptedAtMS)/1000)}
+	q := wire.QueuedJob{
+		ID:            j.id,
+		Position:      i + 1,
+		PriorityClass: c.priority.classes.Name(own),
+		Class:         s.Class,
+		Team:          s.Team,
+		Tasks:         s.Tasks,
+		Done:          j.record.CompletedTasks.Count(),
+		Assigned:      len(j.assignments),
+		WaitedS:       max(0, (c.unixMS()-j.record.AcceptedAtMS)/1000),
+	}
 	if by != own {
 		q.EffectivePriorityClass = c.priority.classes.Name(by)
 	}
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"fmt"
 	"slices"
 	"time"
+
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // proposal is a job's next record, to be adopted once it is committed.
@@ -50,20 +51,48 @@
 		if c.priority.revision != 0 && c.schemaVersion() >= schemaPriorityClasses {
 			lane = c.priority.classes.Name(c.priority.classes.Classify(&spec))
 		}
-		rec := &jobrecord.Record{PriorityClass: lane, Shard: s, Spec: &spec, AcceptedAtMS: j.submission.submittedMS, Submitter: j.submission.caller.Identity}
-		p = &proposal{job: j, record: rec, spec: rec.Spec, isAcceptance: true, compares: append(c.permissionCompares(j.submission.caller), unless),
-			auditActs: []auditlog.Event{newAuditEvent(j.submission.caller, "submit", j.id, fmt.Sprintf("%s %s %s", spec.Team, spec.Class, wire.PriorityName(spec.Priority)))}}
+		rec := &jobrecord.Record{
+			PriorityClass: lane,
+			Shard:         s,
+			Spec:          &spec,
+			AcceptedAtMS:  j.submission.submittedMS,
+			Submitter:     j.submission.caller.Identity,
+		}
+		p = &proposal{
+			job:          j,
+			record:       rec,
+			spec:         rec.Spec,
+			isAcceptance: true,
+			compares:     append(c.permissionCompares(j.submission.caller), unless),
+			auditActs: []auditlog.Event{
+				newAuditEvent(
+					j.submission.caller,
+					"submit",
+					j.id,
+					fmt.Sprintf("%s %s %s", spec.Team, spec.Class, wire.PriorityName(spec.Priority)),
+				),
+			},
+		}
 		left, _, cancelled := c.findUnmetDependencies(&spec)
 		if cancelled != nil {
-			p.record = &jobrecord.Record{Shard: s, Stage: jobrecord.Cancelled, CancelledAtMS: c.unixMS(), CancelledByJob: cancelled.id}
+			p.record = &jobrecord.Record{
+				Shard:          s,
+				Stage:          jobrecord.Cancelled,
+				CancelledAtMS:  c.unixMS(),
+				CancelledByJob: cancelled.id,
+			}
 			c.keepPermissionFields(p.record, &spec)
-			p.auditActs = append(p.auditActs, auditlog.Event{Verb: "cancel", Object: j.id, Reason: "needs " + cancelled.id})
+			p.auditActs = append(
+				p.auditActs,
+				auditlog.Event{Verb: "cancel", Object: j.id, Reason: "needs " + cancelled.id},
+			)
 			return p, 0
 		}
 		spec.Dependencies = left // what is over needs no keeping
 		// Its tasks are placed with the same write if that costs its user no time: a team's key may
 		// be locked, or written by others so often that the write fails.
-		if t := c.teamOf(&spec); t != nil && t.hasMaxQuota() && t.locked && len(left) == 0 && c.ownsShard(s) && c.now < j.submission.receivedAt+2*lockedRetryDelay {
+		if t := c.teamOf(&spec); t != nil && t.hasMaxQuota() && t.locked && len(left) == 0 && c.ownsShard(s) &&
+			c.now < j.submission.receivedAt+2*lockedRetryDelay {
 			return nil, c.now + lockedRetryDelay
 		}
 		if !j.submission.writeFailed && c.ownsShard(s) && len(left) == 0 && !c.hasEarlierWaiting(&spec) {
@@ -99,7 +128,10 @@
 	ended := j.cancelledBy != nil && rec.Stage == jobrecord.Queued // with a job that it needs
 	if ended {
 		rec.Stage, rec.CancelledByJob, rec.CancelledAtMS = jobrecord.Cancelled, j.cancelledBy.id, c.unixMS()
-		p.auditActs = append(p.auditActs, auditlog.Event{Verb: "cancel", Object: j.id, Reason: "needs " + j.cancelledBy.id})
+		p.auditActs = append(
+			p.auditActs,
+			auditlog.Event{Verb: "cancel", Object: j.id, Reason: "needs " + j.cancelledBy.id},
+		)
 	}
 	if !c.ownsJob(j) {
 		if !p.isCancellation {
@@ -109,10 +141,12 @@
 		return p, 0
 	}
 	// Where changes are left over, a full slot is made roomy again.
-	crowded := c.transactions.rateLimit.WriteTokens >= 0.9*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) && c.slotState(c.slotNumber(j.id, j.record)).IsNearlyFull(c.maxSlotBytes())
+	crowded := c.transactions.rateLimit.WriteTokens >= 0.9*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) &&
+		c.slotState(c.slotNumber(j.id, j.record)).IsNearlyFull(c.maxSlotBytes())
 	overlaid := (j.stored.needsOwnKey || crowded) && c.currentSlotEntry(j.id, j.record) != nil
 	p.wantsOwnKey = j.stored.needsOwnKey || overlaid
-	changed := overlaid || p.isCancellation || ended || j.stored.bytes > c.cfg.MaxValueBytes && c.schemaVersion() >= schemaDependencies
+	changed := overlaid || p.isCancellation || ended ||
+		j.stored.bytes > c.cfg.MaxValueBytes && c.schemaVersion() >= schemaDependencies
 	quick := p.isCancellation
 	var stopped []jobrecord.StopReason
 	for _, a := range j.assignments {
@@ -131,10 +165,14 @@
 		quick = true
 		m := c.machines[a.Machine]
 		if rec.Stage == jobrecord.Queued {
-			if t := m.commands.attempts[attemptKey{j.index, a.Task, a.Attempt}]; t != nil && t.stopReason != "" && cause == wire.CauseStopped {
+			if t := m.commands.attempts[attemptKey{j.index, a.Task, a.Attempt}]; t != nil && t.stopReason != "" &&
+				cause == wire.CauseStopped {
 				cause = t.stopReason
 			}
-			stopped = append(stopped, jobrecord.StopReason{Task: int(a.Task), Machine: m.name, Cause: cause, AtMS: c.unixMS()})
+			stopped = append(
+				stopped,
+				jobrecord.StopReason{Task: int(a.Task), Machine: m.name, Cause: cause, AtMS: c.unixMS()},
+			)
 			rec.AddStopReason(stopped[len(stopped)-1])
 			c.handleTaskFailure(j, m, cause, a, failsEverywhere(&rec, c.unixMS()))
 		}
@@ -142,13 +180,45 @@
 	p.auditActs = append(p.auditActs, taskStopEvents(j.id, stopped)...)
 	switch {
 	case rec.Stage == jobrecord.Cancelled && len(p.assignments) == 0:
-		rec = jobrecord.Record{Shard: rec.Shard, Stage: jobrecord.Cancelled, CompletedTasks: rec.CompletedTasks, StopReasons: rec.StopReasons, CancelledByJob: rec.CancelledByJob, PendingAudit: rec.PendingAudit}
+		rec = jobrecord.Record{
+			Shard:          rec.Shard,
+			Stage:          jobrecord.Cancelled,
+			CompletedTasks: rec.CompletedTasks,
+			StopReasons:    rec.StopReasons,
+			CancelledByJob: rec.CancelledByJob,
+			PendingAudit:   rec.PendingAudit,
+		}
 		c.keepPermissionFields(&rec, p.spec)
 		changed = true
 	case rec.Stage == jobrecord.Queued && rec.CompletedTasks.Count() == rec.Spec.Tasks:
-		c.log("debug", "job done", "job", j.id, "class", rec.Spec.Class, "team", rec.Spec.Team, "tasks", rec.Spec.Tasks, "tries", rec.LastAttempt,
-			"estimate_s", rec.Spec.EstimatedRuntimeMS/1000, "took_ms", c.unixMS()-rec.AcceptedAtMS, "placed_ms", j.placement.lastPlacedMS-rec.AcceptedAtMS, "why", rec.StopReasons)
-		rec = jobrecord.Record{Shard: rec.Shard, Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, rec.Spec.Tasks - 1}, PendingAudit: rec.PendingAudit}
+		c.log(
+			"debug",
+			"job done",
+			"job",
+			j.id,
+			"class",
+			rec.Spec.Class,
+			"team",
+			rec.Spec.Team,
+			"tasks",
+			rec.Spec.Tasks,
+			"tries",
+			rec.LastAttempt,
+			"estimate_s",
+			rec.Spec.EstimatedRuntimeMS/1000,
+			"took_ms",
+			c.unixMS()-rec.AcceptedAtMS,
+			"placed_ms",
+			j.placement.lastPlacedMS-rec.AcceptedAtMS,
+			"why",
+			rec.StopReasons,
+		)
+		rec = jobrecord.Record{
+			Shard:          rec.Shard,
+			Stage:          jobrecord.Done,
+			CompletedTasks: jobrecord.TaskSet{0, rec.Spec.Tasks - 1},
+			PendingAudit:   rec.PendingAudit,
+		}
 		c.keepPermissionFields(&rec, p.spec)
 		changed, quick = true, true
 	case rec.Stage == jobrecord.Queued && j.unmetDependencies == 0:
@@ -158,15 +228,32 @@
 			p.startsOnly = !changed
 			changed, quick = true, true
 			j.placement.lastPlacedMS = c.unixMS()
-			c.log("debug", "tasks placed late", "job", j.id, "class", rec.Spec.Class, "tasks", len(p.assignments)-before,
-				"after_ms", j.placement.lastPlacedMS-rec.AcceptedAtMS, "tries", rec.LastAttempt, "spread", rec.Spec.Spread, "why", rec.StopReasons)
+			c.log(
+				"debug",
+				"tasks placed late",
+				"job",
+				j.id,
+				"class",
+				rec.Spec.Class,
+				"tasks",
+				len(p.assignments)-before,
+				"after_ms",
+				j.placement.lastPlacedMS-rec.AcceptedAtMS,
+				"tries",
+				rec.LastAttempt,
+				"spread",
+				rec.Spec.Spread,
+				"why",
+				rec.StopReasons,
+			)
 		}
 	}
 	if !changed {
 		return nil, again
 	}
 	// Completions alone may wait a little, to share a write.
-	if due := j.write.dirtySince + c.transactions.endBatchDelay; !quick && c.now < due && b.slotDrafts[c.slotNumber(j.id, j.record)] == nil {
+	if due := j.write.dirtySince + c.transactions.endBatchDelay; !quick && c.now < due &&
+		b.slotDrafts[c.slotNumber(j.id, j.record)] == nil {
 		j.write.waitsForEnds = true
 		if again == 0 {
 			again = due
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -10,8 +10,9 @@
 	"dewlift/wire"
 )
 
-// A job with a mistake kept the machines that it failed on from all work for up to half a minute, was started whole again and again, and had healthy
-// machines returned. What its record says tells it from a faulty machine, at every controller.
+// A job with a mistake kept the machines that it failed on from all work for up to half a minute,
+// was started whole again and again, and had healthy machines returned. What its record says tells
+// it from a faulty machine, at every controller.
 func TestJobFailingEverywhereIsToldFromAFaultyMachine(t *testing.T) {
 	for name, x := range map[string]struct {
 		why               string // machine and cause, or "done"
@@ -34,7 +35,13 @@
 			i++
 		}
 		if isFailing(r, 1000) != x.failing || failsEverywhere(r, 1000) != x.mistaken {
-			t.Errorf("%s: failing %v, mistaken %v: %v", name, isFailing(r, 1000), failsEverywhere(r, 1000), r.StopReasons)
+			t.Errorf(
+				"%s: failing %v, mistaken %v: %v",
+				name,
+				isFailing(r, 1000),
+				failsEverywhere(r, 1000),
+				r.StopReasons,
+			)
 		}
 		if isFailing(r, 1000+failureWindow.Milliseconds()) {
 			t.Errorf("%s: failing for ever", name)
@@ -42,8 +49,9 @@
 	}
 }
 
-// Three jobs fail on two machines. Those of one are mistaken, so it stays in use; those of the other do well elsewhere, so it is returned. Where nothing is
-// known of them, it is tried again after a while.
+// Three jobs fail on two machines. Those of one are mistaken, so it stays in use; those of the
+// other do well elsewhere, so it is returned. Where nothing is known of them, it is tried again
+// after a while.
 func TestOnlyAMachineThatFailsHealthyJobsIsReturned(t *testing.T) {
 	c := newLeadingCore(t)
 	for i, kind := range []string{"mistaken", "sound", "unknown"} {
@@ -54,7 +62,9 @@
 			switch kind {
 			case "mistaken":
 				for n := range 3 {
-					j.record.AddStopReason(jobrecord.StopReason{Machine: fmt.Sprint("x", n), Cause: wire.CauseError, AtMS: c.unixMS()})
+					j.record.AddStopReason(
+						jobrecord.StopReason{Machine: fmt.Sprint("x", n), Cause: wire.CauseError, AtMS: c.unixMS()},
+					)
 				}
 			case "sound":
 				j.record.CompletedTasks = j.record.CompletedTasks.Add(4)
--- a/core/quorum/quorum_test.go
+++ b/core/quorum/quorum_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// A model of a site: cancellations are committed one by one, told when they may be, and every controller that may renew a lease must know all
-// that were told longer ago than the bound. Processes end and come back without memory, stand still, lose the state service or each
-// other; messages come late and twice, also of former lives.
+// A model of a site: cancellations are committed one by one, told when they may be, and every
+// controller that may renew a lease must know all that were told longer ago than the bound.
+// Processes end and come back without memory, stand still, lose the state service or each other;
+// messages come late and twice, also of former lives.
 func TestRenewersKnowAcknowledgedCancellations(t *testing.T) {
 	renewed, told := 0, 0
 	for seed := uint64(1); seed <= 400; seed++ {
@@ -96,7 +97,12 @@
 }
 
 func newModel(t *testing.T, seed uint64) *model {
-	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 5)), acknowledged: map[uint64]time.Duration{}, cutLinks: map[[2]int]bool{}}
+	m := &model{
+		t:            t,
+		rng:          rand.New(rand.NewPCG(seed, 5)),
+		acknowledged: map[uint64]time.Duration{},
+		cutLinks:     map[[2]int]bool{},
+	}
 	for i := range []int{3, 5, 1}[seed%3] {
 		m.processes = append(m.processes, &process{name: fmt.Sprint("n", i)})
 	}
@@ -270,7 +276,10 @@
 	for _, x := range []struct {
 		cancel, lease time.Duration
 		least, most   time.Duration
-	}{{66 * time.Second, 36 * time.Second, 28 * time.Second, 29 * time.Second}, {30 * time.Second, 30 * time.Second, -2 * time.Second, 0}} {
+	}{
+		{66 * time.Second, 36 * time.Second, 28 * time.Second, 29 * time.Second},
+		{30 * time.Second, 30 * time.Second, -2 * time.Second, 0},
+	} {
 		if b := MaxStaleness(x.cancel, x.lease); b < x.least || b > x.most {
 			t.Errorf("%v, %v: %v", x.cancel, x.lease, b)
 		}
--- a/core/quota.go
+++ b/core/quota.go
@@ -17,7 +17,8 @@
 
 // fitsMaxQuota reports whether a task may be added within the team's limits; a job of no team has none.
 func (t *team) fitsMaxQuota(claim clusterstate.Resources) bool {
-	return t == nil || (t.MaxCPU == 0 || t.usedCPU+claim[0] <= t.MaxCPU) && (t.MaxGPU == 0 || t.usedGPU+claim[1] <= t.MaxGPU)
+	return t == nil ||
+		(t.MaxCPU == 0 || t.usedCPU+claim[0] <= t.MaxCPU) && (t.MaxGPU == 0 || t.usedGPU+claim[1] <= t.MaxGPU)
 }
 
 func (c *Core) teamOf(s *wire.JobSpec) *team {
--- a/core/ratelimit/limiter.go
+++ b/core/ratelimit/limiter.go
@@ -1,6 +1,6 @@
-// Package ratelimit keeps a controller to its part of what the state service takes from all of them: changes and requests
-// a second, and a pause where the service said that it was too much. It has no clock: times, since the process began,
-// come in.
+// Package ratelimit keeps a controller to its part of what the state service takes from all of
+// them: changes and requests a second, and a pause where the service said that it was too much. It
+// has no clock: times, since the process began, come in.
 package ratelimit
 
 import "time"
@@ -51,7 +51,8 @@
 	b.ReadTokens--
 }
 
-// SampleWriteRate is how many changes a second were made of late; it is asked once in a time, and halves what was before.
+// SampleWriteRate is how many changes a second were made of late; it is asked once in a time, and
+// halves what was before.
 func (b *Limiter) SampleWriteRate(every time.Duration) float64 {
 	b.recentWriteRate += (b.writesSinceSample/every.Seconds() - b.recentWriteRate) / 2
 	b.writesSinceSample = 0
--- a/core/ratelimit/limiter_test.go
+++ b/core/ratelimit/limiter_test.go
@@ -38,13 +38,19 @@
 	b := New(0)
 	b.Pause(3*time.Second, time.Second)
 	b.PauseNonUrgent(2 * time.Second)
-	for at, want := range map[time.Duration][2]bool{0: {true, true}, time.Second: {true, false}, 2500 * time.Millisecond: {true, false}, 3 * time.Second: {false, false}} {
+	for at, want := range map[time.Duration][2]bool{
+		0:                       {true, true},
+		time.Second:             {true, false},
+		2500 * time.Millisecond: {true, false},
+		3 * time.Second:         {false, false},
+	} {
 		if b.IsPaused(at) != want[0] || b.IsUrgentPaused(at) != want[1] {
 			t.Errorf("at %v: %v, %v", at, b.IsPaused(at), b.IsUrgentPaused(at))
 		}
 	}
 	b.SetRates(30, 100, 5, 0, 1)
-	if g := b.MinInterval(10*time.Millisecond, 0.25); g != 200*time.Millisecond || b.MinInterval(time.Second, 0.25) != time.Second {
+	if g := b.MinInterval(10*time.Millisecond, 0.25); g != 200*time.Millisecond ||
+		b.MinInterval(time.Second, 0.25) != time.Second {
 		t.Errorf("a gap of %v at 20 requests a second", g)
 	}
 	b.SpendTxn(8)
--- a/core/replica.go
+++ b/core/replica.go
@@ -1,13 +1,15 @@
 package core
 
 import (
-	"dewlift/core/batchvalue"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/core/batchvalue"
+	"dewlift/wire"
 )
 
-// storeReplica is this controller's copy of the key-value store: how far it has read, the snapshot load, the watch and the read barriers.
+// storeReplica is this controller's copy of the key-value store: how far it has read, the snapshot
+// load, the watch and the read barriers.
 type storeReplica struct {
 	// The replica of the state service.
 	revision          uint64
@@ -30,16 +32,19 @@
 	snapshotStartedAt time.Duration // when the first page of all keys was asked for
 }
 
-// storeHealth is whether the key-value store answers this controller: its last answer and failure, and the first unanswered read.
+// storeHealth is whether the key-value store answers this controller: its last answer and failure,
+// and the first unanswered read.
 type storeHealth struct {
-	firstLostReadAt time.Duration // when the first of the reads of changes was sent that got no answer, since the last that did; 0: there is none
+	// when the first of the reads of changes was sent that got no answer, since the last that did; 0: there is none
+	firstLostReadAt time.Duration
 	lastAnswerAt    time.Duration // last answer of the state service
 	lastFailureAt   time.Duration // last failure
 	everAnswered    bool
 }
 
 func (c *Core) isStoreReachable() bool {
-	return c.storeHealth.everAnswered && c.now-c.storeHealth.lastAnswerAt < 2*time.Second && (c.storeHealth.lastFailureAt <= c.storeHealth.lastAnswerAt)
+	return c.storeHealth.everAnswered && c.now-c.storeHealth.lastAnswerAt < 2*time.Second &&
+		(c.storeHealth.lastFailureAt <= c.storeHealth.lastAnswerAt)
 }
 
 // isStoreOutage reports whether the state service seems down for everyone: a majority of the
@@ -53,7 +58,9 @@
 
 // storeUnreachable reports whether the state service seems out of reach at this moment.
 func (c *Core) storeUnreachable() bool {
-	return !c.replica.loaded || c.storeHealth.lastFailureAt > c.storeHealth.lastAnswerAt && c.now-c.storeHealth.lastAnswerAt > 400*time.Millisecond
+	return !c.replica.loaded ||
+		c.storeHealth.lastFailureAt > c.storeHealth.lastAnswerAt &&
+			c.now-c.storeHealth.lastAnswerAt > 400*time.Millisecond
 }
 
 func (c *Core) recordStoreStatus(status int) {
@@ -82,7 +89,8 @@
 		return
 	}
 	// A barrier brings the changes too: while users ask all the time, no watch is needed.
-	if !c.replica.watchInFlight && c.now >= c.replica.nextWatchAt && !c.replica.barrierInFlight && len(c.replica.barrierWaiters) == 0 {
+	if !c.replica.watchInFlight && c.now >= c.replica.nextWatchAt && !c.replica.barrierInFlight &&
+		len(c.replica.barrierWaiters) == 0 {
 		c.replica.watchInFlight, c.replica.watchSentAt = true, c.now
 		c.replica.nextWatchAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.MinWatchInterval, 0.25)
 		c.transactions.rateLimit.SpendRequest()
@@ -213,7 +221,9 @@
 	c.evictUnreferencedJobs()
 	if in.More && len(in.Items) > 0 {
 		if c.replica.pagesRead >= fastSnapshotPages {
-			c.replica.nextPageAt = c.now + time.Duration(float64(time.Second)/(snapshotRequestShare*c.cfg.StoreRequestRate))
+			c.replica.nextPageAt = c.now + time.Duration(
+				float64(time.Second)/(snapshotRequestShare*c.cfg.StoreRequestRate),
+			)
 		}
 		return
 	}
@@ -228,14 +238,28 @@
 	c.replica.loaded = true
 	c.cancelAcks.quorum.ConfirmRead(c.replica.snapshotStartedAt)
 	c.replica.watchInFlight = false
-	c.log("info", "state loaded", "ledger", c.replica.revision, "pages", c.replica.pagesRead, "jobs", len(c.jobIndex), "ended", len(c.history.endedJobs), "cold", c.history.coldRecords)
+	c.log(
+		"info",
+		"state loaded",
+		"ledger",
+		c.replica.revision,
+		"pages",
+		c.replica.pagesRead,
+		"jobs",
+		len(c.jobIndex),
+		"ended",
+		len(c.history.endedJobs),
+		"cold",
+		c.history.coldRecords,
+	)
 }
 
 // isSlowestToLoad reports whether another controller is further in reading all keys. One after the other,
 // the first serves when it has read its own; at a time, all would serve when everything was read by all.
 func (c *Core) isSlowestToLoad() bool {
 	for _, n := range c.cfg.Peers {
-		if p := c.controllers.membership.Peer(n); c.controllers.membership.IsReachable(c.now, n) && (p.SnapshotPagesLoaded > c.replica.pagesRead || p.SnapshotPagesLoaded == c.replica.pagesRead && n < c.cfg.Name) {
+		if p := c.controllers.membership.Peer(n); c.controllers.membership.IsReachable(c.now, n) &&
+			(p.SnapshotPagesLoaded > c.replica.pagesRead || p.SnapshotPagesLoaded == c.replica.pagesRead && n < c.cfg.Name) {
 			return true
 		}
 	}
--- a/core/requests.go
+++ b/core/requests.go
@@ -63,7 +63,8 @@
 	}
 	for _, a := range j.assignments {
 		m := c.machines[a.Machine]
-		if p, ok := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; ok && m.status.incarnation == a.Incarnation &&
+		if p, ok := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; ok &&
+			m.status.incarnation == a.Incarnation &&
 			(p.state == wire.TaskRunning || p.state == wire.TaskCheckpointing) {
 			s.Running++
 		}
@@ -88,9 +89,10 @@
 	c.respondWithCurrentState(in.RequestID, in.ID)
 }
 
-// respondWithCurrentState answers with a job's state: one that is over from memory, as it stays so, any other as of a read that begins now. So nobody is told
-// what was true only before they asked: others may have been told an end or a cancellation since. Whoever asks, repeats a submission, or joins one
-// whose write was sent before, is answered here.
+// respondWithCurrentState answers with a job's state: one that is over from memory, as it stays so,
+// any other as of a read that begins now. So nobody is told what was true only before they asked:
+// others may have been told an end or a cancellation since. Whoever asks, repeats a submission, or
+// joins one whose write was sent before, is answered here.
 func (c *Core) respondWithCurrentState(req uint64, id string) {
 	if !c.replica.loaded {
 		c.respondUnavailable(req, "not caught up")
@@ -185,7 +187,8 @@
 		})
 	default:
 		// More than the state service takes until they would be refused are refused at once.
-		if i, ok := c.jobIndex[in.ID]; c.pendingSubmissions >= c.maxPendingSubmissions() && (!ok || c.jobs[i].submission == nil) {
+		if i, ok := c.jobIndex[in.ID]; c.pendingSubmissions >= c.maxPendingSubmissions() &&
+			(!ok || c.jobs[i].submission == nil) {
 			c.respondUnavailable(in.RequestID, reasonTooBusy)
 			return
 		}
@@ -199,13 +202,21 @@
 			return
 		}
 		c.pendingSubmissions++
-		j.submission = &pendingSubmission{requestIDs: []uint64{in.RequestID}, caller: in.Caller, spec: in.Spec, submittedMS: in.UnixMS, receivedAt: c.now, deadline: c.now + c.cfg.SubmitWriteTimeout}
+		j.submission = &pendingSubmission{
+			requestIDs:  []uint64{in.RequestID},
+			caller:      in.Caller,
+			spec:        in.Spec,
+			submittedMS: in.UnixMS,
+			receivedAt:  c.now,
+			deadline:    c.now + c.cfg.SubmitWriteTimeout,
+		}
 		c.markDirty(j)
 	}
 }
 
-// respondToRepeatedSubmission answers the submission of a job that is there already, by somebody who could submit it. A submission that finds it without rights in force
-// goes the way of a question.
+// respondToRepeatedSubmission answers the submission of a job that is there already, by somebody
+// who could submit it. A submission that finds it without rights in force goes the way of a
+// question.
 func (c *Core) respondToRepeatedSubmission(req uint64, by Credential, s *wire.JobSpec, id string) {
 	if !c.permissionsInForce() {
 		c.respondWithCurrentState(req, id)
@@ -264,7 +275,18 @@
 	}
 	j.submission = nil
 	c.pendingSubmissions--
-	c.log("debug", "submission answered", "job", j.id, "status", status, "after_ms", (c.now - a.receivedAt).Milliseconds(), "failed", a.writeFailed)
+	c.log(
+		"debug",
+		"submission answered",
+		"job",
+		j.id,
+		"status",
+		status,
+		"after_ms",
+		(c.now - a.receivedAt).Milliseconds(),
+		"failed",
+		a.writeFailed,
+	)
 	for i, req := range a.requestIDs {
 		switch {
 		case status == 403:
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -7,8 +7,9 @@
 	"dewlift/wire"
 )
 
-// A submission that joins one whose write is on its way is answered by a read sent after it came. It was told «queued» by that write alone, which
-// another controller had read, and had told the cancellation that followed.
+// A submission that joins one whose write is on its way is answered by a read sent after it came.
+// It was told «queued» by that write alone, which another controller had read, and had told the
+// cancellation that followed.
 func TestJoinedSubmissionIsAnsweredByItsOwnReadBarrier(t *testing.T) {
 	const written = `{"h":0,"s":{"cl":"c","tm":"t","pr":2,"n":1,"rc":[1000,0,1000]},"at":1}`
 	const cancelled = `{"h":0,"st":"c","cm":1}`
@@ -42,7 +43,16 @@
 			t.Errorf("%s: no read was sent", name)
 			continue
 		}
-		c.Handle(1700*time.Millisecond, WatchResult{Status: 200, Changes: wire.WatchResponse{Revision: 8, Events: []wire.WatchEvent{event(keyJob+"wk-000001", cancelled, 8)}}})
+		c.Handle(
+			1700*time.Millisecond,
+			WatchResult{
+				Status: 200,
+				Changes: wire.WatchResponse{
+					Revision: 8,
+					Events:   []wire.WatchEvent{event(keyJob+"wk-000001", cancelled, 8)},
+				},
+			},
+		)
 		got := ""
 		for _, r := range outputsOfType[Response](c.Advance(1700 * time.Millisecond)) {
 			if st, ok := r.Body.(wire.JobState); ok && r.RequestID == 2 {
