--- a/core/reservations.go
+++ b/core/reservations.go
@@ -17,8 +17,8 @@
 	"dewlift/wire"
 )
 
-// Bookings of equipment: who asks, with which right, and what it may take of the changes. What is decided is in the package booking,
-// what is stored in core/booking.
+// Bookings of equipment: who asks, with which right, and what it may take of the changes. What is
+// decided is in the package booking, what is stored in core/booking.
 
 // reservationState is what the core keeps beside the desk.
 type reservationState struct {
@@ -64,7 +64,11 @@
 func (c *Core) handleReserveEquipment(in ReserveEquipment) {
 	b := in.Request
 	if !booking.ValidID(b.ID) {
-		c.respond(in.RequestID, 400, wire.ReservationResponse{Error: "id: letters, digits, dots, dashes and underscores, at most 64"})
+		c.respond(
+			in.RequestID,
+			400,
+			wire.ReservationResponse{Error: "id: letters, digits, dots, dashes and underscores, at most 64"},
+		)
 		return
 	}
 	rank, ok := wire.Priority(cmp.Or(b.Priority, wire.PriorityName(wire.PriorityStandard)))
@@ -75,8 +79,24 @@
 	if !c.canServeReservations(in.RequestID) {
 		return
 	}
-	w := booking.Request{Verb: in.Verb, ID: b.ID, Team: b.Team, Identity: in.Caller.Identity, HoldSeconds: b.HoldS, WaitlistRank: uint32(rank), JoinWaitlist: b.Waitlist, Reason: b.Reason}
-	c.enqueueReservationRequest(&reservations.PendingRequest{Request: w, Wants: b.Slots, RecurrenceRule: b.Repeat, CallerData: reservationCaller{requestID: in.RequestID, caller: in.Caller}})
+	w := booking.Request{
+		Verb:         in.Verb,
+		ID:           b.ID,
+		Team:         b.Team,
+		Identity:     in.Caller.Identity,
+		HoldSeconds:  b.HoldS,
+		WaitlistRank: uint32(rank),
+		JoinWaitlist: b.Waitlist,
+		Reason:       b.Reason,
+	}
+	c.enqueueReservationRequest(
+		&reservations.PendingRequest{
+			Request:        w,
+			Wants:          b.Slots,
+			RecurrenceRule: b.Repeat,
+			CallerData:     reservationCaller{requestID: in.RequestID, caller: in.Caller},
+		},
+	)
 }
 
 func (c *Core) enqueueReservationRequest(a *reservations.PendingRequest) {
@@ -96,8 +116,18 @@
 	if !c.canServeReservations(in.RequestID) {
 		return
 	}
-	w := booking.Request{Verb: booking.VerbSetInventory, Replacement: site, EndDisplaced: in.Edit.EndDisplaced, Reason: in.Edit.Reason}
-	c.enqueueReservationRequest(&reservations.PendingRequest{Request: w, CallerData: reservationCaller{requestID: in.RequestID, caller: in.Caller}})
+	w := booking.Request{
+		Verb:         booking.VerbSetInventory,
+		Replacement:  site,
+		EndDisplaced: in.Edit.EndDisplaced,
+		Reason:       in.Edit.Reason,
+	}
+	c.enqueueReservationRequest(
+		&reservations.PendingRequest{
+			Request:    w,
+			CallerData: reservationCaller{requestID: in.RequestID, caller: in.Caller},
+		},
+	)
 }
 
 // advanceReservations decides what waits, and answers.
@@ -116,14 +146,20 @@
 	for _, id := range c.reservations.TakeBlocksToRead() {
 		c.readPastReservation(id, func() {})
 	}
-	if c.reservations.HasWork(c.now, c.unixSeconds()) && !c.transactions.rateLimit.IsUrgentPaused(c.now) && c.transactions.rateLimit.ReadTokens >= 1 && c.transactions.rateLimit.WriteTokens >= 1-c.storeWriteRate()/4 {
+	if c.reservations.HasWork(c.now, c.unixSeconds()) && !c.transactions.rateLimit.IsUrgentPaused(c.now) &&
+		c.transactions.rateLimit.ReadTokens >= 1 &&
+		c.transactions.rateLimit.WriteTokens >= 1-c.storeWriteRate()/4 {
 		c.commitReservations()
 		return
 	}
-	if c.isLeader() && c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) && !c.transactions.rateLimit.IsPaused(c.now) {
+	if c.isLeader() &&
+		c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) &&
+		!c.transactions.rateLimit.IsPaused(c.now) {
 		over := c.unixSeconds() - int64(c.cfg.ReservationRetention/time.Second)
 		c.reservations.ForgetArchived(c.now, over)
-		if t := c.reservations.ArchiveTxn([]wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}}, over, c.cfg.MaxValueBytes); t != nil {
+		if t := c.reservations.ArchiveTxn([]wire.Compare{
+			{Key: keyLeader, Revision: c.leadership.leader.mark},
+		}, over, c.cfg.MaxValueBytes); t != nil {
 			c.commitTxn(*t, &pendingTxn{onDone: func(int, wire.TxnResponse) {
 				c.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(t) })
 			}})
@@ -141,7 +177,10 @@
 
 // seedEquipment puts the list of the file in force where there is none.
 func (c *Core) seedEquipment() {
-	if c.cfg.Equipment == nil || c.reservations.InventoryRevision() != 0 || !c.isLeader() || !c.holdsLease() || c.now < c.reservationState.nextSeedAt || c.transactions.rateLimit.IsPaused(c.now) || c.transactions.rateLimit.WriteTokens < 1 {
+	if c.cfg.Equipment == nil || c.reservations.InventoryRevision() != 0 || !c.isLeader() || !c.holdsLease() ||
+		c.now < c.reservationState.nextSeedAt ||
+		c.transactions.rateLimit.IsPaused(c.now) ||
+		c.transactions.rateLimit.WriteTokens < 1 {
 		return
 	}
 	c.reservationState.nextSeedAt = c.now + 2*time.Second
@@ -151,14 +190,28 @@
 		c.reservationState.nextSeedAt = c.now + time.Minute
 		return
 	}
-	c.commitTxn(wire.Txn{Compare: []wire.Compare{{Key: reservations.KeyInventory}}, Then: []wire.Write{{Put: reservations.KeyInventory, Value: raw}}},
-		&pendingTxn{onDone: func(int, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }})
+	c.commitTxn(
+		wire.Txn{
+			Compare: []wire.Compare{{Key: reservations.KeyInventory}},
+			Then:    []wire.Write{{Put: reservations.KeyInventory, Value: raw}},
+		},
+		&pendingTxn{onDone: func(int, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }},
+	)
 }
 
 // commitReservations decides the asks that wait.
 func (c *Core) commitReservations() {
 	s := &c.reservationState
-	t := c.reservations.NextTxn(reservations.Env{Now: c.now, UnixS: c.unixSeconds(), MaxValueBytes: c.cfg.MaxValueBytes, MaxCompares: 4 * c.cfg.MaxTxnOps, Authorize: c.authorizeReservation, AttachAudit: c.carryReservationAudit})
+	t := c.reservations.NextTxn(
+		reservations.Env{
+			Now:           c.now,
+			UnixS:         c.unixSeconds(),
+			MaxValueBytes: c.cfg.MaxValueBytes,
+			MaxCompares:   4 * c.cfg.MaxTxnOps,
+			Authorize:     c.authorizeReservation,
+			AttachAudit:   c.carryReservationAudit,
+		},
+	)
 	if t == nil {
 		return
 	}
@@ -179,17 +232,24 @@
 			c.respondToReservation(a)
 		}
 		if read {
-			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now) // somebody was quicker: read at once, or they always are
+			// somebody was quicker: read at once, or they always are
+			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
 			c.afterReadBarrier(func(bool) { c.reservations.HeadRead() })
 		}
 	}})
 }
 
-var reservationAuditVerbs = map[booking.Verb]string{booking.VerbCreate: "book", booking.VerbConfirm: "confirm booking", booking.VerbMove: "move booking",
-	booking.VerbEnd: "end booking", booking.VerbSetInventory: "change equipment"}
+var reservationAuditVerbs = map[booking.Verb]string{
+	booking.VerbCreate: "book", booking.VerbConfirm: "confirm booking", booking.VerbMove: "move booking",
+	booking.VerbEnd: "end booking", booking.VerbSetInventory: "change equipment",
+}
 
 // authorizeReservation decides whether somebody may do with a team's bookings what they ask for.
-func (c *Core) authorizeReservation(a *reservations.PendingRequest, team string, kinds []string) (conds []wire.Compare, why string) {
+func (c *Core) authorizeReservation(
+	a *reservations.PendingRequest,
+	team string,
+	kinds []string,
+) (conds []wire.Compare, why string) {
 	by := a.CallerData.(reservationCaller).caller
 	conds = c.permissionCompares(by)
 	if !c.permissionsInForce() {
@@ -213,7 +273,12 @@
 }
 
 // carryReservationAudit has the head carry entries of what is done: of those who asked, and of what time has done.
-func (c *Core) carryReservationAudit(mark uint64, old []audit.PendingEntry, granted []*reservations.PendingRequest, changed []*pb.Booking) []audit.PendingEntry {
+func (c *Core) carryReservationAudit(
+	mark uint64,
+	old []audit.PendingEntry,
+	granted []*reservations.PendingRequest,
+	changed []*pb.Booking,
+) []audit.PendingEntry {
 	s := &c.reservationState
 	c.currentAuditLog().DiscardEntries(s.auditEntryIDs)
 	asked := map[string]bool{}
@@ -225,7 +290,10 @@
 	}
 	for _, b := range changed {
 		if !asked[b.Id] {
-			acts = append(acts, auditlog.Event{Verb: "change booking", Object: b.Id, Reason: cmp.Or(b.Why, "it got its slots")})
+			acts = append(
+				acts,
+				auditlog.Event{Verb: "change booking", Object: b.Id, Reason: cmp.Or(b.Why, "it got its slots")},
+			)
 		}
 	}
 	var list []audit.PendingEntry
@@ -241,14 +309,30 @@
 		c.respondUnavailable(who.requestID, "it could not be decided in time")
 		return
 	case a.Forbidden:
-		c.respondForbidden(who.requestID, who.caller, reservationAuditVerbs[a.Request.Request.Verb], cmp.Or(a.Request.Request.ID, "equipment"), a.Reason)
+		c.respondForbidden(
+			who.requestID,
+			who.caller,
+			reservationAuditVerbs[a.Request.Request.Verb],
+			cmp.Or(a.Request.Request.ID, "equipment"),
+			a.Reason,
+		)
 		return
 	}
-	status := map[booking.Outcome]int{booking.OutcomeDone: 200, booking.OutcomeRepeated: 200, booking.OutcomeRefused: 409, booking.OutcomeInvalid: 422, booking.OutcomeNotFound: 404}[a.Outcome]
+	status := map[booking.Outcome]int{
+		booking.OutcomeDone:     200,
+		booking.OutcomeRepeated: 200,
+		booking.OutcomeRefused:  409,
+		booking.OutcomeInvalid:  422,
+		booking.OutcomeNotFound: 404,
+	}[a.Outcome]
 	if a.Outcome == booking.OutcomeDone && a.Request.Request.Verb == booking.VerbCreate {
 		status = 201
 	}
-	out := wire.ReservationResponse{Error: a.Reason, Free: c.toWireFreeTimes(a.Alternatives), Displaced: c.toWireReservations(a.Displaced)}
+	out := wire.ReservationResponse{
+		Error:     a.Reason,
+		Free:      c.toWireFreeTimes(a.Alternatives),
+		Displaced: c.toWireReservations(a.Displaced),
+	}
 	if a.Booking != nil && c.canReadReservation(who.caller, a.Booking) {
 		out.Reservation = new(c.toWireReservation(a.Booking))
 	}
@@ -283,13 +367,36 @@
 		}
 		return site.FormatTime(t)
 	}
-	out := wire.Reservation{ID: b.Id, State: b.State.String(), Team: b.Team, Owner: b.Who, Slots: []wire.ReservedSlot{}, HeldUntil: at(b.HeldUntil),
-		Priority: wire.PriorityName(int(min(b.Rank, uint32(wire.PriorityLowest)))), EndReason: b.Why, EndedAt: at(b.EndedAt)}
+	out := wire.Reservation{
+		ID:        b.Id,
+		State:     b.State.String(),
+		Team:      b.Team,
+		Owner:     b.Who,
+		Slots:     []wire.ReservedSlot{},
+		HeldUntil: at(b.HeldUntil),
+		Priority: wire.PriorityName(
+			int(min(b.Rank, uint32(wire.PriorityLowest))),
+		),
+		EndReason: b.Why,
+		EndedAt:   at(b.EndedAt),
+	}
 	for _, x := range b.Slots {
-		out.Slots = append(out.Slots, wire.ReservedSlot{Equipment: x.Piece, Unit: x.Unit, From: at(x.From), To: at(x.To), ReusableFrom: at(x.Clear)})
+		out.Slots = append(
+			out.Slots,
+			wire.ReservedSlot{
+				Equipment:    x.Piece,
+				Unit:         x.Unit,
+				From:         at(x.From),
+				To:           at(x.To),
+				ReusableFrom: at(x.Clear),
+			},
+		)
 	}
 	for _, x := range b.Wants {
-		out.Slots = append(out.Slots, wire.ReservedSlot{Equipment: x.Piece, Kind: x.Kind, From: at(x.From), Slots: x.Slots})
+		out.Slots = append(
+			out.Slots,
+			wire.ReservedSlot{Equipment: x.Piece, Kind: x.Kind, From: at(x.From), Slots: x.Slots},
+		)
 	}
 	if b.State == pb.BookingState_waiting {
 		c.reservations.ViewCommitted(func(l *booking.Schedule) {
@@ -312,7 +419,14 @@
 
 func (c *Core) toWireFreeTimes(list []booking.FreeSlot) (out []wire.FreeInterval) {
 	for _, f := range list {
-		out = append(out, wire.FreeInterval{Equipment: f.Piece, From: c.reservations.Inventory().FormatTime(f.From), To: c.reservations.Inventory().FormatTime(f.To)})
+		out = append(
+			out,
+			wire.FreeInterval{
+				Equipment: f.Piece,
+				From:      c.reservations.Inventory().FormatTime(f.From),
+				To:        c.reservations.Inventory().FormatTime(f.To),
+			},
+		)
 	}
 	return out
 }
@@ -322,7 +436,8 @@
 	maxFreeTimesListed    = 50
 )
 
-// handleListReservations answers a question about bookings, as of a barrier. Only how a booking ended is told without one, where no rights are in force.
+// handleListReservations answers a question about bookings, as of a barrier. Only how a booking
+// ended is told without one, where no rights are in force.
 func (c *Core) handleListReservations(in ListReservations) {
 	q := in.Query
 	if q.ID != "" && c.replica.loaded && !c.isNotServing() && !c.permissionsInForce() {
@@ -393,7 +508,11 @@
 }
 
 // queryReservations answers a question from the booking.
-func (c *Core) queryReservations(by Credential, l *booking.Schedule, q *wire.ReservationQuery) (int, wire.ReservationResponse) {
+func (c *Core) queryReservations(
+	by Credential,
+	l *booking.Schedule,
+	q *wire.ReservationQuery,
+) (int, wire.ReservationResponse) {
 	site := c.reservations.Inventory()
 	bad := func(err error) (int, wire.ReservationResponse) {
 		return 400, wire.ReservationResponse{Error: err.Error()}
@@ -431,7 +550,15 @@
 				return bad(err)
 			}
 		}
-		free := site.NextFree(l, "", q.Team, w, max(from, c.unixSeconds()), until, min(max(1, q.Limit), maxFreeTimesListed))
+		free := site.NextFree(
+			l,
+			"",
+			q.Team,
+			w,
+			max(from, c.unixSeconds()),
+			until,
+			min(max(1, q.Limit), maxFreeTimesListed),
+		)
 		return 200, wire.ReservationResponse{Free: c.toWireFreeTimes(free)}
 	}
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(site.Source())
--- a/core/reservations/archive.go
+++ b/core/reservations/archive.go
@@ -10,10 +10,11 @@
 	"dewlift/wire"
 )
 
-// Bookings whose time is past, or that ended, leave the pages for blocks that no controller follows, sorted by id; the key of a block is the
-// end of its range, so that one read finds a booking. They never change any more: whoever has one in memory may keep it. A new
-// booking is made on condition that the block of its id is as it was when it lacked that, or that there are no blocks; so an id is never used twice,
-// and a write that is executed late revives nothing.
+// Bookings whose time is past, or that ended, leave the pages for blocks that no controller
+// follows, sorted by id; the key of a block is the end of its range, so that one read finds a
+// booking. They never change any more: whoever has one in memory may keep it. A new booking is made
+// on condition that the block of its id is as it was when it lacked that, or that there are no
+// blocks; so an id is never used twice, and a write that is executed late revives nothing.
 //
 // A booking moves when only one page has it: a copy in another, older one would count again.
 
@@ -36,7 +37,11 @@
 }
 
 func (b *archiveBlock) find(id string) *pb.Booking {
-	i, ok := slices.BinarySearchFunc(b.bookings, id, func(x *pb.Booking, id string) int { return strings.Compare(x.Id, id) })
+	i, ok := slices.BinarySearchFunc(
+		b.bookings,
+		id,
+		func(x *pb.Booking, id string) int { return strings.Compare(x.Id, id) },
+	)
 	if !ok {
 		return nil
 	}
@@ -55,10 +60,14 @@
 	}
 }
 
-// cachedBlockFor is the block of an id, if it is remembered as of a revision that no page has changed since; it is then the one used last. A
-// block that was read before a move lacks what moved: who asks for that was told that it never was.
+// cachedBlockFor is the block of an id, if it is remembered as of a revision that no page has
+// changed since; it is then the one used last. A block that was read before a move lacks what
+// moved: who asks for that was told that it never was.
 func (d *Service) cachedBlockFor(id string) *archiveBlock {
-	d.cachedBlocks = slices.DeleteFunc(d.cachedBlocks, func(b *archiveBlock) bool { return b.readRevision < d.pagesRevision })
+	d.cachedBlocks = slices.DeleteFunc(
+		d.cachedBlocks,
+		func(b *archiveBlock) bool { return b.readRevision < d.pagesRevision },
+	)
 	i := slices.IndexFunc(d.cachedBlocks, func(b *archiveBlock) bool { return b.low <= id && id < b.high })
 	if i < 0 {
 		return nil
@@ -68,8 +77,8 @@
 	return b
 }
 
-// lookUpArchived looks for a booking among those that are past. It tells the condition under which what it found holds; not known is what must be
-// read first.
+// lookUpArchived looks for a booking among those that are past. It tells the condition under which
+// what it found holds; not known is what must be read first.
 func (d *Service) lookUpArchived(id string) (b *pb.Booking, cond wire.Compare, known bool) {
 	if d.archiveRevision == 0 {
 		return nil, wire.Compare{Key: keyArchive}, true
@@ -108,14 +117,16 @@
 	}
 }
 
-// TakeBlocksToRead are ids whose blocks are to be read: the first key behind PastPrefix and the id. What comes of it goes to Found.
+// TakeBlocksToRead are ids whose blocks are to be read: the first key behind PastPrefix and the id.
+// What comes of it goes to Found.
 func (d *Service) TakeBlocksToRead() []string {
 	out := d.blocksToRead
 	d.blocksToRead = nil
 	return out
 }
 
-// HandleBlock takes the block that was read for an id at a revision; nil if there is none. Whoever waits for it waits in the queue again.
+// HandleBlock takes the block that was read for an id at a revision; nil if there is none. Whoever
+// waits for it waits in the queue again.
 func (d *Service) HandleBlock(id string, it *wire.KeyValue, at uint64, ok bool) error {
 	list := d.awaitingBlock[id]
 	delete(d.awaitingBlock, id)
@@ -129,22 +140,32 @@
 		if err != nil {
 			return err
 		}
-		k = &archiveBlock{low: p.Low, high: strings.TrimPrefix(it.Key, ArchivePrefix), revision: it.Revision, readRevision: at, bookings: p.Bookings}
+		k = &archiveBlock{
+			low:          p.Low,
+			high:         strings.TrimPrefix(it.Key, ArchivePrefix),
+			revision:     it.Revision,
+			readRevision: at,
+			bookings:     p.Bookings,
+		}
 	}
-	d.cachedBlocks = slices.DeleteFunc(d.cachedBlocks, func(o *archiveBlock) bool { return o.low < k.high && k.low < o.high })
+	d.cachedBlocks = slices.DeleteFunc(
+		d.cachedBlocks,
+		func(o *archiveBlock) bool { return o.low < k.high && k.low < o.high },
+	)
 	d.cachedBlocks = slices.Insert(d.cachedBlocks, 0, k)
 	d.cachedBlocks = d.cachedBlocks[:min(len(d.cachedBlocks), maxCachedBlocks)]
 	return nil
 }
 
-// FindArchived looks for a booking that is not in the ledger, for whoever only asks; not known: its block must be read, which Look begins.
+// FindArchived looks for a booking that is not in the ledger, for whoever only asks; not known: its
+// block must be read, which Look begins.
 func (d *Service) FindArchived(id string) (b *pb.Booking, known bool) {
 	b, _, known = d.lookUpArchived(id)
 	return b, known
 }
 
-// ArchiveTxn returns a transaction that moves bookings that were over at a time into their block, on conditions of the caller's; nil if none is due. Its
-// outcome goes to Moved.
+// ArchiveTxn returns a transaction that moves bookings that were over at a time into their block,
+// on conditions of the caller's; nil if none is due. Its outcome goes to Moved.
 func (d *Service) ArchiveTxn(conds []wire.Compare, endedBefore int64, valueBytes int) *wire.Txn {
 	if d.archiving || d.merging || d.inFlight != nil {
 		return nil
@@ -153,7 +174,9 @@
 		p := d.pages[key]
 		var out []*pb.Booking
 		for _, b := range p.bookings {
-			if d.valueCounts[b.Id] == 1 && d.schedule.Get(b.Id).GetChange() == b.Change && booking.IsOver(b, endedBefore) && b.EndedAt <= endedBefore {
+			if d.valueCounts[b.Id] == 1 && d.schedule.Get(b.Id).GetChange() == b.Change &&
+				booking.IsOver(b, endedBefore) &&
+				b.EndedAt <= endedBefore {
 				out = append(out, b)
 			}
 		}
@@ -162,7 +185,10 @@
 		}
 		d.archiving = true
 		if d.archiveRevision == 0 {
-			return &wire.Txn{Compare: append(conds, wire.Compare{Key: keyArchive}), Then: []wire.Write{{Put: keyArchive, Value: []byte("1")}}}
+			return &wire.Txn{
+				Compare: append(conds, wire.Compare{Key: keyArchive}),
+				Then:    []wire.Write{{Put: keyArchive, Value: []byte("1")}},
+			}
 		}
 		slices.SortFunc(out, func(a, b *pb.Booking) int { return strings.Compare(a.Id, b.Id) })
 		k := d.cachedBlockFor(out[0].Id)
@@ -184,11 +210,17 @@
 	return nil
 }
 
-// moveToBlock is the transaction that moves bookings of a page into a block, or into the two that become of it; nil if they do not fit.
+// moveToBlock is the transaction that moves bookings of a page into a block, or into the two that
+// become of it; nil if they do not fit.
 func (d *Service) moveToBlock(k *archiveBlock, out []*pb.Booking, key string, p page, valueBytes int) *wire.Txn {
 	all := append(slices.Clone(k.bookings), out...)
 	slices.SortFunc(all, func(a, b *pb.Booking) int { return strings.Compare(a.Id, b.Id) })
-	t := &wire.Txn{Compare: []wire.Compare{{Key: key, Revision: p.revision}, {Key: ArchivePrefix + k.high, Revision: k.revision}}}
+	t := &wire.Txn{
+		Compare: []wire.Compare{
+			{Key: key, Revision: p.revision},
+			{Key: ArchivePrefix + k.high, Revision: k.revision},
+		},
+	}
 	put := func(low, high string, list []*pb.Booking) bool {
 		raw, err := packMessage(&pb.Page{Bookings: list, Low: low, High: high}, nil)
 		t.Then = append(t.Then, wire.Write{Put: ArchivePrefix + high, Value: raw})
@@ -216,12 +248,16 @@
 	return t
 }
 
-// ArchiveDone takes the outcome of the transaction that Move gave, once what it did to the pages is known: what it wrote of blocks is read anew.
+// ArchiveDone takes the outcome of the transaction that Move gave, once what it did to the pages is
+// known: what it wrote of blocks is read anew.
 func (d *Service) ArchiveDone(t *wire.Txn) {
 	d.archiving = false
 	for _, w := range t.Then {
 		if high, ok := strings.CutPrefix(w.Put, ArchivePrefix); ok {
-			d.cachedBlocks = slices.DeleteFunc(d.cachedBlocks, func(b *archiveBlock) bool { return b.low < high && high <= b.high })
+			d.cachedBlocks = slices.DeleteFunc(
+				d.cachedBlocks,
+				func(b *archiveBlock) bool { return b.low < high && high <= b.high },
+			)
 		}
 	}
 }
@@ -242,6 +278,8 @@
 	}
 	d.nextForgetAt = now + forgetInterval
 	if d.archiveRevision != 0 {
-		d.schedule.Forget(func(b *pb.Booking) bool { return d.valueCounts[b.Id] == 0 && booking.IsOver(b, endedBefore) })
+		d.schedule.Forget(
+			func(b *pb.Booking) bool { return d.valueCounts[b.Id] == 0 && booking.IsOver(b, endedBefore) },
+		)
 	}
 }
--- a/core/reservations/service.go
+++ b/core/reservations/service.go
@@ -1,14 +1,16 @@
-// Package reservations keeps the ledger of bookings in the state service. It decides what is stored together and when; it does no I/O:
-// transactions go out, their outcomes and the changes of the state service come in. Who gets what is decided by the package booking.
+// Package reservations keeps the ledger of bookings in the state service. It decides what is stored
+// together and when; it does no I/O: transactions go out, their outcomes and the changes of the
+// state service come in. Who gets what is decided by the package booking.
 //
-// All changes of bookings are in one order. The newest are in one value, the head, with the number of the last; whoever
-// changes bookings writes the head anew, on condition of its mark: so each decision is made on all that was decided before it, at
-// whichever controller, and of two that do not know of each other only one is stored, however late. A head that is full becomes a page
-// in the same transaction. Of a booking that is in several pages, the latest change counts; pages of which little counts
-// any more are stored anew, together.
+// All changes of bookings are in one order. The newest are in one value, the head, with the number
+// of the last; whoever changes bookings writes the head anew, on condition of its mark: so each
+// decision is made on all that was decided before it, at whichever controller, and of two that do
+// not know of each other only one is stored, however late. A head that is full becomes a page in
+// the same transaction. Of a booking that is in several pages, the latest change counts; pages of
+// which little counts any more are stored anew, together.
 //
-// What is asked for at about the same time shares a transaction, so a flood of bookings takes few changes. One on which nothing changes only
-// compares: what is answered holds at that moment.
+// What is asked for at about the same time shares a transaction, so a flood of bookings takes few
+// changes. One on which nothing changes only compares: what is answered holds at that moment.
 package reservations
 
 import (
@@ -62,10 +64,11 @@
 	UnixS         int64
 	MaxValueBytes int
 	MaxCompares   int // the most that a transaction may have
-	// May decides whether the one who asks may do so with a team's bookings of pieces of these kinds: the conditions under which that
-	// holds, or why not.
+	// May decides whether the one who asks may do so with a team's bookings of pieces of these
+	// kinds: the conditions under which that holds, or why not.
 	Authorize func(a *PendingRequest, team string, kinds []string) (conds []wire.Compare, why string)
-	// Carry returns what the head carries of the audit record, with entries of the asks that are granted and of the other bookings that change.
+	// Carry returns what the head carries of the audit record, with entries of the asks that are
+	// granted and of the other bookings that change.
 	AttachAudit func(mark uint64, old []audit.PendingEntry, granted []*PendingRequest, changed []*pb.Booking) []audit.PendingEntry
 }
 
@@ -88,19 +91,21 @@
 	pages             map[string]page
 	queue             []*PendingRequest
 	inFlight          *inFlightTxn
-	valueCounts       map[string]int               // in how many values a booking is
-	archiveRevision   uint64                       // mark of keyPast: from then on, bookings may be in blocks; see past.go
-	cachedBlocks      []*archiveBlock              // the one used last in front
-	awaitingBlock     map[string][]*PendingRequest // by id, those who wait until a block was read
-	blocksToRead      []string                     // ids whose blocks are to be read
-	pagesRevision     uint64                       // revision at which a page changed last, or went: something may have moved
-	archiving         bool
-	nextForgetAt      time.Duration
-	needsHeadRead     bool          // the head must be read before anything else is decided
-	nextTxnAt         time.Duration // when the next transaction may be made
-	nextTimeCheckAt   time.Duration // when it is looked next whether time has ended something
-	merging           bool
-	blockedByAudit    bool // what was decided last would fit without the entries of the audit record
+	valueCounts       map[string]int // in how many values a booking is
+	// mark of keyPast: from then on, bookings may be in blocks; see past.go
+	archiveRevision uint64
+	cachedBlocks    []*archiveBlock              // the one used last in front
+	awaitingBlock   map[string][]*PendingRequest // by id, those who wait until a block was read
+	blocksToRead    []string                     // ids whose blocks are to be read
+	// revision at which a page changed last, or went: something may have moved
+	pagesRevision   uint64
+	archiving       bool
+	nextForgetAt    time.Duration
+	needsHeadRead   bool          // the head must be read before anything else is decided
+	nextTxnAt       time.Duration // when the next transaction may be made
+	nextTimeCheckAt time.Duration // when it is looked next whether time has ended something
+	merging         bool
+	blockedByAudit  bool // what was decided last would fit without the entries of the audit record
 }
 
 type page struct {
@@ -318,7 +323,18 @@
 			}
 			a := d.queue[0]
 			d.queue = d.queue[1:]
-			d.inFlight = &inFlightTxn{draft: d.schedule.NewDraft(), responses: []Response{{Request: a, Result: booking.Result{Outcome: booking.OutcomeInvalid, Reason: "too much to be stored in one value"}}}}
+			d.inFlight = &inFlightTxn{
+				draft: d.schedule.NewDraft(),
+				responses: []Response{
+					{
+						Request: a,
+						Result: booking.Result{
+							Outcome: booking.OutcomeInvalid,
+							Reason:  "too much to be stored in one value",
+						},
+					},
+				},
+			}
 			d.nextTxnAt = env.Now + batchInterval
 			return d.compareTxn(nil)
 		}
@@ -326,7 +342,12 @@
 }
 
 func (d *Service) compareTxn(conds []wire.Compare) *wire.Txn {
-	t := &wire.Txn{Compare: []wire.Compare{{Key: KeyHead, Revision: d.headRevision}, {Key: KeyInventory, Revision: d.inventoryRevision}}}
+	t := &wire.Txn{
+		Compare: []wire.Compare{
+			{Key: KeyHead, Revision: d.headRevision},
+			{Key: KeyInventory, Revision: d.inventoryRevision},
+		},
+	}
 	for _, k := range conds {
 		if !slices.Contains(t.Compare, k) {
 			t.Compare = append(t.Compare, k)
@@ -341,7 +362,8 @@
 	f := &inFlightTxn{draft: d.schedule.NewDraft()}
 	d.inFlight = f
 	site := d.inventory
-	if d.schedule.HasDueChanges(env.UnixS) { // else each change has given what it freed, and nobody waits for what they could have
+	// else each change has given what it freed, and nobody waits for what they could have
+	if d.schedule.HasDueChanges(env.UnixS) {
 		site.Advance(f.draft, env.UnixS)
 	}
 	var conds []wire.Compare
@@ -387,7 +409,11 @@
 	raw, err := encodePage(f.headBookings, change, f.pendingAudit)
 	if err == nil && len(raw) > env.MaxValueBytes && len(f.headBookings) > len(f.draft.Bookings) {
 		f.headBookings = slices.Clone(f.draft.Bookings)
-		f.spilledPage, f.spilledBookings = fmt.Sprintf("%s%016x", pagePrefix, change-uint64(len(f.draft.Bookings))), d.headBookings
+		f.spilledPage, f.spilledBookings = fmt.Sprintf(
+			"%s%016x",
+			pagePrefix,
+			change-uint64(len(f.draft.Bookings)),
+		), d.headBookings
 		var old json.RawMessage
 		if old, err = encodePage(d.headBookings, 0, nil); err == nil {
 			t.Compare = append(t.Compare, wire.Compare{Key: f.spilledPage})
@@ -405,12 +431,20 @@
 }
 
 // decideRequest answers an ask.
-func (d *Service) decideRequest(env Env, site *booking.Inventory, draft *booking.Draft, a *PendingRequest) (Response, []wire.Compare) {
+func (d *Service) decideRequest(
+	env Env,
+	site *booking.Inventory,
+	draft *booking.Draft,
+	a *PendingRequest,
+) (Response, []wire.Compare) {
 	w := &a.Request
 	if w.Verb == booking.VerbCreate || w.Verb == booking.VerbMove {
 		wants, err := ResolveWants(site, a.Wants, a.RecurrenceRule)
 		if err != nil {
-			return Response{Request: a, Result: booking.Result{Outcome: booking.OutcomeInvalid, Reason: err.Error()}}, nil
+			return Response{
+				Request: a,
+				Result:  booking.Result{Outcome: booking.OutcomeInvalid, Reason: err.Error()},
+			}, nil
 		}
 		w.Wants = wants
 	}
@@ -464,8 +498,9 @@
 	return out, nil
 }
 
-// HandleOutcome takes the outcome of the transaction that Step gave: its status, and the mark of what it wrote. It returns the answers that
-// hold now; whether the head must be read (then Read is to be called) before more is decided.
+// HandleOutcome takes the outcome of the transaction that Step gave: its status, and the mark of
+// what it wrote. It returns the answers that hold now; whether the head must be read (then Read is
+// to be called) before more is decided.
 func (d *Service) HandleOutcome(status int, revision uint64) (out []Response, mustReadHead bool) {
 	f := d.inFlight
 	if f == nil {
@@ -513,8 +548,8 @@
 
 func sortedPages(m map[string]page) []string { return slices.Sorted(maps.Keys(m)) }
 
-// MergeTxn returns a transaction that stores pages of which little counts any more anew, in fewer; nil if none is due. At most so many
-// changes are in it.
+// MergeTxn returns a transaction that stores pages of which little counts any more anew, in fewer;
+// nil if none is due. At most so many changes are in it.
 func (d *Service) MergeTxn(ops, valueBytes int) *wire.Txn {
 	if d.merging || d.archiving || d.inFlight != nil || len(d.pages) < minPagesToMerge {
 		return nil
@@ -525,7 +560,10 @@
 	var raw json.RawMessage
 	for _, k := range sortedPages(d.pages) {
 		p := d.pages[k]
-		live := slices.DeleteFunc(slices.Clone(p.bookings), func(b *pb.Booking) bool { return d.schedule.Get(b.Id).GetChange() != b.Change })
+		live := slices.DeleteFunc(
+			slices.Clone(p.bookings),
+			func(b *pb.Booking) bool { return d.schedule.Get(b.Id).GetChange() != b.Change },
+		)
 		if 3*len(live) > 2*len(p.bookings) && len(t.Compare) == 0 {
 			continue
 		}
--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -49,9 +49,11 @@
 }
 
 func env(now time.Duration) Env {
-	return Env{Now: now, UnixS: startUnixS + int64(now.Seconds()), MaxValueBytes: 8192, MaxCompares: 48,
+	return Env{
+		Now: now, UnixS: startUnixS + int64(now.Seconds()), MaxValueBytes: 8192, MaxCompares: 48,
 		Authorize:   func(*PendingRequest, string, []string) ([]wire.Compare, string) { return nil, "" },
-		AttachAudit: func(uint64, []audit.PendingEntry, []*PendingRequest, []*pb.Booking) []audit.PendingEntry { return nil }}
+		AttachAudit: func(uint64, []audit.PendingEntry, []*PendingRequest, []*pb.Booking) []audit.PendingEntry { return nil },
+	}
 }
 
 func newStore(t *testing.T) *fakeStore {
@@ -70,7 +72,13 @@
 }
 
 func newRequest(id string, minute int) *PendingRequest {
-	return &PendingRequest{Request: booking.Request{ID: id}, Wants: []wire.SlotRequest{{Equipment: "k", From: time.Unix(startUnixS+int64(60*minute), 0).UTC().Format(time.RFC3339)}}, Deadline: time.Hour}
+	return &PendingRequest{
+		Request: booking.Request{ID: id},
+		Wants: []wire.SlotRequest{
+			{Equipment: "k", From: time.Unix(startUnixS+int64(60*minute), 0).UTC().Format(time.RFC3339)},
+		},
+		Deadline: time.Hour,
+	}
 }
 
 func expectOutcomes(t *testing.T, list []Response, want ...booking.Outcome) {
@@ -84,8 +92,8 @@
 	}
 }
 
-// A write whose outcome is not known was made, and is found when it is repeated; one that is executed late, after another controller
-// has written, is not.
+// A write whose outcome is not known was made, and is found when it is repeated; one that is
+// executed late, after another controller has written, is not.
 func TestUnknownOutcomesAreResolved(t *testing.T) {
 	for _, executed := range []string{"at once", "late", "after another's"} {
 		s := newStore(t)
@@ -173,8 +181,9 @@
 	expectOutcomes(t, out, booking.OutcomeRefused)
 }
 
-// Bookings that come together share changes, also over the years: full heads become pages, and pages of which little counts any more
-// become fewer. At last a controller that reads all of it knows the same.
+// Bookings that come together share changes, also over the years: full heads become pages, and
+// pages of which little counts any more become fewer. At last a controller that reads all of it
+// knows the same.
 func TestChangesAreFew(t *testing.T) {
 	s := newStore(t)
 	d := New()
@@ -210,7 +219,12 @@
 		t.Errorf("%.3f changes a booking", perBooking)
 	}
 	for i := range bookings * 9 / 10 {
-		d.Enqueue(&PendingRequest{Request: booking.Request{Verb: booking.VerbEnd, ID: fmt.Sprintf("booking-%05d", i)}, Deadline: time.Hour})
+		d.Enqueue(
+			&PendingRequest{
+				Request:  booking.Request{Verb: booking.VerbEnd, ID: fmt.Sprintf("booking-%05d", i)},
+				Deadline: time.Hour,
+			},
+		)
 		if i%12 == 11 {
 			step()
 		}
@@ -265,7 +279,8 @@
 	}
 }
 
-// Bookings that are over leave memory and what a start reads, in blocks that split as they fill; their ids are taken for ever.
+// Bookings that are over leave memory and what a start reads, in blocks that split as they fill;
+// their ids are taken for ever.
 func TestPastBookingsLeave(t *testing.T) {
 	s := newStore(t)
 	d := New()
@@ -334,7 +349,14 @@
 	other.Enqueue(newRequest(id(4), 100_000))
 	other.Enqueue(&PendingRequest{Request: booking.Request{Verb: booking.VerbEnd, ID: id(5)}, Deadline: time.Hour})
 	other.Enqueue(&PendingRequest{Request: booking.Request{Verb: booking.VerbEnd, ID: "nobody"}, Deadline: time.Hour})
-	expectOutcomes(t, step(other), booking.OutcomeRepeated, booking.OutcomeRefused, booking.OutcomeRepeated, booking.OutcomeNotFound)
+	expectOutcomes(
+		t,
+		step(other),
+		booking.OutcomeRepeated,
+		booking.OutcomeRefused,
+		booking.OutcomeRepeated,
+		booking.OutcomeNotFound,
+	)
 	// A new id is booked on condition of the block that lacks it.
 	other.Enqueue(newRequest("b00001x", 900_001))
 	s.serveBlockReads(t, other)
@@ -343,13 +365,20 @@
 	}
 	s.serveBlockReads(t, other)
 	tx := other.NextTxn(env(now + time.Hour))
-	if !slices.ContainsFunc(tx.Compare, func(c wire.Compare) bool { return strings.HasPrefix(c.Key, ArchivePrefix) && c.Revision != 0 }) {
+	if !slices.ContainsFunc(
+		tx.Compare,
+		func(c wire.Compare) bool { return strings.HasPrefix(c.Key, ArchivePrefix) && c.Revision != 0 },
+	) {
 		t.Errorf("conditions %v", tx.Compare)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	raw, err := encodePage([]*pb.Booking{{Id: "x", Change: 1, Slots: []*pb.Slot{{Piece: "k", Unit: 1, From: 60, To: 120, Clear: 120}}}}, 1, nil)
+	raw, err := encodePage(
+		[]*pb.Booking{{Id: "x", Change: 1, Slots: []*pb.Slot{{Piece: "k", Unit: 1, From: 60, To: 120, Clear: 120}}}},
+		1,
+		nil,
+	)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -11,17 +11,43 @@
 	"dewlift/wire"
 )
 
-// While hundreds of jobs wait for a full fleet, each plan looked at every machine for each of them, and ordered thousands of machines that
-// there were not: most of the processor's time, so that polls timed out.
+// While hundreds of jobs wait for a full fleet, each plan looked at every machine for each of them,
+// and ordered thousands of machines that there were not: most of the processor's time, so that
+// polls timed out.
 func TestPlansOfAFullFleetAreBounded(t *testing.T) {
-	c := New(Config{SchemaVersion: SchemaVersion, Name: "n0", Shards: 1, CloudRequestRate: 4, MaxTxnOps: 12, MaxValueBytes: 8192, StoreWriteRate: 30, StoreRequestRate: 100}, 0, 1)
-	c.autoscaler.catalog = map[string]*wire.MachineType{"x": {Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b"}, BootS: 15, Price: 1, SpotPrice: 0.5}}
+	c := New(
+		Config{
+			SchemaVersion:    SchemaVersion,
+			Name:             "n0",
+			Shards:           1,
+			CloudRequestRate: 4,
+			MaxTxnOps:        12,
+			MaxValueBytes:    8192,
+			StoreWriteRate:   30,
+			StoreRequestRate: 100,
+		},
+		0,
+		1,
+	)
+	c.autoscaler.catalog = map[string]*wire.MachineType{
+		"x": {Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b"}, BootS: 15, Price: 1, SpotPrice: 0.5},
+	}
 	c.autoscaler.typeNames = []string{"x"}
-	c.leaderState = &leaderState{blockedUntil: map[nodeGroup]time.Duration{}, lastPreemptedFor: map[int32]time.Duration{}}
+	c.leaderState = &leaderState{
+		blockedUntil:     map[nodeGroup]time.Duration{},
+		lastPreemptedFor: map[int32]time.Duration{},
+	}
 	const machines, jobs = 1000, 500
 	var bins []*bin
 	for range machines {
-		bins = append(bins, &bin{nodeGroup: nodeGroup{"x", "a", true}, capacity: clusterstate.Resources{32000, 0, 128000}, available: clusterstate.Resources{500, 0, 1000}})
+		bins = append(
+			bins,
+			&bin{
+				nodeGroup: nodeGroup{"x", "a", true},
+				capacity:  clusterstate.Resources{32000, 0, 128000},
+				available: clusterstate.Resources{500, 0, 1000},
+			},
+		)
 	}
 	h := c.newSupply(bins)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -38,7 +64,12 @@
 		t.Errorf("%d machines are ordered, %d can be asked for in a while", h.plannedMachines, c.maxScaleOut())
 	}
 	// What needs less than those that found nothing still finds it.
-	if now := c.packDemand(demand{spec: &wire.JobSpec{Tasks: 3, Spot: true, Request: [3]int64{400, 0, 900}}, tasks: 3, tasksByZone: map[string]int{}}, h, order, &pools); now != 0 || !bins[0].needed {
+	if now := c.packDemand(demand{
+		spec:        &wire.JobSpec{Tasks: 3, Spot: true, Request: [3]int64{400, 0, 900}},
+		tasks:       3,
+		tasksByZone: map[string]int{},
+	}, h, order, &pools); now != 0 ||
+		!bins[0].needed {
 		t.Errorf("small tasks found no room: %d", now)
 	}
 }
@@ -51,7 +82,10 @@
 		l.MarkHeard(0, n)
 		l.Peer(n).StoreReachable = true
 	}
-	l.Peer("n1").QueueHeads = []membership.QueuePosition{{Priority: 1, EnqueuedAtMS: 50_000, Spot: true}, {Priority: 2, EnqueuedAtMS: 20_000, Spot: true}}
+	l.Peer("n1").QueueHeads = []membership.QueuePosition{
+		{Priority: 1, EnqueuedAtMS: 50_000, Spot: true},
+		{Priority: 2, EnqueuedAtMS: 20_000, Spot: true},
+	}
 	l.Peer("n3").QueueHeads = []membership.QueuePosition{{EnqueuedAtMS: 1}}
 	for i, x := range []struct {
 		job           membership.QueuePosition
@@ -69,25 +103,47 @@
 		}
 	}
 	l.Peer("n1").QueueHeads[0].Spot = false
-	if before, _ := l.CountCompetitors(0, here, membership.QueuePosition{Priority: 1, EnqueuedAtMS: 60_000}, true); before != 0 {
+	if before, _ := l.CountCompetitors(0, here, membership.QueuePosition{
+		Priority:     1,
+		EnqueuedAtMS: 60_000,
+	}, true); before != 0 {
 		t.Error("work that may not use spot machines is in the way on one")
 	}
-	if !l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, EnqueuedAtMS: 60_000}, 1) || l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, EnqueuedAtMS: 10_000}, 1) || l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, EnqueuedAtMS: 60_000}, 2) {
+	if !l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, EnqueuedAtMS: 60_000}, 1) ||
+		l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, EnqueuedAtMS: 10_000}, 1) ||
+		l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, EnqueuedAtMS: 60_000}, 2) {
 		t.Error("what comes first below a lane")
 	}
 	l.Peer("n1").StoreReachable = false
-	if before, _ := l.CountCompetitors(0, here, membership.QueuePosition{Priority: 1, EnqueuedAtMS: 60_000}, false); before != 0 {
+	if before, _ := l.CountCompetitors(0, here, membership.QueuePosition{
+		Priority:     1,
+		EnqueuedAtMS: 60_000,
+	}, false); before != 0 {
 		t.Error("one that can write nothing is waited for")
 	}
 }
 
-// A job may have half of its tasks in a zone. When that zone's machines were the best, as they hold its image, none of the others was looked at,
-// and replicas waited for minutes beside hundreds of machines with room.
+// A job may have half of its tasks in a zone. When that zone's machines were the best, as they hold
+// its image, none of the others was looked at, and replicas waited for minutes beside hundreds of
+// machines with room.
 func TestReplicasFindRoomBesideAFullZone(t *testing.T) {
 	for _, held := range []int{0, 1} { // tasks that zone a has already
-		c := New(Config{SchemaVersion: SchemaVersion, Name: "n0", Shards: 1, MaxTxnOps: 12, MaxValueBytes: 8192, StoreWriteRate: 30, StoreRequestRate: 100, HeartbeatInterval: time.Minute,
-			CandidateRatio: 2, PreferImage: true, StateCopyExpiry: time.Hour}, 0, 1)
-		c.autoscaler.catalog = map[string]*wire.MachineType{"x": {Name: "x", CPUs: 8, MemoryGB: 8, Zones: []string{"a", "b"}}}
+		c := New(Config{
+			SchemaVersion:     SchemaVersion,
+			Name:              "n0",
+			Shards:            1,
+			MaxTxnOps:         12,
+			MaxValueBytes:     8192,
+			StoreWriteRate:    30,
+			StoreRequestRate:  100,
+			HeartbeatInterval: time.Minute,
+			CandidateRatio:    2,
+			PreferImage:       true,
+			StateCopyExpiry:   time.Hour,
+		}, 0, 1)
+		c.autoscaler.catalog = map[string]*wire.MachineType{
+			"x": {Name: "x", CPUs: 8, MemoryGB: 8, Zones: []string{"a", "b"}},
+		}
 		c.ownLease.id, c.ownLease.expiresAt = 1, time.Hour
 		array := clusterstate.NewArray()
 		for i := range 40 {
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -49,11 +49,16 @@
 		if j.revision != 0 && j.submission != nil {
 			c.completeSubmission(j, 200, "")
 		}
-		if j.revision == 0 && j.submission == nil || j.revision != 0 && len(j.cancellation.waiters) == 0 && !c.ownsJob(j) {
+		if j.revision == 0 && j.submission == nil ||
+			j.revision != 0 && len(j.cancellation.waiters) == 0 && !c.ownsJob(j) {
 			j.write.dirty = false
 			continue
 		}
-		if c.placement.capacityFreed && c.now < c.placement.nextScanAt && j.placement.hasUnplacedTasks && !j.placement.tasksLost && j.revision != 0 && len(j.cancellation.waiters) == 0 && c.isBehindFirstWaiting(j) {
+		if c.placement.capacityFreed && c.now < c.placement.nextScanAt && j.placement.hasUnplacedTasks &&
+			!j.placement.tasksLost &&
+			j.revision != 0 &&
+			len(j.cancellation.waiters) == 0 &&
+			c.isBehindFirstWaiting(j) {
 			j.write.nextLookAt = c.placement.nextScanAt // all that wait are looked at then, in their order
 			continue
 		}
@@ -65,7 +70,8 @@
 	if slices.ContainsFunc(todo, func(j *job) bool { return c.writePriority(j) <= writePriorityAccept }) {
 		paused, most, reads = c.transactions.rateLimit.IsUrgentPaused(c.now), 6, -c.transactions.rateLimit.ReadRate/2
 	}
-	if paused || inflight >= most || !c.holdsLease() || len(todo) == 0 || c.transactions.rateLimit.ReadTokens < reads {
+	if paused || inflight >= most || !c.holdsLease() || len(todo) == 0 ||
+		c.transactions.rateLimit.ReadTokens < reads {
 		return
 	}
 	if most == 3 && c.transactions.rateLimit.WriteTokens < 1+reservedWrites {
@@ -79,7 +85,8 @@
 			many++
 		}
 	}
-	if most == 3 && many >= batchPlacementJobs && c.transactions.rateLimit.WriteTokens < 0.7*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) {
+	if most == 3 && many >= batchPlacementJobs &&
+		c.transactions.rateLimit.WriteTokens < 0.7*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) {
 		return
 	}
 	// Ends of tasks share writes: the more jobs run, the longer they wait for others.
@@ -89,7 +96,13 @@
 			running++
 		}
 	}
-	c.transactions.endBatchDelay = min(c.cfg.MaxEndBatchDelay, max(c.cfg.MinEndBatchDelay, time.Duration(float64(running)/(0.5*c.transactions.rateLimit.WriteRate)*float64(time.Second))))
+	c.transactions.endBatchDelay = min(
+		c.cfg.MaxEndBatchDelay,
+		max(
+			c.cfg.MinEndBatchDelay,
+			time.Duration(float64(running)/(0.5*c.transactions.rateLimit.WriteRate)*float64(time.Second)),
+		),
+	)
 	for _, j := range todo {
 		j.queue.missingReplicas = c.countLostReplicas(j)
 		j.queue.rank = c.queueRankOf(j)
@@ -109,7 +122,10 @@
 	}
 	if len(b.slotDrafts) > 0 { // ends that would have waited for others go with them
 		for _, j := range c.openJobs {
-			if j.write.waitsForEnds && !j.write.inFlight && !j.write.outcomeUnknown && j.record.Spec != nil && b.slotDrafts[c.slotNumber(j.id, j.record)] != nil && c.ownsJob(j) && !b.addJob(j) {
+			if j.write.waitsForEnds && !j.write.inFlight && !j.write.outcomeUnknown && j.record.Spec != nil &&
+				b.slotDrafts[c.slotNumber(j.id, j.record)] != nil &&
+				c.ownsJob(j) &&
+				!b.addJob(j) {
 				break
 			}
 		}
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -27,7 +27,8 @@
 	schemaReservations    = 6 // bookings of equipment
 	schemaPriorityClasses = 7 // records keep their job's lane and place, and there may be a list of lanes
 
-	schemaCancelQuorum = 8 // controllers vouch for the cancellations that they know (cancellations.go): nothing is stored otherwise
+	// controllers vouch for the cancellations that they know (cancellations.go): nothing is stored otherwise
+	schemaCancelQuorum = 8
 
 	// Form is the newest form that this version knows.
 	SchemaVersion = schemaCancelQuorum
@@ -45,7 +46,12 @@
 func (c *Core) recordSchemaVersion(name string, form int) {
 	c.schema.declared[name] = max(c.schema.declared[name], form)
 	if name == c.cfg.Name && form > c.cfg.SchemaVersion {
-		c.log("error", "a newer version has run here before: this one may not understand what it stored", "form", form)
+		c.log(
+			"error",
+			"a newer version has run here before: this one may not understand what it stored",
+			"form",
+			form,
+		)
 	}
 	least := min(c.schema.declared[c.cfg.Name], c.cfg.SchemaVersion)
 	for _, p := range c.cfg.Peers {
@@ -66,7 +72,10 @@
 
 // declareSchemaVersion writes this controller's declaration.
 func (c *Core) declareSchemaVersion() {
-	if c.schema.declared[c.cfg.Name] >= c.cfg.SchemaVersion || c.schema.declarationInFlight || c.now < c.schema.nextDeclarationAt || c.transactions.rateLimit.IsPaused(c.now) || !c.holdsLease() {
+	if c.schema.declared[c.cfg.Name] >= c.cfg.SchemaVersion || c.schema.declarationInFlight ||
+		c.now < c.schema.nextDeclarationAt ||
+		c.transactions.rateLimit.IsPaused(c.now) ||
+		!c.holdsLease() {
 		return
 	}
 	c.schema.declarationInFlight = true
@@ -76,11 +85,16 @@
 	if err != nil {
 		panic(err) // a number
 	}
-	c.commitTxn(wire.Txn{Compare: []wire.Compare{{Key: key, Revision: c.schema.declarationRevision}}, Then: []wire.Write{{Put: key, Value: raw}}},
+	c.commitTxn(
+		wire.Txn{
+			Compare: []wire.Compare{{Key: key, Revision: c.schema.declarationRevision}},
+			Then:    []wire.Write{{Put: key, Value: raw}},
+		},
 		&pendingTxn{onDone: func(int, wire.TxnResponse) {
 			c.schema.declarationInFlight = false
 			c.afterReadBarrier(func(bool) {}) // what came of it shows there
-		}})
+		}},
+	)
 }
 
 // applySchemaVersion takes a declaration from the state service.
@@ -143,11 +157,18 @@
 // record follows as its tasks end, and its writers see to it that there is no mark.
 func (c *Core) writeCancelMarker(j *job, ms int64, conds []wire.Compare, acts []auditlog.Event) {
 	key := keyCancel + j.id
-	list, ids := c.currentAuditLog().AttachEntries(key, j.cancellation.markerRevision, j.cancellation.markerAudit, acts)
+	list, ids := c.currentAuditLog().
+		AttachEntries(key, j.cancellation.markerRevision, j.cancellation.markerAudit, acts)
 	raw := cancelMarker{CancelMS: ms, Carried: list}.encode()
 	j.write.inFlight = true
-	c.commitTxn(wire.Txn{Compare: append(conds, wire.Compare{Key: keyJob + j.id, Revision: j.revision}, wire.Compare{Key: key, Revision: j.cancellation.markerRevision}),
-		Then: []wire.Write{{Put: key, Value: raw}}}, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
+	c.commitTxn(wire.Txn{
+		Compare: append(
+			conds,
+			wire.Compare{Key: keyJob + j.id, Revision: j.revision},
+			wire.Compare{Key: key, Revision: j.cancellation.markerRevision},
+		),
+		Then: []wire.Write{{Put: key, Value: raw}},
+	}, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
 		c.currentAuditLog().HandleOutcome(ids, status)
 		j.write.inFlight = false
 		c.markDirty(j)
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -91,8 +91,15 @@
 			}
 		}
 	}
-	if jobs < 30 || assigned < 1000 || c.leadership.fencingToken == 0 || c.leadership.leader.mark == 0 || c.autoscaler.catalog == nil {
-		t.Errorf("%d jobs, %d assignments, epoch %d, leader %+v", jobs, assigned, c.leadership.fencingToken, c.leadership.leader)
+	if jobs < 30 || assigned < 1000 || c.leadership.fencingToken == 0 || c.leadership.leader.mark == 0 ||
+		c.autoscaler.catalog == nil {
+		t.Errorf(
+			"%d jobs, %d assignments, epoch %d, leader %+v",
+			jobs,
+			assigned,
+			c.leadership.fencingToken,
+			c.leadership.leader,
+		)
 	}
 }
 
@@ -145,7 +152,14 @@
 func schemaDeclarations(names ...string) WatchResult {
 	in := WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 50}}
 	for _, n := range names {
-		in.Changes.Events = append(in.Changes.Events, wire.WatchEvent{Put: keySchemaVersion + n, Value: json.RawMessage(fmt.Sprint(SchemaVersion)), Revision: 50})
+		in.Changes.Events = append(
+			in.Changes.Events,
+			wire.WatchEvent{
+				Put:      keySchemaVersion + n,
+				Value:    json.RawMessage(fmt.Sprint(SchemaVersion)),
+				Revision: 50,
+			},
+		)
 	}
 	return in
 }
@@ -172,7 +186,8 @@
 	awaits := testSubmission("wk-2")
 	awaits.Spec.Dependencies = []string{"wk-1"}
 	c.Handle(100*time.Second, awaits)
-	if r := outputsOfType[Response](c.Advance(100 * time.Second)); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfterSeconds == 0 {
+	if r := outputsOfType[Response](c.Advance(100 * time.Second)); len(r) != 1 || r[0].Status != 503 ||
+		r[0].RetryAfterSeconds == 0 {
 		t.Errorf("awaits before the form: %+v", r)
 	}
 	in := schemaDeclarations("n2")
@@ -186,7 +201,10 @@
 	late.Advance(time.Second)
 	var items []wire.KeyValue
 	for _, n := range []string{"n0", "n1", "n2"} {
-		items = append(items, wire.KeyValue{Key: keySchemaVersion + n, Value: json.RawMessage(fmt.Sprint(SchemaVersion)), Revision: 5})
+		items = append(
+			items,
+			wire.KeyValue{Key: keySchemaVersion + n, Value: json.RawMessage(fmt.Sprint(SchemaVersion)), Revision: 5},
+		)
 	}
 	late.Handle(time.Second, SnapshotPage{OK: true, Revision: 9, Items: items})
 	if late.schemaVersion() != SchemaVersion {
@@ -209,14 +227,24 @@
 		m := c.internMachine(fmt.Sprintf("m-%d", 7919*(i+1)%1_000_000))
 		m.identity.zone, m.status.reported, m.identity.machineType = "a", true, "x"
 		m.status.incarnation = uint64(1 + c.rng.IntN(1<<30))
-		place = append(place, jobrecord.Assignment{Task: int32(i), Machine: m.index, Incarnation: m.status.incarnation, Attempt: uint64(1 + c.rng.IntN(1<<30))})
+		place = append(
+			place,
+			jobrecord.Assignment{
+				Task:        int32(i),
+				Machine:     m.index,
+				Incarnation: m.status.incarnation,
+				Attempt:     uint64(1 + c.rng.IntN(1<<30)),
+			},
+		)
 	}
 	raw, err := c.encodeRecord(rec, place, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Handle(time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 90,
-		Events: []wire.WatchEvent{{Put: keyJob + "wk-9", Value: raw, Revision: 90}}}})
+	c.Handle(time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{
+		Revision: 90,
+		Events:   []wire.WatchEvent{{Put: keyJob + "wk-9", Value: raw, Revision: 90}},
+	}})
 	return c, c.internJob("wk-9")
 }
 
@@ -238,7 +266,11 @@
 					log = append(log, wire.WatchEvent{Put: w.Put, Delete: w.Delete, Value: w.Value, Revision: ledger})
 				}
 				c.Handle(now, TxnResult{ID: o.ID, Status: 200, Reply: wire.TxnResponse{Revision: ledger}})
-				c.Handle(now, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: ledger, Events: log}})
+				c.Handle(now, WatchResult{
+					LongPoll: true,
+					Status:   200,
+					Changes:  wire.WatchResponse{Revision: ledger, Events: log},
+				})
 			case Watch:
 				if !o.LongPoll {
 					c.Handle(now, WatchResult{Status: 200, Changes: wire.WatchResponse{Revision: ledger}})
@@ -277,7 +309,8 @@
 	}
 	c.Handle(time.Second, CancelJob{RequestID: 5, ID: j.id, UnixMS: 77})
 	writes := answerAndCollectWrites(t, c, time.Second, 3*time.Second)
-	if !j.isFinal() || len(j.assignments) != 600 || !slices.ContainsFunc(writes, func(w wire.Write) bool { return w.Put == keyCancel+j.id }) {
+	if !j.isFinal() || len(j.assignments) != 600 ||
+		!slices.ContainsFunc(writes, func(w wire.Write) bool { return w.Put == keyCancel+j.id }) {
 		t.Fatalf("not cancelled: %+v, %d writes", j.record.Stage, len(writes))
 	}
 	// Another controller reads it the same, in whatever order the keys come.
@@ -289,10 +322,13 @@
 		t.Fatal(err)
 	}
 	for _, items := range [][]wire.KeyValue{
-		{mark(keyCancel+j.id, []byte(`{"cm":77}`)), mark(keyJob+j.id, raw)}, {mark(keyJob+j.id, raw), mark(keyCancel+j.id, []byte(`{"cm":77}`))}} {
+		{mark(keyCancel+j.id, []byte(`{"cm":77}`)), mark(keyJob+j.id, raw)},
+		{mark(keyJob+j.id, raw), mark(keyCancel+j.id, []byte(`{"cm":77}`))},
+	} {
 		other := New(testConfig(), 0, 1)
 		other.Handle(time.Second, SnapshotPage{OK: true, Revision: 90, Items: items})
-		if o := other.knownJob(j.id); o == nil || !o.isFinal() || o.record.CancelledAtMS != 77 || len(o.assignments) != 600 {
+		if o := other.knownJob(j.id); o == nil || !o.isFinal() || o.record.CancelledAtMS != 77 ||
+			len(o.assignments) != 600 {
 			t.Errorf("another controller does not know of the cancellation")
 		}
 	}
@@ -301,7 +337,8 @@
 		c.markMachineGone(c.machines[a.Machine])
 	}
 	writes = answerAndCollectWrites(t, c, 3*time.Second, 8*time.Second)
-	if j.record.Stage != jobrecord.Cancelled || len(j.assignments) != 0 || !slices.ContainsFunc(writes, func(w wire.Write) bool { return w.Delete == keyCancel+j.id }) {
+	if j.record.Stage != jobrecord.Cancelled || len(j.assignments) != 0 ||
+		!slices.ContainsFunc(writes, func(w wire.Write) bool { return w.Delete == keyCancel+j.id }) {
 		t.Errorf("the record ended as %+v", j.record)
 	}
 }
@@ -312,8 +349,23 @@
 	c, j := newCoreWithLargeRecord(t)
 	for i, a := range j.assignments {
 		m := c.machines[a.Machine]
-		c.Handle(2*time.Second, AgentHeartbeat{RequestID: 1, Heartbeat: &wire.Heartbeat{Machine: m.name, Addr: "x:1", Type: "x", Zone: "a", Incarnation: m.status.incarnation, Sequence: 1, FencingToken: 1,
-			Tasks: []wire.TaskStatus{{Task: wire.TaskName(j.id, int(a.Task)), Attempt: a.Attempt, Stage: wire.TaskExited, Cause: wire.CauseDone}}}})
+		c.Handle(2*time.Second, AgentHeartbeat{RequestID: 1, Heartbeat: &wire.Heartbeat{
+			Machine:      m.name,
+			Addr:         "x:1",
+			Type:         "x",
+			Zone:         "a",
+			Incarnation:  m.status.incarnation,
+			Sequence:     1,
+			FencingToken: 1,
+			Tasks: []wire.TaskStatus{
+				{
+					Task:    wire.TaskName(j.id, int(a.Task)),
+					Attempt: a.Attempt,
+					Stage:   wire.TaskExited,
+					Cause:   wire.CauseDone,
+				},
+			},
+		}})
 		if i%100 == 0 {
 			answerAndCollectWrites(t, c, c.now, c.now+200*time.Millisecond)
 		}
@@ -329,12 +381,22 @@
 	c := New(testConfig(), 0, 1)
 	c.cfg.MaxValueBytes = 2048
 	c.schema.active = schemaDependencies
-	spec := &wire.JobSpec{ID: "wk-1", Class: "some-class", Team: "t", Tasks: 500, Request: [3]int64{4000, 0, 8900}, Image: "an-image"}
+	spec := &wire.JobSpec{
+		ID:      "wk-1",
+		Class:   "some-class",
+		Team:    "t",
+		Tasks:   500,
+		Request: [3]int64{4000, 0, 8900},
+		Image:   "an-image",
+	}
 	p := &proposal{record: &jobrecord.Record{Spec: spec, LastAttempt: 500}, spec: spec}
 	for i := 0; i < 500; i++ {
 		m := c.internMachine(wire.TaskName("m", 100000+(7*i)%500))
 		m.identity.zone = []string{"a-zone", "b-zone"}[i%2]
-		p.assignments = append(p.assignments, jobrecord.Assignment{Task: int32(i), Machine: m.index, Incarnation: 1, Attempt: uint64(i + 1)})
+		p.assignments = append(
+			p.assignments,
+			jobrecord.Assignment{Task: int32(i), Machine: m.index, Incarnation: 1, Attempt: uint64(i + 1)},
+		)
 	}
 	p.started = p.assignments
 	raw, err := c.encodeWithinLimit(p)
--- a/core/supply.go
+++ b/core/supply.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"dewlift/clusterstate"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/wire"
 )
 
 // bin is room that is there or on its way.
@@ -56,8 +57,8 @@
 	binsWithoutRoom int
 }
 
-// firstCandidate is where in its order a need may find room: what is no larger found none before. While hundreds of jobs wait for a full fleet, each
-// looked at all its machines in each plan.
+// firstCandidate is where in its order a need may find room: what is no larger found none before.
+// While hundreds of jobs wait for a full fleet, each looked at all its machines in each plan.
 func (h *supply) firstCandidate(n *demand) (first int) {
 	if n.isUnconstrained() {
 		for _, x := range h.exhausted[n.supplyOrder()] {
@@ -108,7 +109,11 @@
 			if spot == 1 && x.isDrainableOnDemand() != y.isDrainableOnDemand() {
 				return flag(x.isDrainableOnDemand()) - flag(y.isDrainableOnDemand())
 			}
-			return cmp.Or(cmp.Compare(y.busyHorizonSteps, x.busyHorizonSteps), flag(y.hasTasks)-flag(x.hasTasks), cmp.Compare(x.freeShare, y.freeShare))
+			return cmp.Or(
+				cmp.Compare(y.busyHorizonSteps, x.busyHorizonSteps),
+				flag(y.hasTasks)-flag(x.hasTasks),
+				cmp.Compare(x.freeShare, y.freeShare),
+			)
 		})
 	}
 	return h
@@ -154,7 +159,8 @@
 		}
 	}
 	may := func(b *bin) bool {
-		return c.isMachineTypeAllowed(s, b.nodeGroup.machineType) && (s.Zone == "" || s.Zone == b.nodeGroup.zone) && (s.Spot || !b.nodeGroup.spot)
+		return c.isMachineTypeAllowed(s, b.nodeGroup.machineType) && (s.Zone == "" || s.Zone == b.nodeGroup.zone) &&
+			(s.Spot || !b.nodeGroup.spot)
 	}
 	shelf := h.packingOrders[0]
 	if s.Spot {
@@ -251,7 +257,9 @@
 				// the fleet is. By numbers, ordinary machines at 2.5 times the price were taken once a
 				// kind of spot machine counted 150.
 				all := float64(max(1, len(h.bins)))
-				score := price / float64(k) * (1 + t.BootS/120) * (1 + 0.4*float64(h.machinesByGroup[p])/all + 0.05*float64(h.machinesByZone[z])/all)
+				score := price / float64(
+					k,
+				) * (1 + t.BootS/120) * (1 + 0.4*float64(h.machinesByGroup[p])/all + 0.05*float64(h.machinesByZone[z])/all)
 				if !found || score < bestScore {
 					best, bestScore, found = p, score, true
 				}
@@ -270,7 +278,8 @@
 		p := m.status.tasks[attemptKey{k.jobIndex, k.task, a.Attempt}]
 		if s := j.record.Spec; s != nil && !s.Service && p.state == wire.TaskRunning {
 			left := time.Duration(s.EstimatedRuntimeMS)*time.Millisecond - (c.now - p.stateSince)
-			if left < scaleDuration(c.nominalBootTime(m.identity.machineType), c.cfg.SoonFreeBootFactor) && left > -time.Duration(s.EstimatedRuntimeMS)*time.Millisecond/4 {
+			if left < scaleDuration(c.nominalBootTime(m.identity.machineType), c.cfg.SoonFreeBootFactor) &&
+				left > -time.Duration(s.EstimatedRuntimeMS)*time.Millisecond/4 {
 				v = v.AddScaled(s.Request, 1)
 			}
 		}
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -1,10 +1,11 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/core/batchvalue"
 	"dewlift/core/ratelimit"
 	"dewlift/wire"
-	"time"
 )
 
 // transactionState is transactions in flight, the rate limit of the store, and what waits to be written.
@@ -44,14 +45,26 @@
 	delete(c.transactions.inFlight, in.ID)
 	c.recordStoreStatus(in.Status)
 	if in.Status == 429 {
-		c.transactions.rateLimit.Pause(c.now+80*time.Millisecond+c.jitter(150*time.Millisecond), c.now+20*time.Millisecond+c.jitter(40*time.Millisecond))
+		c.transactions.rateLimit.Pause(
+			c.now+80*time.Millisecond+c.jitter(150*time.Millisecond),
+			c.now+20*time.Millisecond+c.jitter(40*time.Millisecond),
+		)
 	}
 	if in.Status == 503 || in.Status == 0 {
 		until := c.now + 100*time.Millisecond + c.jitter(100*time.Millisecond)
 		c.transactions.rateLimit.Pause(until, until)
 	}
 	if in.Status != 200 {
-		c.log("debug", "transaction not committed", "status", in.Status, "failed", in.Reply.Failed, "error", in.Reply.Error)
+		c.log(
+			"debug",
+			"transaction not committed",
+			"status",
+			in.Status,
+			"failed",
+			in.Reply.Failed,
+			"error",
+			in.Reply.Error,
+		)
 	}
 	if in.Status == 400 && x.onDone == nil { // no leased key is in it
 		c.reduceTxnLimits(&x.txn)
@@ -88,7 +101,9 @@
 			}
 			switch {
 			case p.inSlot:
-				if c.slotState(p.slotIndex).Revision == in.Reply.Revision && j.record.WriteNumber == p.record.WriteNumber && !j.isFinal() {
+				if c.slotState(p.slotIndex).Revision == in.Reply.Revision &&
+					j.record.WriteNumber == p.record.WriteNumber &&
+					!j.isFinal() {
 					c.adoptRecord(j, p.record, p.assignments, j.revision, j.stored.bytes)
 				}
 			case in.Reply.Revision > j.revision:
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/core/batchvalue"
-	"dewlift/wire"
 	"encoding/json"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/batchvalue"
+	"dewlift/wire"
 )
 
 // txnBuilder gathers proposals into one transaction.
@@ -24,7 +25,8 @@
 	hasUserWaiting bool // users wait for it
 }
 
-const comparesPerJob = 5 // of a proposal, beside those of its own: its record, its shard, its slot, its team, a mark of cancellation
+// of a proposal, beside those of its own: its record, its shard, its slot, its team, a mark of cancellation
+const comparesPerJob = 5
 
 const maxProposalsPerTxn = 64 // jobs written together; each takes a choice of machines
 
@@ -51,7 +53,8 @@
 		b.hasUserWaiting = true
 		cost -= c.storeWriteRate() / 2
 	}
-	if b.opCount()+3 > c.cfg.MaxTxnOps || len(b.proposals) >= maxProposalsPerTxn || b.valueBytes > 40<<10 || c.transactions.rateLimit.WriteTokens < cost {
+	if b.opCount()+3 > c.cfg.MaxTxnOps || len(b.proposals) >= maxProposalsPerTxn || b.valueBytes > 40<<10 ||
+		c.transactions.rateLimit.WriteTokens < cost {
 		return false
 	}
 	if slot >= 0 && c.slotState(slot).WriteInFlight && c.schemaVersion() >= schemaSharedValues {
@@ -68,7 +71,8 @@
 	if len(p.auditActs) > 0 {
 		p.compares = append(p.compares, c.unauditedCompares()...)
 	}
-	if len(b.proposals) > 0 && len(b.txn.Compare)+len(b.slotDrafts)+len(p.compares)+comparesPerJob > 4*c.cfg.MaxTxnOps {
+	if len(b.proposals) > 0 &&
+		len(b.txn.Compare)+len(b.slotDrafts)+len(p.compares)+comparesPerJob > 4*c.cfg.MaxTxnOps {
 		c.undoProposal(p)
 		return false
 	}
@@ -81,7 +85,8 @@
 	if j.cancellation.markerRevision != 0 && p.record.Spec == nil { // its mark goes
 		old = append(slices.Clone(old), j.cancellation.markerAudit...)
 	}
-	if entry := c.encodeSlotEntry(p); entry != nil && b.slotDrafts[slot] == nil && c.slotState(slot).JobKeyWritesInFlight > 0 {
+	if entry := c.encodeSlotEntry(p); entry != nil && b.slotDrafts[slot] == nil &&
+		c.slotState(slot).JobKeyWritesInFlight > 0 {
 		c.undoProposal(p)
 		j.write.nextLookAt = c.now + slotRetryDelay
 		return true
@@ -93,7 +98,8 @@
 	if c.schemaVersion() >= schemaSharedValues {
 		p.record.WriteNumber++
 	}
-	p.record.PendingAudit, p.auditEntryIDs = c.currentAuditLog().AttachEntries(keyJob+j.id, j.revision, old, p.auditActs)
+	p.record.PendingAudit, p.auditEntryIDs = c.currentAuditLog().
+		AttachEntries(keyJob+j.id, j.revision, old, p.auditActs)
 	raw, err := c.encodeWithinLimit(p)
 	if err != nil || len(raw) > c.cfg.MaxValueBytes {
 		// An older version may have stored it under larger limits, or its tasks end in an order that
@@ -133,7 +139,10 @@
 	}
 	b.txn.Then = append(b.txn.Then, wire.Write{Put: keyJob + j.id, Value: raw})
 	if j.stored.bytes > c.cfg.MaxValueBytes || j.cancellation.markerRevision != 0 {
-		b.txn.Compare = append(b.txn.Compare, wire.Compare{Key: keyCancel + j.id, Revision: j.cancellation.markerRevision})
+		b.txn.Compare = append(
+			b.txn.Compare,
+			wire.Compare{Key: keyCancel + j.id, Revision: j.cancellation.markerRevision},
+		)
 	}
 	if j.cancellation.markerRevision != 0 && p.record.Spec == nil {
 		b.txn.Then = append(b.txn.Then, wire.Write{Delete: keyCancel + j.id})
@@ -151,7 +160,8 @@
 	b.proposals = append(b.proposals, *p)
 }
 
-// requireShard makes a transaction depend on the shard of a proposal's job, unless somebody who does not hold it may write it.
+// requireShard makes a transaction depend on the shard of a proposal's job, unless somebody who
+// does not hold it may write it.
 func (b *txnBuilder) requireShard(p *proposal) {
 	shard := p.record.Shard
 	if (p.isCancellation || p.isAcceptance) && !b.core.ownsShard(shard) || b.comparedShards[shard] {
@@ -161,7 +171,10 @@
 		b.comparedShards = map[int]bool{}
 	}
 	b.comparedShards[shard] = true
-	b.txn.Compare = append(b.txn.Compare, wire.Compare{Key: shardKey(shard), Revision: b.core.ownership.shards[shard].mark})
+	b.txn.Compare = append(
+		b.txn.Compare,
+		wire.Compare{Key: shardKey(shard), Revision: b.core.ownership.shards[shard].mark},
+	)
 }
 
 // chargeQuota counts a proposal's starts against its team's limits, which all who start tasks of the team write.
@@ -200,7 +213,12 @@
 			b.core.recordDelta(true, p.job, a, p.spec.Request)
 		}
 	}
-	x := &pendingTxn{proposals: b.proposals, teams: b.teams, writtenSlots: b.slotDrafts, dependentSlots: b.dependentSlots}
+	x := &pendingTxn{
+		proposals:      b.proposals,
+		teams:          b.teams,
+		writtenSlots:   b.slotDrafts,
+		dependentSlots: b.dependentSlots,
+	}
 	b.core.lockSlots(x)
 	b.core.commitTxn(b.txn, x)
 }
@@ -211,12 +229,14 @@
 	for {
 		starts := len(p.started)
 		raw, err := c.encodeRecord(p.record, p.assignments, false)
-		if err != nil || len(raw) <= c.cfg.MaxValueBytes*7/8 && len(raw)+p.record.MaxGrowth(p.assignments) <= c.cfg.MaxValueBytes {
+		if err != nil ||
+			len(raw) <= c.cfg.MaxValueBytes*7/8 && len(raw)+p.record.MaxGrowth(p.assignments) <= c.cfg.MaxValueBytes {
 			return raw, err
 		}
 		if c.schemaVersion() >= schemaDependencies {
 			packed, err := c.encodeRecord(p.record, p.assignments, true)
-			if err != nil || len(packed) <= c.cfg.MaxValueBytes*3/4 || starts == 0 && len(packed) <= c.cfg.MaxValueBytes {
+			if err != nil || len(packed) <= c.cfg.MaxValueBytes*3/4 ||
+				starts == 0 && len(packed) <= c.cfg.MaxValueBytes {
 				return packed, err
 			}
 		}
--- a/core/yield_test.go
+++ b/core/yield_test.go
@@ -9,8 +9,9 @@
 	"dewlift/wire"
 )
 
-// While more work waited than there was room, every controller filled each new machine, and half of all starts were refused.
-// Each is to fill those where it comes first, and the others' after a moment.
+// While more work waited than there was room, every controller filled each new machine, and half of
+// all starts were refused. Each is to fill those where it comes first, and the others' after a
+// moment.
 func TestControllersTakeTurnsForFreedCapacity(t *testing.T) {
 	const machines, perMachine = 40, 4
 	first := map[string]int{}
@@ -25,9 +26,25 @@
 		}
 		push := &StatePush{Revision: 1, FencingToken: 1}
 		for i := range machines {
-			r := &wire.Heartbeat{Machine: fmt.Sprintf("m-%d", i), Addr: "x:1", Type: "x", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1}
+			r := &wire.Heartbeat{
+				Machine:      fmt.Sprintf("m-%d", i),
+				Addr:         "x:1",
+				Type:         "x",
+				Zone:         "a",
+				Incarnation:  1,
+				Sequence:     1,
+				FencingToken: 1,
+			}
 			c.Handle(time.Second, AgentPolled{Machine: r.Machine, Heartbeat: r})
-			push.Rows = append(push.Rows, MachineCapacity{Machine: r.Machine, Type: "x", Zone: "a", Available: clusterstate.Resources{4000, 0, 8000}})
+			push.Rows = append(
+				push.Rows,
+				MachineCapacity{
+					Machine:   r.Machine,
+					Type:      "x",
+					Zone:      "a",
+					Available: clusterstate.Resources{4000, 0, 8000},
+				},
+			)
 		}
 		in := testSubmission("wk-1")
 		in.Spec.Tasks = 2 * machines * perMachine
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,4 +1,5 @@
-// Package eventqueue orders what is to be done in simulated time: by its time, and at the same time in the order in which it was put down.
+// Package eventqueue orders what is to be done in simulated time: by its time, and at the same time
+// in the order in which it was put down.
 package eventqueue
 
 import (
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -73,8 +73,10 @@
 
 // NewStore returns an empty state service.
 func NewStore(l Limits) *Store {
-	return &Store{limits: l, keys: btree.NewG(32, func(a, b wire.KeyValue) bool { return a.Key < b.Key }),
-		leases: map[uint64]*lease{}, changed: make(chan struct{}), counters: map[string]int{}}
+	return &Store{
+		limits: l, keys: btree.NewG(32, func(a, b wire.KeyValue) bool { return a.Key < b.Key }),
+		leases: map[uint64]*lease{}, changed: make(chan struct{}), counters: map[string]int{},
+	}
 }
 
 // SetLimits has other limits come into force.
--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -18,8 +18,9 @@
 	"dewlift/wire"
 )
 
-// Workers are a cloud's machines, of one type, that do as the protocol says but for the work itself: a task is running a moment
-// after its start and done after its time. They share one listener on loopback: each has an address of its own in 127.0.0.0/8.
+// Workers are a cloud's machines, of one type, that do as the protocol says but for the work
+// itself: a task is running a moment after its start and done after its time. They share one
+// listener on loopback: each has an address of its own in 127.0.0.0/8.
 type Workers struct {
 	machineType       wire.MachineType
 	workers           []*Worker
@@ -61,13 +62,38 @@
 
 // NewWorkers makes n machines that will report to controllers; task tells what a task takes of its machine and for how
 // long, 0: for ever.
-func NewWorkers(n int, machineType wire.MachineType, controllers []string, heartbeatInterval time.Duration, taskShape func(piece string) (claim [3]int64, run time.Duration)) *Workers {
-	all := &Workers{machineType: machineType, controllers: controllers, heartbeatInterval: heartbeatInterval, taskShape: taskShape, byIP: map[string]*Worker{}, rentals: map[string][]string{}}
-	all.httpClient.Transport = &http.Transport{MaxIdleConns: 2 * n, MaxIdleConnsPerHost: 2 * n, IdleConnTimeout: time.Minute}
+func NewWorkers(
+	n int,
+	machineType wire.MachineType,
+	controllers []string,
+	heartbeatInterval time.Duration,
+	taskShape func(piece string) (claim [3]int64, run time.Duration),
+) *Workers {
+	all := &Workers{
+		machineType:       machineType,
+		controllers:       controllers,
+		heartbeatInterval: heartbeatInterval,
+		taskShape:         taskShape,
+		byIP:              map[string]*Worker{},
+		rentals:           map[string][]string{},
+	}
+	all.httpClient.Transport = &http.Transport{
+		MaxIdleConns:        2 * n,
+		MaxIdleConnsPerHost: 2 * n,
+		IdleConnTimeout:     time.Minute,
+	}
 	for i := range n {
 		ip := fmt.Sprintf("127.%d.%d.1", 1+i/250, 1+i%250)
-		w := &Worker{fleet: all, controller: i % len(controllers), changed: make(chan struct{}, 1),
-			machine: wire.Machine{Name: fmt.Sprintf("m-%06d", i), Addr: ip, Type: machineType.Name, Zone: machineType.Zones[i%len(machineType.Zones)], Stage: wire.MachineBooting}}
+		w := &Worker{
+			fleet: all, controller: i % len(controllers), changed: make(chan struct{}, 1),
+			machine: wire.Machine{
+				Name:  fmt.Sprintf("m-%06d", i),
+				Addr:  ip,
+				Type:  machineType.Name,
+				Zone:  machineType.Zones[i%len(machineType.Zones)],
+				Stage: wire.MachineBooting,
+			},
+		}
 		all.byIP[ip] = w
 		all.workers = append(all.workers, w)
 	}
@@ -201,7 +227,8 @@
 	return n
 }
 
-// CutZone has the machines of a zone hang: nothing of them is heard, and who asks them waits. Their tasks run on. "": none.
+// CutZone has the machines of a zone hang: nothing of them is heard, and who asks them waits. Their
+// tasks run on. "": none.
 func (all *Workers) CutZone(zone string) { all.cutZone.Store(&zone) }
 
 func (w *Worker) isZoneCut() bool {
@@ -263,7 +290,17 @@
 	defer w.mu.Unlock()
 	w.seq++
 	m := &w.machine
-	return &wire.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Sequence: w.seq, FencingToken: w.fencingToken, Tasks: slices.Clone(w.tasks)}
+	return &wire.Heartbeat{
+		Machine:      m.Name,
+		Addr:         m.Addr,
+		Type:         m.Type,
+		Zone:         m.Zone,
+		Spot:         m.Spot,
+		Incarnation:  1,
+		Sequence:     w.seq,
+		FencingToken: w.fencingToken,
+		Tasks:        slices.Clone(w.tasks),
+	}
 }
 
 // executeCommands executes orders under a token; false if the machine has seen a higher one.
@@ -275,20 +312,37 @@
 	}
 	w.fencingToken = token
 	for _, o := range orders {
-		i := slices.IndexFunc(w.tasks, func(p wire.TaskStatus) bool { return p.Task == o.Task && p.Attempt == o.Attempt })
+		i := slices.IndexFunc(
+			w.tasks,
+			func(p wire.TaskStatus) bool { return p.Task == o.Task && p.Attempt == o.Attempt },
+		)
 		switch {
 		case o.Op == wire.OpStart && i < 0:
 			claim, d := w.fleet.taskShape(o.Task)
 			if !w.fits(claim) {
-				w.tasks = append(w.tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Stage: wire.TaskExited, Cause: wire.CauseNoCapacity})
+				w.tasks = append(
+					w.tasks,
+					wire.TaskStatus{
+						Task:    o.Task,
+						Attempt: o.Attempt,
+						Stage:   wire.TaskExited,
+						Cause:   wire.CauseNoCapacity,
+					},
+				)
 				w.fleet.startsRefused.Add(1)
 				w.triggerHeartbeat()
 				break
 			}
 			w.tasks = append(w.tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Stage: wire.TaskPullingImage})
-			time.AfterFunc(imageFetchTime, func() { w.transitionTask(o, wire.TaskPullingImage, wire.TaskRunning, "") })
+			time.AfterFunc(
+				imageFetchTime,
+				func() { w.transitionTask(o, wire.TaskPullingImage, wire.TaskRunning, "") },
+			)
 			if d > 0 {
-				time.AfterFunc(imageFetchTime+d, func() { w.transitionTask(o, wire.TaskRunning, wire.TaskExited, wire.CauseDone) })
+				time.AfterFunc(
+					imageFetchTime+d,
+					func() { w.transitionTask(o, wire.TaskRunning, wire.TaskExited, wire.CauseDone) },
+				)
 			}
 		case o.Op == wire.OpStop && i >= 0 && w.tasks[i].Stage != wire.TaskExited:
 			w.tasks[i].Stage, w.tasks[i].Cause = wire.TaskExited, wire.CauseStopped
@@ -378,7 +432,12 @@
 	if err != nil {
 		panic(err) // strings and numbers
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.fleet.controllers[w.controller]+wire.PathHeartbeat, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(
+		ctx,
+		http.MethodPost,
+		"http://"+w.fleet.controllers[w.controller]+wire.PathHeartbeat,
+		bytes.NewReader(raw),
+	)
 	if err != nil {
 		return false
 	}
--- a/internal/fakes/workers_test.go
+++ b/internal/fakes/workers_test.go
@@ -7,27 +7,48 @@
 	"dewlift/wire"
 )
 
-// The stand-in does with orders what the protocol says: each once, in order, no more than there is room for, none under an older token.
+// The stand-in does with orders what the protocol says: each once, in order, no more than there is
+// room for, none under an older token.
 func TestWorkerExecutesCommands(t *testing.T) {
 	kind := wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}}
-	all := NewWorkers(1, kind, []string{"127.0.0.1:1"}, time.Minute, func(string) ([3]int64, time.Duration) { return [3]int64{2000, 0, 1000}, 0 })
+	all := NewWorkers(
+		1,
+		kind,
+		[]string{"127.0.0.1:1"},
+		time.Minute,
+		func(string) ([3]int64, time.Duration) { return [3]int64{2000, 0, 1000}, 0 },
+	)
 	w := all.workers[0]
 	order := func(op, piece string, try uint64) wire.Command {
 		return wire.Command{Op: op, Task: piece, Attempt: try}
 	}
-	start := []wire.Command{order(wire.OpStart, "wk-1/0", 1), order(wire.OpStart, "wk-1/0", 1), order(wire.OpStart, "wk-1/1", 2), order(wire.OpStart, "wk-1/2", 3)}
+	start := []wire.Command{
+		order(wire.OpStart, "wk-1/0", 1),
+		order(wire.OpStart, "wk-1/0", 1),
+		order(wire.OpStart, "wk-1/1", 2),
+		order(wire.OpStart, "wk-1/2", 3),
+	}
 	if !w.executeCommands(5, start) || w.executeCommands(4, []wire.Command{order(wire.OpStop, "wk-1/0", 1)}) {
 		t.Fatal("the token decides who gives orders")
 	}
-	if r := w.nextHeartbeat(); len(r.Tasks) != 3 || r.Tasks[2].Cause != wire.CauseNoCapacity || all.StartsRefused() != 1 {
+	if r := w.nextHeartbeat(); len(r.Tasks) != 3 || r.Tasks[2].Cause != wire.CauseNoCapacity ||
+		all.StartsRefused() != 1 {
 		t.Errorf("two of three tasks fit: %+v, %d refused", r.Tasks, all.StartsRefused())
 	}
-	w.executeCommands(5, []wire.Command{order(wire.OpClear, "wk-1/0", 1), order(wire.OpStop, "wk-1/0", 1), order(wire.OpClear, "wk-1/2", 3)})
+	w.executeCommands(
+		5,
+		[]wire.Command{
+			order(wire.OpClear, "wk-1/0", 1),
+			order(wire.OpStop, "wk-1/0", 1),
+			order(wire.OpClear, "wk-1/2", 3),
+		},
+	)
 	r := w.nextHeartbeat()
 	if len(r.Tasks) != 2 || r.Tasks[0].Cause != wire.CauseStopped || r.Tasks[1].Stage == wire.TaskExited {
 		t.Errorf("one is stopped, one goes on, and one is forgotten: %+v", r.Tasks)
 	}
-	if w.executeCommands(5, []wire.Command{order(wire.OpStart, "wk-1/2", 4)}); len(w.nextHeartbeat().Tasks) != 3 || all.StartsRefused() != 1 {
+	if w.executeCommands(5, []wire.Command{order(wire.OpStart, "wk-1/2", 4)}); len(w.nextHeartbeat().Tasks) != 3 ||
+		all.StartsRefused() != 1 {
 		t.Error("the stopped task's room is not free again")
 	}
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -17,7 +17,11 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew: what travels or is stored was changed on purpose")
+var update = flag.Bool(
+	"update",
+	false,
+	"write the golden files anew: what travels or is stored was changed on purpose",
+)
 
 // number is one that a path gives, never 0.
 func number(path string) uint64 {
@@ -133,7 +137,8 @@
 	}
 }
 
-// same compares what is written now with a golden file, as JSON: the order of fields does not count. It returns what the file has.
+// same compares what is written now with a golden file, as JSON: the order of fields does not
+// count. It returns what the file has.
 func same(t *testing.T, file string, got map[string]any) map[string]json.RawMessage {
 	t.Helper()
 	file = "testdata/" + file + ".json"
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -66,7 +66,8 @@
 		if err := protobuf.Unmarshal(was.Binary, m); err != nil || !protobuf.Equal(m, all[name]) {
 			t.Errorf("%s is read as %v (%v)", name, m, err)
 		}
-		if err := prototext.Unmarshal([]byte(strings.Join(was.Text, "\n")), m); err != nil || !protobuf.Equal(m, all[name]) {
+		if err := prototext.Unmarshal([]byte(strings.Join(was.Text, "\n")), m); err != nil ||
+			!protobuf.Equal(m, all[name]) {
 			t.Errorf("the text of %s is read as %v (%v)", name, m, err)
 		}
 	}
@@ -75,7 +76,11 @@
 // The names of what messages choose from: they are in texts and answers.
 func TestChoices(t *testing.T) {
 	got := map[string]any{}
-	for name, e := range map[string]protoreflect.Enum{"verb": pb.Verb(0), "outcome": pb.AuditOutcome(0), "booking": pb.BookingState(0)} {
+	for name, e := range map[string]protoreflect.Enum{
+		"verb":    pb.Verb(0),
+		"outcome": pb.AuditOutcome(0),
+		"booking": pb.BookingState(0),
+	} {
 		var list []string
 		for v := range e.Descriptor().Values().Len() {
 			x := e.Descriptor().Values().Get(v)
--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -58,18 +58,31 @@
 func storedRecord(machines []machine, packed bool) stored {
 	r := filled[jobrecord.Record]("record")
 	r.Assignments, r.PackedLists, r.CompletedTasks, r.Spec.Tasks = nil, nil, jobrecord.TaskSet{0, 2, 9, 9}, 40
-	place := []jobrecord.Assignment{{Task: 3, Machine: 0, Incarnation: 5, Attempt: 7}, {Task: 4, Machine: 0, Incarnation: 5, Attempt: 8}, {Task: 12, Machine: 0, Incarnation: 5, Attempt: 30},
-		{Task: 6, Machine: 1, Incarnation: 5, Attempt: 9}, {Task: 10, Machine: 2, Incarnation: 1 << 40, Attempt: 1}, {Task: 11, Machine: 3, Incarnation: 6, Attempt: 2}}
+	place := []jobrecord.Assignment{
+		{Task: 3, Machine: 0, Incarnation: 5, Attempt: 7},
+		{Task: 4, Machine: 0, Incarnation: 5, Attempt: 8},
+		{Task: 12, Machine: 0, Incarnation: 5, Attempt: 30},
+		{Task: 6, Machine: 1, Incarnation: 5, Attempt: 9},
+		{Task: 10, Machine: 2, Incarnation: 1 << 40, Attempt: 1},
+		{Task: 11, Machine: 3, Incarnation: 6, Attempt: 2},
+	}
 	return stored{
 		write: func() ([]byte, error) {
-			return jobrecord.Encode(r, place, packed, func(m int32) (string, string) { return machines[m].name, machines[m].zone })
+			return jobrecord.Encode(
+				r,
+				place,
+				packed,
+				func(m int32) (string, string) { return machines[m].name, machines[m].zone },
+			)
 		},
 		read: func(raw []byte) (any, error) {
 			got, err := jobrecord.Decode(raw)
 			if err != nil {
 				return nil, err
 			}
-			list := got.ExpandAssignments(func(name, zone string) int32 { return int32(slices.Index(machines, machine{name, zone})) })
+			list := got.ExpandAssignments(
+				func(name, zone string) int32 { return int32(slices.Index(machines, machine{name, zone})) },
+			)
 			slices.SortFunc(list, func(a, b jobrecord.Assignment) int {
 				return cmp.Or(cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.Task, b.Task))
 			})
@@ -123,14 +136,25 @@
 	entries := []*pb.AuditEntry{messageOf(&pb.AuditEntry{}, "first"), messageOf(&pb.AuditEntry{}, "second")}
 	return stored{
 		write: func() ([]byte, error) {
-			raw, n, _, err := auditKey.EncodeNextBlock(h, "node-a", 250, [][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])}, 1<<20)
+			raw, n, _, err := auditKey.EncodeNextBlock(
+				h,
+				"node-a",
+				250,
+				[][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])},
+				1<<20,
+			)
 			if n != 2 {
 				return nil, errors.New("not all entries are in the block")
 			}
 			return raw, err
 		},
 		read: func(raw []byte) (any, error) {
-			c := audit.ChainVerifier{Node: "node-a", Keys: []audit.Key{auditKey}, BlockNumber: h.BlockNumber, MAC: h.MAC}
+			c := audit.ChainVerifier{
+				Node:        "node-a",
+				Keys:        []audit.Key{auditKey},
+				BlockNumber: h.BlockNumber,
+				MAC:         h.MAC,
+			}
 			b, err := c.VerifyNext(h.BlockNumber+1, raw)
 			if err != nil {
 				return nil, err
@@ -141,7 +165,11 @@
 			}
 			return out, nil
 		},
-		want: &pb.AuditBlock{Number: h.BlockNumber + 1, BoundMs: 250, Entries: [][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])}},
+		want: &pb.AuditBlock{
+			Number:  h.BlockNumber + 1,
+			BoundMs: 250,
+			Entries: [][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])},
+		},
 	}
 }
 
@@ -164,7 +192,15 @@
 func storedArchive() stored {
 	b := &archive.Block{Low: "wk-", High: archive.MaxID, Entries: []archive.Entry{
 		{ID: "wk-1", CompletedTasks: 7, Team: "team", Class: "class"},
-		{ID: "wk-12", Cancelled: true, CompletedTasks: 1, CancelledByJob: "wk-0", Team: "team", Class: "other", StopReasons: []archive.StopReason{{Task: 3, Machine: "m-1", Cause: "idle", AtMS: 1_700_000_000_000}}},
+		{
+			ID:             "wk-12",
+			Cancelled:      true,
+			CompletedTasks: 1,
+			CancelledByJob: "wk-0",
+			Team:           "team",
+			Class:          "other",
+			StopReasons:    []archive.StopReason{{Task: 3, Machine: "m-1", Cause: "idle", AtMS: 1_700_000_000_000}},
+		},
 		{ID: "wk-3", CompletedTasks: 100_000},
 	}}
 	return stored{
@@ -215,14 +251,41 @@
 	}
 }
 
-// Every stored value that has exported types, in all its forms: the same bytes are written, and those of before are read.
+// Every stored value that has exported types, in all its forms: the same bytes are written, and
+// those of before are read.
 func TestStored(t *testing.T) {
 	numbers := []machine{{"m-001", "a"}, {"m-017", "a"}, {"m-900", "b"}, {"m-002", "c"}}
 	words := []machine{{"kiln-ab", "a"}, {"kiln-cdé", "a"}, {"oven", "b"}, {"x", "c"}}
-	entry := jobrecord.Record{WriteNumber: 7, Shard: 3, CompletedTasks: jobrecord.TaskSet{1, 4}, LastAttempt: 12, StopReasons: []jobrecord.StopReason{*filled[jobrecord.StopReason]("reason")}}
-	ended := jobrecord.Record{WriteNumber: 9, Shard: 3, Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 39}, AcceptedAtMS: 1_700_000_000_000, Submitter: "anna", Team: "team", Class: "class"}
-	cancelled := jobrecord.Record{WriteNumber: 9, Shard: 3, Stage: jobrecord.Cancelled, CancelledAtMS: 1_700_000_000_000, CancelledByJob: "wk-2", Team: "team", Class: "class"}
-	entries := batchvalue.Entries{"wk-1": json.RawMessage(`{"h":3,"v":7}`), "wk-2": json.RawMessage(`{"h":3,"v":8,"d":[0,1]}`)}
+	entry := jobrecord.Record{
+		WriteNumber:    7,
+		Shard:          3,
+		CompletedTasks: jobrecord.TaskSet{1, 4},
+		LastAttempt:    12,
+		StopReasons:    []jobrecord.StopReason{*filled[jobrecord.StopReason]("reason")},
+	}
+	ended := jobrecord.Record{
+		WriteNumber:    9,
+		Shard:          3,
+		Stage:          jobrecord.Done,
+		CompletedTasks: jobrecord.TaskSet{0, 39},
+		AcceptedAtMS:   1_700_000_000_000,
+		Submitter:      "anna",
+		Team:           "team",
+		Class:          "class",
+	}
+	cancelled := jobrecord.Record{
+		WriteNumber:    9,
+		Shard:          3,
+		Stage:          jobrecord.Cancelled,
+		CancelledAtMS:  1_700_000_000_000,
+		CancelledByJob: "wk-2",
+		Team:           "team",
+		Class:          "class",
+	}
+	entries := batchvalue.Entries{
+		"wk-1": json.RawMessage(`{"h":3,"v":7}`),
+		"wk-2": json.RawMessage(`{"h":3,"v":8,"d":[0,1]}`),
+	}
 	list := messageOf(&pb.Equipment{}, "list")
 	restored := storedRecord(numbers, false)
 	first := jobrecord.Record{WriteNumber: 1, Shard: 2, EnqueueRevision: 11, Spec: filled[wire.JobSpec]("spec")}
@@ -275,7 +338,8 @@
 		"lanes":                 storedMessage(messageOf(&pb.Lanes{}, "lanes")),
 		"list of equipment": {
 			write: func() ([]byte, error) { return reservations.EncodeInventory(list) },
-			read: func(raw []byte) (any, error) { // core/booking reads it; here it is the packed message, under another name
+			// core/booking reads it; here it is the packed message, under another name
+			read: func(raw []byte) (any, error) {
 				var v struct {
 					Data []byte `json:"p"`
 				}
@@ -340,11 +404,34 @@
 // The keys of the state service, as far as they are exported, and the forms.
 func TestKeys(t *testing.T) {
 	same(t, "keys", map[string]any{
-		"all": []string{core.Root, core.KeyFencingToken, core.KeyJob, core.KeyRestored, auditlog.Prefix, auditlog.KeyInitialized, auditlog.HeadPrefix, reservations.Prefix, reservations.KeyHead,
-			reservations.KeyInventory, reservations.ArchivePrefix, archive.BlockPrefix, archive.BlockKey("wk-7"), archive.SeekKey("wk-7"), archive.MaxID, audit.BlockPrefix, audit.BlockKey("node-a", 7)},
-		"leased":       core.LeasedKeyPrefixes,
-		"form":         core.SchemaVersion,
-		"acts":         []string{auditlog.VerbTakeOver, auditlog.VerbStart, auditlog.VerbStop, auditlog.VerbRestore, auditlog.VerbForged},
+		"all": []string{
+			core.Root,
+			core.KeyFencingToken,
+			core.KeyJob,
+			core.KeyRestored,
+			auditlog.Prefix,
+			auditlog.KeyInitialized,
+			auditlog.HeadPrefix,
+			reservations.Prefix,
+			reservations.KeyHead,
+			reservations.KeyInventory,
+			reservations.ArchivePrefix,
+			archive.BlockPrefix,
+			archive.BlockKey("wk-7"),
+			archive.SeekKey("wk-7"),
+			archive.MaxID,
+			audit.BlockPrefix,
+			audit.BlockKey("node-a", 7),
+		},
+		"leased": core.LeasedKeyPrefixes,
+		"form":   core.SchemaVersion,
+		"acts": []string{
+			auditlog.VerbTakeOver,
+			auditlog.VerbStart,
+			auditlog.VerbStop,
+			auditlog.VerbRestore,
+			auditlog.VerbForged,
+		},
 		"audit states": []string{audit.OutcomeDone, audit.OutcomeRefused},
 		"job stages":   []string{jobrecord.Queued, jobrecord.Done, jobrecord.Cancelled},
 		"snapshot":     snapshot.Magic,
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -123,7 +123,11 @@
 					return true
 				}
 				s, ok := x.Type.(*ast.StructType)
-				if !ok || !slices.ContainsFunc(s.Fields.List, func(f *ast.Field) bool { return f.Tag != nil && strings.Contains(f.Tag.Value, `json:"`) }) {
+				if !ok ||
+					!slices.ContainsFunc(
+						s.Fields.List,
+						func(f *ast.Field) bool { return f.Tag != nil && strings.Contains(f.Tag.Value, `json:"`) },
+					) {
 					return true
 				}
 				found++
@@ -142,22 +146,61 @@
 // The settings of the platform, and the names under which they are recorded.
 func TestPlatform(t *testing.T) {
 	checkTypes(t, "platform", map[string]any{"platform": new(settings.Platform)})
-	same(t, "recorded", map[string]any{"settings": settings.AuditedValues(filled[settings.Platform]("platform"), settings.DefaultTuning())})
+	same(
+		t,
+		"recorded",
+		map[string]any{
+			"settings": settings.AuditedValues(filled[settings.Platform]("platform"), settings.DefaultTuning()),
+		},
+	)
 }
 
 // Names of paths, stages and causes.
 func TestNames(t *testing.T) {
 	same(t, "names", map[string]any{
-		"paths": []string{wire.PathJobs, wire.PathHealth, wire.PathPermissions, wire.PathAudit, wire.PathStoreEndpoint, wire.PathHeartbeat, wire.PathAgentCommands, wire.PathAgentStatus,
-			wire.PathCatalog, wire.PathInstances, wire.PathScaleIn, wire.PathKeys, wire.PathTxn, wire.PathLeases, wire.PathWatch, wire.PathReservations,
-			wire.PathEquipment, wire.PathQueue, wire.PathPriorityClasses, wire.RangePath("a/b", "c&d", 7), wire.EndpointForSnapshot, wire.TaskName("wk-1", 7)},
-		"job stages":     []string{wire.StageQueued, wire.StageRunning, wire.StageDone, wire.StageCancelled},
-		"task stages":    []string{wire.TaskPullingImage, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited},
-		"causes":         []string{wire.CauseDone, wire.CauseStopped, wire.CauseError, wire.CauseNoCapacity, wire.CauseBusy, wire.CauseNoSuchTask},
+		"paths": []string{
+			wire.PathJobs,
+			wire.PathHealth,
+			wire.PathPermissions,
+			wire.PathAudit,
+			wire.PathStoreEndpoint,
+			wire.PathHeartbeat,
+			wire.PathAgentCommands,
+			wire.PathAgentStatus,
+			wire.PathCatalog,
+			wire.PathInstances,
+			wire.PathScaleIn,
+			wire.PathKeys,
+			wire.PathTxn,
+			wire.PathLeases,
+			wire.PathWatch,
+			wire.PathReservations,
+			wire.PathEquipment,
+			wire.PathQueue,
+			wire.PathPriorityClasses,
+			wire.RangePath("a/b", "c&d", 7),
+			wire.EndpointForSnapshot,
+			wire.TaskName("wk-1", 7),
+		},
+		"job stages":  []string{wire.StageQueued, wire.StageRunning, wire.StageDone, wire.StageCancelled},
+		"task stages": []string{wire.TaskPullingImage, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited},
+		"causes": []string{
+			wire.CauseDone,
+			wire.CauseStopped,
+			wire.CauseError,
+			wire.CauseNoCapacity,
+			wire.CauseBusy,
+			wire.CauseNoSuchTask,
+		},
 		"orders":         []string{wire.OpStart, wire.OpStop, wire.OpClear},
 		"machine stages": []string{wire.MachineBooting, wire.MachineRunning, wire.MachineFailed},
-		"priorities":     []string{wire.PriorityName(0), wire.PriorityName(1), wire.PriorityName(wire.PriorityStandard), wire.PriorityName(wire.PriorityLowest)},
-		"certificate":    access.CertificateKey,
+		"priorities": []string{
+			wire.PriorityName(0),
+			wire.PriorityName(1),
+			wire.PriorityName(wire.PriorityStandard),
+			wire.PriorityName(wire.PriorityLowest),
+		},
+		"certificate": access.CertificateKey,
 	})
 }
 
@@ -187,7 +230,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := access.Parse([]byte(`roles { name: "r" grants { verbs: administer } } identities { name: "anna" roles: "r" keys { id: "anna-1" ed25519: "` + k.PublicBase64() + `" } }`))
+	p, err := access.Parse(
+		[]byte(
+			`roles { name: "r" grants { verbs: administer } } identities { name: "anna" roles: "r" keys { id: "anna-1" ed25519: "` + k.PublicBase64() + `" } }`,
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +254,8 @@
 	}
 }
 
-// Every field of what is sent or stored as JSON has its name written out: else its Go name would be its name on the wire.
+// Every field of what is sent or stored as JSON has its name written out: else its Go name would be
+// its name on the wire.
 func TestEveryFieldIsNamed(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var walk func(x reflect.Type)
@@ -232,7 +280,16 @@
 			}
 		}
 	}
-	for _, types := range []map[string]any{bodies(), messages(), {"record": new(jobrecord.Record), "head": new(audit.Head), "carried": new(audit.PendingEntry), "platform": new(settings.Platform)}} {
+	for _, types := range []map[string]any{
+		bodies(),
+		messages(),
+		{
+			"record":   new(jobrecord.Record),
+			"head":     new(audit.Head),
+			"carried":  new(audit.PendingEntry),
+			"platform": new(settings.Platform),
+		},
+	} {
 		for _, v := range types {
 			walk(reflect.TypeOf(v))
 		}
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -10,10 +10,9 @@
 	"io"
 	"net"
 	"net/http"
+	"net/http/httptrace"
 	"sync/atomic"
 	"time"
-
-	"net/http/httptrace"
 )
 
 // Client makes requests to one kind of server.
@@ -30,8 +29,10 @@
 func New(maxConnsPerHost, maxIdleConns int, maxBodyBytes int64) *Client {
 	d := &net.Dialer{Timeout: 1500 * time.Millisecond, KeepAlive: -1}
 	return &Client{maxBodyBytes: maxBodyBytes, httpClient: http.Client{
-		Transport: &http.Transport{DialContext: d.DialContext, MaxConnsPerHost: maxConnsPerHost, MaxIdleConnsPerHost: maxConnsPerHost,
-			MaxIdleConns: maxIdleConns, IdleConnTimeout: 60 * time.Second, DisableCompression: true},
+		Transport: &http.Transport{
+			DialContext: d.DialContext, MaxConnsPerHost: maxConnsPerHost, MaxIdleConnsPerHost: maxConnsPerHost,
+			MaxIdleConns: maxIdleConns, IdleConnTimeout: 60 * time.Second, DisableCompression: true,
+		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
@@ -63,7 +64,10 @@
 		rd = bytes.NewReader(raw)
 	}
 	var sent atomic.Bool
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
+	ctx = httptrace.WithClientTrace(
+		ctx,
+		&httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }},
+	)
 	req, err := http.NewRequestWithContext(ctx, method, url, rd)
 	if err != nil {
 		return Response{Err: fmt.Errorf("build request: %w", err)}
--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -1,6 +1,7 @@
-// Command fleet measures what a fleet costs its controllers: it runs controllers in this process, over real connections on
-// loopback, with the stand-in state service and machines that do as the protocol says, and tells the processor time by
-// what it went to. The share of the stand-ins is told apart in the profile (`go tool pprof`), as all run in one process.
+// Command fleet measures what a fleet costs its controllers: it runs controllers in this process,
+// over real connections on loopback, with the stand-in state service and machines that do as the
+// protocol says, and tells the processor time by what it went to. The share of the stand-ins is
+// told apart in the profile (`go tool pprof`), as all run in one process.
 package main
 
 import (
@@ -50,8 +51,18 @@
 func run() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	store := fakes.NewStore(fakes.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256})
-	kind := wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b", "c"}, BootS: 15, Price: 1, SpotPrice: 0.4}
+	store := fakes.NewStore(
+		fakes.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256},
+	)
+	kind := wire.MachineType{
+		Name:      "x",
+		CPUs:      32,
+		MemoryGB:  128,
+		Zones:     []string{"a", "b", "c"},
+		BootS:     15,
+		Price:     1,
+		SpotPrice: 0.4,
+	}
 	store.SetMachineType(kind)
 	sl, err := listen()
 	if err != nil {
@@ -76,12 +87,18 @@
 		}
 		users, peers, addrs = append(users, u), append(peers, p), append(addrs, u.Addr().String())
 	}
-	fleet := fakes.NewWorkers(*machineCount, kind, addrs, 6*time.Second, func(piece string) ([3]int64, time.Duration) {
-		if id, _, _ := wire.SplitTaskName(piece); id < "wk-100000" {
-			return [3]int64{1000, 0, 2200}, 0
-		}
-		return [3]int64{4000, 0, 8900}, 40 * time.Second
-	})
+	fleet := fakes.NewWorkers(
+		*machineCount,
+		kind,
+		addrs,
+		6*time.Second,
+		func(piece string) ([3]int64, time.Duration) {
+			if id, _, _ := wire.SplitTaskName(piece); id < "wk-100000" {
+				return [3]int64{1000, 0, 2200}, 0
+			}
+			return [3]int64{4000, 0, 8900}, 40 * time.Second
+		},
+	)
 	go func() { _ = http.Serve(cl, fleet.CloudHandler()) }() // ends with the process
 	for i := range users {
 		p := &settings.Platform{Name: fmt.Sprintf("n%d", i), Zone: kind.Zones[i%3]}
@@ -96,7 +113,12 @@
 		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 6, 36, 66, 5
 		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = 150, 30, 8, 24
 		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit = 4, 5, 3172
-		c := dewlift.New(p, settings.DefaultTuning(), dewlift.Options{}, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo})))
+		c := dewlift.New(
+			p,
+			settings.DefaultTuning(),
+			dewlift.Options{},
+			slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo})),
+		)
 		go func() {
 			if err := c.Serve(ctx, users[i], peers[i]); ctx.Err() == nil {
 				log.Fatal("fleet: ", err)
@@ -124,7 +146,11 @@
 		go u.submit(id, false, 90, &accepted, &refused)
 	})
 	time.Sleep(45 * time.Second)
-	go runAtRate(ctx, *pollRate, func() { go u.poll(fmt.Sprintf("wk-%06d", time.Now().UnixNano()%int64(*serviceCount)), &polled, &late) })
+	go runAtRate(
+		ctx,
+		*pollRate,
+		func() { go u.poll(fmt.Sprintf("wk-%06d", time.Now().UnixNano()%int64(*serviceCount)), &polled, &late) },
+	)
 	f, err := os.Create(*profileFile)
 	if err != nil {
 		return err
@@ -137,8 +163,18 @@
 	time.Sleep(time.Duration(*measuredSeconds) * time.Second)
 	pprof.StopCPUProfile()
 	after, failed := fleet.HeartbeatCounts()
-	fmt.Printf("%d machines, %d controllers: %d reports a second, %d in all failed, %d starts refused, %d accepted, %d refused, %d polls, %d late or refused\n",
-		fleet.RentedCount(), *controllerCount, (after-before)/(*measuredSeconds), failed-missed, fleet.StartsRefused(), accepted.Load(), refused.Load(), polled.Load(), late.Load())
+	fmt.Printf(
+		"%d machines, %d controllers: %d reports a second, %d in all failed, %d starts refused, %d accepted, %d refused, %d polls, %d late or refused\n",
+		fleet.RentedCount(),
+		*controllerCount,
+		(after-before)/(*measuredSeconds),
+		failed-missed,
+		fleet.StartsRefused(),
+		accepted.Load(),
+		refused.Load(),
+		polled.Load(),
+		late.Load(),
+	)
 	return f.Close()
 }
 
@@ -171,7 +207,11 @@
 		panic(err) // strings and numbers
 	}
 	for try := range 30 {
-		status := u.doRequest(http.MethodPost, u.addrs[(int(time.Now().UnixNano())+try)%len(u.addrs)]+wire.PathJobs, raw)
+		status := u.doRequest(
+			http.MethodPost,
+			u.addrs[(int(time.Now().UnixNano())+try)%len(u.addrs)]+wire.PathJobs,
+			raw,
+		)
 		if status == 200 || status == 201 {
 			accepted.Add(1)
 			return
@@ -183,7 +223,11 @@
 
 func (u *jobClient) poll(id string, polled, late *atomic.Int64) {
 	polled.Add(1)
-	if u.doRequest(http.MethodGet, u.addrs[int(time.Now().UnixNano()>>8)%len(u.addrs)]+wire.PathJobs+"/"+id, nil) != 200 {
+	if u.doRequest(
+		http.MethodGet,
+		u.addrs[int(time.Now().UnixNano()>>8)%len(u.addrs)]+wire.PathJobs+"/"+id,
+		nil,
+	) != 200 {
 		late.Add(1)
 	}
 }
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -1,7 +1,8 @@
-// Command guards measures what rights and the audit record cost: acceptances and polls without them, with rights, and
-// with rights and the record, as ratios of one run; good requests beside a flood of bad credentials; and reading and
-// verifying a long record. It starts the built program against the stand-in state service, on loopback alone, bounded in
-// count and time. docs/operations/access.md shows how it is run.
+// Command guards measures what rights and the audit record cost: acceptances and polls without
+// them, with rights, and with rights and the record, as ratios of one run; good requests beside a
+// flood of bad credentials; and reading and verifying a long record. It starts the built program
+// against the stand-in state service, on loopback alone, bounded in count and time.
+// docs/operations/access.md shows how it is run.
 package main
 
 import (
@@ -118,9 +119,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return &guardKeys{user: user, auditKey: text, accessPolicy: fmt.Sprintf(`roles { name: "all" grants { verbs: submit verbs: read verbs: cancel verbs: administer verbs: audit teams: "*" classes: "*" } }
+	return &guardKeys{
+		user:     user,
+		auditKey: text,
+		accessPolicy: fmt.Sprintf(
+			`roles { name: "all" grants { verbs: submit verbs: read verbs: cancel verbs: administer verbs: audit teams: "*" classes: "*" } }
 		identities { name: "portal" roles: "all" keys { id: %q ed25519: %q } }
-		`, user.ID, user.PublicBase64())}, nil
+		`,
+			user.ID,
+			user.PublicBase64(),
+		),
+	}, nil
 }
 
 func (k *guardKeys) processOptions(kind string) process.Options {
@@ -140,14 +149,17 @@
 func newStore() *fakes.Store {
 	s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 24, PageItems: 1000, PageKB: 512})
 	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
-	s.PutUnchecked([]wire.KeyValue{{Key: core.Root + "form/n0", Value: json.RawMessage(fmt.Sprint(core.SchemaVersion))}})
+	s.PutUnchecked(
+		[]wire.KeyValue{{Key: core.Root + "form/n0", Value: json.RawMessage(fmt.Sprint(core.SchemaVersion))}},
+	)
 	return s
 }
 
 const clientCount = 8
 
-// measureRound starts a controller and measures acceptances and polls; with a flood, polls alone, at the controller's share
-// of a core, without and with bad credentials coming in as fast as they are answered.
+// measureRound starts a controller and measures acceptances and polls; with a flood, polls alone,
+// at the controller's share of a core, without and with bad credentials coming in as fast as they
+// are answered.
 func (k *guardKeys) measureRound(bin, kind string, n int, flood bool) (costs []*RequestCost, err error) {
 	s := newStore()
 	x, err := process.Start(bin, s, k.processOptions(kind))
@@ -189,7 +201,11 @@
 						return
 					default:
 					}
-					req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s%s/wk-%06d", x.Addr, wire.PathJobs, i), nil)
+					req, err := http.NewRequest(
+						http.MethodGet,
+						fmt.Sprintf("http://%s%s/wk-%06d", x.Addr, wire.PathJobs, i),
+						nil,
+					)
 					if err != nil {
 						return
 					}
@@ -202,7 +218,13 @@
 			})
 		}
 		began := time.Now()
-		c, err := k.measureRequests(x, kind, fmt.Sprintf("poll beside %d connections with bad credentials", bad), n/3, get)
+		c, err := k.measureRequests(
+			x,
+			kind,
+			fmt.Sprintf("poll beside %d connections with bad credentials", bad),
+			n/3,
+			get,
+		)
 		close(end)
 		wg.Wait()
 		if err != nil {
@@ -238,7 +260,12 @@
 }
 
 // measureRequests sends so many requests by a few clients and measures them.
-func (k *guardKeys) measureRequests(x *process.Process, kind, what string, n int, make func(i int) (method, path string, body any)) (*RequestCost, error) {
+func (k *guardKeys) measureRequests(
+	x *process.Process,
+	kind, what string,
+	n int,
+	make func(i int) (method, path string, body any),
+) (*RequestCost, error) {
 	token := ""
 	if kind != guardKinds[0] {
 		var err error
@@ -261,7 +288,12 @@
 			client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
 			for i := next.Add(1); i <= int64(n); i = next.Add(1) {
-				took, tries, err := sendUntilAnswered(client, x.Addr, token, func() (string, string, any) { return make(int(i)) })
+				took, tries, err := sendUntilAnswered(
+					client,
+					x.Addr,
+					token,
+					func() (string, string, any) { return make(int(i)) },
+				)
 				again.Add(int64(tries))
 				mu.Lock()
 				if err != nil && failed == nil {
@@ -277,14 +309,39 @@
 	if err != nil || failed != nil {
 		return nil, errors.Join(err, failed)
 	}
-	c := &RequestCost{Guards: kind, Operation: what, Count: n, Retries: again.Load(), P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000,
-		CPU: float64((after - cpu).Microseconds()) / float64(n), Changes: float64(x.Store.Counters()["changed"]-changes) / float64(n)}
-	log.Printf("%-18s %-12s p50 %6.2f ms, p99 %7.2f ms, %5.0f us of processor, %.3f changes, %d again", c.Guards, c.Operation, c.P50, c.P99, c.CPU, c.Changes, c.Retries)
+	c := &RequestCost{
+		Guards:    kind,
+		Operation: what,
+		Count:     n,
+		Retries:   again.Load(),
+		P50:       float64(h.ValueAtQuantile(50)) / 1000,
+		P99:       float64(h.ValueAtQuantile(99)) / 1000,
+		CPU: float64(
+			(after - cpu).Microseconds(),
+		) / float64(
+			n,
+		),
+		Changes: float64(x.Store.Counters()["changed"]-changes) / float64(n),
+	}
+	log.Printf(
+		"%-18s %-12s p50 %6.2f ms, p99 %7.2f ms, %5.0f us of processor, %.3f changes, %d again",
+		c.Guards,
+		c.Operation,
+		c.P50,
+		c.P99,
+		c.CPU,
+		c.Changes,
+		c.Retries,
+	)
 	return c, nil
 }
 
 // sendUntilAnswered sends a request until it is answered well.
-func sendUntilAnswered(client *http.Client, addr, token string, make func() (method, path string, body any)) (took time.Duration, again int, err error) {
+func sendUntilAnswered(
+	client *http.Client,
+	addr, token string,
+	make func() (method, path string, body any),
+) (took time.Duration, again int, err error) {
 	method, path, body := make()
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -350,7 +407,11 @@
 	if err := errors.Join(os.WriteFile(own, raw, 0o600), os.WriteFile(signed, []byte(k.auditKey), 0o600)); err != nil {
 		return nil, err
 	}
-	for _, args := range []string{"audit verify --audit-key " + signed, "audit list --who user-7 --outcome done", "audit report --html " + filepath.Join(dir, "report.html") + " --tz Europe/Zurich"} {
+	for _, args := range []string{
+		"audit verify --audit-key " + signed,
+		"audit list --who user-7 --outcome done",
+		"audit report --html " + filepath.Join(dir, "report.html") + " --tz Europe/Zurich",
+	} {
 		cmd := exec.Command(bin, append(strings.Fields(args), "--server", x.Addr, "--key", own)...)
 		var out, errs bytes.Buffer
 		cmd.Stdout, cmd.Stderr = &out, &errs
@@ -362,9 +423,28 @@
 		if !ok {
 			return nil, errors.New("the command's memory is not known here")
 		}
-		r := &AuditReadCost{Command: strings.Join(strings.Fields(args)[:2], " "), Entries: entries, Blocks: blocks, Stored: float64(stored) / float64(entries), TookS: time.Since(began).Seconds(),
-			PeakMB: float64(use.Maxrss) / 1024, Printed: bytes.Count(out.Bytes(), []byte("\n"))}
-		log.Printf("%s: %d entries in %d blocks, %.1f bytes each: %.1f s, %.0f MB, %d lines", r.Command, entries, blocks, r.Stored, r.TookS, r.PeakMB, r.Printed)
+		r := &AuditReadCost{
+			Command: strings.Join(
+				strings.Fields(args)[:2],
+				" ",
+			),
+			Entries: entries,
+			Blocks:  blocks,
+			Stored:  float64(stored) / float64(entries),
+			TookS:   time.Since(began).Seconds(),
+			PeakMB:  float64(use.Maxrss) / 1024,
+			Printed: bytes.Count(out.Bytes(), []byte("\n")),
+		}
+		log.Printf(
+			"%s: %d entries in %d blocks, %.1f bytes each: %.1f s, %.0f MB, %d lines",
+			r.Command,
+			entries,
+			blocks,
+			r.Stored,
+			r.TookS,
+			r.PeakMB,
+			r.Printed,
+		)
 		reads = append(reads, r)
 	}
 	_, peak, err := x.Usage()
@@ -379,7 +459,15 @@
 	for at := 0; at < entries; {
 		var list [][]byte
 		for i := at; i < min(at+perBlock, entries); i++ {
-			e := &pb.AuditEntry{Life: 1, Count: uint64(i + 1), AtMs: 1_780_000_000_000 + int64(i)*20_000, Who: fmt.Sprintf("user-%d", i*7919%500), Verb: "submit", Object: fmt.Sprintf("wk-%08d", i), Why: "kiln-floor firing standard"}
+			e := &pb.AuditEntry{
+				Life:   1,
+				Count:  uint64(i + 1),
+				AtMs:   1_780_000_000_000 + int64(i)*20_000,
+				Who:    fmt.Sprintf("user-%d", i*7919%500),
+				Verb:   "submit",
+				Object: fmt.Sprintf("wk-%08d", i),
+				Why:    "kiln-floor firing standard",
+			}
 			e.Key = e.Who + "-1"
 			if i%10 == 0 {
 				e.Verb, e.Why = "cancel", ""
@@ -391,7 +479,11 @@
 			return 0, 0, err
 		}
 		at += n
-		h = &audit.Head{BlockNumber: h.BlockNumber + 1, MAC: code, Incarnations: []audit.Incarnation{{Number: 1, NextSequence: uint64(at + 1)}}}
+		h = &audit.Head{
+			BlockNumber:  h.BlockNumber + 1,
+			MAC:          code,
+			Incarnations: []audit.Incarnation{{Number: 1, NextSequence: uint64(at + 1)}},
+		}
 		stored += len(raw)
 		s.PutUnchecked([]wire.KeyValue{{Key: audit.BlockKey("n0", h.BlockNumber), Value: raw}})
 	}
@@ -399,6 +491,11 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	s.PutUnchecked([]wire.KeyValue{{Key: core.Root + "audit/head/n0", Value: raw}, {Key: core.Root + "audit/begun", Value: json.RawMessage("1")}})
+	s.PutUnchecked(
+		[]wire.KeyValue{
+			{Key: core.Root + "audit/head/n0", Value: raw},
+			{Key: core.Root + "audit/begun", Value: json.RawMessage("1")},
+		},
+	)
 	return int(h.BlockNumber), stored, nil
 }
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -61,7 +61,11 @@
 	rates := flag.String("rps", "150,70", "requests a second of the state service")
 	quota := flag.Float64("mem-mb", 186, "memory quota of a controller")
 	out := flag.String("out", "history", "folder for figures.json and report.html")
-	compact := flag.Int("compact", 0, "also have so many records moved, with 1000 changes a second, and count what that takes")
+	compact := flag.Int(
+		"compact",
+		0,
+		"also have so many records moved, with 1000 changes a second, and count what that takes",
+	)
 	flag.Parse()
 	if err := run(*bin, *before, *sizes, *rates, *quota, *out, *compact); err != nil {
 		log.Fatal("history: ", err)
@@ -94,7 +98,11 @@
 	}
 	var all []*StartCost
 	for _, r := range rps {
-		for _, kind := range []struct{ version, bin, form string }{{"before", before, "records"}, {"now", bin, "records"}, {"now", bin, "archive"}} {
+		for _, kind := range []struct{ version, bin, form string }{
+			{"before", before, "records"},
+			{"now", bin, "records"},
+			{"now", bin, "archive"},
+		} {
 			if kind.bin == "" {
 				continue
 			}
@@ -110,8 +118,23 @@
 					f.MemoryB = (f.PeakMB - first.PeakMB) * (1 << 20) / float64(f.Jobs-first.Jobs)
 				}
 				all = append(all, f)
-				log.Printf("%-6s %-7s %8d jobs %3.0f rps: healthy %6.1f s (cpu %5.1f s, at its share %6.1f s), peak %4.0f MB, %5d requests, %5.1f B/job stored, poll %.0f ms, %d of %d wrong %s",
-					f.Version, f.Form, f.Jobs, f.RPS, f.HealthyS, f.CPUS, f.ShareS, f.PeakMB, f.Requests, f.StoreB, f.PollMS, f.Wrong, f.Polls, f.Ended)
+				log.Printf(
+					"%-6s %-7s %8d jobs %3.0f rps: healthy %6.1f s (cpu %5.1f s, at its share %6.1f s), peak %4.0f MB, %5d requests, %5.1f B/job stored, poll %.0f ms, %d of %d wrong %s",
+					f.Version,
+					f.Form,
+					f.Jobs,
+					f.RPS,
+					f.HealthyS,
+					f.CPUS,
+					f.ShareS,
+					f.PeakMB,
+					f.Requests,
+					f.StoreB,
+					f.PollMS,
+					f.Wrong,
+					f.Polls,
+					f.Ended,
+				)
 			}
 		}
 	}
@@ -136,7 +159,11 @@
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	out := make([]archive.Entry, n)
 	for i := range out {
-		out[i] = archive.Entry{ID: fmt.Sprintf("wk-%08d", 3*i+rng.IntN(3)), CompletedTasks: 1 + rng.IntN(120), Cancelled: rng.IntN(20) == 0}
+		out[i] = archive.Entry{
+			ID:             fmt.Sprintf("wk-%08d", 3*i+rng.IntN(3)),
+			CompletedTasks: 1 + rng.IntN(120),
+			Cancelled:      rng.IntN(20) == 0,
+		}
 	}
 	return out
 }
@@ -158,7 +185,10 @@
 	}
 	add(core.Root+"form/n0", fmt.Sprint(core.SchemaVersion))
 	for i := range liveJobs {
-		add(fmt.Sprintf("%sjob/wk-live-%04d", core.Root, i), `{"h":1,"s":{"cl":"c","tm":"t","pr":2,"n":4,"rc":[4000,0,8000],"im":"img"},"at":1700000000000}`)
+		add(
+			fmt.Sprintf("%sjob/wk-live-%04d", core.Root, i),
+			`{"h":1,"s":{"cl":"c","tm":"t","pr":2,"n":4,"rc":[4000,0,8000],"im":"img"},"at":1700000000000}`,
+		)
 	}
 	if !archived {
 		for _, e := range entries {
@@ -245,7 +275,9 @@
 
 func (f *StartCost) measureStart(bin string, quota float64) error {
 	entries := endedJobs(f.Jobs)
-	s := fakes.NewStore(fakes.Limits{RPS: f.RPS, WriteRPS: 30, ValueBytes: 8192, TxnOps: 24, PageItems: 1000, PageKB: 512})
+	s := fakes.NewStore(
+		fakes.Limits{RPS: f.RPS, WriteRPS: 30, ValueBytes: 8192, TxnOps: 24, PageItems: 1000, PageKB: 512},
+	)
 	if err := fillStore(s, entries, f.Form == "archive"); err != nil {
 		return err
 	}
@@ -307,7 +339,11 @@
 	if err := fillStore(s, entries, false); err != nil {
 		return nil, err
 	}
-	x, err := process.Start(bin, s, process.Options{RPS: 1000, WriteRPS: 1000, MemMB: quota, TuningText: "archive: true history_wait_ms: 0"})
+	x, err := process.Start(
+		bin,
+		s,
+		process.Options{RPS: 1000, WriteRPS: 1000, MemMB: quota, TuningText: "archive: true history_wait_ms: 0"},
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -339,7 +375,17 @@
 	if _, m.PeakMB, err = x.Usage(); err != nil {
 		return nil, errors.Join(err, x.Stop())
 	}
-	log.Printf("moved %d jobs in %.0f s: %.3f changes a job, %.3f beyond the deletion of its record; %d blocks, %.1f B/job; peak %.0f MB; %d of %d answers wrong",
-		m.Jobs, m.TookS, m.PerJob, m.Beyond, m.Blocks, m.BytesPerJob, m.PeakMB, m.Wrong, m.Polls)
+	log.Printf(
+		"moved %d jobs in %.0f s: %.3f changes a job, %.3f beyond the deletion of its record; %d blocks, %.1f B/job; peak %.0f MB; %d of %d answers wrong",
+		m.Jobs,
+		m.TookS,
+		m.PerJob,
+		m.Beyond,
+		m.Blocks,
+		m.BytesPerJob,
+		m.PeakMB,
+		m.Wrong,
+		m.Polls,
+	)
 	return m, x.Stop()
 }
--- a/internal/measure/history/report.go
+++ b/internal/measure/history/report.go
@@ -34,7 +34,12 @@
 `))
 
 // plotStarts draws a value of the starts against the number of ended jobs.
-func plotStarts(title, unit string, starts []*StartCost, rps, limit float64, of func(*StartCost) float64) (template.URL, error) {
+func plotStarts(
+	title, unit string,
+	starts []*StartCost,
+	rps, limit float64,
+	of func(*StartCost) float64,
+) (template.URL, error) {
 	p := plot.New()
 	p.Title.Text, p.Title.Padding = title, vg.Points(10)
 	p.X.Label.Text, p.Y.Label.Text = "ended jobs", unit
@@ -90,9 +95,18 @@
 			title, unit string
 			limit       float64
 			of          func(*StartCost) float64
-		}{{"Peak memory", "MB", 120, func(f *StartCost) float64 { return f.PeakMB }},
-			{"Time to healthy, at its share of a core", "s", 60, func(f *StartCost) float64 { return f.ShareS }}} {
-			u, err := plotStarts(fmt.Sprintf("%s, %v requests a second", c.title, f.RPS), c.unit, starts, f.RPS, c.limit, c.of)
+		}{
+			{"Peak memory", "MB", 120, func(f *StartCost) float64 { return f.PeakMB }},
+			{"Time to healthy, at its share of a core", "s", 60, func(f *StartCost) float64 { return f.ShareS }},
+		} {
+			u, err := plotStarts(
+				fmt.Sprintf("%s, %v requests a second", c.title, f.RPS),
+				c.unit,
+				starts,
+				f.RPS,
+				c.limit,
+				c.of,
+			)
 			if err != nil {
 				return err
 			}
@@ -103,8 +117,10 @@
 	if err != nil {
 		return err
 	}
-	err = pageTemplate.Execute(out, map[string]any{"Starts": starts, "Moved": moved, "Plots": plots, "Live": liveJobs, "Share": process.CoreShare,
-		"Machine": fmt.Sprintf("Measured on %d processors, %s", runtime.NumCPU(), runtime.Version())})
+	err = pageTemplate.Execute(out, map[string]any{
+		"Starts": starts, "Moved": moved, "Plots": plots, "Live": liveJobs, "Share": process.CoreShare,
+		"Machine": fmt.Sprintf("Measured on %d processors, %s", runtime.NumCPU(), runtime.Version()),
+	})
 	if cerr := out.Close(); err == nil {
 		err = cerr
 	}
--- a/internal/measure/process/process.go
+++ b/internal/measure/process/process.go
@@ -73,10 +73,19 @@
 	if x.dir, err = os.MkdirTemp("", "dewlift-*"); err != nil {
 		return nil, err
 	}
-	cfg := fmt.Sprintf(`{"node_name":"n0","zone":"a","serve_on":%q,"mesh_addr":%q,"peers":[],"services":{"cloud":%q,"state":%q},
+	cfg := fmt.Sprintf(
+		`{"node_name":"n0","zone":"a","serve_on":%q,"mesh_addr":%q,"peers":[],"services":{"cloud":%q,"state":%q},
 		"cluster":{"count":1,"zones":["a"],"teams":[{"name":"t"}],"workers":{"report_s":6,"lease_s":36,"cancel_s":66},
 		"state":{"rps":%v,"write_rps":%v,"value_kb":8,"txn_ops":24},"cloud":{"rps":4,"list_lag_s":5},"quota":{"core_share":%v,"mem_mb":%v,"fd_limit":3172},"time_bound_ms":5}}`,
-		ports[0], ports[1], ports[2], ln.Addr().String(), o.RPS, o.WriteRPS, CoreShare, o.MemMB)
+		ports[0],
+		ports[1],
+		ports[2],
+		ln.Addr().String(),
+		o.RPS,
+		o.WriteRPS,
+		CoreShare,
+		o.MemMB,
+	)
 	args := []string{"--config", filepath.Join(x.dir, "settings.json")}
 	if err := os.WriteFile(args[1], []byte(cfg), 0o600); err != nil {
 		return nil, err
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -21,12 +21,22 @@
 	minHeartbeatGap            = 500 * time.Millisecond // between two reports of a machine
 	localLatency, storeLatency = time.Millisecond, 8 * time.Millisecond
 	startUnixMS                = 1_700_000_000_000
-	unlimitedRate              = 1e6 // changes and requests a second: what is needed is measured, not what a limit allows
+	// changes and requests a second: what is needed is measured, not what a limit allows
+	unlimitedRate = 1e6
 )
 
-var machineType = wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b", "c"}, BootS: 15, Price: 1, SpotPrice: 0.4}
+var machineType = wire.MachineType{
+	Name:      "x",
+	CPUs:      32,
+	MemoryGB:  128,
+	Zones:     []string{"a", "b", "c"},
+	BootS:     15,
+	Price:     1,
+	SpotPrice: 0.4,
+}
 
-// simCluster is a seeded site in simulated time: the core of each controller as it is, and all around it as simple as can be.
+// simCluster is a seeded site in simulated time: the core of each controller as it is, and all
+// around it as simple as can be.
 type simCluster struct {
 	maxMachines   int // machines at a time
 	rng           *rand.Rand
@@ -83,7 +93,13 @@
 }
 
 func newSimCluster(n int, seed uint64) *simCluster {
-	s := &simCluster{maxMachines: n, rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*machine{}, keys: map[string]wire.KeyValue{}, unstartedArrays: map[string]time.Duration{}}
+	s := &simCluster{
+		maxMachines:     n,
+		rng:             rand.New(rand.NewPCG(seed, 1)),
+		byName:          map[string]*machine{},
+		keys:            map[string]wire.KeyValue{},
+		unstartedArrays: map[string]time.Duration{},
+	}
 	raw, err := json.Marshal(wire.Catalog{Types: []wire.MachineType{machineType}})
 	if err != nil {
 		panic(err) // strings and numbers
@@ -121,7 +137,14 @@
 
 // rentMachine has a machine boot.
 func (s *simCluster) rentMachine(zone string, spot bool) *machine {
-	m := &machine{name: fmt.Sprintf("m-%06d", len(s.byName)), zone: zone, spot: spot, rentedAt: s.now, controllerIndex: s.rng.IntN(controllerCount), cluster: s}
+	m := &machine{
+		name:            fmt.Sprintf("m-%06d", len(s.byName)),
+		zone:            zone,
+		spot:            spot,
+		rentedAt:        s.now,
+		controllerIndex: s.rng.IntN(controllerCount),
+		cluster:         s,
+	}
 	s.machines = append(s.machines, m)
 	s.byName[m.name] = m
 	m.nextHeartbeatAt = s.now + 2*time.Second + time.Duration(s.rng.Int64N(int64(time.Second)))
@@ -260,8 +283,10 @@
 			out.Catalog = &wire.Catalog{Types: []wire.MachineType{machineType}}
 		case "list":
 			for _, m := range s.machines {
-				out.Machines = append(out.Machines, wire.Machine{Name: m.name, Addr: "x:1", Type: machineType.Name, Zone: m.zone, Spot: m.spot,
-					Stage: wire.MachineRunning, AgeS: (s.now - m.rentedAt).Seconds()})
+				out.Machines = append(out.Machines, wire.Machine{
+					Name: m.name, Addr: "x:1", Type: machineType.Name, Zone: m.zone, Spot: m.spot,
+					Stage: wire.MachineRunning, AgeS: (s.now - m.rentedAt).Seconds(),
+				})
 			}
 		case "rent":
 			for range min(o.ScaleOut.Count, s.maxMachines-len(s.machines)) {
@@ -333,7 +358,16 @@
 
 func (m *machine) nextHeartbeat() *wire.Heartbeat {
 	m.seq++
-	return &wire.Heartbeat{Machine: m.name, Addr: "x:1", Type: machineType.Name, Zone: m.zone, Incarnation: 1, Sequence: m.seq, FencingToken: m.fencingToken, Tasks: slices.Clone(m.tasks)}
+	return &wire.Heartbeat{
+		Machine:      m.name,
+		Addr:         "x:1",
+		Type:         machineType.Name,
+		Zone:         m.zone,
+		Incarnation:  1,
+		Sequence:     m.seq,
+		FencingToken: m.fencingToken,
+		Tasks:        slices.Clone(m.tasks),
+	}
 }
 
 // sendHeartbeat sends a report, if one is due.
@@ -348,11 +382,15 @@
 	if m.zone == s.cutZone {
 		return
 	}
-	s.sendRequest(s.nodes[m.controllerIndex], func(req uint64) core.Input { return core.AgentHeartbeat{RequestID: req, Heartbeat: m.nextHeartbeat()} }, func(r core.Response) {
-		if b, ok := r.Body.(wire.HeartbeatResponse); ok {
-			m.executeCommands(b.FencingToken, b.Commands)
-		}
-	})
+	s.sendRequest(
+		s.nodes[m.controllerIndex],
+		func(req uint64) core.Input { return core.AgentHeartbeat{RequestID: req, Heartbeat: m.nextHeartbeat()} },
+		func(r core.Response) {
+			if b, ok := r.Body.(wire.HeartbeatResponse); ok {
+				m.executeCommands(b.FencingToken, b.Commands)
+			}
+		},
+	)
 }
 
 // heartbeatSoon has a report sent soon, as something has changed.
@@ -367,7 +405,10 @@
 	s := m.cluster
 	m.fencingToken = max(m.fencingToken, token)
 	for _, o := range orders {
-		i := slices.IndexFunc(m.tasks, func(p wire.TaskStatus) bool { return p.Task == o.Task && p.Attempt == o.Attempt })
+		i := slices.IndexFunc(
+			m.tasks,
+			func(p wire.TaskStatus) bool { return p.Task == o.Task && p.Attempt == o.Attempt },
+		)
 		switch {
 		case o.Op == wire.OpStart && i < 0:
 			id, _, _ := wire.SplitTaskName(o.Task)
@@ -392,9 +433,15 @@
 			if run == 0 && o.Attempt > 9 { // a replica's first attempts have the numbers 1 to 9
 				s.counters.replaced++
 			}
-			s.schedule(200*time.Millisecond, func() { m.transitionTask(o, wire.TaskPullingImage, wire.TaskRunning, "", 0) })
+			s.schedule(
+				200*time.Millisecond,
+				func() { m.transitionTask(o, wire.TaskPullingImage, wire.TaskRunning, "", 0) },
+			)
 			if run > 0 {
-				s.schedule(run, func() { m.transitionTask(o, wire.TaskRunning, wire.TaskExited, wire.CauseDone, cpus) })
+				s.schedule(
+					run,
+					func() { m.transitionTask(o, wire.TaskRunning, wire.TaskExited, wire.CauseDone, cpus) },
+				)
 			}
 		case o.Op == wire.OpStop && i >= 0 && m.tasks[i].Stage != wire.TaskExited:
 			id, _, _ := wire.SplitTaskName(o.Task)
@@ -444,18 +491,32 @@
 // pollUntilDone asks for a job now and then, as its user does.
 func (s *simCluster) pollUntilDone(id string) {
 	s.schedule(5*time.Second, func() {
-		s.sendRequest(s.nodes[s.rng.IntN(controllerCount)], func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id} }, func(r core.Response) {
-			if st, ok := r.Body.(wire.JobState); ok && st.Stage == wire.StageDone {
-				return
-			}
-			s.pollUntilDone(id)
-		})
+		s.sendRequest(
+			s.nodes[s.rng.IntN(controllerCount)],
+			func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id} },
+			func(r core.Response) {
+				if st, ok := r.Body.(wire.JobState); ok && st.Stage == wire.StageDone {
+					return
+				}
+				s.pollUntilDone(id)
+			},
+		)
 	})
 }
 
 // submitJob submits the next job.
 func (s *simCluster) submitJob(n int, service bool) {
-	spec := wire.JobSpec{ID: fmt.Sprintf("wk-%06d", n), Class: "firings", Team: "t", Priority: 1, Tasks: 90, Request: [3]int64{3000, 0, 6000}, Image: "i", Spot: true, EstimatedRuntimeMS: 50_000}
+	spec := wire.JobSpec{
+		ID:                 fmt.Sprintf("wk-%06d", n),
+		Class:              "firings",
+		Team:               "t",
+		Priority:           1,
+		Tasks:              90,
+		Request:            [3]int64{3000, 0, 6000},
+		Image:              "i",
+		Spot:               true,
+		EstimatedRuntimeMS: 50_000,
+	}
 	if service {
 		spec.Class, spec.Service, spec.Priority, spec.Tasks, spec.Spread, spec.Spot, spec.EstimatedRuntimeMS = "desk", true, 0, 9, true, false, 0
 		spec.Request = [3]int64{1000, 0, 2200}
--- a/internal/measure/scale/main.go
+++ b/internal/measure/scale/main.go
@@ -1,7 +1,9 @@
-// Command scale measures at what size a controller's limits end: the cores of three controllers run a seeded site in simulated time, with
-// services and arrays that grow with the machines, some ten tasks on each. It tells what a simulated second takes of a processor,
-// of memory, of the state service's changes and of the network, then loses a zone, and writes a table, JSON, a page and a plot.
-// No limit on changes is set, so that what is needed shows. What the edges take (HTTP) is not in it; `internal/measure/fleet` runs them.
+// Command scale measures at what size a controller's limits end: the cores of three controllers run
+// a seeded site in simulated time, with services and arrays that grow with the machines, some ten
+// tasks on each. It tells what a simulated second takes of a processor, of memory, of the state
+// service's changes and of the network, then loses a zone, and writes a table, JSON, a page and a
+// plot. No limit on changes is set, so that what is needed shows. What the edges take (HTTP) is not
+// in it; `internal/measure/fleet` runs them.
 package main
 
 import (
@@ -43,7 +45,8 @@
 	writeLimit  float64
 )
 
-// SizeCost is what one size takes. A second is a simulated one, of one controller but for changes; of the three, the one that needs most.
+// SizeCost is what one size takes. A second is a simulated one, of one controller but for changes;
+// of the three, the one that needs most.
 type SizeCost struct {
 	Machines int `json:"machines"`
 	Tasks    int `json:"tasks"`
@@ -61,11 +64,12 @@
 	PerTask    float64 `json:"changes_per_task"`
 	RefusedPct float64 `json:"refused_percent"` // starts that found no room
 
-	LostReplicas   int     `json:"lost_replicas"`
-	PerReplica     float64 `json:"changes_per_lost_replica"`
-	LostCoreS      float64 `json:"lost_core_s"` // of a processor a second, in the minute after a zone was lost
-	LostChanges    float64 `json:"lost_changes"`
-	LostReplacedIn float64 `json:"lost_replaced_in_s"` // from the cut until 95% of the lost replicas were started elsewhere; 0: they were not within a minute
+	LostReplicas int     `json:"lost_replicas"`
+	PerReplica   float64 `json:"changes_per_lost_replica"`
+	LostCoreS    float64 `json:"lost_core_s"` // of a processor a second, in the minute after a zone was lost
+	LostChanges  float64 `json:"lost_changes"`
+	// from the cut until 95% of the lost replicas were started elsewhere; 0: they were not within a minute
+	LostReplacedIn float64 `json:"lost_replaced_in_s"`
 
 	Binds string `json:"binds"` // the limit that is nearest, or passed
 	Part  float64
@@ -75,10 +79,19 @@
 	log.SetFlags(0)
 	sizes := flag.String("machines", "500,1500,3000,6000,10000", "numbers of machines")
 	out := flag.String("out", "scale", "folder for figures.json, report.html and curve.svg")
-	flag.Float64Var(&writeLimit, "changes", unlimitedRate, "changes a second that the state service takes of all; without it, what is needed shows")
+	flag.Float64Var(
+		&writeLimit,
+		"changes",
+		unlimitedRate,
+		"changes a second that the state service takes of all; without it, what is needed shows",
+	)
 	flag.BoolVar(&batchValues, "shared", false, "small jobs share values")
 	seed := flag.Uint64("seed", 1, "seed")
-	factor := flag.Float64("crush", 0, "instead: how many times more arrays come than the first number of machines has room for, while a zone is lost")
+	factor := flag.Float64(
+		"crush",
+		0,
+		"instead: how many times more arrays come than the first number of machines has room for, while a zone is lost",
+	)
 	profile := flag.String("profile", "", "file for the processor's profile of that")
 	flag.Parse()
 	if *factor > 0 {
@@ -106,8 +119,24 @@
 		began := time.Now()
 		f := measureSize(n, seed)
 		figures = append(figures, f)
-		log.Printf("%d machines, %d tasks: %.3f of a core (%.3f for messages), %.0f MB, %.1f changes/s, %.2f a job, %.4f a task, %.1f%% refused; zone lost: %d replicas, %.2f changes each, back in %.0f s; %s is nearest (%.0f%%); took %.0f s",
-			f.Machines, f.Tasks, f.CoreS+f.CodecS, f.CodecS, f.MB, f.Changes, f.PerJob, f.PerTask, f.RefusedPct, f.LostReplicas, f.PerReplica, f.LostReplacedIn, f.Binds, 100*f.Part, time.Since(began).Seconds())
+		log.Printf(
+			"%d machines, %d tasks: %.3f of a core (%.3f for messages), %.0f MB, %.1f changes/s, %.2f a job, %.4f a task, %.1f%% refused; zone lost: %d replicas, %.2f changes each, back in %.0f s; %s is nearest (%.0f%%); took %.0f s",
+			f.Machines,
+			f.Tasks,
+			f.CoreS+f.CodecS,
+			f.CodecS,
+			f.MB,
+			f.Changes,
+			f.PerJob,
+			f.PerTask,
+			f.RefusedPct,
+			f.LostReplicas,
+			f.PerReplica,
+			f.LostReplacedIn,
+			f.Binds,
+			100*f.Part,
+			time.Since(began).Seconds(),
+		)
 	}
 	return writeReport(out, figures)
 }
@@ -117,7 +146,10 @@
 	s := newSimCluster(n, seed)
 	services := int(servicesPerMachine * float64(n))
 	for i := range services {
-		s.schedule(3*time.Second+time.Duration(i)*30*time.Second/time.Duration(services), func() { s.submitJob(i, true) })
+		s.schedule(
+			3*time.Second+time.Duration(i)*30*time.Second/time.Duration(services),
+			func() { s.submitJob(i, true) },
+		)
 	}
 	next := 500_000
 	gap := time.Duration(float64(time.Second) / (arraysPerMachine * float64(n)))
@@ -152,7 +184,13 @@
 			f.CoreS, f.Inputs, f.InputUS = busy, inputs/secs, 1e6*(x.coreTime-from[i].coreTime).Seconds()/inputs
 		}
 		f.CodecS = max(f.CodecS, (x.codecTime-from[i].codecTime).Seconds()/secs)
-		f.Messages, f.KB = max(f.Messages, float64(x.messagesSent-from[i].messagesSent)/secs), max(f.KB, float64(x.bytesSent-from[i].bytesSent)/1e3/secs)
+		f.Messages, f.KB = max(
+			f.Messages,
+			float64(x.messagesSent-from[i].messagesSent)/secs,
+		), max(
+			f.KB,
+			float64(x.bytesSent-from[i].bytesSent)/1e3/secs,
+		)
 	}
 	c := s.counters
 	f.Changes = float64(c.writes) / secs
@@ -196,7 +234,11 @@
 	for _, l := range []struct {
 		name string
 		part float64
-	}{{"the processor", (f.CoreS + f.CodecS) / limitCore}, {"memory", f.MB / limitMB}, {"changes", f.Changes / limitChanges}} {
+	}{
+		{"the processor", (f.CoreS + f.CodecS) / limitCore},
+		{"memory", f.MB / limitMB},
+		{"changes", f.Changes / limitChanges},
+	} {
 		if l.part > f.Part {
 			f.Binds, f.Part = l.name, l.part
 		}
@@ -232,16 +274,26 @@
 		return err
 	}
 	p := plot.New()
-	p.Title.Text, p.Title.Padding = "Parts of a controller's limits by the number of machines (simulated)", vg.Points(8)
+	p.Title.Text, p.Title.Padding = "Parts of a controller's limits by the number of machines (simulated)", vg.Points(
+		8,
+	)
 	p.X.Label.Text, p.Y.Label.Text = "machines", "part of the limit"
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
 	for i, l := range []struct {
 		name string
 		of   func(*SizeCost) float64
-	}{{fmt.Sprintf("processor (%v of a core)", limitCore), func(f *SizeCost) float64 { return (f.CoreS + f.CodecS) / limitCore }},
+	}{
+		{
+			fmt.Sprintf("processor (%v of a core)", limitCore),
+			func(f *SizeCost) float64 { return (f.CoreS + f.CodecS) / limitCore },
+		},
 		{fmt.Sprintf("memory (%v MB)", limitMB), func(f *SizeCost) float64 { return f.MB / limitMB }},
-		{fmt.Sprintf("changes (%v a second)", limitChanges), func(f *SizeCost) float64 { return f.Changes / limitChanges }}} {
+		{
+			fmt.Sprintf("changes (%v a second)", limitChanges),
+			func(f *SizeCost) float64 { return f.Changes / limitChanges },
+		},
+	} {
 		var xy plotter.XYs
 		for _, f := range figures {
 			xy = append(xy, plotter.XY{X: float64(f.Machines), Y: l.of(f)})
@@ -271,6 +323,14 @@
 		return err
 	}
 	defer f.Close()
-	return pageTemplate.Execute(f, map[string]any{"Figures": figures, "Plot": image,
-		"Machine": fmt.Sprintf("%s, %s/%s, %d processors", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())})
+	return pageTemplate.Execute(f, map[string]any{
+		"Figures": figures, "Plot": image,
+		"Machine": fmt.Sprintf(
+			"%s, %s/%s, %d processors",
+			runtime.Version(),
+			runtime.GOOS,
+			runtime.GOARCH,
+			runtime.NumCPU(),
+		),
+	})
 }
--- a/internal/measure/scale/overload.go
+++ b/internal/measure/scale/overload.go
@@ -15,8 +15,8 @@
 	overloadStep     = 20 * time.Second
 )
 
-// runOverload plays a site into which arrays come factor times as often as it has room for, while a zone is lost, and tells what a core takes
-// as the queue grows: the work must not grow with it.
+// runOverload plays a site into which arrays come factor times as often as it has room for, while a
+// zone is lost, and tells what a core takes as the queue grows: the work must not grow with it.
 func runOverload(n int, factor float64, seed uint64, profile string) error {
 	s := newSimCluster(n, seed)
 	for i := range n / 4 {
@@ -64,8 +64,20 @@
 		for i, x := range s.nodes {
 			most = max(most, (x.coreTime+x.codecTime-from[i]).Seconds()/overloadStep.Seconds())
 		}
-		fmt.Printf("%4.0f s: %d machines, %.3f of a core, %d jobs accepted and %d tasks started, %d replicas lost and %d replaced so far; %d arrays began, after %.0f s at the median and %.0f s at most, %d wait\n",
-			at.Seconds(), len(s.machines), most, s.counters.accepted-accepted, s.counters.started-started, s.counters.lost, s.counters.replaced, len(s.startDelays), medianSeconds(s.startDelays), slices.Max(append(s.startDelays, 0)).Seconds(), len(s.unstartedArrays))
+		fmt.Printf(
+			"%4.0f s: %d machines, %.3f of a core, %d jobs accepted and %d tasks started, %d replicas lost and %d replaced so far; %d arrays began, after %.0f s at the median and %.0f s at most, %d wait\n",
+			at.Seconds(),
+			len(s.machines),
+			most,
+			s.counters.accepted-accepted,
+			s.counters.started-started,
+			s.counters.lost,
+			s.counters.replaced,
+			len(s.startDelays),
+			medianSeconds(s.startDelays),
+			slices.Max(append(s.startDelays, 0)).Seconds(),
+			len(s.unstartedArrays),
+		)
 	}
 	return nil
 }
--- a/internal/measure/scale/scale_test.go
+++ b/internal/measure/scale/scale_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The experiment itself must hold: a small site accepts its jobs, runs ten tasks a machine, wastes no starts, and replaces what a lost
-// zone takes with it.
+// The experiment itself must hold: a small site accepts its jobs, runs ten tasks a machine, wastes
+// no starts, and replaces what a lost zone takes with it.
 func TestSmallCluster(t *testing.T) {
 	writeLimit = unlimitedRate
 	f := measureSize(120, 1)
@@ -19,8 +19,8 @@
 	}
 }
 
-// Counted work, which does not depend on the machine that counts it: looks at machines and inputs a simulated second, by the
-// size of the site.
+// Counted work, which does not depend on the machine that counts it: looks at machines and inputs a
+// simulated second, by the size of the site.
 func BenchmarkFleet(b *testing.B) {
 	writeLimit = unlimitedRate
 	for _, n := range []int{200, 400, 800} {
--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -34,7 +34,13 @@
 }
 
 func newAuditChecker(k *Checker, now func() time.Duration) *auditChecker {
-	return &auditChecker{checker: k, now: now, carriedAt: map[entryID]time.Duration{}, blockCounts: map[entryID]int{}, verbCounts: map[string]int{}}
+	return &auditChecker{
+		checker:     k,
+		now:         now,
+		carriedAt:   map[entryID]time.Duration{},
+		blockCounts: map[entryID]int{},
+		verbCounts:  map[string]int{},
+	}
 }
 
 // entryCarrier is what values with entries have in common, and what records tell of changes.
@@ -65,7 +71,11 @@
 }
 
 // newEntries lists the entries of a value that the old one and the others of its transaction did not carry, by verb.
-func (r *auditChecker) newEntries(key string, old []audit.PendingEntry, now []audit.PendingEntry) map[string][]*pb.AuditEntry {
+func (r *auditChecker) newEntries(
+	key string,
+	old []audit.PendingEntry,
+	now []audit.PendingEntry,
+) map[string][]*pb.AuditEntry {
 	out := map[string][]*pb.AuditEntry{}
 	had := map[entryID]bool{}
 	for _, x := range old {
@@ -141,7 +151,10 @@
 			}
 			fresh := r.newEntries(key, old.Carried, now.Carried)
 			isNew, cancelled := keys[key] == nil, now.Stage == "c" && old.Stage == "" && !marked
-			stopped := slices.ContainsFunc(now.StopReasons, func(w stopReason) bool { return !slices.Contains(old.StopReasons, w) })
+			stopped := slices.ContainsFunc(
+				now.StopReasons,
+				func(w stopReason) bool { return !slices.Contains(old.StopReasons, w) },
+			)
 			for _, c := range []struct {
 				verb string
 				made bool
@@ -246,11 +259,16 @@
 		if w.chance(0.5) {
 			in.Node = w.nodes[0].name
 		}
-		w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 2*time.Second, func(r uint64) core.Input { in.RequestID = r; return in }, func(r core.Response, ok bool) {
-			if ok && (r.Status == 200) != (by.Identity == rootUser) && r.Status != 503 {
-				w.Checker.violated("let_in", "%s reads the audit record: %d", by.Identity, r.Status)
-			}
-		})
+		w.sendRequest(
+			w.nodes[w.rng.IntN(len(w.nodes))],
+			2*time.Second,
+			func(r uint64) core.Input { in.RequestID = r; return in },
+			func(r core.Response, ok bool) {
+				if ok && (r.Status == 200) != (by.Identity == rootUser) && r.Status != 503 {
+					w.Checker.violated("let_in", "%s reads the audit record: %d", by.Identity, r.Status)
+				}
+			},
+		)
 		w.schedule(w.randomDuration(2*time.Second, 20*time.Second), read)
 	}
 	w.schedule(5*time.Second, read)
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -10,8 +10,9 @@
 	"dewlift/wire"
 )
 
-// outageScenario is a meeting of troubles around cancellations: something keeps a controller from the news of them, others tell users of them, and
-// then the state service is down for all, for longer than the time in which cancelled tasks must be gone.
+// outageScenario is a meeting of troubles around cancellations: something keeps a controller from
+// the news of them, others tell users of them, and then the state service is down for all, for
+// longer than the time in which cancelled tasks must be gone.
 type outageScenario struct {
 	nodes          int
 	adjustOptions  func(o *Options)
@@ -27,7 +28,13 @@
 const cancellationTime = 60 * time.Second
 
 // requestUntil repeats a request of a user to controllers of a choice until it is answered so.
-func (w *Simulator) requestUntil(pick func() *node, in func(req uint64) core.Input, verb, id string, ok func(r core.Response) bool, then func(n *node)) {
+func (w *Simulator) requestUntil(
+	pick func() *node,
+	in func(req uint64) core.Input,
+	verb, id string,
+	ok func(r core.Response) bool,
+	then func(n *node),
+) {
 	var try func()
 	try = func() {
 		began, n := w.now, pick()
@@ -76,7 +83,14 @@
 }
 
 func (w *Simulator) pollUntilCancelled(pick func() *node, id string, told func(*node)) {
-	w.requestUntil(pick, func(r uint64) core.Input { return core.GetJob{RequestID: r, ID: id} }, "poll", id, hasStage(wire.StageCancelled), told)
+	w.requestUntil(
+		pick,
+		func(r uint64) core.Input { return core.GetJob{RequestID: r, ID: id} },
+		"poll",
+		id,
+		hasStage(wire.StageCancelled),
+		told,
+	)
 }
 
 // runOutageScenario plays a meeting, and checks both sides: cancelled tasks are gone in time, and all others run on.
@@ -92,18 +106,36 @@
 	w := New(o)
 	const jobs = 12
 	for i := 1; i < jobs; i += 4 { // jobs that await cancelled ones are called cancelled with them
-		s := wire.JobSpec{ID: fmt.Sprintf("wk-1%05d", i), Class: "c", Team: "t0", Tasks: 1, Request: [3]int64{1000, 0, 1000}, Dependencies: []string{fmt.Sprintf("wk-%06d", i)}}
+		s := wire.JobSpec{
+			ID:           fmt.Sprintf("wk-1%05d", i),
+			Class:        "c",
+			Team:         "t0",
+			Tasks:        1,
+			Request:      [3]int64{1000, 0, 1000},
+			Dependencies: []string{fmt.Sprintf("wk-%06d", i)},
+		}
 		if o.MixedVersions {
 			break
 		}
 		w.schedule(30*time.Second, func() { w.runUser(s) })
 	}
 	spec := func(i int) wire.JobSpec {
-		return wire.JobSpec{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "t0", Service: true, Tasks: 3, Request: [3]int64{1000, 0, 1000}, Spread: i%2 == 0}
+		return wire.JobSpec{
+			ID:      fmt.Sprintf("wk-%06d", i),
+			Class:   "c",
+			Team:    "t0",
+			Service: true,
+			Tasks:   3,
+			Request: [3]int64{1000, 0, 1000},
+			Spread:  i%2 == 0,
+		}
 	}
 	for i := range jobs {
 		s := spec(i)
-		w.schedule(w.randomDuration(5*time.Second, 15*time.Second), func() { w.submitUntilAccepted(w.randomNodeExcept(nil), s) })
+		w.schedule(
+			w.randomDuration(5*time.Second, 15*time.Second),
+			func() { w.submitUntilAccepted(w.randomNodeExcept(nil), s) },
+		)
 	}
 	var where map[string]string
 	on := func() map[string]string {
@@ -187,23 +219,36 @@
 	}
 }
 
-// The state service refuses one controller, the others tell users of cancellations, and then it is down for all: the refused one renewed the
-// leases of machines with the cancelled tasks throughout, as an outage entitled it again.
+// The state service refuses one controller, the others tell users of cancellations, and then it is
+// down for all: the refused one renewed the leases of machines with the cancelled tasks throughout,
+// as an outage entitled it again.
 func TestCancelledTasksStopWhenOutageFollowsRefusal(t *testing.T) {
 	for name, g := range map[string]outageScenario{
-		"three":          {beforeCancel: refuseNodes(1)},
-		"five":           {nodes: 5, beforeCancel: refuseNodes(1)},
-		"not the leader": {beforeCancel: func(w *Simulator, blind []*node) { w.store.refuseNode(blind[1].name, 14*time.Second) }},
-		"two of five":    {nodes: 5, beforeCancel: refuseNodes(2)},
+		"three": {beforeCancel: refuseNodes(1)},
+		"five":  {nodes: 5, beforeCancel: refuseNodes(1)},
+		"not the leader": {
+			beforeCancel: func(w *Simulator, blind []*node) { w.store.refuseNode(blind[1].name, 14*time.Second) },
+		},
+		"two of five": {nodes: 5, beforeCancel: refuseNodes(2)},
 		"two of three": {beforeCancel: refuseNodes(2), cancel: func(w *Simulator, id string, blind []*node) {
 			w.cancelUntilTold(w.randomNodeExcept(blind[:2]), id, func(*node) {})
 		}},
-		"reads of changes": {beforeCancel: func(w *Simulator, blind []*node) { w.store.stalledWatches[blind[0].name] = true }},
-		"held packets":     {beforeCancel: func(w *Simulator, blind []*node) { w.isolate(blind[0].name, 14*time.Second, true, false, false) }},
+		"reads of changes": {
+			beforeCancel: func(w *Simulator, blind []*node) { w.store.stalledWatches[blind[0].name] = true },
+		},
+		"held packets": {
+			beforeCancel: func(w *Simulator, blind []*node) { w.isolate(blind[0].name, 14*time.Second, true, false, false) },
+		},
 		"told by a question": {beforeCancel: refuseNodes(1), cancel: func(w *Simulator, id string, blind []*node) {
 			pick := w.randomNodeExcept(blind[:1])
 			w.Checker.CancelRequested(id)
-			w.sendRequest(pick(), time.Second, func(r uint64) core.Input { return core.CancelJob{RequestID: r, ID: id, UnixMS: w.nowUnixMS()} }, func(core.Response, bool) {})
+			w.sendRequest(pick(), time.Second, func(r uint64) core.Input {
+				return core.CancelJob{
+					RequestID: r,
+					ID:        id,
+					UnixMS:    w.nowUnixMS(),
+				}
+			}, func(core.Response, bool) {})
 			w.schedule(300*time.Millisecond, func() { w.pollUntilCancelled(pick, id, func(*node) {}) })
 		}},
 		"the teller ends": {beforeCancel: refuseNodes(1), onCancelTold: func(w *Simulator, n *node) {
@@ -211,22 +256,41 @@
 				w.crash(n)
 			}
 		}, workMayDie: true},
-		"the teller ends and is back at once": {beforeCancel: refuseNodes(1), adjustOptions: func(o *Options) { o.FlappingProcesses = true }, onCancelTold: func(w *Simulator, n *node) {
-			if !n.down {
-				w.crash(n)
-			}
-		}, workMayDie: true},
+		"the teller ends and is back at once": {
+			beforeCancel:  refuseNodes(1),
+			adjustOptions: func(o *Options) { o.FlappingProcesses = true },
+			onCancelTold: func(w *Simulator, n *node) {
+				if !n.down {
+					w.crash(n)
+				}
+			},
+			workMayDie: true,
+		},
 		"the blind one stands still": {beforeCancel: refuseNodes(1), duringOutage: func(w *Simulator, blind []*node) {
 			for at := time.Duration(0); at < 60*time.Second; at += 9 * time.Second {
 				w.schedule(at, func() { blind[0].pausedUntil = w.now + 7*time.Second })
 			}
 		}},
-		"the teller stands still": {beforeCancel: refuseNodes(1), onCancelTold: func(w *Simulator, n *node) { n.pausedUntil = max(n.pausedUntil, w.now+8*time.Second) }},
-		"executed late":           {beforeCancel: refuseNodes(1), delayedCommits: true},
-		"beside production":       {beforeCancel: refuseNodes(1), adjustOptions: func(o *Options) { o.MixedVersions = true }},
-		"five, beside production": {nodes: 5, beforeCancel: refuseNodes(2), adjustOptions: func(o *Options) { o.MixedVersions = true }},
-		"times near each other":   {beforeCancel: refuseNodes(1), adjustOptions: func(o *Options) { o.CancelTimeout, o.WorkerLease = 26*time.Second, 20*time.Second }},
-		"machines hang": {beforeCancel: func(w *Simulator, blind []*node) { // until after the time in which cancelled tasks must be gone
+		"the teller stands still": {
+			beforeCancel: refuseNodes(1),
+			onCancelTold: func(w *Simulator, n *node) { n.pausedUntil = max(n.pausedUntil, w.now+8*time.Second) },
+		},
+		"executed late": {beforeCancel: refuseNodes(1), delayedCommits: true},
+		"beside production": {
+			beforeCancel:  refuseNodes(1),
+			adjustOptions: func(o *Options) { o.MixedVersions = true },
+		},
+		"five, beside production": {
+			nodes:         5,
+			beforeCancel:  refuseNodes(2),
+			adjustOptions: func(o *Options) { o.MixedVersions = true },
+		},
+		"times near each other": {
+			beforeCancel:  refuseNodes(1),
+			adjustOptions: func(o *Options) { o.CancelTimeout, o.WorkerLease = 26*time.Second, 20*time.Second },
+		},
+		// until after the time in which cancelled tasks must be gone
+		"machines hang": {beforeCancel: func(w *Simulator, blind []*node) {
 			w.store.refuseNode(blind[0].name, 14*time.Second)
 			for _, name := range []string{"wk-000001/0", "wk-000003/1"} {
 				for m := range w.Checker.runningOn[name] {
@@ -234,8 +298,10 @@
 				}
 			}
 		}, workMayDie: true},
-		"cut from state and controllers": {beforeCancel: func(w *Simulator, blind []*node) { w.isolate(blind[0].name, 90*time.Second, true, true, false) },
-			workMayDie: true},
+		"cut from state and controllers": {
+			beforeCancel: func(w *Simulator, blind []*node) { w.isolate(blind[0].name, 90*time.Second, true, true, false) },
+			workMayDie:   true,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -246,12 +312,20 @@
 	}
 }
 
-// A start is held up on its way, its job is cancelled, and then the state service is down, so that no higher token can be had: the start
-// arrives after the time in which the task must be gone. Only the end of the machine's session keeps it from being carried out.
+// A start is held up on its way, its job is cancelled, and then the state service is down, so that
+// no higher token can be had: the start arrives after the time in which the task must be gone. Only
+// the end of the machine's session keeps it from being carried out.
 func TestDelayedStartOfCancelledTaskIsIgnored(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		w := New(Options{Seed: seed, Duration: 200 * time.Second, NoFaults: true})
-		s := wire.JobSpec{ID: "wk-000001", Class: "c", Team: "t0", Service: true, Tasks: 2, Request: [3]int64{1000, 0, 1000}}
+		s := wire.JobSpec{
+			ID:      "wk-000001",
+			Class:   "c",
+			Team:    "t0",
+			Service: true,
+			Tasks:   2,
+			Request: [3]int64{1000, 0, 1000},
+		}
 		first := s
 		first.ID = "wk-000000" // so that there are machines with room
 		held := 0
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -13,49 +13,62 @@
 
 // Checker watches what happens in the world and notes every broken rule.
 type Checker struct {
-	Violations        []string
-	cancelTimeout     time.Duration
-	quotas            map[string][2]int64
-	jobs              map[string]*observedJob
-	runningOn         map[string]map[string]bool // task -> machines it is on
-	machines          map[string]wire.Machine
-	allocated         map[string][2]int64       // room that a team's tasks take
-	cancelled         []*observedJob            // cancelled jobs that may have tasks left
-	dependents        map[string][]*observedJob // jobs that await a job
-	permissions       map[string]permissionView
-	Starts            int
-	StartsAfterCancel int // starts after a confirmed cancellation: within the time of a cancellation these are counted, not a broken rule
+	Violations    []string
+	cancelTimeout time.Duration
+	quotas        map[string][2]int64
+	jobs          map[string]*observedJob
+	runningOn     map[string]map[string]bool // task -> machines it is on
+	machines      map[string]wire.Machine
+	allocated     map[string][2]int64       // room that a team's tasks take
+	cancelled     []*observedJob            // cancelled jobs that may have tasks left
+	dependents    map[string][]*observedJob // jobs that await a job
+	permissions   map[string]permissionView
+	Starts        int
+	// starts after a confirmed cancellation: within the time of a cancellation these are counted, not a broken rule
+	StartsAfterCancel int
 	failingJobs       map[string]*failingJob
 	faultFreeFrom     time.Duration // all troubles are over since; 0: they never are
-	overlappingFaults bool          // until then troubles follow each other so closely that no job may have a chance to begin
+	// until then troubles follow each other so closely that no job may have a chance to begin
+	overlappingFaults bool
 	lastEventAt       time.Duration // of the last event
 }
 
 // observedJob is what the users know of a job.
 type observedJob struct {
-	spec                  wire.JobSpec
-	submitted             bool
-	accepted              bool
-	acceptedAt            time.Duration
-	stage                 string         // "done" or "cancelled" once told
-	cancelRequested       bool           // its user asked to cancel
-	endToldAt             time.Duration  // when its end was told first
-	cancelToldAt          time.Duration  // when the cancellation was told
-	completedTasks        map[int]bool   // tasks completed on a worker
-	tasksByZone           map[string]int // tasks on machines by zone
-	runningTasks          int            // tasks on machines
-	startedAt             time.Duration  // when a task of it started first
-	readyAt               time.Duration  // when all that it awaits was done
-	unansweredSince       time.Duration  // the first question about it that was not answered, since the last that was and all troubles are over
-	starvingSince         time.Duration  // since when it waits while it could run and nothing of it starts, after all troubles; 0: it does not
-	dependencyCancelled   bool           // a job that it needs was called cancelled
-	dependencyCancelledAt time.Duration  // when its user was told so
+	spec            wire.JobSpec
+	submitted       bool
+	accepted        bool
+	acceptedAt      time.Duration
+	stage           string         // "done" or "cancelled" once told
+	cancelRequested bool           // its user asked to cancel
+	endToldAt       time.Duration  // when its end was told first
+	cancelToldAt    time.Duration  // when the cancellation was told
+	completedTasks  map[int]bool   // tasks completed on a worker
+	tasksByZone     map[string]int // tasks on machines by zone
+	runningTasks    int            // tasks on machines
+	startedAt       time.Duration  // when a task of it started first
+	readyAt         time.Duration  // when all that it awaits was done
+	// the first question about it that was not answered, since the last that was and all troubles are over
+	unansweredSince time.Duration
+	// since when it waits while it could run and nothing of it starts, after all troubles; 0: it does not
+	starvingSince         time.Duration
+	dependencyCancelled   bool          // a job that it needs was called cancelled
+	dependencyCancelledAt time.Duration // when its user was told so
 }
 
 // NewChecker returns a checker.
 func NewChecker(cancelTimeout time.Duration, quotas map[string][2]int64) *Checker {
-	return &Checker{cancelTimeout: cancelTimeout, quotas: quotas, jobs: map[string]*observedJob{}, runningOn: map[string]map[string]bool{},
-		dependents: map[string][]*observedJob{}, failingJobs: map[string]*failingJob{}, permissions: map[string]permissionView{}, machines: map[string]wire.Machine{}, allocated: map[string][2]int64{}}
+	return &Checker{
+		cancelTimeout: cancelTimeout,
+		quotas:        quotas,
+		jobs:          map[string]*observedJob{},
+		runningOn:     map[string]map[string]bool{},
+		dependents:    map[string][]*observedJob{},
+		failingJobs:   map[string]*failingJob{},
+		permissions:   map[string]permissionView{},
+		machines:      map[string]wire.Machine{},
+		allocated:     map[string][2]int64{},
+	}
 }
 
 func (k *Checker) violated(rule, format string, args ...any) {
@@ -122,7 +135,8 @@
 		if !j.accepted {
 			j.accepted, j.acceptedAt = true, now
 			for _, id := range j.spec.Dependencies { // one that names a cancelled job is cancelled too
-				if o := k.jobs[id]; o != nil && (o.dependencyCancelled || o.stage == wire.StageCancelled) && !j.dependencyCancelled {
+				if o := k.jobs[id]; o != nil && (o.dependencyCancelled || o.stage == wire.StageCancelled) &&
+					!j.dependencyCancelled {
 					j.dependencyCancelled, j.dependencyCancelledAt = true, now
 				}
 			}
@@ -136,7 +150,13 @@
 		switch stage {
 		case wire.StageDone:
 			if len(j.completedTasks) < j.spec.Tasks {
-				k.violated("not_done", "%s is called done with %d of %d tasks", id, len(j.completedTasks), j.spec.Tasks)
+				k.violated(
+					"not_done",
+					"%s is called done with %d of %d tasks",
+					id,
+					len(j.completedTasks),
+					j.spec.Tasks,
+				)
 			}
 			if j.stage == "" {
 				j.endToldAt = now
@@ -153,8 +173,15 @@
 			}
 			j.stage = stage
 		default:
-			if j.dependencyCancelled && began-j.dependencyCancelledAt > k.cancelTimeout && began > j.acceptedAt+k.cancelTimeout {
-				k.violated("orphaned", "%s is called %s %v after a job that it needs was cancelled", id, stage, began-j.dependencyCancelledAt)
+			if j.dependencyCancelled && began-j.dependencyCancelledAt > k.cancelTimeout &&
+				began > j.acceptedAt+k.cancelTimeout {
+				k.violated(
+					"orphaned",
+					"%s is called %s %v after a job that it needs was cancelled",
+					id,
+					stage,
+					began-j.dependencyCancelledAt,
+				)
 			}
 		}
 		return
@@ -277,7 +304,8 @@
 	notReady time.Duration = -1 // of a job that awaits another which is not done
 )
 
-// checkServed checks that of each class and team, and of the largest jobs of each class, at least half began, and that the largest began in time.
+// checkServed checks that of each class and team, and of the largest jobs of each class, at least
+// half began, and that the largest began in time.
 func (k *Checker) checkServed(now time.Duration) {
 	type count struct{ jobs, began int }
 	groups := map[string]*count{}
@@ -287,7 +315,8 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(k.jobs)) {
 		j := k.jobs[id]
-		if !j.accepted || j.cancelRequested || j.dependencyCancelled || k.dependencyMayBeCancelled(j) || j.acceptedAt > k.faultFreeFrom {
+		if !j.accepted || j.cancelRequested || j.dependencyCancelled || k.dependencyMayBeCancelled(j) ||
+			j.acceptedAt > k.faultFreeFrom {
 			continue
 		}
 		names := []string{"class " + j.spec.Class, "team " + j.spec.Team}
@@ -298,8 +327,17 @@
 			if k.overlappingFaults {
 				could = max(could, k.faultFreeFrom)
 			}
-			if began := j.startedAt; began-could > maxStartDelay || began == 0 && j.readyAt != notReady && now-could > maxStartDelay {
-				k.violated("late_largest", "%s of %d tasks was accepted at %v, could begin at %v and began at %v", id, j.spec.Tasks, j.acceptedAt, could, began)
+			if began := j.startedAt; began-could > maxStartDelay ||
+				began == 0 && j.readyAt != notReady && now-could > maxStartDelay {
+				k.violated(
+					"late_largest",
+					"%s of %d tasks was accepted at %v, could begin at %v and began at %v",
+					id,
+					j.spec.Tasks,
+					j.acceptedAt,
+					could,
+					began,
+				)
 			}
 		}
 		for _, name := range names {
@@ -324,7 +362,8 @@
 // failingJob is what became of a job whose tasks fail on every machine.
 type failingJob struct{ starts []time.Duration }
 
-// What a job with a mistake may cost: its tasks once, and then so many starts a minute, with owners that end and forget how often they have tried.
+// What a job with a mistake may cost: its tasks once, and then so many starts a minute, with owners
+// that end and forget how often they have tried.
 const maxFailingStarts = 20
 
 func (x *failingJob) recordStart(k *Checker, now time.Duration, id string) {
@@ -362,7 +401,12 @@
 	k.lastEventAt = now
 	for _, j := range k.cancelled {
 		if now-j.cancelToldAt > k.cancelTimeout && j.runningTasks > 0 {
-			k.violated("ran_cancelled", "tasks of %s are on machines %v after its cancellation", j.spec.ID, now-j.cancelToldAt)
+			k.violated(
+				"ran_cancelled",
+				"tasks of %s are on machines %v after its cancellation",
+				j.spec.ID,
+				now-j.cancelToldAt,
+			)
 			j.cancelToldAt = now // once is enough
 		}
 	}
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -21,8 +21,12 @@
 
 var (
 	updateDigests = flag.Bool("update", false, "write the digests anew: behaviour was changed on purpose")
-	digestSeeds   = flag.Int("digest-seeds", 0, "also play so many seeds of every kind of world, and write their digests")
-	digestFile    = flag.String("digest-file", "digests.json", "where the digests of -digest-seeds go")
+	digestSeeds   = flag.Int(
+		"digest-seeds",
+		0,
+		"also play so many seeds of every kind of world, and write their digests",
+	)
+	digestFile = flag.String("digest-file", "digests.json", "where the digests of -digest-seeds go")
 )
 
 const digestLength = 240 * time.Second
@@ -30,16 +34,37 @@
 // digestScenarios are worlds of every kind.
 func digestScenarios() map[string]Options {
 	out := map[string]Options{
-		"quiet":   {Seed: 1, Duration: digestLength, Jobs: 25, NoFaults: true},
-		"large":   {Seed: 2, Duration: 60 * time.Second, Jobs: 60, Controllers: 5, MaxMachines: 300, MaxTasksPerJob: 400},
+		"quiet": {Seed: 1, Duration: digestLength, Jobs: 25, NoFaults: true},
+		"large": {
+			Seed:           2,
+			Duration:       60 * time.Second,
+			Jobs:           60,
+			Controllers:    5,
+			MaxMachines:    300,
+			MaxTasksPerJob: 400,
+		},
 		"chains":  {Seed: 3, Duration: digestLength, Jobs: 5, Pipelines: 12},
 		"upgrade": {Seed: 4, Duration: digestLength, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
 		"history": {Seed: 6, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true},
 		"rights":  {Seed: 7, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true},
-		"audit":   {Seed: 8, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, AuditLog: true, Archive: true},
+		"audit": {
+			Seed:           8,
+			Duration:       digestLength,
+			Jobs:           40,
+			MaxTasksPerJob: 4,
+			Pipelines:      2,
+			Permissions:    true,
+			AuditLog:       true,
+			Archive:        true,
+		},
 	}
 	for seed := uint64(10); seed < 16; seed++ {
-		out[fmt.Sprint("rough", seed)] = Options{Seed: seed, Duration: digestLength, Jobs: 25, FlakyCloud: seed%3 == 0}
+		out[fmt.Sprint("rough", seed)] = Options{
+			Seed:       seed,
+			Duration:   digestLength,
+			Jobs:       25,
+			FlakyCloud: seed%3 == 0,
+		}
 	}
 	return out
 }
@@ -115,7 +140,8 @@
 // value writes a value with its kind, its length and all it holds.
 func (d *digester) value(v reflect.Value) error {
 	d.buf = append(d.buf, byte(v.Kind()))
-	if v.IsValid() && v.Type().Implements(reflect.TypeFor[json.Marshaler]()) && v.Kind() != reflect.Pointer && v.Kind() != reflect.Slice {
+	if v.IsValid() && v.Type().Implements(reflect.TypeFor[json.Marshaler]()) && v.Kind() != reflect.Pointer &&
+		v.Kind() != reflect.Slice {
 		raw, err := v.Interface().(json.Marshaler).MarshalJSON()
 		d.text(string(raw))
 		return err
@@ -246,21 +272,90 @@
 func manyWorlds(seed uint64) map[string]Options {
 	odd, third, tenth := seed%2 == 1, seed%3 == 0, seed%10 == 0
 	return map[string]Options{
-		"rough":    {Seed: seed, Duration: digestLength, Jobs: 25, FlakyCloud: third},
-		"quiet":    {Seed: seed, Duration: digestLength, Jobs: 25, NoFaults: true},
-		"large":    {Seed: seed, Duration: 30 * time.Second, Jobs: 40, Controllers: 5, MaxMachines: 200, MaxTasksPerJob: 300},
-		"chains":   {Seed: seed, Duration: digestLength, Jobs: 5, Pipelines: 12, NoFaults: tenth},
-		"upgrade":  {Seed: seed, Duration: digestLength, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
-		"history":  {Seed: seed, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true, RollingUpgrade: third},
-		"rights":   {Seed: seed, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, Archive: odd},
-		"audit":    {Seed: seed, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, AuditLog: true, Archive: odd},
-		"shared":   {Seed: seed, Duration: digestLength, Jobs: 40, BatchValues: true, NoFaults: tenth, RollingUpgrade: third, Archive: odd},
-		"lanes":    {Seed: seed, Duration: 120 * time.Second, Jobs: 80, MaxMachines: 8, PriorityClasses: true},
-		"bookings": {Seed: seed, Duration: 180 * time.Second, Jobs: 8, MaxTasksPerJob: 4, ReservationUsers: 40, Permissions: odd, AuditLog: odd},
+		"rough": {Seed: seed, Duration: digestLength, Jobs: 25, FlakyCloud: third},
+		"quiet": {Seed: seed, Duration: digestLength, Jobs: 25, NoFaults: true},
+		"large": {
+			Seed:           seed,
+			Duration:       30 * time.Second,
+			Jobs:           40,
+			Controllers:    5,
+			MaxMachines:    200,
+			MaxTasksPerJob: 300,
+		},
+		"chains":  {Seed: seed, Duration: digestLength, Jobs: 5, Pipelines: 12, NoFaults: tenth},
+		"upgrade": {Seed: seed, Duration: digestLength, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
+		"history": {
+			Seed:           seed,
+			Duration:       digestLength,
+			Jobs:           40,
+			MaxTasksPerJob: 4,
+			Pipelines:      4,
+			Archive:        true,
+			RollingUpgrade: third,
+		},
+		"rights": {
+			Seed:           seed,
+			Duration:       digestLength,
+			Jobs:           40,
+			MaxTasksPerJob: 4,
+			Pipelines:      2,
+			Permissions:    true,
+			Archive:        odd,
+		},
+		"audit": {
+			Seed:           seed,
+			Duration:       digestLength,
+			Jobs:           40,
+			MaxTasksPerJob: 4,
+			Pipelines:      2,
+			Permissions:    true,
+			AuditLog:       true,
+			Archive:        odd,
+		},
+		"shared": {
+			Seed:           seed,
+			Duration:       digestLength,
+			Jobs:           40,
+			BatchValues:    true,
+			NoFaults:       tenth,
+			RollingUpgrade: third,
+			Archive:        odd,
+		},
+		"lanes": {Seed: seed, Duration: 120 * time.Second, Jobs: 80, MaxMachines: 8, PriorityClasses: true},
+		"bookings": {
+			Seed:             seed,
+			Duration:         180 * time.Second,
+			Jobs:             8,
+			MaxTasksPerJob:   4,
+			ReservationUsers: 40,
+			Permissions:      odd,
+			AuditLog:         odd,
+		},
 		"mistakes": {Seed: seed, Duration: digestLength, Jobs: 30, FailingJobs: 10, NoFaults: odd},
-		"meet":     {Seed: seed, Duration: digestLength, Jobs: 25, OverlappingFaults: true, LongTasks: odd, QuotaLimited: third},
-		"flap":     {Seed: seed, Duration: digestLength, Jobs: 30, MaxTasksPerJob: 6, FlappingProcesses: true, BatchValues: third},
-		"beside":   {Seed: seed, Duration: digestLength, Jobs: 20, MixedVersions: true, SingleTaskJobs: 10, ZonePinnedJobs: odd},
+		"meet": {
+			Seed:              seed,
+			Duration:          digestLength,
+			Jobs:              25,
+			OverlappingFaults: true,
+			LongTasks:         odd,
+			QuotaLimited:      third,
+		},
+		"flap": {
+			Seed:              seed,
+			Duration:          digestLength,
+			Jobs:              30,
+			MaxTasksPerJob:    6,
+			FlappingProcesses: true,
+			BatchValues:       third,
+		},
+		"beside": {
+			Seed:           seed,
+			Duration:       digestLength,
+			Jobs:           20,
+			MixedVersions:  true,
+			SingleTaskJobs: 10,
+			ZonePinnedJobs: odd,
+		},
 	}
 }
 
@@ -297,7 +392,14 @@
 	list := []entry{
 		{1, "n0", core.LoadSnapshot{AfterKey: "a"}},
 		{1, "n0", core.Watch{SinceRevision: 7, LongPoll: true}},
-		{2, "n1", core.SendToPeer{Peer: "n2", Message: core.Message{StatePush: &core.StatePush{DeltaAcks: map[string]uint64{"n0": 1, "n1": 2}}}}},
+		{
+			2,
+			"n1",
+			core.SendToPeer{
+				Peer:    "n2",
+				Message: core.Message{StatePush: &core.StatePush{DeltaAcks: map[string]uint64{"n0": 1, "n1": 2}}},
+			},
+		},
 		{2, "n1", core.CloudRequest{ID: 3, MachineNames: []string{"x", "y"}}},
 	}
 	sum := func(list []entry) uint64 {
@@ -316,15 +418,22 @@
 	}
 	want := sum(list)
 	for name, other := range map[string][]entry{
-		"left out":       list[1:],
-		"swapped":        {list[1], list[0], list[2], list[3]},
-		"said twice":     {list[0], list[0], list[1], list[2], list[3]},
-		"later":          with(0, entry{2, "n0", list[0].out}),
-		"another node":   with(0, entry{1, "n1", list[0].out}),
-		"another kind":   with(0, entry{1, "n0", core.SendToPeer{Peer: "a"}}),
-		"a value":        with(1, entry{1, "n0", core.Watch{SinceRevision: 8, LongPoll: true}}),
-		"a flag":         with(1, entry{1, "n0", core.Watch{SinceRevision: 7}}),
-		"in a map":       with(2, entry{2, "n1", core.SendToPeer{Peer: "n2", Message: core.Message{StatePush: &core.StatePush{DeltaAcks: map[string]uint64{"n0": 1, "n1": 3}}}}}),
+		"left out":     list[1:],
+		"swapped":      {list[1], list[0], list[2], list[3]},
+		"said twice":   {list[0], list[0], list[1], list[2], list[3]},
+		"later":        with(0, entry{2, "n0", list[0].out}),
+		"another node": with(0, entry{1, "n1", list[0].out}),
+		"another kind": with(0, entry{1, "n0", core.SendToPeer{Peer: "a"}}),
+		"a value":      with(1, entry{1, "n0", core.Watch{SinceRevision: 8, LongPoll: true}}),
+		"a flag":       with(1, entry{1, "n0", core.Watch{SinceRevision: 7}}),
+		"in a map": with(2, entry{
+			2,
+			"n1",
+			core.SendToPeer{
+				Peer:    "n2",
+				Message: core.Message{StatePush: &core.StatePush{DeltaAcks: map[string]uint64{"n0": 1, "n1": 3}}},
+			},
+		}),
 		"a part unset":   with(2, entry{2, "n1", core.SendToPeer{Peer: "n2", Message: core.Message{}}}),
 		"split in two":   with(3, entry{2, "n1", core.CloudRequest{ID: 3, MachineNames: []string{"xy"}}}),
 		"another member": with(3, entry{2, "n1", core.CloudRequest{ID: 3, MachineNames: []string{"x", "z"}}}),
@@ -340,8 +449,20 @@
 
 // Every value in every kind of output counts: with any one of them changed, the digest is another.
 func TestDigestCountsEveryValue(t *testing.T) {
-	for _, out := range []core.Output{core.Response{}, core.CommitTxn{}, core.Watch{}, core.LoadSnapshot{}, core.ReadRange{}, core.LeaseRequest{}, core.SendCommands{},
-		core.PollAgent{}, core.CloudRequest{}, core.SendToPeer{}, core.ReservationsEnabled{}, core.QueueEnabled{}} {
+	for _, out := range []core.Output{
+		core.Response{},
+		core.CommitTxn{},
+		core.Watch{},
+		core.LoadSnapshot{},
+		core.ReadRange{},
+		core.LeaseRequest{},
+		core.SendCommands{},
+		core.PollAgent{},
+		core.CloudRequest{},
+		core.SendToPeer{},
+		core.ReservationsEnabled{},
+		core.QueueEnabled{},
+	} {
 		sum := func(out core.Output) uint64 {
 			d := newDigester()
 			if err := d.add(0, "n0", out); err != nil {
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -10,8 +10,9 @@
 	"dewlift/wire"
 )
 
-// Users who look closely: right after they were told that a job was accepted, has ended or is cancelled, they ask at all controllers within
-// milliseconds, and again, and repeat the submission; some cancel at once. And users who send what makes no sense.
+// Users who look closely: right after they were told that a job was accepted, has ended or is
+// cancelled, they ask at all controllers within milliseconds, and again, and repeat the submission;
+// some cancel at once. And users who send what makes no sense.
 
 const eagerPollRounds = 3 // rounds of questions at all controllers
 
@@ -79,8 +80,9 @@
 	return ids
 }
 
-// sendInvalidRequests has users repeat submissions of unfinished jobs with other bodies, cancel what is done, and send jobs that fit no machine or lack
-// a field. Those nobody may accept: the checker does not know them, and calls them invented.
+// sendInvalidRequests has users repeat submissions of unfinished jobs with other bodies, cancel
+// what is done, and send jobs that fit no machine or lack a field. Those nobody may accept: the
+// checker does not know them, and calls them invented.
 func (w *Simulator) sendInvalidRequests() {
 	w.Trace("%v odd requests", w.now)
 	till := w.now + w.randomDuration(10*time.Second, 40*time.Second)
@@ -119,11 +121,15 @@
 			})
 		case 3:
 			id := fmt.Sprintf("wk-y%05d", w.rng.IntN(100000))
-			w.submitOnce(n, core.SubmitJob{ID: id, DecodeError: "pieces is missing", Caller: by}, func(r core.Response, ok bool) {
-				if ok {
-					w.Checker.CheckRejected("a job that lacks a field", r.Status, 400)
-				}
-			})
+			w.submitOnce(
+				n,
+				core.SubmitJob{ID: id, DecodeError: "pieces is missing", Caller: by},
+				func(r core.Response, ok bool) {
+					if ok {
+						w.Checker.CheckRejected("a job that lacks a field", r.Status, 400)
+					}
+				},
+			)
 		}
 	}
 	one()
@@ -155,24 +161,32 @@
 	return s
 }
 
-// maxStarvation is how long after the troubles a job may be left waiting while a machine that fits has room and its team is under its limit.
+// maxStarvation is how long after the troubles a job may be left waiting while a machine that fits
+// has room and its team is under its limit.
 const maxStarvation = 90 * time.Second
 
-// checkStarvation looks, second by second, for jobs that are left waiting: by what machines there are and what is on them, not by what a controller
-// believes.
+// checkStarvation looks, second by second, for jobs that are left waiting: by what machines there
+// are and what is on them, not by what a controller believes.
 func (w *Simulator) checkStarvation() {
 	w.schedule(time.Second, w.checkStarvation)
 	k := w.Checker
 	var free []*fakeWorker
 	var rooms []int64
 	for _, m := range w.cloud.machines {
-		if m.up && !m.gone && w.now >= m.hungUntil && w.now >= w.inboundBlockedUntil[m.machine.Name] && w.now >= w.outboundBlockedUntil[m.machine.Name] && m.interruptionAt == 0 && m.fencingToken > 0 {
+		if m.up && !m.gone && w.now >= m.hungUntil && w.now >= w.inboundBlockedUntil[m.machine.Name] &&
+			w.now >= w.outboundBlockedUntil[m.machine.Name] &&
+			m.interruptionAt == 0 &&
+			m.fencingToken > 0 {
 			free, rooms = append(free, m), append(rooms, m.freeCPU())
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(k.jobs)) {
 		j := k.jobs[id]
-		if !j.accepted || j.cancelRequested || j.dependencyCancelled || j.stage != "" || k.failingJobs[id] != nil || k.dependencyMayBeCancelled(j) || j.readyAt == notReady || len(j.completedTasks)+j.runningTasks >= j.spec.Tasks || k.isAtQuota(&j.spec) {
+		if !j.accepted || j.cancelRequested || j.dependencyCancelled || j.stage != "" || k.failingJobs[id] != nil ||
+			k.dependencyMayBeCancelled(j) ||
+			j.readyAt == notReady ||
+			len(j.completedTasks)+j.runningTasks >= j.spec.Tasks ||
+			k.isAtQuota(&j.spec) {
 			j.starvingSince = 0
 			continue
 		}
@@ -186,7 +200,15 @@
 		case j.starvingSince == 0:
 			j.starvingSince = w.now
 		case w.now-j.starvingSince >= maxStarvation:
-			k.violated("left_waiting", "%s has waited for %v: %d of %d tasks are done, %d on machines", id, w.now-j.starvingSince, len(j.completedTasks), j.spec.Tasks, j.runningTasks)
+			k.violated(
+				"left_waiting",
+				"%s has waited for %v: %d of %d tasks are done, %d on machines",
+				id,
+				w.now-j.starvingSince,
+				len(j.completedTasks),
+				j.spec.Tasks,
+				j.runningTasks,
+			)
 		}
 	}
 }
@@ -224,7 +246,8 @@
 // isFeasible reports whether a job's next task may go to a machine, room aside.
 func (k *Checker) isFeasible(j *observedJob, m wire.Machine) bool {
 	s := &j.spec
-	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, m.Type) || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.Spot {
+	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, m.Type) || s.Zone != "" && s.Zone != m.Zone ||
+		m.Spot && !s.Spot {
 		return false
 	}
 	if s.OneZone && len(j.tasksByZone) > 0 && j.tasksByZone[m.Zone] == 0 {
--- a/internal/sim/fakes.go
+++ b/internal/sim/fakes.go
@@ -43,8 +43,14 @@
 }
 
 func newFakeStore(w *Simulator) *fakeStore {
-	s := &fakeStore{w: w, keys: map[string]*wire.KeyValue{}, leases: map[uint64]*leaseState{}, refusedNodes: map[string]bool{}, stalledWatches: map[string]bool{},
-		limits: storeLimits{txnOps: 12, valueBytes: 8192}}
+	s := &fakeStore{
+		w:              w,
+		keys:           map[string]*wire.KeyValue{},
+		leases:         map[uint64]*leaseState{},
+		refusedNodes:   map[string]bool{},
+		stalledWatches: map[string]bool{},
+		limits:         storeLimits{txnOps: 12, valueBytes: 8192},
+	}
 	w.schedule(50*time.Millisecond, s.expireLeases)
 	return s
 }
@@ -207,7 +213,10 @@
 	out := core.WatchResult{LongPoll: o.LongPoll}
 	w := s.w
 	if s.stalledWatches[n.name] {
-		w.schedule(map[bool]time.Duration{false: 2 * time.Second, true: 12 * time.Second}[o.LongPoll], func() { back(core.WatchResult{LongPoll: o.LongPoll}) })
+		w.schedule(
+			map[bool]time.Duration{false: 2 * time.Second, true: 12 * time.Second}[o.LongPoll],
+			func() { back(core.WatchResult{LongPoll: o.LongPoll}) },
+		)
 		return
 	}
 	if !o.LongPoll {
@@ -302,7 +311,10 @@
 
 // movesToArchive reports whether a transaction moves ended jobs into the archive.
 func movesToArchive(t wire.Txn) bool {
-	return slices.ContainsFunc(t.Then, func(x wire.Write) bool { return strings.HasPrefix(x.Put, archive.BlockPrefix) })
+	return slices.ContainsFunc(
+		t.Then,
+		func(x wire.Write) bool { return strings.HasPrefix(x.Put, archive.BlockPrefix) },
+	)
 }
 
 // writesAuditLog reports whether a transaction extends the audit record.
@@ -319,7 +331,8 @@
 		if record := w.store.keys[core.Root+"job/"+id] != nil; j.accepted && record == there {
 			w.Checker.violated("forgotten", "%s: has a record: %v, is archived: %v", id, record, there)
 		}
-		if there && (j.stage == wire.StageDone && e.Cancelled || j.stage == wire.StageCancelled && !e.Cancelled || !e.Cancelled && e.CompletedTasks != j.spec.Tasks) {
+		if there &&
+			(j.stage == wire.StageDone && e.Cancelled || j.stage == wire.StageCancelled && !e.Cancelled || !e.Cancelled && e.CompletedTasks != j.spec.Tasks) {
 			w.Checker.violated("went_back", "%s was called %s and is archived as %+v", id, j.stage, e)
 		}
 	}
@@ -387,8 +400,28 @@
 }
 
 var catalog = wire.Catalog{Types: []wire.MachineType{
-	{Name: "big", CPUs: 16, MemoryGB: 64, LocalDiskGB: 50, ImagePullGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 8, Zones: zones},
-	{Name: "small", CPUs: 4, MemoryGB: 16, LocalDiskGB: 50, ImagePullGBPerS: 1, Price: 0.3, SpotPrice: 0.1, BootS: 5, Zones: zones},
+	{
+		Name:            "big",
+		CPUs:            16,
+		MemoryGB:        64,
+		LocalDiskGB:     50,
+		ImagePullGBPerS: 1,
+		Price:           1,
+		SpotPrice:       0.4,
+		BootS:           8,
+		Zones:           zones,
+	},
+	{
+		Name:            "small",
+		CPUs:            4,
+		MemoryGB:        16,
+		LocalDiskGB:     50,
+		ImagePullGBPerS: 1,
+		Price:           0.3,
+		SpotPrice:       0.1,
+		BootS:           5,
+		Zones:           zones,
+	},
 }}
 
 func (c *fakeCloud) find(name string) *fakeWorker { return c.byName[name] }
@@ -434,8 +467,10 @@
 		}
 		for i := 0; i < n; i++ {
 			name := fmt.Sprintf("m-%06d", len(c.machines)+1)
-			m := &fakeWorker{w: c.w, machine: wire.Machine{Name: name, Addr: "x:" + name, Type: o.ScaleOut.Type, Zone: o.ScaleOut.Zone,
-				Spot: o.ScaleOut.Spot, Stage: wire.MachineBooting}, rentedAt: c.w.now, tasks: map[string]*fakeTask{}, images: map[string]bool{}}
+			m := &fakeWorker{w: c.w, machine: wire.Machine{
+				Name: name, Addr: "x:" + name, Type: o.ScaleOut.Type, Zone: o.ScaleOut.Zone,
+				Spot: o.ScaleOut.Spot, Stage: wire.MachineBooting,
+			}, rentedAt: c.w.now, tasks: map[string]*fakeTask{}, images: map[string]bool{}}
 			c.machines = append(c.machines, m)
 			c.byName[name] = m
 			out.MachineNames = append(out.MachineNames, name)
@@ -459,7 +494,9 @@
 		}
 	case "list":
 		for _, m := range c.machines {
-			if m.machine.Name > o.AfterMachine && (!m.gone || m.failed || c.w.now-m.goneAt < 5*time.Second) && c.w.now-m.rentedAt > 3*time.Second && !m.returned {
+			if m.machine.Name > o.AfterMachine && (!m.gone || m.failed || c.w.now-m.goneAt < 5*time.Second) &&
+				c.w.now-m.rentedAt > 3*time.Second &&
+				!m.returned {
 				if len(out.Machines) == cloudPageSize {
 					out.More = true
 					break
@@ -604,15 +641,26 @@
 
 func (m *fakeWorker) nextHeartbeat() *wire.Heartbeat {
 	m.seq++
-	r := &wire.Heartbeat{Machine: m.machine.Name, Addr: m.machine.Addr, Type: m.machine.Type, Zone: m.machine.Zone, Spot: m.machine.Spot, Incarnation: m.incarnation,
-		Sequence: m.seq, FencingToken: m.fencingToken}
+	r := &wire.Heartbeat{
+		Machine:      m.machine.Name,
+		Addr:         m.machine.Addr,
+		Type:         m.machine.Type,
+		Zone:         m.machine.Zone,
+		Spot:         m.machine.Spot,
+		Incarnation:  m.incarnation,
+		Sequence:     m.seq,
+		FencingToken: m.fencingToken,
+	}
 	if m.interruptionAt > 0 {
 		s := (m.interruptionAt - m.w.now).Seconds()
 		r.InterruptionNoticeS = &s
 	}
 	for _, k := range m.taskKeys() {
 		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(t.job, t.task), Attempt: t.attempt, Stage: t.stage, Cause: t.cause})
+		r.Tasks = append(
+			r.Tasks,
+			wire.TaskStatus{Task: wire.TaskName(t.job, t.task), Attempt: t.attempt, Stage: t.stage, Cause: t.cause},
+		)
 	}
 	return r
 }
--- a/internal/sim/overlapping_faults.go
+++ b/internal/sim/overlapping_faults.go
@@ -10,8 +10,8 @@
 	"dewlift/wire"
 )
 
-// Troubles that meet: most rules that were broken on real machines broke when a second trouble came while the first lasted, so worlds of this
-// kind have nothing but pairs.
+// Troubles that meet: most rules that were broken on real machines broke when a second trouble came
+// while the first lasted, so worlds of this kind have nothing but pairs.
 
 // overlapFreeTail is how long before its end a world has no new meeting, and meetLast by when the last of them is over.
 const (
@@ -44,12 +44,33 @@
 
 // faultsByName are all of them by name.
 func (w *Simulator) faultsByName() map[string]func() {
-	return map[string]func(){"refused, then all": w.refuseThenOutage, "cut with users": w.isolateFromStoreAndPeers, "late writes": w.delayCommits, "late reports": w.replayHeartbeats,
-		"deaf": w.blockInbound, "all end": w.crashAll, "leader ends": w.crashLeader, "hang": w.hangMachines, "reads hang": w.stallWatch, "still": w.pauseController,
-		"slow": w.slowStore, "held orders": w.delayCommands, "answers lost": w.loseCommitResponses, "reports for the next": w.replayHeartbeatsToNextLeader, "mute": w.blockOutbound,
-		"cancelled at once": w.cancelBurst, "cancelled at the end": w.cancelAsJobsEnd, "odd requests": w.sendInvalidRequests, "close looks": w.pollEagerlyForAWhile,
-		"up at once": w.replaceMachinesFast, "zone cut off": w.isolateZone, "all away": w.crashAllPastLease, "ten leaders": w.crashTenLeaders, "zone loses machines": w.failZoneMachines,
-		"handed over": w.failoverThenCancel}
+	return map[string]func(){
+		"refused, then all":    w.refuseThenOutage,
+		"cut with users":       w.isolateFromStoreAndPeers,
+		"late writes":          w.delayCommits,
+		"late reports":         w.replayHeartbeats,
+		"deaf":                 w.blockInbound,
+		"all end":              w.crashAll,
+		"leader ends":          w.crashLeader,
+		"hang":                 w.hangMachines,
+		"reads hang":           w.stallWatch,
+		"still":                w.pauseController,
+		"slow":                 w.slowStore,
+		"held orders":          w.delayCommands,
+		"answers lost":         w.loseCommitResponses,
+		"reports for the next": w.replayHeartbeatsToNextLeader,
+		"mute":                 w.blockOutbound,
+		"cancelled at once":    w.cancelBurst,
+		"cancelled at the end": w.cancelAsJobsEnd,
+		"odd requests":         w.sendInvalidRequests,
+		"close looks":          w.pollEagerlyForAWhile,
+		"up at once":           w.replaceMachinesFast,
+		"zone cut off":         w.isolateZone,
+		"all away":             w.crashAllPastLease,
+		"ten leaders":          w.crashTenLeaders,
+		"zone loses machines":  w.failZoneMachines,
+		"handed over":          w.failoverThenCancel,
+	}
 }
 
 // leaderNode is the controller that holds the leadership.
@@ -74,7 +95,8 @@
 	return w.nodes[w.rng.IntN(len(w.nodes))]
 }
 
-// refuseThenOutage has the state service refuse one or two controllers, and then be down for all for longer than a cancellation may take.
+// refuseThenOutage has the state service refuse one or two controllers, and then be down for all
+// for longer than a cancellation may take.
 func (w *Simulator) refuseThenOutage() {
 	for range 1 + w.rng.IntN(2) {
 		n := w.randomNode()
@@ -88,7 +110,8 @@
 	})
 }
 
-// isolateFromStoreAndPeers cuts a controller off from the state service and the others, while its workers and users reach it.
+// isolateFromStoreAndPeers cuts a controller off from the state service and the others, while its
+// workers and users reach it.
 func (w *Simulator) isolateFromStoreAndPeers() {
 	n, d := w.randomNode(), w.randomDuration(5*time.Second, w.options.CancelTimeout+30*time.Second)
 	w.Trace("%v %s cut from state and controllers %v", w.now, n.name, d)
@@ -107,7 +130,8 @@
 	}
 }
 
-// replayHeartbeats has copies of a part of the workers' reports come again, up to well over a lease later, at any controller.
+// replayHeartbeats has copies of a part of the workers' reports come again, up to well over a lease
+// later, at any controller.
 func (w *Simulator) replayHeartbeats() {
 	w.Trace("%v late reports", w.now)
 	till, share := w.now+w.randomDuration(10*time.Second, 30*time.Second), 0.1+0.6*w.rng.Float64()
@@ -220,7 +244,8 @@
 	}
 }
 
-// replayHeartbeatsToNextLeader keeps copies of reports until another controller leads or the same one anew, and then has them arrive everywhere.
+// replayHeartbeatsToNextLeader keeps copies of reports until another controller leads or the same
+// one anew, and then has them arrive everywhere.
 func (w *Simulator) replayHeartbeatsToNextLeader() {
 	w.Trace("%v reports are kept for the next leader", w.now)
 	till := w.now + w.randomDuration(5*time.Second, 60*time.Second)
@@ -348,7 +373,8 @@
 	d := w.randomDuration(w.options.WorkerLease, w.options.WorkerLease+20*time.Second)
 	first := w.rng.IntN(len(w.nodes))
 	w.Trace("%v all are away %v, %s is back first", w.now, d, w.nodes[first].name)
-	for _, m := range w.cloud.machines { // nobody is there to return one that hangs on: it goes on, and its lease has ended by then
+	// nobody is there to return one that hangs on: it goes on, and its lease has ended by then
+	for _, m := range w.cloud.machines {
 		m.hungUntil = min(m.hungUntil, w.now+w.options.WorkerLease)
 	}
 	for i, n := range w.nodes {
@@ -364,7 +390,10 @@
 func (w *Simulator) crashTenLeaders() {
 	w.Trace("%v ten leaders", w.now)
 	if w.chance(0.5) {
-		w.schedule(w.randomDuration(0, 60*time.Second), func() { w.store.startOutage(w.randomDuration(5*time.Second, 40*time.Second)) })
+		w.schedule(
+			w.randomDuration(0, 60*time.Second),
+			func() { w.store.startOutage(w.randomDuration(5*time.Second, 40*time.Second)) },
+		)
 	}
 	for i := range 10 {
 		w.schedule(time.Duration(i)*11500*time.Millisecond, func() {
@@ -386,7 +415,8 @@
 	}
 }
 
-// failoverThenCancel has one controller's shards change hands by its lease, while its process goes on, and users cancel what it had.
+// failoverThenCancel has one controller's shards change hands by its lease, while its process goes
+// on, and users cancel what it had.
 func (w *Simulator) failoverThenCancel() {
 	n := w.randomNode()
 	w.Trace("%v %s hands over", w.now, n.name)
@@ -398,8 +428,17 @@
 
 // OverlappingFaultOptions are the options of the world of a seed in which troubles meet.
 func OverlappingFaultOptions(seed uint64) Options {
-	o := Options{Seed: seed, Duration: 480 * time.Second, Jobs: 60, MaxTasksPerJob: 6, OverlappingFaults: true, Controllers: []int{3, 5}[seed%2], BatchValues: seed%3 == 0, Archive: seed%4 == 0,
-		Pipelines: int(seed % 3)}
+	o := Options{
+		Seed:              seed,
+		Duration:          480 * time.Second,
+		Jobs:              60,
+		MaxTasksPerJob:    6,
+		OverlappingFaults: true,
+		Controllers:       []int{3, 5}[seed%2],
+		BatchValues:       seed%3 == 0,
+		Archive:           seed%4 == 0,
+		Pipelines:         int(seed % 3),
+	}
 	if seed%7 == 0 { // within an upgrade: nobody asks for anything new yet
 		o.MixedVersions, o.Pipelines = true, 0
 	}
--- a/internal/sim/permissions.go
+++ b/internal/sim/permissions.go
@@ -58,12 +58,15 @@
 	all := []string{access.AnyGroup}
 	a := &pb.Access{Roles: []*pb.Role{
 		{Name: "all", Grants: []*pb.Grant{{Verbs: verbs, Teams: all, Classes: all, UpTo: wire.PriorityName(0)}}},
-		{Name: "admin", Grants: []*pb.Grant{{Verbs: []pb.Verb{pb.Verb_administer, pb.Verb_audit, pb.Verb_equip}}}}}}
+		{Name: "admin", Grants: []*pb.Grant{{Verbs: []pb.Verb{pb.Verb_administer, pb.Verb_audit, pb.Verb_equip}}}},
+	}}
 	add := func(who string, roles ...string) {
 		public := make([]byte, 32)
 		copy(public, who)
-		a.Identities = append(a.Identities, &pb.Identity{Name: who, Roles: roles,
-			Keys: []*pb.PublicKey{{Id: credentialOf(who).KeyID, Ed25519: base64.StdEncoding.EncodeToString(public)}}})
+		a.Identities = append(a.Identities, &pb.Identity{
+			Name: who, Roles: roles,
+			Keys: []*pb.PublicKey{{Id: credentialOf(who).KeyID, Ed25519: base64.StdEncoding.EncodeToString(public)}},
+		})
 	}
 	add(rootUser, "all", "admin")
 	for i := range userCount {
--- a/internal/sim/queue_order.go
+++ b/internal/sim/queue_order.go
@@ -13,7 +13,8 @@
 	"dewlift/wire"
 )
 
-// queueOrderChecker is what the state service's own order of acceptances says of jobs, by their records. It is kept apart from what controllers think.
+// queueOrderChecker is what the state service's own order of acceptances says of jobs, by their
+// records. It is kept apart from what controllers think.
 type queueOrderChecker struct {
 	w          *Simulator
 	classes    *priorityclass.List
@@ -33,17 +34,20 @@
 
 const (
 	crashSettleTime = 12 * time.Second // after a controller ended
-	// apart is by how much two jobs' acceptances must differ: controllers compare what waits longest by 3 s, as they hear of each other twice a second.
+	// apart is by how much two jobs' acceptances must differ: controllers compare what waits
+	// longest by 3 s, as they hear of each other twice a second.
 	minAcceptGap = 5 * time.Second
 )
 
-// maxOvertakeDelay is for how long a job may be passed by a later one of its lane and shape: a controller that ended is replaced meanwhile, and
-// its shards are taken over, read and written.
+// maxOvertakeDelay is for how long a job may be passed by a later one of its lane and shape: a
+// controller that ended is replaced meanwhile, and its shards are taken over, read and written.
 const maxOvertakeDelay = 75 * time.Second
 
 func newQueueOrderChecker(w *Simulator) *queueOrderChecker {
-	list, err := priorityclass.Parse([]byte(`lanes { name: "first" priorities: "critical" priorities: "high" share_percent: 20 }
-		lanes { name: "second" priorities: "standard" } lanes { name: "rest" rise_after_s: 60 }`))
+	list, err := priorityclass.Parse(
+		[]byte(`lanes { name: "first" priorities: "critical" priorities: "high" share_percent: 20 }
+		lanes { name: "second" priorities: "standard" } lanes { name: "rest" rise_after_s: 60 }`),
+	)
 	if err != nil {
 		panic(err)
 	}
@@ -94,31 +98,55 @@
 		a := o.jobs[id]
 		for _, other := range ids {
 			b := o.jobs[other]
-			if o.crashedShortlyBefore(b.startedAt) || a.priorityClass != b.priorityClass || a.enqueueRevision >= b.enqueueRevision || b.acceptedAt < a.acceptedAt+minAcceptGap || b.startedAt == 0 || b.startedAt < a.acceptedAt || !sameShape(&a.spec, &b.spec) || a.ended && a.startedAt == 0 {
+			if o.crashedShortlyBefore(b.startedAt) || a.priorityClass != b.priorityClass ||
+				a.enqueueRevision >= b.enqueueRevision ||
+				b.acceptedAt < a.acceptedAt+minAcceptGap ||
+				b.startedAt == 0 ||
+				b.startedAt < a.acceptedAt ||
+				!sameShape(&a.spec, &b.spec) ||
+				a.ended && a.startedAt == 0 {
 				continue
 			}
-			if began := a.startedAt; began == 0 && o.w.now-b.startedAt > maxOvertakeDelay || began != 0 && began-b.startedAt > maxOvertakeDelay {
-				o.w.Checker.violated("jumped", "%s (%d) began at %v, %s (%d) before it in lane %q at %v", other, b.enqueueRevision, b.startedAt, id, a.enqueueRevision, a.priorityClass, began)
+			if began := a.startedAt; began == 0 && o.w.now-b.startedAt > maxOvertakeDelay ||
+				began != 0 && began-b.startedAt > maxOvertakeDelay {
+				o.w.Checker.violated(
+					"jumped",
+					"%s (%d) began at %v, %s (%d) before it in lane %q at %v",
+					other,
+					b.enqueueRevision,
+					b.startedAt,
+					id,
+					a.enqueueRevision,
+					a.priorityClass,
+					began,
+				)
 			}
 		}
 	}
 }
 
-// crashedShortlyBefore reports whether a controller had ended shortly before: one that starts knows neither the array nor what waits at the others, and
-// chooses machines at random, as the paper has it.
+// crashedShortlyBefore reports whether a controller had ended shortly before: one that starts knows
+// neither the array nor what waits at the others, and chooses machines at random, as the paper has
+// it.
 func (o *queueOrderChecker) crashedShortlyBefore(at time.Duration) bool {
 	return slices.ContainsFunc(o.crashTimes, func(t time.Duration) bool { return t <= at && at < t+crashSettleTime })
 }
 
 // sameShape reports whether two jobs could use the same room.
 func sameShape(a, b *wire.JobSpec) bool {
-	return a.Request == b.Request && a.Spot == b.Spot && a.Service == b.Service && a.Team == b.Team && a.Priority == b.Priority
+	return a.Request == b.Request && a.Spot == b.Spot && a.Service == b.Service && a.Team == b.Team &&
+		a.Priority == b.Priority
 }
 
 // uniformJob is one of a few shapes, so that many wait for the same room.
 func (w *Simulator) uniformJob() wire.JobSpec {
-	return wire.JobSpec{ID: fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)), Class: "c", Team: "t0", Priority: w.rng.IntN(4), Tasks: 1 + w.rng.IntN(3),
-		Request: [3]int64{3000, 0, 2000}, Image: "i0", EstimatedRuntimeMS: 10000}
+	return wire.JobSpec{
+		ID: fmt.Sprintf(
+			"wk-%06d",
+			w.rng.IntN(1_000_000),
+		), Class: "c", Team: "t0", Priority: w.rng.IntN(4), Tasks: 1 + w.rng.IntN(3),
+		Request: [3]int64{3000, 0, 2000}, Image: "i0", EstimatedRuntimeMS: 10000,
+	}
 }
 
 // scheduleCrashes ends controllers, one or all, at any moment.
