--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -17,8 +17,9 @@
 	"dewlift/wire"
 )
 
-// reservationChecker are the equipment of a world, what its users were told, and what is stored. What is stored is checked after each write, by
-// code of its own that looks at every pair of bookings.
+// reservationChecker are the equipment of a world, what its users were told, and what is stored.
+// What is stored is checked after each write, by code of its own that looks at every pair of
+// bookings.
 type reservationChecker struct {
 	w                *Simulator
 	site             *booking.Inventory
@@ -53,12 +54,23 @@
 }
 
 func newReservationChecker(w *Simulator) *reservationChecker {
-	return &reservationChecker{w: w, site: parseEquipment(""), lastStored: map[string]*pb.Booking{}, views: map[string]reservationView{}, requested: map[string][][]string{}, endRequested: map[string]bool{}, stateCounts: map[string]int{}}
+	return &reservationChecker{
+		w:            w,
+		site:         parseEquipment(""),
+		lastStored:   map[string]*pb.Booking{},
+		views:        map[string]reservationView{},
+		requested:    map[string][][]string{},
+		endRequested: map[string]bool{},
+		stateCounts:  map[string]int{},
+	}
 }
 
 // writesReservations reports whether a transaction writes bookings.
 func writesReservations(t wire.Txn) bool {
-	return slices.ContainsFunc(t.Then, func(x wire.Write) bool { return strings.HasPrefix(x.Put+x.Delete, reservations.Prefix) })
+	return slices.ContainsFunc(
+		t.Then,
+		func(x wire.Write) bool { return strings.HasPrefix(x.Put+x.Delete, reservations.Prefix) },
+	)
 }
 
 func occupiesSlots(b *pb.Booking) bool {
@@ -72,7 +84,8 @@
 	k.archived = 0
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		past := strings.HasPrefix(key, reservations.ArchivePrefix)
-		if !past && (!strings.HasPrefix(key, reservations.Prefix) || key == reservations.KeyInventory || key == reservations.Prefix+"past") {
+		if !past &&
+			(!strings.HasPrefix(key, reservations.Prefix) || key == reservations.KeyInventory || key == reservations.Prefix+"past") {
 			continue
 		}
 		if !past {
@@ -133,8 +146,8 @@
 			}
 		}
 	}
-	// In the order in which it was decided: nobody got something while one that came before waited for what it could have, nor does one wait
-	// so now.
+	// In the order in which it was decided: nobody got something while one that came before waited
+	// for what it could have, nor does one wait so now.
 	slices.SortFunc(changed, func(a, b *pb.Booking) int { return cmp.Compare(a.Change, b.Change) })
 	for _, id := range ids {
 		b, o := now[id], was[id]
@@ -143,7 +156,9 @@
 		}
 		at := maps.Clone(was)
 		for _, g := range changed {
-			if later := g.Rank > b.Rank || g.Rank == b.Rank && g.Made > b.Made; later && occupiesSlots(g) && !occupiesSlots(was[g.Id]) && k.couldReserve(at, b) {
+			if later := g.Rank > b.Rank || g.Rank == b.Rank && g.Made > b.Made; later && occupiesSlots(g) &&
+				!occupiesSlots(was[g.Id]) &&
+				k.couldReserve(at, b) {
 				broken("overtaken", "%v could have what it waits for when %v got its slots", b, g)
 			}
 			at[g.Id] = g
@@ -188,7 +203,12 @@
 			continue
 		}
 		for u := uint32(1); u <= max(1, p.Units); u++ {
-			x := &pb.Slot{Piece: p.Name, Unit: u, From: w.From, Clear: w.From + int64(w.Slots*p.SlotMinutes+p.CoolMinutes)*60}
+			x := &pb.Slot{
+				Piece: p.Name,
+				Unit:  u,
+				From:  w.From,
+				Clear: w.From + int64(w.Slots*p.SlotMinutes+p.CoolMinutes)*60,
+			}
 			free := true
 			for _, o := range others {
 				free = free && !(occupiesSlots(o) && k.overlap(&pb.Booking{Slots: []*pb.Slot{x}}, o))
@@ -235,7 +255,11 @@
 }
 
 // requestUntilDecided sends a request about a booking until an answer decides it.
-func (k *reservationChecker) requestUntilDecided(id string, in func(req uint64) core.Input, then func(r core.Response, b *wire.Reservation)) {
+func (k *reservationChecker) requestUntilDecided(
+	id string,
+	in func(req uint64) core.Input,
+	then func(r core.Response, b *wire.Reservation),
+) {
 	w := k.w
 	began := w.now
 	by := func(req uint64) core.Input {
@@ -261,7 +285,10 @@
 				return
 			}
 		}
-		w.schedule(w.randomDuration(300*time.Millisecond, 2*time.Second), func() { k.requestUntilDecided(id, in, then) })
+		w.schedule(
+			w.randomDuration(300*time.Millisecond, 2*time.Second),
+			func() { k.requestUntilDecided(id, in, then) },
+		)
 	})
 }
 
@@ -308,17 +335,27 @@
 	k.requested[id] = append(k.requested[id], has)
 }
 
-// scheduleReservationUsers are users who book the same few hours of the same few pieces, repeat themselves, move, confirm, end and ask.
+// scheduleReservationUsers are users who book the same few hours of the same few pieces, repeat
+// themselves, move, confirm, end and ask.
 func (w *Simulator) scheduleReservationUsers() {
 	k := w.reservations
 	for i := range w.options.ReservationUsers {
-		w.schedule(w.randomDuration(2*time.Second, w.options.Duration*3/4), func() { k.runReservationUser(fmt.Sprintf("b%03d", i)) })
+		w.schedule(
+			w.randomDuration(2*time.Second, w.options.Duration*3/4),
+			func() { k.runReservationUser(fmt.Sprintf("b%03d", i)) },
+		)
 	}
 	for i := range w.options.ReservationUsers / 2 {
-		w.schedule(w.randomDuration(2*time.Second, w.options.Duration*3/4), func() { k.runSingleSlotUser(fmt.Sprintf("s%03d", i)) })
+		w.schedule(
+			w.randomDuration(2*time.Second, w.options.Duration*3/4),
+			func() { k.runSingleSlotUser(fmt.Sprintf("s%03d", i)) },
+		)
 	}
 	if w.options.ReservationUsers > 20 { // the list is changed in the middle: a kiln is out of order, and back
-		w.schedule(w.options.Duration/3, func() { k.changeEquipment(` pieces { name: "spare" kind: "kiln" slot_minutes: 60 out: 1 }`, false) })
+		w.schedule(
+			w.options.Duration/3,
+			func() { k.changeEquipment(` pieces { name: "spare" kind: "kiln" slot_minutes: 60 out: 1 }`, false) },
+		)
 		w.schedule(w.options.Duration/2, func() { k.changeEquipment("", true) })
 	}
 }
@@ -327,7 +364,10 @@
 	text := parseEquipment(more).Source().String()
 	k.equipmentChanged = k.equipmentChanged || end
 	k.requestUntilDecided("", func(req uint64) core.Input {
-		return core.SetEquipment{RequestID: req, Edit: wire.EquipmentEdit{Text: text, EndDisplaced: end, Reason: "the kiln is out of order"}}
+		return core.SetEquipment{
+			RequestID: req,
+			Edit:      wire.EquipmentEdit{Text: text, EndDisplaced: end, Reason: "the kiln is out of order"},
+		}
 	}, func(r core.Response, _ *wire.Reservation) {
 		if r.Status != 200 && r.Status != 409 {
 			k.w.Checker.violated("booking", "a list of equipment got %d: %v", r.Status, r.Body)
@@ -344,21 +384,33 @@
 	a.Priority = wire.PriorityName(w.rng.IntN(3))
 	k.noteRequested(id, a.Slots)
 	send := func(verb booking.Verb, a wire.ReservationRequest, then func(r core.Response, b *wire.Reservation)) {
-		k.requestUntilDecided(id, func(req uint64) core.Input { return core.ReserveEquipment{RequestID: req, Verb: verb, Request: a} }, then)
+		k.requestUntilDecided(
+			id,
+			func(req uint64) core.Input { return core.ReserveEquipment{RequestID: req, Verb: verb, Request: a} },
+			then,
+		)
 	}
 	var life func()
 	life = func() {
 		w.schedule(w.randomDuration(500*time.Millisecond, 12*time.Second), func() {
 			switch w.rng.IntN(6) {
 			case 0:
-				send(booking.VerbConfirm, wire.ReservationRequest{ID: id}, func(core.Response, *wire.Reservation) { life() })
+				send(
+					booking.VerbConfirm,
+					wire.ReservationRequest{ID: id},
+					func(core.Response, *wire.Reservation) { life() },
+				)
 			case 1:
 				next := wire.ReservationRequest{ID: id, Slots: k.randomWants()}
 				k.noteRequested(id, next.Slots)
 				send(booking.VerbMove, next, func(core.Response, *wire.Reservation) { life() })
 			case 2:
 				k.endRequested[id] = true
-				send(booking.VerbEnd, wire.ReservationRequest{ID: id, Reason: "done with it"}, func(core.Response, *wire.Reservation) { life() })
+				send(
+					booking.VerbEnd,
+					wire.ReservationRequest{ID: id, Reason: "done with it"},
+					func(core.Response, *wire.Reservation) { life() },
+				)
 			case 3: // a repeat
 				send(booking.VerbCreate, a, func(core.Response, *wire.Reservation) { life() })
 			default:
@@ -380,7 +432,8 @@
 	})
 }
 
-// slotOperation is an operation on one slot of one unit, for the check that there is an order of all operations that explains all answers.
+// slotOperation is an operation on one slot of one unit, for the check that there is an order of
+// all operations that explains all answers.
 type slotOperation struct {
 	slot, id string
 	end      bool
@@ -400,12 +453,25 @@
 			if b != nil {
 				out = b.State
 			}
-			k.history = append(k.history, porcupine.Operation{ClientId: client, Input: slotOperation{slot, id, end}, Call: int64(call), Output: out, Return: int64(w.now)})
+			k.history = append(
+				k.history,
+				porcupine.Operation{
+					ClientId: client,
+					Input:    slotOperation{slot, id, end},
+					Call:     int64(call),
+					Output:   out,
+					Return:   int64(w.now),
+				},
+			)
 			then()
 		})
 	}
 	make := func(req uint64) core.Input {
-		return core.ReserveEquipment{RequestID: req, Verb: booking.VerbCreate, Request: wire.ReservationRequest{ID: id, Slots: []wire.SlotRequest{{Equipment: "k1", From: slot}}}}
+		return core.ReserveEquipment{
+			RequestID: req,
+			Verb:      booking.VerbCreate,
+			Request:   wire.ReservationRequest{ID: id, Slots: []wire.SlotRequest{{Equipment: "k1", From: slot}}},
+		}
 	}
 	end := func(req uint64) core.Input {
 		k.endRequested[id] = true
@@ -413,7 +479,11 @@
 	}
 	op(false, make, func() {
 		w.schedule(w.randomDuration(time.Second, 10*time.Second), func() {
-			op(true, end, func() { w.schedule(w.randomDuration(0, 5*time.Second), func() { op(false, make, func() {}) }) })
+			op(
+				true,
+				end,
+				func() { w.schedule(w.randomDuration(0, 5*time.Second), func() { op(false, make, func() {}) }) },
+			)
 		})
 	})
 }
--- a/internal/sim/reservations_test.go
+++ b/internal/sim/reservations_test.go
@@ -12,8 +12,9 @@
 	pb "dewlift/proto"
 )
 
-// Users book the same few hours while controllers end in the middle of a write, writes are executed late, the state service is out of
-// reach, the list of equipment changes and a new version replaces the old one.
+// Users book the same few hours while controllers end in the middle of a write, writes are executed
+// late, the state service is out of reach, the list of equipment changes and a new version replaces
+// the old one.
 func TestInvariantsHoldForReservations(t *testing.T) {
 	seeds := []uint64{212, 88, 15, 12} // found a block that was read before a move
 	for seed := uint64(1); seed <= 16; seed++ {
@@ -22,10 +23,20 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{Seed: seed, Duration: 180 * time.Second, Jobs: 8, MaxTasksPerJob: 4, ReservationUsers: 60, Controllers: []int{3, 5}[seed%2], NoFaults: seed%10 == 0, RollingUpgrade: seed%5 == 1}
+			o := Options{
+				Seed:             seed,
+				Duration:         180 * time.Second,
+				Jobs:             8,
+				MaxTasksPerJob:   4,
+				ReservationUsers: 60,
+				Controllers:      []int{3, 5}[seed%2],
+				NoFaults:         seed%10 == 0,
+				RollingUpgrade:   seed%5 == 1,
+			}
 			w := runSimulation(t, o)
 			k := w.reservations
-			if k.stateCounts["confirmed"] < 5 || k.stateCounts["ended"] < 5 || seed%5 != 1 && (k.stateCounts["waiting"] == 0 || k.stateCounts["held"] == 0) {
+			if k.stateCounts["confirmed"] < 5 || k.stateCounts["ended"] < 5 ||
+				seed%5 != 1 && (k.stateCounts["waiting"] == 0 || k.stateCounts["held"] == 0) {
 				t.Errorf("bookings came to %v", k.stateCounts)
 			}
 			if got := k.CheckLinearizable(); got == porcupine.Illegal || len(k.history) < 20 {
@@ -34,7 +45,14 @@
 			if seed%5 != 1 && (k.pageMerges == 0 || k.archived < 10) {
 				t.Errorf("%d values, merged %d times, %d bookings in blocks", k.pages, k.pageMerges, k.archived)
 			}
-			t.Logf("bookings came to %v, %d operations, %d values, merged %d times, %d in blocks", k.stateCounts, len(k.history), k.pages, k.pageMerges, k.archived)
+			t.Logf(
+				"bookings came to %v, %d operations, %d values, merged %d times, %d in blocks",
+				k.stateCounts,
+				len(k.history),
+				k.pages,
+				k.pageMerges,
+				k.archived,
+			)
 		})
 	}
 }
@@ -44,7 +62,18 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, Options{Seed: seed, Duration: 180 * time.Second, Jobs: 8, MaxTasksPerJob: 4, ReservationUsers: 40, Permissions: true, AuditLog: true})
+			w := runSimulation(
+				t,
+				Options{
+					Seed:             seed,
+					Duration:         180 * time.Second,
+					Jobs:             8,
+					MaxTasksPerJob:   4,
+					ReservationUsers: 40,
+					Permissions:      true,
+					AuditLog:         true,
+				},
+			)
 			for _, verb := range []string{"book", "move booking", "end booking", "change equipment"} {
 				if w.auditChecker.verbCounts[verb] == 0 {
 					t.Errorf("no %s in the record: %v", verb, w.auditChecker.verbCounts)
@@ -63,17 +92,32 @@
 	one := func(id string, change uint64, state pb.BookingState, slots ...*pb.Slot) *pb.Booking {
 		return &pb.Booking{Id: id, Change: change, Made: change, State: state, Slots: slots}
 	}
-	wait := &pb.Booking{Id: "w", Change: 1, Made: 1, State: pb.BookingState_waiting, Wants: []*pb.Want{{Piece: "k1", From: later, Slots: 1}}}
+	wait := &pb.Booking{
+		Id:     "w",
+		Change: 1,
+		Made:   1,
+		State:  pb.BookingState_waiting,
+		Wants:  []*pb.Want{{Piece: "k1", From: later, Slots: 1}},
+	}
 	type state = map[string]*pb.Booking
 	a := one("a", 2, pb.BookingState_confirmed, slot("k1", later))
 	for rule, x := range map[string]struct{ was, now state }{
-		"double_booked":      {state{}, state{"a": a, "b": one("b", 3, pb.BookingState_held, slot("k1", later+3600))}}, // it still cools
-		"booking_lost":       {state{"a": a}, state{}},
-		"booking_back":       {state{"a": one("a", 2, pb.BookingState_ended)}, state{"a": one("a", 3, pb.BookingState_held, slot("k1", later))}},
+		"double_booked": {
+			state{},
+			state{"a": a, "b": one("b", 3, pb.BookingState_held, slot("k1", later+3600))},
+		}, // it still cools
+		"booking_lost": {state{"a": a}, state{}},
+		"booking_back": {
+			state{"a": one("a", 2, pb.BookingState_ended)},
+			state{"a": one("a", 3, pb.BookingState_held, slot("k1", later))},
+		},
 		"booking_back: a wa": {state{"a": a}, state{"a": one("a", 3, pb.BookingState_ended)}},
-		"half_booked":        {state{}, state{"a": one("a", 3, pb.BookingState_confirmed, slot("k1", later), slot("r", later))}},
-		"overtaken":          {state{"w": wait}, state{"w": wait, "a": a}},
-		"overtaken: ":        {state{"w": wait, "a": a}, state{"w": wait, "a": one("a", 3, pb.BookingState_ended)}},
+		"half_booked": {
+			state{},
+			state{"a": one("a", 3, pb.BookingState_confirmed, slot("k1", later), slot("r", later))},
+		},
+		"overtaken":   {state{"w": wait}, state{"w": wait, "a": a}},
+		"overtaken: ": {state{"w": wait, "a": a}, state{"w": wait, "a": one("a", 3, pb.BookingState_ended)}},
 	} {
 		w := New(Options{Seed: 1})
 		k := w.reservations
--- a/internal/sim/rolling_upgrade.go
+++ b/internal/sim/rolling_upgrade.go
@@ -79,7 +79,14 @@
 		}
 		seen, ok, err := previousversion.RoundTripValue(x.Put, x.Value)
 		if err != nil || ok && !sameJSON(seen, x.Value) {
-			w.Checker.violated("forms", "%s writes %s while an old process may run: %s (%v)", n.name, x.Put, x.Value, err)
+			w.Checker.violated(
+				"forms",
+				"%s writes %s while an old process may run: %s (%v)",
+				n.name,
+				x.Put,
+				x.Value,
+				err,
+			)
 		}
 	}
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -76,14 +76,24 @@
 	}
 }
 
-// Controllers that end around a write, or five times within three seconds, are back within a second, before their former life's lease, streams and
-// transactions have ended; copies of what they sent and wrote come late. Then all is calm: nothing may be forgotten, and all are served.
+// Controllers that end around a write, or five times within three seconds, are back within a
+// second, before their former life's lease, streams and transactions have ended; copies of what
+// they sent and wrote come late. Then all is calm: nothing may be forgotten, and all are served.
 func TestInvariantsHoldWhenProcessesFlap(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{Seed: seed, Duration: 420 * time.Second, Jobs: 40, MaxTasksPerJob: 6, FlappingProcesses: true, Controllers: []int{3, 5}[seed%2], BatchValues: seed%3 == 0,
-				Archive: seed%4 == 0, Pipelines: int(seed % 3)}
+			o := Options{
+				Seed:              seed,
+				Duration:          420 * time.Second,
+				Jobs:              40,
+				MaxTasksPerJob:    6,
+				FlappingProcesses: true,
+				Controllers:       []int{3, 5}[seed%2],
+				BatchValues:       seed%3 == 0,
+				Archive:           seed%4 == 0,
+				Pipelines:         int(seed % 3),
+			}
 			w := runSimulation(t, o)
 			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
@@ -109,62 +119,134 @@
 		pair []string
 		opt  func(o *Options)
 	}{
-		"slow, then refused, then down for all":        {pair: []string{"slow", "refused, then all"}},
-		"small jobs end far apart as the leader does":  {[]string{"leader ends", "late reports"}, func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true }},
-		"far apart, and machines that hang":            {[]string{"leader ends", "hang", "all end"}, func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true }},
-		"handed over and back":                         {[]string{"all end", "leader ends"}, func(o *Options) { o.Controllers = 3 }},
-		"handed over and back, with late writes":       {[]string{"all end", "late writes"}, nil},
-		"late writes of ended controllers":             {[]string{"late writes", "leader ends"}, nil},
-		"late writes with rights and a record":         {[]string{"late writes", "leader ends"}, func(o *Options) { o.Permissions, o.AuditLog, o.BatchValues = true, true, false }},
-		"late writes of bookings":                      {[]string{"late writes", "all end"}, func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 }},
-		"old reports of earlier sessions":              {[]string{"late reports", "deaf"}, nil},
-		"old reports at controllers that have ended":   {[]string{"late reports", "all end"}, nil},
-		"the leader ends and machines are deaf":        {[]string{"leader ends", "deaf"}, func(o *Options) { o.LongTasks = true }},
-		"the leader ends and machines hang":            {[]string{"leader ends", "hang"}, func(o *Options) { o.LongTasks = true }},
+		"slow, then refused, then down for all": {pair: []string{"slow", "refused, then all"}},
+		"small jobs end far apart as the leader does": {
+			[]string{"leader ends", "late reports"},
+			func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true },
+		},
+		"far apart, and machines that hang": {
+			[]string{"leader ends", "hang", "all end"},
+			func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true },
+		},
+		"handed over and back": {
+			[]string{"all end", "leader ends"},
+			func(o *Options) { o.Controllers = 3 },
+		},
+		"handed over and back, with late writes": {[]string{"all end", "late writes"}, nil},
+		"late writes of ended controllers":       {[]string{"late writes", "leader ends"}, nil},
+		"late writes with rights and a record": {
+			[]string{"late writes", "leader ends"},
+			func(o *Options) { o.Permissions, o.AuditLog, o.BatchValues = true, true, false },
+		},
+		"late writes of bookings": {
+			[]string{"late writes", "all end"},
+			func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 },
+		},
+		"old reports of earlier sessions":            {[]string{"late reports", "deaf"}, nil},
+		"old reports at controllers that have ended": {[]string{"late reports", "all end"}, nil},
+		"the leader ends and machines are deaf": {
+			[]string{"leader ends", "deaf"},
+			func(o *Options) { o.LongTasks = true },
+		},
+		"the leader ends and machines hang": {
+			[]string{"leader ends", "hang"},
+			func(o *Options) { o.LongTasks = true },
+		},
 		"cut with its users, and another leads":        {[]string{"cut with users", "leader ends"}, nil},
 		"cut with its users, then down for all":        {[]string{"cut with users", "refused, then all"}, nil},
 		"held orders, and machines that hang":          {[]string{"held orders", "hang"}, nil},
 		"held orders, and the state service down":      {[]string{"held orders", "refused, then all"}, nil},
 		"a controller stands still, and another leads": {[]string{"still", "leader ends"}, nil},
 
-		"close looks":                                        {[]string{"close looks", "leader ends"}, nil},
-		"close looks, and slow answers":                      {[]string{"close looks", "slow"}, nil},
-		"close looks, and reads that hang":                   {[]string{"close looks", "reads hang"}, nil},
-		"close looks, with an archive":                       {[]string{"close looks", "answers lost"}, func(o *Options) { o.Archive, o.MaxTasksPerJob = true, 2 }},
-		"close looks, with rights":                           {[]string{"close looks", "answers lost"}, func(o *Options) { o.Permissions, o.BatchValues = true, false }},
-		"answers lost":                                       {[]string{"answers lost", "close looks"}, nil},
-		"answers lost, and the leader ends":                  {[]string{"answers lost", "leader ends"}, nil},
-		"answers lost of bookings":                           {[]string{"answers lost", "leader ends"}, func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 }},
-		"at the limit, cancelled, machines hang":             {[]string{"cancelled at once", "leader ends"}, func(o *Options) { o.QuotaLimited = true }},
-		"at the limit, cancelled, machines deaf":             {[]string{"cancelled at once", "deaf", "leader ends"}, func(o *Options) { o.QuotaLimited = true }},
-		"at the limit, cancelled, a zone cut off":            {[]string{"cancelled at once", "zone cut off", "leader ends"}, func(o *Options) { o.QuotaLimited = true }},
-		"cancelled in a handover":                            {[]string{"handed over", "cancelled at once"}, nil},
-		"cancelled in a handover, answers lost":              {[]string{"handed over", "answers lost"}, nil},
-		"up at once, late writes":                            {[]string{"up at once", "late writes", "leader ends"}, nil},
-		"up at once, answers lost":                           {[]string{"up at once", "answers lost", "leader ends"}, nil},
-		"old reports as a new leader begins":                 {[]string{"reports for the next", "leader ends"}, nil},
-		"old reports as a new leader begins, all end":        {[]string{"reports for the next", "all end"}, nil},
-		"a report is held back, machines hang":               {[]string{"reports for the next", "hang", "leader ends"}, func(o *Options) { o.LongTasks = true }},
-		"one-task jobs four a second":                        {[]string{"leader ends", "slow"}, func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 }},
-		"one-task jobs four a second, close looks":           {[]string{"close looks", "answers lost"}, func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 }},
-		"mute machines":                                      {[]string{"mute", "cancelled at once"}, nil},
-		"mute machines, and the leader ends":                 {[]string{"mute", "leader ends"}, func(o *Options) { o.LongTasks = true }},
-		"all away for longer than a lease":                   {[]string{"all away", "cancelled at once"}, nil},
-		"all away, and close looks":                          {[]string{"all away", "close looks"}, nil},
-		"ten leaders in two minutes":                         {[]string{"ten leaders", "cancelled at once"}, nil},
-		"ten leaders in two minutes, late writes":            {[]string{"ten leaders", "late writes"}, nil},
-		"a zone is cut off with its controller":              {[]string{"zone cut off", "cancelled at once"}, nil},
-		"a zone is cut off, and the leader ends":             {[]string{"zone cut off", "leader ends"}, nil},
-		"cancelled as the leader is refused, then an outage": {[]string{"cancelled at once", "refused, then all"}, nil},
-		"cancelled at the end of the last task":              {[]string{"cancelled at the end", "close looks"}, func(o *Options) { o.MaxTasksPerJob = 2 }},
-		"cancelled at the end, answers lost":                 {[]string{"cancelled at the end", "answers lost"}, func(o *Options) { o.MaxTasksPerJob = 2 }},
-		"odd requests":                                       {[]string{"odd requests", "close looks"}, nil},
-		"odd requests, and the leader ends":                  {[]string{"odd requests", "leader ends"}, nil},
+		"close looks":                      {[]string{"close looks", "leader ends"}, nil},
+		"close looks, and slow answers":    {[]string{"close looks", "slow"}, nil},
+		"close looks, and reads that hang": {[]string{"close looks", "reads hang"}, nil},
+		"close looks, with an archive": {
+			[]string{"close looks", "answers lost"},
+			func(o *Options) { o.Archive, o.MaxTasksPerJob = true, 2 },
+		},
+		"close looks, with rights": {
+			[]string{"close looks", "answers lost"},
+			func(o *Options) { o.Permissions, o.BatchValues = true, false },
+		},
+		"answers lost":                      {[]string{"answers lost", "close looks"}, nil},
+		"answers lost, and the leader ends": {[]string{"answers lost", "leader ends"}, nil},
+		"answers lost of bookings": {
+			[]string{"answers lost", "leader ends"},
+			func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 },
+		},
+		"at the limit, cancelled, machines hang": {
+			[]string{"cancelled at once", "leader ends"},
+			func(o *Options) { o.QuotaLimited = true },
+		},
+		"at the limit, cancelled, machines deaf": {
+			[]string{"cancelled at once", "deaf", "leader ends"},
+			func(o *Options) { o.QuotaLimited = true },
+		},
+		"at the limit, cancelled, a zone cut off": {
+			[]string{"cancelled at once", "zone cut off", "leader ends"},
+			func(o *Options) { o.QuotaLimited = true },
+		},
+		"cancelled in a handover":               {[]string{"handed over", "cancelled at once"}, nil},
+		"cancelled in a handover, answers lost": {[]string{"handed over", "answers lost"}, nil},
+		"up at once, late writes": {
+			[]string{"up at once", "late writes", "leader ends"},
+			nil,
+		},
+		"up at once, answers lost": {
+			[]string{"up at once", "answers lost", "leader ends"},
+			nil,
+		},
+		"old reports as a new leader begins":          {[]string{"reports for the next", "leader ends"}, nil},
+		"old reports as a new leader begins, all end": {[]string{"reports for the next", "all end"}, nil},
+		"a report is held back, machines hang": {
+			[]string{"reports for the next", "hang", "leader ends"},
+			func(o *Options) { o.LongTasks = true },
+		},
+		"one-task jobs four a second": {
+			[]string{"leader ends", "slow"},
+			func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 },
+		},
+		"one-task jobs four a second, close looks": {
+			[]string{"close looks", "answers lost"},
+			func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 },
+		},
+		"mute machines": {[]string{"mute", "cancelled at once"}, nil},
+		"mute machines, and the leader ends": {
+			[]string{"mute", "leader ends"},
+			func(o *Options) { o.LongTasks = true },
+		},
+		"all away for longer than a lease":        {[]string{"all away", "cancelled at once"}, nil},
+		"all away, and close looks":               {[]string{"all away", "close looks"}, nil},
+		"ten leaders in two minutes":              {[]string{"ten leaders", "cancelled at once"}, nil},
+		"ten leaders in two minutes, late writes": {[]string{"ten leaders", "late writes"}, nil},
+		"a zone is cut off with its controller":   {[]string{"zone cut off", "cancelled at once"}, nil},
+		"a zone is cut off, and the leader ends":  {[]string{"zone cut off", "leader ends"}, nil},
+		"cancelled as the leader is refused, then an outage": {
+			[]string{"cancelled at once", "refused, then all"},
+			nil,
+		},
+		"cancelled at the end of the last task": {
+			[]string{"cancelled at the end", "close looks"},
+			func(o *Options) { o.MaxTasksPerJob = 2 },
+		},
+		"cancelled at the end, answers lost": {
+			[]string{"cancelled at the end", "answers lost"},
+			func(o *Options) { o.MaxTasksPerJob = 2 },
+		},
+		"odd requests":                      {[]string{"odd requests", "close looks"}, nil},
+		"odd requests, and the leader ends": {[]string{"odd requests", "leader ends"}, nil},
 		"more work than room over slow links": {[]string{"leader ends", "slow"}, func(o *Options) {
 			o.MaxMachines, o.Jobs, o.MaxTasksPerJob, o.MaxNetworkDelay = 6, 40, 3, 300*time.Millisecond
 		}},
-		"jobs bound to a zone lose machines":             {[]string{"zone loses machines", "leader ends"}, func(o *Options) { o.ZonePinnedJobs = true }},
-		"jobs bound to a zone lose machines, up at once": {[]string{"zone loses machines", "up at once"}, func(o *Options) { o.ZonePinnedJobs = true }},
+		"jobs bound to a zone lose machines": {
+			[]string{"zone loses machines", "leader ends"},
+			func(o *Options) { o.ZonePinnedJobs = true },
+		},
+		"jobs bound to a zone lose machines, up at once": {
+			[]string{"zone loses machines", "up at once"},
+			func(o *Options) { o.ZonePinnedJobs = true },
+		},
 	} {
 		for seed := uint64(1); seed <= max(1, *overlapSeeds/16); seed++ {
 			t.Run(fmt.Sprint(name, " seed", seed), func(t *testing.T) {
@@ -174,21 +256,30 @@
 				if m.opt != nil {
 					m.opt(&o)
 				}
-				o.MixedVersions = o.MixedVersions && !o.Permissions // beside production, rights can't be in force, and nobody is served
+				// beside production, rights can't be in force, and nobody is served
+				o.MixedVersions = o.MixedVersions && !o.Permissions
 				w := runSimulation(t, o)
-				t.Logf("%d starts, %d after a confirmed cancellation, %v", w.Checker.Starts, w.Checker.StartsAfterCancel, w.Checker.stageCounts())
+				t.Logf(
+					"%d starts, %d after a confirmed cancellation, %v",
+					w.Checker.Starts,
+					w.Checker.StartsAfterCancel,
+					w.Checker.stageCounts(),
+				)
 			})
 		}
 	}
 }
 
-// Jobs that were submitted with a mistake fail wherever they are started, until somebody looks. They cost a bounded number of starts, no machine is
-// taken for faulty because of them, and what else there is to do is done.
+// Jobs that were submitted with a mistake fail wherever they are started, until somebody looks.
+// They cost a bounded number of starts, no machine is taken for faulty because of them, and what
+// else there is to do is done.
 func TestFailingJobsCostBoundedStarts(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := New(Options{Seed: seed, Duration: 240 * time.Second, Jobs: 30, FailingJobs: 10, NoFaults: seed%2 == 0})
+			w := New(
+				Options{Seed: seed, Duration: 240 * time.Second, Jobs: 30, FailingJobs: 10, NoFaults: seed%2 == 0},
+			)
 			w.Trace = func(f string, a ...any) {
 				if line := fmt.Sprintf(f, a...); w.options.NoFaults && strings.Contains(line, "faulty") {
 					t.Error(line)
@@ -199,7 +290,8 @@
 				t.Errorf("at %v: %s", w.now, strings.Join(w.Checker.Violations, "; "))
 			}
 			for id, j := range w.Checker.jobs {
-				if w.Checker.failingJobs[id] == nil && w.options.NoFaults && !j.spec.Service && !j.cancelRequested && len(j.completedTasks) < j.spec.Tasks {
+				if w.Checker.failingJobs[id] == nil && w.options.NoFaults && !j.spec.Service && !j.cancelRequested &&
+					len(j.completedTasks) < j.spec.Tasks {
 					t.Errorf("%s: %d of %d tasks done", id, len(j.completedTasks), j.spec.Tasks)
 				}
 			}
@@ -207,13 +299,23 @@
 	}
 }
 
-// Controllers end at random moments while the lanes are full: no job is passed for long by a later one of its lane and shape, and none changes
-// its lane or place.
+// Controllers end at random moments while the lanes are full: no job is passed for long by a later
+// one of its lane and shape, and none changes its lane or place.
 func TestQueueOrderHoldsThroughCrashes(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 150, MaxMachines: 8, PriorityClasses: true, Controllers: []int{3, 5}[seed%2]})
+			w := runSimulation(
+				t,
+				Options{
+					Seed:            seed,
+					Duration:        240 * time.Second,
+					Jobs:            150,
+					MaxMachines:     8,
+					PriorityClasses: true,
+					Controllers:     []int{3, 5}[seed%2],
+				},
+			)
 			waited := 0
 			for _, j := range w.queueOrder.jobs {
 				if j.startedAt > j.acceptedAt+5*time.Second {
@@ -232,7 +334,11 @@
 func TestQueueOrderCheckerDetectsViolations(t *testing.T) {
 	for rule, step := range map[string]func(o *queueOrderChecker){
 		"demoted": func(o *queueOrderChecker) {
-			o.jobWritten("a", &jobrecord.Record{PriorityClass: "second", EnqueueRevision: 7, Spec: &wire.JobSpec{}}, 9)
+			o.jobWritten("a", &jobrecord.Record{
+				PriorityClass:   "second",
+				EnqueueRevision: 7,
+				Spec:            &wire.JobSpec{},
+			}, 9)
 		},
 		"demoted: place": func(o *queueOrderChecker) {
 			o.jobWritten("a", &jobrecord.Record{PriorityClass: "first", EnqueueRevision: 9, Spec: &wire.JobSpec{}}, 9)
@@ -257,7 +363,8 @@
 	}
 }
 
-// A job that is left waiting while a machine that fits has room and its team is under its limit shows, and one that has to wait does not.
+// A job that is left waiting while a machine that fits has room and its team is under its limit
+// shows, and one that has to wait does not.
 func TestStarvationCheckerDetectsViolations(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(w *Simulator, m *fakeWorker)
@@ -279,7 +386,13 @@
 		w := New(Options{Seed: 1, NoFaults: true})
 		w.events = eventqueue.Queue{} // no controller does anything
 		w.Checker.faultFreeFrom = 1
-		m := &fakeWorker{w: w, machine: wire.Machine{Name: "m1", Type: "small", Zone: "a"}, up: true, fencingToken: 1, tasks: map[string]*fakeTask{}}
+		m := &fakeWorker{
+			w:            w,
+			machine:      wire.Machine{Name: "m1", Type: "small", Zone: "a"},
+			up:           true,
+			fencingToken: 1,
+			tasks:        map[string]*fakeTask{},
+		}
 		w.cloud.machines = append(w.cloud.machines, m)
 		for _, id := range []string{"wk-000001", "wk-000002"} {
 			w.Checker.JobSubmitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
@@ -291,7 +404,8 @@
 			w.now = at
 			do()
 		}
-		if fired := len(w.Checker.Violations) > 0 && strings.HasPrefix(w.Checker.Violations[0], "left_waiting:"); fired != c.fires || len(w.Checker.Violations) > 0 && !c.fires {
+		if fired := len(w.Checker.Violations) > 0 && strings.HasPrefix(w.Checker.Violations[0], "left_waiting:"); fired != c.fires ||
+			len(w.Checker.Violations) > 0 && !c.fires {
 			t.Errorf("%s: broken are %v", name, w.Checker.Violations)
 		}
 	}
@@ -354,7 +468,16 @@
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{Seed: seed, Duration: 240 * time.Second, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true, NoFaults: seed%10 == 0, RollingUpgrade: seed%3 == 0}
+			o := Options{
+				Seed:           seed,
+				Duration:       240 * time.Second,
+				Jobs:           40,
+				MaxTasksPerJob: 4,
+				Pipelines:      4,
+				Archive:        true,
+				NoFaults:       seed%10 == 0,
+				RollingUpgrade: seed%3 == 0,
+			}
 			w := runSimulation(t, o)
 			n := len(w.store.archivedJobs())
 			moved.Add(int64(n))
@@ -369,7 +492,19 @@
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, Archive: seed%2 == 0, NoFaults: seed%10 == 0})
+			w := runSimulation(
+				t,
+				Options{
+					Seed:           seed,
+					Duration:       240 * time.Second,
+					Jobs:           40,
+					MaxTasksPerJob: 4,
+					Pipelines:      2,
+					Permissions:    true,
+					Archive:        seed%2 == 0,
+					NoFaults:       seed%10 == 0,
+				},
+			)
 			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
@@ -385,7 +520,20 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true, AuditLog: true, Archive: seed%2 == 0, NoFaults: seed%10 == 0})
+			w := runSimulation(
+				t,
+				Options{
+					Seed:           seed,
+					Duration:       240 * time.Second,
+					Jobs:           40,
+					MaxTasksPerJob: 4,
+					Pipelines:      2,
+					Permissions:    true,
+					AuditLog:       true,
+					Archive:        seed%2 == 0,
+					NoFaults:       seed%10 == 0,
+				},
+			)
 			if w.auditChecker.verbCounts["submit"] == 0 || w.auditChecker.verbCounts["administer"] == 0 {
 				t.Errorf("entries %v", w.auditChecker.verbCounts)
 			}
@@ -399,7 +547,10 @@
 	for seed := uint64(1); seed <= 16; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 5, Pipelines: 12, NoFaults: seed%5 == 0})
+			w := runSimulation(
+				t,
+				Options{Seed: seed, Duration: 240 * time.Second, Jobs: 5, Pipelines: 12, NoFaults: seed%5 == 0},
+			)
 			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
@@ -411,7 +562,17 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, Options{Seed: seed, Duration: 120 * time.Second, Jobs: 60, Controllers: 5, MaxMachines: 300, MaxTasksPerJob: 400})
+			w := runSimulation(
+				t,
+				Options{
+					Seed:           seed,
+					Duration:       120 * time.Second,
+					Jobs:           60,
+					Controllers:    5,
+					MaxMachines:    300,
+					MaxTasksPerJob: 400,
+				},
+			)
 			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
 		})
 	}
@@ -499,7 +660,11 @@
 func TestAuditCheckerDetectsViolations(t *testing.T) {
 	const job, shard, who = core.Root + "job/wk-1", core.Root + "shard/00", core.Root + "access/who/u"
 	entry := func(key, verb, by string, count uint64) audit.PendingEntry {
-		return auditKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: count, Verb: verb, Who: by, Object: "wk-1"})
+		return auditKey.SignEntry(
+			"n0",
+			key,
+			&pb.AuditEntry{Life: 1, Count: count, Verb: verb, Who: by, Object: "wk-1"},
+		)
 	}
 	value := func(stage string, list ...audit.PendingEntry) json.RawMessage {
 		raw, err := json.Marshal(entryCarrier{Carried: list, Stage: stage, User: "u"})
@@ -523,14 +688,17 @@
 	s1, s2 := entry(job, "submit", "u", 1), entry(job, "submit", "u", 2)
 	good := put(job, value("", s1))
 	for name, txns := range map[string][][]wire.Write{
-		"a job":                  {{put(job, value(""))}},
-		"another's job":          {{put(job, value("", entry(job, "submit", "v", 1)))}},
-		"a cancellation":         {{good}, {put(job, value("c", s1))}},
-		"a cancel mark":          {{good}, {put(core.Root+"cancel/wk-1", value(""))}},
-		"a right":                {{put(who, json.RawMessage(`{"b":""}`))}},
-		"a right taken":          {{wire.Write{Delete: who}}},
-		"a take-over":            {{put(shard, json.RawMessage(`{"n":"n0"}`))}},
-		"a stop":                 {{good}, {put(job, json.RawMessage(strings.Replace(string(value("", s1)), `"w":null`, `"w":[{"i":0,"t":1}]`, 1)))}},
+		"a job":          {{put(job, value(""))}},
+		"another's job":  {{put(job, value("", entry(job, "submit", "v", 1)))}},
+		"a cancellation": {{good}, {put(job, value("c", s1))}},
+		"a cancel mark":  {{good}, {put(core.Root+"cancel/wk-1", value(""))}},
+		"a right":        {{put(who, json.RawMessage(`{"b":""}`))}},
+		"a right taken":  {{wire.Write{Delete: who}}},
+		"a take-over":    {{put(shard, json.RawMessage(`{"n":"n0"}`))}},
+		"a stop": {
+			{good},
+			{put(job, json.RawMessage(strings.Replace(string(value("", s1)), `"w":null`, `"w":[{"i":0,"t":1}]`, 1)))},
+		},
 		"an entry alone":         {{good}, {put(job, value("", s1, s2))}},
 		"an entry in two places": {{good}, {put(core.Root+"job/wk-2", value("", s1))}},
 		"a dropped entry":        {{good}, {put(job, value(""))}},
@@ -585,8 +753,8 @@
 	}
 }
 
-// Small jobs share values, in troubles of all kinds and through upgrades: late writes, cuts, cancellations by controllers that do not
-// hold the shard.
+// Small jobs share values, in troubles of all kinds and through upgrades: late writes, cuts,
+// cancellations by controllers that do not hold the shard.
 func TestInvariantsHoldWithBatchValues(t *testing.T) {
 	var slots atomic.Int64
 	t.Cleanup(func() {
@@ -597,7 +765,16 @@
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{Seed: seed, Duration: 240 * time.Second, Jobs: 40, BatchValues: true, NoFaults: seed%10 == 0, RollingUpgrade: seed%4 == 0, Archive: seed%3 == 0, FlakyCloud: seed%7 == 0}
+			o := Options{
+				Seed:           seed,
+				Duration:       240 * time.Second,
+				Jobs:           40,
+				BatchValues:    true,
+				NoFaults:       seed%10 == 0,
+				RollingUpgrade: seed%4 == 0,
+				Archive:        seed%3 == 0,
+				FlakyCloud:     seed%7 == 0,
+			}
 			if seed%5 == 0 {
 				o.Pipelines = 6
 			}
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -13,21 +13,22 @@
 
 // Options say how rough a world is.
 type Options struct {
-	Seed              uint64
-	Duration          time.Duration
-	Jobs              int
-	NoFaults          bool          // no failures
-	FlakyCloud        bool          // the cloud fails more often than not
-	Controllers       int           // controllers; 0: 3
-	MaxMachines       int           // the most machines there are; 0: 14
-	MaxTasksPerJob    int           // the most tasks of a job; 0: 9
-	RollingUpgrade    bool          // begin with the version in production and replace it, and have the limits fall
-	Pipelines         int           // pipelines of jobs that await others
-	Permissions       bool          // everyone needs a right, and they come and go
-	AuditLog          bool          // what is done is recorded
-	BatchValues       bool          // small jobs share values
-	Archive           bool          // ended jobs move into the archive, nearly at once
-	PriorityClasses   bool          // there is a list of lanes, much work of few shapes waits, and controllers end all the time
+	Seed           uint64
+	Duration       time.Duration
+	Jobs           int
+	NoFaults       bool // no failures
+	FlakyCloud     bool // the cloud fails more often than not
+	Controllers    int  // controllers; 0: 3
+	MaxMachines    int  // the most machines there are; 0: 14
+	MaxTasksPerJob int  // the most tasks of a job; 0: 9
+	RollingUpgrade bool // begin with the version in production and replace it, and have the limits fall
+	Pipelines      int  // pipelines of jobs that await others
+	Permissions    bool // everyone needs a right, and they come and go
+	AuditLog       bool // what is done is recorded
+	BatchValues    bool // small jobs share values
+	Archive        bool // ended jobs move into the archive, nearly at once
+	// there is a list of lanes, much work of few shapes waits, and controllers end all the time
+	PriorityClasses   bool
 	ReservationUsers  int           // users who book equipment
 	MixedVersions     bool          // one controller is of the version in production throughout
 	CancelTimeout     time.Duration // 0: 40 s
@@ -37,10 +38,12 @@
 	FaultNames        []string      // the only troubles that meet; nil: any two of all
 	LongTasks         bool          // tasks run for up to more than a minute: those of a small job end far apart
 	QuotaLimited      bool          // every team has a limit, which its work would exceed
-	SingleTaskJobs    int           // jobs of one task each that come four a second, one after the other; a quarter is cancelled
-	ZonePinnedJobs    bool          // every job is bound to one zone
-	MaxNetworkDelay   time.Duration // every message takes up to so long; 0: 5 ms
-	FlappingProcesses bool          // what ends is back within a second, with late copies of what it did; then it is calm, and what is forgotten shows
+	// jobs of one task each that come four a second, one after the other; a quarter is cancelled
+	SingleTaskJobs  int
+	ZonePinnedJobs  bool          // every job is bound to one zone
+	MaxNetworkDelay time.Duration // every message takes up to so long; 0: 5 ms
+	// what ends is back within a second, with late copies of what it did; then it is calm, and what is forgotten shows
+	FlappingProcesses bool
 }
 
 type node struct {
@@ -79,13 +82,15 @@
 	Trace        func(string, ...any)
 
 	// How much later a transaction or orders are executed, beside what is late by chance; and what comes of a report.
-	commitDelay          func(t wire.Txn) time.Duration
-	commandDelay         func(o core.SendCommands) time.Duration
-	onHeartbeat          func(r *wire.Heartbeat)
-	commitResponseDelay  func(t wire.Txn) time.Duration   // a transaction is executed at once, and its answer so much later; under 0: it is lost
-	onLastTaskEnding     func(id string)                  // the last task of a job is ending at this moment
-	inboundBlockedUntil  map[string]time.Duration         // machines that nothing reaches until then
-	outboundBlockedUntil map[string]time.Duration         // machines that reach no controller until then, while orders reach them
+	commitDelay  func(t wire.Txn) time.Duration
+	commandDelay func(o core.SendCommands) time.Duration
+	onHeartbeat  func(r *wire.Heartbeat)
+	// a transaction is executed at once, and its answer so much later; under 0: it is lost
+	commitResponseDelay func(t wire.Txn) time.Duration
+	onLastTaskEnding    func(id string)          // the last task of a job is ending at this moment
+	inboundBlockedUntil map[string]time.Duration // machines that nothing reaches until then
+	// machines that reach no controller until then, while orders reach them
+	outboundBlockedUntil map[string]time.Duration
 	fastBootsUntil       time.Duration                    // until then, machines are up within two seconds
 	eagerPollsUntil      time.Duration                    // until then, users look closely, see looks.go
 	OnOutput             func(node string, o core.Output) // is shown every output of a controller
@@ -102,11 +107,38 @@
 
 // New makes a world.
 func New(opt Options) *Simulator {
-	opt.Controllers, opt.MaxMachines, opt.MaxTasksPerJob = cmp.Or(opt.Controllers, 3), cmp.Or(opt.MaxMachines, 14), cmp.Or(opt.MaxTasksPerJob, 9)
-	opt.CancelTimeout, opt.WorkerLease = cmp.Or(opt.CancelTimeout, defaultCancelTimeout), cmp.Or(opt.WorkerLease, defaultWorkerLease)
-	w := &Simulator{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 77)), partitioned: map[[2]string]bool{}, heldPackets: map[[2]string][]func(){},
-		commitDelay: func(wire.Txn) time.Duration { return 0 }, commandDelay: func(core.SendCommands) time.Duration { return 0 }, onHeartbeat: func(*wire.Heartbeat) {},
-		commitResponseDelay: func(wire.Txn) time.Duration { return 0 }, onLastTaskEnding: func(string) {}, inboundBlockedUntil: map[string]time.Duration{}, outboundBlockedUntil: map[string]time.Duration{}, Trace: func(string, ...any) {}, OnOutput: func(string, core.Output) {}}
+	opt.Controllers, opt.MaxMachines, opt.MaxTasksPerJob = cmp.Or(
+		opt.Controllers,
+		3,
+	), cmp.Or(
+		opt.MaxMachines,
+		14,
+	), cmp.Or(
+		opt.MaxTasksPerJob,
+		9,
+	)
+	opt.CancelTimeout, opt.WorkerLease = cmp.Or(
+		opt.CancelTimeout,
+		defaultCancelTimeout,
+	), cmp.Or(
+		opt.WorkerLease,
+		defaultWorkerLease,
+	)
+	w := &Simulator{
+		options:              opt,
+		rng:                  rand.New(rand.NewPCG(opt.Seed, 77)),
+		partitioned:          map[[2]string]bool{},
+		heldPackets:          map[[2]string][]func(){},
+		commitDelay:          func(wire.Txn) time.Duration { return 0 },
+		commandDelay:         func(core.SendCommands) time.Duration { return 0 },
+		onHeartbeat:          func(*wire.Heartbeat) {},
+		commitResponseDelay:  func(wire.Txn) time.Duration { return 0 },
+		onLastTaskEnding:     func(string) {},
+		inboundBlockedUntil:  map[string]time.Duration{},
+		outboundBlockedUntil: map[string]time.Duration{},
+		Trace:                func(string, ...any) {},
+		OnOutput:             func(string, core.Output) {},
+	}
 	limit := 40000 * int64(opt.MaxTasksPerJob) / 9
 	w.teams = []core.Team{{Name: "t0"}, {Name: "t1", ReservedCPU: limit * 2 / 5, MaxCPU: limit}}
 	limits := map[string][2]int64{"t1": {limit, 0}}
@@ -194,15 +226,55 @@
 }
 
 func (w *Simulator) coreConfig(n *node) core.Config {
-	cfg := core.Config{SchemaVersion: core.SchemaVersion, Name: n.name, Zone: "a", Teams: w.teams, LeaseTTL: 4 * time.Second, Shards: 6,
-		MinWatchInterval: 100 * time.Millisecond, MinReadBarrierInterval: 150 * time.Millisecond, StoreRequestRate: 100, StoreWriteRate: 40, MaxWriteShare: 0.6, MaxValueBytes: 8192,
-		MaxTxnOps: 12, CloudRequestRate: 4, CloudListLag: 3 * time.Second, HeartbeatInterval: heartbeatInterval, AgentLeaseTTL: w.options.WorkerLease,
-		CancelTimeout: w.options.CancelTimeout, DeltaInterval: 500 * time.Millisecond, StatePushInterval: time.Second, StateCopyExpiry: 10 * time.Second,
-		CandidateRatio: 2, PreferImage: true, PreferSpot: true, HeadroomShare: 0.2, IdleTimeout: 5 * time.Second, SilenceTimeout: 4 * time.Second,
-		BootTimeoutFactor: 3, MinEndBatchDelay: 300 * time.Millisecond, FullStatePushInterval: 10 * time.Second, MinStatePushInterval: 100 * time.Millisecond, CommandRetryInterval: time.Second, MaxCommandRequests: 400, MaxPollRequests: 100,
-		EndedTaskClearDelay: 2 * time.Second, RelayTimeout: 3 * time.Second, PeerTimeout: 1500 * time.Millisecond, PreemptionRetryInterval: 4 * time.Second,
-		CloudListInterval: 2500 * time.Millisecond, MaxEndBatchDelay: 2 * time.Second, CancelScaleInShare: 0.35,
-		LostTaskBatchDelay: 700 * time.Millisecond, SubmitWriteTimeout: 1500 * time.Millisecond, HealthInterval: 500 * time.Millisecond, FullScanInterval: 20 * time.Second, ScaleOutLeadTime: 3 * time.Second, YieldAfter: time.Second}
+	cfg := core.Config{
+		SchemaVersion:           core.SchemaVersion,
+		Name:                    n.name,
+		Zone:                    "a",
+		Teams:                   w.teams,
+		LeaseTTL:                4 * time.Second,
+		Shards:                  6,
+		MinWatchInterval:        100 * time.Millisecond,
+		MinReadBarrierInterval:  150 * time.Millisecond,
+		StoreRequestRate:        100,
+		StoreWriteRate:          40,
+		MaxWriteShare:           0.6,
+		MaxValueBytes:           8192,
+		MaxTxnOps:               12,
+		CloudRequestRate:        4,
+		CloudListLag:            3 * time.Second,
+		HeartbeatInterval:       heartbeatInterval,
+		AgentLeaseTTL:           w.options.WorkerLease,
+		CancelTimeout:           w.options.CancelTimeout,
+		DeltaInterval:           500 * time.Millisecond,
+		StatePushInterval:       time.Second,
+		StateCopyExpiry:         10 * time.Second,
+		CandidateRatio:          2,
+		PreferImage:             true,
+		PreferSpot:              true,
+		HeadroomShare:           0.2,
+		IdleTimeout:             5 * time.Second,
+		SilenceTimeout:          4 * time.Second,
+		BootTimeoutFactor:       3,
+		MinEndBatchDelay:        300 * time.Millisecond,
+		FullStatePushInterval:   10 * time.Second,
+		MinStatePushInterval:    100 * time.Millisecond,
+		CommandRetryInterval:    time.Second,
+		MaxCommandRequests:      400,
+		MaxPollRequests:         100,
+		EndedTaskClearDelay:     2 * time.Second,
+		RelayTimeout:            3 * time.Second,
+		PeerTimeout:             1500 * time.Millisecond,
+		PreemptionRetryInterval: 4 * time.Second,
+		CloudListInterval:       2500 * time.Millisecond,
+		MaxEndBatchDelay:        2 * time.Second,
+		CancelScaleInShare:      0.35,
+		LostTaskBatchDelay:      700 * time.Millisecond,
+		SubmitWriteTimeout:      1500 * time.Millisecond,
+		HealthInterval:          500 * time.Millisecond,
+		FullScanInterval:        20 * time.Second,
+		ScaleOutLeadTime:        3 * time.Second,
+		YieldAfter:              time.Second,
+	}
 	cfg.MaxEndedJobs, cfg.HistoryCacheBytes, cfg.HistoryReadShare = 5000, 1<<20, 0.2
 	cfg.SharedValues = w.options.BatchValues
 	if w.options.Permissions {
@@ -278,7 +350,8 @@
 	})
 }
 
-// crashSoon has a controller end around what it is about to do at the state service: before it is executed, or before its answer.
+// crashSoon has a controller end around what it is about to do at the state service: before it is
+// executed, or before its answer.
 func (w *Simulator) crashSoon(n *node, in string) {
 	life := n.incarnation
 	w.schedule(w.randomDuration(0, 12*time.Millisecond), func() {
@@ -337,7 +410,8 @@
 				}
 			}
 			w.send(n.name, p.name, arrive)
-			if w.options.FlappingProcesses && w.chance(0.01) { // it comes once more, perhaps when its sender or receiver has ended and is back
+			// it comes once more, perhaps when its sender or receiver has ended and is back
+			if w.options.FlappingProcesses && w.chance(0.01) {
 				w.schedule(w.randomDuration(0, 3*time.Second), arrive)
 			}
 		}
@@ -463,9 +537,15 @@
 	})
 }
 
-// rpc carries a request to a server and its outcome back, so much later as exec says (under 0: never); without an answer in time the
-// caller gives up, and the request may be executed all the same, later.
-func (w *Simulator) rpc(from, to string, timeout, late time.Duration, exec func() (answer time.Duration), done func(ok bool)) {
+// rpc carries a request to a server and its outcome back, so much later as exec says (under 0:
+// never); without an answer in time the caller gives up, and the request may be executed all the
+// same, later.
+func (w *Simulator) rpc(
+	from, to string,
+	timeout, late time.Duration,
+	exec func() (answer time.Duration),
+	done func(ok bool),
+) {
 	over := false
 	finish := func(ok bool) {
 		if !over {
@@ -646,7 +726,12 @@
 }
 
 // sendRequest sends a request of a user or worker to a controller.
-func (w *Simulator) sendRequest(n *node, timeout time.Duration, in func(req uint64) core.Input, done func(r core.Response, ok bool)) {
+func (w *Simulator) sendRequest(
+	n *node,
+	timeout time.Duration,
+	in func(req uint64) core.Input,
+	done func(r core.Response, ok bool),
+) {
 	over := false
 	finish := func(r core.Response, ok bool) {
 		if !over {
@@ -709,7 +794,13 @@
 	w.schedule(time.Second, stranger)
 }
 
-func (w *Simulator) checkJobResponse(by core.Credential, began time.Duration, verb, id string, r core.Response, ok bool) string {
+func (w *Simulator) checkJobResponse(
+	by core.Credential,
+	began time.Duration,
+	verb, id string,
+	r core.Response,
+	ok bool,
+) string {
 	if !ok {
 		w.Checker.CheckResponsive(began, w.now, id, 0)
 	}
@@ -743,10 +834,15 @@
 // pollOnce asks a controller about a job.
 func (w *Simulator) pollOnce(n *node, by core.Credential, id string, then func()) {
 	began := w.now
-	w.sendRequest(n, 2*time.Second, func(r uint64) core.Input { return core.GetJob{RequestID: r, ID: id, Caller: by} }, func(r core.Response, ok bool) {
-		w.checkJobResponse(by, began, "poll", id, r, ok)
-		then()
-	})
+	w.sendRequest(
+		n,
+		2*time.Second,
+		func(r uint64) core.Input { return core.GetJob{RequestID: r, ID: id, Caller: by} },
+		func(r core.Response, ok bool) {
+			w.checkJobResponse(by, began, "poll", id, r, ok)
+			then()
+		},
+	)
 }
 
 func (w *Simulator) runUser(s wire.JobSpec) { w.runUserThen(s, func() {}) }
@@ -782,7 +878,11 @@
 				}
 				if w.chance(0.3) { // a late repeat, with another body
 					w.schedule(w.randomDuration(time.Second, 50*time.Second), func() {
-						w.submitOnce(pick(), core.SubmitJob{ID: s.ID, DecodeError: "nonsense", Caller: by}, func(core.Response, bool) {})
+						w.submitOnce(
+							pick(),
+							core.SubmitJob{ID: s.ID, DecodeError: "nonsense", Caller: by},
+							func(core.Response, bool) {},
+						)
 					})
 				}
 			})
--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -30,7 +30,15 @@
 	t.Helper()
 	a := &Authority{CertFile: filepath.Join(t.TempDir(), "ca.pem")}
 	var der []byte
-	a.cert, a.key, der = a.sign(t, &x509.Certificate{IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, Subject: pkix.Name{CommonName: "test"}})
+	a.cert, a.key, der = a.sign(
+		t,
+		&x509.Certificate{
+			IsCA:                  true,
+			BasicConstraintsValid: true,
+			KeyUsage:              x509.KeyUsageCertSign,
+			Subject:               pkix.Name{CommonName: "test"},
+		},
+	)
 	writePEM(t, a.CertFile, "CERTIFICATE", der)
 	return a
 }
@@ -42,7 +50,12 @@
 		t.Fatal(err)
 	}
 	lastSerial++
-	c.SerialNumber, c.NotBefore, c.NotAfter = big.NewInt(lastSerial), time.Now().Add(-time.Hour), time.Now().Add(time.Hour)
+	c.SerialNumber, c.NotBefore, c.NotAfter = big.NewInt(
+		lastSerial,
+	), time.Now().
+		Add(-time.Hour),
+		time.Now().
+			Add(time.Hour)
 	parent, signer := a.cert, a.key
 	if parent == nil {
 		parent, signer = c, key
@@ -61,8 +74,13 @@
 // Issue writes a certificate for a name, and for loopback, with its key.
 func (a *Authority) Issue(t *testing.T, name, certFile, keyFile string) {
 	t.Helper()
-	_, key, der := a.sign(t, &x509.Certificate{Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
-		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}})
+	_, key, der := a.sign(t, &x509.Certificate{
+		Subject:     pkix.Name{CommonName: name},
+		DNSNames:    []string{name},
+		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
+		KeyUsage:    x509.KeyUsageDigitalSignature,
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	})
 	writePEM(t, certFile, "CERTIFICATE", der)
 	raw, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -1,5 +1,6 @@
-// Package mesh carries messages between controllers over HTTP/2 streams, with mutual TLS if it is set: each
-// controller holds one stream open to each other and writes JSON messages to it, one a line. Messages are news that may be lost; none of them is needed for safety.
+// Package mesh carries messages between controllers over HTTP/2 streams, with mutual TLS if it is
+// set: each controller holds one stream open to each other and writes JSON messages to it, one a
+// line. Messages are news that may be lost; none of them is needed for safety.
 package mesh
 
 import (
@@ -47,7 +48,13 @@
 
 // New returns a mesh that knows its peers by name and address; without files it is in plain text.
 func New(name string, peers map[string]string, files *tlsconfig.Files, log *slog.Logger) *Mesh {
-	m := &Mesh{nodeName: name, peers: map[string]*peerLink{}, log: log, keepAliveInterval: defaultKeepAliveInterval, tlsFiles: files}
+	m := &Mesh{
+		nodeName:          name,
+		peers:             map[string]*peerLink{},
+		log:               log,
+		keepAliveInterval: defaultKeepAliveInterval,
+		tlsFiles:          files,
+	}
 	for n, a := range peers {
 		m.peers[n] = &peerLink{name: n, addr: a, outbox: make(chan []byte, outboxLength)}
 	}
@@ -80,8 +87,13 @@
 	protos.SetUnencryptedHTTP2(m.tlsFiles.MeshServerConfig() == nil)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+streamPath, func(w http.ResponseWriter, r *http.Request) { m.receiveStream(w, r, h) })
-	srv := &http.Server{Handler: mux, Protocols: &protos, ReadHeaderTimeout: 5 * time.Second, TLSConfig: m.tlsFiles.MeshServerConfig(),
-		ErrorLog: slog.NewLogLogger(m.log.Handler(), slog.LevelDebug)}
+	srv := &http.Server{
+		Handler:           mux,
+		Protocols:         &protos,
+		ReadHeaderTimeout: 5 * time.Second,
+		TLSConfig:         m.tlsFiles.MeshServerConfig(),
+		ErrorLog:          slog.NewLogLogger(m.log.Handler(), slog.LevelDebug),
+	}
 	for _, l := range m.peers {
 		go m.maintainStream(ctx, l)
 	}
@@ -193,7 +205,12 @@
 		protos.SetHTTP2(true)
 		scheme = "https://"
 	}
-	tr := &http.Transport{Protocols: &protos, TLSClientConfig: client, TLSHandshakeTimeout: 2 * time.Second, DialContext: (&net.Dialer{Timeout: time.Second, KeepAlive: -1}).DialContext}
+	tr := &http.Transport{
+		Protocols:           &protos,
+		TLSClientConfig:     client,
+		TLSHandshakeTimeout: 2 * time.Second,
+		DialContext:         (&net.Dialer{Timeout: time.Second, KeepAlive: -1}).DialContext,
+	}
 	defer tr.CloseIdleConnections()
 	pr, pw := io.Pipe()
 	defer pw.Close()
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -49,7 +49,12 @@
 	defer tr.CloseIdleConnections()
 	const streams = 300
 	for range streams {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ln.Addr().String()+streamPath, strings.NewReader("{\"w\":[\"m-1\"]}\n"))
+		req, err := http.NewRequestWithContext(
+			ctx,
+			http.MethodPost,
+			"http://"+ln.Addr().String()+streamPath,
+			strings.NewReader("{\"w\":[\"m-1\"]}\n"),
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -113,15 +118,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			addr := ln.Addr().String() // held from here on: a port that is let go and taken again may be another test's by then
+			// held from here on: a port that is let go and taken again may be another test's by then
+			addr := ln.Addr().String()
 			log := slog.New(slog.NewTextHandler(io.Discard, nil))
 			heard := make(chan string, 100)
-			to, from := New("n1", map[string]string{"n0": "127.0.0.1:1"}, x.receiver, log), New("n0", map[string]string{"n1": addr}, x.sender, log)
+			to, from := New(
+				"n1",
+				map[string]string{"n0": "127.0.0.1:1"},
+				x.receiver,
+				log,
+			), New(
+				"n0",
+				map[string]string{"n1": addr},
+				x.sender,
+				log,
+			)
 			var ended sync.WaitGroup
 			ended.Add(2)
 			go func() {
 				defer ended.Done()
-				if err := to.Serve(ctx, ln, func(peer string, m core.Message) { heard <- peer + m.WantedHeartbeats[0] }); err != nil && ctx.Err() == nil {
+				if err := to.Serve(ctx, ln, func(peer string, m core.Message) { heard <- peer + m.WantedHeartbeats[0] }); err != nil &&
+					ctx.Err() == nil {
 					t.Error(err)
 				}
 			}()
@@ -156,9 +173,18 @@
 func TestStreamCutWithinAMessageIsNotLogged(t *testing.T) {
 	var logged strings.Builder
 	m := New("n0", map[string]string{"n1": "127.0.0.1:1"}, nil, slog.New(slog.NewTextHandler(&logged, nil)))
-	for text, want := range map[string]int{"{\"w\":[\"m-1\"]}\n{\"w\":[\"m-": 1, "{\"w\":[\"m-1\"]}\n\n{\"w\":[\"m-2\"]}\n": 2, "{\"w\"": 0, "": 0} {
+	for text, want := range map[string]int{
+		"{\"w\":[\"m-1\"]}\n{\"w\":[\"m-":          1,
+		"{\"w\":[\"m-1\"]}\n\n{\"w\":[\"m-2\"]}\n": 2,
+		"{\"w\"": 0,
+		"":       0,
+	} {
 		heard := 0
-		r := httptest.NewRequest(http.MethodPost, streamPath, io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF)))
+		r := httptest.NewRequest(
+			http.MethodPost,
+			streamPath,
+			io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF)),
+		)
 		r.Header.Set(nodeHeader, "n1")
 		m.receiveStream(httptest.NewRecorder(), r, func(string, core.Message) { heard++ })
 		if heard != want || logged.Len() > 0 {
--- a/metrics.go
+++ b/metrics.go
@@ -18,8 +18,10 @@
 }
 
 func newMetrics() *metrics {
-	return &metrics{txnLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2),
-		turnLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
+	return &metrics{
+		txnLatency:  hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2),
+		turnLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2),
+	}
 }
 
 func (f *metrics) recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
@@ -44,8 +46,24 @@
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	args = append(args, slog.Group("memory", "live_mb", m.HeapAlloc>>20, "next_mb", m.NextGC>>20, "stacks_mb", m.StackInuse>>20,
-		"all_mb", (m.Sys-m.HeapReleased)>>20, "collections", m.NumGC-f.gcCount, "routines", runtime.NumGoroutine()))
+	args = append(
+		args,
+		slog.Group(
+			"memory",
+			"live_mb",
+			m.HeapAlloc>>20,
+			"next_mb",
+			m.NextGC>>20,
+			"stacks_mb",
+			m.StackInuse>>20,
+			"all_mb",
+			(m.Sys-m.HeapReleased)>>20,
+			"collections",
+			m.NumGC-f.gcCount,
+			"routines",
+			runtime.NumGoroutine(),
+		),
+	)
 	f.gcCount = m.NumGC
 	log.Info("figures", args...)
 }
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -1,4 +1,5 @@
-// Package overload tells how far a controller is beyond what it can do. It has no clock: times, since the process began, come in.
+// Package overload tells how far a controller is beyond what it can do. It has no clock: times,
+// since the process began, come in.
 package overload
 
 import "time"
@@ -25,7 +26,10 @@
 }
 
 // enterThresholds are the least signs of each level but the first. One is enough.
-var enterThresholds = [levelCount]Signals{Busy: {100 * time.Millisecond, 0.25, 0.85, 4 * time.Second}, Overloaded: {600 * time.Millisecond, 0.6, 0.98, 15 * time.Second}}
+var enterThresholds = [levelCount]Signals{
+	Busy:       {100 * time.Millisecond, 0.25, 0.85, 4 * time.Second},
+	Overloaded: {600 * time.Millisecond, 0.6, 0.98, 15 * time.Second},
+}
 
 const (
 	leaveFactor = 0.5             // of all signs of a level, under which it can be left
@@ -42,8 +46,8 @@
 // Level is the present one.
 func (s *State) Level() Level { return s.level }
 
-// Update takes the signs as they are, and reports whether the level has changed. A level is entered at once, and left for the next
-// lower when its signs have been gone for a while.
+// Update takes the signs as they are, and reports whether the level has changed. A level is entered
+// at once, and left for the next lower when its signs have been gone for a while.
 func (s *State) Update(now time.Duration, x Signals) (changed bool) {
 	s.Signals = x
 	for l := Overloaded; l > s.level; l-- {
@@ -69,6 +73,7 @@
 
 // anyReaches reports whether one of the signs is at a part of what it is compared with.
 func (x Signals) anyReaches(o Signals, part float64) bool {
-	return float64(x.QueueDelay) >= part*float64(o.QueueDelay) || x.QueueUsage >= part*o.QueueUsage || x.ConnectionUsage >= part*o.ConnectionUsage ||
+	return float64(x.QueueDelay) >= part*float64(o.QueueDelay) || x.QueueUsage >= part*o.QueueUsage ||
+		x.ConnectionUsage >= part*o.ConnectionUsage ||
 		float64(x.WriteBacklog) >= part*float64(o.WriteBacklog)
 }
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -10,7 +10,12 @@
 func TestEachSignalIsEnough(t *testing.T) {
 	for l := Busy; l <= Overloaded; l++ {
 		e := enterThresholds[l]
-		for i, x := range []Signals{{QueueDelay: e.QueueDelay}, {QueueUsage: e.QueueUsage}, {ConnectionUsage: e.ConnectionUsage}, {WriteBacklog: e.WriteBacklog}} {
+		for i, x := range []Signals{
+			{QueueDelay: e.QueueDelay},
+			{QueueUsage: e.QueueUsage},
+			{ConnectionUsage: e.ConnectionUsage},
+			{WriteBacklog: e.WriteBacklog},
+		} {
 			var s State
 			if !s.Update(time.Second, x) || s.Level() != l {
 				t.Errorf("sign %d at %v: level %v", i, e, s.Level())
@@ -40,7 +45,11 @@
 			}
 		}
 		for range 600 { // a minute around the second level's threshold
-			look(enterThresholds[Overloaded].QueueDelay/2 + time.Duration(rng.Int64N(int64(enterThresholds[Overloaded].QueueDelay))))
+			look(
+				enterThresholds[Overloaded].QueueDelay/2 + time.Duration(
+					rng.Int64N(int64(enterThresholds[Overloaded].QueueDelay)),
+				),
+			)
 		}
 		if s.Level() != Overloaded || changes > 2 {
 			t.Fatalf("seed %d: %v after %d changes", seed, s.Level(), changes)
--- a/priorityclass/list.go
+++ b/priorityclass/list.go
@@ -1,5 +1,6 @@
-// Package priorityclass decides which work goes ahead of which. It is pure: the same list, the same job and the same time always give the same
-// place. The place of a job in its lane comes from the state service's own order of acceptances, no clock's.
+// Package priorityclass decides which work goes ahead of which. It is pure: the same list, the same
+// job and the same time always give the same place. The place of a job in its lane comes from the
+// state service's own order of acceptances, no clock's.
 package priorityclass
 
 import (
@@ -130,8 +131,9 @@
 	return len(l.classes) - 1
 }
 
-// EffectiveClass is the lane by which a job of a lane is ordered after it has waited: a lane higher for each time of rising of the lane that it has come
-// to. It rises to the first lane whose jobs do not rise, or to the lane above the last one that do.
+// EffectiveClass is the lane by which a job of a lane is ordered after it has waited: a lane higher
+// for each time of rising of the lane that it has come to. It rises to the first lane whose jobs do
+// not rise, or to the lane above the last one that do.
 func (l *List) EffectiveClass(classIndex int, waited time.Duration) int {
 	for classIndex > 0 {
 		after := time.Duration(l.classes[classIndex].RiseAfterS) * time.Second
@@ -149,8 +151,8 @@
 	return float64(l.classes[classIndex].SharePercent) / 100
 }
 
-// RiseTime is for how long a job of a lane waits at most until it is ordered as one of another: the sum of the times of rising between them; false
-// if it never is.
+// RiseTime is for how long a job of a lane waits at most until it is ordered as one of another: the
+// sum of the times of rising between them; false if it never is.
 func (l *List) RiseTime(classIndex, to int) (sum time.Duration, ok bool) {
 	for ; classIndex > to; classIndex-- {
 		if l.classes[classIndex].RiseAfterS == 0 {
--- a/priorityclass/list_test.go
+++ b/priorityclass/list_test.go
@@ -28,7 +28,11 @@
 }
 
 func TestClassifyJob(t *testing.T) {
-	l, err := Parse([]byte(`lanes { name: "reroast" classes: "reroast" due_within_s: 60 } lanes { name: "desk" priorities: "critical" teams: "shop" } lanes { name: "rest" }`))
+	l, err := Parse(
+		[]byte(
+			`lanes { name: "reroast" classes: "reroast" due_within_s: 60 } lanes { name: "desk" priorities: "critical" teams: "shop" } lanes { name: "rest" }`,
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +47,8 @@
 	}
 }
 
-// Work never sinks by waiting, never passes what does not rise, and after the longest time has come as far as it ever does.
+// Work never sinks by waiting, never passes what does not rise, and after the longest time has come
+// as far as it ever does.
 func TestRisingIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text strings.Builder
@@ -63,13 +68,18 @@
 			t.Fatal(err)
 		}
 		lane := rapid.IntRange(0, n-1).Draw(t, "lane")
-		a, b := time.Duration(rapid.IntRange(0, 500).Draw(t, "a"))*time.Second, time.Duration(rapid.IntRange(0, 500).Draw(t, "b"))*time.Second
+		a, b := time.Duration(
+			rapid.IntRange(0, 500).Draw(t, "a"),
+		)*time.Second, time.Duration(
+			rapid.IntRange(0, 500).Draw(t, "b"),
+		)*time.Second
 		at, later := l.EffectiveClass(lane, a), l.EffectiveClass(lane, a+b)
 		if later > at || at > lane {
 			t.Fatalf("lane %d is %d after %v and %d after %v", lane, at, a, later, a+b)
 		}
 		end := l.EffectiveClass(lane, 1<<62)
-		if d, ok := l.RiseTime(lane, end); !ok || l.EffectiveClass(lane, d) != end || d > 0 && l.EffectiveClass(lane, d-1) == end {
+		if d, ok := l.RiseTime(lane, end); !ok || l.EffectiveClass(lane, d) != end ||
+			d > 0 && l.EffectiveClass(lane, d-1) == end {
 			t.Fatalf("lane %d comes to %d after %v", lane, end, d)
 		}
 	})
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -119,8 +119,12 @@
 	if p.Name == "" {
 		return errors.New("node_name is missing")
 	}
-	addrs := []struct{ field, addr string }{{"serve_on", p.Listen}, {"mesh_addr", p.MeshAddr},
-		{"services.cloud", p.Services.Cloud}, {"services.state", p.Services.State}}
+	addrs := []struct{ field, addr string }{
+		{"serve_on", p.Listen},
+		{"mesh_addr", p.MeshAddr},
+		{"services.cloud", p.Services.Cloud},
+		{"services.state", p.Services.State},
+	}
 	seen := map[string]bool{p.Name: true}
 	for i, peer := range p.Peers {
 		if peer.Name == "" || seen[peer.Name] {
@@ -138,16 +142,29 @@
 	for _, v := range []struct {
 		field string
 		v     float64
-	}{{"workers.report_s", c.Workers.ReportS}, {"workers.lease_s", c.Workers.LeaseS}, {"workers.cancel_s", c.Workers.CancelS},
-		{"state.rps", c.State.RPS}, {"state.write_rps", c.State.WriteRPS}, {"state.value_kb", c.State.ValueKB},
-		{"cloud.rps", c.Cloud.RPS}, {"quota.mem_mb", c.Quota.MemMB}} {
+	}{
+		{"workers.report_s", c.Workers.ReportS},
+		{"workers.lease_s", c.Workers.LeaseS},
+		{"workers.cancel_s", c.Workers.CancelS},
+		{"state.rps", c.State.RPS},
+		{"state.write_rps", c.State.WriteRPS},
+		{"state.value_kb", c.State.ValueKB},
+		{"cloud.rps", c.Cloud.RPS},
+		{"quota.mem_mb", c.Quota.MemMB},
+	} {
 		if !(v.v > 0) || v.v > 1e9 {
 			return fmt.Errorf("cluster.%s must be greater than 0", v.field)
 		}
 	}
-	if quorum.MaxStaleness(DurationFromSeconds(c.Workers.CancelS), DurationFromSeconds(c.Workers.LeaseS)) < quorum.MinUsableStaleness {
-		return fmt.Errorf("cluster.workers.cancel_s is too little above lease_s (%v and %v): a task could outlive its cancellation in an outage; some 6 s more are needed",
-			c.Workers.CancelS, c.Workers.LeaseS)
+	if quorum.MaxStaleness(
+		DurationFromSeconds(c.Workers.CancelS),
+		DurationFromSeconds(c.Workers.LeaseS),
+	) < quorum.MinUsableStaleness {
+		return fmt.Errorf(
+			"cluster.workers.cancel_s is too little above lease_s (%v and %v): a task could outlive its cancellation in an outage; some 6 s more are needed",
+			c.Workers.CancelS,
+			c.Workers.LeaseS,
+		)
 	}
 	if c.State.TxnOps < minTxnOps {
 		return fmt.Errorf("cluster.state.txn_ops must be at least %d", minTxnOps)
@@ -193,7 +210,8 @@
 	out := make([]Setting, fields.Len())
 	for i := range out {
 		f := fields.Get(i)
-		about, _ := protobuf.GetExtension(f.Options(), pb.E_About).(*pb.About) // without one its range is empty, which tests find
+		// without one its range is empty, which tests find
+		about, _ := protobuf.GetExtension(f.Options(), pb.E_About).(*pb.About)
 		out[i] = Setting{Name: string(f.Name()), Kind: f.Kind(), About: about, descriptor: f}
 	}
 	return out
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -28,8 +28,14 @@
 		t.Fatal(err)
 	}
 	for _, tc := range [][3]string{
-		{`"n0"`, `""`, "node_name"}, {"10.0.0.1:80", "host", "serve_on"}, {`"n1"`, `"n0"`, "peers[0]"},
-		{`"rps":60.0`, `"rps":0`, "state.rps"}, {`"txn_ops":12`, `"txn_ops":1`, "txn_ops"}, {`"cancel_s":60`, `"cancel_s":34`, "cancel_s"}, {"4.0}", "-4.0}", "teams[0]"}, {"{", "", "settings"},
+		{`"n0"`, `""`, "node_name"},
+		{"10.0.0.1:80", "host", "serve_on"},
+		{`"n1"`, `"n0"`, "peers[0]"},
+		{`"rps":60.0`, `"rps":0`, "state.rps"},
+		{`"txn_ops":12`, `"txn_ops":1`, "txn_ops"},
+		{`"cancel_s":60`, `"cancel_s":34`, "cancel_s"},
+		{"4.0}", "-4.0}", "teams[0]"},
+		{"{", "", "settings"},
 	} {
 		_, err := LoadPlatform(writeTempFile(t, strings.Replace(validPlatform, tc[0], tc[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), tc[2]) || strings.Contains(err.Error(), "\n") {
@@ -42,7 +48,8 @@
 func TestEverySettingIsDescribed(t *testing.T) {
 	for _, s := range OperatorSettings() {
 		a := s.About
-		if a.GetDoes() == "" || (a.GetMore() == "") != (a.GetLess() == "") || s.Kind != protoreflect.BoolKind && !(a.Min < a.Max && a.Min <= a.Is && a.Is <= a.Max) {
+		if a.GetDoes() == "" || (a.GetMore() == "") != (a.GetLess() == "") ||
+			s.Kind != protoreflect.BoolKind && !(a.Min < a.Max && a.Min <= a.Is && a.Is <= a.Max) {
 			t.Errorf("%s: %v", s.Name, a)
 		}
 	}
@@ -53,11 +60,14 @@
 		t.Fatal(err)
 	}
 	got, err := LoadTuning(writeTempFile(t, "idle_ms: 7000 # longer\nspare_share: 0.5"))
-	if err != nil || got.GetIdleMs() != 7000 || got.GetSpareShare() != 0.5 || got.GetShards() != DefaultTuning().GetShards() {
+	if err != nil || got.GetIdleMs() != 7000 || got.GetSpareShare() != 0.5 ||
+		got.GetShards() != DefaultTuning().GetShards() {
 		t.Fatalf("got %v, %v", got, err)
 	}
-	for body, field := range map[string]string{"shards: 0": "shards", "lease_ms: 5": "lease_ms", "push_ms: 40000": "expire_ms",
-		"write_share: 2": "write_share", "no_such: 1": "no_such", "idle_ms: nan": "invalid value"} {
+	for body, field := range map[string]string{
+		"shards: 0": "shards", "lease_ms: 5": "lease_ms", "push_ms: 40000": "expire_ms",
+		"write_share: 2": "write_share", "no_such: 1": "no_such", "idle_ms: nan": "invalid value",
+	} {
 		if _, err := LoadTuning(writeTempFile(t, body)); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: got %v", body, err)
 		}
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -87,7 +87,14 @@
 	if err := w.flush(ctx); err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(fmt.Sprintf("snapshot of %s, revision %d, digest %x", time.UnixMilli(head.TakenMs).UTC().Format(time.RFC3339), head.Ledger, head.Digest[:8]))
+	text, err := json.Marshal(
+		fmt.Sprintf(
+			"snapshot of %s, revision %d, digest %x",
+			time.UnixMilli(head.TakenMs).UTC().Format(time.RFC3339),
+			head.Ledger,
+			head.Digest[:8],
+		),
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -158,7 +165,13 @@
 		for _, x := range w.writes {
 			t.Compare = append(t.Compare, wire.Compare{Key: x.Put})
 		}
-		reply, status, err := requestWithRetry[wire.TxnResponse](ctx, &w.target.Source, http.MethodPost, wire.PathTxn, t)
+		reply, status, err := requestWithRetry[wire.TxnResponse](
+			ctx,
+			&w.target.Source,
+			http.MethodPost,
+			wire.PathTxn,
+			t,
+		)
 		switch {
 		case err != nil:
 			return err
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -74,7 +74,13 @@
 }
 
 func (s *Source) readPage(ctx context.Context, prefix, from string, most int) (wire.RangeResponse, error) {
-	p, status, err := requestWithRetry[wire.RangeResponse](ctx, s, http.MethodGet, wire.RangePath(prefix, from, most), nil)
+	p, status, err := requestWithRetry[wire.RangeResponse](
+		ctx,
+		s,
+		http.MethodGet,
+		wire.RangePath(prefix, from, most),
+		nil,
+	)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("state service answers %d", status)
 	}
@@ -83,7 +89,13 @@
 
 // readChanges are the last ones of each key since a revision, and the revision that they lead to.
 func (s *Source) readChanges(ctx context.Context, from uint64, into map[string]wire.WatchEvent) (uint64, error) {
-	ch, status, err := requestWithRetry[wire.WatchResponse](ctx, s, http.MethodGet, fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, siteRoot, from), nil)
+	ch, status, err := requestWithRetry[wire.WatchResponse](
+		ctx,
+		s,
+		http.MethodGet,
+		fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, siteRoot, from),
+		nil,
+	)
 	switch {
 	case err != nil:
 		return 0, err
@@ -136,7 +148,12 @@
 }
 
 // readPages reads all keys, and what changed since the first page until after the last.
-func (s *Source) readPages(ctx context.Context, w io.Writer, changed map[string]wire.WatchEvent, progress func(int)) (uint64, error) {
+func (s *Source) readPages(
+	ctx context.Context,
+	w io.Writer,
+	changed map[string]wire.WatchEvent,
+	progress func(int),
+) (uint64, error) {
 	out, err := NewWriter(w)
 	if err != nil {
 		return 0, err
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -56,11 +56,17 @@
 		for range 5 {
 			n++
 			id := fmt.Sprintf("%03d", n*37%330)
-			x := wire.Txn{Then: []wire.Write{{Put: "dl/a/" + id, Value: json.RawMessage(fmt.Sprint(n))}, {Put: "dl/z/" + id, Value: json.RawMessage(fmt.Sprint(n))}}}
+			x := wire.Txn{
+				Then: []wire.Write{
+					{Put: "dl/a/" + id, Value: json.RawMessage(fmt.Sprint(n))},
+					{Put: "dl/z/" + id, Value: json.RawMessage(fmt.Sprint(n))},
+				},
+			}
 			if n%3 == 0 {
 				x.Then = []wire.Write{{Delete: "dl/a/" + id}, {Delete: "dl/z/" + id}}
 			}
-			if _, status, err := requestWithRetry[wire.TxnResponse](ctx, &writer, "POST", wire.PathTxn, x); err != nil || status != 200 {
+			if _, status, err := requestWithRetry[wire.TxnResponse](ctx, &writer, "POST", wire.PathTxn, x); err != nil ||
+				status != 200 {
 				t.Error(status, err)
 			}
 		}
@@ -140,7 +146,13 @@
 func TestRestoreRebuildsTheStore(t *testing.T) {
 	ctx := t.Context()
 	s, src := serveStore(t, fakes.Limits{})
-	want := map[string]string{"dl/epoch": "7", "dl/node/n0": "{}", "dl/shard/03": "{}", "dl/leader": "{}", "da/b/~": `{"x":"1"}`}
+	want := map[string]string{
+		"dl/epoch":    "7",
+		"dl/node/n0":  "{}",
+		"dl/shard/03": "{}",
+		"dl/leader":   "{}",
+		"da/b/~":      `{"x":"1"}`,
+	}
 	for i := range 50 {
 		want[fmt.Sprintf("dl/job/wk-%03d", i)] = fmt.Sprintf(`{"h":%d}`, i)
 	}
@@ -217,7 +229,8 @@
 	f.Add([]byte(Magic))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		n := 0
-		if h, err := Read(bytes.NewReader(raw), func(*pb.Key) error { n++; return nil }); err == nil && int(h.Keys) != n {
+		if h, err := Read(bytes.NewReader(raw), func(*pb.Key) error { n++; return nil }); err == nil &&
+			int(h.Keys) != n {
 			t.Fatalf("%d keys, %d told", n, h.Keys)
 		}
 	})
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -32,7 +32,9 @@
 
 // CommitTxn sends a transaction.
 func (c *Client) CommitTxn(ctx context.Context, o core.CommitTxn) core.TxnResult {
-	reply, r := httpjson.Decode[wire.TxnResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathTxn, o.Txn))
+	reply, r := httpjson.Decode[wire.TxnResponse](
+		c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathTxn, o.Txn),
+	)
 	if !r.Sent { // never reached the service
 		return core.TxnResult{ID: o.ID, Status: 503}
 	}
@@ -45,7 +47,14 @@
 	if o.LongPoll {
 		hold = watchHoldTime
 	}
-	u := fmt.Sprintf("%s%s?starts=%s&from=%d&hold_ms=%d", c.baseURL, wire.PathWatch, url.QueryEscape(core.Root), o.SinceRevision, hold.Milliseconds())
+	u := fmt.Sprintf(
+		"%s%s?starts=%s&from=%d&hold_ms=%d",
+		c.baseURL,
+		wire.PathWatch,
+		url.QueryEscape(core.Root),
+		o.SinceRevision,
+		hold.Milliseconds(),
+	)
 	ch, r := httpjson.Decode[wire.WatchResponse](c.httpClient.Do(ctx, hold+requestTimeout, http.MethodGet, u, nil))
 	return core.WatchResult{LongPoll: o.LongPoll, Status: r.Status, Changes: ch}
 }
@@ -53,13 +62,21 @@
 // LoadSnapshot reads a page of all keys.
 func (c *Client) LoadSnapshot(ctx context.Context, o core.LoadSnapshot) core.SnapshotPage {
 	page, r := c.readPage(ctx, core.Root, o.AfterKey, maxPageSize)
-	return core.SnapshotPage{OK: r.Status == http.StatusOK, Status: r.Status, Items: page.Items, More: page.More, Revision: page.Revision}
+	return core.SnapshotPage{
+		OK:       r.Status == http.StatusOK,
+		Status:   r.Status,
+		Items:    page.Items,
+		More:     page.More,
+		Revision: page.Revision,
+	}
 }
 
 // ReadRange reads a key, or a page of keys.
 func (c *Client) ReadRange(ctx context.Context, o core.ReadRange) core.RangeResult {
 	if o.Key != "" {
-		item, r := httpjson.Decode[wire.GetResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathKeys+"/"+o.Key, nil))
+		item, r := httpjson.Decode[wire.GetResponse](
+			c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathKeys+"/"+o.Key, nil),
+		)
 		out := core.RangeResult{ID: o.ID, Status: r.Status, Revision: item.StoreRevision}
 		if r.Status == http.StatusOK {
 			out.Items = []wire.KeyValue{item.KeyValue}
@@ -70,19 +87,33 @@
 	return core.RangeResult{ID: o.ID, Status: r.Status, Items: page.Items, More: page.More, Revision: page.Revision}
 }
 
-func (c *Client) readPage(ctx context.Context, prefix, from string, most int) (wire.RangeResponse, httpjson.Response) {
-	return httpjson.Decode[wire.RangeResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.RangePath(prefix, from, most), nil))
+func (c *Client) readPage(
+	ctx context.Context,
+	prefix, from string,
+	most int,
+) (wire.RangeResponse, httpjson.Response) {
+	return httpjson.Decode[wire.RangeResponse](
+		c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.RangePath(prefix, from, most), nil),
+	)
 }
 
 // GrantOrRenewLease grants or extends a lease.
 func (c *Client) GrantOrRenewLease(ctx context.Context, o core.LeaseRequest) core.LeaseResult {
 	switch o.Op {
 	case "grant":
-		v, r := httpjson.Decode[wire.LeaseResponse](c.httpClient.Do(ctx, requestTimeout/2, http.MethodPost, c.baseURL+wire.PathLeases,
-			wire.LeaseRequest{TTLMS: uint64(o.TTL.Milliseconds())}))
+		v, r := httpjson.Decode[wire.LeaseResponse](
+			c.httpClient.Do(ctx, requestTimeout/2, http.MethodPost, c.baseURL+wire.PathLeases,
+				wire.LeaseRequest{TTLMS: uint64(o.TTL.Milliseconds())}),
+		)
 		return core.LeaseResult{Op: o.Op, Status: r.Status, LeaseID: v.LeaseID}
 	default:
-		r := c.httpClient.Do(ctx, requestTimeout/2, http.MethodPost, fmt.Sprintf("%s%s/%d/extend", c.baseURL, wire.PathLeases, o.LeaseID), struct{}{})
+		r := c.httpClient.Do(
+			ctx,
+			requestTimeout/2,
+			http.MethodPost,
+			fmt.Sprintf("%s%s/%d/extend", c.baseURL, wire.PathLeases, o.LeaseID),
+			struct{}{},
+		)
 		return core.LeaseResult{Op: o.Op, Status: r.Status, LeaseID: o.LeaseID}
 	}
 }
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -30,7 +30,12 @@
 		items = append(items, wire.KeyValue{Key: fmt.Sprintf("dl/job/wk-%03d", i), Value: json.RawMessage("1")})
 	}
 	s.PutUnchecked(items)
-	s.PutUnchecked([]wire.KeyValue{{Key: "da/b/wk-050", Value: json.RawMessage("5")}, {Key: "da/b/~", Value: json.RawMessage("9")}})
+	s.PutUnchecked(
+		[]wire.KeyValue{
+			{Key: "da/b/wk-050", Value: json.RawMessage("5")},
+			{Key: "da/b/~", Value: json.RawMessage("9")},
+		},
+	)
 	seen, from := 0, ""
 	for more := true; more; {
 		p := c.LoadSnapshot(ctx, core.LoadSnapshot{AfterKey: from})
@@ -42,12 +47,21 @@
 	if seen != 100 {
 		t.Errorf("%d keys were loaded", seen)
 	}
-	for id, want := range map[string]string{"wk-049": "5", "wk-050": "9", "wk-9": "9", "wk-0": "5"} { // the block of an id
-		if p := c.ReadRange(ctx, core.ReadRange{ID: 3, Prefix: "da/b/", AfterKey: "da/b/" + id, Limit: 1}); p.ID != 3 || p.Status != 200 || string(p.Items[0].Value) != want {
+	// the block of an id
+	for id, want := range map[string]string{"wk-049": "5", "wk-050": "9", "wk-9": "9", "wk-0": "5"} {
+		if p := c.ReadRange(ctx, core.ReadRange{
+			ID:       3,
+			Prefix:   "da/b/",
+			AfterKey: "da/b/" + id,
+			Limit:    1,
+		}); p.ID != 3 ||
+			p.Status != 200 ||
+			string(p.Items[0].Value) != want {
 			t.Errorf("%s: %+v", id, p)
 		}
 	}
-	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-007"}); p.Status != 200 || len(p.Items) != 1 || p.Items[0].Revision != 1 {
+	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-007"}); p.Status != 200 || len(p.Items) != 1 ||
+		p.Items[0].Revision != 1 {
 		t.Errorf("got %+v", p)
 	}
 	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-x"}); p.Status != 404 || p.Revision != 2 {
@@ -56,7 +70,15 @@
 
 	l := c.GrantOrRenewLease(ctx, core.LeaseRequest{Op: "grant", TTL: 200 * time.Millisecond})
 	put := func(mark, lease uint64) core.TxnResult {
-		return c.CommitTxn(ctx, core.CommitTxn{Txn: wire.Txn{Compare: []wire.Compare{{Key: "dl/x", Revision: mark}}, Then: []wire.Write{{Put: "dl/x", Value: json.RawMessage("1"), LeaseID: lease}}}})
+		return c.CommitTxn(
+			ctx,
+			core.CommitTxn{
+				Txn: wire.Txn{
+					Compare: []wire.Compare{{Key: "dl/x", Revision: mark}},
+					Then:    []wire.Write{{Put: "dl/x", Value: json.RawMessage("1"), LeaseID: lease}},
+				},
+			},
+		)
 	}
 	first, again := put(0, l.LeaseID), put(0, 0)
 	if first.Status != 200 || again.Status != 409 || len(again.Reply.Failed) != 1 {
--- a/tlsconfig/tlsconfig.go
+++ b/tlsconfig/tlsconfig.go
@@ -57,14 +57,21 @@
 	if f == nil || f.serverCerts == nil {
 		return nil
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		x := f.serverCerts.currentCerts()
-		c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{x.cert}, NextProtos: []string{"http/1.1"}}
-		if x.caPool != nil {
-			c.ClientAuth, c.ClientCAs = tls.VerifyClientCertIfGiven, x.caPool
-		}
-		return c, nil
-	}}
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
+			x := f.serverCerts.currentCerts()
+			c := &tls.Config{
+				MinVersion:   tls.VersionTLS13,
+				Certificates: []tls.Certificate{x.cert},
+				NextProtos:   []string{"http/1.1"},
+			}
+			if x.caPool != nil {
+				c.ClientAuth, c.ClientCAs = tls.VerifyClientCertIfGiven, x.caPool
+			}
+			return c, nil
+		},
+	}
 }
 
 // MeshServerConfig is for the controllers that reach this one; nil: plain text.
@@ -72,11 +79,17 @@
 	if f == nil || f.meshCerts == nil {
 		return nil
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"}, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		x := f.meshCerts.currentCerts()
-		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{x.cert}, NextProtos: []string{"h2"},
-			ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: x.caPool}, nil
-	}}
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		NextProtos: []string{"h2"},
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
+			x := f.meshCerts.currentCerts()
+			return &tls.Config{
+				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{x.cert}, NextProtos: []string{"h2"},
+				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: x.caPool,
+			}, nil
+		},
+	}
 }
 
 // MeshClientConfig is for reaching the controller of that name; nil: plain text.
@@ -85,7 +98,12 @@
 		return nil
 	}
 	x := f.meshCerts.currentCerts()
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{x.cert}, RootCAs: x.caPool, ServerName: peer}
+	return &tls.Config{
+		MinVersion:   tls.VersionTLS13,
+		Certificates: []tls.Certificate{x.cert},
+		RootCAs:      x.caPool,
+		ServerName:   peer,
+	}
 }
 
 // certReloader is a certificate with its key, and the authorities of the other side.
--- a/tlsconfig/tlsconfig_test.go
+++ b/tlsconfig/tlsconfig_test.go
@@ -42,7 +42,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })}
+	srv := &http.Server{
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }),
+	}
 	go func() { _ = srv.Serve(tls.NewListener(inner, f.ServerConfig())) }() // ends with the test
 	t.Cleanup(func() { _ = srv.Close() })
 	client := func(ca string) *http.Client {
@@ -52,7 +54,10 @@
 		}
 		pool := x509.NewCertPool()
 		pool.AppendCertsFromPEM(raw)
-		return &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
+		return &http.Client{
+			Timeout:   10 * time.Second,
+			Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}},
+		}
 	}
 	old, fresh := client(first.CertFile), client(second.CertFile)
 	get := func(c *http.Client) error {
@@ -70,7 +75,8 @@
 	if err := get(fresh); err == nil {
 		t.Fatal("another authority is trusted")
 	}
-	back := func() { f.serverCerts.mu.Lock(); f.serverCerts.lastCheck = time.Time{}; f.serverCerts.mu.Unlock() } // the next look is due
+	// the next look is due
+	back := func() { f.serverCerts.mu.Lock(); f.serverCerts.lastCheck = time.Time{}; f.serverCerts.mu.Unlock() }
 	if err := os.WriteFile(cert, []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +118,8 @@
 		fmt.Sprintf("mesh { certificate: %q key: %q authorities: %q }", cert, key, key): "no certificate in",
 		fmt.Sprintf("serve { certificate: %q key: %q }", key, cert):                     "certificate:",
 	} {
-		if _, err := loadFromText(t, text); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := loadFromText(t, text); err == nil || !strings.Contains(err.Error(), want) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/wire/reservation.go
+++ b/wire/reservation.go
@@ -6,16 +6,18 @@
 	PathEquipment    = "/v1/equipment"
 )
 
-// ReservationRequest asks for a booking, or changes one. Times are as the site's clocks show them, 2027-03-04T08:00, or with an offset.
+// ReservationRequest asks for a booking, or changes one. Times are as the site's clocks show them,
+// 2027-03-04T08:00, or with an offset.
 type ReservationRequest struct {
-	ID       string        `json:"id,omitempty"` // chosen by whoever books; a repeat names the same
-	Team     string        `json:"team,omitempty"`
-	Slots    []SlotRequest `json:"slots,omitempty"`    // all or none
-	Repeat   string        `json:"repeat,omitempty"`   // rule of recurrence, as FREQ=WEEKLY;COUNT=8, for all slots
-	HoldS    uint32        `json:"hold_s,omitempty"`   // held so long, until it is confirmed; 0: it is confirmed at once
-	Priority string        `json:"priority,omitempty"` // on the waiting list
-	Waitlist bool          `json:"wait,omitempty"`     // if it is not to be had, it goes on the waiting list
-	Reason   string        `json:"why,omitempty"`      // of an end
+	ID     string        `json:"id,omitempty"` // chosen by whoever books; a repeat names the same
+	Team   string        `json:"team,omitempty"`
+	Slots  []SlotRequest `json:"slots,omitempty"`  // all or none
+	Repeat string        `json:"repeat,omitempty"` // rule of recurrence, as FREQ=WEEKLY;COUNT=8, for all slots
+	// held so long, until it is confirmed; 0: it is confirmed at once
+	HoldS    uint32 `json:"hold_s,omitempty"`
+	Priority string `json:"priority,omitempty"` // on the waiting list
+	Waitlist bool   `json:"wait,omitempty"`     // if it is not to be had, it goes on the waiting list
+	Reason   string `json:"why,omitempty"`      // of an end
 }
 
 // SlotRequest is slots in a row, of a piece or of any piece of a kind.
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -36,7 +36,8 @@
 // EndpointForSnapshot tells, as a query of PathSite, that the state is to be saved.
 const EndpointForSnapshot = "snapshot"
 
-// RangePath is the address of a listing of the state service: of at most so many keys with a prefix, behind one if there is any.
+// RangePath is the address of a listing of the state service: of at most so many keys with a
+// prefix, behind one if there is any.
 func RangePath(prefix, from string, most int) string {
 	path := fmt.Sprintf("%s?starts=%s&most=%d", PathKeys, url.QueryEscape(prefix), most)
 	if from != "" {
@@ -186,7 +187,15 @@
 	for _, a := range []struct {
 		f string
 		p *float64
-	}{{"cpus", s.CPUs}, {"cards", s.GPUs}, {"ram_gb", s.MemoryGB}, {"image_gb", s.ImageGB}, {"firing_s", s.EstimatedRuntime}, {"glaze_s", s.CheckpointInterval}, {"cool_s", s.CheckpointTime}} {
+	}{
+		{"cpus", s.CPUs},
+		{"cards", s.GPUs},
+		{"ram_gb", s.MemoryGB},
+		{"image_gb", s.ImageGB},
+		{"firing_s", s.EstimatedRuntime},
+		{"glaze_s", s.CheckpointInterval},
+		{"cool_s", s.CheckpointTime},
+	} {
 		if !amount(a.p) {
 			return fail(a.f)
 		}
@@ -218,10 +227,28 @@
 	}
 	slices.Sort(s.Dependencies)
 	up := func(v float64) int64 { return int64(math.Ceil(v*1000 - 1e-6)) }
-	sp := JobSpec{ID: *s.ID, Class: *s.Class, Team: *s.Team, Service: *s.Kind == "daemon", Priority: prio, Tasks: *s.Tasks,
-		Request: [3]int64{up(*s.CPUs), up(*s.GPUs), up(*s.MemoryGB)}, MachineTypes: s.MachineTypes, OneZone: *s.OneZone, Spread: *s.Spread,
-		Spot: *s.Spot, EstimatedRuntimeMS: up(*s.EstimatedRuntime), CheckpointTimeMS: up(*s.CheckpointTime), CanCheckpoint: *s.CheckpointInterval > 0,
-		Dependencies: slices.Compact(s.Dependencies), Image: *s.Image}
+	sp := JobSpec{
+		ID:       *s.ID,
+		Class:    *s.Class,
+		Team:     *s.Team,
+		Service:  *s.Kind == "daemon",
+		Priority: prio,
+		Tasks:    *s.Tasks,
+		Request: [3]int64{
+			up(*s.CPUs),
+			up(*s.GPUs),
+			up(*s.MemoryGB),
+		},
+		MachineTypes:       s.MachineTypes,
+		OneZone:            *s.OneZone,
+		Spread:             *s.Spread,
+		Spot:               *s.Spot,
+		EstimatedRuntimeMS: up(*s.EstimatedRuntime),
+		CheckpointTimeMS:   up(*s.CheckpointTime),
+		CanCheckpoint:      *s.CheckpointInterval > 0,
+		Dependencies:       slices.Compact(s.Dependencies),
+		Image:              *s.Image,
+	}
 	if s.Zone != nil {
 		sp.Zone = *s.Zone
 	}
