--- a/access/access.go
+++ b/access/access.go
@@ -4,6 +4,7 @@
 
 import (
 	"crypto/ed25519"
+	"dewlift/wire"
 	"encoding/base64"
 	"errors"
 	"fmt"
@@ -13,7 +14,6 @@
 	"google.golang.org/protobuf/encoding/prototext"
 
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // Verb is what somebody wants to do.
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -3,12 +3,11 @@
 
 import (
 	"context"
-	"net/http"
-	"time"
-
 	"dewlift/core"
 	"dewlift/internal/httpjson"
 	"dewlift/wire"
+	"net/http"
+	"time"
 )
 
 const requestTimeout = 2 * time.Second
--- a/api/api.go
+++ b/api/api.go
@@ -4,6 +4,10 @@
 import (
 	"context"
 	"crypto/tls"
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,11 +20,7 @@
 
 	"github.com/gofiber/fiber/v3"
 
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/core"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // Service is what the edge needs of the controller.
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -3,6 +3,8 @@
 import (
 	"bufio"
 	"bytes"
+	"dewlift/core"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -16,9 +18,6 @@
 	"testing"
 
 	"github.com/gofiber/fiber/v3"
-
-	"dewlift/core"
-	"dewlift/wire"
 )
 
 // fakeController answers every input like a core that accepts everything but what is malformed.
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -1,6 +1,8 @@
 package api
 
 import (
+	"dewlift/access"
+	"dewlift/core"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -9,9 +11,6 @@
 	"github.com/gofiber/fiber/v3"
 	lru "github.com/hashicorp/golang-lru/v2"
 	"golang.org/x/time/rate"
-
-	"dewlift/access"
-	"dewlift/core"
 )
 
 // authenticator tells from tokens who asks. What it costs is bounded: a token of an unknown key
--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -3,6 +3,10 @@
 import (
 	"crypto/tls"
 	"crypto/x509"
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/internal/testcert"
+	"dewlift/tlsconfig"
 	"encoding/base64"
 	"fmt"
 	"io"
@@ -16,11 +20,7 @@
 
 	"github.com/gofiber/fiber/v3"
 
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/internal/testcert"
 	pb "dewlift/proto"
-	"dewlift/tlsconfig"
 )
 
 func newTestAuthenticator(t testing.TB, names ...string) (*authenticator, map[string]*access.PrivateKey) {
--- a/api/queue.go
+++ b/api/queue.go
@@ -1,13 +1,12 @@
 package api
 
 import (
+	"dewlift/core"
+	"dewlift/wire"
 	"encoding/json"
 	"strconv"
 
 	"github.com/gofiber/fiber/v3"
-
-	"dewlift/core"
-	"dewlift/wire"
 )
 
 // SetQueueEnabled tells whether there is a list of lanes; where there is none, the queue's paths are unknown.
--- a/api/reservation.go
+++ b/api/reservation.go
@@ -1,16 +1,15 @@
 package api
 
 import (
+	"dewlift/booking"
+	"dewlift/core"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"strconv"
 	"sync/atomic"
 
 	"github.com/gofiber/fiber/v3"
-
-	"dewlift/booking"
-	"dewlift/core"
-	"dewlift/wire"
 )
 
 // SetReservationsEnabled tells whether something can be booked; where nothing can, its paths are unknown.
--- a/archive/block.go
+++ b/archive/block.go
@@ -8,6 +8,7 @@
 package archive
 
 import (
+	"dewlift/internal/compress"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -17,7 +18,6 @@
 	"github.com/cespare/xxhash/v2"
 	protobuf "google.golang.org/protobuf/proto"
 
-	"dewlift/internal/compress"
 	pb "dewlift/proto"
 )
 
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -1,6 +1,7 @@
 package audit
 
 import (
+	"dewlift/archive"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -13,7 +14,6 @@
 	protobuf "google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"dewlift/archive"
 	pb "dewlift/proto"
 )
 
--- a/audit/chain.go
+++ b/audit/chain.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"crypto/hmac"
+	"dewlift/archive"
 	"encoding/binary"
 	"encoding/json"
 	"errors"
@@ -11,7 +12,6 @@
 
 	protobuf "google.golang.org/protobuf/proto"
 
-	"dewlift/archive"
 	pb "dewlift/proto"
 )
 
--- a/audit/report/report.go
+++ b/audit/report/report.go
@@ -3,6 +3,8 @@
 
 import (
 	"cmp"
+	"dewlift/audit"
+	"dewlift/internal/chart"
 	"fmt"
 	"html/template"
 	"io"
@@ -14,9 +16,6 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-
-	"dewlift/audit"
-	"dewlift/internal/chart"
 )
 
 // Report counts acts by day. Its zero value is ready.
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -3,15 +3,14 @@
 
 import (
 	"context"
+	"dewlift/core"
+	"dewlift/internal/httpjson"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"net/url"
 	"time"
-
-	"dewlift/core"
-	"dewlift/internal/httpjson"
-	"dewlift/wire"
 )
 
 const (
--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -4,6 +4,13 @@
 	"bytes"
 	"cmp"
 	"context"
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/audit/report"
+	"dewlift/internal/httpjson"
+	"dewlift/settings"
+	"dewlift/snapshot"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,18 +23,13 @@
 	"slices"
 	"strings"
 	"time"
-	_ "time/tzdata" // a controller's machine may have no zones
+	_ "time/tzdata"
+
+	// a controller's machine may have no zones
 
 	"github.com/spf13/cobra"
 
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/audit/report"
-	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
-	"dewlift/settings"
-	"dewlift/snapshot"
-	"dewlift/wire"
 )
 
 // minAuditTxnOps is how many changes a transaction takes at least where something is recorded: a
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -3,6 +3,14 @@
 import (
 	"bytes"
 	"context"
+	"dewlift"
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/internal/fakes"
+	"dewlift/internal/httpjson"
+	"dewlift/settings"
+	"dewlift/snapshot"
+	"dewlift/wire"
 	"encoding/base64"
 	"encoding/json"
 	"errors"
@@ -20,15 +28,7 @@
 	"testing"
 	"time"
 
-	"dewlift"
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/internal/fakes"
-	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
-	"dewlift/settings"
-	"dewlift/snapshot"
-	"dewlift/wire"
 )
 
 // testSite is a site with rights and a record, whose controller can be killed and started again.
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -2,6 +2,11 @@
 
 import (
 	"context"
+	"dewlift/core"
+	"dewlift/core/jobrecord"
+	"dewlift/internal/fakes"
+	"dewlift/settings"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -18,12 +23,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"dewlift/core"
-	"dewlift/core/jobrecord"
-	"dewlift/internal/fakes"
-	"dewlift/settings"
-	"dewlift/wire"
 )
 
 const (
--- a/cmd/dewlift/job.go
+++ b/cmd/dewlift/job.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -10,8 +11,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"dewlift/wire"
 )
 
 // jobCommands makes the commands about jobs.
--- a/cmd/dewlift/main.go
+++ b/cmd/dewlift/main.go
@@ -3,6 +3,10 @@
 
 import (
 	"context"
+	"dewlift"
+	"dewlift/audit"
+	"dewlift/settings"
+	"dewlift/tlsconfig"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -12,11 +16,6 @@
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
-
-	"dewlift"
-	"dewlift/audit"
-	"dewlift/settings"
-	"dewlift/tlsconfig"
 )
 
 const version = "0.1.0"
--- a/cmd/dewlift/permissions.go
+++ b/cmd/dewlift/permissions.go
@@ -4,6 +4,9 @@
 	"context"
 	"crypto/tls"
 	"crypto/x509"
+	"dewlift/access"
+	"dewlift/internal/httpjson"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,10 +17,6 @@
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
-
-	"dewlift/access"
-	"dewlift/internal/httpjson"
-	"dewlift/wire"
 )
 
 const tokenLifetime = 5 * time.Minute // of a token that a command makes for itself
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -1,6 +1,9 @@
 package main
 
 import (
+	"dewlift/internal/httpjson"
+	"dewlift/priorityclass"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"net/http"
@@ -8,10 +11,6 @@
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
-
-	"dewlift/internal/httpjson"
-	"dewlift/priorityclass"
-	"dewlift/wire"
 )
 
 // loadPriorityClasses reads a list of lanes.
--- a/cmd/dewlift/reservation.go
+++ b/cmd/dewlift/reservation.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"dewlift/booking"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,9 +16,6 @@
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
-
-	"dewlift/booking"
-	"dewlift/wire"
 )
 
 // refusedError is a "no" that is no bad use: exit code 1.
--- a/cmd/dewlift/settings.go
+++ b/cmd/dewlift/settings.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"dewlift/settings"
 	"encoding/json"
 	"fmt"
 	"text/tabwriter"
@@ -8,8 +9,6 @@
 
 	"github.com/spf13/cobra"
 	"google.golang.org/protobuf/reflect/protoreflect"
-
-	"dewlift/settings"
 )
 
 // settingDescription is a setting as it is shown.
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -2,6 +2,10 @@
 
 import (
 	"context"
+	"dewlift/internal/httpjson"
+	"dewlift/settings"
+	"dewlift/snapshot"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -17,11 +21,7 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
-	"dewlift/settings"
-	"dewlift/snapshot"
-	"dewlift/wire"
 )
 
 // snapshotFlags say where the state is and how much of its service may be used.
--- a/controller.go
+++ b/controller.go
@@ -3,14 +3,6 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
-	"log/slog"
-	"math/rand/v2"
-	"net"
-	"sync/atomic"
-	"time"
-
 	"dewlift/access"
 	"dewlift/agent"
 	"dewlift/api"
@@ -21,11 +13,19 @@
 	"dewlift/core"
 	"dewlift/mesh"
 	"dewlift/priorityclass"
-	pb "dewlift/proto"
 	"dewlift/settings"
 	"dewlift/statestore"
 	"dewlift/tlsconfig"
 	"dewlift/wire"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"sync/atomic"
+	"time"
+
+	pb "dewlift/proto"
 )
 
 // Controller is one running controller.
@@ -79,7 +79,7 @@
 		metrics: newMetrics(),
 	}
 	cfg := CoreConfig(p, t)
-	cfg.Permissions, cfg.AuditKey, cfg.Equipment, cfg.PriorityClasses, cfg.Settings = g.Permissions, g.AuditKey, g.Equipment, g.PriorityClasses, settings.AuditedValues(
+	cfg.Permissions, cfg.Audit.Key, cfg.Reservations.Equipment, cfg.Scheduling.PriorityClasses, cfg.Audit.Settings = g.Permissions, g.AuditKey, g.Equipment, g.PriorityClasses, settings.AuditedValues(
 		p,
 		t,
 	)
@@ -105,74 +105,94 @@
 	ms := func(v uint32) time.Duration { return time.Duration(v) * time.Millisecond }
 	now, next := &k.State, &k.State.Next
 	cfg := core.Config{
+		Store: core.StoreConfig{
+			RequestRate:            lowerLimit(now.RPS, next.RPS),
+			WriteRate:              now.WriteRPS,
+			NextWriteRate:          lowerLimit(now.WriteRPS, next.WriteRPS),
+			MaxValueBytes:          int(lowerLimit(now.ValueKB, next.ValueKB) * 1024),
+			MaxTxnOps:              lowerLimit(now.TxnOps, next.TxnOps),
+			MinWatchInterval:       ms(t.GetWatchGapMs()),
+			MinReadBarrierInterval: ms(t.GetBarrierGapMs()),
+			MaxWriteShare:          t.GetWriteShare(),
+			SharedValues:           t.GetSharedValues(),
+		},
+		Autoscaling: core.AutoscalingConfig{
+			CloudRequestRate:     max(1, k.Cloud.RPS*0.9),
+			CloudListLag:         settings.DurationFromSeconds(k.Cloud.ListLagS),
+			HeadroomShare:        t.GetSpareShare(),
+			ServiceHeadroomShare: t.GetSpareService(),
+			HeadroomDeviations:   t.GetSpareDeviations(),
+			IdleTimeout:          ms(t.GetIdleMs()),
+			IdleBootFactor:       t.GetIdleBoots(),
+			SoonFreeBootFactor:   t.GetSoonBoots(),
+			BootTimeoutFactor:    t.GetBootPatience(),
+			CloudListInterval:    ms(t.GetListMs()),
+			ScaleOutLeadTime:     ms(t.GetRentAheadMs()),
+		},
+		Agents: core.AgentConfig{
+			HeartbeatInterval:    settings.DurationFromSeconds(k.Workers.ReportS),
+			LeaseTTL:             settings.DurationFromSeconds(k.Workers.LeaseS),
+			CancelTimeout:        settings.DurationFromSeconds(k.Workers.CancelS),
+			MaxCommandRequests:   parts.AgentCommands,
+			MaxPollRequests:      parts.AgentPolls,
+			SilenceTimeout:       ms(t.GetSilentMs()),
+			CancelScaleInShare:   t.GetCancelShare(),
+			CommandRetryInterval: ms(t.GetOrderAgainMs()),
+			EndedTaskClearDelay:  ms(t.GetClearMs()),
+			LostTaskBatchDelay:   ms(t.GetLossGatherMs()),
+		},
+		Audit: core.AuditConfig{
+			ForgetAfter:     maxStoreRequestDelay,
+			MaxClockErrorMS: uint32(k.TimeBoundMS),
+			GatherDelay:     ms(t.GetAuditGatherMs()),
+			BlockDelay:      ms(t.GetAuditBlockMs()),
+		},
+		Cluster: core.ClusterConfig{
+			LeaseTTL:       ms(t.GetLeaseMs()),
+			RelayTimeout:   ms(t.GetPassMs()),
+			PeerTimeout:    ms(t.GetLinkLostMs()),
+			HealthInterval: ms(t.GetHealthMs()),
+		},
+		State: core.StateConfig{
+			DeltaInterval:    ms(t.GetDeltaMs()),
+			PushInterval:     ms(t.GetPushMs()),
+			CopyExpiry:       ms(t.GetExpireMs()),
+			FullPushInterval: ms(t.GetWholePushMs()),
+			MinPushInterval:  ms(t.GetPushGapMs()),
+		},
+		Scheduling: core.SchedulingConfig{
+			CandidateRatio:          t.GetProbeRatio(),
+			RandomPlacement:         t.GetRandomFill(),
+			PreferImage:             t.GetPreferImage(),
+			PreferSpot:              t.GetPreferSpot(),
+			BusyHorizonStep:         ms(t.GetHorizonMs()),
+			MinEndBatchDelay:        ms(t.GetSettleMs()),
+			PreemptionRetryInterval: ms(t.GetRoomAgainMs()),
+			MaxEndBatchDelay:        ms(t.GetSettleMostMs()),
+			SubmitWriteTimeout:      ms(t.GetAcceptWaitMs()),
+			FullScanInterval:        ms(t.GetLookAllMs()),
+			YieldAfter:              ms(t.GetGiveWayMs()),
+			PriorityAgingInterval:   ms(t.GetRiseMs()),
+		},
+		History: core.HistoryConfig{
+			Archive:           t.GetArchive(),
+			MaxEndedJobs:      int(t.GetEndedKept()),
+			CacheBytes:        int(t.GetHistoryCacheKb()) << 10,
+			ReadShare:         t.GetHistoryShare(),
+			ArchiveStartDelay: ms(t.GetHistoryWaitMs()),
+		},
+		Reservations: core.ReservationConfig{
+			Retention: time.Duration(t.GetBookingKeepMin()) * time.Minute,
+		},
+
 		// Of the platform.
-		SchemaVersion:      core.SchemaVersion,
-		Name:               p.Name,
-		Zone:               p.Zone,
-		StoreRequestRate:   lowerLimit(now.RPS, next.RPS),
-		StoreWriteRate:     now.WriteRPS,
-		NextStoreWriteRate: lowerLimit(now.WriteRPS, next.WriteRPS),
-		MaxValueBytes:      int(lowerLimit(now.ValueKB, next.ValueKB) * 1024),
-		MaxTxnOps:          lowerLimit(now.TxnOps, next.TxnOps),
-		CloudRequestRate:   max(1, k.Cloud.RPS*0.9),
-		CloudListLag:       settings.DurationFromSeconds(k.Cloud.ListLagS),
-		HeartbeatInterval:  settings.DurationFromSeconds(k.Workers.ReportS),
-		AgentLeaseTTL:      settings.DurationFromSeconds(k.Workers.LeaseS),
-		CancelTimeout:      settings.DurationFromSeconds(k.Workers.CancelS),
-		AuditForgetAfter:   maxStoreRequestDelay,
-		MaxClockErrorMS:    uint32(k.TimeBoundMS),
-		MaxCommandRequests: parts.AgentCommands,
-		MaxPollRequests:    parts.AgentPolls,
+		SchemaVersion: core.SchemaVersion,
+		Name:          p.Name,
+		Zone:          p.Zone,
 
 		// Of the operators: `dewlift settings` tells what they do.
-		LeaseTTL:                ms(t.GetLeaseMs()),
-		Shards:                  int(t.GetShards()),
-		MinWatchInterval:        ms(t.GetWatchGapMs()),
-		MinReadBarrierInterval:  ms(t.GetBarrierGapMs()),
-		MaxWriteShare:           t.GetWriteShare(),
-		DeltaInterval:           ms(t.GetDeltaMs()),
-		StatePushInterval:       ms(t.GetPushMs()),
-		StateCopyExpiry:         ms(t.GetExpireMs()),
-		CandidateRatio:          t.GetProbeRatio(),
-		RandomPlacement:         t.GetRandomFill(),
-		PreferImage:             t.GetPreferImage(),
-		PreferSpot:              t.GetPreferSpot(),
-		BusyHorizonStep:         ms(t.GetHorizonMs()),
-		HeadroomShare:           t.GetSpareShare(),
-		ServiceHeadroomShare:    t.GetSpareService(),
-		HeadroomDeviations:      t.GetSpareDeviations(),
-		IdleTimeout:             ms(t.GetIdleMs()),
-		IdleBootFactor:          t.GetIdleBoots(),
-		SoonFreeBootFactor:      t.GetSoonBoots(),
-		SilenceTimeout:          ms(t.GetSilentMs()),
-		BootTimeoutFactor:       t.GetBootPatience(),
-		MinEndBatchDelay:        ms(t.GetSettleMs()),
-		CancelScaleInShare:      t.GetCancelShare(),
-		SharedValues:            t.GetSharedValues(),
-		Archive:                 t.GetArchive(),
-		MaxEndedJobs:            int(t.GetEndedKept()),
-		HistoryCacheBytes:       int(t.GetHistoryCacheKb()) << 10,
-		AuditGatherDelay:        ms(t.GetAuditGatherMs()),
-		AuditBlockDelay:         ms(t.GetAuditBlockMs()),
-		HistoryReadShare:        t.GetHistoryShare(),
-		ArchiveStartDelay:       ms(t.GetHistoryWaitMs()),
-		FullStatePushInterval:   ms(t.GetWholePushMs()),
-		MinStatePushInterval:    ms(t.GetPushGapMs()),
-		CommandRetryInterval:    ms(t.GetOrderAgainMs()),
-		EndedTaskClearDelay:     ms(t.GetClearMs()),
-		RelayTimeout:            ms(t.GetPassMs()),
-		PeerTimeout:             ms(t.GetLinkLostMs()),
-		PreemptionRetryInterval: ms(t.GetRoomAgainMs()),
-		CloudListInterval:       ms(t.GetListMs()),
-		MaxEndBatchDelay:        ms(t.GetSettleMostMs()),
-		LostTaskBatchDelay:      ms(t.GetLossGatherMs()),
-		SubmitWriteTimeout:      ms(t.GetAcceptWaitMs()),
-		HealthInterval:          ms(t.GetHealthMs()),
-		FullScanInterval:        ms(t.GetLookAllMs()),
-		ScaleOutLeadTime:        ms(t.GetRentAheadMs()),
-		YieldAfter:              ms(t.GetGiveWayMs()),
-		PriorityAgingInterval:   ms(t.GetRiseMs()),
-		ReservationRetention:    time.Duration(t.GetBookingKeepMin()) * time.Minute,
+
+		Shards: int(t.GetShards()),
 	}
 	for _, q := range p.Peers {
 		cfg.Peers = append(cfg.Peers, q.Name)
--- a/controller_test.go
+++ b/controller_test.go
@@ -2,6 +2,16 @@
 
 import (
 	"context"
+	"dewlift/access"
+	"dewlift/archive"
+	"dewlift/booking"
+	"dewlift/core"
+	"dewlift/internal/fakes"
+	"dewlift/internal/httpjson"
+	"dewlift/priorityclass"
+	"dewlift/settings"
+	"dewlift/snapshot"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,17 +26,7 @@
 	"testing"
 	"time"
 
-	"dewlift/access"
-	"dewlift/archive"
-	"dewlift/booking"
-	"dewlift/core"
-	"dewlift/internal/fakes"
-	"dewlift/internal/httpjson"
-	"dewlift/priorityclass"
 	pb "dewlift/proto"
-	"dewlift/settings"
-	"dewlift/snapshot"
-	"dewlift/wire"
 )
 
 // listenLoopback holds a free address on loopback.
--- a/core/allocation/tracker.go
+++ b/core/allocation/tracker.go
@@ -10,9 +10,8 @@
 package allocation
 
 import (
-	"time"
-
 	"dewlift/clusterstate"
+	"time"
 )
 
 const (
--- a/core/apply.go
+++ b/core/apply.go
@@ -2,13 +2,12 @@
 
 import (
 	"cmp"
-	"encoding/json"
-	"strings"
-
 	"dewlift/core/auditlog"
 	"dewlift/core/jobrecord"
 	"dewlift/core/reservations"
 	"dewlift/wire"
+	"encoding/json"
+	"strings"
 )
 
 // applyPut takes a key's new value into the replica.
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -1,16 +1,15 @@
 package core
 
 import (
+	"dewlift/archive"
+	"dewlift/core/jobrecord"
+	"dewlift/overload"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"slices"
 	"strings"
 	"time"
-
-	"dewlift/archive"
-	"dewlift/core/jobrecord"
-	"dewlift/overload"
-	"dewlift/wire"
 )
 
 // The leader moves the records of jobs that ended longest ago into the archive: it alone, so that
@@ -44,10 +43,10 @@
 // canArchive reports whether records may move now: no one may be running a version that does not
 // look into the archive, and nobody waits for the changes it takes.
 func (c *Core) canArchive() bool {
-	return c.overload.Level() == overload.Normal && c.cfg.Archive && c.schemaVersion() >= schemaArchive && c.isLeader() && c.holdsLease() && c.now >= c.schema.activeSince+c.cfg.ArchiveStartDelay &&
+	return c.overload.Level() == overload.Normal && c.cfg.History.Archive && c.schemaVersion() >= schemaArchive && c.isLeader() && c.holdsLease() && c.now >= c.schema.activeSince+c.cfg.History.ArchiveStartDelay &&
 		!c.transactions.rateLimit.IsPaused(c.now) && c.pendingSubmissions == 0 &&
 		len(c.transactions.inFlight) == 0 &&
-		c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) &&
+		c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
 		c.transactions.rateLimit.ReadTokens > 1
 }
 
@@ -93,12 +92,12 @@
 		h.endedJobs,
 		func(j *job) bool { return j.archive.archived || !j.archive.counted },
 	)
-	if len(h.endedJobs)+h.coldRecords <= 2*c.cfg.MaxEndedJobs || len(h.endedJobs) <= c.cfg.MaxEndedJobs {
+	if len(h.endedJobs)+h.coldRecords <= 2*c.cfg.History.MaxEndedJobs || len(h.endedJobs) <= c.cfg.History.MaxEndedJobs {
 		return
 	}
 	slices.SortFunc(h.endedJobs, func(a, b *job) int { return -compareByRevision(a, b) })
 	c.archiving.sweep = &archiveSweep{
-		maxRevision:    h.endedJobs[c.cfg.MaxEndedJobs].revision,
+		maxRevision:    h.endedJobs[c.cfg.History.MaxEndedJobs].revision,
 		referencedJobs: c.referencedJobs(),
 		startedAt:      c.now,
 	}
@@ -170,8 +169,8 @@
 		}
 		pieces, k, err = b.PlanMerge(
 			list,
-			c.cfg.MaxValueBytes,
-			max(2, min(c.cfg.MaxTxnOps, int(c.storeWriteRate()/2))),
+			c.cfg.Store.MaxValueBytes,
+			max(2, min(c.cfg.Store.MaxTxnOps, int(c.storeWriteRate()/2))),
 		)
 	}
 	if err != nil {
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -1,13 +1,12 @@
 package core
 
 import (
-	"math"
-	"slices"
-	"time"
-
 	"dewlift/clusterstate"
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
+	"math"
+	"slices"
+	"time"
 )
 
 // assignTasks chooses machines for a job's waiting tasks by the design: 2t candidates from the
@@ -65,8 +64,8 @@
 	others, shun := c.queuePositionsOf(prio, at), c.recentlyFailedMachines(p.record)
 	ask := clusterstate.CandidateQuery{
 		Count: int(
-			math.Ceil(c.cfg.CandidateRatio * float64(len(tasks))),
-		), Request: s.Request, FillRandomly: c.cfg.RandomPlacement, HonorReserved: s.Spot,
+			math.Ceil(c.cfg.Scheduling.CandidateRatio * float64(len(tasks))),
+		), Request: s.Request, FillRandomly: c.cfg.Scheduling.RandomPlacement, HonorReserved: s.Spot,
 		IsAllowed: func(i int32) bool {
 			m := c.machines[i]
 			return c.isSchedulable(m) && c.isFeasible(s, m) && !slices.Contains(shun, m.name) &&
@@ -86,18 +85,18 @@
 	ask.TierOf = func(i int32) int {
 		m, t := c.machines[i], 0
 		h := c.busyHorizon(m)
-		if c.cfg.PreferSpot && s.Spot && !m.identity.spot && h < unboundedHorizon {
+		if c.cfg.Scheduling.PreferSpot && s.Spot && !m.identity.spot && h < unboundedHorizon {
 			t += 200
 		}
-		if c.cfg.PreferImage && s.Image != "" && !m.status.images[s.Image] {
+		if c.cfg.Scheduling.PreferImage && s.Image != "" && !m.status.images[s.Image] {
 			t += 100
 		}
 		// A machine is paid for until its last task ends: a task that ends before costs nothing.
 		// A replica stays for good: on a machine that has none, it would keep it for itself alone.
-		if c.cfg.BusyHorizonStep > 0 && s.Service && h < unboundedHorizon {
+		if c.cfg.Scheduling.BusyHorizonStep > 0 && s.Service && h < unboundedHorizon {
 			t += 90
-		} else if c.cfg.BusyHorizonStep > 0 && est > h {
-			t += int(min(90, (est-h)/c.cfg.BusyHorizonStep))
+		} else if c.cfg.Scheduling.BusyHorizonStep > 0 && est > h {
+			t += int(min(90, (est-h)/c.cfg.Scheduling.BusyHorizonStep))
 		}
 		return t
 	}
@@ -156,7 +155,7 @@
 				m := c.machines[mi]
 				r := c.clusterCopy.state.Row(mi)
 				if r == nil || !r.HasRoom(s.Request, s.Spot) {
-					if untried[mi] || c.clusterCopy.state.IsFresh(c.now) && !c.cfg.RandomPlacement {
+					if untried[mi] || c.clusterCopy.state.IsFresh(c.now) && !c.cfg.Scheduling.RandomPlacement {
 						continue
 					}
 					untried[mi] = true
--- a/core/audit.go
+++ b/core/audit.go
@@ -1,16 +1,16 @@
 package core
 
 import (
+	"dewlift/audit"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
 	"strings"
 
-	"dewlift/audit"
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // KeyRestored exists where a snapshot was restored and that is not recorded yet.
@@ -28,13 +28,13 @@
 func (c *Core) newAuditLog() *auditlog.Recorder {
 	k := &c.cfg
 	return auditlog.New(auditlog.Config{
-		Key:            k.AuditKey,
+		Key:            k.Audit.Key,
 		Node:           k.Name,
-		GatherInterval: k.AuditGatherDelay,
-		BlockDelay:     k.AuditBlockDelay,
-		LateTxnWindow:  k.AuditForgetAfter,
-		ClockErrorMS:   k.MaxClockErrorMS,
-		Settings:       k.Settings,
+		GatherInterval: k.Audit.GatherDelay,
+		BlockDelay:     k.Audit.BlockDelay,
+		LateTxnWindow:  k.Audit.ForgetAfter,
+		ClockErrorMS:   k.Audit.MaxClockErrorMS,
+		Settings:       k.Audit.Settings,
 		StartedAt:      c.now,
 		Log:            c.log,
 	})
@@ -46,7 +46,7 @@
 		Now:           c.now,
 		UnixMS:        c.unixMS(),
 		Enabled:       c.isAuditing(),
-		MaxValueBytes: c.cfg.MaxValueBytes,
+		MaxValueBytes: c.cfg.Store.MaxValueBytes,
 	}
 	return c.auditLog
 }
@@ -56,10 +56,10 @@
 }
 
 // isAuditing reports whether this controller records.
-func (c *Core) isAuditing() bool { return c.cfg.AuditKey != nil && c.schemaVersion() >= schemaAudit }
+func (c *Core) isAuditing() bool { return c.cfg.Audit.Key != nil && c.schemaVersion() >= schemaAudit }
 
 // lacksAuditKey reports whether others record and this controller has no key to: it must not act.
-func (c *Core) lacksAuditKey() bool { return c.cfg.AuditKey == nil && c.auditLog.IsInitialized() }
+func (c *Core) lacksAuditKey() bool { return c.cfg.Audit.Key == nil && c.auditLog.IsInitialized() }
 
 // auditNotReady reports whether nothing may be written yet that is to be recorded.
 func (c *Core) auditNotReady() bool {
@@ -69,7 +69,7 @@
 // unauditedCompares are the conditions under which a change needs no entry: a controller that does
 // not record yet must not act once another one does.
 func (c *Core) unauditedCompares() []wire.Compare {
-	if c.isAuditing() || c.cfg.AuditKey == nil && !c.permissionsInForce() {
+	if c.isAuditing() || c.cfg.Audit.Key == nil && !c.permissionsInForce() {
 		return nil
 	}
 	return []wire.Compare{{Key: auditlog.KeyInitialized}}
@@ -170,10 +170,10 @@
 // handleReadAudit answers with a part of the record, to those who may read it.
 func (c *Core) handleReadAudit(in ReadAudit) {
 	switch {
-	case c.isNotServing() || c.cfg.AuditKey != nil && !c.isAuditing():
+	case c.isNotServing() || c.cfg.Audit.Key != nil && !c.isAuditing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
-	case c.cfg.AuditKey == nil:
+	case c.cfg.Audit.Key == nil:
 		c.respond(in.RequestID, 404, wire.Error{Error: "nothing is recorded here"})
 		return
 	}
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -1,6 +1,10 @@
 package core
 
 import (
+	"dewlift/audit"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
@@ -8,11 +12,7 @@
 	"testing"
 	"time"
 
-	"dewlift/audit"
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // carriedValue is what values with entries have in common.
@@ -37,7 +37,7 @@
 
 // enableAuditing gives a controller that has not recorded anything the key of the record.
 func enableAuditing(c *Core, gather, block time.Duration, settings map[string]string) {
-	c.cfg.AuditKey, c.cfg.AuditGatherDelay, c.cfg.AuditBlockDelay, c.cfg.AuditForgetAfter, c.cfg.Settings = testKey, gather, block, 10*time.Second, settings
+	c.cfg.Audit.Key, c.cfg.Audit.GatherDelay, c.cfg.Audit.BlockDelay, c.cfg.Audit.ForgetAfter, c.cfg.Audit.Settings = testKey, gather, block, 10*time.Second, settings
 	c.auditLog = c.newAuditLog()
 }
 
--- a/core/auditlog/golden_test.go
+++ b/core/auditlog/golden_test.go
@@ -1,12 +1,11 @@
 package auditlog
 
 import (
+	"dewlift/audit"
 	"encoding/json"
 	"reflect"
 	"strings"
 	"testing"
-
-	"dewlift/audit"
 )
 
 // What a carrier is stored as, and its key: the same bytes are written, and those of before are read.
--- a/core/auditlog/recorder.go
+++ b/core/auditlog/recorder.go
@@ -17,6 +17,8 @@
 
 import (
 	"cmp"
+	"dewlift/audit"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -24,9 +26,7 @@
 	"strings"
 	"time"
 
-	"dewlift/audit"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 const (
--- a/core/auditlog/recorder_test.go
+++ b/core/auditlog/recorder_test.go
@@ -1,6 +1,8 @@
 package auditlog
 
 import (
+	"dewlift/audit"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -10,9 +12,6 @@
 	"time"
 
 	"pgregory.net/rapid"
-
-	"dewlift/audit"
-	"dewlift/wire"
 )
 
 var key = audit.Key("a key for the tests of the recorder")
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -2,12 +2,11 @@
 
 import (
 	"cmp"
+	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
 	"time"
-
-	"dewlift/wire"
 )
 
 type nodeGroup struct {
@@ -26,7 +25,7 @@
 // in a while. What is not sent is planned anew; without a bound, each plan of a full fleet was
 // about thousands of machines that there are not.
 func (c *Core) maxScaleOut() int {
-	return max(4*maxMachinesPerRent, int(c.cfg.CloudRequestRate*rentPlanningWindow.Seconds())*maxMachinesPerRent)
+	return max(4*maxMachinesPerRent, int(c.cfg.Autoscaling.CloudRequestRate*rentPlanningWindow.Seconds())*maxMachinesPerRent)
 }
 
 // planScaling compares the room with what the jobs need and decides what to rent and what to empty.
@@ -193,7 +192,7 @@
 
 // idleTimeout is how long an empty machine is kept: the longer it took to boot, the longer.
 func (c *Core) idleTimeout(m *machine) time.Duration {
-	return c.cfg.IdleTimeout + scaleDuration(c.nominalBootTime(m.identity.machineType), c.cfg.IdleBootFactor)
+	return c.cfg.Autoscaling.IdleTimeout + scaleDuration(c.nominalBootTime(m.identity.machineType), c.cfg.Autoscaling.IdleBootFactor)
 }
 
 func (c *Core) hasLiveTasks(m *machine) bool {
--- a/core/batchvalue/slot.go
+++ b/core/batchvalue/slot.go
@@ -9,11 +9,10 @@
 package batchvalue
 
 import (
+	"dewlift/internal/compress"
 	"encoding/json"
 	"fmt"
 	"maps"
-
-	"dewlift/internal/compress"
 )
 
 // Slot is one value, as far as it is known, and what this controller has on its way that depends on it.
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -2,15 +2,14 @@
 
 import (
 	"bytes"
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
 	"strconv"
 
-	"dewlift/core/batchvalue"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
-
 	"github.com/cespare/xxhash/v2"
 )
 
@@ -50,23 +49,23 @@
 // canShareValues reports whether this controller puts jobs into slots. What carries entries of the
 // audit record, or depends on rights, is written under its own key.
 func (c *Core) canShareValues() bool {
-	return c.cfg.SharedValues && c.schemaVersion() >= schemaSharedValues && c.cfg.AuditKey == nil &&
+	return c.cfg.Store.SharedValues && c.schemaVersion() >= schemaSharedValues && c.cfg.Audit.Key == nil &&
 		!c.permissionsInForce()
 }
 
 // maxSlotBytes is how many bytes of entries, before they are compressed, may be in a slot: they
 // shrink to half and less.
-func (c *Core) maxSlotBytes() int { return c.cfg.MaxValueBytes * 7 / 4 }
+func (c *Core) maxSlotBytes() int { return c.cfg.Store.MaxValueBytes * 7 / 4 }
 
 // encodeSlotEntry renders what changes of a proposal's job; nil if it can't be shared. A record
 // that nearly fills its value may be cancelled by a mark, of which the slot knows nothing.
 func (c *Core) encodeSlotEntry(p *proposal) json.RawMessage {
 	j, r := p.job, p.record
-	if !c.canShareValues() || j.revision == 0 || p.isAcceptance || p.isCancellation || r.Stage != jobrecord.Queued || r.Spec == nil || j.cancellation.markerRevision != 0 || j.stored.bytes > c.cfg.MaxValueBytes*3/4 ||
+	if !c.canShareValues() || j.revision == 0 || p.isAcceptance || p.isCancellation || r.Stage != jobrecord.Queued || r.Spec == nil || j.cancellation.markerRevision != 0 || j.stored.bytes > c.cfg.Store.MaxValueBytes*3/4 ||
 		p.wantsOwnKey || len(p.compares) > 0 ||
 		len(r.PendingAudit) > 0 ||
 		!c.ownsJob(j) ||
-		len(p.assignments) > c.cfg.MaxValueBytes/40 {
+		len(p.assignments) > c.cfg.Store.MaxValueBytes/40 {
 		return nil
 	}
 	raw, err := c.encodeRecord(
@@ -80,7 +79,7 @@
 		p.assignments,
 		false,
 	)
-	if err != nil || len(raw) > c.cfg.MaxValueBytes/4 {
+	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes/4 {
 		return nil
 	}
 	return raw
@@ -166,7 +165,7 @@
 		b.slotDrafts = map[int]*batchvalue.Draft{}
 	}
 	b.slotDrafts[n] = d
-	b.valueBytes += b.core.cfg.MaxValueBytes // all of its entries are written
+	b.valueBytes += b.core.cfg.Store.MaxValueBytes // all of its entries are written
 }
 
 // removeSlotEntry takes a job's entry out of a slot that others hold.
@@ -204,7 +203,7 @@
 	for _, n := range sortedKeys(b.slotDrafts) {
 		d := b.slotDrafts[n]
 		raw, err := d.Entries.Encode()
-		if err == nil && len(raw) <= b.core.cfg.MaxValueBytes {
+		if err == nil && len(raw) <= b.core.cfg.Store.MaxValueBytes {
 			b.addCompare(wire.Compare{Key: slotKey(n), Revision: b.core.slotState(n).Revision})
 			b.txn.Then = append(b.txn.Then, wire.Write{Put: slotKey(n), Value: raw})
 			continue
--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -1,21 +1,20 @@
 package core
 
 import (
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"encoding/json"
 	"slices"
 	"testing"
 	"time"
-
-	"dewlift/core/batchvalue"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 )
 
 // newCoreWithSharedValues is a core whose controllers all know shared values; it holds all shards.
 func newCoreWithSharedValues(t *testing.T) *Core {
 	t.Helper()
 	c := newServingCore(t)
-	c.cfg.SharedValues = true
+	c.cfg.Store.SharedValues = true
 	for _, n := range []string{"n0", "n1", "n2"} {
 		c.applyPut(keySchemaVersion+n, json.RawMessage("5"), 8)
 	}
@@ -163,7 +162,7 @@
 // Entries that do not fit their slot have the job's own key, and the others go on.
 func TestFullSlotDoesNotBlockWrites(t *testing.T) {
 	c := newCoreWithSharedValues(t)
-	c.cfg.MaxValueBytes = 600
+	c.cfg.Store.MaxValueBytes = 600
 	for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6", "wk-7", "wk-8"} {
 		r := &jobrecord.Record{
 			WriteNumber: 1,
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -2,14 +2,13 @@
 
 import (
 	"cmp"
+	"dewlift/core/jobrecord"
+	"dewlift/core/quorum"
+	"dewlift/wire"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
-
-	"dewlift/core/jobrecord"
-	"dewlift/core/quorum"
-	"dewlift/wire"
 )
 
 // A user is told that a job is cancelled once a majority of the controllers holds that, or nothing
@@ -272,7 +271,7 @@
 }
 
 func (c *Core) cancelStalenessBound() time.Duration {
-	return quorum.MaxStaleness(c.cfg.CancelTimeout, c.cfg.AgentLeaseTTL)
+	return quorum.MaxStaleness(c.cfg.Agents.CancelTimeout, c.cfg.Agents.LeaseTTL)
 }
 
 // leaseDenialReason tells why this controller may not renew the lease of a machine, by its report, now; "" if it may.
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -1,10 +1,9 @@
 package core
 
 import (
+	"dewlift/core/jobrecord"
 	"slices"
 	"time"
-
-	"dewlift/core/jobrecord"
 )
 
 // forEachUnconfirmedStop calls f for each task of a cancelled job that is not proven to be off its
@@ -37,7 +36,7 @@
 			c.leadership.fencingToken <= t.maxUnansweredToken {
 			c.raiseFencingToken()
 		}
-		if age > time.Duration(c.cfg.CancelScaleInShare*float64(c.cfg.CancelTimeout)) {
+		if age > time.Duration(c.cfg.Agents.CancelScaleInShare*float64(c.cfg.Agents.CancelTimeout)) {
 			suspects = append(suspects, m.name)
 		}
 	})
@@ -71,12 +70,12 @@
 	c.forEachUnconfirmedStop(func(j *job, a jobrecord.Assignment, m *machine, age time.Duration) {
 		share := outageReturnShare
 		if c.now-max(m.status.lastHeartbeatAt, c.stalls.runningSince) > c.silenceTimeout() {
-			share = c.cfg.CancelScaleInShare
+			share = c.cfg.Agents.CancelScaleInShare
 		} else if _, there := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; !there {
 			// it has ended and was cleared by somebody with newer records; one that may still come is mayComeBack's
 			return
 		}
-		if age > time.Duration((share+outageReturnRankShare*float64(c.machineRank(m)))*float64(c.cfg.CancelTimeout)) {
+		if age > time.Duration((share+outageReturnRankShare*float64(c.machineRank(m)))*float64(c.cfg.Agents.CancelTimeout)) {
 			due[m.name] = true
 		}
 	})
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -1,11 +1,10 @@
 package core
 
 import (
-	"slices"
-	"time"
-
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
+	"slices"
+	"time"
 )
 
 // fetchCatalog keeps the machine types; every controller needs them.
@@ -62,8 +61,8 @@
 	if same {
 		return
 	}
-	raw, err := jobrecord.EncodeCatalog(k, c.cfg.MaxValueBytes, c.schemaVersion() >= schemaDependencies)
-	if err != nil || len(raw) > c.cfg.MaxValueBytes {
+	raw, err := jobrecord.EncodeCatalog(k, c.cfg.Store.MaxValueBytes, c.schemaVersion() >= schemaDependencies)
+	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
 		return
 	}
 	c.autoscaler.storeInFlight = true
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -1,10 +1,9 @@
 package core
 
 import (
+	"dewlift/wire"
 	"slices"
 	"time"
-
-	"dewlift/wire"
 )
 
 type scaleOutRequest struct {
@@ -49,7 +48,7 @@
 			l.nextListAt = c.now + time.Second
 			return
 		}
-		l.nextListAt = c.now + c.cfg.CloudListInterval
+		l.nextListAt = c.now + c.cfg.Autoscaling.CloudListInterval
 		l.listAfter = ""
 		if n := len(in.Machines); in.More && n > 0 {
 			l.listAfter = in.Machines[n-1].Name
--- a/core/core.go
+++ b/core/core.go
@@ -1,9 +1,6 @@
 package core
 
 import (
-	"math/rand/v2"
-	"time"
-
 	"dewlift/audit"
 	"dewlift/core/auditlog"
 	"dewlift/core/batchvalue"
@@ -13,6 +10,8 @@
 	"dewlift/core/reservations"
 	"dewlift/overload"
 	"dewlift/priorityclass"
+	"math/rand/v2"
+	"time"
 )
 
 // Core is the state machine of one controller.
@@ -89,25 +88,25 @@
 		permissions:  permissionState{identities: map[string]storedIdentity{}},
 	}
 	c.replica.batchValues = map[int]*batchvalue.Slot{}
-	c.controllers.membership = membership.New(cfg.Peers, cfg.PeerTimeout)
+	c.controllers.membership = membership.New(cfg.Peers, cfg.Cluster.PeerTimeout)
 	c.controllers.nodeKeys = map[string]leasedKey{}
 	c.ownership.shards = make([]leasedKey, cfg.Shards)
 	c.schema.declared = map[string]int{}
 	c.transactions.inFlight = map[uint64]*pendingTxn{}
 	c.transactions.rateLimit = ratelimit.New(now)
-	c.transactions.endBatchDelay = cfg.MinEndBatchDelay
+	c.transactions.endBatchDelay = cfg.Scheduling.MinEndBatchDelay
 	c.agents.zones = map[string]*zoneLiveness{}
 	c.agents.missingHeartbeats = map[string][]string{}
 	c.commands.inFlight = map[uint64]inFlightCommands{}
 	c.commands.relayed = map[uint64]relayedCommands{}
 	c.autoscaler.calls = map[uint64]func(CloudResult){}
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
-	c.priority.classes = priorityclass.Default(cfg.PriorityAgingInterval)
+	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
 	c.auditLog = c.newAuditLog()
 	c.cancelAcks.quorum = quorum.New(
-		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.CancelTimeout, AgentLeaseTTL: cfg.AgentLeaseTTL},
+		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.Agents.CancelTimeout, AgentLeaseTTL: cfg.Agents.LeaseTTL},
 	)
-	c.clusterCopy.state.MaxAge = cfg.StateCopyExpiry
+	c.clusterCopy.state.MaxAge = cfg.State.CopyExpiry
 	c.updateRateLimit()
 	c.transactions.rateLimit.FillBurst()
 	for i, t := range cfg.Teams {
@@ -209,7 +208,7 @@
 		c.stalls.runningSince = c.now
 	}
 	c.stalls.lastAdvanceAt = c.now
-	c.transactions.rateLimit.Refill(c.now, c.cfg.MaxTxnOps)
+	c.transactions.rateLimit.Refill(c.now, c.cfg.Store.MaxTxnOps)
 	c.syncReplica()
 	c.maintainLease()
 	c.runMaintenance()
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -1,62 +1,77 @@
 package core
 
 import (
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"encoding/json"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
-
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 )
 
 func testConfig() Config {
 	return Config{
-		SchemaVersion:           SchemaVersion,
-		Name:                    "n0",
-		Peers:                   []string{"n1", "n2"},
-		Teams:                   []Team{{Name: "t"}},
-		LeaseTTL:                4 * time.Second,
-		Shards:                  4,
-		StoreRequestRate:        100,
-		StoreWriteRate:          100,
-		MaxWriteShare:           0.6,
-		MaxValueBytes:           8192,
-		MaxTxnOps:               12,
-		CloudRequestRate:        4,
-		HeartbeatInterval:       3 * time.Second,
-		AgentLeaseTTL:           20 * time.Second,
-		CancelTimeout:           40 * time.Second,
-		DeltaInterval:           50 * time.Millisecond,
-		StatePushInterval:       200 * time.Millisecond,
-		StateCopyExpiry:         10 * time.Second,
-		CandidateRatio:          2,
-		SilenceTimeout:          2 * time.Second,
-		BootTimeoutFactor:       3,
-		FullStatePushInterval:   10 * time.Second,
-		MinStatePushInterval:    100 * time.Millisecond,
-		CommandRetryInterval:    time.Second,
-		MaxCommandRequests:      400,
-		MaxPollRequests:         100,
-		EndedTaskClearDelay:     2 * time.Second,
-		RelayTimeout:            3 * time.Second,
-		PeerTimeout:             1500 * time.Millisecond,
-		PreemptionRetryInterval: 4 * time.Second,
-		CloudListInterval:       2500 * time.Millisecond,
-		MaxEndBatchDelay:        2 * time.Second,
-		CancelScaleInShare:      0.35,
-		LostTaskBatchDelay:      700 * time.Millisecond,
-		SubmitWriteTimeout:      1500 * time.Millisecond,
-		HealthInterval:          500 * time.Millisecond,
-		FullScanInterval:        20 * time.Second,
-		ScaleOutLeadTime:        3 * time.Second,
-		MaxEndedJobs:            100,
-		HistoryCacheBytes:       1 << 20,
-		HistoryReadShare:        0.5,
-		Archive:                 true,
+		Cluster: ClusterConfig{
+			LeaseTTL:       4 * time.Second,
+			RelayTimeout:   3 * time.Second,
+			PeerTimeout:    1500 * time.Millisecond,
+			HealthInterval: 500 * time.Millisecond,
+		},
+		Store: StoreConfig{
+			RequestRate:   100,
+			WriteRate:     100,
+			MaxWriteShare: 0.6,
+			MaxValueBytes: 8192,
+			MaxTxnOps:     12,
+		},
+		Autoscaling: AutoscalingConfig{
+			CloudRequestRate:  4,
+			BootTimeoutFactor: 3,
+			CloudListInterval: 2500 * time.Millisecond,
+			ScaleOutLeadTime:  3 * time.Second,
+		},
+		Agents: AgentConfig{
+			HeartbeatInterval:    3 * time.Second,
+			LeaseTTL:             20 * time.Second,
+			CancelTimeout:        40 * time.Second,
+			SilenceTimeout:       2 * time.Second,
+			CommandRetryInterval: time.Second,
+			MaxCommandRequests:   400,
+			MaxPollRequests:      100,
+			EndedTaskClearDelay:  2 * time.Second,
+			CancelScaleInShare:   0.35,
+			LostTaskBatchDelay:   700 * time.Millisecond,
+		},
+		State: StateConfig{
+			DeltaInterval:    50 * time.Millisecond,
+			PushInterval:     200 * time.Millisecond,
+			CopyExpiry:       10 * time.Second,
+			FullPushInterval: 10 * time.Second,
+			MinPushInterval:  100 * time.Millisecond,
+		},
+		Scheduling: SchedulingConfig{
+			CandidateRatio:          2,
+			PreemptionRetryInterval: 4 * time.Second,
+			MaxEndBatchDelay:        2 * time.Second,
+			SubmitWriteTimeout:      1500 * time.Millisecond,
+			FullScanInterval:        20 * time.Second,
+		},
+		History: HistoryConfig{
+			MaxEndedJobs: 100,
+			CacheBytes:   1 << 20,
+			ReadShare:    0.5,
+			Archive:      true,
+		},
+
+		SchemaVersion: SchemaVersion,
+		Name:          "n0",
+		Peers:         []string{"n1", "n2"},
+		Teams:         []Team{{Name: "t"}},
+
+		Shards: 4,
 	}
 }
 
@@ -141,8 +156,8 @@
 				}
 				rec.CompletedTasks = rec.CompletedTasks.Add(int(a.Task))
 				if raw, err := c.encodeRecord(rec, append(slices.Clone(odd), p.assignments[i+1:]...), false); err != nil ||
-					len(raw) > c.cfg.MaxValueBytes {
-					t.Fatalf("round %d: %d bytes, at most %d fit (%v)", round, len(raw), c.cfg.MaxValueBytes, err)
+					len(raw) > c.cfg.Store.MaxValueBytes {
+					t.Fatalf("round %d: %d bytes, at most %d fit (%v)", round, len(raw), c.cfg.Store.MaxValueBytes, err)
 				}
 			}
 			place = odd
@@ -163,7 +178,7 @@
 // was, 20 times a second, and took the changes that others needed.
 func TestFullRecordIsNotWrittenAgain(t *testing.T) {
 	c := newLeadingCore(t)
-	c.cfg.MaxValueBytes = 1700
+	c.cfg.Store.MaxValueBytes = 1700
 	in := testSubmission("wk-1")
 	in.Spec.Tasks, in.Spec.Request, in.Spec.Class = 300, [3]int64{1, 0, 1}, strings.Repeat("c", 1200)
 	c.Handle(time.Second, in)
@@ -645,7 +660,7 @@
 // after 6.5 s.
 func TestQuietMachineIsNotSilent(t *testing.T) {
 	c := newLeadingCore(t)
-	c.cfg.HeartbeatInterval = 6 * time.Second
+	c.cfg.Agents.HeartbeatInterval = 6 * time.Second
 	m := c.internMachine("m-1")
 	m.leaderView.rentedAt = time.Second
 	for at := 1 * time.Second; at < 30*time.Second; at += 7500 * time.Millisecond {
@@ -673,7 +688,7 @@
 // Spare room grows with the spread of what jobs ask for, not with the size of the fleet.
 func TestHeadroomOfALargeClass(t *testing.T) {
 	c := newServingCore(t)
-	c.cfg.HeadroomShare, c.cfg.HeadroomDeviations = 0.25, 1
+	c.cfg.Autoscaling.HeadroomShare, c.cfg.Autoscaling.HeadroomDeviations = 0.25, 1
 	st := &classStats{meanTasks: 10, meanSquareTasks: 100, meanInterval: time.Second}
 	if n := c.headroomTasks(st, 40); n != 10 {
 		t.Errorf("a small class keeps room for %v tasks, want a job of the usual size", n)
@@ -698,7 +713,7 @@
 		}
 		j.record.Stage, j.record.CancelledAtMS = jobrecord.Cancelled, c.unixMS()
 		c.Handle(2*time.Second, AgentHeartbeat{RequestID: 10, Heartbeat: testHeartbeat(2, p)})
-		c.now = 2*time.Second + c.cfg.CancelTimeout/2
+		c.now = 2*time.Second + c.cfg.Agents.CancelTimeout/2
 		if got := len(c.enforceCancellations()); got != map[bool]int{false: 1, true: 0}[stopped] {
 			t.Errorf("stopped %v: %d machines asked for", stopped, got)
 		}
@@ -860,7 +875,7 @@
 // ordinary machines was kept by a few of them.
 func TestReplicasShareMachines(t *testing.T) {
 	c := newLeadingCore(t)
-	c.cfg.BusyHorizonStep = 10 * time.Second
+	c.cfg.Scheduling.BusyHorizonStep = 10 * time.Second
 	in := testSubmission("wk-1")
 	in.Spec.Service = true
 	c.Handle(time.Second, in)
@@ -915,7 +930,7 @@
 	c.markMachineGone(c.internMachine("m-1"))
 	var order []string
 	c.transactions.rateLimit.WriteTokens = 100
-	c.cfg.MaxTxnOps = 12
+	c.cfg.Store.MaxTxnOps = 12
 	for _, o := range outputsOfType[CommitTxn](c.Advance(3 * time.Second)) {
 		for _, w := range o.Txn.Then {
 			if strings.HasPrefix(w.Put, keyJob) {
@@ -1005,7 +1020,7 @@
 // told when to come back, and nothing of it stays.
 func TestSubmissionFloodIsRefusedAtOnce(t *testing.T) {
 	c := newServingCore(t)
-	c.cfg.StoreWriteRate = 20
+	c.cfg.Store.WriteRate = 20
 	for i := range 500 {
 		in := testSubmission("wk-" + strconv.Itoa(i))
 		in.RequestID = uint64(i)
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -1,13 +1,12 @@
 package core
 
 import (
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
 	"encoding/binary"
 	"slices"
 	"time"
 
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
-
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/core/demand.go
+++ b/core/demand.go
@@ -2,13 +2,12 @@
 
 import (
 	"cmp"
-	"math"
-	"slices"
-	"time"
-
 	"dewlift/clusterstate"
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
+	"math"
+	"slices"
+	"time"
 )
 
 type classStats struct {
@@ -226,14 +225,14 @@
 // deviations of it; a large class varies less for its size), and at least a job of the usual
 // size; less and less once jobs have stopped coming.
 func (c *Core) headroomTasks(st *classStats, running int) float64 {
-	share := c.cfg.HeadroomShare
+	share := c.cfg.Autoscaling.HeadroomShare
 	if st.lastSpec.Service {
-		share = c.cfg.ServiceHeadroomShare
+		share = c.cfg.Autoscaling.ServiceHeadroomShare
 	}
 	n := share * float64(running)
 	if st.meanInterval > 0 {
 		jobs := float64(c.provisioningTime(&st.lastSpec)) / float64(st.meanInterval)
-		n = min(n, c.cfg.HeadroomDeviations*math.Sqrt(jobs*st.meanSquareTasks))
+		n = min(n, c.cfg.Autoscaling.HeadroomDeviations*math.Sqrt(jobs*st.meanSquareTasks))
 	}
 	n = max(st.meanTasks, n)
 	if quiet := c.now - st.lastArrival; st.meanInterval > 0 && quiet > 5*st.meanInterval && quiet > 20*time.Second {
@@ -253,7 +252,7 @@
 			quickest = c.nominalBootTime(name)
 		}
 	}
-	return quickest + c.cfg.ScaleOutLeadTime
+	return quickest + c.cfg.Autoscaling.ScaleOutLeadTime
 }
 
 // nominalBootTime is the nominal boot time of a machine type; 0 if the type is not known.
--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -1,11 +1,10 @@
 package core
 
 import (
-	"slices"
-	"time"
-
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
+	"slices"
+	"time"
 )
 
 // jobDependencies is what a job has to do with those that it awaits and those that await it. All of it
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -1,13 +1,12 @@
 package core
 
 import (
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
-
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 )
 
 // newCoreWithDependencies is a controller that leads and whose peers all know awaits.
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -1,10 +1,9 @@
 package core
 
 import (
+	"dewlift/wire"
 	"slices"
 	"time"
-
-	"dewlift/wire"
 )
 
 // dispatchCommands works out what each machine must be told and sends it.
@@ -28,11 +27,11 @@
 			return true
 		}
 		if m.commands.requestID != 0 || c.now < m.commands.nextSendAt ||
-			!m.commands.dirty && c.now < m.commands.lastExaminedAt+c.cfg.CommandRetryInterval {
+			!m.commands.dirty && c.now < m.commands.lastExaminedAt+c.cfg.Agents.CommandRetryInterval {
 			return false
 		}
 		strained := c.isUnresponsive(m)
-		if len(c.commands.inFlight) >= c.cfg.MaxCommandRequests || strained && hanging >= c.cfg.MaxCommandRequests/4 {
+		if len(c.commands.inFlight) >= c.cfg.Agents.MaxCommandRequests || strained && hanging >= c.cfg.Agents.MaxCommandRequests/4 {
 			return false // another's turn
 		}
 		m.commands.dirty = false
@@ -62,7 +61,7 @@
 	var keys, clears []attemptKey
 	add := func(op string, k attemptKey, grace float64) {
 		a := c.attemptOf(m, k)
-		if a.commandSent && c.now-a.lastCommandAt < c.cfg.CommandRetryInterval {
+		if a.commandSent && c.now-a.lastCommandAt < c.cfg.Agents.CommandRetryInterval {
 			return
 		}
 		a.lastCommandAt, a.commandSent = c.now, true
@@ -129,7 +128,7 @@
 	if len(clears) == 0 {
 		m.commands.nextClearAt = 0
 	} else if m.commands.nextClearAt == 0 {
-		m.commands.nextClearAt = c.now + c.cfg.EndedTaskClearDelay
+		m.commands.nextClearAt = c.now + c.cfg.Agents.EndedTaskClearDelay
 	}
 	if len(list) > 0 || m.commands.nextClearAt != 0 && c.now >= m.commands.nextClearAt ||
 		len(clears) > maxEndedReported {
@@ -160,7 +159,7 @@
 	m.commands.requestID, m.commands.requestToken, m.commands.requestAttempts = id, c.leadership.fencingToken, keys
 	o := SendCommands{ID: id, Machine: m.name, Addr: m.identity.address, Batch: body}
 	if by := c.relayPeer(m); by != "" {
-		c.commands.inFlight[id] = inFlightCommands{m.index, c.now + c.cfg.RelayTimeout}
+		c.commands.inFlight[id] = inFlightCommands{m.index, c.now + c.cfg.Cluster.RelayTimeout}
 		c.emit(SendToPeer{Peer: by, Message: Message{Commands: &o}})
 		return true
 	}
@@ -259,7 +258,7 @@
 			c.afterReadBarrier(func(bool) {})
 		}
 	default:
-		m.commands.nextSendAt = c.now + c.cfg.CommandRetryInterval
+		m.commands.nextSendAt = c.now + c.cfg.Agents.CommandRetryInterval
 	}
 }
 
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -1,9 +1,8 @@
 package core
 
 import (
-	"time"
-
 	"dewlift/wire"
+	"time"
 )
 
 // drainInterrupted stops the tasks of machines that the cloud is about to take, where waiting for the end
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -1,18 +1,17 @@
 package core
 
 import (
-	"slices"
-	"time"
-
 	"dewlift/clusterstate"
 	"dewlift/wire"
+	"slices"
+	"time"
 )
 
 // isSchedulable reports whether new tasks may go to a machine now.
 func (c *Core) isSchedulable(m *machine) bool {
 	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested && !c.isQuarantined(m) && m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
 		c.now >= m.health.avoidUntil &&
-		c.now-m.status.lastHeartbeatAt < c.cfg.HeartbeatInterval*2 &&
+		c.now-m.status.lastHeartbeatAt < c.cfg.Agents.HeartbeatInterval*2 &&
 		(m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) &&
 		!c.isZoneSilent(m.identity.zone, placementSilenceLimit)
 }
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -1,12 +1,11 @@
 package core
 
 import (
+	"dewlift/audit"
 	"encoding/json"
 	"reflect"
 	"strings"
 	"testing"
-
-	"dewlift/audit"
 )
 
 // What is stored in types of this package: the same bytes are written, and those of before are
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -1,13 +1,13 @@
 package core
 
 import (
+	"dewlift/access"
+	"dewlift/wire"
 	"hash/fnv"
 	"strconv"
 	"time"
 
-	"dewlift/access"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // agentLiveness is what agents said of late and what of it goes to the other controllers; status
@@ -260,7 +260,7 @@
 func (c *Core) broadcastHeartbeats() {
 	var heard []HeartbeatDigest
 	if c.now >= c.agents.nextDigestAt {
-		c.agents.nextDigestAt = c.now + c.stretchUnderLoad(batchesPerDigest*c.cfg.DeltaInterval)
+		c.agents.nextDigestAt = c.now + c.stretchUnderLoad(batchesPerDigest*c.cfg.State.DeltaInterval)
 		heard, c.agents.digestsToRelay = c.agents.digestsToRelay, nil
 	}
 	if len(c.agents.heartbeatsToRelay)+len(heard) > 0 {
@@ -288,13 +288,15 @@
 
 // maxHeartbeatGap is how long a machine that is well stays quiet at most.
 func (c *Core) maxHeartbeatGap() time.Duration {
-	return c.cfg.HeartbeatInterval*5/4 + 300*time.Millisecond
+	return c.cfg.Agents.HeartbeatInterval*5/4 + 300*time.Millisecond
 }
 
 // silenceTimeout is how long a machine is quiet before it is given up. It follows from how often
 // workers report: a fixed time was shorter than the pauses of machines that report every 6 s,
 // and healthy ones were returned.
-func (c *Core) silenceTimeout() time.Duration { return c.maxHeartbeatGap() + c.cfg.SilenceTimeout }
+func (c *Core) silenceTimeout() time.Duration {
+	return c.maxHeartbeatGap() + c.cfg.Agents.SilenceTimeout
+}
 
 // pollQuietAgent asks a machine for its report when none has come, directly or from others: while
 // the controllers can't reach each other, it is the only news of tasks that report elsewhere. One
@@ -302,7 +304,7 @@
 // asked every machine of a lost zone once a second, and each question held a socket until its
 // timeout. Machines that answer make room for the next at once.
 func (c *Core) pollQuietAgent(m *machine) {
-	if c.agents.pollsInFlight >= c.cfg.MaxPollRequests || !m.status.reported ||
+	if c.agents.pollsInFlight >= c.cfg.Agents.MaxPollRequests || !m.status.reported ||
 		c.now-m.status.lastHeartbeatAt <= c.maxHeartbeatGap() ||
 		m.status.polls > 0 && c.now-m.status.lastPollAt <= time.Second<<min(m.status.polls-1, 4) {
 		return
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -1,12 +1,12 @@
 package core
 
 import (
-	"time"
-
 	"dewlift/access"
 	"dewlift/booking"
-	pb "dewlift/proto"
 	"dewlift/wire"
+	"time"
+
+	pb "dewlift/proto"
 )
 
 // Input is something that happened.
--- a/core/job.go
+++ b/core/job.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
-	"time"
-
 	"dewlift/audit"
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
+	"time"
 )
 
 type job struct {
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -1,14 +1,13 @@
 package core
 
 import (
+	"dewlift/archive"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"errors"
 	"slices"
 	"strings"
 	"time"
-
-	"dewlift/archive"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 )
 
 // The ends of jobs. A controller keeps those of late in memory, as it keeps all that is not over.
@@ -64,7 +63,7 @@
 
 func newHistory(cfg *Config) history {
 	return history{
-		archiveIndex: archive.NewBlockCache(cfg.HistoryCacheBytes),
+		archiveIndex: archive.NewBlockCache(cfg.History.CacheBytes),
 		lookups:      map[string]*jobLookup{},
 		pendingReads: map[uint64]func(RangeResult){},
 	}
@@ -85,7 +84,7 @@
 
 // maxEndedInMemory bounds the ended jobs in memory whose records have not moved: as many as are kept wait
 // to be moved, and as many again until they are; beyond that the oldest are dropped.
-func (c *Core) maxEndedInMemory() int { return 4 * c.cfg.MaxEndedJobs }
+func (c *Core) maxEndedInMemory() int { return 4 * c.cfg.History.MaxEndedJobs }
 
 // evictOldestEnded drops the oldest ended jobs from memory where there are too many; their records stay.
 func (c *Core) evictOldestEnded() {
@@ -101,11 +100,11 @@
 		return
 	}
 	slices.SortFunc(h.endedJobs, func(a, b *job) int { return -compareByRevision(a, b) })
-	for _, j := range h.endedJobs[2*c.cfg.MaxEndedJobs:] {
+	for _, j := range h.endedJobs[2*c.cfg.History.MaxEndedJobs:] {
 		j.archive.counted = false
 		c.scheduleEviction(j)
 	}
-	h.endedJobs = slices.Clone(h.endedJobs[:2*c.cfg.MaxEndedJobs])
+	h.endedJobs = slices.Clone(h.endedJobs[:2*c.cfg.History.MaxEndedJobs])
 }
 
 // scheduleEviction has a job dropped from memory once nothing refers to it.
@@ -153,7 +152,7 @@
 // evictUnreferencedJobs drops jobs from memory that are to leave it, once nothing refers to them.
 func (c *Core) evictUnreferencedJobs() {
 	h := &c.history
-	if n := len(h.recalledJobs) - max(c.cfg.MaxEndedJobs, 1); n > 0 {
+	if n := len(h.recalledJobs) - max(c.cfg.History.MaxEndedJobs, 1); n > 0 {
 		for _, j := range h.recalledJobs[:n] {
 			c.scheduleEviction(j)
 		}
@@ -344,7 +343,7 @@
 
 // lookupReadRate is how many reads a second finds may take.
 func (c *Core) lookupReadRate() float64 {
-	return c.cfg.HistoryReadShare * c.transactions.rateLimit.ReadRate
+	return c.cfg.History.ReadShare * c.transactions.rateLimit.ReadRate
 }
 
 // advanceLookups carries finds on, within their share of the requests.
--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -1,15 +1,14 @@
 package core
 
 import (
+	"dewlift/archive"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"dewlift/archive"
-	"dewlift/wire"
 )
 
 // archiveBlockPage is a block of the archive, as a page of the state service.
@@ -371,7 +370,7 @@
 func newSweepingCore(t *testing.T, n int) (*Core, []Output, RangeResult) {
 	t.Helper()
 	c := newCoreWithArchive(t)
-	c.cfg.MaxEndedJobs = 2
+	c.cfg.History.MaxEndedJobs = 2
 	log := []wire.WatchEvent{
 		event(keyLeader, string(c.leasedValue(1)), 11),
 		event(keyNode+"n0", string(c.leasedValue(0)), 11),
--- a/core/jobrecord/pack.go
+++ b/core/jobrecord/pack.go
@@ -1,13 +1,12 @@
 package jobrecord
 
 import (
+	"dewlift/internal/compress"
+	"dewlift/wire"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"strconv"
-
-	"dewlift/internal/compress"
-	"dewlift/wire"
 )
 
 // A packed record holds its lists column by column as differences between neighbours, which
--- a/core/jobrecord/record.go
+++ b/core/jobrecord/record.go
@@ -5,16 +5,15 @@
 
 import (
 	"cmp"
+	"dewlift/archive"
+	"dewlift/audit"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
 	"strconv"
 	"strings"
 	"unicode/utf8"
-
-	"dewlift/archive"
-	"dewlift/audit"
-	"dewlift/wire"
 )
 
 // Stages of a job in its record.
--- a/core/jobrecord/record_test.go
+++ b/core/jobrecord/record_test.go
@@ -1,14 +1,13 @@
 package jobrecord
 
 import (
+	"dewlift/internal/compress"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"reflect"
 	"slices"
 	"testing"
-
-	"dewlift/internal/compress"
-	"dewlift/wire"
 )
 
 // A packed value that was damaged is an error, never a crash.
--- a/core/jobrecord/value.go
+++ b/core/jobrecord/value.go
@@ -1,13 +1,12 @@
 package jobrecord
 
 import (
+	"dewlift/internal/compress"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 
 	protobuf "google.golang.org/protobuf/proto"
-
-	"dewlift/internal/compress"
-	"dewlift/wire"
 )
 
 // compressedValue is a value that is compressed.
--- a/core/leader.go
+++ b/core/leader.go
@@ -1,12 +1,11 @@
 package core
 
 import (
-	"slices"
-	"time"
-
 	"dewlift/clusterstate"
 	"dewlift/core/allocation"
 	"dewlift/wire"
+	"slices"
+	"time"
 )
 
 // nodeState is what the leader keeps about a machine.
@@ -86,8 +85,8 @@
 	}
 	l := c.leaderState
 	l.cloudCallBudget = min(
-		l.cloudCallBudget+(c.now-l.cloudCallBudgetAt).Seconds()*c.cfg.CloudRequestRate,
-		c.cfg.CloudRequestRate,
+		l.cloudCallBudget+(c.now-l.cloudCallBudgetAt).Seconds()*c.cfg.Autoscaling.CloudRequestRate,
+		c.cfg.Autoscaling.CloudRequestRate,
 	)
 	l.cloudCallBudgetAt = c.now
 	if c.autoscaler.catalog == nil {
@@ -107,7 +106,7 @@
 		c.sendScaleOutRequests()
 		c.returnMachines()
 	}
-	if c.now >= l.nextPushAt || l.pushRequested && c.now >= l.lastPushAt+c.cfg.MinStatePushInterval {
+	if c.now >= l.nextPushAt || l.pushRequested && c.now >= l.lastPushAt+c.cfg.State.MinPushInterval {
 		c.pushArray()
 	}
 }
@@ -121,7 +120,7 @@
 		return
 	}
 	if c.recomputeRow(m) {
-		c.leaderState.pushRequested = c.leaderState.pushRequested || c.cfg.StatePushInterval < 3*time.Second
+		c.leaderState.pushRequested = c.leaderState.pushRequested || c.cfg.State.PushInterval < 3*time.Second
 	}
 }
 
@@ -222,7 +221,7 @@
 // time to time all of them.
 func (c *Core) pushArray() {
 	l := c.leaderState
-	l.nextPushAt, l.pushRequested, l.lastPushAt = c.now+c.cfg.StatePushInterval, false, c.now
+	l.nextPushAt, l.pushRequested, l.lastPushAt = c.now+c.cfg.State.PushInterval, false, c.now
 	for _, m := range c.aliveMachines {
 		if m.lifecycle.gone || !m.status.reported {
 			continue
@@ -241,7 +240,7 @@
 	p.GoneMachines, l.newlyGone = l.newlyGone, nil
 	if c.now >= l.nextFullPushAt || l.pushedRevision == 0 {
 		p.AfterRevision = 0
-		l.nextFullPushAt = c.now + c.cfg.FullStatePushInterval
+		l.nextFullPushAt = c.now + c.cfg.State.FullPushInterval
 		l.goneMachines = l.goneMachines[max(0, len(l.goneMachines)-maxGoneAnnounced):]
 		p.GoneMachines = slices.Clone(l.goneMachines)
 	}
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -1,11 +1,10 @@
 package core
 
 import (
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"time"
-
-	"dewlift/wire"
 )
 
 // leadershipState is who leads, by which fencing token, and raising that token.
--- a/core/lease.go
+++ b/core/lease.go
@@ -36,13 +36,13 @@
 	switch {
 	case c.ownLease.id == 0:
 		c.ownLease.opInFlight = "grant"
-	case c.now >= c.ownLease.expiresAt-c.cfg.LeaseTTL*2/3:
+	case c.now >= c.ownLease.expiresAt-c.cfg.Cluster.LeaseTTL*2/3:
 		c.ownLease.opInFlight = "extend"
 	default:
 		return
 	}
 	c.ownLease.requestSentAt = c.now
-	c.emit(LeaseRequest{Op: c.ownLease.opInFlight, TTL: c.cfg.LeaseTTL, LeaseID: c.ownLease.id})
+	c.emit(LeaseRequest{Op: c.ownLease.opInFlight, TTL: c.cfg.Cluster.LeaseTTL, LeaseID: c.ownLease.id})
 }
 
 // isWatchStalled reports whether reads of changes have stayed without an answer for a while. Such a
@@ -63,10 +63,10 @@
 	switch {
 	case in.Status == 200 && in.Op == "grant" && in.LeaseID != 0:
 		c.ownLease.id = in.LeaseID
-		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.LeaseTTL
+		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Cluster.LeaseTTL
 	case in.Status == 200 && in.Op == "extend":
 		// Counted from the sending: the service counts from its receipt, later.
-		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.LeaseTTL
+		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Cluster.LeaseTTL
 	case in.Status == 404 && in.Op == "extend":
 		c.log("info", "lease lost", "lease", c.ownLease.id)
 		c.ownLease.id = 0
--- a/core/loadshedding.go
+++ b/core/loadshedding.go
@@ -1,10 +1,9 @@
 package core
 
 import (
+	"dewlift/overload"
 	"math"
 	"time"
-
-	"dewlift/overload"
 )
 
 // handleLoadSample works out the level of overload from how the process stands.
@@ -57,7 +56,7 @@
 	if c.overload.Level() == overload.Overloaded {
 		rate = min(rate, c.transactions.rateLimit.WriteRate)
 	}
-	return max(8, int(rate*c.cfg.SubmitWriteTimeout.Seconds()))
+	return max(8, int(rate*c.cfg.Scheduling.SubmitWriteTimeout.Seconds()))
 }
 
 // retryAfterSeconds is when somebody who was refused for too much work should come back, in
--- a/core/loadshedding_test.go
+++ b/core/loadshedding_test.go
@@ -1,12 +1,11 @@
 package core
 
 import (
+	"dewlift/overload"
+	"dewlift/wire"
 	"fmt"
 	"testing"
 	"time"
-
-	"dewlift/overload"
-	"dewlift/wire"
 )
 
 // addFleet has n machines report in two zones, and returns what has those of a zone report again.
@@ -92,7 +91,7 @@
 				c.Handle(now, LeaseResult{Op: o.Op, Status: 200, LeaseID: c.ownLease.id})
 			}
 		}
-		if len(open) > c.cfg.MaxPollRequests {
+		if len(open) > c.cfg.Agents.MaxPollRequests {
 			t.Fatalf("%d requests for reports on their way", len(open))
 		}
 	}
@@ -111,7 +110,7 @@
 // Orders to machines that hang must leave room for those to others.
 func TestHangingMachinesLeaveRoomForCommands(t *testing.T) {
 	c := newLeadingCore(t)
-	c.cfg.MaxCommandRequests = 40
+	c.cfg.Agents.MaxCommandRequests = 40
 	addFleet(c, time.Second, 200)
 	for i, m := range c.aliveMachines {
 		if i%2 == 0 {
--- a/core/machine.go
+++ b/core/machine.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
-	"slices"
-	"time"
-
 	"dewlift/clusterstate"
 	"dewlift/core/jobrecord"
+	"slices"
+	"time"
 )
 
 type machine struct {
@@ -197,7 +196,7 @@
 			continue
 		}
 		c.markDirtyKeepingDelay(j)
-		j.write.nextLookAt = max(j.write.nextLookAt, c.now+c.cfg.LostTaskBatchDelay)
+		j.write.nextLookAt = max(j.write.nextLookAt, c.now+c.cfg.Agents.LostTaskBatchDelay)
 	}
 }
 
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -2,9 +2,8 @@
 
 import (
 	"cmp"
-	"time"
-
 	"dewlift/wire"
+	"time"
 )
 
 // checkMachines finds machines that must be returned: silent ones, those that never came up,
@@ -62,15 +61,15 @@
 				l.leadingSince-boot,
 			) > scaleDuration(
 				boot,
-				c.cfg.BootTimeoutFactor,
-			)+c.cfg.CloudListLag*2 {
+				c.cfg.Autoscaling.BootTimeoutFactor,
+			)+c.cfg.Autoscaling.CloudListLag*2 {
 				c.markForReturn(m, "never came up")
 			}
 		case m.lifecycle.interruptionDeadline > 0 && c.now > m.lifecycle.interruptionDeadline-1500*time.Millisecond:
 			c.markForReturn(m, "its notice runs out")
 		case m.leaderView.zoneUnreachable && quiet < c.unreachableZoneGrace(m) && !c.delayMissesDeadline(m, c.unreachableZoneGrace(m)-quiet):
 			c.pollQuietAgent(m)
-		case quiet > c.silenceTimeout() && (!deaf || quiet > c.cfg.AgentLeaseTTL+10*time.Second) && c.now-l.leadingSince > c.silenceTimeout():
+		case quiet > c.silenceTimeout() && (!deaf || quiet > c.cfg.Agents.LeaseTTL+10*time.Second) && c.now-l.leadingSince > c.silenceTimeout():
 			c.markForReturn(m, "silent")
 		case c.isProvenFaulty(m):
 			c.markForReturn(m, "faulty")
@@ -86,8 +85,8 @@
 // returned when those should be up. When they were returned at once, all tasks there ended
 // while nothing was up to take them.
 func (c *Core) unreachableZoneGrace(m *machine) time.Duration {
-	ready := c.silenceTimeout() + c.nominalBootTime(m.identity.machineType) + c.cfg.ScaleOutLeadTime
-	return max(c.silenceTimeout(), min(ready, c.cfg.AgentLeaseTTL-c.cfg.ScaleOutLeadTime))
+	ready := c.silenceTimeout() + c.nominalBootTime(m.identity.machineType) + c.cfg.Autoscaling.ScaleOutLeadTime
+	return max(c.silenceTimeout(), min(ready, c.cfg.Agents.LeaseTTL-c.cfg.Autoscaling.ScaleOutLeadTime))
 }
 
 // delayMissesDeadline reports whether waiting would make a task of a machine late for a deadline, its job's or
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -1,10 +1,9 @@
 package core
 
 import (
+	"dewlift/overload"
 	"slices"
 	"time"
-
-	"dewlift/overload"
 )
 
 // maintenanceState is periodic upkeep: compaction of the walked lists and the full scan, a
@@ -39,8 +38,8 @@
 	// Only what changed is looked at otherwise; now and then everything is, as a safeguard against
 	// a change that nobody noted.
 	if c.replica.loaded && c.now >= c.maintenance.nextFullScanAt &&
-		(c.overload.Level() == overload.Normal || c.now >= c.maintenance.nextFullScanAt+c.cfg.FullScanInterval) {
-		c.maintenance.nextFullScanAt = c.now + c.cfg.FullScanInterval
+		(c.overload.Level() == overload.Normal || c.now >= c.maintenance.nextFullScanAt+c.cfg.Scheduling.FullScanInterval) {
+		c.maintenance.nextFullScanAt = c.now + c.cfg.Scheduling.FullScanInterval
 		for _, j := range c.openJobs {
 			c.markDirtyKeepingDelay(j)
 		}
--- a/core/outputs.go
+++ b/core/outputs.go
@@ -1,10 +1,9 @@
 package core
 
 import (
-	"time"
-
 	"dewlift/access"
 	"dewlift/wire"
+	"time"
 )
 
 // Output is something to do.
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -1,15 +1,14 @@
 package core
 
 import (
+	"dewlift/core/auditlog"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"hash/fnv"
 	"slices"
 	"strings"
 	"time"
-
-	"dewlift/core/auditlog"
-	"dewlift/wire"
 )
 
 func shardKey(n int) string { return fmt.Sprintf("%s%02d", keyShard, n) }
@@ -90,7 +89,7 @@
 	var claims []int
 	for i := range c.ownership.shards {
 		s := &c.ownership.shards[i]
-		if c.ownsShard(i) || ops+len(claims)+2+c.auditOpsPerTxn() > c.cfg.MaxTxnOps {
+		if c.ownsShard(i) || ops+len(claims)+2+c.auditOpsPerTxn() > c.cfg.Store.MaxTxnOps {
 			continue
 		}
 		old := s.mark != 0 && s.Node == c.cfg.Name // held by an earlier life of this controller
@@ -113,7 +112,7 @@
 		c.now-c.leadership.leader.since >= time.Duration(c.rendezvousRank(keyLeader, live))*300*time.Millisecond ||
 		c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name &&
 			c.leadership.leader.LeaseID != c.ownLease.id {
-		lead = ops+len(claims)+2+c.auditOpsPerTxn() <= c.cfg.MaxTxnOps
+		lead = ops+len(claims)+2+c.auditOpsPerTxn() <= c.cfg.Store.MaxTxnOps
 	}
 	told := func(int) {}
 	if len(claims) > 0 || lead {
--- a/core/peers.go
+++ b/core/peers.go
@@ -1,9 +1,8 @@
 package core
 
 import (
-	"time"
-
 	"dewlift/core/membership"
+	"time"
 )
 
 // sendToPeers sends a message to a peer, or to all. One that is not reached gets it by way of
@@ -28,14 +27,14 @@
 // has not loaded yet does so too: in an outage, the ones left need a majority's word for it.
 func (c *Core) broadcastHealth() {
 	if c.now >= c.controllers.nextHealthAt {
-		c.controllers.nextHealthAt = c.now + c.cfg.HealthInterval
+		c.controllers.nextHealthAt = c.now + c.cfg.Cluster.HealthInterval
 		c.priority.firstWaiting = c.firstWaitingByClass()
 		c.emit(
 			SendToPeer{
 				Message: Message{
 					Health: &Health{
 						StoreReachable:    c.isStoreReachable(),
-						WriteRate:         c.transactions.rateLimit.SampleWriteRate(c.cfg.HealthInterval),
+						WriteRate:         c.transactions.rateLimit.SampleWriteRate(c.cfg.Cluster.HealthInterval),
 						ReachablePeers:    c.controllers.membership.ReachableExcept(c.now, ""),
 						SnapshotPagesRead: c.snapshotPagesRead(),
 						QueueHeads:        c.priority.firstWaiting,
@@ -50,7 +49,7 @@
 
 func (c *Core) broadcastUpdates() {
 	if c.now >= c.deltaLog.nextBatchAt {
-		c.deltaLog.nextBatchAt = c.now + c.cfg.DeltaInterval
+		c.deltaLog.nextBatchAt = c.now + c.cfg.State.DeltaInterval
 		c.sendDeltas()
 		c.broadcastHeartbeats()
 	}
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -1,6 +1,10 @@
 package core
 
 import (
+	"dewlift/access"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
@@ -9,11 +13,7 @@
 
 	protobuf "google.golang.org/protobuf/proto"
 
-	"dewlift/access"
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // Rights live in the state service: a key with the roles, and a key for each identity. They are in force
@@ -307,7 +307,7 @@
 func (c *Core) seedPermissions() {
 	r := &c.permissions
 	if c.cfg.Permissions == nil || c.permissionsInForce() || c.auditNotReady() ||
-		c.cfg.AuditKey != nil && !c.isAuditing() ||
+		c.cfg.Audit.Key != nil && !c.isAuditing() ||
 		!c.isLeader() ||
 		!c.holdsLease() ||
 		c.schemaVersion() < schemaPermissions ||
@@ -321,7 +321,7 @@
 	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyRoles}}}
 	put := func(key string, m protobuf.Message) bool {
 		raw, err := jobrecord.PackMessage(m)
-		if err != nil || len(raw) > c.cfg.MaxValueBytes {
+		if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
 			c.log("error", "rights can't be written", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
 			return false
 		}
@@ -337,7 +337,7 @@
 				t.Then,
 			) < max(
 				1,
-				min(c.cfg.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens))-c.auditOpsPerTxn(),
+				min(c.cfg.Store.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens))-c.auditOpsPerTxn(),
 			) &&
 			!put(keyIdentity+id.Name, id) {
 			r.nextSeedAt = c.now + 10*time.Second
@@ -404,8 +404,8 @@
 	if next != nil {
 		all.Identities = append(all.Identities, next)
 		w = wire.Write{Put: keyIdentity + in.Identity}
-		if w.Value, err = jobrecord.PackMessage(next); err == nil && len(w.Value) > c.cfg.MaxValueBytes {
-			err = fmt.Errorf("identity takes %d bytes, %d are allowed", len(w.Value), c.cfg.MaxValueBytes)
+		if w.Value, err = jobrecord.PackMessage(next); err == nil && len(w.Value) > c.cfg.Store.MaxValueBytes {
+			err = fmt.Errorf("identity takes %d bytes, %d are allowed", len(w.Value), c.cfg.Store.MaxValueBytes)
 		}
 	}
 	var p *access.Policy
--- a/core/permissions_test.go
+++ b/core/permissions_test.go
@@ -1,6 +1,9 @@
 package core
 
 import (
+	"dewlift/access"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"encoding/base64"
 	"encoding/json"
 	"fmt"
@@ -9,10 +12,7 @@
 	"testing"
 	"time"
 
-	"dewlift/access"
-	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // examplePolicy has a technician, who also changes rights, and a visiting potter; the team of test
--- a/core/preemption.go
+++ b/core/preemption.go
@@ -2,18 +2,17 @@
 
 import (
 	"cmp"
-	"slices"
-	"time"
-
 	"dewlift/clusterstate"
 	"dewlift/wire"
+	"slices"
+	"time"
 )
 
 // preemptForReplicas stops tasks of lower priority for replicas that find no room now: machines that
 // boot would come too late for them. It takes those with the least work to lose.
 func (c *Core) preemptForReplicas(n demand, bins []*bin, room func(string) int64) int {
 	l := c.leaderState
-	if at, ok := l.lastPreemptedFor[n.job.index]; n.tasks <= 0 || ok && c.now-at < c.cfg.PreemptionRetryInterval {
+	if at, ok := l.lastPreemptedFor[n.job.index]; n.tasks <= 0 || ok && c.now-at < c.cfg.Scheduling.PreemptionRetryInterval {
 		return max(0, n.tasks) // what was stopped is about to go
 	}
 	type place struct {
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -2,6 +2,10 @@
 
 import (
 	"cmp"
+	"dewlift/core/jobrecord"
+	"dewlift/core/membership"
+	"dewlift/priorityclass"
+	"dewlift/wire"
 	"encoding/json"
 	"math"
 	"slices"
@@ -9,11 +13,7 @@
 
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"dewlift/core/jobrecord"
-	"dewlift/core/membership"
-	"dewlift/priorityclass"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // The order of work. A job's lane, and its place in it, stand in its record: the lane that it was
@@ -105,7 +105,7 @@
 func (c *Core) setPriorityClasses(l *priorityclass.List, mark uint64) {
 	c.priority.revision = mark
 	if l == nil {
-		l = priorityclass.Default(c.cfg.PriorityAgingInterval)
+		l = priorityclass.Default(c.cfg.Scheduling.PriorityAgingInterval)
 	}
 	c.priority.classes = l
 	var again []*job
@@ -141,7 +141,7 @@
 		c.priority.enabledPublished = open
 		c.emit(QueueEnabled{Enabled: open})
 	}
-	if c.cfg.PriorityClasses == nil || c.priority.revision != 0 || c.schemaVersion() < schemaPriorityClasses ||
+	if c.cfg.Scheduling.PriorityClasses == nil || c.priority.revision != 0 || c.schemaVersion() < schemaPriorityClasses ||
 		c.auditNotReady() ||
 		!c.isLeader() ||
 		!c.holdsLease() ||
@@ -151,8 +151,8 @@
 		return
 	}
 	c.priority.nextSeedAt = c.now + 2*time.Second
-	raw, err := jobrecord.PackMessage(c.cfg.PriorityClasses.Source())
-	if err != nil || len(raw) > c.cfg.MaxValueBytes {
+	raw, err := jobrecord.PackMessage(c.cfg.Scheduling.PriorityClasses.Source())
+	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
 		c.log("error", "the list of lanes does not fit a value", "bytes", len(raw))
 		return
 	}
@@ -186,7 +186,7 @@
 	}
 	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "lanes", func() {
 		raw, err := jobrecord.PackMessage(l.Source())
-		if err != nil || len(raw) > c.cfg.MaxValueBytes {
+		if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
 			c.respond(in.RequestID, 400, wire.Error{Error: "lanes: too long to be stored"})
 			return
 		}
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -1,13 +1,12 @@
 package core
 
 import (
-	"fmt"
-	"slices"
-	"time"
-
 	"dewlift/core/auditlog"
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
+	"fmt"
+	"slices"
+	"time"
 )
 
 // proposal is a job's next record, to be adopted once it is committed.
@@ -141,12 +140,12 @@
 		return p, 0
 	}
 	// Where changes are left over, a full slot is made roomy again.
-	crowded := c.transactions.rateLimit.WriteTokens >= 0.9*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) &&
+	crowded := c.transactions.rateLimit.WriteTokens >= 0.9*c.transactions.rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
 		c.slotState(c.slotNumber(j.id, j.record)).IsNearlyFull(c.maxSlotBytes())
 	overlaid := (j.stored.needsOwnKey || crowded) && c.currentSlotEntry(j.id, j.record) != nil
 	p.wantsOwnKey = j.stored.needsOwnKey || overlaid
 	changed := overlaid || p.isCancellation || ended ||
-		j.stored.bytes > c.cfg.MaxValueBytes && c.schemaVersion() >= schemaDependencies
+		j.stored.bytes > c.cfg.Store.MaxValueBytes && c.schemaVersion() >= schemaDependencies
 	quick := p.isCancellation
 	var stopped []jobrecord.StopReason
 	for _, a := range j.assignments {
@@ -335,9 +334,9 @@
 // fitValue sees to the rest.
 func (c *Core) maxAssignedTasks() int {
 	if c.schemaVersion() >= schemaDependencies {
-		return max(8, c.cfg.MaxValueBytes/3) // a packed task takes about two bytes
+		return max(8, c.cfg.Store.MaxValueBytes/3) // a packed task takes about two bytes
 	}
-	return max(8, (c.cfg.MaxValueBytes-1024)/12)
+	return max(8, (c.cfg.Store.MaxValueBytes-1024)/12)
 }
 
 // handleTaskFailure draws conclusions from a task's failure.
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
-	"slices"
-	"time"
-
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
+	"slices"
+	"time"
 )
 
 // A job that was submitted with a mistake fails on every machine, until its user cancels it. Its
--- a/core/replica.go
+++ b/core/replica.go
@@ -1,11 +1,10 @@
 package core
 
 import (
-	"slices"
-	"time"
-
 	"dewlift/core/batchvalue"
 	"dewlift/wire"
+	"slices"
+	"time"
 )
 
 // storeReplica is this controller's copy of the key-value store: how far it has read, the snapshot
@@ -92,13 +91,13 @@
 	if !c.replica.watchInFlight && c.now >= c.replica.nextWatchAt && !c.replica.barrierInFlight &&
 		len(c.replica.barrierWaiters) == 0 {
 		c.replica.watchInFlight, c.replica.watchSentAt = true, c.now
-		c.replica.nextWatchAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.MinWatchInterval, 0.25)
+		c.replica.nextWatchAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.Store.MinWatchInterval, 0.25)
 		c.transactions.rateLimit.SpendRequest()
 		c.emit(Watch{SinceRevision: c.replica.revision, LongPoll: true})
 	}
 	if !c.replica.barrierInFlight && len(c.replica.barrierWaiters) > 0 && c.now >= c.replica.nextBarrierAt {
 		c.replica.barrierInFlight, c.replica.barrierSentAt = true, c.now
-		c.replica.nextBarrierAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.MinReadBarrierInterval, 0.35)
+		c.replica.nextBarrierAt = c.now + c.transactions.rateLimit.MinInterval(c.cfg.Store.MinReadBarrierInterval, 0.35)
 		c.replica.inFlightWaiters, c.replica.barrierWaiters = c.replica.barrierWaiters, nil
 		c.transactions.rateLimit.SpendRequest()
 		c.emit(Watch{SinceRevision: c.replica.revision})
@@ -222,7 +221,7 @@
 	if in.More && len(in.Items) > 0 {
 		if c.replica.pagesRead >= fastSnapshotPages {
 			c.replica.nextPageAt = c.now + time.Duration(
-				float64(time.Second)/(snapshotRequestShare*c.cfg.StoreRequestRate),
+				float64(time.Second)/(snapshotRequestShare*c.cfg.Store.RequestRate),
 			)
 		}
 		return
--- a/core/requests.go
+++ b/core/requests.go
@@ -1,10 +1,9 @@
 package core
 
 import (
-	"time"
-
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
+	"time"
 )
 
 func (c *Core) respond(req uint64, status int, body any) {
@@ -208,7 +207,7 @@
 			spec:        in.Spec,
 			submittedMS: in.UnixMS,
 			receivedAt:  c.now,
-			deadline:    c.now + c.cfg.SubmitWriteTimeout,
+			deadline:    c.now + c.cfg.Scheduling.SubmitWriteTimeout,
 		}
 		c.markDirty(j)
 	}
@@ -261,7 +260,7 @@
 	}
 	// What a record holds beside the description must find room in its value.
 	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &s}, nil, c.schemaVersion() >= schemaDependencies)
-	if err != nil || len(raw) > c.cfg.MaxValueBytes*3/4 {
+	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes*3/4 {
 		return 400, "the description and the unfinished jobs that it awaits are too long to be stored"
 	}
 	return 0, ""
@@ -350,7 +349,7 @@
 	}
 	j.cancellation.waiters = append(j.cancellation.waiters, cancelWaiter{in.RequestID, in.Caller})
 	j.cancellation.requestedMS = in.UnixMS
-	j.cancellation.answerBy = c.now + c.cfg.SubmitWriteTimeout
+	j.cancellation.answerBy = c.now + c.cfg.Scheduling.SubmitWriteTimeout
 	c.cancelAcks.waitersUntil = j.cancellation.answerBy + 5*time.Second // a write of it may be on its way as long
 	c.markDirty(j)
 }
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -1,10 +1,9 @@
 package core
 
 import (
+	"dewlift/wire"
 	"testing"
 	"time"
-
-	"dewlift/wire"
 )
 
 // A submission that joins one whose write is on its way is answered by a read sent after it came.
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -2,19 +2,19 @@
 
 import (
 	"cmp"
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/booking"
+	"dewlift/core/auditlog"
+	"dewlift/core/reservations"
+	"dewlift/wire"
 	"encoding/json"
 	"slices"
 	"time"
 
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/booking"
-	"dewlift/core/auditlog"
-	"dewlift/core/reservations"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // Bookings of equipment: who asks, with which right, and what it may take of the changes. What is
@@ -100,7 +100,7 @@
 }
 
 func (c *Core) enqueueReservationRequest(a *reservations.PendingRequest) {
-	a.Deadline = c.now + c.cfg.SubmitWriteTimeout
+	a.Deadline = c.now + c.cfg.Scheduling.SubmitWriteTimeout
 	if !c.reservations.Enqueue(a) {
 		c.respondUnavailable(a.CallerData.(reservationCaller).requestID, reasonTooBusy)
 	}
@@ -153,19 +153,19 @@
 		return
 	}
 	if c.isLeader() &&
-		c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) &&
+		c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
 		!c.transactions.rateLimit.IsPaused(c.now) {
-		over := c.unixSeconds() - int64(c.cfg.ReservationRetention/time.Second)
+		over := c.unixSeconds() - int64(c.cfg.Reservations.Retention/time.Second)
 		c.reservations.ForgetArchived(c.now, over)
 		if t := c.reservations.ArchiveTxn([]wire.Compare{
 			{Key: keyLeader, Revision: c.leadership.leader.mark},
-		}, over, c.cfg.MaxValueBytes); t != nil {
+		}, over, c.cfg.Store.MaxValueBytes); t != nil {
 			c.commitTxn(*t, &pendingTxn{onDone: func(int, wire.TxnResponse) {
 				c.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(t) })
 			}})
 			return
 		}
-		if t := c.reservations.MergeTxn(max(2, c.cfg.MaxTxnOps/2), c.cfg.MaxValueBytes); t != nil {
+		if t := c.reservations.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); t != nil {
 			c.commitTxn(*t, &pendingTxn{onDone: func(int, wire.TxnResponse) {
 				c.afterReadBarrier(func(bool) { c.reservations.MergeDone() }) // what came of it shows there
 			}})
@@ -177,15 +177,15 @@
 
 // seedEquipment puts the list of the file in force where there is none.
 func (c *Core) seedEquipment() {
-	if c.cfg.Equipment == nil || c.reservations.InventoryRevision() != 0 || !c.isLeader() || !c.holdsLease() ||
+	if c.cfg.Reservations.Equipment == nil || c.reservations.InventoryRevision() != 0 || !c.isLeader() || !c.holdsLease() ||
 		c.now < c.reservationState.nextSeedAt ||
 		c.transactions.rateLimit.IsPaused(c.now) ||
 		c.transactions.rateLimit.WriteTokens < 1 {
 		return
 	}
 	c.reservationState.nextSeedAt = c.now + 2*time.Second
-	raw, err := reservations.EncodeInventory(c.cfg.Equipment.Source())
-	if err != nil || len(raw) > c.cfg.MaxValueBytes {
+	raw, err := reservations.EncodeInventory(c.cfg.Reservations.Equipment.Source())
+	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
 		c.log("error", "the list of equipment does not fit a value", "bytes", len(raw))
 		c.reservationState.nextSeedAt = c.now + time.Minute
 		return
@@ -206,8 +206,8 @@
 		reservations.Env{
 			Now:           c.now,
 			UnixS:         c.unixSeconds(),
-			MaxValueBytes: c.cfg.MaxValueBytes,
-			MaxCompares:   4 * c.cfg.MaxTxnOps,
+			MaxValueBytes: c.cfg.Store.MaxValueBytes,
+			MaxCompares:   4 * c.cfg.Store.MaxTxnOps,
 			Authorize:     c.authorizeReservation,
 			AttachAudit:   c.carryReservationAudit,
 		},
--- a/core/reservations/archive.go
+++ b/core/reservations/archive.go
@@ -1,13 +1,13 @@
 package reservations
 
 import (
+	"dewlift/booking"
+	"dewlift/wire"
 	"slices"
 	"strings"
 	"time"
 
-	"dewlift/booking"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // Bookings whose time is past, or that ended, leave the pages for blocks that no controller
--- a/core/reservations/service.go
+++ b/core/reservations/service.go
@@ -14,6 +14,10 @@
 package reservations
 
 import (
+	"dewlift/audit"
+	"dewlift/booking"
+	"dewlift/internal/compress"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -23,11 +27,7 @@
 
 	protobuf "google.golang.org/protobuf/proto"
 
-	"dewlift/audit"
-	"dewlift/booking"
-	"dewlift/internal/compress"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // Keys of the state service.
--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -1,6 +1,9 @@
 package reservations
 
 import (
+	"dewlift/audit"
+	"dewlift/booking"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
@@ -8,10 +11,7 @@
 	"testing"
 	"time"
 
-	"dewlift/audit"
-	"dewlift/booking"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 const startUnixS = 1_700_000_040 // s; a whole minute
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -1,14 +1,13 @@
 package core
 
 import (
-	"math/rand/v2"
-	"testing"
-	"time"
-
 	"dewlift/clusterstate"
 	"dewlift/core/jobrecord"
 	"dewlift/core/membership"
 	"dewlift/wire"
+	"math/rand/v2"
+	"testing"
+	"time"
 )
 
 // While hundreds of jobs wait for a full fleet, each plan looked at every machine for each of them,
@@ -17,14 +16,19 @@
 func TestPlansOfAFullFleetAreBounded(t *testing.T) {
 	c := New(
 		Config{
-			SchemaVersion:    SchemaVersion,
-			Name:             "n0",
-			Shards:           1,
-			CloudRequestRate: 4,
-			MaxTxnOps:        12,
-			MaxValueBytes:    8192,
-			StoreWriteRate:   30,
-			StoreRequestRate: 100,
+			Autoscaling: AutoscalingConfig{
+				CloudRequestRate: 4,
+			},
+			Store: StoreConfig{
+				MaxTxnOps:     12,
+				MaxValueBytes: 8192,
+				WriteRate:     30,
+				RequestRate:   100,
+			},
+
+			SchemaVersion: SchemaVersion,
+			Name:          "n0",
+			Shards:        1,
 		},
 		0,
 		1,
@@ -129,17 +133,26 @@
 func TestReplicasFindRoomBesideAFullZone(t *testing.T) {
 	for _, held := range []int{0, 1} { // tasks that zone a has already
 		c := New(Config{
-			SchemaVersion:     SchemaVersion,
-			Name:              "n0",
-			Shards:            1,
-			MaxTxnOps:         12,
-			MaxValueBytes:     8192,
-			StoreWriteRate:    30,
-			StoreRequestRate:  100,
-			HeartbeatInterval: time.Minute,
-			CandidateRatio:    2,
-			PreferImage:       true,
-			StateCopyExpiry:   time.Hour,
+			Store: StoreConfig{
+				MaxTxnOps:     12,
+				MaxValueBytes: 8192,
+				WriteRate:     30,
+				RequestRate:   100,
+			},
+			Agents: AgentConfig{
+				HeartbeatInterval: time.Minute,
+			},
+			Scheduling: SchedulingConfig{
+				CandidateRatio: 2,
+				PreferImage:    true,
+			},
+			State: StateConfig{
+				CopyExpiry: time.Hour,
+			},
+
+			SchemaVersion: SchemaVersion,
+			Name:          "n0",
+			Shards:        1,
 		}, 0, 1)
 		c.autoscaler.catalog = map[string]*wire.MachineType{
 			"x": {Name: "x", CPUs: 8, MemoryGB: 8, Zones: []string{"a", "b"}},
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -86,7 +86,7 @@
 		}
 	}
 	if most == 3 && many >= batchPlacementJobs &&
-		c.transactions.rateLimit.WriteTokens < 0.7*c.transactions.rateLimit.WriteBurst(c.cfg.MaxTxnOps) {
+		c.transactions.rateLimit.WriteTokens < 0.7*c.transactions.rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) {
 		return
 	}
 	// Ends of tasks share writes: the more jobs run, the longer they wait for others.
@@ -97,9 +97,9 @@
 		}
 	}
 	c.transactions.endBatchDelay = min(
-		c.cfg.MaxEndBatchDelay,
+		c.cfg.Scheduling.MaxEndBatchDelay,
 		max(
-			c.cfg.MinEndBatchDelay,
+			c.cfg.Scheduling.MinEndBatchDelay,
 			time.Duration(float64(running)/(0.5*c.transactions.rateLimit.WriteRate)*float64(time.Second)),
 		),
 	)
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -1,14 +1,13 @@
 package core
 
 import (
-	"encoding/json"
-	"strings"
-	"time"
-
 	"dewlift/audit"
 	"dewlift/core/auditlog"
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
+	"encoding/json"
+	"strings"
+	"time"
 )
 
 // Two versions of this program may run at once, while one replaces the other process by process,
@@ -64,7 +63,7 @@
 	c.schema.active, c.schema.activeSince = least, c.now
 	c.updateRateLimit()
 	for _, j := range c.openJobs { // what is too large is written again before it has to be
-		if j.stored.bytes > c.cfg.MaxValueBytes {
+		if j.stored.bytes > c.cfg.Store.MaxValueBytes {
 			c.markDirty(j)
 		}
 	}
@@ -114,10 +113,10 @@
 // storeWriteRate is the change rate that all controllers together keep to: the one that is to come
 // from the moment when all of them know of it.
 func (c *Core) storeWriteRate() float64 {
-	if c.schemaVersion() >= schemaDependencies && c.cfg.NextStoreWriteRate > 0 {
-		return c.cfg.NextStoreWriteRate
+	if c.schemaVersion() >= schemaDependencies && c.cfg.Store.NextWriteRate > 0 {
+		return c.cfg.Store.NextWriteRate
 	}
-	return c.cfg.StoreWriteRate
+	return c.cfg.Store.WriteRate
 }
 
 // reduceTxnLimits adapts to limits smaller than the settings say: a transaction that was refused is not
@@ -128,12 +127,12 @@
 		largest = max(largest, len(w.Value))
 	}
 	if n := len(t.Then); n > 2 {
-		c.cfg.MaxTxnOps = max(2, n-1)
+		c.cfg.Store.MaxTxnOps = max(2, n-1)
 	} else {
-		c.cfg.MaxValueBytes = max(minValueBytes, largest*7/8)
+		c.cfg.Store.MaxValueBytes = max(minValueBytes, largest*7/8)
 	}
 	c.log("error", "transaction refused: keeping to smaller ones", "changes", len(t.Then), "largest", largest,
-		"txn_ops", c.cfg.MaxTxnOps, "value_bytes", c.cfg.MaxValueBytes)
+		"txn_ops", c.cfg.Store.MaxTxnOps, "value_bytes", c.cfg.Store.MaxValueBytes)
 }
 
 const minValueBytes = 512
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"cmp"
+	"dewlift/core/jobrecord"
+	"dewlift/internal/previousversion"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -9,10 +12,6 @@
 	"slices"
 	"testing"
 	"time"
-
-	"dewlift/core/jobrecord"
-	"dewlift/internal/previousversion"
-	"dewlift/wire"
 )
 
 // storedItems are keys as the version in production wrote them.
@@ -180,7 +179,7 @@
 	}
 	c.Handle(2*time.Second, schemaDeclarations("n0", "n1"))
 	c.Handle(100*time.Second, schemaDeclarations("n1", "n9")) // one that is not configured counts for nothing
-	if c.schemaVersion() != schemaInitial || c.storeWriteRate() != c.cfg.StoreWriteRate {
+	if c.schemaVersion() != schemaInitial || c.storeWriteRate() != c.cfg.Store.WriteRate {
 		t.Error("a new form begins without the last controller's word")
 	}
 	awaits := testSubmission("wk-2")
@@ -217,7 +216,7 @@
 func newCoreWithLargeRecord(t *testing.T) (c *Core, j *job) {
 	t.Helper()
 	c = newLeadingCore(t)
-	c.cfg.MaxValueBytes, c.cfg.MaxTxnOps = 2048, 4
+	c.cfg.Store.MaxValueBytes, c.cfg.Store.MaxTxnOps = 2048, 4
 	c.Handle(time.Second, schemaDeclarations("n0", "n1", "n2"))
 	spec := &wire.JobSpec{Class: "some-class", Team: "t", Tasks: 600, Request: [3]int64{1, 0, 1}}
 	rec := &jobrecord.Record{Spec: spec, LastAttempt: 600}
@@ -287,7 +286,7 @@
 	t.Helper()
 	answerTxns(c, from, to, func(x wire.Txn) bool {
 		for _, w := range x.Then {
-			if len(w.Value) > c.cfg.MaxValueBytes || len(x.Then) > c.cfg.MaxTxnOps {
+			if len(w.Value) > c.cfg.Store.MaxValueBytes || len(x.Then) > c.cfg.Store.MaxTxnOps {
 				t.Fatalf("%d changes, %s of %d bytes", len(x.Then), w.Put, len(w.Value))
 			}
 		}
@@ -301,10 +300,10 @@
 // as one small write, and known to everyone who reads the keys later.
 func TestCancelOfARecordTooLargeToWrite(t *testing.T) {
 	c, j := newCoreWithLargeRecord(t)
-	if j.stored.bytes <= c.cfg.MaxValueBytes {
+	if j.stored.bytes <= c.cfg.Store.MaxValueBytes {
 		t.Fatalf("the record has %d bytes", j.stored.bytes)
 	}
-	if raw, err := c.encodeRecord(j.record, j.assignments, true); err != nil || len(raw) <= c.cfg.MaxValueBytes {
+	if raw, err := c.encodeRecord(j.record, j.assignments, true); err != nil || len(raw) <= c.cfg.Store.MaxValueBytes {
 		t.Fatalf("packed it has %d bytes (%v)", len(raw), err)
 	}
 	c.Handle(time.Second, CancelJob{RequestID: 5, ID: j.id, UnixMS: 77})
@@ -379,7 +378,7 @@
 // Under the limits to come, a job of hundreds of tasks is still placed at once.
 func TestJobOfHundredsUnderSmallLimits(t *testing.T) {
 	c := New(testConfig(), 0, 1)
-	c.cfg.MaxValueBytes = 2048
+	c.cfg.Store.MaxValueBytes = 2048
 	c.schema.active = schemaDependencies
 	spec := &wire.JobSpec{
 		ID:      "wk-1",
--- a/core/supply.go
+++ b/core/supply.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
-	"slices"
-	"time"
-
 	"dewlift/clusterstate"
 	"dewlift/wire"
+	"slices"
+	"time"
 )
 
 // bin is room that is there or on its way.
@@ -89,8 +88,8 @@
 		h.machinesByZone[b.nodeGroup.zone]++
 		r := clusterstate.Row{Available: b.available, Allocated: b.capacity.AddScaled(b.available, -1)}
 		b.freeShare = r.MinFreeFraction()
-		if c.cfg.BusyHorizonStep > 0 {
-			b.busyHorizonSteps = b.busyHorizon / c.cfg.BusyHorizonStep
+		if c.cfg.Scheduling.BusyHorizonStep > 0 {
+			b.busyHorizonSteps = b.busyHorizon / c.cfg.Scheduling.BusyHorizonStep
 		}
 	}
 	flag := func(x bool) int {
@@ -278,7 +277,7 @@
 		p := m.status.tasks[attemptKey{k.jobIndex, k.task, a.Attempt}]
 		if s := j.record.Spec; s != nil && !s.Service && p.state == wire.TaskRunning {
 			left := time.Duration(s.EstimatedRuntimeMS)*time.Millisecond - (c.now - p.stateSince)
-			if left < scaleDuration(c.nominalBootTime(m.identity.machineType), c.cfg.SoonFreeBootFactor) &&
+			if left < scaleDuration(c.nominalBootTime(m.identity.machineType), c.cfg.Autoscaling.SoonFreeBootFactor) &&
 				left > -time.Duration(s.EstimatedRuntimeMS)*time.Millisecond/4 {
 				v = v.AddScaled(s.Request, 1)
 			}
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -1,11 +1,10 @@
 package core
 
 import (
-	"time"
-
 	"dewlift/core/batchvalue"
 	"dewlift/core/ratelimit"
 	"dewlift/wire"
+	"time"
 )
 
 // transactionState is transactions in flight, the rate limit of the store, and what waits to be written.
@@ -189,5 +188,5 @@
 			left -= all / live
 		}
 	}
-	c.transactions.rateLimit.SetRates(all, c.cfg.StoreRequestRate, live, left, c.cfg.MaxWriteShare)
+	c.transactions.rateLimit.SetRates(all, c.cfg.Store.RequestRate, live, left, c.cfg.Store.MaxWriteShare)
 }
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -1,13 +1,12 @@
 package core
 
 import (
-	"encoding/json"
-	"slices"
-	"time"
-
 	"dewlift/clusterstate"
 	"dewlift/core/batchvalue"
 	"dewlift/wire"
+	"encoding/json"
+	"slices"
+	"time"
 )
 
 // txnBuilder gathers proposals into one transaction.
@@ -53,7 +52,7 @@
 		b.hasUserWaiting = true
 		cost -= c.storeWriteRate() / 2
 	}
-	if b.opCount()+3 > c.cfg.MaxTxnOps || len(b.proposals) >= maxProposalsPerTxn || b.valueBytes > 40<<10 ||
+	if b.opCount()+3 > c.cfg.Store.MaxTxnOps || len(b.proposals) >= maxProposalsPerTxn || b.valueBytes > 40<<10 ||
 		c.transactions.rateLimit.WriteTokens < cost {
 		return false
 	}
@@ -72,7 +71,7 @@
 		p.compares = append(p.compares, c.unauditedCompares()...)
 	}
 	if len(b.proposals) > 0 &&
-		len(b.txn.Compare)+len(b.slotDrafts)+len(p.compares)+comparesPerJob > 4*c.cfg.MaxTxnOps {
+		len(b.txn.Compare)+len(b.slotDrafts)+len(p.compares)+comparesPerJob > 4*c.cfg.Store.MaxTxnOps {
 		c.undoProposal(p)
 		return false
 	}
@@ -101,7 +100,7 @@
 	p.record.PendingAudit, p.auditEntryIDs = c.currentAuditLog().
 		AttachEntries(keyJob+j.id, j.revision, old, p.auditActs)
 	raw, err := c.encodeWithinLimit(p)
-	if err != nil || len(raw) > c.cfg.MaxValueBytes {
+	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
 		// An older version may have stored it under larger limits, or its tasks end in an order that
 		// leaves many pieces. It is written once more of them have ended; a job that is over always
 		// fits. Nothing is lost meanwhile: its machines keep what they reported.
@@ -138,7 +137,7 @@
 		b.addCompare(k)
 	}
 	b.txn.Then = append(b.txn.Then, wire.Write{Put: keyJob + j.id, Value: raw})
-	if j.stored.bytes > c.cfg.MaxValueBytes || j.cancellation.markerRevision != 0 {
+	if j.stored.bytes > c.cfg.Store.MaxValueBytes || j.cancellation.markerRevision != 0 {
 		b.txn.Compare = append(
 			b.txn.Compare,
 			wire.Compare{Key: keyCancel + j.id, Revision: j.cancellation.markerRevision},
@@ -230,13 +229,13 @@
 		starts := len(p.started)
 		raw, err := c.encodeRecord(p.record, p.assignments, false)
 		if err != nil ||
-			len(raw) <= c.cfg.MaxValueBytes*7/8 && len(raw)+p.record.MaxGrowth(p.assignments) <= c.cfg.MaxValueBytes {
+			len(raw) <= c.cfg.Store.MaxValueBytes*7/8 && len(raw)+p.record.MaxGrowth(p.assignments) <= c.cfg.Store.MaxValueBytes {
 			return raw, err
 		}
 		if c.schemaVersion() >= schemaDependencies {
 			packed, err := c.encodeRecord(p.record, p.assignments, true)
-			if err != nil || len(packed) <= c.cfg.MaxValueBytes*3/4 ||
-				starts == 0 && len(packed) <= c.cfg.MaxValueBytes {
+			if err != nil || len(packed) <= c.cfg.Store.MaxValueBytes*3/4 ||
+				starts == 0 && len(packed) <= c.cfg.Store.MaxValueBytes {
 				return packed, err
 			}
 		}
@@ -247,7 +246,7 @@
 			p.started = p.started[:starts-n]
 			p.assignments = p.assignments[:len(p.assignments)-n]
 			p.record.LastAttempt -= uint64(n)
-		case len(raw) > c.cfg.MaxValueBytes && len(p.record.StopReasons) > 0:
+		case len(raw) > c.cfg.Store.MaxValueBytes && len(p.record.StopReasons) > 0:
 			p.record.StopReasons = nil
 		default:
 			return raw, nil
--- a/core/yield.go
+++ b/core/yield.go
@@ -1,10 +1,9 @@
 package core
 
 import (
-	"time"
-
 	"dewlift/core/membership"
 	"dewlift/wire"
+	"time"
 )
 
 // queuePositions tell how many other controllers come before a job, and how many are alike, on
@@ -68,7 +67,7 @@
 // propagationDelay is how long it takes until the others know of a start: a batch's time, or what
 // it takes of late, if that is more.
 func (c *Core) propagationDelay() time.Duration {
-	return min(max(2*c.cfg.DeltaInterval, c.deltaLog.countingDelay/2), 2*time.Second)
+	return min(max(2*c.cfg.State.DeltaInterval, c.deltaLog.countingDelay/2), 2*time.Second)
 }
 
 // placementScanInterval is the time between two looks at all waiting jobs. Tasks of a job that find
@@ -88,7 +87,7 @@
 			j.record.Spec.MachineTypes != nil ||
 			j.record.Spec.Zone != "" ||
 			c.now < j.placement.backoffUntil ||
-			c.unixMS()-j.effectiveEnqueueMS() < c.cfg.YieldAfter.Milliseconds() ||
+			c.unixMS()-j.effectiveEnqueueMS() < c.cfg.Scheduling.YieldAfter.Milliseconds() ||
 			!c.teamOf(j.record.Spec).fitsMaxQuota(j.record.Spec.Request) {
 			continue
 		}
--- a/core/yield_test.go
+++ b/core/yield_test.go
@@ -1,12 +1,11 @@
 package core
 
 import (
+	"dewlift/clusterstate"
+	"dewlift/wire"
 	"fmt"
 	"testing"
 	"time"
-
-	"dewlift/clusterstate"
-	"dewlift/wire"
 )
 
 // While more work waited than there was room, every controller filled each new machine, and half of
--- a/core/zone_liveness.go
+++ b/core/zone_liveness.go
@@ -41,7 +41,7 @@
 
 // maxZoneHeartbeatGap is how long a zone that is well is never quiet.
 func (c *Core) maxZoneHeartbeatGap(z *zoneLiveness) time.Duration {
-	return missedHeartbeatsForSilence * c.cfg.HeartbeatInterval / time.Duration(z.machinesUp)
+	return missedHeartbeatsForSilence * c.cfg.Agents.HeartbeatInterval / time.Duration(z.machinesUp)
 }
 
 // isZoneSilent reports whether nothing has been heard of a zone for a time, although it has many
--- a/internal/fakes/fixtures.go
+++ b/internal/fakes/fixtures.go
@@ -1,12 +1,11 @@
 package fakes
 
 import (
-	"encoding/json"
-	"fmt"
-
 	"dewlift/access"
 	"dewlift/core"
 	"dewlift/wire"
+	"encoding/json"
+	"fmt"
 )
 
 // SetMachineType has a controller know one type of machines, as if the cloud had told it.
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -3,6 +3,7 @@
 package fakes
 
 import (
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"net/http"
@@ -13,8 +14,6 @@
 	"time"
 
 	"github.com/google/btree"
-
-	"dewlift/wire"
 )
 
 // Limits are those of a state service; 0: none.
--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -14,8 +15,6 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"dewlift/wire"
 )
 
 // Workers are a cloud's machines, of one type, that do as the protocol says but for the work
--- a/internal/fakes/workers_test.go
+++ b/internal/fakes/workers_test.go
@@ -1,10 +1,9 @@
 package fakes
 
 import (
+	"dewlift/wire"
 	"testing"
 	"time"
-
-	"dewlift/wire"
 )
 
 // The stand-in does with orders what the protocol says: each once, in order, no more than there is
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -1,6 +1,12 @@
 package golden
 
 import (
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/core/jobrecord"
+	"dewlift/settings"
+	"dewlift/wire"
 	"encoding/json"
 	"go/ast"
 	"go/parser"
@@ -11,13 +17,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/core/jobrecord"
-	"dewlift/settings"
-	"dewlift/wire"
 )
 
 // bodies are those of the platform's interfaces, and of ours.
--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -7,6 +7,10 @@
 import (
 	"bytes"
 	"context"
+	"dewlift"
+	"dewlift/internal/fakes"
+	"dewlift/settings"
+	"dewlift/wire"
 	"encoding/json"
 	"flag"
 	"fmt"
@@ -20,11 +24,6 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"dewlift"
-	"dewlift/internal/fakes"
-	"dewlift/settings"
-	"dewlift/wire"
 )
 
 var (
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -7,6 +7,12 @@
 
 import (
 	"bytes"
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/internal/fakes"
+	"dewlift/internal/measure/process"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"flag"
@@ -24,13 +30,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/internal/fakes"
-	"dewlift/internal/measure/process"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // RequestCost is what requests of one kind took.
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -6,6 +6,11 @@
 
 import (
 	"context"
+	"dewlift/archive"
+	"dewlift/core"
+	"dewlift/internal/fakes"
+	"dewlift/internal/measure/process"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"flag"
@@ -19,12 +24,6 @@
 	"strconv"
 	"strings"
 	"time"
-
-	"dewlift/archive"
-	"dewlift/core"
-	"dewlift/internal/fakes"
-	"dewlift/internal/measure/process"
-	"dewlift/wire"
 )
 
 const (
--- a/internal/measure/history/report.go
+++ b/internal/measure/history/report.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"dewlift/internal/chart"
+	"dewlift/internal/measure/process"
 	"fmt"
 	"html/template"
 	"image/color"
@@ -11,9 +13,6 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-
-	"dewlift/internal/chart"
-	"dewlift/internal/measure/process"
 )
 
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
--- a/internal/measure/process/process.go
+++ b/internal/measure/process/process.go
@@ -3,6 +3,8 @@
 package process
 
 import (
+	"dewlift/internal/fakes"
+	"dewlift/wire"
 	"errors"
 	"fmt"
 	"net"
@@ -13,9 +15,6 @@
 	"strconv"
 	"strings"
 	"time"
-
-	"dewlift/internal/fakes"
-	"dewlift/wire"
 )
 
 const (
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -1,18 +1,17 @@
 package main
 
 import (
+	"dewlift"
+	"dewlift/core"
+	"dewlift/internal/eventqueue"
+	"dewlift/settings"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"runtime"
 	"slices"
 	"time"
-
-	"dewlift"
-	"dewlift/core"
-	"dewlift/internal/eventqueue"
-	"dewlift/settings"
-	"dewlift/wire"
 )
 
 const (
--- a/internal/measure/scale/main.go
+++ b/internal/measure/scale/main.go
@@ -7,6 +7,8 @@
 package main
 
 import (
+	"dewlift/internal/chart"
+	"dewlift/internal/eventqueue"
 	"encoding/json"
 	"flag"
 	"fmt"
@@ -23,9 +25,6 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-
-	"dewlift/internal/chart"
-	"dewlift/internal/eventqueue"
 )
 
 // The limits of a controller, and of the changes a second of all, that the curve is compared with.
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -1,13 +1,12 @@
 package sim
 
 import (
+	"dewlift/core"
+	"dewlift/wire"
 	"fmt"
 	"slices"
 	"testing"
 	"time"
-
-	"dewlift/core"
-	"dewlift/wire"
 )
 
 // outageScenario is a meeting of troubles around cancellations: something keeps a controller from
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -3,12 +3,11 @@
 package sim
 
 import (
+	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
 	"time"
-
-	"dewlift/wire"
 )
 
 // Checker watches what happens in the world and notes every broken rule.
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -1,6 +1,7 @@
 package sim
 
 import (
+	"dewlift/core"
 	"encoding/binary"
 	"encoding/json"
 	"flag"
@@ -15,8 +16,6 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-
-	"dewlift/core"
 )
 
 var (
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -1,13 +1,12 @@
 package sim
 
 import (
+	"dewlift/core"
+	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
 	"time"
-
-	"dewlift/core"
-	"dewlift/wire"
 )
 
 // Users who look closely: right after they were told that a job was accepted, has ended or is
--- a/internal/sim/fakes.go
+++ b/internal/sim/fakes.go
@@ -1,17 +1,16 @@
 package sim
 
 import (
+	"dewlift/archive"
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
 	"sort"
 	"strings"
 	"time"
-
-	"dewlift/archive"
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/wire"
 )
 
 // fakeStore stands in for the state service.
--- a/internal/sim/overlapping_faults.go
+++ b/internal/sim/overlapping_faults.go
@@ -1,13 +1,12 @@
 package sim
 
 import (
+	"dewlift/core"
+	"dewlift/wire"
 	"encoding/json"
 	"maps"
 	"slices"
 	"time"
-
-	"dewlift/core"
-	"dewlift/wire"
 )
 
 // Troubles that meet: most rules that were broken on real machines broke when a second trouble came
--- a/internal/sim/permissions.go
+++ b/internal/sim/permissions.go
@@ -1,15 +1,15 @@
 package sim
 
 import (
+	"dewlift/access"
+	"dewlift/core"
+	"dewlift/wire"
 	"encoding/base64"
 	"fmt"
 	"slices"
 	"time"
 
-	"dewlift/access"
-	"dewlift/core"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // permissionView is what the one who changes rights knows of somebody's.
--- a/internal/sim/pipelines.go
+++ b/internal/sim/pipelines.go
@@ -1,10 +1,9 @@
 package sim
 
 import (
+	"dewlift/wire"
 	"fmt"
 	"time"
-
-	"dewlift/wire"
 )
 
 // pipelinesStartAt is when users begin to submit pipelines: nothing new is asked before every process
--- a/internal/sim/queue_order.go
+++ b/internal/sim/queue_order.go
@@ -1,16 +1,15 @@
 package sim
 
 import (
+	"dewlift/core"
+	"dewlift/core/jobrecord"
+	"dewlift/priorityclass"
+	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
 	"strings"
 	"time"
-
-	"dewlift/core"
-	"dewlift/core/jobrecord"
-	"dewlift/priorityclass"
-	"dewlift/wire"
 )
 
 // queueOrderChecker is what the state service's own order of acceptances says of jobs, by their
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -2,6 +2,10 @@
 
 import (
 	"cmp"
+	"dewlift/booking"
+	"dewlift/core"
+	"dewlift/core/reservations"
+	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
@@ -10,11 +14,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"dewlift/booking"
-	"dewlift/core"
-	"dewlift/core/reservations"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // reservationChecker are the equipment of a world, what its users were told, and what is stored.
--- a/internal/sim/rolling_upgrade.go
+++ b/internal/sim/rolling_upgrade.go
@@ -1,15 +1,14 @@
 package sim
 
 import (
-	"encoding/json"
-	"fmt"
-	"strings"
-	"time"
-
 	"dewlift/archive"
 	"dewlift/core"
 	"dewlift/internal/previousversion"
 	"dewlift/wire"
+	"encoding/json"
+	"fmt"
+	"strings"
+	"time"
 )
 
 // announcedLimits are the limits that the settings announce when a world plays an upgrade. A new version
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -1,6 +1,11 @@
 package sim
 
 import (
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/core/jobrecord"
+	"dewlift/internal/eventqueue"
+	"dewlift/wire"
 	"encoding/json"
 	"flag"
 	"fmt"
@@ -9,12 +14,7 @@
 	"testing"
 	"time"
 
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/core/jobrecord"
-	"dewlift/internal/eventqueue"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 func runSimulation(t *testing.T, o Options) *Simulator {
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -2,13 +2,12 @@
 
 import (
 	"cmp"
-	"fmt"
-	"math/rand/v2"
-	"time"
-
 	"dewlift/core"
 	"dewlift/internal/eventqueue"
 	"dewlift/wire"
+	"fmt"
+	"math/rand/v2"
+	"time"
 )
 
 // Options say how rough a world is.
@@ -227,79 +226,93 @@
 
 func (w *Simulator) coreConfig(n *node) core.Config {
 	cfg := core.Config{
-		SchemaVersion:           core.SchemaVersion,
-		Name:                    n.name,
-		Zone:                    "a",
-		Teams:                   w.teams,
-		LeaseTTL:                4 * time.Second,
-		Shards:                  6,
-		MinWatchInterval:        100 * time.Millisecond,
-		MinReadBarrierInterval:  150 * time.Millisecond,
-		StoreRequestRate:        100,
-		StoreWriteRate:          40,
-		MaxWriteShare:           0.6,
-		MaxValueBytes:           8192,
-		MaxTxnOps:               12,
-		CloudRequestRate:        4,
-		CloudListLag:            3 * time.Second,
-		HeartbeatInterval:       heartbeatInterval,
-		AgentLeaseTTL:           w.options.WorkerLease,
-		CancelTimeout:           w.options.CancelTimeout,
-		DeltaInterval:           500 * time.Millisecond,
-		StatePushInterval:       time.Second,
-		StateCopyExpiry:         10 * time.Second,
-		CandidateRatio:          2,
-		PreferImage:             true,
-		PreferSpot:              true,
-		HeadroomShare:           0.2,
-		IdleTimeout:             5 * time.Second,
-		SilenceTimeout:          4 * time.Second,
-		BootTimeoutFactor:       3,
-		MinEndBatchDelay:        300 * time.Millisecond,
-		FullStatePushInterval:   10 * time.Second,
-		MinStatePushInterval:    100 * time.Millisecond,
-		CommandRetryInterval:    time.Second,
-		MaxCommandRequests:      400,
-		MaxPollRequests:         100,
-		EndedTaskClearDelay:     2 * time.Second,
-		RelayTimeout:            3 * time.Second,
-		PeerTimeout:             1500 * time.Millisecond,
-		PreemptionRetryInterval: 4 * time.Second,
-		CloudListInterval:       2500 * time.Millisecond,
-		MaxEndBatchDelay:        2 * time.Second,
-		CancelScaleInShare:      0.35,
-		LostTaskBatchDelay:      700 * time.Millisecond,
-		SubmitWriteTimeout:      1500 * time.Millisecond,
-		HealthInterval:          500 * time.Millisecond,
-		FullScanInterval:        20 * time.Second,
-		ScaleOutLeadTime:        3 * time.Second,
-		YieldAfter:              time.Second,
-	}
-	cfg.MaxEndedJobs, cfg.HistoryCacheBytes, cfg.HistoryReadShare = 5000, 1<<20, 0.2
-	cfg.SharedValues = w.options.BatchValues
+		Cluster: core.ClusterConfig{
+			LeaseTTL:       4 * time.Second,
+			RelayTimeout:   3 * time.Second,
+			PeerTimeout:    1500 * time.Millisecond,
+			HealthInterval: 500 * time.Millisecond,
+		},
+		Store: core.StoreConfig{
+			MinWatchInterval:       100 * time.Millisecond,
+			MinReadBarrierInterval: 150 * time.Millisecond,
+			RequestRate:            100,
+			WriteRate:              40,
+			MaxWriteShare:          0.6,
+			MaxValueBytes:          8192,
+			MaxTxnOps:              12,
+		},
+		Autoscaling: core.AutoscalingConfig{
+			CloudRequestRate:  4,
+			CloudListLag:      3 * time.Second,
+			HeadroomShare:     0.2,
+			IdleTimeout:       5 * time.Second,
+			BootTimeoutFactor: 3,
+			CloudListInterval: 2500 * time.Millisecond,
+			ScaleOutLeadTime:  3 * time.Second,
+		},
+		Agents: core.AgentConfig{
+			HeartbeatInterval:    heartbeatInterval,
+			LeaseTTL:             w.options.WorkerLease,
+			CancelTimeout:        w.options.CancelTimeout,
+			SilenceTimeout:       4 * time.Second,
+			CommandRetryInterval: time.Second,
+			MaxCommandRequests:   400,
+			MaxPollRequests:      100,
+			EndedTaskClearDelay:  2 * time.Second,
+			CancelScaleInShare:   0.35,
+			LostTaskBatchDelay:   700 * time.Millisecond,
+		},
+		State: core.StateConfig{
+			DeltaInterval:    500 * time.Millisecond,
+			PushInterval:     time.Second,
+			CopyExpiry:       10 * time.Second,
+			FullPushInterval: 10 * time.Second,
+			MinPushInterval:  100 * time.Millisecond,
+		},
+		Scheduling: core.SchedulingConfig{
+			CandidateRatio:          2,
+			PreferImage:             true,
+			PreferSpot:              true,
+			MinEndBatchDelay:        300 * time.Millisecond,
+			PreemptionRetryInterval: 4 * time.Second,
+			MaxEndBatchDelay:        2 * time.Second,
+			SubmitWriteTimeout:      1500 * time.Millisecond,
+			FullScanInterval:        20 * time.Second,
+			YieldAfter:              time.Second,
+		},
+
+		SchemaVersion: core.SchemaVersion,
+		Name:          n.name,
+		Zone:          "a",
+		Teams:         w.teams,
+
+		Shards: 6,
+	}
+	cfg.History.MaxEndedJobs, cfg.History.CacheBytes, cfg.History.ReadShare = 5000, 1<<20, 0.2
+	cfg.Store.SharedValues = w.options.BatchValues
 	if w.options.Permissions {
 		cfg.Permissions = initialPolicy()
 	}
 	if w.options.AuditLog {
-		cfg.AuditKey, cfg.MaxClockErrorMS, cfg.Settings = auditKey, 500, settingsFor(n)
-		cfg.AuditForgetAfter = 60 * time.Second // requests are late by 40 s at most
-		cfg.AuditGatherDelay, cfg.AuditBlockDelay = 2*time.Second, w.randomDuration(time.Second, 8*time.Second)
+		cfg.Audit.Key, cfg.Audit.MaxClockErrorMS, cfg.Audit.Settings = auditKey, 500, settingsFor(n)
+		cfg.Audit.ForgetAfter = 60 * time.Second // requests are late by 40 s at most
+		cfg.Audit.GatherDelay, cfg.Audit.BlockDelay = 2*time.Second, w.randomDuration(time.Second, 8*time.Second)
 	}
 	if w.options.Archive {
-		cfg.Archive, cfg.MaxEndedJobs, cfg.HistoryCacheBytes = true, 1+int(w.options.Seed%4), 1<<10
+		cfg.History.Archive, cfg.History.MaxEndedJobs, cfg.History.CacheBytes = true, 1+int(w.options.Seed%4), 1<<10
 	}
 	if w.options.PriorityClasses && !n.bootsPrevious {
-		cfg.PriorityClasses = w.queueOrder.classes
+		cfg.Scheduling.PriorityClasses = w.queueOrder.classes
 	}
 	if w.options.ReservationUsers > 0 && !n.bootsPrevious {
-		cfg.Equipment, cfg.MaxValueBytes = w.reservations.site, 640 // so that there are many pages
+		cfg.Reservations.Equipment, cfg.Store.MaxValueBytes = w.reservations.site, 640 // so that there are many pages
 		if w.options.AuditLog {
-			cfg.MaxValueBytes = 4096 // entries of the record need room
+			cfg.Store.MaxValueBytes = 4096 // entries of the record need room
 		}
-		cfg.ReservationRetention = time.Duration(w.options.Seed%3) * 10 * time.Second
+		cfg.Reservations.Retention = time.Duration(w.options.Seed%3) * 10 * time.Second
 	}
 	if w.options.RollingUpgrade && !n.bootsPrevious {
-		cfg.MaxValueBytes, cfg.MaxTxnOps, cfg.NextStoreWriteRate = announcedLimits.valueBytes, announcedLimits.txnOps, announcedLimits.writesPerSecond
+		cfg.Store.MaxValueBytes, cfg.Store.MaxTxnOps, cfg.Store.NextWriteRate = announcedLimits.valueBytes, announcedLimits.txnOps, announcedLimits.writesPerSecond
 	}
 	if n.bootsPrevious {
 		cfg.SchemaVersion = 0
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -6,6 +6,8 @@
 import (
 	"bufio"
 	"context"
+	"dewlift/core"
+	"dewlift/tlsconfig"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,9 +16,6 @@
 	"net"
 	"net/http"
 	"time"
-
-	"dewlift/core"
-	"dewlift/tlsconfig"
 )
 
 const (
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"context"
+	"dewlift/core"
+	"dewlift/internal/testcert"
+	"dewlift/tlsconfig"
 	"fmt"
 	"io"
 	"log/slog"
@@ -15,10 +18,6 @@
 	"testing"
 	"testing/iotest"
 	"time"
-
-	"dewlift/core"
-	"dewlift/internal/testcert"
-	"dewlift/tlsconfig"
 )
 
 // A sign of life written after its stream had ended was a panic, and ended the process when a
--- a/priorityclass/list.go
+++ b/priorityclass/list.go
@@ -4,6 +4,7 @@
 package priorityclass
 
 import (
+	"dewlift/wire"
 	"errors"
 	"fmt"
 	"regexp"
@@ -13,7 +14,6 @@
 	"google.golang.org/protobuf/encoding/prototext"
 
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 const (
--- a/priorityclass/list_test.go
+++ b/priorityclass/list_test.go
@@ -1,13 +1,12 @@
 package priorityclass
 
 import (
+	"dewlift/wire"
 	"strings"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
-
-	"dewlift/wire"
 )
 
 func TestInvalidListsAreNamed(t *testing.T) {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -2,6 +2,7 @@
 package settings
 
 import (
+	"dewlift/core/quorum"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,7 +15,6 @@
 	protobuf "google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"dewlift/core/quorum"
 	pb "dewlift/proto"
 )
 
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -2,6 +2,10 @@
 
 import (
 	"context"
+	"dewlift/core"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -13,11 +17,7 @@
 
 	"golang.org/x/time/rate"
 
-	"dewlift/core"
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // Target is a state service to be restored to.
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"dewlift/internal/httpjson"
+	"dewlift/wire"
 	"errors"
 	"fmt"
 	"io"
@@ -14,9 +16,7 @@
 
 	"golang.org/x/time/rate"
 
-	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 // Source is a state service, and how much of it may be used.
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -3,6 +3,8 @@
 import (
 	"bytes"
 	"context"
+	"dewlift/internal/fakes"
+	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -15,9 +17,7 @@
 	"testing"
 	"time"
 
-	"dewlift/internal/fakes"
 	pb "dewlift/proto"
-	"dewlift/wire"
 )
 
 func serveStore(t *testing.T, l fakes.Limits) (*fakes.Store, Source) {
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -1,16 +1,15 @@
 package statestore
 
 import (
+	"dewlift/core"
+	"dewlift/internal/fakes"
+	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
-
-	"dewlift/core"
-	"dewlift/internal/fakes"
-	"dewlift/wire"
 )
 
 func startFakeStore(t *testing.T, l fakes.Limits) (*fakes.Store, *Client) {
--- a/tlsconfig/tlsconfig_test.go
+++ b/tlsconfig/tlsconfig_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"crypto/tls"
 	"crypto/x509"
+	"dewlift/internal/testcert"
 	"fmt"
 	"io"
 	"log/slog"
@@ -14,8 +15,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"dewlift/internal/testcert"
 )
 
 func loadFromText(t *testing.T, text string) (*Files, error) {
