--- a/agent/agent.go
+++ b/agent/agent.go
@@ -21,13 +21,13 @@
 // SendCommands sends orders; the answer is the worker's report.
 func (c *Client) SendCommands(ctx context.Context, o core.SendCommands) core.CommandsResult {
 	r := c.httpClient.Do(ctx, requestTimeout, http.MethodPost, "http://"+o.Addr+wire.PathAgentCommands, o.Batch)
-	out := core.CommandsResult{ID: o.ID, Status: r.Status, MaybeDelivered: r.Sent}
+	out := core.CommandsResult{ID: o.ID, Status: wire.Status(r.Status), MaybeDelivered: r.Sent}
 	if r.Status != 200 && r.Status != 409 {
 		return out
 	}
 	rep, err := wire.ParseHeartbeat(r.Body)
 	if err != nil {
-		out.Status = 0 // an answer that can't be understood is none
+		out.Status = wire.StatusNoAnswer // an answer that can't be understood is none
 		return out
 	}
 	out.Heartbeat = rep
--- a/api/api.go
+++ b/api/api.go
@@ -144,7 +144,7 @@
 		if r.RetryAfterSeconds > 0 {
 			c.Set(fiber.HeaderRetryAfter, strconv.Itoa(r.RetryAfterSeconds))
 		}
-		return c.Status(r.Status).JSON(r.Body)
+		return c.Status(int(r.Status)).JSON(r.Body)
 	case <-t.C:
 		s.dropPendingResponse(id)
 		return unavailable(c, "no answer in time")
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -39,17 +39,17 @@
 	case core.SubmitJob:
 		r := core.Response{
 			RequestID: in.RequestID,
-			Status:    201,
+			Status:    wire.StatusCreated,
 			Body:      wire.JobState{ID: in.ID, Stage: wire.StageQueued},
 		}
 		if in.DecodeError != "" {
-			r.Status, r.Body = 400, wire.Error{Error: in.DecodeError}
+			r.Status, r.Body = wire.StatusBadRequest, wire.Error{Error: in.DecodeError}
 		}
 		go e.server.DeliverResponse(r)
 	case core.GetJob:
 		go e.server.DeliverResponse(core.Response{
 			RequestID:         in.RequestID,
-			Status:            503,
+			Status:            wire.StatusUnavailable,
 			RetryAfterSeconds: 1,
 			Body:              wire.Error{},
 		})
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -34,21 +34,21 @@
 	out := core.CloudResult{ID: o.ID}
 	var r httpjson.Response
 	switch o.Op {
-	case "catalog":
+	case core.CloudCatalog:
 		var v wire.Catalog
 		v, r = httpjson.Decode[wire.Catalog](
 			c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathCatalog, nil),
 		)
 		out.Catalog = &v
-	case "list":
+	case core.CloudList:
 		return c.listMachines(ctx, o)
-	case "rent":
+	case core.CloudScaleOut:
 		var v wire.MachineNames
 		v, r = httpjson.Decode[wire.MachineNames](
 			c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathInstances, o.ScaleOut),
 		)
 		out.MachineNames = v.Machines
-	case "return":
+	case core.CloudScaleIn:
 		r = c.httpClient.Do(
 			ctx,
 			requestTimeout,
@@ -57,7 +57,7 @@
 			wire.MachineNames{Machines: o.MachineNames},
 		)
 	}
-	out.Status = r.Status
+	out.Status = wire.Status(r.Status)
 	if r.Status != 200 {
 		var e wire.Error
 		if json.Unmarshal(r.Body, &e) == nil {
@@ -74,5 +74,5 @@
 		u += "&from=" + url.QueryEscape(o.AfterMachine)
 	}
 	v, r := httpjson.Decode[wire.MachineList](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, u, nil))
-	return core.CloudResult{ID: o.ID, Status: r.Status, Machines: v.Machines, More: v.More}
+	return core.CloudResult{ID: o.ID, Status: wire.Status(r.Status), Machines: v.Machines, More: v.More}
 }
--- a/controller.go
+++ b/controller.go
@@ -397,9 +397,9 @@
 	case core.LogLine:
 		level := slog.LevelInfo
 		switch o.Level {
-		case "error":
+		case core.LevelError:
 			level = slog.LevelError
-		case "debug":
+		case core.LevelDebug:
 			level = slog.LevelDebug
 		}
 		c.log.Log(ctx, level, o.Message, o.Args...)
--- a/core/apply.go
+++ b/core/apply.go
@@ -14,7 +14,7 @@
 func (c *Core) applyPut(key string, raw json.RawMessage, mark uint64) {
 	bad := func(err error) {
 		if err != nil {
-			c.log("error", "value not understood", "key", key, "err", err.Error())
+			c.log(LevelError, "value not understood", "key", key, "err", err.Error())
 		}
 	}
 	switch {
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -72,7 +72,7 @@
 		c.readSweepPage(s)
 	default:
 		c.log(
-			"info",
+			LevelInfo,
 			"ended jobs moved to the archive",
 			"jobs",
 			s.movedJobs,
@@ -108,7 +108,7 @@
 	s.inFlight = true
 	c.readPrefix(keyJob, s.afterKey, rangePageSize/2, func(in RangeResult) {
 		s.inFlight = false
-		if in.Status != 200 || s != c.archiving.sweep {
+		if in.Status != wire.StatusOK || s != c.archiving.sweep {
 			return
 		}
 		for _, it := range in.Items {
@@ -175,7 +175,7 @@
 	}
 	if err != nil {
 		if !errors.Is(err, archive.ErrCorrupt) { // that was told when it was read
-			c.log("error", "ended jobs stay where they are", "from", s.pending[0].ID, "jobs", n, "err", err.Error())
+			c.log(LevelError, "ended jobs stay where they are", "from", s.pending[0].ID, "jobs", n, "err", err.Error())
 		}
 		s.pending = s.pending[n:]
 		return
@@ -194,10 +194,10 @@
 		t.Then = append(t.Then, wire.Write{Delete: e.key})
 	}
 	s.inFlight = true
-	c.commitTxn(t, &pendingTxn{onDone: func(status int, r wire.TxnResponse) {
+	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
 		s.inFlight = false
 		switch status {
-		case 200:
+		case wire.StatusOK:
 			for _, p := range pieces {
 				h.archiveIndex.Put(p.Block, p.Value, r.Revision, r.Revision)
 			}
@@ -206,9 +206,9 @@
 			s.movedJobs += k
 			s.storeWrites += len(t.Then)
 			s.pending = s.pending[k:]
-		case 429, 503: // not executed
+		case wire.StatusTooManyRequests, wire.StatusUnavailable: // not executed
 		default: // overtaken, refused, or not known: it may be executed late, which changes nothing then
-			if status == 400 {
+			if status == wire.StatusBadRequest {
 				c.reduceTxnLimits(&t)
 			}
 			for _, p := range pieces {
@@ -225,7 +225,7 @@
 	c.commitTxn(wire.Txn{
 		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyHistory}},
 		Then:    []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}},
-	}, &pendingTxn{onDone: func(int, wire.TxnResponse) {
+	}, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 		c.afterReadBarrier(func(bool) { s.inFlight = false }) // what came of it shows there
 	}})
 }
--- a/core/audit.go
+++ b/core/audit.go
@@ -36,7 +36,7 @@
 		ClockErrorMS:   k.Audit.MaxClockErrorMS,
 		Settings:       k.Audit.Settings,
 		StartedAt:      c.now,
-		Log:            c.log,
+		LogError:       func(text string, args ...any) { c.log(LevelError, text, args...) },
 	})
 }
 
@@ -84,17 +84,17 @@
 }
 
 // addAuditEntry adds a carrier with the entry of an act to a transaction, and returns what must be told of its outcome.
-func (c *Core) addAuditEntry(t *wire.Txn, name string, x auditlog.Event) func(status int) {
+func (c *Core) addAuditEntry(t *wire.Txn, name string, x auditlog.Event) func(status wire.Status) {
 	if !c.isAuditing() {
 		for _, k := range c.unauditedCompares() {
 			if !slices.Contains(t.Compare, k) {
 				t.Compare = append(t.Compare, k)
 			}
 		}
-		return func(int) {}
+		return func(wire.Status) {}
 	}
 	ids := c.currentAuditLog().AttachCarrier(t, name, x)
-	return func(status int) { c.currentAuditLog().HandleOutcome(ids, status) }
+	return func(status wire.Status) { c.currentAuditLog().HandleOutcome(ids, status) }
 }
 
 // advanceAuditLog writes blocks when it is due.
@@ -117,8 +117,8 @@
 	if t == nil {
 		return
 	}
-	c.commitTxn(*t, &pendingTxn{onDone: func(status int, reply wire.TxnResponse) {
-		if status == 400 {
+	c.commitTxn(*t, &pendingTxn{onDone: func(status wire.Status, reply wire.TxnResponse) {
+		if status == wire.StatusBadRequest {
 			c.reduceTxnLimits(t)
 		}
 		// what is there now shows with the next barrier
@@ -153,7 +153,7 @@
 		"restored",
 		auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: x.description},
 	)
-	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
+	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		told(status)
 		c.afterReadBarrier(func(bool) { x.writeInFlight = false })
 	}})
@@ -161,7 +161,7 @@
 
 // auditDenial notes and records an act that was refused.
 func (c *Core) auditDenial(by Credential, verb, object, why string) {
-	c.log("info", "refused", "who", by.Identity, "verb", verb, "object", object, "why", why)
+	c.log(LevelInfo, "refused", "who", by.Identity, "verb", verb, "object", object, "why", why)
 	c.Stats.PermissionDenials++
 	c.currentAuditLog().
 		RecordRefusal(audit.GatheredEvent{Identity: by.Identity, Verb: verb, Object: object, Reason: why}, 1)
@@ -174,7 +174,7 @@
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	case c.cfg.Audit.Key == nil:
-		c.respond(in.RequestID, 404, wire.Error{Error: "nothing is recorded here"})
+		c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "nothing is recorded here"})
 		return
 	}
 	object := "audit"
@@ -199,7 +199,7 @@
 			h := c.auditLog.Heads()[n]
 			out.Heads = append(out.Heads, wire.AuditChainHead{Node: n, BlockNumber: h.BlockNumber, Code: h.MAC})
 		}
-		c.respond(in.RequestID, 200, out)
+		c.respond(in.RequestID, wire.StatusOK, out)
 		return
 	}
 	if c.transactions.rateLimit.ReadTokens < 1 {
@@ -211,7 +211,7 @@
 		audit.BlockKey(in.Node, in.AfterBlock),
 		auditPageBlocks,
 		func(x RangeResult) {
-			if x.Status != 200 {
+			if x.Status != wire.StatusOK {
 				c.respondUnavailable(in.RequestID, "state service not reached")
 				return
 			}
@@ -221,7 +221,7 @@
 					out.Blocks = append(out.Blocks, wire.AuditBlock{Number: n, Value: it.Value})
 				}
 			}
-			c.respond(in.RequestID, 200, out)
+			c.respond(in.RequestID, wire.StatusOK, out)
 		},
 	)
 }
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -145,13 +145,13 @@
 			},
 		)
 	}
-	c.Handle(5*time.Second, TxnResult{ID: 0, Status: 503})
+	c.Handle(5*time.Second, TxnResult{ID: 0, Status: wire.StatusUnavailable})
 	c.ownLease.expiresAt = 0 // an outage
 	if out := outputsOfType[CommitTxn](c.Advance(30 * time.Second)); len(out) != 0 {
 		t.Errorf("written without a lease: %+v", out)
 	}
 	c.ownLease.expiresAt = 3 * time.Minute
-	c.recordStoreStatus(200)
+	c.recordStoreStatus(wire.StatusOK)
 	writes := answerAndCollectWrites(t, c, 30*time.Second, 40*time.Second)
 	total, mine := uint32(0), 0
 	for _, e := range auditEntriesIn(t, writes) {
@@ -176,11 +176,11 @@
 		c.Handle(at, ReadAudit{RequestID: 9, Caller: by, Node: node})
 		return append(c.Advance(at), completeBarrier(c, at+300*time.Millisecond)...)
 	}
-	if r := outputsOfType[Response](ask(2*time.Second, potter, "")); len(r) != 1 || r[0].Status != 403 {
+	if r := outputsOfType[Response](ask(2*time.Second, potter, "")); len(r) != 1 || r[0].Status != wire.StatusForbidden {
 		t.Errorf("the potter reads: %+v", r)
 	}
 	// Anna may administer, and that is not to audit.
-	if r := outputsOfType[Response](ask(3*time.Second, anna, "")); len(r) != 1 || r[0].Status != 403 {
+	if r := outputsOfType[Response](ask(3*time.Second, anna, "")); len(r) != 1 || r[0].Status != wire.StatusForbidden {
 		t.Errorf("anna reads: %+v", r)
 	}
 	c.permissions.roles.Roles[0].Grants = append(
@@ -200,10 +200,10 @@
 	}
 	c.Handle(
 		20500*time.Millisecond,
-		TxnResult{ID: commits[0].ID, Status: 200, Reply: wire.TxnResponse{Revision: c.replica.revision + 1}},
+		TxnResult{ID: commits[0].ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: c.replica.revision + 1}},
 	)
 	r := outputsOfType[Response](c.Advance(20500 * time.Millisecond))
-	if len(r) != 1 || r[0].Status != 200 || len(r[0].Body.(wire.AuditChainHeads).Heads) != 1 {
+	if len(r) != 1 || r[0].Status != wire.StatusOK || len(r[0].Body.(wire.AuditChainHeads).Heads) != 1 {
 		t.Fatalf("got %+v", r)
 	}
 	if scans := outputsOfType[ReadRange](ask(21*time.Second, anna, "n0")); len(scans) != 1 ||
@@ -218,7 +218,7 @@
 	watchEvents(c, 1200*time.Millisecond, 11, event(auditlog.KeyInitialized, "1", 11))
 	c.Handle(1200*time.Millisecond, submittedBy(anna, testSubmission("wk-1")))
 	out := c.Advance(5 * time.Second)
-	if s := statusOf(t, out); s != 503 || c.Healthy() || len(outputsOfType[LeaseRequest](out)) != 0 ||
+	if s := statusOf(t, out); s != wire.StatusUnavailable || c.Healthy() || len(outputsOfType[LeaseRequest](out)) != 0 ||
 		len(outputsOfType[CommitTxn](out)) != 0 {
 		t.Errorf("answered %d, healthy %v, did %+v", s, c.Healthy(), out)
 	}
@@ -250,7 +250,7 @@
 		1200*time.Millisecond,
 		WatchResult{
 			LongPoll: true,
-			Status:   200,
+			Status:   wire.StatusOK,
 			Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{
 				event(auditlog.KeyInitialized, "1", 991),
 				event(
@@ -323,7 +323,7 @@
 		1200*time.Millisecond,
 		WatchResult{
 			LongPoll: true,
-			Status:   200,
+			Status:   wire.StatusOK,
 			Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{
 				event(auditlog.KeyInitialized, "1", 991),
 				event(auditlog.HeadPrefix+"n0", string(raw), 992), event(key, string(left), 993),
--- a/core/auditlog/recorder.go
+++ b/core/auditlog/recorder.go
@@ -48,7 +48,7 @@
 	ClockErrorMS   uint32        // how far the time of day may be off
 	Settings       map[string]string
 	StartedAt      time.Duration
-	Log            func(level, text string, args ...any) // for the log
+	LogError       func(text string, args ...any)
 }
 
 // Env is what a recorder must know of the moment; whoever calls it sets it before.
@@ -280,9 +280,9 @@
 }
 
 // HandleOutcome takes the outcome of a transaction with entries.
-func (r *Recorder) HandleOutcome(ids []uint64, status int) {
+func (r *Recorder) HandleOutcome(ids []uint64, status wire.Status) {
 	switch status {
-	case 409, 429, 503, 400: // not executed
+	case wire.StatusConflict, wire.StatusTooManyRequests, wire.StatusUnavailable, wire.StatusBadRequest: // not executed
 		r.DiscardEntries(ids)
 		return
 	}
@@ -290,7 +290,7 @@
 		s := r.inFlight[id]
 		switch {
 		case s == nil:
-		case status == 200:
+		case status == wire.StatusOK:
 			r.enqueueWritten(id)
 		default:
 			r.unknownOutcome[s.key] = append(r.unknownOutcome[s.key], id)
@@ -333,8 +333,7 @@
 		default:
 			raw := x.Entry
 			if _, err := r.cfg.Key.VerifyEntry(key, x); err != nil {
-				r.cfg.Log(
-					"error",
+				r.cfg.LogError(
 					"an entry of the audit record was altered",
 					"key",
 					key,
@@ -427,8 +426,7 @@
 	)
 	if i < 0 {
 		if r.started {
-			r.cfg.Log(
-				"error",
+			r.cfg.LogError(
 				"the chain of the audit record was continued by another process, or set back",
 				"block",
 				h.BlockNumber,
@@ -484,7 +482,7 @@
 	}
 	raw, n, code, err := r.cfg.Key.EncodeNextBlock(h, r.cfg.Node, r.cfg.ClockErrorMS, raws, r.Env.MaxValueBytes*15/16)
 	if err != nil {
-		r.cfg.Log("error", "the audit record can't go on", "err", err.Error())
+		r.cfg.LogError("the audit record can't go on", "err", err.Error())
 		r.nextBlockAt = r.Env.Now + 10*time.Second
 		return nil
 	}
@@ -550,7 +548,7 @@
 		r.Env.MaxValueBytes,
 	)
 	if err != nil {
-		r.cfg.Log("error", "the audit record can't begin", "err", err.Error())
+		r.cfg.LogError("the audit record can't begin", "err", err.Error())
 		r.nextBlockAt = r.Env.Now + 10*time.Second
 		return nil
 	}
@@ -601,17 +599,17 @@
 
 // HandleBlockOutcome takes the outcome of the transaction that Step gave. It reports whether what
 // is there must be read first; then Settled is to be called.
-func (r *Recorder) HandleBlockOutcome(status int, revision uint64) (mustRead bool) {
+func (r *Recorder) HandleBlockOutcome(status wire.Status, revision uint64) (mustRead bool) {
 	switch status {
-	case 200:
+	case wire.StatusOK:
 		r.blockInFlight = false
 		r.applyHead(r.cfg.Node, r.nextHead, revision)
 		return false
-	case 429, 503:
+	case wire.StatusTooManyRequests, wire.StatusUnavailable:
 		r.blockInFlight = false
 	}
 	r.nextBlockAt = r.Env.Now + 300*time.Millisecond
-	return status != 429 && status != 503
+	return status != wire.StatusTooManyRequests && status != wire.StatusUnavailable
 }
 
 // ClearBusy tells that what is there was read.
--- a/core/auditlog/recorder_test.go
+++ b/core/auditlog/recorder_test.go
@@ -80,7 +80,7 @@
 				BlockDelay:     2 * time.Second,
 				LateTxnWindow:  time.Hour,
 				StartedAt:      now,
-				Log:            func(string, string, ...any) {},
+				LogError:       func(string, ...any) {},
 			})
 			pass(0)
 			if err := s.replayTo(r); err != nil {
@@ -89,20 +89,20 @@
 		}
 		start()
 		// send executes a transaction, or not, or late, and says what its sender learns: 0 is nothing.
-		send := func(x wire.Txn, how int) int {
+		send := func(x wire.Txn, how int) wire.Status {
 			switch {
 			case how == 0:
 				s.delayedTxns = append(s.delayedTxns, x)
-				return 0
+				return wire.StatusNoAnswer
 			case how == 1:
 				s.execute(x)
-				return 0
+				return wire.StatusNoAnswer
 			case how == 2:
-				return 503
+				return wire.StatusUnavailable
 			case !s.execute(x):
-				return 409
+				return wire.StatusConflict
 			}
-			return 200
+			return wire.StatusOK
 		}
 		step := func(how int) {
 			if r.IsBusy() {
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -186,7 +186,7 @@
 			waiting += n.tasks
 		}
 	}
-	c.log("info", "machines", "up", up, "booting", boot, "closed", closed, "empty", empty, "cpus", total/1000,
+	c.log(LevelInfo, "machines", "up", up, "booting", boot, "closed", closed, "empty", empty, "cpus", total/1000,
 		"used", occ/1000, "waiting", waiting, "reserve", reserve)
 }
 
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -235,19 +235,19 @@
 
 // releaseSlots notes that it does no more. A slot whose write may have been executed, or that was
 // overtaken, must be read first.
-func (c *Core) releaseSlots(x *pendingTxn, status int, at uint64) (behind []int) {
+func (c *Core) releaseSlots(x *pendingTxn, status wire.Status, at uint64) (behind []int) {
 	for n := range x.dependentSlots {
 		c.slotState(n).JobKeyWritesInFlight--
 	}
 	for _, n := range sortedKeys(x.writtenSlots) {
 		s := c.slotState(n)
 		switch status {
-		case 200:
+		case wire.StatusOK:
 			s.WriteInFlight = false
 			if at > s.Revision {
 				s.Revision, s.Entries = at, x.writtenSlots[n].Entries
 			}
-		case 429, 503: // not executed
+		case wire.StatusTooManyRequests, wire.StatusUnavailable: // not executed
 			s.WriteInFlight = false
 		default:
 			behind = append(behind, n)
--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -125,7 +125,7 @@
 	if y := findTxnWriting(c.Advance(1250*time.Millisecond), keyJob+"wk-1"); y != nil {
 		t.Fatalf("cancelled beside a write of its slot: %+v", y.Txn)
 	}
-	c.Handle(1300*time.Millisecond, TxnResult{ID: x.ID, Status: 200, Reply: wire.TxnResponse{Revision: 60}})
+	c.Handle(1300*time.Millisecond, TxnResult{ID: x.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: 60}})
 	y := findTxnWriting(c.Advance(1350*time.Millisecond), keyJob+"wk-1")
 	if y == nil || !slices.Contains(y.Txn.Compare, wire.Compare{Key: n, Revision: 60}) ||
 		!slices.Contains(y.Txn.Compare, wire.Compare{Key: keyJob + "wk-1", Revision: 10}) {
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -67,7 +67,7 @@
 }
 
 // respondOrAwaitAck answers with a job's state, once that may be told.
-func (c *Core) respondOrAwaitAck(req uint64, status int, s wire.JobState) {
+func (c *Core) respondOrAwaitAck(req uint64, status wire.Status, s wire.JobState) {
 	if s.Stage == wire.StageCancelled {
 		if j := c.knownJob(s.ID); j != nil && !c.canAckCancellation(j) {
 			c.cancelAcks.pending = append(c.cancelAcks.pending, pendingAck{req, j, c.now + ackTimeout})
@@ -93,7 +93,7 @@
 	c.cancelAcks.pending = slices.DeleteFunc(c.cancelAcks.pending, func(u pendingAck) bool {
 		switch {
 		case c.canAckCancellation(u.job):
-			c.emit(Response{RequestID: u.requestID, Status: 200, Body: c.jobState(u.job)})
+			c.emit(Response{RequestID: u.requestID, Status: wire.StatusOK, Body: c.jobState(u.job)})
 			return true
 		case c.now >= u.deadline:
 			c.respondUnavailable(
@@ -126,7 +126,7 @@
 	for _, j := range list {
 		raw, err := c.encodeRecord(j.record, j.assignments, false)
 		if err != nil {
-			c.log("error", "a cancellation can't be told", "job", j.id, "err", err.Error())
+			c.log(LevelError, "a cancellation can't be told", "job", j.id, "err", err.Error())
 			continue
 		}
 		items = append(items, wire.KeyValue{Key: keyJob + j.id, Value: raw, Revision: j.revision})
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -2,6 +2,7 @@
 
 import (
 	"dewlift/core/jobrecord"
+	"dewlift/wire"
 	"slices"
 	"time"
 )
@@ -84,12 +85,12 @@
 	if len(names) == 0 {
 		return
 	}
-	c.log("info", "machines returned in an outage: cancelled tasks may be on them", "machines", names)
+	c.log(LevelInfo, "machines returned in an outage: cancelled tasks may be on them", "machines", names)
 	r.inFlight = true
-	op := CloudRequest{ID: c.nextID(), Op: "return", MachineNames: names}
+	op := CloudRequest{ID: c.nextID(), Op: CloudScaleIn, MachineNames: names}
 	c.autoscaler.calls[op.ID] = func(in CloudResult) {
 		r.inFlight = false
-		if in.Status == 200 {
+		if in.Status == wire.StatusOK {
 			for _, n := range names {
 				c.markMachineGone(c.internMachine(n))
 			}
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -16,7 +16,7 @@
 	id := c.nextID()
 	c.autoscaler.calls[id] = func(in CloudResult) {
 		c.autoscaler.catalogInFlight = false
-		if in.Status != 200 || in.Catalog == nil {
+		if in.Status != wire.StatusOK || in.Catalog == nil {
 			c.autoscaler.nextCatalogAt = c.now + 500*time.Millisecond + c.jitter(time.Second)
 			return
 		}
@@ -27,7 +27,7 @@
 		c.setCatalog(in.Catalog)
 		c.persistCatalog(in.Catalog)
 	}
-	c.emit(CloudRequest{ID: id, Op: "catalog"})
+	c.emit(CloudRequest{ID: id, Op: CloudCatalog})
 }
 
 // setCatalog takes the machine types that make sense.
@@ -36,7 +36,7 @@
 	for i := range k.Types {
 		t := &k.Types[i]
 		if t.Name == "" || !(t.CPUs > 0) || t.CPUs > 1e6 || t.GPUs < 0 || !(t.MemoryGB > 0) || !(t.Price >= 0) {
-			c.log("error", "machine type not understood", "type", t.Name)
+			c.log(LevelError, "machine type not understood", "type", t.Name)
 			continue
 		}
 		next[t.Name] = t
@@ -70,5 +70,5 @@
 		Compare: []wire.Compare{{Key: keyMachineTypes, Revision: c.autoscaler.storedRevision}},
 		Then:    []wire.Write{{Put: keyMachineTypes, Value: raw}},
 	}
-	c.commitTxn(t, &pendingTxn{onDone: func(int, wire.TxnResponse) { c.autoscaler.storeInFlight = false }})
+	c.commitTxn(t, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.autoscaler.storeInFlight = false }})
 }
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -23,7 +23,7 @@
 	l.cloudCallBudget--
 	op.ID = c.nextID()
 	c.autoscaler.calls[op.ID] = func(in CloudResult) {
-		if c.leaderState == l && (in.Status == 429 || in.Status == 0 || in.Status == 503 && in.Error != noCapacity) {
+		if c.leaderState == l && (in.Status == wire.StatusTooManyRequests || in.Status == wire.StatusNoAnswer || in.Status == wire.StatusUnavailable && in.Error != noCapacity) {
 			l.cloudBackoffUntil = c.now + 300*time.Millisecond + c.jitter(300*time.Millisecond)
 		}
 		f(in)
@@ -39,12 +39,12 @@
 	if l.listInFlight || c.now < l.nextListAt {
 		return
 	}
-	l.listInFlight = c.callCloud(CloudRequest{Op: "list", AfterMachine: l.listAfter}, func(in CloudResult) {
+	l.listInFlight = c.callCloud(CloudRequest{Op: CloudList, AfterMachine: l.listAfter}, func(in CloudResult) {
 		if c.leaderState != l {
 			return
 		}
 		l.listInFlight = false
-		if in.Status != 200 {
+		if in.Status != wire.StatusOK {
 			l.nextListAt = c.now + time.Second
 			return
 		}
@@ -85,7 +85,7 @@
 	if m.leaderView.returnReason == "" && !m.lifecycle.gone {
 		m.leaderView.returnReason = why
 		c.log(
-			"info",
+			LevelInfo,
 			"machine to be returned",
 			"machine",
 			m.name,
@@ -140,9 +140,9 @@
 	if len(names) == 0 {
 		return
 	}
-	l.returnInFlight = c.callCloud(CloudRequest{Op: "return", MachineNames: names}, func(in CloudResult) {
+	l.returnInFlight = c.callCloud(CloudRequest{Op: CloudScaleIn, MachineNames: names}, func(in CloudResult) {
 		if c.leaderState != l {
-			if in.Status == 200 {
+			if in.Status == wire.StatusOK {
 				for _, n := range names {
 					c.markMachineGone(c.internMachine(n))
 				}
@@ -150,7 +150,7 @@
 			return
 		}
 		l.returnInFlight = false
-		if in.Status != 200 {
+		if in.Status != wire.StatusOK {
 			return
 		}
 		for _, n := range names {
@@ -171,12 +171,12 @@
 		if r.inFlight || c.now < r.nextAttemptAt {
 			continue
 		}
-		r.inFlight = c.callCloud(CloudRequest{Op: "rent", ScaleOut: r.request}, func(in CloudResult) {
+		r.inFlight = c.callCloud(CloudRequest{Op: CloudScaleOut, ScaleOut: r.request}, func(in CloudResult) {
 			r.inFlight = false
 			r.nextAttemptAt = c.now + time.Second
 			p := nodeGroup{r.request.Type, r.request.Zone, r.request.Spot}
 			switch {
-			case in.Status == 200:
+			case in.Status == wire.StatusOK:
 				delete(l.scaleOutRequests, name)
 				if len(in.MachineNames) < r.request.Count {
 					l.blockedUntil[p] = c.now + 10*time.Second
@@ -188,7 +188,7 @@
 					}
 					m.leaderView.rentedAt = c.now
 				}
-			case in.Status == 503 && in.Error == noCapacity, in.Status == 400:
+			case in.Status == wire.StatusUnavailable && in.Error == noCapacity, in.Status == wire.StatusBadRequest:
 				delete(l.scaleOutRequests, name)
 				l.blockedUntil[p] = c.now + 10*time.Second
 			}
@@ -199,7 +199,7 @@
 		if !r.sent {
 			r.sent = true
 			c.log(
-				"info",
+				LevelInfo,
 				"renting",
 				"hire",
 				name,
--- a/core/core.go
+++ b/core/core.go
@@ -119,7 +119,7 @@
 func (c *Core) emit(o Output)  { c.outputs = append(c.outputs, o) }
 func (c *Core) nextID() uint64 { c.lastID++; return c.lastID }
 func (c *Core) unixMS() int64  { return c.unixOffsetMS + c.now.Milliseconds() }
-func (c *Core) log(level, text string, args ...any) {
+func (c *Core) log(level LogLevel, text string, args ...any) {
 	c.emit(LogLine{Level: level, Message: text, Args: args})
 }
 
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -102,7 +102,7 @@
 			in.Items = []wire.KeyValue{{Key: keyMachineTypes, Value: raw, Revision: 5}}
 		}
 		c.Handle(1001*time.Millisecond, in)
-		c.Handle(1002*time.Millisecond, LeaseResult{Op: "grant", Status: 200, LeaseID: 7})
+		c.Handle(1002*time.Millisecond, LeaseResult{Op: LeaseGrant, Status: wire.StatusOK, LeaseID: 7})
 		c.Advance(4 * time.Millisecond)
 		if c.Healthy() != kept {
 			t.Errorf("types kept %v: healthy %v", kept, c.Healthy())
@@ -266,14 +266,14 @@
 			Items:    []wire.KeyValue{{Key: keyMachineTypes, Value: types, Revision: 5}},
 		},
 	)
-	c.Handle(time.Second, LeaseResult{Op: "grant", Status: 200, LeaseID: 7})
+	c.Handle(time.Second, LeaseResult{Op: LeaseGrant, Status: wire.StatusOK, LeaseID: 7})
 	ev := []wire.WatchEvent{{Put: keyFencingToken, Value: json.RawMessage("1"), Revision: 6}}
 	for i := range cfg.Shards {
 		ev = append(ev, wire.WatchEvent{Put: shardKey(i), Value: c.leasedValue(1), Revision: 6})
 	}
 	c.Handle(
 		time.Second,
-		WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 6, Events: ev}},
+		WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: 6, Events: ev}},
 	)
 	return c
 }
@@ -302,10 +302,10 @@
 	if commit == nil {
 		t.Fatal("the job was not written")
 	}
-	c.Handle(1200*time.Millisecond, WatchResult{LongPoll: true, Status: 410})
+	c.Handle(1200*time.Millisecond, WatchResult{LongPoll: true, Status: wire.StatusGone})
 	c.Handle(1300*time.Millisecond, TxnResult{ID: commit.ID})
 	replies := outputsOfType[Response](c.Advance(1300 * time.Millisecond))
-	if len(replies) != 1 || replies[0].Status != 503 || replies[0].RetryAfterSeconds == 0 {
+	if len(replies) != 1 || replies[0].Status != wire.StatusUnavailable || replies[0].RetryAfterSeconds == 0 {
 		t.Fatalf("got %+v", replies)
 	}
 }
@@ -313,13 +313,13 @@
 func TestAnswersToBadSubmissions(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*SubmitJob)
-		want   int
+		want   wire.Status
 	}{
-		"unknown team":  {func(s *SubmitJob) { s.Spec.Team = "nobody" }, 422},
-		"fits nowhere":  {func(s *SubmitJob) { s.Spec.Request[0] = 5000 }, 422},
-		"unknown type":  {func(s *SubmitJob) { s.Spec.MachineTypes = []string{"y"} }, 422},
-		"malformed":     {func(s *SubmitJob) { s.DecodeError = "no" }, 400},
-		"nothing known": {func(s *SubmitJob) { s.DecodeError, s.ID = "no", "" }, 400},
+		"unknown team":  {func(s *SubmitJob) { s.Spec.Team = "nobody" }, wire.StatusInvalid},
+		"fits nowhere":  {func(s *SubmitJob) { s.Spec.Request[0] = 5000 }, wire.StatusInvalid},
+		"unknown type":  {func(s *SubmitJob) { s.Spec.MachineTypes = []string{"y"} }, wire.StatusInvalid},
+		"malformed":     {func(s *SubmitJob) { s.DecodeError = "no" }, wire.StatusBadRequest},
+		"nothing known": {func(s *SubmitJob) { s.DecodeError, s.ID = "no", "" }, wire.StatusBadRequest},
 	} {
 		c := newServingCore(t)
 		in := testSubmission("wk-1")
@@ -328,7 +328,7 @@
 		out := c.Advance(1100 * time.Millisecond)
 		replies := outputsOfType[Response](out)
 		if len(replies) == 0 { // it is first learnt whether the job was accepted before
-			c.Handle(1110*time.Millisecond, WatchResult{Status: 200, Changes: wire.WatchResponse{Revision: 6}})
+			c.Handle(1110*time.Millisecond, WatchResult{Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: 6}})
 			replies = outputsOfType[Response](c.Advance(1110 * time.Millisecond))
 		}
 		if len(replies) != 1 || replies[0].Status != tc.want {
@@ -349,18 +349,18 @@
 			switch o := o.(type) {
 			case CommitTxn:
 				ledger++
-				c.Handle(now, TxnResult{ID: o.ID, Status: 200, Reply: wire.TxnResponse{Revision: ledger}})
+				c.Handle(now, TxnResult{ID: o.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: ledger}})
 			case CloudRequest:
-				in := CloudResult{ID: o.ID, Status: 200}
-				if o.Op == "rent" {
-					in.Status, in.Error = 503, noCapacity
+				in := CloudResult{ID: o.ID, Status: wire.StatusOK}
+				if o.Op == CloudScaleOut {
+					in.Status, in.Error = wire.StatusUnavailable, noCapacity
 				}
 				c.Handle(now, in)
 			case LeaseRequest:
-				c.Handle(now, LeaseResult{Op: o.Op, Status: 200, LeaseID: c.ownLease.id})
+				c.Handle(now, LeaseResult{Op: o.Op, Status: wire.StatusOK, LeaseID: c.ownLease.id})
 			case SendCommands:
 				orders = append(orders, o)
-				c.Handle(now, CommandsResult{ID: o.ID, Status: 200, MaybeDelivered: true})
+				c.Handle(now, CommandsResult{ID: o.ID, Status: wire.StatusOK, MaybeDelivered: true})
 			case SendToPeer:
 				msgs = append(msgs, o.Message)
 			}
@@ -385,7 +385,7 @@
 func newLeadingCore(t *testing.T) *Core {
 	t.Helper()
 	c := newServingCore(t)
-	c.Handle(time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{
+	c.Handle(time.Second, WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: wire.WatchResponse{
 		Revision: 7,
 		Events:   []wire.WatchEvent{{Put: keyLeader, Value: c.leasedValue(1), Revision: 7}},
 	}})
@@ -638,7 +638,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Handle(2*time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{
+		c.Handle(2*time.Second, WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: wire.WatchResponse{
 			Revision: 200,
 			Events:   []wire.WatchEvent{{Put: keyLeader, Value: other, Revision: 200}},
 		}})
@@ -843,7 +843,7 @@
 			}
 		}
 		c.cfg.Name = names[me]
-		c.Handle(time.Second, LeaseResult{Op: "grant", Status: 200, LeaseID: uint64(7 + me)})
+		c.Handle(time.Second, LeaseResult{Op: LeaseGrant, Status: wire.StatusOK, LeaseID: uint64(7 + me)})
 		c.Handle(time.Second, in)
 		return c
 	}
@@ -957,7 +957,7 @@
 	c.leaderState.cloudCallBudget = 4
 	zones := map[string]int{}
 	for _, o := range outputsOfType[CloudRequest](c.Advance(5 * time.Second)) {
-		if o.Op == "rent" {
+		if o.Op == CloudScaleOut {
 			zones[o.ScaleOut.Zone]++
 		}
 	}
@@ -1028,7 +1028,7 @@
 	}
 	refused := 0
 	for _, r := range outputsOfType[Response](c.Advance(1100 * time.Millisecond)) {
-		if r.Status != 503 || r.RetryAfterSeconds == 0 {
+		if r.Status != wire.StatusUnavailable || r.RetryAfterSeconds == 0 {
 			t.Fatalf("got %+v", r)
 		}
 		refused++
@@ -1047,15 +1047,15 @@
 // shards and did nothing with them: it lets them go until a read is answered.
 func TestControllerWithStalledWatchLetsItsLeaseExpire(t *testing.T) {
 	c := newServingCore(t)
-	extended := func(from, to time.Duration, status int) (n int) {
+	extended := func(from, to time.Duration, status wire.Status) (n int) {
 		for now := from; now < to; now += 100 * time.Millisecond {
 			out := c.Advance(now)
 			for _, o := range outputsOfType[LeaseRequest](out) {
 				n++
-				c.Handle(now, LeaseResult{Op: o.Op, LeaseID: o.LeaseID, Status: 200})
+				c.Handle(now, LeaseResult{Op: o.Op, LeaseID: o.LeaseID, Status: wire.StatusOK})
 			}
 			for _, o := range outputsOfType[CommitTxn](out) {
-				c.Handle(now, TxnResult{ID: o.ID, Status: 429})
+				c.Handle(now, TxnResult{ID: o.ID, Status: wire.StatusTooManyRequests})
 			}
 			for _, o := range outputsOfType[Watch](out) {
 				if !o.LongPoll {
@@ -1069,14 +1069,14 @@
 		}
 		return n
 	}
-	if n := extended(2*time.Second, 8*time.Second, 200); n == 0 {
+	if n := extended(2*time.Second, 8*time.Second, wire.StatusOK); n == 0 {
 		t.Fatal("the lease was not kept")
 	}
-	extended(8*time.Second, 14*time.Second, 0)
-	if n := extended(14*time.Second, 30*time.Second, 0); n != 0 || c.holdsLease() {
+	extended(8*time.Second, 14*time.Second, wire.StatusNoAnswer)
+	if n := extended(14*time.Second, 30*time.Second, wire.StatusNoAnswer); n != 0 || c.holdsLease() {
 		t.Errorf("without an answer to a read, the lease was kept %d times", n)
 	}
-	if n := extended(30*time.Second, 33*time.Second, 200); n == 0 || !c.holdsLease() {
+	if n := extended(30*time.Second, 33*time.Second, wire.StatusOK); n == 0 || !c.holdsLease() {
 		t.Errorf("after an answered read, the lease was kept %d times", n)
 	}
 }
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -37,13 +37,13 @@
 			case CommitTxn:
 				c.Handle(c.now, TxnResult{
 					ID:     o.ID,
-					Status: 200,
+					Status: wire.StatusOK,
 					Reply:  wire.TxnResponse{Revision: max(c.replica.revision, 1000) + o.ID},
 				})
 			case Watch:
 				if !o.LongPoll {
 					c.Handle(c.now, WatchResult{
-						Status:  200,
+						Status:  wire.StatusOK,
 						Changes: wire.WatchResponse{Revision: c.replica.revision},
 					})
 				}
@@ -56,20 +56,20 @@
 
 func TestSubmissionsWithDependenciesAreAnswered(t *testing.T) {
 	c := newCoreWithDependencies(t)
-	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1")); r.Status != 422 {
+	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1")); r.Status != wire.StatusInvalid {
 		t.Errorf("a job that was never accepted: %d", r.Status)
 	}
-	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-2")); r.Status != 422 {
+	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-2")); r.Status != wire.StatusInvalid {
 		t.Errorf("the job itself: %d", r.Status)
 	}
 	submitAndRespond(t, c, dependentSubmission("wk-1"))
 	r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1"))
-	if st, ok := r.Body.(wire.JobState); r.Status != 201 || !ok || st.Stage != wire.StageQueued ||
+	if st, ok := r.Body.(wire.JobState); r.Status != wire.StatusCreated || !ok || st.Stage != wire.StageQueued ||
 		st.DependencyCount != 1 ||
 		st.Dependencies[0] != "wk-1" {
 		t.Errorf("got %+v", r)
 	}
-	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-77")); r.Status != 200 {
+	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-77")); r.Status != wire.StatusOK {
 		t.Errorf("a repeat that names another: %d", r.Status)
 	}
 	// A list too long to be stored gets an answer, one that packing makes fit is taken.
@@ -82,10 +82,10 @@
 			some = append(some, id)
 		}
 	}
-	if r := submitAndRespond(t, c, dependentSubmission("wk-3", many...)); r.Status != 400 {
+	if r := submitAndRespond(t, c, dependentSubmission("wk-3", many...)); r.Status != wire.StatusBadRequest {
 		t.Errorf("4000 jobs: %d", r.Status)
 	}
-	if r := submitAndRespond(t, c, dependentSubmission("wk-4", some...)); r.Status != 201 {
+	if r := submitAndRespond(t, c, dependentSubmission("wk-4", some...)); r.Status != wire.StatusCreated {
 		t.Errorf("700 jobs: %d", r.Status)
 	}
 }
@@ -116,7 +116,7 @@
 	c.Handle(
 		2*time.Second,
 		WatchResult{
-			Status: 200,
+			Status: wire.StatusOK,
 			Changes: wire.WatchResponse{
 				Revision: 70,
 				Events:   []wire.WatchEvent{{Put: keyJob + "wk-1", Value: raw, Revision: 70}},
@@ -218,7 +218,7 @@
 			}
 		}
 		r := submitAndRespond(t, c, dependentSubmission("wk-new", name(n-1)))
-		if st, ok := r.Body.(wire.JobState); r.Status != 201 || !ok || st.Stage != wire.StageCancelled {
+		if st, ok := r.Body.(wire.JobState); r.Status != wire.StatusCreated || !ok || st.Stage != wire.StageCancelled {
 			t.Errorf("%s: submitted later: %+v", order, r)
 		}
 	}
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -231,12 +231,12 @@
 	m := c.machines[s.machineIndex]
 	m.commands.requestID = 0
 	m.commands.unanswered++
-	if in.Status != 0 {
+	if in.Status != wire.StatusNoAnswer {
 		m.commands.unanswered = 0
 	} else {
 		m.commands.lastUnansweredAt = c.now
 	}
-	answered := in.Status == 200 || in.Status == 409 || !in.MaybeDelivered
+	answered := in.Status == wire.StatusOK || in.Status == wire.StatusConflict || !in.MaybeDelivered
 	for _, k := range m.commands.requestAttempts {
 		if a := m.commands.attempts[k]; a != nil {
 			a.startInFlight = false
@@ -251,8 +251,8 @@
 		c.applyHeartbeat(in.Heartbeat, true)
 	}
 	switch in.Status {
-	case 200:
-	case 409:
+	case wire.StatusOK:
+	case wire.StatusConflict:
 		m.commands.nextSendAt = c.now + 300*time.Millisecond
 		if in.Heartbeat != nil && in.Heartbeat.FencingToken > c.leadership.fencingToken {
 			c.afterReadBarrier(func(bool) {})
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -41,13 +41,13 @@
 }
 
 // checkEverFeasible tells why a job can never run; 503 if that can't be decided yet, 0 if it can run.
-func (c *Core) checkEverFeasible(s *wire.JobSpec) (int, string) {
+func (c *Core) checkEverFeasible(s *wire.JobSpec) (wire.Status, string) {
 	if c.autoscaler.catalog == nil {
-		return 503, "machine types not known yet"
+		return wire.StatusUnavailable, "machine types not known yet"
 	}
 	ti, ok := c.teamIndex[s.Team]
 	if !ok {
-		return 422, "unknown team"
+		return wire.StatusInvalid, "unknown team"
 	}
 	n := int64(1)
 	if s.Service {
@@ -55,18 +55,18 @@
 	}
 	t := c.teams[ti]
 	if t.MaxCPU > 0 && s.Request[0]*n > t.MaxCPU || t.MaxGPU > 0 && s.Request[1]*n > t.MaxGPU {
-		return 422, "needs more than the team's limit"
+		return wire.StatusInvalid, "needs more than the team's limit"
 	}
 	for _, mt := range c.autoscaler.catalog {
 		if c.isMachineTypeAllowed(s, mt.Name) && fits(mt.Capacity(), s.Request) {
 			for _, z := range mt.Zones {
 				if s.Zone == "" || s.Zone == z {
-					return 0, ""
+					return wire.StatusNoAnswer, ""
 				}
 			}
 		}
 	}
-	return 422, "fits no allowed machine type"
+	return wire.StatusInvalid, "fits no allowed machine type"
 }
 
 // hasFeasibleMachine reports whether a task could be placed somewhere, by the array.
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -54,7 +54,7 @@
 	}
 	c.respond(
 		in.RequestID,
-		200,
+		wire.StatusOK,
 		wire.HeartbeatResponse{FencingToken: c.leadership.fencingToken, Commands: c.stopCommandsFor(m)},
 	)
 }
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -114,48 +114,48 @@
 	// CommandsResult is the outcome of orders sent to a worker. Controllers pass it on to each other (Msg).
 	CommandsResult struct {
 		ID             uint64          `json:"ID"`
-		Status         int             `json:"Status"` // 0: no answer
+		Status         wire.Status     `json:"Status"` // 0: no answer
 		MaybeDelivered bool            `json:"Sent"`   // the request may have reached the worker
 		Heartbeat      *wire.Heartbeat `json:"Report"`
 	}
 	// TxnResult is the outcome of a transaction.
 	TxnResult struct {
 		ID     uint64
-		Status int // 0: unknown
+		Status wire.Status // 0: unknown
 		Reply  wire.TxnResponse
 	}
 	// WatchResult is the outcome of a watch or read barrier.
 	WatchResult struct {
 		LongPoll bool
-		Status   int
+		Status   wire.Status
 		Changes  wire.WatchResponse
 	}
 	// SnapshotPage is a page of all keys.
 	SnapshotPage struct {
 		OK       bool
-		Status   int  // if not OK; 0: no answer
-		More     bool // there are pages behind it
+		Status   wire.Status // if not OK; 0: no answer
+		More     bool        // there are pages behind it
 		Items    []wire.KeyValue
 		Revision uint64
 	}
 	// RangeResult is the outcome of a Scan; 404 if the key does not exist.
 	RangeResult struct {
 		ID       uint64
-		Status   int // 0: no answer
+		Status   wire.Status // 0: no answer
 		Items    []wire.KeyValue
 		More     bool
 		Revision uint64 // revision that was read
 	}
 	// LeaseResult is the outcome of a call about this controller's lease.
 	LeaseResult struct {
-		Op      string
-		Status  int
+		Op      LeaseOp
+		Status  wire.Status
 		LeaseID uint64
 	}
 	// CloudResult is the outcome of a call to the cloud.
 	CloudResult struct {
 		ID           uint64
-		Status       int
+		Status       wire.Status
 		Catalog      *wire.Catalog
 		Machines     []wire.Machine
 		More         bool // the list goes on
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -403,9 +403,9 @@
 			h.readsInFlight--
 			x.readInFlight = false
 			switch {
-			case in.Status == 404:
+			case in.Status == wire.StatusNotFound:
 				x.recordAbsent, x.recordAbsentAt = true, in.Revision
-			case in.Status == 200 && len(in.Items) == 1 && in.Items[0].Revision > c.replica.revision:
+			case in.Status == wire.StatusOK && len(in.Items) == 1 && in.Items[0].Revision > c.replica.revision:
 				// It is on its way with the stream of changes, and was never counted as cold:
 				// counted out here, it left one job too few, and another that had left memory was
 				// denied.
@@ -417,8 +417,8 @@
 					}
 				})
 				return
-			case in.Status == 200 && len(in.Items) == 1 && c.cacheColdRecord(x.jobID, in.Items[0]):
-			case in.Status != 429:
+			case in.Status == wire.StatusOK && len(in.Items) == 1 && c.cacheColdRecord(x.jobID, in.Items[0]):
+			case in.Status != wire.StatusTooManyRequests:
 				c.completeLookup(x, false)
 				return
 			}
@@ -452,7 +452,7 @@
 func (c *Core) cacheColdRecord(id string, it wire.KeyValue) bool {
 	r, err := jobrecord.Decode(it.Value)
 	if err != nil {
-		c.log("error", "value not understood", "key", it.Key, "err", err.Error())
+		c.log(LevelError, "value not understood", "key", it.Key, "err", err.Error())
 		return false
 	}
 	if r.Spec == nil && r.Stage != jobrecord.Queued {
@@ -480,7 +480,7 @@
 func (c *Core) handleRangeResult(in RangeResult) {
 	f := c.history.pendingReads[in.ID]
 	delete(c.history.pendingReads, in.ID)
-	if in.Status == 429 {
+	if in.Status == wire.StatusTooManyRequests {
 		c.transactions.rateLimit.PauseNonUrgent(c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond))
 	} else {
 		c.recordStoreStatus(in.Status)
@@ -495,8 +495,8 @@
 func (c *Core) readArchiveBlock(id string, f func(ok bool)) {
 	h := &c.history
 	c.readPrefix(archive.BlockPrefix, archive.SeekKey(id), 1, func(in RangeResult) {
-		if in.Status != 200 {
-			f(in.Status == 429)
+		if in.Status != wire.StatusOK {
+			f(in.Status == wire.StatusTooManyRequests)
 			return
 		}
 		if in.Revision < h.lastMoveRevision { // something moved since: it may be older than what is known
@@ -516,7 +516,7 @@
 		}
 		if err != nil {
 			c.log(
-				"error",
+				LevelError,
 				"block of ended jobs not understood: those in it can't be answered for",
 				"key",
 				it.Key,
--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	return RangeResult{
-		Status:   200,
+		Status:   wire.StatusOK,
 		Revision: ledger,
 		Items:    []wire.KeyValue{{Key: archive.BlockKey(b.High), Value: raw, Revision: mark}},
 	}
@@ -31,13 +31,13 @@
 }
 
 func watchEvents(c *Core, at time.Duration, ledger uint64, log ...wire.WatchEvent) []Output {
-	c.Handle(at, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: ledger, Events: log}})
+	c.Handle(at, WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: ledger, Events: log}})
 	return c.Advance(at)
 }
 
 // completeBarrier answers a read barrier: nothing has changed.
 func completeBarrier(c *Core, at time.Duration) []Output {
-	c.Handle(at, WatchResult{Status: 200, Changes: wire.WatchResponse{Revision: c.replica.revision}})
+	c.Handle(at, WatchResult{Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: c.replica.revision}})
 	return c.Advance(at)
 }
 
@@ -102,7 +102,7 @@
 	// Overtaken by a move into that block: it is read again, and holds the job now.
 	c.Handle(
 		1400*time.Millisecond,
-		TxnResult{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{archive.BlockKey(archive.MaxID)}}},
+		TxnResult{ID: x.ID, Status: wire.StatusConflict, Reply: wire.TxnResponse{Failed: []string{archive.BlockKey(archive.MaxID)}}},
 	)
 	c.Advance(1400 * time.Millisecond)
 	out = completeBarrier(c, 1500*time.Millisecond)
@@ -114,7 +114,7 @@
 		archiveBlockPage(t, 12, 12, archive.Entry{ID: "wk-5", CompletedTasks: 1}),
 	)
 	r := outputsOfType[Response](out)
-	if len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageDone {
+	if len(r) != 1 || r[0].Status != wire.StatusOK || r[0].Body.(wire.JobState).Stage != wire.StageDone {
 		t.Errorf("the repeat of an archived job got %+v", r)
 	}
 }
@@ -140,7 +140,7 @@
 	)
 	c.Handle(1500*time.Millisecond, CancelJob{RequestID: 2, ID: "wk-7"})
 	c.Handle(1500*time.Millisecond, SubmitJob{RequestID: 3, ID: "wk-7", DecodeError: "nonsense"})
-	c.Handle(1500*time.Millisecond, WatchResult{LongPoll: true, Status: 503}) // also in an outage
+	c.Handle(1500*time.Millisecond, WatchResult{LongPoll: true, Status: wire.StatusUnavailable}) // also in an outage
 	out = append(out, c.Advance(1500*time.Millisecond)...)
 	want := wire.JobState{
 		ID:          "wk-7",
@@ -154,7 +154,7 @@
 		t.Fatalf("got %+v", rs)
 	}
 	for _, r := range rs {
-		if r.Status != 200 || fmt.Sprint(r.Body) != fmt.Sprint(want) {
+		if r.Status != wire.StatusOK || fmt.Sprint(r.Body) != fmt.Sprint(want) {
 			t.Errorf("got %+v", r)
 		}
 	}
@@ -162,7 +162,7 @@
 	c.Handle(1600*time.Millisecond, GetJob{RequestID: 4, ID: "wk-8"})
 	c.Advance(1600 * time.Millisecond)
 	out = completeBarrier(c, 1700*time.Millisecond)
-	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != 404 ||
+	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != wire.StatusNotFound ||
 		len(outputsOfType[ReadRange](out)) != 0 {
 		t.Errorf("got %+v", out)
 	}
@@ -220,7 +220,7 @@
 	if len(c.internMachine("m-1").allocation.assignments) != 1 {
 		t.Fatal("not assigned")
 	}
-	c.Handle(1300*time.Millisecond, WatchResult{LongPoll: true, Status: 410})
+	c.Handle(1300*time.Millisecond, WatchResult{LongPoll: true, Status: wire.StatusGone})
 	c.Handle(
 		1400*time.Millisecond,
 		SnapshotPage{
@@ -239,7 +239,7 @@
 		archiveBlockPage(t, 15000, 20000, archive.Entry{ID: "wk-2", CompletedTasks: 1}),
 	)
 	r := outputsOfType[Response](out)
-	if len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Stage != wire.StageDone ||
+	if len(r) != 1 || r[0].Status != wire.StatusOK || r[0].Body.(wire.JobState).Stage != wire.StageDone ||
 		len(c.internMachine("m-1").allocation.assignments) != 0 {
 		t.Errorf("got %+v", r)
 	}
@@ -256,12 +256,12 @@
 	c.Advance(1200 * time.Millisecond)
 	out := answerRead(t, c, 1400*time.Millisecond, completeBarrier(c, 1300*time.Millisecond), bad)
 	named := slices.ContainsFunc(outputsOfType[LogLine](out), func(n LogLine) bool {
-		return n.Level == "error" && strings.Contains(fmt.Sprint(n.Args), archive.BlockKey(archive.MaxID))
+		return n.Level == LevelError && strings.Contains(fmt.Sprint(n.Args), archive.BlockKey(archive.MaxID))
 	})
 	c.Handle(1500*time.Millisecond, testSubmission("wk-8"))
 	out = append(out, c.Advance(1500*time.Millisecond)...)
 	for _, r := range outputsOfType[Response](out) {
-		if r.Status != 503 || r.RetryAfterSeconds == 0 {
+		if r.Status != wire.StatusUnavailable || r.RetryAfterSeconds == 0 {
 			t.Errorf("got %+v", r)
 		}
 	}
@@ -270,7 +270,7 @@
 	}
 	watchEvents(c, 1600*time.Millisecond, 11, event(keyJob+"wk-9", `{"h":0,"st":"d","d":[0,1]}`, 11))
 	c.Handle(1700*time.Millisecond, GetJob{RequestID: 3, ID: "wk-9"})
-	if r := outputsOfType[Response](c.Advance(1700 * time.Millisecond)); len(r) != 1 || r[0].Status != 200 {
+	if r := outputsOfType[Response](c.Advance(1700 * time.Millisecond)); len(r) != 1 || r[0].Status != wire.StatusOK {
 		t.Errorf("another job got %+v", r)
 	}
 }
@@ -279,11 +279,11 @@
 // memory than a controller has. The others are read when somebody asks.
 func TestStartKeepsLittleOfALongHistory(t *testing.T) {
 	c := newServingCore(t)
-	c.Handle(2*time.Second, WatchResult{LongPoll: true, Status: 410})
+	c.Handle(2*time.Second, WatchResult{LongPoll: true, Status: wire.StatusGone})
 	most := 0
 	for page := range 20 {
 		c.Advance(time.Duration(3+page) * time.Second)
-		in := SnapshotPage{OK: true, Status: 200, Revision: 50000, More: page < 19}
+		in := SnapshotPage{OK: true, Status: wire.StatusOK, Revision: 50000, More: page < 19}
 		for i := range 500 {
 			n := page*500 + i
 			in.Items = append(
@@ -308,7 +308,7 @@
 		}
 	}
 	id := fmt.Sprintf("wk-%06d", 0)
-	c.Handle(40*time.Second, LeaseResult{Op: "extend", Status: 200, LeaseID: 7})
+	c.Handle(40*time.Second, LeaseResult{Op: LeaseExtend, Status: wire.StatusOK, LeaseID: 7})
 	c.Handle(40*time.Second, GetJob{RequestID: 1, ID: id})
 	c.Advance(40 * time.Second)
 	out := completeBarrier(c, 41*time.Second)
@@ -321,14 +321,14 @@
 		41*time.Second,
 		out,
 		RangeResult{
-			Status:   200,
+			Status:   wire.StatusOK,
 			Revision: 50000,
 			Items: []wire.KeyValue{
 				{Key: keyJob + id, Value: json.RawMessage(`{"h":1,"st":"d","d":[0,4]}`), Revision: 1},
 			},
 		},
 	)
-	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != 200 || r[0].Body.(wire.JobState).Done != 5 {
+	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != wire.StatusOK || r[0].Body.(wire.JobState).Done != 5 {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -350,7 +350,7 @@
 	c.Handle(1600*time.Millisecond, GetJob{RequestID: 2, ID: "wk-2"})
 	c.Advance(1600 * time.Millisecond)
 	out := completeBarrier(c, 1800*time.Millisecond)
-	out = answerRead(t, c, 1900*time.Millisecond, out, RangeResult{Status: 404, Revision: 30})
+	out = answerRead(t, c, 1900*time.Millisecond, out, RangeResult{Status: wire.StatusNotFound, Revision: 30})
 	if len(outputsOfType[Response](out)) != 0 {
 		t.Fatalf("answered from an older block: %+v", out)
 	}
@@ -361,7 +361,7 @@
 		out,
 		archiveBlockPage(t, 28, 30, archive.Entry{ID: "wk-2", CompletedTasks: 2}),
 	)
-	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != 200 {
+	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != wire.StatusOK {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -384,16 +384,16 @@
 		log = append(log, e)
 		page.Items = append(page.Items, wire.KeyValue{Key: e.Put, Value: e.Value, Revision: e.Revision})
 	}
-	page.Status, page.Revision = 200, uint64(12+n)
+	page.Status, page.Revision = wire.StatusOK, uint64(12+n)
 	watchEvents(c, 1200*time.Millisecond, page.Revision, log...)
-	c.Handle(4*time.Second, LeaseResult{Op: "extend", Status: 200, LeaseID: 7})
+	c.Handle(4*time.Second, LeaseResult{Op: LeaseExtend, Status: wire.StatusOK, LeaseID: 7})
 	for at := 4 * time.Second; at < 10*time.Second; at += 50 * time.Millisecond {
 		if out := c.Advance(at); len(outputsOfType[ReadRange](out)) == 1 {
 			return c, out, page
 		}
 		c.ownLease.expiresAt, c.replica.barrierInFlight, c.replica.barrierWaiters = at+time.Minute, false, nil
 		for _, x := range c.transactions.inFlight {
-			x.onDone(200, wire.TxnResponse{})
+			x.onDone(wire.StatusOK, wire.TxnResponse{})
 		}
 		clear(c.transactions.inFlight)
 	}
@@ -421,7 +421,7 @@
 	at := c.now + 50*time.Millisecond
 	out = answerRead(t, c, at, out, page)
 	out = append(out, c.Advance(at+time.Second)...)
-	out = answerRead(t, c, at+2*time.Second, out, RangeResult{Status: 200, Revision: page.Revision})
+	out = answerRead(t, c, at+2*time.Second, out, RangeResult{Status: wire.StatusOK, Revision: page.Revision})
 	x := findArchiveTxn(append(out, c.Advance(at+3*time.Second)...))
 	if x == nil {
 		t.Fatal("nothing moves")
@@ -449,7 +449,7 @@
 		t.Fatalf("after an unknown outcome: %+v", out)
 	}
 	page.Items = page.Items[6:]
-	c.Handle(at+6*time.Second, RangeResult{ID: s[0].ID, Status: 200, Revision: page.Revision + 1, Items: page.Items})
+	c.Handle(at+6*time.Second, RangeResult{ID: s[0].ID, Status: wire.StatusOK, Revision: page.Revision + 1, Items: page.Items})
 	for d := range 10 {
 		if x := findArchiveTxn(c.Advance(at + 7*time.Second + time.Duration(d)*time.Second)); x != nil {
 			t.Fatalf("moved again: %+v", x.Txn)
@@ -473,7 +473,7 @@
 				at,
 				SnapshotPage{
 					OK:       true,
-					Status:   200,
+					Status:   wire.StatusOK,
 					Revision: 9,
 					More:     true,
 					Items: []wire.KeyValue{
@@ -510,12 +510,12 @@
 		1400*time.Millisecond,
 		completeBarrier(c, 1300*time.Millisecond),
 		RangeResult{
-			Status:   200,
+			Status:   wire.StatusOK,
 			Revision: 10,
 			Items:    []wire.KeyValue{{Key: keyJob + "wk-7", Value: json.RawMessage(`{"st":5}`), Revision: 10}},
 		},
 	)
-	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != 503 || r[0].RetryAfterSeconds == 0 {
+	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != wire.StatusUnavailable || r[0].RetryAfterSeconds == 0 {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -541,7 +541,7 @@
 	}
 	c.history.archiveIndex.Put(b, raw, 12, 12)
 	out := append(c.Advance(1500*time.Millisecond), c.Advance(1600*time.Millisecond)...)
-	if r := outputsOfType[Response](out); findAcceptTxn(out, "wk-5") != nil || len(r) != 1 || r[0].Status != 200 {
+	if r := outputsOfType[Response](out); findAcceptTxn(out, "wk-5") != nil || len(r) != 1 || r[0].Status != wire.StatusOK {
 		t.Errorf("written: %v, answered %+v", findAcceptTxn(out, "wk-5") != nil, r)
 	}
 }
@@ -563,10 +563,10 @@
 			out := c.Advance(now)
 			replies = append(replies, outputsOfType[Response](out)...)
 			for _, s := range outputsOfType[ReadRange](out) {
-				in := RangeResult{ID: s.ID, Status: 404, Revision: 9}
+				in := RangeResult{ID: s.ID, Status: wire.StatusNotFound, Revision: 9}
 				for _, e := range []wire.WatchEvent{old, fresh} {
 					if e.Put == s.Key {
-						in.Status, in.Items = 200, []wire.KeyValue{{Key: e.Put, Value: e.Value, Revision: e.Revision}}
+						in.Status, in.Items = wire.StatusOK, []wire.KeyValue{{Key: e.Put, Value: e.Value, Revision: e.Revision}}
 					}
 				}
 				c.Handle(now, in)
@@ -575,7 +575,7 @@
 				if x.LongPoll {
 					continue
 				}
-				in := WatchResult{Status: 200, Changes: wire.WatchResponse{Revision: 6}}
+				in := WatchResult{Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: 6}}
 				if shown > 0 {
 					in.Changes = wire.WatchResponse{Revision: shown, Events: []wire.WatchEvent{fresh}}
 				}
@@ -586,7 +586,7 @@
 		return replies
 	}
 	for _, id := range []string{"wk-000002", "wk-000001"} {
-		if r := asks(id); len(r) != 1 || r[0].Status != 200 ||
+		if r := asks(id); len(r) != 1 || r[0].Status != wire.StatusOK ||
 			r[0].Body.(wire.JobState).Stage != wire.StageCancelled {
 			t.Errorf("%s, accepted and cancelled: got %+v", id, r)
 		}
--- a/core/leader.go
+++ b/core/leader.go
@@ -81,7 +81,7 @@
 			m.leaderView = nodeState{rentedAt: r}
 			c.addRowOnFirstHeartbeat(m)
 		}
-		c.log("info", "leading", "token", c.leaderState.fencingToken)
+		c.log(LevelInfo, "leading", "token", c.leaderState.fencingToken)
 	}
 	l := c.leaderState
 	l.cloudCallBudget = min(
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -42,7 +42,7 @@
 			{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(c.leadership.fencingToken + 1))},
 		},
 	}
-	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
+	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		c.leadership.raiseInFlight = false
 		c.afterReadBarrier(func(bool) {})
 	}})
--- a/core/lease.go
+++ b/core/lease.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"dewlift/wire"
 	"encoding/json"
 	"time"
 )
@@ -9,7 +10,7 @@
 type controllerLease struct {
 	id            uint64
 	expiresAt     time.Duration
-	opInFlight    string
+	opInFlight    LeaseOp
 	requestSentAt time.Duration
 }
 
@@ -35,9 +36,9 @@
 	}
 	switch {
 	case c.ownLease.id == 0:
-		c.ownLease.opInFlight = "grant"
+		c.ownLease.opInFlight = LeaseGrant
 	case c.now >= c.ownLease.expiresAt-c.cfg.Cluster.LeaseTTL*2/3:
-		c.ownLease.opInFlight = "extend"
+		c.ownLease.opInFlight = LeaseExtend
 	default:
 		return
 	}
@@ -61,14 +62,14 @@
 	c.recordStoreStatus(in.Status)
 	c.ownLease.opInFlight = ""
 	switch {
-	case in.Status == 200 && in.Op == "grant" && in.LeaseID != 0:
+	case in.Status == wire.StatusOK && in.Op == LeaseGrant && in.LeaseID != 0:
 		c.ownLease.id = in.LeaseID
 		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Cluster.LeaseTTL
-	case in.Status == 200 && in.Op == "extend":
+	case in.Status == wire.StatusOK && in.Op == LeaseExtend:
 		// Counted from the sending: the service counts from its receipt, later.
 		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Cluster.LeaseTTL
-	case in.Status == 404 && in.Op == "extend":
-		c.log("info", "lease lost", "lease", c.ownLease.id)
+	case in.Status == wire.StatusNotFound && in.Op == LeaseExtend:
+		c.log(LevelInfo, "lease lost", "lease", c.ownLease.id)
 		c.ownLease.id = 0
 	}
 }
--- a/core/loadshedding.go
+++ b/core/loadshedding.go
@@ -16,7 +16,7 @@
 	}
 	if c.overload.Update(c.now, signs) {
 		c.log(
-			"info",
+			LevelInfo,
 			"load",
 			"level",
 			c.overload.Level().String(),
--- a/core/loadshedding_test.go
+++ b/core/loadshedding_test.go
@@ -88,7 +88,7 @@
 				open = append(open, ask{now, o.Machine})
 				asked[o.Machine]++
 			case LeaseRequest:
-				c.Handle(now, LeaseResult{Op: o.Op, Status: 200, LeaseID: c.ownLease.id})
+				c.Handle(now, LeaseResult{Op: o.Op, Status: wire.StatusOK, LeaseID: c.ownLease.id})
 			}
 		}
 		if len(open) > c.cfg.Agents.MaxPollRequests {
--- a/core/outputs.go
+++ b/core/outputs.go
@@ -14,7 +14,7 @@
 	// Response answers a user or a worker.
 	Response struct {
 		RequestID         uint64
-		Status            int
+		Status            wire.Status
 		Body              any
 		RetryAfterSeconds int // seconds; 0: none
 	}
@@ -40,7 +40,7 @@
 	}
 	// LeaseRequest grants or extends a lease.
 	LeaseRequest struct {
-		Op      string // "grant" or "extend"
+		Op      LeaseOp
 		TTL     time.Duration
 		LeaseID uint64
 	}
@@ -56,10 +56,10 @@
 		Machine string
 		Addr    string
 	}
-	// CloudRequest is a call to the cloud: "catalog", "list", "rent" or "return".
+	// CloudRequest is a call to the cloud.
 	CloudRequest struct {
 		ID           uint64
-		Op           string
+		Op           CloudOp
 		ScaleOut     wire.ScaleOutRequest
 		MachineNames []string
 		AfterMachine string // of a list: it begins after this machine
@@ -77,7 +77,7 @@
 	QueueEnabled struct{ Enabled bool }
 	// LogLine is a line for the log.
 	LogLine struct {
-		Level   string
+		Level   LogLevel
 		Message string
 		Args    []any
 	}
@@ -110,3 +110,33 @@
 func (QueueEnabled) output() {}
 
 func (LogLine) output() {}
+
+// LeaseOp is what is asked of the store about this controller's lease.
+type LeaseOp string
+
+// The requests about a lease.
+const (
+	LeaseGrant  LeaseOp = "grant"
+	LeaseExtend LeaseOp = "extend"
+)
+
+// CloudOp is a kind of call to the cloud.
+type CloudOp string
+
+// The calls to the cloud.
+const (
+	CloudCatalog  CloudOp = "catalog"
+	CloudList     CloudOp = "list"
+	CloudScaleOut CloudOp = "rent"
+	CloudScaleIn  CloudOp = "return"
+)
+
+// LogLevel is the weight of a line for the log.
+type LogLevel string
+
+// The levels of the log.
+const (
+	LevelError LogLevel = "error"
+	LevelInfo  LogLevel = "info"
+	LevelDebug LogLevel = "debug"
+)
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -114,7 +114,7 @@
 			c.leadership.leader.LeaseID != c.ownLease.id {
 		lead = ops+len(claims)+2+c.auditOpsPerTxn() <= c.cfg.Store.MaxTxnOps
 	}
-	told := func(int) {}
+	told := func(wire.Status) {}
 	if len(claims) > 0 || lead {
 		token := c.leadership.fencingToken + 1
 		t.Compare = append(t.Compare, wire.Compare{Key: keyFencingToken, Revision: c.leadership.fencingTokenRevision})
@@ -148,10 +148,10 @@
 	}
 	c.ownership.claimInFlight = true
 	c.ownership.nextClaimAt = c.now + 100*time.Millisecond
-	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
+	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		c.ownership.claimInFlight = false
 		told(status)
-		if status != 200 {
+		if status != wire.StatusOK {
 			c.ownership.nextClaimAt = c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond)
 		}
 		// What came of it is learnt from the stream of changes, in its order.
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -112,7 +112,7 @@
 	r.policyStale = false
 	p, err := access.New(r.toMessage())
 	if err != nil {
-		c.log("error", "rights do not fit together: nobody is let in", "err", err.Error())
+		c.log(LevelError, "rights do not fit together: nobody is let in", "err", err.Error())
 		if p, err = access.New(&pb.Access{}); err != nil {
 			panic(err) // no rights at all are rights
 		}
@@ -182,7 +182,7 @@
 // respondForbidden refuses somebody for lack of a right, and has that recorded.
 func (c *Core) respondForbidden(req uint64, cr Credential, verb, object, why string) {
 	c.auditDenial(cr, verb, object, why)
-	c.respond(req, 403, wire.Error{Error: why})
+	c.respond(req, wire.StatusForbidden, wire.Error{Error: why})
 }
 
 // getJobAuthorized answers a poll by the rights after a barrier. Who may not read a job learns no more than
@@ -193,10 +193,10 @@
 			if j != nil {
 				c.auditDenial(in.Caller, "read", in.ID, "no right to read it")
 			}
-			c.respond(in.RequestID, 404, wire.Error{Error: "no such job"})
+			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
 			return
 		}
-		c.respond(in.RequestID, 200, c.jobState(j))
+		c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
 	})
 }
 
@@ -207,7 +207,7 @@
 			if j != nil {
 				c.auditDenial(in.Caller, "cancel", in.ID, "no right to cancel or read it")
 			}
-			c.respond(in.RequestID, 404, wire.Error{Error: "no such job"})
+			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
 			return
 		}
 		if !c.canCancelJob(in.Caller, j) {
@@ -249,7 +249,7 @@
 // condition of them.
 func (c *Core) submitJobAuthorized(in SubmitJob) {
 	if in.ID == "" {
-		c.respond(in.RequestID, 400, wire.Error{Error: in.DecodeError})
+		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
 		return
 	}
 	if in.DecodeError == "" && c.authorize(in.Caller, submitAction(&in.Spec)).Allowed &&
@@ -260,9 +260,9 @@
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(j *job) {
 		switch {
 		case j != nil && c.canRepeatSubmission(in.Caller, in.validSpec(), j):
-			c.respond(in.RequestID, 200, c.jobState(j))
+			c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
 		case in.DecodeError != "":
-			c.respond(in.RequestID, 400, wire.Error{Error: in.DecodeError})
+			c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
 		default:
 			if d := c.authorize(in.Caller, submitAction(&in.Spec)); !d.Allowed {
 				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, d.Reason)
@@ -322,7 +322,7 @@
 	put := func(key string, m protobuf.Message) bool {
 		raw, err := jobrecord.PackMessage(m)
 		if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-			c.log("error", "rights can't be written", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
+			c.log(LevelError, "rights can't be written", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
 			return false
 		}
 		if key != keyRoles {
@@ -358,7 +358,7 @@
 		auditlog.Event{Verb: "administer", Object: "rights", Reason: "first rights: " + strings.Join(seeded, " ")},
 	)
 	r.seeding = true
-	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
+	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		told(status)
 		c.afterReadBarrier(func(bool) { r.seeding = false }) // what came of it shows there
 	}})
@@ -395,7 +395,7 @@
 	old := r.identities[in.Identity]
 	next, err := in.applyTo(old.identity)
 	if err != nil {
-		c.respond(in.RequestID, 422, wire.Error{Error: err.Error()})
+		c.respond(in.RequestID, wire.StatusInvalid, wire.Error{Error: err.Error()})
 		return
 	}
 	all := r.toMessage()
@@ -416,7 +416,7 @@
 		err = fmt.Errorf("nobody with a key could change rights any more")
 	}
 	if err != nil {
-		c.respond(in.RequestID, 422, wire.Error{Error: err.Error()})
+		c.respond(in.RequestID, wire.StatusInvalid, wire.Error{Error: err.Error()})
 		return
 	}
 	t := wire.Txn{Compare: c.permissionCompares(in.Caller), Then: []wire.Write{w}}
@@ -424,17 +424,17 @@
 		t.Compare = append(t.Compare, wire.Compare{Key: keyIdentity + in.Identity, Revision: old.revision})
 	}
 	told := c.addAuditEntry(&t, "who/"+in.Identity, newAuditEvent(in.Caller, "administer", in.Identity, in.summary()))
-	c.commitTxn(t, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
+	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		told(status)
 		c.afterReadBarrier(func(bool) {}) // it shows here too, soon
-		if status != 200 {
+		if status != wire.StatusOK {
 			c.respondUnavailable(in.RequestID, "rights changed meanwhile, or the outcome is not known: ask again")
 			return
 		}
-		c.log("info", "rights changed", "by", in.Caller.Identity, "who", in.Identity, "change", in.Edit)
+		c.log(LevelInfo, "rights changed", "by", in.Caller.Identity, "who", in.Identity, "change", in.Edit)
 		c.respond(
 			in.RequestID,
-			200,
+			wire.StatusOK,
 			wire.PermissionsEditResult{Identity: in.Identity, Cancelled: c.cancelQueuedJobs(in)},
 		)
 	}})
@@ -545,7 +545,7 @@
 		return
 	}
 	if !c.permissionsInForce() {
-		c.respond(in.RequestID, 200, struct{}{})
+		c.respond(in.RequestID, wire.StatusOK, struct{}{})
 		return
 	}
 	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, in.Verb, in.Object, func() {
@@ -554,7 +554,7 @@
 				c.respondUnavailable(in.RequestID, "this can't be recorded now")
 				return
 			}
-			c.respond(in.RequestID, 200, struct{}{})
+			c.respond(in.RequestID, wire.StatusOK, struct{}{})
 		})
 	}))
 }
@@ -580,6 +580,6 @@
 		return
 	}
 	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "rights", func() {
-		c.respond(in.RequestID, 200, wire.Permissions{Text: access.Format(c.permissions.toMessage())})
+		c.respond(in.RequestID, wire.StatusOK, wire.Permissions{Text: access.Format(c.permissions.toMessage())})
 	}))
 }
--- a/core/permissions_test.go
+++ b/core/permissions_test.go
@@ -64,7 +64,7 @@
 	return in
 }
 
-func statusOf(t *testing.T, out []Output) int {
+func statusOf(t *testing.T, out []Output) wire.Status {
 	t.Helper()
 	r := outputsOfType[Response](out)
 	if len(r) != 1 {
@@ -79,7 +79,7 @@
 	c := newServingCore(t)
 	c.cfg.Permissions = examplePolicy(t)
 	c.Handle(1100*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"})
-	if s := statusOf(t, c.Advance(1100*time.Millisecond)); s != 503 || c.Healthy() {
+	if s := statusOf(t, c.Advance(1100*time.Millisecond)); s != wire.StatusUnavailable || c.Healthy() {
 		t.Errorf("before rights are in force: %d, healthy %v", s, c.Healthy())
 	}
 	written := func(from, to time.Duration) (txns []wire.Txn) {
@@ -103,7 +103,7 @@
 					}
 					watchEvents(c, at, c.replica.revision+1, log...)
 				}
-				c.Handle(at, TxnResult{ID: o.ID, Status: 200, Reply: wire.TxnResponse{Revision: c.replica.revision}})
+				c.Handle(at, TxnResult{ID: o.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: c.replica.revision}})
 			}
 		}
 		return txns
@@ -124,7 +124,7 @@
 		3*time.Second,
 		WatchResult{
 			LongPoll: true,
-			Status:   200,
+			Status:   wire.StatusOK,
 			Changes: wire.WatchResponse{
 				Revision: 50,
 				Events:   []wire.WatchEvent{event(keySchemaVersion+"n1", fmt.Sprint(SchemaVersion), 50)},
@@ -165,23 +165,23 @@
 	at := 1200 * time.Millisecond
 	for _, x := range []struct {
 		real, never Input
-		status      int
+		status      wire.Status
 	}{
-		{GetJob{RequestID: 1, ID: "wk-1", Caller: potter}, GetJob{RequestID: 1, ID: "wk-2", Caller: potter}, 404},
+		{GetJob{RequestID: 1, ID: "wk-1", Caller: potter}, GetJob{RequestID: 1, ID: "wk-2", Caller: potter}, wire.StatusNotFound},
 		{
 			CancelJob{RequestID: 1, ID: "wk-1", Caller: potter},
 			CancelJob{RequestID: 1, ID: "wk-2", Caller: potter},
-			404,
+			wire.StatusNotFound,
 		},
 		{
 			SubmitJob{RequestID: 1, ID: "wk-1", DecodeError: "nonsense", Caller: potter},
 			SubmitJob{RequestID: 1, ID: "wk-2", DecodeError: "nonsense", Caller: potter},
-			400,
+			wire.StatusBadRequest,
 		},
 		{
 			submittedBy(potter, awaits),
 			submittedBy(potter, func() SubmitJob { s := awaits; s.Spec.Dependencies = []string{"wk-2"}; return s }()),
-			422,
+			wire.StatusInvalid,
 		},
 	} {
 		at += 2 * time.Second
@@ -196,7 +196,7 @@
 		}
 	}
 	at += 2 * time.Second
-	if r := ask(at, GetJob{RequestID: 1, ID: "wk-1", Caller: anna}); r.Status != 200 {
+	if r := ask(at, GetJob{RequestID: 1, ID: "wk-1", Caller: anna}); r.Status != wire.StatusOK {
 		t.Errorf("who may read it gets %+v", r)
 	}
 }
@@ -220,10 +220,10 @@
 	watchEvents(c, 1300*time.Millisecond, 11, wire.WatchEvent{Put: keyIdentity + "potter", Value: raw, Revision: 11})
 	c.Handle(
 		1300*time.Millisecond,
-		TxnResult{ID: x.ID, Status: 409, Reply: wire.TxnResponse{Failed: []string{keyIdentity + "potter"}}},
+		TxnResult{ID: x.ID, Status: wire.StatusConflict, Reply: wire.TxnResponse{Failed: []string{keyIdentity + "potter"}}},
 	)
 	out := append(c.Advance(1300*time.Millisecond), completeBarrier(c, 1400*time.Millisecond)...)
-	if s := statusOf(t, out); s != 403 || findAcceptTxn(out, "wk-1") != nil {
+	if s := statusOf(t, out); s != wire.StatusForbidden || findAcceptTxn(out, "wk-1") != nil {
 		t.Errorf("answered %d", s)
 	}
 	// A job that was accepted before stays, and is cancelled only by somebody with the right, by name.
@@ -258,14 +258,14 @@
 		!slices.Contains(change.Txn.Compare, wire.Compare{Key: keyIdentity + "potter", Revision: 11}) {
 		t.Fatalf("got %+v", out)
 	}
-	c.Handle(2200*time.Millisecond, TxnResult{ID: change.ID, Status: 200, Reply: wire.TxnResponse{Revision: 13}})
+	c.Handle(2200*time.Millisecond, TxnResult{ID: change.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: 13}})
 	out = c.Advance(2200 * time.Millisecond)
 	cancelled := slices.ContainsFunc(outputsOfType[CommitTxn](out), func(o CommitTxn) bool {
 		return slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool {
 			return w.Put == keyJob+"wk-2" && strings.Contains(string(w.Value), `"st":"c"`)
 		}) && slices.Contains(o.Txn.Compare, wire.Compare{Key: keyIdentity + "anna", Revision: 10})
 	})
-	if s := statusOf(t, out); s != 200 || !cancelled {
+	if s := statusOf(t, out); s != wire.StatusOK || !cancelled {
 		t.Errorf("answered %d, cancelled %v", s, cancelled)
 	}
 }
@@ -278,22 +278,22 @@
 		by     Credential
 		who    string
 		edit   wire.PermissionsEdit
-		status int // 0: it is written
+		status wire.Status // 0: it is written
 	}{
-		{anna, "anna", wire.PermissionsEdit{RevokeRoles: []string{"admin"}}, 422},
-		{anna, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, 422},
-		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"nothing"}}, 422},
-		{anna, "pia", wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: "a1", Ed25519: next}}}, 422},
-		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"visitor"}}, 0},
-		{potter, "potter", wire.PermissionsEdit{GrantRoles: []string{"technician"}}, 403},
-		{potter, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, 403},
+		{anna, "anna", wire.PermissionsEdit{RevokeRoles: []string{"admin"}}, wire.StatusInvalid},
+		{anna, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, wire.StatusInvalid},
+		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"nothing"}}, wire.StatusInvalid},
+		{anna, "pia", wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: "a1", Ed25519: next}}}, wire.StatusInvalid},
+		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"visitor"}}, wire.StatusNoAnswer},
+		{potter, "potter", wire.PermissionsEdit{GrantRoles: []string{"technician"}}, wire.StatusForbidden},
+		{potter, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, wire.StatusForbidden},
 		{
 			potter,
 			"potter",
 			wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: "p2", Ed25519: next}}, RevokeKeys: []string{"p1"}},
-			0,
+			wire.StatusNoAnswer,
 		},
-		{Credential{"potter", "a1"}, "potter", wire.PermissionsEdit{RevokeKeys: []string{"p1"}}, 403},
+		{Credential{"potter", "a1"}, "potter", wire.PermissionsEdit{RevokeKeys: []string{"p1"}}, wire.StatusForbidden},
 	} {
 		c := newCoreWithPermissions(t)
 		c.Handle(1200*time.Millisecond, UpdatePermissions{RequestID: 5, Caller: x.by, Identity: x.who, Edit: x.edit})
@@ -302,8 +302,8 @@
 			outputsOfType[CommitTxn](out),
 			func(o CommitTxn) bool { return o.Txn.Then[0].Put == keyIdentity+x.who },
 		)
-		if r := outputsOfType[Response](out); x.status == 0 && (!wrote || len(r) != 0) ||
-			x.status != 0 && (wrote || len(r) != 1 || r[0].Status != x.status) {
+		if r := outputsOfType[Response](out); x.status == wire.StatusNoAnswer && (!wrote || len(r) != 0) ||
+			x.status != wire.StatusNoAnswer && (wrote || len(r) != 1 || r[0].Status != x.status) {
 			t.Errorf("%+v: wrote %v, answered %+v", x, wrote, r)
 		}
 	}
--- a/core/preemption.go
+++ b/core/preemption.go
@@ -62,7 +62,7 @@
 	if made > 0 {
 		l.lastPreemptedFor[n.job.index] = c.now
 		l.pushRequested = true
-		c.log("info", "making room", "job", n.job.id, "tasks", made)
+		c.log(LevelInfo, "making room", "job", n.job.id, "tasks", made)
 	}
 	return made
 }
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -153,7 +153,7 @@
 	c.priority.nextSeedAt = c.now + 2*time.Second
 	raw, err := jobrecord.PackMessage(c.cfg.Scheduling.PriorityClasses.Source())
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-		c.log("error", "the list of lanes does not fit a value", "bytes", len(raw))
+		c.log(LevelError, "the list of lanes does not fit a value", "bytes", len(raw))
 		return
 	}
 	c.commitTxn(
@@ -161,7 +161,7 @@
 			Compare: []wire.Compare{{Key: keyPriorityClasses}},
 			Then:    []wire.Write{{Put: keyPriorityClasses, Value: raw}},
 		},
-		&pendingTxn{onDone: func(int, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }},
+		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }},
 	)
 }
 
@@ -170,7 +170,7 @@
 func (c *Core) handleSetPriorityClasses(in SetPriorityClasses) {
 	l, err := priorityclass.Parse([]byte(in.Text))
 	if err != nil {
-		c.respond(in.RequestID, 400, wire.Error{Error: "lanes: " + err.Error()})
+		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: "lanes: " + err.Error()})
 		return
 	}
 	switch {
@@ -187,7 +187,7 @@
 	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "lanes", func() {
 		raw, err := jobrecord.PackMessage(l.Source())
 		if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-			c.respond(in.RequestID, 400, wire.Error{Error: "lanes: too long to be stored"})
+			c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: "lanes: too long to be stored"})
 			return
 		}
 		t := wire.Txn{
@@ -197,13 +197,13 @@
 			),
 			Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}},
 		}
-		c.commitTxn(t, &pendingTxn{onDone: func(status int, r wire.TxnResponse) {
+		c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
 			c.afterReadBarrier(func(bool) {}) // every controller sees it there
-			if status != 200 {
+			if status != wire.StatusOK {
 				c.respondUnavailable(in.RequestID, "not changed, or not known whether: ask again")
 				return
 			}
-			c.respond(in.RequestID, 200, wire.JobQueue{Version: r.Revision, PriorityClasses: in.Text})
+			c.respond(in.RequestID, wire.StatusOK, wire.JobQueue{Version: r.Revision, PriorityClasses: in.Text})
 		}})
 	}))
 }
@@ -315,7 +315,7 @@
 				c.respondUnavailable(in.RequestID, err.Error())
 				return
 			}
-			c.respond(in.RequestID, 200, wire.JobQueue{Version: c.priority.revision, PriorityClasses: string(text)})
+			c.respond(in.RequestID, wire.StatusOK, wire.JobQueue{Version: c.priority.revision, PriorityClasses: string(text)})
 			return
 		}
 		list := c.queuedJobs()
@@ -324,14 +324,14 @@
 			if i < 0 || !c.canReadJob(in.Caller, list[i]) {
 				c.respond(
 					in.RequestID,
-					404,
+					wire.StatusNotFound,
 					wire.Error{Error: in.ID + " does not wait: it runs, is over or never was"},
 				)
 				return
 			}
 			c.respond(
 				in.RequestID,
-				200,
+				wire.StatusOK,
 				wire.JobQueue{
 					Jobs:  []wire.QueuedJob{c.describeQueuedJob(list, i, &[]unplaceable{})},
 					Total: len(list),
@@ -349,7 +349,7 @@
 		if out.NextOffset >= len(list) {
 			out.NextOffset = 0
 		}
-		c.respond(in.RequestID, 200, out)
+		c.respond(in.RequestID, wire.StatusOK, out)
 	})
 }
 
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -42,7 +42,7 @@
 			return nil, c.lookUpArchived(j)
 		}
 		if d := c.authorize(j.submission.caller, submitAction(&spec)); !d.Allowed {
-			c.completeSubmission(j, 403, d.Reason)
+			c.completeSubmission(j, wire.StatusForbidden, d.Reason)
 			return nil, 0
 		}
 		s := c.pickShard()
@@ -191,7 +191,7 @@
 		changed = true
 	case rec.Stage == jobrecord.Queued && rec.CompletedTasks.Count() == rec.Spec.Tasks:
 		c.log(
-			"debug",
+			LevelDebug,
 			"job done",
 			"job",
 			j.id,
@@ -228,7 +228,7 @@
 			changed, quick = true, true
 			j.placement.lastPlacedMS = c.unixMS()
 			c.log(
-				"debug",
+				LevelDebug,
 				"tasks placed late",
 				"job",
 				j.id,
@@ -284,7 +284,7 @@
 		}
 		a.lookupInFlight, a.lookupDone = false, true
 		if !ok && j.revision == 0 {
-			c.completeSubmission(j, 503, reasonHistoryUnreadable)
+			c.completeSubmission(j, wire.StatusUnavailable, reasonHistoryUnreadable)
 		}
 		c.markDirty(j)
 	})
--- a/core/replica.go
+++ b/core/replica.go
@@ -62,8 +62,8 @@
 			c.now-c.storeHealth.lastAnswerAt > 400*time.Millisecond
 }
 
-func (c *Core) recordStoreStatus(status int) {
-	if status == 0 || status == 503 {
+func (c *Core) recordStoreStatus(status wire.Status) {
+	if status == wire.StatusNoAnswer || status == wire.StatusUnavailable {
 		c.storeHealth.lastFailureAt = c.now
 		return
 	}
@@ -125,13 +125,13 @@
 func (c *Core) handleWatchResult(in WatchResult) {
 	if in.LongPoll {
 		c.replica.watchInFlight = false
-		if in.Status != 200 {
+		if in.Status != wire.StatusOK {
 			c.replica.nextWatchAt = max(c.replica.nextWatchAt, c.now+300*time.Millisecond)
 		}
 	} else {
 		c.recordStoreStatus(in.Status)
 		c.replica.barrierInFlight = false
-		if in.Status == 429 {
+		if in.Status == wire.StatusTooManyRequests {
 			c.replica.barrierWaiters = append(c.replica.inFlightWaiters, c.replica.barrierWaiters...)
 			c.replica.inFlightWaiters = nil
 			c.replica.nextBarrierAt = c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond)
@@ -139,11 +139,11 @@
 		}
 	}
 	switch in.Status {
-	case 0:
+	case wire.StatusNoAnswer:
 		if !in.LongPoll && c.storeHealth.firstLostReadAt == 0 {
 			c.storeHealth.firstLostReadAt = c.replica.barrierSentAt
 		}
-	case 200:
+	case wire.StatusOK:
 		c.storeHealth.firstLostReadAt = 0
 		c.applyWatchEvents(in.Changes)
 		if in.LongPoll {
@@ -151,7 +151,7 @@
 		} else {
 			c.cancelAcks.quorum.ConfirmRead(c.replica.barrierSentAt)
 		}
-	case 410:
+	case wire.StatusGone:
 		c.replica.loaded, c.replica.lastPageKey = false, ""
 		c.replica.nextPageAt = c.now
 	}
@@ -159,7 +159,7 @@
 		fs := c.replica.inFlightWaiters
 		c.replica.inFlightWaiters = nil
 		for _, f := range fs {
-			f(in.Status == 200)
+			f(in.Status == wire.StatusOK)
 		}
 	}
 }
@@ -185,13 +185,13 @@
 func (c *Core) handleSnapshotPage(in SnapshotPage) {
 	c.replica.pageInFlight = false
 	if !in.OK {
-		if in.Status != 429 {
+		if in.Status != wire.StatusTooManyRequests {
 			c.storeHealth.lastFailureAt = c.now
 		}
 		c.replica.nextPageAt = c.now + 200*time.Millisecond + c.jitter(200*time.Millisecond)
 		return
 	}
-	c.recordStoreStatus(200)
+	c.recordStoreStatus(wire.StatusOK)
 	if c.replica.lastPageKey == "" {
 		for i := range c.ownership.shards {
 			c.ownership.shards[i] = leasedKey{since: c.now}
@@ -238,7 +238,7 @@
 	c.cancelAcks.quorum.ConfirmRead(c.replica.snapshotStartedAt)
 	c.replica.watchInFlight = false
 	c.log(
-		"info",
+		LevelInfo,
 		"state loaded",
 		"ledger",
 		c.replica.revision,
--- a/core/requests.go
+++ b/core/requests.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-func (c *Core) respond(req uint64, status int, body any) {
+func (c *Core) respond(req uint64, status wire.Status, body any) {
 	if s, ok := body.(wire.JobState); ok {
 		c.respondOrAwaitAck(req, status, s)
 		return
 	}
 	r := Response{RequestID: req, Status: status, Body: body}
-	if status == 503 || status == 429 {
+	if status == wire.StatusUnavailable || status == wire.StatusTooManyRequests {
 		r.RetryAfterSeconds = 1
 	}
 	c.emit(r)
@@ -21,8 +21,8 @@
 const reasonTooBusy = "too busy"
 
 func (c *Core) respondUnavailable(req uint64, why string) {
-	c.log("debug", "request refused", "why", why)
-	r := Response{RequestID: req, Status: 503, Body: wire.Error{Error: why}, RetryAfterSeconds: 1}
+	c.log(LevelDebug, "request refused", "why", why)
+	r := Response{RequestID: req, Status: wire.StatusUnavailable, Body: wire.Error{Error: why}, RetryAfterSeconds: 1}
 	if why == reasonTooBusy {
 		r.RetryAfterSeconds = c.retryAfterSeconds()
 	}
@@ -98,11 +98,11 @@
 		return
 	}
 	if j := c.recallFromArchive(id); j != nil && j.isFinal() {
-		c.respond(req, 200, c.jobState(j))
+		c.respond(req, wire.StatusOK, c.jobState(j))
 		return
 	}
 	if !wire.ValidJobID(id) {
-		c.respond(req, 404, wire.Error{Error: "no such job"})
+		c.respond(req, wire.StatusNotFound, wire.Error{Error: "no such job"})
 		return
 	}
 	if c.storeUnreachable() {
@@ -116,10 +116,10 @@
 		}
 		c.lookUpJobForRequest(req, id, func(j *job) {
 			if j == nil {
-				c.respond(req, 404, wire.Error{Error: "no such job"})
+				c.respond(req, wire.StatusNotFound, wire.Error{Error: "no such job"})
 				return
 			}
-			c.respond(req, 200, c.jobState(j))
+			c.respond(req, wire.StatusOK, c.jobState(j))
 		})
 	})
 }
@@ -140,7 +140,7 @@
 // admitSubmission takes the submission of somebody who may submit it.
 func (c *Core) admitSubmission(in SubmitJob) {
 	if in.ID == "" {
-		c.respond(in.RequestID, 400, wire.Error{Error: in.DecodeError})
+		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
 		return
 	}
 	if !c.replica.loaded {
@@ -153,11 +153,11 @@
 	}
 	status, why := c.validateSubmission(&in)
 	switch {
-	case status == 503:
+	case status == wire.StatusUnavailable:
 		c.respondUnavailable(in.RequestID, why)
 	case c.storeUnreachable() || !c.holdsLease():
 		c.respondUnavailable(in.RequestID, "state service not reached")
-	case status != 0:
+	case status != wire.StatusNoAnswer:
 		// A repeat of an accepted job is never refused so: first learn whether it is one. And a job
 		// that it awaits may just have been accepted by another controller.
 		c.afterUrgentReadBarrier(func(ok bool) {
@@ -172,12 +172,12 @@
 				case j != nil && !c.canRepeatSubmission(in.Caller, in.validSpec(), j):
 					c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, "the id is another's")
 				case j != nil:
-					c.respond(in.RequestID, 200, c.jobState(j))
+					c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
 				case !ok:
 					c.respondUnavailable(in.RequestID, reasonHistoryUnreadable)
-				case status == 503:
+				case status == wire.StatusUnavailable:
 					c.respondUnavailable(in.RequestID, why)
-				case status != 0:
+				case status != wire.StatusNoAnswer:
 					c.respond(in.RequestID, status, wire.Error{Error: why})
 				default: // a job that it awaits was found
 					c.admitSubmission(in)
@@ -228,24 +228,24 @@
 		case !c.canRepeatSubmission(by, s, j):
 			c.respondForbidden(req, by, "submit", id, "the id is another's")
 		default:
-			c.respond(req, 200, c.jobState(j))
+			c.respond(req, wire.StatusOK, c.jobState(j))
 		}
 	})
 }
 
 // validateSubmission tells why a submission can't be accepted, with its status, as far as is known here; 0 if
 // it can.
-func (c *Core) validateSubmission(in *SubmitJob) (int, string) {
+func (c *Core) validateSubmission(in *SubmitJob) (wire.Status, string) {
 	if in.DecodeError != "" {
-		return 400, in.DecodeError
+		return wire.StatusBadRequest, in.DecodeError
 	}
 	s := in.Spec
-	if status, why := c.checkEverFeasible(&s); status != 0 {
+	if status, why := c.checkEverFeasible(&s); status != wire.StatusNoAnswer {
 		return status, why
 	}
 	if len(s.Dependencies) > 0 {
 		if c.schemaVersion() < schemaDependencies {
-			return 503, "a controller may still run a version that does not know awaits"
+			return wire.StatusUnavailable, "a controller may still run a version that does not know awaits"
 		}
 		left, unknown, _ := c.findUnmetDependencies(&s)
 		for _, id := range s.Dependencies { // nobody is told of jobs that they may not read
@@ -254,20 +254,20 @@
 			}
 		}
 		if unknown != "" {
-			return 422, "awaits a job that was never accepted: " + unknown
+			return wire.StatusInvalid, "awaits a job that was never accepted: " + unknown
 		}
 		s.Dependencies = left
 	}
 	// What a record holds beside the description must find room in its value.
 	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &s}, nil, c.schemaVersion() >= schemaDependencies)
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes*3/4 {
-		return 400, "the description and the unfinished jobs that it awaits are too long to be stored"
+		return wire.StatusBadRequest, "the description and the unfinished jobs that it awaits are too long to be stored"
 	}
-	return 0, ""
+	return wire.StatusNoAnswer, ""
 }
 
 // completeSubmission answers all who wait for a job's acceptance.
-func (c *Core) completeSubmission(j *job, status int, why string) {
+func (c *Core) completeSubmission(j *job, status wire.Status, why string) {
 	a := j.submission
 	if a == nil {
 		return
@@ -275,7 +275,7 @@
 	j.submission = nil
 	c.pendingSubmissions--
 	c.log(
-		"debug",
+		LevelDebug,
 		"submission answered",
 		"job",
 		j.id,
@@ -288,15 +288,15 @@
 	)
 	for i, req := range a.requestIDs {
 		switch {
-		case status == 403:
+		case status == wire.StatusForbidden:
 			c.respondForbidden(req, a.caller, "submit", j.id, why)
-		case status == 200 || status == 201 && i >= a.requestsBeforeWrite: // came after the write was sent, which others may have read since
+		case status == wire.StatusOK || status == wire.StatusCreated && i >= a.requestsBeforeWrite: // came after the write was sent, which others may have read since
 			c.respondToRepeatedSubmission(req, a.caller, &a.spec, j.id)
-		case status == 201 && i > 0:
-			c.respond(req, 200, c.jobState(j))
-		case status == 201:
+		case status == wire.StatusCreated && i > 0:
+			c.respond(req, wire.StatusOK, c.jobState(j))
+		case status == wire.StatusCreated:
 			c.Stats.Accepted++
-			c.respond(req, 201, c.jobState(j))
+			c.respond(req, wire.StatusCreated, c.jobState(j))
 		default:
 			c.respondUnavailable(req, why)
 		}
@@ -313,7 +313,7 @@
 		return
 	}
 	if !wire.ValidJobID(in.ID) {
-		c.respond(in.RequestID, 404, wire.Error{Error: "no such job"})
+		c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
 		return
 	}
 	if !c.replica.loaded {
@@ -322,7 +322,7 @@
 	}
 	j := c.recallFromArchive(in.ID)
 	if j != nil && j.isFinal() {
-		c.respond(in.RequestID, 200, c.jobState(j))
+		c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
 		return
 	}
 	if c.storeUnreachable() {
@@ -332,7 +332,7 @@
 	if j == nil {
 		c.withJobAfterBarrier(in.RequestID, in.ID, func(j *job) {
 			if j == nil {
-				c.respond(in.RequestID, 404, wire.Error{Error: "no such job"})
+				c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
 				return
 			}
 			c.enqueueCancellation(j, in)
@@ -344,7 +344,7 @@
 
 func (c *Core) enqueueCancellation(j *job, in CancelJob) {
 	if j.isFinal() {
-		c.respond(in.RequestID, 200, c.jobState(j))
+		c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
 		return
 	}
 	j.cancellation.waiters = append(j.cancellation.waiters, cancelWaiter{in.RequestID, in.Caller})
@@ -360,7 +360,7 @@
 		return
 	}
 	for _, r := range j.cancellation.waiters {
-		c.respond(r.requestID, 200, c.jobState(j))
+		c.respond(r.requestID, wire.StatusOK, c.jobState(j))
 	}
 	j.cancellation.waiters = nil
 }
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -14,11 +14,11 @@
 	const cancelled = `{"h":0,"st":"c","cm":1}`
 	for name, answer := range map[string]func(c *Core, x *CommitTxn) []Output{
 		"the write's answer": func(c *Core, x *CommitTxn) []Output {
-			c.Handle(1200*time.Millisecond, TxnResult{ID: x.ID, Status: 200, Reply: wire.TxnResponse{Revision: 7}})
+			c.Handle(1200*time.Millisecond, TxnResult{ID: x.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: 7}})
 			return c.Advance(1200 * time.Millisecond)
 		},
 		"overtaken, and the stream": func(c *Core, x *CommitTxn) []Output {
-			c.Handle(1200*time.Millisecond, TxnResult{ID: x.ID, Status: 429})
+			c.Handle(1200*time.Millisecond, TxnResult{ID: x.ID, Status: wire.StatusTooManyRequests})
 			return watchEvents(c, 1200*time.Millisecond, 7, event(keyJob+"wk-000001", written, 7))
 		},
 	} {
@@ -45,7 +45,7 @@
 		c.Handle(
 			1700*time.Millisecond,
 			WatchResult{
-				Status: 200,
+				Status: wire.StatusOK,
 				Changes: wire.WatchResponse{
 					Revision: 8,
 					Events:   []wire.WatchEvent{event(keyJob+"wk-000001", cancelled, 8)},
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -66,14 +66,14 @@
 	if !booking.ValidID(b.ID) {
 		c.respond(
 			in.RequestID,
-			400,
+			wire.StatusBadRequest,
 			wire.ReservationResponse{Error: "id: letters, digits, dots, dashes and underscores, at most 64"},
 		)
 		return
 	}
 	rank, ok := wire.Priority(cmp.Or(b.Priority, wire.PriorityName(wire.PriorityStandard)))
 	if !ok {
-		c.respond(in.RequestID, 400, wire.ReservationResponse{Error: "priority: there is no " + b.Priority})
+		c.respond(in.RequestID, wire.StatusBadRequest, wire.ReservationResponse{Error: "priority: there is no " + b.Priority})
 		return
 	}
 	if !c.canServeReservations(in.RequestID) {
@@ -110,7 +110,7 @@
 func (c *Core) handleSetEquipment(in SetEquipment) {
 	site, err := booking.Parse([]byte(in.Edit.Text))
 	if err != nil {
-		c.respond(in.RequestID, 400, wire.ReservationResponse{Error: "equipment: " + err.Error()})
+		c.respond(in.RequestID, wire.StatusBadRequest, wire.ReservationResponse{Error: "equipment: " + err.Error()})
 		return
 	}
 	if !c.canServeReservations(in.RequestID) {
@@ -160,13 +160,13 @@
 		if t := c.reservations.ArchiveTxn([]wire.Compare{
 			{Key: keyLeader, Revision: c.leadership.leader.mark},
 		}, over, c.cfg.Store.MaxValueBytes); t != nil {
-			c.commitTxn(*t, &pendingTxn{onDone: func(int, wire.TxnResponse) {
+			c.commitTxn(*t, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 				c.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(t) })
 			}})
 			return
 		}
 		if t := c.reservations.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); t != nil {
-			c.commitTxn(*t, &pendingTxn{onDone: func(int, wire.TxnResponse) {
+			c.commitTxn(*t, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 				c.afterReadBarrier(func(bool) { c.reservations.MergeDone() }) // what came of it shows there
 			}})
 		}
@@ -186,7 +186,7 @@
 	c.reservationState.nextSeedAt = c.now + 2*time.Second
 	raw, err := reservations.EncodeInventory(c.cfg.Reservations.Equipment.Source())
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-		c.log("error", "the list of equipment does not fit a value", "bytes", len(raw))
+		c.log(LevelError, "the list of equipment does not fit a value", "bytes", len(raw))
 		c.reservationState.nextSeedAt = c.now + time.Minute
 		return
 	}
@@ -195,7 +195,7 @@
 			Compare: []wire.Compare{{Key: reservations.KeyInventory}},
 			Then:    []wire.Write{{Put: reservations.KeyInventory, Value: raw}},
 		},
-		&pendingTxn{onDone: func(int, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }},
+		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }},
 	)
 }
 
@@ -221,9 +221,9 @@
 	}
 	ids := s.auditEntryIDs
 	s.auditEntryIDs = nil
-	c.commitTxn(*t, &pendingTxn{onDone: func(status int, r wire.TxnResponse) {
+	c.commitTxn(*t, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
 		c.currentAuditLog().HandleOutcome(ids, status)
-		if status == 400 && len(t.Then) > 0 {
+		if status == wire.StatusBadRequest && len(t.Then) > 0 {
 			c.reduceTxnLimits(t)
 		}
 		c.reservations.InvalidateBlocks(r.Failed)
@@ -318,15 +318,15 @@
 		)
 		return
 	}
-	status := map[booking.Outcome]int{
-		booking.OutcomeDone:     200,
-		booking.OutcomeRepeated: 200,
-		booking.OutcomeRefused:  409,
-		booking.OutcomeInvalid:  422,
-		booking.OutcomeNotFound: 404,
+	status := map[booking.Outcome]wire.Status{
+		booking.OutcomeDone:     wire.StatusOK,
+		booking.OutcomeRepeated: wire.StatusOK,
+		booking.OutcomeRefused:  wire.StatusConflict,
+		booking.OutcomeInvalid:  wire.StatusInvalid,
+		booking.OutcomeNotFound: wire.StatusNotFound,
 	}[a.Outcome]
 	if a.Outcome == booking.OutcomeDone && a.Request.Request.Verb == booking.VerbCreate {
-		status = 201
+		status = wire.StatusCreated
 	}
 	out := wire.ReservationResponse{
 		Error:     a.Reason,
@@ -445,7 +445,7 @@
 		c.reservations.ViewCommitted(func(l *booking.Schedule) {
 			if b := l.Get(q.ID); b != nil && b.State == pb.BookingState_ended {
 				ended = true
-				c.respond(in.RequestID, 200, wire.ReservationResponse{Reservation: new(c.toWireReservation(b))})
+				c.respond(in.RequestID, wire.StatusOK, wire.ReservationResponse{Reservation: new(c.toWireReservation(b))})
 			}
 		})
 		if ended {
@@ -485,8 +485,8 @@
 		if len(in.Items) > 0 {
 			it = &in.Items[0]
 		}
-		if err := c.reservations.HandleBlock(id, it, in.Revision, in.Status == 200); err != nil {
-			c.log("error", "past bookings can't be read", "id", id, "err", err.Error())
+		if err := c.reservations.HandleBlock(id, it, in.Revision, in.Status == wire.StatusOK); err != nil {
+			c.log(LevelError, "past bookings can't be read", "id", id, "err", err.Error())
 		}
 		then()
 	})
@@ -512,18 +512,18 @@
 	by Credential,
 	l *booking.Schedule,
 	q *wire.ReservationQuery,
-) (int, wire.ReservationResponse) {
+) (wire.Status, wire.ReservationResponse) {
 	site := c.reservations.Inventory()
-	bad := func(err error) (int, wire.ReservationResponse) {
-		return 400, wire.ReservationResponse{Error: err.Error()}
+	bad := func(err error) (wire.Status, wire.ReservationResponse) {
+		return wire.StatusBadRequest, wire.ReservationResponse{Error: err.Error()}
 	}
 	switch {
 	case q.ID != "":
 		b := l.Get(q.ID)
 		if b == nil || !c.canReadReservation(by, b) {
-			return 404, wire.ReservationResponse{Error: "there is no booking " + q.ID}
+			return wire.StatusNotFound, wire.ReservationResponse{Error: "there is no booking " + q.ID}
 		}
-		return 200, wire.ReservationResponse{Reservation: new(c.toWireReservation(b))}
+		return wire.StatusOK, wire.ReservationResponse{Reservation: new(c.toWireReservation(b))}
 	case q.Day != "":
 		from, to, err := site.ParseDay(q.Day)
 		if err != nil {
@@ -531,11 +531,11 @@
 		}
 		list, ok := l.BookingsBetween(site, q.Equipment, from, to)
 		if !ok {
-			return 404, wire.ReservationResponse{Error: "there is no " + q.Equipment}
+			return wire.StatusNotFound, wire.ReservationResponse{Error: "there is no " + q.Equipment}
 		}
-		return 200, c.readableReservations(by, list)
+		return wire.StatusOK, c.readableReservations(by, list)
 	case q.Waiting:
-		return 200, c.readableReservations(by, l.Waitlist())
+		return wire.StatusOK, c.readableReservations(by, l.Waitlist())
 	case q.FreeSlots:
 		w := &pb.Want{Piece: q.Equipment, Kind: q.Kind, Zone: q.Zone, Slots: max(1, q.Slots)}
 		from, until := c.unixSeconds(), int64(0)
@@ -559,13 +559,13 @@
 			until,
 			min(max(1, q.Limit), maxFreeTimesListed),
 		)
-		return 200, wire.ReservationResponse{Free: c.toWireFreeTimes(free)}
+		return wire.StatusOK, wire.ReservationResponse{Free: c.toWireFreeTimes(free)}
 	}
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(site.Source())
 	if err != nil {
-		return 500, wire.ReservationResponse{Error: err.Error()}
+		return wire.StatusInternalError, wire.ReservationResponse{Error: err.Error()}
 	}
-	return 200, wire.ReservationResponse{Equipment: string(text), Version: c.reservations.InventoryRevision()}
+	return wire.StatusOK, wire.ReservationResponse{Equipment: string(text), Version: c.reservations.InventoryRevision()}
 }
 
 // readableReservations are those of a list that somebody may read, as far as they fit an answer.
--- a/core/reservations/service.go
+++ b/core/reservations/service.go
@@ -501,12 +501,12 @@
 // HandleOutcome takes the outcome of the transaction that Step gave: its status, and the mark of
 // what it wrote. It returns the answers that hold now; whether the head must be read (then Read is
 // to be called) before more is decided.
-func (d *Service) HandleOutcome(status int, revision uint64) (out []Response, mustReadHead bool) {
+func (d *Service) HandleOutcome(status wire.Status, revision uint64) (out []Response, mustReadHead bool) {
 	f := d.inFlight
 	if f == nil {
 		return nil, false
 	}
-	if status != 200 {
+	if status != wire.StatusOK {
 		d.rollBackInFlight()
 		d.inFlight = nil
 		asks := make([]*PendingRequest, 0, len(f.responses))
@@ -514,7 +514,7 @@
 			asks = append(asks, a.Request)
 		}
 		d.queue = append(asks, d.queue...)
-		d.needsHeadRead = status != 429 && status != 503
+		d.needsHeadRead = status != wire.StatusTooManyRequests && status != wire.StatusUnavailable
 		return nil, d.needsHeadRead
 	}
 	switch {
--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -22,10 +22,10 @@
 	revision uint64
 }
 
-func (s *fakeStore) commit(t *wire.Txn) (int, uint64) {
+func (s *fakeStore) commit(t *wire.Txn) (wire.Status, uint64) {
 	for _, c := range t.Compare {
 		if s.keys[c.Key].Revision != c.Revision {
-			return 409, 0
+			return wire.StatusConflict, 0
 		}
 	}
 	s.revision++
@@ -36,7 +36,7 @@
 		}
 		s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.revision}
 	}
-	return 200, s.revision
+	return wire.StatusOK, s.revision
 }
 
 func (s *fakeStore) replayTo(t *testing.T, d *Service) {
@@ -105,7 +105,7 @@
 		if executed == "at once" {
 			s.commit(first)
 		}
-		if out, read := a.HandleOutcome(0, 0); out != nil || !read || a.HasWork(time.Hour, 0) {
+		if out, read := a.HandleOutcome(wire.StatusNoAnswer, 0); out != nil || !read || a.HasWork(time.Hour, 0) {
 			t.Fatal("it must read before it decides again")
 		}
 		a.HeadRead()
@@ -122,8 +122,8 @@
 			expectOutcomes(t, out, booking.OutcomeDone)
 		}
 		second := a.NextTxn(env(time.Second)) // a has not seen what b did
-		if executed == "late" && status == 200 {
-			if late, _ := s.commit(first); late != 409 {
+		if executed == "late" && status == wire.StatusOK {
+			if late, _ := s.commit(first); late != wire.StatusConflict {
 				t.Error("a late write was executed after another's")
 			}
 		}
@@ -172,7 +172,7 @@
 	other.Enqueue(newRequest("y", 101))
 	s.commit(other.NextTxn(env(0)))
 	s.replayTo(t, d) // another was quicker
-	if out, read := d.HandleOutcome(409, 0); out != nil || !read {
+	if out, read := d.HandleOutcome(wire.StatusConflict, 0); out != nil || !read {
 		t.Fatal("overtaken")
 	}
 	d.HeadRead()
@@ -236,7 +236,7 @@
 		if tx == nil {
 			break
 		}
-		if status, _ := s.commit(tx); status != 200 {
+		if status, _ := s.commit(tx); status != wire.StatusOK {
 			t.Fatal("a merge was refused")
 		}
 		for _, w := range tx.Then {
@@ -321,7 +321,7 @@
 			s.serveBlockReads(t, d)
 			continue
 		}
-		if status, _ := s.commit(tx); status != 200 || len(tx.Then) > 3 {
+		if status, _ := s.commit(tx); status != wire.StatusOK || len(tx.Then) > 3 {
 			t.Fatalf("status %d, %d changes", status, len(tx.Then))
 		}
 		moves++
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"dewlift/wire"
 	"slices"
 	"time"
 )
@@ -38,7 +39,7 @@
 	var todo []*job
 	for _, j := range c.openJobs {
 		if j.submission != nil && !j.write.inFlight && c.now >= j.submission.deadline {
-			c.completeSubmission(j, 503, reasonTooBusy)
+			c.completeSubmission(j, wire.StatusUnavailable, reasonTooBusy)
 		}
 		if len(j.cancellation.waiters) > 0 && !j.write.inFlight && c.now >= j.cancellation.answerBy {
 			c.rejectCancellations(j, reasonTooBusy)
@@ -47,7 +48,7 @@
 			continue
 		}
 		if j.revision != 0 && j.submission != nil {
-			c.completeSubmission(j, 200, "")
+			c.completeSubmission(j, wire.StatusOK, "")
 		}
 		if j.revision == 0 && j.submission == nil ||
 			j.revision != 0 && len(j.cancellation.waiters) == 0 && !c.ownsJob(j) {
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -46,7 +46,7 @@
 	c.schema.declared[name] = max(c.schema.declared[name], form)
 	if name == c.cfg.Name && form > c.cfg.SchemaVersion {
 		c.log(
-			"error",
+			LevelError,
 			"a newer version has run here before: this one may not understand what it stored",
 			"form",
 			form,
@@ -59,7 +59,7 @@
 	if least <= c.schema.active {
 		return
 	}
-	c.log("info", "every controller knows this form now", "form", least)
+	c.log(LevelInfo, "every controller knows this form now", "form", least)
 	c.schema.active, c.schema.activeSince = least, c.now
 	c.updateRateLimit()
 	for _, j := range c.openJobs { // what is too large is written again before it has to be
@@ -89,7 +89,7 @@
 			Compare: []wire.Compare{{Key: key, Revision: c.schema.declarationRevision}},
 			Then:    []wire.Write{{Put: key, Value: raw}},
 		},
-		&pendingTxn{onDone: func(int, wire.TxnResponse) {
+		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 			c.schema.declarationInFlight = false
 			c.afterReadBarrier(func(bool) {}) // what came of it shows there
 		}},
@@ -131,7 +131,7 @@
 	} else {
 		c.cfg.Store.MaxValueBytes = max(minValueBytes, largest*7/8)
 	}
-	c.log("error", "transaction refused: keeping to smaller ones", "changes", len(t.Then), "largest", largest,
+	c.log(LevelError, "transaction refused: keeping to smaller ones", "changes", len(t.Then), "largest", largest,
 		"txn_ops", c.cfg.Store.MaxTxnOps, "value_bytes", c.cfg.Store.MaxValueBytes)
 }
 
@@ -167,11 +167,11 @@
 			wire.Compare{Key: key, Revision: j.cancellation.markerRevision},
 		),
 		Then: []wire.Write{{Put: key, Value: raw}},
-	}, &pendingTxn{onDone: func(status int, _ wire.TxnResponse) {
+	}, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		c.currentAuditLog().HandleOutcome(ids, status)
 		j.write.inFlight = false
 		c.markDirty(j)
-		if status == 429 || status == 503 {
+		if status == wire.StatusTooManyRequests || status == wire.StatusUnavailable {
 			return
 		}
 		j.write.outcomeUnknown = true
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -31,7 +31,7 @@
 func requireNoErrorLogs(t *testing.T, out []Output) {
 	t.Helper()
 	for _, n := range outputsOfType[LogLine](out) {
-		if n.Level == "error" {
+		if n.Level == LevelError {
 			t.Errorf("%s %v", n.Message, n.Args)
 		}
 	}
@@ -149,7 +149,7 @@
 
 // schemaDeclarations are the declarations of these controllers.
 func schemaDeclarations(names ...string) WatchResult {
-	in := WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{Revision: 50}}
+	in := WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: 50}}
 	for _, n := range names {
 		in.Changes.Events = append(
 			in.Changes.Events,
@@ -185,7 +185,7 @@
 	awaits := testSubmission("wk-2")
 	awaits.Spec.Dependencies = []string{"wk-1"}
 	c.Handle(100*time.Second, awaits)
-	if r := outputsOfType[Response](c.Advance(100 * time.Second)); len(r) != 1 || r[0].Status != 503 ||
+	if r := outputsOfType[Response](c.Advance(100 * time.Second)); len(r) != 1 || r[0].Status != wire.StatusUnavailable ||
 		r[0].RetryAfterSeconds == 0 {
 		t.Errorf("awaits before the form: %+v", r)
 	}
@@ -240,7 +240,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Handle(time.Second, WatchResult{LongPoll: true, Status: 200, Changes: wire.WatchResponse{
+	c.Handle(time.Second, WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: wire.WatchResponse{
 		Revision: 90,
 		Events:   []wire.WatchEvent{{Put: keyJob + "wk-9", Value: raw, Revision: 90}},
 	}})
@@ -256,7 +256,7 @@
 			switch o := o.(type) {
 			case CommitTxn:
 				if !takes(o.Txn) {
-					c.Handle(now, TxnResult{ID: o.ID, Status: 400})
+					c.Handle(now, TxnResult{ID: o.ID, Status: wire.StatusBadRequest})
 					continue
 				}
 				ledger++
@@ -264,18 +264,18 @@
 				for _, w := range o.Txn.Then {
 					log = append(log, wire.WatchEvent{Put: w.Put, Delete: w.Delete, Value: w.Value, Revision: ledger})
 				}
-				c.Handle(now, TxnResult{ID: o.ID, Status: 200, Reply: wire.TxnResponse{Revision: ledger}})
+				c.Handle(now, TxnResult{ID: o.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: ledger}})
 				c.Handle(now, WatchResult{
 					LongPoll: true,
-					Status:   200,
+					Status:   wire.StatusOK,
 					Changes:  wire.WatchResponse{Revision: ledger, Events: log},
 				})
 			case Watch:
 				if !o.LongPoll {
-					c.Handle(now, WatchResult{Status: 200, Changes: wire.WatchResponse{Revision: ledger}})
+					c.Handle(now, WatchResult{Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: ledger}})
 				}
 			case LeaseRequest:
-				c.Handle(now, LeaseResult{Op: o.Op, Status: 200, LeaseID: c.ownLease.id})
+				c.Handle(now, LeaseResult{Op: o.Op, Status: wire.StatusOK, LeaseID: c.ownLease.id})
 			}
 		}
 	}
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -22,7 +22,7 @@
 	teams          []*team
 	writtenSlots   map[int]*batchvalue.Draft // that it writes
 	dependentSlots map[int]bool              // and those on whose marks writes of jobs' own keys depend
-	onDone         func(status int, r wire.TxnResponse)
+	onDone         func(status wire.Status, r wire.TxnResponse)
 	txn            wire.Txn
 }
 
@@ -43,19 +43,19 @@
 	}
 	delete(c.transactions.inFlight, in.ID)
 	c.recordStoreStatus(in.Status)
-	if in.Status == 429 {
+	if in.Status == wire.StatusTooManyRequests {
 		c.transactions.rateLimit.Pause(
 			c.now+80*time.Millisecond+c.jitter(150*time.Millisecond),
 			c.now+20*time.Millisecond+c.jitter(40*time.Millisecond),
 		)
 	}
-	if in.Status == 503 || in.Status == 0 {
+	if in.Status == wire.StatusUnavailable || in.Status == wire.StatusNoAnswer {
 		until := c.now + 100*time.Millisecond + c.jitter(100*time.Millisecond)
 		c.transactions.rateLimit.Pause(until, until)
 	}
-	if in.Status != 200 {
+	if in.Status != wire.StatusOK {
 		c.log(
-			"debug",
+			LevelDebug,
 			"transaction not committed",
 			"status",
 			in.Status,
@@ -65,17 +65,17 @@
 			in.Reply.Error,
 		)
 	}
-	if in.Status == 400 && x.onDone == nil { // no leased key is in it
+	if in.Status == wire.StatusBadRequest && x.onDone == nil { // no leased key is in it
 		c.reduceTxnLimits(&x.txn)
 	}
 	for _, key := range in.Reply.Failed {
 		c.history.archiveIndex.Invalidate(key)
 	}
-	behind := in.Status != 200 && in.Status != 429 && in.Status != 503
+	behind := in.Status != wire.StatusOK && in.Status != wire.StatusTooManyRequests && in.Status != wire.StatusUnavailable
 	locked := c.releaseSlots(x, in.Status, in.Reply.Revision)
 	for _, t := range x.teams {
 		t.locked = behind // a team's state must be read before it is used again
-		if in.Status == 200 {
+		if in.Status == wire.StatusOK {
 			t.revision = max(t.revision, in.Reply.Revision)
 		}
 	}
@@ -83,10 +83,10 @@
 		x.onDone(in.Status, in.Reply)
 		return
 	}
-	if in.Status == 409 {
+	if in.Status == wire.StatusConflict {
 		c.Stats.Conflicts++
 	}
-	if in.Status == 0 {
+	if in.Status == wire.StatusNoAnswer {
 		c.Stats.UnknownOutcomes++
 	}
 	var resync []*job
@@ -94,7 +94,7 @@
 		j := p.job
 		j.write.inFlight = false
 		c.currentAuditLog().HandleOutcome(p.auditEntryIDs, in.Status)
-		if in.Status == 200 {
+		if in.Status == wire.StatusOK {
 			for _, a := range p.ended {
 				c.releaseOnce(j, a)
 			}
@@ -109,7 +109,7 @@
 				c.adoptRecord(j, p.record, p.assignments, in.Reply.Revision, p.encodedSize)
 			}
 			if p.isAcceptance {
-				c.completeSubmission(j, 201, "")
+				c.completeSubmission(j, wire.StatusCreated, "")
 			}
 			c.completeCancellations(j)
 			continue
@@ -122,19 +122,19 @@
 			j.submission.writeFailed = true
 		}
 		switch in.Status {
-		case 429, 503: // not executed
-			if in.Status == 503 {
-				c.completeSubmission(j, 503, "state service not reached")
+		case wire.StatusTooManyRequests, wire.StatusUnavailable: // not executed
+			if in.Status == wire.StatusUnavailable {
+				c.completeSubmission(j, wire.StatusUnavailable, "state service not reached")
 				c.rejectCancellations(j, "state service not reached")
 			}
-		case 0:
-			c.completeSubmission(j, 503, "outcome not known yet")
+		case wire.StatusNoAnswer:
+			c.completeSubmission(j, wire.StatusUnavailable, "outcome not known yet")
 			c.rejectCancellations(j, "outcome not known yet")
 			fallthrough
 		default:
 			// Applied late, or overtaken: read before proposing anything again.
 			j.write.outcomeUnknown = true
-			if in.Status == 400 {
+			if in.Status == wire.StatusBadRequest {
 				j.write.nextLookAt = c.now + time.Second
 			}
 			resync = append(resync, j)
@@ -165,7 +165,7 @@
 			j.write.outcomeUnknown = false
 			c.markDirty(j)
 			if j.submission != nil && j.revision != 0 {
-				c.completeSubmission(j, 200, "")
+				c.completeSubmission(j, wire.StatusOK, "")
 			}
 			c.completeCancellations(j)
 		}
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -253,7 +253,7 @@
 		}
 		s.schedule(storeLatency, func() { back(out) })
 	case core.LeaseRequest:
-		s.schedule(storeLatency, func() { back(core.LeaseResult{Op: o.Op, Status: 200, LeaseID: n.leaseID}) })
+		s.schedule(storeLatency, func() { back(core.LeaseResult{Op: o.Op, Status: wire.StatusOK, LeaseID: n.leaseID}) })
 	case core.SendCommands:
 		m := s.byName[o.Machine]
 		s.schedule(localLatency, func() {
@@ -262,7 +262,7 @@
 				return
 			}
 			m.executeCommands(o.Batch.FencingToken, o.Batch.Commands)
-			out := core.CommandsResult{ID: o.ID, Status: 200, MaybeDelivered: true, Heartbeat: m.nextHeartbeat()}
+			out := core.CommandsResult{ID: o.ID, Status: wire.StatusOK, MaybeDelivered: true, Heartbeat: m.nextHeartbeat()}
 			s.schedule(localLatency, func() { back(out) })
 		})
 	case core.PollAgent:
@@ -276,25 +276,25 @@
 			s.schedule(localLatency, func() { back(out) })
 		})
 	case core.CloudRequest:
-		out := core.CloudResult{ID: o.ID, Status: 200}
+		out := core.CloudResult{ID: o.ID, Status: wire.StatusOK}
 		switch o.Op {
-		case "catalog":
+		case core.CloudCatalog:
 			out.Catalog = &wire.Catalog{Types: []wire.MachineType{machineType}}
-		case "list":
+		case core.CloudList:
 			for _, m := range s.machines {
 				out.Machines = append(out.Machines, wire.Machine{
 					Name: m.name, Addr: "x:1", Type: machineType.Name, Zone: m.zone, Spot: m.spot,
 					Stage: wire.MachineRunning, AgeS: (s.now - m.rentedAt).Seconds(),
 				})
 			}
-		case "rent":
+		case core.CloudScaleOut:
 			for range min(o.ScaleOut.Count, s.maxMachines-len(s.machines)) {
 				out.MachineNames = append(out.MachineNames, s.rentMachine(o.ScaleOut.Zone, o.ScaleOut.Spot).name)
 			}
 			if len(out.MachineNames) == 0 {
-				out.Status, out.Error = 503, "no capacity"
+				out.Status, out.Error = wire.StatusUnavailable, "no capacity"
 			}
-		case "return":
+		case core.CloudScaleIn:
 			for _, name := range o.MachineNames {
 				s.returnMachine(name)
 			}
@@ -313,7 +313,7 @@
 	s.storeEvents = append(s.storeEvents, wire.WatchEvent{Put: w.Put, Value: w.Value, Revision: s.revision})
 }
 
-func (s *simCluster) commit(t wire.Txn) (int, wire.TxnResponse) {
+func (s *simCluster) commit(t wire.Txn) (wire.Status, wire.TxnResponse) {
 	var failed []string
 	for _, c := range t.Compare {
 		if s.keys[c.Key].Revision != c.Revision {
@@ -322,7 +322,7 @@
 	}
 	s.counters.writes += len(t.Then)
 	if len(failed) > 0 {
-		return 409, wire.TxnResponse{Revision: s.revision, Failed: failed}
+		return wire.StatusConflict, wire.TxnResponse{Revision: s.revision, Failed: failed}
 	}
 	s.revision++
 	for _, w := range t.Then {
@@ -333,12 +333,12 @@
 	for _, f := range ws {
 		f()
 	}
-	return 200, wire.TxnResponse{Revision: s.revision}
+	return wire.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
 func (s *simCluster) serveWatch(o core.Watch, back func(core.Input)) {
 	answer := func() {
-		out := core.WatchResult{LongPoll: o.LongPoll, Status: 200, Changes: wire.WatchResponse{Revision: s.revision}}
+		out := core.WatchResult{LongPoll: o.LongPoll, Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: s.revision}}
 		i, _ := slices.BinarySearchFunc(s.storeEvents, o.SinceRevision+1, func(e wire.WatchEvent, mark uint64) int {
 			if e.Revision < mark {
 				return -1
@@ -479,7 +479,7 @@
 	s.sendRequest(s.nodes[s.rng.IntN(controllerCount)], func(req uint64) core.Input {
 		return core.SubmitJob{RequestID: req, ID: spec.ID, Spec: spec, UnixMS: startUnixMS + s.now.Milliseconds()}
 	}, func(r core.Response) {
-		if r.Status == 201 || r.Status == 200 {
+		if r.Status == wire.StatusCreated || r.Status == wire.StatusOK {
 			s.counters.accepted++
 			return
 		}
--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -264,7 +264,7 @@
 			2*time.Second,
 			func(r uint64) core.Input { in.RequestID = r; return in },
 			func(r core.Response, ok bool) {
-				if ok && (r.Status == 200) != (by.Identity == rootUser) && r.Status != 503 {
+				if ok && (r.Status == wire.StatusOK) != (by.Identity == rootUser) && r.Status != wire.StatusUnavailable {
 					w.Checker.violated("let_in", "%s reads the audit record: %d", by.Identity, r.Status)
 				}
 			},
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -52,7 +52,7 @@
 func hasStage(stage string) func(core.Response) bool {
 	return func(r core.Response) bool {
 		st, _ := r.Body.(wire.JobState)
-		return r.Status == 200 && st.Stage == stage
+		return r.Status == wire.StatusOK && st.Stage == stage
 	}
 }
 
@@ -71,7 +71,7 @@
 	w.Checker.JobSubmitted(s)
 	w.requestUntil(pick, func(r uint64) core.Input {
 		return core.SubmitJob{RequestID: r, ID: s.ID, Spec: s, UnixMS: w.nowUnixMS()}
-	}, "submit", s.ID, func(r core.Response) bool { return r.Status == 200 || r.Status == 201 }, func(*node) {})
+	}, "submit", s.ID, func(r core.Response) bool { return r.Status == wire.StatusOK || r.Status == wire.StatusCreated }, func(*node) {})
 }
 
 func (w *Simulator) cancelUntilTold(pick func() *node, id string, told func(*node)) {
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -124,9 +124,9 @@
 func (k *Checker) CancelRequested(id string) { k.jobs[id].cancelRequested = true }
 
 // CheckResponse checks an answer to a submission, a poll or a cancellation that was asked at began.
-func (k *Checker) CheckResponse(began, now time.Duration, verb, id string, status int, stage string) {
+func (k *Checker) CheckResponse(began, now time.Duration, verb, id string, status wire.Status, stage string) {
 	j := k.jobs[id]
-	if status == 200 || status == 201 {
+	if status == wire.StatusOK || status == wire.StatusCreated {
 		if j == nil {
 			k.violated("invented", "%s of %s got %d", verb, id, status)
 			return
@@ -188,7 +188,7 @@
 	if j == nil || !j.accepted {
 		return
 	}
-	if status == 404 || verb == "submit" && (status == 400 || status == 422) {
+	if status == wire.StatusNotFound || verb == "submit" && (status == wire.StatusBadRequest || status == wire.StatusInvalid) {
 		k.violated("forgotten", "%s of %s got %d", verb, id, status)
 	}
 }
@@ -280,13 +280,13 @@
 }
 
 // CheckResponsive notes whether a question about a job was answered: with its state, or that there is none.
-func (k *Checker) CheckResponsive(began, now time.Duration, id string, status int) {
+func (k *Checker) CheckResponsive(began, now time.Duration, id string, status wire.Status) {
 	j := k.jobs[id]
 	if j == nil || !j.accepted || k.faultFreeFrom == 0 || began < k.faultFreeFrom {
 		return
 	}
 	switch {
-	case status == 200 || status == 201 || status == 404:
+	case status == wire.StatusOK || status == wire.StatusCreated || status == wire.StatusNotFound:
 		j.unansweredSince = 0
 	case j.unansweredSince == 0:
 		j.unansweredSince = began
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -61,7 +61,7 @@
 		},
 			func(r core.Response, ok bool) {
 				w.checkJobResponse(by, began, "cancel", id, r, ok)
-				if !ok || r.Status != 200 && r.Status != 404 {
+				if !ok || r.Status != wire.StatusOK && r.Status != wire.StatusNotFound {
 					w.schedule(time.Second, try)
 				}
 			})
@@ -115,7 +115,7 @@
 			s := w.infeasibleJob()
 			w.submitOnce(n, core.SubmitJob{ID: s.ID, Spec: s, Caller: by}, func(r core.Response, ok bool) {
 				if ok {
-					w.Checker.CheckRejected(fmt.Sprintf("%+v", s), r.Status, 422)
+					w.Checker.CheckRejected(fmt.Sprintf("%+v", s), r.Status, wire.StatusInvalid)
 				}
 			})
 		case 3:
@@ -125,7 +125,7 @@
 				core.SubmitJob{ID: id, DecodeError: "pieces is missing", Caller: by},
 				func(r core.Response, ok bool) {
 					if ok {
-						w.Checker.CheckRejected("a job that lacks a field", r.Status, 400)
+						w.Checker.CheckRejected("a job that lacks a field", r.Status, wire.StatusBadRequest)
 					}
 				},
 			)
@@ -135,8 +135,8 @@
 }
 
 // CheckRejected checks the answer to a submission that can't run or lacks a field: it is refused for good, or for now.
-func (k *Checker) CheckRejected(what string, status, want int) {
-	if status != want && status != 503 && status != 403 {
+func (k *Checker) CheckRejected(what string, status, want wire.Status) {
+	if status != want && status != wire.StatusUnavailable && status != wire.StatusForbidden {
 		k.violated("unfit", "%s got %d", what, status)
 	}
 }
--- a/internal/sim/fakes.go
+++ b/internal/sim/fakes.go
@@ -149,19 +149,19 @@
 	return true
 }
 
-func (s *fakeStore) commit(node string, t wire.Txn) (int, wire.TxnResponse) {
+func (s *fakeStore) commit(node string, t wire.Txn) (wire.Status, wire.TxnResponse) {
 	if s.isUnavailable(node) {
-		return 503, wire.TxnResponse{}
+		return wire.StatusUnavailable, wire.TxnResponse{}
 	}
 	if s.limits.exceeded(t) {
-		return 400, wire.TxnResponse{Error: "too large"}
+		return wire.StatusBadRequest, wire.TxnResponse{Error: "too large"}
 	}
 	if !s.allowWrites(len(t.Then)) {
-		return 429, wire.TxnResponse{}
+		return wire.StatusTooManyRequests, wire.TxnResponse{}
 	}
 	for _, w := range t.Then {
 		if w.Put != "" && w.LeaseID != 0 && s.leases[w.LeaseID] == nil {
-			return 400, wire.TxnResponse{Error: "no such lease"}
+			return wire.StatusBadRequest, wire.TxnResponse{Error: "no such lease"}
 		}
 	}
 	var failed []string
@@ -175,7 +175,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return 409, wire.TxnResponse{Failed: failed, Revision: s.revision}
+		return wire.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.revision}
 	}
 	if s.w.options.AuditLog {
 		s.w.auditChecker.CheckTxn(s.keys, t)
@@ -197,7 +197,7 @@
 		s.w.reservations.checkStored(s.keys)
 	}
 	s.notifyWatches()
-	return 200, wire.TxnResponse{Revision: s.revision}
+	return wire.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
 func (s *fakeStore) eventsSince(from uint64) wire.WatchResponse {
@@ -220,9 +220,9 @@
 	}
 	if !o.LongPoll {
 		w.rpc(n.name, "state", 2*time.Second, 0, func() time.Duration {
-			out.Status = 503
+			out.Status = wire.StatusUnavailable
 			if !s.isUnavailable(n.name) {
-				out.Status, out.Changes = 200, s.eventsSince(o.SinceRevision)
+				out.Status, out.Changes = wire.StatusOK, s.eventsSince(o.SinceRevision)
 			}
 			return 0
 		}, func(ok bool) {
@@ -249,7 +249,7 @@
 	})
 	w.send(n.name, "state", func() {
 		if s.isUnavailable(n.name) {
-			answer(core.WatchResult{LongPoll: true, Status: 503})
+			answer(core.WatchResult{LongPoll: true, Status: wire.StatusUnavailable})
 			return
 		}
 		x := &pendingWatch{from: o.SinceRevision}
@@ -258,7 +258,7 @@
 				w.schedule(time.Second, x.respond)
 				return
 			}
-			answer(core.WatchResult{LongPoll: true, Status: 200, Changes: s.eventsSince(o.SinceRevision)})
+			answer(core.WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: s.eventsSince(o.SinceRevision)})
 		}
 		if s.revision > o.SinceRevision {
 			x.respond()
@@ -341,36 +341,36 @@
 
 func (s *fakeStore) loadSnapshot(node string, o core.LoadSnapshot) core.SnapshotPage {
 	if s.isUnavailable(node) {
-		return core.SnapshotPage{Status: 503}
+		return core.SnapshotPage{Status: wire.StatusUnavailable}
 	}
-	out := core.SnapshotPage{OK: true, Status: 200, Revision: s.revision}
+	out := core.SnapshotPage{OK: true, Status: wire.StatusOK, Revision: s.revision}
 	out.Items, out.More = s.rangePage(core.Root, o.AfterKey, snapshotPageSize)
 	return out
 }
 
 func (s *fakeStore) readRange(node string, o core.ReadRange) core.RangeResult {
-	out := core.RangeResult{ID: o.ID, Status: 503}
+	out := core.RangeResult{ID: o.ID, Status: wire.StatusUnavailable}
 	if s.isUnavailable(node) {
 		return out
 	}
-	out.Status, out.Revision = 200, s.revision
+	out.Status, out.Revision = wire.StatusOK, s.revision
 	if o.Key == "" {
 		out.Items, out.More = s.rangePage(o.Prefix, o.AfterKey, o.Limit)
 	} else if it := s.keys[o.Key]; it != nil {
 		out.Items = []wire.KeyValue{*it}
 	} else {
-		out.Status = 404
+		out.Status = wire.StatusNotFound
 	}
 	return out
 }
 
 func (s *fakeStore) serveLease(node string, o core.LeaseRequest) core.LeaseResult {
-	out := core.LeaseResult{Op: o.Op, LeaseID: o.LeaseID, Status: 503}
+	out := core.LeaseResult{Op: o.Op, LeaseID: o.LeaseID, Status: wire.StatusUnavailable}
 	if s.isUnavailable(node) {
 		return out
 	}
-	out.Status = 200
-	if o.Op == "grant" {
+	out.Status = wire.StatusOK
+	if o.Op == core.LeaseGrant {
 		s.lastLeaseID++
 		s.leases[s.lastLeaseID] = &leaseState{o.TTL, s.w.now + o.TTL}
 		out.LeaseID = s.lastLeaseID
@@ -378,7 +378,7 @@
 	}
 	l := s.leases[o.LeaseID]
 	if l == nil {
-		out.Status = 404
+		out.Status = wire.StatusNotFound
 		return out
 	}
 	l.expiresAt = s.w.now + l.ttl
@@ -439,16 +439,16 @@
 }
 
 func (c *fakeCloud) serve(o core.CloudRequest) core.CloudResult {
-	out := core.CloudResult{ID: o.ID, Status: 200}
+	out := core.CloudResult{ID: o.ID, Status: wire.StatusOK}
 	if c.down || c.w.options.FlakyCloud && c.w.chance(0.7) {
-		out.Status, out.Error = 503, "trouble"
+		out.Status, out.Error = wire.StatusUnavailable, "trouble"
 		return out
 	}
 	switch o.Op {
-	case "catalog":
+	case core.CloudCatalog:
 		k := catalog
 		out.Catalog = &k
-	case "rent":
+	case core.CloudScaleOut:
 		if names, ok := c.rentals[o.ScaleOut.IdempotencyKey]; ok {
 			out.MachineNames = names
 			return out
@@ -461,7 +461,7 @@
 		}
 		n := min(o.ScaleOut.Count, max(0, c.w.options.MaxMachines-live))
 		if n == 0 || !c.w.options.NoFaults && c.w.chance(0.2) {
-			out.Status, out.Error = 503, "no capacity"
+			out.Status, out.Error = wire.StatusUnavailable, "no capacity"
 			return out
 		}
 		for i := 0; i < n; i++ {
@@ -485,13 +485,13 @@
 			}
 		}
 		c.rentals[o.ScaleOut.IdempotencyKey] = out.MachineNames
-	case "return":
+	case core.CloudScaleIn:
 		for _, n := range o.MachineNames {
 			if m := c.find(n); m != nil {
 				m.returnToCloud()
 			}
 		}
-	case "list":
+	case core.CloudList:
 		for _, m := range c.machines {
 			if m.machine.Name > o.AfterMachine && (!m.gone || m.failed || c.w.now-m.goneAt < 5*time.Second) &&
 				c.w.now-m.rentedAt > 3*time.Second &&
@@ -680,7 +680,7 @@
 		over = true
 		m.heartbeatInFlight = false
 		b, isBeat := rep.Body.(wire.HeartbeatResponse)
-		if !ok || rep.Status != 200 || !isBeat {
+		if !ok || rep.Status != wire.StatusOK || !isBeat {
 			m.controllerIndex = (m.controllerIndex + 1) % len(m.w.nodes)
 			m.w.schedule(time.Second, m.sendHeartbeat)
 			return
@@ -707,20 +707,20 @@
 }
 
 // handleCommands executes direct orders; a hanging machine does so when it goes on.
-func (m *fakeWorker) handleCommands(b wire.CommandBatch) (int, *wire.Heartbeat) {
+func (m *fakeWorker) handleCommands(b wire.CommandBatch) (wire.Status, *wire.Heartbeat) {
 	if m.gone || !m.up {
-		return 0, nil
+		return wire.StatusNoAnswer, nil
 	}
 	if m.w.now < m.hungUntil {
 		m.w.schedule(m.hungUntil-m.w.now+time.Millisecond, func() { m.handleCommands(b) })
-		return 0, nil
+		return wire.StatusNoAnswer, nil
 	}
 	if b.FencingToken < m.fencingToken || b.Incarnation != m.incarnation {
-		return 409, m.nextHeartbeat()
+		return wire.StatusConflict, m.nextHeartbeat()
 	}
 	m.fencingToken = b.FencingToken
 	m.executeCommands(b.Commands)
-	return 200, m.nextHeartbeat()
+	return wire.StatusOK, m.nextHeartbeat()
 }
 
 func (m *fakeWorker) executeCommands(orders []wire.Command) {
--- a/internal/sim/permissions.go
+++ b/internal/sim/permissions.go
@@ -115,7 +115,7 @@
 	w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 5*time.Second, func(r uint64) core.Input {
 		return core.UpdatePermissions{RequestID: r, Caller: credentialOf(rootUser), Identity: who, Edit: edit}
 	}, func(r core.Response, ok bool) {
-		if !ok || r.Status != 200 {
+		if !ok || r.Status != wire.StatusOK {
 			w.schedule(time.Second, func() { w.setPermission(who, edit, done) })
 			return
 		}
@@ -128,16 +128,16 @@
 
 // checkPermission checks an answer by the rights of whoever asked; false if it says nothing about the job, as
 // they may not have been allowed to know.
-func (w *Simulator) checkPermission(by core.Credential, began time.Duration, verb, id string, status int) bool {
+func (w *Simulator) checkPermission(by core.Credential, began time.Duration, verb, id string, status wire.Status) bool {
 	if !w.options.Permissions {
 		return true
 	}
-	if slices.Contains([]int{200, 201}, status) {
+	if slices.Contains([]wire.Status{wire.StatusOK, wire.StatusCreated}, status) {
 		w.Checker.CheckAuthorized(began, by.Identity, verb, id)
 		return true
 	}
-	if status == 403 && w.Checker.isSurelyGranted(began, by.Identity) {
+	if status == wire.StatusForbidden && w.Checker.isSurelyGranted(began, by.Identity) {
 		w.Checker.violated("shut_out", "%s of %s by %s, who may", verb, id, by.Identity)
 	}
-	return status != 403 && w.Checker.isSurelyGranted(began, by.Identity)
+	return status != wire.StatusForbidden && w.Checker.isSurelyGranted(began, by.Identity)
 }
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -230,11 +230,11 @@
 	a, _ := r.Body.(wire.ReservationResponse)
 	t, known := k.views[id]
 	broken := k.w.Checker.violated
-	if r.Status == 404 && known && began >= t.toldAt {
+	if r.Status == wire.StatusNotFound && known && began >= t.toldAt {
 		broken("booking_lost", "%s was called %s and is unknown", id, t.state)
 	}
 	b := a.Reservation
-	if b == nil || b.ID != id || r.Status >= 300 && r.Status != 409 {
+	if b == nil || b.ID != id || r.Status >= 300 && r.Status != wire.StatusConflict {
 		return nil
 	}
 	if known && began >= t.toldAt {
@@ -280,7 +280,7 @@
 	w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 2*time.Second, by, func(r core.Response, ok bool) {
 		if ok {
 			b := k.checkAnswer(began, id, r)
-			if r.Status != 503 {
+			if r.Status != wire.StatusUnavailable {
 				then(r, b)
 				return
 			}
@@ -369,7 +369,7 @@
 			Edit:      wire.EquipmentEdit{Text: text, EndDisplaced: end, Reason: "the kiln is out of order"},
 		}
 	}, func(r core.Response, _ *wire.Reservation) {
-		if r.Status != 200 && r.Status != 409 {
+		if r.Status != wire.StatusOK && r.Status != wire.StatusConflict {
 			k.w.Checker.violated("booking", "a list of equipment got %d: %v", r.Status, r.Body)
 		}
 	})
@@ -423,9 +423,9 @@
 	}
 	send(booking.VerbCreate, a, func(r core.Response, _ *wire.Reservation) {
 		switch r.Status {
-		case 200, 201:
+		case wire.StatusOK, wire.StatusCreated:
 			life()
-		case 409:
+		case wire.StatusConflict:
 		default:
 			w.Checker.violated("booking", "%s got %d: %v", id, r.Status, r.Body)
 		}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -397,7 +397,7 @@
 		for _, id := range []string{"wk-000001", "wk-000002"} {
 			w.Checker.JobSubmitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
 		}
-		w.Checker.CheckResponse(0, 0, "submit", "wk-000001", 201, wire.StageQueued)
+		w.Checker.CheckResponse(0, 0, "submit", "wk-000001", wire.StatusCreated, wire.StageQueued)
 		c.change(w, m)
 		w.schedule(time.Second, w.checkStarvation)
 		for at, do, ok := w.events.PopUntil(120 * time.Second); ok; at, do, ok = w.events.PopUntil(120 * time.Second) {
@@ -416,8 +416,8 @@
 	for rule, step := range map[string]func(k *Checker){
 		"forgotten": func(k *Checker) {
 			for at := 110 * time.Second; at < 200*time.Second; at += 5 * time.Second {
-				k.CheckResponsive(at, at+2*time.Second, "wk-000001", 503)
-				k.CheckResponsive(at, at+2*time.Second, "wk-000002", 200) // others fare well
+				k.CheckResponsive(at, at+2*time.Second, "wk-000001", wire.StatusUnavailable)
+				k.CheckResponsive(at, at+2*time.Second, "wk-000002", wire.StatusOK) // others fare well
 			}
 		},
 		"unserved": func(k *Checker) { k.Finish(200 * time.Second) },
@@ -431,7 +431,7 @@
 		k.faultFreeFrom, k.Starts = 100*time.Second, 1
 		for i, id := range []string{"wk-000001", "wk-000002"} {
 			k.JobSubmitted(wire.JobSpec{ID: id, Class: "c", Team: "t0", Tasks: 3 - i})
-			k.CheckResponse(time.Second, time.Second, "submit", id, 201, wire.StageQueued)
+			k.CheckResponse(time.Second, time.Second, "submit", id, wire.StatusCreated, wire.StageQueued)
 		}
 		step(k)
 		if len(k.Violations) == 0 || !strings.HasPrefix(k.Violations[0], rule+":") {
@@ -610,19 +610,22 @@
 		"ran_cancelled": func(k *Checker) {
 			k.TaskStarted(0, "wk-1", 0, m1)
 			k.CancelRequested("wk-1")
-			k.CheckResponse(0, 0, "cancel", "wk-1", 200, "cancelled")
+			k.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
 			k.Tick(11 * time.Second)
 		},
 		"forgotten": func(k *Checker) {
-			k.CheckResponse(0, 0, "submit", "wk-1", 201, "queued")
-			k.CheckResponse(0, 0, "poll", "wk-1", 404, "")
+			k.CheckResponse(0, 0, "submit", "wk-1", wire.StatusCreated, "queued")
+			k.CheckResponse(0, 0, "poll", "wk-1", wire.StatusNotFound, "")
+		},
+		"invented": func(k *Checker) { k.CheckResponse(0, 0, "poll", "wk-2", wire.StatusOK, "queued") },
+		"not_done": func(k *Checker) {
+			k.TaskCompleted("wk-1", 0)
+			k.CheckResponse(0, 0, "poll", "wk-1", wire.StatusOK, "done")
 		},
-		"invented": func(k *Checker) { k.CheckResponse(0, 0, "poll", "wk-2", 200, "queued") },
-		"not_done": func(k *Checker) { k.TaskCompleted("wk-1", 0); k.CheckResponse(0, 0, "poll", "wk-1", 200, "done") },
 		"went_back": func(k *Checker) {
 			k.CancelRequested("wk-1")
-			k.CheckResponse(0, 0, "cancel", "wk-1", 200, "cancelled")
-			k.CheckResponse(1, 2, "poll", "wk-1", 200, "queued")
+			k.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
+			k.CheckResponse(1, 2, "poll", "wk-1", wire.StatusOK, "queued")
 		},
 		"let_in": func(k *Checker) {
 			k.PermissionChanging("u")
@@ -633,17 +636,17 @@
 		},
 		"nothing_ran": func(k *Checker) { k.Finish(0) },
 		"unfit": func(k *Checker) {
-			k.CheckRejected("wk-3", 422, 422)
-			k.CheckRejected("wk-3", 503, 422)
-			k.CheckRejected("wk-3", 400, 422)
+			k.CheckRejected("wk-3", wire.StatusInvalid, wire.StatusInvalid)
+			k.CheckRejected("wk-3", wire.StatusUnavailable, wire.StatusInvalid)
+			k.CheckRejected("wk-3", wire.StatusBadRequest, wire.StatusInvalid)
 		},
 		"too_early": func(k *Checker) { k.JobSubmitted(after); k.TaskCompleted("wk-1", 0); k.TaskStarted(0, "wk-2", 0, m1) },
 		"orphaned": func(k *Checker) {
 			k.JobSubmitted(after)
-			k.CheckResponse(0, 0, "submit", "wk-2", 201, "queued")
+			k.CheckResponse(0, 0, "submit", "wk-2", wire.StatusCreated, "queued")
 			k.CancelRequested("wk-1")
-			k.CheckResponse(0, 0, "cancel", "wk-1", 200, "cancelled")
-			k.CheckResponse(11*time.Second, 11*time.Second, "poll", "wk-2", 200, "queued")
+			k.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
+			k.CheckResponse(11*time.Second, 11*time.Second, "poll", "wk-2", wire.StatusOK, "queued")
 		},
 	} {
 		k := NewChecker(10*time.Second, map[string][2]int64{})
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -815,7 +815,7 @@
 	ok bool,
 ) string {
 	if !ok {
-		w.Checker.CheckResponsive(began, w.now, id, 0)
+		w.Checker.CheckResponsive(began, w.now, id, wire.StatusNoAnswer)
 	}
 	if !ok || !w.checkPermission(by, began, verb, id, r.Status) {
 		return ""
@@ -878,7 +878,7 @@
 		}
 		w.submitOnce(pick(), core.SubmitJob{ID: s.ID, Spec: s, Caller: by},
 			func(r core.Response, ok bool) {
-				if !ok || r.Status != 200 && r.Status != 201 {
+				if !ok || r.Status != wire.StatusOK && r.Status != wire.StatusCreated {
 					w.schedule(time.Second, submit)
 					return
 				}
@@ -915,7 +915,7 @@
 		},
 			func(r core.Response, ok bool) {
 				w.checkJobResponse(by, began, "cancel", s.ID, r, ok)
-				if !ok || r.Status != 200 {
+				if !ok || r.Status != wire.StatusOK {
 					w.schedule(time.Second, cancel)
 					return
 				}
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -35,9 +35,9 @@
 		c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathTxn, o.Txn),
 	)
 	if !r.Sent { // never reached the service
-		return core.TxnResult{ID: o.ID, Status: 503}
+		return core.TxnResult{ID: o.ID, Status: wire.StatusUnavailable}
 	}
-	return core.TxnResult{ID: o.ID, Status: r.Status, Reply: reply}
+	return core.TxnResult{ID: o.ID, Status: wire.Status(r.Status), Reply: reply}
 }
 
 // Watch waits for changes, or reads those until now.
@@ -55,7 +55,7 @@
 		hold.Milliseconds(),
 	)
 	ch, r := httpjson.Decode[wire.WatchResponse](c.httpClient.Do(ctx, hold+requestTimeout, http.MethodGet, u, nil))
-	return core.WatchResult{LongPoll: o.LongPoll, Status: r.Status, Changes: ch}
+	return core.WatchResult{LongPoll: o.LongPoll, Status: wire.Status(r.Status), Changes: ch}
 }
 
 // LoadSnapshot reads a page of all keys.
@@ -63,7 +63,7 @@
 	page, r := c.readPage(ctx, core.Root, o.AfterKey, maxPageSize)
 	return core.SnapshotPage{
 		OK:       r.Status == http.StatusOK,
-		Status:   r.Status,
+		Status:   wire.Status(r.Status),
 		Items:    page.Items,
 		More:     page.More,
 		Revision: page.Revision,
@@ -76,14 +76,14 @@
 		item, r := httpjson.Decode[wire.GetResponse](
 			c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathKeys+"/"+o.Key, nil),
 		)
-		out := core.RangeResult{ID: o.ID, Status: r.Status, Revision: item.StoreRevision}
+		out := core.RangeResult{ID: o.ID, Status: wire.Status(r.Status), Revision: item.StoreRevision}
 		if r.Status == http.StatusOK {
 			out.Items = []wire.KeyValue{item.KeyValue}
 		}
 		return out
 	}
 	page, r := c.readPage(ctx, o.Prefix, o.AfterKey, o.Limit)
-	return core.RangeResult{ID: o.ID, Status: r.Status, Items: page.Items, More: page.More, Revision: page.Revision}
+	return core.RangeResult{ID: o.ID, Status: wire.Status(r.Status), Items: page.Items, More: page.More, Revision: page.Revision}
 }
 
 func (c *Client) readPage(
@@ -99,12 +99,12 @@
 // GrantOrRenewLease grants or extends a lease.
 func (c *Client) GrantOrRenewLease(ctx context.Context, o core.LeaseRequest) core.LeaseResult {
 	switch o.Op {
-	case "grant":
+	case core.LeaseGrant:
 		v, r := httpjson.Decode[wire.LeaseResponse](
 			c.httpClient.Do(ctx, requestTimeout/2, http.MethodPost, c.baseURL+wire.PathLeases,
 				wire.LeaseRequest{TTLMS: uint64(o.TTL.Milliseconds())}),
 		)
-		return core.LeaseResult{Op: o.Op, Status: r.Status, LeaseID: v.LeaseID}
+		return core.LeaseResult{Op: o.Op, Status: wire.Status(r.Status), LeaseID: v.LeaseID}
 	default:
 		r := c.httpClient.Do(
 			ctx,
@@ -113,6 +113,6 @@
 			fmt.Sprintf("%s%s/%d/extend", c.baseURL, wire.PathLeases, o.LeaseID),
 			struct{}{},
 		)
-		return core.LeaseResult{Op: o.Op, Status: r.Status, LeaseID: o.LeaseID}
+		return core.LeaseResult{Op: o.Op, Status: wire.Status(r.Status), LeaseID: o.LeaseID}
 	}
 }
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -54,20 +54,20 @@
 			AfterKey: "da/b/" + id,
 			Limit:    1,
 		}); p.ID != 3 ||
-			p.Status != 200 ||
+			p.Status != wire.StatusOK ||
 			string(p.Items[0].Value) != want {
 			t.Errorf("%s: %+v", id, p)
 		}
 	}
-	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-007"}); p.Status != 200 || len(p.Items) != 1 ||
+	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-007"}); p.Status != wire.StatusOK || len(p.Items) != 1 ||
 		p.Items[0].Revision != 1 {
 		t.Errorf("got %+v", p)
 	}
-	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-x"}); p.Status != 404 || p.Revision != 2 {
+	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-x"}); p.Status != wire.StatusNotFound || p.Revision != 2 {
 		t.Errorf("got %+v", p)
 	}
 
-	l := c.GrantOrRenewLease(ctx, core.LeaseRequest{Op: "grant", TTL: 200 * time.Millisecond})
+	l := c.GrantOrRenewLease(ctx, core.LeaseRequest{Op: core.LeaseGrant, TTL: 200 * time.Millisecond})
 	put := func(mark, lease uint64) core.TxnResult {
 		return c.CommitTxn(
 			ctx,
@@ -80,21 +80,21 @@
 		)
 	}
 	first, again := put(0, l.LeaseID), put(0, 0)
-	if first.Status != 200 || again.Status != 409 || len(again.Reply.Failed) != 1 {
+	if first.Status != wire.StatusOK || again.Status != wire.StatusConflict || len(again.Reply.Failed) != 1 {
 		t.Errorf("got %+v, %+v", first, again)
 	}
 	ch := c.Watch(ctx, core.Watch{SinceRevision: first.Reply.Revision, LongPoll: true}) // until the lease ends
-	if ch.Status != 200 || len(ch.Changes.Events) != 1 || ch.Changes.Events[0].Delete != "dl/x" {
+	if ch.Status != wire.StatusOK || len(ch.Changes.Events) != 1 || ch.Changes.Events[0].Delete != "dl/x" {
 		t.Errorf("got %+v", ch)
 	}
-	if r := c.GrantOrRenewLease(ctx, core.LeaseRequest{Op: "extend", LeaseID: l.LeaseID}); r.Status != 404 {
+	if r := c.GrantOrRenewLease(ctx, core.LeaseRequest{Op: core.LeaseExtend, LeaseID: l.LeaseID}); r.Status != wire.StatusNotFound {
 		t.Errorf("an ended lease was extended: %+v", r)
 	}
-	if r := put(0, l.LeaseID); r.Status != 400 {
+	if r := put(0, l.LeaseID); r.Status != wire.StatusBadRequest {
 		t.Errorf("a key of an ended lease: %+v", r)
 	}
 	s.SetDown(true)
-	if r := put(0, 0); r.Status != 503 {
+	if r := put(0, 0); r.Status != wire.StatusUnavailable {
 		t.Errorf("in an outage: %+v", r)
 	}
 	s.SetDown(false)
@@ -105,16 +105,16 @@
 		}
 		if i%1000 != 0 { // most of them without the way over the network
 			s.Commit(tx)
-		} else if r := c.CommitTxn(ctx, core.CommitTxn{Txn: tx}); r.Status != 200 {
+		} else if r := c.CommitTxn(ctx, core.CommitTxn{Txn: tx}); r.Status != wire.StatusOK {
 			t.Fatalf("got %+v", r)
 		}
 	}
-	if ch := c.Watch(ctx, core.Watch{SinceRevision: 2}); ch.Status != 410 {
+	if ch := c.Watch(ctx, core.Watch{SinceRevision: 2}); ch.Status != wire.StatusGone {
 		t.Errorf("too old: %+v", ch.Status)
 	}
 	s.SetLimits(fakes.Limits{WriteRPS: 1})
 	put(0, 0)
-	if r := put(0, 0); r.Status != 429 {
+	if r := put(0, 0); r.Status != wire.StatusTooManyRequests {
 		t.Errorf("too many changes: %+v", r)
 	}
 }
