--- a/core/transactions.go
+++ b/core/transactions.go
@@ -7,186 +7,252 @@
 	"time"
 )
 
-// transactionState is transactions in flight, the rate limit of the store, and what waits to be written.
+// transactionState is the store transactions in flight, the rate limit they are charged to, and
+// the backlog of jobs that wait to be written.
 type transactionState struct {
-	inFlight          map[uint64]*pendingTxn
+	inFlight          map[uint64]*pendingTxn // by request ID
 	rateLimit         ratelimit.Limiter
-	endBatchDelay     time.Duration // how long ends may wait to share a write
-	nextBlockedScanAt time.Duration // when what waits for a write is looked at even if none can be made
-	backlog           int           // jobs that waited to be looked at for a write, at the last look
+	endBatchDelay     time.Duration // how long task ends may wait to share a write
+	nextBlockedScanAt time.Duration // when blocked jobs are scanned even if nothing can be written
+	backlog           int           // jobs that waited for a write at the last scan
 }
 
-// pendingTxn is a transaction on its way. done, if set, is all that is done with its outcome.
+// pendingTxn is a transaction in flight. If onDone is set, it alone handles the outcome, apart
+// from the bookkeeping that every transaction needs.
 type pendingTxn struct {
 	proposals      []proposal
-	teams          []*team
-	writtenSlots   map[int]*batchvalue.Draft // that it writes
-	dependentSlots map[int]bool              // and those on whose marks writes of jobs' own keys depend
+	teams          []*team                   // teams whose quota keys it writes
+	writtenSlots   map[int]*batchvalue.Draft // slots it writes
+	dependentSlots map[int]bool              // slots it only compares, for writes of jobs' own keys
 	onDone         func(status wire.Status, r wire.TxnResponse)
 	txn            wire.Txn
 }
 
-// commitTxn sends a transaction and pays for it.
-func (c *Core) commitTxn(t wire.Txn, x *pendingTxn) {
+// Pauses of writes after a refused or lost transaction. Each has a random part, so that the
+// controllers do not retry together.
+const (
+	throttledPause        = 80 * time.Millisecond // the store refused for its rate limit
+	throttledPauseJitter  = 150 * time.Millisecond
+	throttledUrgentPause  = 20 * time.Millisecond // the same, for writes that users wait for
+	throttledUrgentJitter = 40 * time.Millisecond
+	unreachablePause      = 100 * time.Millisecond // the store did not answer
+	unreachableJitter     = 100 * time.Millisecond
+)
+
+// badRequestRetryDelay is how long a job of a transaction that the store refused as malformed or
+// too large waits for its next proposal.
+const badRequestRetryDelay = time.Second
+
+// storeRateUtilization is the part of the store's write rate that the controllers plan to use when
+// one takes over what the others leave: their rates are known only from their last heartbeats.
+const storeRateUtilization = 0.9
+
+// commitTxn sends a transaction and charges it to the rate limit.
+func (c *Core) commitTxn(txn wire.Txn, pending *pendingTxn) {
 	id := c.nextID()
-	x.txn = t
-	c.transactions.inFlight[id] = x
-	c.transactions.rateLimit.SpendTxn(len(t.Then))
+	pending.txn = txn
+	c.transactions.inFlight[id] = pending
+	c.transactions.rateLimit.SpendTxn(len(txn.Then))
 	c.Stats.Commits++
-	c.emit(CommitTxn{ID: id, Txn: t})
+	c.emit(CommitTxn{ID: id, Txn: txn})
 }
 
+// handleTxnResult settles a transaction: what was committed becomes the known state, and what was
+// not is proposed again, after a read barrier if the outcome is unknown or another write won.
 func (c *Core) handleTxnResult(in TxnResult) {
-	x := c.transactions.inFlight[in.ID]
-	if x == nil {
+	pending := c.transactions.inFlight[in.ID]
+	if pending == nil {
 		return
 	}
 	delete(c.transactions.inFlight, in.ID)
 	c.recordStoreStatus(in.Status)
-	if in.Status == wire.StatusTooManyRequests {
-		c.transactions.rateLimit.Pause(
-			c.now+80*time.Millisecond+c.jitter(150*time.Millisecond),
-			c.now+20*time.Millisecond+c.jitter(40*time.Millisecond),
-		)
-	}
-	if in.Status == wire.StatusUnavailable || in.Status == wire.StatusNoAnswer {
-		until := c.now + 100*time.Millisecond + c.jitter(100*time.Millisecond)
-		c.transactions.rateLimit.Pause(until, until)
-	}
-	if in.Status != wire.StatusOK {
-		c.log(
-			LevelDebug,
-			"transaction not committed",
-			"status",
-			in.Status,
-			"failed",
-			in.Reply.Failed,
-			"error",
-			in.Reply.Error,
-		)
-	}
-	if in.Status == wire.StatusBadRequest && x.onDone == nil { // no leased key is in it
-		c.reduceTxnLimits(&x.txn)
+	c.pauseWritesAfter(in.Status)
+	c.logFailedTxn(in)
+	if in.Status == wire.StatusBadRequest && pending.onDone == nil { // it has no leased key
+		c.reduceTxnLimits(&pending.txn)
 	}
 	for _, key := range in.Reply.Failed {
 		c.history.archiveIndex.Invalidate(key)
 	}
-	behind := in.Status != wire.StatusOK && in.Status != wire.StatusTooManyRequests && in.Status != wire.StatusUnavailable
-	locked := c.releaseSlots(x, in.Status, in.Reply.Revision)
-	for _, t := range x.teams {
-		t.locked = behind // a team's state must be read before it is used again
+	stale := in.Status != wire.StatusOK && !isNotExecuted(in.Status)
+	staleSlots := c.releaseSlots(pending, in.Status, in.Reply.Revision)
+	for _, quota := range pending.teams {
+		quota.locked = stale // a team's state must be read before it is used again
 		if in.Status == wire.StatusOK {
-			t.revision = max(t.revision, in.Reply.Revision)
+			quota.revision = max(quota.revision, in.Reply.Revision)
 		}
 	}
-	if x.onDone != nil {
-		x.onDone(in.Status, in.Reply)
+	if pending.onDone != nil {
+		pending.onDone(in.Status, in.Reply)
 		return
 	}
-	if in.Status == wire.StatusConflict {
-		c.Stats.Conflicts++
+	c.countTxnFailure(in.Status)
+	staleJobs := c.settleProposals(pending.proposals, in)
+	if stale {
+		// A controller that lost a conflict reads at once: otherwise one that writes often always wins.
+		c.replica.nextBarrierAt = c.now
+		c.resolveAfterBarrier(staleJobs, pending.teams, staleSlots)
+	}
+}
+
+// isNotExecuted reports whether a status proves that the store did not execute a transaction and
+// that nothing overtook it.
+func isNotExecuted(status wire.Status) bool {
+	return status == wire.StatusTooManyRequests || status == wire.StatusUnavailable
+}
+
+// pauseWritesAfter pauses writes if a transaction was throttled or the store did not answer.
+func (c *Core) pauseWritesAfter(status wire.Status) {
+	switch status {
+	case wire.StatusTooManyRequests:
+		c.transactions.rateLimit.Pause(
+			c.now+throttledPause+c.jitter(throttledPauseJitter),
+			c.now+throttledUrgentPause+c.jitter(throttledUrgentJitter),
+		)
+	case wire.StatusUnavailable, wire.StatusNoAnswer:
+		until := c.now + unreachablePause + c.jitter(unreachableJitter)
+		c.transactions.rateLimit.Pause(until, until)
+	}
+}
+
+// logFailedTxn logs a transaction that was not committed.
+func (c *Core) logFailedTxn(in TxnResult) {
+	if in.Status == wire.StatusOK {
+		return
 	}
-	if in.Status == wire.StatusNoAnswer {
+	c.log(
+		LevelDebug,
+		"transaction not committed",
+		"status",
+		in.Status,
+		"failed",
+		in.Reply.Failed,
+		"error",
+		in.Reply.Error,
+	)
+}
+
+// countTxnFailure counts conflicts and unknown outcomes.
+func (c *Core) countTxnFailure(status wire.Status) {
+	switch status {
+	case wire.StatusConflict:
+		c.Stats.Conflicts++
+	case wire.StatusNoAnswer:
 		c.Stats.UnknownOutcomes++
 	}
-	var resync []*job
-	for _, p := range x.proposals {
-		j := p.job
-		j.write.inFlight = false
-		c.currentAuditLog().HandleOutcome(p.auditEntryIDs, in.Status)
+}
+
+// settleProposals applies a transaction's outcome to the jobs in it, and returns those whose state
+// must be read before anything else is proposed for them.
+func (c *Core) settleProposals(proposals []proposal, in TxnResult) []*job {
+	var stale []*job
+	for i := range proposals {
+		settled := &proposals[i]
+		settled.job.write.inFlight = false
+		c.currentAuditLog().HandleOutcome(settled.auditEntryIDs, in.Status)
 		if in.Status == wire.StatusOK {
-			for _, a := range p.ended {
-				c.releaseOnce(j, a)
-			}
-			switch {
-			case p.inSlot:
-				if c.slotState(p.slotIndex).Revision == in.Reply.Revision &&
-					j.record.WriteNumber == p.record.WriteNumber &&
-					!j.isFinal() {
-					c.adoptRecord(j, p.record, p.assignments, j.revision, j.stored.bytes)
-				}
-			case in.Reply.Revision > j.revision:
-				c.adoptRecord(j, p.record, p.assignments, in.Reply.Revision, p.encodedSize)
-			}
-			if p.isAcceptance {
-				c.completeSubmission(j, wire.StatusCreated, "")
-			}
-			c.completeCancellations(j)
-			continue
+			c.adoptProposal(settled, in.Reply.Revision)
+		} else if c.rejectProposal(settled, in.Status) {
+			stale = append(stale, settled.job)
 		}
-		for _, a := range p.started {
-			c.recordDelta(false, j, a, p.spec.Request)
-		}
-		c.markDirty(j)
-		if j.submission != nil {
-			j.submission.writeFailed = true
-		}
-		switch in.Status {
-		case wire.StatusTooManyRequests, wire.StatusUnavailable: // not executed
-			if in.Status == wire.StatusUnavailable {
-				c.completeSubmission(j, wire.StatusUnavailable, "state service not reached")
-				c.rejectCancellations(j, "state service not reached")
-			}
-		case wire.StatusNoAnswer:
-			c.completeSubmission(j, wire.StatusUnavailable, "outcome not known yet")
-			c.rejectCancellations(j, "outcome not known yet")
-			fallthrough
-		default:
-			// Applied late, or overtaken: read before proposing anything again.
-			j.write.outcomeUnknown = true
-			if in.Status == wire.StatusBadRequest {
-				j.write.nextLookAt = c.now + time.Second
-			}
-			resync = append(resync, j)
+	}
+	return stale
+}
+
+// adoptProposal makes a committed proposal the known state of its job and answers who waited for it.
+// A newer state, which a watch may have brought before the transaction's reply, stays.
+func (c *Core) adoptProposal(committed *proposal, revision uint64) {
+	target := committed.job
+	for _, assignment := range committed.ended {
+		c.releaseOnce(target, assignment)
+	}
+	switch {
+	case committed.inSlot:
+		if c.slotState(committed.slotIndex).Revision == revision &&
+			target.record.WriteNumber == committed.record.WriteNumber &&
+			!target.isFinal() {
+			c.adoptRecord(target, committed.record, committed.assignments, target.revision, target.stored.bytes)
 		}
+	case revision > target.revision:
+		c.adoptRecord(target, committed.record, committed.assignments, revision, committed.encodedSize)
 	}
-	if behind {
-		// Whoever was overtaken reads at once: else a controller that writes often wins always.
-		c.replica.nextBarrierAt = c.now
-		c.resolveAfterBarrier(resync, x.teams, locked)
+	if committed.isAcceptance {
+		c.completeSubmission(target, wire.StatusCreated, "")
+	}
+	c.completeCancellations(target)
+}
+
+// rejectProposal takes back a proposal that was not committed, as far as is known, and reports
+// whether its job's state must be read before anything else is proposed for it.
+func (c *Core) rejectProposal(rejected *proposal, status wire.Status) (stale bool) {
+	target := rejected.job
+	for _, assignment := range rejected.started {
+		c.recordDelta(false, target, assignment, rejected.spec.Request)
+	}
+	c.markDirty(target)
+	if target.submission != nil {
+		target.submission.writeFailed = true
+	}
+	switch status {
+	case wire.StatusTooManyRequests:
+		return false
+	case wire.StatusUnavailable:
+		c.completeSubmission(target, wire.StatusUnavailable, "state service not reached")
+		c.rejectCancellations(target, "state service not reached")
+		return false
+	case wire.StatusNoAnswer:
+		c.completeSubmission(target, wire.StatusUnavailable, "outcome not known yet")
+		c.rejectCancellations(target, "outcome not known yet")
+	}
+	// The write may be applied late, or another one won: read before proposing anything again.
+	target.write.outcomeUnknown = true
+	if status == wire.StatusBadRequest {
+		target.write.nextLookAt = c.now + badRequestRetryDelay
 	}
+	return true
 }
 
 // resolveAfterBarrier frees jobs, teams and slots for new proposals once a read barrier has shown their state.
-func (c *Core) resolveAfterBarrier(js []*job, teams []*team, slots []int) {
-	// Queued directly: while all keys are being read again, it waits for that to end.
+func (c *Core) resolveAfterBarrier(jobs []*job, teams []*team, slots []int) {
+	// Queued directly, past the checks of afterReadBarrier: while a snapshot is being loaded, it
+	// waits for the end of that.
 	c.replica.barrierWaiters = append(c.replica.barrierWaiters, func(ok bool) {
 		if !ok {
-			c.resolveAfterBarrier(js, teams, slots)
+			c.resolveAfterBarrier(jobs, teams, slots)
 			return
 		}
-		for _, n := range slots {
-			c.slotState(n).WriteInFlight = false
+		for _, slot := range slots {
+			c.slotState(slot).WriteInFlight = false
 		}
-		for _, t := range teams {
-			t.locked = false
+		for _, quota := range teams {
+			quota.locked = false
 		}
-		for _, j := range js {
-			j.write.outcomeUnknown = false
-			c.markDirty(j)
-			if j.submission != nil && j.revision != 0 {
-				c.completeSubmission(j, wire.StatusOK, "")
+		for _, resolved := range jobs {
+			resolved.write.outcomeUnknown = false
+			c.markDirty(resolved)
+			if resolved.submission != nil && resolved.revision != 0 {
+				c.completeSubmission(resolved, wire.StatusOK, "")
 			}
-			c.completeCancellations(j)
+			c.completeCancellations(resolved)
 		}
 	})
 }
 
-// updateRateLimit works out this controller's part of what the state service takes from all of
-// them: an equal one, and of the changes also what the others leave.
+// updateRateLimit computes this controller's part of the store's write and request rates: an equal
+// part, and of the write rate also what the other controllers do not use.
 func (c *Core) updateRateLimit() {
 	live := float64(len(c.liveControllers()))
 	if len(c.controllers.nodeKeys) == 0 {
 		live = float64(len(c.cfg.Peers) + 1)
 	}
-	all := c.storeWriteRate()
-	left := 0.9 * all
-	for _, n := range c.cfg.Peers {
-		if c.controllers.membership.IsReachable(c.now, n) {
-			left -= c.controllers.membership.Peer(n).WriteRate
-		} else if _, ok := c.controllers.nodeKeys[n]; ok {
-			left -= all / live
+	total := c.storeWriteRate()
+	unused := storeRateUtilization * total
+	for _, peer := range c.cfg.Peers {
+		if c.controllers.membership.IsReachable(c.now, peer) {
+			unused -= c.controllers.membership.Peer(peer).WriteRate
+		} else if _, ok := c.controllers.nodeKeys[peer]; ok {
+			unused -= total / live
 		}
 	}
-	c.transactions.rateLimit.SetRates(all, c.cfg.Store.RequestRate, live, left, c.cfg.Store.MaxWriteShare)
+	c.transactions.rateLimit.SetRates(total, c.cfg.Store.RequestRate, live, unused, c.cfg.Store.MaxWriteShare)
 }
