--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -9,161 +9,254 @@
 	"time"
 )
 
-// txnBuilder gathers proposals into one transaction.
+// txnBuilder gathers the proposals of several jobs into one transaction, within the store's limits
+// and this controller's rate limit.
 type txnBuilder struct {
 	core           *Core
 	proposals      []proposal
-	teams          []*team
-	addedUsage     map[*team][2]int64
+	teams          []*team            // teams with a maximum quota whose tasks are started
+	addedUsage     map[*team][2]int64 // CPU and GPU that the transaction's starts add, in thousandths
 	txn            wire.Txn
-	valueBytes     int
-	comparedShards map[int]bool
-	slotDrafts     map[int]*batchvalue.Draft
-	dependentSlots map[int]bool
+	valueBytes     int                       // estimated size of the values written
+	comparedShards map[int]bool              // shards whose ownership the transaction depends on
+	slotDrafts     map[int]*batchvalue.Draft // slots it writes, by number
+	dependentSlots map[int]bool              // slots it only compares
 
-	hasUserWaiting bool // users wait for it
+	hasUserWaiting bool // it has a write that a user waits for
 }
 
-// of a proposal, beside those of its own: its record, its shard, its slot, its team, a mark of cancellation
-const comparesPerJob = 5
+const (
+	// comparesPerJob is how many compares a job may add beside its proposal's own: its record, its
+	// shard, its slot, its team and its cancel marker.
+	comparesPerJob = 5
 
-const maxProposalsPerTxn = 64 // jobs written together; each takes a choice of machines
+	// comparesPerOp bounds a transaction's compares, as a multiple of its write limit.
+	comparesPerOp = 4
 
-const slotRetryDelay = 10 * time.Millisecond // until a slot that is being written is looked at again
+	// writesPerJob is how many writes a job may add: its record, its team's key, and its slot or cancel marker.
+	writesPerJob = 3
 
-// addJob proposes a job's next record; false means that the transaction is full.
-func (b *txnBuilder) addJob(j *job) bool {
+	// maxProposalsPerTxn bounds the jobs written together, as each needs a placement decision.
+	maxProposalsPerTxn = 64
+
+	// maxTxnValueBytes is the estimated size of values at which a transaction takes no more jobs.
+	maxTxnValueBytes = 40 << 10
+
+	// jobWriteOverheadBytes estimates the size of a job's write beside its value: keys and compares.
+	jobWriteOverheadBytes = 200
+
+	// slotRetryDelay is the wait of a job whose slot has a conflicting write in flight.
+	slotRetryDelay = 10 * time.Millisecond
+
+	// unfitRetryDelay is the wait of a job whose record does not fit a value until more of its tasks have ended.
+	unfitRetryDelay = time.Second
+
+	// completionsRetryDelay is the wait of completions that left the write tokens to more urgent writes.
+	completionsRetryDelay = 100 * time.Millisecond
+
+	// completionsReserve is the write tokens that completions leave to urgent writes, as a share of
+	// what one second brings.
+	completionsReserve = 0.2
+)
+
+// addJob proposes a job's next record and adds its write. False means that the transaction takes no
+// more jobs and this one is to be tried with the next; true also if the job has nothing to write now.
+func (b *txnBuilder) addJob(target *job) bool {
 	c := b.core
-	cost := float64(b.opCount() + 1)
-	slot := -1
-	if j.revision != 0 && j.record != nil && j.record.Spec != nil {
-		slot = c.slotNumber(j.id, j.record)
-	}
-	if b.slotDrafts[slot] != nil {
-		cost-- // its slot is written anyway
-	}
-	if u := c.writePriority(j); u > writePriorityAccept && b.hasUserWaiting {
-		return false // one key that others write too must not fail what users wait for
-	} else if u > writePriorityAccept {
-		cost += reservedWrites
-	} else {
-		// It may overdraw: if the others leave nothing, the service says so, and soon after it is
-		// tried again.
-		b.hasUserWaiting = true
-		cost -= c.storeWriteRate() / 2
-	}
-	if b.opCount()+3 > c.cfg.Store.MaxTxnOps || len(b.proposals) >= maxProposalsPerTxn || b.valueBytes > 40<<10 ||
-		c.transactions.rateLimit.WriteTokens < cost {
+	slot := c.slotOf(target)
+	cost, ok := b.writeCost(target, slot)
+	if !ok || b.isFull(cost) {
 		return false
 	}
 	if slot >= 0 && c.slotState(slot).WriteInFlight && c.schemaVersion() >= schemaSharedValues {
-		j.write.nextLookAt = c.now + slotRetryDelay
+		target.write.nextLookAt = c.now + slotRetryDelay
 		return true
 	}
-	p, again := c.proposeRecord(j, b)
-	if p == nil {
-		j.write.dirty = again != 0
-		j.write.nextLookAt = again
+	next, retryAt := c.proposeRecord(target, b)
+	if next == nil {
+		target.write.dirty = retryAt != 0
+		target.write.nextLookAt = retryAt
 		return true
 	}
-	p.slotIndex = slot
-	if len(p.auditActs) > 0 {
-		p.compares = append(p.compares, c.unauditedCompares()...)
+	next.slotIndex = slot
+	if len(next.auditActs) > 0 {
+		next.compares = append(next.compares, c.unauditedCompares()...)
 	}
-	if len(b.proposals) > 0 &&
-		len(b.txn.Compare)+len(b.slotDrafts)+len(p.compares)+comparesPerJob > 4*c.cfg.Store.MaxTxnOps {
-		c.undoProposal(p)
+	if b.exceedsCompares(next) {
+		c.undoProposal(next)
 		return false
 	}
-	// What nobody waits for leaves a part of the budget to what somebody does.
-	if p.completionsOnly && c.transactions.rateLimit.WriteTokens < cost+c.transactions.rateLimit.WriteRate*0.2 {
-		j.write.nextLookAt = c.now + 100*time.Millisecond
+	if next.completionsOnly && !c.canAffordCompletions(cost) {
+		target.write.nextLookAt = c.now + completionsRetryDelay
 		return true
 	}
-	old := p.record.PendingAudit
-	if j.cancellation.markerRevision != 0 && p.record.Spec == nil { // its mark goes
-		old = append(slices.Clone(old), j.cancellation.markerAudit...)
+	if entry := c.encodeSlotEntry(next); entry != nil {
+		if b.slotDrafts[slot] == nil && c.slotState(slot).JobKeyWritesInFlight > 0 {
+			c.undoProposal(next)
+			target.write.nextLookAt = c.now + slotRetryDelay
+			return true
+		}
+		if b.addSlotEntry(next, entry) {
+			b.requireShard(next)
+			b.addProposal(next)
+			return true
+		}
 	}
-	if entry := c.encodeSlotEntry(p); entry != nil && b.slotDrafts[slot] == nil &&
-		c.slotState(slot).JobKeyWritesInFlight > 0 {
-		c.undoProposal(p)
-		j.write.nextLookAt = c.now + slotRetryDelay
-		return true
-	} else if entry != nil && b.addSlotEntry(p, entry) {
-		b.requireShard(p)
-		b.addProposal(p)
-		return true
+	b.addRecordWrite(next)
+	return true
+}
+
+// slotOf is the number of a job's slot; -1 if it has none: its record is not stored yet, or is final.
+func (c *Core) slotOf(target *job) int {
+	if target.revision == 0 || target.record == nil || target.record.Spec == nil {
+		return -1
+	}
+	return c.slotNumber(target.id, target.record)
+}
+
+// writeCost is the number of write tokens that must be available for a job to be added. ok is false
+// if the job may not share the transaction: a conflict on a key that other controllers write too
+// must not fail what users wait for.
+func (b *txnBuilder) writeCost(target *job, slot int) (cost float64, ok bool) {
+	cost = float64(b.opCount() + 1)
+	if b.slotDrafts[slot] != nil {
+		cost-- // its slot is written anyway
+	}
+	if b.core.writePriority(target) > writePriorityAccept {
+		return cost + reservedWrites, !b.hasUserWaiting
+	}
+	// A write that a user waits for may overdraw the rate limit by half a second's writes of all
+	// controllers: if the others leave nothing, the store refuses it and it is retried soon after.
+	b.hasUserWaiting = true
+	return cost - b.core.storeWriteRate()/2, true
+}
+
+// isFull reports whether the transaction or the rate limit has no capacity for another job of this cost.
+func (b *txnBuilder) isFull(cost float64) bool {
+	return b.opCount()+writesPerJob > b.core.cfg.Store.MaxTxnOps ||
+		len(b.proposals) >= maxProposalsPerTxn ||
+		b.valueBytes > maxTxnValueBytes ||
+		b.core.transactions.rateLimit.WriteTokens < cost
+}
+
+// exceedsCompares reports whether a proposal would add too many compares. The first proposal never does.
+func (b *txnBuilder) exceedsCompares(next *proposal) bool {
+	expected := len(b.txn.Compare) + len(b.slotDrafts) + len(next.compares) + comparesPerJob
+	return len(b.proposals) > 0 && expected > comparesPerOp*b.core.cfg.Store.MaxTxnOps
+}
+
+// canAffordCompletions reports whether enough write tokens are left to write completions, which no
+// user waits for, and still keep a reserve for writes that users do wait for.
+func (c *Core) canAffordCompletions(cost float64) bool {
+	limit := &c.transactions.rateLimit
+	return limit.WriteTokens >= cost+limit.WriteRate*completionsReserve
+}
+
+// addRecordWrite writes a proposal's record under its job's own key. A proposal that can't be
+// written now is taken back and its job is delayed.
+func (b *txnBuilder) addRecordWrite(next *proposal) {
+	raw, ok := b.core.encodeProposal(next)
+	if !ok {
+		return
+	}
+	b.requireShard(next)
+	b.requireSlot(next)
+	b.putRecord(next, raw)
+	b.addProposal(next)
+}
+
+// encodeProposal numbers a proposal's record, attaches its audit entries and encodes it. If the
+// record does not fit a value, or no start in it does, the proposal is taken back and ok is false.
+func (c *Core) encodeProposal(next *proposal) (raw json.RawMessage, ok bool) {
+	target := next.job
+	pendingAudit := next.record.PendingAudit
+	if next.removesCancelMarker() {
+		pendingAudit = append(slices.Clone(pendingAudit), target.cancellation.markerAudit...)
 	}
 	if c.schemaVersion() >= schemaSharedValues {
-		p.record.WriteNumber++
+		next.record.WriteNumber++
 	}
-	p.record.PendingAudit, p.auditEntryIDs = c.currentAuditLog().
-		AttachEntries(keyJob+j.id, j.revision, old, p.auditActs)
-	raw, err := c.encodeWithinLimit(p)
+	next.record.PendingAudit, next.auditEntryIDs = c.currentAuditLog().
+		AttachEntries(keyJob+target.id, target.revision, pendingAudit, next.auditActs)
+	raw, err := c.encodeWithinLimit(next)
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
 		// An older version may have stored it under larger limits, or its tasks end in an order that
-		// leaves many pieces. It is written once more of them have ended; a job that is over always
-		// fits. Nothing is lost meanwhile: its machines keep what they reported.
-		c.undoProposal(p)
-		j.write.nextLookAt = c.now + time.Second
-		if p.isCancellation && c.schemaVersion() >= schemaDependencies {
-			c.writeCancelMarker(j, p.record.CancelledAtMS, p.compares, p.auditActs[:p.userCancelActs])
+		// leaves many separate ranges. It is written once more tasks have ended: a final record always
+		// fits. Nothing is lost meanwhile, as agents keep the status of its tasks.
+		c.undoProposal(next)
+		target.write.nextLookAt = c.now + unfitRetryDelay
+		if next.isCancellation && c.schemaVersion() >= schemaDependencies {
+			c.writeCancelMarker(target, next.record.CancelledAtMS, next.compares, next.auditActs[:next.userCancelActs])
 		}
-		return true
+		return nil, false
 	}
-	p.encodedSize = len(raw)
-	if p.startsOnly && len(p.started) == 0 {
-		c.currentAuditLog().DiscardEntries(p.auditEntryIDs)
+	next.encodedSize = len(raw)
+	if next.startsOnly && len(next.started) == 0 {
 		// No start fits the value before others of its tasks have ended. Without this, such a job
-		// was written again and again as it was, and the others starved.
-		j.write.nextLookAt = c.now + time.Second
-		return true
+		// was written unchanged again and again, and other jobs starved.
+		c.undoProposal(next)
+		target.write.nextLookAt = c.now + unfitRetryDelay
+		return nil, false
 	}
-	b.requireShard(p)
-	if n := slot; n >= 0 && c.schemaVersion() >= schemaSharedValues {
-		b.addCompare(wire.Compare{Key: slotKey(n), Revision: c.slotState(n).Revision})
-		switch {
-		case !c.ownsJob(j): // its holder may be about to write the slot, and must not without knowing of this
-			b.removeSlotEntry(n, j.id)
-		case b.slotDrafts[n] == nil:
-			if b.dependentSlots == nil {
-				b.dependentSlots = map[int]bool{}
-			}
-			b.dependentSlots[n] = true
+	return raw, true
+}
+
+// removesCancelMarker reports whether a proposal's record is final and its job has a cancel marker,
+// which is deleted with the same transaction.
+func (p *proposal) removesCancelMarker() bool {
+	return p.job.cancellation.markerRevision != 0 && p.record.Spec == nil
+}
+
+// requireSlot makes a transaction that writes a job's own key depend on the job's slot.
+func (b *txnBuilder) requireSlot(next *proposal) {
+	slot := next.slotIndex
+	if slot < 0 || b.core.schemaVersion() < schemaSharedValues {
+		return
+	}
+	b.addCompare(wire.Compare{Key: slotKey(slot), Revision: b.core.slotState(slot).Revision})
+	switch {
+	case !b.core.ownsJob(next.job):
+		// The shard's owner may be about to write the slot, and that write must fail if it does not know of this one.
+		b.removeSlotEntry(slot, next.job.id)
+	case b.slotDrafts[slot] == nil:
+		if b.dependentSlots == nil {
+			b.dependentSlots = map[int]bool{}
 		}
+		b.dependentSlots[slot] = true
 	}
-	b.txn.Compare = append(b.txn.Compare, wire.Compare{Key: keyJob + j.id, Revision: j.revision})
-	for _, k := range p.compares {
-		b.addCompare(k)
+}
+
+// putRecord adds the write of a job's own key with its compares.
+func (b *txnBuilder) putRecord(next *proposal, raw json.RawMessage) {
+	target := next.job
+	markerRevision := target.cancellation.markerRevision
+	b.txn.Compare = append(b.txn.Compare, wire.Compare{Key: keyJob + target.id, Revision: target.revision})
+	for _, compare := range next.compares {
+		b.addCompare(compare)
 	}
-	b.txn.Then = append(b.txn.Then, wire.Write{Put: keyJob + j.id, Value: raw})
-	if j.stored.bytes > c.cfg.Store.MaxValueBytes || j.cancellation.markerRevision != 0 {
-		b.txn.Compare = append(
-			b.txn.Compare,
-			wire.Compare{Key: keyCancel + j.id, Revision: j.cancellation.markerRevision},
-		)
+	b.txn.Then = append(b.txn.Then, wire.Write{Put: keyJob + target.id, Value: raw})
+	if target.stored.bytes > b.core.cfg.Store.MaxValueBytes || markerRevision != 0 {
+		b.txn.Compare = append(b.txn.Compare, wire.Compare{Key: keyCancel + target.id, Revision: markerRevision})
 	}
-	if j.cancellation.markerRevision != 0 && p.record.Spec == nil {
-		b.txn.Then = append(b.txn.Then, wire.Write{Delete: keyCancel + j.id})
+	if next.removesCancelMarker() {
+		b.txn.Then = append(b.txn.Then, wire.Write{Delete: keyCancel + target.id})
 	}
-	b.valueBytes += len(raw) + 200
-	b.addProposal(p)
-	return true
+	b.valueBytes += len(raw) + jobWriteOverheadBytes
 }
 
-// addProposal puts a proposal into the transaction.
-func (b *txnBuilder) addProposal(p *proposal) {
-	b.chargeQuota(p)
-	b.core.priority.startShares.recordStarts(b.core.now, p, b.core)
-	p.job.write.dirty, p.job.write.inFlight = false, true
-	b.proposals = append(b.proposals, *p)
+// addProposal adds a proposal whose writes are in the transaction already, and marks its job as being written.
+func (b *txnBuilder) addProposal(next *proposal) {
+	b.chargeQuota(next)
+	b.core.priority.startShares.recordStarts(b.core.now, next, b.core)
+	next.job.write.dirty, next.job.write.inFlight = false, true
+	b.proposals = append(b.proposals, *next)
 }
 
-// requireShard makes a transaction depend on the shard of a proposal's job, unless somebody who
-// does not hold it may write it.
-func (b *txnBuilder) requireShard(p *proposal) {
-	shard := p.record.Shard
-	if (p.isCancellation || p.isAcceptance) && !b.core.ownsShard(shard) || b.comparedShards[shard] {
+// requireShard makes a transaction depend on this controller's ownership of the shard of a
+// proposal's job. Acceptances and cancellations may also be written without ownership.
+func (b *txnBuilder) requireShard(next *proposal) {
+	shard := next.record.Shard
+	if (next.isCancellation || next.isAcceptance) && !b.core.ownsShard(shard) || b.comparedShards[shard] {
 		return
 	}
 	if b.comparedShards == nil {
@@ -176,88 +269,98 @@
 	)
 }
 
-// chargeQuota counts a proposal's starts against its team's limits, which all who start tasks of the team write.
-func (b *txnBuilder) chargeQuota(p *proposal) {
-	tm := b.core.teamOf(p.record.Spec)
-	if tm == nil || !tm.hasMaxQuota() || len(p.started) == 0 {
+// chargeQuota counts a proposal's starts against its team's maximum quota. Every controller that
+// starts tasks of the team writes the team's key, so two that exceed the quota together conflict.
+func (b *txnBuilder) chargeQuota(next *proposal) {
+	quota := b.core.teamOf(next.record.Spec)
+	if quota == nil || !quota.hasMaxQuota() || len(next.started) == 0 {
 		return
 	}
-	if _, ok := b.addedUsage[tm]; !ok {
-		b.teams = append(b.teams, tm)
-		b.txn.Compare = append(b.txn.Compare, wire.Compare{Key: keyTeam + tm.Name, Revision: tm.revision})
-		b.txn.Then = append(b.txn.Then, wire.Write{Put: keyTeam + tm.Name, Value: json.RawMessage("1")})
+	usage, charged := b.addedUsage[quota]
+	if !charged {
+		b.teams = append(b.teams, quota)
+		b.txn.Compare = append(b.txn.Compare, wire.Compare{Key: keyTeam + quota.Name, Revision: quota.revision})
+		b.txn.Then = append(b.txn.Then, wire.Write{Put: keyTeam + quota.Name, Value: json.RawMessage("1")})
 	}
-	u := b.addedUsage[tm]
-	n := int64(len(p.started))
-	b.addedUsage[tm] = [2]int64{u[0] + n*p.record.Spec.Request[0], u[1] + n*p.record.Spec.Request[1]}
+	starts, request := int64(len(next.started)), next.record.Spec.Request
+	b.addedUsage[quota] = [2]int64{usage[0] + starts*request[0], usage[1] + starts*request[1]}
 }
 
+// flush sends the transaction, if there is anything in it, and locks the teams and slots that it depends on.
 func (b *txnBuilder) flush() {
-	for _, p := range b.encodeSlots() {
-		b.core.undoProposal(&p)
-		p.job.write.inFlight, p.job.stored.needsOwnKey = false, true
-		b.core.markDirty(p.job)
+	for _, unfit := range b.encodeSlots() {
+		b.core.undoProposal(&unfit)
+		unfit.job.write.inFlight, unfit.job.stored.needsOwnKey = false, true
+		b.core.markDirty(unfit.job)
 	}
 	if len(b.proposals) == 0 {
 		return
 	}
-	for _, t := range b.teams {
-		t.locked = true
+	for _, quota := range b.teams {
+		quota.locked = true
 	}
-	for _, p := range b.proposals {
-		if p.isAcceptance {
-			p.job.submission.requestsBeforeWrite = len(p.job.submission.requestIDs)
+	for _, sent := range b.proposals {
+		if sent.isAcceptance {
+			sent.job.submission.requestsBeforeWrite = len(sent.job.submission.requestIDs)
 		}
-		for _, a := range p.started {
-			b.core.recordDelta(true, p.job, a, p.spec.Request)
+		for _, assignment := range sent.started {
+			b.core.recordDelta(true, sent.job, assignment, sent.spec.Request)
 		}
 	}
-	x := &pendingTxn{
+	pending := &pendingTxn{
 		proposals:      b.proposals,
 		teams:          b.teams,
 		writtenSlots:   b.slotDrafts,
 		dependentSlots: b.dependentSlots,
 	}
-	b.core.lockSlots(x)
-	b.core.commitTxn(b.txn, x)
+	b.core.lockSlots(pending)
+	b.core.commitTxn(b.txn, pending)
 }
 
-// encodeWithinLimit encodes a proposal's record: readable if there is room to spare, else packed if that
-// may be written. New starts that would make it too large for a value wait.
-func (c *Core) encodeWithinLimit(p *proposal) (json.RawMessage, error) {
+// encodeWithinLimit encodes a proposal's record so that it fits a value: as readable JSON if that
+// leaves space for the ends of its tasks, else packed. While neither fits, the last quarter of the
+// new starts is taken back and waits, then the stop reasons are dropped. The result may still be
+// too large; the caller checks.
+func (c *Core) encodeWithinLimit(next *proposal) (json.RawMessage, error) {
+	maxBytes := c.cfg.Store.MaxValueBytes
 	for {
-		starts := len(p.started)
-		raw, err := c.encodeRecord(p.record, p.assignments, false)
+		starts := len(next.started)
+		raw, err := c.encodeRecord(next.record, next.assignments, false)
 		if err != nil ||
-			len(raw) <= c.cfg.Store.MaxValueBytes*7/8 && len(raw)+p.record.MaxGrowth(p.assignments) <= c.cfg.Store.MaxValueBytes {
+			len(raw) <= maxBytes*7/8 && len(raw)+next.record.MaxGrowth(next.assignments) <= maxBytes {
 			return raw, err
 		}
 		if c.schemaVersion() >= schemaDependencies {
-			packed, err := c.encodeRecord(p.record, p.assignments, true)
-			if err != nil || len(packed) <= c.cfg.Store.MaxValueBytes*3/4 ||
-				starts == 0 && len(packed) <= c.cfg.Store.MaxValueBytes {
+			packed, err := c.encodeRecord(next.record, next.assignments, true)
+			if err != nil || len(packed) <= maxBytes*3/4 || starts == 0 && len(packed) <= maxBytes {
 				return packed, err
 			}
 		}
 		switch {
 		case starts > 0:
-			n := (starts + 3) / 4
-			c.undoProposal(&proposal{started: p.started[starts-n:], spec: p.spec})
-			p.started = p.started[:starts-n]
-			p.assignments = p.assignments[:len(p.assignments)-n]
-			p.record.LastAttempt -= uint64(n)
-		case len(raw) > c.cfg.Store.MaxValueBytes && len(p.record.StopReasons) > 0:
-			p.record.StopReasons = nil
+			c.undoLastStarts(next, (starts+3)/4)
+		case len(raw) > maxBytes && len(next.record.StopReasons) > 0:
+			next.record.StopReasons = nil
 		default:
 			return raw, nil
 		}
 	}
 }
 
-// undoProposal gives back the room of starts that were not committed.
-func (c *Core) undoProposal(p *proposal) {
-	c.currentAuditLog().DiscardEntries(p.auditEntryIDs)
-	for _, a := range p.started {
-		c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Machine: a.Machine, Request: p.spec.Request})
+// undoLastStarts takes the last starts of a proposal back, so that its record becomes smaller.
+func (c *Core) undoLastStarts(next *proposal, count int) {
+	kept := len(next.started) - count
+	c.undoProposal(&proposal{started: next.started[kept:], spec: next.spec})
+	next.started = next.started[:kept]
+	next.assignments = next.assignments[:len(next.assignments)-count]
+	next.record.LastAttempt -= uint64(count)
+}
+
+// undoProposal takes back a proposal that was not committed: its audit entries, and the capacity
+// that its starts allocated in this controller's copy of the cluster state.
+func (c *Core) undoProposal(undone *proposal) {
+	c.currentAuditLog().DiscardEntries(undone.auditEntryIDs)
+	for _, assignment := range undone.started {
+		c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Machine: assignment.Machine, Request: undone.spec.Request})
 	}
 }
