--- a/core/apply.go
+++ b/core/apply.go
@@ -10,106 +10,157 @@
 	"strings"
 )
 
-// applyPut takes a key's new value into the replica.
-func (c *Core) applyPut(key string, raw json.RawMessage, mark uint64) {
-	bad := func(err error) {
-		if err != nil {
-			c.log(LevelError, "value not understood", "key", key, "err", err.Error())
-		}
+// applyPut applies a key's new value to the replica. A value that can't be decoded is logged and
+// otherwise ignored: one bad key must not stop a controller.
+func (c *Core) applyPut(key string, raw json.RawMessage, revision uint64) {
+	if err := c.applyValue(key, raw, revision); err != nil {
+		c.log(LevelError, "cannot decode stored value", "key", key, "err", err.Error())
 	}
+}
+
+// applyValue dispatches a value by its key. Keys of no known kind are ignored: a newer version may
+// have written them.
+func (c *Core) applyValue(key string, raw json.RawMessage, revision uint64) error {
 	switch {
 	case key == keyFencingToken:
-		var v uint64
-		if err := json.Unmarshal(raw, &v); err != nil {
-			bad(err)
-			return
-		}
-		if mark >= c.leadership.fencingTokenRevision {
-			c.leadership.fencingToken, c.leadership.fencingTokenRevision = v, mark
-		}
+		return c.applyFencingToken(raw, revision)
 	case key == keyLeader:
-		var h leasedKey
-		if err := json.Unmarshal(raw, &h); err != nil {
-			bad(err)
-			return
-		}
-		h.mark = mark
-		c.leadership.leader = h
+		return c.applyLeader(raw, revision)
 	case strings.HasPrefix(key, keyNode):
-		var h leasedKey
-		if err := json.Unmarshal(raw, &h); err != nil {
-			bad(err)
-			return
-		}
-		h.mark = mark
-		c.controllers.nodeKeys[key[len(keyNode):]] = h
-		c.controllers.nodesVersion++
+		return c.applyNode(key, raw, revision)
 	case strings.HasPrefix(key, keyShard):
-		var h leasedKey
-		n := c.shardOfKey(key)
-		if err := json.Unmarshal(raw, &h); err != nil || n < 0 {
-			bad(err)
-			return
-		}
-		h.mark = mark
-		c.ownership.shards[n] = h
-		if h.Node == c.cfg.Name && h.LeaseID == c.ownLease.id {
-			c.handleShardGained(n)
-		}
+		return c.applyShard(key, raw, revision)
 	case key == keyMachineTypes:
-		v, err := jobrecord.DecodeCatalog(raw)
-		if err != nil {
-			bad(err)
-			return
-		}
-		c.autoscaler.storedRevision, c.autoscaler.storedCatalog = mark, v
-		if c.autoscaler.catalog == nil {
-			c.setCatalog(&v)
-		}
+		return c.applyMachineTypes(raw, revision)
 	case strings.HasPrefix(key, keyTeam):
-		if i, ok := c.teamIndex[key[len(keyTeam):]]; ok {
-			c.teams[i].revision = max(c.teams[i].revision, mark)
-		}
+		c.applyTeam(key, revision)
 	case strings.HasPrefix(key, keyJob):
-		j := c.internJob(key[len(keyJob):])
-		j.stored.snapshot = c.replica.snapshots
-		if mark <= j.revision {
-			if j.record != nil { // its own write's reply came before
-				c.currentAuditLog().ObserveEntries(key, j.revision, j.record.PendingAudit)
-			}
-			return
-		}
-		r, err := jobrecord.Decode(raw)
-		if err != nil {
-			c.history.coldRecords++ // it exists: whoever asks for it must not be told otherwise
-			bad(err)
-			return
-		}
-		c.currentAuditLog().ObserveEntries(key, mark, r.PendingAudit)
-		r = c.withSlotEntry(j.id, r)
-		c.adoptRecord(j, r, r.ExpandAssignments(c.internMachineInZone), mark, len(raw))
+		return c.applyJob(key, raw, revision)
 	case strings.HasPrefix(key, keySlot):
-		bad(c.applySlot(key, raw, mark))
+		return c.applySlot(key, raw, revision)
 	case strings.HasPrefix(key, keySchemaVersion):
-		bad(c.applySchemaVersion(key, raw, mark))
+		return c.applySchemaVersion(key, raw, revision)
 	case strings.HasPrefix(key, keyPermissions):
-		bad(c.applyPermission(key, raw, mark))
+		return c.applyPermission(key, raw, revision)
 	case strings.HasPrefix(key, auditlog.Prefix):
-		bad(c.currentAuditLog().ApplyPut(key, raw, mark))
+		return c.currentAuditLog().ApplyPut(key, raw, revision)
 	case key == KeyRestored:
-		bad(c.applyRestoreMarker(raw, mark))
+		return c.applyRestoreMarker(raw, revision)
 	case key == keyHistory:
-		c.applyHistoryMarker(mark)
+		c.applyHistoryMarker(revision)
 	case key == keyPriorityClasses:
-		bad(c.applyPriorityClasses(raw, mark))
+		return c.applyPriorityClasses(raw, revision)
 	case strings.HasPrefix(key, reservations.Prefix):
-		bad(c.applyReservation(key, raw, mark))
+		return c.applyReservation(key, raw, revision)
 	case strings.HasPrefix(key, keyCancel):
-		bad(c.applyCancelMarker(key, raw, mark))
+		return c.applyCancelMarker(key, raw, revision)
+	}
+	return nil
+}
+
+// applyFencingToken applies the fencing token. An older revision never replaces a newer one.
+func (c *Core) applyFencingToken(raw json.RawMessage, revision uint64) error {
+	var token uint64
+	if err := json.Unmarshal(raw, &token); err != nil {
+		return err
+	}
+	if revision >= c.leadership.fencingTokenRevision {
+		c.leadership.fencingToken, c.leadership.fencingTokenRevision = token, revision
+	}
+	return nil
+}
+
+// decodeLeasedKey decodes the value of a leased key.
+func decodeLeasedKey(raw json.RawMessage, revision uint64) (leasedKey, error) {
+	var leased leasedKey
+	if err := json.Unmarshal(raw, &leased); err != nil {
+		return leasedKey{}, err
+	}
+	leased.mark = revision
+	return leased, nil
+}
+
+// applyLeader applies the leadership key.
+func (c *Core) applyLeader(raw json.RawMessage, revision uint64) error {
+	leased, err := decodeLeasedKey(raw, revision)
+	if err != nil {
+		return err
+	}
+	c.leadership.leader = leased
+	return nil
+}
+
+// applyNode applies the key of a live controller.
+func (c *Core) applyNode(key string, raw json.RawMessage, revision uint64) error {
+	leased, err := decodeLeasedKey(raw, revision)
+	if err != nil {
+		return err
 	}
+	c.controllers.nodeKeys[key[len(keyNode):]] = leased
+	c.controllers.nodesVersion++
+	return nil
 }
 
-func (c *Core) applyDelete(key string, mark uint64) {
+// applyShard applies the ownership of a shard. Shards beyond the configured number are ignored.
+func (c *Core) applyShard(key string, raw json.RawMessage, revision uint64) error {
+	shard := c.shardOfKey(key)
+	leased, err := decodeLeasedKey(raw, revision)
+	if err != nil || shard < 0 {
+		return err
+	}
+	c.ownership.shards[shard] = leased
+	if leased.Node == c.cfg.Name && leased.LeaseID == c.ownLease.id {
+		c.handleShardGained(shard)
+	}
+	return nil
+}
+
+// applyMachineTypes applies the stored catalog of machine types, which is used only if this
+// controller has no catalog yet.
+func (c *Core) applyMachineTypes(raw json.RawMessage, revision uint64) error {
+	catalog, err := jobrecord.DecodeCatalog(raw)
+	if err != nil {
+		return err
+	}
+	c.autoscaler.storedRevision, c.autoscaler.storedCatalog = revision, catalog
+	if c.autoscaler.catalog == nil {
+		c.setCatalog(&catalog)
+	}
+	return nil
+}
+
+// applyTeam notes that a team's quota key was written. Its value says nothing: the key's revision
+// makes writers that start tasks of one team conflict.
+func (c *Core) applyTeam(key string, revision uint64) {
+	if i, ok := c.teamIndex[key[len(keyTeam):]]; ok {
+		c.teams[i].revision = max(c.teams[i].revision, revision)
+	}
+}
+
+// applyJob applies a job's own key, with its slot's entry on top if that belongs to this write.
+func (c *Core) applyJob(key string, raw json.RawMessage, revision uint64) error {
+	stored := c.internJob(key[len(keyJob):])
+	stored.stored.snapshot = c.replica.snapshots
+	if revision <= stored.revision {
+		if stored.record != nil { // the reply to this controller's own write came before
+			c.currentAuditLog().ObserveEntries(key, stored.revision, stored.record.PendingAudit)
+		}
+		return nil
+	}
+	record, err := jobrecord.Decode(raw)
+	if err != nil {
+		c.history.coldRecords++ // the job exists: a lookup must not answer that it does not
+		return err
+	}
+	c.currentAuditLog().ObserveEntries(key, revision, record.PendingAudit)
+	record = c.withSlotEntry(stored.id, record)
+	c.adoptRecord(stored, record, record.ExpandAssignments(c.internMachineInZone), revision, len(raw))
+	return nil
+}
+
+// applyDelete applies a key's deletion to the replica. Keys that are never deleted, and those whose
+// deletion says nothing new, have no case.
+func (c *Core) applyDelete(key string, revision uint64) {
 	switch {
 	case key == keyLeader:
 		c.leadership.leader = leasedKey{since: c.now}
@@ -117,89 +168,108 @@
 		delete(c.controllers.nodeKeys, key[len(keyNode):])
 		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
-		if n := c.shardOfKey(key); n >= 0 {
-			c.ownership.shards[n] = leasedKey{since: c.now}
+		if shard := c.shardOfKey(key); shard >= 0 {
+			c.ownership.shards[shard] = leasedKey{since: c.now}
 		}
 	case strings.HasPrefix(key, keyPermissions):
 		c.applyPermissionDelete(key)
 	case key == KeyRestored:
 		c.restoreMarker.revision = 0
 	case strings.HasPrefix(key, reservations.Prefix):
-		c.reservations.ApplyDelete(key, mark)
+		c.reservations.ApplyDelete(key, revision)
 	case strings.HasPrefix(key, keyJob):
-		c.handleRecordArchived(key[len(keyJob):], mark)
+		c.handleRecordArchived(key[len(keyJob):], revision)
 	}
 }
 
-// adoptRecord makes a committed record of a size the known state of a job.
-func (c *Core) adoptRecord(j *job, r *jobrecord.Record, place []jobrecord.Assignment, mark uint64, size int) {
-	was, held := j.isFinal(), len(j.assignments)
-	if j.cancellation.markerRevision != 0 && r.Stage == jobrecord.Queued {
-		r.Stage, r.CancelledAtMS = jobrecord.Cancelled, j.cancellation.markerMS
-	}
-	c.removeAssignments(j)
-	if j.revision == 0 && r.Spec != nil {
-		c.recordClassArrival(r)
-	}
-	if mark != j.revision {
-		j.stored.needsOwnKey = false
-	}
-	j.record, j.assignments, j.revision, j.stored.bytes = r, place, mark, size
-	if r.EnqueueRevision != 0 || j.queue.enqueueRevision == 0 {
-		j.queue.enqueueRevision = cmp.Or(r.EnqueueRevision, mark)
-	}
-	if r.Spec != nil {
-		r.Spec.ID = j.id
-	}
-	c.indexDependencies(j)
-	tm, claim := c.teamAndRequestOf(j)
-	j.placement.completedTasks = 0
-	for _, a := range place {
-		m := c.machines[a.Machine]
-		m.allocation.assignments[taskKey{j.index, a.Task}] = a
-		c.noteMachineChange(m)
-		if p := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; p.state == wire.TaskExited &&
-			p.cause == wire.CauseDone {
-			j.placement.completedTasks++
-		}
-		if tm != nil {
-			tm.usedCPU += claim[0]
-			tm.usedGPU += claim[1]
-		}
+// adoptRecord makes a committed record the known state of a job. revision is that of the job's own
+// key, and size the bytes of its value.
+func (c *Core) adoptRecord(
+	target *job,
+	record *jobrecord.Record,
+	assignments []jobrecord.Assignment,
+	revision uint64,
+	size int,
+) {
+	wasFinal, assignedBefore := target.isFinal(), len(target.assignments)
+	if target.cancellation.markerRevision != 0 && record.Stage == jobrecord.Queued {
+		record.Stage, record.CancelledAtMS = jobrecord.Cancelled, target.cancellation.markerMS
+	}
+	c.removeAssignments(target)
+	if target.revision == 0 && record.Spec != nil {
+		c.recordClassArrival(record)
+	}
+	if revision != target.revision {
+		target.stored.needsOwnKey = false
+	}
+	target.record, target.assignments = record, assignments
+	target.revision, target.stored.bytes = revision, size
+	if record.EnqueueRevision != 0 || target.queue.enqueueRevision == 0 {
+		target.queue.enqueueRevision = cmp.Or(record.EnqueueRevision, revision)
 	}
-	j.placement.tasksLost = false
-	j.placement.hasUnplacedTasks = !j.isFinal() && r.Spec != nil && j.unmetDependencies == 0 &&
-		r.CompletedTasks.Count()+len(place) < r.Spec.Tasks
-	if !j.hasFinalRecord() || j.submission != nil || len(j.cancellation.waiters) > 0 {
-		c.markDirty(j)
+	if record.Spec != nil {
+		record.Spec.ID = target.id
 	}
-	c.placement.capacityFreed = c.placement.capacityFreed || len(place) < held
-	if j.isFinal() && !was {
-		c.propagateJobEnd(j)
+	c.indexDependencies(target)
+	c.addAssignments(target)
+	target.placement.tasksLost = false
+	target.placement.hasUnplacedTasks = !target.isFinal() && record.Spec != nil && target.unmetDependencies == 0 &&
+		record.CompletedTasks.Count()+len(assignments) < record.Spec.Tasks
+	if !target.hasFinalRecord() || target.submission != nil || len(target.cancellation.waiters) > 0 {
+		c.markDirty(target)
+	}
+	c.placement.capacityFreed = c.placement.capacityFreed || len(assignments) < assignedBefore
+	if target.isFinal() && !wasFinal {
+		c.propagateJobEnd(target)
+	}
+	c.trackEndedJob(target)
+}
+
+// addAssignments adds a job's assignments to their machines and to its team's usage, and counts
+// those whose tasks have completed already.
+func (c *Core) addAssignments(target *job) {
+	quota, request := c.teamAndRequestOf(target)
+	target.placement.completedTasks = 0
+	for _, assignment := range target.assignments {
+		host := c.machines[assignment.Machine]
+		host.allocation.assignments[taskKey{target.index, assignment.Task}] = assignment
+		c.noteMachineChange(host)
+		status := host.status.tasks[attemptKey{target.index, assignment.Task, assignment.Attempt}]
+		if status.state == wire.TaskExited && status.cause == wire.CauseDone {
+			target.placement.completedTasks++
+		}
+		if quota != nil {
+			quota.usedCPU += request[0]
+			quota.usedGPU += request[1]
+		}
 	}
-	c.trackEndedJob(j)
 }
 
-// removeAssignments takes what a job's record assigned off the machines and off its team's use.
-func (c *Core) removeAssignments(j *job) {
-	tm, claim := c.teamAndRequestOf(j)
-	for _, a := range j.assignments {
-		m := c.machines[a.Machine]
-		if cur, ok := m.allocation.assignments[taskKey{j.index, a.Task}]; ok && cur == a {
-			delete(m.allocation.assignments, taskKey{j.index, a.Task})
+// removeAssignments removes a job's assignments from their machines and from its team's usage.
+func (c *Core) removeAssignments(target *job) {
+	quota, request := c.teamAndRequestOf(target)
+	for _, assignment := range target.assignments {
+		host := c.machines[assignment.Machine]
+		key := taskKey{target.index, assignment.Task}
+		if current, ok := host.allocation.assignments[key]; ok && current == assignment {
+			delete(host.allocation.assignments, key)
 		}
-		c.noteMachineChange(m)
-		if tm != nil {
-			tm.usedCPU -= claim[0]
-			tm.usedGPU -= claim[1]
+		c.noteMachineChange(host)
+		if quota != nil {
+			quota.usedCPU -= request[0]
+			quota.usedGPU -= request[1]
 		}
 	}
 }
 
-// encodeRecord renders a job's record.
-func (c *Core) encodeRecord(r *jobrecord.Record, place []jobrecord.Assignment, packed bool) (json.RawMessage, error) {
-	return jobrecord.Encode(r, place, packed, func(machine int32) (name, zone string) {
-		m := c.machines[machine]
-		return m.name, m.identity.zone
+// encodeRecord encodes a job's record with its assignments, either readable or packed.
+func (c *Core) encodeRecord(
+	record *jobrecord.Record,
+	assignments []jobrecord.Assignment,
+	packed bool,
+) (json.RawMessage, error) {
+	return jobrecord.Encode(record, assignments, packed, func(index int32) (name, zone string) {
+		host := c.machines[index]
+		return host.name, host.identity.zone
 	})
 }
