--- a/core/job.go
+++ b/core/job.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
+// job is what this controller knows of one job: its stored record, and its volatile state here.
 type job struct {
-	index       int32
-	id          string
-	revision    uint64 // 0: not known to exist
+	index       int32  // in Core.jobs
+	id          string // as submitted
+	revision    uint64 // of the record; 0: the job is not known to exist
 	record      *jobrecord.Record
 	assignments []jobrecord.Assignment
 
-	submission *pendingSubmission
+	submission *pendingSubmission // nil: none waits to be accepted
 
-	jobDependencies // see awaits.go
+	jobDependencies
 
 	stored       storedRecord
 	write        jobWrite
@@ -28,119 +29,142 @@
 	archive      jobArchiveState
 }
 
-// storedRecord is how its record lies in the store.
+// storedRecord is how a job's record lies in the key-value store.
 type storedRecord struct {
-	bytes       int    // of its record, as it is stored
-	needsOwnKey bool   // its next write is to be of its own key: it did not fit its slot
-	snapshot    uint64 // when all keys were read last, it was there
+	bytes       int    // size of the record as stored
+	needsOwnKey bool   // it did not fit its slot: the next write goes to a key of its own
+	snapshot    uint64 // the last snapshot load that contained the record
 }
 
-// jobWrite is when its record is looked at for a write, and the write on its way.
+// jobWrite is when a job is examined for a new record, and the write in flight.
 type jobWrite struct {
 	inFlight       bool
-	outcomeUnknown bool // an unknown outcome is being cleared up by a read barrier
-	dirty          bool
-	inOpenList     bool          // in the list of open jobs
-	dirtySince     time.Duration // dirty since
-	nextLookAt     time.Duration // not looked at before, although dirty
-	waitsForEnds   bool          // its next record only tells of ends, and waits for others
+	outcomeUnknown bool          // the outcome of the last write is being determined by a read barrier
+	dirty          bool          // the job is to be examined
+	inOpenList     bool          // it is in Core.openJobs
+	dirtySince     time.Duration // when it became dirty
+	nextLookAt     time.Duration // it is not examined before, although dirty
+	waitsForEnds   bool          // its next record only records ends of tasks and waits to share a write
 }
 
-// jobCancellation is who waits for its cancellation, and the cancel marker in a key of its own.
+// jobCancellation is the users who wait for a job's cancellation, and its cancel marker: a small
+// value in a key of its own, written where the cancelled record itself can't be.
 type jobCancellation struct {
 	waiters        []cancelWaiter
-	requestedMS    int64
-	answerBy       time.Duration // until when an answer must be given
-	markerRevision uint64        // of the mark of its cancellation; 0: there is none
-	markerMS       int64
-	markerAudit    []audit.PendingEntry // by that mark
+	requestedMS    int64         // time of day of the last request, in ms
+	answerBy       time.Duration // until when the waiters must be answered
+	markerRevision uint64        // revision of the cancel marker; 0: there is none
+	markerMS       int64         // time of day of the cancellation by the marker, in ms
+	markerAudit    []audit.PendingEntry
 }
 
-// cancelAck is whether its cancellation may be acknowledged, and which controllers hold it.
+// cancelAck is whether a job's cancellation may be acknowledged, and which controllers hold it.
 type cancelAck struct {
-	allowed         bool            // users may be told that it is cancelled
-	heldBy          map[string]bool // controllers that have said that they hold its cancellation
-	nextBroadcastAt time.Duration   // when the others are told of that again
+	allowed         bool            // users may be answered that the job is cancelled
+	heldBy          map[string]bool // controllers that have acknowledged holding this cancellation
+	nextBroadcastAt time.Duration   // when it is sent to the other controllers again
 }
 
-// jobQueueState is its position among the waiting jobs.
+// jobQueueState is a job's position in the queue of waiting jobs.
 type jobQueueState struct {
-	missingReplicas int           // replicas of it that are gone, as of the last turn that ordered writes
-	enqueueRevision uint64        // revision of its acceptance: its place in its lane
-	rank            queueRank     // as it was worked out last
-	boostedUntil    time.Duration // until then it is ordered as one of the first lane, for the share of its own
+	missingReplicas int           // replicas of a service that are lost, as of the last scheduling pass
+	enqueueRevision uint64        // revision of the acceptance: the position within its priority class
+	rank            queueRank     // as computed last
+	boostedUntil    time.Duration // until then it ranks in the first priority class, for the share of its own
 }
 
-// jobPlacement is its tasks: to be placed, lost, ended; back-off after failures.
+// jobPlacement is the state of placing a job's tasks, with the back-off after failures.
 type jobPlacement struct {
-	completedTasks   int // assigned tasks that have completed, as their machines say
-	failures         int
-	backoffUntil     time.Duration
-	hasUnplacedTasks bool  // has tasks to place now
-	tasksLost        bool  // tasks of it are gone, and must be started again
-	lastPlacedMS     int64 // time of day when tasks of it were placed last
+	completedTasks   int           // assigned tasks that have completed, by their machines' heartbeats
+	failures         int           // in a row, since a task of the job completed
+	backoffUntil     time.Duration // no task of the job is placed before
+	hasUnplacedTasks bool          // there are tasks to place now
+	tasksLost        bool          // assigned tasks were lost and must be started again
+	lastPlacedMS     int64         // time of day when tasks were placed last, in ms
+}
+
+const (
+	failuresBeforeBackoff = 2                // in a row, that are retried at once
+	firstFailureBackoff   = time.Second      // doubles with each further failure
+	maxFailureBackoff     = 30 * time.Second // upper bound of the back-off
+	maxBackoffDoublings   = 5                // 32 s, so already over maxFailureBackoff; bounds the shift
+)
+
+// backOffAfterFailure delays the placement of the job's tasks after one of them failed.
+func (p *jobPlacement) backOffAfterFailure(now time.Duration) {
+	p.failures++
+	if p.failures > failuresBeforeBackoff {
+		doublings := min(p.failures-failuresBeforeBackoff-1, maxBackoffDoublings)
+		p.backoffUntil = now + min(maxFailureBackoff, firstFailureBackoff<<doublings)
+	}
 }
 
-// jobArchiveState is its way out of memory once it has ended.
+// jobArchiveState is the eviction of an ended job from memory.
 type jobArchiveState struct {
-	counted  bool // among the ended jobs in memory whose records have not moved
-	archived bool // it has moved
-	evicting bool // to be dropped from memory
+	counted  bool // among the ended jobs in memory whose records are not archived
+	archived bool // the record is archived
+	evicting bool // the job is to be dropped from memory
 }
 
-// cancelWaiter is somebody who waits for a job's cancellation; 0: nobody waits for the answer.
+// cancelWaiter is a request for a job's cancellation. With request id 0 nobody waits for an answer.
 type cancelWaiter struct {
 	requestID uint64
 	caller    Credential
 }
 
+// pendingSubmission is a submission whose acceptance is not yet committed, with all requests that
+// repeated it meanwhile.
 type pendingSubmission struct {
 	requestIDs          []uint64
-	requestsBeforeWrite int // how many of them came before its write was sent
+	requestsBeforeWrite int // how many of requestIDs arrived before the write was sent
 	caller              Credential
 	spec                wire.JobSpec
-	submittedMS         int64
-	receivedAt          time.Duration
-	deadline            time.Duration
-	writeFailed         bool // a write of it has failed
-	lookupInFlight      bool // it is looked for among the jobs that ended long ago
-	lookupDone          bool
+	submittedMS         int64         // time of day of the submission, in ms
+	receivedAt          time.Duration // when it arrived here
+	deadline            time.Duration // when it is rejected if it is not accepted by then
+	writeFailed         bool          // a write of it has failed
+	lookupInFlight      bool          // its id and dependencies are being looked up in the archive
+	lookupDone          bool          // that lookup has finished
 }
 
+// taskKey identifies a task within this process: job indexes are reused and never leave it.
 type taskKey struct{ jobIndex, task int32 }
 
+// attemptKey identifies one attempt of a task within this process.
 type attemptKey struct {
 	jobIndex, task int32
 	attempt        uint64
 }
 
+// compare orders attempts by job index, task and attempt, for outputs that don't depend on map order.
 func (k attemptKey) compare(o attemptKey) int {
 	return cmp.Or(cmp.Compare(k.jobIndex, o.jobIndex), cmp.Compare(k.task, o.task), cmp.Compare(k.attempt, o.attempt))
 }
 
-// isFinal reports whether a job is done or cancelled. One that needs a cancelled job is cancelled
-// with it, from the write of that cancellation on; its own record follows.
+// isFinal reports whether a job is done or cancelled. A job that depends on a cancelled one counts as
+// cancelled from the write of that cancellation on; its own record is written later.
 func (j *job) isFinal() bool {
 	return j.record != nil && (j.record.Stage != jobrecord.Queued || j.cancelledBy != nil)
 }
 
-// internJob interns a job by id.
+// internJob is the job of an id, which is created as not known to exist if there is none.
 func (c *Core) internJob(id string) *job {
 	if i, ok := c.jobIndex[id]; ok {
 		return c.jobs[i]
 	}
-	j := &job{index: int32(len(c.jobs)), id: id}
+	created := &job{index: int32(len(c.jobs)), id: id}
 	if free := c.history.freeIndexes; len(free) > 0 {
-		j.index = free[len(free)-1]
+		created.index = free[len(free)-1]
 		c.history.freeIndexes = free[:len(free)-1]
-		c.jobs[j.index] = j
+		c.jobs[created.index] = created
 	} else {
-		c.jobs = append(c.jobs, j)
+		c.jobs = append(c.jobs, created)
 	}
-	c.jobIndex[id] = j.index
-	return j
+	c.jobIndex[id] = created.index
+	return created
 }
 
+// knownJob is the job of an id if its record is in memory; nil otherwise.
 func (c *Core) knownJob(id string) *job {
 	if i, ok := c.jobIndex[id]; ok && c.jobs[i].revision != 0 {
 		return c.jobs[i]
@@ -148,13 +172,14 @@
 	return nil
 }
 
-// markDirty has a job looked at again.
+// markDirty has a job examined in the next scheduling pass.
 func (c *Core) markDirty(j *job) {
 	c.markDirtyKeepingDelay(j)
 	j.write.nextLookAt = 0
 }
 
-// markDirtyKeepingDelay has a job looked at again, when its last look asked for one.
+// markDirtyKeepingDelay has a job examined again, but not before the time that its last examination
+// asked for.
 func (c *Core) markDirtyKeepingDelay(j *job) {
 	if !j.write.inOpenList {
 		j.write.inOpenList = true
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -9,361 +9,533 @@
 	"time"
 )
 
-// proposal is a job's next record, to be adopted once it is committed.
+// Causes of the end of an attempt that a controller infers itself; those that agents report are in
+// package wire. They are stored in job records and shown to users, so their values must not change.
+const (
+	causeMachineGone = "machine gone"
+	causeLeaseLost   = "machine lost its lease"
+	causeNotStarted  = "not started"
+)
+
+const (
+	// startRefusalCooldown is how long a machine that refused a start gets no new tasks, and how long
+	// a job whose command a machine does not know is not placed.
+	startRefusalCooldown = 2 * time.Second
+
+	// machineFailureCooldown is how long a machine gets no new tasks, for each task that failed on it
+	// in a row, counted up to maxCountedMachineFailures.
+	machineFailureCooldown    = 5 * time.Second
+	maxCountedMachineFailures = 6
+
+	// crowdedSlotWriteShare is the share of the write burst that must be unused before records are
+	// moved out of a nearly full slot: the move is housekeeping and must not delay other writes.
+	crowdedSlotWriteShare = 0.9
+)
+
+// Bounds of the tasks of a job that are assigned at one time, from the size of their encoding.
+const (
+	minAssignedTaskLimit    = 8    // tasks; applies however small the value limit is
+	packedTaskBytes         = 3    // of a task in the packed encoding: about 2, with reserve
+	unpackedTaskBytes       = 12   // of a task in the encoding of older schema versions
+	unpackedRecordAllowance = 1024 // bytes, for the rest of a record in that encoding
+)
+
+// proposal is the next record of a job. It takes effect only once its transaction is committed.
 type proposal struct {
 	job             *job
 	record          *jobrecord.Record
-	spec            *wire.JobSpec // also there when the record is final
+	spec            *wire.JobSpec // set even if the record is final and has none
 	assignments     []jobrecord.Assignment
 	started         []jobrecord.Assignment
 	ended           []jobrecord.Assignment
-	encodedSize     int // of the record, as it is written
+	encodedSize     int // bytes of the record as written
 	isAcceptance    bool
 	isCancellation  bool
-	completionsOnly bool             // it only tells of ends
+	completionsOnly bool             // it only records ends of tasks
 	startsOnly      bool             // it only starts tasks
-	slotIndex       int              // of a job that was there before
-	inSlot          bool             // it is in its slot
-	wantsOwnKey     bool             // it is to have its own key
-	auditActs       []auditlog.Event // to be recorded
-	userCancelActs  int              // how many of them, the first, are cancellations that users asked for
-	auditEntryIDs   []uint64         // of their entries
-	compares        []wire.Compare   // under which a new job can't have been archived, and its user still may
+	slotIndex       int              // slot of a job that existed before
+	inSlot          bool             // the record is written into its slot
+	wantsOwnKey     bool             // the record is to be written to a key of its own
+	auditActs       []auditlog.Event // to be recorded with the write
+	userCancelActs  int              // how many of auditActs, the first, are cancellations by users
+	auditEntryIDs   []uint64         // of the audit log entries of auditActs
+	// compares are the preconditions of the write beside the record's own: a new job has not been
+	// archived, and its submitter still has the permission.
+	compares []wire.Compare
 }
 
-// proposeRecord works out a job's next record from what is known; nil if nothing changes.
-// again, if set, is when to look again although nothing new was heard.
-func (c *Core) proposeRecord(j *job, b *txnBuilder) (p *proposal, again time.Duration) {
-	if j.revision == 0 {
-		unless, ok := c.notArchivedCompare(j.id)
-		spec := j.submission.spec
-		_, unknown, _ := c.findUnmetDependencies(&spec)
-		if !ok || unknown != "" || j.submission.writeFailed && c.history.coldRecords > 0 && !j.submission.lookupDone {
-			return nil, c.lookUpArchived(j)
-		}
-		if d := c.authorize(j.submission.caller, submitAction(&spec)); !d.Allowed {
-			c.completeSubmission(j, wire.StatusForbidden, d.Reason)
-			return nil, 0
-		}
-		s := c.pickShard()
-		lane := ""
-		if c.priority.revision != 0 && c.schemaVersion() >= schemaPriorityClasses {
-			lane = c.priority.classes.Name(c.priority.classes.Classify(&spec))
-		}
-		rec := &jobrecord.Record{
-			PriorityClass: lane,
-			Shard:         s,
-			Spec:          &spec,
-			AcceptedAtMS:  j.submission.submittedMS,
-			Submitter:     j.submission.caller.Identity,
-		}
-		p = &proposal{
-			job:          j,
-			record:       rec,
-			spec:         rec.Spec,
-			isAcceptance: true,
-			compares:     append(c.permissionCompares(j.submission.caller), unless),
-			auditActs: []auditlog.Event{
-				newAuditEvent(
-					j.submission.caller,
-					"submit",
-					j.id,
-					fmt.Sprintf("%s %s %s", spec.Team, spec.Class, wire.PriorityName(spec.Priority)),
-				),
-			},
-		}
-		left, _, cancelled := c.findUnmetDependencies(&spec)
-		if cancelled != nil {
-			p.record = &jobrecord.Record{
-				Shard:          s,
-				Stage:          jobrecord.Cancelled,
-				CancelledAtMS:  c.unixMS(),
-				CancelledByJob: cancelled.id,
-			}
-			c.keepPermissionFields(p.record, &spec)
-			p.auditActs = append(
-				p.auditActs,
-				auditlog.Event{Verb: "cancel", Object: j.id, Reason: "needs " + cancelled.id},
-			)
-			return p, 0
-		}
-		spec.Dependencies = left // what is over needs no keeping
-		// Its tasks are placed with the same write if that costs its user no time: a team's key may
-		// be locked, or written by others so often that the write fails.
-		if t := c.teamOf(&spec); t != nil && t.hasMaxQuota() && t.locked && len(left) == 0 && c.ownsShard(s) &&
-			c.now < j.submission.receivedAt+2*lockedRetryDelay {
-			return nil, c.now + lockedRetryDelay
-		}
-		if !j.submission.writeFailed && c.ownsShard(s) && len(left) == 0 && !c.hasEarlierWaiting(&spec) {
-			c.assignTasks(p, b)
-		}
-		return p, 0
+// proposeRecord computes the next record of a job from the current state; nil if nothing changes.
+// A nonzero again is when the job must be examined once more even if nothing new arrives.
+func (c *Core) proposeRecord(target *job, builder *txnBuilder) (p *proposal, again time.Duration) {
+	if target.revision == 0 {
+		return c.proposeAcceptance(target, builder)
 	}
-	if j.record == nil || j.record.Spec == nil {
-		c.completeCancellations(j)
+	if target.record == nil || target.record.Spec == nil {
+		c.completeCancellations(target)
 		return nil, 0
 	}
-	j.write.waitsForEnds = false
-	rec := *j.record
-	rec.StopReasons = slices.Clone(j.record.StopReasons)
-	if c.schemaVersion() >= schemaPriorityClasses {
-		rec.EnqueueRevision = j.queue.enqueueRevision
-	}
-	p = &proposal{job: j, record: &rec, spec: j.record.Spec}
-	if len(j.cancellation.waiters) > 0 && rec.Stage == jobrecord.Queued {
-		p.compares = c.dropUnauthorizedCancellations(j)
-	}
-	if len(j.cancellation.waiters) > 0 && rec.Stage == jobrecord.Queued {
-		p.isCancellation = true
-		rec.Stage = jobrecord.Cancelled
-		rec.CancelledAtMS = j.cancellation.requestedMS
-		for _, x := range j.cancellation.waiters {
-			if a := newAuditEvent(x.caller, "cancel", j.id, ""); !slices.Contains(p.auditActs, a) {
-				p.auditActs = append(p.auditActs, a)
-			}
+	return c.proposeUpdate(target, builder)
+}
+
+// proposeAcceptance proposes the first record of a submitted job, with its first tasks if those can
+// be placed at once. A submission whose dependency is cancelled is accepted as cancelled.
+func (c *Core) proposeAcceptance(target *job, builder *txnBuilder) (p *proposal, again time.Duration) {
+	submission := target.submission
+	notArchived, known := c.notArchivedCompare(target.id)
+	spec := submission.spec
+	unmet, unknown, cancelled := c.findUnmetDependencies(&spec)
+	if !known || unknown != "" ||
+		submission.writeFailed && c.history.coldRecords > 0 && !submission.lookupDone {
+		return nil, c.lookUpArchived(target)
+	}
+	if decision := c.authorize(submission.caller, submitAction(&spec)); !decision.Allowed {
+		c.completeSubmission(target, wire.StatusForbidden, decision.Reason)
+		return nil, 0
+	}
+	p = c.newAcceptance(target, &spec, notArchived)
+	if cancelled != nil {
+		c.acceptAsCancelled(p, cancelled)
+		return p, 0
+	}
+	spec.Dependencies = unmet // those that are done need not be stored
+	if len(unmet) > 0 || !c.ownsShard(p.record.Shard) {
+		return p, 0
+	}
+	// The first tasks are placed with the acceptance if that does not delay the user: a team's key
+	// may be locked, or written by others so often that the write fails.
+	if c.isTeamLocked(&spec) && c.now < submission.receivedAt+2*lockedRetryDelay {
+		return nil, c.now + lockedRetryDelay
+	}
+	if !submission.writeFailed && !c.hasEarlierWaiting(&spec) {
+		c.assignTasks(p, builder)
+	}
+	return p, 0
+}
+
+// newAcceptance is the proposal that accepts a submission as queued, without tasks.
+func (c *Core) newAcceptance(target *job, spec *wire.JobSpec, notArchived wire.Compare) *proposal {
+	submission := target.submission
+	shard := c.pickShard()
+	priorityClass := ""
+	if c.priority.revision != 0 && c.schemaVersion() >= schemaPriorityClasses {
+		priorityClass = c.priority.classes.Name(c.priority.classes.Classify(spec))
+	}
+	return &proposal{
+		job: target,
+		record: &jobrecord.Record{
+			PriorityClass: priorityClass,
+			Shard:         shard,
+			Spec:          spec,
+			AcceptedAtMS:  submission.submittedMS,
+			Submitter:     submission.caller.Identity,
+		},
+		spec:         spec,
+		isAcceptance: true,
+		compares:     append(c.permissionCompares(submission.caller), notArchived),
+		auditActs: []auditlog.Event{
+			newAuditEvent(
+				submission.caller,
+				"submit",
+				target.id,
+				fmt.Sprintf("%s %s %s", spec.Team, spec.Class, wire.PriorityName(spec.Priority)),
+			),
+		},
+	}
+}
+
+// acceptAsCancelled turns an acceptance into that of a job which is cancelled because a job that it
+// depends on is.
+func (c *Core) acceptAsCancelled(p *proposal, dependency *job) {
+	p.record = &jobrecord.Record{
+		Shard:          p.record.Shard,
+		Stage:          jobrecord.Cancelled,
+		CancelledAtMS:  c.unixMS(),
+		CancelledByJob: dependency.id,
+	}
+	c.keepPermissionFields(p.record, p.spec)
+	p.auditActs = append(p.auditActs, dependencyCancelEvent(p.job, dependency))
+}
+
+// dependencyCancelEvent is the audit event of a cancellation that follows from another job's.
+func dependencyCancelEvent(target, dependency *job) auditlog.Event {
+	return auditlog.Event{Verb: "cancel", Object: target.id, Reason: "needs " + dependency.id}
+}
+
+// isTeamLocked reports whether the quota of a job's team can't be charged now, as another write of
+// the team's usage is in flight.
+func (c *Core) isTeamLocked(spec *wire.JobSpec) bool {
+	t := c.teamOf(spec)
+	return t != nil && t.hasMaxQuota() && t.locked
+}
+
+// recordUpdate is the state of one run of proposeUpdate. Its methods are the stages of that run.
+type recordUpdate struct {
+	core     *Core
+	job      *job
+	builder  *txnBuilder
+	proposal *proposal
+	record   *jobrecord.Record // the proposed one; proposal.record points to it too
+	changed  bool              // the proposed record differs from the stored one
+	urgent   bool              // the write must not be delayed to share one with other ends of tasks
+}
+
+// proposeUpdate proposes the next record of an accepted job that is not yet final in the store.
+func (c *Core) proposeUpdate(target *job, builder *txnBuilder) (p *proposal, again time.Duration) {
+	update := c.newRecordUpdate(target, builder)
+	update.cancelForUsers()
+	update.cancelWithDependency()
+	if !c.ownsJob(target) {
+		return update.cancellationOnly(), 0
+	}
+	update.moveToOwnKey()
+	update.recordOutcomes()
+	again = update.completeOrPlace()
+	if !update.changed {
+		return nil, again
+	}
+	if due := update.batchingDeadline(); c.now < due {
+		target.write.waitsForEnds = true
+		if again == 0 {
+			again = due
 		}
-		p.userCancelActs = len(p.auditActs)
-	}
-	ended := j.cancelledBy != nil && rec.Stage == jobrecord.Queued // with a job that it needs
-	if ended {
-		rec.Stage, rec.CancelledByJob, rec.CancelledAtMS = jobrecord.Cancelled, j.cancelledBy.id, c.unixMS()
-		p.auditActs = append(
-			p.auditActs,
-			auditlog.Event{Verb: "cancel", Object: j.id, Reason: "needs " + j.cancelledBy.id},
-		)
-	}
-	if !c.ownsJob(j) {
-		if !p.isCancellation {
-			return nil, 0
+		return nil, min(again, due)
+	}
+	update.proposal.completionsOnly = !update.urgent
+	return update.proposal, 0
+}
+
+// newRecordUpdate starts from a copy of a job's record, so that the adopted one stays as it is
+// until the write is committed.
+func (c *Core) newRecordUpdate(target *job, builder *txnBuilder) recordUpdate {
+	target.write.waitsForEnds = false
+	record := *target.record
+	record.StopReasons = slices.Clone(target.record.StopReasons)
+	if c.schemaVersion() >= schemaPriorityClasses {
+		record.EnqueueRevision = target.queue.enqueueRevision
+	}
+	return recordUpdate{
+		core:     c,
+		job:      target,
+		builder:  builder,
+		proposal: &proposal{job: target, record: &record, spec: target.record.Spec},
+		record:   &record,
+	}
+}
+
+// cancelForUsers cancels a queued job for those who asked for that and still have the permission.
+func (u *recordUpdate) cancelForUsers() {
+	cancellation := &u.job.cancellation
+	if len(cancellation.waiters) == 0 || u.record.Stage != jobrecord.Queued {
+		return
+	}
+	u.proposal.compares = u.core.dropUnauthorizedCancellations(u.job)
+	if len(cancellation.waiters) == 0 {
+		return
+	}
+	u.proposal.isCancellation = true
+	u.changed, u.urgent = true, true
+	u.record.Stage = jobrecord.Cancelled
+	u.record.CancelledAtMS = cancellation.requestedMS
+	for _, waiter := range cancellation.waiters {
+		event := newAuditEvent(waiter.caller, "cancel", u.job.id, "")
+		if !slices.Contains(u.proposal.auditActs, event) {
+			u.proposal.auditActs = append(u.proposal.auditActs, event)
 		}
-		p.assignments = j.assignments
-		return p, 0
 	}
-	// Where changes are left over, a full slot is made roomy again.
-	crowded := c.transactions.rateLimit.WriteTokens >= 0.9*c.transactions.rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
-		c.slotState(c.slotNumber(j.id, j.record)).IsNearlyFull(c.maxSlotBytes())
-	overlaid := (j.stored.needsOwnKey || crowded) && c.currentSlotEntry(j.id, j.record) != nil
-	p.wantsOwnKey = j.stored.needsOwnKey || overlaid
-	changed := overlaid || p.isCancellation || ended ||
-		j.stored.bytes > c.cfg.Store.MaxValueBytes && c.schemaVersion() >= schemaDependencies
-	quick := p.isCancellation
+	u.proposal.userCancelActs = len(u.proposal.auditActs)
+}
+
+// cancelWithDependency cancels a queued job because one that it depends on is cancelled.
+func (u *recordUpdate) cancelWithDependency() {
+	dependency := u.job.cancelledBy
+	if dependency == nil || u.record.Stage != jobrecord.Queued {
+		return
+	}
+	u.changed = true
+	u.record.Stage = jobrecord.Cancelled
+	u.record.CancelledByJob = dependency.id
+	u.record.CancelledAtMS = u.core.unixMS()
+	u.proposal.auditActs = append(u.proposal.auditActs, dependencyCancelEvent(u.job, dependency))
+}
+
+// cancellationOnly is the proposal for a job of a shard that another controller owns: only a user's
+// cancellation may be written here, and the assignments stay as they are. It is nil otherwise.
+func (u *recordUpdate) cancellationOnly() *proposal {
+	if !u.proposal.isCancellation {
+		return nil
+	}
+	u.proposal.assignments = u.job.assignments
+	return u.proposal
+}
+
+// moveToOwnKey moves the record out of its slot if it did not fit there, or if the slot is nearly
+// full and there are writes to spare. It also has a record rewritten that an older schema version
+// left longer than the value limit.
+func (u *recordUpdate) moveToOwnKey() {
+	c, target := u.core, u.job
+	limiter := &c.transactions.rateLimit
+	crowded := limiter.WriteTokens >= crowdedSlotWriteShare*limiter.WriteBurst(c.cfg.Store.MaxTxnOps) &&
+		c.slotState(c.slotNumber(target.id, target.record)).IsNearlyFull(c.maxSlotBytes())
+	moved := (target.stored.needsOwnKey || crowded) && c.currentSlotEntry(target.id, target.record) != nil
+	u.proposal.wantsOwnKey = target.stored.needsOwnKey || moved
+	if moved || target.stored.bytes > c.cfg.Store.MaxValueBytes && c.schemaVersion() >= schemaDependencies {
+		u.changed = true
+	}
+}
+
+// recordOutcomes separates the assignments whose attempts have ended from those that remain, and
+// records completions and failures.
+func (u *recordUpdate) recordOutcomes() {
 	var stopped []jobrecord.StopReason
-	for _, a := range j.assignments {
-		ended, cause := c.attemptOutcome(j, a)
+	for _, assignment := range u.job.assignments {
+		ended, cause := u.core.attemptOutcome(u.job, assignment)
 		if !ended {
-			p.assignments = append(p.assignments, a)
+			u.proposal.assignments = append(u.proposal.assignments, assignment)
 			continue
 		}
-		changed = true
-		p.ended = append(p.ended, a)
-		if cause == wire.CauseDone && rec.Stage == jobrecord.Queued {
-			rec.CompletedTasks = rec.CompletedTasks.Add(int(a.Task))
-			j.placement.failures = 0
+		u.changed = true
+		u.proposal.ended = append(u.proposal.ended, assignment)
+		if cause == wire.CauseDone && u.record.Stage == jobrecord.Queued {
+			u.record.CompletedTasks = u.record.CompletedTasks.Add(int(assignment.Task))
+			u.job.placement.failures = 0
 			continue
 		}
-		quick = true
-		m := c.machines[a.Machine]
-		if rec.Stage == jobrecord.Queued {
-			if t := m.commands.attempts[attemptKey{j.index, a.Task, a.Attempt}]; t != nil && t.stopReason != "" &&
-				cause == wire.CauseStopped {
-				cause = t.stopReason
-			}
-			stopped = append(
-				stopped,
-				jobrecord.StopReason{Task: int(a.Task), Machine: m.name, Cause: cause, AtMS: c.unixMS()},
-			)
-			rec.AddStopReason(stopped[len(stopped)-1])
-			c.handleTaskFailure(j, m, cause, a, failsEverywhere(&rec, c.unixMS()))
+		u.urgent = true
+		if u.record.Stage == jobrecord.Queued {
+			stopped = append(stopped, u.recordStop(assignment, cause))
 		}
 	}
-	p.auditActs = append(p.auditActs, taskStopEvents(j.id, stopped)...)
+	u.proposal.auditActs = append(u.proposal.auditActs, taskStopEvents(u.job.id, stopped)...)
+}
+
+// recordStop records that an attempt of a queued job ended without completing its task. Where the
+// agent only reports that the attempt was stopped, the cause is the one for which it was told to.
+func (u *recordUpdate) recordStop(assignment jobrecord.Assignment, cause string) jobrecord.StopReason {
+	c, host := u.core, u.core.machines[assignment.Machine]
+	attempt := host.commands.attempts[attemptKey{u.job.index, assignment.Task, assignment.Attempt}]
+	if attempt != nil && attempt.stopReason != "" && cause == wire.CauseStopped {
+		cause = attempt.stopReason
+	}
+	reason := jobrecord.StopReason{
+		Task:    int(assignment.Task),
+		Machine: host.name,
+		Cause:   cause,
+		AtMS:    c.unixMS(),
+	}
+	u.record.AddStopReason(reason)
+	c.handleTaskFailure(u.job, host, cause, assignment, failsEverywhere(u.record, c.unixMS()))
+	return reason
+}
+
+// completeOrPlace reduces the record to its final form once no more of the job is to be done, and
+// assigns waiting tasks otherwise. A nonzero again is when placement must be tried once more.
+func (u *recordUpdate) completeOrPlace() (again time.Duration) {
 	switch {
-	case rec.Stage == jobrecord.Cancelled && len(p.assignments) == 0:
-		rec = jobrecord.Record{
-			Shard:          rec.Shard,
-			Stage:          jobrecord.Cancelled,
-			CompletedTasks: rec.CompletedTasks,
-			StopReasons:    rec.StopReasons,
-			CancelledByJob: rec.CancelledByJob,
-			PendingAudit:   rec.PendingAudit,
-		}
-		c.keepPermissionFields(&rec, p.spec)
-		changed = true
-	case rec.Stage == jobrecord.Queued && rec.CompletedTasks.Count() == rec.Spec.Tasks:
-		c.log(
-			LevelDebug,
-			"job done",
-			"job",
-			j.id,
-			"class",
-			rec.Spec.Class,
-			"team",
-			rec.Spec.Team,
-			"tasks",
-			rec.Spec.Tasks,
-			"tries",
-			rec.LastAttempt,
-			"estimate_s",
-			rec.Spec.EstimatedRuntimeMS/1000,
-			"took_ms",
-			c.unixMS()-rec.AcceptedAtMS,
-			"placed_ms",
-			j.placement.lastPlacedMS-rec.AcceptedAtMS,
-			"why",
-			rec.StopReasons,
-		)
-		rec = jobrecord.Record{
-			Shard:          rec.Shard,
-			Stage:          jobrecord.Done,
-			CompletedTasks: jobrecord.TaskSet{0, rec.Spec.Tasks - 1},
-			PendingAudit:   rec.PendingAudit,
-		}
-		c.keepPermissionFields(&rec, p.spec)
-		changed, quick = true, true
-	case rec.Stage == jobrecord.Queued && j.unmetDependencies == 0:
-		before := len(p.assignments)
-		again = c.assignTasks(p, b)
-		if len(p.assignments) > before {
-			p.startsOnly = !changed
-			changed, quick = true, true
-			j.placement.lastPlacedMS = c.unixMS()
-			c.log(
-				LevelDebug,
-				"tasks placed late",
-				"job",
-				j.id,
-				"class",
-				rec.Spec.Class,
-				"tasks",
-				len(p.assignments)-before,
-				"after_ms",
-				j.placement.lastPlacedMS-rec.AcceptedAtMS,
-				"tries",
-				rec.LastAttempt,
-				"spread",
-				rec.Spec.Spread,
-				"why",
-				rec.StopReasons,
-			)
-		}
+	case u.record.Stage == jobrecord.Cancelled && len(u.proposal.assignments) == 0:
+		u.finishCancelled()
+	case u.record.Stage == jobrecord.Queued && u.record.CompletedTasks.Count() == u.record.Spec.Tasks:
+		u.finishDone()
+	case u.record.Stage == jobrecord.Queued && u.job.unmetDependencies == 0:
+		return u.placeTasks()
 	}
-	if !changed {
-		return nil, again
+	return 0
+}
+
+// finishCancelled reduces the record of a cancelled job without tasks on machines.
+func (u *recordUpdate) finishCancelled() {
+	*u.record = jobrecord.Record{
+		Shard:          u.record.Shard,
+		Stage:          jobrecord.Cancelled,
+		CompletedTasks: u.record.CompletedTasks,
+		StopReasons:    u.record.StopReasons,
+		CancelledByJob: u.record.CancelledByJob,
+		PendingAudit:   u.record.PendingAudit,
 	}
-	// Completions alone may wait a little, to share a write.
-	if due := j.write.dirtySince + c.transactions.endBatchDelay; !quick && c.now < due &&
-		b.slotDrafts[c.slotNumber(j.id, j.record)] == nil {
-		j.write.waitsForEnds = true
-		if again == 0 {
-			again = due
-		}
-		return nil, min(again, due)
+	u.core.keepPermissionFields(u.record, u.proposal.spec)
+	u.changed = true
+}
+
+// finishDone reduces the record of a job whose tasks have all completed.
+func (u *recordUpdate) finishDone() {
+	c, record := u.core, u.record
+	c.log(
+		LevelDebug,
+		"job done",
+		"job",
+		u.job.id,
+		"class",
+		record.Spec.Class,
+		"team",
+		record.Spec.Team,
+		"tasks",
+		record.Spec.Tasks,
+		"tries",
+		record.LastAttempt,
+		"estimate_s",
+		record.Spec.EstimatedRuntimeMS/1000,
+		"took_ms",
+		c.unixMS()-record.AcceptedAtMS,
+		"placed_ms",
+		u.job.placement.lastPlacedMS-record.AcceptedAtMS,
+		"why",
+		record.StopReasons,
+	)
+	*record = jobrecord.Record{
+		Shard:          record.Shard,
+		Stage:          jobrecord.Done,
+		CompletedTasks: jobrecord.TaskSet{0, record.Spec.Tasks - 1},
+		PendingAudit:   record.PendingAudit,
 	}
-	p.completionsOnly = !quick
-	return p, 0
+	c.keepPermissionFields(record, u.proposal.spec)
+	u.changed, u.urgent = true, true
+}
+
+// placeTasks assigns waiting tasks of the job to machines, as far as there is capacity.
+func (u *recordUpdate) placeTasks() (again time.Duration) {
+	c, p, record := u.core, u.proposal, u.record
+	before := len(p.assignments)
+	again = c.assignTasks(p, u.builder)
+	if len(p.assignments) == before {
+		return again
+	}
+	p.startsOnly = !u.changed
+	u.changed, u.urgent = true, true
+	u.job.placement.lastPlacedMS = c.unixMS()
+	c.log(
+		LevelDebug,
+		"tasks placed late",
+		"job",
+		u.job.id,
+		"class",
+		record.Spec.Class,
+		"tasks",
+		len(p.assignments)-before,
+		"after_ms",
+		u.job.placement.lastPlacedMS-record.AcceptedAtMS,
+		"tries",
+		record.LastAttempt,
+		"spread",
+		record.Spec.Spread,
+		"why",
+		record.StopReasons,
+	)
+	return again
+}
+
+// batchingDeadline is until when the write may wait so that more ends of tasks share it; 0 if it
+// must not wait. Nothing is gained by waiting if the job's slot is written by this transaction anyway.
+func (u *recordUpdate) batchingDeadline() time.Duration {
+	if u.urgent || u.builder.slotDrafts[u.core.slotNumber(u.job.id, u.job.record)] != nil {
+		return 0
+	}
+	return u.job.write.dirtySince + u.core.transactions.endBatchDelay
 }
 
-// keepPermissionFields keeps in an ended job's record what its readers' rights depend on.
-func (c *Core) keepPermissionFields(r *jobrecord.Record, s *wire.JobSpec) {
+// keepPermissionFields keeps in the record of an ended job the fields that permissions to read it
+// depend on.
+func (c *Core) keepPermissionFields(record *jobrecord.Record, spec *wire.JobSpec) {
 	if c.permissionsInForce() {
-		r.Team, r.Class = s.Team, s.Class
+		record.Team, record.Class = spec.Team, spec.Class
 	}
 }
 
-// lookUpArchived looks for a new job, and for those that it awaits, among the jobs that ended long ago. It
-// tells when another look is due, if set.
-func (c *Core) lookUpArchived(j *job) (again time.Duration) {
-	a := j.submission
-	if a.lookupInFlight {
+// lookUpArchived looks up a new job and its dependencies among the archived jobs: an id must not be
+// accepted twice, and a dependency may have ended long ago. A nonzero again is when the job must be
+// examined once more.
+func (c *Core) lookUpArchived(target *job) (again time.Duration) {
+	submission := target.submission
+	if submission.lookupInFlight {
 		return c.now + lockedRetryDelay
 	}
-	a.lookupInFlight = true
-	c.lookUpJobs(append([]string{j.id}, a.spec.Dependencies...), func(ok bool) {
-		if j.submission != a {
+	submission.lookupInFlight = true
+	c.lookUpJobs(append([]string{target.id}, submission.spec.Dependencies...), func(ok bool) {
+		if target.submission != submission {
 			return
 		}
-		a.lookupInFlight, a.lookupDone = false, true
-		if !ok && j.revision == 0 {
-			c.completeSubmission(j, wire.StatusUnavailable, reasonHistoryUnreadable)
+		submission.lookupInFlight, submission.lookupDone = false, true
+		if !ok && target.revision == 0 {
+			c.completeSubmission(target, wire.StatusUnavailable, reasonHistoryUnreadable)
 		}
-		c.markDirty(j)
+		c.markDirty(target)
 	})
-	if j.submission == nil {
+	if target.submission == nil {
 		return 0
 	}
 	return c.now + lockedRetryDelay
 }
 
-// attemptOutcome tells whether a task's assignment has ended, with its cause.
-func (c *Core) attemptOutcome(j *job, a jobrecord.Assignment) (ended bool, cause string) {
-	m := c.machines[a.Machine]
+// attemptOutcome reports whether the attempt of an assignment has ended, and the cause.
+func (c *Core) attemptOutcome(target *job, assignment jobrecord.Assignment) (ended bool, cause string) {
+	host := c.machines[assignment.Machine]
 	switch {
-	case m.lifecycle.gone:
-		return true, "machine gone"
-	case m.status.incarnation > a.Incarnation:
-		return true, "machine lost its lease"
-	case m.status.incarnation < a.Incarnation || !m.status.reported:
+	case host.lifecycle.gone:
+		return true, causeMachineGone
+	case host.status.incarnation > assignment.Incarnation:
+		return true, causeLeaseLost
+	case host.status.incarnation < assignment.Incarnation || !host.status.reported:
 		return false, ""
 	}
-	k := attemptKey{j.index, a.Task, a.Attempt}
-	p, ok := m.status.tasks[k]
-	if ok {
-		return p.state == wire.TaskExited, p.cause
+	key := attemptKey{target.index, assignment.Task, assignment.Attempt}
+	if status, ok := host.status.tasks[key]; ok {
+		return status.state == wire.TaskExited, status.cause
 	}
-	// Absent from the newest report: that is proof only if no order for it can still come,
-	// and of use only if it is not to be started any more.
-	if j.isFinal() && c.noStartPending(m, j, k) {
-		return true, "not started"
+	// Absence from the newest heartbeat proves that the attempt is not running only if no start
+	// command can still arrive. It is used only for final jobs: others are to be started.
+	if target.isFinal() && c.noStartPending(host, target, key) {
+		return true, causeNotStarted
 	}
 	return false, ""
 }
 
-// noStartPending reports whether no start of an attempt can still be on its way to its machine:
-// every one of ours was answered or fenced off by a higher token that the machine has seen,
-// and so were those of former owners.
-func (c *Core) noStartPending(m *machine, j *job, k attemptKey) bool {
-	s := c.shardOf(j)
-	if !c.ownsShard(s) || m.status.fencingToken < c.ownership.shards[s].FencingToken {
+// noStartPending reports whether no start command of an attempt can still reach its machine: each
+// one of this controller was answered, or is fenced off by a higher fencing token that the machine
+// has accepted, and so are those of former owners of the shard.
+func (c *Core) noStartPending(host *machine, target *job, key attemptKey) bool {
+	shard := c.shardOf(target)
+	if !c.ownsShard(shard) || host.status.fencingToken < c.ownership.shards[shard].FencingToken {
 		return false
 	}
-	t := m.commands.attempts[k]
-	return t == nil || !t.startInFlight && (t.maxUnansweredToken == 0 || m.status.fencingToken > t.maxUnansweredToken)
+	attempt := host.commands.attempts[key]
+	return attempt == nil || !attempt.startInFlight &&
+		(attempt.maxUnansweredToken == 0 || host.status.fencingToken > attempt.maxUnansweredToken)
 }
 
-// maxAssignedTasks bounds the tasks of a job assigned at one time, so that its record fits a value;
-// fitValue sees to the rest.
+// maxAssignedTasks bounds the tasks of a job that are assigned at one time, so that its record
+// should fit a stored value. It is an estimate: encodeWithinLimit enforces the limit.
 func (c *Core) maxAssignedTasks() int {
 	if c.schemaVersion() >= schemaDependencies {
-		return max(8, c.cfg.Store.MaxValueBytes/3) // a packed task takes about two bytes
+		return max(minAssignedTaskLimit, c.cfg.Store.MaxValueBytes/packedTaskBytes)
 	}
-	return max(8, (c.cfg.Store.MaxValueBytes-1024)/12)
+	return max(minAssignedTaskLimit, (c.cfg.Store.MaxValueBytes-unpackedRecordAllowance)/unpackedTaskBytes)
 }
 
-// handleTaskFailure draws conclusions from a task's failure.
-func (c *Core) handleTaskFailure(j *job, m *machine, cause string, a jobrecord.Assignment, mistaken bool) {
-	t := m.commands.attempts[attemptKey{j.index, a.Task, a.Attempt}]
-	if t == nil || t.failureCounted {
+// handleTaskFailure backs off from a job or a machine after an attempt failed, once for each
+// attempt. With jobAtFault the job fails wherever it is started, so its failure is no evidence
+// against the machine.
+func (c *Core) handleTaskFailure(
+	target *job, host *machine, cause string, assignment jobrecord.Assignment, jobAtFault bool,
+) {
+	attempt := host.commands.attempts[attemptKey{target.index, assignment.Task, assignment.Attempt}]
+	if attempt == nil || attempt.failureCounted {
 		return
 	}
-	t.failureCounted = true
+	attempt.failureCounted = true
 	switch cause {
 	case wire.CauseNoCapacity, wire.CauseBusy:
 		c.Stats.StartRefusals++
-		m.health.avoidUntil = c.now + 2*time.Second
+		host.health.avoidUntil = c.now + startRefusalCooldown
 		c.placement.capacityFreed = true
 	case wire.CauseError:
-		// A job that was submitted with a mistake fails everywhere: back off. A machine
-		// on which different jobs fail is faulty.
-		j.placement.failures++
-		if j.placement.failures > 2 {
-			j.placement.backoffUntil = c.now + min(30*time.Second, time.Second<<min(j.placement.failures-3, 5))
-		}
-		if mistaken { // of the machine it says nothing: one such job kept a tenth of a fleet from all work
+		// A job with a mistake in its description fails everywhere: back off from the job. A
+		// machine on which different jobs fail is faulty.
+		target.placement.backOffAfterFailure(c.now)
+		if jobAtFault { // counted against machines, one such job kept a tenth of a fleet from all work
 			return
 		}
-		m.health.failures++
-		m.health.avoidUntil = c.now + time.Duration(min(m.health.failures, 6))*5*time.Second
+		host.health.failures++
+		host.health.avoidUntil = c.now +
+			time.Duration(min(host.health.failures, maxCountedMachineFailures))*machineFailureCooldown
 	case wire.CauseNoSuchTask:
-		j.placement.backoffUntil = c.now + 2*time.Second
+		target.placement.backoffUntil = c.now + startRefusalCooldown
 	}
 }
