--- a/core/requests.go
+++ b/core/requests.go
@@ -6,76 +6,121 @@
 	"time"
 )
 
-func (c *Core) respond(req uint64, status wire.Status, body any) {
-	if s, ok := body.(wire.JobState); ok {
-		c.respondOrAwaitAck(req, status, s)
+// Reasons that users are answered with. They are part of responses, so their texts stay as they are.
+const (
+	reasonTooBusy           = "too busy"
+	reasonNotLoaded         = "not caught up"
+	reasonStoreUnreachable  = "state service not reached"
+	reasonNoSuchJob         = "no such job"
+	reasonIDTaken           = "the id is another's"
+	reasonHistoryUnreadable = "what ended long ago can't be read now"
+)
+
+const (
+	maxDependenciesShown = 20 // unfinished dependencies that the state of a queued job lists
+
+	// cancelWriteGrace is how long after the deadline of a cancellation's answer a write of it may
+	// still be in flight.
+	cancelWriteGrace = 5 * time.Second
+
+	// retryAfterUnavailable is when a client should retry a request that was not executed.
+	retryAfterUnavailable = 1 // seconds
+)
+
+// submissionRejection is why a submission can't be accepted.
+type submissionRejection struct {
+	status wire.Status
+	reason string
+}
+
+// isTemporary reports whether the client should retry the same submission.
+func (r *submissionRejection) isTemporary() bool { return r.status == wire.StatusUnavailable }
+
+// respond answers a request. A job's state may have to wait until it may be acknowledged.
+func (c *Core) respond(requestID uint64, status wire.Status, body any) {
+	if state, ok := body.(wire.JobState); ok {
+		c.respondOrAwaitAck(requestID, status, state)
 		return
 	}
-	r := Response{RequestID: req, Status: status, Body: body}
+	response := Response{RequestID: requestID, Status: status, Body: body}
 	if status == wire.StatusUnavailable || status == wire.StatusTooManyRequests {
-		r.RetryAfterSeconds = 1
+		response.RetryAfterSeconds = retryAfterUnavailable
 	}
-	c.emit(r)
+	c.emit(response)
 }
 
-const reasonTooBusy = "too busy"
-
-func (c *Core) respondUnavailable(req uint64, why string) {
+// respondUnavailable answers that a request was not executed and may be retried.
+func (c *Core) respondUnavailable(requestID uint64, why string) {
 	c.log(LevelDebug, "request refused", "why", why)
-	r := Response{RequestID: req, Status: wire.StatusUnavailable, Body: wire.Error{Error: why}, RetryAfterSeconds: 1}
+	response := Response{
+		RequestID:         requestID,
+		Status:            wire.StatusUnavailable,
+		Body:              wire.Error{Error: why},
+		RetryAfterSeconds: retryAfterUnavailable,
+	}
 	if why == reasonTooBusy {
-		r.RetryAfterSeconds = c.retryAfterSeconds()
+		response.RetryAfterSeconds = c.retryAfterSeconds()
 	}
-	c.emit(r)
+	c.emit(response)
+}
+
+// respondNotFound answers that there is no job of the requested id.
+func (c *Core) respondNotFound(requestID uint64) {
+	c.respond(requestID, wire.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
 }
 
 // jobState is a job's state as its users see it.
 func (c *Core) jobState(j *job) wire.JobState {
-	s := wire.JobState{ID: j.id, Stage: wire.StageQueued}
+	state := wire.JobState{ID: j.id, Stage: wire.StageQueued}
 	if j.record == nil {
-		return s
+		return state
 	}
-	for _, w := range j.record.StopReasons {
-		s.TaskStops = append(s.TaskStops, wire.TaskStop(w))
+	for _, stop := range j.record.StopReasons {
+		state.TaskStops = append(state.TaskStops, wire.TaskStop(stop))
 	}
-	s.Done = j.record.CompletedTasks.Count()
+	state.Done = j.record.CompletedTasks.Count()
 	switch {
 	case j.record.Stage == jobrecord.Done:
-		s.Stage = wire.StageDone
-		return s
+		state.Stage = wire.StageDone
+		return state
 	case j.isFinal():
-		s.Stage, s.CancelledBy = wire.StageCancelled, j.record.CancelledByJob
+		state.Stage, state.CancelledBy = wire.StageCancelled, j.record.CancelledByJob
 		if j.cancelledBy != nil {
-			s.CancelledBy = j.cancelledBy.id
+			state.CancelledBy = j.cancelledBy.id
 		}
-		return s
+		return state
 	}
 	if isFailing(j.record, c.unixMS()) {
-		s.Note = failureExplanation(j.record, c.unixMS())
+		state.Note = failureExplanation(j.record, c.unixMS())
 	}
-	for _, o := range j.dependencies {
-		if o.record == nil || o.record.Stage != jobrecord.Done {
-			if s.DependencyCount++; s.DependencyCount <= maxDependenciesShown {
-				s.Dependencies = append(s.Dependencies, o.id)
-			}
+	for _, dependency := range j.dependencies {
+		if dependency.record != nil && dependency.record.Stage == jobrecord.Done {
+			continue
 		}
-	}
-	for _, a := range j.assignments {
-		m := c.machines[a.Machine]
-		if p, ok := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; ok &&
-			m.status.incarnation == a.Incarnation &&
-			(p.state == wire.TaskRunning || p.state == wire.TaskCheckpointing) {
-			s.Running++
+		if state.DependencyCount++; state.DependencyCount <= maxDependenciesShown {
+			state.Dependencies = append(state.Dependencies, dependency.id)
 		}
 	}
-	if s.Running > 0 {
-		s.Stage = wire.StageRunning
+	if state.Running = c.countRunningTasks(j); state.Running > 0 {
+		state.Stage = wire.StageRunning
 	}
-	return s
+	return state
 }
 
-const maxDependenciesShown = 20 // of the jobs that a queued one waits for
+// countRunningTasks is the number of a job's tasks that run, by the newest heartbeats.
+func (c *Core) countRunningTasks(j *job) (running int) {
+	for _, assignment := range j.assignments {
+		host := c.machines[assignment.Machine]
+		status, ok := host.status.tasks[attemptKey{j.index, assignment.Task, assignment.Attempt}]
+		if ok && host.status.incarnation == assignment.Incarnation &&
+			(status.state == wire.TaskRunning || status.state == wire.TaskCheckpointing) {
+			running++
+		}
+	}
+	return running
+}
 
+// handleGetJob answers a request for a job's state.
 func (c *Core) handleGetJob(in GetJob) {
 	switch {
 	case c.isNotServing():
@@ -88,44 +133,44 @@
 	c.respondWithCurrentState(in.RequestID, in.ID)
 }
 
-// respondWithCurrentState answers with a job's state: one that is over from memory, as it stays so,
-// any other as of a read that begins now. So nobody is told what was true only before they asked:
-// others may have been told an end or a cancellation since. Whoever asks, repeats a submission, or
-// joins one whose write was sent before, is answered here.
-func (c *Core) respondWithCurrentState(req uint64, id string) {
+// respondWithCurrentState answers with a job's state: that of a final job from memory, as it never
+// changes, any other as of a linearizable read that begins now. Without that read, an answer could
+// contradict an end or a cancellation which another user was answered with earlier. Status
+// requests, repeated submissions, and submissions that join one whose write was already sent are
+// all answered here.
+func (c *Core) respondWithCurrentState(requestID uint64, id string) {
 	if !c.replica.loaded {
-		c.respondUnavailable(req, "not caught up")
+		c.respondUnavailable(requestID, reasonNotLoaded)
 		return
 	}
 	if j := c.recallFromArchive(id); j != nil && j.isFinal() {
-		c.respond(req, wire.StatusOK, c.jobState(j))
+		c.respond(requestID, wire.StatusOK, c.jobState(j))
 		return
 	}
 	if !wire.ValidJobID(id) {
-		c.respond(req, wire.StatusNotFound, wire.Error{Error: "no such job"})
+		c.respondNotFound(requestID)
 		return
 	}
 	if c.storeUnreachable() {
-		c.respondUnavailable(req, "state service not reached")
+		c.respondUnavailable(requestID, reasonStoreUnreachable)
 		return
 	}
 	c.afterReadBarrier(func(ok bool) {
 		if j := c.knownJob(id); !ok && (j == nil || !j.isFinal()) {
-			c.respondUnavailable(req, "state service not reached")
+			c.respondUnavailable(requestID, reasonStoreUnreachable)
 			return
 		}
-		c.lookUpJobForRequest(req, id, func(j *job) {
+		c.lookUpJobForRequest(requestID, id, func(j *job) {
 			if j == nil {
-				c.respond(req, wire.StatusNotFound, wire.Error{Error: "no such job"})
+				c.respondNotFound(requestID)
 				return
 			}
-			c.respond(req, wire.StatusOK, c.jobState(j))
+			c.respond(requestID, wire.StatusOK, c.jobState(j))
 		})
 	})
 }
 
-const reasonHistoryUnreadable = "what ended long ago can't be read now"
-
+// handleSubmitJob starts the acceptance of a submission.
 func (c *Core) handleSubmitJob(in SubmitJob) {
 	switch {
 	case c.isNotServing():
@@ -137,172 +182,206 @@
 	}
 }
 
-// admitSubmission takes the submission of somebody who may submit it.
+// admitSubmission validates a submission whose caller has the permission for it, and queues it to be
+// accepted.
 func (c *Core) admitSubmission(in SubmitJob) {
 	if in.ID == "" {
 		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
 		return
 	}
 	if !c.replica.loaded {
-		c.respondUnavailable(in.RequestID, "not caught up")
+		c.respondUnavailable(in.RequestID, reasonNotLoaded)
 		return
 	}
 	if c.recallFromArchive(in.ID) != nil {
 		c.respondToRepeatedSubmission(in.RequestID, in.Caller, in.validSpec(), in.ID)
 		return
 	}
-	status, why := c.validateSubmission(&in)
+	rejection := c.validateSubmission(&in)
 	switch {
-	case status == wire.StatusUnavailable:
-		c.respondUnavailable(in.RequestID, why)
+	case rejection != nil && rejection.isTemporary():
+		c.respondUnavailable(in.RequestID, rejection.reason)
 	case c.storeUnreachable() || !c.holdsLease():
-		c.respondUnavailable(in.RequestID, "state service not reached")
-	case status != wire.StatusNoAnswer:
-		// A repeat of an accepted job is never refused so: first learn whether it is one. And a job
-		// that it awaits may just have been accepted by another controller.
-		c.afterUrgentReadBarrier(func(ok bool) {
-			if !ok {
-				c.respondUnavailable(in.RequestID, "state service not reached")
-				return
-			}
-			c.lookUpJobs(append([]string{in.ID}, in.Spec.Dependencies...), func(ok bool) {
-				j := c.knownJob(in.ID)
-				status, why := c.validateSubmission(&in)
-				switch {
-				case j != nil && !c.canRepeatSubmission(in.Caller, in.validSpec(), j):
-					c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, "the id is another's")
-				case j != nil:
-					c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
-				case !ok:
-					c.respondUnavailable(in.RequestID, reasonHistoryUnreadable)
-				case status == wire.StatusUnavailable:
-					c.respondUnavailable(in.RequestID, why)
-				case status != wire.StatusNoAnswer:
-					c.respond(in.RequestID, status, wire.Error{Error: why})
-				default: // a job that it awaits was found
-					c.admitSubmission(in)
-				}
-			})
-		})
+		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
+	case rejection != nil:
+		c.rejectAfterReadBarrier(in)
 	default:
-		// More than the state service takes until they would be refused are refused at once.
-		if i, ok := c.jobIndex[in.ID]; c.pendingSubmissions >= c.maxPendingSubmissions() &&
-			(!ok || c.jobs[i].submission == nil) {
-			c.respondUnavailable(in.RequestID, reasonTooBusy)
-			return
-		}
-		j := c.internJob(in.ID)
-		if j.submission != nil && j.submission.caller != in.Caller {
-			c.respondUnavailable(in.RequestID, "being submitted by another")
-			return
-		}
-		if j.submission != nil {
-			j.submission.requestIDs = append(j.submission.requestIDs, in.RequestID)
+		c.enqueueSubmission(in)
+	}
+}
+
+// rejectAfterReadBarrier answers a submission that can't be accepted by what is known here. A
+// repeated submission of an accepted job must never be rejected, so it is first determined whether
+// this is one. Also, a dependency may just have been accepted by another controller.
+func (c *Core) rejectAfterReadBarrier(in SubmitJob) {
+	c.afterUrgentReadBarrier(func(ok bool) {
+		if !ok {
+			c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 			return
 		}
-		c.pendingSubmissions++
-		j.submission = &pendingSubmission{
-			requestIDs:  []uint64{in.RequestID},
-			caller:      in.Caller,
-			spec:        in.Spec,
-			submittedMS: in.UnixMS,
-			receivedAt:  c.now,
-			deadline:    c.now + c.cfg.Scheduling.SubmitWriteTimeout,
-		}
-		c.markDirty(j)
+		c.lookUpJobs(append([]string{in.ID}, in.Spec.Dependencies...), func(ok bool) {
+			existing := c.knownJob(in.ID)
+			rejection := c.validateSubmission(&in)
+			switch {
+			case existing != nil && !c.canRepeatSubmission(in.Caller, in.validSpec(), existing):
+				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, reasonIDTaken)
+			case existing != nil:
+				c.respond(in.RequestID, wire.StatusOK, c.jobState(existing))
+			case !ok:
+				c.respondUnavailable(in.RequestID, reasonHistoryUnreadable)
+			case rejection == nil: // a dependency was found
+				c.admitSubmission(in)
+			case rejection.isTemporary():
+				c.respondUnavailable(in.RequestID, rejection.reason)
+			default:
+				c.respond(in.RequestID, rejection.status, wire.Error{Error: rejection.reason})
+			}
+		})
+	})
+}
+
+// enqueueSubmission queues a valid submission to be written, or adds it to one of the same job by
+// the same caller. Beyond what the store can write before their deadline, submissions are rejected
+// at once.
+func (c *Core) enqueueSubmission(in SubmitJob) {
+	if i, ok := c.jobIndex[in.ID]; c.pendingSubmissions >= c.maxPendingSubmissions() &&
+		(!ok || c.jobs[i].submission == nil) {
+		c.respondUnavailable(in.RequestID, reasonTooBusy)
+		return
 	}
+	target := c.internJob(in.ID)
+	if target.submission != nil && target.submission.caller != in.Caller {
+		c.respondUnavailable(in.RequestID, "being submitted by another")
+		return
+	}
+	if target.submission != nil {
+		target.submission.requestIDs = append(target.submission.requestIDs, in.RequestID)
+		return
+	}
+	c.pendingSubmissions++
+	target.submission = &pendingSubmission{
+		requestIDs:  []uint64{in.RequestID},
+		caller:      in.Caller,
+		spec:        in.Spec,
+		submittedMS: in.UnixMS,
+		receivedAt:  c.now,
+		deadline:    c.now + c.cfg.Scheduling.SubmitWriteTimeout,
+	}
+	c.markDirty(target)
 }
 
-// respondToRepeatedSubmission answers the submission of a job that is there already, by somebody
-// who could submit it. A submission that finds it without rights in force goes the way of a
-// question.
-func (c *Core) respondToRepeatedSubmission(req uint64, by Credential, s *wire.JobSpec, id string) {
+// respondToRepeatedSubmission answers the submission of a job that exists, by a caller with the
+// permission to submit it. Without permissions in force it is answered like a status request.
+func (c *Core) respondToRepeatedSubmission(requestID uint64, caller Credential, spec *wire.JobSpec, id string) {
 	if !c.permissionsInForce() {
-		c.respondWithCurrentState(req, id)
+		c.respondWithCurrentState(requestID, id)
 		return
 	}
-	c.withJobAfterBarrier(req, id, func(j *job) {
+	c.withJobAfterBarrier(requestID, id, func(j *job) {
 		switch {
 		case j == nil:
-			c.respondUnavailable(req, reasonHistoryUnreadable)
-		case !c.canRepeatSubmission(by, s, j):
-			c.respondForbidden(req, by, "submit", id, "the id is another's")
+			c.respondUnavailable(requestID, reasonHistoryUnreadable)
+		case !c.canRepeatSubmission(caller, spec, j):
+			c.respondForbidden(requestID, caller, "submit", id, reasonIDTaken)
 		default:
-			c.respond(req, wire.StatusOK, c.jobState(j))
+			c.respond(requestID, wire.StatusOK, c.jobState(j))
 		}
 	})
 }
 
-// validateSubmission tells why a submission can't be accepted, with its status, as far as is known here; 0 if
-// it can.
-func (c *Core) validateSubmission(in *SubmitJob) (wire.Status, string) {
+// validateSubmission is why a submission can't be accepted, by what is known here; nil if it can.
+func (c *Core) validateSubmission(in *SubmitJob) *submissionRejection {
 	if in.DecodeError != "" {
-		return wire.StatusBadRequest, in.DecodeError
+		return &submissionRejection{wire.StatusBadRequest, in.DecodeError}
 	}
-	s := in.Spec
-	if status, why := c.checkEverFeasible(&s); status != wire.StatusNoAnswer {
-		return status, why
+	spec := in.Spec
+	if status, why := c.checkEverFeasible(&spec); status != wire.StatusNoAnswer {
+		return &submissionRejection{status, why}
 	}
-	if len(s.Dependencies) > 0 {
-		if c.schemaVersion() < schemaDependencies {
-			return wire.StatusUnavailable, "a controller may still run a version that does not know awaits"
+	if len(spec.Dependencies) > 0 {
+		unmet, rejection := c.validateDependencies(in.Caller, &spec)
+		if rejection != nil {
+			return rejection
 		}
-		left, unknown, _ := c.findUnmetDependencies(&s)
-		for _, id := range s.Dependencies { // nobody is told of jobs that they may not read
-			if o := c.knownJob(id); o != nil && !c.canReadJob(in.Caller, o) {
-				unknown = id
-			}
+		spec.Dependencies = unmet
+	}
+	// A record also holds assignments and reasons of stops, which must fit its value too.
+	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &spec}, nil, c.schemaVersion() >= schemaDependencies)
+	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes*3/4 {
+		return &submissionRejection{
+			wire.StatusBadRequest,
+			"the description and the unfinished jobs that it awaits are too long to be stored",
 		}
-		if unknown != "" {
-			return wire.StatusInvalid, "awaits a job that was never accepted: " + unknown
+	}
+	return nil
+}
+
+// validateDependencies lists the unmet dependencies of a submission, or is why it can't have them. A
+// dependency that the caller may not read is treated as unknown, so that its existence isn't revealed.
+func (c *Core) validateDependencies(
+	caller Credential, spec *wire.JobSpec,
+) (unmet []string, rejection *submissionRejection) {
+	if c.schemaVersion() < schemaDependencies {
+		return nil, &submissionRejection{
+			wire.StatusUnavailable,
+			"a controller may still run a version that does not know awaits",
 		}
-		s.Dependencies = left
 	}
-	// What a record holds beside the description must find room in its value.
-	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &s}, nil, c.schemaVersion() >= schemaDependencies)
-	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes*3/4 {
-		return wire.StatusBadRequest, "the description and the unfinished jobs that it awaits are too long to be stored"
+	unmet, unknown, _ := c.findUnmetDependencies(spec)
+	for _, id := range spec.Dependencies {
+		if dependency := c.knownJob(id); dependency != nil && !c.canReadJob(caller, dependency) {
+			unknown = id
+		}
+	}
+	if unknown != "" {
+		return nil, &submissionRejection{
+			wire.StatusInvalid,
+			"awaits a job that was never accepted: " + unknown,
+		}
 	}
-	return wire.StatusNoAnswer, ""
+	return unmet, nil
 }
 
-// completeSubmission answers all who wait for a job's acceptance.
-func (c *Core) completeSubmission(j *job, status wire.Status, why string) {
-	a := j.submission
-	if a == nil {
+// completeSubmission answers all requests that wait for a job's acceptance.
+func (c *Core) completeSubmission(target *job, status wire.Status, why string) {
+	submission := target.submission
+	if submission == nil {
 		return
 	}
-	j.submission = nil
+	target.submission = nil
 	c.pendingSubmissions--
 	c.log(
 		LevelDebug,
 		"submission answered",
 		"job",
-		j.id,
+		target.id,
 		"status",
 		status,
 		"after_ms",
-		(c.now - a.receivedAt).Milliseconds(),
+		(c.now - submission.receivedAt).Milliseconds(),
 		"failed",
-		a.writeFailed,
+		submission.writeFailed,
 	)
-	for i, req := range a.requestIDs {
+	for i, requestID := range submission.requestIDs {
+		joinedAfterWrite := i >= submission.requestsBeforeWrite
 		switch {
 		case status == wire.StatusForbidden:
-			c.respondForbidden(req, a.caller, "submit", j.id, why)
-		case status == wire.StatusOK || status == wire.StatusCreated && i >= a.requestsBeforeWrite: // came after the write was sent, which others may have read since
-			c.respondToRepeatedSubmission(req, a.caller, &a.spec, j.id)
+			c.respondForbidden(requestID, submission.caller, "submit", target.id, why)
+		case status == wire.StatusOK || status == wire.StatusCreated && joinedAfterWrite:
+			// Others may have read the write, and changed the job, before this request arrived.
+			c.respondToRepeatedSubmission(requestID, submission.caller, &submission.spec, target.id)
 		case status == wire.StatusCreated && i > 0:
-			c.respond(req, wire.StatusOK, c.jobState(j))
+			c.respond(requestID, wire.StatusOK, c.jobState(target))
 		case status == wire.StatusCreated:
 			c.Stats.Accepted++
-			c.respond(req, wire.StatusCreated, c.jobState(j))
+			c.respond(requestID, wire.StatusCreated, c.jobState(target))
 		default:
-			c.respondUnavailable(req, why)
+			c.respondUnavailable(requestID, why)
 		}
 	}
 }
 
+// handleCancelJob starts the cancellation of a job.
 func (c *Core) handleCancelJob(in CancelJob) {
 	switch {
 	case c.isNotServing():
@@ -313,61 +392,63 @@
 		return
 	}
 	if !wire.ValidJobID(in.ID) {
-		c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
+		c.respondNotFound(in.RequestID)
 		return
 	}
 	if !c.replica.loaded {
-		c.respondUnavailable(in.RequestID, "not caught up")
+		c.respondUnavailable(in.RequestID, reasonNotLoaded)
 		return
 	}
-	j := c.recallFromArchive(in.ID)
-	if j != nil && j.isFinal() {
-		c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
+	target := c.recallFromArchive(in.ID)
+	if target != nil && target.isFinal() {
+		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
 		return
 	}
 	if c.storeUnreachable() {
-		c.respondUnavailable(in.RequestID, "state service not reached")
+		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 		return
 	}
-	if j == nil {
-		c.withJobAfterBarrier(in.RequestID, in.ID, func(j *job) {
-			if j == nil {
-				c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
-				return
-			}
-			c.enqueueCancellation(j, in)
-		})
+	if target != nil {
+		c.enqueueCancellation(target, in)
 		return
 	}
-	c.enqueueCancellation(j, in)
+	c.withJobAfterBarrier(in.RequestID, in.ID, func(found *job) {
+		if found == nil {
+			c.respondNotFound(in.RequestID)
+			return
+		}
+		c.enqueueCancellation(found, in)
+	})
 }
 
-func (c *Core) enqueueCancellation(j *job, in CancelJob) {
-	if j.isFinal() {
-		c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
+// enqueueCancellation has a job cancelled with its next write, which then answers the request.
+func (c *Core) enqueueCancellation(target *job, in CancelJob) {
+	if target.isFinal() {
+		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
 		return
 	}
-	j.cancellation.waiters = append(j.cancellation.waiters, cancelWaiter{in.RequestID, in.Caller})
-	j.cancellation.requestedMS = in.UnixMS
-	j.cancellation.answerBy = c.now + c.cfg.Scheduling.SubmitWriteTimeout
-	c.cancelAcks.waitersUntil = j.cancellation.answerBy + 5*time.Second // a write of it may be on its way as long
-	c.markDirty(j)
+	target.cancellation.waiters = append(target.cancellation.waiters, cancelWaiter{in.RequestID, in.Caller})
+	target.cancellation.requestedMS = in.UnixMS
+	target.cancellation.answerBy = c.now + c.cfg.Scheduling.SubmitWriteTimeout
+	c.cancelAcks.waitersUntil = target.cancellation.answerBy + cancelWriteGrace
+	c.markDirty(target)
 }
 
-// completeCancellations answers those who wait for a job's end once it is final.
-func (c *Core) completeCancellations(j *job) {
-	if len(j.cancellation.waiters) == 0 || !j.isFinal() {
+// completeCancellations answers those who wait for a job's cancellation once the job is final.
+func (c *Core) completeCancellations(target *job) {
+	if len(target.cancellation.waiters) == 0 || !target.isFinal() {
 		return
 	}
-	for _, r := range j.cancellation.waiters {
-		c.respond(r.requestID, wire.StatusOK, c.jobState(j))
+	for _, waiter := range target.cancellation.waiters {
+		c.respond(waiter.requestID, wire.StatusOK, c.jobState(target))
 	}
-	j.cancellation.waiters = nil
+	target.cancellation.waiters = nil
 }
 
-func (c *Core) rejectCancellations(j *job, why string) {
-	for _, r := range j.cancellation.waiters {
-		c.respondUnavailable(r.requestID, why)
+// rejectCancellations answers those who wait for a job's cancellation that it was not executed.
+func (c *Core) rejectCancellations(target *job, why string) {
+	for _, waiter := range target.cancellation.waiters {
+		c.respondUnavailable(waiter.requestID, why)
 	}
-	j.cancellation.waiters = nil
+	target.cancellation.waiters = nil
 }
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -6,60 +6,124 @@
 	"time"
 )
 
-// A submission that joins one whose write is on its way is answered by a read sent after it came.
-// It was told «queued» by that write alone, which another controller had read, and had told the
-// cancellation that followed.
+// A submission that joins one whose write is in flight must be answered by a read that began after
+// it arrived. It was once answered «queued» by that write alone, which another controller had read,
+// and whose cancellation of the job another user had already been answered with.
 func TestJoinedSubmissionIsAnsweredByItsOwnReadBarrier(t *testing.T) {
-	const written = `{"h":0,"s":{"cl":"c","tm":"t","pr":2,"n":1,"rc":[1000,0,1000]},"at":1}`
-	const cancelled = `{"h":0,"st":"c","cm":1}`
-	for name, answer := range map[string]func(c *Core, x *CommitTxn) []Output{
-		"the write's answer": func(c *Core, x *CommitTxn) []Output {
-			c.Handle(1200*time.Millisecond, TxnResult{ID: x.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: 7}})
+	const (
+		queuedRecord    = `{"h":0,"s":{"cl":"c","tm":"t","pr":2,"n":1,"rc":[1000,0,1000]},"at":1}`
+		cancelledRecord = `{"h":0,"st":"c","cm":1}`
+		joinedRequest   = 2
+	)
+	for _, tc := range []struct {
+		name     string
+		complete func(c *Core, write *CommitTxn) []Output // tells the controller that the write was committed
+	}{
+		{"by the result of the write", func(c *Core, write *CommitTxn) []Output {
+			c.Handle(1200*time.Millisecond, TxnResult{
+				ID:     write.ID,
+				Status: wire.StatusOK,
+				Reply:  wire.TxnResponse{Revision: 7},
+			})
 			return c.Advance(1200 * time.Millisecond)
+		}},
+		{"by the watch, after the write was rejected", func(c *Core, write *CommitTxn) []Output {
+			c.Handle(1200*time.Millisecond, TxnResult{ID: write.ID, Status: wire.StatusTooManyRequests})
+			return watchEvents(c, 1200*time.Millisecond, 7, event(keyJob+"wk-000001", queuedRecord, 7))
+		}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			c := newServingCore(t)
+			in := testSubmission("wk-000001")
+			c.Handle(1100*time.Millisecond, in)
+			write := findAcceptTxn(c.Advance(1100*time.Millisecond), in.ID)
+			if write == nil {
+				t.Fatal("not written")
+			}
+			in.RequestID = joinedRequest
+			c.Handle(1150*time.Millisecond, in)
+			out := tc.complete(c, write)
+			out = append(out, c.Advance(1600*time.Millisecond)...)
+			for _, r := range outputsOfType[Response](out) {
+				if r.RequestID == joinedRequest {
+					t.Errorf("answered without a read: %+v", r)
+				}
+			}
+			if len(outputsOfType[Watch](out)) == 0 {
+				t.Error("no read was sent")
+				return
+			}
+			c.Handle(
+				1700*time.Millisecond,
+				WatchResult{
+					Status: wire.StatusOK,
+					Changes: wire.WatchResponse{
+						Revision: 8,
+						Events:   []wire.WatchEvent{event(keyJob+"wk-000001", cancelledRecord, 8)},
+					},
+				},
+			)
+			stage := ""
+			for _, r := range outputsOfType[Response](c.Advance(1700 * time.Millisecond)) {
+				if state, ok := r.Body.(wire.JobState); ok && r.RequestID == joinedRequest {
+					stage = state.Stage
+				}
+			}
+			if stage != wire.StageCancelled {
+				t.Errorf("answered %q", stage)
+			}
+		})
+	}
+}
+
+// A rejection must keep its status and reason, and only one that may pass by itself is temporary:
+// it is answered as unavailable, so that the client retries.
+func TestValidateSubmissionRejections(t *testing.T) {
+	for _, tc := range []struct {
+		name      string
+		prepare   func(c *Core, in *SubmitJob)
+		want      *submissionRejection
+		temporary bool
+	}{
+		{name: "valid", prepare: func(*Core, *SubmitJob) {}},
+		{
+			name:    "malformed",
+			prepare: func(_ *Core, in *SubmitJob) { in.DecodeError = "no JSON" },
+			want:    &submissionRejection{wire.StatusBadRequest, "no JSON"},
+		},
+		{
+			name:    "unknown team",
+			prepare: func(_ *Core, in *SubmitJob) { in.Spec.Team = "nobody" },
+			want:    &submissionRejection{wire.StatusInvalid, "unknown team"},
 		},
-		"overtaken, and the stream": func(c *Core, x *CommitTxn) []Output {
-			c.Handle(1200*time.Millisecond, TxnResult{ID: x.ID, Status: wire.StatusTooManyRequests})
-			return watchEvents(c, 1200*time.Millisecond, 7, event(keyJob+"wk-000001", written, 7))
+		{
+			name:      "machine types not loaded",
+			prepare:   func(c *Core, _ *SubmitJob) { c.autoscaler.catalog = nil },
+			want:      &submissionRejection{wire.StatusUnavailable, "machine types not known yet"},
+			temporary: true,
+		},
+		{
+			name:    "dependency never accepted",
+			prepare: func(_ *Core, in *SubmitJob) { in.Spec.Dependencies = []string{"wk-9"} },
+			want:    &submissionRejection{wire.StatusInvalid, "awaits a job that was never accepted: wk-9"},
 		},
 	} {
-		c := newServingCore(t)
-		in := testSubmission("wk-000001")
-		c.Handle(1100*time.Millisecond, in)
-		x := findAcceptTxn(c.Advance(1100*time.Millisecond), in.ID)
-		if x == nil {
-			t.Fatal("not written")
-		}
-		in.RequestID = 2
-		c.Handle(1150*time.Millisecond, in)
-		out := answer(c, x)
-		out = append(out, c.Advance(1600*time.Millisecond)...)
-		for _, r := range outputsOfType[Response](out) {
-			if r.RequestID == 2 {
-				t.Errorf("%s: answered without a read: %+v", name, r)
+		t.Run(tc.name, func(t *testing.T) {
+			c := newCoreWithDependencies(t)
+			in := testSubmission("wk-1")
+			tc.prepare(c, &in)
+			got := c.validateSubmission(&in)
+			switch {
+			case tc.want == nil && got != nil:
+				t.Fatalf("rejected: %+v", *got)
+			case tc.want == nil:
+				return
+			case got == nil:
+				t.Fatal("not rejected")
 			}
-		}
-		if len(outputsOfType[Watch](out)) == 0 {
-			t.Errorf("%s: no read was sent", name)
-			continue
-		}
-		c.Handle(
-			1700*time.Millisecond,
-			WatchResult{
-				Status: wire.StatusOK,
-				Changes: wire.WatchResponse{
-					Revision: 8,
-					Events:   []wire.WatchEvent{event(keyJob+"wk-000001", cancelled, 8)},
-				},
-			},
-		)
-		got := ""
-		for _, r := range outputsOfType[Response](c.Advance(1700 * time.Millisecond)) {
-			if st, ok := r.Body.(wire.JobState); ok && r.RequestID == 2 {
-				got = st.Stage
+			if *got != *tc.want || got.isTemporary() != tc.temporary {
+				t.Errorf("got %+v, temporary %v; want %+v, %v", *got, got.isTemporary(), *tc.want, tc.temporary)
 			}
-		}
-		if got != wire.StageCancelled {
-			t.Errorf("%s: answered %q", name, got)
-		}
+		})
 	}
 }
