--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// A user is told that a job is cancelled once a majority of the controllers holds that, or nothing
-// of the job is on a machine; and whoever renews a worker's lease knows what was told (core/quorum,
-// docs/notes/cancellation.md). Here is what the core does for it: it holds answers back, asks and
-// answers for what others hold, has the news of cancellations current, and stops with each answer
-// to a worker what is cancelled there.
+// Acknowledging cancellations. A user is answered that a job is cancelled only once a majority of
+// the controllers holds the cancellation, or no task of the job is on a machine; and no controller
+// renews an agent's lease without knowing the acknowledged cancellations (core/quorum,
+// docs/notes/cancellation.md). The core's part is in this file: it delays answers, queries the other
+// controllers and answers their queries, keeps its knowledge of cancellations current, and stops
+// cancelled tasks with each response to an agent.
 
 // QuorumRead asks for the cancellations that a controller holds and the sender may lack.
 type QuorumRead struct {
@@ -26,10 +27,19 @@
 // QuorumReply answers a QuorumRead.
 type QuorumReply struct {
 	Nonce        uint64 `json:"n"`
-	UpToRevision uint64 `json:"u"` // the sender holds all up to this revision, and what comes with it
+	UpToRevision uint64 `json:"u"` // the sender holds all up to this revision, and those in the same message
 }
 
-// pendingAck is an answer that waits until a cancellation may be told.
+// cancelAcks is the state of acknowledging cancellations.
+type cancelAcks struct {
+	waitersUntil  time.Duration // until then, users may wait for a cancellation
+	quorum        *quorum.View  // how current this controller's knowledge is, and what the others hold
+	pending       []pendingAck
+	peersKnowUpTo uint64        // revision up to which other controllers have sent all cancellations
+	nextReadAt    time.Duration // not before then is the store read only to stay current
+}
+
+// pendingAck is an answer that is delayed until a cancellation may be acknowledged.
 type pendingAck struct {
 	requestID uint64
 	job       *job
@@ -37,8 +47,9 @@
 }
 
 const (
-	ackTimeout           = 1500 * time.Millisecond // an answer waits for a majority: users wait 2 s
-	cancelResendInterval = 500 * time.Millisecond  // until the others are told of a cancellation again
+	ackTimeout           = 1500 * time.Millisecond // an answer waits so long for a majority: users wait 2 s
+	cancelResendInterval = 500 * time.Millisecond  // until a cancellation is sent to the others again
+	currencyReadInterval = time.Second             // between reads of the store only to stay current
 )
 
 // isCancelledWithTasks reports whether a job is cancelled while tasks of it may be on machines.
@@ -46,70 +57,71 @@
 	return j.record != nil && j.record.Stage == jobrecord.Cancelled && len(j.assignments) > 0
 }
 
-// timeSinceCancel is the time since somebody asked for a job's cancellation, by the time of day.
+// timeSinceCancel is the time since the cancellation of a job was requested, by the time of day.
 func (c *Core) timeSinceCancel(j *job) time.Duration {
 	return time.Duration(c.unixMS()-j.record.CancelledAtMS) * time.Millisecond
 }
 
-// latestCancelRevision is a revision at which a cancelled job's cancellation was there: whoever has
-// seen it knows of that.
+// latestCancelRevision is a revision at which a cancelled job's cancellation was stored: a
+// controller whose replica has reached it knows of the cancellation.
 func (j *job) latestCancelRevision() uint64 { return max(j.revision, j.cancellation.markerRevision) }
 
-// canAckCancellation reports whether users may be told that a job is cancelled.
+// canAckCancellation reports whether users may be answered that a job is cancelled.
 func (c *Core) canAckCancellation(j *job) bool {
 	if !j.isCancelledWithTasks() || j.ack.allowed {
 		return true
 	}
-	// A controller of an older version neither vouches nor asks: as long as there may be one, the tasks must be gone.
+	// A controller of an older version neither replies to queries nor sends them: while there may be
+	// one, the tasks must be gone first.
 	j.ack.allowed = c.schemaVersion() >= schemaCancelQuorum &&
 		c.cancelAcks.quorum.CanAcknowledge(j.latestCancelRevision(), j.ack.heldBy)
 	return j.ack.allowed
 }
 
-// respondOrAwaitAck answers with a job's state, once that may be told.
-func (c *Core) respondOrAwaitAck(req uint64, status wire.Status, s wire.JobState) {
-	if s.Stage == wire.StageCancelled {
-		if j := c.knownJob(s.ID); j != nil && !c.canAckCancellation(j) {
-			c.cancelAcks.pending = append(c.cancelAcks.pending, pendingAck{req, j, c.now + ackTimeout})
+// respondOrAwaitAck answers with a job's state, once that may be acknowledged.
+func (c *Core) respondOrAwaitAck(requestID uint64, status wire.Status, state wire.JobState) {
+	if state.Stage == wire.StageCancelled {
+		if j := c.knownJob(state.ID); j != nil && !c.canAckCancellation(j) {
+			c.cancelAcks.pending = append(c.cancelAcks.pending, pendingAck{requestID, j, c.now + ackTimeout})
 			return
 		}
 	}
-	c.emit(Response{RequestID: req, Status: status, Body: s})
+	c.emit(Response{RequestID: requestID, Status: status, Body: state})
 }
 
-// advanceCancelAcks sees to it that the news of cancellations is current, and that those may be
-// told that users wait for.
+// advanceCancelAcks keeps the knowledge of cancellations current, and answers the users whose
+// cancellations may be acknowledged by now.
 func (c *Core) advanceCancelAcks() {
 	if c.cancelAcks.quorum.IsReadDue(c.now) && c.now >= c.cancelAcks.nextReadAt {
-		c.cancelAcks.nextReadAt = c.now + time.Second
-		c.afterReadBarrier(func(bool) {})
+		c.cancelAcks.nextReadAt = c.now + currencyReadInterval
+		c.afterReadBarrier(func(bool) {}) // the read itself is what counts
 	}
 	if c.cancelAcks.quorum.IsQueryDue(c.now) {
-		q := &QuorumRead{Nonce: c.rng.Uint64() | 1, SinceRevision: c.cancellationsKnownUpTo()}
-		c.cancelAcks.quorum.BeginQuery(c.now, q.Nonce)
-		c.sendToPeers("", Message{QuorumRead: q})
+		query := &QuorumRead{Nonce: c.rng.Uint64() | 1, SinceRevision: c.cancellationsKnownUpTo()}
+		c.cancelAcks.quorum.BeginQuery(c.now, query.Nonce)
+		c.sendToPeers("", Message{QuorumRead: query})
 	}
-	var news []*job
-	c.cancelAcks.pending = slices.DeleteFunc(c.cancelAcks.pending, func(u pendingAck) bool {
+	var unacknowledged []*job // to be sent to the other controllers
+	c.cancelAcks.pending = slices.DeleteFunc(c.cancelAcks.pending, func(ack pendingAck) bool {
 		switch {
-		case c.canAckCancellation(u.job):
-			c.emit(Response{RequestID: u.requestID, Status: wire.StatusOK, Body: c.jobState(u.job)})
+		case c.canAckCancellation(ack.job):
+			c.emit(Response{RequestID: ack.requestID, Status: wire.StatusOK, Body: c.jobState(ack.job)})
 			return true
-		case c.now >= u.deadline:
+		case c.now >= ack.deadline:
 			c.respondUnavailable(
-				u.requestID,
+				ack.requestID,
 				"its tasks may still run: other controllers do not know yet that it is cancelled",
 			)
 			return true
 		}
-		if c.schemaVersion() >= schemaCancelQuorum && c.now >= u.job.ack.nextBroadcastAt {
-			u.job.ack.nextBroadcastAt = c.now + cancelResendInterval
-			news = append(news, u.job)
+		if c.schemaVersion() >= schemaCancelQuorum && c.now >= ack.job.ack.nextBroadcastAt {
+			ack.job.ack.nextBroadcastAt = c.now + cancelResendInterval
+			unacknowledged = append(unacknowledged, ack.job)
 		}
 		return false
 	})
-	if len(news) > 0 {
-		c.sendToPeers("", Message{Cancellations: c.cancellationItems(news)})
+	if len(unacknowledged) > 0 {
+		c.sendToPeers("", Message{Cancellations: c.cancellationItems(unacknowledged)})
 	}
 }
 
@@ -121,42 +133,45 @@
 	return max(c.replica.revision, c.cancelAcks.peersKnowUpTo)
 }
 
-// cancellationItems are the values of cancelled jobs, as the state service holds them.
-func (c *Core) cancellationItems(list []*job) (items []wire.KeyValue) {
-	for _, j := range list {
+// cancellationItems are the stored records and cancel markers of cancelled jobs, to be sent to
+// other controllers.
+func (c *Core) cancellationItems(cancelled []*job) (items []wire.KeyValue) {
+	for _, j := range cancelled {
 		raw, err := c.encodeRecord(j.record, j.assignments, false)
 		if err != nil {
-			c.log(LevelError, "a cancellation can't be told", "job", j.id, "err", err.Error())
+			c.log(LevelError, "cancellation not sent to peers: encode record", "job", j.id, "err", err.Error())
 			continue
 		}
 		items = append(items, wire.KeyValue{Key: keyJob + j.id, Value: raw, Revision: j.revision})
-		if j.cancellation.markerRevision != 0 {
-			raw := cancelMarker{CancelMS: j.cancellation.markerMS, Carried: j.cancellation.markerAudit}.encode()
-			items = append(
-				items,
-				wire.KeyValue{Key: keyCancel + j.id, Value: raw, Revision: j.cancellation.markerRevision},
-			)
+		if j.cancellation.markerRevision == 0 {
+			continue
 		}
+		marker := cancelMarker{CancelMS: j.cancellation.markerMS, Carried: j.cancellation.markerAudit}
+		items = append(items, wire.KeyValue{
+			Key:      keyCancel + j.id,
+			Value:    marker.encode(),
+			Revision: j.cancellation.markerRevision,
+		})
 	}
 	return items
 }
 
-// applyPeerCancellations takes cancellations that another controller holds, as if the stream of
-// changes had shown them: what it shows later of the same writes or older ones is ignored. It names
-// the jobs that are held now.
+// applyPeerCancellations applies cancellations that another controller holds as if the watch had
+// delivered them; what the watch delivers later of the same or older revisions is ignored. It lists
+// the jobs whose cancellations are held now.
 func (c *Core) applyPeerCancellations(items []wire.KeyValue) (held []string) {
-	for _, it := range items {
-		id, ok := jobIDOfCancelKey(it.Key)
+	for _, item := range items {
+		id, ok := jobIDOfCancelKey(item.Key)
 		if !ok {
 			continue
 		}
-		// What the stream has shown is held, and may have left memory since: a copy that comes late
-		// must not bring it back.
-		shown := it.Revision <= c.replica.revision
-		if !shown {
-			c.applyPut(it.Key, it.Value, it.Revision)
+		// What the watch has delivered is held, and may have been evicted from memory since: a
+		// delayed copy must not revive it.
+		delivered := item.Revision <= c.replica.revision
+		if !delivered {
+			c.applyPut(item.Key, item.Value, item.Revision)
 		}
-		if j := c.knownJob(id); (shown || j != nil && j.record.Stage == jobrecord.Cancelled) &&
+		if j := c.knownJob(id); (delivered || j != nil && j.record.Stage == jobrecord.Cancelled) &&
 			!slices.Contains(held, id) {
 			held = append(held, id)
 		}
@@ -164,6 +179,7 @@
 	return held
 }
 
+// jobIDOfCancelKey is the id of the job whose record or cancel marker is stored under a key.
 func jobIDOfCancelKey(key string) (id string, ok bool) {
 	for _, prefix := range []string{keyJob, keyCancel} {
 		if id, ok := strings.CutPrefix(key, prefix); ok && id != "" {
@@ -173,109 +189,123 @@
 	return "", false
 }
 
-// handleQuorumMessage takes what another controller says of cancellations, and answers it. A
-// controller that has not read all keys holds nothing: it may vouch that the state service is down,
-// but not for this.
-func (c *Core) handleQuorumMessage(peer string, m *Message) {
+// handleQuorumMessage applies what another controller sends about cancellations, and answers it. A
+// controller that has not loaded a snapshot holds nothing and must not answer: it may confirm that
+// the store is down, but not what it holds.
+func (c *Core) handleQuorumMessage(peer string, message *Message) {
 	if !c.replica.loaded {
 		return
 	}
-	held := c.applyPeerCancellations(m.Cancellations)
-	if len(held) > 0 && m.QuorumReply == nil {
+	held := c.applyPeerCancellations(message.Cancellations)
+	if len(held) > 0 && message.QuorumReply == nil {
 		c.sendToPeers(peer, Message{CancelAcks: held})
 	}
-	for _, id := range m.CancelAcks {
+	for _, id := range message.CancelAcks {
 		if j := c.knownJob(id); j != nil {
-			if j.ack.heldBy == nil {
-				j.ack.heldBy = map[string]bool{}
-			}
-			j.ack.heldBy[peer] = true
+			j.ack.recordHolder(peer)
 		}
 	}
-	if q := m.QuorumRead; q != nil {
-		var list []*job
-		for _, j := range c.openJobs {
-			if j.isCancelledWithTasks() && j.latestCancelRevision() > q.SinceRevision {
-				list = append(list, j)
-			}
+	if read := message.QuorumRead; read != nil {
+		c.replyToQuorumRead(peer, read)
+	}
+	if reply := message.QuorumReply; reply != nil {
+		if c.cancelAcks.quorum.HandleReply(peer, reply.Nonce) {
+			c.cancelAcks.peersKnowUpTo = max(c.cancelAcks.peersKnowUpTo, reply.UpToRevision)
 		}
-		c.sendToPeers(
-			peer,
-			Message{
-				QuorumReply:   &QuorumReply{q.Nonce, c.cancellationsKnownUpTo()},
-				Cancellations: c.cancellationItems(list),
-			},
-		)
+		c.cancelAcks.quorum.RecordHeldRevision(peer, reply.UpToRevision)
 	}
-	if v := m.QuorumReply; v != nil {
-		if c.cancelAcks.quorum.HandleReply(peer, v.Nonce) {
-			c.cancelAcks.peersKnowUpTo = max(c.cancelAcks.peersKnowUpTo, v.UpToRevision)
+}
+
+// recordHolder records that another controller holds the cancellation.
+func (a *cancelAck) recordHolder(peer string) {
+	if a.heldBy == nil {
+		a.heldBy = map[string]bool{}
+	}
+	a.heldBy[peer] = true
+}
+
+// replyToQuorumRead sends the cancellations that the asking controller may lack, and how far this
+// one's knowledge goes.
+func (c *Core) replyToQuorumRead(peer string, read *QuorumRead) {
+	var lacking []*job
+	for _, j := range c.openJobs {
+		if j.isCancelledWithTasks() && j.latestCancelRevision() > read.SinceRevision {
+			lacking = append(lacking, j)
 		}
-		c.cancelAcks.quorum.RecordHeldRevision(peer, v.UpToRevision)
 	}
+	c.sendToPeers(
+		peer,
+		Message{
+			QuorumReply:   &QuorumReply{read.Nonce, c.cancellationsKnownUpTo()},
+			Cancellations: c.cancellationItems(lacking),
+		},
+	)
 }
 
-// stopCommandsFor are the orders that go with the answer to a worker's report: whatever is
-// cancelled there stops. That needs no write and no right to the job's shard.
+// stopCommandsFor are the commands that go with the response to an agent's heartbeat: cancelled
+// tasks on its machine stop. That needs neither a write nor ownership of the jobs' shards.
 func (c *Core) stopCommandsFor(m *machine) []wire.Command {
-	var keys []attemptKey // mostly none: only these are sorted, as each report is answered
-	for k, p := range m.status.tasks {
-		if j := c.jobs[k.jobIndex]; p.state != wire.TaskExited && j != nil && j.record != nil &&
+	var cancelled []attemptKey // mostly none: only these are sorted, as each heartbeat is answered
+	for key, status := range m.status.tasks {
+		if j := c.jobs[key.jobIndex]; status.state != wire.TaskExited && j != nil && j.record != nil &&
 			j.record.Stage == jobrecord.Cancelled {
-			keys = append(keys, k)
+			cancelled = append(cancelled, key)
 		}
 	}
-	slices.SortFunc(keys, attemptKey.compare)
-	list := []wire.Command{}
-	for _, k := range keys {
+	slices.SortFunc(cancelled, attemptKey.compare)
+	commands := []wire.Command{}
+	for _, key := range cancelled {
 		grace := 0.0
-		list = append(
-			list,
+		commands = append(
+			commands,
 			wire.Command{
 				Op:           wire.OpStop,
-				Task:         wire.TaskName(c.jobs[k.jobIndex].id, int(k.task)),
-				Attempt:      k.attempt,
+				Task:         wire.TaskName(c.jobs[key.jobIndex].id, int(key.task)),
+				Attempt:      key.attempt,
 				GracePeriodS: &grace,
 			},
 		)
 	}
-	return list
+	return commands
 }
 
-// findRestartableCancelledTask names a cancelled task that is not on a machine and may still be
-// started there by an order on its way, too late. Such an order is of the machine's session: who
-// does not renew its lease ends that. (In an outage no higher token can be had, which would do it
-// too.)
+// findRestartableCancelledTask names a cancelled task that is not on a machine but may still be
+// started there by a start command in flight, later than allowed; "" if there is none. Such a
+// command is bound to the agent's incarnation, which ends if its lease is not renewed. (A higher
+// fencing token would fence the command off too, but in an outage of the store there is none.)
 func (c *Core) findRestartableCancelledTask(m *machine) string {
-	var late []taskKey // mostly none
-	for k, a := range m.allocation.assignments {
-		j := c.jobs[k.jobIndex]
-		if !j.isCancelledWithTasks() || a.Incarnation != m.status.incarnation ||
+	var restartable []taskKey // mostly none
+	for key, assignment := range m.allocation.assignments {
+		j := c.jobs[key.jobIndex]
+		if !j.isCancelledWithTasks() || assignment.Incarnation != m.status.incarnation ||
 			c.timeSinceCancel(j) <= c.cancelStalenessBound() {
 			continue
 		}
-		if _, there := m.status.tasks[attemptKey{k.jobIndex, k.task, a.Attempt}]; there {
-			continue // the answer stops it
+		if _, there := m.status.tasks[attemptKey{key.jobIndex, key.task, assignment.Attempt}]; there {
+			continue // the response to the heartbeat stops it
 		}
-		if ended, _ := c.attemptOutcome(j, a); !ended {
-			late = append(late, k)
+		if ended, _ := c.attemptOutcome(j, assignment); !ended {
+			restartable = append(restartable, key)
 		}
 	}
-	if len(late) == 0 {
+	if len(restartable) == 0 {
 		return ""
 	}
-	first := slices.MinFunc(late, func(a, b taskKey) int {
+	first := slices.MinFunc(restartable, func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(a.jobIndex, b.jobIndex), cmp.Compare(a.task, b.task))
 	})
 	return wire.TaskName(c.jobs[first.jobIndex].id, int(first.task))
 }
 
+// cancelStalenessBound is how long after a cancellation a controller that lacks it may still renew
+// leases.
 func (c *Core) cancelStalenessBound() time.Duration {
 	return quorum.MaxStaleness(c.cfg.Agents.CancelTimeout, c.cfg.Agents.LeaseTTL)
 }
 
-// leaseDenialReason tells why this controller may not renew the lease of a machine, by its report, now; "" if it may.
-func (c *Core) leaseDenialReason(m *machine, r *wire.Heartbeat) string {
+// leaseDenialReason is why this controller may not renew the lease of a machine's agent with the
+// response to a heartbeat; "" if it may.
+func (c *Core) leaseDenialReason(m *machine, heartbeat *wire.Heartbeat) string {
 	switch {
 	case !c.canAnswerAgents():
 		return "not entitled"
@@ -284,21 +314,11 @@
 			"cancellations of more than %v ago may not be known here",
 			c.cancelStalenessBound().Round(time.Second),
 		)
-	case r.FencingToken > c.leadership.fencingToken:
+	case heartbeat.FencingToken > c.leadership.fencingToken:
 		return "token not current"
 	}
-	if late := c.findRestartableCancelledTask(m); late != "" {
-		return "a late order may still start a cancelled task there: " + late
+	if task := c.findRestartableCancelledTask(m); task != "" {
+		return "a late order may still start a cancelled task there: " + task
 	}
 	return ""
 }
-
-// cancelAcks is acknowledging cancellations: the quorum's view, answers that wait for it, and how
-// long somebody may wait.
-type cancelAcks struct {
-	waitersUntil  time.Duration // until then, somebody may wait for a cancellation
-	quorum        *quorum.View  // see cancellations.go
-	pending       []pendingAck
-	peersKnowUpTo uint64        // up to this revision others have told of all cancellations
-	nextReadAt    time.Duration // when the state service is read next for the sake of that
-}
--- a/core/cancelacks_test.go
+++ b/core/cancelacks_test.go
@@ -8,57 +8,63 @@
 	"time"
 )
 
-// cancelledItem is the record of a cancelled job with a task on a machine, as another controller tells it.
-func cancelledItem(t *testing.T, c *Core, id string, mark uint64) wire.KeyValue {
+// cancelledItem is the record of a cancelled job with a task on a machine, as another controller sends it.
+func cancelledItem(t *testing.T, c *Core, id string, revision uint64) wire.KeyValue {
 	t.Helper()
-	m := c.internMachine("m-1")
+	host := c.internMachine("m-1")
 	raw, err := c.encodeRecord(
 		&jobrecord.Record{
 			Stage:         jobrecord.Cancelled,
 			CancelledAtMS: c.unixMS(),
 			Spec:          &wire.JobSpec{ID: id, Class: "c", Team: "t", Tasks: 1, Request: [3]int64{1000, 0, 1000}},
 		},
-		[]jobrecord.Assignment{{Task: 0, Machine: m.index, Incarnation: 1, Attempt: 1}},
+		[]jobrecord.Assignment{{Task: 0, Machine: host.index, Incarnation: 1, Attempt: 1}},
 		false,
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return wire.KeyValue{Key: keyJob + id, Value: raw, Revision: mark}
+	return wire.KeyValue{Key: keyJob + id, Value: raw, Revision: revision}
 }
 
-// A cancellation that another controller tells is held, and acknowledged, before the stream shows
-// it. A copy that comes late, of a job that has long left memory, must not bring it back: its tasks
-// would count as being on their machines, and these would get no answer.
+// A cancellation that another controller sends is held, and acknowledged, before the watch delivers
+// it. A delayed copy, of a job that was evicted from memory long ago, must not revive it: its tasks
+// would count as being on their machines, whose agents would get no response.
 func TestLateCancellationCopyRevivesNothing(t *testing.T) {
-	for _, ahead := range []bool{false, true} {
-		c := newLeadingCore(t)
-		runFor(c, time.Second, 2*time.Second)
-		mark := c.replica.revision
-		if ahead {
-			mark += 5
-		}
-		c.Handle(
-			2*time.Second,
-			PeerMessage{
-				Peer:    "n1",
-				Message: Message{Cancellations: []wire.KeyValue{cancelledItem(t, c, "wk-7", mark)}},
-			},
-		)
-		if got := c.knownJob("wk-7") != nil; got != ahead {
-			t.Errorf("ahead of the stream %v: held %v", ahead, got)
-		}
-		acked := slices.ContainsFunc(
-			outputsOfType[SendToPeer](c.Advance(2*time.Second)),
-			func(o SendToPeer) bool { return o.Peer == "n1" && slices.Equal(o.Message.CancelAcks, []string{"wk-7"}) },
-		)
-		if !acked {
-			t.Errorf("ahead of the stream %v: not acknowledged", ahead)
-		}
+	for _, tc := range []struct {
+		name           string
+		aheadOfReplica uint64 // revisions
+		wantKnown      bool
+	}{
+		{"already delivered by the watch", 0, false},
+		{"ahead of the watch", 5, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			c := newLeadingCore(t)
+			runFor(c, time.Second, 2*time.Second)
+			item := cancelledItem(t, c, "wk-7", c.replica.revision+tc.aheadOfReplica)
+			c.Handle(
+				2*time.Second,
+				PeerMessage{Peer: "n1", Message: Message{Cancellations: []wire.KeyValue{item}}},
+			)
+			if got := c.knownJob("wk-7") != nil; got != tc.wantKnown {
+				t.Errorf("known %v, want %v", got, tc.wantKnown)
+			}
+			acked := slices.ContainsFunc(
+				outputsOfType[SendToPeer](c.Advance(2*time.Second)),
+				func(o SendToPeer) bool {
+					return o.Peer == "n1" && slices.Equal(o.Message.CancelAcks, []string{"wk-7"})
+				},
+			)
+			if !acked {
+				t.Error("not acknowledged")
+			}
+		})
 	}
 }
 
-// Whoever has not read all keys holds nothing, and neither acknowledges nor answers.
+// A controller that has not loaded a snapshot holds nothing, so it must neither acknowledge nor reply:
+// a majority that counts it would not hold the cancellation.
 func TestUnloadedControllerAnswersNoQuorumRead(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	c.Handle(
@@ -74,12 +80,13 @@
 	for _, o := range outputsOfType[SendToPeer](c.Advance(time.Second)) {
 		if o.Message.QuorumReply != nil || o.Message.CancelAcks != nil ||
 			o.Message.Health != nil && o.Message.Health.CancellationsUpTo != 0 {
-			t.Errorf("it says %+v", o.Message)
+			t.Errorf("sent %+v", o.Message)
 		}
 	}
 }
 
-// The answer to a worker's report stops what is cancelled there, whoever owns it.
+// The response to an agent's heartbeat must stop the cancelled tasks on its machine, and only these,
+// whichever controller owns their jobs.
 func TestHeartbeatResponseStopsCancelledTasks(t *testing.T) {
 	c := newLeadingCore(t)
 	runFor(c, time.Second, 2*time.Second)
@@ -102,14 +109,15 @@
 		},
 	)
 	for _, r := range outputsOfType[Response](c.Advance(2 * time.Second)) {
-		if b, ok := r.Body.(wire.HeartbeatResponse); ok && r.RequestID == 77 {
-			if len(b.Commands) != 1 || b.Commands[0].Op != wire.OpStop || b.Commands[0].Task != "wk-7/0" ||
-				b.Commands[0].GracePeriodS == nil ||
-				*b.Commands[0].GracePeriodS != 0 {
-				t.Errorf("orders %+v", b.Commands)
-			}
-			return
+		body, ok := r.Body.(wire.HeartbeatResponse)
+		if !ok || r.RequestID != 77 {
+			continue
+		}
+		if len(body.Commands) != 1 || body.Commands[0].Op != wire.OpStop || body.Commands[0].Task != "wk-7/0" ||
+			body.Commands[0].GracePeriodS == nil || *body.Commands[0].GracePeriodS != 0 {
+			t.Errorf("commands %+v", body.Commands)
 		}
+		return
 	}
-	t.Error("no answer")
+	t.Error("no response")
 }
