--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -7,156 +7,192 @@
 	"time"
 )
 
-// forEachUnconfirmedStop calls f for each task of a cancelled job that is not proven to be off its
-// machine, with the time since its cancellation.
-func (c *Core) forEachUnconfirmedStop(f func(j *job, a jobrecord.Assignment, m *machine, age time.Duration)) {
+// Enforcing cancellations: cancelled tasks must be off their machines within
+// Config.Agents.CancelTimeout. Where an agent does not confirm that, scaling in its machine is the
+// proof. Here is what the owners of jobs request of the leader, what any controller does in an
+// outage of the store, and how the leader handles those requests.
+
+const (
+	outageReturnInterval = time.Second // between scale-in requests in an outage
+
+	// outageReturnShare is the share of the cancel timeout after which machines that still send
+	// heartbeats are scaled in too, in an outage.
+	outageReturnShare = 0.7
+
+	// outageReturnRankShare is the share of the cancel timeout that each controller leaves to the one
+	// ranked before it for a machine, so that not all send the same request.
+	outageReturnRankShare = 0.04
+
+	maxOutageReturns = 100 // machines in one scale-in request
+
+	// silenceReportGrace is how much longer than the silence timeout a machine must be silent before
+	// an owner of its tasks reports it to the leader.
+	silenceReportGrace = 2 * time.Second
+)
+
+// outageReturnState is this controller's scaling in for cancelled tasks while there is no leader.
+type outageReturnState struct {
+	inFlight      bool // a request is in flight
+	nextAttemptAt time.Duration
+}
+
+// forEachUnconfirmedStop calls visit for each task of a cancelled job that is not proven to be off
+// its machine, with the time since the cancellation.
+func (c *Core) forEachUnconfirmedStop(
+	visit func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration),
+) {
 	for _, j := range c.openJobs {
 		if !j.isCancelledWithTasks() {
 			continue
 		}
 		age := c.timeSinceCancel(j)
-		for _, a := range j.assignments {
-			// A reported end is proof, also while the write of it waits for the change budget:
-			// machines were returned for tasks that had long stopped.
-			if ended, _ := c.attemptOutcome(j, a); !ended {
-				f(j, a, c.machines[a.Machine], age)
+		for _, assignment := range j.assignments {
+			// A reported end is proof even while its write waits for the rate limit: machines were
+			// once scaled in for tasks that had stopped long before.
+			if ended, _ := c.attemptOutcome(j, assignment); !ended {
+				visit(j, assignment, c.machines[assignment.Machine], age)
 			}
 		}
 	}
 }
 
-// enforceCancellations sees to it that cancelled tasks are gone in time: unanswered starts are fenced
-// off with a higher token, and a machine that does not confirm is returned.
-func (c *Core) enforceCancellations() (suspects []string) {
-	c.forEachUnconfirmedStop(func(j *job, a jobrecord.Assignment, m *machine, age time.Duration) {
+// enforceCancellations fences off unanswered starts of cancelled tasks with a higher fencing token,
+// and lists the machines that did not confirm in time that such a task is gone.
+func (c *Core) enforceCancellations() (overdue []string) {
+	maxAge := c.cancelTimeoutShare(c.cfg.Agents.CancelScaleInShare)
+	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
 		if !c.ownsJob(j) {
 			return
 		}
-		if t := m.commands.attempts[attemptKey{j.index, a.Task, a.Attempt}]; t != nil && t.maxUnansweredToken != 0 &&
-			m.status.fencingToken <= t.maxUnansweredToken &&
-			c.leadership.fencingToken <= t.maxUnansweredToken {
+		attempt := host.commands.attempts[attemptKey{j.index, assignment.Task, assignment.Attempt}]
+		if attempt != nil && attempt.maxUnansweredToken != 0 &&
+			host.status.fencingToken <= attempt.maxUnansweredToken &&
+			c.leadership.fencingToken <= attempt.maxUnansweredToken {
 			c.raiseFencingToken()
 		}
-		if age > time.Duration(c.cfg.Agents.CancelScaleInShare*float64(c.cfg.Agents.CancelTimeout)) {
-			suspects = append(suspects, m.name)
+		if age > maxAge {
+			overdue = append(overdue, host.name)
 		}
 	})
-	return suspects
+	return overdue
 }
 
-// outageReturnState is this controller's work for cancelled jobs while nobody leads.
-type outageReturnState struct {
-	inFlight      bool // a return is on its way
-	nextAttemptAt time.Duration
+// cancelTimeoutShare is a share of the time within which cancelled tasks must be gone.
+func (c *Core) cancelTimeoutShare(share float64) time.Duration {
+	return time.Duration(share * float64(c.cfg.Agents.CancelTimeout))
 }
 
-const (
-	outageReturnInterval  = time.Second
-	outageReturnShare     = 0.7  // of the time of a cancellation, after which also machines that report are returned
-	outageReturnRankShare = 0.04 // of it, that each controller leaves to the one before it in a machine's order
-)
-
-// returnMachinesInOutage returns machines on which cancelled tasks may still be, while the state
-// service is down for all and so nobody leads: one that hangs or is cut off kept them beyond their
-// time, as nothing but its return takes them off it. Returning needs neither a write nor a right.
-// It may be repeated by anybody, and what is returned in vain costs work that is begun again.
-// Whoever leads afterwards has the proof by returning them once more.
+// returnMachinesInOutage scales in machines on which cancelled tasks may still run while the store
+// is down for all controllers, so that there is no leader to do it. Without this, an agent that
+// hangs or is unreachable kept such tasks beyond the cancel timeout. The request needs neither a
+// write nor ownership, may be repeated by any controller, and at worst costs work that starts again
+// elsewhere. The next leader repeats it to have proof.
 func (c *Core) returnMachinesInOutage() {
-	r := &c.outageReturn
-	if r.inFlight || c.now < r.nextAttemptAt || c.holdsLease() || !c.isStoreOutage() {
+	state := &c.outageReturn
+	if state.inFlight || c.now < state.nextAttemptAt || c.holdsLease() || !c.isStoreOutage() {
 		return
 	}
-	r.nextAttemptAt = c.now + outageReturnInterval
-	due := map[string]bool{}
-	c.forEachUnconfirmedStop(func(j *job, a jobrecord.Assignment, m *machine, age time.Duration) {
-		share := outageReturnShare
-		if c.now-max(m.status.lastHeartbeatAt, c.stalls.runningSince) > c.silenceTimeout() {
-			share = c.cfg.Agents.CancelScaleInShare
-		} else if _, there := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; !there {
-			// it has ended and was cleared by somebody with newer records; one that may still come is mayComeBack's
-			return
-		}
-		if age > time.Duration((share+outageReturnRankShare*float64(c.machineRank(m)))*float64(c.cfg.Agents.CancelTimeout)) {
-			due[m.name] = true
-		}
-	})
-	names := sortedKeys(due)
-	names = names[:min(len(names), 100)] // in one request
+	state.nextAttemptAt = c.now + outageReturnInterval
+	names := c.overdueMachinesInOutage()
 	if len(names) == 0 {
 		return
 	}
-	c.log(LevelInfo, "machines returned in an outage: cancelled tasks may be on them", "machines", names)
-	r.inFlight = true
-	op := CloudRequest{ID: c.nextID(), Op: CloudScaleIn, MachineNames: names}
-	c.autoscaler.calls[op.ID] = func(in CloudResult) {
-		r.inFlight = false
+	c.log(LevelInfo, "scaling in machines in a store outage: cancelled tasks may be on them", "machines", names)
+	state.inFlight = true
+	request := CloudRequest{ID: c.nextID(), Op: CloudScaleIn, MachineNames: names}
+	c.autoscaler.calls[request.ID] = func(in CloudResult) {
+		state.inFlight = false
 		if in.Status == wire.StatusOK {
-			for _, n := range names {
-				c.markMachineGone(c.internMachine(n))
+			for _, name := range names {
+				c.markMachineGone(c.internMachine(name))
 			}
 		}
 	}
-	c.emit(op)
+	c.emit(request)
+}
+
+// overdueMachinesInOutage names the machines that this controller has to scale in now because of
+// cancelled tasks, at most maxOutageReturns, in order of their names.
+func (c *Core) overdueMachinesInOutage() []string {
+	overdue := map[string]bool{}
+	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
+		share := outageReturnShare
+		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.silenceTimeout() {
+			share = c.cfg.Agents.CancelScaleInShare
+		} else if _, there := host.status.tasks[attemptKey{j.index, assignment.Task, assignment.Attempt}]; !there {
+			// It has ended and was cleared by a controller with newer records. One whose start may
+			// still arrive is findRestartableCancelledTask's concern.
+			return
+		}
+		if age > c.cancelTimeoutShare(share+outageReturnRankShare*float64(c.machineRank(host))) {
+			overdue[host.name] = true
+		}
+	})
+	names := sortedKeys(overdue)
+	return names[:min(len(names), maxOutageReturns)]
 }
 
-// requestReturns names to the leader machines whose return is needed as proof: those that hold cancelled
-// tasks too long, and silent ones. A controller without a lease is no judge of silence: it may
-// be the one that was cut off, and its news of machines that answered others all along would
-// have them returned.
+// requestReturns names to the leader the machines whose scale-in is needed as proof: those that hold
+// cancelled tasks too long, and silent ones. A controller without a lease must not judge silence: it
+// may be the unreachable one, and would have machines scaled in that answer the others.
 func (c *Core) requestReturns() {
 	if !c.holdsLease() {
 		return
 	}
-	must := c.enforceCancellations()
+	overdue := c.enforceCancellations()
 	var silent []string
-	for _, m := range c.aliveMachines {
-		if m.lifecycle.gone || !c.runsOwnTasks(m) {
+	for _, candidate := range c.aliveMachines {
+		if candidate.lifecycle.gone || !c.runsOwnTasks(candidate) {
 			continue
 		}
-		c.pollQuietAgent(m)
-		if c.now-m.status.lastHeartbeatAt > c.silenceTimeout()+2*time.Second {
-			silent = append(silent, m.name)
+		c.pollQuietAgent(candidate)
+		if c.now-candidate.status.lastHeartbeatAt > c.silenceTimeout()+silenceReportGrace {
+			silent = append(silent, candidate.name)
 		}
 	}
-	if len(must)+len(silent) == 0 {
+	if len(overdue)+len(silent) == 0 {
 		return
 	}
 	if c.leaderState != nil {
-		c.leaderState.handleReturnRequest(c, must, silent)
+		c.leaderState.handleReturnRequest(c, overdue, silent)
 	} else if c.leadership.leader.mark != 0 {
-		c.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: must, SilentMachines: silent})
+		c.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: overdue, SilentMachines: silent})
 	}
 }
 
-// runsOwnTasks reports whether a machine holds tasks of this controller's jobs.
+// runsOwnTasks reports whether a machine has tasks of jobs that this controller owns.
 func (c *Core) runsOwnTasks(m *machine) bool {
-	for k := range m.allocation.assignments {
-		if c.ownsJob(c.jobs[k.jobIndex]) {
+	for key := range m.allocation.assignments {
+		if c.ownsJob(c.jobs[key.jobIndex]) {
 			return true
 		}
 	}
 	return false
 }
 
-// handleReturnRequest returns machines whose tasks' owners need proof that they are gone. For silence the
-// leader's own ears count.
-func (l *leaderState) handleReturnRequest(c *Core, must, silent []string) {
-	look := func(n string) *machine {
-		m := c.internMachine(n)
-		if !m.lifecycle.gone {
-			return m
-		}
-		if !slices.Contains(l.newlyGone, n) {
-			l.announceGone(n)
+// handleReturnRequest scales in machines whose tasks' owners need proof that the tasks are gone, and
+// announces again those that are gone already. Reported silence alone scales in nothing: the leader
+// goes by the heartbeats that it receives itself (checkMachines).
+func (l *leaderState) handleReturnRequest(c *Core, overdue, silent []string) {
+	for _, name := range overdue {
+		if target := l.findOrAnnounceGone(c, name); target != nil {
+			c.markForReturn(target, "holds cancelled tasks")
 		}
-		return nil
 	}
-	for _, n := range must {
-		if m := look(n); m != nil {
-			c.markForReturn(m, "holds cancelled tasks")
-		}
+	for _, name := range silent {
+		l.findOrAnnounceGone(c, name)
+	}
+}
+
+// findOrAnnounceGone is the machine of a name. If it is gone, that is announced to the owners of its
+// tasks, and nil returned.
+func (l *leaderState) findOrAnnounceGone(c *Core, name string) *machine {
+	target := c.internMachine(name)
+	if !target.lifecycle.gone {
+		return target
 	}
-	for _, n := range silent {
-		look(n) // a silent machine is found by watchMachines
+	if !slices.Contains(l.newlyGone, name) {
+		l.announceGone(name)
 	}
+	return nil
 }
