--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// jobDependencies is what a job has to do with those that it awaits and those that await it. All of it
-// follows from the jobs' records: the index is kept in both directions, and what changes at a
-// job is passed on step by step, without recursion and without a walk of all jobs.
+// jobDependencies is a job's place in the dependency graph. All of it follows from the jobs'
+// records. The edges are indexed in both directions, and a change at a job is propagated along them
+// iteratively: chains may have thousands of jobs, so neither recursion nor a scan of all jobs will do.
 type jobDependencies struct {
 	indexed           bool
-	dependencies      []*job // jobs that it awaits, as its record names them
-	dependents        []*job // jobs that await it
-	unmetDependencies int    // those of needs that are not known to be done
-	cancelledBy       *job   // a cancelled job that it needs, directly or through others; nil: none
-	readySinceMS      int64  // time of day since when it waits for nothing; 0: not known
-	readyRevision     uint64 // revision at which the last that it awaited was done, as far as that is known
+	dependencies      []*job // jobs that must be done before it, as its record names them
+	dependents        []*job // jobs that depend on it and are not final
+	unmetDependencies int    // dependencies that are not known to be done
+	cancelledBy       *job   // a cancelled job that it depends on, directly or indirectly; nil: none
+	readySinceMS      int64  // time of day since when it has no unmet dependencies, in ms; 0: not known
+	readyRevision     uint64 // revision at which its last dependency was done, as far as that is known
 
-	// What is inherited from the jobs that need it orders the work. Limits, kinds of machines and
-	// preemption stay the job's own.
-	effectiveClass      int   // the lane that comes first of its own and theirs
-	effectiveDeadlineMS int64 // time of day by which it should be done, for all deadlines to be met; 0: none
+	// The order of work also follows from what is inherited from dependents. Quotas, machine types
+	// and preemption remain the job's own.
+	effectiveClass      int   // the most urgent priority class of its own and its dependents'
+	effectiveDeadlineMS int64 // time of day by which it must be done for all deadlines to be met, in ms; 0: none
 }
 
-// indexDependencies notes what a job awaits, once, when its record is first seen with its description.
+// indexDependencies adds a job to the dependency graph when its record is first seen with its
+// description; later calls have no effect.
 func (c *Core) indexDependencies(j *job) {
 	if j.indexed || j.record.Spec == nil {
 		return
@@ -33,26 +34,27 @@
 	j.indexed = true
 	j.effectiveClass = c.ownPriorityClass(j.record)
 	for _, id := range j.record.Spec.Dependencies {
-		o := c.internJob(id)
-		j.dependencies = append(j.dependencies, o)
-		if o.record != nil && o.record.Stage == jobrecord.Done {
-			j.readyRevision = max(j.readyRevision, o.revision)
+		dependency := c.internJob(id)
+		j.dependencies = append(j.dependencies, dependency)
+		if dependency.record != nil && dependency.record.Stage == jobrecord.Done {
+			j.readyRevision = max(j.readyRevision, dependency.revision)
 			continue
 		}
 		j.unmetDependencies++
-		if o.revision == 0 { // it may have ended long ago
-			c.history.unresolvedDependencies = append(c.history.unresolvedDependencies, o)
+		if dependency.revision == 0 { // it may be archived
+			c.history.unresolvedDependencies = append(c.history.unresolvedDependencies, dependency)
 		}
-		if o.isFinal() {
-			j.cancelledBy = o.rootCancelledJob()
+		if dependency.isFinal() {
+			j.cancelledBy = dependency.rootCancelledJob()
 			continue
 		}
-		o.dependents = append(o.dependents, j)
+		dependency.dependents = append(dependency.dependents, j)
 	}
 	c.propagateUrgency([]*job{j})
 }
 
-// rootCancelledJob is the job because of which one that is cancelled or needs a cancelled one has ended.
+// rootCancelledJob is the cancelled job because of which j is cancelled: j itself, or one that it
+// depends on.
 func (j *job) rootCancelledJob() *job {
 	if j.cancelledBy != nil {
 		return j.cancelledBy
@@ -60,80 +62,105 @@
 	return j
 }
 
-// propagateJobEnd passes on that a job has ended: those that await it wait for one job less, or are
-// cancelled with it.
-func (c *Core) propagateJobEnd(j *job) {
-	next := j.dependents
-	j.dependents = nil
-	c.unlinkDependencies(j)
-	if j.record.Stage == jobrecord.Done {
-		for _, n := range next {
-			if n.unmetDependencies--; n.unmetDependencies == 0 && !n.isFinal() {
-				n.readySinceMS, n.readyRevision = c.unixMS(), max(n.readyRevision, j.revision)
-				n.placement.hasUnplacedTasks = true
-				c.markDirty(n)
-			}
+// propagateJobEnd propagates that a job is final: its dependents have one unmet dependency less, or
+// are cancelled with it.
+func (c *Core) propagateJobEnd(ended *job) {
+	dependents := ended.dependents
+	ended.dependents = nil
+	c.unlinkDependencies(ended)
+	if ended.record.Stage == jobrecord.Done {
+		c.meetDependency(dependents, ended.revision)
+		return
+	}
+	c.cancelDependents(dependents, ended.rootCancelledJob())
+}
+
+// meetDependency counts a dependency of these jobs as done at a revision. Those without further ones
+// are ready to be placed.
+func (c *Core) meetDependency(dependents []*job, revision uint64) {
+	for _, dependent := range dependents {
+		dependent.unmetDependencies--
+		if dependent.unmetDependencies != 0 || dependent.isFinal() {
+			continue
 		}
-	} else {
-		for list := next; len(list) > 0; {
-			n := list[len(list)-1]
-			list = list[:len(list)-1]
-			if n.isFinal() {
-				continue
-			}
-			n.cancelledBy, n.placement.hasUnplacedTasks = j.rootCancelledJob(), false
-			c.markDirty(n)
-			c.completeCancellations(n)
-			list = append(list, n.dependents...)
-			n.dependents = nil
-			c.unlinkDependencies(n)
+		dependent.readySinceMS = c.unixMS()
+		dependent.readyRevision = max(dependent.readyRevision, revision)
+		dependent.placement.hasUnplacedTasks = true
+		c.markDirty(dependent)
+	}
+}
+
+// cancelDependents cancels these jobs, and all that depend on them, because of a cancelled job.
+// Their records follow with their next writes.
+func (c *Core) cancelDependents(pending []*job, root *job) {
+	for len(pending) > 0 {
+		dependent := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if dependent.isFinal() {
+			continue
 		}
+		dependent.cancelledBy, dependent.placement.hasUnplacedTasks = root, false
+		c.markDirty(dependent)
+		c.completeCancellations(dependent)
+		pending = append(pending, dependent.dependents...)
+		dependent.dependents = nil
+		c.unlinkDependencies(dependent)
 	}
 }
 
-// unlinkDependencies has the jobs that an ended one awaited inherit nothing of it any more.
+// unlinkDependencies removes a final job from the graph, so that its dependencies no longer inherit
+// its priority class and deadline.
 func (c *Core) unlinkDependencies(j *job) {
-	needs := j.dependencies
+	dependencies := j.dependencies
 	j.dependencies = nil
-	for _, o := range needs {
-		o.dependents = slices.DeleteFunc(o.dependents, func(n *job) bool { return n == j })
+	for _, dependency := range dependencies {
+		dependency.dependents = slices.DeleteFunc(dependency.dependents, func(d *job) bool { return d == j })
 	}
-	c.propagateUrgency(needs)
+	c.propagateUrgency(dependencies)
 }
 
-// propagateUrgency works out anew what jobs inherit from those that need them, and passes changes on.
-func (c *Core) propagateUrgency(list []*job) {
-	for len(list) > 0 {
-		j := list[0]
-		list = list[1:]
+// propagateUrgency recomputes what jobs inherit from their dependents, and propagates changes to
+// their own dependencies.
+func (c *Core) propagateUrgency(pending []*job) {
+	for len(pending) > 0 {
+		j := pending[0]
+		pending = pending[1:]
 		if j.record == nil || j.record.Spec == nil || j.isFinal() {
 			continue
 		}
-		s := j.record.Spec
-		prio, due := c.ownPriorityClass(j.record), int64(0)
-		if s.DeadlineMS > 0 {
-			due = j.record.AcceptedAtMS + s.DeadlineMS
-		}
-		for _, n := range j.dependents {
-			prio = min(prio, n.effectiveClass)
-			if n.effectiveDeadlineMS == 0 {
-				continue
-			}
-			if by := n.effectiveDeadlineMS - n.record.Spec.EstimatedRuntimeMS; due == 0 || by < due {
-				due = by
-			}
+		class, deadlineMS := c.inheritedUrgency(j)
+		if class == j.effectiveClass && deadlineMS == j.effectiveDeadlineMS {
+			continue
 		}
-		if prio == j.effectiveClass && due == j.effectiveDeadlineMS {
+		j.effectiveClass, j.effectiveDeadlineMS = class, deadlineMS
+		pending = append(pending, j.dependencies...)
+	}
+}
+
+// inheritedUrgency is the most urgent priority class, and the earliest deadline (time of day in ms;
+// 0: none), of a job's own and those that it inherits from its dependents. A dependent's deadline
+// counts less the dependent's estimated runtime.
+func (c *Core) inheritedUrgency(j *job) (class int, deadlineMS int64) {
+	class = c.ownPriorityClass(j.record)
+	if own := j.record.Spec.DeadlineMS; own > 0 {
+		deadlineMS = j.record.AcceptedAtMS + own
+	}
+	for _, dependent := range j.dependents {
+		class = min(class, dependent.effectiveClass)
+		if dependent.effectiveDeadlineMS == 0 {
 			continue
 		}
-		j.effectiveClass, j.effectiveDeadlineMS = prio, due
-		list = append(list, j.dependencies...)
+		startBy := dependent.effectiveDeadlineMS - dependent.record.Spec.EstimatedRuntimeMS
+		if deadlineMS == 0 || startBy < deadlineMS {
+			deadlineMS = startBy
+		}
 	}
+	return class, deadlineMS
 }
 
-// effectiveEnqueueMS is the time of day by which controllers compare whose work has waited longest,
-// and plans order needs: since when a job could run, or when it must run to be done in time, if
-// that is earlier.
+// effectiveEnqueueMS is the time of day, in ms, by which controllers compare whose work has waited
+// longest, and by which the autoscaler orders demand: since when the job could run, or when it must
+// start to meet its deadline, if that is earlier.
 func (j *job) effectiveEnqueueMS() int64 {
 	at := max(j.record.AcceptedAtMS, j.readySinceMS)
 	if j.effectiveDeadlineMS != 0 {
@@ -142,39 +169,45 @@
 	return at
 }
 
-// findUnmetDependencies lists the jobs that a description names and that are not done; unknown is one that was
-// never accepted, as far as is known here, and cancelled one that is cancelled.
-func (c *Core) findUnmetDependencies(s *wire.JobSpec) (left []string, unknown string, cancelled *job) {
-	for _, id := range s.Dependencies {
-		o := c.knownJob(id)
+// findUnmetDependencies lists the dependencies of a description that are not done. unknown is one
+// that was never accepted, as far as is known here, and cancelled is the cancelled job because of
+// which one will never be done.
+func (c *Core) findUnmetDependencies(spec *wire.JobSpec) (unmet []string, unknown string, cancelled *job) {
+	for _, id := range spec.Dependencies {
+		dependency := c.knownJob(id)
 		switch {
-		case o == nil:
+		case dependency == nil:
 			unknown = id
-		case o.record.Stage == jobrecord.Done:
-		case o.isFinal():
-			cancelled = o.rootCancelledJob()
-			left = append(left, id)
+		case dependency.record.Stage == jobrecord.Done:
+		case dependency.isFinal():
+			cancelled = dependency.rootCancelledJob()
+			unmet = append(unmet, id)
 		default:
-			left = append(left, id)
+			unmet = append(unmet, id)
 		}
 	}
-	return left, unknown, cancelled
+	return unmet, unknown, cancelled
 }
 
-// estimateReadyIn is when a job that waits should be ready, by its owners' estimates, if that can be told:
-// all jobs that it needs have started all their tasks.
+// estimateReadyIn is in what time a waiting job should become ready, by the estimated runtimes of its
+// dependencies. That can be told only if each of them has started all its tasks.
 func (c *Core) estimateReadyIn(j *job) (in time.Duration, ok bool) {
-	for _, o := range j.dependencies {
-		if o.record == nil || o.record.Stage == jobrecord.Done {
+	for _, dependency := range j.dependencies {
+		if dependency.record == nil || dependency.record.Stage == jobrecord.Done {
 			continue
 		}
-		if o.record.Spec == nil || o.unmetDependencies > 0 || o.isFinal() ||
-			o.record.CompletedTasks.Count()+len(o.assignments) < o.record.Spec.Tasks {
+		if !dependency.hasStartedAllTasks() {
 			return 0, false
 		}
-		for _, a := range o.assignments {
-			in = max(in, c.remainingTime(o, c.machines[a.Machine], a))
+		for _, assignment := range dependency.assignments {
+			in = max(in, c.remainingTime(dependency, c.machines[assignment.Machine], assignment))
 		}
 	}
 	return in, true
 }
+
+// hasStartedAllTasks reports whether each task of a queued job is assigned to a machine or completed.
+func (j *job) hasStartedAllTasks() bool {
+	return j.record.Spec != nil && j.unmetDependencies == 0 && !j.isFinal() &&
+		j.record.CompletedTasks.Count()+len(j.assignments) >= j.record.Spec.Tasks
+}
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// newCoreWithDependencies is a controller that leads and whose peers all know awaits.
+// newCoreWithDependencies is a leader whose peers all support dependencies.
 func newCoreWithDependencies(t *testing.T) *Core {
 	t.Helper()
 	c := newLeadingCore(t)
@@ -17,13 +17,14 @@
 	return c
 }
 
-func dependentSubmission(id string, awaits ...string) SubmitJob {
+// dependentSubmission is a submission of a job with these dependencies.
+func dependentSubmission(id string, dependencies ...string) SubmitJob {
 	in := testSubmission(id)
-	in.Spec.Dependencies = awaits
+	in.Spec.Dependencies = dependencies
 	return in
 }
 
-// submitAndRespond submits a job and returns the answer.
+// submitAndRespond submits a job, commits its write, and returns the response.
 func submitAndRespond(t *testing.T, c *Core, in SubmitJob) Response {
 	t.Helper()
 	c.Handle(c.now, in)
@@ -50,60 +51,65 @@
 			}
 		}
 	}
-	t.Fatalf("%s was not answered", in.ID)
+	t.Fatalf("no response to the submission of %s", in.ID)
 	return Response{}
 }
 
+// Each submission with dependencies must be answered with the status that tells the user what to do.
 func TestSubmissionsWithDependenciesAreAnswered(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1")); r.Status != wire.StatusInvalid {
-		t.Errorf("a job that was never accepted: %d", r.Status)
+		t.Errorf("dependency that was never accepted: %d", r.Status)
 	}
 	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-2")); r.Status != wire.StatusInvalid {
-		t.Errorf("the job itself: %d", r.Status)
+		t.Errorf("dependency on itself: %d", r.Status)
 	}
 	submitAndRespond(t, c, dependentSubmission("wk-1"))
 	r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1"))
-	if st, ok := r.Body.(wire.JobState); r.Status != wire.StatusCreated || !ok || st.Stage != wire.StageQueued ||
-		st.DependencyCount != 1 ||
-		st.Dependencies[0] != "wk-1" {
+	if state, ok := r.Body.(wire.JobState); r.Status != wire.StatusCreated || !ok || state.Stage != wire.StageQueued ||
+		state.DependencyCount != 1 || state.Dependencies[0] != "wk-1" {
 		t.Errorf("got %+v", r)
 	}
 	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-77")); r.Status != wire.StatusOK {
-		t.Errorf("a repeat that names another: %d", r.Status)
+		t.Errorf("repeated submission with another dependency: %d", r.Status)
 	}
-	// A list too long to be stored gets an answer, one that packing makes fit is taken.
-	var some, many []string
+}
+
+// A list of dependencies that is too long to be stored must be rejected, and one that fits in the
+// packed encoding accepted.
+func TestLongDependencyLists(t *testing.T) {
+	c := newCoreWithDependencies(t)
+	var few, many []string
 	for i := range 4000 {
 		id := fmt.Sprintf("wk-%s%d", strings.Repeat("x", i%7), 7919*i%100_000)
-		j := c.internJob(id)
-		j.revision, j.record = 1, &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 1}}
+		known := c.internJob(id)
+		known.revision, known.record = 1, &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 1}}
 		if many = append(many, id); i < 700 {
-			some = append(some, id)
+			few = append(few, id)
 		}
 	}
 	if r := submitAndRespond(t, c, dependentSubmission("wk-3", many...)); r.Status != wire.StatusBadRequest {
-		t.Errorf("4000 jobs: %d", r.Status)
+		t.Errorf("4000 dependencies: %d", r.Status)
 	}
-	if r := submitAndRespond(t, c, dependentSubmission("wk-4", some...)); r.Status != wire.StatusCreated {
-		t.Errorf("700 jobs: %d", r.Status)
+	if r := submitAndRespond(t, c, dependentSubmission("wk-4", few...)); r.Status != wire.StatusCreated {
+		t.Errorf("700 dependencies: %d", r.Status)
 	}
 }
 
-// Another controller may just have accepted the job that a submission names: only a read barrier
-// tells that it was never accepted.
-// It is asked for at once: waiting for the next one's turn took a quarter of a second.
+// Another controller may just have accepted a dependency: only a read barrier shows that it was
+// never accepted. The barrier must be requested at once: waiting for the next periodic one took a
+// quarter of a second.
 func TestDependencyArrivingWithTheReadBarrier(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	c.Advance(2 * time.Second)
 	c.replica.nextBarrierAt = time.Hour
 	c.Handle(2*time.Second, dependentSubmission("wk-2", "wk-1"))
-	asked := false
+	barrierRequested := false
 	for _, o := range outputsOfType[Watch](c.Advance(2 * time.Second)) {
-		asked = asked || !o.LongPoll
+		barrierRequested = barrierRequested || !o.LongPoll
 	}
-	if !asked {
-		t.Fatal("no barrier")
+	if !barrierRequested {
+		t.Fatal("no read barrier was requested")
 	}
 	raw, err := c.encodeRecord(
 		&jobrecord.Record{Spec: &wire.JobSpec{Team: "t", Tasks: 1, Request: [3]int64{1, 0, 1}}},
@@ -131,59 +137,57 @@
 	}
 }
 
-// addKnownJob puts a job with these needs into the replica.
-func addKnownJob(c *Core, mark uint64, s wire.JobSpec, id string, stage string, awaits ...string) *job {
-	s.Team, s.Tasks, s.Request, s.Dependencies = "t", 1, [3]int64{1000, 0, 1000}, awaits
-	r := &jobrecord.Record{Spec: &s, Stage: stage, AcceptedAtMS: 1000}
+// addKnownJob adds a job of one task with these dependencies to the replica.
+func addKnownJob(
+	c *Core, revision uint64, spec wire.JobSpec, id string, stage string, dependencies ...string,
+) *job {
+	spec.Team, spec.Tasks, spec.Request, spec.Dependencies = "t", 1, [3]int64{1000, 0, 1000}, dependencies
+	record := &jobrecord.Record{Spec: &spec, Stage: stage, AcceptedAtMS: 1000}
 	if stage != jobrecord.Queued {
-		r.Spec = nil
+		record.Spec = nil
 	}
-	j := c.internJob(id)
-	c.adoptRecord(j, r, nil, mark, 100)
-	return j
+	added := c.internJob(id)
+	c.adoptRecord(added, record, nil, revision, 100)
+	return added
 }
 
+// completeJob has the replica show that a job of one task is done.
+func completeJob(c *Core, j *job, revision uint64) {
+	c.adoptRecord(j, &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}, nil, revision, 10)
+}
+
+// A job must not start before all its dependencies are done, and then must.
 func TestNothingStartsBeforeItsDependenciesAreDone(t *testing.T) {
 	c := newCoreWithDependencies(t)
-	a, b := addKnownJob(
-		c,
-		100,
-		wire.JobSpec{},
-		"wk-1",
-		jobrecord.Queued,
-	), addKnownJob(
-		c,
-		101,
-		wire.JobSpec{},
-		"wk-2",
-		jobrecord.Queued,
-	)
-	d := addKnownJob(c, 102, wire.JobSpec{}, "wk-3", jobrecord.Queued, "wk-1", "wk-2")
-	e := addKnownJob(c, 103, wire.JobSpec{}, "wk-4", jobrecord.Queued, "wk-3")
+	first := addKnownJob(c, 100, wire.JobSpec{}, "wk-1", jobrecord.Queued)
+	second := addKnownJob(c, 101, wire.JobSpec{}, "wk-2", jobrecord.Queued)
+	join := addKnownJob(c, 102, wire.JobSpec{}, "wk-3", jobrecord.Queued, "wk-1", "wk-2")
+	last := addKnownJob(c, 103, wire.JobSpec{}, "wk-4", jobrecord.Queued, "wk-3")
 	runFor(c, 2*time.Second, 4*time.Second)
-	if len(a.assignments) != 1 || len(b.assignments) != 1 || len(d.assignments)+len(e.assignments) != 0 {
+	if len(first.assignments) != 1 || len(second.assignments) != 1 ||
+		len(join.assignments)+len(last.assignments) != 0 {
 		t.Fatalf(
 			"placed %d, %d, %d, %d",
-			len(a.assignments),
-			len(b.assignments),
-			len(d.assignments),
-			len(e.assignments),
+			len(first.assignments),
+			len(second.assignments),
+			len(join.assignments),
+			len(last.assignments),
 		)
 	}
-	c.adoptRecord(a, &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}, nil, 3000, 10)
+	completeJob(c, first, 3000)
 	runFor(c, 4*time.Second, 5*time.Second)
-	if len(d.assignments) != 0 {
+	if len(join.assignments) != 0 {
 		t.Error("placed before both are done")
 	}
-	c.adoptRecord(b, &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}, nil, 3001, 10)
+	completeJob(c, second, 3001)
 	runFor(c, 5*time.Second, 6*time.Second)
-	if len(d.assignments) != 1 || len(e.assignments) != 0 {
-		t.Errorf("placed %d and %d", len(d.assignments), len(e.assignments))
+	if len(join.assignments) != 1 || len(last.assignments) != 0 {
+		t.Errorf("placed %d and %d", len(join.assignments), len(last.assignments))
 	}
 }
 
-// One write cancels all that needs a job, through any number of others, whether the records come
-// before or after it, and what is submitted later too. Thousands in a row cost no recursion.
+// The write of one cancellation must cancel all direct and indirect dependents, in whatever order the
+// records arrive, and those submitted later too. A chain of thousands must not exhaust the stack.
 func TestCancellationReachesAllDependents(t *testing.T) {
 	const n = 5000
 	name := func(i int) string { return fmt.Sprintf("wk-%d", i) }
@@ -213,51 +217,46 @@
 		}
 		for _, i := range []int{1, n / 2, n - 1} {
 			j := c.internJob(name(i))
-			if st := c.jobState(j); st.Stage != wire.StageCancelled || st.CancelledBy != name(0) {
-				t.Errorf("%s: %s is %+v", order, j.id, st)
+			if state := c.jobState(j); state.Stage != wire.StageCancelled || state.CancelledBy != name(0) {
+				t.Errorf("%s: %s is %+v", order, j.id, state)
 			}
 		}
 		r := submitAndRespond(t, c, dependentSubmission("wk-new", name(n-1)))
-		if st, ok := r.Body.(wire.JobState); r.Status != wire.StatusCreated || !ok || st.Stage != wire.StageCancelled {
+		if state, ok := r.Body.(wire.JobState); r.Status != wire.StatusCreated || !ok ||
+			state.Stage != wire.StageCancelled {
 			t.Errorf("%s: submitted later: %+v", order, r)
 		}
 	}
 }
 
-// A cancellation that is answered with done cancels nothing after it.
+// A cancellation that comes after the job is done must not cancel its dependents.
 func TestCancelOfADoneJobCancelsNothing(t *testing.T) {
 	c := newCoreWithDependencies(t)
-	a := addKnownJob(c, 100, wire.JobSpec{}, "wk-1", jobrecord.Done)
-	d := addKnownJob(c, 101, wire.JobSpec{}, "wk-2", jobrecord.Queued, "wk-1")
+	done := addKnownJob(c, 100, wire.JobSpec{}, "wk-1", jobrecord.Done)
+	dependent := addKnownJob(c, 101, wire.JobSpec{}, "wk-2", jobrecord.Queued, "wk-1")
 	c.Advance(2 * time.Second)
-	c.Handle(2*time.Second, CancelJob{RequestID: 7, ID: a.id})
+	c.Handle(2*time.Second, CancelJob{RequestID: 7, ID: done.id})
 	r := outputsOfType[Response](c.Advance(2 * time.Second))
-	if len(r) != 1 || r[0].Body.(wire.JobState).Stage != wire.StageDone || d.isFinal() || d.unmetDependencies != 0 {
-		t.Errorf("got %+v; the job after it: final %v, waits for %d", r, d.isFinal(), d.unmetDependencies)
+	if len(r) != 1 || r[0].Body.(wire.JobState).Stage != wire.StageDone ||
+		dependent.isFinal() || dependent.unmetDependencies != 0 {
+		t.Errorf(
+			"got %+v; dependent: final %v, %d unmet dependencies",
+			r,
+			dependent.isFinal(),
+			dependent.unmetDependencies,
+		)
 	}
 }
 
-// What the last job of a pipeline brings is passed back along the critical path, also when it
-// comes late, and is dropped with it.
+// The priority class and deadline of a pipeline's last job must be inherited along the critical path,
+// even if that job is submitted late, and no longer once it has ended.
 func TestDependenciesInheritPriorityAndDeadline(t *testing.T) {
 	c := newCoreWithDependencies(t)
-	est := wire.JobSpec{Priority: 3, EstimatedRuntimeMS: 10_000}
-	a, b := addKnownJob(
-		c,
-		100,
-		est,
-		"wk-1",
-		jobrecord.Queued,
-	), addKnownJob(
-		c,
-		101,
-		est,
-		"wk-2",
-		jobrecord.Queued,
-		"wk-1",
-	)
-	if a.effectiveClass != 3 || a.effectiveDeadlineMS != 0 {
-		t.Fatalf("priority %d, due %d", a.effectiveClass, a.effectiveDeadlineMS)
+	spec := wire.JobSpec{Priority: 3, EstimatedRuntimeMS: 10_000}
+	first := addKnownJob(c, 100, spec, "wk-1", jobrecord.Queued)
+	second := addKnownJob(c, 101, spec, "wk-2", jobrecord.Queued, "wk-1")
+	if first.effectiveClass != 3 || first.effectiveDeadlineMS != 0 {
+		t.Fatalf("priority %d, due %d", first.effectiveClass, first.effectiveDeadlineMS)
 	}
 	last := addKnownJob(
 		c,
@@ -268,32 +267,32 @@
 		"wk-1",
 		"wk-2",
 	)
-	if a.effectiveClass != 1 || b.effectiveClass != 1 || last.effectiveDeadlineMS != 61_000 ||
-		b.effectiveDeadlineMS != 56_000 ||
-		a.effectiveDeadlineMS != 46_000 {
+	if first.effectiveClass != 1 || second.effectiveClass != 1 || last.effectiveDeadlineMS != 61_000 ||
+		second.effectiveDeadlineMS != 56_000 || first.effectiveDeadlineMS != 46_000 {
 		t.Errorf(
 			"priorities %d, %d; due %d, %d, %d",
-			a.effectiveClass,
-			b.effectiveClass,
-			a.effectiveDeadlineMS,
-			b.effectiveDeadlineMS,
+			first.effectiveClass,
+			second.effectiveClass,
+			first.effectiveDeadlineMS,
+			second.effectiveDeadlineMS,
 			last.effectiveDeadlineMS,
 		)
 	}
 	c.adoptRecord(last, &jobrecord.Record{Stage: jobrecord.Cancelled}, nil, 500, 10)
-	if a.effectiveClass != 3 || b.effectiveClass != 3 || a.effectiveDeadlineMS != 0 || b.effectiveDeadlineMS != 0 {
+	if first.effectiveClass != 3 || second.effectiveClass != 3 ||
+		first.effectiveDeadlineMS != 0 || second.effectiveDeadlineMS != 0 {
 		t.Errorf(
 			"after the end of the last: priorities %d, %d, due %d, %d",
-			a.effectiveClass,
-			b.effectiveClass,
-			a.effectiveDeadlineMS,
-			b.effectiveDeadlineMS,
+			first.effectiveClass,
+			second.effectiveClass,
+			first.effectiveDeadlineMS,
+			second.effectiveDeadlineMS,
 		)
 	}
 }
 
-// Jobs that wait for others are not walked through at every turn, and count in no demand but
-// the one for what is about to be ready.
+// Jobs with unmet dependencies must not be examined in every scheduling pass, nor count as demand
+// before they are about to be ready.
 func TestJobsWithUnmetDependenciesAreNoDemand(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	addKnownJob(c, 100, wire.JobSpec{EstimatedRuntimeMS: 600_000}, "wk-1", jobrecord.Queued)
@@ -302,46 +301,48 @@
 	}
 	runFor(c, 2*time.Second, 4*time.Second)
 	if len(c.openJobs) > 10 {
-		t.Errorf("%d jobs are looked at", len(c.openJobs))
+		t.Errorf("%d jobs are examined", len(c.openJobs))
 	}
-	for _, n := range c.pendingDemand() {
-		if n.job != nil {
-			t.Errorf("%s counts as demand for %d tasks", n.job.id, n.tasks)
+	for _, demand := range c.pendingDemand() {
+		if demand.job != nil {
+			t.Errorf("%s counts as demand for %d tasks", demand.job.id, demand.tasks)
 		}
 	}
 }
 
-// Tasks of a pipeline stayed on the machines of a cut-off zone until others had been rented, and its
-// last job was late. A machine that holds such a task is given up as soon as it counts as silent,
-// unless replicas serve on there.
+// Tasks of a pipeline once stayed on the machines of an unreachable zone until others had been scaled
+// out, and its last job missed its deadline. A machine with such a task must be given up as soon as
+// it counts as silent, unless replicas of a service go on there.
 func TestUnreachableMachineIsGivenUpForADeadline(t *testing.T) {
 	for _, tc := range []struct {
-		due     int64
-		service bool
-		want    bool
-	}{{0, false, false}, {60_000, false, false}, {20_000, false, true}, {20_000, true, false}} {
-		c := newCoreWithDependencies(t)
-		m := c.internMachine("m-1")
-		a := addKnownJob(c, 100, wire.JobSpec{EstimatedRuntimeMS: 10_000}, "wk-1", jobrecord.Queued)
-		addKnownJob(
-			c,
-			101,
-			wire.JobSpec{EstimatedRuntimeMS: 5_000, DeadlineMS: tc.due},
-			"wk-2",
-			jobrecord.Queued,
-			"wk-1",
-		)
-		s := addKnownJob(c, 102, wire.JobSpec{Service: tc.service}, "wk-3", jobrecord.Queued)
-		for _, j := range []*job{a, s} {
-			m.allocation.assignments[taskKey{j.index, 0}] = jobrecord.Assignment{
-				Task:        0,
-				Machine:     m.index,
-				Incarnation: 1,
-				Attempt:     1,
+		name       string
+		deadlineMS int64
+		service    bool
+		want       bool
+	}{
+		{"no deadline", 0, false, false},
+		{"deadline far away", 60_000, false, false},
+		{"deadline would be missed", 20_000, false, true},
+		{"deadline would be missed, but a replica serves on", 20_000, true, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			c := newCoreWithDependencies(t)
+			host := c.internMachine("m-1")
+			first := addKnownJob(c, 100, wire.JobSpec{EstimatedRuntimeMS: 10_000}, "wk-1", jobrecord.Queued)
+			last := wire.JobSpec{EstimatedRuntimeMS: 5_000, DeadlineMS: tc.deadlineMS}
+			addKnownJob(c, 101, last, "wk-2", jobrecord.Queued, "wk-1")
+			other := addKnownJob(c, 102, wire.JobSpec{Service: tc.service}, "wk-3", jobrecord.Queued)
+			for _, j := range []*job{first, other} {
+				host.allocation.assignments[taskKey{j.index, 0}] = jobrecord.Assignment{
+					Task:        0,
+					Machine:     host.index,
+					Incarnation: 1,
+					Attempt:     1,
+				}
 			}
-		}
-		if got := c.delayMissesDeadline(m, 10*time.Second); got != tc.want {
-			t.Errorf("due %d, replica %v: given up %v", tc.due, tc.service, got)
-		}
+			if got := c.delayMissesDeadline(host, 10*time.Second); got != tc.want {
+				t.Errorf("given up %v, want %v", got, tc.want)
+			}
+		})
 	}
 }
