--- a/core/assignment.go
+++ b/core/assignment.go
@@ -9,266 +9,404 @@
 	"time"
 )
 
-// assignTasks chooses machines for a job's waiting tasks by the design: 2t candidates from the
-// copy, most room first, the rest at random. It tells when another look is due, if set.
-func (c *Core) assignTasks(p *proposal, b *txnBuilder) (again time.Duration) {
-	s := p.record.Spec
+// lockedRetryDelay is the time until a team whose key is being written is looked at again.
+const lockedRetryDelay = 20 * time.Millisecond
+
+// unboundedHorizon is the busy horizon of a machine that runs a service: it has no expected end.
+const unboundedHorizon = time.Hour
+
+// Penalties added to a machine's scoring tier; a machine of a smaller tier is a better candidate.
+// A larger penalty outweighs the sum of all smaller ones.
+const (
+	onDemandTierPenalty     = 200 // a spot job on an on-demand machine that will become idle
+	missingImageTierPenalty = 100 // the machine would have to pull the image
+	serviceTierPenalty      = 90  // a service on a machine that would otherwise become idle
+	maxHorizonTierPenalty   = 90  // a task that outlasts the machine's busy horizon
+)
+
+// assignTasks chooses machines for a job's unassigned tasks: CandidateRatio candidates per task from
+// the copy of the cluster state, best first, the rest at random. It appends the assignments to the
+// proposal. A retryAt that is not 0 is the time to look at the job again.
+func (c *Core) assignTasks(p *proposal, b *txnBuilder) (retryAt time.Duration) {
+	spec := p.record.Spec
 	if c.autoscaler.catalog == nil || !c.holdsLease() {
 		return 0
 	}
 	if c.now < p.job.placement.backoffUntil {
 		return p.job.placement.backoffUntil
 	}
-	limit := min(c.maxAssignedTasks()-len(p.assignments), s.Tasks)
-	if isFailing(p.record, c.unixMS()) {
-		limit = min(limit, c.maxTasksWhileFailing(p.job, p.assignments)-len(p.assignments))
-	}
-	if t := c.teamOf(s); t != nil && t.hasMaxQuota() {
-		if t.locked {
+	limit := c.newAssignmentLimit(p)
+	if team := c.teamOf(spec); team != nil && team.hasMaxQuota() {
+		if team.locked {
 			return c.now + lockedRetryDelay
 		}
-		u := b.addedUsage[t]
-		if t.MaxCPU > 0 && s.Request[0] > 0 {
-			limit = min(limit, int((t.MaxCPU-t.usedCPU-u[0])/s.Request[0]))
-		}
-		if t.MaxGPU > 0 && s.Request[1] > 0 {
-			limit = min(limit, int((t.MaxGPU-t.usedGPU-u[1])/s.Request[1]))
-		}
-	}
-	prio, at := c.priority.classes.Classify(s), p.record.AcceptedAtMS
-	if !p.isAcceptance {
-		prio, at = c.effectivePriorityClass(p.job), p.job.effectiveEnqueueMS()
+		limit = min(limit, team.tasksWithinMaxQuota(spec.Request, b.addedUsage[team]))
 	}
-	held := c.clusterCopy.capacityHold != nil && prio > c.clusterCopy.capacityHold.Priority &&
-		c.clusterCopy.state.IsFresh(c.now)
-	if limit <= 0 || c.isKnownUnplaceable(s, prio, at, held) {
+	priorityClass, enqueuedAtMS := c.placementPosition(p)
+	leavesHeldCapacity := c.leavesHeldCapacity(priorityClass)
+	if limit <= 0 || c.isKnownUnplaceable(spec, priorityClass, enqueuedAtMS, leavesHeldCapacity) {
 		return 0
 	}
 	tasks := p.record.UnassignedTasks(p.assignments, limit)
 	if len(tasks) == 0 {
 		return 0
 	}
-	zones := map[string]int{}
-	for _, a := range p.assignments {
-		zones[c.machines[a.Machine].identity.zone]++
+	attempt := &placementAttempt{
+		core:                 c,
+		proposal:             p,
+		spec:                 spec,
+		priorityClass:        priorityClass,
+		enqueuedAtMS:         enqueuedAtMS,
+		leavesHeldCapacity:   leavesHeldCapacity,
+		tasks:                tasks,
+		tasksInZone:          map[string]int{},
+		maxTasksInZone:       (spec.Tasks + 1) / 2,
+		triedWithoutCapacity: map[int32]bool{},
+	}
+	attempt.chooseZone()
+	attempt.queuePositions = c.queuePositionsOf(priorityClass, enqueuedAtMS)
+	attempt.avoidedMachines = c.recentlyFailedMachines(p.record)
+	attempt.placeTasks()
+	return 0
+}
+
+// newAssignmentLimit is how many more tasks the size of a record and the job's failures allow to assign.
+func (c *Core) newAssignmentLimit(p *proposal) int {
+	limit := min(c.maxAssignedTasks()-len(p.assignments), p.record.Spec.Tasks)
+	if isFailing(p.record, c.unixMS()) {
+		limit = min(limit, c.maxTasksWhileFailing(p.job, p.assignments)-len(p.assignments))
+	}
+	return limit
+}
+
+// placementPosition is the queue position by which a proposal competes for capacity. A job that is
+// only being accepted has none of its own yet: it gets the position it will have.
+func (c *Core) placementPosition(p *proposal) (priorityClass int, enqueuedAtMS int64) {
+	if p.isAcceptance {
+		return c.priority.classes.Classify(p.record.Spec), p.record.AcceptedAtMS
+	}
+	return c.effectivePriorityClass(p.job), p.job.effectiveEnqueueMS()
+}
+
+// leavesHeldCapacity reports whether work of a priority class must leave the capacity alone that the
+// leader holds for more important work.
+func (c *Core) leavesHeldCapacity(priorityClass int) bool {
+	hold := c.clusterCopy.capacityHold
+	return hold != nil && priorityClass > hold.Priority && c.clusterCopy.state.IsFresh(c.now)
+}
+
+// placementAttempt is the working state of one run of assignTasks.
+type placementAttempt struct {
+	core     *Core
+	proposal *proposal
+	spec     *wire.JobSpec
+
+	priorityClass      int
+	enqueuedAtMS       int64
+	leavesHeldCapacity bool // must leave the capacity alone that is held for more important work
+	queuePositions     queuePositions
+	avoidedMachines    []string // tasks of the job failed there recently
+
+	tasks                []int32        // still without a machine
+	tasksInZone          map[string]int // assigned tasks of the job by zone
+	maxTasksInZone       int            // of a job that is spread over zones
+	onlyZone             string         // all tasks must go there; "": any zone
+	triedWithoutCapacity map[int32]bool // seem full, and have had their one attempt
+	yieldDelay           time.Duration  // until the first capacity yielded to other controllers may be used; 0: none is
+}
+
+// chooseZone counts the job's tasks by zone, and fixes the zone of a job that must run in a single one.
+func (a *placementAttempt) chooseZone() {
+	for _, assignment := range a.proposal.assignments {
+		a.tasksInZone[a.core.machines[assignment.Machine].identity.zone]++
+	}
+	if !a.spec.OneZone {
+		return
+	}
+	for zone := range a.tasksInZone {
+		a.onlyZone = zone
 	}
-	only := ""
-	if s.OneZone {
-		for z := range zones {
-			only = z
+	if a.onlyZone == "" {
+		a.onlyZone = a.core.zoneWithMostCapacity(a.spec)
+	}
+}
+
+// placeTasks assigns tasks to candidates. It queries again only if a zone has become full meanwhile:
+// the remaining tasks may find capacity in the other zones.
+func (a *placementAttempt) placeTasks() {
+	query := a.candidateQuery()
+	for len(a.tasks) > 0 {
+		fullZones := a.countFullZones()
+		candidates := a.core.clusterCopy.state.Candidates(a.core.now, query, a.core.rng)
+		if len(candidates) < query.Count {
+			a.scheduleScanOfYielded()
+		}
+		if len(candidates) == 0 && fullZones == 0 {
+			a.recordUnplaceable()
+		}
+		for progress := true; progress && len(a.tasks) > 0; {
+			progress = a.assignRound(candidates)
 		}
-		if only == "" {
-			only = c.roomiestZone(s)
+		if a.countFullZones() == fullZones {
+			return
 		}
 	}
-	others, shun := c.queuePositionsOf(prio, at), c.recentlyFailedMachines(p.record)
-	ask := clusterstate.CandidateQuery{
-		Count: int(
-			math.Ceil(c.cfg.Scheduling.CandidateRatio * float64(len(tasks))),
-		), Request: s.Request, FillRandomly: c.cfg.Scheduling.RandomPlacement, HonorReserved: s.Spot,
-		IsAllowed: func(i int32) bool {
-			m := c.machines[i]
-			return c.isSchedulable(m) && c.isFeasible(s, m) && !slices.Contains(shun, m.name) &&
-				(only == "" || m.identity.zone == only) &&
-				!(held && c.clusterCopy.state.Row(i).Available.Fits(c.clusterCopy.capacityHold.Request))
-		},
+}
+
+// candidateQuery describes the machines that may run the job's tasks, and which of them are better.
+func (a *placementAttempt) candidateQuery() clusterstate.CandidateQuery {
+	c := a.core
+	query := clusterstate.CandidateQuery{
+		Count:         int(math.Ceil(c.cfg.Scheduling.CandidateRatio * float64(len(a.tasks)))),
+		Request:       a.spec.Request,
+		FillRandomly:  c.cfg.Scheduling.RandomPlacement,
+		HonorReserved: a.spec.Spot,
+		IsAllowed:     a.isAllowed,
+		DistanceOf:    func(i int32) int { return c.machineRank(c.machines[i]) },
+		TierOf:        a.tierOf,
 	}
 	if !c.clusterCopy.state.IsFresh(c.now) {
 		for _, m := range c.aliveMachines {
 			if m.status.reported && !m.lifecycle.gone {
-				ask.OtherMachines = append(ask.OtherMachines, m.index)
+				query.OtherMachines = append(query.OtherMachines, m.index)
 			}
 		}
 	}
-	ask.DistanceOf = func(i int32) int { return c.machineRank(c.machines[i]) }
-	est := time.Duration(s.EstimatedRuntimeMS) * time.Millisecond
-	ask.TierOf = func(i int32) int {
-		m, t := c.machines[i], 0
-		h := c.busyHorizon(m)
-		if c.cfg.Scheduling.PreferSpot && s.Spot && !m.identity.spot && h < unboundedHorizon {
-			t += 200
-		}
-		if c.cfg.Scheduling.PreferImage && s.Image != "" && !m.status.images[s.Image] {
-			t += 100
-		}
-		// A machine is paid for until its last task ends: a task that ends before costs nothing.
-		// A replica stays for good: on a machine that has none, it would keep it for itself alone.
-		if c.cfg.Scheduling.BusyHorizonStep > 0 && s.Service && h < unboundedHorizon {
-			t += 90
-		} else if c.cfg.Scheduling.BusyHorizonStep > 0 && est > h {
-			t += int(min(90, (est-h)/c.cfg.Scheduling.BusyHorizonStep))
-		}
-		return t
-	}
-	// A zone that has all of a job's tasks that may be there holds no candidates for it. The best
-	// of all candidates were often there, as its machines hold the image: replicas that a lost zone
-	// had taken waited for minutes beside hundreds of machines with room in the others.
-	most := (s.Tasks + 1) / 2
-	full := func() (n int) {
-		for _, k := range zones {
-			if s.Spread && k >= most {
-				n++
-			}
-		}
-		return n
+	return query
+}
+
+// isAllowed is the feasibility filter: it reports whether a machine may run the job's tasks now. It
+// notes when capacity that is yielded to other controllers may be used.
+func (a *placementAttempt) isAllowed(index int32) bool {
+	c := a.core
+	target := c.machines[index]
+	if !c.isSchedulable(target) || !c.isFeasible(a.spec, target) ||
+		slices.Contains(a.avoidedMachines, target.name) ||
+		a.onlyZone != "" && target.identity.zone != a.onlyZone {
+		return false
 	}
-	var early time.Duration // until the first room that is another's to take now; 0: there is none
-	allow := ask.IsAllowed
-	ask.IsAllowed = func(i int32) bool {
-		if !allow(i) || s.Spread && zones[c.machines[i].identity.zone] >= most {
-			return false
-		}
-		wait := c.yieldDelay(i, others)
-		if wait > 0 && (early == 0 || wait < early) {
-			early = wait
+	if a.leavesHeldCapacity && c.clusterCopy.state.Row(index).Available.Fits(c.clusterCopy.capacityHold.Request) {
+		return false
+	}
+	// A full zone holds no candidates. The best of all candidates were often in one, as its machines
+	// hold the image: replicas lost with a zone waited for minutes beside hundreds of machines with
+	// capacity in the other zones.
+	if a.isZoneFull(target.identity.zone) {
+		return false
+	}
+	delay := c.yieldDelay(index, a.queuePositions)
+	if delay > 0 && (a.yieldDelay == 0 || delay < a.yieldDelay) {
+		a.yieldDelay = delay
+	}
+	return delay == 0
+}
+
+// tierOf scores a machine coarsely: candidates of a smaller tier are taken first.
+func (a *placementAttempt) tierOf(index int32) int {
+	settings, target, tier := &a.core.cfg.Scheduling, a.core.machines[index], 0
+	horizon := a.core.busyHorizon(target)
+	if settings.PreferSpot && a.spec.Spot && !target.identity.spot && horizon < unboundedHorizon {
+		tier += onDemandTierPenalty
+	}
+	if settings.PreferImage && a.spec.Image != "" && !target.status.images[a.spec.Image] {
+		tier += missingImageTierPenalty
+	}
+	if settings.BusyHorizonStep <= 0 {
+		return tier
+	}
+	// A machine is paid for until its last task ends: a task that ends before costs nothing. A
+	// replica has no expected end: alone on a machine it would keep that machine for itself.
+	estimate := time.Duration(a.spec.EstimatedRuntimeMS) * time.Millisecond
+	if a.spec.Service && horizon < unboundedHorizon {
+		tier += serviceTierPenalty
+	} else if estimate > horizon {
+		tier += int(min(maxHorizonTierPenalty, (estimate-horizon)/settings.BusyHorizonStep))
+	}
+	return tier
+}
+
+// isZoneFull reports whether a job that is spread over zones has all tasks in a zone that may be there.
+func (a *placementAttempt) isZoneFull(zone string) bool {
+	return a.spec.Spread && a.tasksInZone[zone] >= a.maxTasksInZone
+}
+
+// countFullZones counts the zones that may get no more tasks of the job.
+func (a *placementAttempt) countFullZones() (n int) {
+	for zone := range a.tasksInZone {
+		if a.isZoneFull(zone) {
+			n++
 		}
-		return wait == 0
-	}
-	untried := map[int32]bool{} // machines that seem full get one try each
-	for len(tasks) > 0 {
-		before := full()
-		cands := c.clusterCopy.state.Candidates(c.now, ask, c.rng)
-		if at := c.now + early; early > 0 && len(cands) < ask.Count &&
-			(c.placement.yieldedUntil == 0 || at < c.placement.yieldedUntil) {
-			c.placement.yieldedUntil = at
+	}
+	return n
+}
+
+// scheduleScanOfYielded makes the scheduler look at the waiting jobs again when the first capacity
+// that was yielded to other controllers may be used.
+func (a *placementAttempt) scheduleScanOfYielded() {
+	placement, scanAt := &a.core.placement, a.core.now+a.yieldDelay
+	if a.yieldDelay > 0 && (placement.yieldedUntil == 0 || scanAt < placement.yieldedUntil) {
+		placement.yieldedUntil = scanAt
+	}
+}
+
+// recordUnplaceable records that the job's request found no capacity. It says nothing of other jobs
+// if this one is restricted to some machines, or if it chose from an expired copy.
+func (a *placementAttempt) recordUnplaceable() {
+	c := a.core
+	if a.spec.Zone != "" || a.spec.MachineTypes != nil || a.onlyZone != "" || !c.clusterCopy.state.IsFresh(c.now) {
+		return
+	}
+	refusal := unplaceable{
+		request:       a.spec.Request,
+		allowsSpot:    a.spec.Spot,
+		heldBack:      a.leavesHeldCapacity,
+		priorityClass: a.priorityClass,
+		enqueuedAtMS:  a.enqueuedAtMS,
+	}
+	if a.yieldDelay > 0 {
+		refusal.yieldUntil = c.now + a.yieldDelay
+	}
+	c.placement.unplaceable = append(c.placement.unplaceable, refusal)
+}
+
+// assignRound gives each candidate one task at most; false if none took any.
+func (a *placementAttempt) assignRound(candidates []int32) (progress bool) {
+	for _, index := range candidates {
+		if len(a.tasks) == 0 {
+			break
 		}
-		if len(cands) == 0 && s.Zone == "" && s.MachineTypes == nil && only == "" && before == 0 &&
-			c.clusterCopy.state.IsFresh(c.now) {
-			x := unplaceable{
-				request:       s.Request,
-				allowsSpot:    s.Spot,
-				heldBack:      held,
-				priorityClass: prio,
-				enqueuedAtMS:  at,
-			}
-			if early > 0 {
-				x.yieldUntil = c.now + early
-			}
-			c.placement.unplaceable = append(c.placement.unplaceable, x)
+		target := a.core.machines[index]
+		if !a.hasCapacityOrFirstTry(index) || a.isZoneFull(target.identity.zone) ||
+			a.core.reportsLiveTask(target, a.proposal.job, a.tasks[0]) {
+			continue
 		}
-		for progress := true; progress && len(tasks) > 0; {
-			progress = false
-			for _, mi := range cands {
-				if len(tasks) == 0 {
-					break
-				}
-				m := c.machines[mi]
-				r := c.clusterCopy.state.Row(mi)
-				if r == nil || !r.HasRoom(s.Request, s.Spot) {
-					if untried[mi] || c.clusterCopy.state.IsFresh(c.now) && !c.cfg.Scheduling.RandomPlacement {
-						continue
-					}
-					untried[mi] = true
-				}
-				if s.Spread && zones[m.identity.zone] >= most || c.reportsLiveTask(m, p.job, tasks[0]) {
-					continue
-				}
-				if s.OneZone && only != "" && m.identity.zone != only {
-					continue
-				}
-				if s.OneZone {
-					only = m.identity.zone // the first task decides where no zone could be preferred
-				}
-				p.record.LastAttempt++
-				a := jobrecord.Assignment{
-					Task:        tasks[0],
-					Machine:     mi,
-					Incarnation: m.status.incarnation,
-					Attempt:     p.record.LastAttempt,
-				}
-				tasks = tasks[1:]
-				p.assignments = append(p.assignments, a)
-				p.started = append(p.started, a)
-				zones[m.identity.zone]++
-				c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Start: true, Machine: mi, Request: s.Request})
-				progress = true
+		if a.spec.OneZone {
+			if a.onlyZone != "" && target.identity.zone != a.onlyZone {
+				continue
 			}
+			a.onlyZone = target.identity.zone // the first task decides where no zone could be preferred
 		}
-		if full() == before { // else those that are left may find room in the other zones
-			break
-		}
+		a.assignNext(target)
+		progress = true
 	}
-	return 0
+	return progress
 }
 
-const unboundedHorizon = time.Hour
+// hasCapacityOrFirstTry reports whether a candidate has capacity for a task by the copy, or seems
+// full and has not been tried yet: an expired copy, or a random choice, may be wrong once per machine.
+func (a *placementAttempt) hasCapacityOrFirstTry(index int32) bool {
+	c := a.core
+	if row := c.clusterCopy.state.Row(index); row != nil && row.HasRoom(a.spec.Request, a.spec.Spot) {
+		return true
+	}
+	if a.triedWithoutCapacity[index] || c.clusterCopy.state.IsFresh(c.now) && !c.cfg.Scheduling.RandomPlacement {
+		return false
+	}
+	a.triedWithoutCapacity[index] = true
+	return true
+}
+
+// assignNext assigns the next task to a machine, and allocates its request on the copy.
+func (a *placementAttempt) assignNext(target *machine) {
+	c, p := a.core, a.proposal
+	p.record.LastAttempt++
+	assignment := jobrecord.Assignment{
+		Task:        a.tasks[0],
+		Machine:     target.index,
+		Incarnation: target.status.incarnation,
+		Attempt:     p.record.LastAttempt,
+	}
+	a.tasks = a.tasks[1:]
+	p.assignments = append(p.assignments, assignment)
+	p.started = append(p.started, assignment)
+	a.tasksInZone[target.identity.zone]++
+	c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Start: true, Machine: target.index, Request: a.spec.Request})
+}
 
-// busyHorizon is how long a machine's tasks are expected to keep it; services keep it forever. It
-// is worked out again when the tasks change, and once a second.
+// busyHorizon is how long a machine's tasks are expected to keep it busy. The value is cached: it is
+// computed again when the tasks change, and once a second.
 func (c *Core) busyHorizon(m *machine) time.Duration {
-	if m.allocation.busyHorizonAt != 0 && m.allocation.busyHorizonAt > m.status.lastChangeAt &&
-		c.now-m.allocation.busyHorizonAt < time.Second {
-		return max(0, m.allocation.busyHorizon)
+	cached := &m.allocation
+	if cached.busyHorizonAt != 0 && cached.busyHorizonAt > m.status.lastChangeAt &&
+		c.now-cached.busyHorizonAt < busyHorizonMaxAge {
+		return max(0, cached.busyHorizon)
 	}
-	m.allocation.busyHorizon, m.allocation.busyHorizonAt = c.computeBusyHorizon(m), c.now
-	return m.allocation.busyHorizon
+	cached.busyHorizon, cached.busyHorizonAt = c.computeBusyHorizon(m), c.now
+	return cached.busyHorizon
 }
 
+// busyHorizonMaxAge is how long a computed busy horizon is used while the machine's tasks stay the same.
+const busyHorizonMaxAge = time.Second
+
+// computeBusyHorizon is the longest remaining time of a machine's tasks; services have no end.
 func (c *Core) computeBusyHorizon(m *machine) time.Duration {
-	var h time.Duration
-	for k, a := range m.allocation.assignments {
-		s := c.jobs[k.jobIndex].record.Spec
-		if s == nil {
+	var horizon time.Duration
+	for key, assignment := range m.allocation.assignments {
+		job := c.jobs[key.jobIndex]
+		spec := job.record.Spec
+		if spec == nil {
 			continue
 		}
-		if s.Service {
+		if spec.Service {
 			return unboundedHorizon
 		}
-		h = max(h, c.remainingTime(c.jobs[k.jobIndex], m, a))
+		horizon = max(horizon, c.remainingTime(job, m, assignment))
 	}
-	return h
+	return horizon
 }
 
-// remainingTime is how long an assigned task should still take, by its owner's estimate.
+// remainingTime is how long an assigned task should still run, by its owner's estimate.
 func (c *Core) remainingTime(j *job, m *machine, a jobrecord.Assignment) time.Duration {
 	left := time.Duration(j.record.Spec.EstimatedRuntimeMS) * time.Millisecond
-	switch p := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; p.state {
+	switch status := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; status.state {
 	case wire.TaskExited:
 		return 0
 	case wire.TaskRunning:
-		// One that is over its estimate is expected to take a quarter of it more.
-		left = max(left-(c.now-p.stateSince), left/4)
+		// A task that exceeds its estimate is expected to run for another quarter of it.
+		left = max(left-(c.now-status.stateSince), left/4)
 	}
 	return left
 }
 
 // reportsLiveTask reports whether a machine still reports an attempt of a task that has not exited.
 func (c *Core) reportsLiveTask(m *machine, j *job, task int32) bool {
-	for k, p := range m.status.tasks {
-		if k.jobIndex == j.index && k.task == task && p.state != wire.TaskExited {
+	for key, status := range m.status.tasks {
+		if key.jobIndex == j.index && key.task == task && status.state != wire.TaskExited {
 			return true
 		}
 	}
 	return false
 }
 
-// roomiestZone is the zone whose offered machines have the most room for a job.
-func (c *Core) roomiestZone(s *wire.JobSpec) string {
-	room := map[string]int64{}
+// zoneWithMostCapacity is the zone whose schedulable machines fit the most tasks of a job; of equal
+// zones the first by name, and "" if no machine is feasible.
+func (c *Core) zoneWithMostCapacity(spec *wire.JobSpec) string {
+	capacity := map[string]int64{}
 	for _, m := range c.aliveMachines {
-		if r := c.clusterCopy.state.Row(m.index); r != nil && r.Schedulable && c.isSchedulable(m) &&
-			c.isFeasible(s, m) {
-			room[m.identity.zone] += tasksFitting(r.Available, s.Request)
+		if row := c.clusterCopy.state.Row(m.index); row != nil && row.Schedulable && c.isSchedulable(m) &&
+			c.isFeasible(spec, m) {
+			capacity[m.identity.zone] += tasksFitting(row.Available, spec.Request)
 		}
 	}
 	best := ""
-	for z, n := range room {
-		if best == "" || n > room[best] || n == room[best] && z < best {
-			best = z
+	for zone, n := range capacity {
+		if best == "" || n > capacity[best] || n == capacity[best] && zone < best {
+			best = zone
 		}
 	}
 	return best
 }
 
-// tasksFitting is how many claims fit into a room.
-func tasksFitting(room, claim [3]int64) int64 {
-	n := int64(1 << 20)
-	for i := range room {
-		if claim[i] > 0 {
-			n = min(n, room[i]/claim[i])
+// maxTasksFitting bounds the count of tasks whose request is zero.
+const maxTasksFitting = 1 << 20
+
+// tasksFitting is how many tasks of a request fit into the available resources.
+func tasksFitting(available, request [3]int64) int64 {
+	n := int64(maxTasksFitting)
+	for i := range available {
+		if request[i] > 0 {
+			n = min(n, available[i]/request[i])
 		}
 	}
 	return max(n, 0)
 }
-
-const lockedRetryDelay = 20 * time.Millisecond // until a team's state is looked at again
--- a/core/quota.go
+++ b/core/quota.go
@@ -3,40 +3,55 @@
 import (
 	"dewlift/clusterstate"
 	"dewlift/wire"
+	"math"
 )
 
+// team is a team with its quota, and what its jobs use of it.
 type team struct {
 	Team
-	revision uint64
-	usedCPU  int64
-	usedGPU  int64
-	locked   bool
+	revision uint64 // of the team's key in the store
+	usedCPU  int64  // thousandths of a core
+	usedGPU  int64  // thousandths of a GPU
+	locked   bool   // a transaction that writes the team's key is in flight
 }
 
+// hasMaxQuota reports whether the team's usage is limited.
 func (t *team) hasMaxQuota() bool { return t.MaxCPU > 0 || t.MaxGPU > 0 }
 
-// fitsMaxQuota reports whether a task may be added within the team's limits; a job of no team has none.
-func (t *team) fitsMaxQuota(claim clusterstate.Resources) bool {
+// fitsMaxQuota reports whether the team's maximum quota allows one more task; a job without a team has no quota.
+func (t *team) fitsMaxQuota(request clusterstate.Resources) bool {
 	return t == nil ||
-		(t.MaxCPU == 0 || t.usedCPU+claim[0] <= t.MaxCPU) && (t.MaxGPU == 0 || t.usedGPU+claim[1] <= t.MaxGPU)
+		(t.MaxCPU == 0 || t.usedCPU+request[0] <= t.MaxCPU) && (t.MaxGPU == 0 || t.usedGPU+request[1] <= t.MaxGPU)
 }
 
-func (c *Core) teamOf(s *wire.JobSpec) *team {
-	if s == nil {
+// tasksWithinMaxQuota is how many more tasks the team's maximum quota allows. uncommitted is the CPU
+// and GPU of tasks that the transaction being built starts. The result is below 0 if the quota is exceeded.
+func (t *team) tasksWithinMaxQuota(request [3]int64, uncommitted [2]int64) int {
+	limit := math.MaxInt
+	if t.MaxCPU > 0 && request[0] > 0 {
+		limit = min(limit, int((t.MaxCPU-t.usedCPU-uncommitted[0])/request[0]))
+	}
+	if t.MaxGPU > 0 && request[1] > 0 {
+		limit = min(limit, int((t.MaxGPU-t.usedGPU-uncommitted[1])/request[1]))
+	}
+	return limit
+}
+
+// teamOf is the team of a job; nil if the specification or the team is unknown.
+func (c *Core) teamOf(spec *wire.JobSpec) *team {
+	if spec == nil {
 		return nil
 	}
-	if i, ok := c.teamIndex[s.Team]; ok {
+	if i, ok := c.teamIndex[spec.Team]; ok {
 		return c.teams[i]
 	}
 	return nil
 }
 
+// teamAndRequestOf is the team of a job and the request of one of its tasks, as far as they are known.
 func (c *Core) teamAndRequestOf(j *job) (*team, clusterstate.Resources) {
 	if j.record == nil || j.record.Spec == nil {
 		return nil, clusterstate.Resources{}
 	}
-	if i, ok := c.teamIndex[j.record.Spec.Team]; ok {
-		return c.teams[i], j.record.Spec.Request
-	}
-	return nil, j.record.Spec.Request
+	return c.teamOf(j.record.Spec), j.record.Spec.Request
 }
