--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -6,173 +6,275 @@
 	"time"
 )
 
-// scheduleJobs evaluates the jobs that changed and commits what follows.
+// blockedScanInterval is the time between two looks at the waiting jobs while nothing can be written.
+const blockedScanInterval = 200 * time.Millisecond
+
+// Transactions of jobs' records that may be in flight at once. Users wait for cancellations and
+// acceptances, so these may add more.
+const (
+	maxTxnsInFlight       = 3
+	maxUrgentTxnsInFlight = 6
+)
+
+const (
+	// batchPlacementJobs is the count of waiting jobs of teams with a maximum quota from which on they
+	// are placed together.
+	batchPlacementJobs = 4
+	// batchPlacementTokens is the part of the write burst that must be available to place them.
+	batchPlacementTokens = 0.7
+	// endBatchWriteShare is the part of the write rate that the ends of tasks may use.
+	endBatchWriteShare = 0.5
+)
+
+// Priorities of writes; the smallest is written first.
+const (
+	writePriorityCancel = iota
+	writePriorityAccept
+	writePriorityPlace
+	writePriorityComplete
+)
+
+// reservedWrites is the count of writes that are left for cancellations and acceptances.
+const reservedWrites = 2
+
+// placementState is when waiting tasks are placed next, and which requests are known to find no capacity.
+type placementState struct {
+	unplaceable   []unplaceable // requests that found no capacity since some was freed last
+	nextScanAt    time.Duration // of all waiting jobs
+	capacityFreed bool          // capacity may have been freed since the last scan
+	yieldedUntil  time.Duration // when capacity yielded to other controllers may be used; 0: none is
+}
+
+// scheduleJobs evaluates the jobs that changed and commits their next records.
 func (c *Core) scheduleJobs() {
 	if c.auditNotReady() {
 		return
 	}
-	inflight := 0
-	for _, x := range c.transactions.inFlight {
-		if x.onDone == nil {
-			inflight++
-		}
+	inFlight := c.countRecordTxns()
+	c.startPlacementScan()
+	if c.skipsBlockedScan(inFlight) {
+		return
 	}
-	if c.placement.yieldedUntil != 0 && c.now >= c.placement.yieldedUntil {
-		c.placement.yieldedUntil, c.placement.nextScanAt, c.placement.capacityFreed = 0, c.now, true
-	}
-	if c.placement.capacityFreed && c.now >= c.placement.nextScanAt {
-		c.placement.capacityFreed = false
-		c.placement.unplaceable = c.placement.unplaceable[:0]
-		c.placement.nextScanAt = c.now + c.placementScanInterval()
-		for _, j := range c.openJobs {
-			if j.placement.hasUnplacedTasks && c.ownsJob(j) {
-				c.markDirty(j)
-			}
+	c.transactions.nextBlockedScanAt = c.now + blockedScanInterval
+	due := c.collectDueJobs()
+	c.transactions.backlog = len(due)
+	if len(due) == 0 || !c.holdsLease() || !c.mayWriteNow(due, inFlight) {
+		return
+	}
+	c.updateEndBatchDelay()
+	c.sortByWriteOrder(due)
+	c.commitJobs(c.enforceStartShares(due))
+}
+
+// countRecordTxns counts the transactions in flight that write jobs' records.
+func (c *Core) countRecordTxns() (n int) {
+	for _, txn := range c.transactions.inFlight {
+		if txn.onDone == nil {
+			n++
 		}
 	}
-	// With hundreds of jobs that wait, finding out that nothing can be written now is most of what a turn takes.
-	if c.pendingSubmissions == 0 && c.now >= c.cancelAcks.waitersUntil && c.now < c.transactions.nextBlockedScanAt &&
-		(c.transactions.rateLimit.IsPaused(c.now) || inflight >= 3 || c.transactions.rateLimit.ReadTokens < 1 || c.transactions.rateLimit.WriteTokens < 1+reservedWrites) {
+	return n
+}
+
+// startPlacementScan marks the waiting jobs to be evaluated, if capacity may have been freed or
+// capacity yielded to other controllers may be used now.
+func (c *Core) startPlacementScan() {
+	placement := &c.placement
+	if placement.yieldedUntil != 0 && c.now >= placement.yieldedUntil {
+		placement.yieldedUntil, placement.nextScanAt, placement.capacityFreed = 0, c.now, true
+	}
+	if !placement.capacityFreed || c.now < placement.nextScanAt {
 		return
 	}
-	c.transactions.nextBlockedScanAt = c.now + blockedScanInterval
-	var todo []*job
-	for _, j := range c.openJobs {
-		if j.submission != nil && !j.write.inFlight && c.now >= j.submission.deadline {
-			c.completeSubmission(j, wire.StatusUnavailable, reasonTooBusy)
-		}
-		if len(j.cancellation.waiters) > 0 && !j.write.inFlight && c.now >= j.cancellation.answerBy {
-			c.rejectCancellations(j, reasonTooBusy)
+	placement.capacityFreed = false
+	placement.unplaceable = placement.unplaceable[:0]
+	placement.nextScanAt = c.now + c.placementScanInterval()
+	for _, waiting := range c.openJobs {
+		if waiting.placement.hasUnplacedTasks && c.ownsJob(waiting) {
+			c.markDirty(waiting)
 		}
+	}
+}
+
+// skipsBlockedScan reports whether the evaluation of jobs is left out because nothing could be
+// written and no user waits. With hundreds of waiting jobs, finding that out job by job takes most
+// of the time of an input.
+func (c *Core) skipsBlockedScan(inFlight int) bool {
+	if c.pendingSubmissions != 0 || c.now < c.cancelAcks.waitersUntil || c.now >= c.transactions.nextBlockedScanAt {
+		return false
+	}
+	limiter := &c.transactions.rateLimit
+	return limiter.IsPaused(c.now) || inFlight >= maxTxnsInFlight || limiter.ReadTokens < 1 ||
+		limiter.WriteTokens < 1+reservedWrites
+}
+
+// collectDueJobs lists the changed jobs that may be written now, and rejects requests whose time has run out.
+func (c *Core) collectDueJobs() (due []*job) {
+	for _, j := range c.openJobs {
+		c.rejectExpiredRequests(j)
 		if !j.write.dirty || j.write.inFlight || j.write.outcomeUnknown || c.now < j.write.nextLookAt {
 			continue
 		}
 		if j.revision != 0 && j.submission != nil {
 			c.completeSubmission(j, wire.StatusOK, "")
 		}
-		if j.revision == 0 && j.submission == nil ||
-			j.revision != 0 && len(j.cancellation.waiters) == 0 && !c.ownsJob(j) {
+		if !c.isResponsibleFor(j) {
 			j.write.dirty = false
 			continue
 		}
-		if c.placement.capacityFreed && c.now < c.placement.nextScanAt && j.placement.hasUnplacedTasks &&
-			!j.placement.tasksLost &&
-			j.revision != 0 &&
-			len(j.cancellation.waiters) == 0 &&
-			c.isBehindFirstWaiting(j) {
-			j.write.nextLookAt = c.placement.nextScanAt // all that wait are looked at then, in their order
+		if c.waitsForPlacementScan(j) {
+			j.write.nextLookAt = c.placement.nextScanAt
 			continue
 		}
-		todo = append(todo, j)
+		due = append(due, j)
 	}
-	c.transactions.backlog = len(todo)
-	// What users wait for goes out sooner: a full budget or slow answers hold it back less.
-	paused, most, reads := c.transactions.rateLimit.IsPaused(c.now), 3, 1.0
-	if slices.ContainsFunc(todo, func(j *job) bool { return c.writePriority(j) <= writePriorityAccept }) {
-		paused, most, reads = c.transactions.rateLimit.IsUrgentPaused(c.now), 6, -c.transactions.rateLimit.ReadRate/2
+	return due
+}
+
+// rejectExpiredRequests answers a submission or cancellations that can't be written in time.
+func (c *Core) rejectExpiredRequests(j *job) {
+	if j.submission != nil && !j.write.inFlight && c.now >= j.submission.deadline {
+		c.completeSubmission(j, wire.StatusUnavailable, reasonTooBusy)
 	}
-	if paused || inflight >= most || !c.holdsLease() || len(todo) == 0 ||
-		c.transactions.rateLimit.ReadTokens < reads {
-		return
+	if len(j.cancellation.waiters) > 0 && !j.write.inFlight && c.now >= j.cancellation.answerBy {
+		c.rejectCancellations(j, reasonTooBusy)
 	}
-	if most == 3 && c.transactions.rateLimit.WriteTokens < 1+reservedWrites {
-		return // nothing could be written: with thousands of jobs to look at, that is not worth finding out
+}
+
+// isResponsibleFor reports whether this controller has to write a job: a new one that was submitted
+// here, one that was cancelled here, or one of its own shards.
+func (c *Core) isResponsibleFor(j *job) bool {
+	if j.revision == 0 {
+		return j.submission != nil
 	}
-	// A team's key is one more change for each transaction. Where changes are few and many jobs
-	// wait, they are placed together.
-	many := 0
-	for _, j := range todo {
-		if c.writePriority(j) == 2 && c.teamOf(j.record.Spec) != nil && c.teamOf(j.record.Spec).hasMaxQuota() {
-			many++
-		}
+	return len(j.cancellation.waiters) > 0 || c.ownsJob(j)
+}
+
+// waitsForPlacementScan reports whether a job is evaluated only with the next scan of all waiting
+// jobs, in their order: otherwise it would take freed capacity before the first of them.
+func (c *Core) waitsForPlacementScan(j *job) bool {
+	return c.placement.capacityFreed && c.now < c.placement.nextScanAt &&
+		j.placement.hasUnplacedTasks && !j.placement.tasksLost &&
+		j.revision != 0 && len(j.cancellation.waiters) == 0 &&
+		c.isBehindFirstWaiting(j)
+}
+
+// mayWriteNow reports whether the rate limit and the transactions in flight allow another one. What
+// users wait for is held back less by an exhausted rate limit or a slow store.
+func (c *Core) mayWriteNow(due []*job, inFlight int) bool {
+	limiter := &c.transactions.rateLimit
+	isUrgent := func(j *job) bool { return c.writePriority(j) <= writePriorityAccept }
+	if slices.ContainsFunc(due, isUrgent) {
+		return !limiter.IsUrgentPaused(c.now) && inFlight < maxUrgentTxnsInFlight &&
+			limiter.ReadTokens >= -limiter.ReadRate/2
 	}
-	if most == 3 && many >= batchPlacementJobs &&
-		c.transactions.rateLimit.WriteTokens < 0.7*c.transactions.rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) {
-		return
+	if limiter.IsPaused(c.now) || inFlight >= maxTxnsInFlight || limiter.ReadTokens < 1 ||
+		limiter.WriteTokens < 1+reservedWrites {
+		return false
+	}
+	return !c.defersBatchPlacement(due)
+}
+
+// defersBatchPlacement reports whether placements wait until they can share transactions. A team's
+// key is one more write for each transaction: where writes are scarce and many jobs of teams with a
+// maximum quota wait, they are placed together.
+func (c *Core) defersBatchPlacement(due []*job) bool {
+	limiter := &c.transactions.rateLimit
+	if limiter.WriteTokens >= batchPlacementTokens*limiter.WriteBurst(c.cfg.Store.MaxTxnOps) {
+		return false
+	}
+	n := 0
+	for _, j := range due {
+		if c.writePriority(j) != writePriorityPlace {
+			continue
+		}
+		if team := c.teamOf(j.record.Spec); team != nil && team.hasMaxQuota() {
+			n++
+		}
 	}
-	// Ends of tasks share writes: the more jobs run, the longer they wait for others.
+	return n >= batchPlacementJobs
+}
+
+// updateEndBatchDelay sets how long the end of a task may wait for others to share a write: the more
+// jobs run, the longer.
+func (c *Core) updateEndBatchDelay() {
 	running := 0
 	for _, j := range c.openJobs {
 		if len(j.assignments) > 0 && j.record.Spec != nil && !j.record.Spec.Service && c.ownsJob(j) {
 			running++
 		}
 	}
+	seconds := float64(running) / (endBatchWriteShare * c.transactions.rateLimit.WriteRate)
 	c.transactions.endBatchDelay = min(
 		c.cfg.Scheduling.MaxEndBatchDelay,
-		max(
-			c.cfg.Scheduling.MinEndBatchDelay,
-			time.Duration(float64(running)/(0.5*c.transactions.rateLimit.WriteRate)*float64(time.Second)),
-		),
+		max(c.cfg.Scheduling.MinEndBatchDelay, time.Duration(seconds*float64(time.Second))),
 	)
-	for _, j := range todo {
+}
+
+// sortByWriteOrder sorts jobs by the priority of their writes, and within one by their queue rank.
+func (c *Core) sortByWriteOrder(due []*job) {
+	for _, j := range due {
 		j.queue.missingReplicas = c.countLostReplicas(j)
 		j.queue.rank = c.queueRankOf(j)
 	}
-	slices.SortStableFunc(todo, func(a, b *job) int {
+	slices.SortStableFunc(due, func(a, b *job) int {
 		if d := c.writePriority(a) - c.writePriority(b); d != 0 {
 			return d
 		}
 		return a.queue.rank.compare(b.queue.rank)
 	})
-	todo = c.enforceStartShares(todo)
-	b := &txnBuilder{core: c, addedUsage: map[*team][2]int64{}}
-	for _, j := range todo {
-		if !b.addJob(j) {
+}
+
+// commitJobs commits the next records of jobs, in their order, as far as they fit a transaction.
+func (c *Core) commitJobs(due []*job) {
+	builder := &txnBuilder{core: c, addedUsage: map[*team][2]int64{}}
+	for _, j := range due {
+		if !builder.addJob(j) {
 			break
 		}
 	}
-	if len(b.slotDrafts) > 0 { // ends that would have waited for others go with them
-		for _, j := range c.openJobs {
-			if j.write.waitsForEnds && !j.write.inFlight && !j.write.outcomeUnknown && j.record.Spec != nil &&
-				b.slotDrafts[c.slotNumber(j.id, j.record)] != nil &&
-				c.ownsJob(j) &&
-				!b.addJob(j) {
-				break
-			}
-		}
+	if len(builder.slotDrafts) > 0 {
+		c.addWaitingEnds(builder)
 	}
-	b.flush()
+	builder.flush()
 }
 
-const blockedScanInterval = 200 * time.Millisecond // between two looks at what waits, while nothing can be written
-
-const batchPlacementJobs = 4 // jobs that wait, from which they are placed together
+// addWaitingEnds adds the jobs whose ends of tasks wait to share a write, if their slot is written anyway.
+func (c *Core) addWaitingEnds(builder *txnBuilder) {
+	for _, j := range c.openJobs {
+		if !j.write.waitsForEnds || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
+			builder.slotDrafts[c.slotNumber(j.id, j.record)] == nil || !c.ownsJob(j) {
+			continue
+		}
+		if !builder.addJob(j) {
+			return
+		}
+	}
+}
 
 // writePriority orders writes: cancellations, then acceptances, then placements, then completions.
 func (c *Core) writePriority(j *job) int {
 	switch {
 	case len(j.cancellation.waiters) > 0:
-		return 0
+		return writePriorityCancel
 	case j.submission != nil:
 		return writePriorityAccept
 	case j.placement.hasUnplacedTasks || j.placement.tasksLost || len(j.dependents) > 0:
-		return 2
+		return writePriorityPlace
 	}
-	return 3
+	return writePriorityComplete
 }
 
-const (
-	writePriorityAccept = 1
-	reservedWrites      = 2 // changes left for what users wait for
-)
-
-// countLostReplicas counts a job's replicas that are gone.
+// countLostReplicas counts the assigned replicas of a service that have ended.
 func (c *Core) countLostReplicas(j *job) int {
-	n := 0
-	if j.placement.tasksLost && j.record != nil && j.record.Spec != nil && j.record.Spec.Service {
-		for _, a := range j.assignments {
-			if ended, _ := c.attemptOutcome(j, a); ended {
-				n++
-			}
+	if !j.placement.tasksLost || j.record == nil || j.record.Spec == nil || !j.record.Spec.Service {
+		return 0
+	}
+	lost := 0
+	for _, assignment := range j.assignments {
+		if ended, _ := c.attemptOutcome(j, assignment); ended {
+			lost++
 		}
 	}
-	return n
-}
-
-// placementState is when waiting tasks are placed next, and which requests are known to find no capacity.
-type placementState struct {
-	unplaceable   []unplaceable // claims that found no room since some became free
-	nextScanAt    time.Duration
-	capacityFreed bool          // room may have become free
-	yieldedUntil  time.Duration // when room is to be looked at that was another's to take first; 0: there is none
+	return lost
 }
