--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -7,106 +7,128 @@
 	"time"
 )
 
-// isSchedulable reports whether new tasks may go to a machine now.
+// missedHeartbeatsLimit is the count of heartbeat intervals after which a silent machine gets no new tasks.
+const missedHeartbeatsLimit = 2
+
+// isSchedulable reports whether new tasks may be assigned to a machine now, whatever their job.
 func (c *Core) isSchedulable(m *machine) bool {
-	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested && !c.isQuarantined(m) && m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
+	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested && !c.isQuarantined(m) &&
+		m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
 		c.now >= m.health.avoidUntil &&
-		c.now-m.status.lastHeartbeatAt < c.cfg.Agents.HeartbeatInterval*2 &&
+		c.now-m.status.lastHeartbeatAt < c.cfg.Agents.HeartbeatInterval*missedHeartbeatsLimit &&
 		(m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) &&
 		!c.isZoneSilent(m.identity.zone, placementSilenceLimit)
 }
 
-func (c *Core) isFeasible(s *wire.JobSpec, m *machine) bool {
-	mt := c.autoscaler.catalog[m.identity.machineType]
-	return mt != nil && c.isMachineTypeAllowed(s, m.identity.machineType) &&
-		(s.Zone == "" || s.Zone == m.identity.zone) &&
-		(s.Spot || !m.identity.spot) &&
-		fits(mt.Capacity(), s.Request)
+// isFeasible reports whether a job may run on a machine that is empty: by type, zone, spot and capacity.
+func (c *Core) isFeasible(spec *wire.JobSpec, m *machine) bool {
+	machineType := c.autoscaler.catalog[m.identity.machineType]
+	return machineType != nil && c.isMachineTypeAllowed(spec, m.identity.machineType) &&
+		(spec.Zone == "" || spec.Zone == m.identity.zone) &&
+		(spec.Spot || !m.identity.spot) &&
+		fits(machineType.Capacity(), spec.Request)
 }
 
-func (c *Core) isMachineTypeAllowed(s *wire.JobSpec, typ string) bool {
-	if s.MachineTypes == nil {
-		return true
-	}
-	for _, t := range s.MachineTypes {
-		if t == typ {
-			return true
-		}
-	}
-	return false
+// isMachineTypeAllowed reports whether a job may run on a machine type; without a list it may run on all.
+func (c *Core) isMachineTypeAllowed(spec *wire.JobSpec, name string) bool {
+	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, name)
 }
 
-func fits(room, claim [3]int64) bool {
-	return room[0] >= claim[0] && room[1] >= claim[1] && room[2] >= claim[2]
+// fits reports whether a request fits into the available resources.
+func fits(available, request [3]int64) bool { return clusterstate.Resources(available).Fits(request) }
+
+// infeasibility is why a job can't be accepted because no machine could ever run it, as its user is told.
+type infeasibility string
+
+const (
+	feasible            infeasibility = ""
+	catalogUnknown      infeasibility = "machine types not known yet"
+	teamUnknown         infeasibility = "unknown team"
+	exceedsMaxQuota     infeasibility = "needs more than the team's limit"
+	exceedsMachineTypes infeasibility = "fits no allowed machine type"
+)
+
+// status is the status of a response that rejects a submission for this reason.
+func (i infeasibility) status() wire.Status {
+	switch i {
+	case feasible:
+		return wire.StatusNoAnswer
+	case catalogUnknown:
+		return wire.StatusUnavailable
+	}
+	return wire.StatusInvalid
 }
 
-// checkEverFeasible tells why a job can never run; 503 if that can't be decided yet, 0 if it can run.
-func (c *Core) checkEverFeasible(s *wire.JobSpec) (wire.Status, string) {
+// checkEverFeasible tells why a job can never run, or why that can't be decided yet.
+func (c *Core) checkEverFeasible(spec *wire.JobSpec) infeasibility {
 	if c.autoscaler.catalog == nil {
-		return wire.StatusUnavailable, "machine types not known yet"
+		return catalogUnknown
 	}
-	ti, ok := c.teamIndex[s.Team]
+	index, ok := c.teamIndex[spec.Team]
 	if !ok {
-		return wire.StatusInvalid, "unknown team"
+		return teamUnknown
 	}
-	n := int64(1)
-	if s.Service {
-		n = int64(s.Tasks)
+	if !c.teams[index].couldEverRun(spec) {
+		return exceedsMaxQuota
 	}
-	t := c.teams[ti]
-	if t.MaxCPU > 0 && s.Request[0]*n > t.MaxCPU || t.MaxGPU > 0 && s.Request[1]*n > t.MaxGPU {
-		return wire.StatusInvalid, "needs more than the team's limit"
-	}
-	for _, mt := range c.autoscaler.catalog {
-		if c.isMachineTypeAllowed(s, mt.Name) && fits(mt.Capacity(), s.Request) {
-			for _, z := range mt.Zones {
-				if s.Zone == "" || s.Zone == z {
-					return wire.StatusNoAnswer, ""
-				}
-			}
+	for _, machineType := range c.autoscaler.catalog {
+		if c.isMachineTypeAllowed(spec, machineType.Name) && fits(machineType.Capacity(), spec.Request) &&
+			(spec.Zone == "" && len(machineType.Zones) > 0 || slices.Contains(machineType.Zones, spec.Zone)) {
+			return feasible
 		}
 	}
-	return wire.StatusInvalid, "fits no allowed machine type"
+	return exceedsMachineTypes
 }
 
-// hasFeasibleMachine reports whether a task could be placed somewhere, by the array.
-func (c *Core) hasFeasibleMachine(s *wire.JobSpec, know *[]unplaceable) bool {
-	if slices.ContainsFunc(*know, func(x unplaceable) bool {
-		return x.allowsSpot == s.Spot && clusterstate.Resources(s.Request).Fits(x.request)
-	}) {
+// hasFeasibleMachine reports whether a task of a job could be placed on some machine, by the copy of
+// the cluster state. refused are requests known to find no capacity; a new one is added to them.
+func (c *Core) hasFeasibleMachine(spec *wire.JobSpec, refused *[]unplaceable) bool {
+	if slices.ContainsFunc(*refused, func(u unplaceable) bool { return u.covers(spec) }) {
 		return false
 	}
-	any := slices.ContainsFunc(c.aliveMachines, func(m *machine) bool {
-		r := c.clusterCopy.state.Row(m.index)
-		return r != nil && r.Schedulable && r.HasRoom(s.Request, s.Spot) && c.isSchedulable(m) && c.isFeasible(s, m)
+	found := slices.ContainsFunc(c.aliveMachines, func(m *machine) bool {
+		row := c.clusterCopy.state.Row(m.index)
+		return row != nil && row.Schedulable && row.HasRoom(spec.Request, spec.Spot) &&
+			c.isSchedulable(m) && c.isFeasible(spec, m)
 	})
-	if !any && s.MachineTypes == nil && s.Zone == "" {
-		*know = append(*know, unplaceable{request: s.Request, allowsSpot: s.Spot})
+	if !found && spec.MachineTypes == nil && spec.Zone == "" {
+		*refused = append(*refused, unplaceable{request: spec.Request, allowsSpot: spec.Spot})
 	}
-	return any
+	return found
 }
 
-// unplaceable is a claim for which no machine had room, as a job that comes at this place in the order of work found.
+// unplaceable records that a request found no capacity, for a job at a queue position.
 type unplaceable struct {
 	request       clusterstate.Resources
 	allowsSpot    bool
-	heldBack      bool          // some may have had, but it is held for more important work
-	yieldUntil    time.Duration // some had, which is left to others until then; 0: none had
+	heldBack      bool          // capacity that is held for more important work was left alone
+	yieldUntil    time.Duration // until then capacity is yielded to other controllers; 0: there was none at all
 	priorityClass int
 	enqueuedAtMS  int64
 }
 
-// isKnownUnplaceable reports whether a claim can find no room, as a smaller one of a job before it
-// found none since some became free. Without it, all waiting jobs of a full fleet look at all its
-// machines, several times a second.
-func (c *Core) isKnownUnplaceable(s *wire.JobSpec, prio int, at int64, held bool) bool {
-	return slices.ContainsFunc(c.placement.unplaceable, func(x unplaceable) bool {
+// covers reports whether a job's request is at least as large, for the same kinds of machines.
+func (u *unplaceable) covers(spec *wire.JobSpec) bool {
+	return u.allowsSpot == spec.Spot && clusterstate.Resources(spec.Request).Fits(u.request)
+}
+
+// isKnownUnplaceable reports whether a job's request can find no capacity, because a request that is
+// no larger, of a job before it, found none since capacity was freed last. Without it, all waiting
+// jobs of a full cluster would look at all its machines, several times a second.
+func (c *Core) isKnownUnplaceable(
+	spec *wire.JobSpec,
+	priorityClass int,
+	enqueuedAtMS int64,
+	leavesHeldCapacity bool,
+) bool {
+	return slices.ContainsFunc(c.placement.unplaceable, func(u unplaceable) bool {
 		switch {
-		case x.allowsSpot != s.Spot || !clusterstate.Resources(s.Request).Fits(x.request) || x.heldBack && !held:
+		case !u.covers(spec) || u.heldBack && !leavesHeldCapacity:
 			return false
-		case x.yieldUntil == 0:
+		case u.yieldUntil == 0:
 			return true
 		}
-		return c.now < x.yieldUntil && (x.priorityClass < prio || x.priorityClass == prio && x.enqueuedAtMS <= at)
+		return c.now < u.yieldUntil &&
+			(u.priorityClass < priorityClass || u.priorityClass == priorityClass && u.enqueuedAtMS <= enqueuedAtMS)
 	})
 }
--- a/core/quota.go
+++ b/core/quota.go
@@ -24,6 +24,17 @@
 		(t.MaxCPU == 0 || t.usedCPU+request[0] <= t.MaxCPU) && (t.MaxGPU == 0 || t.usedGPU+request[1] <= t.MaxGPU)
 }
 
+// couldEverRun reports whether the team's maximum quota allows a job while nothing else of the team
+// runs. The replicas of a service run together; other tasks may run one after the other.
+func (t *team) couldEverRun(spec *wire.JobSpec) bool {
+	together := int64(1)
+	if spec.Service {
+		together = int64(spec.Tasks)
+	}
+	return (t.MaxCPU <= 0 || spec.Request[0]*together <= t.MaxCPU) &&
+		(t.MaxGPU <= 0 || spec.Request[1]*together <= t.MaxGPU)
+}
+
 // tasksWithinMaxQuota is how many more tasks the team's maximum quota allows. uncommitted is the CPU
 // and GPU of tasks that the transaction being built starts. The result is below 0 if the quota is exceeded.
 func (t *team) tasksWithinMaxQuota(request [3]int64, uncommitted [2]int64) int {
--- a/core/requests.go
+++ b/core/requests.go
@@ -240,8 +240,8 @@
 		return wire.StatusBadRequest, in.DecodeError
 	}
 	s := in.Spec
-	if status, why := c.checkEverFeasible(&s); status != wire.StatusNoAnswer {
-		return status, why
+	if why := c.checkEverFeasible(&s); why != feasible {
+		return why.status(), string(why)
 	}
 	if len(s.Dependencies) > 0 {
 		if c.schemaVersion() < schemaDependencies {
