--- a/clusterstate/array.go
+++ b/clusterstate/array.go
@@ -33,11 +33,11 @@
 	Schedulable bool      // false: the machine is about to be returned
 
 	revision    uint64        // of the array, when it changed last
-	roomFreedAt time.Duration // of a copy, when room was seen to come free last
+	capacityFreedAt time.Duration // of a copy, when room was seen to come free last
 }
 
-// RoomFreedAt is when a copy was last seen to gain room.
-func (r *Row) RoomFreedAt() time.Duration { return r.roomFreedAt }
+// CapacityFreedAt is when a copy was last seen to gain room.
+func (r *Row) CapacityFreedAt() time.Duration { return r.capacityFreedAt }
 
 // exceedsAny reports whether there is room in v that is not in w.
 func (v Resources) exceedsAny(w Resources) bool { return v[0] > w[0] || v[1] > w[1] || v[2] > w[2] }
@@ -53,8 +53,8 @@
 	return share
 }
 
-// HasRoom reports whether a claim fits, beside the kept room if that is not for it.
-func (r *Row) HasRoom(claim Resources, keep bool) bool {
+// HasCapacity reports whether a claim fits, beside the kept room if that is not for it.
+func (r *Row) HasCapacity(claim Resources, keep bool) bool {
 	if keep {
 		return r.Available.AddScaled(r.Reserved, -1).Fits(claim)
 	}
@@ -189,9 +189,9 @@
 	}
 	for i, old := range before {
 		r := fresh[rows[i].Machine]
-		if r.roomFreedAt = now; old != nil && (old.Schedulable || !r.Schedulable) &&
+		if r.capacityFreedAt = now; old != nil && (old.Schedulable || !r.Schedulable) &&
 			!r.Available.exceedsAny(old.Available) {
-			r.roomFreedAt = old.roomFreedAt
+			r.capacityFreedAt = old.capacityFreedAt
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	if r := c.rows[d.Machine]; r != nil {
 		r.apply(d)
 		if !d.Start {
-			r.roomFreedAt = now
+			r.capacityFreedAt = now
 		}
 	}
 }
@@ -262,7 +262,7 @@
 		if !r.Schedulable {
 			continue
 		}
-		if has := r.HasRoom(ask.Request, ask.HonorReserved); !has && !ask.FillRandomly || !ask.IsAllowed(m) {
+		if has := r.HasCapacity(ask.Request, ask.HonorReserved); !has && !ask.FillRandomly || !ask.IsAllowed(m) {
 			continue
 		} else if !has {
 			rest = append(rest, m)
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -296,7 +296,7 @@
 // full and has not been tried yet: an expired copy, or a random choice, may be wrong once per machine.
 func (a *placementAttempt) hasCapacityOrFirstTry(index int32) bool {
 	c := a.core
-	if row := c.clusterCopy.state.Row(index); row != nil && row.HasRoom(a.spec.Request, a.spec.Spot) {
+	if row := c.clusterCopy.state.Row(index); row != nil && row.HasCapacity(a.spec.Request, a.spec.Spot) {
 		return true
 	}
 	if a.triedWithoutCapacity[index] || c.clusterCopy.state.IsFresh(c.now) && !c.cfg.Scheduling.RandomPlacement {
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -88,7 +88,7 @@
 	}
 	found := slices.ContainsFunc(c.aliveMachines, func(m *machine) bool {
 		row := c.clusterCopy.state.Row(m.index)
-		return row != nil && row.Schedulable && row.HasRoom(spec.Request, spec.Spot) &&
+		return row != nil && row.Schedulable && row.HasCapacity(spec.Request, spec.Spot) &&
 			c.isSchedulable(m) && c.isFeasible(spec, m)
 	})
 	if !found && spec.MachineTypes == nil && spec.Zone == "" {
--- a/core/yield_test.go
+++ b/core/yield_test.go
@@ -8,69 +8,81 @@
 	"time"
 )
 
-// While more work waited than there was room, every controller filled each new machine, and half of
-// all starts were refused. Each is to fill those where it comes first, and the others' after a
-// moment.
+// While more work waited than there was capacity, every controller filled each new machine, and half
+// of all starts were refused. Each controller must fill the machines whose rendezvous order it heads,
+// and those of the others only after a moment.
 func TestControllersTakeTurnsForFreedCapacity(t *testing.T) {
-	const machines, perMachine = 40, 4
-	first := map[string]int{}
+	const machines, tasksPerMachine = 40, 4
+	filledAtOnce := map[string]int{} // count of controllers by machine
 	for _, name := range []string{"n0", "n1", "n2"} {
-		c := newServingCore(t)
-		c.cfg.Name = name
-		for _, n := range []string{"n0", "n1", "n2"} {
-			c.applyPut(keyNode+n, []byte(`{"t":7}`), 8)
-		}
-		for i := range c.ownership.shards {
-			c.ownership.shards[i].Node = name
-		}
-		push := &StatePush{Revision: 1, FencingToken: 1}
-		for i := range machines {
-			r := &wire.Heartbeat{
-				Machine:      fmt.Sprintf("m-%d", i),
-				Addr:         "x:1",
-				Type:         "x",
-				Zone:         "a",
-				Incarnation:  1,
-				Sequence:     1,
-				FencingToken: 1,
-			}
-			c.Handle(time.Second, AgentPolled{Machine: r.Machine, Heartbeat: r})
-			push.Rows = append(
-				push.Rows,
-				MachineCapacity{
-					Machine:   r.Machine,
-					Type:      "x",
-					Zone:      "a",
-					Available: clusterstate.Resources{4000, 0, 8000},
-				},
-			)
-		}
-		in := testSubmission("wk-1")
-		in.Spec.Tasks = 2 * machines * perMachine
-		c.Handle(time.Second, in)
+		c := newCoreOfThree(t, name)
+		push := reportEmptyMachines(c, machines)
+		submission := testSubmission("wk-1")
+		submission.Spec.Tasks = 2 * machines * tasksPerMachine
+		c.Handle(time.Second, submission)
 		c.applyPush(push)
+
 		runFor(c, time.Second, 1050*time.Millisecond)
-		own := map[string]int{}
-		for _, a := range c.internJob("wk-1").assignments {
-			own[c.machines[a.Machine].name]++
+		tasksOn := map[string]int{}
+		for _, assignment := range c.internJob("wk-1").assignments {
+			tasksOn[c.machines[assignment.Machine].name]++
 		}
-		for m, n := range own {
-			first[m]++
-			if n != perMachine {
-				t.Errorf("%s: %d tasks on %s, there is room for %d", name, n, m, perMachine)
+		for machine, tasks := range tasksOn {
+			filledAtOnce[machine]++
+			if tasks != tasksPerMachine {
+				t.Errorf("%s: %d tasks on %s, which has capacity for %d", name, tasks, machine, tasksPerMachine)
 			}
 		}
+
 		runFor(c, 1050*time.Millisecond, 3*time.Second)
-		if got := len(c.internJob("wk-1").assignments); got != machines*perMachine {
-			t.Errorf("%s: %d tasks placed in the end, there is room for %d", name, got, machines*perMachine)
+		if got := len(c.internJob("wk-1").assignments); got != machines*tasksPerMachine {
+			t.Errorf("%s: %d tasks placed in the end, there is capacity for %d", name, got, machines*tasksPerMachine)
 		}
 	}
-	for m, n := range first {
-		if n != 1 {
-			t.Errorf("%s was filled at once by %d", m, n)
+	for machine, controllers := range filledAtOnce {
+		if controllers != 1 {
+			t.Errorf("%s was filled at once by %d controllers", machine, controllers)
 		}
 	}
-	if len(first) != machines {
-		t.Errorf("%d of %d machines were filled at once", len(first), machines)
+	if len(filledAtOnce) != machines {
+		t.Errorf("%d of %d machines were filled at once", len(filledAtOnce), machines)
+	}
+}
+
+// newCoreOfThree is a serving controller that knows the controllers n0 to n2 and owns all shards.
+func newCoreOfThree(t *testing.T, name string) *Core {
+	t.Helper()
+	c := newServingCore(t)
+	c.cfg.Name = name
+	for _, node := range []string{"n0", "n1", "n2"} {
+		c.applyPut(keyNode+node, []byte(`{"t":7}`), 8)
+	}
+	for i := range c.ownership.shards {
+		c.ownership.shards[i].Node = name
+	}
+	return c
+}
+
+// reportEmptyMachines has machines report to a controller; the push that shows them as empty is returned.
+func reportEmptyMachines(c *Core, machines int) *StatePush {
+	push := &StatePush{Revision: 1, FencingToken: 1}
+	for i := range machines {
+		heartbeat := &wire.Heartbeat{
+			Machine:      fmt.Sprintf("m-%d", i),
+			Addr:         "x:1",
+			Type:         "x",
+			Zone:         "a",
+			Incarnation:  1,
+			Sequence:     1,
+			FencingToken: 1,
+		}
+		c.Handle(time.Second, AgentPolled{Machine: heartbeat.Machine, Heartbeat: heartbeat})
+		push.Rows = append(push.Rows, MachineCapacity{
+			Machine:   heartbeat.Machine,
+			Type:      "x",
+			Zone:      "a",
+			Available: clusterstate.Resources{4000, 0, 8000},
+		})
 	}
+	return push
 }
