--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -3,12 +3,11 @@
 import (
 	"cmp"
 	"dewlift/core/jobrecord"
-	"dewlift/core/membership"
 	"dewlift/priorityclass"
 	"dewlift/wire"
 	"encoding/json"
+	"fmt"
 	"math"
-	"slices"
 	"time"
 
 	"google.golang.org/protobuf/encoding/prototext"
@@ -16,24 +15,36 @@
 	pb "dewlift/proto"
 )
 
-// The order of work. A job's lane, and its place in it, stand in its record: the lane that it was
-// accepted into, and the state service's own revision of its acceptance. So it is the same at
-// whichever controller, after a take-over, a restart of all and an upgrade, and no clock decides it
-// but for what the list of lanes says of time.
+// keyPriorityClasses is the key of the list of priority classes in force. A job's class and its queue
+// position are in its record: the class it was accepted into, and the store's revision of its
+// acceptance. So the order of work is the same at every controller, after a failover, a restart of all
+// controllers and an upgrade. No clock decides it, except where the list depends on time.
 const keyPriorityClasses = Root + "lanes"
 
-// ownPriorityClass is the lane of a job by its record.
+// priorityClassesSeedInterval is the least time between two attempts to store the list of the settings.
+const priorityClassesSeedInterval = 2 * time.Second
+
+// priorityState is the list of priority classes in force, their shares of starts, and the first waiting job of each.
+type priorityState struct {
+	classes          *priorityclass.List
+	revision         uint64 // of the stored list; 0: there is none, a class for each priority is in force
+	nextSeedAt       time.Duration
+	enabledPublished bool // the API was told that there is a stored list
+	startShares      startShares
+	firstWaiting     []QueueHead // by class, the first job that other controllers yield capacity to
+}
+
+// ownPriorityClass is the class of a job by its record. A job accepted without a list, or into a class
+// that was removed since, is classified anew.
 func (c *Core) ownPriorityClass(r *jobrecord.Record) int {
 	if i, ok := c.priority.classes.IndexOf(r.PriorityClass); ok {
 		return i
 	}
-	return c.priority.classes.Classify(
-		r.Spec,
-	) // it was accepted where there was no list, or its lane is none any more
+	return c.priority.classes.Classify(r.Spec)
 }
 
-// effectivePriorityClass is the lane by which a job is ordered: its own or that of a job that needs
-// it, or one above after it has waited.
+// effectivePriorityClass is the class by which a job is ordered now: the aged class, or the first one
+// while the job is boosted for the reserved share of its own class.
 func (c *Core) effectivePriorityClass(j *job) int {
 	if c.now < j.queue.boostedUntil {
 		return 0
@@ -41,25 +52,29 @@
 	return c.agedPriorityClass(j)
 }
 
+// agedPriorityClass is the class of a job, or of a more urgent job that depends on it, raised by the
+// time it has waited.
 func (c *Core) agedPriorityClass(j *job) int {
-	return c.priority.classes.EffectiveClass(
-		j.effectiveClass,
-		time.Duration(c.unixMS()-j.effectiveEnqueueMS())*time.Millisecond,
-	)
+	waited := time.Duration(c.unixMS()-j.effectiveEnqueueMS()) * time.Millisecond
+	return c.priority.classes.EffectiveClass(j.effectiveClass, waited)
 }
 
-// queueRank is what orders a job: its lane, replicas that it lost, whether it would miss its
-// deadline, its place. A lost zone takes replicas of nearly every service with it, and each takes a
-// write: in the order of their age, half of all replicas waited for half of the writes; so those
-// that lost most come first in their lane.
+// queueRank orders jobs: by class, lost replicas, missed deadline, and queue position. The loss of a
+// zone takes replicas of nearly every service, and each takes a write: replaced in the order of their
+// age, half of all replicas waited for half of the writes. So the services that lost most come first
+// in their class.
 type queueRank struct {
-	priorityClass, missingReplicas int
-	// turn of one that must begin before it was accepted to be in time; 0: it need not
-	latestStartMS           int64
-	before, enqueueRevision uint64
-	enqueueMS               int64
+	priorityClass   int
+	missingReplicas int
+	// latestStartMS is the time at which a job should have started to meet its deadline, if that is
+	// before its acceptance; 0 otherwise.
+	latestStartMS   int64
+	restoreOrder    uint64 // of a restored job: before all accepted since, the largest first; 0: not restored
+	enqueueRevision uint64
+	enqueueMS       int64
 }
 
+// queueRankOf is a job's rank now. A submission that is not written yet comes last in its class.
 func (c *Core) queueRankOf(j *job) queueRank {
 	switch {
 	case j.submission != nil:
@@ -71,89 +86,90 @@
 	case j.record == nil || j.record.Spec == nil:
 		return queueRank{priorityClass: math.MaxInt}
 	}
-	r := queueRank{
+	rank := queueRank{
 		priorityClass:   c.effectivePriorityClass(j),
 		missingReplicas: j.queue.missingReplicas,
-		before:          j.record.RestoreOrder,
+		restoreOrder:    j.record.RestoreOrder,
 		enqueueRevision: max(j.queue.enqueueRevision, j.readyRevision),
 		enqueueMS:       j.effectiveEnqueueMS(),
 	}
-	if r.enqueueMS < j.record.AcceptedAtMS {
-		r.latestStartMS = r.enqueueMS
+	if rank.enqueueMS < j.record.AcceptedAtMS {
+		rank.latestStartMS = rank.enqueueMS
 	}
-	return r
+	return rank
 }
 
+// compare is negative if a comes before b.
 func (a queueRank) compare(b queueRank) int {
-	late := func(r queueRank) int64 {
-		if r.latestStartMS == 0 {
-			return math.MaxInt64
-		}
-		return r.latestStartMS
-	}
 	return cmp.Or(
 		cmp.Compare(a.priorityClass, b.priorityClass),
 		cmp.Compare(b.missingReplicas, a.missingReplicas),
-		cmp.Compare(late(a), late(b)),
-		cmp.Compare(b.before, a.before),
+		cmp.Compare(a.latestStartOrNever(), b.latestStartOrNever()),
+		cmp.Compare(b.restoreOrder, a.restoreOrder),
 		cmp.Compare(a.enqueueRevision, b.enqueueRevision),
 		cmp.Compare(a.enqueueMS, b.enqueueMS),
 	)
 }
 
-// setPriorityClasses puts a list in force here; nil: a lane for each priority.
-func (c *Core) setPriorityClasses(l *priorityclass.List, mark uint64) {
-	c.priority.revision = mark
-	if l == nil {
-		l = priorityclass.Default(c.cfg.Scheduling.PriorityAgingInterval)
+// latestStartOrNever is latestStartMS, or a time after all others if there is none.
+func (a queueRank) latestStartOrNever() int64 {
+	if a.latestStartMS == 0 {
+		return math.MaxInt64
 	}
-	c.priority.classes = l
-	var again []*job
-	for _, j := range c.jobs { // also those that wait for others, and are in no list
+	return a.latestStartMS
+}
+
+// setPriorityClasses puts a list in force at this controller; nil: a class for each priority. Open
+// jobs are classified again, also those that wait for others and are in no list of jobs.
+func (c *Core) setPriorityClasses(list *priorityclass.List, revision uint64) {
+	c.priority.revision = revision
+	if list == nil {
+		list = priorityclass.Default(c.cfg.Scheduling.PriorityAgingInterval)
+	}
+	c.priority.classes = list
+	var reclassified []*job
+	for _, j := range c.jobs {
 		if j != nil && j.record != nil && j.record.Spec != nil {
 			j.effectiveClass = c.ownPriorityClass(j.record)
-			again = append(again, j)
+			reclassified = append(reclassified, j)
 		}
 	}
-	c.propagateUrgency(again)
+	c.propagateUrgency(reclassified)
 }
 
-func (c *Core) applyPriorityClasses(raw json.RawMessage, mark uint64) error {
-	if mark <= c.priority.revision {
+// applyPriorityClasses takes the stored list. One that can't be read leaves the former in force, and
+// is not looked at again.
+func (c *Core) applyPriorityClasses(raw json.RawMessage, revision uint64) error {
+	if revision <= c.priority.revision {
 		return nil
 	}
-	var p pb.Lanes
-	err := jobrecord.UnpackMessage(raw, &p)
-	if err == nil {
-		var l *priorityclass.List
-		if l, err = priorityclass.New(&p); err == nil {
-			c.setPriorityClasses(l, mark)
-		}
+	c.priority.revision = revision
+	var stored pb.Lanes
+	if err := jobrecord.UnpackMessage(raw, &stored); err != nil {
+		return fmt.Errorf("unpack list of priority classes: %w", err)
 	}
-	c.priority.revision = mark
-	return err
+	list, err := priorityclass.New(&stored)
+	if err != nil {
+		return fmt.Errorf("check list of priority classes: %w", err)
+	}
+	c.setPriorityClasses(list, revision)
+	return nil
 }
 
-// advancePriorityClasses puts the list of the file in force where there is none, and tells the
-// edges whether there is one.
+// advancePriorityClasses tells the API whether a list is stored, and, at the leader, stores that of
+// the settings where there is none.
 func (c *Core) advancePriorityClasses() {
-	if open := c.priority.revision != 0; open != c.priority.enabledPublished {
-		c.priority.enabledPublished = open
-		c.emit(QueueEnabled{Enabled: open})
+	if enabled := c.priority.revision != 0; enabled != c.priority.enabledPublished {
+		c.priority.enabledPublished = enabled
+		c.emit(QueueEnabled{Enabled: enabled})
 	}
-	if c.cfg.Scheduling.PriorityClasses == nil || c.priority.revision != 0 || c.schemaVersion() < schemaPriorityClasses ||
-		c.auditNotReady() ||
-		!c.isLeader() ||
-		!c.holdsLease() ||
-		c.now < c.priority.nextSeedAt ||
-		c.transactions.rateLimit.IsPaused(c.now) ||
-		c.transactions.rateLimit.WriteTokens < 1 {
+	if !c.maySeedPriorityClasses() {
 		return
 	}
-	c.priority.nextSeedAt = c.now + 2*time.Second
+	c.priority.nextSeedAt = c.now + priorityClassesSeedInterval
 	raw, err := jobrecord.PackMessage(c.cfg.Scheduling.PriorityClasses.Source())
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-		c.log(LevelError, "the list of lanes does not fit a value", "bytes", len(raw))
+		c.log(LevelError, "list of priority classes exceeds the value size limit", "bytes", len(raw))
 		return
 	}
 	c.commitTxn(
@@ -165,10 +181,20 @@
 	)
 }
 
-// handleSetPriorityClasses puts another list in force, for somebody who may. Jobs keep the lane
-// that they were accepted into, if it is still there.
+// maySeedPriorityClasses reports whether this controller stores the list of the settings now.
+func (c *Core) maySeedPriorityClasses() bool {
+	if c.cfg.Scheduling.PriorityClasses == nil || c.priority.revision != 0 ||
+		c.schemaVersion() < schemaPriorityClasses || c.auditNotReady() {
+		return false
+	}
+	return c.isLeader() && c.holdsLease() && c.now >= c.priority.nextSeedAt &&
+		!c.transactions.rateLimit.IsPaused(c.now) && c.transactions.rateLimit.WriteTokens >= 1
+}
+
+// handleSetPriorityClasses replaces the list in force, for a caller who is authorized to. Jobs keep
+// the class that they were accepted into, if the new list has it.
 func (c *Core) handleSetPriorityClasses(in SetPriorityClasses) {
-	l, err := priorityclass.Parse([]byte(in.Text))
+	list, err := priorityclass.Parse([]byte(in.Text))
 	if err != nil {
 		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: "lanes: " + err.Error()})
 		return
@@ -185,241 +211,37 @@
 		return
 	}
 	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "lanes", func() {
-		raw, err := jobrecord.PackMessage(l.Source())
-		if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-			c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: "lanes: too long to be stored"})
-			return
-		}
-		t := wire.Txn{
-			Compare: append(
-				c.permissionCompares(in.Caller),
-				wire.Compare{Key: keyPriorityClasses, Revision: c.priority.revision},
-			),
-			Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}},
-		}
-		c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
-			c.afterReadBarrier(func(bool) {}) // every controller sees it there
-			if status != wire.StatusOK {
-				c.respondUnavailable(in.RequestID, "not changed, or not known whether: ask again")
-				return
-			}
-			c.respond(in.RequestID, wire.StatusOK, wire.JobQueue{Version: r.Revision, PriorityClasses: in.Text})
-		}})
+		c.storePriorityClasses(in, list)
 	}))
 }
 
-// startShares counts the starts of late by lane.
-type startShares struct {
-	updatedAt     time.Duration
-	startsByClass []float64
-}
-
-const startShareHalfLife = 20 * time.Second // for which starts count, more or less
-
-func (s *startShares) recordStarts(now time.Duration, p *proposal, c *Core) {
-	if len(p.started) == 0 || p.record.Spec == nil {
-		return
-	}
-	lane := c.ownPriorityClass(p.record)
-	if len(s.startsByClass) != c.priority.classes.Len() {
-		s.startsByClass = make([]float64, c.priority.classes.Len())
-	}
-	keep := math.Exp2(-(now - s.updatedAt).Seconds() / startShareHalfLife.Seconds())
-	s.updatedAt = now
-	for i := range s.startsByClass {
-		s.startsByClass[i] *= keep
-	}
-	s.startsByClass[lane] += float64(len(p.started))
-}
-
-// shareBelow is the part of the starts that the lanes below one had; all, if there were none.
-func (s *startShares) shareBelow(lane int) float64 {
-	all, part := 0.0, 0.0
-	for i, n := range s.startsByClass {
-		all += n
-		if i > lane {
-			part += n
-		}
-	}
-	if all < 1 {
-		return 1
-	}
-	return part / all
-}
-
-// enforceStartShares puts the first job of the lanes below one that takes more than its part ahead
-// of the others that wait for room.
-func (c *Core) enforceStartShares(todo []*job) []*job {
-	for lane := range c.priority.classes.Len() - 1 {
-		if share := c.priority.classes.ReservedShare(lane); share == 0 ||
-			c.priority.startShares.shareBelow(lane) >= share {
-			continue
-		}
-		var first *job
-		// also those that were looked at and found no room: who came last must not have what is theirs
-		for _, j := range c.openJobs {
-			if j.placement.hasUnplacedTasks && !j.write.inFlight && !j.write.outcomeUnknown && c.ownsJob(j) &&
-				j.record.Spec != nil &&
-				c.ownPriorityClass(j.record) > lane &&
-				c.now >= j.placement.backoffUntil &&
-				c.teamOf(j.record.Spec).fitsMaxQuota(j.record.Spec.Request) {
-				if j.queue.rank = c.queueRankOf(j); first == nil || j.queue.rank.compare(first.queue.rank) < 0 {
-					first = j
-				}
-			}
-		}
-		if first == nil ||
-			c.controllers.membership.HasEarlierWork(
-				c.now,
-				c.isControllerLive,
-				membership.QueuePosition{
-					Priority:     c.agedPriorityClass(first),
-					EnqueuedAtMS: first.effectiveEnqueueMS(),
-				},
-				lane,
-			) {
-			continue // what comes first of these lanes is another controller's
-		}
-		first.queue.boostedUntil = c.now + time.Second
-		first.write.dirty, first.write.nextLookAt = true, 0
-		if i := slices.Index(todo, first); i >= 0 {
-			todo = slices.Delete(todo, i, i+1)
-		}
-		at := slices.IndexFunc(todo, func(j *job) bool { return c.writePriority(j) > writePriorityAccept })
-		if at < 0 {
-			at = len(todo)
-		}
-		return slices.Insert(todo, at, first)
-	}
-	return todo
-}
-
-// handleListQueue answers with the jobs that wait, in their order, or why one does, as of a barrier.
-func (c *Core) handleListQueue(in ListQueue) {
-	switch {
-	case c.isNotServing():
-		c.respondUnavailable(in.RequestID, reasonNotReady)
-		return
-	case !c.replica.loaded || c.storeUnreachable():
-		c.respondUnavailable(in.RequestID, "state service not reached")
+// storePriorityClasses commits a list, on condition that neither the former list nor the caller's
+// permissions have changed, and answers the request.
+func (c *Core) storePriorityClasses(in SetPriorityClasses, list *priorityclass.List) {
+	raw, err := jobrecord.PackMessage(list.Source())
+	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
+		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: "lanes: too long to be stored"})
 		return
 	}
-	c.afterReadBarrier(func(ok bool) {
-		if !ok {
-			c.respondUnavailable(in.RequestID, "state service not reached")
+	txn := wire.Txn{
+		Compare: append(
+			c.permissionCompares(in.Caller),
+			wire.Compare{Key: keyPriorityClasses, Revision: c.priority.revision},
+		),
+		Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}},
+	}
+	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
+		c.afterReadBarrier(func(bool) {}) // reads the outcome, even if the response was lost
+		if status != wire.StatusOK {
+			c.respondUnavailable(in.RequestID, "not changed, or not known whether: ask again")
 			return
 		}
-		if in.ShowPriorityClasses {
-			text, err := prototext.MarshalOptions{Multiline: true}.Marshal(c.priority.classes.Source())
-			if err != nil {
-				c.respondUnavailable(in.RequestID, err.Error())
-				return
-			}
-			c.respond(in.RequestID, wire.StatusOK, wire.JobQueue{Version: c.priority.revision, PriorityClasses: string(text)})
-			return
-		}
-		list := c.queuedJobs()
-		if in.ID != "" {
-			i := slices.IndexFunc(list, func(j *job) bool { return j.id == in.ID })
-			if i < 0 || !c.canReadJob(in.Caller, list[i]) {
-				c.respond(
-					in.RequestID,
-					wire.StatusNotFound,
-					wire.Error{Error: in.ID + " does not wait: it runs, is over or never was"},
-				)
-				return
-			}
-			c.respond(
-				in.RequestID,
-				wire.StatusOK,
-				wire.JobQueue{
-					Jobs:  []wire.QueuedJob{c.describeQueuedJob(list, i, &[]unplaceable{})},
-					Total: len(list),
-				},
-			)
-			return
-		}
-		out, know := wire.JobQueue{Total: len(list), Version: c.priority.revision}, []unplaceable{}
-		for i := max(0, in.AfterPosition); i < len(list) && len(out.Jobs) < min(max(1, in.Limit), maxQueuePage); i++ {
-			if c.canReadJob(in.Caller, list[i]) {
-				out.Jobs = append(out.Jobs, c.describeQueuedJob(list, i, &know))
-			}
-			out.NextOffset = i + 1
-		}
-		if out.NextOffset >= len(list) {
-			out.NextOffset = 0
-		}
-		c.respond(in.RequestID, wire.StatusOK, out)
-	})
-}
-
-const maxQueuePage = 200 // jobs of an answer
-
-// queuedJobs lists the jobs that have tasks which wait, in the order of work.
-func (c *Core) queuedJobs() (list []*job) {
-	for _, j := range c.openJobs {
-		if j.record != nil && j.record.Spec != nil && !j.isFinal() &&
-			j.record.CompletedTasks.Count()+len(j.assignments) < j.record.Spec.Tasks {
-			j.queue.missingReplicas = c.countLostReplicas(j)
-			list = append(list, j)
-		}
-	}
-	for _, j := range list {
-		j.queue.rank = c.queueRankOf(j)
-	}
-	slices.SortFunc(list, func(a, b *job) int {
-		return cmp.Or(
-			cmp.Compare(min(a.unmetDependencies, 1), min(b.unmetDependencies, 1)),
-			a.queue.rank.compare(b.queue.rank),
-			cmp.Compare(a.id, b.id),
-		)
-	})
-	return list
-}
-
-// describeQueuedJob is a job of the queue, and what it waits for, as far as every controller can
-// tell. know are claims for which there is no room, found for those before it in the same answer.
-func (c *Core) describeQueuedJob(list []*job, i int, know *[]unplaceable) wire.QueuedJob {
-	j := list[i]
-	s := j.record.Spec
-	own, by := c.ownPriorityClass(j.record), c.effectivePriorityClass(j)
-	q := wire.QueuedJob{
-		ID:            j.id,
-		Position:      i + 1,
-		PriorityClass: c.priority.classes.Name(own),
-		Class:         s.Class,
-		Team:          s.Team,
-		Tasks:         s.Tasks,
-		Done:          j.record.CompletedTasks.Count(),
-		Assigned:      len(j.assignments),
-		WaitedS:       max(0, (c.unixMS()-j.record.AcceptedAtMS)/1000),
-	}
-	if by != own {
-		q.EffectivePriorityClass = c.priority.classes.Name(by)
-	}
-	switch {
-	case j.unmetDependencies > 0:
-		q.WaitingFor, q.Explanation = "jobs", "it waits for other jobs to be done"
-	case isFailing(j.record, c.unixMS()):
-		q.WaitingFor, q.Explanation = "errors", failureExplanation(j.record, c.unixMS())
-	case c.now < j.placement.backoffUntil:
-		q.WaitingFor, q.Explanation = "errors", "its tasks failed several times in a row; it is tried again in a moment"
-	case !c.teamOf(s).fitsMaxQuota(s.Request):
-		q.WaitingFor, q.Explanation = "limit", "its team "+s.Team+" uses all that it may; it begins when other work of the team ends"
-	case !c.hasFeasibleMachine(s, know):
-		q.WaitingFor, q.Explanation = "room", "no machine has room for one of its tasks; machines are rented if there are any to be had, and those before it in the queue come first"
-	default:
-		q.WaitingFor, q.Explanation = "changes", "there is room; it begins when its turn to be written comes"
-	}
-	return q
+		c.respond(in.RequestID, wire.StatusOK, wire.JobQueue{Version: r.Revision, PriorityClasses: in.Text})
+	}})
 }
 
-// priorityState is the list of priority classes in force, their shares of starts, and the first waiting job of each.
-type priorityState struct {
-	classes          *priorityclass.List // see lanes.go
-	revision         uint64              // 0: that of the priorities is in force
-	nextSeedAt       time.Duration
-	enabledPublished bool
-	startShares      startShares
-	firstWaiting     []QueueHead // of each lane, the first of its jobs that wait for room, of late
+// priorityClassesText is the list in force in protobuf text format.
+func (c *Core) priorityClassesText() (string, error) {
+	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(c.priority.classes.Source())
+	return string(text), err
 }
--- /dev/null
+++ b/core/queuelisting.go
@@ -0,0 +1,158 @@
+package core
+
+import (
+	"cmp"
+	"dewlift/wire"
+	"slices"
+)
+
+// maxQueuePage bounds the jobs of one response.
+const maxQueuePage = 200
+
+// waitReason is why a queued job does not start, as the API tells it.
+type waitReason string
+
+const (
+	waitsForDependencies waitReason = "jobs"
+	waitsAfterErrors     waitReason = "errors"
+	waitsForQuota        waitReason = "limit"
+	waitsForCapacity     waitReason = "room"
+	waitsForWrite        waitReason = "changes"
+)
+
+// handleListQueue answers with the queued jobs in their order, with why a single one waits, or with
+// the priority classes; all as of a read barrier.
+func (c *Core) handleListQueue(in ListQueue) {
+	switch {
+	case c.isNotServing():
+		c.respondUnavailable(in.RequestID, reasonNotReady)
+		return
+	case !c.replica.loaded || c.storeUnreachable():
+		c.respondUnavailable(in.RequestID, "state service not reached")
+		return
+	}
+	c.afterReadBarrier(func(ok bool) {
+		switch {
+		case !ok:
+			c.respondUnavailable(in.RequestID, "state service not reached")
+		case in.ShowPriorityClasses:
+			c.respondPriorityClasses(in)
+		case in.ID != "":
+			c.respondQueuedJob(in)
+		default:
+			c.respondQueuePage(in)
+		}
+	})
+}
+
+// respondPriorityClasses answers with the list of priority classes in force.
+func (c *Core) respondPriorityClasses(in ListQueue) {
+	text, err := c.priorityClassesText()
+	if err != nil {
+		c.respondUnavailable(in.RequestID, err.Error())
+		return
+	}
+	c.respond(in.RequestID, wire.StatusOK, wire.JobQueue{Version: c.priority.revision, PriorityClasses: text})
+}
+
+// respondQueuedJob answers with a single queued job, if the caller may read it.
+func (c *Core) respondQueuedJob(in ListQueue) {
+	queued := c.queuedJobs()
+	i := slices.IndexFunc(queued, func(j *job) bool { return j.id == in.ID })
+	if i < 0 || !c.canReadJob(in.Caller, queued[i]) {
+		c.respond(
+			in.RequestID,
+			wire.StatusNotFound,
+			wire.Error{Error: in.ID + " does not wait: it runs, is over or never was"},
+		)
+		return
+	}
+	c.respond(in.RequestID, wire.StatusOK, wire.JobQueue{
+		Jobs:  []wire.QueuedJob{c.describeQueuedJob(queued[i], i+1, &[]unplaceable{})},
+		Total: len(queued),
+	})
+}
+
+// respondQueuePage answers with a page of the queued jobs that the caller may read.
+func (c *Core) respondQueuePage(in ListQueue) {
+	queued := c.queuedJobs()
+	page, refused := wire.JobQueue{Total: len(queued), Version: c.priority.revision}, []unplaceable{}
+	limit := min(max(1, in.Limit), maxQueuePage)
+	for i := max(0, in.AfterPosition); i < len(queued) && len(page.Jobs) < limit; i++ {
+		if c.canReadJob(in.Caller, queued[i]) {
+			page.Jobs = append(page.Jobs, c.describeQueuedJob(queued[i], i+1, &refused))
+		}
+		page.NextOffset = i + 1
+	}
+	if page.NextOffset >= len(queued) {
+		page.NextOffset = 0
+	}
+	c.respond(in.RequestID, wire.StatusOK, page)
+}
+
+// queuedJobs lists the jobs with tasks that wait, in queue order; those with unmet dependencies last.
+func (c *Core) queuedJobs() (queued []*job) {
+	for _, j := range c.openJobs {
+		if j.record != nil && j.record.Spec != nil && !j.isFinal() &&
+			j.record.CompletedTasks.Count()+len(j.assignments) < j.record.Spec.Tasks {
+			j.queue.missingReplicas = c.countLostReplicas(j)
+			queued = append(queued, j)
+		}
+	}
+	for _, j := range queued {
+		j.queue.rank = c.queueRankOf(j)
+	}
+	slices.SortFunc(queued, func(a, b *job) int {
+		return cmp.Or(
+			cmp.Compare(min(a.unmetDependencies, 1), min(b.unmetDependencies, 1)),
+			a.queue.rank.compare(b.queue.rank),
+			cmp.Compare(a.id, b.id),
+		)
+	})
+	return queued
+}
+
+// describeQueuedJob describes a queued job and why it waits, as far as every controller can tell.
+// refused are requests that found no capacity, of jobs before it in the same response.
+func (c *Core) describeQueuedJob(j *job, position int, refused *[]unplaceable) wire.QueuedJob {
+	spec := j.record.Spec
+	own, effective := c.ownPriorityClass(j.record), c.effectivePriorityClass(j)
+	reason, explanation := c.waitReasonOf(j, refused)
+	description := wire.QueuedJob{
+		ID:            j.id,
+		Position:      position,
+		PriorityClass: c.priority.classes.Name(own),
+		Class:         spec.Class,
+		Team:          spec.Team,
+		Tasks:         spec.Tasks,
+		Done:          j.record.CompletedTasks.Count(),
+		Assigned:      len(j.assignments),
+		WaitedS:       max(0, (c.unixMS()-j.record.AcceptedAtMS)/1000),
+		WaitingFor:    string(reason),
+		Explanation:   explanation,
+	}
+	if effective != own {
+		description.EffectivePriorityClass = c.priority.classes.Name(effective)
+	}
+	return description
+}
+
+// waitReasonOf tells why a queued job does not start, and explains it to its user.
+func (c *Core) waitReasonOf(j *job, refused *[]unplaceable) (reason waitReason, explanation string) {
+	spec := j.record.Spec
+	switch {
+	case j.unmetDependencies > 0:
+		return waitsForDependencies, "it waits for other jobs to be done"
+	case isFailing(j.record, c.unixMS()):
+		return waitsAfterErrors, failureExplanation(j.record, c.unixMS())
+	case c.now < j.placement.backoffUntil:
+		return waitsAfterErrors, "its tasks failed several times in a row; it is tried again in a moment"
+	case !c.teamOf(spec).fitsMaxQuota(spec.Request):
+		return waitsForQuota, "its team " + spec.Team +
+			" uses all that it may; it begins when other work of the team ends"
+	case !c.hasFeasibleMachine(spec, refused):
+		return waitsForCapacity, "no machine has room for one of its tasks; machines are rented if there are " +
+			"any to be had, and those before it in the queue come first"
+	}
+	return waitsForWrite, "there is room; it begins when its turn to be written comes"
+}
--- /dev/null
+++ b/core/startshares.go
@@ -0,0 +1,109 @@
+package core
+
+import (
+	"dewlift/core/membership"
+	"math"
+	"slices"
+	"time"
+)
+
+// startShareHalfLife is the time after which a start counts half in the shares of the priority classes.
+const startShareHalfLife = 20 * time.Second
+
+// startShareBoost is how long a job is ordered as one of the first class for the share of its own.
+const startShareBoost = time.Second
+
+// startShares counts the recent starts of each priority class, decaying with startShareHalfLife.
+type startShares struct {
+	updatedAt     time.Duration
+	startsByClass []float64
+}
+
+// recordStarts counts the starts of a proposal.
+func (s *startShares) recordStarts(now time.Duration, p *proposal, c *Core) {
+	if len(p.started) == 0 || p.record.Spec == nil {
+		return
+	}
+	class := c.ownPriorityClass(p.record)
+	if len(s.startsByClass) != c.priority.classes.Len() {
+		s.startsByClass = make([]float64, c.priority.classes.Len())
+	}
+	decay := math.Exp2(-(now - s.updatedAt).Seconds() / startShareHalfLife.Seconds())
+	s.updatedAt = now
+	for i := range s.startsByClass {
+		s.startsByClass[i] *= decay
+	}
+	s.startsByClass[class] += float64(len(p.started))
+}
+
+// shareBelow is the part of the recent starts that the classes below one had; 1 if there were none.
+func (s *startShares) shareBelow(class int) float64 {
+	all, below := 0.0, 0.0
+	for i, n := range s.startsByClass {
+		all += n
+		if i > class {
+			below += n
+		}
+	}
+	if all < 1 {
+		return 1
+	}
+	return below / all
+}
+
+// enforceStartShares moves the first job below a class that exceeds its share of the starts to the
+// head of the placements.
+func (c *Core) enforceStartShares(due []*job) []*job {
+	for class := range c.priority.classes.Len() - 1 {
+		if share := c.priority.classes.ReservedShare(class); share == 0 ||
+			c.priority.startShares.shareBelow(class) >= share {
+			continue
+		}
+		first := c.firstWaitingBelow(class)
+		if first == nil || c.isPrecededElsewhere(first, class) {
+			continue
+		}
+		return c.boost(first, due)
+	}
+	return due
+}
+
+// firstWaitingBelow is the first of this controller's waiting jobs of the classes below one; nil if
+// there is none. Jobs that were evaluated and found no capacity are among them: else jobs that came
+// later would take what is reserved for these.
+func (c *Core) firstWaitingBelow(class int) (first *job) {
+	for _, candidate := range c.openJobs {
+		if !candidate.placement.hasUnplacedTasks || candidate.write.inFlight || candidate.write.outcomeUnknown ||
+			!c.ownsJob(candidate) || candidate.record.Spec == nil ||
+			c.ownPriorityClass(candidate.record) <= class ||
+			c.now < candidate.placement.backoffUntil ||
+			!c.teamOf(candidate.record.Spec).fitsMaxQuota(candidate.record.Spec.Request) {
+			continue
+		}
+		candidate.queue.rank = c.queueRankOf(candidate)
+		if first == nil || candidate.queue.rank.compare(first.queue.rank) < 0 {
+			first = candidate
+		}
+	}
+	return first
+}
+
+// isPrecededElsewhere reports whether another controller has work below a class that comes before a job.
+func (c *Core) isPrecededElsewhere(j *job, class int) bool {
+	position := membership.QueuePosition{Priority: c.agedPriorityClass(j), EnqueuedAtMS: j.effectiveEnqueueMS()}
+	return c.controllers.membership.HasEarlierWork(c.now, c.isControllerLive, position, class)
+}
+
+// boost has a job evaluated now, before all other placements.
+func (c *Core) boost(j *job, due []*job) []*job {
+	j.queue.boostedUntil = c.now + startShareBoost
+	j.write.dirty, j.write.nextLookAt = true, 0
+	if i := slices.Index(due, j); i >= 0 {
+		due = slices.Delete(due, i, i+1)
+	}
+	at := slices.IndexFunc(due, func(other *job) bool { return c.writePriority(other) > writePriorityAccept })
+	if at < 0 {
+		at = len(due)
+	}
+	return slices.Insert(due, at, j)
+}
