--- a/core/requests.go
+++ b/core/requests.go
@@ -295,8 +295,8 @@
 		return &submissionRejection{wire.StatusBadRequest, in.DecodeError}
 	}
 	spec := in.Spec
-	if status, why := c.checkEverFeasible(&spec); status != wire.StatusNoAnswer {
-		return &submissionRejection{status, why}
+	if why := c.checkEverFeasible(&spec); why != feasible {
+		return &submissionRejection{why.status(), string(why)}
 	}
 	if len(spec.Dependencies) > 0 {
 		unmet, rejection := c.validateDependencies(in.Caller, &spec)
