--- a/core/apply.go
+++ b/core/apply.go
@@ -46,7 +46,7 @@
 		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
 		var h leasedKey
-		n := c.shardOfKey(key)
+		n := c.ownership.shardOfKey(key)
 		if err := json.Unmarshal(raw, &h); err != nil || n < 0 {
 			bad(err)
 			return
@@ -117,7 +117,7 @@
 		delete(c.controllers.nodeKeys, key[len(keyNode):])
 		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
-		if n := c.shardOfKey(key); n >= 0 {
+		if n := c.ownership.shardOfKey(key); n >= 0 {
 			c.ownership.shards[n] = leasedKey{since: c.now}
 		}
 	case strings.HasPrefix(key, keyPermissions):
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -258,7 +258,7 @@
 	e, ok := b.Find(id)
 	if ok {
 		c.Stats.RecalledJobs++
-		c.cacheEndedJob(id, jobrecord.FromArchive(e, c.shardOfID(id)), mark, true)
+		c.cacheEndedJob(id, jobrecord.FromArchive(e, c.ownership.shardOfID(id)), mark, true)
 	}
 	return ok
 }
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -11,195 +11,381 @@
 	"time"
 )
 
+const (
+	// ownershipSettleTime is how long a started controller waits before it claims absent keys, so that
+	// controllers which start together have registered and the shards spread over all of them.
+	ownershipSettleTime = 700 * time.Millisecond
+	// claimDelayPerRank staggers the claims of an absent key by rendezvous rank: the preferred controller
+	// writes first, and the others rarely conflict with it.
+	claimDelayPerRank = 300 * time.Millisecond
+	// claimDelayOverShare is added when this controller already has its fair share of the shards.
+	claimDelayOverShare = 700 * time.Millisecond
+	// claimDelayNotFewest is added when another controller has fewer shards: the shard was probably
+	// released for that one.
+	claimDelayNotFewest = 400 * time.Millisecond
+	// handoverInterval is the least time between two shards that this controller releases.
+	handoverInterval = 1500 * time.Millisecond
+	// claimInterval is the least time between two ownership transactions.
+	claimInterval = 100 * time.Millisecond
+	// claimRetryJitter is the random part of the back-off after an ownership transaction that failed.
+	claimRetryJitter = 200 * time.Millisecond
+	// opsPerClaim is the most operations that the next claim adds to a transaction: the fencing token
+	// and the claimed key.
+	opsPerClaim = 2
+)
+
+// shardOwnership is the state of shard ownership: the controller that holds each shard, and this
+// controller's claims and handovers of shards.
+type shardOwnership struct {
+	shards         []leasedKey
+	claimInFlight  bool          // an ownership transaction is in flight; there is one at a time
+	nextClaimAt    time.Duration // no ownership transaction is sent before
+	nextHandoverAt time.Duration // no shard is released before
+}
+
+// shardKey is the store key of a shard.
 func shardKey(n int) string { return fmt.Sprintf("%s%02d", keyShard, n) }
 
+// shardOfKey returns the shard with a store key, or -1 if the key is not that of a shard.
+func (o *shardOwnership) shardOfKey(key string) int {
+	for i := range o.shards {
+		if shardKey(i) == key {
+			return i
+		}
+	}
+	return -1
+}
+
+// shardOfID returns the shard that a job id hashes to.
+func (o *shardOwnership) shardOfID(id string) int {
+	h := fnv.New32a()
+	h.Write([]byte(id))
+	return int(h.Sum32() % uint32(len(o.shards)))
+}
+
+// countByNode counts the shards that each controller holds.
+func (o *shardOwnership) countByNode() map[string]int {
+	counts := map[string]int{}
+	for i := range o.shards {
+		if shard := &o.shards[i]; shard.mark != 0 {
+			counts[shard.Node]++
+		}
+	}
+	return counts
+}
+
+// shardOf returns the shard of a job: that of its record, or for a job without one, that of its id.
+func (c *Core) shardOf(j *job) int {
+	if j.record != nil {
+		return j.record.Shard
+	}
+	return c.ownership.shardOfID(j.id)
+}
+
+// ownsShard reports whether this controller holds a shard by its present lease. It does not check
+// that the lease is still in force; see holdsLease.
+func (c *Core) ownsShard(n int) bool {
+	if n < 0 || n >= len(c.ownership.shards) || c.ownLease.id == 0 {
+		return false
+	}
+	shard := &c.ownership.shards[n]
+	return shard.LeaseID == c.ownLease.id && shard.mark != 0 && shard.Node == c.cfg.Name
+}
+
+// ownsJob reports whether this controller holds the shard of a job.
+func (c *Core) ownsJob(j *job) bool { return c.ownsShard(c.shardOf(j)) }
+
 // liveControllers lists the controllers with a lease, this one included, in name order.
 func (c *Core) liveControllers() []string {
-	out := []string{c.cfg.Name}
-	for n := range c.controllers.nodeKeys {
-		if n != c.cfg.Name {
-			out = append(out, n)
+	names := []string{c.cfg.Name}
+	for name := range c.controllers.nodeKeys {
+		if name != c.cfg.Name {
+			names = append(names, name)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// isControllerLive reports whether a controller holds a lease, as far as is known here.
+// isControllerLive reports whether a controller holds a lease, as far as this replica shows.
 func (c *Core) isControllerLive(name string) bool {
 	_, ok := c.controllers.nodeKeys[name]
 	return ok
 }
 
-// rendezvousRank is the place of this controller in a key's rendezvous order among the live ones.
+// rendezvousRank returns the rank of this controller for a key among the live controllers, by
+// rendezvous hashing: 0 is the preferred one.
 func (c *Core) rendezvousRank(key string, live []string) int {
-	weight := func(n string) uint64 {
-		h := fnv.New64a()
-		h.Write([]byte(n))
-		h.Write([]byte{0})
-		h.Write([]byte(key))
-		x := h.Sum64()
-		x ^= x >> 33
-		x *= 0xff51afd7ed558ccd
-		x ^= x >> 33
-		return x
-	}
-	mine, r := weight(c.cfg.Name), 0
-	for _, n := range live {
-		if n != c.cfg.Name && weight(n) > mine {
-			r++
+	own, rank := rendezvousWeight(c.cfg.Name, key), 0
+	for _, name := range live {
+		if name != c.cfg.Name && rendezvousWeight(name, key) > own {
+			rank++
 		}
 	}
-	return r
+	return rank
+}
+
+// rendezvousWeight hashes a controller with a key. FNV alone leaves close inputs close together, so its
+// sum is mixed by a multiply and two shifts.
+func rendezvousWeight(name, key string) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(name))
+	h.Write([]byte{0})
+	h.Write([]byte(key))
+	sum := h.Sum64()
+	sum ^= sum >> 33
+	sum *= 0xff51afd7ed558ccd
+	sum ^= sum >> 33
+	return sum
 }
 
-// acquireOwnership claims absent shards and the leadership, and gives up surplus shards.
+// acquireOwnership claims absent shards and the leadership, and releases surplus shards. All claims of
+// one run are one transaction, which also raises the fencing token.
 func (c *Core) acquireOwnership() {
 	if c.auditNotReady() || !c.holdsLease() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
 		c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
-	node, have := c.controllers.nodeKeys[c.cfg.Name]
+	attempt := c.newOwnershipAttempt()
+	attempt.registerNode()
+	attempt.chooseShards()
+	attempt.chooseLeadership()
+	if attempt.claimsAny() {
+		attempt.addClaims()
+	} else {
+		attempt.releaseSurplus()
+	}
+	attempt.commit()
+}
+
+// ownershipAttempt is one run of acquireOwnership: the distribution of the shards that it starts from, the
+// keys chosen, and the transaction built from them.
+type ownershipAttempt struct {
+	core *Core
+
+	live           []string // live controllers, in name order
+	registered     bool     // this controller's node key is in the replica, of any of its leases
+	settled        bool     // absent keys may be claimed, see ownershipSettleTime
+	fairShare      int      // shards for each controller, rounded up
+	ownedShards    int      // shards held under this controller's name
+	fewestShards   int      // shards of the controller with the fewest
+	mostShards     int      // shards of the controller with the most
+	nodeOps        int      // operations that register this controller, 0 or 1
+	shards         []int    // shards to claim
+	leadership     bool     // the leadership is to be claimed
+	txn            wire.Txn // what is sent
+	onAuditOutcome func(wire.Status)
+}
+
+// newOwnershipAttempt takes stock of the live controllers and of the shards that each holds.
+func (c *Core) newOwnershipAttempt() ownershipAttempt {
+	_, registered := c.controllers.nodeKeys[c.cfg.Name]
 	live := c.liveControllers()
-	var t wire.Txn
-	ops := 0
-	if !have || node.LeaseID != c.ownLease.id {
-		t.Compare = append(t.Compare, wire.Compare{Key: keyNode + c.cfg.Name, Revision: node.mark})
-		t.Then = append(
-			t.Then,
-			wire.Write{Put: keyNode + c.cfg.Name, Value: c.leasedValue(0), LeaseID: c.ownLease.id},
-		)
-		ops++
+	shardCount := len(c.ownership.shards)
+	counts := c.ownership.countByNode()
+	attempt := ownershipAttempt{
+		core:           c,
+		live:           live,
+		registered:     registered,
+		settled:        registered && c.now-c.startedAt > ownershipSettleTime,
+		fairShare:      (shardCount + len(live) - 1) / len(live),
+		ownedShards:    counts[c.cfg.Name],
+		fewestShards:   shardCount,
+		onAuditOutcome: func(wire.Status) {},
 	}
-	// Everyone has a moment to show itself, so that the shards spread at a common start.
-	settled := have && c.now-c.startedAt > 700*time.Millisecond
-	fair := (len(c.ownership.shards) + len(live) - 1) / len(live)
-	counts := map[string]int{}
-	for i := range c.ownership.shards {
-		if s := &c.ownership.shards[i]; s.mark != 0 {
-			counts[s.Node]++
-		}
+	for _, name := range live {
+		attempt.fewestShards = min(attempt.fewestShards, counts[name])
+		attempt.mostShards = max(attempt.mostShards, counts[name])
 	}
-	count, fewest, most := counts[c.cfg.Name], len(c.ownership.shards), 0
-	for _, n := range live {
-		fewest, most = min(fewest, counts[n]), max(most, counts[n])
+	return attempt
+}
+
+// registerNode writes the node key of this controller if it is absent or of an earlier lease.
+func (t *ownershipAttempt) registerNode() {
+	c := t.core
+	node := c.controllers.nodeKeys[c.cfg.Name]
+	if t.registered && node.LeaseID == c.ownLease.id {
+		return
 	}
-	// Twelve shards among five: by the rounded share alone, four had three and one none.
-	uneven := count == most && most-fewest >= 2
-	var claims []int
-	for i := range c.ownership.shards {
-		s := &c.ownership.shards[i]
-		if c.ownsShard(i) || ops+len(claims)+2+c.auditOpsPerTxn() > c.cfg.Store.MaxTxnOps {
-			continue
-		}
-		old := s.mark != 0 && s.Node == c.cfg.Name // held by an earlier life of this controller
-		if s.mark != 0 && !old || !settled && !old {
-			continue
-		}
-		wait := time.Duration(c.rendezvousRank(shardKey(i), live)) * 300 * time.Millisecond
-		if count+len(claims) >= fair {
-			wait += 700 * time.Millisecond
-		}
-		if count+len(claims) > fewest { // it was given up for another
-			wait += 400 * time.Millisecond
-		}
-		if old || c.now-s.since >= wait {
-			claims = append(claims, i)
+	t.nodeOps = 1
+	t.addLeasedPut(keyNode+c.cfg.Name, node.mark, 0)
+}
+
+// addLeasedPut adds the write of a key that is bound to this controller's lease, on the condition that the
+// key is still at a revision.
+func (t *ownershipAttempt) addLeasedPut(key string, revision, token uint64) {
+	c := t.core
+	t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: key, Revision: revision})
+	t.txn.Then = append(t.txn.Then, wire.Write{Put: key, Value: c.leasedValue(token), LeaseID: c.ownLease.id})
+}
+
+// hasSpace reports whether another claim fits the operations of one transaction.
+func (t *ownershipAttempt) hasSpace() bool {
+	c := t.core
+	return t.nodeOps+len(t.shards)+opsPerClaim+c.auditOpsPerTxn() <= c.cfg.Store.MaxTxnOps
+}
+
+// chooseShards chooses the shards to claim.
+func (t *ownershipAttempt) chooseShards() {
+	for i := range t.core.ownership.shards {
+		if !t.core.ownsShard(i) && t.hasSpace() && t.mayClaimShard(i) {
+			t.shards = append(t.shards, i)
 		}
 	}
-	lead := false
-	if c.leadership.leader.mark == 0 && settled &&
-		c.now-c.leadership.leader.since >= time.Duration(c.rendezvousRank(keyLeader, live))*300*time.Millisecond ||
-		c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name &&
-			c.leadership.leader.LeaseID != c.ownLease.id {
-		lead = ops+len(claims)+2+c.auditOpsPerTxn() <= c.cfg.Store.MaxTxnOps
+}
+
+// mayClaimShard reports whether a shard may be claimed now: at once if an earlier incarnation of this controller
+// holds it, else if it has been absent for as long as this controller's rank and load demand.
+func (t *ownershipAttempt) mayClaimShard(n int) bool {
+	c := t.core
+	shard := &c.ownership.shards[n]
+	if shard.mark != 0 {
+		return shard.Node == c.cfg.Name
 	}
-	told := func(wire.Status) {}
-	if len(claims) > 0 || lead {
-		token := c.leadership.fencingToken + 1
-		t.Compare = append(t.Compare, wire.Compare{Key: keyFencingToken, Revision: c.leadership.fencingTokenRevision})
-		t.Then = append(t.Then, wire.Write{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(token))})
-		for _, i := range claims {
-			t.Compare = append(t.Compare, wire.Compare{Key: shardKey(i), Revision: c.ownership.shards[i].mark})
-			t.Then = append(t.Then, wire.Write{Put: shardKey(i), Value: c.leasedValue(token), LeaseID: c.ownLease.id})
-		}
-		if lead {
-			t.Compare = append(t.Compare, wire.Compare{Key: keyLeader, Revision: c.leadership.leader.mark})
-			t.Then = append(t.Then, wire.Write{Put: keyLeader, Value: c.leasedValue(token), LeaseID: c.ownLease.id})
-		}
-		told = c.addAuditEntry(
-			&t,
-			"take/"+c.cfg.Name,
-			auditlog.Event{
-				Verb:   auditlog.VerbTakeOver,
-				Object: describeClaims(claims, lead),
-				Reason: fmt.Sprintf("token %d", token),
-			},
-		)
-	} else if ops == 0 && (count > fair || uneven) && c.now >= c.ownership.nextHandoverAt {
-		c.ownership.nextHandoverAt = c.now + 1500*time.Millisecond
-		if i := c.surplusShard(); i >= 0 {
-			t.Compare = append(t.Compare, wire.Compare{Key: shardKey(i), Revision: c.ownership.shards[i].mark})
-			t.Then = append(t.Then, wire.Write{Delete: shardKey(i)})
-		}
+	if !t.settled {
+		return false
+	}
+	wait := t.rankDelay(shardKey(n))
+	owned := t.ownedShards + len(t.shards)
+	if owned >= t.fairShare {
+		wait += claimDelayOverShare
+	}
+	if owned > t.fewestShards {
+		wait += claimDelayNotFewest
+	}
+	return c.now-shard.since >= wait
+}
+
+// rankDelay is how long this controller leaves an absent key to the controllers of better rank.
+func (t *ownershipAttempt) rankDelay(key string) time.Duration {
+	return time.Duration(t.core.rendezvousRank(key, t.live)) * claimDelayPerRank
+}
+
+// chooseLeadership decides whether to claim the leadership: if it has been absent for long enough, or if an
+// earlier lease of this controller holds it.
+func (t *ownershipAttempt) chooseLeadership() {
+	c := t.core
+	leader := &c.leadership.leader
+	var due bool
+	if leader.mark == 0 {
+		due = t.settled && c.now-leader.since >= t.rankDelay(keyLeader)
+	} else {
+		due = leader.Node == c.cfg.Name && leader.LeaseID != c.ownLease.id
 	}
-	if len(t.Then) == 0 {
+	t.leadership = due && t.hasSpace()
+}
+
+// claimsAny reports whether something was chosen to claim.
+func (t *ownershipAttempt) claimsAny() bool { return len(t.shards) > 0 || t.leadership }
+
+// addClaims adds the claims, the next fencing token that they carry, and their audit entry.
+func (t *ownershipAttempt) addClaims() {
+	c := t.core
+	token := c.leadership.fencingToken + 1
+	t.txn.Compare = append(
+		t.txn.Compare,
+		wire.Compare{Key: keyFencingToken, Revision: c.leadership.fencingTokenRevision},
+	)
+	t.txn.Then = append(t.txn.Then, wire.Write{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(token))})
+	for _, n := range t.shards {
+		t.addLeasedPut(shardKey(n), c.ownership.shards[n].mark, token)
+	}
+	if t.leadership {
+		t.addLeasedPut(keyLeader, c.leadership.leader.mark, token)
+	}
+	t.onAuditOutcome = c.addAuditEntry(
+		&t.txn,
+		"take/"+c.cfg.Name,
+		auditlog.Event{
+			Verb:   auditlog.VerbTakeOver,
+			Object: describeClaims(t.shards, t.leadership),
+			Reason: fmt.Sprintf("token %d", token),
+		},
+	)
+}
+
+// releaseSurplus releases one shard if this controller holds more than its part, in a transaction that does
+// nothing else.
+func (t *ownershipAttempt) releaseSurplus() {
+	c := t.core
+	// The rounded fair share alone is not enough: of twelve shards among five controllers, four had
+	// three each and one had none.
+	uneven := t.ownedShards == t.mostShards && t.mostShards-t.fewestShards >= 2
+	if t.nodeOps > 0 || t.ownedShards <= t.fairShare && !uneven || c.now < c.ownership.nextHandoverAt {
 		return
 	}
+	c.ownership.nextHandoverAt = c.now + handoverInterval
+	if n := c.surplusShard(); n >= 0 {
+		t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: shardKey(n), Revision: c.ownership.shards[n].mark})
+		t.txn.Then = append(t.txn.Then, wire.Write{Delete: shardKey(n)})
+	}
+}
+
+// commit sends the transaction, if there is anything in it.
+func (t *ownershipAttempt) commit() {
+	if len(t.txn.Then) == 0 {
+		return
+	}
+	c, onAuditOutcome := t.core, t.onAuditOutcome
 	c.ownership.claimInFlight = true
-	c.ownership.nextClaimAt = c.now + 100*time.Millisecond
-	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.ownership.nextClaimAt = c.now + claimInterval
+	c.commitTxn(t.txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		c.ownership.claimInFlight = false
-		told(status)
+		onAuditOutcome(status)
 		if status != wire.StatusOK {
-			c.ownership.nextClaimAt = c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond)
+			c.ownership.nextClaimAt = c.now + claimInterval + c.jitter(claimRetryJitter)
 		}
-		// What came of it is learnt from the stream of changes, in its order.
+		// Ownership changes only by the watch, in the order of revisions; the barrier brings it at once.
 		c.afterReadBarrier(func(bool) {})
 	}})
 }
 
-// describeClaims names what is claimed.
-func describeClaims(claims []int, lead bool) string {
+// describeClaims names the claimed keys for the audit log.
+func describeClaims(shards []int, leadership bool) string {
 	var list []string
-	if lead {
+	if leadership {
 		list = append(list, "leadership")
 	}
-	if len(claims) > 0 {
-		list = append(list, "shards "+strings.Trim(fmt.Sprint(claims), "[]"))
+	if len(shards) > 0 {
+		list = append(list, "shards "+strings.Trim(fmt.Sprint(shards), "[]"))
 	}
 	return strings.Join(list, ", ")
 }
 
-// surplusShard chooses a shard to give up: the one this controller ranks lowest for.
+// surplusShard returns the shard to release: of those held, the one for which this controller has the worst
+// rank. A shard with a write in flight is not released, as the write depends on it. -1: there is none.
 func (c *Core) surplusShard() int {
 	live := c.liveControllers()
-	best, bestRank := -1, -1
-	for i := range c.ownership.shards {
-		if !c.ownsShard(i) {
+	worst, worstRank := -1, -1
+	for n := range c.ownership.shards {
+		if !c.ownsShard(n) || c.hasUnsettledWrite(n) {
 			continue
 		}
-		busy := false
-		for _, j := range c.openJobs {
-			if j.record != nil && j.record.Shard == i && (j.write.inFlight || j.write.outcomeUnknown) {
-				busy = true
-				break
-			}
+		if rank := c.rendezvousRank(shardKey(n), live); rank > worstRank {
+			worst, worstRank = n, rank
 		}
-		if r := c.rendezvousRank(shardKey(i), live); !busy && r > bestRank {
-			best, bestRank = i, r
+	}
+	return worst
+}
+
+// hasUnsettledWrite reports whether the outcome of a write to a job of a shard is open.
+func (c *Core) hasUnsettledWrite(shard int) bool {
+	for _, j := range c.openJobs {
+		if j.record != nil && j.record.Shard == shard && (j.write.inFlight || j.write.outcomeUnknown) {
+			return true
 		}
 	}
-	return best
+	return false
 }
 
-// handleShardGained is called when the stream shows that a shard is this controller's.
+// handleShardGained is called when the watch shows that this controller has become the owner of a shard:
+// it examines all jobs of the shard and all machines, as it has not acted on them so far.
 func (c *Core) handleShardGained(n int) {
 	for _, j := range c.openJobs {
 		if j.record != nil && j.record.Shard == n {
 			c.markDirty(j)
-			for _, a := range j.assignments {
-				c.markMachineDirty(c.machines[a.Machine])
+			for _, assignment := range j.assignments {
+				c.markMachineDirty(c.machines[assignment.Machine])
 			}
 		}
 	}
@@ -209,58 +395,18 @@
 	}
 }
 
-// pickShard is a shard for a new job: one held by this controller if there is one. Else it is
-// another's: its holder learns of the job from the stream of changes and places its tasks. (A
-// controller that had just started, or that was one too many for the shards, refused users.)
+// pickShard draws the shard of a new job: one of this controller's if it holds any. Else it is another
+// controller's, whose holder sees the job by its watch and places its tasks: when submissions were refused
+// instead, a controller that had just started or was one too many for the shards turned users away.
 func (c *Core) pickShard() int {
-	var own []int
-	for i := range c.ownership.shards {
-		if c.ownsShard(i) {
-			own = append(own, i)
+	var owned []int
+	for n := range c.ownership.shards {
+		if c.ownsShard(n) {
+			owned = append(owned, n)
 		}
 	}
-	if len(own) == 0 {
+	if len(owned) == 0 {
 		return c.rng.IntN(len(c.ownership.shards))
 	}
-	return own[c.rng.IntN(len(own))]
-}
-
-// shardOwnership is which controller holds each shard, and claiming and handing over shards.
-type shardOwnership struct {
-	shards         []leasedKey
-	claimInFlight  bool
-	nextClaimAt    time.Duration
-	nextHandoverAt time.Duration
-}
-
-func (c *Core) shardOfKey(key string) int {
-	for i := range c.ownership.shards {
-		if shardKey(i) == key {
-			return i
-		}
-	}
-	return -1
-}
-
-// shardOf is the shard of a job; unknown jobs have one by their name.
-func (c *Core) shardOf(j *job) int {
-	if j.record != nil {
-		return j.record.Shard
-	}
-	return c.shardOfID(j.id)
-}
-
-func (c *Core) shardOfID(id string) int {
-	h := fnv.New32a()
-	h.Write([]byte(id))
-	return int(h.Sum32() % uint32(len(c.ownership.shards)))
+	return owned[c.rng.IntN(len(owned))]
 }
-
-func (c *Core) ownsShard(s int) bool {
-	return s >= 0 && s < len(c.ownership.shards) && c.ownLease.id != 0 &&
-		c.ownership.shards[s].LeaseID == c.ownLease.id &&
-		c.ownership.shards[s].mark != 0 &&
-		c.ownership.shards[s].Node == c.cfg.Name
-}
-
-func (c *Core) ownsJob(j *job) bool { return c.ownsShard(c.shardOf(j)) }
