--- a/core/leadership.go
+++ b/core/leadership.go
@@ -7,42 +7,48 @@
 	"time"
 )
 
-// leadershipState is who leads, by which fencing token, and raising that token.
+// tokenRaiseInterval is the least time between two increments of the fencing token that are no part of a claim.
+const tokenRaiseInterval = 5 * time.Second
+
+// leadershipState is the leader and the fencing token, as the replica shows them, and this controller's
+// increments of the token.
 type leadershipState struct {
-	fencingToken         uint64
-	fencingTokenRevision uint64
-	leader               leasedKey
-	raiseInFlight        bool
-	nextRaiseAt          time.Duration
+	fencingToken         uint64        // highest token in the store; 0: not known
+	fencingTokenRevision uint64        // modification revision of its key
+	leader               leasedKey     // the leadership's key
+	raiseInFlight        bool          // an increment is in flight
+	nextRaiseAt          time.Duration // no increment is sent before
 }
 
+// isLeader reports whether the leadership is bound to this controller's present lease. It does not check
+// that the lease is still in force; see holdsLease.
 func (c *Core) isLeader() bool {
 	return c.ownLease.id != 0 && c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name &&
 		c.leadership.leader.LeaseID == c.ownLease.id
 }
 
-// canAnswerAgents reports whether this controller may answer workers.
+// canAnswerAgents reports whether this controller may answer heartbeats: its replica is loaded and it holds its
+// lease, or the store is down for all controllers.
 func (c *Core) canAnswerAgents() bool {
 	return c.replica.loaded && c.leadership.fencingToken > 0 && (c.holdsLease() || c.isStoreOutage())
 }
 
-// raiseFencingToken raises the token, so that orders on their way can't be executed any more once the
-// machine has seen it.
+// raiseFencingToken increments the fencing token: once a machine has seen the new token, commands
+// that are still in flight to it with an older one cannot be executed.
 func (c *Core) raiseFencingToken() {
 	if c.leadership.raiseInFlight || c.ownership.claimInFlight || c.now < c.leadership.nextRaiseAt ||
-		!c.holdsLease() ||
-		c.transactions.rateLimit.IsPaused(c.now) {
+		!c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
 	c.leadership.raiseInFlight = true
-	c.leadership.nextRaiseAt = c.now + 5*time.Second
-	t := wire.Txn{
+	c.leadership.nextRaiseAt = c.now + tokenRaiseInterval
+	txn := wire.Txn{
 		Compare: []wire.Compare{{Key: keyFencingToken, Revision: c.leadership.fencingTokenRevision}},
 		Then: []wire.Write{
 			{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(c.leadership.fencingToken + 1))},
 		},
 	}
-	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.commitTxn(txn, &pendingTxn{onDone: func(_ wire.Status, _ wire.TxnResponse) {
 		c.leadership.raiseInFlight = false
 		c.afterReadBarrier(func(bool) {})
 	}})
--- a/core/lease.go
+++ b/core/lease.go
@@ -6,32 +6,43 @@
 	"time"
 )
 
-// controllerLease is this controller's own lease in the store and the grant or extension on its way.
+const (
+	// leaseRequestInterval is the least time between two requests about the lease, also after a failure.
+	leaseRequestInterval = 150 * time.Millisecond
+	// watchStallTimeout is how long reads may stay unanswered before the lease is given up: two reads in a
+	// row without an answer, and a margin.
+	watchStallTimeout = 5 * time.Second
+)
+
+// controllerLease is this controller's own lease in the store and the request about it in flight.
 type controllerLease struct {
-	id            uint64
-	expiresAt     time.Duration
-	opInFlight    LeaseOp
-	requestSentAt time.Duration
+	id            uint64        // 0: there is none
+	expiresAt     time.Duration // it is certainly in force until then
+	opInFlight    LeaseOp       // empty: no request is in flight
+	requestSentAt time.Duration // when the last request about it was sent
 }
 
-// leasedKey is a leased key: a shard or the leadership.
+// leasedKey is the stored value of a key that is bound to a controller's lease: a controller's
+// registration, a shard or the leadership. The store deletes it when the lease expires.
 type leasedKey struct {
-	Node         string        `json:"n"`
+	Node         string        `json:"n"` // the controller that holds it
 	LeaseID      uint64        `json:"t"`
-	FencingToken uint64        `json:"b"`
-	mark         uint64        `json:"-"`
-	since        time.Duration `json:"-"` // absent since
+	FencingToken uint64        `json:"b"` // token that it was acquired with; 0 for a registration
+	mark         uint64        `json:"-"` // modification revision in the store; 0: the key is absent
+	since        time.Duration `json:"-"` // since when it has been absent, if it is
 }
 
-// holdsLease reports whether this controller's lease is certain to be in force.
+// holdsLease reports whether this controller's lease is certain to be in force. Without it, others may
+// hold its shards and the leadership by now.
 func (c *Core) holdsLease() bool { return c.ownLease.id != 0 && c.now < c.ownLease.expiresAt }
 
-// maintainLease keeps this controller's lease, and gets a new one when it is lost.
+// maintainLease extends this controller's lease in time, and requests a new one when it is lost. A controller
+// that must not act lets it expire, so that others take over.
 func (c *Core) maintainLease() {
-	if c.lacksAuditKey() || c.isWatchStalled() { // it must not act: its lease runs out, and others take over
+	if c.lacksAuditKey() || c.isWatchStalled() {
 		return
 	}
-	if c.ownLease.opInFlight != "" || c.now < c.ownLease.requestSentAt+150*time.Millisecond {
+	if c.ownLease.opInFlight != "" || c.now < c.ownLease.requestSentAt+leaseRequestInterval {
 		return
 	}
 	switch {
@@ -46,15 +57,15 @@
 	c.emit(LeaseRequest{Op: c.ownLease.opInFlight, TTL: c.cfg.Cluster.LeaseTTL, LeaseID: c.ownLease.id})
 }
 
-// isWatchStalled reports whether reads of changes have stayed without an answer for a while. Such a
-// controller may write and hold its lease, and know neither what it holds nor what others do: one
-// that had just begun to lead did nothing for twenty seconds, and nobody else could.
+// isWatchStalled reports whether reads of the store have stayed unanswered for too long. Such a controller can
+// write and extend its lease, but knows neither what it owns nor what others do: a new leader in that
+// state did nothing for twenty seconds, and no other controller could take over.
 func (c *Core) isWatchStalled() bool {
-	return c.storeHealth.firstLostReadAt != 0 && c.now-c.storeHealth.firstLostReadAt > watchStalledAfter
+	return c.storeHealth.firstLostReadAt != 0 && c.now-c.storeHealth.firstLostReadAt > watchStallTimeout
 }
 
-const watchStalledAfter = 5 * time.Second // two reads in a row without an answer, and some
-
+// handleLeaseResult takes the outcome of a grant or an extension. The expiry counts from when the request was
+// sent: the store counts from when it received it, which is later.
 func (c *Core) handleLeaseResult(in LeaseResult) {
 	if in.Op != c.ownLease.opInFlight {
 		return
@@ -66,7 +77,6 @@
 		c.ownLease.id = in.LeaseID
 		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Cluster.LeaseTTL
 	case in.Status == wire.StatusOK && in.Op == LeaseExtend:
-		// Counted from the sending: the service counts from its receipt, later.
 		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Cluster.LeaseTTL
 	case in.Status == wire.StatusNotFound && in.Op == LeaseExtend:
 		c.log(LevelInfo, "lease lost", "lease", c.ownLease.id)
@@ -74,10 +84,11 @@
 	}
 }
 
+// leasedValue encodes the value of a key that is bound to this controller's lease.
 func (c *Core) leasedValue(token uint64) json.RawMessage {
 	raw, err := json.Marshal(leasedKey{Node: c.cfg.Name, LeaseID: c.ownLease.id, FencingToken: token})
 	if err != nil {
-		panic(err) // a struct of strings and numbers
+		panic(err) // cannot fail: a struct of strings and numbers
 	}
 	return raw
 }
