--- a/core/machine.go
+++ b/core/machine.go
@@ -147,6 +147,13 @@
 	return m.index
 }
 
+// currentAssignment returns the committed assignment of an attempt to a machine, if there is one of the
+// machine's present incarnation.
+func (m *machine) currentAssignment(key attemptKey) (jobrecord.Assignment, bool) {
+	assignment, ok := m.allocation.assignments[taskKey{key.jobIndex, key.task}]
+	return assignment, ok && assignment.Attempt == key.attempt && assignment.Incarnation == m.status.incarnation
+}
+
 func (c *Core) attemptOf(m *machine, k attemptKey) *attempt {
 	a := m.commands.attempts[k]
 	if a == nil {
