--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -6,246 +6,356 @@
 	"time"
 )
 
-// dispatchCommands works out what each machine must be told and sends it.
+const (
+	// unresponsiveShare is the part, one in so many, of the command requests that may be in flight to machines
+	// which probably do not answer.
+	unresponsiveShare = 4
+	// maxEndedReported is how many ended tasks a machine reports at most before they are cleared at once.
+	maxEndedReported = 8
+	// attemptRetention is how long after its last command an attempt is remembered that is neither assigned
+	// nor reported.
+	attemptRetention = 10 * time.Second
+	// conflictBackoff is how long a machine is left alone after it rejected a command batch.
+	conflictBackoff = 300 * time.Millisecond
+)
+
+// commandDispatch is the state of commands to agents: the machines that may need some, the requests in flight,
+// and the requests relayed for peers.
+type commandDispatch struct {
+	dirtyMachines       []*machine                  // machines that may need commands
+	nextDrainAt         time.Duration               // when machines with an interruption notice are examined next
+	nextReturnRequestAt time.Duration               // when the leader is next asked to return machines
+	inFlight            map[uint64]inFlightCommands // by request id
+	relayed             map[uint64]relayedCommands  // by the id of this controller's request
+}
+
+// inFlightCommands is a request with commands that has no outcome yet.
+type inFlightCommands struct {
+	machineIndex int32
+	deadline     time.Duration // of a relayed request: when it counts as unanswered; 0: it is not relayed
+}
+
+// relayedCommands is a peer's request that this controller sends on its behalf.
+type relayedCommands struct {
+	peer      string
+	requestID uint64 // id of the request at the peer
+}
+
+// dispatchCommands sends the machines the commands that they need. Only machines with a change or with
+// something unsettled are examined.
+//
+// Each request holds a socket, and one to a machine that does not answer holds it for seconds; in a lost
+// zone, that is every machine. So the requests in flight are bounded, and those to machines that
+// probably do not answer have a smaller bound of their own.
 func (c *Core) dispatchCommands() {
 	c.expireRelayedCommands()
 	if !c.holdsLease() && !c.isStoreOutage() {
 		return
 	}
-	// Requests are sockets, and those to machines that do not answer hold theirs for seconds: in a lost zone that are
-	// all machines at once. So they are bounded, and those that probably hang have a part for themselves.
-	hanging := 0
-	for _, s := range c.commands.inFlight {
-		if c.isUnresponsive(c.machines[s.machineIndex]) {
-			hanging++
-		}
-	}
-	// Only machines where something changed or is not settled yet are looked at.
+	unresponsive := c.countUnresponsiveRequests()
 	c.commands.dirtyMachines = slices.DeleteFunc(c.commands.dirtyMachines, func(m *machine) bool {
 		if m.lifecycle.gone || !m.status.reported {
-			m.commands.queued = false // its first report touches it again
+			m.commands.queued = false // its first heartbeat queues it again
 			return true
 		}
-		if m.commands.requestID != 0 || c.now < m.commands.nextSendAt ||
-			!m.commands.dirty && c.now < m.commands.lastExaminedAt+c.cfg.Agents.CommandRetryInterval {
+		if !c.isDispatchDue(m) {
 			return false
 		}
-		strained := c.isUnresponsive(m)
-		if len(c.commands.inFlight) >= c.cfg.Agents.MaxCommandRequests || strained && hanging >= c.cfg.Agents.MaxCommandRequests/4 {
-			return false // another's turn
+		isUnresponsive := c.isUnresponsive(m)
+		limit := c.cfg.Agents.MaxCommandRequests
+		if len(c.commands.inFlight) >= limit || isUnresponsive && unresponsive >= limit/unresponsiveShare {
+			return false
 		}
 		m.commands.dirty = false
 		m.commands.lastExaminedAt = c.now
 		c.Stats.MachineLooks++
-		open := c.dispatchTo(m)
-		if strained && m.commands.requestID != 0 {
-			hanging++
+		unsettled := c.dispatchTo(m)
+		if isUnresponsive && m.commands.requestID != 0 {
+			unresponsive++
 		}
-		m.commands.queued = open || m.commands.requestID != 0
+		m.commands.queued = unsettled || m.commands.requestID != 0
 		return !m.commands.queued
 	})
 }
 
-// isUnresponsive reports whether orders to a machine will probably stay without an answer.
+// countUnresponsiveRequests counts the requests in flight to machines that probably do not answer.
+func (c *Core) countUnresponsiveRequests() int {
+	count := 0
+	for _, request := range c.commands.inFlight {
+		if c.isUnresponsive(c.machines[request.machineIndex]) {
+			count++
+		}
+	}
+	return count
+}
+
+// isDispatchDue reports whether a machine is to be examined: it has no request in flight, is not backing off,
+// and something changed or the retry interval has passed.
+func (c *Core) isDispatchDue(m *machine) bool {
+	if m.commands.requestID != 0 || c.now < m.commands.nextSendAt {
+		return false
+	}
+	return m.commands.dirty || c.now >= m.commands.lastExaminedAt+c.cfg.Agents.CommandRetryInterval
+}
+
+// isUnresponsive reports whether a machine will probably not answer commands.
 func (c *Core) isUnresponsive(m *machine) bool {
 	return m.commands.unanswered > 0 || c.now-m.status.lastHeartbeatAt > c.maxHeartbeatGap()
 }
 
-// dispatchTo sends what a machine must be told now, and reports whether another look is due.
-func (c *Core) dispatchTo(m *machine) (open bool) {
-	type due struct {
-		attemptKey
-		order wire.Command
+// dispatchTo sends a machine the commands that it needs now, and reports whether it must be examined again.
+func (c *Core) dispatchTo(m *machine) (unsettled bool) {
+	plan := commandPlan{core: c, machine: m}
+	plan.collectAssigned()
+	plan.collectUnassigned()
+	plan.collectClears()
+	plan.forgetOldAttempts()
+	if len(plan.commands) == 0 {
+		return plan.unsettled
 	}
-	var list []due
-	var keys, clears []attemptKey
-	add := func(op string, k attemptKey, grace float64) {
-		a := c.attemptOf(m, k)
-		if a.commandSent && c.now-a.lastCommandAt < c.cfg.Agents.CommandRetryInterval {
-			return
-		}
-		a.lastCommandAt, a.commandSent = c.now, true
-		o := wire.Command{Op: op, Task: wire.TaskName(c.jobs[k.jobIndex].id, int(k.task)), Attempt: k.attempt}
-		if op == wire.OpStop {
-			o.GracePeriodS = &grace
-		}
-		if op == wire.OpStart {
-			a.startInFlight = true
-			keys = append(keys, k)
-			c.Stats.TaskStarts++
-		}
-		list = append(list, due{k, o})
+	c.sendCommands(m, plan.batch(), plan.starts)
+	return true
+}
+
+// commandPlan is the commands for one machine, collected in one run of dispatchTo.
+type commandPlan struct {
+	core      *Core
+	machine   *machine
+	commands  []plannedCommand
+	starts    []attemptKey // attempts with a start among the commands
+	clears    []attemptKey // ended attempts that the agent may forget
+	unsettled bool         // the machine must be examined again, even without a change
+}
+
+// plannedCommand is a command with the attempt that it is for.
+type plannedCommand struct {
+	attemptKey
+	command wire.Command
+}
+
+// add adds a command, unless one for the same attempt was sent within the retry interval, and reports whether it did.
+func (p *commandPlan) add(op string, key attemptKey) bool {
+	c := p.core
+	record := c.attemptOf(p.machine, key)
+	if record.commandSent && c.now-record.lastCommandAt < c.cfg.Agents.CommandRetryInterval {
+		return false
+	}
+	record.lastCommandAt, record.commandSent = c.now, true
+	p.commands = append(p.commands, plannedCommand{
+		key,
+		wire.Command{Op: op, Task: wire.TaskName(c.jobs[key.jobIndex].id, int(key.task)), Attempt: key.attempt},
+	})
+	return true
+}
+
+// addStart adds a start, unless the machine is about to be removed, this controller may not start tasks now, or the
+// cancellation of the job is pending.
+func (p *commandPlan) addStart(j *job, key attemptKey) {
+	c := p.core
+	if p.machine.lifecycle.interruptionDeadline != 0 || p.machine.lifecycle.returnRequested || !c.holdsLease() ||
+		!c.cancelAcks.quorum.IsFresh(c.now) || len(j.cancellation.waiters) != 0 {
+		return
+	}
+	if p.add(wire.OpStart, key) {
+		c.attemptOf(p.machine, key).startInFlight = true
+		p.starts = append(p.starts, key)
+		c.Stats.TaskStarts++
+	}
+}
+
+// addStop adds a stop with a grace period in seconds.
+func (p *commandPlan) addStop(key attemptKey, graceSeconds float64) {
+	if p.add(wire.OpStop, key) {
+		p.commands[len(p.commands)-1].command.GracePeriodS = &graceSeconds
 	}
-	for t, at := range m.allocation.assignments {
-		j := c.jobs[t.jobIndex]
-		if at.Incarnation != m.status.incarnation || !c.ownsJob(j) {
+}
+
+// collectAssigned collects the commands for the tasks that are assigned to the machine: starts of those that it
+// does not report, stops of those whose job is final or that are preempted or evicted.
+func (p *commandPlan) collectAssigned() {
+	c, m := p.core, p.machine
+	for task, assignment := range m.allocation.assignments {
+		j := c.jobs[task.jobIndex]
+		if assignment.Incarnation != m.status.incarnation || !c.ownsJob(j) {
 			continue
 		}
-		k := attemptKey{t.jobIndex, t.task, at.Attempt}
-		p, there := m.status.tasks[k]
-		open = open || !there || j.isFinal()
+		key := attemptKey{task.jobIndex, task.task, assignment.Attempt}
+		status, reported := m.status.tasks[key]
+		if !reported || j.isFinal() {
+			p.unsettled = true
+		}
 		switch {
-		case !there && !j.isFinal():
-			if m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested && c.holdsLease() &&
-				c.cancelAcks.quorum.IsFresh(c.now) &&
-				len(j.cancellation.waiters) == 0 {
-				add(wire.OpStart, k, 0)
-			}
-		case !there || p.state == wire.TaskExited:
+		case !reported && !j.isFinal():
+			p.addStart(j, key)
+		case !reported || status.state == wire.TaskExited:
 		case j.isFinal():
-			c.allowImmediateResend(m, k)
-			add(wire.OpStop, k, 0)
-		default:
-			if a := m.commands.attempts[k]; a != nil && a.stopReason != "" && p.state != wire.TaskCheckpointing {
-				open = true
-				add(wire.OpStop, k, a.stopGraceSeconds)
+			c.allowImmediateResend(m, key)
+			p.addStop(key, 0)
+		case status.state != wire.TaskCheckpointing:
+			if record := m.commands.attempts[key]; record != nil && record.stopReason != "" {
+				p.unsettled = true
+				p.addStop(key, record.stopGraceSeconds)
 			}
 		}
 	}
-	for k, p := range m.status.tasks {
-		j := c.jobs[k.jobIndex]
-		if a, ok := m.allocation.assignments[taskKey{k.jobIndex, k.task}]; ok && a.Attempt == k.attempt &&
-			a.Incarnation == m.status.incarnation ||
-			!c.ownsJob(j) {
+}
+
+// collectUnassigned collects the stops and clears of the tasks that the machine reports and no record assigns to
+// it: their end is committed, or they must not run.
+func (p *commandPlan) collectUnassigned() {
+	c, m := p.core, p.machine
+	for key, status := range m.status.tasks {
+		j := c.jobs[key.jobIndex]
+		if _, assigned := m.currentAssignment(key); assigned || !c.ownsJob(j) {
 			continue
 		}
-		open = true
-		if j.write.inFlight || j.write.outcomeUnknown || !c.noStartPending(m, j, k) {
+		p.unsettled = true
+		if j.write.inFlight || j.write.outcomeUnknown || !c.noStartPending(m, j, key) {
 			continue
 		}
-		if j.revision == 0 && !c.isOrphan(m, j, k) {
+		if j.revision == 0 && !c.isOrphan(m, j, key) {
 			continue
 		}
-		// No record assigns it here: it has ended and that is committed, or it never should be.
-		c.allowImmediateResend(m, k)
-		if p.state == wire.TaskExited {
-			clears = append(clears, k)
+		c.allowImmediateResend(m, key)
+		if status.state == wire.TaskExited {
+			p.clears = append(p.clears, key)
 		} else {
-			add(wire.OpStop, k, 0)
+			p.addStop(key, 0)
 		}
 	}
-	// Nobody waits for a task to be forgotten: that goes with other orders, or after a while.
-	if len(clears) == 0 {
+}
+
+// collectClears adds the clears if other commands go out, if there are many, or after a delay: nothing waits
+// for an agent to forget a task, so they do not get a request of their own at once.
+func (p *commandPlan) collectClears() {
+	c, m := p.core, p.machine
+	if len(p.clears) == 0 {
 		m.commands.nextClearAt = 0
-	} else if m.commands.nextClearAt == 0 {
+		return
+	}
+	if m.commands.nextClearAt == 0 {
 		m.commands.nextClearAt = c.now + c.cfg.Agents.EndedTaskClearDelay
 	}
-	if len(list) > 0 || m.commands.nextClearAt != 0 && c.now >= m.commands.nextClearAt ||
-		len(clears) > maxEndedReported {
-		for _, k := range clears {
-			add(wire.OpClear, k, 0)
-		}
+	if len(p.commands) == 0 && c.now < m.commands.nextClearAt && len(p.clears) <= maxEndedReported {
+		return
+	}
+	for _, key := range p.clears {
+		p.add(wire.OpClear, key)
 	}
-	for k, a := range m.commands.attempts { // what is neither recorded nor reported is over
-		open = open || a.startInFlight
-		if _, ok := m.status.tasks[k]; ok || a.startInFlight || c.now-a.lastCommandAt < 10*time.Second {
+}
+
+// forgetOldAttempts drops the attempts that are neither assigned nor reported, once no start of them can be
+// executed any more.
+func (p *commandPlan) forgetOldAttempts() {
+	c, m := p.core, p.machine
+	for key, record := range m.commands.attempts {
+		if record.startInFlight {
+			p.unsettled = true
 			continue
 		}
-		if cur, ok := m.allocation.assignments[taskKey{k.jobIndex, k.task}]; !ok || cur.Attempt != k.attempt {
-			if a.maxUnansweredToken < m.status.fencingToken || a.maxUnansweredToken == 0 {
-				delete(m.commands.attempts, k)
-			}
+		if _, reported := m.status.tasks[key]; reported || c.now-record.lastCommandAt < attemptRetention {
+			continue
+		}
+		assignment, assigned := m.allocation.assignments[taskKey{key.jobIndex, key.task}]
+		if assigned && assignment.Attempt == key.attempt {
+			continue
+		}
+		if record.maxUnansweredToken < m.status.fencingToken || record.maxUnansweredToken == 0 {
+			delete(m.commands.attempts, key)
 		}
 	}
-	if len(list) == 0 {
-		return open
+}
+
+// batch is the collected commands, in the order of their attempts.
+func (p *commandPlan) batch() wire.CommandBatch {
+	slices.SortFunc(p.commands, func(x, y plannedCommand) int { return x.compare(y.attemptKey) })
+	batch := wire.CommandBatch{
+		FencingToken: p.core.leadership.fencingToken,
+		Incarnation:  p.machine.status.incarnation,
 	}
-	slices.SortFunc(list, func(x, y due) int { return x.compare(y.attemptKey) })
-	body := wire.CommandBatch{FencingToken: c.leadership.fencingToken, Incarnation: m.status.incarnation}
-	for _, d := range list {
-		body.Commands = append(body.Commands, d.order)
+	for _, planned := range p.commands {
+		batch.Commands = append(batch.Commands, planned.command)
 	}
+	return batch
+}
+
+// sendCommands sends a batch of commands to a machine, directly or by a peer. starts are the attempts that it starts.
+func (c *Core) sendCommands(m *machine, batch wire.CommandBatch, starts []attemptKey) {
 	id := c.nextID()
-	m.commands.requestID, m.commands.requestToken, m.commands.requestAttempts = id, c.leadership.fencingToken, keys
-	o := SendCommands{ID: id, Machine: m.name, Addr: m.identity.address, Batch: body}
-	if by := c.relayPeer(m); by != "" {
+	m.commands.requestID, m.commands.requestToken, m.commands.requestAttempts = id, batch.FencingToken, starts
+	request := SendCommands{ID: id, Machine: m.name, Addr: m.identity.address, Batch: batch}
+	if peer := c.relayPeer(m); peer != "" {
 		c.commands.inFlight[id] = inFlightCommands{m.index, c.now + c.cfg.Cluster.RelayTimeout}
-		c.emit(SendToPeer{Peer: by, Message: Message{Commands: &o}})
-		return true
+		c.emit(SendToPeer{Peer: peer, Message: Message{Commands: &request}})
+		return
 	}
 	c.commands.inFlight[id] = inFlightCommands{machineIndex: m.index}
-	c.emit(o)
-	return true
+	c.emit(request)
 }
 
-const maxEndedReported = 8 // ended tasks that a machine reports at most
-
-// relayPeer is the peer by which a machine that does not answer is tried, every other time.
+// relayPeer returns the peer by which a machine that does not answer is tried, every other time; "" means directly.
 func (c *Core) relayPeer(m *machine) string {
-	in := c.controllers.membership.ReachableExcept(c.now, "")
-	if m.commands.unanswered%2 == 0 || len(in) == 0 {
+	peers := c.controllers.membership.ReachableExcept(c.now, "")
+	if m.commands.unanswered%2 == 0 || len(peers) == 0 {
 		return ""
 	}
-	return in[m.commands.unanswered/2%len(in)]
+	return peers[m.commands.unanswered/2%len(peers)]
 }
 
-// expireRelayedCommands gives up requests passed on by others that stay without an outcome.
+// expireRelayedCommands gives up the requests that peers relay and that have no outcome by their deadline.
 func (c *Core) expireRelayedCommands() {
 	for _, id := range sortedKeys(c.commands.inFlight) {
-		if s := c.commands.inFlight[id]; s.deadline != 0 && c.now >= s.deadline {
+		if request := c.commands.inFlight[id]; request.deadline != 0 && c.now >= request.deadline {
 			c.handleCommandsResult(CommandsResult{ID: id, MaybeDelivered: true})
 		}
 	}
 }
 
-// isOrphan reports whether a reported task is of a job that does not exist. A job that is not
-// known here may just have been accepted and placed by another controller, and its record be
-// on its way: so only a read barrier after the report tells. (Without it, the tasks of other
-// controllers' new jobs were stopped and cleared, and then started twice.)
-func (c *Core) isOrphan(m *machine, j *job, k attemptKey) bool {
-	a := c.attemptOf(m, k)
-	if !a.orphanCheckInFlight && !a.isOrphan {
-		a.orphanCheckInFlight = true
+// isOrphan reports whether a reported task is of a job that does not exist. A job that is unknown here may have
+// been accepted and placed by a peer a moment ago, so only a read barrier after the heartbeat proves it:
+// without that, tasks of new jobs of other controllers were stopped and cleared, and then started twice.
+func (c *Core) isOrphan(m *machine, j *job, key attemptKey) bool {
+	record := c.attemptOf(m, key)
+	if !record.orphanCheckInFlight && !record.isOrphan {
+		record.orphanCheckInFlight = true
 		c.afterReadBarrier(func(ok bool) {
-			a.orphanCheckInFlight = false
-			a.isOrphan = ok && j.revision == 0
+			record.orphanCheckInFlight = false
+			record.isOrphan = ok && j.revision == 0
 			c.markMachineDirty(m)
 		})
 	}
-	return a.isOrphan
+	return record.isOrphan
 }
 
-// allowImmediateResend lets a different order for an attempt go out at once.
-func (c *Core) allowImmediateResend(m *machine, k attemptKey) {
-	if a := m.commands.attempts[k]; a != nil && !a.resentAtOnce {
-		a.resentAtOnce = true
-		a.commandSent = false
+// allowImmediateResend lets a command other than the last one for an attempt be sent within the retry interval, once.
+func (c *Core) allowImmediateResend(m *machine, key attemptKey) {
+	if record := m.commands.attempts[key]; record != nil && !record.resentAtOnce {
+		record.resentAtOnce = true
+		record.commandSent = false
 	}
 }
 
+// handleCommandsResult takes the outcome of a request with commands. That of a relayed one is passed to the
+// peer that it was sent for.
 func (c *Core) handleCommandsResult(in CommandsResult) {
-	if r, ok := c.commands.relayed[in.ID]; ok {
-		delete(c.commands.relayed, in.ID)
-		if in.Heartbeat != nil {
-			c.applyHeartbeat(in.Heartbeat, true)
-		}
-		in.ID = r.requestID
-		c.sendToPeers(r.peer, Message{CommandsResult: &in})
+	if relayed, ok := c.commands.relayed[in.ID]; ok {
+		c.returnRelayedResult(relayed, in)
 		return
 	}
-	s, ok := c.commands.inFlight[in.ID]
+	request, ok := c.commands.inFlight[in.ID]
 	if !ok {
 		return
 	}
 	delete(c.commands.inFlight, in.ID)
-	m := c.machines[s.machineIndex]
+	m := c.machines[request.machineIndex]
 	m.commands.requestID = 0
-	m.commands.unanswered++
-	if in.Status != wire.StatusNoAnswer {
-		m.commands.unanswered = 0
-	} else {
+	if in.Status == wire.StatusNoAnswer {
+		m.commands.unanswered++
 		m.commands.lastUnansweredAt = c.now
+	} else {
+		m.commands.unanswered = 0
 	}
-	answered := in.Status == wire.StatusOK || in.Status == wire.StatusConflict || !in.MaybeDelivered
-	for _, k := range m.commands.requestAttempts {
-		if a := m.commands.attempts[k]; a != nil {
-			a.startInFlight = false
-			if !answered {
-				a.maxUnansweredToken = max(a.maxUnansweredToken, m.commands.requestToken)
-			}
-		}
-	}
-	m.commands.requestAttempts = nil
+	m.settleStarts(in)
 	c.markMachineDirty(m)
 	if in.Heartbeat != nil && in.Heartbeat.Machine == m.name {
 		c.applyHeartbeat(in.Heartbeat, true)
@@ -253,7 +363,7 @@
 	switch in.Status {
 	case wire.StatusOK:
 	case wire.StatusConflict:
-		m.commands.nextSendAt = c.now + 300*time.Millisecond
+		m.commands.nextSendAt = c.now + conflictBackoff
 		if in.Heartbeat != nil && in.Heartbeat.FencingToken > c.leadership.fencingToken {
 			c.afterReadBarrier(func(bool) {})
 		}
@@ -262,25 +372,29 @@
 	}
 }
 
-// inFlightCommands is a request with orders on its way; one that another controller passes on has a time
-// by which it counts as unanswered.
-type inFlightCommands struct {
-	machineIndex int32
-	deadline     time.Duration
-}
-
-// relayedCommands is another controller's request that this one passed on.
-type relayedCommands struct {
-	peer      string
-	requestID uint64
+// returnRelayedResult passes the outcome of a relayed request to the peer that it was sent for.
+func (c *Core) returnRelayedResult(relayed relayedCommands, in CommandsResult) {
+	delete(c.commands.relayed, in.ID)
+	if in.Heartbeat != nil {
+		c.applyHeartbeat(in.Heartbeat, true)
+	}
+	in.ID = relayed.requestID
+	c.sendToPeers(relayed.peer, Message{CommandsResult: &in})
 }
 
-// commandDispatch is commands to agents: which machines may need some, requests in flight, requests
-// relayed for other controllers.
-type commandDispatch struct {
-	dirtyMachines       []*machine // those that may need orders
-	nextDrainAt         time.Duration
-	nextReturnRequestAt time.Duration
-	inFlight            map[uint64]inFlightCommands
-	relayed             map[uint64]relayedCommands
+// settleStarts records the outcome of the starts in the request that was in flight. Those of an unanswered one may be
+// executed late, until the machine has seen a token above that of the request.
+func (m *machine) settleStarts(in CommandsResult) {
+	answered := in.Status == wire.StatusOK || in.Status == wire.StatusConflict || !in.MaybeDelivered
+	for _, key := range m.commands.requestAttempts {
+		record := m.commands.attempts[key]
+		if record == nil {
+			continue
+		}
+		record.startInFlight = false
+		if !answered {
+			record.maxUnansweredToken = max(record.maxUnansweredToken, m.commands.requestToken)
+		}
+	}
+	m.commands.requestAttempts = nil
 }
