--- a/core/apply.go
+++ b/core/apply.go
@@ -103,7 +103,7 @@
 
 // applyShard applies the ownership of a shard. Shards beyond the configured number are ignored.
 func (c *Core) applyShard(key string, raw json.RawMessage, revision uint64) error {
-	shard := c.shardOfKey(key)
+	shard := c.ownership.shardOfKey(key)
 	leased, err := decodeLeasedKey(raw, revision)
 	if err != nil || shard < 0 {
 		return err
@@ -168,7 +168,7 @@
 		delete(c.controllers.nodeKeys, key[len(keyNode):])
 		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
-		if shard := c.shardOfKey(key); shard >= 0 {
+		if shard := c.ownership.shardOfKey(key); shard >= 0 {
 			c.ownership.shards[shard] = leasedKey{since: c.now}
 		}
 	case strings.HasPrefix(key, keyPermissions):
