--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -196,7 +196,7 @@
 	l, machine := c.leaderState, b.machine
 	view := &machine.leaderView
 	view.onDemandReserved = b.onDemandReserved
-	if len(machine.allocation.assignments) > 0 || c.hasLiveTasks(machine) {
+	if len(machine.allocation.assignments) > 0 || machine.hasLiveTasks() {
 		view.emptySince = 0
 	} else if view.emptySince == 0 {
 		view.emptySince = c.now
@@ -270,7 +270,7 @@
 }
 
 // hasLiveTasks reports whether a machine's last heartbeat has a task that has not exited.
-func (c *Core) hasLiveTasks(m *machine) bool {
+func (m *machine) hasLiveTasks() bool {
 	for _, status := range m.status.tasks {
 		if status.state != wire.TaskExited {
 			return true
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -7,7 +7,17 @@
 	"time"
 )
 
-// fetchCatalog keeps the machine types; every controller needs them.
+const (
+	catalogRetryDelay  = 500 * time.Millisecond // after a failed read, plus jitter
+	catalogRetryJitter = time.Second
+	catalogInterval    = 45 * time.Second // between two reads, plus jitter
+	catalogJitter      = 15 * time.Second
+	unstoredInterval   = 5 * time.Second // the same until the leader has stored the catalog
+
+	maxMachineCPUs = 1e6 // a larger machine type is not believed
+)
+
+// fetchCatalog reads the machine types from the cloud when that is due, on every controller.
 func (c *Core) fetchCatalog() {
 	if c.autoscaler.catalogInFlight || c.now < c.autoscaler.nextCatalogAt {
 		return
@@ -17,12 +27,12 @@
 	c.autoscaler.calls[id] = func(in CloudResult) {
 		c.autoscaler.catalogInFlight = false
 		if in.Status != wire.StatusOK || in.Catalog == nil {
-			c.autoscaler.nextCatalogAt = c.now + 500*time.Millisecond + c.jitter(time.Second)
+			c.autoscaler.nextCatalogAt = c.now + catalogRetryDelay + c.jitter(catalogRetryJitter)
 			return
 		}
-		c.autoscaler.nextCatalogAt = c.now + 45*time.Second + c.jitter(15*time.Second)
+		c.autoscaler.nextCatalogAt = c.now + catalogInterval + c.jitter(catalogJitter)
 		if c.autoscaler.storedRevision == 0 {
-			c.autoscaler.nextCatalogAt = c.now + 5*time.Second // until the leader has kept it
+			c.autoscaler.nextCatalogAt = c.now + unstoredInterval
 		}
 		c.setCatalog(in.Catalog)
 		c.persistCatalog(in.Catalog)
@@ -30,45 +40,53 @@
 	c.emit(CloudRequest{ID: id, Op: CloudCatalog})
 }
 
-// setCatalog takes the machine types that make sense.
-func (c *Core) setCatalog(k *wire.Catalog) {
+// setCatalog takes over the valid machine types of a catalog; one without any is ignored.
+func (c *Core) setCatalog(catalog *wire.Catalog) {
 	next := map[string]*wire.MachineType{}
-	for i := range k.Types {
-		t := &k.Types[i]
-		if t.Name == "" || !(t.CPUs > 0) || t.CPUs > 1e6 || t.GPUs < 0 || !(t.MemoryGB > 0) || !(t.Price >= 0) {
-			c.log(LevelError, "machine type not understood", "type", t.Name)
+	for i := range catalog.Types {
+		machineType := &catalog.Types[i]
+		if !isValidMachineType(machineType) {
+			c.log(LevelError, "invalid machine type", "type", machineType.Name)
 			continue
 		}
-		next[t.Name] = t
+		next[machineType.Name] = machineType
 	}
 	if len(next) > 0 {
 		c.autoscaler.catalog, c.autoscaler.typeNames = next, sortedKeys(next)
 	}
 }
 
-// persistCatalog has the leader keep the machine types in the state service: a controller that
-// restarts while the cloud is down would otherwise serve nobody until it is back.
-func (c *Core) persistCatalog(k *wire.Catalog) {
+// isValidMachineType reports whether a machine type can be planned with.
+func isValidMachineType(t *wire.MachineType) bool {
+	return t.Name != "" && t.CPUs > 0 && t.CPUs <= maxMachineCPUs && !(t.GPUs < 0) &&
+		t.MemoryGB > 0 && t.Price >= 0
+}
+
+// persistCatalog has the leader store the catalog if it differs from the stored one: a controller that
+// restarts while the cloud is down could not serve before it is back otherwise.
+func (c *Core) persistCatalog(catalog *wire.Catalog) {
 	if c.leaderState == nil || c.autoscaler.storeInFlight || !c.holdsLease() {
 		return
 	}
-	same := slices.EqualFunc(k.Types, c.autoscaler.storedCatalog.Types, func(a, b wire.MachineType) bool {
-		return a.Name == b.Name && a.CPUs == b.CPUs && a.GPUs == b.GPUs && a.MemoryGB == b.MemoryGB &&
-			a.Price == b.Price &&
-			a.BootS == b.BootS &&
-			slices.Equal(a.Zones, b.Zones)
-	})
-	if same {
+	if slices.EqualFunc(catalog.Types, c.autoscaler.storedCatalog.Types, isSameMachineType) {
 		return
 	}
-	raw, err := jobrecord.EncodeCatalog(k, c.cfg.Store.MaxValueBytes, c.schemaVersion() >= schemaDependencies)
-	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-		return
+	maxBytes := c.cfg.Store.MaxValueBytes
+	raw, err := jobrecord.EncodeCatalog(catalog, maxBytes, c.schemaVersion() >= schemaDependencies)
+	if err != nil || len(raw) > maxBytes {
+		return // it is tried again with the next read
 	}
 	c.autoscaler.storeInFlight = true
-	t := wire.Txn{
+	txn := wire.Txn{
 		Compare: []wire.Compare{{Key: keyMachineTypes, Revision: c.autoscaler.storedRevision}},
 		Then:    []wire.Write{{Put: keyMachineTypes, Value: raw}},
 	}
-	c.commitTxn(t, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.autoscaler.storeInFlight = false }})
+	c.commitTxn(txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.autoscaler.storeInFlight = false }})
+}
+
+// isSameMachineType reports whether two machine types agree in what makes the leader store the catalog
+// again. The spot price, the local disk and the image pull rate do not.
+func isSameMachineType(a, b wire.MachineType) bool {
+	return a.Name == b.Name && a.CPUs == b.CPUs && a.GPUs == b.GPUs && a.MemoryGB == b.MemoryGB &&
+		a.Price == b.Price && a.BootS == b.BootS && slices.Equal(a.Zones, b.Zones)
 }
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -6,34 +6,59 @@
 	"time"
 )
 
+// scaleOutRequest is a request for machines, kept until the cloud has answered it.
 type scaleOutRequest struct {
 	request       wire.ScaleOutRequest
 	inFlight      bool
-	sent          bool // it may have been executed: only the same name may be asked again
+	sent          bool // it may have been executed: it is only repeated under its idempotency key
 	nextAttemptAt time.Duration
 }
 
+// noCapacity is the cloud's error text for a node group without machines; it comes with
+// wire.StatusUnavailable, which means that the cloud is down otherwise.
 const noCapacity = "no capacity"
 
-func (c *Core) callCloud(op CloudRequest, f func(CloudResult)) bool {
+const (
+	cloudBackoff        = 300 * time.Millisecond // after a refused or unanswered request, plus jitter of as much
+	cloudRetryDelay     = time.Second            // from an answer to the next attempt of the same request
+	nodeGroupBlockTime  = 10 * time.Second       // for a node group that had too few machines
+	maxMachineAge       = 1e9                    // seconds; an older age in the cloud's list is not believed
+	maxScaleInMachines  = 100                    // in one request
+	maxFailedPerScaleIn = 50                     // of maxScaleInMachines; leaves space for running machines
+)
+
+// callCloud sends a request if the budget of cloud requests and the back-off allow it, and reports
+// whether it did. The callback handles the answer, which may come after the leader's term has ended.
+func (c *Core) callCloud(request CloudRequest, callback func(CloudResult)) bool {
 	l := c.leaderState
 	if l.cloudCallBudget < 1 || c.now < l.cloudBackoffUntil {
 		return false
 	}
 	l.cloudCallBudget--
-	op.ID = c.nextID()
-	c.autoscaler.calls[op.ID] = func(in CloudResult) {
-		if c.leaderState == l && (in.Status == wire.StatusTooManyRequests || in.Status == wire.StatusNoAnswer || in.Status == wire.StatusUnavailable && in.Error != noCapacity) {
-			l.cloudBackoffUntil = c.now + 300*time.Millisecond + c.jitter(300*time.Millisecond)
+	request.ID = c.nextID()
+	c.autoscaler.calls[request.ID] = func(in CloudResult) {
+		if c.leaderState == l && in.isOverload() {
+			l.cloudBackoffUntil = c.now + cloudBackoff + c.jitter(cloudBackoff)
 		}
-		f(in)
+		callback(in)
 	}
-	c.emit(op)
+	c.emit(request)
 	return true
 }
 
-// listMachines reads the cloud's list of machines, a page a call: a large fleet takes several, and
-// the calls are few.
+// isOverload reports whether the cloud could not take any request just now.
+func (in *CloudResult) isOverload() bool {
+	switch in.Status {
+	case wire.StatusTooManyRequests, wire.StatusNoAnswer:
+		return true
+	case wire.StatusUnavailable:
+		return in.Error != noCapacity
+	}
+	return false
+}
+
+// listMachines reads a page of the cloud's list of machines when one is due. A large fleet takes
+// several pages, and the requests are few.
 func (c *Core) listMachines() {
 	l := c.leaderState
 	if l.listInFlight || c.now < l.nextListAt {
@@ -45,67 +70,70 @@
 		}
 		l.listInFlight = false
 		if in.Status != wire.StatusOK {
-			l.nextListAt = c.now + time.Second
+			l.nextListAt = c.now + cloudRetryDelay
 			return
 		}
-		l.nextListAt = c.now + c.cfg.Autoscaling.CloudListInterval
-		l.listAfter = ""
-		if n := len(in.Machines); in.More && n > 0 {
-			l.listAfter = in.Machines[n-1].Name
-			if !l.listComplete {
-				l.nextListAt = c.now
-			}
-		}
-		l.listComplete = l.listComplete || l.listAfter == ""
-		for _, e := range in.Machines {
-			m := c.internMachine(e.Name)
-			if m.lifecycle.gone {
-				continue
-			}
-			if m.identity.machineType == "" {
-				m.identity.machineType, m.identity.zone, m.identity.spot = e.Type, e.Zone, e.Spot
-			}
-			if m.identity.address == "" {
-				m.identity.address = e.Addr
-			}
-			if at := c.now - time.Duration(e.AgeS*float64(time.Second)); m.leaderView.rentedAt == 0 && e.AgeS >= 0 &&
-				e.AgeS < 1e9 {
-				m.leaderView.rentedAt = at
-			}
-			if e.Stage == wire.MachineFailed {
-				c.confirmGone(m)
-				m.leaderView.returnReason = "failed"
-				l.failedMachines = append(l.failedMachines, m.name)
-			}
+		l.advanceList(c.now, c.cfg.Autoscaling.CloudListInterval, &in)
+		for i := range in.Machines {
+			c.applyListedMachine(&in.Machines[i])
 		}
 	})
 }
 
-func (c *Core) markForReturn(m *machine, why string) {
-	if m.leaderView.returnReason == "" && !m.lifecycle.gone {
-		m.leaderView.returnReason = why
-		c.log(
-			LevelInfo,
-			"machine to be returned",
-			"machine",
-			m.name,
-			"type",
-			m.identity.machineType,
-			"zone",
-			m.identity.zone,
-			"spot",
-			m.identity.spot,
-			"why",
-			why,
-			"tasks",
-			len(m.allocation.assignments),
-			"quiet_ms",
-			(c.now - m.status.lastHeartbeatAt).Milliseconds(),
-		)
+// advanceList sets which page of the list is read next, and when: until the list was read completely
+// once, at once.
+func (l *leaderState) advanceList(now, interval time.Duration, in *CloudResult) {
+	l.nextListAt = now + interval
+	l.listAfter = ""
+	if n := len(in.Machines); in.More && n > 0 {
+		l.listAfter = in.Machines[n-1].Name
+		if !l.listComplete {
+			l.nextListAt = now
+		}
+	}
+	l.listComplete = l.listComplete || l.listAfter == ""
+}
+
+// applyListedMachine takes over what the cloud's list says of a machine, as far as it is not known.
+func (c *Core) applyListedMachine(listed *wire.Machine) {
+	target := c.internMachine(listed.Name)
+	if target.lifecycle.gone {
+		return
+	}
+	target.identity.setNodeGroup(nodeGroup{listed.Type, listed.Zone, listed.Spot})
+	if target.identity.address == "" {
+		target.identity.address = listed.Addr
+	}
+	if target.leaderView.rentedAt == 0 && listed.AgeS >= 0 && listed.AgeS < maxMachineAge {
+		target.leaderView.rentedAt = c.now - time.Duration(listed.AgeS*float64(time.Second))
+	}
+	if listed.Stage == wire.MachineFailed {
+		c.confirmGone(target)
+		target.leaderView.returnReason = "failed"
+		c.leaderState.failedMachines = append(c.leaderState.failedMachines, target.name)
+	}
+}
+
+// setNodeGroup sets a machine's type, zone and kind if they are not known.
+func (id *machineIdentity) setNodeGroup(group nodeGroup) {
+	if id.machineType == "" {
+		id.machineType, id.zone, id.spot = group.machineType, group.zone, group.spot
+	}
+}
+
+// markForReturn marks a machine to be returned to the cloud; the first reason stays.
+func (c *Core) markForReturn(m *machine, reason string) {
+	if m.leaderView.returnReason != "" || m.lifecycle.gone {
+		return
 	}
+	m.leaderView.returnReason = reason
+	c.log(LevelInfo, "returning machine", "machine", m.name, "type", m.identity.machineType,
+		"zone", m.identity.zone, "spot", m.identity.spot, "why", reason,
+		"tasks", len(m.allocation.assignments),
+		"quiet_ms", (c.now - m.status.lastHeartbeatAt).Milliseconds())
 }
 
-// confirmGone records and tells proof that a machine is gone.
+// confirmGone records and announces proof that a machine is gone.
 func (c *Core) confirmGone(m *machine) {
 	if m.lifecycle.gone {
 		return
@@ -114,104 +142,110 @@
 	c.leaderState.announceGone(m.name)
 }
 
-// returnMachines returns what must be returned, once at a time and again until it is confirmed.
+// returnMachines returns marked machines to the cloud, one request at a time and repeated until the
+// cloud confirms it: only that is proof that their tasks have ended.
 func (c *Core) returnMachines() {
 	l := c.leaderState
 	if l.returnInFlight {
 		return
 	}
-	// Replicas wait for the proof; those of a lost zone are many.
-	var due, later []*machine
-	for _, m := range c.aliveMachines {
-		switch {
-		case m.lifecycle.gone || m.leaderView.returnReason == "":
-		case c.busyHorizon(m) < unboundedHorizon:
-			later = append(later, m)
-		default:
-			due = append(due, m)
-		}
-	}
-	due = append(due, later...)
-	names := slices.Clone(l.failedMachines[:min(len(l.failedMachines), 50)])
-	for _, m := range due[:min(len(due), 100-len(names))] {
-		m.lifecycle.returnRequested = true
-		names = append(names, m.name)
+	names := slices.Clone(l.failedMachines[:min(len(l.failedMachines), maxFailedPerScaleIn)])
+	due := c.machinesToReturn()
+	for _, machine := range due[:min(len(due), maxScaleInMachines-len(names))] {
+		machine.lifecycle.returnRequested = true
+		names = append(names, machine.name)
 	}
 	if len(names) == 0 {
 		return
 	}
 	l.returnInFlight = c.callCloud(CloudRequest{Op: CloudScaleIn, MachineNames: names}, func(in CloudResult) {
-		if c.leaderState != l {
-			if in.Status == wire.StatusOK {
-				for _, n := range names {
-					c.markMachineGone(c.internMachine(n))
-				}
-			}
-			return
+		if c.leaderState == l {
+			l.returnInFlight = false
 		}
-		l.returnInFlight = false
-		if in.Status != wire.StatusOK {
-			return
+		if in.Status == wire.StatusOK {
+			c.confirmReturned(l, names)
+		}
+	})
+}
+
+// machinesToReturn lists the machines marked for return, those with services first: replicas wait for
+// the proof that they are gone, and a lost zone has many machines.
+func (c *Core) machinesToReturn() []*machine {
+	var due, later []*machine
+	for _, machine := range c.aliveMachines {
+		switch {
+		case machine.lifecycle.gone || machine.leaderView.returnReason == "":
+		case c.busyHorizon(machine) < unboundedHorizon:
+			later = append(later, machine)
+		default:
+			due = append(due, machine)
 		}
-		for _, n := range names {
-			c.confirmGone(c.internMachine(n))
+	}
+	return append(due, later...)
+}
+
+// confirmReturned records that returned machines are gone; it announces them if the term in which
+// they were returned still lasts.
+func (c *Core) confirmReturned(term *leaderState, names []string) {
+	if c.leaderState != term {
+		for _, name := range names {
+			c.markMachineGone(c.internMachine(name))
 		}
-		l.failedMachines = slices.DeleteFunc(
-			l.failedMachines,
-			func(n string) bool { return slices.Contains(names, n) },
-		)
+		return
+	}
+	for _, name := range names {
+		c.confirmGone(c.internMachine(name))
+	}
+	term.failedMachines = slices.DeleteFunc(term.failedMachines, func(name string) bool {
+		return slices.Contains(names, name)
 	})
 }
 
-// sendScaleOutRequests sends rental requests, each under its own name until it is answered.
+// sendScaleOutRequests sends the requests that are due, each under its idempotency key until it is
+// answered, as far as the budget of cloud requests goes.
 func (c *Core) sendScaleOutRequests() {
 	l := c.leaderState
 	for _, name := range sortedKeys(l.scaleOutRequests) {
-		r := l.scaleOutRequests[name]
-		if r.inFlight || c.now < r.nextAttemptAt {
+		pending := l.scaleOutRequests[name]
+		if pending.inFlight || c.now < pending.nextAttemptAt {
 			continue
 		}
-		r.inFlight = c.callCloud(CloudRequest{Op: CloudScaleOut, ScaleOut: r.request}, func(in CloudResult) {
-			r.inFlight = false
-			r.nextAttemptAt = c.now + time.Second
-			p := nodeGroup{r.request.Type, r.request.Zone, r.request.Spot}
-			switch {
-			case in.Status == wire.StatusOK:
-				delete(l.scaleOutRequests, name)
-				if len(in.MachineNames) < r.request.Count {
-					l.blockedUntil[p] = c.now + 10*time.Second
-				}
-				for _, n := range in.MachineNames {
-					m := c.internMachine(n)
-					if m.identity.machineType == "" {
-						m.identity.machineType, m.identity.zone, m.identity.spot = p.machineType, p.zone, p.spot
-					}
-					m.leaderView.rentedAt = c.now
-				}
-			case in.Status == wire.StatusUnavailable && in.Error == noCapacity, in.Status == wire.StatusBadRequest:
-				delete(l.scaleOutRequests, name)
-				l.blockedUntil[p] = c.now + 10*time.Second
-			}
+		cloudRequest := CloudRequest{Op: CloudScaleOut, ScaleOut: pending.request}
+		pending.inFlight = c.callCloud(cloudRequest, func(in CloudResult) {
+			c.handleScaleOutResult(l, pending, &in)
 		})
-		if !r.inFlight {
+		if !pending.inFlight {
 			return
 		}
-		if !r.sent {
-			r.sent = true
-			c.log(
-				LevelInfo,
-				"renting",
-				"hire",
-				name,
-				"type",
-				r.request.Type,
-				"zone",
-				r.request.Zone,
-				"spot",
-				r.request.Spot,
-				"count",
-				r.request.Count,
-			)
+		if !pending.sent {
+			pending.sent = true
+			request := &pending.request
+			c.log(LevelInfo, "scaling out", "hire", name, "type", request.Type, "zone", request.Zone,
+				"spot", request.Spot, "count", request.Count)
+		}
+	}
+}
+
+// handleScaleOutResult takes the answer to a scale-out request of a term. Without a definite answer,
+// the request is repeated.
+func (c *Core) handleScaleOutResult(term *leaderState, pending *scaleOutRequest, in *CloudResult) {
+	pending.inFlight = false
+	pending.nextAttemptAt = c.now + cloudRetryDelay
+	request := &pending.request
+	group := nodeGroup{request.Type, request.Zone, request.Spot}
+	switch {
+	case in.Status == wire.StatusOK:
+		delete(term.scaleOutRequests, request.IdempotencyKey)
+		if len(in.MachineNames) < request.Count {
+			term.blockedUntil[group] = c.now + nodeGroupBlockTime
+		}
+		for _, name := range in.MachineNames {
+			started := c.internMachine(name)
+			started.identity.setNodeGroup(group)
+			started.leaderView.rentedAt = c.now
 		}
+	case in.Status == wire.StatusUnavailable && in.Error == noCapacity, in.Status == wire.StatusBadRequest:
+		delete(term.scaleOutRequests, request.IdempotencyKey)
+		term.blockedUntil[group] = c.now + nodeGroupBlockTime
 	}
 }
--- a/core/leader.go
+++ b/core/leader.go
@@ -4,269 +4,311 @@
 	"dewlift/clusterstate"
 	"dewlift/core/allocation"
 	"dewlift/wire"
+	"maps"
 	"slices"
 	"time"
 )
 
-// nodeState is what the leader keeps about a machine.
+// nodeState is the leader's view of a machine; all but rentedAt begins anew with each term.
 type nodeState struct {
 	allocations      allocation.Tracker
-	lastDeltaAt      time.Duration          // when a tuple of it came last
-	rowComputedAt    time.Duration          // when its row was worked out last; 0: it has none
-	rentedAt         time.Duration          // when it was rented, by our clock; 0: not known
+	lastDeltaAt      time.Duration          // when an allocation delta for it last came
+	rowComputedAt    time.Duration          // when its row was last computed; 0: it has none
+	rentedAt         time.Duration          // when the cloud started it, by this clock; 0: not known
 	emptySince       time.Duration          // since when it has had no task; 0: it has some
-	cordonedAt       time.Duration          // since when it is being returned as idle; 0: it is not
-	offeredLast      bool                   // offered last: the rest of the machines has room enough
-	onDemandReserved clusterstate.Resources // room kept for work that may not use spot machines
+	cordonedAt       time.Duration          // when it was cordoned as idle; 0: it is not
+	offeredLast      bool                   // placement should prefer all other machines, so that it empties
+	onDemandReserved clusterstate.Resources // kept for work that may not use spot machines
 	returnReason     string                 // why it must be returned; "": it need not
-	zoneUnreachable  bool                   // it is quiet with most of its zone: others are to take its work over
+	zoneUnreachable  bool                   // silent with most of its zone: its tasks are to be replaced
 }
 
-// leaderState is the state of the leader's term: the array, and the dealings with the cloud.
+// leaderState is the state of one leader's term: the cluster state array, the autoscaler's plan and the
+// requests to the cloud.
 type leaderState struct {
 	fencingToken      uint64
 	leadingSince      time.Duration
 	array             *clusterstate.Array
-	ackedBatchSeqs    map[string]uint64
+	ackedBatchSeqs    map[string]uint64 // highest sequence number of allocation deltas, by controller
 	nextPushAt        time.Duration
 	lastPushAt        time.Duration
-	pushedRevision    uint64        // of the array, as it was pushed last; 0: not yet
-	nextFullPushAt    time.Duration // when the whole array is due again
+	pushedRevision    uint64        // revision of the array as of the last push; 0: none in this term
+	nextFullPushAt    time.Duration // when all rows are due again
 	nextPlanAt        time.Duration
 	nextPlanLogAt     time.Duration
 	nextListAt        time.Duration
-	listComplete      bool
+	listComplete      bool // all pages of the cloud's list were read once
 	listInFlight      bool
-	pollRequestRounds int    // rounds in which others were asked for quiet machines
+	pollRequestRounds int    // rounds in which peers were asked to poll silent machines
 	listAfter         string // the next page begins after this machine
 
-	scaleOutRequests   map[string]*scaleOutRequest
-	blockedUntil       map[nodeGroup]time.Duration
+	scaleOutRequests   map[string]*scaleOutRequest // by idempotency key
+	blockedUntil       map[nodeGroup]time.Duration // no scale-out of the group before
 	scaleOutSeq        int
-	cloudCallBudget    float64 // budget of cloud calls
+	cloudCallBudget    float64 // tokens, one for each cloud request
 	cloudCallBudgetAt  time.Duration
 	cloudBackoffUntil  time.Duration
 	returnInFlight     bool
-	goneMachines       []string // told with every whole array
-	newlyGone          []string // told with the next push
+	goneMachines       []string // announced with every full push
+	newlyGone          []string // announced with the next push
 	capacityHold       *CapacityHold
-	unmetJobs          int                     // jobs for which the last plan found no room
+	unmetJobs          int                     // jobs whose demand the last plan could not place at once
 	pendingPreemptions []PreemptedTask         // for the next push
-	lastPreemptedFor   map[int32]time.Duration // when room was last made for a job
-	failedMachines     []string                // failed machines that are still listed
+	lastPreemptedFor   map[int32]time.Duration // when tasks were last preempted for a job, by its index
+	failedMachines     []string                // failed machines that the cloud still lists
 	pushRequested      bool
 }
 
+const (
+	maxGoneAnnounced = 2000 // gone machines announced with a full push
+
+	// planningDelay is the time from the start of a term to its first plan.
+	planningDelay = 2 * time.Second
+
+	// pendingRowInterval is how often a row with pending deltas is recomputed: deltas can be lost.
+	pendingRowInterval = time.Second
+
+	// slowPushInterval is the push interval from which a new row waits for the regular push.
+	slowPushInterval = 3 * time.Second
+)
+
+// runLeader does what is due of the leader's work; on other controllers it only keeps the catalog.
 func (c *Core) runLeader() {
 	c.fetchCatalog()
-	if !c.isLeader() || !c.holdsLease() {
-		if !c.isLeader() {
-			c.leaderState = nil
-		}
+	if !c.isLeader() {
+		c.leaderState = nil
+		return
+	}
+	if !c.holdsLease() {
 		return
 	}
 	if c.leaderState == nil || c.leaderState.fencingToken != c.leadership.leader.FencingToken {
-		c.leaderState = &leaderState{
-			fencingToken:      c.leadership.leader.FencingToken,
-			leadingSince:      c.now,
-			array:             clusterstate.NewArray(),
-			ackedBatchSeqs:    map[string]uint64{},
-			scaleOutRequests:  map[string]*scaleOutRequest{},
-			lastPreemptedFor:  map[int32]time.Duration{},
-			blockedUntil:      map[nodeGroup]time.Duration{},
-			cloudCallBudgetAt: c.now,
-		}
-		for _, m := range c.aliveMachines {
-			r := m.leaderView.rentedAt
-			m.leaderView = nodeState{rentedAt: r}
-			c.addRowOnFirstHeartbeat(m)
-		}
-		c.log(LevelInfo, "leading", "token", c.leaderState.fencingToken)
+		c.startTerm()
 	}
 	l := c.leaderState
-	l.cloudCallBudget = min(
-		l.cloudCallBudget+(c.now-l.cloudCallBudgetAt).Seconds()*c.cfg.Autoscaling.CloudRequestRate,
-		c.cfg.Autoscaling.CloudRequestRate,
-	)
-	l.cloudCallBudgetAt = c.now
+	l.refillCloudCallBudget(c.now, c.cfg.Autoscaling.CloudRequestRate)
 	if c.autoscaler.catalog == nil {
 		return
 	}
 	if c.now >= l.nextPlanAt {
-		l.nextPlanAt = c.now + c.planInterval()
-		c.listMachines()
-		c.checkMachines()
-		if l.listComplete && c.now-l.leadingSince > 2*time.Second {
-			c.planScaling()
-			// there is nothing to rent, so the next plan is much like this one
-			if len(l.scaleOutRequests) == 0 && l.unmetJobs > manyUnmetJobs {
-				l.nextPlanAt += c.planInterval()
-			}
-		}
-		c.sendScaleOutRequests()
-		c.returnMachines()
+		c.runAutoscaler()
 	}
 	if c.now >= l.nextPushAt || l.pushRequested && c.now >= l.lastPushAt+c.cfg.State.MinPushInterval {
 		c.pushArray()
 	}
 }
 
-const maxGoneAnnounced = 2000 // machines whose end is told with every whole array
+// startTerm begins a term of this controller as the leader.
+func (c *Core) startTerm() {
+	c.leaderState = &leaderState{
+		fencingToken:      c.leadership.leader.FencingToken,
+		leadingSince:      c.now,
+		array:             clusterstate.NewArray(),
+		ackedBatchSeqs:    map[string]uint64{},
+		scaleOutRequests:  map[string]*scaleOutRequest{},
+		lastPreemptedFor:  map[int32]time.Duration{},
+		blockedUntil:      map[nodeGroup]time.Duration{},
+		cloudCallBudgetAt: c.now,
+	}
+	for _, machine := range c.aliveMachines {
+		machine.leaderView = nodeState{rentedAt: machine.leaderView.rentedAt}
+		c.addRowOnFirstHeartbeat(machine)
+	}
+	c.log(LevelInfo, "became leader", "token", c.leaderState.fencingToken)
+}
 
-// addRowOnFirstHeartbeat gives a machine a row at its first report.
+// refillCloudCallBudget adds the cloud requests allowed since the last refill, for a second at most.
+func (l *leaderState) refillCloudCallBudget(now time.Duration, rate float64) {
+	l.cloudCallBudget = min(l.cloudCallBudget+(now-l.cloudCallBudgetAt).Seconds()*rate, rate)
+	l.cloudCallBudgetAt = now
+}
+
+// runAutoscaler lists and checks the machines, plans scaling once the list is known, and sends what
+// follows to the cloud.
+func (c *Core) runAutoscaler() {
+	l := c.leaderState
+	l.nextPlanAt = c.now + c.planInterval()
+	c.listMachines()
+	c.checkMachines()
+	if l.listComplete && c.now-l.leadingSince > planningDelay {
+		c.planScaling()
+		// Nothing can be scaled out, so the next plan will be much the same.
+		if len(l.scaleOutRequests) == 0 && l.unmetJobs > manyUnmetJobs {
+			l.nextPlanAt += c.planInterval()
+		}
+	}
+	c.sendScaleOutRequests()
+	c.returnMachines()
+}
+
+// addRowOnFirstHeartbeat computes the row of a machine that has none, once it has sent a heartbeat.
 func (c *Core) addRowOnFirstHeartbeat(m *machine) {
 	if c.leaderState == nil || m.lifecycle.gone || !m.status.reported || m.leaderView.rowComputedAt != 0 ||
 		c.autoscaler.catalog == nil {
 		return
 	}
-	if c.recomputeRow(m) {
-		c.leaderState.pushRequested = c.leaderState.pushRequested || c.cfg.State.PushInterval < 3*time.Second
+	if c.recomputeRow(m) && c.cfg.State.PushInterval < slowPushInterval {
+		c.leaderState.pushRequested = true
 	}
 }
 
-// allocatedOn is the room taken on a machine, by the committed assignments and its report.
+// allocatedOn is the resources allocated on a machine: to its committed assignments, and to other
+// attempts that its heartbeat lists. It is cached until either changes.
 func (c *Core) allocatedOn(m *machine) clusterstate.Resources {
 	if m.allocation.known {
 		return m.allocation.allocated
 	}
-	var occ clusterstate.Resources
-	for k, a := range m.allocation.assignments {
-		if p := m.status.tasks[attemptKey{k.jobIndex, k.task, a.Attempt}]; p.state == wire.TaskExited {
-			continue // ended, only the write of it is not seen yet
+	var allocated clusterstate.Resources
+	for key, assignment := range m.allocation.assignments {
+		status := m.status.tasks[attemptKey{key.jobIndex, key.task, assignment.Attempt}]
+		if status.state == wire.TaskExited {
+			continue // ended; the watch has not shown the write of that yet
 		}
-		if s := c.jobs[k.jobIndex].record.Spec; s != nil {
-			occ = occ.AddScaled(s.Request, 1)
+		if spec := c.jobs[key.jobIndex].record.Spec; spec != nil {
+			allocated = allocated.AddScaled(spec.Request, 1)
 		}
 	}
 	known := true
-	for k, p := range m.status.tasks {
-		if p.state == wire.TaskExited {
+	for key, status := range m.status.tasks {
+		if status.state == wire.TaskExited || m.isAssigned(key) {
 			continue
 		}
-		if a, ok := m.allocation.assignments[taskKey{k.jobIndex, k.task}]; ok && a.Attempt == k.attempt {
-			continue
-		}
-		if r := c.jobs[k.jobIndex].record; r != nil && r.Spec != nil {
-			occ = occ.AddScaled(r.Spec.Request, 1)
+		if record := c.jobs[key.jobIndex].record; record != nil && record.Spec != nil {
+			allocated = allocated.AddScaled(record.Spec.Request, 1)
 		} else {
-			known = false // its job's record may come, without a change here
+			known = false // the job's record may still arrive, which does not invalidate this cache
 		}
 	}
-	m.allocation.allocated, m.allocation.known = occ, known
-	return occ
+	m.allocation.allocated, m.allocation.known = allocated, known
+	return allocated
+}
+
+// isAssigned reports whether an attempt is the one that the machine's committed assignment names.
+func (m *machine) isAssigned(key attemptKey) bool {
+	assignment, ok := m.allocation.assignments[taskKey{key.jobIndex, key.task}]
+	return ok && assignment.Attempt == key.attempt
 }
 
-// recomputeRow works out a machine's row.
+// recomputeRow computes a machine's row of the array; it is false if the machine type is not known.
 func (c *Core) recomputeRow(m *machine) bool {
-	t := c.autoscaler.catalog[m.identity.machineType]
-	if t == nil {
+	machineType := c.autoscaler.catalog[m.identity.machineType]
+	if machineType == nil {
 		return false
 	}
-	seen := make([]allocation.ObservedTask, 0, len(m.allocation.assignments))
-	for k, a := range m.allocation.assignments {
-		if s := c.jobs[k.jobIndex].record.Spec; s != nil {
-			seen = append(
-				seen,
-				allocation.ObservedTask{
-					AttemptKey: attemptHash(c.jobs[k.jobIndex].id, k.task, a.Attempt),
-					Request:    s.Request,
-				},
-			)
+	allocated := m.leaderView.allocations.Allocated(c.now, c.observedTasks(m))
+	c.leaderState.array.SetMachine(m.index, machineType.Capacity(), allocated, m.isOffered())
+	m.leaderView.rowComputedAt = max(1, c.now)
+	return true
+}
+
+// observedTasks lists the tasks that hold resources on a machine, as the store and its heartbeat show.
+func (c *Core) observedTasks(m *machine) []allocation.ObservedTask {
+	observed := make([]allocation.ObservedTask, 0, len(m.allocation.assignments))
+	for key, assignment := range m.allocation.assignments {
+		if spec := c.jobs[key.jobIndex].record.Spec; spec != nil {
+			observed = append(observed, allocation.ObservedTask{
+				AttemptKey: attemptHash(c.jobs[key.jobIndex].id, key.task, assignment.Attempt),
+				Request:    spec.Request,
+			})
 		}
 	}
-	for k, p := range m.status.tasks {
-		if a, ok := m.allocation.assignments[taskKey{k.jobIndex, k.task}]; ok && a.Attempt == k.attempt ||
-			p.state == wire.TaskExited {
+	for key, status := range m.status.tasks {
+		if status.state == wire.TaskExited || m.isAssigned(key) {
 			continue
 		}
-		if r := c.jobs[k.jobIndex].record; r != nil && r.Spec != nil {
-			seen = append(
-				seen,
-				allocation.ObservedTask{
-					AttemptKey: attemptHash(c.jobs[k.jobIndex].id, k.task, k.attempt),
-					Request:    r.Spec.Request,
-				},
-			)
+		if record := c.jobs[key.jobIndex].record; record != nil && record.Spec != nil {
+			observed = append(observed, allocation.ObservedTask{
+				AttemptKey: attemptHash(c.jobs[key.jobIndex].id, key.task, key.attempt),
+				Request:    record.Spec.Request,
+			})
 		}
 	}
-	c.leaderState.array.SetMachine(
-		m.index,
-		t.Capacity(),
-		m.leaderView.allocations.Allocated(c.now, seen),
-		c.isOffered(m),
-	)
-	m.leaderView.rowComputedAt = max(1, c.now)
-	return true
+	return observed
 }
 
-func (c *Core) isOffered(m *machine) bool {
-	return m.leaderView.cordonedAt == 0 && m.leaderView.returnReason == "" && m.lifecycle.interruptionDeadline == 0 &&
-		!m.lifecycle.returnRequested
+// isOffered reports whether new tasks may be placed on a machine, as far as the leader decides.
+func (m *machine) isOffered() bool {
+	return m.leaderView.cordonedAt == 0 && m.leaderView.returnReason == "" &&
+		m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested
 }
 
-// applyDeltas counts a controller's tuples.
-func (l *leaderState) applyDeltas(c *Core, from string, d *AllocationDeltas) {
-	if d.Seq <= l.ackedBatchSeqs[from] && d.Seq > 1 {
+// applyDeltas records a controller's allocation deltas; a repeated batch is ignored. Sequence number 1
+// is that of a controller that has restarted.
+func (l *leaderState) applyDeltas(c *Core, from string, batch *AllocationDeltas) {
+	if batch.Seq <= l.ackedBatchSeqs[from] && batch.Seq > 1 {
 		return
 	}
-	l.ackedBatchSeqs[from] = d.Seq
-	for _, t := range d.Deltas {
-		m := c.internMachine(t.Machine)
-		m.leaderView.lastDeltaAt = c.now
-		m.leaderView.allocations.RecordDelta(c.now, t.Start, t.AttemptHash, t.Request)
+	l.ackedBatchSeqs[from] = batch.Seq
+	for _, delta := range batch.Deltas {
+		target := c.internMachine(delta.Machine)
+		target.leaderView.lastDeltaAt = c.now
+		target.leaderView.allocations.RecordDelta(c.now, delta.Start, delta.AttemptHash, delta.Request)
 	}
 }
 
-// pushArray sends the array to all controllers: the rows that changed since the last push, and from
-// time to time all of them.
+// pushArray sends the array to all controllers, itself included: the rows that changed since the last
+// push, and all of them once in a full push interval.
 func (c *Core) pushArray() {
 	l := c.leaderState
 	l.nextPushAt, l.pushRequested, l.lastPushAt = c.now+c.cfg.State.PushInterval, false, c.now
-	for _, m := range c.aliveMachines {
-		if m.lifecycle.gone || !m.status.reported {
-			continue
-		}
-		// Tuples can be lost: a row with open ones is worked out again now and then.
-		if last := max(m.leaderView.lastDeltaAt, m.status.lastChangeAt); last >= m.leaderView.rowComputedAt ||
-			m.leaderView.allocations.HasPending() && c.now-m.leaderView.rowComputedAt > time.Second {
-			c.recomputeRow(m)
-		}
-		l.array.SetOffer(m.index, c.isOffered(m), m.leaderView.offeredLast, m.leaderView.onDemandReserved)
-	}
-	p := &StatePush{FencingToken: l.fencingToken, DeltaAcks: map[string]uint64{}, AfterRevision: l.pushedRevision}
-	for k, v := range l.ackedBatchSeqs {
-		p.DeltaAcks[k] = v
+	c.refreshRows()
+	push := &StatePush{
+		FencingToken:  l.fencingToken,
+		DeltaAcks:     make(map[string]uint64, len(l.ackedBatchSeqs)),
+		AfterRevision: l.pushedRevision,
 	}
-	p.GoneMachines, l.newlyGone = l.newlyGone, nil
+	maps.Copy(push.DeltaAcks, l.ackedBatchSeqs)
+	push.GoneMachines, l.newlyGone = l.newlyGone, nil
 	if c.now >= l.nextFullPushAt || l.pushedRevision == 0 {
-		p.AfterRevision = 0
+		push.AfterRevision = 0
 		l.nextFullPushAt = c.now + c.cfg.State.FullPushInterval
 		l.goneMachines = l.goneMachines[max(0, len(l.goneMachines)-maxGoneAnnounced):]
-		p.GoneMachines = slices.Clone(l.goneMachines)
+		push.GoneMachines = slices.Clone(l.goneMachines)
+	}
+	rows, revision := l.array.ChangedSince(push.AfterRevision)
+	push.Revision, l.pushedRevision = revision, revision
+	push.Rows = c.machineCapacities(rows)
+	push.Preempted, l.pendingPreemptions = l.pendingPreemptions, nil
+	push.CapacityHold = l.capacityHold
+	c.sendToPeers("", Message{StatePush: push})
+	c.applyPush(push)
+}
+
+// refreshRows recomputes the rows of machines that have changed, and sets what all are offered as.
+func (c *Core) refreshRows() {
+	for _, machine := range c.aliveMachines {
+		if machine.lifecycle.gone || !machine.status.reported {
+			continue
+		}
+		view := &machine.leaderView
+		if max(view.lastDeltaAt, machine.status.lastChangeAt) >= view.rowComputedAt ||
+			view.allocations.HasPending() && c.now-view.rowComputedAt > pendingRowInterval {
+			c.recomputeRow(machine)
+		}
+		c.leaderState.array.SetOffer(machine.index, machine.isOffered(), view.offeredLast, view.onDemandReserved)
 	}
-	rows, rev := l.array.ChangedSince(p.AfterRevision)
-	p.Revision, l.pushedRevision = rev, rev
-	for _, r := range rows {
-		m := c.machines[r.Machine]
-		p.Rows = append(p.Rows, MachineCapacity{
-			Machine:       m.name,
-			Type:          m.identity.machineType,
-			Zone:          m.identity.zone,
-			Spot:          m.identity.spot,
-			Available:     r.Available,
-			Allocated:     r.Allocated,
-			Reserved:      r.Reserved,
-			OfferedLast:   r.OfferedLast,
-			Unschedulable: !r.Schedulable,
+}
+
+// machineCapacities translates rows of the array for a push.
+func (c *Core) machineCapacities(rows []clusterstate.Row) (capacities []MachineCapacity) {
+	for _, row := range rows {
+		machine := c.machines[row.Machine]
+		capacities = append(capacities, MachineCapacity{
+			Machine:       machine.name,
+			Type:          machine.identity.machineType,
+			Zone:          machine.identity.zone,
+			Spot:          machine.identity.spot,
+			Available:     row.Available,
+			Allocated:     row.Allocated,
+			Reserved:      row.Reserved,
+			OfferedLast:   row.OfferedLast,
+			Unschedulable: !row.Schedulable,
 		})
 	}
-	p.Preempted, l.pendingPreemptions = l.pendingPreemptions, nil
-	p.CapacityHold = l.capacityHold
-	c.sendToPeers("", Message{StatePush: p})
-	c.applyPush(p)
+	return capacities
 }
 
-// announceGone has the others told that a machine is gone.
+// announceGone has the other controllers told with the next pushes that a machine is gone.
 func (l *leaderState) announceGone(name string) {
 	l.goneMachines = append(l.goneMachines, name)
 	l.newlyGone = append(l.newlyGone, name)
