--- a/core/jobrecord/pack.go
+++ b/core/jobrecord/pack.go
@@ -9,89 +9,97 @@
 	"strconv"
 )
 
-// A packed record holds its lists column by column as differences between neighbours, which
-// are mostly the same small numbers, and compressed: a job of 500 tasks on as many machines takes
-// about a kilobyte. Records that fit a value as they are stay readable.
+// A packed record stores its lists column by column as differences between neighbours, which are
+// mostly the same small numbers, and compresses them: a job of 500 tasks on 500 machines takes about
+// a kilobyte. Records that fit a value unpacked stay readable JSON.
 
-var errMalformedLists = errors.New("packed lists do not fit together")
+// errMalformedLists is the error of packed lists that are truncated or contradict each other.
+var errMalformedLists = errors.New("malformed packed lists")
 
-// maxUnpackedBytes bounds what a packed value may expand to.
+// maxUnpackedBytes bounds the expansion of a packed value, so that a damaged one can't exhaust memory.
 const maxUnpackedBytes = 4 << 20
 
-// packLists moves a record's lists into Packed.
+// packLists moves the record's lists into PackedLists. The record's Spec is copied, not modified.
 func (r *Record) packLists() error {
-	var p listPacker
-	p.putCount(len(r.Assignments))
+	var packer listPacker
+	packer.putCount(len(r.Assignments))
 	for i := range r.Assignments {
-		p.putGroup(&r.Assignments[i])
+		packer.putGroup(&r.Assignments[i])
 	}
-	p.putTaskSet(r.CompletedTasks)
+	packer.putTaskSet(r.CompletedTasks)
 	r.Assignments, r.CompletedTasks = nil, nil
 	if r.Spec != nil {
-		p.putNames(r.Spec.Dependencies)
-		s := *r.Spec
-		s.Dependencies = nil
-		r.Spec = &s
+		packer.putNames(r.Spec.Dependencies)
+		spec := *r.Spec
+		spec.Dependencies = nil
+		r.Spec = &spec
 	}
 	var err error
-	r.PackedLists, err = compress.Deflate(p.buf)
-	return err
+	r.PackedLists, err = compress.Deflate(packer.buf)
+	if err != nil {
+		return fmt.Errorf("pack lists: %w", err)
+	}
+	return nil
 }
 
-// unpackLists is the reverse of packAll.
+// unpackLists is the reverse of packLists.
 func (r *Record) unpackLists() error {
 	raw, err := compress.Inflate(r.PackedLists, maxUnpackedBytes)
 	if err != nil {
-		return err
+		return fmt.Errorf("unpack lists: %w", err)
 	}
-	u := listUnpacker{remaining: raw}
-	n := u.readCount()
-	for i := 0; i < n && !u.malformed; i++ {
-		r.Assignments = append(r.Assignments, u.readGroup())
+	unpacker := listUnpacker{remaining: raw}
+	groups := unpacker.readCount()
+	for i := 0; i < groups && !unpacker.malformed; i++ {
+		r.Assignments = append(r.Assignments, unpacker.readGroup())
 	}
-	r.CompletedTasks = u.readTaskSet()
+	r.CompletedTasks = unpacker.readTaskSet()
 	if r.Spec != nil {
-		r.Spec.Dependencies = u.readNames()
+		r.Spec.Dependencies = unpacker.readNames()
 	}
-	if u.malformed || len(u.remaining) > 0 {
+	if unpacker.malformed || len(unpacker.remaining) > 0 {
 		return errMalformedLists
 	}
 	r.PackedLists = nil
 	return nil
 }
 
+// listPacker appends lists to a buffer as variable-length numbers.
 type listPacker struct{ buf []byte }
 
 func (p *listPacker) putUint(v uint64)   { p.buf = binary.AppendUvarint(p.buf, v) }
 func (p *listPacker) putCount(v int)     { p.putUint(uint64(v)) }
 func (p *listPacker) putString(s string) { p.putCount(len(s)); p.buf = append(p.buf, s...) }
 
-// putDelta writes a number as its difference from another, which wraps around.
+// putDelta writes a number as its difference from another; the difference may wrap around.
 func (p *listPacker) putDelta(v, from uint64) { p.buf = binary.AppendVarint(p.buf, int64(v-from)) }
 
-// putNames writes what each name shares with the one before it, and the rest.
-func (p *listPacker) putNames(list []string) {
-	p.putCount(len(list))
+// putNames writes for each name the length of the prefix shared with the previous one, and the rest.
+func (p *listPacker) putNames(names []string) {
+	p.putCount(len(names))
 	last := ""
-	for _, s := range list {
-		n := 0
-		for n < min(len(s), len(last)) && s[n] == last[n] {
-			n++
+	for _, name := range names {
+		shared := 0
+		for shared < min(len(name), len(last)) && name[shared] == last[shared] {
+			shared++
 		}
-		p.putCount(n)
-		p.putString(s[n:])
-		last = s
+		p.putCount(shared)
+		p.putString(name[shared:])
+		last = name
 	}
 }
 
-// decimalWidth is the length of the names if all are decimal numbers of one length; else 0.
+// maxDecimalWidth is the most digits of which every number fits 64 bits, also as a signed difference.
+const maxDecimalWidth = 18
+
+// decimalWidth returns the length of the names if all are decimal numbers of the same length, else 0.
 func decimalWidth(names []string) int {
-	for _, s := range names {
-		if s == "" || len(s) > 18 || len(s) != len(names[0]) {
+	for _, name := range names {
+		if name == "" || len(name) > maxDecimalWidth || len(name) != len(names[0]) {
 			return 0
 		}
-		for i := range len(s) {
-			if s[i] < '0' || s[i] > '9' {
+		for i := range len(name) {
+			if name[i] < '0' || name[i] > '9' {
 				return 0
 			}
 		}
@@ -99,51 +107,64 @@
 	return len(names[0])
 }
 
-func (p *listPacker) putGroup(l *AssignmentGroup) {
-	p.putString(l.Zone)
-	p.putUint(l.Incarnation)
-	p.putString(l.NamePrefix)
-	width := decimalWidth(l.NameSuffixes)
+func (p *listPacker) putGroup(group *AssignmentGroup) {
+	p.putString(group.Zone)
+	p.putUint(group.Incarnation)
+	p.putString(group.NamePrefix)
+	p.putNameSuffixes(group.NameSuffixes)
+	for _, runs := range group.RunsPerMachine {
+		p.putCount(runs)
+	}
+	p.putTaskRuns(group.TaskRuns)
+}
+
+// putNameSuffixes writes the decimal width of the names and then their differences, or width 0 and
+// the names themselves.
+func (p *listPacker) putNameSuffixes(suffixes []string) {
+	width := decimalWidth(suffixes)
 	p.putCount(width)
 	if width == 0 {
-		p.putNames(l.NameSuffixes)
-	} else {
-		p.putCount(len(l.NameSuffixes))
-		last := uint64(0)
-		for _, s := range l.NameSuffixes {
-			v, err := strconv.ParseUint(s, 10, 64)
-			if err != nil {
-				panic(err) // up to 18 digits
-			}
-			p.putDelta(v, last)
-			last = v
-		}
+		p.putNames(suffixes)
+		return
 	}
-	for _, n := range l.RunsPerMachine {
-		p.putCount(n)
+	p.putCount(len(suffixes))
+	last := uint64(0)
+	for _, suffix := range suffixes {
+		v, err := strconv.ParseUint(suffix, 10, 64)
+		if err != nil {
+			panic(err) // impossible: decimalWidth admits only numbers that fit
+		}
+		p.putDelta(v, last)
+		last = v
 	}
-	for i := 2; i < len(l.TaskRuns); i += 3 {
-		p.putUint(l.TaskRuns[i])
+}
+
+// putTaskRuns writes the lengths of all runs, then the first tasks, then the first attempts, the
+// latter two as differences from the end of the previous run.
+func (p *listPacker) putTaskRuns(runs []uint64) {
+	for i := 2; i < len(runs); i += runFields {
+		p.putUint(runs[i])
 	}
-	for col := range 2 { // first tasks, then attempts, each from where the run before it ended
+	for column := range 2 {
 		last := uint64(0)
-		for i := 0; i < len(l.TaskRuns); i += 3 {
-			p.putDelta(l.TaskRuns[i+col], last)
-			last = l.TaskRuns[i+col] + l.TaskRuns[i+2]
+		for i := 0; i < len(runs); i += runFields {
+			p.putDelta(runs[i+column], last)
+			last = runs[i+column] + runs[i+2]
 		}
 	}
 }
 
-func (p *listPacker) putTaskSet(r TaskSet) {
-	p.putCount(len(r))
+func (p *listPacker) putTaskSet(set TaskSet) {
+	p.putCount(len(set))
 	last := uint64(0)
-	for _, v := range r {
+	for _, v := range set {
 		p.putDelta(uint64(v), last)
 		last = uint64(v)
 	}
 }
 
-// listUnpacker reads what a packer wrote; bad is set once it does not fit together.
+// listUnpacker reads what a listPacker wrote. malformed is set at the first inconsistency; after that
+// the values returned are meaningless, and readers stop.
 type listUnpacker struct {
 	remaining []byte
 	malformed bool
@@ -159,7 +180,8 @@
 	return v
 }
 
-// readCount is a number of things that follow, each a byte at least, or a small number.
+// readCount reads a number of items that follow, or another small number. It is bounded, so that a
+// damaged count can't make a reader allocate without limit.
 func (u *listUnpacker) readCount() int {
 	v := u.readUint()
 	if v > wire.MaxTasksPerJob {
@@ -194,50 +216,63 @@
 	var out []string
 	last := ""
 	for n := u.readCount(); n > 0 && !u.malformed; n-- {
-		k := u.readCount()
-		if k > len(last) {
+		shared := u.readCount()
+		if shared > len(last) {
 			u.malformed = true
 			return nil
 		}
-		last = last[:k] + u.readString()
+		last = last[:shared] + u.readString()
 		out = append(out, last)
 	}
 	return out
 }
 
 func (u *listUnpacker) readGroup() AssignmentGroup {
-	l := AssignmentGroup{Zone: u.readString(), Incarnation: u.readUint(), NamePrefix: u.readString()}
-	if width := u.readCount(); width == 0 {
-		l.NameSuffixes = u.readNames()
-	} else {
-		last := uint64(0)
-		for n := u.readCount(); n > 0 && !u.malformed; n-- {
-			last = u.readDelta(last)
-			l.NameSuffixes = append(l.NameSuffixes, fmt.Sprintf("%0*d", min(width, 18), last))
-		}
-	}
+	group := AssignmentGroup{Zone: u.readString(), Incarnation: u.readUint(), NamePrefix: u.readString()}
+	group.NameSuffixes = u.readNameSuffixes()
 	runs := 0
-	for range l.NameSuffixes {
+	for range group.NameSuffixes {
 		n := u.readCount()
-		l.RunsPerMachine = append(l.RunsPerMachine, n)
+		group.RunsPerMachine = append(group.RunsPerMachine, n)
 		runs += n
 	}
-	if u.malformed || 3*runs > len(u.remaining) {
+	if u.malformed || runFields*runs > len(u.remaining) { // each number takes a byte at least
 		u.malformed = true
-		return l
+		return group
+	}
+	group.TaskRuns = u.readTaskRuns(runs)
+	return group
+}
+
+// readNameSuffixes is the reverse of putNameSuffixes.
+func (u *listUnpacker) readNameSuffixes() []string {
+	width := u.readCount()
+	if width == 0 {
+		return u.readNames()
 	}
-	l.TaskRuns = make([]uint64, 3*runs)
-	for i := 2; i < len(l.TaskRuns); i += 3 {
-		l.TaskRuns[i] = u.readUint()
+	var out []string
+	last := uint64(0)
+	for n := u.readCount(); n > 0 && !u.malformed; n-- {
+		last = u.readDelta(last)
+		out = append(out, fmt.Sprintf("%0*d", min(width, maxDecimalWidth), last))
+	}
+	return out
+}
+
+// readTaskRuns is the reverse of putTaskRuns.
+func (u *listUnpacker) readTaskRuns(count int) []uint64 {
+	runs := make([]uint64, runFields*count)
+	for i := 2; i < len(runs); i += runFields {
+		runs[i] = u.readUint()
 	}
-	for col := range 2 {
+	for column := range 2 {
 		last := uint64(0)
-		for i := 0; i < len(l.TaskRuns); i += 3 {
-			l.TaskRuns[i+col] = u.readDelta(last)
-			last = l.TaskRuns[i+col] + l.TaskRuns[i+2]
+		for i := 0; i < len(runs); i += runFields {
+			runs[i+column] = u.readDelta(last)
+			last = runs[i+column] + runs[i+2]
 		}
 	}
-	return l
+	return runs
 }
 
 func (u *listUnpacker) readTaskSet() TaskSet {
--- a/core/jobrecord/record.go
+++ b/core/jobrecord/record.go
@@ -1,6 +1,7 @@
-// Package jobrecord is what the state service holds of jobs: their records, in all forms, and how
-// values are packed. It knows no controller: machines are dense indices, and names only where a
-// record is written or read.
+// Package jobrecord defines how jobs are stored in the key-value store: the job record in all its
+// schema versions, and the encoding of large values. It decides only representation. It owns no
+// state and may not depend on the scheduler: machines are dense indices chosen by the caller, and
+// machine names appear only when a record is encoded or decoded.
 package jobrecord
 
 import (
@@ -9,6 +10,7 @@
 	"dewlift/audit"
 	"dewlift/wire"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strconv"
@@ -16,72 +18,80 @@
 	"unicode/utf8"
 )
 
-// Stages of a job in its record.
+// Stages of a job, as stored in [Record.Stage].
 const (
 	Queued    = ""
 	Done      = "d"
 	Cancelled = "c"
 )
 
-// Record is a job as the state service holds it.
+// Record is the stored form of a job. The JSON keys are the stored format and must not change;
+// fields that came with a later schema version are optional.
 type Record struct {
 	Shard          int                  `json:"h"`
 	Stage          string               `json:"st,omitempty"`
-	Spec           *wire.JobSpec        `json:"s,omitempty"` // absent once the job is over
+	Spec           *wire.JobSpec        `json:"s,omitempty"` // absent once the job has ended
 	Assignments    []AssignmentGroup    `json:"a,omitempty"`
 	CompletedTasks TaskSet              `json:"d,omitempty"`
-	LastAttempt    uint64               `json:"t,omitempty"`  // highest attempt given out
-	AcceptedAtMS   int64                `json:"at,omitempty"` // time of day of acceptance
-	CancelledAtMS  int64                `json:"cm,omitempty"` // time of day of cancellation
+	LastAttempt    uint64               `json:"t,omitempty"`  // highest attempt number allocated
+	AcceptedAtMS   int64                `json:"at,omitempty"` // wall-clock time of acceptance
+	CancelledAtMS  int64                `json:"cm,omitempty"` // wall-clock time of cancellation
 	StopReasons    []StopReason         `json:"w,omitempty"`
-	Submitter      string               `json:"u,omitempty"`  // who submitted it, where there are rights
-	Team           string               `json:"gt,omitempty"` // of a job that is over, from form 3 on
-	Class          string               `json:"gc,omitempty"` // likewise
-	CancelledByJob string               `json:"by,omitempty"` // the cancelled job because of which this one is
-	PendingAudit   []audit.PendingEntry `json:"e,omitempty"`  // entries of the audit record, until they are in blocks
-	PackedLists    []byte               `json:"b,omitempty"`  // Place, Done and what the description awaits, packed
-	// that it was accepted into, where there is a list of lanes; from form 7 on
+	Submitter      string               `json:"u,omitempty"`  // submitting identity, if permissions are in force
+	Team           string               `json:"gt,omitempty"` // of an ended job, since schema version 3
+	Class          string               `json:"gc,omitempty"` // of an ended job, since schema version 3
+	CancelledByJob string               `json:"by,omitempty"` // cancelled dependency that caused the cancellation
+	PendingAudit   []audit.PendingEntry `json:"e,omitempty"`  // audit entries not yet written to a block
+	PackedLists    []byte               `json:"b,omitempty"`  // packed Assignments, CompletedTasks, Spec.Dependencies
+	// PriorityClass is the class the job was accepted into, if classes are configured; since schema
+	// version 7.
 	PriorityClass string `json:"ln,omitempty"`
-	// revision of its acceptance, which is its place in its lane; absent: that of this write
+	// EnqueueRevision is the revision of the job's acceptance, which orders the queue within its
+	// priority class. Absent: the revision of this write.
 	EnqueueRevision uint64 `json:"nr,omitempty"`
-	// of one that was restored: it comes before all that were accepted since, those with more first
+	// RestoreOrder is set on a restored job: it precedes all jobs accepted since the restore, a larger
+	// value before a smaller one.
 	RestoreOrder uint64 `json:"ob,omitempty"`
-	// number of this write of the job's key, from form 5 on; of a slot's entry, that on which it counts
+	// WriteNumber counts the writes of the job's key, since schema version 5; in an entry of a batch
+	// value, it is the number of the write that the entry builds on.
 	WriteNumber uint64 `json:"v,omitempty"`
 }
 
-// AssignmentGroup lists the tasks assigned to machines of one zone that are in the same session. Jobs
-// of hundreds of tasks fit a value because neighbours share what they have in common: the
-// beginning of the machines' names, and runs of tasks with consecutive numbers and attempts.
+// AssignmentGroup lists the tasks assigned to machines of one zone and one incarnation. Jobs of
+// hundreds of tasks fit a value because neighbours share common parts: the prefix of the machine
+// names, and runs of tasks with consecutive task and attempt numbers.
 type AssignmentGroup struct {
-	Zone           string   `json:"z"` // a new owner must know it before it has heard of the machine
+	Zone           string   `json:"z"` // a new shard owner needs it before the machine's first heartbeat
 	Incarnation    uint64   `json:"s"`
-	NamePrefix     string   `json:"p"` // of the machines' names
-	NameSuffixes   []string `json:"m"` // the rest of them
-	RunsPerMachine []int    `json:"n"` // how many runs each machine has
-	TaskRuns       []uint64 `json:"r"` // of each run: first task, its attempt, number of tasks
+	NamePrefix     string   `json:"p"` // common prefix of the machine names
+	NameSuffixes   []string `json:"m"` // rest of each machine name
+	RunsPerMachine []int    `json:"n"` // number of runs of each machine
+	TaskRuns       []uint64 `json:"r"` // three numbers a run: first task, its attempt, number of tasks
 }
 
-// forEachRun calls f for every run; false if the lists do not fit together.
-func (p *AssignmentGroup) forEachRun(f func(machine string, task, try, n uint64)) bool {
-	at := 0
-	if len(p.NameSuffixes) != len(p.RunsPerMachine) {
+// runFields is how many numbers describe a run in [AssignmentGroup.TaskRuns].
+const runFields = 3
+
+// forEachRun calls visit for every run and reports whether the lists are consistent.
+func (g *AssignmentGroup) forEachRun(visit func(machine string, task, attempt, tasks uint64)) bool {
+	next := 0
+	if len(g.NameSuffixes) != len(g.RunsPerMachine) {
 		return false
 	}
-	for i, name := range p.NameSuffixes {
-		for k := 0; k < p.RunsPerMachine[i]; k++ {
-			if at+3 > len(p.TaskRuns) || p.TaskRuns[at] >= wire.MaxTasksPerJob ||
-				p.TaskRuns[at+2] > wire.MaxTasksPerJob-p.TaskRuns[at] {
+	for i, suffix := range g.NameSuffixes {
+		for k := 0; k < g.RunsPerMachine[i]; k++ {
+			if next+runFields > len(g.TaskRuns) || g.TaskRuns[next] >= wire.MaxTasksPerJob ||
+				g.TaskRuns[next+2] > wire.MaxTasksPerJob-g.TaskRuns[next] {
 				return false
 			}
-			f(p.NamePrefix+name, p.TaskRuns[at], p.TaskRuns[at+1], p.TaskRuns[at+2])
-			at += 3
+			visit(g.NamePrefix+suffix, g.TaskRuns[next], g.TaskRuns[next+1], g.TaskRuns[next+2])
+			next += runFields
 		}
 	}
-	return at == len(p.TaskRuns)
+	return next == len(g.TaskRuns)
 }
 
-// StopReason tells why a task stopped; the time is of day, in ms.
+// StopReason records why a task stopped. AtMS is wall-clock time in milliseconds.
 type StopReason struct {
 	Task    int    `json:"i"`
 	Machine string `json:"m"`
@@ -89,24 +99,27 @@
 	AtMS    int64  `json:"t"`
 }
 
-const maxStopReasons = 4 // the last ones
+// maxStopReasons bounds the stop reasons kept in a record: the record must keep fitting a value.
+const maxStopReasons = 4
 
-// AddStopReason notes why a task stopped; of many only the last are kept. As long as nothing of a
-// job has completed, its errors outlast the other reasons: they tell that it was submitted with a
-// mistake.
-func (r *Record) AddStopReason(w StopReason) {
-	r.StopReasons = append(r.StopReasons, w)
+// AddStopReason records why a task stopped and keeps only the most recent reasons. While no task of
+// the job has completed, errors are kept in preference to other reasons: they show the submitter
+// that the job itself is faulty.
+func (r *Record) AddStopReason(reason StopReason) {
+	r.StopReasons = append(r.StopReasons, reason)
 	if len(r.StopReasons) <= maxStopReasons {
 		return
 	}
 	first := 0
 	if r.CompletedTasks.Count() == 0 {
-		first = max(0, slices.IndexFunc(r.StopReasons, func(w StopReason) bool { return w.Cause != wire.CauseError }))
+		first = max(0, slices.IndexFunc(r.StopReasons, isNotError))
 	}
 	r.StopReasons = slices.Delete(r.StopReasons, first, first+1)
 }
 
-// Assignment is a task's assignment. Machine is an index of its controller.
+func isNotError(reason StopReason) bool { return reason.Cause != wire.CauseError }
+
+// Assignment is the assignment of one task to a machine. Machine is the index chosen by the caller.
 type Assignment struct {
 	Task        int32
 	Machine     int32
@@ -114,10 +127,10 @@
 	Attempt     uint64
 }
 
-// TaskSet is a set of task numbers as inclusive pairs.
+// TaskSet is a set of task numbers, stored as inclusive ranges: first, last, first, last, and so on.
 type TaskSet []int
 
-// Count is how many numbers are in the set.
+// Count returns how many numbers are in the set.
 func (r TaskSet) Count() int {
 	n := 0
 	for i := 0; i+1 < len(r); i += 2 {
@@ -136,34 +149,34 @@
 	return false
 }
 
-// Add returns the set with v in it; the receiver stays as it was.
+// Add returns the set with v added. The receiver is not modified.
 func (r TaskSet) Add(v int) TaskSet {
 	if r.Contains(v) {
 		return r
 	}
 	out := make(TaskSet, 0, len(r)+2)
-	put := func(a, b int) {
-		if n := len(out); n > 0 && out[n-1]+1 >= a {
-			out[n-1] = max(out[n-1], b)
+	appendRange := func(first, last int) {
+		if n := len(out); n > 0 && out[n-1]+1 >= first {
+			out[n-1] = max(out[n-1], last)
 			return
 		}
-		out = append(out, a, b)
+		out = append(out, first, last)
 	}
-	done := false
+	added := false
 	for i := 0; i+1 < len(r); i += 2 {
-		if !done && v < r[i] {
-			put(v, v)
-			done = true
+		if !added && v < r[i] {
+			appendRange(v, v)
+			added = true
 		}
-		put(r[i], r[i+1])
+		appendRange(r[i], r[i+1])
 	}
-	if !done {
-		put(v, v)
+	if !added {
+		appendRange(v, v)
 	}
 	return out
 }
 
-// IsValid reports whether the pairs are in order, apart, and below a limit.
+// IsValid reports whether the ranges are ordered, disjoint and below limit.
 func (r TaskSet) IsValid(limit int) bool {
 	if len(r)%2 != 0 {
 		return false
@@ -178,45 +191,64 @@
 	return true
 }
 
-// Decode reads a record in any form.
+// ErrInvalid is the error of a record whose lists contradict each other.
+var ErrInvalid = errors.New("inconsistent lists")
+
+// Decode reads a record of any schema version, packed or not.
 func Decode(raw json.RawMessage) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(raw, &r); err != nil {
-		return nil, fmt.Errorf("job record: %w", err)
+		return nil, fmt.Errorf("decode job record: %w", err)
 	}
 	if r.PackedLists != nil {
 		if err := r.unpackLists(); err != nil {
-			return nil, fmt.Errorf("job record: %w", err)
+			return nil, fmt.Errorf("decode job record: %w", err)
 		}
 	}
 	if r.Spec != nil && !r.CompletedTasks.IsValid(r.Spec.Tasks) {
-		return nil, fmt.Errorf("job record: bad done set")
+		return nil, fmt.Errorf("decode job record: completed tasks: %w", ErrInvalid)
 	}
-	for _, p := range r.Assignments {
-		if !p.forEachRun(func(string, uint64, uint64, uint64) {}) {
-			return nil, fmt.Errorf("job record: bad assignments")
+	for _, group := range r.Assignments {
+		if !group.forEachRun(func(string, uint64, uint64, uint64) {}) {
+			return nil, fmt.Errorf("decode job record: assignments: %w", ErrInvalid)
 		}
 	}
 	return &r, nil
 }
 
-// MachineNames tells the name and zone of a machine.
+// MachineNames returns the name and zone of the machine with the given index.
 type MachineNames func(machine int32) (name, zone string)
 
-// Encode renders a record with the given assignments, packed or not.
-func Encode(r *Record, place []Assignment, packed bool, names MachineNames) (json.RawMessage, error) {
+// namedAssignment is an assignment with the stored name and zone of its machine.
+type namedAssignment struct {
+	Assignment
+	name, zone string
+}
+
+// Encode renders a record with the given assignments, with packed lists if packed is set.
+func Encode(r *Record, assignments []Assignment, packed bool, names MachineNames) (json.RawMessage, error) {
 	out := *r
-	out.Assignments = nil
-	type named struct {
-		Assignment
-		name, zone string
+	out.Assignments = groupAssignments(sortedAssignments(assignments, names))
+	if packed {
+		if err := out.packLists(); err != nil {
+			return nil, fmt.Errorf("encode job record: %w", err)
+		}
 	}
-	sorted := make([]named, len(place))
-	for i, a := range place {
-		name, zone := names(a.Machine)
-		sorted[i] = named{a, name, zone}
+	raw, err := json.Marshal(&out)
+	if err != nil {
+		return nil, fmt.Errorf("encode job record: %w", err)
 	}
-	slices.SortFunc(sorted, func(a, b named) int {
+	return raw, nil
+}
+
+// sortedAssignments orders assignments so that those which share a group, machine or run are adjacent.
+func sortedAssignments(assignments []Assignment, names MachineNames) []namedAssignment {
+	sorted := make([]namedAssignment, len(assignments))
+	for i, assignment := range assignments {
+		name, zone := names(assignment.Machine)
+		sorted[i] = namedAssignment{assignment, name, zone}
+	}
+	slices.SortFunc(sorted, func(a, b namedAssignment) int {
 		return cmp.Or(
 			cmp.Compare(a.zone, b.zone),
 			cmp.Compare(a.Incarnation, b.Incarnation),
@@ -224,83 +256,93 @@
 			cmp.Compare(a.Task, b.Task),
 		)
 	})
-	for i, a := range sorted {
-		if n := len(out.Assignments); n == 0 || out.Assignments[n-1].Zone != a.zone ||
-			out.Assignments[n-1].Incarnation != a.Incarnation {
-			out.Assignments = append(out.Assignments, AssignmentGroup{Zone: a.zone, Incarnation: a.Incarnation})
-		}
-		p := &out.Assignments[len(out.Assignments)-1]
-		same := len(p.NameSuffixes) > 0 && sorted[i-1].Machine == a.Machine
-		if !same {
-			p.NameSuffixes = append(p.NameSuffixes, a.name)
-			p.RunsPerMachine = append(p.RunsPerMachine, 0)
-		}
-		last := len(p.TaskRuns) - 3
-		if same && p.TaskRuns[last]+p.TaskRuns[last+2] == uint64(a.Task) &&
-			p.TaskRuns[last+1]+p.TaskRuns[last+2] == a.Attempt {
-			p.TaskRuns[last+2]++
-			continue
+	return sorted
+}
+
+// groupAssignments merges sorted assignments into groups of runs.
+func groupAssignments(sorted []namedAssignment) []AssignmentGroup {
+	var groups []AssignmentGroup
+	for i := range sorted {
+		assignment := &sorted[i]
+		if n := len(groups); n == 0 || groups[n-1].Zone != assignment.zone ||
+			groups[n-1].Incarnation != assignment.Incarnation {
+			groups = append(groups, AssignmentGroup{Zone: assignment.zone, Incarnation: assignment.Incarnation})
 		}
-		p.RunsPerMachine[len(p.RunsPerMachine)-1]++
-		p.TaskRuns = append(p.TaskRuns, uint64(a.Task), a.Attempt, 1)
+		group := &groups[len(groups)-1]
+		sameMachine := len(group.NameSuffixes) > 0 && sorted[i-1].Machine == assignment.Machine
+		group.appendTask(assignment, sameMachine)
 	}
-	for i := range out.Assignments {
-		out.Assignments[i].extractNamePrefix()
-	}
-	if packed {
-		if err := out.packLists(); err != nil {
-			return nil, fmt.Errorf("job record: %w", err)
-		}
+	for i := range groups {
+		groups[i].extractNamePrefix()
 	}
-	raw, err := json.Marshal(&out)
-	if err != nil {
-		return nil, fmt.Errorf("job record: %w", err)
+	return groups
+}
+
+// appendTask adds an assignment to the group. It extends the last run if that is on the same machine
+// and both its task and attempt numbers continue.
+func (g *AssignmentGroup) appendTask(assignment *namedAssignment, sameMachine bool) {
+	if !sameMachine {
+		g.NameSuffixes = append(g.NameSuffixes, assignment.name)
+		g.RunsPerMachine = append(g.RunsPerMachine, 0)
+	}
+	last := len(g.TaskRuns) - runFields
+	if sameMachine && g.TaskRuns[last]+g.TaskRuns[last+2] == uint64(assignment.Task) &&
+		g.TaskRuns[last+1]+g.TaskRuns[last+2] == assignment.Attempt {
+		g.TaskRuns[last+2]++
+		return
 	}
-	return raw, nil
+	g.RunsPerMachine[len(g.RunsPerMachine)-1]++
+	g.TaskRuns = append(g.TaskRuns, uint64(assignment.Task), assignment.Attempt, 1)
 }
 
-// extractNamePrefix takes what all names begin with out of them.
-func (p *AssignmentGroup) extractNamePrefix() {
-	n := len(p.NameSuffixes[0])
-	for _, name := range p.NameSuffixes {
-		for !strings.HasPrefix(name, p.NameSuffixes[0][:n]) {
+// extractNamePrefix moves the common prefix of all names to NamePrefix. The prefix ends between two
+// characters, because JSON would replace half a UTF-8 sequence.
+func (g *AssignmentGroup) extractNamePrefix() {
+	n := len(g.NameSuffixes[0])
+	for _, name := range g.NameSuffixes {
+		for !strings.HasPrefix(name, g.NameSuffixes[0][:n]) {
 			n--
 		}
 	}
-	for n > 0 && !utf8.RuneStart((p.NameSuffixes[0] + "x")[n]) {
+	for n > 0 && !utf8.RuneStart((g.NameSuffixes[0] + "x")[n]) {
 		n--
 	}
-	p.NamePrefix = p.NameSuffixes[0][:n]
-	for i := range p.NameSuffixes {
-		p.NameSuffixes[i] = p.NameSuffixes[i][n:]
+	g.NamePrefix = g.NameSuffixes[0][:n]
+	for i := range g.NameSuffixes {
+		g.NameSuffixes[i] = g.NameSuffixes[i][n:]
 	}
 }
 
-// MaxGrowth is by how much a record with these assignments can grow while they end one by one:
-// at worst every other task of a run ends first, which leaves a run and a done range for each.
-func (r *Record) MaxGrowth(place []Assignment) int {
+// MaxGrowth returns by how many bytes a record with these assignments can grow while its tasks end
+// one by one. In the worst case every second task of a run ends first, which leaves one run and one
+// completed range for each task.
+func (r *Record) MaxGrowth(assignments []Assignment) int {
 	if r.Spec == nil || r.Spec.Service {
 		return 0
 	}
-	return len(place) * (2*len(strconv.FormatUint(max(r.LastAttempt, uint64(r.Spec.Tasks)), 10)) + 3)
+	digits := len(strconv.FormatUint(max(r.LastAttempt, uint64(r.Spec.Tasks)), 10))
+	const separators = 3 // bytes
+	return len(assignments) * (2*digits + separators)
 }
 
-// ExpandAssignments lists a record's assignments; seat is the index of a machine by its name, and is told the zone.
-func (r *Record) ExpandAssignments(seat func(name, zone string) int32) []Assignment {
+// ExpandAssignments lists the record's assignments, one for each task. machineIndex returns the
+// caller's index of the machine with the given name and zone.
+func (r *Record) ExpandAssignments(machineIndex func(name, zone string) int32) []Assignment {
 	var out []Assignment
 	for i := range r.Assignments {
-		p := &r.Assignments[i]
-		p.forEachRun(func(name string, task, try, n uint64) {
-			machine := seat(name, p.Zone)
-			for k := range n {
-				out = append(out, Assignment{int32(task + k), machine, p.Incarnation, try + k})
+		group := &r.Assignments[i]
+		group.forEachRun(func(name string, task, attempt, tasks uint64) {
+			machine := machineIndex(name, group.Zone)
+			for k := range tasks {
+				out = append(out, Assignment{int32(task + k), machine, group.Incarnation, attempt + k})
 			}
 		})
 	}
 	return out
 }
 
-// TeamAndClass is the team and class that a job's readers need a grant for; "" if that is not known any more.
+// TeamAndClass returns the team and class that readers of the job need a grant for; both are empty
+// if they are no longer known.
 func (r *Record) TeamAndClass() (team, class string) {
 	if r.Spec != nil {
 		return r.Spec.Team, r.Spec.Class
@@ -308,48 +350,54 @@
 	return r.Team, r.Class
 }
 
-// UnassignedTasks lists up to limit tasks that are neither done nor assigned, lowest first, so that
-// the done set stays a few ranges.
-func (r *Record) UnassignedTasks(place []Assignment, limit int) []int32 {
-	have := make(map[int32]bool, len(place))
-	for _, a := range place {
-		have[a.Task] = true
+// UnassignedTasks lists up to limit tasks that are neither completed nor assigned, lowest first, so
+// that the completed set stays a few ranges.
+func (r *Record) UnassignedTasks(assignments []Assignment, limit int) []int32 {
+	assigned := make(map[int32]bool, len(assignments))
+	for _, assignment := range assignments {
+		assigned[assignment.Task] = true
 	}
 	var out []int32
-	d := 0
-	for t := 0; t < r.Spec.Tasks && len(out) < limit; t++ {
-		for d+1 < len(r.CompletedTasks) && t > r.CompletedTasks[d+1] {
-			d += 2
+	completed := 0 // index of the first range that does not end before the task
+	for task := 0; task < r.Spec.Tasks && len(out) < limit; task++ {
+		for completed+1 < len(r.CompletedTasks) && task > r.CompletedTasks[completed+1] {
+			completed += 2
 		}
-		if d+1 < len(r.CompletedTasks) && t >= r.CompletedTasks[d] {
-			t = r.CompletedTasks[d+1]
+		if completed+1 < len(r.CompletedTasks) && task >= r.CompletedTasks[completed] {
+			task = r.CompletedTasks[completed+1]
 			continue
 		}
-		if !have[int32(t)] {
-			out = append(out, int32(t))
+		if !assigned[int32(task)] {
+			out = append(out, int32(task))
 		}
 	}
 	return out
 }
 
-// FromArchive is the record of a job of a shard that is archived.
-func FromArchive(e archive.Entry, shard int) *Record {
-	r := &Record{Shard: shard, Stage: Done, CancelledByJob: e.CancelledByJob, Team: e.Team, Class: e.Class}
-	if e.Cancelled {
+// FromArchive returns the record of an archived job of the given shard.
+func FromArchive(entry archive.Entry, shard int) *Record {
+	r := &Record{
+		Shard:          shard,
+		Stage:          Done,
+		CancelledByJob: entry.CancelledByJob,
+		Team:           entry.Team,
+		Class:          entry.Class,
+	}
+	if entry.Cancelled {
 		r.Stage = Cancelled
 	}
-	if e.CompletedTasks > 0 {
-		r.CompletedTasks = TaskSet{0, e.CompletedTasks - 1}
+	if entry.CompletedTasks > 0 {
+		r.CompletedTasks = TaskSet{0, entry.CompletedTasks - 1}
 	}
-	for _, w := range e.StopReasons {
-		r.StopReasons = append(r.StopReasons, StopReason(w))
+	for _, reason := range entry.StopReasons {
+		r.StopReasons = append(r.StopReasons, StopReason(reason))
 	}
 	return r
 }
 
-// ToArchive is what is archived of an ended job's record.
+// ToArchive returns what is archived of an ended job's record.
 func (r *Record) ToArchive(id string) archive.Entry {
-	e := archive.Entry{
+	entry := archive.Entry{
 		ID:             id,
 		Cancelled:      r.Stage == Cancelled,
 		CompletedTasks: r.CompletedTasks.Count(),
@@ -357,8 +405,8 @@
 		Team:           r.Team,
 		Class:          r.Class,
 	}
-	for _, w := range r.StopReasons {
-		e.StopReasons = append(e.StopReasons, archive.StopReason(w))
+	for _, reason := range r.StopReasons {
+		entry.StopReasons = append(entry.StopReasons, archive.StopReason(reason))
 	}
-	return e
+	return entry
 }
--- a/core/jobrecord/record_test.go
+++ b/core/jobrecord/record_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// A packed value that was damaged is an error, never a crash.
+// A damaged packed value must be reported as an error and must not crash the controller.
 func TestDamagedPackedRecordIsAnError(t *testing.T) {
 	r := &Record{
 		Assignments: []AssignmentGroup{
@@ -39,13 +39,13 @@
 		!reflect.DeepEqual(*r.Spec, wantSpec) {
 		t.Fatalf("got %+v %+v (%v)", r, r.Spec, err)
 	}
-	bad := 0
+	rejected := 0
 	for i := range plain {
 		for _, b := range []byte{0, 1, 0x7f, 0xff} {
-			x := slices.Clone(plain)
-			x[i] = b
-			for _, cut := range [][]byte{x, x[:i]} {
-				packed, err := compress.Deflate(cut)
+			altered := slices.Clone(plain)
+			altered[i] = b
+			for _, damaged := range [][]byte{altered, altered[:i]} {
+				packed, err := compress.Deflate(damaged)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -54,23 +54,23 @@
 					t.Fatal(err)
 				}
 				if _, err := Decode(raw); err != nil {
-					bad++
+					rejected++
 				}
 			}
 		}
 	}
-	if bad == 0 {
-		t.Error("no damage was noticed")
+	if rejected == 0 {
+		t.Error("no damaged record was rejected")
 	}
 }
 
-// The machine types must fit a value too, or a controller that restarts while the cloud is down
-// serves nobody.
+// The machine types must fit a value too: otherwise a controller that restarts during an outage of
+// the cloud can't serve.
 func TestManyMachineTypesFitAValue(t *testing.T) {
-	var k wire.Catalog
+	var catalog wire.Catalog
 	for i := range 20 {
-		k.Types = append(
-			k.Types,
+		catalog.Types = append(
+			catalog.Types,
 			wire.MachineType{
 				Name:     fmt.Sprintf("some-type-%d", i),
 				CPUs:     float64(i),
@@ -80,21 +80,22 @@
 			},
 		)
 	}
-	raw, err := EncodeCatalog(&k, 2048, true)
+	raw, err := EncodeCatalog(&catalog, 2048, true)
 	if err != nil || len(raw) > 2048 {
 		t.Fatalf("%d bytes (%v)", len(raw), err)
 	}
 	got, err := DecodeCatalog(raw)
-	if err != nil || !reflect.DeepEqual(got, k) {
+	if err != nil || !reflect.DeepEqual(got, catalog) {
 		t.Errorf("got %+v (%v)", got, err)
 	}
 }
 
-// A stored record, damaged in any way, is an error or a record that says the same when written again.
+// A stored record, damaged in any way, is an error or a record with the same content when encoded again.
 func FuzzDecodeRecord(f *testing.F) {
 	for _, raw := range []string{
 		`{"h":1,"st":"d","d":[0,4]}`, `{"h":1,"st":"c","by":"wk-2","w":[{"i":1,"m":"m","c":"idle","t":5}]}`,
-		`{"h":0,"s":{"tm":"t","n":4,"rc":[1000,0,1000],"aw":["wk-1"]},"a":[{"z":"a","s":1,"p":"m-","m":["1","2"],"n":[1,1],"r":[0,1,1,2,3,2]}],"d":[1,1],"t":4}`,
+		`{"h":0,"s":{"tm":"t","n":4,"rc":[1000,0,1000],"aw":["wk-1"]},` +
+			`"a":[{"z":"a","s":1,"p":"m-","m":["1","2"],"n":[1,1],"r":[0,1,1,2,3,2]}],"d":[1,1],"t":4}`,
 		`{"h":1,"b":"AA=="}`, `{"h":1,"d":[0]}`,
 	} {
 		f.Add([]byte(raw))
@@ -104,32 +105,33 @@
 		if err != nil || len(r.Assignments) > 20 {
 			return
 		}
-		var names, zones []string // machines are interned as they come
-		seat := func(name, zone string) int32 {
+		var names, zones []string // by machine index, in order of first use
+		machineIndex := func(name, zone string) int32 {
 			if i := slices.Index(names, name); i >= 0 {
 				return int32(i)
 			}
 			names, zones = append(names, name), append(zones, zone)
 			return int32(len(names) - 1)
 		}
-		for _, p := range r.Assignments { // what no controller writes: it would only be slow
-			for i := 2; i < len(p.TaskRuns); i += 3 {
-				if p.TaskRuns[i] > 1000 {
+		for _, group := range r.Assignments { // longer runs than a controller writes would only be slow
+			for i := 2; i < len(group.TaskRuns); i += 3 {
+				if group.TaskRuns[i] > 1000 {
 					return
 				}
 			}
 		}
-		place := r.ExpandAssignments(seat)
-		again, err := Encode(r, place, false, func(m int32) (string, string) { return names[m], zones[m] })
+		assignments := r.ExpandAssignments(machineIndex)
+		again, err := Encode(r, assignments, false, func(m int32) (string, string) { return names[m], zones[m] })
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r, err = Decode(again); err != nil || len(r.ExpandAssignments(seat)) != len(place) {
+		if r, err = Decode(again); err != nil || len(r.ExpandAssignments(machineIndex)) != len(assignments) {
 			t.Fatalf("%s became %s: %v", raw, again, err)
 		}
 	})
 }
 
+// Membership, count and validity of a task set must not depend on the order in which tasks end.
 func TestTaskSetMembership(t *testing.T) {
 	var r TaskSet
 	for _, v := range []int{5, 3, 4, 9, 0, 8, 5} {
@@ -141,14 +143,15 @@
 	for v := 0; v < 10; v++ {
 		want := v == 0 || v >= 3 && v <= 5 || v >= 8
 		if r.Contains(v) != want {
-			t.Errorf("has(%d) is %v", v, !want)
+			t.Errorf("Contains(%d) is %v", v, !want)
 		}
 	}
 }
 
-// A snapshot's jobs keep their order, before all that come after it, also when it is restored again and again.
+// Restored jobs keep their order, before all jobs accepted later, also after repeated restores.
 func TestRestoredJobsKeepQueueOrder(t *testing.T) {
-	raw := func(r Record) json.RawMessage {
+	encode := func(r Record) json.RawMessage {
+		t.Helper()
 		r.Spec = &wire.JobSpec{Tasks: 1}
 		out, err := json.Marshal(r)
 		if err != nil {
@@ -156,29 +159,30 @@
 		}
 		return out
 	}
-	before := func(raw json.RawMessage) uint64 {
+	restoreOrder := func(raw json.RawMessage) uint64 {
+		t.Helper()
 		r, err := Decode(raw)
 		if err != nil || r.EnqueueRevision != 0 || r.Spec == nil {
 			t.Fatal(r, err)
 		}
 		return r.RestoreOrder
 	}
-	// Accepted as 10 and written again as 90; as 50, once; restored earlier, first and second.
-	a, b := PrepareForRestore(raw(Record{EnqueueRevision: 10}), 90, 100), PrepareForRestore(raw(Record{}), 50, 100)
-	c, d := PrepareForRestore(
-		raw(Record{RestoreOrder: 7, EnqueueRevision: 3}),
-		60,
-		100,
-	), PrepareForRestore(
-		raw(Record{RestoreOrder: 5, EnqueueRevision: 3}),
-		60,
-		100,
-	)
-	if !(before(c) > before(d) && before(d) > before(a) && before(a) > before(b) && before(b) > 0) {
-		t.Errorf("%d, %d, %d, %d", before(a), before(b), before(c), before(d))
-	}
-	over := json.RawMessage(`{"h":1,"st":"d"}`)
-	if string(PrepareForRestore(over, 5, 100)) != string(over) {
-		t.Error("one that is over")
+	const snapshotRevision = 100
+	// In queue order: two restored earlier, one accepted at 10 and written again at 90, one accepted at 50.
+	var orders []uint64
+	for _, restored := range []json.RawMessage{
+		PrepareForRestore(encode(Record{RestoreOrder: 7, EnqueueRevision: 3}), 60, snapshotRevision),
+		PrepareForRestore(encode(Record{RestoreOrder: 5, EnqueueRevision: 3}), 60, snapshotRevision),
+		PrepareForRestore(encode(Record{EnqueueRevision: 10}), 90, snapshotRevision),
+		PrepareForRestore(encode(Record{}), 50, snapshotRevision),
+	} {
+		orders = append(orders, restoreOrder(restored))
+	}
+	if orders[0] <= orders[1] || orders[1] <= orders[2] || orders[2] <= orders[3] || orders[3] <= 0 {
+		t.Errorf("restore orders %d do not decrease", orders)
+	}
+	ended := json.RawMessage(`{"h":1,"st":"d"}`)
+	if string(PrepareForRestore(ended, 5, snapshotRevision)) != string(ended) {
+		t.Error("an ended job's record was changed")
 	}
 }
--- a/core/jobrecord/restore.go
+++ b/core/jobrecord/restore.go
@@ -6,32 +6,37 @@
 	"strconv"
 )
 
-// maxRestoreGrowth is what a record may grow by when its place is put into it, in bytes.
+// maxRestoreGrowth is the most bytes by which a record grows when its restore order is set.
 const maxRestoreGrowth = 40
 
-// PrepareForRestore is a record that is put into another state service, whose revisions begin anew:
-// a queued job keeps its place before all that are accepted from then on, in the order that it had.
-// mark is that of its key, and at the revision that the snapshot shows. A record that nearly fills
-// whole KiB, as limits are, is left as it was.
+// valueSizeStep is the granularity, in bytes, of limits on the size of a value.
+const valueSizeStep = 1024
+
+// PrepareForRestore returns a record fit for another key-value store, whose revisions begin anew:
+// a queued job keeps its position before all jobs that are accepted from then on, and its order among
+// the restored ones. modRevision is the revision of its key, snapshotRevision that of the snapshot.
+// A record so close to a multiple of valueSizeStep that the change might exceed a size limit is
+// returned unchanged, and so is one that can't be read.
 func PrepareForRestore(raw json.RawMessage, modRevision, snapshotRevision uint64) json.RawMessage {
-	var m map[string]json.RawMessage
-	if json.Unmarshal(raw, &m) != nil || m["s"] == nil || len(raw)%1024 > 1024-maxRestoreGrowth {
+	var fields map[string]json.RawMessage
+	if json.Unmarshal(raw, &fields) != nil || fields["s"] == nil ||
+		len(raw)%valueSizeStep > valueSizeStep-maxRestoreGrowth {
 		return raw
 	}
 	number := func(key string) uint64 {
-		v, err := strconv.ParseUint(string(m[key]), 10, 64)
+		v, err := strconv.ParseUint(string(fields[key]), 10, 64)
 		if err != nil {
-			return 0 // it is not there
+			return 0 // absent
 		}
 		return v
 	}
-	before := snapshotRevision + 1 - min(snapshotRevision, cmp.Or(number("nr"), modRevision))
-	if n := number("ob"); n > 0 { // it was restored before: it stays ahead of those accepted since
-		before = snapshotRevision + 1 + n
+	order := snapshotRevision + 1 - min(snapshotRevision, cmp.Or(number("nr"), modRevision))
+	if n := number("ob"); n > 0 { // restored before: it stays ahead of the jobs accepted since
+		order = snapshotRevision + 1 + n
 	}
-	m["ob"] = json.RawMessage(strconv.FormatUint(before, 10))
-	delete(m, "nr")
-	out, err := json.Marshal(m)
+	fields["ob"] = json.RawMessage(strconv.FormatUint(order, 10))
+	delete(fields, "nr")
+	out, err := json.Marshal(fields)
 	if err != nil {
 		return raw
 	}
--- a/core/jobrecord/value.go
+++ b/core/jobrecord/value.go
@@ -9,22 +9,23 @@
 	protobuf "google.golang.org/protobuf/proto"
 )
 
-// compressedValue is a value that is compressed.
+// compressedValue is the stored form of a compressed value.
 type compressedValue struct {
 	Data []byte `json:"b"`
 }
 
+// packValue compresses bytes into a value.
 func packValue(raw []byte) (json.RawMessage, error) {
 	data, err := compress.Deflate(raw)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("compress value: %w", err)
 	}
 	return json.Marshal(compressedValue{data})
 }
 
-// PackMessage renders a message as a value.
-func PackMessage(m protobuf.Message) (json.RawMessage, error) {
-	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(m)
+// PackMessage renders a protocol buffer message as a compressed value, deterministically.
+func PackMessage(message protobuf.Message) (json.RawMessage, error) {
+	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err == nil {
 		raw, err = packValue(raw)
 	}
@@ -35,13 +36,13 @@
 }
 
 // UnpackMessage is the reverse of PackMessage.
-func UnpackMessage(raw json.RawMessage, m protobuf.Message) error {
-	var v compressedValue
-	err := json.Unmarshal(raw, &v)
+func UnpackMessage(raw json.RawMessage, message protobuf.Message) error {
+	var value compressedValue
+	err := json.Unmarshal(raw, &value)
 	if err == nil {
 		var plain []byte
-		if plain, err = compress.Inflate(v.Data, maxUnpackedBytes); err == nil {
-			err = protobuf.Unmarshal(plain, m)
+		if plain, err = compress.Inflate(value.Data, maxUnpackedBytes); err == nil {
+			err = protobuf.Unmarshal(plain, message)
 		}
 	}
 	if err != nil {
@@ -50,31 +51,31 @@
 	return nil
 }
 
-// EncodeCatalog renders machine types so that they fit a value of at most so many bytes, if
-// that can be.
-func EncodeCatalog(k *wire.Catalog, most int, mayPack bool) (json.RawMessage, error) {
-	raw, err := json.Marshal(k)
-	if err != nil || len(raw) <= most || !mayPack {
+// EncodeCatalog renders machine types as JSON, or compressed if they exceed maxBytes and compression
+// is allowed. The result may still exceed maxBytes.
+func EncodeCatalog(catalog *wire.Catalog, maxBytes int, mayPack bool) (json.RawMessage, error) {
+	raw, err := json.Marshal(catalog)
+	if err != nil || len(raw) <= maxBytes || !mayPack {
 		return raw, err
 	}
 	return packValue(raw)
 }
 
-// DecodeCatalog reads machine types, packed or not.
+// DecodeCatalog reads machine types, compressed or not.
 func DecodeCatalog(raw json.RawMessage) (wire.Catalog, error) {
-	var v struct {
+	var value struct {
 		compressedValue
 		wire.Catalog
 	}
-	err := json.Unmarshal(raw, &v)
-	if err == nil && v.Data != nil {
+	err := json.Unmarshal(raw, &value)
+	if err == nil && value.Data != nil {
 		var plain []byte
-		if plain, err = compress.Inflate(v.Data, maxUnpackedBytes); err == nil {
-			err = json.Unmarshal(plain, &v.Catalog)
+		if plain, err = compress.Inflate(value.Data, maxUnpackedBytes); err == nil {
+			err = json.Unmarshal(plain, &value.Catalog)
 		}
 	}
 	if err != nil {
-		return wire.Catalog{}, fmt.Errorf("machine types: %w", err)
+		return wire.Catalog{}, fmt.Errorf("decode machine types: %w", err)
 	}
-	return v.Catalog, nil
+	return value.Catalog, nil
 }
