--- a/core/apply.go
+++ b/core/apply.go
@@ -93,7 +93,7 @@
 	case strings.HasPrefix(key, keySchemaVersion):
 		bad(c.applySchemaVersion(key, raw, mark))
 	case strings.HasPrefix(key, keyPermissions):
-		bad(c.applyPermission(key, raw, mark))
+		bad(c.permissions.applyPut(key, raw, mark))
 	case strings.HasPrefix(key, auditlog.Prefix):
 		bad(c.currentAuditLog().ApplyPut(key, raw, mark))
 	case key == KeyRestored:
@@ -121,7 +121,7 @@
 			c.ownership.shards[n] = leasedKey{since: c.now}
 		}
 	case strings.HasPrefix(key, keyPermissions):
-		c.applyPermissionDelete(key)
+		c.permissions.applyDelete(key)
 	case key == KeyRestored:
 		c.restoreMarker.revision = 0
 	case strings.HasPrefix(key, reservations.Prefix):
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -6,6 +6,7 @@
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -16,112 +17,119 @@
 	pb "dewlift/proto"
 )
 
-// Rights live in the state service: a key with the roles, and a key for each identity. They are in force
-// once the roles exist, which is written last when they are seeded. Who may do something is decided
-// so that no controller, however far behind, lets in who has been shut out:
+// Permissions are stored under one key for the roles and one key for each identity. They are in force
+// once the roles exist; seeding writes the roles last. Authorization must never rely on a replica that
+// lags behind a revocation:
 //
-//   - a change (a new job, a cancellation, a change of rights) is written on condition that the roles and
-//     the identity are as they were when it was decided;
-//   - an answer (a job's state) is given after a read barrier that began when it was asked for.
+//   - a change (a new job, a cancellation, a change of permissions) is committed with compares on the
+//     roles and the identity, so it fails if either has changed since the decision;
+//   - a read (a job's state) is answered after a read barrier that began after the request arrived.
 //
-// So a revocation holds everywhere from its own write on, and no clock or lease is trusted for it. During an
-// outage nothing can be decided, and everyone gets 503. A refusal is given after a barrier too: the right may
-// just have been granted.
+// So a revocation takes effect everywhere with its own write, independent of clocks and leases. During
+// an outage of the store nothing can be decided, and every request is answered 503. A denial also
+// waits for a barrier: the permission may just have been granted.
 const (
 	keyPermissions = Root + "access/"
 	keyRoles       = keyPermissions + "roles"
 	keyIdentity    = keyPermissions + "who/"
 )
 
-// Credential is who somebody has proven to be, and with which key.
+// Credential is an authenticated identity and the key that proved it.
 type Credential struct{ Identity, KeyID string }
 
-// permissionState is what is known here of the state service's.
+// permissionState is the replica of the stored permissions and the policy derived from it.
 type permissionState struct {
-	rolesRevision   uint64 // 0: rights are not in force
+	rolesRevision   uint64 // revision of the roles; 0: permissions are not in force
 	roles           *pb.Access
 	identities      map[string]storedIdentity
 	policy          *access.Policy
-	publishedPolicy *access.Policy // as the edges have it
-	policyStale     bool           // the policy is to be made anew
-	seeding         bool
-	nextSeedAt      time.Duration
+	publishedPolicy *access.Policy // last policy sent to the request handlers
+	policyStale     bool           // policy must be rebuilt before use
+	seeding         bool           // a seeding transaction is in flight
+	nextSeedAt      time.Duration  // no seeding attempt before
 }
 
+// storedIdentity is an identity and the revision of its key.
 type storedIdentity struct {
 	revision uint64
 	identity *pb.Identity
 }
 
-// applyPermission takes a key of the rights.
-func (c *Core) applyPermission(key string, raw json.RawMessage, mark uint64) error {
-	r := &c.permissions
-	r.policyStale = true
+// applyPut applies a stored permission key. An older revision than the known one is ignored.
+// Unreadable roles or an unreadable identity grant nothing.
+func (p *permissionState) applyPut(key string, raw json.RawMessage, revision uint64) error {
+	p.policyStale = true
 	if key == keyRoles {
-		if mark <= r.rolesRevision {
+		if revision <= p.rolesRevision {
 			return nil
 		}
-		r.rolesRevision, r.roles = mark, &pb.Access{} // unreadable roles let nobody in
-		return jobrecord.UnpackMessage(raw, r.roles)
+		p.rolesRevision, p.roles = revision, &pb.Access{}
+		return jobrecord.UnpackMessage(raw, p.roles)
 	}
 	name := strings.TrimPrefix(key, keyIdentity)
-	if old, ok := r.identities[name]; ok && mark <= old.revision {
+	if known, ok := p.identities[name]; ok && revision <= known.revision {
 		return nil
 	}
-	id := &pb.Identity{}
-	err := jobrecord.UnpackMessage(raw, id)
-	if err != nil || id.Name != name {
-		id = &pb.Identity{Name: name}
+	identity := &pb.Identity{}
+	err := jobrecord.UnpackMessage(raw, identity)
+	if err != nil || identity.Name != name {
+		identity = &pb.Identity{Name: name}
 	}
-	r.identities[name] = storedIdentity{mark, id}
+	p.identities[name] = storedIdentity{revision, identity}
 	return err
 }
 
-func (c *Core) applyPermissionDelete(key string) {
-	c.permissions.policyStale = true
-	delete(c.permissions.identities, strings.TrimPrefix(key, keyIdentity))
+// applyDelete applies the deletion of an identity's key.
+func (p *permissionState) applyDelete(key string) {
+	p.policyStale = true
+	delete(p.identities, strings.TrimPrefix(key, keyIdentity))
 }
 
-// permissionsInForce reports whether rights are in force.
+// toMessage returns all permissions as one message, identities ordered by name.
+func (p *permissionState) toMessage() *pb.Access {
+	message := &pb.Access{Roles: p.roles.GetRoles(), WorkersSign: p.roles.GetWorkersSign()}
+	for _, name := range sortedKeys(p.identities) {
+		message.Identities = append(message.Identities, p.identities[name].identity)
+	}
+	return message
+}
+
+// permissionsInForce reports whether requests must be authorized.
 func (c *Core) permissionsInForce() bool { return c.permissions.rolesRevision != 0 }
 
-const reasonNotReady = "rights are not in force yet, or what is done can't be recorded yet"
+// Reasons of answers that a request can't be served now.
+const (
+	reasonNotReady         = "rights are not in force yet, or what is done can't be recorded yet"
+	reasonNoPermissions    = "rights are not in force"
+	reasonStoreUnreachable = "state service not reached"
+)
 
-// isNotServing reports whether rights shall be in force and are not yet, or what is done can't be
-// recorded yet: nobody is served.
+// isNotServing reports whether no request may be served: permissions are configured but not in force
+// yet, or the audit log can't record changes yet.
 func (c *Core) isNotServing() bool {
 	return c.cfg.Permissions != nil && !c.permissionsInForce() || c.auditNotReady()
 }
 
-// toMessage is all rights as a message.
-func (r *permissionState) toMessage() *pb.Access {
-	a := &pb.Access{Roles: r.roles.GetRoles(), WorkersSign: r.roles.GetWorkersSign()}
-	for _, name := range sortedKeys(r.identities) {
-		a.Identities = append(a.Identities, r.identities[name].identity)
-	}
-	return a
-}
-
-// currentPolicy makes the policy anew when the rights have changed, and hands it to the edges, which tell from it
-// whose token it is. Rights that don't fit together let nobody in.
+// currentPolicy returns the policy of the stored permissions and rebuilds it after a change.
+// Inconsistent permissions grant nothing.
 func (c *Core) currentPolicy() *access.Policy {
-	r := &c.permissions
-	if !r.policyStale && r.policy != nil {
-		return r.policy
+	permissions := &c.permissions
+	if !permissions.policyStale && permissions.policy != nil {
+		return permissions.policy
 	}
-	r.policyStale = false
-	p, err := access.New(r.toMessage())
+	permissions.policyStale = false
+	policy, err := access.New(permissions.toMessage())
 	if err != nil {
-		c.log(LevelError, "rights do not fit together: nobody is let in", "err", err.Error())
-		if p, err = access.New(&pb.Access{}); err != nil {
-			panic(err) // no rights at all are rights
+		c.log(LevelError, "permissions are inconsistent, all access is denied", "err", err.Error())
+		if policy, err = access.New(&pb.Access{}); err != nil {
+			panic(err) // impossible: empty permissions are consistent
 		}
 	}
-	r.policy = p
-	return p
+	permissions.policy = policy
+	return policy
 }
 
-// publishPolicy hands the policy to the edges.
+// publishPolicy sends a changed policy to the request handlers, which authenticate tokens with it.
 func (c *Core) publishPolicy() {
 	if c.permissionsInForce() && c.currentPolicy() != c.permissions.publishedPolicy {
 		c.permissions.publishedPolicy = c.permissions.policy
@@ -129,124 +137,135 @@
 	}
 }
 
-// authorize decides whether somebody may do something, by the rights as they are known here.
-func (c *Core) authorize(cr Credential, a access.Action) access.Decision {
+// authorize decides whether an identity may perform an action, by the permissions known here. Until
+// permissions are in force everything is allowed, unless nothing may be served.
+func (c *Core) authorize(caller Credential, action access.Action) access.Decision {
 	if !c.permissionsInForce() {
 		return access.Decision{Allowed: !c.isNotServing()}
 	}
-	p := c.currentPolicy()
-	if !c.hasValidKey(cr) {
+	policy := c.currentPolicy()
+	if !c.hasValidKey(caller) {
 		return access.Decision{Reason: "the key was revoked"}
 	}
-	return p.Decide(cr.Identity, a)
+	return policy.Decide(caller.Identity, action)
 }
 
-// permissionCompares are the conditions under which a decision about somebody still holds.
-func (c *Core) permissionCompares(cr Credential) []wire.Compare {
+// permissionCompares returns the compares under which an authorization of the caller still holds.
+func (c *Core) permissionCompares(caller Credential) []wire.Compare {
 	if !c.permissionsInForce() {
 		if c.schemaVersion() < schemaPermissions {
 			return nil
 		}
-		return []wire.Compare{{Key: keyRoles}} // they may come into force meanwhile
+		return []wire.Compare{{Key: keyRoles}} // fails if permissions come into force meanwhile
 	}
 	return append(
 		[]wire.Compare{
 			{Key: keyRoles, Revision: c.permissions.rolesRevision},
-			{Key: keyIdentity + cr.Identity, Revision: c.permissions.identities[cr.Identity].revision},
+			{Key: keyIdentity + caller.Identity, Revision: c.permissions.identities[caller.Identity].revision},
 		},
 		c.unauditedCompares()...)
 }
 
-func (c *Core) canReadJob(cr Credential, j *job) bool {
+// canReadJob reports whether the caller may read the job.
+func (c *Core) canReadJob(caller Credential, target *job) bool {
 	if !c.permissionsInForce() {
 		return true
 	}
-	team, class := j.record.TeamAndClass()
-	return c.authorize(cr, access.Action{Verb: pb.Verb_read, Team: team, Class: class}).Allowed
+	team, class := target.record.TeamAndClass()
+	return c.authorize(caller, access.Action{Verb: pb.Verb_read, Team: team, Class: class}).Allowed
 }
 
-// canRepeatSubmission decides whether the submission of a job that exists is answered with its state: to whoever may
-// read it, and to whoever may submit such a job and repeats just that.
-func (c *Core) canRepeatSubmission(cr Credential, s *wire.JobSpec, j *job) bool {
-	if c.canReadJob(cr, j) {
+// canCancelJob reports whether the caller may cancel the job.
+func (c *Core) canCancelJob(caller Credential, target *job) bool {
+	team, class := target.record.TeamAndClass()
+	return c.authorize(caller, access.Action{Verb: pb.Verb_cancel, Team: team, Class: class}).Allowed
+}
+
+// canRepeatSubmission decides whether an idempotent submission of an existing job is answered with
+// the job's state: the caller may read the job, or may submit to the same team and class.
+func (c *Core) canRepeatSubmission(caller Credential, spec *wire.JobSpec, target *job) bool {
+	if c.canReadJob(caller, target) {
 		return true
 	}
-	team, class := j.record.TeamAndClass()
-	return s != nil && s.Team == team && s.Class == class && c.authorize(cr, submitAction(s)).Allowed
+	team, class := target.record.TeamAndClass()
+	return spec != nil && spec.Team == team && spec.Class == class && c.authorize(caller, submitAction(spec)).Allowed
+}
+
+// submitAction returns the action that a submission of the job must be authorized for.
+func submitAction(spec *wire.JobSpec) access.Action {
+	return access.Action{Verb: pb.Verb_submit, Team: spec.Team, Class: spec.Class, Priority: spec.Priority}
 }
 
-func submitAction(s *wire.JobSpec) access.Action {
-	return access.Action{Verb: pb.Verb_submit, Team: s.Team, Class: s.Class, Priority: s.Priority}
+// hasValidKey reports whether the caller's key still belongs to the caller's identity.
+func (c *Core) hasValidKey(caller Credential) bool {
+	return c.currentPolicy().KeyBelongsTo(caller.Identity, caller.KeyID)
 }
 
-// respondForbidden refuses somebody for lack of a right, and has that recorded.
-func (c *Core) respondForbidden(req uint64, cr Credential, verb, object, why string) {
-	c.auditDenial(cr, verb, object, why)
-	c.respond(req, wire.StatusForbidden, wire.Error{Error: why})
+// respondForbidden denies a request for lack of a permission and records the denial.
+func (c *Core) respondForbidden(requestID uint64, caller Credential, verb, object, reason string) {
+	c.auditDenial(caller, verb, object, reason)
+	c.respond(requestID, wire.StatusForbidden, wire.Error{Error: reason})
 }
 
-// getJobAuthorized answers a poll by the rights after a barrier. Who may not read a job learns no more than
-// that there is none.
+// getJobAuthorized answers a poll after a barrier. A caller without read permission gets the same
+// answer as for a job that does not exist.
 func (c *Core) getJobAuthorized(in GetJob) {
-	c.withJobAfterBarrier(in.RequestID, in.ID, func(j *job) {
-		if j == nil || !c.canReadJob(in.Caller, j) {
-			if j != nil {
+	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
+		if target == nil || !c.canReadJob(in.Caller, target) {
+			if target != nil {
 				c.auditDenial(in.Caller, "read", in.ID, "no right to read it")
 			}
 			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
 			return
 		}
-		c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
+		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
 	})
 }
 
-// cancelJobAuthorized lets those cancel who may; to those who may not even read the job, there is none.
+// cancelJobAuthorized cancels a job for a permitted caller. A caller who may neither cancel nor read
+// the job gets the same answer as for a job that does not exist.
 func (c *Core) cancelJobAuthorized(in CancelJob) {
-	c.withJobAfterBarrier(in.RequestID, in.ID, func(j *job) {
-		if j == nil || !c.canCancelJob(in.Caller, j) && !c.canReadJob(in.Caller, j) {
-			if j != nil {
+	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
+		if target == nil || !c.canCancelJob(in.Caller, target) && !c.canReadJob(in.Caller, target) {
+			if target != nil {
 				c.auditDenial(in.Caller, "cancel", in.ID, "no right to cancel or read it")
 			}
 			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
 			return
 		}
-		if !c.canCancelJob(in.Caller, j) {
+		if !c.canCancelJob(in.Caller, target) {
 			c.respondForbidden(in.RequestID, in.Caller, "cancel", in.ID, "no right to cancel it")
 			return
 		}
-		c.enqueueCancellation(j, in)
+		c.enqueueCancellation(target, in)
 	})
 }
 
-func (c *Core) canCancelJob(cr Credential, j *job) bool {
-	team, class := j.record.TeamAndClass()
-	return c.authorize(cr, access.Action{Verb: pb.Verb_cancel, Team: team, Class: class}).Allowed
-}
-
-// withJobAfterBarrier calls f with a job as of a barrier that begins now; nil: there is none.
-func (c *Core) withJobAfterBarrier(req uint64, id string, f func(j *job)) {
+// withJobAfterBarrier calls f with a job as of a read barrier that begins now, or with nil if there is
+// no such job. It answers the request itself if the barrier fails.
+func (c *Core) withJobAfterBarrier(requestID uint64, id string, f func(target *job)) {
 	switch {
 	case !c.replica.loaded:
-		c.respondUnavailable(req, "not caught up")
+		c.respondUnavailable(requestID, "not caught up")
 	case c.storeUnreachable():
-		c.respondUnavailable(req, "state service not reached")
+		c.respondUnavailable(requestID, reasonStoreUnreachable)
 	default:
 		c.afterReadBarrier(func(ok bool) {
 			if !ok {
-				c.respondUnavailable(req, "state service not reached")
+				c.respondUnavailable(requestID, reasonStoreUnreachable)
 				return
 			}
 			if !wire.ValidJobID(id) {
 				f(nil)
 				return
 			}
-			c.lookUpJobForRequest(req, id, f)
+			c.lookUpJobForRequest(requestID, id, f)
 		})
 	}
 }
 
-// submitJobAuthorized lets those submit who may; what follows is as without rights, except that the write is on
-// condition of them.
+// submitJobAuthorized admits a submission of a permitted caller; its transaction compares the
+// permissions again. A submission that can't be admitted at once is decided after a read barrier.
 func (c *Core) submitJobAuthorized(in SubmitJob) {
 	if in.ID == "" {
 		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
@@ -257,16 +276,16 @@
 		c.admitSubmission(in)
 		return
 	}
-	c.withJobAfterBarrier(in.RequestID, in.ID, func(j *job) {
+	c.withJobAfterBarrier(in.RequestID, in.ID, func(existing *job) {
 		switch {
-		case j != nil && c.canRepeatSubmission(in.Caller, in.validSpec(), j):
-			c.respond(in.RequestID, wire.StatusOK, c.jobState(j))
+		case existing != nil && c.canRepeatSubmission(in.Caller, in.validSpec(), existing):
+			c.respond(in.RequestID, wire.StatusOK, c.jobState(existing))
 		case in.DecodeError != "":
 			c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
 		default:
-			if d := c.authorize(in.Caller, submitAction(&in.Spec)); !d.Allowed {
-				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, d.Reason)
-			} else if j != nil {
+			if decision := c.authorize(in.Caller, submitAction(&in.Spec)); !decision.Allowed {
+				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, decision.Reason)
+			} else if existing != nil {
 				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, "the id is another's")
 			} else {
 				c.admitSubmission(in)
@@ -275,7 +294,7 @@
 	})
 }
 
-// validSpec is what was submitted, nil if it was malformed.
+// validSpec returns the submitted job, or nil if the request was malformed.
 func (in *SubmitJob) validSpec() *wire.JobSpec {
 	if in.DecodeError != "" {
 		return nil
@@ -283,100 +302,127 @@
 	return &in.Spec
 }
 
-// dropUnauthorizedCancellations drops the cancellations of those who have lost the right since they
-// asked, and returns the conditions under which the others have it.
-func (c *Core) dropUnauthorizedCancellations(j *job) []wire.Compare {
-	var conds []wire.Compare
-	j.cancellation.waiters = slices.DeleteFunc(j.cancellation.waiters, func(x cancelWaiter) bool {
-		if c.permissionsInForce() && !c.canCancelJob(x.caller, j) {
-			c.respondForbidden(x.requestID, x.caller, "cancel", j.id, "no right to cancel it")
+// dropUnauthorizedCancellations denies the waiting cancellations whose callers have lost the permission
+// since their request, and returns the compares under which the remaining ones hold.
+func (c *Core) dropUnauthorizedCancellations(target *job) []wire.Compare {
+	var compares []wire.Compare
+	target.cancellation.waiters = slices.DeleteFunc(target.cancellation.waiters, func(waiter cancelWaiter) bool {
+		if c.permissionsInForce() && !c.canCancelJob(waiter.caller, target) {
+			c.respondForbidden(waiter.requestID, waiter.caller, "cancel", target.id, "no right to cancel it")
 			return true
 		}
-		for _, k := range c.permissionCompares(x.caller) {
-			if !slices.Contains(conds, k) {
-				conds = append(conds, k)
+		for _, compare := range c.permissionCompares(waiter.caller) {
+			if !slices.Contains(compares, compare) {
+				compares = append(compares, compare)
 			}
 		}
 		return false
 	})
-	return conds
+	return compares
 }
 
-// seedPermissions writes the rights of the file where there are none: identities first, then the roles, with which
-// they come into force. A seeding that was interrupted goes on.
+// permissionSeedRetryDelay spaces attempts to seed permissions that don't fit a value, which only
+// another configuration mends.
+const permissionSeedRetryDelay = 10 * time.Second
+
+// seedPermissions writes the configured permissions to a store without any: identities first, in as
+// many transactions as needed, then the roles, which bring them into force. An interrupted seeding is
+// continued, also by the next leader.
 func (c *Core) seedPermissions() {
-	r := &c.permissions
-	if c.cfg.Permissions == nil || c.permissionsInForce() || c.auditNotReady() ||
-		c.cfg.Audit.Key != nil && !c.isAuditing() ||
-		!c.isLeader() ||
-		!c.holdsLease() ||
-		c.schemaVersion() < schemaPermissions ||
-		r.seeding ||
-		c.now < r.nextSeedAt ||
-		c.transactions.rateLimit.IsPaused(c.now) ||
-		c.transactions.rateLimit.WriteTokens < 1 {
+	if !c.canSeedPermissions() {
 		return
 	}
-	seed := c.cfg.Permissions.Source()
-	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyRoles}}}
-	put := func(key string, m protobuf.Message) bool {
-		raw, err := jobrecord.PackMessage(m)
-		if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-			c.log(LevelError, "rights can't be written", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
-			return false
-		}
-		if key != keyRoles {
-			t.Compare = append(t.Compare, wire.Compare{Key: key})
-		}
-		t.Then = append(t.Then, wire.Write{Put: key, Value: raw})
-		return true
-	}
-	for _, id := range seed.Identities {
-		if _, there := r.identities[id.Name]; !there &&
-			len(
-				t.Then,
-			) < max(
-				1,
-				min(c.cfg.Store.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens))-c.auditOpsPerTxn(),
-			) &&
-			!put(keyIdentity+id.Name, id) {
-			r.nextSeedAt = c.now + 10*time.Second
-			return
-		}
-	}
-	if len(t.Then) == 0 && !put(keyRoles, &pb.Access{Roles: seed.Roles, WorkersSign: seed.WorkersSign}) {
-		r.nextSeedAt = c.now + 10*time.Second
+	txn, ok := c.permissionSeedTxn(c.cfg.Permissions.Source())
+	if !ok {
+		c.permissions.nextSeedAt = c.now + permissionSeedRetryDelay
 		return
 	}
 	var seeded []string
-	for _, w := range t.Then {
-		seeded = append(seeded, strings.TrimPrefix(w.Put, keyPermissions))
+	for _, write := range txn.Then {
+		seeded = append(seeded, strings.TrimPrefix(write.Put, keyPermissions))
 	}
-	told := c.addAuditEntry(
-		&t,
+	handleAuditOutcome := c.addAuditEntry(
+		&txn,
 		"rights",
 		auditlog.Event{Verb: "administer", Object: "rights", Reason: "first rights: " + strings.Join(seeded, " ")},
 	)
-	r.seeding = true
-	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
-		told(status)
-		c.afterReadBarrier(func(bool) { r.seeding = false }) // what came of it shows there
+	c.permissions.seeding = true
+	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+		handleAuditOutcome(status)
+		c.afterReadBarrier(func(bool) { c.permissions.seeding = false }) // the barrier shows the outcome
 	}})
 }
 
-// handleUpdatePermissions carries out a change of an identity's rights by somebody who may.
+// canSeedPermissions reports whether permissions must be seeded and this controller may write now.
+func (c *Core) canSeedPermissions() bool {
+	if c.cfg.Permissions == nil || c.permissionsInForce() || c.auditNotReady() ||
+		c.cfg.Audit.Key != nil && !c.isAuditing() {
+		return false
+	}
+	if !c.isLeader() || !c.holdsLease() || c.schemaVersion() < schemaPermissions {
+		return false
+	}
+	return !c.permissions.seeding && c.now >= c.permissions.nextSeedAt &&
+		!c.transactions.rateLimit.IsPaused(c.now) && c.transactions.rateLimit.WriteTokens >= 1
+}
+
+// permissionSeedTxn returns the next transaction of a seeding: missing identities, as many as a
+// transaction and the rate limit allow, or the roles once all identities exist. It reports false if a
+// message can't be stored.
+func (c *Core) permissionSeedTxn(seed *pb.Access) (wire.Txn, bool) {
+	txn := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyRoles}}}
+	for _, identity := range seed.Identities {
+		if _, exists := c.permissions.identities[identity.Name]; exists || len(txn.Then) >= c.maxSeedWrites() {
+			continue
+		}
+		key := keyIdentity + identity.Name
+		raw, ok := c.packPermission(key, identity)
+		if !ok {
+			return txn, false
+		}
+		txn.Compare = append(txn.Compare, wire.Compare{Key: key})
+		txn.Then = append(txn.Then, wire.Write{Put: key, Value: raw})
+	}
+	if len(txn.Then) > 0 {
+		return txn, true
+	}
+	raw, ok := c.packPermission(keyRoles, &pb.Access{Roles: seed.Roles, WorkersSign: seed.WorkersSign})
+	if !ok {
+		return txn, false
+	}
+	txn.Then = append(txn.Then, wire.Write{Put: keyRoles, Value: raw})
+	return txn, true
+}
+
+// maxSeedWrites returns how many identities a seeding transaction may write now.
+func (c *Core) maxSeedWrites() int {
+	allowed := min(c.cfg.Store.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens)) - c.auditOpsPerTxn()
+	return max(1, allowed)
+}
+
+// packPermission renders a message as a value and reports whether it can be stored.
+func (c *Core) packPermission(key string, message protobuf.Message) (json.RawMessage, bool) {
+	raw, err := jobrecord.PackMessage(message)
+	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
+		c.log(LevelError, "permissions can't be stored", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
+		return nil, false
+	}
+	return raw, true
+}
+
+// handleUpdatePermissions changes an identity's permissions for a permitted caller, after a barrier.
 func (c *Core) handleUpdatePermissions(in UpdatePermissions) {
 	switch {
 	case !c.replica.loaded || c.storeUnreachable() || !c.holdsLease():
-		c.respondUnavailable(in.RequestID, "state service not reached")
+		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 	case !c.permissionsInForce():
-		c.respondUnavailable(in.RequestID, "rights are not in force")
+		c.respondUnavailable(in.RequestID, reasonNoPermissions)
 	default:
 		c.afterUrgentReadBarrier(func(ok bool) {
 			switch {
 			case !ok:
-				c.respondUnavailable(in.RequestID, "state service not reached")
-			case c.isNotServing(): // an entry of a life that has not begun would have the name of another
+				c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
+			case c.isNotServing(): // before the audit incarnation starts, an entry could reuse another's name
 				c.respondUnavailable(in.RequestID, reasonNotReady)
 			default:
 				c.updatePermissions(in)
@@ -385,53 +431,36 @@
 	}
 }
 
+// updatePermissions authorizes, validates and commits a change of an identity's permissions.
 func (c *Core) updatePermissions(in UpdatePermissions) {
-	r := &c.permissions
-	d := c.authorize(in.Caller, access.Action{Verb: pb.Verb_administer})
-	if !d.Allowed && !(in.changesOnlyOwnKeys() && c.hasValidKey(in.Caller)) {
-		c.respondForbidden(in.RequestID, in.Caller, "administer", in.Identity, d.Reason)
+	decision := c.authorize(in.Caller, access.Action{Verb: pb.Verb_administer})
+	if !decision.Allowed && (!in.changesOnlyOwnKeys() || !c.hasValidKey(in.Caller)) {
+		c.respondForbidden(in.RequestID, in.Caller, "administer", in.Identity, decision.Reason)
 		return
 	}
-	old := r.identities[in.Identity]
-	next, err := in.applyTo(old.identity)
-	if err != nil {
-		c.respond(in.RequestID, wire.StatusInvalid, wire.Error{Error: err.Error()})
-		return
-	}
-	all := r.toMessage()
-	all.Identities = slices.DeleteFunc(all.Identities, func(x *pb.Identity) bool { return x.Name == in.Identity })
-	w := wire.Write{Delete: keyIdentity + in.Identity}
-	if next != nil {
-		all.Identities = append(all.Identities, next)
-		w = wire.Write{Put: keyIdentity + in.Identity}
-		if w.Value, err = jobrecord.PackMessage(next); err == nil && len(w.Value) > c.cfg.Store.MaxValueBytes {
-			err = fmt.Errorf("identity takes %d bytes, %d are allowed", len(w.Value), c.cfg.Store.MaxValueBytes)
-		}
-	}
-	var p *access.Policy
-	if err == nil {
-		p, err = access.New(all)
-	}
-	if err == nil && !p.HasAdministrator() {
-		err = fmt.Errorf("nobody with a key could change rights any more")
-	}
+	old := c.permissions.identities[in.Identity]
+	write, err := c.permissionsWrite(in, old.identity)
 	if err != nil {
 		c.respond(in.RequestID, wire.StatusInvalid, wire.Error{Error: err.Error()})
 		return
 	}
-	t := wire.Txn{Compare: c.permissionCompares(in.Caller), Then: []wire.Write{w}}
+	txn := wire.Txn{Compare: c.permissionCompares(in.Caller), Then: []wire.Write{write}}
 	if in.Caller.Identity != in.Identity {
-		t.Compare = append(t.Compare, wire.Compare{Key: keyIdentity + in.Identity, Revision: old.revision})
+		txn.Compare = append(txn.Compare, wire.Compare{Key: keyIdentity + in.Identity, Revision: old.revision})
 	}
-	told := c.addAuditEntry(&t, "who/"+in.Identity, newAuditEvent(in.Caller, "administer", in.Identity, in.summary()))
-	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
-		told(status)
-		c.afterReadBarrier(func(bool) {}) // it shows here too, soon
+	handleAuditOutcome := c.addAuditEntry(
+		&txn,
+		"who/"+in.Identity,
+		newAuditEvent(in.Caller, "administer", in.Identity, in.summary()),
+	)
+	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+		handleAuditOutcome(status)
+		c.afterReadBarrier(func(bool) {}) // brings the change into the replica soon
 		if status != wire.StatusOK {
 			c.respondUnavailable(in.RequestID, "rights changed meanwhile, or the outcome is not known: ask again")
 			return
 		}
-		c.log(LevelInfo, "rights changed", "by", in.Caller.Identity, "who", in.Identity, "change", in.Edit)
+		c.log(LevelInfo, "permissions changed", "by", in.Caller.Identity, "who", in.Identity, "change", in.Edit)
 		c.respond(
 			in.RequestID,
 			wire.StatusOK,
@@ -440,105 +469,137 @@
 	}})
 }
 
-// cancelQueuedJobs cancels, as somebody asked for by name, what another has submitted and has not begun.
+// permissionsWrite returns the write that stores an identity after the change. It returns an error if
+// the change is invalid, does not fit a value, or would leave no administrator with a key: nobody
+// could then change permissions any more.
+func (c *Core) permissionsWrite(in UpdatePermissions, old *pb.Identity) (wire.Write, error) {
+	write := wire.Write{Delete: keyIdentity + in.Identity}
+	next, err := in.applyTo(old)
+	if err != nil {
+		return write, err
+	}
+	all := c.permissions.toMessage()
+	all.Identities = slices.DeleteFunc(
+		all.Identities,
+		func(identity *pb.Identity) bool { return identity.Name == in.Identity },
+	)
+	if next != nil {
+		all.Identities = append(all.Identities, next)
+		write = wire.Write{Put: keyIdentity + in.Identity}
+		if write.Value, err = jobrecord.PackMessage(next); err != nil {
+			return write, err
+		}
+		if limit := c.cfg.Store.MaxValueBytes; len(write.Value) > limit {
+			return write, fmt.Errorf("identity takes %d bytes, %d are allowed", len(write.Value), limit)
+		}
+	}
+	policy, err := access.New(all)
+	if err != nil {
+		return write, err
+	}
+	if !policy.HasAdministrator() {
+		return write, errors.New("nobody with a key could change rights any more")
+	}
+	return write, nil
+}
+
+// cancelQueuedJobs cancels the queued jobs of the changed identity that have not started, if the
+// request asks for it, and returns their ids.
 func (c *Core) cancelQueuedJobs(in UpdatePermissions) (ids []string) {
 	if !in.Edit.CancelQueued {
 		return nil
 	}
-	for _, j := range c.openJobs {
-		if j.record != nil && j.record.Spec != nil && j.record.Submitter == in.Identity && !j.isFinal() &&
-			len(j.assignments) == 0 &&
-			j.record.CompletedTasks.Count() == 0 &&
-			c.canCancelJob(in.Caller, j) {
-			ids = append(ids, j.id)
-			c.enqueueCancellation(j, CancelJob{ID: j.id, Caller: in.Caller, UnixMS: c.unixMS()})
+	for _, candidate := range c.openJobs {
+		record := candidate.record
+		if record != nil && record.Spec != nil && record.Submitter == in.Identity && !candidate.isFinal() &&
+			len(candidate.assignments) == 0 &&
+			record.CompletedTasks.Count() == 0 &&
+			c.canCancelJob(in.Caller, candidate) {
+			ids = append(ids, candidate.id)
+			c.enqueueCancellation(candidate, CancelJob{ID: candidate.id, Caller: in.Caller, UnixMS: c.unixMS()})
 		}
 	}
 	return ids
 }
 
-// changesOnlyOwnKeys reports whether a change is of nothing but the keys of whoever asks for it: everyone may replace
-// their own.
+// changesOnlyOwnKeys reports whether a change affects nothing but the caller's own keys, which every
+// identity may replace.
 func (in *UpdatePermissions) changesOnlyOwnKeys() bool {
-	e := &in.Edit
-	return in.Caller.Identity == in.Identity && len(e.GrantRoles)+len(e.RevokeRoles) == 0 && !e.Delete &&
-		!e.CancelQueued &&
-		e.Certificate == nil
-}
-
-// hasValidKey reports whether a key is still its holder's.
-func (c *Core) hasValidKey(cr Credential) bool {
-	return c.currentPolicy().KeyBelongsTo(cr.Identity, cr.KeyID)
+	edit := &in.Edit
+	return in.Caller.Identity == in.Identity && len(edit.GrantRoles)+len(edit.RevokeRoles) == 0 && !edit.Delete &&
+		!edit.CancelQueued &&
+		edit.Certificate == nil
 }
 
-// summary tells in short what is changed.
+// summary describes a change for the audit log.
 func (in *UpdatePermissions) summary() string {
-	e := &in.Edit
-	var list []string
-	say := func(what string, names []string) {
+	edit := &in.Edit
+	var parts []string
+	add := func(what string, names []string) {
 		if len(names) > 0 {
-			list = append(list, what+" "+strings.Join(names, " "))
+			parts = append(parts, what+" "+strings.Join(names, " "))
 		}
 	}
-	say("grant roles", e.GrantRoles)
-	say("revoke roles", e.RevokeRoles)
+	add("grant roles", edit.GrantRoles)
+	add("revoke roles", edit.RevokeRoles)
 	var keys []string
-	for _, k := range e.AddKeys {
-		keys = append(keys, k.ID)
+	for _, key := range edit.AddKeys {
+		keys = append(keys, key.ID)
 	}
-	say("add keys", keys)
-	say("revoke keys", e.RevokeKeys)
-	if e.Certificate != nil {
-		list = append(list, fmt.Sprintf("certificate %v", *e.Certificate))
+	add("add keys", keys)
+	add("revoke keys", edit.RevokeKeys)
+	if edit.Certificate != nil {
+		parts = append(parts, fmt.Sprintf("certificate %v", *edit.Certificate))
 	}
-	if e.Delete {
-		list = append(list, "delete")
+	if edit.Delete {
+		parts = append(parts, "delete")
 	}
-	if e.CancelQueued {
-		list = append(list, "cancel what is queued")
+	if edit.CancelQueued {
+		parts = append(parts, "cancel what is queued")
 	}
-	return strings.Join(list, "; ")
+	return strings.Join(parts, "; ")
 }
 
-// applyTo is an identity after a change; nil if it is no more.
+// applyTo returns an identity after the change, or nil if the change deletes it. old is nil for a new
+// identity and is not modified.
 func (in *UpdatePermissions) applyTo(old *pb.Identity) (*pb.Identity, error) {
-	e := &in.Edit
-	if e.Delete {
+	edit := &in.Edit
+	if edit.Delete {
 		if old == nil {
 			return nil, fmt.Errorf("nobody is called %q", in.Identity)
 		}
 		return nil, nil
 	}
-	next := &pb.Identity{Name: in.Identity, Service: e.Service}
+	next := &pb.Identity{Name: in.Identity, Service: edit.Service}
 	if old != nil {
 		next = protobuf.Clone(old).(*pb.Identity)
 	}
-	if e.Certificate != nil {
-		next.Certificate = *e.Certificate
+	if edit.Certificate != nil {
+		next.Certificate = *edit.Certificate
 	}
-	for _, r := range e.RevokeRoles {
-		next.Roles = slices.DeleteFunc(next.Roles, func(x string) bool { return x == r })
+	for _, role := range edit.RevokeRoles {
+		next.Roles = slices.DeleteFunc(next.Roles, func(held string) bool { return held == role })
 	}
-	for _, id := range e.RevokeKeys {
-		next.Keys = slices.DeleteFunc(next.Keys, func(k *pb.PublicKey) bool { return k.Id == id })
+	for _, id := range edit.RevokeKeys {
+		next.Keys = slices.DeleteFunc(next.Keys, func(key *pb.PublicKey) bool { return key.Id == id })
 	}
-	for _, r := range e.GrantRoles {
-		if !slices.Contains(next.Roles, r) {
-			next.Roles = append(next.Roles, r)
+	for _, role := range edit.GrantRoles {
+		if !slices.Contains(next.Roles, role) {
+			next.Roles = append(next.Roles, role)
 		}
 	}
-	for _, k := range e.AddKeys {
+	for _, added := range edit.AddKeys {
 		if !slices.ContainsFunc(
 			next.Keys,
-			func(x *pb.PublicKey) bool { return x.Id == k.ID && x.Ed25519 == k.Ed25519 },
+			func(key *pb.PublicKey) bool { return key.Id == added.ID && key.Ed25519 == added.Ed25519 },
 		) {
-			next.Keys = append(next.Keys, &pb.PublicKey{Id: k.ID, Ed25519: k.Ed25519})
+			next.Keys = append(next.Keys, &pb.PublicKey{Id: added.ID, Ed25519: added.Ed25519})
 		}
 	}
 	return next, nil
 }
 
-// handleCheckPermission answers 200 to whoever may do what is bound to no job.
+// handleCheckPermission answers 200 if the caller may perform an action that concerns no job.
 func (c *Core) handleCheckPermission(in CheckPermission) {
 	if c.isNotServing() {
 		c.respondUnavailable(in.RequestID, reasonNotReady)
@@ -559,24 +620,27 @@
 	}))
 }
 
-// ifAuthorized is what follows a barrier: f, if somebody may do what is bound to no job.
-func (c *Core) ifAuthorized(req uint64, by Credential, verb access.Verb, object string, f func()) func(ok bool) {
+// ifAuthorized returns a function to call after a read barrier: it calls f if the caller may perform
+// an action that concerns no job, and denies the request otherwise.
+func (c *Core) ifAuthorized(
+	requestID uint64, caller Credential, verb access.Verb, object string, f func(),
+) func(ok bool) {
 	return func(ok bool) {
-		switch d := c.authorize(by, access.Action{Verb: verb}); {
+		switch decision := c.authorize(caller, access.Action{Verb: verb}); {
 		case !ok:
-			c.respondUnavailable(req, "state service not reached")
-		case !d.Allowed:
-			c.respondForbidden(req, by, verb.String(), object, d.Reason)
+			c.respondUnavailable(requestID, reasonStoreUnreachable)
+		case !decision.Allowed:
+			c.respondForbidden(requestID, caller, verb.String(), object, decision.Reason)
 		default:
 			f()
 		}
 	}
 }
 
-// handleListPermissions answers with all rights, to those who may change them.
+// handleListPermissions answers with all permissions, to callers who may change them.
 func (c *Core) handleListPermissions(in ListPermissions) {
 	if !c.permissionsInForce() {
-		c.respondUnavailable(in.RequestID, "rights are not in force")
+		c.respondUnavailable(in.RequestID, reasonNoPermissions)
 		return
 	}
 	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "rights", func() {
--- a/core/permissions_test.go
+++ b/core/permissions_test.go
@@ -15,13 +15,19 @@
 	pb "dewlift/proto"
 )
 
-// examplePolicy has a technician, who also changes rights, and a visiting potter; the team of test
-// jobs is t, their class c.
+// examplePolicy has a technician, anna, who may also change permissions, and a visitor, potter. The
+// team of test jobs is t, their class c.
 func examplePolicy(t *testing.T) *access.Policy {
 	t.Helper()
 	key := func(b byte) string { return base64.StdEncoding.EncodeToString(append(make([]byte, 31), b)) }
-	p, err := access.Parse([]byte(fmt.Sprintf(`
-		roles { name: "technician" grants { verbs: submit verbs: read verbs: cancel verbs: prioritise teams: "*" classes: "*" up_to: "critical" } }
+	policy, err := access.Parse([]byte(fmt.Sprintf(`
+		roles {
+			name: "technician"
+			grants {
+				verbs: submit verbs: read verbs: cancel verbs: prioritise
+				teams: "*" classes: "*" up_to: "critical"
+			}
+		}
 		roles { name: "visitor" grants { verbs: submit teams: "t" classes: "c" } }
 		roles { name: "admin" grants { verbs: administer } }
 		identities { name: "anna" roles: "technician" roles: "admin" keys { id: "a1" ed25519: %q } }
@@ -29,84 +35,94 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return policy
 }
 
 var anna, potter = Credential{"anna", "a1"}, Credential{"potter", "p1"}
 
-// newCoreWithPermissions is a controller that serves with these rights in force.
+// newCoreWithPermissions returns a serving controller with the permissions of examplePolicy in force.
 func newCoreWithPermissions(t *testing.T) *Core {
 	t.Helper()
 	c := newServingCore(t)
-	p := examplePolicy(t)
-	log := []wire.WatchEvent{}
+	policy := examplePolicy(t)
+	events := []wire.WatchEvent{}
 	put := func(key string, raw json.RawMessage, err error) {
+		t.Helper()
 		if err != nil {
 			t.Fatal(err)
 		}
-		log = append(log, wire.WatchEvent{Put: key, Value: raw, Revision: 10})
+		events = append(events, wire.WatchEvent{Put: key, Value: raw, Revision: 10})
 	}
-	for _, id := range p.Source().Identities {
-		raw, err := jobrecord.PackMessage(id)
-		put(keyIdentity+id.Name, raw, err)
+	for _, identity := range policy.Source().Identities {
+		raw, err := jobrecord.PackMessage(identity)
+		put(keyIdentity+identity.Name, raw, err)
 	}
-	raw, err := jobrecord.PackMessage(&pb.Access{Roles: p.Source().Roles})
+	raw, err := jobrecord.PackMessage(&pb.Access{Roles: policy.Source().Roles})
 	put(keyRoles, raw, err)
-	if out := outputsOfType[PermissionsChanged](watchEvents(c, 1100*time.Millisecond, 10, log...)); len(out) != 1 ||
+	out := outputsOfType[PermissionsChanged](watchEvents(c, 1100*time.Millisecond, 10, events...))
+	if len(out) != 1 ||
 		!out[0].Policy.HasIdentity("potter") {
-		t.Fatalf("the edges are told %+v", out)
+		t.Fatalf("published policies: %+v", out)
 	}
 	return c
 }
 
+// submittedBy returns the submission as made by the caller.
 func submittedBy(by Credential, in SubmitJob) SubmitJob {
 	in.Caller, in.Spec.Priority = by, wire.PriorityStandard
 	return in
 }
 
+// statusOf returns the status of the only response among the outputs.
 func statusOf(t *testing.T, out []Output) wire.Status {
 	t.Helper()
-	r := outputsOfType[Response](out)
-	if len(r) != 1 {
-		t.Fatalf("%d answers: %+v", len(r), r)
+	responses := outputsOfType[Response](out)
+	if len(responses) != 1 {
+		t.Fatalf("%d responses: %+v", len(responses), responses)
+	}
+	return responses[0].Status
+}
+
+// seedTxns advances the controller through an interval, commits every transaction, and returns those
+// that write permissions. Each must compare the roles, or two controllers could both seed.
+func seedTxns(t *testing.T, c *Core, from, to time.Duration) (txns []wire.Txn) {
+	t.Helper()
+	writesPermission := func(write wire.Write) bool { return strings.HasPrefix(write.Put, keyPermissions) }
+	for at := from; at < to; at += 100 * time.Millisecond {
+		c.ownLease.expiresAt = at + time.Minute
+		for _, commit := range outputsOfType[CommitTxn](append(c.Advance(at), completeBarrier(c, at)...)) {
+			if slices.ContainsFunc(commit.Txn.Then, writesPermission) {
+				txns = append(txns, commit.Txn)
+				if !slices.Contains(commit.Txn.Compare, wire.Compare{Key: keyRoles}) {
+					t.Errorf("permissions are written without a compare on the roles: %+v", commit.Txn.Compare)
+				}
+				var events []wire.WatchEvent
+				for _, write := range commit.Txn.Then {
+					events = append(
+						events,
+						wire.WatchEvent{Put: write.Put, Value: write.Value, Revision: c.replica.revision + 1},
+					)
+				}
+				watchEvents(c, at, c.replica.revision+1, events...)
+			}
+			c.Handle(at, TxnResult{
+				ID:     commit.ID,
+				Status: wire.StatusOK,
+				Reply:  wire.TxnResponse{Revision: c.replica.revision},
+			})
+		}
 	}
-	return r[0].Status
+	return txns
 }
 
-// Rights of the file come into force when every controller knows them: identities first, then the
-// roles, conditionally. Until then nobody is served.
+// Configured permissions come into force once every controller knows the schema: identities first,
+// then the roles, with compares. No request may be served before.
 func TestPermissionsAreSeededOnce(t *testing.T) {
 	c := newServingCore(t)
 	c.cfg.Permissions = examplePolicy(t)
 	c.Handle(1100*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"})
 	if s := statusOf(t, c.Advance(1100*time.Millisecond)); s != wire.StatusUnavailable || c.Healthy() {
-		t.Errorf("before rights are in force: %d, healthy %v", s, c.Healthy())
-	}
-	written := func(from, to time.Duration) (txns []wire.Txn) {
-		for at := from; at < to; at += 100 * time.Millisecond {
-			c.ownLease.expiresAt = at + time.Minute
-			for _, o := range outputsOfType[CommitTxn](append(c.Advance(at), completeBarrier(c, at)...)) {
-				if slices.ContainsFunc(
-					o.Txn.Then,
-					func(w wire.Write) bool { return strings.HasPrefix(w.Put, keyPermissions) },
-				) {
-					txns = append(txns, o.Txn)
-					if !slices.Contains(o.Txn.Compare, wire.Compare{Key: keyRoles}) {
-						t.Errorf("rights are written without a condition: %+v", o.Txn.Compare)
-					}
-					var log []wire.WatchEvent
-					for _, w := range o.Txn.Then {
-						log = append(
-							log,
-							wire.WatchEvent{Put: w.Put, Value: w.Value, Revision: c.replica.revision + 1},
-						)
-					}
-					watchEvents(c, at, c.replica.revision+1, log...)
-				}
-				c.Handle(at, TxnResult{ID: o.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: c.replica.revision}})
-			}
-		}
-		return txns
+		t.Errorf("before permissions are in force: status %d, healthy %v", s, c.Healthy())
 	}
 	watchEvents(
 		c,
@@ -117,8 +133,8 @@
 		event(keySchemaVersion+"n2", fmt.Sprint(SchemaVersion), 11),
 		event(keySchemaVersion+"n0", fmt.Sprint(SchemaVersion), 11),
 	)
-	if x := written(1300*time.Millisecond, 3*time.Second); len(x) != 0 {
-		t.Errorf("written while another controller does not know rights: %+v", x)
+	if txns := seedTxns(t, c, 1300*time.Millisecond, 3*time.Second); len(txns) != 0 {
+		t.Errorf("seeded while another controller does not know permissions: %+v", txns)
 	}
 	c.Handle(
 		3*time.Second,
@@ -131,14 +147,15 @@
 			},
 		},
 	)
-	x := written(3*time.Second, 6*time.Second)
-	if len(x) != 2 || len(x[0].Then) != 2 || x[1].Then[0].Put != keyRoles || !c.permissionsInForce() || !c.Healthy() {
-		t.Fatalf("got %+v, guarded %v, healthy %v", x, c.permissionsInForce(), c.Healthy())
+	txns := seedTxns(t, c, 3*time.Second, 6*time.Second)
+	if len(txns) != 2 || len(txns[0].Then) != 2 || txns[1].Then[0].Put != keyRoles ||
+		!c.permissionsInForce() || !c.Healthy() {
+		t.Fatalf("seeded by %+v, in force %v, healthy %v", txns, c.permissionsInForce(), c.Healthy())
 	}
 }
 
-// Who has no right to read a job is not told that it exists: by a poll, a cancellation, a repeated
-// submission or a job that awaits it.
+// A caller without read permission must not learn that a job exists: neither by a poll, a cancellation
+// or a repeated submission, nor by a job that depends on it.
 func TestUnreadableJobsAreNotRevealed(t *testing.T) {
 	c := newCoreWithPermissions(t)
 	watchEvents(
@@ -147,27 +164,34 @@
 		11,
 		event(keyJob+"wk-1", `{"h":0,"s":{"cl":"x","tm":"t","n":1,"rc":[1000,0,1000]}}`, 11),
 	)
-	awaits := testSubmission("wk-3")
-	awaits.Spec.Dependencies = []string{"wk-1"}
+	dependent := testSubmission("wk-3")
+	dependent.Spec.Dependencies = []string{"wk-1"}
+	dependentOnMissing := dependent
+	dependentOnMissing.Spec.Dependencies = []string{"wk-2"}
 	c.schema.active = SchemaVersion
-	ask := func(at time.Duration, in Input) Response {
+	request := func(at time.Duration, in Input) Response {
+		t.Helper()
 		c.Handle(at, in)
 		out := c.Advance(at)
 		for i := 1; i < 4 && len(outputsOfType[Response](out)) == 0; i++ {
 			out = append(out, completeBarrier(c, at+time.Duration(i)*300*time.Millisecond)...)
 		}
-		r := outputsOfType[Response](out)
-		if len(r) != 1 {
-			t.Fatalf("%+v: %d answers", in, len(r))
+		responses := outputsOfType[Response](out)
+		if len(responses) != 1 {
+			t.Fatalf("%+v: %d responses", in, len(responses))
 		}
-		return r[0]
+		return responses[0]
 	}
 	at := 1200 * time.Millisecond
-	for _, x := range []struct {
-		real, never Input
-		status      wire.Status
+	for _, tt := range []struct {
+		existing, missing Input
+		status            wire.Status
 	}{
-		{GetJob{RequestID: 1, ID: "wk-1", Caller: potter}, GetJob{RequestID: 1, ID: "wk-2", Caller: potter}, wire.StatusNotFound},
+		{
+			GetJob{RequestID: 1, ID: "wk-1", Caller: potter},
+			GetJob{RequestID: 1, ID: "wk-2", Caller: potter},
+			wire.StatusNotFound,
+		},
 		{
 			CancelJob{RequestID: 1, ID: "wk-1", Caller: potter},
 			CancelJob{RequestID: 1, ID: "wk-2", Caller: potter},
@@ -179,37 +203,37 @@
 			wire.StatusBadRequest,
 		},
 		{
-			submittedBy(potter, awaits),
-			submittedBy(potter, func() SubmitJob { s := awaits; s.Spec.Dependencies = []string{"wk-2"}; return s }()),
+			submittedBy(potter, dependent),
+			submittedBy(potter, dependentOnMissing),
 			wire.StatusInvalid,
 		},
 	} {
 		at += 2 * time.Second
 		c.ownLease.expiresAt = at + time.Minute
-		a := ask(at, x.real)
+		existing := request(at, tt.existing)
 		at += 2 * time.Second
 		c.ownLease.expiresAt = at + time.Minute
-		b := ask(at, x.never)
-		if a.Status != x.status || strings.ReplaceAll(fmt.Sprint(a.Body), "wk-1", "wk-2") != fmt.Sprint(b.Body) ||
-			a.Status != b.Status {
-			t.Errorf("%T: %+v differs from %+v", x.real, a, b)
+		missing := request(at, tt.missing)
+		if existing.Status != tt.status || existing.Status != missing.Status ||
+			strings.ReplaceAll(fmt.Sprint(existing.Body), "wk-1", "wk-2") != fmt.Sprint(missing.Body) {
+			t.Errorf("%T: %+v differs from %+v", tt.existing, existing, missing)
 		}
 	}
 	at += 2 * time.Second
-	if r := ask(at, GetJob{RequestID: 1, ID: "wk-1", Caller: anna}); r.Status != wire.StatusOK {
-		t.Errorf("who may read it gets %+v", r)
+	if r := request(at, GetJob{RequestID: 1, ID: "wk-1", Caller: anna}); r.Status != wire.StatusOK {
+		t.Errorf("a permitted reader gets %+v", r)
 	}
 }
 
-// A new job is written on condition that its user still has the right; one who lost it meanwhile is refused,
-// and the job is not accepted.
+// An acceptance compares the submitter's permissions: if they were revoked meanwhile, the submission
+// is denied and the job not accepted. Jobs accepted before stay, until someone permitted cancels them.
 func TestPermissionRevokedWhileAJobIsWritten(t *testing.T) {
 	c := newCoreWithPermissions(t)
 	c.Handle(1200*time.Millisecond, submittedBy(potter, testSubmission("wk-1")))
-	x := findAcceptTxn(c.Advance(1200*time.Millisecond), "wk-1")
-	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: keyIdentity + "potter", Revision: 10}) ||
-		!slices.Contains(x.Txn.Compare, wire.Compare{Key: keyRoles, Revision: 10}) {
-		t.Fatalf("got %+v", x)
+	accept := findAcceptTxn(c.Advance(1200*time.Millisecond), "wk-1")
+	if accept == nil || !slices.Contains(accept.Txn.Compare, wire.Compare{Key: keyIdentity + "potter", Revision: 10}) ||
+		!slices.Contains(accept.Txn.Compare, wire.Compare{Key: keyRoles, Revision: 10}) {
+		t.Fatalf("got %+v", accept)
 	}
 	raw, err := jobrecord.PackMessage(
 		&pb.Identity{Name: "potter", Keys: []*pb.PublicKey{c.permissions.identities["potter"].identity.Keys[0]}},
@@ -220,13 +244,17 @@
 	watchEvents(c, 1300*time.Millisecond, 11, wire.WatchEvent{Put: keyIdentity + "potter", Value: raw, Revision: 11})
 	c.Handle(
 		1300*time.Millisecond,
-		TxnResult{ID: x.ID, Status: wire.StatusConflict, Reply: wire.TxnResponse{Failed: []string{keyIdentity + "potter"}}},
+		TxnResult{
+			ID:     accept.ID,
+			Status: wire.StatusConflict,
+			Reply:  wire.TxnResponse{Failed: []string{keyIdentity + "potter"}},
+		},
 	)
 	out := append(c.Advance(1300*time.Millisecond), completeBarrier(c, 1400*time.Millisecond)...)
 	if s := statusOf(t, out); s != wire.StatusForbidden || findAcceptTxn(out, "wk-1") != nil {
-		t.Errorf("answered %d", s)
+		t.Errorf("a submission without permission is answered %d", s)
 	}
-	// A job that was accepted before stays, and is cancelled only by somebody with the right, by name.
+	// A job accepted before stays queued and is cancelled only on request of a permitted caller.
 	watchEvents(
 		c,
 		1500*time.Millisecond,
@@ -235,7 +263,7 @@
 	)
 	c.Advance(1600 * time.Millisecond)
 	if c.knownJob("wk-2").isFinal() {
-		t.Fatal("a queued job ended with its user's right")
+		t.Fatal("a queued job ended with its submitter's permissions")
 	}
 	c.Handle(
 		2*time.Second,
@@ -249,36 +277,39 @@
 	c.Advance(2 * time.Second)
 	out = completeBarrier(c, 2100*time.Millisecond)
 	var change *CommitTxn
-	for _, o := range outputsOfType[CommitTxn](out) {
-		if o.Txn.Then[0].Delete == keyIdentity+"potter" {
-			change = &o
+	for _, commit := range outputsOfType[CommitTxn](out) {
+		if commit.Txn.Then[0].Delete == keyIdentity+"potter" {
+			change = &commit
 		}
 	}
 	if change == nil || !slices.Contains(change.Txn.Compare, wire.Compare{Key: keyIdentity + "anna", Revision: 10}) ||
 		!slices.Contains(change.Txn.Compare, wire.Compare{Key: keyIdentity + "potter", Revision: 11}) {
 		t.Fatalf("got %+v", out)
 	}
-	c.Handle(2200*time.Millisecond, TxnResult{ID: change.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: 13}})
+	c.Handle(
+		2200*time.Millisecond,
+		TxnResult{ID: change.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: 13}},
+	)
 	out = c.Advance(2200 * time.Millisecond)
-	cancelled := slices.ContainsFunc(outputsOfType[CommitTxn](out), func(o CommitTxn) bool {
-		return slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool {
-			return w.Put == keyJob+"wk-2" && strings.Contains(string(w.Value), `"st":"c"`)
-		}) && slices.Contains(o.Txn.Compare, wire.Compare{Key: keyIdentity + "anna", Revision: 10})
+	cancelled := slices.ContainsFunc(outputsOfType[CommitTxn](out), func(commit CommitTxn) bool {
+		return slices.ContainsFunc(commit.Txn.Then, func(write wire.Write) bool {
+			return write.Put == keyJob+"wk-2" && strings.Contains(string(write.Value), `"st":"c"`)
+		}) && slices.Contains(commit.Txn.Compare, wire.Compare{Key: keyIdentity + "anna", Revision: 10})
 	})
 	if s := statusOf(t, out); s != wire.StatusOK || !cancelled {
 		t.Errorf("answered %d, cancelled %v", s, cancelled)
 	}
 }
 
-// Rights can't be changed into a state that nobody could change again; everyone may replace their own keys, and
-// nothing else.
+// Permissions must not reach a state that nobody could change again. Every identity may replace its own
+// keys, and nothing else.
 func TestUpdatePermissions(t *testing.T) {
 	next := base64.StdEncoding.EncodeToString(append(make([]byte, 31), 9))
-	for _, x := range []struct {
-		by     Credential
-		who    string
-		edit   wire.PermissionsEdit
-		status wire.Status // 0: it is written
+	for _, tt := range []struct {
+		caller   Credential
+		identity string
+		edit     wire.PermissionsEdit
+		status   wire.Status // StatusNoAnswer: the change is committed
 	}{
 		{anna, "anna", wire.PermissionsEdit{RevokeRoles: []string{"admin"}}, wire.StatusInvalid},
 		{anna, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, wire.StatusInvalid},
@@ -296,15 +327,19 @@
 		{Credential{"potter", "a1"}, "potter", wire.PermissionsEdit{RevokeKeys: []string{"p1"}}, wire.StatusForbidden},
 	} {
 		c := newCoreWithPermissions(t)
-		c.Handle(1200*time.Millisecond, UpdatePermissions{RequestID: 5, Caller: x.by, Identity: x.who, Edit: x.edit})
+		c.Handle(
+			1200*time.Millisecond,
+			UpdatePermissions{RequestID: 5, Caller: tt.caller, Identity: tt.identity, Edit: tt.edit},
+		)
 		out := append(c.Advance(1200*time.Millisecond), completeBarrier(c, 1300*time.Millisecond)...)
 		wrote := slices.ContainsFunc(
 			outputsOfType[CommitTxn](out),
-			func(o CommitTxn) bool { return o.Txn.Then[0].Put == keyIdentity+x.who },
+			func(commit CommitTxn) bool { return commit.Txn.Then[0].Put == keyIdentity+tt.identity },
 		)
-		if r := outputsOfType[Response](out); x.status == wire.StatusNoAnswer && (!wrote || len(r) != 0) ||
-			x.status != wire.StatusNoAnswer && (wrote || len(r) != 1 || r[0].Status != x.status) {
-			t.Errorf("%+v: wrote %v, answered %+v", x, wrote, r)
+		responses := outputsOfType[Response](out)
+		if tt.status == wire.StatusNoAnswer && (!wrote || len(responses) != 0) ||
+			tt.status != wire.StatusNoAnswer && (wrote || len(responses) != 1 || responses[0].Status != tt.status) {
+			t.Errorf("%+v: wrote %v, answered %+v", tt, wrote, responses)
 		}
 	}
 }
