--- a/core/apply.go
+++ b/core/apply.go
@@ -97,7 +97,7 @@
 	case strings.HasPrefix(key, auditlog.Prefix):
 		bad(c.currentAuditLog().ApplyPut(key, raw, mark))
 	case key == KeyRestored:
-		bad(c.applyRestoreMarker(raw, mark))
+		bad(c.restoreMarker.apply(raw, mark))
 	case key == keyHistory:
 		c.applyHistoryMarker(mark)
 	case key == keyPriorityClasses:
--- a/core/audit.go
+++ b/core/audit.go
@@ -13,34 +13,51 @@
 	pb "dewlift/proto"
 )
 
-// KeyRestored exists where a snapshot was restored and that is not recorded yet.
+// KeyRestored exists while the restore of a snapshot is not recorded in the audit log yet.
 const KeyRestored = Root + "restored"
 
-const auditPageBlocks = 40 // blocks in an answer
+const (
+	// auditPageBlocks bounds the blocks in one page of the audit log, and so the size of the answer.
+	auditPageBlocks = 40
 
-// restoreMarker is a restored state that is not recorded yet.
+	// auditBlockWriteTokens is the write budget that must be left before a block is written: one
+	// write for the block and one for the head of the chain.
+	auditBlockWriteTokens = 2
+
+	// maxStopEventMachines bounds the machines that a stop event names, so that it fits an entry.
+	maxStopEventMachines = 3
+)
+
+// restoreMarker is the replica of KeyRestored.
 type restoreMarker struct {
-	revision      uint64 // of KeyRestored; 0: there is none
+	revision      uint64 // of KeyRestored; 0: absent
 	description   string
-	writeInFlight bool
+	writeInFlight bool // the transaction that records the restore
+}
+
+// apply applies the stored marker.
+func (m *restoreMarker) apply(raw json.RawMessage, revision uint64) error {
+	m.revision = max(m.revision, revision)
+	return json.Unmarshal(raw, &m.description)
 }
 
+// newAuditLog returns an audit log recorder with the controller's configuration.
 func (c *Core) newAuditLog() *auditlog.Recorder {
-	k := &c.cfg
+	settings := &c.cfg.Audit
 	return auditlog.New(auditlog.Config{
-		Key:            k.Audit.Key,
-		Node:           k.Name,
-		GatherInterval: k.Audit.GatherDelay,
-		BlockDelay:     k.Audit.BlockDelay,
-		LateTxnWindow:  k.Audit.ForgetAfter,
-		ClockErrorMS:   k.Audit.MaxClockErrorMS,
-		Settings:       k.Audit.Settings,
+		Key:            settings.Key,
+		Node:           c.cfg.Name,
+		GatherInterval: settings.GatherDelay,
+		BlockDelay:     settings.BlockDelay,
+		LateTxnWindow:  settings.ForgetAfter,
+		ClockErrorMS:   settings.MaxClockErrorMS,
+		Settings:       settings.Settings,
 		StartedAt:      c.now,
 		LogError:       func(text string, args ...any) { c.log(LevelError, text, args...) },
 	})
 }
 
-// currentAuditLog is the audit record, as of this moment.
+// currentAuditLog returns the audit log recorder with its environment set to the current time.
 func (c *Core) currentAuditLog() *auditlog.Recorder {
 	c.auditLog.Env = auditlog.Env{
 		Now:           c.now,
@@ -51,23 +68,25 @@
 	return c.auditLog
 }
 
-func newAuditEvent(by Credential, verb, object, why string) auditlog.Event {
-	return auditlog.Event{Identity: by.Identity, Key: by.KeyID, Verb: verb, Object: object, Reason: why}
+// newAuditEvent returns the audit event of a caller's action.
+func newAuditEvent(caller Credential, verb, object, reason string) auditlog.Event {
+	return auditlog.Event{Identity: caller.Identity, Key: caller.KeyID, Verb: verb, Object: object, Reason: reason}
 }
 
-// isAuditing reports whether this controller records.
+// isAuditing reports whether this controller records changes in the audit log.
 func (c *Core) isAuditing() bool { return c.cfg.Audit.Key != nil && c.schemaVersion() >= schemaAudit }
 
-// lacksAuditKey reports whether others record and this controller has no key to: it must not act.
+// lacksAuditKey reports whether other controllers audit and this one has no key for it: it must not
+// act, because its changes would be unaudited.
 func (c *Core) lacksAuditKey() bool { return c.cfg.Audit.Key == nil && c.auditLog.IsInitialized() }
 
-// auditNotReady reports whether nothing may be written yet that is to be recorded.
+// auditNotReady reports whether audited changes can't be written yet.
 func (c *Core) auditNotReady() bool {
 	return c.lacksAuditKey() || c.isAuditing() && !c.auditLog.IsStarted()
 }
 
-// unauditedCompares are the conditions under which a change needs no entry: a controller that does
-// not record yet must not act once another one does.
+// unauditedCompares returns the compares under which a change needs no audit entry: a controller that
+// does not audit yet must not act once another one does.
 func (c *Core) unauditedCompares() []wire.Compare {
 	if c.isAuditing() || c.cfg.Audit.Key == nil && !c.permissionsInForce() {
 		return nil
@@ -75,7 +94,7 @@
 	return []wire.Compare{{Key: auditlog.KeyInitialized}}
 }
 
-// auditOpsPerTxn is how many changes carryBeside adds.
+// auditOpsPerTxn returns how many writes addAuditEntry adds to a transaction.
 func (c *Core) auditOpsPerTxn() int {
 	if c.isAuditing() {
 		return 1
@@ -83,91 +102,88 @@
 	return 0
 }
 
-// addAuditEntry adds a carrier with the entry of an act to a transaction, and returns what must be told of its outcome.
-func (c *Core) addAuditEntry(t *wire.Txn, name string, x auditlog.Event) func(status wire.Status) {
+// addAuditEntry adds a carrier with the entry of an event to a transaction. The returned function must
+// be called with the outcome of the transaction.
+func (c *Core) addAuditEntry(txn *wire.Txn, name string, event auditlog.Event) func(status wire.Status) {
 	if !c.isAuditing() {
-		for _, k := range c.unauditedCompares() {
-			if !slices.Contains(t.Compare, k) {
-				t.Compare = append(t.Compare, k)
+		for _, compare := range c.unauditedCompares() {
+			if !slices.Contains(txn.Compare, compare) {
+				txn.Compare = append(txn.Compare, compare)
 			}
 		}
 		return func(wire.Status) {}
 	}
-	ids := c.currentAuditLog().AttachCarrier(t, name, x)
+	ids := c.currentAuditLog().AttachCarrier(txn, name, event)
 	return func(status wire.Status) { c.currentAuditLog().HandleOutcome(ids, status) }
 }
 
-// advanceAuditLog writes blocks when it is due.
+// advanceAuditLog writes the next block if one is due and the rate limit allows it.
 func (c *Core) advanceAuditLog() {
 	if !c.isAuditing() {
 		return
 	}
-	r := c.currentAuditLog()
+	recorder := c.currentAuditLog()
 	if c.storeUnreachable() || !c.holdsLease() {
-		r.RejectReadWaiters()
+		recorder.RejectReadWaiters()
 	}
-	if r.IsBusy() || !c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) ||
-		c.transactions.rateLimit.WriteTokens < 2 {
+	if recorder.IsBusy() || !c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) ||
+		c.transactions.rateLimit.WriteTokens < auditBlockWriteTokens {
 		return
 	}
-	if r.IsStarted() {
+	if recorder.IsStarted() {
 		c.auditRestore()
 	}
-	t := r.NextBlockTxn()
-	if t == nil {
+	txn := recorder.NextBlockTxn()
+	if txn == nil {
 		return
 	}
-	c.commitTxn(*t, &pendingTxn{onDone: func(status wire.Status, reply wire.TxnResponse) {
+	c.commitTxn(*txn, &pendingTxn{onDone: func(status wire.Status, reply wire.TxnResponse) {
 		if status == wire.StatusBadRequest {
-			c.reduceTxnLimits(t)
+			c.reduceTxnLimits(txn)
 		}
-		// what is there now shows with the next barrier
 		if c.currentAuditLog().HandleBlockOutcome(status, reply.Revision) {
-			c.afterReadBarrier(func(bool) { r.ClearBusy() })
+			// After the next barrier the replica shows whether the block was written.
+			c.afterReadBarrier(func(bool) { recorder.ClearBusy() })
 		}
 	}})
 }
 
-// applyRestoreMarker takes the sign that a snapshot was restored.
-func (c *Core) applyRestoreMarker(raw json.RawMessage, mark uint64) error {
-	c.restoreMarker.revision = max(c.restoreMarker.revision, mark)
-	return json.Unmarshal(raw, &c.restoreMarker.description)
-}
-
-// auditRestore records that the state was restored from a snapshot.
+// auditRestore records once that the state was restored from a snapshot; the same transaction deletes
+// the marker.
 func (c *Core) auditRestore() {
-	x := &c.restoreMarker
-	if x.revision == 0 || x.writeInFlight || !c.isLeader() {
+	marker := &c.restoreMarker
+	if marker.revision == 0 || marker.writeInFlight || !c.isLeader() {
 		return
 	}
-	x.writeInFlight = true
-	t := wire.Txn{
+	marker.writeInFlight = true
+	txn := wire.Txn{
 		Compare: []wire.Compare{
 			{Key: keyLeader, Revision: c.leadership.leader.mark},
-			{Key: KeyRestored, Revision: x.revision},
+			{Key: KeyRestored, Revision: marker.revision},
 		},
 		Then: []wire.Write{{Delete: KeyRestored}},
 	}
-	told := c.addAuditEntry(
-		&t,
+	handleAuditOutcome := c.addAuditEntry(
+		&txn,
 		"restored",
-		auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: x.description},
+		auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: marker.description},
 	)
-	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
-		told(status)
-		c.afterReadBarrier(func(bool) { x.writeInFlight = false })
+	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+		handleAuditOutcome(status)
+		c.afterReadBarrier(func(bool) { marker.writeInFlight = false })
 	}})
 }
 
-// auditDenial notes and records an act that was refused.
-func (c *Core) auditDenial(by Credential, verb, object, why string) {
-	c.log(LevelInfo, "refused", "who", by.Identity, "verb", verb, "object", object, "why", why)
+// auditDenial logs, counts and records a denied action.
+func (c *Core) auditDenial(caller Credential, verb, object, reason string) {
+	c.log(LevelInfo, "permission denied", "who", caller.Identity, "verb", verb, "object", object, "why", reason)
 	c.Stats.PermissionDenials++
 	c.currentAuditLog().
-		RecordRefusal(audit.GatheredEvent{Identity: by.Identity, Verb: verb, Object: object, Reason: why}, 1)
+		RecordRefusal(audit.GatheredEvent{Identity: caller.Identity, Verb: verb, Object: object, Reason: reason}, 1)
 }
 
-// handleReadAudit answers with a part of the record, to those who may read it.
+// handleReadAudit answers with a page of the audit log, to permitted callers. Reading is itself recorded,
+// before the answer.
 func (c *Core) handleReadAudit(in ReadAudit) {
 	switch {
 	case c.isNotServing() || c.cfg.Audit.Key != nil && !c.isAuditing():
@@ -192,12 +208,16 @@
 	}))
 }
 
+// respondWithAuditPage answers with the heads of all chains, or with a page of one controller's blocks.
 func (c *Core) respondWithAuditPage(in ReadAudit) {
 	if in.Node == "" {
 		var out wire.AuditChainHeads
-		for _, n := range sortedKeys(c.auditLog.Heads()) {
-			h := c.auditLog.Heads()[n]
-			out.Heads = append(out.Heads, wire.AuditChainHead{Node: n, BlockNumber: h.BlockNumber, Code: h.MAC})
+		for _, node := range sortedKeys(c.auditLog.Heads()) {
+			head := c.auditLog.Heads()[node]
+			out.Heads = append(
+				out.Heads,
+				wire.AuditChainHead{Node: node, BlockNumber: head.BlockNumber, Code: head.MAC},
+			)
 		}
 		c.respond(in.RequestID, wire.StatusOK, out)
 		return
@@ -210,15 +230,15 @@
 		audit.BlockPrefix+in.Node+"/",
 		audit.BlockKey(in.Node, in.AfterBlock),
 		auditPageBlocks,
-		func(x RangeResult) {
-			if x.Status != wire.StatusOK {
-				c.respondUnavailable(in.RequestID, "state service not reached")
+		func(result RangeResult) {
+			if result.Status != wire.StatusOK {
+				c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 				return
 			}
-			out := wire.AuditPage{More: x.More}
-			for _, it := range x.Items {
-				if _, n, ok := audit.SplitBlockKey(it.Key); ok {
-					out.Blocks = append(out.Blocks, wire.AuditBlock{Number: n, Value: it.Value})
+			out := wire.AuditPage{More: result.More}
+			for _, item := range result.Items {
+				if _, number, ok := audit.SplitBlockKey(item.Key); ok {
+					out.Blocks = append(out.Blocks, wire.AuditBlock{Number: number, Value: item.Value})
 				}
 			}
 			c.respond(in.RequestID, wire.StatusOK, out)
@@ -226,58 +246,52 @@
 	)
 }
 
-// taskStopEvents are the acts of tasks that were stopped, one for each cause.
-func taskStopEvents(id string, why []jobrecord.StopReason) (acts []auditlog.Event) {
-	if len(why) == 0 { // most writes
+// stoppedTasks are the tasks of a job that stopped for one cause, and their machines without repetition.
+type stoppedTasks struct {
+	tasks    jobrecord.TaskSet
+	machines []string
+}
+
+// taskStopEvents returns the audit events of stopped tasks, one for each cause, ordered by cause.
+func taskStopEvents(id string, reasons []jobrecord.StopReason) (events []auditlog.Event) {
+	if len(reasons) == 0 { // as for most writes of a record
 		return nil
 	}
-	causes := map[string]*struct {
-		tasks    jobrecord.TaskSet
-		machines []string
-	}{}
-	for _, w := range why {
-		x := causes[w.Cause]
-		if x == nil {
-			x = new(struct {
-				tasks    jobrecord.TaskSet
-				machines []string
-			})
-			causes[w.Cause] = x
+	causes := map[string]*stoppedTasks{}
+	for _, reason := range reasons {
+		stopped := causes[reason.Cause]
+		if stopped == nil {
+			stopped = &stoppedTasks{}
+			causes[reason.Cause] = stopped
 		}
-		x.tasks = x.tasks.Add(w.Task)
-		if !slices.Contains(x.machines, w.Machine) {
-			x.machines = append(x.machines, w.Machine)
+		stopped.tasks = stopped.tasks.Add(reason.Task)
+		if !slices.Contains(stopped.machines, reason.Machine) {
+			stopped.machines = append(stopped.machines, reason.Machine)
 		}
 	}
 	for _, cause := range sortedKeys(causes) {
-		x := causes[cause]
-		var tasks []string
-		for i := 0; i < len(x.tasks); i += 2 {
-			if x.tasks[i] == x.tasks[i+1] {
-				tasks = append(tasks, fmt.Sprint(x.tasks[i]))
-			} else {
-				tasks = append(tasks, fmt.Sprintf("%d-%d", x.tasks[i], x.tasks[i+1]))
-			}
-		}
-		slices.Sort(x.machines)
-		machines := strings.Join(x.machines[:min(len(x.machines), 3)], " ")
-		if n := len(x.machines) - 3; n > 0 {
-			machines += fmt.Sprintf(" and %d more", n)
-		}
-		acts = append(
-			acts,
-			auditlog.Event{
-				Verb:   auditlog.VerbStop,
-				Object: id,
-				Reason: fmt.Sprintf(
-					"%s: %d tasks on %s: %s",
-					cause,
-					x.tasks.Count(),
-					machines,
-					strings.Join(tasks, " "),
-				),
-			},
+		events = append(
+			events,
+			auditlog.Event{Verb: auditlog.VerbStop, Object: id, Reason: cause + ": " + causes[cause].summary()},
 		)
 	}
-	return acts
+	return events
+}
+
+// summary describes the stopped tasks for the audit log. It sorts the machines.
+func (s *stoppedTasks) summary() string {
+	var tasks []string
+	for i := 0; i < len(s.tasks); i += 2 {
+		if s.tasks[i] == s.tasks[i+1] {
+			tasks = append(tasks, fmt.Sprint(s.tasks[i]))
+		} else {
+			tasks = append(tasks, fmt.Sprintf("%d-%d", s.tasks[i], s.tasks[i+1]))
+		}
+	}
+	slices.Sort(s.machines)
+	machines := strings.Join(s.machines[:min(len(s.machines), maxStopEventMachines)], " ")
+	if n := len(s.machines) - maxStopEventMachines; n > 0 {
+		machines += fmt.Sprintf(" and %d more", n)
+	}
+	return fmt.Sprintf("%d tasks on %s: %s", s.tasks.Count(), machines, strings.Join(tasks, " "))
 }
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -15,47 +15,49 @@
 	pb "dewlift/proto"
 )
 
-// carriedValue is what values with entries have in common.
+// carriedValue is the part that all stored values with audit entries have in common.
 type carriedValue struct {
 	Carried []audit.PendingEntry `json:"e"`
 }
 
 var testKey = audit.Key("the key of the tests of the core")
 
-// newAuditingCore is a controller that serves with rights in force and records what is done, in its first life.
+// newAuditingCore returns a serving controller with permissions in force that audits, in its first incarnation.
 func newAuditingCore(t *testing.T) *Core {
 	t.Helper()
 	c := newCoreWithPermissions(t)
 	enableAuditing(c, 2*time.Second, 4*time.Second, map[string]string{"idle_ms": "4000"})
 	c.Handle(1200*time.Millisecond, schemaDeclarations("n0", "n1", "n2"))
 	answerAndCollectWrites(t, c, 1200*time.Millisecond, 1500*time.Millisecond)
-	if h := c.auditLog.Heads()["n0"]; !c.auditLog.IsStarted() || h.BlockNumber != 1 {
-		t.Fatalf("its life has not begun: %+v", h)
+	if head := c.auditLog.Heads()["n0"]; !c.auditLog.IsStarted() || head.BlockNumber != 1 {
+		t.Fatalf("the audit log has not started: %+v", head)
 	}
 	return c
 }
 
-// enableAuditing gives a controller that has not recorded anything the key of the record.
+// enableAuditing gives the audit key to a controller that has not recorded anything yet.
 func enableAuditing(c *Core, gather, block time.Duration, settings map[string]string) {
-	c.cfg.Audit.Key, c.cfg.Audit.GatherDelay, c.cfg.Audit.BlockDelay, c.cfg.Audit.ForgetAfter, c.cfg.Audit.Settings = testKey, gather, block, 10*time.Second, settings
+	c.cfg.Audit.Key, c.cfg.Audit.Settings = testKey, settings
+	c.cfg.Audit.GatherDelay, c.cfg.Audit.BlockDelay, c.cfg.Audit.ForgetAfter = gather, block, 10*time.Second
 	c.auditLog = c.newAuditLog()
 }
 
-// auditEntriesIn are the entries of the blocks among writes.
+// auditEntriesIn returns the entries of all blocks among the writes.
 func auditEntriesIn(t *testing.T, writes []wire.Write) (entries []*pb.AuditEntry) {
 	t.Helper()
-	for _, w := range writes {
-		if strings.HasPrefix(w.Put, audit.BlockPrefix) {
-			b, err := audit.DecodeBlock(w.Value)
+	for _, write := range writes {
+		if strings.HasPrefix(write.Put, audit.BlockPrefix) {
+			block, err := audit.DecodeBlock(write.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
-			entries = append(entries, b.Entries...)
+			entries = append(entries, block.Entries...)
 		}
 	}
 	return entries
 }
 
+// auditVerbs returns the verb and object of each entry.
 func auditVerbs(entries []*pb.AuditEntry) (out []string) {
 	for _, e := range entries {
 		out = append(out, e.Verb+" "+e.Object)
@@ -63,36 +65,36 @@
 	return out
 }
 
-// carriedVerbs are the entries that the last write of a key carries.
+// carriedVerbs returns the verbs of the entries that the last write of a key carries.
 func carriedVerbs(t *testing.T, writes []wire.Write, key string) (verbs []string) {
 	t.Helper()
-	var v carriedValue
-	for _, w := range writes {
-		if w.Put == key {
-			v = carriedValue{}
-			if err := json.Unmarshal(w.Value, &v); err != nil {
+	var value carriedValue
+	for _, write := range writes {
+		if write.Put == key {
+			value = carriedValue{}
+			if err := json.Unmarshal(write.Value, &value); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	for _, x := range v.Carried {
-		e, err := testKey.VerifyEntry(key, &x)
+	for _, pending := range value.Carried {
+		entry, err := testKey.VerifyEntry(key, &pending)
 		if err != nil {
 			t.Fatal(err)
 		}
-		verbs = append(verbs, e.Verb)
+		verbs = append(verbs, entry.Verb)
 	}
 	return verbs
 }
 
-// An entry takes no change of its own: the job's record carries it, it is put into a block once, and what writes the
-// record next drops it.
+// An entry must need no write of its own: the job's record carries it, it is written to a block exactly
+// once, and the next write of the record drops it.
 func TestAuditEntryIsCommittedWithItsChange(t *testing.T) {
 	c := newAuditingCore(t)
 	c.Handle(1500*time.Millisecond, submittedBy(anna, testSubmission("wk-1")))
 	writes := answerAndCollectWrites(t, c, 1500*time.Millisecond, 2*time.Second)
 	if len(writes) != 1 || !slices.Equal(carriedVerbs(t, writes, keyJob+"wk-1"), []string{"submit"}) {
-		t.Fatalf("%d changes: %+v", len(writes), writes)
+		t.Fatalf("%d writes: %+v", len(writes), writes)
 	}
 	writes = answerAndCollectWrites(t, c, 2*time.Second, 8*time.Second)
 	if got := auditVerbs(auditEntriesIn(t, writes)); !slices.Equal(got, []string{"submit wk-1"}) {
@@ -103,13 +105,14 @@
 	if got := carriedVerbs(t, writes, keyJob+"wk-1"); !slices.Equal(got, []string{"cancel"}) {
 		t.Errorf("carries %v", got)
 	}
-	b := auditEntriesIn(t, writes)
-	if got := auditVerbs(b); !slices.Equal(got, []string{"cancel wk-1"}) || b[0].Who != "anna" || b[0].Key != "a1" {
-		t.Errorf("blocks hold %v: %+v", got, b)
+	entries := auditEntriesIn(t, writes)
+	if got := auditVerbs(entries); !slices.Equal(got, []string{"cancel wk-1"}) ||
+		entries[0].Who != "anna" || entries[0].Key != "a1" {
+		t.Errorf("blocks hold %v: %+v", got, entries)
 	}
 }
 
-// The mark of a cancellation carries its entry, and the record that replaces the mark carries it on.
+// The audit entry of a cancellation must not be lost when the record replaces the cancel marker: both carry it.
 func TestCancelMarkerCarriesItsAuditEntry(t *testing.T) {
 	c, j := newCoreWithLargeRecord(t)
 	enableAuditing(c, time.Hour, time.Hour, nil)
@@ -117,10 +120,10 @@
 	c.Handle(2*time.Second, CancelJob{RequestID: 5, ID: j.id, UnixMS: 77})
 	writes := answerAndCollectWrites(t, c, 2*time.Second, 4*time.Second)
 	if got := carriedVerbs(t, writes, keyCancel+j.id); !slices.Equal(got, []string{"cancel"}) {
-		t.Fatalf("the mark carries %v", got)
+		t.Fatalf("the cancel marker carries %v", got)
 	}
-	for _, a := range j.assignments {
-		c.markMachineGone(c.machines[a.Machine])
+	for _, assignment := range j.assignments {
+		c.markMachineGone(c.machines[assignment.Machine])
 	}
 	answerAndCollectWrites(t, c, 4*time.Second, 9*time.Second)
 	if len(j.record.PendingAudit) != 1 || j.record.Stage != jobrecord.Cancelled || j.record.Spec != nil {
@@ -128,7 +131,8 @@
 	}
 }
 
-// Refusals take a block now and then however many there are, are counted whole, and wait out an outage.
+// Denials must not flood the store: however many there are, they share a few entries, are counted, and wait
+// until an outage ends.
 func TestDenialsAreAuditedInBatches(t *testing.T) {
 	c := newAuditingCore(t)
 	for i := range 3000 {
@@ -153,35 +157,36 @@
 	c.ownLease.expiresAt = 3 * time.Minute
 	c.recordStoreStatus(wire.StatusOK)
 	writes := answerAndCollectWrites(t, c, 30*time.Second, 40*time.Second)
-	total, mine := uint32(0), 0
-	for _, e := range auditEntriesIn(t, writes) {
-		if e.Outcome != pb.AuditOutcome_refused {
-			t.Errorf("%+v", e)
+	denials, entries := uint32(0), 0
+	for _, entry := range auditEntriesIn(t, writes) {
+		if entry.Outcome != pb.AuditOutcome_refused {
+			t.Errorf("not a denial: %+v", entry)
 		}
-		mine++
-		for _, it := range e.Items {
-			total += it.Count
+		entries++
+		for _, item := range entry.Items {
+			denials += item.Count
 		}
 	}
-	if total == 0 || total > 9000 || mine > 3 {
-		t.Errorf("%d refusals in %d entries", total, mine)
+	if denials == 0 || denials > 9000 || entries > 3 {
+		t.Errorf("%d denials in %d entries", denials, entries)
 	}
 }
 
-// Reading is a right, and recorded before the answer is given; page after page, once a minute.
+// Reading the audit log needs a permission and is recorded before the answer; later pages of the same reader
+// are recorded once a minute.
 func TestReadIsAuditedBeforeItIsAnswered(t *testing.T) {
 	c := newAuditingCore(t)
-	ask := func(at time.Duration, by Credential, node string) (out []Output) {
+	read := func(at time.Duration, caller Credential, node string) (out []Output) {
 		c.ownLease.expiresAt = at + time.Minute
-		c.Handle(at, ReadAudit{RequestID: 9, Caller: by, Node: node})
+		c.Handle(at, ReadAudit{RequestID: 9, Caller: caller, Node: node})
 		return append(c.Advance(at), completeBarrier(c, at+300*time.Millisecond)...)
 	}
-	if r := outputsOfType[Response](ask(2*time.Second, potter, "")); len(r) != 1 || r[0].Status != wire.StatusForbidden {
-		t.Errorf("the potter reads: %+v", r)
+	if s := statusOf(t, read(2*time.Second, potter, "")); s != wire.StatusForbidden {
+		t.Errorf("a visitor reads the audit log: %d", s)
 	}
-	// Anna may administer, and that is not to audit.
-	if r := outputsOfType[Response](ask(3*time.Second, anna, "")); len(r) != 1 || r[0].Status != wire.StatusForbidden {
-		t.Errorf("anna reads: %+v", r)
+	// The verb administer, which anna has, does not include audit.
+	if s := statusOf(t, read(3*time.Second, anna, "")); s != wire.StatusForbidden {
+		t.Errorf("an administrator without the verb reads the audit log: %d", s)
 	}
 	c.permissions.roles.Roles[0].Grants = append(
 		c.permissions.roles.Roles[0].Grants,
@@ -189,10 +194,10 @@
 	)
 	c.permissions.policyStale = true
 	answerAndCollectWrites(t, c, 6*time.Second, 18*time.Second)
-	out := ask(20*time.Second, anna, "")
+	out := read(20*time.Second, anna, "")
 	commits := outputsOfType[CommitTxn](out)
-	if r := outputsOfType[Response](out); len(r) != 0 || len(commits) != 1 {
-		t.Fatalf("answered before it was recorded: %+v, %d writes", r, len(commits))
+	if responses := outputsOfType[Response](out); len(responses) != 0 || len(commits) != 1 {
+		t.Fatalf("answered before it was recorded: %+v, %d writes", responses, len(commits))
 	}
 	entries := auditEntriesIn(t, commits[0].Txn.Then)
 	if e := entries[len(entries)-1]; e.Items[0].Who != "anna" || e.Items[0].Verb != "audit" {
@@ -202,41 +207,44 @@
 		20500*time.Millisecond,
 		TxnResult{ID: commits[0].ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: c.replica.revision + 1}},
 	)
-	r := outputsOfType[Response](c.Advance(20500 * time.Millisecond))
-	if len(r) != 1 || r[0].Status != wire.StatusOK || len(r[0].Body.(wire.AuditChainHeads).Heads) != 1 {
-		t.Fatalf("got %+v", r)
+	responses := outputsOfType[Response](c.Advance(20500 * time.Millisecond))
+	if len(responses) != 1 || responses[0].Status != wire.StatusOK ||
+		len(responses[0].Body.(wire.AuditChainHeads).Heads) != 1 {
+		t.Fatalf("got %+v", responses)
 	}
-	if scans := outputsOfType[ReadRange](ask(21*time.Second, anna, "n0")); len(scans) != 1 ||
-		scans[0].Prefix != audit.BlockPrefix+"n0/" {
-		t.Errorf("the next page waits: %+v", scans)
+	if ranges := outputsOfType[ReadRange](read(21*time.Second, anna, "n0")); len(ranges) != 1 ||
+		ranges[0].Prefix != audit.BlockPrefix+"n0/" {
+		t.Errorf("the next page is not read at once: %+v", ranges)
 	}
 }
 
-// A controller without the key in a site that records serves nobody, and lets its lease run out.
+// A controller without the audit key in a cluster that audits must not act: it serves no request and does not
+// renew its lease.
 func TestControllerWithoutAuditKeyDoesNotAct(t *testing.T) {
 	c := newCoreWithPermissions(t)
 	watchEvents(c, 1200*time.Millisecond, 11, event(auditlog.KeyInitialized, "1", 11))
 	c.Handle(1200*time.Millisecond, submittedBy(anna, testSubmission("wk-1")))
 	out := c.Advance(5 * time.Second)
-	if s := statusOf(t, out); s != wire.StatusUnavailable || c.Healthy() || len(outputsOfType[LeaseRequest](out)) != 0 ||
+	if s := statusOf(t, out); s != wire.StatusUnavailable || c.Healthy() ||
+		len(outputsOfType[LeaseRequest](out)) != 0 ||
 		len(outputsOfType[CommitTxn](out)) != 0 {
-		t.Errorf("answered %d, healthy %v, did %+v", s, c.Healthy(), out)
+		t.Errorf("answered %d, healthy %v, outputs %+v", s, c.Healthy(), out)
 	}
 }
 
-// One that has the key and does not know yet that others record acts only if they do not.
+// A controller with the audit key that does not audit yet must compare that no other one does.
 func TestNoUnauditedChangeOnceOthersAudit(t *testing.T) {
 	c := newCoreWithPermissions(t)
 	enableAuditing(c, time.Hour, time.Hour, nil)
 	c.schema.active = schemaPermissions
 	c.Handle(1200*time.Millisecond, submittedBy(anna, testSubmission("wk-1")))
-	w := findAcceptTxn(c.Advance(1200*time.Millisecond), "wk-1")
-	if w == nil || !slices.Contains(w.Txn.Compare, wire.Compare{Key: auditlog.KeyInitialized}) {
-		t.Errorf("got %+v", w)
+	accept := findAcceptTxn(c.Advance(1200*time.Millisecond), "wk-1")
+	if accept == nil || !slices.Contains(accept.Txn.Compare, wire.Compare{Key: auditlog.KeyInitialized}) {
+		t.Errorf("got %+v", accept)
 	}
 }
 
-// A start tells which settings differ, and that a snapshot was restored is told once.
+// The audit entry of a start lists the changed settings; a restored snapshot is recorded once.
 func TestStartAndRestoreAreAudited(t *testing.T) {
 	c := newAuditingCore(t)
 	head, err := json.Marshal(c.auditLog.Heads()["n0"])
@@ -262,39 +270,39 @@
 			}},
 		},
 	)
-	b := auditEntriesIn(t, answerAndCollectWrites(t, c, 1300*time.Millisecond, 10*time.Second))
-	if got := auditVerbs(b); len(got) != 2 || got[0] != "start n0" || got[1] != "restore state" {
+	entries := auditEntriesIn(t, answerAndCollectWrites(t, c, 1300*time.Millisecond, 10*time.Second))
+	if got := auditVerbs(entries); len(got) != 2 || got[0] != "start n0" || got[1] != "restore state" {
 		t.Fatalf("blocks hold %v", got)
 	}
-	if b[0].Why != "settings differ: idle_ms 8000, was 4000, spare 1, was unset, gone unset, was x" ||
-		b[0].Life != 2 ||
-		b[1].Why != "snapshot of monday" {
-		t.Errorf("%+v", b)
+	if entries[0].Why != "settings differ: idle_ms 8000, was 4000, spare 1, was unset, gone unset, was x" ||
+		entries[0].Life != 2 ||
+		entries[1].Why != "snapshot of monday" {
+		t.Errorf("got %+v", entries)
 	}
 }
 
-// An entry that was altered before it was in a block is told of.
+// An entry that was altered before it was in a block must be recorded as forged.
 func TestAlteredAuditEntryIsReported(t *testing.T) {
 	c := newAuditingCore(t)
 	key := auditlog.Prefix + "of/" + "who/potter"
 	forged := testKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 9, Who: "anna"})
-	forged.Incarnation = 2 // of a life that is not
+	forged.Incarnation = 2 // an incarnation that never existed
 	raw, err := json.Marshal(carriedValue{[]audit.PendingEntry{forged}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	watchEvents(c, 2*time.Second, 1100, event(key, string(raw), 1100))
-	b := auditEntriesIn(t, answerAndCollectWrites(t, c, 2*time.Second, 9*time.Second))
-	if len(b) != 1 || b[0].Verb != auditlog.VerbForged || b[0].Object != key {
-		t.Errorf("got %+v", b)
+	entries := auditEntriesIn(t, answerAndCollectWrites(t, c, 2*time.Second, 9*time.Second))
+	if len(entries) != 1 || entries[0].Verb != auditlog.VerbForged || entries[0].Object != key {
+		t.Errorf("got %+v", entries)
 	}
 }
 
-// A controller that is ended time and again before it puts anything into a block still puts what
-// its first life has left: when only the last eight lives were kept, that was lost.
+// A controller that crashes again and again before it writes a block must still write the pending
+// entries of its first incarnation: they were lost when only the last eight incarnations were kept.
 func TestNoAuditEntryIsLostInACrashLoop(t *testing.T) {
 	key := auditlog.Prefix + "of/" + "who/potter"
-	left, err := json.Marshal(
+	pending, err := json.Marshal(
 		carriedValue{
 			[]audit.PendingEntry{
 				testKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 2, Verb: "administer", Object: "potter"}),
@@ -305,11 +313,11 @@
 		t.Fatal(err)
 	}
 	head := &audit.Head{}
-	for life := range uint64(40) {
+	for former := range uint64(40) {
 		head = &audit.Head{
-			BlockNumber:  life + 1,
+			BlockNumber:  former + 1,
 			MAC:          make([]byte, 32),
-			Incarnations: head.WithIncarnation(audit.Incarnation{Number: life + 1, NextSequence: 2}),
+			Incarnations: head.WithIncarnation(audit.Incarnation{Number: former + 1, NextSequence: 2}),
 		}
 	}
 	raw, err := json.Marshal(head)
@@ -326,37 +334,35 @@
 			Status:   wire.StatusOK,
 			Changes: wire.WatchResponse{Revision: 1000, Events: []wire.WatchEvent{
 				event(auditlog.KeyInitialized, "1", 991),
-				event(auditlog.HeadPrefix+"n0", string(raw), 992), event(key, string(left), 993),
+				event(auditlog.HeadPrefix+"n0", string(raw), 992), event(key, string(pending), 993),
 			}},
 		},
 	)
-	if got := auditVerbs(auditEntriesIn(t, answerAndCollectWrites(t, c, 1300*time.Millisecond, 5*time.Second))); !slices.Equal(
-		got,
-		[]string{"start n0", "administer potter"},
-	) {
+	writes := answerAndCollectWrites(t, c, 1300*time.Millisecond, 5*time.Second)
+	if got := auditVerbs(auditEntriesIn(t, writes)); !slices.Equal(got, []string{"start n0", "administer potter"}) {
 		t.Errorf("blocks hold %v", got)
 	}
 	if n := len(c.auditLog.Heads()["n0"].Incarnations); n != 41 {
-		t.Errorf("%d lives are kept", n)
+		t.Errorf("%d incarnations are kept", n)
 	}
 	c.ownLease.expiresAt = time.Minute
 	c.currentAuditLog().RecordRead("anna", "audit", "audit", func(bool) {})
 	answerAndCollectWrites(t, c, 20*time.Second, 25*time.Second)
-	if lives := c.auditLog.Heads()["n0"].Incarnations; len(lives) != 1 || lives[0].Number != 41 {
-		t.Errorf("former lives are not forgotten: %+v", lives)
+	if kept := c.auditLog.Heads()["n0"].Incarnations; len(kept) != 1 || kept[0].Number != 41 {
+		t.Errorf("former incarnations are still kept: %+v", kept)
 	}
 }
 
-// What stopped is told by cause, in short.
+// Stopped tasks are recorded once for each cause, with task ranges and the first machines.
 func TestTaskStopsAreAuditedByCause(t *testing.T) {
-	var why []jobrecord.StopReason
+	var reasons []jobrecord.StopReason
 	for i := range 6 {
-		why = append(why, jobrecord.StopReason{Task: i, Machine: fmt.Sprint("m", i), Cause: "silent"})
+		reasons = append(reasons, jobrecord.StopReason{Task: i, Machine: fmt.Sprint("m", i), Cause: "silent"})
 	}
-	why = append(why, jobrecord.StopReason{Task: 9, Machine: "m1", Cause: "error"})
-	acts := taskStopEvents("wk-1", why)
-	if len(acts) != 2 || acts[0].Reason != "error: 1 tasks on m1: 9" ||
-		acts[1].Reason != "silent: 6 tasks on m0 m1 m2 and 3 more: 0-5" {
-		t.Errorf("%+v", acts)
+	reasons = append(reasons, jobrecord.StopReason{Task: 9, Machine: "m1", Cause: "error"})
+	events := taskStopEvents("wk-1", reasons)
+	if len(events) != 2 || events[0].Reason != "error: 1 tasks on m1: 9" ||
+		events[1].Reason != "silent: 6 tasks on m0 m1 m2 and 3 more: 0-5" {
+		t.Errorf("got %+v", events)
 	}
 }
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -96,7 +96,7 @@
 		c.schema.declared["node-b"] != 8 {
 		t.Errorf("a declaration is read as %v (%v)", c.schema.declared, err)
 	}
-	if err := c.applyRestoreMarker(json.RawMessage(`"what"`), 3); err != nil ||
+	if err := c.restoreMarker.apply(json.RawMessage(`"what"`), 3); err != nil ||
 		c.restoreMarker.description != "what" {
 		t.Errorf("a restored state is read as %q (%v)", c.restoreMarker.description, err)
 	}
