--- a/core/apply.go
+++ b/core/apply.go
@@ -41,11 +41,11 @@
 	case strings.HasPrefix(key, keySchemaVersion):
 		return c.applySchemaVersion(key, raw, revision)
 	case strings.HasPrefix(key, keyPermissions):
-		return c.applyPermission(key, raw, revision)
+		return c.permissions.applyPut(key, raw, revision)
 	case strings.HasPrefix(key, auditlog.Prefix):
 		return c.currentAuditLog().ApplyPut(key, raw, revision)
 	case key == KeyRestored:
-		return c.applyRestoreMarker(raw, revision)
+		return c.restoreMarker.apply(raw, revision)
 	case key == keyHistory:
 		c.applyHistoryMarker(revision)
 	case key == keyPriorityClasses:
@@ -172,7 +172,7 @@
 			c.ownership.shards[shard] = leasedKey{since: c.now}
 		}
 	case strings.HasPrefix(key, keyPermissions):
-		c.applyPermissionDelete(key)
+		c.permissions.applyDelete(key)
 	case key == KeyRestored:
 		c.restoreMarker.revision = 0
 	case strings.HasPrefix(key, reservations.Prefix):
