--- /dev/null
+++ b/wire/agent.go
@@ -0,0 +1,99 @@
+package wire
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+)
+
+// TaskStatus is the state of a task as an agent reports it.
+type TaskStatus struct {
+	Task         string `json:"piece"`
+	Attempt      uint64 `json:"try"`
+	Stage        string `json:"stage"`
+	Cause        string `json:"cause,omitempty"`
+	Checkpointed bool   `json:"kept,omitempty"`
+}
+
+// Stages of a task.
+const (
+	TaskPullingImage  = "pulling"
+	TaskRunning       = "running"
+	TaskCheckpointing = "saving"
+	TaskExited        = "exited"
+)
+
+// Causes of a task's exit.
+const (
+	CauseDone       = "done"
+	CauseStopped    = "stopped"
+	CauseError      = "error"
+	CauseNoCapacity = "full"
+	CauseBusy       = "busy"
+	CauseNoSuchTask = "no_such"
+)
+
+// Heartbeat is an agent's heartbeat with the status of its machine and of all tasks on it.
+type Heartbeat struct {
+	Machine             string       `json:"hearth"`
+	Addr                string       `json:"address"`
+	Type                string       `json:"kiln"`
+	Zone                string       `json:"yard"`
+	Spot                bool         `json:"borrowed"`
+	Incarnation         uint64       `json:"shift"` // of the agent; a restarted one has another
+	Sequence            uint64       `json:"tally"`
+	FencingToken        uint64       `json:"baton"` // the highest that the agent knows
+	InterruptionNoticeS *float64     `json:"recall_s"`
+	Tasks               []TaskStatus `json:"pieces"`
+}
+
+// ParseHeartbeat decodes and validates a heartbeat.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var heartbeat Heartbeat
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
+		return nil, fmt.Errorf("not a valid report: %w", err)
+	}
+	if heartbeat.Machine == "" || len(heartbeat.Machine) > maxNameBytes || heartbeat.Type == "" ||
+		heartbeat.Zone == "" || heartbeat.Addr == "" || heartbeat.Incarnation == 0 {
+		return nil, errors.New("a field of the report is missing")
+	}
+	for _, status := range heartbeat.Tasks {
+		if _, _, ok := SplitTaskName(status.Task); !ok {
+			return nil, fmt.Errorf("bad task name %.80q", status.Task)
+		}
+		switch status.Stage {
+		case TaskPullingImage, TaskRunning, TaskCheckpointing, TaskExited:
+		default:
+			return nil, fmt.Errorf("unknown task stage %.80q", status.Stage)
+		}
+	}
+	return &heartbeat, nil
+}
+
+// Operations of a command.
+const (
+	OpStart = "start"
+	OpStop  = "stop"
+	OpClear = "clear" // forget a task that has exited
+)
+
+// Command is one command to an agent.
+type Command struct {
+	Op           string   `json:"order"`
+	Task         string   `json:"piece"`
+	Attempt      uint64   `json:"try"`
+	GracePeriodS *float64 `json:"damp_s,omitempty"` // of a stop: time to checkpoint
+}
+
+// HeartbeatResponse answers a heartbeat.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
+}
+
+// CommandBatch is sent to an agent without waiting for its next heartbeat.
+type CommandBatch struct {
+	FencingToken uint64    `json:"baton"`
+	Incarnation  uint64    `json:"shift"` // that the commands are meant for
+	Commands     []Command `json:"orders"`
+}
--- /dev/null
+++ b/wire/audit.go
@@ -0,0 +1,27 @@
+package wire
+
+import "encoding/json"
+
+// AuditChainHead is the last block of a controller's chain in the audit log.
+type AuditChainHead struct {
+	Node        string `json:"node"`
+	BlockNumber uint64 `json:"number"`
+	Code        []byte `json:"code"` // message authentication code of that block
+}
+
+// AuditChainHeads lists the heads of all chains.
+type AuditChainHeads struct {
+	Heads []AuditChainHead `json:"heads"`
+}
+
+// AuditBlock is a block as it is stored.
+type AuditBlock struct {
+	Number uint64          `json:"number"`
+	Value  json.RawMessage `json:"value"`
+}
+
+// AuditPage is a page of a chain.
+type AuditPage struct {
+	Blocks []AuditBlock `json:"blocks"`
+	More   bool         `json:"more"`
+}
--- /dev/null
+++ b/wire/job.go
@@ -0,0 +1,319 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Limits of a submission.
+const (
+	// MaxBodyBytes is the largest request body in bytes.
+	MaxBodyBytes = 64 << 10
+	// MaxTasksPerJob is the largest number of tasks of a job.
+	MaxTasksPerJob = 100_000
+
+	maxNameBytes    = 200 // of a class, team, image, zone or machine type
+	maxMachineTypes = 50  // that a job may name
+	maxAmount       = 1e9 // of a resource or of seconds: thousandths of it stay well within an int64
+	jobIDPrefix     = "wk-"
+	minJobIDBytes   = 4
+	maxJobIDBytes   = 80
+)
+
+// Submission is a job as users submit it. Fields are pointers to tell a missing one from a zero.
+type Submission struct {
+	ID                 *string  `json:"uid"`
+	Class              *string  `json:"ware"`
+	Team               *string  `json:"crew"`
+	Kind               *string  `json:"form"`
+	Priority           *string  `json:"heat"`
+	Tasks              *int     `json:"pieces"`
+	CPUs               *float64 `json:"cpus"`
+	GPUs               *float64 `json:"cards"`
+	MemoryGB           *float64 `json:"ram_gb"`
+	Image              *string  `json:"mould"`
+	ImageGB            *float64 `json:"image_gb"`
+	MachineTypes       []string `json:"kilns"`
+	Zone               *string  `json:"yard"`
+	OneZone            *bool    `json:"one_zone"`
+	Spread             *bool    `json:"spread"`
+	Spot               *bool    `json:"borrowed"`
+	EstimatedRuntime   *float64 `json:"firing_s"`
+	CheckpointInterval *float64 `json:"glaze_s"`
+	CheckpointTime     *float64 `json:"cool_s"`
+	Deadline           *float64 `json:"due_s"`
+	Dependencies       []string `json:"awaits"`
+}
+
+// Kinds of jobs.
+const (
+	kindBatch   = "batch"
+	kindService = "daemon"
+)
+
+// priorities are the names of all priorities, most important first; a job's priority is an index into it.
+var priorities = []string{"critical", "high", "standard", "idle"}
+
+// PriorityStandard is the index of the priority that needs no permission of its own.
+const PriorityStandard = 2
+
+// PriorityLowest is the index of the least important priority.
+const PriorityLowest = 3
+
+// Priority returns the index of a priority's name; 0 is the most important.
+func Priority(name string) (int, bool) {
+	i := slices.Index(priorities, name)
+	return i, i >= 0
+}
+
+// PriorityName returns the name of the priority with index i.
+func PriorityName(i int) string { return priorities[i] }
+
+// JobSpec is a valid job. Resources are in thousandths. Its tags are the stored form of a job.
+type JobSpec struct {
+	ID                 string   `json:"-"`
+	Class              string   `json:"cl,omitempty"`
+	Team               string   `json:"tm"`
+	Service            bool     `json:"sv,omitempty"`
+	Priority           int      `json:"pr"`
+	Tasks              int      `json:"n"`
+	Request            [3]int64 `json:"rc"` // milli-CPUs, milli-GPUs, MB
+	Image              string   `json:"im,omitempty"`
+	MachineTypes       []string `json:"ty,omitempty"`
+	Zone               string   `json:"zo,omitempty"`
+	OneZone            bool     `json:"oz,omitempty"`
+	Spread             bool     `json:"sp,omitempty"`
+	Spot               bool     `json:"lo,omitempty"`
+	EstimatedRuntimeMS int64    `json:"es,omitempty"`
+	CheckpointTimeMS   int64    `json:"sa,omitempty"`
+	DeadlineMS         int64    `json:"dl,omitempty"`
+	CanCheckpoint      bool     `json:"cp,omitempty"`
+	Dependencies       []string `json:"aw,omitempty"` // ids of jobs that must be done first, sorted
+}
+
+// ValidJobID reports whether s has the syntax of a job id.
+func ValidJobID(s string) bool {
+	if len(s) < minJobIDBytes || len(s) > maxJobIDBytes || !strings.HasPrefix(s, jobIDPrefix) {
+		return false
+	}
+	for _, r := range s[len(jobIDPrefix):] {
+		if !(r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '-' || r == '_') {
+			return false
+		}
+	}
+	return true
+}
+
+// PeekJobID returns the job id of a body that may be invalid otherwise, or "" if it has no valid one.
+func PeekJobID(body []byte) string {
+	var fields map[string]json.RawMessage
+	if json.Unmarshal(body, &fields) != nil {
+		return ""
+	}
+	var id string
+	if json.Unmarshal(fields["uid"], &id) != nil || !ValidJobID(id) {
+		return ""
+	}
+	return id
+}
+
+// ParseSubmission decodes and validates a submitted body.
+func ParseSubmission(body []byte) (JobSpec, error) {
+	trimmed := bytes.TrimSpace(body)
+	if len(trimmed) == 0 || trimmed[0] != '{' {
+		return JobSpec{}, errors.New("not a JSON object")
+	}
+	var submission Submission
+	if err := json.Unmarshal(trimmed, &submission); err != nil {
+		return JobSpec{}, fmt.Errorf("not a valid job: %w", err)
+	}
+	if field := submission.invalidField(); field != "" {
+		return JobSpec{}, fmt.Errorf("%s is missing or invalid", field)
+	}
+	return submission.spec(), nil
+}
+
+// invalidField returns the wire name of the first missing or invalid field, or "" if there is none.
+func (s *Submission) invalidField() string {
+	if field := s.invalidIdentity(); field != "" {
+		return field
+	}
+	if field := s.invalidAmount(); field != "" {
+		return field
+	}
+	if field := s.invalidPlacement(); field != "" {
+		return field
+	}
+	for _, id := range s.Dependencies {
+		if !ValidJobID(id) {
+			return "awaits"
+		}
+	}
+	return ""
+}
+
+// invalidIdentity checks what the job is and whose.
+func (s *Submission) invalidIdentity() string {
+	if s.ID == nil || !ValidJobID(*s.ID) {
+		return "uid"
+	}
+	if !validName(s.Class) {
+		return "ware"
+	}
+	if !validName(s.Team) {
+		return "crew"
+	}
+	if s.Kind == nil || *s.Kind != kindBatch && *s.Kind != kindService {
+		return "form"
+	}
+	if s.Priority == nil {
+		return "heat"
+	}
+	if _, ok := Priority(*s.Priority); !ok {
+		return "heat"
+	}
+	if s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > MaxTasksPerJob {
+		return "pieces"
+	}
+	return ""
+}
+
+// invalidAmount checks resources and durations.
+func (s *Submission) invalidAmount() string {
+	for _, amount := range []struct {
+		field string
+		value *float64
+	}{
+		{"cpus", s.CPUs},
+		{"cards", s.GPUs},
+		{"ram_gb", s.MemoryGB},
+		{"image_gb", s.ImageGB},
+		{"firing_s", s.EstimatedRuntime},
+		{"glaze_s", s.CheckpointInterval},
+		{"cool_s", s.CheckpointTime},
+	} {
+		if !validAmount(amount.value) {
+			return amount.field
+		}
+	}
+	if s.Deadline != nil && !validAmount(s.Deadline) {
+		return "due_s"
+	}
+	return ""
+}
+
+// invalidPlacement checks the image and on which machines the job may run.
+func (s *Submission) invalidPlacement() string {
+	if s.Image == nil || len(*s.Image) > maxNameBytes {
+		return "mould"
+	}
+	if s.OneZone == nil || s.Spread == nil || s.Spot == nil {
+		return "one_zone, spread or borrowed"
+	}
+	if s.MachineTypes != nil && len(s.MachineTypes) == 0 || len(s.MachineTypes) > maxMachineTypes {
+		return "kilns"
+	}
+	for _, machineType := range s.MachineTypes {
+		if machineType == "" || len(machineType) > maxNameBytes {
+			return "kilns"
+		}
+	}
+	if s.Zone != nil && !validName(s.Zone) {
+		return "yard"
+	}
+	return ""
+}
+
+func validName(name *string) bool { return name != nil && *name != "" && len(*name) <= maxNameBytes }
+
+func validAmount(v *float64) bool { return v != nil && *v >= 0 && *v <= maxAmount && !math.IsNaN(*v) }
+
+// spec converts a valid submission. It sorts the submission's dependencies in place.
+func (s *Submission) spec() JobSpec {
+	priority, _ := Priority(*s.Priority) // known: invalidIdentity checked it
+	slices.Sort(s.Dependencies)
+	spec := JobSpec{
+		ID:                 *s.ID,
+		Class:              *s.Class,
+		Team:               *s.Team,
+		Service:            *s.Kind == kindService,
+		Priority:           priority,
+		Tasks:              *s.Tasks,
+		Request:            [3]int64{thousandths(*s.CPUs), thousandths(*s.GPUs), thousandths(*s.MemoryGB)},
+		MachineTypes:       s.MachineTypes,
+		OneZone:            *s.OneZone,
+		Spread:             *s.Spread,
+		Spot:               *s.Spot,
+		EstimatedRuntimeMS: thousandths(*s.EstimatedRuntime),
+		CheckpointTimeMS:   thousandths(*s.CheckpointTime),
+		CanCheckpoint:      *s.CheckpointInterval > 0,
+		Dependencies:       slices.Compact(s.Dependencies),
+		Image:              *s.Image,
+	}
+	if s.Zone != nil {
+		spec.Zone = *s.Zone
+	}
+	if s.Deadline != nil {
+		spec.DeadlineMS = max(1, thousandths(*s.Deadline)) // 0 means that there is none
+	}
+	return spec
+}
+
+// thousandths rounds an amount up to whole thousandths, except for the error of its binary form.
+func thousandths(v float64) int64 { return int64(math.Ceil(v*1000 - 1e-6)) }
+
+// Stages of a job as users see them.
+const (
+	StageQueued    = "queued"
+	StageRunning   = "running"
+	StageDone      = "done"
+	StageCancelled = "cancelled"
+)
+
+// JobState answers a query of a job. The fields after Running are extensions of the platform's interface.
+type JobState struct {
+	ID              string     `json:"uid"`
+	Stage           string     `json:"stage"`
+	Done            int        `json:"done"`
+	Running         int        `json:"running"`
+	TaskStops       []TaskStop `json:"reasons,omitempty"`
+	Note            string     `json:"note,omitempty"`         // what its user should know, in plain words
+	Dependencies    []string   `json:"awaits,omitempty"`       // the first of those that are not done
+	DependencyCount int        `json:"awaits_count,omitempty"` // all of those that are not done
+	CancelledBy     string     `json:"cancelled_by,omitempty"` // job whose end cancelled this one
+}
+
+// TaskStop says why a task stopped.
+type TaskStop struct {
+	Task    int    `json:"piece"`
+	Machine string `json:"hearth"`
+	Cause   string `json:"cause"`
+	AtMS    int64  `json:"at_ms"`
+}
+
+// Error is the body of a refusal.
+type Error struct {
+	Error string `json:"error"`
+}
+
+// SplitTaskName parses a task name into the id of its job and the index of the task.
+func SplitTaskName(s string) (job string, task int, ok bool) {
+	i := strings.LastIndexByte(s, '/')
+	if i < 0 || !ValidJobID(s[:i]) {
+		return "", 0, false
+	}
+	n, err := strconv.Atoi(s[i+1:])
+	if err != nil || n < 0 || n >= MaxTasksPerJob {
+		return "", 0, false
+	}
+	return s[:i], n, true
+}
+
+// TaskName returns the name of a task on the wire.
+func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -1,34 +1,29 @@
 package wire
 
-// Paths of the queue and of the lanes; both are ours.
-const (
-	PathQueue           = "/v1/queue"
-	PathPriorityClasses = "/v1/lanes"
-)
-
-// JobQueue lists the jobs that wait, in the order of work, a page at a time.
+// JobQueue is a page of the jobs with waiting tasks, in scheduling order.
 type JobQueue struct {
 	Jobs  []QueuedJob `json:"jobs,omitempty"`
-	Total int         `json:"all"` // jobs that wait
-	// the page behind this one begins after so many; 0: there is none
+	Total int         `json:"all"` // jobs on all pages
+	// NextOffset is the number of jobs before the next page; 0: there is none.
 	NextOffset      int    `json:"next,omitempty"`
-	Version         uint64 `json:"version,omitempty"` // of the list of lanes
-	PriorityClasses string `json:"lanes,omitempty"`   // that list, in protobuf text format, if it is asked for
+	Version         uint64 `json:"version,omitempty"` // of the list of priority classes
+	PriorityClasses string `json:"lanes,omitempty"`   // that list, in protobuf text format, if asked for
 }
 
-// QueuedJob is a job with tasks that wait.
+// QueuedJob is a job with waiting tasks.
 type QueuedJob struct {
 	ID            string `json:"uid"`
 	Position      int    `json:"number"` // in the queue, from 1
 	PriorityClass string `json:"lane"`
-	// the lane by which it is ordered, if it has risen or a job of that lane needs it
+	// EffectivePriorityClass is the class that orders the job if it differs from its own: by priority
+	// aging, or because a job of that class depends on it.
 	EffectivePriorityClass string `json:"ordered_as,omitempty"`
 	Class                  string `json:"class"`
 	Team                   string `json:"team"`
 	Tasks                  int    `json:"tasks"`
 	Done                   int    `json:"done"`
-	Assigned               int    `json:"assigned"` // to machines
+	Assigned               int    `json:"assigned"` // tasks assigned to machines
 	WaitedS                int64  `json:"waited_s"` // since it was accepted
-	WaitingFor             string `json:"for"`      // what it waits for: jobs, errors, limit, room or changes
+	WaitingFor             string `json:"for"`      // one of: jobs, errors, limit, room, changes
 	Explanation            string `json:"why"`      // the same in words
 }
