--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -91,7 +91,10 @@
 	p.Services.State, p.Services.Cloud = state, "127.0.0.1:1" // no cloud
 	k := &p.Cluster
 	k.Teams = []settings.Team{{Name: "t"}}
-	k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 3, 30, 60, 500
+	k.Workers.HeartbeatIntervalS = 3
+	k.Workers.AgentLeaseS = 30
+	k.Workers.CancelDeadlineS = 60
+	k.TimeBoundMS = 500
 	k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps, k.Cloud.RPS, k.Quota.FDLimit = 500, 200, 8, 12, 4, 1000
 	tuning := settings.DefaultTuning()
 	tuning.LeaseMs, tuning.AuditGatherMs, tuning.AuditBlockMs = new(
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -193,7 +193,10 @@
 			{Name: "workshop"},
 			{Name: "packing", ReservedCPUs: 20, MaxCPUs: 40},
 		}
-		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 2, 20, 40, 5
+		k.Workers.HeartbeatIntervalS = 2
+		k.Workers.AgentLeaseS = 20
+		k.Workers.CancelDeadlineS = 40
+		k.TimeBoundMS = 5
 		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = 150, 30, 8, 24
 		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit, k.Quota.CoreShare, k.Quota.MemMB = 4, 1, 1000, 0.25, 200
 		raw, err := json.Marshal(p)
--- a/controller_test.go
+++ b/controller_test.go
@@ -47,7 +47,9 @@
 	p.Services.State, p.Services.Cloud = state, "127.0.0.1:1" // no cloud
 	k := &p.Cluster
 	k.Teams = []settings.Team{{Name: "t"}}
-	k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS = 3, 30, 60
+	k.Workers.HeartbeatIntervalS = 3
+	k.Workers.AgentLeaseS = 30
+	k.Workers.CancelDeadlineS = 60
 	k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps, k.Cloud.RPS, k.Quota.FDLimit = 500, 200, 8, 12, 4, 1000
 	tuning := settings.DefaultTuning()
 	tuning.Archive, tuning.HistoryWaitMs, tuning.EndedKept = new(true), new(uint32(0)), new(uint32(20))
@@ -424,7 +426,7 @@
 	var got []time.Duration
 	last := handleQueuedInputs(
 		inputs,
-		maxInputsPerTurn,
+		maxInputsPerIteration,
 		func() time.Duration { return now },
 		func(at time.Duration, in core.Input) {
 			got = append(got, at)
--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -109,7 +109,10 @@
 		}
 		k := &p.Cluster
 		k.Teams = []settings.Team{{Name: "t"}}
-		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 6, 36, 66, 5
+		k.Workers.HeartbeatIntervalS = 6
+		k.Workers.AgentLeaseS = 36
+		k.Workers.CancelDeadlineS = 66
+		k.TimeBoundMS = 5
 		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = 150, 30, 8, 24
 		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit = 4, 5, 3172
 		c := dewlift.New(
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -113,7 +113,10 @@
 		}
 		k := &p.Cluster
 		k.Teams = []settings.Team{{Name: "t"}}
-		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = heartbeatInterval.Seconds(), 36, 66, 5
+		k.Workers.HeartbeatIntervalS = heartbeatInterval.Seconds()
+		k.Workers.AgentLeaseS = 36
+		k.Workers.CancelDeadlineS = 66
+		k.TimeBoundMS = 5
 		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = unlimitedRate, writeLimit, 8, 24
 		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit = 40, 5, 100_000
 		x := &node{name: p.Name, leaseID: uint64(i + 1), pendingRequests: map[uint64]func(core.Response){}}
--- a/metrics.go
+++ b/metrics.go
@@ -9,61 +9,69 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// metrics gathers latencies between two lines of the log.
+// metrics collects latencies between two summaries in the log. Its methods may be called concurrently.
 type metrics struct {
-	mu          sync.Mutex
-	txnLatency  *hdrhistogram.Histogram // a transaction, from sending to its answer
-	gcCount     uint32                  // of garbage, until the last call
-	turnLatency *hdrhistogram.Histogram // a turn of the core: what came in is decided
+	mu              sync.Mutex
+	txnLatency      *hdrhistogram.Histogram // of a transaction, from sending to its answer, in µs
+	decisionLatency *hdrhistogram.Histogram // of the core, to decide on an iteration's inputs, in µs
+	gcCount         uint32                  // garbage collections up to the last summary
 }
 
+const (
+	// maxLatency is the highest latency that histograms hold, far beyond any timeout.
+	maxLatency = time.Minute
+	// histogramDigits is the precision of histograms in decimal digits.
+	histogramDigits = 2
+)
+
 func newMetrics() *metrics {
 	return &metrics{
-		txnLatency:  hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2),
-		turnLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2),
+		txnLatency:      hdrhistogram.New(1, maxLatency.Microseconds(), histogramDigits),
+		decisionLatency: hdrhistogram.New(1, maxLatency.Microseconds(), histogramDigits),
 	}
 }
 
-func (f *metrics) recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	// Beyond the histogram's range nothing is recorded; a minute is far beyond any timeout.
-	_ = h.RecordValue(max(1, d.Microseconds()))
+func (m *metrics) recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	_ = histogram.RecordValue(max(1, latency.Microseconds())) // fails beyond maxLatency only
 }
 
-// logSummary writes the latencies since the last call.
-func (f *metrics) logSummary(log *slog.Logger, stats any) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	args := []any{"stats", stats}
-	for _, x := range []struct {
-		name string
-		h    *hdrhistogram.Histogram
-	}{{"write", f.txnLatency}, {"decision", f.turnLatency}} {
-		args = append(args, slog.Group(x.name, "n", x.h.TotalCount(), "p50_us", x.h.ValueAtQuantile(50),
-			"p99_us", x.h.ValueAtQuantile(99), "max_us", x.h.Max()))
-		x.h.Reset()
-	}
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	args = append(
-		args,
-		slog.Group(
-			"memory",
-			"live_mb",
-			m.HeapAlloc>>20,
-			"next_mb",
-			m.NextGC>>20,
-			"stacks_mb",
-			m.StackInuse>>20,
-			"all_mb",
-			(m.Sys-m.HeapReleased)>>20,
-			"collections",
-			m.NumGC-f.gcCount,
-			"routines",
-			runtime.NumGoroutine(),
-		),
+// logSummary logs the latencies since the last call, the core's statistics and the use of memory.
+func (m *metrics) logSummary(log *slog.Logger, stats any) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	log.Info("metrics",
+		"stats", stats,
+		drainHistogram("write", m.txnLatency),
+		drainHistogram("decision", m.decisionLatency),
+		m.memoryGroup(),
+	)
+}
+
+// drainHistogram summarizes a histogram for the log and empties it.
+func drainHistogram(name string, histogram *hdrhistogram.Histogram) slog.Attr {
+	defer histogram.Reset()
+	return slog.Group(name,
+		"n", histogram.TotalCount(),
+		"p50_us", histogram.ValueAtQuantile(50),
+		"p99_us", histogram.ValueAtQuantile(99),
+		"max_us", histogram.Max(),
+	)
+}
+
+// memoryGroup summarizes memory, in MB, and what is run by the runtime.
+func (m *metrics) memoryGroup() slog.Attr {
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	collections := memory.NumGC - m.gcCount
+	m.gcCount = memory.NumGC
+	return slog.Group("memory",
+		"live_mb", memory.HeapAlloc>>20,
+		"next_mb", memory.NextGC>>20,
+		"stacks_mb", memory.StackInuse>>20,
+		"all_mb", (memory.Sys-memory.HeapReleased)>>20,
+		"collections", collections,
+		"routines", runtime.NumGoroutine(),
 	)
-	f.gcCount = m.NumGC
-	log.Info("figures", args...)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -68,9 +68,9 @@
 		Teams      []Team      `json:"teams"`
 		Objectives []Objective `json:"objectives"`
 		Workers    struct {
-			ReportS float64 `json:"report_s"`
-			LeaseS  float64 `json:"lease_s"`
-			CancelS float64 `json:"cancel_s"`
+			HeartbeatIntervalS float64 `json:"report_s"`
+			AgentLeaseS        float64 `json:"lease_s"`
+			CancelDeadlineS    float64 `json:"cancel_s"`
 		} `json:"workers"`
 		State struct {
 			RPS      float64         `json:"rps"`
@@ -143,9 +143,9 @@
 		field string
 		v     float64
 	}{
-		{"workers.report_s", c.Workers.ReportS},
-		{"workers.lease_s", c.Workers.LeaseS},
-		{"workers.cancel_s", c.Workers.CancelS},
+		{"workers.report_s", c.Workers.HeartbeatIntervalS},
+		{"workers.lease_s", c.Workers.AgentLeaseS},
+		{"workers.cancel_s", c.Workers.CancelDeadlineS},
 		{"state.rps", c.State.RPS},
 		{"state.write_rps", c.State.WriteRPS},
 		{"state.value_kb", c.State.ValueKB},
@@ -157,13 +157,13 @@
 		}
 	}
 	if quorum.MaxStaleness(
-		DurationFromSeconds(c.Workers.CancelS),
-		DurationFromSeconds(c.Workers.LeaseS),
+		DurationFromSeconds(c.Workers.CancelDeadlineS),
+		DurationFromSeconds(c.Workers.AgentLeaseS),
 	) < quorum.MinUsableStaleness {
 		return fmt.Errorf(
 			"cluster.workers.cancel_s is too little above lease_s (%v and %v): a task could outlive its cancellation in an outage; some 6 s more are needed",
-			c.Workers.CancelS,
-			c.Workers.LeaseS,
+			c.Workers.CancelDeadlineS,
+			c.Workers.AgentLeaseS,
 		)
 	}
 	if c.State.TxnOps < minTxnOps {
--- a/wire/job.go
+++ b/wire/job.go
@@ -103,13 +103,17 @@
 		return false
 	}
 	for _, r := range s[len(jobIDPrefix):] {
-		if !(r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '-' || r == '_') {
+		if !validInJobID(r) {
 			return false
 		}
 	}
 	return true
 }
 
+func validInJobID(r rune) bool {
+	return r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '-' || r == '_'
+}
+
 // PeekJobID returns the job id of a body that may be invalid otherwise, or "" if it has no valid one.
 func PeekJobID(body []byte) string {
 	var fields map[string]json.RawMessage
