--- a/controller_test.go
+++ b/controller_test.go
@@ -29,7 +29,7 @@
 	pb "dewlift/proto"
 )
 
-// listenLoopback holds a free address on loopback.
+// listenLoopback listens on a free address of loopback.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -39,28 +39,22 @@
 	return ln
 }
 
-// startController runs a controller against a state service until the test ends, and waits until it is healthy.
-func startController(t *testing.T, state string, rights *access.Policy, more ...func(*Options)) string {
+// startController runs a controller against a key-value store until the test ends, and waits until it
+// is healthy. It returns its address for users.
+func startController(t *testing.T, store string, permissions *access.Policy, more ...func(*Options)) string {
 	t.Helper()
 	users, peers := listenLoopback(t), listenLoopback(t)
-	p := &settings.Platform{Name: "n0", Zone: "a", Listen: users.Addr().String(), MeshAddr: peers.Addr().String()}
-	p.Services.State, p.Services.Cloud = state, "127.0.0.1:1" // no cloud
-	k := &p.Cluster
-	k.Teams = []settings.Team{{Name: "t"}}
-	k.Workers.HeartbeatIntervalS = 3
-	k.Workers.AgentLeaseS = 30
-	k.Workers.CancelDeadlineS = 60
-	k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps, k.Cloud.RPS, k.Quota.FDLimit = 500, 200, 8, 12, 4, 1000
+	platform := testPlatform(users.Addr().String(), peers.Addr().String(), store)
 	tuning := settings.DefaultTuning()
 	tuning.Archive, tuning.HistoryWaitMs, tuning.EndedKept = new(true), new(uint32(0)), new(uint32(20))
+	options := Options{Permissions: permissions}
+	for _, set := range more {
+		set(&options)
+	}
+	controller := New(platform, tuning, options, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	g := Options{Permissions: rights}
-	for _, f := range more {
-		f(&g)
-	}
-	c := New(p, tuning, g, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	go func() { ended <- c.Serve(ctx, users, peers) }()
+	go func() { ended <- controller.Serve(ctx, users, peers) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
@@ -68,20 +62,39 @@
 		}
 	})
 	eventually(t, "healthy", func() bool {
-		resp, err := http.Get("http://" + p.Listen + wire.PathHealth)
+		resp, err := http.Get("http://" + platform.Listen + wire.PathHealth)
 		if err != nil {
 			return false
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		return resp.StatusCode == http.StatusOK
 	})
-	return p.Listen
+	return platform.Listen
+}
+
+// testPlatform is a cluster of one controller, without a cloud.
+func testPlatform(listen, meshAddr, store string) *settings.Platform {
+	platform := &settings.Platform{Name: "n0", Zone: "a", Listen: listen, MeshAddr: meshAddr}
+	platform.Services.State, platform.Services.Cloud = store, "127.0.0.1:1" // nothing listens there
+	cluster := &platform.Cluster
+	cluster.Teams = []settings.Team{{Name: "t"}}
+	cluster.Workers.HeartbeatIntervalS = 3
+	cluster.Workers.AgentLeaseS = 30
+	cluster.Workers.CancelDeadlineS = 60
+	cluster.State.RPS = 500
+	cluster.State.WriteRPS = 200
+	cluster.State.ValueKB = 8
+	cluster.State.TxnOps = 12
+	cluster.Cloud.RPS = 4
+	cluster.Quota.FDLimit = 1000
+	return platform
 }
 
-func eventually(t *testing.T, what string, f func() bool) {
+// eventually waits until a condition holds, for a minute at most.
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for range 1200 {
-		if f() {
+		if holds() {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -89,142 +102,139 @@
 	t.Fatalf("not %s within a minute", what)
 }
 
+// getJob reads the state of a job; the status is 0 if no response came.
 func getJob(server, id string) (int, wire.JobState) {
-	var s wire.JobState
+	var state wire.JobState
 	resp, err := http.Get("http://" + server + wire.PathJobs + "/" + id)
 	if err != nil {
-		return 0, s
+		return 0, state
 	}
-	defer resp.Body.Close()
-	_ = json.NewDecoder(resp.Body).Decode(&s) // an answer without a state shows in the status
-	return resp.StatusCode, s
+	defer func() { _ = resp.Body.Close() }()
+	_ = json.NewDecoder(resp.Body).Decode(&state) // a response without a state shows in the status
+	return resp.StatusCode, state
+}
+
+// startStore serves an empty key-value store with one machine type until the test ends.
+func startStore(t *testing.T, limits fakes.Limits) (store *fakes.Store, addr string) {
+	t.Helper()
+	store = fakes.NewStore(limits)
+	srv := httptest.NewServer(store)
+	t.Cleanup(srv.Close)
+	store.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
+	return store, strings.TrimPrefix(srv.URL, "http://")
 }
 
-// A controller over real sockets: a site of the old form compacts itself while it is saved, the copy is
-// restored to another state service, and a controller there answers for every job as the first one does.
+// A snapshot taken while stored jobs are being compacted must lose none of them: it is restored to
+// another store, and a controller there answers for every job as the first one does.
 func TestSiteIsCompactedSavedAndRestored(t *testing.T) {
-	state := func() (*fakes.Store, string) {
-		s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50})
-		srv := httptest.NewServer(s)
-		t.Cleanup(srv.Close)
-		return s, strings.TrimPrefix(srv.URL, "http://")
-	}
-	s, addr := state()
 	const jobs = 400
-	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
-	for i := range jobs {
-		s.PutUnchecked(
-			[]wire.KeyValue{
-				{
-					Key:   fmt.Sprintf("%sjob/wk-%03d", core.Root, i),
-					Value: json.RawMessage(fmt.Sprintf(`{"h":1,"st":"d","d":[0,%d]}`, i)),
-				},
-			},
-		)
+	limits := fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50}
+	store, addr := startStore(t, limits)
+	for i := range jobs { // in the schema before the archive
+		store.PutUnchecked([]wire.KeyValue{{
+			Key:   fmt.Sprintf("%sjob/wk-%03d", core.Root, i),
+			Value: json.RawMessage(fmt.Sprintf(`{"h":1,"st":"d","d":[0,%d]}`, i)),
+		}})
 	}
 	first := startController(t, addr, nil)
 	path := filepath.Join(t.TempDir(), "s")
-	half := false
+	saved := false
 	eventually(t, "compacted", func() bool {
-		left, _ := s.CountKeys(core.Root + "job/")
-		if left < jobs*2/3 && !half { // in the middle of it
-			half = true
+		left, _ := store.CountKeys(core.Root + "job/")
+		if left < jobs*2/3 && !saved { // in the middle of compaction
+			saved = true
 			if _, err := snapshot.Save(t.Context(), &snapshot.Source{Addr: addr, RPS: 1000}, path, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 		return left <= 40
 	})
-	archived, records := 0, 0
-	if _, err := snapshot.ReadFile(path, func(k *pb.Key) error {
-		if strings.HasPrefix(k.Name, archive.BlockPrefix) {
-			b, err := archive.Decode(k.Value)
-			if err != nil {
-				return err
-			}
-			archived += len(b.Entries)
-		} else if strings.HasPrefix(k.Name, core.Root+"job/") {
-			records++
-		}
-		return nil
-	}); err != nil || archived == 0 || archived+records != jobs {
+	if archived, records, err := countSavedJobs(path); err != nil || archived == 0 || archived+records != jobs {
 		t.Fatalf("%d archived and %d records in the snapshot: %v", archived, records, err)
 	}
-	_, copied := state()
+	copied := httptest.NewServer(fakes.NewStore(limits))
+	t.Cleanup(copied.Close)
+	copiedAddr := strings.TrimPrefix(copied.URL, "http://")
 	if _, err := snapshot.Restore(t.Context(), &snapshot.Target{
-		Source:   snapshot.Source{Addr: copied, RPS: 1000},
+		Source:   snapshot.Source{Addr: copiedAddr, RPS: 1000},
 		WriteRPS: 1000,
 		TxnOps:   12,
 	}, path, nil); err != nil {
 		t.Fatal(err)
 	}
-	for _, server := range []string{first, startController(t, copied, nil)} {
-		for i := 0; i < jobs; i += 7 {
-			id := fmt.Sprintf("wk-%03d", i)
-			eventually(t, "answered", func() bool {
-				status, got := getJob(server, id)
-				if status == 200 && (got.Stage != wire.StageDone || got.Done != i+1) || status == 404 {
-					t.Fatalf("%s: %d %+v", id, status, got)
-				}
-				return status == 200
-			})
-		}
-		if status, _ := getJob(server, "wk-never"); status != 404 && status != 503 {
-			t.Errorf("a job that never was: %d", status)
+	for _, server := range []string{first, startController(t, copiedAddr, nil)} {
+		checkEndedJobs(t, server, jobs)
+	}
+}
+
+// countSavedJobs counts the jobs of a snapshot that are archived and those that have a record.
+func countSavedJobs(path string) (archived, records int, err error) {
+	_, err = snapshot.ReadFile(path, func(k *pb.Key) error {
+		if strings.HasPrefix(k.Name, archive.BlockPrefix) {
+			block, err := archive.Decode(k.Value)
+			if err != nil {
+				return err
+			}
+			archived += len(block.Entries)
+		} else if strings.HasPrefix(k.Name, core.Root+"job/") {
+			records++
 		}
+		return nil
+	})
+	return archived, records, err
+}
+
+// checkEndedJobs checks the answers for every seventh of the jobs wk-000 and on, of which wk-n is done
+// with n+1 tasks, and for one that never existed.
+func checkEndedJobs(t *testing.T, server string, jobs int) {
+	t.Helper()
+	for i := 0; i < jobs; i += 7 {
+		id := fmt.Sprintf("wk-%03d", i)
+		eventually(t, "answered", func() bool {
+			status, got := getJob(server, id)
+			if status == 200 && (got.Stage != wire.StageDone || got.Done != i+1) || status == 404 {
+				t.Fatalf("%s: %d %+v", id, status, got)
+			}
+			return status == 200
+		})
+	}
+	if status, _ := getJob(server, "wk-never"); status != 404 && status != 503 {
+		t.Errorf("a job that never existed: %d", status)
 	}
 }
 
-// A glaze technician, a visiting potter, a packer who may not cancel a reroast, and a service, over sockets: each
-// may do what their role says, and nothing else; a revocation holds at once, also at another controller.
+// Each identity may do what its roles say, and nothing else: a glaze technician, a visiting potter, a
+// packer who may not cancel a reroast, and a service. A revocation is effective at once.
 func TestRolesLimitWhatUsersMayDo(t *testing.T) {
-	srv := httptest.NewServer(fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}))
-	t.Cleanup(srv.Close)
-	state := strings.TrimPrefix(srv.URL, "http://")
-	s := srv.Config.Handler.(*fakes.Store)
-	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
-	rights, keys, err := fakes.TestPolicy()
+	store, addr := startStore(t, fakes.Limits{ValueBytes: 8192, TxnOps: 12})
+	permissions, keys, err := fakes.TestPolicy()
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := startController(t, state, rights)
-	ask := func(who, method, path string, body any) int {
+	server := startController(t, addr, permissions)
+	status := func(identity, method, path string, body any) int {
 		t.Helper()
-		for range 100 { // a 503 is no answer
-			c := httpjson.New(1, 1, 1<<20)
-			if keys[who] != nil {
-				var err error
-				if c.Token, err = keys[who].SignToken(time.Now(), time.Minute); err != nil {
-					t.Fatal(err)
-				}
-			}
-			if r := c.Do(t.Context(), 5*time.Second, method, "http://"+server+path, body); r.Status != 503 &&
-				r.Status != 0 {
-				return r.Status
-			}
-			time.Sleep(50 * time.Millisecond)
-		}
-		return 0
+		return statusAs(t, keys[identity], method, "http://"+server+path, body)
 	}
 	get, post := http.MethodGet, http.MethodPost
-	for _, x := range []struct {
-		who, method, path string
-		body              any
-		want              int
+	for _, step := range []struct {
+		identity, method, path string
+		body                   any
+		want                   int
 	}{
 		{"anna", post, "/v1/jobs", fakes.JobRequest("wk-1", "firing"), 201},
 		{"anna", post, "/v1/jobs", fakes.JobRequest("wk-1", "firing"), 200},
 		{"potter", post, "/v1/jobs", fakes.JobRequest("wk-2", "plan"), 201},
 		{"potter", post, "/v1/jobs", fakes.JobRequest("wk-3", "firing"), 403},
 		{"potter", post, "/v1/jobs/wk-2/withdraw", struct{}{}, 403}, // may read it, not cancel it
-		{"potter", get, "/v1/jobs/wk-1", nil, 404},                  // is not told that it exists
+		{"potter", get, "/v1/jobs/wk-1", nil, 404},                  // must not learn that it exists
 		{"portal", post, "/v1/jobs", fakes.JobRequest("wk-4", "reroast"), 201},
 		{"pia", post, "/v1/jobs", fakes.JobRequest("wk-5", "labels"), 201},
 		{"pia", get, "/v1/jobs/wk-4", nil, 200},
 		{"pia", post, "/v1/jobs/wk-4/withdraw", struct{}{}, 403},
 		{"pia", post, "/v1/jobs/wk-5/withdraw", struct{}{}, 200},
 		{"portal", post, "/v1/jobs/wk-4/withdraw", struct{}{}, 200},
-		{"portal", get, "/v1/jobs/wk-4", nil, 200}, // is over, and its readers' rights hold still
+		{"portal", get, "/v1/jobs/wk-4", nil, 200}, // has ended; permissions to read it still hold
 		{"anna", get, "/v1/jobs/wk-4", nil, 404},
 		{"nobody", get, "/v1/jobs/wk-1", nil, 401},
 		{"nobody", post, "/v1/jobs", fakes.JobRequest("wk-6", "plan"), 401},
@@ -237,23 +247,43 @@
 		{"potter", get, "/v1/jobs/wk-2", nil, 404},
 		{"root", post, "/v1/access/pia", wire.PermissionsEdit{Delete: true}, 200},
 	} {
-		if got := ask(x.who, x.method, x.path, x.body); got != x.want {
-			t.Errorf("%s %s %s: %d, want %d", x.who, x.method, x.path, got, x.want)
+		if got := status(step.identity, step.method, step.path, step.body); got != step.want {
+			t.Errorf("%s %s %s: %d, want %d", step.identity, step.method, step.path, got, step.want)
 		}
 	}
-	eventually(t, "shut out", func() bool { return ask("pia", get, "/v1/jobs/wk-5", nil) == 401 })
-	if got := ask("anna", get, "/v1/jobs/wk-1", nil); got != 200 {
-		t.Errorf("another one gets %d", got)
+	eventually(t, "shut out", func() bool { return status("pia", get, "/v1/jobs/wk-5", nil) == 401 })
+	if got := status("anna", get, "/v1/jobs/wk-1", nil); got != 200 {
+		t.Errorf("another identity gets %d", got)
 	}
-	// The potter's job was accepted: it stays.
-	raw, _ := s.CountKeys(core.Root + "job/wk-2")
-	if raw != 1 {
-		t.Error("a queued job ended with its user's right")
+	// The potter's job was accepted before the revocation: it stays.
+	if stored, _ := store.CountKeys(core.Root + "job/wk-2"); stored != 1 {
+		t.Error("a queued job ended with its user's permission")
 	}
 }
 
-// requestJSON makes a request and decodes its answer.
-func requestJSON[T any](t *testing.T, method, url, body string) (status int, raw string, v T) {
+// statusAs makes a request with a token signed by key, or without one, and returns the status of its
+// response. While the controller is unavailable it tries again; 0: it stayed so.
+func statusAs(t *testing.T, key *access.PrivateKey, method, url string, body any) int {
+	t.Helper()
+	for range 100 {
+		client := httpjson.New(1, 1, 1<<20)
+		if key != nil {
+			var err error
+			if client.Token, err = key.SignToken(time.Now(), time.Minute); err != nil {
+				t.Fatal(err)
+			}
+		}
+		resp := client.Do(t.Context(), 5*time.Second, method, url, body)
+		if resp.Status != 503 && resp.Status != 0 {
+			return resp.Status
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	return 0
+}
+
+// requestJSON makes a request and decodes its response.
+func requestJSON[T any](t *testing.T, method, url, body string) (status int, raw string, decoded T) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+url, strings.NewReader(body))
 	if err != nil {
@@ -263,161 +293,189 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = json.Unmarshal(b, &v) // what does not fit shows in the fields
-	return resp.StatusCode, string(b), v
+	_ = json.Unmarshal(b, &decoded) // what does not fit shows in the fields
+	return resp.StatusCode, string(b), decoded
+}
+
+// reservationClient makes requests about reservations of the equipment "k" on one day.
+type reservationClient struct {
+	server string
+	day    string // as 2027-03-04
+}
+
+func (c *reservationClient) do(t *testing.T, method, path, body string) (int, string, wire.ReservationResponse) {
+	t.Helper()
+	return requestJSON[wire.ReservationResponse](t, method, c.server+wire.PathReservations+path, body)
 }
 
-// With no file, the paths of bookings and of the queue are as unknown as any other; with one, a
-// booking is made, held, moved and ended, and outlives its controller.
+// create reserves the slot at an hour; more is further JSON of the request.
+func (c *reservationClient) create(t *testing.T, id, hour, more string) (int, string, wire.ReservationResponse) {
+	t.Helper()
+	const request = `{"id":%q,"slots":[{"piece":"k","from":"%sT%s:00"}]%s}`
+	return c.do(t, "POST", "", fmt.Sprintf(request, id, c.day, hour, more))
+}
+
+// Without a list of equipment and of priority classes, the paths of reservations and of the queue are
+// unknown. With them, a reservation is made, held, moved and ended, and outlives its controller.
 func TestReservationsAndQueueOverHTTP(t *testing.T) {
-	s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50})
-	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
-	srv := httptest.NewServer(s)
-	t.Cleanup(srv.Close)
-	state := strings.TrimPrefix(srv.URL, "http://")
+	limits := fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50}
+	_, addr := startStore(t, limits)
 	t.Run("off", func(t *testing.T) {
-		off := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50})
-		off.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
-		none := httptest.NewServer(off)
-		t.Cleanup(none.Close)
-		server := startController(t, strings.TrimPrefix(none.URL, "http://"), nil)
-		status, want, _ := requestJSON[any](t, "GET", server+"/v1/nothing", "")
-		for _, path := range []string{
-			wire.PathReservations,
-			wire.PathReservations + "/x",
-			wire.PathEquipment,
-			wire.PathQueue,
-			wire.PathQueue + "/x",
-			wire.PathPriorityClasses,
-		} {
-			if got, body, _ := requestJSON[any](t, "GET", server+path, ""); got != status || body != want {
-				t.Errorf("%s: %d %s, an unknown path gets %d %s", path, got, body, status, want)
-			}
-		}
+		_, without := startStore(t, limits)
+		checkFeaturePathsUnknown(t, startController(t, without, nil))
 	})
-	on := func(g *Options) {
-		var err error
-		if g.Equipment, err = booking.Parse([]byte(`pieces { name: "k" kind: "kiln" slot_minutes: 60 cool_minutes: 60 }`)); err != nil {
-			t.Fatal(err)
-		}
-		if g.PriorityClasses, err = priorityclass.Parse([]byte(`lanes { name: "urgent" priorities: "high" } lanes { name: "rest" }`)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	day := time.Now().UTC().AddDate(0, 0, 3).Format("2006-01-02")
-	type answer = wire.ReservationResponse
-	make := func(server, id, hour, more string) (int, string, answer) {
-		return requestJSON[answer](
-			t,
-			"POST",
-			server+wire.PathReservations,
-			fmt.Sprintf(`{"id":%q,"slots":[{"piece":"k","from":"%sT%s:00"}]%s}`, id, day, hour, more),
-		)
-	}
+	client := &reservationClient{day: time.Now().UTC().AddDate(0, 0, 3).Format("2006-01-02")}
 	t.Run("first life", func(t *testing.T) {
-		server := startController(t, state, nil, on)
+		client.server = startController(t, addr, nil, enableReservationsAndQueue(t))
 		eventually(t, "open", func() bool {
-			status, _, _ := requestJSON[any](t, "GET", server+wire.PathEquipment, "")
+			status, _, _ := requestJSON[any](t, "GET", client.server+wire.PathEquipment, "")
 			return status == 200
 		})
-		for i, x := range []struct {
-			status int
-			state  string
-			do     func() (int, string, answer)
-		}{
-			{201, "confirmed", func() (int, string, answer) { return make(server, "a", "08", "") }},
-			{200, "confirmed", func() (int, string, answer) { return make(server, "a", "08", "") }},
-			{409, "confirmed", func() (int, string, answer) { return make(server, "a", "12", "") }},
-			{409, "", func() (int, string, answer) { return make(server, "b", "09", "") }}, // it cools
-			{201, "held", func() (int, string, answer) { return make(server, "b", "10", `,"hold_s":600`) }},
-			{200, "confirmed", func() (int, string, answer) {
-				return requestJSON[answer](t, "POST", server+wire.PathReservations+"/b/confirm", "")
-			}},
-			{200, "confirmed", func() (int, string, answer) {
-				return requestJSON[answer](t, "POST", server+wire.PathReservations+"/b/move", fmt.Sprintf(`{"slots":[{"piece":"k","from":"%sT14:00"}]}`, day))
-			}},
-			{200, "ended", func() (int, string, answer) {
-				return requestJSON[answer](t, "POST", server+wire.PathReservations+"/b/end", `{"why":"cracked"}`)
-			}},
-			{422, "", func() (int, string, answer) {
-				return make(server, "c", "08", `,"slots":[{"piece":"z","from":"`+day+`T08:00"}]`)
-			}},
-			{400, "", func() (int, string, answer) { return make(server, "a b", "08", "") }},
-			{404, "", func() (int, string, answer) {
-				return requestJSON[answer](t, "GET", server+wire.PathReservations+"/nobody", "")
-			}},
-		} {
-			status, body, a := x.do()
-			if status != x.status || (a.Reservation == nil) != (x.state == "") ||
-				a.Reservation != nil && a.Reservation.State != x.state {
-				t.Errorf("step %d: %d %s, want %d %s", i, status, body, x.status, x.state)
-			}
-			if status == 409 && x.state == "" && len(a.Free) == 0 {
-				t.Errorf("step %d: nothing is named that is free instead", i)
-			}
+		checkReservationSteps(t, client)
+		checkDisplacedReservation(t, client.server)
+		submitTwoPriorities(t, client.server)
+		checkQueue(t, client.server)
+	})
+	// Another process, without files: what is in force is kept in the store.
+	client.server = startController(t, addr, nil)
+	eventually(t, "open", func() bool {
+		status, _, got := client.do(t, "GET", "/a", "")
+		return status == 200 && got.Reservation.State == "confirmed"
+	})
+	checkReservationsOutlivedController(t, client)
+}
+
+// checkFeaturePathsUnknown checks that the paths of features that are off answer as an unknown one does.
+func checkFeaturePathsUnknown(t *testing.T, server string) {
+	t.Helper()
+	status, want, _ := requestJSON[any](t, "GET", server+"/v1/nothing", "")
+	for _, path := range []string{
+		wire.PathReservations,
+		wire.PathReservations + "/x",
+		wire.PathEquipment,
+		wire.PathQueue,
+		wire.PathQueue + "/x",
+		wire.PathPriorityClasses,
+	} {
+		if got, body, _ := requestJSON[any](t, "GET", server+path, ""); got != status || body != want {
+			t.Errorf("%s: %d %s, an unknown path gets %d %s", path, got, body, status, want)
 		}
-		status, body, a := requestJSON[answer](
-			t,
-			"POST",
-			server+wire.PathEquipment,
-			`{"equipment":"pieces { name: \"k\" kind: \"kiln\" slot_minutes: 60 out: 1 }"}`,
-		)
-		if status != 409 || len(a.Displaced) != 1 || a.Displaced[0].ID != "a" {
-			t.Errorf("a list that has no place for a booking: %d %s", status, body)
+	}
+}
+
+// enableReservationsAndQueue returns an option with a list of equipment and one of priority classes.
+func enableReservationsAndQueue(t *testing.T) func(*Options) {
+	t.Helper()
+	equipment, err := booking.Parse([]byte(`pieces { name: "k" kind: "kiln" slot_minutes: 60 cool_minutes: 60 }`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	classes, err := priorityclass.Parse([]byte(`lanes { name: "urgent" priorities: "high" } lanes { name: "rest" }`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return func(options *Options) { options.Equipment, options.PriorityClasses = equipment, classes }
+}
+
+// checkReservationSteps makes, repeats, confirms, moves and ends reservations, and checks refusals.
+func checkReservationSteps(t *testing.T, client *reservationClient) {
+	t.Helper()
+	create := func(id, hour, more string) func() (int, string, wire.ReservationResponse) {
+		return func() (int, string, wire.ReservationResponse) { return client.create(t, id, hour, more) }
+	}
+	do := func(method, path, body string) func() (int, string, wire.ReservationResponse) {
+		return func() (int, string, wire.ReservationResponse) { return client.do(t, method, path, body) }
+	}
+	for i, step := range []struct {
+		status int
+		state  string
+		do     func() (int, string, wire.ReservationResponse)
+	}{
+		{201, "confirmed", create("a", "08", "")},
+		{200, "confirmed", create("a", "08", "")},
+		{409, "confirmed", create("a", "12", "")},
+		{409, "", create("b", "09", "")}, // the kiln cools
+		{201, "held", create("b", "10", `,"hold_s":600`)},
+		{200, "confirmed", do("POST", "/b/confirm", "")},
+		{200, "confirmed", do("POST", "/b/move", `{"slots":[{"piece":"k","from":"`+client.day+`T14:00"}]}`)},
+		{200, "ended", do("POST", "/b/end", `{"why":"cracked"}`)},
+		{422, "", create("c", "08", `,"slots":[{"piece":"z","from":"`+client.day+`T08:00"}]`)},
+		{400, "", create("a b", "08", "")},
+		{404, "", do("GET", "/nobody", "")},
+	} {
+		status, body, got := step.do()
+		if status != step.status || (got.Reservation == nil) != (step.state == "") ||
+			got.Reservation != nil && got.Reservation.State != step.state {
+			t.Errorf("step %d: %d %s, want %d %s", i, status, body, step.status, step.state)
 		}
-		for id, heat := range map[string]string{"wk-000001": "standard", "wk-000002": "high"} {
-			job := fakes.JobRequest(id, "x")
-			job["heat"] = heat
-			raw, err := json.Marshal(job)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if status, body, _ := requestJSON[any](t, "POST", server+wire.PathJobs, string(raw)); status != 201 {
-				t.Fatalf("%d %s", status, body)
-			}
+		if status == 409 && step.state == "" && len(got.Free) == 0 {
+			t.Errorf("step %d: no free interval is offered instead", i)
 		}
-		_, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue, "")
-		if len(q.Jobs) != 2 || q.Jobs[0].ID != "wk-000002" || q.Jobs[0].PriorityClass != "urgent" ||
-			q.Jobs[1].WaitingFor != "room" {
-			t.Errorf("queue: %s", body)
+	}
+}
+
+// checkDisplacedReservation checks that a list of equipment which displaces a reservation is refused.
+func checkDisplacedReservation(t *testing.T, server string) {
+	t.Helper()
+	status, body, got := requestJSON[wire.ReservationResponse](t, "POST", server+wire.PathEquipment,
+		`{"equipment":"pieces { name: \"k\" kind: \"kiln\" slot_minutes: 60 out: 1 }"}`)
+	if status != 409 || len(got.Displaced) != 1 || got.Displaced[0].ID != "a" {
+		t.Errorf("a list that displaces a reservation: %d %s", status, body)
+	}
+}
+
+// submitTwoPriorities submits wk-000001 with standard and wk-000002 with high priority.
+func submitTwoPriorities(t *testing.T, server string) {
+	t.Helper()
+	for id, priority := range map[string]string{"wk-000001": "standard", "wk-000002": "high"} {
+		job := fakes.JobRequest(id, "x")
+		job["heat"] = priority
+		raw, err := json.Marshal(job)
+		if err != nil {
+			t.Fatal(err)
 		}
-		if _, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"?most=1", ""); len(
-			q.Jobs,
-		) != 1 ||
-			q.NextOffset != 1 ||
-			q.Total != 2 {
-			t.Errorf("a page: %s", body)
+		if status, body, _ := requestJSON[any](t, "POST", server+wire.PathJobs, string(raw)); status != 201 {
+			t.Fatalf("%d %s", status, body)
 		}
-	})
-	// Another process, with no file: what is in force lives in the state service.
-	server := startController(t, state, nil)
-	eventually(t, "open", func() bool {
-		status, _, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"/a", "")
-		return status == 200 && a.Reservation.State == "confirmed"
-	})
-	if _, body, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"/b", ""); a.Reservation == nil ||
-		a.Reservation.EndReason != "cracked" {
-		t.Errorf("one that had ended: %s", body)
 	}
-	if _, body, a := requestJSON[answer](t, "GET", server+wire.PathReservations+"?piece=k&day="+day, ""); len(
-		a.Reservations,
-	) != 1 {
+}
+
+// checkQueue checks the order of the queue and its pages.
+func checkQueue(t *testing.T, server string) {
+	t.Helper()
+	_, body, queue := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue, "")
+	if len(queue.Jobs) != 2 || queue.Jobs[0].ID != "wk-000002" || queue.Jobs[0].PriorityClass != "urgent" ||
+		queue.Jobs[1].WaitingFor != "room" {
+		t.Errorf("queue: %s", body)
+	}
+	_, body, page := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"?most=1", "")
+	if len(page.Jobs) != 1 || page.NextOffset != 1 || page.Total != 2 {
+		t.Errorf("a page: %s", body)
+	}
+}
+
+// checkReservationsOutlivedController checks what a later controller answers.
+func checkReservationsOutlivedController(t *testing.T, client *reservationClient) {
+	t.Helper()
+	if _, body, got := client.do(t, "GET", "/b", ""); got.Reservation == nil || got.Reservation.EndReason != "cracked" {
+		t.Errorf("an ended reservation: %s", body)
+	}
+	if _, body, got := client.do(t, "GET", "?piece=k&day="+client.day, ""); len(got.Reservations) != 1 {
 		t.Errorf("the day: %s", body)
 	}
-	if _, body, q := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"/wk-000001", ""); len(q.Jobs) != 1 ||
-		q.Jobs[0].Position != 2 ||
-		q.Jobs[0].PriorityClass != "rest" {
-		t.Errorf("its place: %s", body)
+	_, body, queue := requestJSON[wire.JobQueue](t, "GET", client.server+wire.PathQueue+"/wk-000001", "")
+	if len(queue.Jobs) != 1 || queue.Jobs[0].Position != 2 || queue.Jobs[0].PriorityClass != "rest" {
+		t.Errorf("its position: %s", body)
 	}
 }
 
-// A process that stands still while it takes inputs must see the time that has passed at the next:
-// a report that came after the stop was answered as of before it.
+// A process that is suspended while it takes inputs must see the time that has passed at the next one:
+// a heartbeat that came after the suspension was answered as of before it.
 func TestEachQueuedInputIsHandledWithItsOwnTime(t *testing.T) {
 	inputs := make(chan core.Input, 4)
 	now := time.Second
@@ -430,7 +488,7 @@
 		func() time.Duration { return now },
 		func(at time.Duration, in core.Input) {
 			got = append(got, at)
-			now += time.Minute // it stands still, and a report comes
+			now += time.Minute // it is suspended, and a heartbeat comes
 			if in == (core.WallClock{UnixMS: 1}) {
 				inputs <- core.AgentHeartbeat{}
 			}
@@ -438,6 +496,6 @@
 	)
 	if want := []time.Duration{time.Second, 61 * time.Second, 121 * time.Second}; !slices.Equal(got, want) ||
 		last != want[2] {
-		t.Errorf("taken at %v, last at %v", got, last)
+		t.Errorf("handled at %v, last at %v", got, last)
 	}
 }
