--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -1,6 +1,7 @@
 // Package mesh carries messages between controllers over HTTP/2 streams, with mutual TLS if it is
-// set: each controller holds one stream open to each other and writes JSON messages to it, one a
-// line. Messages are news that may be lost; none of them is needed for safety.
+// configured: each controller holds one stream open to each other one and writes JSON messages to it,
+// one a line. It owns the streams and a bounded queue for each peer. Messages may be lost: nothing that
+// safety depends on may be sent over the mesh alone.
 package mesh
 
 import (
@@ -15,37 +16,55 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"sync"
 	"time"
 )
 
+// Names that controllers of other versions use.
 const (
-	streamPath               = "/mesh"
-	nodeHeader               = "Dewlift-Node"
-	outboxLength             = 2048
-	maxMessageBytes          = 8 << 20
+	streamPath = "/mesh"
+	nodeHeader = "Dewlift-Node"
+)
+
+const (
+	// outboxLength is how many messages may wait for a peer; more are dropped.
+	outboxLength = 2048
+	// maxMessageBytes bounds a message; the cluster state of a large fleet is the longest.
+	maxMessageBytes = 8 << 20
+	// defaultKeepAliveInterval is the time between two keep-alives on the response of a stream.
 	defaultKeepAliveInterval = 500 * time.Millisecond
-	peerTimeout              = 2500 * time.Millisecond
+	// peerTimeout is the time without a keep-alive after which a stream is given up.
+	peerTimeout = 2500 * time.Millisecond
+	// reconnectDelay is the time between the end of a stream and the next attempt.
+	reconnectDelay      = 300 * time.Millisecond
+	dialTimeout         = time.Second
+	tlsHandshakeTimeout = 2 * time.Second
+	readHeaderTimeout   = 5 * time.Second
+	readBufferBytes     = 16 << 10
+	writeBufferBytes    = 32 << 10
+	keepAliveReadBytes  = 256
 )
 
-// Handler takes a message of a peer.
-type Handler func(peer string, m core.Message)
+// Handler handles a message from a peer. It is called concurrently for different streams.
+type Handler func(peer string, message core.Message)
 
 // Mesh holds the streams of one controller.
 type Mesh struct {
 	nodeName          string
-	peers             map[string]*peerLink
+	peers             map[string]*peerLink // by name; fixed
 	log               *slog.Logger
-	keepAliveInterval time.Duration // between two signs of life
+	keepAliveInterval time.Duration
 	tlsFiles          *tlsconfig.Files
 }
 
+// peerLink is a peer with the messages that wait to be sent to it.
 type peerLink struct {
 	name   string
 	addr   string
-	outbox chan []byte
+	outbox chan []byte // encoded messages, each with its line end
 }
 
-// New returns a mesh that knows its peers by name and address; without files it is in plain text.
+// New returns a mesh with peers by name and their addresses; without TLS files it is in plain text.
 func New(name string, peers map[string]string, files *tlsconfig.Files, log *slog.Logger) *Mesh {
 	m := &Mesh{
 		nodeName:          name,
@@ -54,52 +73,43 @@
 		keepAliveInterval: defaultKeepAliveInterval,
 		tlsFiles:          files,
 	}
-	for n, a := range peers {
-		m.peers[n] = &peerLink{name: n, addr: a, outbox: make(chan []byte, outboxLength)}
+	for peer, addr := range peers {
+		m.peers[peer] = &peerLink{name: peer, addr: addr, outbox: make(chan []byte, outboxLength)}
 	}
 	return m
 }
 
-// Send queues a message to a peer, or to all if the name is empty. When a peer's queue is
-// full the message is dropped.
-func (m *Mesh) Send(peer string, msg core.Message) {
-	line, err := json.Marshal(msg) // once for all: the array of a large fleet is long
+// Send queues a message to a peer, or to all if the name is empty. It never blocks: when a peer's
+// queue is full the message is dropped.
+func (m *Mesh) Send(peer string, message core.Message) {
+	line, err := json.Marshal(message) // once for all peers: the cluster state of a large fleet is long
 	if err != nil {
 		m.log.Error("mesh message not encoded", "err", err)
 		return
 	}
 	line = append(line, '\n')
-	for n, l := range m.peers {
-		if peer == "" || peer == n {
+	for name, link := range m.peers {
+		if peer == "" || peer == name {
 			select {
-			case l.outbox <- line:
+			case link.outbox <- line:
 			default:
 			}
 		}
 	}
 }
 
-// Serve takes the others' streams from a listener and keeps its own up until the context ends. It closes the listener.
-func (m *Mesh) Serve(ctx context.Context, ln net.Listener, h Handler) error {
-	var protos http.Protocols
-	protos.SetHTTP2(true)
-	protos.SetUnencryptedHTTP2(m.tlsFiles.MeshServerConfig() == nil)
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+streamPath, func(w http.ResponseWriter, r *http.Request) { m.receiveStream(w, r, h) })
-	srv := &http.Server{
-		Handler:           mux,
-		Protocols:         &protos,
-		ReadHeaderTimeout: 5 * time.Second,
-		TLSConfig:         m.tlsFiles.MeshServerConfig(),
-		ErrorLog:          slog.NewLogLogger(m.log.Handler(), slog.LevelDebug),
-	}
-	for _, l := range m.peers {
-		go m.maintainStream(ctx, l)
+// Serve receives the peers' streams on a listener and maintains its own to each of them, until the
+// context ends or the listener fails. It closes the listener, and returns after its own streams ended.
+func (m *Mesh) Serve(ctx context.Context, ln net.Listener, handle Handler) error {
+	ctx, cancel := context.WithCancel(ctx)
+	var streams sync.WaitGroup
+	defer streams.Wait()
+	defer cancel()
+	srv := m.newServer(handle)
+	for _, link := range m.peers {
+		streams.Go(func() { m.maintainStream(ctx, link) })
 	}
-	go func() {
-		<-ctx.Done()
-		_ = srv.Close() // the process is ending
-	}()
+	context.AfterFunc(ctx, func() { _ = srv.Close() }) // nothing is left to do if it fails
 	var err error
 	if srv.TLSConfig != nil {
 		err = srv.ServeTLS(ln, "", "")
@@ -107,69 +117,93 @@
 		err = srv.Serve(ln)
 	}
 	if !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("mesh: %w", err)
+		return fmt.Errorf("serve mesh: %w", err)
 	}
 	return nil
 }
 
-// receiveStream reads a peer's stream and shows on the answer that it does.
-func (m *Mesh) receiveStream(w http.ResponseWriter, r *http.Request, h Handler) {
+func (m *Mesh) newServer(handle Handler) *http.Server {
+	tlsConfig := m.tlsFiles.MeshServerConfig()
+	var protocols http.Protocols
+	protocols.SetHTTP2(true)
+	protocols.SetUnencryptedHTTP2(tlsConfig == nil)
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST "+streamPath, func(w http.ResponseWriter, r *http.Request) { m.receiveStream(w, r, handle) })
+	return &http.Server{
+		Handler:           mux,
+		Protocols:         &protocols,
+		ReadHeaderTimeout: readHeaderTimeout,
+		TLSConfig:         tlsConfig,
+		ErrorLog:          slog.NewLogLogger(m.log.Handler(), slog.LevelDebug),
+	}
+}
+
+// receiveStream handles the messages of a peer's stream, and writes keep-alives to its response.
+func (m *Mesh) receiveStream(w http.ResponseWriter, r *http.Request, handle Handler) {
 	peer := r.Header.Get(nodeHeader)
 	if m.peers[peer] == nil {
 		http.Error(w, "unknown node", http.StatusForbidden)
 		return
 	}
 	if r.TLS != nil && r.TLS.PeerCertificates[0].VerifyHostname(peer) != nil {
-		m.log.Error("mesh: a certificate for another name", "peer", peer)
+		m.log.Error("mesh certificate is for another name", "peer", peer)
 		http.Error(w, "not your name", http.StatusForbidden)
 		return
 	}
-	rc := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
-	if rc.Flush() != nil {
+	if http.NewResponseController(w).Flush() != nil {
 		return
 	}
-	// The signs of life end before the handler does: a write after its end panics, and once a zone
-	// was cut off that ended the whole process.
+	// Keep-alives end before the handler does: a write after its end panics, which ended the whole
+	// process when a zone was cut off.
 	ctx, cancel := context.WithCancel(r.Context())
-	ended := make(chan struct{})
-	defer func() { cancel(); <-ended }()
-	go func() {
-		defer close(ended)
-		t := time.NewTicker(m.keepAliveInterval)
-		defer t.Stop()
-		for {
-			select {
-			case <-ctx.Done():
+	var keepAlives sync.WaitGroup
+	defer keepAlives.Wait()
+	defer cancel()
+	keepAlives.Go(func() { m.writeKeepAlives(ctx, w) })
+	m.readMessages(peer, r.Body, handle)
+}
+
+// writeKeepAlives writes empty lines until the context ends or a write fails.
+func (m *Mesh) writeKeepAlives(ctx context.Context, w http.ResponseWriter) {
+	response := http.NewResponseController(w)
+	ticker := time.NewTicker(m.keepAliveInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			if _, err := w.Write([]byte("\n")); err != nil || response.Flush() != nil {
 				return
-			case <-t.C:
-				if _, err := w.Write([]byte("\n")); err != nil || rc.Flush() != nil {
-					return
-				}
 			}
 		}
-	}()
-	sc := bufio.NewScanner(r.Body)
-	sc.Buffer(make([]byte, 0, 16<<10), maxMessageBytes)
-	sc.Split(splitCompleteLines)
-	for sc.Scan() {
-		if len(sc.Bytes()) == 0 {
+	}
+}
+
+// readMessages handles messages until the stream ends or one cannot be decoded.
+func (m *Mesh) readMessages(peer string, body io.Reader, handle Handler) {
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(make([]byte, 0, readBufferBytes), maxMessageBytes)
+	scanner.Split(splitCompleteLines)
+	for scanner.Scan() {
+		if len(scanner.Bytes()) == 0 {
 			continue
 		}
-		var msg core.Message
-		if err := json.Unmarshal(sc.Bytes(), &msg); err != nil {
-			m.log.Error("mesh message not understood", "peer", peer, "err", err)
+		var message core.Message
+		if err := json.Unmarshal(scanner.Bytes(), &message); err != nil {
+			m.log.Error("mesh message not decoded", "peer", peer, "err", err)
 			return
 		}
-		h(peer, msg)
+		handle(peer, message)
 	}
-	if errors.Is(sc.Err(), bufio.ErrTooLong) {
+	if errors.Is(scanner.Err(), bufio.ErrTooLong) {
 		m.log.Error("mesh message too long", "peer", peer, "most", maxMessageBytes)
 	}
 }
 
-// splitCompleteLines splits a stream into lines. One that ends within a line has ended, as it does when its sender is
-// stopped or cut off: what there is of the line is no message.
+// splitCompleteLines is a bufio.SplitFunc for lines that drops an unfinished last one: it is what is
+// left of a message whose sender was stopped or cut off.
 func splitCompleteLines(data []byte, atEOF bool) (advance int, line []byte, err error) {
 	advance, line, err = bufio.ScanLines(data, false)
 	if atEOF && advance == 0 {
@@ -178,105 +212,122 @@
 	return advance, line, err
 }
 
-// maintainStream holds a stream to a peer open, again and again.
-func (m *Mesh) maintainStream(ctx context.Context, l *peerLink) {
+// maintainStream keeps a stream to a peer open until the context ends.
+func (m *Mesh) maintainStream(ctx context.Context, link *peerLink) {
 	for ctx.Err() == nil {
-		if err := m.runStream(ctx, l); err != nil && ctx.Err() == nil {
-			m.log.Debug("mesh stream ended", "peer", l.name, "err", err)
+		if err := m.runStream(ctx, link); err != nil && ctx.Err() == nil {
+			m.log.Debug("mesh stream ended", "peer", link.name, "err", err)
 		}
-		for len(l.outbox) > 0 { // old news
-			<-l.outbox
+		for len(link.outbox) > 0 { // outdated by the time of the next stream
+			<-link.outbox
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(300 * time.Millisecond):
+		case <-time.After(reconnectDelay):
 		}
 	}
 }
 
-func (m *Mesh) runStream(ctx context.Context, l *peerLink) error {
+// runStream opens a stream to a peer and sends it messages until one side fails or the context ends.
+func (m *Mesh) runStream(ctx context.Context, link *peerLink) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var protos http.Protocols
-	client, scheme := m.tlsFiles.MeshClientConfig(l.name), "http://"
-	protos.SetUnencryptedHTTP2(client == nil)
-	if client != nil {
-		protos.SetHTTP2(true)
-		scheme = "https://"
+	transport, scheme := m.newTransport(link.name)
+	defer transport.CloseIdleConnections()
+	bodyReader, bodyWriter := io.Pipe()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, scheme+link.addr+streamPath, bodyReader)
+	if err != nil {
+		return fmt.Errorf("build mesh request: %w", err)
 	}
-	tr := &http.Transport{
-		Protocols:           &protos,
-		TLSClientConfig:     client,
-		TLSHandshakeTimeout: 2 * time.Second,
-		DialContext:         (&net.Dialer{Timeout: time.Second, KeepAlive: -1}).DialContext,
+	req.Header.Set(nodeHeader, m.nodeName)
+	var workers sync.WaitGroup
+	defer workers.Wait()
+	defer cancel()
+	defer func() { _ = bodyWriter.Close() }() // never fails; the request's body ends
+	keepAlives := make(chan struct{}, 1)
+	failures := make(chan error, 2) // one of each worker, so that none blocks
+	workers.Go(func() { failures <- readKeepAlives(transport, req, keepAlives) })
+	workers.Go(func() { failures <- link.writeMessages(ctx, bodyReader, bodyWriter) })
+	return awaitStreamEnd(ctx, keepAlives, failures)
+}
+
+// newTransport returns a transport for one stream to a peer, and the scheme of its URL.
+func (m *Mesh) newTransport(peer string) (transport *http.Transport, scheme string) {
+	tlsConfig := m.tlsFiles.MeshClientConfig(peer)
+	scheme = "http://"
+	var protocols http.Protocols
+	protocols.SetUnencryptedHTTP2(tlsConfig == nil)
+	if tlsConfig != nil {
+		protocols.SetHTTP2(true)
+		scheme = "https://"
 	}
-	defer tr.CloseIdleConnections()
-	pr, pw := io.Pipe()
-	defer pw.Close()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, scheme+l.addr+streamPath, pr)
+	return &http.Transport{
+		Protocols:           &protocols,
+		TLSClientConfig:     tlsConfig,
+		TLSHandshakeTimeout: tlsHandshakeTimeout,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
+	}, scheme
+}
+
+// readKeepAlives makes the request and reports the keep-alives on its response until that ends.
+func readKeepAlives(transport *http.Transport, req *http.Request, keepAlives chan<- struct{}) error {
+	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return fmt.Errorf("mesh request: %w", err)
+		return err
 	}
-	req.Header.Set(nodeHeader, m.nodeName)
-	alive := make(chan struct{}, 1)
-	fail := make(chan error, 2)
-	go func() {
-		resp, err := tr.RoundTrip(req)
-		if err != nil {
-			fail <- err
-			return
+	defer func() { _ = resp.Body.Close() }() // the stream has ended
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %d", resp.StatusCode)
+	}
+	buf := make([]byte, keepAliveReadBytes)
+	for {
+		n, err := resp.Body.Read(buf)
+		if n > 0 {
+			select {
+			case keepAlives <- struct{}{}:
+			default: // one is reported already
+			}
 		}
-		defer resp.Body.Close()
-		if resp.StatusCode != http.StatusOK {
-			fail <- fmt.Errorf("status %d", resp.StatusCode)
-			return
+		if err != nil {
+			return err
 		}
-		buf := make([]byte, 256)
-		for {
-			n, err := resp.Body.Read(buf)
-			if n > 0 {
-				select {
-				case alive <- struct{}{}:
-				default:
-				}
+	}
+}
+
+// writeMessages writes the queued messages to the request's body. It flushes when none is left.
+func (l *peerLink) writeMessages(ctx context.Context, body *io.PipeReader, w io.Writer) error {
+	buffered := bufio.NewWriterSize(w, writeBufferBytes)
+	for {
+		select {
+		case <-ctx.Done():
+			_ = body.CloseWithError(ctx.Err()) // never fails
+			return ctx.Err()
+		case line := <-l.outbox:
+			_, err := buffered.Write(line)
+			if err == nil && len(l.outbox) == 0 {
+				err = buffered.Flush()
 			}
 			if err != nil {
-				fail <- err
-				return
+				return err
 			}
 		}
-	}()
-	go func() {
-		w := bufio.NewWriterSize(pw, 32<<10)
-		for {
-			select {
-			case <-ctx.Done():
-				_ = pr.CloseWithError(ctx.Err())
-				return
-			case line := <-l.outbox:
-				_, err := w.Write(line)
-				if err == nil && len(l.outbox) == 0 {
-					err = w.Flush()
-				}
-				if err != nil {
-					fail <- err
-					return
-				}
-			}
-		}
-	}()
-	dead := time.NewTimer(peerTimeout)
-	defer dead.Stop()
+	}
+}
+
+// awaitStreamEnd returns why a stream ended: a failure, missing keep-alives or the context.
+func awaitStreamEnd(ctx context.Context, keepAlives <-chan struct{}, failures <-chan error) error {
+	timeout := time.NewTimer(peerTimeout)
+	defer timeout.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-fail:
+		case err := <-failures:
 			return err
-		case <-alive:
-			dead.Reset(peerTimeout)
-		case <-dead.C:
-			return errors.New("no sign of life")
+		case <-keepAlives:
+			timeout.Reset(peerTimeout)
+		case <-timeout.C:
+			return errors.New("no keep-alive from peer")
 		}
 	}
 }
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -20,21 +20,20 @@
 	"time"
 )
 
-// A sign of life written after its stream had ended was a panic, and ended the process when a
-// zone was cut off.
+// A keep-alive written after its stream had ended panicked, which ended the process when a zone was
+// cut off.
 func TestStreamsThatEndWhileKeepAlivesAreWritten(t *testing.T) {
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
+	ctx := t.Context()
 	m := New("n0", map[string]string{"n1": "127.0.0.1:1"}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	m.keepAliveInterval = 20 * time.Microsecond
 	var mu sync.Mutex
-	heard := 0
-	var protos http.Protocols
-	protos.SetUnencryptedHTTP2(true)
-	srv := &http.Server{Protocols: &protos, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	received := 0
+	var protocols http.Protocols
+	protocols.SetUnencryptedHTTP2(true)
+	srv := &http.Server{Protocols: &protocols, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		m.receiveStream(w, r, func(string, core.Message) {
 			mu.Lock()
-			heard++
+			received++
 			mu.Unlock()
 		})
 	})}
@@ -42,10 +41,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer srv.Close()
+	t.Cleanup(func() { _ = srv.Close() })
 	go func() { _ = srv.Serve(ln) }() // ends with the test
-	tr := &http.Transport{Protocols: &protos}
-	defer tr.CloseIdleConnections()
+	transport := &http.Transport{Protocols: &protocols}
+	t.Cleanup(transport.CloseIdleConnections)
 	const streams = 300
 	for range streams {
 		req, err := http.NewRequestWithContext(
@@ -58,31 +57,34 @@
 			t.Fatal(err)
 		}
 		req.Header.Set(nodeHeader, "n1")
-		resp, err := tr.RoundTrip(req)
+		resp, err := transport.RoundTrip(req)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close()
+		if err := resp.Body.Close(); err != nil {
+			t.Error(err)
+		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if heard != streams {
-		t.Errorf("%d of %d messages heard", heard, streams)
+	if received != streams {
+		t.Errorf("%d of %d messages received", received, streams)
 	}
 }
 
-// newTLSFiles are a node's TLS files: its certificate is for a name, and signed by an authority that the
-// others trust, or not.
+// newTLSFiles returns a node's TLS files: a certificate for a name, issued by one authority, and the
+// authority that it trusts.
 func newTLSFiles(t *testing.T, name string, by, trusted *testcert.Authority) *tlsconfig.Files {
 	t.Helper()
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	by.Issue(t, name, cert, key)
 	path := filepath.Join(dir, "tls")
-	if err := os.WriteFile(path, []byte(fmt.Sprintf("mesh { certificate: %q key: %q authorities: %q }", cert, key, trusted.CertFile)), 0o600); err != nil {
+	text := fmt.Sprintf("mesh { certificate: %q key: %q authorities: %q }", cert, key, trusted.CertFile)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	f, err := tlsconfig.Load(path, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -92,14 +94,14 @@
 	return f
 }
 
-// Controllers reach each other by certificates for their names alone: another authority's, another
-// name's, and plain text are refused.
+// Controllers accept only certificates for each other's names: another authority's, another name's, and
+// plain text are refused.
 func TestPeersAuthenticateEachOther(t *testing.T) {
 	own, other := testcert.New(t), testcert.New(t)
 	good := func(name string) *tlsconfig.Files { return newTLSFiles(t, name, own, own) }
-	for what, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		sender, receiver *tlsconfig.Files
-		heard            bool
+		received         bool
 	}{
 		"both good":               {good("n0"), good("n1"), true},
 		"sender's authority":      {newTLSFiles(t, "n0", other, own), good("n1"), false},
@@ -110,65 +112,61 @@
 		"receiver in plain text":  {good("n0"), nil, false},
 		"both in plain text, off": {nil, nil, true},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ctx, cancel := context.WithCancel(t.Context())
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			// held from here on: a port that is let go and taken again may be another test's by then
-			addr := ln.Addr().String()
-			log := slog.New(slog.NewTextHandler(io.Discard, nil))
-			heard := make(chan string, 100)
-			to, from := New(
-				"n1",
-				map[string]string{"n0": "127.0.0.1:1"},
-				x.receiver,
-				log,
-			), New(
-				"n0",
-				map[string]string{"n1": addr},
-				x.sender,
-				log,
-			)
-			var ended sync.WaitGroup
-			ended.Add(2)
-			go func() {
-				defer ended.Done()
-				if err := to.Serve(ctx, ln, func(peer string, m core.Message) { heard <- peer + m.WantedHeartbeats[0] }); err != nil &&
-					ctx.Err() == nil {
-					t.Error(err)
-				}
-			}()
-			go func() {
-				defer ended.Done()
-				from.maintainStream(ctx, from.peers["n1"])
-			}()
-			t.Cleanup(func() { cancel(); ended.Wait() })
-			tries := 40 // where nothing may be heard, two seconds of trying tell
-			if x.heard {
-				tries = 1200
+			sender, received := startSenderAndReceiver(t, test.sender, test.receiver)
+			attempts := 40 // two seconds show that nothing arrives
+			if test.received {
+				attempts = 1200
 			}
-			for range tries {
-				from.Send("n1", core.Message{WantedHeartbeats: []string{"m"}})
+			for range attempts {
+				sender.Send("n1", core.Message{WantedHeartbeats: []string{"m"}})
 				select {
-				case got := <-heard:
-					if !x.heard || got != "n0m" {
-						t.Fatalf("heard %s", got)
+				case got := <-received:
+					if !test.received || got != "n0m" {
+						t.Fatalf("received %s", got)
 					}
 					return
 				case <-time.After(50 * time.Millisecond):
 				}
 			}
-			if x.heard {
-				t.Error("nothing was heard")
+			if test.received {
+				t.Error("nothing was received")
 			}
 		})
 	}
 }
 
-// A stream that ended in the middle of a message was logged as one that was not understood.
+// startSenderAndReceiver runs n0's stream to n1 until the test ends. It returns n0, and for each message
+// that n1 receives the sender's name and the first wanted heartbeat.
+func startSenderAndReceiver(t *testing.T, senderFiles, receiverFiles *tlsconfig.Files) (*Mesh, <-chan string) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	// Kept from here on: a port that is closed and opened again may be another test's by then.
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	receiver := New("n1", map[string]string{"n0": "127.0.0.1:1"}, receiverFiles, log)
+	sender := New("n0", map[string]string{"n1": ln.Addr().String()}, senderFiles, log)
+	received := make(chan string, 100)
+	var running sync.WaitGroup
+	running.Go(func() {
+		err := receiver.Serve(ctx, ln, func(peer string, message core.Message) {
+			received <- peer + message.WantedHeartbeats[0]
+		})
+		if err != nil && ctx.Err() == nil {
+			t.Error(err)
+		}
+	})
+	running.Go(func() { sender.maintainStream(ctx, sender.peers["n1"]) })
+	t.Cleanup(func() { cancel(); running.Wait() })
+	return sender, received
+}
+
+// A stream that ends within a message, as it does when its sender is stopped, is no error to log; a
+// complete line that is no message is.
 func TestStreamCutWithinAMessageIsNotLogged(t *testing.T) {
 	var logged strings.Builder
 	m := New("n0", map[string]string{"n1": "127.0.0.1:1"}, nil, slog.New(slog.NewTextHandler(&logged, nil)))
@@ -178,22 +176,19 @@
 		"{\"w\"": 0,
 		"":       0,
 	} {
-		heard := 0
-		r := httptest.NewRequest(
-			http.MethodPost,
-			streamPath,
-			io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF)),
-		)
+		received := 0
+		body := io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF))
+		r := httptest.NewRequest(http.MethodPost, streamPath, body)
 		r.Header.Set(nodeHeader, "n1")
-		m.receiveStream(httptest.NewRecorder(), r, func(string, core.Message) { heard++ })
-		if heard != want || logged.Len() > 0 {
-			t.Errorf("%q: %d messages, logged %s", text, heard, logged.String())
+		m.receiveStream(httptest.NewRecorder(), r, func(string, core.Message) { received++ })
+		if received != want || logged.Len() > 0 {
+			t.Errorf("%q: %d messages, logged %s", text, received, logged.String())
 		}
 	}
 	r := httptest.NewRequest(http.MethodPost, streamPath, strings.NewReader("{\"w\"\n"))
 	r.Header.Set(nodeHeader, "n1")
-	m.receiveStream(httptest.NewRecorder(), r, func(string, core.Message) { t.Error("nonsense was heard") })
-	if !strings.Contains(logged.String(), "not understood") {
+	m.receiveStream(httptest.NewRecorder(), r, func(string, core.Message) { t.Error("nonsense was received") })
+	if !strings.Contains(logged.String(), "mesh message not decoded") {
 		t.Error("a line that is no message was not logged")
 	}
 }
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -1,4 +1,6 @@
-// Package statestore speaks to the platform's state service.
+// Package statestore is the client of the platform's key-value store: it executes the requests of the
+// core and returns typed results. It retries nothing and keeps no state but idle connections; what a
+// result means is decided by the core.
 package statestore
 
 import (
@@ -14,105 +16,111 @@
 
 const (
 	requestTimeout = 2 * time.Second
-	watchHoldTime  = 10 * time.Second
-	maxPageSize    = 1000 // the most that the service gives
+	// leaseTimeout is shorter: a late answer leaves too little of the lease to act on.
+	leaseTimeout = requestTimeout / 2
+	// longPollTime is how long the store holds a watch without changes open.
+	longPollTime = 10 * time.Second
+	// maxPageSize is the largest page, in keys, that the store returns.
+	maxPageSize = 1000
+	// maxConns bounds connections to the store, in use and idle.
+	maxConns = 16
+	// maxResponseBytes bounds a response.
+	maxResponseBytes = 16 << 20
 )
 
-// Client carries out the core's requests to the state service.
+// Client executes the core's requests to the key-value store.
 type Client struct {
 	baseURL    string
 	httpClient *httpjson.Client
 }
 
-// New returns a client of the service at addr.
+// New returns a client of the store at addr.
 func New(addr string) *Client {
-	return &Client{baseURL: "http://" + addr, httpClient: httpjson.New(16, 16, 16<<20)}
+	return &Client{baseURL: "http://" + addr, httpClient: httpjson.New(maxConns, maxConns, maxResponseBytes)}
 }
 
-// CommitTxn sends a transaction.
+// CommitTxn executes a transaction.
 func (c *Client) CommitTxn(ctx context.Context, o core.CommitTxn) core.TxnResult {
-	reply, r := httpjson.Decode[wire.TxnResponse](
+	reply, resp := httpjson.Decode[wire.TxnResponse](
 		c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathTxn, o.Txn),
 	)
-	if !r.Sent { // never reached the service
+	if !resp.Sent { // never reached the store, so it was certainly not executed
 		return core.TxnResult{ID: o.ID, Status: wire.StatusUnavailable}
 	}
-	return core.TxnResult{ID: o.ID, Status: wire.Status(r.Status), Reply: reply}
+	return core.TxnResult{ID: o.ID, Status: wire.Status(resp.Status), Reply: reply}
 }
 
-// Watch waits for changes, or reads those until now.
+// Watch reads the changes after a revision; with LongPoll it waits for one.
 func (c *Client) Watch(ctx context.Context, o core.Watch) core.WatchResult {
 	hold := time.Duration(0)
 	if o.LongPoll {
-		hold = watchHoldTime
+		hold = longPollTime
 	}
-	u := fmt.Sprintf(
-		"%s%s?starts=%s&from=%d&hold_ms=%d",
-		c.baseURL,
-		wire.PathWatch,
-		url.QueryEscape(core.Root),
-		o.SinceRevision,
-		hold.Milliseconds(),
+	target := fmt.Sprintf("%s%s?starts=%s&from=%d&hold_ms=%d", c.baseURL, wire.PathWatch,
+		url.QueryEscape(core.Root), o.SinceRevision, hold.Milliseconds())
+	changes, resp := httpjson.Decode[wire.WatchResponse](
+		c.httpClient.Do(ctx, hold+requestTimeout, http.MethodGet, target, nil),
 	)
-	ch, r := httpjson.Decode[wire.WatchResponse](c.httpClient.Do(ctx, hold+requestTimeout, http.MethodGet, u, nil))
-	return core.WatchResult{LongPoll: o.LongPoll, Status: wire.Status(r.Status), Changes: ch}
+	return core.WatchResult{LongPoll: o.LongPoll, Status: wire.Status(resp.Status), Changes: changes}
 }
 
 // LoadSnapshot reads a page of all keys.
 func (c *Client) LoadSnapshot(ctx context.Context, o core.LoadSnapshot) core.SnapshotPage {
-	page, r := c.readPage(ctx, core.Root, o.AfterKey, maxPageSize)
+	page, resp := c.readPage(ctx, core.Root, o.AfterKey, maxPageSize)
 	return core.SnapshotPage{
-		OK:       r.Status == http.StatusOK,
-		Status:   wire.Status(r.Status),
+		OK:       resp.Status == http.StatusOK,
+		Status:   wire.Status(resp.Status),
 		Items:    page.Items,
 		More:     page.More,
 		Revision: page.Revision,
 	}
 }
 
-// ReadRange reads a key, or a page of keys.
+// ReadRange reads one key, if one is named, or a page of the keys with a prefix.
 func (c *Client) ReadRange(ctx context.Context, o core.ReadRange) core.RangeResult {
 	if o.Key != "" {
-		item, r := httpjson.Decode[wire.GetResponse](
-			c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathKeys+"/"+o.Key, nil),
-		)
-		out := core.RangeResult{ID: o.ID, Status: wire.Status(r.Status), Revision: item.StoreRevision}
-		if r.Status == http.StatusOK {
-			out.Items = []wire.KeyValue{item.KeyValue}
-		}
-		return out
+		return c.readKey(ctx, o)
+	}
+	page, resp := c.readPage(ctx, o.Prefix, o.AfterKey, o.Limit)
+	return core.RangeResult{
+		ID:       o.ID,
+		Status:   wire.Status(resp.Status),
+		Items:    page.Items,
+		More:     page.More,
+		Revision: page.Revision,
 	}
-	page, r := c.readPage(ctx, o.Prefix, o.AfterKey, o.Limit)
-	return core.RangeResult{ID: o.ID, Status: wire.Status(r.Status), Items: page.Items, More: page.More, Revision: page.Revision}
+}
+
+func (c *Client) readKey(ctx context.Context, o core.ReadRange) core.RangeResult {
+	item, resp := httpjson.Decode[wire.GetResponse](
+		c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathKeys+"/"+o.Key, nil),
+	)
+	result := core.RangeResult{ID: o.ID, Status: wire.Status(resp.Status), Revision: item.StoreRevision}
+	if resp.Status == http.StatusOK {
+		result.Items = []wire.KeyValue{item.KeyValue}
+	}
+	return result
 }
 
 func (c *Client) readPage(
 	ctx context.Context,
-	prefix, from string,
-	most int,
+	prefix, afterKey string,
+	limit int,
 ) (wire.RangeResponse, httpjson.Response) {
-	return httpjson.Decode[wire.RangeResponse](
-		c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.RangePath(prefix, from, most), nil),
-	)
+	target := c.baseURL + wire.RangePath(prefix, afterKey, limit)
+	return httpjson.Decode[wire.RangeResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, target, nil))
 }
 
-// GrantOrRenewLease grants or extends a lease.
+// GrantOrRenewLease grants a lease or extends one.
 func (c *Client) GrantOrRenewLease(ctx context.Context, o core.LeaseRequest) core.LeaseResult {
-	switch o.Op {
-	case core.LeaseGrant:
-		v, r := httpjson.Decode[wire.LeaseResponse](
-			c.httpClient.Do(ctx, requestTimeout/2, http.MethodPost, c.baseURL+wire.PathLeases,
+	if o.Op == core.LeaseGrant {
+		granted, resp := httpjson.Decode[wire.LeaseResponse](
+			c.httpClient.Do(ctx, leaseTimeout, http.MethodPost, c.baseURL+wire.PathLeases,
 				wire.LeaseRequest{TTLMS: uint64(o.TTL.Milliseconds())}),
 		)
-		return core.LeaseResult{Op: o.Op, Status: wire.Status(r.Status), LeaseID: v.LeaseID}
-	default:
-		r := c.httpClient.Do(
-			ctx,
-			requestTimeout/2,
-			http.MethodPost,
-			fmt.Sprintf("%s%s/%d/extend", c.baseURL, wire.PathLeases, o.LeaseID),
-			struct{}{},
-		)
-		return core.LeaseResult{Op: o.Op, Status: wire.Status(r.Status), LeaseID: o.LeaseID}
+		return core.LeaseResult{Op: o.Op, Status: wire.Status(resp.Status), LeaseID: granted.LeaseID}
 	}
+	target := fmt.Sprintf("%s%s/%d/extend", c.baseURL, wire.PathLeases, o.LeaseID)
+	resp := c.httpClient.Do(ctx, leaseTimeout, http.MethodPost, target, struct{}{})
+	return core.LeaseResult{Op: o.Op, Status: wire.Status(resp.Status), LeaseID: o.LeaseID}
 }
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -12,109 +12,126 @@
 	"time"
 )
 
-func startFakeStore(t *testing.T, l fakes.Limits) (*fakes.Store, *Client) {
+// startFakeStore serves an empty store until the test ends.
+func startFakeStore(t *testing.T, limits fakes.Limits) (*fakes.Store, *Client) {
 	t.Helper()
-	s := fakes.NewStore(l)
-	srv := httptest.NewServer(s)
+	store := fakes.NewStore(limits)
+	srv := httptest.NewServer(store)
 	t.Cleanup(srv.Close)
-	return s, New(strings.TrimPrefix(srv.URL, "http://"))
+	return store, New(strings.TrimPrefix(srv.URL, "http://"))
 }
 
-// Keys, pages, conditions, leases, watches and an outage, as the protocol has them.
+// The client must speak the store's protocol: keys, pages, comparisons, leases, watches, an outage and
+// limits. The steps are in order, on one store.
 func TestClientSpeaksTheProtocol(t *testing.T) {
-	ctx := t.Context()
-	s, c := startFakeStore(t, fakes.Limits{PageItems: 40, TxnOps: 4})
+	store, client := startFakeStore(t, fakes.Limits{PageItems: 40, TxnOps: 4})
 	var items []wire.KeyValue
 	for i := range 100 {
 		items = append(items, wire.KeyValue{Key: fmt.Sprintf("dl/job/wk-%03d", i), Value: json.RawMessage("1")})
 	}
-	s.PutUnchecked(items)
-	s.PutUnchecked(
-		[]wire.KeyValue{
-			{Key: "da/b/wk-050", Value: json.RawMessage("5")},
-			{Key: "da/b/~", Value: json.RawMessage("9")},
-		},
-	)
-	seen, from := 0, ""
+	store.PutUnchecked(items)
+	store.PutUnchecked([]wire.KeyValue{
+		{Key: "da/b/wk-050", Value: json.RawMessage("5")},
+		{Key: "da/b/~", Value: json.RawMessage("9")},
+	})
+	checkSnapshotPages(t, client, len(items))
+	checkRangeReads(t, client)
+	checkLeasedKey(t, client)
+	store.SetDown(true)
+	if r := commitPut(t, client, 0, 0); r.Status != wire.StatusUnavailable {
+		t.Errorf("in an outage: %+v", r)
+	}
+	store.SetDown(false)
+	checkCompactedWatch(t, store, client)
+	store.SetLimits(fakes.Limits{WriteRPS: 1})
+	commitPut(t, client, 0, 0)
+	if r := commitPut(t, client, 0, 0); r.Status != wire.StatusTooManyRequests {
+		t.Errorf("too many changes: %+v", r)
+	}
+}
+
+// commitPut puts dl/x with a lease if it is at a revision.
+func commitPut(t *testing.T, client *Client, revision, lease uint64) core.TxnResult {
+	t.Helper()
+	return client.CommitTxn(t.Context(), core.CommitTxn{Txn: wire.Txn{
+		Compare: []wire.Compare{{Key: "dl/x", Revision: revision}},
+		Then:    []wire.Write{{Put: "dl/x", Value: json.RawMessage("1"), LeaseID: lease}},
+	}})
+}
+
+func checkSnapshotPages(t *testing.T, client *Client, want int) {
+	t.Helper()
+	loaded, after := 0, ""
 	for more := true; more; {
-		p := c.LoadSnapshot(ctx, core.LoadSnapshot{AfterKey: from})
-		if !p.OK || len(p.Items) == 0 {
-			t.Fatalf("got %+v", p)
+		page := client.LoadSnapshot(t.Context(), core.LoadSnapshot{AfterKey: after})
+		if !page.OK || len(page.Items) == 0 {
+			t.Fatalf("got %+v", page)
 		}
-		seen, from, more = seen+len(p.Items), p.Items[len(p.Items)-1].Key, p.More
+		loaded, after, more = loaded+len(page.Items), page.Items[len(page.Items)-1].Key, page.More
 	}
-	if seen != 100 {
-		t.Errorf("%d keys were loaded", seen)
+	if loaded != want {
+		t.Errorf("%d keys were loaded, want %d", loaded, want)
 	}
-	// the block of an id
+}
+
+func checkRangeReads(t *testing.T, client *Client) {
+	t.Helper()
+	// The first key after an id is that of its block.
 	for id, want := range map[string]string{"wk-049": "5", "wk-050": "9", "wk-9": "9", "wk-0": "5"} {
-		if p := c.ReadRange(ctx, core.ReadRange{
-			ID:       3,
-			Prefix:   "da/b/",
-			AfterKey: "da/b/" + id,
-			Limit:    1,
-		}); p.ID != 3 ||
-			p.Status != wire.StatusOK ||
-			string(p.Items[0].Value) != want {
-			t.Errorf("%s: %+v", id, p)
+		read := core.ReadRange{ID: 3, Prefix: "da/b/", AfterKey: "da/b/" + id, Limit: 1}
+		if r := client.ReadRange(t.Context(), read); r.ID != 3 || r.Status != wire.StatusOK ||
+			string(r.Items[0].Value) != want {
+			t.Errorf("%s: %+v", id, r)
 		}
 	}
-	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-007"}); p.Status != wire.StatusOK || len(p.Items) != 1 ||
-		p.Items[0].Revision != 1 {
-		t.Errorf("got %+v", p)
+	if r := client.ReadRange(t.Context(), core.ReadRange{Key: "dl/job/wk-007"}); r.Status != wire.StatusOK ||
+		len(r.Items) != 1 || r.Items[0].Revision != 1 {
+		t.Errorf("got %+v", r)
 	}
-	if p := c.ReadRange(ctx, core.ReadRange{Key: "dl/job/wk-x"}); p.Status != wire.StatusNotFound || p.Revision != 2 {
-		t.Errorf("got %+v", p)
+	if r := client.ReadRange(t.Context(), core.ReadRange{Key: "dl/job/wk-x"}); r.Status != wire.StatusNotFound ||
+		r.Revision != 2 {
+		t.Errorf("got %+v", r)
 	}
+}
 
-	l := c.GrantOrRenewLease(ctx, core.LeaseRequest{Op: core.LeaseGrant, TTL: 200 * time.Millisecond})
-	put := func(mark, lease uint64) core.TxnResult {
-		return c.CommitTxn(
-			ctx,
-			core.CommitTxn{
-				Txn: wire.Txn{
-					Compare: []wire.Compare{{Key: "dl/x", Revision: mark}},
-					Then:    []wire.Write{{Put: "dl/x", Value: json.RawMessage("1"), LeaseID: lease}},
-				},
-			},
-		)
-	}
-	first, again := put(0, l.LeaseID), put(0, 0)
+// checkLeasedKey checks comparisons, and that a key is deleted when its lease expires.
+func checkLeasedKey(t *testing.T, client *Client) {
+	t.Helper()
+	ctx := t.Context()
+	lease := client.GrantOrRenewLease(ctx, core.LeaseRequest{Op: core.LeaseGrant, TTL: 200 * time.Millisecond})
+	first, again := commitPut(t, client, 0, lease.LeaseID), commitPut(t, client, 0, 0)
 	if first.Status != wire.StatusOK || again.Status != wire.StatusConflict || len(again.Reply.Failed) != 1 {
 		t.Errorf("got %+v, %+v", first, again)
 	}
-	ch := c.Watch(ctx, core.Watch{SinceRevision: first.Reply.Revision, LongPoll: true}) // until the lease ends
-	if ch.Status != wire.StatusOK || len(ch.Changes.Events) != 1 || ch.Changes.Events[0].Delete != "dl/x" {
-		t.Errorf("got %+v", ch)
-	}
-	if r := c.GrantOrRenewLease(ctx, core.LeaseRequest{Op: core.LeaseExtend, LeaseID: l.LeaseID}); r.Status != wire.StatusNotFound {
-		t.Errorf("an ended lease was extended: %+v", r)
+	expiry := client.Watch(ctx, core.Watch{SinceRevision: first.Reply.Revision, LongPoll: true})
+	if expiry.Status != wire.StatusOK || len(expiry.Changes.Events) != 1 || expiry.Changes.Events[0].Delete != "dl/x" {
+		t.Errorf("got %+v", expiry)
 	}
-	if r := put(0, l.LeaseID); r.Status != wire.StatusBadRequest {
-		t.Errorf("a key of an ended lease: %+v", r)
+	extend := core.LeaseRequest{Op: core.LeaseExtend, LeaseID: lease.LeaseID}
+	if r := client.GrantOrRenewLease(ctx, extend); r.Status != wire.StatusNotFound {
+		t.Errorf("an expired lease was extended: %+v", r)
 	}
-	s.SetDown(true)
-	if r := put(0, 0); r.Status != wire.StatusUnavailable {
-		t.Errorf("in an outage: %+v", r)
+	if r := commitPut(t, client, 0, lease.LeaseID); r.Status != wire.StatusBadRequest {
+		t.Errorf("a key of an expired lease: %+v", r)
 	}
-	s.SetDown(false)
-	for i := range 3 * 10_000 / 4 { // the log goes back 10,000 changes
-		tx := wire.Txn{}
-		for k := range 4 {
-			tx.Then = append(tx.Then, wire.Write{Put: fmt.Sprintf("dl/y/%d", k), Value: json.RawMessage("1")})
+}
+
+// checkCompactedWatch checks a watch from a revision that the store no longer has the changes after.
+func checkCompactedWatch(t *testing.T, store *fakes.Store, client *Client) {
+	t.Helper()
+	const keptChanges, perTxn = 10_000, 4
+	for i := range 3 * keptChanges / perTxn {
+		txn := wire.Txn{}
+		for k := range perTxn {
+			txn.Then = append(txn.Then, wire.Write{Put: fmt.Sprintf("dl/y/%d", k), Value: json.RawMessage("1")})
 		}
-		if i%1000 != 0 { // most of them without the way over the network
-			s.Commit(tx)
-		} else if r := c.CommitTxn(ctx, core.CommitTxn{Txn: tx}); r.Status != wire.StatusOK {
+		if i%1000 != 0 { // most of them not over the network
+			store.Commit(txn)
+		} else if r := client.CommitTxn(t.Context(), core.CommitTxn{Txn: txn}); r.Status != wire.StatusOK {
 			t.Fatalf("got %+v", r)
 		}
 	}
-	if ch := c.Watch(ctx, core.Watch{SinceRevision: 2}); ch.Status != wire.StatusGone {
-		t.Errorf("too old: %+v", ch.Status)
-	}
-	s.SetLimits(fakes.Limits{WriteRPS: 1})
-	put(0, 0)
-	if r := put(0, 0); r.Status != wire.StatusTooManyRequests {
-		t.Errorf("too many changes: %+v", r)
+	if r := client.Watch(t.Context(), core.Watch{SinceRevision: 2}); r.Status != wire.StatusGone {
+		t.Errorf("too old: %+v", r.Status)
 	}
 }
