--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -3,6 +3,7 @@
 package sim
 
 import (
+	"dewlift/core"
 	"dewlift/wire"
 	"fmt"
 	"maps"
@@ -420,3 +421,19 @@
 		k.violated("nothing_ran", "no task was started")
 	}
 }
+
+// checkJobsKept checks that every accepted job is kept once, by its record or in the archive, and as its
+// users were told.
+func (w *Simulator) checkJobsKept() {
+	in := w.store.archivedJobs()
+	for id, j := range w.Checker.jobs {
+		e, there := in[id]
+		if record := w.store.keys[core.Root+"job/"+id] != nil; j.accepted && record == there {
+			w.Checker.violated("forgotten", "%s: has a record: %v, is archived: %v", id, record, there)
+		}
+		if there &&
+			(j.stage == wire.StageDone && e.Cancelled || j.stage == wire.StageCancelled && !e.Cancelled || !e.Cancelled && e.CompletedTasks != j.spec.Tasks) {
+			w.Checker.violated("went_back", "%s was called %s and is archived as %+v", id, j.stage, e)
+		}
+	}
+}
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -212,26 +212,6 @@
 	}
 }
 
-// freeCPU is what is free of a machine's cores, in thousandths.
-func (m *fakeWorker) freeCPU() int64 {
-	room := cpuCapacity(m.machine.Type)
-	for _, t := range m.tasks {
-		if t.stage != wire.TaskExited {
-			room -= m.w.Checker.jobs[t.job].spec.Request[0]
-		}
-	}
-	return room
-}
-
-func cpuCapacity(typ string) int64 {
-	for _, t := range catalog.Types {
-		if t.Name == typ {
-			return int64(t.CPUs * 1000)
-		}
-	}
-	return 0
-}
-
 func (k *Checker) isAtQuota(s *wire.JobSpec) bool {
 	lim, use := k.quotas[s.Team], k.allocated[s.Team]
 	for i := range use {
--- a/internal/sim/pipelines.go
+++ b/internal/sim/pipelines.go
@@ -1,8 +1,6 @@
 package sim
 
 import (
-	"dewlift/wire"
-	"fmt"
 	"time"
 )
 
@@ -51,34 +49,3 @@
 	}
 	step()
 }
-
-// randomJob is a job of some kind that nobody has submitted.
-func (w *Simulator) randomJob() wire.JobSpec {
-	s := wire.JobSpec{
-		ID:    fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)),
-		Class: "c",
-		Team:  w.teams[w.rng.IntN(2)].Name,
-		Service: w.chance(
-			0.3,
-		),
-		Priority: w.rng.IntN(4),
-		Tasks:    1 + w.rng.IntN(w.options.MaxTasksPerJob),
-		Request:  [3]int64{1000 * int64(1+w.rng.IntN(4)), 0, 2000},
-		Image: fmt.Sprintf(
-			"i%d",
-			w.rng.IntN(3),
-		),
-		OneZone:            w.chance(0.2),
-		Spot:               w.chance(0.5),
-		EstimatedRuntimeMS: 10000,
-	}
-	s.Spread = !s.OneZone && w.chance(0.4)
-	if w.chance(0.2) {
-		s.Zone = zones[w.rng.IntN(3)]
-		s.Spread = false
-	}
-	if w.chance(0.2) {
-		s.MachineTypes = []string{"big"}
-	}
-	return s
-}
--- a/internal/sim/queue_order.go
+++ b/internal/sim/queue_order.go
@@ -15,7 +15,7 @@
 // queueOrderChecker is what the state service's own order of acceptances says of jobs, by their
 // records. It is kept apart from what controllers think.
 type queueOrderChecker struct {
-	w          *Simulator
+	sim        *Simulator
 	classes    *priorityclass.List
 	crashTimes []time.Duration // when controllers ended
 	jobs       map[string]*queuedJob
@@ -50,7 +50,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return &queueOrderChecker{w: w, classes: list, jobs: map[string]*queuedJob{}}
+	return &queueOrderChecker{sim: w, classes: list, jobs: map[string]*queuedJob{}}
 }
 
 // checkTxn looks at the records that a transaction wrote.
@@ -62,7 +62,7 @@
 		}
 		r, err := jobrecord.Decode(x.Value)
 		if err != nil {
-			o.w.Checker.violated("order", "%s: %v", id, err)
+			o.sim.Checker.violated("order", "%s: %v", id, err)
 			continue
 		}
 		o.jobWritten(id, r, mark)
@@ -72,13 +72,13 @@
 func (o *queueOrderChecker) jobWritten(id string, r *jobrecord.Record, mark uint64) {
 	j := o.jobs[id]
 	if j == nil {
-		j = &queuedJob{priorityClass: r.PriorityClass, enqueueRevision: mark, acceptedAt: o.w.now}
+		j = &queuedJob{priorityClass: r.PriorityClass, enqueueRevision: mark, acceptedAt: o.sim.now}
 		if r.Spec != nil {
 			j.spec = *r.Spec
 		}
 		o.jobs[id] = j
 	} else if r.Spec != nil && (r.PriorityClass != j.priorityClass || r.EnqueueRevision != j.enqueueRevision) {
-		o.w.Checker.violated("demoted", "%s was accepted into lane %q as %d and is in %q as %d", id, j.priorityClass, j.enqueueRevision, r.PriorityClass, r.EnqueueRevision)
+		o.sim.Checker.violated("demoted", "%s was accepted into lane %q as %d and is in %q as %d", id, j.priorityClass, j.enqueueRevision, r.PriorityClass, r.EnqueueRevision)
 	}
 	j.ended = r.Spec == nil || r.Stage != jobrecord.Queued
 }
@@ -86,7 +86,7 @@
 // jobStarted tells that a task of a job runs.
 func (o *queueOrderChecker) jobStarted(id string) {
 	if j := o.jobs[id]; j != nil && j.startedAt == 0 {
-		j.startedAt = o.w.now
+		j.startedAt = o.sim.now
 	}
 }
 
@@ -106,9 +106,9 @@
 				a.ended && a.startedAt == 0 {
 				continue
 			}
-			if began := a.startedAt; began == 0 && o.w.now-b.startedAt > maxOvertakeDelay ||
+			if began := a.startedAt; began == 0 && o.sim.now-b.startedAt > maxOvertakeDelay ||
 				began != 0 && began-b.startedAt > maxOvertakeDelay {
-				o.w.Checker.violated(
+				o.sim.Checker.violated(
 					"jumped",
 					"%s (%d) began at %v, %s (%d) before it in lane %q at %v",
 					other,
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -21,7 +21,7 @@
 // What is stored is checked after each write, by code of its own that looks at every pair of
 // bookings.
 type reservationChecker struct {
-	w                *Simulator
+	sim              *Simulator
 	site             *booking.Inventory
 	lastStored       map[string]*pb.Booking // as it is stored
 	views            map[string]reservationView
@@ -55,7 +55,7 @@
 
 func newReservationChecker(w *Simulator) *reservationChecker {
 	return &reservationChecker{
-		w:            w,
+		sim:          w,
 		site:         parseEquipment(""),
 		lastStored:   map[string]*pb.Booking{},
 		views:        map[string]reservationView{},
@@ -96,7 +96,7 @@
 			k.archived += len(p.GetBookings())
 		}
 		if err != nil {
-			k.w.Checker.violated("booking", "%s: %v", key, err)
+			k.sim.Checker.violated("booking", "%s: %v", key, err)
 		}
 		for _, b := range p.GetBookings() {
 			if o := now[b.Id]; o == nil || o.Change < b.Change {
@@ -114,7 +114,7 @@
 
 // checkTransition compares what was stored before a write with what is after it.
 func (k *reservationChecker) checkTransition(was, now map[string]*pb.Booking) {
-	broken := k.w.Checker.violated
+	broken := k.sim.Checker.violated
 	ids := slices.Sorted(maps.Keys(now))
 	for _, id := range slices.Sorted(maps.Keys(was)) {
 		o, b := was[id], now[id]
@@ -188,7 +188,7 @@
 		has = append(has, fmt.Sprintf("%s %d %d", k.site.ItemKind(x.Piece), x.From, x.To))
 	}
 	if !slices.ContainsFunc(k.requested[b.Id], func(w []string) bool { return slices.Equal(w, has) }) {
-		k.w.Checker.violated("half_booked", "%v has %v, asked for was %v", b, has, k.requested[b.Id])
+		k.sim.Checker.violated("half_booked", "%v has %v, asked for was %v", b, has, k.requested[b.Id])
 	}
 }
 
@@ -222,14 +222,14 @@
 }
 
 func (k *reservationChecker) unixSeconds() int64 {
-	return startUnixMS/1000 + int64(k.w.now.Seconds()) - 1
+	return startUnixMS/1000 + int64(k.sim.now.Seconds()) - 1
 }
 
 // checkAnswer checks an answer about a booking that was asked for at began.
 func (k *reservationChecker) checkAnswer(began time.Duration, id string, r core.Response) *wire.Reservation {
 	a, _ := r.Body.(wire.ReservationResponse)
 	t, known := k.views[id]
-	broken := k.w.Checker.violated
+	broken := k.sim.Checker.violated
 	if r.Status == wire.StatusNotFound && known && began >= t.toldAt {
 		broken("booking_lost", "%s was called %s and is unknown", id, t.state)
 	}
@@ -249,7 +249,7 @@
 		broken("booking_lost", "%s is called %s and is not stored", id, b.State)
 	}
 	if !known || t.state != b.State && began >= t.toldAt {
-		k.views[id] = reservationView{b.State, k.w.now}
+		k.views[id] = reservationView{b.State, k.sim.now}
 	}
 	return b
 }
@@ -260,7 +260,7 @@
 	in func(req uint64) core.Input,
 	then func(r core.Response, b *wire.Reservation),
 ) {
-	w := k.w
+	w := k.sim
 	began := w.now
 	by := func(req uint64) core.Input {
 		switch x := in(req).(type) {
@@ -298,7 +298,7 @@
 
 // randomWants is a slot or a few, close together, so that many want the same.
 func (k *reservationChecker) randomWants() (ask []wire.SlotRequest) {
-	w := k.w
+	w := k.sim
 	hour := (startUnixMS/1000/3600 + 30) * 3600
 	for range 1 + w.rng.IntN(4)/3*(1+w.rng.IntN(2)) {
 		x := wire.SlotRequest{From: k.formatTime(hour + 3600*int64(w.rng.IntN(12))), Slots: uint32(1 + w.rng.IntN(2))}
@@ -370,13 +370,13 @@
 		}
 	}, func(r core.Response, _ *wire.Reservation) {
 		if r.Status != wire.StatusOK && r.Status != wire.StatusConflict {
-			k.w.Checker.violated("booking", "a list of equipment got %d: %v", r.Status, r.Body)
+			k.sim.Checker.violated("booking", "a list of equipment got %d: %v", r.Status, r.Body)
 		}
 	})
 }
 
 func (k *reservationChecker) runReservationUser(id string) {
-	w := k.w
+	w := k.sim
 	a := wire.ReservationRequest{ID: id, Slots: k.randomWants(), Waitlist: w.chance(0.5)}
 	if w.chance(0.4) {
 		a.HoldS = uint32(2 + w.rng.IntN(30))
@@ -441,7 +441,7 @@
 
 // runSingleSlotUser is a user who makes a booking of one slot that others want too, and ends it.
 func (k *reservationChecker) runSingleSlotUser(id string) {
-	w := k.w
+	w := k.sim
 	slot := k.formatTime((startUnixMS/1000/3600 + 200 + 2*int64(w.rng.IntN(3))) * 3600)
 	k.noteRequested(id, []wire.SlotRequest{{Equipment: "k1", From: slot}})
 	op := func(end bool, in func(req uint64) core.Input, then func()) {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -345,7 +345,7 @@
 		},
 		"jumped": func(o *queueOrderChecker) {
 			o.jobStarted("b")
-			o.w.now += maxOvertakeDelay + time.Second
+			o.sim.now += maxOvertakeDelay + time.Second
 			o.checkOvertaking()
 		},
 	} {
@@ -387,7 +387,7 @@
 		w.events = eventqueue.Queue{} // no controller does anything
 		w.Checker.faultFreeFrom = 1
 		m := &fakeWorker{
-			w:            w,
+			sim:          w,
 			machine:      wire.Machine{Name: "m1", Type: "small", Zone: "a"},
 			up:           true,
 			fencingToken: 1,
