--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -1,5 +1,3 @@
-// Package sim is a seeded world for tests: stand-ins of our own for the state service, the
-// cloud, workers, users and the network, around several cores, with a checker for every rule.
 package sim
 
 import (
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -1,54 +1,69 @@
 package sim
 
 import (
+	"cmp"
 	"dewlift/core"
 	"time"
 )
 
-// Options say how rough a world is.
+// Options configure a simulation. The zero value of a size takes its default.
 type Options struct {
 	Seed           uint64
 	Duration       time.Duration
 	Jobs           int
-	NoFaults       bool // no failures
+	NoFaults       bool // no faults are injected
 	FlakyCloud     bool // the cloud fails more often than not
-	Controllers    int  // controllers; 0: 3
-	MaxMachines    int  // the most machines there are; 0: 14
-	MaxTasksPerJob int  // the most tasks of a job; 0: 9
-	RollingUpgrade bool // begin with the version in production and replace it, and have the limits fall
-	Pipelines      int  // pipelines of jobs that await others
-	Permissions    bool // everyone needs a right, and they come and go
-	AuditLog       bool // what is done is recorded
-	BatchValues    bool // small jobs share values
-	Archive        bool // ended jobs move into the archive, nearly at once
-	// there is a list of lanes, much work of few shapes waits, and controllers end all the time
+	Controllers    int  // number of controllers; 0: 3
+	MaxMachines    int  // maximum number of machines; 0: 14
+	MaxTasksPerJob int  // maximum number of tasks of a job; 0: 9
+	RollingUpgrade bool // start with the previous version and replace it; the store's limits fall
+	Pipelines      int  // pipelines of jobs with dependencies
+	Permissions    bool // requests are authorized, and permissions change
+	AuditLog       bool // the audit log is written and checked
+	BatchValues    bool // small jobs share stored values
+	Archive        bool // ended jobs move to the archive almost at once
+	// Priority classes are configured, many jobs of few shapes queue, and controllers crash all the time.
 	PriorityClasses   bool
-	ReservationUsers  int           // users who book equipment
-	MixedVersions     bool          // one controller is of the version in production throughout
+	ReservationUsers  int           // users who reserve equipment
+	MixedVersions     bool          // one controller runs the previous version throughout
 	CancelTimeout     time.Duration // 0: 40 s
-	WorkerLease       time.Duration // of a worker; 0: 20 s
+	WorkerLease       time.Duration // lease of a worker; 0: 20 s
 	FailingJobs       int           // jobs whose tasks fail on every machine, until their users cancel them
-	OverlappingFaults bool          // troubles come in pairs only; then it is calm, and what is forgotten shows
-	FaultNames        []string      // the only troubles that meet; nil: any two of all
-	LongTasks         bool          // tasks run for up to more than a minute: those of a small job end far apart
-	QuotaLimited      bool          // every team has a limit, which its work would exceed
-	// jobs of one task each that come four a second, one after the other; a quarter is cancelled
+	OverlappingFaults bool          // faults come in pairs only, followed by a fault-free tail that shows lost state
+	FaultNames        []string      // the only faults that overlap; nil: any two of all
+	LongTasks         bool          // tasks run for up to 80 s: those of a small job end far apart
+	QuotaLimited      bool          // every team has a maximum below its demand
+	// Jobs of one task each, submitted four a second one after the other; a quarter is cancelled.
 	SingleTaskJobs  int
 	ZonePinnedJobs  bool          // every job is bound to one zone
-	MaxNetworkDelay time.Duration // every message takes up to so long; 0: 5 ms
-	// what ends is back within a second, with late copies of what it did; then it is calm, and what is forgotten shows
+	MaxNetworkDelay time.Duration // maximum delay of a message; 0: 5 ms
+	// A crashed process restarts within a second and meets late copies of its own requests; a fault-free tail shows lost
+	// state.
 	FlappingProcesses bool
 }
 
 const (
-	defaultCancelTimeout = 40 * time.Second
-	defaultWorkerLease   = 20 * time.Second
-	heartbeatInterval    = 3 * time.Second
-	startUnixMS          = int64(1_700_000_000_000)
+	defaultControllers    = 3
+	defaultMaxMachines    = 14
+	defaultMaxTasksPerJob = 9
+	defaultCancelTimeout  = 40 * time.Second
+	defaultWorkerLease    = 20 * time.Second
+	heartbeatInterval     = 3 * time.Second
 )
 
-func (w *Simulator) coreConfig(n *node) core.Config {
-	cfg := core.Config{
+// withDefaults returns the options with defaults in place of zero sizes.
+func (options Options) withDefaults() Options {
+	options.Controllers = cmp.Or(options.Controllers, defaultControllers)
+	options.MaxMachines = cmp.Or(options.MaxMachines, defaultMaxMachines)
+	options.MaxTasksPerJob = cmp.Or(options.MaxTasksPerJob, defaultMaxTasksPerJob)
+	options.CancelTimeout = cmp.Or(options.CancelTimeout, defaultCancelTimeout)
+	options.WorkerLease = cmp.Or(options.WorkerLease, defaultWorkerLease)
+	return options
+}
+
+// baseCoreConfig returns the settings that all controllers of a simulation have in common.
+func (w *Simulator) baseCoreConfig() core.Config {
+	return core.Config{
 		Cluster: core.ClusterConfig{
 			LeaseTTL:       4 * time.Second,
 			RelayTimeout:   3 * time.Second,
@@ -104,46 +119,60 @@
 			YieldAfter:              time.Second,
 		},
 
+		History: core.HistoryConfig{MaxEndedJobs: 5000, CacheBytes: 1 << 20, ReadShare: 0.2},
+
 		SchemaVersion: core.SchemaVersion,
-		Name:          n.name,
 		Zone:          "a",
 		Teams:         w.teams,
-
-		Shards: 6,
+		Shards:        6,
 	}
-	cfg.History.MaxEndedJobs, cfg.History.CacheBytes, cfg.History.ReadShare = 5000, 1<<20, 0.2
+}
+
+// coreConfig returns the settings of a controller's next process.
+func (w *Simulator) coreConfig(n *node) core.Config {
+	cfg := w.baseCoreConfig()
+	cfg.Name = n.name
 	cfg.Store.SharedValues = w.options.BatchValues
 	if w.options.Permissions {
 		cfg.Permissions = initialPolicy()
 	}
 	if w.options.AuditLog {
 		cfg.Audit.Key, cfg.Audit.MaxClockErrorMS, cfg.Audit.Settings = auditKey, 500, settingsFor(n)
-		cfg.Audit.ForgetAfter = 60 * time.Second // requests are late by 40 s at most
+		cfg.Audit.ForgetAfter = 60 * time.Second // requests are delayed by 40 s at most
 		cfg.Audit.GatherDelay, cfg.Audit.BlockDelay = 2*time.Second, w.randomDuration(time.Second, 8*time.Second)
 	}
 	if w.options.Archive {
 		cfg.History.Archive, cfg.History.MaxEndedJobs, cfg.History.CacheBytes = true, 1+int(w.options.Seed%4), 1<<10
 	}
-	if w.options.PriorityClasses && !n.bootsPrevious {
+	if n.bootsPrevious {
+		cfg.SchemaVersion = 0
+	} else {
+		w.addNewVersionConfig(&cfg)
+	}
+	for _, peer := range w.nodes {
+		if peer != n {
+			cfg.Peers = append(cfg.Peers, peer.name)
+		}
+	}
+	return cfg
+}
+
+// addNewVersionConfig adds the settings that the previous version does not know.
+func (w *Simulator) addNewVersionConfig(cfg *core.Config) {
+	if w.options.PriorityClasses {
 		cfg.Scheduling.PriorityClasses = w.queueOrder.classes
 	}
-	if w.options.ReservationUsers > 0 && !n.bootsPrevious {
-		cfg.Reservations.Equipment, cfg.Store.MaxValueBytes = w.reservations.site, 640 // so that there are many pages
+	if w.options.ReservationUsers > 0 {
+		cfg.Reservations.Equipment = w.reservations.site
+		cfg.Store.MaxValueBytes = 640 // small, so that there are many pages
 		if w.options.AuditLog {
-			cfg.Store.MaxValueBytes = 4096 // entries of the record need room
+			cfg.Store.MaxValueBytes = 4096 // audit entries must fit
 		}
 		cfg.Reservations.Retention = time.Duration(w.options.Seed%3) * 10 * time.Second
 	}
-	if w.options.RollingUpgrade && !n.bootsPrevious {
-		cfg.Store.MaxValueBytes, cfg.Store.MaxTxnOps, cfg.Store.NextWriteRate = announcedLimits.valueBytes, announcedLimits.txnOps, announcedLimits.writesPerSecond
+	if w.options.RollingUpgrade {
+		cfg.Store.MaxValueBytes = announcedLimits.valueBytes
+		cfg.Store.MaxTxnOps = announcedLimits.txnOps
+		cfg.Store.NextWriteRate = announcedLimits.writesPerSecond
 	}
-	if n.bootsPrevious {
-		cfg.SchemaVersion = 0
-	}
-	for _, o := range w.nodes {
-		if o != n {
-			cfg.Peers = append(cfg.Peers, o.name)
-		}
-	}
-	return cfg
 }
--- a/internal/sim/fake_cloud.go
+++ b/internal/sim/fake_cloud.go
@@ -60,6 +60,12 @@
 	return live[c.sim.rng.IntN(len(live))]
 }
 
+// startOutage makes the cloud's interface unavailable for a duration.
+func (c *fakeCloud) startOutage(duration time.Duration) {
+	c.down = true
+	c.sim.schedule(duration, func() { c.down = false })
+}
+
 func (c *fakeCloud) serve(o core.CloudRequest) core.CloudResult {
 	out := core.CloudResult{ID: o.ID, Status: wire.StatusOK}
 	if c.down || c.sim.options.FlakyCloud && c.sim.chance(0.7) {
--- a/internal/sim/fake_store.go
+++ b/internal/sim/fake_store.go
@@ -218,7 +218,7 @@
 		return
 	}
 	if !o.LongPoll {
-		w.rpc(n.name, "state", 2*time.Second, 0, func() time.Duration {
+		w.rpc(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, func() time.Duration {
 			out.Status = wire.StatusUnavailable
 			if !s.isUnavailable(n.name) {
 				out.Status, out.Changes = wire.StatusOK, s.eventsSince(o.SinceRevision)
@@ -238,7 +238,7 @@
 			return
 		}
 		over = true
-		w.send("state", n.name, func() { back(c) })
+		w.send(storeAddress, n.name, func() { back(c) })
 	}
 	w.schedule(12*time.Second, func() { // the caller gives up
 		if !over {
@@ -246,7 +246,7 @@
 			back(core.WatchResult{LongPoll: true})
 		}
 	})
-	w.send(n.name, "state", func() {
+	w.send(n.name, storeAddress, func() {
 		if s.isUnavailable(n.name) {
 			answer(core.WatchResult{LongPoll: true, Status: wire.StatusUnavailable})
 			return
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-const flapFreeTail = 140 * time.Second // at the end of a world that flaps
+const (
+	faultFreeTail = 30 * time.Second  // at the end of a simulation
+	flapFreeTail  = 140 * time.Second // at the end of a simulation with flapping processes
+	// maxFaultDuration is an upper bound of how long the effects of any fault last.
+	maxFaultDuration = 26 * time.Second
+	zoneCount        = 3
+)
 
-// scheduleFaults plans failures, alone and together.
+// scheduleFaults schedules random faults; they may overlap.
 func (w *Simulator) scheduleFaults() {
-	calm := 30 * time.Second
+	tail := faultFreeTail
 	if w.options.FlappingProcesses {
-		calm = flapFreeTail
-		w.Checker.faultFreeFrom = w.options.Duration - calm + 26*time.Second // no trouble lasts longer
+		tail = flapFreeTail
+		w.Checker.faultFreeFrom = w.options.Duration - tail + maxFaultDuration
 	}
-	for at := 10 * time.Second; at < w.options.Duration-calm; at += w.randomDuration(3*time.Second, 15*time.Second) {
-		at := at
-		w.schedule(at, func() { w.injectFault() })
+	for at := 10 * time.Second; at < w.options.Duration-tail; at += w.randomDuration(3*time.Second, 15*time.Second) {
+		w.schedule(at, w.injectFault)
 	}
 }
 
+// injectFault injects one random fault. The number and order of the random draws are part of every seed's run.
 func (w *Simulator) injectFault() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	d := w.randomDuration(2*time.Second, 25*time.Second)
+	duration := w.randomDuration(2*time.Second, 25*time.Second)
 	if w.options.FlappingProcesses && w.chance(0.3) {
-		w.Trace("%v %s ends five times", w.now, n.name)
-		for range 5 { // within three seconds
-			w.schedule(w.randomDuration(0, 3*time.Second), func() {
-				if !n.down {
-					w.crash(n)
-				}
-			})
-		}
+		w.flapProcess(n)
 		return
 	}
-	switch w.rng.IntN(13) {
+	const faultKinds = 13
+	switch w.rng.IntN(faultKinds) {
 	case 0:
 		if !n.down {
 			w.Trace("%v crash %s", w.now, n.name)
@@ -42,48 +42,75 @@
 		}
 	case 1:
 		w.Trace("%v crash all", w.now)
-		for _, n := range w.nodes {
-			if !n.down {
-				w.crash(n)
-			}
-		}
+		w.crashAllNodes()
 	case 2:
-		w.Trace("%v state outage %v", w.now, d)
-		w.store.startOutage(d)
+		w.Trace("%v store outage for %v", w.now, duration)
+		w.store.startOutage(duration)
 	case 3:
-		w.Trace("%v state refuses %s %v", w.now, n.name, d)
-		w.store.refuseNode(n.name, d)
+		w.Trace("%v store refuses %s for %v", w.now, n.name, duration)
+		w.store.refuseNode(n.name, duration)
 	case 4:
-		w.Trace("%v cloud outage %v", w.now, d)
-		w.cloud.down = true
-		w.schedule(d, func() { w.cloud.down = false })
-	case 5: // a controller is cut off from everything
-		w.Trace("%v cut %s %v", w.now, n.name, d)
-		w.isolate(n.name, d, true, true, true)
+		w.Trace("%v cloud outage for %v", w.now, duration)
+		w.cloud.startOutage(duration)
+	case 5:
+		w.Trace("%v isolate %s for %v", w.now, n.name, duration)
+		w.isolate(n.name, duration, true, true, true)
 	case 6:
-		w.isolate(n.name, d, true, false, false)
+		w.isolate(n.name, duration, true, false, false)
 	case 7:
-		w.isolate(n.name, d, false, true, false)
+		w.isolate(n.name, duration, false, true, false)
 	case 8:
-		w.isolate(n.name, d, false, false, true)
+		w.isolate(n.name, duration, false, false, true)
 	case 9, 10:
-		if m := w.cloud.randomMachine(); m != nil {
-			w.Trace("%v machine %s hangs %v", w.now, m.machine.Name, d)
-			m.hangFor(d)
-		}
-	case 12: // two zones can't reach each other; node i is in zone i
-		i := w.rng.IntN(3)
-		w.partitionZones(i, (i+1)%3, d)
+		w.hangRandomMachine(duration)
 	case 11:
-		if m := w.cloud.randomMachine(); m != nil {
-			w.Trace("%v machine %s dies", w.now, m.machine.Name)
-			m.fail()
-		}
+		w.failRandomMachine()
+	case 12: // controller i is in zone i
+		i := w.rng.IntN(zoneCount)
+		w.partitionZones(i, (i+1)%zoneCount, duration)
+	}
+}
+
+// flapProcess crashes a controller up to five times within three seconds.
+func (w *Simulator) flapProcess(n *node) {
+	w.Trace("%v %s crashes five times", w.now, n.name)
+	for range 5 {
+		w.schedule(w.randomDuration(0, 3*time.Second), func() { w.crashIfUp(n) })
+	}
+}
+
+// hangRandomMachine stops a machine for a duration.
+func (w *Simulator) hangRandomMachine(duration time.Duration) {
+	if worker := w.cloud.randomMachine(); worker != nil {
+		w.Trace("%v machine %s hangs for %v", w.now, worker.machine.Name, duration)
+		worker.hangFor(duration)
+	}
+}
+
+// failRandomMachine ends a machine without notice.
+func (w *Simulator) failRandomMachine() {
+	if worker := w.cloud.randomMachine(); worker != nil {
+		w.Trace("%v machine %s fails", w.now, worker.machine.Name)
+		worker.fail()
+	}
+}
+
+// crashIfUp crashes a controller unless it is down already.
+func (w *Simulator) crashIfUp(n *node) {
+	if !n.down {
+		w.crash(n)
+	}
+}
+
+// crashAllNodes crashes every controller that is up.
+func (w *Simulator) crashAllNodes() {
+	for _, n := range w.nodes {
+		w.crashIfUp(n)
 	}
 }
 
-// injectFlap has a controller end around one of its writes, and the write executed once more, late.
-func (w *Simulator) injectFlap(n *node, t wire.Txn) {
+// injectFlap crashes a controller around one of its writes now and then, and executes some writes a second time, late.
+func (w *Simulator) injectFlap(n *node, txn wire.Txn) {
 	if w.now > w.options.Duration-flapFreeTail {
 		return
 	}
@@ -91,6 +118,6 @@
 		w.crashSoon(n, "a write")
 	}
 	if w.chance(0.05) {
-		w.schedule(w.randomDuration(10*time.Millisecond, 20*time.Second), func() { w.store.commit(n.name, t) })
+		w.schedule(w.randomDuration(10*time.Millisecond, 20*time.Second), func() { w.store.commit(n.name, txn) })
 	}
 }
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -6,147 +6,177 @@
 	"time"
 )
 
-func (w *Simulator) send(from, to string, f func()) {
-	k := [2]string{from, to}
+// storeAddress and cloudAddress are the network names of the fake store and the fake cloud. Controllers and machines are
+// addressed by their own names.
+const (
+	storeAddress = "state"
+	cloudAddress = "cloud"
+)
+
+// send delivers a message after a random network delay. It is lost if nothing may reach the receiver, and queued while
+// the two are partitioned.
+func (w *Simulator) send(from, to string, deliver func()) {
+	link := [2]string{from, to}
 	w.schedule(w.randomDuration(500*time.Microsecond, cmp.Or(w.options.MaxNetworkDelay, 5*time.Millisecond)), func() {
 		if w.now < w.inboundBlockedUntil[to] {
 			return
 		}
-		if w.partitioned[k] {
-			w.heldPackets[k] = append(w.heldPackets[k], f)
+		if w.partitioned[link] {
+			w.heldPackets[link] = append(w.heldPackets[link], deliver)
 			return
 		}
-		f()
+		deliver()
 	})
 }
 
-// rpc carries a request to a server and its outcome back, so much later as exec says (under 0:
-// never); without an answer in time the caller gives up, and the request may be executed all the
-// same, later.
-func (w *Simulator) rpc(
-	from, to string,
-	timeout, late time.Duration,
-	exec func() (answer time.Duration),
-	done func(ok bool),
-) {
-	over := false
+// rpcRequest is the route of a remote procedure call.
+type rpcRequest struct {
+	from, to string
+	timeout  time.Duration // the caller gives up after it
+	delay    time.Duration // before the request leaves the caller
+}
+
+// rpc carries a request to a server and its outcome back. execute returns the delay of the response; below 0 the
+// response is lost. Without a response before the timeout the caller gives up, and the request may still be executed
+// later: cores must survive that.
+func (w *Simulator) rpc(request rpcRequest, execute func() (responseDelay time.Duration), done func(ok bool)) {
+	finished := false
 	finish := func(ok bool) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			done(ok)
 		}
 	}
-	if to == "state" && w.store.maxDelay > 0 {
-		late += w.randomDuration(0, w.store.maxDelay)
+	delay := request.delay
+	if request.to == storeAddress && w.store.maxDelay > 0 {
+		delay += w.randomDuration(0, w.store.maxDelay)
 	}
-	w.schedule(timeout, func() { finish(false) })
-	w.schedule(late, func() {
-		w.send(from, to, func() {
-			answer := func() { w.send(to, from, func() { finish(true) }) }
-			switch d := exec(); { // also when the caller gave up meanwhile
-			case d > 0:
-				w.schedule(d, answer)
-			case d == 0:
-				answer()
+	w.schedule(request.timeout, func() { finish(false) })
+	w.schedule(delay, func() {
+		w.send(request.from, request.to, func() {
+			respond := func() { w.send(request.to, request.from, func() { finish(true) }) }
+			switch responseDelay := execute(); { // also after the caller gave up
+			case responseDelay > 0:
+				w.schedule(responseDelay, respond)
+			case responseDelay == 0:
+				respond()
 			}
 		})
 	})
 }
 
-// setPartition cuts or mends the network between two places; what was held is delivered then.
-func (w *Simulator) setPartition(a, b string, on bool) {
-	for _, k := range [][2]string{{a, b}, {b, a}} {
-		if on {
-			w.partitioned[k] = true
+// call is an rpc whose outcome is an input of the caller's core: what execute returned, or failed after a timeout.
+func (w *Simulator) call(request rpcRequest, failed core.Input, execute func() core.Input, deliver func(core.Input)) {
+	var result core.Input
+	w.rpc(request, func() time.Duration {
+		result = execute()
+		return 0
+	}, func(ok bool) {
+		if !ok {
+			result = failed
+		}
+		deliver(result)
+	})
+}
+
+// setPartition cuts or restores the network between two addresses. Restoring delivers the queued messages.
+func (w *Simulator) setPartition(a, b string, partitioned bool) {
+	for _, link := range [][2]string{{a, b}, {b, a}} {
+		if partitioned {
+			w.partitioned[link] = true
 			continue
 		}
-		delete(w.partitioned, k)
-		fs := w.heldPackets[k]
-		delete(w.heldPackets, k)
-		for _, f := range fs {
-			f := f
-			w.schedule(time.Millisecond, f)
+		delete(w.partitioned, link)
+		queued := w.heldPackets[link]
+		delete(w.heldPackets, link)
+		for _, deliver := range queued {
+			w.schedule(time.Millisecond, deliver)
 		}
 	}
 }
 
-func (w *Simulator) partitionZones(i, j int, d time.Duration) {
-	w.Trace("%v zones %s and %s cut off from each other %v", w.now, zones[i], zones[j], d)
+// partitionZones partitions two zones, by the indices of their controllers.
+func (w *Simulator) partitionZones(i, j int, duration time.Duration) {
+	w.Trace("%v zones %s and %s partitioned for %v", w.now, zones[i], zones[j], duration)
 	pairs := [][2]string{{w.nodes[i].name, w.nodes[j].name}}
-	for _, m := range w.cloud.machines {
-		switch m.machine.Zone {
+	for _, worker := range w.cloud.machines {
+		switch worker.machine.Zone {
 		case zones[i]:
-			pairs = append(pairs, [2]string{w.nodes[j].name, m.machine.Name})
+			pairs = append(pairs, [2]string{w.nodes[j].name, worker.machine.Name})
 		case zones[j]:
-			pairs = append(pairs, [2]string{w.nodes[i].name, m.machine.Name})
+			pairs = append(pairs, [2]string{w.nodes[i].name, worker.machine.Name})
 		}
 	}
-	w.partitionFor(pairs, d)
+	w.partitionFor(pairs, duration)
 }
 
-// partitionFor cuts the network between pairs of places for a while.
-func (w *Simulator) partitionFor(pairs [][2]string, d time.Duration) {
-	for _, p := range pairs {
-		w.setPartition(p[0], p[1], true)
+// partitionFor cuts the network between pairs of addresses for a duration.
+func (w *Simulator) partitionFor(pairs [][2]string, duration time.Duration) {
+	for _, pair := range pairs {
+		w.setPartition(pair[0], pair[1], true)
 	}
-	w.schedule(d, func() {
-		for _, p := range pairs {
-			w.setPartition(p[0], p[1], false)
+	w.schedule(duration, func() {
+		for _, pair := range pairs {
+			w.setPartition(pair[0], pair[1], false)
 		}
 	})
 }
 
-func (w *Simulator) isolate(name string, d time.Duration, state, peers, workers bool) {
+// isolate partitions a controller from the store, from its peers, or from the cloud and all machines.
+func (w *Simulator) isolate(name string, duration time.Duration, fromStore, fromPeers, fromWorkers bool) {
 	var pairs [][2]string
 	from := func(other string) { pairs = append(pairs, [2]string{name, other}) }
-	if state {
-		from("state")
+	if fromStore {
+		from(storeAddress)
 	}
-	if peers {
-		for _, p := range w.nodes {
-			if p.name != name {
-				from(p.name)
+	if fromPeers {
+		for _, peer := range w.nodes {
+			if peer.name != name {
+				from(peer.name)
 			}
 		}
 	}
-	if workers {
-		from("cloud")
-		for _, m := range w.cloud.machines {
-			from(m.machine.Name)
+	if fromWorkers {
+		from(cloudAddress)
+		for _, worker := range w.cloud.machines {
+			from(worker.machine.Name)
 		}
 	}
-	w.partitionFor(pairs, d)
+	w.partitionFor(pairs, duration)
 }
 
-// sendRequest sends a request of a user or worker to a controller.
+// sendRequest sends a user's request to a controller. done is called once, with ok false if the controller is down or
+// does not respond before the timeout.
 func (w *Simulator) sendRequest(
-	n *node,
+	target *node,
 	timeout time.Duration,
-	in func(req uint64) core.Input,
-	done func(r core.Response, ok bool),
+	newInput func(requestID uint64) core.Input,
+	done func(response core.Response, ok bool),
 ) {
-	over := false
-	finish := func(r core.Response, ok bool) {
-		if !over {
-			over = true
-			done(r, ok)
+	finished := false
+	finish := func(response core.Response, ok bool) {
+		if !finished {
+			finished = true
+			done(response, ok)
 		}
 	}
-	way := func() time.Duration { // answers overtake each other on slow links
+	linkDelay := func() time.Duration { // random while users poll eagerly: responses overtake each other
 		if w.now < w.eagerPollsUntil {
 			return w.randomDuration(100*time.Microsecond, 20*time.Millisecond)
 		}
 		return time.Millisecond
 	}
 	w.schedule(timeout, func() { finish(core.Response{}, false) })
-	w.schedule(way(), func() {
-		if n.down {
+	w.schedule(linkDelay(), func() {
+		if target.down {
 			finish(core.Response{}, false)
 			return
 		}
 		w.lastRequestID++
-		id := w.lastRequestID
-		n.pendingRequests[id] = func(r core.Response) { w.schedule(way(), func() { finish(r, true) }) }
-		w.deliver(n, in(id))
+		requestID := w.lastRequestID
+		target.pendingRequests[requestID] = func(response core.Response) {
+			w.schedule(linkDelay(), func() { finish(response, true) })
+		}
+		w.deliver(target, newInput(requestID))
 	})
 }
--- a/internal/sim/outputs.go
+++ b/internal/sim/outputs.go
@@ -5,140 +5,167 @@
 	"time"
 )
 
-func (w *Simulator) performOutput(n *node, o core.Output) {
-	w.OnOutput(n.name, o)
-	life := n.incarnation
-	back := func(in core.Input) {
-		if n.incarnation == life && !n.down {
+// Timeouts of a controller's requests.
+const (
+	storeTimeout = 2 * time.Second
+	leaseTimeout = time.Second
+	agentTimeout = 2 * time.Second
+	cloudTimeout = 4 * time.Second
+)
+
+// Shares of requests that are executed seconds late, see randomDelay. Transactions that are rare elsewhere have higher
+// shares, so that a test meets their late copies at all.
+const (
+	lateCommitShare            = 0.01
+	lateAuditCommitShare       = 0.06
+	lateReservationCommitShare = 0.06
+	lateArchiveCommitShare     = 0.15
+	lateLeaseShare             = 0.005
+	lateCommandShare           = 0.02
+	lateCloudShare             = 0.02
+)
+
+// performOutput carries out one output of a controller's core. Its outcome comes back as an input, unless the process
+// has ended meanwhile.
+func (w *Simulator) performOutput(n *node, output core.Output) {
+	w.OnOutput(n.name, output)
+	incarnation := n.incarnation
+	deliver := func(in core.Input) {
+		if n.incarnation == incarnation && !n.down {
 			w.deliver(n, in)
 		}
 	}
-	switch o := o.(type) {
+	switch output := output.(type) {
 	case core.Response:
-		if f := n.pendingRequests[o.RequestID]; f != nil {
-			delete(n.pendingRequests, o.RequestID)
-			f(o)
-		}
+		n.respond(output)
 	case core.SendToPeer:
-		for _, p := range w.nodes {
-			if p == n || o.Peer != "" && o.Peer != p.name {
-				continue
-			}
-			p := p
-			arrive := func() {
-				if !p.down {
-					w.deliver(p, core.PeerMessage{Peer: n.name, Message: o.Message})
-				}
-			}
-			w.send(n.name, p.name, arrive)
-			// it comes once more, perhaps when its sender or receiver has ended and is back
-			if w.options.FlappingProcesses && w.chance(0.01) {
-				w.schedule(w.randomDuration(0, 3*time.Second), arrive)
-			}
-		}
+		w.sendToPeers(n, output)
 	case core.CommitTxn:
-		out := core.TxnResult{ID: o.ID}
-		w.checkWrittenSchema(n, o.Txn)
-		late := 0.01
-		if w.options.FlappingProcesses {
-			w.injectFlap(n, o.Txn)
-		}
-		if w.options.AuditLog && writesAuditLog(o.Txn) {
-			late = 0.06
-		}
-		after := w.commitDelay(o.Txn)
-		if writesReservations(o.Txn) { // likewise, and often the last that their sender did
-			late = 0.06
-			if !w.options.NoFaults && w.chance(0.01) {
-				w.crashSoon(n, "a booking")
-			}
-		}
-		if movesToArchive(o.Txn) { // rare elsewhere: here often late, or the last that their sender did
-			late = 0.15
-			if !w.options.NoFaults && w.chance(0.04) {
-				w.crashSoon(n, "a move")
-			}
-		}
-		answer := w.commitResponseDelay(o.Txn)
-		w.rpc(n.name, "state", 2*time.Second, max(after, w.randomDelay(late)), func() time.Duration {
-			out.Status, out.Reply = w.store.commit(n.name, o.Txn)
-			return answer
-		}, func(ok bool) {
-			if !ok {
-				out = core.TxnResult{ID: o.ID}
-			}
-			back(out)
-		})
+		w.commitTxn(n, output, deliver)
 	case core.Watch:
-		w.store.serveWatch(n, o, back)
+		w.store.serveWatch(n, output, deliver)
 	case core.LoadSnapshot:
-		var out core.SnapshotPage
-		w.rpc(n.name, "state", 2*time.Second, 0, func() time.Duration { out = w.store.loadSnapshot(n.name, o); return 0 }, func(ok bool) {
-			if !ok {
-				out = core.SnapshotPage{}
-			}
-			back(out)
-		})
+		w.call(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, core.SnapshotPage{},
+			func() core.Input { return w.store.loadSnapshot(n.name, output) }, deliver)
 	case core.ReadRange:
-		out := core.RangeResult{ID: o.ID}
-		w.rpc(n.name, "state", 2*time.Second, 0, func() time.Duration { out = w.store.readRange(n.name, o); return 0 }, func(ok bool) {
-			if !ok {
-				out = core.RangeResult{ID: o.ID}
-			}
-			back(out)
-		})
+		w.call(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, core.RangeResult{ID: output.ID},
+			func() core.Input { return w.store.readRange(n.name, output) }, deliver)
 	case core.LeaseRequest:
-		out := core.LeaseResult{Op: o.Op}
-		w.rpc(n.name, "state", time.Second, w.randomDelay(0.005), func() time.Duration { out = w.store.serveLease(n.name, o); return 0 }, func(ok bool) {
-			if !ok {
-				out = core.LeaseResult{Op: o.Op}
-			}
-			back(out)
-		})
+		w.call(
+			rpcRequest{from: n.name, to: storeAddress, timeout: leaseTimeout, delay: w.randomDelay(lateLeaseShare)},
+			core.LeaseResult{Op: output.Op},
+			func() core.Input { return w.store.serveLease(n.name, output) }, deliver)
 	case core.SendCommands:
-		out := core.CommandsResult{ID: o.ID, MaybeDelivered: true}
-		m := w.cloud.find(o.Machine)
-		w.rpc(n.name, o.Machine, 2*time.Second, max(w.commandDelay(o), w.randomDelay(0.02)), func() time.Duration {
-			if m != nil && !m.gone {
-				out.Status, out.Heartbeat = m.handleCommands(o.Batch)
-			}
-			return 0
-		}, func(ok bool) {
-			if !ok {
-				out = core.CommandsResult{ID: o.ID, MaybeDelivered: true}
-			}
-			back(out)
-		})
+		w.sendCommands(n, output, deliver)
 	case core.PollAgent:
-		m := w.cloud.find(o.Machine)
-		out := core.AgentPolled{Machine: o.Machine}
-		w.rpc(n.name, o.Machine, 2*time.Second, 0, func() time.Duration {
-			if m != nil && m.up && !m.gone {
-				out.Heartbeat = m.nextHeartbeat()
-			}
-			return 0
-		}, func(ok bool) {
-			if !ok {
-				out.Heartbeat = nil
-			}
-			back(out)
-		})
+		w.pollAgent(n, output, deliver)
 	case core.CloudRequest:
-		out := core.CloudResult{ID: o.ID}
-		w.rpc(n.name, "cloud", 4*time.Second, w.randomDelay(0.02), func() time.Duration { out = w.cloud.serve(o); return 0 }, func(ok bool) {
-			if !ok {
-				out = core.CloudResult{ID: o.ID}
-			}
-			back(out)
-		})
+		w.call(
+			rpcRequest{from: n.name, to: cloudAddress, timeout: cloudTimeout, delay: w.randomDelay(lateCloudShare)},
+			core.CloudResult{ID: output.ID},
+			func() core.Input { return w.cloud.serve(output) }, deliver)
 	case core.LogLine:
-		w.Trace("%v %s %s %v", w.now, n.name, o.Message, o.Args)
+		w.Trace("%v %s %s %v", w.now, n.name, output.Message, output.Args)
 	}
 }
 
-// randomDelay makes a request late by seconds, sometimes: it is executed after its sender gave up.
-func (w *Simulator) randomDelay(p float64) time.Duration {
-	if !w.options.NoFaults && w.chance(p) {
+// respond hands a response to the request that waits for it, once.
+func (n *node) respond(response core.Response) {
+	if deliver := n.pendingRequests[response.RequestID]; deliver != nil {
+		delete(n.pendingRequests, response.RequestID)
+		deliver(response)
+	}
+}
+
+// sendToPeers sends a message to one peer, or to all if it names none.
+func (w *Simulator) sendToPeers(n *node, output core.SendToPeer) {
+	for _, peer := range w.nodes {
+		if peer == n || output.Peer != "" && output.Peer != peer.name {
+			continue
+		}
+		arrive := func() {
+			if !peer.down {
+				w.deliver(peer, core.PeerMessage{Peer: n.name, Message: output.Message})
+			}
+		}
+		w.send(n.name, peer.name, arrive)
+		// A duplicate may arrive after its sender or receiver has restarted.
+		if w.options.FlappingProcesses && w.chance(0.01) {
+			w.schedule(w.randomDuration(0, 3*time.Second), arrive)
+		}
+	}
+}
+
+// commitTxn sends a transaction to the store, and crashes its sender now and then while it is under way.
+func (w *Simulator) commitTxn(n *node, output core.CommitTxn, deliver func(core.Input)) {
+	result := core.TxnResult{ID: output.ID}
+	w.checkWrittenSchema(n, output.Txn)
+	lateShare := lateCommitShare
+	if w.options.FlappingProcesses {
+		w.injectFlap(n, output.Txn)
+	}
+	if w.options.AuditLog && writesAuditLog(output.Txn) {
+		lateShare = lateAuditCommitShare
+	}
+	delay := w.commitDelay(output.Txn)
+	if writesReservations(output.Txn) {
+		lateShare = lateReservationCommitShare
+		if !w.options.NoFaults && w.chance(0.01) {
+			w.crashSoon(n, "a reservation")
+		}
+	}
+	if movesToArchive(output.Txn) {
+		lateShare = lateArchiveCommitShare
+		if !w.options.NoFaults && w.chance(0.04) {
+			w.crashSoon(n, "a move to the archive")
+		}
+	}
+	responseDelay := w.commitResponseDelay(output.Txn)
+	w.rpc(rpcRequest{
+		from: n.name, to: storeAddress, timeout: storeTimeout, delay: max(delay, w.randomDelay(lateShare)),
+	}, func() time.Duration {
+		result.Status, result.Reply = w.store.commit(n.name, output.Txn)
+		return responseDelay
+	}, func(ok bool) {
+		if !ok {
+			result = core.TxnResult{ID: output.ID}
+		}
+		deliver(result)
+	})
+}
+
+// sendCommands sends commands to an agent. The sender can't tell whether they arrived if there is no response.
+func (w *Simulator) sendCommands(n *node, output core.SendCommands, deliver func(core.Input)) {
+	worker := w.cloud.find(output.Machine)
+	failed := core.CommandsResult{ID: output.ID, MaybeDelivered: true}
+	w.call(rpcRequest{
+		from: n.name, to: output.Machine, timeout: agentTimeout,
+		delay: max(w.commandDelay(output), w.randomDelay(lateCommandShare)),
+	}, failed, func() core.Input {
+		result := failed
+		if worker != nil && !worker.gone {
+			result.Status, result.Heartbeat = worker.handleCommands(output.Batch)
+		}
+		return result
+	}, deliver)
+}
+
+// pollAgent asks an agent for its status.
+func (w *Simulator) pollAgent(n *node, output core.PollAgent, deliver func(core.Input)) {
+	worker := w.cloud.find(output.Machine)
+	failed := core.AgentPolled{Machine: output.Machine}
+	w.call(rpcRequest{from: n.name, to: output.Machine, timeout: agentTimeout}, failed, func() core.Input {
+		result := failed
+		if worker != nil && worker.up && !worker.gone {
+			result.Heartbeat = worker.nextHeartbeat()
+		}
+		return result
+	}, deliver)
+}
+
+// randomDelay delays a share of requests by seconds: they are executed after their sender gave up.
+func (w *Simulator) randomDelay(share float64) time.Duration {
+	if !w.options.NoFaults && w.chance(share) {
 		return w.randomDuration(2*time.Second, 40*time.Second)
 	}
 	return 0
--- a/internal/sim/overlapping_faults.go
+++ b/internal/sim/overlapping_faults.go
@@ -351,7 +351,7 @@
 	d := w.randomDuration(w.options.WorkerLease+5*time.Second, w.options.WorkerLease+50*time.Second)
 	w.Trace("%v zone %s with %s cut off %v", w.now, zones[i], w.nodes[i].name, d)
 	inside := w.nodes[i].name
-	pairs := [][2]string{{inside, "state"}, {inside, "cloud"}}
+	pairs := [][2]string{{inside, storeAddress}, {inside, cloudAddress}}
 	for _, n := range w.nodes {
 		if n.name != inside {
 			pairs = append(pairs, [2]string{inside, n.name})
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -1,7 +1,11 @@
+// Package sim is a deterministic, seeded simulation of a cluster for tests: fakes of the store, the cloud, workers, users
+// and the network around several cores, and checkers that verify every rule of the scheduler.
+//
+// It owns simulated time and every random draw. All outcomes follow from Options.Seed; the order of the draws is therefore
+// part of its behaviour, and the digests of its tests change with it. It never reads the wall clock and starts no goroutine.
 package sim
 
 import (
-	"cmp"
 	"dewlift/core"
 	"dewlift/internal/eventqueue"
 	"dewlift/wire"
@@ -10,22 +14,23 @@
 	"time"
 )
 
+// node is a controller and its process.
 type node struct {
 	name            string
-	core            *core.Core
-	incarnation     int
+	core            *core.Core // nil while the process is down
+	incarnation     int        // counts starts and crashes, so that callbacks of an earlier process do nothing
 	down            bool
-	clockOffset     time.Duration // its clock began this much off
+	clockOffset     time.Duration // of its wall clock from simulated time
 	startedAt       time.Duration
 	pendingRequests map[uint64]func(core.Response)
 
-	pausedUntil time.Duration // its process stands still until then
+	pausedUntil time.Duration // its process is suspended until then; inputs wait
 
-	bootsPrevious bool // its next process is of the version in production
-	runsPrevious  bool // its process is
+	bootsPrevious bool // its next process runs the previous version
+	runsPrevious  bool // its current process does
 }
 
-// Simulator is a seeded world.
+// Simulator is one seeded simulation.
 type Simulator struct {
 	Checker       *Checker
 	options       Options
@@ -43,47 +48,32 @@
 	auditChecker *auditChecker
 	reservations *reservationChecker
 	queueOrder   *queueOrderChecker
-	Trace        func(string, ...any)
+	Trace        func(string, ...any)                  // receives log lines of the simulation and its controllers
+	OnOutput     func(node string, output core.Output) // receives every output of a controller
 
-	// How much later a transaction or orders are executed, beside what is late by chance; and what comes of a report.
-	commitDelay  func(t wire.Txn) time.Duration
-	commandDelay func(o core.SendCommands) time.Duration
-	onHeartbeat  func(r *wire.Heartbeat)
-	// a transaction is executed at once, and its answer so much later; under 0: it is lost
-	commitResponseDelay func(t wire.Txn) time.Duration
-	onLastTaskEnding    func(id string)          // the last task of a job is ending at this moment
-	inboundBlockedUntil map[string]time.Duration // machines that nothing reaches until then
-	// machines that reach no controller until then, while orders reach them
-	outboundBlockedUntil map[string]time.Duration
-	fastBootsUntil       time.Duration                    // until then, machines are up within two seconds
-	eagerPollsUntil      time.Duration                    // until then, users look closely, see looks.go
-	OnOutput             func(node string, o core.Output) // is shown every output of a controller
+	// Hooks that faults set, each idle by default.
+
+	commitDelay          func(txn wire.Txn) time.Duration               // additional delay before a transaction is executed
+	commitResponseDelay  func(txn wire.Txn) time.Duration               // delay of its response; below 0: the response is lost
+	commandDelay         func(commands core.SendCommands) time.Duration // additional delay of agent commands
+	onHeartbeat          func(heartbeat *wire.Heartbeat)
+	onLastTaskEnding     func(jobID string)       // called at the moment when the last task of a job ends
+	inboundBlockedUntil  map[string]time.Duration // by machine: nothing reaches it until then
+	outboundBlockedUntil map[string]time.Duration // by machine: its heartbeats are lost until then, commands reach it
+	fastBootsUntil       time.Duration            // machines boot within two seconds until then
+	eagerPollsUntil      time.Duration            // users poll eagerly until then, see pollEagerly
 }
 
+const startUnixMS = int64(1_700_000_000_000) // wall clock at simulated time 0
+
 var zones = []string{"a", "b", "c"}
 
-// New makes a world.
-func New(opt Options) *Simulator {
-	opt.Controllers, opt.MaxMachines, opt.MaxTasksPerJob = cmp.Or(
-		opt.Controllers,
-		3,
-	), cmp.Or(
-		opt.MaxMachines,
-		14,
-	), cmp.Or(
-		opt.MaxTasksPerJob,
-		9,
-	)
-	opt.CancelTimeout, opt.WorkerLease = cmp.Or(
-		opt.CancelTimeout,
-		defaultCancelTimeout,
-	), cmp.Or(
-		opt.WorkerLease,
-		defaultWorkerLease,
-	)
+// New returns a simulation whose controllers are about to boot.
+func New(options Options) *Simulator {
+	options = options.withDefaults()
 	w := &Simulator{
-		options:              opt,
-		rng:                  rand.New(rand.NewPCG(opt.Seed, 77)),
+		options:              options,
+		rng:                  rand.New(rand.NewPCG(options.Seed, 77)),
 		partitioned:          map[[2]string]bool{},
 		heldPackets:          map[[2]string][]func(){},
 		commitDelay:          func(wire.Txn) time.Duration { return 0 },
@@ -96,28 +86,22 @@
 		Trace:                func(string, ...any) {},
 		OnOutput:             func(string, core.Output) {},
 	}
-	limit := 40000 * int64(opt.MaxTasksPerJob) / 9
-	w.teams = []core.Team{{Name: "t0"}, {Name: "t1", ReservedCPU: limit * 2 / 5, MaxCPU: limit}}
-	limits := map[string][2]int64{"t1": {limit, 0}}
-	if opt.QuotaLimited {
-		w.teams[0].MaxCPU = limit
-		limits["t0"] = [2]int64{limit, 0}
-	}
-	w.Checker = NewChecker(opt.CancelTimeout, limits)
+	quotas := w.createTeams()
+	w.Checker = NewChecker(options.CancelTimeout, quotas)
 	w.auditChecker = newAuditChecker(w.Checker, func() time.Duration { return w.now })
 	w.store = newFakeStore(w)
 	w.cloud = newFakeCloud(w)
 	w.reservations = newReservationChecker(w)
 	w.queueOrder = newQueueOrderChecker(w)
-	for i := 0; i < opt.Controllers; i++ {
-		n := &node{name: fmt.Sprintf("n%d", i), clockOffset: time.Duration(w.rng.IntN(5000)) * time.Millisecond}
-		w.nodes = append(w.nodes, n)
+	for i := range options.Controllers {
+		clockOffset := time.Duration(w.rng.IntN(5000)) * time.Millisecond
+		w.nodes = append(w.nodes, &node{name: fmt.Sprintf("n%d", i), clockOffset: clockOffset})
 	}
-	if opt.RollingUpgrade {
+	if options.RollingUpgrade {
 		w.scheduleRollingUpgrade()
 	}
-	if opt.MixedVersions {
-		w.nodes[opt.Seed%uint64(opt.Controllers)].bootsPrevious = true
+	if options.MixedVersions {
+		w.nodes[options.Seed%uint64(options.Controllers)].bootsPrevious = true
 	}
 	for _, n := range w.nodes {
 		w.boot(n)
@@ -125,18 +109,55 @@
 	return w
 }
 
-func (w *Simulator) schedule(d time.Duration, f func()) {
-	w.events.Add(w.now+d, f)
+// createTeams creates two teams, and returns the maximum of CPU and memory of those that have one.
+func (w *Simulator) createTeams() map[string][2]int64 {
+	maxCPU := 40000 * int64(w.options.MaxTasksPerJob) / defaultMaxTasksPerJob // thousandths of a core
+	w.teams = []core.Team{{Name: "t0"}, {Name: "t1", ReservedCPU: maxCPU * 2 / 5, MaxCPU: maxCPU}}
+	quotas := map[string][2]int64{"t1": {maxCPU, 0}}
+	if w.options.QuotaLimited {
+		w.teams[0].MaxCPU = maxCPU
+		quotas["t0"] = [2]int64{maxCPU, 0}
+	}
+	return quotas
+}
+
+// schedule runs a function after a delay in simulated time.
+func (w *Simulator) schedule(delay time.Duration, run func()) {
+	w.events.Add(w.now+delay, run)
 }
 
-func (w *Simulator) chance(p float64) bool { return w.rng.Float64() < p }
+// chance draws true with a probability.
+func (w *Simulator) chance(probability float64) bool { return w.rng.Float64() < probability }
 
-func (w *Simulator) randomDuration(a, b time.Duration) time.Duration {
-	return a + time.Duration(w.rng.Int64N(int64(b-a)+1))
+// randomDuration draws a duration between two, both included.
+func (w *Simulator) randomDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
-// Run plays the world to its end.
+// Run plays the simulation to its end, or to the first violation.
 func (w *Simulator) Run() {
+	w.scheduleWorkload()
+	w.scheduleFaultPlan()
+	if w.Checker.faultFreeFrom != 0 {
+		w.schedule(w.Checker.faultFreeFrom, w.checkStarvation)
+	}
+	for {
+		at, run, ok := w.events.PopUntil(w.options.Duration)
+		if !ok {
+			break
+		}
+		w.now = at
+		run()
+		w.Checker.Tick(w.now)
+		if len(w.Checker.Violations) > 0 {
+			return
+		}
+	}
+	w.checkFinalState()
+}
+
+// scheduleWorkload schedules everything that users do.
+func (w *Simulator) scheduleWorkload() {
 	w.scheduleUsers()
 	if w.options.Permissions {
 		w.schedulePermissionChanges()
@@ -147,6 +168,10 @@
 	if w.options.ReservationUsers > 0 {
 		w.scheduleReservationUsers()
 	}
+}
+
+// scheduleFaultPlan schedules the kind of faults that the options ask for.
+func (w *Simulator) scheduleFaultPlan() {
 	switch {
 	case w.options.PriorityClasses:
 		if !w.options.NoFaults {
@@ -157,21 +182,10 @@
 	case !w.options.NoFaults:
 		w.scheduleFaults()
 	}
-	if w.Checker.faultFreeFrom != 0 {
-		w.schedule(w.Checker.faultFreeFrom, w.checkStarvation)
-	}
-	for {
-		at, do, ok := w.events.PopUntil(w.options.Duration)
-		if !ok {
-			break
-		}
-		w.now = at
-		do()
-		w.Checker.Tick(w.now)
-		if len(w.Checker.Violations) > 0 {
-			return
-		}
-	}
+}
+
+// checkFinalState checks what must have happened by the end.
+func (w *Simulator) checkFinalState() {
 	w.Checker.Finish(w.now)
 	if w.options.PriorityClasses {
 		w.queueOrder.checkOvertaking()
@@ -182,16 +196,17 @@
 	}
 }
 
+// boot starts a controller's process.
 func (w *Simulator) boot(n *node) {
 	n.incarnation++
 	n.down, n.runsPrevious = false, n.bootsPrevious
 	n.startedAt = w.now
 	n.pendingRequests = map[uint64]func(core.Response){}
 	n.core = core.New(w.coreConfig(n), 0, w.rng.Uint64())
-	life := n.incarnation
+	incarnation := n.incarnation
 	var tick func()
 	tick = func() {
-		if n.incarnation != life || n.down {
+		if n.incarnation != incarnation || n.down {
 			return
 		}
 		w.deliver(n, core.WallClock{UnixMS: w.nowUnixMS() + int64(n.clockOffset/time.Second)})
@@ -200,58 +215,61 @@
 	w.schedule(time.Millisecond, tick)
 }
 
+// crash ends a controller's process, which restarts after a random time.
 func (w *Simulator) crash(n *node) {
-	away := w.randomDuration(time.Second, 6*time.Second)
+	downtime := w.randomDuration(time.Second, 6*time.Second)
 	if w.options.FlappingProcesses || w.options.OverlappingFaults && w.chance(0.5) {
-		away = w.randomDuration(0, 900*time.Millisecond)
+		downtime = w.randomDuration(0, 900*time.Millisecond)
 	}
-	w.crashFor(n, away)
+	w.crashFor(n, downtime)
 }
 
-// crashFor ends a controller's process, which is back after a while.
-func (w *Simulator) crashFor(n *node, away time.Duration) {
+// crashFor ends a controller's process, which restarts after downtime.
+func (w *Simulator) crashFor(n *node, downtime time.Duration) {
 	n.down = true
 	n.incarnation++
 	n.core = nil
-	w.schedule(away, func() {
+	w.schedule(downtime, func() {
 		if n.down {
 			w.boot(n)
 		}
 	})
 }
 
-// crashSoon has a controller end around what it is about to do at the state service: before it is
-// executed, or before its answer.
-func (w *Simulator) crashSoon(n *node, in string) {
-	life := n.incarnation
+// crashSoon crashes a controller around a request that it is about to send to the store: before the request is executed,
+// or before its response arrives.
+func (w *Simulator) crashSoon(n *node, during string) {
+	incarnation := n.incarnation
 	w.schedule(w.randomDuration(0, 12*time.Millisecond), func() {
-		if n.incarnation == life && !n.down {
-			w.Trace("%v crash %s in %s", w.now, n.name, in)
+		if n.incarnation == incarnation && !n.down {
+			w.Trace("%v crash %s during %s", w.now, n.name, during)
 			w.crash(n)
 		}
 	})
 }
 
-// deliver gives an input to a core and carries out what follows.
+// deliver hands an input to a controller's core and carries out the outputs. While the process is paused, inputs wait in
+// their order.
 func (w *Simulator) deliver(n *node, in core.Input) {
 	if n.down {
 		return
 	}
-	if w.now < n.pausedUntil { // what comes in waits, in its order
-		life := n.incarnation
+	if w.now < n.pausedUntil {
+		incarnation := n.incarnation
 		w.schedule(n.pausedUntil-w.now, func() {
-			if n.incarnation == life {
+			if n.incarnation == incarnation {
 				w.deliver(n, in)
 			}
 		})
 		return
 	}
-	// The steady clock may run fast by up to 0.05%.
-	t := time.Duration(float64(w.now-n.startedAt) * (1 + 0.0005*float64(n.clockOffset)/float64(5*time.Second)))
-	n.core.Handle(t, w.asUnderstoodBy(n, in))
-	for _, o := range n.core.Advance(t) {
-		w.performOutput(n, o)
+	// The monotonic clock may run fast by up to 0.05%.
+	uptime := time.Duration(float64(w.now-n.startedAt) * (1 + 0.0005*float64(n.clockOffset)/float64(5*time.Second)))
+	n.core.Handle(uptime, w.asUnderstoodBy(n, in))
+	for _, output := range n.core.Advance(uptime) {
+		w.performOutput(n, output)
 	}
 }
 
+// nowUnixMS is the true wall clock.
 func (w *Simulator) nowUnixMS() int64 { return startUnixMS + w.now.Milliseconds() }
