--- a/internal/sim/fake_cloud.go
+++ b/internal/sim/fake_cloud.go
@@ -7,12 +7,19 @@
 	"time"
 )
 
-// fakeCloud stands in for the cloud.
+const (
+	cloudPageSize = 20              // machines of a page of the list
+	cloudListLag  = 3 * time.Second // a new machine is not listed before
+	// goneListedFor is how long a machine stays in the list after it has ended.
+	goneListedFor = 5 * time.Second
+)
+
+// fakeCloud is a fake of the cloud provider: it rents machines, and takes spot machines back.
 type fakeCloud struct {
 	sim      *Simulator
-	machines []*fakeWorker
+	machines []*fakeWorker // all that were ever rented, by name
 	byName   map[string]*fakeWorker
-	rentals  map[string][]string
+	rentals  map[string][]string // machine names by idempotency key
 	down     bool
 }
 
@@ -20,6 +27,7 @@
 	return &fakeCloud{sim: w, byName: map[string]*fakeWorker{}, rentals: map[string][]string{}}
 }
 
+// catalog lists the machine types of every simulation.
 var catalog = wire.Catalog{Types: []wire.MachineType{
 	{
 		Name:            "big",
@@ -45,108 +53,135 @@
 	},
 }}
 
+// cpuCapacity returns the cores of a machine type, in thousandths.
+func cpuCapacity(machineType string) int64 {
+	for _, t := range catalog.Types {
+		if t.Name == machineType {
+			return int64(t.CPUs * 1000)
+		}
+	}
+	return 0
+}
+
+// find returns a machine by its name, or nil.
 func (c *fakeCloud) find(name string) *fakeWorker { return c.byName[name] }
 
+// randomMachine draws a running machine; nil if there is none.
 func (c *fakeCloud) randomMachine() *fakeWorker {
-	var live []*fakeWorker
-	for _, m := range c.machines {
-		if !m.gone && m.up {
-			live = append(live, m)
+	var running []*fakeWorker
+	for _, worker := range c.machines {
+		if !worker.gone && worker.up {
+			running = append(running, worker)
 		}
 	}
-	if len(live) == 0 {
+	if len(running) == 0 {
 		return nil
 	}
-	return live[c.sim.rng.IntN(len(live))]
+	return running[c.sim.rng.IntN(len(running))]
 }
 
-// startOutage makes the cloud's interface unavailable for a duration.
+// startOutage makes the cloud unavailable for a duration.
 func (c *fakeCloud) startOutage(duration time.Duration) {
 	c.down = true
 	c.sim.schedule(duration, func() { c.down = false })
 }
 
-func (c *fakeCloud) serve(o core.CloudRequest) core.CloudResult {
-	out := core.CloudResult{ID: o.ID, Status: wire.StatusOK}
+// serve executes a request of a controller.
+func (c *fakeCloud) serve(request core.CloudRequest) core.CloudResult {
+	out := core.CloudResult{ID: request.ID, Status: wire.StatusOK}
 	if c.down || c.sim.options.FlakyCloud && c.sim.chance(0.7) {
 		out.Status, out.Error = wire.StatusUnavailable, "trouble"
 		return out
 	}
-	switch o.Op {
+	switch request.Op {
 	case core.CloudCatalog:
-		k := catalog
-		out.Catalog = &k
+		types := catalog
+		out.Catalog = &types
 	case core.CloudScaleOut:
-		if names, ok := c.rentals[o.ScaleOut.IdempotencyKey]; ok {
-			out.MachineNames = names
-			return out
-		}
-		live := 0
-		for _, m := range c.machines {
-			if !m.gone {
-				live++
-			}
-		}
-		n := min(o.ScaleOut.Count, max(0, c.sim.options.MaxMachines-live))
-		if n == 0 || !c.sim.options.NoFaults && c.sim.chance(0.2) {
-			out.Status, out.Error = wire.StatusUnavailable, "no capacity"
-			return out
-		}
-		for i := 0; i < n; i++ {
-			name := fmt.Sprintf("m-%06d", len(c.machines)+1)
-			m := &fakeWorker{sim: c.sim, machine: wire.Machine{
-				Name: name, Addr: "x:" + name, Type: o.ScaleOut.Type, Zone: o.ScaleOut.Zone,
-				Spot: o.ScaleOut.Spot, Stage: wire.MachineBooting,
-			}, rentedAt: c.sim.now, tasks: map[string]*fakeTask{}, images: map[string]bool{}}
-			c.machines = append(c.machines, m)
-			c.byName[name] = m
-			out.MachineNames = append(out.MachineNames, name)
-			if c.sim.options.NoFaults || !c.sim.chance(0.05) {
-				boot := c.sim.randomDuration(2*time.Second, 12*time.Second)
-				if c.sim.now < c.sim.fastBootsUntil {
-					boot = c.sim.randomDuration(0, 2*time.Second)
-				}
-				c.sim.schedule(boot, m.start)
-			}
-			if m.machine.Spot && !c.sim.options.NoFaults {
-				c.sim.schedule(c.sim.randomDuration(10*time.Second, 300*time.Second), m.reclaimSpot)
-			}
-		}
-		c.rentals[o.ScaleOut.IdempotencyKey] = out.MachineNames
+		c.scaleOut(request, &out)
 	case core.CloudScaleIn:
-		for _, n := range o.MachineNames {
-			if m := c.find(n); m != nil {
-				m.returnToCloud()
+		for _, name := range request.MachineNames {
+			if worker := c.find(name); worker != nil {
+				worker.returnToCloud()
 			}
 		}
 	case core.CloudList:
-		for _, m := range c.machines {
-			if m.machine.Name > o.AfterMachine && (!m.gone || m.failed || c.sim.now-m.goneAt < 5*time.Second) &&
-				c.sim.now-m.rentedAt > 3*time.Second &&
-				!m.returned {
-				if len(out.Machines) == cloudPageSize {
-					out.More = true
-					break
-				}
-				e := m.machine
-				e.AgeS = (c.sim.now - m.rentedAt).Seconds()
-				if m.failed {
-					e.Stage = wire.MachineFailed
-				}
-				out.Machines = append(out.Machines, e)
-			}
-		}
+		c.list(request, &out)
 	}
 	return out
 }
 
-const cloudPageSize = 20
+// scaleOut rents machines. A repeated request returns the machines of the first.
+func (c *fakeCloud) scaleOut(request core.CloudRequest, out *core.CloudResult) {
+	order := request.ScaleOut
+	if names, ok := c.rentals[order.IdempotencyKey]; ok {
+		out.MachineNames = names
+		return
+	}
+	live := 0
+	for _, worker := range c.machines {
+		if !worker.gone {
+			live++
+		}
+	}
+	count := min(order.Count, max(0, c.sim.options.MaxMachines-live))
+	if count == 0 || !c.sim.options.NoFaults && c.sim.chance(0.2) {
+		out.Status, out.Error = wire.StatusUnavailable, "no capacity"
+		return
+	}
+	for range count {
+		name := fmt.Sprintf("m-%06d", len(c.machines)+1)
+		c.rent(wire.Machine{
+			Name: name, Addr: "x:" + name, Type: order.Type, Zone: order.Zone, Spot: order.Spot,
+			Stage: wire.MachineBooting,
+		})
+		out.MachineNames = append(out.MachineNames, name)
+	}
+	c.rentals[order.IdempotencyKey] = out.MachineNames
+}
 
-func cpuCapacity(typ string) int64 {
-	for _, t := range catalog.Types {
-		if t.Name == typ {
-			return int64(t.CPUs * 1000)
+// rent adds a machine, schedules its boot, which a few never finish, and the interruption of a spot machine.
+func (c *fakeCloud) rent(machine wire.Machine) {
+	w := c.sim
+	worker := &fakeWorker{
+		sim: w, machine: machine, rentedAt: w.now, tasks: map[string]*fakeTask{}, images: map[string]bool{},
+	}
+	c.machines = append(c.machines, worker)
+	c.byName[machine.Name] = worker
+	if w.options.NoFaults || !w.chance(0.05) {
+		bootTime := w.randomDuration(2*time.Second, 12*time.Second)
+		if w.now < w.fastBootsUntil {
+			bootTime = w.randomDuration(0, 2*time.Second)
 		}
+		w.schedule(bootTime, worker.start)
 	}
-	return 0
+	if machine.Spot && !w.options.NoFaults {
+		w.schedule(w.randomDuration(10*time.Second, 300*time.Second), worker.reclaimSpot)
+	}
+}
+
+// list returns a page of the machines after request.AfterMachine.
+func (c *fakeCloud) list(request core.CloudRequest, out *core.CloudResult) {
+	for _, worker := range c.machines {
+		if worker.machine.Name <= request.AfterMachine || !c.isListed(worker) {
+			continue
+		}
+		if len(out.Machines) == cloudPageSize {
+			out.More = true
+			return
+		}
+		entry := worker.machine
+		entry.AgeS = (c.sim.now - worker.rentedAt).Seconds()
+		if worker.failed {
+			entry.Stage = wire.MachineFailed
+		}
+		out.Machines = append(out.Machines, entry)
+	}
+}
+
+// isListed reports whether a machine is in the list: it is neither too new, nor returned, nor gone for long. A failed one
+// stays until it is returned.
+func (c *fakeCloud) isListed(worker *fakeWorker) bool {
+	age, gone := c.sim.now-worker.rentedAt, worker.gone && !worker.failed
+	return !worker.returned && age > cloudListLag && (!gone || c.sim.now-worker.goneAt < goneListedFor)
 }
--- a/internal/sim/fake_store.go
+++ b/internal/sim/fake_store.go
@@ -12,32 +12,41 @@
 	"time"
 )
 
-// fakeStore stands in for the state service.
+const (
+	leaseCheckInterval   = 50 * time.Millisecond
+	watchLongPollTimeout = 12 * time.Second
+	// snapshotPageSize is the number of keys of a page of a snapshot: small, so that keys change between pages.
+	snapshotPageSize = 20
+)
+
+// fakeStore is a fake of the consensus-backed key-value store: one linearizable copy in memory, with outages and delays.
 type fakeStore struct {
 	sim            *Simulator
 	revision       uint64
 	keys           map[string]*wire.KeyValue
-	events         []wire.WatchEvent
+	events         []wire.WatchEvent // of all revisions, in order
 	leases         map[uint64]*leaseState
 	lastLeaseID    uint64
 	down           bool
-	refusedNodes   map[string]bool
-	maxDelay       time.Duration   // what a request takes at most
-	stalledWatches map[string]bool // controllers whose reads of changes get no answer
+	refusedNodes   map[string]bool // controllers whose requests are refused
+	maxDelay       time.Duration   // maximum additional delay of a request
+	stalledWatches map[string]bool // controllers whose watches get no response
 	watches        []*pendingWatch
 	limits         storeLimits
-	spentWrites    float64
+	spentWrites    float64 // token bucket of the write rate, as of spentAt
 	spentAt        time.Duration
 }
 
+// leaseState is a granted lease.
 type leaseState struct {
 	ttl       time.Duration
 	expiresAt time.Duration
 }
 
+// pendingWatch is a long poll that waits for a revision above sinceRevision.
 type pendingWatch struct {
-	from    uint64
-	respond func()
+	sinceRevision uint64
+	respond       func()
 }
 
 func newFakeStore(w *Simulator) *fakeStore {
@@ -49,321 +58,348 @@
 		stalledWatches: map[string]bool{},
 		limits:         storeLimits{txnOps: 12, valueBytes: 8192},
 	}
-	w.schedule(50*time.Millisecond, s.expireLeases)
+	w.schedule(leaseCheckInterval, s.expireLeases)
 	return s
 }
 
+// expireLeases removes expired leases and their keys, periodically. No lease expires during an outage.
 func (s *fakeStore) expireLeases() {
 	if !s.down {
 		for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-			if s.sim.now <= s.leases[id].expiresAt {
-				continue
-			}
-			delete(s.leases, id)
-			var gone []string
-			for k, it := range s.keys {
-				if it.LeaseID == id {
-					gone = append(gone, k)
-				}
+			if s.sim.now > s.leases[id].expiresAt {
+				s.expireLease(id)
 			}
-			sort.Strings(gone)
-			if len(gone) > 0 {
-				s.revision++
-			}
-			for _, k := range gone {
-				delete(s.keys, k)
-				s.events = append(s.events, wire.WatchEvent{Delete: k, Revision: s.revision})
-			}
-			s.notifyWatches()
 		}
 	}
-	s.sim.schedule(50*time.Millisecond, s.expireLeases)
+	s.sim.schedule(leaseCheckInterval, s.expireLeases)
+}
+
+// expireLease removes a lease and, in one revision, its keys.
+func (s *fakeStore) expireLease(id uint64) {
+	delete(s.leases, id)
+	var expired []string
+	for key, item := range s.keys {
+		if item.LeaseID == id {
+			expired = append(expired, key)
+		}
+	}
+	sort.Strings(expired)
+	if len(expired) > 0 {
+		s.revision++
+	}
+	for _, key := range expired {
+		delete(s.keys, key)
+		s.events = append(s.events, wire.WatchEvent{Delete: key, Revision: s.revision})
+	}
+	s.notifyWatches()
 }
 
+// notifyWatches responds to the watches for which there are new events.
 func (s *fakeStore) notifyWatches() {
 	if s.down {
 		return
 	}
-	ws := s.watches
+	watches := s.watches
 	s.watches = nil
-	for _, x := range ws {
-		if s.revision > x.from {
-			x.respond()
+	for _, watch := range watches {
+		if s.revision > watch.sinceRevision {
+			watch.respond()
 		} else {
-			s.watches = append(s.watches, x)
+			s.watches = append(s.watches, watch)
 		}
 	}
 }
 
-func (s *fakeStore) startOutage(d time.Duration) {
+// startOutage makes the store unavailable for a duration. Afterwards every lease has its full time to live again.
+func (s *fakeStore) startOutage(duration time.Duration) {
 	if s.down {
 		return
 	}
 	s.down = true
-	s.sim.schedule(d, func() {
+	s.sim.schedule(duration, func() {
 		s.down = false
-		for _, l := range s.leases {
-			l.expiresAt = s.sim.now + l.ttl
+		for _, lease := range s.leases {
+			lease.expiresAt = s.sim.now + lease.ttl
 		}
 		s.notifyWatches()
 	})
 }
 
-func (s *fakeStore) refuseNode(node string, d time.Duration) {
+// refuseNode refuses the requests of one controller for a duration.
+func (s *fakeStore) refuseNode(node string, duration time.Duration) {
 	s.refusedNodes[node] = true
-	s.sim.schedule(d, func() { delete(s.refusedNodes, node) })
+	s.sim.schedule(duration, func() { delete(s.refusedNodes, node) })
 }
 
+// isUnavailable reports whether the store serves no requests of a controller.
 func (s *fakeStore) isUnavailable(node string) bool { return s.down || s.refusedNodes[node] }
 
-// storeLimits are those of the state service.
+// storeLimits are the limits that the store enforces.
 type storeLimits struct {
 	txnOps, valueBytes int
-	writesPerSecond    float64 // changes a second; 0: not limited
+	writesPerSecond    float64 // written keys per second; 0: not limited
 }
 
-func (l storeLimits) exceeded(t wire.Txn) bool {
-	if len(t.Then) > l.txnOps || len(t.Compare) > 4*l.txnOps {
+// exceeded reports whether a transaction is too large.
+func (l storeLimits) exceeded(txn wire.Txn) bool {
+	if len(txn.Then) > l.txnOps || len(txn.Compare) > 4*l.txnOps {
 		return true
 	}
-	for _, w := range t.Then {
-		if len(w.Value) > l.valueBytes {
+	for _, write := range txn.Then {
+		if len(write.Value) > l.valueBytes {
 			return true
 		}
 	}
 	return false
 }
 
-// allowWrites takes changes out of what the rate allows, with bursts of a second's worth.
-func (s *fakeStore) allowWrites(n int) bool {
+// allowWrites takes writes from the token bucket of the write rate, whose burst is one second's worth.
+func (s *fakeStore) allowWrites(count int) bool {
 	if s.limits.writesPerSecond == 0 {
 		return true
 	}
 	s.spentWrites = max(0, s.spentWrites-(s.sim.now-s.spentAt).Seconds()*s.limits.writesPerSecond)
 	s.spentAt = s.sim.now
-	if s.spentWrites+float64(n) > s.limits.writesPerSecond {
+	if s.spentWrites+float64(count) > s.limits.writesPerSecond {
 		return false
 	}
-	s.spentWrites += float64(n)
+	s.spentWrites += float64(count)
 	return true
 }
 
-func (s *fakeStore) commit(node string, t wire.Txn) (wire.Status, wire.TxnResponse) {
+// commit executes a compare-and-swap transaction.
+func (s *fakeStore) commit(node string, txn wire.Txn) (wire.Status, wire.TxnResponse) {
 	if s.isUnavailable(node) {
 		return wire.StatusUnavailable, wire.TxnResponse{}
 	}
-	if s.limits.exceeded(t) {
+	if s.limits.exceeded(txn) {
 		return wire.StatusBadRequest, wire.TxnResponse{Error: "too large"}
 	}
-	if !s.allowWrites(len(t.Then)) {
+	if !s.allowWrites(len(txn.Then)) {
 		return wire.StatusTooManyRequests, wire.TxnResponse{}
 	}
-	for _, w := range t.Then {
-		if w.Put != "" && w.LeaseID != 0 && s.leases[w.LeaseID] == nil {
+	for _, write := range txn.Then {
+		if write.Put != "" && write.LeaseID != 0 && s.leases[write.LeaseID] == nil {
 			return wire.StatusBadRequest, wire.TxnResponse{Error: "no such lease"}
 		}
 	}
-	var failed []string
-	for _, c := range t.Compare {
-		var mark uint64
-		if it := s.keys[c.Key]; it != nil {
-			mark = it.Revision
-		}
-		if mark != c.Revision {
-			failed = append(failed, c.Key)
-		}
-	}
-	if len(failed) > 0 {
+	if failed := s.failedCompares(txn); len(failed) > 0 {
 		return wire.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.revision}
 	}
 	if s.sim.options.AuditLog {
-		s.sim.auditChecker.CheckTxn(s.keys, t)
-	}
-	s.revision++
-	for _, w := range t.Then {
-		if w.Put != "" {
-			s.keys[w.Put] = &wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.revision, LeaseID: w.LeaseID}
-			s.events = append(s.events, wire.WatchEvent{Put: w.Put, Value: w.Value, Revision: s.revision})
-		} else {
-			delete(s.keys, w.Delete)
-			s.events = append(s.events, wire.WatchEvent{Delete: w.Delete, Revision: s.revision})
-		}
+		s.sim.auditChecker.CheckTxn(s.keys, txn)
 	}
+	s.apply(txn)
 	if s.sim.options.PriorityClasses {
-		s.sim.queueOrder.checkTxn(t, s.revision)
+		s.sim.queueOrder.checkTxn(txn, s.revision)
 	}
-	if writesReservations(t) {
+	if writesReservations(txn) {
 		s.sim.reservations.checkStored(s.keys)
 	}
 	s.notifyWatches()
 	return wire.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-func (s *fakeStore) eventsSince(from uint64) wire.WatchResponse {
+// failedCompares lists the keys whose revision is not the one that the transaction requires.
+func (s *fakeStore) failedCompares(txn wire.Txn) (failed []string) {
+	for _, compare := range txn.Compare {
+		var revision uint64
+		if item := s.keys[compare.Key]; item != nil {
+			revision = item.Revision
+		}
+		if revision != compare.Revision {
+			failed = append(failed, compare.Key)
+		}
+	}
+	return failed
+}
+
+// apply executes the writes of a transaction in a new revision.
+func (s *fakeStore) apply(txn wire.Txn) {
+	s.revision++
+	for _, write := range txn.Then {
+		if write.Put != "" {
+			s.keys[write.Put] = &wire.KeyValue{
+				Key: write.Put, Value: write.Value, Revision: s.revision, LeaseID: write.LeaseID,
+			}
+			s.events = append(s.events, wire.WatchEvent{Put: write.Put, Value: write.Value, Revision: s.revision})
+		} else {
+			delete(s.keys, write.Delete)
+			s.events = append(s.events, wire.WatchEvent{Delete: write.Delete, Revision: s.revision})
+		}
+	}
+}
+
+// eventsSince returns the events after a revision.
+func (s *fakeStore) eventsSince(revision uint64) wire.WatchResponse {
 	out := wire.WatchResponse{Revision: s.revision}
-	i := sort.Search(len(s.events), func(i int) bool { return s.events[i].Revision > from })
-	out.Events = append(out.Events, s.events[i:]...)
+	first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Revision > revision })
+	out.Events = append(out.Events, s.events[first:]...)
 	return out
 }
 
-// serveWatch serves watches; while the service is down or refuses the caller, open ones wait.
-func (s *fakeStore) serveWatch(n *node, o core.Watch, back func(core.Input)) {
-	out := core.WatchResult{LongPoll: o.LongPoll}
-	w := s.sim
-	if s.stalledWatches[n.name] {
-		w.schedule(
-			map[bool]time.Duration{false: 2 * time.Second, true: 12 * time.Second}[o.LongPoll],
-			func() { back(core.WatchResult{LongPoll: o.LongPoll}) },
-		)
-		return
+// serveWatch serves a watch: at once, or as a long poll that waits for events.
+func (s *fakeStore) serveWatch(n *node, request core.Watch, deliver func(core.Input)) {
+	switch {
+	case s.stalledWatches[n.name]:
+		timeout := storeTimeout
+		if request.LongPoll {
+			timeout = watchLongPollTimeout
+		}
+		s.sim.schedule(timeout, func() { deliver(core.WatchResult{LongPoll: request.LongPoll}) })
+	case request.LongPoll:
+		s.serveLongPoll(n, request, deliver)
+	default:
+		s.sim.call(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, core.WatchResult{},
+			func() core.Input { return s.watchOnce(n.name, request) }, deliver)
 	}
-	if !o.LongPoll {
-		w.rpc(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, func() time.Duration {
-			out.Status = wire.StatusUnavailable
-			if !s.isUnavailable(n.name) {
-				out.Status, out.Changes = wire.StatusOK, s.eventsSince(o.SinceRevision)
-			}
-			return 0
-		}, func(ok bool) {
-			if !ok {
-				out = core.WatchResult{}
-			}
-			back(out)
-		})
-		return
+}
+
+// watchOnce returns the events that there are.
+func (s *fakeStore) watchOnce(node string, request core.Watch) core.WatchResult {
+	if s.isUnavailable(node) {
+		return core.WatchResult{Status: wire.StatusUnavailable}
 	}
-	over := false
-	answer := func(c core.WatchResult) {
-		if over {
+	return core.WatchResult{Status: wire.StatusOK, Changes: s.eventsSince(request.SinceRevision)}
+}
+
+// serveLongPoll responds as soon as there are events. A long poll that is open stays open while the store is down or
+// refuses its caller, until the caller gives up.
+func (s *fakeStore) serveLongPoll(n *node, request core.Watch, deliver func(core.Input)) {
+	w := s.sim
+	finished := false
+	respond := func(result core.WatchResult) {
+		if finished {
 			return
 		}
-		over = true
-		w.send(storeAddress, n.name, func() { back(c) })
+		finished = true
+		w.send(storeAddress, n.name, func() { deliver(result) })
 	}
-	w.schedule(12*time.Second, func() { // the caller gives up
-		if !over {
-			over = true
-			back(core.WatchResult{LongPoll: true})
+	w.schedule(watchLongPollTimeout, func() { // the caller gives up
+		if !finished {
+			finished = true
+			deliver(core.WatchResult{LongPoll: true})
 		}
 	})
 	w.send(n.name, storeAddress, func() {
 		if s.isUnavailable(n.name) {
-			answer(core.WatchResult{LongPoll: true, Status: wire.StatusUnavailable})
+			respond(core.WatchResult{LongPoll: true, Status: wire.StatusUnavailable})
 			return
 		}
-		x := &pendingWatch{from: o.SinceRevision}
-		x.respond = func() {
+		watch := &pendingWatch{sinceRevision: request.SinceRevision}
+		watch.respond = func() {
 			if s.refusedNodes[n.name] {
-				w.schedule(time.Second, x.respond)
+				w.schedule(time.Second, watch.respond)
 				return
 			}
-			answer(core.WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: s.eventsSince(o.SinceRevision)})
+			respond(core.WatchResult{
+				LongPoll: true, Status: wire.StatusOK, Changes: s.eventsSince(request.SinceRevision),
+			})
 		}
-		if s.revision > o.SinceRevision {
-			x.respond()
+		if s.revision > request.SinceRevision {
+			watch.respond()
 			return
 		}
-		s.watches = append(s.watches, x)
+		s.watches = append(s.watches, watch)
 	})
 }
 
-// rangePage lists the keys with a prefix that lie behind another, in order.
-func (s *fakeStore) rangePage(prefix, from string, most int) (items []wire.KeyValue, more bool) {
-	var names []string
-	for k := range s.keys {
-		if strings.HasPrefix(k, prefix) && k > from {
-			names = append(names, k)
+// rangePage lists up to limit keys with a prefix after another key, in order.
+func (s *fakeStore) rangePage(prefix, afterKey string, limit int) (items []wire.KeyValue, more bool) {
+	var keys []string
+	for key := range s.keys {
+		if strings.HasPrefix(key, prefix) && key > afterKey {
+			keys = append(keys, key)
 		}
 	}
-	sort.Strings(names)
-	if more = len(names) > most; more {
-		names = names[:most]
+	sort.Strings(keys)
+	if more = len(keys) > limit; more {
+		keys = keys[:limit]
 	}
-	for _, k := range names {
-		items = append(items, *s.keys[k])
+	for _, key := range keys {
+		items = append(items, *s.keys[key])
 	}
 	return items, more
 }
 
-// archivedJobs lists the jobs in the archive.
+// archivedJobs decodes the archive.
 func (s *fakeStore) archivedJobs() map[string]archive.Entry {
 	out := map[string]archive.Entry{}
-	for k, it := range s.keys {
-		if !strings.HasPrefix(k, archive.BlockPrefix) {
+	for key, item := range s.keys {
+		if !strings.HasPrefix(key, archive.BlockPrefix) {
 			continue
 		}
-		b, err := archive.Decode(it.Value)
-		if err != nil || archive.BlockKey(b.High) != k {
-			s.sim.Checker.violated("archive", "%s: %v", k, err)
+		block, err := archive.Decode(item.Value)
+		if err != nil || archive.BlockKey(block.High) != key {
+			s.sim.Checker.violated("archive", "%s: %v", key, err)
 			continue
 		}
-		for _, e := range b.Entries {
-			if _, twice := out[e.ID]; twice {
-				s.sim.Checker.violated("archive", "%s is in two blocks", e.ID)
+		for _, entry := range block.Entries {
+			if _, duplicate := out[entry.ID]; duplicate {
+				s.sim.Checker.violated("archive", "%s is in two blocks", entry.ID)
 			}
-			out[e.ID] = e
+			out[entry.ID] = entry
 		}
 	}
 	return out
 }
 
-// movesToArchive reports whether a transaction moves ended jobs into the archive.
-func movesToArchive(t wire.Txn) bool {
-	return slices.ContainsFunc(
-		t.Then,
-		func(x wire.Write) bool { return strings.HasPrefix(x.Put, archive.BlockPrefix) },
-	)
-}
+// movesToArchive reports whether a transaction moves ended jobs to the archive.
+func movesToArchive(txn wire.Txn) bool { return putsWithPrefix(txn, archive.BlockPrefix) }
 
-// writesAuditLog reports whether a transaction extends the audit record.
-func writesAuditLog(t wire.Txn) bool {
-	return slices.ContainsFunc(t.Then, func(x wire.Write) bool { return strings.HasPrefix(x.Put, audit.BlockPrefix) })
-}
+// writesAuditLog reports whether a transaction appends to the audit log.
+func writesAuditLog(txn wire.Txn) bool { return putsWithPrefix(txn, audit.BlockPrefix) }
 
-const snapshotPageSize = 20 // keys of a page when all are read: small, so that much changes meanwhile
+// putsWithPrefix reports whether a transaction writes a key with a prefix.
+func putsWithPrefix(txn wire.Txn, prefix string) bool {
+	return slices.ContainsFunc(txn.Then, func(write wire.Write) bool { return strings.HasPrefix(write.Put, prefix) })
+}
 
-func (s *fakeStore) loadSnapshot(node string, o core.LoadSnapshot) core.SnapshotPage {
+// loadSnapshot returns a page of all keys.
+func (s *fakeStore) loadSnapshot(node string, request core.LoadSnapshot) core.SnapshotPage {
 	if s.isUnavailable(node) {
 		return core.SnapshotPage{Status: wire.StatusUnavailable}
 	}
 	out := core.SnapshotPage{OK: true, Status: wire.StatusOK, Revision: s.revision}
-	out.Items, out.More = s.rangePage(core.Root, o.AfterKey, snapshotPageSize)
+	out.Items, out.More = s.rangePage(core.Root, request.AfterKey, snapshotPageSize)
 	return out
 }
 
-func (s *fakeStore) readRange(node string, o core.ReadRange) core.RangeResult {
-	out := core.RangeResult{ID: o.ID, Status: wire.StatusUnavailable}
+// readRange returns one key, or a page of the keys with a prefix.
+func (s *fakeStore) readRange(node string, request core.ReadRange) core.RangeResult {
+	out := core.RangeResult{ID: request.ID, Status: wire.StatusUnavailable}
 	if s.isUnavailable(node) {
 		return out
 	}
 	out.Status, out.Revision = wire.StatusOK, s.revision
-	if o.Key == "" {
-		out.Items, out.More = s.rangePage(o.Prefix, o.AfterKey, o.Limit)
-	} else if it := s.keys[o.Key]; it != nil {
-		out.Items = []wire.KeyValue{*it}
+	if request.Key == "" {
+		out.Items, out.More = s.rangePage(request.Prefix, request.AfterKey, request.Limit)
+	} else if item := s.keys[request.Key]; item != nil {
+		out.Items = []wire.KeyValue{*item}
 	} else {
 		out.Status = wire.StatusNotFound
 	}
 	return out
 }
 
-func (s *fakeStore) serveLease(node string, o core.LeaseRequest) core.LeaseResult {
-	out := core.LeaseResult{Op: o.Op, LeaseID: o.LeaseID, Status: wire.StatusUnavailable}
+// serveLease grants a lease, or extends one.
+func (s *fakeStore) serveLease(node string, request core.LeaseRequest) core.LeaseResult {
+	out := core.LeaseResult{Op: request.Op, LeaseID: request.LeaseID, Status: wire.StatusUnavailable}
 	if s.isUnavailable(node) {
 		return out
 	}
 	out.Status = wire.StatusOK
-	if o.Op == core.LeaseGrant {
+	if request.Op == core.LeaseGrant {
 		s.lastLeaseID++
-		s.leases[s.lastLeaseID] = &leaseState{o.TTL, s.sim.now + o.TTL}
+		s.leases[s.lastLeaseID] = &leaseState{ttl: request.TTL, expiresAt: s.sim.now + request.TTL}
 		out.LeaseID = s.lastLeaseID
 		return out
 	}
-	l := s.leases[o.LeaseID]
-	if l == nil {
+	lease := s.leases[request.LeaseID]
+	if lease == nil {
 		out.Status = wire.StatusNotFound
 		return out
 	}
-	l.expiresAt = s.sim.now + l.ttl
+	lease.expiresAt = s.sim.now + lease.ttl
 	return out
 }
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -8,16 +8,24 @@
 	"time"
 )
 
+const (
+	heartbeatTimeout   = 4 * time.Second
+	leaseCheckPeriod   = 100 * time.Millisecond // of a worker's own lease
+	maxTaskRuntime     = 25 * time.Second
+	maxLongTaskRuntime = 80 * time.Second // with Options.LongTasks
+)
+
+// fakeTask is an attempt of a task on a machine.
 type fakeTask struct {
 	job        string
 	task       int
 	attempt    uint64
 	stage      string
 	cause      string
-	generation int // counts changes, so that old timers do nothing
+	generation int // counts changes, so that earlier timers do nothing
 }
 
-// fakeWorker stands in for a worker and its machine.
+// fakeWorker is a fake of a machine with its agent.
 type fakeWorker struct {
 	sim               *Simulator
 	machine           wire.Machine
@@ -26,19 +34,20 @@
 	up                bool
 	gone              bool
 	failed            bool
-	returned          bool
-	hungUntil         time.Duration // hangs until then
+	returned          bool          // by a controller
+	hungUntil         time.Duration // the machine is suspended until then
 	incarnation       uint64
 	seq               uint64
 	fencingToken      uint64
-	lastAckedAt       time.Duration // when the last answered report was sent, or the session began
-	interruptionAt    time.Duration
-	tasks             map[string]*fakeTask // by name and attempt
-	images            map[string]bool
-	controllerIndex   int
+	lastAckedAt       time.Duration        // when the last acknowledged heartbeat was sent, or the incarnation began
+	interruptionAt    time.Duration        // when a spot machine with notice ends; 0: no notice
+	tasks             map[string]*fakeTask // by task name and attempt
+	images            map[string]bool      // pulled images
+	controllerIndex   int                  // the controller that gets the next heartbeat
 	heartbeatInFlight bool
 }
 
+// start finishes the boot of the machine.
 func (m *fakeWorker) start() {
 	if m.gone {
 		return
@@ -50,40 +59,43 @@
 	m.leaseCheckLoop()
 }
 
-// hangFor stops the machine for a while; what reaches it meanwhile is executed afterwards.
-func (m *fakeWorker) hangFor(d time.Duration) { m.hungUntil = max(m.hungUntil, m.sim.now+d) }
+// hangFor suspends the machine for a duration; commands that reach it meanwhile are executed afterwards.
+func (m *fakeWorker) hangFor(duration time.Duration) {
+	m.hungUntil = max(m.hungUntil, m.sim.now+duration)
+}
 
+// returnToCloud is the end of the rental by a controller.
 func (m *fakeWorker) returnToCloud() {
-	if m.gone {
-		m.returned = true
-		return
-	}
 	m.returned = true
-	m.stopAll()
+	if !m.gone {
+		m.stopAll()
+	}
 }
 
+// fail ends the machine; the cloud lists it as failed.
 func (m *fakeWorker) fail() {
 	m.stopAll()
 	m.failed = true
 }
 
+// stopAll ends the machine and the tasks on it.
 func (m *fakeWorker) stopAll() {
-	for _, k := range m.taskKeys() {
-		m.noteTaskStopped(m.tasks[k])
+	for _, key := range m.taskKeys() {
+		m.noteTaskStopped(m.tasks[key])
 	}
 	m.tasks = map[string]*fakeTask{}
 	m.gone, m.up, m.goneAt = true, false, m.sim.now
 }
 
-// reclaimSpot is the cloud taking a spot machine back, mostly with a notice.
+// reclaimSpot is the interruption of a spot machine by the cloud, mostly with notice.
 func (m *fakeWorker) reclaimSpot() {
 	if m.gone {
 		return
 	}
 	if m.sim.chance(0.7) {
-		d := m.sim.randomDuration(4*time.Second, 12*time.Second)
-		m.interruptionAt = m.sim.now + d
-		m.sim.schedule(d, func() {
+		notice := m.sim.randomDuration(4*time.Second, 12*time.Second)
+		m.interruptionAt = m.sim.now + notice
+		m.sim.schedule(notice, func() {
 			if !m.gone {
 				m.stopAll()
 			}
@@ -93,37 +105,42 @@
 	m.stopAll()
 }
 
+// taskKeys returns the keys of all tasks in order.
 func (m *fakeWorker) taskKeys() []string {
-	var out []string
-	for k := range m.tasks {
-		out = append(out, k)
+	var keys []string
+	for key := range m.tasks {
+		keys = append(keys, key)
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(keys)
+	return keys
 }
 
-func (m *fakeWorker) noteTaskStopped(t *fakeTask) {
-	if t.stage == wire.TaskRunning || t.stage == wire.TaskCheckpointing {
-		m.sim.Checker.TaskStopped(t.job, t.task, m.machine.Name)
+// noteTaskStopped tells the checker that a task, if it ran, runs no longer.
+func (m *fakeWorker) noteTaskStopped(task *fakeTask) {
+	if task.stage == wire.TaskRunning || task.stage == wire.TaskCheckpointing {
+		m.sim.Checker.TaskStopped(task.job, task.task, m.machine.Name)
 	}
 }
 
+// leaseCheckLoop stops all tasks and begins a new incarnation when no heartbeat was acknowledged for a lease: controllers
+// may start the tasks elsewhere from then on.
 func (m *fakeWorker) leaseCheckLoop() {
 	if m.gone {
 		return
 	}
 	if m.sim.now >= m.hungUntil && m.sim.now-m.lastAckedAt > m.sim.options.WorkerLease {
-		for _, k := range m.taskKeys() {
-			m.noteTaskStopped(m.tasks[k])
-			m.tasks[k].generation++
+		for _, key := range m.taskKeys() {
+			m.noteTaskStopped(m.tasks[key])
+			m.tasks[key].generation++
 		}
 		m.tasks = map[string]*fakeTask{}
 		m.incarnation++
 		m.lastAckedAt = m.sim.now
 	}
-	m.sim.schedule(100*time.Millisecond, m.leaseCheckLoop)
+	m.sim.schedule(leaseCheckPeriod, m.leaseCheckLoop)
 }
 
+// heartbeatLoop sends heartbeats periodically, with jitter.
 func (m *fakeWorker) heartbeatLoop() {
 	if m.gone {
 		return
@@ -132,9 +149,10 @@
 	m.sim.schedule(m.sim.randomDuration(heartbeatInterval*3/4, heartbeatInterval*5/4), m.heartbeatLoop)
 }
 
+// nextHeartbeat returns a heartbeat with the status of all tasks.
 func (m *fakeWorker) nextHeartbeat() *wire.Heartbeat {
 	m.seq++
-	r := &wire.Heartbeat{
+	heartbeat := &wire.Heartbeat{
 		Machine:      m.machine.Name,
 		Addr:         m.machine.Addr,
 		Type:         m.machine.Type,
@@ -145,181 +163,218 @@
 		FencingToken: m.fencingToken,
 	}
 	if m.interruptionAt > 0 {
-		s := (m.interruptionAt - m.sim.now).Seconds()
-		r.InterruptionNoticeS = &s
+		seconds := (m.interruptionAt - m.sim.now).Seconds()
+		heartbeat.InterruptionNoticeS = &seconds
 	}
-	for _, k := range m.taskKeys() {
-		t := m.tasks[k]
-		r.Tasks = append(
-			r.Tasks,
-			wire.TaskStatus{Task: wire.TaskName(t.job, t.task), Attempt: t.attempt, Stage: t.stage, Cause: t.cause},
-		)
+	for _, key := range m.taskKeys() {
+		task := m.tasks[key]
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{
+			Task: wire.TaskName(task.job, task.task), Attempt: task.attempt, Stage: task.stage, Cause: task.cause,
+		})
 	}
-	return r
+	return heartbeat
 }
 
+// sendHeartbeat sends a heartbeat to the current controller, one at a time. Without a good response the next controller
+// gets one after a second.
 func (m *fakeWorker) sendHeartbeat() {
-	if m.gone || m.heartbeatInFlight || m.sim.now < m.hungUntil {
+	w := m.sim
+	if m.gone || m.heartbeatInFlight || w.now < m.hungUntil {
 		return
 	}
 	m.heartbeatInFlight = true
-	n := m.sim.nodes[m.controllerIndex]
-	r := m.nextHeartbeat()
-	sent, session := m.sim.now, m.incarnation
-	over := false
-	finish := func(rep core.Response, ok bool) {
-		if over || m.gone {
+	controller := w.nodes[m.controllerIndex]
+	heartbeat := m.nextHeartbeat()
+	sentAt, incarnation := w.now, m.incarnation
+	finished := false
+	finish := func(response core.Response, ok bool) {
+		if finished || m.gone {
 			return
 		}
-		over = true
+		finished = true
 		m.heartbeatInFlight = false
-		b, isBeat := rep.Body.(wire.HeartbeatResponse)
-		if !ok || rep.Status != wire.StatusOK || !isBeat {
-			m.controllerIndex = (m.controllerIndex + 1) % len(m.sim.nodes)
-			m.sim.schedule(time.Second, m.sendHeartbeat)
-			return
-		}
-		if b.FencingToken < m.fencingToken || session != m.incarnation || m.sim.now < m.hungUntil {
+		m.handleHeartbeatResponse(sentAt, incarnation, response, ok)
+	}
+	w.schedule(heartbeatTimeout, func() { finish(core.Response{}, false) })
+	w.send(m.machine.Name, controller.name, func() {
+		if controller.down || w.now < w.outboundBlockedUntil[m.machine.Name] {
+			w.schedule(time.Millisecond, func() { finish(core.Response{}, false) })
 			return
 		}
-		m.fencingToken = b.FencingToken
-		m.lastAckedAt = sent
-		m.executeCommands(b.Commands)
-	}
-	m.sim.schedule(4*time.Second, func() { finish(core.Response{}, false) })
-	m.sim.send(m.machine.Name, n.name, func() {
-		if n.down || m.sim.now < m.sim.outboundBlockedUntil[m.machine.Name] {
-			m.sim.schedule(time.Millisecond, func() { finish(core.Response{}, false) })
-			return
+		w.onHeartbeat(heartbeat)
+		w.lastRequestID++
+		requestID := w.lastRequestID
+		controller.pendingRequests[requestID] = func(response core.Response) {
+			w.send(controller.name, m.machine.Name, func() { finish(response, true) })
 		}
-		m.sim.onHeartbeat(r)
-		m.sim.lastRequestID++
-		id := m.sim.lastRequestID
-		n.pendingRequests[id] = func(rep core.Response) { m.sim.send(n.name, m.machine.Name, func() { finish(rep, true) }) }
-		m.sim.deliver(n, core.AgentHeartbeat{RequestID: id, Heartbeat: r})
+		w.deliver(controller, core.AgentHeartbeat{RequestID: requestID, Heartbeat: heartbeat})
 	})
 }
 
-// handleCommands executes direct orders; a hanging machine does so when it goes on.
-func (m *fakeWorker) handleCommands(b wire.CommandBatch) (wire.Status, *wire.Heartbeat) {
+// handleHeartbeatResponse renews the lease from the moment at which the heartbeat was sent, and executes the commands. A
+// response with a lower fencing token, or to an earlier incarnation, has no effect.
+func (m *fakeWorker) handleHeartbeatResponse(
+	sentAt time.Duration,
+	incarnation uint64,
+	response core.Response,
+	ok bool,
+) {
+	body, isHeartbeat := response.Body.(wire.HeartbeatResponse)
+	if !ok || response.Status != wire.StatusOK || !isHeartbeat {
+		m.controllerIndex = (m.controllerIndex + 1) % len(m.sim.nodes)
+		m.sim.schedule(time.Second, m.sendHeartbeat)
+		return
+	}
+	if body.FencingToken < m.fencingToken || incarnation != m.incarnation || m.sim.now < m.hungUntil {
+		return
+	}
+	m.fencingToken = body.FencingToken
+	m.lastAckedAt = sentAt
+	m.executeCommands(body.Commands)
+}
+
+// handleCommands executes commands that a controller sent directly; a suspended machine does so when it resumes.
+func (m *fakeWorker) handleCommands(batch wire.CommandBatch) (wire.Status, *wire.Heartbeat) {
 	if m.gone || !m.up {
 		return wire.StatusNoAnswer, nil
 	}
 	if m.sim.now < m.hungUntil {
-		m.sim.schedule(m.hungUntil-m.sim.now+time.Millisecond, func() { m.handleCommands(b) })
+		m.sim.schedule(m.hungUntil-m.sim.now+time.Millisecond, func() { m.handleCommands(batch) })
 		return wire.StatusNoAnswer, nil
 	}
-	if b.FencingToken < m.fencingToken || b.Incarnation != m.incarnation {
+	if batch.FencingToken < m.fencingToken || batch.Incarnation != m.incarnation {
 		return wire.StatusConflict, m.nextHeartbeat()
 	}
-	m.fencingToken = b.FencingToken
-	m.executeCommands(b.Commands)
+	m.fencingToken = batch.FencingToken
+	m.executeCommands(batch.Commands)
 	return wire.StatusOK, m.nextHeartbeat()
 }
 
-func (m *fakeWorker) executeCommands(orders []wire.Command) {
-	for _, o := range orders {
-		key := fmt.Sprintf("%s#%d", o.Task, o.Attempt)
-		t := m.tasks[key]
-		switch o.Op {
+// executeCommands executes commands in order; each is idempotent.
+func (m *fakeWorker) executeCommands(commands []wire.Command) {
+	for _, command := range commands {
+		key := fmt.Sprintf("%s#%d", command.Task, command.Attempt)
+		task := m.tasks[key]
+		switch command.Op {
 		case wire.OpStart:
-			if t == nil {
-				m.startTask(key, o)
+			if task == nil {
+				m.startTask(key, command)
 			}
 		case wire.OpStop:
-			if t != nil && t.stage != wire.TaskExited {
-				m.exitTask(t, wire.CauseStopped)
+			if task != nil && task.stage != wire.TaskExited {
+				m.exitTask(task, wire.CauseStopped)
 			}
 		case wire.OpClear:
-			if t != nil && t.stage == wire.TaskExited {
+			if task != nil && task.stage == wire.TaskExited {
 				delete(m.tasks, key)
 			}
 		}
 	}
 }
 
-func (m *fakeWorker) exitTask(t *fakeTask, cause string) {
-	m.noteTaskStopped(t)
-	t.stage, t.cause = wire.TaskExited, cause
-	t.generation++
+// exitTask ends an attempt with a cause.
+func (m *fakeWorker) exitTask(task *fakeTask, cause string) {
+	m.noteTaskStopped(task)
+	task.stage, task.cause = wire.TaskExited, cause
+	task.generation++
 }
 
-func (m *fakeWorker) startTask(key string, o wire.Command) {
-	id, n, _ := wire.SplitTaskName(o.Task)
-	t := &fakeTask{job: id, task: n, attempt: o.Attempt, stage: wire.TaskPullingImage}
-	m.tasks[key] = t
-	j := m.sim.Checker.jobs[id]
-	if j == nil {
-		m.exitTask(t, wire.CauseNoSuchTask)
+// startTask admits a task and pulls its image; then it runs.
+func (m *fakeWorker) startTask(key string, command wire.Command) {
+	jobID, index, _ := wire.SplitTaskName(command.Task)
+	task := &fakeTask{job: jobID, task: index, attempt: command.Attempt, stage: wire.TaskPullingImage}
+	m.tasks[key] = task
+	job := m.sim.Checker.jobs[jobID]
+	if job == nil {
+		m.exitTask(task, wire.CauseNoSuchTask)
 		return
 	}
-	for _, x := range m.tasks {
-		if x != t && x.stage != wire.TaskExited && x.job == id && x.task == n {
-			m.exitTask(t, wire.CauseBusy)
-			return
-		}
+	if m.runsOtherAttempt(task) {
+		m.exitTask(task, wire.CauseBusy)
+		return
 	}
 	if m.freeCPU() < 0 {
-		m.exitTask(t, wire.CauseNoCapacity)
+		m.exitTask(task, wire.CauseNoCapacity)
 		return
 	}
-	run := t.generation
-	fetch := time.Duration(0)
-	if !m.images[j.spec.Image] {
-		fetch = m.sim.randomDuration(500*time.Millisecond, 4*time.Second)
+	pullTime := time.Duration(0)
+	if !m.images[job.spec.Image] {
+		pullTime = m.sim.randomDuration(500*time.Millisecond, 4*time.Second)
 	}
-	m.sim.schedule(fetch, func() {
-		if m.gone || t.generation != run {
-			return
+	generation := task.generation
+	m.sim.schedule(pullTime, func() {
+		if !m.gone && task.generation == generation {
+			m.runTask(task, job)
 		}
-		m.images[j.spec.Image] = true
-		if j.completedTasks[n] {
-			m.exitTask(t, wire.CauseDone)
-			return
-		}
-		t.stage = wire.TaskRunning
-		m.sim.Checker.TaskStarted(m.sim.now, id, n, m.machine)
-		m.sim.queueOrder.jobStarted(id)
-		if m.sim.Checker.failingJobs[id] != nil {
-			m.sim.schedule(m.sim.randomDuration(100*time.Millisecond, 3*time.Second), func() {
-				if !m.gone && t.generation == run {
-					m.exitTask(t, wire.CauseError)
-				}
-			})
-			return
-		}
-		if j.spec.Service {
-			return
-		}
-		most := 25 * time.Second
-		if m.sim.options.LongTasks {
-			most = 80 * time.Second
+	})
+}
+
+// runsOtherAttempt reports whether another attempt of the task is on the machine.
+func (m *fakeWorker) runsOtherAttempt(task *fakeTask) bool {
+	for _, other := range m.tasks {
+		if other != task && other.stage != wire.TaskExited && other.job == task.job && other.task == task.task {
+			return true
 		}
-		m.sim.schedule(m.sim.randomDuration(2*time.Second, most), func() {
-			if m.gone || t.generation != run {
-				return
-			}
-			if !m.sim.options.NoFaults && m.sim.chance(0.02) {
-				m.exitTask(t, wire.CauseError)
-				return
-			}
-			if len(j.completedTasks) == j.spec.Tasks-1 && !j.completedTasks[n] {
-				m.sim.onLastTaskEnding(id)
+	}
+	return false
+}
+
+// runTask runs a task whose image is there, and schedules its end.
+func (m *fakeWorker) runTask(task *fakeTask, job *observedJob) {
+	w := m.sim
+	m.images[job.spec.Image] = true
+	if job.completedTasks[task.task] {
+		m.exitTask(task, wire.CauseDone)
+		return
+	}
+	task.stage = wire.TaskRunning
+	w.Checker.TaskStarted(w.now, task.job, task.task, m.machine)
+	w.queueOrder.jobStarted(task.job)
+	generation := task.generation
+	if w.Checker.failingJobs[task.job] != nil {
+		w.schedule(w.randomDuration(100*time.Millisecond, 3*time.Second), func() {
+			if !m.gone && task.generation == generation {
+				m.exitTask(task, wire.CauseError)
 			}
-			m.sim.Checker.TaskCompleted(id, n)
-			m.exitTask(t, wire.CauseDone)
-			m.sendHeartbeat()
 		})
+		return
+	}
+	if job.spec.Service {
+		return
+	}
+	maxRuntime := maxTaskRuntime
+	if w.options.LongTasks {
+		maxRuntime = maxLongTaskRuntime
+	}
+	w.schedule(w.randomDuration(2*time.Second, maxRuntime), func() {
+		if !m.gone && task.generation == generation {
+			m.completeTask(task, job)
+		}
 	})
 }
 
-// freeCPU is what is free of a machine's cores, in thousandths.
+// completeTask ends a task that has run for its time: with success, or a rare error.
+func (m *fakeWorker) completeTask(task *fakeTask, job *observedJob) {
+	w := m.sim
+	if !w.options.NoFaults && w.chance(0.02) {
+		m.exitTask(task, wire.CauseError)
+		return
+	}
+	if len(job.completedTasks) == job.spec.Tasks-1 && !job.completedTasks[task.task] {
+		w.onLastTaskEnding(task.job)
+	}
+	w.Checker.TaskCompleted(task.job, task.task)
+	m.exitTask(task, wire.CauseDone)
+	m.sendHeartbeat()
+}
+
+// freeCPU returns the unallocated cores of the machine, in thousandths.
 func (m *fakeWorker) freeCPU() int64 {
-	room := cpuCapacity(m.machine.Type)
-	for _, t := range m.tasks {
-		if t.stage != wire.TaskExited {
-			room -= m.sim.Checker.jobs[t.job].spec.Request[0]
+	free := cpuCapacity(m.machine.Type)
+	for _, task := range m.tasks {
+		if task.stage != wire.TaskExited {
+			free -= m.sim.Checker.jobs[task.job].spec.Request[0]
 		}
 	}
-	return room
+	return free
 }
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -7,185 +7,227 @@
 	"time"
 )
 
-// scheduleUsers submit, poll and cancel.
+// Timeouts of users, and their pause before they repeat a request.
+const (
+	submitTimeout = 5 * time.Second
+	cancelTimeout = 5 * time.Second
+	pollTimeout   = 2 * time.Second
+	retryInterval = time.Second
+	pollInterval  = 5 * time.Second
+)
+
+// scheduleUsers schedules the users who submit, poll and cancel jobs.
 func (w *Simulator) scheduleUsers() {
-	for i := 0; i < w.options.Jobs; i++ {
-		s := w.randomJob()
+	for range w.options.Jobs {
+		spec := w.randomJob()
 		if w.options.ZonePinnedJobs {
-			s.Zone, s.Spread, s.OneZone = zones[w.rng.IntN(3)], false, w.chance(0.5)
+			spec.Zone, spec.Spread, spec.OneZone = zones[w.rng.IntN(zoneCount)], false, w.chance(0.5)
 		}
 		if w.options.PriorityClasses {
-			s = w.uniformJob()
+			spec = w.uniformJob()
 		}
 		at := w.randomDuration(0, w.options.Duration*2/3)
-		w.schedule(at, func() { w.runUser(s) })
+		w.schedule(at, func() { w.runUser(spec) })
 	}
 	for range w.options.FailingJobs {
-		s := w.randomJob()
-		s.Dependencies, s.Service = nil, w.chance(0.2)
-		w.Checker.failingJobs[s.ID] = &failingJob{}
-		w.schedule(w.randomDuration(0, w.options.Duration/3), func() { w.runUser(s) })
+		spec := w.randomJob()
+		spec.Dependencies, spec.Service = nil, w.chance(0.2)
+		w.Checker.failingJobs[spec.ID] = &failingJob{}
+		w.schedule(w.randomDuration(0, w.options.Duration/3), func() { w.runUser(spec) })
 	}
 	for range w.options.Pipelines {
 		w.schedule(w.randomDuration(w.pipelinesStartAt(), w.options.Duration*2/3), w.submitPipeline)
 	}
 	for i := range w.options.SingleTaskJobs {
-		s := w.randomJob()
-		s.Service, s.Tasks, s.OneZone, s.Spread = false, 1, false, false
-		w.schedule(10*time.Second+time.Duration(i)*250*time.Millisecond, func() { w.runUser(s) })
+		spec := w.randomJob()
+		spec.Service, spec.Tasks, spec.OneZone, spec.Spread = false, 1, false, false
+		w.schedule(10*time.Second+time.Duration(i)*250*time.Millisecond, func() { w.runUser(spec) })
 	}
-	var stranger func()
-	stranger = func() { // asks about jobs that nobody submitted
-		id := fmt.Sprintf("wk-x%05d", w.rng.IntN(100000))
-		w.pollOnce(w.nodes[w.rng.IntN(len(w.nodes))], credentialOf(rootUser), id, func() {})
-		w.schedule(5*time.Second, stranger)
-	}
-	w.schedule(time.Second, stranger)
+	w.schedule(time.Second, w.pollUnknownJob)
+}
+
+// pollUnknownJob polls a job that nobody submitted, again and again.
+func (w *Simulator) pollUnknownJob() {
+	id := fmt.Sprintf("wk-x%05d", w.rng.IntN(100000))
+	w.pollOnce(w.anyNode(), credentialOf(rootUser), id, func() {})
+	w.schedule(pollInterval, w.pollUnknownJob)
 }
 
+// anyNode draws a controller; it may be down.
+func (w *Simulator) anyNode() *node { return w.nodes[w.rng.IntN(len(w.nodes))] }
+
+// checkJobResponse hands a response about a job to the checker. Without a response, or if the caller may not have been
+// permitted to see the job, nothing is concluded.
 func (w *Simulator) checkJobResponse(
-	by core.Credential,
-	began time.Duration,
+	caller core.Credential,
+	sentAt time.Duration,
 	verb, id string,
-	r core.Response,
+	response core.Response,
 	ok bool,
-) string {
+) {
 	if !ok {
-		w.Checker.CheckResponsive(began, w.now, id, wire.StatusNoAnswer)
+		w.Checker.CheckResponsive(sentAt, w.now, id, wire.StatusNoAnswer)
 	}
-	if !ok || !w.checkPermission(by, began, verb, id, r.Status) {
-		return ""
+	if !ok || !w.checkPermission(caller, sentAt, verb, id, response.Status) {
+		return
 	}
-	st, _ := r.Body.(wire.JobState)
-	w.Checker.CheckResponsive(began, w.now, id, r.Status)
+	state, _ := response.Body.(wire.JobState)
+	w.Checker.CheckResponsive(sentAt, w.now, id, response.Status)
 	before := w.Checker.userViewOf(id)
-	w.Checker.CheckResponse(began, w.now, verb, id, r.Status, st.Stage)
+	w.Checker.CheckResponse(sentAt, w.now, verb, id, response.Status, state.Stage)
 	if w.now < w.eagerPollsUntil && w.Checker.userViewOf(id) != before {
-		w.pollEagerly(by, id)
+		w.pollEagerly(caller, id)
 	}
-	return st.Stage
 }
 
 // submitOnce sends a submission to a controller.
-func (w *Simulator) submitOnce(n *node, in core.SubmitJob, then func(r core.Response, ok bool)) {
-	began := w.now
-	w.sendRequest(n, 5*time.Second, func(r uint64) core.Input {
-		in.RequestID, in.UnixMS = r, w.nowUnixMS()
-		return in
-	}, func(r core.Response, ok bool) {
-		w.checkJobResponse(in.Caller, began, "submit", in.ID, r, ok)
-		then(r, ok)
+func (w *Simulator) submitOnce(target *node, submission core.SubmitJob, then func(response core.Response, ok bool)) {
+	sentAt := w.now
+	w.sendRequest(target, submitTimeout, func(requestID uint64) core.Input {
+		submission.RequestID, submission.UnixMS = requestID, w.nowUnixMS()
+		return submission
+	}, func(response core.Response, ok bool) {
+		w.checkJobResponse(submission.Caller, sentAt, "submit", submission.ID, response, ok)
+		then(response, ok)
 	})
 }
 
-// pollOnce asks a controller about a job.
-func (w *Simulator) pollOnce(n *node, by core.Credential, id string, then func()) {
-	began := w.now
-	w.sendRequest(
-		n,
-		2*time.Second,
-		func(r uint64) core.Input { return core.GetJob{RequestID: r, ID: id, Caller: by} },
-		func(r core.Response, ok bool) {
-			w.checkJobResponse(by, began, "poll", id, r, ok)
-			then()
-		},
-	)
+// pollOnce asks a controller for the state of a job.
+func (w *Simulator) pollOnce(target *node, caller core.Credential, id string, then func()) {
+	sentAt := w.now
+	w.sendRequest(target, pollTimeout, func(requestID uint64) core.Input {
+		return core.GetJob{RequestID: requestID, ID: id, Caller: caller}
+	}, func(response core.Response, ok bool) {
+		w.checkJobResponse(caller, sentAt, "poll", id, response, ok)
+		then()
+	})
+}
+
+// cancelOnce asks a controller to cancel a job.
+func (w *Simulator) cancelOnce(
+	target *node,
+	caller core.Credential,
+	id string,
+	then func(response core.Response, ok bool),
+) {
+	sentAt := w.now
+	w.sendRequest(target, cancelTimeout, func(requestID uint64) core.Input {
+		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS(), Caller: caller}
+	}, func(response core.Response, ok bool) {
+		w.checkJobResponse(caller, sentAt, "cancel", id, response, ok)
+		then(response, ok)
+	})
 }
 
-func (w *Simulator) runUser(s wire.JobSpec) { w.runUserThen(s, func() {}) }
+// runUser starts a user who submits a job.
+func (w *Simulator) runUser(spec wire.JobSpec) { w.runUserThen(spec, func() {}) }
 
-// runUserThen is a user who submits a job and goes on with something else once it is accepted.
-func (w *Simulator) runUserThen(s wire.JobSpec, accepted func()) {
-	if w.Checker.jobs[s.ID] != nil {
+// runUserThen starts a user who submits a job, and calls accepted each time a submission of it succeeds.
+func (w *Simulator) runUserThen(spec wire.JobSpec, accepted func()) {
+	if w.Checker.jobs[spec.ID] != nil {
 		return
 	}
-	w.Checker.JobSubmitted(s)
-	by := w.randomUser()
-	pick := func() *node { return w.nodes[w.rng.IntN(len(w.nodes))] }
-	over := false
-	var submit, poll, cancel func()
-	submit = func() {
-		for range 3 {
-			if w.now < w.eagerPollsUntil && w.chance(0.3) { // an impatient user
-				w.schedule(w.randomDuration(0, 300*time.Millisecond), func() { w.resubmit(pick(), by, s) })
-			}
+	w.Checker.JobSubmitted(spec)
+	user := &jobUser{sim: w, caller: w.randomUser(), spec: spec, accepted: accepted}
+	user.submit()
+}
+
+// jobUser is a user with one job: it submits until that is accepted, polls, and perhaps cancels.
+type jobUser struct {
+	sim       *Simulator
+	caller    core.Credential
+	spec      wire.JobSpec
+	accepted  func()
+	cancelled bool // its cancellation was acknowledged
+}
+
+// submit sends the submission until it is accepted.
+func (u *jobUser) submit() {
+	w := u.sim
+	for range 3 {
+		if w.now < w.eagerPollsUntil && w.chance(0.3) { // an impatient user
+			w.schedule(w.randomDuration(0, 300*time.Millisecond), func() { w.resubmit(w.anyNode(), u.caller, u.spec) })
 		}
-		w.submitOnce(pick(), core.SubmitJob{ID: s.ID, Spec: s, Caller: by},
-			func(r core.Response, ok bool) {
-				if !ok || r.Status != wire.StatusOK && r.Status != wire.StatusCreated {
-					w.schedule(time.Second, submit)
-					return
-				}
-				accepted()
-				w.schedule(w.randomDuration(time.Second, 5*time.Second), poll)
-				if w.Checker.failingJobs[s.ID] != nil { // it is long until somebody looks
-					w.schedule(w.randomDuration(60*time.Second, 150*time.Second), cancel)
-				} else if s.Service || w.chance(0.25) {
-					w.schedule(w.randomDuration(time.Second, 60*time.Second), cancel)
-				}
-				if w.chance(0.3) { // a late repeat, with another body
-					w.schedule(w.randomDuration(time.Second, 50*time.Second), func() {
-						w.submitOnce(
-							pick(),
-							core.SubmitJob{ID: s.ID, DecodeError: "nonsense", Caller: by},
-							func(core.Response, bool) {},
-						)
-					})
-				}
-			})
 	}
-	poll = func() {
-		w.pollOnce(pick(), by, s.ID, func() {
-			if !over || w.chance(0.5) {
-				w.schedule(5*time.Second, poll)
+	w.submitOnce(w.anyNode(), core.SubmitJob{ID: u.spec.ID, Spec: u.spec, Caller: u.caller},
+		func(response core.Response, ok bool) {
+			if !ok || response.Status != wire.StatusOK && response.Status != wire.StatusCreated {
+				w.schedule(retryInterval, u.submit)
+				return
 			}
+			u.afterAcceptance()
 		})
+}
+
+// afterAcceptance schedules what the user does with an accepted job.
+func (u *jobUser) afterAcceptance() {
+	w := u.sim
+	u.accepted()
+	w.schedule(w.randomDuration(time.Second, 5*time.Second), u.poll)
+	if w.Checker.failingJobs[u.spec.ID] != nil { // it takes long until the user notices
+		w.schedule(w.randomDuration(60*time.Second, 150*time.Second), u.cancel)
+	} else if u.spec.Service || w.chance(0.25) {
+		w.schedule(w.randomDuration(time.Second, 60*time.Second), u.cancel)
 	}
-	cancel = func() {
-		w.Checker.CancelRequested(s.ID)
-		began := w.now
-		w.sendRequest(pick(), 5*time.Second, func(r uint64) core.Input {
-			return core.CancelJob{RequestID: r, ID: s.ID, UnixMS: w.nowUnixMS(), Caller: by}
-		},
-			func(r core.Response, ok bool) {
-				w.checkJobResponse(by, began, "cancel", s.ID, r, ok)
-				if !ok || r.Status != wire.StatusOK {
-					w.schedule(time.Second, cancel)
-					return
-				}
-				over = true
-			})
+	if w.chance(0.3) {
+		w.schedule(w.randomDuration(time.Second, 50*time.Second), u.repeatWithInvalidBody)
 	}
-	submit()
 }
 
-// randomJob is a job of some kind that nobody has submitted.
+// repeatWithInvalidBody submits the accepted job again, with a body that can't be decoded.
+func (u *jobUser) repeatWithInvalidBody() {
+	u.sim.submitOnce(
+		u.sim.anyNode(),
+		core.SubmitJob{ID: u.spec.ID, DecodeError: "nonsense", Caller: u.caller},
+		func(core.Response, bool) {},
+	)
+}
+
+// poll asks for the job's state until the cancellation is acknowledged, and now and then afterwards.
+func (u *jobUser) poll() {
+	w := u.sim
+	w.pollOnce(w.anyNode(), u.caller, u.spec.ID, func() {
+		if !u.cancelled || w.chance(0.5) {
+			w.schedule(pollInterval, u.poll)
+		}
+	})
+}
+
+// cancel asks to cancel the job until that is acknowledged.
+func (u *jobUser) cancel() {
+	w := u.sim
+	w.Checker.CancelRequested(u.spec.ID)
+	w.cancelOnce(w.anyNode(), u.caller, u.spec.ID, func(response core.Response, ok bool) {
+		if !ok || response.Status != wire.StatusOK {
+			w.schedule(retryInterval, u.cancel)
+			return
+		}
+		u.cancelled = true
+	})
+}
+
+// randomJob draws a job that nobody has submitted yet.
 func (w *Simulator) randomJob() wire.JobSpec {
-	s := wire.JobSpec{
-		ID:    fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)),
-		Class: "c",
-		Team:  w.teams[w.rng.IntN(2)].Name,
-		Service: w.chance(
-			0.3,
-		),
-		Priority: w.rng.IntN(4),
-		Tasks:    1 + w.rng.IntN(w.options.MaxTasksPerJob),
-		Request:  [3]int64{1000 * int64(1+w.rng.IntN(4)), 0, 2000},
-		Image: fmt.Sprintf(
-			"i%d",
-			w.rng.IntN(3),
-		),
+	spec := wire.JobSpec{
+		ID:                 fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)),
+		Class:              "c",
+		Team:               w.teams[w.rng.IntN(2)].Name,
+		Service:            w.chance(0.3),
+		Priority:           w.rng.IntN(4),
+		Tasks:              1 + w.rng.IntN(w.options.MaxTasksPerJob),
+		Request:            [3]int64{1000 * int64(1+w.rng.IntN(4)), 0, 2000},
+		Image:              fmt.Sprintf("i%d", w.rng.IntN(3)),
 		OneZone:            w.chance(0.2),
 		Spot:               w.chance(0.5),
 		EstimatedRuntimeMS: 10000,
 	}
-	s.Spread = !s.OneZone && w.chance(0.4)
+	spec.Spread = !spec.OneZone && w.chance(0.4)
 	if w.chance(0.2) {
-		s.Zone = zones[w.rng.IntN(3)]
-		s.Spread = false
+		spec.Zone = zones[w.rng.IntN(zoneCount)]
+		spec.Spread = false
 	}
 	if w.chance(0.2) {
-		s.MachineTypes = []string{"big"}
+		spec.MachineTypes = []string{"big"}
 	}
-	return s
+	return spec
 }
