--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -1,6 +1,7 @@
 package sim
 
 import (
+	"dewlift/archive"
 	"dewlift/core"
 	"dewlift/wire"
 	"fmt"
@@ -9,52 +10,62 @@
 	"time"
 )
 
-// Checker watches what happens in the world and notes every broken rule.
+// Checker observes a simulation and records every violated rule. It knows what users were answered and what runs on
+// machines, and nothing of what controllers believe.
 type Checker struct {
-	Violations    []string
+	Violations    []string // "rule: what happened"
 	cancelTimeout time.Duration
-	quotas        map[string][2]int64
+	quotas        map[string][2]int64 // maximum of CPU and memory by team; 0: none
 	jobs          map[string]*observedJob
-	runningOn     map[string]map[string]bool // task -> machines it is on
+	runningOn     map[string]map[string]bool // by task name: the machines that it runs on
 	machines      map[string]wire.Machine
-	allocated     map[string][2]int64       // room that a team's tasks take
-	cancelled     []*observedJob            // cancelled jobs that may have tasks left
-	dependents    map[string][]*observedJob // jobs that await a job
+	allocated     map[string][2]int64       // CPU and memory of the running tasks by team
+	cancelled     []*observedJob            // jobs whose cancellation users were told of
+	dependents    map[string][]*observedJob // by job: the jobs that depend on it
 	permissions   map[string]permissionView
-	Starts        int
-	// starts after a confirmed cancellation: within the time of a cancellation these are counted, not a broken rule
+	Starts        int // task starts
+	// StartsAfterCancel counts starts after an acknowledged cancellation. Within the cancel timeout they are no
+	// violation.
 	StartsAfterCancel int
 	failingJobs       map[string]*failingJob
-	faultFreeFrom     time.Duration // all troubles are over since; 0: they never are
-	// until then troubles follow each other so closely that no job may have a chance to begin
+	faultFreeFrom     time.Duration // no fault has an effect from then on; 0: faults never end
+	// overlappingFaults is set if faults follow each other so closely that no job may have a chance to start before
+	// faultFreeFrom.
 	overlappingFaults bool
-	lastEventAt       time.Duration // of the last event
+	lastEventAt       time.Duration // time of the latest event
 }
 
-// observedJob is what the users know of a job.
+// observedJob is what users and machines show of a job.
 type observedJob struct {
 	spec            wire.JobSpec
 	submitted       bool
 	accepted        bool
 	acceptedAt      time.Duration
-	stage           string         // "done" or "cancelled" once told
-	cancelRequested bool           // its user asked to cancel
-	endToldAt       time.Duration  // when its end was told first
-	cancelToldAt    time.Duration  // when the cancellation was told
+	stage           string         // "done" or "cancelled" once a user was told
+	cancelRequested bool           // its user asked to cancel it
+	endToldAt       time.Duration  // when a user was first told of its end
+	cancelToldAt    time.Duration  // when a user was told of the cancellation
 	completedTasks  map[int]bool   // tasks completed on a worker
-	tasksByZone     map[string]int // tasks on machines by zone
+	tasksByZone     map[string]int // running tasks by zone
 	runningTasks    int            // tasks on machines
-	startedAt       time.Duration  // when a task of it started first
-	readyAt         time.Duration  // when all that it awaits was done
-	// the first question about it that was not answered, since the last that was and all troubles are over
+	startedAt       time.Duration  // when a task of it first started; 0: never
+	readyAt         time.Duration  // when its last dependency was done; notReady before
+	// unansweredSince is when the first unanswered request about it was sent, since the last answered one and
+	// faultFreeFrom; 0: none.
 	unansweredSince time.Duration
-	// since when it waits while it could run and nothing of it starts, after all troubles; 0: it does not
+	// starvingSince is since when it is feasible, waits and no task of it starts, after faultFreeFrom; 0: it does
+	// not.
 	starvingSince         time.Duration
-	dependencyCancelled   bool          // a job that it needs was called cancelled
-	dependencyCancelledAt time.Duration // when its user was told so
+	dependencyCancelled   bool          // users were told that a job it depends on was cancelled
+	dependencyCancelledAt time.Duration // when they were told
 }
 
-// NewChecker returns a checker.
+// allTasksCompleted reports whether all tasks of a job completed on workers. An unknown job has not.
+func (j *observedJob) allTasksCompleted() bool {
+	return j != nil && len(j.completedTasks) >= j.spec.Tasks
+}
+
+// NewChecker returns a checker for teams with maximum quotas.
 func NewChecker(cancelTimeout time.Duration, quotas map[string][2]int64) *Checker {
 	return &Checker{
 		cancelTimeout: cancelTimeout,
@@ -69,348 +80,381 @@
 	}
 }
 
+// violated records a violation. Tests compare the names of rules: they stay.
 func (k *Checker) violated(rule, format string, args ...any) {
 	k.Violations = append(k.Violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
-// JobSubmitted notes a job that a user submits.
-func (k *Checker) JobSubmitted(s wire.JobSpec) {
-	if k.jobs[s.ID] != nil {
+// JobSubmitted records a job that a user submits.
+func (k *Checker) JobSubmitted(spec wire.JobSpec) {
+	if k.jobs[spec.ID] != nil {
 		return
 	}
-	j := &observedJob{spec: s, submitted: true, completedTasks: map[int]bool{}, tasksByZone: map[string]int{}}
-	k.jobs[s.ID] = j
-	for _, id := range s.Dependencies {
-		k.dependents[id] = append(k.dependents[id], j)
-		if o := k.jobs[id]; o == nil || len(o.completedTasks) < o.spec.Tasks {
-			j.readyAt = notReady
+	job := &observedJob{spec: spec, submitted: true, completedTasks: map[int]bool{}, tasksByZone: map[string]int{}}
+	k.jobs[spec.ID] = job
+	for _, id := range spec.Dependencies {
+		k.dependents[id] = append(k.dependents[id], job)
+		if !k.jobs[id].allTasksCompleted() {
+			job.readyAt = notReady
 		}
 	}
 }
 
-// cancelDependents notes that the jobs that need a cancelled one are cancelled with it: within the time of a
-// cancellation after its user was told, or after their own acceptance, if that is later.
-func (k *Checker) cancelDependents(j *observedJob, at time.Duration) {
-	for list := k.dependents[j.spec.ID]; len(list) > 0; {
-		n := list[len(list)-1]
-		list = list[: len(list)-1 : len(list)-1] // the index keeps its own
-		if !n.dependencyCancelled {
-			n.dependencyCancelled, n.dependencyCancelledAt = true, at
-			list = append(list, k.dependents[n.spec.ID]...)
+// cancelDependents records that all jobs that depend on a cancelled one are to be cancelled too: within the cancel
+// timeout after users were told of it, or after their own acceptance if that is later.
+func (k *Checker) cancelDependents(job *observedJob, at time.Duration) {
+	for list := k.dependents[job.spec.ID]; len(list) > 0; {
+		dependent := list[len(list)-1]
+		list = list[: len(list)-1 : len(list)-1] // appending must not overwrite k.dependents
+		if !dependent.dependencyCancelled {
+			dependent.dependencyCancelled, dependent.dependencyCancelledAt = true, at
+			list = append(list, k.dependents[dependent.spec.ID]...)
 		}
 	}
 }
 
-// dependencyMayBeCancelled reports whether a job that a job needs was called cancelled or may soon be: its user has
-// asked for it.
-func (k *Checker) dependencyMayBeCancelled(j *observedJob) bool {
-	seen := map[string]bool{}
-	for list := j.spec.Dependencies; len(list) > 0; {
+// dependencyMayBeCancelled reports whether a direct or indirect dependency of a job is cancelled or may be soon:
+// its user has asked for it.
+func (k *Checker) dependencyMayBeCancelled(job *observedJob) bool {
+	visited := map[string]bool{}
+	for list := job.spec.Dependencies; len(list) > 0; {
 		id := list[len(list)-1]
 		list = list[: len(list)-1 : len(list)-1]
-		if o := k.jobs[id]; o != nil && !seen[id] {
-			seen[id] = true
-			if o.cancelRequested && o.stage != wire.StageDone {
+		if dependency := k.jobs[id]; dependency != nil && !visited[id] {
+			visited[id] = true
+			if dependency.cancelRequested && dependency.stage != wire.StageDone {
 				return true
 			}
-			list = append(list, o.spec.Dependencies...)
+			list = append(list, dependency.spec.Dependencies...)
 		}
 	}
 	return false
 }
 
-// CancelRequested notes that a user asks to cancel a job.
+// CancelRequested records that a user asks to cancel a job.
 func (k *Checker) CancelRequested(id string) { k.jobs[id].cancelRequested = true }
 
-// CheckResponse checks an answer to a submission, a poll or a cancellation that was asked at began.
-func (k *Checker) CheckResponse(began, now time.Duration, verb, id string, status wire.Status, stage string) {
-	j := k.jobs[id]
-	if status == wire.StatusOK || status == wire.StatusCreated {
-		if j == nil {
-			k.violated("invented", "%s of %s got %d", verb, id, status)
-			return
-		}
-		if !j.accepted {
-			j.accepted, j.acceptedAt = true, now
-			for _, id := range j.spec.Dependencies { // one that names a cancelled job is cancelled too
-				if o := k.jobs[id]; o != nil && (o.dependencyCancelled || o.stage == wire.StageCancelled) &&
-					!j.dependencyCancelled {
-					j.dependencyCancelled, j.dependencyCancelledAt = true, now
-				}
-			}
-		}
-		if j.stage != "" && stage != j.stage {
-			if began < j.endToldAt && stage != wire.StageDone && stage != wire.StageCancelled {
-				return // it was on its way when the other answer was given
-			}
-			k.violated("went_back", "%s was called %s and is called %s", id, j.stage, stage)
-		}
-		switch stage {
-		case wire.StageDone:
-			if len(j.completedTasks) < j.spec.Tasks {
-				k.violated(
-					"not_done",
-					"%s is called done with %d of %d tasks",
-					id,
-					len(j.completedTasks),
-					j.spec.Tasks,
-				)
-			}
-			if j.stage == "" {
-				j.endToldAt = now
-			}
-			j.stage = stage
-		case wire.StageCancelled:
-			if !j.cancelRequested && !k.dependencyMayBeCancelled(j) {
-				k.violated("went_back", "%s is called cancelled, its user did not ask", id)
-			}
-			if j.stage == "" {
-				j.cancelToldAt, j.endToldAt = now, now
-				k.cancelled = append(k.cancelled, j)
-				k.cancelDependents(j, now)
-			}
-			j.stage = stage
-		default:
-			if j.dependencyCancelled && began-j.dependencyCancelledAt > k.cancelTimeout &&
-				began > j.acceptedAt+k.cancelTimeout {
-				k.violated(
-					"orphaned",
-					"%s is called %s %v after a job that it needs was cancelled",
-					id,
-					stage,
-					began-j.dependencyCancelledAt,
-				)
-			}
-		}
+// CheckResponse checks the response to a submission, a poll or a cancellation that was sent at sentAt.
+func (k *Checker) CheckResponse(sentAt, now time.Duration, verb, id string, status wire.Status, stage string) {
+	job := k.jobs[id]
+	if status != wire.StatusOK && status != wire.StatusCreated {
+		k.checkFailure(verb, id, status)
 		return
 	}
-	if j == nil || !j.accepted {
+	if job == nil {
+		k.violated("invented", "%s of %s got %d", verb, id, status)
 		return
 	}
-	if status == wire.StatusNotFound || verb == "submit" && (status == wire.StatusBadRequest || status == wire.StatusInvalid) {
+	if !job.accepted {
+		k.recordAcceptance(job, now)
+	}
+	if job.stage != "" && stage != job.stage {
+		if sentAt < job.endToldAt && stage != wire.StageDone && stage != wire.StageCancelled {
+			return // it was in flight when a user was told of the end
+		}
+		k.violated("went_back", "%s was reported %s and is reported %s", id, job.stage, stage)
+	}
+	switch stage {
+	case wire.StageDone:
+		k.checkDone(job, now)
+	case wire.StageCancelled:
+		k.checkCancelled(job, now)
+	default:
+		if job.dependencyCancelled && sentAt-job.dependencyCancelledAt > k.cancelTimeout &&
+			sentAt > job.acceptedAt+k.cancelTimeout {
+			k.violated("orphaned", "%s is reported %s %v after a job that it depends on was cancelled",
+				id, stage, sentAt-job.dependencyCancelledAt)
+		}
+	}
+}
+
+// checkFailure checks a failed request: an accepted job is neither unknown nor invalid.
+func (k *Checker) checkFailure(verb, id string, status wire.Status) {
+	job := k.jobs[id]
+	invalid := verb == "submit" && (status == wire.StatusBadRequest || status == wire.StatusInvalid)
+	if job != nil && job.accepted && (status == wire.StatusNotFound || invalid) {
 		k.violated("forgotten", "%s of %s got %d", verb, id, status)
 	}
 }
 
-// TaskStarted notes that a task is on a machine from now: it has its image and runs.
-func (k *Checker) TaskStarted(now time.Duration, id string, task int, m wire.Machine) {
+// recordAcceptance records that a job is accepted. One that depends on a cancelled job is to be cancelled too.
+func (k *Checker) recordAcceptance(job *observedJob, now time.Duration) {
+	job.accepted, job.acceptedAt = true, now
+	for _, id := range job.spec.Dependencies {
+		dependency := k.jobs[id]
+		if dependency != nil && (dependency.dependencyCancelled || dependency.stage == wire.StageCancelled) &&
+			!job.dependencyCancelled {
+			job.dependencyCancelled, job.dependencyCancelledAt = true, now
+		}
+	}
+}
+
+// checkDone checks a job that is reported done: all its tasks completed.
+func (k *Checker) checkDone(job *observedJob, now time.Duration) {
+	if !job.allTasksCompleted() {
+		k.violated("not_done", "%s is reported done with %d of %d tasks",
+			job.spec.ID, len(job.completedTasks), job.spec.Tasks)
+	}
+	if job.stage == "" {
+		job.endToldAt = now
+	}
+	job.stage = wire.StageDone
+}
+
+// checkCancelled checks a job that is reported cancelled: a user asked for it, or for that of a dependency.
+func (k *Checker) checkCancelled(job *observedJob, now time.Duration) {
+	if !job.cancelRequested && !k.dependencyMayBeCancelled(job) {
+		k.violated("went_back", "%s is reported cancelled, its user did not ask", job.spec.ID)
+	}
+	if job.stage == "" {
+		job.cancelToldAt, job.endToldAt = now, now
+		k.cancelled = append(k.cancelled, job)
+		k.cancelDependents(job, now)
+	}
+	job.stage = wire.StageCancelled
+}
+
+// TaskStarted checks and records that a task runs on a machine from now on.
+func (k *Checker) TaskStarted(now time.Duration, id string, task int, machine wire.Machine) {
 	k.Starts++
-	if x := k.failingJobs[id]; x != nil {
-		x.recordStart(k, now, id)
+	if failing := k.failingJobs[id]; failing != nil {
+		failing.recordStart(k, now, id)
 	}
 	name := wire.TaskName(id, task)
-	j := k.jobs[id]
-	if j == nil {
+	job := k.jobs[id]
+	if job == nil {
 		k.violated("invented", "%s runs, nobody submitted it", name)
 		return
 	}
 	for other := range k.runningOn[name] {
-		if other != m.Name {
-			k.violated("ran_twice", "%s starts on %s while it is on %s", name, m.Name, other)
+		if other != machine.Name {
+			k.violated("ran_twice", "%s starts on %s while it is on %s", name, machine.Name, other)
 		}
 	}
-	if k.runningOn[name] == nil {
-		k.runningOn[name] = map[string]bool{}
-	}
-	if j.startedAt == 0 {
-		j.startedAt = max(1, now)
+	if job.startedAt == 0 {
+		job.startedAt = max(1, now)
 	}
-	j.starvingSince = 0
-	if j.stage == wire.StageCancelled {
+	job.starvingSince = 0
+	if job.stage == wire.StageCancelled {
 		k.StartsAfterCancel++
 	}
-	s := &j.spec
-	for _, id := range s.Dependencies {
-		if o := k.jobs[id]; o == nil || len(o.completedTasks) < o.spec.Tasks {
-			k.violated("too_early", "%s starts before %s is done", name, id)
+	for _, dependency := range job.spec.Dependencies {
+		if !k.jobs[dependency].allTasksCompleted() {
+			k.violated("too_early", "%s starts before %s is done", name, dependency)
 		}
 	}
-	k.machines[m.Name] = m
-	if !k.runningOn[name][m.Name] {
-		k.runningOn[name][m.Name] = true
-		k.countTask(j, m.Zone, 1)
+	k.recordRunning(job, name, machine)
+	k.checkPlacement(job, name, machine)
+	k.checkQuota(job.spec.Team)
+	k.Tick(now)
+}
+
+// recordRunning adds a machine to those that a task runs on.
+func (k *Checker) recordRunning(job *observedJob, name string, machine wire.Machine) {
+	k.machines[machine.Name] = machine
+	if k.runningOn[name] == nil {
+		k.runningOn[name] = map[string]bool{}
 	}
-	ok := s.MachineTypes == nil
-	for _, t := range s.MachineTypes {
-		ok = ok || t == m.Type
+	if !k.runningOn[name][machine.Name] {
+		k.runningOn[name][machine.Name] = true
+		k.countTask(job, machine.Zone, 1)
 	}
-	if !ok || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.Spot {
-		k.violated("wrong_place", "%s on %s (%s, %s, spot %v)", name, m.Name, m.Type, m.Zone, m.Spot)
+}
+
+// checkPlacement checks that a machine satisfies the constraints of a job, with the task counted already.
+func (k *Checker) checkPlacement(job *observedJob, name string, machine wire.Machine) {
+	spec := &job.spec
+	if !satisfiesMachineConstraints(spec, machine) {
+		k.violated("wrong_place", "%s on %s (%s, %s, spot %v)",
+			name, machine.Name, machine.Type, machine.Zone, machine.Spot)
 	}
-	if s.OneZone && len(j.tasksByZone) > 1 {
-		k.violated("wrong_place", "%s on %s: its job is in zones %v: %v", name, m.Name, j.tasksByZone, k.runningOn)
+	if spec.OneZone && len(job.tasksByZone) > 1 {
+		k.violated("wrong_place", "%s on %s: its job is in zones %v: %v",
+			name, machine.Name, job.tasksByZone, k.runningOn)
 	}
-	if s.Spread && j.tasksByZone[m.Zone] > (s.Tasks+1)/2 {
-		k.violated("wrong_place", "%s: %d of %d tasks in zone %s", name, j.tasksByZone[m.Zone], s.Tasks, m.Zone)
+	if spec.Spread && job.tasksByZone[machine.Zone] > (spec.Tasks+1)/2 {
+		k.violated("wrong_place", "%s: %d of %d tasks in zone %s",
+			name, job.tasksByZone[machine.Zone], spec.Tasks, machine.Zone)
 	}
-	lim, use := k.quotas[s.Team], k.allocated[s.Team]
-	for i := range use {
-		if lim[i] > 0 && use[i] > lim[i] {
-			k.violated("quota", "team %s uses %d of %d", s.Team, use[i], lim[i])
+}
+
+// satisfiesMachineConstraints reports whether a machine has a type and zone that a job asks for, and is spot only
+// if the job may run on spot machines.
+func satisfiesMachineConstraints(spec *wire.JobSpec, machine wire.Machine) bool {
+	return (spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, machine.Type)) &&
+		(spec.Zone == "" || spec.Zone == machine.Zone) &&
+		(!machine.Spot || spec.Spot)
+}
+
+// checkQuota checks that a team is within its maximum.
+func (k *Checker) checkQuota(team string) {
+	quota, allocated := k.quotas[team], k.allocated[team]
+	for i := range allocated {
+		if quota[i] > 0 && allocated[i] > quota[i] {
+			k.violated("quota", "team %s uses %d of %d", team, allocated[i], quota[i])
 		}
 	}
-	k.Tick(now)
 }
 
-// countTask adds a task on a machine, or takes one away.
-func (k *Checker) countTask(j *observedJob, zone string, n int) {
-	if j.tasksByZone[zone] += n; j.tasksByZone[zone] == 0 {
-		delete(j.tasksByZone, zone)
+// countTask adds running tasks of a job in a zone; a negative count removes them.
+func (k *Checker) countTask(job *observedJob, zone string, count int) {
+	if job.tasksByZone[zone] += count; job.tasksByZone[zone] == 0 {
+		delete(job.tasksByZone, zone)
 	}
-	j.runningTasks += n
-	u := k.allocated[j.spec.Team]
-	for i := range u {
-		u[i] += int64(n) * j.spec.Request[i]
+	job.runningTasks += count
+	allocated := k.allocated[job.spec.Team]
+	for i := range allocated {
+		allocated[i] += int64(count) * job.spec.Request[i]
 	}
-	k.allocated[j.spec.Team] = u
+	k.allocated[job.spec.Team] = allocated
 }
 
-// TaskStopped notes that a task left a machine.
+// TaskStopped records that a task no longer runs on a machine.
 func (k *Checker) TaskStopped(id string, task int, machine string) {
-	n := wire.TaskName(id, task)
-	if !k.runningOn[n][machine] {
+	name := wire.TaskName(id, task)
+	if !k.runningOn[name][machine] {
 		return
 	}
 	k.countTask(k.jobs[id], k.machines[machine].Zone, -1)
-	delete(k.runningOn[n], machine)
-	if len(k.runningOn[n]) == 0 {
-		delete(k.runningOn, n)
+	delete(k.runningOn[name], machine)
+	if len(k.runningOn[name]) == 0 {
+		delete(k.runningOn, name)
 	}
 }
 
-// CheckResponsive notes whether a question about a job was answered: with its state, or that there is none.
-func (k *Checker) CheckResponsive(began, now time.Duration, id string, status wire.Status) {
-	j := k.jobs[id]
-	if j == nil || !j.accepted || k.faultFreeFrom == 0 || began < k.faultFreeFrom {
+// CheckResponsive checks that requests about a job are answered in time once faults are over: with its state, or
+// that it does not exist.
+func (k *Checker) CheckResponsive(sentAt, now time.Duration, id string, status wire.Status) {
+	job := k.jobs[id]
+	if job == nil || !job.accepted || k.faultFreeFrom == 0 || sentAt < k.faultFreeFrom {
 		return
 	}
 	switch {
 	case status == wire.StatusOK || status == wire.StatusCreated || status == wire.StatusNotFound:
-		j.unansweredSince = 0
-	case j.unansweredSince == 0:
-		j.unansweredSince = began
-	case now-j.unansweredSince >= maxUnansweredTime:
-		k.violated("forgotten", "%s: no question about it was answered for %v", id, now-j.unansweredSince)
+		job.unansweredSince = 0
+	case job.unansweredSince == 0:
+		job.unansweredSince = sentAt
+	case now-job.unansweredSince >= maxUnansweredTime:
+		k.violated("forgotten", "%s: no request about it was answered for %v", id, now-job.unansweredSince)
 	}
 }
 
-// By which the operators judge: in their words in the issue and in LATER.md.
+// Service-level objectives of the operators, as worded in the issue and in LATER.md.
 const (
 	maxUnansweredTime = 75 * time.Second
 	maxStartDelay     = 4 * time.Minute
 
-	notReady time.Duration = -1 // of a job that awaits another which is not done
+	notReady time.Duration = -1 // observedJob.readyAt while a dependency is not done
 )
 
-// checkServed checks that of each class and team, and of the largest jobs of each class, at least
-// half began, and that the largest began in time.
+// startCounts counts the accepted jobs of a group, and those of them that started.
+type startCounts struct{ jobs, started int }
+
+// checkServed checks that at least half of the jobs of each class, of each team and of the largest jobs of each class
+// started, and that the largest started in time.
 func (k *Checker) checkServed(now time.Duration) {
-	type count struct{ jobs, began int }
-	groups := map[string]*count{}
-	largest := map[string]int{}
-	for _, j := range k.jobs {
-		largest[j.spec.Class] = max(largest[j.spec.Class], j.spec.Tasks)
+	groups := map[string]*startCounts{}
+	largest := map[string]int{} // by class
+	for _, job := range k.jobs {
+		largest[job.spec.Class] = max(largest[job.spec.Class], job.spec.Tasks)
 	}
 	for _, id := range slices.Sorted(maps.Keys(k.jobs)) {
-		j := k.jobs[id]
-		if !j.accepted || j.cancelRequested || j.dependencyCancelled || k.dependencyMayBeCancelled(j) ||
-			j.acceptedAt > k.faultFreeFrom {
+		job := k.jobs[id]
+		if !job.accepted || k.mayBeCancelled(job) || job.acceptedAt > k.faultFreeFrom {
 			continue
 		}
-		names := []string{"class " + j.spec.Class, "team " + j.spec.Team}
-		if j.spec.Tasks == largest[j.spec.Class] {
-			names = append(names, "the largest of class "+j.spec.Class)
-			// What awaits others can't begin before they are done.
-			could := max(j.acceptedAt, j.readyAt)
-			if k.overlappingFaults {
-				could = max(could, k.faultFreeFrom)
-			}
-			if began := j.startedAt; began-could > maxStartDelay ||
-				began == 0 && j.readyAt != notReady && now-could > maxStartDelay {
-				k.violated(
-					"late_largest",
-					"%s of %d tasks was accepted at %v, could begin at %v and began at %v",
-					id,
-					j.spec.Tasks,
-					j.acceptedAt,
-					could,
-					began,
-				)
-			}
+		names := []string{"class " + job.spec.Class, "team " + job.spec.Team}
+		if job.spec.Tasks == largest[job.spec.Class] {
+			names = append(names, "the largest of class "+job.spec.Class)
+			k.checkStartDelay(job, now)
 		}
 		for _, name := range names {
-			g := groups[name]
-			if g == nil {
-				g = &count{}
-				groups[name] = g
+			if groups[name] == nil {
+				groups[name] = &startCounts{}
 			}
-			g.jobs++
-			if j.startedAt != 0 {
-				g.began++
+			groups[name].jobs++
+			if job.startedAt != 0 {
+				groups[name].started++
 			}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
-		if g := groups[name]; 2*g.began < g.jobs {
-			k.violated("unserved", "%s: %d of %d jobs began", name, g.began, g.jobs)
+		if group := groups[name]; 2*group.started < group.jobs {
+			k.violated("unserved", "%s: %d of %d jobs started", name, group.started, group.jobs)
 		}
 	}
 }
 
-// failingJob is what became of a job whose tasks fail on every machine.
+// mayBeCancelled reports whether a job is cancelled or may be soon, for its own sake or with a dependency.
+func (k *Checker) mayBeCancelled(job *observedJob) bool {
+	return job.cancelRequested || job.dependencyCancelled || k.dependencyMayBeCancelled(job)
+}
+
+// checkStartDelay checks that a job started in time after it could: after its acceptance and its dependencies.
+func (k *Checker) checkStartDelay(job *observedJob, now time.Duration) {
+	earliest := max(job.acceptedAt, job.readyAt)
+	if k.overlappingFaults {
+		earliest = max(earliest, k.faultFreeFrom)
+	}
+	startedLate := job.startedAt-earliest > maxStartDelay
+	overdue := job.startedAt == 0 && job.readyAt != notReady && now-earliest > maxStartDelay
+	if startedLate || overdue {
+		k.violated("late_largest", "%s of %d tasks was accepted at %v, could start at %v and started at %v",
+			job.spec.ID, job.spec.Tasks, job.acceptedAt, earliest, job.startedAt)
+	}
+}
+
+// failingJob counts the starts of a job whose tasks fail on every machine.
 type failingJob struct{ starts []time.Duration }
 
-// What a job with a mistake may cost: its tasks once, and then so many starts a minute, with owners
-// that end and forget how often they have tried.
+// maxFailingStarts is how many starts a minute a failing job may cost beyond one of each task, with owners that
+// crash and lose their count of attempts.
 const maxFailingStarts = 20
 
-func (x *failingJob) recordStart(k *Checker, now time.Duration, id string) {
-	x.starts = append(x.starts, now)
-	n := 0
-	for _, at := range x.starts {
+// recordStart records and checks a start of a failing job.
+func (f *failingJob) recordStart(k *Checker, now time.Duration, id string) {
+	f.starts = append(f.starts, now)
+	count := 0
+	for _, at := range f.starts {
 		if now-at < time.Minute {
-			n++
+			count++
 		}
 	}
-	if most := k.jobs[id].spec.Tasks + maxFailingStarts; n > most {
-		k.violated("mistaken", "%s was started %d times within a minute", id, n)
+	if limit := k.jobs[id].spec.Tasks + maxFailingStarts; count > limit {
+		k.violated("mistaken", "%s was started %d times within a minute", id, count)
 	}
 }
 
-// TaskCompleted notes that a task completed on a worker.
+// TaskCompleted records that a task completed on a worker.
 func (k *Checker) TaskCompleted(id string, task int) {
-	j := k.jobs[id]
-	if j == nil {
+	job := k.jobs[id]
+	if job == nil {
 		return
 	}
-	j.completedTasks[task] = true
-	for _, n := range k.dependents[id] {
-		n.readyAt = k.lastEventAt
-		for _, o := range n.spec.Dependencies {
-			if x := k.jobs[o]; x == nil || len(x.completedTasks) < x.spec.Tasks {
-				n.readyAt = notReady
+	job.completedTasks[task] = true
+	for _, dependent := range k.dependents[id] {
+		dependent.readyAt = k.lastEventAt
+		for _, dependency := range dependent.spec.Dependencies {
+			if !k.jobs[dependency].allTasksCompleted() {
+				dependent.readyAt = notReady
 			}
 		}
 	}
 }
 
-// Tick checks what must be over by now.
+// Tick checks that no task of a cancelled job runs after the cancel timeout.
 func (k *Checker) Tick(now time.Duration) {
 	k.lastEventAt = now
-	for _, j := range k.cancelled {
-		if now-j.cancelToldAt > k.cancelTimeout && j.runningTasks > 0 {
-			k.violated(
-				"ran_cancelled",
-				"tasks of %s are on machines %v after its cancellation",
-				j.spec.ID,
-				now-j.cancelToldAt,
-			)
-			j.cancelToldAt = now // once is enough
+	for _, job := range k.cancelled {
+		if now-job.cancelToldAt > k.cancelTimeout && job.runningTasks > 0 {
+			k.violated("ran_cancelled", "tasks of %s are on machines %v after its cancellation",
+				job.spec.ID, now-job.cancelToldAt)
+			job.cancelToldAt = now // reported once
 		}
 	}
 }
 
-// Finish checks what must have happened.
+// Finish checks what must have happened by the end.
 func (k *Checker) Finish(now time.Duration) {
 	if k.faultFreeFrom != 0 {
 		k.checkServed(now)
@@ -420,18 +464,25 @@
 	}
 }
 
-// checkJobsKept checks that every accepted job is kept once, by its record or in the archive, and as its
-// users were told.
+// checkJobsKept checks that every accepted job is stored once, as a record or in the archive, and as its users were
+// told.
 func (w *Simulator) checkJobsKept() {
-	in := w.store.archivedJobs()
-	for id, j := range w.Checker.jobs {
-		e, there := in[id]
-		if record := w.store.keys[core.Root+"job/"+id] != nil; j.accepted && record == there {
-			w.Checker.violated("forgotten", "%s: has a record: %v, is archived: %v", id, record, there)
+	archived := w.store.archivedJobs()
+	for id, job := range w.Checker.jobs {
+		entry, isArchived := archived[id]
+		if hasRecord := w.store.keys[core.Root+"job/"+id] != nil; job.accepted && hasRecord == isArchived {
+			w.Checker.violated("forgotten", "%s: has a record: %v, is archived: %v", id, hasRecord, isArchived)
 		}
-		if there &&
-			(j.stage == wire.StageDone && e.Cancelled || j.stage == wire.StageCancelled && !e.Cancelled || !e.Cancelled && e.CompletedTasks != j.spec.Tasks) {
-			w.Checker.violated("went_back", "%s was called %s and is archived as %+v", id, j.stage, e)
+		if isArchived && contradicts(job, entry) {
+			w.Checker.violated("went_back", "%s was reported %s and is archived as %+v", id, job.stage, entry)
 		}
 	}
 }
+
+// contradicts reports whether an archived job differs from what its users were told.
+func contradicts(job *observedJob, entry archive.Entry) bool {
+	if !entry.Cancelled && entry.CompletedTasks != job.spec.Tasks {
+		return true
+	}
+	return job.stage == wire.StageDone && entry.Cancelled || job.stage == wire.StageCancelled && !entry.Cancelled
+}
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -37,8 +37,8 @@
 	SingleTaskJobs  int
 	ZonePinnedJobs  bool          // every job is bound to one zone
 	MaxNetworkDelay time.Duration // maximum delay of a message; 0: 5 ms
-	// A crashed process restarts within a second and meets late copies of its own requests; a fault-free tail shows lost
-	// state.
+	// A crashed process restarts within a second and meets late copies of its own requests; a fault-free tail shows
+	// lost state.
 	FlappingProcesses bool
 }
 
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -9,228 +9,237 @@
 	"time"
 )
 
-// Users who look closely: right after they were told that a job was accepted, has ended or is
-// cancelled, they ask at all controllers within milliseconds, and again, and repeat the submission;
-// some cancel at once. And users who send what makes no sense.
+// Eager users poll all controllers within milliseconds after they were told that a job was accepted, has ended or is
+// cancelled, several times, and repeat the submission; some cancel at once. Other users here send invalid requests.
 
-const eagerPollRounds = 3 // rounds of questions at all controllers
+const eagerPollRounds = 3 // polls of each controller
 
-// userView is what users know of a job.
+// userView is what users were told of a job.
 type userView struct {
 	accepted bool
 	stage    string
 }
 
+// userViewOf returns what users were told of a job.
 func (k *Checker) userViewOf(id string) userView {
-	if j := k.jobs[id]; j != nil {
-		return userView{j.accepted, j.stage}
+	if job := k.jobs[id]; job != nil {
+		return userView{job.accepted, job.stage}
 	}
 	return userView{}
 }
 
-func (w *Simulator) pollEagerly(by core.Credential, id string) {
-	s := w.Checker.jobs[id].spec
+// pollEagerly polls a job at all controllers at once: a controller that lags behind must not contradict another.
+func (w *Simulator) pollEagerly(caller core.Credential, id string) {
+	spec := w.Checker.jobs[id].spec
 	for round := range eagerPollRounds {
 		for _, n := range w.nodes {
 			w.schedule(time.Duration(round)*15*time.Millisecond+w.randomDuration(0, 20*time.Millisecond), func() {
 				if w.chance(0.5) {
-					w.resubmit(n, by, s)
+					w.resubmit(n, caller, spec)
 				}
-				w.pollOnce(n, by, id, func() {})
+				w.pollOnce(n, caller, id, func() {})
 			})
 		}
 	}
-	if j := w.Checker.jobs[id]; j.stage == "" && w.chance(0.3) {
-		w.schedule(w.randomDuration(0, 30*time.Millisecond), func() { w.cancelUntilAnswered(by, id) })
+	if job := w.Checker.jobs[id]; job.stage == "" && w.chance(0.3) {
+		w.schedule(w.randomDuration(0, 30*time.Millisecond), func() { w.cancelUntilAnswered(caller, id) })
 	}
 }
 
-// resubmit submits a job, known or not, at a controller, once.
-func (w *Simulator) resubmit(n *node, by core.Credential, s wire.JobSpec) {
-	w.submitOnce(n, core.SubmitJob{ID: s.ID, Spec: s, Caller: by}, func(core.Response, bool) {})
+// resubmit submits a job, known or not, to a controller once.
+func (w *Simulator) resubmit(target *node, caller core.Credential, spec wire.JobSpec) {
+	w.submitOnce(target, core.SubmitJob{ID: spec.ID, Spec: spec, Caller: caller}, func(core.Response, bool) {})
 }
 
-// cancelUntilAnswered has a user cancel a job until that is answered.
-func (w *Simulator) cancelUntilAnswered(by core.Credential, id string) {
+// cancelUntilAnswered cancels a job until a controller acknowledges it or knows no such job.
+func (w *Simulator) cancelUntilAnswered(caller core.Credential, id string) {
 	w.Checker.CancelRequested(id)
-	var try func()
-	try = func() {
-		began := w.now
-		w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 5*time.Second, func(r uint64) core.Input {
-			return core.CancelJob{RequestID: r, ID: id, UnixMS: w.nowUnixMS(), Caller: by}
-		},
-			func(r core.Response, ok bool) {
-				w.checkJobResponse(by, began, "cancel", id, r, ok)
-				if !ok || r.Status != wire.StatusOK && r.Status != wire.StatusNotFound {
-					w.schedule(time.Second, try)
-				}
-			})
+	var attempt func()
+	attempt = func() {
+		w.cancelOnce(w.anyNode(), caller, id, func(response core.Response, ok bool) {
+			if !ok || response.Status != wire.StatusOK && response.Status != wire.StatusNotFound {
+				w.schedule(retryInterval, attempt)
+			}
+		})
 	}
-	try()
+	attempt()
 }
 
-// acceptedJobsWhere lists jobs that users know to be accepted, in order.
-func (w *Simulator) acceptedJobsWhere(is func(j *observedJob) bool) (ids []string) {
+// acceptedJobsWhere lists the jobs that users know to be accepted and that match, in order.
+func (w *Simulator) acceptedJobsWhere(matches func(job *observedJob) bool) (ids []string) {
 	for _, id := range slices.Sorted(maps.Keys(w.Checker.jobs)) {
-		if j := w.Checker.jobs[id]; j.accepted && is(j) {
+		if job := w.Checker.jobs[id]; job.accepted && matches(job) {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// sendInvalidRequests has users repeat submissions of unfinished jobs with other bodies, cancel
-// what is done, and send jobs that fit no machine or lack a field. Those nobody may accept: the
-// checker does not know them, and calls them invented.
+// randomID draws one of several job IDs, if there are any.
+func (w *Simulator) randomID(ids []string) (id string, ok bool) {
+	if len(ids) == 0 {
+		return "", false
+	}
+	return ids[w.rng.IntN(len(ids))], true
+}
+
+// sendInvalidRequests sends invalid requests for a while: repeated submissions of unfinished jobs with other
+// bodies, cancellations of done jobs, and submissions of jobs that are infeasible or lack a field. The last must
+// never be accepted: the checker does not know these jobs and reports them as invented.
 func (w *Simulator) sendInvalidRequests() {
-	w.Trace("%v odd requests", w.now)
-	till := w.now + w.randomDuration(10*time.Second, 40*time.Second)
-	var one func()
-	one = func() {
-		if w.now > till {
+	w.Trace("%v invalid requests", w.now)
+	until := w.now + w.randomDuration(10*time.Second, 40*time.Second)
+	var next func()
+	next = func() {
+		if w.now > until {
 			return
 		}
-		w.schedule(w.randomDuration(50*time.Millisecond, 600*time.Millisecond), one)
-		n, by := w.nodes[w.rng.IntN(len(w.nodes))], w.randomUser()
-		some := func(ids []string) (string, bool) {
-			if len(ids) == 0 {
-				return "", false
+		w.schedule(w.randomDuration(50*time.Millisecond, 600*time.Millisecond), next)
+		w.sendInvalidRequest()
+	}
+	next()
+}
+
+// sendInvalidRequest sends one invalid request of a random kind.
+func (w *Simulator) sendInvalidRequest() {
+	target, caller := w.anyNode(), w.randomUser()
+	switch w.rng.IntN(4) {
+	case 0: // a repeated submission, as it was or with another body
+		unfinished := w.acceptedJobsWhere(func(job *observedJob) bool { return job.stage == "" })
+		if id, ok := w.randomID(unfinished); ok {
+			spec := w.Checker.jobs[id].spec
+			if w.chance(0.5) {
+				spec.Tasks, spec.Request = spec.Tasks+1, [3]int64{1_000_000, 0, 0}
 			}
-			return ids[w.rng.IntN(len(ids))], true
+			w.resubmit(target, caller, spec)
 		}
-		switch w.rng.IntN(4) {
-		case 0: // a repeat, as it was or with another body
-			if id, ok := some(w.acceptedJobsWhere(func(j *observedJob) bool { return j.stage == "" })); ok {
-				s := w.Checker.jobs[id].spec
-				if w.chance(0.5) {
-					s.Tasks, s.Request = s.Tasks+1, [3]int64{1_000_000, 0, 0}
-				}
-				w.resubmit(n, by, s)
+	case 1:
+		done := w.acceptedJobsWhere(func(job *observedJob) bool { return job.stage == wire.StageDone })
+		if id, ok := w.randomID(done); ok {
+			w.cancelUntilAnswered(caller, id)
+		}
+	case 2:
+		spec := w.infeasibleJob()
+		submission := core.SubmitJob{ID: spec.ID, Spec: spec, Caller: caller}
+		w.submitOnce(target, submission, func(response core.Response, ok bool) {
+			if ok {
+				w.Checker.CheckRejected(fmt.Sprintf("%+v", spec), response.Status, wire.StatusInvalid)
 			}
-		case 1:
-			if id, ok := some(w.acceptedJobsWhere(func(j *observedJob) bool { return j.stage == wire.StageDone })); ok {
-				w.cancelUntilAnswered(by, id)
+		})
+	case 3:
+		id := fmt.Sprintf("wk-y%05d", w.rng.IntN(100000))
+		submission := core.SubmitJob{ID: id, DecodeError: "pieces is missing", Caller: caller}
+		w.submitOnce(target, submission, func(response core.Response, ok bool) {
+			if ok {
+				w.Checker.CheckRejected("a job that lacks a field", response.Status, wire.StatusBadRequest)
 			}
-		case 2:
-			s := w.infeasibleJob()
-			w.submitOnce(n, core.SubmitJob{ID: s.ID, Spec: s, Caller: by}, func(r core.Response, ok bool) {
-				if ok {
-					w.Checker.CheckRejected(fmt.Sprintf("%+v", s), r.Status, wire.StatusInvalid)
-				}
-			})
-		case 3:
-			id := fmt.Sprintf("wk-y%05d", w.rng.IntN(100000))
-			w.submitOnce(
-				n,
-				core.SubmitJob{ID: id, DecodeError: "pieces is missing", Caller: by},
-				func(r core.Response, ok bool) {
-					if ok {
-						w.Checker.CheckRejected("a job that lacks a field", r.Status, wire.StatusBadRequest)
-					}
-				},
-			)
-		}
+		})
 	}
-	one()
 }
 
-// CheckRejected checks the answer to a submission that can't run or lacks a field: it is refused for good, or for now.
+// CheckRejected checks the response to an invalid submission: it is rejected for good, or for now.
 func (k *Checker) CheckRejected(what string, status, want wire.Status) {
 	if status != want && status != wire.StatusUnavailable && status != wire.StatusForbidden {
 		k.violated("unfit", "%s got %d", what, status)
 	}
 }
 
-// infeasibleJob is a job that can never run.
+// infeasibleJob draws a job that can never run.
 func (w *Simulator) infeasibleJob() wire.JobSpec {
-	s := w.randomJob()
-	s.ID = fmt.Sprintf("wk-z%05d", w.rng.IntN(100000))
+	spec := w.randomJob()
+	spec.ID = fmt.Sprintf("wk-z%05d", w.rng.IntN(100000))
 	switch w.rng.IntN(5) {
 	case 0:
-		s.Request[0] = 17_000 // more than any machine has
+		spec.Request[0] = 17_000 // more cores than any machine has
 	case 1:
-		s.Team = "nobody"
+		spec.Team = "nobody"
 	case 2:
-		s.MachineTypes = []string{"huge"}
+		spec.MachineTypes = []string{"huge"}
 	case 3:
-		s.Zone = "z"
-	case 4:
-		s.Team, s.Service, s.Tasks, s.Request = "t1", true, 100, [3]int64{1000, 0, 0} // more than its team's limit
+		spec.Zone = "z"
+	case 4: // a service above the maximum of its team
+		spec.Team, spec.Service, spec.Tasks, spec.Request = "t1", true, 100, [3]int64{1000, 0, 0}
 	}
-	return s
+	return spec
 }
 
-// maxStarvation is how long after the troubles a job may be left waiting while a machine that fits
-// has room and its team is under its limit.
+// maxStarvation is how long after the last fault a job may wait while a feasible machine has capacity for it and
+// its team is below its maximum.
 const maxStarvation = 90 * time.Second
 
-// checkStarvation looks, second by second, for jobs that are left waiting: by what machines there
-// are and what is on them, not by what a controller believes.
+// checkStarvation looks every second for starving jobs, by the machines there are and the tasks on them, and not by
+// what a controller believes.
 func (w *Simulator) checkStarvation() {
 	w.schedule(time.Second, w.checkStarvation)
-	k := w.Checker
-	var free []*fakeWorker
-	var rooms []int64
-	for _, m := range w.cloud.machines {
-		if m.up && !m.gone && w.now >= m.hungUntil && w.now >= w.inboundBlockedUntil[m.machine.Name] &&
-			w.now >= w.outboundBlockedUntil[m.machine.Name] &&
-			m.interruptionAt == 0 &&
-			m.fencingToken > 0 {
-			free, rooms = append(free, m), append(rooms, m.freeCPU())
+	machines := w.usableMachines()
+	for _, id := range slices.Sorted(maps.Keys(w.Checker.jobs)) {
+		job := w.Checker.jobs[id]
+		switch {
+		case !w.Checker.mustProgress(job) || !w.Checker.hasFeasible(job, machines):
+			job.starvingSince = 0
+		case job.starvingSince == 0:
+			job.starvingSince = w.now
+		case w.now-job.starvingSince >= maxStarvation:
+			w.Checker.violated("left_waiting", "%s has waited for %v: %d of %d tasks are done, %d on machines",
+				id, w.now-job.starvingSince, len(job.completedTasks), job.spec.Tasks, job.runningTasks)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(k.jobs)) {
-		j := k.jobs[id]
-		if !j.accepted || j.cancelRequested || j.dependencyCancelled || j.stage != "" || k.failingJobs[id] != nil ||
-			k.dependencyMayBeCancelled(j) ||
-			j.readyAt == notReady ||
-			len(j.completedTasks)+j.runningTasks >= j.spec.Tasks ||
-			k.isAtQuota(&j.spec) {
-			j.starvingSince = 0
-			continue
-		}
-		fits := false
-		for i, m := range free {
-			fits = fits || rooms[i] >= j.spec.Request[0] && k.isFeasible(j, m.machine)
-		}
-		switch {
-		case !fits:
-			j.starvingSince = 0
-		case j.starvingSince == 0:
-			j.starvingSince = w.now
-		case w.now-j.starvingSince >= maxStarvation:
-			k.violated(
-				"left_waiting",
-				"%s has waited for %v: %d of %d tasks are done, %d on machines",
-				id,
-				w.now-j.starvingSince,
-				len(j.completedTasks),
-				j.spec.Tasks,
-				j.runningTasks,
-			)
+}
+
+// usableMachine is a machine that tasks may be placed on.
+type usableMachine struct {
+	machine wire.Machine
+	freeCPU int64 // thousandths of a core
+}
+
+// usableMachines lists the machines that run, are reachable both ways, have no interruption notice and have heard
+// of a leader.
+func (w *Simulator) usableMachines() (usable []usableMachine) {
+	for _, worker := range w.cloud.machines {
+		name := worker.machine.Name
+		if worker.up && !worker.gone && w.now >= worker.hungUntil && w.now >= w.inboundBlockedUntil[name] &&
+			w.now >= w.outboundBlockedUntil[name] && worker.interruptionAt == 0 && worker.fencingToken > 0 {
+			usable = append(usable, usableMachine{worker.machine, worker.freeCPU()})
 		}
 	}
+	return usable
+}
+
+// mustProgress reports whether a job has tasks left that nothing but a lack of capacity may keep from starting.
+func (k *Checker) mustProgress(job *observedJob) bool {
+	if !job.accepted || job.stage != "" || k.failingJobs[job.spec.ID] != nil || job.readyAt == notReady {
+		return false
+	}
+	tasksLeft := len(job.completedTasks)+job.runningTasks < job.spec.Tasks
+	return tasksLeft && !k.mayBeCancelled(job) && !k.isAtQuota(&job.spec)
+}
+
+// hasFeasible reports whether one of the machines is feasible for the next task of a job and has the cores for it.
+func (k *Checker) hasFeasible(job *observedJob, machines []usableMachine) bool {
+	return slices.ContainsFunc(machines, func(candidate usableMachine) bool {
+		return candidate.freeCPU >= job.spec.Request[0] && k.isFeasible(job, candidate.machine)
+	})
 }
 
-func (k *Checker) isAtQuota(s *wire.JobSpec) bool {
-	lim, use := k.quotas[s.Team], k.allocated[s.Team]
-	for i := range use {
-		if lim[i] > 0 && use[i]+s.Request[i] > lim[i] {
+// isAtQuota reports whether another task would exceed the maximum of its team.
+func (k *Checker) isAtQuota(spec *wire.JobSpec) bool {
+	quota, allocated := k.quotas[spec.Team], k.allocated[spec.Team]
+	for i := range allocated {
+		if quota[i] > 0 && allocated[i]+spec.Request[i] > quota[i] {
 			return true
 		}
 	}
 	return false
 }
 
-// isFeasible reports whether a job's next task may go to a machine, room aside.
-func (k *Checker) isFeasible(j *observedJob, m wire.Machine) bool {
-	s := &j.spec
-	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, m.Type) || s.Zone != "" && s.Zone != m.Zone ||
-		m.Spot && !s.Spot {
+// isFeasible reports whether the next task of a job may be placed on a machine, its capacity aside.
+func (k *Checker) isFeasible(job *observedJob, machine wire.Machine) bool {
+	spec := &job.spec
+	if !satisfiesMachineConstraints(spec, machine) {
 		return false
 	}
-	if s.OneZone && len(j.tasksByZone) > 0 && j.tasksByZone[m.Zone] == 0 {
+	if spec.OneZone && len(job.tasksByZone) > 0 && job.tasksByZone[machine.Zone] == 0 {
 		return false
 	}
-	return !s.Spread || j.tasksByZone[m.Zone] < (s.Tasks+1)/2
+	return !spec.Spread || job.tasksByZone[machine.Zone] < (spec.Tasks+1)/2
 }
--- a/internal/sim/fake_cloud.go
+++ b/internal/sim/fake_cloud.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// isListed reports whether a machine is in the list: it is neither too new, nor returned, nor gone for long. A failed one
-// stays until it is returned.
+// isListed reports whether a machine is in the list: it is neither too new, nor returned, nor gone for long. A
+// failed one stays until it is returned.
 func (c *fakeCloud) isListed(worker *fakeWorker) bool {
 	age, gone := c.sim.now-worker.rentedAt, worker.gone && !worker.failed
 	return !worker.returned && age > cloudListLag && (!gone || c.sim.now-worker.goneAt < goneListedFor)
--- a/internal/sim/fake_store.go
+++ b/internal/sim/fake_store.go
@@ -19,7 +19,8 @@
 	snapshotPageSize = 20
 )
 
-// fakeStore is a fake of the consensus-backed key-value store: one linearizable copy in memory, with outages and delays.
+// fakeStore is a fake of the consensus-backed key-value store: one linearizable copy in memory, with outages and
+// delays.
 type fakeStore struct {
 	sim            *Simulator
 	revision       uint64
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// leaseCheckLoop stops all tasks and begins a new incarnation when no heartbeat was acknowledged for a lease: controllers
-// may start the tasks elsewhere from then on.
+// leaseCheckLoop stops all tasks and begins a new incarnation when no heartbeat was acknowledged for a lease:
+// controllers may start the tasks elsewhere from then on.
 func (m *fakeWorker) leaseCheckLoop() {
 	if m.gone {
 		return
@@ -175,8 +175,8 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat to the current controller, one at a time. Without a good response the next controller
-// gets one after a second.
+// sendHeartbeat sends a heartbeat to the current controller, one at a time. Without a good response the next
+// controller gets one after a second.
 func (m *fakeWorker) sendHeartbeat() {
 	w := m.sim
 	if m.gone || m.heartbeatInFlight || w.now < m.hungUntil {
@@ -211,8 +211,8 @@
 	})
 }
 
-// handleHeartbeatResponse renews the lease from the moment at which the heartbeat was sent, and executes the commands. A
-// response with a lower fencing token, or to an earlier incarnation, has no effect.
+// handleHeartbeatResponse renews the lease from the moment at which the heartbeat was sent, and executes the
+// commands. A response with a lower fencing token, or to an earlier incarnation, has no effect.
 func (m *fakeWorker) handleHeartbeatResponse(
 	sentAt time.Duration,
 	incarnation uint64,
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// injectFlap crashes a controller around one of its writes now and then, and executes some writes a second time, late.
+// injectFlap crashes a controller around one of its writes now and then, and executes some writes a second time,
+// late.
 func (w *Simulator) injectFlap(n *node, txn wire.Txn) {
 	if w.now > w.options.Duration-flapFreeTail {
 		return
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// storeAddress and cloudAddress are the network names of the fake store and the fake cloud. Controllers and machines are
-// addressed by their own names.
+// storeAddress and cloudAddress are the network names of the fake store and the fake cloud. Controllers and
+// machines are addressed by their own names.
 const (
 	storeAddress = "state"
 	cloudAddress = "cloud"
 )
 
-// send delivers a message after a random network delay. It is lost if nothing may reach the receiver, and queued while
-// the two are partitioned.
+// send delivers a message after a random network delay. It is lost if nothing may reach the receiver, and queued
+// while the two are partitioned.
 func (w *Simulator) send(from, to string, deliver func()) {
 	link := [2]string{from, to}
 	w.schedule(w.randomDuration(500*time.Microsecond, cmp.Or(w.options.MaxNetworkDelay, 5*time.Millisecond)), func() {
--- a/internal/sim/outputs.go
+++ b/internal/sim/outputs.go
@@ -13,8 +13,8 @@
 	cloudTimeout = 4 * time.Second
 )
 
-// Shares of requests that are executed seconds late, see randomDelay. Transactions that are rare elsewhere have higher
-// shares, so that a test meets their late copies at all.
+// Shares of requests that are executed seconds late, see randomDelay. Transactions that are rare elsewhere have
+// higher shares, so that a test meets their late copies at all.
 const (
 	lateCommitShare            = 0.01
 	lateAuditCommitShare       = 0.06
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -1,8 +1,9 @@
-// Package sim is a deterministic, seeded simulation of a cluster for tests: fakes of the store, the cloud, workers, users
-// and the network around several cores, and checkers that verify every rule of the scheduler.
+// Package sim is a deterministic, seeded simulation of a cluster for tests: fakes of the store, the cloud, workers,
+// users and the network around several cores, and checkers that verify every rule of the scheduler.
 //
-// It owns simulated time and every random draw. All outcomes follow from Options.Seed; the order of the draws is therefore
-// part of its behaviour, and the digests of its tests change with it. It never reads the wall clock and starts no goroutine.
+// It owns simulated time and every random draw. All outcomes follow from Options.Seed; the order of the draws is
+// therefore part of its behaviour, and the digests of its tests change with it. It never reads the wall clock and
+// starts no goroutine.
 package sim
 
 import (
@@ -53,13 +54,18 @@
 
 	// Hooks that faults set, each idle by default.
 
-	commitDelay          func(txn wire.Txn) time.Duration               // additional delay before a transaction is executed
-	commitResponseDelay  func(txn wire.Txn) time.Duration               // delay of its response; below 0: the response is lost
-	commandDelay         func(commands core.SendCommands) time.Duration // additional delay of agent commands
-	onHeartbeat          func(heartbeat *wire.Heartbeat)
-	onLastTaskEnding     func(jobID string)       // called at the moment when the last task of a job ends
+	// commitDelay is an additional delay before a transaction is executed.
+	commitDelay func(txn wire.Txn) time.Duration
+	// commitResponseDelay is the delay of the response to an executed transaction; below 0 it is lost.
+	commitResponseDelay func(txn wire.Txn) time.Duration
+	// commandDelay is an additional delay of agent commands.
+	commandDelay func(commands core.SendCommands) time.Duration
+	// onHeartbeat is called with each heartbeat that arrives at a controller.
+	onHeartbeat func(heartbeat *wire.Heartbeat)
+	// onLastTaskEnding is called when the last task of a job is about to end.
+	onLastTaskEnding     func(jobID string)
 	inboundBlockedUntil  map[string]time.Duration // by machine: nothing reaches it until then
-	outboundBlockedUntil map[string]time.Duration // by machine: its heartbeats are lost until then, commands reach it
+	outboundBlockedUntil map[string]time.Duration // by machine: its heartbeats are lost until then, commands arrive
 	fastBootsUntil       time.Duration            // machines boot within two seconds until then
 	eagerPollsUntil      time.Duration            // users poll eagerly until then, see pollEagerly
 }
@@ -236,8 +242,8 @@
 	})
 }
 
-// crashSoon crashes a controller around a request that it is about to send to the store: before the request is executed,
-// or before its response arrives.
+// crashSoon crashes a controller around a request that it is about to send to the store: before the request is
+// executed, or before its response arrives.
 func (w *Simulator) crashSoon(n *node, during string) {
 	incarnation := n.incarnation
 	w.schedule(w.randomDuration(0, 12*time.Millisecond), func() {
@@ -248,8 +254,8 @@
 	})
 }
 
-// deliver hands an input to a controller's core and carries out the outputs. While the process is paused, inputs wait in
-// their order.
+// deliver hands an input to a controller's core and carries out the outputs. While the process is paused, inputs
+// wait in their order.
 func (w *Simulator) deliver(n *node, in core.Input) {
 	if n.down {
 		return
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -56,8 +56,8 @@
 // anyNode draws a controller; it may be down.
 func (w *Simulator) anyNode() *node { return w.nodes[w.rng.IntN(len(w.nodes))] }
 
-// checkJobResponse hands a response about a job to the checker. Without a response, or if the caller may not have been
-// permitted to see the job, nothing is concluded.
+// checkJobResponse hands a response about a job to the checker. Without a response, or if the caller may not have
+// been permitted to see the job, nothing is concluded.
 func (w *Simulator) checkJobResponse(
 	caller core.Credential,
 	sentAt time.Duration,
