--- a/internal/sim/overlapping_faults.go
+++ b/internal/sim/overlapping_faults.go
@@ -9,39 +9,42 @@
 	"time"
 )
 
-// Troubles that meet: most rules that were broken on real machines broke when a second trouble came
-// while the first lasted, so worlds of this kind have nothing but pairs.
+// Overlapping faults: most rules that were violated on real machines were violated when a second fault began while
+// the first lasted. Simulations of this kind have pairs of faults only.
 
-// overlapFreeTail is how long before its end a world has no new meeting, and meetLast by when the last of them is over.
 const (
-	overlapFreeTail   = 230 * time.Second
+	// overlapFreeTail is how long before the end the last pair of faults may begin.
+	overlapFreeTail = 230 * time.Second
+	// overlapSettleTime is an upper bound of how long the effects of a pair last.
 	overlapSettleTime = 125 * time.Second
 )
 
-// scheduleOverlappingFaults plans pairs of troubles: the second begins within seconds of the first.
+// scheduleOverlappingFaults schedules pairs of faults: the second begins within seconds of the first.
 func (w *Simulator) scheduleOverlappingFaults() {
 	w.Checker.overlappingFaults = true
-	w.Checker.faultFreeFrom = w.options.Duration - overlapFreeTail + overlapSettleTime
-	all := w.faultsByName()
+	end := w.options.Duration - overlapFreeTail
+	w.Checker.faultFreeFrom = end + overlapSettleTime
+	byName := w.faultsByName()
 	names := w.options.FaultNames
 	if names == nil {
-		names = slices.Sorted(maps.Keys(all))
+		names = slices.Sorted(maps.Keys(byName))
 	}
-	var list []func()
-	for _, n := range names {
-		list = append(list, all[n])
+	var faults []func()
+	for _, name := range names {
+		faults = append(faults, byName[name])
 	}
-	for at := 20 * time.Second; at < w.options.Duration-overlapFreeTail; at += w.randomDuration(15*time.Second, 45*time.Second) {
+	for at := 20 * time.Second; at < end; at += w.randomDuration(15*time.Second, 45*time.Second) {
 		w.schedule(at, func() {
-			a := w.rng.IntN(len(list))
-			b := (a + 1 + w.rng.IntN(len(list)-1)) % len(list)
-			list[a]()
-			w.schedule(w.randomDuration(0, 4*time.Second), list[b])
+			first := w.rng.IntN(len(faults))
+			second := (first + 1 + w.rng.IntN(len(faults)-1)) % len(faults)
+			faults[first]()
+			w.schedule(w.randomDuration(0, 4*time.Second), faults[second])
 		})
 	}
 }
 
-// faultsByName are all of them by name.
+// faultsByName returns all faults. Their names are part of every seed's run: faults are drawn in the order of the
+// names.
 func (w *Simulator) faultsByName() map[string]func() {
 	return map[string]func(){
 		"refused, then all":    w.refuseThenOutage,
@@ -72,14 +75,14 @@
 	}
 }
 
-// leaderNode is the controller that holds the leadership.
+// leaderNode returns the controller that holds the leader's key in the store; the first controller if none does.
 func (w *Simulator) leaderNode() *node {
-	var h struct {
+	var leader struct {
 		Node string `json:"n"`
 	}
-	if it := w.store.keys[core.Root+"leader"]; it != nil && json.Unmarshal(it.Value, &h) == nil {
+	if item := w.store.keys[core.Root+"leader"]; item != nil && json.Unmarshal(item.Value, &leader) == nil {
 		for _, n := range w.nodes {
-			if n.name == h.Node {
+			if n.name == leader.Node {
 				return n
 			}
 		}
@@ -87,154 +90,147 @@
 	return w.nodes[0]
 }
 
+// randomNode draws a controller; every other time it is the leader.
 func (w *Simulator) randomNode() *node {
 	if w.chance(0.5) {
 		return w.leaderNode()
 	}
-	return w.nodes[w.rng.IntN(len(w.nodes))]
+	return w.anyNode()
 }
 
-// refuseThenOutage has the state service refuse one or two controllers, and then be down for all
-// for longer than a cancellation may take.
+// refuseThenOutage has the store refuse one or two controllers, and then be down for all, often for longer than the
+// cancel timeout.
 func (w *Simulator) refuseThenOutage() {
 	for range 1 + w.rng.IntN(2) {
 		n := w.randomNode()
-		w.Trace("%v state refuses %s", w.now, n.name)
+		w.Trace("%v store refuses %s", w.now, n.name)
 		w.store.refuseNode(n.name, w.randomDuration(5*time.Second, 25*time.Second))
 	}
 	w.schedule(w.randomDuration(500*time.Millisecond, 6*time.Second), func() {
-		d := w.randomDuration(5*time.Second, w.options.CancelTimeout+30*time.Second)
-		w.Trace("%v state outage %v", w.now, d)
-		w.store.startOutage(d)
+		duration := w.randomDuration(5*time.Second, w.options.CancelTimeout+30*time.Second)
+		w.Trace("%v store outage for %v", w.now, duration)
+		w.store.startOutage(duration)
 	})
 }
 
-// isolateFromStoreAndPeers cuts a controller off from the state service and the others, while its
-// workers and users reach it.
+// isolateFromStoreAndPeers partitions a controller from the store and its peers, while its workers and users reach
+// it.
 func (w *Simulator) isolateFromStoreAndPeers() {
-	n, d := w.randomNode(), w.randomDuration(5*time.Second, w.options.CancelTimeout+30*time.Second)
-	w.Trace("%v %s cut from state and controllers %v", w.now, n.name, d)
-	w.isolate(n.name, d, true, true, false)
+	n, duration := w.randomNode(), w.randomDuration(5*time.Second, w.options.CancelTimeout+30*time.Second)
+	w.Trace("%v %s isolated from store and peers for %v", w.now, n.name, duration)
+	w.isolate(n.name, duration, true, true, false)
 }
 
-// delayCommits has a part of all transactions get no answer, and be executed after newer ones.
+// delayCommits executes a share of all transactions late, after newer ones; their senders get no response.
 func (w *Simulator) delayCommits() {
-	w.Trace("%v late writes", w.now)
-	till, share := w.now+w.randomDuration(5*time.Second, 25*time.Second), 0.1+0.4*w.rng.Float64()
+	w.Trace("%v delayed commits", w.now)
+	until, share := w.now+w.randomDuration(5*time.Second, 25*time.Second), 0.1+0.4*w.rng.Float64()
 	w.commitDelay = func(wire.Txn) time.Duration {
-		if w.now > till || !w.chance(share) {
+		if w.now > until || !w.chance(share) {
 			return 0
 		}
 		return w.randomDuration(2*time.Second, 12*time.Second)
 	}
 }
 
-// replayHeartbeats has copies of a part of the workers' reports come again, up to well over a lease
-// later, at any controller.
+// replayHeartbeats delivers copies of a share of the heartbeats again, up to two leases later, to any controller.
 func (w *Simulator) replayHeartbeats() {
-	w.Trace("%v late reports", w.now)
-	till, share := w.now+w.randomDuration(10*time.Second, 30*time.Second), 0.1+0.6*w.rng.Float64()
-	w.onHeartbeat = func(r *wire.Heartbeat) {
-		if w.now > till || !w.chance(share) {
+	w.Trace("%v replayed heartbeats", w.now)
+	until, share := w.now+w.randomDuration(10*time.Second, 30*time.Second), 0.1+0.6*w.rng.Float64()
+	w.onHeartbeat = func(heartbeat *wire.Heartbeat) {
+		if w.now > until || !w.chance(share) {
 			return
 		}
-		raw := *r
+		replayed := *heartbeat
 		w.schedule(w.randomDuration(2*time.Second, 2*w.options.WorkerLease), func() {
-			w.deliverHeartbeatCopy(w.nodes[w.rng.IntN(len(w.nodes))], &raw)
+			w.deliverHeartbeatCopy(w.anyNode(), &replayed)
 		})
 	}
 }
 
-// deliverHeartbeatCopy has a copy of a report arrive at a controller; nobody waits for the answer.
-func (w *Simulator) deliverHeartbeatCopy(n *node, r *wire.Heartbeat) {
+// deliverHeartbeatCopy delivers a copy of a heartbeat to a controller; its response is dropped.
+func (w *Simulator) deliverHeartbeatCopy(n *node, heartbeat *wire.Heartbeat) {
 	w.lastRequestID++
-	w.deliver(n, core.AgentHeartbeat{RequestID: w.lastRequestID, Heartbeat: r})
+	w.deliver(n, core.AgentHeartbeat{RequestID: w.lastRequestID, Heartbeat: heartbeat})
 }
 
-// blockInbound has reports of some machines arrive while answers and orders to them are lost.
+// blockInbound loses responses and commands to some machines, while their heartbeats arrive.
 func (w *Simulator) blockInbound() {
-	d := w.randomDuration(5*time.Second, 2*w.options.WorkerLease)
-	w.Trace("%v machines are deaf %v", w.now, d)
-	for _, m := range w.cloud.machines {
-		if !m.gone && w.chance(0.4) {
-			w.inboundBlockedUntil[m.machine.Name] = w.now + d
+	duration := w.randomDuration(5*time.Second, 2*w.options.WorkerLease)
+	w.Trace("%v machines receive nothing for %v", w.now, duration)
+	for _, worker := range w.cloud.machines {
+		if !worker.gone && w.chance(0.4) {
+			w.inboundBlockedUntil[worker.machine.Name] = w.now + duration
 		}
 	}
 }
 
-// crashAll has all controllers end; one of them, or some, is back within a second, the others later.
+// crashAll crashes all controllers; about half of them restart within a second, the others later.
 func (w *Simulator) crashAll() {
-	w.Trace("%v all end", w.now)
-	for _, n := range w.nodes {
-		if !n.down {
-			w.crash(n)
-		}
-	}
+	w.Trace("%v crash all", w.now)
+	w.crashAllNodes()
 }
 
+// crashLeader crashes the leader, up to three times within three seconds.
 func (w *Simulator) crashLeader() {
 	n := w.leaderNode()
-	w.Trace("%v leader %s ends", w.now, n.name)
+	w.Trace("%v crash leader %s", w.now, n.name)
 	for range 1 + w.rng.IntN(3) {
-		w.schedule(w.randomDuration(0, 3*time.Second), func() {
-			if !n.down {
-				w.crash(n)
-			}
-		})
+		w.schedule(w.randomDuration(0, 3*time.Second), func() { w.crashIfUp(n) })
 	}
 }
 
-// hangMachines has machines stand still, and go on with what came meanwhile.
+// hangMachines suspends machines; they resume with what arrived meanwhile.
 func (w *Simulator) hangMachines() {
 	w.Trace("%v machines hang", w.now)
 	for range 3 {
-		if m := w.cloud.randomMachine(); m != nil {
-			m.hangFor(w.randomDuration(time.Second, 25*time.Second))
+		if worker := w.cloud.randomMachine(); worker != nil {
+			worker.hangFor(w.randomDuration(time.Second, 25*time.Second))
 		}
 	}
 }
 
-// stallWatch has a controller's reads of changes stay without an answer, while it keeps its lease and writes.
+// stallWatch leaves a controller's watches without a response, while it keeps its lease and writes.
 func (w *Simulator) stallWatch() {
 	n := w.randomNode()
-	w.Trace("%v reads of %s hang", w.now, n.name)
+	w.Trace("%v watches of %s stall", w.now, n.name)
 	w.store.stalledWatches[n.name] = true
 	w.schedule(w.randomDuration(5*time.Second, 60*time.Second), func() { delete(w.store.stalledWatches, n.name) })
 }
 
-// pauseController has a controller stand still, and go on with what came meanwhile.
+// pauseController suspends a controller's process; it resumes with what arrived meanwhile.
 func (w *Simulator) pauseController() {
-	n, d := w.randomNode(), w.randomDuration(time.Second, 70*time.Second)
-	w.Trace("%v %s stands still %v", w.now, n.name, d)
-	n.pausedUntil = w.now + d
+	n, duration := w.randomNode(), w.randomDuration(time.Second, 70*time.Second)
+	w.Trace("%v %s is paused for %v", w.now, n.name, duration)
+	n.pausedUntil = w.now + duration
 }
 
-// slowStore has the state service take seconds for a part of the requests.
+// slowStore delays all requests to the store by up to seconds.
 func (w *Simulator) slowStore() {
-	w.Trace("%v slow state service", w.now)
+	w.Trace("%v slow store", w.now)
 	w.store.maxDelay = w.randomDuration(500*time.Millisecond, 3*time.Second)
 	w.schedule(w.randomDuration(10*time.Second, 40*time.Second), func() { w.store.maxDelay = 0 })
 }
 
-// delayCommands has orders to workers held up for seconds to a minute.
+// delayCommands delays half of all agent commands by seconds to a minute.
 func (w *Simulator) delayCommands() {
-	w.Trace("%v held orders", w.now)
-	till := w.now + w.randomDuration(5*time.Second, 20*time.Second)
+	w.Trace("%v delayed commands", w.now)
+	until := w.now + w.randomDuration(5*time.Second, 20*time.Second)
 	w.commandDelay = func(core.SendCommands) time.Duration {
-		if w.now > till || w.chance(0.5) {
+		if w.now > until || w.chance(0.5) {
 			return 0
 		}
 		return w.randomDuration(2*time.Second, 70*time.Second)
 	}
 }
 
-// loseCommitResponses has a part of all transactions executed at once, and only their answers late or lost.
+// loseCommitResponses executes all transactions at once, and delays or loses a share of their responses.
 func (w *Simulator) loseCommitResponses() {
-	w.Trace("%v answers of transactions are lost", w.now)
-	till, share := w.now+w.randomDuration(5*time.Second, 25*time.Second), 0.1+0.4*w.rng.Float64()
+	w.Trace("%v lost commit responses", w.now)
+	until, share := w.now+w.randomDuration(5*time.Second, 25*time.Second), 0.1+0.4*w.rng.Float64()
 	w.commitResponseDelay = func(wire.Txn) time.Duration {
 		switch {
-		case w.now > till || !w.chance(share):
+		case w.now > until || !w.chance(share):
 			return 0
 		case w.chance(0.5):
 			return -1
@@ -243,73 +239,82 @@
 	}
 }
 
-// replayHeartbeatsToNextLeader keeps copies of reports until another controller leads or the same
-// one anew, and then has them arrive everywhere.
+// replayHeartbeatsToNextLeader collects copies of heartbeats until the leader changes, or is elected again, and then
+// delivers them to all controllers.
 func (w *Simulator) replayHeartbeatsToNextLeader() {
-	w.Trace("%v reports are kept for the next leader", w.now)
-	till := w.now + w.randomDuration(5*time.Second, 60*time.Second)
+	w.Trace("%v heartbeats are kept for the next leader", w.now)
+	until := w.now + w.randomDuration(5*time.Second, 60*time.Second)
 	var kept []wire.Heartbeat
-	w.onHeartbeat = func(r *wire.Heartbeat) {
-		if w.now <= till && len(kept) < 200 && w.chance(0.5) {
-			kept = append(kept, *r)
+	w.onHeartbeat = func(heartbeat *wire.Heartbeat) {
+		if w.now <= until && len(kept) < 200 && w.chance(0.5) {
+			kept = append(kept, *heartbeat)
 		}
 	}
-	leader := func() uint64 {
-		if it := w.store.keys[core.Root+"leader"]; it != nil {
-			return it.Revision
-		}
-		return 0
-	}
-	was := leader()
-	var look func()
-	look = func() {
-		now := leader()
-		if now == 0 || now == was {
-			if w.now < till {
-				w.schedule(10*time.Millisecond, look)
+	before := w.leaderRevision()
+	var checkLeader func()
+	checkLeader = func() {
+		revision := w.leaderRevision()
+		if revision == 0 || revision == before {
+			if w.now < until {
+				w.schedule(10*time.Millisecond, checkLeader)
 			}
 			return
 		}
-		till = w.now
-		for _, r := range kept {
+		until = w.now
+		for _, heartbeat := range kept {
 			for _, n := range w.nodes {
-				w.schedule(w.randomDuration(0, time.Second), func() { w.deliverHeartbeatCopy(n, &r) })
+				w.schedule(w.randomDuration(0, time.Second), func() { w.deliverHeartbeatCopy(n, &heartbeat) })
 			}
 		}
 	}
-	look()
+	checkLeader()
 }
 
-// blockOutbound has some machines reach no controller, while orders reach them.
+// leaderRevision returns the revision of the leader's key; 0 if there is no leader.
+func (w *Simulator) leaderRevision() uint64 {
+	if item := w.store.keys[core.Root+"leader"]; item != nil {
+		return item.Revision
+	}
+	return 0
+}
+
+// blockOutbound loses the heartbeats of some machines, while commands reach them.
 func (w *Simulator) blockOutbound() {
-	d := w.randomDuration(5*time.Second, 3*w.options.WorkerLease)
-	w.Trace("%v machines are mute %v", w.now, d)
+	duration := w.randomDuration(5*time.Second, 3*w.options.WorkerLease)
+	w.Trace("%v heartbeats of machines are lost for %v", w.now, duration)
 	zone := ""
-	if w.chance(0.3) { // a whole zone of them
-		zone = zones[w.rng.IntN(3)]
+	if w.chance(0.3) { // all machines of a zone
+		zone = zones[w.rng.IntN(zoneCount)]
 	}
-	for _, m := range w.cloud.machines {
-		if !m.gone && (m.machine.Zone == zone || zone == "" && w.chance(0.4)) {
-			w.outboundBlockedUntil[m.machine.Name] = w.now + d
+	for _, worker := range w.cloud.machines {
+		if !worker.gone && (worker.machine.Zone == zone || zone == "" && w.chance(0.4)) {
+			w.outboundBlockedUntil[worker.machine.Name] = w.now + duration
 		}
 	}
 }
 
-// cancelBurst has users call off jobs that run within a fifth of a second, while some of their machines hang.
+// maxCancelBurst and maxHungInBurst limit the jobs and machines of a cancelBurst.
+const (
+	maxCancelBurst = 12
+	maxHungInBurst = 8
+)
+
+// cancelBurst cancels running jobs within a fifth of a second, while some of their machines hang.
 func (w *Simulator) cancelBurst() {
-	running := w.acceptedJobsWhere(func(j *observedJob) bool { return j.runningTasks > 0 && !j.cancelRequested })
-	hang := time.Duration(0)
+	running := w.acceptedJobsWhere(func(job *observedJob) bool { return job.runningTasks > 0 && !job.cancelRequested })
+	hangTime := time.Duration(0)
 	if w.chance(0.6) {
-		hang = w.randomDuration(5*time.Second, 2*w.options.CancelTimeout)
+		hangTime = w.randomDuration(5*time.Second, 2*w.options.CancelTimeout)
 	}
-	w.Trace("%v %d jobs are called off at once, their machines hang %v", w.now, min(len(running), 12), hang)
+	burst := running[:min(len(running), maxCancelBurst)]
+	w.Trace("%v %d jobs are cancelled at once, their machines hang for %v", w.now, len(burst), hangTime)
 	hung := 0
-	for _, id := range running[:min(len(running), 12)] {
-		for t := range w.Checker.jobs[id].spec.Tasks {
-			for m := range w.Checker.runningOn[wire.TaskName(id, t)] {
-				if hang > 0 && hung < 8 {
+	for _, id := range burst {
+		for task := range w.Checker.jobs[id].spec.Tasks {
+			for machine := range w.Checker.runningOn[wire.TaskName(id, task)] {
+				if hangTime > 0 && hung < maxHungInBurst {
 					hung++
-					w.cloud.find(m).hangFor(hang)
+					w.cloud.find(machine).hangFor(hangTime)
 				}
 			}
 		}
@@ -317,39 +322,39 @@
 	}
 }
 
-// cancelAsJobsEnd has users cancel a part of the jobs at the moment at which their last tasks end.
+// cancelAsJobsEnd cancels a share of the jobs at the moment at which their last tasks end.
 func (w *Simulator) cancelAsJobsEnd() {
 	w.Trace("%v jobs are cancelled as they end", w.now)
-	till, share := w.now+w.randomDuration(10*time.Second, 40*time.Second), 0.3+0.7*w.rng.Float64()
+	until, share := w.now+w.randomDuration(10*time.Second, 40*time.Second), 0.3+0.7*w.rng.Float64()
 	w.onLastTaskEnding = func(id string) {
-		if w.now <= till && w.chance(share) {
+		if w.now <= until && w.chance(share) {
 			w.schedule(w.randomDuration(0, 20*time.Millisecond), func() { w.cancelUntilAnswered(w.randomUser(), id) })
 		}
 	}
 }
 
-// pollEagerlyForAWhile has users look closely for a while.
+// pollEagerlyForAWhile has users poll eagerly for a while.
 func (w *Simulator) pollEagerlyForAWhile() {
-	w.Trace("%v close looks", w.now)
+	w.Trace("%v eager polls", w.now)
 	w.eagerPollsUntil = w.now + w.randomDuration(10*time.Second, 40*time.Second)
 }
 
-// replaceMachinesFast has machines end, and those rented in their place be up within two seconds.
+// replaceMachinesFast fails machines; those rented in their place boot within two seconds.
 func (w *Simulator) replaceMachinesFast() {
-	w.Trace("%v machines end, new ones are up at once", w.now)
+	w.Trace("%v machines fail, new ones boot at once", w.now)
 	w.fastBootsUntil = w.now + w.randomDuration(10*time.Second, 40*time.Second)
 	for range 4 {
-		if m := w.cloud.randomMachine(); m != nil {
-			m.fail()
+		if worker := w.cloud.randomMachine(); worker != nil {
+			worker.fail()
 		}
 	}
 }
 
-// isolateZone cuts a zone off from everything else, with its controller and its machines, for longer than a lease.
+// isolateZone partitions a zone, with its controller and its machines, from everything else for longer than a lease.
 func (w *Simulator) isolateZone() {
-	i := w.rng.IntN(3)
-	d := w.randomDuration(w.options.WorkerLease+5*time.Second, w.options.WorkerLease+50*time.Second)
-	w.Trace("%v zone %s with %s cut off %v", w.now, zones[i], w.nodes[i].name, d)
+	i := w.rng.IntN(zoneCount)
+	duration := w.randomDuration(w.options.WorkerLease+5*time.Second, w.options.WorkerLease+50*time.Second)
+	w.Trace("%v zone %s with %s isolated for %v", w.now, zones[i], w.nodes[i].name, duration)
 	inside := w.nodes[i].name
 	pairs := [][2]string{{inside, storeAddress}, {inside, cloudAddress}}
 	for _, n := range w.nodes {
@@ -357,77 +362,72 @@
 			pairs = append(pairs, [2]string{inside, n.name})
 		}
 	}
-	for _, m := range w.cloud.machines {
+	for _, worker := range w.cloud.machines {
 		for _, n := range w.nodes {
-			if (m.machine.Zone == zones[i]) != (n.name == inside) {
-				pairs = append(pairs, [2]string{n.name, m.machine.Name})
+			if (worker.machine.Zone == zones[i]) != (n.name == inside) {
+				pairs = append(pairs, [2]string{n.name, worker.machine.Name})
 			}
 		}
 	}
-	w.partitionFor(pairs, d)
+	w.partitionFor(pairs, duration)
 }
 
-// crashAllPastLease has all controllers away for longer than a lease, and one of them be back alone.
+// crashAllPastLease stops all controllers for longer than a lease; one of them restarts first.
 func (w *Simulator) crashAllPastLease() {
-	d := w.randomDuration(w.options.WorkerLease, w.options.WorkerLease+20*time.Second)
+	downtime := w.randomDuration(w.options.WorkerLease, w.options.WorkerLease+20*time.Second)
 	first := w.rng.IntN(len(w.nodes))
-	w.Trace("%v all are away %v, %s is back first", w.now, d, w.nodes[first].name)
-	// nobody is there to return one that hangs on: it goes on, and its lease has ended by then
-	for _, m := range w.cloud.machines {
-		m.hungUntil = min(m.hungUntil, w.now+w.options.WorkerLease)
+	w.Trace("%v all are down for %v, %s restarts first", w.now, downtime, w.nodes[first].name)
+	// No controller can scale in a machine that hangs longer: it resumes, and its lease has expired by then.
+	for _, worker := range w.cloud.machines {
+		worker.hungUntil = min(worker.hungUntil, w.now+w.options.WorkerLease)
 	}
 	for i, n := range w.nodes {
-		back := d + w.randomDuration(time.Second, 15*time.Second)
+		restart := downtime + w.randomDuration(time.Second, 15*time.Second)
 		if i == first {
-			back = d
+			restart = downtime
 		}
-		w.crashFor(n, back)
+		w.crashFor(n, restart)
 	}
 }
 
-// crashTenLeaders has the leader end ten times in two minutes, and sometimes the state service be down meanwhile.
+// crashTenLeaders crashes the leader ten times in two minutes, sometimes with an outage of the store meanwhile.
 func (w *Simulator) crashTenLeaders() {
-	w.Trace("%v ten leaders", w.now)
+	w.Trace("%v ten leaders crash", w.now)
 	if w.chance(0.5) {
-		w.schedule(
-			w.randomDuration(0, 60*time.Second),
-			func() { w.store.startOutage(w.randomDuration(5*time.Second, 40*time.Second)) },
-		)
+		w.schedule(w.randomDuration(0, 60*time.Second), func() {
+			w.store.startOutage(w.randomDuration(5*time.Second, 40*time.Second))
+		})
 	}
 	for i := range 10 {
-		w.schedule(time.Duration(i)*11500*time.Millisecond, func() {
-			if n := w.leaderNode(); !n.down {
-				w.crash(n)
-			}
-		})
+		w.schedule(time.Duration(i)*11500*time.Millisecond, func() { w.crashIfUp(w.leaderNode()) })
 	}
 }
 
-// failZoneMachines has a zone lose most of its machines.
+// failZoneMachines fails most machines of a zone.
 func (w *Simulator) failZoneMachines() {
-	z := zones[w.rng.IntN(3)]
-	w.Trace("%v zone %s loses machines", w.now, z)
-	for _, m := range w.cloud.machines {
-		if m.up && !m.gone && m.machine.Zone == z && w.chance(0.8) {
-			m.fail()
+	zone := zones[w.rng.IntN(zoneCount)]
+	w.Trace("%v zone %s loses machines", w.now, zone)
+	for _, worker := range w.cloud.machines {
+		if worker.up && !worker.gone && worker.machine.Zone == zone && w.chance(0.8) {
+			worker.fail()
 		}
 	}
 }
 
-// failoverThenCancel has one controller's shards change hands by its lease, while its process goes
-// on, and users cancel what it had.
+// failoverThenCancel moves a controller's shards to others by the expiry of its lease, while its process goes on, and
+// cancels jobs meanwhile.
 func (w *Simulator) failoverThenCancel() {
 	n := w.randomNode()
-	w.Trace("%v %s hands over", w.now, n.name)
+	w.Trace("%v failover from %s", w.now, n.name)
 	w.store.refuseNode(n.name, w.randomDuration(4*time.Second, 9*time.Second))
 	for range 2 {
 		w.schedule(w.randomDuration(2*time.Second, 9*time.Second), w.cancelBurst)
 	}
 }
 
-// OverlappingFaultOptions are the options of the world of a seed in which troubles meet.
+// OverlappingFaultOptions returns the options of a seed's simulation with overlapping faults.
 func OverlappingFaultOptions(seed uint64) Options {
-	o := Options{
+	options := Options{
 		Seed:              seed,
 		Duration:          480 * time.Second,
 		Jobs:              60,
@@ -438,8 +438,8 @@
 		Archive:           seed%4 == 0,
 		Pipelines:         int(seed % 3),
 	}
-	if seed%7 == 0 { // within an upgrade: nobody asks for anything new yet
-		o.MixedVersions, o.Pipelines = true, 0
+	if seed%7 == 0 { // within an upgrade, when users do not ask for new features yet
+		options.MixedVersions, options.Pipelines = true, 0
 	}
-	return o
+	return options
 }
