--- /dev/null
+++ b/internal/sim/outputs.go
@@ -0,0 +1,172 @@
+package sim
+
+import (
+	"dewlift/core"
+	"time"
+)
+
+// Timeouts of a controller's requests.
+const (
+	storeTimeout = 2 * time.Second
+	leaseTimeout = time.Second
+	agentTimeout = 2 * time.Second
+	cloudTimeout = 4 * time.Second
+)
+
+// Shares of requests that are executed seconds late, see randomDelay. Transactions that are rare elsewhere have
+// higher shares, so that a test meets their late copies at all.
+const (
+	lateCommitShare            = 0.01
+	lateAuditCommitShare       = 0.06
+	lateReservationCommitShare = 0.06
+	lateArchiveCommitShare     = 0.15
+	lateLeaseShare             = 0.005
+	lateCommandShare           = 0.02
+	lateCloudShare             = 0.02
+)
+
+// performOutput carries out one output of a controller's core. Its outcome comes back as an input, unless the process
+// has ended meanwhile.
+func (w *Simulator) performOutput(n *node, output core.Output) {
+	w.OnOutput(n.name, output)
+	incarnation := n.incarnation
+	deliver := func(in core.Input) {
+		if n.incarnation == incarnation && !n.down {
+			w.deliver(n, in)
+		}
+	}
+	switch output := output.(type) {
+	case core.Response:
+		n.respond(output)
+	case core.SendToPeer:
+		w.sendToPeers(n, output)
+	case core.CommitTxn:
+		w.commitTxn(n, output, deliver)
+	case core.Watch:
+		w.store.serveWatch(n, output, deliver)
+	case core.LoadSnapshot:
+		w.call(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, core.SnapshotPage{},
+			func() core.Input { return w.store.loadSnapshot(n.name, output) }, deliver)
+	case core.ReadRange:
+		w.call(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, core.RangeResult{ID: output.ID},
+			func() core.Input { return w.store.readRange(n.name, output) }, deliver)
+	case core.LeaseRequest:
+		w.call(
+			rpcRequest{from: n.name, to: storeAddress, timeout: leaseTimeout, delay: w.randomDelay(lateLeaseShare)},
+			core.LeaseResult{Op: output.Op},
+			func() core.Input { return w.store.serveLease(n.name, output) }, deliver)
+	case core.SendCommands:
+		w.sendCommands(n, output, deliver)
+	case core.PollAgent:
+		w.pollAgent(n, output, deliver)
+	case core.CloudRequest:
+		w.call(
+			rpcRequest{from: n.name, to: cloudAddress, timeout: cloudTimeout, delay: w.randomDelay(lateCloudShare)},
+			core.CloudResult{ID: output.ID},
+			func() core.Input { return w.cloud.serve(output) }, deliver)
+	case core.LogLine:
+		w.Trace("%v %s %s %v", w.now, n.name, output.Message, output.Args)
+	}
+}
+
+// respond hands a response to the request that waits for it, once.
+func (n *node) respond(response core.Response) {
+	if deliver := n.pendingRequests[response.RequestID]; deliver != nil {
+		delete(n.pendingRequests, response.RequestID)
+		deliver(response)
+	}
+}
+
+// sendToPeers sends a message to one peer, or to all if it names none.
+func (w *Simulator) sendToPeers(n *node, output core.SendToPeer) {
+	for _, peer := range w.nodes {
+		if peer == n || output.Peer != "" && output.Peer != peer.name {
+			continue
+		}
+		arrive := func() {
+			if !peer.down {
+				w.deliver(peer, core.PeerMessage{Peer: n.name, Message: output.Message})
+			}
+		}
+		w.send(n.name, peer.name, arrive)
+		// A duplicate may arrive after its sender or receiver has restarted.
+		if w.options.FlappingProcesses && w.chance(0.01) {
+			w.schedule(w.randomDuration(0, 3*time.Second), arrive)
+		}
+	}
+}
+
+// commitTxn sends a transaction to the store, and crashes its sender now and then while it is under way.
+func (w *Simulator) commitTxn(n *node, output core.CommitTxn, deliver func(core.Input)) {
+	result := core.TxnResult{ID: output.ID}
+	w.checkWrittenSchema(n, output.Txn)
+	lateShare := lateCommitShare
+	if w.options.FlappingProcesses {
+		w.injectFlap(n, output.Txn)
+	}
+	if w.options.AuditLog && writesAuditLog(output.Txn) {
+		lateShare = lateAuditCommitShare
+	}
+	delay := w.commitDelay(output.Txn)
+	if writesReservations(output.Txn) {
+		lateShare = lateReservationCommitShare
+		if !w.options.NoFaults && w.chance(0.01) {
+			w.crashSoon(n, "a reservation")
+		}
+	}
+	if movesToArchive(output.Txn) {
+		lateShare = lateArchiveCommitShare
+		if !w.options.NoFaults && w.chance(0.04) {
+			w.crashSoon(n, "a move to the archive")
+		}
+	}
+	responseDelay := w.commitResponseDelay(output.Txn)
+	w.rpc(rpcRequest{
+		from: n.name, to: storeAddress, timeout: storeTimeout, delay: max(delay, w.randomDelay(lateShare)),
+	}, func() time.Duration {
+		result.Status, result.Reply = w.store.commit(n.name, output.Txn)
+		return responseDelay
+	}, func(ok bool) {
+		if !ok {
+			result = core.TxnResult{ID: output.ID}
+		}
+		deliver(result)
+	})
+}
+
+// sendCommands sends commands to an agent. The sender can't tell whether they arrived if there is no response.
+func (w *Simulator) sendCommands(n *node, output core.SendCommands, deliver func(core.Input)) {
+	worker := w.cloud.find(output.Machine)
+	failed := core.CommandsResult{ID: output.ID, MaybeDelivered: true}
+	w.call(rpcRequest{
+		from: n.name, to: output.Machine, timeout: agentTimeout,
+		delay: max(w.commandDelay(output), w.randomDelay(lateCommandShare)),
+	}, failed, func() core.Input {
+		result := failed
+		if worker != nil && !worker.gone {
+			result.Status, result.Heartbeat = worker.handleCommands(output.Batch)
+		}
+		return result
+	}, deliver)
+}
+
+// pollAgent asks an agent for its status.
+func (w *Simulator) pollAgent(n *node, output core.PollAgent, deliver func(core.Input)) {
+	worker := w.cloud.find(output.Machine)
+	failed := core.AgentPolled{Machine: output.Machine}
+	w.call(rpcRequest{from: n.name, to: output.Machine, timeout: agentTimeout}, failed, func() core.Input {
+		result := failed
+		if worker != nil && worker.up && !worker.gone {
+			result.Heartbeat = worker.nextHeartbeat()
+		}
+		return result
+	}, deliver)
+}
+
+// randomDelay delays a share of requests by seconds: they are executed after their sender gave up.
+func (w *Simulator) randomDelay(share float64) time.Duration {
+	if !w.options.NoFaults && w.chance(share) {
+		return w.randomDuration(2*time.Second, 40*time.Second)
+	}
+	return 0
+}
