--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -153,7 +153,8 @@
 
 // completeJob has the replica show that a job of one task is done.
 func completeJob(c *Core, j *job, revision uint64) {
-	c.adoptRecord(j, &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}, nil, revision, 10)
+	record := &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}
+	c.adoptRecord(j, record, nil, revision, 10)
 }
 
 // A job must not start before all its dependencies are done, and then must.
--- a/core/quorum/quorum_test.go
+++ b/core/quorum/quorum_test.go
@@ -9,49 +9,55 @@
 	"time"
 )
 
-// A model of a site: cancellations are committed one by one, told when they may be, and every
-// controller that may renew a lease must know all that were told longer ago than the bound.
-// Processes end and come back without memory, stand still, lose the state service or each other;
-// messages come late and twice, also of former lives.
+const (
+	modelSeeds = 400
+	modelSteps = 3000 // for each seed
+)
+
+// A controller that renews a lease must know every cancellation acknowledged longer ago than the
+// bound, whatever fails. The model: cancellations are committed one by one, and acknowledged when
+// they may be. Processes crash and restart without memory, pause, and lose the store or each other;
+// messages are delayed and duplicated, also across incarnations.
 func TestRenewersKnowAcknowledgedCancellations(t *testing.T) {
-	renewed, told := 0, 0
-	for seed := uint64(1); seed <= 400; seed++ {
+	renewed, acknowledged := 0, 0
+	for seed := uint64(1); seed <= modelSeeds; seed++ {
 		m := newModel(t, seed)
-		for range 3000 {
+		for range modelSteps {
 			m.step()
 		}
 		renewed += m.renewed
-		told += len(m.acknowledged)
+		acknowledged += len(m.acknowledged)
 	}
-	if renewed < 100_000 || told < 10_000 {
-		t.Errorf("%d renewals, %d cancellations told", renewed, told)
+	if renewed < 100_000 || acknowledged < 10_000 {
+		t.Errorf("%d renewals, %d acknowledged cancellations: too few to show anything", renewed, acknowledged)
 	}
-	t.Logf("%d renewals, %d cancellations told", renewed, told)
+	t.Logf("%d renewals, %d acknowledged cancellations", renewed, acknowledged)
 }
 
-// The model must catch a site that breaks the rule in each of the ways that the package rules out.
+// The model must find a violation if any one of the rules is broken; otherwise it shows nothing.
 func TestModelCatchesBrokenRules(t *testing.T) {
-	for name, flaw := range map[string]func(m *model){
-		"telling at once":                func(m *model) { m.ackWithoutQuorum = true },
-		"answers of earlier questions":   func(m *model) { m.acceptAnyNonce = true },
-		"vouching before it has loaded":  func(m *model) { m.vouchUnloaded = true },
-		"no bound":                       func(m *model) { m.ignoreStaleness = true },
-		"counting from a read's answer":  func(m *model) { m.countFromReply = true },
-		"taking none of what others say": func(m *model) { m.ignorePeers = true },
+	for name, breakRule := range map[string]func(m *model){
+		"acknowledging without a majority":     func(m *model) { m.ackWithoutQuorum = true },
+		"accepting replies to earlier queries": func(m *model) { m.acceptAnyNonce = true },
+		"replying before a snapshot is loaded": func(m *model) { m.replyUnloaded = true },
+		"renewing however stale the view is":   func(m *model) { m.ignoreStaleness = true },
+		"counting from the answer of a read":   func(m *model) { m.countFromReply = true },
+		"ignoring what peers reply":            func(m *model) { m.ignorePeers = true },
 	} {
-		caught := false
-		for seed := uint64(1); seed <= 400 && !caught; seed++ {
-			m := newModel(t, seed)
-			m.countOnly = true
-			flaw(m)
-			for range 3000 {
-				m.step()
+		t.Run(name, func(t *testing.T) {
+			for seed := uint64(1); seed <= modelSeeds; seed++ {
+				m := newModel(t, seed)
+				m.countOnly = true
+				breakRule(m)
+				for range modelSteps {
+					m.step()
+				}
+				if m.violations > 0 {
+					return
+				}
 			}
-			caught = m.violations > 0
-		}
-		if !caught {
 			t.Errorf("%s was not caught", name)
-		}
+		})
 	}
 }
 
@@ -60,43 +66,52 @@
 	agentLeaseTTL  = 20 * time.Second
 )
 
+// process is one controller of the model.
 type process struct {
 	view             *View
-	loaded           bool
-	revision         uint64
-	heldBeyond       map[uint64]bool            // held beyond it
-	acks             map[uint64]map[string]bool // of cancellations that it wants to tell
-	pausedUntil      time.Duration              // until when it stands still
-	storeUnreachable bool                       // from the state service
+	loaded           bool                       // it has loaded a snapshot of the store
+	revision         uint64                     // it holds all cancellations up to this revision
+	heldBeyond       map[uint64]bool            // and these beyond it
+	acks             map[uint64]map[string]bool // by cancellation that it wants to acknowledge: peers that hold it
+	pausedUntil      time.Duration
+	storeUnreachable bool // for this process alone
 	name             string
 	incarnation      int
 }
 
-func (p *process) holds(r uint64) bool { return r <= p.revision || p.heldBeyond[r] }
+// holds reports whether the process holds the cancellation of a revision.
+func (p *process) holds(revision uint64) bool {
+	return revision <= p.revision || p.heldBeyond[revision]
+}
 
+// model is a cell of controllers and their store, with faults.
 type model struct {
 	t            *testing.T
 	rng          *rand.Rand
 	now          time.Duration
-	revision     uint64
+	revision     uint64 // of the last cancellation committed
 	processes    []*process
-	acknowledged map[uint64]time.Duration
-	storeDown    bool
-	cutLinks     map[[2]int]bool // cut
+	acknowledged map[uint64]time.Duration // by cancellation: when a user was first answered with it
+	storeDown    bool                     // for all
+	cutLinks     map[[2]int]bool
 	delayed      []message
 	renewed      int
 	violations   int
-	countOnly    bool
+	countOnly    bool // violations don't fail the test
 
-	ackWithoutQuorum, acceptAnyNonce, vouchUnloaded, ignoreStaleness, countFromReply, ignorePeers bool
+	// Rules that the model breaks.
+	ackWithoutQuorum, acceptAnyNonce, replyUnloaded, ignoreStaleness, countFromReply, ignorePeers bool
 }
 
+// message is something to be delivered later.
 type message struct {
 	deliverAt time.Duration
 	deliver   func()
 }
 
+// newModel is a cell of 1, 3 or 5 controllers, by the seed.
 func newModel(t *testing.T, seed uint64) *model {
+	t.Helper()
 	m := &model{
 		t:            t,
 		rng:          rand.New(rand.NewPCG(seed, 5)),
@@ -112,11 +127,12 @@
 	return m
 }
 
+// boot starts the next incarnation of a process, without memory of the last.
 func (m *model) boot(p *process) {
 	var peers []string
-	for _, o := range m.processes {
-		if o != p {
-			peers = append(peers, o.name)
+	for _, other := range m.processes {
+		if other != p {
+			peers = append(peers, other.name)
 		}
 	}
 	p.incarnation++
@@ -124,35 +140,67 @@
 	p.heldBeyond, p.acks = map[uint64]bool{}, map[uint64]map[string]bool{}
 }
 
-// send carries something to a process, late at times, and once more at times.
-func (m *model) send(from, to int, f func()) {
+// send delivers a message to a process, at times late, and at times more than once.
+func (m *model) send(from, to int, deliver func()) {
 	if m.cutLinks[[2]int{min(from, to), max(from, to)}] {
 		return
 	}
-	after := time.Duration(m.rng.IntN(300)) * time.Millisecond
+	after := m.randomMillis(300)
 	for m.rng.IntN(4) == 0 {
-		after += time.Duration(m.rng.IntN(30_000)) * time.Millisecond
-		m.delayed = append(m.delayed, message{m.now + after, f})
+		after += m.randomMillis(30_000)
+		m.delayed = append(m.delayed, message{m.now + after, deliver})
 	}
-	m.delayed = append(m.delayed, message{m.now + after, f})
+	m.delayed = append(m.delayed, message{m.now + after, deliver})
 }
 
+// randomMillis is a random time below that many milliseconds.
+func (m *model) randomMillis(below int) time.Duration {
+	return time.Duration(m.rng.IntN(below)) * time.Millisecond
+}
+
+// step lets time pass and one process act, and checks what it may do.
 func (m *model) step() {
-	m.now += time.Duration(m.rng.IntN(200)) * time.Millisecond
+	m.now += m.randomMillis(200)
+	m.deliverDue()
+	i := m.rng.IntN(len(m.processes))
+	p := m.processes[i]
+	m.injectFault(i)
+	if m.now < p.pausedUntil {
+		return
+	}
+	storeReachable := !m.storeDown && !p.storeUnreachable
+	if storeReachable && m.rng.IntN(3) == 0 {
+		m.readStore(p)
+	}
+	if storeReachable && p.loaded && m.rng.IntN(8) == 0 {
+		m.commitCancellation(p)
+	}
+	m.acknowledge(i)
+	if p.loaded && p.view.IsQueryDue(m.now) {
+		m.queryPeers(i)
+	}
+	m.renewLease(p)
+}
+
+// deliverDue delivers all messages that are due.
+func (m *model) deliverDue() {
 	var due []message
-	left := m.delayed[:0]
-	for _, x := range m.delayed {
-		if x.deliverAt <= m.now {
-			due = append(due, x)
+	later := m.delayed[:0]
+	for _, msg := range m.delayed {
+		if msg.deliverAt <= m.now {
+			due = append(due, msg)
 		} else {
-			left = append(left, x)
+			later = append(later, msg)
 		}
 	}
-	m.delayed = left
-	for _, x := range due {
-		x.deliver()
+	m.delayed = later
+	for _, msg := range due {
+		msg.deliver()
 	}
-	i := m.rng.IntN(len(m.processes))
+}
+
+// injectFault begins or ends a fault at times, mostly one of process i.
+func (m *model) injectFault(i int) {
 	p := m.processes[i]
 	switch m.rng.IntN(120) {
 	case 0:
@@ -162,135 +210,172 @@
 	case 2:
 		p.storeUnreachable = m.rng.IntN(2) == 0
 	case 3:
-		j := m.rng.IntN(len(m.processes))
-		m.cutLinks[[2]int{min(i, j), max(i, j)}] = m.rng.IntN(2) == 0
+		k := m.rng.IntN(len(m.processes))
+		m.cutLinks[[2]int{min(i, k), max(i, k)}] = m.rng.IntN(2) == 0
 	case 4:
-		p.pausedUntil = m.now + time.Duration(m.rng.IntN(40_000))*time.Millisecond
-	}
-	if m.now < p.pausedUntil {
-		return
+		p.pausedUntil = m.now + m.randomMillis(40_000)
 	}
-	reach := !m.storeDown && !p.storeUnreachable
-	if reach && m.rng.IntN(3) == 0 { // a read: what it shows is of some moment between its sending and its answer
-		sent, shows, life := m.now, m.revision, p.incarnation
-		answer := func() {
-			if p.incarnation != life || m.now < p.pausedUntil {
-				return
-			}
-			p.revision, p.loaded = max(p.revision, shows), true
-			if m.countFromReply {
-				sent = m.now
-			}
-			p.view.ConfirmRead(sent)
+}
+
+// readStore has a process read the store. What the read shows is of some moment between its sending
+// and its answer.
+func (m *model) readStore(p *process) {
+	sentAt, shown, incarnation := m.now, m.revision, p.incarnation
+	answer := func() {
+		if p.incarnation != incarnation || m.now < p.pausedUntil {
+			return
 		}
-		if m.rng.IntN(5) == 0 {
-			m.delayed = append(m.delayed, message{m.now + time.Duration(m.rng.IntN(30_000))*time.Millisecond, answer})
-		} else {
-			answer()
+		p.revision, p.loaded = max(p.revision, shown), true
+		if m.countFromReply {
+			sentAt = m.now
 		}
+		p.view.ConfirmRead(sentAt)
 	}
-	if reach && p.loaded && m.rng.IntN(8) == 0 { // a cancellation
-		m.revision++
-		p.heldBeyond[m.revision] = true
-		p.acks[m.revision] = map[string]bool{}
+	if m.rng.IntN(5) == 0 {
+		m.delayed = append(m.delayed, message{m.now + m.randomMillis(30_000), answer})
+		return
 	}
-	for _, r := range slices.Sorted(maps.Keys(p.acks)) { // it wants to tell them
-		acks := p.acks[r]
-		if m.ackWithoutQuorum || p.view.CanAcknowledge(r, acks) {
-			if _, ok := m.acknowledged[r]; !ok {
-				m.acknowledged[r] = m.now
+	answer()
+}
+
+// commitCancellation has a process commit a cancellation, which it then wants to acknowledge.
+func (m *model) commitCancellation(p *process) {
+	m.revision++
+	p.heldBeyond[m.revision] = true
+	p.acks[m.revision] = map[string]bool{}
+}
+
+// acknowledge has process i acknowledge the cancellations that it may, and send the others to its
+// peers at times.
+func (m *model) acknowledge(i int) {
+	p := m.processes[i]
+	for _, revision := range slices.Sorted(maps.Keys(p.acks)) {
+		acks := p.acks[revision]
+		if m.ackWithoutQuorum || p.view.CanAcknowledge(revision, acks) {
+			if _, ok := m.acknowledged[revision]; !ok {
+				m.acknowledged[revision] = m.now
 			}
-			delete(p.acks, r)
+			delete(p.acks, revision)
+			continue
+		}
+		m.broadcastCancellation(i, revision, acks)
+	}
+}
+
+// broadcastCancellation has process i send a cancellation to its peers, at times, and collects those
+// that hold it then.
+func (m *model) broadcastCancellation(i int, revision uint64, acks map[string]bool) {
+	p := m.processes[i]
+	for k, peer := range m.processes {
+		incarnation := p.incarnation
+		if peer == p || m.rng.IntN(10) > 0 {
 			continue
 		}
-		for k, o := range m.processes {
-			life := p.incarnation
-			if o == p || m.rng.IntN(10) > 0 {
-				continue
+		m.send(i, k, func() {
+			if !peer.loaded || m.now < peer.pausedUntil {
+				return
 			}
-			m.send(i, k, func() {
-				if !o.loaded || m.now < o.pausedUntil {
-					return
+			peer.heldBeyond[revision] = true
+			m.send(k, i, func() {
+				if p.incarnation == incarnation {
+					acks[peer.name] = true
 				}
-				o.heldBeyond[r] = true
-				m.send(k, i, func() {
-					if p.incarnation == life {
-						acks[o.name] = true
-					}
-				})
 			})
-		}
+		})
 	}
-	if p.loaded && p.view.IsQueryDue(m.now) {
-		nonce, since := m.rng.Uint64(), p.revision
-		p.view.BeginQuery(m.now, nonce)
-		for k, o := range m.processes {
-			if o == p {
-				continue
+}
+
+// queryPeers has process i query its peers for the cancellations that it may lack.
+func (m *model) queryPeers(i int) {
+	p := m.processes[i]
+	nonce, since := m.rng.Uint64(), p.revision
+	p.view.BeginQuery(m.now, nonce)
+	for k, peer := range m.processes {
+		if peer == p {
+			continue
+		}
+		m.send(i, k, func() {
+			if !peer.loaded && !m.replyUnloaded || m.now < peer.pausedUntil {
+				return
 			}
-			m.send(i, k, func() {
-				if !o.loaded && !m.vouchUnloaded || m.now < o.pausedUntil {
-					return
+			var held []uint64
+			for revision := since + 1; revision <= m.revision; revision++ {
+				if peer.holds(revision) {
+					held = append(held, revision)
 				}
-				var told []uint64
-				for r := since + 1; r <= m.revision; r++ {
-					if o.holds(r) {
-						told = append(told, r)
-					}
-				}
-				upTo := o.revision
-				m.send(k, i, func() {
-					if !p.loaded || m.now < p.pausedUntil {
-						return
-					}
-					if !m.ignorePeers {
-						for _, r := range told {
-							p.heldBeyond[r] = true
-						}
-						p.view.RecordHeldRevision(o.name, upTo)
-					}
-					if m.acceptAnyNonce {
-						nonce = p.view.queryNonce
-					}
-					p.view.HandleReply(o.name, nonce)
-				})
-			})
+			}
+			upTo := peer.revision
+			m.send(k, i, func() { m.applyReply(p, peer.name, &nonce, held, upTo) })
+		})
+	}
+}
+
+// applyReply has a process apply a peer's reply to a query. nonce is shared by all replies to that
+// query: a broken rule that replaces it holds for the later ones too.
+func (m *model) applyReply(p *process, peer string, nonce *uint64, held []uint64, upTo uint64) {
+	if !p.loaded || m.now < p.pausedUntil {
+		return
+	}
+	if !m.ignorePeers {
+		for _, revision := range held {
+			p.heldBeyond[revision] = true
 		}
+		p.view.RecordHeldRevision(peer, upTo)
 	}
-	if !p.loaded || !(p.view.IsFresh(m.now) || m.ignoreStaleness && p.view.initialized) {
+	if m.acceptAnyNonce {
+		*nonce = p.view.queryNonce
+	}
+	p.view.HandleReply(peer, *nonce)
+}
+
+// renewLease has a process renew a lease if it may, and checks that it lacks no cancellation whose
+// deadline the lease would exceed.
+func (m *model) renewLease(p *process) {
+	fresh := p.view.IsFresh(m.now) || m.ignoreStaleness && p.view.initialized
+	if !p.loaded || !fresh {
 		return
 	}
 	m.renewed++
-	for r, at := range m.acknowledged {
-		if m.now+agentLeaseTTL > at+cancelDeadline && !p.holds(r) {
+	for revision, at := range m.acknowledged {
+		if m.now+agentLeaseTTL > at+cancelDeadline && !p.holds(revision) {
 			m.violations++
 			if !m.countOnly {
-				m.t.Fatalf("at %v %s renews a lease and does not know of %d, told at %v", m.now, p.name, r, at)
+				m.t.Fatalf(
+					"at %v %s renews a lease and lacks cancellation %d, acknowledged at %v",
+					m.now, p.name, revision, at,
+				)
 			}
 		}
 	}
 }
 
-// What times leave no room for is told before it matters.
+// Times that allow no renewal must give a bound that shows it, so that settings are rejected.
 func TestMaxStaleness(t *testing.T) {
-	for _, x := range []struct {
-		cancel, lease time.Duration
-		least, most   time.Duration
+	for _, tc := range []struct {
+		name                          string
+		cancelDeadline, agentLeaseTTL time.Duration
+		least, most                   time.Duration
 	}{
-		{66 * time.Second, 36 * time.Second, 28 * time.Second, 29 * time.Second},
-		{30 * time.Second, 30 * time.Second, -2 * time.Second, 0},
+		{"usable", 66 * time.Second, 36 * time.Second, 28 * time.Second, 29 * time.Second},
+		{"lease as long as the deadline", 30 * time.Second, 30 * time.Second, -2 * time.Second, 0},
 	} {
-		if b := MaxStaleness(x.cancel, x.lease); b < x.least || b > x.most {
-			t.Errorf("%v, %v: %v", x.cancel, x.lease, b)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			got := MaxStaleness(tc.cancelDeadline, tc.agentLeaseTTL)
+			if got < tc.least || got > tc.most {
+				t.Errorf("got %v, want %v to %v", got, tc.least, tc.most)
+			}
+		})
 	}
 }
 
-// A site of one controller is its own majority.
+// A single controller must be its own majority, or it could never renew a lease in a store outage.
 func TestOneControllerIsItsOwnQuorum(t *testing.T) {
 	v := New(Config{nil, cancelDeadline, agentLeaseTTL})
 	v.BeginQuery(time.Minute, 7)
-	if !v.IsFresh(time.Minute+10*time.Second) || !v.CanAcknowledge(9, nil) {
-		t.Error("it does not")
+	if !v.IsFresh(time.Minute + 10*time.Second) {
+		t.Error("the view is not fresh after a query")
+	}
+	if !v.CanAcknowledge(9, nil) {
+		t.Error("a cancellation can't be acknowledged")
 	}
 }
