--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -190,7 +190,7 @@
 }
 
 // estimateReadyIn is in what time a waiting job should become ready, by the estimated runtimes of its
-// dependencies. That can be told only if each of them has started all its tasks.
+// dependencies. That can be estimated only once each of them has started all its tasks.
 func (c *Core) estimateReadyIn(j *job) (in time.Duration, ok bool) {
 	for _, dependency := range j.dependencies {
 		if dependency.record == nil || dependency.record.Stage == jobrecord.Done {
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -55,7 +55,7 @@
 	return Response{}
 }
 
-// Each submission with dependencies must be answered with the status that tells the user what to do.
+// Each submission with dependencies must be answered with the status that shows what is wrong with it.
 func TestSubmissionsWithDependenciesAreAnswered(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1")); r.Status != wire.StatusInvalid {
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -309,7 +309,7 @@
 }
 
 // recordStop records that an attempt of a queued job ended without completing its task. Where the
-// agent only reports that the attempt was stopped, the cause is the one for which it was told to.
+// agent only reports that the attempt was stopped, the cause is that of the stop command.
 func (u *recordUpdate) recordStop(assignment jobrecord.Assignment, cause string) jobrecord.StopReason {
 	c, host := u.core, u.core.machines[assignment.Machine]
 	attempt := host.commands.attempts[attemptKey{u.job.index, assignment.Task, assignment.Attempt}]
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -17,7 +17,7 @@
 	)
 	for _, tc := range []struct {
 		name     string
-		complete func(c *Core, write *CommitTxn) []Output // tells the controller that the write was committed
+		complete func(c *Core, write *CommitTxn) []Output // delivers the outcome of the write
 	}{
 		{"by the result of the write", func(c *Core, write *CommitTxn) []Output {
 			c.Handle(1200*time.Millisecond, TxnResult{
@@ -53,22 +53,14 @@
 				t.Error("no read was sent")
 				return
 			}
-			c.Handle(
-				1700*time.Millisecond,
-				WatchResult{
-					Status: wire.StatusOK,
-					Changes: wire.WatchResponse{
-						Revision: 8,
-						Events:   []wire.WatchEvent{event(keyJob+"wk-000001", cancelledRecord, 8)},
-					},
+			c.Handle(1700*time.Millisecond, WatchResult{
+				Status: wire.StatusOK,
+				Changes: wire.WatchResponse{
+					Revision: 8,
+					Events:   []wire.WatchEvent{event(keyJob+in.ID, cancelledRecord, 8)},
 				},
-			)
-			stage := ""
-			for _, r := range outputsOfType[Response](c.Advance(1700 * time.Millisecond)) {
-				if state, ok := r.Body.(wire.JobState); ok && r.RequestID == joinedRequest {
-					stage = state.Stage
-				}
-			}
+			})
+			stage := answeredStage(c.Advance(1700*time.Millisecond), joinedRequest)
 			if stage != wire.StageCancelled {
 				t.Errorf("answered %q", stage)
 			}
@@ -76,6 +68,17 @@
 	}
 }
 
+// answeredStage is the stage of the job state that a request was answered with; "" if there is none.
+func answeredStage(out []Output, requestID uint64) string {
+	stage := ""
+	for _, r := range outputsOfType[Response](out) {
+		if state, ok := r.Body.(wire.JobState); ok && r.RequestID == requestID {
+			stage = state.Stage
+		}
+	}
+	return stage
+}
+
 // A rejection must keep its status and reason, and only one that may pass by itself is temporary:
 // it is answered as unavailable, so that the client retries.
 func TestValidateSubmissionRejections(t *testing.T) {
