--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -55,7 +55,7 @@
 	return Response{}
 }
 
-// Each submission with dependencies must be answered with the status that tells the user what to do.
+// Each submission with dependencies must be answered with the status that shows what is wrong with it.
 func TestSubmissionsWithDependenciesAreAnswered(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1")); r.Status != wire.StatusInvalid {
@@ -153,7 +153,8 @@
 
 // completeJob has the replica show that a job of one task is done.
 func completeJob(c *Core, j *job, revision uint64) {
-	c.adoptRecord(j, &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}, nil, revision, 10)
+	record := &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}
+	c.adoptRecord(j, record, nil, revision, 10)
 }
 
 // A job must not start before all its dependencies are done, and then must.
