--- a/core/peers.go
+++ b/core/peers.go
@@ -120,7 +120,7 @@
 		// show room on a full machine until the row changes.
 		if m.AllocationDeltas.Seq > c.clusterCopy.countedBatches[in.Peer] ||
 			c.clusterCopy.leaderToken != c.leadership.leader.FencingToken {
-			c.retainBatch(
+			c.deltaLog.retain(
 				in.Peer,
 				deltaBatch{m.AllocationDeltas.Seq, 0, c.leadership.leader.FencingToken, m.AllocationDeltas.Deltas},
 			)
