--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// A job with a mistake kept the machines that it failed on from all work for up to half a minute,
-// was started whole again and again, and had healthy machines returned. What its record says tells
-// it from a faulty machine, at every controller.
+// A job with a mistake kept the machines that it failed on from all work for up to half a minute, was
+// started whole again and again, and had healthy machines returned. Its record must tell it from a
+// faulty machine, at every controller.
 func TestJobFailingEverywhereIsToldFromAFaultyMachine(t *testing.T) {
-	for name, x := range map[string]struct {
-		why               string // machine and cause, or "done"
-		failing, mistaken bool
+	for name, test := range map[string]struct {
+		history                  string // pairs of machine and cause, or "done"
+		failing, failsEverywhere bool
 	}{
 		"two errors":              {"a error b error", false, false},
 		"on one machine":          {"a error a error a error", true, false},
@@ -23,62 +23,68 @@
 		"with machines gone":      {"a error b gone b error c gone c gone c error d gone", true, true},
 		"one of it has completed": {"a error b error done c error d error", false, false},
 	} {
-		r := &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 9}}
-		f := strings.Fields(x.why)
-		for i := 0; i < len(f); i++ {
-			if f[i] == "done" {
-				r.CompletedTasks = r.CompletedTasks.Add(0)
-				continue
+		t.Run(name, func(t *testing.T) {
+			record := recordWithHistory(test.history)
+			if got := isFailing(record, 1000); got != test.failing {
+				t.Errorf("failing %v: %v", got, record.StopReasons)
 			}
-			r.AddStopReason(jobrecord.StopReason{Machine: f[i], Cause: f[i+1]})
-			i++
-		}
-		if isFailing(r, 1000) != x.failing || failsEverywhere(r, 1000) != x.mistaken {
-			t.Errorf(
-				"%s: failing %v, mistaken %v: %v",
-				name,
-				isFailing(r, 1000),
-				failsEverywhere(r, 1000),
-				r.StopReasons,
-			)
-		}
-		if isFailing(r, 1000+failureWindow.Milliseconds()) {
-			t.Errorf("%s: failing for ever", name)
+			if got := failsEverywhere(record, 1000); got != test.failsEverywhere {
+				t.Errorf("fails everywhere %v: %v", got, record.StopReasons)
+			}
+			if isFailing(record, 1000+failureWindow.Milliseconds()) {
+				t.Error("still failing after the failure window")
+			}
+		})
+	}
+}
+
+// recordWithHistory is the record of a job with stop reasons, written as pairs of machine and cause, and
+// completed tasks, written as "done".
+func recordWithHistory(history string) *jobrecord.Record {
+	record := &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 9}}
+	fields := strings.Fields(history)
+	for i := 0; i < len(fields); i++ {
+		if fields[i] == "done" {
+			record.CompletedTasks = record.CompletedTasks.Add(0)
+			continue
 		}
+		record.AddStopReason(jobrecord.StopReason{Machine: fields[i], Cause: fields[i+1]})
+		i++
 	}
+	return record
 }
 
-// Three jobs fail on two machines. Those of one are mistaken, so it stays in use; those of the
-// other do well elsewhere, so it is returned. Where nothing is known of them, it is tried again
-// after a while.
+// Three jobs fail on each of three machines. Those of one fail everywhere, so it stays in use; those
+// of another are healthy elsewhere, so it is returned. Where nothing is known of the jobs, the
+// machine is tried again after a while.
 func TestOnlyAMachineThatFailsHealthyJobsIsReturned(t *testing.T) {
 	c := newLeadingCore(t)
-	for i, kind := range []string{"mistaken", "sound", "unknown"} {
+	for i, kind := range []string{"failing everywhere", "healthy", "unknown"} {
 		m := c.internMachine(fmt.Sprint("m-", i))
 		for k := range 3 {
 			j := c.internJob(fmt.Sprint("wk-", kind, k))
 			j.record = &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 9}}
 			switch kind {
-			case "mistaken":
+			case "failing everywhere":
 				for n := range 3 {
 					j.record.AddStopReason(
 						jobrecord.StopReason{Machine: fmt.Sprint("x", n), Cause: wire.CauseError, AtMS: c.unixMS()},
 					)
 				}
-			case "sound":
+			case "healthy":
 				j.record.CompletedTasks = j.record.CompletedTasks.Add(4)
 			}
 			c.recordTaskEnd(m, j, wire.CauseError)
 		}
-		if got, want := c.isQuarantined(m), kind != "mistaken"; got != want {
-			t.Errorf("%s: faulty %v", kind, got)
+		if got, want := c.isQuarantined(m), kind != "failing everywhere"; got != want {
+			t.Errorf("%s: quarantined %v", kind, got)
 		}
-		if got, want := c.isProvenFaulty(m), kind == "sound"; got != want {
-			t.Errorf("%s: to be returned %v", kind, got)
+		if got, want := c.isProvenFaulty(m), kind == "healthy"; got != want {
+			t.Errorf("%s: proven faulty %v", kind, got)
 		}
 		c.now += quarantineDuration
 		if c.isQuarantined(m) {
-			t.Errorf("%s: not tried again", kind)
+			t.Errorf("%s: still quarantined after quarantineDuration", kind)
 		}
 		c.now += time.Second
 	}
