--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -10,179 +10,177 @@
 	"time"
 )
 
-// While hundreds of jobs wait for a full fleet, each plan looked at every machine for each of them,
-// and ordered thousands of machines that there were not: most of the processor's time, so that
-// polls timed out.
-func TestPlansOfAFullFleetAreBounded(t *testing.T) {
-	c := New(
-		Config{
-			Autoscaling: AutoscalingConfig{
-				CloudRequestRate: 4,
-			},
-			Store: StoreConfig{
-				MaxTxnOps:     12,
-				MaxValueBytes: 8192,
-				WriteRate:     30,
-				RequestRate:   100,
-			},
-
-			SchemaVersion: SchemaVersion,
-			Name:          "n0",
-			Shards:        1,
-		},
-		0,
-		1,
-	)
-	c.autoscaler.catalog = map[string]*wire.MachineType{
-		"x": {Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b"}, BootS: 15, Price: 1, SpotPrice: 0.5},
-	}
-	c.autoscaler.typeNames = []string{"x"}
-	c.leaderState = &leaderState{
-		blockedUntil:     map[nodeGroup]time.Duration{},
-		lastPreemptedFor: map[int32]time.Duration{},
-	}
+// While hundreds of jobs waited in a full cluster, each plan examined every machine for each of them and
+// ordered thousands of machines that the cloud did not have: it took most of the processor's time, so
+// that agents' polls timed out.
+func TestPlansOfAFullClusterAreBounded(t *testing.T) {
+	c := newPlanningCore()
 	const machines, jobs = 1000, 500
 	var bins []*bin
 	for range machines {
-		bins = append(
-			bins,
-			&bin{
-				nodeGroup: nodeGroup{"x", "a", true},
-				capacity:  clusterstate.Resources{32000, 0, 128000},
-				available: clusterstate.Resources{500, 0, 1000},
-			},
-		)
-	}
-	h := c.newSupply(bins)
+		bins = append(bins, &bin{
+			nodeGroup: nodeGroup{"x", "a", true},
+			capacity:  clusterstate.Resources{32000, 0, 128000},
+			available: clusterstate.Resources{500, 0, 1000},
+		})
+	}
+	supply := c.newSupply(bins)
 	rng := rand.New(rand.NewPCG(1, 1))
 	order := map[nodeGroup]int{}
-	var pools []nodeGroup
+	var groups []nodeGroup
 	for range jobs {
-		s := &wire.JobSpec{Tasks: 100, Spot: true, Request: [3]int64{3000 + rng.Int64N(2000), 0, 8000}}
-		c.packDemand(demand{spec: s, tasks: 100, tasksByZone: map[string]int{}, priorityClass: 1}, h, order, &pools)
+		spec := &wire.JobSpec{Tasks: 100, Spot: true, Request: [3]int64{3000 + rng.Int64N(2000), 0, 8000}}
+		need := demand{spec: spec, tasks: 100, tasksByZone: map[string]int{}, priorityClass: 1}
+		c.packDemand(need, supply, order, &groups)
 	}
-	if most := uint64(30 * (machines + c.maxScaleOut())); c.Stats.PlanMachineLooks > most {
-		t.Errorf("%d looks at machines for %d jobs", c.Stats.PlanMachineLooks, jobs)
+	if limit := uint64(30 * (machines + c.maxScaleOut())); c.Stats.PlanMachineLooks > limit {
+		t.Errorf("%d machines examined for %d jobs, the limit is %d", c.Stats.PlanMachineLooks, jobs, limit)
 	}
-	if h.plannedMachines != c.maxScaleOut() {
-		t.Errorf("%d machines are ordered, %d can be asked for in a while", h.plannedMachines, c.maxScaleOut())
+	if supply.plannedMachines != c.maxScaleOut() {
+		t.Errorf("%d machines are ordered, want the %d that scale out allows", supply.plannedMachines, c.maxScaleOut())
 	}
-	// What needs less than those that found nothing still finds it.
-	if now := c.packDemand(demand{
+
+	// A smaller request than those that found no capacity must still find it.
+	small := demand{
 		spec:        &wire.JobSpec{Tasks: 3, Spot: true, Request: [3]int64{400, 0, 900}},
 		tasks:       3,
 		tasksByZone: map[string]int{},
-	}, h, order, &pools); now != 0 ||
-		!bins[0].needed {
-		t.Errorf("small tasks found no room: %d", now)
+	}
+	if now := c.packDemand(small, supply, order, &groups); now != 0 || !bins[0].needed {
+		t.Errorf("small tasks found no capacity: %d placed now, machine needed: %v", now, bins[0].needed)
 	}
 }
 
-// Controllers took the same share of new room whatever waited at each: jobs of the same age began two minutes apart.
+// newPlanningCore is a leader that may scale out machines of a single type.
+func newPlanningCore() *Core {
+	c := New(Config{
+		Autoscaling:   AutoscalingConfig{CloudRequestRate: 4},
+		Store:         StoreConfig{MaxTxnOps: 12, MaxValueBytes: 8192, WriteRate: 30, RequestRate: 100},
+		SchemaVersion: SchemaVersion,
+		Name:          "n0",
+		Shards:        1,
+	}, 0, 1)
+	c.autoscaler.catalog = map[string]*wire.MachineType{
+		"x": {Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b"}, BootS: 15, Price: 1, SpotPrice: 0.5},
+	}
+	c.autoscaler.typeNames = []string{"x"}
+	c.leaderState = &leaderState{
+		blockedUntil:     map[nodeGroup]time.Duration{},
+		lastPreemptedFor: map[int32]time.Duration{},
+	}
+	return c
+}
+
+// Controllers took the same share of freed capacity whatever waited at each: jobs of the same age
+// started two minutes apart.
 func TestFreedCapacityGoesToTheOldestWork(t *testing.T) {
-	l := membership.New([]string{"n1", "n2", "n3"}, time.Second)
-	here := func(n string) bool { return n != "n3" } // it is not there
-	for _, n := range l.PeerNames() {
-		l.MarkHeard(0, n)
-		l.Peer(n).StoreReachable = true
+	members := membership.New([]string{"n1", "n2", "n3"}, time.Second)
+	isLive := func(name string) bool { return name != "n3" }
+	for _, name := range members.PeerNames() {
+		members.MarkHeard(0, name)
+		members.Peer(name).StoreReachable = true
 	}
-	l.Peer("n1").QueueHeads = []membership.QueuePosition{
+	members.Peer("n1").QueueHeads = []membership.QueuePosition{
 		{Priority: 1, EnqueuedAtMS: 50_000, Spot: true},
 		{Priority: 2, EnqueuedAtMS: 20_000, Spot: true},
 	}
-	l.Peer("n3").QueueHeads = []membership.QueuePosition{{EnqueuedAtMS: 1}}
-	for i, x := range []struct {
+	members.Peer("n3").QueueHeads = []membership.QueuePosition{{EnqueuedAtMS: 1}}
+	for _, test := range []struct {
+		name          string
 		job           membership.QueuePosition
 		spot          bool
 		before, alike int
 	}{
-		{membership.QueuePosition{Priority: 1, EnqueuedAtMS: 60_000}, false, 1, 1},
-		{membership.QueuePosition{Priority: 1, EnqueuedAtMS: 51_000}, false, 0, 2}, // about as old
-		{membership.QueuePosition{Priority: 1, EnqueuedAtMS: 40_000}, false, 0, 1},
-		{membership.QueuePosition{Priority: 0, EnqueuedAtMS: 60_000}, false, 0, 1},
-		{membership.QueuePosition{Priority: 2, EnqueuedAtMS: 10_000}, true, 1, 1},
+		{"later", membership.QueuePosition{Priority: 1, EnqueuedAtMS: 60_000}, false, 1, 1},
+		{"about as old", membership.QueuePosition{Priority: 1, EnqueuedAtMS: 51_000}, false, 0, 2},
+		{"earlier", membership.QueuePosition{Priority: 1, EnqueuedAtMS: 40_000}, false, 0, 1},
+		{"higher class", membership.QueuePosition{Priority: 0, EnqueuedAtMS: 60_000}, false, 0, 1},
+		{"lower class on spot", membership.QueuePosition{Priority: 2, EnqueuedAtMS: 10_000}, true, 1, 1},
 	} {
-		if before, alike := l.CountCompetitors(0, here, x.job, x.spot); before != x.before || alike != x.alike {
-			t.Errorf("%d: %d before and %d alike", i, before, alike)
+		before, alike := members.CountCompetitors(0, isLive, test.job, test.spot)
+		if before != test.before || alike != test.alike {
+			t.Errorf("%s: %d before and %d alike, want %d and %d", test.name, before, alike, test.before, test.alike)
 		}
 	}
-	l.Peer("n1").QueueHeads[0].Spot = false
-	if before, _ := l.CountCompetitors(0, here, membership.QueuePosition{
-		Priority:     1,
-		EnqueuedAtMS: 60_000,
-	}, true); before != 0 {
-		t.Error("work that may not use spot machines is in the way on one")
-	}
-	if !l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, EnqueuedAtMS: 60_000}, 1) ||
-		l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, EnqueuedAtMS: 10_000}, 1) ||
-		l.HasEarlierWork(0, here, membership.QueuePosition{Priority: 2, EnqueuedAtMS: 60_000}, 2) {
-		t.Error("what comes first below a lane")
-	}
-	l.Peer("n1").StoreReachable = false
-	if before, _ := l.CountCompetitors(0, here, membership.QueuePosition{
-		Priority:     1,
-		EnqueuedAtMS: 60_000,
-	}, false); before != 0 {
-		t.Error("one that can write nothing is waited for")
-	}
-}
 
-// A job may have half of its tasks in a zone. When that zone's machines were the best, as they hold
-// its image, none of the others was looked at, and replicas waited for minutes beside hundreds of
-// machines with room.
-func TestReplicasFindRoomBesideAFullZone(t *testing.T) {
-	for _, held := range []int{0, 1} { // tasks that zone a has already
-		c := New(Config{
-			Store: StoreConfig{
-				MaxTxnOps:     12,
-				MaxValueBytes: 8192,
-				WriteRate:     30,
-				RequestRate:   100,
-			},
-			Agents: AgentConfig{
-				HeartbeatInterval: time.Minute,
-			},
-			Scheduling: SchedulingConfig{
-				CandidateRatio: 2,
-				PreferImage:    true,
-			},
-			State: StateConfig{
-				CopyExpiry: time.Hour,
-			},
+	job := membership.QueuePosition{Priority: 1, EnqueuedAtMS: 60_000}
+	members.Peer("n1").QueueHeads[0].Spot = false
+	if before, _ := members.CountCompetitors(0, isLive, job, true); before != 0 {
+		t.Error("work that may not use spot machines competes for one")
+	}
 
-			SchemaVersion: SchemaVersion,
-			Name:          "n0",
-			Shards:        1,
-		}, 0, 1)
-		c.autoscaler.catalog = map[string]*wire.MachineType{
-			"x": {Name: "x", CPUs: 8, MemoryGB: 8, Zones: []string{"a", "b"}},
-		}
-		c.ownLease.id, c.ownLease.expiresAt = 1, time.Hour
-		array := clusterstate.NewArray()
-		for i := range 40 {
-			m := c.internMachine(string(rune('A' + i)))
-			m.status.reported, m.status.incarnation, m.identity.address, m.identity.machineType, m.identity.zone = true, 1, "x:1", "x", "a"
-			if i >= 20 {
-				m.identity.zone = "b"
-			} else {
-				m.status.images["i"] = true
-			}
-			array.SetMachine(m.index, clusterstate.Resources{8000, 0, 8000}, clusterstate.Resources{}, true)
+	for _, test := range []struct {
+		enqueuedAtMS int64
+		below        int
+		want         bool
+	}{
+		{60_000, 1, true},
+		{10_000, 1, false},
+		{60_000, 2, false},
+	} {
+		position := membership.QueuePosition{Priority: 2, EnqueuedAtMS: test.enqueuedAtMS}
+		if got := members.HasEarlierWork(0, isLive, position, test.below); got != test.want {
+			t.Errorf("work below class %d earlier than %d: %v", test.below, test.enqueuedAtMS, got)
 		}
-		rows, _ := array.ChangedSince(0)
-		c.clusterCopy.state.Replace(c.now, rows, nil)
-		s := &wire.JobSpec{Service: true, Spread: true, Tasks: 2, Request: [3]int64{1000, 0, 1000}, Image: "i"}
-		p := &proposal{job: &job{}, record: &jobrecord.Record{Spec: s}, spec: s, isAcceptance: true}
-		for i := range held {
+	}
+
+	members.Peer("n1").StoreReachable = false
+	if before, _ := members.CountCompetitors(0, isLive, job, false); before != 0 {
+		t.Error("capacity is yielded to a controller that can't write")
+	}
+}
+
+// A job may have half of its tasks in a zone. When that zone's machines were the best, as they hold its
+// image, no others were examined, and replicas waited for minutes beside hundreds of machines with
+// capacity.
+func TestReplicasFindCapacityBesideAFullZone(t *testing.T) {
+	for _, placed := range []int{0, 1} { // tasks that zone a has already
+		c := newCoreOfTwoZones()
+		spec := &wire.JobSpec{Service: true, Spread: true, Tasks: 2, Request: [3]int64{1000, 0, 1000}, Image: "i"}
+		p := &proposal{job: &job{}, record: &jobrecord.Record{Spec: spec}, spec: spec, isAcceptance: true}
+		for i := range placed {
 			p.assignments = append(p.assignments, jobrecord.Assignment{Task: int32(i), Machine: 0, Incarnation: 1})
 		}
 		c.assignTasks(p, &txnBuilder{core: c})
-		zones := map[string]int{}
-		for _, a := range p.assignments {
-			zones[c.machines[a.Machine].identity.zone]++
+		tasksInZone := map[string]int{}
+		for _, assignment := range p.assignments {
+			tasksInZone[c.machines[assignment.Machine].identity.zone]++
 		}
-		if zones["a"] != 1 || zones["b"] != 1 {
-			t.Errorf("with %d in zone a: tasks are in %v", held, zones)
+		if tasksInZone["a"] != 1 || tasksInZone["b"] != 1 {
+			t.Errorf("with %d in zone a: tasks are in %v", placed, tasksInZone)
+		}
+	}
+}
+
+// newCoreOfTwoZones is a controller with 20 empty machines in each of two zones; those of zone a, which
+// have the smaller indices, hold image i.
+func newCoreOfTwoZones() *Core {
+	c := New(Config{
+		Store:         StoreConfig{MaxTxnOps: 12, MaxValueBytes: 8192, WriteRate: 30, RequestRate: 100},
+		Agents:        AgentConfig{HeartbeatInterval: time.Minute},
+		Scheduling:    SchedulingConfig{CandidateRatio: 2, PreferImage: true},
+		State:         StateConfig{CopyExpiry: time.Hour},
+		SchemaVersion: SchemaVersion,
+		Name:          "n0",
+		Shards:        1,
+	}, 0, 1)
+	c.autoscaler.catalog = map[string]*wire.MachineType{
+		"x": {Name: "x", CPUs: 8, MemoryGB: 8, Zones: []string{"a", "b"}},
+	}
+	c.ownLease.id, c.ownLease.expiresAt = 1, time.Hour
+	array := clusterstate.NewArray()
+	for i := range 40 {
+		m := c.internMachine(string(rune('A' + i)))
+		m.status.reported, m.status.incarnation = true, 1
+		m.identity.address, m.identity.machineType, m.identity.zone = "x:1", "x", "a"
+		if i >= 20 {
+			m.identity.zone = "b"
+		} else {
+			m.status.images["i"] = true
 		}
+		array.SetMachine(m.index, clusterstate.Resources{8000, 0, 8000}, clusterstate.Resources{}, true)
 	}
+	rows, _ := array.ChangedSince(0)
+	c.clusterCopy.state.Replace(c.now, rows, nil)
+	return c
 }
