--- a/clusterstate/array_test.go
+++ b/clusterstate/array_test.go
@@ -1,75 +1,47 @@
 package clusterstate
 
 import (
-	"math/rand/v2"
+	"slices"
 	"testing"
-	"time"
 )
 
-func copyOf(rows ...Row) *Copy {
-	c := &Copy{MaxAge: 30 * time.Second}
-	c.Replace(0, rows, nil)
-	return c
-}
-
-func allowAll(int32) bool { return true }
+// A push carries only the rows that changed: one that is missed leaves a controller's copy wrong, and
+// one that did not change makes the push of a large cluster too large.
+func TestChangedSinceListsOnlyRealChanges(t *testing.T) {
+	total, half := Resources{4000, 0, 4000}, Resources{2000, 0, 2000}
+	a := NewArray()
+	for _, machine := range []int32{2, 0, 1} {
+		a.SetMachine(machine, total, Resources{}, true)
+	}
+	rows, first := a.ChangedSince(0)
+	if got := machinesOf(rows); !slices.Equal(got, []int32{0, 1, 2}) {
+		t.Fatalf("all rows are of machines %v, want 0, 1, 2", got)
+	}
 
-func TestCandidatesPreferMostRoomThenRandom(t *testing.T) {
-	rows := []Row{
-		{Machine: 0, Available: Resources{1000, 0, 1000}, Allocated: Resources{3000, 0, 3000}, Schedulable: true},
-		{Machine: 1, Available: Resources{4000, 0, 4000}, Schedulable: true},
-		{Machine: 2, Available: Resources{0, 0, 4000}, Allocated: Resources{4000, 0, 0}, Schedulable: true},
-		{Machine: 3, Available: Resources{4000, 0, 4000}, Schedulable: false},
-		{Machine: 4, Available: Resources{2000, 0, 3000}, Allocated: Resources{2000, 0, 1000}, Schedulable: true},
+	a.SetMachine(0, total, Resources{}, true) // no change
+	a.SetMachine(1, total, half, true)
+	a.SetOffer(2, true, true, half)
+	a.SetOffer(7, true, true, half) // unknown machine
+	rows, second := a.ChangedSince(first)
+	if got := machinesOf(rows); !slices.Equal(got, []int32{1, 2}) {
+		t.Fatalf("changed rows are of machines %v, want 1, 2", got)
 	}
-	c := copyOf(rows...)
-	rng := rand.New(rand.NewPCG(1, 2))
-	got := c.Candidates(
-		time.Second,
-		CandidateQuery{Count: 4, Request: Resources{1000, 0, 1000}, IsAllowed: allowAll, FillRandomly: true},
-		rng,
-	)
-	want := []int32{1, 4, 0, 2}
-	if len(got) != len(want) {
-		t.Fatalf("got %v, want %v", got, want)
+	if rows[0].Available != half || rows[0].Allocated != half || !rows[1].OfferedLast || rows[1].Reserved != half {
+		t.Errorf("changed rows are %+v", rows)
 	}
-	for i := range want {
-		if got[i] != want[i] {
-			t.Fatalf("got %v, want %v", got, want)
-		}
+
+	a.Remove(1)
+	if rows, _ = a.ChangedSince(0); len(rows) != 2 || a.Row(1) != nil {
+		t.Errorf("a removed machine is listed: %+v", rows)
 	}
-	if got = c.Candidates(time.Second, CandidateQuery{
-		Count:     4,
-		Request:   Resources{1000, 0, 1000},
-		IsAllowed: allowAll,
-	}, rng); len(
-		got,
-	) != 3 {
-		t.Fatalf("without random fill: got %v, want the three with room", got)
+	if rows, third := a.ChangedSince(second); len(rows) != 0 || third != second {
+		t.Errorf("after no change revision %d leads to %d with %+v", second, third, rows)
 	}
 }
 
-func TestExpiredCopyChoosesAtRandom(t *testing.T) {
-	c := copyOf(Row{Machine: 0, Available: Resources{1000, 0, 0}, Schedulable: true})
-	rng := rand.New(rand.NewPCG(3, 4))
-	seen := map[int32]bool{}
-	for i := 0; i < 50; i++ {
-		got := c.Candidates(
-			time.Minute,
-			CandidateQuery{
-				Count:         1,
-				Request:       Resources{1, 0, 0},
-				IsAllowed:     allowAll,
-				OtherMachines: []int32{0, 1, 2},
-			},
-			rng,
-		)
-		if len(got) != 1 {
-			t.Fatalf("got %v", got)
-		}
-		seen[got[0]] = true
-	}
-	if len(seen) != 3 {
-		t.Fatalf("random choice never took all machines: %v", seen)
+func machinesOf(rows []Row) (machines []int32) {
+	for _, row := range rows {
+		machines = append(machines, row.Machine)
 	}
+	return machines
 }
--- /dev/null
+++ b/clusterstate/candidates.go
@@ -0,0 +1,116 @@
+package clusterstate
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// offeredLastTier is added to the tier of a machine that is offered last; it exceeds every tier of a query.
+const offeredLastTier = 1 << 20
+
+// CandidateQuery describes the candidates that are wanted.
+type CandidateQuery struct {
+	Count         int              // of candidates at most
+	Request       Resources        // of one task
+	IsAllowed     func(int32) bool // feasibility of a machine, capacity aside
+	TierOf        func(int32) int  // machines of a smaller tier come first; nil: all have the same
+	DistanceOf    func(int32) int  // within a tier, machines of a smaller distance come first; nil: all have the same
+	OtherMachines []int32          // machines to choose from at random if the copy is expired
+	HonorReserved bool             // reserved resources are not available
+	FillRandomly  bool             // fill up with random machines that seem full
+}
+
+// candidate is a machine with capacity, with its scores. They are computed once per machine: in a large
+// cluster the comparisons take the most time.
+type candidate struct {
+	machine  int32
+	tier     int
+	distance int
+	fraction float64 // smallest available fraction of a resource
+	tieBreak uint32  // random, so that controllers do not all choose the same of equal machines
+}
+
+// compare is negative if a is the better candidate.
+func (a candidate) compare(b candidate) int {
+	return cmp.Or(
+		cmp.Compare(a.tier, b.tier),
+		cmp.Compare(a.distance, b.distance),
+		cmp.Compare(b.fraction, a.fraction),
+		cmp.Compare(a.tieBreak, b.tieBreak),
+	)
+}
+
+// Candidates chooses machines for a request: first those with capacity, best first, then, if the query
+// says so, random ones that seem full. From an expired copy it chooses at random.
+func (c *Copy) Candidates(now time.Duration, query CandidateQuery, rng *rand.Rand) []int32 {
+	if !c.IsFresh(now) {
+		return randomCandidates(query, rng)
+	}
+	ranked, full := c.filter(&query, rng)
+	slices.SortFunc(ranked, candidate.compare)
+	ranked = ranked[:min(len(ranked), query.Count)]
+	chosen := make([]int32, 0, len(ranked))
+	for i := range ranked {
+		chosen = append(chosen, ranked[i].machine)
+	}
+	if query.FillRandomly && len(chosen) < query.Count {
+		chosen = append(chosen, shuffledPrefix(full, query.Count-len(chosen), rng)...)
+	}
+	return chosen
+}
+
+// randomCandidates chooses among the machines that are known besides the copy.
+func randomCandidates(query CandidateQuery, rng *rand.Rand) []int32 {
+	var allowed []int32
+	for _, machine := range query.OtherMachines {
+		if query.IsAllowed(machine) {
+			allowed = append(allowed, machine)
+		}
+	}
+	return shuffledPrefix(allowed, query.Count, rng)
+}
+
+// shuffledPrefix shuffles machines in place, and returns the first of them.
+func shuffledPrefix(machines []int32, count int, rng *rand.Rand) []int32 {
+	rng.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
+	return machines[:min(len(machines), count)]
+}
+
+// filter lists the schedulable and allowed machines: those with capacity with their scores, and, if
+// the query fills up with them, those that seem full. Random numbers are drawn in machine order, for
+// machines with capacity only.
+func (c *Copy) filter(query *CandidateQuery, rng *rand.Rand) (ranked []candidate, full []int32) {
+	for _, machine := range c.machineOrder {
+		row := c.rows[machine]
+		if !row.Schedulable {
+			continue
+		}
+		hasCapacity := row.HasCapacity(query.Request, query.HonorReserved)
+		if !hasCapacity && !query.FillRandomly || !query.IsAllowed(machine) {
+			continue
+		}
+		if !hasCapacity {
+			full = append(full, machine)
+			continue
+		}
+		ranked = append(ranked, query.score(row, rng))
+	}
+	return ranked, full
+}
+
+// score scores a machine with capacity.
+func (q *CandidateQuery) score(row *Row, rng *rand.Rand) candidate {
+	scored := candidate{machine: row.Machine, fraction: row.MinFreeFraction(), tieBreak: rng.Uint32()}
+	if q.TierOf != nil {
+		scored.tier = q.TierOf(row.Machine)
+	}
+	if q.DistanceOf != nil {
+		scored.distance = q.DistanceOf(row.Machine)
+	}
+	if row.OfferedLast {
+		scored.tier += offeredLastTier
+	}
+	return scored
+}
