--- a/core/membership/members_test.go
+++ b/core/membership/members_test.go
@@ -5,64 +5,68 @@
 	"time"
 )
 
-// With two controllers in a zone, messages for another zone that is cut off went by way of the
-// neighbour, which is cut off too: the leader took machines that were well for silent, and the
-// replicas on them were lost.
+// With two controllers in a zone, messages for another zone that was cut off were relayed by the
+// neighbour, which was cut off too: the leader took healthy machines for silent, and the replicas on
+// them were lost.
 func TestRelayReachesTheTarget(t *testing.T) {
-	const lost = 1500 * time.Millisecond
-	l := New([]string{"n1", "n2", "n3"}, lost)
-	say := func(now time.Duration, n string, hears ...string) {
-		l.MarkHeard(now, n)
-		l.Peer(n).ReachablePeers = hears
+	const unreachableAfter = 1500 * time.Millisecond
+	members := New([]string{"n1", "n2", "n3"}, unreachableAfter)
+	hear := func(now time.Duration, name string, reachable ...string) {
+		members.MarkHeard(now, name)
+		members.Peer(name).ReachablePeers = reachable
 	}
-	if l.RelayFor(time.Second, "n3") != "" {
-		t.Error("one that was never heard of is reached by another")
+	if members.RelayFor(time.Second, "n3") != "" {
+		t.Error("messages to a controller that was never heard of are relayed")
 	}
-	say(time.Second, "n3")
-	say(4*time.Second, "n1", "n2") // the neighbour does not reach n3, and was asked first
-	say(4*time.Second, "n2", "n1", "n3")
-	if by := l.RelayFor(4*time.Second, "n3"); by != "n2" {
-		t.Errorf("by way of %s, which does not reach n3", by)
+	hear(time.Second, "n3")
+	hear(4*time.Second, "n1", "n2") // the neighbour, which does not reach n3
+	hear(4*time.Second, "n2", "n1", "n3")
+	if relay := members.RelayFor(4*time.Second, "n3"); relay != "n2" {
+		t.Errorf("relayed by %s, which does not reach n3", relay)
 	}
-	if by := l.RelayFor(4*time.Second, "n2"); by != "" {
-		t.Errorf("n2 is in reach, and reached by way of %s", by)
+	if relay := members.RelayFor(4*time.Second, "n2"); relay != "" {
+		t.Errorf("n2 is reachable, but messages to it are relayed by %s", relay)
 	}
-	// The old version does not tell whom it reaches: all are tried.
+
+	// The previous version does not tell whom it reaches: all are tried.
 	tried := map[string]bool{}
 	for i := range 4 {
-		now := 4*time.Second + time.Duration(i)*lost
-		say(now, "n1")
-		say(now, "n2")
-		tried[l.RelayFor(now, "n3")] = true
+		now := 4*time.Second + time.Duration(i)*unreachableAfter
+		hear(now, "n1")
+		hear(now, "n2")
+		tried[members.RelayFor(now, "n3")] = true
 	}
 	if len(tried) != 2 {
-		t.Errorf("tried %v", tried)
+		t.Errorf("tried %v, want both reachable controllers", tried)
 	}
 }
 
-// The state service is down for all only by the word of a majority that is in reach, and of nobody who reaches it.
+// A controller cut off from the store must not take that for an outage: only a majority that is
+// reachable may say so, and none of it may reach the store.
 func TestStoreOutageNeedsAMajority(t *testing.T) {
-	for _, x := range []struct {
-		heard []string
-		good  string
-		want  bool
+	for name, test := range map[string]struct {
+		heard        []string
+		reachesStore string
+		want         bool
 	}{
-		{nil, "", false},
-		{[]string{"n1"}, "", false},
-		{[]string{"n1", "n2"}, "", true},
-		{[]string{"n1", "n2", "n3", "n4"}, "", true},
-		{[]string{"n1", "n2", "n3"}, "n3", false},
+		"none heard":          {nil, "", false},
+		"minority":            {[]string{"n1"}, "", false},
+		"majority":            {[]string{"n1", "n2"}, "", true},
+		"all":                 {[]string{"n1", "n2", "n3", "n4"}, "", true},
+		"one that reaches it": {[]string{"n1", "n2", "n3"}, "n3", false},
 	} {
-		l := New([]string{"n1", "n2", "n3", "n4"}, time.Second)
-		for _, n := range x.heard {
-			l.MarkHeard(5*time.Second, n)
-			l.Peer(n).StoreReachable = n == x.good
-		}
-		if got := l.IsStoreOutage(6 * time.Second); got != x.want {
-			t.Errorf("%+v: %v", x, got)
-		}
-		if l.IsStoreOutage(8 * time.Second) {
-			t.Error("old words count")
-		}
+		t.Run(name, func(t *testing.T) {
+			members := New([]string{"n1", "n2", "n3", "n4"}, time.Second)
+			for _, peer := range test.heard {
+				members.MarkHeard(5*time.Second, peer)
+				members.Peer(peer).StoreReachable = peer == test.reachesStore
+			}
+			if got := members.IsStoreOutage(6 * time.Second); got != test.want {
+				t.Errorf("outage %v, want %v", got, test.want)
+			}
+			if members.IsStoreOutage(8 * time.Second) {
+				t.Error("an outage by word that is too old")
+			}
+		})
 	}
 }
