--- a/core/quota_test.go
+++ b/core/quota_test.go
@@ -9,6 +9,7 @@
 // A team that uses more than its quota, or whose quota was lowered, must get no more tasks; a request
 // that does not use a limited resource must not be bounded by it.
 func TestTasksWithinMaxQuota(t *testing.T) {
+	inUse := team{Team: Team{MaxCPU: 8000}, usedCPU: 3000}
 	for name, test := range map[string]struct {
 		team        team
 		request     [3]int64
@@ -16,8 +17,8 @@
 		want        int
 	}{
 		"no quota":           {team{}, [3]int64{1000, 500, 1}, [2]int64{}, math.MaxInt},
-		"cpu":                {team{Team: Team{MaxCPU: 8000}, usedCPU: 3000}, [3]int64{2000, 0, 1}, [2]int64{}, 2},
-		"started meanwhile":  {team{Team: Team{MaxCPU: 8000}, usedCPU: 3000}, [3]int64{2000, 0, 1}, [2]int64{4000, 0}, 0},
+		"cpu":                {inUse, [3]int64{2000, 0, 1}, [2]int64{}, 2},
+		"started meanwhile":  {inUse, [3]int64{2000, 0, 1}, [2]int64{4000, 0}, 0},
 		"smaller of both":    {team{Team: Team{MaxCPU: 8000, MaxGPU: 1000}}, [3]int64{1000, 500, 1}, [2]int64{}, 2},
 		"exceeded":           {team{Team: Team{MaxCPU: 1000}, usedCPU: 5000}, [3]int64{1000, 0, 1}, [2]int64{}, -4},
 		"gpu, without a use": {team{Team: Team{MaxGPU: 1000}, usedGPU: 5000}, [3]int64{1000, 0, 1}, [2]int64{}, math.MaxInt},
