--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -13,245 +13,282 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Small jobs share values (docs/notes/shared.md). Each shard has a few slots, which its holder
-// writes, on condition of the shard and of the slot; every write of a job's own key that was there
-// before is on condition of its slot's mark as well, and one by a controller that does not hold the
-// shard, a cancellation, writes the slot too. So of a write of the slot and one of a key that do
-// not know of each other, only one succeeds, however late either is executed.
+// Small jobs share values (docs/notes/shared.md). Each shard has a few slots, which the shard's owner
+// writes, comparing the revisions of the shard and of the slot. Every later write of a job's own key
+// compares the revision of the job's slot too; one by a controller that does not own the shard, a
+// cancellation, writes the slot as well. So of a write of a slot and a write of a job's own key that
+// do not know of each other, only one succeeds, however late either is executed.
 
 const (
 	keySlot = Root + "over/" // slots, by number
-	// of a shard, beside one for arrays: these are written all the time, and services when something is lost
+
+	// serviceSlotsPerShard is the number of a shard's slots for services, beside the one for job
+	// arrays: arrays are written all the time, services only when tasks are lost.
 	serviceSlotsPerShard = 2
+
+	// maxEntryShare is the divisor of a value's limit that gives the largest entry of a slot: larger
+	// records get their own keys, so that a slot always holds several jobs.
+	maxEntryShare = 4
+
+	// minAssignmentBytes is the least size of an encoded assignment. Entries that are surely too
+	// large are not encoded at all.
+	minAssignmentBytes = 10
 )
 
-// slotNumber is the number of the slot of a job that is not over.
-func (c *Core) slotNumber(id string, r *jobrecord.Record) int {
-	n := r.Shard * (1 + serviceSlotsPerShard)
-	if r.Spec.Service {
-		n += 1 + int(xxhash.Sum64String(id)%serviceSlotsPerShard)
+// slotNumber is the number of an open job's slot.
+func (c *Core) slotNumber(id string, record *jobrecord.Record) int {
+	slot := record.Shard * (1 + serviceSlotsPerShard)
+	if record.Spec.Service {
+		slot += 1 + int(xxhash.Sum64String(id)%serviceSlotsPerShard)
 	}
-	return n
+	return slot
 }
 
-// slotState is what is known of a slot.
-func (c *Core) slotState(n int) *batchvalue.Slot {
-	s := c.replica.batchValues[n]
-	if s == nil {
-		s = &batchvalue.Slot{}
-		c.replica.batchValues[n] = s
+// slotState is what the replica knows of a slot.
+func (c *Core) slotState(number int) *batchvalue.Slot {
+	slot := c.replica.batchValues[number]
+	if slot == nil {
+		slot = &batchvalue.Slot{}
+		c.replica.batchValues[number] = slot
 	}
-	return s
+	return slot
 }
 
-func slotKey(n int) string { return fmt.Sprintf("%s%02d", keySlot, n) }
+// slotKey is the store's key of a slot.
+func slotKey(number int) string { return fmt.Sprintf("%s%02d", keySlot, number) }
 
-// canShareValues reports whether this controller puts jobs into slots. What carries entries of the
-// audit record, or depends on rights, is written under its own key.
+// canShareValues reports whether this controller writes jobs into slots. Records that carry audit
+// entries or depend on permissions are written under their own keys.
 func (c *Core) canShareValues() bool {
 	return c.cfg.Store.SharedValues && c.schemaVersion() >= schemaSharedValues && c.cfg.Audit.Key == nil &&
 		!c.permissionsInForce()
 }
 
-// maxSlotBytes is how many bytes of entries, before they are compressed, may be in a slot: they
-// shrink to half and less.
+// maxSlotBytes is the limit of a slot's entries before compression, which at least halves them.
 func (c *Core) maxSlotBytes() int { return c.cfg.Store.MaxValueBytes * 7 / 4 }
 
-// encodeSlotEntry renders what changes of a proposal's job; nil if it can't be shared. A record
-// that nearly fills its value may be cancelled by a mark, of which the slot knows nothing.
-func (c *Core) encodeSlotEntry(p *proposal) json.RawMessage {
-	j, r := p.job, p.record
-	if !c.canShareValues() || j.revision == 0 || p.isAcceptance || p.isCancellation || r.Stage != jobrecord.Queued || r.Spec == nil || j.cancellation.markerRevision != 0 || j.stored.bytes > c.cfg.Store.MaxValueBytes*3/4 ||
-		p.wantsOwnKey || len(p.compares) > 0 ||
-		len(r.PendingAudit) > 0 ||
-		!c.ownsJob(j) ||
-		len(p.assignments) > c.cfg.Store.MaxValueBytes/40 {
+// canShareProposal reports whether a proposal may be written as a slot's entry, which holds only
+// what changes while a job runs. A record that nearly fills its value is excluded, as it may be
+// cancelled by a marker of which the slot knows nothing.
+func (c *Core) canShareProposal(next *proposal) bool {
+	target, record := next.job, next.record
+	isNewOrFinal := target.revision == 0 || next.isAcceptance || next.isCancellation ||
+		record.Stage != jobrecord.Queued || record.Spec == nil
+	needsOwnKey := next.wantsOwnKey || len(next.compares) > 0 || len(record.PendingAudit) > 0 ||
+		target.cancellation.markerRevision != 0 || target.stored.bytes > c.cfg.Store.MaxValueBytes*3/4
+	return !isNewOrFinal && !needsOwnKey && c.canShareValues() && c.ownsJob(target)
+}
+
+// encodeSlotEntry encodes what changes of a proposal's job; nil if that can't be shared.
+func (c *Core) encodeSlotEntry(next *proposal) json.RawMessage {
+	maxBytes := c.cfg.Store.MaxValueBytes / maxEntryShare
+	maxAssignments := c.cfg.Store.MaxValueBytes / (maxEntryShare * minAssignmentBytes)
+	if !c.canShareProposal(next) || len(next.assignments) > maxAssignments {
 		return nil
 	}
+	record := next.record
 	raw, err := c.encodeRecord(
 		&jobrecord.Record{
-			WriteNumber:    r.WriteNumber,
-			Shard:          r.Shard,
-			CompletedTasks: r.CompletedTasks,
-			LastAttempt:    r.LastAttempt,
-			StopReasons:    r.StopReasons,
+			WriteNumber:    record.WriteNumber,
+			Shard:          record.Shard,
+			CompletedTasks: record.CompletedTasks,
+			LastAttempt:    record.LastAttempt,
+			StopReasons:    record.StopReasons,
 		},
-		p.assignments,
+		next.assignments,
 		false,
 	)
-	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes/4 {
+	if err != nil || len(raw) > maxBytes { // the record gets its own key, whose write reports errors
 		return nil
 	}
 	return raw
 }
 
-// currentSlotEntry is the entry that counts on top of this write of a queued job's record; nil if there is none.
-func (c *Core) currentSlotEntry(id string, r *jobrecord.Record) *jobrecord.Record {
-	raw, ok := c.slotState(c.slotNumber(id, r)).Entries[id]
+// currentSlotEntry is the slot entry that belongs to this write of a queued job's record; nil if
+// there is none.
+func (c *Core) currentSlotEntry(id string, record *jobrecord.Record) *jobrecord.Record {
+	raw, ok := c.slotState(c.slotNumber(id, record)).Entries[id]
 	if !ok {
 		return nil
 	}
-	e, err := jobrecord.Decode(raw)
-	if err != nil || e.WriteNumber != r.WriteNumber || !e.CompletedTasks.IsValid(r.Spec.Tasks) {
+	entry, err := jobrecord.Decode(raw)
+	if err != nil || entry.WriteNumber != record.WriteNumber || !entry.CompletedTasks.IsValid(record.Spec.Tasks) {
 		return nil
 	}
-	return e
+	return entry
 }
 
-// withSlotEntry is a job's record with its slot's entry on top of it, if there is one that counts.
-func (c *Core) withSlotEntry(id string, r *jobrecord.Record) *jobrecord.Record {
-	if r.Spec == nil || r.Stage != jobrecord.Queued {
-		return r
+// withSlotEntry is a job's record with its current slot entry on top, or the record itself if there
+// is no such entry.
+func (c *Core) withSlotEntry(id string, record *jobrecord.Record) *jobrecord.Record {
+	if record.Spec == nil || record.Stage != jobrecord.Queued {
+		return record
 	}
-	e := c.currentSlotEntry(id, r)
-	if e == nil {
-		return r
+	entry := c.currentSlotEntry(id, record)
+	if entry == nil {
+		return record
 	}
-	out := *r
-	out.Assignments, out.CompletedTasks, out.LastAttempt, out.StopReasons = e.Assignments, e.CompletedTasks, e.LastAttempt, e.StopReasons
-	return &out
+	merged := *record
+	merged.Assignments, merged.CompletedTasks = entry.Assignments, entry.CompletedTasks
+	merged.LastAttempt, merged.StopReasons = entry.LastAttempt, entry.StopReasons
+	return &merged
 }
 
-// applySlot takes a slot from the state service.
-func (c *Core) applySlot(key string, raw json.RawMessage, mark uint64) error {
-	n, err := strconv.Atoi(key[len(keySlot):])
+// applySlot applies a slot's value to the replica and to the jobs whose entries changed.
+func (c *Core) applySlot(key string, raw json.RawMessage, revision uint64) error {
+	number, err := strconv.Atoi(key[len(keySlot):])
 	if err != nil {
-		return fmt.Errorf("slot: %w", err)
+		return fmt.Errorf("parse slot number: %w", err)
 	}
-	s := c.slotState(n)
-	if mark <= s.Revision {
-		return nil // its own write's reply came before
+	slot := c.slotState(number)
+	if revision <= slot.Revision {
+		return nil // the reply to this controller's own write came before
 	}
 	entries, err := batchvalue.Decode(raw)
 	if err != nil {
 		return err
 	}
-	old := s.Entries
-	s.Revision, s.Entries = mark, entries
+	previous := slot.Entries
+	slot.Revision, slot.Entries = revision, entries
 	for _, id := range sortedKeys(entries) {
-		if bytes.Equal(old[id], entries[id]) {
-			continue
-		}
-		if j := c.knownJob(id); j != nil && j.record.Spec != nil && !j.isFinal() {
-			if r := c.withSlotEntry(id, j.record); r != j.record {
-				c.adoptRecord(j, r, r.ExpandAssignments(c.internMachineInZone), j.revision, j.stored.bytes)
-			}
+		if !bytes.Equal(previous[id], entries[id]) {
+			c.adoptSlotEntry(id)
 		}
 	}
 	return nil
 }
 
-// slotDraft is the next value of a slot in a transaction.
-func (b *txnBuilder) slotDraft(n int) *batchvalue.Draft {
-	if d := b.slotDrafts[n]; d != nil {
-		return d
+// adoptSlotEntry makes a changed slot entry part of its job's known state, if it belongs to the
+// write of the job's record that is known.
+func (c *Core) adoptSlotEntry(id string) {
+	target := c.knownJob(id)
+	if target == nil || target.record.Spec == nil || target.isFinal() {
+		return
 	}
-	d := b.core.slotState(n).BeginDraft(func(id string, raw json.RawMessage) bool {
-		j := b.core.knownJob(id)
-		if j == nil || j.record.Spec == nil || j.isFinal() {
+	if merged := c.withSlotEntry(id, target.record); merged != target.record {
+		c.adoptRecord(
+			target, merged, merged.ExpandAssignments(c.internMachineInZone), target.revision, target.stored.bytes,
+		)
+	}
+}
+
+// slotDraft is the next value of a slot in a transaction, begun with the entries that still apply.
+func (b *txnBuilder) slotDraft(number int) *batchvalue.Draft {
+	if draft := b.slotDrafts[number]; draft != nil {
+		return draft
+	}
+	draft := b.core.slotState(number).BeginDraft(func(id string, raw json.RawMessage) bool {
+		target := b.core.knownJob(id)
+		if target == nil || target.record.Spec == nil || target.isFinal() {
 			return false
 		}
-		e, err := jobrecord.Decode(raw)
-		// one of a write that is not seen yet is another's to judge
-		return err != nil || e.WriteNumber >= j.record.WriteNumber
+		entry, err := jobrecord.Decode(raw)
+		// An entry that can't be decoded, or belongs to a write that the replica does not have yet, is kept.
+		return err != nil || entry.WriteNumber >= target.record.WriteNumber
 	})
-	b.addSlot(n, d)
-	return d
+	b.addSlot(number, draft)
+	return draft
 }
 
-// addSlot has a transaction write a slot.
-func (b *txnBuilder) addSlot(n int, d *batchvalue.Draft) {
+// addSlot makes a transaction write a slot.
+func (b *txnBuilder) addSlot(number int, draft *batchvalue.Draft) {
 	if b.slotDrafts == nil {
 		b.slotDrafts = map[int]*batchvalue.Draft{}
 	}
-	b.slotDrafts[n] = d
+	b.slotDrafts[number] = draft
 	b.valueBytes += b.core.cfg.Store.MaxValueBytes // all of its entries are written
 }
 
-// removeSlotEntry takes a job's entry out of a slot that others hold.
-func (b *txnBuilder) removeSlotEntry(n int, id string) {
-	d := b.slotDrafts[n]
-	if d == nil {
-		d = &batchvalue.Draft{Entries: b.core.slotState(n).Entries}
-		b.addSlot(n, d)
+// removeSlotEntry removes a job's entry from a slot whose shard another controller owns. The other
+// entries stay as they are.
+func (b *txnBuilder) removeSlotEntry(number int, id string) {
+	draft := b.slotDrafts[number]
+	if draft == nil {
+		draft = &batchvalue.Draft{Entries: b.core.slotState(number).Entries}
+		b.addSlot(number, draft)
 	}
-	d.Entries = d.Entries.Without(id)
+	draft.Entries = draft.Entries.Without(id)
 }
 
-// addSlotEntry puts a proposal's entry into its slot, if there is room.
-func (b *txnBuilder) addSlotEntry(p *proposal, entry json.RawMessage) bool {
-	if !b.slotDraft(p.slotIndex).TryPut(p.job.id, entry, b.core.maxSlotBytes()) {
+// addSlotEntry puts a proposal's entry into its slot, and reports whether the slot has capacity for it.
+func (b *txnBuilder) addSlotEntry(next *proposal, entry json.RawMessage) bool {
+	if !b.slotDraft(next.slotIndex).TryPut(next.job.id, entry, b.core.maxSlotBytes()) {
 		return false
 	}
 	b.valueBytes += len(entry)
-	p.inSlot = true
+	next.inSlot = true
 	return true
 }
 
-// opCount is how many a transaction has.
+// opCount is the number of writes in a transaction.
 func (b *txnBuilder) opCount() int { return len(b.txn.Then) + len(b.slotDrafts) }
 
-// addCompare adds a condition, once.
-func (b *txnBuilder) addCompare(k wire.Compare) {
-	if !slices.Contains(b.txn.Compare, k) {
-		b.txn.Compare = append(b.txn.Compare, k)
+// addCompare adds a compare unless the transaction has it already.
+func (b *txnBuilder) addCompare(compare wire.Compare) {
+	if !slices.Contains(b.txn.Compare, compare) {
+		b.txn.Compare = append(b.txn.Compare, compare)
 	}
 }
 
-// encodeSlots renders the slots of a transaction, and returns the jobs that did not fit after all.
-func (b *txnBuilder) encodeSlots() (out []proposal) {
-	for _, n := range sortedKeys(b.slotDrafts) {
-		d := b.slotDrafts[n]
-		raw, err := d.Entries.Encode()
+// encodeSlots encodes the slots of a transaction, and returns the proposals of those that do not fit
+// a value after all: their entries compress worse than expected.
+func (b *txnBuilder) encodeSlots() (unfit []proposal) {
+	for _, number := range sortedKeys(b.slotDrafts) {
+		raw, err := b.slotDrafts[number].Entries.Encode()
 		if err == nil && len(raw) <= b.core.cfg.Store.MaxValueBytes {
-			b.addCompare(wire.Compare{Key: slotKey(n), Revision: b.core.slotState(n).Revision})
-			b.txn.Then = append(b.txn.Then, wire.Write{Put: slotKey(n), Value: raw})
+			b.addCompare(wire.Compare{Key: slotKey(number), Revision: b.core.slotState(number).Revision})
+			b.txn.Then = append(b.txn.Then, wire.Write{Put: slotKey(number), Value: raw})
 			continue
 		}
-		// They say less of the same than others do: these jobs have their own keys, once.
-		delete(b.slotDrafts, n)
-		left := b.proposals[:0:0]
-		for _, p := range b.proposals {
-			if p.inSlot && p.slotIndex == n {
-				out = append(out, p)
-			} else {
-				left = append(left, p)
-			}
+		delete(b.slotDrafts, number) // these jobs are written under their own keys next time
+		unfit = append(unfit, b.takeSlotProposals(number)...)
+	}
+	return unfit
+}
+
+// takeSlotProposals removes the proposals whose entries are in a slot from the transaction and returns them.
+func (b *txnBuilder) takeSlotProposals(number int) (taken []proposal) {
+	kept := b.proposals[:0:0]
+	for _, candidate := range b.proposals {
+		if candidate.inSlot && candidate.slotIndex == number {
+			taken = append(taken, candidate)
+		} else {
+			kept = append(kept, candidate)
 		}
-		b.proposals = left
 	}
-	return out
+	b.proposals = kept
+	return taken
 }
 
-// lockSlots notes that a transaction on its way depends on slots.
-func (c *Core) lockSlots(x *pendingTxn) {
-	for n := range x.writtenSlots {
-		c.slotState(n).WriteInFlight = true
+// lockSlots notes that a transaction in flight writes or compares slots.
+func (c *Core) lockSlots(pending *pendingTxn) {
+	for number := range pending.writtenSlots {
+		c.slotState(number).WriteInFlight = true
 	}
-	for n := range x.dependentSlots {
-		c.slotState(n).JobKeyWritesInFlight++
+	for number := range pending.dependentSlots {
+		c.slotState(number).JobKeyWritesInFlight++
 	}
 }
 
-// releaseSlots notes that it does no more. A slot whose write may have been executed, or that was
-// overtaken, must be read first.
-func (c *Core) releaseSlots(x *pendingTxn, status wire.Status, at uint64) (behind []int) {
-	for n := range x.dependentSlots {
-		c.slotState(n).JobKeyWritesInFlight--
+// releaseSlots notes that a transaction is no longer in flight. It returns the written slots that
+// stay locked until they have been read: their write may be executed yet, or another one won.
+func (c *Core) releaseSlots(pending *pendingTxn, status wire.Status, revision uint64) (stale []int) {
+	for number := range pending.dependentSlots {
+		c.slotState(number).JobKeyWritesInFlight--
 	}
-	for _, n := range sortedKeys(x.writtenSlots) {
-		s := c.slotState(n)
-		switch status {
-		case wire.StatusOK:
-			s.WriteInFlight = false
-			if at > s.Revision {
-				s.Revision, s.Entries = at, x.writtenSlots[n].Entries
+	for _, number := range sortedKeys(pending.writtenSlots) {
+		slot := c.slotState(number)
+		switch {
+		case status == wire.StatusOK:
+			slot.WriteInFlight = false
+			if revision > slot.Revision {
+				slot.Revision, slot.Entries = revision, pending.writtenSlots[number].Entries
 			}
-		case wire.StatusTooManyRequests, wire.StatusUnavailable: // not executed
-			s.WriteInFlight = false
+		case isNotExecuted(status):
+			slot.WriteInFlight = false
 		default:
-			behind = append(behind, n)
+			stale = append(stale, number)
 		}
 	}
-	return behind
+	return stale
 }
