--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -1,75 +1,96 @@
 package core
 
 import (
-	"dewlift/audit"
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
 	"dewlift/wire"
 	"encoding/json"
+	"fmt"
 	"strings"
 	"time"
 )
 
-// Two versions of this program may run at once, while one replaces the other process by process,
-// and both read what either stores. A form is a way of storing and telling things. Each
-// controller declares the newest form that it knows, once and for ever, under a key of its own:
-// a process that ran a version never comes back with an older one. A form is written only when
-// every configured controller has declared it; silence is never taken for a declaration. What
-// was stored in older forms is read for ever.
+// Two versions of this program may run at once while an upgrade replaces the controllers one by one,
+// and both read what either stores. A schema version is a way of storing data and sending messages.
+// Each controller declares the newest one that it knows, once and for ever, under a key of its own: a
+// controller that ran a version is never downgraded. A schema version becomes active, that is may be
+// written, only when every configured controller has declared it; silence is never taken for a
+// declaration. Data stored under older schema versions stays readable for ever.
 const (
 	schemaInitial         = 0 // the version without declarations
-	schemaDependencies    = 1 // descriptions that name awaited jobs, packed records, marks of cancellation
-	schemaPermissions     = 3 // rights; ended records keep their team and class
-	schemaArchive         = 2 // ended jobs may have moved into the archive
-	schemaAudit           = 4 // values carry entries of the audit record
-	schemaSharedValues    = 5 // records are numbered, and entries of shared values count on top of them
-	schemaReservations    = 6 // bookings of equipment
-	schemaPriorityClasses = 7 // records keep their job's lane and place, and there may be a list of lanes
-
-	// controllers vouch for the cancellations that they know (cancellations.go): nothing is stored otherwise
-	schemaCancelQuorum = 8
-
-	// Form is the newest form that this version knows.
+	schemaDependencies    = 1 // job specs with dependencies, packed records, cancel markers
+	schemaArchive         = 2 // ended jobs may be in the archive
+	schemaPermissions     = 3 // permissions; final records keep their team and class
+	schemaAudit           = 4 // values carry audit entries
+	schemaSharedValues    = 5 // records are numbered, and entries of shared values apply on top of them
+	schemaReservations    = 6 // reservations of equipment
+	schemaPriorityClasses = 7 // records keep their priority class and enqueue order; classes can be configured
+	schemaCancelQuorum    = 8 // a quorum acknowledges cancellations (cancelacks.go); stored data is unchanged
+
+	// SchemaVersion is the newest schema version that this program knows.
 	SchemaVersion = schemaCancelQuorum
 )
 
 const (
-	keySchemaVersion = Root + "form/"   // declarations, by controller
-	keyCancel        = Root + "cancel/" // cancellations of jobs whose record can't be written again as it is
+	keySchemaVersion = Root + "form/" // declarations, by controller
+
+	// declarationInterval is the least time between two attempts to write the declaration.
+	declarationInterval = time.Second
+
+	// minValueBytes and minTxnOps bound how far refused transactions reduce the limits.
+	minValueBytes = 512
+	minTxnOps     = 2
 )
 
-// schemaVersion is the newest form that may be written.
+// schemaState is the schema versions that the controllers declared, the active one, and this
+// controller's own declaration.
+type schemaState struct {
+	declared            map[string]int // newest declared, by controller
+	active              int            // newest declared by all
+	activeSince         time.Duration
+	declarationRevision uint64 // of this controller's key; 0: it is not there
+	declarationInFlight bool
+	nextDeclarationAt   time.Duration
+}
+
+// commonVersion is the newest schema version that this controller, which knows own, and all of its
+// peers have declared.
+func (s *schemaState) commonVersion(name string, own int, peers []string) int {
+	common := min(s.declared[name], own)
+	for _, peer := range peers {
+		common = min(common, s.declared[peer])
+	}
+	return common
+}
+
+// schemaVersion is the newest schema version that may be written.
 func (c *Core) schemaVersion() int { return c.schema.active }
 
-// recordSchemaVersion takes a controller's declaration.
-func (c *Core) recordSchemaVersion(name string, form int) {
-	c.schema.declared[name] = max(c.schema.declared[name], form)
-	if name == c.cfg.Name && form > c.cfg.SchemaVersion {
+// recordSchemaVersion records a controller's declaration and activates the schema version that all
+// controllers know by now. An active one never goes back.
+func (c *Core) recordSchemaVersion(name string, version int) {
+	c.schema.declared[name] = max(c.schema.declared[name], version)
+	if name == c.cfg.Name && version > c.cfg.SchemaVersion {
 		c.log(
 			LevelError,
-			"a newer version has run here before: this one may not understand what it stored",
+			"a newer version has run here before: this one may be unable to read its data",
 			"form",
-			form,
+			version,
 		)
 	}
-	least := min(c.schema.declared[c.cfg.Name], c.cfg.SchemaVersion)
-	for _, p := range c.cfg.Peers {
-		least = min(least, c.schema.declared[p])
-	}
-	if least <= c.schema.active {
+	common := c.schema.commonVersion(c.cfg.Name, c.cfg.SchemaVersion, c.cfg.Peers)
+	if common <= c.schema.active {
 		return
 	}
-	c.log(LevelInfo, "every controller knows this form now", "form", least)
-	c.schema.active, c.schema.activeSince = least, c.now
+	c.log(LevelInfo, "schema version known to every controller", "form", common)
+	c.schema.active, c.schema.activeSince = common, c.now
 	c.updateRateLimit()
-	for _, j := range c.openJobs { // what is too large is written again before it has to be
-		if j.stored.bytes > c.cfg.Store.MaxValueBytes {
-			c.markDirty(j)
+	for _, open := range c.openJobs { // records that are too large may fit under it: write them before they must be
+		if open.stored.bytes > c.cfg.Store.MaxValueBytes {
+			c.markDirty(open)
 		}
 	}
 }
 
-// declareSchemaVersion writes this controller's declaration.
+// declareSchemaVersion writes this controller's declaration until it is stored.
 func (c *Core) declareSchemaVersion() {
 	if c.schema.declared[c.cfg.Name] >= c.cfg.SchemaVersion || c.schema.declarationInFlight ||
 		c.now < c.schema.nextDeclarationAt ||
@@ -78,11 +99,11 @@
 		return
 	}
 	c.schema.declarationInFlight = true
-	c.schema.nextDeclarationAt = c.now + time.Second
+	c.schema.nextDeclarationAt = c.now + declarationInterval
 	key := keySchemaVersion + c.cfg.Name
 	raw, err := json.Marshal(c.cfg.SchemaVersion)
 	if err != nil {
-		panic(err) // a number
+		panic(err) // can't happen: a number
 	}
 	c.commitTxn(
 		wire.Txn{
@@ -91,27 +112,27 @@
 		},
 		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 			c.schema.declarationInFlight = false
-			c.afterReadBarrier(func(bool) {}) // what came of it shows there
+			c.afterReadBarrier(func(bool) {}) // the barrier brings the outcome
 		}},
 	)
 }
 
-// applySchemaVersion takes a declaration from the state service.
-func (c *Core) applySchemaVersion(key string, raw json.RawMessage, mark uint64) error {
-	var form int
-	if err := json.Unmarshal(raw, &form); err != nil {
-		return err
+// applySchemaVersion applies a stored declaration.
+func (c *Core) applySchemaVersion(key string, raw json.RawMessage, revision uint64) error {
+	var version int
+	if err := json.Unmarshal(raw, &version); err != nil {
+		return fmt.Errorf("decode schema version: %w", err)
 	}
 	name := strings.TrimPrefix(key, keySchemaVersion)
 	if name == c.cfg.Name {
-		c.schema.declarationRevision = mark
+		c.schema.declarationRevision = revision
 	}
-	c.recordSchemaVersion(name, form)
+	c.recordSchemaVersion(name, version)
 	return nil
 }
 
-// storeWriteRate is the change rate that all controllers together keep to: the one that is to come
-// from the moment when all of them know of it.
+// storeWriteRate is the rate of writes that all controllers together keep to. NextWriteRate replaces
+// it only when all of them know of it: else some would exceed their part.
 func (c *Core) storeWriteRate() float64 {
 	if c.schemaVersion() >= schemaDependencies && c.cfg.Store.NextWriteRate > 0 {
 		return c.cfg.Store.NextWriteRate
@@ -119,88 +140,18 @@
 	return c.cfg.Store.WriteRate
 }
 
-// reduceTxnLimits adapts to limits smaller than the settings say: a transaction that was refused is not
-// sent again as it was.
-func (c *Core) reduceTxnLimits(t *wire.Txn) {
+// reduceTxnLimits adapts to a store whose limits are smaller than configured: a refused transaction
+// is never sent again unchanged. First the number of writes shrinks, then the size of a value.
+func (c *Core) reduceTxnLimits(refused *wire.Txn) {
 	largest := 0
-	for _, w := range t.Then {
-		largest = max(largest, len(w.Value))
+	for _, write := range refused.Then {
+		largest = max(largest, len(write.Value))
 	}
-	if n := len(t.Then); n > 2 {
-		c.cfg.Store.MaxTxnOps = max(2, n-1)
+	if ops := len(refused.Then); ops > minTxnOps {
+		c.cfg.Store.MaxTxnOps = max(minTxnOps, ops-1)
 	} else {
 		c.cfg.Store.MaxValueBytes = max(minValueBytes, largest*7/8)
 	}
-	c.log(LevelError, "transaction refused: keeping to smaller ones", "changes", len(t.Then), "largest", largest,
-		"txn_ops", c.cfg.Store.MaxTxnOps, "value_bytes", c.cfg.Store.MaxValueBytes)
-}
-
-const minValueBytes = 512
-
-// cancelMarker is the value of a mark of cancellation.
-type cancelMarker struct {
-	CancelMS int64                `json:"cm"`
-	Carried  []audit.PendingEntry `json:"e,omitempty"`
-}
-
-func (m cancelMarker) encode() json.RawMessage {
-	raw, err := json.Marshal(m)
-	if err != nil {
-		panic(err) // a number, and bytes
-	}
-	return raw
-}
-
-// writeCancelMarker cancels a job whose record is too large to be written again as it is: an older
-// version may have stored it under larger limits. The mark is one small durable write. The
-// record follows as its tasks end, and its writers see to it that there is no mark.
-func (c *Core) writeCancelMarker(j *job, ms int64, conds []wire.Compare, acts []auditlog.Event) {
-	key := keyCancel + j.id
-	list, ids := c.currentAuditLog().
-		AttachEntries(key, j.cancellation.markerRevision, j.cancellation.markerAudit, acts)
-	raw := cancelMarker{CancelMS: ms, Carried: list}.encode()
-	j.write.inFlight = true
-	c.commitTxn(wire.Txn{
-		Compare: append(
-			conds,
-			wire.Compare{Key: keyJob + j.id, Revision: j.revision},
-			wire.Compare{Key: key, Revision: j.cancellation.markerRevision},
-		),
-		Then: []wire.Write{{Put: key, Value: raw}},
-	}, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
-		c.currentAuditLog().HandleOutcome(ids, status)
-		j.write.inFlight = false
-		c.markDirty(j)
-		if status == wire.StatusTooManyRequests || status == wire.StatusUnavailable {
-			return
-		}
-		j.write.outcomeUnknown = true
-		c.resolveAfterBarrier([]*job{j}, nil, nil) // answers the users once the mark has come
-	}})
-}
-
-// applyCancelMarker takes a mark of cancellation.
-func (c *Core) applyCancelMarker(key string, raw json.RawMessage, mark uint64) error {
-	var v cancelMarker
-	if err := json.Unmarshal(raw, &v); err != nil {
-		return err
-	}
-	j := c.internJob(key[len(keyCancel):])
-	c.currentAuditLog().ObserveEntries(key, mark, v.Carried)
-	j.cancellation.markerRevision, j.cancellation.markerMS, j.cancellation.markerAudit = mark, v.CancelMS, v.Carried
-	if j.revision != 0 && j.record.Stage == jobrecord.Queued {
-		rec := *j.record
-		c.adoptRecord(j, &rec, j.assignments, j.revision, j.stored.bytes)
-	}
-	return nil
-}
-
-// schemaState is schema versions: what each controller declared, the one in force, this controller's own declaration.
-type schemaState struct {
-	declared            map[string]int // what each controller declared
-	active              int
-	declarationRevision uint64        // of this controller's declaration
-	activeSince         time.Duration // since when it may be written
-	declarationInFlight bool
-	nextDeclarationAt   time.Duration
+	c.log(LevelError, "transaction refused by the store: limits reduced", "changes", len(refused.Then),
+		"largest", largest, "txn_ops", c.cfg.Store.MaxTxnOps, "value_bytes", c.cfg.Store.MaxValueBytes)
 }
