--- a/core/core.go
+++ b/core/core.go
@@ -14,66 +14,93 @@
 	"time"
 )
 
-// Core is the state machine of one controller.
+// Core is the state machine of one controller. Each group of its state is a type of its own, in the
+// file of its concern. It is not safe for concurrent use.
 type Core struct {
 	cfg          Config
 	rng          *rand.Rand
-	now          time.Duration
-	unixOffsetMS int64 // time of day minus now, in ms
-	outputs      []Output
-	lastID       uint64
+	now          time.Duration // since the process began; it never goes back
+	unixOffsetMS int64         // time of day minus now, in ms
+	startedAt    time.Duration
+	outputs      []Output // since the last Advance
+	lastID       uint64   // last request ID
 
-	pendingSubmissions int // submissions whose write is waited for
-	machineIndex       map[string]int32
-	machines           []*machine
+	// Stats counts what the log reports from time to time.
+	Stats Stats
+
+	// Jobs and machines, interned by index.
+	pendingSubmissions int // submissions whose write is pending
 	jobIndex           map[string]int32
 	jobs               []*job
-	openJobs           []*job     // those not over
-	aliveMachines      []*machine // those not known to be gone
+	openJobs           []*job // jobs that may have to be written or answered
+	machineIndex       map[string]int32
+	machines           []*machine
+	aliveMachines      []*machine // machines that are not known to be gone, or have assignments
 
 	teamIndex map[string]int
 	teams     []*team
 
-	history     history         // see history.go
-	permissions permissionState // see rights.go
-	auditLog    *auditlog.Recorder
+	// The key-value store.
+	replica      storeReplica
+	storeHealth  storeHealth
+	transactions transactionState
+	schema       schemaState
 
-	reservations     *reservations.Service // see bookings.go
-	reservationState reservationState
-	restoreMarker    restoreMarker
+	// Controllers.
+	ownLease    controllerLease
+	leadership  leadershipState
+	leaderState *leaderState // nil unless this controller is the leader
+	ownership   shardOwnership
+	controllers controllerSet
+	clusterCopy clusterCopy
+	deltaLog    deltaLog
 
-	overload overload.State
+	// Agents and machines.
+	agents       agentLiveness
+	commands     commandDispatch
+	autoscaler   autoscalerState
+	outageReturn outageReturnState
 
-	outageReturn outageReturnState // see orders.go
+	// Scheduling.
+	priority   priorityState
+	placement  placementState
+	cancelAcks cancelAcks
 
-	leaderState *leaderState
+	// What outlives jobs.
+	history       history
+	archiving     archivingState
+	auditLog      *auditlog.Recorder
+	permissions   permissionState
+	restoreMarker restoreMarker
 
-	startedAt time.Duration
+	reservations     *reservations.Service
+	reservationState reservationState
 
-	Stats Stats
+	overload    overload.State
+	maintenance maintenanceState
+	stalls      stallDetector
+}
 
-	replica      storeReplica
-	storeHealth  storeHealth
-	ownLease     controllerLease
-	leadership   leadershipState
-	ownership    shardOwnership
-	controllers  controllerSet
-	agents       agentLiveness
-	commands     commandDispatch
-	transactions transactionState
-	priority     priorityState
-	clusterCopy  clusterCopy
-	deltaLog     deltaLog
-	placement    placementState
-	autoscaler   autoscalerState
-	schema       schemaState
-	cancelAcks   cancelAcks
-	archiving    archivingState
-	maintenance  maintenanceState
-	stalls       stallDetector
+// stallDetector notices pauses of this process. Heartbeats that did not arrive during one are no
+// sign that a machine is silent.
+type stallDetector struct {
+	lastAdvanceAt time.Duration
+	runningSince  time.Duration // end of the last pause
+}
+
+// stallThreshold is the gap between two Advance calls that counts as a pause: a controller's clock
+// ticks many times a second.
+const stallThreshold = time.Second
+
+// advance notes that the process runs.
+func (s *stallDetector) advance(now time.Duration) {
+	if now-s.lastAdvanceAt > stallThreshold {
+		s.runningSince = now
+	}
+	s.lastAdvanceAt = now
 }
 
-// New makes a core; seed feeds its randomness.
+// New returns a core that starts at a time. The same seed and inputs always give the same outputs.
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
 		cfg:          cfg,
@@ -109,29 +136,78 @@
 	c.clusterCopy.state.MaxAge = cfg.State.CopyExpiry
 	c.updateRateLimit()
 	c.transactions.rateLimit.FillBurst()
-	for i, t := range cfg.Teams {
-		c.teamIndex[t.Name] = i
-		c.teams = append(c.teams, &team{Team: t})
+	for i, quota := range cfg.Teams {
+		c.teamIndex[quota.Name] = i
+		c.teams = append(c.teams, &team{Team: quota})
 	}
 	return c
 }
 
-func (c *Core) emit(o Output)  { c.outputs = append(c.outputs, o) }
+// emit adds an output, which the next Advance returns.
+func (c *Core) emit(o Output) { c.outputs = append(c.outputs, o) }
+
+// nextID returns a new request ID. IDs are never 0.
 func (c *Core) nextID() uint64 { c.lastID++; return c.lastID }
-func (c *Core) unixMS() int64  { return c.unixOffsetMS + c.now.Milliseconds() }
+
+// unixMS is the time of day in milliseconds since 1970, as of the last WallClock input.
+func (c *Core) unixMS() int64 { return c.unixOffsetMS + c.now.Milliseconds() }
+
+// log emits a log line.
 func (c *Core) log(level LogLevel, text string, args ...any) {
 	c.emit(LogLine{Level: level, Message: text, Args: args})
 }
 
-// Healthy is the answer to health checks.
+// Healthy reports whether this controller can serve users: it has a replica of the store and a
+// catalog, and either holds its lease or all controllers have lost the store.
 func (c *Core) Healthy() bool {
 	return c.replica.loaded && !c.isNotServing() && c.autoscaler.catalog != nil &&
 		(c.holdsLease() || c.isStoreOutage())
 }
 
-// Handle takes an input; Advance returns what comes of it.
+// Handle applies an input. Its outputs are returned by the next Advance.
 func (c *Core) Handle(now time.Duration, in Input) {
 	c.now = max(c.now, now)
+	if !c.handlePlatformInput(in) { // first, as heartbeats are the most frequent inputs
+		c.handleUserRequest(in)
+	}
+}
+
+// handlePlatformInput handles inputs of agents, the store, the cloud, peers and clocks, and reports
+// whether the input was one of these.
+func (c *Core) handlePlatformInput(in Input) bool {
+	switch in := in.(type) {
+	case AgentHeartbeat:
+		c.handleHeartbeat(in)
+	case AgentPolled:
+		c.handleAgentPolled(in)
+	case CommandsResult:
+		c.handleCommandsResult(in)
+	case TxnResult:
+		c.handleTxnResult(in)
+	case WatchResult:
+		c.handleWatchResult(in)
+	case SnapshotPage:
+		c.handleSnapshotPage(in)
+	case RangeResult:
+		c.handleRangeResult(in)
+	case LeaseResult:
+		c.handleLeaseResult(in)
+	case CloudResult:
+		c.handleCloudResult(in)
+	case PeerMessage:
+		c.handlePeerMessage(in)
+	case LoadSample:
+		c.handleLoadSample(in)
+	case WallClock:
+		c.unixOffsetMS = in.UnixMS - c.now.Milliseconds()
+	default:
+		return false
+	}
+	return true
+}
+
+// handleUserRequest handles requests of users, and those that the API denied.
+func (c *Core) handleUserRequest(in Input) {
 	switch in := in.(type) {
 	case SubmitJob:
 		c.handleSubmitJob(in)
@@ -158,56 +234,44 @@
 	case SetPriorityClasses:
 		c.handleSetPriorityClasses(in)
 	case RequestsDenied:
-		for _, it := range in.Items {
-			c.currentAuditLog().RecordRefusal(audit.GatheredEvent{
-				Identity: it.Who,
-				Verb:     it.Verb,
-				Object:   it.Object,
-				Reason:   it.Why,
-			}, it.Count)
-		}
-	case AgentHeartbeat:
-		c.handleHeartbeat(in)
-	case AgentPolled:
-		c.agents.pollsInFlight = max(0, c.agents.pollsInFlight-1)
-		if in.Heartbeat != nil && in.Heartbeat.Machine == in.Machine {
-			c.applyHeartbeat(in.Heartbeat, true)
-		}
-	case CommandsResult:
-		c.handleCommandsResult(in)
-	case TxnResult:
-		c.handleTxnResult(in)
-	case WatchResult:
-		c.handleWatchResult(in)
-	case SnapshotPage:
-		c.handleSnapshotPage(in)
-	case LeaseResult:
-		c.handleLeaseResult(in)
-	case CloudResult:
-		if f := c.autoscaler.calls[in.ID]; f != nil {
-			delete(c.autoscaler.calls, in.ID)
-			f(in)
-		}
-	case RangeResult:
-		c.handleRangeResult(in)
-	case PeerMessage:
-		c.handlePeerMessage(in)
-	case LoadSample:
-		c.handleLoadSample(in)
-	case WallClock:
-		c.unixOffsetMS = in.UnixMS - c.now.Milliseconds()
+		c.handleRequestsDenied(in)
 	}
 }
 
-const stallThreshold = time.Second // without any input: a controller has a clock that ticks many times a second
+// handleRequestsDenied records requests that the API denied before they reached the core.
+func (c *Core) handleRequestsDenied(in RequestsDenied) {
+	for _, denied := range in.Items {
+		c.currentAuditLog().RecordRefusal(audit.GatheredEvent{
+			Identity: denied.Who,
+			Verb:     denied.Verb,
+			Object:   denied.Object,
+			Reason:   denied.Why,
+		}, denied.Count)
+	}
+}
+
+// handleAgentPolled applies the heartbeat that a poll of an agent returned. One of another machine,
+// which has got the polled machine's address, is ignored.
+func (c *Core) handleAgentPolled(in AgentPolled) {
+	c.agents.pollsInFlight = max(0, c.agents.pollsInFlight-1)
+	if in.Heartbeat != nil && in.Heartbeat.Machine == in.Machine {
+		c.applyHeartbeat(in.Heartbeat, true)
+	}
+}
 
-// Advance lets time pass, does what is due and returns all outputs since the last call.
+// handleCloudResult calls the function that waits for a cloud request's outcome.
+func (c *Core) handleCloudResult(in CloudResult) {
+	if onResult := c.autoscaler.calls[in.ID]; onResult != nil {
+		delete(c.autoscaler.calls, in.ID)
+		onResult(in)
+	}
+}
+
+// Advance moves the time forward, does what is due and returns all outputs since the last call. The
+// order of its steps is part of the behaviour: each sees what the earlier ones changed.
 func (c *Core) Advance(now time.Duration) []Output {
 	c.now = max(c.now, now)
-	if c.now-c.stalls.lastAdvanceAt > stallThreshold {
-		c.stalls.runningSince = c.now
-	}
-	c.stalls.lastAdvanceAt = c.now
+	c.stalls.advance(c.now)
 	c.transactions.rateLimit.Refill(c.now, c.cfg.Store.MaxTxnOps)
 	c.syncReplica()
 	c.maintainLease()
@@ -237,12 +301,7 @@
 	return out
 }
 
-func (c *Core) jitter(d time.Duration) time.Duration {
-	return time.Duration(c.rng.Int64N(int64(d) + 1))
-}
-
-// stallDetector is pauses of this process: silence in one is no sign that a machine is silent.
-type stallDetector struct {
-	lastAdvanceAt time.Duration // when time passed here last
-	runningSince  time.Duration // since when it has without a pause: what was not heard in one is no sign of silence
+// jitter draws a random duration between 0 and limit.
+func (c *Core) jitter(limit time.Duration) time.Duration {
+	return time.Duration(c.rng.Int64N(int64(limit) + 1))
 }
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -188,8 +188,8 @@
 	dependent := testSubmission("wk-2")
 	dependent.Spec.Dependencies = []string{"wk-1"}
 	c.Handle(100*time.Second, dependent)
-	if responses := outputsOfType[Response](c.Advance(100 * time.Second)); len(responses) != 1 || responses[0].Status != wire.StatusUnavailable ||
-		responses[0].RetryAfterSeconds == 0 {
+	if responses := outputsOfType[Response](c.Advance(100 * time.Second)); len(responses) != 1 ||
+		responses[0].Status != wire.StatusUnavailable || responses[0].RetryAfterSeconds == 0 {
 		t.Errorf("dependencies before their schema version: %+v", responses)
 	}
 	in := schemaDeclarations("n2")
