--- a/core/keys.go
+++ b/core/keys.go
@@ -1,19 +1,23 @@
 package core
 
-// Keys of the state service. All start with Root, so that one watch follows them.
+// Keys of the store. All start with Root, so that one watch follows them.
 const (
-	Root            = "dl/"
-	keyNode         = Root + "node/"
-	keyLeader       = Root + "leader"
-	keyShard        = Root + "shard/"
+	// Root begins all keys that the controllers use.
+	Root = "dl/"
+
+	keyNode         = Root + "node/"  // live controllers, by name; leased
+	keyLeader       = Root + "leader" // the leadership; leased
+	keyShard        = Root + "shard/" // owners of shards, by number; leased
 	keyFencingToken = Root + "epoch"
-	keyJob          = Root + "job/"
-	keyTeam         = Root + "team/"
-	keyMachineTypes = Root + "types"
+	keyJob          = Root + "job/"  // jobs' records, by ID
+	keyTeam         = Root + "team/" // written with each start of a team that has a maximum quota
+	keyMachineTypes = Root + "types" // the catalog of machine types
 
-	// KeyEpoch is the token, and KeyJob begins the keys of jobs.
+	// KeyFencingToken is the key of the fencing token.
 	KeyFencingToken = keyFencingToken
-	KeyJob          = keyJob
+
+	// KeyJob begins the keys of jobs' records.
+	KeyJob = keyJob
 )
 
 // LeasedKeyPrefixes begin the keys that are attached to a controller's lease.
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -6,45 +6,69 @@
 	"time"
 )
 
-// maintenanceState is periodic upkeep: compaction of the walked lists and the full scan, a
-// safeguard against missed changes.
+// compactionInterval is the time between two compactions of the lists that are walked often.
+const compactionInterval = time.Second
+
+// maintenanceState is when periodic upkeep is due: the compaction of lists, and the full scan, a
+// safeguard against changes that marked nothing dirty.
 type maintenanceState struct {
 	nextCompactionAt time.Duration
 	nextFullScanAt   time.Duration
 }
 
-// runMaintenance drops what is over from the lists that are walked often.
+// runMaintenance drops entries without further work from the lists that are walked often, and runs
+// the full scan.
 func (c *Core) runMaintenance() {
 	if c.now < c.maintenance.nextCompactionAt {
 		return
 	}
-	c.maintenance.nextCompactionAt = c.now + time.Second
-	c.openJobs = slices.DeleteFunc(c.openJobs, func(j *job) bool {
-		// What waits for other jobs is touched when they are over.
-		over := !j.write.dirty && !j.write.inFlight && j.submission == nil && len(j.cancellation.waiters) == 0 &&
-			(j.record == nil || j.record.Spec == nil || j.unmetDependencies > 0 && j.cancelledBy == nil && len(j.assignments) == 0)
-		if over {
-			j.write.inOpenList = false
+	c.maintenance.nextCompactionAt = c.now + compactionInterval
+	c.openJobs = slices.DeleteFunc(c.openJobs, func(candidate *job) bool {
+		if candidate.needsAttention() {
+			return false
 		}
-		return over
+		candidate.write.inOpenList = false
+		return true
+	})
+	c.aliveMachines = slices.DeleteFunc(c.aliveMachines, func(candidate *machine) bool {
+		return candidate.lifecycle.gone && len(candidate.allocation.assignments) == 0
 	})
-	c.aliveMachines = slices.DeleteFunc(
-		c.aliveMachines,
-		func(m *machine) bool { return m.lifecycle.gone && len(m.allocation.assignments) == 0 },
-	)
 	c.countZoneMachines()
 	c.evictUnreferencedJobs()
 	c.updateHistoryStats()
-	// Only what changed is looked at otherwise; now and then everything is, as a safeguard against
-	// a change that nobody noted.
-	if c.replica.loaded && c.now >= c.maintenance.nextFullScanAt &&
-		(c.overload.Level() == overload.Normal || c.now >= c.maintenance.nextFullScanAt+c.cfg.Scheduling.FullScanInterval) {
-		c.maintenance.nextFullScanAt = c.now + c.cfg.Scheduling.FullScanInterval
-		for _, j := range c.openJobs {
-			c.markDirtyKeepingDelay(j)
-		}
-		for _, m := range c.aliveMachines {
-			c.markMachineDirty(m)
-		}
+	if c.isFullScanDue() {
+		c.runFullScan()
+	}
+}
+
+// needsAttention reports whether a job has something to write or answer now, or will have without
+// being marked dirty first. A job that waits only for dependencies is marked when these end.
+func (j *job) needsAttention() bool {
+	if j.write.dirty || j.write.inFlight || j.submission != nil || len(j.cancellation.waiters) > 0 {
+		return true
+	}
+	if j.record == nil || j.record.Spec == nil {
+		return false
+	}
+	return j.unmetDependencies <= 0 || j.cancelledBy != nil || len(j.assignments) > 0
+}
+
+// isFullScanDue reports whether the full scan is to run now. Under load it runs half as often.
+func (c *Core) isFullScanDue() bool {
+	due := c.maintenance.nextFullScanAt
+	if c.overload.Level() != overload.Normal {
+		due += c.cfg.Scheduling.FullScanInterval
+	}
+	return c.replica.loaded && c.now >= due
+}
+
+// runFullScan marks all open jobs and alive machines dirty. Otherwise only what changed is examined.
+func (c *Core) runFullScan() {
+	c.maintenance.nextFullScanAt = c.now + c.cfg.Scheduling.FullScanInterval
+	for _, open := range c.openJobs {
+		c.markDirtyKeepingDelay(open)
+	}
+	for _, alive := range c.aliveMachines {
+		c.markMachineDirty(alive)
 	}
 }
--- a/core/stats.go
+++ b/core/stats.go
@@ -1,16 +1,28 @@
 package core
 
-// Stats counts what the log reports at a modest rate.
+// Stats counts what the log reports from time to time. Counters only grow; gauges are as of the last
+// maintenance.
 type Stats struct {
-	Accepted, TaskStarts, StartRefusals, Commits, Conflicts, UnknownOutcomes uint64
-	MachineLooks                                                             uint64 // at what a machine must be told
-	// at machines, for what needs room in plans
-	PlanMachineLooks uint64
+	Accepted        uint64 // jobs whose submission was accepted
+	TaskStarts      uint64 // start commands to agents
+	StartRefusals   uint64 // attempts that agents refused for lack of capacity
+	Commits         uint64 // transactions sent
+	Conflicts       uint64 // transactions that lost a compare
+	UnknownOutcomes uint64 // transactions without an answer
 
-	Archived, ArchiveWrites uint64 // jobs whose records moved, and the changes that took
-	// reads of ended jobs, and answers that they or what they had left in memory gave
-	RecordReads, BlockReads, RecalledJobs uint64
-	PermissionDenials                     uint64 // acts refused for lack of a right
-	EndedInMemory, ColdRecords            int    // ended jobs in memory, and others that still have records
-	CachedBlocks, HistoryBytes            int    // blocks, and all that ended jobs take in memory
+	MachineLooks     uint64 // machines examined for commands to send
+	PlanMachineLooks uint64 // machines examined by the autoscaler for capacity
+
+	Archived      uint64 // jobs whose records were archived
+	ArchiveWrites uint64 // writes to the store that this took
+	RecordReads   uint64 // reads of ended jobs' records
+	BlockReads    uint64 // reads of archive blocks
+	RecalledJobs  uint64 // ended jobs read back into memory
+
+	PermissionDenials uint64 // requests refused for lack of permission
+
+	EndedInMemory int // gauge: ended jobs in memory
+	ColdRecords   int // gauge: other ended jobs that still have records
+	CachedBlocks  int // gauge: archive blocks in memory
+	HistoryBytes  int // gauge: estimated memory of ended jobs and blocks
 }
