--- a/core/batchvalue/slot.go
+++ b/core/batchvalue/slot.go
@@ -1,11 +1,14 @@
-// Package batchvalue keeps what changes often of many jobs in one value: their assignments, which
-// tasks are done. A change of the state service then serves all jobs of a slot at once, where a key
-// for each took a change for each.
+// Package batchvalue keeps the frequently changing part of many jobs in one stored value: their
+// assignments and which tasks have completed. One write to the store then serves all jobs of a slot,
+// where a key for each job takes a write for each.
 //
 // A job's own key stays, with its description and with everything as of its last write, which has a
-// number. An entry of a slot counts on top of the write that it names; with the next write of the
-// key it is void. So nobody needs to take it away, and a reader of both, in whatever order they
-// come, knows which of them is newer.
+// number. An entry of a slot applies on top of the write whose number it has, and is void with the
+// next write of the key. So no entry has to be removed, and a reader of both, in whatever order they
+// arrive, knows which of them is newer.
+//
+// The package owns the encoding of a slot and the known state of one. It does not decode entries and
+// does not decide which jobs share a slot or when it is written.
 package batchvalue
 
 import (
@@ -15,103 +18,111 @@
 	"maps"
 )
 
-// Slot is one value, as far as it is known, and what this controller has on its way that depends on it.
+// Slot is the known state of one value, and this controller's writes in flight that depend on it.
 type Slot struct {
-	Revision             uint64 // 0: it is not there
+	Revision             uint64 // 0: the key does not exist
 	Entries              Entries
-	WriteInFlight        bool // a write of it is on its way, or its outcome is not known yet
-	JobKeyWritesInFlight int  // writes of its jobs' own keys, on condition of its mark, are on their way
+	WriteInFlight        bool // a write of it is in flight, or its outcome is unknown
+	JobKeyWritesInFlight int  // writes of its jobs' own keys in flight, which compare its revision
 }
 
-// Entries are encoded, by job.
+// Entries are encoded records by job ID. They are treated as immutable once a Slot has them.
 type Entries map[string]json.RawMessage
 
-// compressedValue is how entries are stored: compressed, as neighbours say much of the same.
+// compressedValue is the stored form of entries. They are compressed, as they resemble each other.
 type compressedValue struct {
 	Data []byte `json:"b"`
 }
 
+// maxExpandedBytes bounds a value after decompression, so that a damaged one can't exhaust the memory.
 const maxExpandedBytes = 1 << 20
 
-// Decode reads a value.
+// Decode decodes a stored value.
 func Decode(raw json.RawMessage) (Entries, error) {
-	var v compressedValue
-	err := json.Unmarshal(raw, &v)
-	if err == nil {
-		var plain []byte
-		if plain, err = compress.Inflate(v.Data, maxExpandedBytes); err == nil {
-			var e Entries
-			if err = json.Unmarshal(plain, &e); err == nil {
-				return e, nil
-			}
-		}
+	var value compressedValue
+	if err := json.Unmarshal(raw, &value); err != nil {
+		return nil, fmt.Errorf("decode shared value: %w", err)
+	}
+	plain, err := compress.Inflate(value.Data, maxExpandedBytes)
+	if err != nil {
+		return nil, fmt.Errorf("decompress shared value: %w", err)
+	}
+	var entries Entries
+	if err := json.Unmarshal(plain, &entries); err != nil {
+		return nil, fmt.Errorf("decode shared entries: %w", err)
 	}
-	return nil, fmt.Errorf("shared value: %w", err)
+	return entries, nil
 }
 
-// Encode renders a value: the same entries, the same bytes.
+// Encode encodes entries for the store. The same entries always give the same bytes.
 func (e Entries) Encode() (json.RawMessage, error) {
 	plain, err := json.Marshal(e)
 	if err != nil {
-		return nil, fmt.Errorf("shared value: %w", err)
+		return nil, fmt.Errorf("encode shared entries: %w", err)
 	}
 	data, err := compress.Deflate(plain)
 	if err != nil {
-		return nil, fmt.Errorf("shared value: %w", err)
+		return nil, fmt.Errorf("compress shared value: %w", err)
 	}
 	raw, err := json.Marshal(compressedValue{data})
 	if err != nil {
-		return nil, fmt.Errorf("shared value: %w", err)
+		return nil, fmt.Errorf("encode shared value: %w", err)
 	}
 	return raw, nil
 }
 
-// Draft is a slot's next value while jobs are put into it.
+// Without returns a copy of the entries without one job's.
+func (e Entries) Without(jobID string) Entries {
+	rest := maps.Clone(e)
+	if rest == nil {
+		rest = Entries{}
+	}
+	delete(rest, jobID)
+	return rest
+}
+
+// size is the number of bytes of all entries and their IDs before compression.
+func (e Entries) size() int {
+	total := 0
+	for id, raw := range e {
+		total += len(id) + len(raw)
+	}
+	return total
+}
+
+// IsNearlyFull reports whether a slot has more than three quarters of maxBytes before compression.
+func (s *Slot) IsNearlyFull(maxBytes int) bool {
+	return s.Entries.size() > maxBytes*3/4
+}
+
+// Draft is the next value of a slot while entries are put into it.
 type Draft struct {
 	Entries Entries
-	size    int
+	size    int // bytes of Entries before compression, if begun with BeginDraft
 }
 
-// BeginDraft begins the next value with those entries that still count.
-func (s *Slot) BeginDraft(counts func(job string, entry json.RawMessage) bool) *Draft {
-	d := &Draft{Entries: Entries{}}
+// BeginDraft begins the next value with the entries that still apply.
+func (s *Slot) BeginDraft(applies func(jobID string, entry json.RawMessage) bool) *Draft {
+	draft := &Draft{Entries: Entries{}}
 	for id, raw := range s.Entries {
-		if counts(id, raw) {
-			d.Entries[id] = raw
-			d.size += len(id) + len(raw)
+		if applies(id, raw) {
+			draft.Entries[id] = raw
 		}
 	}
-	return d
+	draft.size = draft.Entries.size()
+	return draft
 }
 
-// TryPut puts an entry in, if all of them then stay within so many bytes before they are compressed.
-func (d *Draft) TryPut(job string, entry json.RawMessage, most int) bool {
-	n := d.size + len(job) + len(entry)
-	if old, ok := d.Entries[job]; ok {
-		n -= len(job) + len(old)
+// TryPut adds or replaces a job's entry if all entries then have at most maxBytes before
+// compression, and reports whether it did.
+func (d *Draft) TryPut(jobID string, entry json.RawMessage, maxBytes int) bool {
+	size := d.size + len(jobID) + len(entry)
+	if old, ok := d.Entries[jobID]; ok {
+		size -= len(jobID) + len(old)
 	}
-	if n > most {
+	if size > maxBytes {
 		return false
 	}
-	d.Entries[job], d.size = entry, n
+	d.Entries[jobID], d.size = entry, size
 	return true
 }
-
-// IsNearlyFull reports whether a slot is nearly full.
-func (s *Slot) IsNearlyFull(most int) bool {
-	n := 0
-	for id, raw := range s.Entries {
-		n += len(id) + len(raw)
-	}
-	return n > most*3/4
-}
-
-// Without is a copy of the entries without one.
-func (e Entries) Without(job string) Entries {
-	out := maps.Clone(e)
-	if out == nil {
-		out = Entries{}
-	}
-	delete(out, job)
-	return out
-}
--- a/core/batchvalue/slot_test.go
+++ b/core/batchvalue/slot_test.go
@@ -9,52 +9,54 @@
 	"pgregory.net/rapid"
 )
 
-// What is encoded is read back, the same bytes for the same entries, and a damaged value is an error.
+// Encoded entries decode to the same entries, the same entries always encode to the same bytes, and a damaged
+// value is an error: taken for an empty slot, it would lose assignments.
 func TestValuesAreReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := Entries{}
-		for id, n := range rapid.MapOf(rapid.StringMatching(`wk-[0-9]{6}`), rapid.IntRange(0, 1<<30)).Draw(t, "entries") {
-			e[id] = json.RawMessage(fmt.Sprintf(`{"v":%d}`, n))
+		entries := Entries{}
+		ids, values := rapid.StringMatching(`wk-[0-9]{6}`), rapid.IntRange(0, 1<<30)
+		for id, value := range rapid.MapOf(ids, values).Draw(t, "entries") {
+			entries[id] = json.RawMessage(fmt.Sprintf(`{"v":%d}`, value))
 		}
-		raw, err := e.Encode()
+		raw, err := entries.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := e.Encode()
+		again, err := entries.Encode()
 		if err != nil || !bytes.Equal(raw, again) {
-			t.Fatalf("the same entries, other bytes (%v)", err)
+			t.Fatalf("the same entries gave other bytes (%v)", err)
 		}
 		got, err := Decode(raw)
-		if err != nil || len(got) != len(e) {
-			t.Fatalf("%d entries of %d, %v", len(got), len(e), err)
+		if err != nil || len(got) != len(entries) {
+			t.Fatalf("decoded %d entries of %d (%v)", len(got), len(entries), err)
 		}
-		for id := range e {
-			if !bytes.Equal(got[id], e[id]) {
-				t.Fatalf("%s: %s, was %s", id, got[id], e[id])
+		for id := range entries {
+			if !bytes.Equal(got[id], entries[id]) {
+				t.Fatalf("%s: got %s, want %s", id, got[id], entries[id])
 			}
 		}
 		cut := rapid.IntRange(0, len(raw)-1).Draw(t, "cut")
 		if _, err := Decode(raw[:cut]); err == nil {
-			t.Fatalf("half a value was read: %s", raw[:cut])
+			t.Fatalf("a truncated value was decoded: %s", raw[:cut])
 		}
 	})
 }
 
-// A draft begins with what still counts, and never grows beyond its bound.
+// A draft begins with the entries that still apply, and never grows beyond its limit: the store would refuse it.
 func TestDraftStaysWithinLimit(t *testing.T) {
-	s := Slot{Entries: Entries{"wk-1": json.RawMessage(`{"v":1}`), "wk-2": json.RawMessage(`{"v":2}`)}}
-	d := s.BeginDraft(func(id string, _ json.RawMessage) bool { return id == "wk-2" })
-	if len(d.Entries) != 1 || d.TryPut("wk-3", json.RawMessage(`{"v":3}`), 21) ||
-		!d.TryPut("wk-3", json.RawMessage(`{"v":3}`), 22) {
-		t.Errorf("entries %v", d.Entries)
+	slot := Slot{Entries: Entries{"wk-1": json.RawMessage(`{"v":1}`), "wk-2": json.RawMessage(`{"v":2}`)}}
+	draft := slot.BeginDraft(func(id string, _ json.RawMessage) bool { return id == "wk-2" })
+	if len(draft.Entries) != 1 || draft.TryPut("wk-3", json.RawMessage(`{"v":3}`), 21) ||
+		!draft.TryPut("wk-3", json.RawMessage(`{"v":3}`), 22) {
+		t.Errorf("entries %v", draft.Entries)
 	}
-	if !d.TryPut("wk-2", json.RawMessage(`{"v":4}`), 22) || d.TryPut("wk-2", json.RawMessage(`{"v":44}`), 22) {
+	if !draft.TryPut("wk-2", json.RawMessage(`{"v":4}`), 22) || draft.TryPut("wk-2", json.RawMessage(`{"v":44}`), 22) {
 		t.Error("an entry in place of one of the same size must fit, a larger one must not")
 	}
-	if left := d.Entries.Without("wk-2"); len(left) != 1 || len(d.Entries) != 2 {
-		t.Errorf("%v without one, of %v", left, d.Entries)
+	if rest := draft.Entries.Without("wk-2"); len(rest) != 1 || len(draft.Entries) != 2 {
+		t.Errorf("%v without one, of %v", rest, draft.Entries)
 	}
-	if s.IsNearlyFull(30) || !s.IsNearlyFull(20) {
+	if slot.IsNearlyFull(30) || !slot.IsNearlyFull(20) {
 		t.Error("22 bytes are more than three quarters of 20, and less of 30")
 	}
 }
