--- a/core/ratelimit/limiter.go
+++ b/core/ratelimit/limiter.go
@@ -1,79 +1,88 @@
-// Package ratelimit keeps a controller to its part of what the state service takes from all of
-// them: changes and requests a second, and a pause where the service said that it was too much. It
-// has no clock: times, since the process began, come in.
+// Package ratelimit keeps a controller within its part of the key-value store's rates: writes and
+// requests per second, and pauses after the store has refused or not answered.
+//
+// It owns the tokens, the rates and the pauses. It does not send or refuse anything itself: callers
+// look at the tokens and pauses, and charge what they send. It has no clock: times, as durations
+// since the process began, are passed in.
 package ratelimit
 
 import "time"
 
-// Limiter is what one controller may use now.
+// Limiter is a token bucket each for writes and for requests, of one controller.
 type Limiter struct {
-	WriteTokens, ReadTokens        float64 // changes and requests that may be made; below 0: overdrawn
-	WriteRate, ReadRate            float64 // what comes in a second
-	refilledAt                     time.Duration
-	writesSinceSample              float64 // changes since Used was asked last
-	recentWriteRate                float64 // changes a second of late
+	WriteTokens, ReadTokens float64 // writes and requests that may be sent now; below 0: overdrawn
+	WriteRate, ReadRate     float64 // tokens added per second
+
+	refilledAt        time.Duration
+	writesSinceSample float64 // writes since the last SampleWriteRate
+	recentWriteRate   float64 // writes per second, smoothed
+
 	pausedUntil, urgentPausedUntil time.Duration
 }
 
-const minReadBurst = 4 // that may gather, however low the rate
+// minReadBurst is the number of request tokens that may accumulate however low the rate is.
+const minReadBurst = 4
 
-// New is a budget from a time on.
+// New returns a limiter without tokens or rates that begins at a time.
 func New(now time.Duration) Limiter { return Limiter{refilledAt: now} }
 
-// FillBurst has a second's worth of both gather at once.
+// FillBurst sets both kinds of tokens to one second's worth.
 func (b *Limiter) FillBurst() { b.WriteTokens, b.ReadTokens = b.WriteRate, b.ReadRate }
 
-// SetRates sets the rates: of all changes a second an equal part, or what the others leave if that is more, and at
-// most a share of them; of the requests an equal part.
-func (b *Limiter) SetRates(changes, requests, controllers, left, most float64) {
-	b.WriteRate = min(max(changes/controllers, left), changes*most)
-	b.ReadRate = requests / controllers
+// SetRates sets the rates from those of all controllers together. Of the total write rate a
+// controller gets an equal part, or what the others leave unused if that is more, but no more than
+// maxShare of it (from 0 to 1); of the total request rate it gets an equal part.
+func (b *Limiter) SetRates(totalWrites, totalRequests, controllers, unusedWrites, maxShare float64) {
+	b.WriteRate = min(max(totalWrites/controllers, unusedWrites), totalWrites*maxShare)
+	b.ReadRate = totalRequests / controllers
 }
 
-// WriteBurst is how many changes may gather: a second's worth, and a whole transaction at least.
-func (b *Limiter) WriteBurst(txnOps int) float64 { return max(b.WriteRate, float64(txnOps)) }
+// WriteBurst is the number of write tokens that may accumulate: one second's worth, but at least a
+// transaction of maxTxnOps writes, which could never be sent otherwise.
+func (b *Limiter) WriteBurst(maxTxnOps int) float64 { return max(b.WriteRate, float64(maxTxnOps)) }
 
-// Refill lets time pass.
-func (b *Limiter) Refill(now time.Duration, txnOps int) {
-	dt := (now - b.refilledAt).Seconds()
+// Refill adds the tokens of the time since the last Refill.
+func (b *Limiter) Refill(now time.Duration, maxTxnOps int) {
+	elapsed := (now - b.refilledAt).Seconds()
 	b.refilledAt = now
-	b.WriteTokens = min(b.WriteTokens+dt*b.WriteRate, b.WriteBurst(txnOps))
-	b.ReadTokens = min(b.ReadTokens+dt*b.ReadRate, max(b.ReadRate, minReadBurst))
+	b.WriteTokens = min(b.WriteTokens+elapsed*b.WriteRate, b.WriteBurst(maxTxnOps))
+	b.ReadTokens = min(b.ReadTokens+elapsed*b.ReadRate, max(b.ReadRate, minReadBurst))
 }
 
-// SpendRequest pays for a request.
+// SpendRequest charges a request that writes nothing.
 func (b *Limiter) SpendRequest() { b.ReadTokens-- }
 
-// SpendTxn pays for a transaction of so many changes.
-func (b *Limiter) SpendTxn(changes int) {
-	b.WriteTokens -= float64(changes)
-	b.writesSinceSample += float64(changes)
+// SpendTxn charges a transaction: its writes and the request.
+func (b *Limiter) SpendTxn(writes int) {
+	b.WriteTokens -= float64(writes)
+	b.writesSinceSample += float64(writes)
 	b.ReadTokens--
 }
 
-// SampleWriteRate is how many changes a second were made of late; it is asked once in a time, and
-// halves what was before.
-func (b *Limiter) SampleWriteRate(every time.Duration) float64 {
-	b.recentWriteRate += (b.writesSinceSample/every.Seconds() - b.recentWriteRate) / 2
+// SampleWriteRate returns the recent rate of writes per second. It is to be called once per
+// interval: each call weighs the writes since the last one and all earlier ones equally.
+func (b *Limiter) SampleWriteRate(interval time.Duration) float64 {
+	b.recentWriteRate += (b.writesSinceSample/interval.Seconds() - b.recentWriteRate) / 2
 	b.writesSinceSample = 0
 	return b.recentWriteRate
 }
 
-// Pause has nothing written until a time, and not even what users wait for until another.
-func (b *Limiter) Pause(until, urgent time.Duration) {
-	b.pausedUntil, b.urgentPausedUntil = until, urgent
+// Pause pauses all writes until one time, and those that users wait for until another.
+func (b *Limiter) Pause(until, urgentUntil time.Duration) {
+	b.pausedUntil, b.urgentPausedUntil = until, urgentUntil
 }
 
-// PauseNonUrgent has nothing written until a time but what users wait for.
+// PauseNonUrgent extends the pause of writes that no user waits for. It never shortens it.
 func (b *Limiter) PauseNonUrgent(until time.Duration) { b.pausedUntil = max(b.pausedUntil, until) }
 
-// IsPaused reports whether nothing may be written now but what users wait for.
+// IsPaused reports whether writes that no user waits for are paused.
 func (b *Limiter) IsPaused(now time.Duration) bool { return now < b.pausedUntil }
 
-// IsUrgentPaused reports whether not even that may be.
+// IsUrgentPaused reports whether writes that users wait for are paused too.
 func (b *Limiter) IsUrgentPaused(now time.Duration) bool { return now < b.urgentPausedUntil }
 
-// MinInterval is the time between two requests of a kind that may take a share of all.
-func (b *Limiter) MinInterval(least time.Duration, share float64) time.Duration {
-	return max(least, time.Duration(float64(time.Second)/(share*b.ReadRate)))
+// MinInterval is the time between two requests of a kind that may use a share (from 0 to 1) of the
+// request rate, and at least minInterval.
+func (b *Limiter) MinInterval(minInterval time.Duration, share float64) time.Duration {
+	return max(minInterval, time.Duration(float64(time.Second)/(share*b.ReadRate)))
 }
--- a/core/ratelimit/limiter_test.go
+++ b/core/ratelimit/limiter_test.go
@@ -7,54 +7,56 @@
 	"pgregory.net/rapid"
 )
 
-// However transactions come, no more is spent than what came in and what may gather; controllers that share do not
-// spend more than all together may.
+// A controller that spends whenever it has tokens never exceeds its rate by more than one burst, and its
+// rate stays within its part of the total: otherwise the store refuses writes of all controllers.
 func TestWritesStayWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New(0)
-		b.SetRates(30, 100, 3, rapid.Float64Range(-50, 30).Draw(t, "left"), 0.6)
-		if b.WriteRate < 10 || b.WriteRate > 18 {
-			t.Fatalf("%v changes a second of 30 among 3", b.WriteRate)
+		limiter := New(0)
+		limiter.SetRates(30, 100, 3, rapid.Float64Range(-50, 30).Draw(t, "unused"), 0.6)
+		if limiter.WriteRate < 10 || limiter.WriteRate > 18 {
+			t.Fatalf("%v writes per second of 30 among 3 controllers", limiter.WriteRate)
 		}
-		b.FillBurst()
+		limiter.FillBurst()
 		const ops = 12
 		now, spent := time.Duration(0), 0.0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "pass"))
-			b.Refill(now, ops)
-			for n := rapid.IntRange(1, ops).Draw(t, "changes"); b.WriteTokens >= float64(n); {
-				b.SpendTxn(n)
-				spent += float64(n)
+			limiter.Refill(now, ops)
+			for writes := rapid.IntRange(1, ops).Draw(t, "writes"); limiter.WriteTokens >= float64(writes); {
+				limiter.SpendTxn(writes)
+				spent += float64(writes)
 			}
 		}
-		if most := b.WriteBurst(ops) + b.WriteRate*now.Seconds(); spent > most+1e-6 {
-			t.Fatalf("%v spent in %v, %v came in", spent, now, most)
+		if allowed := limiter.WriteBurst(ops) + limiter.WriteRate*now.Seconds(); spent > allowed+1e-6 {
+			t.Fatalf("%v spent in %v, %v allowed", spent, now, allowed)
 		}
 	})
 }
 
-// A pause holds back what nobody waits for longer, and one of reads does not shorten it.
+// A pause holds writes that no user waits for longer than the others, and a later pause of these alone does
+// not shorten it: they would go to a store that has just refused them.
 func TestPauseSparesUrgentWrites(t *testing.T) {
-	b := New(0)
-	b.Pause(3*time.Second, time.Second)
-	b.PauseNonUrgent(2 * time.Second)
+	limiter := New(0)
+	limiter.Pause(3*time.Second, time.Second)
+	limiter.PauseNonUrgent(2 * time.Second)
 	for at, want := range map[time.Duration][2]bool{
 		0:                       {true, true},
 		time.Second:             {true, false},
 		2500 * time.Millisecond: {true, false},
 		3 * time.Second:         {false, false},
 	} {
-		if b.IsPaused(at) != want[0] || b.IsUrgentPaused(at) != want[1] {
-			t.Errorf("at %v: %v, %v", at, b.IsPaused(at), b.IsUrgentPaused(at))
+		if limiter.IsPaused(at) != want[0] || limiter.IsUrgentPaused(at) != want[1] {
+			t.Errorf("at %v: %v, %v", at, limiter.IsPaused(at), limiter.IsUrgentPaused(at))
 		}
 	}
-	b.SetRates(30, 100, 5, 0, 1)
-	if g := b.MinInterval(10*time.Millisecond, 0.25); g != 200*time.Millisecond ||
-		b.MinInterval(time.Second, 0.25) != time.Second {
-		t.Errorf("a gap of %v at 20 requests a second", g)
+	limiter.SetRates(30, 100, 5, 0, 1)
+	if interval := limiter.MinInterval(10*time.Millisecond, 0.25); interval != 200*time.Millisecond ||
+		limiter.MinInterval(time.Second, 0.25) != time.Second {
+		t.Errorf("an interval of %v at 20 requests per second", interval)
 	}
-	b.SpendTxn(8)
-	if u := b.SampleWriteRate(500 * time.Millisecond); u != 8 || b.SampleWriteRate(500*time.Millisecond) != 4 {
-		t.Errorf("%v changes a second of late", u)
+	limiter.SpendTxn(8)
+	if rate := limiter.SampleWriteRate(500 * time.Millisecond); rate != 8 ||
+		limiter.SampleWriteRate(500*time.Millisecond) != 4 {
+		t.Errorf("%v writes per second recently", rate)
 	}
 }
