--- a/core/config.go
+++ b/core/config.go
@@ -154,7 +154,7 @@
 
 // StateConfig sets how the shared cluster state (package clusterstate) is pushed and kept current.
 type StateConfig struct {
-	// DeltaInterval is the time between two batches of deltas, which tell the peers of starts and ends.
+	// DeltaInterval is the time between two batches of deltas, which inform the peers of starts and ends.
 	DeltaInterval time.Duration
 
 	// PushInterval is the time between two pushes of the leader's cluster state to the peers.
@@ -242,7 +242,7 @@
 	IdleBootFactor float64
 
 	// SoonFreeBootFactor is how many boot times before their estimated end tasks count as capacity that
-	// is released soon. 0: only those whose estimate is over.
+	// is released soon. 0: only those past their estimated end.
 	SoonFreeBootFactor float64
 
 	// IdleTimeout is how long an empty machine is kept. 0: it is returned at once.
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -64,23 +64,7 @@
 		want := assignments(t, was)
 		was.Groups = nil
 		for _, packed := range []bool{false, true} {
-			raw, err := c.encodeRecord(known.record, known.assignments, packed)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if packed { // back through the packed form
-				r, err := jobrecord.Decode(raw)
-				if err != nil {
-					t.Fatalf("%s: %v", item.Key, err)
-				}
-				if raw, err = c.encodeRecord(r, r.ExpandAssignments(c.internMachineInZone), false); err != nil {
-					t.Fatal(err)
-				}
-			}
-			now, err := previousversion.ReadRecord(raw)
-			if err != nil {
-				t.Fatal(err)
-			}
+			now := readByPreviousVersion(t, c, known, packed)
 			if !slices.Equal(want, assignments(t, now)) {
 				t.Errorf("%s (packed %v): assignments differ", item.Key, packed)
 			}
@@ -103,6 +87,30 @@
 	}
 }
 
+// readByPreviousVersion returns a job's record as the previous version reads what is written of it, directly or
+// after it was stored packed.
+func readByPreviousVersion(t *testing.T, c *Core, known *job, packed bool) *previousversion.Record {
+	t.Helper()
+	raw, err := c.encodeRecord(known.record, known.assignments, packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if packed {
+		record, err := jobrecord.Decode(raw)
+		if err != nil {
+			t.Fatalf("%s: %v", known.id, err)
+		}
+		if raw, err = c.encodeRecord(record, record.ExpandAssignments(c.internMachineInZone), false); err != nil {
+			t.Fatal(err)
+		}
+	}
+	read, err := previousversion.ReadRecord(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return read
+}
+
 // assignments returns a record's assignments, ordered by task.
 func assignments(t *testing.T, r *previousversion.Record) []previousversion.Assignment {
 	t.Helper()
