--- a/core/machine.go
+++ b/core/machine.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
+// machine is all that this controller knows of a machine. It is interned by name and never freed.
 type machine struct {
 	name  string
-	index int32
+	index int32 // in Core.machines
 
-	leaderView nodeState
+	leaderView nodeState // of use to the leader only
 
 	identity   machineIdentity
 	status     agentStatus
@@ -23,104 +24,107 @@
 	ranking    rankCache
 }
 
-// machineIdentity is what the machine is, as its agent says.
+// machineIdentity is what the agent says of its machine. All but firstSeenAt is empty before the first heartbeat,
+// except for a zone that is known otherwise.
 type machineIdentity struct {
 	address     string
 	machineType string
 	zone        string
 	spot        bool
-	firstSeenAt time.Duration // first known here
+	firstSeenAt time.Duration // when this controller first knew of it
 }
 
-// agentStatus is the last heartbeat of its agent and the status polls since.
+// agentStatus is the last heartbeat of an agent and the status polls since.
 type agentStatus struct {
-	incarnation     uint64
-	heartbeatSeq    uint64
-	fencingToken    uint64
-	reported        bool // it has reported
-	lastHeartbeatAt time.Duration
-	lastChangeAt    time.Duration // when its report or its assignments changed last
-	lastPollAt      time.Duration // when it was asked for its report last
-	polls           int           // how often it was, since it was heard of
-	digest          uint64        // of what it reported last
+	incarnation     uint64        // of the agent; it grows with each of its starts
+	heartbeatSeq    uint64        // sequence number of the last heartbeat
+	fencingToken    uint64        // highest token that the agent has seen
+	reported        bool          // a heartbeat was applied; without it, this status is empty
+	lastHeartbeatAt time.Duration // last sign of life; before the first, when the machine became known
+	lastChangeAt    time.Duration // when its tasks or assignments last changed
+	lastPollAt      time.Duration // when it was last polled
+	polls           int           // polls since the last sign of life
+	digest          uint64        // of the tasks of the last heartbeat
 	tasks           map[attemptKey]taskStatus
-	images          map[string]bool
+	images          map[string]bool // container images that it has run in this incarnation, so has cached
 }
 
-// machineLifecycle is its end: interruption notice, return to the cloud, proof that it is gone.
+// machineLifecycle is the end of a machine: interruption notice, return to the cloud, proof that it is gone.
 type machineLifecycle struct {
-	interruptionDeadline time.Duration // when the notice runs out; 0: none
-	gone                 bool          // proof that it and all on it are gone
-	returnRequested      bool          // its return was asked of the cloud
+	interruptionDeadline time.Duration // when the cloud takes it back; 0: there is no notice
+	gone                 bool          // it is proven that the machine, and all that ran on it, is gone
+	returnRequested      bool          // the cloud was asked to take it back
 }
 
-// machineCommands is commands to its agent: attempts known, the request in flight, when the next may go.
+// machineCommands is the state of the commands to an agent. One request is in flight at a time.
 type machineCommands struct {
-	lastUnansweredAt time.Duration // when orders to it stayed without an answer last
+	lastUnansweredAt time.Duration // when a request last stayed unanswered
 	attempts         map[attemptKey]*attempt
-	requestID        uint64 // id of the orders on their way; 0: none
-	requestToken     uint64
-	requestAttempts  []attemptKey
-	unanswered       int // requests unanswered in a row
+	requestID        uint64       // of the request in flight; 0: there is none
+	requestToken     uint64       // fencing token of that request
+	requestAttempts  []attemptKey // attempts that it starts
+	unanswered       int          // unanswered requests in a row
 	nextSendAt       time.Duration
-	nextClearAt      time.Duration // when its ended tasks are to be forgotten; 0: none is
-	dirty            bool
-	queued           bool // in the list of machines that may need orders
+	nextClearAt      time.Duration // when ended tasks are cleared at the latest; 0: there are none
+	dirty            bool          // something changed since it was last examined
+	queued           bool          // it is in commandDispatch.dirtyMachines
 	lastExaminedAt   time.Duration
 }
 
-// machineAllocation is tasks assigned to it, resources allocated for them, and how long they keep it busy.
+// machineAllocation is the committed assignments to a machine, and what follows from them.
 type machineAllocation struct {
 	assignments   map[taskKey]jobrecord.Assignment
-	allocated     clusterstate.Resources // room taken, if occKnown
+	allocated     clusterstate.Resources // cached sum of their requests, valid if known
 	known         bool
-	busyHorizon   time.Duration // how long its tasks keep it, as of stayAt
+	busyHorizon   time.Duration // cached time until its tasks end, as of busyHorizonAt
 	busyHorizonAt time.Duration
 }
 
-// machineHealth is failures there: from when it takes work again, and what points to a faulty machine.
+// machineHealth is the failures on a machine: the back-off after them, and the evidence that it is faulty.
 type machineHealth struct {
-	avoidUntil    time.Duration
+	avoidUntil    time.Duration // no tasks are placed there before
 	failures      int
-	lastFailureAt time.Duration  // when something failed there last
-	failedJobs    map[int32]bool // jobs that failed on it since a task last completed
+	lastFailureAt time.Duration
+	failedJobs    map[int32]bool // jobs, by index, that failed there since a task last completed
 }
 
-// rankCache is this controller's cached rank among those that may use the machine.
+// rankCache is this controller's cached rank among those that may place tasks on a machine.
 type rankCache struct {
-	nodesVersion uint64 // as of which controllers, by c.around, rank holds
-	rank         int    // of this controller among those that may use it, see Core.order
+	nodesVersion uint64 // controllerSet.nodesVersion that the rank was computed for
+	rank         int    // 0 is the first
 }
 
-// taskStatus is a task as its machine reported it last.
+// taskStatus is the status of a task in the last heartbeat of its machine.
 type taskStatus struct {
 	state        string
-	cause        string
+	cause        string // why it ended; "": it has not
 	checkpointed bool
-	stateSince   time.Duration // when it was seen in this state first
+	stateSince   time.Duration // when this controller first saw this status
 }
 
+// equal compares two statuses, but for the time when they were seen.
 func (p taskStatus) equal(q taskStatus) bool {
 	return p.state == q.state && p.cause == q.cause && p.checkpointed == q.checkpointed
 }
 
-// attempt is what this controller knows of its orders for an attempt.
+// attempt is what this controller knows of the commands that it sent for an attempt.
 type attempt struct {
-	startInFlight bool // a start is in a request that is not answered
-	// highest token of an unanswered request with a start of it; it may be executed late
+	startInFlight bool // a start of it is in the request in flight
+	// highest fencing token of an unanswered request with a start of it: that one may be executed late,
+	// until the machine has seen a higher token; 0: there is none
 	maxUnansweredToken  uint64
-	lastCommandAt       time.Duration // when an order for it was sent last
-	commandSent         bool
-	stopReason          string // why it is to be stopped; "": not
+	lastCommandAt       time.Duration // when a command for it was last sent
+	commandSent         bool          // lastCommandAt holds off the next command
+	stopReason          string        // why it is to be stopped; "": it is not
 	stopGraceSeconds    float64
-	failureCounted      bool // its failure was counted
-	resourcesReleased   bool // its room was given back
-	orphanCheckInFlight bool // whether its job exists is being asked
+	failureCounted      bool // its failure is in the back-off
+	resourcesReleased   bool // its finish was recorded as an allocation delta
+	orphanCheckInFlight bool // a read barrier to check that its job exists is in flight
 	isOrphan            bool // its job does not exist
-	resentAtOnce        bool // an order other than its start was sent
+	resentAtOnce        bool // a command other than its start has been let past the retry interval
 }
 
-// internMachine interns a machine by name.
+// internMachine returns the machine with a name, which becomes known with it. Its silence counts from then on.
 func (c *Core) internMachine(name string) *machine {
 	if i, ok := c.machineIndex[name]; ok {
 		return c.machines[i]
@@ -138,7 +142,7 @@
 	return m
 }
 
-// internMachineInZone interns a machine in a zone; of one that has not reported, the zone is not known otherwise.
+// internMachineInZone returns the index of the machine with a name. The zone is for a machine without a heartbeat.
 func (c *Core) internMachineInZone(name, zone string) int32 {
 	m := c.internMachine(name)
 	if m.identity.zone == "" {
@@ -154,16 +158,17 @@
 	return assignment, ok && assignment.Attempt == key.attempt && assignment.Incarnation == m.status.incarnation
 }
 
-func (c *Core) attemptOf(m *machine, k attemptKey) *attempt {
-	a := m.commands.attempts[k]
-	if a == nil {
-		a = &attempt{}
-		m.commands.attempts[k] = a
+// attemptOf returns the command state of an attempt on a machine, new if there is none.
+func (c *Core) attemptOf(m *machine, key attemptKey) *attempt {
+	record := m.commands.attempts[key]
+	if record == nil {
+		record = &attempt{}
+		m.commands.attempts[key] = record
 	}
-	return a
+	return record
 }
 
-// markMachineDirty has a machine's orders looked at again.
+// markMachineDirty has dispatchCommands examine a machine.
 func (c *Core) markMachineDirty(m *machine) {
 	m.commands.dirty = true
 	if !m.commands.queued {
@@ -172,13 +177,13 @@
 	}
 }
 
-// noteMachineChange notes that a machine's tasks are others than they were.
+// noteMachineChange invalidates what was computed from a machine's tasks, and has it examined.
 func (c *Core) noteMachineChange(m *machine) {
 	m.status.lastChangeAt, m.allocation.known = c.now, false
 	c.markMachineDirty(m)
 }
 
-// markMachineGone records the proof that a machine and all on it are gone.
+// markMachineGone records the proof that a machine, and all that ran on it, is gone.
 func (c *Core) markMachineGone(m *machine) {
 	if m.lifecycle.gone {
 		return
@@ -191,12 +196,12 @@
 	}
 }
 
-// markTasksLost has the jobs looked at whose tasks were lost with a machine or its session. The
-// machines of a lost zone go one after the other: a job of many tasks waits a moment for the
-// others, as it would take a write for each; replicas do not wait.
+// markTasksLost has the jobs examined whose tasks were lost with a machine or an incarnation of its agent. The
+// machines of a lost zone are found one after the other, so a batch job waits for a moment to be written
+// once for many of them; services do not wait.
 func (c *Core) markTasksLost(m *machine) {
-	for _, a := range m.sortedAssignments() {
-		j := c.jobs[a.jobIndex]
+	for _, lost := range m.sortedAssignments() {
+		j := c.jobs[lost.jobIndex]
 		j.placement.tasksLost = true
 		if j.write.dirty || j.record == nil || j.record.Spec == nil || j.record.Spec.Service || j.isFinal() {
 			c.markDirty(j)
@@ -207,13 +212,13 @@
 	}
 }
 
-// jobAssignment is an assignment with its job.
+// jobAssignment is an assignment with the index of its job.
 type jobAssignment struct {
 	jobIndex int32
 	jobrecord.Assignment
 }
 
-// sortedAssignments lists a machine's assignments in a fixed order.
+// sortedAssignments lists a machine's assignments by job and task: maps have no fixed order, and outputs must.
 func (m *machine) sortedAssignments() []jobAssignment {
 	out := make([]jobAssignment, 0, len(m.allocation.assignments))
 	for k, a := range m.allocation.assignments {
@@ -225,7 +230,7 @@
 	return out
 }
 
-// sortedAttemptKeys lists what a machine reported in a fixed order.
+// sortedAttemptKeys lists the attempts that a machine reported, in a fixed order.
 func (m *machine) sortedAttemptKeys() []attemptKey {
 	out := make([]attemptKey, 0, len(m.status.tasks))
 	for k := range m.status.tasks {
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -6,105 +6,194 @@
 	"time"
 )
 
-// checkMachines finds machines that must be returned: silent ones, those that never came up,
-// and those whose notice runs out.
+const (
+	// implausibleSilences is how many machines must be silent before the silence of a majority counts as this
+	// controller's own fault.
+	implausibleSilences = 2
+	// minSilentInZone is how many machines of a zone must be silent for the zone to count as unreachable.
+	minSilentInZone = 3
+	// silentZoneBlock is how long nothing is rented in an unreachable zone, renewed by every check.
+	silentZoneBlock = 3 * time.Second
+	// defaultBootTime stands for the boot time of a machine type that the catalog does not know.
+	defaultBootTime = 30 * time.Second
+	// noticeMargin is how long before its interruption a machine is returned.
+	noticeMargin = 1500 * time.Millisecond
+	// deafSilenceMargin is added to the lease of agents before a machine is returned as silent by a controller
+	// that may be the one at fault: by then the agent has stopped its tasks itself.
+	deafSilenceMargin = 10 * time.Second
+)
+
+// Reasons for the return of a machine, as they are logged.
+const (
+	returnBootTimeout  = "boot timeout"
+	returnInterruption = "interruption notice"
+	returnSilent       = "silent"
+	returnFaulty       = "faulty"
+)
+
+// machineCounts counts machines that have reported, and those of them that are silent.
+type machineCounts struct{ up, silent int }
+
+func (n *machineCounts) add(silent bool) {
+	n.up++
+	if silent {
+		n.silent++
+	}
+}
+
+// machineCheck is one run of checkMachines.
+type machineCheck struct {
+	core        *Core
+	leader      *leaderState
+	all         machineCounts
+	zones       map[string]*machineCounts // after findUnreachableZones: the unreachable ones
+	isDeaf      bool                      // most machines are silent at once: this controller is rather at fault
+	pollTargets []string                  // machines for a peer to poll
+}
+
+// checkMachines finds the machines to return: silent and faulty ones, those that did not boot in time, and those
+// about to be interrupted. Others whose heartbeat is overdue are polled.
 func (c *Core) checkMachines() {
-	l := c.leaderState
-	type count struct{ up, silent int }
-	zones, all := map[string]*count{}, &count{}
+	check := machineCheck{core: c, leader: c.leaderState, zones: map[string]*machineCounts{}}
+	check.countSilent()
+	check.findUnreachableZones()
+	for _, m := range c.aliveMachines {
+		if !m.lifecycle.gone && m.leaderView.returnReason == "" {
+			check.checkMachine(m)
+		}
+	}
+	c.leaderState.requestPollsByPeer(c, check.pollTargets)
+}
+
+// countSilent counts the machines, and those that will soon be silent for too long, by zone and in all.
+func (k *machineCheck) countSilent() {
+	c := k.core
 	for _, m := range c.aliveMachines {
 		if m.lifecycle.gone || !m.status.reported {
 			continue
 		}
-		z := zones[m.identity.zone]
-		if z == nil {
-			z = &count{}
-			zones[m.identity.zone] = z
-		}
-		for _, n := range []*count{z, all} {
-			n.up++
-			if c.now-m.status.lastHeartbeatAt > c.silenceTimeout()*4/5 {
-				n.silent++
-			}
+		zone := k.zones[m.identity.zone]
+		if zone == nil {
+			zone = &machineCounts{}
+			k.zones[m.identity.zone] = zone
 		}
+		silent := c.now-m.status.lastHeartbeatAt > c.silenceTimeout()*4/5
+		zone.add(silent)
+		k.all.add(silent)
 	}
-	// If most are silent at once, it is rather this controller that does not hear.
-	deaf := all.silent*2 > all.up && all.silent > 1
-	for zone, n := range zones {
-		if !c.isZoneSilent(zone, replacementSilenceLimit) && (deaf || n.silent*2 <= n.up || n.silent < 3) {
-			delete(zones, zone)
+	k.isDeaf = k.all.silent*2 > k.all.up && k.all.silent >= implausibleSilences
+}
+
+// findUnreachableZones keeps only the unreachable zones, and blocks scale-out there: what is rented in one could not
+// be used.
+func (k *machineCheck) findUnreachableZones() {
+	c := k.core
+	for zone, count := range k.zones {
+		if !c.isZoneSilent(zone, replacementSilenceLimit) &&
+			(k.isDeaf || count.silent*2 <= count.up || count.silent < minSilentInZone) {
+			delete(k.zones, zone)
 			continue
 		}
-		for _, typ := range c.autoscaler.typeNames { // what would be rented there could not be used
+		for _, machineType := range c.autoscaler.typeNames {
 			for _, spot := range []bool{false, true} {
-				l.blockedUntil[nodeGroup{typ, zone, spot}] = c.now + 3*time.Second
+				k.leader.blockedUntil[nodeGroup{machineType, zone, spot}] = c.now + silentZoneBlock
 			}
 		}
 	}
-	var others []string // machines that others are to ask
-	for _, m := range c.aliveMachines {
-		if m.lifecycle.gone || m.leaderView.returnReason != "" {
-			continue
-		}
-		quiet := c.now - m.status.lastHeartbeatAt
-		if m.status.reported && quiet > c.maxHeartbeatGap() {
-			others = append(others, m.name)
-		}
-		m.leaderView.zoneUnreachable = m.status.reported &&
-			(zones[m.identity.zone] != nil && quiet > c.maxHeartbeatGap() || c.isZoneSilent(m.identity.zone, replacementSilenceLimit))
-		switch {
-		case !m.status.reported:
-			boot := cmp.Or(c.nominalBootTime(m.identity.machineType), 30*time.Second)
-			if c.now-max(
-				m.identity.firstSeenAt,
-				m.leaderView.rentedAt,
-				l.leadingSince-boot,
-			) > scaleDuration(
-				boot,
-				c.cfg.Autoscaling.BootTimeoutFactor,
-			)+c.cfg.Autoscaling.CloudListLag*2 {
-				c.markForReturn(m, "never came up")
-			}
-		case m.lifecycle.interruptionDeadline > 0 && c.now > m.lifecycle.interruptionDeadline-1500*time.Millisecond:
-			c.markForReturn(m, "its notice runs out")
-		case m.leaderView.zoneUnreachable && quiet < c.unreachableZoneGrace(m) && !c.delayMissesDeadline(m, c.unreachableZoneGrace(m)-quiet):
-			c.pollQuietAgent(m)
-		case quiet > c.silenceTimeout() && (!deaf || quiet > c.cfg.Agents.LeaseTTL+10*time.Second) && c.now-l.leadingSince > c.silenceTimeout():
-			c.markForReturn(m, "silent")
-		case c.isProvenFaulty(m):
-			c.markForReturn(m, "faulty")
-		default:
-			c.pollQuietAgent(m)
+}
+
+// checkMachine marks a machine for return or polls it.
+func (k *machineCheck) checkMachine(m *machine) {
+	c := k.core
+	quiet := c.now - m.status.lastHeartbeatAt
+	overdue := m.status.reported && quiet > c.maxHeartbeatGap()
+	if overdue {
+		k.pollTargets = append(k.pollTargets, m.name)
+	}
+	m.leaderView.zoneUnreachable = overdue && k.zones[m.identity.zone] != nil ||
+		m.status.reported && c.isZoneSilent(m.identity.zone, replacementSilenceLimit)
+	if reason := k.returnReason(m, quiet); reason != "" {
+		c.markForReturn(m, reason)
+	} else if m.status.reported {
+		c.pollQuietAgent(m)
+	}
+}
+
+// returnReason is why a machine without a heartbeat for so long must be returned; "" if it need not.
+func (k *machineCheck) returnReason(m *machine, quiet time.Duration) string {
+	c := k.core
+	deadline := m.lifecycle.interruptionDeadline
+	switch {
+	case !m.status.reported:
+		if k.bootTimedOut(m) {
+			return returnBootTimeout
 		}
+		return ""
+	case deadline > 0 && c.now > deadline-noticeMargin:
+		return returnInterruption
+	case m.leaderView.zoneUnreachable && k.awaitsReplacement(m, quiet):
+		return ""
+	case k.isSilent(quiet):
+		return returnSilent
+	case c.isProvenFaulty(m):
+		return returnFaulty
 	}
-	l.requestPollsByPeer(c, others)
+	return ""
 }
 
-// unreachableZoneGrace is how long the machines of a silent zone are kept. The zone may only be cut off:
-// its tasks run on until the workers' leases end. So others are rented first, and these are
-// returned when those should be up. When they were returned at once, all tasks there ended
-// while nothing was up to take them.
+// bootTimedOut reports whether a machine has taken too long for its first heartbeat. A new leader does not know
+// when it was rented, and waits as if it had been rented one boot time before its term.
+func (k *machineCheck) bootTimedOut(m *machine) bool {
+	c := k.core
+	boot := cmp.Or(c.nominalBootTime(m.identity.machineType), defaultBootTime)
+	since := max(m.identity.firstSeenAt, m.leaderView.rentedAt, k.leader.leadingSince-boot)
+	return c.now-since > scaleDuration(boot, c.cfg.Autoscaling.BootTimeoutFactor)+c.cfg.Autoscaling.CloudListLag*2
+}
+
+// awaitsReplacement reports whether a machine of an unreachable zone is kept until a replacement is up.
+func (k *machineCheck) awaitsReplacement(m *machine, quiet time.Duration) bool {
+	grace := k.core.unreachableZoneGrace(m)
+	return quiet < grace && !k.core.delayMissesDeadline(m, grace-quiet)
+}
+
+// isSilent reports whether a machine without a heartbeat for so long is to be given up. A new leader first
+// listens for as long itself.
+func (k *machineCheck) isSilent(quiet time.Duration) bool {
+	c := k.core
+	if quiet <= c.silenceTimeout() || c.now-k.leader.leadingSince <= c.silenceTimeout() {
+		return false
+	}
+	return !k.isDeaf || quiet > c.cfg.Agents.LeaseTTL+deafSilenceMargin
+}
+
+// unreachableZoneGrace is how long the machines of an unreachable zone are kept. The zone may only be partitioned, and
+// its tasks run on until the agents' leases expire. So replacements are rented first, and these machines are returned
+// when the replacements should be up: when they were returned at once, all tasks there ended with nothing up to
+// take them.
 func (c *Core) unreachableZoneGrace(m *machine) time.Duration {
 	ready := c.silenceTimeout() + c.nominalBootTime(m.identity.machineType) + c.cfg.Autoscaling.ScaleOutLeadTime
 	return max(c.silenceTimeout(), min(ready, c.cfg.Agents.LeaseTTL-c.cfg.Autoscaling.ScaleOutLeadTime))
 }
 
-// delayMissesDeadline reports whether waiting would make a task of a machine late for a deadline, its job's or
-// that of one which needs it. Machines with replicas are not given up for it: these serve on.
+// delayMissesDeadline reports whether waiting would make a task of a machine miss a deadline, its job's own or
+// that of a dependent job. Machines with replicas of services are not given up for it: these go on serving.
 func (c *Core) delayMissesDeadline(m *machine, wait time.Duration) bool {
-	late := false
-	for k, a := range m.allocation.assignments {
-		j := c.jobs[k.jobIndex]
-		s := j.record.Spec
-		if s == nil || j.isFinal() ||
-			m.status.tasks[attemptKey{k.jobIndex, k.task, a.Attempt}].state == wire.TaskExited {
+	misses := false
+	for task, assignment := range m.allocation.assignments {
+		j := c.jobs[task.jobIndex]
+		spec := j.record.Spec
+		key := attemptKey{task.jobIndex, task.task, assignment.Attempt}
+		if spec == nil || j.isFinal() || m.status.tasks[key].state == wire.TaskExited {
 			continue
 		}
-		if s.Service {
+		if spec.Service {
 			return false
 		}
-		late = late ||
-			j.effectiveDeadlineMS != 0 && c.unixMS()+wait.Milliseconds()+s.EstimatedRuntimeMS > j.effectiveDeadlineMS
+		if j.effectiveDeadlineMS == 0 {
+			continue
+		}
+		expectedEndMS := c.unixMS() + wait.Milliseconds() + spec.EstimatedRuntimeMS
+		misses = misses || expectedEndMS > j.effectiveDeadlineMS
 	}
-	return late
+	return misses
 }
