--- a/core/peers.go
+++ b/core/peers.go
@@ -5,48 +5,63 @@
 	"time"
 )
 
-// sendToPeers sends a message to a peer, or to all. One that is not reached gets it by way of
-// another: two zones may be cut off from each other while a third reaches both, and without
-// the other's reports a leader takes live machines for silent.
+// returnRequestInterval is the time between two requests to the leader to return machines.
+const returnRequestInterval = time.Second
+
+// controllerSet is the other controllers: their registrations in the store, their reachability, and when
+// they are next sent this controller's health.
+type controllerSet struct {
+	membership   *membership.Members
+	nodeKeys     map[string]leasedKey // registrations of the live controllers, by name
+	nodesVersion uint64               // grows with each change of nodeKeys
+	nextHealthAt time.Duration
+}
+
+// sendToPeers sends a message to a peer, or to all if the name is empty. One that is out of reach gets it relayed: two
+// zones may be cut off from each other while a third reaches both, and without the other's heartbeats a
+// leader takes live machines for silent.
 func (c *Core) sendToPeers(peer string, m Message) {
 	for _, to := range c.cfg.Peers {
 		if peer != "" && peer != to {
 			continue
 		}
-		if by := c.controllers.membership.RelayFor(c.now, to); by != "" {
-			via := m
-			via.RelayTo, via.RelayedFrom = to, c.cfg.Name
-			c.emit(SendToPeer{Peer: by, Message: via})
+		if relay := c.controllers.membership.RelayFor(c.now, to); relay != "" {
+			relayed := m
+			relayed.RelayTo, relayed.RelayedFrom = to, c.cfg.Name
+			c.emit(SendToPeer{Peer: relay, Message: relayed})
 			continue
 		}
 		c.emit(SendToPeer{Peer: to, Message: m})
 	}
 }
 
-// broadcastHealth tells the others whether the state service is in reach here. A controller that
-// has not loaded yet does so too: in an outage, the ones left need a majority's word for it.
+// broadcastHealth sends the peers this controller's health. A controller that has not loaded its replica does so
+// too: an outage of the store is declared by a majority, which may need it.
 func (c *Core) broadcastHealth() {
-	if c.now >= c.controllers.nextHealthAt {
-		c.controllers.nextHealthAt = c.now + c.cfg.Cluster.HealthInterval
-		c.priority.firstWaiting = c.firstWaitingByClass()
-		c.emit(
-			SendToPeer{
-				Message: Message{
-					Health: &Health{
-						StoreReachable:    c.isStoreReachable(),
-						WriteRate:         c.transactions.rateLimit.SampleWriteRate(c.cfg.Cluster.HealthInterval),
-						ReachablePeers:    c.controllers.membership.ReachableExcept(c.now, ""),
-						SnapshotPagesRead: c.snapshotPagesRead(),
-						QueueHeads:        c.priority.firstWaiting,
-						CancellationsUpTo: c.cancellationsKnownUpTo(),
-					},
+	if c.now < c.controllers.nextHealthAt {
+		return
+	}
+	c.controllers.nextHealthAt = c.now + c.cfg.Cluster.HealthInterval
+	c.priority.firstWaiting = c.firstWaitingByClass()
+	c.emit(
+		SendToPeer{
+			Message: Message{
+				Health: &Health{
+					StoreReachable:    c.isStoreReachable(),
+					WriteRate:         c.transactions.rateLimit.SampleWriteRate(c.cfg.Cluster.HealthInterval),
+					ReachablePeers:    c.controllers.membership.ReachableExcept(c.now, ""),
+					SnapshotPagesRead: c.snapshotPagesRead(),
+					QueueHeads:        c.priority.firstWaiting,
+					CancellationsUpTo: c.cancellationsKnownUpTo(),
 				},
 			},
-		)
-		c.updateRateLimit()
-	}
+		},
+	)
+	c.updateRateLimit()
 }
 
+// broadcastUpdates sends the peers what has gathered for them: allocation deltas, heartbeats, and requests to
+// return machines.
 func (c *Core) broadcastUpdates() {
 	if c.now >= c.deltaLog.nextBatchAt {
 		c.deltaLog.nextBatchAt = c.now + c.cfg.State.DeltaInterval
@@ -54,108 +69,133 @@
 		c.broadcastHeartbeats()
 	}
 	if c.now >= c.commands.nextReturnRequestAt {
-		c.commands.nextReturnRequestAt = c.now + time.Second
+		c.commands.nextReturnRequestAt = c.now + returnRequestInterval
 		c.requestReturns()
 	}
 }
 
+// handlePeerMessage handles a message of another controller, or passes it on if it is for a third one.
 func (c *Core) handlePeerMessage(in PeerMessage) {
-	p := c.controllers.membership.Peer(in.Peer)
-	if p == nil {
+	sender := c.controllers.membership.Peer(in.Peer)
+	if sender == nil {
 		return
 	}
 	m := in.Message
 	c.controllers.membership.MarkHeard(c.now, in.Peer)
+	from := in.Peer
 	if m.RelayTo != "" {
 		if m.RelayTo != c.cfg.Name {
-			if c.controllers.membership.Peer(m.RelayTo) != nil && m.RelayedFrom == in.Peer {
-				c.emit(SendToPeer{Peer: m.RelayTo, Message: m})
-			}
+			c.relayMessage(from, m)
 			return
 		}
-		if c.controllers.membership.Peer(m.RelayedFrom) == nil {
+		from = m.RelayedFrom
+		if c.controllers.membership.Peer(from) == nil {
 			return
 		}
-		in.Peer = m.RelayedFrom
 	}
+	c.handlePeerCommands(from, &m)
+	c.handleQuorumMessage(from, &m)
+	if m.Health != nil {
+		c.cancelAcks.quorum.RecordHeldRevision(from, m.Health.CancellationsUpTo)
+		m.Health.applyTo(sender)
+	}
+	c.handlePeerHeartbeats(from, &m)
+	if m.AllocationDeltas != nil {
+		c.handlePeerDeltas(from, m.AllocationDeltas)
+	}
+	if c.leaderState != nil {
+		c.leaderState.handlePeerRequests(c, &m)
+	} else if m.StatePush != nil {
+		c.applyPush(m.StatePush)
+	}
+}
+
+// relayMessage passes a message on to the controller that it is for. Only its sender's own messages are
+// passed on, so that none takes a second hop.
+func (c *Core) relayMessage(from string, m Message) {
+	if c.controllers.membership.Peer(m.RelayTo) != nil && m.RelayedFrom == from {
+		c.emit(SendToPeer{Peer: m.RelayTo, Message: m})
+	}
+}
+
+// handlePeerCommands sends the commands of a peer to a machine that it may not reach, under a request id of this
+// controller, and takes the outcome of those that a peer sent for this one.
+func (c *Core) handlePeerCommands(from string, m *Message) {
 	if m.Commands != nil {
 		id := c.nextID()
-		c.commands.relayed[id] = relayedCommands{in.Peer, m.Commands.ID}
-		o := *m.Commands
-		o.ID = id
-		c.emit(o)
+		c.commands.relayed[id] = relayedCommands{from, m.Commands.ID}
+		request := *m.Commands
+		request.ID = id
+		c.emit(request)
 	}
 	if m.CommandsResult != nil {
 		c.handleCommandsResult(*m.CommandsResult)
 	}
-	c.handleQuorumMessage(in.Peer, &m)
-	if m.Health != nil {
-		c.cancelAcks.quorum.RecordHeldRevision(in.Peer, m.Health.CancellationsUpTo)
-		p.StoreReachable, p.WriteRate, p.ReachablePeers, p.SnapshotPagesLoaded = m.Health.StoreReachable, max(
-			0,
-			m.Health.WriteRate,
-		), m.Health.ReachablePeers, m.Health.SnapshotPagesRead
-		p.QueueHeads = p.QueueHeads[:0]
-		for _, w := range m.Health.QueueHeads {
-			p.QueueHeads = append(p.QueueHeads, membership.QueuePosition(w))
-		}
-	}
-	for _, r := range m.Heartbeats {
-		if r != nil {
-			c.applyHeartbeat(r, false)
+}
+
+// handlePeerHeartbeats applies the heartbeats that a peer passes on, and answers its requests for some.
+func (c *Core) handlePeerHeartbeats(from string, m *Message) {
+	for _, heartbeat := range m.Heartbeats {
+		if heartbeat != nil {
+			c.applyHeartbeat(heartbeat, false)
 		}
 	}
-	for _, h := range m.HeartbeatDigests {
-		c.applyHeartbeatDigest(in.Peer, h)
+	for _, digest := range m.HeartbeatDigests {
+		c.applyHeartbeatDigest(from, digest)
 	}
 	if len(m.WantedHeartbeats) > 0 {
-		c.sendRequestedHeartbeats(in.Peer, m.WantedHeartbeats)
+		c.sendRequestedHeartbeats(from, m.WantedHeartbeats)
 	}
-	c.pollOnBehalf(in.Peer, m.PollMachines)
-	if m.AllocationDeltas != nil {
-		if c.leaderState != nil {
-			c.leaderState.applyDeltas(c, in.Peer, m.AllocationDeltas)
-		}
-		// A push may have counted it already: it came by another way. Counted twice, an end would
-		// show room on a full machine until the row changes.
-		if m.AllocationDeltas.Seq > c.clusterCopy.countedBatches[in.Peer] ||
-			c.clusterCopy.leaderToken != c.leadership.leader.FencingToken {
-			c.retainBatch(
-				in.Peer,
-				deltaBatch{m.AllocationDeltas.Seq, 0, c.leadership.leader.FencingToken, m.AllocationDeltas.Deltas},
-			)
-			c.applyPeerDeltas(m.AllocationDeltas.Deltas)
-			c.placement.capacityFreed = true
-		}
+	c.pollOnBehalf(from, m.PollMachines)
+}
+
+// applyTo takes a peer's health over into what is known of it.
+func (h *Health) applyTo(peer *membership.Peer) {
+	peer.StoreReachable = h.StoreReachable
+	peer.WriteRate = max(0, h.WriteRate)
+	peer.ReachablePeers = h.ReachablePeers
+	peer.SnapshotPagesLoaded = h.SnapshotPagesRead
+	peer.QueueHeads = peer.QueueHeads[:0]
+	for _, head := range h.QueueHeads {
+		peer.QueueHeads = append(peer.QueueHeads, membership.QueuePosition(head))
 	}
-	if len(m.MachinesToReturn)+len(m.SilentMachines) > 0 && c.leaderState != nil {
-		c.leaderState.handleReturnRequest(c, m.MachinesToReturn, m.SilentMachines)
+}
+
+// handlePeerDeltas counts a peer's allocation deltas, at the leader and in this controller's copy of the state. A push
+// of the leader may have counted them already, as it takes another path: counted twice, a finish would
+// show free capacity on a full machine until its row changes.
+func (c *Core) handlePeerDeltas(from string, batch *AllocationDeltas) {
+	if c.leaderState != nil {
+		c.leaderState.applyDeltas(c, from, batch)
+	}
+	leaderToken := c.leadership.leader.FencingToken
+	if batch.Seq <= c.clusterCopy.countedBatches[from] && c.clusterCopy.leaderToken == leaderToken {
+		return
 	}
-	if m.StatePush != nil && c.leaderState == nil {
-		c.applyPush(m.StatePush)
+	c.retainBatch(from, deltaBatch{batch.Seq, 0, leaderToken, batch.Deltas})
+	c.applyPeerDeltas(batch.Deltas)
+	c.placement.capacityFreed = true
+}
+
+// handlePeerRequests handles what peers ask of the leader: to return machines, and to push the whole array.
+func (l *leaderState) handlePeerRequests(c *Core, m *Message) {
+	if len(m.MachinesToReturn)+len(m.SilentMachines) > 0 {
+		l.handleReturnRequest(c, m.MachinesToReturn, m.SilentMachines)
 	}
-	if m.ResendStatePush && c.leaderState != nil {
-		c.leaderState.nextFullPushAt = c.now
-		c.leaderState.pushRequested = true
+	if m.ResendStatePush {
+		l.nextFullPushAt = c.now
+		l.pushRequested = true
 	}
 }
 
-// requestPollsByPeer has one of the others after the other ask quiet machines for their reports. Two zones
-// may be cut off from each other: the machines of one that had reported to the other are well,
-// but take longer to find a controller in reach than a silent machine is waited for.
-func (l *leaderState) requestPollsByPeer(c *Core, quiet []string) {
-	in := c.controllers.membership.ReachableExcept(c.now, "")
-	if len(quiet) == 0 || len(in) == 0 {
+// requestPollsByPeer has a peer, another one each time, poll machines whose heartbeat is overdue. Two zones may be cut
+// off from each other: the machines of one that reported to the other are healthy, but take longer to
+// find a controller in reach than the silence timeout of a machine.
+func (l *leaderState) requestPollsByPeer(c *Core, machines []string) {
+	peers := c.controllers.membership.ReachableExcept(c.now, "")
+	if len(machines) == 0 || len(peers) == 0 {
 		return
 	}
 	l.pollRequestRounds++
-	c.sendToPeers(in[l.pollRequestRounds%len(in)], Message{PollMachines: quiet})
-}
-
-// controllerSet is the other controllers: their leased keys, which are in reach, what health was told them.
-type controllerSet struct {
-	membership   *membership.Members
-	nodeKeys     map[string]leasedKey
-	nodesVersion uint64 // counts how often nodes changed
-	nextHealthAt time.Duration
+	c.sendToPeers(peers[l.pollRequestRounds%len(peers)], Message{PollMachines: machines})
 }
