--- a/core/eviction.go
+++ b/core/eviction.go
@@ -5,40 +5,59 @@
 	"time"
 )
 
-// drainInterrupted stops the tasks of machines that the cloud is about to take, where waiting for the end
-// gains nothing: those that should not complete in time restart elsewhere at once, and those
-// that save are given the time for it.
+const (
+	// evictionInterval is the time between two examinations of the machines with an interruption notice.
+	evictionInterval = 100 * time.Millisecond
+	// checkpointMargin is the time that a checkpoint needs beside its own duration: to send the stop, and to
+	// start it. While the notice leaves more, the task runs on.
+	checkpointMargin = 4 * time.Second
+)
+
+// drainInterrupted stops tasks on machines that the cloud is about to interrupt, where running on gains nothing: those
+// that will not complete in time restart elsewhere at once, and those that can checkpoint get the time for it.
 func (c *Core) drainInterrupted() {
 	if c.now < c.commands.nextDrainAt {
 		return
 	}
-	c.commands.nextDrainAt = c.now + 100*time.Millisecond
+	c.commands.nextDrainAt = c.now + evictionInterval
 	for _, m := range c.aliveMachines {
-		if m.lifecycle.gone || m.lifecycle.interruptionDeadline == 0 {
+		if !m.lifecycle.gone && m.lifecycle.interruptionDeadline != 0 {
+			c.evictTasks(m)
+		}
+	}
+}
+
+// evictTasks stops the tasks of a machine with an interruption notice that are not to run on.
+func (c *Core) evictTasks(m *machine) {
+	for _, assignment := range m.sortedAssignments() {
+		j := c.jobs[assignment.jobIndex]
+		spec := j.record.Spec
+		if spec == nil || !c.ownsJob(j) || j.isFinal() {
 			continue
 		}
-		for _, t := range m.sortedAssignments() {
-			j := c.jobs[t.jobIndex]
-			s := j.record.Spec
-			if s == nil || !c.ownsJob(j) || j.isFinal() {
-				continue
-			}
-			k := attemptKey{t.jobIndex, t.Task, t.Attempt}
-			a := c.attemptOf(m, k)
-			p, there := m.status.tasks[k]
-			if a.stopReason != "" || !there || p.state == wire.TaskExited || p.state == wire.TaskCheckpointing {
-				continue
-			}
-			notice := m.lifecycle.interruptionDeadline - c.now
-			left := time.Duration(s.EstimatedRuntimeMS) * time.Millisecond
-			save := time.Duration(s.CheckpointTimeMS) * time.Millisecond
-			if p.state == wire.TaskRunning {
-				left -= c.now - p.stateSince
-			}
-			if !s.Service && left < notice || s.CanCheckpoint && !s.Service && notice > save+4*time.Second {
-				continue
-			}
-			c.stopTask(m, k, s, "spot notice")
+		key := attemptKey{assignment.jobIndex, assignment.Task, assignment.Attempt}
+		record := c.attemptOf(m, key)
+		status, reported := m.status.tasks[key]
+		if record.stopReason != "" || !reported || status.state == wire.TaskExited ||
+			status.state == wire.TaskCheckpointing {
+			continue
+		}
+		if !c.mayRunUntilInterruption(spec, status, m.lifecycle.interruptionDeadline-c.now) {
+			c.stopTask(m, key, spec, "spot notice")
 		}
 	}
 }
+
+// mayRunUntilInterruption reports whether a task runs on although its machine is interrupted after some time: it will
+// complete before, or there is time left to checkpoint it later. Replicas of services never complete.
+func (c *Core) mayRunUntilInterruption(spec *wire.JobSpec, status taskStatus, notice time.Duration) bool {
+	if spec.Service {
+		return false
+	}
+	remaining := time.Duration(spec.EstimatedRuntimeMS) * time.Millisecond
+	if status.state == wire.TaskRunning {
+		remaining -= c.now - status.stateSince
+	}
+	checkpoint := time.Duration(spec.CheckpointTimeMS) * time.Millisecond
+	return remaining < notice || spec.CanCheckpoint && notice > checkpoint+checkpointMargin
+}
--- a/core/zone_liveness.go
+++ b/core/zone_liveness.go
@@ -2,35 +2,40 @@
 
 import "time"
 
-// zoneLiveness is what is heard of a zone's machines together. One machine reports every few
-// seconds, so it takes longer than that to tell that it is silent; hundreds of them report every
-// few milliseconds, and a second without any tells that the zone is cut off.
+// zoneLiveness is the signs of life of a zone's machines together. A single machine reports every few seconds, so its
+// silence shows only after longer than that; of hundreds, one reports every few milliseconds, and a second
+// without any shows that the zone is cut off.
 type zoneLiveness struct {
-	lastHeartbeat time.Duration // of any of them
-	machinesUp    int           // how many there are, as of the last count
+	lastHeartbeat time.Duration // of any of its machines
+	machinesUp    int           // as of the last count
 }
 
 const (
-	placementSilenceLimit   = 1500 * time.Millisecond // from which no new tasks go there
-	replacementSilenceLimit = 3 * time.Second         // from which room is sought elsewhere for what runs there
-	// machines from which their silence together tells more than that of one
-	minZoneMachines            = 12
-	missedHeartbeatsForSilence = 10 // reports that come in a zone's quiet time, if it is well
+	// placementSilenceLimit is the least silence of a zone from which no new tasks are placed there.
+	placementSilenceLimit = 1500 * time.Millisecond
+	// replacementSilenceLimit is the least silence from which capacity is sought elsewhere for its tasks.
+	replacementSilenceLimit = 3 * time.Second
+	// minZoneMachines is the least number of machines whose common silence shows more than that of one.
+	minZoneMachines = 12
+	// missedHeartbeatsForSilence is how many heartbeats a healthy zone would have sent in the shortest silence
+	// that counts.
+	missedHeartbeatsForSilence = 10
 )
 
+// zoneLivenessOf returns the liveness of a zone, which becomes known with it.
 func (c *Core) zoneLivenessOf(zone string) *zoneLiveness {
-	z := c.agents.zones[zone]
-	if z == nil {
-		z = &zoneLiveness{}
-		c.agents.zones[zone] = z
+	liveness := c.agents.zones[zone]
+	if liveness == nil {
+		liveness = &zoneLiveness{}
+		c.agents.zones[zone] = liveness
 	}
-	return z
+	return liveness
 }
 
-// countZoneMachines counts the machines that are up.
+// countZoneMachines counts the machines of each zone that have reported and are not gone.
 func (c *Core) countZoneMachines() {
-	for _, z := range c.agents.zones {
-		z.machinesUp = 0
+	for _, liveness := range c.agents.zones {
+		liveness.machinesUp = 0
 	}
 	for _, m := range c.aliveMachines {
 		if m.status.reported && !m.lifecycle.gone {
@@ -39,22 +44,23 @@
 	}
 }
 
-// maxZoneHeartbeatGap is how long a zone that is well is never quiet.
-func (c *Core) maxZoneHeartbeatGap(z *zoneLiveness) time.Duration {
-	return missedHeartbeatsForSilence * c.cfg.Agents.HeartbeatInterval / time.Duration(z.machinesUp)
+// maxZoneHeartbeatGap is the longest time between two heartbeats from a healthy zone. It must have machines.
+func (c *Core) maxZoneHeartbeatGap(zone *zoneLiveness) time.Duration {
+	return missedHeartbeatsForSilence * c.cfg.Agents.HeartbeatInterval / time.Duration(zone.machinesUp)
 }
 
-// isZoneSilent reports whether nothing has been heard of a zone for a time, although it has many
-// machines and others are heard of.
+// isZoneSilent reports whether a zone of many machines has sent no heartbeat for at least a time, while another
+// such zone has. If all are silent, it is rather this controller that does not hear them.
 func (c *Core) isZoneSilent(zone string, least time.Duration) bool {
-	z := c.agents.zones[zone]
-	if z == nil || z.machinesUp < minZoneMachines || c.now-z.lastHeartbeat <= max(least, c.maxZoneHeartbeatGap(z)) {
+	liveness := c.agents.zones[zone]
+	if liveness == nil || liveness.machinesUp < minZoneMachines ||
+		c.now-liveness.lastHeartbeat <= max(least, c.maxZoneHeartbeatGap(liveness)) {
 		return false
 	}
-	for _, o := range c.agents.zones {
-		if o.machinesUp >= minZoneMachines && c.now-o.lastHeartbeat <= c.maxZoneHeartbeatGap(o) {
+	for _, other := range c.agents.zones {
+		if other.machinesUp >= minZoneMachines && c.now-other.lastHeartbeat <= c.maxZoneHeartbeatGap(other) {
 			return true
 		}
 	}
-	return false // it is rather this controller that does not hear
+	return false
 }
