--- a/core/inputs.go
+++ b/core/inputs.go
@@ -9,171 +9,184 @@
 	pb "dewlift/proto"
 )
 
-// Input is something that happened.
+// Input is an event that the core is told of: a request, the outcome of an output, or a measurement. It is
+// handled by Core.Handle.
 type Input interface{ input() }
 
-// Inputs.
+// Requests of users and agents. RequestID is chosen by the edge, which finds the caller of a Response by it;
+// Caller is who was authenticated, empty if nobody was.
 type (
-	// SubmitJob is a submission; Bad is set when the body is malformed.
+	// SubmitJob is an idempotent submission of a job.
 	SubmitJob struct {
 		RequestID   uint64
-		ID          string
+		ID          string // chosen by the user; empty if the body did not give one
 		Spec        wire.JobSpec
-		DecodeError string
-		UnixMS      int64
+		DecodeError string // why the body is malformed; empty: it is not
+		UnixMS      int64  // when it was received, in ms since 1970
 		Caller      Credential
 	}
-	// GetJob asks for a job's state.
+	// GetJob requests the state of a job.
 	GetJob struct {
 		RequestID uint64
 		ID        string
 		Caller    Credential
 	}
-	// CancelJob withdraws a job.
+	// CancelJob cancels a job.
 	CancelJob struct {
 		RequestID uint64
 		ID        string
-		UnixMS    int64
+		UnixMS    int64 // when it was received, in ms since 1970
 		Caller    Credential
 	}
-	// UpdatePermissions changes the rights of an identity.
+	// UpdatePermissions changes the permissions of an identity.
 	UpdatePermissions struct {
 		RequestID uint64
 		Caller    Credential
 		Identity  string
 		Edit      wire.PermissionsEdit
 	}
-	// CheckPermission asks whether somebody may do what is bound to no job.
+	// CheckPermission asks whether the caller may do something that concerns no particular job.
 	CheckPermission struct {
 		RequestID uint64
 		Caller    Credential
 		Verb      access.Verb
-		Object    string
+		Object    string // what it is done to, for the audit log
 	}
-	// RequestsDenied tells of requests that the edge refused, as it could not tell who asked.
+	// RequestsDenied reports requests that the edge denied because the caller could not be authenticated.
 	RequestsDenied struct {
-		Items []*pb.AuditItem
+		Items []*pb.AuditItem // each stands for a count of alike requests
 	}
-	// ReadAudit asks for blocks of a controller's chain behind one; without a controller, for the ends of all chains.
+	// ReadAudit requests blocks of a controller's audit log.
 	ReadAudit struct {
 		RequestID  uint64
 		Caller     Credential
-		Node       string
-		AfterBlock uint64
+		Node       string // the controller; empty: the ends of the logs of all controllers are requested
+		AfterBlock uint64 // blocks with higher numbers are requested
 	}
-	// ListPermissions asks for all rights.
+	// ListPermissions requests all permissions.
 	ListPermissions struct {
 		RequestID uint64
 		Caller    Credential
 	}
-	// ReserveEquipment asks for a booking, or changes one.
+	// ReserveEquipment requests a reservation, or changes one.
 	ReserveEquipment struct {
 		RequestID uint64
 		Caller    Credential
 		Verb      booking.Verb
 		Request   wire.ReservationRequest
 	}
-	// ListReservations asks about bookings.
+	// ListReservations requests reservations.
 	ListReservations struct {
 		RequestID uint64
 		Caller    Credential
 		Query     wire.ReservationQuery
 	}
-	// SetEquipment puts another list of equipment in force.
+	// SetEquipment replaces the list of equipment that can be reserved.
 	SetEquipment struct {
 		RequestID uint64
 		Caller    Credential
 		Edit      wire.EquipmentEdit
 	}
-	// ListQueue asks for the jobs that wait, in their order, behind a number of them; or why one waits.
+	// ListQueue requests a page of the waiting jobs in queue order, why a single job waits, or the priority classes.
 	ListQueue struct {
 		RequestID           uint64
 		Caller              Credential
-		ID                  string
-		AfterPosition       int
-		Limit               int
-		ShowPriorityClasses bool // instead: for the list of lanes
+		ID                  string // the single job; empty: a page is requested
+		AfterPosition       int    // jobs before the page
+		Limit               int    // most jobs in the page
+		ShowPriorityClasses bool   // the priority classes are requested instead
 	}
-	// SetPriorityClasses puts another list of lanes in force.
+	// SetPriorityClasses replaces the list of priority classes.
 	SetPriorityClasses struct {
 		RequestID uint64
 		Caller    Credential
-		Text      string
+		Text      string // the list in text format
 	}
-	// AgentHeartbeat is a worker's report to this controller.
+	// AgentHeartbeat is a heartbeat that an agent sent to this controller.
 	AgentHeartbeat struct {
 		RequestID uint64
-		Heartbeat *wire.Heartbeat
+		Heartbeat *wire.Heartbeat // never nil
 		Caller    Credential
 	}
-	// AgentPolled is a report that came as an answer of a worker; nil if none came.
+)
+
+// Outcomes of outputs. ID is that of the output; a status of wire.StatusNoAnswer (0) means that no answer came, so
+// that it is not known whether the request was executed.
+type (
+	// AgentPolled is the outcome of a PollAgent.
 	AgentPolled struct {
 		Machine   string
-		Heartbeat *wire.Heartbeat
+		Heartbeat *wire.Heartbeat // nil: no answer came
 	}
-	// CommandsResult is the outcome of orders sent to a worker. Controllers pass it on to each other (Msg).
+	// CommandsResult is the outcome of a SendCommands. Controllers relay it inside a Message, in JSON.
 	CommandsResult struct {
 		ID             uint64          `json:"ID"`
-		Status         wire.Status     `json:"Status"` // 0: no answer
-		MaybeDelivered bool            `json:"Sent"`   // the request may have reached the worker
-		Heartbeat      *wire.Heartbeat `json:"Report"`
+		Status         wire.Status     `json:"Status"`
+		MaybeDelivered bool            `json:"Sent"`   // the request may have reached the agent, and be executed late
+		Heartbeat      *wire.Heartbeat `json:"Report"` // status after the commands; nil: the answer held none
 	}
-	// TxnResult is the outcome of a transaction.
+	// TxnResult is the outcome of a CommitTxn.
 	TxnResult struct {
 		ID     uint64
-		Status wire.Status // 0: unknown
+		Status wire.Status
 		Reply  wire.TxnResponse
 	}
-	// WatchResult is the outcome of a watch or read barrier.
+	// WatchResult is the outcome of a Watch.
 	WatchResult struct {
-		LongPoll bool
+		LongPoll bool // as in the Watch; false: it was a read barrier
 		Status   wire.Status
-		Changes  wire.WatchResponse
+		Changes  wire.WatchResponse // empty unless the status is OK
 	}
-	// SnapshotPage is a page of all keys.
+	// SnapshotPage is the outcome of a LoadSnapshot.
 	SnapshotPage struct {
-		OK       bool
-		Status   wire.Status // if not OK; 0: no answer
-		More     bool        // there are pages behind it
-		Items    []wire.KeyValue
-		Revision uint64
+		OK       bool            // the page was read
+		Status   wire.Status     // why not, unless OK
+		More     bool            // there are further pages
+		Items    []wire.KeyValue // in key order
+		Revision uint64          // of the store when the page was read
 	}
-	// RangeResult is the outcome of a Scan; 404 if the key does not exist.
+	// RangeResult is the outcome of a ReadRange; wire.StatusNotFound if a single key does not exist.
 	RangeResult struct {
 		ID       uint64
-		Status   wire.Status // 0: no answer
-		Items    []wire.KeyValue
-		More     bool
-		Revision uint64 // revision that was read
+		Status   wire.Status
+		Items    []wire.KeyValue // in key order
+		More     bool            // there are further pages
+		Revision uint64          // of the store when it was read
 	}
-	// LeaseResult is the outcome of a call about this controller's lease.
+	// LeaseResult is the outcome of a LeaseRequest.
 	LeaseResult struct {
-		Op      LeaseOp
+		Op      LeaseOp // as in the request: at most one is in flight
 		Status  wire.Status
-		LeaseID uint64
+		LeaseID uint64 // the lease that was granted; 0: none was
 	}
-	// CloudResult is the outcome of a call to the cloud.
+	// CloudResult is the outcome of a CloudRequest. Which fields are set depends on its operation.
 	CloudResult struct {
 		ID           uint64
 		Status       wire.Status
-		Catalog      *wire.Catalog
-		Machines     []wire.Machine
-		More         bool // the list goes on
-		MachineNames []string
-		Error        string
+		Catalog      *wire.Catalog  // of CloudCatalog
+		Machines     []wire.Machine // of CloudList, a page
+		More         bool           // of CloudList: there are further pages
+		MachineNames []string       // of CloudScaleOut: the new machines, possibly fewer than requested
+		Error        string         // what went wrong, for the log; empty: nothing
 	}
-	// PeerMessage is a message of another controller.
+)
+
+// Events of other kinds.
+type (
+	// PeerMessage is a message from another controller.
 	PeerMessage struct {
-		Peer    string
+		Peer    string // the controller that sent it to this one; it may relay it for another
 		Message Message
 	}
-	// WallClock tells the time of day.
-	WallClock struct{ UnixMS int64 }
-	// LoadSample tells how the process stands.
+	// WallClock gives the time of day, which the core otherwise does not know.
+	WallClock struct {
+		UnixMS int64 // in ms since 1970
+	}
+	// LoadSample is a measurement of the load of this process.
 	LoadSample struct {
-		MaxLoopDelay time.Duration // the longest that the core's turn was late of late
-		// parts of the queue of inputs, and of the connections, that are in use
-		InputQueueUsage, ConnectionUsage float64
+		MaxLoopDelay    time.Duration // longest delay of the core's loop since the last sample
+		InputQueueUsage float64       // fraction of the input queue in use, 0 to 1
+		ConnectionUsage float64       // fraction of the permitted connections in use, 0 to 1
 	}
 )
 
--- a/core/messages.go
+++ b/core/messages.go
@@ -5,94 +5,100 @@
 	"dewlift/wire"
 )
 
-// Message is a message between controllers. Exactly the fields that are set count.
+// Message is a message between controllers, in JSON. It carries what its set fields hold; the others are absent. A
+// controller of another version ignores the fields that it does not know, so their tags never change meaning.
 type Message struct {
-	RelayTo          string            `json:"to,omitempty"` // to be passed on to this controller
-	RelayedFrom      string            `json:"fr,omitempty"` // the sender of a message passed on
-	Commands         *SendCommands     `json:"o,omitempty"`  // to be sent to a worker that the sender does not reach
-	CommandsResult   *CommandsResult   `json:"od,omitempty"` // what came of it
-	Health           *Health           `json:"h,omitempty"`
-	Heartbeats       []*wire.Heartbeat `json:"r,omitempty"` // of machines on which something changed
-	HeartbeatDigests []HeartbeatDigest `json:"e,omitempty"` // of machines on which nothing did
-	WantedHeartbeats []string          `json:"w,omitempty"` // machines whose reports the sender lacks
+	RelayTo     string `json:"to,omitempty"` // the controller to pass it on to; empty: the receiver
+	RelayedFrom string `json:"fr,omitempty"` // the sender of a relayed message; empty: it is not relayed
+
+	Commands       *SendCommands   `json:"o,omitempty"`  // to send to an agent that the sender may not reach
+	CommandsResult *CommandsResult `json:"od,omitempty"` // outcome of Commands that the receiver had sent
+	Health         *Health         `json:"h,omitempty"`
+
+	Heartbeats       []*wire.Heartbeat `json:"r,omitempty"` // heartbeats that changed something
+	HeartbeatDigests []HeartbeatDigest `json:"e,omitempty"` // heartbeats that changed nothing
+	WantedHeartbeats []string          `json:"w,omitempty"` // machines whose last heartbeat the sender lacks
+
 	AllocationDeltas *AllocationDeltas `json:"d,omitempty"`
 	StatePush        *StatePush        `json:"p,omitempty"`
-	ResendStatePush  bool              `json:"a,omitempty"` // the sender missed a push
-	MachinesToReturn []string          `json:"s,omitempty"` // machines that the leader must return
-	SilentMachines   []string          `json:"q,omitempty"` // machines that the sender does not hear of
-	QuorumRead       *QuorumRead       `json:"v,omitempty"` // which cancellations the receiver holds
-	QuorumReply      *QuorumReply      `json:"vd,omitempty"`
-	Cancellations    []wire.KeyValue   `json:"c,omitempty"` // cancellations, as the state service holds them
-	CancelAcks       []string          `json:"y,omitempty"` // jobs that the sender knows to be cancelled
-	// machines to be asked for their reports: the sender may not reach them
-	PollMachines []string `json:"l,omitempty"`
+	ResendStatePush  bool              `json:"a,omitempty"` // the sender missed a push and needs all rows
+
+	MachinesToReturn []string `json:"s,omitempty"` // machines that the leader must return to the cloud
+	SilentMachines   []string `json:"q,omitempty"` // machines without a heartbeat at the sender
+
+	QuorumRead    *QuorumRead     `json:"v,omitempty"`  // requests the cancellations that the receiver holds
+	QuorumReply   *QuorumReply    `json:"vd,omitempty"` // answers a QuorumRead
+	Cancellations []wire.KeyValue `json:"c,omitempty"`  // cancellations, as the store holds them
+	CancelAcks    []string        `json:"y,omitempty"`  // jobs whose cancellation the sender holds
+	PollMachines  []string        `json:"l,omitempty"`  // machines to poll, as the sender may not reach them
 }
 
-// HeartbeatDigest is a report that says nothing new. The digest shows whether its receiver knows what the
-// machine reported before; if not, it asks for the whole report.
+// HeartbeatDigest stands for a heartbeat that changed nothing. By the digest, the receiver knows whether it has the
+// heartbeat that this one repeats; if not, it requests that.
 type HeartbeatDigest struct {
 	Machine      string `json:"m"`
-	Incarnation  uint64 `json:"s"`
-	Seq          uint64 `json:"q"`
-	FencingToken uint64 `json:"b"`
-	Digest       uint64 `json:"d"`
+	Incarnation  uint64 `json:"s"` // of the agent
+	Seq          uint64 `json:"q"` // sequence number in this incarnation
+	FencingToken uint64 `json:"b"` // highest token that the agent has seen
+	Digest       uint64 `json:"d"` // of the task statuses, see taskStatusDigest
 }
 
-// Health tells how a controller stands.
+// Health is the state of a controller, sent to its peers at regular intervals.
 type Health struct {
-	StoreReachable    bool     `json:"ok"`          // it reached the state service of late
-	WriteRate         float64  `json:"u"`           // changes of the state service a second that it made of late
-	ReachablePeers    []string `json:"n,omitempty"` // controllers in reach; the version without forms does not tell
-	SnapshotPagesRead int      `json:"g,omitempty"` // pages of all keys that it has read, while it reads them
-	// the sender knows all cancellations up to this revision; 0: it has not read all keys, or its version does not tell
+	StoreReachable    bool     `json:"ok"`          // it has reached the store recently
+	WriteRate         float64  `json:"u"`           // recent writes to the store per second
+	ReachablePeers    []string `json:"n,omitempty"` // none: there are none, or an earlier version sent it
+	SnapshotPagesRead int      `json:"g,omitempty"` // pages of its snapshot load so far; 0: none is in progress
+	// the sender holds all cancellations up to this revision; 0: its replica is not loaded, or an earlier
+	// version sent it
 	CancellationsUpTo uint64 `json:"v,omitempty"`
-	// of each lane, the first of its jobs that wait for room; none: none does, or its version does not tell
+	// the first of its jobs, in each priority class, that wait for capacity; none: there are none, or an earlier
+	// version sent it
 	QueueHeads []QueueHead `json:"w,omitempty"`
 }
 
-// QueueHead is the place of a job in the order of work: its lane, by how much its priority counts, and its turn.
+// QueueHead is the queue position of a job.
 type QueueHead struct {
-	Priority     int   `json:"p"`
-	EnqueuedAtMS int64 `json:"a"`           // its turn, a time of day
+	Priority     int   `json:"p"`           // index of its priority class; 0 is the first
+	EnqueuedAtMS int64 `json:"a"`           // its effective enqueue time, in ms since 1970
 	Spot         bool  `json:"s,omitempty"` // it may use spot machines
 }
 
-// AllocationDeltas is a batch of start and finish tuples.
+// AllocationDeltas is a batch of starts and finishes of tasks by one controller.
 type AllocationDeltas struct {
-	Seq    uint64            `json:"q"`
+	Seq    uint64            `json:"q"` // number of the batch at its sender, from 1
 	Deltas []AllocationDelta `json:"l"`
 }
 
-// AllocationDelta is a start or finish tuple by machine name.
+// AllocationDelta is a start or a finish of a task on a machine.
 type AllocationDelta struct {
-	Start       bool                   `json:"st,omitempty"`
+	Start       bool                   `json:"st,omitempty"` // false: a finish
 	Machine     string                 `json:"m"`
-	Request     clusterstate.Resources `json:"c"`
-	AttemptHash uint64                 `json:"k,omitempty"` // of the attempt; the version before does not tell it
+	Request     clusterstate.Resources `json:"c"`           // resources of the task
+	AttemptHash uint64                 `json:"k,omitempty"` // names the attempt; 0: an earlier version sent it
 }
 
-// StatePush is the leader's array: all of it from time to time, and in between the rows that
-// changed since the push before.
+// StatePush is the leader's array of available capacity: from time to time whole, else the rows that changed since
+// an earlier push.
 type StatePush struct {
-	// revision that the rows lead on from; 0: these are all rows
-	AfterRevision uint64            `json:"after,omitempty"`
-	Revision      uint64            `json:"rev"` // revision that they lead to
+	AfterRevision uint64            `json:"after,omitempty"` // the rows changed after this revision; 0: they are all
+	Revision      uint64            `json:"rev"`             // of the array, with these rows
 	Rows          []MachineCapacity `json:"rows,omitempty"`
-	Preempted     []PreemptedTask   `json:"stop,omitempty"` // tasks that must make room
-	GoneMachines  []string          `json:"gone,omitempty"` // machines that are gone for certain
-	DeltaAcks     map[string]uint64 `json:"acks,omitempty"` // last batch counted of each controller
+	Preempted     []PreemptedTask   `json:"stop,omitempty"` // task attempts to preempt
+	GoneMachines  []string          `json:"gone,omitempty"` // machines that are proven to be gone
+	DeltaAcks     map[string]uint64 `json:"acks,omitempty"` // by controller: number of its last batch that is counted
 	FencingToken  uint64            `json:"tok"`            // of the leader
-	CapacityHold  *CapacityHold     `json:"hold,omitempty"` // nil: no room is held
+	CapacityHold  *CapacityHold     `json:"hold,omitempty"` // nil: no capacity is held back
 }
 
-// CapacityHold says that tasks of a priority wait for room: work of lower priority leaves them what
-// their smallest claim fits into.
+// CapacityHold says that tasks of a priority wait for capacity: work of lower priority leaves free what their
+// smallest request needs.
 type CapacityHold struct {
 	Priority int                    `json:"p"`
 	Request  clusterstate.Resources `json:"c"`
 }
 
-// PreemptedTask names a task's attempt that must make room for work of higher priority.
+// PreemptedTask names a task attempt that is preempted by work of higher priority.
 type PreemptedTask struct {
 	Machine string `json:"m"`
 	Job     string `json:"j"`
@@ -100,7 +106,7 @@
 	Attempt uint64 `json:"t"`
 }
 
-// MachineCapacity is a machine in a pushed array.
+// MachineCapacity is the row of a machine in a StatePush.
 type MachineCapacity struct {
 	Machine       string                 `json:"m"`
 	Type          string                 `json:"t"`
@@ -108,7 +114,7 @@
 	Spot          bool                   `json:"s,omitempty"`
 	Available     clusterstate.Resources `json:"a"`
 	Allocated     clusterstate.Resources `json:"o"`
-	Reserved      clusterstate.Resources `json:"k"`
-	OfferedLast   bool                   `json:"l,omitempty"`
-	Unschedulable bool                   `json:"x,omitempty"`
+	Reserved      clusterstate.Resources `json:"k"`           // kept free for work that may not use spot machines
+	OfferedLast   bool                   `json:"l,omitempty"` // to be used only if no other machine fits
+	Unschedulable bool                   `json:"x,omitempty"` // no new tasks are placed on it
 }
--- a/core/outputs.go
+++ b/core/outputs.go
@@ -6,80 +6,83 @@
 	"time"
 )
 
-// Output is something to do.
+// Output is something that the core wants done, as returned by Core.Advance. Outputs with an ID have an outcome, an
+// Input with that ID.
 type Output interface{ output() }
 
 // Outputs.
 type (
-	// Response answers a user or a worker.
+	// Response answers a request of a user or an agent.
 	Response struct {
-		RequestID         uint64
+		RequestID         uint64 // as in the request
 		Status            wire.Status
-		Body              any
-		RetryAfterSeconds int // seconds; 0: none
+		Body              any // encoded as JSON
+		RetryAfterSeconds int // when to try again, in seconds; 0: not given
 	}
-	// CommitTxn is a transaction to send.
+	// CommitTxn sends a compare-and-swap transaction to the store. Outcome: TxnResult.
 	CommitTxn struct {
 		ID  uint64
 		Txn wire.Txn
 	}
-	// Watch asks for the changes since a revision; with Hold it waits for one.
+	// Watch reads the changes of the store since a revision. Outcome: WatchResult.
 	Watch struct {
-		SinceRevision uint64
-		LongPoll      bool
+		SinceRevision uint64 // changes after this revision
+		LongPoll      bool   // wait for a change if there is none; false: a read barrier, answered at once
 	}
-	// LoadSnapshot reads a page of all keys, behind the named one.
-	LoadSnapshot struct{ AfterKey string }
-	// ReadRange reads a key, or a page of the keys with a prefix that lie behind From.
+	// LoadSnapshot reads a page of all keys. Outcome: SnapshotPage.
+	LoadSnapshot struct {
+		AfterKey string // the page begins after this key; empty: the first page
+	}
+	// ReadRange reads one key, or a page of the keys with a prefix. Outcome: RangeResult.
 	ReadRange struct {
 		ID       uint64
-		Key      string
+		Key      string // the single key; empty: a page is read
 		Prefix   string
-		AfterKey string
-		Limit    int
+		AfterKey string // the page begins after this key; empty: the first page
+		Limit    int    // most keys in the page
 	}
-	// LeaseRequest grants or extends a lease.
+	// LeaseRequest grants or extends this controller's lease in the store. Outcome: LeaseResult.
 	LeaseRequest struct {
 		Op      LeaseOp
 		TTL     time.Duration
-		LeaseID uint64
+		LeaseID uint64 // the lease to extend; 0 with a grant
 	}
-	// SendCommands go straight to a worker, or by way of another controller (Msg).
+	// SendCommands sends commands to an agent. Controllers relay it inside a Message, in JSON. Outcome: CommandsResult.
 	SendCommands struct {
 		ID      uint64            `json:"ID"`
 		Machine string            `json:"Machine"`
-		Addr    string            `json:"Addr"`
+		Addr    string            `json:"Addr"` // host and port of the agent
 		Batch   wire.CommandBatch `json:"Body"`
 	}
-	// PollAgent asks a worker for its report.
+	// PollAgent requests the status of an agent. Outcome: AgentPolled.
 	PollAgent struct {
 		Machine string
-		Addr    string
+		Addr    string // host and port of the agent
 	}
-	// CloudRequest is a call to the cloud.
+	// CloudRequest is a call to the cloud. Outcome: CloudResult. Which fields are set depends on its operation.
 	CloudRequest struct {
 		ID           uint64
 		Op           CloudOp
-		ScaleOut     wire.ScaleOutRequest
-		MachineNames []string
-		AfterMachine string // of a list: it begins after this machine
+		ScaleOut     wire.ScaleOutRequest // of CloudScaleOut
+		MachineNames []string             // of CloudScaleIn: the machines to return
+		AfterMachine string               // of CloudList: the page begins after this machine; empty: the first page
 	}
-	// SendToPeer is a message to another controller; an empty name means all.
+	// SendToPeer sends a message to another controller. It may be lost.
 	SendToPeer struct {
-		Peer    string
+		Peer    string // empty: all other controllers
 		Message Message
 	}
-	// PermissionsChanged are those in force, for the edges: they tell from them whose token it is.
+	// PermissionsChanged gives the edge the policy in force, by which it authenticates callers.
 	PermissionsChanged struct{ Policy *access.Policy }
-	// ReservationsEnabled tells the edges whether something can be booked.
+	// ReservationsEnabled tells the edge whether there is equipment to reserve.
 	ReservationsEnabled struct{ Enabled bool }
-	// QueueEnabled tells the edges whether there is a list of lanes.
+	// QueueEnabled tells the edge whether a list of priority classes is in force.
 	QueueEnabled struct{ Enabled bool }
 	// LogLine is a line for the log.
 	LogLine struct {
 		Level   LogLevel
 		Message string
-		Args    []any
+		Args    []any // keys and values in turn
 	}
 )
 
@@ -111,19 +114,19 @@
 
 func (LogLine) output() {}
 
-// LeaseOp is what is asked of the store about this controller's lease.
+// LeaseOp is the operation of a LeaseRequest; empty: none.
 type LeaseOp string
 
-// The requests about a lease.
+// Operations on a lease.
 const (
 	LeaseGrant  LeaseOp = "grant"
 	LeaseExtend LeaseOp = "extend"
 )
 
-// CloudOp is a kind of call to the cloud.
+// CloudOp is the operation of a CloudRequest.
 type CloudOp string
 
-// The calls to the cloud.
+// Operations of the cloud.
 const (
 	CloudCatalog  CloudOp = "catalog"
 	CloudList     CloudOp = "list"
@@ -131,10 +134,10 @@
 	CloudScaleIn  CloudOp = "return"
 )
 
-// LogLevel is the weight of a line for the log.
+// LogLevel is the severity of a LogLine.
 type LogLevel string
 
-// The levels of the log.
+// Levels of the log, the most severe first.
 const (
 	LevelError LogLevel = "error"
 	LevelInfo  LogLevel = "info"
