--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// What is stored in types of this package: the same bytes are written, and those of before are
-// read. (All else: internal/golden.)
+// TestStoredBytesStay guards the stored form of types of this package: a controller of another version must read what
+// this one writes, and this one what was written before. Other stored types are covered by internal/golden.
 func TestStoredBytesStay(t *testing.T) {
 	carried := []audit.PendingEntry{
 		{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")},
 	}
-	for _, x := range []struct {
-		v    any
-		want string
+	for _, tc := range []struct {
+		value any
+		want  string
 	}{
 		{&cancelMarker{CancelMS: 1_700_000_000_123}, `{"cm":1700000000123}`},
 		{
@@ -26,25 +26,26 @@
 		{&leasedKey{}, `{"n":"","t":0,"b":0}`},
 		{&leasedKey{Node: "node-a", LeaseID: 5, FencingToken: 6}, `{"n":"node-a","t":5,"b":6}`},
 	} {
-		raw, err := json.Marshal(x.v)
-		if err != nil || string(raw) != x.want {
-			t.Errorf("%+v is written as %s, was %s (%v)", x.v, raw, x.want, err)
+		raw, err := json.Marshal(tc.value)
+		if err != nil || string(raw) != tc.want {
+			t.Errorf("%+v is encoded as %s, want %s (%v)", tc.value, raw, tc.want, err)
 		}
-		read := reflect.New(reflect.TypeOf(x.v).Elem()).Interface()
-		if err := json.Unmarshal([]byte(x.want), read); err != nil || !reflect.DeepEqual(read, x.v) {
-			t.Errorf("%s is read as %+v (%v)", x.want, read, err)
+		decoded := reflect.New(reflect.TypeOf(tc.value).Elem()).Interface()
+		if err := json.Unmarshal([]byte(tc.want), decoded); err != nil || !reflect.DeepEqual(decoded, tc.value) {
+			t.Errorf("%s is decoded as %+v, want %+v (%v)", tc.want, decoded, tc.value, err)
 		}
 	}
 	if raw := (cancelMarker{CancelMS: 7}).encode(); string(raw) != `{"cm":7}` {
-		t.Errorf("a mark of cancellation is %s", raw)
+		t.Errorf("a cancel marker is encoded as %s", raw)
 	}
 	c := &Core{cfg: Config{Name: "node-a"}, ownLease: controllerLease{id: 5}}
 	if raw := c.leasedValue(6); string(raw) != `{"n":"node-a","t":5,"b":6}` {
-		t.Errorf("a leased key is %s", raw)
+		t.Errorf("a leased key is encoded as %s", raw)
 	}
 }
 
-// The keys of the state service that this package has, and the numbers of the forms.
+// TestStoredKeysStay guards the store keys and the schema versions of this package, which all versions of the
+// controller share.
 func TestStoredKeysStay(t *testing.T) {
 	got := []string{
 		Root,
@@ -67,12 +68,12 @@
 		keyHistory,
 		KeyRestored,
 	}
-	want := "dl/ dl/node/ dl/leader dl/shard/ dl/shard/07 dl/epoch dl/job/ dl/team/ dl/types dl/form/ dl/cancel/ dl/over/ dl/over/07 dl/access/ dl/access/roles " +
-		"dl/access/who/ dl/lanes dl/history dl/restored"
+	want := "dl/ dl/node/ dl/leader dl/shard/ dl/shard/07 dl/epoch dl/job/ dl/team/ dl/types dl/form/ " +
+		"dl/cancel/ dl/over/ dl/over/07 dl/access/ dl/access/roles dl/access/who/ dl/lanes dl/history dl/restored"
 	if s := strings.Join(got, " "); s != want {
-		t.Errorf("keys are %s, were %s", s, want)
+		t.Errorf("the keys are %s, want %s", s, want)
 	}
-	forms := []int{
+	versions := []int{
 		schemaInitial,
 		schemaDependencies,
 		schemaArchive,
@@ -84,24 +85,25 @@
 		schemaCancelQuorum,
 		SchemaVersion,
 	}
-	if !reflect.DeepEqual(forms, []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 8}) {
-		t.Errorf("forms are %v", forms)
+	if !reflect.DeepEqual(versions, []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 8}) {
+		t.Errorf("the schema versions are %v", versions)
 	}
 }
 
-// What a controller declares: a number, as every version reads it.
+// TestDeclarationStays guards the values that every version of the controller must be able to read: the declared schema
+// version, the restore marker and the fencing token.
 func TestDeclarationStays(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	if err := c.applySchemaVersion("dl/form/node-b", json.RawMessage("8"), 3); err != nil ||
 		c.schema.declared["node-b"] != 8 {
-		t.Errorf("a declaration is read as %v (%v)", c.schema.declared, err)
+		t.Errorf("a declared schema version is decoded as %v (%v)", c.schema.declared, err)
 	}
 	if err := c.applyRestoreMarker(json.RawMessage(`"what"`), 3); err != nil ||
 		c.restoreMarker.description != "what" {
-		t.Errorf("a restored state is read as %q (%v)", c.restoreMarker.description, err)
+		t.Errorf("a restore marker is decoded as %q (%v)", c.restoreMarker.description, err)
 	}
 	c.applyPut("dl/epoch", json.RawMessage("17"), 4)
 	if c.leadership.fencingToken != 17 {
-		t.Errorf("the token is read as %d", c.leadership.fencingToken)
+		t.Errorf("the fencing token is decoded as %d", c.leadership.fencingToken)
 	}
 }
