--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -7,27 +7,41 @@
 	"dewlift/wire"
 	"encoding/json"
 	"errors"
-	"slices"
 	"strings"
 	"time"
 )
 
-// The leader moves the records of jobs that ended longest ago into the archive: it alone, so that
-// many of one range share a block's write, and nobody else's writes are in its way. A move is one
-// transaction on condition of the leadership, the block and each record. An ended record never changes;
-// so whoever moves it, and however late, moves the same, once.
+// The leader moves the records of jobs that ended longest ago into the archive. It alone does, so that
+// many records of one range share the write of a block, and no other controller's write conflicts. A
+// move is one transaction, conditional on the leadership, the block and each record. An ended record
+// never changes: whoever moves it, and however late, moves the same, once.
 //
-// Moves come in sweeps over all records in the order of their ids: then each block is written as few
-// times as can be. Nothing is kept in memory for it but a page of records.
+// Moves come in sweeps over all records in the order of their IDs: each block is then written as few
+// times as possible. Only a page of records is kept in memory for it.
+
+const (
+	sweepCheckInterval = time.Second
+	sweepPageSize      = rangePageSize / 2 // records read at a time
+
+	// minSweepWriteTokens is the share of the write burst that must be saved up before a move: moves
+	// yield to all other writes.
+	minSweepWriteTokens = 0.75
+)
+
+// archivingState is the sweep that moves ended jobs into the archive.
+type archivingState struct {
+	sweep            *archiveSweep // nil: none
+	nextSweepCheckAt time.Duration
+}
 
 // archiveSweep is one pass over the records.
 type archiveSweep struct {
-	maxRevision    uint64 // records changed later stay
-	afterKey       string // the page was read, and its records moved, up to this key
-	pending        []endedRecord
-	lastPageRead   bool // there is no page behind this one
-	inFlight       bool
-	referencedJobs map[int32]bool // jobs that machines have something of
+	maxRevision    uint64        // records changed later stay
+	afterKey       string        // the records up to this key were read
+	pending        []endedRecord // read and not moved yet
+	lastPageRead   bool
+	inFlight       bool           // a read or a write is
+	referencedJobs map[int32]bool // indexes of jobs that machines refer to, which stay
 	movedJobs      int
 	storeWrites    int
 	startedAt      time.Duration
@@ -40,96 +54,96 @@
 	revision uint64
 }
 
-// canArchive reports whether records may move now: no one may be running a version that does not
-// look into the archive, and nobody waits for the changes it takes.
+// canArchive reports whether records may move now: all controllers run a version that looks into the
+// archive, and no other work waits for the requests and writes that it takes.
 func (c *Core) canArchive() bool {
-	return c.overload.Level() == overload.Normal && c.cfg.History.Archive && c.schemaVersion() >= schemaArchive && c.isLeader() && c.holdsLease() && c.now >= c.schema.activeSince+c.cfg.History.ArchiveStartDelay &&
-		!c.transactions.rateLimit.IsPaused(c.now) && c.pendingSubmissions == 0 &&
-		len(c.transactions.inFlight) == 0 &&
-		c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
-		c.transactions.rateLimit.ReadTokens > 1
+	limiter := &c.transactions.rateLimit
+	return c.overload.Level() == overload.Normal &&
+		c.cfg.History.Archive && c.schemaVersion() >= schemaArchive &&
+		c.isLeader() && c.holdsLease() &&
+		c.now >= c.schema.activeSince+c.cfg.History.ArchiveStartDelay &&
+		!limiter.IsPaused(c.now) && c.pendingSubmissions == 0 && len(c.transactions.inFlight) == 0 &&
+		limiter.WriteTokens >= minSweepWriteTokens*limiter.WriteBurst(c.cfg.Store.MaxTxnOps) &&
+		limiter.ReadTokens > 1
 }
 
-// advanceArchiveSweep starts a sweep when one is due, and takes the next step of it.
+// advanceArchiveSweep starts a sweep when one is due, or takes the next step of the running one.
 func (c *Core) advanceArchiveSweep() {
 	if c.archiving.sweep == nil {
 		if c.now < c.archiving.nextSweepCheckAt || !c.canArchive() {
 			return
 		}
-		c.archiving.nextSweepCheckAt = c.now + time.Second
+		c.archiving.nextSweepCheckAt = c.now + sweepCheckInterval
 		c.startArchiveSweep()
 		return
 	}
-	s := c.archiving.sweep
+	sweep := c.archiving.sweep
 	switch {
-	case s.inFlight:
+	case sweep.inFlight:
 	case !c.isLeader():
 		c.archiving.sweep = nil
 	case !c.canArchive():
-	case len(s.pending) > 0:
-		c.archiveNextBlock(s)
-	case !s.lastPageRead:
-		c.readSweepPage(s)
+	case len(sweep.pending) > 0:
+		c.archiveNextBlock(sweep)
+	case !sweep.lastPageRead:
+		c.readSweepPage(sweep)
 	default:
-		c.log(
-			LevelInfo,
-			"ended jobs moved to the archive",
-			"jobs",
-			s.movedJobs,
-			"changes",
-			s.storeWrites,
-			"took_ms",
-			(c.now - s.startedAt).Milliseconds(),
-		)
+		c.log(LevelInfo, "archive sweep done", "jobs", sweep.movedJobs, "changes", sweep.storeWrites,
+			"took_ms", (c.now - sweep.startedAt).Milliseconds())
 		c.archiving.sweep = nil
 	}
 }
 
-// startArchiveSweep begins a sweep if more ended jobs have records than twice those to be kept.
+// startArchiveSweep starts a sweep if more than twice the ended jobs to be kept have records.
 func (c *Core) startArchiveSweep() {
-	h := &c.history
-	h.endedJobs = slices.DeleteFunc(
-		h.endedJobs,
-		func(j *job) bool { return j.archive.archived || !j.archive.counted },
-	)
-	if len(h.endedJobs)+h.coldRecords <= 2*c.cfg.History.MaxEndedJobs || len(h.endedJobs) <= c.cfg.History.MaxEndedJobs {
+	h, keep := &c.history, c.cfg.History.MaxEndedJobs
+	h.pruneEndedJobs()
+	if len(h.endedJobs)+h.coldRecords <= 2*keep || len(h.endedJobs) <= keep {
 		return
 	}
-	slices.SortFunc(h.endedJobs, func(a, b *job) int { return -compareByRevision(a, b) })
+	h.sortEndedJobs()
 	c.archiving.sweep = &archiveSweep{
-		maxRevision:    h.endedJobs[c.cfg.History.MaxEndedJobs].revision,
+		maxRevision:    h.endedJobs[keep].revision,
 		referencedJobs: c.referencedJobs(),
 		startedAt:      c.now,
 	}
 }
 
-// readSweepPage reads the next records.
-func (c *Core) readSweepPage(s *archiveSweep) {
-	s.inFlight = true
-	c.readPrefix(keyJob, s.afterKey, rangePageSize/2, func(in RangeResult) {
-		s.inFlight = false
-		if in.Status != wire.StatusOK || s != c.archiving.sweep {
+// readSweepPage reads the next records of a sweep.
+func (c *Core) readSweepPage(sweep *archiveSweep) {
+	sweep.inFlight = true
+	c.readPrefix(keyJob, sweep.afterKey, sweepPageSize, func(in RangeResult) {
+		sweep.inFlight = false
+		if in.Status != wire.StatusOK || sweep != c.archiving.sweep {
 			return
 		}
-		for _, it := range in.Items {
-			s.afterKey = it.Key
-			r, err := jobrecord.Decode(it.Value)
-			if err != nil || r.Spec != nil || r.Stage == jobrecord.Queued || it.Revision > s.maxRevision ||
-				!c.currentAuditLog().AllRecorded(r.PendingAudit) {
-				continue
+		for _, item := range in.Items {
+			sweep.afterKey = item.Key
+			if record, ok := c.archivableRecord(sweep, item); ok {
+				sweep.pending = append(sweep.pending, record)
 			}
-			id := strings.TrimPrefix(it.Key, keyJob)
-			// What machines still report stays known to its owner until it is cleared.
-			if i, ok := c.jobIndex[id]; ok && (s.referencedJobs[i] || len(c.jobs[i].dependents) > 0) {
-				continue
-			}
-			s.pending = append(s.pending, endedRecord{r.ToArchive(id), it.Key, it.Revision})
 		}
-		s.lastPageRead = !in.More || len(in.Items) == 0
+		sweep.lastPageRead = !in.More || len(in.Items) == 0
 	})
 }
 
-// restart has a sweep read anew what it was about to move: something was not as it was known.
+// archivableRecord decodes a record; false if it must stay where it is. One that can't be decoded stays
+// too.
+func (c *Core) archivableRecord(sweep *archiveSweep, item wire.KeyValue) (endedRecord, bool) {
+	record, err := jobrecord.Decode(item.Value)
+	if err != nil || record.Spec != nil || record.Stage == jobrecord.Queued ||
+		item.Revision > sweep.maxRevision || !c.currentAuditLog().AllRecorded(record.PendingAudit) {
+		return endedRecord{}, false
+	}
+	id := strings.TrimPrefix(item.Key, keyJob)
+	// The owner must know a job until machines have cleared its tasks.
+	if i, ok := c.jobIndex[id]; ok && (sweep.referencedJobs[i] || len(c.jobs[i].dependents) > 0) {
+		return endedRecord{}, false
+	}
+	return endedRecord{record.ToArchive(id), item.Key, item.Revision}, true
+}
+
+// restart has a sweep read its pending records again: something differed from what it had read.
 func (s *archiveSweep) restart() {
 	if len(s.pending) == 0 {
 		return
@@ -138,100 +152,128 @@
 	s.pending = nil
 }
 
-// keyBefore is a key that lies before another one, and behind all that do.
+// keyBefore is a key before the given one, and behind all record keys before that.
 func keyBefore(key string) string {
 	return key[:len(key)-1] + string(rune(key[len(key)-1]-1)) + "~~~~"
 }
 
-// archiveNextBlock writes the next transaction of a sweep.
-func (c *Core) archiveNextBlock(s *archiveSweep) {
+// archiveMove is one transaction of a sweep: the first records of its pending ones go into a block,
+// which may be split by it.
+type archiveMove struct {
+	core   *Core
+	sweep  *archiveSweep
+	blocks []archive.EncodedBlock
+	jobs   int // pending records that move
+	txn    wire.Txn
+}
+
+// archiveNextBlock moves the next records of a sweep, or reads the block that they go to.
+func (c *Core) archiveNextBlock(sweep *archiveSweep) {
 	h := &c.history
 	if h.markerRevision == 0 {
-		c.writeHistoryMarker(s)
+		c.writeHistoryMarker(sweep)
 		return
 	}
-	b, mark, err := h.archiveIndex.Lookup(s.pending[0].ID, 0)
-	if b == nil && err == nil {
-		s.inFlight = true
-		c.readArchiveBlock(s.pending[0].ID, func(bool) { s.inFlight = false })
+	firstID := sweep.pending[0].ID
+	block, revision, err := h.archiveIndex.Lookup(firstID, 0)
+	if block == nil && err == nil {
+		sweep.inFlight = true
+		c.readArchiveBlock(firstID, func(bool) { sweep.inFlight = false })
 		return
 	}
-	n := 0
-	for n < len(s.pending) && (b == nil && n == 0 || b != nil && s.pending[n].ID < b.High) {
-		n++
-	}
-	var pieces []archive.EncodedBlock
-	k := 0
+	group := sweep.pendingFor(block)
+	move := &archiveMove{core: c, sweep: sweep}
 	if err == nil {
-		list := make([]archive.Entry, 0, n)
-		for _, e := range s.pending[:n] {
-			list = append(list, e.Entry)
-		}
-		pieces, k, err = b.PlanMerge(
-			list,
-			c.cfg.Store.MaxValueBytes,
-			max(2, min(c.cfg.Store.MaxTxnOps, int(c.storeWriteRate()/2))),
-		)
+		move.blocks, move.jobs, err = c.planArchiveMove(block, group)
 	}
 	if err != nil {
-		if !errors.Is(err, archive.ErrCorrupt) { // that was told when it was read
-			c.log(LevelError, "ended jobs stay where they are", "from", s.pending[0].ID, "jobs", n, "err", err.Error())
+		if !errors.Is(err, archive.ErrCorrupt) { // a corrupt block was logged when it was read
+			c.log(LevelError, "cannot archive ended jobs", "from", firstID, "jobs", len(group), "err", err.Error())
 		}
-		s.pending = s.pending[n:]
+		sweep.pending = sweep.pending[len(group):]
 		return
 	}
-	t := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}}}
-	for i, p := range pieces {
-		cond := wire.Compare{Key: archive.BlockKey(p.High)}
-		if i == len(pieces)-1 {
-			cond.Revision = mark
+	move.buildTxn(revision)
+	sweep.inFlight = true
+	c.commitTxn(move.txn, &pendingTxn{onDone: move.handleResult})
+}
+
+// pendingFor is the first of the pending records that go to a block; nil: the block is corrupt, and the
+// first record alone is passed over.
+func (s *archiveSweep) pendingFor(block *archive.Block) []endedRecord {
+	if block == nil {
+		return s.pending[:1]
+	}
+	n := 0
+	for n < len(s.pending) && s.pending[n].ID < block.High {
+		n++
+	}
+	return s.pending[:n]
+}
+
+// planArchiveMove plans which of a group of records one transaction moves into a block.
+func (c *Core) planArchiveMove(block *archive.Block, group []endedRecord) ([]archive.EncodedBlock, int, error) {
+	entries := make([]archive.Entry, 0, len(group))
+	for _, record := range group {
+		entries = append(entries, record.Entry)
+	}
+	// At most half a second's writes.
+	maxWrites := max(2, min(c.cfg.Store.MaxTxnOps, int(c.storeWriteRate()/2)))
+	return block.PlanMerge(entries, c.cfg.Store.MaxValueBytes, maxWrites)
+}
+
+// buildTxn builds the transaction of a move into a block of the given revision.
+func (m *archiveMove) buildTxn(revision uint64) {
+	m.txn = wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: m.core.leadership.leader.mark}}}
+	for i, block := range m.blocks {
+		condition := wire.Compare{Key: archive.BlockKey(block.High)}
+		if i == len(m.blocks)-1 { // the last one keeps the block's key; the others are new
+			condition.Revision = revision
 		}
-		t.Compare = append(t.Compare, cond)
-		t.Then = append(t.Then, wire.Write{Put: cond.Key, Value: p.Value})
-	}
-	for _, e := range s.pending[:k] {
-		t.Compare = append(t.Compare, wire.Compare{Key: e.key, Revision: e.revision})
-		t.Then = append(t.Then, wire.Write{Delete: e.key})
-	}
-	s.inFlight = true
-	c.commitTxn(t, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
-		s.inFlight = false
-		switch status {
-		case wire.StatusOK:
-			for _, p := range pieces {
-				h.archiveIndex.Put(p.Block, p.Value, r.Revision, r.Revision)
-			}
-			c.Stats.Archived += uint64(k)
-			c.Stats.ArchiveWrites += uint64(len(t.Then))
-			s.movedJobs += k
-			s.storeWrites += len(t.Then)
-			s.pending = s.pending[k:]
-		case wire.StatusTooManyRequests, wire.StatusUnavailable: // not executed
-		default: // overtaken, refused, or not known: it may be executed late, which changes nothing then
-			if status == wire.StatusBadRequest {
-				c.reduceTxnLimits(&t)
-			}
-			for _, p := range pieces {
-				h.archiveIndex.Invalidate(archive.BlockKey(p.High))
-			}
-			s.restart()
+		m.txn.Compare = append(m.txn.Compare, condition)
+		m.txn.Then = append(m.txn.Then, wire.Write{Put: condition.Key, Value: block.Value})
+	}
+	for _, record := range m.sweep.pending[:m.jobs] {
+		m.txn.Compare = append(m.txn.Compare, wire.Compare{Key: record.key, Revision: record.revision})
+		m.txn.Then = append(m.txn.Then, wire.Write{Delete: record.key})
+	}
+}
+
+// handleResult takes the result of a move.
+func (m *archiveMove) handleResult(status wire.Status, response wire.TxnResponse) {
+	index, stats := m.core.history.archiveIndex, &m.core.Stats
+	m.sweep.inFlight = false
+	switch status {
+	case wire.StatusOK:
+		for _, block := range m.blocks {
+			index.Put(block.Block, block.Value, response.Revision, response.Revision)
 		}
-	}})
+		stats.Archived += uint64(m.jobs)
+		stats.ArchiveWrites += uint64(len(m.txn.Then))
+		m.sweep.movedJobs += m.jobs
+		m.sweep.storeWrites += len(m.txn.Then)
+		m.sweep.pending = m.sweep.pending[m.jobs:]
+	case wire.StatusTooManyRequests, wire.StatusUnavailable: // not executed; it is planned again
+	default:
+		// Conflict, refusal or unknown outcome. With the last it may still be executed, which changes
+		// nothing that a repetition would not.
+		if status == wire.StatusBadRequest {
+			m.core.reduceTxnLimits(&m.txn)
+		}
+		for _, block := range m.blocks {
+			index.Invalidate(archive.BlockKey(block.High))
+		}
+		m.sweep.restart()
+	}
 }
 
-// writeHistoryMarker writes the sign that something may be archived, ahead of the first move.
-func (c *Core) writeHistoryMarker(s *archiveSweep) {
-	s.inFlight = true
+// writeHistoryMarker writes keyHistory, ahead of the first move.
+func (c *Core) writeHistoryMarker(sweep *archiveSweep) {
+	sweep.inFlight = true
 	c.commitTxn(wire.Txn{
 		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyHistory}},
 		Then:    []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}},
 	}, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-		c.afterReadBarrier(func(bool) { s.inFlight = false }) // what came of it shows there
+		c.afterReadBarrier(func(bool) { sweep.inFlight = false }) // the replica shows the outcome then
 	}})
 }
-
-// archivingState is the sweep that moves ended jobs into the archive.
-type archivingState struct {
-	sweep            *archiveSweep // see sweep.go
-	nextSweepCheckAt time.Duration
-}
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"cmp"
 	"dewlift/archive"
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
@@ -10,45 +11,46 @@
 	"time"
 )
 
-// The ends of jobs. A controller keeps those of late in memory, as it keeps all that is not over.
-// An older one is *cold* while it still has its record, and *archived* once that moved into a
-// block (see sweep.go): both are read when somebody asks, and then remembered for a while.
+// Ended jobs. A controller keeps the jobs that ended last in memory, as it keeps all that have not
+// ended. An older one is cold while its record is still in the store, and archived once that has moved
+// into a block (see archivesweep.go). Both are read on request, and then cached for a while.
 //
-// A job is unknown only if a read barrier does not show it, no cold record of it exists, and the
-// block of its range, as exact as the barrier, lacks it. A record is read before the block:
-// records move from the one to the other and never back.
+// A job is unknown only if a read barrier does not show it, there is no cold record of it, and the
+// block of its range, as of that barrier, lacks it. The record is read before the block: records move
+// from the store into blocks and never back.
 
-// keyHistory exists once something may be in the archive. Everyone who writes a new job sees to it
-// that it does not exist, or that the block of the job's range is as it was when it lacked the job:
-// so no late acceptance can revive a job that was over and moved meanwhile.
+// keyHistory exists once anything may be archived. A transaction that writes a new job is conditional
+// on its absence, or on the block of the job's range being as it was when it lacked the job: otherwise
+// an acceptance executed late could revive a job that had ended and moved meanwhile.
 const keyHistory = Root + "history"
 
+// history is the state of ended jobs and of the lookups of jobs that are not in memory.
 type history struct {
-	markerRevision   uint64 // mark of keyHistory; 0: nothing was ever moved
-	coldRecords      int    // records of ended jobs that are not in memory; may count too many, never too few
-	snapshotRevision uint64 // revision of the last page of the load: moves until then may not have been counted as cold
+	markerRevision   uint64 // revision of keyHistory; 0: nothing was ever archived
+	coldRecords      int    // records of ended jobs that are not in memory; may be too high, never too low
+	snapshotRevision uint64 // of the last page of the snapshot: moves until then may not be counted as cold
 	endedJobs        []*job // in memory and not archived
-	recalledJobs     []*job // in memory because somebody asked
-	evicting         []*job // to be dropped once nothing refers to them
+	recalledJobs     []*job // in memory because of a lookup, oldest first
+	evicting         []*job // to be evicted from memory once nothing refers to them
 	freeIndexes      []int32
 
 	archiveIndex           *archive.BlockCache
-	lastMoveRevision       uint64 // revision of the last move seen
-	lookups                map[string]*jobLookup
+	lastMoveRevision       uint64                // revision of the last move that the watch has shown
+	lookups                map[string]*jobLookup // by job ID
 	lookupQueue            []*jobLookup
-	readTokens             float64 // reads that finds may take now
+	readTokens             float64 // reads that lookups may send now
 	readTokensAt           time.Duration
 	readsInFlight          int
-	unresolvedDependencies []*job // needed by others and not known
+	unresolvedDependencies []*job // dependencies of other jobs that are not known
 	nextResolveAt          time.Duration
-	pendingReads           map[uint64]func(RangeResult)
+	pendingReads           map[uint64]func(RangeResult) // callbacks by request ID
 }
 
 // jobLookup is the search for a job that is not in memory.
 type jobLookup struct {
 	jobID          string
 	startedAt      time.Duration
-	recordAbsent   bool   // it has no record,
+	recordAbsent   bool   // it has no record
 	recordAbsentAt uint64 // as of this revision
 	readInFlight   bool
 	completed      bool
@@ -56,11 +58,21 @@
 }
 
 const (
-	lookupTimeout  = 1500 * time.Millisecond // a find that takes longer has failed
-	maxLookupReads = 8                       // reads on their way at a time
-	rangePageSize  = 1000                    // of a listing, the most that the state service gives
+	lookupTimeout      = 1500 * time.Millisecond // after which a lookup has failed
+	maxLookupReads     = 8                       // reads of lookups in flight at a time
+	minLookupBurst     = 4                       // reads that lookups may save up at a low rate
+	minQueuedLookups   = 8                       // lookups that may wait at a low rate
+	rangePageSize      = 1000                    // keys of a range read, the most that the store returns
+	resolveInterval    = time.Second             // between two lookups of unknown dependencies
+	endedJobBytes      = 560                     // memory of an ended job, as measured
+	throttledReadDelay = 100 * time.Millisecond  // pause of non-urgent requests after a throttled read,
+	throttledJitter    = 200 * time.Millisecond  // plus jitter
 )
 
+// errBlockRange tells that a block does not have the range that its key names.
+var errBlockRange = errors.New("range of block does not match its key")
+
+// newHistory returns the state of a controller that knows of no ended job.
 func newHistory(cfg *Config) history {
 	return history{
 		archiveIndex: archive.NewBlockCache(cfg.History.CacheBytes),
@@ -69,496 +81,533 @@
 	}
 }
 
-// hasFinalRecord reports whether a job is over and nothing of it is left to be done: its record is final.
+// hasFinalRecord reports whether a job has ended and nothing is left to be done for it.
 func (j *job) hasFinalRecord() bool {
 	return j.record != nil && j.record.Spec == nil && j.record.Stage != jobrecord.Queued
 }
 
 // trackEndedJob counts a job that has ended among those in memory.
-func (c *Core) trackEndedJob(j *job) {
-	if !j.archive.counted && !j.archive.archived && j.hasFinalRecord() {
-		j.archive.counted = true
-		c.history.endedJobs = append(c.history.endedJobs, j)
+func (c *Core) trackEndedJob(ended *job) {
+	if !ended.archive.counted && !ended.archive.archived && ended.hasFinalRecord() {
+		ended.archive.counted = true
+		c.history.endedJobs = append(c.history.endedJobs, ended)
 	}
 }
 
-// maxEndedInMemory bounds the ended jobs in memory whose records have not moved: as many as are kept wait
-// to be moved, and as many again until they are; beyond that the oldest are dropped.
+// maxEndedInMemory bounds the ended jobs in memory that are not archived. Twice MaxEndedJobs start a
+// sweep, and as many may end until it is done; beyond that the oldest are evicted.
 func (c *Core) maxEndedInMemory() int { return 4 * c.cfg.History.MaxEndedJobs }
 
-// evictOldestEnded drops the oldest ended jobs from memory where there are too many; their records stay.
+// evictOldestEnded evicts the oldest ended jobs from memory if there are too many; their records stay.
 func (c *Core) evictOldestEnded() {
 	h := &c.history
 	if len(h.endedJobs) <= c.maxEndedInMemory() {
 		return
 	}
-	h.endedJobs = slices.DeleteFunc(
-		h.endedJobs,
-		func(j *job) bool { return j.archive.archived || !j.archive.counted },
-	)
+	h.pruneEndedJobs()
 	if len(h.endedJobs) <= c.maxEndedInMemory() {
 		return
 	}
-	slices.SortFunc(h.endedJobs, func(a, b *job) int { return -compareByRevision(a, b) })
-	for _, j := range h.endedJobs[2*c.cfg.History.MaxEndedJobs:] {
-		j.archive.counted = false
-		c.scheduleEviction(j)
+	h.sortEndedJobs()
+	for _, old := range h.endedJobs[2*c.cfg.History.MaxEndedJobs:] {
+		old.archive.counted = false
+		h.scheduleEviction(old)
 	}
 	h.endedJobs = slices.Clone(h.endedJobs[:2*c.cfg.History.MaxEndedJobs])
 }
 
-// scheduleEviction has a job dropped from memory once nothing refers to it.
-func (c *Core) scheduleEviction(j *job) {
+// pruneEndedJobs drops the jobs from the list that have been archived or evicted since.
+func (h *history) pruneEndedJobs() {
+	h.endedJobs = slices.DeleteFunc(h.endedJobs, func(j *job) bool {
+		return j.archive.archived || !j.archive.counted
+	})
+}
+
+// sortEndedJobs sorts the ended jobs, the one that ended last first.
+func (h *history) sortEndedJobs() {
+	slices.SortFunc(h.endedJobs, func(a, b *job) int { return -compareByRevision(a, b) })
+}
+
+// scheduleEviction has a job evicted from memory once nothing refers to it.
+func (h *history) scheduleEviction(j *job) {
 	if !j.archive.evicting {
 		j.archive.evicting = true
-		c.history.evicting = append(c.history.evicting, j)
+		h.evicting = append(h.evicting, j)
 	}
 }
 
+// compareByRevision orders jobs by the revision of their records.
 func compareByRevision(a, b *job) int {
-	if a.revision != b.revision {
-		if a.revision < b.revision {
-			return -1
-		}
-		return 1
+	if byRevision := cmp.Compare(a.revision, b.revision); byRevision != 0 {
+		return byRevision
 	}
 	return strings.Compare(a.id, b.id)
 }
 
-// referencedJobs lists the jobs that machines report tasks of, or that orders were sent for: what is
-// known of their attempts must not be lost.
+// referencedJobs lists the indexes of jobs that machines report tasks of, or were sent commands for:
+// what is known of their attempts must not be lost.
 func (c *Core) referencedJobs() map[int32]bool {
-	refs := map[int32]bool{}
-	for _, m := range c.aliveMachines {
-		for k := range m.status.tasks {
-			refs[k.jobIndex] = true
+	referenced := map[int32]bool{}
+	for _, machine := range c.aliveMachines {
+		for key := range machine.status.tasks {
+			referenced[key.jobIndex] = true
 		}
-		for k := range m.commands.attempts {
-			refs[k.jobIndex] = true
+		for key := range machine.commands.attempts {
+			referenced[key.jobIndex] = true
 		}
-		for k := range m.allocation.assignments {
-			refs[k.jobIndex] = true
+		for key := range machine.allocation.assignments {
+			referenced[key.jobIndex] = true
 		}
-		for j := range m.health.failedJobs {
-			refs[j] = true
+		for jobIndex := range machine.health.failedJobs {
+			referenced[jobIndex] = true
 		}
-		for _, k := range m.commands.requestAttempts {
-			refs[k.jobIndex] = true
+		for _, key := range machine.commands.requestAttempts {
+			referenced[key.jobIndex] = true
 		}
 	}
-	return refs
+	return referenced
 }
 
-// evictUnreferencedJobs drops jobs from memory that are to leave it, once nothing refers to them.
+// evictUnreferencedJobs evicts the jobs from memory that are scheduled for it and not referred to.
 func (c *Core) evictUnreferencedJobs() {
 	h := &c.history
-	if n := len(h.recalledJobs) - max(c.cfg.History.MaxEndedJobs, 1); n > 0 {
-		for _, j := range h.recalledJobs[:n] {
-			c.scheduleEviction(j)
+	if excess := len(h.recalledJobs) - max(c.cfg.History.MaxEndedJobs, 1); excess > 0 {
+		for _, recalled := range h.recalledJobs[:excess] {
+			h.scheduleEviction(recalled)
 		}
-		h.recalledJobs = slices.Clone(h.recalledJobs[n:])
+		h.recalledJobs = slices.Clone(h.recalledJobs[excess:])
 	}
 	c.evictOldestEnded()
 	if len(h.evicting) == 0 {
 		return
 	}
-	refs := c.referencedJobs()
-	h.evicting = slices.DeleteFunc(h.evicting, func(j *job) bool {
-		if refs[j.index] || j.write.inOpenList || j.write.inFlight || j.write.outcomeUnknown || j.submission != nil ||
-			len(j.cancellation.waiters) > 0 ||
-			len(j.dependents) > 0 {
+	referenced := c.referencedJobs()
+	h.evicting = slices.DeleteFunc(h.evicting, func(candidate *job) bool {
+		if referenced[candidate.index] || candidate.isInUse() {
 			return false
 		}
-		if !j.archive.archived {
+		if !candidate.archive.archived {
 			h.coldRecords++
 		}
-		delete(c.jobIndex, j.id)
-		c.jobs[j.index] = nil
-		h.freeIndexes = append(h.freeIndexes, j.index)
+		delete(c.jobIndex, candidate.id)
+		c.jobs[candidate.index] = nil
+		h.freeIndexes = append(h.freeIndexes, candidate.index)
 		return true
 	})
 }
 
-// cacheEndedJob puts the end of a job that somebody asked for into memory.
-func (c *Core) cacheEndedJob(id string, r *jobrecord.Record, mark uint64, archived bool) {
-	j := c.internJob(id)
-	if j.revision != 0 {
+// isInUse reports whether a write, a request or another job refers to a job.
+func (j *job) isInUse() bool {
+	return j.write.inOpenList || j.write.inFlight || j.write.outcomeUnknown || j.submission != nil ||
+		len(j.cancellation.waiters) > 0 || len(j.dependents) > 0
+}
+
+// cacheEndedJob puts a job that was looked up into memory, if it is not there.
+func (c *Core) cacheEndedJob(id string, record *jobrecord.Record, revision uint64, archived bool) {
+	ended := c.internJob(id)
+	if ended.revision != 0 {
 		return
 	}
 	if !archived {
 		c.history.coldRecords--
 	}
-	j.record, j.revision, j.archive.archived = r, mark, archived
-	c.history.recalledJobs = append(c.history.recalledJobs, j)
-	c.markDirty(j)
-	c.propagateJobEnd(j)
+	ended.record, ended.revision, ended.archive.archived = record, revision, archived
+	c.history.recalledJobs = append(c.history.recalledJobs, ended)
+	c.markDirty(ended)
+	c.propagateJobEnd(ended)
 }
 
-// handleRecordArchived takes the news that a job's record is gone: it is in the archive since.
-func (c *Core) handleRecordArchived(id string, mark uint64) {
+// handleRecordArchived takes the deletion of a job's record: it has moved into the archive.
+func (c *Core) handleRecordArchived(id string, revision uint64) {
 	h := &c.history
-	h.lastMoveRevision = max(h.lastMoveRevision, mark)
-	h.archiveIndex.InvalidateOlder(id, mark)
-	c.currentAuditLog().ResolveUnknown(keyJob+id, mark) // what it carried was in blocks before it moved
+	h.lastMoveRevision = max(h.lastMoveRevision, revision)
+	h.archiveIndex.InvalidateOlder(id, revision)
+	// The audit entries that the record carried were in audit blocks before it moved.
+	c.currentAuditLog().ResolveUnknown(keyJob+id, revision)
 	i, ok := c.jobIndex[id]
 	if !ok || c.jobs[i].revision == 0 {
-		if mark > h.snapshotRevision {
+		if revision > h.snapshotRevision {
 			h.coldRecords--
 		}
 		return
 	}
-	c.evictArchivedJob(c.jobs[i], mark)
+	c.evictArchivedJob(c.jobs[i], revision)
 }
 
-// evictArchivedJob drops a job that is in the archive. One that was not known to be over moved while
-// the changes were not followed: it counts as unknown until the archive is read.
-func (c *Core) evictArchivedJob(j *job, mark uint64) {
-	if j.hasFinalRecord() {
-		if !j.archive.archived {
-			j.archive.archived, j.archive.counted, j.revision = true, false, mark
-			c.scheduleEviction(j)
+// evictArchivedJob has an archived job evicted from memory. One that was not known to have ended moved
+// while the watch was interrupted: it counts as unknown until the archive is read.
+func (c *Core) evictArchivedJob(archived *job, revision uint64) {
+	if archived.hasFinalRecord() {
+		if !archived.archive.archived {
+			archived.archive.archived, archived.archive.counted, archived.revision = true, false, revision
+			c.history.scheduleEviction(archived)
 		}
 		return
 	}
-	c.removeAssignments(j)
-	j.assignments, j.record, j.revision, j.placement.hasUnplacedTasks, j.placement.tasksLost = nil, nil, 0, false, false
-	if len(j.dependents) > 0 {
-		c.history.unresolvedDependencies = append(c.history.unresolvedDependencies, j)
+	c.removeAssignments(archived)
+	archived.assignments, archived.record, archived.revision = nil, nil, 0
+	archived.placement.hasUnplacedTasks, archived.placement.tasksLost = false, false
+	if len(archived.dependents) > 0 {
+		c.history.unresolvedDependencies = append(c.history.unresolvedDependencies, archived)
 	}
 }
 
-// checkAbsent looks for a job that is not in memory, as of the changes that are known here. It is
-// known whether there is one, and an archived one is remembered, or something must be read first. x
-// tells what a find has read for it; nil: nothing.
-func (c *Core) checkAbsent(id string, x *jobLookup) (known bool, err error) {
+// checkAbsent checks for a job that is not in memory, as of the replica's revision. It returns whether
+// its existence is known (an archived job is cached then) or something must be read first. lookup is
+// what was read for it; nil: nothing.
+func (c *Core) checkAbsent(id string, lookup *jobLookup) (known bool, err error) {
 	h := &c.history
 	since := uint64(0)
 	if h.coldRecords > 0 {
-		if x == nil || !x.recordAbsent {
+		if lookup == nil || !lookup.recordAbsent {
 			return false, nil
 		}
-		// Its record may have moved shortly before it was read, and the news of that not be here yet.
-		if since = x.recordAbsentAt; c.replica.revision >= since {
+		// Its record may have moved shortly before it was read, and the watch may not show that yet.
+		if since = lookup.recordAbsentAt; c.replica.revision >= since {
 			since = 0
 		}
 	}
 	if h.markerRevision == 0 {
 		return since == 0, nil
 	}
-	b, mark, err := h.archiveIndex.Lookup(id, since)
-	if b == nil || err != nil {
+	block, revision, err := h.archiveIndex.Lookup(id, since)
+	if block == nil || err != nil {
 		return false, err
 	}
-	c.cacheFromBlock(b, mark, id)
+	c.cacheFromBlock(block, revision, id)
 	return true, nil
 }
 
-// cacheFromBlock remembers a job if a block holds it.
-func (c *Core) cacheFromBlock(b *archive.Block, mark uint64, id string) bool {
-	e, ok := b.Find(id)
+// cacheFromBlock caches a job if a block holds it, and reports whether it does.
+func (c *Core) cacheFromBlock(block *archive.Block, revision uint64, id string) bool {
+	entry, ok := block.Find(id)
 	if ok {
 		c.Stats.RecalledJobs++
-		c.cacheEndedJob(id, jobrecord.FromArchive(e, c.shardOfID(id)), mark, true)
+		c.cacheEndedJob(id, jobrecord.FromArchive(entry, c.shardOfID(id)), revision, true)
 	}
 	return ok
 }
 
-// recallFromArchive remembers an archived job if the block that holds it is in memory.
+// recallFromArchive returns a job that is in memory, or in a block that is; nil: neither.
 func (c *Core) recallFromArchive(id string) *job {
 	if c.history.markerRevision == 0 || c.knownJob(id) != nil {
 		return c.knownJob(id)
 	}
-	if b, mark, _ := c.history.archiveIndex.Lookup(id, 0); b != nil {
-		c.cacheFromBlock(b, mark, id)
+	// A corrupt block answers for nothing, like one that is not cached.
+	if block, revision, _ := c.history.archiveIndex.Lookup(id, 0); block != nil {
+		c.cacheFromBlock(block, revision, id)
 	}
 	return c.knownJob(id)
 }
 
-// notArchivedCompare is the condition under which a job that is absent can't have been archived meanwhile.
+// notArchivedCompare is the condition on which a job known to be absent has not been archived meanwhile;
+// false if that must be looked up again.
 func (c *Core) notArchivedCompare(id string) (wire.Compare, bool) {
 	if c.history.markerRevision == 0 {
 		return wire.Compare{Key: keyHistory}, true
 	}
-	b, mark, err := c.history.archiveIndex.Lookup(id, 0)
-	if b == nil || err != nil {
+	block, revision, err := c.history.archiveIndex.Lookup(id, 0)
+	if block == nil || err != nil {
 		return wire.Compare{}, false
 	}
-	if c.cacheFromBlock(b, mark, id) { // the block was read anew since the job was submitted
+	if c.cacheFromBlock(block, revision, id) { // the block was read again since the job was submitted
 		return wire.Compare{}, false
 	}
-	return wire.Compare{Key: archive.BlockKey(b.High), Revision: mark}, true
+	return wire.Compare{Key: archive.BlockKey(block.High), Revision: revision}, true
 }
 
-// lookUpJob has a job looked for that is not in memory, and then calls f: with false if that failed;
-// with true, the job is in memory now or does not exist, as of the last read barrier.
-func (c *Core) lookUpJob(id string, f func(ok bool)) {
+// lookUpJob looks up a job, and then calls the callback: with false if that failed; with true, the job
+// is in memory or does not exist, as of the last read barrier.
+func (c *Core) lookUpJob(id string, callback func(ok bool)) {
 	h := &c.history
 	if c.knownJob(id) != nil {
-		f(true)
+		callback(true)
 		return
 	}
 	if known, err := c.checkAbsent(id, nil); known || err != nil {
-		f(err == nil)
+		callback(err == nil)
 		return
 	}
-	x := h.lookups[id]
-	if x == nil {
-		// More than can be read until they fail are refused at once.
-		if len(h.lookupQueue) >= max(8, int(c.lookupReadRate()*lookupTimeout.Seconds())) || c.storeUnreachable() {
-			f(false)
+	lookup := h.lookups[id]
+	if lookup == nil {
+		// Lookups that would time out in the queue are refused at once.
+		maxQueued := max(minQueuedLookups, int(c.lookupReadRate()*lookupTimeout.Seconds()))
+		if len(h.lookupQueue) >= maxQueued || c.storeUnreachable() {
+			callback(false)
 			return
 		}
-		x = &jobLookup{jobID: id, startedAt: c.now}
-		h.lookups[id] = x
-		h.lookupQueue = append(h.lookupQueue, x)
+		lookup = &jobLookup{jobID: id, startedAt: c.now}
+		h.lookups[id] = lookup
+		h.lookupQueue = append(h.lookupQueue, lookup)
 	}
-	x.callbacks = append(x.callbacks, f)
+	lookup.callbacks = append(lookup.callbacks, callback)
 }
 
-// lookUpJobForRequest has a job looked for that somebody asks about, and calls f with it; nil: there is none.
-func (c *Core) lookUpJobForRequest(req uint64, id string, f func(j *job)) {
+// lookUpJobForRequest looks up a job for a request, and calls the callback with it; nil: there is none.
+// If that fails, it answers the request itself.
+func (c *Core) lookUpJobForRequest(requestID uint64, id string, callback func(j *job)) {
 	c.lookUpJob(id, func(ok bool) {
-		if j := c.knownJob(id); ok || j != nil {
-			f(j)
+		if found := c.knownJob(id); ok || found != nil {
+			callback(found)
 		} else {
-			c.respondUnavailable(req, reasonHistoryUnreadable)
+			c.respondUnavailable(requestID, reasonHistoryUnreadable)
 		}
 	})
 }
 
-// lookUpJobs is find for several jobs.
-func (c *Core) lookUpJobs(ids []string, f func(ok bool)) {
-	left, all := len(ids)+1, true
-	one := func(ok bool) {
-		all = all && ok
+// lookUpJobs looks up several jobs, and calls the callback once all are; with false if any failed.
+func (c *Core) lookUpJobs(ids []string, callback func(ok bool)) {
+	left, allOK := len(ids)+1, true
+	complete := func(ok bool) {
+		allOK = allOK && ok
 		if left--; left == 0 {
-			f(all)
+			callback(allOK)
 		}
 	}
 	for _, id := range ids {
-		c.lookUpJob(id, one)
+		c.lookUpJob(id, complete)
 	}
-	one(true)
+	complete(true)
 }
 
-// lookupReadRate is how many reads a second finds may take.
+// lookupReadRate is how many reads a second lookups may send.
 func (c *Core) lookupReadRate() float64 {
 	return c.cfg.History.ReadShare * c.transactions.rateLimit.ReadRate
 }
 
-// advanceLookups carries finds on, within their share of the requests.
+// refillReadTokens adds the reads that lookups may send since the last refill.
+func (h *history) refillReadTokens(now time.Duration, rate float64) {
+	h.readTokens = min(h.readTokens+(now-h.readTokensAt).Seconds()*rate, max(minLookupBurst, rate))
+	h.readTokensAt = now
+}
+
+// advanceLookups sends the next reads of the queued lookups, and fails those that have timed out.
 func (c *Core) advanceLookups() {
 	h := &c.history
-	h.readTokens = min(h.readTokens+(c.now-h.readTokensAt).Seconds()*c.lookupReadRate(), max(4, c.lookupReadRate()))
-	h.readTokensAt = c.now
+	h.refillReadTokens(c.now, c.lookupReadRate())
 	if len(h.lookupQueue) == 0 {
 		return
 	}
-	for _, x := range slices.Clone(h.lookupQueue) {
+	for _, lookup := range slices.Clone(h.lookupQueue) {
 		switch {
-		case x.readInFlight || x.completed:
-		case c.now-x.startedAt > lookupTimeout:
-			c.completeLookup(x, false)
+		case lookup.readInFlight || lookup.completed:
+		case c.now-lookup.startedAt > lookupTimeout:
+			h.completeLookup(lookup, false)
 		case h.readTokens >= 1 && h.readsInFlight < maxLookupReads && !c.transactions.rateLimit.IsPaused(c.now):
-			c.sendLookupRead(x)
+			c.sendLookupRead(lookup)
 		}
 	}
-	h.lookupQueue = slices.DeleteFunc(h.lookupQueue, func(x *jobLookup) bool { return x.completed })
+	h.lookupQueue = slices.DeleteFunc(h.lookupQueue, func(lookup *jobLookup) bool { return lookup.completed })
 }
 
-func (c *Core) completeLookup(x *jobLookup, ok bool) {
-	x.completed = true
-	delete(c.history.lookups, x.jobID)
-	for _, f := range x.callbacks {
-		f(ok)
+// completeLookup ends a lookup and calls its callbacks.
+func (h *history) completeLookup(lookup *jobLookup, ok bool) {
+	lookup.completed = true
+	delete(h.lookups, lookup.jobID)
+	for _, callback := range lookup.callbacks {
+		callback(ok)
 	}
 }
 
-// tryCompleteLookup ends a find if it can be told now what became of its job.
-func (c *Core) tryCompleteLookup(x *jobLookup) bool {
-	if c.knownJob(x.jobID) != nil {
-		c.completeLookup(x, true)
+// tryCompleteLookup completes a lookup if its result is known now.
+func (c *Core) tryCompleteLookup(lookup *jobLookup) bool {
+	if c.knownJob(lookup.jobID) != nil {
+		c.history.completeLookup(lookup, true)
 		return true
 	}
-	known, err := c.checkAbsent(x.jobID, x)
+	known, err := c.checkAbsent(lookup.jobID, lookup)
 	if known || err != nil {
-		c.completeLookup(x, err == nil)
+		c.history.completeLookup(lookup, err == nil)
 	}
 	return known || err != nil
 }
 
-// sendLookupRead sends the next read of a find: first of its record, if there may be one, then of the
-// block of its range. What a block tells, it tells all who wait.
-func (c *Core) sendLookupRead(x *jobLookup) {
+// sendLookupRead sends the next read of a lookup: of the job's record, if there may be one, and then of
+// the block of its range.
+func (c *Core) sendLookupRead(lookup *jobLookup) {
 	h := &c.history
-	if c.tryCompleteLookup(x) {
+	if c.tryCompleteLookup(lookup) {
 		return
 	}
 	h.readTokens--
-	h.readsInFlight++
-	x.readInFlight = true
-	if h.coldRecords > 0 && !x.recordAbsent {
+	h.startRead(lookup)
+	switch {
+	case h.coldRecords > 0 && !lookup.recordAbsent:
 		c.Stats.RecordReads++
-		c.readKey(keyJob+x.jobID, func(in RangeResult) {
-			h.readsInFlight--
-			x.readInFlight = false
-			switch {
-			case in.Status == wire.StatusNotFound:
-				x.recordAbsent, x.recordAbsentAt = true, in.Revision
-			case in.Status == wire.StatusOK && len(in.Items) == 1 && in.Items[0].Revision > c.replica.revision:
-				// It is on its way with the stream of changes, and was never counted as cold:
-				// counted out here, it left one job too few, and another that had left memory was
-				// denied.
-				x.readInFlight = true
-				c.afterReadBarrier(func(bool) {
-					x.readInFlight = false
-					if !x.completed {
-						c.tryCompleteLookup(x)
-					}
-				})
-				return
-			case in.Status == wire.StatusOK && len(in.Items) == 1 && c.cacheColdRecord(x.jobID, in.Items[0]):
-			case in.Status != wire.StatusTooManyRequests:
-				c.completeLookup(x, false)
-				return
+		c.readKey(keyJob+lookup.jobID, func(in RangeResult) { c.handleRecordRead(lookup, &in) })
+	case h.markerRevision == 0: // the watch does not show yet that the record moved, or that there is an archive
+		h.endRead(lookup)
+		c.afterReadBarrier(func(bool) {})
+	default:
+		c.Stats.BlockReads++
+		c.readArchiveBlock(lookup.jobID, func(ok bool) { c.handleBlockRead(lookup, ok) })
+	}
+}
+
+// startRead counts a read of a lookup as in flight.
+func (h *history) startRead(lookup *jobLookup) {
+	h.readsInFlight++
+	lookup.readInFlight = true
+}
+
+// endRead counts a read of a lookup as answered.
+func (h *history) endRead(lookup *jobLookup) {
+	h.readsInFlight--
+	lookup.readInFlight = false
+}
+
+// handleRecordRead takes the result of reading the record of a job that is looked up.
+func (c *Core) handleRecordRead(lookup *jobLookup, in *RangeResult) {
+	c.history.endRead(lookup)
+	found := in.Status == wire.StatusOK && len(in.Items) == 1
+	switch {
+	case in.Status == wire.StatusNotFound:
+		lookup.recordAbsent, lookup.recordAbsentAt = true, in.Revision
+	case found && in.Items[0].Revision > c.replica.revision:
+		// The watch will show it, and it was never counted as cold. When it was counted out here, one
+		// cold job too few was left, and another that had been evicted was denied.
+		lookup.readInFlight = true
+		c.afterReadBarrier(func(bool) {
+			lookup.readInFlight = false
+			if !lookup.completed {
+				c.tryCompleteLookup(lookup)
 			}
-			c.tryCompleteLookup(x)
 		})
 		return
+	case found && c.cacheColdRecord(lookup.jobID, in.Items[0]):
+	case in.Status != wire.StatusTooManyRequests:
+		c.history.completeLookup(lookup, false)
+		return
 	}
-	if h.markerRevision == 0 { // the news that the record moved is on its way, or that there is an archive
-		h.readsInFlight--
-		x.readInFlight = false
-		c.afterReadBarrier(func(bool) {})
+	c.tryCompleteLookup(lookup)
+}
+
+// handleBlockRead takes the result of reading a block for a lookup: it may complete other lookups too.
+func (c *Core) handleBlockRead(lookup *jobLookup, ok bool) {
+	h := &c.history
+	h.endRead(lookup)
+	if !ok {
+		h.completeLookup(lookup, false)
 		return
 	}
-	c.Stats.BlockReads++
-	c.readArchiveBlock(x.jobID, func(ok bool) {
-		h.readsInFlight--
-		x.readInFlight = false
-		if !ok {
-			c.completeLookup(x, false)
-			return
+	for _, waiting := range h.lookupQueue {
+		if !waiting.completed && !waiting.readInFlight && (waiting.recordAbsent || h.coldRecords == 0) {
+			c.tryCompleteLookup(waiting)
 		}
-		for _, y := range h.lookupQueue {
-			if !y.completed && !y.readInFlight && (y.recordAbsent || h.coldRecords == 0) {
-				c.tryCompleteLookup(y)
-			}
-		}
-	})
+	}
 }
 
-// cacheColdRecord takes the record of a job that was not in memory; false if it can't be read.
-func (c *Core) cacheColdRecord(id string, it wire.KeyValue) bool {
-	r, err := jobrecord.Decode(it.Value)
+// cacheColdRecord caches the record of a job that was not in memory; false if it can't be decoded. A
+// record that is not final needs no caching: its job is in memory.
+func (c *Core) cacheColdRecord(id string, item wire.KeyValue) bool {
+	record, err := jobrecord.Decode(item.Value)
 	if err != nil {
-		c.log(LevelError, "value not understood", "key", it.Key, "err", err.Error())
+		c.log(LevelError, "cannot decode stored value", "key", item.Key, "err", err.Error())
 		return false
 	}
-	if r.Spec == nil && r.Stage != jobrecord.Queued {
+	if record.Spec == nil && record.Stage != jobrecord.Queued {
 		c.Stats.RecalledJobs++
-		c.cacheEndedJob(id, r, it.Revision, false)
+		c.cacheEndedJob(id, record, item.Revision, false)
 	}
-	// Any other is in memory.
 	return true
 }
 
-// readKey asks for a key, scan for a page of keys.
-func (c *Core) readKey(key string, f func(RangeResult)) { c.sendReadRange(ReadRange{Key: key}, f) }
+// readKey reads one key of the store.
+func (c *Core) readKey(key string, callback func(RangeResult)) {
+	c.sendReadRange(ReadRange{Key: key}, callback)
+}
 
-func (c *Core) readPrefix(prefix, from string, most int, f func(RangeResult)) {
-	c.sendReadRange(ReadRange{Prefix: prefix, AfterKey: from, Limit: most}, f)
+// readPrefix reads a page of at most limit keys with a prefix, from the first one after a key.
+func (c *Core) readPrefix(prefix, afterKey string, limit int, callback func(RangeResult)) {
+	c.sendReadRange(ReadRange{Prefix: prefix, AfterKey: afterKey, Limit: limit}, callback)
 }
 
-func (c *Core) sendReadRange(s ReadRange, f func(RangeResult)) {
-	s.ID = c.nextID()
+// sendReadRange sends a read of the store; the callback takes its result.
+func (c *Core) sendReadRange(request ReadRange, callback func(RangeResult)) {
+	request.ID = c.nextID()
 	c.transactions.rateLimit.SpendRequest()
-	c.history.pendingReads[s.ID] = f
-	c.emit(s)
+	c.history.pendingReads[request.ID] = callback
+	c.emit(request)
 }
 
+// handleRangeResult takes the result of a read of the store.
 func (c *Core) handleRangeResult(in RangeResult) {
-	f := c.history.pendingReads[in.ID]
+	callback := c.history.pendingReads[in.ID]
 	delete(c.history.pendingReads, in.ID)
 	if in.Status == wire.StatusTooManyRequests {
-		c.transactions.rateLimit.PauseNonUrgent(c.now + 100*time.Millisecond + c.jitter(200*time.Millisecond))
+		c.transactions.rateLimit.PauseNonUrgent(c.now + throttledReadDelay + c.jitter(throttledJitter))
 	} else {
 		c.recordStoreStatus(in.Status)
 	}
-	if f != nil {
-		f(in)
+	if callback != nil {
+		callback(in)
 	}
 }
 
-// readArchiveBlock reads the block of an id's range into the index, and calls f once it has been tried;
-// with false if the state service did not answer.
-func (c *Core) readArchiveBlock(id string, f func(ok bool)) {
-	h := &c.history
+// readArchiveBlock reads the block of an ID's range into the cache, and then calls the callback; with
+// false if the store did not answer.
+func (c *Core) readArchiveBlock(id string, callback func(ok bool)) {
 	c.readPrefix(archive.BlockPrefix, archive.SeekKey(id), 1, func(in RangeResult) {
 		if in.Status != wire.StatusOK {
-			f(in.Status == wire.StatusTooManyRequests)
-			return
-		}
-		if in.Revision < h.lastMoveRevision { // something moved since: it may be older than what is known
-			f(true)
+			callback(in.Status == wire.StatusTooManyRequests)
 			return
 		}
-		if len(in.Items) == 0 {
-			// The marker alone was written yet.
-			h.archiveIndex.Put(archive.EmptyBlock(), nil, 0, in.Revision)
-			f(true)
-			return
-		}
-		it := in.Items[0]
-		b, err := archive.Decode(it.Value)
-		if err == nil && (archive.BlockKey(b.High) != it.Key || !b.Covers(id)) {
-			err = errors.New("its range is not where it stands")
-		}
-		if err != nil {
-			c.log(
-				LevelError,
-				"block of ended jobs not understood: those in it can't be answered for",
-				"key",
-				it.Key,
-				"err",
-				err.Error(),
-			)
-			h.archiveIndex.PutCorrupt(id, strings.TrimPrefix(it.Key, archive.BlockPrefix), it.Revision, in.Revision)
-		} else {
-			h.archiveIndex.Put(b, it.Value, it.Revision, in.Revision)
-		}
-		f(true)
+		c.cacheBlock(id, &in)
+		callback(true)
 	})
 }
 
-// resolveDependencies looks for jobs that others need and that are not in memory.
+// cacheBlock caches the block that a read for an ID returned.
+func (c *Core) cacheBlock(id string, in *RangeResult) {
+	h := &c.history
+	if in.Revision < h.lastMoveRevision { // a record has moved since: the block may be older than what is known
+		return
+	}
+	if len(in.Items) == 0 { // so far only keyHistory was written
+		h.archiveIndex.Put(archive.EmptyBlock(), nil, 0, in.Revision)
+		return
+	}
+	item := in.Items[0]
+	block, err := archive.Decode(item.Value)
+	if err == nil && (archive.BlockKey(block.High) != item.Key || !block.Covers(id)) {
+		err = errBlockRange
+	}
+	if err != nil {
+		c.log(LevelError, "corrupt block of ended jobs: cannot answer for jobs in its range",
+			"key", item.Key, "err", err.Error())
+		high := strings.TrimPrefix(item.Key, archive.BlockPrefix)
+		h.archiveIndex.PutCorrupt(id, high, item.Revision, in.Revision)
+		return
+	}
+	h.archiveIndex.Put(block, item.Value, item.Revision, in.Revision)
+}
+
+// resolveDependencies looks up the dependencies of other jobs that are not known.
 func (c *Core) resolveDependencies() {
 	h := &c.history
 	if c.now < h.nextResolveAt || len(h.unresolvedDependencies) == 0 {
 		return
 	}
-	h.nextResolveAt = c.now + time.Second
-	h.unresolvedDependencies = slices.DeleteFunc(
-		h.unresolvedDependencies,
-		func(j *job) bool { return j.revision != 0 || len(j.dependents) == 0 },
-	)
-	for _, j := range slices.Clone(h.unresolvedDependencies) {
-		if j.revision == 0 {
-			c.lookUpJob(j.id, func(bool) {})
+	h.nextResolveAt = c.now + resolveInterval
+	h.unresolvedDependencies = slices.DeleteFunc(h.unresolvedDependencies, func(j *job) bool {
+		return j.revision != 0 || len(j.dependents) == 0
+	})
+	for _, dependency := range slices.Clone(h.unresolvedDependencies) {
+		if dependency.revision == 0 {
+			c.lookUpJob(dependency.id, func(bool) {}) // caching it resolves the dependency
 		}
 	}
 }
 
-// applyHistoryMarker takes the sign that something may be archived.
-func (c *Core) applyHistoryMarker(mark uint64) {
-	c.history.markerRevision = max(c.history.markerRevision, mark)
+// applyHistoryMarker takes the write of keyHistory.
+func (c *Core) applyHistoryMarker(revision uint64) {
+	c.history.markerRevision = max(c.history.markerRevision, revision)
 }
 
-// updateHistoryStats brings the figures of the log up to date.
+// updateHistoryStats updates the statistics of ended jobs.
 func (c *Core) updateHistoryStats() {
 	h := &c.history
+	jobs := len(h.endedJobs) + len(h.recalledJobs) + len(h.evicting)
 	c.Stats.EndedInMemory, c.Stats.ColdRecords = len(h.endedJobs), h.coldRecords
-	c.Stats.CachedBlocks, c.Stats.HistoryBytes = h.archiveIndex.Blocks(), h.archiveIndex.Bytes()+(len(h.endedJobs)+len(h.recalledJobs)+len(h.evicting))*endedJobBytes
+	c.Stats.CachedBlocks, c.Stats.HistoryBytes = h.archiveIndex.Blocks(), h.archiveIndex.Bytes()+jobs*endedJobBytes
 }
-
-const endedJobBytes = 560 // that an ended job takes in memory, as measured
