--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -11,27 +11,31 @@
 	"time"
 )
 
-// archiveBlockPage is a block of the archive, as a page of the state service.
-func archiveBlockPage(t *testing.T, mark, ledger uint64, entries ...archive.Entry) RangeResult {
+// archiveBlockPage is the result of reading the only block of an archive: blockRevision is that of its key,
+// storeRevision that of the store.
+func archiveBlockPage(t *testing.T, blockRevision, storeRevision uint64, entries ...archive.Entry) RangeResult {
 	t.Helper()
-	b := archive.EmptyBlock().Merge(entries)
-	raw, err := b.Encode()
+	block := archive.EmptyBlock().Merge(entries)
+	raw, err := block.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return RangeResult{
 		Status:   wire.StatusOK,
-		Revision: ledger,
-		Items:    []wire.KeyValue{{Key: archive.BlockKey(b.High), Value: raw, Revision: mark}},
+		Revision: storeRevision,
+		Items:    []wire.KeyValue{{Key: archive.BlockKey(block.High), Value: raw, Revision: blockRevision}},
 	}
 }
 
-func event(key, value string, mark uint64) wire.WatchEvent {
-	return wire.WatchEvent{Put: key, Value: json.RawMessage(value), Revision: mark}
+// event is the write of a key, as the watch shows it.
+func event(key, value string, revision uint64) wire.WatchEvent {
+	return wire.WatchEvent{Put: key, Value: json.RawMessage(value), Revision: revision}
 }
 
-func watchEvents(c *Core, at time.Duration, ledger uint64, log ...wire.WatchEvent) []Output {
-	c.Handle(at, WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: ledger, Events: log}})
+// watchEvents has the watch show events up to a revision of the store.
+func watchEvents(c *Core, at time.Duration, revision uint64, events ...wire.WatchEvent) []Output {
+	changes := wire.WatchResponse{Revision: revision, Events: events}
+	c.Handle(at, WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: changes})
 	return c.Advance(at)
 }
 
@@ -41,19 +45,19 @@
 	return c.Advance(at)
 }
 
-// answerRead answers the one read that is on its way.
+// answerRead answers the one read that is in flight.
 func answerRead(t *testing.T, c *Core, at time.Duration, out []Output, in RangeResult) []Output {
 	t.Helper()
-	scans := outputsOfType[ReadRange](out)
-	if len(scans) != 1 {
-		t.Fatalf("%d reads are on their way: %+v", len(scans), scans)
+	reads := outputsOfType[ReadRange](out)
+	if len(reads) != 1 {
+		t.Fatalf("%d reads are in flight: %+v", len(reads), reads)
 	}
-	in.ID = scans[0].ID
+	in.ID = reads[0].ID
 	c.Handle(at, in)
 	return c.Advance(at)
 }
 
-// newCoreWithArchive is a controller that serves and knows that there is an archive.
+// newCoreWithArchive returns a serving core that knows that there is an archive.
 func newCoreWithArchive(t *testing.T) *Core {
 	t.Helper()
 	c := newServingCore(t)
@@ -61,32 +65,33 @@
 	return c
 }
 
+// findAcceptTxn returns the transaction that writes a job's record; nil: there is none.
 func findAcceptTxn(out []Output, id string) *CommitTxn {
-	for _, o := range outputsOfType[CommitTxn](out) {
-		for _, w := range o.Txn.Then {
-			if w.Put == keyJob+id {
-				return &o
+	for _, commit := range outputsOfType[CommitTxn](out) {
+		for _, write := range commit.Txn.Then {
+			if write.Put == keyJob+id {
+				return &commit
 			}
 		}
 	}
 	return nil
 }
 
-// A new job must not revive one that is archived: it is written only on condition that the block of
-// its range is as it was when it lacked the job, and before any archive, that there is none. A
-// transaction may be executed minutes late, when the job was accepted elsewhere, ran and moved.
+// A new job must not revive an archived one: its write is conditional on the block of its range being as
+// it was when it lacked the job, or, before there is an archive, on that. A transaction may be executed
+// minutes late, when the job was accepted elsewhere, ran, ended and was archived.
 func TestNewJobIsWrittenOnlyIfItIsNotArchived(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(time.Second, testSubmission("wk-1"))
-	if x := findAcceptTxn(c.Advance(1100*time.Millisecond), "wk-1"); x == nil ||
-		!slices.Contains(x.Txn.Compare, wire.Compare{Key: keyHistory}) {
-		t.Errorf("before there is an archive: %+v", x)
+	if accept := findAcceptTxn(c.Advance(1100*time.Millisecond), "wk-1"); accept == nil ||
+		!slices.Contains(accept.Txn.Compare, wire.Compare{Key: keyHistory}) {
+		t.Errorf("before there is an archive: %+v", accept)
 	}
 	c = newCoreWithArchive(t)
 	c.Handle(1200*time.Millisecond, testSubmission("wk-5"))
 	out := c.Advance(1200 * time.Millisecond)
 	if findAcceptTxn(out, "wk-5") != nil {
-		t.Fatal("written without a look into the archive")
+		t.Fatal("the job was written without a lookup in the archive")
 	}
 	out = answerRead(
 		t,
@@ -95,15 +100,17 @@
 		out,
 		archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-6", CompletedTasks: 3}),
 	)
-	x := findAcceptTxn(out, "wk-5")
-	if x == nil || !slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.BlockKey(archive.MaxID), Revision: 9}) {
-		t.Fatalf("got %+v", x)
-	}
-	// Overtaken by a move into that block: it is read again, and holds the job now.
-	c.Handle(
-		1400*time.Millisecond,
-		TxnResult{ID: x.ID, Status: wire.StatusConflict, Reply: wire.TxnResponse{Failed: []string{archive.BlockKey(archive.MaxID)}}},
-	)
+	accept := findAcceptTxn(out, "wk-5")
+	blockUnchanged := wire.Compare{Key: archive.BlockKey(archive.MaxID), Revision: 9}
+	if accept == nil || !slices.Contains(accept.Txn.Compare, blockUnchanged) {
+		t.Fatalf("got %+v", accept)
+	}
+	// It conflicts with a move into that block, which is read again and holds the job now.
+	c.Handle(1400*time.Millisecond, TxnResult{
+		ID:     accept.ID,
+		Status: wire.StatusConflict,
+		Reply:  wire.TxnResponse{Failed: []string{archive.BlockKey(archive.MaxID)}},
+	})
 	c.Advance(1400 * time.Millisecond)
 	out = completeBarrier(c, 1500*time.Millisecond)
 	out = answerRead(
@@ -113,16 +120,17 @@
 		out,
 		archiveBlockPage(t, 12, 12, archive.Entry{ID: "wk-5", CompletedTasks: 1}),
 	)
-	r := outputsOfType[Response](out)
-	if len(r) != 1 || r[0].Status != wire.StatusOK || r[0].Body.(wire.JobState).Stage != wire.StageDone {
-		t.Errorf("the repeat of an archived job got %+v", r)
+	responses := outputsOfType[Response](out)
+	if len(responses) != 1 || responses[0].Status != wire.StatusOK ||
+		responses[0].Body.(wire.JobState).Stage != wire.StageDone {
+		t.Errorf("the repeated submission of an archived job got %+v", responses)
 	}
 }
 
-// All that a user may ask of an archived job is answered as before it moved, and again without a read.
+// Requests for an archived job are answered as before it was archived; repeated ones need no read.
 func TestArchivedJobIsAnswered(t *testing.T) {
 	c := newCoreWithArchive(t)
-	e := archive.Entry{
+	entry := archive.Entry{
 		ID:             "wk-7",
 		Cancelled:      true,
 		CompletedTasks: 2,
@@ -136,7 +144,7 @@
 		c,
 		1400*time.Millisecond,
 		completeBarrier(c, 1300*time.Millisecond),
-		archiveBlockPage(t, 9, 10, e),
+		archiveBlockPage(t, 9, 10, entry),
 	)
 	c.Handle(1500*time.Millisecond, CancelJob{RequestID: 2, ID: "wk-7"})
 	c.Handle(1500*time.Millisecond, SubmitJob{RequestID: 3, ID: "wk-7", DecodeError: "nonsense"})
@@ -149,16 +157,16 @@
 		CancelledBy: "wk-3",
 		TaskStops:   []wire.TaskStop{{Task: 1, Machine: "m-1", Cause: "idle", AtMS: 77}},
 	}
-	rs := outputsOfType[Response](out)
-	if len(rs) != 3 {
-		t.Fatalf("got %+v", rs)
+	responses := outputsOfType[Response](out)
+	if len(responses) != 3 {
+		t.Fatalf("got %+v", responses)
 	}
-	for _, r := range rs {
-		if r.Status != wire.StatusOK || fmt.Sprint(r.Body) != fmt.Sprint(want) {
-			t.Errorf("got %+v", r)
+	for _, response := range responses {
+		if response.Status != wire.StatusOK || fmt.Sprint(response.Body) != fmt.Sprint(want) {
+			t.Errorf("got %+v", response)
 		}
 	}
-	// One that was never accepted gets 404 from the same block, after a barrier, without another read.
+	// The same block shows after a read barrier, without another read, that a job was never accepted.
 	c.Handle(1600*time.Millisecond, GetJob{RequestID: 4, ID: "wk-8"})
 	c.Advance(1600 * time.Millisecond)
 	out = completeBarrier(c, 1700*time.Millisecond)
@@ -166,17 +174,17 @@
 		len(outputsOfType[ReadRange](out)) != 0 {
 		t.Errorf("got %+v", out)
 	}
-	// After a move into its range, the block is no word for that any more.
+	// After a move into its range, the cached block no longer shows that.
 	watchEvents(c, 1800*time.Millisecond, 20, wire.WatchEvent{Delete: keyJob + "wk-8", Revision: 20})
 	c.Handle(1900*time.Millisecond, GetJob{RequestID: 5, ID: "wk-8"})
 	c.Advance(1900 * time.Millisecond)
 	if out = completeBarrier(c, 2000*time.Millisecond); len(outputsOfType[ReadRange](out)) != 1 {
-		t.Errorf("an old block answered for its range: %+v", out)
+		t.Errorf("an outdated block answered for its range: %+v", out)
 	}
 }
 
-// A job that is queued may await one that ended and moved before this controller started.
-func TestAwaitedJobIsArchivedAtStart(t *testing.T) {
+// A queued job may depend on one that ended and was archived before this controller started.
+func TestDependencyArchivedBeforeStartIsResolved(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		c := newCoreWithArchive(t)
 		out := watchEvents(
@@ -185,9 +193,9 @@
 			11,
 			event(keyJob+"wk-2", `{"h":0,"s":{"tm":"t","n":1,"rc":[1000,0,1000],"aw":["wk-1"]}}`, 11),
 		)
-		j := c.knownJob("wk-2")
-		if j.unmetDependencies != 1 || j.isFinal() {
-			t.Fatal("it does not wait")
+		dependent := c.knownJob("wk-2")
+		if dependent.unmetDependencies != 1 || dependent.isFinal() {
+			t.Fatal("the job does not wait for its dependency")
 		}
 		answerRead(
 			t,
@@ -196,16 +204,17 @@
 			out,
 			archiveBlockPage(t, 9, 11, archive.Entry{ID: "wk-1", Cancelled: cancelled, CompletedTasks: 1}),
 		)
-		if !cancelled && (j.unmetDependencies != 0 || !j.placement.hasUnplacedTasks) ||
-			cancelled && (!j.isFinal() || j.cancelledBy.id != "wk-1") {
-			t.Errorf("cancelled %v: waits %d, final %v", cancelled, j.unmetDependencies, j.isFinal())
+		if !cancelled && (dependent.unmetDependencies != 0 || !dependent.placement.hasUnplacedTasks) ||
+			cancelled && (!dependent.isFinal() || dependent.cancelledBy.id != "wk-1") {
+			t.Errorf("dependency cancelled %v: %d unmet dependencies, final %v",
+				cancelled, dependent.unmetDependencies, dependent.isFinal())
 		}
 	}
 }
 
-// Jobs ended and moved while this controller did not follow the changes (410). They are unknown
-// until the archive is read: as its replica has them, they run.
-func TestJobMovedWhileChangesWereNotFollowed(t *testing.T) {
+// Jobs may end and be archived while the watch is interrupted (status 410). They are unknown until the
+// archive is read: in the replica they still run.
+func TestJobArchivedWhileWatchWasInterrupted(t *testing.T) {
 	c := newCoreWithArchive(t)
 	watchEvents(
 		c,
@@ -213,7 +222,8 @@
 		11,
 		event(
 			keyJob+"wk-2",
-			`{"h":0,"s":{"tm":"t","n":1,"rc":[1000,0,1000]},"a":[{"z":"a","s":1,"p":"m-1","m":[""],"n":[1],"r":[0,1,1]}]}`,
+			`{"h":0,"s":{"tm":"t","n":1,"rc":[1000,0,1000]},`+
+				`"a":[{"z":"a","s":1,"p":"m-1","m":[""],"n":[1],"r":[0,1,1]}]}`,
 			11,
 		),
 	)
@@ -238,25 +248,26 @@
 		completeBarrier(c, 1600*time.Millisecond),
 		archiveBlockPage(t, 15000, 20000, archive.Entry{ID: "wk-2", CompletedTasks: 1}),
 	)
-	r := outputsOfType[Response](out)
-	if len(r) != 1 || r[0].Status != wire.StatusOK || r[0].Body.(wire.JobState).Stage != wire.StageDone ||
+	responses := outputsOfType[Response](out)
+	if len(responses) != 1 || responses[0].Status != wire.StatusOK ||
+		responses[0].Body.(wire.JobState).Stage != wire.StageDone ||
 		len(c.internMachine("m-1").allocation.assignments) != 0 {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v", responses)
 	}
 }
 
-// A damaged block must not deny a job that it may hold, nor let it be accepted again; all else is served.
+// A corrupt block must not deny a job that it may hold, nor let it be accepted again; all else is served.
 func TestCorruptBlockAnswersForNothing(t *testing.T) {
 	c := newCoreWithArchive(t)
-	bad := archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2})
-	raw := slices.Clone(bad.Items[0].Value)
+	corrupt := archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2})
+	raw := slices.Clone(corrupt.Items[0].Value)
 	raw[len(raw)-8]++
-	bad.Items[0].Value = raw
+	corrupt.Items[0].Value = raw
 	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-7"})
 	c.Advance(1200 * time.Millisecond)
-	out := answerRead(t, c, 1400*time.Millisecond, completeBarrier(c, 1300*time.Millisecond), bad)
-	named := slices.ContainsFunc(outputsOfType[LogLine](out), func(n LogLine) bool {
-		return n.Level == LevelError && strings.Contains(fmt.Sprint(n.Args), archive.BlockKey(archive.MaxID))
+	out := answerRead(t, c, 1400*time.Millisecond, completeBarrier(c, 1300*time.Millisecond), corrupt)
+	logged := slices.ContainsFunc(outputsOfType[LogLine](out), func(line LogLine) bool {
+		return line.Level == LevelError && strings.Contains(fmt.Sprint(line.Args), archive.BlockKey(archive.MaxID))
 	})
 	c.Handle(1500*time.Millisecond, testSubmission("wk-8"))
 	out = append(out, c.Advance(1500*time.Millisecond)...)
@@ -265,8 +276,8 @@
 			t.Errorf("got %+v", r)
 		}
 	}
-	if len(outputsOfType[Response](out)) != 2 || !named || findAcceptTxn(out, "wk-8") != nil {
-		t.Errorf("named %v, got %+v", named, out)
+	if len(outputsOfType[Response](out)) != 2 || !logged || findAcceptTxn(out, "wk-8") != nil {
+		t.Errorf("block logged %v, got %+v", logged, out)
 	}
 	watchEvents(c, 1600*time.Millisecond, 11, event(keyJob+"wk-9", `{"h":0,"st":"d","d":[0,1]}`, 11))
 	c.Handle(1700*time.Millisecond, GetJob{RequestID: 3, ID: "wk-9"})
@@ -275,12 +286,12 @@
 	}
 }
 
-// A start keeps of a long history only the jobs that ended last: a million of them took more
-// memory than a controller has. The others are read when somebody asks.
+// At its start, a controller keeps only the jobs that ended last: a million ended jobs took more memory
+// than a controller has. The others are read on request.
 func TestStartKeepsLittleOfALongHistory(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(2*time.Second, WatchResult{LongPoll: true, Status: wire.StatusGone})
-	most := 0
+	maxInMemory := 0
 	for page := range 20 {
 		c.Advance(time.Duration(3+page) * time.Second)
 		in := SnapshotPage{OK: true, Status: wire.StatusOK, Revision: 50000, More: page < 19}
@@ -296,15 +307,15 @@
 			)
 		}
 		c.Handle(time.Duration(3+page)*time.Second, in)
-		most = max(most, len(c.jobIndex))
+		maxInMemory = max(maxInMemory, len(c.jobIndex))
 	}
 	h := &c.history
-	if most > 1000 || len(c.jobs) > 1000 || len(h.endedJobs)+h.coldRecords != 10000 {
-		t.Fatalf("%d jobs in memory at most, %d kept, %d cold", most, len(h.endedJobs), h.coldRecords)
+	if maxInMemory > 1000 || len(c.jobs) > 1000 || len(h.endedJobs)+h.coldRecords != 10000 {
+		t.Fatalf("%d jobs in memory at most, %d kept, %d cold", maxInMemory, len(h.endedJobs), h.coldRecords)
 	}
-	for _, j := range h.endedJobs {
-		if j.revision < 10000-uint64(c.maxEndedInMemory()) {
-			t.Fatalf("one that ended at %d is kept", j.revision)
+	for _, kept := range h.endedJobs {
+		if kept.revision < 10000-uint64(c.maxEndedInMemory()) {
+			t.Fatalf("a job that ended at revision %d is kept", kept.revision)
 		}
 	}
 	id := fmt.Sprintf("wk-%06d", 0)
@@ -312,7 +323,7 @@
 	c.Handle(40*time.Second, GetJob{RequestID: 1, ID: id})
 	c.Advance(40 * time.Second)
 	out := completeBarrier(c, 41*time.Second)
-	if s := outputsOfType[ReadRange](out); len(s) != 1 || s[0].Key != keyJob+id {
+	if reads := outputsOfType[ReadRange](out); len(reads) != 1 || reads[0].Key != keyJob+id {
 		t.Fatalf("got %+v", out)
 	}
 	out = answerRead(
@@ -328,16 +339,17 @@
 			},
 		},
 	)
-	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != wire.StatusOK || r[0].Body.(wire.JobState).Done != 5 {
+	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != wire.StatusOK ||
+		r[0].Body.(wire.JobState).Done != 5 {
 		t.Errorf("got %+v", r)
 	}
 }
 
-// A record is gone, as it moved a moment ago; the block in memory is older and the news of the move
-// is still on its way. Only a block read after that tells.
+// A record has just moved: it is absent from the store, the cached block is older than the move, and the
+// watch does not show it yet. Only a block read after that may answer.
 func TestRecordMovesBetweenTwoReads(t *testing.T) {
 	c := newCoreWithArchive(t)
-	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"}) // brings the block into memory
+	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"}) // caches the block
 	c.Advance(1200 * time.Millisecond)
 	answerRead(
 		t,
@@ -352,7 +364,7 @@
 	out := completeBarrier(c, 1800*time.Millisecond)
 	out = answerRead(t, c, 1900*time.Millisecond, out, RangeResult{Status: wire.StatusNotFound, Revision: 30})
 	if len(outputsOfType[Response](out)) != 0 {
-		t.Fatalf("answered from an older block: %+v", out)
+		t.Fatalf("answered from a block older than the move: %+v", out)
 	}
 	out = answerRead(
 		t,
@@ -366,93 +378,94 @@
 	}
 }
 
-// newSweepingCore is a leader with ended jobs enough to move some, that has read the first page of them.
-func newSweepingCore(t *testing.T, n int) (*Core, []Output, RangeResult) {
+// newSweepingCore returns a leader with so many ended jobs that it has started a sweep, its outputs with
+// the first read of the sweep, and the page that answers it.
+func newSweepingCore(t *testing.T, jobs int) (*Core, []Output, RangeResult) {
 	t.Helper()
 	c := newCoreWithArchive(t)
 	c.cfg.History.MaxEndedJobs = 2
-	log := []wire.WatchEvent{
+	events := []wire.WatchEvent{
 		event(keyLeader, string(c.leasedValue(1)), 11),
 		event(keyNode+"n0", string(c.leasedValue(0)), 11),
 	}
 	for _, name := range []string{"n0", "n1", "n2"} {
-		log = append(log, event(keySchemaVersion+name, fmt.Sprint(SchemaVersion), 11))
+		events = append(events, event(keySchemaVersion+name, fmt.Sprint(SchemaVersion), 11))
 	}
 	var page RangeResult
-	for i := range n {
-		e := event(fmt.Sprintf("%swk-%03d", keyJob, i), `{"h":0,"st":"d","d":[0,1]}`, uint64(12+i))
-		log = append(log, e)
-		page.Items = append(page.Items, wire.KeyValue{Key: e.Put, Value: e.Value, Revision: e.Revision})
+	for i := range jobs {
+		ended := event(fmt.Sprintf("%swk-%03d", keyJob, i), `{"h":0,"st":"d","d":[0,1]}`, uint64(12+i))
+		events = append(events, ended)
+		page.Items = append(page.Items, wire.KeyValue{Key: ended.Put, Value: ended.Value, Revision: ended.Revision})
 	}
-	page.Status, page.Revision = wire.StatusOK, uint64(12+n)
-	watchEvents(c, 1200*time.Millisecond, page.Revision, log...)
+	page.Status, page.Revision = wire.StatusOK, uint64(12+jobs)
+	watchEvents(c, 1200*time.Millisecond, page.Revision, events...)
 	c.Handle(4*time.Second, LeaseResult{Op: LeaseExtend, Status: wire.StatusOK, LeaseID: 7})
 	for at := 4 * time.Second; at < 10*time.Second; at += 50 * time.Millisecond {
 		if out := c.Advance(at); len(outputsOfType[ReadRange](out)) == 1 {
 			return c, out, page
 		}
 		c.ownLease.expiresAt, c.replica.barrierInFlight, c.replica.barrierWaiters = at+time.Minute, false, nil
-		for _, x := range c.transactions.inFlight {
-			x.onDone(wire.StatusOK, wire.TxnResponse{})
+		for _, pending := range c.transactions.inFlight {
+			pending.onDone(wire.StatusOK, wire.TxnResponse{})
 		}
 		clear(c.transactions.inFlight)
 	}
-	t.Fatal("no sweep begins")
+	t.Fatal("no sweep starts")
 	return nil, nil, page
 }
 
+// findArchiveTxn returns the transaction that writes a block; nil: there is none.
 func findArchiveTxn(out []Output) *CommitTxn {
-	for _, o := range outputsOfType[CommitTxn](out) {
-		if slices.ContainsFunc(
-			o.Txn.Then,
-			func(w wire.Write) bool { return strings.HasPrefix(w.Put, archive.BlockPrefix) },
-		) {
-			return &o
+	for _, commit := range outputsOfType[CommitTxn](out) {
+		if slices.ContainsFunc(commit.Txn.Then, func(w wire.Write) bool {
+			return strings.HasPrefix(w.Put, archive.BlockPrefix)
+		}) {
+			return &commit
 		}
 	}
 	return nil
 }
 
-// A move is one transaction on condition of the leadership, the block and every record, within its
-// limits; those that ended last stay. After an unknown outcome all is read again, and what was
-// executed late is found moved.
+// A move is one transaction, conditional on the leadership, the block and each record; the jobs that
+// ended last stay. After an unknown outcome all is read again, and a move that was executed late is not
+// repeated.
 func TestMoveIsOneTransaction(t *testing.T) {
 	c, out, page := newSweepingCore(t, 8)
 	at := c.now + 50*time.Millisecond
 	out = answerRead(t, c, at, out, page)
 	out = append(out, c.Advance(at+time.Second)...)
 	out = answerRead(t, c, at+2*time.Second, out, RangeResult{Status: wire.StatusOK, Revision: page.Revision})
-	x := findArchiveTxn(append(out, c.Advance(at+3*time.Second)...))
-	if x == nil {
-		t.Fatal("nothing moves")
+	move := findArchiveTxn(append(out, c.Advance(at+3*time.Second)...))
+	if move == nil {
+		t.Fatal("no record moves")
 	}
-	deletes := 0
-	for _, w := range x.Txn.Then {
-		if w.Delete == "" {
+	conditions, deletes := move.Txn.Compare, 0
+	for _, write := range move.Txn.Then {
+		if write.Delete == "" {
 			continue
 		}
 		deletes++
-		i := slices.IndexFunc(page.Items, func(it wire.KeyValue) bool { return it.Key == w.Delete })
-		if !slices.Contains(x.Txn.Compare, wire.Compare{Key: w.Delete, Revision: page.Items[i].Revision}) || i > 5 {
-			t.Errorf("%s moves without a condition, or too soon", w.Delete)
+		i := slices.IndexFunc(page.Items, func(item wire.KeyValue) bool { return item.Key == write.Delete })
+		if !slices.Contains(conditions, wire.Compare{Key: write.Delete, Revision: page.Items[i].Revision}) || i > 5 {
+			t.Errorf("%s moves without a condition, or too soon", write.Delete)
 		}
 	}
-	if deletes != 6 || len(x.Txn.Then) != 7 ||
-		!slices.Contains(x.Txn.Compare, wire.Compare{Key: keyLeader, Revision: 11}) ||
-		!slices.Contains(x.Txn.Compare, wire.Compare{Key: archive.BlockKey(archive.MaxID)}) {
-		t.Errorf("got %+v", x.Txn)
+	if deletes != 6 || len(move.Txn.Then) != 7 ||
+		!slices.Contains(conditions, wire.Compare{Key: keyLeader, Revision: 11}) ||
+		!slices.Contains(conditions, wire.Compare{Key: archive.BlockKey(archive.MaxID)}) {
+		t.Errorf("got %+v", move.Txn)
 	}
-	c.Handle(at+4*time.Second, TxnResult{ID: x.ID})
+	c.Handle(at+4*time.Second, TxnResult{ID: move.ID}) // unknown outcome
 	out = c.Advance(at + 6*time.Second)
-	s := outputsOfType[ReadRange](out)
-	if len(s) != 1 || s[0].Prefix != keyJob || s[0].AfterKey >= keyJob+"wk-000" {
+	reads := outputsOfType[ReadRange](out)
+	if len(reads) != 1 || reads[0].Prefix != keyJob || reads[0].AfterKey >= keyJob+"wk-000" {
 		t.Fatalf("after an unknown outcome: %+v", out)
 	}
-	page.Items = page.Items[6:]
-	c.Handle(at+6*time.Second, RangeResult{ID: s[0].ID, Status: wire.StatusOK, Revision: page.Revision + 1, Items: page.Items})
-	for d := range 10 {
-		if x := findArchiveTxn(c.Advance(at + 7*time.Second + time.Duration(d)*time.Second)); x != nil {
-			t.Fatalf("moved again: %+v", x.Txn)
+	page.ID, page.Revision, page.Items = reads[0].ID, page.Revision+1, page.Items[6:]
+	c.Handle(at+6*time.Second, page)
+	for i := range 10 {
+		if again := findArchiveTxn(c.Advance(at + time.Duration(7+i)*time.Second)); again != nil {
+			t.Fatalf("moved again: %+v", again.Txn)
 		}
 	}
 	if c.archiving.sweep != nil && len(c.archiving.sweep.pending) > 0 {
@@ -460,14 +473,14 @@
 	}
 }
 
-// All controllers start at once, with a long history: each read all keys at a fifth of the rate, and
-// nobody served for longer than a minute. The one that is furthest goes on, the others wait.
+// When all controllers started at once with a long history, each read all keys at a fifth of the rate, and
+// none served for longer than a minute. The one that has read most goes on, the others wait.
 func TestOneControllerReadsAheadOfTheOthers(t *testing.T) {
 	for pages, ahead := range map[int]bool{10: false, 30: true} {
 		c := New(testConfig(), 0, 1)
 		at := time.Second
 		c.Advance(at)
-		for p := range fastSnapshotPages {
+		for page := range fastSnapshotPages {
 			at += 100 * time.Millisecond
 			c.Handle(
 				at,
@@ -477,28 +490,28 @@
 					Revision: 9,
 					More:     true,
 					Items: []wire.KeyValue{
-						{Key: fmt.Sprintf("%swk-%d", keyJob, p), Value: json.RawMessage(`{"st":"d"}`), Revision: 5},
+						{Key: fmt.Sprintf("%swk-%d", keyJob, page), Value: json.RawMessage(`{"st":"d"}`), Revision: 5},
 					},
 				},
 			)
-			if p < fastSnapshotPages-1 && len(outputsOfType[LoadSnapshot](c.Advance(at))) != 1 {
-				t.Fatal("a short history is not read at once")
+			if page < fastSnapshotPages-1 && len(outputsOfType[LoadSnapshot](c.Advance(at))) != 1 {
+				t.Fatal("a short history is not read without waiting")
 			}
 		}
 		c.Handle(at, PeerMessage{Peer: "n1", Message: Message{Health: &Health{SnapshotPagesRead: pages}}})
 		at += 200 * time.Millisecond
 		if got := len(outputsOfType[LoadSnapshot](c.Advance(at))) == 0; got != ahead {
-			t.Errorf("another has read %d pages: waits %v", pages, got)
+			t.Errorf("another controller has read %d pages: this one waits %v", pages, got)
 		}
-		at += 2 * time.Second // it is not heard of any more
+		at += 2 * time.Second // no message from the other any more
 		c.Advance(at)
-		if c.replica.pageInFlight == false && len(outputsOfType[LoadSnapshot](c.Advance(at))) == 0 {
-			t.Error("it waits for ever")
+		if !c.replica.pageInFlight && len(outputsOfType[LoadSnapshot](c.Advance(at))) == 0 {
+			t.Error("it waits for a controller that is gone")
 		}
 	}
 }
 
-// A record that can't be read exists all the same: neither 404 nor a second acceptance.
+// A record that can't be decoded exists all the same: its job must not be answered with 404.
 func TestUnreadableRecordIsNotDenied(t *testing.T) {
 	c := newServingCore(t)
 	watchEvents(c, 1100*time.Millisecond, 10, event(keyJob+"wk-7", `{"st":5}`, 10))
@@ -515,16 +528,17 @@
 			Items:    []wire.KeyValue{{Key: keyJob + "wk-7", Value: json.RawMessage(`{"st":5}`), Revision: 10}},
 		},
 	)
-	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != wire.StatusUnavailable || r[0].RetryAfterSeconds == 0 {
+	if r := outputsOfType[Response](out); len(r) != 1 || r[0].Status != wire.StatusUnavailable ||
+		r[0].RetryAfterSeconds == 0 {
 		t.Errorf("got %+v", r)
 	}
 }
 
-// The block of a new job's range was read anew, for somebody else, between its submission and its write, and
-// holds it: on condition of that block, it would have been revived.
+// The block of a new job's range was read again, for another request, between the job's submission and its
+// write, and holds it: a write conditional on that block would have revived it.
 func TestBlockShowsAJobBetweenItsSubmissionAndItsWrite(t *testing.T) {
 	c := newCoreWithArchive(t)
-	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"}) // brings the block into memory
+	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"}) // caches the block
 	c.Advance(1200 * time.Millisecond)
 	answerRead(
 		t,
@@ -534,45 +548,46 @@
 		archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2}),
 	)
 	c.Handle(1500*time.Millisecond, testSubmission("wk-5"))
-	b := archive.EmptyBlock().Merge([]archive.Entry{{ID: "wk-5", CompletedTasks: 1}})
-	raw, err := b.Encode()
+	block := archive.EmptyBlock().Merge([]archive.Entry{{ID: "wk-5", CompletedTasks: 1}})
+	raw, err := block.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.history.archiveIndex.Put(b, raw, 12, 12)
+	c.history.archiveIndex.Put(block, raw, 12, 12)
 	out := append(c.Advance(1500*time.Millisecond), c.Advance(1600*time.Millisecond)...)
-	if r := outputsOfType[Response](out); findAcceptTxn(out, "wk-5") != nil || len(r) != 1 || r[0].Status != wire.StatusOK {
-		t.Errorf("written: %v, answered %+v", findAcceptTxn(out, "wk-5") != nil, r)
+	written, r := findAcceptTxn(out, "wk-5") != nil, outputsOfType[Response](out)
+	if written || len(r) != 1 || r[0].Status != wire.StatusOK {
+		t.Errorf("written: %v, answered %+v", written, r)
 	}
 }
 
-// A record read by its key that the stream of changes has not shown yet is not one of those that
-// were counted as cold. It was counted out, and the next accepted job that had left memory was
-// denied, as no record seemed to be left to look for.
+// A record that is read before the watch has shown it is not one of those counted as cold. When it was
+// counted out, the next job that had been evicted from memory was denied, as no cold record seemed left.
 func TestRecordAheadOfTheWatchIsNotCountedAsCold(t *testing.T) {
-	const over = `{"h":0,"st":"c"}`
-	old, fresh := event(keyJob+"wk-000001", over, 4), event(keyJob+"wk-000002", over, 9)
+	const cancelled = `{"h":0,"st":"c"}`
+	old, fresh := event(keyJob+"wk-000001", cancelled, 4), event(keyJob+"wk-000002", cancelled, 9)
 	c := newServingCore(t)
-	c.history.coldRecords = 1 // wk-000001, which left memory
+	c.history.coldRecords = 1 // wk-000001, which was evicted from memory
 	now, shown := 1100*time.Millisecond, uint64(0)
-	// asks polls a job, and answers reads of records as they are, and reads of changes up to shown.
-	asks := func(id string) (replies []Response) {
+	// poll requests a job's state. It answers reads of records as they are, and read barriers up to shown.
+	poll := func(id string) (responses []Response) {
 		c.Handle(now, GetJob{RequestID: 1, ID: id})
 		for range 12 {
 			now += 50 * time.Millisecond
 			out := c.Advance(now)
-			replies = append(replies, outputsOfType[Response](out)...)
-			for _, s := range outputsOfType[ReadRange](out) {
-				in := RangeResult{ID: s.ID, Status: wire.StatusNotFound, Revision: 9}
-				for _, e := range []wire.WatchEvent{old, fresh} {
-					if e.Put == s.Key {
-						in.Status, in.Items = wire.StatusOK, []wire.KeyValue{{Key: e.Put, Value: e.Value, Revision: e.Revision}}
+			responses = append(responses, outputsOfType[Response](out)...)
+			for _, read := range outputsOfType[ReadRange](out) {
+				in := RangeResult{ID: read.ID, Status: wire.StatusNotFound, Revision: 9}
+				for _, record := range []wire.WatchEvent{old, fresh} {
+					if record.Put == read.Key {
+						item := wire.KeyValue{Key: record.Put, Value: record.Value, Revision: record.Revision}
+						in.Status, in.Items = wire.StatusOK, []wire.KeyValue{item}
 					}
 				}
 				c.Handle(now, in)
 			}
-			for _, x := range outputsOfType[Watch](out) {
-				if x.LongPoll {
+			for _, watch := range outputsOfType[Watch](out) {
+				if watch.LongPoll {
 					continue
 				}
 				in := WatchResult{Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: 6}}
@@ -580,13 +595,13 @@
 					in.Changes = wire.WatchResponse{Revision: shown, Events: []wire.WatchEvent{fresh}}
 				}
 				c.Handle(now, in)
-				shown = 9 // wk-000002 is accepted and cancelled between the read of changes and that of its record
+				shown = 9 // wk-000002 is accepted and cancelled between the barrier and the read of its record
 			}
 		}
-		return replies
+		return responses
 	}
 	for _, id := range []string{"wk-000002", "wk-000001"} {
-		if r := asks(id); len(r) != 1 || r[0].Status != wire.StatusOK ||
+		if r := poll(id); len(r) != 1 || r[0].Status != wire.StatusOK ||
 			r[0].Body.(wire.JobState).Stage != wire.StageCancelled {
 			t.Errorf("%s, accepted and cancelled: got %+v", id, r)
 		}
