--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -14,141 +14,170 @@
 	"pgregory.net/rapid"
 )
 
+// drawEntry draws an ended job.
 func drawEntry(t *rapid.T) Entry {
-	e := Entry{
-		ID: rapid.StringMatching(`wk-[0-9a-zA-Z_-]{1,12}`).
-			Draw(t, "id"),
+	entry := Entry{
+		ID:             rapid.StringMatching(`wk-[0-9a-zA-Z_-]{1,12}`).Draw(t, "id"),
 		Cancelled:      rapid.Bool().Draw(t, "cancelled"),
 		CompletedTasks: rapid.IntRange(0, 100_000).Draw(t, "done"),
 	}
-	if e.Cancelled && rapid.Bool().Draw(t, "by") {
-		e.CancelledByJob = "wk-1"
+	if entry.Cancelled && rapid.Bool().Draw(t, "by") {
+		entry.CancelledByJob = "wk-1"
 	}
 	if rapid.Bool().Draw(t, "group") {
-		e.Team, e.Class = rapid.SampledFrom([]string{"t", "u"}).
-			Draw(t, "team"),
-			rapid.SampledFrom([]string{"c", "d"}).
-				Draw(t, "class")
+		entry.Team = rapid.SampledFrom([]string{"t", "u"}).Draw(t, "team")
+		entry.Class = rapid.SampledFrom([]string{"c", "d"}).Draw(t, "class")
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "reasons") {
-		e.StopReasons = append(
-			e.StopReasons,
-			StopReason{
-				Task:    rapid.IntRange(0, 99).Draw(t, "task"),
-				Machine: "m-1",
-				Cause:   "idle",
-				AtMS:    rapid.Int64().Draw(t, "at"),
-			},
-		)
-	}
-	return e
+		entry.StopReasons = append(entry.StopReasons, StopReason{
+			Task:    rapid.IntRange(0, 99).Draw(t, "task"),
+			Machine: "m-1",
+			Cause:   "idle",
+			AtMS:    rapid.Int64().Draw(t, "at"),
+		})
+	}
+	return entry
+}
+
+// sortedByID sorts entries as PlanMerge expects them.
+func sortedByID(entries []Entry) []Entry {
+	slices.SortFunc(entries, func(a, b Entry) int { return strings.Compare(a.ID, b.ID) })
+	return entries
+}
+
+// withoutRepeats drops entries with the ID of the one before.
+func withoutRepeats(entries []Entry) []Entry {
+	return slices.CompactFunc(entries, func(a, b Entry) bool { return a.ID == b.ID })
 }
 
-func sortedByID(es []Entry) []Entry {
-	slices.SortFunc(es, func(a, b Entry) int { return strings.Compare(a.ID, b.ID) })
-	return es
+// testArchive is an archive in a store with ordered keys, and what it should hold.
+type testArchive struct {
+	stored   map[string]json.RawMessage
+	want     map[string]Entry
+	maxBytes int
+	maxOps   int
 }
 
-// Whatever moves in whatever groups, under limits that fall meanwhile: each job is found by the
-// one read that the state service's order of keys allows, as it was, and nobody else is; no
-// transaction is larger than allowed; the blocks' ranges cover all ids without overlap.
+// blockFor finds the block for an ID by one read: it is that of the first key after the ID's.
+func (a *testArchive) blockFor(t *rapid.T, id string) *Block {
+	t.Helper()
+	first := ""
+	for key := range a.stored {
+		if key > SeekKey(id) && (first == "" || key < first) {
+			first = key
+		}
+	}
+	if first == "" {
+		return EmptyBlock()
+	}
+	block, err := Decode(a.stored[first])
+	if err != nil || BlockKey(block.High) != first || !block.Covers(id) {
+		t.Fatalf("the read for %s leads to %s: %v", id, first, err)
+	}
+	return block
+}
+
+// drawGroup draws new entries, sorted by ID.
+func (a *testArchive) drawGroup(t *rapid.T) (group []Entry) {
+	for range rapid.IntRange(1, 40).Draw(t, "size") {
+		entry := drawEntry(t)
+		if _, ok := a.want[entry.ID]; !ok {
+			group = append(group, entry)
+		}
+	}
+	return withoutRepeats(sortedByID(group))
+}
+
+// move archives a group of entries. Those for a block that can't be split under the limits stay out.
+func (a *testArchive) move(t *rapid.T, group []Entry) {
+	t.Helper()
+	for attempts := 0; len(group) > 0; attempts++ {
+		block := a.blockFor(t, group[0].ID)
+		count := slices.IndexFunc(group, func(e Entry) bool { return !block.Covers(e.ID) })
+		if count < 0 {
+			count = len(group)
+		}
+		blocks, moved, err := block.PlanMerge(group[:count], a.maxBytes, a.maxOps)
+		if errors.Is(err, ErrTooManyBlocks) { // a block of the larger limits
+			group = group[count:]
+			continue
+		}
+		if err != nil || len(blocks) == 0 || len(blocks)+moved > a.maxOps || attempts > 200 {
+			t.Fatalf("%d blocks for %d of %d entries: %v", len(blocks), moved, count, err)
+		}
+		a.store(t, block, blocks)
+		for _, entry := range group[:moved] {
+			a.want[entry.ID] = entry
+		}
+		group = group[moved:]
+	}
+}
+
+// store replaces a block by others, which must cover its range without gap or overlap.
+func (a *testArchive) store(t *rapid.T, replaced *Block, blocks []EncodedBlock) {
+	t.Helper()
+	low := replaced.Low
+	for _, block := range blocks {
+		if block.Low != low || len(block.Value) > a.maxBytes {
+			t.Fatalf("a block from %q after %q, %d bytes", block.Low, low, len(block.Value))
+		}
+		low = block.High
+		a.stored[BlockKey(block.High)] = block.Value
+	}
+	if low != replaced.High {
+		t.Fatalf("the blocks end at %q, not at %q", low, replaced.High)
+	}
+}
+
+// However jobs are grouped into moves, under limits that fall meanwhile: each archived job is found as it
+// was, by one read, and no other is; no transaction exceeds the limits; the ranges of the blocks cover
+// all IDs without overlap.
 func TestEveryArchivedJobIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := map[string]json.RawMessage{}
-		truth := map[string]Entry{}
-		at := func(id string) *Block { // the first key behind the id's
-			best := ""
-			for k := range store {
-				if k > SeekKey(id) && (best == "" || k < best) {
-					best = k
-				}
-			}
-			if best == "" {
-				return EmptyBlock()
-			}
-			b, err := Decode(store[best])
-			if err != nil || BlockKey(b.High) != best || !b.Covers(id) {
-				t.Fatalf("%s led to %s: %v", id, best, err)
-			}
-			return b
+		archive := &testArchive{
+			stored:   map[string]json.RawMessage{},
+			want:     map[string]Entry{},
+			maxBytes: 700,
+			maxOps:   12,
 		}
-		most, ops := 700, 12
 		for range rapid.IntRange(1, 12).Draw(t, "groups") {
 			if rapid.IntRange(0, 5).Draw(t, "fall") == 0 {
-				most, ops = max(400, most-100), max(2, ops-3)
-			}
-			var group []Entry
-			for range rapid.IntRange(1, 40).Draw(t, "size") {
-				e := drawEntry(t)
-				if _, ok := truth[e.ID]; !ok {
-					group = append(group, e)
-				}
-			}
-			group = slices.CompactFunc(sortedByID(group), func(a, b Entry) bool { return a.ID == b.ID })
-			for stuck := 0; len(group) > 0; stuck++ {
-				b := at(group[0].ID)
-				n := slices.IndexFunc(group, func(e Entry) bool { return !b.Covers(e.ID) })
-				if n < 0 {
-					n = len(group)
-				}
-				pieces, k, err := b.PlanMerge(group[:n], most, ops)
-				if errors.Is(err, ErrTooManyBlocks) { // a block of the larger limits; what would go there stays
-					group = group[n:]
-					continue
-				}
-				if err != nil || len(pieces) == 0 || len(pieces)+k > ops || stuck > 200 {
-					t.Fatalf("%d pieces for %d of %d: %v", len(pieces), k, n, err)
-				}
-				low := b.Low
-				for _, p := range pieces {
-					if p.Low != low || len(p.Value) > most {
-						t.Fatalf("a piece from %q after %q, %d bytes", p.Low, low, len(p.Value))
-					}
-					low = p.High
-					store[BlockKey(p.High)] = p.Value
-				}
-				if low != b.High {
-					t.Fatalf("pieces end at %q, not at %q", low, b.High)
-				}
-				for _, e := range group[:k] {
-					truth[e.ID] = e
-				}
-				group = group[k:]
+				archive.maxBytes, archive.maxOps = max(400, archive.maxBytes-100), max(2, archive.maxOps-3)
 			}
+			archive.move(t, archive.drawGroup(t))
 		}
-		for id, want := range truth {
-			if got, ok := at(id).Find(id); !ok || !reflect.DeepEqual(got, want) {
+		for id, want := range archive.want {
+			if got, ok := archive.blockFor(t, id).Find(id); !ok || !reflect.DeepEqual(got, want) {
 				t.Fatalf("%s: %v %+v, want %+v", id, ok, got, want)
 			}
 		}
 		other := drawEntry(t).ID
-		if _, ok := truth[other]; !ok {
-			if _, found := at(other).Find(other); found {
+		if _, ok := archive.want[other]; !ok {
+			if _, found := archive.blockFor(t, other).Find(other); found {
 				t.Fatalf("%s is found", other)
 			}
 		}
 	})
 }
 
-// A move that is made twice changes nothing, and an end that is there stays as it was.
+// A repeated move changes nothing, and an archived entry stays as it was.
 func TestMergeIsIdempotent(t *testing.T) {
-	b := EmptyBlock().Merge([]Entry{{ID: "wk-1", CompletedTasks: 1}, {ID: "wk-3", CompletedTasks: 3}})
-	again := b.Merge(
+	block := EmptyBlock().Merge([]Entry{{ID: "wk-1", CompletedTasks: 1}, {ID: "wk-3", CompletedTasks: 3}})
+	again := block.Merge(
 		[]Entry{{ID: "wk-1", CompletedTasks: 9}, {ID: "wk-2", CompletedTasks: 2}, {ID: "wk-3", CompletedTasks: 9}},
 	)
 	want := []Entry{{ID: "wk-1", CompletedTasks: 1}, {ID: "wk-2", CompletedTasks: 2}, {ID: "wk-3", CompletedTasks: 3}}
-	if !reflect.DeepEqual(again.Entries, want) || len(b.Entries) != 2 {
+	if !reflect.DeepEqual(again.Entries, want) || len(block.Entries) != 2 {
 		t.Errorf("got %+v", again.Entries)
 	}
 }
 
-// Any flipped bit of a stored block is an error, and never another answer.
+// A flipped bit of a stored block is an error or harmless, and never changes what it holds.
 func TestEveryFlippedBitIsDetected(t *testing.T) {
 	raw, err := EmptyBlock().Merge([]Entry{
 		{ID: "wk-1", CompletedTasks: 1},
 		{ID: "wk-3", Cancelled: true, StopReasons: []StopReason{{Cause: "idle"}}},
-	}).
-		Encode()
+	}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,63 +186,66 @@
 		t.Fatal(err)
 	}
 	for i := range len(raw) * 8 {
-		bad := bytes.Clone(raw)
-		bad[i/8] ^= 1 << (i % 8)
-		if b, err := Decode(bad); err == nil && !reflect.DeepEqual(b, want) ||
+		damaged := bytes.Clone(raw)
+		damaged[i/8] ^= 1 << (i % 8)
+		if got, err := Decode(damaged); err == nil && !reflect.DeepEqual(got, want) ||
 			err != nil && !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("bit %d: %+v %v", i, b, err)
+			t.Fatalf("bit %d: %+v %v", i, got, err)
 		}
 	}
 }
 
-// The index stays within its bytes, and gives no block that something moved into.
+// The cache stays within its bytes, and returns no block that a job moved into after it was read.
 func TestBlockCacheIsExactAndBounded(t *testing.T) {
-	x := NewBlockCache(3 * (blockOverheadBytes + 10))
-	put := func(low, high string, mark uint64) {
-		x.Put(&Block{Low: low, High: high}, json.RawMessage("          "), mark, mark)
+	cache := NewBlockCache(3 * (blockOverheadBytes + 10))
+	put := func(low, high string, revision uint64) {
+		cache.Put(&Block{Low: low, High: high}, json.RawMessage("          "), revision, revision)
+	}
+	has := func(id string) bool {
+		_, _, err := cache.Lookup(id, 0)
+		return err != nil // the cached value is no block, so that a lookup which finds it fails
 	}
-	has := func(id string) bool { _, _, err := x.Lookup(id, 0); return err != nil } // such a value is no block
 	put("", "wk-3", 5)
 	put("wk-3", "wk-6", 6)
 	put("wk-6", MaxID, 7)
-	if !has("wk-2") || !has("wk-3") || !has("wk-9") || x.Blocks() != 3 {
+	if !has("wk-2") || !has("wk-3") || !has("wk-9") || cache.Blocks() != 3 {
 		t.Fatal("a block is missing")
 	}
-	x.InvalidateOlder("wk-4", 6) // that it showed already
-	x.InvalidateOlder("wk-7", 8)
+	cache.InvalidateOlder("wk-4", 6) // which the block shows already
+	cache.InvalidateOlder("wk-7", 8)
 	if !has("wk-4") || has("wk-7") {
-		t.Error("a move is not told apart")
+		t.Error("a move after the read does not invalidate, or one before it does")
 	}
-	put("wk-6", "wk-8", 9) // it was split
+	put("wk-6", "wk-8", 9) // a split
 	put("wk-8", MaxID, 9)
-	if x.Blocks() != 3 || has("wk-2") || x.Bytes() > 3*(blockOverheadBytes+10) {
-		t.Errorf("%d blocks, %d bytes", x.Blocks(), x.Bytes())
+	if cache.Blocks() != 3 || has("wk-2") || cache.Bytes() > 3*(blockOverheadBytes+10) {
+		t.Errorf("%d blocks, %d bytes", cache.Blocks(), cache.Bytes())
 	}
-	x.Invalidate(BlockKey("wk-6"))
-	put("wk-1", MaxID, 10) // covers what the others did
-	if x.Blocks() != 1 || has("wk-0") || !has("wk-7") {
+	cache.Invalidate(BlockKey("wk-6"))
+	put("wk-1", MaxID, 10) // covers the ranges of others
+	if cache.Blocks() != 1 || has("wk-0") || !has("wk-7") {
 		t.Error("ranges overlap")
 	}
 }
 
-// A block is decoded once while it is among the few asked for last, and never older than it was put.
+// The few blocks that were decoded last are not decoded again, and a newer one replaces them.
 func TestFewBlocksStayDecoded(t *testing.T) {
-	x := NewBlockCache(1 << 20)
-	put := func(i, done int, mark uint64) {
+	cache := NewBlockCache(1 << 20)
+	put := func(i, completedTasks int, revision uint64) {
 		id := fmt.Sprintf("wk-%d", i)
-		b := &Block{Low: id, High: id + "~", Entries: []Entry{{ID: id, CompletedTasks: done}}}
-		raw, err := b.Encode()
+		block := &Block{Low: id, High: id + "~", Entries: []Entry{{ID: id, CompletedTasks: completedTasks}}}
+		raw, err := block.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.Put(b, raw, mark, mark)
+		cache.Put(block, raw, revision, revision)
 	}
 	get := func(i int) *Block {
-		b, _, err := x.Lookup(fmt.Sprintf("wk-%d", i), 0)
-		if b == nil || err != nil {
+		block, _, err := cache.Lookup(fmt.Sprintf("wk-%d", i), 0)
+		if block == nil || err != nil {
 			t.Fatal(i, err)
 		}
-		return b
+		return block
 	}
 	for i := range 8 {
 		put(i, 1, uint64(i+1))
@@ -225,31 +257,34 @@
 	for i := range 8 {
 		get(i)
 	}
-	if len(x.decoded) != maxDecodedBlocks || get(0) == first {
-		t.Errorf("%d blocks stay decoded", len(x.decoded))
+	if len(cache.decoded) != maxDecodedBlocks || get(0) == first {
+		t.Errorf("%d blocks stay decoded", len(cache.decoded))
 	}
 	put(0, 2, 20)
-	if e, _ := get(0).Find("wk-0"); e.CompletedTasks != 2 || len(x.decoded) > maxDecodedBlocks {
-		t.Errorf("%+v, %d decoded", e, len(x.decoded))
+	if e, _ := get(0).Find("wk-0"); e.CompletedTasks != 2 || len(cache.decoded) > maxDecodedBlocks {
+		t.Errorf("%+v, %d decoded", e, len(cache.decoded))
 	}
-	x.InvalidateOlder("wk-0", 30)
-	x.Invalidate(BlockKey("wk-1~"))
-	x.Clear()
-	if b, _, _ := x.Lookup("wk-0", 0); b != nil || len(x.decoded) != 0 {
-		t.Error("what was forgotten is there")
+	cache.InvalidateOlder("wk-0", 30)
+	cache.Invalidate(BlockKey("wk-1~"))
+	cache.Clear()
+	if block, _, _ := cache.Lookup("wk-0", 0); block != nil || len(cache.decoded) != 0 {
+		t.Error("a cleared block is still cached")
 	}
 }
 
+// FuzzDecode checks that whatever is decoded is encoded and decoded to the same.
 func FuzzDecode(f *testing.F) {
-	for n := range 4 {
-		var es []Entry
-		for i := range n {
-			es = append(
-				es,
-				Entry{ID: fmt.Sprintf("wk-%d", i), CompletedTasks: i, Cancelled: i%2 == 0, CancelledByJob: "wk-x"},
-			)
+	for count := range 4 {
+		var entries []Entry
+		for i := range count {
+			entries = append(entries, Entry{
+				ID:             fmt.Sprintf("wk-%d", i),
+				CompletedTasks: i,
+				Cancelled:      i%2 == 0,
+				CancelledByJob: "wk-x",
+			})
 		}
-		raw, err := EmptyBlock().Merge(es).Encode()
+		raw, err := EmptyBlock().Merge(entries).Encode()
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -257,43 +292,42 @@
 	}
 	f.Add([]byte(`{"x":"17241709254077376921","z":""}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		b, err := Decode(raw)
+		block, err := Decode(raw)
 		if err != nil {
 			return
 		}
-		again, err := b.Encode()
+		encoded, err := block.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := Decode(again)
-		if err != nil || !reflect.DeepEqual(b, c) {
-			t.Fatalf("%+v became %+v (%v)", b, c, err)
+		again, err := Decode(encoded)
+		if err != nil || !reflect.DeepEqual(block, again) {
+			t.Fatalf("%+v became %+v (%v)", block, again, err)
 		}
 	})
 }
 
-// BenchmarkTake moves a group into a block of the usual size, and reports what a job takes there.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkPlanMerge merges a group into a block of the usual size, and reports the bytes that a job takes.
+func BenchmarkPlanMerge(b *testing.B) {
+	const maxBytes = 8192
 	rng := rand.New(rand.NewPCG(1, 2))
 	block := EmptyBlock()
 	var raw json.RawMessage
 	for {
 		var group []Entry
 		for range 50 {
-			group = append(
-				group,
-				Entry{ID: fmt.Sprintf("wk-%06d", rng.IntN(1_000_000)), CompletedTasks: 1 + rng.IntN(90)},
-			)
+			id := fmt.Sprintf("wk-%06d", rng.IntN(1_000_000))
+			group = append(group, Entry{ID: id, CompletedTasks: 1 + rng.IntN(90)})
 		}
-		next := block.Merge(slices.CompactFunc(sortedByID(group), func(a, b Entry) bool { return a.ID == b.ID }))
-		enc, err := next.Encode()
+		next := block.Merge(withoutRepeats(sortedByID(group)))
+		encoded, err := next.Encode()
 		if err != nil {
 			b.Fatal(err)
 		}
-		if len(enc) > 8192 {
+		if len(encoded) > maxBytes {
 			break
 		}
-		block, raw = next, enc
+		block, raw = next, encoded
 	}
 	group := sortedByID(
 		[]Entry{{ID: "wk-x1", CompletedTasks: 4}, {ID: "wk-x2", CompletedTasks: 5}, {ID: "wk-x3", CompletedTasks: 6}},
@@ -303,7 +337,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, _, err := old.PlanMerge(group, 8192, 12); err != nil {
+		if _, _, err := old.PlanMerge(group, maxBytes, 12); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/archive/block.go
+++ b/archive/block.go
@@ -1,10 +1,10 @@
-// Package archive holds the ends of jobs that are over, in compact blocks sorted by job id. It
-// decides how blocks are encoded, found, filled and split; it does no I/O: the core reads and
-// writes them.
+// Package archive stores ended jobs in compact blocks, sorted by job ID. It decides how blocks are
+// encoded, found, filled and split, and owns the cache of blocks. It does no I/O: package core reads
+// and writes the blocks.
 //
-// The state service keeps keys in order. A block's key is the first id behind its range, so
-// that the first key behind an id names the block that would hold it: one read finds a job, and
-// nothing about it need be kept in memory.
+// The key-value store keeps its keys in order. A block's key is the first ID after its range, so that
+// the first key after an ID is that of the block for it: one read finds a job, without any index in
+// memory.
 package archive
 
 import (
@@ -22,28 +22,28 @@
 )
 
 const (
-	// Prefix begins the keys of all blocks. No controller follows it by watch.
+	// BlockPrefix is the prefix of the keys of all blocks. No controller watches it.
 	BlockPrefix = "da/b/"
-	// Top ends the range of the last block: it is behind all job ids.
+	// MaxID is the end of the last block's range: it is after all job IDs.
 	MaxID = "~"
 
-	maxExpandedBytes = 4 << 20 // bytes, of a block
+	maxExpandedBytes = 4 << 20 // of a block's message once it is decompressed
 )
 
-// ErrTooManyBlocks tells that a block, written under larger limits, would take more pieces than a
-// transaction has changes. It stays as it is, readable.
-var ErrTooManyBlocks = errors.New("block takes more pieces than a transaction has changes")
+// ErrTooManyBlocks is returned if a block that was written under larger limits would be split into more
+// blocks than a transaction may write. It stays as it is, and can be read.
+var ErrTooManyBlocks = errors.New("split of block exceeds the writes of a transaction")
 
-// ErrCorrupt tells that a value is not a block.
+// ErrCorrupt is wrapped by the errors of decoding: a value is not what was encoded.
 var ErrCorrupt = errors.New("corrupt block")
 
-// BlockKey is the key of the block whose range ends at high.
+// BlockKey is the key of the block whose range ends before high.
 func BlockKey(high string) string { return BlockPrefix + high }
 
-// SeekKey is the key from which a listing begins so that its first row is the block of an id.
+// SeekKey is the key after which a range read begins, so that its first item is the block for an ID.
 func SeekKey(id string) string { return BlockPrefix + id }
 
-// StopReason tells why a task of a job stopped. Times are of day, in ms.
+// StopReason is why a task of a job was stopped, and when (Unix time in ms).
 type StopReason struct {
 	Task    int
 	Machine string
@@ -51,30 +51,30 @@
 	AtMS    int64
 }
 
-// Entry is the end of a job.
+// Entry is an ended job.
 type Entry struct {
 	ID             string
 	Cancelled      bool
-	CompletedTasks int    // tasks completed
-	CancelledByJob string // the cancelled job because of which it was cancelled
+	CompletedTasks int
+	CancelledByJob string // the cancelled job that it depended on; "": it was cancelled itself, or not at all
 	StopReasons    []StopReason
-	Team           string // "" and "": not known
+	Team           string // Team and Class are both empty if not known
 	Class          string
 }
 
-// Block holds the ends of all archived jobs whose ids lie in [Low, High), in their order.
+// Block holds all archived jobs with IDs in [Low, High), in the order of their IDs.
 type Block struct {
 	Low, High string
 	Entries   []Entry
 }
 
-// EmptyBlock is the block of an archive that holds nothing.
+// EmptyBlock returns the block of an empty archive: its range covers all IDs.
 func EmptyBlock() *Block { return &Block{High: MaxID} }
 
-// Covers reports whether an id lies in the block's range.
+// Covers reports whether an ID is in the block's range.
 func (b *Block) Covers(id string) bool { return b.Low <= id && id < b.High }
 
-// Find returns the end of a job.
+// Find returns the entry of a job.
 func (b *Block) Find(id string) (Entry, bool) {
 	i, ok := slices.BinarySearchFunc(b.Entries, id, func(e Entry, id string) int { return strings.Compare(e.ID, id) })
 	if !ok {
@@ -83,108 +83,131 @@
 	return b.Entries[i], true
 }
 
-// Merge returns a block with entries added that lie in its range, sorted by id. One that is there
-// already stays as it is: an end never changes.
-func (b *Block) Merge(add []Entry) *Block {
-	out := &Block{Low: b.Low, High: b.High, Entries: make([]Entry, 0, len(b.Entries)+len(add))}
+// Merge returns a block with entries added, which are sorted by ID and in its range. An entry that the
+// block has already stays as it is: an ended job never changes.
+func (b *Block) Merge(added []Entry) *Block {
+	merged := &Block{Low: b.Low, High: b.High, Entries: make([]Entry, 0, len(b.Entries)+len(added))}
 	old := b.Entries
-	for _, e := range add {
-		for len(old) > 0 && old[0].ID < e.ID {
-			out.Entries = append(out.Entries, old[0])
+	for _, entry := range added {
+		for len(old) > 0 && old[0].ID < entry.ID {
+			merged.Entries = append(merged.Entries, old[0])
 			old = old[1:]
 		}
-		if len(old) == 0 || old[0].ID != e.ID {
-			out.Entries = append(out.Entries, e)
+		if len(old) == 0 || old[0].ID != entry.ID {
+			merged.Entries = append(merged.Entries, entry)
 		}
 	}
-	out.Entries = append(out.Entries, old...)
-	return out
+	merged.Entries = append(merged.Entries, old...)
+	return merged
 }
 
-// splitInHalf splits a block of two entries at least in the middle.
+// splitInHalf splits a block of at least two entries in the middle.
 func (b *Block) splitInHalf() (lower, upper *Block) {
-	n := len(b.Entries) / 2
-	at := b.Entries[n].ID
-	return &Block{Low: b.Low, High: at, Entries: b.Entries[:n]}, &Block{Low: at, High: b.High, Entries: b.Entries[n:]}
+	half := len(b.Entries) / 2
+	middle := b.Entries[half].ID
+	return &Block{Low: b.Low, High: middle, Entries: b.Entries[:half]},
+		&Block{Low: middle, High: b.High, Entries: b.Entries[half:]}
 }
 
-// EncodedBlock is a block as it is written.
+// EncodedBlock is a block with its stored value.
 type EncodedBlock struct {
 	*Block
 	Value json.RawMessage
 }
 
-// EncodeToFit encodes a block in as few pieces as fit values of at most so many bytes, in order of their
-// ranges; the last keeps the block's key. One entry that does not fit alone is an error.
-func (b *Block) EncodeToFit(most int) ([]EncodedBlock, error) {
+// EncodeToFit encodes a block, split into as many as it takes for values of at most maxBytes. They are
+// in the order of their ranges; the last one keeps the block's key. A single entry that does not fit is
+// an error.
+func (b *Block) EncodeToFit(maxBytes int) ([]EncodedBlock, error) {
 	raw, err := b.Encode()
 	if err != nil {
 		return nil, err
 	}
-	if len(raw) <= most {
+	if len(raw) <= maxBytes {
 		return []EncodedBlock{{b, raw}}, nil
 	}
 	if len(b.Entries) < 2 {
-		return nil, fmt.Errorf("a block of %d entries takes %d bytes, %d are allowed", len(b.Entries), len(raw), most)
+		return nil, fmt.Errorf("block of %d entries takes %d bytes, %d are allowed", len(b.Entries), len(raw), maxBytes)
 	}
+	return b.encodeHalves(maxBytes)
+}
+
+// encodeHalves splits a block of at least two entries, and encodes both halves.
+func (b *Block) encodeHalves(maxBytes int) ([]EncodedBlock, error) {
 	lower, upper := b.splitInHalf()
-	ps, err := lower.EncodeToFit(most)
+	blocks, err := lower.EncodeToFit(maxBytes)
 	if err != nil {
 		return nil, err
 	}
-	more, err := upper.EncodeToFit(most)
-	return append(ps, more...), err
+	more, err := upper.EncodeToFit(maxBytes)
+	return append(blocks, more...), err
 }
 
-// storedValue is a block as the state service holds it.
+// storedValue is a block as the key-value store holds it.
 type storedValue struct {
 	Digest uint64 `json:"x,string"` // xxHash64 of Data
 	Data   []byte `json:"z"`        // a message, compressed
 }
 
-// Encode renders a block.
+// Encode encodes a block as a stored value. IDs are stored by what they share with the one before, and
+// the other fields in columns, which compress well.
 func (b *Block) Encode() (json.RawMessage, error) {
-	m := pb.Block{Low: b.Low, High: b.High}
-	last, lastCancelled := "", 0
-	groups := map[[2]string]uint32{}
+	message := pb.Block{Low: b.Low, High: b.High}
+	lastID, lastCancelled := "", 0
+	groupNumbers := map[[2]string]uint32{} // by team and class; from 1
 	for i := range b.Entries {
-		e := &b.Entries[i]
-		n := 0
-		for n < min(len(e.ID), len(last)) && e.ID[n] == last[n] {
-			n++
-		}
-		last = e.ID
-		m.Shared = append(m.Shared, uint32(n))
-		m.Rest = append(m.Rest, uint32(len(e.ID)-n))
-		m.Tails = append(m.Tails, e.ID[n:]...)
-		m.Done = append(m.Done, uint32(e.CompletedTasks))
-		if e.Cancelled {
-			m.Cancelled = append(m.Cancelled, uint32(i-lastCancelled))
+		entry := &b.Entries[i]
+		shared := commonPrefix(entry.ID, lastID)
+		lastID = entry.ID
+		message.Shared = append(message.Shared, uint32(shared))
+		message.Rest = append(message.Rest, uint32(len(entry.ID)-shared))
+		message.Tails = append(message.Tails, entry.ID[shared:]...)
+		message.Done = append(message.Done, uint32(entry.CompletedTasks))
+		if entry.Cancelled {
+			message.Cancelled = append(message.Cancelled, uint32(i-lastCancelled))
 			lastCancelled = i
 		}
-		if g := [2]string{e.Team, e.Class}; g != [2]string{} {
-			if groups[g] == 0 {
-				m.Groups = append(m.Groups, &pb.Group{Team: e.Team, Class: e.Class})
-				groups[g] = uint32(len(m.Groups))
+		if group := [2]string{entry.Team, entry.Class}; group != [2]string{} {
+			if groupNumbers[group] == 0 {
+				message.Groups = append(message.Groups, &pb.Group{Team: entry.Team, Class: entry.Class})
+				groupNumbers[group] = uint32(len(message.Groups))
 			}
-			m.Group = append(m.Group, make([]uint32, i-len(m.Group))...)
-			m.Group = append(m.Group, groups[g])
-		}
-		if e.CancelledByJob == "" && len(e.StopReasons) == 0 {
-			continue
+			message.Group = append(message.Group, make([]uint32, i-len(message.Group))...) // entries without a group
+			message.Group = append(message.Group, groupNumbers[group])
 		}
-		d := &pb.Detail{Entry: uint32(i), By: e.CancelledByJob}
-		for _, w := range e.StopReasons {
-			d.Why = append(d.Why, &pb.Stop{Task: uint32(w.Task), Machine: w.Machine, Cause: w.Cause, AtMs: w.AtMS})
+		if entry.CancelledByJob != "" || len(entry.StopReasons) > 0 {
+			message.Details = append(message.Details, detailMessage(i, entry))
 		}
-		m.Details = append(m.Details, d)
 	}
-	return Pack(&m)
+	return Pack(&message)
 }
 
-// Pack renders a message as a value, compressed and with a digest.
-func Pack(m protobuf.Message) (json.RawMessage, error) {
-	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(m)
+// commonPrefix is the length of the prefix that two IDs share.
+func commonPrefix(a, b string) int {
+	n := 0
+	for n < min(len(a), len(b)) && a[n] == b[n] {
+		n++
+	}
+	return n
+}
+
+// detailMessage encodes what few entries have.
+func detailMessage(index int, entry *Entry) *pb.Detail {
+	detail := &pb.Detail{Entry: uint32(index), By: entry.CancelledByJob}
+	for _, stop := range entry.StopReasons {
+		detail.Why = append(detail.Why, &pb.Stop{
+			Task:    uint32(stop.Task),
+			Machine: stop.Machine,
+			Cause:   stop.Cause,
+			AtMs:    stop.AtMS,
+		})
+	}
+	return detail
+}
+
+// Pack encodes a message as a stored value, compressed and with a digest.
+func Pack(message protobuf.Message) (json.RawMessage, error) {
+	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("encode block: %w", err)
 	}
@@ -195,18 +218,18 @@
 	return json.Marshal(storedValue{Digest: xxhash.Sum64(data), Data: data})
 }
 
-// Unpack is the reverse of Pack; its errors wrap ErrCorrupt.
-func Unpack(raw json.RawMessage, m protobuf.Message) error {
-	var v storedValue
-	if err := json.Unmarshal(raw, &v); err != nil {
+// Unpack decodes what Pack encoded; its errors wrap ErrCorrupt.
+func Unpack(raw json.RawMessage, message protobuf.Message) error {
+	var stored storedValue
+	if err := json.Unmarshal(raw, &stored); err != nil {
 		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if xxhash.Sum64(v.Data) != v.Digest {
+	if xxhash.Sum64(stored.Data) != stored.Digest {
 		return fmt.Errorf("%w: its digest does not match", ErrCorrupt)
 	}
-	plain, err := compress.Inflate(v.Data, maxExpandedBytes)
+	plain, err := compress.Inflate(stored.Data, maxExpandedBytes)
 	if err == nil {
-		err = protobuf.Unmarshal(plain, m)
+		err = protobuf.Unmarshal(plain, message)
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrCorrupt, err)
@@ -214,73 +237,109 @@
 	return nil
 }
 
-// Decode reads what Encode wrote. Whatever is not exactly that is an error that wraps ErrCorrupt:
-// a damaged block must not answer for a job that it may have held.
+// Decode decodes what Encode encoded. Anything else is an error that wraps ErrCorrupt: a damaged block
+// must not answer for a job that it may have held.
 func Decode(raw json.RawMessage) (*Block, error) {
-	var m pb.Block
-	if err := Unpack(raw, &m); err != nil {
+	var message pb.Block
+	if err := Unpack(raw, &message); err != nil {
 		return nil, err
 	}
-	b, err := fromMessage(&m)
+	block, err := fromMessage(&message)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	return b, nil
+	return block, nil
 }
 
-func fromMessage(m *pb.Block) (*Block, error) {
-	n := len(m.Shared)
-	if len(m.Rest) != n || len(m.Done) != n || m.Low >= m.High {
-		return nil, errors.New("its columns do not fit together")
+// fromMessage decodes a block's message, and checks all that Encode guarantees.
+func fromMessage(message *pb.Block) (*Block, error) {
+	count := len(message.Shared)
+	if len(message.Rest) != count || len(message.Done) != count || message.Low >= message.High {
+		return nil, errors.New("columns or range don't match")
+	}
+	block := &Block{Low: message.Low, High: message.High, Entries: make([]Entry, count)}
+	if err := block.decodeIDs(message); err != nil {
+		return nil, err
+	}
+	if err := block.decodeGroups(message); err != nil {
+		return nil, err
+	}
+	if err := block.decodeCancelled(message); err != nil {
+		return nil, err
+	}
+	if err := block.decodeDetails(message); err != nil {
+		return nil, err
 	}
-	b := &Block{Low: m.Low, High: m.High, Entries: make([]Entry, n)}
-	last, tails := "", string(m.Tails)
+	return block, nil
+}
+
+// decodeIDs sets the IDs and completed tasks of all entries.
+func (b *Block) decodeIDs(message *pb.Block) error {
+	lastID, tails := "", string(message.Tails)
 	for i := range b.Entries {
-		share, rest := int(m.Shared[i]), int(m.Rest[i])
-		if share > len(last) || rest > len(tails) {
-			return nil, errors.New("an id is cut off")
+		shared, rest := int(message.Shared[i]), int(message.Rest[i])
+		if shared > len(lastID) || rest > len(tails) {
+			return errors.New("an ID is cut off")
 		}
-		id := last[:share] + tails[:rest]
+		id := lastID[:shared] + tails[:rest]
 		tails = tails[rest:]
-		if i > 0 && id <= last || !b.Covers(id) {
-			return nil, errors.New("an id is out of order or out of range")
+		if i > 0 && id <= lastID || !b.Covers(id) {
+			return errors.New("an ID is out of order or out of range")
 		}
-		last = id
-		b.Entries[i] = Entry{ID: id, CompletedTasks: int(m.Done[i])}
+		lastID = id
+		b.Entries[i] = Entry{ID: id, CompletedTasks: int(message.Done[i])}
 	}
 	if tails != "" {
-		return nil, errors.New("something follows the ids")
+		return errors.New("trailing data after the IDs")
 	}
-	if len(m.Group) > n {
-		return nil, errors.New("groups of no entry")
+	return nil
+}
+
+// decodeGroups sets the teams and classes of the entries; group 0 stands for not known.
+func (b *Block) decodeGroups(message *pb.Block) error {
+	if len(message.Group) > len(b.Entries) {
+		return errors.New("more groups than entries")
 	}
-	for i, g := range m.Group {
-		if int(g) > len(m.Groups) {
-			return nil, errors.New("an unknown group")
+	for i, number := range message.Group {
+		if int(number) > len(message.Groups) {
+			return errors.New("an unknown group")
 		}
-		if g > 0 {
-			b.Entries[i].Team, b.Entries[i].Class = m.Groups[g-1].Team, m.Groups[g-1].Class
+		if number > 0 {
+			group := message.Groups[number-1]
+			b.Entries[i].Team, b.Entries[i].Class = group.Team, group.Class
 		}
 	}
-	at := 0
-	for i, d := range m.Cancelled {
-		if at += int(d); at >= n || i > 0 && d == 0 {
-			return nil, errors.New("a cancelled entry is out of range")
+	return nil
+}
+
+// decodeCancelled marks the cancelled entries, which are stored as distances between their indexes.
+func (b *Block) decodeCancelled(message *pb.Block) error {
+	index := 0
+	for i, distance := range message.Cancelled {
+		if index += int(distance); index >= len(b.Entries) || i > 0 && distance == 0 {
+			return errors.New("a cancelled entry is out of range")
 		}
-		b.Entries[at].Cancelled = true
+		b.Entries[index].Cancelled = true
 	}
-	for _, d := range m.Details {
-		if int(d.Entry) >= n {
-			return nil, errors.New("details of no entry")
+	return nil
+}
+
+// decodeDetails sets what few entries have.
+func (b *Block) decodeDetails(message *pb.Block) error {
+	for _, detail := range message.Details {
+		if int(detail.Entry) >= len(b.Entries) {
+			return errors.New("details of an entry that is out of range")
 		}
-		e := &b.Entries[d.Entry]
-		e.CancelledByJob = d.By
-		for _, w := range d.Why {
-			e.StopReasons = append(
-				e.StopReasons,
-				StopReason{Task: int(w.Task), Machine: w.Machine, Cause: w.Cause, AtMS: w.AtMs},
-			)
+		entry := &b.Entries[detail.Entry]
+		entry.CancelledByJob = detail.By
+		for _, stop := range detail.Why {
+			entry.StopReasons = append(entry.StopReasons, StopReason{
+				Task:    int(stop.Task),
+				Machine: stop.Machine,
+				Cause:   stop.Cause,
+				AtMS:    stop.AtMs,
+			})
 		}
 	}
-	return b, nil
+	return nil
 }
--- a/archive/cache.go
+++ b/archive/cache.go
@@ -7,85 +7,90 @@
 	"strings"
 )
 
-// BlockCache remembers blocks that were read lately, as they are stored, up to so many bytes. A block
-// stays exact until a job of its range moves: whoever follows the moves and calls Moved can take
-// its word for what is archived and what is not.
+// BlockCache caches blocks as they are stored, up to a number of bytes. A block stays exact until a job
+// of its range is archived: as long as all moves are reported to InvalidateOlder, a cached block shows
+// both which jobs are archived and which are not.
 type BlockCache struct {
 	maxBytes  int
 	usedBytes int
 	byRange   []*cachedBlock // in the order of their ranges, which do not overlap
-	lru       *list.List     // of *known, the one used last in front
-	decoded   []*cachedBlock // those whose blocks are decoded, the last one last
+	lru       *list.List     // of *cachedBlock, the most recently used one in front
+	decoded   []*cachedBlock // those that hold a decoded block, the one decoded last at the end
 }
 
+// cachedBlock is a block in the cache.
 type cachedBlock struct {
 	low, high    string
-	revision     uint64
-	readRevision uint64
+	revision     uint64 // of its key; 0: the empty archive
+	readRevision uint64 // of the store, as of which it is exact
 	raw          json.RawMessage
 	corrupt      bool   // it can't be decoded
-	block        *Block // decoded, while it is among the open ones
+	block        *Block // nil: not decoded now
 	lruElement   *list.Element
 }
 
 const (
-	blockOverheadBytes = 200 // bytes a block takes in memory beside its value
-	maxDecodedBlocks   = 3   // blocks that are kept decoded, some 100 KB each: a request asks for one several times
+	blockOverheadBytes = 200 // memory of a block besides its value
+	maxDecodedBlocks   = 3   // of some 100 KB each; a request looks at the same block several times
 )
 
-// NewBlockCache returns an index of at most so many bytes.
-func NewBlockCache(most int) *BlockCache { return &BlockCache{maxBytes: most, lru: list.New()} }
+// NewBlockCache returns an empty cache of at most maxBytes.
+func NewBlockCache(maxBytes int) *BlockCache {
+	return &BlockCache{maxBytes: maxBytes, lru: list.New()}
+}
 
-// Bytes is what the index holds.
+// Bytes is the memory of the cached blocks.
 func (x *BlockCache) Bytes() int { return x.usedBytes }
 
-// Blocks is how many it holds.
+// Blocks is the number of cached blocks.
 func (x *BlockCache) Blocks() int { return len(x.byRange) }
 
-// Put remembers a block as it was at a revision of the state service; mark is its key's, 0 for the
-// empty archive.
+// Put caches a block as of a revision of the store; revision is that of its key, 0 for the empty archive.
 func (x *BlockCache) Put(b *Block, raw json.RawMessage, revision, readRevision uint64) {
 	x.insert(&cachedBlock{low: b.Low, high: b.High, revision: revision, readRevision: readRevision, raw: raw})
 }
 
-// PutCorrupt remembers that the block with this key, which an id led to, can't be decoded.
+// PutCorrupt caches that the block for an ID, whose range should end before high, can't be decoded. Where
+// its range begins is not known then: it covers the IDs from the given one.
 func (x *BlockCache) PutCorrupt(id, high string, revision, readRevision uint64) {
 	x.insert(&cachedBlock{low: id, high: high, revision: revision, readRevision: readRevision, corrupt: true})
 }
 
-func (x *BlockCache) insert(k *cachedBlock) {
-	x.byRange = slices.DeleteFunc(x.byRange, func(o *cachedBlock) bool {
-		if o.high <= k.low || k.high <= o.low {
+// insert adds a block, and drops those that overlap with it or exceed maxBytes. The block itself stays,
+// however large.
+func (x *BlockCache) insert(added *cachedBlock) {
+	x.byRange = slices.DeleteFunc(x.byRange, func(other *cachedBlock) bool {
+		if other.high <= added.low || added.high <= other.low {
 			return false
 		}
-		x.release(o)
+		x.release(other)
 		return true
 	})
-	i, _ := slices.BinarySearchFunc(
-		x.byRange,
-		k.high,
-		func(o *cachedBlock, high string) int { return strings.Compare(o.high, high) },
-	)
-	x.byRange = slices.Insert(x.byRange, i, k)
-	k.lruElement = x.lru.PushFront(k)
-	x.usedBytes += len(k.raw) + blockOverheadBytes
+	i, _ := slices.BinarySearchFunc(x.byRange, added.high, func(other *cachedBlock, high string) int {
+		return strings.Compare(other.high, high)
+	})
+	x.byRange = slices.Insert(x.byRange, i, added)
+	added.lruElement = x.lru.PushFront(added)
+	x.usedBytes += len(added.raw) + blockOverheadBytes
 	for x.usedBytes > x.maxBytes && len(x.byRange) > 1 {
 		x.evict(x.lru.Back().Value.(*cachedBlock))
 	}
 }
 
-func (x *BlockCache) release(k *cachedBlock) {
-	if k.block != nil {
-		k.block = nil
-		x.decoded = slices.DeleteFunc(x.decoded, func(o *cachedBlock) bool { return o == k })
+// release takes a block that is dropped out of all but byRange.
+func (x *BlockCache) release(dropped *cachedBlock) {
+	if dropped.block != nil {
+		dropped.block = nil
+		x.decoded = slices.DeleteFunc(x.decoded, func(other *cachedBlock) bool { return other == dropped })
 	}
-	x.usedBytes -= len(k.raw) + blockOverheadBytes
-	x.lru.Remove(k.lruElement)
+	x.usedBytes -= len(dropped.raw) + blockOverheadBytes
+	x.lru.Remove(dropped.lruElement)
 }
 
+// find returns the cached block whose range covers an ID; nil: none.
 func (x *BlockCache) find(id string) *cachedBlock {
-	i, _ := slices.BinarySearchFunc(x.byRange, id, func(o *cachedBlock, id string) int {
-		if o.high <= id {
+	i, _ := slices.BinarySearchFunc(x.byRange, id, func(candidate *cachedBlock, id string) int {
+		if candidate.high <= id {
 			return -1
 		}
 		return 1
@@ -96,59 +101,69 @@
 	return x.byRange[i]
 }
 
-// InvalidateOlder notes that a job moved into the archive at a revision: what was remembered of its range
-// before is not exact any more.
+// InvalidateOlder drops the block for an ID if it was read before the revision at which the job was
+// archived: it is not exact any more.
 func (x *BlockCache) InvalidateOlder(id string, revision uint64) {
-	if k := x.find(id); k != nil && k.readRevision < revision {
-		x.evict(k)
+	if cached := x.find(id); cached != nil && cached.readRevision < revision {
+		x.evict(cached)
 	}
 }
 
-// Invalidate notes that a block is not as it was remembered.
+// Invalidate drops the block with a key.
 func (x *BlockCache) Invalidate(key string) {
 	high, ok := strings.CutPrefix(key, BlockPrefix)
 	if !ok {
 		return
 	}
-	for _, k := range x.byRange {
-		if k.high == high {
-			x.evict(k)
+	for _, cached := range x.byRange {
+		if cached.high == high {
+			x.evict(cached)
 			return
 		}
 	}
 }
 
-func (x *BlockCache) evict(k *cachedBlock) {
-	x.byRange = slices.DeleteFunc(x.byRange, func(o *cachedBlock) bool { return o == k })
-	x.release(k)
+// evict drops a block.
+func (x *BlockCache) evict(dropped *cachedBlock) {
+	x.byRange = slices.DeleteFunc(x.byRange, func(other *cachedBlock) bool { return other == dropped })
+	x.release(dropped)
 }
 
-// Clear forgets all.
-func (x *BlockCache) Clear() { x.byRange, x.decoded, x.usedBytes = nil, nil, 0; x.lru.Init() }
+// Clear drops all blocks.
+func (x *BlockCache) Clear() {
+	x.byRange, x.decoded, x.usedBytes = nil, nil, 0
+	x.lru.Init()
+}
 
-// Lookup returns the block that covers an id, which must not be changed, with its key's mark, if it
-// is remembered as of a revision that no move after since can have changed. ErrCorrupt tells that
-// it can't be read.
+// Lookup returns the block that covers an ID and the revision of its key, if it is cached and was read
+// at revision since or later; nil otherwise. The block must not be changed. The error wraps ErrCorrupt if
+// the block can't be decoded.
 func (x *BlockCache) Lookup(id string, since uint64) (b *Block, revision uint64, err error) {
-	k := x.find(id)
-	if k == nil || k.readRevision < since {
+	cached := x.find(id)
+	if cached == nil || cached.readRevision < since {
 		return nil, 0, nil
 	}
-	x.lru.MoveToFront(k.lruElement)
-	if k.corrupt {
-		return nil, k.revision, ErrCorrupt
+	x.lru.MoveToFront(cached.lruElement)
+	if cached.corrupt {
+		return nil, cached.revision, ErrCorrupt
 	}
-	if k.raw == nil {
-		return &Block{Low: k.low, High: k.high}, k.revision, nil
+	if cached.raw == nil {
+		return &Block{Low: cached.low, High: cached.high}, cached.revision, nil
 	}
-	if k.block == nil {
-		if k.block, err = Decode(k.raw); err != nil {
-			return nil, k.revision, err
-		}
-		if x.decoded = append(x.decoded, k); len(x.decoded) > maxDecodedBlocks {
-			x.decoded[0].block = nil
-			x.decoded = slices.Delete(x.decoded, 0, 1)
+	if cached.block == nil {
+		if cached.block, err = Decode(cached.raw); err != nil {
+			return nil, cached.revision, err
 		}
+		x.keepDecoded(cached)
+	}
+	return cached.block, cached.revision, nil
+}
+
+// keepDecoded keeps a decoded block, and drops the one decoded first if they are too many.
+func (x *BlockCache) keepDecoded(cached *cachedBlock) {
+	x.decoded = append(x.decoded, cached)
+	if len(x.decoded) > maxDecodedBlocks {
+		x.decoded[0].block = nil
+		x.decoded = slices.Delete(x.decoded, 0, 1)
 	}
-	return k.block, k.revision, nil
 }
--- a/archive/plan.go
+++ b/archive/plan.go
@@ -1,30 +1,26 @@
 package archive
 
-// PlanMerge plans a transaction of at most ops changes: of the entries, sorted by id and in the block's
-// range, the first n go into it, each of which takes a change to delete its record, and the
-// pieces are written. n is 0 if the block must be split first. Without an error there is at least one piece.
-func (b *Block) PlanMerge(entries []Entry, most, ops int) (pieces []EncodedBlock, n int, err error) {
-	for n = min(len(entries), ops-1); n > 0; {
-		pieces, err = b.Merge(entries[:n]).EncodeToFit(most)
-		if err == nil && len(pieces)+n <= ops {
-			return pieces, n, nil
+// PlanMerge plans a transaction of at most maxWrites writes: the first n of the entries, which are
+// sorted by ID and in the block's range, are merged into it; each takes a write that deletes its record.
+// The returned blocks, at least one, replace it. n is 0 if the block must be split first.
+func (b *Block) PlanMerge(entries []Entry, maxBytes, maxWrites int) (blocks []EncodedBlock, n int, err error) {
+	for n = min(len(entries), maxWrites-1); n > 0; {
+		blocks, err = b.Merge(entries[:n]).EncodeToFit(maxBytes)
+		if err == nil && len(blocks)+n <= maxWrites {
+			return blocks, n, nil
 		}
-		if left := ops - len(pieces); err == nil && left < n {
+		if left := maxWrites - len(blocks); err == nil && left < n {
 			n = left
 		} else {
 			n--
 		}
 	}
-	if pieces, err = b.EncodeToFit(most); err == nil && len(pieces) == 1 && len(b.Entries) > 1 {
-		lower, upper := b.splitInHalf()
-		var more []EncodedBlock
-		if pieces, err = lower.EncodeToFit(most); err == nil {
-			more, err = upper.EncodeToFit(most)
-			pieces = append(pieces, more...)
-		}
+	blocks, err = b.EncodeToFit(maxBytes)
+	if err == nil && len(blocks) == 1 && len(b.Entries) > 1 {
+		blocks, err = b.encodeHalves(maxBytes)
 	}
-	if err == nil && len(pieces) > ops {
+	if err == nil && len(blocks) > maxWrites {
 		err = ErrTooManyBlocks
 	}
-	return pieces, 0, err
+	return blocks, 0, err
 }
