--- a/access/access.go
+++ b/access/access.go
@@ -1,5 +1,6 @@
-// Package access decides who may do what. It is pure: it reads no file, asks nobody and knows no clock;
-// the same rights and the same act always give the same decision, with the grant that made it.
+// Package access authorizes actions by a policy of roles, grants and identities, and verifies tokens. It
+// owns no state besides the policy, does no I/O and has no clock: the same policy and the same action
+// always give the same decision, with the grant that made it.
 package access
 
 import (
@@ -16,22 +17,23 @@
 	pb "dewlift/proto"
 )
 
-// Verb is what somebody wants to do.
+// Verb is the kind of an action.
 type Verb = pb.Verb
 
-// AnyGroup is the team or class that stands for all of them.
+// AnyGroup stands for all teams or classes in a grant.
 const AnyGroup = "*"
 
-// limits of an access file, so that its rights fit memory and a listing
+// Limits of a policy, so that it fits in memory and in a listing.
 const (
 	maxIdentities      = 10_000
 	maxRoles           = 1_000
-	maxGrantsPerRole   = 100 // of a role
-	maxKeysPerIdentity = 10  // of an identity: the old and the new one while a key is rotated, and a few
+	maxGrantsPerRole   = 100
+	maxKeysPerIdentity = 10  // the old and the new one while a key is rotated, and a few more
+	maxGroupNameBytes  = 200 // of a team or class
 )
 
-// Action is what somebody wants to do; Team and Class are those of the job, if it is about one. Priority counts for
-// submissions: 0 is the most important.
+// Action is what an identity requests; Team and Class are those of the job, if it concerns one. Priority
+// counts for submissions: 0 is the highest.
 type Action struct {
 	Verb     Verb
 	Team     string
@@ -39,15 +41,15 @@
 	Priority int
 }
 
-// Decision tells whether an act is allowed, and by which grant.
+// Decision is whether an action is allowed, and by which grant.
 type Decision struct {
 	Allowed     bool   `json:"allowed"`
-	Role        string `json:"role,omitempty"`  // whose grant decides
-	GrantNumber int    `json:"grant,omitempty"` // its place there, from 1
+	Role        string `json:"role,omitempty"`  // of the grant that allows it
+	GrantNumber int    `json:"grant,omitempty"` // within the role, from 1
 	Reason      string `json:"why"`
 }
 
-// Policy is a site's rights, checked. It never changes.
+// Policy is the valid permissions of a cluster. It never changes.
 type Policy struct {
 	source     *pb.Access
 	roles      map[string]*role
@@ -55,25 +57,28 @@
 	keys       map[string]*Key
 }
 
+// role is a named list of grants.
 type role struct {
 	name   string
 	grants []grant
 }
 
+// grant allows verbs for jobs of the given teams and classes.
 type grant struct {
 	verbs           map[Verb]bool
 	teams           map[string]bool
 	classes         map[string]bool
-	highestPriority int
+	highestPriority int // for pb.Verb_prioritise
 }
 
+// identity is a user, a service or an agent.
 type identity struct {
 	name              string
 	allowsCertificate bool
 	roles             []*role
 }
 
-// Key is a key that may sign for an identity.
+// Key is a public key that verifies the tokens of an identity.
 type Key struct {
 	ID     string
 	Holder string
@@ -82,225 +87,243 @@
 
 var validName = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._@-]{0,79}$`)
 
-// Parse reads rights in protobuf text format. An error is one line and names the place.
+// Parse reads a policy in protobuf text format. An error is one line and names the place.
 func Parse(text []byte) (*Policy, error) {
-	var a pb.Access
-	if err := prototext.Unmarshal(text, &a); err != nil {
+	var source pb.Access
+	if err := prototext.Unmarshal(text, &source); err != nil {
 		return nil, err
 	}
-	return New(&a)
+	return New(&source)
 }
 
-// New checks rights.
-func New(a *pb.Access) (*Policy, error) {
-	p := &Policy{source: a, roles: map[string]*role{}, identities: map[string]*identity{}, keys: map[string]*Key{}}
-	if len(a.Roles) > maxRoles || len(a.Identities) > maxIdentities {
-		return nil, fmt.Errorf(
-			"%d roles and %d identities, at most %d and %d are allowed",
-			len(a.Roles),
-			len(a.Identities),
-			maxRoles,
-			maxIdentities,
-		)
+// New checks a policy. An error names the place: the parts of its path are joined by wrapping.
+func New(source *pb.Access) (*Policy, error) {
+	p := &Policy{
+		source:     source,
+		roles:      map[string]*role{},
+		identities: map[string]*identity{},
+		keys:       map[string]*Key{},
 	}
-	for i, r := range a.Roles {
+	if len(source.Roles) > maxRoles || len(source.Identities) > maxIdentities {
+		return nil, fmt.Errorf("%d roles and %d identities, at most %d and %d are allowed",
+			len(source.Roles), len(source.Identities), maxRoles, maxIdentities)
+	}
+	for i, r := range source.Roles {
 		if err := p.addRole(r); err != nil {
 			return nil, fmt.Errorf("roles[%d]%w", i, err)
 		}
 	}
-	for i, x := range a.Identities {
-		if err := p.addIdentity(x); err != nil {
+	for i, id := range source.Identities {
+		if err := p.addIdentity(id); err != nil {
 			return nil, fmt.Errorf("identities[%d]%w", i, err)
 		}
 	}
 	return p, nil
 }
 
-func (p *Policy) addRole(r *pb.Role) error {
-	if !validName.MatchString(r.Name) || p.roles[r.Name] != nil {
-		return fmt.Errorf(".name: %q is no name, or used twice", r.Name)
+// addRole checks and adds a role.
+func (p *Policy) addRole(source *pb.Role) error {
+	if !validName.MatchString(source.Name) || p.roles[source.Name] != nil {
+		return fmt.Errorf(".name: %q is no name, or used twice", source.Name)
 	}
-	if len(r.Grants) == 0 || len(r.Grants) > maxGrantsPerRole {
-		return fmt.Errorf(" (%s).grants: %d of them, must be from 1 to %d", r.Name, len(r.Grants), maxGrantsPerRole)
+	if len(source.Grants) == 0 || len(source.Grants) > maxGrantsPerRole {
+		return fmt.Errorf(" (%s).grants: %d of them, must be from 1 to %d",
+			source.Name, len(source.Grants), maxGrantsPerRole)
 	}
-	out := &role{name: r.Name}
-	for i, g := range r.Grants {
-		x, err := newGrant(g)
+	added := &role{name: source.Name}
+	for i, g := range source.Grants {
+		checked, err := newGrant(g)
 		if err != nil {
-			return fmt.Errorf(" (%s).grants[%d]%w", r.Name, i, err)
+			return fmt.Errorf(" (%s).grants[%d]%w", source.Name, i, err)
 		}
-		out.grants = append(out.grants, x)
+		added.grants = append(added.grants, checked)
 	}
-	p.roles[r.Name] = out
+	p.roles[source.Name] = added
 	return nil
 }
 
-func newGrant(g *pb.Grant) (grant, error) {
-	out := grant{
-		verbs:           map[Verb]bool{},
-		teams:           map[string]bool{},
-		classes:         map[string]bool{},
-		highestPriority: wire.PriorityStandard,
-	}
-	about := false
-	if len(g.Verbs) == 0 {
-		return out, errors.New(".verbs: there are none")
+// newGrant checks a grant.
+func newGrant(source *pb.Grant) (grant, error) {
+	checked := grant{verbs: map[Verb]bool{}, highestPriority: wire.PriorityStandard}
+	if len(source.Verbs) == 0 {
+		return checked, errors.New(".verbs: there are none")
 	}
-	for i, v := range g.Verbs {
-		if pb.Verb_name[int32(v)] == "" || v == pb.Verb_none {
-			return out, fmt.Errorf(".verbs[%d]: unknown verb", i)
+	needsGroups := false
+	for i, verb := range source.Verbs {
+		if pb.Verb_name[int32(verb)] == "" || verb == pb.Verb_none {
+			return checked, fmt.Errorf(".verbs[%d]: unknown verb", i)
 		}
-		out.verbs[v] = true
-		about = about || isJobVerb(v)
+		checked.verbs[verb] = true
+		needsGroups = needsGroups || isJobVerb(verb)
 	}
-	for _, l := range []struct {
-		field string
-		names []string
-		into  map[string]bool
-	}{{"teams", g.Teams, out.teams}, {"classes", g.Classes, out.classes}} {
-		if about && len(l.names) == 0 {
-			return out, fmt.Errorf(".%s: there are none; %q stands for all", l.field, AnyGroup)
-		}
-		for i, s := range l.names {
-			if s == "" || len(s) > 200 || l.into[s] {
-				return out, fmt.Errorf(".%s[%d]: empty, too long or used twice", l.field, i)
-			}
-			l.into[s] = true
-		}
+	var err error
+	if checked.teams, err = newGroups("teams", source.Teams, needsGroups); err != nil {
+		return checked, err
 	}
-	if out.verbs[pb.Verb_prioritise] != (g.UpTo != "") {
-		return out, errors.New(".up_to: goes with prioritise, and only with it")
+	if checked.classes, err = newGroups("classes", source.Classes, needsGroups); err != nil {
+		return checked, err
 	}
-	if g.UpTo != "" {
+	if checked.verbs[pb.Verb_prioritise] != (source.UpTo != "") {
+		return checked, errors.New(".up_to: goes with prioritise, and only with it")
+	}
+	if source.UpTo != "" {
 		var ok bool
-		if out.highestPriority, ok = wire.Priority(g.UpTo); !ok {
-			return out, fmt.Errorf(".up_to: no priority %q", g.UpTo)
+		if checked.highestPriority, ok = wire.Priority(source.UpTo); !ok {
+			return checked, fmt.Errorf(".up_to: no priority %q", source.UpTo)
 		}
 	}
-	return out, nil
+	return checked, nil
 }
 
-func (p *Policy) addIdentity(x *pb.Identity) error {
-	if !validName.MatchString(x.Name) || p.identities[x.Name] != nil {
-		return fmt.Errorf(".name: %q is no name, or used twice", x.Name)
+// newGroups checks the teams or classes of a grant.
+func newGroups(field string, names []string, required bool) (map[string]bool, error) {
+	if required && len(names) == 0 {
+		return nil, fmt.Errorf(".%s: there are none; %q stands for all", field, AnyGroup)
 	}
-	out := &identity{name: x.Name, allowsCertificate: x.Certificate}
-	for i, r := range x.Roles {
-		have := p.roles[r]
-		if have == nil || slices.Contains(out.roles, have) {
-			return fmt.Errorf(" (%s).roles[%d]: no role %q, or used twice", x.Name, i, r)
+	groups := map[string]bool{}
+	for i, name := range names {
+		if name == "" || len(name) > maxGroupNameBytes || groups[name] {
+			return nil, fmt.Errorf(".%s[%d]: empty, too long or used twice", field, i)
 		}
-		out.roles = append(out.roles, have)
+		groups[name] = true
 	}
-	if len(x.Keys) > maxKeysPerIdentity {
-		return fmt.Errorf(" (%s).keys: %d of them, at most %d are allowed", x.Name, len(x.Keys), maxKeysPerIdentity)
+	return groups, nil
+}
+
+// addIdentity checks and adds an identity and its keys.
+func (p *Policy) addIdentity(source *pb.Identity) error {
+	if !validName.MatchString(source.Name) || p.identities[source.Name] != nil {
+		return fmt.Errorf(".name: %q is no name, or used twice", source.Name)
 	}
-	for i, k := range x.Keys {
-		raw, err := base64.StdEncoding.DecodeString(k.Ed25519)
-		if err != nil || len(raw) != ed25519.PublicKeySize {
-			return fmt.Errorf(" (%s).keys[%d].ed25519: not %d bytes in base64", x.Name, i, ed25519.PublicKeySize)
+	added := &identity{name: source.Name, allowsCertificate: source.Certificate}
+	for i, name := range source.Roles {
+		assigned := p.roles[name]
+		if assigned == nil || slices.Contains(added.roles, assigned) {
+			return fmt.Errorf(" (%s).roles[%d]: no role %q, or used twice", source.Name, i, name)
 		}
-		if !validName.MatchString(k.Id) || k.Id == CertificateKey || p.keys[k.Id] != nil {
-			return fmt.Errorf(" (%s).keys[%d].id: %q is no name, or used twice", x.Name, i, k.Id)
+		added.roles = append(added.roles, assigned)
+	}
+	if len(source.Keys) > maxKeysPerIdentity {
+		return fmt.Errorf(" (%s).keys: %d of them, at most %d are allowed",
+			source.Name, len(source.Keys), maxKeysPerIdentity)
+	}
+	for i, key := range source.Keys {
+		if err := p.addKey(source.Name, key); err != nil {
+			return fmt.Errorf(" (%s).keys[%d]%w", source.Name, i, err)
 		}
-		p.keys[k.Id] = &Key{ID: k.Id, Holder: x.Name, Public: raw}
 	}
-	p.identities[x.Name] = out
+	p.identities[source.Name] = added
 	return nil
 }
 
-// isJobVerb reports whether a verb is about jobs, and so bound to teams and classes.
-func isJobVerb(v Verb) bool {
-	return v != pb.Verb_administer && v != pb.Verb_audit && v != pb.Verb_report && v != pb.Verb_equip
+// addKey checks and adds a key of an identity.
+func (p *Policy) addKey(holder string, source *pb.PublicKey) error {
+	raw, err := base64.StdEncoding.DecodeString(source.Ed25519)
+	if err != nil || len(raw) != ed25519.PublicKeySize {
+		return fmt.Errorf(".ed25519: not %d bytes in base64", ed25519.PublicKeySize)
+	}
+	if !validName.MatchString(source.Id) || source.Id == CertificateKey || p.keys[source.Id] != nil {
+		return fmt.Errorf(".id: %q is no name, or used twice", source.Id)
+	}
+	p.keys[source.Id] = &Key{ID: source.Id, Holder: holder, Public: raw}
+	return nil
 }
 
-// AgentsMustSign reports whether workers' reports need a token.
+// isJobVerb reports whether a verb concerns jobs, so that its grants are limited to teams and classes.
+func isJobVerb(verb Verb) bool {
+	return verb != pb.Verb_administer && verb != pb.Verb_audit && verb != pb.Verb_report && verb != pb.Verb_equip
+}
+
+// AgentsMustSign reports whether the heartbeats of agents need a token.
 func (p *Policy) AgentsMustSign() bool { return p.source.WorkersSign }
 
-// Format renders rights in protobuf text format, as Parse reads them.
-func Format(a *pb.Access) string {
-	return prototext.MarshalOptions{Multiline: true, Indent: "  "}.Format(a)
+// Format renders a policy in protobuf text format, as Parse reads it.
+func Format(source *pb.Access) string {
+	return prototext.MarshalOptions{Multiline: true, Indent: "  "}.Format(source)
 }
 
-// Source is the rights as they were given; they must not be changed.
+// Source is the policy as it was given; it must not be changed.
 func (p *Policy) Source() *pb.Access { return p.source }
 
 // HasIdentity reports whether there is an identity of that name.
 func (p *Policy) HasIdentity(identityName string) bool { return p.identities[identityName] != nil }
 
-// HasAdministrator reports whether somebody may change rights and has a key to prove it.
+// HasAdministrator reports whether an identity with a key may change permissions.
 func (p *Policy) HasAdministrator() bool {
-	for _, k := range p.keys {
-		if p.Decide(k.Holder, Action{Verb: pb.Verb_administer}).Allowed {
+	for _, key := range p.keys {
+		if p.Decide(key.Holder, Action{Verb: pb.Verb_administer}).Allowed {
 			return true
 		}
 	}
 	return false
 }
 
-// ParseVerb is the verb of a name.
-func ParseVerb(s string) (Verb, bool) {
-	v, ok := pb.Verb_value[s]
-	return Verb(v), ok && v != 0
+// ParseVerb returns the verb with a name.
+func ParseVerb(name string) (Verb, bool) {
+	verb, ok := pb.Verb_value[name]
+	return Verb(verb), ok && verb != 0
 }
 
-// Key is the key with an id.
+// Key returns the key with an ID.
 func (p *Policy) Key(id string) (*Key, bool) {
-	k, ok := p.keys[id]
-	return k, ok
+	key, ok := p.keys[id]
+	return key, ok
 }
 
-// CertificateKey stands for a certificate where a key is named.
+// CertificateKey is the key ID that stands for a client certificate.
 const CertificateKey = "certificate"
 
-// AllowsCertificate reports whether an identity may prove who it is by a certificate.
+// AllowsCertificate reports whether an identity may authenticate by a client certificate.
 func (p *Policy) AllowsCertificate(identityName string) bool {
-	x := p.identities[identityName]
-	return x != nil && x.allowsCertificate
+	found := p.identities[identityName]
+	return found != nil && found.allowsCertificate
 }
 
-// KeyBelongsTo reports whether a key, or a certificate, is good for an identity.
+// KeyBelongsTo reports whether a key, or a client certificate, authenticates an identity.
 func (p *Policy) KeyBelongsTo(identityName, key string) bool {
 	if key == CertificateKey {
 		return p.AllowsCertificate(identityName)
 	}
-	k, ok := p.keys[key]
-	return ok && k.Holder == identityName
+	known, ok := p.keys[key]
+	return ok && known.Holder == identityName
 }
 
-// Counts tells how many roles, identities and keys there are.
+// Counts returns the numbers of roles, identities and keys.
 func (p *Policy) Counts() (roles, identities, keys int) {
 	return len(p.roles), len(p.identities), len(p.keys)
 }
 
-// Decide tells whether somebody may do something. The first grant that covers it decides; none: it is
-// refused. Above standard priority a submission needs both: to submit, and to prioritise as far.
-func (p *Policy) Decide(identityName string, a Action) Decision {
-	x := p.identities[identityName]
-	if x == nil {
+// Decide decides whether an identity may do an action. The first grant that covers it allows it; without
+// one it is denied. A submission above standard priority needs two: to submit, and to prioritise that far.
+func (p *Policy) Decide(identityName string, action Action) Decision {
+	actor := p.identities[identityName]
+	if actor == nil {
 		return Decision{Reason: "nobody of that name"}
 	}
-	d := p.findGrant(x, a)
-	if !d.Allowed || a.Verb != pb.Verb_submit || a.Priority >= wire.PriorityStandard {
-		return d
+	decision := actor.findGrant(action)
+	if !decision.Allowed || action.Verb != pb.Verb_submit || action.Priority >= wire.PriorityStandard {
+		return decision
 	}
-	a.Verb = pb.Verb_prioritise
-	return p.findGrant(x, a)
+	action.Verb = pb.Verb_prioritise
+	return actor.findGrant(action)
 }
 
-func (p *Policy) findGrant(x *identity, a Action) Decision {
-	near := "no grant of " + a.Verb.String()
-	for _, r := range x.roles {
+// findGrant decides by the first grant that covers an action. If there is none, the reason is what the
+// last grant of its verb lacks.
+func (id *identity) findGrant(action Action) Decision {
+	reason := "no grant of " + action.Verb.String()
+	for _, r := range id.roles {
 		for i, g := range r.grants {
-			if !g.verbs[a.Verb] {
+			if !g.verbs[action.Verb] {
 				continue
 			}
-			if isJobVerb(a.Verb) && !(matches(g.teams, a.Team) && matches(g.classes, a.Class)) {
-				near = fmt.Sprintf("no grant of %s covers team %q and class %q", a.Verb, a.Team, a.Class)
+			if isJobVerb(action.Verb) && !g.coversJob(action) {
+				reason = fmt.Sprintf("no grant of %s covers team %q and class %q",
+					action.Verb, action.Team, action.Class)
 				continue
 			}
-			if a.Verb == pb.Verb_prioritise && a.Priority < g.highestPriority {
-				near = fmt.Sprintf("prioritise goes up to %s only", wire.PriorityName(g.highestPriority))
+			if action.Verb == pb.Verb_prioritise && action.Priority < g.highestPriority {
+				reason = fmt.Sprintf("prioritise goes up to %s only", wire.PriorityName(g.highestPriority))
 				continue
 			}
 			return Decision{
@@ -311,7 +334,15 @@
 			}
 		}
 	}
-	return Decision{Reason: near}
+	return Decision{Reason: reason}
+}
+
+// coversJob reports whether a grant covers the team and class of an action's job.
+func (g *grant) coversJob(action Action) bool {
+	return containsGroup(g.teams, action.Team) && containsGroup(g.classes, action.Class)
 }
 
-func matches(set map[string]bool, s string) bool { return set[AnyGroup] || s != "" && set[s] }
+// containsGroup reports whether a set has a team or class; one that is not known is only in AnyGroup.
+func containsGroup(set map[string]bool, name string) bool {
+	return set[AnyGroup] || name != "" && set[name]
+}
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -13,9 +13,17 @@
 )
 
 const testPolicy = `
-roles { name: "technician" grants { verbs: submit verbs: read verbs: cancel teams: "kiln-floor" classes: "*" } grants { verbs: prioritise teams: "kiln-floor" classes: "firing" up_to: "high" } }
+roles {
+  name: "technician"
+  grants { verbs: submit verbs: read verbs: cancel teams: "kiln-floor" classes: "*" }
+  grants { verbs: prioritise teams: "kiln-floor" classes: "firing" up_to: "high" }
+}
 roles { name: "visitor" grants { verbs: submit verbs: read teams: "potters" classes: "plan" } }
-roles { name: "packer" grants { verbs: submit verbs: read verbs: cancel teams: "*" classes: "labels" } grants { verbs: read teams: "*" classes: "reroast" } }
+roles {
+  name: "packer"
+  grants { verbs: submit verbs: read verbs: cancel teams: "*" classes: "labels" }
+  grants { verbs: read teams: "*" classes: "reroast" }
+}
 roles { name: "admin" grants { verbs: administer verbs: audit } }
 identities { name: "anna" roles: "technician" roles: "admin" }
 identities { name: "potter" roles: "visitor" }
@@ -23,19 +31,20 @@
 identities { name: "portal" service: true }
 `
 
+// A decision without its grant could not be explained to users, nor audited.
 func TestDecisionsNameTheirGrant(t *testing.T) {
 	p, err := Parse([]byte(testPolicy))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
-		who, verb, team, class string
-		prio                   int
-		want                   string // role and grant; "": refused
+	for _, test := range []struct {
+		identity, verb, team, class string
+		priority                    int
+		want                        string // role and grant; "": denied
 	}{
 		{"anna", "submit", "kiln-floor", "firing", 2, "technician 1"},
 		{"anna", "submit", "kiln-floor", "firing", 1, "technician 2"},
-		{"anna", "submit", "kiln-floor", "firing", 0, ""}, // up to high only
+		{"anna", "submit", "kiln-floor", "firing", 0, ""}, // its grant is up to high
 		{"anna", "submit", "kiln-floor", "glaze", 1, ""},  // another class
 		{"anna", "submit", "potters", "plan", 3, ""},
 		{"anna", "administer", "", "", 0, "admin 1"},
@@ -48,76 +57,86 @@
 		{"portal", "read", "potters", "plan", 0, ""},
 		{"nobody", "read", "potters", "plan", 0, ""},
 	} {
-		v, ok := ParseVerb(x.verb)
+		verb, ok := ParseVerb(test.verb)
 		if !ok {
-			t.Fatal(x.verb)
+			t.Fatalf("no verb %q", test.verb)
 		}
-		d := p.Decide(x.who, Action{Verb: v, Team: x.team, Class: x.class, Priority: x.prio})
+		action := Action{Verb: verb, Team: test.team, Class: test.class, Priority: test.priority}
+		decision := p.Decide(test.identity, action)
 		got := ""
-		if d.Allowed {
-			got = fmt.Sprint(d.Role, " ", d.GrantNumber)
+		if decision.Allowed {
+			got = fmt.Sprint(decision.Role, " ", decision.GrantNumber)
 		}
-		if got != x.want || d.Reason == "" {
-			t.Errorf("%+v: %+v", x, d)
+		if got != test.want || decision.Reason == "" {
+			t.Errorf("%+v: %+v", test, decision)
 		}
 	}
 }
 
-// A bad file gives one line that names the place.
+// An invalid policy gives an error of one line that names the place.
 func TestInvalidPoliciesAreNamed(t *testing.T) {
-	for text, want := range map[string]string{
-		`roles { name: "a" }`: "roles[0] (a).grants",
-		`roles { name: "a" grants { verbs: read teams: "t" } }`:                                             "grants[0].classes",
-		`roles { name: "a" grants { teams: "t" classes: "c" } }`:                                            "grants[0].verbs",
-		`roles { name: "a" grants { verbs: prioritise teams: "t" classes: "c" } }`:                          "up_to",
-		`roles { name: "a" grants { verbs: prioritise teams: "t" classes: "c" up_to: "top" } }`:             `no priority "top"`,
-		`roles { name: "a" grants { verbs: fly } }`:                                                         "line 1",
-		`identities { name: "x" roles: "none" }`:                                                            `identities[0] (x).roles[0]: no role "none"`,
-		`identities { name: "x" } identities { name: "x" }`:                                                 "identities[1].name",
-		`identities { name: "x" keys { id: "k" ed25519: "AAAA" } }`:                                         "keys[0].ed25519",
-		`identities { name: "a b" }`:                                                                        "identities[0].name",
-		`roles { name: "a" grants { verbs: administer } } roles { name: "a" grants { verbs: administer } }`: "roles[1].name",
+	for _, test := range []struct{ text, want string }{
+		{`roles { name: "a" }`, "roles[0] (a).grants"},
+		{`roles { name: "a" grants { verbs: read teams: "t" } }`, "grants[0].classes"},
+		{`roles { name: "a" grants { teams: "t" classes: "c" } }`, "grants[0].verbs"},
+		{`roles { name: "a" grants { verbs: prioritise teams: "t" classes: "c" } }`, "up_to"},
+		{
+			`roles { name: "a" grants { verbs: prioritise teams: "t" classes: "c" up_to: "top" } }`,
+			`no priority "top"`,
+		},
+		{`roles { name: "a" grants { verbs: fly } }`, "line 1"},
+		{`identities { name: "x" roles: "none" }`, `identities[0] (x).roles[0]: no role "none"`},
+		{`identities { name: "x" } identities { name: "x" }`, "identities[1].name"},
+		{`identities { name: "x" keys { id: "k" ed25519: "AAAA" } }`, "keys[0].ed25519"},
+		{`identities { name: "a b" }`, "identities[0].name"},
+		{
+			`roles { name: "a" grants { verbs: administer } } roles { name: "a" grants { verbs: administer } }`,
+			"roles[1].name",
+		},
 	} {
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) ||
+		if _, err := Parse([]byte(test.text)); err == nil || !strings.Contains(err.Error(), test.want) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("%s: %v, want %s", test.text, err, test.want)
 		}
 	}
 }
 
+// withKey returns the test policy with a key of anna, and the private half. The public half is also eva's
+// key k2.
 func withKey(t testing.TB) (*Policy, *PrivateKey) {
 	t.Helper()
-	k, err := NewKey("anna", "k1")
+	key, err := NewKey("anna", "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Parse(
-		[]byte(
-			testPolicy + fmt.Sprintf(`identities { name: "eva" keys { id: "k2" ed25519: %q } }`, k.PublicBase64()),
-		),
-	)
+	eva := fmt.Sprintf(`identities { name: "eva" keys { id: "k2" ed25519: %q } }`, key.PublicBase64())
+	p, err := Parse([]byte(testPolicy + eva))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.source.Identities[0].Keys = []*pb.PublicKey{{Id: "k1", Ed25519: k.PublicBase64()}}
+	p.source.Identities[0].Keys = []*pb.PublicKey{{Id: "k1", Ed25519: key.PublicBase64()}}
 	if p, err = New(p.source); err != nil {
 		t.Fatal(err)
 	}
-	return p, k
+	return p, key
 }
 
-func TestTokensAreBoundToTimeAndHolder(t *testing.T) {
-	p, k := withKey(t)
-	now, bound := time.Unix(1_800_000_000, 0), 50*time.Millisecond
-	token := func(k *PrivateKey, at time.Time, life time.Duration) string {
-		s, err := k.SignToken(at, life)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return s
+// signToken signs a token.
+func signToken(t *testing.T, key *PrivateKey, now time.Time, lifetime time.Duration) string {
+	t.Helper()
+	token, err := key.SignToken(now, lifetime)
+	if err != nil {
+		t.Fatal(err)
 	}
-	good := token(k, now, time.Minute)
-	if got, until, err := p.VerifyToken(good, now, bound); err != nil || got.Holder != "anna" ||
+	return token
+}
+
+// A token must be of no use to others, at other times, or with other claims.
+func TestTokensAreBoundToTimeAndHolder(t *testing.T) {
+	p, key := withKey(t)
+	now, clockError := time.Unix(1_800_000_000, 0), 50*time.Millisecond
+	good := signToken(t, key, now, time.Minute)
+	if got, until, err := p.VerifyToken(good, now, clockError); err != nil || got.Holder != "anna" ||
 		!until.Equal(now.Add(time.Minute)) {
 		t.Fatalf("got %+v %v %v", got, until, err)
 	}
@@ -128,42 +147,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	borrowed := *k
-	borrowed.ID = "k2" // eva's, with the same private half
-	stranger := *k
-	stranger.ID = "k9"
+	otherHolder := *key
+	otherHolder.ID = "k2" // eva's, with the same private half
+	unknown := *key
+	unknown.ID = "k9"
 	parts := strings.Split(good, ".")
-	none := base64.RawURLEncoding.EncodeToString([]byte(`{"alg":"none","kid":"k1"}`))
-	for what, x := range map[string]struct {
+	unsigned := base64.RawURLEncoding.EncodeToString([]byte(`{"alg":"none","kid":"k1"}`))
+	forged := base64.RawURLEncoding.EncodeToString(
+		[]byte(`{"sub":"anna","aud":"dewlift","iat":1,"exp":9999999999}`))
+	for name, test := range map[string]struct {
 		token string
 		at    time.Time
 	}{
-		"too late":     {good, now.Add(time.Minute + 200*time.Millisecond)},
-		"too early":    {good, now.Add(-time.Second)},
-		"another key":  {token(other, now, time.Minute), now},
-		"another name": {token(&borrowed, now, time.Minute), now},
-		"unknown key":  {token(&stranger, now, time.Minute), now},
-		"not signed":   {none + "." + parts[1] + ".", now},
-		"other claims": {
-			parts[0] + "." + base64.RawURLEncoding.EncodeToString([]byte(`{"sub":"anna","aud":"dewlift","iat":1,"exp":9999999999}`)) + "." + parts[2],
-			now,
-		},
-		"too long": {good + strings.Repeat("x", maxTokenBytes), now},
-		"empty":    {"", now},
-		"life too long": {
-			func() string { long := *k; s, _ := long.SignToken(now, MaxTokenLifetime); return s }(),
-			now.Add(MaxTokenLifetime + time.Second),
-		},
+		"too late":      {good, now.Add(time.Minute + 200*time.Millisecond)},
+		"too early":     {good, now.Add(-time.Second)},
+		"another key":   {signToken(t, other, now, time.Minute), now},
+		"another name":  {signToken(t, &otherHolder, now, time.Minute), now},
+		"unknown key":   {signToken(t, &unknown, now, time.Minute), now},
+		"not signed":    {unsigned + "." + parts[1] + ".", now},
+		"other claims":  {parts[0] + "." + forged + "." + parts[2], now},
+		"too long":      {good + strings.Repeat("x", maxTokenBytes), now},
+		"empty":         {"", now},
+		"life too long": {signToken(t, key, now, MaxTokenLifetime), now.Add(MaxTokenLifetime + time.Second)},
 	} {
-		if got, _, err := p.VerifyToken(x.token, x.at, bound); !errors.Is(err, ErrInvalidToken) {
-			t.Errorf("%s: %+v %v", what, got, err)
+		if got, _, err := p.VerifyToken(test.token, test.at, clockError); !errors.Is(err, ErrInvalidToken) {
+			t.Errorf("%s: %+v %v", name, got, err)
 		}
 	}
-	if _, err := k.SignToken(now, MaxTokenLifetime+time.Second); err == nil {
-		t.Error("a token that lives too long was signed")
+	if _, err := key.SignToken(now, MaxTokenLifetime+time.Second); err == nil {
+		t.Error("a token with too long a lifetime was signed")
 	}
 }
 
+// FuzzParse checks that errors are one line, and that a policy survives being formatted.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(testPolicy))
 	f.Add([]byte(`identities { name: "x" keys { id: "k" ed25519: "AAAA" } }`))
@@ -182,10 +198,11 @@
 	})
 }
 
+// FuzzVerify checks that no token is accepted whose header and claims were not signed.
 func FuzzVerify(f *testing.F) {
-	p, k := withKey(f)
+	p, key := withKey(f)
 	now := time.Unix(1_800_000_000, 0)
-	good, err := k.SignToken(now, time.Minute)
+	good, err := key.SignToken(now, time.Minute)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -193,9 +210,9 @@
 	f.Add([]byte("a.b.c"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		PeekKey(string(raw))
-		parts, mine := bytes.Split([]byte(good), []byte(".")), bytes.Split(raw, []byte("."))
+		signed, parts := bytes.Split([]byte(good), []byte(".")), bytes.Split(raw, []byte("."))
 		if got, _, err := p.VerifyToken(string(raw), now, 0); err == nil &&
-			!(len(mine) == 3 && bytes.Equal(parts[0], mine[0]) && bytes.Equal(parts[1], mine[1])) {
+			(len(parts) != 3 || !bytes.Equal(signed[0], parts[0]) || !bytes.Equal(signed[1], parts[1])) {
 			t.Fatalf("%s is accepted as %s's", raw, got.Holder)
 		}
 	})
