--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -1,9 +1,10 @@
-// Package snapshot saves the whole state of a site to a file, as of one revision and while the site
-// serves, checks such files, and restores one to an empty state service.
+// Package snapshot saves the whole state of a cluster to a file, as of one revision and while the cluster
+// runs, verifies such files, and restores one to an empty key-value store. It owns the file format; it
+// changes nothing in a store that holds anything else.
 //
-// A file is the line of Magic, then parts (proto/history.proto), each preceded by its length as a
-// varint. The last part is the trailer: how many parts and keys there are, the revision, the time, and a
-// digest of all digests. Keys are in order.
+// A file begins with Magic. Parts (proto/history.proto) follow, each preceded by its length as a varint.
+// The last part is the trailer: the numbers of parts and keys, the revision, the time, and a digest of
+// all parts' digests. Keys are in order.
 package snapshot
 
 import (
@@ -27,11 +28,12 @@
 const (
 	// Magic begins a file.
 	Magic = "dewlift snapshot\n"
-	// Version is the newest version of the format that is written and read.
+	// FormatVersion is the version of the format that is written, and the newest that is read.
 	FormatVersion = 1
 
-	fullPartBytes = 256 << 10 // of keys, before compression, from which a part is full
-	maxPartBytes  = 16 << 20  // bytes of a part that are read, before and after decompression
+	fullPartBytes    = 256 << 10 // of keys before compression, at which a part is written
+	keyOverheadBytes = 16        // of a key, besides its name and value
+	maxPartBytes     = 16 << 20  // of a part that is read, before and after decompression
 )
 
 // Writer writes a snapshot.
@@ -44,28 +46,30 @@
 	trailer      pb.Trailer
 }
 
-// NewWriter begins a snapshot.
+// NewWriter begins a snapshot with its header.
 func NewWriter(w io.Writer) (*Writer, error) {
-	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if _, err := io.WriteString(w, Magic); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	return &Writer{out: w, encoder: enc, digestSum: sha256.New(), trailer: pb.Trailer{Version: FormatVersion}}, nil
+	return &Writer{out: w, encoder: encoder, digestSum: sha256.New(), trailer: pb.Trailer{Version: FormatVersion}}, nil
 }
 
-// Add writes a key; keys come in order.
-func (w *Writer) Add(k *pb.Key) error {
-	w.pendingKeys.Keys = append(w.pendingKeys.Keys, k)
+// Add adds a key; keys must come in order.
+func (w *Writer) Add(key *pb.Key) error {
+	w.pendingKeys.Keys = append(w.pendingKeys.Keys, key)
 	w.trailer.Keys++
-	if w.pendingBytes += len(k.Name) + len(k.Value) + 16; w.pendingBytes < fullPartBytes {
+	w.pendingBytes += len(key.Name) + len(key.Value) + keyOverheadBytes
+	if w.pendingBytes < fullPartBytes {
 		return nil
 	}
 	return w.flush()
 }
 
+// flush writes the pending keys as a part.
 func (w *Writer) flush() error {
 	if len(w.pendingKeys.Keys) == 0 {
 		return nil
@@ -76,108 +80,146 @@
 	return err
 }
 
-func (w *Writer) writePart(number uint32, m protobuf.Message, last bool) error {
-	raw, err := protobuf.Marshal(m)
+// writePart writes a part with keys, or with the trailer if it is the last one.
+func (w *Writer) writePart(number uint32, message protobuf.Message, last bool) error {
+	raw, err := protobuf.Marshal(message)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	data := w.encoder.EncodeAll(raw, nil)
-	p := &pb.Part{Number: number, Digest: partDigest(number, data), Keys: data}
+	part := &pb.Part{Number: number, Digest: partDigest(number, data), Keys: data}
 	if last {
-		p.Keys, p.Trailer = nil, data
+		part.Keys, part.Trailer = nil, data
 	}
-	w.digestSum.Write(p.Digest)
-	if _, err := protodelim.MarshalTo(w.out, p); err != nil {
+	w.digestSum.Write(part.Digest)
+	if _, err := protodelim.MarshalTo(w.out, part); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return nil
 }
 
-// Close writes the trailer: the revision that the snapshot shows, and when it was taken.
-func (w *Writer) Close(ledger uint64, taken time.Time) error {
+// Close writes what is pending and the trailer, with the revision of the snapshot and the time at which it
+// was taken.
+func (w *Writer) Close(revision uint64, taken time.Time) error {
 	if err := w.flush(); err != nil {
 		return err
 	}
-	w.trailer.Ledger, w.trailer.TakenMs, w.trailer.Digest = ledger, taken.UnixMilli(), w.digestSum.Sum(nil)
+	w.trailer.Ledger, w.trailer.TakenMs, w.trailer.Digest = revision, taken.UnixMilli(), w.digestSum.Sum(nil)
 	return w.writePart(w.trailer.Parts+1, &w.trailer, true)
 }
 
+// partDigest is the digest of a part: with its number, so that parts can't change places.
 func partDigest(number uint32, data []byte) []byte {
-	h := sha256.New()
-	h.Write(binary.BigEndian.AppendUint32(nil, number))
-	h.Write(data)
-	return h.Sum(nil)
+	digest := sha256.New()
+	digest.Write(binary.BigEndian.AppendUint32(nil, number))
+	digest.Write(data)
+	return digest.Sum(nil)
 }
 
-// ErrDamaged tells that a file is not a whole snapshot.
+// ErrDamaged is wrapped by the errors of reading a file that is not a whole snapshot.
 var ErrDamaged = errors.New("damaged snapshot")
 
-// Read reads a snapshot and calls f for each key, in order. Only when it returns without an error was
-// the file whole; whatever f did before must not count until then. An error names the part.
-func Read(r io.Reader, f func(*pb.Key) error) (*pb.Trailer, error) {
+// Read reads a snapshot and calls visit for each key, in order. The file is known to be whole only when
+// Read returns without an error: no effect of visit may count before that. An error names the part.
+func Read(r io.Reader, visit func(*pb.Key) error) (*pb.Trailer, error) {
 	in := bufio.NewReaderSize(r, 1<<16)
 	magic := make([]byte, len(Magic))
 	if _, err := io.ReadFull(in, magic); err != nil || string(magic) != Magic {
-		return nil, fmt.Errorf("%w: it does not begin as one", ErrDamaged)
+		return nil, fmt.Errorf("%w: no header", ErrDamaged)
 	}
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPartBytes))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPartBytes))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer dec.Close()
-	sum, keys, last := sha256.New(), uint64(0), ""
-	for n := uint32(1); ; n++ {
-		var p pb.Part
-		if err := (protodelim.UnmarshalOptions{MaxSize: maxPartBytes}).UnmarshalFrom(in, &p); err != nil {
-			if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-				return nil, fmt.Errorf("%w: it ends in part %d", ErrDamaged, n)
-			}
-			return nil, fmt.Errorf("%w: part %d: %w", ErrDamaged, n, err)
+	defer decoder.Close()
+	parts := &partReader{in: in, decoder: decoder, digestSum: sha256.New()}
+	for {
+		part, raw, err := parts.next()
+		if err != nil {
+			return nil, err
 		}
-		data := append(p.Keys, p.Trailer...) // one of them is empty
-		if p.Number != n || !bytes.Equal(p.Digest, partDigest(n, data)) {
-			return nil, fmt.Errorf("%w: part %d: its digest does not match", ErrDamaged, n)
+		if part.Trailer != nil {
+			return parts.readTrailer(raw)
 		}
-		raw, err := dec.DecodeAll(data, nil)
-		if err != nil {
-			return nil, fmt.Errorf("%w: part %d: %w", ErrDamaged, n, err)
+		parts.digestSum.Write(part.Digest)
+		if err := parts.visitKeys(raw, visit); err != nil {
+			return nil, err
 		}
-		if p.Trailer != nil {
-			return readTrailer(in, raw, n, keys, sum.Sum(nil))
+	}
+}
+
+// partReader reads the parts of a snapshot, and counts what the trailer must match.
+type partReader struct {
+	in        *bufio.Reader
+	decoder   *zstd.Decoder
+	number    uint32 // of the part read last, from 1
+	keys      uint64
+	lastName  string // of the key read last
+	digestSum hash.Hash
+}
+
+// next reads a part, and decompresses its content.
+func (r *partReader) next() (*pb.Part, []byte, error) {
+	r.number++
+	part := &pb.Part{}
+	if err := (protodelim.UnmarshalOptions{MaxSize: maxPartBytes}).UnmarshalFrom(r.in, part); err != nil {
+		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+			return nil, nil, fmt.Errorf("%w: truncated in part %d", ErrDamaged, r.number)
 		}
-		sum.Write(p.Digest)
-		var list pb.Keys
-		if err := protobuf.Unmarshal(raw, &list); err != nil {
-			return nil, fmt.Errorf("%w: part %d: %w", ErrDamaged, n, err)
+		return nil, nil, r.partError(err)
+	}
+	data := part.Keys
+	data = append(data, part.Trailer...) // one of them is empty
+	if part.Number != r.number || !bytes.Equal(part.Digest, partDigest(r.number, data)) {
+		return nil, nil, fmt.Errorf("%w: part %d: its digest does not match", ErrDamaged, r.number)
+	}
+	raw, err := r.decoder.DecodeAll(data, nil)
+	if err != nil {
+		return nil, nil, r.partError(err)
+	}
+	return part, raw, nil
+}
+
+// partError wraps an error of decoding the part read last.
+func (r *partReader) partError(err error) error {
+	return fmt.Errorf("%w: part %d: %w", ErrDamaged, r.number, err)
+}
+
+// visitKeys decodes the keys of a part, and visits them. Errors of visit are returned as they are.
+func (r *partReader) visitKeys(raw []byte, visit func(*pb.Key) error) error {
+	var part pb.Keys
+	if err := protobuf.Unmarshal(raw, &part); err != nil {
+		return r.partError(err)
+	}
+	for _, key := range part.Keys {
+		if key.Name <= r.lastName {
+			return fmt.Errorf("%w: part %d: keys are out of order", ErrDamaged, r.number)
 		}
-		for _, k := range list.Keys {
-			if k.Name <= last {
-				return nil, fmt.Errorf("%w: part %d: keys are out of order", ErrDamaged, n)
-			}
-			last = k.Name
-			keys++
-			if err := f(k); err != nil {
-				return nil, err
-			}
+		r.lastName = key.Name
+		r.keys++
+		if err := visit(key); err != nil {
+			return err
 		}
 	}
+	return nil
 }
 
-func readTrailer(in *bufio.Reader, raw []byte, n uint32, keys uint64, sum []byte) (*pb.Trailer, error) {
-	var t pb.Trailer
-	err := protobuf.Unmarshal(raw, &t)
-	if _, end := in.ReadByte(); err == nil && !errors.Is(end, io.EOF) {
-		err = errors.New("something follows the last part")
+// readTrailer decodes the trailer, and checks that it matches the parts and that nothing follows it.
+func (r *partReader) readTrailer(raw []byte) (*pb.Trailer, error) {
+	var trailer pb.Trailer
+	err := protobuf.Unmarshal(raw, &trailer)
+	if _, end := r.in.ReadByte(); err == nil && !errors.Is(end, io.EOF) {
+		err = errors.New("trailing data after the last part")
 	}
 	switch {
 	case err != nil:
-	case t.Version > FormatVersion:
-		return nil, fmt.Errorf("snapshot of format %d: this version reads up to %d", t.Version, FormatVersion)
-	case t.Parts != n-1 || t.Keys != keys || !bytes.Equal(t.Digest, sum):
+	case trailer.Version > FormatVersion:
+		return nil, fmt.Errorf("snapshot of format %d: this version reads up to %d", trailer.Version, FormatVersion)
+	case trailer.Parts != r.number-1 || trailer.Keys != r.keys || !bytes.Equal(trailer.Digest, r.digestSum.Sum(nil)):
 		err = errors.New("the trailer does not match the parts")
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	return &t, nil
+	return &trailer, nil
 }
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -20,124 +20,143 @@
 	pb "dewlift/proto"
 )
 
-// Target is a state service to be restored to.
+// Target is a key-value store that is restored to.
 type Target struct {
 	Source
-	WriteRPS float64 // changes a second
-	TxnOps   int     // changes of a transaction
+	WriteRPS float64 // writes a second
+	TxnOps   int     // writes of a transaction
 }
 
 const (
 	keyRestoring = core.Root + "restoring" // names the snapshot while it is being restored
-	// tokenLeap is by how much the token rises: workers refuse any that is lower than they have seen,
-	// and the site may have gone on after the snapshot was taken.
+
+	// fencingTokenLeap is by how much the fencing token rises: agents reject tokens lower than they have
+	// seen, and the cluster may have gone on after the snapshot was taken.
 	fencingTokenLeap = 1_000_000
-	maxTxnBytes      = 40 << 10 // of a transaction
+
+	maxTxnBytes        = 40 << 10 // of a transaction
+	writeOverheadBytes = 50       // of a write, besides its key and value
 )
 
-// ErrNotEmpty tells that a state service holds something.
-var ErrNotEmpty = errors.New("the state service isn't empty")
+// ErrNotEmpty is returned if a store holds anything but a part of the same snapshot.
+var ErrNotEmpty = errors.New("the store is not empty")
 
-// isLeaseBound reports whether a key belongs to a controller that holds a lease: it ends with that.
+// isLeaseBound reports whether a key belongs to a controller's lease and ends with it.
 func isLeaseBound(name string) bool {
-	for _, p := range core.LeasedKeyPrefixes {
-		if strings.HasPrefix(name, p) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(core.LeasedKeyPrefixes, func(prefix string) bool {
+		return strings.HasPrefix(name, prefix)
+	})
 }
 
-// Restore puts a snapshot's keys into an empty state service. The file is read whole first: a damaged one
-// changes nothing. One that was interrupted goes on with the same file. No controller may be running
-// meanwhile. progress is told the keys put, of how many; it may be nil.
+// Restore writes the keys of a snapshot to an empty store. The file is verified first: a damaged one
+// changes nothing. An interrupted restore can be repeated with the same file. No controller may run
+// meanwhile. progress is called with the number of keys read, and of all; it may be nil.
 func Restore(ctx context.Context, t *Target, path string, progress func(keys, of int)) (*pb.Trailer, error) {
 	t.connect()
-	head, err := Verify(path)
+	trailer, err := Verify(path)
 	if err != nil {
 		return nil, err
 	}
-	name := fmt.Sprintf("%x", head.Digest)
-	if err := t.claimEmptyStore(ctx, name); err != nil {
+	if err := t.claimEmptyStore(ctx, fmt.Sprintf("%x", trailer.Digest)); err != nil {
 		return nil, err
 	}
-	w := &txnBatcher{target: t, limiter: rate.NewLimiter(rate.Limit(t.WriteRPS), max(t.TxnOps, int(t.WriteRPS)))}
-	n, recorded := 0, false
-	if _, err := ReadFile(path, func(k *pb.Key) error {
-		if n++; progress != nil {
-			progress(n, int(head.Keys))
-		}
-		recorded = recorded || k.Name == auditlog.KeyInitialized
-		switch {
-		case isLeaseBound(k.Name):
-			return nil
-		case k.Name == core.KeyFencingToken:
-			v, err := strconv.ParseUint(string(k.Value), 10, 64)
-			if err != nil {
-				return fmt.Errorf("the snapshot's token is not a number: %w", err)
-			}
-			k.Value = []byte(strconv.FormatUint(v+fencingTokenLeap, 10))
-		case strings.HasPrefix(k.Name, core.KeyJob):
-			k.Value = jobrecord.PrepareForRestore(k.Value, k.Mark, head.Ledger)
-		}
-		return w.put(ctx, wire.Write{Put: k.Name, Value: k.Value})
-	}); err != nil {
-		return nil, err
-	}
-	if err := w.flush(ctx); err != nil {
+	hasAudit, err := t.restoreKeys(ctx, path, trailer, progress)
+	if err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(
-		fmt.Sprintf(
-			"snapshot of %s, revision %d, digest %x",
-			time.UnixMilli(head.TakenMs).UTC().Format(time.RFC3339),
-			head.Ledger,
-			head.Digest[:8],
-		),
-	)
+	marker, err := json.Marshal(fmt.Sprintf("snapshot of %s, revision %d, digest %x",
+		time.UnixMilli(trailer.TakenMs).UTC().Format(time.RFC3339), trailer.Ledger, trailer.Digest[:8]))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("encode restore marker: %w", err)
 	}
 	last := wire.Txn{Then: []wire.Write{{Delete: keyRestoring}}}
-	if recorded { // the controllers will record that it was restored
-		last.Then = append(last.Then, wire.Write{Put: core.KeyRestored, Value: text})
+	if hasAudit { // the controllers will record the restore
+		last.Then = append(last.Then, wire.Write{Put: core.KeyRestored, Value: marker})
 	}
-	_, status, err := requestWithRetry[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn, last)
-	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("state service answers %d", status)
+	return trailer, t.commit(ctx, last)
+}
+
+// restoreKeys writes the keys of a file, and reports whether the cluster has an audit log.
+func (t *Target) restoreKeys(
+	ctx context.Context,
+	path string,
+	trailer *pb.Trailer,
+	progress func(keys, of int),
+) (hasAudit bool, err error) {
+	limiter := rate.NewLimiter(rate.Limit(t.WriteRPS), max(t.TxnOps, int(t.WriteRPS)))
+	batcher := &txnBatcher{target: t, limiter: limiter}
+	keys := 0
+	if _, err := ReadFile(path, func(key *pb.Key) error {
+		if keys++; progress != nil {
+			progress(keys, int(trailer.Keys))
+		}
+		hasAudit = hasAudit || key.Name == auditlog.KeyInitialized
+		if isLeaseBound(key.Name) {
+			return nil
+		}
+		value, err := restoredValue(key, trailer.Ledger)
+		if err != nil {
+			return err
+		}
+		return batcher.put(ctx, wire.Write{Put: key.Name, Value: value})
+	}); err != nil {
+		return false, err
+	}
+	return hasAudit, batcher.flush(ctx)
+}
+
+// restoredValue is the value that a key is restored with, from a snapshot of a revision.
+func restoredValue(key *pb.Key, revision uint64) (json.RawMessage, error) {
+	switch {
+	case key.Name == core.KeyFencingToken:
+		token, err := strconv.ParseUint(string(key.Value), 10, 64)
+		if err != nil {
+			return nil, fmt.Errorf("parse fencing token of the snapshot: %w", err)
+		}
+		return []byte(strconv.FormatUint(token+fencingTokenLeap, 10)), nil
+	case strings.HasPrefix(key.Name, core.KeyJob):
+		return jobrecord.PrepareForRestore(key.Value, key.Mark, revision), nil
 	}
-	return head, err
+	return key.Value, nil
 }
 
-// claimEmptyStore sees to it that the service is empty, or holds a part of the same snapshot.
+// claimEmptyStore marks an empty store as being restored from the named snapshot. One that is already
+// marked with that name may be restored further; any other is not empty.
 func (t *Target) claimEmptyStore(ctx context.Context, name string) error {
-	p, err := t.readPage(ctx, siteRoot, "", 1)
+	first, err := t.readPage(ctx, siteRoot, "", 1)
 	if err != nil {
 		return err
 	}
-	mine, err := json.Marshal(name)
+	marker, err := json.Marshal(name)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode marker: %w", err)
 	}
-	if len(p.Items) > 0 {
-		q, err := t.readPage(ctx, keyRestoring, "", 1)
+	if len(first.Items) > 0 {
+		marked, err := t.readPage(ctx, keyRestoring, "", 1)
 		if err != nil {
 			return err
 		}
-		if len(q.Items) == 0 || string(q.Items[0].Value) != string(mine) {
+		if len(marked.Items) == 0 || string(marked.Items[0].Value) != string(marker) {
 			return ErrNotEmpty
 		}
 		return nil
 	}
-	_, status, err := requestWithRetry[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn,
-		wire.Txn{Compare: []wire.Compare{{Key: keyRestoring}}, Then: []wire.Write{{Put: keyRestoring, Value: mine}}})
+	return t.commit(ctx, wire.Txn{
+		Compare: []wire.Compare{{Key: keyRestoring}},
+		Then:    []wire.Write{{Put: keyRestoring, Value: marker}},
+	})
+}
+
+// commit commits a transaction whose conditions must hold.
+func (t *Target) commit(ctx context.Context, txn wire.Txn) error {
+	_, status, err := requestWithRetry[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn, txn)
 	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("state service answers %d", status)
+		err = statusError(status)
 	}
 	return err
 }
 
-// txnBatcher gathers puts into transactions.
+// txnBatcher gathers writes of new keys into transactions.
 type txnBatcher struct {
 	target  *Target
 	limiter *rate.Limiter
@@ -145,53 +164,48 @@
 	bytes   int
 }
 
-func (w *txnBatcher) put(ctx context.Context, x wire.Write) error {
-	if len(w.writes) == w.target.TxnOps || w.bytes+len(x.Value) > maxTxnBytes {
-		if err := w.flush(ctx); err != nil {
+// put adds a write, and commits those before it if a transaction can't take more.
+func (b *txnBatcher) put(ctx context.Context, write wire.Write) error {
+	if len(b.writes) == b.target.TxnOps || b.bytes+len(write.Value) > maxTxnBytes {
+		if err := b.flush(ctx); err != nil {
 			return err
 		}
 	}
-	w.writes = append(w.writes, x)
-	w.bytes += len(x.Put) + len(x.Value) + 50
+	b.writes = append(b.writes, write)
+	b.bytes += len(write.Put) + len(write.Value) + writeOverheadBytes
 	return nil
 }
 
-func (w *txnBatcher) flush(ctx context.Context) error {
-	for len(w.writes) > 0 {
-		if err := w.limiter.WaitN(ctx, len(w.writes)); err != nil {
+// flush commits the writes. Each is conditional on the absence of its key: those that an interrupted
+// restore has committed are left out.
+func (b *txnBatcher) flush(ctx context.Context) error {
+	for len(b.writes) > 0 {
+		if err := b.limiter.WaitN(ctx, len(b.writes)); err != nil {
 			return err
 		}
-		t := wire.Txn{Then: w.writes}
-		for _, x := range w.writes {
-			t.Compare = append(t.Compare, wire.Compare{Key: x.Put})
+		txn := wire.Txn{Then: b.writes}
+		for _, write := range b.writes {
+			txn.Compare = append(txn.Compare, wire.Compare{Key: write.Put})
 		}
-		reply, status, err := requestWithRetry[wire.TxnResponse](
-			ctx,
-			&w.target.Source,
-			http.MethodPost,
-			wire.PathTxn,
-			t,
-		)
+		response, status, err := requestWithRetry[wire.TxnResponse](
+			ctx, &b.target.Source, http.MethodPost, wire.PathTxn, txn)
 		switch {
 		case err != nil:
 			return err
 		case status == http.StatusOK:
-			w.writes = nil
-		case status == http.StatusConflict: // put before it was interrupted
-			left := w.writes[:0]
-			for _, x := range w.writes {
-				if !slices.Contains(reply.Failed, x.Put) {
-					left = append(left, x)
-				}
-			}
-			if len(left) == len(t.Then) {
-				return fmt.Errorf("%s: the state service refuses it", w.writes[0].Put)
+			b.writes = nil
+		case status == http.StatusConflict:
+			left := slices.DeleteFunc(slices.Clone(b.writes), func(write wire.Write) bool {
+				return slices.Contains(response.Failed, write.Put)
+			})
+			if len(left) == len(b.writes) {
+				return fmt.Errorf("write %s: conflict without a failed condition", b.writes[0].Put)
 			}
-			w.writes = left
+			b.writes = left
 		default:
-			return fmt.Errorf("%s and others: the state service answers %d: %s", w.writes[0].Put, status, reply.Error)
+			return fmt.Errorf("write %s and others: %w: %s", b.writes[0].Put, statusError(status), response.Error)
 		}
 	}
-	w.writes, w.bytes = nil, 0
+	b.writes, b.bytes = nil, 0
 	return nil
 }
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -19,7 +19,7 @@
 	pb "dewlift/proto"
 )
 
-// Source is a state service, and how much of it may be used.
+// Source is a key-value store, and how much of it may be used.
 type Source struct {
 	Addr string
 	RPS  float64 // requests a second
@@ -29,13 +29,18 @@
 }
 
 const (
-	siteRoot         = "d" // begins all keys of a site
+	siteRoot         = "d" // prefix of all keys of a cluster
 	pageItems        = 1000
-	pagesPerWatch    = 20 // pages, after which the changes until then are read: the service keeps only so many
+	pagesPerWatch    = 20 // pages between two reads of changes: the store keeps only so many changes
 	requestTimeout   = 10 * time.Second
 	maxResponseBytes = 64 << 20
+
+	maxAttempts      = 20 // of a request
+	retryDelay       = 200 * time.Millisecond
+	maxDelayMultiple = 10 // the delay grows by retryDelay with each attempt, up to this multiple
 )
 
+// connect makes the client and the limiter at the first use.
 func (s *Source) connect() {
 	if s.client == nil {
 		s.client = httpjson.New(1, 1, maxResponseBytes)
@@ -43,87 +48,87 @@
 	}
 }
 
-// requestWithRetry makes a request, and again while the service is busy or does not answer.
+// statusError is the error of a response with an unexpected status.
+func statusError(status int) error {
+	return fmt.Errorf("store responds with status %d", status)
+}
+
+// requestWithRetry makes a request, and repeats it while the store is throttling or unavailable. Without an
+// answer, only a read is repeated: a write may have been executed.
 func requestWithRetry[T any](ctx context.Context, s *Source, method, path string, body any) (T, int, error) {
+	var none T
 	var last httpjson.Response
-	for try := range 20 {
+	for attempt := range maxAttempts {
 		if err := s.limiter.Wait(ctx); err != nil {
-			var none T
 			return none, 0, err
 		}
-		v, r := httpjson.Decode[T](s.client.Do(ctx, requestTimeout, method, "http://"+s.Addr+path, body))
+		value, response := httpjson.Decode[T](s.client.Do(ctx, requestTimeout, method, "http://"+s.Addr+path, body))
 		switch {
-		case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable || r.Status == 0 && method == http.MethodGet:
-		case r.Status == 0:
-			return v, 0, fmt.Errorf("state service: %w", r.Err)
+		case response.Status == http.StatusTooManyRequests, response.Status == http.StatusServiceUnavailable,
+			response.Status == 0 && method == http.MethodGet:
+		case response.Status == 0:
+			return value, 0, fmt.Errorf("request to store: %w", response.Err)
 		default:
-			return v, r.Status, nil
+			return value, response.Status, nil
 		}
-		last = r
+		last = response
 		select {
-		case <-time.After(time.Duration(min(try+1, 10)) * 200 * time.Millisecond):
+		case <-time.After(time.Duration(min(attempt+1, maxDelayMultiple)) * retryDelay):
 		case <-ctx.Done():
-			return v, 0, ctx.Err()
+			return value, 0, ctx.Err()
 		}
 	}
-	var none T
 	if last.Err != nil {
-		return none, 0, fmt.Errorf("state service: %w", last.Err)
+		return none, 0, fmt.Errorf("request to store: %w", last.Err)
 	}
-	return none, last.Status, fmt.Errorf("state service answers %d", last.Status)
+	return none, last.Status, statusError(last.Status)
 }
 
-func (s *Source) readPage(ctx context.Context, prefix, from string, most int) (wire.RangeResponse, error) {
-	p, status, err := requestWithRetry[wire.RangeResponse](
-		ctx,
-		s,
-		http.MethodGet,
-		wire.RangePath(prefix, from, most),
-		nil,
-	)
+// readPage reads a page of at most limit keys with a prefix, after a key.
+func (s *Source) readPage(ctx context.Context, prefix, afterKey string, limit int) (wire.RangeResponse, error) {
+	path := wire.RangePath(prefix, afterKey, limit)
+	page, status, err := requestWithRetry[wire.RangeResponse](ctx, s, http.MethodGet, path, nil)
 	if err == nil && status != http.StatusOK {
-		err = fmt.Errorf("state service answers %d", status)
+		err = statusError(status)
 	}
-	return p, err
+	return page, err
 }
 
-// readChanges are the last ones of each key since a revision, and the revision that they lead to.
-func (s *Source) readChanges(ctx context.Context, from uint64, into map[string]wire.WatchEvent) (uint64, error) {
-	ch, status, err := requestWithRetry[wire.WatchResponse](
-		ctx,
-		s,
-		http.MethodGet,
-		fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, siteRoot, from),
-		nil,
-	)
+// readChanges adds the last change of each key since a revision, and returns the revision as of which they
+// are complete.
+func (s *Source) readChanges(ctx context.Context, since uint64, changed map[string]wire.WatchEvent) (uint64, error) {
+	path := fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, siteRoot, since)
+	changes, status, err := requestWithRetry[wire.WatchResponse](ctx, s, http.MethodGet, path, nil)
 	switch {
 	case err != nil:
 		return 0, err
 	case status == http.StatusGone:
-		return 0, errors.New("the state service changed too much meanwhile: allow the snapshot more requests")
+		return 0, errors.New("the store dropped changes before they were read: allow the snapshot more requests")
 	case status != http.StatusOK:
-		return 0, fmt.Errorf("state service answers %d", status)
+		return 0, statusError(status)
 	}
-	for _, e := range ch.Events {
-		into[e.Put+e.Delete] = e
+	for _, event := range changes.Events {
+		changed[event.Put+event.Delete] = event // one of them is empty
 	}
-	return max(from, ch.Revision), nil
+	return max(since, changes.Revision), nil
 }
 
-// Save writes all keys as of one revision to a file, which is there only once it is whole. Reading takes
-// a while, and the site goes on meanwhile: so the pages are kept aside, and the keys that changed since
-// the first page are then put in their place. progress is told the keys read; it may be nil.
-func Save(ctx context.Context, s *Source, path string, progress func(keys int)) (t *pb.Trailer, err error) {
+// Save writes all keys as of one revision to a file, which exists only once it is whole. The cluster runs
+// while the pages are read: they go to a temporary file, and the keys that changed since the first page
+// are then merged into it. progress is called with the number of keys read; it may be nil.
+func Save(ctx context.Context, s *Source, path string, progress func(keys int)) (trailer *pb.Trailer, err error) {
 	s.connect()
 	dir := filepath.Dir(path)
-	aside, err := os.CreateTemp(dir, ".snapshot-pages-*")
+	pages, err := os.CreateTemp(dir, ".snapshot-pages-*")
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer os.Remove(aside.Name())
-	defer aside.Close()
+	defer func() { // a temporary file: a failure to remove it makes the snapshot no worse
+		_ = pages.Close()
+		_ = os.Remove(pages.Name())
+	}()
 	changed := map[string]wire.WatchEvent{}
-	ledger, err := s.readPages(ctx, aside, changed, progress)
+	revision, err := s.readPages(ctx, pages, changed, progress)
 	if err != nil {
 		return nil, err
 	}
@@ -131,23 +136,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer os.Remove(out.Name()) // once it has its own name, there is none
-	if err := mergeChanges(aside, out, changed, ledger); err != nil {
+	defer func() { _ = os.Remove(out.Name()) }() // after it was renamed, there is none
+	if err := mergeChanges(pages, out, changed, revision); err != nil {
 		return nil, errors.Join(err, out.Close())
 	}
 	if err := errors.Join(out.Sync(), out.Close()); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if t, err = Verify(out.Name()); err != nil { // what is on the disk is what counts
+	if trailer, err = Verify(out.Name()); err != nil { // what is on the disk is what counts
 		return nil, err
 	}
 	if err := os.Rename(out.Name(), path); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	return t, nil
+	return trailer, nil
 }
 
-// readPages reads all keys, and what changed since the first page until after the last.
+// readPages writes all keys as they are read, and collects the changes from the first page until after the
+// last one. It returns the revision as of which pages and changes together are complete.
 func (s *Source) readPages(
 	ctx context.Context,
 	w io.Writer,
@@ -158,38 +164,38 @@
 	if err != nil {
 		return 0, err
 	}
-	from, ledger, n := "", uint64(0), 0
+	afterKey, revision, keys := "", uint64(0), 0
 	for pages := 1; ; pages++ {
-		p, err := s.readPage(ctx, siteRoot, from, pageItems)
+		page, err := s.readPage(ctx, siteRoot, afterKey, pageItems)
 		if err != nil {
 			return 0, err
 		}
-		if from == "" {
-			ledger = p.Revision
+		if afterKey == "" {
+			revision = page.Revision
 		}
-		for _, it := range p.Items {
-			if err := out.Add(&pb.Key{Name: it.Key, Value: it.Value, Mark: it.Revision}); err != nil {
+		for _, item := range page.Items {
+			if err := out.Add(&pb.Key{Name: item.Key, Value: item.Value, Mark: item.Revision}); err != nil {
 				return 0, err
 			}
-			from = it.Key
+			afterKey = item.Key
 		}
-		if n += len(p.Items); progress != nil {
-			progress(n)
+		if keys += len(page.Items); progress != nil {
+			progress(keys)
 		}
-		last := !p.More || len(p.Items) == 0
+		last := !page.More || len(page.Items) == 0
 		if last || pages%pagesPerWatch == 0 {
-			if ledger, err = s.readChanges(ctx, ledger, changed); err != nil {
+			if revision, err = s.readChanges(ctx, revision, changed); err != nil {
 				return 0, err
 			}
 		}
 		if last {
-			return ledger, out.Close(ledger, time.Now())
+			return revision, out.Close(revision, time.Now())
 		}
 	}
 }
 
-// mergeChanges writes the pages with what changed in its place.
-func mergeChanges(pages *os.File, w io.Writer, changed map[string]wire.WatchEvent, ledger uint64) error {
+// mergeChanges writes the keys of the pages, with the changed ones as they were last.
+func mergeChanges(pages *os.File, w io.Writer, changed map[string]wire.WatchEvent, revision uint64) error {
 	if _, err := pages.Seek(0, io.SeekStart); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
@@ -198,49 +204,49 @@
 		return err
 	}
 	names := slices.Sorted(maps.Keys(changed))
-	put := func(name string) error {
-		if e := changed[name]; e.Put != "" {
-			return out.Add(&pb.Key{Name: name, Value: e.Value, Mark: e.Revision})
+	addChanged := func(name string) error {
+		if event := changed[name]; event.Put != "" {
+			return out.Add(&pb.Key{Name: name, Value: event.Value, Mark: event.Revision})
 		}
-		return nil
+		return nil // deleted
 	}
-	if _, err = Read(pages, func(k *pb.Key) error {
-		for len(names) > 0 && names[0] < k.Name {
-			if err := put(names[0]); err != nil {
+	if _, err = Read(pages, func(key *pb.Key) error {
+		for len(names) > 0 && names[0] < key.Name {
+			if err := addChanged(names[0]); err != nil {
 				return err
 			}
 			names = names[1:]
 		}
-		if len(names) > 0 && names[0] == k.Name {
-			return nil // the change takes its place
+		if len(names) > 0 && names[0] == key.Name {
+			return nil // the change replaces it
 		}
-		return out.Add(k)
+		return out.Add(key)
 	}); err != nil {
 		return err
 	}
 	for _, name := range names {
-		if err := put(name); err != nil {
+		if err := addChanged(name); err != nil {
 			return err
 		}
 	}
-	return out.Close(ledger, time.Now())
+	return out.Close(revision, time.Now())
 }
 
-// Verify reads a whole file.
+// Verify reads a whole file, and returns its trailer.
 func Verify(path string) (*pb.Trailer, error) {
 	return ReadFile(path, func(*pb.Key) error { return nil })
 }
 
-// ReadFile is Read of a file.
-func ReadFile(path string, f func(*pb.Key) error) (*pb.Trailer, error) {
+// ReadFile reads a file as Read does.
+func ReadFile(path string, visit func(*pb.Key) error) (*pb.Trailer, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer in.Close()
-	t, err := Read(in, f)
+	defer func() { _ = in.Close() }() // only read from
+	trailer, err := Read(in, visit)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return t, nil
+	return trailer, nil
 }
