--- /dev/null
+++ b/core/auditlog/entries.go
@@ -0,0 +1,257 @@
+package auditlog
+
+import (
+	"dewlift/audit"
+	"dewlift/wire"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	pb "dewlift/proto"
+)
+
+// maxReasonBytes bounds the reason of an entry; a longer one is cut.
+const maxReasonBytes = 600
+
+// carrier is the replica of a key whose only purpose is to carry entries.
+type carrier struct {
+	revision uint64
+	entries  []audit.PendingEntry
+}
+
+// carrierValue is the stored form of a carrier, and the part that all values with entries share.
+type carrierValue struct {
+	Entries []audit.PendingEntry `json:"e"`
+}
+
+// inFlightEntry is an entry of a transaction without a known outcome.
+type inFlightEntry struct {
+	encoded  []byte
+	key      string // that carries it
+	revision uint64 // of the key, compared by the transaction
+}
+
+// queuedEntry is a committed entry that waits for a block.
+type queuedEntry struct {
+	incarnation, sequence uint64
+	encoded               []byte
+	queuedAt              time.Duration
+	onRecorded            []func(ok bool)
+}
+
+// newEntry returns the entry of an event of this incarnation, with the next sequence number.
+func (r *Recorder) newEntry(event Event) *pb.AuditEntry {
+	r.lastSequence++
+	reason := event.Reason
+	if len(reason) > maxReasonBytes {
+		reason = strings.ToValidUTF8(reason[:maxReasonBytes], "") + "..."
+	}
+	return &pb.AuditEntry{
+		Life:   r.incarnation,
+		Count:  r.lastSequence,
+		AtMs:   r.Env.UnixMS,
+		Who:    audit.TruncateText(event.Identity),
+		Key:    audit.TruncateText(event.Key),
+		Verb:   event.Verb,
+		Object: audit.TruncateText(event.Object),
+		Why:    strings.ToValidUTF8(reason, "?"),
+	}
+}
+
+// AttachEntries returns the entries that a value carries in its next write: those of old that are in no
+// block, and new entries of the events. The write must compare the key's revision. The ids name the new
+// entries; the outcome of the write goes to HandleOutcome or DiscardEntries.
+func (r *Recorder) AttachEntries(
+	key string,
+	revision uint64,
+	old []audit.PendingEntry,
+	events []Event,
+) (list []audit.PendingEntry, ids []uint64) {
+	for _, pending := range old {
+		if !r.IsRecorded(&pending) {
+			list = append(list, pending)
+		}
+	}
+	if !r.Env.Enabled {
+		return list, nil
+	}
+	for _, event := range events {
+		entry := r.newEntry(event)
+		pending := r.cfg.Key.SignEntry(r.cfg.Node, key, entry)
+		list = append(list, pending)
+		ids = append(ids, entry.Count)
+		r.inFlight[entry.Count] = &inFlightEntry{encoded: pending.Entry, key: key, revision: revision}
+	}
+	return list, ids
+}
+
+// AttachCarrier adds a carrier with the entry of an event to a transaction.
+func (r *Recorder) AttachCarrier(txn *wire.Txn, name string, event Event) (ids []uint64) {
+	key := carrierPrefix + name
+	old := r.carriers[key]
+	list, ids := r.AttachEntries(key, old.revision, old.entries, []Event{event})
+	raw, err := json.Marshal(carrierValue{list})
+	if err != nil {
+		panic(err) // impossible: the value has only bytes, strings and numbers
+	}
+	txn.Compare = append(txn.Compare, wire.Compare{Key: key, Revision: old.revision})
+	txn.Then = append(txn.Then, wire.Write{Put: key, Value: raw})
+	return ids
+}
+
+// IsRecorded reports whether a pending entry is in a block, so that no value needs to carry it.
+func (r *Recorder) IsRecorded(pending *audit.PendingEntry) bool {
+	head := r.heads[pending.Node]
+	return head != nil && head.Contains(pending.Incarnation, pending.Sequence)
+}
+
+// AllRecorded reports whether all of the entries are in blocks.
+func (r *Recorder) AllRecorded(list []audit.PendingEntry) bool {
+	return !slices.ContainsFunc(list, func(pending audit.PendingEntry) bool { return !r.IsRecorded(&pending) })
+}
+
+// HandleOutcome handles the outcome of a transaction with the entries.
+func (r *Recorder) HandleOutcome(ids []uint64, status wire.Status) {
+	switch status {
+	case wire.StatusConflict, wire.StatusTooManyRequests, wire.StatusUnavailable, wire.StatusBadRequest: // not executed
+		r.DiscardEntries(ids)
+		return
+	}
+	for _, id := range ids {
+		entry := r.inFlight[id]
+		switch {
+		case entry == nil:
+		case status == wire.StatusOK:
+			r.enqueueWritten(id)
+		default:
+			r.unknownOutcome[entry.key] = append(r.unknownOutcome[entry.key], id)
+		}
+	}
+}
+
+// DiscardEntries drops the entries of a transaction that was not sent or not executed.
+func (r *Recorder) DiscardEntries(ids []uint64) {
+	for _, id := range ids {
+		delete(r.inFlight, id)
+	}
+}
+
+// enqueueWritten queues an in-flight entry for a block: its change is committed.
+func (r *Recorder) enqueueWritten(id uint64) {
+	if entry := r.inFlight[id]; entry != nil {
+		delete(r.inFlight, id)
+		r.enqueue(r.incarnation, id, entry.encoded)
+	}
+}
+
+// enqueue queues an encoded entry for a block.
+func (r *Recorder) enqueue(incarnation, sequence uint64, encoded []byte) {
+	r.queue = append(
+		r.queue,
+		queuedEntry{incarnation: incarnation, sequence: sequence, encoded: encoded, queuedAt: r.Env.Now},
+	)
+}
+
+// ObserveEntries handles the entries that a key carries as of a revision. Entries of this controller
+// that are in no block are queued. Entries with unknown outcome that the key does not carry were not
+// written and never will be.
+func (r *Recorder) ObserveEntries(key string, revision uint64, list []audit.PendingEntry) {
+	if r.cfg.Key == nil {
+		return
+	}
+	for i := range list {
+		pending := &list[i]
+		id := [2]uint64{pending.Incarnation, pending.Sequence}
+		switch {
+		case pending.Node != r.cfg.Node:
+		case pending.Incarnation == r.incarnation:
+			r.enqueueWritten(pending.Sequence)
+		case r.IsRecorded(pending) || r.formerEntries[id]:
+		default:
+			r.formerEntries[id] = true
+			r.enqueue(pending.Incarnation, pending.Sequence, r.verifiedEntry(key, pending))
+		}
+	}
+	r.ResolveUnknown(key, revision)
+}
+
+// verifiedEntry returns a pending entry of a former incarnation as it goes into a block: unchanged if
+// its MAC is valid, else replaced by an entry that records the forgery under the same number.
+func (r *Recorder) verifiedEntry(key string, pending *audit.PendingEntry) []byte {
+	_, err := r.cfg.Key.VerifyEntry(key, pending)
+	if err == nil {
+		return pending.Entry
+	}
+	r.cfg.LogError(
+		"audit entry was altered",
+		"key",
+		key,
+		"life",
+		pending.Incarnation,
+		"count",
+		pending.Sequence,
+	)
+	return audit.Encode(
+		&pb.AuditEntry{
+			Life:    pending.Incarnation,
+			Count:   pending.Sequence,
+			AtMs:    r.Env.UnixMS,
+			Verb:    VerbForged,
+			Object:  audit.TruncateText(key),
+			Outcome: pb.AuditOutcome_refused,
+			Why:     err.Error(),
+		},
+	)
+}
+
+// ResolveUnknown drops the entries with unknown outcome that the key would carry, as of the revision,
+// if they had been written.
+func (r *Recorder) ResolveUnknown(key string, revision uint64) {
+	if len(r.unknownOutcome[key]) == 0 {
+		return
+	}
+	r.unknownOutcome[key] = slices.DeleteFunc(r.unknownOutcome[key], func(id uint64) bool {
+		entry := r.inFlight[id]
+		if entry != nil && revision <= entry.revision {
+			return false
+		}
+		delete(r.inFlight, id)
+		return true
+	})
+	if len(r.unknownOutcome[key]) == 0 {
+		delete(r.unknownOutcome, key)
+	}
+}
+
+// ApplyPut applies a watched audit key.
+func (r *Recorder) ApplyPut(key string, raw json.RawMessage, revision uint64) error {
+	switch {
+	case key == KeyInitialized:
+		r.initializedRevision = max(r.initializedRevision, revision)
+	case strings.HasPrefix(key, HeadPrefix):
+		head := &audit.Head{}
+		if err := json.Unmarshal(raw, head); err != nil {
+			return fmt.Errorf("decode chain head: %w", err)
+		}
+		r.applyHead(strings.TrimPrefix(key, HeadPrefix), head, revision)
+	case strings.HasPrefix(key, carrierPrefix):
+		var value carrierValue
+		if err := json.Unmarshal(raw, &value); err != nil {
+			return fmt.Errorf("decode audit carrier: %w", err)
+		}
+		r.ObserveEntries(key, revision, value.Entries)
+		if revision > r.carriers[key].revision {
+			r.carriers[key] = carrier{revision, value.Entries}
+		}
+	case key == settingsPrefix+r.cfg.Node:
+		if revision > r.settingsRevision {
+			r.storedSettings, r.settingsRevision = nil, revision
+			if err := json.Unmarshal(raw, &r.storedSettings); err != nil {
+				return fmt.Errorf("decode stored settings: %w", err)
+			}
+		}
+	}
+	return nil
+}
--- a/core/auditlog/golden_test.go
+++ b/core/auditlog/golden_test.go
@@ -8,33 +8,28 @@
 	"testing"
 )
 
-// What a carrier is stored as, and its key: the same bytes are written, and those of before are read.
+// The stored form of a carrier and all keys must not change: the same bytes are written, and stored ones read.
 func TestStoredBytesStay(t *testing.T) {
-	v := carrierValue{
+	value := carrierValue{
 		[]audit.PendingEntry{
 			{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")},
 		},
 	}
 	const want = `{"e":[{"a":"node-a","l":3,"q":4,"e":"ZW50cnk=","t":"dGFn"}]}`
-	raw, err := json.Marshal(v)
+	raw, err := json.Marshal(value)
 	if err != nil || string(raw) != want {
-		t.Errorf("it is written as %s, was %s (%v)", raw, want, err)
+		t.Errorf("encoded as %s, want %s (%v)", raw, want, err)
 	}
 	var read carrierValue
-	if err := json.Unmarshal([]byte(want), &read); err != nil || !reflect.DeepEqual(read, v) {
-		t.Errorf("it is read as %+v (%v)", read, err)
+	if err := json.Unmarshal([]byte(want), &read); err != nil || !reflect.DeepEqual(read, value) {
+		t.Errorf("decoded as %+v (%v)", read, err)
 	}
 	keys := strings.Join([]string{Prefix, KeyInitialized, HeadPrefix, carrierPrefix, settingsPrefix}, " ")
 	if keys != "dl/audit/ dl/audit/begun dl/audit/head/ dl/audit/of/ dl/audit/settings/" {
 		t.Errorf("keys are %s", keys)
 	}
-	if acts := strings.Join([]string{
-		VerbTakeOver,
-		VerbStart,
-		VerbStop,
-		VerbRestore,
-		VerbForged,
-	}, " "); acts != "take start stop restore forged" {
-		t.Errorf("acts are %s", acts)
+	verbs := strings.Join([]string{VerbTakeOver, VerbStart, VerbStop, VerbRestore, VerbForged}, " ")
+	if verbs != "take start stop restore forged" {
+		t.Errorf("verbs are %s", verbs)
 	}
 }
--- a/core/auditlog/recorder_test.go
+++ b/core/auditlog/recorder_test.go
@@ -14,194 +14,245 @@
 	"pgregory.net/rapid"
 )
 
+// key signs the entries of the tests.
 var key = audit.Key("a key for the tests of the recorder")
 
-// fakeStore is a state service, and what is on its way to it.
+// entryID identifies an entry by incarnation and sequence number.
+type entryID = [2]uint64
+
+// fakeStore is a key-value store, with the transactions on their way to it.
 type fakeStore struct {
 	keys             map[string]wire.KeyValue
 	revision         uint64
 	delayedTxns      []wire.Txn
-	committedEntries map[[2]uint64]bool // entries whose change was made
+	committedEntries map[entryID]bool // entries whose change was committed
 }
 
-func (s *fakeStore) execute(t wire.Txn) bool {
-	for _, c := range t.Compare {
-		if s.keys[c.Key].Revision != c.Revision {
+// execute commits a transaction if its compares hold.
+func (s *fakeStore) execute(txn wire.Txn) bool {
+	for _, compare := range txn.Compare {
+		if s.keys[compare.Key].Revision != compare.Revision {
 			return false
 		}
 	}
 	s.revision++
-	for _, w := range t.Then {
-		s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.revision}
-		for _, x := range entriesIn(w.Value) {
-			s.committedEntries[[2]uint64{x.Incarnation, x.Sequence}] = true
+	for _, write := range txn.Then {
+		s.keys[write.Put] = wire.KeyValue{Key: write.Put, Value: write.Value, Revision: s.revision}
+		for _, pending := range entriesIn(write.Value) {
+			s.committedEntries[entryID{pending.Incarnation, pending.Sequence}] = true
 		}
 	}
 	return true
 }
 
+// entriesIn returns the entries that a value carries.
 func entriesIn(raw json.RawMessage) []audit.PendingEntry {
-	var v carrierValue
-	_ = json.Unmarshal(raw, &v) // blocks and heads carry nothing
-	return v.Entries
+	var value carrierValue
+	_ = json.Unmarshal(raw, &value) // blocks and heads carry none
+	return value.Entries
 }
 
-// replayTo gives a recorder all keys, in their order: as when they are read, and as the changes would.
+// replayTo applies all keys to a recorder in key order, as a snapshot load and as the watch would.
 func (s *fakeStore) replayTo(r *Recorder) error {
-	for _, k := range slices.Sorted(maps.Keys(s.keys)) {
-		it := s.keys[k]
-		if strings.HasPrefix(k, Prefix) {
-			if err := r.ApplyPut(k, it.Value, it.Revision); err != nil {
+	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
+		item := s.keys[key]
+		if strings.HasPrefix(key, Prefix) {
+			if err := r.ApplyPut(key, item.Value, item.Revision); err != nil {
 				return err
 			}
-		} else if strings.HasPrefix(k, "dl/") {
-			r.ObserveEntries(k, it.Revision, entriesIn(it.Value))
+		} else if strings.HasPrefix(key, "dl/") {
+			r.ObserveEntries(key, item.Revision, entriesIn(item.Value))
 		}
 	}
 	return nil
 }
 
-// Whatever becomes of its transactions and its processes, every entry whose change was made is put into a block
-// once, and no other is.
-func TestEveryCommittedEntryIsRecordedOnce(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		s := &fakeStore{keys: map[string]wire.KeyValue{}, committedEntries: map[[2]uint64]bool{}}
-		var r *Recorder
-		var now time.Duration
-		pass := func(d time.Duration) {
-			now += d
-			r.Env = Env{Now: now, UnixMS: now.Milliseconds(), Enabled: true, MaxValueBytes: 1200}
-		}
-		start := func() {
-			r = New(Config{
-				Key:            key,
-				Node:           "n0",
-				GatherInterval: time.Second,
-				BlockDelay:     2 * time.Second,
-				LateTxnWindow:  time.Hour,
-				StartedAt:      now,
-				LogError:       func(string, ...any) {},
-			})
-			pass(0)
-			if err := s.replayTo(r); err != nil {
-				t.Fatal(err)
+// delivery is what becomes of a transaction and what its sender learns of it. Higher numbers than
+// those named here are executed at once and answered.
+type delivery int
+
+const (
+	deliverLate      delivery = iota // executed later, if ever; no answer
+	loseAnswer                       // executed at once; no answer
+	rejectUnexecuted                 // not executed, and the sender knows
+	deliver          delivery = 7    // executed at once and answered
+)
+
+// send executes a transaction now, later or not at all, and returns the outcome that its sender sees.
+func (s *fakeStore) send(txn wire.Txn, how delivery) wire.Status {
+	switch {
+	case how == deliverLate:
+		s.delayedTxns = append(s.delayedTxns, txn)
+		return wire.StatusNoAnswer
+	case how == loseAnswer:
+		s.execute(txn)
+		return wire.StatusNoAnswer
+	case how == rejectUnexecuted:
+		return wire.StatusUnavailable
+	case !s.execute(txn):
+		return wire.StatusConflict
+	}
+	return wire.StatusOK
+}
+
+// recorderRun is a recorder, its store and its clock.
+type recorderRun struct {
+	t        *rapid.T
+	store    *fakeStore
+	recorder *Recorder
+	now      time.Duration
+}
+
+// pass advances the clock.
+func (run *recorderRun) pass(d time.Duration) {
+	run.now += d
+	run.recorder.Env = Env{Now: run.now, UnixMS: run.now.Milliseconds(), Enabled: true, MaxValueBytes: 1200}
+}
+
+// restart replaces the recorder by one of a new process.
+func (run *recorderRun) restart() {
+	run.t.Helper()
+	run.recorder = New(Config{
+		Key:            key,
+		Node:           "n0",
+		GatherInterval: time.Second,
+		BlockDelay:     2 * time.Second,
+		LateTxnWindow:  time.Hour,
+		StartedAt:      run.now,
+		LogError:       func(string, ...any) {},
+	})
+	run.pass(0)
+	if err := run.store.replayTo(run.recorder); err != nil {
+		run.t.Fatalf("load after a restart: %v", err)
+	}
+}
+
+// writeBlock sends the next block, if one is due.
+func (run *recorderRun) writeBlock(how delivery) {
+	run.t.Helper()
+	if run.recorder.IsBusy() {
+		return
+	}
+	if txn := run.recorder.NextBlockTxn(); txn != nil {
+		if run.recorder.HandleBlockOutcome(run.store.send(*txn, how), run.store.revision) {
+			if err := run.store.replayTo(run.recorder); err != nil {
+				run.t.Fatalf("read after a block with unknown outcome: %v", err)
 			}
+			run.recorder.ClearBusy()
 		}
-		start()
-		// send executes a transaction, or not, or late, and says what its sender learns: 0 is nothing.
-		send := func(x wire.Txn, how int) wire.Status {
-			switch {
-			case how == 0:
-				s.delayedTxns = append(s.delayedTxns, x)
-				return wire.StatusNoAnswer
-			case how == 1:
-				s.execute(x)
-				return wire.StatusNoAnswer
-			case how == 2:
-				return wire.StatusUnavailable
-			case !s.execute(x):
-				return wire.StatusConflict
-			}
-			return wire.StatusOK
+	}
+}
+
+// executeDelayed executes one of the transactions that are on their way.
+func (run *recorderRun) executeDelayed() {
+	if n := len(run.store.delayedTxns); n > 0 {
+		i := rapid.IntRange(0, n-1).Draw(run.t, "late")
+		run.store.execute(run.store.delayedTxns[i])
+		run.store.delayedTxns = slices.Delete(run.store.delayedTxns, i, i+1)
+	}
+}
+
+// writeJob writes a job's record with a new entry.
+func (run *recorderRun) writeJob(how delivery) {
+	run.t.Helper()
+	jobKey := fmt.Sprint("dl/job/", rapid.IntRange(0, 3).Draw(run.t, "key"))
+	if len(run.recorder.unknownOutcome[jobKey]) > 0 { // the owner of a key reads it before it writes again
+		if err := run.store.replayTo(run.recorder); err != nil {
+			run.t.Fatalf("read after a write with unknown outcome: %v", err)
 		}
-		step := func(how int) {
-			if r.IsBusy() {
-				return
-			}
-			if x := r.NextBlockTxn(); x != nil {
-				if r.HandleBlockOutcome(send(*x, how), s.revision) {
-					if err := s.replayTo(r); err != nil {
-						t.Fatal(err)
-					}
-					r.ClearBusy()
-				}
-			}
+	}
+	item := run.store.keys[jobKey]
+	list, ids := run.recorder.AttachEntries(
+		jobKey,
+		item.Revision,
+		entriesIn(item.Value),
+		[]Event{{Verb: "submit", Object: jobKey}},
+	)
+	raw, err := json.Marshal(carrierValue{list})
+	if err != nil {
+		run.t.Fatal(err)
+	}
+	txn := wire.Txn{
+		Compare: []wire.Compare{{Key: jobKey, Revision: item.Revision}},
+		Then:    []wire.Write{{Put: jobKey, Value: raw}},
+	}
+	run.recorder.HandleOutcome(ids, run.store.send(txn, how))
+}
+
+// step performs one random operation.
+func (run *recorderRun) step() {
+	run.t.Helper()
+	run.pass(time.Duration(rapid.Int64Range(0, int64(1500*time.Millisecond)).Draw(run.t, "pass")))
+	how := delivery(rapid.IntRange(0, 7).Draw(run.t, "how"))
+	switch rapid.IntRange(0, 9).Draw(run.t, "what") {
+	case 0:
+		run.restart()
+	case 1, 2:
+		run.executeDelayed()
+	case 3, 4:
+		run.writeBlock(how)
+	case 5:
+		if err := run.store.replayTo(run.recorder); err != nil {
+			run.t.Fatalf("watch: %v", err)
 		}
-		for range rapid.IntRange(1, 120).Draw(t, "acts") {
-			pass(time.Duration(rapid.Int64Range(0, int64(1500*time.Millisecond)).Draw(t, "pass")))
-			how := rapid.IntRange(0, 7).Draw(t, "how")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0:
-				start()
-			case 1, 2:
-				if n := len(s.delayedTxns); n > 0 {
-					i := rapid.IntRange(0, n-1).Draw(t, "late")
-					s.execute(s.delayedTxns[i])
-					s.delayedTxns = slices.Delete(s.delayedTxns, i, i+1)
-				}
-			case 3, 4:
-				step(how)
-			case 5:
-				if err := s.replayTo(r); err != nil {
-					t.Fatal(err)
-				}
-			default:
-				if !r.IsStarted() {
-					step(how)
-					continue
-				}
-				k := fmt.Sprint("dl/job/", rapid.IntRange(0, 3).Draw(t, "key"))
-				if len(r.unknownOutcome[k]) > 0 { // its owner reads before it writes again
-					if err := s.replayTo(r); err != nil {
-						t.Fatal(err)
-					}
-				}
-				it := s.keys[k]
-				list, ids := r.AttachEntries(
-					k,
-					it.Revision,
-					entriesIn(it.Value),
-					[]Event{{Verb: "submit", Object: k}},
-				)
-				raw, err := json.Marshal(carrierValue{list})
-				if err != nil {
-					t.Fatal(err)
-				}
-				r.HandleOutcome(
-					ids,
-					send(
-						wire.Txn{
-							Compare: []wire.Compare{{Key: k, Revision: it.Revision}},
-							Then:    []wire.Write{{Put: k, Value: raw}},
-						},
-						how,
-					),
-				)
-			}
+	default:
+		if run.recorder.IsStarted() {
+			run.writeJob(how)
+		} else {
+			run.writeBlock(how)
 		}
-		for range 60 { // all is well now
-			pass(3 * time.Second)
-			if err := s.replayTo(r); err != nil {
-				t.Fatal(err)
-			}
-			step(7)
+	}
+}
+
+// checkBlocks fails unless the blocks hold every committed entry exactly once, and no other.
+func (run *recorderRun) checkBlocks() {
+	run.t.Helper()
+	blocks := map[entryID]int{} // that hold an entry
+	for key, item := range run.store.keys {
+		if !strings.HasPrefix(key, audit.BlockPrefix) {
+			continue
 		}
-		in := map[[2]uint64]int{}
-		for k, it := range s.keys {
-			if !strings.HasPrefix(k, audit.BlockPrefix) {
+		block, err := audit.DecodeBlock(item.Value)
+		if err != nil {
+			run.t.Fatal(err)
+		}
+		for _, entry := range block.Entries {
+			if entry.Verb == VerbStart {
 				continue
 			}
-			b, err := audit.DecodeBlock(it.Value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, e := range b.Entries {
-				if id := [2]uint64{e.Life, e.Count}; e.Verb != VerbStart {
-					if in[id]++; !s.committedEntries[id] || in[id] > 1 {
-						t.Fatalf(
-							"entry %v is in %d blocks, its change was made: %v",
-							id,
-							in[id],
-							s.committedEntries[id],
-						)
-					}
-				}
+			id := entryID{entry.Life, entry.Count}
+			blocks[id]++
+			if committed := run.store.committedEntries[id]; !committed || blocks[id] > 1 {
+				run.t.Fatalf("entry %v is in %d blocks, its change was committed: %v", id, blocks[id], committed)
 			}
 		}
-		for id := range s.committedEntries {
-			if in[id] != 1 {
-				t.Fatalf("entry %v is in %d blocks", id, in[id])
+	}
+	for id := range run.store.committedEntries {
+		if blocks[id] != 1 {
+			run.t.Fatalf("entry %v is in %d blocks", id, blocks[id])
+		}
+	}
+}
+
+// Whatever becomes of the transactions and processes, every committed entry must be in exactly one block,
+// and no other entry in any: a lost entry hides a change, a second one invents one.
+func TestEveryCommittedEntryIsRecordedOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		run := &recorderRun{
+			t:     t,
+			store: &fakeStore{keys: map[string]wire.KeyValue{}, committedEntries: map[entryID]bool{}},
+		}
+		run.restart()
+		for range rapid.IntRange(1, 120).Draw(t, "acts") {
+			run.step()
+		}
+		for range 60 { // without failures from here on
+			run.pass(3 * time.Second)
+			if err := run.store.replayTo(run.recorder); err != nil {
+				t.Fatalf("watch without failures: %v", err)
 			}
+			run.writeBlock(deliver)
 		}
+		run.checkBlocks()
 	})
 }
