--- a/core/reservations.go
+++ b/core/reservations.go
@@ -17,53 +17,77 @@
 	pb "dewlift/proto"
 )
 
-// Bookings of equipment: who asks, with which right, and what it may take of the changes. What is
-// decided is in the package booking, what is stored in core/booking.
+// Reservations of equipment: authorization of the requests and their share of the write budget. Package
+// booking decides the requests, package core/reservations what is stored.
 
-// reservationState is what the core keeps beside the desk.
+const (
+	// seedEquipmentInterval spaces attempts to seed the equipment.
+	seedEquipmentInterval = 2 * time.Second
+
+	// seedEquipmentRetryDelay follows equipment that does not fit a value, which only another
+	// configuration mends.
+	seedEquipmentRetryDelay = time.Minute
+
+	// reservationComparesPerOp is how many compares a transaction may have for each write allowed in it.
+	reservationComparesPerOp = 4
+
+	// reservationCompactionBudget is the share of a full write budget that must be left before past
+	// reservations are archived or pages merged: neither is urgent.
+	reservationCompactionBudget = 0.75
+
+	maxReservationsListed = 500 // in one answer
+	maxFreeTimesListed    = 50  // in one answer
+)
+
+// Reasons of answers that a reservation request can't be served now.
+const (
+	reasonOldVersion = "a controller may still run a version that does not know bookings"
+	reasonUndecided  = "it could not be decided in time"
+)
+
+// reservationState is the core's state beside the reservation service.
 type reservationState struct {
-	auditEntryIDs    []uint64 // entries of the audit record in the transaction on its way
-	enabledPublished bool     // that something can be booked
+	auditEntryIDs    []uint64 // audit entries in the transaction that is being built
+	enabledPublished bool     // last state sent to the request handlers
 	nextSeedAt       time.Duration
 }
 
-// reservationCaller is who waits for the answer to an ask.
+// reservationCaller identifies the request and caller of a pending reservation request.
 type reservationCaller struct {
 	requestID uint64
 	caller    Credential
 }
 
-const reasonOldVersion = "a controller may still run a version that does not know bookings"
-
-func (c *Core) applyReservation(key string, raw json.RawMessage, mark uint64) error {
-	carried, err := c.reservations.ApplyPut(key, raw, mark)
+// applyReservation applies a stored reservation key and the audit entries that it carries.
+func (c *Core) applyReservation(key string, raw json.RawMessage, revision uint64) error {
+	carried, err := c.reservations.ApplyPut(key, raw, revision)
 	if key == reservations.KeyHead {
-		c.currentAuditLog().ObserveEntries(key, mark, carried)
+		c.currentAuditLog().ObserveEntries(key, revision, carried)
 	}
 	return err
 }
 
-// canServeReservations answers those who can't be served now: false if it did.
-func (c *Core) canServeReservations(req uint64) bool {
+// canServeReservations reports whether a reservation request can be served now, and answers it if not.
+func (c *Core) canServeReservations(requestID uint64) bool {
 	switch {
 	case c.isNotServing():
-		c.respondUnavailable(req, reasonNotReady)
+		c.respondUnavailable(requestID, reasonNotReady)
 	case !c.replica.loaded:
-		c.respondUnavailable(req, "not caught up")
+		c.respondUnavailable(requestID, "not caught up")
 	case c.storeUnreachable():
-		c.respondUnavailable(req, "state service not reached")
+		c.respondUnavailable(requestID, reasonStoreUnreachable)
 	case c.schemaVersion() < schemaReservations:
-		c.respondUnavailable(req, reasonOldVersion)
+		c.respondUnavailable(requestID, reasonOldVersion)
 	default:
 		return true
 	}
 	return false
 }
 
-// handleReserveEquipment has a wish wait for its turn.
+// handleReserveEquipment validates a reservation request and queues it.
 func (c *Core) handleReserveEquipment(in ReserveEquipment) {
-	b := in.Request
-	if !booking.ValidID(b.ID) {
+	reservation := in.Request
+	if !booking.ValidID(reservation.ID) {
 		c.respond(
 			in.RequestID,
 			wire.StatusBadRequest,
@@ -71,44 +95,49 @@
 		)
 		return
 	}
-	rank, ok := wire.Priority(cmp.Or(b.Priority, wire.PriorityName(wire.PriorityStandard)))
+	rank, ok := wire.Priority(cmp.Or(reservation.Priority, wire.PriorityName(wire.PriorityStandard)))
 	if !ok {
-		c.respond(in.RequestID, wire.StatusBadRequest, wire.ReservationResponse{Error: "priority: there is no " + b.Priority})
+		c.respond(
+			in.RequestID,
+			wire.StatusBadRequest,
+			wire.ReservationResponse{Error: "priority: there is no " + reservation.Priority},
+		)
 		return
 	}
 	if !c.canServeReservations(in.RequestID) {
 		return
 	}
-	w := booking.Request{
+	request := booking.Request{
 		Verb:         in.Verb,
-		ID:           b.ID,
-		Team:         b.Team,
+		ID:           reservation.ID,
+		Team:         reservation.Team,
 		Identity:     in.Caller.Identity,
-		HoldSeconds:  b.HoldS,
+		HoldSeconds:  reservation.HoldS,
 		WaitlistRank: uint32(rank),
-		JoinWaitlist: b.Waitlist,
-		Reason:       b.Reason,
+		JoinWaitlist: reservation.Waitlist,
+		Reason:       reservation.Reason,
 	}
 	c.enqueueReservationRequest(
 		&reservations.PendingRequest{
-			Request:        w,
-			Wants:          b.Slots,
-			RecurrenceRule: b.Repeat,
+			Request:        request,
+			Wants:          reservation.Slots,
+			RecurrenceRule: reservation.Repeat,
 			CallerData:     reservationCaller{requestID: in.RequestID, caller: in.Caller},
 		},
 	)
 }
 
-func (c *Core) enqueueReservationRequest(a *reservations.PendingRequest) {
-	a.Deadline = c.now + c.cfg.Scheduling.SubmitWriteTimeout
-	if !c.reservations.Enqueue(a) {
-		c.respondUnavailable(a.CallerData.(reservationCaller).requestID, reasonTooBusy)
+// enqueueReservationRequest queues a request, or answers it if too many are queued.
+func (c *Core) enqueueReservationRequest(request *reservations.PendingRequest) {
+	request.Deadline = c.now + c.cfg.Scheduling.SubmitWriteTimeout
+	if !c.reservations.Enqueue(request) {
+		c.respondUnavailable(request.CallerData.(reservationCaller).requestID, reasonTooBusy)
 	}
 }
 
-// handleSetEquipment has another list of equipment put in force.
+// handleSetEquipment validates a new equipment list and queues its replacement.
 func (c *Core) handleSetEquipment(in SetEquipment) {
-	site, err := booking.Parse([]byte(in.Edit.Text))
+	inventory, err := booking.Parse([]byte(in.Edit.Text))
 	if err != nil {
 		c.respond(in.RequestID, wire.StatusBadRequest, wire.ReservationResponse{Error: "equipment: " + err.Error()})
 		return
@@ -116,28 +145,26 @@
 	if !c.canServeReservations(in.RequestID) {
 		return
 	}
-	w := booking.Request{
+	request := booking.Request{
 		Verb:         booking.VerbSetInventory,
-		Replacement:  site,
+		Replacement:  inventory,
 		EndDisplaced: in.Edit.EndDisplaced,
 		Reason:       in.Edit.Reason,
 	}
 	c.enqueueReservationRequest(
 		&reservations.PendingRequest{
-			Request:    w,
+			Request:    request,
 			CallerData: reservationCaller{requestID: in.RequestID, caller: in.Caller},
 		},
 	)
 }
 
-// advanceReservations decides what waits, and answers.
+// advanceReservations answers expired requests, then starts at most one transaction: a batch of
+// requests, or, on the leader with write budget to spare, compaction.
 func (c *Core) advanceReservations() {
-	if open := c.reservations.IsEnabled() && c.schemaVersion() >= schemaReservations; open != c.reservationState.enabledPublished {
-		c.reservationState.enabledPublished = open
-		c.emit(ReservationsEnabled{Enabled: open})
-	}
-	for _, a := range c.reservations.TakeExpired(c.now) {
-		c.respondToReservation(a)
+	c.publishReservationsEnabled()
+	for _, response := range c.reservations.TakeExpired(c.now) {
+		c.respondToReservation(response)
 	}
 	if c.auditNotReady() || c.schemaVersion() < schemaReservations || c.unixOffsetMS == 0 {
 		return
@@ -146,48 +173,65 @@
 	for _, id := range c.reservations.TakeBlocksToRead() {
 		c.readPastReservation(id, func() {})
 	}
-	if c.reservations.HasWork(c.now, c.unixSeconds()) && !c.transactions.rateLimit.IsUrgentPaused(c.now) &&
-		c.transactions.rateLimit.ReadTokens >= 1 &&
-		c.transactions.rateLimit.WriteTokens >= 1-c.storeWriteRate()/4 {
+	rateLimit := &c.transactions.rateLimit
+	// Requests may overdraw the write budget by a quarter of a second's writes: callers wait for them.
+	if c.reservations.HasWork(c.now, c.unixSeconds()) && !rateLimit.IsUrgentPaused(c.now) &&
+		rateLimit.ReadTokens >= 1 &&
+		rateLimit.WriteTokens >= 1-c.storeWriteRate()/4 {
 		c.commitReservations()
 		return
 	}
 	if c.isLeader() &&
-		c.transactions.rateLimit.WriteTokens >= 0.75*c.transactions.rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
-		!c.transactions.rateLimit.IsPaused(c.now) {
-		over := c.unixSeconds() - int64(c.cfg.Reservations.Retention/time.Second)
-		c.reservations.ForgetArchived(c.now, over)
-		if t := c.reservations.ArchiveTxn([]wire.Compare{
-			{Key: keyLeader, Revision: c.leadership.leader.mark},
-		}, over, c.cfg.Store.MaxValueBytes); t != nil {
-			c.commitTxn(*t, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-				c.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(t) })
-			}})
-			return
-		}
-		if t := c.reservations.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); t != nil {
-			c.commitTxn(*t, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-				c.afterReadBarrier(func(bool) { c.reservations.MergeDone() }) // what came of it shows there
-			}})
-		}
+		rateLimit.WriteTokens >= reservationCompactionBudget*rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
+		!rateLimit.IsPaused(c.now) {
+		c.compactReservations()
+	}
+}
+
+// publishReservationsEnabled tells the request handlers when reservations become possible or impossible.
+func (c *Core) publishReservationsEnabled() {
+	enabled := c.reservations.IsEnabled() && c.schemaVersion() >= schemaReservations
+	if enabled != c.reservationState.enabledPublished {
+		c.reservationState.enabledPublished = enabled
+		c.emit(ReservationsEnabled{Enabled: enabled})
 	}
 }
 
+// compactReservations archives past reservations or, if none are due, merges pages.
+func (c *Core) compactReservations() {
+	endedBefore := c.unixSeconds() - int64(c.cfg.Reservations.Retention/time.Second)
+	c.reservations.ForgetArchived(c.now, endedBefore)
+	leaderCompares := []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}}
+	if txn := c.reservations.ArchiveTxn(leaderCompares, endedBefore, c.cfg.Store.MaxValueBytes); txn != nil {
+		c.commitTxn(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
+			c.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(txn) })
+		}})
+		return
+	}
+	if txn := c.reservations.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); txn != nil {
+		c.commitTxn(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
+			c.afterReadBarrier(func(bool) { c.reservations.MergeDone() }) // the barrier shows the outcome
+		}})
+	}
+}
+
+// unixSeconds returns the wall-clock time in seconds.
 func (c *Core) unixSeconds() int64 { return c.unixMS() / 1000 }
 
-// seedEquipment puts the list of the file in force where there is none.
+// seedEquipment stores the configured equipment list if there is none.
 func (c *Core) seedEquipment() {
-	if c.cfg.Reservations.Equipment == nil || c.reservations.InventoryRevision() != 0 || !c.isLeader() || !c.holdsLease() ||
+	if c.cfg.Reservations.Equipment == nil || c.reservations.InventoryRevision() != 0 ||
+		!c.isLeader() || !c.holdsLease() ||
 		c.now < c.reservationState.nextSeedAt ||
 		c.transactions.rateLimit.IsPaused(c.now) ||
 		c.transactions.rateLimit.WriteTokens < 1 {
 		return
 	}
-	c.reservationState.nextSeedAt = c.now + 2*time.Second
+	c.reservationState.nextSeedAt = c.now + seedEquipmentInterval
 	raw, err := reservations.EncodeInventory(c.cfg.Reservations.Equipment.Source())
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-		c.log(LevelError, "the list of equipment does not fit a value", "bytes", len(raw))
-		c.reservationState.nextSeedAt = c.now + time.Minute
+		c.log(LevelError, "equipment list does not fit a value", "bytes", len(raw))
+		c.reservationState.nextSeedAt = c.now + seedEquipmentRetryDelay
 		return
 	}
 	c.commitTxn(
@@ -199,209 +243,228 @@
 	)
 }
 
-// commitReservations decides the asks that wait.
+// commitReservations decides a batch of queued requests and commits it.
 func (c *Core) commitReservations() {
-	s := &c.reservationState
-	t := c.reservations.NextTxn(
+	state := &c.reservationState
+	txn := c.reservations.NextTxn(
 		reservations.Env{
 			Now:           c.now,
 			UnixS:         c.unixSeconds(),
 			MaxValueBytes: c.cfg.Store.MaxValueBytes,
-			MaxCompares:   4 * c.cfg.Store.MaxTxnOps,
+			MaxCompares:   reservationComparesPerOp * c.cfg.Store.MaxTxnOps,
 			Authorize:     c.authorizeReservation,
-			AttachAudit:   c.carryReservationAudit,
+			AttachAudit:   c.attachReservationAudit,
 		},
 	)
-	if t == nil {
+	if txn == nil {
 		return
 	}
-	if !slices.ContainsFunc(t.Then, func(w wire.Write) bool { return w.Put == reservations.KeyHead }) {
-		c.currentAuditLog().DiscardEntries(s.auditEntryIDs) // it only compares
-		s.auditEntryIDs = nil
+	if !slices.ContainsFunc(txn.Then, func(write wire.Write) bool { return write.Put == reservations.KeyHead }) {
+		// The transaction only compares: entries of an attempt that did not fit are void.
+		c.currentAuditLog().DiscardEntries(state.auditEntryIDs)
+		state.auditEntryIDs = nil
 	}
-	ids := s.auditEntryIDs
-	s.auditEntryIDs = nil
-	c.commitTxn(*t, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
+	ids := state.auditEntryIDs
+	state.auditEntryIDs = nil
+	c.commitTxn(*txn, &pendingTxn{onDone: func(status wire.Status, reply wire.TxnResponse) {
 		c.currentAuditLog().HandleOutcome(ids, status)
-		if status == wire.StatusBadRequest && len(t.Then) > 0 {
-			c.reduceTxnLimits(t)
+		if status == wire.StatusBadRequest && len(txn.Then) > 0 {
+			c.reduceTxnLimits(txn)
 		}
-		c.reservations.InvalidateBlocks(r.Failed)
-		answers, read := c.reservations.HandleOutcome(status, r.Revision)
-		for _, a := range answers {
-			c.respondToReservation(a)
+		c.reservations.InvalidateBlocks(reply.Failed)
+		responses, mustReadHead := c.reservations.HandleOutcome(status, reply.Revision)
+		for _, response := range responses {
+			c.respondToReservation(response)
 		}
-		if read {
-			// somebody was quicker: read at once, or they always are
+		if mustReadHead {
+			// Another controller committed first. Read at once: a later read would lose to it every time.
 			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
 			c.afterReadBarrier(func(bool) { c.reservations.HeadRead() })
 		}
 	}})
 }
 
+// reservationAuditVerbs are the verbs of reservation requests in the audit log.
 var reservationAuditVerbs = map[booking.Verb]string{
 	booking.VerbCreate: "book", booking.VerbConfirm: "confirm booking", booking.VerbMove: "move booking",
 	booking.VerbEnd: "end booking", booking.VerbSetInventory: "change equipment",
 }
 
-// authorizeReservation decides whether somebody may do with a team's bookings what they ask for.
+// authorizeReservation decides whether the caller of a request may perform it on reservations of the
+// team that use equipment of these kinds. It returns the compares under which the decision holds, and
+// the reason of a denial or "".
 func (c *Core) authorizeReservation(
-	a *reservations.PendingRequest,
+	request *reservations.PendingRequest,
 	team string,
 	kinds []string,
-) (conds []wire.Compare, why string) {
-	by := a.CallerData.(reservationCaller).caller
-	conds = c.permissionCompares(by)
+) (compares []wire.Compare, denial string) {
+	caller := request.CallerData.(reservationCaller).caller
+	compares = c.permissionCompares(caller)
 	if !c.permissionsInForce() {
-		return conds, ""
+		return compares, ""
 	}
-	if a.Request.Verb == booking.VerbSetInventory {
-		if d := c.authorize(by, access.Action{Verb: pb.Verb_equip}); !d.Allowed {
-			return conds, d.Reason
+	if request.Request.Verb == booking.VerbSetInventory {
+		if decision := c.authorize(caller, access.Action{Verb: pb.Verb_equip}); !decision.Allowed {
+			return compares, decision.Reason
 		}
-		return conds, ""
+		return compares, ""
 	}
 	if len(kinds) == 0 {
-		kinds = []string{""} // of what is not there
+		kinds = []string{""} // of a reservation that does not exist
 	}
-	for _, k := range kinds {
-		if d := c.authorize(by, access.Action{Verb: pb.Verb_book, Team: team, Class: k}); !d.Allowed {
-			return conds, d.Reason
+	for _, kind := range kinds {
+		action := access.Action{Verb: pb.Verb_book, Team: team, Class: kind}
+		if decision := c.authorize(caller, action); !decision.Allowed {
+			return compares, decision.Reason
 		}
 	}
-	return conds, ""
+	return compares, ""
 }
 
-// carryReservationAudit has the head carry entries of what is done: of those who asked, and of what time has done.
-func (c *Core) carryReservationAudit(
-	mark uint64,
+// attachReservationAudit returns the audit entries that the next head carries: those of old that are
+// pending, and new ones of the granted requests and of reservations that changed otherwise. It replaces
+// the entries of the previous attempt to build the transaction.
+func (c *Core) attachReservationAudit(
+	headRevision uint64,
 	old []audit.PendingEntry,
 	granted []*reservations.PendingRequest,
 	changed []*pb.Booking,
 ) []audit.PendingEntry {
-	s := &c.reservationState
-	c.currentAuditLog().DiscardEntries(s.auditEntryIDs)
-	asked := map[string]bool{}
-	var acts []auditlog.Event
-	for _, a := range granted {
-		by, object := a.CallerData.(reservationCaller).caller, cmp.Or(a.Request.ID, "equipment")
-		asked[object] = true
-		acts = append(acts, newAuditEvent(by, reservationAuditVerbs[a.Request.Verb], object, a.Request.Reason))
-	}
-	for _, b := range changed {
-		if !asked[b.Id] {
-			acts = append(
-				acts,
-				auditlog.Event{Verb: "change booking", Object: b.Id, Reason: cmp.Or(b.Why, "it got its slots")},
-			)
+	state := &c.reservationState
+	c.currentAuditLog().DiscardEntries(state.auditEntryIDs)
+	requested := map[string]bool{}
+	var events []auditlog.Event
+	for _, request := range granted {
+		caller := request.CallerData.(reservationCaller).caller
+		object, verb := reservationAuditObject(request), reservationAuditVerbs[request.Request.Verb]
+		requested[object] = true
+		events = append(events, newAuditEvent(caller, verb, object, request.Request.Reason))
+	}
+	for _, reservation := range changed {
+		if !requested[reservation.Id] {
+			events = append(events, auditlog.Event{
+				Verb:   "change booking",
+				Object: reservation.Id,
+				Reason: cmp.Or(reservation.Why, "it got its slots"),
+			})
 		}
 	}
 	var list []audit.PendingEntry
-	list, s.auditEntryIDs = c.currentAuditLog().AttachEntries(reservations.KeyHead, mark, old, acts)
+	list, state.auditEntryIDs = c.currentAuditLog().AttachEntries(reservations.KeyHead, headRevision, old, events)
 	return list
 }
 
-// respondToReservation tells somebody what became of their wish.
-func (c *Core) respondToReservation(a reservations.Response) {
-	who := a.Request.CallerData.(reservationCaller)
+// reservationAuditObject returns the object of a request in the audit log.
+func reservationAuditObject(request *reservations.PendingRequest) string {
+	return cmp.Or(request.Request.ID, "equipment")
+}
+
+// reservationStatuses are the statuses of decided requests.
+var reservationStatuses = map[booking.Outcome]wire.Status{
+	booking.OutcomeDone:     wire.StatusOK,
+	booking.OutcomeRepeated: wire.StatusOK,
+	booking.OutcomeRefused:  wire.StatusConflict,
+	booking.OutcomeInvalid:  wire.StatusInvalid,
+	booking.OutcomeNotFound: wire.StatusNotFound,
+}
+
+// respondToReservation answers a decided, denied or expired request.
+func (c *Core) respondToReservation(response reservations.Response) {
+	request := &response.Request.Request
+	caller := response.Request.CallerData.(reservationCaller)
 	switch {
-	case a.TimedOut:
-		c.respondUnavailable(who.requestID, "it could not be decided in time")
+	case response.TimedOut:
+		c.respondUnavailable(caller.requestID, reasonUndecided)
 		return
-	case a.Forbidden:
+	case response.Forbidden:
 		c.respondForbidden(
-			who.requestID,
-			who.caller,
-			reservationAuditVerbs[a.Request.Request.Verb],
-			cmp.Or(a.Request.Request.ID, "equipment"),
-			a.Reason,
+			caller.requestID,
+			caller.caller,
+			reservationAuditVerbs[request.Verb],
+			reservationAuditObject(response.Request),
+			response.Reason,
 		)
 		return
 	}
-	status := map[booking.Outcome]wire.Status{
-		booking.OutcomeDone:     wire.StatusOK,
-		booking.OutcomeRepeated: wire.StatusOK,
-		booking.OutcomeRefused:  wire.StatusConflict,
-		booking.OutcomeInvalid:  wire.StatusInvalid,
-		booking.OutcomeNotFound: wire.StatusNotFound,
-	}[a.Outcome]
-	if a.Outcome == booking.OutcomeDone && a.Request.Request.Verb == booking.VerbCreate {
+	status := reservationStatuses[response.Outcome]
+	if response.Outcome == booking.OutcomeDone && request.Verb == booking.VerbCreate {
 		status = wire.StatusCreated
 	}
 	out := wire.ReservationResponse{
-		Error:     a.Reason,
-		Free:      c.toWireFreeTimes(a.Alternatives),
-		Displaced: c.toWireReservations(a.Displaced),
+		Error:     response.Reason,
+		Free:      c.toWireFreeTimes(response.Alternatives),
+		Displaced: c.toWireReservations(response.Displaced),
 	}
-	if a.Booking != nil && c.canReadReservation(who.caller, a.Booking) {
-		out.Reservation = new(c.toWireReservation(a.Booking))
+	if response.Booking != nil && c.canReadReservation(caller.caller, response.Booking) {
+		out.Reservation = new(c.toWireReservation(response.Booking))
 	}
-	if a.Request.Request.Verb == booking.VerbSetInventory {
+	if request.Verb == booking.VerbSetInventory {
 		out.Version = c.reservations.InventoryRevision()
 	}
-	c.respond(who.requestID, status, out)
+	c.respond(caller.requestID, status, out)
 }
 
-// canReadReservation decides whether somebody may read a booking: as one of its team.
-func (c *Core) canReadReservation(by Credential, b *pb.Booking) bool {
+// canReadReservation reports whether the caller may read a reservation of its team and kind of equipment.
+func (c *Core) canReadReservation(caller Credential, reservation *pb.Booking) bool {
 	if !c.permissionsInForce() {
 		return true
 	}
 	kind := ""
-	if site := c.reservations.Inventory(); site != nil {
+	if inventory := c.reservations.Inventory(); inventory != nil {
 		switch {
-		case len(b.Slots) > 0:
-			kind = site.ItemKind(b.Slots[0].Piece)
-		case len(b.Wants) > 0:
-			kind = site.WantKind(b.Wants[0])
+		case len(reservation.Slots) > 0:
+			kind = inventory.ItemKind(reservation.Slots[0].Piece)
+		case len(reservation.Wants) > 0:
+			kind = inventory.WantKind(reservation.Wants[0])
 		}
 	}
-	return c.authorize(by, access.Action{Verb: pb.Verb_read, Team: b.Team, Class: kind}).Allowed
+	return c.authorize(caller, access.Action{Verb: pb.Verb_read, Team: reservation.Team, Class: kind}).Allowed
 }
 
-func (c *Core) toWireReservation(b *pb.Booking) wire.Reservation {
-	site := c.reservations.Inventory()
-	at := func(t int64) string {
-		if t == 0 || site == nil {
+// toWireReservation returns a reservation as it is answered, with times in the site's time zone.
+func (c *Core) toWireReservation(reservation *pb.Booking) wire.Reservation {
+	inventory := c.reservations.Inventory()
+	formatTime := func(unixS int64) string {
+		if unixS == 0 || inventory == nil {
 			return ""
 		}
-		return site.FormatTime(t)
+		return inventory.FormatTime(unixS)
 	}
 	out := wire.Reservation{
-		ID:        b.Id,
-		State:     b.State.String(),
-		Team:      b.Team,
-		Owner:     b.Who,
+		ID:        reservation.Id,
+		State:     reservation.State.String(),
+		Team:      reservation.Team,
+		Owner:     reservation.Who,
 		Slots:     []wire.ReservedSlot{},
-		HeldUntil: at(b.HeldUntil),
+		HeldUntil: formatTime(reservation.HeldUntil),
 		Priority: wire.PriorityName(
-			int(min(b.Rank, uint32(wire.PriorityLowest))),
+			int(min(reservation.Rank, uint32(wire.PriorityLowest))),
 		),
-		EndReason: b.Why,
-		EndedAt:   at(b.EndedAt),
+		EndReason: reservation.Why,
+		EndedAt:   formatTime(reservation.EndedAt),
 	}
-	for _, x := range b.Slots {
+	for _, slot := range reservation.Slots {
 		out.Slots = append(
 			out.Slots,
 			wire.ReservedSlot{
-				Equipment:    x.Piece,
-				Unit:         x.Unit,
-				From:         at(x.From),
-				To:           at(x.To),
-				ReusableFrom: at(x.Clear),
+				Equipment:    slot.Piece,
+				Unit:         slot.Unit,
+				From:         formatTime(slot.From),
+				To:           formatTime(slot.To),
+				ReusableFrom: formatTime(slot.Clear),
 			},
 		)
 	}
-	for _, x := range b.Wants {
+	for _, want := range reservation.Wants {
 		out.Slots = append(
 			out.Slots,
-			wire.ReservedSlot{Equipment: x.Piece, Kind: x.Kind, From: at(x.From), Slots: x.Slots},
+			wire.ReservedSlot{Equipment: want.Piece, Kind: want.Kind, From: formatTime(want.From), Slots: want.Slots},
 		)
 	}
-	if b.State == pb.BookingState_waiting {
-		c.reservations.ViewCommitted(func(l *booking.Schedule) {
-			for i, o := range l.Waitlist() {
-				if o.Id == b.Id {
+	if reservation.State == pb.BookingState_waiting {
+		c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
+			for i, waiting := range schedule.Waitlist() {
+				if waiting.Id == reservation.Id {
 					out.WaitlistPosition = i + 1
 				}
 			}
@@ -410,170 +473,177 @@
 	return out
 }
 
+// toWireReservations returns reservations as they are answered.
 func (c *Core) toWireReservations(list []*pb.Booking) (out []wire.Reservation) {
-	for _, b := range list {
-		out = append(out, c.toWireReservation(b))
+	for _, reservation := range list {
+		out = append(out, c.toWireReservation(reservation))
 	}
 	return out
 }
 
+// toWireFreeTimes returns free intervals as they are answered.
 func (c *Core) toWireFreeTimes(list []booking.FreeSlot) (out []wire.FreeInterval) {
-	for _, f := range list {
+	for _, free := range list {
 		out = append(
 			out,
 			wire.FreeInterval{
-				Equipment: f.Piece,
-				From:      c.reservations.Inventory().FormatTime(f.From),
-				To:        c.reservations.Inventory().FormatTime(f.To),
+				Equipment: free.Piece,
+				From:      c.reservations.Inventory().FormatTime(free.From),
+				To:        c.reservations.Inventory().FormatTime(free.To),
 			},
 		)
 	}
 	return out
 }
 
-const (
-	maxReservationsListed = 500 // of a list
-	maxFreeTimesListed    = 50
-)
-
-// handleListReservations answers a question about bookings, as of a barrier. Only how a booking
-// ended is told without one, where no rights are in force.
+// handleListReservations answers a query of reservations as of a read barrier. Only an ended
+// reservation, which never changes any more, is answered without one, if no permissions are in force.
 func (c *Core) handleListReservations(in ListReservations) {
-	q := in.Query
-	if q.ID != "" && c.replica.loaded && !c.isNotServing() && !c.permissionsInForce() {
-		ended := false
-		c.reservations.ViewCommitted(func(l *booking.Schedule) {
-			if b := l.Get(q.ID); b != nil && b.State == pb.BookingState_ended {
-				ended = true
-				c.respond(in.RequestID, wire.StatusOK, wire.ReservationResponse{Reservation: new(c.toWireReservation(b))})
-			}
-		})
-		if ended {
-			return
-		}
-	}
-	if !c.canServeReservations(in.RequestID) {
+	query := in.Query
+	if c.respondEndedReservation(in) || !c.canServeReservations(in.RequestID) {
 		return
 	}
 	c.afterReadBarrier(func(ok bool) {
 		if !ok || !c.reservations.IsEnabled() {
-			c.respondUnavailable(in.RequestID, "state service not reached")
+			c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 			return
 		}
-		answer := func() {
-			if !c.loadPastReservation(q.ID) {
+		respond := func() {
+			if !c.loadPastReservation(query.ID) {
 				c.respondUnavailable(in.RequestID, reasonHistoryUnreadable)
 				return
 			}
-			c.reservations.ViewCommitted(func(l *booking.Schedule) {
-				status, out := c.queryReservations(in.Caller, l, &q)
+			c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
+				status, out := c.queryReservations(in.Caller, schedule, &query)
 				c.respond(in.RequestID, status, out)
 			})
 		}
-		if !c.loadPastReservation(q.ID) {
-			c.readPastReservation(q.ID, answer)
+		if !c.loadPastReservation(query.ID) {
+			c.readPastReservation(query.ID, respond)
 			return
 		}
-		answer()
+		respond()
 	})
 }
 
-// readPastReservation reads the block of those that are past which a booking would be in.
-func (c *Core) readPastReservation(id string, then func()) {
-	c.readPrefix(reservations.ArchivePrefix, reservations.ArchivePrefix+id, 1, func(in RangeResult) {
-		var it *wire.KeyValue
-		if len(in.Items) > 0 {
-			it = &in.Items[0]
+// respondEndedReservation answers a query of one ended reservation and reports whether it did.
+func (c *Core) respondEndedReservation(in ListReservations) (responded bool) {
+	if in.Query.ID == "" || !c.replica.loaded || c.isNotServing() || c.permissionsInForce() {
+		return false
+	}
+	c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
+		reservation := schedule.Get(in.Query.ID)
+		if reservation != nil && reservation.State == pb.BookingState_ended {
+			responded = true
+			out := wire.ReservationResponse{Reservation: new(c.toWireReservation(reservation))}
+			c.respond(in.RequestID, wire.StatusOK, out)
 		}
-		if err := c.reservations.HandleBlock(id, it, in.Revision, in.Status == wire.StatusOK); err != nil {
-			c.log(LevelError, "past bookings can't be read", "id", id, "err", err.Error())
+	})
+	return responded
+}
+
+// readPastReservation reads the block of past reservations whose range includes the id, then calls f.
+func (c *Core) readPastReservation(id string, f func()) {
+	c.readPrefix(reservations.ArchivePrefix, reservations.ArchivePrefix+id, 1, func(result RangeResult) {
+		var block *wire.KeyValue
+		if len(result.Items) > 0 {
+			block = &result.Items[0]
 		}
-		then()
+		err := c.reservations.HandleBlock(id, block, result.Revision, result.Status == wire.StatusOK)
+		if err != nil {
+			c.log(LevelError, "can't read past reservations", "id", id, "err", err.Error())
+		}
+		f()
 	})
 }
 
-// loadPastReservation has a booking that is past in the ledger; false if it must be looked for first.
+// loadPastReservation adds a past reservation to the schedule. It reports false if its block must be
+// read first.
 func (c *Core) loadPastReservation(id string) bool {
 	known := true
-	c.reservations.ViewCommitted(func(l *booking.Schedule) {
-		if id == "" || l.Get(id) != nil {
+	c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
+		if id == "" || schedule.Get(id) != nil {
 			return
 		}
-		var b *pb.Booking
-		if b, known = c.reservations.FindArchived(id); b != nil {
-			l.Put(b)
+		var reservation *pb.Booking
+		if reservation, known = c.reservations.FindArchived(id); reservation != nil {
+			schedule.Put(reservation)
 		}
 	})
 	return known
 }
 
-// queryReservations answers a question from the booking.
+// queryReservations answers a query from the schedule: one reservation, those of a day, the waitlist,
+// free times, or else the equipment list.
 func (c *Core) queryReservations(
-	by Credential,
-	l *booking.Schedule,
-	q *wire.ReservationQuery,
+	caller Credential,
+	schedule *booking.Schedule,
+	query *wire.ReservationQuery,
 ) (wire.Status, wire.ReservationResponse) {
-	site := c.reservations.Inventory()
-	bad := func(err error) (wire.Status, wire.ReservationResponse) {
-		return wire.StatusBadRequest, wire.ReservationResponse{Error: err.Error()}
-	}
+	inventory := c.reservations.Inventory()
 	switch {
-	case q.ID != "":
-		b := l.Get(q.ID)
-		if b == nil || !c.canReadReservation(by, b) {
-			return wire.StatusNotFound, wire.ReservationResponse{Error: "there is no booking " + q.ID}
+	case query.ID != "":
+		reservation := schedule.Get(query.ID)
+		if reservation == nil || !c.canReadReservation(caller, reservation) {
+			return wire.StatusNotFound, wire.ReservationResponse{Error: "there is no booking " + query.ID}
 		}
-		return wire.StatusOK, wire.ReservationResponse{Reservation: new(c.toWireReservation(b))}
-	case q.Day != "":
-		from, to, err := site.ParseDay(q.Day)
+		return wire.StatusOK, wire.ReservationResponse{Reservation: new(c.toWireReservation(reservation))}
+	case query.Day != "":
+		from, to, err := inventory.ParseDay(query.Day)
 		if err != nil {
-			return bad(err)
+			return wire.StatusBadRequest, wire.ReservationResponse{Error: err.Error()}
 		}
-		list, ok := l.BookingsBetween(site, q.Equipment, from, to)
+		list, ok := schedule.BookingsBetween(inventory, query.Equipment, from, to)
 		if !ok {
-			return wire.StatusNotFound, wire.ReservationResponse{Error: "there is no " + q.Equipment}
+			return wire.StatusNotFound, wire.ReservationResponse{Error: "there is no " + query.Equipment}
 		}
-		return wire.StatusOK, c.readableReservations(by, list)
-	case q.Waiting:
-		return wire.StatusOK, c.readableReservations(by, l.Waitlist())
-	case q.FreeSlots:
-		w := &pb.Want{Piece: q.Equipment, Kind: q.Kind, Zone: q.Zone, Slots: max(1, q.Slots)}
-		from, until := c.unixSeconds(), int64(0)
-		var err error
-		if q.From != "" {
-			if from, err = site.ParseTime(q.From); err != nil {
-				return bad(err)
-			}
-		}
-		if q.Before != "" {
-			if until, err = site.ParseTime(q.Before); err != nil {
-				return bad(err)
-			}
+		return wire.StatusOK, c.readableReservations(caller, list)
+	case query.Waiting:
+		return wire.StatusOK, c.readableReservations(caller, schedule.Waitlist())
+	case query.FreeSlots:
+		free, err := c.findFreeTimes(inventory, schedule, query)
+		if err != nil {
+			return wire.StatusBadRequest, wire.ReservationResponse{Error: err.Error()}
 		}
-		free := site.NextFree(
-			l,
-			"",
-			q.Team,
-			w,
-			max(from, c.unixSeconds()),
-			until,
-			min(max(1, q.Limit), maxFreeTimesListed),
-		)
 		return wire.StatusOK, wire.ReservationResponse{Free: c.toWireFreeTimes(free)}
 	}
-	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(site.Source())
+	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(inventory.Source())
 	if err != nil {
 		return wire.StatusInternalError, wire.ReservationResponse{Error: err.Error()}
 	}
 	return wire.StatusOK, wire.ReservationResponse{Equipment: string(text), Version: c.reservations.InventoryRevision()}
 }
 
-// readableReservations are those of a list that somebody may read, as far as they fit an answer.
-func (c *Core) readableReservations(by Credential, list []*pb.Booking) wire.ReservationResponse {
+// findFreeTimes returns the next free times that match a query, none in the past.
+func (c *Core) findFreeTimes(
+	inventory *booking.Inventory,
+	schedule *booking.Schedule,
+	query *wire.ReservationQuery,
+) ([]booking.FreeSlot, error) {
+	want := &pb.Want{Piece: query.Equipment, Kind: query.Kind, Zone: query.Zone, Slots: max(1, query.Slots)}
+	from, until := c.unixSeconds(), int64(0)
+	var err error
+	if query.From != "" {
+		if from, err = inventory.ParseTime(query.From); err != nil {
+			return nil, err
+		}
+	}
+	if query.Before != "" {
+		if until, err = inventory.ParseTime(query.Before); err != nil {
+			return nil, err
+		}
+	}
+	from = max(from, c.unixSeconds())
+	limit := min(max(1, query.Limit), maxFreeTimesListed)
+	return inventory.NextFree(schedule, "", query.Team, want, from, until, limit), nil
+}
+
+// readableReservations returns the reservations that the caller may read, up to the limit of an answer.
+func (c *Core) readableReservations(caller Credential, list []*pb.Booking) wire.ReservationResponse {
 	var out []wire.Reservation
-	for _, b := range list {
-		if c.canReadReservation(by, b) && len(out) < maxReservationsListed {
-			out = append(out, c.toWireReservation(b))
+	for _, reservation := range list {
+		if c.canReadReservation(caller, reservation) && len(out) < maxReservationsListed {
+			out = append(out, c.toWireReservation(reservation))
 		}
 	}
 	return wire.ReservationResponse{Reservations: out}
