--- a/core/reservations/archive.go
+++ b/core/reservations/archive.go
@@ -10,37 +10,39 @@
 	pb "dewlift/proto"
 )
 
-// Bookings whose time is past, or that ended, leave the pages for blocks that no controller
-// follows, sorted by id; the key of a block is the end of its range, so that one read finds a
-// booking. They never change any more: whoever has one in memory may keep it. A new booking is made
-// on condition that the block of its id is as it was when it lacked that, or that there are no
-// blocks; so an id is never used twice, and a write that is executed late revives nothing.
+// Past and ended reservations move from the pages to archive blocks, which no controller watches and
+// which are sorted by id. The key of a block is the end of its range, so one read finds a reservation.
+// Archived reservations never change, so they may be kept in memory. A new reservation compares the
+// block of its id as of when the id was not in it, or that there are no blocks: so no id is used twice,
+// and a write that is executed late revives nothing.
 //
-// A booking moves when only one page has it: a copy in another, older one would count again.
+// A reservation is archived only when a single value holds it: a copy in an older page would count again.
 
 const (
-	// PastPrefix begins the keys of blocks.
+	// ArchivePrefix begins the keys of archive blocks.
 	ArchivePrefix = "da/k/"
-	keyArchive    = Prefix + "past" // exists once there may be blocks
-	maxID         = "~"             // behind all ids
 
-	maxCachedBlocks = 24 // that are kept in memory, decoded
+	keyArchive = Prefix + "past" // exists once there may be blocks
+	maxID      = "~"             // sorts behind all ids: the end of the last block
+
+	maxCachedBlocks = 24 // kept decoded in memory
 	forgetInterval  = time.Minute
 )
 
-// archiveBlock is the bookings that are past whose ids lie in [low, high).
+// archiveBlock is the archived reservations with ids in [low, high).
 type archiveBlock struct {
 	low, high    string
-	revision     uint64 // 0: it is not there, as nothing of its range is
-	readRevision uint64 // revision of the state service as of which it is known
+	revision     uint64 // 0: the block does not exist, and no id of its range is archived
+	readRevision uint64 // revision of the store as of which it was read
 	bookings     []*pb.Booking
 }
 
+// find returns the reservation with the id, or nil.
 func (b *archiveBlock) find(id string) *pb.Booking {
 	i, ok := slices.BinarySearchFunc(
 		b.bookings,
 		id,
-		func(x *pb.Booking, id string) int { return strings.Compare(x.Id, id) },
+		func(reservation *pb.Booking, id string) int { return strings.Compare(reservation.Id, id) },
 	)
 	if !ok {
 		return nil
@@ -48,238 +50,249 @@
 	return b.bookings[i]
 }
 
-// updateValueCounts notes in which values bookings are.
-func (d *Service) updateValueCounts(was, is []*pb.Booking) {
-	for _, b := range is {
-		d.valueCounts[b.Id]++
-	}
-	for _, b := range was {
-		if d.valueCounts[b.Id]--; d.valueCounts[b.Id] == 0 {
-			delete(d.valueCounts, b.Id)
-		}
-	}
-}
+// compareIDs orders reservations by id.
+func compareIDs(a, b *pb.Booking) int { return strings.Compare(a.Id, b.Id) }
 
-// cachedBlockFor is the block of an id, if it is remembered as of a revision that no page has
-// changed since; it is then the one used last. A block that was read before a move lacks what
-// moved: who asks for that was told that it never was.
-func (d *Service) cachedBlockFor(id string) *archiveBlock {
-	d.cachedBlocks = slices.DeleteFunc(
-		d.cachedBlocks,
-		func(b *archiveBlock) bool { return b.readRevision < d.pagesRevision },
+// cachedBlockFor returns the cached block whose range includes the id, or nil, and makes it the most
+// recently used. Blocks that were read before the last change of a page are dropped: they may lack
+// reservations that were archived since, which would then seem never to have existed.
+func (s *Service) cachedBlockFor(id string) *archiveBlock {
+	s.cachedBlocks = slices.DeleteFunc(
+		s.cachedBlocks,
+		func(block *archiveBlock) bool { return block.readRevision < s.pagesRevision },
+	)
+	i := slices.IndexFunc(
+		s.cachedBlocks,
+		func(block *archiveBlock) bool { return block.low <= id && id < block.high },
 	)
-	i := slices.IndexFunc(d.cachedBlocks, func(b *archiveBlock) bool { return b.low <= id && id < b.high })
 	if i < 0 {
 		return nil
 	}
-	b := d.cachedBlocks[i]
-	d.cachedBlocks = slices.Insert(slices.Delete(d.cachedBlocks, i, i+1), 0, b)
-	return b
+	block := s.cachedBlocks[i]
+	s.cachedBlocks = slices.Insert(slices.Delete(s.cachedBlocks, i, i+1), 0, block)
+	return block
 }
 
-// lookUpArchived looks for a booking among those that are past. It tells the condition under which
-// what it found holds; not known is what must be read first.
-func (d *Service) lookUpArchived(id string) (b *pb.Booking, cond wire.Compare, known bool) {
-	if d.archiveRevision == 0 {
+// lookUpArchived looks up an archived reservation, and returns the compare under which the result holds.
+// It reports false if a block must be read first.
+func (s *Service) lookUpArchived(id string) (reservation *pb.Booking, compare wire.Compare, known bool) {
+	if s.archiveRevision == 0 {
 		return nil, wire.Compare{Key: keyArchive}, true
 	}
-	k := d.cachedBlockFor(id)
-	if k == nil {
-		return nil, cond, false
+	block := s.cachedBlockFor(id)
+	if block == nil {
+		return nil, compare, false
 	}
-	return k.find(id), wire.Compare{Key: ArchivePrefix + k.high, Revision: k.revision}, true
+	return block.find(id), wire.Compare{Key: ArchivePrefix + block.high, Revision: block.revision}, true
 }
 
-// deferUntilBlockRead puts those aside whose bookings must be looked for among the past ones.
-func (d *Service) deferUntilBlockRead() {
-	d.queue = slices.DeleteFunc(d.queue, func(a *PendingRequest) bool {
-		id := a.Request.ID
-		if a.Request.Verb == booking.VerbSetInventory || d.schedule.Get(id) != nil {
+// FindArchived looks up an archived reservation for a query. It reports false if its block must be read
+// first.
+func (s *Service) FindArchived(id string) (reservation *pb.Booking, known bool) {
+	reservation, _, known = s.lookUpArchived(id)
+	return reservation, known
+}
+
+// deferUntilBlockRead removes the requests from the queue that need a block to be read first.
+func (s *Service) deferUntilBlockRead() {
+	s.queue = slices.DeleteFunc(s.queue, func(request *PendingRequest) bool {
+		id := request.Request.ID
+		if request.Request.Verb == booking.VerbSetInventory || s.schedule.Get(id) != nil {
 			return false
 		}
-		if _, _, known := d.lookUpArchived(id); known {
+		if _, _, known := s.lookUpArchived(id); known {
 			return false
 		}
-		d.requestBlock(id, a)
+		s.requestBlock(id, request)
 		return true
 	})
 }
 
-// requestBlock has a block read, for somebody who waits for it if not nil.
-func (d *Service) requestBlock(id string, a *PendingRequest) {
-	list, busy := d.awaitingBlock[id]
-	if a != nil {
-		list = append(list, a)
+// requestBlock requests the block of an id to be read, for a request that waits for it unless nil.
+func (s *Service) requestBlock(id string, request *PendingRequest) {
+	waiting, requested := s.awaitingBlock[id]
+	if request != nil {
+		waiting = append(waiting, request)
 	}
-	d.awaitingBlock[id] = list
-	if !busy {
-		d.blocksToRead = append(d.blocksToRead, id)
+	s.awaitingBlock[id] = waiting
+	if !requested {
+		s.blocksToRead = append(s.blocksToRead, id)
 	}
 }
 
-// TakeBlocksToRead are ids whose blocks are to be read: the first key behind PastPrefix and the id.
-// What comes of it goes to Found.
-func (d *Service) TakeBlocksToRead() []string {
-	out := d.blocksToRead
-	d.blocksToRead = nil
-	return out
+// TakeBlocksToRead returns the ids whose blocks the caller must read: the first key behind ArchivePrefix
+// and the id. The result goes to HandleBlock.
+func (s *Service) TakeBlocksToRead() []string {
+	ids := s.blocksToRead
+	s.blocksToRead = nil
+	return ids
 }
 
-// HandleBlock takes the block that was read for an id at a revision; nil if there is none. Whoever
-// waits for it waits in the queue again.
-func (d *Service) HandleBlock(id string, it *wire.KeyValue, at uint64, ok bool) error {
-	list := d.awaitingBlock[id]
-	delete(d.awaitingBlock, id)
-	d.queue = append(d.queue, list...)
+// HandleBlock handles the block that was read for an id at a revision of the store; item is nil if there
+// is none, and ok is false if the read failed. The requests that wait for the block are queued again.
+func (s *Service) HandleBlock(id string, item *wire.KeyValue, revision uint64, ok bool) error {
+	waiting := s.awaitingBlock[id]
+	delete(s.awaitingBlock, id)
+	s.queue = append(s.queue, waiting...)
 	if !ok {
 		return nil
 	}
-	k := &archiveBlock{high: maxID, readRevision: at}
-	if it != nil {
-		p, _, err := Decode(it.Value)
+	block := &archiveBlock{high: maxID, readRevision: revision}
+	if item != nil {
+		decoded, _, err := Decode(item.Value)
 		if err != nil {
 			return err
 		}
-		k = &archiveBlock{
-			low:          p.Low,
-			high:         strings.TrimPrefix(it.Key, ArchivePrefix),
-			revision:     it.Revision,
-			readRevision: at,
-			bookings:     p.Bookings,
+		block = &archiveBlock{
+			low:          decoded.Low,
+			high:         strings.TrimPrefix(item.Key, ArchivePrefix),
+			revision:     item.Revision,
+			readRevision: revision,
+			bookings:     decoded.Bookings,
 		}
 	}
-	d.cachedBlocks = slices.DeleteFunc(
-		d.cachedBlocks,
-		func(o *archiveBlock) bool { return o.low < k.high && k.low < o.high },
+	s.cachedBlocks = slices.DeleteFunc(
+		s.cachedBlocks,
+		func(cached *archiveBlock) bool { return cached.low < block.high && block.low < cached.high },
 	)
-	d.cachedBlocks = slices.Insert(d.cachedBlocks, 0, k)
-	d.cachedBlocks = d.cachedBlocks[:min(len(d.cachedBlocks), maxCachedBlocks)]
+	s.cachedBlocks = slices.Insert(s.cachedBlocks, 0, block)
+	s.cachedBlocks = s.cachedBlocks[:min(len(s.cachedBlocks), maxCachedBlocks)]
 	return nil
 }
 
-// FindArchived looks for a booking that is not in the ledger, for whoever only asks; not known: its
-// block must be read, which Look begins.
-func (d *Service) FindArchived(id string) (b *pb.Booking, known bool) {
-	b, _, known = d.lookUpArchived(id)
-	return b, known
-}
-
-// ArchiveTxn returns a transaction that moves bookings that were over at a time into their block,
-// on conditions of the caller's; nil if none is due. Its outcome goes to Moved.
-func (d *Service) ArchiveTxn(conds []wire.Compare, endedBefore int64, valueBytes int) *wire.Txn {
-	if d.archiving || d.merging || d.inFlight != nil {
+// ArchiveTxn returns a transaction that moves reservations that ended before a time from a page to their
+// block, under the given compares, or nil if none is due or a block must be read first. After its
+// outcome, ArchiveDone must be called.
+func (s *Service) ArchiveTxn(compares []wire.Compare, endedBefore int64, maxValueBytes int) *wire.Txn {
+	if s.archiving || s.merging || s.inFlight != nil {
 		return nil
 	}
-	for _, key := range sortedPages(d.pages) {
-		p := d.pages[key]
-		var out []*pb.Booking
-		for _, b := range p.bookings {
-			if d.valueCounts[b.Id] == 1 && d.schedule.Get(b.Id).GetChange() == b.Change &&
-				booking.IsOver(b, endedBefore) &&
-				b.EndedAt <= endedBefore {
-				out = append(out, b)
-			}
+	for _, key := range s.sortedPageKeys() {
+		if due := s.archivable(s.pages[key], endedBefore); len(due) > 0 {
+			return s.archiveFromPage(key, due, compares, maxValueBytes)
 		}
-		if len(out) == 0 {
-			continue
-		}
-		d.archiving = true
-		if d.archiveRevision == 0 {
-			return &wire.Txn{
-				Compare: append(conds, wire.Compare{Key: keyArchive}),
-				Then:    []wire.Write{{Put: keyArchive, Value: []byte("1")}},
-			}
-		}
-		slices.SortFunc(out, func(a, b *pb.Booking) int { return strings.Compare(a.Id, b.Id) })
-		k := d.cachedBlockFor(out[0].Id)
-		if k == nil {
-			d.requestBlock(out[0].Id, nil)
-			d.archiving = false
-			return nil
+	}
+	return nil
+}
+
+// archivable returns the reservations of a page that ended before a time and that no other value holds.
+func (s *Service) archivable(stored page, endedBefore int64) (due []*pb.Booking) {
+	for _, reservation := range stored.bookings {
+		if s.valueCounts[reservation.Id] == 1 && s.isCurrent(reservation) &&
+			booking.IsOver(reservation, endedBefore) &&
+			reservation.EndedAt <= endedBefore {
+			due = append(due, reservation)
 		}
-		out = slices.DeleteFunc(out, func(b *pb.Booking) bool { return b.Id >= k.high })
-		for ; len(out) > 0; out = out[:len(out)/2] {
-			if t := d.moveToBlock(k, out, key, p, valueBytes); t != nil {
-				t.Compare = append(t.Compare, conds...)
-				return t
-			}
+	}
+	return due
+}
+
+// archiveFromPage returns a transaction that moves as many of the reservations as belong to the block of
+// the first one, and fit, from their page. The first transaction of all only creates keyArchive.
+func (s *Service) archiveFromPage(
+	key string, due []*pb.Booking, compares []wire.Compare, maxValueBytes int,
+) *wire.Txn {
+	if s.archiveRevision == 0 {
+		s.archiving = true
+		return &wire.Txn{
+			Compare: append(compares, wire.Compare{Key: keyArchive}),
+			Then:    []wire.Write{{Put: keyArchive, Value: []byte("1")}},
 		}
-		d.archiving = false
+	}
+	slices.SortFunc(due, compareIDs)
+	block := s.cachedBlockFor(due[0].Id)
+	if block == nil {
+		s.requestBlock(due[0].Id, nil)
 		return nil
 	}
+	due = slices.DeleteFunc(due, func(reservation *pb.Booking) bool { return reservation.Id >= block.high })
+	for ; len(due) > 0; due = due[:len(due)/2] {
+		if txn := s.moveToBlock(block, due, key, maxValueBytes); txn != nil {
+			txn.Compare = append(txn.Compare, compares...)
+			s.archiving = true
+			return txn
+		}
+	}
 	return nil
 }
 
-// moveToBlock is the transaction that moves bookings of a page into a block, or into the two that
-// become of it; nil if they do not fit.
-func (d *Service) moveToBlock(k *archiveBlock, out []*pb.Booking, key string, p page, valueBytes int) *wire.Txn {
-	all := append(slices.Clone(k.bookings), out...)
-	slices.SortFunc(all, func(a, b *pb.Booking) int { return strings.Compare(a.Id, b.Id) })
-	t := &wire.Txn{
+// moveToBlock returns the transaction that moves reservations from a page to a block, which is split in
+// two if it gets too large, or nil if they do not fit.
+func (s *Service) moveToBlock(block *archiveBlock, due []*pb.Booking, key string, maxValueBytes int) *wire.Txn {
+	stored := s.pages[key]
+	all := append(slices.Clone(block.bookings), due...)
+	slices.SortFunc(all, compareIDs)
+	txn := &wire.Txn{
 		Compare: []wire.Compare{
-			{Key: key, Revision: p.revision},
-			{Key: ArchivePrefix + k.high, Revision: k.revision},
+			{Key: key, Revision: stored.revision},
+			{Key: ArchivePrefix + block.high, Revision: block.revision},
 		},
 	}
-	put := func(low, high string, list []*pb.Booking) bool {
-		raw, err := packMessage(&pb.Page{Bookings: list, Low: low, High: high}, nil)
-		t.Then = append(t.Then, wire.Write{Put: ArchivePrefix + high, Value: raw})
-		return err == nil && len(raw) <= valueBytes
+	putBlock := func(low, high string, bookings []*pb.Booking) (fits bool) {
+		raw, err := packMessage(&pb.Page{Bookings: bookings, Low: low, High: high}, nil)
+		txn.Then = append(txn.Then, wire.Write{Put: ArchivePrefix + high, Value: raw})
+		return err == nil && len(raw) <= maxValueBytes
 	}
-	if !put(k.low, k.high, all) {
-		t.Then = nil
+	if !putBlock(block.low, block.high, all) {
+		txn.Then = nil
 		half := len(all) / 2
-		mid := all[half].Id
-		if half == 0 || !put(k.low, mid, all[:half]) || !put(mid, k.high, all[half:]) {
+		middle := all[half].Id
+		if half == 0 || !putBlock(block.low, middle, all[:half]) || !putBlock(middle, block.high, all[half:]) {
 			return nil
 		}
-		t.Compare = append(t.Compare, wire.Compare{Key: ArchivePrefix + mid})
+		txn.Compare = append(txn.Compare, wire.Compare{Key: ArchivePrefix + middle})
 	}
-	left := slices.DeleteFunc(slices.Clone(p.bookings), func(b *pb.Booking) bool { return slices.Contains(out, b) })
-	if len(left) == 0 {
-		t.Then = append(t.Then, wire.Write{Delete: key})
-		return t
+	remaining := slices.DeleteFunc(
+		slices.Clone(stored.bookings),
+		func(reservation *pb.Booking) bool { return slices.Contains(due, reservation) },
+	)
+	if len(remaining) == 0 {
+		txn.Then = append(txn.Then, wire.Write{Delete: key})
+		return txn
 	}
-	raw, err := encodePage(left, 0, nil)
+	raw, err := encodePage(remaining, 0, nil)
 	if err != nil {
 		return nil
 	}
-	t.Then = append(t.Then, wire.Write{Put: key, Value: raw})
-	return t
+	txn.Then = append(txn.Then, wire.Write{Put: key, Value: raw})
+	return txn
 }
 
-// ArchiveDone takes the outcome of the transaction that Move gave, once what it did to the pages is
-// known: what it wrote of blocks is read anew.
-func (d *Service) ArchiveDone(t *wire.Txn) {
-	d.archiving = false
-	for _, w := range t.Then {
-		if high, ok := strings.CutPrefix(w.Put, ArchivePrefix); ok {
-			d.cachedBlocks = slices.DeleteFunc(
-				d.cachedBlocks,
-				func(b *archiveBlock) bool { return b.low < high && high <= b.high },
+// ArchiveDone ends a transaction of ArchiveTxn, whatever its outcome, once the replica shows the pages it
+// changed. The blocks it wrote must be read anew.
+func (s *Service) ArchiveDone(txn *wire.Txn) {
+	s.archiving = false
+	for _, write := range txn.Then {
+		if high, ok := strings.CutPrefix(write.Put, ArchivePrefix); ok {
+			s.cachedBlocks = slices.DeleteFunc(
+				s.cachedBlocks,
+				func(block *archiveBlock) bool { return block.low < high && high <= block.high },
 			)
 		}
 	}
 }
 
-// InvalidateBlocks forgets blocks that were not as they were remembered.
-func (d *Service) InvalidateBlocks(keys []string) {
+// InvalidateBlocks drops the cached blocks among keys whose compares failed.
+func (s *Service) InvalidateBlocks(keys []string) {
 	for _, key := range keys {
 		if high, ok := strings.CutPrefix(key, ArchivePrefix); ok {
-			d.cachedBlocks = slices.DeleteFunc(d.cachedBlocks, func(b *archiveBlock) bool { return b.high == high })
+			s.cachedBlocks = slices.DeleteFunc(
+				s.cachedBlocks,
+				func(block *archiveBlock) bool { return block.high == high },
+			)
 		}
 	}
 }
 
-// ForgetArchived drops from memory what is in no page any more.
-func (d *Service) ForgetArchived(now time.Duration, endedBefore int64) {
-	if d.inFlight != nil || now < d.nextForgetAt {
+// ForgetArchived drops ended reservations that no page holds any more from memory.
+func (s *Service) ForgetArchived(now time.Duration, endedBefore int64) {
+	if s.inFlight != nil || now < s.nextForgetAt {
 		return
 	}
-	d.nextForgetAt = now + forgetInterval
-	if d.archiveRevision != 0 {
-		d.schedule.Forget(
-			func(b *pb.Booking) bool { return d.valueCounts[b.Id] == 0 && booking.IsOver(b, endedBefore) },
-		)
+	s.nextForgetAt = now + forgetInterval
+	if s.archiveRevision != 0 {
+		s.schedule.Forget(func(reservation *pb.Booking) bool {
+			return s.valueCounts[reservation.Id] == 0 && booking.IsOver(reservation, endedBefore)
+		})
 	}
 }
--- /dev/null
+++ b/core/reservations/batch.go
@@ -0,0 +1,301 @@
+package reservations
+
+import (
+	"dewlift/booking"
+	"dewlift/wire"
+	"errors"
+	"fmt"
+	"slices"
+
+	pb "dewlift/proto"
+)
+
+// NextTxn decides queued requests and returns the transaction that commits the decisions, or nil if
+// there is nothing to commit. The outcome goes to HandleOutcome. A batch that does not fit a value is
+// halved until it fits.
+func (s *Service) NextTxn(env Env) *wire.Txn {
+	s.deferUntilBlockRead()
+	s.blockedByAudit = false
+	if len(s.queue) == 0 && !s.schedule.HasDueChanges(env.UnixS) {
+		return nil
+	}
+	for limit := min(len(s.queue), maxBatchRequests); ; limit /= 2 {
+		txn, fits := s.tryBatch(env, limit)
+		if fits {
+			s.queue = s.queue[len(s.inFlight.responses):]
+			s.nextTxnAt = env.Now + batchInterval
+			return txn
+		}
+		if limit <= 1 {
+			return s.handleOversizedBatch(env, limit)
+		}
+	}
+}
+
+// handleOversizedBatch handles a batch of one request, or of none, that does not fit a value. If only
+// audit entries make it too large, the batch waits until they are in blocks; otherwise the request is
+// rejected.
+func (s *Service) handleOversizedBatch(env Env, requests int) *wire.Txn {
+	s.rollBackInFlight()
+	s.inFlight = nil
+	if requests == 0 || s.blockedByAudit {
+		s.nextTxnAt = env.Now + auditBlockDelay
+		return nil
+	}
+	request := s.queue[0]
+	s.queue = s.queue[1:]
+	s.inFlight = &inFlightTxn{
+		draft: s.schedule.NewDraft(),
+		responses: []Response{
+			{
+				Request: request,
+				Result: booking.Result{
+					Outcome: booking.OutcomeInvalid,
+					Reason:  "too much to be stored in one value",
+				},
+			},
+		},
+	}
+	s.nextTxnAt = env.Now + batchInterval
+	return s.compareTxn(nil)
+}
+
+// compareTxn returns a transaction that compares the head, the equipment and the given compares.
+func (s *Service) compareTxn(compares []wire.Compare) *wire.Txn {
+	txn := &wire.Txn{
+		Compare: []wire.Compare{
+			{Key: KeyHead, Revision: s.headRevision},
+			{Key: KeyInventory, Revision: s.inventoryRevision},
+		},
+	}
+	for _, compare := range compares {
+		if !slices.Contains(txn.Compare, compare) {
+			txn.Compare = append(txn.Compare, compare)
+		}
+	}
+	return txn
+}
+
+// tryBatch decides up to limit queued requests and builds their transaction, which becomes the one in
+// flight. It reports false if a value would be too large.
+func (s *Service) tryBatch(env Env, limit int) (txn *wire.Txn, fits bool) {
+	s.rollBackInFlight()
+	inFlight := &inFlightTxn{draft: s.schedule.NewDraft()}
+	s.inFlight = inFlight
+	// Otherwise every change has already assigned what it freed, and no waiting reservation can get it.
+	if s.schedule.HasDueChanges(env.UnixS) {
+		s.inventory.Advance(inFlight.draft, env.UnixS)
+	}
+	compares, granted := s.decideRequests(env, inFlight, s.queue[:limit])
+	txn = s.compareTxn(compares)
+	inFlight.hasChanges = len(inFlight.draft.Bookings) > 0
+	if inFlight.newInventory != nil {
+		raw, err := EncodeInventory(inFlight.newInventory.Source())
+		if err != nil || len(raw) > env.MaxValueBytes {
+			return nil, false
+		}
+		txn.Then = append(txn.Then, wire.Write{Put: KeyInventory, Value: raw})
+	}
+	if !inFlight.hasChanges && inFlight.newInventory == nil {
+		return txn, true
+	}
+	if !s.addHead(env, inFlight, txn, granted) {
+		return nil, false
+	}
+	return txn, true
+}
+
+// decideRequests decides requests in order, until the transaction has no capacity for more compares or
+// the equipment changes: later requests are decided by the new equipment. It returns the compares under
+// which the decisions hold, and the granted requests.
+func (s *Service) decideRequests(
+	env Env, inFlight *inFlightTxn, requests []*PendingRequest,
+) (compares []wire.Compare, granted []*PendingRequest) {
+	for _, request := range requests {
+		response, more := s.decideRequest(env, inFlight.draft, request)
+		inFlight.responses = append(inFlight.responses, response)
+		done := response.Outcome == booking.OutcomeDone
+		if done && !response.Forbidden {
+			granted = append(granted, request)
+		}
+		for _, compare := range more {
+			if !slices.Contains(compares, compare) {
+				compares = append(compares, compare)
+			}
+		}
+		if request.Request.Verb == booking.VerbSetInventory && done {
+			inFlight.newInventory = request.Request.Replacement
+			break
+		}
+		if len(compares)+spareCompares > env.MaxCompares {
+			break
+		}
+	}
+	return compares, granted
+}
+
+// addHead adds the write of the next head to a transaction; a full head becomes a page. It reports
+// false if the head is too large.
+func (s *Service) addHead(env Env, inFlight *inFlightTxn, txn *wire.Txn, granted []*PendingRequest) bool {
+	changed := inFlight.draft.Bookings
+	change := s.schedule.LastChange()
+	inFlight.pendingAudit = env.AttachAudit(s.headRevision, s.pendingAudit, granted, changed)
+	inFlight.headBookings = slices.Clone(s.headBookings)
+	for _, changedBooking := range changed { // of a reservation that changes again, only the last change is kept
+		inFlight.headBookings = slices.DeleteFunc(
+			inFlight.headBookings,
+			func(old *pb.Booking) bool { return old.Id == changedBooking.Id },
+		)
+	}
+	inFlight.headBookings = append(inFlight.headBookings, changed...)
+	raw, err := encodePage(inFlight.headBookings, change, inFlight.pendingAudit)
+	if err == nil && len(raw) > env.MaxValueBytes && len(inFlight.headBookings) > len(changed) {
+		raw, err = s.spillHead(inFlight, txn, change)
+	}
+	if err != nil || len(raw) > env.MaxValueBytes {
+		withoutAudit, err := encodePage(inFlight.headBookings, change, nil)
+		s.blockedByAudit = err == nil && len(withoutAudit) <= env.MaxValueBytes
+		return false
+	}
+	txn.Then = append(txn.Then, wire.Write{Put: KeyHead, Value: raw})
+	return true
+}
+
+// spillHead adds a write that turns the current head into a page, and returns the next head, which
+// holds only the changes of the transaction.
+func (s *Service) spillHead(inFlight *inFlightTxn, txn *wire.Txn, change uint64) ([]byte, error) {
+	changed := inFlight.draft.Bookings
+	inFlight.headBookings = slices.Clone(changed)
+	inFlight.spilledPage = fmt.Sprintf("%s%016x", pagePrefix, change-uint64(len(changed)))
+	inFlight.spilledBookings = s.headBookings
+	raw, err := encodePage(s.headBookings, 0, nil)
+	if err != nil {
+		return nil, err
+	}
+	txn.Compare = append(txn.Compare, wire.Compare{Key: inFlight.spilledPage})
+	txn.Then = append(txn.Then, wire.Write{Put: inFlight.spilledPage, Value: raw})
+	return encodePage(inFlight.headBookings, change, inFlight.pendingAudit)
+}
+
+// decideRequest decides one request. It returns the compares under which the decision holds.
+func (s *Service) decideRequest(
+	env Env, draft *booking.Draft, pending *PendingRequest,
+) (Response, []wire.Compare) {
+	request := &pending.Request
+	if request.Verb == booking.VerbCreate || request.Verb == booking.VerbMove {
+		wants, err := ResolveWants(s.inventory, pending.Wants, pending.RecurrenceRule)
+		if err != nil {
+			return Response{
+				Request: pending,
+				Result:  booking.Result{Outcome: booking.OutcomeInvalid, Reason: err.Error()},
+			}, nil
+		}
+		request.Wants = wants
+	}
+	existing := s.schedule.Get(request.ID)
+	var archiveCompares []wire.Compare // under which the archive has no other reservation of this id
+	if existing == nil && request.Verb != booking.VerbSetInventory {
+		var compare wire.Compare
+		if existing, compare, _ = s.lookUpArchived(request.ID); existing != nil {
+			s.schedule.Put(existing) // an archived reservation never changes any more
+		}
+		archiveCompares = append(archiveCompares, compare)
+	}
+	team := request.Team
+	if existing != nil {
+		team = existing.Team
+	}
+	compares, denial := env.Authorize(pending, team, s.equipmentKinds(existing, request.Wants))
+	compares = append(compares, archiveCompares...)
+	if denial != "" {
+		return Response{Request: pending, Forbidden: true, Result: booking.Result{Reason: denial}}, compares
+	}
+	return Response{Request: pending, Result: s.inventory.Decide(draft, env.UnixS, request)}, compares
+}
+
+// equipmentKinds returns the kinds of equipment that an existing reservation, if any, uses and that the
+// wants name, sorted and without repetition.
+func (s *Service) equipmentKinds(existing *pb.Booking, wants []*pb.Want) []string {
+	var kinds []string
+	for _, slot := range existing.GetSlots() {
+		kinds = append(kinds, s.inventory.ItemKind(slot.Piece))
+	}
+	for _, want := range wants {
+		kinds = append(kinds, s.inventory.WantKind(want))
+	}
+	slices.Sort(kinds)
+	return slices.Compact(kinds)
+}
+
+// ResolveWants translates requested slots by the equipment in force, with one want for each recurrence.
+func ResolveWants(
+	inventory *booking.Inventory, requested []wire.SlotRequest, rule string,
+) (out []*pb.Want, err error) {
+	for _, slot := range requested {
+		if (slot.Equipment == "") == (slot.Kind == "") {
+			return nil, errors.New("a slot names a piece of equipment or a kind")
+		}
+		want := &pb.Want{Piece: slot.Equipment, Kind: slot.Kind, Zone: slot.Zone, Slots: max(1, slot.Slots)}
+		if want.From, err = inventory.ParseTime(slot.From); err != nil {
+			return nil, err
+		}
+		wants := []*pb.Want{want}
+		if rule != "" {
+			if wants, err = inventory.ExpandRecurrence(want, rule); err != nil {
+				return nil, err
+			}
+		}
+		out = append(out, wants...)
+	}
+	return out, nil
+}
+
+// HandleOutcome handles the outcome of the transaction that NextTxn returned: its status and the
+// revision of its writes. It returns the answers that are now committed, and whether the caller must
+// read the head, and then call HeadRead, before more is decided.
+func (s *Service) HandleOutcome(status wire.Status, revision uint64) (out []Response, mustReadHead bool) {
+	inFlight := s.inFlight
+	if inFlight == nil {
+		return nil, false
+	}
+	if status != wire.StatusOK {
+		return nil, s.requeueInFlight(status)
+	}
+	switch {
+	case inFlight.rolledBack: // the watch showed it before, and perhaps later changes too
+	case inFlight.hasChanges || inFlight.newInventory != nil:
+		s.applyInFlight(inFlight, revision)
+	}
+	s.inFlight = nil
+	return inFlight.responses, false
+}
+
+// requeueInFlight queues the requests of a transaction that was not committed, as far as known, for
+// another decision. It reports whether the head must be read first.
+func (s *Service) requeueInFlight(status wire.Status) (mustReadHead bool) {
+	s.rollBackInFlight()
+	requests := make([]*PendingRequest, 0, len(s.inFlight.responses))
+	for _, response := range s.inFlight.responses {
+		requests = append(requests, response.Request)
+	}
+	s.inFlight = nil
+	s.queue = append(requests, s.queue...)
+	s.needsHeadRead = status != wire.StatusTooManyRequests && status != wire.StatusUnavailable
+	return s.needsHeadRead
+}
+
+// applyInFlight applies a committed transaction to the replica.
+func (s *Service) applyInFlight(inFlight *inFlightTxn, revision uint64) {
+	if inFlight.spilledPage != "" {
+		s.updateValueCounts(nil, inFlight.spilledBookings)
+		s.pages[inFlight.spilledPage] = page{revision, inFlight.spilledBookings}
+	}
+	s.updateValueCounts(s.headBookings, inFlight.headBookings)
+	s.headRevision, s.headBookings, s.pendingAudit = revision, inFlight.headBookings, inFlight.pendingAudit
+	if inFlight.newInventory != nil {
+		s.inventory, s.inventoryRevision = inFlight.newInventory, revision
+	}
+}
+
+// HeadRead reports that the replica is as recent as the unknown outcome that required a read.
+func (s *Service) HeadRead() { s.needsHeadRead = false }
--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -14,63 +14,71 @@
 	pb "dewlift/proto"
 )
 
-const startUnixS = 1_700_000_040 // s; a whole minute
+// startUnixS is the wall-clock time at which the tests start, in seconds: a whole minute.
+const startUnixS = 1_700_000_040
 
-// fakeStore is what the state service does with conditions.
+// fakeStore is a key-value store with compare-and-swap transactions.
 type fakeStore struct {
 	keys     map[string]wire.KeyValue
 	revision uint64
 }
 
-func (s *fakeStore) commit(t *wire.Txn) (wire.Status, uint64) {
-	for _, c := range t.Compare {
-		if s.keys[c.Key].Revision != c.Revision {
+// commit executes a transaction if its compares hold.
+func (s *fakeStore) commit(txn *wire.Txn) (wire.Status, uint64) {
+	for _, compare := range txn.Compare {
+		if s.keys[compare.Key].Revision != compare.Revision {
 			return wire.StatusConflict, 0
 		}
 	}
 	s.revision++
-	for _, w := range t.Then {
-		if w.Delete != "" {
-			delete(s.keys, w.Delete)
+	for _, write := range txn.Then {
+		if write.Delete != "" {
+			delete(s.keys, write.Delete)
 			continue
 		}
-		s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.revision}
+		s.keys[write.Put] = wire.KeyValue{Key: write.Put, Value: write.Value, Revision: s.revision}
 	}
 	return wire.StatusOK, s.revision
 }
 
-func (s *fakeStore) replayTo(t *testing.T, d *Service) {
+// replayTo applies all keys to a service, as a snapshot load and as the watch would.
+func (s *fakeStore) replayTo(t *testing.T, service *Service) {
 	t.Helper()
-	for k, it := range s.keys {
-		if _, err := d.ApplyPut(k, it.Value, it.Revision); err != nil {
+	for key, item := range s.keys {
+		if _, err := service.ApplyPut(key, item.Value, item.Revision); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
+// env returns the environment at a time, in which everything is authorized and nothing audited.
 func env(now time.Duration) Env {
 	return Env{
 		Now: now, UnixS: startUnixS + int64(now.Seconds()), MaxValueBytes: 8192, MaxCompares: 48,
-		Authorize:   func(*PendingRequest, string, []string) ([]wire.Compare, string) { return nil, "" },
-		AttachAudit: func(uint64, []audit.PendingEntry, []*PendingRequest, []*pb.Booking) []audit.PendingEntry { return nil },
+		Authorize: func(*PendingRequest, string, []string) ([]wire.Compare, string) { return nil, "" },
+		AttachAudit: func(uint64, []audit.PendingEntry, []*PendingRequest, []*pb.Booking) []audit.PendingEntry {
+			return nil
+		},
 	}
 }
 
+// newStore returns a store with one kiln, k, that is reserved by the minute.
 func newStore(t *testing.T) *fakeStore {
 	t.Helper()
-	site, err := booking.Parse([]byte(`pieces { name: "k" kind: "kiln" slot_minutes: 1 }`))
+	inventory, err := booking.Parse([]byte(`pieces { name: "k" kind: "kiln" slot_minutes: 1 }`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := EncodeInventory(site.Source())
+	raw, err := EncodeInventory(inventory.Source())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &fakeStore{keys: map[string]wire.KeyValue{}}
-	s.commit(&wire.Txn{Then: []wire.Write{{Put: KeyInventory, Value: raw}}})
-	return s
+	store := &fakeStore{keys: map[string]wire.KeyValue{}}
+	store.commit(&wire.Txn{Then: []wire.Write{{Put: KeyInventory, Value: raw}}})
+	return store
 }
 
+// newRequest returns a request for the kiln in a minute after startUnixS.
 func newRequest(id string, minute int) *PendingRequest {
 	return &PendingRequest{
 		Request: booking.Request{ID: id},
@@ -81,127 +89,134 @@
 	}
 }
 
-func expectOutcomes(t *testing.T, list []Response, want ...booking.Outcome) {
+// newEndRequest returns a request to end a reservation.
+func newEndRequest(id string) *PendingRequest {
+	return &PendingRequest{Request: booking.Request{Verb: booking.VerbEnd, ID: id}, Deadline: time.Hour}
+}
+
+// expectOutcomes fails unless the responses have these outcomes, in order.
+func expectOutcomes(t *testing.T, responses []Response, want ...booking.Outcome) {
 	t.Helper()
-	got := make([]booking.Outcome, 0, len(list))
-	for _, a := range list {
-		got = append(got, a.Outcome)
+	got := make([]booking.Outcome, 0, len(responses))
+	for _, response := range responses {
+		got = append(got, response.Outcome)
 	}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("outcomes %v, want %v", got, want)
 	}
 }
 
-// A write whose outcome is not known was made, and is found when it is repeated; one that is
-// executed late, after another controller has written, is not.
+// A transaction with unknown outcome that was executed must be found when its request is repeated; one
+// that is executed late, after another controller has committed, must fail.
 func TestUnknownOutcomesAreResolved(t *testing.T) {
 	for _, executed := range []string{"at once", "late", "after another's"} {
-		s := newStore(t)
-		a, b := New(), New()
-		s.replayTo(t, a)
-		s.replayTo(t, b)
-		a.Enqueue(newRequest("x", 100))
-		first := a.NextTxn(env(0))
+		store := newStore(t)
+		first, second := New(), New()
+		store.replayTo(t, first)
+		store.replayTo(t, second)
+		first.Enqueue(newRequest("x", 100))
+		unknown := first.NextTxn(env(0))
 		if executed == "at once" {
-			s.commit(first)
+			store.commit(unknown)
 		}
-		if out, read := a.HandleOutcome(wire.StatusNoAnswer, 0); out != nil || !read || a.HasWork(time.Hour, 0) {
+		out, mustRead := first.HandleOutcome(wire.StatusNoAnswer, 0)
+		if out != nil || !mustRead || first.HasWork(time.Hour, 0) {
 			t.Fatal("it must read before it decides again")
 		}
-		a.HeadRead()
-		s.replayTo(t, a)
-		b.Enqueue(newRequest("y", 100))
-		s.replayTo(t, b)
-		t2 := b.NextTxn(env(0))
-		status, mark := s.commit(t2)
-		out, _ := b.HandleOutcome(status, mark)
+		first.HeadRead()
+		store.replayTo(t, first)
+		second.Enqueue(newRequest("y", 100))
+		store.replayTo(t, second)
+		status, revision := store.commit(second.NextTxn(env(0)))
+		out, _ = second.HandleOutcome(status, revision)
 		switch executed {
 		case "at once":
 			expectOutcomes(t, out, booking.OutcomeRefused)
 		default:
 			expectOutcomes(t, out, booking.OutcomeDone)
 		}
-		second := a.NextTxn(env(time.Second)) // a has not seen what b did
+		repeated := first.NextTxn(env(time.Second)) // decided without the second controller's change
 		if executed == "late" && status == wire.StatusOK {
-			if late, _ := s.commit(first); late != wire.StatusConflict {
-				t.Error("a late write was executed after another's")
+			if late, _ := store.commit(unknown); late != wire.StatusConflict {
+				t.Error("a late transaction was executed after another controller's")
 			}
 		}
-		status, mark = s.commit(second)
-		out, read := a.HandleOutcome(status, mark)
+		status, revision = store.commit(repeated)
+		out, mustRead = first.HandleOutcome(status, revision)
 		if executed == "at once" {
 			expectOutcomes(t, out, booking.OutcomeRepeated)
 			continue
 		}
-		if !read {
-			t.Fatal("it was overtaken, and goes on as if it were not")
+		if !mustRead {
+			t.Fatal("another controller committed first, and it does not read the head")
 		}
-		a.HeadRead()
-		s.replayTo(t, a)
-		status, mark = s.commit(a.NextTxn(env(2 * time.Second)))
-		out, _ = a.HandleOutcome(status, mark)
+		first.HeadRead()
+		store.replayTo(t, first)
+		status, revision = store.commit(first.NextTxn(env(2 * time.Second)))
+		out, _ = first.HandleOutcome(status, revision)
 		expectOutcomes(t, out, booking.OutcomeRefused)
 	}
 }
 
-// What comes from the state service while a write is on its way is true, whether the write is in it or not.
+// Watch events during a transaction show the committed state, whether they include the transaction or not.
 func TestWatchEventsDuringAWrite(t *testing.T) {
-	s := newStore(t)
-	d := New()
-	s.replayTo(t, d)
-	d.Enqueue(newRequest("x", 100))
-	status, mark := s.commit(d.NextTxn(env(0)))
-	s.replayTo(t, d) // its own write comes before its answer
-	d.ViewCommitted(func(l *booking.Schedule) {
-		if l.Get("x") == nil {
-			t.Error("what was stored is not seen")
+	store := newStore(t)
+	service := New()
+	store.replayTo(t, service)
+	service.Enqueue(newRequest("x", 100))
+	status, revision := store.commit(service.NextTxn(env(0)))
+	store.replayTo(t, service) // the watch shows its own write before the outcome
+	service.ViewCommitted(func(schedule *booking.Schedule) {
+		if schedule.Get("x") == nil {
+			t.Error("a committed reservation is not shown")
 		}
 	})
-	out, _ := d.HandleOutcome(status, mark)
+	out, _ := service.HandleOutcome(status, revision)
 	expectOutcomes(t, out, booking.OutcomeDone)
 
-	d.Enqueue(newRequest("z", 101))
-	_ = d.NextTxn(env(time.Second))
-	d.ViewCommitted(func(l *booking.Schedule) {
-		if l.Get("z") != nil {
-			t.Error("what is not stored yet is shown")
+	service.Enqueue(newRequest("z", 101))
+	_ = service.NextTxn(env(time.Second))
+	service.ViewCommitted(func(schedule *booking.Schedule) {
+		if schedule.Get("z") != nil {
+			t.Error("an uncommitted reservation is shown")
 		}
 	})
 	other := New()
-	s.replayTo(t, other)
+	store.replayTo(t, other)
 	other.Enqueue(newRequest("y", 101))
-	s.commit(other.NextTxn(env(0)))
-	s.replayTo(t, d) // another was quicker
-	if out, read := d.HandleOutcome(wire.StatusConflict, 0); out != nil || !read {
-		t.Fatal("overtaken")
+	store.commit(other.NextTxn(env(0)))
+	store.replayTo(t, service) // another controller committed first
+	if out, mustRead := service.HandleOutcome(wire.StatusConflict, 0); out != nil || !mustRead {
+		t.Fatal("another controller committed first, and it does not read the head")
 	}
-	d.HeadRead()
-	status, mark = s.commit(d.NextTxn(env(2 * time.Second)))
-	out, _ = d.HandleOutcome(status, mark)
+	service.HeadRead()
+	status, revision = store.commit(service.NextTxn(env(2 * time.Second)))
+	out, _ = service.HandleOutcome(status, revision)
 	expectOutcomes(t, out, booking.OutcomeRefused)
 }
 
-// Bookings that come together share changes, also over the years: full heads become pages, and
-// pages of which little counts any more become fewer. At last a controller that reads all of it
-// knows the same.
+// Concurrent reservations must share writes, also over the years: full heads become pages, and pages with
+// few current reservations are merged. A controller that reads all of it must know the same.
 func TestChangesAreFew(t *testing.T) {
-	s := newStore(t)
-	d := New()
-	s.replayTo(t, d)
-	changes, now := 0, time.Duration(0)
+	const maxValueBytes = 8192
+	store := newStore(t)
+	service := New()
+	store.replayTo(t, service)
+	writes, now := 0, time.Duration(0)
 	step := func() {
-		if tx := d.NextTxn(env(now)); tx != nil {
-			status, mark := s.commit(tx)
-			for _, w := range tx.Then {
-				if len(w.Value) > 8192 {
-					t.Fatalf("a value of %d bytes", len(w.Value))
+		t.Helper()
+		if txn := service.NextTxn(env(now)); txn != nil {
+			status, revision := store.commit(txn)
+			for _, write := range txn.Then {
+				if len(write.Value) > maxValueBytes {
+					t.Fatalf("a value of %d bytes", len(write.Value))
 				}
 			}
-			changes += len(tx.Then)
-			out, _ := d.HandleOutcome(status, mark)
-			for _, a := range out {
-				if a.Outcome != booking.OutcomeDone {
-					t.Fatal(a)
+			writes += len(txn.Then)
+			out, _ := service.HandleOutcome(status, revision)
+			for _, response := range out {
+				if response.Outcome != booking.OutcomeDone {
+					t.Fatal(response)
 				}
 			}
 		}
@@ -209,146 +224,162 @@
 	}
 	const bookings = 3000
 	for i := range bookings { // fifty a second
-		d.Enqueue(newRequest(fmt.Sprintf("booking-%05d", i), 1000+i))
+		service.Enqueue(newRequest(fmt.Sprintf("booking-%05d", i), 1000+i))
 		if i%12 == 11 {
 			step()
 		}
 	}
 	step()
-	if perBooking := float64(changes) / bookings; perBooking > 0.11 {
-		t.Errorf("%.3f changes a booking", perBooking)
+	if perBooking := float64(writes) / bookings; perBooking > 0.11 {
+		t.Errorf("%.3f writes for each reservation", perBooking)
 	}
 	for i := range bookings * 9 / 10 {
-		d.Enqueue(
-			&PendingRequest{
-				Request:  booking.Request{Verb: booking.VerbEnd, ID: fmt.Sprintf("booking-%05d", i)},
-				Deadline: time.Hour,
-			},
-		)
+		service.Enqueue(newEndRequest(fmt.Sprintf("booking-%05d", i)))
 		if i%12 == 11 {
 			step()
 		}
 	}
 	step()
-	_, before := d.Counts()
-	for {
-		tx := d.MergeTxn(6, 8192)
-		if tx == nil {
-			break
-		}
-		if status, _ := s.commit(tx); status != wire.StatusOK {
-			t.Fatal("a merge was refused")
-		}
-		for _, w := range tx.Then {
-			d.ApplyDelete(w.Delete, s.revision)
-		}
-		s.replayTo(t, d)
-		d.MergeDone()
-	}
-	if _, after := d.Counts(); after*3 > before*2 {
-		t.Errorf("%d pages became %d", before, after)
+	_, before := service.Counts()
+	store.mergeAll(t, service, maxValueBytes)
+	if _, after := service.Counts(); after*3 > before*2 {
+		t.Errorf("%d pages were merged into %d", before, after)
 	}
 	other := New()
-	s.replayTo(t, other)
-	other.ViewCommitted(func(l *booking.Schedule) {
+	store.replayTo(t, other)
+	other.ViewCommitted(func(schedule *booking.Schedule) {
 		for i := range bookings {
 			want := pb.BookingState_ended
 			if i >= bookings*9/10 {
 				want = pb.BookingState_confirmed
 			}
-			if b := l.Get(fmt.Sprintf("booking-%05d", i)); b.GetState() != want {
-				t.Fatalf("%d is %v", i, b)
+			if reservation := schedule.Get(fmt.Sprintf("booking-%05d", i)); reservation.GetState() != want {
+				t.Fatalf("reservation %d is %v, want %v", i, reservation, want)
 			}
 		}
 	})
 }
 
-// serveBlockReads serves the reads of blocks.
-func (s *fakeStore) serveBlockReads(t *testing.T, d *Service) {
+// mergeAll merges pages until no merge is due.
+func (s *fakeStore) mergeAll(t *testing.T, service *Service, maxValueBytes int) {
 	t.Helper()
-	for _, id := range d.TakeBlocksToRead() {
-		var it *wire.KeyValue
-		for k, x := range s.keys {
-			if strings.HasPrefix(k, ArchivePrefix) && k > ArchivePrefix+id && (it == nil || k < it.Key) {
-				it = &x
-			}
+	for {
+		txn := service.MergeTxn(6, maxValueBytes)
+		if txn == nil {
+			return
 		}
-		if err := d.HandleBlock(id, it, s.revision, true); err != nil {
-			t.Fatal(err)
+		if status, _ := s.commit(txn); status != wire.StatusOK {
+			t.Fatal("a merge was not committed")
+		}
+		for _, write := range txn.Then {
+			service.ApplyDelete(write.Delete, s.revision)
 		}
+		s.replayTo(t, service)
+		service.MergeDone()
 	}
 }
 
-// Bookings that are over leave memory and what a start reads, in blocks that split as they fill;
-// their ids are taken for ever.
-func TestPastBookingsLeave(t *testing.T) {
-	s := newStore(t)
-	d := New()
-	s.replayTo(t, d)
-	now := time.Duration(0)
-	step := func(d *Service) []Response {
-		now += batchInterval
-		for range 2 {
-			s.serveBlockReads(t, d)
-			if tx := d.NextTxn(env(now)); tx != nil {
-				status, mark := s.commit(tx)
-				out, _ := d.HandleOutcome(status, mark)
-				if out != nil {
-					return out
-				}
+// serveBlockReads answers the requested reads of archive blocks.
+func (s *fakeStore) serveBlockReads(t *testing.T, service *Service) {
+	t.Helper()
+	for _, id := range service.TakeBlocksToRead() {
+		var block *wire.KeyValue
+		for key, item := range s.keys {
+			if strings.HasPrefix(key, ArchivePrefix) && key > ArchivePrefix+id && (block == nil || key < block.Key) {
+				block = &item
 			}
 		}
-		return nil
+		if err := service.HandleBlock(id, block, s.revision, true); err != nil {
+			t.Fatal(err)
+		}
 	}
-	const bookings = 2000
-	id := func(i int) string { return fmt.Sprintf("b%05d", i*7919%bookings) }
-	for i := range bookings {
-		d.Enqueue(newRequest(id(i), 100_000+i))
-		d.Enqueue(&PendingRequest{Request: booking.Request{Verb: booking.VerbEnd, ID: id(i)}, Deadline: time.Hour})
-		if i%20 == 19 {
-			step(d)
+}
+
+// commitBatch serves block reads and commits a batch of a service, and returns the answers.
+func (s *fakeStore) commitBatch(t *testing.T, service *Service, now time.Duration) []Response {
+	t.Helper()
+	for range 2 { // the first batch may only request blocks
+		s.serveBlockReads(t, service)
+		if txn := service.NextTxn(env(now)); txn != nil {
+			status, revision := s.commit(txn)
+			if out, _ := service.HandleOutcome(status, revision); out != nil {
+				return out
+			}
 		}
 	}
-	d.Enqueue(newRequest("live", 900_000))
-	step(d)
-	moves := 0
-	for range 4 * bookings {
-		tx := d.ArchiveTxn(nil, startUnixS+int64(now.Seconds())+1, 2048)
-		if tx == nil {
-			if len(d.blocksToRead) == 0 {
+	return nil
+}
+
+// archiveAll archives the reservations that ended before a time, with at most limit transactions, and
+// returns how many it took.
+func (s *fakeStore) archiveAll(t *testing.T, service *Service, endedBefore int64, limit int) (moves int) {
+	t.Helper()
+	const maxValueBytes = 2048
+	for range limit {
+		txn := service.ArchiveTxn(nil, endedBefore, maxValueBytes)
+		if txn == nil {
+			if len(service.blocksToRead) == 0 {
 				break
 			}
-			s.serveBlockReads(t, d)
+			s.serveBlockReads(t, service)
 			continue
 		}
-		if status, _ := s.commit(tx); status != wire.StatusOK || len(tx.Then) > 3 {
-			t.Fatalf("status %d, %d changes", status, len(tx.Then))
+		if status, _ := s.commit(txn); status != wire.StatusOK || len(txn.Then) > 3 {
+			t.Fatalf("status %d, %d writes", status, len(txn.Then))
 		}
 		moves++
-		for _, w := range tx.Then {
-			if len(w.Value) > 2048 && strings.HasPrefix(w.Put, ArchivePrefix) {
-				t.Fatalf("a block of %d bytes", len(w.Value))
+		for _, write := range txn.Then {
+			if len(write.Value) > maxValueBytes && strings.HasPrefix(write.Put, ArchivePrefix) {
+				t.Fatalf("a block of %d bytes", len(write.Value))
 			}
-			if w.Delete != "" {
-				d.ApplyDelete(w.Delete, s.revision)
+			if write.Delete != "" {
+				service.ApplyDelete(write.Delete, s.revision)
 			}
 		}
-		s.replayTo(t, d)
-		d.ArchiveDone(tx)
+		s.replayTo(t, service)
+		service.ArchiveDone(txn)
+	}
+	return moves
+}
+
+// Past reservations must leave memory and the keys that a start reads, for blocks that split as they
+// fill. Their ids must never be used again.
+func TestPastBookingsLeave(t *testing.T) {
+	store := newStore(t)
+	service := New()
+	store.replayTo(t, service)
+	now := time.Duration(0)
+	step := func(service *Service) []Response {
+		t.Helper()
+		now += batchInterval
+		return store.commitBatch(t, service, now)
+	}
+	const bookings = 2000
+	id := func(i int) string { return fmt.Sprintf("b%05d", i*7919%bookings) }
+	for i := range bookings {
+		service.Enqueue(newRequest(id(i), 100_000+i))
+		service.Enqueue(newEndRequest(id(i)))
+		if i%20 == 19 {
+			step(service)
+		}
 	}
-	d.ForgetArchived(now+time.Hour, startUnixS+int64(now.Seconds())+1)
+	service.Enqueue(newRequest("live", 900_000))
+	step(service)
+	endedBefore := startUnixS + int64(now.Seconds()) + 1
+	moves := store.archiveAll(t, service, endedBefore, 4*bookings)
+	service.ForgetArchived(now+time.Hour, endedBefore)
 	other := New()
-	s.replayTo(t, other)
-	for _, d := range []*Service{d, other} {
-		if n, pages := d.Counts(); n > 150 || pages > 2 { // the head holds its last ones
-			t.Errorf("%d bookings in memory, %d pages", n, pages)
+	store.replayTo(t, other)
+	for _, service := range []*Service{service, other} {
+		if n, pages := service.Counts(); n > 150 || pages > 2 { // the last ones stay in the head
+			t.Errorf("%d reservations in memory, %d pages", n, pages)
 		}
 	}
-	t.Logf("%d bookings in %d moves", bookings, moves)
+	t.Logf("%d reservations in %d moves", bookings, moves)
 	other.Enqueue(newRequest(id(3), 100_003))
 	other.Enqueue(newRequest(id(4), 100_000))
-	other.Enqueue(&PendingRequest{Request: booking.Request{Verb: booking.VerbEnd, ID: id(5)}, Deadline: time.Hour})
-	other.Enqueue(&PendingRequest{Request: booking.Request{Verb: booking.VerbEnd, ID: "nobody"}, Deadline: time.Hour})
+	other.Enqueue(newEndRequest(id(5)))
+	other.Enqueue(newEndRequest("nobody"))
 	expectOutcomes(
 		t,
 		step(other),
@@ -357,22 +388,22 @@
 		booking.OutcomeRepeated,
 		booking.OutcomeNotFound,
 	)
-	// A new id is booked on condition of the block that lacks it.
+	// A new id must compare the block that lacks it.
 	other.Enqueue(newRequest("b00001x", 900_001))
-	s.serveBlockReads(t, other)
-	if tx := other.NextTxn(env(now + time.Hour)); tx != nil {
-		t.Error("booked without a look at the block")
+	store.serveBlockReads(t, other)
+	if txn := other.NextTxn(env(now + time.Hour)); txn != nil {
+		t.Error("decided before the block was read")
 	}
-	s.serveBlockReads(t, other)
-	tx := other.NextTxn(env(now + time.Hour))
-	if !slices.ContainsFunc(
-		tx.Compare,
-		func(c wire.Compare) bool { return strings.HasPrefix(c.Key, ArchivePrefix) && c.Revision != 0 },
-	) {
-		t.Errorf("conditions %v", tx.Compare)
+	store.serveBlockReads(t, other)
+	txn := other.NextTxn(env(now + time.Hour))
+	if !slices.ContainsFunc(txn.Compare, func(compare wire.Compare) bool {
+		return strings.HasPrefix(compare.Key, ArchivePrefix) && compare.Revision != 0
+	}) {
+		t.Errorf("compares %v lack the block", txn.Compare)
 	}
 }
 
+// A damaged head must be an error, or be applied without a crash.
 func FuzzDecode(f *testing.F) {
 	raw, err := encodePage(
 		[]*pb.Booking{{Id: "x", Change: 1, Slots: []*pb.Slot{{Piece: "k", Unit: 1, From: 60, To: 120, Clear: 120}}}},
@@ -388,10 +419,10 @@
 		if _, _, err := Decode(raw); err != nil {
 			return
 		}
-		d := New()
-		if _, err := d.ApplyPut(KeyHead, json.RawMessage(raw), 1); err != nil {
+		service := New()
+		if _, err := service.ApplyPut(KeyHead, json.RawMessage(raw), 1); err != nil {
 			t.Fatal(err)
 		}
-		d.ViewCommitted(func(*booking.Schedule) {})
+		service.ViewCommitted(func(*booking.Schedule) {})
 	})
 }
