--- a/api/api_test.go
+++ b/api/api_test.go
@@ -20,34 +20,34 @@
 	"github.com/gofiber/fiber/v3"
 )
 
-// fakeController answers every input like a core that accepts everything but what is malformed.
+// fakeController answers as a core does that accepts every well-formed submission.
 type fakeController struct {
 	server    *Server
 	queueFull bool
 }
 
-func (e *fakeController) Healthy() bool { return !e.queueFull }
-func (e *fakeController) StoreEndpoint() wire.StoreEndpoint {
+func (f *fakeController) Healthy() bool { return !f.queueFull }
+func (f *fakeController) StoreEndpoint() wire.StoreEndpoint {
 	return wire.StoreEndpoint{Addr: "127.0.0.1:1"}
 }
 
-func (e *fakeController) Enqueue(in core.Input) bool {
-	if e.queueFull {
+func (f *fakeController) Enqueue(in core.Input) bool {
+	if f.queueFull {
 		return false
 	}
 	switch in := in.(type) {
 	case core.SubmitJob:
-		r := core.Response{
+		response := core.Response{
 			RequestID: in.RequestID,
 			Status:    wire.StatusCreated,
 			Body:      wire.JobState{ID: in.ID, Stage: wire.StageQueued},
 		}
 		if in.DecodeError != "" {
-			r.Status, r.Body = wire.StatusBadRequest, wire.Error{Error: in.DecodeError}
+			response.Status, response.Body = wire.StatusBadRequest, wire.Error{Error: in.DecodeError}
 		}
-		go e.server.DeliverResponse(r)
+		go f.server.DeliverResponse(response)
 	case core.GetJob:
-		go e.server.DeliverResponse(core.Response{
+		go f.server.DeliverResponse(core.Response{
 			RequestID:         in.RequestID,
 			Status:            wire.StatusUnavailable,
 			RetryAfterSeconds: 1,
@@ -57,14 +57,28 @@
 	return true
 }
 
+func newTestApp(controller *fakeController) *fiber.App {
+	controller.server = New(controller, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return controller.server.newApp()
+}
+
+// testRequest makes a request and returns the status and the header of its response.
+func testRequest(t *testing.T, app *fiber.App, req *http.Request) (int, http.Header, error) {
+	t.Helper()
+	resp, err := app.Test(req)
+	if err != nil {
+		return 0, nil, err
+	}
+	return resp.StatusCode, resp.Header, resp.Body.Close()
+}
+
 const validSubmission = `{"uid":"wk-000412","ware":"train","crew":"vision","form":"batch","heat":"high","pieces":16,
  "cpus":8.0,"cards":1.0,"ram_gb":64.0,"mould":"img-07","image_gb":6.2,"kilns":["g8"],"yard":null,"one_zone":true,
  "spread":false,"borrowed":true,"firing_s":240.0,"glaze_s":30.0,"cool_s":4.0,"due_s":900.0}`
 
+// Malformed requests must be refused as such, not accepted or answered with a server's error.
 func TestResponseStatuses(t *testing.T) {
-	e := &fakeController{}
-	e.server = New(e, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	app := e.server.newApp()
+	app := newTestApp(&fakeController{})
 	for name, tc := range map[string]struct {
 		method, path, body string
 		want               int
@@ -97,24 +111,22 @@
 		"healthy": {"GET", "/healthz", "", 200},
 	} {
 		req := httptest.NewRequest(tc.method, tc.path, strings.NewReader(tc.body))
-		resp, err := app.Test(req)
+		status, header, err := testRequest(t, app, req)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if resp.StatusCode != tc.want {
-			t.Errorf("%s: status %d, want %d", name, resp.StatusCode, tc.want)
+		if status != tc.want {
+			t.Errorf("%s: status %d, want %d", name, status, tc.want)
 		}
-		if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "" {
-			t.Errorf("%s: a refusal does not tell when to come back", name)
+		if status == http.StatusServiceUnavailable && header.Get("Retry-After") == "" {
+			t.Errorf("%s: a refusal has no Retry-After", name)
 		}
 	}
 }
 
-// Every field is needed but those that may be null. A job without an image was accepted.
+// Every field is required but those that may be null: a job without an image was accepted once.
 func TestEachFieldIsRequired(t *testing.T) {
-	e := &fakeController{}
-	e.server = New(e, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	app := e.server.newApp()
+	app := newTestApp(&fakeController{})
 	var fields map[string]any
 	if err := json.Unmarshal([]byte(validSubmission), &fields); err != nil {
 		t.Fatal(err)
@@ -134,26 +146,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			resp, err := app.Test(httptest.NewRequest("POST", "/v1/jobs", bytes.NewReader(raw)))
-			if err != nil || resp.StatusCode != want {
-				t.Errorf("%s %s: got %v, %v, want %d", name, what, resp, err, want)
+			status, _, err := testRequest(t, app, httptest.NewRequest("POST", "/v1/jobs", bytes.NewReader(raw)))
+			if err != nil || status != want {
+				t.Errorf("%s %s: got %d, %v, want %d", name, what, status, err, want)
 			}
 		}
 	}
 }
 
+// A full input queue must refuse at once and make the controller unhealthy, not let requests wait.
 func TestFullInputQueueRefusesAtOnce(t *testing.T) {
-	e := &fakeController{queueFull: true}
-	e.server = New(e, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	app := newTestApp(&fakeController{queueFull: true})
 	for _, path := range []string{"/v1/jobs/wk-1", "/healthz"} {
-		resp, err := e.server.newApp().Test(httptest.NewRequest("GET", path, nil))
-		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-			t.Errorf("%s: got %v, %v", path, resp, err)
+		status, header, err := testRequest(t, app, httptest.NewRequest("GET", path, nil))
+		if err != nil || status != 503 || header.Get("Retry-After") == "" {
+			t.Errorf("%s: got %d %v, %v", path, status, header, err)
 		}
 	}
 }
 
-// A body over the limit is refused before anything of it is looked at.
+// A body over the limit must be refused by its length, before it is read.
 func TestOversizedBodyIsRefused(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -166,15 +178,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
-	if _, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", wire.PathJobs, wire.MaxBodyBytes+1); err != nil {
+	t.Cleanup(func() { _ = conn.Close() })
+	const head = "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n"
+	if _, err := fmt.Fprintf(conn, head, wire.PathJobs, wire.MaxBodyBytes+1); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("status %d", resp.StatusCode)
 	}
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -13,15 +13,15 @@
 	"golang.org/x/time/rate"
 )
 
-// authenticator tells from tokens who asks. What it costs is bounded: a token of an unknown key
-// costs no signature, one that was accepted before is remembered, and each key has its own share of
-// signatures, so that a flood in one name slows nobody else.
+// authenticator identifies callers by tokens and certificates. Its cost is bounded: a token of an
+// unknown key costs no verification, a verified one is cached, and each key has its own limit of
+// verifications, so that a flood in one name slows nobody else.
 type authenticator struct {
-	policy          atomic.Pointer[access.Policy] // nil: no rights are in force
-	clockErrorBound time.Duration                 // of the time of day
+	policy          atomic.Pointer[access.Policy] // nil: none is in force, and callers stay unknown
+	clockErrorBound time.Duration
 	verifiedTokens  *lru.Cache[string, verifiedToken]
 	mu              sync.Mutex
-	verifyLimiters  map[string]*rate.Limiter // by key
+	verifyLimiters  map[string]*rate.Limiter // by key id
 }
 
 type verifiedToken struct {
@@ -31,74 +31,99 @@
 
 const (
 	maxVerifiedTokens      = 4096
-	verificationsPerSecond = 20 // a second and key; the burst is as much
+	verificationsPerSecond = 20 // for each key; the burst is as large
 )
 
-func newAuthenticator(bound time.Duration) *authenticator {
-	known, err := lru.New[string, verifiedToken](maxVerifiedTokens)
+func newAuthenticator(clockErrorBound time.Duration) *authenticator {
+	tokens, err := lru.New[string, verifiedToken](maxVerifiedTokens)
 	if err != nil {
-		panic(err) // the size is a constant
+		panic(err) // impossible: the size is a constant
+	}
+	return &authenticator{
+		clockErrorBound: clockErrorBound,
+		verifiedTokens:  tokens,
+		verifyLimiters:  map[string]*rate.Limiter{},
 	}
-	return &authenticator{clockErrorBound: bound, verifiedTokens: known, verifyLimiters: map[string]*rate.Limiter{}}
 }
 
-// setPolicy puts rights in force; keys that are gone are forgotten.
-func (g *authenticator) setPolicy(p *access.Policy) {
-	g.policy.Store(p)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	clear(g.verifyLimiters)
+// setPolicy puts a policy in force. It drops all limiters, as keys may be gone.
+func (a *authenticator) setPolicy(policy *access.Policy) {
+	a.policy.Store(policy)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	clear(a.verifyLimiters)
 }
 
-// authenticate tells who sent a request, by a certificate that was verified or a token; a status
-// other than 0 refuses it.
-func (g *authenticator) authenticate(
+// authenticate identifies the caller by the authorization header or, without one, by the name in a
+// verified certificate. A status other than 0 denies the request, and why says the reason.
+func (a *authenticator) authenticate(
 	header, certificate string,
 	now time.Time,
-) (cr core.Credential, status int, why string) {
-	p := g.policy.Load()
-	if p == nil {
+) (caller core.Credential, status int, why string) {
+	policy := a.policy.Load()
+	if policy == nil {
 		return core.Credential{}, 0, ""
 	}
 	if header == "" && certificate != "" {
-		if p.AllowsCertificate(certificate) {
+		if policy.AllowsCertificate(certificate) {
 			return core.Credential{Identity: certificate, KeyID: access.CertificateKey}, 0, ""
 		}
-		return cr, fiber.StatusUnauthorized, "the certificate is nobody's"
+		return core.Credential{}, fiber.StatusUnauthorized, "the certificate is nobody's"
 	}
 	scheme, token, _ := strings.Cut(header, " ")
 	if !strings.EqualFold(scheme, "Bearer") || token == "" {
-		return cr, fiber.StatusUnauthorized, "a token is needed"
+		return core.Credential{}, fiber.StatusUnauthorized, "a token is needed"
 	}
-	if a, ok := g.verifiedTokens.Get(token); ok {
-		if k, there := p.Key(a.key.ID); there && k.Holder == a.key.Holder && k.Public.Equal(a.key.Public) &&
-			now.Before(a.validUntil) {
-			return core.Credential{Identity: k.Holder, KeyID: k.ID}, 0, ""
-		}
-		g.verifiedTokens.Remove(token)
+	if key := a.cachedKey(policy, token, now); key != nil {
+		return core.Credential{Identity: key.Holder, KeyID: key.ID}, 0, ""
+	}
+	return a.verifyToken(policy, token, now)
+}
+
+// cachedKey returns the key of a token that was verified before, nil if there is none, the token has
+// expired, or its key is no longer the same.
+func (a *authenticator) cachedKey(policy *access.Policy, token string, now time.Time) *access.Key {
+	verified, ok := a.verifiedTokens.Get(token)
+	if !ok {
+		return nil
 	}
+	key, exists := policy.Key(verified.key.ID)
+	if exists && key.Holder == verified.key.Holder && key.Public.Equal(verified.key.Public) &&
+		now.Before(verified.validUntil) {
+		return key
+	}
+	a.verifiedTokens.Remove(token)
+	return nil
+}
+
+// verifyToken verifies a token's signature and times, within the limit of its key.
+func (a *authenticator) verifyToken(
+	policy *access.Policy,
+	token string,
+	now time.Time,
+) (caller core.Credential, status int, why string) {
 	id, ok := access.PeekKey(token)
-	if _, there := p.Key(id); !ok || !there {
-		return cr, fiber.StatusUnauthorized, access.ErrInvalidToken.Error()
+	if _, exists := policy.Key(id); !ok || !exists {
+		return core.Credential{}, fiber.StatusUnauthorized, access.ErrInvalidToken.Error()
 	}
-	if !g.allowVerification(id, now) {
-		return cr, fiber.StatusTooManyRequests, "too many tokens of this key"
+	if !a.allowVerification(id, now) {
+		return core.Credential{}, fiber.StatusTooManyRequests, "too many tokens of this key"
 	}
-	k, until, err := p.VerifyToken(token, now, g.clockErrorBound)
+	key, validUntil, err := policy.VerifyToken(token, now, a.clockErrorBound)
 	if err != nil {
-		return cr, fiber.StatusUnauthorized, access.ErrInvalidToken.Error()
+		return core.Credential{}, fiber.StatusUnauthorized, access.ErrInvalidToken.Error()
 	}
-	g.verifiedTokens.Add(token, verifiedToken{k, until})
-	return core.Credential{Identity: k.Holder, KeyID: k.ID}, 0, ""
+	a.verifiedTokens.Add(token, verifiedToken{key, validUntil})
+	return core.Credential{Identity: key.Holder, KeyID: key.ID}, 0, ""
 }
 
-func (g *authenticator) allowVerification(key string, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	l := g.verifyLimiters[key]
-	if l == nil {
-		l = rate.NewLimiter(verificationsPerSecond, verificationsPerSecond)
-		g.verifyLimiters[key] = l
+func (a *authenticator) allowVerification(keyID string, now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	limiter := a.verifyLimiters[keyID]
+	if limiter == nil {
+		limiter = rate.NewLimiter(verificationsPerSecond, verificationsPerSecond)
+		a.verifyLimiters[keyID] = limiter
 	}
-	return l.AllowN(now, 1)
+	return limiter.AllowN(now, 1)
 }
--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -23,30 +23,32 @@
 	pb "dewlift/proto"
 )
 
+// newTestAuthenticator returns an authenticator whose policy has identities with one key each.
 func newTestAuthenticator(t testing.TB, names ...string) (*authenticator, map[string]*access.PrivateKey) {
 	t.Helper()
-	a := &pb.Access{}
+	policy := &pb.Access{}
 	keys := map[string]*access.PrivateKey{}
-	for _, n := range names {
-		k, err := access.NewKey(n, "key-"+n)
+	for _, name := range names {
+		key, err := access.NewKey(name, "key-"+name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		keys[n] = k
-		a.Identities = append(
-			a.Identities,
-			&pb.Identity{Name: n, Keys: []*pb.PublicKey{{Id: k.ID, Ed25519: k.PublicBase64()}}},
-		)
+		keys[name] = key
+		policy.Identities = append(policy.Identities, &pb.Identity{
+			Name: name,
+			Keys: []*pb.PublicKey{{Id: key.ID, Ed25519: key.PublicBase64()}},
+		})
 	}
-	p, err := access.New(a)
+	checked, err := access.New(policy)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newAuthenticator(50 * time.Millisecond)
-	g.setPolicy(p)
-	return g, keys
+	auth := newAuthenticator(50 * time.Millisecond)
+	auth.setPolicy(checked)
+	return auth, keys
 }
 
+// bearerHeader returns an authorization header with a token that is valid for a minute.
 func bearerHeader(t testing.TB, k *access.PrivateKey, now time.Time) string {
 	t.Helper()
 	s, err := k.SignToken(now, time.Minute)
@@ -56,23 +58,23 @@
 	return "Bearer " + s
 }
 
-// Without rights in force nothing is asked; with them a token is, and one that was good once is not when its
-// key or its time is over.
+// Without a policy in force every caller is let in; with one a token is needed, and a verified one is no
+// longer accepted after it has expired or its key was replaced.
 func TestTokenIdentifiesCaller(t *testing.T) {
 	now := time.Now()
 	if _, status, _ := newAuthenticator(0).authenticate("", "", now); status != 0 {
-		t.Errorf("no rights in force: %d", status)
+		t.Errorf("no policy in force: %d", status)
 	}
-	g, keys := newTestAuthenticator(t, "anna", "potter")
+	auth, keys := newTestAuthenticator(t, "anna", "potter")
 	token := bearerHeader(t, keys["anna"], now)
-	for range 2 { // verified, then remembered
-		if cr, status, _ := g.authenticate(token, "", now); status != 0 || cr.Identity != "anna" ||
+	for range 2 { // verified, then cached
+		if cr, status, _ := auth.authenticate(token, "", now); status != 0 || cr.Identity != "anna" ||
 			cr.KeyID != "key-anna" {
 			t.Fatalf("got %+v, %d", cr, status)
 		}
 	}
-	if _, status, _ := g.authenticate(token, "", now.Add(2*time.Minute)); status != 401 {
-		t.Errorf("after its time: %d", status)
+	if _, status, _ := auth.authenticate(token, "", now.Add(2*time.Minute)); status != 401 {
+		t.Errorf("after its expiry: %d", status)
 	}
 	for _, header := range []string{
 		"",
@@ -81,62 +83,64 @@
 		"Bearer x.y.z",
 		"Bearer " + base64.RawURLEncoding.EncodeToString([]byte(`{"kid":"key-anna"}`)) + ".e30.AAAA",
 	} {
-		if cr, status, _ := g.authenticate(header, "", now); status != 401 {
+		if cr, status, _ := auth.authenticate(header, "", now); status != 401 {
 			t.Errorf("%q: %+v, %d", header, cr, status)
 		}
 	}
-	g.authenticate(token, "", now)
+	auth.authenticate(token, "", now)
 	other, _ := newTestAuthenticator(t, "anna")
-	g.setPolicy(other.policy.Load()) // another key of the same name
-	if _, status, _ := g.authenticate(token, "", now); status != 401 {
+	auth.setPolicy(other.policy.Load()) // another key of the same name
+	if _, status, _ := auth.authenticate(token, "", now); status != 401 {
 		t.Errorf("after its key was replaced: %d", status)
 	}
 }
 
-// A flood of bad tokens in one's name costs a bounded number of signatures, and slows neither others nor
-// whoever was accepted before.
+// A flood of bad tokens in one name must cost a bounded number of verifications, and must not slow others
+// or a token that was verified before.
 func TestFloodOfBadTokensCostsBoundedVerifications(t *testing.T) {
-	g, keys := newTestAuthenticator(t, "anna", "potter")
+	auth, keys := newTestAuthenticator(t, "anna", "potter")
 	now := time.Now()
-	old := bearerHeader(t, keys["anna"], now)
-	g.authenticate(old, "", now)
-	tried := 0
+	known := bearerHeader(t, keys["anna"], now)
+	auth.authenticate(known, "", now)
+	verified := 0
 	for i := range 5000 {
 		bad := bearerHeader(t, keys["anna"], now.Add(time.Duration(i)*time.Nanosecond))
-		if _, status, _ := g.authenticate(bad[:len(bad)-8]+fmt.Sprintf("%08d", i), "", now); status == 401 {
-			tried++
+		if _, status, _ := auth.authenticate(bad[:len(bad)-8]+fmt.Sprintf("%08d", i), "", now); status == 401 {
+			verified++
 		} else if status != 429 {
 			t.Fatalf("a bad token got %d", status)
 		}
 	}
-	if tried == 0 || tried > verificationsPerSecond {
-		t.Errorf("%d signatures were checked", tried)
+	if verified == 0 || verified > verificationsPerSecond {
+		t.Errorf("%d signatures were verified", verified)
 	}
-	if _, status, _ := g.authenticate(old, "", now); status != 0 {
+	if _, status, _ := auth.authenticate(known, "", now); status != 0 {
 		t.Errorf("one accepted before: %d", status)
 	}
-	if _, status, _ := g.authenticate(bearerHeader(t, keys["potter"], now), "", now); status != 0 {
+	if _, status, _ := auth.authenticate(bearerHeader(t, keys["potter"], now), "", now); status != 0 {
 		t.Errorf("another: %d", status)
 	}
 }
 
 func BenchmarkAuthenticate(b *testing.B) {
-	g, keys := newTestAuthenticator(b, "anna")
+	auth, keys := newTestAuthenticator(b, "anna")
 	now := time.Now()
 	good := bearerHeader(b, keys["anna"], now)
+	unknown := *keys["anna"]
+	unknown.ID = "other"
 	for name, header := range map[string]string{
 		"known":       good,
 		"none":        "",
-		"unknown key": bearerHeader(b, func() *access.PrivateKey { k := *keys["anna"]; k.ID = "other"; return &k }(), now),
+		"unknown key": bearerHeader(b, &unknown, now),
 	} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				g.authenticate(header, "", now)
+				auth.authenticate(header, "", now)
 			}
 		})
 	}
 	b.Run("signature", func(b *testing.B) {
-		p := g.policy.Load()
+		p := auth.policy.Load()
 		for b.Loop() {
 			if _, _, err := p.VerifyToken(good[len("Bearer "):], now, 0); err != nil {
 				b.Fatal(err)
@@ -145,14 +149,16 @@
 	})
 }
 
-// A user may prove who they are by a certificate that an authority of the site has signed, if their
-// identity says so.
+// A certificate identifies its holder only if an authority of the site issued it and the identity allows
+// certificates.
 func TestCertificateIdentifiesCaller(t *testing.T) {
 	own, other := testcert.New(t), testcert.New(t)
 	dir := t.TempDir()
 	file := func(name string) string { return filepath.Join(dir, name) }
 	own.Issue(t, "n0", file("n0.pem"), file("n0.key"))
-	if err := os.WriteFile(file("tls"), []byte(fmt.Sprintf("serve { certificate: %q key: %q users: %q }", file("n0.pem"), file("n0.key"), own.CertFile)), 0o600); err != nil {
+	const format = "serve { certificate: %q key: %q users: %q }"
+	text := fmt.Sprintf(format, file("n0.pem"), file("n0.key"), own.CertFile)
+	if err := os.WriteFile(file("tls"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -160,14 +166,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &fakeController{}
-	s := New(e, 0, files.ServerConfig(), log)
-	e.server = s
-	p, err := access.New(&pb.Access{Identities: []*pb.Identity{{Name: "anna", Certificate: true}, {Name: "potter"}}})
+	controller := &fakeController{}
+	s := New(controller, 0, files.ServerConfig(), log)
+	controller.server = s
+	policy, err := access.New(&pb.Access{
+		Identities: []*pb.Identity{{Name: "anna", Certificate: true}, {Name: "potter"}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.SetPermissions(p)
+	s.SetPermissions(policy)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -181,48 +189,52 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
-		who  string
-		by   *testcert.Authority
-		want int // 0: no connection; 503: let in, as the core of these tests answers polls
+	for _, test := range []struct {
+		name   string // in the certificate; empty: no certificate
+		issuer *testcert.Authority
+		want   int // 0: no connection; 503: let in, as fakeController answers polls
 	}{{"anna", own, 503}, {"potter", own, 401}, {"nobody", own, 401}, {"", own, 401}, {"anna", other, 0}} {
 		cfg := &tls.Config{RootCAs: x509.NewCertPool()}
 		cfg.RootCAs.AppendCertsFromPEM(raw)
-		if x.who != "" {
-			x.by.Issue(t, x.who, file("user.pem"), file("user.key"))
+		if test.name != "" {
+			test.issuer.Issue(t, test.name, file("user.pem"), file("user.key"))
 			pair, err := tls.LoadX509KeyPair(file("user.pem"), file("user.key"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
+			cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+				return &pair, nil
+			}
 		}
 		got := 0
-		c := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{TLSClientConfig: cfg}}
-		if resp, err := c.Get("https://" + ln.Addr().String() + "/v1/jobs/wk-1"); err == nil {
+		client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{TLSClientConfig: cfg}}
+		if resp, err := client.Get("https://" + ln.Addr().String() + "/v1/jobs/wk-1"); err == nil {
 			got = resp.StatusCode
 			_ = resp.Body.Close()
 		}
-		if got != x.want {
-			t.Errorf("%q: %d, want %d", x.who, got, x.want)
+		if got != test.want {
+			t.Errorf("%q: %d, want %d", test.name, got, test.want)
 		}
 	}
 }
 
-// Whatever a certificate is for, it is good for an identity of exactly that name that may use one, and what is refused
-// is recorded under no name that was not proven.
+// A certificate must identify only an identity of exactly its name that may use one, and a denied request
+// must not be recorded under a name that was not proven.
 func FuzzCertificateName(f *testing.F) {
 	for _, s := range []string{"anna", "anna ", "Anna", "ann\x00a", "potter", "", "*", "anna,O=x", "\xff"} {
 		f.Add(s, "")
 	}
 	f.Add("anna", "Bearer x.y.z")
-	g, _ := newTestAuthenticator(f, "anna", "potter")
-	p, err := access.New(&pb.Access{Identities: []*pb.Identity{{Name: "anna", Certificate: true}, {Name: "potter"}}})
+	auth, _ := newTestAuthenticator(f, "anna", "potter")
+	policy, err := access.New(&pb.Access{
+		Identities: []*pb.Identity{{Name: "anna", Certificate: true}, {Name: "potter"}},
+	})
 	if err != nil {
 		f.Fatal(err)
 	}
-	g.setPolicy(p)
+	auth.setPolicy(policy)
 	f.Fuzz(func(t *testing.T, name, header string) {
-		by, status, why := g.authenticate(header, name, time.Unix(1_800_000_000, 0))
+		by, status, why := auth.authenticate(header, name, time.Unix(1_800_000_000, 0))
 		good := header == "" && name == "anna"
 		if (status == 0) != good || good && (by.Identity != "anna" || by.KeyID != access.CertificateKey) ||
 			!good && (by.Identity != "" || why == "") {
@@ -231,27 +243,27 @@
 	})
 }
 
-// Requests of nobody known are handed on to be recorded, counted, and what a flood asked for takes bounded room.
+// Denied requests must reach the audit log with their number, and a flood of them must take bounded memory.
 func TestDeniedRequestsAreHandedToTheAuditLog(t *testing.T) {
-	g, _ := newTestAuthenticator(t, "anna")
+	auth, _ := newTestAuthenticator(t, "anna")
 	s := New(nil, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s.authenticator = g
+	s.authenticator = auth
 	app := s.newApp()
 	for i := range 2000 {
 		req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("/v1/jobs/wk-%d", i), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp, err := app.Test(req)
-		if err != nil || resp.StatusCode != http.StatusUnauthorized {
-			t.Fatal(resp, err)
+		status, _, err := testRequest(t, app, req)
+		if err != nil || status != http.StatusUnauthorized {
+			t.Fatal(status, err)
 		}
 	}
 	items, total := s.TakeDenied(), uint32(0)
-	for _, it := range items {
-		total += it.Count
-		if it.Who != "" || it.Verb != http.MethodGet || it.Why == "" && it.Object != audit.OtherValues {
-			t.Errorf("%+v", it)
+	for _, item := range items {
+		total += item.Count
+		if item.Who != "" || item.Verb != http.MethodGet || item.Why == "" && item.Object != audit.OtherValues {
+			t.Errorf("%+v", item)
 		}
 	}
 	if total != 2000 || len(items) > 300 || len(s.TakeDenied()) != 0 {
--- a/api/queue.go
+++ b/api/queue.go
@@ -5,53 +5,63 @@
 	"dewlift/wire"
 	"encoding/json"
 	"strconv"
+	"strings"
 
 	"github.com/gofiber/fiber/v3"
 )
 
-// SetQueueEnabled tells whether there is a list of lanes; where there is none, the queue's paths are unknown.
-func (s *Server) SetQueueEnabled(open bool) { s.queueEnabled.Store(open) }
+// defaultQueuePage is the number of jobs on a page of the queue if the request names none.
+const defaultQueuePage = 100
 
-// addQueueRoutes are the paths of the queue and of the lanes.
+// SetQueueEnabled says whether there is a list of priority classes; without one, the paths of the queue
+// are unknown.
+func (s *Server) SetQueueEnabled(enabled bool) { s.queueEnabled.Store(enabled) }
+
+// addQueueRoutes adds the routes of the queue and of the priority classes.
 func (s *Server) addQueueRoutes(app *fiber.App) {
-	show := func(read func(c fiber.Ctx, in *core.ListQueue) error) fiber.Handler {
-		return s.whenEnabled(&s.queueEnabled, func(c fiber.Ctx, by core.Credential) error {
-			in := core.ListQueue{Caller: by}
-			if err := read(c, &in); err != nil {
-				return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: err.Error()})
-			}
-			return s.handleInput(
-				c,
-				userResponseTimeout,
-				func(req uint64) core.Input { in.RequestID = req; return in },
-			)
-		})
-	}
-	app.Get(wire.PathQueue, show(func(c fiber.Ctx, in *core.ListQueue) (err error) {
-		in.Limit = 100
-		if v := c.Query("after"); v != "" {
-			in.AfterPosition, err = strconv.Atoi(v)
-		}
-		if v := c.Query("most"); v != "" && err == nil {
-			in.Limit, err = strconv.Atoi(v)
-		}
-		return err
+	app.Get(wire.PathQueue, s.queueQuery(parseQueuePage))
+	app.Get(wire.PathQueue+"/:id", s.queueQuery(func(c fiber.Ctx, in *core.ListQueue) error {
+		in.ID = strings.Clone(c.Params("id"))
+		return nil
+	}))
+	app.Get(wire.PathPriorityClasses, s.queueQuery(func(_ fiber.Ctx, in *core.ListQueue) error {
+		in.ShowPriorityClasses = true
+		return nil
 	}))
-	app.Get(
-		wire.PathQueue+"/:id",
-		show(func(c fiber.Ctx, in *core.ListQueue) error { in.ID = string([]byte(c.Params("id"))); return nil }),
-	)
-	app.Get(
-		wire.PathPriorityClasses,
-		show(func(_ fiber.Ctx, in *core.ListQueue) error { in.ShowPriorityClasses = true; return nil }),
-	)
-	app.Post(wire.PathPriorityClasses, s.whenEnabled(&s.queueEnabled, func(c fiber.Ctx, by core.Credential) error {
-		var q wire.JobQueue
-		if err := json.Unmarshal(c.Body(), &q); err != nil {
-			return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: "not a list of lanes: " + err.Error()})
+	app.Post(wire.PathPriorityClasses, s.whenEnabled(&s.queueEnabled, s.setPriorityClasses))
+}
+
+// queueQuery returns a handler of a query that parse reads from the request.
+func (s *Server) queueQuery(parse func(c fiber.Ctx, in *core.ListQueue) error) fiber.Handler {
+	return s.whenEnabled(&s.queueEnabled, func(c fiber.Ctx, caller core.Credential) error {
+		in := core.ListQueue{Caller: caller}
+		if err := parse(c, &in); err != nil {
+			return badRequest(c, err.Error())
 		}
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input {
-			return core.SetPriorityClasses{RequestID: req, Caller: by, Text: q.PriorityClasses}
+		return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+			in.RequestID = requestID
+			return in
 		})
-	}))
+	})
+}
+
+func parseQueuePage(c fiber.Ctx, in *core.ListQueue) (err error) {
+	in.Limit = defaultQueuePage
+	if v := c.Query("after"); v != "" {
+		in.AfterPosition, err = strconv.Atoi(v)
+	}
+	if v := c.Query("most"); v != "" && err == nil {
+		in.Limit, err = strconv.Atoi(v)
+	}
+	return err
+}
+
+func (s *Server) setPriorityClasses(c fiber.Ctx, caller core.Credential) error {
+	var request wire.JobQueue
+	if err := json.Unmarshal(c.Body(), &request); err != nil {
+		return badRequest(c, "not a list of lanes: "+err.Error())
+	}
+	return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+		return core.SetPriorityClasses{RequestID: requestID, Caller: caller, Text: request.PriorityClasses}
+	})
 }
--- a/api/reservation.go
+++ b/api/reservation.go
@@ -5,117 +5,122 @@
 	"dewlift/core"
 	"dewlift/wire"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strconv"
+	"strings"
 	"sync/atomic"
 
 	"github.com/gofiber/fiber/v3"
 )
 
-// SetReservationsEnabled tells whether something can be booked; where nothing can, its paths are unknown.
-func (s *Server) SetReservationsEnabled(open bool) { s.reservationsEnabled.Store(open) }
+// maxFreeIntervals is how many free intervals a query returns.
+const maxFreeIntervals = 10
 
-// whenEnabled makes a handler of a path that is unknown until something is turned on.
-func (s *Server) whenEnabled(on *atomic.Bool, h func(c fiber.Ctx, by core.Credential) error) fiber.Handler {
-	as := s.authenticated(h)
+// SetReservationsEnabled says whether there is a list of equipment; without one, the paths of
+// reservations are unknown.
+func (s *Server) SetReservationsEnabled(enabled bool) { s.reservationsEnabled.Store(enabled) }
+
+// whenEnabled returns an authenticated handler of a path that is unknown until a feature is enabled.
+func (s *Server) whenEnabled(enabled *atomic.Bool, handle handlerFor) fiber.Handler {
+	authenticated := s.authenticated(handle)
 	return func(c fiber.Ctx) error {
-		if !on.Load() {
+		if !enabled.Load() {
 			return c.Next()
 		}
-		return as(c)
+		return authenticated(c)
 	}
 }
 
-// addReservationRoutes are the paths of bookings and equipment.
+// addReservationRoutes adds the routes of reservations and equipment.
 func (s *Server) addReservationRoutes(app *fiber.App) {
-	open := func(h func(c fiber.Ctx, by core.Credential) error) fiber.Handler {
-		return s.whenEnabled(&s.reservationsEnabled, h)
-	}
-	query := func(read func(c fiber.Ctx, q *wire.ReservationQuery) error) fiber.Handler {
-		return open(func(c fiber.Ctx, by core.Credential) error {
-			in := core.ListReservations{Caller: by}
-			if err := read(c, &in.Query); err != nil {
-				return badReservation(c, err.Error())
-			}
-			return s.handleInput(
-				c,
-				userResponseTimeout,
-				func(req uint64) core.Input { in.RequestID = req; return in },
-			)
-		})
-	}
-	// Text of the request is copied, as its memory is used again.
-	text := func(v string) string { return string([]byte(v)) }
-	app.Get(wire.PathReservations, query(func(c fiber.Ctx, q *wire.ReservationQuery) error {
-		q.Day, q.Equipment, q.Kind, q.Zone, q.Team = text(
-			c.Query("day"),
-		), text(
-			c.Query("piece"),
-		), text(
-			c.Query("kind"),
-		), text(
-			c.Query("zone"),
-		), text(
-			c.Query("team"),
-		)
-		q.From, q.Before = text(c.Query("from")), text(c.Query("by"))
-		q.Waiting, q.FreeSlots = c.Query("list") == "waiting", c.Query("list") == "free"
-		if q.Day == "" && !q.Waiting && !q.FreeSlots {
-			return fmt.Errorf("list: want waiting or free, or a day with a piece")
-		}
-		q.Slots, q.Limit = 1, 10
-		if v := c.Query("slots"); v != "" {
-			n, err := strconv.ParseUint(v, 10, 16)
-			if err != nil || n == 0 {
-				return fmt.Errorf("slots: %q is no number of slots", v)
-			}
-			q.Slots = uint32(n)
-		}
+	app.Get(wire.PathReservations, s.reservationQuery(parseReservationList))
+	app.Get(wire.PathReservations+"/:id", s.reservationQuery(func(c fiber.Ctx, query *wire.ReservationQuery) error {
+		query.ID = strings.Clone(c.Params("id"))
 		return nil
 	}))
-	app.Get(
-		wire.PathReservations+"/:id",
-		query(func(c fiber.Ctx, q *wire.ReservationQuery) error { q.ID = text(c.Params("id")); return nil }),
-	)
-	app.Get(wire.PathEquipment, query(func(fiber.Ctx, *wire.ReservationQuery) error { return nil }))
-	app.Post(wire.PathEquipment, open(func(c fiber.Ctx, by core.Credential) error {
-		in := core.SetEquipment{Caller: by}
-		if err := json.Unmarshal(c.Body(), &in.Edit); err != nil {
-			return badReservation(c, "not a change of the equipment: "+err.Error())
-		}
-		return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
-	}))
-	app.Post(
-		wire.PathReservations,
-		open(
-			func(c fiber.Ctx, by core.Credential) error { return s.handleReservation(c, by, booking.VerbCreate, "") },
-		),
-	)
+	app.Get(wire.PathEquipment, s.reservationQuery(func(fiber.Ctx, *wire.ReservationQuery) error { return nil }))
+	app.Post(wire.PathEquipment, s.whenEnabled(&s.reservationsEnabled, s.setEquipment))
+	app.Post(wire.PathReservations, s.reservationEdit(booking.VerbCreate))
 	for verb, path := range map[booking.Verb]string{
 		booking.VerbConfirm: "confirm",
 		booking.VerbMove:    "move",
 		booking.VerbEnd:     "end",
 	} {
-		app.Post(wire.PathReservations+"/:id/"+path, open(func(c fiber.Ctx, by core.Credential) error {
-			return s.handleReservation(c, by, verb, text(c.Params("id")))
-		}))
+		app.Post(wire.PathReservations+"/:id/"+path, s.reservationEdit(verb))
 	}
 }
 
-func badReservation(c fiber.Ctx, why string) error {
-	return c.Status(fiber.StatusBadRequest).JSON(wire.ReservationResponse{Error: why})
+// reservationQuery returns a handler of a query that parse reads from the request.
+func (s *Server) reservationQuery(parse func(c fiber.Ctx, query *wire.ReservationQuery) error) fiber.Handler {
+	return s.whenEnabled(&s.reservationsEnabled, func(c fiber.Ctx, caller core.Credential) error {
+		in := core.ListReservations{Caller: caller}
+		if err := parse(c, &in.Query); err != nil {
+			return badReservation(c, err.Error())
+		}
+		return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+			in.RequestID = requestID
+			return in
+		})
+	})
 }
 
-// handleReservation hands on what is asked of a booking; the path names it, except when it is made.
-func (s *Server) handleReservation(c fiber.Ctx, by core.Credential, verb booking.Verb, id string) error {
-	in := core.ReserveEquipment{Caller: by, Verb: verb}
-	if len(c.Body()) > 0 {
-		if err := json.Unmarshal(c.Body(), &in.Request); err != nil {
-			return badReservation(c, "not a booking: "+err.Error())
+// parseReservationList reads a query of a day, of the waiting list or of free intervals. Text is
+// cloned, as fiber reuses the memory of requests.
+func parseReservationList(c fiber.Ctx, query *wire.ReservationQuery) error {
+	query.Day = strings.Clone(c.Query("day"))
+	query.Equipment = strings.Clone(c.Query("piece"))
+	query.Kind = strings.Clone(c.Query("kind"))
+	query.Zone = strings.Clone(c.Query("zone"))
+	query.Team = strings.Clone(c.Query("team"))
+	query.From = strings.Clone(c.Query("from"))
+	query.Before = strings.Clone(c.Query("by"))
+	query.Waiting, query.FreeSlots = c.Query("list") == "waiting", c.Query("list") == "free"
+	if query.Day == "" && !query.Waiting && !query.FreeSlots {
+		return errors.New("list: want waiting or free, or a day with a piece")
+	}
+	query.Slots, query.Limit = 1, maxFreeIntervals
+	if v := c.Query("slots"); v != "" {
+		n, err := strconv.ParseUint(v, 10, 16)
+		if err != nil || n == 0 {
+			return fmt.Errorf("slots: %q is no number of slots", v)
 		}
+		query.Slots = uint32(n)
 	}
-	if id != "" {
-		in.Request.ID = id
+	return nil
+}
+
+func (s *Server) setEquipment(c fiber.Ctx, caller core.Credential) error {
+	in := core.SetEquipment{Caller: caller}
+	if err := json.Unmarshal(c.Body(), &in.Edit); err != nil {
+		return badReservation(c, "not a change of the equipment: "+err.Error())
 	}
-	return s.handleInput(c, userResponseTimeout, func(req uint64) core.Input { in.RequestID = req; return in })
+	return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+		in.RequestID = requestID
+		return in
+	})
+}
+
+// reservationEdit returns a handler that creates or changes a reservation. The path names the one to
+// change; that of a new one is in the body.
+func (s *Server) reservationEdit(verb booking.Verb) fiber.Handler {
+	return s.whenEnabled(&s.reservationsEnabled, func(c fiber.Ctx, caller core.Credential) error {
+		in := core.ReserveEquipment{Caller: caller, Verb: verb}
+		if len(c.Body()) > 0 {
+			if err := json.Unmarshal(c.Body(), &in.Request); err != nil {
+				return badReservation(c, "not a booking: "+err.Error())
+			}
+		}
+		if id := c.Params("id"); id != "" {
+			in.Request.ID = strings.Clone(id)
+		}
+		return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+			in.RequestID = requestID
+			return in
+		})
+	})
+}
+
+func badReservation(c fiber.Ctx, why string) error {
+	return c.Status(fiber.StatusBadRequest).JSON(wire.ReservationResponse{Error: why})
 }
--- /dev/null
+++ b/api/routes.go
@@ -0,0 +1,159 @@
+package api
+
+import (
+	"dewlift/access"
+	"dewlift/core"
+	"dewlift/wire"
+	"encoding/json"
+	"errors"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/gofiber/fiber/v3"
+
+	pb "dewlift/proto"
+)
+
+// newApp builds the application with all routes.
+func (s *Server) newApp() *fiber.App {
+	app := fiber.New(fiber.Config{
+		AppName:         "dewlift",
+		BodyLimit:       wire.MaxBodyBytes,
+		ReadBufferSize:  8 << 10,
+		WriteBufferSize: 4 << 10,
+		IdleTimeout:     2 * time.Minute,
+		ReadTimeout:     time.Minute,
+		WriteTimeout:    10 * time.Second,
+		ErrorHandler:    respondError,
+	})
+	app.Get(wire.PathHealth, s.getHealth)
+	app.Get(wire.PathStoreEndpoint, s.authenticated(s.getStoreEndpoint))
+	app.Get(wire.PathAudit, s.authenticated(s.readAudit))
+	app.Get(wire.PathPermissions, s.authenticated(s.listPermissions))
+	app.Post(wire.PathPermissions+"/:who", s.authenticated(s.updatePermissions))
+	s.addReservationRoutes(app)
+	s.addQueueRoutes(app)
+	app.Post(wire.PathJobs, s.authenticated(s.submitJob))
+	app.Get(wire.PathJobs+"/:id", s.authenticated(s.getJob))
+	app.Post(wire.PathJobs+"/:id/withdraw", s.authenticated(s.cancelJob))
+	app.Post(wire.PathHeartbeat, s.agentHeartbeat)
+	return app
+}
+
+// respondError answers with an error that fiber found or a handler returned.
+func respondError(c fiber.Ctx, err error) error {
+	status := fiber.StatusInternalServerError
+	var fiberErr *fiber.Error
+	if errors.As(err, &fiberErr) {
+		status = fiberErr.Code
+	}
+	if status >= fiber.StatusInternalServerError {
+		c.Set(fiber.HeaderRetryAfter, retryAfterSeconds)
+	}
+	return c.Status(status).JSON(wire.Error{Error: err.Error()})
+}
+
+func (s *Server) getHealth(c fiber.Ctx) error {
+	if s.service.Healthy() {
+		return c.SendStatus(fiber.StatusOK)
+	}
+	return unavailable(c, "not serving")
+}
+
+// getStoreEndpoint answers administrators; the core checks the permission and records the access.
+func (s *Server) getStoreEndpoint(c fiber.Ctx, caller core.Credential) error {
+	err := s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+		object := "site"
+		if c.Query("for") == wire.EndpointForSnapshot {
+			object = "snapshot"
+		}
+		return core.CheckPermission{RequestID: requestID, Caller: caller, Verb: pb.Verb_administer, Object: object}
+	})
+	if err != nil || c.Response().StatusCode() != fiber.StatusOK {
+		return err
+	}
+	return c.JSON(s.service.StoreEndpoint())
+}
+
+func (s *Server) readAudit(c fiber.Ctx, caller core.Credential) error {
+	in := core.ReadAudit{Caller: caller, Node: strings.Clone(c.Query("node"))}
+	if after := c.Query("after"); after != "" {
+		var err error
+		if in.AfterBlock, err = strconv.ParseUint(after, 10, 64); err != nil {
+			return badRequest(c, "after: not the number of a block")
+		}
+	}
+	return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+		in.RequestID = requestID
+		return in
+	})
+}
+
+func (s *Server) listPermissions(c fiber.Ctx, caller core.Credential) error {
+	return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+		return core.ListPermissions{RequestID: requestID, Caller: caller}
+	})
+}
+
+func (s *Server) updatePermissions(c fiber.Ctx, caller core.Credential) error {
+	in := core.UpdatePermissions{Caller: caller, Identity: strings.Clone(c.Params("who"))}
+	if err := json.Unmarshal(c.Body(), &in.Edit); err != nil {
+		return badRequest(c, "not a change of rights: "+err.Error())
+	}
+	return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+		in.RequestID = requestID
+		return in
+	})
+}
+
+// submitJob hands invalid submissions to the core too, as far as they can be read: it may know a job of
+// that id, and records what it refuses.
+func (s *Server) submitJob(c fiber.Ctx, caller core.Credential) error {
+	in := core.SubmitJob{Caller: caller, UnixMS: time.Now().UnixMilli()}
+	spec, err := wire.ParseSubmission(c.Body())
+	if err != nil {
+		in.ID, in.DecodeError = wire.PeekJobID(c.Body()), err.Error()
+	} else {
+		in.ID, in.Spec = spec.ID, spec
+	}
+	return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+		in.RequestID = requestID
+		return in
+	})
+}
+
+func (s *Server) getJob(c fiber.Ctx, caller core.Credential) error {
+	id := strings.Clone(c.Params("id"))
+	return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+		return core.GetJob{RequestID: requestID, ID: id, Caller: caller}
+	})
+}
+
+func (s *Server) cancelJob(c fiber.Ctx, caller core.Credential) error {
+	id := strings.Clone(c.Params("id"))
+	now := time.Now().UnixMilli()
+	return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
+		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: now, Caller: caller}
+	})
+}
+
+// agentHeartbeat needs an authenticated agent only if the policy says so.
+func (s *Server) agentHeartbeat(c fiber.Ctx) error {
+	heartbeat, err := wire.ParseHeartbeat(c.Body())
+	if err != nil {
+		return badRequest(c, err.Error())
+	}
+	var caller core.Credential
+	if policy := s.authenticator.policy.Load(); policy != nil && policy.AgentsMustSign() {
+		var status int
+		var why string
+		if caller, status, why = s.authenticate(c); status != 0 {
+			s.recordDenied(c, status, why)
+			return c.Status(status).JSON(wire.Error{Error: access.ErrInvalidToken.Error()})
+		}
+	}
+	return s.handleInput(c, heartbeatResponseTimeout, func(requestID uint64) core.Input {
+		return core.AgentHeartbeat{RequestID: requestID, Heartbeat: heartbeat, Caller: caller}
+	})
+}
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,4 +1,5 @@
-// Package cloud speaks to the cloud that rents machines.
+// Package cloud is the client of the cloud that machines come from: it executes the core's requests and
+// returns typed results. It retries nothing: that is decided by the core.
 package cloud
 
 import (
@@ -15,10 +16,15 @@
 
 const (
 	requestTimeout = 4 * time.Second
-	pageSize       = 500
+	// pageSize is the number of machines asked for on a page of the list.
+	pageSize = 500
+	// maxConns bounds connections to the cloud, in use and idle.
+	maxConns = 4
+	// maxResponseBytes bounds a response.
+	maxResponseBytes = 4 << 20
 )
 
-// Client carries out the core's calls to the cloud.
+// Client executes the core's requests to the cloud.
 type Client struct {
 	baseURL    string
 	httpClient *httpjson.Client
@@ -26,53 +32,52 @@
 
 // New returns a client of the cloud at addr.
 func New(addr string) *Client {
-	return &Client{baseURL: "http://" + addr, httpClient: httpjson.New(4, 4, 4<<20)}
+	return &Client{baseURL: "http://" + addr, httpClient: httpjson.New(maxConns, maxConns, maxResponseBytes)}
 }
 
-// Execute makes one call.
+// Execute makes one request.
 func (c *Client) Execute(ctx context.Context, o core.CloudRequest) core.CloudResult {
-	out := core.CloudResult{ID: o.ID}
-	var r httpjson.Response
+	result := core.CloudResult{ID: o.ID}
+	var resp httpjson.Response
 	switch o.Op {
 	case core.CloudCatalog:
-		var v wire.Catalog
-		v, r = httpjson.Decode[wire.Catalog](
-			c.httpClient.Do(ctx, requestTimeout, http.MethodGet, c.baseURL+wire.PathCatalog, nil),
-		)
-		out.Catalog = &v
+		var catalog wire.Catalog
+		catalog, resp = httpjson.Decode[wire.Catalog](c.do(ctx, http.MethodGet, wire.PathCatalog, nil))
+		result.Catalog = &catalog
 	case core.CloudList:
 		return c.listMachines(ctx, o)
 	case core.CloudScaleOut:
-		var v wire.MachineNames
-		v, r = httpjson.Decode[wire.MachineNames](
-			c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathInstances, o.ScaleOut),
-		)
-		out.MachineNames = v.Machines
+		var started wire.MachineNames
+		started, resp = httpjson.Decode[wire.MachineNames](c.do(ctx, http.MethodPost, wire.PathInstances, o.ScaleOut))
+		result.MachineNames = started.Machines
 	case core.CloudScaleIn:
-		r = c.httpClient.Do(
-			ctx,
-			requestTimeout,
-			http.MethodPost,
-			c.baseURL+wire.PathScaleIn,
-			wire.MachineNames{Machines: o.MachineNames},
-		)
+		resp = c.do(ctx, http.MethodPost, wire.PathScaleIn, wire.MachineNames{Machines: o.MachineNames})
 	}
-	out.Status = wire.Status(r.Status)
-	if r.Status != 200 {
-		var e wire.Error
-		if json.Unmarshal(r.Body, &e) == nil {
-			out.Error = e.Error
+	result.Status = wire.Status(resp.Status)
+	if !result.Status.OK() {
+		var refusal wire.Error
+		if json.Unmarshal(resp.Body, &refusal) == nil {
+			result.Error = refusal.Error
 		}
 	}
-	return out
+	return result
 }
 
 // listMachines reads one page of the list of machines.
 func (c *Client) listMachines(ctx context.Context, o core.CloudRequest) core.CloudResult {
-	u := fmt.Sprintf("%s%s?most=%d", c.baseURL, wire.PathInstances, pageSize)
+	path := fmt.Sprintf("%s?most=%d", wire.PathInstances, pageSize)
 	if o.AfterMachine != "" {
-		u += "&from=" + url.QueryEscape(o.AfterMachine)
+		path += "&from=" + url.QueryEscape(o.AfterMachine)
 	}
-	v, r := httpjson.Decode[wire.MachineList](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, u, nil))
-	return core.CloudResult{ID: o.ID, Status: wire.Status(r.Status), Machines: v.Machines, More: v.More}
+	page, resp := httpjson.Decode[wire.MachineList](c.do(ctx, http.MethodGet, path, nil))
+	return core.CloudResult{
+		ID:       o.ID,
+		Status:   wire.Status(resp.Status),
+		Machines: page.Machines,
+		More:     page.More,
+	}
+}
+
+func (c *Client) do(ctx context.Context, method, path string, body any) httpjson.Response {
+	return c.httpClient.Do(ctx, requestTimeout, method, c.baseURL+path, body)
 }
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,4 +1,5 @@
-// Package httpjson makes JSON requests over HTTP/1.1 with bounded time and size.
+// Package httpjson makes JSON requests over HTTP/1.1 with bounded time and size. It tells whether a
+// request may have been executed, and never sends one with a body twice.
 package httpjson
 
 import (
@@ -15,76 +16,68 @@
 	"time"
 )
 
+const (
+	dialTimeout     = 1500 * time.Millisecond
+	idleConnTimeout = time.Minute
+)
+
 // Client makes requests to one kind of server.
 type Client struct {
-	// Token, if set, is sent with every request.
+	// Token, if set, is sent as bearer token with every request.
 	Token string
 
 	httpClient   http.Client
 	maxBodyBytes int64
 }
 
-// New returns a client that keeps at most idle connections to a host open and reads at most
-// max bytes of an answer.
+// New returns a client with at most maxConnsPerHost connections to a host and maxIdleConns idle ones to
+// all hosts together. It reads at most maxBodyBytes of a response.
 func New(maxConnsPerHost, maxIdleConns int, maxBodyBytes int64) *Client {
-	d := &net.Dialer{Timeout: 1500 * time.Millisecond, KeepAlive: -1}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return &Client{maxBodyBytes: maxBodyBytes, httpClient: http.Client{
 		Transport: &http.Transport{
-			DialContext: d.DialContext, MaxConnsPerHost: maxConnsPerHost, MaxIdleConnsPerHost: maxConnsPerHost,
-			MaxIdleConns: maxIdleConns, IdleConnTimeout: 60 * time.Second, DisableCompression: true,
+			DialContext:         dialer.DialContext,
+			MaxConnsPerHost:     maxConnsPerHost,
+			MaxIdleConnsPerHost: maxConnsPerHost,
+			MaxIdleConns:        maxIdleConns,
+			IdleConnTimeout:     idleConnTimeout,
+			DisableCompression:  true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// UseTLS makes the client use TLS.
+// UseTLS makes the client use TLS. It must be called before the first request.
 func (c *Client) UseTLS(cfg *tls.Config) {
 	c.httpClient.Transport.(*http.Transport).TLSClientConfig = cfg
 }
 
-// Response is an answer. Status is 0 if none came; Sent tells whether the request may have
-// reached the server all the same.
+// Response is the outcome of a request.
 type Response struct {
-	Status int
-	Sent   bool
+	Status int  // 0: no response came
+	Sent   bool // the request may have reached the server, also if no response came
 	Body   []byte
 	Err    error
 }
 
-// Do makes a request and reads its answer.
+// Do makes a request with a JSON body, if there is one, and reads its response.
 func (c *Client) Do(ctx context.Context, timeout time.Duration, method, url string, body any) Response {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var rd io.Reader
-	if body != nil {
-		raw, err := json.Marshal(body)
-		if err != nil {
-			return Response{Err: fmt.Errorf("encode request: %w", err)}
-		}
-		rd = bytes.NewReader(raw)
-	}
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(
 		ctx,
 		&httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }},
 	)
-	req, err := http.NewRequestWithContext(ctx, method, url, rd)
+	req, err := c.newRequest(ctx, method, url, body)
 	if err != nil {
-		return Response{Err: fmt.Errorf("build request: %w", err)}
+		return Response{Err: err}
 	}
-	if body != nil {
-		req.Header.Set("Content-Type", "application/json")
-	}
-	if c.Token != "" {
-		req.Header.Set("Authorization", "Bearer "+c.Token)
-	}
-	// A transaction or rental must not be sent twice by the transport on its own.
-	req.GetBody = nil
 	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return Response{Sent: sent.Load(), Err: err}
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // what was read of it counts
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBodyBytes+1))
 	if err != nil || int64(len(raw)) > c.maxBodyBytes {
 		return Response{Sent: true, Err: fmt.Errorf("read answer: %w", err)}
@@ -92,14 +85,40 @@
 	return Response{Status: resp.StatusCode, Sent: true, Body: raw}
 }
 
-// Decode decodes the body of a 200 into a value; an answer that can't be decoded counts as none.
-func Decode[T any](r Response) (T, Response) {
+func (c *Client) newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
+	var reader io.Reader
+	if body != nil {
+		raw, err := json.Marshal(body)
+		if err != nil {
+			return nil, fmt.Errorf("encode request: %w", err)
+		}
+		reader = bytes.NewReader(raw)
+	}
+	req, err := http.NewRequestWithContext(ctx, method, url, reader)
+	if err != nil {
+		return nil, fmt.Errorf("build request: %w", err)
+	}
+	if body != nil {
+		req.Header.Set("Content-Type", "application/json")
+	}
+	if c.Token != "" {
+		req.Header.Set("Authorization", "Bearer "+c.Token)
+	}
+	// Without it the transport cannot send a request again on its own: a transaction or a scale-out must
+	// not be executed twice.
+	req.GetBody = nil
+	return req, nil
+}
+
+// Decode decodes the body of a response with status 200, 404 or 409. One that cannot be decoded counts
+// as no response: its status becomes 0.
+func Decode[T any](resp Response) (T, Response) {
 	var v T
-	if r.Status != 200 && r.Status != 404 && r.Status != 409 {
-		return v, r
+	if resp.Status != http.StatusOK && resp.Status != http.StatusNotFound && resp.Status != http.StatusConflict {
+		return v, resp
 	}
-	if err := json.Unmarshal(r.Body, &v); err != nil {
-		r.Status, r.Err = 0, fmt.Errorf("decode answer: %w", err)
+	if err := json.Unmarshal(resp.Body, &v); err != nil {
+		resp.Status, resp.Err = 0, fmt.Errorf("decode answer: %w", err)
 	}
-	return v, r
+	return v, resp
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads the platform's settings file and the operators' own settings.
+// Package settings reads and validates the platform's settings file and the operators' own settings. It
+// decides no defaults: those are in proto/tuning.proto.
 package settings
 
 import (
@@ -25,7 +26,7 @@
 	Addr string `json:"endpoint"`
 }
 
-// Team is a team with its guarantee and limit; 0 means none.
+// Team is a team with its quotas: what is reserved for it and its maximum; 0 means none.
 type Team struct {
 	Name         string  `json:"name"`
 	ReservedCPUs float64 `json:"cpus"`
@@ -34,7 +35,7 @@
 	MaxGPUs      float64 `json:"gpus_max"`
 }
 
-// Objective is an aim that the users stated.
+// Objective is a service-level objective that the users stated.
 type Objective struct {
 	Kind        string  `json:"kind"`
 	Class       string  `json:"class"`
@@ -43,7 +44,7 @@
 	TargetShare float64 `json:"share"`
 }
 
-// NextStoreLimits are those that the state service will have some day; nil means as they are now.
+// NextStoreLimits are the announced limits of the key-value store; nil means as they are now.
 type NextStoreLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -98,24 +99,43 @@
 	if err != nil {
 		return nil, fmt.Errorf("read settings: %w", err)
 	}
-	p := &Platform{}
-	if err := json.Unmarshal(raw, p); err != nil {
+	platform := &Platform{}
+	if err := json.Unmarshal(raw, platform); err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
-	if err := p.validate(); err != nil {
+	if err := platform.validate(); err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
-	return p, nil
+	return platform, nil
 }
 
-// DurationFromSeconds is a duration as the platform writes it.
+// DurationFromSeconds converts a number of seconds, as the platform writes durations.
 func DurationFromSeconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// minTxnOps is the least number of changes a transaction must take: a claim raises the token, and
-// starts of a team with a limit write its key.
-const minTxnOps = 2
+const (
+	// minTxnOps is the least number of writes that the store must allow in a transaction: a claim of
+	// leadership raises the fencing token, and starts of a team with a maximum write its key.
+	minTxnOps = 2
+	// maxNumber bounds numbers in the platform's settings, so that they can be scaled without overflow.
+	maxNumber = 1e9
+)
 
+// validate returns an error that names the first invalid field.
 func (p *Platform) validate() error {
+	if err := p.validateAddrs(); err != nil {
+		return err
+	}
+	if err := p.validateNumbers(); err != nil {
+		return err
+	}
+	if err := p.validateStoreLimits(); err != nil {
+		return err
+	}
+	return p.validateTeams()
+}
+
+// validateAddrs checks names and addresses, this controller's and its peers'.
+func (p *Platform) validateAddrs() error {
 	if p.Name == "" {
 		return errors.New("node_name is missing")
 	}
@@ -125,12 +145,12 @@
 		{"services.cloud", p.Services.Cloud},
 		{"services.state", p.Services.State},
 	}
-	seen := map[string]bool{p.Name: true}
+	used := map[string]bool{p.Name: true}
 	for i, peer := range p.Peers {
-		if peer.Name == "" || seen[peer.Name] {
+		if peer.Name == "" || used[peer.Name] {
 			return fmt.Errorf("peers[%d]: node_name is missing or used twice", i)
 		}
-		seen[peer.Name] = true
+		used[peer.Name] = true
 		addrs = append(addrs, struct{ field, addr string }{fmt.Sprintf("peers[%d].endpoint", i), peer.Addr})
 	}
 	for _, a := range addrs {
@@ -138,57 +158,74 @@
 			return fmt.Errorf("%s: not an address and port: %q", a.field, a.addr)
 		}
 	}
-	c := &p.Cluster
-	for _, v := range []struct {
+	return nil
+}
+
+// validateNumbers checks the numbers that must be positive, and that cancellations have enough time.
+func (p *Platform) validateNumbers() error {
+	cluster := &p.Cluster
+	for _, number := range []struct {
 		field string
-		v     float64
+		value float64
 	}{
-		{"workers.report_s", c.Workers.HeartbeatIntervalS},
-		{"workers.lease_s", c.Workers.AgentLeaseS},
-		{"workers.cancel_s", c.Workers.CancelDeadlineS},
-		{"state.rps", c.State.RPS},
-		{"state.write_rps", c.State.WriteRPS},
-		{"state.value_kb", c.State.ValueKB},
-		{"cloud.rps", c.Cloud.RPS},
-		{"quota.mem_mb", c.Quota.MemMB},
+		{"workers.report_s", cluster.Workers.HeartbeatIntervalS},
+		{"workers.lease_s", cluster.Workers.AgentLeaseS},
+		{"workers.cancel_s", cluster.Workers.CancelDeadlineS},
+		{"state.rps", cluster.State.RPS},
+		{"state.write_rps", cluster.State.WriteRPS},
+		{"state.value_kb", cluster.State.ValueKB},
+		{"cloud.rps", cluster.Cloud.RPS},
+		{"quota.mem_mb", cluster.Quota.MemMB},
 	} {
-		if !(v.v > 0) || v.v > 1e9 {
-			return fmt.Errorf("cluster.%s must be greater than 0", v.field)
+		if !positive(number.value) {
+			return fmt.Errorf("cluster.%s must be greater than 0", number.field)
 		}
 	}
-	if quorum.MaxStaleness(
-		DurationFromSeconds(c.Workers.CancelDeadlineS),
-		DurationFromSeconds(c.Workers.AgentLeaseS),
-	) < quorum.MinUsableStaleness {
+	staleness := quorum.MaxStaleness(
+		DurationFromSeconds(cluster.Workers.CancelDeadlineS),
+		DurationFromSeconds(cluster.Workers.AgentLeaseS),
+	)
+	if staleness < quorum.MinUsableStaleness {
 		return fmt.Errorf(
-			"cluster.workers.cancel_s is too little above lease_s (%v and %v): a task could outlive its cancellation in an outage; some 6 s more are needed",
-			c.Workers.CancelDeadlineS,
-			c.Workers.AgentLeaseS,
+			"cluster.workers.cancel_s is too little above lease_s (%v and %v): "+
+				"a task could outlive its cancellation in an outage; some 6 s more are needed",
+			cluster.Workers.CancelDeadlineS,
+			cluster.Workers.AgentLeaseS,
 		)
 	}
-	if c.State.TxnOps < minTxnOps {
+	return nil
+}
+
+// validateStoreLimits checks the limits of the store that are in force and those announced.
+func (p *Platform) validateStoreLimits() error {
+	if p.Cluster.State.TxnOps < minTxnOps {
 		return fmt.Errorf("cluster.state.txn_ops must be at least %d", minTxnOps)
 	}
-	n := &c.State.Next
-	for _, v := range []struct {
+	next := &p.Cluster.State.Next
+	for _, number := range []struct {
 		field string
-		v     *float64
-	}{{"rps", n.RPS}, {"write_rps", n.WriteRPS}, {"value_kb", n.ValueKB}} {
-		if v.v != nil && (!(*v.v > 0) || *v.v > 1e9) {
-			return fmt.Errorf("cluster.state.next.%s must be greater than 0", v.field)
+		value *float64
+	}{{"rps", next.RPS}, {"write_rps", next.WriteRPS}, {"value_kb", next.ValueKB}} {
+		if number.value != nil && !positive(*number.value) {
+			return fmt.Errorf("cluster.state.next.%s must be greater than 0", number.field)
 		}
 	}
-	if n.TxnOps != nil && *n.TxnOps < minTxnOps {
+	if next.TxnOps != nil && *next.TxnOps < minTxnOps {
 		return fmt.Errorf("cluster.state.next.txn_ops must be at least %d", minTxnOps)
 	}
-	teams := map[string]bool{}
-	for i, t := range c.Teams {
-		if t.Name == "" || teams[t.Name] {
+	return nil
+}
+
+// validateTeams checks the teams' names and quotas.
+func (p *Platform) validateTeams() error {
+	used := map[string]bool{}
+	for i, team := range p.Cluster.Teams {
+		if team.Name == "" || used[team.Name] {
 			return fmt.Errorf("cluster.teams[%d]: name is missing or used twice", i)
 		}
-		teams[t.Name] = true
-		for _, v := range []float64{t.ReservedCPUs, t.MaxCPUs, t.ReservedGPUs, t.MaxGPUs} {
-			if !(v >= 0) || v > 1e9 {
+		used[team.Name] = true
+		for _, v := range []float64{team.ReservedCPUs, team.MaxCPUs, team.ReservedGPUs, team.MaxGPUs} {
+			if !(v >= 0) || v > maxNumber {
 				return fmt.Errorf("cluster.teams[%d]: an amount is out of range", i)
 			}
 		}
@@ -196,7 +233,10 @@
 	return nil
 }
 
-// Setting is one of the operators' own settings, as proto/tuning.proto describes it.
+// positive is false for NaN too.
+func positive(v float64) bool { return v > 0 && v <= maxNumber }
+
+// Setting is one of the operators' own settings, as proto/tuning.proto describes it: a field of pb.Tuning.
 type Setting struct {
 	Name       string
 	Kind       protoreflect.Kind // bool, uint32 or double
@@ -210,14 +250,14 @@
 	out := make([]Setting, fields.Len())
 	for i := range out {
 		f := fields.Get(i)
-		// without one its range is empty, which tests find
+		// Without a description its range is empty, which a test finds.
 		about, _ := protobuf.GetExtension(f.Options(), pb.E_About).(*pb.About)
 		out[i] = Setting{Name: string(f.Name()), Kind: f.Kind(), About: about, descriptor: f}
 	}
 	return out
 }
 
-// protoValue is a number as a field of the setting holds it.
+// protoValue converts a number to the type of the setting's field.
 func (s *Setting) protoValue(v float64) protoreflect.Value {
 	switch s.Kind {
 	case protoreflect.BoolKind:
@@ -228,47 +268,47 @@
 	return protoreflect.ValueOfFloat64(v)
 }
 
-// Default is the setting's value by default, as it is written in a file.
+// Default returns the default value as it is written in a file.
 func (s *Setting) Default() string { return s.protoValue(s.About.Is).String() }
 
-// DefaultTuning returns the built-in tuning.
+// DefaultTuning returns the tuning that has every default.
 func DefaultTuning() *pb.Tuning {
-	t := &pb.Tuning{}
+	tuning := &pb.Tuning{}
 	for _, s := range OperatorSettings() {
-		t.ProtoReflect().Set(s.descriptor, s.protoValue(s.About.Is))
+		tuning.ProtoReflect().Set(s.descriptor, s.protoValue(s.About.Is))
 	}
-	return t
+	return tuning
 }
 
-// AuditedValues lists all settings by name, as the audit record has them.
-func AuditedValues(p *Platform, t *pb.Tuning) map[string]string {
+// AuditedValues returns all settings by name, as the audit log records them.
+func AuditedValues(platform *Platform, tuning *pb.Tuning) map[string]string {
 	out := map[string]string{}
-	t.ProtoReflect().Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
+	tuning.ProtoReflect().Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		out[string(f.Name())] = v.String()
 		return true
 	})
-	raw, err := json.Marshal(p)
+	raw, err := json.Marshal(platform)
 	var tree any
 	if err == nil {
 		err = json.Unmarshal(raw, &tree)
 	}
 	if err != nil {
-		panic(err) // it was read from JSON
+		panic(err) // impossible: it was read from JSON
 	}
 	flattenJSON("", tree, out)
 	return out
 }
 
-// flattenJSON lists the leaves of JSON by their paths.
+// flattenJSON adds the leaves of decoded JSON to out, by their paths.
 func flattenJSON(path string, v any, out map[string]string) {
 	switch v := v.(type) {
 	case map[string]any:
-		for k, x := range v {
-			flattenJSON(strings.TrimPrefix(path+"."+k, "."), x, out)
+		for key, child := range v {
+			flattenJSON(strings.TrimPrefix(path+"."+key, "."), child, out)
 		}
 	case []any:
-		for i, x := range v {
-			flattenJSON(fmt.Sprintf("%s[%d]", path, i), x, out)
+		for i, child := range v {
+			flattenJSON(fmt.Sprintf("%s[%d]", path, i), child, out)
 		}
 	case nil:
 	default:
@@ -276,45 +316,46 @@
 	}
 }
 
-// LoadTuning reads the operators' settings over the defaults; no path means defaults alone.
+// LoadTuning reads the operators' settings over the defaults; without a path it returns the defaults.
 func LoadTuning(path string) (*pb.Tuning, error) {
-	t := DefaultTuning()
+	tuning := DefaultTuning()
 	if path == "" {
-		return t, nil
+		return tuning, nil
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read tuning: %w", err)
 	}
-	var own pb.Tuning
-	if err := prototext.Unmarshal(raw, &own); err != nil {
+	var fromFile pb.Tuning
+	if err := prototext.Unmarshal(raw, &fromFile); err != nil {
 		return nil, fmt.Errorf("tuning %s: %w", path, err)
 	}
-	protobuf.Merge(t, &own)
-	if err := ValidateTuning(t); err != nil {
+	protobuf.Merge(tuning, &fromFile)
+	if err := ValidateTuning(tuning); err != nil {
 		return nil, fmt.Errorf("tuning %s: %w", path, err)
 	}
-	return t, nil
+	return tuning, nil
 }
 
-// ValidateTuning names the first bad value.
-func ValidateTuning(t *pb.Tuning) error {
+// ValidateTuning returns an error that names the first invalid value.
+func ValidateTuning(tuning *pb.Tuning) error {
 	for _, s := range OperatorSettings() {
-		var v float64
+		value := tuning.ProtoReflect().Get(s.descriptor)
+		var number float64
 		switch s.Kind {
 		case protoreflect.BoolKind:
 			continue
 		case protoreflect.Uint32Kind:
-			v = float64(t.ProtoReflect().Get(s.descriptor).Uint())
+			number = float64(value.Uint())
 		default:
-			v = t.ProtoReflect().Get(s.descriptor).Float()
+			number = value.Float()
 		}
-		if !(v >= s.About.GetMin() && v <= s.About.GetMax()) {
-			return fmt.Errorf("%s is %v, must be from %v to %v", s.Name, v, s.About.GetMin(), s.About.GetMax())
+		if !(number >= s.About.GetMin() && number <= s.About.GetMax()) { // NaN is out of range
+			return fmt.Errorf("%s is %v, must be from %v to %v", s.Name, number, s.About.GetMin(), s.About.GetMax())
 		}
 	}
-	if t.GetExpireMs() <= t.GetPushMs() {
-		return fmt.Errorf("expire_ms is %d, must be more than push_ms (%d)", t.GetExpireMs(), t.GetPushMs())
+	if tuning.GetExpireMs() <= tuning.GetPushMs() {
+		return fmt.Errorf("expire_ms is %d, must be more than push_ms (%d)", tuning.GetExpireMs(), tuning.GetPushMs())
 	}
 	return nil
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -11,11 +11,11 @@
 
 func writeTempFile(t *testing.T, body string) string {
 	t.Helper()
-	p := filepath.Join(t.TempDir(), "f")
-	if err := os.WriteFile(p, []byte(body), 0o600); err != nil {
+	path := filepath.Join(t.TempDir(), "f")
+	if err := os.WriteFile(path, []byte(body), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return path
 }
 
 const validPlatform = `{"node_name":"n0","zone":"z","serve_on":"10.0.0.1:80","mesh_addr":"10.0.0.1:81","later":{},
@@ -23,11 +23,12 @@
 "cluster":{"teams":[{"name":"t","cpus_max":4.0}],"workers":{"report_s":3.0,"lease_s":30.0,"cancel_s":60.0},
 "state":{"rps":60.0,"write_rps":20.0,"value_kb":8.0,"txn_ops":12},"cloud":{"rps":4.0},"quota":{"mem_mb":179.0}}}`
 
+// An invalid file must be refused with one line that names the field.
 func TestPlatformSettings(t *testing.T) {
 	if _, err := LoadPlatform(writeTempFile(t, validPlatform)); err != nil {
 		t.Fatal(err)
 	}
-	for _, tc := range [][3]string{
+	for _, test := range []struct{ old, replacement, named string }{
 		{`"n0"`, `""`, "node_name"},
 		{"10.0.0.1:80", "host", "serve_on"},
 		{`"n1"`, `"n0"`, "peers[0]"},
@@ -37,24 +38,26 @@
 		{"4.0}", "-4.0}", "teams[0]"},
 		{"{", "", "settings"},
 	} {
-		_, err := LoadPlatform(writeTempFile(t, strings.Replace(validPlatform, tc[0], tc[1], 1)))
-		if err == nil || !strings.Contains(err.Error(), tc[2]) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s -> %s: got %v", tc[0], tc[1], err)
+		_, err := LoadPlatform(writeTempFile(t, strings.Replace(validPlatform, test.old, test.replacement, 1)))
+		if err == nil || !strings.Contains(err.Error(), test.named) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s -> %s: got %v", test.old, test.replacement, err)
 		}
 	}
 }
 
-// Each setting is described, and its default lies in its range.
+// A setting without a description, or whose default is out of its range, could not be operated.
 func TestEverySettingIsDescribed(t *testing.T) {
 	for _, s := range OperatorSettings() {
-		a := s.About
-		if a.GetDoes() == "" || (a.GetMore() == "") != (a.GetLess() == "") ||
-			s.Kind != protoreflect.BoolKind && !(a.Min < a.Max && a.Min <= a.Is && a.Is <= a.Max) {
-			t.Errorf("%s: %v", s.Name, a)
+		about := s.About
+		if about.GetDoes() == "" || (about.GetMore() == "") != (about.GetLess() == "") ||
+			s.Kind != protoreflect.BoolKind &&
+				!(about.Min < about.Max && about.Min <= about.Is && about.Is <= about.Max) {
+			t.Errorf("%s: %v", s.Name, about)
 		}
 	}
 }
 
+// Tuning must keep the defaults of what it does not name, and name what is invalid.
 func TestTuning(t *testing.T) {
 	if err := ValidateTuning(DefaultTuning()); err != nil {
 		t.Fatal(err)
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -16,7 +16,7 @@
 
 const (
 	requestTimeout = 2 * time.Second
-	// leaseTimeout is shorter: a late answer leaves too little of the lease to act on.
+	// leaseTimeout bounds requests for leases, which have less time than others.
 	leaseTimeout = requestTimeout / 2
 	// longPollTime is how long the store holds a watch without changes open.
 	longPollTime = 10 * time.Second
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -38,23 +38,23 @@
 	checkRangeReads(t, client)
 	checkLeasedKey(t, client)
 	store.SetDown(true)
-	if r := commitPut(t, client, 0, 0); r.Status != wire.StatusUnavailable {
+	if r := commitPut(t, client, 0); r.Status != wire.StatusUnavailable {
 		t.Errorf("in an outage: %+v", r)
 	}
 	store.SetDown(false)
 	checkCompactedWatch(t, store, client)
 	store.SetLimits(fakes.Limits{WriteRPS: 1})
-	commitPut(t, client, 0, 0)
-	if r := commitPut(t, client, 0, 0); r.Status != wire.StatusTooManyRequests {
+	commitPut(t, client, 0)
+	if r := commitPut(t, client, 0); r.Status != wire.StatusTooManyRequests {
 		t.Errorf("too many changes: %+v", r)
 	}
 }
 
-// commitPut puts dl/x with a lease if it is at a revision.
-func commitPut(t *testing.T, client *Client, revision, lease uint64) core.TxnResult {
+// commitPut puts dl/x with a lease if it does not exist.
+func commitPut(t *testing.T, client *Client, lease uint64) core.TxnResult {
 	t.Helper()
 	return client.CommitTxn(t.Context(), core.CommitTxn{Txn: wire.Txn{
-		Compare: []wire.Compare{{Key: "dl/x", Revision: revision}},
+		Compare: []wire.Compare{{Key: "dl/x", Revision: 0}},
 		Then:    []wire.Write{{Put: "dl/x", Value: json.RawMessage("1"), LeaseID: lease}},
 	}})
 }
@@ -99,7 +99,7 @@
 	t.Helper()
 	ctx := t.Context()
 	lease := client.GrantOrRenewLease(ctx, core.LeaseRequest{Op: core.LeaseGrant, TTL: 200 * time.Millisecond})
-	first, again := commitPut(t, client, 0, lease.LeaseID), commitPut(t, client, 0, 0)
+	first, again := commitPut(t, client, lease.LeaseID), commitPut(t, client, 0)
 	if first.Status != wire.StatusOK || again.Status != wire.StatusConflict || len(again.Reply.Failed) != 1 {
 		t.Errorf("got %+v, %+v", first, again)
 	}
@@ -111,7 +111,7 @@
 	if r := client.GrantOrRenewLease(ctx, extend); r.Status != wire.StatusNotFound {
 		t.Errorf("an expired lease was extended: %+v", r)
 	}
-	if r := commitPut(t, client, 0, lease.LeaseID); r.Status != wire.StatusBadRequest {
+	if r := commitPut(t, client, lease.LeaseID); r.Status != wire.StatusBadRequest {
 		t.Errorf("a key of an expired lease: %+v", r)
 	}
 }
