--- a/connlimit/connlimit_test.go
+++ b/connlimit/connlimit_test.go
@@ -7,39 +7,37 @@
 	"time"
 )
 
-// The parts of all uses together must leave sockets for the rest.
+// The limits of all uses together must leave sockets for the rest.
 func TestLimitsLeaveSpareSockets(t *testing.T) {
 	for _, all := range []int{512, 1000, 2847, 3172, 100_000} {
-		p := Divide(all)
-		if used := p.AgentCommands + p.AgentPolls + p.IdleAgentConns + hardLimitFor(p.Inbound); used > all ||
-			p.AgentCommands <= 0 ||
-			p.AgentPolls <= 0 ||
-			p.IdleAgentConns <= 0 ||
-			p.Inbound <= 0 {
-			t.Errorf("of %d sockets: %+v", all, p)
+		limits := Divide(all)
+		used := limits.AgentCommands + limits.AgentPolls + limits.IdleAgentConns + hardLimitFor(limits.Inbound)
+		if used > all || limits.AgentCommands <= 0 || limits.AgentPolls <= 0 || limits.IdleAgentConns <= 0 ||
+			limits.Inbound <= 0 {
+			t.Errorf("of %d sockets: %+v", all, limits)
 		}
 	}
 }
 
-// Users' connections that nobody used any more held the sockets that workers needed.
+// Abandoned connections of users must not hold the sockets that agents need.
 func TestIdleConnectionsAreClosedFirst(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer inner.Close()
+	t.Cleanup(func() { _ = inner.Close() })
 	var clock atomic.Int64
-	l := NewListener(inner, Limits{Inbound: 10})
-	l.now = func() time.Time { return time.Unix(0, clock.Load()) }
+	listener := NewListener(inner, Limits{Inbound: 10})
+	listener.now = func() time.Time { return time.Unix(0, clock.Load()) }
 	connect := func() (client, server net.Conn) {
 		client, err := net.Dial("tcp4", inner.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if server, err = l.Accept(); err != nil {
+		if server, err = listener.Accept(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { client.Close(); server.Close() })
+		t.Cleanup(func() { _, _ = client.Close(), server.Close() }) // closed by the listener or the test, perhaps
 		return client, server
 	}
 	ping := func(client, server net.Conn) error {
@@ -63,20 +61,20 @@
 	}
 	clock.Add(int64(6 * time.Second))
 	connect()
-	if l.OpenConns() != 10 {
-		t.Errorf("%d connections, at most 10 with one abandoned", l.OpenConns())
+	if listener.OpenConns() != 10 {
+		t.Errorf("%d connections, at most 10 with one abandoned", listener.OpenConns())
 	}
 	if err := ping(all[0].client, all[0].server); err == nil {
 		t.Error("the abandoned connection is still open")
 	}
 	connect()
 	connect()
-	if l.OpenConns() != 12 {
-		t.Errorf("%d connections: one that was used 6 s ago was closed without need", l.OpenConns())
+	if listener.OpenConns() != 12 {
+		t.Errorf("%d connections: one that was used 6 s ago was closed without need", listener.OpenConns())
 	}
 	connect() // now there are more than can be
-	if l.OpenConns() != 12 {
-		t.Errorf("%d connections, at most 12", l.OpenConns())
+	if listener.OpenConns() != 12 {
+		t.Errorf("%d connections, at most 12", listener.OpenConns())
 	}
 	for _, p := range all[2:] {
 		if err := ping(p.client, p.server); err != nil {
@@ -87,7 +85,7 @@
 		}
 		_ = p.server.Close() // a server may close twice; it counts once
 	}
-	if l.OpenConns() != 4 {
-		t.Errorf("%d connections after eight of twelve were closed", l.OpenConns())
+	if listener.OpenConns() != 4 {
+		t.Errorf("%d connections after eight of twelve were closed", listener.OpenConns())
 	}
 }
--- a/connlimit/limits.go
+++ b/connlimit/limits.go
@@ -1,22 +1,22 @@
-// Package connlimit divides a process's sockets among what it needs them for, so that no use can
-// take those of another: a lost zone once had a request hanging to each of its machines, and users
-// and workers found no socket left.
+// Package connlimit divides a process's sockets among their uses, so that no use can take those of
+// another: a lost zone once had a request hanging to each of its machines, and users and agents found no
+// socket left. It also closes idle inbound connections when there are too many. It decides nothing about
+// the requests on them.
 package connlimit
 
 // Limits are the most sockets that each use may have.
 type Limits struct {
-	AgentCommands  int // requests with orders to workers that are on their way
-	AgentPolls     int // requests for reports that are
-	IdleAgentConns int // connections to workers that are kept for the next request
-	Inbound        int // connections of users and workers
+	AgentCommands  int // requests with commands to agents, in flight
+	AgentPolls     int // status polls of agents, in flight
+	IdleAgentConns int // connections to agents that are kept for the next request
+	Inbound        int // connections of users and agents
 }
 
-// minPerUse is what every use has, however few there are.
+// minPerUse is the least number of sockets of a use, however few there are in all.
 const minPerUse = 16
 
-// Divide divides a number of sockets. What is not in a part is for the state service, the cloud,
-// the other controllers, files and the moments between the end of a connection and that of its
-// socket.
+// Divide divides a number of sockets. The rest is for the key-value store, the cloud, the other
+// controllers, files, and sockets that outlive their connections for a moment.
 func Divide(all int) Limits {
 	return Limits{
 		AgentCommands:  max(minPerUse, all/8),
--- a/connlimit/listener.go
+++ b/connlimit/listener.go
@@ -8,34 +8,41 @@
 )
 
 const (
-	// a connection that is quiet for this long is no worker's: these report more often
+	// softIdleTimeout is longer than agents are silent: a connection idle for longer is no agent's.
 	softIdleTimeout = 10 * time.Second
-	hardIdleTimeout = 4 * time.Second // the same, and whoever waits for an answer on it has given up
+	// hardIdleTimeout is shorter, for when there are more connections than there should ever be: a client
+	// that waits for a response on one idle for longer has given up.
+	hardIdleTimeout = 4 * time.Second
 )
 
-// Listener bounds the connections that it accepted: before there are too many, those that have been
-// quiet for longest are closed. Whoever comes back to one of them opens another; a new one that
-// finds no socket fails.
+// Listener bounds the connections that it accepts: above the soft limit, each new one closes the one idle
+// for longest if it is idle for softIdleTimeout; above the hard limit, for hardIdleTimeout. A client
+// whose connection was closed opens another; a connection that finds no socket would fail.
 type Listener struct {
 	net.Listener
-	softLimit, hardLimit int // from these many on, connections are closed that are abandoned, that are answered
+	softLimit, hardLimit int
 	mu                   sync.Mutex
-	byLastUse            list.List // of *conn, the longest quiet first
+	byLastUse            list.List // of *conn, the one idle for longest first
 	now                  func() time.Time
 }
 
-// NewListener bounds a listener's connections.
-func NewListener(ln net.Listener, p Limits) *Listener {
-	return &Listener{Listener: ln, softLimit: p.Inbound, hardLimit: hardLimitFor(p.Inbound), now: time.Now}
+// NewListener bounds a listener's connections by the inbound limit.
+func NewListener(ln net.Listener, limits Limits) *Listener {
+	return &Listener{
+		Listener:  ln,
+		softLimit: limits.Inbound,
+		hardLimit: hardLimitFor(limits.Inbound),
+		now:       time.Now,
+	}
 }
 
-// hardLimitFor is how many there may be at most, beside those in use.
+// hardLimitFor returns the hard limit: above it, only connections in use are kept.
 func hardLimitFor(soft int) int { return soft + soft/5 }
 
-// Utilization is the part of the connections that there may be which there are.
+// Utilization returns the open connections as a share of the hard limit.
 func (l *Listener) Utilization() float64 { return float64(l.OpenConns()) / float64(l.hardLimit) }
 
-// OpenConns is how many connections there are.
+// OpenConns returns the number of open connections.
 func (l *Listener) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,34 +51,42 @@
 
 // Accept waits for a connection.
 func (l *Listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	x := &conn{Conn: c, listener: l}
+	c := &conn{Conn: accepted, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	x.lastUsed = l.now()
-	x.element = l.byLastUse.PushBack(x)
-	if oldest := l.byLastUse.Front().Value.(*conn); l.byLastUse.Len() > l.softLimit {
-		most := softIdleTimeout
-		if l.byLastUse.Len() > l.hardLimit {
-			most = hardIdleTimeout
-		}
-		if x.lastUsed.Sub(oldest.lastUsed) > most {
-			l.byLastUse.Remove(oldest.element)
-			oldest.element = nil
-			_ = oldest.Conn.Close() // its owner learns of it by reading
-		}
+	c.lastUsed = l.now()
+	c.element = l.byLastUse.PushBack(c)
+	l.closeIdlest(c.lastUsed)
+	return c, nil
+}
+
+// closeIdlest closes the connection idle for longest if the limits say so. l.mu is held.
+func (l *Listener) closeIdlest(now time.Time) {
+	if l.byLastUse.Len() <= l.softLimit {
+		return
+	}
+	timeout := softIdleTimeout
+	if l.byLastUse.Len() > l.hardLimit {
+		timeout = hardIdleTimeout
+	}
+	idlest := l.byLastUse.Front().Value.(*conn)
+	if now.Sub(idlest.lastUsed) <= timeout {
+		return
 	}
-	return x, nil
+	l.byLastUse.Remove(idlest.element)
+	idlest.element = nil
+	_ = idlest.Conn.Close() // its server notices when it reads
 }
 
-// conn tells its listener whenever something comes or goes.
+// conn is a connection that records its use with its listener.
 type conn struct {
 	net.Conn
 	listener *Listener
-	element  *list.Element // nil: closed
+	element  *list.Element // in the listener's byLastUse, whose mu guards it; nil: closed
 	lastUsed time.Time
 }
 
@@ -84,6 +99,7 @@
 	}
 }
 
+// Read reads from the connection; received bytes count as use.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -92,11 +108,13 @@
 	return n, err
 }
 
+// Write writes to the connection, which counts as use.
 func (c *conn) Write(b []byte) (int, error) {
 	c.touch()
 	return c.Conn.Write(b)
 }
 
+// Close closes the connection; it counts once, also if it is closed again.
 func (c *conn) Close() error {
 	c.listener.mu.Lock()
 	if c.element != nil {
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,24 +1,31 @@
-// Package chart puts plots into pages that need nothing beside themselves.
+// Package chart embeds plots into HTML pages that refer to no other file.
 package chart
 
 import (
 	"bytes"
 	"encoding/base64"
+	"fmt"
 	"html/template"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/vg"
 )
 
-// PNGDataURL renders a plot as the address of an image that holds it.
+// Size of an image.
+const (
+	width  = 8 * vg.Inch
+	height = 4 * vg.Inch
+)
+
+// PNGDataURL renders a plot as an image and returns it as a data URL.
 func PNGDataURL(p *plot.Plot) (template.URL, error) {
-	w, err := p.WriterTo(8*vg.Inch, 4*vg.Inch, "png")
+	image, err := p.WriterTo(width, height, "png")
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("render plot: %w", err)
 	}
-	var b bytes.Buffer
-	if _, err := w.WriteTo(&b); err != nil {
-		return "", err
+	var encoded bytes.Buffer
+	if _, err := image.WriteTo(&encoded); err != nil {
+		return "", fmt.Errorf("encode plot: %w", err)
 	}
-	return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(b.Bytes())), nil
+	return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(encoded.Bytes())), nil
 }
--- a/internal/compress/compress.go
+++ b/internal/compress/compress.go
@@ -1,4 +1,4 @@
-// Package compress compresses small values, and bounds what they expand to.
+// Package compress compresses small values, and bounds what they decompress to.
 package compress
 
 import (
@@ -10,13 +10,14 @@
 	"sync"
 )
 
-// ErrTooLarge tells that a value expands to more than its reader allows.
+// ErrTooLarge is returned for a value that decompresses to more than its reader allows.
 var ErrTooLarge = errors.New("expands to too much")
 
+// flateWriters are reused: a writer is large beside the values.
 var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestCompression)
 	if err != nil {
-		panic(err) // the level is a constant
+		panic(err) // impossible: the level is a constant
 	}
 	return w
 }}
@@ -25,22 +26,22 @@
 func Deflate(raw []byte) ([]byte, error) {
 	w := flateWriters.Get().(*flate.Writer)
 	defer flateWriters.Put(w)
-	var b bytes.Buffer
-	w.Reset(&b)
+	var compressed bytes.Buffer
+	w.Reset(&compressed)
 	if _, err := w.Write(raw); err != nil {
 		return nil, fmt.Errorf("compress: %w", err)
 	}
 	if err := w.Close(); err != nil {
 		return nil, fmt.Errorf("compress: %w", err)
 	}
-	return b.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-// Inflate is the reverse of Deflate; it fails with ErrTooLarge beyond most bytes.
+// Inflate reverses Deflate; it fails with ErrTooLarge beyond maxBytes.
 func Inflate(raw []byte, maxBytes int) ([]byte, error) {
 	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(raw)), int64(maxBytes)+1))
 	if err != nil {
-		return nil, fmt.Errorf("expand: %w", err)
+		return nil, fmt.Errorf("decompress: %w", err)
 	}
 	if len(out) > maxBytes {
 		return nil, ErrTooLarge
--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -1,4 +1,4 @@
-// Package testcert makes authorities and certificates for tests.
+// Package testcert makes certificate authorities and certificates for tests.
 package testcert
 
 import (
@@ -12,50 +12,49 @@
 	"net"
 	"os"
 	"path/filepath"
+	"sync/atomic"
 	"testing"
 	"time"
 )
 
+// validity is how long certificates are valid, before and after they are made.
+const validity = time.Hour
+
 // Authority signs certificates.
 type Authority struct {
 	cert     *x509.Certificate
 	key      *ecdsa.PrivateKey
-	CertFile string // its own certificate
+	CertFile string // its own certificate, in PEM
 }
 
-var lastSerial int64
+// lastSerial is the serial number of the last certificate; tests may run in parallel.
+var lastSerial atomic.Int64
 
-// New makes an authority, whose files are in a folder of the test.
+// New makes an authority whose certificate is in a temporary directory of the test.
 func New(t *testing.T) *Authority {
 	t.Helper()
 	a := &Authority{CertFile: filepath.Join(t.TempDir(), "ca.pem")}
 	var der []byte
-	a.cert, a.key, der = a.sign(
-		t,
-		&x509.Certificate{
-			IsCA:                  true,
-			BasicConstraintsValid: true,
-			KeyUsage:              x509.KeyUsageCertSign,
-			Subject:               pkix.Name{CommonName: "test"},
-		},
-	)
+	a.cert, a.key, der = a.sign(t, &x509.Certificate{
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageCertSign,
+		Subject:               pkix.Name{CommonName: "test"},
+	})
 	writePEM(t, a.CertFile, "CERTIFICATE", der)
 	return a
 }
 
+// sign completes a certificate with a serial number and its validity, and signs it; an authority without a
+// certificate of its own signs with the new key.
 func (a *Authority) sign(t *testing.T, c *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey, []byte) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lastSerial++
-	c.SerialNumber, c.NotBefore, c.NotAfter = big.NewInt(
-		lastSerial,
-	), time.Now().
-		Add(-time.Hour),
-		time.Now().
-			Add(time.Hour)
+	c.SerialNumber = big.NewInt(lastSerial.Add(1))
+	c.NotBefore, c.NotAfter = time.Now().Add(-validity), time.Now().Add(validity)
 	parent, signer := a.cert, a.key
 	if parent == nil {
 		parent, signer = c, key
@@ -71,7 +70,7 @@
 	return out, key, der
 }
 
-// Issue writes a certificate for a name, and for loopback, with its key.
+// Issue writes a certificate for a name and for loopback, and its key.
 func (a *Authority) Issue(t *testing.T, name, certFile, keyFile string) {
 	t.Helper()
 	_, key, der := a.sign(t, &x509.Certificate{
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -1,65 +1,69 @@
-// Package overload tells how far a controller is beyond what it can do. It has no clock: times,
-// since the process began, come in.
+// Package overload decides how overloaded a controller is, from signals that it is given. It has no clock:
+// times are since the start of the process and come as parameters. What is shed at each level is decided
+// by its callers.
 package overload
 
 import "time"
 
-// Level is how far. What is done at which is decided where it is done; docs/operations/overload.md has the whole order.
+// Level is how overloaded a controller is. docs/operations/overload.md lists what is shed at each level.
 type Level int
 
-// The levels.
+// The levels, in rising order.
 const (
 	Normal     Level = iota
-	Busy             // what can wait waits
-	Overloaded       // what is new is refused, with an honest time to come back
+	Busy             // work that can be deferred is
+	Overloaded       // new work is refused, with the time after which to try again
 	levelCount = iota
 )
 
+// String returns the level's name in the log.
 func (l Level) String() string { return [levelCount]string{"calm", "busy", "over"}[l] }
 
-// Signals are what it is known by.
+// Signals are the measurements that a level is decided by.
 type Signals struct {
-	QueueDelay      time.Duration // what came in last had waited for so long when it was decided
-	QueueUsage      float64       // part of the queue of what came in that is in use
-	ConnectionUsage float64       // part of the connections that may be open which are
-	WriteBacklog    time.Duration // that writing what waits to be written would take
+	QueueDelay      time.Duration // how long the latest input had waited when it was handled
+	QueueUsage      float64       // share of the input queue in use
+	ConnectionUsage float64       // share of the inbound connections in use
+	WriteBacklog    time.Duration // how long the pending writes would take
 }
 
-// enterThresholds are the least signs of each level but the first. One is enough.
+// enterThresholds are the signals that enter each level but the first; any one is enough.
 var enterThresholds = [levelCount]Signals{
 	Busy:       {100 * time.Millisecond, 0.25, 0.85, 4 * time.Second},
 	Overloaded: {600 * time.Millisecond, 0.6, 0.98, 15 * time.Second},
 }
 
 const (
-	leaveFactor = 0.5             // of all signs of a level, under which it can be left
-	leaveDelay  = 3 * time.Second // for which they must have been
+	// leaveFactor is the share of a level's thresholds that all signals must be below to leave it.
+	leaveFactor = 0.5
+	// leaveDelay is how long they must have been.
+	leaveDelay = 3 * time.Second
 )
 
-// State is a controller's level. The zero value is calm.
+// State is a controller's level. The zero value is Normal.
 type State struct {
 	level        Level
-	lastSignalAt time.Duration // when a sign of the level was last there
-	Signals      Signals       // as of the last look
+	lastSignalAt time.Duration // when a signal last kept the level
+	Signals      Signals       // of the last update
 }
 
-// Level is the present one.
+// Level returns the present level.
 func (s *State) Level() Level { return s.level }
 
-// Update takes the signs as they are, and reports whether the level has changed. A level is entered
-// at once, and left for the next lower when its signs have been gone for a while.
-func (s *State) Update(now time.Duration, x Signals) (changed bool) {
-	s.Signals = x
-	for l := Overloaded; l > s.level; l-- {
-		if x.anyReaches(enterThresholds[l], 1) {
-			s.level, s.lastSignalAt = l, now
+// Update evaluates signals and reports whether the level has changed. A level is entered at once, and left
+// for the next lower one after its signals have been gone for leaveDelay, so that it does not oscillate.
+func (s *State) Update(now time.Duration, signals Signals) (changed bool) {
+	s.Signals = signals
+	for level := Overloaded; level > s.level; level-- {
+		if signals.anyReaches(enterThresholds[level], 1) {
+			s.level, s.lastSignalAt = level, now
 			return true
 		}
 	}
 	if s.level == Normal {
 		return false
 	}
-	if x.anyReaches(enterThresholds[s.level], leaveFactor) {
+	if signals.anyReaches(enterThresholds[s.level], leaveFactor) {
 		s.lastSignalAt = now
 		return false
 	}
@@ -71,9 +75,10 @@
 	return true
 }
 
-// anyReaches reports whether one of the signs is at a part of what it is compared with.
-func (x Signals) anyReaches(o Signals, part float64) bool {
-	return float64(x.QueueDelay) >= part*float64(o.QueueDelay) || x.QueueUsage >= part*o.QueueUsage ||
-		x.ConnectionUsage >= part*o.ConnectionUsage ||
-		float64(x.WriteBacklog) >= part*float64(o.WriteBacklog)
+// anyReaches reports whether one of the signals is at least a share of its threshold.
+func (s Signals) anyReaches(threshold Signals, share float64) bool {
+	return float64(s.QueueDelay) >= share*float64(threshold.QueueDelay) ||
+		s.QueueUsage >= share*threshold.QueueUsage ||
+		s.ConnectionUsage >= share*threshold.ConnectionUsage ||
+		float64(s.WriteBacklog) >= share*float64(threshold.WriteBacklog)
 }
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -6,59 +6,56 @@
 	"time"
 )
 
-// Every sign alone makes each level.
+// Each signal alone must enter each level.
 func TestEachSignalIsEnough(t *testing.T) {
-	for l := Busy; l <= Overloaded; l++ {
-		e := enterThresholds[l]
-		for i, x := range []Signals{
-			{QueueDelay: e.QueueDelay},
-			{QueueUsage: e.QueueUsage},
-			{ConnectionUsage: e.ConnectionUsage},
-			{WriteBacklog: e.WriteBacklog},
+	for level := Busy; level <= Overloaded; level++ {
+		threshold := enterThresholds[level]
+		for i, signals := range []Signals{
+			{QueueDelay: threshold.QueueDelay},
+			{QueueUsage: threshold.QueueUsage},
+			{ConnectionUsage: threshold.ConnectionUsage},
+			{WriteBacklog: threshold.WriteBacklog},
 		} {
-			var s State
-			if !s.Update(time.Second, x) || s.Level() != l {
-				t.Errorf("sign %d at %v: level %v", i, e, s.Level())
+			var state State
+			if !state.Update(time.Second, signals) || state.Level() != level {
+				t.Errorf("signal %d at %v: level %v", i, threshold, state.Level())
 			}
 		}
-		if l == Busy {
+		if level == Busy {
 			continue
 		}
-		var s State
-		if s.Update(0, Signals{QueueDelay: e.QueueDelay - 1}); s.Level() != l-1 {
-			t.Errorf("just under %v: level %v", l, s.Level())
+		var state State
+		if state.Update(0, Signals{QueueDelay: threshold.QueueDelay - 1}); state.Level() != level-1 {
+			t.Errorf("just below %v: level %v", level, state.Level())
 		}
 	}
 }
 
-// Signs that go up and down around a threshold do not change the level every time, and when they are gone the
-// level is, in a bounded time.
+// Signals that go up and down around a threshold must not change the level each time, and a level must be
+// left in bounded time after they are gone.
 func TestLevelDoesNotOscillate(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var s State
+		var state State
 		changes, now := 0, time.Duration(0)
-		look := func(late time.Duration) {
+		update := func(queueDelay time.Duration) {
 			now += 100 * time.Millisecond
-			if s.Update(now, Signals{QueueDelay: late}) {
+			if state.Update(now, Signals{QueueDelay: queueDelay}) {
 				changes++
 			}
 		}
+		threshold := enterThresholds[Overloaded].QueueDelay
 		for range 600 { // a minute around the second level's threshold
-			look(
-				enterThresholds[Overloaded].QueueDelay/2 + time.Duration(
-					rng.Int64N(int64(enterThresholds[Overloaded].QueueDelay)),
-				),
-			)
+			update(threshold/2 + time.Duration(rng.Int64N(int64(threshold))))
 		}
-		if s.Level() != Overloaded || changes > 2 {
-			t.Fatalf("seed %d: %v after %d changes", seed, s.Level(), changes)
+		if state.Level() != Overloaded || changes > 2 {
+			t.Fatalf("seed %d: %v after %d changes", seed, state.Level(), changes)
 		}
 		for range 80 {
-			look(0)
+			update(0)
 		}
-		if s.Level() != Normal || changes > 4 {
-			t.Fatalf("seed %d: %v 8 s after it was over, %d changes", seed, s.Level(), changes)
+		if state.Level() != Normal || changes > 4 {
+			t.Fatalf("seed %d: %v 8 s after it was over, %d changes", seed, state.Level(), changes)
 		}
 	}
 }
--- a/tlsconfig/tlsconfig.go
+++ b/tlsconfig/tlsconfig.go
@@ -1,6 +1,6 @@
-// Package tlsconfig makes the TLS settings of a controller from files, and reads these anew when they
-// change: connections that are open stay, new ones use what is there. A file that can't be read, while
-// it is being replaced or for good, changes nothing. Where TLS is set there is no plain text.
+// Package tlsconfig makes the TLS configurations of a controller from files, and reloads these when they
+// change: open connections stay, new ones use the new certificates. A file that cannot be read, while it
+// is being replaced or for good, changes nothing. Where TLS is configured there is no plain text.
 package tlsconfig
 
 import (
@@ -18,41 +18,45 @@
 	pb "dewlift/proto"
 )
 
-const reloadCheckInterval = time.Second // at the files, for a change
+// reloadCheckInterval is the least time between two checks whether the files have changed.
+const reloadCheckInterval = time.Second
 
-// Files are the certificates and keys of a controller.
+// Files are the certificates and keys of a controller. A nil *Files has none: all is in plain text.
 type Files struct {
-	serverCerts, meshCerts *certReloader
+	serverCerts, meshCerts *certReloader // nil: plain text
 }
 
-// Load reads the settings and all files that they name. An error is one line.
+// Load reads a file of settings and all files that it names. An error is one line.
 func Load(path string, log *slog.Logger) (*Files, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read tls: %w", err)
 	}
-	var s pb.Secure
-	if err := prototext.Unmarshal(raw, &s); err != nil {
+	var names pb.Secure
+	if err := prototext.Unmarshal(raw, &names); err != nil {
 		return nil, fmt.Errorf("tls %s: %w", path, err)
 	}
-	f := &Files{}
-	if s.Serve != nil {
-		if f.serverCerts, err = newCertReloader(s.Serve.Certificate, s.Serve.Key, s.Serve.Users, log); err != nil {
+	files := &Files{}
+	if serve := names.Serve; serve != nil {
+		files.serverCerts, err = newCertReloader(serve.Certificate, serve.Key, serve.Users, log)
+		if err != nil {
 			return nil, fmt.Errorf("tls %s: serve: %w", path, err)
 		}
 	}
-	if s.Mesh != nil {
-		if s.Mesh.Authorities == "" {
+	if mesh := names.Mesh; mesh != nil {
+		if mesh.Authorities == "" {
 			return nil, fmt.Errorf("tls %s: mesh: authorities are missing", path)
 		}
-		if f.meshCerts, err = newCertReloader(s.Mesh.Certificate, s.Mesh.Key, s.Mesh.Authorities, log); err != nil {
+		files.meshCerts, err = newCertReloader(mesh.Certificate, mesh.Key, mesh.Authorities, log)
+		if err != nil {
 			return nil, fmt.Errorf("tls %s: mesh: %w", path, err)
 		}
 	}
-	return f, nil
+	return files, nil
 }
 
-// ServerConfig is for serve_on; nil: plain text.
+// ServerConfig returns the configuration of the listener for users and agents; nil: plain text. Clients may
+// prove who they are by a certificate.
 func (f *Files) ServerConfig() *tls.Config {
 	if f == nil || f.serverCerts == nil {
 		return nil
@@ -60,21 +64,21 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			x := f.serverCerts.currentCerts()
-			c := &tls.Config{
+			certs := f.serverCerts.currentCerts()
+			cfg := &tls.Config{
 				MinVersion:   tls.VersionTLS13,
-				Certificates: []tls.Certificate{x.cert},
+				Certificates: []tls.Certificate{certs.cert},
 				NextProtos:   []string{"http/1.1"},
 			}
-			if x.caPool != nil {
-				c.ClientAuth, c.ClientCAs = tls.VerifyClientCertIfGiven, x.caPool
+			if certs.caPool != nil {
+				cfg.ClientAuth, cfg.ClientCAs = tls.VerifyClientCertIfGiven, certs.caPool
 			}
-			return c, nil
+			return cfg, nil
 		},
 	}
 }
 
-// MeshServerConfig is for the controllers that reach this one; nil: plain text.
+// MeshServerConfig returns the configuration for streams from other controllers; nil: plain text.
 func (f *Files) MeshServerConfig() *tls.Config {
 	if f == nil || f.meshCerts == nil {
 		return nil
@@ -83,106 +87,116 @@
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{"h2"},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			x := f.meshCerts.currentCerts()
+			certs := f.meshCerts.currentCerts()
 			return &tls.Config{
-				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{x.cert}, NextProtos: []string{"h2"},
-				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: x.caPool,
+				MinVersion:   tls.VersionTLS13,
+				Certificates: []tls.Certificate{certs.cert},
+				NextProtos:   []string{"h2"},
+				ClientAuth:   tls.RequireAndVerifyClientCert,
+				ClientCAs:    certs.caPool,
 			}, nil
 		},
 	}
 }
 
-// MeshClientConfig is for reaching the controller of that name; nil: plain text.
+// MeshClientConfig returns the configuration for a stream to another controller; nil: plain text.
 func (f *Files) MeshClientConfig(peer string) *tls.Config {
 	if f == nil || f.meshCerts == nil {
 		return nil
 	}
-	x := f.meshCerts.currentCerts()
+	certs := f.meshCerts.currentCerts()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{x.cert},
-		RootCAs:      x.caPool,
+		Certificates: []tls.Certificate{certs.cert},
+		RootCAs:      certs.caPool,
 		ServerName:   peer,
 	}
 }
 
-// certReloader is a certificate with its key, and the authorities of the other side.
+// certReloader holds a certificate with its key and the authorities of the other side, and reloads them
+// when a file changes.
 type certReloader struct {
-	paths     [3]string
-	log       *slog.Logger
-	mu        sync.Mutex
-	loaded    certSet
-	lastCheck time.Time
-	versions  [3]fileVersion
+	certFile, keyFile string
+	authoritiesFile   string // "": none
+	log               *slog.Logger
+	mu                sync.Mutex // of the rest
+	loaded            certSet
+	lastCheck         time.Time
+	versions          [3]fileVersion
 }
 
+// certSet is what the files hold.
 type certSet struct {
 	cert   tls.Certificate
-	caPool *x509.CertPool
+	caPool *x509.CertPool // nil: no authorities
 }
 
-// fileVersion tells whether a file is another one than before.
+// fileVersion tells a replaced file from the one before.
 type fileVersion struct {
 	modTime time.Time
 	size    int64
 }
 
-func newCertReloader(cert, key, authorities string, log *slog.Logger) (*certReloader, error) {
-	p := &certReloader{paths: [3]string{cert, key, authorities}, log: log}
-	if cert == "" || key == "" {
+func newCertReloader(certFile, keyFile, authoritiesFile string, log *slog.Logger) (*certReloader, error) {
+	if certFile == "" || keyFile == "" {
 		return nil, errors.New("certificate or key is missing")
 	}
-	p.versions, p.lastCheck = p.statFiles(), time.Now()
+	r := &certReloader{certFile: certFile, keyFile: keyFile, authoritiesFile: authoritiesFile, log: log}
+	// Before the files are read: one replaced in between is read again.
+	r.versions, r.lastCheck = r.fileVersions(), time.Now()
 	var err error
-	p.loaded, err = p.loadFiles()
-	return p, err
+	r.loaded, err = r.loadFiles()
+	return r, err
 }
 
-func (p *certReloader) statFiles() (out [3]fileVersion) {
-	for i, n := range p.paths {
-		if s, err := os.Stat(n); err == nil {
-			out[i] = fileVersion{s.ModTime(), s.Size()}
+// fileVersions returns the versions of the files; one that cannot be read has the zero version.
+func (r *certReloader) fileVersions() (versions [3]fileVersion) {
+	for i, name := range [...]string{r.certFile, r.keyFile, r.authoritiesFile} {
+		if info, err := os.Stat(name); err == nil {
+			versions[i] = fileVersion{info.ModTime(), info.Size()}
 		}
 	}
-	return out
+	return versions
 }
 
-func (p *certReloader) loadFiles() (certSet, error) {
-	var out certSet
+func (r *certReloader) loadFiles() (certSet, error) {
+	var certs certSet
 	var err error
-	if out.cert, err = tls.LoadX509KeyPair(p.paths[0], p.paths[1]); err != nil {
-		return out, fmt.Errorf("certificate: %w", err)
+	if certs.cert, err = tls.LoadX509KeyPair(r.certFile, r.keyFile); err != nil {
+		return certs, fmt.Errorf("certificate: %w", err)
 	}
-	if p.paths[2] == "" {
-		return out, nil
+	if r.authoritiesFile == "" {
+		return certs, nil
 	}
-	raw, err := os.ReadFile(p.paths[2])
+	raw, err := os.ReadFile(r.authoritiesFile)
 	if err != nil {
-		return out, fmt.Errorf("authorities: %w", err)
+		return certs, fmt.Errorf("authorities: %w", err)
 	}
-	out.caPool = x509.NewCertPool()
-	if !out.caPool.AppendCertsFromPEM(raw) {
-		return out, fmt.Errorf("authorities: no certificate in %s", p.paths[2])
+	certs.caPool = x509.NewCertPool()
+	if !certs.caPool.AppendCertsFromPEM(raw) {
+		return certs, fmt.Errorf("authorities: no certificate in %s", r.authoritiesFile)
 	}
-	return out, nil
+	return certs, nil
 }
 
-// currentCerts is what the files hold now, or held when they could be read last.
-func (p *certReloader) currentCerts() certSet {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if time.Since(p.lastCheck) < reloadCheckInterval {
-		return p.loaded
+// currentCerts returns what the files hold, or held when they could last be loaded.
+func (r *certReloader) currentCerts() certSet {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if time.Since(r.lastCheck) < reloadCheckInterval {
+		return r.loaded
 	}
-	p.lastCheck = time.Now()
-	if s := p.statFiles(); s != p.versions {
-		next, err := p.loadFiles()
-		if err != nil {
-			p.log.Error("certificates not read anew", "err", err)
-			return p.loaded
-		}
-		p.loaded, p.versions = next, s
-		p.log.Info("certificates read anew", "certificate", p.paths[0])
+	r.lastCheck = time.Now()
+	versions := r.fileVersions()
+	if versions == r.versions {
+		return r.loaded
+	}
+	certs, err := r.loadFiles()
+	if err != nil {
+		r.log.Error("certificates not reloaded", "err", err)
+		return r.loaded
 	}
-	return p.loaded
+	r.loaded, r.versions = certs, versions
+	r.log.Info("certificates reloaded", "certificate", r.certFile)
+	return r.loaded
 }
--- a/tlsconfig/tlsconfig_test.go
+++ b/tlsconfig/tlsconfig_test.go
@@ -1,7 +1,6 @@
 package tlsconfig
 
 import (
-	"context"
 	"crypto/tls"
 	"crypto/x509"
 	"dewlift/internal/testcert"
@@ -17,6 +16,7 @@
 	"time"
 )
 
+// loadFromText loads a file of settings with this text.
 func loadFromText(t *testing.T, text string) (*Files, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tls")
@@ -26,14 +26,14 @@
 	return Load(path, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// A certificate is replaced while requests go on: none fails, and new connections show the new one. Half a
-// replacement changes nothing.
+// No request may fail while a certificate is being replaced: a half-written file changes nothing, new
+// connections show the new certificate and open ones stay. Plain text is never served.
 func TestCertificatesAreReplacedWithoutADroppedRequest(t *testing.T) {
 	first, second := testcert.New(t), testcert.New(t)
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	first.Issue(t, "n0", cert, key)
-	f, err := loadFromText(t, fmt.Sprintf("serve { certificate: %q key: %q }", cert, key))
+	files, err := loadFromText(t, fmt.Sprintf("serve { certificate: %q key: %q }", cert, key))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,74 +42,89 @@
 		t.Fatal(err)
 	}
 	srv := &http.Server{
-		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }),
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }),
 	}
-	go func() { _ = srv.Serve(tls.NewListener(inner, f.ServerConfig())) }() // ends with the test
+	go func() { _ = srv.Serve(tls.NewListener(inner, files.ServerConfig())) }() // ends with the test
 	t.Cleanup(func() { _ = srv.Close() })
-	client := func(ca string) *http.Client {
-		raw, err := os.ReadFile(ca)
-		if err != nil {
-			t.Fatal(err)
-		}
-		pool := x509.NewCertPool()
-		pool.AppendCertsFromPEM(raw)
-		return &http.Client{
-			Timeout:   10 * time.Second,
-			Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}},
-		}
-	}
-	old, fresh := client(first.CertFile), client(second.CertFile)
-	get := func(c *http.Client) error {
-		resp, err := c.Get("https://" + inner.Addr().String())
-		if err != nil {
-			return err
-		}
-		defer resp.Body.Close()
-		_, err = io.Copy(io.Discard, resp.Body)
-		return err
-	}
+	old, fresh := clientTrusting(t, first.CertFile), clientTrusting(t, second.CertFile)
+	get := func(client *http.Client) error { return getOnce(client, "https://"+inner.Addr().String()) }
 	if err := get(old); err != nil {
 		t.Fatal(err)
 	}
 	if err := get(fresh); err == nil {
 		t.Fatal("another authority is trusted")
 	}
-	// the next look is due
-	back := func() { f.serverCerts.mu.Lock(); f.serverCerts.lastCheck = time.Time{}; f.serverCerts.mu.Unlock() }
+	makeCheckDue := func() {
+		files.serverCerts.mu.Lock()
+		defer files.serverCerts.mu.Unlock()
+		files.serverCerts.lastCheck = time.Time{}
+	}
 	if err := os.WriteFile(cert, []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	back()
-	if err := get(client(first.CertFile)); err != nil {
+	makeCheckDue()
+	if err := get(clientTrusting(t, first.CertFile)); err != nil {
 		t.Errorf("while the files are replaced: %v", err)
 	}
 	second.Issue(t, "n0", cert, key)
-	back()
+	makeCheckDue()
 	if err := get(fresh); err != nil {
 		t.Errorf("after: %v", err)
 	}
-	if err := get(old); err != nil { // its connection is open still
+	if err := get(old); err != nil { // over its open connection
 		t.Errorf("an open connection: %v", err)
 	}
-	var d net.Dialer
-	conn, err := d.DialContext(context.Background(), "tcp", inner.Addr().String())
+	checkNoPlainText(t, inner.Addr().String())
+}
+
+// clientTrusting returns a client that trusts an authority.
+func clientTrusting(t *testing.T, authorityFile string) *http.Client {
+	t.Helper()
+	raw, err := os.ReadFile(authorityFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	pool := x509.NewCertPool()
+	pool.AppendCertsFromPEM(raw)
+	return &http.Client{
+		Timeout:   10 * time.Second,
+		Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}},
+	}
+}
+
+// getOnce makes a request and reads the whole response, so that the connection can be used again.
+func getOnce(client *http.Client, url string) error {
+	resp, err := client.Get(url)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = resp.Body.Close() }()
+	_, err = io.Copy(io.Discard, resp.Body)
+	return err
+}
+
+func checkNoPlainText(t *testing.T, addr string) {
+	t.Helper()
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	if _, err := io.WriteString(conn, "GET / HTTP/1.0\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if raw, _ := io.ReadAll(conn); strings.Contains(string(raw), "\nok") { // whatever ends it
+	if raw, _ := io.ReadAll(conn); strings.Contains(string(raw), "\nok") { // an error is as good as an end
 		t.Errorf("plain text was served: %q", raw)
 	}
 }
 
+// A bad file must be refused with one line that names the fault, and an empty one means plain text.
 func TestBadFilesGiveOneLineErrors(t *testing.T) {
-	a := testcert.New(t)
+	authority := testcert.New(t)
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
-	a.Issue(t, "n0", cert, key)
+	authority.Issue(t, "n0", cert, key)
 	for text, want := range map[string]string{
 		"serve { }":     "certificate or key is missing",
 		"serve { x: 1}": "unknown field",
@@ -122,8 +137,9 @@
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	f, err := loadFromText(t, "")
-	if err != nil || f.ServerConfig() != nil || f.MeshServerConfig() != nil || f.MeshClientConfig("n1") != nil {
+	files, err := loadFromText(t, "")
+	if err != nil || files.ServerConfig() != nil || files.MeshServerConfig() != nil ||
+		files.MeshClientConfig("n1") != nil {
 		t.Errorf("nothing set: %v", err)
 	}
 }
