--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -23,28 +23,26 @@
 	"slices"
 	"strings"
 	"time"
-	_ "time/tzdata"
-
-	// a controller's machine may have no zones
+	_ "time/tzdata" // a controller's machine may have no time zones
 
 	"github.com/spf13/cobra"
 
 	pb "dewlift/proto"
 )
 
-// minAuditTxnOps is how many changes a transaction takes at least where something is recorded: a
-// controller's first block, the chain's head, its settings, and the sign that something is
-// recorded.
+// minAuditTxnOps is the least number of writes that the store must allow in a transaction where there is
+// an audit log: a controller's first block, its chain's head, its settings, and the key that says that
+// there is an audit log.
 const minAuditTxnOps = 4
 
-// auditKeyFor reads the key that rights name; none, nothing is recorded.
-func auditKeyFor(rights *access.Policy, p *settings.Platform) (audit.Key, error) {
-	path := rights.Source().AuditKey
+// auditKeyFor reads the key that a policy names; if it names none there is no audit log, and the key is nil.
+func auditKeyFor(policy *access.Policy, platform *settings.Platform) (audit.Key, error) {
+	path := policy.Source().AuditKey
 	if path == "" {
 		return nil, nil
 	}
-	for _, n := range []*int{&p.Cluster.State.TxnOps, p.Cluster.State.Next.TxnOps} {
-		if n != nil && *n < minAuditTxnOps {
+	for _, limit := range []*int{&platform.Cluster.State.TxnOps, platform.Cluster.State.Next.TxnOps} {
+		if limit != nil && *limit < minAuditTxnOps {
 			return nil, fmt.Errorf("audit_key: a record needs cluster.state.txn_ops of at least %d", minAuditTxnOps)
 		}
 	}
@@ -56,66 +54,71 @@
 	if err != nil {
 		return nil, fmt.Errorf("read audit key: %w", err)
 	}
-	k, err := audit.ParseKey(string(raw))
+	key, err := audit.ParseKey(string(raw))
 	if err != nil {
 		return nil, fmt.Errorf("audit key %s: %w", path, err)
 	}
-	return k, nil
+	return key, nil
 }
 
-// auditChains is where blocks are read: from a site, or from a saved state.
+// auditChains is a source of the audit log's chains: a site, or a snapshot.
 type auditChains interface {
+	// heads returns the last block of each chain.
 	heads(ctx context.Context) ([]wire.AuditChainHead, error)
+	// blocks returns a page of a chain, after the block with a number.
 	blocks(ctx context.Context, node string, after uint64) (wire.AuditPage, error)
 }
 
-// liveChains reads through a controller, in somebody's name.
+// liveChains reads chains from a controller, with a caller's identity.
 type liveChains struct {
 	identity *clientIdentity
 	server   string
 }
 
-const maxAuditPageAttempts = 30 // of a page, a second or so apart, while a controller is busy
+const (
+	// maxAuditPageAttempts is how often a page is requested while a controller is busy.
+	maxAuditPageAttempts = 30
+	auditRetryInterval   = time.Second
+)
 
-func fetchAudit[T any](ctx context.Context, s *liveChains, query string) (T, error) {
-	for try := 1; ; try++ {
-		r, err := s.identity.request(ctx, http.MethodGet, s.server, wire.PathAudit+query, nil)
+// fetchAudit reads a page; while the controller is busy it tries again.
+func fetchAudit[T any](ctx context.Context, chains *liveChains, query string) (page T, err error) {
+	for attempt := 1; ; attempt++ {
+		resp, err := chains.identity.request(ctx, http.MethodGet, chains.server, wire.PathAudit+query, nil)
 		if err != nil {
-			var none T
-			return none, err
+			return page, err
 		}
-		if busy := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests; busy &&
-			try < maxAuditPageAttempts {
-			select {
-			case <-time.After(time.Second):
-				continue
-			case <-ctx.Done():
-				var none T
-				return none, ctx.Err()
-			}
+		busy := resp.Status == http.StatusServiceUnavailable || resp.Status == http.StatusTooManyRequests
+		if !busy || attempt >= maxAuditPageAttempts {
+			page, resp = httpjson.Decode[T](resp)
+			return page, checkResponse(chains.server, resp)
+		}
+		select {
+		case <-time.After(auditRetryInterval):
+		case <-ctx.Done():
+			return page, ctx.Err()
 		}
-		out, r := httpjson.Decode[T](r)
-		return out, checkResponse(s.server, r)
 	}
 }
 
 func (s *liveChains) heads(ctx context.Context) ([]wire.AuditChainHead, error) {
-	h, err := fetchAudit[wire.AuditChainHeads](ctx, s, "")
-	return h.Heads, err
+	page, err := fetchAudit[wire.AuditChainHeads](ctx, s, "")
+	return page.Heads, err
 }
 
 func (s *liveChains) blocks(ctx context.Context, node string, after uint64) (wire.AuditPage, error) {
 	return fetchAudit[wire.AuditPage](ctx, s, fmt.Sprintf("?node=%s&after=%d", url.QueryEscape(node), after))
 }
 
-// snapshotChains are those of a snapshot.
+// snapshotChains are the blocks of each chain in a snapshot, by node and in order.
 type snapshotChains map[string][]wire.AuditBlock
 
+// readSnapshotChains reads the chains of a snapshot.
 func readSnapshotChains(path string) (snapshotChains, error) {
 	out := snapshotChains{}
 	_, err := snapshot.ReadFile(path, func(k *pb.Key) error {
-		if node, n, ok := audit.SplitBlockKey(k.Name); ok {
-			out[node] = append(out[node], wire.AuditBlock{Number: n, Value: bytes.Clone(k.Value)})
+		if node, number, ok := audit.SplitBlockKey(k.Name); ok {
+			out[node] = append(out[node], wire.AuditBlock{Number: number, Value: bytes.Clone(k.Value)})
 		}
 		return nil
 	})
@@ -139,38 +142,43 @@
 	return wire.AuditPage{Blocks: s[node][i:]}, nil
 }
 
-// auditFlags choose what is read, and how times are shown.
+// auditFlags select events, and the time zone in which times are shown.
 type auditFlags struct {
 	server, snapshotFile, node, zone, since, until string
 	filter                                         audit.Filter
 	location                                       *time.Location
 }
 
+// addSourceFlags adds the flags of where to read.
 func (f *auditFlags) addSourceFlags(c *cobra.Command) {
 	c.Flags().StringVar(&f.server, "server", "127.0.0.1:8080", "address of a controller")
 	c.Flags().StringVar(&f.snapshotFile, "snapshot", "", "read a saved state instead of a site")
 	c.Flags().StringVar(&f.node, "node", "", "of this controller alone")
 }
 
+// addFilterFlags adds the flags of what to select.
 func (f *auditFlags) addFilterFlags(c *cobra.Command) {
 	c.Flags().StringVar(&f.filter.Identity, "who", "", "acts of an identity")
 	c.Flags().
-		StringVar(&f.filter.Verb, "verb", "", "submit, cancel, read, administer, audit, start, take, stop, restore; of a refused request: its method")
+		StringVar(&f.filter.Verb, "verb", "", "submit, cancel, read, administer, audit, start, take, stop, restore; "+
+			"of a refused request: its method")
 	c.Flags().StringVar(&f.filter.Object, "object", "", "acts on a job, an identity or whatever else")
 	c.Flags().StringVar(&f.filter.Outcome, "outcome", "", "done or refused")
 	c.Flags().
-		StringVar(&f.since, "since", "", "from a day, or a time: 2026-12-01, 2026-12-01T14:00, or with a zone as in RFC 3339")
+		StringVar(&f.since, "since", "", "from a day, or a time: 2026-12-01, 2026-12-01T14:00, "+
+			"or with a zone as in RFC 3339")
 	c.Flags().StringVar(&f.until, "until", "", "to the end of a day, or before a time")
 	c.Flags().StringVar(&f.zone, "tz", "UTC", "time zone of times and calendar days, as Europe/Zurich")
 }
 
-// parseTimes reads the flags that are text.
+// parseTimes parses and checks the flags of times, and the outcome.
 func (f *auditFlags) parseTimes() (err error) {
 	if f.location, err = time.LoadLocation(f.zone); err != nil {
 		return fmt.Errorf("--tz: no time zone %q", f.zone)
 	}
-	if o := f.filter.Outcome; o != "" && o != audit.OutcomeDone && o != audit.OutcomeRefused {
-		return fmt.Errorf("--outcome: %q is neither %s nor %s", o, audit.OutcomeDone, audit.OutcomeRefused)
+	outcome := f.filter.Outcome
+	if outcome != "" && outcome != audit.OutcomeDone && outcome != audit.OutcomeRefused {
+		return fmt.Errorf("--outcome: %q is neither %s nor %s", outcome, audit.OutcomeDone, audit.OutcomeRefused)
 	}
 	if f.filter.Since, err = parseTime(f.since, f.location, 0); err != nil {
 		return fmt.Errorf("--since: %w", err)
@@ -181,8 +189,8 @@
 	return nil
 }
 
-// parseTime reads a time, or a calendar day: its begin, or that of so many days later, which may be
-// 23 or 25 hours away.
+// parseTime parses a time, or a calendar day: then it returns the beginning of the day so many days later.
+// Days are those of the calendar, which may have 23 or 25 hours.
 func parseTime(text string, zone *time.Location, days int) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
@@ -190,8 +198,8 @@
 	if t, err := time.ParseInLocation(time.DateOnly, text, zone); err == nil {
 		return time.Date(t.Year(), t.Month(), t.Day()+days, 0, 0, 0, 0, zone), nil
 	}
-	for _, form := range []string{"2006-01-02T15:04", "2006-01-02T15:04:05"} {
-		if t, err := time.ParseInLocation(form, text, zone); err == nil {
+	for _, layout := range []string{"2006-01-02T15:04", "2006-01-02T15:04:05"} {
+		if t, err := time.ParseInLocation(layout, text, zone); err == nil {
 			return t, nil
 		}
 	}
@@ -202,6 +210,7 @@
 	return t, nil
 }
 
+// openChains opens the snapshot, if one is named, or the controller.
 func (f *auditFlags) openChains(me *clientIdentity) (auditChains, error) {
 	if f.snapshotFile != "" {
 		return readSnapshotChains(f.snapshotFile)
@@ -209,9 +218,9 @@
 	return &liveChains{me, f.server}, nil
 }
 
-// chainHeads lists the ends of the chains that are asked for.
-func (f *auditFlags) chainHeads(ctx context.Context, s auditChains) ([]wire.AuditChainHead, error) {
-	heads, err := s.heads(ctx)
+// chainHeads returns the heads of the selected chains.
+func (f *auditFlags) chainHeads(ctx context.Context, chains auditChains) ([]wire.AuditChainHead, error) {
+	heads, err := chains.heads(ctx)
 	if err != nil || f.node == "" {
 		return heads, err
 	}
@@ -222,88 +231,94 @@
 	return heads, nil
 }
 
-// chainCursor goes through the acts of one chain.
+// chainCursor iterates over the selected events of one chain.
 type chainCursor struct {
-	node        string
-	after       uint64
-	pendingActs []audit.Event
-	exhausted   bool
+	node      string
+	after     uint64 // number of the last block that was read
+	pending   []audit.Event
+	exhausted bool
 }
 
-// fetchNext sees to it that there is an act, unless there are no more.
-func (u *chainCursor) fetchNext(
+// fetchNext reads pages until an event is pending or there are no more.
+func (c *chainCursor) fetchNext(
 	ctx context.Context,
-	s auditChains,
+	chains auditChains,
 	zone *time.Location,
 	keep func(*audit.Event) bool,
 ) error {
-	for len(u.pendingActs) == 0 && !u.exhausted {
-		p, err := s.blocks(ctx, u.node, u.after)
+	for len(c.pending) == 0 && !c.exhausted {
+		page, err := chains.blocks(ctx, c.node, c.after)
 		if err != nil {
 			return err
 		}
-		for _, raw := range p.Blocks {
-			b, err := audit.DecodeBlock(raw.Value)
+		for _, stored := range page.Blocks {
+			block, err := audit.DecodeBlock(stored.Value)
 			if err != nil {
 				return fmt.Errorf(
-					"chain of %s, block %d: %w; `dewlift audit verify` tells more",
-					u.node,
-					raw.Number,
-					err,
-				)
+					"chain of %s, block %d: %w; `dewlift audit verify` tells more", c.node, stored.Number, err)
 			}
-			for _, a := range b.Events(u.node, zone) {
-				if keep(&a) {
-					u.pendingActs = append(u.pendingActs, a)
+			for _, event := range block.Events(c.node, zone) {
+				if keep(&event) {
+					c.pending = append(c.pending, event)
 				}
 			}
-			u.after = raw.Number
+			c.after = stored.Number
 		}
-		u.exhausted = !p.More || len(p.Blocks) == 0
+		c.exhausted = !page.More || len(page.Blocks) == 0
 	}
 	return nil
 }
 
-// forEachAct calls do for all acts that are asked for, those of all chains merged by their times.
+// forEachAct calls do for all selected events, those of all chains merged by their times.
 func (f *auditFlags) forEachAct(ctx context.Context, me *clientIdentity, do func(*audit.Event) error) error {
 	if err := f.parseTimes(); err != nil {
 		return err
 	}
-	s, err := f.openChains(me)
+	chains, err := f.openChains(me)
 	if err != nil {
 		return err
 	}
-	heads, err := f.chainHeads(ctx, s)
+	heads, err := f.chainHeads(ctx, chains)
 	if err != nil {
 		return err
 	}
-	var list []*chainCursor
-	for _, h := range heads {
-		list = append(list, &chainCursor{node: h.Node})
+	var cursors []*chainCursor
+	for _, head := range heads {
+		cursors = append(cursors, &chainCursor{node: head.Node})
 	}
 	show, done := newProgress("reading", -1)
 	defer done()
 	for n := 0; ; n++ {
-		var next *chainCursor
-		for _, u := range list {
-			if err := u.fetchNext(ctx, s, f.location, f.filter.Matches); err != nil {
-				return err
-			}
-			if len(u.pendingActs) > 0 && (next == nil || u.pendingActs[0].At.Before(next.pendingActs[0].At)) {
-				next = u
-			}
-		}
-		if next == nil {
-			return nil
+		next, err := f.earliestCursor(ctx, chains, cursors)
+		if err != nil || next == nil {
+			return err
 		}
-		if err := do(&next.pendingActs[0]); err != nil {
+		if err := do(&next.pending[0]); err != nil {
 			return err
 		}
-		next.pendingActs = next.pendingActs[1:]
+		next.pending = next.pending[1:]
 		show(n, -1)
 	}
 }
 
+// earliestCursor returns the cursor whose next event is the earliest; nil: there are no more events.
+func (f *auditFlags) earliestCursor(
+	ctx context.Context,
+	chains auditChains,
+	cursors []*chainCursor,
+) (earliest *chainCursor, err error) {
+	for _, cursor := range cursors {
+		if err := cursor.fetchNext(ctx, chains, f.location, f.filter.Matches); err != nil {
+			return nil, err
+		}
+		if len(cursor.pending) > 0 &&
+			(earliest == nil || cursor.pending[0].At.Before(earliest.pending[0].At)) {
+			earliest = cursor
+		}
+	}
+	return earliest, nil
+}
+
 func auditCommand(me *clientIdentity) *cobra.Command {
 	cmd := &cobra.Command{Use: "audit", Short: "Read and verify the record of who did what"}
 	cmd.AddCommand(auditKeyCommand(), auditListCommand(me), auditVerifyCommand(me), auditReportCommand(me))
@@ -328,7 +343,8 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use: "list", Short: "List acts, with their times, who did them and what came of them", Args: cobra.NoArgs,
-		Example: "  dewlift audit list --who potter --outcome refused --since 2026-11-30 --tz Europe/Zurich --key admin.key --server 10.0.0.1:8080",
+		Example: "  dewlift audit list --who potter --outcome refused --since 2026-11-30 --tz Europe/Zurich " +
+			"--key admin.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			enc := json.NewEncoder(out)
@@ -346,26 +362,17 @@
 	return cmd
 }
 
-func printAct(w io.Writer, a *audit.Event) error {
+// printAct prints an event in one line.
+func printAct(w io.Writer, event *audit.Event) error {
 	times, why := "", ""
-	if a.Count > 1 {
-		times = fmt.Sprintf(" (%d times)", a.Count)
-	}
-	if a.Reason != "" {
-		why = ": " + a.Reason
-	}
-	_, err := fmt.Fprintf(
-		w,
-		"%s %-8s %-12s %s %s%s %s%s\n",
-		a.At.Format("2006-01-02T15:04:05.000Z07:00"),
-		a.Node,
-		cmp.Or(a.Identity, "-"),
-		a.Verb,
-		cmp.Or(a.Object, "-"),
-		times,
-		a.Outcome,
-		why,
-	)
+	if event.Count > 1 {
+		times = fmt.Sprintf(" (%d times)", event.Count)
+	}
+	if event.Reason != "" {
+		why = ": " + event.Reason
+	}
+	_, err := fmt.Fprintf(w, "%s %-8s %-12s %s %s%s %s%s\n", event.At.Format("2006-01-02T15:04:05.000Z07:00"),
+		event.Node, cmp.Or(event.Identity, "-"), event.Verb, cmp.Or(event.Object, "-"), times, event.Outcome, why)
 	return err
 }
 
@@ -375,139 +382,164 @@
 	var known string
 	cmd := &cobra.Command{
 		Use: "verify", Short: "Check that no entry was altered, removed, added or moved", Args: cobra.NoArgs,
-		Long: "Check that no entry was altered, removed, added or moved since it was written. The first that was is named, and the\n" +
-			"command ends with 1. Entries cut off the end of a chain are noticed by a file of ends (--ends), which is kept\n" +
+		Long: "Check that no entry was altered, removed, added or moved since it was written. " +
+			"The first that was is named, and the\n" +
+			"command ends with 1. Entries cut off the end of a chain are noticed by a file of ends (--ends), " +
+			"which is kept\n" +
 			"elsewhere and brought up to date by each good check.",
 		Example: "  dewlift audit verify --audit-key audit.key --ends ends.json --key admin.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if len(keys) == 0 {
 				return errors.New("--audit-key is needed: without it nothing can be proven")
 			}
-			var list []audit.Key
+			var loaded []audit.Key
 			for _, path := range keys {
-				k, err := loadAuditKey(path)
+				key, err := loadAuditKey(path)
 				if err != nil {
 					return err
 				}
-				list = append(list, k)
+				loaded = append(loaded, key)
 			}
-			s, err := f.openChains(me)
+			chains, err := f.openChains(me)
 			if err != nil {
 				return err
 			}
-			return f.verify(cmd, s, list, known)
+			return f.verify(cmd, chains, loaded, known)
 		},
 	}
 	f.addSourceFlags(cmd)
 	cmd.Flags().
-		StringSliceVar(&keys, "audit-key", nil, "a key's file; repeated where controllers have their own, or the key was changed")
+		StringSliceVar(&keys, "audit-key", nil, "a key's file; repeated where controllers have their own, "+
+			"or the key was changed")
 	cmd.Flags().StringVar(&known, "ends", "", "the file of ends that were found before")
 	return cmd
 }
 
-// chainEnd is where a chain ended when it was found whole.
+// chainEnd is the last block of a chain when it was verified; its tags are the form of the file of ends.
 type chainEnd struct {
 	Number uint64 `json:"number"`
 	Code   []byte `json:"code"`
 }
 
-func (f *auditFlags) verify(cmd *cobra.Command, s auditChains, keys []audit.Key, known string) error {
-	before := map[string]chainEnd{}
-	if known != "" {
-		raw, err := os.ReadFile(known)
-		if err == nil {
-			err = json.Unmarshal(raw, &before)
-		}
-		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			return fmt.Errorf("ends %s: %w", known, err)
-		}
+// verify verifies the selected chains, also against the ends found before, and saves the new ends. endsFile
+// may be "": none.
+func (f *auditFlags) verify(cmd *cobra.Command, chains auditChains, keys []audit.Key, endsFile string) error {
+	before, err := loadChainEnds(endsFile)
+	if err != nil {
+		return err
 	}
-	heads, err := f.chainHeads(cmd.Context(), s)
+	heads, err := f.chainHeads(cmd.Context(), chains)
 	if err != nil {
 		return err
 	}
-	for node := range before { // one that is there no more
+	for node := range before { // a chain that was there and is gone must be noticed
 		if f.node == "" && !slices.ContainsFunc(heads, func(h wire.AuditChainHead) bool { return h.Node == node }) {
 			heads = append(heads, wire.AuditChainHead{Node: node})
 		}
 	}
 	show, done := newProgress("verifying", -1)
 	defer done()
-	now := maps.Clone(before)
+	ends := maps.Clone(before)
 	total := uint64(0)
-	for _, h := range heads {
-		c := &audit.ChainVerifier{Node: h.Node, Keys: keys}
-		must := map[uint64][]byte{} // codes of blocks as others know them
-		if h.Code != nil {
-			must[h.BlockNumber] = h.Code
+	for _, head := range heads {
+		known := map[uint64][]byte{} // codes of blocks by number, from other sources than the chain
+		if head.Code != nil {
+			known[head.BlockNumber] = head.Code
 		}
-		if e, ok := before[h.Node]; ok {
-			must[e.Number] = e.Code
+		if end, ok := before[head.Node]; ok {
+			known[end.Number] = end.Code
 		}
-		for more := true; more; {
-			p, err := s.blocks(cmd.Context(), h.Node, c.BlockNumber)
-			if err != nil {
+		verifier := &audit.ChainVerifier{Node: head.Node, Keys: keys}
+		progress := func() { show(int(total+verifier.EntryCount), -1) }
+		if err := verifyChain(cmd.Context(), chains, verifier, known, progress); err != nil {
+			return err
+		}
+		total += verifier.EntryCount
+		ends[head.Node] = chainEnd{verifier.BlockNumber, verifier.MAC}
+		printf(cmd.OutOrStdout(), "chain of %s: %d blocks, %d entries, whole\n",
+			head.Node, verifier.BlockNumber, verifier.EntryCount)
+	}
+	if endsFile == "" {
+		return nil
+	}
+	return saveChainEnds(endsFile, ends)
+}
+
+// verifyChain verifies all blocks of a chain, and that it has the known ones.
+func verifyChain(
+	ctx context.Context,
+	chains auditChains,
+	verifier *audit.ChainVerifier,
+	known map[uint64][]byte,
+	progress func(),
+) error {
+	for more := true; more; {
+		page, err := chains.blocks(ctx, verifier.Node, verifier.BlockNumber)
+		if err != nil {
+			return err
+		}
+		for _, block := range page.Blocks {
+			if _, err := verifier.VerifyNext(block.Number, block.Value); err != nil {
 				return err
 			}
-			for _, b := range p.Blocks {
-				if _, err := c.VerifyNext(b.Number, b.Value); err != nil {
-					return err
-				}
-				if code, ok := must[b.Number]; ok && !bytes.Equal(code, c.MAC) {
-					return &audit.Fault{
-						Node:   h.Node,
-						Block:  b.Number,
-						Reason: "is another than was known: the chain was replaced",
-					}
+			if code, ok := known[block.Number]; ok && !bytes.Equal(code, verifier.MAC) {
+				return &audit.Fault{
+					Node:   verifier.Node,
+					Block:  block.Number,
+					Reason: "is another than was known: the chain was replaced",
 				}
 			}
-			show(int(total+c.EntryCount), -1)
-			more = p.More && len(p.Blocks) > 0
 		}
-		for n := range must {
-			if n > c.BlockNumber {
-				return &audit.Fault{
-					Node:   h.Node,
-					Block:  c.BlockNumber + 1,
-					Reason: fmt.Sprintf("and those behind it, up to %d, were removed", n),
-				}
+		progress()
+		more = page.More && len(page.Blocks) > 0
+	}
+	for number := range known {
+		if number > verifier.BlockNumber {
+			return &audit.Fault{
+				Node:   verifier.Node,
+				Block:  verifier.BlockNumber + 1,
+				Reason: fmt.Sprintf("and those behind it, up to %d, were removed", number),
 			}
 		}
-		total += c.EntryCount
-		now[h.Node] = chainEnd{c.BlockNumber, c.MAC}
-		fmt.Fprintf(
-			cmd.OutOrStdout(),
-			"chain of %s: %d blocks, %d entries, whole\n",
-			h.Node,
-			c.BlockNumber,
-			c.EntryCount,
-		)
-	}
-	if known == "" {
-		return nil
 	}
-	return saveChainEnds(known, now)
+	return nil
 }
 
-// saveChainEnds replaces the file of ends whole, or not at all.
+// loadChainEnds reads a file of ends; there are none without a file.
+func loadChainEnds(path string) (map[string]chainEnd, error) {
+	ends := map[string]chainEnd{}
+	if path == "" {
+		return ends, nil
+	}
+	raw, err := os.ReadFile(path)
+	if err == nil {
+		err = json.Unmarshal(raw, &ends)
+	}
+	if err != nil && !errors.Is(err, os.ErrNotExist) {
+		return nil, fmt.Errorf("ends %s: %w", path, err)
+	}
+	return ends, nil
+}
+
+// saveChainEnds replaces the file of ends atomically.
 func saveChainEnds(path string, ends map[string]chainEnd) error {
 	raw, err := json.MarshalIndent(ends, "", "  ")
 	if err != nil {
 		return err
 	}
-	t, err := os.CreateTemp(filepath.Dir(path), ".ends")
+	file, err := os.CreateTemp(filepath.Dir(path), ".ends")
 	if err != nil {
 		return fmt.Errorf("ends: %w", err)
 	}
-	_, err = t.Write(append(raw, '\n'))
+	_, err = file.Write(append(raw, '\n'))
 	if err == nil {
-		err = t.Sync()
+		err = file.Sync()
 	}
-	if err = errors.Join(err, t.Close()); err == nil {
-		err = os.Rename(t.Name(), path)
+	if err = errors.Join(err, file.Close()); err == nil {
+		err = os.Rename(file.Name(), path)
 	}
 	if err != nil {
-		os.Remove(t.Name())
+		_ = os.Remove(file.Name()) // the first error is the one to report
 		return fmt.Errorf("ends: %w", err)
 	}
 	return nil
@@ -518,7 +550,8 @@
 	var file string
 	cmd := &cobra.Command{
 		Use: "report", Short: "Write a page of who did what, by day, with a plot", Args: cobra.NoArgs,
-		Example: "  dewlift audit report --html november.html --since 2026-11-01 --until 2026-11-30 --tz Europe/Zurich --key admin.key",
+		Example: "  dewlift audit report --html november.html --since 2026-11-01 --until 2026-11-30 " +
+			"--tz Europe/Zurich --key admin.key",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if file == "" {
 				return errors.New("--html FILE is needed")
@@ -526,35 +559,19 @@
 			if err := f.parseTimes(); err != nil {
 				return err
 			}
-			r := &report.Report{Zone: f.location}
-			if err := f.forEachAct(cmd.Context(), me, func(a *audit.Event) error { r.Add(a); return nil }); err != nil {
+			page := &report.Report{Zone: f.location}
+			add := func(event *audit.Event) error { page.Add(event); return nil }
+			if err := f.forEachAct(cmd.Context(), me, add); err != nil {
 				return err
 			}
 			out, err := os.Create(file)
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
-			var chosen []string
-			for _, x := range [][2]string{
-				{"who", f.filter.Identity},
-				{"verb", f.filter.Verb},
-				{"object", f.filter.Object},
-				{"outcome", f.filter.Outcome},
-				{"since", f.since},
-				{"until", f.until},
-			} {
-				if x[1] != "" {
-					chosen = append(chosen, x[0]+" "+x[1])
-				}
-			}
-			note := ""
-			if len(chosen) > 0 {
-				note = "Only: " + strings.Join(chosen, ", ") + "."
-			}
-			if err := errors.Join(r.WriteHTML(out, note), out.Close()); err != nil {
+			if err := errors.Join(page.WriteHTML(out, f.selectionNote()), out.Close()); err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d days\n", file, len(r.Days()))
+			printf(cmd.OutOrStdout(), "%s: %d days\n", file, len(page.Days()))
 			return nil
 		},
 	}
@@ -563,3 +580,24 @@
 	cmd.Flags().StringVar(&file, "html", "", "the page's file")
 	return cmd
 }
+
+// selectionNote says in words which events are selected, "" if all are.
+func (f *auditFlags) selectionNote() string {
+	var chosen []string
+	for _, selected := range [][2]string{
+		{"who", f.filter.Identity},
+		{"verb", f.filter.Verb},
+		{"object", f.filter.Object},
+		{"outcome", f.filter.Outcome},
+		{"since", f.since},
+		{"until", f.until},
+	} {
+		if selected[1] != "" {
+			chosen = append(chosen, selected[0]+" "+selected[1])
+		}
+	}
+	if len(chosen) == 0 {
+		return ""
+	}
+	return "Only: " + strings.Join(chosen, ", ") + "."
+}
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -27,28 +27,31 @@
 
 const (
 	demoNodes        = 3
-	demoMachines     = 240 // over the demo's life: one that was returned does not come back
-	demoRestartDelay = time.Second
-	demoStartTimeout = time.Minute // until all serve
+	demoMachines     = 240         // over the demo's life: a machine that was scaled in is not used again
+	demoRestartDelay = time.Second // of a controller that ended
+	demoStartTimeout = time.Minute // until all controllers are healthy
+	demoBootTime     = 2 * time.Second
 )
 
-// demoSite is a site on loopback: the stand-ins in this process, and a process for each controller.
+// demoSite is a site on loopback: fakes of the store, the cloud and the agents in this process, and a process
+// for each controller.
 type demoSite struct {
 	out            io.Writer
 	outMu          sync.Mutex // of out
 	dir            string
-	controllerArgs []string // of a controller, beside its settings
-	addrs          []string
+	controllerArgs []string // of each controller, beside its settings
+	addrs          []string // of the controllers, for users
 	running        sync.WaitGroup
 }
 
-func demoCommand(on *featureFiles, tuning *string) *cobra.Command {
+func demoCommand(files *featureFiles, tuning *string) *cobra.Command {
 	var logs string
 	cmd := &cobra.Command{
 		Use:   "demo",
 		Short: "Serve a site on loopback to try dewlift on: three controllers around stand-ins of all else",
 		Args:  cobra.NoArgs,
-		Long: "Three controllers, each a process of this program, around stand-ins of the state service, the cloud and the workers. Tasks take their\n" +
+		Long: "Three controllers, each a process of this program, around stand-ins of the state service, the cloud " +
+			"and the workers. Tasks take their\n" +
 			"estimated time and do nothing. A controller that ends is started again. All is gone when the demo ends.",
 		Example: "  dewlift demo --booking deploy/booking.textproto",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -57,10 +60,10 @@
 			d := &demoSite{out: cmd.OutOrStdout()}
 			for flag, path := range map[string]string{
 				"--tuning":  *tuning,
-				"--access":  on.permissionsFile,
-				"--tls":     on.tlsFile,
-				"--booking": on.equipmentFile,
-				"--lanes":   on.priorityClassesFile,
+				"--access":  files.permissionsFile,
+				"--tls":     files.tlsFile,
+				"--booking": files.equipmentFile,
+				"--lanes":   files.priorityClassesFile,
 			} {
 				if path == "" {
 					continue
@@ -71,14 +74,14 @@
 				}
 				d.controllerArgs = append(d.controllerArgs, flag, whole)
 			}
-			if err := on.validate(*tuning); err != nil {
+			if err := files.validate(*tuning); err != nil {
 				return err
 			}
 			var err error
 			if d.dir, err = os.MkdirTemp("", "dewlift-demo-*"); err != nil {
 				return err
 			}
-			defer os.RemoveAll(d.dir)
+			defer func() { _ = os.RemoveAll(d.dir) }() // a temporary directory
 			if logs == "" {
 				logs = d.dir
 			} else if err := os.MkdirAll(logs, 0o755); err != nil {
@@ -94,10 +97,10 @@
 func (d *demoSite) printLine(format string, args ...any) {
 	d.outMu.Lock()
 	defer d.outMu.Unlock()
-	fmt.Fprintf(d.out, format+"\n", args...)
+	printf(d.out, format+"\n", args...)
 }
 
-// serve has a handler answer on a free address of loopback until the context ends.
+// serve serves a handler on a free address of loopback until the context ends.
 func (d *demoSite) serve(ctx context.Context, h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -109,7 +112,8 @@
 	return ln.Addr().String(), nil
 }
 
-// freeAddrs are addresses on loopback that nobody listens on: a process can't be handed a listener on every system.
+// freeAddrs returns addresses on loopback that nobody listens on: not every system can hand a listener to a
+// process.
 func freeAddrs(n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -117,29 +121,30 @@
 		if err != nil {
 			return nil, err
 		}
-		defer ln.Close()
+		defer func() { _ = ln.Close() }() // only its address is needed
 		out = append(out, ln.Addr().String())
 	}
 	return out, nil
 }
 
+// run serves the site until the context ends.
 func (d *demoSite) run(ctx context.Context, logs string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer d.running.Wait()
 	defer cancel()
-	kind := wire.MachineType{
+	machineType := wire.MachineType{
 		Name:      "bench-8",
 		CPUs:      8,
 		MemoryGB:  32,
 		Zones:     []string{"a", "b", "c"},
-		BootS:     2,
+		BootS:     demoBootTime.Seconds(),
 		Price:     1,
 		SpotPrice: 0.4,
 	}
 	store := fakes.NewStore(
 		fakes.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256},
 	)
-	state, err := d.serve(ctx, store)
+	storeAddr, err := d.serve(ctx, store)
 	if err != nil {
 		return err
 	}
@@ -148,71 +153,17 @@
 		return err
 	}
 	d.addrs = addrs[:demoNodes]
-	// A worker fetches a job's description by itself; here from where it was stored.
-	fleet := fakes.NewWorkers(
-		demoMachines,
-		kind,
-		d.addrs,
-		2*time.Second,
-		func(piece string) ([3]int64, time.Duration) {
-			id, _, _ := wire.SplitTaskName(piece)
-			r, err := jobrecord.Decode(store.Value(core.KeyJob + id))
-			if err != nil || r.Spec == nil {
-				return [3]int64{}, time.Second // its job is over
-			}
-			run := time.Duration(r.Spec.EstimatedRuntimeMS) * time.Millisecond
-			if !r.Spec.Service {
-				run = max(run, time.Second)
-			}
-			return r.Spec.Request, run
-		},
-	)
-	d.running.Go(func() { _ = fleet.Run(ctx) }) // without it, nothing can be rented, which shows
-	cloud, err := d.serve(ctx, fleet.CloudHandler())
+	fleet := fakes.NewWorkers(demoMachines, machineType, d.addrs, demoBootTime, taskDescriptions(store))
+	d.running.Go(func() { _ = fleet.Run(ctx) }) // without it, no machine boots, which shows
+	cloudAddr, err := d.serve(ctx, fleet.CloudHandler())
 	if err != nil {
 		return err
 	}
 	for i := range demoNodes {
-		p := &settings.Platform{
-			Name:     fmt.Sprintf("n%d", i),
-			Zone:     kind.Zones[i%3],
-			Listen:   addrs[i],
-			MeshAddr: addrs[demoNodes+i],
-		}
-		p.Services.State, p.Services.Cloud = state, cloud
-		for k := range demoNodes {
-			if k != i {
-				p.Peers = append(
-					p.Peers,
-					settings.Peer{Name: fmt.Sprintf("n%d", k), Zone: kind.Zones[k%3], Addr: addrs[demoNodes+k]},
-				)
-			}
-		}
-		k := &p.Cluster
-		k.Count, k.Zones, k.Teams = demoNodes, kind.Zones, []settings.Team{
-			{Name: "workshop"},
-			{Name: "packing", ReservedCPUs: 20, MaxCPUs: 40},
-		}
-		k.Workers.HeartbeatIntervalS = 2
-		k.Workers.AgentLeaseS = 20
-		k.Workers.CancelDeadlineS = 40
-		k.TimeBoundMS = 5
-		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = 150, 30, 8, 24
-		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit, k.Quota.CoreShare, k.Quota.MemMB = 4, 1, 1000, 0.25, 200
-		raw, err := json.Marshal(p)
-		if err != nil {
+		platform := demoPlatform(i, addrs, machineType.Zones, storeAddr, cloudAddr)
+		if err := d.startController(ctx, platform, logs); err != nil {
 			return err
 		}
-		path := filepath.Join(d.dir, p.Name+".json")
-		if err := os.WriteFile(path, raw, 0o600); err != nil {
-			return err
-		}
-		log, err := os.OpenFile(filepath.Join(logs, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-		if err != nil {
-			return err
-		}
-		defer log.Close()
-		d.running.Go(func() { d.keepControllerRunning(ctx, p, path, log) })
 	}
 	if err := d.waitHealthy(ctx); err != nil {
 		return err
@@ -222,24 +173,107 @@
 	return nil
 }
 
-// keepControllerRunning runs a controller, and starts it again when it ends.
-func (d *demoSite) keepControllerRunning(ctx context.Context, p *settings.Platform, config string, log io.Writer) {
+// taskDescriptions returns a function that says what a task requests and how long it runs. Real agents
+// fetch that themselves; the fakes read it where it is stored.
+func taskDescriptions(store *fakes.Store) func(task string) ([3]int64, time.Duration) {
+	return func(task string) ([3]int64, time.Duration) {
+		id, _, _ := wire.SplitTaskName(task)
+		record, err := jobrecord.Decode(store.Value(core.KeyJob + id))
+		if err != nil || record.Spec == nil {
+			return [3]int64{}, time.Second // its job has ended
+		}
+		runtime := time.Duration(record.Spec.EstimatedRuntimeMS) * time.Millisecond
+		if !record.Spec.Service {
+			runtime = max(runtime, time.Second)
+		}
+		return record.Spec.Request, runtime
+	}
+}
+
+// demoPlatform returns the settings of a controller. addrs are the addresses of all controllers for users, then
+// those for the mesh.
+func demoPlatform(node int, addrs, zones []string, storeAddr, cloudAddr string) *settings.Platform {
+	platform := &settings.Platform{
+		Name:     fmt.Sprintf("n%d", node),
+		Zone:     zones[node%len(zones)],
+		Listen:   addrs[node],
+		MeshAddr: addrs[demoNodes+node],
+	}
+	platform.Services.State, platform.Services.Cloud = storeAddr, cloudAddr
+	for peer := range demoNodes {
+		if peer != node {
+			platform.Peers = append(platform.Peers, settings.Peer{
+				Name: fmt.Sprintf("n%d", peer),
+				Zone: zones[peer%len(zones)],
+				Addr: addrs[demoNodes+peer],
+			})
+		}
+	}
+	cluster := &platform.Cluster
+	cluster.Count = demoNodes
+	cluster.Zones = zones
+	cluster.Teams = []settings.Team{{Name: "workshop"}, {Name: "packing", ReservedCPUs: 20, MaxCPUs: 40}}
+	cluster.Workers.HeartbeatIntervalS = 2
+	cluster.Workers.AgentLeaseS = 20
+	cluster.Workers.CancelDeadlineS = 40
+	cluster.TimeBoundMS = 5
+	cluster.State.RPS = 150
+	cluster.State.WriteRPS = 30
+	cluster.State.ValueKB = 8
+	cluster.State.TxnOps = 24
+	cluster.Cloud.RPS = 4
+	cluster.Cloud.ListLagS = 1
+	cluster.Quota.FDLimit = 1000
+	cluster.Quota.CoreShare = 0.25
+	cluster.Quota.MemMB = 200
+	return platform
+}
+
+// startController writes a controller's settings and keeps it running until the context ends. Its log is
+// closed when it no longer runs.
+func (d *demoSite) startController(ctx context.Context, platform *settings.Platform, logs string) error {
+	raw, err := json.Marshal(platform)
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(d.dir, platform.Name+".json")
+	if err := os.WriteFile(path, raw, 0o600); err != nil {
+		return err
+	}
+	log, err := os.OpenFile(filepath.Join(logs, platform.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err != nil {
+		return err
+	}
+	d.running.Go(func() {
+		defer func() { _ = log.Close() }() // written by the controller's process, which has ended
+		d.keepControllerRunning(ctx, platform, path, log)
+	})
+	return nil
+}
+
+// keepControllerRunning runs a controller, and restarts it when it ends, until the context ends.
+func (d *demoSite) keepControllerRunning(
+	ctx context.Context,
+	platform *settings.Platform,
+	config string,
+	log io.Writer,
+) {
 	self, err := os.Executable()
 	if err != nil {
-		d.printLine("controller %s can't be started: %v", p.Name, err)
+		d.printLine("controller %s can't be started: %v", platform.Name, err)
 		return
 	}
 	for ctx.Err() == nil {
 		cmd := exec.CommandContext(ctx, self, append([]string{"--config", config}, d.controllerArgs...)...)
 		cmd.Stderr = log
 		if err := cmd.Start(); err != nil {
-			d.printLine("controller %s can't be started: %v", p.Name, err)
+			d.printLine("controller %s can't be started: %v", platform.Name, err)
 			return
 		}
-		d.printLine("controller %s http://%s pid %d", p.Name, p.Listen, cmd.Process.Pid)
+		d.printLine("controller %s http://%s pid %d", platform.Name, platform.Listen, cmd.Process.Pid)
 		err := cmd.Wait()
 		if ctx.Err() == nil {
-			d.printLine("controller %s ended: %v", p.Name, err)
+			d.printLine("controller %s ended: %v", platform.Name, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -248,20 +282,20 @@
 	}
 }
 
-// waitHealthy waits until all controllers serve.
+// waitHealthy waits until all controllers are healthy.
 func (d *demoSite) waitHealthy(ctx context.Context) error {
 	client := http.Client{Timeout: time.Second}
 	for end := time.Now().Add(demoStartTimeout); time.Now().Before(end); {
-		up := 0
-		for _, a := range d.addrs {
-			if resp, err := client.Get("http://" + a + wire.PathHealth); err == nil {
+		healthy := 0
+		for _, addr := range d.addrs {
+			if resp, err := client.Get("http://" + addr + wire.PathHealth); err == nil {
 				_ = resp.Body.Close()
 				if resp.StatusCode == http.StatusOK {
-					up++
+					healthy++
 				}
 			}
 		}
-		if up == demoNodes {
+		if healthy == demoNodes {
 			return nil
 		}
 		select {
--- a/cmd/dewlift/job.go
+++ b/cmd/dewlift/job.go
@@ -42,25 +42,19 @@
 	if j.asJSON {
 		return json.NewEncoder(out).Encode(s)
 	}
-	fmt.Fprintf(out, "%s: %s, %d done, %d running\n", s.ID, s.Stage, s.Done, s.Running)
+	printf(out, "%s: %s, %d done, %d running\n", s.ID, s.Stage, s.Done, s.Running)
 	if s.Note != "" {
-		fmt.Fprintf(out, "  %s\n", s.Note)
+		printf(out, "  %s\n", s.Note)
 	}
 	if s.DependencyCount > 0 {
-		fmt.Fprintf(out, "  waits for %d jobs: %s\n", s.DependencyCount, strings.Join(s.Dependencies, " "))
+		printf(out, "  waits for %d jobs: %s\n", s.DependencyCount, strings.Join(s.Dependencies, " "))
 	}
 	if s.CancelledBy != "" {
-		fmt.Fprintf(out, "  cancelled with %s, which it needs\n", s.CancelledBy)
+		printf(out, "  cancelled with %s, which it needs\n", s.CancelledBy)
 	}
 	for _, w := range s.TaskStops {
-		fmt.Fprintf(
-			out,
-			"  task %d stopped on %s at %s: %s\n",
-			w.Task,
-			w.Machine,
-			time.UnixMilli(w.AtMS).UTC().Format(time.RFC3339),
-			w.Cause,
-		)
+		printf(out, "  task %d stopped on %s at %s: %s\n",
+			w.Task, w.Machine, time.UnixMilli(w.AtMS).UTC().Format(time.RFC3339), w.Cause)
 	}
 	return nil
 }
@@ -101,16 +95,8 @@
 			if j.asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(x)
 			}
-			fmt.Fprintf(
-				cmd.OutOrStdout(),
-				"%s is number %d of %d in the queue, in lane %s, since %d s: %s\n",
-				x.ID,
-				x.Position,
-				q.Total,
-				x.PriorityClass,
-				x.WaitedS,
-				x.Explanation,
-			)
+			printf(cmd.OutOrStdout(), "%s is number %d of %d in the queue, in lane %s, since %d s: %s\n",
+				x.ID, x.Position, q.Total, x.PriorityClass, x.WaitedS, x.Explanation)
 			return nil
 		}),
 		j.subcommand("cancel", "Withdraw a job", func(cmd *cobra.Command, id string) error {
--- a/cmd/dewlift/main.go
+++ b/cmd/dewlift/main.go
@@ -1,4 +1,5 @@
-// Command dewlift runs a controller of the dewlift cluster scheduler.
+// Command dewlift runs a controller of the dewlift cluster scheduler, and has the operators' commands. Verbs,
+// flags and their texts are an interface: golden tests fix them.
 package main
 
 import (
@@ -20,9 +21,9 @@
 
 const version = "0.1.0"
 
-// memoryLimitShare is the part of the memory that may be used which the runtime keeps to; the rest
-// is for what it does not count, and for moments in which more comes in than it collects. With 0.8,
-// collections were fewer, and a leader of a full fleet ended in the runtime on one day.
+// memoryLimitShare is the share of the memory quota that the Go runtime is limited to. The rest is for
+// what it does not count, and for peaks that outrun the garbage collector: with 0.8 there were fewer
+// collections, and a leader of a full fleet was killed on one day.
 const memoryLimitShare = 0.7
 
 func main() {
@@ -32,82 +33,70 @@
 	}
 }
 
-// exitCode is the exit code of an error: 1 of a finding or a refusal, 2 of bad use and of all else.
+// exitCode returns the exit code for an error: 1 for a finding or a refusal, 2 for bad use and all else.
 func exitCode(err error) int {
-	fault, no := (*audit.Fault)(nil), refusedError("")
-	if errors.As(err, &fault) || errors.As(err, &no) {
+	fault, refusal := (*audit.Fault)(nil), refusedError("")
+	if errors.As(err, &fault) || errors.As(err, &refusal) {
 		return 1
 	}
 	return 2
 }
 
-// featureFiles are those that turn something on.
+// featureFiles are the files that enable features; "": the feature is off.
 type featureFiles struct{ permissionsFile, tlsFile, equipmentFile, priorityClassesFile string }
 
-// validate reads all files that are named, and the operators' own settings.
-func (on *featureFiles) validate(tuning string) error {
+// validate reads the files of permissions, priority classes and equipment that are named, and the tuning.
+func (files *featureFiles) validate(tuning string) error {
 	if _, err := settings.LoadTuning(tuning); err != nil {
 		return err
 	}
-	if on.permissionsFile != "" {
-		if _, err := loadPermissions(on.permissionsFile); err != nil {
+	if files.permissionsFile != "" {
+		if _, err := loadPermissions(files.permissionsFile); err != nil {
 			return err
 		}
 	}
-	if on.priorityClassesFile != "" {
-		if _, err := loadPriorityClasses(on.priorityClassesFile); err != nil {
+	if files.priorityClassesFile != "" {
+		if _, err := loadPriorityClasses(files.priorityClassesFile); err != nil {
 			return err
 		}
 	}
-	if on.equipmentFile != "" {
-		if _, err := loadEquipment(on.equipmentFile); err != nil {
+	if files.equipmentFile != "" {
+		if _, err := loadEquipment(files.equipmentFile); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addFlags are those that name the files.
-func (on *featureFiles) addFlags(f *pflag.FlagSet) {
-	f.StringVar(
-		&on.permissionsFile,
-		"access",
-		os.Getenv("DEWLIFT_ACCESS"),
-		"the site's first rights (protobuf text format)",
-	)
-	f.StringVar(&on.tlsFile, "tls", os.Getenv("DEWLIFT_TLS"), "files of certificates and keys (protobuf text format)")
-	f.StringVar(
-		&on.priorityClassesFile,
-		"lanes",
-		os.Getenv("DEWLIFT_LANES"),
-		"the site's first list of lanes (protobuf text format)",
-	)
-	f.StringVar(
-		&on.equipmentFile,
-		"booking",
-		os.Getenv("DEWLIFT_BOOKING"),
-		"the site's first list of equipment that can be booked (protobuf text format)",
-	)
+// addFlags adds the flags that name the files.
+func (files *featureFiles) addFlags(f *pflag.FlagSet) {
+	f.StringVar(&files.permissionsFile, "access",
+		os.Getenv("DEWLIFT_ACCESS"), "the site's first rights (protobuf text format)")
+	f.StringVar(&files.tlsFile, "tls", os.Getenv("DEWLIFT_TLS"), "files of certificates and keys (protobuf text format)")
+	f.StringVar(&files.priorityClassesFile, "lanes",
+		os.Getenv("DEWLIFT_LANES"), "the site's first list of lanes (protobuf text format)")
+	f.StringVar(&files.equipmentFile, "booking",
+		os.Getenv("DEWLIFT_BOOKING"), "the site's first list of equipment that can be booked (protobuf text format)")
 }
 
 func rootCommand() *cobra.Command {
 	var config, tuning string
-	var on featureFiles
-	me := &clientIdentity{}
+	var files featureFiles
+	identity := &clientIdentity{}
 	cmd := &cobra.Command{
 		Use: "dewlift", Short: "A cluster scheduler with collaborate-state", Args: cobra.NoArgs,
 		SilenceUsage: true, SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runController(cmd.Context(), config, tuning, on)
+			return runController(cmd.Context(), config, tuning, files)
 		},
 	}
 	cmd.PersistentFlags().StringVar(&config, "config", "", "the platform's settings file (JSON)")
 	cmd.PersistentFlags().
 		StringVar(&tuning, "tuning", os.Getenv("DEWLIFT_TUNING"), "the operators' own settings (protobuf text format)")
-	on.addFlags(cmd.Flags())
-	me.addFlags(cmd.PersistentFlags())
-	demo := demoCommand(&on, &tuning)
-	on.addFlags(demo.Flags())
+	files.addFlags(cmd.Flags())
+	identity.addFlags(cmd.PersistentFlags())
+	demo := demoCommand(&files, &tuning)
+	files.addFlags(demo.Flags())
 	cmd.AddCommand(&cobra.Command{
 		Use: "check", Short: "Check the settings", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -117,61 +106,73 @@
 			if _, err := settings.LoadTuning(tuning); err != nil {
 				return err
 			}
-			fmt.Fprintln(cmd.OutOrStdout(), "settings are valid")
+			printf(cmd.OutOrStdout(), "settings are valid\n")
 			return nil
 		},
 	}, &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "dewlift "+version) },
-	}, jobCommand(me), snapshotCommand(&config, me), accessCommand(me), keyCommand(me), auditCommand(me), reservationCommand(me), priorityClassesCommand(me), queueCommand(me), demo, settingsCommand())
+		Run: func(cmd *cobra.Command, _ []string) { printf(cmd.OutOrStdout(), "dewlift %s\n", version) },
+	},
+		jobCommand(identity), snapshotCommand(&config, identity), accessCommand(identity), keyCommand(identity),
+		auditCommand(identity), reservationCommand(identity), priorityClassesCommand(identity),
+		queueCommand(identity), demo, settingsCommand())
 	return cmd
 }
 
-func runController(ctx context.Context, config, tuning string, on featureFiles) error {
+// runController runs a controller until the context ends or a listener fails.
+func runController(ctx context.Context, config, tuningFile string, files featureFiles) error {
 	if config == "" {
 		return fmt.Errorf("--config FILE is needed")
 	}
-	p, err := settings.LoadPlatform(config)
+	platform, err := settings.LoadPlatform(config)
 	if err != nil {
 		return err
 	}
-	t, err := settings.LoadTuning(tuning)
+	tuning, err := settings.LoadTuning(tuningFile)
 	if err != nil {
 		return err
 	}
 	level := slog.LevelInfo
-	if s := os.Getenv("LOG_LEVEL"); s != "" {
-		if err := level.UnmarshalText([]byte(s)); err != nil {
-			return fmt.Errorf("LOG_LEVEL %q: want error, info or debug", s)
+	if text := os.Getenv("LOG_LEVEL"); text != "" {
+		if err := level.UnmarshalText([]byte(text)); err != nil {
+			return fmt.Errorf("LOG_LEVEL %q: want error, info or debug", text)
 		}
 	}
-	// The share of a core is small: one thread of work, and memory kept under the quota.
+	// A controller's share of a processor is small: one thread runs Go code, and memory stays within the quota.
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(p.Cluster.Quota.MemMB * memoryLimitShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(platform.Cluster.Quota.MemMB * memoryLimitShare * (1 << 20)))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	var g dewlift.Options
-	if on.permissionsFile != "" {
-		if g.Permissions, err = loadPermissions(on.permissionsFile); err != nil {
-			return err
+	options, err := files.load(platform, log)
+	if err != nil {
+		return err
+	}
+	return dewlift.New(platform, tuning, options, log).Run(ctx)
+}
+
+// load reads the files that are named.
+func (files *featureFiles) load(platform *settings.Platform, log *slog.Logger) (options dewlift.Options, err error) {
+	if files.permissionsFile != "" {
+		if options.Permissions, err = loadPermissions(files.permissionsFile); err != nil {
+			return options, err
 		}
-		if g.AuditKey, err = auditKeyFor(g.Permissions, p); err != nil {
-			return err
+		if options.AuditKey, err = auditKeyFor(options.Permissions, platform); err != nil {
+			return options, err
 		}
 	}
-	if on.priorityClassesFile != "" {
-		if g.PriorityClasses, err = loadPriorityClasses(on.priorityClassesFile); err != nil {
-			return err
+	if files.priorityClassesFile != "" {
+		if options.PriorityClasses, err = loadPriorityClasses(files.priorityClassesFile); err != nil {
+			return options, err
 		}
 	}
-	if on.equipmentFile != "" {
-		if g.Equipment, err = loadEquipment(on.equipmentFile); err != nil {
-			return err
+	if files.equipmentFile != "" {
+		if options.Equipment, err = loadEquipment(files.equipmentFile); err != nil {
+			return options, err
 		}
 	}
-	if on.tlsFile != "" {
-		if g.TLSFiles, err = tlsconfig.Load(on.tlsFile, log); err != nil {
-			return err
+	if files.tlsFile != "" {
+		if options.TLSFiles, err = tlsconfig.Load(files.tlsFile, log); err != nil {
+			return options, err
 		}
 	}
-	return dewlift.New(p, t, g, log).Run(ctx)
+	return options, nil
 }
--- a/cmd/dewlift/permissions.go
+++ b/cmd/dewlift/permissions.go
@@ -26,18 +26,10 @@
 
 func (me *clientIdentity) addFlags(f *pflag.FlagSet) {
 	f.StringVar(&me.keyFile, "key", os.Getenv("DEWLIFT_KEY"), "a private key, to prove who asks")
-	f.StringVar(
-		&me.caFile,
-		"ca",
-		os.Getenv("DEWLIFT_CA"),
-		"authorities of controllers' certificates (PEM): TLS is used",
-	)
-	f.StringVar(
-		&me.certificateFile,
-		"certificate",
-		os.Getenv("DEWLIFT_CERTIFICATE"),
-		"a certificate, to prove who asks (PEM)",
-	)
+	f.StringVar(&me.caFile, "ca",
+		os.Getenv("DEWLIFT_CA"), "authorities of controllers' certificates (PEM): TLS is used")
+	f.StringVar(&me.certificateFile, "certificate",
+		os.Getenv("DEWLIFT_CERTIFICATE"), "a certificate, to prove who asks (PEM)")
 	f.StringVar(&me.certificateKeyFile, "certificate-key", os.Getenv("DEWLIFT_CERTIFICATE_KEY"), "its key (PEM)")
 }
 
@@ -140,13 +132,7 @@
 				return err
 			}
 			roles, people, keys := p.Counts()
-			fmt.Fprintf(
-				cmd.OutOrStdout(),
-				"rights are valid: %d roles, %d identities, %d keys\n",
-				roles,
-				people,
-				keys,
-			)
+			printf(cmd.OutOrStdout(), "rights are valid: %d roles, %d identities, %d keys\n", roles, people, keys)
 			return nil
 		},
 	}, explainCommand(), showPermissionsCommand(me), grantCommand(me), revokeCommand(me))
@@ -180,7 +166,7 @@
 			if d.Allowed {
 				word = "may"
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s %s %s: %s\n", who, word, verb, d.Reason)
+			printf(cmd.OutOrStdout(), "%s %s %s: %s\n", who, word, verb, d.Reason)
 			return nil
 		},
 	}
@@ -244,7 +230,7 @@
 			if err := checkResponse(server, r); err != nil {
 				return err
 			}
-			fmt.Fprint(cmd.OutOrStdout(), out.Text)
+			printf(cmd.OutOrStdout(), "%s", out.Text)
 			return nil
 		},
 	}
@@ -280,7 +266,7 @@
 			if _, err := editPermissions(cmd.Context(), me, server, args[0], e); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "granted to %s\n", args[0])
+			printf(cmd.OutOrStdout(), "granted to %s\n", args[0])
 			return nil
 		},
 	}
@@ -313,9 +299,9 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "revoked from %s\n", args[0])
+			printf(cmd.OutOrStdout(), "revoked from %s\n", args[0])
 			for _, id := range out.Cancelled {
-				fmt.Fprintf(cmd.OutOrStdout(), "  cancelling %s\n", id)
+				printf(cmd.OutOrStdout(), "  cancelling %s\n", id)
 			}
 			return nil
 		},
@@ -367,7 +353,7 @@
 			}
 			t, err := k.SignToken(time.Now(), life)
 			if err == nil {
-				fmt.Fprintln(cmd.OutOrStdout(), t)
+				printf(cmd.OutOrStdout(), "%s\n", t)
 			}
 			return err
 		},
@@ -399,7 +385,7 @@
 			}); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is no key of %s any more\n", args[1], args[0])
+			printf(cmd.OutOrStdout(), "%s is no key of %s any more\n", args[1], args[0])
 			return nil
 		},
 	}
@@ -408,7 +394,7 @@
 }
 
 func printPublicKey(cmd *cobra.Command, k *access.PrivateKey) {
-	fmt.Fprintf(cmd.OutOrStdout(), "keys { id: %q ed25519: %q }\n", k.ID, k.PublicBase64())
+	printf(cmd.OutOrStdout(), "keys { id: %q ed25519: %q }\n", k.ID, k.PublicBase64())
 }
 
 // saveKey writes a private key that only its owner can read; a file that is there is never replaced.
@@ -461,7 +447,7 @@
 			}); err != nil {
 				return fmt.Errorf("%w (%s holds the new key; the old one may still be good)", err, out)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s holds the key of %s from now on\n", out, old.Holder)
+			printf(cmd.OutOrStdout(), "%s holds the key of %s from now on\n", out, old.Holder)
 			return nil
 		},
 	}
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -60,13 +60,13 @@
 				return err
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "lanes are valid: %d\n", l.Len())
+			printf(out, "lanes are valid: %d\n", l.Len())
 			for i := range l.Len() {
 				to := l.EffectiveClass(i, 1<<62)
 				if d, ok := l.RiseTime(i, to); ok && to < i {
-					fmt.Fprintf(out, "  %s: after %s, work is ordered as in %s\n", l.Name(i), d, l.Name(to))
+					printf(out, "  %s: after %s, work is ordered as in %s\n", l.Name(i), d, l.Name(to))
 				} else {
-					fmt.Fprintf(out, "  %s: work stays in its lane\n", l.Name(i))
+					printf(out, "  %s: work stays in its lane\n", l.Name(i))
 				}
 			}
 			return nil
@@ -76,7 +76,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			q, err := requestQueue(cmd, me, server, http.MethodGet, wire.PathPriorityClasses, nil)
 			if err == nil {
-				fmt.Fprint(cmd.OutOrStdout(), q.PriorityClasses)
+				printf(cmd.OutOrStdout(), "%s", q.PriorityClasses)
 			}
 			return err
 		},
@@ -101,7 +101,7 @@
 				wire.JobQueue{PriorityClasses: string(raw)},
 			)
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "the lanes are in force, as version %d\n", q.Version)
+				printf(cmd.OutOrStdout(), "the lanes are in force, as version %d\n", q.Version)
 			}
 			return err
 		},
@@ -143,30 +143,19 @@
 			}
 			for i, j := range all.Jobs {
 				if i == 0 {
-					fmt.Fprintln(w, "NUMBER\tJOB\tLANE\tCLASS\tTEAM\tTASKS\tASSIGNED\tWAITED\tFOR")
+					printf(w, "NUMBER\tJOB\tLANE\tCLASS\tTEAM\tTASKS\tASSIGNED\tWAITED\tFOR\n")
 				}
 				lane := j.PriorityClass
 				if j.EffectivePriorityClass != "" {
 					lane += " as " + j.EffectivePriorityClass
 				}
-				fmt.Fprintf(
-					w,
-					"%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d s\t%s\n",
-					j.Position,
-					j.ID,
-					lane,
-					j.Class,
-					j.Team,
-					j.Tasks,
-					j.Assigned,
-					j.WaitedS,
-					j.WaitingFor,
-				)
+				printf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d s\t%s\n",
+					j.Position, j.ID, lane, j.Class, j.Team, j.Tasks, j.Assigned, j.WaitedS, j.WaitingFor)
 			}
 			if err := w.Flush(); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "%d jobs wait\n", all.Total)
+			printf(out, "%d jobs wait\n", all.Total)
 			return nil
 		},
 	}
--- a/cmd/dewlift/reservation.go
+++ b/cmd/dewlift/reservation.go
@@ -104,13 +104,13 @@
 	case b.EndReason != "":
 		state += " at " + b.EndedAt + ": " + b.EndReason
 	}
-	fmt.Fprintf(w, "%s: %s\n", b.ID, state)
+	printf(w, "%s: %s\n", b.ID, state)
 	for _, s := range b.Slots {
 		if s.To == "" {
-			fmt.Fprintf(w, "  wants %s%s from %s, %d slots\n", s.Equipment, s.Kind, s.From, s.Slots)
+			printf(w, "  wants %s%s from %s, %d slots\n", s.Equipment, s.Kind, s.From, s.Slots)
 			continue
 		}
-		fmt.Fprintf(w, "  %s unit %d from %s to %s\n", s.Equipment, s.Unit, s.From, s.To)
+		printf(w, "  %s unit %d from %s to %s\n", s.Equipment, s.Unit, s.From, s.To)
 	}
 }
 
@@ -183,7 +183,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "equipment is valid: %d pieces\n", len(s.Source().Pieces))
+				printf(cmd.OutOrStdout(), "equipment is valid: %d pieces\n", len(s.Source().Pieces))
 				return nil
 			},
 		},
@@ -225,13 +225,8 @@
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.request(
-				cmd,
-				http.MethodPost,
-				wire.PathReservations+"/"+url.PathEscape(args[0])+"/"+verb,
-				nil,
-				printReservationResponse,
-			)
+			return b.request(cmd, http.MethodPost,
+				wire.PathReservations+"/"+url.PathEscape(args[0])+"/"+verb, nil, printReservationResponse)
 		},
 	}
 }
@@ -265,13 +260,8 @@
 	cmd := &cobra.Command{
 		Use: "end ID", Short: "End a booking: its slots become free", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.request(
-				cmd,
-				http.MethodPost,
-				wire.PathReservations+"/"+url.PathEscape(args[0])+"/end",
-				a,
-				printReservationResponse,
-			)
+			return b.request(cmd, http.MethodPost,
+				wire.PathReservations+"/"+url.PathEscape(args[0])+"/end", a, printReservationResponse)
 		},
 	}
 	cmd.Flags().StringVar(&a.Reason, "why", "", "the reason, which is kept")
@@ -282,13 +272,8 @@
 	return &cobra.Command{
 		Use: "show ID", Short: "Show a booking, and why it ended", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.request(
-				cmd,
-				http.MethodGet,
-				wire.PathReservations+"/"+url.PathEscape(args[0]),
-				nil,
-				printReservationResponse,
-			)
+			return b.request(cmd, http.MethodGet,
+				wire.PathReservations+"/"+url.PathEscape(args[0]), nil, printReservationResponse)
 		},
 	}
 }
@@ -321,10 +306,10 @@
 				nil,
 				func(out io.Writer, a *wire.ReservationResponse) {
 					for _, f := range a.Free {
-						fmt.Fprintf(out, "%s from %s to %s\n", f.Equipment, f.From, f.To)
+						printf(out, "%s from %s to %s\n", f.Equipment, f.From, f.To)
 					}
 					if len(a.Free) == 0 {
-						fmt.Fprintln(out, "nothing is free then")
+						printf(out, "nothing is free then\n")
 					}
 				},
 			)
@@ -342,7 +327,7 @@
 			printReservation(out, &a.Reservations[i])
 		}
 		if len(a.Reservations) == 0 {
-			fmt.Fprintln(out, none)
+			printf(out, "%s\n", none)
 		}
 	}
 }
@@ -353,13 +338,8 @@
 		Example: "  dewlift booking day kiln-2 2027-03-04",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			q := url.Values{"piece": {args[0]}, "day": {args[1]}}
-			return b.request(
-				cmd,
-				http.MethodGet,
-				wire.PathReservations+"?"+q.Encode(),
-				nil,
-				printReservationList("nothing is booked then"),
-			)
+			return b.request(cmd, http.MethodGet,
+				wire.PathReservations+"?"+q.Encode(), nil, printReservationList("nothing is booked then"))
 		},
 	}
 }
@@ -368,13 +348,8 @@
 	return &cobra.Command{
 		Use: "waiting", Short: "List the waiting list", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return b.request(
-				cmd,
-				http.MethodGet,
-				wire.PathReservations+"?list=waiting",
-				nil,
-				printReservationList("nobody waits"),
-			)
+			return b.request(cmd, http.MethodGet,
+				wire.PathReservations+"?list=waiting", nil, printReservationList("nobody waits"))
 		},
 	}
 }
@@ -392,7 +367,7 @@
 					http.MethodGet,
 					wire.PathEquipment,
 					nil,
-					func(out io.Writer, a *wire.ReservationResponse) { fmt.Fprint(out, a.Equipment) },
+					func(out io.Writer, a *wire.ReservationResponse) { printf(out, "%s", a.Equipment) },
 				)
 			}
 			if _, err := loadEquipment(args[0]); err != nil {
@@ -409,9 +384,9 @@
 				wire.PathEquipment,
 				e,
 				func(out io.Writer, a *wire.ReservationResponse) {
-					fmt.Fprintf(out, "the list is in force, as version %d\n", a.Version)
+					printf(out, "the list is in force, as version %d\n", a.Version)
 					for i := range a.Displaced {
-						fmt.Fprintf(out, "ended with it: %s\n", a.Displaced[i].ID)
+						printf(out, "ended with it: %s\n", a.Displaced[i].ID)
 					}
 				},
 			)
--- a/cmd/dewlift/settings.go
+++ b/cmd/dewlift/settings.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// settingDescription is a setting as it is shown.
+// settingDescription is a setting as it is shown; its tags are the output of --json.
 type settingDescription struct {
 	Name    string  `json:"name"`
 	Default string  `json:"default"`
@@ -23,6 +23,7 @@
 	Less    string  `json:"less,omitempty"`
 }
 
+// Range returns the values that the setting may have, in words.
 func (d settingDescription) Range() string {
 	if d.Switch {
 		return "true or false"
@@ -30,28 +31,27 @@
 	return fmt.Sprintf("%v to %v", d.Min, d.Max)
 }
 
+// allSettings describes the operators' settings.
 func allSettings() (out []settingDescription) {
 	for _, s := range settings.OperatorSettings() {
-		a := s.About
-		out = append(
-			out,
-			settingDescription{
-				Name:    s.Name,
-				Default: s.Default(),
-				Switch:  s.Kind == protoreflect.BoolKind,
-				Min:     a.GetMin(),
-				Max:     a.GetMax(),
-				Does:    a.GetDoes(),
-				More:    a.GetMore(),
-				Less:    a.GetLess(),
-			},
-		)
+		out = append(out, settingDescription{
+			Name:    s.Name,
+			Default: s.Default(),
+			Switch:  s.Kind == protoreflect.BoolKind,
+			Min:     s.About.GetMin(),
+			Max:     s.About.GetMax(),
+			Does:    s.About.GetDoes(),
+			More:    s.About.GetMore(),
+			Less:    s.About.GetLess(),
+		})
 	}
 	return out
 }
 
+// settingsPage is docs/settings.md.
 var settingsPage = template.Must(template.New("settings").Parse("# Own settings\n\n" +
-	"Written by `dewlift settings --markdown` from `proto/tuning.proto`. All are optional; `--tuning FILE` names a file in protobuf text format.\n\n" +
+	"Written by `dewlift settings --markdown` from `proto/tuning.proto`. All are optional; `--tuning FILE` names a file " +
+	"in protobuf text format.\n\n" +
 	"| setting | default | range | what it does | more of it | less of it |\n| --- | --- | --- | --- | --- | --- |\n" +
 	"{{range .}}| `{{.Name}}` | {{.Default}} | {{.Range}} | {{.Does}} | {{.More}} | {{.Less}} |\n{{end}}"))
 
@@ -67,11 +67,11 @@
 			case asJSON:
 				return json.NewEncoder(out).Encode(allSettings())
 			}
-			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+			table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			for _, d := range allSettings() {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", d.Name, d.Default, d.Range(), d.Does)
+				printf(table, "%s\t%s\t%s\t%s\n", d.Name, d.Default, d.Range(), d.Does)
 			}
-			return w.Flush()
+			return table.Flush()
 		},
 	}
 	cmd.Flags().BoolVar(&markdown, "markdown", false, "as docs/settings.md")
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -59,7 +59,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d keys as of revision %d\n", args[0], t.Keys, t.Ledger)
+			printf(cmd.OutOrStdout(), "%s: %d keys as of revision %d\n", args[0], t.Keys, t.Ledger)
 			return nil
 		},
 	}
@@ -83,7 +83,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d keys restored, as of revision %d\n", t.Keys, t.Ledger)
+			printf(cmd.OutOrStdout(), "%d keys restored, as of revision %d\n", t.Keys, t.Ledger)
 			return nil
 		},
 	}
@@ -96,7 +96,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := snapshot.Verify(args[0])
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s is whole: %d keys in %d parts\n", args[0], t.Keys, t.Parts)
+				printf(cmd.OutOrStdout(), "%s is whole: %d keys in %d parts\n", args[0], t.Keys, t.Parts)
 			}
 			return err
 		},
@@ -126,18 +126,10 @@
 					"keys": t.Keys, "kinds": kinds, "digest": fmt.Sprintf("%x", t.Digest),
 				})
 			}
-			fmt.Fprintf(
-				out,
-				"format %d, taken %s, revision %d\n%d keys in %d parts, digest %x\n",
-				t.Version,
-				taken,
-				t.Ledger,
-				t.Keys,
-				t.Parts,
-				t.Digest,
-			)
+			printf(out, "format %d, taken %s, revision %d\n%d keys in %d parts, digest %x\n",
+				t.Version, taken, t.Ledger, t.Keys, t.Parts, t.Digest)
 			for _, k := range slices.Sorted(maps.Keys(kinds)) {
-				fmt.Fprintf(out, "  %-14s %d\n", k, kinds[k])
+				printf(out, "  %-14s %d\n", k, kinds[k])
 			}
 			return nil
 		},
