--- a/cmd/dewlift/job.go
+++ b/cmd/dewlift/job.go
@@ -13,53 +13,58 @@
 	"github.com/spf13/cobra"
 )
 
-// jobCommands makes the commands about jobs.
+// jobCommands makes the commands about jobs, which share their flags.
 type jobCommands struct {
 	identity *clientIdentity
 	server   string
 	asJSON   bool
 }
 
-// request asks a controller about a job; what it refuses is a refusal.
-func (j *jobCommands) request(cmd *cobra.Command, method, path string, body any) (s wire.JobState, err error) {
-	r, err := j.identity.request(cmd.Context(), method, j.server, path, body)
+// request makes a request about a job; a refusal by the controller is a refusedError.
+func (j *jobCommands) request(
+	cmd *cobra.Command,
+	method, path string,
+	body any,
+) (state wire.JobState, err error) {
+	resp, err := j.identity.request(cmd.Context(), method, j.server, path, body)
 	if err != nil {
-		return s, err
+		return state, err
 	}
-	if r.Err != nil {
-		return s, fmt.Errorf("controller %s: %w", j.server, r.Err)
+	if resp.Err != nil {
+		return state, fmt.Errorf("controller %s: %w", j.server, resp.Err)
 	}
-	if r.Status != http.StatusOK && r.Status != http.StatusCreated {
-		return s, refusedError(fmt.Sprintf("status %d: %s", r.Status, refusalReason(r)))
+	if resp.Status != http.StatusOK && resp.Status != http.StatusCreated {
+		return state, refusedError(fmt.Sprintf("status %d: %s", resp.Status, refusalReason(resp)))
 	}
-	if err := json.Unmarshal(r.Body, &s); err != nil {
-		return s, fmt.Errorf("answer not understood: %w", err)
+	if err := json.Unmarshal(resp.Body, &state); err != nil {
+		return state, fmt.Errorf("answer not understood: %w", err)
 	}
-	return s, nil
+	return state, nil
 }
 
-func (j *jobCommands) print(out io.Writer, s *wire.JobState) error {
+// print prints the state of a job.
+func (j *jobCommands) print(out io.Writer, state *wire.JobState) error {
 	if j.asJSON {
-		return json.NewEncoder(out).Encode(s)
+		return json.NewEncoder(out).Encode(state)
 	}
-	printf(out, "%s: %s, %d done, %d running\n", s.ID, s.Stage, s.Done, s.Running)
-	if s.Note != "" {
-		printf(out, "  %s\n", s.Note)
+	printf(out, "%s: %s, %d done, %d running\n", state.ID, state.Stage, state.Done, state.Running)
+	if state.Note != "" {
+		printf(out, "  %s\n", state.Note)
 	}
-	if s.DependencyCount > 0 {
-		printf(out, "  waits for %d jobs: %s\n", s.DependencyCount, strings.Join(s.Dependencies, " "))
+	if state.DependencyCount > 0 {
+		printf(out, "  waits for %d jobs: %s\n", state.DependencyCount, strings.Join(state.Dependencies, " "))
 	}
-	if s.CancelledBy != "" {
-		printf(out, "  cancelled with %s, which it needs\n", s.CancelledBy)
+	if state.CancelledBy != "" {
+		printf(out, "  cancelled with %s, which it needs\n", state.CancelledBy)
 	}
-	for _, w := range s.TaskStops {
+	for _, stop := range state.TaskStops {
 		printf(out, "  task %d stopped on %s at %s: %s\n",
-			w.Task, w.Machine, time.UnixMilli(w.AtMS).UTC().Format(time.RFC3339), w.Cause)
+			stop.Task, stop.Machine, time.UnixMilli(stop.AtMS).UTC().Format(time.RFC3339), stop.Cause)
 	}
 	return nil
 }
 
-// subcommand makes a command about one job by its id.
+// subcommand makes a command about one job, named by its id.
 func (j *jobCommands) subcommand(use, short string, do func(cmd *cobra.Command, id string) error) *cobra.Command {
 	return &cobra.Command{
 		Use: use + " ID", Short: short, Args: cobra.ExactArgs(1),
@@ -74,41 +79,42 @@
 
 func jobCommand(me *clientIdentity) *cobra.Command {
 	j := &jobCommands{identity: me}
-	job := &cobra.Command{Use: "job", Short: "Submit jobs, look at them and withdraw them"}
-	job.PersistentFlags().
+	cmd := &cobra.Command{Use: "job", Short: "Submit jobs, look at them and withdraw them"}
+	cmd.PersistentFlags().
 		StringVar(&j.server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
-	job.PersistentFlags().BoolVar(&j.asJSON, "json", false, "as JSON")
-	job.AddCommand(j.submit(), j.wait(),
+	cmd.PersistentFlags().BoolVar(&j.asJSON, "json", false, "as JSON")
+	cmd.AddCommand(j.submit(), j.wait(),
 		j.subcommand("get", "Show a job and why its tasks stopped", func(cmd *cobra.Command, id string) error {
-			s, err := j.request(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
+			state, err := j.request(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
 			if err != nil {
 				return err
 			}
-			return j.print(cmd.OutOrStdout(), &s)
+			return j.print(cmd.OutOrStdout(), &state)
 		}),
 		j.subcommand("why", "Tell in words why a job waits", func(cmd *cobra.Command, id string) error {
-			q, err := requestQueue(cmd, j.identity, j.server, http.MethodGet, wire.PathQueue+"/"+id, nil)
-			if err != nil || len(q.Jobs) == 0 {
+			queue, err := requestQueue(cmd, j.identity, j.server, http.MethodGet, wire.PathQueue+"/"+id, nil)
+			if err != nil || len(queue.Jobs) == 0 {
 				return err
 			}
-			x := q.Jobs[0]
+			job := queue.Jobs[0]
 			if j.asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(x)
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(job)
 			}
 			printf(cmd.OutOrStdout(), "%s is number %d of %d in the queue, in lane %s, since %d s: %s\n",
-				x.ID, x.Position, q.Total, x.PriorityClass, x.WaitedS, x.Explanation)
+				job.ID, job.Position, queue.Total, job.PriorityClass, job.WaitedS, job.Explanation)
 			return nil
 		}),
 		j.subcommand("cancel", "Withdraw a job", func(cmd *cobra.Command, id string) error {
-			s, err := j.request(cmd, http.MethodPost, wire.PathJobs+"/"+id+"/withdraw", struct{}{})
+			state, err := j.request(cmd, http.MethodPost, wire.PathJobs+"/"+id+"/withdraw", struct{}{})
 			if err != nil {
 				return err
 			}
-			return j.print(cmd.OutOrStdout(), &s)
+			return j.print(cmd.OutOrStdout(), &state)
 		}))
-	return job
+	return cmd
 }
 
+// submit makes the command that submits a job.
 func (j *jobCommands) submit() *cobra.Command {
 	return &cobra.Command{
 		Use:   "submit FILE",
@@ -128,35 +134,37 @@
 			if _, err := wire.ParseSubmission(raw); err != nil {
 				return fmt.Errorf("job %s: %w", args[0], err)
 			}
-			s, err := j.request(cmd, http.MethodPost, wire.PathJobs, json.RawMessage(raw))
+			state, err := j.request(cmd, http.MethodPost, wire.PathJobs, json.RawMessage(raw))
 			if err != nil {
 				return err
 			}
-			return j.print(cmd.OutOrStdout(), &s)
+			return j.print(cmd.OutOrStdout(), &state)
 		},
 	}
 }
 
-const jobPollInterval = time.Second // between two looks at a job
+// jobPollInterval is the time between two polls of a job.
+const jobPollInterval = time.Second
 
+// wait makes the command that waits for the end of a job.
 func (j *jobCommands) wait() *cobra.Command {
-	var most time.Duration
+	var timeout time.Duration
 	cmd := j.subcommand(
 		"wait",
 		"Wait until a job is done; exit code 1 if it is cancelled or not done in time",
 		func(cmd *cobra.Command, id string) error {
-			// One that can't be answered now may be in a moment: it is asked for until the time is over.
-			for end := time.Now().Add(most); ; {
-				s, err := j.request(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
+			// A controller that is unavailable may be back in a moment: errors end the wait only after its time.
+			for end := time.Now().Add(timeout); ; {
+				state, err := j.request(cmd, http.MethodGet, wire.PathJobs+"/"+id, nil)
 				switch {
-				case err == nil && s.Stage == wire.StageDone:
-					return j.print(cmd.OutOrStdout(), &s)
-				case err == nil && s.Stage == wire.StageCancelled:
+				case err == nil && state.Stage == wire.StageDone:
+					return j.print(cmd.OutOrStdout(), &state)
+				case err == nil && state.Stage == wire.StageCancelled:
 					return refusedError(id + " is cancelled")
 				case time.Now().After(end) && err != nil:
 					return err
 				case time.Now().After(end):
-					return refusedError(fmt.Sprintf("%s is %s after %s", id, s.Stage, most))
+					return refusedError(fmt.Sprintf("%s is %s after %s", id, state.Stage, timeout))
 				}
 				select {
 				case <-cmd.Context().Done():
@@ -166,6 +174,6 @@
 			}
 		},
 	)
-	cmd.Flags().DurationVar(&most, "for", 10*time.Minute, "how long it is waited for")
+	cmd.Flags().DurationVar(&timeout, "for", 10*time.Minute, "how long it is waited for")
 	return cmd
 }
--- a/cmd/dewlift/permissions.go
+++ b/cmd/dewlift/permissions.go
@@ -19,9 +19,15 @@
 	"github.com/spf13/pflag"
 )
 
-const tokenLifetime = 5 * time.Minute // of a token that a command makes for itself
+const (
+	// tokenLifetime is how long a token that a command signs for itself is valid.
+	tokenLifetime  = 5 * time.Minute
+	requestTimeout = 5 * time.Second
+	// maxResponseBytes bounds a response to a command.
+	maxResponseBytes = 16 << 20
+)
 
-// clientIdentity is who asks, and how a controller is reached.
+// clientIdentity holds the files by which a command proves its caller's identity and trusts controllers.
 type clientIdentity struct{ keyFile, caFile, certificateFile, certificateKeyFile string }
 
 func (me *clientIdentity) addFlags(f *pflag.FlagSet) {
@@ -33,21 +39,20 @@
 	f.StringVar(&me.certificateKeyFile, "certificate-key", os.Getenv("DEWLIFT_CERTIFICATE_KEY"), "its key (PEM)")
 }
 
-// request makes a request in one's name to a controller, or to the first that answers of several,
-// separated by commas. Whatever is asked may be repeated: one that answers nothing may have done
-// it.
+// request makes a request to a controller or, of several separated by commas, to the first that is
+// available. Requests must be idempotent: a controller that does not answer may have executed one.
 func (me *clientIdentity) request(
 	ctx context.Context,
 	method, servers, path string,
 	body any,
-) (r httpjson.Response, err error) {
+) (resp httpjson.Response, err error) {
 	for server := range strings.SplitSeq(servers, ",") {
-		if r, err = me.requestOne(ctx, method, strings.TrimPrefix(server, "http://"), path, body); err != nil ||
-			r.Err == nil && r.Status != http.StatusServiceUnavailable {
-			return r, err
+		resp, err = me.requestOne(ctx, method, strings.TrimPrefix(server, "http://"), path, body)
+		if err != nil || resp.Err == nil && resp.Status != http.StatusServiceUnavailable {
+			return resp, err
 		}
 	}
-	return r, err
+	return resp, err
 }
 
 func (me *clientIdentity) requestOne(
@@ -55,13 +60,13 @@
 	method, server, path string,
 	body any,
 ) (httpjson.Response, error) {
-	c, scheme := httpjson.New(1, 1, 16<<20), "http://"
+	client, scheme := httpjson.New(1, 1, maxResponseBytes), "http://"
 	if me.keyFile != "" {
-		k, err := loadKey(me.keyFile)
+		key, err := loadKey(me.keyFile)
 		if err != nil {
 			return httpjson.Response{}, err
 		}
-		if c.Token, err = k.SignToken(time.Now(), tokenLifetime); err != nil {
+		if client.Token, err = key.SignToken(time.Now(), tokenLifetime); err != nil {
 			return httpjson.Response{}, err
 		}
 	}
@@ -81,10 +86,10 @@
 			}
 			cfg.Certificates = []tls.Certificate{pair}
 		}
-		c.UseTLS(cfg)
+		client.UseTLS(cfg)
 		scheme = "https://"
 	}
-	return c.Do(ctx, 5*time.Second, method, scheme+server+path, body), nil
+	return client.Do(ctx, requestTimeout, method, scheme+server+path, body), nil
 }
 
 func loadKey(path string) (*access.PrivateKey, error) {
@@ -92,25 +97,25 @@
 	if err != nil {
 		return nil, fmt.Errorf("read key: %w", err)
 	}
-	k, err := access.ParsePrivateKey(raw)
+	key, err := access.ParsePrivateKey(raw)
 	if err != nil {
 		return nil, fmt.Errorf("key %s: %w", path, err)
 	}
-	return k, nil
+	return key, nil
 }
 
-// loadPermissions reads rights that can be put in force.
+// loadPermissions reads a policy that can be put in force: one with an administrator.
 func loadPermissions(path string) (*access.Policy, error) {
-	p, err := parseAccess(path)
-	if err == nil && !p.HasAdministrator() {
+	policy, err := parseAccess(path)
+	if err == nil && !policy.HasAdministrator() {
 		return nil, fmt.Errorf("access %s: nobody with a key may administer: rights could never be changed", path)
 	}
-	return p, err
+	return policy, err
 }
 
 func parseAccess(path string) (*access.Policy, error) { return loadFile(path, "access", access.Parse) }
 
-// loadFile reads an operators' file.
+// loadFile reads and parses an operators' file; what names it in errors.
 func loadFile[T any](path, what string, parse func([]byte) (T, error)) (v T, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -127,11 +132,11 @@
 	cmd.AddCommand(&cobra.Command{
 		Use: "check FILE", Short: "Check a file of rights", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := loadPermissions(args[0])
+			policy, err := loadPermissions(args[0])
 			if err != nil {
 				return err
 			}
-			roles, people, keys := p.Counts()
+			roles, people, keys := policy.Counts()
 			printf(cmd.OutOrStdout(), "rights are valid: %d roles, %d identities, %d keys\n", roles, people, keys)
 			return nil
 		},
@@ -144,29 +149,31 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use: "explain FILE", Short: "Tell which grant decides", Args: cobra.ExactArgs(1),
-		Example: "  dewlift access explain access.textproto --who packer --verb cancel --team roastmasters --class reroast-rush",
+		Example: "  dewlift access explain access.textproto --who packer --verb cancel --team roastmasters " +
+			"--class reroast-rush",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := parseAccess(args[0])
+			policy, err := parseAccess(args[0])
 			if err != nil {
 				return err
 			}
-			v, ok := access.ParseVerb(verb)
+			parsedVerb, ok := access.ParseVerb(verb)
 			if !ok {
 				return fmt.Errorf("--verb: no verb %q", verb)
 			}
-			prio, ok := wire.Priority(priority)
+			priorityIndex, ok := wire.Priority(priority)
 			if !ok {
 				return fmt.Errorf("--priority: no priority %q", priority)
 			}
-			d := p.Decide(who, access.Action{Verb: v, Team: team, Class: class, Priority: prio})
+			action := access.Action{Verb: parsedVerb, Team: team, Class: class, Priority: priorityIndex}
+			decision := policy.Decide(who, action)
 			if asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(d)
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(decision)
 			}
 			word := "may not"
-			if d.Allowed {
+			if decision.Allowed {
 				word = "may"
 			}
-			printf(cmd.OutOrStdout(), "%s %s %s: %s\n", who, word, verb, d.Reason)
+			printf(cmd.OutOrStdout(), "%s %s %s: %s\n", who, word, verb, decision.Reason)
 			return nil
 		},
 	}
@@ -180,41 +187,42 @@
 	return cmd
 }
 
-// editPermissions sends a change of rights.
+// editPermissions changes the permissions of an identity.
 func editPermissions(
 	ctx context.Context,
 	me *clientIdentity,
 	server, who string,
-	e wire.PermissionsEdit,
+	edit wire.PermissionsEdit,
 ) (*wire.PermissionsEditResult, error) {
 	if me.keyFile == "" && me.certificateFile == "" {
 		return nil, errors.New("--key FILE or --certificate FILE is needed: rights are changed in somebody's name")
 	}
-	r, err := me.request(ctx, http.MethodPost, server, wire.PathPermissions+"/"+who, e)
+	resp, err := me.request(ctx, http.MethodPost, server, wire.PathPermissions+"/"+who, edit)
 	if err != nil {
 		return nil, err
 	}
-	out, r := httpjson.Decode[wire.PermissionsEditResult](r)
-	return &out, checkResponse(server, r)
+	result, resp := httpjson.Decode[wire.PermissionsEditResult](resp)
+	return &result, checkResponse(server, resp)
 }
 
-func checkResponse(server string, r httpjson.Response) error {
+// checkResponse returns an error if no response came or the request was refused.
+func checkResponse(server string, resp httpjson.Response) error {
 	switch {
-	case r.Err != nil:
-		return fmt.Errorf("controller %s: %w", server, r.Err)
-	case r.Status != http.StatusOK:
-		return fmt.Errorf("controller %s answers %d: %s", server, r.Status, refusalReason(r))
+	case resp.Err != nil:
+		return fmt.Errorf("controller %s: %w", server, resp.Err)
+	case resp.Status != http.StatusOK:
+		return fmt.Errorf("controller %s answers %d: %s", server, resp.Status, refusalReason(resp))
 	}
 	return nil
 }
 
-// refusalReason is what a controller says of a request that it refuses.
-func refusalReason(r httpjson.Response) string {
-	var e wire.Error
-	if json.Unmarshal(r.Body, &e) != nil || e.Error == "" {
-		return http.StatusText(r.Status)
+// refusalReason returns the reason that a controller gives for a refusal.
+func refusalReason(resp httpjson.Response) string {
+	var refusal wire.Error
+	if json.Unmarshal(resp.Body, &refusal) != nil || refusal.Error == "" {
+		return http.StatusText(resp.Status)
 	}
-	return e.Error
+	return refusal.Error
 }
 
 func showPermissionsCommand(me *clientIdentity) *cobra.Command {
@@ -222,12 +230,12 @@
 	cmd := &cobra.Command{
 		Use: "show", Short: "Show the rights in force, as a file of rights", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := me.request(cmd.Context(), http.MethodGet, server, wire.PathPermissions, nil)
+			resp, err := me.request(cmd.Context(), http.MethodGet, server, wire.PathPermissions, nil)
 			if err != nil {
 				return err
 			}
-			out, r := httpjson.Decode[wire.Permissions](r)
-			if err := checkResponse(server, r); err != nil {
+			out, resp := httpjson.Decode[wire.Permissions](resp)
+			if err := checkResponse(server, resp); err != nil {
 				return err
 			}
 			printf(cmd.OutOrStdout(), "%s", out.Text)
@@ -244,26 +252,27 @@
 
 func grantCommand(me *clientIdentity) *cobra.Command {
 	var server string
-	var e wire.PermissionsEdit
+	var edit wire.PermissionsEdit
 	var id, public string
 	var certificate bool
 	cmd := &cobra.Command{
 		Use: "grant WHO", Short: "Give an identity roles or a key; a new one is made", Args: cobra.ExactArgs(1),
-		Example: "  dewlift access grant anna --role technician --key-id anna-2 --public BASE64 --key admin.key --server 10.0.0.1:8080",
+		Example: "  dewlift access grant anna --role technician --key-id anna-2 --public BASE64 --key admin.key " +
+			"--server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if (id == "") != (public == "") {
 				return errors.New("--key-id and --public go together")
 			}
 			if id != "" {
-				e.AddKeys = []wire.PublicKey{{ID: id, Ed25519: public}}
+				edit.AddKeys = []wire.PublicKey{{ID: id, Ed25519: public}}
 			}
 			if certificate {
-				e.Certificate = &certificate
+				edit.Certificate = &certificate
 			}
-			if len(e.GrantRoles)+len(e.AddKeys) == 0 && !certificate {
+			if len(edit.GrantRoles)+len(edit.AddKeys) == 0 && !certificate {
 				return errors.New("nothing to grant: name --role, --by-certificate, or --key-id and --public")
 			}
-			if _, err := editPermissions(cmd.Context(), me, server, args[0], e); err != nil {
+			if _, err := editPermissions(cmd.Context(), me, server, args[0], edit); err != nil {
 				return err
 			}
 			printf(cmd.OutOrStdout(), "granted to %s\n", args[0])
@@ -271,17 +280,17 @@
 		},
 	}
 	addServerFlag(cmd, &server)
-	cmd.Flags().StringSliceVar(&e.GrantRoles, "role", nil, "a role; may be repeated")
+	cmd.Flags().StringSliceVar(&edit.GrantRoles, "role", nil, "a role; may be repeated")
 	cmd.Flags().StringVar(&id, "key-id", "", "the id of a new key")
 	cmd.Flags().StringVar(&public, "public", "", "its public half, as `dewlift key show` prints it")
 	cmd.Flags().BoolVar(&certificate, "by-certificate", false, "a certificate for its name proves who it is")
-	cmd.Flags().BoolVar(&e.Service, "service", false, "a new identity is a service")
+	cmd.Flags().BoolVar(&edit.Service, "service", false, "a new identity is a service")
 	return cmd
 }
 
 func revokeCommand(me *clientIdentity) *cobra.Command {
 	var server string
-	var e wire.PermissionsEdit
+	var edit wire.PermissionsEdit
 	var certificate bool
 	cmd := &cobra.Command{
 		Use:     "revoke WHO",
@@ -290,12 +299,12 @@
 		Example: "  dewlift access revoke potter --all --cancel-queued --key admin.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if certificate {
-				e.Certificate = new(bool)
+				edit.Certificate = new(bool)
 			}
-			if !e.Delete && !certificate && len(e.RevokeRoles)+len(e.RevokeKeys) == 0 {
+			if !edit.Delete && !certificate && len(edit.RevokeRoles)+len(edit.RevokeKeys) == 0 {
 				return errors.New("nothing to revoke: name --role, --key-id, --by-certificate or --all")
 			}
-			out, err := editPermissions(cmd.Context(), me, server, args[0], e)
+			out, err := editPermissions(cmd.Context(), me, server, args[0], edit)
 			if err != nil {
 				return err
 			}
@@ -307,12 +316,13 @@
 		},
 	}
 	addServerFlag(cmd, &server)
-	cmd.Flags().StringSliceVar(&e.RevokeRoles, "role", nil, "a role; may be repeated")
-	cmd.Flags().StringSliceVar(&e.RevokeKeys, "key-id", nil, "a key; may be repeated")
+	cmd.Flags().StringSliceVar(&edit.RevokeRoles, "role", nil, "a role; may be repeated")
+	cmd.Flags().StringSliceVar(&edit.RevokeKeys, "key-id", nil, "a key; may be repeated")
 	cmd.Flags().BoolVar(&certificate, "by-certificate", false, "a certificate proves no more who it is")
-	cmd.Flags().BoolVar(&e.Delete, "all", false, "the identity with all it has")
+	cmd.Flags().BoolVar(&edit.Delete, "all", false, "the identity with all it has")
 	cmd.Flags().
-		BoolVar(&e.CancelQueued, "cancel-queued", false, "cancel, in your name, jobs that it has submitted and that have not begun")
+		BoolVar(&edit.CancelQueued, "cancel-queued", false, "cancel, in your name, "+
+			"jobs that it has submitted and that have not begun")
 	return cmd
 }
 
@@ -328,14 +338,14 @@
 			if out == "" {
 				out = id + ".key"
 			}
-			k, err := access.NewKey(args[0], id)
+			key, err := access.NewKey(args[0], id)
 			if err != nil {
 				return err
 			}
-			if err := saveKey(out, k); err != nil {
+			if err := saveKey(out, key); err != nil {
 				return err
 			}
-			printPublicKey(cmd, k)
+			printPublicKey(cmd, key)
 			return nil
 		},
 	}
@@ -347,13 +357,13 @@
 		Short: "Print a token, to be sent as `Authorization: Bearer TOKEN`",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			k, err := loadKey(args[0])
+			key, err := loadKey(args[0])
 			if err != nil {
 				return err
 			}
-			t, err := k.SignToken(time.Now(), life)
+			signed, err := key.SignToken(time.Now(), life)
 			if err == nil {
-				printf(cmd.OutOrStdout(), "%s\n", t)
+				printf(cmd.OutOrStdout(), "%s\n", signed)
 			}
 			return err
 		},
@@ -362,9 +372,9 @@
 	cmd.AddCommand(create, token, &cobra.Command{
 		Use: "show FILE", Short: "Print the public half, as a file of rights has it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			k, err := loadKey(args[0])
+			key, err := loadKey(args[0])
 			if err == nil {
-				printPublicKey(cmd, k)
+				printPublicKey(cmd, key)
 			}
 			return err
 		},
@@ -393,13 +403,14 @@
 	return cmd
 }
 
-func printPublicKey(cmd *cobra.Command, k *access.PrivateKey) {
-	printf(cmd.OutOrStdout(), "keys { id: %q ed25519: %q }\n", k.ID, k.PublicBase64())
+// printPublicKey prints the public half of a key, as a file of permissions has it.
+func printPublicKey(cmd *cobra.Command, key *access.PrivateKey) {
+	printf(cmd.OutOrStdout(), "keys { id: %q ed25519: %q }\n", key.ID, key.PublicBase64())
 }
 
-// saveKey writes a private key that only its owner can read; a file that is there is never replaced.
-func saveKey(path string, k *access.PrivateKey) error {
-	raw, err := json.Marshal(k)
+// saveKey writes a private key that only its owner can read; an existing file is never replaced.
+func saveKey(path string, key *access.PrivateKey) error {
+	raw, err := json.Marshal(key)
 	if err != nil {
 		return fmt.Errorf("write key: %w", err)
 	}
@@ -408,14 +419,14 @@
 
 // writeSecret writes a new file that only its owner can read.
 func writeSecret(path string, raw []byte) error {
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return fmt.Errorf("write key: %w", err)
 	}
-	if _, err = f.Write(raw); err == nil {
-		err = f.Sync()
+	if _, err = file.Write(raw); err == nil {
+		err = file.Sync()
 	}
-	if err := errors.Join(err, f.Close()); err != nil {
+	if err := errors.Join(err, file.Close()); err != nil {
 		return fmt.Errorf("write key: %w", err)
 	}
 	return nil
@@ -434,15 +445,15 @@
 			if err != nil {
 				return err
 			}
-			k, err := access.NewKey(old.Holder, id)
+			key, err := access.NewKey(old.Holder, id)
 			if err != nil {
 				return err
 			}
-			if err := saveKey(out, k); err != nil { // before the site knows it: a key that is nowhere would shut out
+			if err := saveKey(out, key); err != nil { // before it is granted: an unsaved key would lock out its holder
 				return err
 			}
 			if _, err := editPermissions(cmd.Context(), me, server, old.Holder, wire.PermissionsEdit{
-				AddKeys:    []wire.PublicKey{{ID: id, Ed25519: k.PublicBase64()}},
+				AddKeys:    []wire.PublicKey{{ID: id, Ed25519: key.PublicBase64()}},
 				RevokeKeys: []string{old.ID},
 			}); err != nil {
 				return fmt.Errorf("%w (%s holds the new key; the old one may still be good)", err, out)
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -6,6 +6,7 @@
 	"dewlift/wire"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net/http"
 	"os"
 	"text/tabwriter"
@@ -13,36 +14,36 @@
 	"github.com/spf13/cobra"
 )
 
-// loadPriorityClasses reads a list of lanes.
+// loadPriorityClasses reads a list of priority classes.
 func loadPriorityClasses(path string) (*priorityclass.List, error) {
 	return loadFile(path, "lanes", priorityclass.Parse)
 }
 
-// requestQueue asks about the queue or the lanes; what is refused is a refusal.
+// requestQueue makes a request about the queue or the priority classes; a refusal by the controller is a
+// refusedError.
 func requestQueue(
 	cmd *cobra.Command,
 	me *clientIdentity,
 	server, method, path string,
 	body any,
-) (q wire.JobQueue, err error) {
-	r, err := me.request(cmd.Context(), method, server, path, body)
+) (queue wire.JobQueue, err error) {
+	resp, err := me.request(cmd.Context(), method, server, path, body)
 	if err != nil {
-		return q, err
+		return queue, err
 	}
-	if r.Err == nil && r.Status == http.StatusNotFound {
-		var e wire.Error
-		if json.Unmarshal(r.Body, &e) != nil || e.Error == "Not Found" {
-			e.Error = "this site has no lanes"
+	var refusal wire.Error
+	if resp.Err == nil && resp.Status == http.StatusNotFound {
+		if json.Unmarshal(resp.Body, &refusal) != nil || refusal.Error == "Not Found" {
+			refusal.Error = "this site has no lanes"
 		}
-		return q, refusedError(e.Error)
+		return queue, refusedError(refusal.Error)
 	}
-	q, r = httpjson.Decode[wire.JobQueue](r)
-	if r.Err == nil && r.Status != http.StatusOK {
-		var e wire.Error
-		_ = json.Unmarshal(r.Body, &e) // the status says the rest
-		return q, refusedError(fmt.Sprintf("status %d: %s", r.Status, e.Error))
+	queue, resp = httpjson.Decode[wire.JobQueue](resp)
+	if resp.Err == nil && resp.Status != http.StatusOK {
+		_ = json.Unmarshal(resp.Body, &refusal) // without a reason, the status says enough
+		return queue, refusedError(fmt.Sprintf("status %d: %s", resp.Status, refusal.Error))
 	}
-	return q, checkResponse(server, r)
+	return queue, checkResponse(server, resp)
 }
 
 func priorityClassesCommand(me *clientIdentity) *cobra.Command {
@@ -55,28 +56,19 @@
 		Short: "Check a list of lanes, and tell how long work waits at most until it goes ahead",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			l, err := loadPriorityClasses(args[0])
+			classes, err := loadPriorityClasses(args[0])
 			if err != nil {
 				return err
 			}
-			out := cmd.OutOrStdout()
-			printf(out, "lanes are valid: %d\n", l.Len())
-			for i := range l.Len() {
-				to := l.EffectiveClass(i, 1<<62)
-				if d, ok := l.RiseTime(i, to); ok && to < i {
-					printf(out, "  %s: after %s, work is ordered as in %s\n", l.Name(i), d, l.Name(to))
-				} else {
-					printf(out, "  %s: work stays in its lane\n", l.Name(i))
-				}
-			}
+			printPriorityClasses(cmd.OutOrStdout(), classes)
 			return nil
 		},
 	}, &cobra.Command{
 		Use: "show", Short: "Show the lanes in force", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			q, err := requestQueue(cmd, me, server, http.MethodGet, wire.PathPriorityClasses, nil)
+			queue, err := requestQueue(cmd, me, server, http.MethodGet, wire.PathPriorityClasses, nil)
 			if err == nil {
-				printf(cmd.OutOrStdout(), "%s", q.PriorityClasses)
+				printf(cmd.OutOrStdout(), "%s", queue.PriorityClasses)
 			}
 			return err
 		},
@@ -92,7 +84,7 @@
 			if err != nil {
 				return fmt.Errorf("read lanes: %w", err)
 			}
-			q, err := requestQueue(
+			queue, err := requestQueue(
 				cmd,
 				me,
 				server,
@@ -101,7 +93,7 @@
 				wire.JobQueue{PriorityClasses: string(raw)},
 			)
 			if err == nil {
-				printf(cmd.OutOrStdout(), "the lanes are in force, as version %d\n", q.Version)
+				printf(cmd.OutOrStdout(), "the lanes are in force, as version %d\n", queue.Version)
 			}
 			return err
 		},
@@ -109,6 +101,20 @@
 	return cmd
 }
 
+// printPriorityClasses prints, for each class, after which wait its jobs are ordered as in which higher one.
+func printPriorityClasses(out io.Writer, classes *priorityclass.List) {
+	const longest = 1 << 62 // nanoseconds: as long as a job could wait
+	printf(out, "lanes are valid: %d\n", classes.Len())
+	for i := range classes.Len() {
+		highest := classes.EffectiveClass(i, longest)
+		if wait, ok := classes.RiseTime(i, highest); ok && highest < i {
+			printf(out, "  %s: after %s, work is ordered as in %s\n", classes.Name(i), wait, classes.Name(highest))
+		} else {
+			printf(out, "  %s: work stays in its lane\n", classes.Name(i))
+		}
+	}
+}
+
 func queueCommand(me *clientIdentity) *cobra.Command {
 	var server string
 	var most int
@@ -119,40 +125,14 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
-			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-			all := wire.JobQueue{}
-			for after := 0; ; {
-				q, err := requestQueue(
-					cmd,
-					me,
-					server,
-					http.MethodGet,
-					fmt.Sprintf("%s?after=%d&most=%d", wire.PathQueue, after, min(100, most-after)),
-					nil,
-				)
-				if err != nil {
-					return err
-				}
-				all.Jobs, all.Total, all.Version = append(all.Jobs, q.Jobs...), q.Total, q.Version
-				if after = q.NextOffset; after == 0 || after >= most {
-					break
-				}
+			all, err := listQueue(cmd, me, server, most)
+			if err != nil {
+				return err
 			}
 			if asJSON {
 				return json.NewEncoder(out).Encode(all)
 			}
-			for i, j := range all.Jobs {
-				if i == 0 {
-					printf(w, "NUMBER\tJOB\tLANE\tCLASS\tTEAM\tTASKS\tASSIGNED\tWAITED\tFOR\n")
-				}
-				lane := j.PriorityClass
-				if j.EffectivePriorityClass != "" {
-					lane += " as " + j.EffectivePriorityClass
-				}
-				printf(w, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d s\t%s\n",
-					j.Position, j.ID, lane, j.Class, j.Team, j.Tasks, j.Assigned, j.WaitedS, j.WaitingFor)
-			}
-			if err := w.Flush(); err != nil {
+			if err := printQueue(out, all.Jobs); err != nil {
 				return err
 			}
 			printf(out, "%d jobs wait\n", all.Total)
@@ -165,3 +145,38 @@
 	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return cmd
 }
+
+// queuePageSize is the number of jobs requested at once.
+const queuePageSize = 100
+
+// listQueue reads the first jobs of the queue, page by page.
+func listQueue(cmd *cobra.Command, me *clientIdentity, server string, limit int) (all wire.JobQueue, err error) {
+	for after := 0; ; {
+		path := fmt.Sprintf("%s?after=%d&most=%d", wire.PathQueue, after, min(queuePageSize, limit-after))
+		page, err := requestQueue(cmd, me, server, http.MethodGet, path, nil)
+		if err != nil {
+			return all, err
+		}
+		all.Jobs, all.Total, all.Version = append(all.Jobs, page.Jobs...), page.Total, page.Version
+		if after = page.NextOffset; after == 0 || after >= limit {
+			return all, nil
+		}
+	}
+}
+
+// printQueue prints jobs as a table, nothing if there are none.
+func printQueue(out io.Writer, jobs []wire.QueuedJob) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	for i, job := range jobs {
+		if i == 0 {
+			printf(table, "NUMBER\tJOB\tLANE\tCLASS\tTEAM\tTASKS\tASSIGNED\tWAITED\tFOR\n")
+		}
+		class := job.PriorityClass
+		if job.EffectivePriorityClass != "" {
+			class += " as " + job.EffectivePriorityClass
+		}
+		printf(table, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d s\t%s\n", job.Position, job.ID, class, job.Class, job.Team,
+			job.Tasks, job.Assigned, job.WaitedS, job.WaitingFor)
+	}
+	return table.Flush()
+}
