--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -17,25 +17,34 @@
 
 var auditKey = audit.Key("the key of the sites in the tests")
 
-// entryID names an entry.
+// maxCarriedTime is how long an entry may be stored with its change before it is in a block: longer than any outage.
+const maxCarriedTime = 120 * time.Second
+
+// Keys of the audit log.
+const (
+	keyAuditBegun      = core.Root + "audit/begun" // exists once every change needs its entry
+	auditCarrierPrefix = core.Root + "audit/of/"   // values that carry entries of changes without a value of their own
+)
+
+// entryID identifies an audit entry.
 type entryID struct {
 	node               string
 	incarnation, count uint64
 }
 
-// auditChecker checks every transaction: no change without its entry, no entry without its change, no entry dropped
-// before it is in a block, no block written twice.
+// auditChecker checks every transaction: no change without its audit entry, no entry without its change, no entry
+// dropped before it is in a block, no block written twice.
 type auditChecker struct {
 	checker     *Checker
 	now         func() time.Duration
-	carriedAt   map[entryID]time.Duration // when they were written with a change
-	blockCounts map[entryID]int           // times each is in a block
-	verbCounts  map[string]int            // entries in blocks
+	carriedAt   map[entryID]time.Duration // when an entry was stored with its change
+	blockCounts map[entryID]int           // blocks that contain an entry
+	verbCounts  map[string]int            // entries in blocks by verb
 }
 
-func newAuditChecker(k *Checker, now func() time.Duration) *auditChecker {
+func newAuditChecker(checker *Checker, now func() time.Duration) *auditChecker {
 	return &auditChecker{
-		checker:     k,
+		checker:     checker,
 		now:         now,
 		carriedAt:   map[entryID]time.Duration{},
 		blockCounts: map[entryID]int{},
@@ -43,7 +52,7 @@
 	}
 }
 
-// entryCarrier is what values with entries have in common, and what records tell of changes.
+// entryCarrier is the part of a stored value that carries entries, and of a job's record that shows its changes.
 type entryCarrier struct {
 	Carried     []audit.PendingEntry `json:"e"`
 	Stage       string               `json:"st"`
@@ -54,6 +63,7 @@
 	Lease       uint64               `json:"t"`
 }
 
+// stopReason is a preemption of a task, as a job's record keeps it.
 type stopReason struct {
 	Task    int    `json:"i"`
 	At      int64  `json:"t"`
@@ -64,40 +74,45 @@
 	r.checker.violated("unrecorded", format, args...)
 }
 
+// decodeEntryCarrier decodes a stored value.
 func decodeEntryCarrier(raw json.RawMessage) entryCarrier {
-	var v entryCarrier
-	_ = json.Unmarshal(raw, &v) // what has other fields carries nothing
-	return v
+	var carrier entryCarrier
+	_ = json.Unmarshal(raw, &carrier) // a value of another form carries no entries
+	return carrier
+}
+
+// storedCarrier decodes the value of a key; an empty one if there is none.
+func storedCarrier(keys map[string]*wire.KeyValue, key string) entryCarrier {
+	if item := keys[key]; item != nil {
+		return decodeEntryCarrier(item.Value)
+	}
+	return entryCarrier{}
 }
 
-// newEntries lists the entries of a value that the old one and the others of its transaction did not carry, by verb.
-func (r *auditChecker) newEntries(
-	key string,
-	old []audit.PendingEntry,
-	now []audit.PendingEntry,
-) map[string][]*pb.AuditEntry {
+// newEntries verifies the entries that a value carries, and returns by verb those that it did not carry before.
+func (r *auditChecker) newEntries(key string, before, after []audit.PendingEntry) map[string][]*pb.AuditEntry {
 	out := map[string][]*pb.AuditEntry{}
 	had := map[entryID]bool{}
-	for _, x := range old {
-		had[entryID{x.Node, x.Incarnation, x.Sequence}] = true
+	for _, pending := range before {
+		had[entryID{pending.Node, pending.Incarnation, pending.Sequence}] = true
 	}
 	has := map[entryID]bool{}
-	for _, x := range now {
-		id := entryID{x.Node, x.Incarnation, x.Sequence}
+	for _, pending := range after {
+		id := entryID{pending.Node, pending.Incarnation, pending.Sequence}
 		has[id] = true
 		if had[id] {
 			continue
 		}
-		e, err := auditKey.VerifyEntry(key, &x)
+		entry, err := auditKey.VerifyEntry(key, &pending)
 		if err != nil {
 			r.violated("%s carries a bad entry: %v", key, err)
 			continue
 		}
-		if _, before := r.carriedAt[id]; before {
+		if _, carried := r.carriedAt[id]; carried {
 			r.violated("%s carries entry %v, which was written before", key, id)
 		}
 		r.carriedAt[id] = r.now()
-		out[e.Verb] = append(out[e.Verb], e)
+		out[entry.Verb] = append(out[entry.Verb], entry)
 	}
 	for id := range had {
 		if !has[id] && r.blockCounts[id] == 0 {
@@ -108,125 +123,142 @@
 }
 
 // CheckTxn checks a transaction that is about to be executed.
-func (r *auditChecker) CheckTxn(keys map[string]*wire.KeyValue, t wire.Txn) {
-	const begun, carrier = core.Root + "audit/begun", core.Root + "audit/of/"
-	was := func(key string) entryCarrier {
-		if it := keys[key]; it != nil {
-			return decodeEntryCarrier(it.Value)
-		}
-		return entryCarrier{}
-	}
-	on := keys[begun] != nil
-	beside := map[string]int{} // entries of carriers, by verb
-	for _, x := range t.Then {
-		if strings.HasPrefix(x.Put, carrier) {
-			for verb, list := range r.newEntries(x.Put, was(x.Put).Carried, decodeEntryCarrier(x.Value).Carried) {
-				beside[verb] += len(list)
-			}
-		}
-		if strings.HasPrefix(x.Put, audit.BlockPrefix) {
-			r.checkBlock(keys, x)
-		}
-		if strings.HasPrefix(x.Delete, audit.BlockPrefix) {
-			r.violated("%s is deleted", x.Delete)
-		}
-	}
-	if !on {
+func (r *auditChecker) CheckTxn(keys map[string]*wire.KeyValue, txn wire.Txn) {
+	isOn := keys[keyAuditBegun] != nil
+	separate := r.checkAuditWrites(keys, txn)
+	if !isOn {
 		return
 	}
-	rights, taken, restored := 0, 0, 0
-	for _, x := range t.Then {
-		key := x.Put + x.Delete
-		old, now := was(key), decodeEntryCarrier(x.Value)
-		switch id, isJob := strings.CutPrefix(key, core.Root+"job/"); {
+	changes := map[string]int{"administer": 0, "take": 0, "restore": 0}
+	for _, write := range txn.Then {
+		key := write.Put + write.Delete
+		id, isJob := strings.CutPrefix(key, core.Root+"job/")
+		switch {
 		case key == reservations.KeyHead:
-			if len(r.newEntries(key, old.Carried, now.Carried)) == 0 {
-				r.violated("bookings change without an entry")
-			}
-		case isJob && x.Put != "":
-			mark := core.Root + "cancel/" + id
-			marked := keys[mark] != nil
-			if marked && slices.ContainsFunc(t.Then, func(y wire.Write) bool { return y.Delete == mark }) {
-				old.Carried = append(old.Carried, was(mark).Carried...)
+			if len(r.newEntriesOf(keys, write)) == 0 {
+				r.violated("reservations change without an entry")
 			}
-			fresh := r.newEntries(key, old.Carried, now.Carried)
-			isNew, cancelled := keys[key] == nil, now.Stage == "c" && old.Stage == "" && !marked
-			stopped := slices.ContainsFunc(
-				now.StopReasons,
-				func(w stopReason) bool { return !slices.Contains(old.StopReasons, w) },
-			)
-			for _, c := range []struct {
-				verb string
-				made bool
-			}{{"submit", isNew}, {"cancel", cancelled}, {"stop", stopped}} {
-				if c.made && len(fresh[c.verb]) == 0 {
-					r.violated("%s: %s without its entry", key, c.verb)
-				}
-				if !c.made && len(fresh[c.verb]) > 0 && c.verb != "stop" { // of reasons only the last are kept
-					r.violated("%s: an entry of %s without its change", key, c.verb)
-				}
-			}
-			if isNew && len(fresh["submit"]) != 1 {
-				r.violated("%s: %d entries of its submission", key, len(fresh["submit"]))
-			} else if isNew && now.Spec != nil && fresh["submit"][0].Who != now.User {
-				r.violated("%s was submitted by %s, its entry says %s", key, now.User, fresh["submit"][0].Who)
-			}
-		case strings.HasPrefix(x.Put, core.Root+"cancel/"):
-			if fresh := r.newEntries(key, old.Carried, now.Carried); len(fresh["cancel"]) == 0 {
+		case isJob && write.Put != "":
+			r.checkJobWrite(keys, txn, write, id)
+		case strings.HasPrefix(write.Put, core.Root+"cancel/"):
+			if len(r.newEntriesOf(keys, write)["cancel"]) == 0 {
 				r.violated("%s without its entry", key)
 			}
 		case strings.HasPrefix(key, core.Root+"access/"):
-			rights = 1
-		case strings.HasPrefix(x.Put, core.Root+"shard/"), x.Put == core.Root+"leader":
-			taken = 1
-		case x.Delete == core.Root+"restored":
-			restored = 1
+			changes["administer"] = 1
+		case strings.HasPrefix(write.Put, core.Root+"shard/"), write.Put == core.Root+"leader":
+			changes["take"] = 1
+		case write.Delete == core.Root+"restored":
+			changes["restore"] = 1
 		}
 	}
-	for verb, n := range map[string]int{"administer": rights, "take": taken, "restore": restored} {
-		if beside[verb] != n {
-			r.violated("%d entries of %s for a transaction with %d: %+v", beside[verb], verb, n, t)
+	for verb, count := range changes {
+		if separate[verb] != count {
+			r.violated("%d entries of %s for a transaction with %d: %+v", separate[verb], verb, count, txn)
 		}
 	}
 }
 
-// checkBlock takes a block.
-func (r *auditChecker) checkBlock(keys map[string]*wire.KeyValue, x wire.Write) {
-	node, number, ok := audit.SplitBlockKey(x.Put)
-	if keys[x.Put] != nil || !ok {
-		r.violated("%s is written twice, or is no key of a block", x.Put)
+// checkAuditWrites checks the writes of the audit log itself, and returns the number of new entries by verb in
+// values that only carry entries.
+func (r *auditChecker) checkAuditWrites(keys map[string]*wire.KeyValue, txn wire.Txn) map[string]int {
+	separate := map[string]int{}
+	for _, write := range txn.Then {
+		if strings.HasPrefix(write.Put, auditCarrierPrefix) {
+			for verb, entries := range r.newEntriesOf(keys, write) {
+				separate[verb] += len(entries)
+			}
+		}
+		if strings.HasPrefix(write.Put, audit.BlockPrefix) {
+			r.checkBlock(keys, write)
+		}
+		if strings.HasPrefix(write.Delete, audit.BlockPrefix) {
+			r.violated("%s is deleted", write.Delete)
+		}
+	}
+	return separate
+}
+
+// newEntriesOf returns the entries that a write adds to those that its key carried, by verb.
+func (r *auditChecker) newEntriesOf(keys map[string]*wire.KeyValue, write wire.Write) map[string][]*pb.AuditEntry {
+	key := write.Put + write.Delete
+	return r.newEntries(key, storedCarrier(keys, key).Carried, decodeEntryCarrier(write.Value).Carried)
+}
+
+// checkJobWrite checks the write of a job's record: a submission, a cancellation or a preemption has its entry, and
+// no other change has one.
+func (r *auditChecker) checkJobWrite(keys map[string]*wire.KeyValue, txn wire.Txn, write wire.Write, id string) {
+	key, cancelKey := write.Put, core.Root+"cancel/"+id
+	before, after := storedCarrier(keys, key), decodeEntryCarrier(write.Value)
+	wasRequested := keys[cancelKey] != nil
+	if wasRequested && slices.ContainsFunc(txn.Then, func(w wire.Write) bool { return w.Delete == cancelKey }) {
+		before.Carried = append(before.Carried, storedCarrier(keys, cancelKey).Carried...)
+	}
+	added := r.newEntries(key, before.Carried, after.Carried)
+	isNew := keys[key] == nil
+	isCancelled := after.Stage == "c" && before.Stage == "" && !wasRequested
+	isStopped := slices.ContainsFunc(after.StopReasons, func(reason stopReason) bool {
+		return !slices.Contains(before.StopReasons, reason)
+	})
+	for _, change := range []struct {
+		verb string
+		made bool
+	}{{"submit", isNew}, {"cancel", isCancelled}, {"stop", isStopped}} {
+		if change.made && len(added[change.verb]) == 0 {
+			r.violated("%s: %s without its entry", key, change.verb)
+		}
+		// The record keeps the latest stop reasons only.
+		if !change.made && len(added[change.verb]) > 0 && change.verb != "stop" {
+			r.violated("%s: an entry of %s without its change", key, change.verb)
+		}
+	}
+	if !isNew {
 		return
 	}
-	b, err := audit.DecodeBlock(x.Value)
-	if err != nil || b.Number != number {
-		r.violated("%s: %v", x.Put, err)
+	if len(added["submit"]) != 1 {
+		r.violated("%s: %d entries of its submission", key, len(added["submit"]))
+	} else if after.Spec != nil && added["submit"][0].Who != after.User {
+		r.violated("%s was submitted by %s, its entry says %s", key, after.User, added["submit"][0].Who)
+	}
+}
+
+// checkBlock checks and records a new block of the audit log.
+func (r *auditChecker) checkBlock(keys map[string]*wire.KeyValue, write wire.Write) {
+	node, number, ok := audit.SplitBlockKey(write.Put)
+	if keys[write.Put] != nil || !ok {
+		r.violated("%s is written twice, or is no key of a block", write.Put)
 		return
 	}
-	for _, e := range b.Entries {
-		id := entryID{node, e.Life, e.Count}
+	block, err := audit.DecodeBlock(write.Value)
+	if err != nil || block.Number != number {
+		r.violated("%s: %v", write.Put, err)
+		return
+	}
+	for _, entry := range block.Entries {
+		id := entryID{node, entry.Life, entry.Count}
 		if r.blockCounts[id]++; r.blockCounts[id] > 1 {
 			r.violated("entry %v is in two blocks", id)
 		}
-		r.verbCounts[e.Verb]++
-		switch e.Verb {
-		case "start", "refused", "read":
+		r.verbCounts[entry.Verb]++
+		switch entry.Verb {
+		case "start", "refused", "read": // no stored change belongs to these
 		case "forged":
-			r.violated("entry %v: %s", id, e.Why)
+			r.violated("entry %v: %s", id, entry.Why)
 		default:
-			if _, made := r.carriedAt[id]; !made {
-				r.violated("entry %v is in a block and its change was not made: %v", id, e)
+			if _, carried := r.carriedAt[id]; !carried {
+				r.violated("entry %v is in a block and its change was not made: %v", id, entry)
 			}
 		}
 	}
 }
 
-// Finish checks that every entry is in a block, or carried, and every chain whole.
+// Finish checks that every entry is in a block or still carried, and that every chain of blocks is complete.
 func (r *auditChecker) Finish(keys map[string]*wire.KeyValue) {
-	left := map[entryID]bool{}
+	carried := map[entryID]bool{}
 	chains := map[string]*audit.ChainVerifier{}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		for _, x := range decodeEntryCarrier(keys[key].Value).Carried {
-			left[entryID{x.Node, x.Incarnation, x.Sequence}] = true
+		for _, pending := range decodeEntryCarrier(keys[key].Value).Carried {
+			carried[entryID{pending.Node, pending.Incarnation, pending.Sequence}] = true
 		}
 		if node, number, ok := audit.SplitBlockKey(key); ok {
 			if chains[node] == nil {
@@ -238,43 +270,42 @@
 		}
 	}
 	for id, at := range r.carriedAt {
-		if r.blockCounts[id] == 0 && (!left[id] || r.now()-at > maxCarriedTime) {
-			r.violated("entry %v, written at %v, is in no block, carried: %v", id, at, left[id])
+		if r.blockCounts[id] == 0 && (!carried[id] || r.now()-at > maxCarriedTime) {
+			r.violated("entry %v, written at %v, is in no block, carried: %v", id, at, carried[id])
 		}
 	}
 }
 
-// maxCarriedTime is how long no entry is carried: outages are shorter, and the last troubles end before.
-const maxCarriedTime = 120 * time.Second
+// auditReadTimeout is how long a reader of the audit log waits.
+const auditReadTimeout = 2 * time.Second
 
-// scheduleAuditReaders ask for the record, some without the right to.
+// scheduleAuditReaders schedules users who read the audit log, half of them without permission.
 func (w *Simulator) scheduleAuditReaders() {
 	var read func()
 	read = func() {
-		by := credentialOf(rootUser)
+		caller := credentialOf(rootUser)
 		if w.chance(0.5) {
-			by = credentialOf("u0")
+			caller = credentialOf("u0")
 		}
-		in := core.ReadAudit{Caller: by}
+		query := core.ReadAudit{Caller: caller}
 		if w.chance(0.5) {
-			in.Node = w.nodes[0].name
+			query.Node = w.nodes[0].name
 		}
-		w.sendRequest(
-			w.nodes[w.rng.IntN(len(w.nodes))],
-			2*time.Second,
-			func(r uint64) core.Input { in.RequestID = r; return in },
-			func(r core.Response, ok bool) {
-				if ok && (r.Status == wire.StatusOK) != (by.Identity == rootUser) && r.Status != wire.StatusUnavailable {
-					w.Checker.violated("let_in", "%s reads the audit record: %d", by.Identity, r.Status)
-				}
-			},
-		)
+		w.sendRequest(w.anyNode(), auditReadTimeout, func(requestID uint64) core.Input {
+			query.RequestID = requestID
+			return query
+		}, func(response core.Response, ok bool) {
+			allowed := response.Status == wire.StatusOK
+			if ok && allowed != (caller.Identity == rootUser) && response.Status != wire.StatusUnavailable {
+				w.Checker.violated("let_in", "%s reads the audit log: %d", caller.Identity, response.Status)
+			}
+		})
 		w.schedule(w.randomDuration(2*time.Second, 20*time.Second), read)
 	}
 	w.schedule(5*time.Second, read)
 }
 
-// settingsFor are a controller's settings: now and then others than at its start before.
+// settingsFor returns the audited settings of a controller's process: every other start has new ones.
 func settingsFor(n *node) map[string]string {
 	return map[string]string{"life": fmt.Sprint(n.incarnation / 2), "fixed": "1"}
 }
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -17,40 +17,41 @@
 	pb "dewlift/proto"
 )
 
-// reservationChecker are the equipment of a world, what its users were told, and what is stored.
-// What is stored is checked after each write, by code of its own that looks at every pair of
-// bookings.
+// reservationChecker holds the equipment of a simulation, what its users were told of reservations, and what is
+// stored. It checks what is stored after each write with code of its own that compares every pair of reservations.
 type reservationChecker struct {
 	sim              *Simulator
 	site             *booking.Inventory
-	lastStored       map[string]*pb.Booking // as it is stored
+	lastStored       map[string]*pb.Booking
 	views            map[string]reservationView
-	requested        map[string][][]string // by booking: all sets of slots that it was ever asked to have
-	endRequested     map[string]bool       // whose end was asked for
-	equipmentChanged bool                  // the list of equipment was changed: bookings may have been ended with it
-	history          []porcupine.Operation
-	stateCounts      map[string]int // how many bookings came to which state, for tests to see that something happened
+	requested        map[string][][]string // by reservation: all sets of slots that it was ever requested with
+	endRequested     map[string]bool
+	equipmentChanged bool                  // the inventory was changed, which may end reservations
+	history          []porcupine.Operation // of single slots, see CheckLinearizable
+	stateCounts      map[string]int        // reservations that reached a state, so that tests see that something happened
 	lastClientID     int
 
-	archived          int // bookings that are in blocks
-	pages, pageMerges int // values that hold bookings, and how often they became fewer
+	archived   int // reservations in archive blocks
+	pages      int // stored values with reservations
+	pageMerges int // times their number fell
 }
 
-// reservationView is what users know of a booking.
+// reservationView is what users know of a reservation.
 type reservationView struct {
 	state  string
-	toldAt time.Duration // when they were told first
+	toldAt time.Duration // when a user was first told of the state
 }
 
-// parseEquipment of a world: one kiln that is to cool, two that are alike, a roaster; all are always open.
+// parseEquipment returns the inventory of a simulation: a kiln that has to cool, two equal kilns and a roaster,
+// always open, and more in the inventory's text form.
 func parseEquipment(more string) *booking.Inventory {
-	s, err := booking.Parse([]byte(`pieces { name: "k1" kind: "kiln" slot_minutes: 60 cool_minutes: 30 }
+	inventory, err := booking.Parse([]byte(`pieces { name: "k1" kind: "kiln" slot_minutes: 60 cool_minutes: 30 }
 pieces { name: "k2" kind: "kiln" units: 2 slot_minutes: 60 }
 pieces { name: "r" kind: "roaster" slot_minutes: 30 }` + more))
 	if err != nil {
-		panic(err)
+		panic(err) // the text is constant
 	}
-	return s
+	return inventory
 }
 
 func newReservationChecker(w *Simulator) *reservationChecker {
@@ -65,42 +66,46 @@
 	}
 }
 
-// writesReservations reports whether a transaction writes bookings.
-func writesReservations(t wire.Txn) bool {
-	return slices.ContainsFunc(
-		t.Then,
-		func(x wire.Write) bool { return strings.HasPrefix(x.Put+x.Delete, reservations.Prefix) },
-	)
+// writesReservations reports whether a transaction writes reservations.
+func writesReservations(txn wire.Txn) bool {
+	return slices.ContainsFunc(txn.Then, func(write wire.Write) bool {
+		return strings.HasPrefix(write.Put+write.Delete, reservations.Prefix)
+	})
 }
 
+// occupiesSlots reports whether a reservation keeps others from its slots.
 func occupiesSlots(b *pb.Booking) bool {
 	return b != nil && (b.State == pb.BookingState_held || b.State == pb.BookingState_confirmed)
 }
 
-// checkStored checks what the state service holds after a write.
+// isReservationPage reports whether a key holds a page of current reservations.
+func isReservationPage(key string) bool {
+	return strings.HasPrefix(key, reservations.Prefix) && key != reservations.KeyInventory &&
+		key != reservations.Prefix+"past"
+}
+
+// checkStored checks what the store holds after a write.
 func (k *reservationChecker) checkStored(keys map[string]*wire.KeyValue) {
-	now := map[string]*pb.Booking{}
+	stored := map[string]*pb.Booking{}
 	pages := 0
 	k.archived = 0
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		past := strings.HasPrefix(key, reservations.ArchivePrefix)
-		if !past &&
-			(!strings.HasPrefix(key, reservations.Prefix) || key == reservations.KeyInventory || key == reservations.Prefix+"past") {
+		isArchive := strings.HasPrefix(key, reservations.ArchivePrefix)
+		if !isArchive && !isReservationPage(key) {
 			continue
 		}
-		if !past {
+		page, _, err := reservations.Decode(keys[key].Value)
+		if isArchive {
+			k.archived += len(page.GetBookings())
+		} else {
 			pages++
 		}
-		p, _, err := reservations.Decode(keys[key].Value)
-		if past {
-			k.archived += len(p.GetBookings())
-		}
 		if err != nil {
 			k.sim.Checker.violated("booking", "%s: %v", key, err)
 		}
-		for _, b := range p.GetBookings() {
-			if o := now[b.Id]; o == nil || o.Change < b.Change {
-				now[b.Id] = b
+		for _, b := range page.GetBookings() {
+			if other := stored[b.Id]; other == nil || other.Change < b.Change {
+				stored[b.Id] = b
 			}
 		}
 	}
@@ -108,68 +113,92 @@
 		k.pageMerges++
 	}
 	k.pages = pages
-	k.checkTransition(k.lastStored, now)
-	k.lastStored = now
+	k.checkTransition(k.lastStored, stored)
+	k.lastStored = stored
 }
 
-// checkTransition compares what was stored before a write with what is after it.
-func (k *reservationChecker) checkTransition(was, now map[string]*pb.Booking) {
-	broken := k.sim.Checker.violated
-	ids := slices.Sorted(maps.Keys(now))
-	for _, id := range slices.Sorted(maps.Keys(was)) {
-		o, b := was[id], now[id]
-		switch {
-		case b == nil || b.Change < o.Change:
-			broken("booking_lost", "%s was stored as %v and is %v", id, o, b)
-		case o.State == pb.BookingState_ended && b.State != o.State:
-			broken("booking_back", "%s had ended and is %s", id, b.State)
-		case o.State == pb.BookingState_confirmed && b.State != o.State && (b.State != pb.BookingState_ended || !k.endRequested[id] && !k.equipmentChanged):
-			broken("booking_back", "%s was confirmed and is %s, nobody asked for it", id, b.State)
-		}
-	}
+// checkTransition compares what was stored before a write with what is stored after it.
+func (k *reservationChecker) checkTransition(before, after map[string]*pb.Booking) {
+	k.checkNoneLost(before, after)
+	ids := slices.Sorted(maps.Keys(after))
 	var changed []*pb.Booking
 	for i, id := range ids {
-		b, o := now[id], was[id]
-		if o == nil || o.State != b.State {
-			k.stateCounts[b.State.String()]++
+		current, previous := after[id], before[id]
+		if previous == nil || previous.State != current.State {
+			k.stateCounts[current.State.String()]++
 		}
-		if o == nil || o.Change != b.Change {
-			changed = append(changed, b)
+		if previous == nil || previous.Change != current.Change {
+			changed = append(changed, current)
 		}
-		if !occupiesSlots(b) {
-			continue
-		}
-		k.checkComplete(b)
-		for _, other := range ids[i:] {
-			if c := now[other]; occupiesSlots(c) && k.overlap(b, c) {
-				broken("double_booked", "%v and %v", b, c)
-			}
+		if occupiesSlots(current) {
+			k.checkComplete(current)
+			k.checkNotDoubleBooked(current, ids[i:], after)
 		}
 	}
-	// In the order in which it was decided: nobody got something while one that came before waited
-	// for what it could have, nor does one wait so now.
 	slices.SortFunc(changed, func(a, b *pb.Booking) int { return cmp.Compare(a.Change, b.Change) })
 	for _, id := range ids {
-		b, o := now[id], was[id]
-		if o == nil || b.State != pb.BookingState_waiting || o.State != b.State {
+		current, previous := after[id], before[id]
+		if previous != nil && current.State == pb.BookingState_waiting && previous.State == current.State {
+			k.checkNotOvertaken(current, before, after, changed)
+		}
+	}
+}
+
+// checkNoneLost checks that no reservation is lost or older, and that none leaves a final state.
+func (k *reservationChecker) checkNoneLost(before, after map[string]*pb.Booking) {
+	broken := k.sim.Checker.violated
+	for _, id := range slices.Sorted(maps.Keys(before)) {
+		previous, current := before[id], after[id]
+		if current == nil || current.Change < previous.Change {
+			broken("booking_lost", "%s was stored as %v and is %v", id, previous, current)
 			continue
 		}
-		at := maps.Clone(was)
-		for _, g := range changed {
-			if later := g.Rank > b.Rank || g.Rank == b.Rank && g.Made > b.Made; later && occupiesSlots(g) &&
-				!occupiesSlots(was[g.Id]) &&
-				k.couldReserve(at, b) {
-				broken("overtaken", "%v could have what it waits for when %v got its slots", b, g)
-			}
-			at[g.Id] = g
+		if current.State == previous.State {
+			continue
 		}
-		if k.couldReserve(now, b) && !k.equipmentChanged {
-			broken("overtaken", "%v could have what it waits for", b)
+		mayEnd := current.State == pb.BookingState_ended && (k.endRequested[id] || k.equipmentChanged)
+		switch {
+		case previous.State == pb.BookingState_ended:
+			broken("booking_back", "%s had ended and is %s", id, current.State)
+		case previous.State == pb.BookingState_confirmed && !mayEnd:
+			broken("booking_back", "%s was confirmed and is %s, nobody asked for it", id, current.State)
 		}
 	}
 }
 
-// overlap reports whether two bookings have a unit at the same time; of one booking, whether it has one twice.
+// checkNotDoubleBooked checks that a reservation overlaps neither itself nor one of others.
+func (k *reservationChecker) checkNotDoubleBooked(b *pb.Booking, others []string, stored map[string]*pb.Booking) {
+	for _, id := range others {
+		if other := stored[id]; occupiesSlots(other) && k.overlap(b, other) {
+			k.sim.Checker.violated("double_booked", "%v and %v", b, other)
+		}
+	}
+}
+
+// checkNotOvertaken replays changes in the order in which they were decided: no reservation that ranks lower may
+// get slots while the waiting one could have had what it waits for, and the waiting one may not have it afterwards
+// either.
+func (k *reservationChecker) checkNotOvertaken(
+	waiting *pb.Booking,
+	before, after map[string]*pb.Booking,
+	changed []*pb.Booking,
+) {
+	state := maps.Clone(before)
+	for _, granted := range changed {
+		ranksLower := granted.Rank > waiting.Rank || granted.Rank == waiting.Rank && granted.Made > waiting.Made
+		getsSlots := occupiesSlots(granted) && !occupiesSlots(before[granted.Id])
+		if ranksLower && getsSlots && k.couldReserve(state, waiting) {
+			k.sim.Checker.violated("overtaken", "%v could have what it waits for when %v got its slots", waiting, granted)
+		}
+		state[granted.Id] = granted
+	}
+	if k.couldReserve(after, waiting) && !k.equipmentChanged {
+		k.sim.Checker.violated("overtaken", "%v could have what it waits for", waiting)
+	}
+}
+
+// overlap reports whether two reservations have a unit at the same time; of one reservation, whether it has a unit
+// twice.
 func (k *reservationChecker) overlap(a, b *pb.Booking) bool {
 	for i, x := range a.Slots {
 		for j, y := range b.Slots {
@@ -181,39 +210,35 @@
 	return false
 }
 
-// checkComplete checks that a booking has all that was asked for at one time.
+// checkComplete checks that a reservation has all that was requested at one time.
 func (k *reservationChecker) checkComplete(b *pb.Booking) {
 	var has []string
-	for _, x := range b.Slots {
-		has = append(has, fmt.Sprintf("%s %d %d", k.site.ItemKind(x.Piece), x.From, x.To))
+	for _, slot := range b.Slots {
+		has = append(has, fmt.Sprintf("%s %d %d", k.site.ItemKind(slot.Piece), slot.From, slot.To))
 	}
-	if !slices.ContainsFunc(k.requested[b.Id], func(w []string) bool { return slices.Equal(w, has) }) {
-		k.sim.Checker.violated("half_booked", "%v has %v, asked for was %v", b, has, k.requested[b.Id])
+	if !slices.ContainsFunc(k.requested[b.Id], func(set []string) bool { return slices.Equal(set, has) }) {
+		k.sim.Checker.violated("half_booked", "%v has %v, requested was %v", b, has, k.requested[b.Id])
 	}
 }
 
-// couldReserve reports whether a booking that waits for one slot could have it beside others.
+// couldReserve reports whether a reservation that waits for one future slot could have it beside others.
 func (k *reservationChecker) couldReserve(others map[string]*pb.Booking, b *pb.Booking) bool {
 	if len(b.Wants) != 1 || b.Wants[0].From <= k.unixSeconds() {
 		return false
 	}
-	w := b.Wants[0]
-	for _, p := range k.site.Source().Pieces {
-		if p.Name != w.Piece && p.Kind != w.Kind {
+	want := b.Wants[0]
+	for _, item := range k.site.Source().Pieces {
+		if item.Name != want.Piece && item.Kind != want.Kind {
 			continue
 		}
-		for u := uint32(1); u <= max(1, p.Units); u++ {
-			x := &pb.Slot{
-				Piece: p.Name,
-				Unit:  u,
-				From:  w.From,
-				Clear: w.From + int64(w.Slots*p.SlotMinutes+p.CoolMinutes)*60,
+		for unit := uint32(1); unit <= max(1, item.Units); unit++ {
+			slot := &pb.Slot{
+				Piece: item.Name,
+				Unit:  unit,
+				From:  want.From,
+				Clear: want.From + int64(want.Slots*item.SlotMinutes+item.CoolMinutes)*60,
 			}
-			free := true
-			for _, o := range others {
-				free = free && !(occupiesSlots(o) && k.overlap(&pb.Booking{Slots: []*pb.Slot{x}}, o))
-			}
-			if free {
+			if k.isFree(slot, others) {
 				return true
 			}
 		}
@@ -221,304 +246,354 @@
 	return false
 }
 
+// isFree reports whether no reservation occupies a slot.
+func (k *reservationChecker) isFree(slot *pb.Slot, others map[string]*pb.Booking) bool {
+	wanted := &pb.Booking{Slots: []*pb.Slot{slot}}
+	for _, other := range others {
+		if occupiesSlots(other) && k.overlap(wanted, other) {
+			return false
+		}
+	}
+	return true
+}
+
+// unixSeconds is a lower bound of the wall clock of all controllers.
 func (k *reservationChecker) unixSeconds() int64 {
 	return startUnixMS/1000 + int64(k.sim.now.Seconds()) - 1
 }
 
-// checkAnswer checks an answer about a booking that was asked for at began.
-func (k *reservationChecker) checkAnswer(began time.Duration, id string, r core.Response) *wire.Reservation {
-	a, _ := r.Body.(wire.ReservationResponse)
-	t, known := k.views[id]
+// checkAnswer checks the response to a request about a reservation that was sent at sentAt, and returns the
+// reservation in it.
+func (k *reservationChecker) checkAnswer(sentAt time.Duration, id string, response core.Response) *wire.Reservation {
+	body, _ := response.Body.(wire.ReservationResponse)
+	view, known := k.views[id]
+	isLater := sentAt >= view.toldAt // than what users were told
 	broken := k.sim.Checker.violated
-	if r.Status == wire.StatusNotFound && known && began >= t.toldAt {
-		broken("booking_lost", "%s was called %s and is unknown", id, t.state)
+	if response.Status == wire.StatusNotFound && known && isLater {
+		broken("booking_lost", "%s was reported %s and is unknown", id, view.state)
 	}
-	b := a.Reservation
-	if b == nil || b.ID != id || r.Status >= 300 && r.Status != wire.StatusConflict {
+	current := body.Reservation
+	if current == nil || current.ID != id || response.Status >= 300 && response.Status != wire.StatusConflict {
 		return nil
 	}
-	if known && began >= t.toldAt {
+	if known && isLater {
 		switch {
-		case t.state == "ended" && b.State != t.state:
-			broken("booking_back", "%s was told to have ended and is %s", id, b.State)
-		case t.state == "confirmed" && (b.State == "held" || b.State == "waiting"):
-			broken("booking_back", "%s was told to be confirmed and is %s", id, b.State)
+		case view.state == "ended" && current.State != view.state:
+			broken("booking_back", "%s was reported ended and is %s", id, current.State)
+		case view.state == "confirmed" && (current.State == "held" || current.State == "waiting"):
+			broken("booking_back", "%s was reported confirmed and is %s", id, current.State)
 		}
 	}
-	if s := k.lastStored[id]; s == nil {
-		broken("booking_lost", "%s is called %s and is not stored", id, b.State)
+	if k.lastStored[id] == nil {
+		broken("booking_lost", "%s is reported %s and is not stored", id, current.State)
 	}
-	if !known || t.state != b.State && began >= t.toldAt {
-		k.views[id] = reservationView{b.State, k.sim.now}
+	if !known || view.state != current.State && isLater {
+		k.views[id] = reservationView{current.State, k.sim.now}
+	}
+	return current
+}
+
+// withRootCaller sets the caller of a request about reservations.
+func withRootCaller(in core.Input) core.Input {
+	switch request := in.(type) {
+	case core.ReserveEquipment:
+		request.Caller = credentialOf(rootUser)
+		return request
+	case core.SetEquipment:
+		request.Caller = credentialOf(rootUser)
+		return request
+	case core.ListReservations:
+		request.Caller = credentialOf(rootUser)
+		return request
+	default:
+		return request
 	}
-	return b
 }
 
-// requestUntilDecided sends a request about a booking until an answer decides it.
+// reservationTimeout is how long a user waits for a response about a reservation.
+const reservationTimeout = 2 * time.Second
+
+// requestUntilDecided repeats a request about a reservation until a response decides it.
 func (k *reservationChecker) requestUntilDecided(
 	id string,
-	in func(req uint64) core.Input,
-	then func(r core.Response, b *wire.Reservation),
+	newInput func(requestID uint64) core.Input,
+	then func(response core.Response, reservation *wire.Reservation),
 ) {
 	w := k.sim
-	began := w.now
-	by := func(req uint64) core.Input {
-		switch x := in(req).(type) {
-		case core.ReserveEquipment:
-			x.Caller = credentialOf(rootUser)
-			return x
-		case core.SetEquipment:
-			x.Caller = credentialOf(rootUser)
-			return x
-		case core.ListReservations:
-			x.Caller = credentialOf(rootUser)
-			return x
-		default:
-			return x
-		}
-	}
-	w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 2*time.Second, by, func(r core.Response, ok bool) {
+	sentAt := w.now
+	withCaller := func(requestID uint64) core.Input { return withRootCaller(newInput(requestID)) }
+	w.sendRequest(w.anyNode(), reservationTimeout, withCaller, func(response core.Response, ok bool) {
 		if ok {
-			b := k.checkAnswer(began, id, r)
-			if r.Status != wire.StatusUnavailable {
-				then(r, b)
+			current := k.checkAnswer(sentAt, id, response)
+			if response.Status != wire.StatusUnavailable {
+				then(response, current)
 				return
 			}
 		}
-		w.schedule(
-			w.randomDuration(300*time.Millisecond, 2*time.Second),
-			func() { k.requestUntilDecided(id, in, then) },
-		)
+		w.schedule(w.randomDuration(300*time.Millisecond, 2*time.Second), func() {
+			k.requestUntilDecided(id, newInput, then)
+		})
 	})
 }
 
-func (k *reservationChecker) formatTime(t int64) string {
-	return time.Unix(t, 0).UTC().Format(time.RFC3339)
+// formatTime formats a time in Unix seconds as requests have it.
+func (k *reservationChecker) formatTime(unixSeconds int64) string {
+	return time.Unix(unixSeconds, 0).UTC().Format(time.RFC3339)
 }
 
-// randomWants is a slot or a few, close together, so that many want the same.
-func (k *reservationChecker) randomWants() (ask []wire.SlotRequest) {
+// hourAfterStart returns the Unix seconds of a full hour after the start of the simulation.
+func hourAfterStart(hours int64) int64 { return (startUnixMS/1000/3600 + hours) * 3600 }
+
+// randomWants draws one slot or a few, close together, so that many users want the same.
+func (k *reservationChecker) randomWants() (wants []wire.SlotRequest) {
 	w := k.sim
-	hour := (startUnixMS/1000/3600 + 30) * 3600
+	hour := hourAfterStart(30)
 	for range 1 + w.rng.IntN(4)/3*(1+w.rng.IntN(2)) {
-		x := wire.SlotRequest{From: k.formatTime(hour + 3600*int64(w.rng.IntN(12))), Slots: uint32(1 + w.rng.IntN(2))}
+		want := wire.SlotRequest{From: k.formatTime(hour + 3600*int64(w.rng.IntN(12))), Slots: uint32(1 + w.rng.IntN(2))}
 		switch w.rng.IntN(4) {
 		case 0:
-			x.Equipment = "k1"
+			want.Equipment = "k1"
 		case 1:
-			x.Equipment = "k2"
+			want.Equipment = "k2"
 		case 2:
-			x.Kind = "kiln"
+			want.Kind = "kiln"
 		case 3:
-			x.Equipment = "r"
+			want.Equipment = "r"
 		}
-		ask = append(ask, x)
+		wants = append(wants, want)
 	}
-	return ask
+	return wants
 }
 
-// noteRequested notes what a booking is asked to have.
-func (k *reservationChecker) noteRequested(id string, list []wire.SlotRequest) {
-	wants, err := reservations.ResolveWants(k.site, list, "")
+// noteRequested records the slots that a reservation is requested with.
+func (k *reservationChecker) noteRequested(id string, slots []wire.SlotRequest) {
+	wants, err := reservations.ResolveWants(k.site, slots, "")
 	if err != nil {
-		panic(err)
+		panic(err) // all wants are valid
 	}
-	var has []string
-	for _, x := range wants {
+	var set []string
+	for _, want := range wants {
 		minutes := int64(60)
-		kind := k.site.WantKind(x)
+		kind := k.site.WantKind(want)
 		if kind == "roaster" {
 			minutes = 30
 		}
-		has = append(has, fmt.Sprintf("%s %d %d", kind, x.From, x.From+int64(x.Slots)*minutes*60))
+		set = append(set, fmt.Sprintf("%s %d %d", kind, want.From, want.From+int64(want.Slots)*minutes*60))
 	}
-	k.requested[id] = append(k.requested[id], has)
+	k.requested[id] = append(k.requested[id], set)
 }
 
-// scheduleReservationUsers are users who book the same few hours of the same few pieces, repeat
-// themselves, move, confirm, end and ask.
+// scheduleReservationUsers schedules users who reserve the same few hours of the same equipment, repeat requests,
+// move, confirm, end and list.
 func (w *Simulator) scheduleReservationUsers() {
 	k := w.reservations
 	for i := range w.options.ReservationUsers {
-		w.schedule(
-			w.randomDuration(2*time.Second, w.options.Duration*3/4),
-			func() { k.runReservationUser(fmt.Sprintf("b%03d", i)) },
-		)
+		w.schedule(w.randomDuration(2*time.Second, w.options.Duration*3/4), func() {
+			k.runReservationUser(fmt.Sprintf("b%03d", i))
+		})
 	}
 	for i := range w.options.ReservationUsers / 2 {
-		w.schedule(
-			w.randomDuration(2*time.Second, w.options.Duration*3/4),
-			func() { k.runSingleSlotUser(fmt.Sprintf("s%03d", i)) },
-		)
+		w.schedule(w.randomDuration(2*time.Second, w.options.Duration*3/4), func() {
+			k.runSingleSlotUser(fmt.Sprintf("s%03d", i))
+		})
 	}
-	if w.options.ReservationUsers > 20 { // the list is changed in the middle: a kiln is out of order, and back
-		w.schedule(
-			w.options.Duration/3,
-			func() { k.changeEquipment(` pieces { name: "spare" kind: "kiln" slot_minutes: 60 out: 1 }`, false) },
-		)
+	if w.options.ReservationUsers > 20 { // a kiln goes out of order, and is back later
+		w.schedule(w.options.Duration/3, func() {
+			k.changeEquipment(` pieces { name: "spare" kind: "kiln" slot_minutes: 60 out: 1 }`, false)
+		})
 		w.schedule(w.options.Duration/2, func() { k.changeEquipment("", true) })
 	}
 }
 
-func (k *reservationChecker) changeEquipment(more string, end bool) {
+// changeEquipment replaces the inventory.
+func (k *reservationChecker) changeEquipment(more string, endDisplaced bool) {
 	text := parseEquipment(more).Source().String()
-	k.equipmentChanged = k.equipmentChanged || end
-	k.requestUntilDecided("", func(req uint64) core.Input {
+	k.equipmentChanged = k.equipmentChanged || endDisplaced
+	k.requestUntilDecided("", func(requestID uint64) core.Input {
 		return core.SetEquipment{
-			RequestID: req,
-			Edit:      wire.EquipmentEdit{Text: text, EndDisplaced: end, Reason: "the kiln is out of order"},
+			RequestID: requestID,
+			Edit:      wire.EquipmentEdit{Text: text, EndDisplaced: endDisplaced, Reason: "the kiln is out of order"},
 		}
-	}, func(r core.Response, _ *wire.Reservation) {
-		if r.Status != wire.StatusOK && r.Status != wire.StatusConflict {
-			k.sim.Checker.violated("booking", "a list of equipment got %d: %v", r.Status, r.Body)
+	}, func(response core.Response, _ *wire.Reservation) {
+		if response.Status != wire.StatusOK && response.Status != wire.StatusConflict {
+			k.sim.Checker.violated("booking", "a list of equipment got %d: %v", response.Status, response.Body)
 		}
 	})
 }
 
+// reservationUser is a user with one reservation.
+type reservationUser struct {
+	checker *reservationChecker
+	request wire.ReservationRequest
+}
+
+// runReservationUser starts a user who makes a reservation and then changes or lists it at random.
 func (k *reservationChecker) runReservationUser(id string) {
 	w := k.sim
-	a := wire.ReservationRequest{ID: id, Slots: k.randomWants(), Waitlist: w.chance(0.5)}
+	request := wire.ReservationRequest{ID: id, Slots: k.randomWants(), Waitlist: w.chance(0.5)}
 	if w.chance(0.4) {
-		a.HoldS = uint32(2 + w.rng.IntN(30))
-	}
-	a.Priority = wire.PriorityName(w.rng.IntN(3))
-	k.noteRequested(id, a.Slots)
-	send := func(verb booking.Verb, a wire.ReservationRequest, then func(r core.Response, b *wire.Reservation)) {
-		k.requestUntilDecided(
-			id,
-			func(req uint64) core.Input { return core.ReserveEquipment{RequestID: req, Verb: verb, Request: a} },
-			then,
-		)
+		request.HoldS = uint32(2 + w.rng.IntN(30))
 	}
-	var life func()
-	life = func() {
-		w.schedule(w.randomDuration(500*time.Millisecond, 12*time.Second), func() {
-			switch w.rng.IntN(6) {
-			case 0:
-				send(
-					booking.VerbConfirm,
-					wire.ReservationRequest{ID: id},
-					func(core.Response, *wire.Reservation) { life() },
-				)
-			case 1:
-				next := wire.ReservationRequest{ID: id, Slots: k.randomWants()}
-				k.noteRequested(id, next.Slots)
-				send(booking.VerbMove, next, func(core.Response, *wire.Reservation) { life() })
-			case 2:
-				k.endRequested[id] = true
-				send(
-					booking.VerbEnd,
-					wire.ReservationRequest{ID: id, Reason: "done with it"},
-					func(core.Response, *wire.Reservation) { life() },
-				)
-			case 3: // a repeat
-				send(booking.VerbCreate, a, func(core.Response, *wire.Reservation) { life() })
-			default:
-				k.requestUntilDecided(id, func(req uint64) core.Input {
-					return core.ListReservations{RequestID: req, Query: wire.ReservationQuery{ID: id}}
-				},
-					func(core.Response, *wire.Reservation) { life() })
-			}
-		})
-	}
-	send(booking.VerbCreate, a, func(r core.Response, _ *wire.Reservation) {
-		switch r.Status {
+	request.Priority = wire.PriorityName(w.rng.IntN(3))
+	k.noteRequested(id, request.Slots)
+	user := &reservationUser{checker: k, request: request}
+	user.send(booking.VerbCreate, request, func(response core.Response) {
+		switch response.Status {
 		case wire.StatusOK, wire.StatusCreated:
-			life()
+			user.scheduleNext()
 		case wire.StatusConflict:
 		default:
-			w.Checker.violated("booking", "%s got %d: %v", id, r.Status, r.Body)
+			w.Checker.violated("booking", "%s got %d: %v", id, response.Status, response.Body)
 		}
 	})
 }
 
-// slotOperation is an operation on one slot of one unit, for the check that there is an order of
-// all operations that explains all answers.
+// send repeats a request until a response decides it.
+func (u *reservationUser) send(
+	verb booking.Verb,
+	request wire.ReservationRequest,
+	then func(response core.Response),
+) {
+	u.checker.requestUntilDecided(u.request.ID, func(requestID uint64) core.Input {
+		return core.ReserveEquipment{RequestID: requestID, Verb: verb, Request: request}
+	}, func(response core.Response, _ *wire.Reservation) { then(response) })
+}
+
+// scheduleNext schedules the next request.
+func (u *reservationUser) scheduleNext() {
+	w := u.checker.sim
+	w.schedule(w.randomDuration(500*time.Millisecond, 12*time.Second), u.sendRandomRequest)
+}
+
+// sendRandomRequest sends a request of a random kind, and schedules the next after its response.
+func (u *reservationUser) sendRandomRequest() {
+	k, id := u.checker, u.request.ID
+	next := func(core.Response) { u.scheduleNext() }
+	switch k.sim.rng.IntN(6) {
+	case 0:
+		u.send(booking.VerbConfirm, wire.ReservationRequest{ID: id}, next)
+	case 1:
+		moved := wire.ReservationRequest{ID: id, Slots: k.randomWants()}
+		k.noteRequested(id, moved.Slots)
+		u.send(booking.VerbMove, moved, next)
+	case 2:
+		k.endRequested[id] = true
+		u.send(booking.VerbEnd, wire.ReservationRequest{ID: id, Reason: "done with it"}, next)
+	case 3: // an idempotent repetition
+		u.send(booking.VerbCreate, u.request, next)
+	default:
+		k.requestUntilDecided(id, func(requestID uint64) core.Input {
+			return core.ListReservations{RequestID: requestID, Query: wire.ReservationQuery{ID: id}}
+		}, func(core.Response, *wire.Reservation) { u.scheduleNext() })
+	}
+}
+
+// slotOperation is the input of an operation on one slot, for the check of linearizability.
 type slotOperation struct {
 	slot, id string
 	end      bool
 }
 
-// runSingleSlotUser is a user who makes a booking of one slot that others want too, and ends it.
+// singleSlotUser is a user with a reservation of one slot, whose operations are recorded.
+type singleSlotUser struct {
+	checker  *reservationChecker
+	id, slot string
+}
+
+// runSingleSlotUser starts a user who reserves one slot that others want too, ends the reservation, and repeats the
+// first request.
 func (k *reservationChecker) runSingleSlotUser(id string) {
 	w := k.sim
-	slot := k.formatTime((startUnixMS/1000/3600 + 200 + 2*int64(w.rng.IntN(3))) * 3600)
+	slot := k.formatTime(hourAfterStart(200 + 2*int64(w.rng.IntN(3))))
 	k.noteRequested(id, []wire.SlotRequest{{Equipment: "k1", From: slot}})
-	op := func(end bool, in func(req uint64) core.Input, then func()) {
-		call := w.now
-		k.lastClientID++
-		client := k.lastClientID
-		k.requestUntilDecided(id, in, func(r core.Response, b *wire.Reservation) {
-			out := "none"
-			if b != nil {
-				out = b.State
-			}
-			k.history = append(
-				k.history,
-				porcupine.Operation{
-					ClientId: client,
-					Input:    slotOperation{slot, id, end},
-					Call:     int64(call),
-					Output:   out,
-					Return:   int64(w.now),
-				},
-			)
-			then()
+	user := &singleSlotUser{checker: k, id: id, slot: slot}
+	user.create(func() {
+		w.schedule(w.randomDuration(time.Second, 10*time.Second), func() {
+			user.end(func() {
+				w.schedule(w.randomDuration(0, 5*time.Second), func() { user.create(func() {}) })
+			})
 		})
-	}
-	make := func(req uint64) core.Input {
+	})
+}
+
+// create requests the reservation.
+func (u *singleSlotUser) create(then func()) {
+	u.record(false, func(requestID uint64) core.Input {
 		return core.ReserveEquipment{
-			RequestID: req,
+			RequestID: requestID,
 			Verb:      booking.VerbCreate,
-			Request:   wire.ReservationRequest{ID: id, Slots: []wire.SlotRequest{{Equipment: "k1", From: slot}}},
+			Request:   wire.ReservationRequest{ID: u.id, Slots: []wire.SlotRequest{{Equipment: "k1", From: u.slot}}},
 		}
-	}
-	end := func(req uint64) core.Input {
-		k.endRequested[id] = true
-		return core.ReserveEquipment{RequestID: req, Verb: booking.VerbEnd, Request: wire.ReservationRequest{ID: id}}
-	}
-	op(false, make, func() {
-		w.schedule(w.randomDuration(time.Second, 10*time.Second), func() {
-			op(
-				true,
-				end,
-				func() { w.schedule(w.randomDuration(0, 5*time.Second), func() { op(false, make, func() {}) }) },
-			)
+	}, then)
+}
+
+// end ends the reservation.
+func (u *singleSlotUser) end(then func()) {
+	u.record(true, func(requestID uint64) core.Input {
+		u.checker.endRequested[u.id] = true
+		return core.ReserveEquipment{
+			RequestID: requestID, Verb: booking.VerbEnd, Request: wire.ReservationRequest{ID: u.id},
+		}
+	}, then)
+}
+
+// record sends a request until it is decided, and appends the operation to the history.
+func (u *singleSlotUser) record(end bool, newInput func(requestID uint64) core.Input, then func()) {
+	k := u.checker
+	calledAt := k.sim.now
+	k.lastClientID++
+	clientID := k.lastClientID
+	k.requestUntilDecided(u.id, newInput, func(_ core.Response, reservation *wire.Reservation) {
+		state := "none"
+		if reservation != nil {
+			state = reservation.State
+		}
+		k.history = append(k.history, porcupine.Operation{
+			ClientId: clientID,
+			Input:    slotOperation{u.slot, u.id, end},
+			Call:     int64(calledAt),
+			Output:   state,
+			Return:   int64(k.sim.now),
 		})
+		then()
 	})
 }
 
-// slotModel is one slot: who has it, and whose bookings of it have ended.
+// slotModel is the sequential specification of a slot: which reservation has it, and whose reservations have ended,
+// as "holder|ended IDs".
 var slotModel = porcupine.Model{
-	Partition: func(history []porcupine.Operation) (out [][]porcupine.Operation) {
-		by := map[string][]porcupine.Operation{}
-		for _, o := range history {
-			in := o.Input.(slotOperation)
-			by[in.slot] = append(by[in.slot], o)
+	Partition: func(history []porcupine.Operation) (partitions [][]porcupine.Operation) {
+		bySlot := map[string][]porcupine.Operation{}
+		for _, operation := range history {
+			slot := operation.Input.(slotOperation).slot
+			bySlot[slot] = append(bySlot[slot], operation)
 		}
-		for _, slot := range slices.Sorted(maps.Keys(by)) {
-			out = append(out, by[slot])
+		for _, slot := range slices.Sorted(maps.Keys(bySlot)) {
+			partitions = append(partitions, bySlot[slot])
 		}
-		return out
+		return partitions
 	},
 	Init: func() any { return "|" },
 	Step: func(state, input, output any) (bool, any) {
-		has, ended, _ := strings.Cut(state.(string), "|")
-		in, out := input.(slotOperation), output.(string)
-		over := strings.Contains(ended, in.id)
+		holder, ended, _ := strings.Cut(state.(string), "|")
+		operation, out := input.(slotOperation), output.(string)
+		hasEnded := strings.Contains(ended, operation.id)
 		switch {
-		case over:
+		case hasEnded:
 			return out == "ended", state
-		case in.end && has == in.id:
-			return out == "ended", "|" + ended + in.id
-		case in.end, has != "" && has != in.id:
+		case operation.end && holder == operation.id:
+			return out == "ended", "|" + ended + operation.id
+		case operation.end, holder != "" && holder != operation.id:
 			return out == "none", state
 		}
-		return out == "confirmed", in.id + "|" + ended
+		return out == "confirmed", operation.id + "|" + ended
 	},
 }
 
-// CheckLinearizable reports whether one order of all operations on single slots explains their answers.
+// linearizabilityTimeout limits the search of CheckLinearizable, in real time.
+const linearizabilityTimeout = 20 * time.Second
+
+// CheckLinearizable reports whether some order of all operations on single slots explains their responses.
 func (k *reservationChecker) CheckLinearizable() porcupine.CheckResult {
-	return porcupine.CheckOperationsTimeout(slotModel, k.history, 20*time.Second)
+	return porcupine.CheckOperationsTimeout(slotModel, k.history, linearizabilityTimeout)
 }
