--- a/internal/sim/permissions.go
+++ b/internal/sim/permissions.go
@@ -6,41 +6,42 @@
 	"dewlift/wire"
 	"encoding/base64"
 	"fmt"
-	"slices"
 	"time"
 
 	pb "dewlift/proto"
 )
 
-// permissionView is what the one who changes rights knows of somebody's.
+// permissionView is what the administrator knows of a user's permission.
 type permissionView struct {
 	granted     bool
-	confirmed   bool          // the last change was answered, and none is asked for
-	confirmedAt time.Duration // when it was
+	confirmed   bool // the last change was acknowledged, and none is in progress
+	confirmedAt time.Duration
 }
 
-// PermissionChanging notes that somebody's right is about to change.
-func (k *Checker) PermissionChanging(who string) {
-	k.permissions[who] = permissionView{granted: k.permissions[who].granted}
+// PermissionChanging records that a user's permission is about to change.
+func (k *Checker) PermissionChanging(user string) {
+	k.permissions[user] = permissionView{granted: k.permissions[user].granted}
 }
 
-// PermissionChanged notes that the change was answered.
-func (k *Checker) PermissionChanged(now time.Duration, who string, held bool) {
-	k.permissions[who] = permissionView{granted: held, confirmed: true, confirmedAt: now}
+// PermissionChanged records that a change was acknowledged.
+func (k *Checker) PermissionChanged(now time.Duration, user string, granted bool) {
+	k.permissions[user] = permissionView{granted: granted, confirmed: true, confirmedAt: now}
 }
 
-// CheckAuthorized checks an act that was answered well: it was asked for at began, and whoever asked must not have
-// lost the right for certain before.
-func (k *Checker) CheckAuthorized(began time.Duration, who, verb, id string) {
-	if r := k.permissions[who]; r.confirmed && !r.granted && r.confirmedAt < began {
-		k.violated("let_in", "%s of %s by %s %v after the right was revoked", verb, id, who, began-r.confirmedAt)
+// CheckAuthorized checks a request that was sent at sentAt and succeeded: the acknowledged state of the user's
+// permission must not have been revoked before.
+func (k *Checker) CheckAuthorized(sentAt time.Duration, user, verb, id string) {
+	view := k.permissions[user]
+	if view.confirmed && !view.granted && view.confirmedAt < sentAt {
+		k.violated("let_in", "%s of %s by %s %v after the permission was revoked",
+			verb, id, user, sentAt-view.confirmedAt)
 	}
 }
 
-// isSurelyGranted reports whether somebody had the right for certain all the time since began.
-func (k *Checker) isSurelyGranted(began time.Duration, who string) bool {
-	r := k.permissions[who]
-	return r.confirmed && r.granted && r.confirmedAt < began
+// isSurelyGranted reports whether a user certainly had the permission all the time since sentAt.
+func (k *Checker) isSurelyGranted(sentAt time.Duration, user string) bool {
+	view := k.permissions[user]
+	return view.confirmed && view.granted && view.confirmedAt < sentAt
 }
 
 const (
@@ -48,38 +49,40 @@
 	rootUser  = "root"
 )
 
-func credentialOf(who string) core.Credential {
-	return core.Credential{Identity: who, KeyID: "key-" + who}
+// credentialOf returns the credential of a user.
+func credentialOf(user string) core.Credential {
+	return core.Credential{Identity: user, KeyID: "key-" + user}
 }
 
-// initialPolicy are the first rights of a world: everyone may do everything with jobs, root may change rights.
+// initialPolicy returns the policy that a simulation starts with: every user may do everything with jobs, root may
+// change permissions.
 func initialPolicy() *access.Policy {
 	verbs := []pb.Verb{pb.Verb_submit, pb.Verb_read, pb.Verb_cancel, pb.Verb_prioritise, pb.Verb_book}
 	all := []string{access.AnyGroup}
-	a := &pb.Access{Roles: []*pb.Role{
+	config := &pb.Access{Roles: []*pb.Role{
 		{Name: "all", Grants: []*pb.Grant{{Verbs: verbs, Teams: all, Classes: all, UpTo: wire.PriorityName(0)}}},
 		{Name: "admin", Grants: []*pb.Grant{{Verbs: []pb.Verb{pb.Verb_administer, pb.Verb_audit, pb.Verb_equip}}}},
 	}}
-	add := func(who string, roles ...string) {
-		public := make([]byte, 32)
-		copy(public, who)
-		a.Identities = append(a.Identities, &pb.Identity{
-			Name: who, Roles: roles,
-			Keys: []*pb.PublicKey{{Id: credentialOf(who).KeyID, Ed25519: base64.StdEncoding.EncodeToString(public)}},
+	add := func(user string, roles ...string) {
+		publicKey := make([]byte, 32)
+		copy(publicKey, user)
+		config.Identities = append(config.Identities, &pb.Identity{
+			Name: user, Roles: roles,
+			Keys: []*pb.PublicKey{{Id: credentialOf(user).KeyID, Ed25519: base64.StdEncoding.EncodeToString(publicKey)}},
 		})
 	}
 	add(rootUser, "all", "admin")
 	for i := range userCount {
 		add(fmt.Sprintf("u%d", i), "all")
 	}
-	p, err := access.New(a)
+	policy, err := access.New(config)
 	if err != nil {
-		panic(err) // the same in every world
+		panic(err) // the configuration is constant
 	}
-	return p
+	return policy
 }
 
-// randomUser is who submits a job.
+// randomUser draws a user's credential; an empty one if requests are not authorized.
 func (w *Simulator) randomUser() core.Credential {
 	if !w.options.Permissions {
 		return core.Credential{}
@@ -87,22 +90,22 @@
 	return credentialOf(fmt.Sprintf("u%d", w.rng.IntN(userCount)))
 }
 
-// schedulePermissionChanges takes everyone's right away and gives it back, time and again.
+// schedulePermissionChanges revokes and grants every user's permission again and again.
 func (w *Simulator) schedulePermissionChanges() {
 	for i := range userCount {
-		who := fmt.Sprintf("u%d", i)
-		w.Checker.PermissionChanged(0, who, true)
-		held := true
+		user := fmt.Sprintf("u%d", i)
+		w.Checker.PermissionChanged(0, user, true)
+		granted := true
 		var next func()
 		next = func() {
-			held = !held
+			granted = !granted
 			edit := wire.PermissionsEdit{GrantRoles: []string{"all"}}
-			if !held {
+			if !granted {
 				edit = wire.PermissionsEdit{RevokeRoles: []string{"all"}, CancelQueued: w.chance(0.2)}
 			}
-			w.Checker.PermissionChanging(who)
-			w.setPermission(who, edit, func() {
-				w.Checker.PermissionChanged(w.now, who, held)
+			w.Checker.PermissionChanging(user)
+			w.setPermission(user, edit, func() {
+				w.Checker.PermissionChanged(w.now, user, granted)
 				w.schedule(w.randomDuration(2*time.Second, 40*time.Second), next)
 			})
 		}
@@ -110,34 +113,45 @@
 	}
 }
 
-// setPermission asks for a change until it is answered.
-func (w *Simulator) setPermission(who string, edit wire.PermissionsEdit, done func()) {
-	w.sendRequest(w.nodes[w.rng.IntN(len(w.nodes))], 5*time.Second, func(r uint64) core.Input {
-		return core.UpdatePermissions{RequestID: r, Caller: credentialOf(rootUser), Identity: who, Edit: edit}
-	}, func(r core.Response, ok bool) {
-		if !ok || r.Status != wire.StatusOK {
-			w.schedule(time.Second, func() { w.setPermission(who, edit, done) })
+// permissionTimeout is how long the administrator waits for a response.
+const permissionTimeout = 5 * time.Second
+
+// setPermission requests a change until it is acknowledged.
+func (w *Simulator) setPermission(user string, edit wire.PermissionsEdit, done func()) {
+	w.sendRequest(w.anyNode(), permissionTimeout, func(requestID uint64) core.Input {
+		return core.UpdatePermissions{
+			RequestID: requestID, Caller: credentialOf(rootUser), Identity: user, Edit: edit,
+		}
+	}, func(response core.Response, ok bool) {
+		if !ok || response.Status != wire.StatusOK {
+			w.schedule(retryInterval, func() { w.setPermission(user, edit, done) })
 			return
 		}
-		for _, id := range r.Body.(wire.PermissionsEditResult).Cancelled {
+		for _, id := range response.Body.(wire.PermissionsEditResult).Cancelled {
 			w.Checker.CancelRequested(id)
 		}
 		done()
 	})
 }
 
-// checkPermission checks an answer by the rights of whoever asked; false if it says nothing about the job, as
-// they may not have been allowed to know.
-func (w *Simulator) checkPermission(by core.Credential, began time.Duration, verb, id string, status wire.Status) bool {
+// checkPermission checks a response by the caller's permission. It returns false if the response says nothing about
+// the job, as the caller may not have been permitted to see it.
+func (w *Simulator) checkPermission(
+	caller core.Credential,
+	sentAt time.Duration,
+	verb, id string,
+	status wire.Status,
+) bool {
 	if !w.options.Permissions {
 		return true
 	}
-	if slices.Contains([]wire.Status{wire.StatusOK, wire.StatusCreated}, status) {
-		w.Checker.CheckAuthorized(began, by.Identity, verb, id)
+	if status == wire.StatusOK || status == wire.StatusCreated {
+		w.Checker.CheckAuthorized(sentAt, caller.Identity, verb, id)
 		return true
 	}
-	if status == wire.StatusForbidden && w.Checker.isSurelyGranted(began, by.Identity) {
-		w.Checker.violated("shut_out", "%s of %s by %s, who may", verb, id, by.Identity)
+	surelyGranted := w.Checker.isSurelyGranted(sentAt, caller.Identity)
+	if status == wire.StatusForbidden && surelyGranted {
+		w.Checker.violated("shut_out", "%s of %s by %s, who is permitted", verb, id, caller.Identity)
 	}
-	return status != wire.StatusForbidden && w.Checker.isSurelyGranted(began, by.Identity)
+	return status != wire.StatusForbidden && surelyGranted
 }
--- a/internal/sim/pipelines.go
+++ b/internal/sim/pipelines.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// pipelinesStartAt is when users begin to submit pipelines: nothing new is asked before every process
-// is new.
+// pipelinesStartAt returns when users begin to submit pipelines. In an upgrade that is after every process runs the
+// new version, as the previous one does not know dependencies.
 func (w *Simulator) pipelinesStartAt() time.Duration {
 	if !w.options.RollingUpgrade {
 		return 0
@@ -13,39 +13,49 @@
 	return 40*time.Second + time.Duration(len(w.nodes))*15*time.Second
 }
 
-// submitPipeline submits a pipeline of some shape: one or several roots, stages that await some or all of
-// the jobs before, a last job that may come late. Some of its jobs are cancelled, like any.
+// pipeline is a DAG of jobs that a user submits one after the other.
+type pipeline struct {
+	sim  *Simulator
+	size int
+	ids  []string // jobs submitted so far
+}
+
+// submitPipeline submits a pipeline of a random shape: one root or several, stages that depend on some or all of
+// the jobs before, and a last job that may be submitted late. Some of its jobs are cancelled, as any job.
 func (w *Simulator) submitPipeline() {
 	if w.options.RollingUpgrade && w.previousVersionMayRun() {
-		w.schedule(time.Second, w.submitPipeline) // a replaced process is not back yet
+		w.schedule(time.Second, w.submitPipeline) // an upgraded process has not restarted yet
 		return
 	}
-	n := 3 + w.rng.IntN(5)
+	size := 3 + w.rng.IntN(5)
 	if w.chance(0.2) {
-		n += 20
+		size += 20
 	}
-	var ids []string
-	var step func()
-	step = func() {
-		if len(ids) == n {
-			return
-		}
-		s := w.randomJob()
-		s.Service, s.Spread = false, false
-		for back := 1; back <= len(ids); back++ {
-			if back == 1 && !w.chance(0.2) || back > 1 && back < 6 && w.chance(0.3) {
-				s.Dependencies = append(s.Dependencies, ids[len(ids)-back])
-			}
-		}
-		if len(ids) == n-1 {
-			s.Priority, s.DeadlineMS = 1, 90_000
-		}
-		ids = append(ids, s.ID)
-		wait := time.Duration(0)
-		if len(ids) == n && w.chance(0.4) {
-			wait = w.randomDuration(time.Second, 60*time.Second) // the last is submitted late
+	p := &pipeline{sim: w, size: size}
+	p.submitNext()
+}
+
+// submitNext submits the next job, and continues once that is accepted.
+func (p *pipeline) submitNext() {
+	if len(p.ids) == p.size {
+		return
+	}
+	w := p.sim
+	spec := w.randomJob()
+	spec.Service, spec.Spread = false, false
+	for back := 1; back <= len(p.ids); back++ {
+		if back == 1 && !w.chance(0.2) || back > 1 && back < 6 && w.chance(0.3) {
+			spec.Dependencies = append(spec.Dependencies, p.ids[len(p.ids)-back])
 		}
-		w.schedule(wait, func() { w.runUserThen(s, step) })
 	}
-	step()
+	isLast := len(p.ids) == p.size-1
+	if isLast {
+		spec.Priority, spec.DeadlineMS = 1, 90_000
+	}
+	p.ids = append(p.ids, spec.ID)
+	delay := time.Duration(0)
+	if isLast && w.chance(0.4) {
+		delay = w.randomDuration(time.Second, 60*time.Second)
+	}
+	w.schedule(delay, func() { w.runUserThen(spec, p.submitNext) })
 }
