--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -9,176 +9,225 @@
 	"time"
 )
 
-// outageScenario is a meeting of troubles around cancellations: something keeps a controller from
-// the news of them, others tell users of them, and then the state service is down for all, for
-// longer than the time in which cancelled tasks must be gone.
+// outageScenario is a combination of faults around cancellations: something keeps one or more controllers, the
+// blind ones, from learning of them, others tell users of them, and then the store is down for all, for longer than
+// the cancel timeout.
 type outageScenario struct {
 	nodes          int
-	adjustOptions  func(o *Options)
-	beforeCancel   func(w *Simulator, blind []*node) // 1.5 s before the cancellations; blind is the leader first
+	adjustOptions  func(options *Options)
+	beforeCancel   func(w *Simulator, blind []*node) // 1.5 s before the cancellations; blind lists the leader first
 	cancel         func(w *Simulator, id string, blind []*node)
 	onCancelTold   func(w *Simulator, teller *node) // right after a user was told
 	outage         time.Duration                    // 0: 70 s
 	duringOutage   func(w *Simulator, blind []*node)
 	delayedCommits bool // transactions are executed 2 to 5 s late meanwhile
-	workMayDie     bool // work that is not cancelled may die: there is no loaded majority
+	workMayDie     bool // tasks that are not cancelled may end: no majority of controllers is loaded
 }
 
-const cancellationTime = 60 * time.Second
+const (
+	cancellationTime      = 60 * time.Second // when users cancel
+	defaultScenarioOutage = 70 * time.Second
+	scenarioJobs          = 12 // jobs with odd numbers are cancelled
+	scenarioTasks         = 3  // tasks of each
+)
 
-// requestUntil repeats a request of a user to controllers of a choice until it is answered so.
+// requestUntil repeats a request of a user until a response satisfies.
 func (w *Simulator) requestUntil(
 	pick func() *node,
-	in func(req uint64) core.Input,
+	newInput func(requestID uint64) core.Input,
 	verb, id string,
-	ok func(r core.Response) bool,
+	satisfies func(response core.Response) bool,
 	then func(n *node),
 ) {
-	var try func()
-	try = func() {
-		began, n := w.now, pick()
-		w.sendRequest(n, 3*time.Second, in, func(r core.Response, got bool) {
-			w.checkJobResponse(core.Credential{}, began, verb, id, r, got)
-			if !got || !ok(r) {
-				w.schedule(500*time.Millisecond, try)
+	var attempt func()
+	attempt = func() {
+		sentAt, target := w.now, pick()
+		w.sendRequest(target, 3*time.Second, newInput, func(response core.Response, ok bool) {
+			w.checkJobResponse(core.Credential{}, sentAt, verb, id, response, ok)
+			if !ok || !satisfies(response) {
+				w.schedule(500*time.Millisecond, attempt)
 				return
 			}
-			then(n)
+			then(target)
 		})
 	}
-	try()
+	attempt()
 }
 
+// hasStage returns a condition on the stage of the job in a response.
 func hasStage(stage string) func(core.Response) bool {
-	return func(r core.Response) bool {
-		st, _ := r.Body.(wire.JobState)
-		return r.Status == wire.StatusOK && st.Stage == stage
+	return func(response core.Response) bool {
+		state, _ := response.Body.(wire.JobState)
+		return response.Status == wire.StatusOK && state.Stage == stage
 	}
 }
 
-// randomNodeExcept chooses among the controllers but some.
-func (w *Simulator) randomNodeExcept(but []*node) func() *node {
-	var list []*node
+// isAccepted reports whether a submission was accepted.
+func isAccepted(response core.Response) bool {
+	return response.Status == wire.StatusOK || response.Status == wire.StatusCreated
+}
+
+// randomNodeExcept returns a function that draws one of the other controllers.
+func (w *Simulator) randomNodeExcept(excluded []*node) func() *node {
+	var nodes []*node
 	for _, n := range w.nodes {
-		if !slices.Contains(but, n) {
-			list = append(list, n)
+		if !slices.Contains(excluded, n) {
+			nodes = append(nodes, n)
 		}
 	}
-	return func() *node { return list[w.rng.IntN(len(list))] }
+	return func() *node { return nodes[w.rng.IntN(len(nodes))] }
 }
 
-func (w *Simulator) submitUntilAccepted(pick func() *node, s wire.JobSpec) {
-	w.Checker.JobSubmitted(s)
-	w.requestUntil(pick, func(r uint64) core.Input {
-		return core.SubmitJob{RequestID: r, ID: s.ID, Spec: s, UnixMS: w.nowUnixMS()}
-	}, "submit", s.ID, func(r core.Response) bool { return r.Status == wire.StatusOK || r.Status == wire.StatusCreated }, func(*node) {})
+func (w *Simulator) submitUntilAccepted(pick func() *node, spec wire.JobSpec) {
+	w.Checker.JobSubmitted(spec)
+	w.requestUntil(pick, func(requestID uint64) core.Input {
+		return core.SubmitJob{RequestID: requestID, ID: spec.ID, Spec: spec, UnixMS: w.nowUnixMS()}
+	}, "submit", spec.ID, isAccepted, func(*node) {})
 }
 
 func (w *Simulator) cancelUntilTold(pick func() *node, id string, told func(*node)) {
 	w.Checker.CancelRequested(id)
-	w.requestUntil(pick, func(r uint64) core.Input {
-		return core.CancelJob{RequestID: r, ID: id, UnixMS: w.nowUnixMS()}
+	w.requestUntil(pick, func(requestID uint64) core.Input {
+		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS()}
 	}, "cancel", id, hasStage(wire.StageCancelled), told)
 }
 
 func (w *Simulator) pollUntilCancelled(pick func() *node, id string, told func(*node)) {
-	w.requestUntil(
-		pick,
-		func(r uint64) core.Input { return core.GetJob{RequestID: r, ID: id} },
-		"poll",
-		id,
-		hasStage(wire.StageCancelled),
-		told,
-	)
+	w.requestUntil(pick, func(requestID uint64) core.Input {
+		return core.GetJob{RequestID: requestID, ID: id}
+	}, "poll", id, hasStage(wire.StageCancelled), told)
 }
 
-// runOutageScenario plays a meeting, and checks both sides: cancelled tasks are gone in time, and all others run on.
-func runOutageScenario(t *testing.T, seed uint64, g outageScenario) {
+// outageRun is one run of a scenario.
+type outageRun struct {
+	t         *testing.T
+	sim       *Simulator
+	scenario  outageScenario
+	blind     []*node           // all controllers, the leader first, as of 1.5 s before the cancellations
+	placement map[string]string // of the tasks that nobody cancels, then
+	told      int               // cancellations that a user was told of
+}
+
+// runOutageScenario plays a scenario and checks both sides: cancelled tasks stop in time, and all others keep
+// running.
+func runOutageScenario(t *testing.T, seed uint64, scenario outageScenario) {
 	t.Helper()
-	o := Options{Seed: seed, Duration: 260 * time.Second, NoFaults: true, Controllers: g.nodes, MaxMachines: 20}
-	if g.adjustOptions != nil {
-		g.adjustOptions(&o)
+	options := Options{
+		Seed: seed, Duration: 260 * time.Second, NoFaults: true, Controllers: scenario.nodes, MaxMachines: 20,
+	}
+	if scenario.adjustOptions != nil {
+		scenario.adjustOptions(&options)
+	}
+	if scenario.outage == 0 {
+		scenario.outage = defaultScenarioOutage
 	}
-	if g.outage == 0 {
-		g.outage = 70 * time.Second
+	run := &outageRun{t: t, sim: New(options), scenario: scenario}
+	if !options.MixedVersions { // the previous version does not know dependencies
+		run.scheduleDependents()
 	}
-	w := New(o)
-	const jobs = 12
-	for i := 1; i < jobs; i += 4 { // jobs that await cancelled ones are called cancelled with them
-		s := wire.JobSpec{
+	run.scheduleSubmissions()
+	run.scheduleCancellations()
+	run.scheduleOutage()
+	run.sim.Run()
+	for _, violation := range run.sim.Checker.Violations {
+		t.Errorf("seed %d at %v: %s", seed, run.sim.now, violation)
+	}
+	if scenario.cancel == nil && run.told != scenarioJobs/2 {
+		t.Errorf("%d cancellations told", run.told)
+	}
+}
+
+// scenarioJobID returns the ID of a job.
+func scenarioJobID(i int) string { return fmt.Sprintf("wk-%06d", i) }
+
+// scheduleDependents submits jobs that depend on cancelled ones: they are to be cancelled with them.
+func (r *outageRun) scheduleDependents() {
+	for i := 1; i < scenarioJobs; i += 4 {
+		spec := wire.JobSpec{
 			ID:           fmt.Sprintf("wk-1%05d", i),
 			Class:        "c",
 			Team:         "t0",
 			Tasks:        1,
 			Request:      [3]int64{1000, 0, 1000},
-			Dependencies: []string{fmt.Sprintf("wk-%06d", i)},
-		}
-		if o.MixedVersions {
-			break
+			Dependencies: []string{scenarioJobID(i)},
 		}
-		w.schedule(30*time.Second, func() { w.runUser(s) })
+		r.sim.schedule(30*time.Second, func() { r.sim.runUser(spec) })
 	}
-	spec := func(i int) wire.JobSpec {
-		return wire.JobSpec{
-			ID:      fmt.Sprintf("wk-%06d", i),
+}
+
+// scheduleSubmissions submits services.
+func (r *outageRun) scheduleSubmissions() {
+	w := r.sim
+	for i := range scenarioJobs {
+		spec := wire.JobSpec{
+			ID:      scenarioJobID(i),
 			Class:   "c",
 			Team:    "t0",
 			Service: true,
-			Tasks:   3,
+			Tasks:   scenarioTasks,
 			Request: [3]int64{1000, 0, 1000},
 			Spread:  i%2 == 0,
 		}
+		w.schedule(w.randomDuration(5*time.Second, 15*time.Second), func() {
+			w.submitUntilAccepted(w.randomNodeExcept(nil), spec)
+		})
 	}
-	for i := range jobs {
-		s := spec(i)
-		w.schedule(
-			w.randomDuration(5*time.Second, 15*time.Second),
-			func() { w.submitUntilAccepted(w.randomNodeExcept(nil), s) },
-		)
-	}
-	var where map[string]string
-	on := func() map[string]string {
-		out := map[string]string{}
-		for i := 0; i < jobs; i += 2 { // those that nobody cancels
-			for k := range 3 {
-				name := wire.TaskName(fmt.Sprintf("wk-%06d", i), k)
-				for m := range w.Checker.runningOn[name] {
-					out[name] = fmt.Sprint(m, " ", w.cloud.find(m).incarnation)
-				}
+}
+
+// keptPlacement returns by task the machine, with its incarnation, of the tasks that nobody cancels.
+func (r *outageRun) keptPlacement() map[string]string {
+	placement := map[string]string{}
+	for i := 0; i < scenarioJobs; i += 2 {
+		for task := range scenarioTasks {
+			name := wire.TaskName(scenarioJobID(i), task)
+			for machine := range r.sim.Checker.runningOn[name] {
+				placement[name] = fmt.Sprint(machine, " ", r.sim.cloud.find(machine).incarnation)
 			}
 		}
-		return out
 	}
-	told := 0
-	var blind []*node
+	return placement
+}
+
+// scheduleCancellations blinds controllers and then cancels every other job.
+func (r *outageRun) scheduleCancellations() {
+	w := r.sim
 	w.schedule(cancellationTime-1500*time.Millisecond, func() {
-		where = on()
-		blind = []*node{w.leaderNode()}
+		r.placement = r.keptPlacement()
+		r.blind = []*node{w.leaderNode()}
 		for _, n := range w.nodes {
-			if n != blind[0] {
-				blind = append(blind, n)
+			if n != r.blind[0] {
+				r.blind = append(r.blind, n)
 			}
 		}
-		g.beforeCancel(w, blind)
+		r.scenario.beforeCancel(w, r.blind)
 	})
 	w.schedule(cancellationTime, func() {
-		for i := 1; i < jobs; i += 2 {
-			id := fmt.Sprintf("wk-%06d", i)
-			w.schedule(w.randomDuration(0, time.Second), func() {
-				if g.cancel != nil {
-					g.cancel(w, id, blind)
-					return
-				}
-				w.cancelUntilTold(w.randomNodeExcept(blind[:1]), id, func(n *node) {
-					told++
-					if g.onCancelTold != nil {
-						g.onCancelTold(w, n)
-					}
-				})
-			})
+		for i := 1; i < scenarioJobs; i += 2 {
+			w.schedule(w.randomDuration(0, time.Second), func() { r.cancel(scenarioJobID(i)) })
 		}
 	})
-	if g.delayedCommits {
+}
+
+// cancel cancels a job the scenario's way, or at the controllers that are not blind.
+func (r *outageRun) cancel(id string) {
+	w := r.sim
+	if r.scenario.cancel != nil {
+		r.scenario.cancel(w, id, r.blind)
+		return
+	}
+	w.cancelUntilTold(w.randomNodeExcept(r.blind[:1]), id, func(teller *node) {
+		r.told++
+		if r.scenario.onCancelTold != nil {
+			r.scenario.onCancelTold(w, teller)
+		}
+	})
+}
+
+// scheduleOutage has the store down for all after the cancellations, and checks at the end of the outage that the
+// tasks that nobody cancelled are where they were.
+func (r *outageRun) scheduleOutage() {
+	w, scenario := r.sim, r.scenario
+	if scenario.delayedCommits {
 		w.commitDelay = func(wire.Txn) time.Duration {
 			if w.now < cancellationTime || w.now > cancellationTime+5*time.Second || w.chance(0.5) {
 				return 0
@@ -186,43 +235,65 @@
 			return w.randomDuration(2*time.Second, 5*time.Second)
 		}
 	}
-	w.schedule(cancellationTime+2*time.Second, func() { w.store.startOutage(g.outage) })
-	w.schedule(cancellationTime+g.outage, func() {
-		now := on()
-		if len(where) != jobs/2*3 {
-			t.Errorf("%d tasks ran", len(where))
-		}
-		for k, m := range where {
-			if now[k] != m && !g.workMayDie {
-				t.Errorf("%s was on %s and is on %q: an outage of the state service alone ended it", k, m, now[k])
-			}
-		}
-	})
-	if g.duringOutage != nil {
-		w.schedule(cancellationTime+2*time.Second, func() { g.duringOutage(w, blind) })
+	w.schedule(cancellationTime+2*time.Second, func() { w.store.startOutage(scenario.outage) })
+	w.schedule(cancellationTime+scenario.outage, r.checkPlacementKept)
+	if scenario.duringOutage != nil {
+		w.schedule(cancellationTime+2*time.Second, func() { scenario.duringOutage(w, r.blind) })
 	}
-	w.Run()
-	for _, b := range w.Checker.Violations {
-		t.Errorf("seed %d at %v: %s", seed, w.now, b)
+}
+
+// checkPlacementKept checks that all tasks that nobody cancelled ran, and that the outage ended none.
+func (r *outageRun) checkPlacementKept() {
+	placement := r.keptPlacement()
+	if len(r.placement) != scenarioJobs/2*scenarioTasks {
+		r.t.Errorf("%d tasks ran", len(r.placement))
 	}
-	if g.cancel == nil && told != jobs/2 {
-		t.Errorf("%d cancellations told", told)
+	for task, machine := range r.placement {
+		if placement[task] != machine && !r.scenario.workMayDie {
+			r.t.Errorf("%s was on %s and is on %q: an outage of the store alone ended it",
+				task, machine, placement[task])
+		}
 	}
 }
 
-func refuseNodes(n int) func(w *Simulator, blind []*node) {
+// refuseNodes has the store refuse the first blind controllers.
+func refuseNodes(count int) func(w *Simulator, blind []*node) {
 	return func(w *Simulator, blind []*node) {
-		for _, b := range blind[:n] {
-			w.store.refuseNode(b.name, 14*time.Second)
+		for _, n := range blind[:count] {
+			w.store.refuseNode(n.name, 14*time.Second)
 		}
 	}
 }
 
-// The state service refuses one controller, the others tell users of cancellations, and then it is
-// down for all: the refused one renewed the leases of machines with the cancelled tasks throughout,
-// as an outage entitled it again.
+// isolateLeader has the leader partitioned from the store, and from its peers too if fromPeers is set.
+func isolateLeader(duration time.Duration, fromPeers bool) func(w *Simulator, blind []*node) {
+	return func(w *Simulator, blind []*node) { w.isolate(blind[0].name, duration, true, fromPeers, false) }
+}
+
+// pollAfterLostCancel cancels a job without waiting for the response, and has a poll tell of the cancellation.
+func pollAfterLostCancel(w *Simulator, id string, blind []*node) {
+	pick := w.randomNodeExcept(blind[:1])
+	w.Checker.CancelRequested(id)
+	w.sendRequest(pick(), time.Second, func(requestID uint64) core.Input {
+		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS()}
+	}, func(core.Response, bool) {})
+	w.schedule(300*time.Millisecond, func() { w.pollUntilCancelled(pick, id, func(*node) {}) })
+}
+
+// hangMachinesPastCancelTimeout suspends machines with cancelled tasks until after the cancel timeout.
+func hangMachinesPastCancelTimeout(w *Simulator, blind []*node) {
+	w.store.refuseNode(blind[0].name, 14*time.Second)
+	for _, name := range []string{"wk-000001/0", "wk-000003/1"} {
+		for machine := range w.Checker.runningOn[name] {
+			w.cloud.find(machine).hangFor(65 * time.Second)
+		}
+	}
+}
+
+// The store refuses one controller, the others tell users of cancellations, and then it is down for all: the
+// refused one renewed the leases of machines with the cancelled tasks throughout, as an outage entitled it again.
 func TestCancelledTasksStopWhenOutageFollowsRefusal(t *testing.T) {
-	for name, g := range map[string]outageScenario{
+	for name, scenario := range map[string]outageScenario{
 		"three": {beforeCancel: refuseNodes(1)},
 		"five":  {nodes: 5, beforeCancel: refuseNodes(1)},
 		"not the leader": {
@@ -235,35 +306,14 @@
 		"reads of changes": {
 			beforeCancel: func(w *Simulator, blind []*node) { w.store.stalledWatches[blind[0].name] = true },
 		},
-		"held packets": {
-			beforeCancel: func(w *Simulator, blind []*node) { w.isolate(blind[0].name, 14*time.Second, true, false, false) },
-		},
-		"told by a question": {beforeCancel: refuseNodes(1), cancel: func(w *Simulator, id string, blind []*node) {
-			pick := w.randomNodeExcept(blind[:1])
-			w.Checker.CancelRequested(id)
-			w.sendRequest(pick(), time.Second, func(r uint64) core.Input {
-				return core.CancelJob{
-					RequestID: r,
-					ID:        id,
-					UnixMS:    w.nowUnixMS(),
-				}
-			}, func(core.Response, bool) {})
-			w.schedule(300*time.Millisecond, func() { w.pollUntilCancelled(pick, id, func(*node) {}) })
-		}},
-		"the teller ends": {beforeCancel: refuseNodes(1), onCancelTold: func(w *Simulator, n *node) {
-			if !n.down {
-				w.crash(n)
-			}
-		}, workMayDie: true},
+		"held packets":       {beforeCancel: isolateLeader(14*time.Second, false)},
+		"told by a question": {beforeCancel: refuseNodes(1), cancel: pollAfterLostCancel},
+		"the teller ends":    {beforeCancel: refuseNodes(1), onCancelTold: (*Simulator).crashIfUp, workMayDie: true},
 		"the teller ends and is back at once": {
 			beforeCancel:  refuseNodes(1),
 			adjustOptions: func(o *Options) { o.FlappingProcesses = true },
-			onCancelTold: func(w *Simulator, n *node) {
-				if !n.down {
-					w.crash(n)
-				}
-			},
-			workMayDie: true,
+			onCancelTold:  (*Simulator).crashIfUp,
+			workMayDie:    true,
 		},
 		"the blind one stands still": {beforeCancel: refuseNodes(1), duringOutage: func(w *Simulator, blind []*node) {
 			for at := time.Duration(0); at < 60*time.Second; at += 9 * time.Second {
@@ -288,36 +338,25 @@
 			beforeCancel:  refuseNodes(1),
 			adjustOptions: func(o *Options) { o.CancelTimeout, o.WorkerLease = 26*time.Second, 20*time.Second },
 		},
-		// until after the time in which cancelled tasks must be gone
-		"machines hang": {beforeCancel: func(w *Simulator, blind []*node) {
-			w.store.refuseNode(blind[0].name, 14*time.Second)
-			for _, name := range []string{"wk-000001/0", "wk-000003/1"} {
-				for m := range w.Checker.runningOn[name] {
-					w.cloud.find(m).hangFor(65 * time.Second)
-				}
-			}
-		}, workMayDie: true},
-		"cut from state and controllers": {
-			beforeCancel: func(w *Simulator, blind []*node) { w.isolate(blind[0].name, 90*time.Second, true, true, false) },
-			workMayDie:   true,
-		},
+		"machines hang":                  {beforeCancel: hangMachinesPastCancelTimeout, workMayDie: true},
+		"cut from state and controllers": {beforeCancel: isolateLeader(90*time.Second, true), workMayDie: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 3; seed++ {
-				runOutageScenario(t, seed, g)
+				runOutageScenario(t, seed, scenario)
 			}
 		})
 	}
 }
 
-// A start is held up on its way, its job is cancelled, and then the state service is down, so that
-// no higher token can be had: the start arrives after the time in which the task must be gone. Only
-// the end of the machine's session keeps it from being carried out.
+// A start command is delayed, its job is cancelled, and then the store is down, so that no higher fencing token can
+// be obtained: the command arrives after the cancel timeout. Only the end of the agent's incarnation prevents its
+// execution.
 func TestDelayedStartOfCancelledTaskIsIgnored(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		w := New(Options{Seed: seed, Duration: 200 * time.Second, NoFaults: true})
-		s := wire.JobSpec{
+		spec := wire.JobSpec{
 			ID:      "wk-000001",
 			Class:   "c",
 			Team:    "t0",
@@ -325,30 +364,31 @@
 			Tasks:   2,
 			Request: [3]int64{1000, 0, 1000},
 		}
-		first := s
-		first.ID = "wk-000000" // so that there are machines with room
-		held := 0
-		w.commandDelay = func(o core.SendCommands) time.Duration {
-			for _, x := range o.Batch.Commands {
-				if id, _, _ := wire.SplitTaskName(x.Task); id == s.ID && x.Op == wire.OpStart {
-					held++
+		first := spec
+		first.ID = "wk-000000" // so that there are machines with free capacity
+		delayed := 0
+		w.commandDelay = func(commands core.SendCommands) time.Duration {
+			for _, command := range commands.Batch.Commands {
+				if id, _, _ := wire.SplitTaskName(command.Task); id == spec.ID && command.Op == wire.OpStart {
+					delayed++
 					return 55 * time.Second
 				}
 			}
 			return 0
 		}
-		told := time.Duration(0)
+		toldAt := time.Duration(0)
 		w.schedule(5*time.Second, func() { w.submitUntilAccepted(w.randomNodeExcept(nil), first) })
-		w.schedule(50*time.Second, func() { w.submitUntilAccepted(w.randomNodeExcept(nil), s) })
+		w.schedule(50*time.Second, func() { w.submitUntilAccepted(w.randomNodeExcept(nil), spec) })
 		w.schedule(51*time.Second, func() {
-			w.cancelUntilTold(w.randomNodeExcept(nil), s.ID, func(*node) {
-				told = w.now
+			w.cancelUntilTold(w.randomNodeExcept(nil), spec.ID, func(*node) {
+				toldAt = w.now
 				w.store.startOutage(75 * time.Second)
 			})
 		})
 		w.Run()
-		if len(w.Checker.Violations) > 0 || held == 0 || told == 0 || told > 53*time.Second {
-			t.Errorf("seed %d: broken %v, starts held %d, told at %v", seed, w.Checker.Violations, held, told)
+		if len(w.Checker.Violations) > 0 || delayed == 0 || toldAt == 0 || toldAt > 53*time.Second {
+			t.Errorf("seed %d: violations %v, %d starts delayed, told at %v",
+				seed, w.Checker.Violations, delayed, toldAt)
 		}
 	}
 }
