--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -88,18 +88,7 @@
 			CloudListInterval: 2500 * time.Millisecond,
 			ScaleOutLeadTime:  3 * time.Second,
 		},
-		Agents: core.AgentConfig{
-			HeartbeatInterval:    heartbeatInterval,
-			LeaseTTL:             w.options.WorkerLease,
-			CancelTimeout:        w.options.CancelTimeout,
-			SilenceTimeout:       4 * time.Second,
-			CommandRetryInterval: time.Second,
-			MaxCommandRequests:   400,
-			MaxPollRequests:      100,
-			EndedTaskClearDelay:  2 * time.Second,
-			CancelScaleInShare:   0.35,
-			LostTaskBatchDelay:   700 * time.Millisecond,
-		},
+		Agents: w.agentConfig(),
 		State: core.StateConfig{
 			DeltaInterval:    500 * time.Millisecond,
 			PushInterval:     time.Second,
@@ -128,6 +117,22 @@
 	}
 }
 
+// agentConfig returns the settings about agents.
+func (w *Simulator) agentConfig() core.AgentConfig {
+	return core.AgentConfig{
+		HeartbeatInterval:    heartbeatInterval,
+		LeaseTTL:             w.options.WorkerLease,
+		CancelTimeout:        w.options.CancelTimeout,
+		SilenceTimeout:       4 * time.Second,
+		CommandRetryInterval: time.Second,
+		MaxCommandRequests:   400,
+		MaxPollRequests:      100,
+		EndedTaskClearDelay:  2 * time.Second,
+		CancelScaleInShare:   0.35,
+		LostTaskBatchDelay:   700 * time.Millisecond,
+	}
+}
+
 // coreConfig returns the settings of a controller's next process.
 func (w *Simulator) coreConfig(n *node) core.Config {
 	cfg := w.baseCoreConfig()
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -30,7 +30,7 @@
 
 const digestLength = 240 * time.Second
 
-// digestScenarios are worlds of every kind.
+// digestScenarios are simulations of every kind.
 func digestScenarios() map[string]Options {
 	out := map[string]Options{
 		"quiet": {Seed: 1, Duration: digestLength, Jobs: 25, NoFaults: true},
@@ -68,7 +68,7 @@
 	return out
 }
 
-// outputKind is a number for each kind of output: it stays when the Go type gets another name.
+// outputKind returns the number of each kind of output: it stays when the Go type is renamed.
 func outputKind(out core.Output) (kind byte, ok bool) {
 	switch out.(type) {
 	case core.Response:
@@ -107,7 +107,7 @@
 
 func newDigester() *digester { return &digester{hash: xxhash.New()} }
 
-// add takes the next output. What is logged may change, and permissions are told by a pointer: they are left out.
+// add hashes the next output. Log lines may change, and permissions are passed by a pointer: both are left out.
 func (d *digester) add(now time.Duration, node string, out core.Output) error {
 	switch out.(type) {
 	case core.LogLine, core.PermissionsChanged:
@@ -136,7 +136,7 @@
 	d.buf = append(d.buf, s...)
 }
 
-// value writes a value with its kind, its length and all it holds.
+// value writes a value with its kind, its length and its contents.
 func (d *digester) value(v reflect.Value) error {
 	d.buf = append(d.buf, byte(v.Kind()))
 	if v.IsValid() && v.Type().Implements(reflect.TypeFor[json.Marshaler]()) && v.Kind() != reflect.Pointer &&
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// fields writes the fields that others may read, in their order; what is in others shows in no output.
+// fields writes the exported fields in their order; no output depends on the others.
 func (d *digester) fields(v reflect.Value) error {
 	for i := range v.NumField() {
 		if f := v.Type().Field(i); !f.IsExported() && !f.Anonymous {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// entries writes a map in the order of its keys as they are written.
+// entries writes a map in the order of its encoded keys.
 func (d *digester) entries(v reflect.Value) error {
 	d.number(uint64(v.Len()))
 	list := make([]string, 0, v.Len())
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// outputDigest is that of all that the controllers of a world put out, in order.
+// outputDigest returns the digest of all outputs of the controllers of a simulation, in order.
 func outputDigest(t *testing.T, o Options) string {
 	t.Helper()
 	w := New(o)
@@ -230,8 +230,8 @@
 	return fmt.Sprintf("%016x %d starts", d.sum(), w.Checker.Starts)
 }
 
-// A change that is meant to keep the behaviour of controllers keeps every output of these worlds. One that is meant to
-// change it writes the digests anew: go test ./internal/sim -run Digest -update
+// A change that is meant to keep the behaviour of controllers keeps every output of these simulations. One that is
+// meant to change it writes the digests anew: go test ./internal/sim -run Digest -update
 func TestDigestOfOutputsIsKept(t *testing.T) {
 	const file = "testdata/digests.json"
 	want := map[string]string{}
@@ -267,8 +267,8 @@
 	}
 }
 
-// manyWorlds is a world of every kind for a seed, with what may be turned on changing from seed to seed.
-func manyWorlds(seed uint64) map[string]Options {
+// manyWorlds returns a simulation of every kind for a seed; some options vary from seed to seed.
+func manyWorlds(seed uint64) map[string]Options { //nolint:funlen // a table
 	odd, third, tenth := seed%2 == 1, seed%3 == 0, seed%10 == 0
 	return map[string]Options{
 		"rough": {Seed: seed, Duration: digestLength, Jobs: 25, FlakyCloud: third},
@@ -358,8 +358,8 @@
 	}
 }
 
-// With -digest-seeds, the digests of many worlds are written to a file: made by two versions that are meant to behave
-// alike, the files are the same.
+// With -digest-seeds, the digests of many simulations are written to a file: the files of two versions that are
+// meant to behave alike are equal.
 func TestDigestsOfManyWorldsAreWritten(t *testing.T) {
 	if *digestSeeds == 0 {
 		t.Skip("only with -digest-seeds")
@@ -381,7 +381,7 @@
 	}
 }
 
-// The digest tells any change of an output, of their number and of their order.
+// The digest changes with any output, with their number and with their order.
 func TestDigestTellsOutputsApart(t *testing.T) {
 	type entry struct {
 		now  time.Duration
@@ -446,7 +446,7 @@
 	}
 }
 
-// Every value in every kind of output counts: with any one of them changed, the digest is another.
+// Every value of every kind of output counts: the digest changes with any one of them.
 func TestDigestCountsEveryValue(t *testing.T) {
 	for _, out := range []core.Output{
 		core.Response{},
@@ -487,7 +487,7 @@
 	}
 }
 
-// changeValues sets each value below v in turn, calls did, and puts it back.
+// changeValues sets each value below v in turn, calls did, and restores it.
 func changeValues(v reflect.Value, did func(path string), path string, depth int) bool {
 	was := reflect.New(v.Type()).Elem()
 	was.Set(v)
--- a/internal/sim/permissions.go
+++ b/internal/sim/permissions.go
@@ -66,9 +66,10 @@
 	add := func(user string, roles ...string) {
 		publicKey := make([]byte, 32)
 		copy(publicKey, user)
+		encoded := base64.StdEncoding.EncodeToString(publicKey)
 		config.Identities = append(config.Identities, &pb.Identity{
 			Name: user, Roles: roles,
-			Keys: []*pb.PublicKey{{Id: credentialOf(user).KeyID, Ed25519: base64.StdEncoding.EncodeToString(publicKey)}},
+			Keys: []*pb.PublicKey{{Id: credentialOf(user).KeyID, Ed25519: encoded}},
 		})
 	}
 	add(rootUser, "all", "admin")
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -28,7 +28,7 @@
 	endRequested     map[string]bool
 	equipmentChanged bool                  // the inventory was changed, which may end reservations
 	history          []porcupine.Operation // of single slots, see CheckLinearizable
-	stateCounts      map[string]int        // reservations that reached a state, so that tests see that something happened
+	stateCounts      map[string]int        // reservations that reached a state; shows that a run was not idle
 	lastClientID     int
 
 	archived   int // reservations in archive blocks
@@ -188,7 +188,8 @@
 		ranksLower := granted.Rank > waiting.Rank || granted.Rank == waiting.Rank && granted.Made > waiting.Made
 		getsSlots := occupiesSlots(granted) && !occupiesSlots(before[granted.Id])
 		if ranksLower && getsSlots && k.couldReserve(state, waiting) {
-			k.sim.Checker.violated("overtaken", "%v could have what it waits for when %v got its slots", waiting, granted)
+			k.sim.Checker.violated("overtaken", "%v could have what it waits for when %v got its slots",
+				waiting, granted)
 		}
 		state[granted.Id] = granted
 	}
@@ -349,7 +350,8 @@
 	w := k.sim
 	hour := hourAfterStart(30)
 	for range 1 + w.rng.IntN(4)/3*(1+w.rng.IntN(2)) {
-		want := wire.SlotRequest{From: k.formatTime(hour + 3600*int64(w.rng.IntN(12))), Slots: uint32(1 + w.rng.IntN(2))}
+		from := k.formatTime(hour + 3600*int64(w.rng.IntN(12)))
+		want := wire.SlotRequest{From: from, Slots: uint32(1 + w.rng.IntN(2))}
 		switch w.rng.IntN(4) {
 		case 0:
 			want.Equipment = "k1"
--- a/internal/sim/reservations_test.go
+++ b/internal/sim/reservations_test.go
@@ -12,11 +12,10 @@
 	pb "dewlift/proto"
 )
 
-// Users book the same few hours while controllers end in the middle of a write, writes are executed
-// late, the state service is out of reach, the list of equipment changes and a new version replaces
-// the old one.
+// Users reserve the same few hours while controllers crash during a write, writes are executed late, the store is
+// unavailable, the inventory changes and a new version replaces the previous one.
 func TestInvariantsHoldForReservations(t *testing.T) {
-	seeds := []uint64{212, 88, 15, 12} // found a block that was read before a move
+	seeds := []uint64{212, 88, 15, 12} // found a block that was read before reservations moved to it
 	for seed := uint64(1); seed <= 16; seed++ {
 		seeds = append(seeds, seed)
 	}
@@ -37,16 +36,16 @@
 			k := w.reservations
 			if k.stateCounts["confirmed"] < 5 || k.stateCounts["ended"] < 5 ||
 				seed%5 != 1 && (k.stateCounts["waiting"] == 0 || k.stateCounts["held"] == 0) {
-				t.Errorf("bookings came to %v", k.stateCounts)
+				t.Errorf("reservations reached %v", k.stateCounts)
 			}
 			if got := k.CheckLinearizable(); got == porcupine.Illegal || len(k.history) < 20 {
-				t.Errorf("%d operations, in order: %v", len(k.history), got)
+				t.Errorf("%d operations, linearizable: %v", len(k.history), got)
 			}
 			if seed%5 != 1 && (k.pageMerges == 0 || k.archived < 10) {
-				t.Errorf("%d values, merged %d times, %d bookings in blocks", k.pages, k.pageMerges, k.archived)
+				t.Errorf("%d pages, merged %d times, %d reservations in blocks", k.pages, k.pageMerges, k.archived)
 			}
 			t.Logf(
-				"bookings came to %v, %d operations, %d values, merged %d times, %d in blocks",
+				"reservations reached %v, %d operations, %d pages, merged %d times, %d in blocks",
 				k.stateCounts,
 				len(k.history),
 				k.pages,
@@ -57,7 +56,7 @@
 	}
 }
 
-// With rights and the audit record in force, what is done with bookings is recorded with its own write.
+// With permissions and the audit log in force, every change of a reservation is stored with its audit entry.
 func TestReservationsAreAudited(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -76,14 +75,14 @@
 			)
 			for _, verb := range []string{"book", "move booking", "end booking", "change equipment"} {
 				if w.auditChecker.verbCounts[verb] == 0 {
-					t.Errorf("no %s in the record: %v", verb, w.auditChecker.verbCounts)
+					t.Errorf("no %s in the audit log: %v", verb, w.auditChecker.verbCounts)
 				}
 			}
 		})
 	}
 }
 
-// Each rule of bookings breaks on a step that is wrong.
+// Each rule of reservations must be violated by a wrong step.
 func TestReservationCheckerDetectsViolations(t *testing.T) {
 	slot := func(piece string, from int64) *pb.Slot {
 		return &pb.Slot{Piece: piece, Unit: 1, From: from, To: from + 3600, Clear: from + 3600 + 1800}
@@ -101,11 +100,11 @@
 	}
 	type state = map[string]*pb.Booking
 	a := one("a", 2, pb.BookingState_confirmed, slot("k1", later))
-	for rule, x := range map[string]struct{ was, now state }{
+	for rule, test := range map[string]struct{ was, now state }{
 		"double_booked": {
 			state{},
 			state{"a": a, "b": one("b", 3, pb.BookingState_held, slot("k1", later+3600))},
-		}, // it still cools
+		}, // the kiln is still cooling
 		"booking_lost": {state{"a": a}, state{}},
 		"booking_back": {
 			state{"a": one("a", 2, pb.BookingState_ended)},
@@ -136,10 +135,10 @@
 			}
 			return out
 		}
-		k.checkTransition(clone(x.was), clone(x.now))
+		k.checkTransition(clone(test.was), clone(test.now))
 		name, _, _ := strings.Cut(rule, ":")
-		if len(w.Checker.Violations) == 0 || !strings.HasPrefix(w.Checker.Violations[0], name+":") {
-			t.Errorf("%s: broken are %v", rule, w.Checker.Violations)
+		if !w.Checker.firstViolation(name) {
+			t.Errorf("%s: violations are %v", rule, w.Checker.Violations)
 		}
 	}
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -17,53 +17,59 @@
 	pb "dewlift/proto"
 )
 
-func runSimulation(t *testing.T, o Options) *Simulator {
+// runSimulation plays a simulation, which must not violate any rule.
+func runSimulation(t *testing.T, options Options) *Simulator {
 	t.Helper()
-	return runObserved(t, o, func(string, core.Output) {})
+	return runObserved(t, options, func(string, core.Output) {})
 }
 
-// runObserved plays a world and shows what its controllers put out.
-func runObserved(t *testing.T, o Options, seen func(node string, out core.Output)) *Simulator {
+// runObserved plays a simulation like runSimulation, and calls observe with each output of its controllers.
+func runObserved(t *testing.T, options Options, observe func(node string, output core.Output)) *Simulator {
 	t.Helper()
-	w := New(o)
-	w.OnOutput = seen
+	w := New(options)
+	w.OnOutput = observe
 	w.Run()
 	if len(w.Checker.Violations) > 0 {
-		t.Fatalf("seed %d at %v: %s", o.Seed, w.now, strings.Join(w.Checker.Violations, "; "))
+		t.Fatalf("seed %d at %v: %s", options.Seed, w.now, strings.Join(w.Checker.Violations, "; "))
 	}
 	return w
 }
 
-// stageCounts counts how the users see their jobs at the end.
+// stageCounts counts jobs by what their users know of them at the end.
 func (k *Checker) stageCounts() map[string]int {
-	out := map[string]int{}
-	for _, j := range k.jobs {
+	counts := map[string]int{}
+	for _, job := range k.jobs {
 		switch {
-		case j.stage != "":
-			out[j.stage]++
-		case j.accepted:
-			out["open"]++
+		case job.stage != "":
+			counts[job.stage]++
+		case job.accepted:
+			counts["open"]++
 		default:
-			out["refused"]++
+			counts["rejected"]++
 		}
 	}
-	return out
+	return counts
+}
+
+// firstViolation reports whether the first violation is one of a rule.
+func (k *Checker) firstViolation(rule string) bool {
+	return len(k.Violations) > 0 && strings.HasPrefix(k.Violations[0], rule+":")
 }
 
 func TestAllJobsFinishWithoutFaults(t *testing.T) {
 	w := runSimulation(t, Options{Seed: 1, Duration: 200 * time.Second, Jobs: 20, NoFaults: true})
-	for id, j := range w.Checker.jobs {
-		if !j.accepted {
+	for id, job := range w.Checker.jobs {
+		if !job.accepted {
 			t.Errorf("%s was not accepted", id)
 		}
-		if !j.spec.Service && !j.cancelRequested && len(j.completedTasks) < j.spec.Tasks {
-			t.Errorf("%s: %d of %d tasks done", id, len(j.completedTasks), j.spec.Tasks)
+		if !job.spec.Service && !job.cancelRequested && len(job.completedTasks) < job.spec.Tasks {
+			t.Errorf("%s: %d of %d tasks done", id, len(job.completedTasks), job.spec.Tasks)
 		}
 	}
 }
 
 func TestInvariantsHoldUnderFaults(t *testing.T) {
-	seeds := []uint64{1096, 1539, 3094} // found a new job's tasks stopped by another controller
+	seeds := []uint64{1096, 1539, 3094} // found tasks of a new job that another controller stopped
 	for seed := uint64(1); seed <= 60; seed++ {
 		seeds = append(seeds, seed)
 	}
@@ -76,9 +82,9 @@
 	}
 }
 
-// Controllers that end around a write, or five times within three seconds, are back within a
-// second, before their former life's lease, streams and transactions have ended; copies of what
-// they sent and wrote come late. Then all is calm: nothing may be forgotten, and all are served.
+// Controllers that crash around a write, or five times within three seconds, restart within a second, before the
+// lease, streams and transactions of their former process have ended; copies of what they sent and wrote arrive
+// late. Then there are no faults: nothing may be lost, and all users are served.
 func TestInvariantsHoldWhenProcessesFlap(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -102,7 +108,7 @@
 
 var overlapSeeds = flag.Uint64("worlds", 24, "how many worlds in which troubles meet are played")
 
-// Troubles that meet: each comes while another lasts (docs/notes/meetings.md).
+// Each fault begins while another lasts (docs/notes/meetings.md).
 func TestInvariantsHoldUnderOverlappingFaults(t *testing.T) {
 	for seed := uint64(1); seed <= *overlapSeeds; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -113,152 +119,156 @@
 	}
 }
 
-// The meetings that the operators have seen rules break in, one by one, in worlds that have no other troubles.
-func TestInvariantsHoldForEachFaultPair(t *testing.T) {
-	for name, m := range map[string]struct {
-		pair []string
-		opt  func(o *Options)
-	}{
-		"slow, then refused, then down for all": {pair: []string{"slow", "refused, then all"}},
-		"small jobs end far apart as the leader does": {
-			[]string{"leader ends", "late reports"},
-			func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true },
-		},
-		"far apart, and machines that hang": {
-			[]string{"leader ends", "hang", "all end"},
-			func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true },
-		},
-		"handed over and back": {
-			[]string{"all end", "leader ends"},
-			func(o *Options) { o.Controllers = 3 },
-		},
-		"handed over and back, with late writes": {[]string{"all end", "late writes"}, nil},
-		"late writes of ended controllers":       {[]string{"late writes", "leader ends"}, nil},
-		"late writes with rights and a record": {
-			[]string{"late writes", "leader ends"},
-			func(o *Options) { o.Permissions, o.AuditLog, o.BatchValues = true, true, false },
-		},
-		"late writes of bookings": {
-			[]string{"late writes", "all end"},
-			func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 },
-		},
-		"old reports of earlier sessions":            {[]string{"late reports", "deaf"}, nil},
-		"old reports at controllers that have ended": {[]string{"late reports", "all end"}, nil},
-		"the leader ends and machines are deaf": {
-			[]string{"leader ends", "deaf"},
-			func(o *Options) { o.LongTasks = true },
-		},
-		"the leader ends and machines hang": {
-			[]string{"leader ends", "hang"},
-			func(o *Options) { o.LongTasks = true },
-		},
-		"cut with its users, and another leads":        {[]string{"cut with users", "leader ends"}, nil},
-		"cut with its users, then down for all":        {[]string{"cut with users", "refused, then all"}, nil},
-		"held orders, and machines that hang":          {[]string{"held orders", "hang"}, nil},
-		"held orders, and the state service down":      {[]string{"held orders", "refused, then all"}, nil},
-		"a controller stands still, and another leads": {[]string{"still", "leader ends"}, nil},
+// faultPairs are the combinations of faults in which operators have seen rules violated, and the options that they
+// need.
+var faultPairs = map[string]struct {
+	faults []string
+	adjust func(o *Options)
+}{
+	"slow, then refused, then down for all": {faults: []string{"slow", "refused, then all"}},
+	"small jobs end far apart as the leader does": {
+		[]string{"leader ends", "late reports"},
+		func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true },
+	},
+	"far apart, and machines that hang": {
+		[]string{"leader ends", "hang", "all end"},
+		func(o *Options) { o.MaxTasksPerJob, o.LongTasks = 3, true },
+	},
+	"handed over and back": {
+		[]string{"all end", "leader ends"},
+		func(o *Options) { o.Controllers = 3 },
+	},
+	"handed over and back, with late writes": {[]string{"all end", "late writes"}, nil},
+	"late writes of ended controllers":       {[]string{"late writes", "leader ends"}, nil},
+	"late writes with rights and a record": {
+		[]string{"late writes", "leader ends"},
+		func(o *Options) { o.Permissions, o.AuditLog, o.BatchValues = true, true, false },
+	},
+	"late writes of bookings": {
+		[]string{"late writes", "all end"},
+		func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 },
+	},
+	"old reports of earlier sessions":            {[]string{"late reports", "deaf"}, nil},
+	"old reports at controllers that have ended": {[]string{"late reports", "all end"}, nil},
+	"the leader ends and machines are deaf": {
+		[]string{"leader ends", "deaf"},
+		func(o *Options) { o.LongTasks = true },
+	},
+	"the leader ends and machines hang": {
+		[]string{"leader ends", "hang"},
+		func(o *Options) { o.LongTasks = true },
+	},
+	"cut with its users, and another leads":        {[]string{"cut with users", "leader ends"}, nil},
+	"cut with its users, then down for all":        {[]string{"cut with users", "refused, then all"}, nil},
+	"held orders, and machines that hang":          {[]string{"held orders", "hang"}, nil},
+	"held orders, and the state service down":      {[]string{"held orders", "refused, then all"}, nil},
+	"a controller stands still, and another leads": {[]string{"still", "leader ends"}, nil},
 
-		"close looks":                      {[]string{"close looks", "leader ends"}, nil},
-		"close looks, and slow answers":    {[]string{"close looks", "slow"}, nil},
-		"close looks, and reads that hang": {[]string{"close looks", "reads hang"}, nil},
-		"close looks, with an archive": {
-			[]string{"close looks", "answers lost"},
-			func(o *Options) { o.Archive, o.MaxTasksPerJob = true, 2 },
-		},
-		"close looks, with rights": {
-			[]string{"close looks", "answers lost"},
-			func(o *Options) { o.Permissions, o.BatchValues = true, false },
-		},
-		"answers lost":                      {[]string{"answers lost", "close looks"}, nil},
-		"answers lost, and the leader ends": {[]string{"answers lost", "leader ends"}, nil},
-		"answers lost of bookings": {
-			[]string{"answers lost", "leader ends"},
-			func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 },
-		},
-		"at the limit, cancelled, machines hang": {
-			[]string{"cancelled at once", "leader ends"},
-			func(o *Options) { o.QuotaLimited = true },
-		},
-		"at the limit, cancelled, machines deaf": {
-			[]string{"cancelled at once", "deaf", "leader ends"},
-			func(o *Options) { o.QuotaLimited = true },
-		},
-		"at the limit, cancelled, a zone cut off": {
-			[]string{"cancelled at once", "zone cut off", "leader ends"},
-			func(o *Options) { o.QuotaLimited = true },
-		},
-		"cancelled in a handover":               {[]string{"handed over", "cancelled at once"}, nil},
-		"cancelled in a handover, answers lost": {[]string{"handed over", "answers lost"}, nil},
-		"up at once, late writes": {
-			[]string{"up at once", "late writes", "leader ends"},
-			nil,
-		},
-		"up at once, answers lost": {
-			[]string{"up at once", "answers lost", "leader ends"},
-			nil,
-		},
-		"old reports as a new leader begins":          {[]string{"reports for the next", "leader ends"}, nil},
-		"old reports as a new leader begins, all end": {[]string{"reports for the next", "all end"}, nil},
-		"a report is held back, machines hang": {
-			[]string{"reports for the next", "hang", "leader ends"},
-			func(o *Options) { o.LongTasks = true },
-		},
-		"one-task jobs four a second": {
-			[]string{"leader ends", "slow"},
-			func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 },
-		},
-		"one-task jobs four a second, close looks": {
-			[]string{"close looks", "answers lost"},
-			func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 },
-		},
-		"mute machines": {[]string{"mute", "cancelled at once"}, nil},
-		"mute machines, and the leader ends": {
-			[]string{"mute", "leader ends"},
-			func(o *Options) { o.LongTasks = true },
-		},
-		"all away for longer than a lease":        {[]string{"all away", "cancelled at once"}, nil},
-		"all away, and close looks":               {[]string{"all away", "close looks"}, nil},
-		"ten leaders in two minutes":              {[]string{"ten leaders", "cancelled at once"}, nil},
-		"ten leaders in two minutes, late writes": {[]string{"ten leaders", "late writes"}, nil},
-		"a zone is cut off with its controller":   {[]string{"zone cut off", "cancelled at once"}, nil},
-		"a zone is cut off, and the leader ends":  {[]string{"zone cut off", "leader ends"}, nil},
-		"cancelled as the leader is refused, then an outage": {
-			[]string{"cancelled at once", "refused, then all"},
-			nil,
-		},
-		"cancelled at the end of the last task": {
-			[]string{"cancelled at the end", "close looks"},
-			func(o *Options) { o.MaxTasksPerJob = 2 },
-		},
-		"cancelled at the end, answers lost": {
-			[]string{"cancelled at the end", "answers lost"},
-			func(o *Options) { o.MaxTasksPerJob = 2 },
-		},
-		"odd requests":                      {[]string{"odd requests", "close looks"}, nil},
-		"odd requests, and the leader ends": {[]string{"odd requests", "leader ends"}, nil},
-		"more work than room over slow links": {[]string{"leader ends", "slow"}, func(o *Options) {
-			o.MaxMachines, o.Jobs, o.MaxTasksPerJob, o.MaxNetworkDelay = 6, 40, 3, 300*time.Millisecond
-		}},
-		"jobs bound to a zone lose machines": {
-			[]string{"zone loses machines", "leader ends"},
-			func(o *Options) { o.ZonePinnedJobs = true },
-		},
-		"jobs bound to a zone lose machines, up at once": {
-			[]string{"zone loses machines", "up at once"},
-			func(o *Options) { o.ZonePinnedJobs = true },
-		},
-	} {
+	"close looks":                      {[]string{"close looks", "leader ends"}, nil},
+	"close looks, and slow answers":    {[]string{"close looks", "slow"}, nil},
+	"close looks, and reads that hang": {[]string{"close looks", "reads hang"}, nil},
+	"close looks, with an archive": {
+		[]string{"close looks", "answers lost"},
+		func(o *Options) { o.Archive, o.MaxTasksPerJob = true, 2 },
+	},
+	"close looks, with rights": {
+		[]string{"close looks", "answers lost"},
+		func(o *Options) { o.Permissions, o.BatchValues = true, false },
+	},
+	"answers lost":                      {[]string{"answers lost", "close looks"}, nil},
+	"answers lost, and the leader ends": {[]string{"answers lost", "leader ends"}, nil},
+	"answers lost of bookings": {
+		[]string{"answers lost", "leader ends"},
+		func(o *Options) { o.ReservationUsers, o.Jobs = 10, 20 },
+	},
+	"at the limit, cancelled, machines hang": {
+		[]string{"cancelled at once", "leader ends"},
+		func(o *Options) { o.QuotaLimited = true },
+	},
+	"at the limit, cancelled, machines deaf": {
+		[]string{"cancelled at once", "deaf", "leader ends"},
+		func(o *Options) { o.QuotaLimited = true },
+	},
+	"at the limit, cancelled, a zone cut off": {
+		[]string{"cancelled at once", "zone cut off", "leader ends"},
+		func(o *Options) { o.QuotaLimited = true },
+	},
+	"cancelled in a handover":               {[]string{"handed over", "cancelled at once"}, nil},
+	"cancelled in a handover, answers lost": {[]string{"handed over", "answers lost"}, nil},
+	"up at once, late writes": {
+		[]string{"up at once", "late writes", "leader ends"},
+		nil,
+	},
+	"up at once, answers lost": {
+		[]string{"up at once", "answers lost", "leader ends"},
+		nil,
+	},
+	"old reports as a new leader begins":          {[]string{"reports for the next", "leader ends"}, nil},
+	"old reports as a new leader begins, all end": {[]string{"reports for the next", "all end"}, nil},
+	"a report is held back, machines hang": {
+		[]string{"reports for the next", "hang", "leader ends"},
+		func(o *Options) { o.LongTasks = true },
+	},
+	"one-task jobs four a second": {
+		[]string{"leader ends", "slow"},
+		func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 },
+	},
+	"one-task jobs four a second, close looks": {
+		[]string{"close looks", "answers lost"},
+		func(o *Options) { o.SingleTaskJobs, o.Jobs, o.MaxMachines = 400, 10, 30 },
+	},
+	"mute machines": {[]string{"mute", "cancelled at once"}, nil},
+	"mute machines, and the leader ends": {
+		[]string{"mute", "leader ends"},
+		func(o *Options) { o.LongTasks = true },
+	},
+	"all away for longer than a lease":        {[]string{"all away", "cancelled at once"}, nil},
+	"all away, and close looks":               {[]string{"all away", "close looks"}, nil},
+	"ten leaders in two minutes":              {[]string{"ten leaders", "cancelled at once"}, nil},
+	"ten leaders in two minutes, late writes": {[]string{"ten leaders", "late writes"}, nil},
+	"a zone is cut off with its controller":   {[]string{"zone cut off", "cancelled at once"}, nil},
+	"a zone is cut off, and the leader ends":  {[]string{"zone cut off", "leader ends"}, nil},
+	"cancelled as the leader is refused, then an outage": {
+		[]string{"cancelled at once", "refused, then all"},
+		nil,
+	},
+	"cancelled at the end of the last task": {
+		[]string{"cancelled at the end", "close looks"},
+		func(o *Options) { o.MaxTasksPerJob = 2 },
+	},
+	"cancelled at the end, answers lost": {
+		[]string{"cancelled at the end", "answers lost"},
+		func(o *Options) { o.MaxTasksPerJob = 2 },
+	},
+	"odd requests":                      {[]string{"odd requests", "close looks"}, nil},
+	"odd requests, and the leader ends": {[]string{"odd requests", "leader ends"}, nil},
+	"more work than room over slow links": {[]string{"leader ends", "slow"}, func(o *Options) {
+		o.MaxMachines, o.Jobs, o.MaxTasksPerJob, o.MaxNetworkDelay = 6, 40, 3, 300*time.Millisecond
+	}},
+	"jobs bound to a zone lose machines": {
+		[]string{"zone loses machines", "leader ends"},
+		func(o *Options) { o.ZonePinnedJobs = true },
+	},
+	"jobs bound to a zone lose machines, up at once": {
+		[]string{"zone loses machines", "up at once"},
+		func(o *Options) { o.ZonePinnedJobs = true },
+	},
+}
+
+// The combinations that operators have seen rules violated in, one by one, in simulations without other faults.
+func TestInvariantsHoldForEachFaultPair(t *testing.T) {
+	for name, combination := range faultPairs {
 		for seed := uint64(1); seed <= max(1, *overlapSeeds/16); seed++ {
 			t.Run(fmt.Sprint(name, " seed", seed), func(t *testing.T) {
 				t.Parallel()
-				o := OverlappingFaultOptions(seed)
-				o.FaultNames = m.pair
-				if m.opt != nil {
-					m.opt(&o)
+				options := OverlappingFaultOptions(seed)
+				options.FaultNames = combination.faults
+				if combination.adjust != nil {
+					combination.adjust(&options)
 				}
-				// beside production, rights can't be in force, and nobody is served
-				o.MixedVersions = o.MixedVersions && !o.Permissions
-				w := runSimulation(t, o)
+				// Beside the previous version permissions can't be in force, and nobody is served.
+				options.MixedVersions = options.MixedVersions && !options.Permissions
+				w := runSimulation(t, options)
 				t.Logf(
 					"%d starts, %d after a confirmed cancellation, %v",
 					w.Checker.Starts,
@@ -270,9 +280,8 @@
 	}
 }
 
-// Jobs that were submitted with a mistake fail wherever they are started, until somebody looks.
-// They cost a bounded number of starts, no machine is taken for faulty because of them, and what
-// else there is to do is done.
+// Jobs that were submitted with a mistake fail on every machine until their users cancel them. They cost a bounded
+// number of starts, no machine is taken for faulty because of them, and the other jobs are done.
 func TestFailingJobsCostBoundedStarts(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -289,18 +298,18 @@
 			if len(w.Checker.Violations) > 0 {
 				t.Errorf("at %v: %s", w.now, strings.Join(w.Checker.Violations, "; "))
 			}
-			for id, j := range w.Checker.jobs {
-				if w.Checker.failingJobs[id] == nil && w.options.NoFaults && !j.spec.Service && !j.cancelRequested &&
-					len(j.completedTasks) < j.spec.Tasks {
-					t.Errorf("%s: %d of %d tasks done", id, len(j.completedTasks), j.spec.Tasks)
+			for id, job := range w.Checker.jobs {
+				if w.Checker.failingJobs[id] == nil && w.options.NoFaults && !job.spec.Service &&
+					!job.cancelRequested && len(job.completedTasks) < job.spec.Tasks {
+					t.Errorf("%s: %d of %d tasks done", id, len(job.completedTasks), job.spec.Tasks)
 				}
 			}
 		})
 	}
 }
 
-// Controllers end at random moments while the lanes are full: no job is passed for long by a later
-// one of its lane and shape, and none changes its lane or place.
+// Controllers crash at random moments while the queues are full: no job is overtaken for long by a later one of its
+// priority class and shape, and none changes its class or position.
 func TestQueueOrderHoldsThroughCrashes(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -330,7 +339,7 @@
 	}
 }
 
-// Each rule of the order breaks on a step that is wrong.
+// Each rule of the queue order must be violated by a wrong step.
 func TestQueueOrderCheckerDetectsViolations(t *testing.T) {
 	for rule, step := range map[string]func(o *queueOrderChecker){
 		"demoted": func(o *queueOrderChecker) {
@@ -357,16 +366,16 @@
 		w.now++
 		step(w.queueOrder)
 		name, _, _ := strings.Cut(rule, ":")
-		if len(w.Checker.Violations) == 0 || !strings.HasPrefix(w.Checker.Violations[0], name+":") {
-			t.Errorf("%s: broken are %v", rule, w.Checker.Violations)
+		if !w.Checker.firstViolation(name) {
+			t.Errorf("%s: violations are %v", rule, w.Checker.Violations)
 		}
 	}
 }
 
-// A job that is left waiting while a machine that fits has room and its team is under its limit
-// shows, and one that has to wait does not.
+// A job that waits while a feasible machine has capacity and its team is below its maximum is reported, and one
+// that has to wait is not.
 func TestStarvationCheckerDetectsViolations(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(w *Simulator, m *fakeWorker)
 		fires  bool
 	}{
@@ -376,7 +385,7 @@
 		}, false},
 		"other zone":   {func(w *Simulator, _ *fakeWorker) { w.Checker.jobs["wk-000001"].spec.Zone = "b" }, false},
 		"at its limit": {func(w *Simulator, _ *fakeWorker) { w.Checker.quotas["t0"] = [2]int64{3000, 0} }, false},
-		"it hangs":     {func(w *Simulator, m *fakeWorker) { m.hangFor(200 * time.Second) }, false},
+		"it hangs":     {func(_ *Simulator, m *fakeWorker) { m.hangFor(200 * time.Second) }, false},
 		"cancelled":    {func(w *Simulator, _ *fakeWorker) { w.Checker.CancelRequested("wk-000001") }, false},
 		"it starts": {func(w *Simulator, m *fakeWorker) {
 			w.schedule(50*time.Second, func() { w.Checker.TaskStarted(w.now, "wk-000001", 0, m.machine) })
@@ -386,32 +395,32 @@
 		w := New(Options{Seed: 1, NoFaults: true})
 		w.events = eventqueue.Queue{} // no controller does anything
 		w.Checker.faultFreeFrom = 1
-		m := &fakeWorker{
+		worker := &fakeWorker{
 			sim:          w,
 			machine:      wire.Machine{Name: "m1", Type: "small", Zone: "a"},
 			up:           true,
 			fencingToken: 1,
 			tasks:        map[string]*fakeTask{},
 		}
-		w.cloud.machines = append(w.cloud.machines, m)
+		w.cloud.machines = append(w.cloud.machines, worker)
 		for _, id := range []string{"wk-000001", "wk-000002"} {
 			w.Checker.JobSubmitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
 		}
 		w.Checker.CheckResponse(0, 0, "submit", "wk-000001", wire.StatusCreated, wire.StageQueued)
-		c.change(w, m)
+		test.change(w, worker)
 		w.schedule(time.Second, w.checkStarvation)
-		for at, do, ok := w.events.PopUntil(120 * time.Second); ok; at, do, ok = w.events.PopUntil(120 * time.Second) {
+		const end = 120 * time.Second
+		for at, run, ok := w.events.PopUntil(end); ok; at, run, ok = w.events.PopUntil(end) {
 			w.now = at
-			do()
+			run()
 		}
-		if fired := len(w.Checker.Violations) > 0 && strings.HasPrefix(w.Checker.Violations[0], "left_waiting:"); fired != c.fires ||
-			len(w.Checker.Violations) > 0 && !c.fires {
-			t.Errorf("%s: broken are %v", name, w.Checker.Violations)
+		if w.Checker.firstViolation("left_waiting") != test.fires || len(w.Checker.Violations) > 0 && !test.fires {
+			t.Errorf("%s: violations are %v", name, w.Checker.Violations)
 		}
 	}
 }
 
-// Each rule by which the operators judge a day breaks on a step that is wrong.
+// Each service-level objective of the operators must be violated by a wrong step.
 func TestServiceLevelCheckerDetectsViolations(t *testing.T) {
 	for rule, step := range map[string]func(k *Checker){
 		"forgotten": func(k *Checker) {
@@ -434,20 +443,20 @@
 			k.CheckResponse(time.Second, time.Second, "submit", id, wire.StatusCreated, wire.StageQueued)
 		}
 		step(k)
-		if len(k.Violations) == 0 || !strings.HasPrefix(k.Violations[0], rule+":") {
-			t.Errorf("%s: broken are %v", rule, k.Violations)
+		if !k.firstViolation(rule) {
+			t.Errorf("%s: violations are %v", rule, k.Violations)
 		}
 	}
 }
 
-// The version in production is replaced process by process, in troubles; then the limits of the
-// state service fall, and users submit pipelines.
+// The previous version is replaced process by process under faults; then the limits of the store are lowered, and
+// users submit pipelines.
 func TestInvariantsHoldThroughRollingUpgrade(t *testing.T) {
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
 			o := Options{Seed: seed, Duration: 240 * time.Second, Jobs: 20, RollingUpgrade: true, Pipelines: 8}
-			if seed%8 == 0 { // jobs that outgrow a value under the limits to come
+			if seed%8 == 0 { // jobs that outgrow a value under the announced limits
 				o.MaxMachines, o.MaxTasksPerJob, o.Jobs = 300, 400, 40
 			}
 			w := runSimulation(t, o)
@@ -456,13 +465,13 @@
 	}
 }
 
-// Ended jobs move into the archive as soon as they can, and are asked for, repeated, cancelled and
-// awaited all along, in troubles and through upgrades.
+// Ended jobs move to the archive as soon as they can, and are polled, submitted again, cancelled and depended on
+// all the time, under faults and through upgrades.
 func TestInvariantsHoldWithArchive(t *testing.T) {
 	var moved atomic.Int64
 	t.Cleanup(func() {
 		if moved.Load() < 100 {
-			t.Errorf("%d jobs moved in all worlds", moved.Load())
+			t.Errorf("%d jobs were archived in all simulations", moved.Load())
 		}
 	})
 	for seed := uint64(1); seed <= 24; seed++ {
@@ -479,15 +488,15 @@
 				RollingUpgrade: seed%3 == 0,
 			}
 			w := runSimulation(t, o)
-			n := len(w.store.archivedJobs())
-			moved.Add(int64(n))
-			t.Logf("%d starts, %d archived, %v", w.Checker.Starts, n, w.Checker.stageCounts())
+			archived := len(w.store.archivedJobs())
+			moved.Add(int64(archived))
+			t.Logf("%d starts, %d archived, %v", w.Checker.Starts, archived, w.Checker.stageCounts())
 		})
 	}
 }
 
-// Rights come and go amid troubles: nobody is let in after a revocation was answered, at any
-// controller, however cut off, late or restarted; and nobody who may is shut out.
+// Permissions are granted and revoked under faults: no request is authorized after a revocation was acknowledged,
+// at any controller, even if it is partitioned, late or restarted; and none that is permitted is denied.
 func TestInvariantsHoldWithPermissions(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -510,10 +519,10 @@
 	}
 }
 
-// What is done is recorded amid troubles: no change without its entry, no entry without its change, none lost
-// or put twice, no block written again.
+// The audit log is complete under faults: no change without its entry, no entry without its change, none lost or
+// written twice, no block written again.
 func TestInvariantsHoldWithAuditLog(t *testing.T) {
-	seeds := []uint64{191} // a former life's last block was written after its entries were read
+	seeds := []uint64{191} // found a block of a former process that was written after its entries were read
 	for seed := uint64(1); seed <= 20; seed++ {
 		seeds = append(seeds, seed)
 	}
@@ -556,8 +565,7 @@
 	}
 }
 
-// Five controllers, and jobs and machines enough to cross the limits of a value and of a
-// transaction, in troubles.
+// Five controllers, and jobs and machines enough to cross the limits of a value and of a transaction, under faults.
 func TestInvariantsHoldInLargeClusters(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -578,21 +586,21 @@
 	}
 }
 
-// The same seed must give the same run, or a failing seed could not be looked into.
+// The same seed must give the same run, or a failing seed could not be investigated.
 func TestSimulationIsDeterministic(t *testing.T) {
 	run := func() string {
-		var b strings.Builder
+		var trace strings.Builder
 		w := New(Options{Seed: 5, Duration: 120 * time.Second, Jobs: 20})
-		w.Trace = func(f string, a ...any) { fmt.Fprintf(&b, f+"\n", a...) }
+		w.Trace = func(f string, a ...any) { fmt.Fprintf(&trace, f+"\n", a...) }
 		w.Run()
-		return fmt.Sprint(b.String(), w.Checker.Starts, w.store.revision)
+		return fmt.Sprint(trace.String(), w.Checker.Starts, w.store.revision)
 	}
 	if a, b := run(), run(); a != b {
 		t.Fatal("two runs of one seed differ")
 	}
 }
 
-// Each rule of the checker must catch a step that breaks it.
+// Each rule of the checker must be violated by a wrong step.
 func TestCheckerDetectsEveryViolation(t *testing.T) {
 	m1 := wire.Machine{Name: "m1", Type: "big", Zone: "a"}
 	m2 := wire.Machine{Name: "m2", Type: "big", Zone: "b"}
@@ -640,7 +648,11 @@
 			k.CheckRejected("wk-3", wire.StatusUnavailable, wire.StatusInvalid)
 			k.CheckRejected("wk-3", wire.StatusBadRequest, wire.StatusInvalid)
 		},
-		"too_early": func(k *Checker) { k.JobSubmitted(after); k.TaskCompleted("wk-1", 0); k.TaskStarted(0, "wk-2", 0, m1) },
+		"too_early": func(k *Checker) {
+			k.JobSubmitted(after)
+			k.TaskCompleted("wk-1", 0)
+			k.TaskStarted(0, "wk-2", 0, m1)
+		},
 		"orphaned": func(k *Checker) {
 			k.JobSubmitted(after)
 			k.CheckResponse(0, 0, "submit", "wk-2", wire.StatusCreated, "queued")
@@ -658,8 +670,8 @@
 	}
 }
 
-// The rule about the record must catch a change without its entry, an entry without its change, one that is
-// dropped, put twice or lost, and a block that is written again.
+// The audit checker must report a change without its entry, an entry without its change, one that is dropped,
+// written twice or lost, and a block that is written again.
 func TestAuditCheckerDetectsViolations(t *testing.T) {
 	const job, shard, who = core.Root + "job/wk-1", core.Root + "shard/00", core.Root + "access/who/u"
 	entry := func(key, verb, by string, count uint64) audit.PendingEntry {
@@ -679,8 +691,8 @@
 	put := func(key string, raw json.RawMessage) wire.Write { return wire.Write{Put: key, Value: raw} }
 	block := func(number uint64, list ...audit.PendingEntry) wire.Write {
 		var raws [][]byte
-		for _, x := range list {
-			raws = append(raws, x.Entry)
+		for _, pending := range list {
+			raws = append(raws, pending.Entry)
 		}
 		raw, _, _, err := auditKey.EncodeNextBlock(&audit.Head{BlockNumber: number - 1}, "n0", 0, raws, 8192)
 		if err != nil {
@@ -711,30 +723,30 @@
 		"a block deleted":        {{good}, {block(1, s1)}, {wire.Write{Delete: audit.BlockKey("n0", 1)}}},
 	} {
 		for _, broken := range []bool{false, true} { // all but the last transaction must be good
-			k := NewChecker(time.Second, nil)
-			r := newAuditChecker(k, func() time.Duration { return 0 })
+			checker := NewChecker(time.Second, nil)
+			auditor := newAuditChecker(checker, func() time.Duration { return 0 })
 			keys := map[string]*wire.KeyValue{core.Root + "audit/begun": {}}
 			list := txns
 			if !broken {
 				list = txns[:len(txns)-1]
 			}
 			for _, then := range list {
-				r.CheckTxn(keys, wire.Txn{Then: then})
-				for _, x := range then {
-					keys[x.Put] = &wire.KeyValue{Value: x.Value}
+				auditor.CheckTxn(keys, wire.Txn{Then: then})
+				for _, write := range then {
+					keys[write.Put] = &wire.KeyValue{Value: write.Value}
 				}
 			}
-			if (len(k.Violations) > 0) != broken || broken && !strings.HasPrefix(k.Violations[0], "unrecorded") {
-				t.Errorf("%s (%v): %v", name, broken, k.Violations)
+			if (len(checker.Violations) > 0) != broken || broken && !checker.firstViolation("unrecorded") {
+				t.Errorf("%s (%v): %v", name, broken, checker.Violations)
 			}
 		}
 	}
-	k := NewChecker(time.Second, nil)
-	r := newAuditChecker(k, func() time.Duration { return time.Hour })
-	r.carriedAt[entryID{"n0", 1, 1}] = 0
-	r.Finish(map[string]*wire.KeyValue{job: {Value: good.Value}})
-	if len(k.Violations) != 1 {
-		t.Errorf("an entry that is carried for ever: %v", k.Violations)
+	checker := NewChecker(time.Second, nil)
+	auditor := newAuditChecker(checker, func() time.Duration { return time.Hour })
+	auditor.carriedAt[entryID{"n0", 1, 1}] = 0
+	auditor.Finish(map[string]*wire.KeyValue{job: {Value: good.Value}})
+	if len(checker.Violations) != 1 {
+		t.Errorf("an entry that is carried for ever: %v", checker.Violations)
 	}
 }
 
@@ -756,19 +768,19 @@
 	}
 }
 
-// Small jobs share values, in troubles of all kinds and through upgrades: late writes, cuts,
-// cancellations by controllers that do not hold the shard.
+// Small jobs share stored values, under faults of all kinds and through upgrades: late writes, partitions,
+// cancellations by controllers that do not own the shard.
 func TestInvariantsHoldWithBatchValues(t *testing.T) {
 	var slots atomic.Int64
 	t.Cleanup(func() {
 		if slots.Load() < 500 {
-			t.Errorf("%d slots written in all worlds", slots.Load())
+			t.Errorf("%d slots were written in all simulations", slots.Load())
 		}
 	})
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{
+			options := Options{
 				Seed:           seed,
 				Duration:       240 * time.Second,
 				Jobs:           40,
@@ -779,15 +791,16 @@
 				FlakyCloud:     seed%7 == 0,
 			}
 			if seed%5 == 0 {
-				o.Pipelines = 6
+				options.Pipelines = 6
 			}
 			if seed%12 == 0 {
-				o.Duration, o.Jobs, o.Controllers, o.MaxMachines, o.MaxTasksPerJob, o.Pipelines = 120*time.Second, 60, 5, 300, 400, 0
+				options.Duration, options.Jobs, options.Pipelines = 120*time.Second, 60, 0
+				options.Controllers, options.MaxMachines, options.MaxTasksPerJob = 5, 300, 400
 			}
-			w := runObserved(t, o, func(_ string, out core.Output) {
-				if x, ok := out.(core.CommitTxn); ok {
-					for _, y := range x.Txn.Then {
-						if strings.HasPrefix(y.Put, core.Root+"over/") {
+			w := runObserved(t, options, func(_ string, output core.Output) {
+				if commit, ok := output.(core.CommitTxn); ok {
+					for _, write := range commit.Txn.Then {
+						if strings.HasPrefix(write.Put, core.Root+"over/") {
 							slots.Add(1)
 						}
 					}
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -2,7 +2,7 @@
 // users and the network around several cores, and checkers that verify every rule of the scheduler.
 //
 // It owns simulated time and every random draw. All outcomes follow from Options.Seed; the order of the draws is
-// therefore part of its behaviour, and the digests of its tests change with it. It never reads the wall clock and
+// therefore part of its behaviour, and the digests of its tests change with it. Run never reads the wall clock and
 // starts no goroutine.
 package sim
 
