--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue orders what is to be done in simulated time: by its time, and at the same time
-// in the order in which it was put down.
+// Package eventqueue orders events in simulated time: by their time, and at the same time in the order in which
+// they were added. It decides only this order; it owns no clock and runs nothing.
 package eventqueue
 
 import (
@@ -7,44 +7,52 @@
 	"time"
 )
 
-// Queue is what is to be done. The zero value is empty.
+// Queue is a priority queue of events. The zero value is empty. It is not safe for concurrent use.
 type Queue struct {
-	entries eventHeap
+	events  eventHeap
 	lastSeq int
 }
 
+// event is a function to run at a time.
 type event struct {
 	at  time.Duration
-	seq int
+	seq int // order of addition
 	run func()
 }
 
-// Add puts something down.
-func (a *Queue) Add(at time.Duration, do func()) {
-	a.lastSeq++
-	heap.Push(&a.entries, event{at, a.lastSeq, do})
+// Add adds an event.
+func (q *Queue) Add(at time.Duration, run func()) {
+	q.lastSeq++
+	heap.Push(&q.events, event{at, q.lastSeq, run})
 }
 
-// PopUntil takes out what is first, unless that is after a time.
-func (a *Queue) PopUntil(until time.Duration) (at time.Duration, do func(), ok bool) {
-	if len(a.entries) == 0 || a.entries[0].at > until {
+// PopUntil removes the first event and returns it; ok is false if there is none, or only later than until.
+func (q *Queue) PopUntil(until time.Duration) (at time.Duration, run func(), ok bool) {
+	if len(q.events) == 0 || q.events[0].at > until {
 		return 0, nil, false
 	}
-	e := heap.Pop(&a.entries).(event)
-	return e.at, e.run, true
+	first := heap.Pop(&q.events).(event)
+	return first.at, first.run, true
 }
 
+// eventHeap implements heap.Interface. The order is total, so that runs are deterministic.
 type eventHeap []event
 
-func (e eventHeap) Len() int { return len(e) }
-func (e eventHeap) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (h eventHeap) Len() int { return len(h) }
+
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *eventHeap) Pop() any {
-	old := *e
-	x := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return x
+
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push appends an event; heap.Push calls it.
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
+
+// Pop removes the last event; heap.Pop calls it.
+func (h *eventHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
