--- a/internal/fakes/fixtures.go
+++ b/internal/fakes/fixtures.go
@@ -8,16 +8,16 @@
 	"fmt"
 )
 
-// SetMachineType has a controller know one type of machines, as if the cloud had told it.
-func (s *Store) SetMachineType(t wire.MachineType) {
-	raw, err := json.Marshal(wire.Catalog{Types: []wire.MachineType{t}})
+// SetMachineType stores the catalog of one machine type, as if a controller had read it from the cloud.
+func (s *Store) SetMachineType(machineType wire.MachineType) {
+	raw, err := json.Marshal(wire.Catalog{Types: []wire.MachineType{machineType}})
 	if err != nil {
-		panic(err) // strings and numbers
+		panic(err) // strings and numbers always marshal
 	}
 	s.PutUnchecked([]wire.KeyValue{{Key: core.Root + "types", Value: raw}})
 }
 
-// JobRequest is the submission of a small job of the team t.
+// JobRequest returns the body of a submission of a small job of team t, in the names of the wire.
 func JobRequest(id, class string) map[string]any {
 	return map[string]any{
 		"uid":      id,
@@ -40,37 +40,41 @@
 	}
 }
 
-// TestPolicy are the users of a cooperative and a roastery, each with a key: a glaze technician, a
-// visiting potter, a packer who may reprint labels and not cancel a reroast, a service, and who
-// administers.
+// testRoles are the roles of TestPolicy.
+const testRoles = `
+	roles { name: "technician" grants { verbs: submit verbs: read verbs: cancel teams: "t" classes: "firing" } }
+	roles { name: "visitor" grants { verbs: submit verbs: read teams: "t" classes: "plan" } }
+	roles {
+		name: "packer"
+		grants { verbs: submit verbs: read verbs: cancel teams: "t" classes: "labels" }
+		grants { verbs: read teams: "t" classes: "reroast" }
+	}
+	roles { name: "portal" grants { verbs: submit verbs: cancel verbs: read teams: "t" classes: "reroast" } }
+	roles { name: "admin" grants { verbs: administer verbs: audit } }`
+
+// TestPolicy returns the policy of a cooperative and a roastery with a key for each user: a glaze technician, a
+// visiting potter, a packer who may reprint labels but not cancel a reroast, a service, and an administrator.
 func TestPolicy() (*access.Policy, map[string]*access.PrivateKey, error) {
-	text := `
-		roles { name: "technician" grants { verbs: submit verbs: read verbs: cancel teams: "t" classes: "firing" } }
-		roles { name: "visitor" grants { verbs: submit verbs: read teams: "t" classes: "plan" } }
-		roles { name: "packer" grants { verbs: submit verbs: read verbs: cancel teams: "t" classes: "labels" } grants { verbs: read teams: "t" classes: "reroast" } }
-		roles { name: "portal" grants { verbs: submit verbs: cancel verbs: read teams: "t" classes: "reroast" } }
-		roles { name: "admin" grants { verbs: administer verbs: audit } }`
+	text := testRoles
 	keys := map[string]*access.PrivateKey{}
-	for _, x := range [][2]string{
+	for _, user := range []struct{ name, role string }{
 		{"anna", "technician"},
 		{"potter", "visitor"},
 		{"pia", "packer"},
 		{"portal", "portal"},
 		{"root", "admin"},
 	} {
-		k, err := access.NewKey(x[0], x[0]+"-1")
+		key, err := access.NewKey(user.name, user.name+"-1")
 		if err != nil {
-			return nil, nil, err
+			return nil, nil, fmt.Errorf("create key of %s: %w", user.name, err)
 		}
-		keys[x[0]] = k
-		text += fmt.Sprintf(
-			"identities { name: %q roles: %q keys { id: %q ed25519: %q } }",
-			x[0],
-			x[1],
-			k.ID,
-			k.PublicBase64(),
-		)
+		keys[user.name] = key
+		text += fmt.Sprintf("identities { name: %q roles: %q keys { id: %q ed25519: %q } }",
+			user.name, user.role, key.ID, key.PublicBase64())
+	}
+	policy, err := access.Parse([]byte(text))
+	if err != nil {
+		return nil, nil, fmt.Errorf("parse test policy: %w", err)
 	}
-	p, err := access.Parse([]byte(text))
-	return p, keys, err
+	return policy, keys, nil
 }
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -1,11 +1,13 @@
-// Package fakes holds stand-ins of our own for the platform's services, which speak its protocol
-// over real sockets, for tests and measurements.
+// Package fakes holds fakes of the platform's services, the key-value store and the cloud with its workers, that
+// speak its protocol over real sockets, for tests and measurements. They keep everything in memory and use real
+// time; package sim has its own fakes in simulated time.
 package fakes
 
 import (
 	"dewlift/wire"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"net/http"
 	"slices"
 	"strconv"
@@ -16,19 +18,25 @@
 	"github.com/google/btree"
 )
 
-// Limits are those of a state service; 0: none.
+// Limits are the limits that a store enforces; 0: none.
 type Limits struct {
-	RPS, WriteRPS      float64 // requests and changes a second, with bursts of one second's worth
-	ValueBytes, TxnOps int     // of a value, and changes of a transaction
-	PageItems, PageKB  int     // of a listing
+	RPS, WriteRPS      float64 // requests and writes per second, with bursts of one second's worth
+	ValueBytes, TxnOps int     // size of a value, and writes of a transaction
+	PageItems, PageKB  int     // size of a page of a range read
 }
 
 const (
-	keptEvents   = 10_000 // that watches can go back
-	maxBodyBytes = 64 << 10
+	keptEvents      = 10_000   // minimum number of events that watches can go back
+	maxBodyBytes    = 64 << 10 // of a transaction
+	maxKeyBytes     = 200
+	defaultPageSize = 1000 // keys
+	itemOverhead    = 40   // bytes of a key in a page beside its name and value
+	maxLongPollMS   = 60_000
+	minLeaseMS      = 100
+	maxLeaseMS      = 600_000
 )
 
-// Store is a state service in memory.
+// Store is a fake of the consensus-backed key-value store. It is safe for concurrent use.
 type Store struct {
 	mu            sync.Mutex
 	limits        Limits
@@ -38,24 +46,26 @@
 	events        []wire.WatchEvent
 	leases        map[uint64]*lease
 	lastLeaseID   uint64
-	changed       chan struct{} // closed at the next change
+	changed       chan struct{} // closed and replaced with each revision, and when an outage begins or ends
 	requestBucket rateBucket
 	writeBucket   rateBucket
 	counters      map[string]int
 }
 
+// lease is a granted lease with the keys attached to it.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 	keys  map[string]bool
 }
 
-// rateBucket allows a rate, with bursts of one second's worth.
+// rateBucket is a token bucket whose burst is one second's worth.
 type rateBucket struct {
 	used      float64
 	updatedAt time.Time
 }
 
+// allow takes tokens, and reports whether there were enough. A rate of 0 is unlimited.
 func (b *rateBucket) allow(n, rate float64) bool {
 	if rate == 0 {
 		return true
@@ -70,23 +80,23 @@
 	return true
 }
 
-// NewStore returns an empty state service.
-func NewStore(l Limits) *Store {
+// NewStore returns an empty store.
+func NewStore(limits Limits) *Store {
 	return &Store{
-		limits: l, keys: btree.NewG(32, func(a, b wire.KeyValue) bool { return a.Key < b.Key }),
+		limits: limits, keys: btree.NewG(32, func(a, b wire.KeyValue) bool { return a.Key < b.Key }),
 		leases: map[uint64]*lease{}, changed: make(chan struct{}), counters: map[string]int{},
 	}
 }
 
-// SetLimits has other limits come into force.
-func (s *Store) SetLimits(l Limits) {
+// SetLimits replaces the limits.
+func (s *Store) SetLimits(limits Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits = l
+	s.limits = limits
 }
 
-// SetDown begins or ends an outage: requests get 503 and open watches wait; at its end, every lease has
-// its full time again.
+// SetDown begins or ends an outage: requests get 503 and open watches wait. At its end every lease has its full
+// time to live again.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,68 +111,54 @@
 	s.notifyWatchers()
 }
 
-// PutUnchecked puts keys without asking for any limit, as one change.
+// PutUnchecked puts keys in one revision, without checking limits and without an event.
 func (s *Store) PutUnchecked(items []wire.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	for _, it := range items {
-		it.Revision = s.revision
-		s.keys.ReplaceOrInsert(it)
+	for _, item := range items {
+		item.Revision = s.revision
+		s.keys.ReplaceOrInsert(item)
 	}
 }
 
-// Value is a key's value, nil if there is none.
+// Value returns a key's value; nil if there is none.
 func (s *Store) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	it, _ := s.keys.Get(wire.KeyValue{Key: key})
-	return it.Value
+	item, _ := s.keys.Get(wire.KeyValue{Key: key})
+	return item.Value
 }
 
 // CountKeys counts the keys with a prefix, and the bytes of their names and values.
 func (s *Store) CountKeys(prefix string) (n, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keys.AscendGreaterOrEqual(wire.KeyValue{Key: prefix}, func(it wire.KeyValue) bool {
-		if !strings.HasPrefix(it.Key, prefix) {
+	s.keys.AscendGreaterOrEqual(wire.KeyValue{Key: prefix}, func(item wire.KeyValue) bool {
+		if !strings.HasPrefix(item.Key, prefix) {
 			return false
 		}
-		n, bytes = n+1, bytes+len(it.Key)+len(it.Value)
+		n, bytes = n+1, bytes+len(item.Key)+len(item.Value)
 		return true
 	})
 	return n, bytes
 }
 
-// Counters tells how many requests of each kind there were, and "changes".
+// Counters returns the number of requests by the first part of their path, of all "requests", of those "refused" by
+// rate limits, and of written keys as "changed".
 func (s *Store) Counters() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[string]int{}
-	for k, n := range s.counters {
-		out[k] = n
-	}
-	return out
+	return maps.Clone(s.counters)
 }
 
-// ServeHTTP answers the controllers.
+// ServeHTTP serves the store's interface.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	part := strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)
-	s.mu.Lock()
-	s.counters[part[0]]++
-	s.counters["requests"]++
-	switch {
-	case s.outage:
-		s.mu.Unlock()
-		writeJSON(w, http.StatusServiceUnavailable, wire.Error{Error: "outage"})
-		return
-	case !s.requestBucket.allow(1, s.limits.RPS):
-		s.counters["refused"]++
-		s.mu.Unlock()
-		writeJSON(w, http.StatusTooManyRequests, wire.Error{Error: "too many requests"})
+	if status, reason := s.admit(part[0]); status != http.StatusOK {
+		writeJSON(w, status, wire.Error{Error: reason})
 		return
 	}
-	s.mu.Unlock()
 	switch {
 	case part[0] == "store" && len(part) == 2 && r.Method == http.MethodGet:
 		s.serveGet(w, part[1])
@@ -179,128 +175,160 @@
 	}
 }
 
+// admit counts a request, and refuses it during an outage or above the request rate.
+func (s *Store) admit(kind string) (status int, reason string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.counters[kind]++
+	s.counters["requests"]++
+	switch {
+	case s.outage:
+		return http.StatusServiceUnavailable, "outage"
+	case !s.requestBucket.allow(1, s.limits.RPS):
+		s.counters["refused"]++
+		return http.StatusTooManyRequests, "too many requests"
+	}
+	return http.StatusOK, ""
+}
+
+// writeJSON writes a response.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // whoever asked may be gone
+	_ = json.NewEncoder(w).Encode(body) // the client may have disconnected
 }
 
+// serveGet reads one key.
 func (s *Store) serveGet(w http.ResponseWriter, key string) {
 	s.mu.Lock()
-	it, ok := s.keys.Get(wire.KeyValue{Key: key})
-	ledger := s.revision
+	item, ok := s.keys.Get(wire.KeyValue{Key: key})
+	revision := s.revision
 	s.mu.Unlock()
 	if !ok {
-		writeJSON(w, http.StatusNotFound, map[string]uint64{"ledger": ledger})
+		writeJSON(w, http.StatusNotFound, map[string]uint64{"ledger": revision})
 		return
 	}
-	writeJSON(w, http.StatusOK, it)
+	writeJSON(w, http.StatusOK, item)
 }
 
+// serveList reads a page of the keys with a prefix after another key.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	prefix, from := q.Get("starts"), q.Get("from")
-	most, err := strconv.Atoi(q.Get("most"))
-	if err != nil || most < 1 {
-		most = 1000
+	query := r.URL.Query()
+	prefix, after := query.Get("starts"), query.Get("from")
+	limit, err := strconv.Atoi(query.Get("most"))
+	if err != nil || limit < 1 {
+		limit = defaultPageSize
 	}
-	if n := s.limits.PageItems; n > 0 {
-		most = min(most, n)
-	}
-	out := wire.RangeResponse{Items: []wire.KeyValue{}}
 	s.mu.Lock()
-	out.Revision = s.revision
-	bytes := 0
-	s.keys.AscendGreaterOrEqual(wire.KeyValue{Key: max(prefix, from)}, func(it wire.KeyValue) bool {
+	if s.limits.PageItems > 0 {
+		limit = min(limit, s.limits.PageItems)
+	}
+	out := wire.RangeResponse{Items: []wire.KeyValue{}, Revision: s.revision}
+	maxBytes, bytes := s.limits.PageKB<<10, 0
+	s.keys.AscendGreaterOrEqual(wire.KeyValue{Key: max(prefix, after)}, func(item wire.KeyValue) bool {
+		tooLarge := maxBytes > 0 && bytes+len(item.Value) > maxBytes && len(out.Items) > 0
 		switch {
-		case !strings.HasPrefix(it.Key, prefix):
-			return it.Key < prefix
-		case it.Key == from:
+		case !strings.HasPrefix(item.Key, prefix):
+			return item.Key < prefix
+		case item.Key == after:
 			return true
-		case len(out.Items) == most || s.limits.PageKB > 0 && bytes+len(it.Value) > s.limits.PageKB<<10 && len(out.Items) > 0:
+		case len(out.Items) == limit || tooLarge:
 			out.More = true
 			return false
 		}
-		bytes += len(it.Key) + len(it.Value) + 40
-		out.Items = append(out.Items, it)
+		bytes += len(item.Key) + len(item.Value) + itemOverhead
+		out.Items = append(out.Items, item)
 		return true
 	})
 	s.mu.Unlock()
 	writeJSON(w, http.StatusOK, out)
 }
 
+// serveCommit executes a transaction.
 func (s *Store) serveCommit(w http.ResponseWriter, r *http.Request) {
-	var t wire.Txn
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&t); err != nil {
+	var txn wire.Txn
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&txn); err != nil {
 		writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 		return
 	}
-	status, reply := s.Commit(t)
-	writeJSON(w, status, reply)
+	status, response := s.Commit(txn)
+	writeJSON(w, status, response)
 }
 
-// Commit carries out a transaction, without a request.
-func (s *Store) Commit(t wire.Txn) (status int, reply wire.TxnResponse) {
+// Commit executes a transaction without a request.
+func (s *Store) Commit(txn wire.Txn) (status int, response wire.TxnResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.applyTxn(t)
-}
-
-func (s *Store) applyTxn(t wire.Txn) (int, wire.TxnResponse) {
-	refuse := func(why string) (int, wire.TxnResponse) { return http.StatusBadRequest, wire.TxnResponse{Error: why} }
-	if n := s.limits.TxnOps; n > 0 && (len(t.Then) > n || len(t.Compare) > 4*n) {
-		return refuse("too many changes or conditions")
-	}
-	for _, x := range t.Then {
-		switch {
-		case (x.Put == "") == (x.Delete == ""):
-			return refuse("neither or both of put and delete")
-		case x.Put != "" && (len(x.Value) == 0 || len(x.Put) > 200):
-			return refuse("no value, or a long key")
-		case s.limits.ValueBytes > 0 && len(x.Value) > s.limits.ValueBytes:
-			return refuse("value too large")
-		case x.LeaseID != 0 && s.leases[x.LeaseID] == nil:
-			return refuse("no such lease")
-		}
+	if reason := s.invalidReason(txn); reason != "" {
+		return http.StatusBadRequest, wire.TxnResponse{Error: reason}
 	}
-	if !s.writeBucket.allow(float64(len(t.Then)), s.limits.WriteRPS) {
+	if !s.writeBucket.allow(float64(len(txn.Then)), s.limits.WriteRPS) {
 		s.counters["refused"]++
 		return http.StatusTooManyRequests, wire.TxnResponse{Error: "too many changes"}
 	}
 	var failed []string
-	for _, c := range t.Compare {
-		if it, _ := s.keys.Get(wire.KeyValue{Key: c.Key}); it.Revision != c.Revision {
-			failed = append(failed, c.Key)
+	for _, compare := range txn.Compare {
+		if item, _ := s.keys.Get(wire.KeyValue{Key: compare.Key}); item.Revision != compare.Revision {
+			failed = append(failed, compare.Key)
 		}
 	}
 	if len(failed) > 0 {
 		return http.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.revision}
 	}
-	s.counters["changed"] += len(t.Then) // "changes" are the requests of that path
-	if len(t.Then) > 0 {
+	s.applyTxn(txn)
+	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
+}
+
+// invalidReason returns why a transaction is malformed or beyond the limits; empty if it is not.
+func (s *Store) invalidReason(txn wire.Txn) string {
+	if limit := s.limits.TxnOps; limit > 0 && (len(txn.Then) > limit || len(txn.Compare) > 4*limit) {
+		return "too many changes or conditions"
+	}
+	for _, write := range txn.Then {
+		switch {
+		case (write.Put == "") == (write.Delete == ""):
+			return "neither or both of put and delete"
+		case write.Put != "" && (len(write.Value) == 0 || len(write.Put) > maxKeyBytes):
+			return "no value, or a long key"
+		case s.limits.ValueBytes > 0 && len(write.Value) > s.limits.ValueBytes:
+			return "value too large"
+		case write.LeaseID != 0 && s.leases[write.LeaseID] == nil:
+			return "no such lease"
+		}
+	}
+	return ""
+}
+
+// applyTxn executes the writes of a transaction in one revision.
+func (s *Store) applyTxn(txn wire.Txn) {
+	s.counters["changed"] += len(txn.Then) // "changes" counts the requests of that path
+	if len(txn.Then) > 0 {
 		s.revision++
 	}
-	for _, x := range t.Then {
-		if x.Put != "" {
-			s.putItem(wire.KeyValue{Key: x.Put, Value: x.Value, Revision: s.revision, LeaseID: x.LeaseID})
+	for _, write := range txn.Then {
+		if write.Put != "" {
+			s.putItem(wire.KeyValue{
+				Key: write.Put, Value: write.Value, Revision: s.revision, LeaseID: write.LeaseID,
+			})
 		} else {
-			s.deleteKey(x.Delete)
+			s.deleteKey(write.Delete)
 		}
 	}
 	s.notifyWatchers()
-	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-func (s *Store) putItem(it wire.KeyValue) {
-	if old, ok := s.keys.ReplaceOrInsert(it); ok && old.LeaseID != 0 && s.leases[old.LeaseID] != nil {
-		delete(s.leases[old.LeaseID].keys, it.Key)
+// putItem puts a key, attaches it to its lease and records the event.
+func (s *Store) putItem(item wire.KeyValue) {
+	if old, ok := s.keys.ReplaceOrInsert(item); ok && old.LeaseID != 0 && s.leases[old.LeaseID] != nil {
+		delete(s.leases[old.LeaseID].keys, item.Key)
 	}
-	if it.LeaseID != 0 {
-		s.leases[it.LeaseID].keys[it.Key] = true
+	if item.LeaseID != 0 {
+		s.leases[item.LeaseID].keys[item.Key] = true
 	}
-	s.appendEvent(wire.WatchEvent{Put: it.Key, Value: it.Value, Revision: s.revision})
+	s.appendEvent(wire.WatchEvent{Put: item.Key, Value: item.Value, Revision: s.revision})
 }
 
+// deleteKey deletes a key, detaches it from its lease and records the event.
 func (s *Store) deleteKey(key string) {
 	if old, ok := s.keys.Delete(wire.KeyValue{Key: key}); ok && old.LeaseID != 0 && s.leases[old.LeaseID] != nil {
 		delete(s.leases[old.LeaseID].keys, key)
@@ -308,91 +336,101 @@
 	s.appendEvent(wire.WatchEvent{Delete: key, Revision: s.revision})
 }
 
-func (s *Store) appendEvent(e wire.WatchEvent) {
-	s.events = append(s.events, e)
+// appendEvent records an event. Old events are dropped in bulk, so that appending stays cheap.
+func (s *Store) appendEvent(event wire.WatchEvent) {
+	s.events = append(s.events, event)
 	if len(s.events) >= 2*keptEvents {
 		s.events = slices.Clone(s.events[len(s.events)-keptEvents:])
 	}
 }
 
+// notifyWatchers wakes all open watches.
 func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
+// watchState is what a watch sees of the store at one moment.
+type watchState struct {
+	response  wire.WatchResponse
+	compacted bool // events after the requested revision were dropped
+	down      bool
+	changed   <-chan struct{} // closed when the state may differ
+}
+
+// watchFrom returns the events after a revision whose keys have a prefix.
+func (s *Store) watchFrom(revision uint64, prefix string) watchState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := watchState{
+		response:  wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}},
+		compacted: len(s.events) > 0 && s.events[0].Revision > revision+1 && s.revision > revision,
+		down:      s.outage,
+		changed:   s.changed,
+	}
+	first, _ := slices.BinarySearchFunc(s.events, revision+1, func(event wire.WatchEvent, target uint64) int {
+		if event.Revision < target {
+			return -1
+		}
+		return 1
+	})
+	for _, event := range s.events[first:] {
+		if strings.HasPrefix(event.Put+event.Delete, prefix) {
+			state.response.Events = append(state.response.Events, event)
+		}
+	}
+	return state
+}
+
+// serveWatch responds as soon as there are events, or after the requested time of the long poll. During an outage a
+// watch stays open.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
+	query := r.URL.Query()
+	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	if err != nil {
 		writeJSON(w, http.StatusBadRequest, wire.Error{Error: "from is missing"})
 		return
 	}
-	hold, _ := strconv.Atoi(q.Get("hold_ms")) // 0 by default
-	end := time.NewTimer(time.Duration(min(hold, 60_000)) * time.Millisecond)
-	defer end.Stop()
-	late := hold <= 0
+	longPollMS, _ := strconv.Atoi(query.Get("hold_ms")) // 0 if missing
+	timeout := time.NewTimer(time.Duration(min(longPollMS, maxLongPollMS)) * time.Millisecond)
+	defer timeout.Stop()
+	timedOut := longPollMS <= 0
 	for {
-		s.mu.Lock()
-		out := wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
-		gone := len(s.events) > 0 && s.events[0].Revision > from+1 && s.revision > from
-		i, _ := slices.BinarySearchFunc(s.events, from+1, func(e wire.WatchEvent, m uint64) int {
-			if e.Revision < m {
-				return -1
-			}
-			return 1
-		})
-		for _, e := range s.events[i:] {
-			if strings.HasPrefix(e.Put+e.Delete, q.Get("starts")) {
-				out.Events = append(out.Events, e)
-			}
-		}
-		wait, down := s.changed, s.outage
-		s.mu.Unlock()
+		state := s.watchFrom(from, query.Get("starts"))
 		switch {
-		case gone && !down:
+		case state.compacted && !state.down:
 			writeJSON(w, http.StatusGone, wire.Error{Error: "too old"})
 			return
-		case !down && len(out.Events) > 0 || late:
-			writeJSON(w, http.StatusOK, out)
+		case !state.down && len(state.response.Events) > 0 || timedOut:
+			writeJSON(w, http.StatusOK, state.response)
 			return
 		}
 		select {
-		case <-wait:
-		case <-end.C:
-			late = true
+		case <-state.changed:
+		case <-timeout.C:
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
+// serveLeases grants, extends and revokes leases.
 func (s *Store) serveLeases(w http.ResponseWriter, r *http.Request, rest []string) {
 	if len(rest) == 0 && r.Method == http.MethodPost {
-		var in wire.LeaseRequest
-		if err := json.NewDecoder(r.Body).Decode(&in); err != nil || in.TTLMS < 100 || in.TTLMS > 600_000 {
-			writeJSON(w, http.StatusBadRequest, wire.Error{Error: "life_ms is missing or out of range"})
-			return
-		}
-		s.mu.Lock()
-		s.lastLeaseID++
-		id := s.lastLeaseID
-		l := &lease{ttl: time.Duration(in.TTLMS) * time.Millisecond, keys: map[string]bool{}}
-		l.timer = time.AfterFunc(l.ttl, func() { s.endLease(id) })
-		s.leases[id] = l
-		s.mu.Unlock()
-		writeJSON(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
+		s.serveGrant(w, r)
 		return
 	}
 	name, verb, _ := strings.Cut(strings.Join(rest, "/"), "/")
 	id, err := strconv.ParseUint(name, 10, 64)
 	s.mu.Lock()
-	l := s.leases[id]
-	if err == nil && l != nil && verb == "extend" {
-		l.timer.Reset(l.ttl)
+	granted := s.leases[id]
+	if err == nil && granted != nil && verb == "extend" {
+		granted.timer.Reset(granted.ttl)
 	}
 	s.mu.Unlock()
 	switch {
-	case err != nil || l == nil:
+	case err != nil || granted == nil:
 		writeJSON(w, http.StatusNotFound, wire.Error{Error: "no such lease"})
 	case r.Method == http.MethodDelete:
 		s.endLease(id)
@@ -404,30 +442,39 @@
 	}
 }
 
-// endLease ends a lease, and with it the keys attached to it.
+// serveGrant grants a lease.
+func (s *Store) serveGrant(w http.ResponseWriter, r *http.Request) {
+	var request wire.LeaseRequest
+	err := json.NewDecoder(r.Body).Decode(&request)
+	if err != nil || request.TTLMS < minLeaseMS || request.TTLMS > maxLeaseMS {
+		writeJSON(w, http.StatusBadRequest, wire.Error{Error: "life_ms is missing or out of range"})
+		return
+	}
+	s.mu.Lock()
+	s.lastLeaseID++
+	id := s.lastLeaseID
+	granted := &lease{ttl: time.Duration(request.TTLMS) * time.Millisecond, keys: map[string]bool{}}
+	granted.timer = time.AfterFunc(granted.ttl, func() { s.endLease(id) })
+	s.leases[id] = granted
+	s.mu.Unlock()
+	writeJSON(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
+}
+
+// endLease removes an expired or revoked lease and, in one revision, the keys attached to it.
 func (s *Store) endLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.leases[id]
-	if l == nil {
+	ended := s.leases[id]
+	if ended == nil {
 		return
 	}
-	l.timer.Stop()
+	ended.timer.Stop()
 	delete(s.leases, id)
-	if len(l.keys) > 0 {
+	if len(ended.keys) > 0 {
 		s.revision++
 	}
-	for _, k := range sortedNames(l.keys) {
-		s.deleteKey(k)
+	for _, key := range slices.Sorted(maps.Keys(ended.keys)) {
+		s.deleteKey(key)
 	}
 	s.notifyWatchers()
 }
-
-func sortedNames(m map[string]bool) []string {
-	var out []string
-	for k := range m {
-		out = append(out, k)
-	}
-	slices.Sort(out)
-	return out
-}
--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -17,56 +17,62 @@
 	"time"
 )
 
-// Workers are a cloud's machines, of one type, that do as the protocol says but for the work
-// itself: a task is running a moment after its start and done after its time. They share one
-// listener on loopback: each has an address of its own in 127.0.0.0/8.
+// Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: a task
+// runs a moment after its start command and is done after its time. All machines share one listener on loopback;
+// each has an address of its own in 127.0.0.0/8.
 type Workers struct {
 	machineType       wire.MachineType
 	workers           []*Worker
-	controllers       []string // addresses of controllers
-	rentalMu          sync.Mutex
+	controllers       []string   // addresses
+	rentalMu          sync.Mutex // guards ctx, rentals and the rental fields of the workers
 	ctx               context.Context
-	startsRefused     atomic.Int64           // starts
-	cutZone           atomic.Pointer[string] // a zone that is cut off
-	rentals           map[string][]string    // by the name of the request, the machines rented
+	startsRefused     atomic.Int64
+	cutZone           atomic.Pointer[string] // zone that is partitioned
+	rentals           map[string][]string    // names of rented machines by idempotency key
 	heartbeatInterval time.Duration
-	taskShape         func(piece string) (claim [3]int64, run time.Duration)
+	taskShape         TaskShape
 	byIP              map[string]*Worker
 	httpClient        http.Client
 }
 
-// Worker is one machine.
+// TaskShape returns the resources that a task takes of its machine and how long it runs; 0: until it is stopped.
+type TaskShape = func(task string) (request [3]int64, duration time.Duration)
+
+// Worker is one machine with its agent.
 type Worker struct {
-	machine                           wire.Machine
-	ctx                               context.Context // of its rental; nil: not rented
-	stop                              context.CancelFunc
-	rentedAt                          time.Time
-	returned                          bool // it was returned
-	fleet                             *Workers
-	mu                                sync.Mutex
+	machine  wire.Machine
+	ctx      context.Context // of its rental; nil: not rented
+	stop     context.CancelFunc
+	rentedAt time.Time
+	returned bool
+	fleet    *Workers
+
+	mu                                sync.Mutex // guards the fields below
 	seq                               uint64
 	fencingToken                      uint64
 	tasks                             []wire.TaskStatus
-	changed                           chan struct{}
-	controller                        int
-	ackedHeartbeats, failedHeartbeats int // reports
+	ackedHeartbeats, failedHeartbeats int
+
+	changed    chan struct{} // asks for the next heartbeat at once
+	controller int           // index of the controller that gets the next heartbeat; of heartbeatLoop only
 }
 
 const (
-	bootTime         = 2 * time.Second
-	imageFetchTime   = 200 * time.Millisecond // from a start until the task runs
-	minHeartbeatGap  = 500 * time.Millisecond // between two reports
-	heartbeatTimeout = 4 * time.Second
+	bootTime          = 2 * time.Second
+	imageFetchTime    = 200 * time.Millisecond // from a start command until the task runs
+	zoneCheckInterval = 200 * time.Millisecond // while a zone is partitioned
+	minHeartbeatGap   = 500 * time.Millisecond // between two heartbeats
+	heartbeatTimeout  = 4 * time.Second
+	retryInterval     = time.Second // after a failed heartbeat
 )
 
-// NewWorkers makes n machines that will report to controllers; task tells what a task takes of its machine and for how
-// long, 0: for ever.
+// NewWorkers returns machines that can be rented and whose agents send heartbeats to the controllers.
 func NewWorkers(
-	n int,
+	count int,
 	machineType wire.MachineType,
 	controllers []string,
 	heartbeatInterval time.Duration,
-	taskShape func(piece string) (claim [3]int64, run time.Duration),
+	taskShape TaskShape,
 ) *Workers {
 	all := &Workers{
 		machineType:       machineType,
@@ -77,13 +83,13 @@
 		rentals:           map[string][]string{},
 	}
 	all.httpClient.Transport = &http.Transport{
-		MaxIdleConns:        2 * n,
-		MaxIdleConnsPerHost: 2 * n,
+		MaxIdleConns:        2 * count,
+		MaxIdleConnsPerHost: 2 * count,
 		IdleConnTimeout:     time.Minute,
 	}
-	for i := range n {
+	for i := range count {
 		ip := fmt.Sprintf("127.%d.%d.1", 1+i/250, 1+i%250)
-		w := &Worker{
+		worker := &Worker{
 			fleet: all, controller: i % len(controllers), changed: make(chan struct{}, 1),
 			machine: wire.Machine{
 				Name:  fmt.Sprintf("m-%06d", i),
@@ -93,56 +99,56 @@
 				Stage: wire.MachineBooting,
 			},
 		}
-		all.byIP[ip] = w
-		all.workers = append(all.workers, w)
+		all.byIP[ip] = worker
+		all.workers = append(all.workers, worker)
 	}
 	return all
 }
 
-// Run has rented machines take orders until the context ends.
+// Run serves the agents of rented machines until the context ends.
 func (all *Workers) Run(ctx context.Context) error {
-	ln, err := net.Listen("tcp4", "0.0.0.0:0")
+	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
-		return fmt.Errorf("workers: %w", err)
+		return fmt.Errorf("listen for agents: %w", err)
 	}
 	all.rentalMu.Lock()
-	for _, w := range all.workers {
-		w.machine.Addr = fmt.Sprintf("%s:%d", w.machine.Addr, ln.Addr().(*net.TCPAddr).Port)
+	for _, worker := range all.workers {
+		worker.machine.Addr = fmt.Sprintf("%s:%d", worker.machine.Addr, listener.Addr().(*net.TCPAddr).Port)
 	}
-	all.ctx = ctx
+	all.ctx = ctx // rentals end with it
 	all.rentalMu.Unlock()
-	srv := &http.Server{Handler: all}
+	server := &http.Server{Handler: all}
 	go func() {
 		<-ctx.Done()
-		_ = srv.Close() // ends with the machines
+		_ = server.Close() // Serve returns then
 	}()
-	if err = srv.Serve(ln); ctx.Err() != nil {
+	if err = server.Serve(listener); ctx.Err() != nil {
 		return nil
 	}
-	return fmt.Errorf("workers: %w", err)
+	return fmt.Errorf("serve agents: %w", err)
 }
 
-// CloudHandler is the cloud's interface to the machines.
+// CloudHandler serves the cloud's interface.
 func (all *Workers) CloudHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+wire.PathCatalog, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+wire.PathCatalog, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{all.machineType}})
 	})
 	mux.HandleFunc("GET "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
-		most, err := strconv.Atoi(r.URL.Query().Get("most"))
+		limit, err := strconv.Atoi(r.URL.Query().Get("most"))
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: "most: " + err.Error()})
 			return
 		}
-		writeJSON(w, http.StatusOK, all.listMachines(r.URL.Query().Get("from"), most))
+		writeJSON(w, http.StatusOK, all.listMachines(r.URL.Query().Get("from"), limit))
 	})
 	mux.HandleFunc("POST "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
-		var req wire.ScaleOutRequest
-		if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
+		var request wire.ScaleOutRequest
+		if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
 		}
-		if names := all.rentMachines(req); len(names) > 0 {
+		if names := all.rentMachines(request); len(names) > 0 {
 			writeJSON(w, http.StatusOK, wire.MachineNames{Machines: names})
 			return
 		}
@@ -160,141 +166,150 @@
 	return mux
 }
 
-func (all *Workers) listMachines(from string, most int) (list wire.MachineList) {
+// listMachines returns a page of the rented machines after a name.
+func (all *Workers) listMachines(after string, limit int) (list wire.MachineList) {
 	all.rentalMu.Lock()
 	defer all.rentalMu.Unlock()
-	for _, w := range all.workers {
-		if w.ctx == nil || w.returned || w.machine.Name <= from {
+	for _, worker := range all.workers {
+		if !worker.isRented() || worker.machine.Name <= after {
 			continue
 		}
-		if list.More = len(list.Machines) == most; list.More {
+		if list.More = len(list.Machines) == limit; list.More {
 			break
 		}
-		m := w.machine
-		m.AgeS = time.Since(w.rentedAt).Seconds()
-		list.Machines = append(list.Machines, m)
+		machine := worker.machine
+		machine.AgeS = time.Since(worker.rentedAt).Seconds()
+		list.Machines = append(list.Machines, machine)
 	}
 	return list
 }
 
-// rentMachines rents as many as there are, once for each name of a request.
-func (all *Workers) rentMachines(r wire.ScaleOutRequest) []string {
+// isRented reports whether a machine is rented now. The caller holds rentalMu.
+func (w *Worker) isRented() bool { return w.ctx != nil && !w.returned }
+
+// rentMachines rents as many machines as there are, up to the count. A repeated request returns the machines of the
+// first.
+func (all *Workers) rentMachines(request wire.ScaleOutRequest) []string {
 	all.rentalMu.Lock()
 	defer all.rentalMu.Unlock()
-	if names, ok := all.rentals[r.IdempotencyKey]; ok || all.ctx == nil || r.Type != all.machineType.Name {
+	names, ok := all.rentals[request.IdempotencyKey]
+	if ok || all.ctx == nil || request.Type != all.machineType.Name {
 		return names
 	}
-	var names []string
-	for _, w := range all.workers {
-		if len(names) == r.Count {
+	for _, worker := range all.workers {
+		if len(names) == request.Count {
 			break
 		}
-		if w.ctx != nil || w.returned || w.machine.Zone != r.Zone {
+		if worker.ctx != nil || worker.returned || worker.machine.Zone != request.Zone {
 			continue
 		}
-		w.ctx, w.stop = context.WithCancel(all.ctx)
-		w.rentedAt, w.machine.Spot = time.Now(), r.Spot
-		names = append(names, w.machine.Name)
-		go w.heartbeatLoop(w.ctx)
+		worker.ctx, worker.stop = context.WithCancel(all.ctx)
+		worker.rentedAt, worker.machine.Spot = time.Now(), request.Spot
+		names = append(names, worker.machine.Name)
+		go worker.heartbeatLoop(worker.ctx)
 	}
 	if len(names) > 0 {
-		all.rentals[r.IdempotencyKey] = names
+		all.rentals[request.IdempotencyKey] = names
 	}
 	return names
 }
 
+// returnMachines ends rentals; a returned machine is never rented again.
 func (all *Workers) returnMachines(names []string) {
 	all.rentalMu.Lock()
 	defer all.rentalMu.Unlock()
-	for _, w := range all.workers {
-		if w.ctx != nil && !w.returned && slices.Contains(names, w.machine.Name) {
-			w.returned = true
-			w.stop()
+	for _, worker := range all.workers {
+		if worker.isRented() && slices.Contains(names, worker.machine.Name) {
+			worker.returned = true
+			worker.stop()
 		}
 	}
 }
 
-// RentedCount is how many machines are rented.
-func (all *Workers) RentedCount() (n int) {
+// RentedCount returns the number of rented machines.
+func (all *Workers) RentedCount() (count int) {
 	all.rentalMu.Lock()
 	defer all.rentalMu.Unlock()
-	for _, w := range all.workers {
-		if w.ctx != nil && !w.returned {
-			n++
+	for _, worker := range all.workers {
+		if worker.isRented() {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// CutZone has the machines of a zone hang: nothing of them is heard, and who asks them waits. Their
-// tasks run on. "": none.
+// CutZone partitions the machines of a zone: they send no heartbeats, and requests to them wait. Their tasks keep
+// running. An empty zone ends the partition.
 func (all *Workers) CutZone(zone string) { all.cutZone.Store(&zone) }
 
+// isZoneCut reports whether the machine's zone is partitioned.
 func (w *Worker) isZoneCut() bool {
-	z := w.fleet.cutZone.Load()
-	return z != nil && *z == w.machine.Zone
+	zone := w.fleet.cutZone.Load()
+	return zone != nil && *zone == w.machine.Zone
 }
 
-// StartsRefused is how many starts found no room.
+// StartsRefused returns how many start commands found no capacity.
 func (all *Workers) StartsRefused() int64 { return all.startsRefused.Load() }
 
-// HeartbeatCounts is how many reports were answered and how many not.
-func (all *Workers) HeartbeatCounts() (answered, failed int) {
-	for _, w := range all.workers {
-		w.mu.Lock()
-		answered += w.ackedHeartbeats
-		failed += w.failedHeartbeats
-		w.mu.Unlock()
-	}
-	return answered, failed
+// HeartbeatCounts returns how many heartbeats were acknowledged, and how many were not.
+func (all *Workers) HeartbeatCounts() (acked, failed int) {
+	for _, worker := range all.workers {
+		worker.mu.Lock()
+		acked += worker.ackedHeartbeats
+		failed += worker.failedHeartbeats
+		worker.mu.Unlock()
+	}
+	return acked, failed
 }
 
-// ServeHTTP takes orders and shows reports.
+// ServeHTTP serves the interface of all agents: the local address of the connection selects the machine.
 func (all *Workers) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	local := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
-	w := all.byIP[local.IP.String()]
-	if w == nil || !w.isUp() {
+	worker := all.byIP[local.IP.String()]
+	if worker == nil || !worker.isUp() {
 		http.Error(rw, "no such machine", http.StatusNotFound)
 		return
 	}
-	for w.isZoneCut() {
+	for worker.isZoneCut() {
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(imageFetchTime):
+		case <-time.After(zoneCheckInterval):
 		}
 	}
 	if r.URL.Path == wire.PathAgentCommands {
-		var o wire.CommandBatch
-		if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+		var batch wire.CommandBatch
+		if err := json.NewDecoder(r.Body).Decode(&batch); err != nil {
 			http.Error(rw, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if !w.executeCommands(o.FencingToken, o.Commands) {
-			writeJSON(rw, http.StatusConflict, w.nextHeartbeat())
+		if !worker.executeCommands(batch.FencingToken, batch.Commands) {
+			writeJSON(rw, http.StatusConflict, worker.nextHeartbeat())
 			return
 		}
 	}
-	writeJSON(rw, http.StatusOK, w.nextHeartbeat())
+	writeJSON(rw, http.StatusOK, worker.nextHeartbeat())
 }
 
+// isUp reports whether the machine is rented and has booted.
 func (w *Worker) isUp() bool {
 	w.fleet.rentalMu.Lock()
 	defer w.fleet.rentalMu.Unlock()
-	return w.ctx != nil && !w.returned && time.Since(w.rentedAt) > bootTime
+	return w.isRented() && time.Since(w.rentedAt) > bootTime
 }
 
+// nextHeartbeat returns a heartbeat with the status of all tasks.
 func (w *Worker) nextHeartbeat() *wire.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.seq++
-	m := &w.machine
+	machine := &w.machine
 	return &wire.Heartbeat{
-		Machine:      m.Name,
-		Addr:         m.Addr,
-		Type:         m.Type,
-		Zone:         m.Zone,
-		Spot:         m.Spot,
+		Machine:      machine.Name,
+		Addr:         machine.Addr,
+		Type:         machine.Type,
+		Zone:         machine.Zone,
+		Spot:         machine.Spot,
 		Incarnation:  1,
 		Sequence:     w.seq,
 		FencingToken: w.fencingToken,
@@ -302,69 +317,66 @@
 	}
 }
 
-// executeCommands executes orders under a token; false if the machine has seen a higher one.
-func (w *Worker) executeCommands(token uint64, orders []wire.Command) bool {
+// executeCommands executes commands under a fencing token; false if the agent has seen a higher one.
+func (w *Worker) executeCommands(fencingToken uint64, commands []wire.Command) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if token < w.fencingToken {
+	if fencingToken < w.fencingToken {
 		return false
 	}
-	w.fencingToken = token
-	for _, o := range orders {
-		i := slices.IndexFunc(
-			w.tasks,
-			func(p wire.TaskStatus) bool { return p.Task == o.Task && p.Attempt == o.Attempt },
-		)
+	w.fencingToken = fencingToken
+	for _, command := range commands {
+		i := slices.IndexFunc(w.tasks, func(status wire.TaskStatus) bool {
+			return status.Task == command.Task && status.Attempt == command.Attempt
+		})
 		switch {
-		case o.Op == wire.OpStart && i < 0:
-			claim, d := w.fleet.taskShape(o.Task)
-			if !w.fits(claim) {
-				w.tasks = append(
-					w.tasks,
-					wire.TaskStatus{
-						Task:    o.Task,
-						Attempt: o.Attempt,
-						Stage:   wire.TaskExited,
-						Cause:   wire.CauseNoCapacity,
-					},
-				)
-				w.fleet.startsRefused.Add(1)
-				w.triggerHeartbeat()
-				break
-			}
-			w.tasks = append(w.tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Stage: wire.TaskPullingImage})
-			time.AfterFunc(
-				imageFetchTime,
-				func() { w.transitionTask(o, wire.TaskPullingImage, wire.TaskRunning, "") },
-			)
-			if d > 0 {
-				time.AfterFunc(
-					imageFetchTime+d,
-					func() { w.transitionTask(o, wire.TaskRunning, wire.TaskExited, wire.CauseDone) },
-				)
-			}
-		case o.Op == wire.OpStop && i >= 0 && w.tasks[i].Stage != wire.TaskExited:
+		case command.Op == wire.OpStart && i < 0:
+			w.startTask(command)
+		case command.Op == wire.OpStop && i >= 0 && w.tasks[i].Stage != wire.TaskExited:
 			w.tasks[i].Stage, w.tasks[i].Cause = wire.TaskExited, wire.CauseStopped
-		case o.Op == wire.OpClear && i >= 0 && w.tasks[i].Stage == wire.TaskExited:
+		case command.Op == wire.OpClear && i >= 0 && w.tasks[i].Stage == wire.TaskExited:
 			w.tasks = slices.Delete(w.tasks, i, i+1)
 		}
 	}
 	return true
 }
 
-// transitionTask has a task go from one state to the next, and is told at once.
-func (w *Worker) transitionTask(o wire.Command, from, to, cause string) {
+// startTask admits a task if there is capacity, and schedules its run and its end. The caller holds mu.
+func (w *Worker) startTask(command wire.Command) {
+	request, duration := w.fleet.taskShape(command.Task)
+	status := wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Stage: wire.TaskPullingImage}
+	if !w.fits(request) {
+		status.Stage, status.Cause = wire.TaskExited, wire.CauseNoCapacity
+		w.tasks = append(w.tasks, status)
+		w.fleet.startsRefused.Add(1)
+		w.triggerHeartbeat()
+		return
+	}
+	w.tasks = append(w.tasks, status)
+	time.AfterFunc(imageFetchTime, func() {
+		w.transitionTask(command, wire.TaskPullingImage, wire.TaskRunning, "")
+	})
+	if duration > 0 {
+		time.AfterFunc(imageFetchTime+duration, func() {
+			w.transitionTask(command, wire.TaskRunning, wire.TaskExited, wire.CauseDone)
+		})
+	}
+}
+
+// transitionTask moves a task from one stage to the next, if it is still in the first, and sends a heartbeat at once.
+func (w *Worker) transitionTask(command wire.Command, from, to, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.tasks {
-		if p := &w.tasks[i]; p.Task == o.Task && p.Attempt == o.Attempt && p.Stage == from {
-			p.Stage, p.Cause = to, cause
+		status := &w.tasks[i]
+		if status.Task == command.Task && status.Attempt == command.Attempt && status.Stage == from {
+			status.Stage, status.Cause = to, cause
 			w.triggerHeartbeat()
 		}
 	}
 }
 
-// triggerHeartbeat has the next report sent at once.
+// triggerHeartbeat has the next heartbeat sent at once.
 func (w *Worker) triggerHeartbeat() {
 	select {
 	case w.changed <- struct{}{}:
@@ -372,48 +384,42 @@
 	}
 }
 
-// fits reports whether there is room beside the tasks that have not exited.
-func (w *Worker) fits(claim [3]int64) bool {
-	room := w.fleet.machineType.Capacity()
-	for _, p := range w.tasks {
-		if p.Stage != wire.TaskExited {
-			c, _ := w.fleet.taskShape(p.Task)
-			for i := range room {
-				room[i] -= c[i]
+// fits reports whether a request fits beside the tasks that have not exited. The caller holds mu.
+func (w *Worker) fits(request [3]int64) bool {
+	available := w.fleet.machineType.Capacity()
+	for _, status := range w.tasks {
+		if status.Stage != wire.TaskExited {
+			allocated, _ := w.fleet.taskShape(status.Task)
+			for i := range available {
+				available[i] -= allocated[i]
 			}
 		}
 	}
-	return room[0] >= claim[0] && room[1] >= claim[1] && room[2] >= claim[2]
+	return available[0] >= request[0] && available[1] >= request[1] && available[2] >= request[2]
 }
 
+// heartbeatLoop sends heartbeats, periodically with jitter and when a task changes, until the rental ends. After a
+// failed one the next goes to the next controller.
 func (w *Worker) heartbeatLoop(ctx context.Context) {
 	wait := bootTime + rand.N(time.Second)
 	for {
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return
-		case <-t.C:
+		case <-timer.C:
 		case <-w.changed:
-			t.Stop()
+			timer.Stop()
 		}
 		wait = w.fleet.heartbeatInterval*3/4 + rand.N(w.fleet.heartbeatInterval/2)
 		if w.isZoneCut() {
-			wait = imageFetchTime
+			wait = zoneCheckInterval
 			continue
 		}
-		good := w.sendHeartbeat(ctx)
-		w.mu.Lock()
-		if good {
-			w.ackedHeartbeats++
-		} else {
-			w.failedHeartbeats++
-		}
-		w.mu.Unlock()
-		if !good {
+		if err := w.sendHeartbeat(ctx); err != nil {
 			w.controller = (w.controller + 1) % len(w.fleet.controllers)
-			wait = time.Second
+			wait = retryInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -423,33 +429,50 @@
 	}
 }
 
-// sendHeartbeat reports once and does what it is told.
-func (w *Worker) sendHeartbeat(ctx context.Context) bool {
+// sendHeartbeat sends one heartbeat, counts its outcome and executes the commands in the response.
+func (w *Worker) sendHeartbeat(ctx context.Context) error {
+	response, err := w.postHeartbeat(ctx)
+	if err == nil {
+		w.executeCommands(response.FencingToken, response.Commands)
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if err != nil {
+		w.failedHeartbeats++
+	} else {
+		w.ackedHeartbeats++
+	}
+	return err
+}
+
+// postHeartbeat sends a heartbeat to the current controller and reads its response.
+func (w *Worker) postHeartbeat(ctx context.Context) (*wire.HeartbeatResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	raw, err := json.Marshal(w.nextHeartbeat())
 	if err != nil {
-		panic(err) // strings and numbers
-	}
-	req, err := http.NewRequestWithContext(
-		ctx,
-		http.MethodPost,
-		"http://"+w.fleet.controllers[w.controller]+wire.PathHeartbeat,
-		bytes.NewReader(raw),
-	)
+		return nil, fmt.Errorf("encode heartbeat: %w", err)
+	}
+	url := "http://" + w.fleet.controllers[w.controller] + wire.PathHeartbeat
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(raw))
+	if err != nil {
+		return nil, fmt.Errorf("create heartbeat request: %w", err)
+	}
+	response, err := w.fleet.httpClient.Do(request)
 	if err != nil {
-		return false
+		return nil, fmt.Errorf("send heartbeat: %w", err)
 	}
-	resp, err := w.fleet.httpClient.Do(req)
+	defer func() { _ = response.Body.Close() }() // it is read to its end, or the heartbeat has failed
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return false
+		return nil, fmt.Errorf("read heartbeat response: %w", err)
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
-	var b wire.HeartbeatResponse
-	if err != nil || resp.StatusCode != http.StatusOK || json.Unmarshal(body, &b) != nil {
-		return false
+	if response.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("send heartbeat: status %d", response.StatusCode)
 	}
-	w.executeCommands(b.FencingToken, b.Commands)
-	return true
+	var out wire.HeartbeatResponse
+	if err := json.Unmarshal(body, &out); err != nil {
+		return nil, fmt.Errorf("decode heartbeat response: %w", err)
+	}
+	return &out, nil
 }
--- a/internal/fakes/workers_test.go
+++ b/internal/fakes/workers_test.go
@@ -6,59 +6,62 @@
 	"time"
 )
 
-// The stand-in does with orders what the protocol says: each once, in order, no more than there is
-// room for, none under an older token.
+// The fake must execute commands as the protocol says: each once, in order, no more than there is capacity for,
+// none under an older fencing token.
 func TestWorkerExecutesCommands(t *testing.T) {
-	kind := wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}}
+	machineType := wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}}
 	all := NewWorkers(
 		1,
-		kind,
+		machineType,
 		[]string{"127.0.0.1:1"},
 		time.Minute,
 		func(string) ([3]int64, time.Duration) { return [3]int64{2000, 0, 1000}, 0 },
 	)
-	w := all.workers[0]
-	order := func(op, piece string, try uint64) wire.Command {
-		return wire.Command{Op: op, Task: piece, Attempt: try}
+	worker := all.workers[0]
+	command := func(op, task string, attempt uint64) wire.Command {
+		return wire.Command{Op: op, Task: task, Attempt: attempt}
 	}
 	start := []wire.Command{
-		order(wire.OpStart, "wk-1/0", 1),
-		order(wire.OpStart, "wk-1/0", 1),
-		order(wire.OpStart, "wk-1/1", 2),
-		order(wire.OpStart, "wk-1/2", 3),
+		command(wire.OpStart, "wk-1/0", 1),
+		command(wire.OpStart, "wk-1/0", 1),
+		command(wire.OpStart, "wk-1/1", 2),
+		command(wire.OpStart, "wk-1/2", 3),
 	}
-	if !w.executeCommands(5, start) || w.executeCommands(4, []wire.Command{order(wire.OpStop, "wk-1/0", 1)}) {
-		t.Fatal("the token decides who gives orders")
+	stale := []wire.Command{command(wire.OpStop, "wk-1/0", 1)}
+	if !worker.executeCommands(5, start) || worker.executeCommands(4, stale) {
+		t.Fatal("commands under an older fencing token are executed, or those under a newer one are not")
 	}
-	if r := w.nextHeartbeat(); len(r.Tasks) != 3 || r.Tasks[2].Cause != wire.CauseNoCapacity ||
+	heartbeat := worker.nextHeartbeat()
+	if len(heartbeat.Tasks) != 3 || heartbeat.Tasks[2].Cause != wire.CauseNoCapacity ||
 		all.StartsRefused() != 1 {
-		t.Errorf("two of three tasks fit: %+v, %d refused", r.Tasks, all.StartsRefused())
+		t.Errorf("two of three tasks fit: %+v, %d refused", heartbeat.Tasks, all.StartsRefused())
 	}
-	w.executeCommands(
+	worker.executeCommands(
 		5,
 		[]wire.Command{
-			order(wire.OpClear, "wk-1/0", 1),
-			order(wire.OpStop, "wk-1/0", 1),
-			order(wire.OpClear, "wk-1/2", 3),
+			command(wire.OpClear, "wk-1/0", 1),
+			command(wire.OpStop, "wk-1/0", 1),
+			command(wire.OpClear, "wk-1/2", 3),
 		},
 	)
-	r := w.nextHeartbeat()
-	if len(r.Tasks) != 2 || r.Tasks[0].Cause != wire.CauseStopped || r.Tasks[1].Stage == wire.TaskExited {
-		t.Errorf("one is stopped, one goes on, and one is forgotten: %+v", r.Tasks)
+	heartbeat = worker.nextHeartbeat()
+	if len(heartbeat.Tasks) != 2 || heartbeat.Tasks[0].Cause != wire.CauseStopped ||
+		heartbeat.Tasks[1].Stage == wire.TaskExited {
+		t.Errorf("one is stopped, one runs on, and one is cleared: %+v", heartbeat.Tasks)
 	}
-	if w.executeCommands(5, []wire.Command{order(wire.OpStart, "wk-1/2", 4)}); len(w.nextHeartbeat().Tasks) != 3 ||
-		all.StartsRefused() != 1 {
-		t.Error("the stopped task's room is not free again")
+	worker.executeCommands(5, []wire.Command{command(wire.OpStart, "wk-1/2", 4)})
+	if len(worker.nextHeartbeat().Tasks) != 3 || all.StartsRefused() != 1 {
+		t.Error("the capacity of the stopped task is not available again")
 	}
 }
 
-// A request to rent has one outcome, however often it is repeated, and a machine that was returned is gone for good.
+// A scale-out request has one outcome, however often it is repeated, and a returned machine is never rented again.
 func TestCloudRentIsIdempotent(t *testing.T) {
-	kind := wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a", "b"}}
-	all := NewWorkers(4, kind, []string{"127.0.0.1:1"}, time.Minute, nil)
+	machineType := wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a", "b"}}
+	all := NewWorkers(4, machineType, []string{"127.0.0.1:1"}, time.Minute, nil)
 	all.ctx = t.Context()
-	ask := wire.ScaleOutRequest{IdempotencyKey: "h-1", Type: "x", Zone: "a", Count: 5}
-	first, again := all.rentMachines(ask), all.rentMachines(ask)
+	request := wire.ScaleOutRequest{IdempotencyKey: "h-1", Type: "x", Zone: "a", Count: 5}
+	first, again := all.rentMachines(request), all.rentMachines(request)
 	if len(first) != 2 || len(again) != 2 || first[0] != again[0] || all.RentedCount() != 2 {
 		t.Errorf("%v, then %v", first, again)
 	}
@@ -66,8 +69,8 @@
 		t.Errorf("a page of one of two: %+v", list)
 	}
 	all.returnMachines(first[:1])
-	ask.IdempotencyKey = "h-2"
-	if all.RentedCount() != 1 || len(all.rentMachines(ask)) != 0 || len(all.listMachines("", 9).Machines) != 1 {
+	request.IdempotencyKey = "h-2"
+	if all.RentedCount() != 1 || len(all.rentMachines(request)) != 0 || len(all.listMachines("", 9).Machines) != 1 {
 		t.Error("a machine that was returned is rented again")
 	}
 }
