--- a/core/allocation/tracker_test.go
+++ b/core/allocation/tracker_test.go
@@ -15,8 +15,8 @@
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var tracker Tracker
-		type task struct{ started, ended, recorded, unrecorded time.Duration }
-		tasks := make([]task, 1+rng.IntN(12))
+		type taskTimes struct{ started, ended, recorded, unrecorded time.Duration }
+		tasks := make([]taskTimes, 1+rng.IntN(12))
 		late := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
 		for i := range tasks {
 			begin := late(20 * time.Second)
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -415,15 +415,18 @@
 		low.Spec.Priority, low.Spec.Request, low.Spec.EstimatedRuntimeMS = 2, [3]int64{4000, 0, 1000}, 60000
 		c.Handle(time.Second, low)
 		runFor(c, time.Second, 2*time.Second)
-		attempt := c.internJob("wk-1").record.LastAttempt
-		if attempt == 0 {
+		lastAttempt := c.internJob("wk-1").record.LastAttempt
+		if lastAttempt == 0 {
 			t.Fatal("the first job was not placed")
 		}
 		c.Handle(
 			2*time.Second,
 			AgentHeartbeat{
 				RequestID: 10,
-				Heartbeat: testHeartbeat(2, wire.TaskStatus{Task: "wk-1/0", Attempt: attempt, Stage: wire.TaskRunning}),
+				Heartbeat: testHeartbeat(
+					2,
+					wire.TaskStatus{Task: "wk-1/0", Attempt: lastAttempt, Stage: wire.TaskRunning},
+				),
 			},
 		)
 		high := testSubmission("wk-2")
@@ -450,8 +453,8 @@
 	in.Spec.Tasks = 2
 	c.Handle(time.Second, in)
 	runFor(c, time.Second, 6*time.Second)
-	status := func(task string, attempt uint64, stage, cause string) wire.TaskStatus {
-		return wire.TaskStatus{Task: "wk-1/" + task, Attempt: attempt, Stage: stage, Cause: cause}
+	status := func(task string, attemptID uint64, stage, cause string) wire.TaskStatus {
+		return wire.TaskStatus{Task: "wk-1/" + task, Attempt: attemptID, Stage: stage, Cause: cause}
 	}
 	c.Handle(
 		6*time.Second,
@@ -574,14 +577,14 @@
 func TestFaultyMachineIsQuarantined(t *testing.T) {
 	c := newLeadingCore(t)
 	m := c.internMachine("m-1")
-	fail := func(seq uint64, id string, attempt uint64, cause string) {
+	fail := func(seq uint64, id string, attemptID uint64, cause string) {
 		c.Handle(
 			2*time.Second,
 			AgentHeartbeat{
 				RequestID: seq,
 				Heartbeat: testHeartbeat(
 					seq,
-					wire.TaskStatus{Task: id + "/0", Attempt: attempt, Stage: wire.TaskExited, Cause: cause},
+					wire.TaskStatus{Task: id + "/0", Attempt: attemptID, Stage: wire.TaskExited, Cause: cause},
 				),
 			},
 		)
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -9,8 +9,7 @@
 	pb "dewlift/proto"
 )
 
-// Input is an event that the core is told of: a request, the outcome of an output, or a measurement. It is
-// handled by Core.Handle.
+// Input is an event that the core handles by Core.Handle: a request, the outcome of an output, or a measurement.
 type Input interface{ input() }
 
 // Requests of users and agents. RequestID is chosen by the edge, which finds the caller of a Response by it;
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -34,6 +34,7 @@
 // machineCounts counts machines that have reported, and those of them that are silent.
 type machineCounts struct{ up, silent int }
 
+// add counts a machine that has reported.
 func (n *machineCounts) add(silent bool) {
 	n.up++
 	if silent {
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -146,16 +146,16 @@
 		c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
-	attempt := c.newOwnershipAttempt()
-	attempt.registerNode()
-	attempt.chooseShards()
-	attempt.chooseLeadership()
-	if attempt.claimsAny() {
-		attempt.addClaims()
+	run := c.newOwnershipAttempt()
+	run.registerNode()
+	run.chooseShards()
+	run.chooseLeadership()
+	if run.claimsAny() {
+		run.addClaims()
 	} else {
-		attempt.releaseSurplus()
+		run.releaseSurplus()
 	}
-	attempt.commit()
+	run.commit()
 }
 
 // ownershipAttempt is one run of acquireOwnership: the distribution of the shards that it starts from, the
@@ -183,7 +183,7 @@
 	live := c.liveControllers()
 	shardCount := len(c.ownership.shards)
 	counts := c.ownership.countByNode()
-	attempt := ownershipAttempt{
+	run := ownershipAttempt{
 		core:           c,
 		live:           live,
 		registered:     registered,
@@ -194,10 +194,10 @@
 		onAuditOutcome: func(wire.Status) {},
 	}
 	for _, name := range live {
-		attempt.fewestShards = min(attempt.fewestShards, counts[name])
-		attempt.mostShards = max(attempt.mostShards, counts[name])
+		run.fewestShards = min(run.fewestShards, counts[name])
+		run.mostShards = max(run.mostShards, counts[name])
 	}
-	return attempt
+	return run
 }
 
 // registerNode writes the node key of this controller if it is absent or of an earlier lease.
