--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -144,6 +144,21 @@
 	}
 }
 
+// damagedCopy copies a file with one bit flipped.
+func damagedCopy(t *testing.T, path string) string {
+	t.Helper()
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw[len(raw)-3] ^= 4
+	damaged := filepath.Join(t.TempDir(), "damaged")
+	if err := os.WriteFile(damaged, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return damaged
+}
+
 // A restore writes all keys but those of leases, raises the fencing token, and refuses a damaged file and a
 // store that is not empty, without a change. An interrupted one can be repeated.
 func TestRestoreRebuildsTheStore(t *testing.T) {
@@ -176,16 +191,7 @@
 		t.Errorf("a store that is not empty: %v", err)
 	}
 	restored, destination := serveStore(t, fakes.Limits{TxnOps: 4})
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	raw[len(raw)-3] ^= 4
-	damaged := filepath.Join(t.TempDir(), "damaged")
-	if err := os.WriteFile(damaged, raw, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := Restore(ctx, target(destination), damaged, nil); !errors.Is(err, ErrDamaged) {
+	if _, err := Restore(ctx, target(destination), damagedCopy(t, path), nil); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a damaged file: %v", err)
 	}
 	if n, _ := restored.CountKeys(""); n != 0 {
