--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -144,6 +144,15 @@
 	}
 }
 
+// putAll puts keys with their values into a store.
+func putAll(store *fakes.Store, values map[string]string) {
+	var items []wire.KeyValue
+	for key, value := range values {
+		items = append(items, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
+	}
+	store.PutUnchecked(items)
+}
+
 // damagedCopy copies a file with one bit flipped.
 func damagedCopy(t *testing.T, path string) string {
 	t.Helper()
@@ -174,11 +183,7 @@
 	for i := range 50 {
 		want[fmt.Sprintf("dl/job/wk-%03d", i)] = fmt.Sprintf(`{"h":%d}`, i)
 	}
-	var items []wire.KeyValue
-	for key, value := range want {
-		items = append(items, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
-	}
-	store.PutUnchecked(items)
+	putAll(store, want)
 	path := filepath.Join(t.TempDir(), "s")
 	if _, err := Save(ctx, &source, path, nil); err != nil {
 		t.Fatal(err)
