--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -144,6 +144,30 @@
 	}
 }
 
+// putAll puts keys with their values into a store.
+func putAll(store *fakes.Store, values map[string]string) {
+	var items []wire.KeyValue
+	for key, value := range values {
+		items = append(items, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
+	}
+	store.PutUnchecked(items)
+}
+
+// damagedCopy copies a file with one bit flipped.
+func damagedCopy(t *testing.T, path string) string {
+	t.Helper()
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw[len(raw)-3] ^= 4
+	damaged := filepath.Join(t.TempDir(), "damaged")
+	if err := os.WriteFile(damaged, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return damaged
+}
+
 // A restore writes all keys but those of leases, raises the fencing token, and refuses a damaged file and a
 // store that is not empty, without a change. An interrupted one can be repeated.
 func TestRestoreRebuildsTheStore(t *testing.T) {
@@ -159,11 +183,7 @@
 	for i := range 50 {
 		want[fmt.Sprintf("dl/job/wk-%03d", i)] = fmt.Sprintf(`{"h":%d}`, i)
 	}
-	var items []wire.KeyValue
-	for key, value := range want {
-		items = append(items, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
-	}
-	store.PutUnchecked(items)
+	putAll(store, want)
 	path := filepath.Join(t.TempDir(), "s")
 	if _, err := Save(ctx, &source, path, nil); err != nil {
 		t.Fatal(err)
@@ -176,16 +196,7 @@
 		t.Errorf("a store that is not empty: %v", err)
 	}
 	restored, destination := serveStore(t, fakes.Limits{TxnOps: 4})
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	raw[len(raw)-3] ^= 4
-	damaged := filepath.Join(t.TempDir(), "damaged")
-	if err := os.WriteFile(damaged, raw, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := Restore(ctx, target(destination), damaged, nil); !errors.Is(err, ErrDamaged) {
+	if _, err := Restore(ctx, target(destination), damagedCopy(t, path), nil); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a damaged file: %v", err)
 	}
 	if n, _ := restored.CountKeys(""); n != 0 {
