--- a/booking/booking_test.go
+++ b/booking/booking_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -14,30 +15,41 @@
 	pb "dewlift/proto"
 )
 
+// mustParse returns the equipment of a list.
 func mustParse(t testing.TB, text string) *Inventory {
 	t.Helper()
-	s, err := Parse([]byte(text))
+	inventory, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return inventory
 }
 
+// workshop is equipment with and without opening hours, closed days, teams and cooldown.
 const workshop = `time_zone: "Europe/Zurich"
 pieces { name: "k1" kind: "kiln" slot_minutes: 60 cool_minutes: 90 }
-pieces { name: "k2" kind: "kiln" units: 2 slot_minutes: 60 hours { rule: "FREQ=WEEKLY;BYDAY=MO,TU,WE,TH,FR" from: "08:00" to: "24:00" } closed: "2027-12-24" closed: "FREQ=YEARLY;BYMONTH=12;BYMONTHDAY=25,26" }
-pieces { name: "r" kind: "roaster" slot_minutes: 30 cool_minutes: 10 teams: "packing" hours { from: "06:30" to: "20:00" } }`
+pieces {
+	name: "k2" kind: "kiln" units: 2 slot_minutes: 60
+	hours { rule: "FREQ=WEEKLY;BYDAY=MO,TU,WE,TH,FR" from: "08:00" to: "24:00" }
+	closed: "2027-12-24" closed: "FREQ=YEARLY;BYMONTH=12;BYMONTHDAY=25,26"
+}
+pieces {
+	name: "r" kind: "roaster" slot_minutes: 30 cool_minutes: 10 teams: "packing"
+	hours { from: "06:30" to: "20:00" }
+}`
 
-func mustParseTime(t testing.TB, s *Inventory, text string) int64 {
+// mustParseTime returns a local time of the site.
+func mustParseTime(t testing.TB, inventory *Inventory, text string) int64 {
 	t.Helper()
-	v, err := s.ParseTime(text)
+	at, err := inventory.ParseTime(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return v
+	return at
 }
 
-// Days have 23, 24 and 25 hours, and what is shown twice or never is told apart.
+// Days of 23 and 25 hours must not shift reservations, and local times that occur twice or never must be told
+// apart.
 func TestDaylightSavingChanges(t *testing.T) {
 	s := mustParse(t, workshop)
 	for day, want := range map[string]int64{"2027-03-28": 23, "2027-03-29": 24, "2027-10-31": 25} {
@@ -45,40 +57,43 @@
 		if err != nil || (to-from)/3600 != want {
 			t.Errorf("%s has %d hours, %v", day, (to-from)/3600, err)
 		}
-		o, ok := s.openingOn(s.itemsByName["k1"], s.dayOf(from))
-		if !ok || o != (interval{from, to}) {
-			t.Errorf("%s: open %v, day is %d to %d", day, o, from, to)
+		open, ok := s.openingOn(s.itemsByName["k1"], s.dayOf(from))
+		if !ok || open != (interval{from, to}) {
+			t.Errorf("%s: open %v, day is %d to %d", day, open, from, to)
 		}
 	}
 	if _, err := s.ParseTime("2027-03-28T02:30"); err == nil || !strings.Contains(err.Error(), "never show") {
-		t.Errorf("a time that no clock shows: %v", err)
+		t.Errorf("a skipped time: %v", err)
 	}
 	first, second := mustParseTime(t, s, "2027-10-31T02:30"), mustParseTime(t, s, "2027-10-31T02:30+01:00")
 	if second-first != 3600 || mustParseTime(t, s, "2027-10-31T02:30+02:00") != first {
-		t.Errorf("a time that clocks show twice: %d, %d", first, second)
+		t.Errorf("a repeated time: %d, %d", first, second)
+	}
+	// A reservation through the change keeps its length.
+	schedule := NewSchedule()
+	request := &Request{
+		ID:    "a",
+		Wants: []*pb.Want{{Piece: "k1", From: mustParseTime(t, s, "2027-03-27T22:00"), Slots: 10}},
 	}
-	// A firing through the night in which they change takes the hours that it takes.
-	l := NewSchedule()
-	w := &Request{ID: "a", Wants: []*pb.Want{{Piece: "k1", From: mustParseTime(t, s, "2027-03-27T22:00"), Slots: 10}}}
-	a := s.Decide(l.NewDraft(), 0, w)
-	if a.Outcome != OutcomeDone || s.FormatTime(a.Booking.Slots[0].To) != "2027-03-28T09:00:00+02:00" {
-		t.Errorf("%v", a)
+	result := s.Decide(schedule.NewDraft(), 0, request)
+	if result.Outcome != OutcomeDone || s.FormatTime(result.Booking.Slots[0].To) != "2027-03-28T09:00:00+02:00" {
+		t.Errorf("a reservation through the change: %v", result)
 	}
-	// A series keeps the time that clocks show.
+	// A series keeps its local time of day.
 	list, err := s.ExpandRecurrence(
 		&pb.Want{Piece: "k1", From: mustParseTime(t, s, "2027-03-23T08:00"), Slots: 1},
 		"FREQ=WEEKLY;COUNT=2",
 	)
 	if err != nil || len(list) != 2 || s.FormatTime(list[1].From) != "2027-03-30T08:00:00+02:00" {
-		t.Errorf("%v, %v", list, err)
+		t.Errorf("a weekly series through the change: %v, %v", list, err)
 	}
 	if _, err := s.ExpandRecurrence(list[0], "FREQ=DAILY;BYMONTH=2;BYMONTHDAY=30;COUNT=2"); err == nil {
-		t.Error("a rule that names no day")
+		t.Error("a rule that matches no day is accepted")
 	}
 }
 
-// Any minute of any day comes at the time at which clocks show it, or at which they jump over it,
-// and never before the one before.
+// Every minute of every day must map to the time at which it is local time, or is skipped, and never before
+// the previous minute.
 func TestTimeOnDay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{
@@ -94,11 +109,11 @@
 			t.Fatal(err)
 		}
 		day, minute := rapid.IntRange(7305, 40000).Draw(t, "day"), rapid.IntRange(1, 24*60).Draw(t, "minute")
-		v := s.timeOnDay(day, minute)
-		if before := s.timeOnDay(day, minute-1); v < before {
-			t.Fatalf("minute %d is at %d, the one before at %d", minute, v, before)
+		at := s.timeOnDay(day, minute)
+		if before := s.timeOnDay(day, minute-1); at < before {
+			t.Fatalf("minute %d is at %d, the previous one at %d", minute, at, before)
 		}
-		local := time.Unix(v, 0).In(s.location)
+		local := time.Unix(at, 0).In(s.location)
 		want := time.Unix(int64(day)*86400+int64(minute)*60, 0).UTC().Format(clockFormat)
 		if got := local.Format(clockFormat); got != want && got < want {
 			t.Fatalf("%s shows %s", want, got)
@@ -106,58 +121,98 @@
 	})
 }
 
+// A reservation outside of opening hours or off the slot grid must be refused, with the reason.
 func TestOpeningHours(t *testing.T) {
 	s := mustParse(t, workshop)
 	for text, want := range map[string]string{
-		"k2 2027-03-04T08:00 1":  "",
-		"k2 2027-03-04T23:00 1":  "",
-		"k2 2027-03-04T23:00 2":  "k2 closes at 2027-03-05T00:00:00+01:00",
-		"k2 2027-03-04T07:00 1":  "k2 is closed at 2027-03-04T07:00:00+01:00",
-		"k2 2027-03-04T08:30 1":  "slots of k2 are 60 minutes from 2027-03-04T08:00:00+01:00 on: the next begins at 2027-03-04T09:00:00+01:00",
+		"k2 2027-03-04T08:00 1": "",
+		"k2 2027-03-04T23:00 1": "",
+		"k2 2027-03-04T23:00 2": "k2 closes at 2027-03-05T00:00:00+01:00",
+		"k2 2027-03-04T07:00 1": "k2 is closed at 2027-03-04T07:00:00+01:00",
+		"k2 2027-03-04T08:30 1": "slots of k2 are 60 minutes from 2027-03-04T08:00:00+01:00 on: " +
+			"the next begins at 2027-03-04T09:00:00+01:00",
 		"k2 2027-03-06T09:00 1":  "k2 is closed at 2027-03-06T09:00:00+01:00", // a Saturday
 		"k2 2027-12-24T09:00 1":  "k2 is closed at 2027-12-24T09:00:00+01:00",
 		"k2 2030-12-25T09:00 1":  "k2 is closed at 2030-12-25T09:00:00+01:00",
 		"k1 2027-03-04T23:00 72": "",
 	} {
-		f := strings.Fields(text)
-		n := 0
-		fmt.Sscan(f[2], &n)
-		err := s.checkSlots(s.itemsByName[f[0]], mustParseTime(t, s, f[1]), n)
-		if got := fmt.Sprint(err); got != want && !(err == nil && want == "") {
-			t.Errorf("%s: %s", text, got)
+		fields := strings.Fields(text)
+		slots, err := strconv.Atoi(fields[2])
+		if err != nil {
+			t.Fatal(err)
+		}
+		got := ""
+		if err := s.checkSlots(s.itemsByName[fields[0]], mustParseTime(t, s, fields[1]), slots); err != nil {
+			got = err.Error()
+		}
+		if got != want {
+			t.Errorf("%s: %q, want %q", text, got, want)
 		}
 	}
 }
 
+// The error of an invalid equipment list must name the field, in one line.
 func TestInvalidInventoriesAreNamed(t *testing.T) {
-	for text, want := range map[string]string{
-		`time_zone: "Mars"`: `time_zone: "Mars" is no time zone`,
-		`pieces { name: "a b" kind: "k" slot_minutes: 1 }`:                                                      `pieces[0] (a b).name: "a b" is no name`,
-		`pieces { name: "a" kind: "k" }`:                                                                        `pieces[0] (a).slot_minutes: 0, must be from 1 to 1440`,
-		`pieces { name: "a" kind: "k" slot_minutes: 5 out: 2 }`:                                                 `pieces[0] (a).out: there is no unit 2`,
-		`pieces { name: "a" kind: "k" slot_minutes: 5 hours { from: "9:0" to: "10:00" } }`:                      `pieces[0] (a).hours[0]: from "9:0" to "10:00" is no time of a day`,
-		`pieces { name: "a" kind: "k" slot_minutes: 5 hours { rule: "FREQ=HOURLY" from: "9:00" to: "10:00" } }`: `pieces[0] (a).hours[0].rule: only rules of days are allowed, without count, interval, start or end`,
-		`pieces { name: "a" kind: "k" slot_minutes: 5 closed: "soon" }`:                                         `pieces[0] (a).closed[0]: "soon" is neither a day, as 2027-12-24, nor a rule`,
-		`pieces { name: "a" kind: "k" slot_minutes: 5 } pieces { name: "a" kind: "k" slot_minutes: 5 }`:         `pieces[1] (a).name: used twice`,
-		`pieces { name: "a" kind: "k" slot_minutes: 5 cool_minutes: 99999 }`:                                    `pieces[0] (a).cool_minutes: 99999, at most 10080 are allowed`,
+	const valid = `name: "a" kind: "k" slot_minutes: 5`
+	for _, tt := range []struct{ text, want string }{
+		{`time_zone: "Mars"`, `time_zone: "Mars" is no time zone`},
+		{`pieces { name: "a b" kind: "k" slot_minutes: 1 }`, `pieces[0] (a b).name: "a b" is no name`},
+		{`pieces { name: "a" kind: "k" }`, `pieces[0] (a).slot_minutes: 0, must be from 1 to 1440`},
+		{`pieces { ` + valid + ` out: 2 }`, `pieces[0] (a).out: there is no unit 2`},
+		{
+			`pieces { ` + valid + ` hours { from: "9:0" to: "10:00" } }`,
+			`pieces[0] (a).hours[0]: from "9:0" to "10:00" is no time of a day`,
+		},
+		{
+			`pieces { ` + valid + ` hours { rule: "FREQ=HOURLY" from: "9:00" to: "10:00" } }`,
+			`pieces[0] (a).hours[0].rule: only rules of days are allowed, without count, interval, start or end`,
+		},
+		{
+			`pieces { ` + valid + ` closed: "soon" }`,
+			`pieces[0] (a).closed[0]: "soon" is neither a day, as 2027-12-24, nor a rule`,
+		},
+		{`pieces { ` + valid + ` } pieces { ` + valid + ` }`, `pieces[1] (a).name: used twice`},
+		{
+			`pieces { ` + valid + ` cool_minutes: 99999 }`,
+			`pieces[0] (a).cool_minutes: 99999, at most 10080 are allowed`,
+		},
 	} {
-		if _, err := Parse([]byte(text)); err == nil || err.Error() != want {
-			t.Errorf("%s: %v", text, err)
+		if _, err := Parse([]byte(tt.text)); err == nil || err.Error() != tt.want {
+			t.Errorf("%s: %v, want %s", tt.text, err, tt.want)
 		}
 	}
 }
 
-// What was answered, by the words that its user reads.
+// describe returns the outcome, state, reason and free hours of a result.
+func describe(inventory *Inventory, result Result) string {
+	text := fmt.Sprintf("%d none", result.Outcome)
+	if result.Booking != nil {
+		text = fmt.Sprintf("%d %s", result.Outcome, result.Booking.State)
+	}
+	if result.Reason != "" {
+		text += " " + result.Reason
+	}
+	var free []string
+	for _, slot := range result.Alternatives {
+		free = append(free, inventory.FormatTime(slot.From)[11:13])
+	}
+	if free != nil {
+		text += fmt.Sprint(" ", free)
+	}
+	return text
+}
+
+// Every kind of request must have its outcome, and the reason that its user reads.
 func TestDecisions(t *testing.T) {
-	s, l := mustParse(t, workshop), NewSchedule()
-	d := l.NewDraft()
+	s, schedule := mustParse(t, workshop), NewSchedule()
+	draft := schedule.NewDraft()
 	want := func(piece, from string, slots uint32) []*pb.Want {
 		return []*pb.Want{{Piece: piece, From: mustParseTime(t, s, from), Slots: slots}}
 	}
 	now := mustParseTime(t, s, "2027-03-01T00:00")
 	steps := []struct {
-		w    Request
-		want string
+		request Request
+		want    string
 	}{
 		{Request{ID: "a", Wants: want("k1", "2027-03-04T08:00", 4)}, "0 confirmed"},
 		{Request{ID: "a", Wants: want("k1", "2027-03-04T08:00", 4)}, "1 confirmed"},
@@ -165,7 +220,7 @@
 		{
 			Request{ID: "b", Wants: want("k1", "2027-03-04T13:00", 1)},
 			"2 none k1 is taken at 2027-03-04T13:00:00+01:00, until 2027-03-04T13:30:00+01:00 [14 15 16]",
-		}, // it still cools
+		}, // within the cooldown
 		{Request{ID: "b", Wants: want("k1", "2027-03-04T14:00", 1), HoldSeconds: 600}, "0 held"},
 		{Request{ID: "c", Team: "x", Wants: want("r", "2027-03-04T14:00", 1)}, "3 none team x may not book r"},
 		{Request{ID: "c", Wants: want("k9", "2027-03-04T14:00", 1)}, "3 none there is no k9"},
@@ -177,7 +232,7 @@
 		},
 		{Request{Verb: VerbConfirm, ID: "w"}, "2 waiting w waits for its slots"},
 		{Request{Verb: VerbMove, ID: "b", Wants: want("k1", "2027-03-05T14:00", 1)}, "0 held"},
-		{Request{Verb: VerbConfirm, ID: "w"}, "1 confirmed"}, // it got what b left
+		{Request{Verb: VerbConfirm, ID: "w"}, "1 confirmed"}, // it was assigned what b released
 		{Request{Verb: VerbConfirm, ID: "b"}, "0 confirmed"},
 		{Request{Verb: VerbEnd, ID: "b", Reason: "cracked"}, "0 ended"},
 		{Request{Verb: VerbEnd, ID: "b", Reason: "again"}, "1 ended"},
@@ -196,72 +251,60 @@
 				Wants: append(want("k1", "2027-03-09T14:00", 1), want("k1", "2027-03-09T15:00", 1)...),
 			},
 			"2 none",
-		}, // itself in the way: it cools
+		}, // the cooldown of its own first slot is in the way
 	}
-	for i, x := range steps {
-		a := s.Decide(d, now, &x.w)
-		got := fmt.Sprintf("%d none", a.Outcome)
-		if a.Booking != nil {
-			got = fmt.Sprintf("%d %s", a.Outcome, a.Booking.State)
-		}
-		if a.Reason != "" {
-			got += " " + a.Reason
-		}
-		var free []string
-		for _, f := range a.Alternatives {
-			free = append(free, s.FormatTime(f.From)[11:13])
-		}
-		if free != nil {
-			got += fmt.Sprint(" ", free)
-		}
-		if got != x.want && !strings.HasPrefix(got, x.want+" ") {
-			t.Errorf("step %d: %s, want %s", i, got, x.want)
+	for i, step := range steps {
+		got := describe(s, s.Decide(draft, now, &step.request))
+		if got != step.want && !strings.HasPrefix(got, step.want+" ") {
+			t.Errorf("step %d: %s, want %s", i, got, step.want)
 		}
 	}
-	// What a new list has no place for is told first.
+	checkDisplacement(t, s, draft, now)
+}
+
+// checkDisplacement fails unless a new equipment list without k1 is refused while it displaces two
+// reservations, and ends them only on request and with a reason.
+func checkDisplacement(t *testing.T, s *Inventory, draft *Draft, now int64) {
+	t.Helper()
+	schedule := draft.schedule
 	less := mustParse(
 		t,
 		strings.ReplaceAll(workshop, `"kiln" slot_minutes: 60 cool_minutes: 90`, `"kiln" slot_minutes: 60 out: 1`),
 	)
-	a := s.Decide(d, now, &Request{Verb: VerbSetInventory, Replacement: less})
-	if a.Outcome != OutcomeRefused || len(a.Displaced) != 2 || l.Get("a").State != pb.BookingState_confirmed {
-		t.Errorf("%v", a)
-	}
-	if a = s.Decide(d, now, &Request{
-		Verb:         VerbSetInventory,
-		Replacement:  less,
-		EndDisplaced: true,
-	}); a.Outcome != OutcomeInvalid {
-		t.Errorf("without a reason: %v", a)
-	}
-	if a = s.Decide(d, now, &Request{
-		Verb:         VerbSetInventory,
-		Replacement:  less,
-		EndDisplaced: true,
-		Reason:       "relined",
-	}); a.Outcome != OutcomeDone ||
-		l.Get("a").Why != "relined" {
-		t.Errorf("%v", a)
-	}
-	list, ok := l.BookingsBetween(
+	request := &Request{Verb: VerbSetInventory, Replacement: less}
+	result := s.Decide(draft, now, request)
+	if result.Outcome != OutcomeRefused || len(result.Displaced) != 2 ||
+		schedule.Get("a").State != pb.BookingState_confirmed {
+		t.Errorf("without consent: %v", result)
+	}
+	request.EndDisplaced = true
+	if result = s.Decide(draft, now, request); result.Outcome != OutcomeInvalid {
+		t.Errorf("without a reason: %v", result)
+	}
+	request.Reason = "relined"
+	if result = s.Decide(draft, now, request); result.Outcome != OutcomeDone || schedule.Get("a").Why != "relined" {
+		t.Errorf("with a reason: %v", result)
+	}
+	list, ok := schedule.BookingsBetween(
 		s,
 		"k1",
 		mustParseTime(t, s, "2027-03-04T00:00"),
 		mustParseTime(t, s, "2027-03-05T00:00"),
 	)
 	if !ok || len(list) != 0 {
-		t.Errorf("%v", list)
+		t.Errorf("displaced reservations are listed: %v", list)
 	}
 }
 
-// isFreeByBruteForce tells by looking at every pair whether a slot is free.
-func isFreeByBruteForce(l *Schedule, p *equipmentItem, n uint32, from, clear int64, but string) bool {
-	for _, b := range l.byID {
-		if b.Id == but || b.State != pb.BookingState_held && b.State != pb.BookingState_confirmed {
+// isFreeByBruteForce reports whether a unit is free, by a look at every reservation but one.
+func isFreeByBruteForce(s *Schedule, item *equipmentItem, unit uint32, needed interval, exceptID string) bool {
+	for _, reservation := range s.byID {
+		if reservation.Id == exceptID ||
+			reservation.State != pb.BookingState_held && reservation.State != pb.BookingState_confirmed {
 			continue
 		}
-		for _, x := range b.Slots {
-			if x.Piece == p.Name && x.Unit == n && x.From < clear && from < x.Clear {
+		for _, slot := range reservation.Slots {
+			if slot.Piece == item.Name && slot.Unit == unit && slot.From < needed.to && needed.from < slot.Clear {
 				return false
 			}
 		}
@@ -269,133 +312,148 @@
 	return true
 }
 
-// Whatever is wished in whatever order: no unit is had twice, what waits could not be had, free
-// times are free and none before them is, and a draft that is undone leaves no trace.
-func TestScheduleKeepsItsInvariants(t *testing.T) {
-	base := mustParse(t, workshop)
-	start := mustParseTime(t, base, "2027-03-04T00:00")
-	rapid.Check(t, func(t *rapid.T) {
-		s, l, now := base, NewSchedule(), start-86400
-		want := func(label string) (out []*pb.Want) {
-			for range rapid.IntRange(1, 2).Draw(t, label) {
-				w := &pb.Want{
-					From:  start + 3600*rapid.Int64Range(8, 16).Draw(t, "hour"),
-					Slots: rapid.Uint32Range(1, 3).Draw(t, "slots"),
+// drawWants draws one or two wants on the day of start.
+func drawWants(t *rapid.T, label string, start int64) (out []*pb.Want) {
+	for range rapid.IntRange(1, 2).Draw(t, label) {
+		want := &pb.Want{
+			From:  start + 3600*rapid.Int64Range(8, 16).Draw(t, "hour"),
+			Slots: rapid.Uint32Range(1, 3).Draw(t, "slots"),
+		}
+		if want.Kind = rapid.SampledFrom([]string{"", "kiln"}).Draw(t, "kind"); want.Kind == "" {
+			want.Piece = rapid.SampledFrom([]string{"k1", "k2", "r"}).Draw(t, "piece")
+		}
+		out = append(out, want)
+	}
+	return out
+}
+
+// drawRequest draws a request of any verb but VerbSetInventory.
+func drawRequest(t *rapid.T, start int64) *Request {
+	verbs := []Verb{VerbCreate, VerbCreate, VerbCreate, VerbConfirm, VerbMove, VerbEnd}
+	return &Request{
+		Verb:         rapid.SampledFrom(verbs).Draw(t, "verb"),
+		Team:         "packing",
+		ID:           fmt.Sprint("b", rapid.IntRange(0, 25).Draw(t, "id")),
+		Wants:        drawWants(t, "wants", start),
+		JoinWaitlist: rapid.Bool().Draw(t, "wait"),
+		HoldSeconds:  rapid.SampledFrom([]uint32{0, 30}).Draw(t, "hold"),
+		WaitlistRank: rapid.Uint32Range(0, 2).Draw(t, "rank"),
+	}
+}
+
+// checkUndo fails unless an undone draft leaves the schedule as it was before.
+func checkUndo(t *rapid.T, schedule *Schedule, draft *Draft, before map[string]*pb.Booking) {
+	t.Helper()
+	changed := draft.Bookings
+	draft.Undo()
+	if !maps.Equal(schedule.byID, before) {
+		t.Fatal("an undone draft left a trace")
+	}
+	for _, reservation := range changed {
+		if schedule.byID[reservation.Id] == reservation {
+			t.Fatal("a reservation of an undone draft is still there")
+		}
+	}
+}
+
+// checkSchedule fails unless no unit is used twice, no waiting reservation could be met, and the index by
+// unit matches the reservations.
+func checkSchedule(t *rapid.T, s *Inventory, schedule *Schedule) {
+	t.Helper()
+	uses := 0
+	for _, id := range slices.Sorted(maps.Keys(schedule.byID)) {
+		reservation := schedule.byID[id]
+		if reservation.State == pb.BookingState_held || reservation.State == pb.BookingState_confirmed {
+			for _, slot := range reservation.Slots {
+				uses++
+				used := interval{slot.From, slot.Clear}
+				if !isFreeByBruteForce(schedule, s.itemsByName[slot.Piece], slot.Unit, used, id) {
+					t.Fatalf("%v shares a unit", reservation)
 				}
-				if w.Kind = rapid.SampledFrom([]string{"", "kiln"}).Draw(t, "kind"); w.Kind == "" {
-					w.Piece = rapid.SampledFrom([]string{"k1", "k2", "r"}).Draw(t, "piece")
+			}
+		}
+		if reservation.State == pb.BookingState_waiting {
+			if slots, _, err := s.findUnits(schedule, id, reservation.Team, reservation.Wants); err == nil {
+				t.Fatalf("%v waits and could have %v", reservation, slots)
+			}
+		}
+	}
+	for _, list := range schedule.occupied {
+		uses -= len(list)
+	}
+	if uses != 0 {
+		t.Fatalf("the index is off by %d", uses)
+	}
+}
+
+// checkNextFree fails if a want could be met before its next free time.
+func checkNextFree(t *rapid.T, s *Inventory, schedule *Schedule, want *pb.Want, start int64) {
+	t.Helper()
+	free := s.NextFree(schedule, "", "packing", want, start, 0, 1)
+	for _, item := range s.candidates(want) {
+		open, _ := s.openingOn(item, s.dayOf(start))
+		for from := open.from; from < open.to; from += item.slotSeconds {
+			needed := interval{from, from + int64(want.Slots)*item.slotSeconds + item.cooldownSeconds}
+			for unit := uint32(1); int(unit) <= item.unitCount; unit++ {
+				if s.checkSlots(item, from, int(want.Slots)) == nil &&
+					isFreeByBruteForce(schedule, item, unit, needed, "") &&
+					from < free[0].From {
+					t.Fatalf("%s is free at %s, before %v", item.Name, s.FormatTime(from), free)
 				}
-				out = append(out, w)
 			}
-			return out
 		}
+	}
+}
+
+// Whatever is requested in whatever order: no unit may be used twice, no reservation may wait for what it
+// could have, no free time may be missed, and an undone draft must leave no trace.
+func TestScheduleKeepsItsInvariants(t *testing.T) {
+	s := mustParse(t, workshop)
+	start := mustParseTime(t, s, "2027-03-04T00:00")
+	rapid.Check(t, func(t *rapid.T) {
+		schedule, now := NewSchedule(), start-secondsPerDay
 		for range rapid.IntRange(1, 25).Draw(t, "batches") {
 			now += rapid.Int64Range(0, 40).Draw(t, "time")
-			before := maps.Clone(l.byID)
-			d := l.NewDraft()
-			s.Advance(d, now)
+			before := maps.Clone(schedule.byID)
+			draft := schedule.NewDraft()
+			s.Advance(draft, now)
 			for range rapid.IntRange(1, 3).Draw(t, "wishes") {
-				w := &Request{
-					Verb: rapid.SampledFrom([]Verb{
-						VerbCreate,
-						VerbCreate,
-						VerbCreate,
-						VerbConfirm,
-						VerbMove,
-						VerbEnd,
-					}).
-						Draw(t, "verb"),
-					Team: "packing",
-					ID: fmt.Sprint(
-						"b",
-						rapid.IntRange(0, 25).Draw(t, "id"),
-					), Wants: want("wants"), JoinWaitlist: rapid.Bool().Draw(t, "wait"),
-					HoldSeconds: rapid.SampledFrom([]uint32{0, 30}).
-						Draw(t, "hold"),
-					WaitlistRank: rapid.Uint32Range(0, 2).Draw(t, "rank"),
-				}
-				s.Decide(d, now, w)
+				s.Decide(draft, now, drawRequest(t, start))
 			}
 			if rapid.IntRange(0, 3).Draw(t, "undo") == 0 {
-				changed := d.Bookings
-				d.Undo()
-				if !maps.Equal(l.byID, before) {
-					t.Fatal("an undone draft is not forgotten")
-				}
-				for _, b := range changed {
-					if l.byID[b.Id] == b {
-						t.Fatal("it is still there")
-					}
-				}
-			}
-			uses := 0
-			for _, id := range slices.Sorted(maps.Keys(l.byID)) {
-				b := l.byID[id]
-				if b.State == pb.BookingState_held || b.State == pb.BookingState_confirmed {
-					for _, x := range b.Slots {
-						uses++
-						if !isFreeByBruteForce(l, s.itemsByName[x.Piece], x.Unit, x.From, x.Clear, id) {
-							t.Fatalf("%v is not alone", b)
-						}
-					}
-				}
-				if b.State == pb.BookingState_waiting {
-					if slots, _, err := s.findUnits(l, id, b.Team, b.Wants); err == nil {
-						t.Fatalf("%v could have %v", b, slots)
-					}
-				}
-			}
-			for _, list := range l.occupied {
-				uses -= len(list)
-			}
-			if uses != 0 {
-				t.Fatalf("the index is off by %d", uses)
-			}
-		}
-		w := want("free")[0]
-		free := s.NextFree(l, "", "packing", w, start, 0, 1)
-		for _, p := range s.candidates(w) {
-			o, _ := s.openingOn(p, s.dayOf(start))
-			for from := o.from; from < o.to; from += p.slotSeconds {
-				to := from + int64(w.Slots)*p.slotSeconds
-				for n := uint32(1); int(n) <= p.unitCount; n++ {
-					if s.checkSlots(p, from, int(w.Slots)) == nil &&
-						isFreeByBruteForce(l, p, n, from, to+p.cooldownSeconds, "") &&
-						from < free[0].From {
-						t.Fatalf("%s is free at %s, before %v", p.Name, s.FormatTime(from), free)
-					}
-				}
+				checkUndo(t, schedule, draft, before)
 			}
+			checkSchedule(t, s, schedule)
 		}
+		checkNextFree(t, s, schedule, drawWants(t, "free", start)[0], start)
 	})
 }
 
-// A day of a piece that a hundred users want is decided in a time that does not grow with what else is booked.
+// The time of a decision must not grow with the number of other reservations.
 func BenchmarkDecideInAFullLedger(b *testing.B) {
-	s, l := mustParse(b, workshop), NewSchedule()
-	d := l.NewDraft()
+	s, schedule := mustParse(b, workshop), NewSchedule()
+	draft := schedule.NewDraft()
 	now := mustParseTime(b, s, "2027-03-01T00:00")
 	for i := range 1_500 {
-		s.Decide(
-			d,
-			now,
-			&Request{ID: fmt.Sprint("x", i), Wants: []*pb.Want{{Kind: "kiln", From: now + 3600*int64(i), Slots: 1}}},
-		)
+		wants := []*pb.Want{{Kind: "kiln", From: now + 3600*int64(i), Slots: 1}}
+		s.Decide(draft, now, &Request{ID: fmt.Sprint("x", i), Wants: wants})
 	}
-	w := Request{ID: "n", Wants: []*pb.Want{{Piece: "k1", From: now + 3600*900, Slots: 1}}}
+	request := Request{ID: "n", Wants: []*pb.Want{{Piece: "k1", From: now + 3600*900, Slots: 1}}}
 	for b.Loop() {
-		a := s.Decide(l.NewDraft(), now, &w)
-		if a.Outcome != OutcomeRefused || len(a.Alternatives) == 0 {
-			b.Fatal(a)
+		result := s.Decide(schedule.NewDraft(), now, &request)
+		if result.Outcome != OutcomeRefused || len(result.Alternatives) == 0 {
+			b.Fatal(result)
 		}
 	}
 }
 
+// Every valid equipment list must stay valid when it is read again, and have opening hours.
 func FuzzParse(f *testing.F) {
 	f.Add(workshop)
-	f.Add(
-		`pieces { name: "a" kind: "k" slot_minutes: 5 hours { rule: "FREQ=YEARLY;BYEASTER=1" from: "0:00" to: "24:00" } }`,
-	)
+	f.Add(`pieces {
+		name: "a" kind: "k" slot_minutes: 5
+		hours { rule: "FREQ=YEARLY;BYEASTER=1" from: "0:00" to: "24:00" }
+	}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse([]byte(text))
 		if err != nil {
@@ -405,8 +463,8 @@
 			!protobuf.Equal(again.Source(), s.Source()) {
 			t.Fatal(err)
 		}
-		for _, p := range s.items {
-			s.openingOn(p, 20000)
+		for _, item := range s.items {
+			s.openingOn(item, 20000)
 		}
 	})
 }
--- a/booking/decide.go
+++ b/booking/decide.go
@@ -2,53 +2,50 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"regexp"
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/teambition/rrule-go"
 	protobuf "google.golang.org/protobuf/proto"
 
 	pb "dewlift/proto"
 )
 
-// Limits of a booking.
+// Limits of a reservation.
 const (
-	MaxWants        = 60          // slots of a booking
-	maxSlotsPerWant = 1000        // of a want, in the piece's slots
-	maxHoldMinutes  = 7 * 24 * 60 // minutes
-	maxAlternatives = 3           // times that are named instead of one that is taken
-	searchDays      = 60          // days for which free times are looked for
-	MaxWaitlist     = 2000        // bookings on waiting lists
-	maxReasonBytes  = 200         // bytes of a reason
-	maxSeriesYears  = 10          // that a series may take
+	MaxWants     = 60   // slots in one reservation
+	MaxWaitlist  = 2000 // reservations that wait
+	MaxDisplaced = 40   // reservations that one change of the equipment may end: they are stored together
+
+	maxSlotsPerWant = 1000        // consecutive slots of the item
+	maxHoldMinutes  = 7 * 24 * 60 // a week
+	maxAlternatives = 3           // free times suggested in place of an occupied one
+	maxReasonBytes  = 200
 )
 
 var validID = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
 
-// ValidID reports whether a booking may have an id.
+// ValidID reports whether a reservation may have the id.
 func ValidID(id string) bool { return validID.MatchString(id) }
 
-// Request is what a user asks for.
+// Request is a user's request.
 type Request struct {
 	Verb         Verb
 	ID           string
 	Team         string
 	Identity     string
-	Wants        []*pb.Want // of Make and Move
-	HoldSeconds  uint32     // of Make: held so long, until it is confirmed; 0: it is confirmed at once
-	WaitlistRank uint32     // of Make: on the waiting list
-	JoinWaitlist bool       // of Make: if it is not to be had, it goes on the waiting list
-	Reason       string     // of End
-	Replacement  *Inventory // of Equip
-	EndDisplaced bool       // of Equip: bookings that the new list has no place for are ended, for Why
+	Wants        []*pb.Want // for VerbCreate and VerbMove
+	HoldSeconds  uint32     // for VerbCreate: how long it is held unconfirmed; 0: it is confirmed at once
+	WaitlistRank uint32     // for VerbCreate: lower ranks come first
+	JoinWaitlist bool       // for VerbCreate: wait if the wants can't be met now
+	Reason       string     // for VerbEnd and VerbSetInventory
+	Replacement  *Inventory // for VerbSetInventory
+	EndDisplaced bool       // for VerbSetInventory: end the displaced reservations, with Reason
 }
 
-// Verb is what a wish is about.
+// Verb is the kind of a request.
 type Verb int
 
 // Verbs.
@@ -60,570 +57,401 @@
 	VerbSetInventory
 )
 
-// Outcome is what became of a wish.
+// Outcome is the kind of a result.
 type Outcome int
 
 // Outcomes.
 const (
 	OutcomeDone     Outcome = iota
-	OutcomeRepeated         // it was done before
-	OutcomeRefused          // it can't be had: Why tells what is in its way
-	OutcomeInvalid          // nothing like it can ever be had
-	OutcomeNotFound         // there is no such booking
+	OutcomeRepeated         // an identical request was done before
+	OutcomeRefused          // not possible now: Reason says why
+	OutcomeInvalid          // never possible
+	OutcomeNotFound         // there is no such reservation
 )
 
-// Result tells what became of a wish.
+// Result is the result of a request.
 type Result struct {
 	Outcome      Outcome
 	Reason       string
-	Booking      *pb.Booking // as it stands
-	Alternatives []FreeSlot  // what could be had instead
+	Booking      *pb.Booking // after the request
+	Alternatives []FreeSlot
 	Displaced    []*pb.Booking
 }
 
-// FreeSlot is a time at which a piece could be booked.
+// FreeSlot is a time at which an item can be reserved.
 type FreeSlot struct {
 	Piece    string
-	From, To int64
+	From, To int64 // s since 1970
 }
 
-// Decide answers a wish, and puts what it changes into a draft. now is the time of day in s. A wish
-// that is granted holds once the draft is stored, on condition that nothing else was stored since
-// the ledger was read.
-func (s *Inventory) Decide(d *Draft, now int64, w *Request) Result {
-	var a Result
-	switch w.Verb {
+// Decide decides a request and adds the changes to a draft. now is the wall clock in seconds. The result
+// holds once the draft is committed, provided that nothing else was committed since the schedule was read.
+func (inv *Inventory) Decide(draft *Draft, now int64, request *Request) Result {
+	var result Result
+	switch request.Verb {
 	case VerbCreate:
-		a = s.createBooking(d, now, w)
+		result = inv.createBooking(draft, now, request)
 	case VerbSetInventory:
-		a = s.replaceInventory(d, now, w)
+		result = inv.replaceInventory(draft, now, request)
 	default:
-		b := d.schedule.byID[w.ID]
-		switch {
-		case b == nil:
-			return Result{Outcome: OutcomeNotFound, Reason: "there is no booking " + w.ID}
-		case w.Verb == VerbConfirm:
-			a = confirmBooking(d, b)
-		case w.Verb == VerbMove:
-			a = s.moveBooking(d, now, b, w)
-		case b.State != pb.BookingState_ended && IsOver(b, now):
-			a = refusal(b, "%s is over", b.Id)
-		default:
-			a = endBooking(d, now, b, cmp.Or(truncateReason(w.Reason), "ended by its booker"))
+		reservation := draft.schedule.byID[request.ID]
+		if reservation == nil {
+			return Result{Outcome: OutcomeNotFound, Reason: "there is no booking " + request.ID}
 		}
+		result = inv.changeBooking(draft, now, reservation, request)
 	}
-	if a.Outcome == OutcomeDone && w.Verb != VerbCreate && w.Verb != VerbConfirm {
-		after := s
-		if w.Verb == VerbSetInventory {
-			after = w.Replacement
+	if result.Outcome == OutcomeDone && request.Verb != VerbCreate && request.Verb != VerbConfirm {
+		current := inv
+		if request.Verb == VerbSetInventory {
+			current = request.Replacement
 		}
-		after.Advance(d, now)
+		current.Advance(draft, now) // assigns what became free
 	}
-	if a.Booking != nil {
-		a.Booking = d.schedule.byID[a.Booking.Id]
+	if result.Booking != nil {
+		result.Booking = draft.schedule.byID[result.Booking.Id]
 	}
-	return a
+	return result
 }
 
-func truncateReason(why string) string { return why[:min(len(why), maxReasonBytes)] }
+// changeBooking confirms, moves or ends a reservation.
+func (inv *Inventory) changeBooking(draft *Draft, now int64, reservation *pb.Booking, request *Request) Result {
+	switch {
+	case request.Verb == VerbConfirm:
+		return confirmBooking(draft, reservation)
+	case request.Verb == VerbMove:
+		return inv.moveBooking(draft, now, reservation, request)
+	case reservation.State != pb.BookingState_ended && IsOver(reservation, now):
+		return refusal(reservation, "%s is over", reservation.Id)
+	}
+	return endBooking(draft, now, reservation, cmp.Or(truncateReason(request.Reason), "ended by its booker"))
+}
+
+// truncateReason cuts a reason to the stored length.
+func truncateReason(reason string) string { return reason[:min(len(reason), maxReasonBytes)] }
 
-func refusal(b *pb.Booking, format string, args ...any) Result {
-	return Result{Outcome: OutcomeRefused, Booking: b, Reason: fmt.Sprintf(format, args...)}
+// refusal returns the result of a request that is not possible now.
+func refusal(reservation *pb.Booking, format string, args ...any) Result {
+	return Result{Outcome: OutcomeRefused, Booking: reservation, Reason: fmt.Sprintf(format, args...)}
 }
 
-// HasDueChanges reports whether Advance would change something.
-func (l *Schedule) HasDueChanges(now int64) bool {
-	for _, b := range l.held {
-		if b.HeldUntil <= now {
+// HasDueChanges reports whether Advance would change something because of the time.
+func (s *Schedule) HasDueChanges(now int64) bool {
+	for _, reservation := range s.held {
+		if reservation.HeldUntil <= now {
 			return true
 		}
 	}
-	return slices.ContainsFunc(l.waitlist, func(b *pb.Booking) bool { return hasBegun(b.Wants, now) })
+	return slices.ContainsFunc(
+		s.waitlist,
+		func(reservation *pb.Booking) bool { return hasBegun(reservation.Wants, now) },
+	)
 }
 
+// hasBegun reports whether any of the wants should have begun.
 func hasBegun(wants []*pb.Want, now int64) bool {
-	return slices.ContainsFunc(wants, func(w *pb.Want) bool { return w.From <= now })
+	return slices.ContainsFunc(wants, func(want *pb.Want) bool { return want.From <= now })
 }
 
-// Advance ends what time has ended, and gives what is free to those who wait for it, the first
-// first. After it, nobody waits for what they could have; so whoever comes later gets nothing ahead
-// of them.
-func (s *Inventory) Advance(d *Draft, now int64) {
-	var over []*pb.Booking
-	for _, b := range d.schedule.held {
-		if b.HeldUntil <= now {
-			over = append(over, b)
+// Advance ends reservations whose time has run out and assigns what is free to the waitlist, in its
+// order. Afterwards no waiting reservation can be met, so a later request never overtakes one.
+func (inv *Inventory) Advance(draft *Draft, now int64) {
+	var expired []*pb.Booking
+	for _, reservation := range draft.schedule.held {
+		if reservation.HeldUntil <= now {
+			expired = append(expired, reservation)
 		}
 	}
-	slices.SortFunc(over, func(a, b *pb.Booking) int { return cmp.Compare(a.Change, b.Change) })
-	for _, b := range over {
-		endBooking(d, now, b, "its hold ran out unconfirmed")
+	slices.SortFunc(expired, func(a, b *pb.Booking) int { return cmp.Compare(a.Change, b.Change) })
+	for _, reservation := range expired {
+		endBooking(draft, now, reservation, "its hold ran out unconfirmed")
 	}
-	for _, b := range slices.Clone(d.schedule.waitlist) {
-		if hasBegun(b.Wants, now) {
-			endBooking(d, now, b, "nothing had become free when it was to begin")
+	for _, reservation := range slices.Clone(draft.schedule.waitlist) {
+		if hasBegun(reservation.Wants, now) {
+			endBooking(draft, now, reservation, "nothing had become free when it was to begin")
 			continue
 		}
-		if slots, _, err := s.findUnits(d.schedule, b.Id, b.Team, b.Wants); err == nil {
-			n := nextVersion(b)
-			n.Slots, n.Wants = slots, nil
-			s.grantSlots(n, now)
-			d.put(n)
+		slots, _, err := inv.findUnits(draft.schedule, reservation.Id, reservation.Team, reservation.Wants)
+		if err == nil {
+			next := nextVersion(reservation)
+			next.Slots, next.Wants = slots, nil
+			grantSlots(next, now)
+			draft.put(next)
 		}
 	}
 }
 
-func nextVersion(b *pb.Booking) *pb.Booking {
-	n := protobuf.CloneOf(b)
-	n.Change = 0
-	return n
+// nextVersion returns a copy of a reservation that may be changed.
+func nextVersion(reservation *pb.Booking) *pb.Booking {
+	next := protobuf.CloneOf(reservation)
+	next.Change = 0
+	return next
 }
 
-// grantSlots gives a booking its slots.
-func (s *Inventory) grantSlots(b *pb.Booking, now int64) {
-	b.State = pb.BookingState_confirmed
-	if b.HoldS > 0 {
-		b.State, b.HeldUntil = pb.BookingState_held, now+int64(b.HoldS)
+// grantSlots makes a reservation confirmed, or held if it must be confirmed.
+func grantSlots(reservation *pb.Booking, now int64) {
+	reservation.State = pb.BookingState_confirmed
+	if reservation.HoldS > 0 {
+		reservation.State, reservation.HeldUntil = pb.BookingState_held, now+int64(reservation.HoldS)
 	}
 }
 
-func requestDigest(w *Request) uint64 {
-	var t strings.Builder
-	fmt.Fprintf(&t, "%s|%s|%d|%d|%v", w.ID, w.Team, w.HoldSeconds, w.WaitlistRank, w.JoinWaitlist)
-	for _, x := range w.Wants {
-		fmt.Fprintf(&t, "|%s,%s,%s,%d,%d", x.Piece, x.Kind, x.Zone, x.From, x.Slots)
+// requestDigest identifies the content of a request: a repeated one has the same digest. It is stored, so
+// it must not change.
+func requestDigest(request *Request) uint64 {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s|%s|%d|%d|%v",
+		request.ID, request.Team, request.HoldSeconds, request.WaitlistRank, request.JoinWaitlist)
+	for _, want := range request.Wants {
+		fmt.Fprintf(&text, "|%s,%s,%s,%d,%d", want.Piece, want.Kind, want.Zone, want.From, want.Slots)
 	}
-	return xxhash.Sum64String(t.String())
+	return xxhash.Sum64String(text.String())
 }
 
-// createBooking books something new.
-func (s *Inventory) createBooking(d *Draft, now int64, w *Request) Result {
-	asked := requestDigest(w)
-	if b := d.schedule.byID[w.ID]; b != nil {
-		if b.Asked != asked || b.Who != w.Identity {
-			return refusal(b, "%s is the id of another booking", w.ID)
+// createBooking creates a reservation, on the waitlist if its wants can't be met and it may wait.
+func (inv *Inventory) createBooking(draft *Draft, now int64, request *Request) Result {
+	digest := requestDigest(request)
+	if existing := draft.schedule.byID[request.ID]; existing != nil {
+		if existing.Asked != digest || existing.Who != request.Identity {
+			return refusal(existing, "%s is the id of another booking", request.ID)
 		}
-		return Result{Outcome: OutcomeRepeated, Booking: b}
+		return Result{Outcome: OutcomeRepeated, Booking: existing}
 	}
-	if why := s.validateWants(w.Team, w.Wants, now); why != nil {
-		return Result{Outcome: OutcomeInvalid, Reason: why.Error()}
+	if err := inv.validateWants(request.Team, request.Wants, now); err != nil {
+		return Result{Outcome: OutcomeInvalid, Reason: err.Error()}
 	}
-	if w.HoldSeconds > maxHoldMinutes*60 {
+	if request.HoldSeconds > maxHoldMinutes*60 {
 		return Result{
 			Outcome: OutcomeInvalid,
 			Reason:  fmt.Sprintf("may be held for %d minutes at most", maxHoldMinutes),
 		}
 	}
-	n := &pb.Booking{
-		Id:    w.ID,
-		Team:  w.Team,
-		Who:   w.Identity,
-		HoldS: w.HoldSeconds,
-		Rank:  w.WaitlistRank,
-		Asked: asked,
+	created := &pb.Booking{
+		Id:    request.ID,
+		Team:  request.Team,
+		Who:   request.Identity,
+		HoldS: request.HoldSeconds,
+		Rank:  request.WaitlistRank,
+		Asked: digest,
 	}
-	slots, at, err := s.findUnits(d.schedule, w.ID, w.Team, w.Wants)
+	slots, failed, err := inv.findUnits(draft.schedule, request.ID, request.Team, request.Wants)
+	waiting := len(draft.schedule.waitlist)
 	switch {
 	case err == nil:
-		n.Slots = slots
-		s.grantSlots(n, now)
-	case w.JoinWaitlist && len(d.schedule.waitlist) >= MaxWaitlist:
-		return refusal(nil, "%s, and %d bookings wait already", err, len(d.schedule.waitlist))
-	case w.JoinWaitlist:
-		n.State, n.Wants = pb.BookingState_waiting, w.Wants
+		created.Slots = slots
+		grantSlots(created, now)
+	case request.JoinWaitlist && waiting >= MaxWaitlist:
+		return refusal(nil, "%s, and %d bookings wait already", err, waiting)
+	case request.JoinWaitlist:
+		created.State, created.Wants = pb.BookingState_waiting, request.Wants
 	default:
-		a := refusal(nil, "%s", err)
-		a.Alternatives = s.NextFree(
-			d.schedule,
-			w.ID,
-			w.Team,
-			w.Wants[at],
-			max(now, w.Wants[at].From),
-			0,
-			maxAlternatives,
-		)
-		return a
+		result := refusal(nil, "%s", err)
+		result.Alternatives = inv.alternatives(draft, created, request.Wants[failed], now)
+		return result
 	}
-	d.put(n)
-	return Result{Booking: n}
+	draft.put(created)
+	return Result{Booking: created}
+}
+
+// alternatives returns the next free times for a want of a reservation that can't be met.
+func (inv *Inventory) alternatives(draft *Draft, reservation *pb.Booking, want *pb.Want, now int64) []FreeSlot {
+	from := max(now, want.From)
+	return inv.NextFree(draft.schedule, reservation.Id, reservation.Team, want, from, 0, maxAlternatives)
 }
 
-// validateWants tells why wants can never be met.
-func (s *Inventory) validateWants(team string, wants []*pb.Want, now int64) error {
+// validateWants returns an error if the wants can never be met.
+func (inv *Inventory) validateWants(team string, wants []*pb.Want, now int64) error {
 	if len(wants) == 0 || len(wants) > MaxWants {
 		return fmt.Errorf("%d slots, must be from 1 to %d", len(wants), MaxWants)
 	}
-	for _, w := range wants {
-		if w.Slots < 1 || w.Slots > maxSlotsPerWant {
-			return fmt.Errorf("%d slots in a row, must be from 1 to %d", w.Slots, maxSlotsPerWant)
-		}
-		if w.From < now {
-			return fmt.Errorf("%s is past", s.FormatTime(w.From))
-		}
-		list := s.candidates(w)
-		if len(list) == 0 {
-			return fmt.Errorf("there is no %s", cmp.Or(w.Piece, strings.TrimSpace(w.Kind+" "+w.Zone)))
+	for _, want := range wants {
+		if want.Slots < 1 || want.Slots > maxSlotsPerWant {
+			return fmt.Errorf("%d slots in a row, must be from 1 to %d", want.Slots, maxSlotsPerWant)
 		}
-		var why error
-		for _, p := range list {
-			if !p.allowsTeam(team) {
-				why = cmp.Or(why, fmt.Errorf("team %s may not book %s", team, p.Name))
-			} else if err := s.checkSlots(p, w.From, int(w.Slots)); err != nil {
-				why = cmp.Or(why, err)
-			} else {
-				why = nil
-				break
-			}
+		if want.From < now {
+			return fmt.Errorf("%s is past", inv.FormatTime(want.From))
 		}
-		if why != nil {
-			return why
+		if err := inv.validateCandidates(team, want); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// maxSearchSteps bounds the search for a way to have several slots together.
-const maxSearchSteps = 5000
-
-// unitSearch is a search for units for all wants.
-type unitSearch struct {
-	inventory *Inventory
-	schedule  *Schedule
-	bookingID string
-	team      string
-	wants     []*pb.Want
-	// in which they are looked at: those with the least choice first, as one that has more must not
-	// take what these need
-	wantOrder  []int
-	slots      []*pb.Slot
-	steps      int
-	bestDepth  int // how many could be had together at most
-	failedWant int // the want that could not be had beside these
-	failure    error
-}
-
-// findUnits chooses a unit for each want, all or none. If there is no way, it tells for which want and why.
-func (s *Inventory) findUnits(l *Schedule, id, team string, wants []*pb.Want) (slots []*pb.Slot, at int, err error) {
-	x := &unitSearch{
-		inventory: s,
-		schedule:  l,
-		bookingID: id,
-		team:      team,
-		wants:     wants,
-		slots:     make([]*pb.Slot, len(wants)),
-		bestDepth: -1,
-	}
-	for i := range wants {
-		x.wantOrder = append(x.wantOrder, i)
-	}
-	slices.SortStableFunc(
-		x.wantOrder,
-		func(a, b int) int { return cmp.Compare(len(s.candidates(wants[a])), len(s.candidates(wants[b]))) },
-	)
-	if x.assignFrom(0) {
-		return x.slots, 0, nil
-	}
-	return nil, x.failedWant, x.failure
-}
-
-// assignFrom chooses units for the wants from one on in the order.
-func (x *unitSearch) assignFrom(n int) bool {
-	if n == len(x.wantOrder) {
-		return true
-	}
-	i := x.wantOrder[n]
-	w := x.wants[i]
-	var why error
-	for _, p := range x.inventory.candidates(w) {
-		if !p.allowsTeam(x.team) || x.inventory.checkSlots(p, w.From, int(w.Slots)) != nil {
-			continue
+// validateCandidates returns the error of the first candidate of a want, unless some candidate is open to
+// the team at that time.
+func (inv *Inventory) validateCandidates(team string, want *pb.Want) error {
+	candidates := inv.candidates(want)
+	if len(candidates) == 0 {
+		return fmt.Errorf("there is no %s", cmp.Or(want.Piece, strings.TrimSpace(want.Kind+" "+want.Zone)))
+	}
+	var first error
+	for _, item := range candidates {
+		if !item.allowsTeam(team) {
+			first = cmp.Or(first, fmt.Errorf("team %s may not book %s", team, item.Name))
+		} else if err := inv.checkSlots(item, want.From, int(want.Slots)); err != nil {
+			first = cmp.Or(first, err)
+		} else {
+			return nil
 		}
-		to := w.From + int64(w.Slots)*p.slotSeconds
-		at := interval{w.From, to + p.cooldownSeconds}
-		free := int64(0) // when the first of its units could be had
-		for u := uint32(1); int(u) <= p.unitCount; u++ {
-			if !p.isUnitUsable(int(u)) {
-				continue
-			}
-			if o, ok := x.schedule.firstConflict(unitKey{p.Name, u}, at, x.bookingID); ok {
-				free = cmp.Or(min(free, o.to), free, o.to)
-				continue
-			}
-			own := slices.IndexFunc(x.wantOrder[:n], func(k int) bool {
-				o := x.slots[k]
-				return o.Piece == p.Name && o.Unit == u && o.From < at.to && at.from < o.Clear
-			})
-			if own >= 0 {
-				o := x.slots[x.wantOrder[own]]
-				free = cmp.Or(min(free, o.Clear), free, o.Clear)
-				continue
-			}
-			x.slots[i] = &pb.Slot{Piece: p.Name, Unit: u, From: w.From, To: to, Clear: at.to}
-			if x.steps++; x.steps > maxSearchSteps || x.assignFrom(n+1) {
-				return x.steps <= maxSearchSteps
-			}
-		}
-		switch {
-		case why != nil:
-		case free == 0:
-			why = fmt.Errorf("%s has no unit in order at %s", p.Name, x.inventory.FormatTime(w.From))
-		default:
-			why = fmt.Errorf(
-				"%s is taken at %s, until %s",
-				p.Name,
-				x.inventory.FormatTime(w.From),
-				x.inventory.FormatTime(free),
-			)
-		}
-	}
-	if n > x.bestDepth {
-		x.bestDepth, x.failedWant, x.failure = n, i, cmp.Or(why, errors.New("it fits nowhere"))
 	}
-	return false
+	return first
 }
 
-func confirmBooking(d *Draft, b *pb.Booking) Result {
-	switch b.State {
+// confirmBooking confirms a held reservation.
+func confirmBooking(draft *Draft, reservation *pb.Booking) Result {
+	switch reservation.State {
 	case pb.BookingState_confirmed:
-		return Result{Outcome: OutcomeRepeated, Booking: b}
+		return Result{Outcome: OutcomeRepeated, Booking: reservation}
 	case pb.BookingState_held:
-		n := nextVersion(b)
-		n.State, n.HeldUntil = pb.BookingState_confirmed, 0
-		d.put(n)
-		return Result{Booking: n}
+		next := nextVersion(reservation)
+		next.State, next.HeldUntil = pb.BookingState_confirmed, 0
+		draft.put(next)
+		return Result{Booking: next}
 	case pb.BookingState_waiting:
-		return refusal(b, "%s waits for its slots", b.Id)
+		return refusal(reservation, "%s waits for its slots", reservation.Id)
 	}
-	return refusal(b, "%s has ended: %s", b.Id, b.Why)
+	return refusal(reservation, "%s has ended: %s", reservation.Id, reservation.Why)
 }
 
-// moveBooking has a booking have other slots instead of its own, or keep them.
-func (s *Inventory) moveBooking(d *Draft, now int64, b *pb.Booking, w *Request) Result {
-	if b.State == pb.BookingState_ended {
-		return refusal(b, "%s has ended: %s", b.Id, b.Why)
+// moveBooking replaces the slots of a reservation. If the new wants can't be met, it keeps its own.
+func (inv *Inventory) moveBooking(draft *Draft, now int64, reservation *pb.Booking, request *Request) Result {
+	if reservation.State == pb.BookingState_ended {
+		return refusal(reservation, "%s has ended: %s", reservation.Id, reservation.Why)
 	}
-	if s.hasWants(b, w.Wants) {
-		return Result{Outcome: OutcomeRepeated, Booking: b}
+	if inv.hasWants(reservation, request.Wants) {
+		return Result{Outcome: OutcomeRepeated, Booking: reservation}
 	}
-	if IsOver(b, now) {
-		return refusal(b, "%s is over", b.Id)
+	if IsOver(reservation, now) {
+		return refusal(reservation, "%s is over", reservation.Id)
 	}
-	if why := s.validateWants(b.Team, w.Wants, now); why != nil {
-		return Result{Outcome: OutcomeInvalid, Reason: why.Error()}
+	if err := inv.validateWants(reservation.Team, request.Wants, now); err != nil {
+		return Result{Outcome: OutcomeInvalid, Reason: err.Error()}
 	}
-	n := nextVersion(b)
-	slots, at, err := s.findUnits(d.schedule, b.Id, b.Team, w.Wants)
+	next := nextVersion(reservation)
+	slots, failed, err := inv.findUnits(draft.schedule, reservation.Id, reservation.Team, request.Wants)
 	switch {
-	case err == nil && b.State == pb.BookingState_waiting:
-		n.Slots, n.Wants = slots, nil
-		s.grantSlots(n, now)
+	case err == nil && reservation.State == pb.BookingState_waiting:
+		next.Slots, next.Wants = slots, nil
+		grantSlots(next, now)
 	case err == nil:
-		n.Slots = slots
+		next.Slots = slots
 	default:
-		a := refusal(b, "%s", err)
-		a.Alternatives = s.NextFree(
-			d.schedule,
-			b.Id,
-			b.Team,
-			w.Wants[at],
-			max(now, w.Wants[at].From),
-			0,
-			maxAlternatives,
-		)
-		return a
+		result := refusal(reservation, "%s", err)
+		result.Alternatives = inv.alternatives(draft, reservation, request.Wants[failed], now)
+		return result
 	}
-	d.put(n)
-	return Result{Booking: n}
+	draft.put(next)
+	return Result{Booking: next}
 }
 
-// hasWants reports whether a booking has what is wanted: a move that is repeated finds that it was made.
-func (s *Inventory) hasWants(b *pb.Booking, wants []*pb.Want) bool {
-	if b.State == pb.BookingState_waiting || len(b.Slots) != len(wants) {
+// hasWants reports whether a reservation already has what is wanted, as after a repeated move.
+func (inv *Inventory) hasWants(reservation *pb.Booking, wants []*pb.Want) bool {
+	if reservation.State == pb.BookingState_waiting || len(reservation.Slots) != len(wants) {
 		return false
 	}
-	for i, w := range wants {
-		x := b.Slots[i]
-		p := s.itemsByName[x.Piece]
-		if p == nil || x.From != w.From || x.To != w.From+int64(w.Slots)*p.slotSeconds ||
-			!slices.Contains(s.candidates(w), p) {
+	for i, want := range wants {
+		slot := reservation.Slots[i]
+		item := inv.itemsByName[slot.Piece]
+		if item == nil || slot.From != want.From || slot.To != want.From+int64(want.Slots)*item.slotSeconds ||
+			!slices.Contains(inv.candidates(want), item) {
 			return false
 		}
 	}
 	return true
 }
 
-func endBooking(d *Draft, now int64, b *pb.Booking, why string) Result {
-	if b.State == pb.BookingState_ended {
-		return Result{Outcome: OutcomeRepeated, Booking: b}
+// endBooking ends a reservation.
+func endBooking(draft *Draft, now int64, reservation *pb.Booking, reason string) Result {
+	if reservation.State == pb.BookingState_ended {
+		return Result{Outcome: OutcomeRepeated, Booking: reservation}
 	}
-	n := nextVersion(b)
-	n.State, n.Why, n.EndedAt, n.HeldUntil = pb.BookingState_ended, why, now, 0
-	d.put(n)
-	return Result{Booking: n}
+	next := nextVersion(reservation)
+	next.State, next.Why, next.EndedAt, next.HeldUntil = pb.BookingState_ended, reason, now, 0
+	draft.put(next)
+	return Result{Booking: next}
 }
 
-// IsOver reports whether nothing about a booking changes any more: it ended, or its time is past.
-func IsOver(b *pb.Booking, now int64) bool {
-	switch b.State {
+// IsOver reports whether a reservation can't change any more: it ended, or its time is past.
+func IsOver(reservation *pb.Booking, now int64) bool {
+	switch reservation.State {
 	case pb.BookingState_ended:
 		return true
 	case pb.BookingState_confirmed:
-		return !slices.ContainsFunc(b.Slots, func(x *pb.Slot) bool { return x.Clear > now })
+		return !slices.ContainsFunc(reservation.Slots, func(slot *pb.Slot) bool { return slot.Clear > now })
 	}
 	return false
 }
 
-// MaxDisplaced is how many bookings one change of the list may end: they are stored together.
-const MaxDisplaced = 40
-
-// replaceInventory puts another list of equipment in the place of this one. What it has no place
-// for is told, and ended only if that is asked for.
-func (s *Inventory) replaceInventory(d *Draft, now int64, w *Request) Result {
-	out := w.Replacement.Displaced(d.schedule, now)
+// replaceInventory replaces the equipment. Reservations that the new equipment can't serve are reported,
+// and ended only on request.
+func (inv *Inventory) replaceInventory(draft *Draft, now int64, request *Request) Result {
+	displaced := request.Replacement.Displaced(draft.schedule, now)
 	switch {
-	case len(out) == 0:
-	case !w.EndDisplaced:
-		a := refusal(
+	case len(displaced) == 0:
+	case !request.EndDisplaced:
+		result := refusal(
 			nil,
 			"%d bookings have no place in the new list; end or move them, or say that they are ended with it, and why",
-			len(out),
+			len(displaced),
 		)
-		a.Displaced = out
-		return a
-	case w.Reason == "":
+		result.Displaced = displaced
+		return result
+	case request.Reason == "":
 		return Result{Outcome: OutcomeInvalid, Reason: "a reason is needed"}
-	case len(out) > MaxDisplaced:
-		a := refusal(
+	case len(displaced) > MaxDisplaced:
+		result := refusal(
 			nil,
 			"%d bookings have no place in the new list, more than the %d that can be ended with it",
-			len(out),
+			len(displaced),
 			MaxDisplaced,
 		)
-		a.Displaced = out
-		return a
+		result.Displaced = displaced
+		return result
 	}
-	for _, b := range out {
-		endBooking(d, now, b, truncateReason(w.Reason))
+	for _, reservation := range displaced {
+		endBooking(draft, now, reservation, truncateReason(request.Reason))
 	}
-	return Result{Displaced: out}
+	return Result{Displaced: displaced}
 }
 
-// Displaced lists the bookings that have or want what the list has no place for, in the order in
-// which they were made. A booking keeps the length and the cooling time that it was made with.
-func (s *Inventory) Displaced(l *Schedule, now int64) (out []*pb.Booking) {
-	for _, b := range l.byID {
-		switch b.State {
-		case pb.BookingState_held, pb.BookingState_confirmed:
-			if slices.ContainsFunc(b.Slots, func(x *pb.Slot) bool { return x.To > now && !s.offersSlot(b.Team, x) }) {
-				out = append(out, b)
-			}
-		case pb.BookingState_waiting:
-			if !hasBegun(b.Wants, now) && s.validateWants(b.Team, b.Wants, now) != nil {
-				out = append(out, b)
-			}
+// Displaced returns the reservations that this equipment can't serve, in the order of their creation. A
+// reservation keeps the length and cooldown of its slots from when they were granted.
+func (inv *Inventory) Displaced(schedule *Schedule, now int64) (out []*pb.Booking) {
+	for _, reservation := range schedule.byID {
+		if inv.displaces(reservation, now) {
+			out = append(out, reservation)
 		}
 	}
 	slices.SortFunc(out, func(a, b *pb.Booking) int { return cmp.Compare(a.Made, b.Made) })
 	return out
 }
 
-// offersSlot reports whether a slot lies in what the list offers to a team.
-func (s *Inventory) offersSlot(team string, x *pb.Slot) bool {
-	p := s.itemsByName[x.Piece]
-	if p == nil || !p.isUnitUsable(int(x.Unit)) || !p.allowsTeam(team) {
-		return false
-	}
-	for at := x.From; at < x.To; {
-		o, ok := s.openingOn(p, s.dayOf(at))
-		if !ok || at < o.from || at >= o.to {
-			return false
-		}
-		at = o.to
+// displaces reports whether this equipment can't serve a reservation.
+func (inv *Inventory) displaces(reservation *pb.Booking, now int64) bool {
+	switch reservation.State {
+	case pb.BookingState_held, pb.BookingState_confirmed:
+		return slices.ContainsFunc(reservation.Slots, func(slot *pb.Slot) bool {
+			return slot.To > now && !inv.offersSlot(reservation.Team, slot)
+		})
+	case pb.BookingState_waiting:
+		return !hasBegun(reservation.Wants, now) &&
+			inv.validateWants(reservation.Team, reservation.Wants, now) != nil
 	}
-	return true
+	return false
 }
 
-// NextFree lists the first times from one on, until another if it is not 0, at which a want could
-// be had; by a booking with an id, what it has itself is not in its way.
-func (s *Inventory) NextFree(l *Schedule, id, team string, w *pb.Want, from, by int64, most int) (out []FreeSlot) {
-	for day, last := s.dayOf(from), s.dayOf(from)+searchDays; day <= last && len(out) < most; day++ {
-		var today []FreeSlot
-		for _, p := range s.candidates(w) {
-			o, ok := s.openingOn(p, day)
-			if !ok || !p.allowsTeam(team) {
-				continue
-			}
-			at := o.from
-			if at < from {
-				at += (from - at + p.slotSeconds - 1) / p.slotSeconds * p.slotSeconds
-			}
-			for n := 0; at < o.to && n < most; at += p.slotSeconds {
-				t := &pb.Want{Piece: p.Name, From: at, Slots: max(1, w.Slots)}
-				if by != 0 && at+int64(t.Slots)*p.slotSeconds > by {
-					break
-				}
-				if x, _, err := s.findUnits(l, id, team, []*pb.Want{t}); err == nil {
-					today = append(today, FreeSlot{p.Name, x[0].From, x[0].To})
-					n++
-				}
-			}
-		}
-		slices.SortStableFunc(today, func(a, b FreeSlot) int { return cmp.Compare(a.From, b.From) })
-		out = append(out, today[:min(len(today), most-len(out))]...)
+// offersSlot reports whether a slot lies in the opening hours of a usable unit that the team may reserve.
+func (inv *Inventory) offersSlot(team string, slot *pb.Slot) bool {
+	item := inv.itemsByName[slot.Piece]
+	if item == nil || !item.isUnitUsable(int(slot.Unit)) || !item.allowsTeam(team) {
+		return false
 	}
-	return out
-}
-
-// BookingsBetween lists the bookings that have a piece at some time between two, in the order of time.
-func (l *Schedule) BookingsBetween(site *Inventory, name string, from, to int64) (out []*pb.Booking, ok bool) {
-	p := site.itemsByName[name]
-	if p == nil {
-		return nil, false
-	}
-	for n := uint32(1); int(n) <= p.unitCount; n++ {
-		list := l.occupied[unitKey{name, n}]
-		i, _ := slices.BinarySearchFunc(list, to, func(x occupancy, to int64) int { return cmp.Compare(x.from, to) })
-		for i--; i >= 0 && list[i].to > from; i-- {
-			out = append(out, l.byID[list[i].bookingID])
+	for at := slot.From; at < slot.To; {
+		open, ok := inv.openingOn(item, inv.dayOf(at))
+		if !ok || at < open.from || at >= open.to {
+			return false
 		}
+		at = open.to
 	}
-	slices.SortFunc(out, func(a, b *pb.Booking) int {
-		return cmp.Or(cmp.Compare(a.Slots[0].From, b.Slots[0].From), strings.Compare(a.Id, b.Id))
-	})
-	return slices.Compact(out), true
-}
-
-// Waitlist lists the waiting list, the first first.
-func (l *Schedule) Waitlist() []*pb.Booking { return slices.Clone(l.waitlist) }
-
-// ExpandRecurrence makes a want that comes again by a rule of recurrence one for each time: at the
-// same time of the site's clocks.
-func (s *Inventory) ExpandRecurrence(w *pb.Want, rule string) ([]*pb.Want, error) {
-	o, err := rrule.StrToROption(rule)
-	if err != nil {
-		return nil, fmt.Errorf("rule of recurrence: %w", err)
-	}
-	if o.Freq > rrule.DAILY || o.Count < 1 || o.Count > MaxWants || !o.Dtstart.IsZero() ||
-		len(o.Byhour)+len(o.Byminute)+len(o.Bysecond) > 0 {
-		return nil, fmt.Errorf("rule of recurrence: days, weeks, months or years with a COUNT from 1 to %d", MaxWants)
-	}
-	local := time.Unix(w.From, 0).In(s.location)
-	o.Dtstart = time.Date(local.Year(), local.Month(), local.Day(), 0, 0, 0, 0, time.UTC)
-	if last := o.Dtstart.AddDate(maxSeriesYears, 0, 0); o.Until.IsZero() || o.Until.After(last) {
-		o.Until = last // a rule that names no day is looked for until then
-	}
-	r, err := rrule.NewRRule(*o)
-	if err != nil {
-		return nil, fmt.Errorf("rule of recurrence: %w", err)
-	}
-	var out []*pb.Want
-	for _, day := range r.All() {
-		n := protobuf.CloneOf(w)
-		n.From = s.timeOnDay(int(day.Unix()/86400), local.Hour()*60+local.Minute())
-		out = append(out, n)
-	}
-	if len(out) == 0 {
-		return nil, errors.New("rule of recurrence: it names no day")
-	}
-	return out, nil
+	return true
 }
--- a/booking/inventory.go
+++ b/booking/inventory.go
@@ -1,7 +1,6 @@
-// Package booking decides who has shared equipment when. It is pure: it reads no file, asks nobody
-// and knows no clock; the same bookings, the same list of equipment, the same time and the same
-// wish always give the same answer. What must outlast a controller comes in as values of the state
-// service and goes out as changes of them (core/booking).
+// Package booking decides reservations of shared equipment. It is deterministic and does no I/O: the same
+// reservations, equipment, time and request always give the same result. It owns the schedule in memory;
+// package core/reservations stores it. It may not authorize requests.
 package booking
 
 import (
@@ -20,23 +19,32 @@
 	pb "dewlift/proto"
 )
 
-// Limits of a list of equipment.
+// Limits of an equipment list.
 const (
 	maxItems           = 500
-	maxUnits           = 200     // of a piece
-	maxSlotMinutes     = 24 * 60 // minutes
-	maxCooldownMinutes = 7 * 24 * 60
-	maxRules           = 50 // of a piece, each kind
+	maxUnits           = 200 // of an item
+	maxSlotMinutes     = minutesPerDay
+	maxCooldownMinutes = 7 * minutesPerDay
+	maxRules           = 50 // of an item: opening hours, and closed days
 	firstYear          = 2000
-	lastYear           = 2100
-	dayFormat          = "2006-01-02"
-	clockFormat        = "2006-01-02T15:04"
+	lastYear           = 2100 // exclusive
+)
+
+const (
+	secondsPerDay = 86400
+	minutesPerDay = 24 * 60
+
+	// maxCachedDays bounds the cached opening hours of an item.
+	maxCachedDays = 4000
+
+	dayFormat   = "2006-01-02"
+	clockFormat = "2006-01-02T15:04"
 )
 
 var validName = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,39}$`)
 
-// Inventory is a list of equipment, checked. It never changes but for what it remembers of the
-// calendar; it is for one goroutine.
+// Inventory is a valid equipment list. It is immutable except for caches of the calendar, so it must be
+// used by one goroutine only.
 type Inventory struct {
 	source      *pb.Equipment
 	location    *time.Location
@@ -44,265 +52,308 @@
 	items       []*equipmentItem
 }
 
+// equipmentItem is a piece of equipment, of which there may be several units.
 type equipmentItem struct {
 	*pb.Piece
-	slotSeconds, cooldownSeconds int64 // s
+	slotSeconds, cooldownSeconds int64
 	unitCount                    int
 	openingRules                 []openingHours
 	closedDays                   []dayRule
-	openingCache                 map[int]interval // the day's hours, by days since 1970
+	openingCache                 map[int]interval // opening hours by day since 1970
 }
 
+// openingHours are the opening hours on the days of a rule.
 type openingHours struct {
 	days                 dayRule
-	fromMinute, toMinute int // minutes of the day
+	fromMinute, toMinute int // of the day
 }
 
-// interval is a time, in s since 1970; the end is not in it.
+// interval is [from, to) in seconds since 1970.
 type interval struct{ from, to int64 }
 
-// dayRule is the days of a rule.
+// dayRule is a set of days.
 type dayRule struct {
-	singleDay    int            // a single day, in days since 1970, if there is no rule
-	rule         *rrule.ROption // nil: only, or every day if only is 0
-	matchingDays map[int]map[int]bool
+	rule         *rrule.ROption       // nil: singleDay
+	singleDay    int                  // day since 1970; 0: every day
+	matchingDays map[int]map[int]bool // cache of rule by year and day since 1970
 }
 
-// Parse reads a list in protobuf text format. An error is one line and names the place.
+// Parse reads an equipment list in protobuf text format. Its error is one line and names the field.
 func Parse(text []byte) (*Inventory, error) {
-	var e pb.Equipment
-	if err := prototext.Unmarshal(text, &e); err != nil {
+	var equipment pb.Equipment
+	if err := prototext.Unmarshal(text, &equipment); err != nil {
 		return nil, err
 	}
-	return NewInventory(&e)
+	return NewInventory(&equipment)
 }
 
-// NewInventory checks a list.
-func NewInventory(e *pb.Equipment) (*Inventory, error) {
-	zone, err := time.LoadLocation(e.TimeZone)
-	if err != nil || strings.EqualFold(e.TimeZone, "local") {
-		return nil, fmt.Errorf("time_zone: %q is no time zone", e.TimeZone)
+// NewInventory checks an equipment list. The caller must not modify the list afterwards.
+func NewInventory(equipment *pb.Equipment) (*Inventory, error) {
+	zone, err := time.LoadLocation(equipment.TimeZone)
+	if err != nil || strings.EqualFold(equipment.TimeZone, "local") {
+		return nil, fmt.Errorf("time_zone: %q is no time zone", equipment.TimeZone)
 	}
-	if len(e.Pieces) > maxItems {
-		return nil, fmt.Errorf("%d pieces, at most %d are allowed", len(e.Pieces), maxItems)
+	if len(equipment.Pieces) > maxItems {
+		return nil, fmt.Errorf("%d pieces, at most %d are allowed", len(equipment.Pieces), maxItems)
 	}
-	s := &Inventory{source: e, location: zone, itemsByName: map[string]*equipmentItem{}}
-	for i, p := range e.Pieces {
-		x, err := newEquipmentItem(p)
-		if err == nil && s.itemsByName[p.Name] != nil {
+	inv := &Inventory{source: equipment, location: zone, itemsByName: map[string]*equipmentItem{}}
+	for i, piece := range equipment.Pieces {
+		item, err := newEquipmentItem(piece)
+		if err == nil && inv.itemsByName[piece.Name] != nil {
 			err = errors.New(".name: used twice")
 		}
 		if err != nil {
-			return nil, fmt.Errorf("pieces[%d] (%s)%w", i, p.Name, err)
+			return nil, fmt.Errorf("pieces[%d] (%s)%w", i, piece.Name, err)
 		}
-		s.itemsByName[p.Name] = x
-		s.items = append(s.items, x)
+		inv.itemsByName[piece.Name] = item
+		inv.items = append(inv.items, item)
 	}
-	return s, nil
+	return inv, nil
 }
 
-func newEquipmentItem(p *pb.Piece) (*equipmentItem, error) {
-	x := &equipmentItem{
-		Piece:           p,
-		slotSeconds:     60 * int64(p.SlotMinutes),
-		cooldownSeconds: 60 * int64(p.CoolMinutes),
-		unitCount:       max(1, int(p.Units)),
+// newEquipmentItem checks an item.
+func newEquipmentItem(piece *pb.Piece) (*equipmentItem, error) {
+	item := &equipmentItem{
+		Piece:           piece,
+		slotSeconds:     60 * int64(piece.SlotMinutes),
+		cooldownSeconds: 60 * int64(piece.CoolMinutes),
+		unitCount:       max(1, int(piece.Units)),
 		openingCache:    map[int]interval{},
 	}
+	if err := item.validateLimits(); err != nil {
+		return nil, err
+	}
+	if err := item.parseHours(); err != nil {
+		return nil, err
+	}
+	if err := item.parseClosedDays(); err != nil {
+		return nil, err
+	}
+	return item, nil
+}
+
+// validateLimits checks the names and numbers of an item.
+func (item *equipmentItem) validateLimits() error {
+	piece := item.Piece
 	switch {
-	case !validName.MatchString(p.Name):
-		return nil, fmt.Errorf(".name: %q is no name", p.Name)
-	case !validName.MatchString(p.Kind):
-		return nil, fmt.Errorf(".kind: %q is no name", p.Kind)
-	case x.unitCount > maxUnits:
-		return nil, fmt.Errorf(".units: %d, at most %d are allowed", x.unitCount, maxUnits)
-	case p.SlotMinutes < 1 || p.SlotMinutes > maxSlotMinutes:
-		return nil, fmt.Errorf(".slot_minutes: %d, must be from 1 to %d", p.SlotMinutes, maxSlotMinutes)
-	case p.CoolMinutes > maxCooldownMinutes:
-		return nil, fmt.Errorf(".cool_minutes: %d, at most %d are allowed", p.CoolMinutes, maxCooldownMinutes)
-	case len(p.Hours) > maxRules || len(p.Closed) > maxRules:
-		return nil, fmt.Errorf(
+	case !validName.MatchString(piece.Name):
+		return fmt.Errorf(".name: %q is no name", piece.Name)
+	case !validName.MatchString(piece.Kind):
+		return fmt.Errorf(".kind: %q is no name", piece.Kind)
+	case item.unitCount > maxUnits:
+		return fmt.Errorf(".units: %d, at most %d are allowed", item.unitCount, maxUnits)
+	case piece.SlotMinutes < 1 || piece.SlotMinutes > maxSlotMinutes:
+		return fmt.Errorf(".slot_minutes: %d, must be from 1 to %d", piece.SlotMinutes, maxSlotMinutes)
+	case piece.CoolMinutes > maxCooldownMinutes:
+		return fmt.Errorf(".cool_minutes: %d, at most %d are allowed", piece.CoolMinutes, maxCooldownMinutes)
+	case len(piece.Hours) > maxRules || len(piece.Closed) > maxRules:
+		return fmt.Errorf(
 			": %d hours and %d closed, at most %d of each are allowed",
-			len(p.Hours),
-			len(p.Closed),
+			len(piece.Hours),
+			len(piece.Closed),
 			maxRules,
 		)
 	}
-	for _, u := range p.Out {
-		if u < 1 || int(u) > x.unitCount {
-			return nil, fmt.Errorf(".out: there is no unit %d", u)
+	for _, unit := range piece.Out {
+		if unit < 1 || int(unit) > item.unitCount {
+			return fmt.Errorf(".out: there is no unit %d", unit)
 		}
 	}
-	for i, h := range p.Hours {
-		c, err := parseRule(h.Rule)
+	return nil
+}
+
+// parseHours reads the opening hours of an item.
+func (item *equipmentItem) parseHours() error {
+	for i, hours := range item.Hours {
+		days, err := parseRule(hours.Rule)
 		if err != nil {
-			return nil, fmt.Errorf(".hours[%d].rule: %w", i, err)
+			return fmt.Errorf(".hours[%d].rule: %w", i, err)
 		}
-		from, ok := parseTimeOfDay(h.From)
-		to, ok2 := parseTimeOfDay(h.To)
-		if !ok || !ok2 || from >= to {
-			return nil, fmt.Errorf(".hours[%d]: from %q to %q is no time of a day", i, h.From, h.To)
+		from, fromOK := parseTimeOfDay(hours.From)
+		to, toOK := parseTimeOfDay(hours.To)
+		if !fromOK || !toOK || from >= to {
+			return fmt.Errorf(".hours[%d]: from %q to %q is no time of a day", i, hours.From, hours.To)
 		}
-		x.openingRules = append(x.openingRules, openingHours{c, from, to})
+		item.openingRules = append(item.openingRules, openingHours{days, from, to})
 	}
-	for i, text := range p.Closed {
-		c := dayRule{}
+	return nil
+}
+
+// parseClosedDays reads the days on which an item is closed.
+func (item *equipmentItem) parseClosedDays() error {
+	for i, text := range item.Closed {
+		days := dayRule{}
 		day, err := time.Parse(dayFormat, text)
 		if err == nil {
-			c.singleDay = int(day.Unix() / 86400)
+			days.singleDay = int(day.Unix() / secondsPerDay)
 		} else if strings.Contains(text, "=") {
-			c, err = parseRule(text)
+			days, err = parseRule(text)
 		}
 		if err != nil {
-			return nil, fmt.Errorf(".closed[%d]: %q is neither a day, as 2027-12-24, nor a rule", i, text)
+			return fmt.Errorf(".closed[%d]: %q is neither a day, as 2027-12-24, nor a rule", i, text)
 		}
-		x.closedDays = append(x.closedDays, c)
+		item.closedDays = append(item.closedDays, days)
 	}
-	return x, nil
+	return nil
 }
 
-// parseTimeOfDay reads a time of day.
-func parseTimeOfDay(s string) (int, bool) {
-	h, m, ok := strings.Cut(s, ":")
-	hour, err := strconv.Atoi(h)
-	minute, err2 := strconv.Atoi(m)
-	n := hour*60 + minute
-	return n, ok && err == nil && err2 == nil && len(m) == 2 && hour >= 0 && minute >= 0 && minute < 60 && n <= 24*60
+// parseTimeOfDay reads a time of day, up to 24:00, as minutes.
+func parseTimeOfDay(text string) (int, bool) {
+	hourText, minuteText, ok := strings.Cut(text, ":")
+	hour, hourErr := strconv.Atoi(hourText)
+	minute, minuteErr := strconv.Atoi(minuteText)
+	minutes := hour*60 + minute
+	return minutes, ok && hourErr == nil && minuteErr == nil && len(minuteText) == 2 &&
+		hour >= 0 && minute >= 0 && minute < 60 && minutes <= minutesPerDay
 }
 
-// parseRule reads a rule of days; it has neither a start nor an end of its own.
+// parseRule reads a rule of days, which must not have a start or end of its own.
 func parseRule(text string) (dayRule, error) {
 	if text == "" {
 		return dayRule{}, nil
 	}
-	o, err := rrule.StrToROption(text)
-	if err == nil &&
-		(o.Freq > rrule.DAILY || o.Count > 0 || !o.Until.IsZero() || !o.Dtstart.IsZero() || o.Interval > 1 || len(o.Byhour)+len(o.Byminute)+len(o.Bysecond) > 0) {
+	options, err := rrule.StrToROption(text)
+	if err == nil && (options.Freq > rrule.DAILY || options.Count > 0 || options.Interval > 1 ||
+		!options.Until.IsZero() || !options.Dtstart.IsZero() ||
+		len(options.Byhour)+len(options.Byminute)+len(options.Bysecond) > 0) {
 		err = errors.New("only rules of days are allowed, without count, interval, start or end")
 	}
-	return dayRule{rule: o}, err
+	return dayRule{rule: options}, err
 }
 
-// includes reports whether a day, in days since 1970, is one of the calendar's.
-func (c *dayRule) includes(day int) bool {
-	if c.rule == nil {
-		return c.singleDay == 0 || c.singleDay == day
+// includes reports whether a day since 1970 is in the set.
+func (r *dayRule) includes(day int) bool {
+	if r.rule == nil {
+		return r.singleDay == 0 || r.singleDay == day
 	}
-	at := time.Unix(int64(day)*86400, 0).UTC()
-	days, ok := c.matchingDays[at.Year()]
+	year := time.Unix(int64(day)*secondsPerDay, 0).UTC().Year()
+	days, ok := r.matchingDays[year]
 	if !ok {
-		first := time.Date(at.Year(), 1, 1, 0, 0, 0, 0, time.UTC)
-		o := *c.rule
-		o.Dtstart = first
-		days = map[int]bool{}
-		if r, err := rrule.NewRRule(o); err == nil { // it was checked by making one
-			for _, d := range r.Between(first, first.AddDate(1, 0, -1), true) {
-				days[int(d.Unix()/86400)] = true
-			}
-		}
-		if c.matchingDays == nil {
-			c.matchingDays = map[int]map[int]bool{}
+		days = r.daysOf(year)
+		if r.matchingDays == nil {
+			r.matchingDays = map[int]map[int]bool{}
 		}
-		c.matchingDays[at.Year()] = days
+		r.matchingDays[year] = days
 	}
 	return days[day]
 }
 
-// dayOf is the day of a time in the site's zone, in days since 1970.
-func (s *Inventory) dayOf(at int64) int {
-	y, m, d := time.Unix(at, 0).In(s.location).Date()
-	return int(time.Date(y, m, d, 0, 0, 0, 0, time.UTC).Unix() / 86400)
+// daysOf returns the days since 1970 of a year that match the rule.
+func (r *dayRule) daysOf(year int) map[int]bool {
+	first := time.Date(year, 1, 1, 0, 0, 0, 0, time.UTC)
+	options := *r.rule
+	options.Dtstart = first
+	days := map[int]bool{}
+	if rule, err := rrule.NewRRule(options); err == nil { // an invalid rule matches no day
+		for _, day := range rule.Between(first, first.AddDate(1, 0, -1), true) {
+			days[int(day.Unix()/secondsPerDay)] = true
+		}
+	}
+	return days
+}
+
+// dayOf returns the local day of a time, in days since 1970.
+func (inv *Inventory) dayOf(at int64) int {
+	year, month, day := time.Unix(at, 0).In(inv.location).Date()
+	return int(time.Date(year, month, day, 0, 0, 0, 0, time.UTC).Unix() / secondsPerDay)
 }
 
-// timeOnDay is the time at which the clocks of the site show so many minutes of a day. Where they
-// are put forward over it, it is the moment at which they are; where they show it twice, the first.
-func (s *Inventory) timeOnDay(day, minute int) int64 {
-	y, m, d := time.Unix(int64(day)*86400, 0).UTC().Date()
-	t := time.Date(y, m, d, minute/60, minute%60, 0, 0, s.location)
-	want := time.Date(y, m, d, minute/60, minute%60, 0, 0, time.UTC).Unix()
-	_, off := t.Zone()
-	if t.Unix()+int64(off) != want { // it is not shown: the change lies between what two offsets make of it
+// timeOnDay returns when the local time is so many minutes after midnight of a day. A time that is
+// skipped when clocks go forward is the moment of the change; of one that occurs twice, the first counts.
+func (inv *Inventory) timeOnDay(day, minute int) int64 {
+	year, month, dayOfMonth := time.Unix(int64(day)*secondsPerDay, 0).UTC().Date()
+	t := time.Date(year, month, dayOfMonth, minute/60, minute%60, 0, 0, inv.location)
+	want := time.Date(year, month, dayOfMonth, minute/60, minute%60, 0, 0, time.UTC).Unix()
+	_, offset := t.Zone()
+	if t.Unix()+int64(offset) != want { // skipped: the change lies between the results of the two offsets
 		from, to := t.ZoneBounds()
-		if t.Unix()+int64(off) > want {
+		if t.Unix()+int64(offset) > want {
 			return from.Unix()
 		}
 		return to.Unix()
 	}
 	if from, _ := t.ZoneBounds(); !from.IsZero() {
-		_, before := from.Add(-time.Second).Zone()
-		if first := want - int64(before); first < from.Unix() {
+		_, offsetBefore := from.Add(-time.Second).Zone()
+		if first := want - int64(offsetBefore); first < from.Unix() {
 			return first
 		}
 	}
 	return t.Unix()
 }
 
-// openingOn is when a piece is open on a day; of several hours of the same day, the first counts.
-func (s *Inventory) openingOn(p *equipmentItem, day int) (interval, bool) {
-	if o, ok := p.openingCache[day]; ok {
-		return o, o.from < o.to
+// openingOn returns the opening hours of an item on a day, and whether it opens at all. Of several
+// matching rules, the first counts.
+func (inv *Inventory) openingOn(item *equipmentItem, day int) (interval, bool) {
+	if open, ok := item.openingCache[day]; ok {
+		return open, open.from < open.to
 	}
-	var o interval
-	shut := slices.ContainsFunc(p.closedDays, func(c dayRule) bool { return c.includes(day) })
-	switch {
-	case shut:
-	case len(p.openingRules) == 0:
-		o = interval{s.timeOnDay(day, 0), s.timeOnDay(day+1, 0)}
-	default:
-		for i := range p.openingRules {
-			if h := &p.openingRules[i]; h.days.includes(day) {
-				o = interval{s.timeOnDay(day, h.fromMinute), s.timeOnDay(day, h.toMinute)}
-				if h.toMinute == 24*60 {
-					o.to = s.timeOnDay(day+1, 0)
-				}
-				break
-			}
-		}
+	open := inv.computeOpening(item, day)
+	if len(item.openingCache) > maxCachedDays {
+		clear(item.openingCache)
+	}
+	item.openingCache[day] = open
+	return open, open.from < open.to
+}
+
+// computeOpening computes the opening hours of an item on a day; they are empty if it is closed.
+func (inv *Inventory) computeOpening(item *equipmentItem, day int) interval {
+	if slices.ContainsFunc(item.closedDays, func(days dayRule) bool { return days.includes(day) }) {
+		return interval{}
+	}
+	if len(item.openingRules) == 0 {
+		return interval{inv.timeOnDay(day, 0), inv.timeOnDay(day+1, 0)}
 	}
-	if len(p.openingCache) > 4000 {
-		clear(p.openingCache)
+	for i := range item.openingRules {
+		hours := &item.openingRules[i]
+		if !hours.days.includes(day) {
+			continue
+		}
+		open := interval{inv.timeOnDay(day, hours.fromMinute), inv.timeOnDay(day, hours.toMinute)}
+		if hours.toMinute == minutesPerDay {
+			open.to = inv.timeOnDay(day+1, 0)
+		}
+		return open
 	}
-	p.openingCache[day] = o
-	return o, o.from < o.to
+	return interval{}
 }
 
-// checkSlots tells why a time is not one of a piece's slots; nil if it is.
-func (s *Inventory) checkSlots(p *equipmentItem, from int64, slots int) error {
+// checkSlots returns an error unless an item has so many consecutive slots from a time on.
+func (inv *Inventory) checkSlots(item *equipmentItem, from int64, slots int) error {
 	year := time.Unix(from, 0).UTC().Year()
 	if year < firstYear || year >= lastYear {
 		return errors.New("no time at which something can be booked")
 	}
-	o, ok := s.openingOn(p, s.dayOf(from))
-	if !ok || from < o.from || from >= o.to {
-		return fmt.Errorf("%s is closed at %s", p.Name, s.FormatTime(from))
+	open, ok := inv.openingOn(item, inv.dayOf(from))
+	if !ok || from < open.from || from >= open.to {
+		return fmt.Errorf("%s is closed at %s", item.Name, inv.FormatTime(from))
 	}
-	if off := (from - o.from) % p.slotSeconds; off != 0 {
+	if offset := (from - open.from) % item.slotSeconds; offset != 0 {
 		return fmt.Errorf(
 			"slots of %s are %d minutes from %s on: the next begins at %s",
-			p.Name,
-			p.SlotMinutes,
-			s.FormatTime(o.from),
-			s.FormatTime(from-off+p.slotSeconds),
+			item.Name,
+			item.SlotMinutes,
+			inv.FormatTime(open.from),
+			inv.FormatTime(from-offset+item.slotSeconds),
 		)
 	}
-	to := from + int64(slots)*p.slotSeconds
-	for o.to < to {
-		next, ok := s.openingOn(p, s.dayOf(o.to))
-		if !ok || next.from != o.to {
-			return fmt.Errorf("%s closes at %s", p.Name, s.FormatTime(o.to))
+	to := from + int64(slots)*item.slotSeconds
+	for open.to < to {
+		next, ok := inv.openingOn(item, inv.dayOf(open.to))
+		if !ok || next.from != open.to {
+			return fmt.Errorf("%s closes at %s", item.Name, inv.FormatTime(open.to))
 		}
-		o = next
+		open = next
 	}
 	return nil
 }
 
-// FormatTime is a time as the site's clocks show it.
-func (s *Inventory) FormatTime(at int64) string {
-	return time.Unix(at, 0).In(s.location).Format(time.RFC3339)
+// FormatTime formats a time in the site's time zone.
+func (inv *Inventory) FormatTime(at int64) string {
+	return time.Unix(at, 0).In(inv.location).Format(time.RFC3339)
 }
 
-// ParseTime reads a time: as the site's clocks show it, 2027-03-04T08:00, or with an offset.
-func (s *Inventory) ParseTime(text string) (int64, error) {
+// ParseTime reads a time: in the site's time zone, as 2027-03-04T08:00, or with an offset.
+func (inv *Inventory) ParseTime(text string) (int64, error) {
 	if t, err := time.Parse(time.RFC3339, text); err == nil {
 		return t.Unix(), nil
 	}
@@ -313,65 +364,65 @@
 	if err != nil {
 		return 0, fmt.Errorf("%q is no time: write 2027-03-04T08:00, or with an offset 2027-03-04T08:00+01:00", text)
 	}
-	at := s.timeOnDay(int(t.Unix()/86400), t.Hour()*60+t.Minute())
-	if time.Unix(at, 0).In(s.location).Format(clockFormat) != text {
-		return 0, fmt.Errorf("the clocks never show %s in %s", text, s.location)
+	at := inv.timeOnDay(int(t.Unix()/secondsPerDay), t.Hour()*60+t.Minute())
+	if time.Unix(at, 0).In(inv.location).Format(clockFormat) != text {
+		return 0, fmt.Errorf("the clocks never show %s in %s", text, inv.location)
 	}
 	return at, nil
 }
 
-// ParseDay reads a day and tells when it begins and ends.
-func (s *Inventory) ParseDay(text string) (from, to int64, err error) {
+// ParseDay reads a day and returns its start and end.
+func (inv *Inventory) ParseDay(text string) (from, to int64, err error) {
 	t, err := time.Parse(dayFormat, text)
 	if err != nil {
 		return 0, 0, fmt.Errorf("%q is no day: write 2027-03-04", text)
 	}
-	day := int(t.Unix() / 86400)
-	return s.timeOnDay(day, 0), s.timeOnDay(day+1, 0), nil
+	day := int(t.Unix() / secondsPerDay)
+	return inv.timeOnDay(day, 0), inv.timeOnDay(day+1, 0), nil
 }
 
-// Source is the list as it was checked; it must not be changed.
-func (s *Inventory) Source() *pb.Equipment { return s.source }
+// Source returns the equipment list. The caller must not modify it.
+func (inv *Inventory) Source() *pb.Equipment { return inv.source }
 
-// candidates are the pieces that a want may be met by.
-func (s *Inventory) candidates(w *pb.Want) []*equipmentItem {
-	if w.Piece != "" {
-		if p := s.itemsByName[w.Piece]; p != nil {
-			return []*equipmentItem{p}
+// candidates returns the items that can meet a want.
+func (inv *Inventory) candidates(want *pb.Want) []*equipmentItem {
+	if want.Piece != "" {
+		if item := inv.itemsByName[want.Piece]; item != nil {
+			return []*equipmentItem{item}
 		}
 		return nil
 	}
 	var out []*equipmentItem
-	for _, p := range s.items {
-		if p.Kind == w.Kind && (w.Zone == "" || p.Zone == w.Zone) {
-			out = append(out, p)
+	for _, item := range inv.items {
+		if item.Kind == want.Kind && (want.Zone == "" || item.Zone == want.Zone) {
+			out = append(out, item)
 		}
 	}
 	return out
 }
 
-// allowsTeam reports whether a team may book a piece.
-func (p *equipmentItem) allowsTeam(team string) bool {
-	return len(p.Teams) == 0 || slices.Contains(p.Teams, team)
+// allowsTeam reports whether a team may reserve the item.
+func (item *equipmentItem) allowsTeam(team string) bool {
+	return len(item.Teams) == 0 || slices.Contains(item.Teams, team)
 }
 
-// isUnitUsable reports whether there is a unit and it is in order.
-func (p *equipmentItem) isUnitUsable(unit int) bool {
-	return unit >= 1 && unit <= p.unitCount && !slices.Contains(p.Out, uint32(unit))
+// isUnitUsable reports whether a unit exists and is in order.
+func (item *equipmentItem) isUnitUsable(unit int) bool {
+	return unit >= 1 && unit <= item.unitCount && !slices.Contains(item.Out, uint32(unit))
 }
 
-// ItemKind is that of a piece, "" if there is none of that name.
-func (s *Inventory) ItemKind(name string) string {
-	if p := s.itemsByName[name]; p != nil {
-		return p.Piece.Kind
+// ItemKind returns the kind of an item, or "" if there is none of that name.
+func (inv *Inventory) ItemKind(name string) string {
+	if item := inv.itemsByName[name]; item != nil {
+		return item.Kind
 	}
 	return ""
 }
 
-// WantKind is the kind that a want is about.
-func (s *Inventory) WantKind(w *pb.Want) string {
-	if w.Piece != "" {
-		return s.ItemKind(w.Piece)
+// WantKind returns the kind of equipment that a want is for.
+func (inv *Inventory) WantKind(want *pb.Want) string {
+	if want.Piece != "" {
+		return inv.ItemKind(want.Piece)
 	}
-	return w.Kind
+	return want.Kind
 }
--- a/booking/schedule.go
+++ b/booking/schedule.go
@@ -7,29 +7,32 @@
 	pb "dewlift/proto"
 )
 
-// Schedule is all bookings that are known, and who has which unit when. It holds what was stored,
-// and for the time of a draft what that would store. Bookings in it are never changed, only
-// replaced.
+// Schedule is all known reservations and the use of each unit over time. It holds the committed state and,
+// while a draft exists, that of the draft. Reservations in it are never modified, only replaced.
 type Schedule struct {
 	byID       map[string]*pb.Booking
-	occupied   map[unitKey][]occupancy // by unit, in the order of time
-	waitlist   []*pb.Booking           // in the order in which they get what becomes free
+	occupied   map[unitKey][]occupancy // by unit, ordered by start
+	waitlist   []*pb.Booking           // in the order in which free units are assigned
 	held       map[string]*pb.Booking
-	lastChange uint64 // the last one
+	lastChange uint64
 }
 
+// unitKey identifies a unit of an item.
 type unitKey struct {
 	item   string
 	number uint32
 }
 
-// occupancy is a time for which a unit is taken, with what it takes to cool or clean it.
+// occupancy is the use of a unit by a reservation, with the cooldown after it.
 type occupancy struct {
 	interval
 	bookingID string
 }
 
-// NewSchedule is one without bookings.
+// compareStart compares the start of a use with a time.
+func compareStart(use occupancy, at int64) int { return cmp.Compare(use.from, at) }
+
+// NewSchedule returns a schedule without reservations.
 func NewSchedule() *Schedule {
 	return &Schedule{
 		byID:     map[string]*pb.Booking{},
@@ -38,148 +41,152 @@
 	}
 }
 
-// Len is how many bookings it holds, ended ones too.
-func (l *Schedule) Len() int { return len(l.byID) }
+// Len returns the number of reservations in the schedule, ended ones included.
+func (s *Schedule) Len() int { return len(s.byID) }
+
+// LastChange returns the number of the last change.
+func (s *Schedule) LastChange() uint64 { return s.lastChange }
 
-// LastChange is the number of the last change.
-func (l *Schedule) LastChange() uint64 { return l.lastChange }
+// NoteChange records that changes up to a number were made, even if what they stored is in other values.
+func (s *Schedule) NoteChange(change uint64) { s.lastChange = max(s.lastChange, change) }
 
-// NoteChange notes that changes up to one were made, although what they stored may be stored anew elsewhere.
-func (l *Schedule) NoteChange(change uint64) { l.lastChange = max(l.lastChange, change) }
+// Get returns a reservation, or nil if there is none. The caller must not modify it.
+func (s *Schedule) Get(id string) *pb.Booking { return s.byID[id] }
 
-// Get returns a booking, nil if there is none. It must not be changed.
-func (l *Schedule) Get(id string) *pb.Booking { return l.byID[id] }
+// Waitlist returns the waiting reservations in their order.
+func (s *Schedule) Waitlist() []*pb.Booking { return slices.Clone(s.waitlist) }
 
-// Put takes a booking as it was stored; of two that have the same id, the later change counts.
-func (l *Schedule) Put(b *pb.Booking) {
-	l.lastChange = max(l.lastChange, b.Change)
-	if old := l.byID[b.Id]; old == nil || old.Change < b.Change {
-		l.setBooking(b.Id, b)
+// Put adds a stored reservation. Of two with the same id, the later change counts.
+func (s *Schedule) Put(reservation *pb.Booking) {
+	s.lastChange = max(s.lastChange, reservation.Change)
+	if old := s.byID[reservation.Id]; old == nil || old.Change < reservation.Change {
+		s.setBooking(reservation.Id, reservation)
 	}
 }
 
-// Forget drops bookings from memory that a function tells; it must not tell any that has a slot or waits for one.
-func (l *Schedule) Forget(f func(b *pb.Booking) bool) {
-	for id, b := range l.byID {
-		if f(b) {
-			l.setBooking(id, nil)
+// Forget drops the reservations for which f returns true from memory. f must not return true for one
+// that has slots to come or waits.
+func (s *Schedule) Forget(f func(reservation *pb.Booking) bool) {
+	for id, reservation := range s.byID {
+		if f(reservation) {
+			s.setBooking(id, nil)
 		}
 	}
 }
 
-// setBooking puts a booking in the place of the one with its id; nil: takes it out.
-func (l *Schedule) setBooking(id string, b *pb.Booking) {
-	if old := l.byID[id]; old != nil {
-		l.release(old)
+// setBooking replaces the reservation with the id, or removes it if the new one is nil.
+func (s *Schedule) setBooking(id string, reservation *pb.Booking) {
+	if old := s.byID[id]; old != nil {
+		s.release(old)
 	}
-	if b == nil {
-		delete(l.byID, id)
+	if reservation == nil {
+		delete(s.byID, id)
 		return
 	}
-	l.byID[id] = b
-	switch b.State {
+	s.byID[id] = reservation
+	switch reservation.State {
 	case pb.BookingState_waiting:
-		i, _ := slices.BinarySearchFunc(l.waitlist, b, compareWaitlist)
-		l.waitlist = slices.Insert(l.waitlist, i, b)
+		i, _ := slices.BinarySearchFunc(s.waitlist, reservation, compareWaitlist)
+		s.waitlist = slices.Insert(s.waitlist, i, reservation)
 	case pb.BookingState_held:
-		l.held[id] = b
+		s.held[id] = reservation
 		fallthrough
 	case pb.BookingState_confirmed:
-		for _, s := range b.Slots {
-			u := unitKey{s.Piece, s.Unit}
-			i, _ := slices.BinarySearchFunc(
-				l.occupied[u],
-				s.From,
-				func(x occupancy, from int64) int { return cmp.Compare(x.from, from) },
-			)
-			l.occupied[u] = slices.Insert(l.occupied[u], i, occupancy{interval{s.From, s.Clear}, id})
+		for _, slot := range reservation.Slots {
+			unit := unitKey{slot.Piece, slot.Unit}
+			i, _ := slices.BinarySearchFunc(s.occupied[unit], slot.From, compareStart)
+			s.occupied[unit] = slices.Insert(s.occupied[unit], i, occupancy{interval{slot.From, slot.Clear}, id})
 		}
 	}
 }
 
-func (l *Schedule) release(old *pb.Booking) {
+// release removes a reservation from the waitlist and from the units it uses.
+func (s *Schedule) release(old *pb.Booking) {
 	switch old.State {
 	case pb.BookingState_waiting:
-		l.waitlist = slices.DeleteFunc(l.waitlist, func(b *pb.Booking) bool { return b == old })
+		s.waitlist = slices.DeleteFunc(s.waitlist, func(waiting *pb.Booking) bool { return waiting == old })
 	case pb.BookingState_held, pb.BookingState_confirmed:
-		delete(l.held, old.Id)
-		for _, s := range old.Slots {
-			u := unitKey{s.Piece, s.Unit}
-			l.occupied[u] = slices.DeleteFunc(
-				l.occupied[u],
-				func(x occupancy) bool { return x.bookingID == old.Id && x.from == s.From },
+		delete(s.held, old.Id)
+		for _, slot := range old.Slots {
+			unit := unitKey{slot.Piece, slot.Unit}
+			s.occupied[unit] = slices.DeleteFunc(
+				s.occupied[unit],
+				func(use occupancy) bool { return use.bookingID == old.Id && use.from == slot.From },
 			)
-			if len(l.occupied[u]) == 0 {
-				delete(l.occupied, u)
+			if len(s.occupied[unit]) == 0 {
+				delete(s.occupied, unit)
 			}
 		}
 	}
 }
 
-// compareWaitlist orders the waiting list.
+// compareWaitlist orders the waitlist by rank, then by creation.
 func compareWaitlist(a, b *pb.Booking) int {
 	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Made, b.Made))
 }
 
-// firstConflict returns the first use of a unit that meets a time, other than by one booking.
-func (l *Schedule) firstConflict(u unitKey, at interval, exceptID string) (occupancy, bool) {
-	list := l.occupied[u]
-	i, _ := slices.BinarySearchFunc(list, at.to, func(x occupancy, to int64) int { return cmp.Compare(x.from, to) })
-	// Uses of a unit do not meet each other, so they end in the order in which they begin; those
-	// that a list of equipment left behind may, and are few.
+// firstConflict returns a use of a unit that overlaps an interval, other than by one reservation.
+func (s *Schedule) firstConflict(unit unitKey, needed interval, exceptID string) (occupancy, bool) {
+	uses := s.occupied[unit]
+	i, _ := slices.BinarySearchFunc(uses, needed.to, compareStart)
+	// Uses of a unit don't overlap, so they end in the order in which they start. Only those that a
+	// change of the equipment left behind may, and they are few.
 	for i--; i >= 0; i-- {
-		if list[i].bookingID == exceptID {
+		if uses[i].bookingID == exceptID {
 			continue
 		}
-		if list[i].to > at.from {
-			return list[i], true
+		if uses[i].to > needed.from {
+			return uses[i], true
 		}
 		return occupancy{}, false
 	}
 	return occupancy{}, false
 }
 
-// Draft is what is about to be stored: the ledger shows it already, until it is undone.
+// Draft is a set of changes that are not committed yet. The schedule shows them until Undo.
 type Draft struct {
 	schedule   *Schedule
-	baseChange uint64 // of the ledger before it
+	baseChange uint64 // last change before the draft
 	Bookings   []*pb.Booking
 	replaced   map[string]*pb.Booking
 }
 
-// NewDraft begins one. There is one at a time.
-func (l *Schedule) NewDraft() *Draft {
-	return &Draft{schedule: l, baseChange: l.lastChange, replaced: map[string]*pb.Booking{}}
+// NewDraft begins a draft. There may be only one at a time.
+func (s *Schedule) NewDraft() *Draft {
+	return &Draft{schedule: s, baseChange: s.lastChange, replaced: map[string]*pb.Booking{}}
 }
 
-// put adds a changed booking.
-func (d *Draft) put(b *pb.Booking) {
+// put adds a changed reservation.
+func (d *Draft) put(changed *pb.Booking) {
 	d.schedule.lastChange++
-	b.Change = d.schedule.lastChange
-	if b.Made == 0 {
-		b.Made = b.Change
+	changed.Change = d.schedule.lastChange
+	if changed.Made == 0 {
+		changed.Made = changed.Change
 	}
-	if _, ok := d.replaced[b.Id]; !ok {
-		d.replaced[b.Id] = d.schedule.byID[b.Id]
+	if _, ok := d.replaced[changed.Id]; !ok {
+		d.replaced[changed.Id] = d.schedule.byID[changed.Id]
 	} else {
-		d.Bookings = slices.DeleteFunc(d.Bookings, func(x *pb.Booking) bool { return x.Id == b.Id })
+		d.Bookings = slices.DeleteFunc(
+			d.Bookings,
+			func(earlier *pb.Booking) bool { return earlier.Id == changed.Id },
+		)
 	}
-	d.Bookings = append(d.Bookings, b)
-	d.schedule.setBooking(b.Id, b)
+	d.Bookings = append(d.Bookings, changed)
+	d.schedule.setBooking(changed.Id, changed)
 }
 
-// Undo takes a draft out of the ledger.
+// Undo removes the draft from the schedule.
 func (d *Draft) Undo() {
-	for _, b := range d.Bookings {
-		d.schedule.setBooking(b.Id, d.replaced[b.Id])
+	for _, changed := range d.Bookings {
+		d.schedule.setBooking(changed.Id, d.replaced[changed.Id])
 	}
 	d.schedule.lastChange = d.baseChange
 }
 
-// Redo puts a draft that was undone back, if nothing was changed meanwhile.
+// Redo restores the draft after Undo, provided that the schedule was not changed meanwhile.
 func (d *Draft) Redo() {
-	for _, b := range d.Bookings {
-		d.schedule.setBooking(b.Id, b)
-		d.schedule.lastChange = max(d.schedule.lastChange, b.Change)
+	for _, changed := range d.Bookings {
+		d.schedule.setBooking(changed.Id, changed)
+		d.schedule.lastChange = max(d.schedule.lastChange, changed.Change)
 	}
 }
--- /dev/null
+++ b/booking/search.go
@@ -0,0 +1,194 @@
+package booking
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	pb "dewlift/proto"
+)
+
+const (
+	// maxSearchSteps bounds the search for units that meet several wants together.
+	maxSearchSteps = 5000
+
+	// searchDays is for how many days free times are searched.
+	searchDays = 60
+)
+
+// unitSearch is one search for units that meet all wants of a reservation, by backtracking.
+type unitSearch struct {
+	inventory *Inventory
+	schedule  *Schedule
+	bookingID string // whose own slots are no conflict
+	team      string
+	wants     []*pb.Want
+
+	// wantOrder is the order in which wants are assigned: those with the fewest candidates first, so
+	// that one with more choice does not take what they need.
+	wantOrder []int
+
+	slots      []*pb.Slot // by want
+	steps      int
+	bestDepth  int   // most wants that could be met together
+	failedWant int   // the want that could not be met beside these
+	failure    error // why
+}
+
+// findUnits finds a unit for each want, all or none. On failure it returns the index of a want that can't
+// be met, and why.
+func (inv *Inventory) findUnits(
+	schedule *Schedule, id, team string, wants []*pb.Want,
+) (slots []*pb.Slot, failedWant int, err error) {
+	search := &unitSearch{
+		inventory: inv,
+		schedule:  schedule,
+		bookingID: id,
+		team:      team,
+		wants:     wants,
+		slots:     make([]*pb.Slot, len(wants)),
+		bestDepth: -1,
+	}
+	for i := range wants {
+		search.wantOrder = append(search.wantOrder, i)
+	}
+	slices.SortStableFunc(
+		search.wantOrder,
+		func(a, b int) int { return cmp.Compare(len(inv.candidates(wants[a])), len(inv.candidates(wants[b]))) },
+	)
+	if search.assignFrom(0) {
+		return search.slots, 0, nil
+	}
+	return nil, search.failedWant, search.failure
+}
+
+// assignFrom assigns units to the wants from a depth of the order on.
+func (x *unitSearch) assignFrom(depth int) bool {
+	if depth == len(x.wantOrder) {
+		return true
+	}
+	index := x.wantOrder[depth]
+	want := x.wants[index]
+	var failure error
+	for _, item := range x.inventory.candidates(want) {
+		if !item.allowsTeam(x.team) || x.inventory.checkSlots(item, want.From, int(want.Slots)) != nil {
+			continue
+		}
+		finished, freeAt := x.tryUnits(depth, item)
+		if finished {
+			return x.steps <= maxSearchSteps
+		}
+		switch {
+		case failure != nil:
+		case freeAt == 0:
+			failure = fmt.Errorf("%s has no unit in order at %s", item.Name, x.inventory.FormatTime(want.From))
+		default:
+			failure = fmt.Errorf(
+				"%s is taken at %s, until %s",
+				item.Name,
+				x.inventory.FormatTime(want.From),
+				x.inventory.FormatTime(freeAt),
+			)
+		}
+	}
+	if depth > x.bestDepth {
+		x.bestDepth, x.failedWant, x.failure = depth, index, cmp.Or(failure, errors.New("it fits nowhere"))
+	}
+	return false
+}
+
+// tryUnits assigns each free unit of an item to the want at a depth of the order, until the remaining
+// wants can be met or the search has taken too many steps: then it is finished. Otherwise freeAt is when
+// the first occupied unit becomes free, or 0 if no unit is usable.
+func (x *unitSearch) tryUnits(depth int, item *equipmentItem) (finished bool, freeAt int64) {
+	index := x.wantOrder[depth]
+	want := x.wants[index]
+	to := want.From + int64(want.Slots)*item.slotSeconds
+	needed := interval{want.From, to + item.cooldownSeconds}
+	for unit := uint32(1); int(unit) <= item.unitCount; unit++ {
+		if !item.isUnitUsable(int(unit)) {
+			continue
+		}
+		if until, occupied := x.occupiedUntil(depth, unitKey{item.Name, unit}, needed); occupied {
+			freeAt = cmp.Or(min(freeAt, until), freeAt, until)
+			continue
+		}
+		x.slots[index] = &pb.Slot{Piece: item.Name, Unit: unit, From: want.From, To: to, Clear: needed.to}
+		if x.steps++; x.steps > maxSearchSteps || x.assignFrom(depth+1) {
+			return true, freeAt
+		}
+	}
+	return false, freeAt
+}
+
+// occupiedUntil returns the end of a conflicting use of a unit, by another reservation or by a want that
+// was assigned before.
+func (x *unitSearch) occupiedUntil(depth int, key unitKey, needed interval) (until int64, occupied bool) {
+	if conflict, ok := x.schedule.firstConflict(key, needed, x.bookingID); ok {
+		return conflict.to, true
+	}
+	for _, assigned := range x.wantOrder[:depth] {
+		slot := x.slots[assigned]
+		if slot.Piece == key.item && slot.Unit == key.number && slot.From < needed.to && needed.from < slot.Clear {
+			return slot.Clear, true
+		}
+	}
+	return 0, false
+}
+
+// NextFree returns up to limit times from a time on, and until another unless that is 0, at which a want
+// can be met. The slots of the reservation with the id are no conflict.
+func (inv *Inventory) NextFree(
+	schedule *Schedule, id, team string, want *pb.Want, from, until int64, limit int,
+) (out []FreeSlot) {
+	for day, last := inv.dayOf(from), inv.dayOf(from)+searchDays; day <= last && len(out) < limit; day++ {
+		var today []FreeSlot
+		for _, item := range inv.candidates(want) {
+			open, ok := inv.openingOn(item, day)
+			if !ok || !item.allowsTeam(team) {
+				continue
+			}
+			at := open.from
+			if at < from {
+				at += (from - at + item.slotSeconds - 1) / item.slotSeconds * item.slotSeconds
+			}
+			for n := 0; at < open.to && n < limit; at += item.slotSeconds {
+				exact := &pb.Want{Piece: item.Name, From: at, Slots: max(1, want.Slots)}
+				if until != 0 && at+int64(exact.Slots)*item.slotSeconds > until {
+					break
+				}
+				if slots, _, err := inv.findUnits(schedule, id, team, []*pb.Want{exact}); err == nil {
+					today = append(today, FreeSlot{item.Name, slots[0].From, slots[0].To})
+					n++
+				}
+			}
+		}
+		slices.SortStableFunc(today, func(a, b FreeSlot) int { return cmp.Compare(a.From, b.From) })
+		out = append(out, today[:min(len(today), limit-len(out))]...)
+	}
+	return out
+}
+
+// BookingsBetween returns the reservations that use an item at some time of an interval, ordered by time.
+// It reports false if there is no such item.
+func (s *Schedule) BookingsBetween(
+	inventory *Inventory, name string, from, to int64,
+) (out []*pb.Booking, ok bool) {
+	item := inventory.itemsByName[name]
+	if item == nil {
+		return nil, false
+	}
+	for unit := uint32(1); int(unit) <= item.unitCount; unit++ {
+		list := s.occupied[unitKey{name, unit}]
+		i, _ := slices.BinarySearchFunc(list, to, compareStart)
+		for i--; i >= 0 && list[i].to > from; i-- {
+			out = append(out, s.byID[list[i].bookingID])
+		}
+	}
+	slices.SortFunc(out, func(a, b *pb.Booking) int {
+		return cmp.Or(cmp.Compare(a.Slots[0].From, b.Slots[0].From), strings.Compare(a.Id, b.Id))
+	})
+	return slices.Compact(out), true
+}
