--- a/cmd/dewlift/reservation.go
+++ b/cmd/dewlift/reservation.go
@@ -18,9 +18,10 @@
 	"github.com/spf13/pflag"
 )
 
-// refusedError is a "no" that is no bad use: exit code 1.
+// refusedError is a refusal by a controller, which is no bad use of the command: exit code 1.
 type refusedError string
 
+// Error returns the reason.
 func (r refusedError) Error() string { return string(r) }
 
 // loadEquipment reads a list of equipment.
@@ -28,131 +29,136 @@
 	return loadFile(path, "equipment", booking.Parse)
 }
 
-// reservationCommands makes the commands about bookings, which have the same flags for where to ask and how to answer.
+// reservationCommands makes the commands about reservations, which share their flags.
 type reservationCommands struct {
 	identity *clientIdentity
 	server   string
 	asJSON   bool
 }
 
-// request asks a controller and prints its answer; what is refused is a refusal, in one line.
+// request makes a request and prints its response; a refusal by the controller is a refusedError of one line.
 func (b *reservationCommands) request(
 	cmd *cobra.Command,
 	method, path string,
 	body any,
-	print func(w io.Writer, a *wire.ReservationResponse),
+	printResponse func(w io.Writer, response *wire.ReservationResponse),
 ) error {
-	r, err := b.identity.request(cmd.Context(), method, b.server, path, body)
+	resp, err := b.identity.request(cmd.Context(), method, b.server, path, body)
 	if err != nil {
 		return err
 	}
-	if r.Err != nil {
-		return fmt.Errorf("controller %s: %w", b.server, r.Err)
+	if resp.Err != nil {
+		return fmt.Errorf("controller %s: %w", b.server, resp.Err)
 	}
-	var a wire.ReservationResponse
-	err = json.Unmarshal(r.Body, &a)
-	out := cmd.OutOrStdout()
-	switch {
-	case err != nil:
+	var response wire.ReservationResponse
+	if err := json.Unmarshal(resp.Body, &response); err != nil {
 		return fmt.Errorf("answer not understood: %w", err)
-	case r.Status == http.StatusOK || r.Status == http.StatusCreated:
-		if b.asJSON {
-			return json.NewEncoder(out).Encode(a)
-		}
-		print(out, &a)
-		return nil
-	case b.asJSON:
-		if err := json.NewEncoder(out).Encode(a); err != nil {
+	}
+	accepted := resp.Status == http.StatusOK || resp.Status == http.StatusCreated
+	if b.asJSON {
+		if err := json.NewEncoder(cmd.OutOrStdout()).Encode(response); err != nil {
 			return err
 		}
+	} else if accepted {
+		printResponse(cmd.OutOrStdout(), &response)
 	}
-	line := a.Error
+	if accepted {
+		return nil
+	}
+	return reservationRefusal(resp.Status, &response)
+}
+
+// reservationRefusal puts a refusal, with the alternatives or the displaced reservations, in one line.
+func reservationRefusal(status int, response *wire.ReservationResponse) refusedError {
+	line := response.Error
 	switch {
-	case r.Status == http.StatusNotFound && a.Error == "Not Found":
+	case status == http.StatusNotFound && response.Error == "Not Found":
 		line = "nothing can be booked at this site"
-	case r.Status == http.StatusServiceUnavailable:
+	case status == http.StatusServiceUnavailable:
 		line += "; try again in a moment"
 	}
-	for i, f := range a.Free {
+	for i, free := range response.Free {
 		if i == 0 {
 			line += "; free instead:"
 		}
-		line += fmt.Sprintf(" %s %s", f.Equipment, f.From)
+		line += fmt.Sprintf(" %s %s", free.Equipment, free.From)
 	}
-	for i, x := range a.Displaced {
+	for i, displaced := range response.Displaced {
 		if i == 0 {
 			line += ":"
 		}
-		line += " " + x.ID
+		line += " " + displaced.ID
 	}
 	return refusedError(line)
 }
 
-func printReservationResponse(w io.Writer, a *wire.ReservationResponse) {
-	if a.Reservation != nil {
-		printReservation(w, a.Reservation)
+// printReservationResponse prints the reservation of a response, if it has one.
+func printReservationResponse(w io.Writer, response *wire.ReservationResponse) {
+	if response.Reservation != nil {
+		printReservation(w, response.Reservation)
 	}
 }
 
-func printReservation(w io.Writer, b *wire.Reservation) {
-	state := b.State
+func printReservation(w io.Writer, reservation *wire.Reservation) {
+	state := reservation.State
 	switch {
-	case b.HeldUntil != "":
-		state += " until " + b.HeldUntil
-	case b.WaitlistPosition > 0:
-		state += fmt.Sprintf(", number %d in line", b.WaitlistPosition)
-	case b.EndReason != "":
-		state += " at " + b.EndedAt + ": " + b.EndReason
+	case reservation.HeldUntil != "":
+		state += " until " + reservation.HeldUntil
+	case reservation.WaitlistPosition > 0:
+		state += fmt.Sprintf(", number %d in line", reservation.WaitlistPosition)
+	case reservation.EndReason != "":
+		state += " at " + reservation.EndedAt + ": " + reservation.EndReason
 	}
-	printf(w, "%s: %s\n", b.ID, state)
-	for _, s := range b.Slots {
-		if s.To == "" {
-			printf(w, "  wants %s%s from %s, %d slots\n", s.Equipment, s.Kind, s.From, s.Slots)
+	printf(w, "%s: %s\n", reservation.ID, state)
+	for _, slot := range reservation.Slots {
+		if slot.To == "" {
+			printf(w, "  wants %s%s from %s, %d slots\n", slot.Equipment, slot.Kind, slot.From, slot.Slots)
 			continue
 		}
-		printf(w, "  %s unit %d from %s to %s\n", s.Equipment, s.Unit, s.From, s.To)
+		printf(w, "  %s unit %d from %s to %s\n", slot.Equipment, slot.Unit, slot.From, slot.To)
 	}
 }
 
-// slotFlags are the flags of slots that are asked for.
+// slotFlags are the flags that name the requested slots.
 type slotFlags struct {
 	equipment, kind, zone, from, repeat string
 	slots                               uint32
 	extraSlots                          []string
 }
 
-func (w *slotFlags) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&w.equipment, "equipment", "", "the piece of equipment")
-	f.StringVar(&w.kind, "kind", "", "instead of it, any piece of a kind")
-	f.StringVar(&w.zone, "zone", "", "of that kind: only in a zone")
-	f.StringVar(&w.from, "from", "", "when it begins, by the site's clocks: 2027-03-04T08:00, or with an offset")
-	f.Uint32Var(&w.slots, "slots", 1, "how many slots in a row")
-	f.StringVar(&w.repeat, "repeat", "", "again by a rule: FREQ=WEEKLY;COUNT=8")
-	f.StringArrayVar(&w.extraSlots, "and", nil, "another slot, all or none: EQUIPMENT,FROM[,SLOTS]")
+func (f *slotFlags) addFlags(flags *pflag.FlagSet) {
+	flags.StringVar(&f.equipment, "equipment", "", "the piece of equipment")
+	flags.StringVar(&f.kind, "kind", "", "instead of it, any piece of a kind")
+	flags.StringVar(&f.zone, "zone", "", "of that kind: only in a zone")
+	flags.StringVar(&f.from, "from", "", "when it begins, by the site's clocks: 2027-03-04T08:00, or with an offset")
+	flags.Uint32Var(&f.slots, "slots", 1, "how many slots in a row")
+	flags.StringVar(&f.repeat, "repeat", "", "again by a rule: FREQ=WEEKLY;COUNT=8")
+	flags.StringArrayVar(&f.extraSlots, "and", nil, "another slot, all or none: EQUIPMENT,FROM[,SLOTS]")
 }
 
-func (w *slotFlags) slotRequests() ([]wire.SlotRequest, error) {
-	if (w.equipment == "") == (w.kind == "") || w.from == "" {
+// slotRequests returns the requested slots.
+func (f *slotFlags) slotRequests() ([]wire.SlotRequest, error) {
+	if (f.equipment == "") == (f.kind == "") || f.from == "" {
 		return nil, errors.New("--from and one of --equipment and --kind are needed")
 	}
-	out := []wire.SlotRequest{{Equipment: w.equipment, Kind: w.kind, Zone: w.zone, From: w.from, Slots: w.slots}}
-	for _, text := range w.extraSlots {
-		f := strings.Split(text, ",")
-		x := wire.SlotRequest{Equipment: f[0], Slots: 1}
-		if len(f) == 3 {
-			n, err := strconv.ParseUint(f[2], 10, 16)
+	requests := []wire.SlotRequest{{Equipment: f.equipment, Kind: f.kind, Zone: f.zone, From: f.from, Slots: f.slots}}
+	for _, text := range f.extraSlots {
+		fields := strings.Split(text, ",")
+		request := wire.SlotRequest{Equipment: fields[0], Slots: 1}
+		if len(fields) == 3 {
+			n, err := strconv.ParseUint(fields[2], 10, 16)
 			if err != nil {
-				return nil, fmt.Errorf("--and %q: %q is no number of slots", text, f[2])
+				return nil, fmt.Errorf("--and %q: %q is no number of slots", text, fields[2])
 			}
-			x.Slots = uint32(n)
+			request.Slots = uint32(n)
 		}
-		if len(f) < 2 || len(f) > 3 {
+		if len(fields) < 2 || len(fields) > 3 {
 			return nil, fmt.Errorf("--and %q: want EQUIPMENT,FROM[,SLOTS]", text)
 		}
-		x.From = f[1]
-		out = append(out, x)
+		request.From = fields[1]
+		requests = append(requests, request)
 	}
-	return out, nil
+	return requests, nil
 }
 
 func reservationCommand(me *clientIdentity) *cobra.Command {
@@ -164,11 +170,7 @@
 	cmd.AddCommand(
 		b.make("make ID", "Book equipment", false),
 		b.make("hold ID", "Hold equipment until it is confirmed", true),
-		b.change(
-			"confirm ID",
-			"Confirm a booking that is held",
-			"confirm",
-		),
+		b.change("confirm ID", "Confirm a booking that is held", "confirm"),
 		b.move(),
 		b.end(),
 		b.show(),
@@ -179,11 +181,11 @@
 		&cobra.Command{
 			Use: "check FILE", Short: "Check a list of equipment", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				s, err := loadEquipment(args[0])
+				inventory, err := loadEquipment(args[0])
 				if err != nil {
 					return err
 				}
-				printf(cmd.OutOrStdout(), "equipment is valid: %d pieces\n", len(s.Source().Pieces))
+				printf(cmd.OutOrStdout(), "equipment is valid: %d pieces\n", len(inventory.Source().Pieces))
 				return nil
 			},
 		},
@@ -191,36 +193,38 @@
 	return cmd
 }
 
+// make makes the command that creates a reservation, confirmed or held for confirmation.
 func (b *reservationCommands) make(use, short string, hold bool) *cobra.Command {
-	var w slotFlags
-	var a wire.ReservationRequest
+	var slots slotFlags
+	var request wire.ReservationRequest
 	var keep time.Duration
 	cmd := &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		Example: "  dewlift booking make glaze-81 --equipment kiln-2 --from 2027-03-04T08:00 --slots 4",
 		RunE: func(cmd *cobra.Command, args []string) (err error) {
-			if a.Slots, err = w.slotRequests(); err != nil {
+			if request.Slots, err = slots.slotRequests(); err != nil {
 				return err
 			}
 			if hold {
-				if a.HoldS = uint32(keep.Seconds()); keep < time.Second {
+				if request.HoldS = uint32(keep.Seconds()); keep < time.Second {
 					return fmt.Errorf("--for %s: at least a second", keep)
 				}
 			}
-			a.ID, a.Repeat = args[0], w.repeat
-			return b.request(cmd, http.MethodPost, wire.PathReservations, a, printReservationResponse)
+			request.ID, request.Repeat = args[0], slots.repeat
+			return b.request(cmd, http.MethodPost, wire.PathReservations, request, printReservationResponse)
 		},
 	}
-	w.addFlags(cmd.Flags())
-	cmd.Flags().StringVar(&a.Team, "team", "", "whose booking it is")
-	cmd.Flags().BoolVar(&a.Waitlist, "wait", false, "go on the waiting list if it is taken")
-	cmd.Flags().StringVar(&a.Priority, "priority", wire.PriorityName(wire.PriorityStandard), "on the waiting list")
+	slots.addFlags(cmd.Flags())
+	cmd.Flags().StringVar(&request.Team, "team", "", "whose booking it is")
+	cmd.Flags().BoolVar(&request.Waitlist, "wait", false, "go on the waiting list if it is taken")
+	cmd.Flags().StringVar(&request.Priority, "priority", wire.PriorityName(wire.PriorityStandard), "on the waiting list")
 	if hold {
 		cmd.Flags().DurationVar(&keep, "for", 15*time.Minute, "how long it is held")
 	}
 	return cmd
 }
 
+// change makes a command that changes a reservation by a verb of its path.
 func (b *reservationCommands) change(use, short, verb string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
@@ -231,14 +235,15 @@
 	}
 }
 
+// move makes the command that gives a reservation other slots.
 func (b *reservationCommands) move() *cobra.Command {
-	var w slotFlags
+	var slots slotFlags
 	cmd := &cobra.Command{
 		Use:   "move ID",
 		Short: "Give a booking other slots: it keeps its own until it has them",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			list, err := w.slotRequests()
+			list, err := slots.slotRequests()
 			if err != nil {
 				return err
 			}
@@ -246,28 +251,30 @@
 				cmd,
 				http.MethodPost,
 				wire.PathReservations+"/"+url.PathEscape(args[0])+"/move",
-				wire.ReservationRequest{Slots: list, Repeat: w.repeat},
+				wire.ReservationRequest{Slots: list, Repeat: slots.repeat},
 				printReservationResponse,
 			)
 		},
 	}
-	w.addFlags(cmd.Flags())
+	slots.addFlags(cmd.Flags())
 	return cmd
 }
 
+// end makes the command that ends a reservation.
 func (b *reservationCommands) end() *cobra.Command {
-	var a wire.ReservationRequest
+	var request wire.ReservationRequest
 	cmd := &cobra.Command{
 		Use: "end ID", Short: "End a booking: its slots become free", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return b.request(cmd, http.MethodPost,
-				wire.PathReservations+"/"+url.PathEscape(args[0])+"/end", a, printReservationResponse)
+				wire.PathReservations+"/"+url.PathEscape(args[0])+"/end", request, printReservationResponse)
 		},
 	}
-	cmd.Flags().StringVar(&a.Reason, "why", "", "the reason, which is kept")
+	cmd.Flags().StringVar(&request.Reason, "why", "", "the reason, which is kept")
 	return cmd
 }
 
+// show makes the command that shows a reservation.
 func (b *reservationCommands) show() *cobra.Command {
 	return &cobra.Command{
 		Use: "show ID", Short: "Show a booking, and why it ended", Args: cobra.ExactArgs(1),
@@ -278,60 +285,61 @@
 	}
 }
 
+// free makes the command that lists free intervals.
 func (b *reservationCommands) free() *cobra.Command {
-	var w slotFlags
+	var slots slotFlags
 	var by, team string
 	cmd := &cobra.Command{
 		Use: "free", Short: "List the next free times", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if (w.equipment == "") == (w.kind == "") {
+			if (slots.equipment == "") == (slots.kind == "") {
 				return errors.New("one of --equipment and --kind is needed")
 			}
 			q := url.Values{
-				"list": {
-					"free",
-				},
-				"piece": {w.equipment},
-				"kind":  {w.kind},
-				"zone":  {w.zone},
-				"from":  {w.from},
+				"list":  {"free"},
+				"piece": {slots.equipment},
+				"kind":  {slots.kind},
+				"zone":  {slots.zone},
+				"from":  {slots.from},
 				"by":    {by},
 				"team":  {team},
-				"slots": {strconv.Itoa(int(w.slots))},
+				"slots": {strconv.Itoa(int(slots.slots))},
 			}
 			return b.request(
 				cmd,
 				http.MethodGet,
 				wire.PathReservations+"?"+q.Encode(),
 				nil,
-				func(out io.Writer, a *wire.ReservationResponse) {
-					for _, f := range a.Free {
+				func(out io.Writer, response *wire.ReservationResponse) {
+					for _, f := range response.Free {
 						printf(out, "%s from %s to %s\n", f.Equipment, f.From, f.To)
 					}
-					if len(a.Free) == 0 {
+					if len(response.Free) == 0 {
 						printf(out, "nothing is free then\n")
 					}
 				},
 			)
 		},
 	}
-	w.addFlags(cmd.Flags())
+	slots.addFlags(cmd.Flags())
 	cmd.Flags().StringVar(&by, "by", "", "when it must be over")
 	cmd.Flags().StringVar(&team, "team", "", "whose booking it would be")
 	return cmd
 }
 
+// printReservationList returns a function that prints the reservations of a response, or none if there are none.
 func printReservationList(none string) func(io.Writer, *wire.ReservationResponse) {
-	return func(out io.Writer, a *wire.ReservationResponse) {
-		for i := range a.Reservations {
-			printReservation(out, &a.Reservations[i])
+	return func(out io.Writer, response *wire.ReservationResponse) {
+		for i := range response.Reservations {
+			printReservation(out, &response.Reservations[i])
 		}
-		if len(a.Reservations) == 0 {
+		if len(response.Reservations) == 0 {
 			printf(out, "%s\n", none)
 		}
 	}
 }
 
+// day makes the command that lists a day's reservations.
 func (b *reservationCommands) day() *cobra.Command {
 	return &cobra.Command{
 		Use: "day EQUIPMENT DAY", Short: "List a day's bookings of a piece of equipment", Args: cobra.ExactArgs(2),
@@ -344,6 +352,7 @@
 	}
 }
 
+// waiting makes the command that lists the waiting list.
 func (b *reservationCommands) waiting() *cobra.Command {
 	return &cobra.Command{
 		Use: "waiting", Short: "List the waiting list", Args: cobra.NoArgs,
@@ -354,8 +363,9 @@
 	}
 }
 
+// equipment makes the command that shows or replaces the list of equipment.
 func (b *reservationCommands) equipment() *cobra.Command {
-	var e wire.EquipmentEdit
+	var edit wire.EquipmentEdit
 	cmd := &cobra.Command{
 		Use:   "equipment [FILE]",
 		Short: "Show the list of equipment, or put another in force",
@@ -367,7 +377,7 @@
 					http.MethodGet,
 					wire.PathEquipment,
 					nil,
-					func(out io.Writer, a *wire.ReservationResponse) { printf(out, "%s", a.Equipment) },
+					func(out io.Writer, response *wire.ReservationResponse) { printf(out, "%s", response.Equipment) },
 				)
 			}
 			if _, err := loadEquipment(args[0]); err != nil {
@@ -377,23 +387,24 @@
 			if err != nil {
 				return fmt.Errorf("read equipment: %w", err)
 			}
-			e.Text = string(raw)
+			edit.Text = string(raw)
 			return b.request(
 				cmd,
 				http.MethodPost,
 				wire.PathEquipment,
-				e,
-				func(out io.Writer, a *wire.ReservationResponse) {
-					printf(out, "the list is in force, as version %d\n", a.Version)
-					for i := range a.Displaced {
-						printf(out, "ended with it: %s\n", a.Displaced[i].ID)
+				edit,
+				func(out io.Writer, response *wire.ReservationResponse) {
+					printf(out, "the list is in force, as version %d\n", response.Version)
+					for i := range response.Displaced {
+						printf(out, "ended with it: %s\n", response.Displaced[i].ID)
 					}
 				},
 			)
 		},
 	}
 	cmd.Flags().
-		BoolVar(&e.EndDisplaced, "end-displaced", false, "end the bookings that the new list has no place for; without it, they are listed and nothing changes")
-	cmd.Flags().StringVar(&e.Reason, "why", "", "the reason why they end, which is kept")
+		BoolVar(&edit.EndDisplaced, "end-displaced", false, "end the bookings that the new list has no place for; "+
+			"without it, they are listed and nothing changes")
+	cmd.Flags().StringVar(&edit.Reason, "why", "", "the reason why they end, which is kept")
 	return cmd
 }
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -24,17 +24,18 @@
 	pb "dewlift/proto"
 )
 
-// snapshotFlags say where the state is and how much of its service may be used.
+// snapshotFlags say where the key-value store is and how much of its request limit may be used.
 type snapshotFlags struct {
 	server, storeAddr string
 	requestShare      float64
 	endpoint          wire.StoreEndpoint
 }
 
+// snapshotCommand makes the commands that save, check and restore a site's state.
 func snapshotCommand(config *string, me *clientIdentity) *cobra.Command {
 	var f snapshotFlags
 	cmd := &cobra.Command{Use: "snapshot", Short: "Save, check and restore the whole state of a site"}
-	at := func(c *cobra.Command) {
+	addStoreFlags := func(c *cobra.Command) {
 		c.Flags().StringVar(&f.storeAddr, "state", "", "address of the state service")
 		c.Flags().Float64Var(&f.endpoint.RPS, "rps", 20, "its requests a second, if only --state is given")
 	}
@@ -49,7 +50,7 @@
 				return fmt.Errorf("--share is %v, must be more than 0 and at most 1", f.requestShare)
 			}
 			show, done := newProgress("saving", -1)
-			t, err := snapshot.Save(
+			trailer, err := snapshot.Save(
 				cmd.Context(),
 				&snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS * f.requestShare},
 				args[0],
@@ -59,23 +60,24 @@
 			if err != nil {
 				return err
 			}
-			printf(cmd.OutOrStdout(), "%s: %d keys as of revision %d\n", args[0], t.Keys, t.Ledger)
+			printf(cmd.OutOrStdout(), "%s: %d keys as of revision %d\n", args[0], trailer.Keys, trailer.Ledger)
 			return nil
 		},
 	}
-	at(save)
+	addStoreFlags(save)
 	save.Flags().StringVar(&f.server, "server", "", "address of a controller, which names the state service")
 	save.Flags().Float64Var(&f.requestShare, "share", 0.1, "share of the state service's requests that may be used")
 	restore := &cobra.Command{
 		Use: "restore FILE", Short: "Restore a state to an empty state service", Args: cobra.ExactArgs(1),
-		Long:    "Restore a state to an empty state service. No controller may be running, and every machine must have been returned.",
+		Long: "Restore a state to an empty state service. No controller may be running, " +
+			"and every machine must have been returned.",
 		Example: "  dewlift snapshot restore --config settings.json monday.snapshot",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := f.resolveStore(cmd.Context(), *config, me); err != nil {
 				return err
 			}
 			show, done := newProgress("restoring", 0)
-			t, err := snapshot.Restore(cmd.Context(), &snapshot.Target{
+			trailer, err := snapshot.Restore(cmd.Context(), &snapshot.Target{
 				Source:   snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS},
 				WriteRPS: f.endpoint.WriteRPS, TxnOps: f.endpoint.TxnOps,
 			}, args[0], show)
@@ -83,20 +85,20 @@
 			if err != nil {
 				return err
 			}
-			printf(cmd.OutOrStdout(), "%d keys restored, as of revision %d\n", t.Keys, t.Ledger)
+			printf(cmd.OutOrStdout(), "%d keys restored, as of revision %d\n", trailer.Keys, trailer.Ledger)
 			return nil
 		},
 	}
-	at(restore)
+	addStoreFlags(restore)
 	restore.Flags().
 		Float64Var(&f.endpoint.WriteRPS, "write-rps", 10, "its changes a second, if only --state is given")
 	restore.Flags().IntVar(&f.endpoint.TxnOps, "txn-ops", 10, "changes of a transaction, if only --state is given")
 	cmd.AddCommand(save, restore, &cobra.Command{
 		Use: "verify FILE", Short: "Read a whole snapshot and check every part", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := snapshot.Verify(args[0])
+			trailer, err := snapshot.Verify(args[0])
 			if err == nil {
-				printf(cmd.OutOrStdout(), "%s is whole: %d keys in %d parts\n", args[0], t.Keys, t.Parts)
+				printf(cmd.OutOrStdout(), "%s is whole: %d keys in %d parts\n", args[0], trailer.Keys, trailer.Parts)
 			}
 			return err
 		},
@@ -104,13 +106,14 @@
 	return cmd
 }
 
+// inspectCommand makes the command that says what a snapshot holds.
 func inspectCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use: "inspect FILE", Short: "Tell what a snapshot holds", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			kinds := map[string]int{}
-			t, err := snapshot.ReadFile(args[0], func(k *pb.Key) error {
+			kinds := map[string]int{} // number of keys by the first parts of their names
+			trailer, err := snapshot.ReadFile(args[0], func(k *pb.Key) error {
 				part := strings.SplitN(k.Name, "/", 3)
 				kinds[strings.Join(part[:min(2, len(part))], "/")]++
 				return nil
@@ -119,15 +122,15 @@
 				return err
 			}
 			out := cmd.OutOrStdout()
-			taken := time.UnixMilli(t.TakenMs).UTC().Format(time.RFC3339)
+			taken := time.UnixMilli(trailer.TakenMs).UTC().Format(time.RFC3339)
 			if asJSON {
 				return json.NewEncoder(out).Encode(map[string]any{
-					"version": t.Version, "taken": taken, "revision": t.Ledger, "parts": t.Parts,
-					"keys": t.Keys, "kinds": kinds, "digest": fmt.Sprintf("%x", t.Digest),
+					"version": trailer.Version, "taken": taken, "revision": trailer.Ledger, "parts": trailer.Parts,
+					"keys": trailer.Keys, "kinds": kinds, "digest": fmt.Sprintf("%x", trailer.Digest),
 				})
 			}
 			printf(out, "format %d, taken %s, revision %d\n%d keys in %d parts, digest %x\n",
-				t.Version, taken, t.Ledger, t.Keys, t.Parts, t.Digest)
+				trailer.Version, taken, trailer.Ledger, trailer.Keys, trailer.Parts, trailer.Digest)
 			for _, k := range slices.Sorted(maps.Keys(kinds)) {
 				printf(out, "  %-14s %d\n", k, kinds[k])
 			}
@@ -138,12 +141,12 @@
 	return cmd
 }
 
-// resolveStore works out where the state service is and what it takes: from a controller, the platform's
-// settings, or the flags alone.
+// resolveStore finds the store's address and limits: from a controller, the platform's settings, or the flags
+// alone.
 func (f *snapshotFlags) resolveStore(ctx context.Context, config string, me *clientIdentity) error {
 	switch {
 	case f.server != "":
-		r, err := me.request(
+		resp, err := me.request(
 			ctx,
 			http.MethodGet,
 			f.server,
@@ -153,24 +156,24 @@
 		if err != nil {
 			return err
 		}
-		site, r := httpjson.Decode[wire.StoreEndpoint](r)
-		if r.Err != nil {
-			return fmt.Errorf("controller %s: %w", f.server, r.Err)
+		endpoint, resp := httpjson.Decode[wire.StoreEndpoint](resp)
+		if resp.Err != nil {
+			return fmt.Errorf("controller %s: %w", f.server, resp.Err)
 		}
-		if r.Status != http.StatusOK {
-			return fmt.Errorf("controller %s answers %d", f.server, r.Status)
+		if resp.Status != http.StatusOK {
+			return fmt.Errorf("controller %s answers %d", f.server, resp.Status)
 		}
-		f.endpoint = site
+		f.endpoint = endpoint
 	case config != "":
-		p, err := settings.LoadPlatform(config)
+		platform, err := settings.LoadPlatform(config)
 		if err != nil {
 			return err
 		}
 		f.endpoint = wire.StoreEndpoint{
-			Addr:     p.Services.State,
-			RPS:      p.Cluster.State.RPS,
-			WriteRPS: p.Cluster.State.WriteRPS,
-			TxnOps:   p.Cluster.State.TxnOps,
+			Addr:     platform.Services.State,
+			RPS:      platform.Cluster.State.RPS,
+			WriteRPS: platform.Cluster.State.WriteRPS,
+			TxnOps:   platform.Cluster.State.TxnOps,
 		}
 	case f.storeAddr == "":
 		return errors.New(
@@ -189,7 +192,8 @@
 	return nil
 }
 
-// newProgress shows how far a long work is, on a terminal only.
+// newProgress shows the progress of a long task, on a terminal only. show takes the number done and the total,
+// under 0 if that is unknown; done ends it.
 func newProgress(what string, of int) (show func(n, of int), done func()) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
 		return func(int, int) {}, func() {}
@@ -206,6 +210,6 @@
 		if of > 0 {
 			bar.ChangeMax(of)
 		}
-		_ = bar.Set(n) // a bar that can't be drawn stops nothing
+		_ = bar.Set(n) // a failure to draw must not stop the task
 	}, func() { _ = bar.Finish() }
 }
