--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -23,14 +23,14 @@
 	"write the golden files anew: what travels or is stored was changed on purpose",
 )
 
-// number is one that a path gives, never 0.
+// number derives a number from a path; never 0.
 func number(path string) uint64 {
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(path)) // never fails
-	return uint64(h.Sum32()%999_983) + 1
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(path)) // never fails
+	return uint64(hash.Sum32()%999_983) + 1
 }
 
-// fill sets all that JSON has of a value to what its names there give.
+// fill sets everything of a value that JSON shows to values derived from the names there.
 func fill(v reflect.Value, path string) {
 	switch v.Interface().(type) {
 	case json.RawMessage:
@@ -48,19 +48,7 @@
 		v.Set(reflect.New(v.Type().Elem()))
 		fill(v.Elem(), path)
 	case reflect.Struct:
-		for i := range v.NumField() {
-			f := v.Type().Field(i)
-			name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
-			switch {
-			case name == "-" || !f.IsExported():
-			case name == "" && f.Anonymous:
-				fill(v.Field(i), path)
-			case name == "":
-				fill(v.Field(i), path+"."+f.Name)
-			default:
-				fill(v.Field(i), path+"."+name)
-			}
-		}
+		fillFields(v, path)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		fallthrough
@@ -70,9 +58,9 @@
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
-		x := reflect.New(v.Type().Elem()).Elem()
-		fill(x, path+".x")
-		v.SetMapIndex(reflect.ValueOf(path).Convert(v.Type().Key()), x)
+		element := reflect.New(v.Type().Elem()).Elem()
+		fill(element, path+".x")
+		v.SetMapIndex(reflect.ValueOf(path).Convert(v.Type().Key()), element)
 	case reflect.String:
 		v.SetString(path)
 	case reflect.Bool:
@@ -88,71 +76,97 @@
 	}
 }
 
+// fillFields fills the fields of a struct that JSON shows.
+func fillFields(v reflect.Value, path string) {
+	for i := range v.NumField() {
+		field := v.Type().Field(i)
+		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+		switch {
+		case name == "-" || !field.IsExported():
+		case name == "" && field.Anonymous:
+			fill(v.Field(i), path)
+		case name == "":
+			fill(v.Field(i), path+"."+field.Name)
+		default:
+			fill(v.Field(i), path+"."+name)
+		}
+	}
+}
+
+// filled returns a filled value.
 func filled[T any](path string) *T {
 	v := new(T)
 	fill(reflect.ValueOf(v).Elem(), path)
 	return v
 }
 
-// fillMessage sets all fields of a message to what their names give.
-func fillMessage(m protoreflect.Message, path string) {
-	fields := m.Descriptor().Fields()
+// fillMessage sets all fields of a message to values derived from their names.
+func fillMessage(message protoreflect.Message, path string) {
+	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
-		f := fields.Get(i)
-		at := path + "." + string(f.Name())
-		one := func(v protoreflect.Value, at string) protoreflect.Value {
-			n := number(at)
-			switch f.Kind() {
-			case protoreflect.MessageKind:
-				fillMessage(v.Message(), at)
-				return v
-			case protoreflect.EnumKind:
-				all := f.Enum().Values()
-				return protoreflect.ValueOfEnum(all.Get(1 + int(n)%(all.Len()-1)).Number())
-			case protoreflect.StringKind:
-				return protoreflect.ValueOfString(at)
-			case protoreflect.BytesKind:
-				return protoreflect.ValueOfBytes([]byte(at))
-			case protoreflect.BoolKind:
-				return protoreflect.ValueOfBool(true)
-			case protoreflect.Uint32Kind:
-				return protoreflect.ValueOfUint32(uint32(n))
-			case protoreflect.Uint64Kind, protoreflect.Fixed64Kind:
-				return protoreflect.ValueOfUint64(n)
-			case protoreflect.Int64Kind:
-				return protoreflect.ValueOfInt64(int64(n))
-			case protoreflect.DoubleKind:
-				return protoreflect.ValueOfFloat64(float64(n) + 0.5)
-			}
-			panic(at + ": no value for a " + f.Kind().String())
-		}
-		if !f.IsList() {
-			m.Set(f, one(m.NewField(f), at))
+		field := fields.Get(i)
+		fieldPath := path + "." + string(field.Name())
+		if !field.IsList() {
+			message.Set(field, fieldValue(field, message.NewField(field), fieldPath))
 			continue
 		}
-		list := m.Mutable(f).List()
+		list := message.Mutable(field).List()
 		for i := range 2 {
-			list.Append(one(list.NewElement(), fmt.Sprintf("%s[%d]", at, i)))
+			list.Append(fieldValue(field, list.NewElement(), fmt.Sprintf("%s[%d]", fieldPath, i)))
 		}
 	}
 }
 
-// same compares what is written now with a golden file, as JSON: the order of fields does not
-// count. It returns what the file has.
+// fieldValue returns a value for a field or an element of it; empty is the empty value.
+func fieldValue(field protoreflect.FieldDescriptor, empty protoreflect.Value, path string) protoreflect.Value {
+	n := number(path)
+	switch field.Kind() {
+	case protoreflect.MessageKind:
+		fillMessage(empty.Message(), path)
+		return empty
+	case protoreflect.EnumKind:
+		values := field.Enum().Values()
+		return protoreflect.ValueOfEnum(values.Get(1 + int(n)%(values.Len()-1)).Number())
+	case protoreflect.StringKind:
+		return protoreflect.ValueOfString(path)
+	case protoreflect.BytesKind:
+		return protoreflect.ValueOfBytes([]byte(path))
+	case protoreflect.BoolKind:
+		return protoreflect.ValueOfBool(true)
+	case protoreflect.Uint32Kind:
+		return protoreflect.ValueOfUint32(uint32(n))
+	case protoreflect.Uint64Kind, protoreflect.Fixed64Kind:
+		return protoreflect.ValueOfUint64(n)
+	case protoreflect.Int64Kind:
+		return protoreflect.ValueOfInt64(int64(n))
+	case protoreflect.DoubleKind:
+		return protoreflect.ValueOfFloat64(float64(n) + 0.5)
+	}
+	panic(path + ": no value for a " + field.Kind().String())
+}
+
+// writeGolden writes a golden file anew.
+func writeGolden(t *testing.T, file string, got map[string]any) {
+	t.Helper()
+	var text bytes.Buffer
+	encoder := json.NewEncoder(&text)
+	encoder.SetEscapeHTML(false)
+	encoder.SetIndent("", " ")
+	if err := encoder.Encode(got); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(file, text.Bytes(), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// same compares what is written now with a golden file, as JSON: the order of fields does not count. It returns the
+// contents of the file.
 func same(t *testing.T, file string, got map[string]any) map[string]json.RawMessage {
 	t.Helper()
 	file = "testdata/" + file + ".json"
 	if *update {
-		var b bytes.Buffer
-		e := json.NewEncoder(&b)
-		e.SetEscapeHTML(false)
-		e.SetIndent("", " ")
-		if err := e.Encode(got); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, b.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
+		writeGolden(t, file, got)
 	}
 	raw, err := os.ReadFile(file)
 	want := map[string]json.RawMessage{}
@@ -161,7 +175,7 @@
 	}
 	for name := range want {
 		if _, ok := got[name]; !ok {
-			t.Errorf("%s: %s is written no more", file, name)
+			t.Errorf("%s: %s is no longer written", file, name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(got)) {
@@ -169,32 +183,37 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		is, was := leaves(t, raw), leaves(t, want[name])
-		for _, k := range slices.Sorted(maps.Keys(was)) {
-			if v, ok := is[k]; !ok || v != was[k] {
-				t.Errorf("%s: %s%s is %q, was %q", file, name, k, v, was[k])
-			}
+		compareLeaves(t, file+": "+name, leaves(t, raw), leaves(t, want[name]))
+	}
+	return want
+}
+
+// compareLeaves reports every path whose value differs, or that is in one of two texts only.
+func compareLeaves(t *testing.T, what string, got, want map[string]string) {
+	t.Helper()
+	for _, path := range slices.Sorted(maps.Keys(want)) {
+		if value, ok := got[path]; !ok || value != want[path] {
+			t.Errorf("%s%s is %q, was %q", what, path, value, want[path])
 		}
-		for _, k := range slices.Sorted(maps.Keys(is)) {
-			if _, ok := was[k]; !ok {
-				t.Errorf("%s: %s%s is new: %q", file, name, k, is[k])
-			}
+	}
+	for _, path := range slices.Sorted(maps.Keys(got)) {
+		if _, ok := want[path]; !ok {
+			t.Errorf("%s%s is new: %q", what, path, got[path])
 		}
 	}
-	return want
 }
 
-// leaves lists all of a JSON text by its paths.
+// leaves returns all values of a JSON text by their paths.
 func leaves(t *testing.T, raw []byte) map[string]string {
 	t.Helper()
 	out := map[string]string{}
 	if raw == nil { // not in the file
 		return out
 	}
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
 	var tree any
-	if err := d.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		t.Fatalf("%s: %v", raw, err)
 	}
 	var walk func(path string, v any)
@@ -202,13 +221,13 @@
 		switch v := v.(type) {
 		case map[string]any:
 			out[path] = "an object"
-			for k, x := range v {
-				walk(path+"."+k, x)
+			for key, value := range v {
+				walk(path+"."+key, value)
 			}
 		case []any:
 			out[path] = fmt.Sprintf("a list of %d", len(v))
-			for i, x := range v {
-				walk(fmt.Sprintf("%s[%d]", path, i), x)
+			for i, value := range v {
+				walk(fmt.Sprintf("%s[%d]", path, i), value)
 			}
 		case string:
 			out[path] = fmt.Sprintf("text %s", v)
@@ -220,13 +239,13 @@
 	return out
 }
 
-// written is a value with everything in it, and one with nothing: that shows what is left out.
+// written is a value with everything set, and one with nothing set: that shows what is omitted.
 type written struct {
 	Filled json.RawMessage `json:"filled"`
 	Zero   json.RawMessage `json:"zero"`
 }
 
-// checkTypes writes a value of each type, compares it with a golden file, and reads what that has.
+// checkTypes writes a value of each type, compares it with a golden file, and reads the value in the file.
 func checkTypes(t *testing.T, file string, types map[string]any) {
 	t.Helper()
 	got, full := map[string]any{}, map[string]any{}
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -13,13 +13,13 @@
 	pb "dewlift/proto"
 )
 
-// message is one with everything in it.
+// message is a message with everything set, in both its encodings.
 type message struct {
 	Binary []byte   `json:"binary"`
 	Text   []string `json:"text"`
 }
 
-// Every message of proto, as bytes and as text: what is stored, and the files of operators.
+// Every message of proto must keep its binary form, which is stored, and its text form, which is in operators' files.
 func TestMessages(t *testing.T) {
 	all := map[string]protobuf.Message{
 		"rights":      &pb.Access{},
@@ -38,19 +38,19 @@
 		"about":       &pb.About{},
 	}
 	got := map[string]any{}
-	for name, m := range all {
-		fillMessage(m.ProtoReflect(), name)
-		raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(m)
+	for name, filledMessage := range all {
+		fillMessage(filledMessage.ProtoReflect(), name)
+		raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(filledMessage)
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, err := prototext.MarshalOptions{Multiline: true}.Marshal(m)
+		text, err := prototext.MarshalOptions{Multiline: true}.Marshal(filledMessage)
 		if err != nil {
 			t.Fatal(err)
 		}
 		lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-		for i, l := range lines { // how much space there is differs from build to build
-			lines[i] = strings.Join(strings.Fields(l), " ")
+		for i, line := range lines { // the amount of white space differs from build to build
+			lines[i] = strings.Join(strings.Fields(line), " ")
 		}
 		got[name] = message{raw, lines}
 	}
@@ -62,29 +62,29 @@
 		if err := json.Unmarshal(raw, &was); err != nil {
 			t.Fatal(err)
 		}
-		m := all[name].ProtoReflect().New().Interface()
-		if err := protobuf.Unmarshal(was.Binary, m); err != nil || !protobuf.Equal(m, all[name]) {
-			t.Errorf("%s is read as %v (%v)", name, m, err)
+		decoded := all[name].ProtoReflect().New().Interface()
+		if err := protobuf.Unmarshal(was.Binary, decoded); err != nil || !protobuf.Equal(decoded, all[name]) {
+			t.Errorf("%s is read as %v (%v)", name, decoded, err)
 		}
-		if err := prototext.Unmarshal([]byte(strings.Join(was.Text, "\n")), m); err != nil ||
-			!protobuf.Equal(m, all[name]) {
-			t.Errorf("the text of %s is read as %v (%v)", name, m, err)
+		if err := prototext.Unmarshal([]byte(strings.Join(was.Text, "\n")), decoded); err != nil ||
+			!protobuf.Equal(decoded, all[name]) {
+			t.Errorf("the text of %s is read as %v (%v)", name, decoded, err)
 		}
 	}
 }
 
-// The names of what messages choose from: they are in texts and answers.
+// The names of enum values must stay: they are in texts and responses.
 func TestChoices(t *testing.T) {
 	got := map[string]any{}
-	for name, e := range map[string]protoreflect.Enum{
+	for name, enum := range map[string]protoreflect.Enum{
 		"verb":    pb.Verb(0),
 		"outcome": pb.AuditOutcome(0),
 		"booking": pb.BookingState(0),
 	} {
 		var list []string
-		for v := range e.Descriptor().Values().Len() {
-			x := e.Descriptor().Values().Get(v)
-			list = append(list, fmt.Sprint(x.Number(), " ", x.Name()))
+		for v := range enum.Descriptor().Values().Len() {
+			value := enum.Descriptor().Values().Get(v)
+			list = append(list, fmt.Sprint(value.Number(), " ", value.Name()))
 		}
 		got[name] = list
 	}
--- a/internal/previousversion/previousversion.go
+++ b/internal/previousversion/previousversion.go
@@ -1,7 +1,8 @@
-// Package previousversion holds the record and message types of the version that runs in production,
-// frozen as they were there, for tests: what a new version writes while an old process may be
-// running is read in the old one's own terms, and simulated old controllers see only what the
-// old one understood. testdata was written by that version itself, in a simulated world.
+// Package previousversion holds the record and message types of the previous version, which runs in production,
+// frozen as they were, for tests: what a new version writes while a process of the previous one may be running is
+// read in the previous version's terms, and simulated controllers of that version see only what it understood. The
+// package decides nothing and must not follow changes of the current types. Names in tags, and of fields without a
+// tag, are those on the wire. testdata was written by the previous version itself, in a simulation.
 package previousversion
 
 import (
@@ -11,9 +12,9 @@
 	"strings"
 )
 
-const maxTasks = 100_000
+const maxTasks = 100_000 // of a job
 
-// Spec is a job's description.
+// Spec is the specification of a job.
 type Spec struct {
 	Class        string   `json:"cl,omitempty"`
 	Team         string   `json:"tm"`
@@ -33,7 +34,7 @@
 	Checkpoints  bool     `json:"cp,omitempty"`
 }
 
-// Record is a job as the state service holds it.
+// Record is a job as it is stored.
 type Record struct {
 	Shard       int               `json:"h"`
 	Stage       string            `json:"st,omitempty"`
@@ -51,7 +52,9 @@
 	} `json:"w,omitempty"`
 }
 
-// AssignmentGroup lists assignments in one zone and session.
+// AssignmentGroup holds assignments to machines of one zone and incarnation, in lists. Each machine has a number of
+// runs; a run is three numbers of Tasks: the first task, its attempt, and how many consecutive tasks and attempts
+// follow.
 type AssignmentGroup struct {
 	Zone        string   `json:"z"`
 	Incarnation uint64   `json:"s"`
@@ -61,87 +64,103 @@
 	Tasks       []uint64 `json:"r"`
 }
 
-// LeasedKey is a leased key.
+// LeasedKey is the value of a key that is attached to a lease.
 type LeasedKey struct {
 	Node         string `json:"n"`
 	Lease        uint64 `json:"t"`
 	FencingToken uint64 `json:"b"`
 }
 
-// Assignment is a task on a machine.
+// Assignment is an attempt of a task on a machine.
 type Assignment struct {
 	Machine       string
 	Incarnation   uint64
 	Task, Attempt uint64
 }
 
-// Assignments lists what a record says of its tasks; false if the lists do not fit together.
+// Assignments expands the assignments of a record; false if its lists are inconsistent.
 func (r *Record) Assignments() ([]Assignment, bool) {
 	var out []Assignment
-	for _, p := range r.Groups {
-		at := 0
-		if len(p.Names) != len(p.Runs) {
+	for _, group := range r.Groups {
+		if len(group.Names) != len(group.Runs) {
 			return nil, false
 		}
-		for i, name := range p.Names {
-			for range p.Runs[i] {
-				if at+3 > len(p.Tasks) || p.Tasks[at] >= maxTasks || p.Tasks[at+2] > maxTasks-p.Tasks[at] {
+		next := 0 // in group.Tasks
+		for i, name := range group.Names {
+			for range group.Runs[i] {
+				if next+3 > len(group.Tasks) {
 					return nil, false
 				}
-				for k := range p.Tasks[at+2] {
-					out = append(out, Assignment{p.Prefix + name, p.Incarnation, p.Tasks[at] + k, p.Tasks[at+1] + k})
+				task, attempt, count := group.Tasks[next], group.Tasks[next+1], group.Tasks[next+2]
+				if task >= maxTasks || count > maxTasks-task {
+					return nil, false
+				}
+				for k := range count {
+					out = append(out, Assignment{group.Prefix + name, group.Incarnation, task + k, attempt + k})
 				}
-				at += 3
+				next += 3
 			}
 		}
-		if at != len(p.Tasks) {
+		if next != len(group.Tasks) {
 			return nil, false
 		}
 	}
 	return out, true
 }
 
-// ReadRecord reads a job's record as the old version did.
+var (
+	errBadDoneSet     = errors.New("bad done set")
+	errBadAssignments = errors.New("bad assignments")
+)
+
+// ReadRecord reads a job's record as the previous version did.
 func ReadRecord(raw json.RawMessage) (*Record, error) {
-	var r Record
-	if err := json.Unmarshal(raw, &r); err != nil {
+	var record Record
+	if err := json.Unmarshal(raw, &record); err != nil {
 		return nil, fmt.Errorf("job record: %w", err)
 	}
-	if r.Spec != nil {
-		last := -2
-		if len(r.Done)%2 != 0 {
-			return nil, errors.New("bad done set")
-		}
-		for i := 0; i < len(r.Done); i += 2 {
-			if r.Done[i] <= last || r.Done[i+1] < r.Done[i] || r.Done[i+1] >= r.Spec.Tasks {
-				return nil, errors.New("bad done set")
-			}
-			last = r.Done[i+1]
-		}
+	if record.Spec != nil && !record.isDoneSetValid() {
+		return nil, errBadDoneSet
 	}
-	if _, ok := r.Assignments(); !ok {
-		return nil, errors.New("bad assignments")
+	if _, ok := record.Assignments(); !ok {
+		return nil, errBadAssignments
 	}
-	return &r, nil
+	return &record, nil
 }
 
-// RoundTripValue is a key's value as the old version understood it, without the fields that it did not
-// know; ok is false for a key that it ignored, and err tells that it could not read it.
+// isDoneSetValid reports whether the done tasks are ascending ranges of first and last task.
+func (r *Record) isDoneSetValid() bool {
+	if len(r.Done)%2 != 0 {
+		return false
+	}
+	previous := -2
+	for i := 0; i < len(r.Done); i += 2 {
+		first, last := r.Done[i], r.Done[i+1]
+		if first <= previous || last < first || last >= r.Spec.Tasks {
+			return false
+		}
+		previous = last
+	}
+	return true
+}
+
+// RoundTripValue returns a key's value as the previous version understood it, without the fields that it did not
+// know. ok is false for a key that it ignored; err is set if it could not read the value.
 func RoundTripValue(key string, raw json.RawMessage) (value json.RawMessage, ok bool, err error) {
 	switch {
 	case strings.HasPrefix(key, "dl/job/"):
-		r, err := ReadRecord(raw)
+		record, err := ReadRecord(raw)
 		if err != nil {
 			return nil, true, err
 		}
-		value, err = json.Marshal(r)
+		value, err = json.Marshal(record)
 		return value, true, err
 	case key == "dl/leader", strings.HasPrefix(key, "dl/node/"), strings.HasPrefix(key, "dl/shard/"):
-		var h LeasedKey
-		if err := json.Unmarshal(raw, &h); err != nil {
-			return nil, true, err
+		var leased LeasedKey
+		if err := json.Unmarshal(raw, &leased); err != nil {
+			return nil, true, fmt.Errorf("leased key: %w", err)
 		}
-		value, err = json.Marshal(h)
+		value, err = json.Marshal(leased)
 		return value, true, err
 	case key == "dl/epoch", key == "dl/types", strings.HasPrefix(key, "dl/team/"):
 		return raw, true, nil
@@ -152,6 +171,7 @@
 // Resources is an amount of CPU, GPU and memory.
 type Resources = [3]int64
 
+// taskStatus is the status of a task in a heartbeat.
 type taskStatus struct {
 	Task    string `json:"piece"`
 	Attempt uint64 `json:"try"`
@@ -160,6 +180,7 @@
 	Kept    bool   `json:"kept,omitempty"`
 }
 
+// heartbeat is a heartbeat of an agent that a controller relays.
 type heartbeat struct {
 	Machine      string       `json:"hearth"`
 	Addr         string       `json:"address"`
@@ -173,6 +194,7 @@
 	Tasks        []taskStatus `json:"pieces"`
 }
 
+// command is an agent command.
 type command struct {
 	Op      string   `json:"order"`
 	Task    string   `json:"piece"`
@@ -180,7 +202,7 @@
 	GraceS  *float64 `json:"damp_s,omitempty"`
 }
 
-// Message is a message between controllers.
+// Message is a message between controllers. Fields without a tag keep their names: these are on the wire.
 type Message struct {
 	To           string `json:"to,omitempty"`
 	From         string `json:"fr,omitempty"`
