--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -14,6 +14,7 @@
 	"dewlift/wire"
 	"encoding/json"
 	"errors"
+	"maps"
 	"reflect"
 	"slices"
 	"testing"
@@ -24,41 +25,43 @@
 	pb "dewlift/proto"
 )
 
-// stored is a value of the state service, or a file: how it is written, and what it is read as.
+// stored is a value of the store, or a file: how it is written, and what it is read as.
 type stored struct {
 	write func() ([]byte, error)
 	read  func(raw []byte) (any, error)
 	want  any
 }
 
-// messageOf is a filled one.
-func messageOf[T protobuf.Message](m T, path string) T {
-	fillMessage(m.ProtoReflect(), path)
-	return m
+// messageOf fills a message.
+func messageOf[T protobuf.Message](message T, path string) T {
+	fillMessage(message.ProtoReflect(), path)
+	return message
 }
 
-// equal compares messages as such.
+// equal compares messages by their contents and other values deeply.
 func equal(got, want any) bool {
-	if m, ok := want.(protobuf.Message); ok {
-		have, ok := got.(protobuf.Message)
-		return ok && protobuf.Equal(have, m)
+	if wantMessage, ok := want.(protobuf.Message); ok {
+		gotMessage, ok := got.(protobuf.Message)
+		return ok && protobuf.Equal(gotMessage, wantMessage)
 	}
 	return reflect.DeepEqual(got, want)
 }
 
-// placed is a record with its assignments.
+// placed is a record with its expanded assignments.
 type placed struct {
 	record jobrecord.Record
 	place  []jobrecord.Assignment
 }
 
+// machine is a machine as a record refers to it.
 type machine struct{ name, zone string }
 
-// storedRecord is a job's record with everything in it, on machines.
+// storedRecord is a job's record with everything set and tasks on machines.
 func storedRecord(machines []machine, packed bool) stored {
-	r := filled[jobrecord.Record]("record")
-	r.Assignments, r.PackedLists, r.CompletedTasks, r.Spec.Tasks = nil, nil, jobrecord.TaskSet{0, 2, 9, 9}, 40
-	place := []jobrecord.Assignment{
+	record := filled[jobrecord.Record]("record")
+	record.Assignments, record.PackedLists = nil, nil
+	record.CompletedTasks, record.Spec.Tasks = jobrecord.TaskSet{0, 2, 9, 9}, 40
+	assignments := []jobrecord.Assignment{
 		{Task: 3, Machine: 0, Incarnation: 5, Attempt: 7},
 		{Task: 4, Machine: 0, Incarnation: 5, Attempt: 8},
 		{Task: 12, Machine: 0, Incarnation: 5, Attempt: 30},
@@ -68,35 +71,32 @@
 	}
 	return stored{
 		write: func() ([]byte, error) {
-			return jobrecord.Encode(
-				r,
-				place,
-				packed,
-				func(m int32) (string, string) { return machines[m].name, machines[m].zone },
-			)
+			return jobrecord.Encode(record, assignments, packed, func(index int32) (name, zone string) {
+				return machines[index].name, machines[index].zone
+			})
 		},
 		read: func(raw []byte) (any, error) {
 			got, err := jobrecord.Decode(raw)
 			if err != nil {
 				return nil, err
 			}
-			list := got.ExpandAssignments(
-				func(name, zone string) int32 { return int32(slices.Index(machines, machine{name, zone})) },
-			)
+			list := got.ExpandAssignments(func(name, zone string) int32 {
+				return int32(slices.Index(machines, machine{name, zone}))
+			})
 			slices.SortFunc(list, func(a, b jobrecord.Assignment) int {
 				return cmp.Or(cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.Task, b.Task))
 			})
 			got.Assignments = nil
 			return placed{*got, list}, nil
 		},
-		want: placed{*r, place},
+		want: placed{*record, assignments},
 	}
 }
 
 // plainRecord is a record without assignments.
-func plainRecord(r jobrecord.Record) stored {
+func plainRecord(record jobrecord.Record) stored {
 	return stored{
-		write: func() ([]byte, error) { return jobrecord.Encode(&r, nil, false, nil) },
+		write: func() ([]byte, error) { return jobrecord.Encode(&record, nil, false, nil) },
 		read: func(raw []byte) (any, error) {
 			got, err := jobrecord.Decode(raw)
 			if err != nil {
@@ -104,93 +104,90 @@
 			}
 			return *got, nil
 		},
-		want: r,
+		want: record,
 	}
 }
 
-func storedMessage(m protobuf.Message) stored {
+// storedMessage is a message that is stored packed.
+func storedMessage(message protobuf.Message) stored {
 	return stored{
-		write: func() ([]byte, error) { return jobrecord.PackMessage(m) },
+		write: func() ([]byte, error) { return jobrecord.PackMessage(message) },
 		read: func(raw []byte) (any, error) {
-			got := m.ProtoReflect().New().Interface()
+			got := message.ProtoReflect().New().Interface()
 			return got, jobrecord.UnpackMessage(raw, got)
 		},
-		want: m,
+		want: message,
 	}
 }
 
-func storedCatalog(most int) stored {
-	k := filled[wire.Catalog]("types")
+// storedCatalog is the catalog, packed if it has more than maxBytes.
+func storedCatalog(maxBytes int) stored {
+	catalog := filled[wire.Catalog]("types")
 	return stored{
-		write: func() ([]byte, error) { return jobrecord.EncodeCatalog(k, most, true) },
+		write: func() ([]byte, error) { return jobrecord.EncodeCatalog(catalog, maxBytes, true) },
 		read:  func(raw []byte) (any, error) { return jobrecord.DecodeCatalog(raw) },
-		want:  *k,
+		want:  *catalog,
 	}
 }
 
 var auditKey = audit.Key("a key of thirty-two bytes or more")
 
-// storedBlock is a block of an audit chain behind a head.
+// storedBlock is a block of an audit chain after a head.
 func storedBlock() stored {
-	h := filled[audit.Head]("head")
-	entries := []*pb.AuditEntry{messageOf(&pb.AuditEntry{}, "first"), messageOf(&pb.AuditEntry{}, "second")}
+	const clockErrorMS = 250
+	head := filled[audit.Head]("head")
+	var entries [][]byte
+	for _, name := range []string{"first", "second"} {
+		entries = append(entries, audit.Encode(messageOf(&pb.AuditEntry{}, name)))
+	}
 	return stored{
 		write: func() ([]byte, error) {
-			raw, n, _, err := auditKey.EncodeNextBlock(
-				h,
-				"node-a",
-				250,
-				[][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])},
-				1<<20,
-			)
-			if n != 2 {
+			raw, count, _, err := auditKey.EncodeNextBlock(head, "node-a", clockErrorMS, entries, 1<<20)
+			if count != len(entries) {
 				return nil, errors.New("not all entries are in the block")
 			}
 			return raw, err
 		},
 		read: func(raw []byte) (any, error) {
-			c := audit.ChainVerifier{
+			chain := audit.ChainVerifier{
 				Node:        "node-a",
 				Keys:        []audit.Key{auditKey},
-				BlockNumber: h.BlockNumber,
-				MAC:         h.MAC,
+				BlockNumber: head.BlockNumber,
+				MAC:         head.MAC,
 			}
-			b, err := c.VerifyNext(h.BlockNumber+1, raw)
+			block, err := chain.VerifyNext(head.BlockNumber+1, raw)
 			if err != nil {
 				return nil, err
 			}
-			out := &pb.AuditBlock{Number: b.Number, BoundMs: b.ClockErrorMS}
-			for _, e := range b.Entries {
-				out.Entries = append(out.Entries, audit.Encode(e))
+			out := &pb.AuditBlock{Number: block.Number, BoundMs: block.ClockErrorMS}
+			for _, entry := range block.Entries {
+				out.Entries = append(out.Entries, audit.Encode(entry))
 			}
 			return out, nil
 		},
-		want: &pb.AuditBlock{
-			Number:  h.BlockNumber + 1,
-			BoundMs: 250,
-			Entries: [][]byte{audit.Encode(entries[0]), audit.Encode(entries[1])},
-		},
+		want: &pb.AuditBlock{Number: head.BlockNumber + 1, BoundMs: clockErrorMS, Entries: entries},
 	}
 }
 
-// storedCarried is an entry as a value carries it.
+// storedCarried is an audit entry as a stored value carries it.
 func storedCarried() stored {
-	e := messageOf(&pb.AuditEntry{}, "carried")
+	entry := messageOf(&pb.AuditEntry{}, "carried")
 	return stored{
-		write: func() ([]byte, error) { return json.Marshal(auditKey.SignEntry("node-a", "dl/job/wk-1", e)) },
+		write: func() ([]byte, error) { return json.Marshal(auditKey.SignEntry("node-a", "dl/job/wk-1", entry)) },
 		read: func(raw []byte) (any, error) {
-			var c audit.PendingEntry
-			if err := json.Unmarshal(raw, &c); err != nil {
+			var pending audit.PendingEntry
+			if err := json.Unmarshal(raw, &pending); err != nil {
 				return nil, err
 			}
-			return auditKey.VerifyEntry("dl/job/wk-1", &c)
+			return auditKey.VerifyEntry("dl/job/wk-1", &pending)
 		},
-		want: e,
+		want: entry,
 	}
 }
 
+// storedArchive is a block of the archive.
 func storedArchive() stored {
-	b := &archive.Block{Low: "wk-", High: archive.MaxID, Entries: []archive.Entry{
+	block := &archive.Block{Low: "wk-", High: archive.MaxID, Entries: []archive.Entry{
 		{ID: "wk-1", CompletedTasks: 7, Team: "team", Class: "class"},
 		{
 			ID:             "wk-12",
@@ -204,9 +201,9 @@
 		{ID: "wk-3", CompletedTasks: 100_000},
 	}}
 	return stored{
-		write: func() ([]byte, error) { return b.Encode() },
+		write: func() ([]byte, error) { return block.Encode() },
 		read:  func(raw []byte) (any, error) { return archive.Decode(raw) },
-		want:  b,
+		want:  block,
 	}
 }
 
@@ -218,44 +215,41 @@
 	want.Keys = append(want.Keys, &pb.Key{Name: "trailer of 2 parts", Mark: 77, Value: []byte("1700000000123")})
 	return stored{
 		write: func() ([]byte, error) {
-			var b bytes.Buffer
-			w, err := snapshot.NewWriter(&b)
+			var file bytes.Buffer
+			writer, err := snapshot.NewWriter(&file)
 			if err != nil {
 				return nil, err
 			}
-			for _, k := range keys.Keys {
-				if err := w.Add(k); err != nil {
+			for _, key := range keys.Keys {
+				if err := writer.Add(key); err != nil {
 					return nil, err
 				}
 			}
-			err = w.Close(77, time.UnixMilli(1_700_000_000_123))
-			return b.Bytes(), err
+			err = writer.Close(77, time.UnixMilli(1_700_000_000_123))
+			return file.Bytes(), err
 		},
 		read: func(raw []byte) (any, error) {
 			var out pb.Keys
-			t, err := snapshot.Read(bytes.NewReader(raw), func(k *pb.Key) error {
-				out.Keys = append(out.Keys, k)
+			trailer, err := snapshot.Read(bytes.NewReader(raw), func(key *pb.Key) error {
+				out.Keys = append(out.Keys, key)
 				return nil
 			})
 			if err != nil {
 				return nil, err
 			}
-			if t.Version != 1 || t.Parts != 2 || t.Keys != 2 {
+			if trailer.Version != 1 || trailer.Parts != 2 || trailer.Keys != 2 {
 				return nil, errors.New("other parts or keys")
 			}
-			taken, err := json.Marshal(t.TakenMs)
-			out.Keys = append(out.Keys, &pb.Key{Name: "trailer of 2 parts", Mark: t.Ledger, Value: taken})
+			taken, err := json.Marshal(trailer.TakenMs)
+			out.Keys = append(out.Keys, &pb.Key{Name: "trailer of 2 parts", Mark: trailer.Ledger, Value: taken})
 			return &out, err
 		},
 		want: want,
 	}
 }
 
-// Every stored value that has exported types, in all its forms: the same bytes are written, and
-// those of before are read.
-func TestStored(t *testing.T) {
-	numbers := []machine{{"m-001", "a"}, {"m-017", "a"}, {"m-900", "b"}, {"m-002", "c"}}
-	words := []machine{{"kiln-ab", "a"}, {"kiln-cdé", "a"}, {"oven", "b"}, {"x", "c"}}
+// plainRecords are records without assignments, by what they are of.
+func plainRecords() map[string]stored {
 	entry := jobrecord.Record{
 		WriteNumber:    7,
 		Shard:          3,
@@ -282,50 +276,105 @@
 		Team:           "team",
 		Class:          "class",
 	}
-	entries := batchvalue.Entries{
-		"wk-1": json.RawMessage(`{"h":3,"v":7}`),
-		"wk-2": json.RawMessage(`{"h":3,"v":8,"d":[0,1]}`),
+	return map[string]stored{
+		"record, nothing in it":        plainRecord(jobrecord.Record{}),
+		"record of a job that is done": plainRecord(ended),
+		"record of a cancelled job":    plainRecord(cancelled),
+		"entry of a shared value":      plainRecord(entry),
 	}
-	list := messageOf(&pb.Equipment{}, "list")
-	restored := storedRecord(numbers, false)
+}
+
+// assignedRecords are records with assignments, which are stored in different forms.
+func assignedRecords() map[string]stored {
+	numbers := []machine{{"m-001", "a"}, {"m-017", "a"}, {"m-900", "b"}, {"m-002", "c"}}
+	words := []machine{{"kiln-ab", "a"}, {"kiln-cdé", "a"}, {"oven", "b"}, {"x", "c"}}
+	return map[string]stored{
+		"record, machines by number":                  storedRecord(numbers, false),
+		"record, machines by number, packed":          storedRecord(numbers, true),
+		"record, machines by name":                    storedRecord(words, false),
+		"record, machines by name, packed":            storedRecord(words, true),
+		"record that was restored":                    restoredRecord(storedRecord(numbers, false)),
+		"record that was restored for the first time": firstRestoredRecord(),
+	}
+}
+
+// readOrder reads what determines a job's position in the queue.
+func readOrder(raw []byte) (any, error) {
+	got, err := jobrecord.Decode(raw)
+	if err != nil {
+		return nil, err
+	}
+	return []uint64{got.EnqueueRevision, got.RestoreOrder}, nil
+}
+
+// restoredRecord is a record that was restored before and is prepared for a restore again.
+func restoredRecord(record stored) stored {
+	return stored{
+		write: func() ([]byte, error) {
+			raw, err := record.write()
+			return jobrecord.PrepareForRestore(raw, 7, 2_000_000), err
+		},
+		read: readOrder,
+		want: []uint64{0, 2_000_001 + number("record.ob")},
+	}
+}
+
+// firstRestoredRecord is a record that is prepared for its first restore.
+func firstRestoredRecord() stored {
 	first := jobrecord.Record{WriteNumber: 1, Shard: 2, EnqueueRevision: 11, Spec: filled[wire.JobSpec]("spec")}
-	all := map[string]stored{
-		"record, machines by number":         storedRecord(numbers, false),
-		"record, machines by number, packed": storedRecord(numbers, true),
-		"record, machines by name":           storedRecord(words, false),
-		"record, machines by name, packed":   storedRecord(words, true),
-		"record, nothing in it":              plainRecord(jobrecord.Record{}),
-		"record of a job that is done":       plainRecord(ended),
-		"record of a cancelled job":          plainRecord(cancelled),
-		"entry of a shared value":            plainRecord(entry),
-		"record that was restored": {
-			write: func() ([]byte, error) {
-				raw, err := restored.write()
-				return jobrecord.PrepareForRestore(raw, 7, 2_000_000), err
-			},
-			read: func(raw []byte) (any, error) {
-				got, err := jobrecord.Decode(raw)
-				if err != nil {
-					return nil, err
-				}
-				return []uint64{got.EnqueueRevision, got.RestoreOrder}, nil
-			},
-			want: []uint64{0, 2_000_001 + number("record.ob")},
+	return stored{
+		write: func() ([]byte, error) {
+			raw, err := jobrecord.Encode(&first, nil, false, nil)
+			return jobrecord.PrepareForRestore(raw, 7, 30), err
 		},
-		"record that was restored for the first time": {
-			write: func() ([]byte, error) {
-				raw, err := jobrecord.Encode(&first, nil, false, nil)
-				return jobrecord.PrepareForRestore(raw, 7, 30), err
-			},
-			read: func(raw []byte) (any, error) {
-				got, err := jobrecord.Decode(raw)
-				if err != nil {
-					return nil, err
-				}
-				return []uint64{got.EnqueueRevision, got.RestoreOrder}, nil
-			},
-			want: []uint64{0, 20},
+		read: readOrder,
+		want: []uint64{0, 20},
+	}
+}
+
+// storedInventory is the inventory of equipment.
+func storedInventory() stored {
+	list := messageOf(&pb.Equipment{}, "list")
+	return stored{
+		write: func() ([]byte, error) { return reservations.EncodeInventory(list) },
+		// core/reservations reads it; here it is the packed message under another name
+		read: func(raw []byte) (any, error) {
+			var packed struct {
+				Data []byte `json:"p"`
+			}
+			if err := json.Unmarshal(raw, &packed); err != nil {
+				return nil, err
+			}
+			again, err := json.Marshal(map[string][]byte{"b": packed.Data})
+			if err != nil {
+				return nil, err
+			}
+			got := &pb.Equipment{}
+			return got, jobrecord.UnpackMessage(again, got)
 		},
+		want: list,
+	}
+}
+
+// storedAuditHead is the head of an audit chain.
+func storedAuditHead() stored {
+	return stored{
+		write: func() ([]byte, error) { return json.Marshal(filled[audit.Head]("head")) },
+		read: func(raw []byte) (any, error) {
+			head := &audit.Head{}
+			return head, json.Unmarshal(raw, head)
+		},
+		want: filled[audit.Head]("head"),
+	}
+}
+
+// otherValues are all stored values but records, and the file of a snapshot.
+func otherValues() map[string]stored {
+	entries := batchvalue.Entries{
+		"wk-1": json.RawMessage(`{"h":3,"v":7}`),
+		"wk-2": json.RawMessage(`{"h":3,"v":8,"d":[0,1]}`),
+	}
+	return map[string]stored{
 		"shared value": {
 			write: func() ([]byte, error) { return entries.Encode() },
 			read:  func(raw []byte) (any, error) { return batchvalue.Decode(raw) },
@@ -336,41 +385,25 @@
 		"roles":                 storedMessage(&pb.Access{Roles: messageOf(&pb.Access{}, "roles").Roles}),
 		"identity":              storedMessage(messageOf(&pb.Identity{}, "identity")),
 		"lanes":                 storedMessage(messageOf(&pb.Lanes{}, "lanes")),
-		"list of equipment": {
-			write: func() ([]byte, error) { return reservations.EncodeInventory(list) },
-			// core/booking reads it; here it is the packed message, under another name
-			read: func(raw []byte) (any, error) {
-				var v struct {
-					Data []byte `json:"p"`
-				}
-				if err := json.Unmarshal(raw, &v); err != nil {
-					return nil, err
-				}
-				again, err := json.Marshal(map[string][]byte{"b": v.Data})
-				if err != nil {
-					return nil, err
-				}
-				got := &pb.Equipment{}
-				return got, jobrecord.UnpackMessage(again, got)
-			},
-			want: list,
-		},
-		"audit block":   storedBlock(),
-		"carried entry": storedCarried(),
-		"audit head": {
-			write: func() ([]byte, error) { return json.Marshal(filled[audit.Head]("head")) },
-			read: func(raw []byte) (any, error) {
-				h := &audit.Head{}
-				return h, json.Unmarshal(raw, h)
-			},
-			want: filled[audit.Head]("head"),
-		},
-		"archive":       storedArchive(),
-		"snapshot file": storedSnapshot(),
+		"list of equipment":     storedInventory(),
+		"audit block":           storedBlock(),
+		"carried entry":         storedCarried(),
+		"audit head":            storedAuditHead(),
+		"archive":               storedArchive(),
+		"snapshot file":         storedSnapshot(),
+	}
+}
+
+// Every stored value that has exported types must be written as the same bytes in all its forms, and the bytes of
+// earlier versions must be read.
+func TestStored(t *testing.T) {
+	all := map[string]stored{}
+	for _, values := range []map[string]stored{plainRecords(), assignedRecords(), otherValues()} {
+		maps.Copy(all, values)
 	}
 	got := map[string]any{}
-	for name, x := range all {
-		raw, err := x.write()
+	for name, value := range all {
+		raw, err := value.write()
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -380,28 +413,36 @@
 			got[name] = raw
 		}
 	}
-	for name, was := range same(t, "stored", got) {
-		x, ok := all[name]
+	for name, golden := range same(t, "stored", got) {
+		value, ok := all[name]
 		if !ok {
 			continue
 		}
-		var raw []byte
-		var text string
-		if err := json.Unmarshal(was, &text); err != nil {
-			t.Fatal(err)
-		}
-		if raw = []byte(text); !json.Valid(raw) {
-			if err := json.Unmarshal(was, &raw); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if v, err := x.read(raw); err != nil || !equal(v, x.want) {
-			t.Errorf("%s is read as %+v (%v), was written from %+v", name, v, err, x.want)
+		raw := storedBytes(t, golden)
+		if v, err := value.read(raw); err != nil || !equal(v, value.want) {
+			t.Errorf("%s is read as %+v (%v), was written from %+v", name, v, err, value.want)
 		}
 	}
 }
 
-// The keys of the state service, as far as they are exported, and the forms.
+// storedBytes returns the stored bytes from a golden file: it has JSON as text, and other bytes in base64.
+func storedBytes(t *testing.T, golden json.RawMessage) []byte {
+	t.Helper()
+	var text string
+	if err := json.Unmarshal(golden, &text); err != nil {
+		t.Fatal(err)
+	}
+	if json.Valid([]byte(text)) {
+		return []byte(text)
+	}
+	var raw []byte
+	if err := json.Unmarshal(golden, &raw); err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// The exported keys of the store, its schema version and stored words must stay.
 func TestKeys(t *testing.T) {
 	same(t, "keys", map[string]any{
 		"all": []string{
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// bodies are those of the platform's interfaces, and of ours.
+// bodies are the types of bodies on the platform's interfaces and on ours, by the names in the golden file.
 func bodies() map[string]any {
 	return map[string]any{
 		"booking ask":      new(wire.ReservationRequest),
@@ -73,7 +73,7 @@
 	}
 }
 
-// messages are those between controllers.
+// messages are the types of messages between controllers, by the names in the golden file.
 func messages() map[string]any {
 	return map[string]any{
 		"message":      new(core.Message),
@@ -93,13 +93,13 @@
 	}
 }
 
-// What users, workers, the state service and the cloud are sent, and what they send.
+// Bodies from and to users, agents, the store and the cloud must stay.
 func TestBodies(t *testing.T) { checkTypes(t, "bodies", bodies()) }
 
-// What controllers send each other.
+// Messages between controllers must stay.
 func TestMesh(t *testing.T) { checkTypes(t, "mesh", messages()) }
 
-// Every type of these packages that has names for JSON is among them.
+// Every exported type of these packages that has JSON tags must be among the golden types.
 func TestNoTypeIsLeftOut(t *testing.T) {
 	for dir, types := range map[string]map[string]any{"../../wire": bodies(), "../../core": messages()} {
 		listed := map[string]bool{}
@@ -112,29 +112,19 @@
 		}
 		found := 0
 		for _, path := range files {
+			if strings.HasSuffix(path, "_test.go") {
+				continue
+			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			ast.Inspect(file, func(n ast.Node) bool {
-				x, ok := n.(*ast.TypeSpec)
-				if !ok || !x.Name.IsExported() || strings.HasSuffix(path, "_test.go") {
-					return true
-				}
-				s, ok := x.Type.(*ast.StructType)
-				if !ok ||
-					!slices.ContainsFunc(
-						s.Fields.List,
-						func(f *ast.Field) bool { return f.Tag != nil && strings.Contains(f.Tag.Value, `json:"`) },
-					) {
-					return true
-				}
+			for _, name := range typesWithTags(file) {
 				found++
-				if !listed[x.Name.Name] {
-					t.Errorf("%s: %s is not among the golden types", path, x.Name.Name)
+				if !listed[name] {
+					t.Errorf("%s: %s is not among the golden types", path, name)
 				}
-				return true
-			})
+			}
 		}
 		if found == 0 {
 			t.Errorf("%s has no types", dir)
@@ -142,7 +132,25 @@
 	}
 }
 
-// The settings of the platform, and the names under which they are recorded.
+// typesWithTags lists the exported struct types of a file that have a JSON tag.
+func typesWithTags(file *ast.File) (names []string) {
+	hasTag := func(field *ast.Field) bool {
+		return field.Tag != nil && strings.Contains(field.Tag.Value, `json:"`)
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		spec, ok := n.(*ast.TypeSpec)
+		if !ok || !spec.Name.IsExported() {
+			return true
+		}
+		if structType, ok := spec.Type.(*ast.StructType); ok && slices.ContainsFunc(structType.Fields.List, hasTag) {
+			names = append(names, spec.Name.Name)
+		}
+		return true
+	})
+	return names
+}
+
+// The settings of the platform, and the names under which they are audited, must stay.
 func TestPlatform(t *testing.T) {
 	checkTypes(t, "platform", map[string]any{"platform": new(settings.Platform)})
 	same(
@@ -154,7 +162,7 @@
 	)
 }
 
-// Names of paths, stages and causes.
+// Names of paths, stages and causes must stay.
 func TestNames(t *testing.T) {
 	same(t, "names", map[string]any{
 		"paths": []string{
@@ -203,41 +211,40 @@
 	})
 }
 
-// What is submitted, as it is understood and kept.
+// Submissions must be understood and stored as before.
 func TestSubmissions(t *testing.T) {
 	got := map[string]any{}
 	for name, body := range map[string]string{
-		"batch": `{"uid":"wk-1","ware":"cups","crew":"blue","form":"batch","heat":"high","pieces":7,"cpus":1.5,"cards":0.25,"ram_gb":3,"mould":"im","image_gb":2,` +
-			`"kilns":["k1","k2"],"yard":"north","one_zone":true,"spread":false,"borrowed":true,"firing_s":60,"glaze_s":5,"cool_s":2,"due_s":900,"awaits":["wk-3","wk-2"]}`,
-		"daemon": `{"uid":"wk-2","ware":"cups","crew":"blue","form":"daemon","heat":"critical","pieces":1,"cpus":2,"cards":1,"ram_gb":4,"mould":"","image_gb":0,` +
-			`"one_zone":false,"spread":true,"borrowed":false,"firing_s":0,"glaze_s":0,"cool_s":0}`,
+		"batch": `{"uid":"wk-1","ware":"cups","crew":"blue","form":"batch","heat":"high","pieces":7,"cpus":1.5,` +
+			`"cards":0.25,"ram_gb":3,"mould":"im","image_gb":2,"kilns":["k1","k2"],"yard":"north","one_zone":true,` +
+			`"spread":false,"borrowed":true,"firing_s":60,"glaze_s":5,"cool_s":2,"due_s":900,"awaits":["wk-3","wk-2"]}`,
+		"daemon": `{"uid":"wk-2","ware":"cups","crew":"blue","form":"daemon","heat":"critical","pieces":1,"cpus":2,` +
+			`"cards":1,"ram_gb":4,"mould":"","image_gb":0,"one_zone":false,"spread":true,"borrowed":false,` +
+			`"firing_s":0,"glaze_s":0,"cool_s":0}`,
 	} {
-		s, err := wire.ParseSubmission([]byte(body))
-		if err != nil || s.ID != wire.PeekJobID([]byte(body)) {
-			t.Fatalf("%s: %+v (%v)", name, s, err)
+		spec, err := wire.ParseSubmission([]byte(body))
+		if err != nil || spec.ID != wire.PeekJobID([]byte(body)) {
+			t.Fatalf("%s: %+v (%v)", name, spec, err)
 		}
-		got[name] = s
+		got[name] = spec
 	}
 	same(t, "submissions", got)
 }
 
-// A token, as its holder signs it.
+// A token must be signed as before, and one signed before must be accepted.
 func TestToken(t *testing.T) {
-	k := access.PrivateKey{Holder: "anna", ID: "anna-1", Seed: []byte("a seed of thirty-two bytes, just")}
+	privateKey := access.PrivateKey{Holder: "anna", ID: "anna-1", Seed: []byte("a seed of thirty-two bytes, just")}
 	now := time.Unix(1_700_000_000, 0)
-	token, err := k.SignToken(now, time.Hour)
+	token, err := privateKey.SignToken(now, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := access.Parse(
-		[]byte(
-			`roles { name: "r" grants { verbs: administer } } identities { name: "anna" roles: "r" keys { id: "anna-1" ed25519: "` + k.PublicBase64() + `" } }`,
-		),
-	)
+	policy, err := access.Parse([]byte(`roles { name: "r" grants { verbs: administer } } ` +
+		`identities { name: "anna" roles: "r" keys { id: "anna-1" ed25519: "` + privateKey.PublicBase64() + `" } }`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, raw := range same(t, "token", map[string]any{"token": token, "public key": k.PublicBase64()}) {
+	for name, raw := range same(t, "token", map[string]any{"token": token, "public key": privateKey.PublicBase64()}) {
 		if name != "token" {
 			continue
 		}
@@ -246,36 +253,35 @@
 			t.Fatal(err)
 		}
 		id, ok := access.PeekKey(was)
-		key, until, err := p.VerifyToken(was, now, time.Second)
+		key, until, err := policy.VerifyToken(was, now, time.Second)
 		if err != nil || !ok || id != "anna-1" || key.Holder != "anna" || !until.Equal(now.Add(time.Hour)) {
 			t.Errorf("the token is one of %q until %v (%v)", id, until, err)
 		}
 	}
 }
 
-// Every field of what is sent or stored as JSON has its name written out: else its Go name would be
-// its name on the wire.
+// Every field that is sent or stored as JSON must have a tag: else its Go name would be its name on the wire.
 func TestEveryFieldIsNamed(t *testing.T) {
-	seen := map[reflect.Type]bool{}
-	var walk func(x reflect.Type)
-	walk = func(x reflect.Type) {
-		if seen[x] || x == reflect.TypeFor[time.Time]() {
+	visited := map[reflect.Type]bool{}
+	var walk func(typ reflect.Type)
+	walk = func(typ reflect.Type) {
+		if visited[typ] || typ == reflect.TypeFor[time.Time]() {
 			return
 		}
-		seen[x] = true
-		switch x.Kind() {
+		visited[typ] = true
+		switch typ.Kind() {
 		case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
-			walk(x.Elem())
+			walk(typ.Elem())
 		case reflect.Struct:
-			for i := range x.NumField() {
-				f := x.Field(i)
-				if !f.IsExported() {
+			for i := range typ.NumField() {
+				field := typ.Field(i)
+				if !field.IsExported() {
 					continue
 				}
-				if name, _, _ := strings.Cut(f.Tag.Get("json"), ","); name == "" && !f.Anonymous {
-					t.Errorf("%v.%s has no name for JSON", x, f.Name)
+				if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name == "" && !field.Anonymous {
+					t.Errorf("%v.%s has no name for JSON", typ, field.Name)
 				}
-				walk(f.Type)
+				walk(field.Type)
 			}
 		}
 	}
