--- a/core/core.go
+++ b/core/core.go
@@ -10,20 +10,13 @@
 	"dewlift/core/reservations"
 	"dewlift/overload"
 	"dewlift/priorityclass"
-	"math/rand/v2"
 	"time"
 )
 
 // Core is the state machine of one controller. Each group of its state is a type of its own, in the
 // file of its concern. It is not safe for concurrent use.
 type Core struct {
-	cfg          Config
-	rng          *rand.Rand
-	now          time.Duration // since the process began; it never goes back
-	unixOffsetMS int64         // time of day minus now, in ms
-	startedAt    time.Duration
-	outputs      []Output // since the last Advance
-	lastID       uint64   // last request ID
+	*environment
 
 	// Stats counts what the log reports from time to time.
 	Stats Stats
@@ -103,10 +96,7 @@
 // New returns a core that starts at a time. The same seed and inputs always give the same outputs.
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
-		cfg:          cfg,
-		rng:          rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		now:          now,
-		startedAt:    now,
+		environment:  newEnvironment(cfg, now, seed),
 		machineIndex: map[string]int32{},
 		jobIndex:     map[string]int32{},
 		teamIndex:    map[string]int{},
@@ -143,20 +133,6 @@
 	return c
 }
 
-// emit adds an output, which the next Advance returns.
-func (c *Core) emit(o Output) { c.outputs = append(c.outputs, o) }
-
-// nextID returns a new request ID. IDs are never 0.
-func (c *Core) nextID() uint64 { c.lastID++; return c.lastID }
-
-// unixMS is the time of day in milliseconds since 1970, as of the last WallClock input.
-func (c *Core) unixMS() int64 { return c.unixOffsetMS + c.now.Milliseconds() }
-
-// log emits a log line.
-func (c *Core) log(level LogLevel, text string, args ...any) {
-	c.emit(LogLine{Level: level, Message: text, Args: args})
-}
-
 // Healthy reports whether this controller can serve users: it has a replica of the store and a
 // catalog, and either holds its lease or all controllers have lost the store.
 func (c *Core) Healthy() bool {
@@ -300,8 +276,3 @@
 	c.outputs = nil
 	return out
 }
-
-// jitter draws a random duration between 0 and limit.
-func (c *Core) jitter(limit time.Duration) time.Duration {
-	return time.Duration(c.rng.Int64N(int64(limit) + 1))
-}
