--- a/core/apply.go
+++ b/core/apply.go
@@ -76,7 +76,7 @@
 	if err := json.Unmarshal(raw, &leased); err != nil {
 		return leasedKey{}, err
 	}
-	leased.mark = revision
+	leased.modRevision = revision
 	return leased, nil
 }
 
@@ -163,13 +163,13 @@
 func (c *Core) applyDelete(key string, revision uint64) {
 	switch {
 	case key == keyLeader:
-		c.leadership.leader = leasedKey{since: c.now}
+		c.leadership.leader = leasedKey{absentSince: c.now}
 	case strings.HasPrefix(key, keyNode):
 		delete(c.controllers.nodeKeys, key[len(keyNode):])
 		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
 		if shard := c.ownership.shardOfKey(key); shard >= 0 {
-			c.ownership.shards[shard] = leasedKey{since: c.now}
+			c.ownership.shards[shard] = leasedKey{absentSince: c.now}
 		}
 	case strings.HasPrefix(key, keyPermissions):
 		c.permissions.applyDelete(key)
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -224,7 +224,7 @@
 
 // buildTxn builds the transaction of a move into a block of the given revision.
 func (m *archiveMove) buildTxn(revision uint64) {
-	m.txn = wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: m.core.leadership.leader.mark}}}
+	m.txn = wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: m.core.leadership.leader.modRevision}}}
 	for i, block := range m.blocks {
 		condition := wire.Compare{Key: archive.BlockKey(block.High)}
 		if i == len(m.blocks)-1 { // the last one keeps the block's key; the others are new
@@ -271,7 +271,7 @@
 func (c *Core) writeHistoryMarker(sweep *archiveSweep) {
 	sweep.inFlight = true
 	c.commitTxn(wire.Txn{
-		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}, {Key: keyHistory}},
+		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyHistory}},
 		Then:    []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}},
 	}, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 		c.afterReadBarrier(func(bool) { sweep.inFlight = false }) // the replica shows the outcome then
--- a/core/audit.go
+++ b/core/audit.go
@@ -158,7 +158,7 @@
 	marker.writeInFlight = true
 	txn := wire.Txn{
 		Compare: []wire.Compare{
-			{Key: keyLeader, Revision: c.leadership.leader.mark},
+			{Key: keyLeader, Revision: c.leadership.leader.modRevision},
 			{Key: KeyRestored, Revision: marker.revision},
 		},
 		Then: []wire.Write{{Delete: KeyRestored}},
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -20,7 +20,7 @@
 	storeInFlight   bool
 	catalogInFlight bool
 	classStats      map[string]*classStats
-	calls           map[uint64]func(CloudResult) // callbacks by request ID
+	pendingCalls    map[uint64]func(CloudResult) // callbacks by request ID
 }
 
 // nodeGroup is a set of interchangeable machines: what one scale-out request asks for.
@@ -31,9 +31,9 @@
 }
 
 const (
-	manyUnmetJobs      = 50              // unmet jobs above which a plan without scale-out is repeated less often
-	maxMachinesPerRent = 50              // machines that the cloud starts for one request
-	rentPlanningWindow = 4 * time.Second // period whose cloud requests one plan may use up
+	manyUnmetJobs          = 50              // unmet jobs above which a plan without scale-out is repeated less often
+	maxMachinesPerScaleOut = 50              // machines that the cloud starts for one request
+	scaleOutPlanningWindow = 4 * time.Second // period whose cloud requests one plan may use up
 
 	bootOverdueFactor = 1.7             // of the nominal boot time
 	bootOverdueSlack  = 2 * time.Second // on top of bootOverdueFactor
@@ -47,8 +47,8 @@
 // rentPlanningWindow. Unsent requests are planned anew; without a bound, every plan of a full fleet
 // packed thousands of machines that could not be requested.
 func (c *Core) maxScaleOut() int {
-	requests := int(c.cfg.Autoscaling.CloudRequestRate * rentPlanningWindow.Seconds())
-	return max(4*maxMachinesPerRent, requests*maxMachinesPerRent)
+	requests := int(c.cfg.Autoscaling.CloudRequestRate * scaleOutPlanningWindow.Seconds())
+	return max(4*maxMachinesPerScaleOut, requests*maxMachinesPerScaleOut)
 }
 
 // planScaling packs the pending demand onto the supply of machines, creates scale-out requests for
@@ -163,7 +163,7 @@
 	for round, more := 0, true; more; round++ {
 		more = false
 		for _, group := range groups {
-			count := min(planned[group]-round*maxMachinesPerRent, maxMachinesPerRent)
+			count := min(planned[group]-round*maxMachinesPerScaleOut, maxMachinesPerScaleOut)
 			if count <= 0 {
 				continue
 			}
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -100,7 +100,7 @@
 	c.log(LevelInfo, "scaling in machines in a store outage: cancelled tasks may be on them", "machines", names)
 	state.inFlight = true
 	request := CloudRequest{ID: c.nextID(), Op: CloudScaleIn, MachineNames: names}
-	c.autoscaler.calls[request.ID] = func(in CloudResult) {
+	c.autoscaler.pendingCalls[request.ID] = func(in CloudResult) {
 		state.inFlight = false
 		if in.Status == wire.StatusOK {
 			for _, name := range names {
@@ -155,7 +155,7 @@
 	}
 	if c.leaderState != nil {
 		c.leaderState.handleReturnRequest(c, overdue, silent)
-	} else if c.leadership.leader.mark != 0 {
+	} else if c.leadership.leader.modRevision != 0 {
 		c.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: overdue, SilentMachines: silent})
 	}
 }
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -24,7 +24,7 @@
 	}
 	c.autoscaler.catalogInFlight = true
 	id := c.nextID()
-	c.autoscaler.calls[id] = func(in CloudResult) {
+	c.autoscaler.pendingCalls[id] = func(in CloudResult) {
 		c.autoscaler.catalogInFlight = false
 		if in.Status != wire.StatusOK || in.Catalog == nil {
 			c.autoscaler.nextCatalogAt = c.now + catalogRetryDelay + c.jitter(catalogRetryJitter)
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -36,7 +36,7 @@
 	}
 	l.cloudCallBudget--
 	request.ID = c.nextID()
-	c.autoscaler.calls[request.ID] = func(in CloudResult) {
+	c.autoscaler.pendingCalls[request.ID] = func(in CloudResult) {
 		if c.leaderState == l && in.isOverload() {
 			l.cloudBackoffUntil = c.now + cloudBackoff + c.jitter(cloudBackoff)
 		}
--- a/core/core.go
+++ b/core/core.go
@@ -116,7 +116,7 @@
 	c.agents.missingHeartbeats = map[string][]string{}
 	c.commands.inFlight = map[uint64]inFlightCommands{}
 	c.commands.relayed = map[uint64]relayedCommands{}
-	c.autoscaler.calls = map[uint64]func(CloudResult){}
+	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
 	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
 	c.auditLog = c.newAuditLog()
@@ -237,8 +237,8 @@
 
 // handleCloudResult calls the function that waits for a cloud request's outcome.
 func (c *Core) handleCloudResult(in CloudResult) {
-	if onResult := c.autoscaler.calls[in.ID]; onResult != nil {
-		delete(c.autoscaler.calls, in.ID)
+	if onResult := c.autoscaler.pendingCalls[in.ID]; onResult != nil {
+		delete(c.autoscaler.pendingCalls, in.ID)
 		onResult(in)
 	}
 }
@@ -267,7 +267,7 @@
 		c.advanceLookups()
 		c.advanceArchiveSweep()
 		c.runLeader()
-		c.drainInterrupted()
+		c.evictInterrupted()
 		c.returnMachinesInOutage()
 		c.dispatchCommands()
 		c.broadcastUpdates()
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -105,7 +105,7 @@
 // controllers too, so that no two of them choose the same capacity between two pushes. The batch is
 // retained until a push shows that the leader counted it.
 func (c *Core) sendDeltas() {
-	if len(c.deltaLog.unsent) == 0 || c.leadership.leader.mark == 0 {
+	if len(c.deltaLog.unsent) == 0 || c.leadership.leader.modRevision == 0 {
 		return
 	}
 	c.deltaLog.lastSeq++
@@ -163,7 +163,7 @@
 
 // requestWholeArray asks the leader for its whole array after a push was lost; the copy ages until it comes.
 func (c *Core) requestWholeArray() {
-	if c.now < c.clusterCopy.nextResendAt || c.leadership.leader.mark == 0 {
+	if c.now < c.clusterCopy.nextResendAt || c.leadership.leader.modRevision == 0 {
 		return
 	}
 	c.clusterCopy.nextResendAt = c.now + pushResendInterval
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -13,9 +13,9 @@
 	checkpointMargin = 4 * time.Second
 )
 
-// drainInterrupted stops tasks on machines that the cloud is about to interrupt, where running on gains nothing: those
+// evictInterrupted stops tasks on machines that the cloud is about to interrupt, where running on gains nothing: those
 // that will not complete in time restart elsewhere at once, and those that can checkpoint get the time for it.
-func (c *Core) drainInterrupted() {
+func (c *Core) evictInterrupted() {
 	if c.now < c.commands.nextDrainAt {
 		return
 	}
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -23,7 +23,7 @@
 // isLeader reports whether the leadership is bound to this controller's present lease. It does not check
 // that the lease is still in force; see holdsLease.
 func (c *Core) isLeader() bool {
-	return c.ownLease.id != 0 && c.leadership.leader.mark != 0 && c.leadership.leader.Node == c.cfg.Name &&
+	return c.ownLease.id != 0 && c.leadership.leader.modRevision != 0 && c.leadership.leader.Node == c.cfg.Name &&
 		c.leadership.leader.LeaseID == c.ownLease.id
 }
 
--- a/core/lease.go
+++ b/core/lease.go
@@ -28,8 +28,8 @@
 	Node         string        `json:"n"` // the controller that holds it
 	LeaseID      uint64        `json:"t"`
 	FencingToken uint64        `json:"b"` // token that it was acquired with; 0 for a registration
-	mark         uint64        `json:"-"` // modification revision in the store; 0: the key is absent
-	since        time.Duration `json:"-"` // since when it has been absent, if it is
+	modRevision  uint64        `json:"-"` // modification revision in the store; 0: the key is absent
+	absentSince  time.Duration `json:"-"` // since when it has been absent, if it is
 }
 
 // holdsLease reports whether this controller's lease is certain to be in force. Without it, others may
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -67,7 +67,7 @@
 func (o *shardOwnership) countByNode() map[string]int {
 	counts := map[string]int{}
 	for i := range o.shards {
-		if shard := &o.shards[i]; shard.mark != 0 {
+		if shard := &o.shards[i]; shard.modRevision != 0 {
 			counts[shard.Node]++
 		}
 	}
@@ -89,7 +89,7 @@
 		return false
 	}
 	shard := &c.ownership.shards[n]
-	return shard.LeaseID == c.ownLease.id && shard.mark != 0 && shard.Node == c.cfg.Name
+	return shard.LeaseID == c.ownLease.id && shard.modRevision != 0 && shard.Node == c.cfg.Name
 }
 
 // ownsJob reports whether this controller holds the shard of a job.
@@ -208,7 +208,7 @@
 		return
 	}
 	t.nodeOps = 1
-	t.addLeasedPut(keyNode+c.cfg.Name, node.mark, 0)
+	t.addLeasedPut(keyNode+c.cfg.Name, node.modRevision, 0)
 }
 
 // addLeasedPut adds the write of a key that is bound to this controller's lease, on the condition that the
@@ -239,7 +239,7 @@
 func (t *ownershipAttempt) mayClaimShard(n int) bool {
 	c := t.core
 	shard := &c.ownership.shards[n]
-	if shard.mark != 0 {
+	if shard.modRevision != 0 {
 		return shard.Node == c.cfg.Name
 	}
 	if !t.settled {
@@ -253,7 +253,7 @@
 	if owned > t.fewestShards {
 		wait += claimDelayNotFewest
 	}
-	return c.now-shard.since >= wait
+	return c.now-shard.absentSince >= wait
 }
 
 // rankDelay is how long this controller leaves an absent key to the controllers of better rank.
@@ -267,8 +267,8 @@
 	c := t.core
 	leader := &c.leadership.leader
 	var due bool
-	if leader.mark == 0 {
-		due = t.settled && c.now-leader.since >= t.rankDelay(keyLeader)
+	if leader.modRevision == 0 {
+		due = t.settled && c.now-leader.absentSince >= t.rankDelay(keyLeader)
 	} else {
 		due = leader.Node == c.cfg.Name && leader.LeaseID != c.ownLease.id
 	}
@@ -288,10 +288,10 @@
 	)
 	t.txn.Then = append(t.txn.Then, wire.Write{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(token))})
 	for _, n := range t.shards {
-		t.addLeasedPut(shardKey(n), c.ownership.shards[n].mark, token)
+		t.addLeasedPut(shardKey(n), c.ownership.shards[n].modRevision, token)
 	}
 	if t.leadership {
-		t.addLeasedPut(keyLeader, c.leadership.leader.mark, token)
+		t.addLeasedPut(keyLeader, c.leadership.leader.modRevision, token)
 	}
 	t.onAuditOutcome = c.addAuditEntry(
 		&t.txn,
@@ -316,7 +316,7 @@
 	}
 	c.ownership.nextHandoverAt = c.now + handoverInterval
 	if n := c.surplusShard(); n >= 0 {
-		t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: shardKey(n), Revision: c.ownership.shards[n].mark})
+		t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: shardKey(n), Revision: c.ownership.shards[n].modRevision})
 		t.txn.Then = append(t.txn.Then, wire.Write{Delete: shardKey(n)})
 	}
 }
--- a/core/replica.go
+++ b/core/replica.go
@@ -297,12 +297,12 @@
 // Jobs stay: finishSnapshot finds those that are no longer in the store.
 func (c *Core) beginSnapshot(revision uint64) {
 	for i := range c.ownership.shards {
-		c.ownership.shards[i] = leasedKey{since: c.now}
+		c.ownership.shards[i] = leasedKey{absentSince: c.now}
 	}
 	for _, slot := range c.replica.batchValues {
 		slot.Revision, slot.Entries = 0, nil
 	}
-	c.leadership.leader = leasedKey{since: c.now}
+	c.leadership.leader = leasedKey{absentSince: c.now}
 	c.controllers.nodeKeys = map[string]leasedKey{}
 	c.controllers.nodesVersion++
 	c.history.coldRecords, c.history.markerRevision = 0, 0
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -201,7 +201,7 @@
 func (c *Core) compactReservations() {
 	endedBefore := c.unixSeconds() - int64(c.cfg.Reservations.Retention/time.Second)
 	c.reservations.ForgetArchived(c.now, endedBefore)
-	leaderCompares := []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.mark}}
+	leaderCompares := []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}}
 	if txn := c.reservations.ArchiveTxn(leaderCompares, endedBefore, c.cfg.Store.MaxValueBytes); txn != nil {
 		c.commitTxn(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 			c.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(txn) })
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -75,7 +75,7 @@
 			}
 		}
 	}
-	if jobs < 30 || assigned < 1000 || c.leadership.fencingToken == 0 || c.leadership.leader.mark == 0 ||
+	if jobs < 30 || assigned < 1000 || c.leadership.fencingToken == 0 || c.leadership.leader.modRevision == 0 ||
 		c.autoscaler.catalog == nil {
 		t.Errorf(
 			"%d jobs, %d assignments, fencing token %d, leader %+v",
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -265,7 +265,7 @@
 	b.comparedShards[shard] = true
 	b.txn.Compare = append(
 		b.txn.Compare,
-		wire.Compare{Key: shardKey(shard), Revision: b.core.ownership.shards[shard].mark},
+		wire.Compare{Key: shardKey(shard), Revision: b.core.ownership.shards[shard].modRevision},
 	)
 }
 
