--- a/audit/aggregator.go
+++ b/audit/aggregator.go
@@ -9,63 +9,64 @@
 	pb "dewlift/proto"
 )
 
-// GatheredEvent is an act of which only how often it was done is recorded.
+// GatheredEvent is an event of which only the number of occurrences is recorded.
 type GatheredEvent struct{ Identity, Verb, Object, Reason string }
 
-// Aggregator counts acts until they are recorded together. What goes beyond its bound is counted
-// without its object, and beyond twice the bound without who did it: a flood takes bounded room,
-// and nothing is dropped in silence.
+// Aggregator counts events until they are recorded together. Beyond its bound, further kinds of events are
+// counted without their objects, and beyond twice the bound without their identities: a flood takes bounded
+// memory, and nothing is dropped silently.
 type Aggregator struct {
-	MaxBytes  int // bytes
+	MaxBytes  int
 	usedBytes int
 	counts    map[GatheredEvent]uint32
 }
 
 const (
-	eventOverheadBytes = 16 // beside its texts
-	maxTextBytes       = 200
+	eventOverheadBytes = 16  // of an event beside its texts
+	maxTextBytes       = 200 // of a text in an entry
 )
 
-// OtherValues stands for objects, or for who, where there were too many of them.
+// OtherValues stands for objects or identities that are not told apart.
 const OtherValues = "(others)"
 
-// Add counts an act n times.
-func (g *Aggregator) Add(it GatheredEvent, n uint32) {
-	it = GatheredEvent{
-		TruncateText(it.Identity),
-		TruncateText(it.Verb),
-		TruncateText(it.Object),
-		TruncateText(it.Reason),
+// Add counts occurrences of an event.
+func (g *Aggregator) Add(event GatheredEvent, count uint32) {
+	event = GatheredEvent{
+		TruncateText(event.Identity),
+		TruncateText(event.Verb),
+		TruncateText(event.Object),
+		TruncateText(event.Reason),
 	}
 	if g.counts == nil {
 		g.counts = map[GatheredEvent]uint32{}
 	}
-	if _, ok := g.counts[it]; !ok {
+	if _, ok := g.counts[event]; !ok {
 		if g.usedBytes > g.MaxBytes {
-			it.Object, it.Reason = OtherValues, ""
+			event.Object, event.Reason = OtherValues, ""
 		}
 		if g.usedBytes > 2*g.MaxBytes {
-			it = GatheredEvent{Identity: OtherValues, Verb: it.Verb, Object: OtherValues}
+			event = GatheredEvent{Identity: OtherValues, Verb: event.Verb, Object: OtherValues}
 		}
 	}
-	if _, ok := g.counts[it]; !ok {
-		g.usedBytes += it.size()
+	if _, ok := g.counts[event]; !ok {
+		g.usedBytes += event.size()
 	}
-	g.counts[it] += n
+	g.counts[event] += count
 }
 
-func (it *GatheredEvent) size() int {
-	return len(it.Identity) + len(it.Verb) + len(it.Object) + len(it.Reason) + eventOverheadBytes
+// size returns about how many bytes the event takes.
+func (e *GatheredEvent) size() int {
+	return len(e.Identity) + len(e.Verb) + len(e.Object) + len(e.Reason) + eventOverheadBytes
 }
 
-// Len is how many kinds of acts were gathered.
+// Len returns the number of distinct events.
 func (g *Aggregator) Len() int { return len(g.counts) }
 
-// Drain removes items of at most so many bytes, one at least if there is any, in a fixed order.
-func (g *Aggregator) Drain(most int) []*pb.AuditItem {
+// Drain removes and returns events of at most maxBytes, but at least one if there is any, in a fixed order.
+func (g *Aggregator) Drain(maxBytes int) []*pb.AuditItem {
 	all := make([]GatheredEvent, 0, len(g.counts))
-	for it := range g.counts {
-		all = append(all, it)
+	for event := range g.counts {
+		all = append(all, event)
 	}
 	slices.SortFunc(all, func(a, b GatheredEvent) int {
 		return cmp.Or(
@@ -76,29 +77,34 @@
 		)
 	})
 	var out []*pb.AuditItem
-	for _, it := range all {
-		if most -= it.size(); most < 0 && len(out) > 0 {
+	remaining := maxBytes
+	for _, event := range all {
+		if remaining -= event.size(); remaining < 0 && len(out) > 0 {
 			break
 		}
-		out = append(
-			out,
-			&pb.AuditItem{Who: it.Identity, Verb: it.Verb, Object: it.Object, Why: it.Reason, Count: g.counts[it]},
-		)
-		g.usedBytes -= it.size()
-		delete(g.counts, it)
+		out = append(out, &pb.AuditItem{
+			Who:    event.Identity,
+			Verb:   event.Verb,
+			Object: event.Object,
+			Why:    event.Reason,
+			Count:  g.counts[event],
+		})
+		g.usedBytes -= event.size()
+		delete(g.counts, event)
 	}
 	return out
 }
 
-// TruncateText shortens a text to what an entry takes of it, and makes it valid.
-func TruncateText(s string) string {
-	s = strings.ToValidUTF8(s, "?")
-	if len(s) <= maxTextBytes {
-		return s
+// TruncateText returns a text as an entry holds it: valid UTF-8 of bounded length.
+func TruncateText(text string) string {
+	const ellipsis = "..."
+	text = strings.ToValidUTF8(text, "?")
+	if len(text) <= maxTextBytes {
+		return text
 	}
-	n := maxTextBytes - 3
-	for !utf8.RuneStart(s[n]) {
-		n--
+	end := maxTextBytes - len(ellipsis)
+	for !utf8.RuneStart(text[end]) {
+		end--
 	}
-	return s[:n] + "..."
+	return text[:end] + ellipsis
 }
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -17,19 +17,20 @@
 	pb "dewlift/proto"
 )
 
+// key signs the chains of the tests.
 var key = Key("a key of more than thirty-two bytes")
 
-// newChain makes blocks of so many entries each.
+// newChain returns a chain of blocks with so many entries each.
 func newChain(t testing.TB, sizes ...int) (raws []json.RawMessage) {
 	t.Helper()
-	h := &Head{}
+	head := &Head{}
 	count := uint64(0)
-	for _, n := range sizes {
-		var list [][]byte
-		for range n {
+	for _, size := range sizes {
+		var entries [][]byte
+		for range size {
 			count++
-			list = append(
-				list,
+			entries = append(
+				entries,
 				Encode(
 					&pb.AuditEntry{
 						Life:   1,
@@ -42,50 +43,51 @@
 				),
 			)
 		}
-		raw, took, code, err := key.EncodeNextBlock(h, "n0", 500, list, 1<<20)
-		if err != nil || took != n {
-			t.Fatal(took, err)
+		raw, n, mac, err := key.EncodeNextBlock(head, "n0", 500, entries, 1<<20)
+		if err != nil || n != size {
+			t.Fatal(n, err)
 		}
 		raws = append(raws, raw)
-		h = &Head{BlockNumber: h.BlockNumber + 1, MAC: code}
+		head = &Head{BlockNumber: head.BlockNumber + 1, MAC: mac}
 	}
 	return raws
 }
 
+// verifyChain verifies blocks with the given numbers, or else numbered from 1.
 func verifyChain(raws []json.RawMessage, numbers ...uint64) (*ChainVerifier, error) {
-	c := &ChainVerifier{Node: "n0", Keys: []Key{Key("another key, which is of no use"), key}}
+	verifier := &ChainVerifier{Node: "n0", Keys: []Key{Key("another key, which is of no use"), key}}
 	for i, raw := range raws {
-		n := uint64(i + 1)
+		number := uint64(i + 1)
 		if i < len(numbers) {
-			n = numbers[i]
+			number = numbers[i]
 		}
-		if _, err := c.VerifyNext(n, raw); err != nil {
-			return c, err
+		if _, err := verifier.VerifyNext(number, raw); err != nil {
+			return verifier, err
 		}
 	}
-	return c, nil
+	return verifier, nil
 }
 
-// alterBlock changes a block as whoever holds the state service could, digest and all.
-func alterBlock(t testing.TB, raw json.RawMessage, f func(b *pb.AuditBlock)) json.RawMessage {
+// alterBlock changes a block as anyone with write access to the store could, checksum included.
+func alterBlock(t testing.TB, raw json.RawMessage, alter func(b *pb.AuditBlock)) json.RawMessage {
 	t.Helper()
-	var b pb.AuditBlock
-	if err := archive.Unpack(raw, &b); err != nil {
+	var block pb.AuditBlock
+	if err := archive.Unpack(raw, &block); err != nil {
 		t.Fatal(err)
 	}
-	f(&b)
-	out, err := archive.Pack(&b)
+	alter(&block)
+	out, err := archive.Pack(&block)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
-// Whatever is done to a chain without its key, the first entry or block that is not as it was written is named.
+// Whatever is done to a block without the key, the first altered entry must be located.
 func TestEveryAlterationIsLocated(t *testing.T) {
 	raws := newChain(t, 3, 4, 2)
-	if c, err := verifyChain(raws); err != nil || c.BlockNumber != 3 || c.EntryCount != 9 {
-		t.Fatalf("a whole chain: %+v, %v", c, err)
+	if verifier, err := verifyChain(raws); err != nil || verifier.BlockNumber != 3 || verifier.EntryCount != 9 {
+		t.Fatalf("an unaltered chain: %+v, %v", verifier, err)
 	}
 	entry := func(i int, f func(e *pb.AuditEntry)) func(b *pb.AuditBlock) {
 		return func(b *pb.AuditBlock) {
@@ -101,8 +103,8 @@
 		b.Entries = slices.Delete(b.Entries, i, j)
 		b.Tags = slices.Delete(b.Tags, i*tagBytes, j*tagBytes)
 	}
-	for name, x := range map[string]struct {
-		f     func(b *pb.AuditBlock)
+	for name, tt := range map[string]struct {
+		alter func(b *pb.AuditBlock)
 		entry int
 	}{
 		"altered":       {entry(2, func(e *pb.AuditEntry) { e.Who = "potter" }), 3},
@@ -138,15 +140,20 @@
 		"tags":    {func(b *pb.AuditBlock) { b.Tags = b.Tags[:8] }, 2},
 		"no tags": {func(b *pb.AuditBlock) { b.Tags, b.Entries = nil, nil }, 1},
 	} {
-		bad := slices.Clone(raws)
-		bad[1] = alterBlock(t, raws[1], x.f)
-		_, err := verifyChain(bad)
-		if f := (*Fault)(nil); !errors.As(err, &f) || f.Block != 2 || f.Entry != x.entry ||
+		altered := slices.Clone(raws)
+		altered[1] = alterBlock(t, raws[1], tt.alter)
+		_, err := verifyChain(altered)
+		if fault := (*Fault)(nil); !errors.As(err, &fault) || fault.Block != 2 || fault.Entry != tt.entry ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for name, x := range map[string]struct {
+}
+
+// Whatever is done to the order of blocks, the first block that does not continue the chain must be located.
+func TestEveryReplacedBlockIsLocated(t *testing.T) {
+	raws := newChain(t, 3, 4, 2)
+	for name, tt := range map[string]struct {
 		raws    []json.RawMessage
 		numbers []uint64
 		block   uint64
@@ -162,36 +169,36 @@
 			2,
 		},
 	} {
-		_, err := verifyChain(x.raws, x.numbers...)
-		if f := (*Fault)(nil); !errors.As(err, &f) || f.Block != x.block {
+		_, err := verifyChain(tt.raws, tt.numbers...)
+		if fault := (*Fault)(nil); !errors.As(err, &fault) || fault.Block != tt.block {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// A block takes what fits its value, and an entry that no value can hold is an error, not a loop.
+// A block must hold as many entries as fit, and an entry that fits no value must be an error, not a loop.
 func TestBlockHoldsWhatFits(t *testing.T) {
-	var list [][]byte
-	r := rand.New(rand.NewPCG(1, 2))
+	var entries [][]byte
+	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 300 {
-		list = append(list, Encode(&pb.AuditEntry{Count: uint64(i), Object: fmt.Sprint(r.Uint64())}))
+		entries = append(entries, Encode(&pb.AuditEntry{Count: uint64(i), Object: fmt.Sprint(random.Uint64())}))
 	}
-	raw, n, _, err := key.EncodeNextBlock(&Head{}, "n0", 0, list, 2048)
+	raw, n, _, err := key.EncodeNextBlock(&Head{}, "n0", 0, entries, 2048)
 	if err != nil || n < 20 || n >= 300 || len(raw) > 2048 {
 		t.Errorf("%d entries in %d bytes, %v", n, len(raw), err)
 	}
-	if _, n, _, err := key.EncodeNextBlock(&Head{}, "n0", 0, list, 100); err == nil || n != 0 {
+	if _, n, _, err := key.EncodeNextBlock(&Head{}, "n0", 0, entries, 100); err == nil || n != 0 {
 		t.Errorf("%d entries in 100 bytes, %v", n, err)
 	}
 }
 
-// A carried entry is good for its value and its controller alone.
+// A pending entry must be valid for the key of its value and its controller only.
 func TestPendingEntriesCannotBeMovedOrForged(t *testing.T) {
-	c := key.SignEntry("n0", "dl/job/wk-1", &pb.AuditEntry{Life: 3, Count: 4, Who: "anna", Verb: "submit"})
-	if e, err := key.VerifyEntry("dl/job/wk-1", &c); err != nil || e.Who != "anna" {
-		t.Fatal(e, err)
+	signed := key.SignEntry("n0", "dl/job/wk-1", &pb.AuditEntry{Life: 3, Count: 4, Who: "anna", Verb: "submit"})
+	if entry, err := key.VerifyEntry("dl/job/wk-1", &signed); err != nil || entry.Who != "anna" {
+		t.Fatal(entry, err)
 	}
-	for name, f := range map[string]func(c *PendingEntry) string{
+	for name, alter := range map[string]func(c *PendingEntry) string{
 		"another value": func(*PendingEntry) string { return "dl/job/wk-2" },
 		"another node":  func(c *PendingEntry) string { c.Node = "n1"; return "dl/job/wk-1" },
 		"another life":  func(c *PendingEntry) string { c.Incarnation++; return "dl/job/wk-1" },
@@ -202,60 +209,55 @@
 			return "dl/job/wk-1"
 		},
 	} {
-		x := c
-		at := f(&x)
-		if _, err := key.VerifyEntry(at, &x); !errors.Is(err, ErrForged) {
+		altered := signed
+		valueKey := alter(&altered)
+		if _, err := key.VerifyEntry(valueKey, &altered); !errors.Is(err, ErrForged) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// Lives tell of every entry whether it is in a block, in whatever order those of former lives are put.
+// A head must know of every entry whether it is in a block, in whatever order those of former incarnations are
+// written.
 func TestHeadTellsWhatIsRecorded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &Head{}
-		in := map[[2]uint64]bool{}
-		next := map[uint64]uint64{} // of former lives, the counts that may be
+		head := &Head{}
+		recorded := map[[2]uint64]bool{}
+		highest := map[uint64]uint64{} // sequence number by incarnation
 		for life := uint64(1); life <= 6; life++ {
-			h = &Head{Incarnations: h.WithIncarnation(Incarnation{Number: life, NextSequence: 1})}
+			head = &Head{Incarnations: head.WithIncarnation(Incarnation{Number: life, NextSequence: 1})}
 			for range rapid.IntRange(0, 30).Draw(t, "steps") {
-				l := rapid.Uint64Range(1, life).Draw(t, "life")
-				n := rapid.Uint64Range(1, next[l]+3).Draw(t, "count")
-				next[l] = max(next[l], n)
-				if !in[[2]uint64{l, n}] {
-					h = &Head{Incarnations: h.WithRecorded(l, n)}
-					in[[2]uint64{l, n}] = true
+				former := rapid.Uint64Range(1, life).Draw(t, "life")
+				sequence := rapid.Uint64Range(1, highest[former]+3).Draw(t, "count")
+				highest[former] = max(highest[former], sequence)
+				if !recorded[[2]uint64{former, sequence}] {
+					head = &Head{Incarnations: head.WithRecorded(former, sequence)}
+					recorded[[2]uint64{former, sequence}] = true
 				}
 			}
-			for l := uint64(1); l <= life; l++ {
-				for n := uint64(1); n <= next[l]+3; n++ {
-					if h.Contains(l, n) != in[[2]uint64{l, n}] {
-						t.Fatalf(
-							"entry %d of life %d: %v, should be %v: %+v",
-							n,
-							l,
-							h.Contains(l, n),
-							in[[2]uint64{l, n}],
-							h.Incarnations,
-						)
+			for former := uint64(1); former <= life; former++ {
+				for sequence := uint64(1); sequence <= highest[former]+3; sequence++ {
+					got, want := head.Contains(former, sequence), recorded[[2]uint64{former, sequence}]
+					if got != want {
+						t.Fatalf("entry %d of %d: %v, want %v: %+v", sequence, former, got, want, head.Incarnations)
 					}
 				}
 			}
 		}
 	})
-	h := &Head{}
+	head := &Head{}
 	for life := uint64(1); life <= 2*maxIncarnations; life++ {
-		h.Incarnations = h.WithIncarnation(Incarnation{Number: life, NextSequence: 5})
+		head.Incarnations = head.WithIncarnation(Incarnation{Number: life, NextSequence: 5})
 	}
-	if len(h.Incarnations) != maxIncarnations || !h.Contains(1, 9) || h.Contains(maxIncarnations+1, 9) ||
-		h.Contains(2*maxIncarnations, 9) ||
-		h.Contains(2*maxIncarnations+1, 1) ||
+	if len(head.Incarnations) != maxIncarnations || !head.Contains(1, 9) || head.Contains(maxIncarnations+1, 9) ||
+		head.Contains(2*maxIncarnations, 9) ||
+		head.Contains(2*maxIncarnations+1, 1) ||
 		(&Head{}).Contains(1, 1) {
-		t.Errorf("%+v", h.Incarnations)
+		t.Errorf("after many incarnations: %+v", head.Incarnations)
 	}
 }
 
-// A flood takes bounded room and is counted whole.
+// A flood of events must take bounded memory, and all of them must be counted.
 func TestFloodIsCountedInBoundedMemory(t *testing.T) {
 	g := Aggregator{MaxBytes: 4096}
 	for i := range 200_000 {
@@ -275,9 +277,9 @@
 	total, entries := uint32(0), 0
 	for g.Len() > 0 {
 		items, size := g.Drain(1000), 0
-		for _, it := range items {
-			total += it.Count
-			size += protobuf.Size(it)
+		for _, item := range items {
+			total += item.Count
+			size += protobuf.Size(item)
 		}
 		if size > 1200 || len(items) == 0 {
 			t.Errorf("%d items of %d bytes", len(items), size)
@@ -289,13 +291,14 @@
 	}
 }
 
+// Filters must combine, and the hour that occurs twice when clocks go back must not merge.
 func TestFiltersAndZones(t *testing.T) {
 	zurich, err := time.LoadLocation("Europe/Zurich")
 	if err != nil {
 		t.Skip("no zone data here")
 	}
 	at := time.Date(2026, 10, 25, 0, 30, 0, 0, time.UTC)
-	b := &Block{Number: 4, ClockErrorMS: 500, Entries: []*pb.AuditEntry{
+	block := &Block{Number: 4, ClockErrorMS: 500, Entries: []*pb.AuditEntry{
 		{AtMs: at.UnixMilli(), Who: "anna", Verb: "cancel", Object: "wk-1"},
 		{
 			AtMs: at.Add(time.Hour).UnixMilli(), Verb: "refused", Outcome: pb.AuditOutcome_refused,
@@ -305,16 +308,16 @@
 			},
 		},
 	}}
-	acts := b.Events("n0", zurich)
-	if len(acts) != 3 || acts[0].At.Format(time.TimeOnly) != "02:30:00" ||
-		acts[1].At.Format(time.TimeOnly) != "02:30:00" ||
-		acts[1].Count != 3 ||
-		acts[2].Entry != 2 {
-		t.Fatalf("%+v", acts) // the hour that the clocks go back is there twice
+	events := block.Events("n0", zurich)
+	if len(events) != 3 || events[0].At.Format(time.TimeOnly) != "02:30:00" ||
+		events[1].At.Format(time.TimeOnly) != "02:30:00" ||
+		events[1].Count != 3 ||
+		events[2].Entry != 2 {
+		t.Fatalf("%+v", events)
 	}
-	for _, x := range []struct {
-		f    Filter
-		want int
+	for _, tt := range []struct {
+		filter Filter
+		want   int
 	}{
 		{Filter{}, 3},
 		{Filter{Verb: "cancel"}, 2},
@@ -326,29 +329,30 @@
 		{Filter{Since: at, Until: at}, 0},
 	} {
 		n := 0
-		for i := range acts {
-			if x.f.Matches(&acts[i]) {
+		for i := range events {
+			if tt.filter.Matches(&events[i]) {
 				n++
 			}
 		}
-		if n != x.want {
-			t.Errorf("%+v takes %d acts, not %d", x.f, n, x.want)
+		if n != tt.want {
+			t.Errorf("%+v matches %d events, want %d", tt.filter, n, tt.want)
 		}
 	}
 }
 
+// A damaged block must be reported as a fault, and must not break the verification of others.
 func FuzzChain(f *testing.F) {
 	for _, raw := range newChain(f, 2, 3) {
 		f.Add([]byte(raw))
 	}
 	good := newChain(f, 2)[0]
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		c := &ChainVerifier{Node: "n0", Keys: []Key{key}}
-		b, err := c.VerifyNext(1, raw)
-		if err == nil && len(b.Entries) == 0 {
-			t.Error("an empty block is whole")
+		verifier := &ChainVerifier{Node: "n0", Keys: []Key{key}}
+		block, err := verifier.VerifyNext(1, raw)
+		if err == nil && len(block.Entries) == 0 {
+			t.Error("an empty block is accepted")
 		}
-		if f := (*Fault)(nil); err != nil && !errors.As(err, &f) {
+		if fault := (*Fault)(nil); err != nil && !errors.As(err, &fault) {
 			t.Errorf("%v is no fault", err)
 		}
 		if _, err := DecodeBlock(raw); err != nil && !errors.Is(err, archive.ErrCorrupt) {
@@ -360,6 +364,7 @@
 	})
 }
 
+// Keys, pending entries and block keys from outside must be rejected or read as they were written.
 func FuzzKeyAndCarried(f *testing.F) {
 	text, err := NewKey()
 	if err != nil {
@@ -367,13 +372,13 @@
 	}
 	f.Add(text, []byte(`{"a":"n0","l":1,"q":2,"e":"CAE=","t":"AAAA"}`), "da/a/n0/000000000001")
 	f.Fuzz(func(t *testing.T, text string, raw []byte, name string) {
-		if k, err := ParseKey(text); err == nil && len(k) < keyBytes {
-			t.Errorf("a key of %d bytes", len(k))
+		if parsed, err := ParseKey(text); err == nil && len(parsed) < keyBytes {
+			t.Errorf("a key of %d bytes", len(parsed))
 		}
-		var c PendingEntry
-		if json.Unmarshal(raw, &c) == nil {
-			if _, err := key.VerifyEntry("dl/job/wk-1", &c); err == nil {
-				t.Error("a forged entry is taken")
+		var pending PendingEntry
+		if json.Unmarshal(raw, &pending) == nil {
+			if _, err := key.VerifyEntry("dl/job/wk-1", &pending); err == nil {
+				t.Error("a forged entry is accepted")
 			}
 		}
 		if node, n, ok := SplitBlockKey(name); ok && BlockKey(node, n) != name {
--- a/audit/chain.go
+++ b/audit/chain.go
@@ -15,12 +15,19 @@
 	pb "dewlift/proto"
 )
 
-// BlockPrefix begins the keys of all blocks. No controller follows it by watch.
+// BlockPrefix begins the keys of all blocks. No controller watches them.
 const BlockPrefix = "da/a/"
 
-const tagBytes = 8
+const (
+	// tagBytes is the length of the MAC kept for each entry, which locates an alteration. The MAC of the
+	// whole block is not shortened.
+	tagBytes = 8
 
-// BlockKey is the key of a block. Blocks of a controller are listed in the order of their numbers.
+	// entryMACBytes is the length of the MAC of a pending entry.
+	entryMACBytes = 16
+)
+
+// BlockKey returns the key of a block. The keys of a controller's blocks sort by number.
 func BlockKey(node string, number uint64) string {
 	return fmt.Sprintf("%s%s/%012d", BlockPrefix, node, number)
 }
@@ -38,52 +45,52 @@
 	return rest[:i], number, true
 }
 
-// initialMAC is the code that a block's entries follow.
-func (k Key) initialMAC(b *pb.AuditBlock) []byte {
-	var n [12]byte
-	binary.BigEndian.PutUint64(n[:], b.Number)
-	binary.BigEndian.PutUint32(n[8:], b.BoundMs)
-	return k.mac([]byte("block"), []byte(b.Node), n[:], b.KeyId, b.Prev)
+// initialMAC returns the MAC of a block's header, which the MACs of its entries continue.
+func (k Key) initialMAC(block *pb.AuditBlock) []byte {
+	var header [12]byte
+	binary.BigEndian.PutUint64(header[:], block.Number)
+	binary.BigEndian.PutUint32(header[8:], block.BoundMs)
+	return k.mac([]byte("block"), []byte(block.Node), header[:], block.KeyId, block.Prev)
 }
 
 // Encode renders an entry for a block.
-func Encode(e *pb.AuditEntry) []byte {
-	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(e)
+func Encode(entry *pb.AuditEntry) []byte {
+	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(entry)
 	if err != nil {
-		panic(err) // strings of it are valid UTF-8: see Clip
+		panic(err) // impossible: its strings are valid UTF-8, see TruncateText
 	}
 	return raw
 }
 
-// EncodeNextBlock makes the block behind a head of as many of the entries, of which there is one at
-// least, as fit a value of at most so many bytes.
+// EncodeNextBlock returns the block behind a head with the first n of the entries: as many as fit a value of
+// maxBytes. It returns an error if not even one fits.
 func (k Key) EncodeNextBlock(
-	h *Head,
+	head *Head,
 	node string,
-	boundMS uint32,
+	clockErrorMS uint32,
 	entries [][]byte,
-	most int,
-) (raw json.RawMessage, n int, code []byte, err error) {
+	maxBytes int,
+) (raw json.RawMessage, n int, mac []byte, err error) {
 	for n = len(entries); n > 0; n = n * 3 / 4 {
-		b := &pb.AuditBlock{
+		block := &pb.AuditBlock{
 			Node:    node,
-			Number:  h.BlockNumber + 1,
+			Number:  head.BlockNumber + 1,
 			KeyId:   k.ID(),
-			Prev:    h.MAC,
-			BoundMs: boundMS,
+			Prev:    head.MAC,
+			BoundMs: clockErrorMS,
 			Entries: entries[:n],
 		}
-		code = k.initialMAC(b)
-		for _, e := range b.Entries {
-			code = k.mac(code, e)
-			b.Tags = append(b.Tags, code[:tagBytes]...)
+		mac = k.initialMAC(block)
+		for _, entry := range block.Entries {
+			mac = k.mac(mac, entry)
+			block.Tags = append(block.Tags, mac[:tagBytes]...)
 		}
-		b.Code = code
-		if raw, err = archive.Pack(b); err != nil || len(raw) <= most {
-			return raw, n, code, err
+		block.Code = mac
+		if raw, err = archive.Pack(block); err != nil || len(raw) <= maxBytes {
+			return raw, n, mac, err
 		}
 	}
-	return nil, 0, nil, fmt.Errorf("an entry of %d bytes fits no value of %d", len(entries[0]), most)
+	return nil, 0, nil, fmt.Errorf("an entry of %d bytes fits no value of %d", len(entries[0]), maxBytes)
 }
 
 // Fault is the first place at which a chain is not as it was written.
@@ -94,6 +101,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (f *Fault) Error() string {
 	if f.Entry == 0 {
 		return fmt.Sprintf("chain of %s: block %d %s", f.Node, f.Block, f.Reason)
@@ -101,12 +109,12 @@
 	return fmt.Sprintf("chain of %s: entry %d of block %d %s", f.Node, f.Entry, f.Block, f.Reason)
 }
 
-// ChainVerifier checks the blocks of a controller one after the other.
+// ChainVerifier verifies the blocks of a controller one after the other.
 type ChainVerifier struct {
 	Node        string
-	Keys        []Key
-	BlockNumber uint64 // of the last block
-	MAC         []byte
+	Keys        []Key  // any of which may have signed a block
+	BlockNumber uint64 // of the last verified block
+	MAC         []byte // of the last verified block
 	EntryCount  uint64
 }
 
@@ -117,105 +125,123 @@
 	Entries      []*pb.AuditEntry
 }
 
-// VerifyNext checks the next block; its error is a *Fault. Entries before the fault are as they were written.
+// VerifyNext verifies the next block. Its error is a *Fault; the entries returned with it, those before the
+// fault, are as they were written.
 func (c *ChainVerifier) VerifyNext(number uint64, raw json.RawMessage) (*Block, error) {
-	fault := func(entry int, why string) error {
-		return &Fault{Node: c.Node, Block: number, Entry: entry, Reason: why}
-	}
 	if number != c.BlockNumber+1 {
-		return nil, &Fault{
-			Node:   c.Node,
-			Block:  c.BlockNumber + 1,
-			Reason: fmt.Sprintf("is missing: block %d follows", number),
-		}
+		return nil, c.fault(c.BlockNumber+1, 0, fmt.Sprintf("is missing: block %d follows", number))
 	}
-	var m pb.AuditBlock
-	if err := archive.Unpack(raw, &m); err != nil {
-		return nil, fault(0, "can't be read: "+err.Error())
+	var stored pb.AuditBlock
+	if err := archive.Unpack(raw, &stored); err != nil {
+		return nil, c.fault(number, 0, "can't be read: "+err.Error())
 	}
-	if m.Node != c.Node || m.Number != number {
-		return nil, fault(0, fmt.Sprintf("is block %d of %s", m.Number, m.Node))
+	if stored.Node != c.Node || stored.Number != number {
+		return nil, c.fault(number, 0, fmt.Sprintf("is block %d of %s", stored.Number, stored.Node))
 	}
-	if !bytes.Equal(m.Prev, c.MAC) {
-		return nil, fault(0, "does not follow the one before: that, or this one, was replaced")
+	if !bytes.Equal(stored.Prev, c.MAC) {
+		return nil, c.fault(number, 0, "does not follow the one before: that, or this one, was replaced")
+	}
+	key := c.keyWithID(stored.KeyId)
+	if key == nil {
+		return nil, c.fault(number, 0, fmt.Sprintf("is signed with another key (%x)", stored.KeyId))
+	}
+	block, mac, err := c.verifyEntries(key, &stored)
+	if err != nil {
+		return block, err
 	}
-	var key Key
-	for _, k := range c.Keys {
-		if bytes.Equal(k.ID(), m.KeyId) {
-			key = k
+	c.BlockNumber, c.MAC = number, mac
+	c.EntryCount += uint64(len(stored.Entries))
+	return block, nil
+}
+
+// fault returns a fault of the chain.
+func (c *ChainVerifier) fault(block uint64, entry int, reason string) error {
+	return &Fault{Node: c.Node, Block: block, Entry: entry, Reason: reason}
+}
+
+// keyWithID returns the key that signed a block, or nil.
+func (c *ChainVerifier) keyWithID(id []byte) Key {
+	var found Key
+	for _, key := range c.Keys {
+		if bytes.Equal(key.ID(), id) {
+			found = key
 		}
 	}
-	if key == nil {
-		return nil, fault(0, fmt.Sprintf("is signed with another key (%x)", m.KeyId))
-	}
-	out := &Block{Number: number, ClockErrorMS: m.BoundMs}
-	code := key.initialMAC(&m)
-	for i, raw := range m.Entries {
-		code = key.mac(code, raw)
-		if len(m.Tags) < (i+1)*tagBytes || !hmac.Equal(code[:tagBytes], m.Tags[i*tagBytes:(i+1)*tagBytes]) {
-			return out, fault(i+1, "was altered, added, removed or moved")
+	return found
+}
+
+// verifyEntries verifies the entries of a block and its MAC, which it returns.
+func (c *ChainVerifier) verifyEntries(key Key, stored *pb.AuditBlock) (*Block, []byte, error) {
+	block := &Block{Number: stored.Number, ClockErrorMS: stored.BoundMs}
+	mac := key.initialMAC(stored)
+	for i, raw := range stored.Entries {
+		mac = key.mac(mac, raw)
+		if len(stored.Tags) < (i+1)*tagBytes ||
+			!hmac.Equal(mac[:tagBytes], stored.Tags[i*tagBytes:(i+1)*tagBytes]) {
+			return block, nil, c.fault(stored.Number, i+1, "was altered, added, removed or moved")
 		}
-		e := &pb.AuditEntry{}
-		if err := protobuf.Unmarshal(raw, e); err != nil {
-			return out, fault(i+1, "can't be read: "+err.Error())
+		entry := &pb.AuditEntry{}
+		if err := protobuf.Unmarshal(raw, entry); err != nil {
+			return block, nil, c.fault(stored.Number, i+1, "can't be read: "+err.Error())
 		}
-		out.Entries = append(out.Entries, e)
+		block.Entries = append(block.Entries, entry)
 	}
-	if len(m.Tags) != len(m.Entries)*tagBytes || !hmac.Equal(code, m.Code) {
-		return out, fault(len(m.Entries)+1, "was removed, or the block's code was altered")
+	if len(stored.Tags) != len(stored.Entries)*tagBytes || !hmac.Equal(mac, stored.Code) {
+		reason := "was removed, or the block's code was altered"
+		return block, nil, c.fault(stored.Number, len(stored.Entries)+1, reason)
 	}
-	c.BlockNumber, c.MAC = number, code
-	c.EntryCount += uint64(len(m.Entries))
-	return out, nil
+	return block, mac, nil
 }
 
-// DecodeBlock reads a block without checking it.
+// DecodeBlock reads a block without verifying it.
 func DecodeBlock(raw json.RawMessage) (*Block, error) {
-	var m pb.AuditBlock
-	if err := archive.Unpack(raw, &m); err != nil {
+	var stored pb.AuditBlock
+	if err := archive.Unpack(raw, &stored); err != nil {
 		return nil, err
 	}
-	out := &Block{Number: m.Number, ClockErrorMS: m.BoundMs}
-	for _, raw := range m.Entries {
-		e := &pb.AuditEntry{}
-		if err := protobuf.Unmarshal(raw, e); err != nil {
+	block := &Block{Number: stored.Number, ClockErrorMS: stored.BoundMs}
+	for _, raw := range stored.Entries {
+		entry := &pb.AuditEntry{}
+		if err := protobuf.Unmarshal(raw, entry); err != nil {
 			return nil, fmt.Errorf("%w: %w", archive.ErrCorrupt, err)
 		}
-		out.Entries = append(out.Entries, e)
+		block.Entries = append(block.Entries, entry)
 	}
-	return out, nil
+	return block, nil
 }
 
-// PendingEntry is an entry in the value whose change it tells of, until it is in a block.
+// PendingEntry is an entry carried by the value whose change it records, until it is in a block.
 type PendingEntry struct {
 	Node        string `json:"a"`
 	Incarnation uint64 `json:"l"`
 	Sequence    uint64 `json:"q"`
 	Entry       []byte `json:"e"` // pb.AuditEntry
-	MAC         []byte `json:"t"` // 16 bytes of a code
+	MAC         []byte `json:"t"` // the first entryMACBytes
 }
 
-// ErrForged tells that a carried entry is not as its controller wrote it.
+// ErrForged is the error of a pending entry that is not as its controller wrote it.
 var ErrForged = errors.New("carried entry is not as it was written")
 
-// SignEntry makes an entry ready to be put with the change it tells of, in a value of this key.
-func (k Key) SignEntry(node, at string, e *pb.AuditEntry) PendingEntry {
-	c := PendingEntry{Node: node, Incarnation: e.Life, Sequence: e.Count, Entry: Encode(e)}
-	c.MAC = k.entryMAC(at, &c)
-	return c
+// SignEntry returns an entry as the value of a key carries it.
+func (k Key) SignEntry(node, valueKey string, entry *pb.AuditEntry) PendingEntry {
+	pending := PendingEntry{Node: node, Incarnation: entry.Life, Sequence: entry.Count, Entry: Encode(entry)}
+	pending.MAC = k.entryMAC(valueKey, &pending)
+	return pending
 }
 
-func (k Key) entryMAC(at string, c *PendingEntry) []byte {
-	return k.mac([]byte("carried"), []byte(c.Node), []byte(at), c.Entry)[:16]
+// entryMAC returns the MAC of a pending entry, which is valid for its controller and the key of its value only.
+func (k Key) entryMAC(valueKey string, pending *PendingEntry) []byte {
+	return k.mac([]byte("carried"), []byte(pending.Node), []byte(valueKey), pending.Entry)[:entryMACBytes]
 }
 
-// VerifyEntry checks a carried entry that was read.
-func (k Key) VerifyEntry(at string, c *PendingEntry) (*pb.AuditEntry, error) {
-	e := &pb.AuditEntry{}
-	if err := protobuf.Unmarshal(c.Entry, e); err != nil || !hmac.Equal(c.MAC, k.entryMAC(at, c)) ||
-		e.Life != c.Incarnation ||
-		e.Count != c.Sequence {
+// VerifyEntry verifies and decodes a pending entry that the value of a key carries. Its error is ErrForged.
+func (k Key) VerifyEntry(valueKey string, pending *PendingEntry) (*pb.AuditEntry, error) {
+	entry := &pb.AuditEntry{}
+	if err := protobuf.Unmarshal(pending.Entry, entry); err != nil ||
+		!hmac.Equal(pending.MAC, k.entryMAC(valueKey, pending)) ||
+		entry.Life != pending.Incarnation ||
+		entry.Count != pending.Sequence {
 		return nil, ErrForged
 	}
-	return e, nil
+	return entry, nil
 }
--- a/audit/event.go
+++ b/audit/event.go
@@ -6,13 +6,13 @@
 	pb "dewlift/proto"
 )
 
-// Event is one act of the record: an entry, or an item of one.
+// Event is one event of the audit log: an entry, or an item of one. Its JSON form is what commands print.
 type Event struct {
 	Node         string    `json:"node"`
 	Block        uint64    `json:"block"`
-	Entry        int       `json:"entry"` // its place in the block, from 1
+	Entry        int       `json:"entry"` // position in the block, from 1
 	At           time.Time `json:"at"`
-	ClockErrorMS uint32    `json:"bound_ms"` // how far the time may be off
+	ClockErrorMS uint32    `json:"bound_ms"` // bound of the error of the time
 	Identity     string    `json:"who,omitempty"`
 	Key          string    `json:"key,omitempty"`
 	Verb         string    `json:"verb"`
@@ -22,50 +22,52 @@
 	Count        uint32    `json:"count"`
 }
 
-// Events lists the acts of a block, in its order; times are in a zone.
+// Events returns the events of a block in its order, with times in the given zone.
 func (b *Block) Events(node string, zone *time.Location) []Event {
 	var out []Event
-	for i, e := range b.Entries {
-		a := Event{
+	for i, entry := range b.Entries {
+		event := Event{
 			Node:         node,
 			Block:        b.Number,
 			Entry:        i + 1,
-			At:           time.UnixMilli(e.AtMs).In(zone),
+			At:           time.UnixMilli(entry.AtMs).In(zone),
 			ClockErrorMS: b.ClockErrorMS,
-			Identity:     e.Who,
-			Key:          e.Key,
-			Verb:         e.Verb,
-			Object:       e.Object,
-			Outcome:      e.Outcome.String(),
-			Reason:       e.Why,
+			Identity:     entry.Who,
+			Key:          entry.Key,
+			Verb:         entry.Verb,
+			Object:       entry.Object,
+			Outcome:      entry.Outcome.String(),
+			Reason:       entry.Why,
 			Count:        1,
 		}
-		if len(e.Items) == 0 {
-			out = append(out, a)
+		if len(entry.Items) == 0 {
+			out = append(out, event)
 			continue
 		}
-		for _, it := range e.Items {
-			a.Identity, a.Verb, a.Object, a.Reason, a.Count = it.Who, it.Verb, it.Object, it.Why, it.Count
-			out = append(out, a)
+		for _, item := range entry.Items {
+			event.Identity, event.Verb, event.Object = item.Who, item.Verb, item.Object
+			event.Reason, event.Count = item.Why, item.Count
+			out = append(out, event)
 		}
 	}
 	return out
 }
 
-// Filter chooses acts; what is empty does not restrict.
+// Filter selects events. Empty fields don't restrict.
 type Filter struct {
 	Identity, Verb, Object, Outcome string
-	Since, Until                    time.Time // until is not in it
+	Since, Until                    time.Time // Until is exclusive
 }
 
-// Matches reports whether a filter lets an act through.
-func (f *Filter) Matches(a *Event) bool {
-	is := func(want, have string) bool { return want == "" || want == have }
-	return is(f.Identity, a.Identity) && is(f.Verb, a.Verb) && is(f.Object, a.Object) && is(f.Outcome, a.Outcome) &&
-		(f.Since.IsZero() || !a.At.Before(f.Since)) && (f.Until.IsZero() || a.At.Before(f.Until))
+// Matches reports whether the filter selects an event.
+func (f *Filter) Matches(event *Event) bool {
+	matches := func(want, have string) bool { return want == "" || want == have }
+	return matches(f.Identity, event.Identity) && matches(f.Verb, event.Verb) &&
+		matches(f.Object, event.Object) && matches(f.Outcome, event.Outcome) &&
+		(f.Since.IsZero() || !event.At.Before(f.Since)) && (f.Until.IsZero() || event.At.Before(f.Until))
 }
 
-// Outcomes of acts.
+// Outcomes of events.
 var (
 	OutcomeDone    = pb.AuditOutcome_done.String()
 	OutcomeRefused = pb.AuditOutcome_refused.String()
--- a/audit/key.go
+++ b/audit/key.go
@@ -1,7 +1,7 @@
-// Package audit is the record of who did what and what was refused. Each controller has a chain of
-// blocks of its own, which are never rewritten; a code under a key that the state service does not hold
-// ties each entry to all before it. The package decides how entries are carried, chained, gathered, checked and
-// found; it does no I/O.
+// Package audit is the audit log: who did what, and what was denied. Each controller has a chain of blocks
+// of its own, which are never rewritten. A MAC under a key that the key-value store does not hold chains
+// each entry to all earlier ones. The package decides how entries are signed, chained, aggregated, verified
+// and filtered. It does no I/O.
 package audit
 
 import (
@@ -9,26 +9,30 @@
 	"crypto/rand"
 	"crypto/sha256"
 	"encoding/base64"
+	"encoding/binary"
 	"errors"
 	"fmt"
 	"strings"
 )
 
-// Key is a secret with which entries are signed.
+// Key is the secret with which entries are signed.
 type Key []byte
 
-const keyBytes = 32
+const (
+	keyBytes   = 32 // at least, as for SHA-256
+	keyIDBytes = 8
+)
 
-// NewKey makes a key, as a line of its file.
+// NewKey returns a new random key as the line of a key file.
 func NewKey() (string, error) {
 	raw := make([]byte, keyBytes)
 	if _, err := rand.Read(raw); err != nil {
-		return "", fmt.Errorf("new key: %w", err)
+		return "", fmt.Errorf("generate key: %w", err)
 	}
 	return base64.StdEncoding.EncodeToString(raw) + "\n", nil
 }
 
-// ParseKey reads what NewKey gives.
+// ParseKey reads the content of a key file.
 func ParseKey(text string) (Key, error) {
 	raw, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
 	if err != nil || len(raw) < keyBytes {
@@ -37,20 +41,18 @@
 	return raw, nil
 }
 
-// ID names a key without telling it.
-func (k Key) ID() []byte { return k.mac([]byte("dewlift audit key"))[:8] }
+// ID identifies a key without revealing it.
+func (k Key) ID() []byte { return k.mac([]byte("dewlift audit key"))[:keyIDBytes] }
 
-// mac is the HMAC-SHA256 of parts, each of which is preceded by its length: no two lists of parts have the
-// same code by being cut otherwise.
+// mac returns the HMAC-SHA256 of parts. Each part is preceded by its length, so that no two different
+// lists of parts have the same content.
 func (k Key) mac(parts ...[]byte) []byte {
-	h := hmac.New(sha256.New, k)
-	for _, p := range parts {
-		var n [8]byte
-		for i, v := 7, len(p); i >= 0; i, v = i-1, v>>8 {
-			n[i] = byte(v)
-		}
-		h.Write(n[:])
-		h.Write(p)
+	hash := hmac.New(sha256.New, k)
+	for _, part := range parts {
+		var length [8]byte
+		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
+		hash.Write(length[:])
+		hash.Write(part)
 	}
-	return h.Sum(nil)
+	return hash.Sum(nil)
 }
--- a/audit/report/report.go
+++ b/audit/report/report.go
@@ -1,4 +1,5 @@
-// Package report renders what the audit record holds as an HTML page with a plot: who did what, by calendar day.
+// Package report renders audit events as an HTML page with a plot: who did what, by calendar day. It owns
+// only the counts of one report, and does no I/O but to the writer it is given.
 package report
 
 import (
@@ -18,61 +19,73 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Report counts acts by day. Its zero value is ready.
+// Report counts events by day. Zone must be set; otherwise its zero value is ready.
 type Report struct {
-	Zone        *time.Location
+	Zone        *time.Location // of the days
 	days        map[string]map[EventKind]*EventCount
 	eventTotal  uint64
 	controllers map[string]bool
 }
 
-// EventKind is what is counted together.
+// EventKind is a kind of events that are counted together.
 type EventKind struct{ Who, Verb, Outcome string }
 
-// EventCount is how often somebody did something on a day.
+// EventCount is the number of events of a kind on a day.
 type EventCount struct {
 	EventKind
 	Count   uint64
-	Objects []string // the first of them
+	Objects []string // the first maxObjectsShown
 	More    bool     // there are others
 }
 
+// maxObjectsShown bounds the objects named in a line, so that it stays readable.
 const maxObjectsShown = 3
 
-// Add counts an act, on the calendar day that its time has in the report's zone.
-func (r *Report) Add(a *audit.Event) {
+// Appearance of the plot.
+const (
+	maxLevelLabels = 8             // days with horizontal labels; more overlap
+	labelRotation  = 0.7           // rad, of the labels of more days
+	titlePadding   = vg.Length(10) // points
+	plotWidth      = 380           // points for all bars
+	minBarWidth    = 4             // points
+	legendShare    = 0.2           // of the days, left free for the legend
+	minLegendDays  = 0.5           // at least
+)
+
+// Add counts an event on its calendar day in the report's zone.
+func (r *Report) Add(event *audit.Event) {
 	if r.days == nil {
 		r.days, r.controllers = map[string]map[EventKind]*EventCount{}, map[string]bool{}
 	}
-	day := a.At.In(r.Zone).Format(time.DateOnly)
+	day := event.At.In(r.Zone).Format(time.DateOnly)
 	if r.days[day] == nil {
 		r.days[day] = map[EventKind]*EventCount{}
 	}
-	k := EventKind{cmp.Or(a.Identity, "(the service)"), a.Verb, a.Outcome}
-	if a.Identity == "" && a.Outcome == audit.OutcomeRefused {
-		k.Who = "(nobody known)"
+	kind := EventKind{cmp.Or(event.Identity, "(the service)"), event.Verb, event.Outcome}
+	if event.Identity == "" && event.Outcome == audit.OutcomeRefused {
+		kind.Who = "(nobody known)"
 	}
-	l := r.days[day][k]
-	if l == nil {
-		l = &EventCount{EventKind: k}
-		r.days[day][k] = l
+	line := r.days[day][kind]
+	if line == nil {
+		line = &EventCount{EventKind: kind}
+		r.days[day][kind] = line
 	}
-	l.Count += uint64(a.Count)
-	r.eventTotal += uint64(a.Count)
-	r.controllers[a.Node] = true
+	line.Count += uint64(event.Count)
+	r.eventTotal += uint64(event.Count)
+	r.controllers[event.Node] = true
 	switch {
-	case slices.Contains(l.Objects, a.Object):
-	case len(l.Objects) < maxObjectsShown:
-		l.Objects = append(l.Objects, a.Object)
+	case slices.Contains(line.Objects, event.Object):
+	case len(line.Objects) < maxObjectsShown:
+		line.Objects = append(line.Objects, event.Object)
 	default:
-		l.More = true
+		line.More = true
 	}
 }
 
-// Days lists the days with acts, in order.
+// Days returns the days with events, in order.
 func (r *Report) Days() []string { return slices.Sorted(maps.Keys(r.days)) }
 
-// CountsOn lists what was done on a day, by who and verb.
+// CountsOn returns the counts of a day, ordered by identity, verb and outcome.
 func (r *Report) CountsOn(day string) []*EventCount {
 	out := slices.Collect(maps.Values(r.days[day]))
 	slices.SortFunc(out, func(a, b *EventCount) int {
@@ -81,30 +94,34 @@
 	return out
 }
 
+// pageTemplate is the page; it refers to no other files.
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>dewlift: who did what</title>
-<style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:62em;color:#222}table{border-collapse:collapse;margin:.5em 0 1.5em;width:100%}
-td,th{border:1px solid #ccc;padding:.25em .6em;text-align:left}th{background:#f3f3f3}td.n{text-align:right}tr.refused td{color:#a00}img{max-width:100%}</style>
+<style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:62em;color:#222}` +
+	`table{border-collapse:collapse;margin:.5em 0 1.5em;width:100%}
+td,th{border:1px solid #ccc;padding:.25em .6em;text-align:left}th{background:#f3f3f3}` +
+	`td.n{text-align:right}tr.refused td{color:#a00}img{max-width:100%}</style>
 <h1>Who did what</h1>
 <p>{{.Acts}} acts on {{len .Days}} days, recorded by {{.Nodes}} controllers. Days are those of {{.Zone}}. {{.Note}}</p>
 {{with .Plot}}<p><img alt="acts by day and verb" src="{{.}}"></p>{{end}}
 {{range .Days}}<h2>{{.Day}}</h2>
 <table><tr><th>who<th>did<th>outcome<th>times<th>what</tr>
-{{range .Lines}}<tr class="{{.Outcome}}"><td>{{.Who}}<td>{{.Verb}}<td>{{.Outcome}}<td class="n">{{.Count}}<td>{{range $i, $o := .Objects}}{{if $i}}, {{end}}{{$o}}{{end}}{{if .More}}, ...{{end}}</tr>
+{{range .Lines}}<tr class="{{.Outcome}}"><td>{{.Who}}<td>{{.Verb}}<td>{{.Outcome}}<td class="n">{{.Count}}<td>` +
+	`{{range $i, $o := .Objects}}{{if $i}}, {{end}}{{$o}}{{end}}{{if .More}}, ...{{end}}</tr>
 {{end}}</table>
 {{end}}`))
 
-// WriteHTML writes the page, which needs nothing beside itself. note is put beside the counts.
+// WriteHTML writes the page, with a note beside the counts.
 func (r *Report) WriteHTML(w io.Writer, note string) error {
 	type day struct {
 		Day   string
 		Lines []*EventCount
 	}
 	var days []day
-	for _, d := range r.Days() {
-		days = append(days, day{d, r.CountsOn(d)})
+	for _, date := range r.Days() {
+		days = append(days, day{date, r.CountsOn(date)})
 	}
-	img, err := r.plot()
+	image, err := r.plot()
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
@@ -115,57 +132,63 @@
 			"Days":  days,
 			"Nodes": len(r.controllers),
 			"Zone":  r.Zone.String(),
-			"Plot":  img,
+			"Plot":  image,
 			"Note":  note,
 		},
 	)
 }
 
-// plot draws the acts of each day, one bar for each verb upon the other; refusals are one of them.
+// plot draws the events of each day as a stack of bars, one for each verb and one for denials.
 func (r *Report) plot() (template.URL, error) {
 	days := r.Days()
 	if len(days) == 0 {
 		return "", nil
 	}
-	values := map[string]plotter.Values{}
-	for i, d := range days {
-		for k, l := range r.days[d] {
-			verb := k.Verb
-			if k.Outcome == audit.OutcomeRefused {
-				verb = audit.OutcomeRefused
-			}
-			if values[verb] == nil {
-				values[verb] = make(plotter.Values, len(days))
-			}
-			values[verb][i] += float64(l.Count)
-		}
-	}
-	p := plot.New()
-	p.Title.Text, p.Title.Padding = "Acts by day", vg.Points(10)
-	p.Y.Label.Text = "acts"
-	p.Y.Min = 0
-	p.Add(plotter.NewGrid())
-	p.NominalX(days...)
-	if len(days) > 8 {
-		p.X.Tick.Label.Rotation = 0.7
-		p.X.Tick.Label.XAlign = -1
+	canvas := plot.New()
+	canvas.Title.Text, canvas.Title.Padding = "Acts by day", titlePadding
+	canvas.Y.Label.Text = "acts"
+	canvas.Y.Min = 0
+	canvas.Add(plotter.NewGrid())
+	canvas.NominalX(days...)
+	if len(days) > maxLevelLabels {
+		canvas.X.Tick.Label.Rotation = labelRotation
+		canvas.X.Tick.Label.XAlign = -1
 	}
-	width := vg.Points(max(4, 380/float64(len(days)+1)))
+	values := r.valuesByVerb(days)
+	width := vg.Points(max(minBarWidth, plotWidth/float64(len(days)+1)))
 	var below *plotter.BarChart
 	for i, verb := range slices.Sorted(maps.Keys(values)) {
-		b, err := plotter.NewBarChart(values[verb], width)
+		bars, err := plotter.NewBarChart(values[verb], width)
 		if err != nil {
-			return "", err
+			return "", fmt.Errorf("bars of %s: %w", verb, err)
 		}
-		b.Color, b.LineStyle.Width = plotutil.Color(i), 0
+		bars.Color, bars.LineStyle.Width = plotutil.Color(i), 0
 		if below != nil {
-			b.StackOn(below)
+			bars.StackOn(below)
+		}
+		below = bars
+		canvas.Add(bars)
+		canvas.Legend.Add(verb, bars)
+	}
+	canvas.Legend.Top = true
+	canvas.X.Max += max(minLegendDays, legendShare*float64(len(days)))
+	return chart.PNGDataURL(canvas)
+}
+
+// valuesByVerb returns the number of events on each day by verb; denials of all verbs are one.
+func (r *Report) valuesByVerb(days []string) map[string]plotter.Values {
+	values := map[string]plotter.Values{}
+	for i, day := range days {
+		for kind, line := range r.days[day] {
+			verb := kind.Verb
+			if kind.Outcome == audit.OutcomeRefused {
+				verb = audit.OutcomeRefused
+			}
+			if values[verb] == nil {
+				values[verb] = make(plotter.Values, len(days))
+			}
+			values[verb][i] += float64(line.Count)
 		}
-		below = b
-		p.Add(b)
-		p.Legend.Add(verb, b)
 	}
-	p.Legend.Top = true
-	p.X.Max += max(0.5, 0.2*float64(len(days))) // room for the legend
-	return chart.PNGDataURL(p)
+	return values
 }
