--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -31,7 +31,7 @@
 	pb "dewlift/proto"
 )
 
-// testSite is a site with rights and a record, whose controller can be killed and started again.
+// testSite is a site with permissions and an audit log, whose controller can be stopped and started again.
 type testSite struct {
 	t        *testing.T
 	state    *fakes.Store
@@ -73,7 +73,7 @@
 
 func (s *testSite) file(name string) string { return filepath.Join(s.dir, name) }
 
-// listenLoopback holds a free address on loopback.
+// listenLoopback listens on a free address of loopback.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -83,32 +83,38 @@
 	return ln
 }
 
-// start runs the controller against a state service until stop is called, and waits until it is healthy.
+// start runs the controller against a store until stop is called, and waits until it is healthy.
 func (s *testSite) start(state string) {
 	s.t.Helper()
 	users, peers := listenLoopback(s.t), listenLoopback(s.t)
-	p := &settings.Platform{Name: "n0", Zone: "a", Listen: users.Addr().String(), MeshAddr: peers.Addr().String()}
-	p.Services.State, p.Services.Cloud = state, "127.0.0.1:1" // no cloud
-	k := &p.Cluster
-	k.Teams = []settings.Team{{Name: "t"}}
-	k.Workers.HeartbeatIntervalS = 3
-	k.Workers.AgentLeaseS = 30
-	k.Workers.CancelDeadlineS = 60
-	k.TimeBoundMS = 500
-	k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps, k.Cloud.RPS, k.Quota.FDLimit = 500, 200, 8, 12, 4, 1000
+	platform := &settings.Platform{
+		Name:     "n0",
+		Zone:     "a",
+		Listen:   users.Addr().String(),
+		MeshAddr: peers.Addr().String(),
+	}
+	platform.Services.State, platform.Services.Cloud = state, "127.0.0.1:1" // nothing listens there
+	cluster := &platform.Cluster
+	cluster.Teams = []settings.Team{{Name: "t"}}
+	cluster.Workers.HeartbeatIntervalS = 3
+	cluster.Workers.AgentLeaseS = 30
+	cluster.Workers.CancelDeadlineS = 60
+	cluster.TimeBoundMS = 500
+	cluster.State.RPS = 500
+	cluster.State.WriteRPS = 200
+	cluster.State.ValueKB = 8
+	cluster.State.TxnOps = 12
+	cluster.Cloud.RPS = 4
+	cluster.Quota.FDLimit = 1000
 	tuning := settings.DefaultTuning()
-	tuning.LeaseMs, tuning.AuditGatherMs, tuning.AuditBlockMs = new(
-		uint32(1000),
-	), new(
-		uint32(1000),
-	), new(
-		uint32(1000),
-	)
+	tuning.LeaseMs = new(uint32(1000))
+	tuning.AuditGatherMs = new(uint32(1000))
+	tuning.AuditBlockMs = new(uint32(1000))
 	ctx, cancel := context.WithCancel(s.t.Context())
 	ended := make(chan error, 1)
-	c := dewlift.New(p, tuning, s.options, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	go func() { ended <- c.Serve(ctx, users, peers) }()
-	s.platform = p
+	controller := dewlift.New(platform, tuning, s.options, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	go func() { ended <- controller.Serve(ctx, users, peers) }()
+	s.platform = platform
 	s.stop = func() {
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
@@ -117,7 +123,7 @@
 	}
 	s.eventually("healthy", func() bool {
 		r := httpjson.New(1, 1, 1<<10).
-			Do(s.t.Context(), time.Second, http.MethodGet, "http://"+p.Listen+wire.PathHealth, nil)
+			Do(s.t.Context(), time.Second, http.MethodGet, "http://"+platform.Listen+wire.PathHealth, nil)
 		return r.Status == http.StatusOK
 	})
 }
@@ -133,7 +139,7 @@
 	s.t.Fatalf("not %s within a minute", what)
 }
 
-// request asks once, in somebody's name.
+// request makes a request once, with an identity's token, and returns the status of its response.
 func (s *testSite) request(who, method, path string, body any) int {
 	c := httpjson.New(1, 1, 1<<20)
 	if k := s.keys[who]; k != nil {
@@ -150,7 +156,7 @@
 	return runCommand(append(args, "--key", s.file("root.key"), "--server", s.platform.Listen)...)
 }
 
-// list lists acts by the command.
+// list returns the events that `dewlift audit list` prints.
 func (s *testSite) list(args ...string) (acts []audit.Event) {
 	s.t.Helper()
 	out, err := s.run(append([]string{"audit", "list", "--json"}, args...)...)
@@ -167,140 +173,166 @@
 	return acts
 }
 
-// A glaze technician, a visiting potter, a packer who may reprint labels and not cancel a reroast,
-// and a service, over kills of the controller amid their acts: every act that was granted is in the
-// record exactly once, every refused one of a life that went on is found, and the record verifies,
-// also as a snapshot and where that was restored.
+// Every act that was granted must be in the audit log exactly once, and every one denied by a controller that
+// lived on must be found, although the controller is killed amid the acts of a glaze technician, a visiting
+// potter, a packer who may reprint labels and not cancel a reroast, and a service. The log must verify, also as a
+// snapshot and where that was restored.
 func TestEveryActIsRecordedOverKills(t *testing.T) {
 	s := newTestSite(t)
-	rng := rand.New(rand.NewPCG(14, 1))
 	s.start(s.addr)
-	type did struct {
-		who, verb, object string
-		refused           bool
-	}
-	var acts []did
-	refusedNow := map[did]uint32{} // of this life
-	do := func(who, method, path string, body any, d did, want int) {
-		t.Helper()
-		// the same in every run
-		die, wait := rng.Float64() < 0.12, time.Duration(rng.Int64N(int64(25*time.Millisecond)))
-		for try := range 200 {
-			killed := make(chan bool, 1)
-			if die && try == 0 {
-				kill := s.stop
-				go func() { time.Sleep(wait); kill(); killed <- true }()
-			} else {
-				killed <- false
-			}
-			status := s.request(who, method, path, body)
-			if <-killed {
-				clear(refusedNow)
-				s.start(s.addr)
-			}
-			switch {
-			case status == 0 || status == 503 || status == 500 || status == 429:
-				time.Sleep(20 * time.Millisecond)
-				continue
-			case status != want && !(want == 201 && status == 200):
-				t.Fatalf("%s %s %s: %d, want %d", who, method, path, status, want)
-			}
-			if d.refused {
-				refusedNow[d]++
-			}
-			acts = append(acts, d)
-			return
-		}
-		t.Fatalf("%s %s %s: no answer", who, method, path)
-	}
-	post, get := http.MethodPost, http.MethodGet
+	script := &actScript{t: t, site: s, rng: rand.New(rand.NewPCG(14, 1)), deniedNow: map[act]uint32{}}
 	for i := range 5 {
-		id := func(s string) string { return fmt.Sprintf("wk-%s%d", s, i) }
-		do(
-			"anna",
-			post,
-			"/v1/jobs",
-			fakes.JobRequest(id("fire"), "firing"),
-			did{"anna", "submit", id("fire"), false},
-			201,
-		)
-		do(
-			"potter",
-			post,
-			"/v1/jobs",
-			fakes.JobRequest(id("plan"), "plan"),
-			did{"potter", "submit", id("plan"), false},
-			201,
-		)
-		do(
-			"potter",
-			post,
-			"/v1/jobs",
-			fakes.JobRequest(id("no"), "firing"),
-			did{"potter", "submit", id("no"), true},
-			403,
-		)
-		do(
-			"portal",
-			post,
-			"/v1/jobs",
-			fakes.JobRequest(id("roast"), "reroast"),
-			did{"portal", "submit", id("roast"), false},
-			201,
-		)
-		do(
-			"pia",
-			post,
-			"/v1/jobs",
-			fakes.JobRequest(id("label"), "labels"),
-			did{"pia", "submit", id("label"), false},
-			201,
-		)
-		do("pia", post, "/v1/jobs/"+id("roast")+"/withdraw", struct{}{}, did{"pia", "cancel", id("roast"), true}, 403)
-		do("potter", get, "/v1/jobs/"+id("fire"), nil, did{"potter", "read", id("fire"), true}, 404)
-		do("nobody", get, "/v1/jobs/"+id("fire"), nil, did{"", "GET", "/v1/jobs/" + id("fire"), true}, 401)
-		do(
-			"anna",
-			post,
-			"/v1/jobs/"+id("fire")+"/withdraw",
-			struct{}{},
-			did{"anna", "cancel", id("fire"), false},
-			200,
-		)
-		do(
-			"root",
-			post,
-			"/v1/access/guest"+fmt.Sprint(i),
-			wire.PermissionsEdit{GrantRoles: []string{"visitor"}},
-			did{"root", "administer", fmt.Sprint("guest", i), false},
-			200,
-		)
+		script.round(i)
+	}
+	script.checkRecorded()
+	checkLogCommands(t, s)
+	checkRevokedKeyIsRecorded(t, s)
+	saved := s.file("saved")
+	checkSavedLogVerifies(t, s, saved)
+	s.stop()
+	other := httptest.NewServer(fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}))
+	t.Cleanup(other.Close)
+	restored := strings.TrimPrefix(other.URL, "http://")
+	if _, err := snapshot.Restore(t.Context(), &snapshot.Target{
+		Source:   snapshot.Source{Addr: restored, RPS: 1000},
+		WriteRPS: 1000,
+		TxnOps:   12,
+	}, saved, nil); err != nil {
+		t.Fatal(err)
 	}
+	s.start(restored)
+	checkRestoredLogGoesOn(t, s, saved)
+	s.stop()
+}
+
+// act is what the audit log must have of a request.
+type act struct {
+	identity, verb, object string
+	denied                 bool
+}
+
+// actScript makes requests and kills the controller amid some of them.
+type actScript struct {
+	t         *testing.T
+	site      *testSite
+	rng       *rand.Rand // the kills are the same in every run
+	acts      []act
+	deniedNow map[act]uint32 // denied by the controller that runs now
+}
+
+// do makes a request until it is answered.
+func (a *actScript) do(caller, method, path string, body any, done act, want int) {
+	a.t.Helper()
+	die, wait := a.rng.Float64() < 0.12, time.Duration(a.rng.Int64N(int64(25*time.Millisecond)))
+	for attempt := range 200 {
+		status := a.requestAmidKill(die && attempt == 0, wait, caller, method, path, body)
+		if status == 0 || status == 503 || status == 500 || status == 429 {
+			time.Sleep(20 * time.Millisecond)
+			continue
+		}
+		if status != want && (want != 201 || status != 200) {
+			a.t.Fatalf("%s %s %s: %d, want %d", caller, method, path, status, want)
+		}
+		if done.denied {
+			a.deniedNow[done]++
+		}
+		a.acts = append(a.acts, done)
+		return
+	}
+	a.t.Fatalf("%s %s %s: no answer", caller, method, path)
+}
+
+// requestAmidKill makes a request; with kill, the controller is killed meanwhile and started again.
+func (a *actScript) requestAmidKill(
+	kill bool,
+	wait time.Duration,
+	caller, method, path string,
+	body any,
+) (status int) {
+	a.t.Helper()
+	if !kill {
+		return a.site.request(caller, method, path, body)
+	}
+	stop, killed := a.site.stop, make(chan struct{})
+	go func() {
+		defer close(killed)
+		time.Sleep(wait)
+		stop()
+	}()
+	status = a.site.request(caller, method, path, body)
+	<-killed
+	clear(a.deniedNow)
+	a.site.start(a.site.addr)
+	return status
+}
+
+// round makes ten requests about new jobs and a new identity.
+func (a *actScript) round(i int) {
+	a.t.Helper()
+	id := func(kind string) string { return fmt.Sprintf("wk-%s%d", kind, i) }
+	submit := func(caller, kind, class string, denied bool, want int) {
+		a.t.Helper()
+		body := fakes.JobRequest(id(kind), class)
+		a.do(caller, http.MethodPost, "/v1/jobs", body, act{caller, "submit", id(kind), denied}, want)
+	}
+	cancel := func(caller, kind string, denied bool, want int) {
+		a.t.Helper()
+		path := "/v1/jobs/" + id(kind) + "/withdraw"
+		a.do(caller, http.MethodPost, path, struct{}{}, act{caller, "cancel", id(kind), denied}, want)
+	}
+	submit("anna", "fire", "firing", false, 201)
+	submit("potter", "plan", "plan", false, 201)
+	submit("potter", "no", "firing", true, 403)
+	submit("portal", "roast", "reroast", false, 201)
+	submit("pia", "label", "labels", false, 201)
+	cancel("pia", "roast", true, 403)
+	read := "/v1/jobs/" + id("fire")
+	a.do("potter", http.MethodGet, read, nil, act{"potter", "read", id("fire"), true}, 404)
+	a.do("nobody", http.MethodGet, read, nil, act{"", "GET", read, true}, 401)
+	cancel("anna", "fire", false, 200)
+	guest := fmt.Sprint("guest", i)
+	edit := wire.PermissionsEdit{GrantRoles: []string{"visitor"}}
+	a.do("root", http.MethodPost, "/v1/access/"+guest, edit, act{"root", "administer", guest, false}, 200)
+}
+
+// checkRecorded waits until all acts are in the audit log as often as they must be.
+func (a *actScript) checkRecorded() {
+	a.t.Helper()
 	missing := "nothing was listed"
-	s.eventually("recorded", func() bool {
-		count, times := map[did]uint32{}, map[did]int{}
-		for _, a := range s.list() {
-			d := did{a.Identity, a.Verb, a.Object, a.Outcome == audit.OutcomeRefused}
-			count[d] += a.Count
-			times[d]++
+	defer func() {
+		if a.t.Failed() {
+			a.t.Log(missing)
 		}
+	}()
+	a.site.eventually("recorded", func() bool {
 		missing = ""
-		for _, d := range acts {
-			// A refusal of a life that was ended may be lost with it. A change of rights that was
-			// asked for twice is two.
-			if n := refusedNow[d]; d.refused && count[d] < n ||
-				!d.refused && (times[d] == 0 || times[d] > 1 && d.verb != "administer") {
-				missing += fmt.Sprintf("%+v: %d times in %d entries; ", d, count[d], times[d])
+		count, entries := map[act]uint32{}, map[act]int{}
+		for _, event := range a.site.list() {
+			recorded := act{event.Identity, event.Verb, event.Object, event.Outcome == audit.OutcomeRefused}
+			count[recorded] += event.Count
+			entries[recorded]++
+		}
+		for _, done := range a.acts {
+			// A denial by a controller that was killed may be lost with it. A change of permissions that was
+			// requested twice is recorded twice.
+			if done.denied && count[done] < a.deniedNow[done] ||
+				!done.denied && (entries[done] == 0 || entries[done] > 1 && done.verb != "administer") {
+				missing += fmt.Sprintf("%+v: %d times in %d entries; ", done, count[done], entries[done])
 			}
 		}
 		return missing == ""
 	})
+}
+
+// checkLogCommands checks what the commands say of the audit log, and that reading it is recorded.
+func checkLogCommands(t *testing.T, s *testSite) {
+	t.Helper()
 	if starts := s.list("--verb", "start"); len(starts) < 4 ||
 		!strings.HasPrefix(starts[1].Reason, "settings differ: ") {
 		t.Errorf("starts: %+v", starts)
 	}
 	if reads := s.list("--verb", "audit", "--who", "root"); len(reads) == 0 {
-		t.Error("reading the record is not recorded")
+		t.Error("reading the audit log is not recorded")
 	}
 	if out, err := s.run("audit", "verify", "--audit-key", s.file("audit.key"), "--ends", s.file("ends")); err != nil ||
 		!strings.Contains(out, "whole") {
@@ -314,69 +346,66 @@
 	if err != nil || !strings.Contains(string(page), "potter") || !strings.Contains(string(page), "data:image/png") {
 		t.Errorf("the report: %d bytes, %v", len(page), err)
 	}
+}
 
-	// A key that was revoked is good nowhere, and that is recorded too.
+// checkRevokedKeyIsRecorded checks that a revoked key is no longer accepted, and that its revocation is recorded.
+func checkRevokedKeyIsRecorded(t *testing.T, s *testSite) {
+	t.Helper()
 	if out, err := s.run("key", "revoke", "pia", "pia-1"); err != nil || !strings.Contains(out, "no key of pia") {
 		t.Fatalf("%s %v", out, err)
 	}
-	s.eventually(
-		"shut out",
-		func() bool { return s.request("pia", get, "/v1/jobs/wk-label0", nil) == http.StatusUnauthorized },
-	)
+	s.eventually("shut out", func() bool {
+		return s.request("pia", http.MethodGet, "/v1/jobs/wk-label0", nil) == http.StatusUnauthorized
+	})
 	s.eventually("recorded that a key was revoked", func() bool {
-		acts := s.list("--verb", "administer", "--object", "pia")
-		return len(acts) == 1 && acts[0].Reason == "revoke keys pia-1"
+		events := s.list("--verb", "administer", "--object", "pia")
+		return len(events) == 1 && events[0].Reason == "revoke keys pia-1"
 	})
+}
 
-	// Saved, and restored to another state service: the chain goes on, and says so.
-	saved := s.file("saved")
+// checkSavedLogVerifies saves a snapshot, which must be recorded, and verifies the audit log in it.
+func checkSavedLogVerifies(t *testing.T, s *testSite, saved string) {
+	t.Helper()
 	if _, err := s.run("snapshot", "save", saved, "--share", "1"); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually(
-		"recorded that the state was saved",
-		func() bool { return len(s.list("--object", "snapshot", "--who", "root")) > 0 },
-	)
-	if out, err := runCommand("audit", "verify", "--snapshot", saved, "--audit-key", s.file("audit.key"), "--ends", s.file("ends")); err != nil ||
-		!strings.Contains(out, "whole") {
+	s.eventually("recorded that the state was saved", func() bool {
+		return len(s.list("--object", "snapshot", "--who", "root")) > 0
+	})
+	out, err := runCommand("audit", "verify", "--snapshot", saved, "--audit-key", s.file("audit.key"),
+		"--ends", s.file("ends"))
+	if err != nil || !strings.Contains(out, "whole") {
 		t.Errorf("%s %v", out, err)
 	}
-	s.stop()
-	other := httptest.NewServer(fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}))
-	t.Cleanup(other.Close)
-	to := strings.TrimPrefix(other.URL, "http://")
-	if _, err := snapshot.Restore(t.Context(), &snapshot.Target{
-		Source:   snapshot.Source{Addr: to, RPS: 1000},
-		WriteRPS: 1000,
-		TxnOps:   12,
-	}, saved, nil); err != nil {
-		t.Fatal(err)
-	}
-	s.start(to)
+}
+
+// checkRestoredLogGoesOn checks that the chain of a restored site says so, continues the saved one without
+// changing it, and verifies.
+func checkRestoredLogGoesOn(t *testing.T, s *testSite, saved string) {
+	t.Helper()
 	s.eventually("recorded that it was restored", func() bool { return len(s.list("--verb", "restore")) == 1 })
 	if _, err := s.run("snapshot", "save", s.file("again"), "--share", "1"); err != nil {
 		t.Fatal(err)
 	}
-	was, err := readSnapshotChains(saved)
+	before, err := readSnapshotChains(saved)
 	if err != nil {
 		t.Fatal(err)
 	}
-	is, err := readSnapshotChains(s.file("again"))
-	if err != nil || len(is["n0"]) <= len(was["n0"]) {
-		t.Fatalf("%d blocks, %d when it was saved: %v", len(is["n0"]), len(was["n0"]), err)
+	after, err := readSnapshotChains(s.file("again"))
+	if err != nil || len(after["n0"]) <= len(before["n0"]) {
+		t.Fatalf("%d blocks, %d when it was saved: %v", len(after["n0"]), len(before["n0"]), err)
 	}
-	for i, b := range was["n0"] { // byte for byte
-		if !bytes.Equal(b.Value, is["n0"][i].Value) || b.Number != is["n0"][i].Number {
-			t.Errorf("block %d was rewritten", b.Number)
+	for i, block := range before["n0"] { // byte for byte
+		if !bytes.Equal(block.Value, after["n0"][i].Value) || block.Number != after["n0"][i].Number {
+			t.Errorf("block %d was rewritten", block.Number)
 		}
 	}
 	if _, err := s.run("audit", "verify", "--audit-key", s.file("audit.key"), "--ends", s.file("ends")); err != nil {
 		t.Error(err)
 	}
-	s.stop()
 }
 
-// savedAuditLog is a snapshot with a chain of two blocks; tamper changes its keys.
+// savedAuditLog writes a snapshot with a chain of three blocks, changed by tamper, and returns its path.
 func savedAuditLog(t *testing.T, key audit.Key, tamper func(keys []*pb.Key) []*pb.Key) string {
 	t.Helper()
 	h := &audit.Head{}
@@ -423,7 +452,8 @@
 	return path
 }
 
-// The first entry that is not as it was written is named; blocks cut off the end are noticed by the file of ends.
+// The first entry that was tampered with must be named, and blocks cut off the end must be noticed by the file of
+// ends.
 func TestVerifyReportsTamperedBlocks(t *testing.T) {
 	dir := t.TempDir()
 	file, ends := filepath.Join(dir, "audit.key"), filepath.Join(dir, "ends")
@@ -459,7 +489,7 @@
 			"chain of n0: block 3 and those behind it, up to 3, were removed",
 		},
 		"all removed": {
-			savedAuditLog(t, key, func(k []*pb.Key) []*pb.Key { return nil }),
+			savedAuditLog(t, key, func([]*pb.Key) []*pb.Key { return nil }),
 			"chain of n0: block 1 and those behind it",
 		},
 		"made with another": {savedAuditLog(t, forger, whole), "chain of n0: block 1 is signed with another key"},
@@ -478,7 +508,7 @@
 	}
 }
 
-// Days are those of the calendar in a zone, 23 or 25 hours long where clocks change.
+// Days must be those of the calendar in a time zone, 23 or 25 hours long where clocks change.
 func TestListByCalendarDays(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "audit.key")
 	if _, err := runCommand("audit", "key", file); err != nil {
@@ -528,8 +558,8 @@
 		{"--outcome maybe", "--outcome:"},
 		{"--node n9", `no controller "n9"`},
 	} {
-		if _, err := runCommand(append(strings.Fields("audit list --snapshot "+path), strings.Fields(x.args)...)...); err == nil ||
-			!strings.Contains(err.Error(), x.want) {
+		args := append(strings.Fields("audit list --snapshot "+path), strings.Fields(x.args)...)
+		if _, err := runCommand(args...); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s: %v", x.args, err)
 		}
 	}
--- a/cmd/dewlift/golden_test.go
+++ b/cmd/dewlift/golden_test.go
@@ -18,18 +18,18 @@
 
 var update = flag.Bool("update", false, "write the golden files anew: the command line was changed on purpose")
 
-// compare compares lines by name with a golden file.
+// compare compares lines by name with a golden file, which fixes what operators' scripts use.
 func compare(t *testing.T, file string, got map[string][]string) {
 	t.Helper()
 	if *update {
-		var b bytes.Buffer
-		e := json.NewEncoder(&b)
-		e.SetEscapeHTML(false)
-		e.SetIndent("", " ")
-		if err := e.Encode(got); err != nil {
+		var encoded bytes.Buffer
+		encoder := json.NewEncoder(&encoded)
+		encoder.SetEscapeHTML(false)
+		encoder.SetIndent("", " ")
+		if err := encoder.Encode(got); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(file, b.Bytes(), 0o644); err != nil {
+		if err := os.WriteFile(file, encoded.Bytes(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -50,9 +50,9 @@
 	}
 }
 
-// Scripts of operators use the verbs and flags, and read what they say of themselves.
+// Scripts of operators use the verbs and flags, and read their descriptions: none may change.
 func TestCommandLineStays(t *testing.T) {
-	// they are shown as defaults
+	// Their values would be shown as defaults.
 	for _, name := range []string{
 		"ACCESS",
 		"TLS",
@@ -68,21 +68,21 @@
 	}
 	got := map[string][]string{}
 	var walk func(c *cobra.Command)
-	walk = func(c *cobra.Command) {
-		lines := []string{"use: " + c.UseLine(), "short: " + c.Short}
+	walk = func(cmd *cobra.Command) {
+		lines := []string{"use: " + cmd.UseLine(), "short: " + cmd.Short}
 		add := func(name, text string) {
 			if text != "" {
 				lines = append(lines, name+": "+text)
 			}
 		}
-		add("long", c.Long)
-		add("example", c.Example)
-		add("aliases", strings.Join(c.Aliases, " "))
-		add("deprecated", c.Deprecated)
-		if c.Hidden {
+		add("long", cmd.Long)
+		add("example", cmd.Example)
+		add("aliases", strings.Join(cmd.Aliases, " "))
+		add("deprecated", cmd.Deprecated)
+		if cmd.Hidden {
 			lines = append(lines, "hidden")
 		}
-		c.LocalFlags().VisitAll(func(f *pflag.Flag) {
+		cmd.LocalFlags().VisitAll(func(f *pflag.Flag) {
 			lines = append(
 				lines,
 				fmt.Sprintf(
@@ -96,16 +96,16 @@
 				),
 			)
 		})
-		got[c.CommandPath()] = lines
-		for _, x := range c.Commands() {
-			walk(x)
+		got[cmd.CommandPath()] = lines
+		for _, child := range cmd.Commands() {
+			walk(child)
 		}
 	}
 	walk(rootCommand())
 	compare(t, "testdata/commands.json", got)
 }
 
-// The list of settings, as it is printed, and as JSON.
+// The list of settings must stay, as it is printed and as JSON.
 func TestSettingsStay(t *testing.T) {
 	got := map[string][]string{}
 	for name, args := range map[string][]string{
@@ -122,11 +122,11 @@
 	compare(t, "testdata/settings.json", got)
 }
 
-// The file of ends that `dewlift audit verify` keeps, and a setting as JSON has it.
+// The file of ends that `dewlift audit verify` keeps, and the JSON of a setting, must stay readable.
 func TestFilesStay(t *testing.T) {
-	for _, x := range []struct {
-		v    any
-		want string
+	for _, test := range []struct {
+		value any
+		want  string
 	}{
 		{&chainEnd{Number: 7, Code: []byte("code")}, `{"number":7,"code":"Y29kZQ=="}`},
 		{&settingDescription{}, `{"name":"","default":"","min":0,"max":0,"does":""}`},
@@ -144,13 +144,13 @@
 			`{"name":"n","default":"d","switch":true,"min":1,"max":2.5,"does":"does","more":"more","less":"less"}`,
 		},
 	} {
-		raw, err := json.Marshal(x.v)
-		if err != nil || string(raw) != x.want {
-			t.Errorf("%+v is written as %s, was %s (%v)", x.v, raw, x.want, err)
+		raw, err := json.Marshal(test.value)
+		if err != nil || string(raw) != test.want {
+			t.Errorf("%+v is written as %s, was %s (%v)", test.value, raw, test.want, err)
 		}
-		read := reflect.New(reflect.TypeOf(x.v).Elem()).Interface()
-		if err := json.Unmarshal([]byte(x.want), read); err != nil || !reflect.DeepEqual(read, x.v) {
-			t.Errorf("%s is read as %+v (%v)", x.want, read, err)
+		read := reflect.New(reflect.TypeOf(test.value).Elem()).Interface()
+		if err := json.Unmarshal([]byte(test.want), read); err != nil || !reflect.DeepEqual(read, test.value) {
+			t.Errorf("%s is read as %+v (%v)", test.want, read, err)
 		}
 	}
 }
--- a/cmd/dewlift/main.go
+++ b/cmd/dewlift/main.go
@@ -72,7 +72,12 @@
 func (files *featureFiles) addFlags(f *pflag.FlagSet) {
 	f.StringVar(&files.permissionsFile, "access",
 		os.Getenv("DEWLIFT_ACCESS"), "the site's first rights (protobuf text format)")
-	f.StringVar(&files.tlsFile, "tls", os.Getenv("DEWLIFT_TLS"), "files of certificates and keys (protobuf text format)")
+	f.StringVar(
+		&files.tlsFile,
+		"tls",
+		os.Getenv("DEWLIFT_TLS"),
+		"files of certificates and keys (protobuf text format)",
+	)
 	f.StringVar(&files.priorityClassesFile, "lanes",
 		os.Getenv("DEWLIFT_LANES"), "the site's first list of lanes (protobuf text format)")
 	f.StringVar(&files.equipmentFile, "booking",
@@ -150,7 +155,10 @@
 }
 
 // load reads the files that are named.
-func (files *featureFiles) load(platform *settings.Platform, log *slog.Logger) (options dewlift.Options, err error) {
+func (files *featureFiles) load(
+	platform *settings.Platform,
+	log *slog.Logger,
+) (options dewlift.Options, err error) {
 	if files.permissionsFile != "" {
 		if options.Permissions, err = loadPermissions(files.permissionsFile); err != nil {
 			return options, err
--- a/cmd/dewlift/main_test.go
+++ b/cmd/dewlift/main_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// runCommand runs a command line and returns its output.
 func runCommand(args ...string) (string, error) {
 	cmd := rootCommand()
 	var out bytes.Buffer
@@ -17,14 +18,14 @@
 	return out.String(), err
 }
 
-// Bad use is named in one line.
+// Bad use must be reported in one line that names what is wrong.
 func TestUsageErrorsAreOneLine(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad")
 	if err := os.WriteFile(bad, []byte("roles {\n name: 5 }"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct{ args, want string }{
+	for _, test := range []struct{ args, want string }{
 		{"", "--config FILE is needed"},
 		{"check --config none.json", "none.json"},
 		{"access check " + bad, "line 2"},
@@ -47,14 +48,14 @@
 		{"audit report", "--html FILE is needed"},
 		{"audit list --snapshot " + bad, "damaged snapshot"},
 	} {
-		_, err := runCommand(strings.Fields(x.args)...)
-		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", x.args, err)
+		_, err := runCommand(strings.Fields(test.args)...)
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v", test.args, err)
 		}
 	}
 }
 
-// The page of settings is the one that their descriptions give.
+// docs/settings.md must be what the settings' descriptions give.
 func TestSettingsPageIsCurrent(t *testing.T) {
 	want, err := runCommand("settings", "--markdown")
 	if err != nil {
@@ -66,7 +67,8 @@
 	}
 }
 
-// From a new key to rights that can be put in force, as docs/operations/access.md has it; a key file is never replaced.
+// The steps of docs/operations/access.md must lead from a new key to a valid policy; a key file must never be
+// replaced.
 func TestFirstKeys(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "admin.key")
@@ -74,8 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := os.Stat(file); err != nil || s.Mode().Perm() != 0o600 {
-		t.Errorf("the private key's file: %v, %v", s.Mode(), err)
+	if info, err := os.Stat(file); err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("the private key's file: %v, %v", info, err)
 	}
 	if _, err := runCommand("key", "new", "admin", "--id", "admin-1", "--out", file); err == nil {
 		t.Error("a key file was replaced")
@@ -93,7 +95,8 @@
 	if out, err := runCommand("access", "check", path); err != nil || !strings.Contains(out, "1 keys") {
 		t.Errorf("%s %v", out, err)
 	}
-	if out, err := runCommand("access", "explain", path, "--who", "portal", "--verb", "submit", "--team", "t", "--class", "c", "--priority", "high"); err != nil ||
+	if out, err := runCommand("access", "explain", path, "--who", "portal", "--verb", "submit", "--team", "t",
+		"--class", "c", "--priority", "high"); err != nil ||
 		!strings.Contains(out, "portal may submit: role planner, grant 2") {
 		t.Errorf("%s %v", out, err)
 	}
--- a/cmd/dewlift/reservation.go
+++ b/cmd/dewlift/reservation.go
@@ -217,7 +217,8 @@
 	slots.addFlags(cmd.Flags())
 	cmd.Flags().StringVar(&request.Team, "team", "", "whose booking it is")
 	cmd.Flags().BoolVar(&request.Waitlist, "wait", false, "go on the waiting list if it is taken")
-	cmd.Flags().StringVar(&request.Priority, "priority", wire.PriorityName(wire.PriorityStandard), "on the waiting list")
+	standard := wire.PriorityName(wire.PriorityStandard)
+	cmd.Flags().StringVar(&request.Priority, "priority", standard, "on the waiting list")
 	if hold {
 		cmd.Flags().DurationVar(&keep, "for", 15*time.Minute, "how long it is held")
 	}
--- a/cmd/dewlift/settings.go
+++ b/cmd/dewlift/settings.go
@@ -50,8 +50,8 @@
 
 // settingsPage is docs/settings.md.
 var settingsPage = template.Must(template.New("settings").Parse("# Own settings\n\n" +
-	"Written by `dewlift settings --markdown` from `proto/tuning.proto`. All are optional; `--tuning FILE` names a file " +
-	"in protobuf text format.\n\n" +
+	"Written by `dewlift settings --markdown` from `proto/tuning.proto`. All are optional; " +
+	"`--tuning FILE` names a file in protobuf text format.\n\n" +
 	"| setting | default | range | what it does | more of it | less of it |\n| --- | --- | --- | --- | --- | --- |\n" +
 	"{{range .}}| `{{.Name}}` | {{.Default}} | {{.Range}} | {{.Does}} | {{.More}} | {{.Less}} |\n{{end}}"))
 
