--- a/internal/measure/process/process.go
+++ b/internal/measure/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs the built program against the stand-in state service on loopback, for measurements. Each process
-// is ended by its own id.
+// Package process runs the built program against the fake store on loopback, for measurements. It owns the
+// program's process, its folder and the fake store's listener; each process is ended by its own ID.
 package process
 
 import (
@@ -18,165 +18,207 @@
 )
 
 const (
-	// Share is what a controller has of a core; the processes here have a whole one.
+	// CoreShare is the share of a core that a controller has in production; the processes here have a whole core.
 	CoreShare      = 0.276
-	healthyTimeout = 3 * time.Minute // for a process to be healthy
+	healthyTimeout = 3 * time.Minute // until a process must be healthy
+	healthInterval = 20 * time.Millisecond
+	healthTimeout  = 2 * time.Second       // of one health request
+	clockTick      = 10 * time.Millisecond // unit of processor time in /proc
+	dirPlaceholder = "%DIR%"
 )
 
-// Options are the settings of a site with one controller.
+// Options are the settings of a cluster with one controller.
 type Options struct {
-	RPS, WriteRPS float64           // of the state service
-	MemMB         float64           // that the controller may use
-	TuningText    string            // the operators' own settings; "": the defaults
-	Files         map[string]string // written to the process's folder
-	Args          []string          // beside the settings; %DIR% stands for that folder
+	RPS, WriteRPS float64           // limits of the store
+	MemMB         float64           // memory quota of the controller
+	TuningText    string            // the operators' settings; "": the defaults
+	Files         map[string]string // written to the process's folder; %DIR% in a text stands for it
+	Args          []string          // beside the settings; %DIR% stands for the process's folder
 }
 
-// Process is a controller's process and the stand-in that it uses.
+// Process is a controller's process and the fake store that it uses.
 type Process struct {
 	Store       *fakes.Store
 	Addr        string // of the controller
-	StoreAddr   string // of the stand-in
+	StoreAddr   string // of the fake store
 	storeServer *http.Server
 	cmd         *exec.Cmd
-	exited      chan error
+	exited      chan error // receives the outcome of Wait, once
 	dir         string
 	startedAt   time.Time
 }
 
-// freeAddr is an address on loopback that nobody listens on: a process of its own can't be handed a listener.
+// freeAddr returns an address on loopback that nothing listens on: a separate process can't be handed a listener.
 func freeAddr() (string, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("find free port: %w", err)
 	}
-	return l.Addr().String(), l.Close()
+	return listener.Addr().String(), listener.Close()
 }
 
 // Start starts a controller.
-func Start(bin string, s *fakes.Store, o Options) (*Process, error) {
-	x := &Process{Store: s, exited: make(chan error, 1)}
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func Start(bin string, store *fakes.Store, options Options) (*Process, error) {
+	p := &Process{Store: store, exited: make(chan error, 1)}
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("listen for store: %w", err)
 	}
-	x.storeServer = &http.Server{Handler: s}
-	go func() { _ = x.storeServer.Serve(ln) }()
-	ports := make([]string, 3)
-	for i := range ports { // free ones; the cloud's has nobody behind it
-		if ports[i], err = freeAddr(); err != nil {
-			return nil, err
-		}
+	p.storeServer = &http.Server{Handler: store}
+	go func() { _ = p.storeServer.Serve(listener) }() // ends with Stop
+	p.StoreAddr = listener.Addr().String()
+	if p.dir, err = os.MkdirTemp("", "dewlift-*"); err != nil {
+		return nil, fmt.Errorf("create folder: %w", err)
 	}
-	x.Addr, x.StoreAddr = ports[0], ln.Addr().String()
-	if x.dir, err = os.MkdirTemp("", "dewlift-*"); err != nil {
+	args, err := p.writeFiles(options)
+	if err != nil {
 		return nil, err
 	}
-	cfg := fmt.Sprintf(
-		`{"node_name":"n0","zone":"a","serve_on":%q,"mesh_addr":%q,"peers":[],"services":{"cloud":%q,"state":%q},
-		"cluster":{"count":1,"zones":["a"],"teams":[{"name":"t"}],"workers":{"report_s":6,"lease_s":36,"cancel_s":66},
-		"state":{"rps":%v,"write_rps":%v,"value_kb":8,"txn_ops":24},"cloud":{"rps":4,"list_lag_s":5},"quota":{"core_share":%v,"mem_mb":%v,"fd_limit":3172},"time_bound_ms":5}}`,
-		ports[0],
-		ports[1],
-		ports[2],
-		ln.Addr().String(),
-		o.RPS,
-		o.WriteRPS,
-		CoreShare,
-		o.MemMB,
-	)
-	args := []string{"--config", filepath.Join(x.dir, "settings.json")}
-	if err := os.WriteFile(args[1], []byte(cfg), 0o600); err != nil {
+	if err := p.startProgram(bin, args); err != nil {
 		return nil, err
 	}
-	if o.TuningText != "" {
-		args = append(args, "--tuning", filepath.Join(x.dir, "tuning.textproto"))
-		if err := os.WriteFile(args[3], []byte(o.TuningText), 0o600); err != nil {
-			return nil, err
-		}
+	return p, nil
+}
+
+// writeFiles writes the settings and other files to the process's folder, and returns the program's arguments.
+func (p *Process) writeFiles(options Options) (args []string, err error) {
+	platform, err := p.platformSettings(options)
+	if err != nil {
+		return nil, err
+	}
+	files := map[string]string{"settings.json": platform}
+	args = []string{"--config", filepath.Join(p.dir, "settings.json")}
+	if options.TuningText != "" {
+		files["tuning.textproto"] = options.TuningText
+		args = append(args, "--tuning", filepath.Join(p.dir, "tuning.textproto"))
+	}
+	for name, text := range options.Files {
+		files[name] = strings.ReplaceAll(text, dirPlaceholder, p.dir)
 	}
-	for name, text := range o.Files {
-		if err := os.WriteFile(filepath.Join(x.dir, name), []byte(strings.ReplaceAll(text, "%DIR%", x.dir)), 0o600); err != nil {
-			return nil, err
+	for name, text := range files {
+		if err := os.WriteFile(filepath.Join(p.dir, name), []byte(text), 0o600); err != nil {
+			return nil, fmt.Errorf("write file of process: %w", err)
 		}
 	}
-	for _, a := range o.Args {
-		args = append(args, strings.ReplaceAll(a, "%DIR%", x.dir))
+	for _, arg := range options.Args {
+		args = append(args, strings.ReplaceAll(arg, dirPlaceholder, p.dir))
+	}
+	return args, nil
+}
+
+// platformSettings chooses the controller's addresses, and returns the platform's settings.
+func (p *Process) platformSettings(options Options) (string, error) {
+	var addrs [3]string // of the controller, its mesh and the cloud, which nothing serves
+	for i := range addrs {
+		var err error
+		if addrs[i], err = freeAddr(); err != nil {
+			return "", err
+		}
 	}
-	logs, err := os.Create(filepath.Join(x.dir, "log"))
+	p.Addr = addrs[0]
+	return fmt.Sprintf(
+		`{"node_name":"n0","zone":"a","serve_on":%q,"mesh_addr":%q,"peers":[],"services":{"cloud":%q,"state":%q},
+		"cluster":{"count":1,"zones":["a"],"teams":[{"name":"t"}],"workers":{"report_s":6,"lease_s":36,"cancel_s":66},
+		"state":{"rps":%v,"write_rps":%v,"value_kb":8,"txn_ops":24},"cloud":{"rps":4,"list_lag_s":5},`+
+			`"quota":{"core_share":%v,"mem_mb":%v,"fd_limit":3172},"time_bound_ms":5}}`,
+		addrs[0], addrs[1], addrs[2], p.StoreAddr, options.RPS, options.WriteRPS, CoreShare, options.MemMB,
+	), nil
+}
+
+// startProgram starts the program with its log in the process's folder.
+func (p *Process) startProgram(bin string, args []string) error {
+	logs, err := os.Create(filepath.Join(p.dir, "log"))
 	if err != nil {
-		return nil, err
+		return fmt.Errorf("create log: %w", err)
 	}
-	defer logs.Close()
-	x.cmd = exec.Command(bin, args...)
-	x.cmd.Stderr = logs
-	x.startedAt = time.Now()
-	if err := x.cmd.Start(); err != nil {
-		return nil, err
+	p.cmd = exec.Command(bin, args...)
+	p.cmd.Stderr = logs
+	p.startedAt = time.Now()
+	err = p.cmd.Start()
+	if closeErr := logs.Close(); err == nil && closeErr != nil { // the program has a descriptor of its own
+		_ = p.cmd.Process.Kill()
+		_ = p.cmd.Wait()
+		return fmt.Errorf("close log: %w", closeErr)
+	}
+	if err != nil {
+		return fmt.Errorf("start %s: %w", bin, err)
 	}
-	go func() { x.exited <- x.cmd.Wait() }()
-	return x, nil
+	go func() { p.exited <- p.cmd.Wait() }()
+	return nil
 }
 
-// Stop ends the process and the stand-in.
-func (x *Process) Stop() error {
-	if x.cmd.ProcessState == nil {
-		_ = x.cmd.Process.Kill() // it may have ended by itself
-		<-x.exited
+// Stop ends the process and the fake store, and removes the process's folder.
+func (p *Process) Stop() error {
+	if p.cmd.ProcessState == nil {
+		_ = p.cmd.Process.Kill() // it may have exited
+		<-p.exited
 	}
-	return errors.Join(x.storeServer.Close(), os.RemoveAll(x.dir))
+	return errors.Join(p.storeServer.Close(), os.RemoveAll(p.dir))
 }
 
-// WaitHealthy waits until the process can take requests.
-func (x *Process) WaitHealthy() (time.Duration, error) {
-	client := http.Client{Timeout: 2 * time.Second}
-	for time.Since(x.startedAt) < healthyTimeout {
+// WaitHealthy waits until the process accepts requests, and returns how long that took since its start.
+func (p *Process) WaitHealthy() (time.Duration, error) {
+	client := http.Client{Timeout: healthTimeout}
+	for time.Since(p.startedAt) < healthyTimeout {
 		select {
-		case err := <-x.exited:
-			return 0, fmt.Errorf("it ended: %w", err)
-		case <-time.After(20 * time.Millisecond):
+		case err := <-p.exited:
+			return 0, fmt.Errorf("process exited: %w", err)
+		case <-time.After(healthInterval):
 		}
-		if resp, err := client.Get("http://" + x.Addr + wire.PathHealth); err == nil {
-			_ = resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
-				return time.Since(x.startedAt), nil
+		if response, err := client.Get("http://" + p.Addr + wire.PathHealth); err == nil {
+			_ = response.Body.Close()
+			if response.StatusCode == http.StatusOK {
+				return time.Since(p.startedAt), nil
 			}
 		}
 	}
 	return 0, fmt.Errorf("not healthy after %v", healthyTimeout)
 }
 
-// Usage is the processor time and the peak of memory of the process.
-func (x *Process) Usage() (cpu time.Duration, peakMB float64, err error) {
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", x.cmd.Process.Pid))
-	if err != nil {
+// Usage returns the processor time and the peak of resident memory of the process.
+func (p *Process) Usage() (cpu time.Duration, peakMB float64, err error) {
+	if peakMB, err = p.peakMemoryMB(); err != nil {
 		return 0, 0, err
 	}
-	for line := range strings.Lines(string(raw)) {
-		if v, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			kb, err := strconv.ParseFloat(strings.Fields(v)[0], 64)
+	cpu, err = p.cpuTime()
+	return cpu, peakMB, err
+}
+
+// peakMemoryMB returns the peak of resident memory.
+func (p *Process) peakMemoryMB() (float64, error) {
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
+	if err != nil {
+		return 0, fmt.Errorf("read memory of process: %w", err)
+	}
+	for line := range strings.Lines(string(status)) {
+		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
+			kb, err := strconv.ParseFloat(strings.Fields(value)[0], 64)
 			if err != nil {
-				return 0, 0, err
+				return 0, fmt.Errorf("read memory of process: %w", err)
 			}
-			peakMB = kb / 1024
+			return kb / 1024, nil
 		}
 	}
-	raw, err = os.ReadFile(fmt.Sprintf("/proc/%d/stat", x.cmd.Process.Pid))
+	return 0, nil
+}
+
+// cpuTime returns the user and system time.
+func (p *Process) cpuTime() (time.Duration, error) {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
-		return 0, 0, err
+		return 0, fmt.Errorf("read processor time of process: %w", err)
 	}
-	_, rest, _ := strings.Cut(string(raw), ") ")
-	f := strings.Fields(rest)
+	_, rest, _ := strings.Cut(string(stat), ") ") // after the program's name, which may have spaces
 	var ticks int64
-	for _, s := range f[11:13] { // user and system time, in hundredths of a second
-		v, err := strconv.ParseInt(s, 10, 64)
+	for _, field := range strings.Fields(rest)[11:13] { // utime and stime
+		value, err := strconv.ParseInt(field, 10, 64)
 		if err != nil {
-			return 0, 0, err
+			return 0, fmt.Errorf("read processor time of process: %w", err)
 		}
-		ticks += v
+		ticks += value
 	}
-	return time.Duration(ticks) * 10 * time.Millisecond, peakMB, nil
+	return time.Duration(ticks) * clockTick, nil
 }
 
 // Signal sends the process a signal.
-func (x *Process) Signal(s os.Signal) error { return x.cmd.Process.Signal(s) }
+func (p *Process) Signal(signal os.Signal) error { return p.cmd.Process.Signal(signal) }
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -8,6 +8,7 @@
 	"dewlift/wire"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"runtime"
 	"slices"
@@ -15,13 +16,27 @@
 )
 
 const (
-	controllerCount            = 3
-	heartbeatInterval          = 6 * time.Second
-	minHeartbeatGap            = 500 * time.Millisecond // between two reports of a machine
-	localLatency, storeLatency = time.Millisecond, 8 * time.Millisecond
-	startUnixMS                = 1_700_000_000_000
-	// changes and requests a second: what is needed is measured, not what a limit allows
+	controllerCount   = 3
+	heartbeatInterval = 6 * time.Second
+	minHeartbeatGap   = 500 * time.Millisecond // between two heartbeats of a machine
+	localLatency      = time.Millisecond
+	storeLatency      = 8 * time.Millisecond // round trip
+	cloudLatency      = 100 * time.Millisecond
+	requestTimeout    = 2 * time.Second // of requests to an agent that does not respond
+	imagePullTime     = 200 * time.Millisecond
+	pollInterval      = 5 * time.Second
+	startUnixMS       = 1_700_000_000_000
+	// unlimitedRate is a rate of writes and requests that is never reached: the demand is measured, not a limit.
 	unlimitedRate = 1e6
+	// firstArrayID is the least ID of a job array; services have lower ones.
+	firstArrayID = "wk-500000"
+
+	serviceCPUs      = 1
+	arrayCPUs        = 3
+	replicasPerJob   = 9 // a service's first attempts have the numbers 1 to 9
+	tasksPerArray    = 90
+	minArrayTaskTime = 30 * time.Second
+	maxArrayTaskTime = 70 * time.Second
 )
 
 var machineType = wire.MachineType{
@@ -34,50 +49,51 @@
 	SpotPrice: 0.4,
 }
 
-// simCluster is a seeded site in simulated time: the core of each controller as it is, and all
-// around it as simple as can be.
+// simCluster is a seeded cluster in simulated time: the real core of each controller, and everything around it as
+// simple as possible.
 type simCluster struct {
-	maxMachines   int // machines at a time
+	maxMachines   int // at a time
 	rng           *rand.Rand
 	now           time.Duration
-	lastRequestID uint64 // requests of users and workers
+	lastRequestID uint64 // of users and agents
 	events        eventqueue.Queue
 	nodes         []*node
-	machines      []*machine
+	machines      []*machine // that are rented
 	byName        map[string]*machine
-	cutZone       string // a zone of which nothing is heard
+	cutZone       string // zone that is partitioned from everything
 
-	// The state service.
+	// The store.
 	revision       uint64
 	keys           map[string]wire.KeyValue
 	storeEvents    []wire.WatchEvent
 	pendingWatches []func()
 
 	counters        eventCounts
-	unstartedArrays map[string]time.Duration // arrays of which no task was started yet, by when they were submitted
-	startDelays     []time.Duration          // how long the others waited for their first
+	unstartedArrays map[string]time.Duration // submission times of arrays of which no task has started
+	startDelays     []time.Duration          // how long the others waited for their first start
 }
 
-// eventCounts are what happened since the last look.
+// eventCounts counts events since it was last reset.
 type eventCounts struct {
 	writes, accepted, started, refused, lost, replaced int
 }
 
-// node is a controller with what its core took.
+// node is a controller with the cost of its core.
 type node struct {
 	name             string
 	core             *core.Core
 	leaseID          uint64
-	coreTime         time.Duration // of the processor, in the core
-	codecTime        time.Duration // the same, for messages between controllers
+	coreTime         time.Duration // processor time in the core
+	codecTime        time.Duration // processor time to encode and decode messages between controllers
 	inputs           int
-	messagesSent     int // messages to others
+	messagesSent     int // to other controllers
 	bytesSent        int
 	pendingRequests  map[uint64]func(core.Response)
-	advanceScheduled bool // one is due
+	advanceScheduled bool // an Advance is scheduled for the pending inputs
 	pendingInputs    []core.Input
 }
 
+// machine is a machine with its agent.
 type machine struct {
 	name, zone        string
 	spot, gone        bool
@@ -85,15 +101,19 @@
 	controllerIndex   int
 	seq, fencingToken uint64
 	tasks             []wire.TaskStatus
-	nextHeartbeatAt   time.Duration // of the next report
+	nextHeartbeatAt   time.Duration
 	lastHeartbeatAt   time.Duration
 	allocatedCPUs     int64
 	cluster           *simCluster
 }
 
-func newSimCluster(n int, seed uint64) *simCluster {
+// isUnreachable reports whether requests to a machine get no response.
+func (m *machine) isUnreachable() bool { return m.gone || m.zone == m.cluster.cutZone }
+
+// newSimCluster returns a cluster without machines, whose controllers are about to start.
+func newSimCluster(maxMachines int, seed uint64) *simCluster {
 	s := &simCluster{
-		maxMachines:     n,
+		maxMachines:     maxMachines,
 		rng:             rand.New(rand.NewPCG(seed, 1)),
 		byName:          map[string]*machine{},
 		keys:            map[string]wire.KeyValue{},
@@ -101,40 +121,54 @@
 	}
 	raw, err := json.Marshal(wire.Catalog{Types: []wire.MachineType{machineType}})
 	if err != nil {
-		panic(err) // strings and numbers
+		panic(err) // strings and numbers always marshal
 	}
 	s.applyWrite(wire.Write{Put: core.Root + "types", Value: raw})
 	for i := range controllerCount {
-		p := &settings.Platform{Name: fmt.Sprintf("n%d", i), Zone: machineType.Zones[i%3]}
-		for k := range controllerCount {
-			if k != i {
-				p.Peers = append(p.Peers, settings.Peer{Name: fmt.Sprintf("n%d", k)})
-			}
-		}
-		k := &p.Cluster
-		k.Teams = []settings.Team{{Name: "t"}}
-		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = heartbeatInterval.Seconds(), 36, 66, 5
-		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = unlimitedRate, writeLimit, 8, 24
-		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit = 40, 5, 100_000
-		x := &node{name: p.Name, leaseID: uint64(i + 1), pendingRequests: map[uint64]func(core.Response){}}
-		t := settings.DefaultTuning()
-		if writeLimit == unlimitedRate {
-			t.SettleMs = t.SettleMostMs // ends gather for as long as they do where changes are few
-		}
-		t.SharedValues = &batchValues
-		x.core = core.New(dewlift.CoreConfig(p, t), 0, seed+uint64(i))
-		s.nodes = append(s.nodes, x)
-		var tick func()
-		tick = func() {
-			s.deliver(x, core.WallClock{UnixMS: startUnixMS + s.now.Milliseconds()})
-			s.schedule(25*time.Millisecond, tick)
-		}
-		s.schedule(time.Duration(i)*time.Millisecond, tick)
+		s.startController(i, seed)
 	}
 	return s
 }
 
-// rentMachine has a machine boot.
+// startController starts a controller and its clock.
+func (s *simCluster) startController(i int, seed uint64) {
+	platform := platformSettings(i)
+	tuning := settings.DefaultTuning()
+	if writeLimit == unlimitedRate {
+		tuning.SettleMs = tuning.SettleMostMs // ends of tasks are batched as long as they are where writes are few
+	}
+	tuning.SharedValues = &batchValues
+	n := &node{name: platform.Name, leaseID: uint64(i + 1), pendingRequests: map[uint64]func(core.Response){}}
+	n.core = core.New(dewlift.CoreConfig(platform, tuning), 0, seed+uint64(i))
+	s.nodes = append(s.nodes, n)
+	var tick func()
+	tick = func() {
+		s.deliver(n, core.WallClock{UnixMS: startUnixMS + s.now.Milliseconds()})
+		s.schedule(25*time.Millisecond, tick)
+	}
+	s.schedule(time.Duration(i)*time.Millisecond, tick)
+}
+
+// platformSettings returns the platform's settings of a controller.
+func platformSettings(i int) *settings.Platform {
+	platform := &settings.Platform{Name: fmt.Sprintf("n%d", i), Zone: machineType.Zones[i%len(machineType.Zones)]}
+	for peer := range controllerCount {
+		if peer != i {
+			platform.Peers = append(platform.Peers, settings.Peer{Name: fmt.Sprintf("n%d", peer)})
+		}
+	}
+	cluster := &platform.Cluster
+	cluster.Teams = []settings.Team{{Name: "t"}}
+	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = heartbeatInterval.Seconds(), 36, 66
+	cluster.TimeBoundMS = 5
+	cluster.State.RPS, cluster.State.WriteRPS = unlimitedRate, writeLimit
+	cluster.State.ValueKB, cluster.State.TxnOps = 8, 24
+	cluster.Cloud.RPS, cluster.Cloud.ListLagS = 40, 5
+	cluster.Quota.FDLimit = 100_000
+	return platform
+}
+
+// rentMachine adds a machine that boots.
 func (s *simCluster) rentMachine(zone string, spot bool) *machine {
 	m := &machine{
 		name:            fmt.Sprintf("m-%06d", len(s.byName)),
@@ -151,39 +185,41 @@
 	return m
 }
 
-// returnMachine ends a machine.
+// returnMachine ends a machine, and counts the replicas on it as lost.
 func (s *simCluster) returnMachine(name string) {
-	m := s.byName[name]
-	if m == nil || m.gone {
+	returned := s.byName[name]
+	if returned == nil || returned.gone {
 		return
 	}
-	m.gone = true
-	s.machines = slices.DeleteFunc(s.machines, func(o *machine) bool { return o == m })
-	for _, p := range m.tasks {
-		if id, _, _ := wire.SplitTaskName(p.Task); id < firstArrayID && p.Stage != wire.TaskExited {
+	returned.gone = true
+	s.machines = slices.DeleteFunc(s.machines, func(other *machine) bool { return other == returned })
+	for _, status := range returned.tasks {
+		if id, _, _ := wire.SplitTaskName(status.Task); id < firstArrayID && status.Stage != wire.TaskExited {
 			s.counters.lost++
 		}
 	}
 }
 
-func (s *simCluster) schedule(d time.Duration, f func()) {
-	s.events.Add(s.now+d, f)
+// schedule runs a function after a delay in simulated time.
+func (s *simCluster) schedule(delay time.Duration, run func()) {
+	s.events.Add(s.now+delay, run)
 }
 
-// runUntil lets time pass.
+// runUntil advances simulated time.
 func (s *simCluster) runUntil(until time.Duration) {
 	for {
-		at, do, ok := s.events.PopUntil(until)
+		at, run, ok := s.events.PopUntil(until)
 		if !ok {
 			break
 		}
 		s.now = at
-		do()
+		run()
 	}
 	s.now = until
 }
 
-// deliver gives a core an input. As in a process, what comes in at the same moment is decided in one turn.
+// deliver hands an input to a core. As in a process, inputs that arrive at about the same time are handled in one
+// batch.
 func (s *simCluster) deliver(n *node, in core.Input) {
 	n.pendingInputs = append(n.pendingInputs, in)
 	n.inputs++
@@ -193,168 +229,188 @@
 	n.advanceScheduled = true
 	s.schedule(100*time.Microsecond, func() {
 		n.advanceScheduled = false
-		ins := n.pendingInputs
+		batch := n.pendingInputs
 		n.pendingInputs = nil
-		t := time.Now()
-		for _, in := range ins {
+		startedAt := time.Now()
+		for _, in := range batch {
 			n.core.Handle(s.now, in)
 		}
-		out := n.core.Advance(s.now)
-		n.coreTime += time.Since(t)
-		for _, o := range out {
-			s.performOutput(n, o)
+		outputs := n.core.Advance(s.now)
+		n.coreTime += time.Since(startedAt)
+		for _, output := range outputs {
+			s.performOutput(n, output)
 		}
 	})
 }
 
-func (s *simCluster) performOutput(n *node, o core.Output) {
-	back := func(in core.Input) { s.deliver(n, in) }
-	switch o := o.(type) {
+// performOutput carries out one output of a core. Its outcome comes back as an input.
+func (s *simCluster) performOutput(n *node, output core.Output) {
+	respondAfter := func(delay time.Duration, in core.Input) { s.schedule(delay, func() { s.deliver(n, in) }) }
+	switch output := output.(type) {
 	case core.Response:
-		if f := n.pendingRequests[o.RequestID]; f != nil {
-			delete(n.pendingRequests, o.RequestID)
-			f(o)
+		if deliver := n.pendingRequests[output.RequestID]; deliver != nil {
+			delete(n.pendingRequests, output.RequestID)
+			deliver(output)
 		}
 	case core.SendToPeer:
-		t := time.Now()
-		raw, err := json.Marshal(o.Message)
-		n.codecTime += time.Since(t)
-		if err != nil {
-			panic(err)
-		}
-		for _, p := range s.nodes {
-			if p == n || o.Peer != "" && o.Peer != p.name {
-				continue
-			}
-			n.messagesSent++
-			n.bytesSent += len(raw)
-			s.schedule(localLatency, func() {
-				var m core.Message
-				t := time.Now()
-				if err := json.Unmarshal(raw, &m); err != nil {
-					panic(err)
-				}
-				p.codecTime += time.Since(t)
-				s.deliver(p, core.PeerMessage{Peer: n.name, Message: m})
-			})
-		}
+		s.sendToPeers(n, output)
 	case core.CommitTxn:
 		s.schedule(storeLatency/2, func() {
-			out := core.TxnResult{ID: o.ID}
-			out.Status, out.Reply = s.commit(o.Txn)
-			s.schedule(storeLatency/2, func() { back(out) })
+			result := core.TxnResult{ID: output.ID}
+			result.Status, result.Reply = s.commit(output.Txn)
+			respondAfter(storeLatency/2, result)
 		})
 	case core.Watch:
-		s.schedule(storeLatency/2, func() { s.serveWatch(o, back) })
+		s.schedule(storeLatency/2, func() { s.serveWatch(n, output) })
 	case core.LoadSnapshot:
-		out := core.SnapshotPage{OK: true, Revision: s.revision}
-		for _, k := range sortedKeys(s.keys) {
-			out.Items = append(out.Items, s.keys[k])
+		page := core.SnapshotPage{OK: true, Revision: s.revision}
+		for _, key := range slices.Sorted(maps.Keys(s.keys)) {
+			page.Items = append(page.Items, s.keys[key])
 		}
-		s.schedule(storeLatency, func() { back(out) })
+		respondAfter(storeLatency, page)
 	case core.LeaseRequest:
-		s.schedule(storeLatency, func() { back(core.LeaseResult{Op: o.Op, Status: wire.StatusOK, LeaseID: n.leaseID}) })
+		respondAfter(storeLatency, core.LeaseResult{Op: output.Op, Status: wire.StatusOK, LeaseID: n.leaseID})
 	case core.SendCommands:
-		m := s.byName[o.Machine]
+		target := s.byName[output.Machine]
 		s.schedule(localLatency, func() {
-			if m.gone || m.zone == s.cutZone {
-				s.schedule(2*time.Second, func() { back(core.CommandsResult{ID: o.ID, MaybeDelivered: true}) })
+			result := core.CommandsResult{ID: output.ID, MaybeDelivered: true}
+			if target.isUnreachable() {
+				respondAfter(requestTimeout, result)
 				return
 			}
-			m.executeCommands(o.Batch.FencingToken, o.Batch.Commands)
-			out := core.CommandsResult{ID: o.ID, Status: wire.StatusOK, MaybeDelivered: true, Heartbeat: m.nextHeartbeat()}
-			s.schedule(localLatency, func() { back(out) })
+			target.executeCommands(output.Batch.FencingToken, output.Batch.Commands)
+			result.Status, result.Heartbeat = wire.StatusOK, target.nextHeartbeat()
+			respondAfter(localLatency, result)
 		})
 	case core.PollAgent:
-		m := s.byName[o.Machine]
+		target := s.byName[output.Machine]
 		s.schedule(localLatency, func() {
-			if m.gone || m.zone == s.cutZone {
-				s.schedule(2*time.Second, func() { back(core.AgentPolled{Machine: o.Machine}) })
+			if target.isUnreachable() {
+				respondAfter(requestTimeout, core.AgentPolled{Machine: output.Machine})
 				return
 			}
-			out := core.AgentPolled{Machine: o.Machine, Heartbeat: m.nextHeartbeat()}
-			s.schedule(localLatency, func() { back(out) })
+			respondAfter(localLatency, core.AgentPolled{Machine: output.Machine, Heartbeat: target.nextHeartbeat()})
 		})
 	case core.CloudRequest:
-		out := core.CloudResult{ID: o.ID, Status: wire.StatusOK}
-		switch o.Op {
-		case core.CloudCatalog:
-			out.Catalog = &wire.Catalog{Types: []wire.MachineType{machineType}}
-		case core.CloudList:
-			for _, m := range s.machines {
-				out.Machines = append(out.Machines, wire.Machine{
-					Name: m.name, Addr: "x:1", Type: machineType.Name, Zone: m.zone, Spot: m.spot,
-					Stage: wire.MachineRunning, AgeS: (s.now - m.rentedAt).Seconds(),
-				})
-			}
-		case core.CloudScaleOut:
-			for range min(o.ScaleOut.Count, s.maxMachines-len(s.machines)) {
-				out.MachineNames = append(out.MachineNames, s.rentMachine(o.ScaleOut.Zone, o.ScaleOut.Spot).name)
-			}
-			if len(out.MachineNames) == 0 {
-				out.Status, out.Error = wire.StatusUnavailable, "no capacity"
-			}
-		case core.CloudScaleIn:
-			for _, name := range o.MachineNames {
-				s.returnMachine(name)
+		respondAfter(cloudLatency, s.serveCloud(output))
+	}
+}
+
+// sendToPeers sends a message to one peer, or to all if it names none, and measures its encoding and decoding.
+func (s *simCluster) sendToPeers(n *node, output core.SendToPeer) {
+	startedAt := time.Now()
+	raw, err := json.Marshal(output.Message)
+	n.codecTime += time.Since(startedAt)
+	if err != nil {
+		panic(err) // messages always marshal
+	}
+	for _, peer := range s.nodes {
+		if peer == n || output.Peer != "" && output.Peer != peer.name {
+			continue
+		}
+		n.messagesSent++
+		n.bytesSent += len(raw)
+		s.schedule(localLatency, func() {
+			var message core.Message
+			startedAt := time.Now()
+			if err := json.Unmarshal(raw, &message); err != nil {
+				panic(err)
 			}
+			peer.codecTime += time.Since(startedAt)
+			s.deliver(peer, core.PeerMessage{Peer: n.name, Message: message})
+		})
+	}
+}
+
+// serveCloud executes a request to the cloud.
+func (s *simCluster) serveCloud(request core.CloudRequest) core.CloudResult {
+	out := core.CloudResult{ID: request.ID, Status: wire.StatusOK}
+	switch request.Op {
+	case core.CloudCatalog:
+		out.Catalog = &wire.Catalog{Types: []wire.MachineType{machineType}}
+	case core.CloudList:
+		for _, m := range s.machines {
+			out.Machines = append(out.Machines, wire.Machine{
+				Name: m.name, Addr: "x:1", Type: machineType.Name, Zone: m.zone, Spot: m.spot,
+				Stage: wire.MachineRunning, AgeS: (s.now - m.rentedAt).Seconds(),
+			})
+		}
+	case core.CloudScaleOut:
+		order := request.ScaleOut
+		for range min(order.Count, s.maxMachines-len(s.machines)) {
+			out.MachineNames = append(out.MachineNames, s.rentMachine(order.Zone, order.Spot).name)
+		}
+		if len(out.MachineNames) == 0 {
+			out.Status, out.Error = wire.StatusUnavailable, "no capacity"
+		}
+	case core.CloudScaleIn:
+		for _, name := range request.MachineNames {
+			s.returnMachine(name)
 		}
-		s.schedule(100*time.Millisecond, func() { back(out) })
 	}
+	return out
 }
 
-func (s *simCluster) applyWrite(w wire.Write) {
-	if w.Delete != "" {
-		delete(s.keys, w.Delete)
-		s.storeEvents = append(s.storeEvents, wire.WatchEvent{Delete: w.Delete, Revision: s.revision})
+// applyWrite executes a write in the current revision.
+func (s *simCluster) applyWrite(write wire.Write) {
+	if write.Delete != "" {
+		delete(s.keys, write.Delete)
+		s.storeEvents = append(s.storeEvents, wire.WatchEvent{Delete: write.Delete, Revision: s.revision})
 		return
 	}
-	s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Revision: s.revision, LeaseID: w.LeaseID}
-	s.storeEvents = append(s.storeEvents, wire.WatchEvent{Put: w.Put, Value: w.Value, Revision: s.revision})
+	s.keys[write.Put] = wire.KeyValue{Key: write.Put, Value: write.Value, Revision: s.revision, LeaseID: write.LeaseID}
+	s.storeEvents = append(s.storeEvents, wire.WatchEvent{Put: write.Put, Value: write.Value, Revision: s.revision})
 }
 
-func (s *simCluster) commit(t wire.Txn) (wire.Status, wire.TxnResponse) {
+// commit executes a compare-and-swap transaction.
+func (s *simCluster) commit(txn wire.Txn) (wire.Status, wire.TxnResponse) {
 	var failed []string
-	for _, c := range t.Compare {
-		if s.keys[c.Key].Revision != c.Revision {
-			failed = append(failed, c.Key)
+	for _, compare := range txn.Compare {
+		if s.keys[compare.Key].Revision != compare.Revision {
+			failed = append(failed, compare.Key)
 		}
 	}
-	s.counters.writes += len(t.Then)
+	s.counters.writes += len(txn.Then) // a failed transaction counts against the store's rate too
 	if len(failed) > 0 {
 		return wire.StatusConflict, wire.TxnResponse{Revision: s.revision, Failed: failed}
 	}
 	s.revision++
-	for _, w := range t.Then {
-		s.applyWrite(w)
+	for _, write := range txn.Then {
+		s.applyWrite(write)
 	}
-	ws := s.pendingWatches
+	watches := s.pendingWatches
 	s.pendingWatches = nil
-	for _, f := range ws {
-		f()
+	for _, respond := range watches {
+		respond()
 	}
 	return wire.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-func (s *simCluster) serveWatch(o core.Watch, back func(core.Input)) {
-	answer := func() {
-		out := core.WatchResult{LongPoll: o.LongPoll, Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: s.revision}}
-		i, _ := slices.BinarySearchFunc(s.storeEvents, o.SinceRevision+1, func(e wire.WatchEvent, mark uint64) int {
-			if e.Revision < mark {
-				return -1
-			}
-			return 1
-		})
-		out.Changes.Events = slices.Clone(s.storeEvents[i:])
-		s.schedule(storeLatency/2, func() { back(out) })
+// serveWatch responds with the events after a revision; a long poll waits for one.
+func (s *simCluster) serveWatch(n *node, request core.Watch) {
+	respond := func() {
+		first, _ := slices.BinarySearchFunc(
+			s.storeEvents,
+			request.SinceRevision+1,
+			func(event wire.WatchEvent, revision uint64) int {
+				if event.Revision < revision {
+					return -1
+				}
+				return 1
+			},
+		)
+		result := core.WatchResult{LongPoll: request.LongPoll, Status: wire.StatusOK}
+		result.Changes = wire.WatchResponse{Revision: s.revision, Events: slices.Clone(s.storeEvents[first:])}
+		s.schedule(storeLatency/2, func() { s.deliver(n, result) })
 	}
-	if o.LongPoll && s.revision <= o.SinceRevision {
-		s.pendingWatches = append(s.pendingWatches, answer)
+	if request.LongPoll && s.revision <= request.SinceRevision {
+		s.pendingWatches = append(s.pendingWatches, respond)
 		return
 	}
-	answer()
+	respond()
 }
 
+// nextHeartbeat returns a heartbeat with the status of all tasks.
 func (m *machine) nextHeartbeat() *wire.Heartbeat {
 	m.seq++
 	return &wire.Heartbeat{
@@ -369,7 +425,7 @@
 	}
 }
 
-// sendHeartbeat sends a report, if one is due.
+// sendHeartbeat sends a heartbeat if one is due, and schedules the next.
 func (m *machine) sendHeartbeat() {
 	s := m.cluster
 	if s.now < m.nextHeartbeatAt || m.gone {
@@ -378,21 +434,19 @@
 	m.nextHeartbeatAt = s.now + heartbeatInterval*3/4 + time.Duration(s.rng.Int64N(int64(heartbeatInterval/2)))
 	s.schedule(m.nextHeartbeatAt-s.now, m.sendHeartbeat)
 	m.lastHeartbeatAt = s.now
-	if m.zone == s.cutZone {
+	if m.isUnreachable() {
 		return
 	}
-	s.sendRequest(
-		s.nodes[m.controllerIndex],
-		func(req uint64) core.Input { return core.AgentHeartbeat{RequestID: req, Heartbeat: m.nextHeartbeat()} },
-		func(r core.Response) {
-			if b, ok := r.Body.(wire.HeartbeatResponse); ok {
-				m.executeCommands(b.FencingToken, b.Commands)
-			}
-		},
-	)
+	s.sendRequest(s.nodes[m.controllerIndex], func(requestID uint64) core.Input {
+		return core.AgentHeartbeat{RequestID: requestID, Heartbeat: m.nextHeartbeat()}
+	}, func(response core.Response) {
+		if body, ok := response.Body.(wire.HeartbeatResponse); ok {
+			m.executeCommands(body.FencingToken, body.Commands)
+		}
+	})
 }
 
-// heartbeatSoon has a report sent soon, as something has changed.
+// heartbeatSoon sends the next heartbeat as soon as minHeartbeatGap allows, as a task has changed.
 func (m *machine) heartbeatSoon() {
 	if at := max(m.cluster.now, m.lastHeartbeatAt+minHeartbeatGap); at < m.nextHeartbeatAt {
 		m.nextHeartbeatAt = at
@@ -400,147 +454,164 @@
 	}
 }
 
-func (m *machine) executeCommands(token uint64, orders []wire.Command) {
-	s := m.cluster
-	m.fencingToken = max(m.fencingToken, token)
-	for _, o := range orders {
-		i := slices.IndexFunc(
-			m.tasks,
-			func(p wire.TaskStatus) bool { return p.Task == o.Task && p.Attempt == o.Attempt },
-		)
+// taskCPUs returns the cores of a task.
+func taskCPUs(task string) int64 {
+	if id, _, _ := wire.SplitTaskName(task); id < firstArrayID {
+		return serviceCPUs
+	}
+	return arrayCPUs
+}
+
+// executeCommands executes commands in order; each is idempotent.
+func (m *machine) executeCommands(fencingToken uint64, commands []wire.Command) {
+	m.fencingToken = max(m.fencingToken, fencingToken)
+	for _, command := range commands {
+		i := slices.IndexFunc(m.tasks, func(status wire.TaskStatus) bool {
+			return status.Task == command.Task && status.Attempt == command.Attempt
+		})
 		switch {
-		case o.Op == wire.OpStart && i < 0:
-			id, _, _ := wire.SplitTaskName(o.Task)
-			cpus, run := int64(1), time.Duration(0)
-			if id >= firstArrayID {
-				cpus, run = 3, 30*time.Second+time.Duration(s.rng.Int64N(int64(40*time.Second)))
-			}
-			p := wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Stage: wire.TaskPullingImage}
-			if m.allocatedCPUs+cpus > int64(machineType.CPUs) {
-				p.Stage, p.Cause = wire.TaskExited, wire.CauseNoCapacity
-				s.counters.refused++
-				m.tasks = append(m.tasks, p)
-				break
-			}
-			s.counters.started++
-			if at, ok := s.unstartedArrays[id]; ok {
-				delete(s.unstartedArrays, id)
-				s.startDelays = append(s.startDelays, s.now-at)
-			}
-			m.allocatedCPUs += cpus
-			m.tasks = append(m.tasks, p)
-			if run == 0 && o.Attempt > 9 { // a replica's first attempts have the numbers 1 to 9
-				s.counters.replaced++
-			}
-			s.schedule(
-				200*time.Millisecond,
-				func() { m.transitionTask(o, wire.TaskPullingImage, wire.TaskRunning, "", 0) },
-			)
-			if run > 0 {
-				s.schedule(
-					run,
-					func() { m.transitionTask(o, wire.TaskRunning, wire.TaskExited, wire.CauseDone, cpus) },
-				)
-			}
-		case o.Op == wire.OpStop && i >= 0 && m.tasks[i].Stage != wire.TaskExited:
-			id, _, _ := wire.SplitTaskName(o.Task)
-			m.allocatedCPUs--
-			if id >= firstArrayID {
-				m.allocatedCPUs -= 2
-			}
+		case command.Op == wire.OpStart && i < 0:
+			m.startTask(command)
+		case command.Op == wire.OpStop && i >= 0 && m.tasks[i].Stage != wire.TaskExited:
+			m.allocatedCPUs -= taskCPUs(command.Task)
 			m.tasks[i].Stage, m.tasks[i].Cause = wire.TaskExited, wire.CauseStopped
-		case o.Op == wire.OpClear && i >= 0 && m.tasks[i].Stage == wire.TaskExited:
+		case command.Op == wire.OpClear && i >= 0 && m.tasks[i].Stage == wire.TaskExited:
 			m.tasks = slices.Delete(m.tasks, i, i+1)
 		}
 	}
 }
 
-func (m *machine) transitionTask(o wire.Command, from, to, cause string, freed int64) {
+// startTask admits a task if there is capacity, and schedules its run and, if it is an array's, its end.
+func (m *machine) startTask(command wire.Command) {
+	s := m.cluster
+	jobID, _, _ := wire.SplitTaskName(command.Task)
+	isArray := jobID >= firstArrayID
+	duration := time.Duration(0)
+	if isArray {
+		duration = minArrayTaskTime + time.Duration(s.rng.Int64N(int64(maxArrayTaskTime-minArrayTaskTime)))
+	}
+	cpus := taskCPUs(command.Task)
+	status := wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Stage: wire.TaskPullingImage}
+	if m.allocatedCPUs+cpus > int64(machineType.CPUs) {
+		status.Stage, status.Cause = wire.TaskExited, wire.CauseNoCapacity
+		s.counters.refused++
+		m.tasks = append(m.tasks, status)
+		return
+	}
+	s.counters.started++
+	if at, ok := s.unstartedArrays[jobID]; ok {
+		delete(s.unstartedArrays, jobID)
+		s.startDelays = append(s.startDelays, s.now-at)
+	}
+	m.allocatedCPUs += cpus
+	m.tasks = append(m.tasks, status)
+	if !isArray && command.Attempt > replicasPerJob {
+		s.counters.replaced++
+	}
+	s.schedule(imagePullTime, func() {
+		m.transitionTask(command, wire.TaskPullingImage, wire.TaskRunning, "", 0)
+	})
+	if isArray {
+		s.schedule(duration, func() {
+			m.transitionTask(command, wire.TaskRunning, wire.TaskExited, wire.CauseDone, cpus)
+		})
+	}
+}
+
+// transitionTask moves a task from one stage to the next, if it is still in the first, and releases cores.
+func (m *machine) transitionTask(command wire.Command, from, to, cause string, freedCPUs int64) {
 	for i := range m.tasks {
-		if p := &m.tasks[i]; p.Task == o.Task && p.Attempt == o.Attempt && p.Stage == from {
-			p.Stage, p.Cause = to, cause
-			m.allocatedCPUs -= freed
+		status := &m.tasks[i]
+		if status.Task == command.Task && status.Attempt == command.Attempt && status.Stage == from {
+			status.Stage, status.Cause = to, cause
+			m.allocatedCPUs -= freedCPUs
 			m.heartbeatSoon()
 		}
 	}
 }
 
-func (s *simCluster) sendRequest(n *node, in func(req uint64) core.Input, then func(core.Response)) {
+// sendRequest sends a request of a user or an agent to a controller.
+func (s *simCluster) sendRequest(
+	n *node,
+	newInput func(requestID uint64) core.Input,
+	then func(response core.Response),
+) {
 	s.lastRequestID++
-	req := s.lastRequestID
-	n.pendingRequests[req] = func(r core.Response) { s.schedule(localLatency, func() { then(r) }) }
-	s.schedule(localLatency, func() { s.deliver(n, in(req)) })
+	requestID := s.lastRequestID
+	n.pendingRequests[requestID] = func(response core.Response) { s.schedule(localLatency, func() { then(response) }) }
+	s.schedule(localLatency, func() { s.deliver(n, newInput(requestID)) })
 }
 
-const firstArrayID = "wk-500000" // ids below are services
+// anyNode draws a controller.
+func (s *simCluster) anyNode() *node { return s.nodes[s.rng.IntN(controllerCount)] }
 
-// submitUntilAccepted submits a job, again and again until it is accepted.
+// submitUntilAccepted submits a job until it is accepted.
 func (s *simCluster) submitUntilAccepted(spec wire.JobSpec) {
-	s.sendRequest(s.nodes[s.rng.IntN(controllerCount)], func(req uint64) core.Input {
-		return core.SubmitJob{RequestID: req, ID: spec.ID, Spec: spec, UnixMS: startUnixMS + s.now.Milliseconds()}
-	}, func(r core.Response) {
-		if r.Status == wire.StatusCreated || r.Status == wire.StatusOK {
+	s.sendRequest(s.anyNode(), func(requestID uint64) core.Input {
+		return core.SubmitJob{
+			RequestID: requestID, ID: spec.ID, Spec: spec, UnixMS: startUnixMS + s.now.Milliseconds(),
+		}
+	}, func(response core.Response) {
+		if response.Status == wire.StatusCreated || response.Status == wire.StatusOK {
 			s.counters.accepted++
 			return
 		}
-		s.schedule(time.Duration(max(1, r.RetryAfterSeconds))*time.Second, func() { s.submitUntilAccepted(spec) })
+		retryAfter := time.Duration(max(1, response.RetryAfterSeconds)) * time.Second
+		s.schedule(retryAfter, func() { s.submitUntilAccepted(spec) })
 	})
 }
 
-// pollUntilDone asks for a job now and then, as its user does.
+// pollUntilDone polls a job periodically, as its user does.
 func (s *simCluster) pollUntilDone(id string) {
-	s.schedule(5*time.Second, func() {
-		s.sendRequest(
-			s.nodes[s.rng.IntN(controllerCount)],
-			func(req uint64) core.Input { return core.GetJob{RequestID: req, ID: id} },
-			func(r core.Response) {
-				if st, ok := r.Body.(wire.JobState); ok && st.Stage == wire.StageDone {
-					return
-				}
-				s.pollUntilDone(id)
-			},
-		)
+	s.schedule(pollInterval, func() {
+		s.sendRequest(s.anyNode(), func(requestID uint64) core.Input {
+			return core.GetJob{RequestID: requestID, ID: id}
+		}, func(response core.Response) {
+			if state, ok := response.Body.(wire.JobState); ok && state.Stage == wire.StageDone {
+				return
+			}
+			s.pollUntilDone(id)
+		})
 	})
 }
 
-// submitJob submits the next job.
-func (s *simCluster) submitJob(n int, service bool) {
+// submitJob submits and polls a service or an array.
+func (s *simCluster) submitJob(number int, service bool) {
+	id := fmt.Sprintf("wk-%06d", number)
 	spec := wire.JobSpec{
-		ID:                 fmt.Sprintf("wk-%06d", n),
+		ID:                 id,
 		Class:              "firings",
 		Team:               "t",
 		Priority:           1,
-		Tasks:              90,
-		Request:            [3]int64{3000, 0, 6000},
+		Tasks:              tasksPerArray,
+		Request:            [3]int64{arrayCPUs * 1000, 0, 6000},
 		Image:              "i",
 		Spot:               true,
 		EstimatedRuntimeMS: 50_000,
 	}
 	if service {
-		spec.Class, spec.Service, spec.Priority, spec.Tasks, spec.Spread, spec.Spot, spec.EstimatedRuntimeMS = "desk", true, 0, 9, true, false, 0
-		spec.Request = [3]int64{1000, 0, 2200}
-	}
-	if !service {
-		s.unstartedArrays[spec.ID] = s.now
+		spec = wire.JobSpec{
+			ID:      id,
+			Class:   "desk",
+			Team:    "t",
+			Service: true,
+			Tasks:   replicasPerJob,
+			Request: [3]int64{serviceCPUs * 1000, 0, 2200},
+			Image:   "i",
+			Spread:  true,
+		}
+	} else {
+		s.unstartedArrays[id] = s.now
 	}
 	s.submitUntilAccepted(spec)
-	s.pollUntilDone(spec.ID)
+	s.pollUntilDone(id)
 }
 
-func sortedKeys(m map[string]wire.KeyValue) []string {
-	out := make([]string, 0, len(m))
-	for k := range m {
-		out = append(out, k)
-	}
-	slices.Sort(out)
-	return out
-}
-
-// heap is what is in use after all that is not was given back.
+// heapBytes returns the bytes of live objects.
 func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc)
+	runtime.GC() // frees what finalizers of the first still held
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
 }
--- a/internal/measure/scale/main.go
+++ b/internal/measure/scale/main.go
@@ -1,15 +1,15 @@
-// Command scale measures at what size a controller's limits end: the cores of three controllers run
-// a seeded site in simulated time, with services and arrays that grow with the machines, some ten
-// tasks on each. It tells what a simulated second takes of a processor, of memory, of the state
-// service's changes and of the network, then loses a zone, and writes a table, JSON, a page and a
-// plot. No limit on changes is set, so that what is needed shows. What the edges take (HTTP) is not
-// in it; `internal/measure/fleet` runs them.
+// Command scale measures at what size a controller reaches its limits: the cores of three controllers run a seeded
+// cluster in simulated time, with services and arrays that grow with the machines, some ten tasks on each. It
+// measures what a simulated second takes of a processor, of memory, of the store's writes and of the network, then
+// loses a zone, and writes a table, JSON, a page and a plot. Writes are not limited, so that the demand shows. The
+// cost of the edges (HTTP) is not included; `internal/measure/fleet` runs them.
 package main
 
 import (
 	"dewlift/internal/chart"
 	"dewlift/internal/eventqueue"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"html/template"
@@ -27,16 +27,24 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The limits of a controller, and of the changes a second of all, that the curve is compared with.
+// Limits that the curve is compared with, and the load.
 const (
-	limitCore    = 0.25
-	limitMB      = 200.0
-	limitChanges = 20.0
+	limitCore    = 0.25  // of a core, for each controller
+	limitMB      = 200.0 // of each controller
+	limitChanges = 20.0  // writes per second of all controllers
 
-	servicesPerMachine = 0.5
-	arraysPerMachine   = 0.0012 // a second
-	warmUpTime         = 100 * time.Second
-	measuredTime       = 30 * time.Second
+	servicesPerMachine  = 0.5
+	arraysPerMachine    = 0.0012 // per second
+	serviceSubmitTime   = 3 * time.Second
+	serviceSubmitSpread = 30 * time.Second // over which services are submitted
+	arraySubmitTime     = 20 * time.Second
+	firstArrayNumber    = 500_000 // see firstArrayID
+	warmUpTime          = 100 * time.Second
+	measuredTime        = 30 * time.Second
+	lostZoneTime        = time.Minute
+	lostZoneStep        = 250 * time.Millisecond
+	replacedShare       = 0.95 // of the lost replicas
+	minMachines         = 100
 )
 
 var (
@@ -44,34 +52,35 @@
 	writeLimit  float64
 )
 
-// SizeCost is what one size takes. A second is a simulated one, of one controller but for changes;
-// of the three, the one that needs most.
+// SizeCost is the cost of one size, per simulated second. It is that of one controller, the one of the three that
+// needs most, but for writes, which are those of all. The page's template uses the names of the fields.
 type SizeCost struct {
 	Machines int `json:"machines"`
 	Tasks    int `json:"tasks"`
 
-	CoreS      float64 `json:"core_s"`   // of a processor, in the core, a second
-	CodecS     float64 `json:"codec_s"`  // the same, to encode and decode messages between controllers
-	InputUS    float64 `json:"input_us"` // of a processor, in the core, for one input
-	Inputs     float64 `json:"inputs"`   // a second
-	Messages   float64 `json:"messages"` // a second, to the others
-	KB         float64 `json:"message_kb"`
+	CoreS      float64 `json:"core_s"`     // processor seconds in the core
+	CodecS     float64 `json:"codec_s"`    // processor seconds to encode and decode messages between controllers
+	InputUS    float64 `json:"input_us"`   // processor microseconds in the core per input
+	Inputs     float64 `json:"inputs"`     // per second
+	Messages   float64 `json:"messages"`   // per second, to other controllers
+	KB         float64 `json:"message_kb"` // per second
 	MB         float64 `json:"memory_mb"`
-	MachineB   float64 `json:"machine_b"` // and its tasks
-	Changes    float64 `json:"changes"`   // a second, of all
+	MachineB   float64 `json:"machine_b"` // memory per machine with its tasks
+	Changes    float64 `json:"changes"`   // writes per second, of all controllers
 	PerJob     float64 `json:"changes_per_job"`
 	PerTask    float64 `json:"changes_per_task"`
-	RefusedPct float64 `json:"refused_percent"` // starts that found no room
+	RefusedPct float64 `json:"refused_percent"` // start commands that found no capacity
 
 	LostReplicas int     `json:"lost_replicas"`
 	PerReplica   float64 `json:"changes_per_lost_replica"`
-	LostCoreS    float64 `json:"lost_core_s"` // of a processor a second, in the minute after a zone was lost
+	LostCoreS    float64 `json:"lost_core_s"` // processor seconds per second in the minute after a zone was lost
 	LostChanges  float64 `json:"lost_changes"`
-	// from the cut until 95% of the lost replicas were started elsewhere; 0: they were not within a minute
+	// LostReplacedIn is the time from the loss until 95% of the lost replicas started elsewhere; 0: not within a
+	// minute.
 	LostReplacedIn float64 `json:"lost_replaced_in_s"`
 
-	Binds string `json:"binds"` // the limit that is nearest, or passed
-	Part  float64
+	Binds string  `json:"binds"` // the limit that is nearest, or exceeded most
+	Part  float64 // the part of that limit
 }
 
 func main() {
@@ -94,9 +103,9 @@
 	profile := flag.String("profile", "", "file for the processor's profile of that")
 	flag.Parse()
 	if *factor > 0 {
-		n, err := strconv.Atoi(strings.Split(*sizes, ",")[0])
+		machines, err := strconv.Atoi(strings.Split(*sizes, ",")[0])
 		if err == nil {
-			err = runOverload(n, *factor, *seed, *profile)
+			err = runOverload(machines, *factor, *seed, *profile)
 		}
 		if err != nil {
 			log.Fatal("scale: ", err)
@@ -108,143 +117,182 @@
 	}
 }
 
+// run measures all sizes and writes the report.
 func run(sizes, out string, seed uint64) error {
 	var figures []*SizeCost
-	for _, x := range strings.Split(sizes, ",") {
-		n, err := strconv.Atoi(x)
-		if err != nil || n < 100 {
-			return fmt.Errorf("not a number of machines from 100 on: %q", x)
+	for _, size := range strings.Split(sizes, ",") {
+		machines, err := strconv.Atoi(size)
+		if err != nil || machines < minMachines {
+			return fmt.Errorf("not a number of machines from %d on: %q", minMachines, size)
 		}
-		began := time.Now()
-		f := measureSize(n, seed)
-		figures = append(figures, f)
-		log.Printf(
-			"%d machines, %d tasks: %.3f of a core (%.3f for messages), %.0f MB, %.1f changes/s, %.2f a job, %.4f a task, %.1f%% refused; zone lost: %d replicas, %.2f changes each, back in %.0f s; %s is nearest (%.0f%%); took %.0f s",
-			f.Machines,
-			f.Tasks,
-			f.CoreS+f.CodecS,
-			f.CodecS,
-			f.MB,
-			f.Changes,
-			f.PerJob,
-			f.PerTask,
-			f.RefusedPct,
-			f.LostReplicas,
-			f.PerReplica,
-			f.LostReplacedIn,
-			f.Binds,
-			100*f.Part,
-			time.Since(began).Seconds(),
-		)
+		startedAt := time.Now()
+		cost := measureSize(machines, seed)
+		figures = append(figures, cost)
+		cost.log(time.Since(startedAt))
 	}
 	return writeReport(out, figures)
 }
 
-// measureSize plays a site of a size.
-func measureSize(n int, seed uint64) *SizeCost {
-	s := newSimCluster(n, seed)
-	services := int(servicesPerMachine * float64(n))
+// log prints the cost of a size.
+func (c *SizeCost) log(took time.Duration) {
+	log.Printf(
+		"%d machines, %d tasks: %.3f of a core (%.3f for messages), %.0f MB, %.1f changes/s, %.2f a job, %.4f a task, "+
+			"%.1f%% refused; zone lost: %d replicas, %.2f changes each, back in %.0f s; "+
+			"%s is nearest (%.0f%%); took %.0f s",
+		c.Machines,
+		c.Tasks,
+		c.CoreS+c.CodecS,
+		c.CodecS,
+		c.MB,
+		c.Changes,
+		c.PerJob,
+		c.PerTask,
+		c.RefusedPct,
+		c.LostReplicas,
+		c.PerReplica,
+		c.LostReplacedIn,
+		c.Binds,
+		100*c.Part,
+		took.Seconds(),
+	)
+}
+
+// measureSize plays a cluster of a size: it warms up, runs steadily, and loses a zone.
+func measureSize(machines int, seed uint64) *SizeCost {
+	s := newSimCluster(machines, seed)
+	s.scheduleLoad(machines)
+	s.runUntil(warmUpTime)
+	cost := &SizeCost{Machines: len(s.machines)}
+	for _, m := range s.machines {
+		cost.Tasks += len(m.tasks)
+	}
+	s.measureSteady(cost)
+	s.measureLostZone(cost)
+	s.measureMemory(cost)
+	cost.findNearestLimit()
+	return cost
+}
+
+// scheduleLoad schedules services at the start and arrays at a steady rate.
+func (s *simCluster) scheduleLoad(machines int) {
+	services := int(servicesPerMachine * float64(machines))
 	for i := range services {
-		s.schedule(
-			3*time.Second+time.Duration(i)*30*time.Second/time.Duration(services),
-			func() { s.submitJob(i, true) },
-		)
+		at := serviceSubmitTime + time.Duration(i)*serviceSubmitSpread/time.Duration(services)
+		s.schedule(at, func() { s.submitJob(i, true) })
 	}
-	next := 500_000
-	gap := time.Duration(float64(time.Second) / (arraysPerMachine * float64(n)))
+	next := firstArrayNumber
+	gap := time.Duration(float64(time.Second) / (arraysPerMachine * float64(machines)))
 	var arrive func()
 	arrive = func() {
 		next++
 		s.submitJob(next, false)
 		s.schedule(gap, arrive)
 	}
-	s.schedule(20*time.Second, arrive)
-	s.runUntil(warmUpTime)
+	s.schedule(arraySubmitTime, arrive)
+}
 
-	tasks := 0
-	for _, m := range s.machines {
-		tasks += len(m.tasks)
+// nodeCosts returns the costs of all controllers so far.
+func (s *simCluster) nodeCosts() (costs []node) {
+	for _, n := range s.nodes {
+		costs = append(costs, *n)
 	}
-	f := &SizeCost{Machines: len(s.machines), Tasks: tasks}
-	look := func() (from []node) {
-		for _, x := range s.nodes {
-			from = append(from, *x)
-		}
-		return from
-	}
-	from := look()
+	return costs
+}
+
+// measureSteady measures a time of steady load.
+func (s *simCluster) measureSteady(cost *SizeCost) {
+	before := s.nodeCosts()
 	s.counters = eventCounts{}
 	s.runUntil(warmUpTime + measuredTime)
-	secs := measuredTime.Seconds()
-	for i, x := range s.nodes {
-		busy := (x.coreTime - from[i].coreTime).Seconds() / secs
-		inputs := float64(x.inputs - from[i].inputs)
-		if busy > f.CoreS {
-			f.CoreS, f.Inputs, f.InputUS = busy, inputs/secs, 1e6*(x.coreTime-from[i].coreTime).Seconds()/inputs
+	seconds := measuredTime.Seconds()
+	for i, n := range s.nodes {
+		coreTime := (n.coreTime - before[i].coreTime).Seconds()
+		inputs := float64(n.inputs - before[i].inputs)
+		if perSecond := coreTime / seconds; perSecond > cost.CoreS {
+			cost.CoreS, cost.Inputs, cost.InputUS = perSecond, inputs/seconds, 1e6*coreTime/inputs
 		}
-		f.CodecS = max(f.CodecS, (x.codecTime-from[i].codecTime).Seconds()/secs)
-		f.Messages, f.KB = max(
-			f.Messages,
-			float64(x.messagesSent-from[i].messagesSent)/secs,
-		), max(
-			f.KB,
-			float64(x.bytesSent-from[i].bytesSent)/1e3/secs,
-		)
+		cost.CodecS = max(cost.CodecS, (n.codecTime-before[i].codecTime).Seconds()/seconds)
+		cost.Messages = max(cost.Messages, float64(n.messagesSent-before[i].messagesSent)/seconds)
+		cost.KB = max(cost.KB, float64(n.bytesSent-before[i].bytesSent)/1e3/seconds)
 	}
-	c := s.counters
-	f.Changes = float64(c.writes) / secs
-	f.PerJob, f.PerTask = float64(c.writes)/float64(max(1, c.accepted)), float64(c.writes)/float64(max(1, c.started))
-	f.RefusedPct = 100 * float64(c.refused) / float64(max(1, c.refused+c.started))
-	quiet := f.Changes
+	counters := s.counters
+	cost.Changes = float64(counters.writes) / seconds
+	cost.PerJob = float64(counters.writes) / float64(max(1, counters.accepted))
+	cost.PerTask = float64(counters.writes) / float64(max(1, counters.started))
+	cost.RefusedPct = 100 * float64(counters.refused) / float64(max(1, counters.refused+counters.started))
+}
 
-	// A zone is lost; its machines are given up and their replicas started elsewhere.
-	from = look()
+// measureLostZone partitions a zone: its machines are given up and their replicas started elsewhere.
+func (s *simCluster) measureLostZone(cost *SizeCost) {
+	before := s.nodeCosts()
 	s.counters = eventCounts{}
-	cut := s.now
+	cutAt := s.now
 	s.cutZone = machineType.Zones[1]
 	type step struct {
 		at       time.Duration
 		replaced int
 	}
 	var steps []step
-	for s.now < cut+time.Minute {
-		s.runUntil(s.now + 250*time.Millisecond)
-		steps = append(steps, step{s.now - cut, s.counters.replaced})
+	for s.now < cutAt+lostZoneTime {
+		s.runUntil(s.now + lostZoneStep)
+		steps = append(steps, step{s.now - cutAt, s.counters.replaced})
 	}
-	for _, x := range steps {
-		if float64(x.replaced) >= 0.95*float64(s.counters.lost) {
-			f.LostReplacedIn = x.at.Seconds()
+	for _, step := range steps { // how many are lost is known at the end only
+		if float64(step.replaced) >= replacedShare*float64(s.counters.lost) {
+			cost.LostReplacedIn = step.at.Seconds()
 			break
 		}
 	}
-	for i, x := range s.nodes {
-		f.LostCoreS = max(f.LostCoreS, (x.coreTime+x.codecTime-from[i].coreTime-from[i].codecTime).Seconds()/60)
+	seconds := lostZoneTime.Seconds()
+	for i, n := range s.nodes {
+		busy := n.coreTime + n.codecTime - before[i].coreTime - before[i].codecTime
+		cost.LostCoreS = max(cost.LostCoreS, busy.Seconds()/seconds)
 	}
-	f.LostReplicas, f.LostChanges = s.counters.lost, float64(s.counters.writes)/60
-	f.PerReplica = (float64(s.counters.writes) - 60*quiet) / float64(max(1, s.counters.lost))
+	writes := float64(s.counters.writes)
+	cost.LostReplicas, cost.LostChanges = s.counters.lost, writes/seconds
+	cost.PerReplica = (writes - seconds*cost.Changes) / float64(max(1, s.counters.lost))
+}
 
-	whole := heapBytes()
-	x := s.nodes[2]
-	s.nodes, s.events = s.nodes[:2:2], eventqueue.Queue{} // what is on its way holds on to the core
-	x.core, x.pendingRequests, x.pendingInputs = nil, nil, nil
-	f.MB = (whole - heapBytes()) / 1e6
-	f.MachineB = f.MB * 1e6 / float64(f.Machines)
+// measureMemory measures the memory of one core by releasing it. The cluster can't run afterwards.
+func (s *simCluster) measureMemory(cost *SizeCost) {
+	before := heapBytes()
+	released := s.nodes[2]
+	s.nodes, s.events = s.nodes[:2:2], eventqueue.Queue{} // scheduled events refer to the core
+	released.core, released.pendingRequests, released.pendingInputs = nil, nil, nil
+	cost.MB = (before - heapBytes()) / 1e6
+	cost.MachineB = cost.MB * 1e6 / float64(cost.Machines)
 	runtime.KeepAlive(s)
-	for _, l := range []struct {
-		name string
-		part float64
-	}{
-		{"the processor", (f.CoreS + f.CodecS) / limitCore},
-		{"memory", f.MB / limitMB},
-		{"changes", f.Changes / limitChanges},
+}
+
+// limitPart is the part of a limit that a size takes.
+type limitPart struct {
+	name string
+	of   func(cost *SizeCost) float64
+}
+
+// Parts of the limits, for the report and the plot.
+var (
+	processorPart = func(cost *SizeCost) float64 { return (cost.CoreS + cost.CodecS) / limitCore }
+	memoryPart    = func(cost *SizeCost) float64 { return cost.MB / limitMB }
+	changesPart   = func(cost *SizeCost) float64 { return cost.Changes / limitChanges }
+)
+
+// findNearestLimit sets the limit that is nearest.
+func (c *SizeCost) findNearestLimit() {
+	for _, limit := range []limitPart{
+		{"the processor", processorPart},
+		{"memory", memoryPart},
+		{"changes", changesPart},
 	} {
-		if l.part > f.Part {
-			f.Binds, f.Part = l.name, l.part
+		if part := limit.of(c); part > c.Part {
+			c.Binds, c.Part = limit.name, part
 		}
 	}
-	return f
 }
 
+// pageTemplate is the report; it uses the fields of SizeCost by name.
+//
+//nolint:lll // the page is text whose lines are rows of a table
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>dewlift: at what size the limits end</title>
 <style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:66em;color:#222}table{border-collapse:collapse;margin:1em 0}
@@ -261,68 +309,72 @@
 {{end}}</table>
 `))
 
+// writeReport writes the figures, the plot and the page.
 func writeReport(out string, figures []*SizeCost) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
-		return err
+		return fmt.Errorf("create folder of report: %w", err)
 	}
 	raw, err := json.MarshalIndent(figures, "", " ")
 	if err != nil {
 		return fmt.Errorf("encode figures: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(out, "figures.json"), append(raw, '\n'), 0o644); err != nil {
-		return err
+		return fmt.Errorf("write figures: %w", err)
+	}
+	curve, err := plotParts(figures)
+	if err != nil {
+		return fmt.Errorf("plot: %w", err)
 	}
+	if err := curve.Save(8*vg.Inch, 4*vg.Inch, filepath.Join(out, "curve.svg")); err != nil {
+		return fmt.Errorf("plot: %w", err)
+	}
+	image, err := chart.PNGDataURL(curve)
+	if err != nil {
+		return fmt.Errorf("plot: %w", err)
+	}
+	return writePage(filepath.Join(out, "report.html"), figures, image)
+}
+
+// plotParts plots the parts of the limits by the number of machines.
+func plotParts(figures []*SizeCost) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.Title.Padding = "Parts of a controller's limits by the number of machines (simulated)", vg.Points(
-		8,
-	)
+	p.Title.Text = "Parts of a controller's limits by the number of machines (simulated)"
+	p.Title.Padding = vg.Points(8)
 	p.X.Label.Text, p.Y.Label.Text = "machines", "part of the limit"
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
-	for i, l := range []struct {
-		name string
-		of   func(*SizeCost) float64
-	}{
-		{
-			fmt.Sprintf("processor (%v of a core)", limitCore),
-			func(f *SizeCost) float64 { return (f.CoreS + f.CodecS) / limitCore },
-		},
-		{fmt.Sprintf("memory (%v MB)", limitMB), func(f *SizeCost) float64 { return f.MB / limitMB }},
-		{
-			fmt.Sprintf("changes (%v a second)", limitChanges),
-			func(f *SizeCost) float64 { return f.Changes / limitChanges },
-		},
+	for i, limit := range []limitPart{
+		{fmt.Sprintf("processor (%v of a core)", limitCore), processorPart},
+		{fmt.Sprintf("memory (%v MB)", limitMB), memoryPart},
+		{fmt.Sprintf("changes (%v a second)", limitChanges), changesPart},
 	} {
-		var xy plotter.XYs
-		for _, f := range figures {
-			xy = append(xy, plotter.XY{X: float64(f.Machines), Y: l.of(f)})
+		var values plotter.XYs
+		for _, cost := range figures {
+			values = append(values, plotter.XY{X: float64(cost.Machines), Y: limit.of(cost)})
 		}
-		line, points, err := plotter.NewLinePoints(xy)
+		line, points, err := plotter.NewLinePoints(values)
 		if err != nil {
-			return fmt.Errorf("plot: %w", err)
+			return nil, err
 		}
 		line.Color, points.Color, points.Shape = plotutil.Color(i), plotutil.Color(i), plotutil.Shape(i)
 		p.Add(line, points)
-		p.Legend.Add(l.name, line, points)
+		p.Legend.Add(limit.name, line, points)
 	}
-	end := plotter.NewFunction(func(float64) float64 { return 1 })
-	end.Dashes = plotutil.Dashes(1)
-	p.Add(end)
-	p.Legend.Add("the limit", end)
+	whole := plotter.NewFunction(func(float64) float64 { return 1 })
+	whole.Dashes = plotutil.Dashes(1)
+	p.Add(whole)
+	p.Legend.Add("the limit", whole)
 	p.Legend.Top, p.Legend.Left = true, true
-	if err := p.Save(8*vg.Inch, 4*vg.Inch, filepath.Join(out, "curve.svg")); err != nil {
-		return fmt.Errorf("plot: %w", err)
-	}
-	image, err := chart.PNGDataURL(p)
-	if err != nil {
-		return fmt.Errorf("plot: %w", err)
-	}
-	f, err := os.Create(filepath.Join(out, "report.html"))
+	return p, nil
+}
+
+// writePage writes the report as a page that needs no other file.
+func writePage(path string, figures []*SizeCost, image template.URL) error {
+	file, err := os.Create(path)
 	if err != nil {
-		return err
+		return fmt.Errorf("create page: %w", err)
 	}
-	defer f.Close()
-	return pageTemplate.Execute(f, map[string]any{
+	err = pageTemplate.Execute(file, map[string]any{
 		"Figures": figures, "Plot": image,
 		"Machine": fmt.Sprintf(
 			"%s, %s/%s, %d processors",
@@ -332,4 +384,8 @@
 			runtime.NumCPU(),
 		),
 	})
+	if err := errors.Join(err, file.Close()); err != nil {
+		return fmt.Errorf("write page: %w", err)
+	}
+	return nil
 }
--- a/internal/measure/scale/overload.go
+++ b/internal/measure/scale/overload.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"log"
 	"os"
@@ -10,36 +11,41 @@
 )
 
 const (
-	overloadTime     = 100 * time.Second // for which arrays come so many times as often
-	overloadCutAfter = 20 * time.Second  // after its begin, a zone is lost
-	overloadStep     = 20 * time.Second
+	overloadTime      = 100 * time.Second // for which the rate of arrays is multiplied
+	overloadCutAfter  = 20 * time.Second  // from its begin until a zone is lost
+	overloadStep      = 20 * time.Second  // between two lines of output
+	arraysPerCapacity = 1.5               // times arraysPerMachine fill the cluster
 )
 
-// runOverload plays a site into which arrays come factor times as often as it has room for, while a
-// zone is lost, and tells what a core takes as the queue grows: the work must not grow with it.
-func runOverload(n int, factor float64, seed uint64, profile string) error {
-	s := newSimCluster(n, seed)
-	for i := range n / 4 {
-		s.schedule(3*time.Second+time.Duration(i)*20*time.Second/time.Duration(n/4), func() { s.submitJob(i, true) })
+// runOverload plays a cluster into which arrays come factor times as often as it has capacity for, while a zone is
+// lost, and prints what a core takes as the queue grows: the work must not grow with it.
+func runOverload(machines int, factor float64, seed uint64, profile string) (err error) {
+	s := newSimCluster(machines, seed)
+	services := machines / 4
+	for i := range services {
+		at := 3*time.Second + time.Duration(i)*20*time.Second/time.Duration(services)
+		s.schedule(at, func() { s.submitJob(i, true) })
 	}
-	next := 500_000
-	rate := arraysPerMachine * float64(n) * 1.5 // arrays a second that fill the site
+	next := firstArrayNumber
+	rate := arraysPerMachine * float64(machines) * arraysPerCapacity // per second
 	var arrive func()
 	arrive = func() {
 		next++
 		s.submitJob(next, false)
 		s.schedule(time.Duration(float64(time.Second)/rate), arrive)
 	}
-	s.schedule(20*time.Second, arrive)
+	s.schedule(arraySubmitTime, arrive)
 	if profile != "" {
-		f, err := os.Create(profile)
+		file, err := os.Create(profile)
 		if err != nil {
-			return err
+			return fmt.Errorf("create profile: %w", err)
 		}
-		defer f.Close()
-		defer pprof.StopCPUProfile()
+		defer func() {
+			pprof.StopCPUProfile()
+			err = errors.Join(err, file.Close())
+		}()
 		s.schedule(warmUpTime, func() {
-			if err := pprof.StartCPUProfile(f); err != nil {
+			if err := pprof.StartCPUProfile(file); err != nil {
 				log.Print("scale: ", err)
 			}
 		})
@@ -53,40 +59,45 @@
 		case warmUpTime + overloadTime:
 			rate /= factor
 		}
-		most := 0.0
-		from := make([]time.Duration, len(s.nodes))
-		for i, x := range s.nodes {
-			from[i] = x.coreTime + x.codecTime
-		}
-		accepted, started := s.counters.accepted, s.counters.started
-		s.startDelays = nil
-		s.runUntil(at)
-		for i, x := range s.nodes {
-			most = max(most, (x.coreTime+x.codecTime-from[i]).Seconds()/overloadStep.Seconds())
-		}
-		fmt.Printf(
-			"%4.0f s: %d machines, %.3f of a core, %d jobs accepted and %d tasks started, %d replicas lost and %d replaced so far; %d arrays began, after %.0f s at the median and %.0f s at most, %d wait\n",
-			at.Seconds(),
-			len(s.machines),
-			most,
-			s.counters.accepted-accepted,
-			s.counters.started-started,
-			s.counters.lost,
-			s.counters.replaced,
-			len(s.startDelays),
-			medianSeconds(s.startDelays),
-			slices.Max(append(s.startDelays, 0)).Seconds(),
-			len(s.unstartedArrays),
-		)
+		s.runOverloadStep(at)
 	}
 	return nil
 }
 
-// medianSeconds is the median of times, in s; 0 of none.
-func medianSeconds(list []time.Duration) float64 {
-	if len(list) == 0 {
+// runOverloadStep runs until a time and prints what that took.
+func (s *simCluster) runOverloadStep(until time.Duration) {
+	before := s.nodeCosts()
+	accepted, started := s.counters.accepted, s.counters.started
+	s.startDelays = nil
+	s.runUntil(until)
+	maxBusy := 0.0
+	for i, n := range s.nodes {
+		busy := n.coreTime + n.codecTime - before[i].coreTime - before[i].codecTime
+		maxBusy = max(maxBusy, busy.Seconds()/overloadStep.Seconds())
+	}
+	fmt.Printf(
+		"%4.0f s: %d machines, %.3f of a core, %d jobs accepted and %d tasks started, "+
+			"%d replicas lost and %d replaced so far; "+
+			"%d arrays began, after %.0f s at the median and %.0f s at most, %d wait\n",
+		until.Seconds(),
+		len(s.machines),
+		maxBusy,
+		s.counters.accepted-accepted,
+		s.counters.started-started,
+		s.counters.lost,
+		s.counters.replaced,
+		len(s.startDelays),
+		medianSeconds(s.startDelays),
+		slices.Max(append(s.startDelays, 0)).Seconds(),
+		len(s.unstartedArrays),
+	)
+}
+
+// medianSeconds returns the median of durations in seconds; 0 of none. It sorts them.
+func medianSeconds(durations []time.Duration) float64 {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(list)
-	return list[len(list)/2].Seconds()
+	slices.Sort(durations)
+	return durations[len(durations)/2].Seconds()
 }
