--- a/core/apply.go
+++ b/core/apply.go
@@ -10,16 +10,14 @@
 	"strings"
 )
 
-// applyPut applies a key's new value to the replica. A value that can't be decoded is logged and
-// otherwise ignored: one bad key must not stop a controller.
+// applyPut applies a key's new value to the replica. A value that can't be decoded is logged.
 func (c *Core) applyPut(key string, raw json.RawMessage, revision uint64) {
 	if err := c.applyValue(key, raw, revision); err != nil {
 		c.log(LevelError, "cannot decode stored value", "key", key, "err", err.Error())
 	}
 }
 
-// applyValue dispatches a value by its key. Keys of no known kind are ignored: a newer version may
-// have written them.
+// applyValue dispatches a value by its key. Keys of no known kind are ignored.
 func (c *Core) applyValue(key string, raw json.RawMessage, revision uint64) error {
 	switch {
 	case key == keyFencingToken:
--- a/core/batchvalue/slot_test.go
+++ b/core/batchvalue/slot_test.go
@@ -10,7 +10,7 @@
 )
 
 // Encoded entries decode to the same entries, the same entries always encode to the same bytes, and a damaged
-// value is an error: taken for an empty slot, it would lose assignments.
+// value is an error.
 func TestValuesAreReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := Entries{}
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -26,11 +26,11 @@
 	// arrays: arrays are written all the time, services only when tasks are lost.
 	serviceSlotsPerShard = 2
 
-	// maxEntryShare is the divisor of a value's limit that gives the largest entry of a slot: larger
-	// records get their own keys, so that a slot always holds several jobs.
+	// maxEntryShare is the divisor of a value's limit that gives the largest entry of a slot. Larger
+	// ones are written under the job's own key.
 	maxEntryShare = 4
 
-	// minAssignmentBytes is the least size of an encoded assignment. Entries that are surely too
+	// minAssignmentBytes is a low estimate of an encoded assignment: entries that it shows to be too
 	// large are not encoded at all.
 	minAssignmentBytes = 10
 )
--- a/core/core.go
+++ b/core/core.go
@@ -250,8 +250,8 @@
 	}
 }
 
-// handleAgentPolled applies the heartbeat that a poll of an agent returned. One of another machine,
-// which has got the polled machine's address, is ignored.
+// handleAgentPolled applies the heartbeat that a poll of an agent returned. One of a machine other
+// than the polled one is ignored.
 func (c *Core) handleAgentPolled(in AgentPolled) {
 	c.agents.pollsInFlight = max(0, c.agents.pollsInFlight-1)
 	if in.Heartbeat != nil && in.Heartbeat.Machine == in.Machine {
--- a/core/ratelimit/limiter_test.go
+++ b/core/ratelimit/limiter_test.go
@@ -8,7 +8,7 @@
 )
 
 // A controller that spends whenever it has tokens never exceeds its rate by more than one burst, and its
-// rate stays within its part of the total: otherwise the store refuses writes of all controllers.
+// rate stays within its part of the total.
 func TestWritesStayWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := New(0)
@@ -34,7 +34,7 @@
 }
 
 // A pause holds writes that no user waits for longer than the others, and a later pause of these alone does
-// not shorten it: they would go to a store that has just refused them.
+// not shorten it.
 func TestPauseSparesUrgentWrites(t *testing.T) {
 	limiter := New(0)
 	limiter.Pause(3*time.Second, time.Second)
--- a/core/replica.go
+++ b/core/replica.go
@@ -45,23 +45,22 @@
 	// storeAnswerTimeout is how old the last answer may be while the store counts as reachable.
 	storeAnswerTimeout = 2 * time.Second
 
-	// storeFailureGrace is how long after the last answer a failure does not count yet: single
-	// requests fail without an outage.
+	// storeFailureGrace is how long after the last answer a failure does not count yet.
 	storeFailureGrace = 400 * time.Millisecond
 
-	// maxBarrierWaiters bounds the memory of requests that wait for a read barrier; more are refused.
+	// maxBarrierWaiters bounds the functions that wait for a read barrier; beyond it they fail at once.
 	maxBarrierWaiters = 20000
 
 	// watchRequestShare and barrierRequestShare are the parts of this controller's request rate
-	// that watches and read barriers may use; the rest is for transactions.
+	// that watches and read barriers may use.
 	watchRequestShare   = 0.25
 	barrierRequestShare = 0.35
 
 	// watchRetryDelay is the wait after a failed watch.
 	watchRetryDelay = 300 * time.Millisecond
 
-	// Waits after a read barrier that the store throttled, and after a snapshot page that failed.
-	// The random parts keep the controllers from retrying together.
+	// Waits after a read barrier that the store throttled, and after a snapshot page that failed, each
+	// with a random part.
 	barrierRetryDelay  = 100 * time.Millisecond
 	barrierRetryJitter = 200 * time.Millisecond
 	pageRetryDelay     = 200 * time.Millisecond
@@ -203,7 +202,7 @@
 		c.storeHealth.firstLostReadAt = 0
 		c.applyWatchEvents(in.Changes)
 		c.cancelAcks.quorum.ConfirmRead(sentAt)
-	case wire.StatusGone: // the store has compacted these changes: load a snapshot
+	case wire.StatusGone: // the store no longer has these changes: load a snapshot
 		c.replica.loaded, c.replica.lastPageKey = false, ""
 		c.replica.nextPageAt = c.now
 	}
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -132,7 +132,7 @@
 }
 
 // storeWriteRate is the rate of writes that all controllers together keep to. NextWriteRate replaces
-// it only when all of them know of it: else some would exceed their part.
+// WriteRate only when all of them know of it.
 func (c *Core) storeWriteRate() float64 {
 	if c.schemaVersion() >= schemaDependencies && c.cfg.Store.NextWriteRate > 0 {
 		return c.cfg.Store.NextWriteRate
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -174,7 +174,7 @@
 }
 
 // A schema version becomes active once every configured controller has declared it, not before, and stays
-// active: a controller of an older version could not read what is stored.
+// active.
 func TestSchemaVersionNeedsEveryController(t *testing.T) {
 	c := newServingCore(t)
 	wrote := 0
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -28,8 +28,7 @@
 	txn            wire.Txn
 }
 
-// Pauses of writes after a refused or lost transaction. Each has a random part, so that the
-// controllers do not retry together.
+// Pauses of writes after a refused or lost transaction, each with a random part.
 const (
 	throttledPause        = 80 * time.Millisecond // the store refused for its rate limit
 	throttledPauseJitter  = 150 * time.Millisecond
@@ -43,8 +42,8 @@
 // too large waits for its next proposal.
 const badRequestRetryDelay = time.Second
 
-// storeRateUtilization is the part of the store's write rate that the controllers plan to use when
-// one takes over what the others leave: their rates are known only from their last heartbeats.
+// storeRateUtilization is the part of the store's write rate up to which a controller takes over what
+// the others leave.
 const storeRateUtilization = 0.9
 
 // commitTxn sends a transaction and charges it to the rate limit.
