--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -426,3 +426,18 @@
 		service.ViewCommitted(func(*booking.Schedule) {})
 	})
 }
+
+// A reason that is longer than is kept must be cut between characters: invalid UTF-8 can't be stored, and the reservation
+// could not be ended.
+func TestLongReasonIsCutBetweenCharacters(t *testing.T) {
+	store := newStore(t)
+	service := New()
+	store.replayTo(t, service)
+	service.Enqueue(newRequest("x", 100))
+	expectOutcomes(t, store.commitBatch(t, service, 0), booking.OutcomeDone)
+	service.Enqueue(&PendingRequest{
+		Request:  booking.Request{Verb: booking.VerbEnd, ID: "x", Reason: "a" + strings.Repeat("é", 150)},
+		Deadline: time.Hour,
+	})
+	expectOutcomes(t, store.commitBatch(t, service, time.Second), booking.OutcomeDone)
+}
