--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -197,14 +197,7 @@
 		cfg := &tls.Config{RootCAs: x509.NewCertPool()}
 		cfg.RootCAs.AppendCertsFromPEM(raw)
 		if test.name != "" {
-			test.issuer.Issue(t, test.name, file("user.pem"), file("user.key"))
-			pair, err := tls.LoadX509KeyPair(file("user.pem"), file("user.key"))
-			if err != nil {
-				t.Fatal(err)
-			}
-			cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-				return &pair, nil
-			}
+			useClientCertificate(t, cfg, test.issuer, test.name)
 		}
 		got := 0
 		client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{TLSClientConfig: cfg}}
@@ -218,6 +211,19 @@
 	}
 }
 
+// useClientCertificate makes a client show a certificate for a name.
+func useClientCertificate(t *testing.T, cfg *tls.Config, issuer *testcert.Authority, name string) {
+	t.Helper()
+	dir := t.TempDir()
+	cert, key := filepath.Join(dir, "user.pem"), filepath.Join(dir, "user.key")
+	issuer.Issue(t, name, cert, key)
+	pair, err := tls.LoadX509KeyPair(cert, key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
+}
+
 // A certificate must identify only an identity of exactly its name that may use one, and a denied request
 // must not be recorded under a name that was not proven.
 func FuzzCertificateName(f *testing.F) {
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -35,11 +35,28 @@
 func snapshotCommand(config *string, me *clientIdentity) *cobra.Command {
 	var f snapshotFlags
 	cmd := &cobra.Command{Use: "snapshot", Short: "Save, check and restore the whole state of a site"}
-	addStoreFlags := func(c *cobra.Command) {
-		c.Flags().StringVar(&f.storeAddr, "state", "", "address of the state service")
-		c.Flags().Float64Var(&f.endpoint.RPS, "rps", 20, "its requests a second, if only --state is given")
-	}
-	save := &cobra.Command{
+	cmd.AddCommand(f.save(config, me), f.restore(config, me), &cobra.Command{
+		Use: "verify FILE", Short: "Read a whole snapshot and check every part", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			trailer, err := snapshot.Verify(args[0])
+			if err == nil {
+				printf(cmd.OutOrStdout(), "%s is whole: %d keys in %d parts\n", args[0], trailer.Keys, trailer.Parts)
+			}
+			return err
+		},
+	}, inspectCommand())
+	return cmd
+}
+
+// addStoreFlags adds the flags that name the store without a controller or settings.
+func (f *snapshotFlags) addStoreFlags(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&f.storeAddr, "state", "", "address of the state service")
+	cmd.Flags().Float64Var(&f.endpoint.RPS, "rps", 20, "its requests a second, if only --state is given")
+}
+
+// save makes the command that saves a site's state.
+func (f *snapshotFlags) save(config *string, me *clientIdentity) *cobra.Command {
+	cmd := &cobra.Command{
 		Use: "save FILE", Short: "Save the state as of one moment, while the site serves", Args: cobra.ExactArgs(1),
 		Example: "  dewlift snapshot save --server 10.0.0.1:8080 monday.snapshot",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -50,12 +67,8 @@
 				return fmt.Errorf("--share is %v, must be more than 0 and at most 1", f.requestShare)
 			}
 			show, done := newProgress("saving", -1)
-			trailer, err := snapshot.Save(
-				cmd.Context(),
-				&snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS * f.requestShare},
-				args[0],
-				func(n int) { show(n, -1) },
-			)
+			source := &snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS * f.requestShare}
+			trailer, err := snapshot.Save(cmd.Context(), source, args[0], func(n int) { show(n, -1) })
 			done()
 			if err != nil {
 				return err
@@ -64,10 +77,15 @@
 			return nil
 		},
 	}
-	addStoreFlags(save)
-	save.Flags().StringVar(&f.server, "server", "", "address of a controller, which names the state service")
-	save.Flags().Float64Var(&f.requestShare, "share", 0.1, "share of the state service's requests that may be used")
-	restore := &cobra.Command{
+	f.addStoreFlags(cmd)
+	cmd.Flags().StringVar(&f.server, "server", "", "address of a controller, which names the state service")
+	cmd.Flags().Float64Var(&f.requestShare, "share", 0.1, "share of the state service's requests that may be used")
+	return cmd
+}
+
+// restore makes the command that restores a site's state.
+func (f *snapshotFlags) restore(config *string, me *clientIdentity) *cobra.Command {
+	cmd := &cobra.Command{
 		Use: "restore FILE", Short: "Restore a state to an empty state service", Args: cobra.ExactArgs(1),
 		Long: "Restore a state to an empty state service. No controller may be running, " +
 			"and every machine must have been returned.",
@@ -79,7 +97,8 @@
 			show, done := newProgress("restoring", 0)
 			trailer, err := snapshot.Restore(cmd.Context(), &snapshot.Target{
 				Source:   snapshot.Source{Addr: f.endpoint.Addr, RPS: f.endpoint.RPS},
-				WriteRPS: f.endpoint.WriteRPS, TxnOps: f.endpoint.TxnOps,
+				WriteRPS: f.endpoint.WriteRPS,
+				TxnOps:   f.endpoint.TxnOps,
 			}, args[0], show)
 			done()
 			if err != nil {
@@ -89,20 +108,9 @@
 			return nil
 		},
 	}
-	addStoreFlags(restore)
-	restore.Flags().
-		Float64Var(&f.endpoint.WriteRPS, "write-rps", 10, "its changes a second, if only --state is given")
-	restore.Flags().IntVar(&f.endpoint.TxnOps, "txn-ops", 10, "changes of a transaction, if only --state is given")
-	cmd.AddCommand(save, restore, &cobra.Command{
-		Use: "verify FILE", Short: "Read a whole snapshot and check every part", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			trailer, err := snapshot.Verify(args[0])
-			if err == nil {
-				printf(cmd.OutOrStdout(), "%s is whole: %d keys in %d parts\n", args[0], trailer.Keys, trailer.Parts)
-			}
-			return err
-		},
-	}, inspectCommand())
+	f.addStoreFlags(cmd)
+	cmd.Flags().Float64Var(&f.endpoint.WriteRPS, "write-rps", 10, "its changes a second, if only --state is given")
+	cmd.Flags().IntVar(&f.endpoint.TxnOps, "txn-ops", 10, "changes of a transaction, if only --state is given")
 	return cmd
 }
 
--- a/connlimit/connlimit_test.go
+++ b/connlimit/connlimit_test.go
@@ -29,33 +29,14 @@
 	var clock atomic.Int64
 	listener := NewListener(inner, Limits{Inbound: 10})
 	listener.now = func() time.Time { return time.Unix(0, clock.Load()) }
-	connect := func() (client, server net.Conn) {
-		client, err := net.Dial("tcp4", inner.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		if server, err = listener.Accept(); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { _, _ = client.Close(), server.Close() }) // closed by the listener or the test, perhaps
-		return client, server
-	}
-	ping := func(client, server net.Conn) error {
-		if _, err := client.Write([]byte("x")); err != nil {
-			return err
-		}
-		_, err := server.Read(make([]byte, 1))
-		return err
-	}
-	type pair struct{ client, server net.Conn }
-	var all []pair
+	connect := func() connPair { return connectPair(t, listener) }
+	var all []connPair
 	for range 10 {
-		c, s := connect()
-		all = append(all, pair{c, s})
+		all = append(all, connect())
 	}
 	clock.Add(int64(5 * time.Second))
-	for _, p := range all[1:] { // the first is abandoned
-		if err := ping(p.client, p.server); err != nil {
+	for _, pair := range all[1:] { // the first is abandoned
+		if err := pair.ping(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -64,7 +45,7 @@
 	if listener.OpenConns() != 10 {
 		t.Errorf("%d connections, at most 10 with one abandoned", listener.OpenConns())
 	}
-	if err := ping(all[0].client, all[0].server); err == nil {
+	if err := all[0].ping(); err == nil {
 		t.Error("the abandoned connection is still open")
 	}
 	connect()
@@ -76,16 +57,43 @@
 	if listener.OpenConns() != 12 {
 		t.Errorf("%d connections, at most 12", listener.OpenConns())
 	}
-	for _, p := range all[2:] {
-		if err := ping(p.client, p.server); err != nil {
+	for _, pair := range all[2:] {
+		if err := pair.ping(); err != nil {
 			t.Error(err)
 		}
-		if err := p.server.Close(); err != nil {
+		if err := pair.server.Close(); err != nil {
 			t.Error(err)
 		}
-		_ = p.server.Close() // a server may close twice; it counts once
+		_ = pair.server.Close() // a server may close twice; it counts once
 	}
 	if listener.OpenConns() != 4 {
 		t.Errorf("%d connections after eight of twelve were closed", listener.OpenConns())
 	}
 }
+
+// connPair is both ends of a connection.
+type connPair struct{ client, server net.Conn }
+
+// connectPair opens a connection to a listener; both ends are closed when the test ends.
+func connectPair(t *testing.T, listener *Listener) connPair {
+	t.Helper()
+	client, err := net.Dial("tcp4", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	server, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _, _ = client.Close(), server.Close() }) // closed by the listener or the test, perhaps
+	return connPair{client, server}
+}
+
+// ping sends a byte from the client to the server.
+func (p connPair) ping() error {
+	if _, err := p.client.Write([]byte("x")); err != nil {
+		return err
+	}
+	_, err := p.server.Read(make([]byte, 1))
+	return err
+}
