--- a/controller.go
+++ b/controller.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// enqueueResult hands the result of a request to the core. It waits for space in the queue: a lost
-// result would leave the core waiting for it for ever.
+// enqueueResult hands the result of a request to the core. It waits for space in the queue, as no result
+// may be lost.
 func (c *Controller) enqueueResult(ctx context.Context, in core.Input) {
 	select {
 	case c.inputs <- in:
--- a/coreconfig.go
+++ b/coreconfig.go
@@ -58,8 +58,8 @@
 	return cfg
 }
 
-// storeConfig obeys the lower of the limits in force and those announced, as the change may come at
-// any time.
+// storeConfig takes the lower of the limits in force and those announced, but for the write rate, of which the
+// core gets both.
 func storeConfig(platform *settings.Platform, tuning *pb.Tuning) core.StoreConfig {
 	now, next := &platform.Cluster.State, &platform.Cluster.State.Next
 	return core.StoreConfig{
--- a/internal/compress/compress.go
+++ b/internal/compress/compress.go
@@ -13,7 +13,7 @@
 // ErrTooLarge is returned for a value that decompresses to more than its reader allows.
 var ErrTooLarge = errors.New("expands to too much")
 
-// flateWriters are reused: a writer is large beside the values.
+// flateWriters holds writers for reuse.
 var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestCompression)
 	if err != nil {
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -29,7 +29,7 @@
 const (
 	// outboxLength is how many messages may wait for a peer; more are dropped.
 	outboxLength = 2048
-	// maxMessageBytes bounds a message; the cluster state of a large fleet is the longest.
+	// maxMessageBytes bounds a message; the cluster state of a large fleet is long.
 	maxMessageBytes = 8 << 20
 	// defaultKeepAliveInterval is the time between two keep-alives on the response of a stream.
 	defaultKeepAliveInterval = 500 * time.Millisecond
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -116,7 +116,7 @@
 	// minTxnOps is the least number of writes that the store must allow in a transaction: a claim of
 	// leadership raises the fencing token, and starts of a team with a maximum write its key.
 	minTxnOps = 2
-	// maxNumber bounds numbers in the platform's settings, so that they can be scaled without overflow.
+	// maxNumber is the largest number that is accepted in the platform's settings.
 	maxNumber = 1e9
 )
 
--- a/wire/job.go
+++ b/wire/job.go
@@ -20,7 +20,7 @@
 
 	maxNameBytes    = 200 // of a class, team, image, zone or machine type
 	maxMachineTypes = 50  // that a job may name
-	maxAmount       = 1e9 // of a resource or of seconds: thousandths of it stay well within an int64
+	maxAmount       = 1e9 // of a resource or of seconds
 	jobIDPrefix     = "wk-"
 	minJobIDBytes   = 4
 	maxJobIDBytes   = 80
