--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -1,7 +1,7 @@
-// Command fleet measures what a fleet costs its controllers: it runs controllers in this process,
-// over real connections on loopback, with the stand-in state service and machines that do as the
-// protocol says, and tells the processor time by what it went to. The share of the stand-ins is
-// told apart in the profile (`go tool pprof`), as all run in one process.
+// Command fleet measures what a fleet of machines costs its controllers: it runs controllers in this process, over
+// real connections on loopback, with the fake store and machines whose agents follow the protocol, and writes a
+// profile of the processor time. The cost of the fakes shows separately in the profile (`go tool pprof`), as all
+// run in one process.
 package main
 
 import (
@@ -45,202 +45,274 @@
 	}
 }
 
-func listen() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
+const (
+	arrayTaskTime     = 40 * time.Second
+	heartbeatInterval = 6 * time.Second
+	startTime         = 8 * time.Second       // until controllers own their shards
+	serviceGap        = 30 * time.Millisecond // between submissions of services
+	warmUpTime        = 45 * time.Second      // of arrays, before the measured time
+	firstArrayNumber  = 100_000               // services have lower numbers
+	maxSubmitAttempts = 30
+)
+
+// storeLimits are the limits of the fake store and of the controllers' settings.
+var storeLimits = fakes.Limits{
+	RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256,
+}
+
+var machineType = wire.MachineType{
+	Name:      "x",
+	CPUs:      32,
+	MemoryGB:  128,
+	Zones:     []string{"a", "b", "c"},
+	BootS:     15,
+	Price:     1,
+	SpotPrice: 0.4,
+}
+
+// listen listens on a free port of loopback.
+func listen() (net.Listener, error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	return listener, nil
+}
+
+// serveUntilExit serves in the background; the listener ends with the process.
+func serveUntilExit(handler http.Handler) (addr string, err error) {
+	listener, err := listen()
+	if err != nil {
+		return "", err
+	}
+	go func() { _ = http.Serve(listener, handler) }()
+	return listener.Addr().String(), nil
+}
+
+// controllerListeners are the listeners of one controller.
+type controllerListeners struct{ users, peers net.Listener }
+
+// listenForControllers returns listeners for all controllers.
+func listenForControllers(count int) (listeners []controllerListeners, err error) {
+	for range count {
+		users, err := listen()
+		if err != nil {
+			return nil, err
+		}
+		peers, err := listen()
+		if err != nil {
+			return nil, err
+		}
+		listeners = append(listeners, controllerListeners{users, peers})
+	}
+	return listeners, nil
+}
+
+// taskShape returns the resources of a task and how long it runs: services run until they are stopped.
+func taskShape(task string) (request [3]int64, duration time.Duration) {
+	if id, _, _ := wire.SplitTaskName(task); id < jobID(firstArrayNumber) {
+		return [3]int64{1000, 0, 2200}, 0
+	}
+	return [3]int64{4000, 0, 8900}, arrayTaskTime
+}
 
+// jobID returns the ID of a job.
+func jobID(number int) string { return fmt.Sprintf("wk-%06d", number) }
+
+// run starts the fleet and its load, and measures it.
 func run() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	store := fakes.NewStore(
-		fakes.Limits{RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256},
-	)
-	kind := wire.MachineType{
-		Name:      "x",
-		CPUs:      32,
-		MemoryGB:  128,
-		Zones:     []string{"a", "b", "c"},
-		BootS:     15,
-		Price:     1,
-		SpotPrice: 0.4,
-	}
-	store.SetMachineType(kind)
-	sl, err := listen()
+	store := fakes.NewStore(storeLimits)
+	store.SetMachineType(machineType)
+	storeAddr, err := serveUntilExit(store)
 	if err != nil {
 		return err
 	}
-	go func() { _ = http.Serve(sl, store) }() // ends with the process
-	cl, err := listen()
+	listeners, err := listenForControllers(*controllerCount)
 	if err != nil {
 		return err
 	}
-
 	var addrs []string
-	var users, peers []net.Listener
-	for range *controllerCount {
-		u, err := listen()
-		if err != nil {
-			return err
-		}
-		p, err := listen()
-		if err != nil {
-			return err
+	for _, l := range listeners {
+		addrs = append(addrs, l.users.Addr().String())
+	}
+	workers := fakes.NewWorkers(*machineCount, machineType, addrs, heartbeatInterval, taskShape)
+	cloudAddr, err := serveUntilExit(workers.CloudHandler())
+	if err != nil {
+		return err
+	}
+	for i := range listeners {
+		startController(ctx, i, listeners, storeAddr, cloudAddr)
+	}
+	go func() {
+		if err := workers.Run(ctx); err != nil {
+			log.Fatal("fleet: ", err)
 		}
-		users, peers, addrs = append(users, u), append(peers, p), append(addrs, u.Addr().String())
-	}
-	fleet := fakes.NewWorkers(
-		*machineCount,
-		kind,
-		addrs,
-		6*time.Second,
-		func(piece string) ([3]int64, time.Duration) {
-			if id, _, _ := wire.SplitTaskName(piece); id < "wk-100000" {
-				return [3]int64{1000, 0, 2200}, 0
-			}
-			return [3]int64{4000, 0, 8900}, 40 * time.Second
-		},
-	)
-	go func() { _ = http.Serve(cl, fleet.CloudHandler()) }() // ends with the process
-	for i := range users {
-		p := &settings.Platform{Name: fmt.Sprintf("n%d", i), Zone: kind.Zones[i%3]}
-		p.Services.State, p.Services.Cloud = sl.Addr().String(), cl.Addr().String()
-		for k := range peers {
-			if k != i {
-				p.Peers = append(p.Peers, settings.Peer{Name: fmt.Sprintf("n%d", k), Addr: peers[k].Addr().String()})
-			}
+	}()
+	time.Sleep(startTime)
+	transport := &http.Transport{MaxIdleConnsPerHost: 100}
+	client := &jobClient{httpClient: http.Client{Timeout: 5 * time.Second, Transport: transport}, addrs: addrs}
+	client.applyLoad(ctx)
+	return measure(workers, client)
+}
+
+// startController starts a controller in this process. The program ends if it fails.
+func startController(ctx context.Context, i int, listeners []controllerListeners, storeAddr, cloudAddr string) {
+	platform := &settings.Platform{
+		Name: fmt.Sprintf("n%d", i),
+		Zone: machineType.Zones[i%len(machineType.Zones)],
+	}
+	platform.Services.State, platform.Services.Cloud = storeAddr, cloudAddr
+	for k := range listeners {
+		if k != i {
+			peer := settings.Peer{Name: fmt.Sprintf("n%d", k), Addr: listeners[k].peers.Addr().String()}
+			platform.Peers = append(platform.Peers, peer)
 		}
-		k := &p.Cluster
-		k.Teams = []settings.Team{{Name: "t"}}
-		k.Workers.ReportS, k.Workers.LeaseS, k.Workers.CancelS, k.TimeBoundMS = 6, 36, 66, 5
-		k.State.RPS, k.State.WriteRPS, k.State.ValueKB, k.State.TxnOps = 150, 30, 8, 24
-		k.Cloud.RPS, k.Cloud.ListLagS, k.Quota.FDLimit = 4, 5, 3172
-		c := dewlift.New(
-			p,
-			settings.DefaultTuning(),
-			dewlift.Options{},
-			slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo})),
-		)
-		go func() {
-			if err := c.Serve(ctx, users[i], peers[i]); ctx.Err() == nil {
-				log.Fatal("fleet: ", err)
-			}
-		}()
 	}
+	cluster := &platform.Cluster
+	cluster.Teams = []settings.Team{{Name: "t"}}
+	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = heartbeatInterval.Seconds(), 36, 66
+	cluster.TimeBoundMS = 5
+	cluster.State.RPS, cluster.State.WriteRPS = storeLimits.RPS, storeLimits.WriteRPS
+	cluster.State.ValueKB, cluster.State.TxnOps = 8, storeLimits.TxnOps
+	cluster.Cloud.RPS, cluster.Cloud.ListLagS = 4, 5
+	cluster.Quota.FDLimit = 3172
+	logger := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelInfo}))
+	controller := dewlift.New(platform, settings.DefaultTuning(), dewlift.Options{}, logger)
 	go func() {
-		if err := fleet.Run(ctx); err != nil {
+		if err := controller.Serve(ctx, listeners[i].users, listeners[i].peers); ctx.Err() == nil {
 			log.Fatal("fleet: ", err)
 		}
 	}()
-	time.Sleep(8 * time.Second)
-	var accepted, refused, polled, late atomic.Int64
-	u := jobClient{http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}, addrs}
-	var first sync.WaitGroup
-	for i := range *serviceCount {
-		first.Go(func() { u.submit(fmt.Sprintf("wk-%06d", i), true, 8, &accepted, &refused) })
-		time.Sleep(30 * time.Millisecond)
-	}
-	first.Wait()
-	next := 100_000
-	go runAtRate(ctx, *arrayRate, func() {
-		next++
-		id := fmt.Sprintf("wk-%06d", next)
-		go u.submit(id, false, 90, &accepted, &refused)
-	})
-	time.Sleep(45 * time.Second)
-	go runAtRate(
-		ctx,
-		*pollRate,
-		func() { go u.poll(fmt.Sprintf("wk-%06d", time.Now().UnixNano()%int64(*serviceCount)), &polled, &late) },
-	)
-	f, err := os.Create(*profileFile)
+}
+
+// measure profiles the steady load and prints what happened.
+func measure(workers *fakes.Workers, client *jobClient) error {
+	profile, err := os.Create(*profileFile)
 	if err != nil {
-		return err
+		return fmt.Errorf("create profile: %w", err)
 	}
-	fleet.CutZone(*cutZone)
-	before, missed := fleet.HeartbeatCounts()
-	if err := pprof.StartCPUProfile(f); err != nil {
-		return err
+	workers.CutZone(*cutZone)
+	ackedBefore, failedBefore := workers.HeartbeatCounts()
+	if err := pprof.StartCPUProfile(profile); err != nil {
+		return fmt.Errorf("start profile: %w", err)
 	}
 	time.Sleep(time.Duration(*measuredSeconds) * time.Second)
 	pprof.StopCPUProfile()
-	after, failed := fleet.HeartbeatCounts()
+	acked, failed := workers.HeartbeatCounts()
 	fmt.Printf(
-		"%d machines, %d controllers: %d reports a second, %d in all failed, %d starts refused, %d accepted, %d refused, %d polls, %d late or refused\n",
-		fleet.RentedCount(),
+		"%d machines, %d controllers: %d reports a second, %d in all failed, %d starts refused, %d accepted, "+
+			"%d refused, %d polls, %d late or refused\n",
+		workers.RentedCount(),
 		*controllerCount,
-		(after-before)/(*measuredSeconds),
-		failed-missed,
-		fleet.StartsRefused(),
-		accepted.Load(),
-		refused.Load(),
-		polled.Load(),
-		late.Load(),
+		(acked-ackedBefore)/(*measuredSeconds),
+		failed-failedBefore,
+		workers.StartsRefused(),
+		client.accepted.Load(),
+		client.refused.Load(),
+		client.polled.Load(),
+		client.late.Load(),
 	)
-	return f.Close()
+	return profile.Close()
 }
 
-func runAtRate(ctx context.Context, rate float64, f func()) {
-	t := time.NewTicker(time.Duration(float64(time.Second) / rate))
-	defer t.Stop()
+// runAtRate calls a function so many times a second until the context ends.
+func runAtRate(ctx context.Context, rate float64, call func()) {
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
-			f()
+		case <-ticker.C:
+			call()
 		}
 	}
 }
 
+// jobClient is all users: it submits and polls jobs and counts the outcomes.
 type jobClient struct {
-	httpClient http.Client
-	addrs      []string
+	httpClient                      http.Client
+	addrs                           []string // of the controllers
+	accepted, refused, polled, late atomic.Int64
 }
 
-func (u *jobClient) submit(id string, service bool, tasks int, accepted, refused *atomic.Int64) {
-	job := fakes.JobRequest(id, "x")
-	job["pieces"], job["cpus"], job["ram_gb"], job["heat"] = tasks, 4, 8.9, "high"
-	if service {
-		job["form"], job["firing_s"], job["heat"], job["cpus"], job["ram_gb"], job["spread"], job["borrowed"] = "daemon", 0, "critical", 1, 2.2, true, false
+// applyLoad submits all services, and then arrays and polls at their rates until the context ends. It returns after
+// the warm-up.
+func (c *jobClient) applyLoad(ctx context.Context) {
+	var services sync.WaitGroup
+	for i := range *serviceCount {
+		services.Go(func() { c.submit(serviceRequest(jobID(i))) })
+		time.Sleep(serviceGap)
 	}
-	raw, err := json.Marshal(job)
+	services.Wait()
+	next := firstArrayNumber
+	go runAtRate(ctx, *arrayRate, func() {
+		next++
+		request := arrayRequest(jobID(next))
+		go c.submit(request)
+	})
+	time.Sleep(warmUpTime)
+	go runAtRate(ctx, *pollRate, func() {
+		number := int(time.Now().UnixNano() % int64(*serviceCount))
+		go c.poll(jobID(number))
+	})
+}
+
+// arrayRequest returns the submission of a job array.
+func arrayRequest(id string) map[string]any {
+	request := fakes.JobRequest(id, "x")
+	request["pieces"], request["cpus"], request["ram_gb"], request["heat"] = 90, 4, 8.9, "high"
+	return request
+}
+
+// serviceRequest returns the submission of a service.
+func serviceRequest(id string) map[string]any {
+	request := fakes.JobRequest(id, "x")
+	request["pieces"], request["cpus"], request["ram_gb"], request["heat"] = 8, 1, 2.2, "critical"
+	request["form"], request["firing_s"], request["spread"], request["borrowed"] = "daemon", 0, true, false
+	return request
+}
+
+// submit submits a job until it is accepted, or often enough.
+func (c *jobClient) submit(request map[string]any) {
+	raw, err := json.Marshal(request)
 	if err != nil {
-		panic(err) // strings and numbers
-	}
-	for try := range 30 {
-		status := u.doRequest(
-			http.MethodPost,
-			u.addrs[(int(time.Now().UnixNano())+try)%len(u.addrs)]+wire.PathJobs,
-			raw,
-		)
-		if status == 200 || status == 201 {
-			accepted.Add(1)
+		panic(err) // strings and numbers always marshal
+	}
+	for attempt := range maxSubmitAttempts {
+		addr := c.addrs[(int(time.Now().UnixNano())+attempt)%len(c.addrs)]
+		status := c.doRequest(http.MethodPost, addr+wire.PathJobs, raw)
+		if status == http.StatusOK || status == http.StatusCreated {
+			c.accepted.Add(1)
 			return
 		}
-		refused.Add(1)
+		c.refused.Add(1)
 		time.Sleep(time.Second)
 	}
 }
 
-func (u *jobClient) poll(id string, polled, late *atomic.Int64) {
-	polled.Add(1)
-	if u.doRequest(
-		http.MethodGet,
-		u.addrs[int(time.Now().UnixNano()>>8)%len(u.addrs)]+wire.PathJobs+"/"+id,
-		nil,
-	) != 200 {
-		late.Add(1)
+// poll polls a job once.
+func (c *jobClient) poll(id string) {
+	c.polled.Add(1)
+	addr := c.addrs[int(time.Now().UnixNano()>>8)%len(c.addrs)]
+	if c.doRequest(http.MethodGet, addr+wire.PathJobs+"/"+id, nil) != http.StatusOK {
+		c.late.Add(1)
 	}
 }
 
-func (u *jobClient) doRequest(method, url string, body []byte) int {
-	req, err := http.NewRequest(method, "http://"+url, bytes.NewReader(body))
+// doRequest sends a request and returns its status; 0 if there is no response.
+func (c *jobClient) doRequest(method, url string, body []byte) int {
+	request, err := http.NewRequest(method, "http://"+url, bytes.NewReader(body))
 	if err != nil {
 		return 0
 	}
-	resp, err := u.httpClient.Do(req)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return 0
 	}
-	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is used again
-	return resp.StatusCode
+	_, _ = io.Copy(io.Discard, response.Body) // so that the connection is reused
+	_ = response.Body.Close()
+	return response.StatusCode
 }
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -1,11 +1,10 @@
-// Command history measures what a long history costs a controller: it starts the built program
-// against the stand-in state service, holding so many ended jobs, and writes a table, JSON and an HTML
-// report. docs/operations/history.md shows how it is run. Everything is on loopback; a run of one
-// size takes a minute at most, each process is ended by its id.
+// Command history measures what a long history costs a controller: it starts the built program against the fake
+// store, which holds so many ended jobs, and writes a table, JSON and an HTML report. docs/operations/history.md
+// shows how it is run. Everything is on loopback; a run of one size takes a minute at most, and each process is
+// ended by its ID.
 package main
 
 import (
-	"context"
 	"dewlift/archive"
 	"dewlift/core"
 	"dewlift/internal/fakes"
@@ -28,135 +27,187 @@
 
 const (
 	liveJobs = 2000
-
-	keptRecords = 7500 // of an archived history, the jobs that ended last, which have records still
+	// keptRecords is the number of the latest ended jobs of an archived history that still have records.
+	keptRecords = 7500
+	// maxKeptRecords is the number of records at which archiving counts as finished: the latest ended jobs keep
+	// theirs.
+	maxKeptRecords   = 10_100
+	jobsPerBlock     = 1200 // of the archive, as many as there are on average
+	maxValueBytes    = 8192
+	storeWriteRate   = 30 // per second, of a start
+	archiveRate      = 1000
+	archiveTimeout   = 15 * time.Minute
+	archivePollGap   = 200 * time.Millisecond
+	pollsPerStart    = 60
+	maxPollAttempts  = 5
+	pollRetryGap     = 500 * time.Millisecond
+	endedJobsPrefix  = core.Root + "job/wk-0"
+	formRecords      = "records"
+	formArchive      = "archive"
+	versionNow       = "now"
+	versionBefore    = "before"
+	archivingTuning  = "archive: true history_wait_ms: 0"
+	unixMSOfLiveJobs = 1700000000000
 )
 
-// StartCost is what one start took.
+// StartCost is the cost of one start. The page's template uses the names of the fields.
 type StartCost struct {
 	Version   string  `json:"version"`
-	Form      string  `json:"form"` // "records": a key each; "archive": compact blocks
+	Form      string  `json:"form"` // "records": a key for each job; "archive": compact blocks
 	Jobs      int     `json:"jobs"`
 	RPS       float64 `json:"rps"`
 	HealthyS  float64 `json:"healthy_s"`
 	CPUS      float64 `json:"cpu_s"`
-	ShareS    float64 `json:"share_s"` // at its share of a core: the larger of both
+	ShareS    float64 `json:"share_s"` // lower bound of the time until healthy with its share of a core
 	PeakMB    float64 `json:"peak_mb"`
 	Requests  int     `json:"requests"`
 	StoreB    float64 `json:"store_bytes_per_job"`
-	MemoryB   float64 `json:"memory_bytes_per_job"` // more than the start with the fewest jobs of its kind took
-	Ended     string  `json:"ended,omitempty"`      // why it never was healthy
-	PollMS    float64 `json:"poll_ms,omitempty"`    // median, of ended jobs chosen at random
-	Wrong     int     `json:"wrong"`                // answers to polls that were not right
+	MemoryB   float64 `json:"memory_bytes_per_job"` // beyond the start of its kind with the fewest jobs
+	Ended     string  `json:"ended,omitempty"`      // why it never became healthy
+	PollMS    float64 `json:"poll_ms,omitempty"`    // median, of random ended jobs
+	Wrong     int     `json:"wrong"`                // wrong responses to polls
 	Polls     int     `json:"polls"`
 	Committed int     `json:"changes"`
 }
 
+// options are the command's flags.
+type options struct {
+	bin, before string // paths of the program and of an earlier version
+	sizes       string
+	rates       string
+	quotaMB     float64
+	out         string
+	archive     int // records to archive; 0: none
+}
+
 func main() {
 	log.SetFlags(0)
-	bin := flag.String("program", "target/dewlift", "the program")
-	before := flag.String("before", "", "an earlier version's program, for comparison")
-	sizes := flag.String("jobs", "10000,100000,1000000", "numbers of ended jobs")
-	rates := flag.String("rps", "150,70", "requests a second of the state service")
-	quota := flag.Float64("mem-mb", 186, "memory quota of a controller")
-	out := flag.String("out", "history", "folder for figures.json and report.html")
-	compact := flag.Int(
+	var o options
+	flag.StringVar(&o.bin, "program", "target/dewlift", "the program")
+	flag.StringVar(&o.before, "before", "", "an earlier version's program, for comparison")
+	flag.StringVar(&o.sizes, "jobs", "10000,100000,1000000", "numbers of ended jobs")
+	flag.StringVar(&o.rates, "rps", "150,70", "requests a second of the state service")
+	flag.Float64Var(&o.quotaMB, "mem-mb", 186, "memory quota of a controller")
+	flag.StringVar(&o.out, "out", "history", "folder for figures.json and report.html")
+	flag.IntVar(
+		&o.archive,
 		"compact",
 		0,
 		"also have so many records moved, with 1000 changes a second, and count what that takes",
 	)
 	flag.Parse()
-	if err := run(*bin, *before, *sizes, *rates, *quota, *out, *compact); err != nil {
+	if err := o.run(); err != nil {
 		log.Fatal("history: ", err)
 	}
 }
 
-func parseNumbers(s string) ([]float64, error) {
+// parseNumbers parses positive numbers separated by commas.
+func parseNumbers(list string) ([]float64, error) {
 	var out []float64
-	for _, x := range strings.Split(s, ",") {
-		v, err := strconv.ParseFloat(x, 64)
-		if err != nil || v <= 0 {
-			return nil, fmt.Errorf("not a positive number: %q", x)
+	for _, text := range strings.Split(list, ",") {
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || value <= 0 {
+			return nil, fmt.Errorf("not a positive number: %q", text)
 		}
-		out = append(out, v)
+		out = append(out, value)
 	}
 	return out, nil
 }
 
-func run(bin, before, sizes, rates string, quota float64, out string, compact int) error {
-	jobs, err := parseNumbers(sizes)
+// run measures all starts and writes the report.
+func (o *options) run() error {
+	jobs, err := parseNumbers(o.sizes)
 	if err != nil {
 		return err
 	}
-	rps, err := parseNumbers(rates)
+	rates, err := parseNumbers(o.rates)
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(out, 0o755); err != nil {
-		return err
+	if err := os.MkdirAll(o.out, 0o755); err != nil {
+		return fmt.Errorf("create folder of report: %w", err)
 	}
-	var all []*StartCost
-	for _, r := range rps {
-		for _, kind := range []struct{ version, bin, form string }{
-			{"before", before, "records"},
-			{"now", bin, "records"},
-			{"now", bin, "archive"},
+	var starts []*StartCost
+	for _, rps := range rates {
+		for _, kind := range []StartCost{
+			{Version: versionBefore, Form: formRecords, RPS: rps},
+			{Version: versionNow, Form: formRecords, RPS: rps},
+			{Version: versionNow, Form: formArchive, RPS: rps},
 		} {
-			if kind.bin == "" {
-				continue
-			}
-			var first *StartCost
-			for _, n := range jobs {
-				f := &StartCost{Version: kind.version, Form: kind.form, Jobs: int(n), RPS: r}
-				if err := f.measureStart(kind.bin, quota); err != nil {
-					return err
-				}
-				if first == nil {
-					first = f
-				} else if f.Ended == "" {
-					f.MemoryB = (f.PeakMB - first.PeakMB) * (1 << 20) / float64(f.Jobs-first.Jobs)
-				}
-				all = append(all, f)
-				log.Printf(
-					"%-6s %-7s %8d jobs %3.0f rps: healthy %6.1f s (cpu %5.1f s, at its share %6.1f s), peak %4.0f MB, %5d requests, %5.1f B/job stored, poll %.0f ms, %d of %d wrong %s",
-					f.Version,
-					f.Form,
-					f.Jobs,
-					f.RPS,
-					f.HealthyS,
-					f.CPUS,
-					f.ShareS,
-					f.PeakMB,
-					f.Requests,
-					f.StoreB,
-					f.PollMS,
-					f.Wrong,
-					f.Polls,
-					f.Ended,
-				)
+			ofKind, err := o.measureKind(kind, jobs)
+			if err != nil {
+				return err
 			}
+			starts = append(starts, ofKind...)
 		}
 	}
-	var moved *ArchivingCost
-	if compact > 0 {
-		if moved, err = measureArchiving(bin, compact, quota); err != nil {
+	var archiving *ArchivingCost
+	if o.archive > 0 {
+		if archiving, err = measureArchiving(o.bin, o.archive, o.quotaMB); err != nil {
 			return err
 		}
 	}
-	raw, err := json.MarshalIndent(map[string]any{"starts": all, "moved": moved}, "", " ")
+	raw, err := json.MarshalIndent(map[string]any{"starts": starts, "moved": archiving}, "", " ")
 	if err != nil {
-		return err
+		return fmt.Errorf("encode figures: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(out, "figures.json"), raw, 0o644); err != nil {
-		return err
+	if err := os.WriteFile(filepath.Join(o.out, "figures.json"), raw, 0o644); err != nil {
+		return fmt.Errorf("write figures: %w", err)
 	}
-	return writeReport(filepath.Join(out, "report.html"), all, moved)
+	return writeReport(filepath.Join(o.out, "report.html"), starts, archiving)
 }
 
-// endedJobs makes so many ended jobs, in the order of their ids.
-func endedJobs(n int) []archive.Entry {
-	rng := rand.New(rand.NewPCG(uint64(n), 1))
-	out := make([]archive.Entry, n)
+// measureKind measures a start of a kind with each number of jobs; none if there is no program of its version.
+func (o *options) measureKind(kind StartCost, jobs []float64) (starts []*StartCost, err error) {
+	bin := o.bin
+	if kind.Version == versionBefore {
+		bin = o.before
+	}
+	if bin == "" {
+		return nil, nil
+	}
+	for _, count := range jobs {
+		cost := kind
+		cost.Jobs = int(count)
+		if err := cost.measureStart(bin, o.quotaMB); err != nil {
+			return nil, err
+		}
+		if len(starts) > 0 && cost.Ended == "" {
+			first := starts[0]
+			cost.MemoryB = (cost.PeakMB - first.PeakMB) * (1 << 20) / float64(cost.Jobs-first.Jobs)
+		}
+		starts = append(starts, &cost)
+		cost.log()
+	}
+	return starts, nil
+}
+
+// log prints the cost of a start.
+func (c *StartCost) log() {
+	log.Printf(
+		"%-6s %-7s %8d jobs %3.0f rps: healthy %6.1f s (cpu %5.1f s, at its share %6.1f s), peak %4.0f MB, "+
+			"%5d requests, %5.1f B/job stored, poll %.0f ms, %d of %d wrong %s",
+		c.Version,
+		c.Form,
+		c.Jobs,
+		c.RPS,
+		c.HealthyS,
+		c.CPUS,
+		c.ShareS,
+		c.PeakMB,
+		c.Requests,
+		c.StoreB,
+		c.PollMS,
+		c.Wrong,
+		c.Polls,
+		c.Ended,
+	)
+}
+
+// endedJobs returns ended jobs in the order of their IDs.
+func endedJobs(count int) []archive.Entry {
+	rng := rand.New(rand.NewPCG(uint64(count), 1))
+	out := make([]archive.Entry, count)
 	for i := range out {
 		out[i] = archive.Entry{
 			ID:             fmt.Sprintf("wk-%08d", 3*i+rng.IntN(3)),
@@ -167,163 +218,190 @@
 	return out
 }
 
-func encodeRecord(e archive.Entry) string {
+// encodeRecord returns the stored record of an ended job.
+func encodeRecord(job archive.Entry) string {
 	stage := "d"
-	if e.Cancelled {
+	if job.Cancelled {
 		stage = "c"
 	}
-	return fmt.Sprintf(`{"h":%d,"st":"%s","d":[0,%d]}`, e.CompletedTasks%12, stage, e.CompletedTasks-1)
+	return fmt.Sprintf(`{"h":%d,"st":"%s","d":[0,%d]}`, job.CompletedTasks%12, stage, job.CompletedTasks-1)
+}
+
+// keyList collects keys for the store.
+type keyList []wire.KeyValue
+
+func (l *keyList) add(key, value string) {
+	*l = append(*l, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
+}
+
+// addRecords adds the records of ended jobs.
+func (l *keyList) addRecords(jobs []archive.Entry) {
+	for _, job := range jobs {
+		l.add(core.Root+"job/"+job.ID, encodeRecord(job))
+	}
+}
+
+// addBlocks adds archive blocks with ended jobs.
+func (l *keyList) addBlocks(jobs []archive.Entry) error {
+	low := ""
+	for start := 0; start < len(jobs); {
+		end := min(start+jobsPerBlock, len(jobs))
+		block := &archive.Block{Low: low, High: archive.MaxID, Entries: jobs[start:end]}
+		if end < len(jobs) {
+			block.High = jobs[end].ID
+		}
+		raw, err := block.Encode()
+		if err != nil {
+			return fmt.Errorf("encode block: %w", err)
+		}
+		if len(raw) > maxValueBytes {
+			return fmt.Errorf("a block takes %d bytes", len(raw))
+		}
+		l.add(archive.BlockKey(block.High), string(raw))
+		low, start = block.High, end
+	}
+	return nil
 }
 
-// fillStore puts a site's keys into the stand-in: what a controller needs to serve, live jobs and ended ones.
-func fillStore(s *fakes.Store, entries []archive.Entry, archived bool) error {
-	s.SetMachineType(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
-	var items []wire.KeyValue
-	add := func(key, value string) {
-		items = append(items, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
-	}
-	add(core.Root+"form/n0", fmt.Sprint(core.SchemaVersion))
+// fillStore stores the keys of a cluster: what a controller needs to serve, live jobs and ended ones.
+func fillStore(store *fakes.Store, ended []archive.Entry, archived bool) error {
+	store.SetMachineType(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
+	var keys keyList
+	keys.add(core.Root+"form/n0", fmt.Sprint(core.SchemaVersion))
 	for i := range liveJobs {
-		add(
+		keys.add(
 			fmt.Sprintf("%sjob/wk-live-%04d", core.Root, i),
-			`{"h":1,"s":{"cl":"c","tm":"t","pr":2,"n":4,"rc":[4000,0,8000],"im":"img"},"at":1700000000000}`,
+			fmt.Sprintf(
+				`{"h":1,"s":{"cl":"c","tm":"t","pr":2,"n":4,"rc":[4000,0,8000],"im":"img"},"at":%d}`,
+				int64(unixMSOfLiveJobs),
+			),
 		)
 	}
-	if !archived {
-		for _, e := range entries {
-			add(core.Root+"job/"+e.ID, encodeRecord(e))
+	if archived {
+		old := ended[:len(ended)-min(len(ended), keptRecords)]
+		keys.addRecords(ended[len(old):])
+		keys.add(core.Root+"history", "1")
+		if err := keys.addBlocks(old); err != nil {
+			return err
 		}
 	} else {
-		recent := min(len(entries), keptRecords)
-		for _, e := range entries[len(entries)-recent:] {
-			add(core.Root+"job/"+e.ID, encodeRecord(e))
-		}
-		entries = entries[:len(entries)-recent]
-		add(core.Root+"history", "1")
-		low := ""
-		for i := 0; i < len(entries); { // blocks as full as they are on average
-			n := min(1200, len(entries)-i)
-			b := &archive.Block{Low: low, High: archive.MaxID, Entries: entries[i : i+n]}
-			if i += n; i < len(entries) {
-				b.High = entries[i].ID
-			}
-			raw, err := b.Encode()
-			if err != nil {
-				return err
-			}
-			if len(raw) > 8192 {
-				return fmt.Errorf("a block takes %d bytes", len(raw))
-			}
-			add(archive.BlockKey(b.High), string(raw))
-			low = b.High
-		}
+		keys.addRecords(ended)
 	}
-	for len(items) > 0 { // in revisions, as they would have come
-		n := min(100, len(items))
-		s.PutUnchecked(items[:n])
-		items = items[n:]
+	for revision := range slices.Chunk(keys, 100) { // several revisions, as in a store that was written to
+		store.PutUnchecked(revision)
 	}
 	return nil
 }
 
 var httpClient = http.Client{Timeout: 2 * time.Second}
 
-// pollJob asks for a job and tells whether the answer is right.
-func pollJob(x *process.Process, id, stage string, done int) (right bool, took time.Duration) {
-	began := time.Now()
-	for range 5 { // a 503 is no answer
-		resp, err := httpClient.Get("http://" + x.Addr + wire.PathJobs + "/" + id)
+// pollJob polls a job, and reports whether the response is right. An empty stage stands for an unknown job.
+func pollJob(controller *process.Process, id, stage string, done int) (right bool, took time.Duration) {
+	startedAt := time.Now()
+	for range maxPollAttempts { // 503 is no answer
+		response, err := httpClient.Get("http://" + controller.Addr + wire.PathJobs + "/" + id)
 		if err != nil {
 			continue
 		}
-		var s wire.JobState
-		err = json.NewDecoder(resp.Body).Decode(&s)
-		_ = resp.Body.Close()
+		var state wire.JobState
+		err = json.NewDecoder(response.Body).Decode(&state)
+		_ = response.Body.Close()
 		switch {
-		case resp.StatusCode == http.StatusNotFound:
-			return stage == "", time.Since(began)
-		case resp.StatusCode == http.StatusOK && err == nil:
-			return s.Stage == stage && s.Done == done, time.Since(began)
+		case response.StatusCode == http.StatusNotFound:
+			return stage == "", time.Since(startedAt)
+		case response.StatusCode == http.StatusOK && err == nil:
+			return state.Stage == stage && state.Done == done, time.Since(startedAt)
 		}
-		time.Sleep(500 * time.Millisecond)
+		time.Sleep(pollRetryGap)
 	}
-	return false, time.Since(began)
+	return false, time.Since(startedAt)
 }
 
-// pollRandomJobs asks for ended jobs chosen at random, and for some that never were.
-func pollRandomJobs(x *process.Process, entries []archive.Entry, n int) (wrong int, median time.Duration) {
+// pollRandomJobs polls random ended jobs, and as many that never existed.
+func pollRandomJobs(
+	controller *process.Process,
+	ended []archive.Entry,
+	count int,
+) (wrong int, median time.Duration) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var took []time.Duration
-	for range n {
-		e := entries[rng.IntN(len(entries))]
+	var durations []time.Duration
+	for range count {
+		job := ended[rng.IntN(len(ended))]
 		stage := wire.StageDone
-		if e.Cancelled {
+		if job.Cancelled {
 			stage = wire.StageCancelled
 		}
-		right, t := pollJob(x, e.ID, stage, e.CompletedTasks)
-		if took = append(took, t); !right {
+		right, took := pollJob(controller, job.ID, stage, job.CompletedTasks)
+		durations = append(durations, took)
+		if !right {
 			wrong++
 		}
-		if right, _ := pollJob(x, "wk-never-"+e.ID[3:], "", 0); !right {
+		if right, _ := pollJob(controller, "wk-never-"+job.ID[3:], "", 0); !right {
 			wrong++
 		}
 	}
-	slices.Sort(took)
-	return wrong, took[n/2]
+	slices.Sort(durations)
+	return wrong, durations[count/2]
 }
 
-func (f *StartCost) measureStart(bin string, quota float64) error {
-	entries := endedJobs(f.Jobs)
-	s := fakes.NewStore(
-		fakes.Limits{RPS: f.RPS, WriteRPS: 30, ValueBytes: 8192, TxnOps: 24, PageItems: 1000, PageKB: 512},
-	)
-	if err := fillStore(s, entries, f.Form == "archive"); err != nil {
+// measureStart starts the program with a history and measures it until it has answered polls.
+func (c *StartCost) measureStart(bin string, quotaMB float64) error {
+	ended := endedJobs(c.Jobs)
+	store := fakes.NewStore(fakes.Limits{
+		RPS: c.RPS, WriteRPS: storeWriteRate, ValueBytes: maxValueBytes, TxnOps: 24, PageItems: 1000, PageKB: 512,
+	})
+	if err := fillStore(store, ended, c.Form == formArchive); err != nil {
 		return err
 	}
-	prefix := core.Root + "job/wk-0"
-	if f.Form == "archive" {
+	prefix := endedJobsPrefix
+	if c.Form == formArchive {
 		prefix = archive.BlockPrefix
 	}
-	_, bytes := s.CountKeys(prefix)
-	f.StoreB = float64(bytes) / float64(f.Jobs)
+	_, bytes := store.CountKeys(prefix)
+	c.StoreB = float64(bytes) / float64(c.Jobs)
 	tuning := ""
-	if f.Version == "now" {
-		tuning = "archive: true history_wait_ms: 0"
+	if c.Version == versionNow {
+		tuning = archivingTuning
 	}
-	x, err := process.Start(bin, s, process.Options{RPS: f.RPS, WriteRPS: 30, MemMB: quota, TuningText: tuning})
+	controller, err := process.Start(bin, store, process.Options{
+		RPS: c.RPS, WriteRPS: storeWriteRate, MemMB: quotaMB, TuningText: tuning,
+	})
 	if err != nil {
 		return err
 	}
-	took, err := x.WaitHealthy()
+	took, err := controller.WaitHealthy()
 	if err != nil {
-		f.Ended = err.Error()
-		return x.Stop()
+		c.Ended = err.Error()
+		return controller.Stop()
 	}
-	f.HealthyS = took.Seconds()
-	f.Requests = s.Counters()["requests"]
-	cpu, _, err := x.Usage()
+	c.HealthyS = took.Seconds()
+	return errors.Join(c.measureHealthy(controller, ended), controller.Stop())
+}
+
+// measureHealthy measures a controller that has just become healthy.
+func (c *StartCost) measureHealthy(controller *process.Process, ended []archive.Entry) error {
+	c.Requests = controller.Store.Counters()["requests"]
+	cpu, _, err := controller.Usage()
 	if err != nil {
-		return errors.Join(err, x.Stop())
-	}
-	f.CPUS = cpu.Seconds()
-	f.ShareS = max(f.HealthyS, f.CPUS/process.CoreShare)
-	f.Polls = 60
-	wrong, median := pollRandomJobs(x, entries, f.Polls/2)
-	f.Wrong, f.PollMS = wrong, float64(median.Microseconds())/1000
-	f.Committed = s.Counters()["changed"]
-	if _, f.PeakMB, err = x.Usage(); err != nil {
-		return errors.Join(err, x.Stop())
-	}
-	return x.Stop()
+		return err
+	}
+	c.CPUS = cpu.Seconds()
+	c.ShareS = max(c.HealthyS, c.CPUS/process.CoreShare)
+	c.Polls = pollsPerStart
+	wrong, median := pollRandomJobs(controller, ended, c.Polls/2)
+	c.Wrong, c.PollMS = wrong, float64(median.Microseconds())/1000
+	c.Committed = controller.Store.Counters()["changed"]
+	_, c.PeakMB, err = controller.Usage()
+	return err
 }
 
-// ArchivingCost is what moving records took.
+// ArchivingCost is the cost of moving records to the archive. The page's template uses the names of the fields.
 type ArchivingCost struct {
 	Jobs        int     `json:"jobs"`
 	TookS       float64 `json:"took_s"`
-	Changes     int     `json:"changes"` // all that were made meanwhile
-	PerJob      float64 `json:"per_job"` // changes per job, its record's deletion included
-	Beyond      float64 `json:"beyond"`  // the same without that
+	Changes     int     `json:"changes"` // all writes meanwhile
+	PerJob      float64 `json:"per_job"` // writes per job, with the deletion of its record
+	Beyond      float64 `json:"beyond"`  // writes per job without that
 	Blocks      int     `json:"blocks"`  // at the end
 	BytesPerJob float64 `json:"bytes_per_job"`
 	PeakMB      float64 `json:"peak_mb"`
@@ -331,60 +409,68 @@
 	Polls       int     `json:"polls"`
 }
 
-// measureArchiving has a site of the old form move its records, asks for jobs all along, and counts.
-func measureArchiving(bin string, n int, quota float64) (*ArchivingCost, error) {
-	entries := endedJobs(n)
-	s := fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 24, PageItems: 1000, PageKB: 512})
-	if err := fillStore(s, entries, false); err != nil {
+// measureArchiving has a controller archive the records of ended jobs, and polls jobs meanwhile.
+func measureArchiving(bin string, jobs int, quotaMB float64) (*ArchivingCost, error) {
+	ended := endedJobs(jobs)
+	store := fakes.NewStore(fakes.Limits{ValueBytes: maxValueBytes, TxnOps: 24, PageItems: 1000, PageKB: 512})
+	if err := fillStore(store, ended, false); err != nil {
 		return nil, err
 	}
-	x, err := process.Start(
-		bin,
-		s,
-		process.Options{RPS: 1000, WriteRPS: 1000, MemMB: quota, TuningText: "archive: true history_wait_ms: 0"},
-	)
+	controller, err := process.Start(bin, store, process.Options{
+		RPS: archiveRate, WriteRPS: archiveRate, MemMB: quotaMB, TuningText: archivingTuning,
+	})
 	if err != nil {
 		return nil, err
 	}
-	if _, err := x.WaitHealthy(); err != nil {
-		return nil, errors.Join(err, x.Stop())
-	}
-	m := &ArchivingCost{Jobs: n}
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Minute)
-	defer cancel()
-	for left := n; left > 10_100; { // those that ended last stay
-		select {
-		case <-ctx.Done():
-			return nil, errors.Join(fmt.Errorf("%d records are left", left), x.Stop())
-		case <-time.After(200 * time.Millisecond):
+	cost := &ArchivingCost{}
+	if err := errors.Join(cost.measure(controller, ended), controller.Stop()); err != nil {
+		return nil, err
+	}
+	cost.log()
+	return cost, nil
+}
+
+// measure waits until all but the latest records are archived.
+func (c *ArchivingCost) measure(controller *process.Process, ended []archive.Entry) error {
+	if _, err := controller.WaitHealthy(); err != nil {
+		return err
+	}
+	startedAt := time.Now()
+	left := len(ended)
+	for left > maxKeptRecords {
+		if time.Since(startedAt) > archiveTimeout {
+			return fmt.Errorf("%d records are left", left)
 		}
-		wrong, _ := pollRandomJobs(x, entries, 2)
-		m.Wrong, m.Polls = m.Wrong+wrong, m.Polls+4
-		left, _ = s.CountKeys(core.Root + "job/wk-0")
-	}
-	m.TookS = time.Since(began).Seconds()
-	left, _ := s.CountKeys(core.Root + "job/wk-0")
-	gone := n - left
-	m.Jobs, m.Changes = gone, s.Counters()["changed"]
-	var bytes int
-	m.Blocks, bytes = s.CountKeys(archive.BlockPrefix)
-	m.PerJob = float64(m.Changes) / float64(gone)
-	m.Beyond, m.BytesPerJob = m.PerJob-1, float64(bytes)/float64(gone)
-	if _, m.PeakMB, err = x.Usage(); err != nil {
-		return nil, errors.Join(err, x.Stop())
+		time.Sleep(archivePollGap)
+		wrong, _ := pollRandomJobs(controller, ended, 2)
+		c.Wrong, c.Polls = c.Wrong+wrong, c.Polls+4
+		left, _ = controller.Store.CountKeys(endedJobsPrefix)
 	}
+	c.TookS = time.Since(startedAt).Seconds()
+	left, _ = controller.Store.CountKeys(endedJobsPrefix)
+	c.Jobs, c.Changes = len(ended)-left, controller.Store.Counters()["changed"]
+	var bytes int
+	c.Blocks, bytes = controller.Store.CountKeys(archive.BlockPrefix)
+	c.PerJob = float64(c.Changes) / float64(c.Jobs)
+	c.Beyond, c.BytesPerJob = c.PerJob-1, float64(bytes)/float64(c.Jobs)
+	var err error
+	_, c.PeakMB, err = controller.Usage()
+	return err
+}
+
+// log prints the cost.
+func (c *ArchivingCost) log() {
 	log.Printf(
-		"moved %d jobs in %.0f s: %.3f changes a job, %.3f beyond the deletion of its record; %d blocks, %.1f B/job; peak %.0f MB; %d of %d answers wrong",
-		m.Jobs,
-		m.TookS,
-		m.PerJob,
-		m.Beyond,
-		m.Blocks,
-		m.BytesPerJob,
-		m.PeakMB,
-		m.Wrong,
-		m.Polls,
+		"moved %d jobs in %.0f s: %.3f changes a job, %.3f beyond the deletion of its record; "+
+			"%d blocks, %.1f B/job; peak %.0f MB; %d of %d answers wrong",
+		c.Jobs,
+		c.TookS,
+		c.PerJob,
+		c.Beyond,
+		c.Blocks,
+		c.BytesPerJob,
+		c.PeakMB,
+		c.Wrong,
+		c.Polls,
 	)
-	return m, x.Stop()
 }
--- a/internal/measure/history/report.go
+++ b/internal/measure/history/report.go
@@ -3,9 +3,11 @@
 import (
 	"dewlift/internal/chart"
 	"dewlift/internal/measure/process"
+	"errors"
 	"fmt"
 	"html/template"
 	"image/color"
+	"math"
 	"os"
 	"runtime"
 
@@ -15,6 +17,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
+// pageTemplate is the report; it uses the fields of StartCost and ArchivingCost by name.
+//
+//nolint:lll // the page is text whose lines are rows of a table
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>dewlift: what a long history costs</title>
 <style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:62em;color:#222}table{border-collapse:collapse;margin:1em 0}
@@ -32,96 +37,91 @@
 them beyond the deletion of its record. {{.Blocks}} blocks, {{printf "%.1f" .BytesPerJob}} bytes a job; peak memory {{printf "%.0f" .PeakMB}} MB. Asked for jobs all along: {{.Wrong}} of {{.Polls}} answers wrong.</p>{{end}}
 `))
 
-// plotStarts draws a value of the starts against the number of ended jobs.
-func plotStarts(
-	title, unit string,
-	starts []*StartCost,
-	rps, limit float64,
-	of func(*StartCost) float64,
-) (template.URL, error) {
+// metric is a value of a start that is plotted.
+type metric struct {
+	title, unit string
+	limit       float64 // 0: none
+	of          func(cost *StartCost) float64
+}
+
+var metrics = []metric{
+	{"Peak memory", "MB", 120, func(cost *StartCost) float64 { return cost.PeakMB }},
+	{"Time to healthy, at its share of a core", "s", 60, func(cost *StartCost) float64 { return cost.ShareS }},
+}
+
+// plotStarts plots a metric of the starts at a request rate by the number of ended jobs.
+func plotStarts(m metric, starts []*StartCost, rps float64) (template.URL, error) {
 	p := plot.New()
-	p.Title.Text, p.Title.Padding = title, vg.Points(10)
-	p.X.Label.Text, p.Y.Label.Text = "ended jobs", unit
+	p.Title.Text = fmt.Sprintf("%s, %v requests a second", m.title, rps)
+	p.Title.Padding = vg.Points(10)
+	p.X.Label.Text, p.Y.Label.Text = "ended jobs", m.unit
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
 	lines, names := map[string]plotter.XYs{}, []string{}
-	least, most := 1e18, 0.0
-	for _, f := range starts {
-		if f.RPS != rps || f.Ended != "" {
+	minJobs, maxJobs := math.Inf(1), 0.0
+	for _, cost := range starts {
+		if cost.RPS != rps || cost.Ended != "" {
 			continue
 		}
-		name := f.Version + ", " + f.Form
+		name := cost.Version + ", " + cost.Form
 		if lines[name] == nil {
 			names = append(names, name)
 		}
-		lines[name] = append(lines[name], plotter.XY{X: float64(f.Jobs), Y: of(f)})
-		least, most = min(least, float64(f.Jobs)), max(most, float64(f.Jobs))
+		jobs := float64(cost.Jobs)
+		lines[name] = append(lines[name], plotter.XY{X: jobs, Y: m.of(cost)})
+		minJobs, maxJobs = min(minJobs, jobs), max(maxJobs, jobs)
 	}
 	for i, name := range names {
 		line, points, err := plotter.NewLinePoints(lines[name])
 		if err != nil {
-			return "", err
+			return "", fmt.Errorf("plot %s: %w", name, err)
 		}
 		line.Color, points.Color, points.Shape = plotutil.Color(i), plotutil.Color(i), plotutil.Shape(i)
 		line.Width = vg.Points(2)
 		p.Add(line, points)
 		p.Legend.Add(name, line, points)
 	}
-	if limit > 0 && most > 0 {
-		line, err := plotter.NewLine(plotter.XYs{{X: least, Y: limit}, {X: most, Y: limit}})
+	if m.limit > 0 && maxJobs > 0 {
+		line, err := plotter.NewLine(plotter.XYs{{X: minJobs, Y: m.limit}, {X: maxJobs, Y: m.limit}})
 		if err != nil {
-			return "", err
+			return "", fmt.Errorf("plot limit: %w", err)
 		}
 		line.Color, line.Dashes = color.Gray{90}, []vg.Length{4, 4}
 		p.Add(line)
-		p.Legend.Add(fmt.Sprintf("aim: %v", limit), line)
+		p.Legend.Add(fmt.Sprintf("aim: %v", m.limit), line)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
 	return chart.PNGDataURL(p)
 }
 
-// writeReport writes the HTML page, which needs nothing beside itself.
-func writeReport(path string, starts []*StartCost, moved *ArchivingCost) error {
+// writeReport writes the report as a page that needs no other file.
+func writeReport(path string, starts []*StartCost, archiving *ArchivingCost) error {
 	var plots []template.URL
-	seen := map[float64]bool{}
-	for _, f := range starts {
-		if seen[f.RPS] {
+	plotted := map[float64]bool{} // by request rate
+	for _, cost := range starts {
+		if plotted[cost.RPS] {
 			continue
 		}
-		seen[f.RPS] = true
-		for _, c := range []struct {
-			title, unit string
-			limit       float64
-			of          func(*StartCost) float64
-		}{
-			{"Peak memory", "MB", 120, func(f *StartCost) float64 { return f.PeakMB }},
-			{"Time to healthy, at its share of a core", "s", 60, func(f *StartCost) float64 { return f.ShareS }},
-		} {
-			u, err := plotStarts(
-				fmt.Sprintf("%s, %v requests a second", c.title, f.RPS),
-				c.unit,
-				starts,
-				f.RPS,
-				c.limit,
-				c.of,
-			)
+		plotted[cost.RPS] = true
+		for _, m := range metrics {
+			image, err := plotStarts(m, starts, cost.RPS)
 			if err != nil {
 				return err
 			}
-			plots = append(plots, u)
+			plots = append(plots, image)
 		}
 	}
-	out, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
-		return err
+		return fmt.Errorf("create page: %w", err)
 	}
-	err = pageTemplate.Execute(out, map[string]any{
-		"Starts": starts, "Moved": moved, "Plots": plots, "Live": liveJobs, "Share": process.CoreShare,
+	err = pageTemplate.Execute(file, map[string]any{
+		"Starts": starts, "Moved": archiving, "Plots": plots, "Live": liveJobs, "Share": process.CoreShare,
 		"Machine": fmt.Sprintf("Measured on %d processors, %s", runtime.NumCPU(), runtime.Version()),
 	})
-	if cerr := out.Close(); err == nil {
-		err = cerr
+	if err := errors.Join(err, file.Close()); err != nil {
+		return fmt.Errorf("write page: %w", err)
 	}
-	return err
+	return nil
 }
