--- a/core/assignment.go
+++ b/core/assignment.go
@@ -43,7 +43,7 @@
 		limit = min(limit, team.tasksWithinMaxQuota(spec.Request, b.addedUsage[team]))
 	}
 	priorityClass, enqueuedAtMS := c.placementPosition(p)
-	leavesHeldCapacity := c.leavesHeldCapacity(priorityClass)
+	leavesHeldCapacity := c.clusterCopy.leavesHeldCapacity(priorityClass)
 	if limit <= 0 || c.isKnownUnplaceable(spec, priorityClass, enqueuedAtMS, leavesHeldCapacity) {
 		return 0
 	}
@@ -88,13 +88,6 @@
 	return c.effectivePriorityClass(p.job), p.job.effectiveEnqueueMS()
 }
 
-// leavesHeldCapacity reports whether work of a priority class must leave the capacity alone that the
-// leader holds for more important work.
-func (c *Core) leavesHeldCapacity(priorityClass int) bool {
-	hold := c.clusterCopy.capacityHold
-	return hold != nil && priorityClass > hold.Priority && c.clusterCopy.state.IsFresh(c.now)
-}
-
 // placementAttempt is the working state of one run of assignTasks.
 type placementAttempt struct {
 	core     *Core
@@ -320,7 +313,7 @@
 	p.assignments = append(p.assignments, assignment)
 	p.started = append(p.started, assignment)
 	a.tasksInZone[target.identity.zone]++
-	c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Start: true, Machine: target.index, Request: a.spec.Request})
+	c.clusterCopy.apply(clusterstate.Delta{Start: true, Machine: target.index, Request: a.spec.Request})
 }
 
 // busyHorizon is how long a machine's tasks are expected to keep it busy. The value is cached: it is
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -17,10 +17,14 @@
 	pushResendInterval = 500 * time.Millisecond
 	// countingDelayWeight is the divisor by which a measurement moves the average of the counting delay.
 	countingDelayWeight = 8
+	// maxPropagationDelay bounds how long a start is expected to take until the other controllers know it.
+	maxPropagationDelay = 2 * time.Second
 )
 
 // clusterCopy is this controller's copy of the shared cluster state, as of the leader's last push.
 type clusterCopy struct {
+	*environment
+
 	state          clusterstate.Copy
 	revision       uint64            // of the leader's array, as of the last push taken
 	leaderToken    uint64            // fencing token of the leader that sent it
@@ -34,8 +38,47 @@
 	return push.FencingToken == s.leaderToken && push.AfterRevision == s.revision
 }
 
+// take takes the rows of a push over, and applies the deltas to them that the push does not count.
+func (s *clusterCopy) take(push *StatePush, rows []clusterstate.Row, pending []clusterstate.Delta) {
+	s.leaderToken, s.revision = push.FencingToken, push.Revision
+	s.countedBatches = push.DeltaAcks
+	if push.isWhole() {
+		s.state.Replace(s.now, rows, pending)
+	} else {
+		s.state.Update(s.now, rows, pending)
+	}
+}
+
+// isWhole reports whether a push carries all rows of the leader's array.
+func (p *StatePush) isWhole() bool { return p.AfterRevision == 0 }
+
+// hasCounted reports whether the leader had counted a controller's batch in the last push that was taken.
+func (s *clusterCopy) hasCounted(controller string, batchSeq, leaderToken uint64) bool {
+	return batchSeq <= s.countedBatches[controller] && s.leaderToken == leaderToken
+}
+
+// apply applies a delta to the copy.
+func (s *clusterCopy) apply(delta clusterstate.Delta) { s.state.Apply(s.now, delta) }
+
+// beginResend reports whether the whole array may be requested now, and holds off the next request.
+func (s *clusterCopy) beginResend() bool {
+	if s.now < s.nextResendAt {
+		return false
+	}
+	s.nextResendAt = s.now + pushResendInterval
+	return true
+}
+
+// leavesHeldCapacity reports whether work of a priority class must leave the capacity alone that the
+// leader holds for more important work.
+func (s *clusterCopy) leavesHeldCapacity(priorityClass int) bool {
+	return s.capacityHold != nil && priorityClass > s.capacityHold.Priority && s.state.IsFresh(s.now)
+}
+
 // deltaLog is the deltas of this controller and the others that the leader may not have counted yet.
 type deltaLog struct {
+	*environment
+
 	unsent        []AllocationDelta       // of this controller, for the next batch
 	uncounted     map[string][]deltaBatch // by controller
 	lastSeq       uint64                  // of this controller's batches
@@ -66,11 +109,35 @@
 	})
 }
 
+// takeBatch makes the unsent deltas a batch to a leader and retains it; nil if there are none.
+func (l *deltaLog) takeBatch(leaderToken uint64) *AllocationDeltas {
+	if len(l.unsent) == 0 {
+		return nil
+	}
+	l.lastSeq++
+	batch := &AllocationDeltas{Seq: l.lastSeq, Deltas: l.unsent}
+	l.retain(l.cfg.Name, deltaBatch{
+		seq:         batch.Seq,
+		sentAt:      l.now,
+		leaderToken: leaderToken,
+		deltas:      batch.Deltas,
+	})
+	l.unsent = nil
+	return batch
+}
+
+// propagationDelay is how long it takes until the other controllers know of a start: the time of a
+// batch of deltas, or the recently measured time if that is longer.
+func (l *deltaLog) propagationDelay() time.Duration {
+	return min(max(2*l.cfg.State.DeltaInterval, l.countingDelay/2), maxPropagationDelay)
+}
+
 // measureCountingDelay takes how long this controller's batches waited for a push that counts them.
-func (l *deltaLog) measureCountingDelay(now time.Duration, self string, push *StatePush) {
+func (l *deltaLog) measureCountingDelay(push *StatePush) {
+	self := l.cfg.Name
 	for _, batch := range l.uncounted[self] {
 		if batch.leaderToken == push.FencingToken && batch.seq <= push.DeltaAcks[self] {
-			l.countingDelay += (now - batch.sentAt - l.countingDelay) / countingDelayWeight
+			l.countingDelay += (l.now - batch.sentAt - l.countingDelay) / countingDelayWeight
 		}
 	}
 }
@@ -86,7 +153,7 @@
 		AttemptHash: attemptHash(j.id, a.Task, a.Attempt),
 	})
 	if !start {
-		c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Machine: a.Machine, Request: request})
+		c.clusterCopy.apply(clusterstate.Delta{Machine: a.Machine, Request: request})
 		c.placement.capacityFreed = true
 	}
 }
@@ -105,18 +172,13 @@
 // controllers too, so that no two of them choose the same capacity between two pushes. The batch is
 // retained until a push shows that the leader counted it.
 func (c *Core) sendDeltas() {
-	if len(c.deltaLog.unsent) == 0 || c.leadership.leader.modRevision == 0 {
+	if c.leadership.leader.modRevision == 0 {
+		return
+	}
+	batch := c.deltaLog.takeBatch(c.leadership.leader.FencingToken)
+	if batch == nil {
 		return
 	}
-	c.deltaLog.lastSeq++
-	batch := &AllocationDeltas{Seq: c.deltaLog.lastSeq, Deltas: c.deltaLog.unsent}
-	c.deltaLog.retain(c.cfg.Name, deltaBatch{
-		seq:         batch.Seq,
-		sentAt:      c.now,
-		leaderToken: c.leadership.leader.FencingToken,
-		deltas:      batch.Deltas,
-	})
-	c.deltaLog.unsent = nil
 	if c.leaderState != nil {
 		c.leaderState.applyDeltas(c, c.cfg.Name, batch)
 	}
@@ -131,20 +193,12 @@
 	}
 	c.stopPreempted(push.Preempted)
 	c.clusterCopy.capacityHold = push.CapacityHold
-	whole := push.AfterRevision == 0
-	if !whole && !c.clusterCopy.follows(push) {
+	if !push.isWhole() && !c.clusterCopy.follows(push) {
 		c.requestWholeArray()
 		return
 	}
-	c.clusterCopy.leaderToken, c.clusterCopy.revision = push.FencingToken, push.Revision
-	c.clusterCopy.countedBatches = push.DeltaAcks
 	rows := c.rowsOfPush(push)
-	pending := c.uncountedDeltas(push)
-	if whole {
-		c.clusterCopy.state.Replace(c.now, rows, pending)
-	} else {
-		c.clusterCopy.state.Update(c.now, rows, pending)
-	}
+	c.clusterCopy.take(push, rows, c.uncountedDeltas(push))
 	c.placement.capacityFreed = true
 }
 
@@ -163,11 +217,9 @@
 
 // requestWholeArray asks the leader for its whole array after a push was lost; the copy ages until it comes.
 func (c *Core) requestWholeArray() {
-	if c.now < c.clusterCopy.nextResendAt || c.leadership.leader.modRevision == 0 {
-		return
+	if c.leadership.leader.modRevision != 0 && c.clusterCopy.beginResend() {
+		c.sendToPeers(c.leadership.leader.Node, Message{ResendStatePush: true})
 	}
-	c.clusterCopy.nextResendAt = c.now + pushResendInterval
-	c.sendToPeers(c.leadership.leader.Node, Message{ResendStatePush: true})
 }
 
 // rowsOfPush converts the rows of a push, without machines that are gone. What a row tells of a
@@ -197,7 +249,7 @@
 
 // uncountedDeltas drops the batches that a push counts, and lists the remaining deltas of all controllers.
 func (c *Core) uncountedDeltas(push *StatePush) (pending []clusterstate.Delta) {
-	c.deltaLog.measureCountingDelay(c.now, c.cfg.Name, push)
+	c.deltaLog.measureCountingDelay(push)
 	for _, controller := range sortedKeys(c.deltaLog.uncounted) {
 		c.deltaLog.dropCounted(controller, push)
 		for _, batch := range c.deltaLog.uncounted[controller] {
@@ -222,7 +274,7 @@
 // applyPeerDeltas applies the deltas of another controller to the copy.
 func (c *Core) applyPeerDeltas(deltas []AllocationDelta) {
 	for _, delta := range c.appendDeltas(nil, deltas) {
-		c.clusterCopy.state.Apply(c.now, delta)
+		c.clusterCopy.apply(delta)
 	}
 }
 
--- a/core/peers.go
+++ b/core/peers.go
@@ -169,7 +169,7 @@
 		c.leaderState.applyDeltas(c, from, batch)
 	}
 	leaderToken := c.leadership.leader.FencingToken
-	if batch.Seq <= c.clusterCopy.countedBatches[from] && c.clusterCopy.leaderToken == leaderToken {
+	if c.clusterCopy.hasCounted(from, batch.Seq, leaderToken) {
 		return
 	}
 	c.deltaLog.retain(from, deltaBatch{batch.Seq, 0, leaderToken, batch.Deltas})
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -361,6 +361,6 @@
 func (c *Core) undoProposal(undone *proposal) {
 	c.currentAuditLog().DiscardEntries(undone.auditEntryIDs)
 	for _, assignment := range undone.started {
-		c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Machine: assignment.Machine, Request: undone.spec.Request})
+		c.clusterCopy.apply(clusterstate.Delta{Machine: assignment.Machine, Request: undone.spec.Request})
 	}
 }
--- a/core/yield.go
+++ b/core/yield.go
@@ -9,8 +9,6 @@
 const (
 	// maxFirstRankWindow bounds how long a controller has freed capacity to itself.
 	maxFirstRankWindow = 400 * time.Millisecond
-	// maxPropagationDelay bounds how long a start is expected to take until the other controllers know it.
-	maxPropagationDelay = 2 * time.Second
 	// minPlacementScanInterval is the least time between two scans of all waiting jobs.
 	minPlacementScanInterval = 200 * time.Millisecond
 	// placementScanWrites is the count of writes that gather between two scans, at half of the write rate.
@@ -41,7 +39,7 @@
 	if rank == 0 {
 		return 0
 	}
-	window := c.firstRankWindow() + time.Duration(rank-1)*c.propagationDelay()
+	window := c.firstRankWindow() + time.Duration(rank-1)*c.deltaLog.propagationDelay()
 	return max(0, row.CapacityFreedAt()+window-c.now)
 }
 
@@ -73,13 +71,7 @@
 // firstRankWindow is how long a controller has freed capacity to itself: until its next placement
 // scan is over, and the others know what it took.
 func (c *Core) firstRankWindow() time.Duration {
-	return min(c.placementScanInterval(), maxFirstRankWindow) + c.propagationDelay()
-}
-
-// propagationDelay is how long it takes until the other controllers know of a start: the time of a
-// batch of deltas, or the recently measured time if that is longer.
-func (c *Core) propagationDelay() time.Duration {
-	return min(max(2*c.cfg.State.DeltaInterval, c.deltaLog.countingDelay/2), maxPropagationDelay)
+	return min(c.placementScanInterval(), maxFirstRankWindow) + c.deltaLog.propagationDelay()
 }
 
 // placementScanInterval is the time between two scans of all waiting jobs. Placing a job's tasks one
