--- a/core/apply.go
+++ b/core/apply.go
@@ -132,8 +132,8 @@
 // applyTeam notes that a team's quota key was written. Its value says nothing: the key's revision
 // makes writers that start tasks of one team conflict.
 func (c *Core) applyTeam(key string, revision uint64) {
-	if i, ok := c.teamIndex[key[len(keyTeam):]]; ok {
-		c.teams[i].revision = max(c.teams[i].revision, revision)
+	if written := c.teams.byName[key[len(keyTeam):]]; written != nil {
+		written.revision = max(written.revision, revision)
 	}
 }
 
@@ -228,7 +228,7 @@
 // addAssignments adds a job's assignments to their machines and to its team's usage, and counts
 // those whose tasks have completed already.
 func (c *Core) addAssignments(target *job) {
-	quota, request := c.teamAndRequestOf(target)
+	quota, request := c.teams.ofJob(target)
 	target.placement.completedTasks = 0
 	for _, assignment := range target.assignments {
 		host := c.machines[assignment.Machine]
@@ -247,7 +247,7 @@
 
 // removeAssignments removes a job's assignments from their machines and from its team's usage.
 func (c *Core) removeAssignments(target *job) {
-	quota, request := c.teamAndRequestOf(target)
+	quota, request := c.teams.ofJob(target)
 	for _, assignment := range target.assignments {
 		host := c.machines[assignment.Machine]
 		key := taskKey{target.index, assignment.Task}
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -36,7 +36,7 @@
 		return p.job.placement.backoffUntil
 	}
 	limit := c.newAssignmentLimit(p)
-	if team := c.teamOf(spec); team != nil && team.hasMaxQuota() {
+	if team := c.teams.of(spec); team != nil && team.hasMaxQuota() {
 		if team.locked {
 			return c.now + lockedRetryDelay
 		}
--- a/core/core.go
+++ b/core/core.go
@@ -30,8 +30,7 @@
 	machines           []*machine
 	aliveMachines      []*machine // machines that are not known to be gone, or have assignments
 
-	teamIndex map[string]int
-	teams     []*team
+	teams teamSet
 
 	// The key-value store.
 	replica      storeReplica
@@ -99,7 +98,7 @@
 		environment:  newEnvironment(cfg, now, seed),
 		machineIndex: map[string]int32{},
 		jobIndex:     map[string]int32{},
-		teamIndex:    map[string]int{},
+		teams:        newTeamSet(cfg.Teams),
 		reservations: reservations.New(),
 		history:      newHistory(&cfg),
 		permissions:  permissionState{identities: map[string]storedIdentity{}},
@@ -128,10 +127,6 @@
 	c.clusterCopy.state.MaxAge = cfg.State.CopyExpiry
 	c.updateRateLimit()
 	c.transactions.rateLimit.FillBurst()
-	for i, quota := range cfg.Teams {
-		c.teamIndex[quota.Name] = i
-		c.teams = append(c.teams, &team{Team: quota})
-	}
 	return c
 }
 
--- a/core/demand.go
+++ b/core/demand.go
@@ -234,7 +234,7 @@
 	left := c.quotasLeft()
 	for i := range demands {
 		d := &demands[i]
-		team := c.teamOf(d.spec)
+		team := c.teams.of(d.spec)
 		if team == nil || d.isHeadroom || d.isReplacement {
 			continue
 		}
@@ -256,7 +256,7 @@
 // quotasLeft is the CPU and GPU (thousandths) that each team may still use; math.MaxInt64: no maximum.
 func (c *Core) quotasLeft() map[*team][2]int64 {
 	left := map[*team][2]int64{}
-	for _, t := range c.teams {
+	for _, t := range c.teams.list {
 		remaining := [2]int64{math.MaxInt64, math.MaxInt64}
 		if t.MaxCPU > 0 {
 			remaining[0] = t.MaxCPU - t.usedCPU
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -64,11 +64,11 @@
 	if c.autoscaler.catalog == nil {
 		return catalogUnknown
 	}
-	index, ok := c.teamIndex[spec.Team]
-	if !ok {
+	owner := c.teams.of(spec)
+	if owner == nil {
 		return teamUnknown
 	}
-	if !c.teams[index].couldEverRun(spec) {
+	if !owner.couldEverRun(spec) {
 		return exceedsMaxQuota
 	}
 	for _, machineType := range c.autoscaler.catalog {
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -164,7 +164,7 @@
 // isTeamLocked reports whether the quota of a job's team can't be charged now, as another write of
 // the team's usage is in flight.
 func (c *Core) isTeamLocked(spec *wire.JobSpec) bool {
-	t := c.teamOf(spec)
+	t := c.teams.of(spec)
 	return t != nil && t.hasMaxQuota() && t.locked
 }
 
--- a/core/queuelisting.go
+++ b/core/queuelisting.go
@@ -147,7 +147,7 @@
 		return waitsAfterErrors, failureExplanation(j.record, c.unixMS())
 	case c.now < j.placement.backoffUntil:
 		return waitsAfterErrors, "its tasks failed several times in a row; it is tried again in a moment"
-	case !c.teamOf(spec).fitsMaxQuota(spec.Request):
+	case !c.teams.of(spec).fitsMaxQuota(spec.Request):
 		return waitsForQuota, "its team " + spec.Team +
 			" uses all that it may; it begins when other work of the team ends"
 	case !c.hasFeasibleMachine(spec, refused):
--- a/core/quota.go
+++ b/core/quota.go
@@ -48,21 +48,35 @@
 	return limit
 }
 
-// teamOf is the team of a job; nil if the specification or the team is unknown.
-func (c *Core) teamOf(spec *wire.JobSpec) *team {
+// teamSet is the teams of the settings.
+type teamSet struct {
+	list   []*team
+	byName map[string]*team
+}
+
+// newTeamSet returns the teams of a list of quotas, with no usage.
+func newTeamSet(quotas []Team) teamSet {
+	set := teamSet{byName: map[string]*team{}}
+	for _, quota := range quotas {
+		added := &team{Team: quota}
+		set.list = append(set.list, added)
+		set.byName[quota.Name] = added
+	}
+	return set
+}
+
+// of is the team of a job; nil if the specification or the team is unknown.
+func (s *teamSet) of(spec *wire.JobSpec) *team {
 	if spec == nil {
 		return nil
 	}
-	if i, ok := c.teamIndex[spec.Team]; ok {
-		return c.teams[i]
-	}
-	return nil
+	return s.byName[spec.Team]
 }
 
-// teamAndRequestOf is the team of a job and the request of one of its tasks, as far as they are known.
-func (c *Core) teamAndRequestOf(j *job) (*team, clusterstate.Resources) {
+// ofJob is the team of a job and the request of one of its tasks, as far as they are known.
+func (s *teamSet) ofJob(j *job) (*team, clusterstate.Resources) {
 	if j.record == nil || j.record.Spec == nil {
 		return nil, clusterstate.Resources{}
 	}
-	return c.teamOf(j.record.Spec), j.record.Spec.Request
+	return s.of(j.record.Spec), j.record.Spec.Request
 }
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -188,7 +188,7 @@
 		if c.writePriority(j) != writePriorityPlace {
 			continue
 		}
-		if team := c.teamOf(j.record.Spec); team != nil && team.hasMaxQuota() {
+		if team := c.teams.of(j.record.Spec); team != nil && team.hasMaxQuota() {
 			n++
 		}
 	}
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -77,7 +77,7 @@
 			!c.ownsJob(candidate) || candidate.record.Spec == nil ||
 			c.ownPriorityClass(candidate.record) <= class ||
 			c.now < candidate.placement.backoffUntil ||
-			!c.teamOf(candidate.record.Spec).fitsMaxQuota(candidate.record.Spec.Request) {
+			!c.teams.of(candidate.record.Spec).fitsMaxQuota(candidate.record.Spec.Request) {
 			continue
 		}
 		candidate.queue.rank = c.queueRankOf(candidate)
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -272,7 +272,7 @@
 // chargeQuota counts a proposal's starts against its team's maximum quota. Every controller that
 // starts tasks of the team writes the team's key, so two that exceed the quota together conflict.
 func (b *txnBuilder) chargeQuota(next *proposal) {
-	quota := b.core.teamOf(next.record.Spec)
+	quota := b.core.teams.of(next.record.Spec)
 	if quota == nil || !quota.hasMaxQuota() || len(next.started) == 0 {
 		return
 	}
--- a/core/yield.go
+++ b/core/yield.go
@@ -118,7 +118,7 @@
 	return spec.MachineTypes == nil && spec.Zone == "" &&
 		c.now >= j.placement.backoffUntil &&
 		c.unixMS()-j.effectiveEnqueueMS() >= c.cfg.Scheduling.YieldAfter.Milliseconds() &&
-		c.teamOf(spec).fitsMaxQuota(spec.Request)
+		c.teams.of(spec).fitsMaxQuota(spec.Request)
 }
 
 // hasEarlierWaiting reports whether work that a new job must not overtake waits here for the same
