--- a/core/assignment.go
+++ b/core/assignment.go
@@ -44,7 +44,7 @@
 	}
 	priorityClass, enqueuedAtMS := c.placementPosition(p)
 	leavesHeldCapacity := c.clusterCopy.leavesHeldCapacity(priorityClass)
-	if limit <= 0 || c.isKnownUnplaceable(spec, priorityClass, enqueuedAtMS, leavesHeldCapacity) {
+	if limit <= 0 || c.placement.isKnownUnplaceable(spec, priorityClass, enqueuedAtMS, leavesHeldCapacity) {
 		return 0
 	}
 	tasks := p.record.UnassignedTasks(p.assignments, limit)
@@ -85,7 +85,7 @@
 	if p.isAcceptance {
 		return c.priority.classes.Classify(p.record.Spec), p.record.AcceptedAtMS
 	}
-	return c.effectivePriorityClass(p.job), p.job.effectiveEnqueueMS()
+	return c.priority.effectiveClass(p.job), p.job.effectiveEnqueueMS()
 }
 
 // placementAttempt is the working state of one run of assignTasks.
--- a/core/core.go
+++ b/core/core.go
@@ -117,6 +117,9 @@
 	c.commands.relayed = map[uint64]relayedCommands{}
 	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
 	c.clusterCopy.environment = c.environment
+	c.placement.environment = c.environment
+	c.placement.rateLimit = &c.transactions.rateLimit
+	c.priority.environment = c.environment
 	c.deltaLog.environment = c.environment
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
 	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -932,9 +932,9 @@
 	c.Handle(time.Second, in)
 	runFor(c, time.Second, 2*time.Second)
 	j := c.internJob("wk-1")
-	before := c.writePriority(j)
+	before := j.writePriority()
 	c.markMachineGone(c.internMachine("m-1"))
-	if got := c.writePriority(j); got >= before || !j.write.dirty || j.write.nextLookAt > c.now {
+	if got := j.writePriority(); got >= before || !j.write.dirty || j.write.nextLookAt > c.now {
 		t.Errorf(
 			"write priority %d before, %d after the loss; examined %v later",
 			before, got, j.write.nextLookAt-c.now,
--- a/core/demand.go
+++ b/core/demand.go
@@ -162,7 +162,7 @@
 			spec:          spec,
 			tasks:         min(tasks, d.core.maxAssignedTasks()),
 			tasksByZone:   tasksByZone,
-			priorityClass: d.core.effectivePriorityClass(pending),
+			priorityClass: d.core.priority.effectiveClass(pending),
 			enqueuedAtMS:  pending.effectiveEnqueueMS(),
 		})
 	}
@@ -173,7 +173,7 @@
 			tasks:         unreachable,
 			tasksByZone:   tasksByZone,
 			isReplacement: true,
-			priorityClass: d.core.effectivePriorityClass(pending),
+			priorityClass: d.core.priority.effectiveClass(pending),
 			enqueuedAtMS:  pending.effectiveEnqueueMS(),
 		})
 	}
--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -32,7 +32,7 @@
 		return
 	}
 	j.indexed = true
-	j.effectiveClass = c.ownPriorityClass(j.record)
+	j.effectiveClass = c.priority.ownClass(j.record)
 	for _, id := range j.record.Spec.Dependencies {
 		dependency := c.internJob(id)
 		j.dependencies = append(j.dependencies, dependency)
@@ -50,7 +50,7 @@
 		}
 		dependency.dependents = append(dependency.dependents, j)
 	}
-	c.propagateUrgency([]*job{j})
+	c.priority.propagateUrgency([]*job{j})
 }
 
 // rootCancelledJob is the cancelled job because of which j is cancelled: j itself, or one that it
@@ -67,7 +67,7 @@
 func (c *Core) propagateJobEnd(ended *job) {
 	dependents := ended.dependents
 	ended.dependents = nil
-	c.unlinkDependencies(ended)
+	c.priority.unlinkDependencies(ended)
 	if ended.record.Stage == jobrecord.Done {
 		c.meetDependency(dependents, ended.revision)
 		return
@@ -104,31 +104,31 @@
 		c.completeCancellations(dependent)
 		pending = append(pending, dependent.dependents...)
 		dependent.dependents = nil
-		c.unlinkDependencies(dependent)
+		c.priority.unlinkDependencies(dependent)
 	}
 }
 
 // unlinkDependencies removes a final job from the graph, so that its dependencies no longer inherit
 // its priority class and deadline.
-func (c *Core) unlinkDependencies(j *job) {
+func (p *priorityState) unlinkDependencies(j *job) {
 	dependencies := j.dependencies
 	j.dependencies = nil
 	for _, dependency := range dependencies {
 		dependency.dependents = slices.DeleteFunc(dependency.dependents, func(d *job) bool { return d == j })
 	}
-	c.propagateUrgency(dependencies)
+	p.propagateUrgency(dependencies)
 }
 
 // propagateUrgency recomputes what jobs inherit from their dependents, and propagates changes to
 // their own dependencies.
-func (c *Core) propagateUrgency(pending []*job) {
+func (p *priorityState) propagateUrgency(pending []*job) {
 	for len(pending) > 0 {
 		j := pending[0]
 		pending = pending[1:]
 		if j.record == nil || j.record.Spec == nil || j.isFinal() {
 			continue
 		}
-		class, deadlineMS := c.inheritedUrgency(j)
+		class, deadlineMS := p.inheritedUrgency(j)
 		if class == j.effectiveClass && deadlineMS == j.effectiveDeadlineMS {
 			continue
 		}
@@ -140,8 +140,8 @@
 // inheritedUrgency is the most urgent priority class, and the earliest deadline (time of day in ms;
 // 0: none), of a job's own and those that it inherits from its dependents. A dependent's deadline
 // counts less the dependent's estimated runtime.
-func (c *Core) inheritedUrgency(j *job) (class int, deadlineMS int64) {
-	class = c.ownPriorityClass(j.record)
+func (p *priorityState) inheritedUrgency(j *job) (class int, deadlineMS int64) {
+	class = p.ownClass(j.record)
 	if own := j.record.Spec.DeadlineMS; own > 0 {
 		deadlineMS = j.record.AcceptedAtMS + own
 	}
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -115,20 +115,20 @@
 // isKnownUnplaceable reports whether a job's request can find no capacity, because a request that is
 // no larger, of a job before it, found none since capacity was freed last. Without it, all waiting
 // jobs of a full cluster would look at all its machines, several times a second.
-func (c *Core) isKnownUnplaceable(
+func (p *placementState) isKnownUnplaceable(
 	spec *wire.JobSpec,
 	priorityClass int,
 	enqueuedAtMS int64,
 	leavesHeldCapacity bool,
 ) bool {
-	return slices.ContainsFunc(c.placement.unplaceable, func(u unplaceable) bool {
+	return slices.ContainsFunc(p.unplaceable, func(u unplaceable) bool {
 		switch {
 		case !u.covers(spec) || u.heldBack && !leavesHeldCapacity:
 			return false
 		case u.yieldUntil == 0:
 			return true
 		}
-		return c.now < u.yieldUntil &&
+		return p.now < u.yieldUntil &&
 			(u.priorityClass < priorityClass || u.priorityClass == priorityClass && u.enqueuedAtMS <= enqueuedAtMS)
 	})
 }
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -26,6 +26,8 @@
 
 // priorityState is the list of priority classes in force, their shares of starts, and the first waiting job of each.
 type priorityState struct {
+	*environment
+
 	classes          *priorityclass.List
 	revision         uint64 // of the stored list; 0: there is none, a class for each priority is in force
 	nextSeedAt       time.Duration
@@ -34,29 +36,29 @@
 	firstWaiting     []QueueHead // by class, the first job that other controllers yield capacity to
 }
 
-// ownPriorityClass is the class of a job by its record. A job accepted without a list, or into a class
+// ownClass is the class of a job by its record. A job accepted without a list, or into a class
 // that was removed since, is classified anew.
-func (c *Core) ownPriorityClass(r *jobrecord.Record) int {
-	if i, ok := c.priority.classes.IndexOf(r.PriorityClass); ok {
+func (p *priorityState) ownClass(r *jobrecord.Record) int {
+	if i, ok := p.classes.IndexOf(r.PriorityClass); ok {
 		return i
 	}
-	return c.priority.classes.Classify(r.Spec)
+	return p.classes.Classify(r.Spec)
 }
 
-// effectivePriorityClass is the class by which a job is ordered now: the aged class, or the first one
+// effectiveClass is the class by which a job is ordered now: the aged class, or the first one
 // while the job is boosted for the reserved share of its own class.
-func (c *Core) effectivePriorityClass(j *job) int {
-	if c.now < j.queue.boostedUntil {
+func (p *priorityState) effectiveClass(j *job) int {
+	if p.now < j.queue.boostedUntil {
 		return 0
 	}
-	return c.agedPriorityClass(j)
+	return p.agedClass(j)
 }
 
-// agedPriorityClass is the class of a job, or of a more urgent job that depends on it, raised by the
+// agedClass is the class of a job, or of a more urgent job that depends on it, raised by the
 // time it has waited.
-func (c *Core) agedPriorityClass(j *job) int {
-	waited := time.Duration(c.unixMS()-j.effectiveEnqueueMS()) * time.Millisecond
-	return c.priority.classes.EffectiveClass(j.effectiveClass, waited)
+func (p *priorityState) agedClass(j *job) int {
+	waited := time.Duration(p.unixMS()-j.effectiveEnqueueMS()) * time.Millisecond
+	return p.classes.EffectiveClass(j.effectiveClass, waited)
 }
 
 // queueRank orders jobs: by class, lost replicas, missed deadline, and queue position. The loss of a
@@ -74,12 +76,12 @@
 	enqueueMS       int64
 }
 
-// queueRankOf is a job's rank now. A submission that is not written yet comes last in its class.
-func (c *Core) queueRankOf(j *job) queueRank {
+// rankOf is a job's rank now. A submission that is not written yet comes last in its class.
+func (p *priorityState) rankOf(j *job) queueRank {
 	switch {
 	case j.submission != nil:
 		return queueRank{
-			priorityClass:   c.priority.classes.Classify(&j.submission.spec),
+			priorityClass:   p.classes.Classify(&j.submission.spec),
 			enqueueRevision: math.MaxUint64,
 			enqueueMS:       j.submission.submittedMS,
 		}
@@ -87,7 +89,7 @@
 		return queueRank{priorityClass: math.MaxInt}
 	}
 	rank := queueRank{
-		priorityClass:   c.effectivePriorityClass(j),
+		priorityClass:   p.effectiveClass(j),
 		missingReplicas: j.queue.missingReplicas,
 		restoreOrder:    j.record.RestoreOrder,
 		enqueueRevision: max(j.queue.enqueueRevision, j.readyRevision),
@@ -119,22 +121,22 @@
 	return a.latestStartMS
 }
 
-// setPriorityClasses puts a list in force at this controller; nil: a class for each priority. Open
-// jobs are classified again, also those that wait for others and are in no list of jobs.
-func (c *Core) setPriorityClasses(list *priorityclass.List, revision uint64) {
-	c.priority.revision = revision
+// setClasses puts a list in force at this controller; nil: a class for each priority. Open jobs are
+// classified again, also those that wait for others and are in no list of jobs.
+func (p *priorityState) setClasses(list *priorityclass.List, revision uint64, jobs []*job) {
+	p.revision = revision
 	if list == nil {
-		list = priorityclass.Default(c.cfg.Scheduling.PriorityAgingInterval)
+		list = priorityclass.Default(p.cfg.Scheduling.PriorityAgingInterval)
 	}
-	c.priority.classes = list
+	p.classes = list
 	var reclassified []*job
-	for _, j := range c.jobs {
+	for _, j := range jobs {
 		if j != nil && j.record != nil && j.record.Spec != nil {
-			j.effectiveClass = c.ownPriorityClass(j.record)
+			j.effectiveClass = p.ownClass(j.record)
 			reclassified = append(reclassified, j)
 		}
 	}
-	c.propagateUrgency(reclassified)
+	p.propagateUrgency(reclassified)
 }
 
 // applyPriorityClasses takes the stored list. One that can't be read leaves the former in force, and
@@ -152,7 +154,7 @@
 	if err != nil {
 		return fmt.Errorf("check list of priority classes: %w", err)
 	}
-	c.setPriorityClasses(list, revision)
+	c.priority.setClasses(list, revision, c.jobs)
 	return nil
 }
 
@@ -240,8 +242,8 @@
 	}})
 }
 
-// priorityClassesText is the list in force in protobuf text format.
-func (c *Core) priorityClassesText() (string, error) {
-	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(c.priority.classes.Source())
+// text is the list in force in protobuf text format.
+func (p *priorityState) text() (string, error) {
+	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(p.classes.Source())
 	return string(text), err
 }
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -106,7 +106,7 @@
 	if c.isTeamLocked(&spec) && c.now < submission.receivedAt+2*lockedRetryDelay {
 		return nil, c.now + lockedRetryDelay
 	}
-	if !submission.writeFailed && !c.hasEarlierWaiting(&spec) {
+	if !submission.writeFailed && !c.priority.hasEarlierWaiting(&spec) {
 		c.assignTasks(p, builder)
 	}
 	return p, 0
--- a/core/queuelisting.go
+++ b/core/queuelisting.go
@@ -47,7 +47,7 @@
 
 // respondPriorityClasses answers with the list of priority classes in force.
 func (c *Core) respondPriorityClasses(in ListQueue) {
-	text, err := c.priorityClassesText()
+	text, err := c.priority.text()
 	if err != nil {
 		c.respondUnavailable(in.RequestID, err.Error())
 		return
@@ -100,7 +100,7 @@
 		}
 	}
 	for _, j := range queued {
-		j.queue.rank = c.queueRankOf(j)
+		j.queue.rank = c.priority.rankOf(j)
 	}
 	slices.SortFunc(queued, func(a, b *job) int {
 		return cmp.Or(
@@ -116,7 +116,7 @@
 // refused are requests that found no capacity, of jobs before it in the same response.
 func (c *Core) describeQueuedJob(j *job, position int, refused *[]unplaceable) wire.QueuedJob {
 	spec := j.record.Spec
-	own, effective := c.ownPriorityClass(j.record), c.effectivePriorityClass(j)
+	own, effective := c.priority.ownClass(j.record), c.priority.effectiveClass(j)
 	reason, explanation := c.waitReasonOf(j, refused)
 	description := wire.QueuedJob{
 		ID:            j.id,
--- a/core/replica.go
+++ b/core/replica.go
@@ -309,7 +309,7 @@
 	c.permissions = permissionState{identities: map[string]storedIdentity{}}
 	c.history.archiveIndex.Clear()
 	c.reservations.Reset()
-	c.setPriorityClasses(nil, 0)
+	c.priority.setClasses(nil, 0, c.jobs)
 	c.archiving.sweep = nil
 	c.restoreMarker.revision = 0
 	c.replica.snapshotRevision, c.replica.pagesRead = revision, 0
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"dewlift/core/ratelimit"
 	"dewlift/wire"
 	"slices"
 	"time"
@@ -39,6 +40,9 @@
 
 // placementState is when waiting tasks are placed next, and which requests are known to find no capacity.
 type placementState struct {
+	*environment
+	rateLimit *ratelimit.Limiter
+
 	unplaceable   []unplaceable // requests that found no capacity since some was freed last
 	nextScanAt    time.Duration // of all waiting jobs
 	capacityFreed bool          // capacity may have been freed since the last scan
@@ -50,7 +54,7 @@
 	if c.auditNotReady() {
 		return
 	}
-	inFlight := c.countRecordTxns()
+	inFlight := c.transactions.countRecordTxns()
 	c.startPlacementScan()
 	if c.skipsBlockedScan(inFlight) {
 		return
@@ -58,7 +62,7 @@
 	c.transactions.nextBlockedScanAt = c.now + blockedScanInterval
 	due := c.collectDueJobs()
 	c.transactions.backlog = len(due)
-	if len(due) == 0 || !c.holdsLease() || !c.mayWriteNow(due, inFlight) {
+	if len(due) == 0 || !c.holdsLease() || !c.placement.mayWriteNow(due, inFlight, &c.teams) {
 		return
 	}
 	c.updateEndBatchDelay()
@@ -67,8 +71,8 @@
 }
 
 // countRecordTxns counts the transactions in flight that write jobs' records.
-func (c *Core) countRecordTxns() (n int) {
-	for _, txn := range c.transactions.inFlight {
+func (t *transactionState) countRecordTxns() (n int) {
+	for _, txn := range t.inFlight {
 		if txn.onDone == nil {
 			n++
 		}
@@ -79,16 +83,9 @@
 // startPlacementScan marks the waiting jobs to be evaluated, if capacity may have been freed or
 // capacity yielded to other controllers may be used now.
 func (c *Core) startPlacementScan() {
-	placement := &c.placement
-	if placement.yieldedUntil != 0 && c.now >= placement.yieldedUntil {
-		placement.yieldedUntil, placement.nextScanAt, placement.capacityFreed = 0, c.now, true
-	}
-	if !placement.capacityFreed || c.now < placement.nextScanAt {
+	if !c.placement.beginScan() {
 		return
 	}
-	placement.capacityFreed = false
-	placement.unplaceable = placement.unplaceable[:0]
-	placement.nextScanAt = c.now + c.placementScanInterval()
 	for _, waiting := range c.openJobs {
 		if waiting.placement.hasUnplacedTasks && c.ownsJob(waiting) {
 			c.markDirty(waiting)
@@ -96,6 +93,21 @@
 	}
 }
 
+// beginScan reports whether a scan of all waiting jobs is due, and begins it: no request is known any
+// more to find no capacity.
+func (p *placementState) beginScan() bool {
+	if p.yieldedUntil != 0 && p.now >= p.yieldedUntil {
+		p.yieldedUntil, p.nextScanAt, p.capacityFreed = 0, p.now, true
+	}
+	if !p.capacityFreed || p.now < p.nextScanAt {
+		return false
+	}
+	p.capacityFreed = false
+	p.unplaceable = p.unplaceable[:0]
+	p.nextScanAt = p.now + p.scanInterval()
+	return true
+}
+
 // skipsBlockedScan reports whether the evaluation of jobs is left out because nothing could be
 // written and no user waits. With hundreds of waiting jobs, finding that out job by job takes most
 // of the time of an input.
@@ -103,8 +115,14 @@
 	if c.pendingSubmissions != 0 || c.now < c.cancelAcks.waitersUntil || c.now >= c.transactions.nextBlockedScanAt {
 		return false
 	}
-	limiter := &c.transactions.rateLimit
-	return limiter.IsPaused(c.now) || inFlight >= maxTxnsInFlight || limiter.ReadTokens < 1 ||
+	return c.placement.isWriteBlocked(inFlight)
+}
+
+// isWriteBlocked reports whether the rate limit and the transactions in flight allow no other one for
+// which no user waits.
+func (p *placementState) isWriteBlocked(inFlight int) bool {
+	limiter := p.rateLimit
+	return limiter.IsPaused(p.now) || inFlight >= maxTxnsInFlight || limiter.ReadTokens < 1 ||
 		limiter.WriteTokens < 1+reservedWrites
 }
 
@@ -122,7 +140,7 @@
 			j.write.dirty = false
 			continue
 		}
-		if c.waitsForPlacementScan(j) {
+		if c.placement.waitsForScan(j) && c.priority.isBehindFirstWaiting(j) {
 			j.write.nextLookAt = c.placement.nextScanAt
 			continue
 		}
@@ -150,45 +168,40 @@
 	return len(j.cancellation.waiters) > 0 || c.ownsJob(j)
 }
 
-// waitsForPlacementScan reports whether a job is evaluated only with the next scan of all waiting
-// jobs, in their order: otherwise it would take freed capacity before the first of them.
-func (c *Core) waitsForPlacementScan(j *job) bool {
-	return c.placement.capacityFreed && c.now < c.placement.nextScanAt &&
+// waitsForScan reports whether a job that is behind the first waiting one is evaluated only with the
+// next scan of all waiting jobs, in their order: otherwise it would take freed capacity before the first
+// of them.
+func (p *placementState) waitsForScan(j *job) bool {
+	return p.capacityFreed && p.now < p.nextScanAt &&
 		j.placement.hasUnplacedTasks && !j.placement.tasksLost &&
-		j.revision != 0 && len(j.cancellation.waiters) == 0 &&
-		c.isBehindFirstWaiting(j)
+		j.revision != 0 && len(j.cancellation.waiters) == 0
 }
 
 // mayWriteNow reports whether the rate limit and the transactions in flight allow another one. What
 // users wait for is held back less by an exhausted rate limit or a slow store.
-func (c *Core) mayWriteNow(due []*job, inFlight int) bool {
-	limiter := &c.transactions.rateLimit
-	isUrgent := func(j *job) bool { return c.writePriority(j) <= writePriorityAccept }
+func (p *placementState) mayWriteNow(due []*job, inFlight int, teams *teamSet) bool {
+	limiter := p.rateLimit
+	isUrgent := func(j *job) bool { return j.writePriority() <= writePriorityAccept }
 	if slices.ContainsFunc(due, isUrgent) {
-		return !limiter.IsUrgentPaused(c.now) && inFlight < maxUrgentTxnsInFlight &&
+		return !limiter.IsUrgentPaused(p.now) && inFlight < maxUrgentTxnsInFlight &&
 			limiter.ReadTokens >= -limiter.ReadRate/2
 	}
-	if limiter.IsPaused(c.now) || inFlight >= maxTxnsInFlight || limiter.ReadTokens < 1 ||
-		limiter.WriteTokens < 1+reservedWrites {
-		return false
-	}
-	return !c.defersBatchPlacement(due)
+	return !p.isWriteBlocked(inFlight) && !p.defersBatch(due, teams)
 }
 
-// defersBatchPlacement reports whether placements wait until they can share transactions. A team's
+// defersBatch reports whether placements wait until they can share transactions. A team's
 // key is one more write for each transaction: where writes are scarce and many jobs of teams with a
 // maximum quota wait, they are placed together.
-func (c *Core) defersBatchPlacement(due []*job) bool {
-	limiter := &c.transactions.rateLimit
-	if limiter.WriteTokens >= batchPlacementTokens*limiter.WriteBurst(c.cfg.Store.MaxTxnOps) {
+func (p *placementState) defersBatch(due []*job, teams *teamSet) bool {
+	if p.rateLimit.WriteTokens >= batchPlacementTokens*p.rateLimit.WriteBurst(p.cfg.Store.MaxTxnOps) {
 		return false
 	}
 	n := 0
 	for _, j := range due {
-		if c.writePriority(j) != writePriorityPlace {
+		if j.writePriority() != writePriorityPlace {
 			continue
 		}
-		if team := c.teams.of(j.record.Spec); team != nil && team.hasMaxQuota() {
+		if team := teams.of(j.record.Spec); team != nil && team.hasMaxQuota() {
 			n++
 		}
 	}
@@ -215,10 +228,10 @@
 func (c *Core) sortByWriteOrder(due []*job) {
 	for _, j := range due {
 		j.queue.missingReplicas = c.countLostReplicas(j)
-		j.queue.rank = c.queueRankOf(j)
+		j.queue.rank = c.priority.rankOf(j)
 	}
 	slices.SortStableFunc(due, func(a, b *job) int {
-		if d := c.writePriority(a) - c.writePriority(b); d != 0 {
+		if d := a.writePriority() - b.writePriority(); d != 0 {
 			return d
 		}
 		return a.queue.rank.compare(b.queue.rank)
@@ -253,7 +266,7 @@
 }
 
 // writePriority orders writes: cancellations, then acceptances, then placements, then completions.
-func (c *Core) writePriority(j *job) int {
+func (j *job) writePriority() int {
 	switch {
 	case len(j.cancellation.waiters) > 0:
 		return writePriorityCancel
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -20,20 +20,20 @@
 }
 
 // recordStarts counts the starts of a proposal.
-func (s *startShares) recordStarts(now time.Duration, p *proposal, c *Core) {
-	if len(p.started) == 0 || p.record.Spec == nil {
+func (p *priorityState) recordStarts(made *proposal) {
+	if len(made.started) == 0 || made.record.Spec == nil {
 		return
 	}
-	class := c.ownPriorityClass(p.record)
-	if len(s.startsByClass) != c.priority.classes.Len() {
-		s.startsByClass = make([]float64, c.priority.classes.Len())
+	s, class := &p.startShares, p.ownClass(made.record)
+	if len(s.startsByClass) != p.classes.Len() {
+		s.startsByClass = make([]float64, p.classes.Len())
 	}
-	decay := math.Exp2(-(now - s.updatedAt).Seconds() / startShareHalfLife.Seconds())
-	s.updatedAt = now
+	decay := math.Exp2(-(p.now - s.updatedAt).Seconds() / startShareHalfLife.Seconds())
+	s.updatedAt = p.now
 	for i := range s.startsByClass {
 		s.startsByClass[i] *= decay
 	}
-	s.startsByClass[class] += float64(len(p.started))
+	s.startsByClass[class] += float64(len(made.started))
 }
 
 // shareBelow is the part of the recent starts that the classes below one had; 1 if there were none.
@@ -63,7 +63,7 @@
 		if first == nil || c.isPrecededElsewhere(first, class) {
 			continue
 		}
-		return c.boost(first, due)
+		return c.priority.boost(first, due)
 	}
 	return due
 }
@@ -75,12 +75,12 @@
 	for _, candidate := range c.openJobs {
 		if !candidate.placement.hasUnplacedTasks || candidate.write.inFlight || candidate.write.outcomeUnknown ||
 			!c.ownsJob(candidate) || candidate.record.Spec == nil ||
-			c.ownPriorityClass(candidate.record) <= class ||
+			c.priority.ownClass(candidate.record) <= class ||
 			c.now < candidate.placement.backoffUntil ||
 			!c.teams.of(candidate.record.Spec).fitsMaxQuota(candidate.record.Spec.Request) {
 			continue
 		}
-		candidate.queue.rank = c.queueRankOf(candidate)
+		candidate.queue.rank = c.priority.rankOf(candidate)
 		if first == nil || candidate.queue.rank.compare(first.queue.rank) < 0 {
 			first = candidate
 		}
@@ -90,18 +90,18 @@
 
 // isPrecededElsewhere reports whether another controller has work below a class that comes before a job.
 func (c *Core) isPrecededElsewhere(j *job, class int) bool {
-	position := membership.QueuePosition{Priority: c.agedPriorityClass(j), EnqueuedAtMS: j.effectiveEnqueueMS()}
+	position := membership.QueuePosition{Priority: c.priority.agedClass(j), EnqueuedAtMS: j.effectiveEnqueueMS()}
 	return c.controllers.membership.HasEarlierWork(c.now, c.isControllerLive, position, class)
 }
 
 // boost has a job evaluated now, before all other placements.
-func (c *Core) boost(j *job, due []*job) []*job {
-	j.queue.boostedUntil = c.now + startShareBoost
+func (p *priorityState) boost(j *job, due []*job) []*job {
+	j.queue.boostedUntil = p.now + startShareBoost
 	j.write.dirty, j.write.nextLookAt = true, 0
 	if i := slices.Index(due, j); i >= 0 {
 		due = slices.Delete(due, i, i+1)
 	}
-	at := slices.IndexFunc(due, func(other *job) bool { return c.writePriority(other) > writePriorityAccept })
+	at := slices.IndexFunc(due, func(other *job) bool { return other.writePriority() > writePriorityAccept })
 	if at < 0 {
 		at = len(due)
 	}
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -122,7 +122,7 @@
 	if b.slotDrafts[slot] != nil {
 		cost-- // its slot is written anyway
 	}
-	if b.core.writePriority(target) > writePriorityAccept {
+	if target.writePriority() > writePriorityAccept {
 		return cost + reservedWrites, !b.hasUserWaiting
 	}
 	// A write that a user waits for may overdraw the rate limit by half a second's writes of all
@@ -247,7 +247,7 @@
 // addProposal adds a proposal whose writes are in the transaction already, and marks its job as being written.
 func (b *txnBuilder) addProposal(next *proposal) {
 	b.chargeQuota(next)
-	b.core.priority.startShares.recordStarts(b.core.now, next, b.core)
+	b.core.priority.recordStarts(next)
 	next.job.write.dirty, next.job.write.inFlight = false, true
 	b.proposals = append(b.proposals, *next)
 }
--- a/core/yield.go
+++ b/core/yield.go
@@ -39,7 +39,8 @@
 	if rank == 0 {
 		return 0
 	}
-	window := c.firstRankWindow() + time.Duration(rank-1)*c.deltaLog.propagationDelay()
+	propagationDelay := c.deltaLog.propagationDelay()
+	window := c.placement.firstRankWindow(propagationDelay) + time.Duration(rank-1)*propagationDelay
 	return max(0, row.CapacityFreedAt()+window-c.now)
 }
 
@@ -70,14 +71,14 @@
 
 // firstRankWindow is how long a controller has freed capacity to itself: until its next placement
 // scan is over, and the others know what it took.
-func (c *Core) firstRankWindow() time.Duration {
-	return min(c.placementScanInterval(), maxFirstRankWindow) + c.deltaLog.propagationDelay()
+func (p *placementState) firstRankWindow(propagationDelay time.Duration) time.Duration {
+	return min(p.scanInterval(), maxFirstRankWindow) + propagationDelay
 }
 
-// placementScanInterval is the time between two scans of all waiting jobs. Placing a job's tasks one
+// scanInterval is the time between two scans of all waiting jobs. Placing a job's tasks one
 // by one would take a write each, and another for its team's key: where writes are scarce, tasks gather.
-func (c *Core) placementScanInterval() time.Duration {
-	seconds := placementScanWrites / (0.5 * c.transactions.rateLimit.WriteRate)
+func (p *placementState) scanInterval() time.Duration {
+	seconds := placementScanWrites / (0.5 * p.rateLimit.WriteRate)
 	return max(minPlacementScanInterval, time.Duration(seconds*float64(time.Second)))
 }
 
@@ -91,7 +92,7 @@
 		if !c.isYieldedTo(candidate) {
 			continue
 		}
-		class := c.agedPriorityClass(candidate)
+		class := c.priority.agedClass(candidate)
 		if first[class] == nil || candidate.effectiveEnqueueMS() < first[class].effectiveEnqueueMS() {
 			first[class] = candidate
 		}
@@ -125,21 +126,21 @@
 // capacity. The new job's tasks are then placed in queue order, a moment after its acceptance: placed
 // together with the acceptance, which is written before all placements, new jobs overtook those that
 // had waited longest.
-func (c *Core) hasEarlierWaiting(spec *wire.JobSpec) bool {
-	if len(c.priority.firstWaiting) == 0 {
+func (p *priorityState) hasEarlierWaiting(spec *wire.JobSpec) bool {
+	if len(p.firstWaiting) == 0 {
 		return false
 	}
-	head := c.priority.firstWaiting[0]
-	return head.Priority <= c.priority.classes.Classify(spec) && (head.Spot || !spec.Spot)
+	head := p.firstWaiting[0]
+	return head.Priority <= p.classes.Classify(spec) && (head.Spot || !spec.Spot)
 }
 
 // isBehindFirstWaiting reports whether a waiting job comes after the first of this controller's
 // waiting jobs. Evaluated by itself, as soon as it was accepted, it would take capacity that was
 // freed since the jobs before it were evaluated.
-func (c *Core) isBehindFirstWaiting(j *job) bool {
-	if len(c.priority.firstWaiting) == 0 || j.record.Spec == nil {
+func (p *priorityState) isBehindFirstWaiting(j *job) bool {
+	if len(p.firstWaiting) == 0 || j.record.Spec == nil {
 		return false
 	}
-	head, class := c.priority.firstWaiting[0], c.effectivePriorityClass(j)
+	head, class := p.firstWaiting[0], p.effectiveClass(j)
 	return head.Priority < class || head.Priority == class && head.EnqueuedAtMS < j.effectiveEnqueueMS()
 }
