--- a/core/apply.go
+++ b/core/apply.go
@@ -210,7 +210,7 @@
 	if record.Spec != nil {
 		record.Spec.ID = target.id
 	}
-	c.indexDependencies(target)
+	c.dependencies.index(target)
 	c.addAssignments(target)
 	target.placement.tasksLost = false
 	target.placement.hasUnplacedTasks = !target.isFinal() && record.Spec != nil && target.unmetDependencies == 0 &&
--- a/core/core.go
+++ b/core/core.go
@@ -21,14 +21,14 @@
 	// Stats counts what the log reports from time to time.
 	Stats Stats
 
-	// Jobs and machines, interned by index.
+	jobTable
 	pendingSubmissions int // submissions whose write is pending
-	jobIndex           map[string]int32
-	jobs               []*job
-	openJobs           []*job // jobs that may have to be written or answered
-	machineIndex       map[string]int32
-	machines           []*machine
-	aliveMachines      []*machine // machines that are not known to be gone, or have assignments
+	dependencies       dependencyGraph
+
+	// Machines, interned by index.
+	machineIndex  map[string]int32
+	machines      []*machine
+	aliveMachines []*machine // machines that are not known to be gone, or have assignments
 
 	teams teamSet
 
@@ -97,7 +97,6 @@
 	c := &Core{
 		environment:  newEnvironment(cfg, now, seed),
 		machineIndex: map[string]int32{},
-		jobIndex:     map[string]int32{},
 		teams:        newTeamSet(cfg.Teams),
 		reservations: reservations.New(),
 		history:      newHistory(&cfg),
@@ -116,6 +115,8 @@
 	c.commands.inFlight = map[uint64]inFlightCommands{}
 	c.commands.relayed = map[uint64]relayedCommands{}
 	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
+	c.jobTable = jobTable{environment: c.environment, jobIndex: map[string]int32{}}
+	c.dependencies = dependencyGraph{environment: c.environment, jobs: &c.jobTable, priority: &c.priority}
 	c.clusterCopy.environment = c.environment
 	c.placement.environment = c.environment
 	c.placement.rateLimit = &c.transactions.rateLimit
--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -25,16 +25,44 @@
 	effectiveDeadlineMS int64 // time of day by which it must be done for all deadlines to be met, in ms; 0: none
 }
 
-// indexDependencies adds a job to the dependency graph when its record is first seen with its
+// dependencyGraph keeps the places of all jobs in memory in the dependency graph.
+type dependencyGraph struct {
+	*environment
+	jobs     *jobTable
+	priority *priorityState
+
+	unresolved    []*job // dependencies of other jobs that are not known
+	nextResolveAt time.Duration
+}
+
+// addUnresolved has a dependency of other jobs looked up that is not known.
+func (g *dependencyGraph) addUnresolved(dependency *job) {
+	g.unresolved = append(g.unresolved, dependency)
+}
+
+// unresolvedDue lists the dependencies that are not known, if they are to be looked up now. The list is
+// a copy: a lookup may change the graph.
+func (g *dependencyGraph) unresolvedDue() []*job {
+	if g.now < g.nextResolveAt || len(g.unresolved) == 0 {
+		return nil
+	}
+	g.nextResolveAt = g.now + resolveInterval
+	g.unresolved = slices.DeleteFunc(g.unresolved, func(j *job) bool {
+		return j.revision != 0 || len(j.dependents) == 0
+	})
+	return slices.Clone(g.unresolved)
+}
+
+// index adds a job to the dependency graph when its record is first seen with its
 // description; later calls have no effect.
-func (c *Core) indexDependencies(j *job) {
+func (g *dependencyGraph) index(j *job) {
 	if j.indexed || j.record.Spec == nil {
 		return
 	}
 	j.indexed = true
-	j.effectiveClass = c.priority.ownClass(j.record)
+	j.effectiveClass = g.priority.ownClass(j.record)
 	for _, id := range j.record.Spec.Dependencies {
-		dependency := c.internJob(id)
+		dependency := g.jobs.internJob(id)
 		j.dependencies = append(j.dependencies, dependency)
 		if dependency.record != nil && dependency.record.Stage == jobrecord.Done {
 			j.readyRevision = max(j.readyRevision, dependency.revision)
@@ -42,7 +70,7 @@
 		}
 		j.unmetDependencies++
 		if dependency.revision == 0 { // it may be archived
-			c.history.unresolvedDependencies = append(c.history.unresolvedDependencies, dependency)
+			g.addUnresolved(dependency)
 		}
 		if dependency.isFinal() {
 			j.cancelledBy = dependency.rootCancelledJob()
@@ -50,7 +78,7 @@
 		}
 		dependency.dependents = append(dependency.dependents, j)
 	}
-	c.priority.propagateUrgency([]*job{j})
+	g.priority.propagateUrgency([]*job{j})
 }
 
 // rootCancelledJob is the cancelled job because of which j is cancelled: j itself, or one that it
@@ -67,26 +95,26 @@
 func (c *Core) propagateJobEnd(ended *job) {
 	dependents := ended.dependents
 	ended.dependents = nil
-	c.priority.unlinkDependencies(ended)
+	c.dependencies.unlink(ended)
 	if ended.record.Stage == jobrecord.Done {
-		c.meetDependency(dependents, ended.revision)
+		c.dependencies.meet(dependents, ended.revision)
 		return
 	}
 	c.cancelDependents(dependents, ended.rootCancelledJob())
 }
 
-// meetDependency counts a dependency of these jobs as done at a revision. Those without further ones
+// meet counts a dependency of these jobs as done at a revision. Those without further ones
 // are ready to be placed.
-func (c *Core) meetDependency(dependents []*job, revision uint64) {
+func (g *dependencyGraph) meet(dependents []*job, revision uint64) {
 	for _, dependent := range dependents {
 		dependent.unmetDependencies--
 		if dependent.unmetDependencies != 0 || dependent.isFinal() {
 			continue
 		}
-		dependent.readySinceMS = c.unixMS()
+		dependent.readySinceMS = g.unixMS()
 		dependent.readyRevision = max(dependent.readyRevision, revision)
 		dependent.placement.hasUnplacedTasks = true
-		c.markDirty(dependent)
+		g.jobs.markDirty(dependent)
 	}
 }
 
@@ -104,19 +132,19 @@
 		c.completeCancellations(dependent)
 		pending = append(pending, dependent.dependents...)
 		dependent.dependents = nil
-		c.priority.unlinkDependencies(dependent)
+		c.dependencies.unlink(dependent)
 	}
 }
 
-// unlinkDependencies removes a final job from the graph, so that its dependencies no longer inherit
+// unlink removes a final job from the graph, so that its dependencies no longer inherit
 // its priority class and deadline.
-func (p *priorityState) unlinkDependencies(j *job) {
+func (g *dependencyGraph) unlink(j *job) {
 	dependencies := j.dependencies
 	j.dependencies = nil
 	for _, dependency := range dependencies {
 		dependency.dependents = slices.DeleteFunc(dependency.dependents, func(d *job) bool { return d == j })
 	}
-	p.propagateUrgency(dependencies)
+	g.priority.propagateUrgency(dependencies)
 }
 
 // propagateUrgency recomputes what jobs inherit from their dependents, and propagates changes to
@@ -169,12 +197,12 @@
 	return at
 }
 
-// findUnmetDependencies lists the dependencies of a description that are not done. unknown is one
+// findUnmet lists the dependencies of a description that are not done. unknown is one
 // that was never accepted, as far as is known here, and cancelled is the cancelled job because of
 // which one will never be done.
-func (c *Core) findUnmetDependencies(spec *wire.JobSpec) (unmet []string, unknown string, cancelled *job) {
+func (g *dependencyGraph) findUnmet(spec *wire.JobSpec) (unmet []string, unknown string, cancelled *job) {
 	for _, id := range spec.Dependencies {
-		dependency := c.knownJob(id)
+		dependency := g.jobs.knownJob(id)
 		switch {
 		case dependency == nil:
 			unknown = id
--- a/core/job.go
+++ b/core/job.go
@@ -10,7 +10,7 @@
 
 // job is what this controller knows of one job: its stored record, and its volatile state here.
 type job struct {
-	index       int32  // in Core.jobs
+	index       int32  // in jobTable.jobs
 	id          string // as submitted
 	revision    uint64 // of the record; 0: the job is not known to exist
 	record      *jobrecord.Record
@@ -41,7 +41,7 @@
 	inFlight       bool
 	outcomeUnknown bool          // the outcome of the last write is being determined by a read barrier
 	dirty          bool          // the job is to be examined
-	inOpenList     bool          // it is in Core.openJobs
+	inOpenList     bool          // it is in jobTable.openJobs
 	dirtySince     time.Duration // when it became dirty
 	nextLookAt     time.Duration // it is not examined before, although dirty
 	waitsForEnds   bool          // its next record only records ends of tasks and waits to share a write
@@ -147,46 +147,63 @@
 	return j.record != nil && (j.record.Stage != jobrecord.Queued || j.cancelledBy != nil)
 }
 
+// jobTable is the jobs in memory, interned by index.
+type jobTable struct {
+	*environment
+
+	jobIndex    map[string]int32
+	jobs        []*job // nil: a free index
+	openJobs    []*job // jobs that may have to be written or answered
+	freeIndexes []int32
+}
+
 // internJob is the job of an id, which is created as not known to exist if there is none.
-func (c *Core) internJob(id string) *job {
-	if i, ok := c.jobIndex[id]; ok {
-		return c.jobs[i]
+func (t *jobTable) internJob(id string) *job {
+	if i, ok := t.jobIndex[id]; ok {
+		return t.jobs[i]
 	}
-	created := &job{index: int32(len(c.jobs)), id: id}
-	if free := c.history.freeIndexes; len(free) > 0 {
+	created := &job{index: int32(len(t.jobs)), id: id}
+	if free := t.freeIndexes; len(free) > 0 {
 		created.index = free[len(free)-1]
-		c.history.freeIndexes = free[:len(free)-1]
-		c.jobs[created.index] = created
+		t.freeIndexes = free[:len(free)-1]
+		t.jobs[created.index] = created
 	} else {
-		c.jobs = append(c.jobs, created)
+		t.jobs = append(t.jobs, created)
 	}
-	c.jobIndex[id] = created.index
+	t.jobIndex[id] = created.index
 	return created
 }
 
+// dropJob drops a job from memory and frees its index.
+func (t *jobTable) dropJob(dropped *job) {
+	delete(t.jobIndex, dropped.id)
+	t.jobs[dropped.index] = nil
+	t.freeIndexes = append(t.freeIndexes, dropped.index)
+}
+
 // knownJob is the job of an id if its record is in memory; nil otherwise.
-func (c *Core) knownJob(id string) *job {
-	if i, ok := c.jobIndex[id]; ok && c.jobs[i].revision != 0 {
-		return c.jobs[i]
+func (t *jobTable) knownJob(id string) *job {
+	if i, ok := t.jobIndex[id]; ok && t.jobs[i].revision != 0 {
+		return t.jobs[i]
 	}
 	return nil
 }
 
 // markDirty has a job examined in the next scheduling pass.
-func (c *Core) markDirty(j *job) {
-	c.markDirtyKeepingDelay(j)
+func (t *jobTable) markDirty(j *job) {
+	t.markDirtyKeepingDelay(j)
 	j.write.nextLookAt = 0
 }
 
 // markDirtyKeepingDelay has a job examined again, but not before the time that its last examination
 // asked for.
-func (c *Core) markDirtyKeepingDelay(j *job) {
+func (t *jobTable) markDirtyKeepingDelay(j *job) {
 	if !j.write.inOpenList {
 		j.write.inOpenList = true
-		c.openJobs = append(c.openJobs, j)
+		t.openJobs = append(t.openJobs, j)
 	}
 	if !j.write.dirty {
 		j.write.dirty = true
-		j.write.dirtySince = c.now
+		j.write.dirtySince = t.now
 	}
 }
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -32,18 +32,15 @@
 	endedJobs        []*job // in memory and not archived
 	recalledJobs     []*job // in memory because of a lookup, oldest first
 	evicting         []*job // to be evicted from memory once nothing refers to them
-	freeIndexes      []int32
 
-	archiveIndex           *archive.BlockCache
-	lastMoveRevision       uint64                // revision of the last move that the watch has shown
-	lookups                map[string]*jobLookup // by job ID
-	lookupQueue            []*jobLookup
-	readTokens             float64 // reads that lookups may send now
-	readTokensAt           time.Duration
-	readsInFlight          int
-	unresolvedDependencies []*job // dependencies of other jobs that are not known
-	nextResolveAt          time.Duration
-	pendingReads           map[uint64]func(RangeResult) // callbacks by request ID
+	archiveIndex     *archive.BlockCache
+	lastMoveRevision uint64                // revision of the last move that the watch has shown
+	lookups          map[string]*jobLookup // by job ID
+	lookupQueue      []*jobLookup
+	readTokens       float64 // reads that lookups may send now
+	readTokensAt     time.Duration
+	readsInFlight    int
+	pendingReads     map[uint64]func(RangeResult) // callbacks by request ID
 }
 
 // jobLookup is the search for a job that is not in memory.
@@ -189,9 +186,7 @@
 		if !candidate.archive.archived {
 			h.coldRecords++
 		}
-		delete(c.jobIndex, candidate.id)
-		c.jobs[candidate.index] = nil
-		h.freeIndexes = append(h.freeIndexes, candidate.index)
+		c.dropJob(candidate)
 		return true
 	})
 }
@@ -248,7 +243,7 @@
 	archived.assignments, archived.record, archived.revision = nil, nil, 0
 	archived.placement.hasUnplacedTasks, archived.placement.tasksLost = false, false
 	if len(archived.dependents) > 0 {
-		c.history.unresolvedDependencies = append(c.history.unresolvedDependencies, archived)
+		c.dependencies.addUnresolved(archived)
 	}
 }
 
@@ -584,15 +579,7 @@
 
 // resolveDependencies looks up the dependencies of other jobs that are not known.
 func (c *Core) resolveDependencies() {
-	h := &c.history
-	if c.now < h.nextResolveAt || len(h.unresolvedDependencies) == 0 {
-		return
-	}
-	h.nextResolveAt = c.now + resolveInterval
-	h.unresolvedDependencies = slices.DeleteFunc(h.unresolvedDependencies, func(j *job) bool {
-		return j.revision != 0 || len(j.dependents) == 0
-	})
-	for _, dependency := range slices.Clone(h.unresolvedDependencies) {
+	for _, dependency := range c.dependencies.unresolvedDue() {
 		if dependency.revision == 0 {
 			c.lookUpJob(dependency.id, func(bool) {}) // caching it resolves the dependency
 		}
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -83,7 +83,7 @@
 	submission := target.submission
 	notArchived, known := c.notArchivedCompare(target.id)
 	spec := submission.spec
-	unmet, unknown, cancelled := c.findUnmetDependencies(&spec)
+	unmet, unknown, cancelled := c.dependencies.findUnmet(&spec)
 	if !known || unknown != "" ||
 		submission.writeFailed && c.history.coldRecords > 0 && !submission.lookupDone {
 		return nil, c.lookUpArchived(target)
--- a/core/requests.go
+++ b/core/requests.go
@@ -327,7 +327,7 @@
 			"a controller may still run a version that does not know awaits",
 		}
 	}
-	unmet, unknown, _ := c.findUnmetDependencies(spec)
+	unmet, unknown, _ := c.dependencies.findUnmet(spec)
 	for _, id := range spec.Dependencies {
 		if dependency := c.knownJob(id); dependency != nil && !c.canReadJob(caller, dependency) {
 			unknown = id
