--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -32,6 +32,11 @@
 
 // cancelAcks is the state of acknowledging cancellations.
 type cancelAcks struct {
+	*environment
+	jobs    *jobTable
+	replica *storeReplica
+	schema  *schemaState
+
 	waitersUntil  time.Duration // until then, users may wait for a cancellation
 	quorum        *quorum.View  // how current this controller's knowledge is, and what the others hold
 	pending       []pendingAck
@@ -58,53 +63,50 @@
 }
 
 // timeSinceCancel is the time since the cancellation of a job was requested, by the time of day.
-func (c *Core) timeSinceCancel(j *job) time.Duration {
-	return time.Duration(c.unixMS()-j.record.CancelledAtMS) * time.Millisecond
+func (a *cancelAcks) timeSinceCancel(j *job) time.Duration {
+	return time.Duration(a.unixMS()-j.record.CancelledAtMS) * time.Millisecond
 }
 
 // latestCancelRevision is a revision at which a cancelled job's cancellation was stored: a
 // controller whose replica has reached it knows of the cancellation.
 func (j *job) latestCancelRevision() uint64 { return max(j.revision, j.cancellation.markerRevision) }
 
-// canAckCancellation reports whether users may be answered that a job is cancelled.
-func (c *Core) canAckCancellation(j *job) bool {
+// canAcknowledge reports whether users may be answered that a job is cancelled.
+func (a *cancelAcks) canAcknowledge(j *job) bool {
 	if !j.isCancelledWithTasks() || j.ack.allowed {
 		return true
 	}
 	// A controller of an older version neither replies to queries nor sends them: while there may be
 	// one, the tasks must be gone first.
-	j.ack.allowed = c.schemaVersion() >= schemaCancelQuorum &&
-		c.cancelAcks.quorum.CanAcknowledge(j.latestCancelRevision(), j.ack.heldBy)
+	j.ack.allowed = a.schema.active >= schemaCancelQuorum &&
+		a.quorum.CanAcknowledge(j.latestCancelRevision(), j.ack.heldBy)
 	return j.ack.allowed
 }
 
-// respondOrAwaitAck answers with a job's state, once that may be acknowledged.
-func (c *Core) respondOrAwaitAck(requestID uint64, status wire.Status, state wire.JobState) {
+// respondOrAwait answers with a job's state, once that may be acknowledged.
+func (a *cancelAcks) respondOrAwait(requestID uint64, status wire.Status, state wire.JobState) {
 	if state.Stage == wire.StageCancelled {
-		if j := c.knownJob(state.ID); j != nil && !c.canAckCancellation(j) {
-			c.cancelAcks.pending = append(c.cancelAcks.pending, pendingAck{requestID, j, c.now + ackTimeout})
+		if j := a.jobs.knownJob(state.ID); j != nil && !a.canAcknowledge(j) {
+			a.pending = append(a.pending, pendingAck{requestID, j, a.now + ackTimeout})
 			return
 		}
 	}
-	c.emit(Response{RequestID: requestID, Status: status, Body: state})
+	a.emit(Response{RequestID: requestID, Status: status, Body: state})
 }
 
 // advanceCancelAcks keeps the knowledge of cancellations current, and answers the users whose
 // cancellations may be acknowledged by now.
 func (c *Core) advanceCancelAcks() {
-	if c.cancelAcks.quorum.IsReadDue(c.now) && c.now >= c.cancelAcks.nextReadAt {
-		c.cancelAcks.nextReadAt = c.now + currencyReadInterval
+	if c.cancelAcks.beginRead() {
 		c.afterReadBarrier(func(bool) {}) // the read itself is what counts
 	}
-	if c.cancelAcks.quorum.IsQueryDue(c.now) {
-		query := &QuorumRead{Nonce: c.rng.Uint64() | 1, SinceRevision: c.cancellationsKnownUpTo()}
-		c.cancelAcks.quorum.BeginQuery(c.now, query.Nonce)
+	if query := c.cancelAcks.beginQuery(); query != nil {
 		c.sendToPeers("", Message{QuorumRead: query})
 	}
 	var unacknowledged []*job // to be sent to the other controllers
 	c.cancelAcks.pending = slices.DeleteFunc(c.cancelAcks.pending, func(ack pendingAck) bool {
 		switch {
-		case c.canAckCancellation(ack.job):
+		case c.cancelAcks.canAcknowledge(ack.job):
 			c.emit(Response{RequestID: ack.requestID, Status: wire.StatusOK, Body: c.jobState(ack.job)})
 			return true
 		case c.now >= ack.deadline:
@@ -125,12 +127,31 @@
 	}
 }
 
-// cancellationsKnownUpTo is the revision up to which all cancellations are known here.
-func (c *Core) cancellationsKnownUpTo() uint64 {
-	if !c.replica.loaded {
+// beginRead reports whether the store is read now only to stay current, and holds off the next read.
+func (a *cancelAcks) beginRead() bool {
+	if !a.quorum.IsReadDue(a.now) || a.now < a.nextReadAt {
+		return false
+	}
+	a.nextReadAt = a.now + currencyReadInterval
+	return true
+}
+
+// beginQuery returns a query of the other controllers if one is due, and awaits its replies; nil otherwise.
+func (a *cancelAcks) beginQuery() *QuorumRead {
+	if !a.quorum.IsQueryDue(a.now) {
+		return nil
+	}
+	query := &QuorumRead{Nonce: a.rng.Uint64() | 1, SinceRevision: a.knownUpTo()}
+	a.quorum.BeginQuery(a.now, query.Nonce)
+	return query
+}
+
+// knownUpTo is the revision up to which all cancellations are known here.
+func (a *cancelAcks) knownUpTo() uint64 {
+	if !a.replica.loaded {
 		return 0
 	}
-	return max(c.replica.revision, c.cancelAcks.peersKnowUpTo)
+	return max(a.replica.revision, a.peersKnowUpTo)
 }
 
 // cancellationItems are the stored records and cancel markers of cancelled jobs, to be sent to
@@ -209,13 +230,19 @@
 		c.replyToQuorumRead(peer, read)
 	}
 	if reply := message.QuorumReply; reply != nil {
-		if c.cancelAcks.quorum.HandleReply(peer, reply.Nonce) {
-			c.cancelAcks.peersKnowUpTo = max(c.cancelAcks.peersKnowUpTo, reply.UpToRevision)
-		}
-		c.cancelAcks.quorum.RecordHeldRevision(peer, reply.UpToRevision)
+		c.cancelAcks.handleReply(peer, reply)
 	}
 }
 
+// handleReply takes how far the knowledge of another controller goes, and this one's with it if the
+// reply is to the query in flight.
+func (a *cancelAcks) handleReply(peer string, reply *QuorumReply) {
+	if a.quorum.HandleReply(peer, reply.Nonce) {
+		a.peersKnowUpTo = max(a.peersKnowUpTo, reply.UpToRevision)
+	}
+	a.quorum.RecordHeldRevision(peer, reply.UpToRevision)
+}
+
 // recordHolder records that another controller holds the cancellation.
 func (a *cancelAck) recordHolder(peer string) {
 	if a.heldBy == nil {
@@ -224,19 +251,25 @@
 	a.heldBy[peer] = true
 }
 
+// cancelledSince lists the jobs whose cancellations were stored after a revision and whose tasks may
+// be on machines.
+func (a *cancelAcks) cancelledSince(revision uint64) (cancelled []*job) {
+	for _, j := range a.jobs.openJobs {
+		if j.isCancelledWithTasks() && j.latestCancelRevision() > revision {
+			cancelled = append(cancelled, j)
+		}
+	}
+	return cancelled
+}
+
 // replyToQuorumRead sends the cancellations that the asking controller may lack, and how far this
 // one's knowledge goes.
 func (c *Core) replyToQuorumRead(peer string, read *QuorumRead) {
-	var lacking []*job
-	for _, j := range c.openJobs {
-		if j.isCancelledWithTasks() && j.latestCancelRevision() > read.SinceRevision {
-			lacking = append(lacking, j)
-		}
-	}
+	lacking := c.cancelAcks.cancelledSince(read.SinceRevision)
 	c.sendToPeers(
 		peer,
 		Message{
-			QuorumReply:   &QuorumReply{read.Nonce, c.cancellationsKnownUpTo()},
+			QuorumReply:   &QuorumReply{read.Nonce, c.cancelAcks.knownUpTo()},
 			Cancellations: c.cancellationItems(lacking),
 		},
 	)
@@ -244,10 +277,10 @@
 
 // stopCommandsFor are the commands that go with the response to an agent's heartbeat: cancelled
 // tasks on its machine stop. That needs neither a write nor ownership of the jobs' shards.
-func (c *Core) stopCommandsFor(m *machine) []wire.Command {
+func (a *cancelAcks) stopCommandsFor(m *machine) []wire.Command {
 	var cancelled []attemptKey // mostly none: only these are sorted, as each heartbeat is answered
 	for key, status := range m.status.tasks {
-		if j := c.jobs[key.jobIndex]; status.state != wire.TaskExited && j != nil && j.record != nil &&
+		if j := a.jobs.jobs[key.jobIndex]; status.state != wire.TaskExited && j != nil && j.record != nil &&
 			j.record.Stage == jobrecord.Cancelled {
 			cancelled = append(cancelled, key)
 		}
@@ -260,7 +293,7 @@
 			commands,
 			wire.Command{
 				Op:           wire.OpStop,
-				Task:         wire.TaskName(c.jobs[key.jobIndex].id, int(key.task)),
+				Task:         wire.TaskName(a.jobs.jobs[key.jobIndex].id, int(key.task)),
 				Attempt:      key.attempt,
 				GracePeriodS: &grace,
 			},
@@ -278,7 +311,7 @@
 	for key, assignment := range m.allocation.assignments {
 		j := c.jobs[key.jobIndex]
 		if !j.isCancelledWithTasks() || assignment.Incarnation != m.status.incarnation ||
-			c.timeSinceCancel(j) <= c.cancelStalenessBound() {
+			c.cancelAcks.timeSinceCancel(j) <= c.cancelAcks.stalenessBound() {
 			continue
 		}
 		if _, there := m.status.tasks[attemptKey{key.jobIndex, key.task, assignment.Attempt}]; there {
@@ -297,10 +330,10 @@
 	return wire.TaskName(c.jobs[first.jobIndex].id, int(first.task))
 }
 
-// cancelStalenessBound is how long after a cancellation a controller that lacks it may still renew
+// stalenessBound is how long after a cancellation a controller that lacks it may still renew
 // leases.
-func (c *Core) cancelStalenessBound() time.Duration {
-	return quorum.MaxStaleness(c.cfg.Agents.CancelTimeout, c.cfg.Agents.LeaseTTL)
+func (a *cancelAcks) stalenessBound() time.Duration {
+	return quorum.MaxStaleness(a.cfg.Agents.CancelTimeout, a.cfg.Agents.LeaseTTL)
 }
 
 // leaseDenialReason is why this controller may not renew the lease of a machine's agent with the
@@ -312,7 +345,7 @@
 	case !c.cancelAcks.quorum.IsFresh(c.now):
 		return fmt.Sprintf(
 			"cancellations of more than %v ago may not be known here",
-			c.cancelStalenessBound().Round(time.Second),
+			c.cancelAcks.stalenessBound().Round(time.Second),
 		)
 	case heartbeat.FencingToken > c.leadership.fencingToken:
 		return "token not current"
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -45,7 +45,7 @@
 		if !j.isCancelledWithTasks() {
 			continue
 		}
-		age := c.timeSinceCancel(j)
+		age := c.cancelAcks.timeSinceCancel(j)
 		for _, assignment := range j.assignments {
 			// A reported end is proof even while its write waits for the rate limit: machines were
 			// once scaled in for tasks that had stopped long before.
@@ -59,7 +59,7 @@
 // enforceCancellations fences off unanswered starts of cancelled tasks with a higher fencing token,
 // and lists the machines that did not confirm in time that such a task is gone.
 func (c *Core) enforceCancellations() (overdue []string) {
-	maxAge := c.cancelTimeoutShare(c.cfg.Agents.CancelScaleInShare)
+	maxAge := c.cancelAcks.timeoutShare(c.cfg.Agents.CancelScaleInShare)
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
 		if !c.ownsJob(j) {
 			return
@@ -77,9 +77,9 @@
 	return overdue
 }
 
-// cancelTimeoutShare is a share of the time within which cancelled tasks must be gone.
-func (c *Core) cancelTimeoutShare(share float64) time.Duration {
-	return time.Duration(share * float64(c.cfg.Agents.CancelTimeout))
+// timeoutShare is a share of the time within which cancelled tasks must be gone.
+func (a *cancelAcks) timeoutShare(share float64) time.Duration {
+	return time.Duration(share * float64(a.cfg.Agents.CancelTimeout))
 }
 
 // returnMachinesInOutage scales in machines on which cancelled tasks may still run while the store
@@ -124,7 +124,7 @@
 			// still arrive is findRestartableCancelledTask's concern.
 			return
 		}
-		if age > c.cancelTimeoutShare(share+outageReturnRankShare*float64(c.machineRank(host))) {
+		if age > c.cancelAcks.timeoutShare(share+outageReturnRankShare*float64(c.machineRank(host))) {
 			overdue[host.name] = true
 		}
 	})
--- a/core/core.go
+++ b/core/core.go
@@ -125,6 +125,7 @@
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
 	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
 	c.auditLog = c.newAuditLog()
+	c.cancelAcks = cancelAcks{environment: c.environment, jobs: &c.jobTable, replica: &c.replica, schema: &c.schema}
 	c.cancelAcks.quorum = quorum.New(
 		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.Agents.CancelTimeout, AgentLeaseTTL: cfg.Agents.LeaseTTL},
 	)
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -72,7 +72,7 @@
 	c.respond(
 		in.RequestID,
 		wire.StatusOK,
-		wire.HeartbeatResponse{FencingToken: c.leadership.fencingToken, Commands: c.stopCommandsFor(m)},
+		wire.HeartbeatResponse{FencingToken: c.leadership.fencingToken, Commands: c.cancelAcks.stopCommandsFor(m)},
 	)
 }
 
--- a/core/peers.go
+++ b/core/peers.go
@@ -52,7 +52,7 @@
 					ReachablePeers:    c.controllers.membership.ReachableExcept(c.now, ""),
 					SnapshotPagesRead: c.snapshotPagesRead(),
 					QueueHeads:        c.priority.firstWaiting,
-					CancellationsUpTo: c.cancellationsKnownUpTo(),
+					CancellationsUpTo: c.cancelAcks.knownUpTo(),
 				},
 			},
 		},
--- a/core/requests.go
+++ b/core/requests.go
@@ -39,7 +39,7 @@
 // respond answers a request. A job's state may have to wait until it may be acknowledged.
 func (c *Core) respond(requestID uint64, status wire.Status, body any) {
 	if state, ok := body.(wire.JobState); ok {
-		c.respondOrAwaitAck(requestID, status, state)
+		c.cancelAcks.respondOrAwait(requestID, status, state)
 		return
 	}
 	response := Response{RequestID: requestID, Status: status, Body: body}
