--- a/core/core.go
+++ b/core/core.go
@@ -25,10 +25,7 @@
 	pendingSubmissions int // submissions whose write is pending
 	dependencies       dependencyGraph
 
-	// Machines, interned by index.
-	machineIndex  map[string]int32
-	machines      []*machine
-	aliveMachines []*machine // machines that are not known to be gone, or have assignments
+	machineTable
 
 	teams teamSet
 
@@ -96,7 +93,6 @@
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
 		environment:  newEnvironment(cfg, now, seed),
-		machineIndex: map[string]int32{},
 		teams:        newTeamSet(cfg.Teams),
 		reservations: reservations.New(),
 		history:      newHistory(&cfg),
@@ -115,13 +111,14 @@
 	c.commands.inFlight = map[uint64]inFlightCommands{}
 	c.commands.relayed = map[uint64]relayedCommands{}
 	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
+	c.machineTable = machineTable{environment: c.environment, machineIndex: map[string]int32{}}
 	c.jobTable = jobTable{environment: c.environment, jobIndex: map[string]int32{}}
 	c.dependencies = dependencyGraph{environment: c.environment, jobs: &c.jobTable, priority: &c.priority}
 	c.clusterCopy.environment = c.environment
 	c.placement.environment = c.environment
 	c.placement.rateLimit = &c.transactions.rateLimit
 	c.priority.environment = c.environment
-	c.deltaLog.environment = c.environment
+	c.deltaLog.environment, c.deltaLog.machines = c.environment, &c.machineTable
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
 	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
 	c.auditLog = c.newAuditLog()
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -78,6 +78,7 @@
 // deltaLog is the deltas of this controller and the others that the leader may not have counted yet.
 type deltaLog struct {
 	*environment
+	machines *machineTable
 
 	unsent        []AllocationDelta       // of this controller, for the next batch
 	uncounted     map[string][]deltaBatch // by controller
@@ -198,7 +199,7 @@
 		return
 	}
 	rows := c.rowsOfPush(push)
-	c.clusterCopy.take(push, rows, c.uncountedDeltas(push))
+	c.clusterCopy.take(push, rows, c.deltaLog.uncountedDeltas(push))
 	c.placement.capacityFreed = true
 }
 
@@ -224,11 +225,11 @@
 
 // rowsOfPush converts the rows of a push, without machines that are gone. What a row tells of a
 // machine that has not reported yet is taken.
-func (c *Core) rowsOfPush(push *StatePush) []clusterstate.Row {
+func (t *machineTable) rowsOfPush(push *StatePush) []clusterstate.Row {
 	rows := make([]clusterstate.Row, 0, len(push.Rows))
 	for i := range push.Rows {
 		pushed := &push.Rows[i]
-		m := c.internMachine(pushed.Machine)
+		m := t.internMachine(pushed.Machine)
 		if m.lifecycle.gone {
 			continue
 		}
@@ -248,23 +249,23 @@
 }
 
 // uncountedDeltas drops the batches that a push counts, and lists the remaining deltas of all controllers.
-func (c *Core) uncountedDeltas(push *StatePush) (pending []clusterstate.Delta) {
-	c.deltaLog.measureCountingDelay(push)
-	for _, controller := range sortedKeys(c.deltaLog.uncounted) {
-		c.deltaLog.dropCounted(controller, push)
-		for _, batch := range c.deltaLog.uncounted[controller] {
-			pending = c.appendDeltas(pending, batch.deltas)
+func (l *deltaLog) uncountedDeltas(push *StatePush) (pending []clusterstate.Delta) {
+	l.measureCountingDelay(push)
+	for _, controller := range sortedKeys(l.uncounted) {
+		l.dropCounted(controller, push)
+		for _, batch := range l.uncounted[controller] {
+			pending = l.machines.appendDeltas(pending, batch.deltas)
 		}
 	}
-	return c.appendDeltas(pending, c.deltaLog.unsent)
+	return l.machines.appendDeltas(pending, l.unsent)
 }
 
 // appendDeltas appends deltas to a list, with the indices of their machines in place of the names.
-func (c *Core) appendDeltas(list []clusterstate.Delta, deltas []AllocationDelta) []clusterstate.Delta {
+func (t *machineTable) appendDeltas(list []clusterstate.Delta, deltas []AllocationDelta) []clusterstate.Delta {
 	for _, delta := range deltas {
 		list = append(list, clusterstate.Delta{
 			Start:   delta.Start,
-			Machine: c.internMachine(delta.Machine).index,
+			Machine: t.internMachine(delta.Machine).index,
 			Request: delta.Request,
 		})
 	}
@@ -272,9 +273,9 @@
 }
 
 // applyPeerDeltas applies the deltas of another controller to the copy.
-func (c *Core) applyPeerDeltas(deltas []AllocationDelta) {
-	for _, delta := range c.appendDeltas(nil, deltas) {
-		c.clusterCopy.apply(delta)
+func (s *clusterCopy) applyPeerDeltas(deltas []clusterstate.Delta) {
+	for _, delta := range deltas {
+		s.apply(delta)
 	}
 }
 
--- a/core/peers.go
+++ b/core/peers.go
@@ -173,7 +173,7 @@
 		return
 	}
 	c.deltaLog.retain(from, deltaBatch{batch.Seq, 0, leaderToken, batch.Deltas})
-	c.applyPeerDeltas(batch.Deltas)
+	c.clusterCopy.applyPeerDeltas(c.appendDeltas(nil, batch.Deltas))
 	c.placement.capacityFreed = true
 }
 
--- a/core/quota_test.go
+++ b/core/quota_test.go
@@ -16,12 +16,14 @@
 		uncommitted [2]int64
 		want        int
 	}{
-		"no quota":           {team{}, [3]int64{1000, 500, 1}, [2]int64{}, math.MaxInt},
-		"cpu":                {inUse, [3]int64{2000, 0, 1}, [2]int64{}, 2},
-		"started meanwhile":  {inUse, [3]int64{2000, 0, 1}, [2]int64{4000, 0}, 0},
-		"smaller of both":    {team{Team: Team{MaxCPU: 8000, MaxGPU: 1000}}, [3]int64{1000, 500, 1}, [2]int64{}, 2},
-		"exceeded":           {team{Team: Team{MaxCPU: 1000}, usedCPU: 5000}, [3]int64{1000, 0, 1}, [2]int64{}, -4},
-		"gpu, without a use": {team{Team: Team{MaxGPU: 1000}, usedGPU: 5000}, [3]int64{1000, 0, 1}, [2]int64{}, math.MaxInt},
+		"no quota":          {team{}, [3]int64{1000, 500, 1}, [2]int64{}, math.MaxInt},
+		"cpu":               {inUse, [3]int64{2000, 0, 1}, [2]int64{}, 2},
+		"started meanwhile": {inUse, [3]int64{2000, 0, 1}, [2]int64{4000, 0}, 0},
+		"smaller of both":   {team{Team: Team{MaxCPU: 8000, MaxGPU: 1000}}, [3]int64{1000, 500, 1}, [2]int64{}, 2},
+		"exceeded":          {team{Team: Team{MaxCPU: 1000}, usedCPU: 5000}, [3]int64{1000, 0, 1}, [2]int64{}, -4},
+		"gpu, without a use": {
+			team{Team: Team{MaxGPU: 1000}, usedGPU: 5000}, [3]int64{1000, 0, 1}, [2]int64{}, math.MaxInt,
+		},
 	} {
 		if got := test.team.tasksWithinMaxQuota(test.request, test.uncommitted); got != test.want {
 			t.Errorf("%s: %d tasks, want %d", name, got, test.want)
