--- a/core/core.go
+++ b/core/core.go
@@ -21,17 +21,13 @@
 	// Stats counts what the log reports from time to time.
 	Stats Stats
 
-	// Jobs and machines, interned by index.
+	jobTable
 	pendingSubmissions int // submissions whose write is pending
-	jobIndex           map[string]int32
-	jobs               []*job
-	openJobs           []*job // jobs that may have to be written or answered
-	machineIndex       map[string]int32
-	machines           []*machine
-	aliveMachines      []*machine // machines that are not known to be gone, or have assignments
+	dependencies       dependencyGraph
 
-	teamIndex map[string]int
-	teams     []*team
+	machineTable
+
+	teams teamSet
 
 	// The key-value store.
 	replica      storeReplica
@@ -97,9 +93,7 @@
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
 		environment:  newEnvironment(cfg, now, seed),
-		machineIndex: map[string]int32{},
-		jobIndex:     map[string]int32{},
-		teamIndex:    map[string]int{},
+		teams:        newTeamSet(cfg.Teams),
 		reservations: reservations.New(),
 		history:      newHistory(&cfg),
 		permissions:  permissionState{identities: map[string]storedIdentity{}},
@@ -117,19 +111,24 @@
 	c.commands.inFlight = map[uint64]inFlightCommands{}
 	c.commands.relayed = map[uint64]relayedCommands{}
 	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
+	c.machineTable = machineTable{environment: c.environment, machineIndex: map[string]int32{}}
+	c.jobTable = jobTable{environment: c.environment, jobIndex: map[string]int32{}}
+	c.dependencies = dependencyGraph{environment: c.environment, jobs: &c.jobTable, priority: &c.priority}
+	c.clusterCopy.environment = c.environment
+	c.placement.environment = c.environment
+	c.placement.rateLimit = &c.transactions.rateLimit
+	c.priority.environment = c.environment
+	c.deltaLog.environment, c.deltaLog.machines = c.environment, &c.machineTable
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
 	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
 	c.auditLog = c.newAuditLog()
+	c.cancelAcks = cancelAcks{environment: c.environment, jobs: &c.jobTable, replica: &c.replica, schema: &c.schema}
 	c.cancelAcks.quorum = quorum.New(
 		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.Agents.CancelTimeout, AgentLeaseTTL: cfg.Agents.LeaseTTL},
 	)
 	c.clusterCopy.state.MaxAge = cfg.State.CopyExpiry
 	c.updateRateLimit()
 	c.transactions.rateLimit.FillBurst()
-	for i, quota := range cfg.Teams {
-		c.teamIndex[quota.Name] = i
-		c.teams = append(c.teams, &team{Team: quota})
-	}
 	return c
 }
 
--- a/core/peers.go
+++ b/core/peers.go
@@ -52,7 +52,7 @@
 					ReachablePeers:    c.controllers.membership.ReachableExcept(c.now, ""),
 					SnapshotPagesRead: c.snapshotPagesRead(),
 					QueueHeads:        c.priority.firstWaiting,
-					CancellationsUpTo: c.cancellationsKnownUpTo(),
+					CancellationsUpTo: c.cancelAcks.knownUpTo(),
 				},
 			},
 		},
@@ -169,11 +169,11 @@
 		c.leaderState.applyDeltas(c, from, batch)
 	}
 	leaderToken := c.leadership.leader.FencingToken
-	if batch.Seq <= c.clusterCopy.countedBatches[from] && c.clusterCopy.leaderToken == leaderToken {
+	if c.clusterCopy.hasCounted(from, batch.Seq, leaderToken) {
 		return
 	}
 	c.deltaLog.retain(from, deltaBatch{batch.Seq, 0, leaderToken, batch.Deltas})
-	c.applyPeerDeltas(batch.Deltas)
+	c.clusterCopy.applyPeerDeltas(c.appendDeltas(nil, batch.Deltas))
 	c.placement.capacityFreed = true
 }
 
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -83,7 +83,7 @@
 	submission := target.submission
 	notArchived, known := c.notArchivedCompare(target.id)
 	spec := submission.spec
-	unmet, unknown, cancelled := c.findUnmetDependencies(&spec)
+	unmet, unknown, cancelled := c.dependencies.findUnmet(&spec)
 	if !known || unknown != "" ||
 		submission.writeFailed && c.history.coldRecords > 0 && !submission.lookupDone {
 		return nil, c.lookUpArchived(target)
@@ -106,7 +106,7 @@
 	if c.isTeamLocked(&spec) && c.now < submission.receivedAt+2*lockedRetryDelay {
 		return nil, c.now + lockedRetryDelay
 	}
-	if !submission.writeFailed && !c.hasEarlierWaiting(&spec) {
+	if !submission.writeFailed && !c.priority.hasEarlierWaiting(&spec) {
 		c.assignTasks(p, builder)
 	}
 	return p, 0
@@ -164,7 +164,7 @@
 // isTeamLocked reports whether the quota of a job's team can't be charged now, as another write of
 // the team's usage is in flight.
 func (c *Core) isTeamLocked(spec *wire.JobSpec) bool {
-	t := c.teamOf(spec)
+	t := c.teams.of(spec)
 	return t != nil && t.hasMaxQuota() && t.locked
 }
 
