--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -60,7 +60,7 @@
 	limiter := &c.transactions.rateLimit
 	return c.overload.Level() == overload.Normal &&
 		c.cfg.History.Archive && c.schemaVersion() >= schemaArchive &&
-		c.isLeader() && c.holdsLease() &&
+		c.leadership.isHeld() && c.ownLease.isHeld() &&
 		c.now >= c.schema.activeSince+c.cfg.History.ArchiveStartDelay &&
 		!limiter.IsPaused(c.now) && c.pendingSubmissions == 0 && len(c.transactions.inFlight) == 0 &&
 		limiter.WriteTokens >= minSweepWriteTokens*limiter.WriteBurst(c.cfg.Store.MaxTxnOps) &&
@@ -80,7 +80,7 @@
 	sweep := c.archiving.sweep
 	switch {
 	case sweep.inFlight:
-	case !c.isLeader():
+	case !c.leadership.isHeld():
 		c.archiving.sweep = nil
 	case !c.canArchive():
 	case len(sweep.pending) > 0:
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -29,7 +29,7 @@
 // proposal. A retryAt that is not 0 is the time to look at the job again.
 func (c *Core) assignTasks(p *proposal, b *txnBuilder) (retryAt time.Duration) {
 	spec := p.record.Spec
-	if c.autoscaler.catalog == nil || !c.holdsLease() {
+	if c.autoscaler.catalog == nil || !c.ownLease.isHeld() {
 		return 0
 	}
 	if c.now < p.job.placement.backoffUntil {
--- a/core/audit.go
+++ b/core/audit.go
@@ -123,10 +123,10 @@
 		return
 	}
 	recorder := c.currentAuditLog()
-	if c.storeUnreachable() || !c.holdsLease() {
+	if c.storeUnreachable() || !c.ownLease.isHeld() {
 		recorder.RejectReadWaiters()
 	}
-	if recorder.IsBusy() || !c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) ||
+	if recorder.IsBusy() || !c.ownLease.isHeld() || c.transactions.rateLimit.IsPaused(c.now) ||
 		c.transactions.rateLimit.WriteTokens < auditBlockWriteTokens {
 		return
 	}
@@ -152,7 +152,7 @@
 // the marker.
 func (c *Core) auditRestore() {
 	marker := &c.restoreMarker
-	if marker.revision == 0 || marker.writeInFlight || !c.isLeader() {
+	if marker.revision == 0 || marker.writeInFlight || !c.leadership.isHeld() {
 		return
 	}
 	marker.writeInFlight = true
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -89,7 +89,7 @@
 // elsewhere. The next leader repeats it to have proof.
 func (c *Core) returnMachinesInOutage() {
 	state := &c.outageReturn
-	if state.inFlight || c.now < state.nextAttemptAt || c.holdsLease() || !c.isStoreOutage() {
+	if state.inFlight || c.now < state.nextAttemptAt || c.ownLease.isHeld() || !c.isStoreOutage() {
 		return
 	}
 	state.nextAttemptAt = c.now + outageReturnInterval
@@ -136,7 +136,7 @@
 // cancelled tasks too long, and silent ones. A controller without a lease must not judge silence: it
 // may be the unreachable one, and would have machines scaled in that answer the others.
 func (c *Core) requestReturns() {
-	if !c.holdsLease() {
+	if !c.ownLease.isHeld() {
 		return
 	}
 	overdue := c.enforceCancellations()
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -65,7 +65,7 @@
 // persistCatalog has the leader store the catalog if it differs from the stored one: a controller that
 // restarts while the cloud is down could not serve before it is back otherwise.
 func (c *Core) persistCatalog(catalog *wire.Catalog) {
-	if c.leaderState == nil || c.autoscaler.storeInFlight || !c.holdsLease() {
+	if c.leaderState == nil || c.autoscaler.storeInFlight || !c.ownLease.isHeld() {
 		return
 	}
 	if slices.EqualFunc(catalog.Types, c.autoscaler.storedCatalog.Types, isSameMachineType) {
--- a/core/core.go
+++ b/core/core.go
@@ -104,6 +104,8 @@
 		history:      newHistory(&cfg),
 		permissions:  permissionState{identities: map[string]storedIdentity{}},
 	}
+	c.ownLease.environment = c.environment
+	c.leadership.environment, c.leadership.lease = c.environment, &c.ownLease
 	c.replica.batchValues = map[int]*batchvalue.Slot{}
 	c.controllers.membership = membership.New(cfg.Peers, cfg.Cluster.PeerTimeout)
 	c.controllers.nodeKeys = map[string]leasedKey{}
@@ -137,7 +139,7 @@
 // catalog, and either holds its lease or all controllers have lost the store.
 func (c *Core) Healthy() bool {
 	return c.replica.loaded && !c.isNotServing() && c.autoscaler.catalog != nil &&
-		(c.holdsLease() || c.isStoreOutage())
+		(c.ownLease.isHeld() || c.isStoreOutage())
 }
 
 // Handle applies an input. Its outputs are returned by the next Advance.
@@ -250,7 +252,9 @@
 	c.stalls.advance(c.now)
 	c.transactions.rateLimit.Refill(c.now, c.cfg.Store.MaxTxnOps)
 	c.syncReplica()
-	c.maintainLease()
+	if c.mayKeepLease() {
+		c.ownLease.maintain()
+	}
 	c.runMaintenance()
 	c.broadcastHealth()
 	if c.replica.loaded {
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -274,7 +274,7 @@
 	c.Handle(time.Second, LeaseResult{Op: LeaseGrant, Status: wire.StatusOK, LeaseID: 7})
 	events := []wire.WatchEvent{{Put: keyFencingToken, Value: json.RawMessage("1"), Revision: 6}}
 	for i := range cfg.Shards {
-		events = append(events, wire.WatchEvent{Put: shardKey(i), Value: c.leasedValue(1), Revision: 6})
+		events = append(events, wire.WatchEvent{Put: shardKey(i), Value: c.ownLease.leasedValue(1), Revision: 6})
 	}
 	c.Handle(
 		time.Second,
@@ -401,7 +401,7 @@
 	c := newServingCore(t)
 	c.Handle(time.Second, WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: wire.WatchResponse{
 		Revision: 7,
-		Events:   []wire.WatchEvent{{Put: keyLeader, Value: c.leasedValue(1), Revision: 7}},
+		Events:   []wire.WatchEvent{{Put: keyLeader, Value: c.ownLease.leasedValue(1), Revision: 7}},
 	}})
 	c.Handle(time.Second, AgentHeartbeat{RequestID: 9, Heartbeat: testHeartbeat(1)})
 	return c
@@ -1103,10 +1103,10 @@
 		t.Fatal("the lease was not extended")
 	}
 	extended(8*time.Second, 14*time.Second, wire.StatusNoAnswer)
-	if n := extended(14*time.Second, 30*time.Second, wire.StatusNoAnswer); n != 0 || c.holdsLease() {
+	if n := extended(14*time.Second, 30*time.Second, wire.StatusNoAnswer); n != 0 || c.ownLease.isHeld() {
 		t.Errorf("without an answer to a read, the lease was requested %d times", n)
 	}
-	if n := extended(30*time.Second, 33*time.Second, wire.StatusOK); n == 0 || !c.holdsLease() {
+	if n := extended(30*time.Second, 33*time.Second, wire.StatusOK); n == 0 || !c.ownLease.isHeld() {
 		t.Errorf("after an answered read, the lease was requested %d times", n)
 	}
 }
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -49,7 +49,7 @@
 // probably do not answer have a smaller bound of their own.
 func (c *Core) dispatchCommands() {
 	c.expireRelayedCommands()
-	if !c.holdsLease() && !c.isStoreOutage() {
+	if !c.ownLease.isHeld() && !c.isStoreOutage() {
 		return
 	}
 	unresponsive := c.countUnresponsiveRequests()
@@ -152,7 +152,7 @@
 // cancellation of the job is pending.
 func (p *commandPlan) addStart(j *job, key attemptKey) {
 	c := p.core
-	if p.machine.lifecycle.interruptionDeadline != 0 || p.machine.lifecycle.returnRequested || !c.holdsLease() ||
+	if p.machine.lifecycle.interruptionDeadline != 0 || p.machine.lifecycle.returnRequested || !c.ownLease.isHeld() ||
 		!c.cancelAcks.quorum.IsFresh(c.now) || len(j.cancellation.waiters) != 0 {
 		return
 	}
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -38,8 +38,8 @@
 	if raw := (cancelMarker{CancelMS: 7}).encode(); string(raw) != `{"cm":7}` {
 		t.Errorf("a cancel marker is encoded as %s", raw)
 	}
-	c := &Core{environment: &environment{cfg: Config{Name: "node-a"}}, ownLease: controllerLease{id: 5}}
-	if raw := c.leasedValue(6); string(raw) != `{"n":"node-a","t":5,"b":6}` {
+	lease := controllerLease{environment: &environment{cfg: Config{Name: "node-a"}}, id: 5}
+	if raw := lease.leasedValue(6); string(raw) != `{"n":"node-a","t":5,"b":6}` {
 		t.Errorf("a leased key is encoded as %s", raw)
 	}
 }
--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -385,8 +385,8 @@
 	c := newCoreWithArchive(t)
 	c.cfg.History.MaxEndedJobs = 2
 	events := []wire.WatchEvent{
-		event(keyLeader, string(c.leasedValue(1)), 11),
-		event(keyNode+"n0", string(c.leasedValue(0)), 11),
+		event(keyLeader, string(c.ownLease.leasedValue(1)), 11),
+		event(keyNode+"n0", string(c.ownLease.leasedValue(0)), 11),
 	}
 	for _, name := range []string{"n0", "n1", "n2"} {
 		events = append(events, event(keySchemaVersion+name, fmt.Sprint(SchemaVersion), 11))
--- a/core/leader.go
+++ b/core/leader.go
@@ -75,11 +75,11 @@
 // runLeader does what is due of the leader's work; on other controllers it only keeps the catalog.
 func (c *Core) runLeader() {
 	c.fetchCatalog()
-	if !c.isLeader() {
+	if !c.leadership.isHeld() {
 		c.leaderState = nil
 		return
 	}
-	if !c.holdsLease() {
+	if !c.ownLease.isHeld() {
 		return
 	}
 	if c.leaderState == nil || c.leaderState.fencingToken != c.leadership.leader.FencingToken {
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -13,6 +13,9 @@
 // leadershipState is the leader and the fencing token, as the replica shows them, and this controller's
 // increments of the token.
 type leadershipState struct {
+	*environment
+	lease *controllerLease
+
 	fencingToken         uint64        // highest token in the store; 0: not known
 	fencingTokenRevision uint64        // modification revision of its key
 	leader               leasedKey     // the leadership's key
@@ -20,24 +23,24 @@
 	nextRaiseAt          time.Duration // no increment is sent before
 }
 
-// isLeader reports whether the leadership is bound to this controller's present lease. It does not check
-// that the lease is still in force; see holdsLease.
-func (c *Core) isLeader() bool {
-	return c.ownLease.id != 0 && c.leadership.leader.modRevision != 0 && c.leadership.leader.Node == c.cfg.Name &&
-		c.leadership.leader.LeaseID == c.ownLease.id
+// isHeld reports whether the leadership is bound to this controller's present lease. It does not check
+// that the lease is still in force; see controllerLease.isHeld.
+func (s *leadershipState) isHeld() bool {
+	return s.lease.id != 0 && s.leader.modRevision != 0 && s.leader.Node == s.cfg.Name &&
+		s.leader.LeaseID == s.lease.id
 }
 
 // canAnswerAgents reports whether this controller may answer heartbeats: its replica is loaded and it holds its
 // lease, or the store is down for all controllers.
 func (c *Core) canAnswerAgents() bool {
-	return c.replica.loaded && c.leadership.fencingToken > 0 && (c.holdsLease() || c.isStoreOutage())
+	return c.replica.loaded && c.leadership.fencingToken > 0 && (c.ownLease.isHeld() || c.isStoreOutage())
 }
 
 // raiseFencingToken increments the fencing token: once a machine has seen the new token, commands
 // that are still in flight to it with an older one cannot be executed.
 func (c *Core) raiseFencingToken() {
 	if c.leadership.raiseInFlight || c.ownership.claimInFlight || c.now < c.leadership.nextRaiseAt ||
-		!c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) {
+		!c.ownLease.isHeld() || c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
 	c.leadership.raiseInFlight = true
--- a/core/lease.go
+++ b/core/lease.go
@@ -16,6 +16,8 @@
 
 // controllerLease is this controller's own lease in the store and the request about it in flight.
 type controllerLease struct {
+	*environment
+
 	id            uint64        // 0: there is none
 	expiresAt     time.Duration // it is certainly in force until then
 	opInFlight    LeaseOp       // empty: no request is in flight
@@ -32,61 +34,65 @@
 	absentSince  time.Duration `json:"-"` // since when it has been absent, if it is
 }
 
-// holdsLease reports whether this controller's lease is certain to be in force. Without it, others may
+// isHeld reports whether this controller's lease is certain to be in force. Without it, others may
 // hold its shards and the leadership by now.
-func (c *Core) holdsLease() bool { return c.ownLease.id != 0 && c.now < c.ownLease.expiresAt }
+func (l *controllerLease) isHeld() bool { return l.id != 0 && l.now < l.expiresAt }
 
-// maintainLease extends this controller's lease in time, and requests a new one when it is lost. A controller
-// that must not act lets it expire, so that others take over.
-func (c *Core) maintainLease() {
-	if c.lacksAuditKey() || c.isWatchStalled() {
-		return
-	}
-	if c.ownLease.opInFlight != "" || c.now < c.ownLease.requestSentAt+leaseRequestInterval {
+// maintain extends this controller's lease in time, and requests a new one when it is lost.
+func (l *controllerLease) maintain() {
+	if l.opInFlight != "" || l.now < l.requestSentAt+leaseRequestInterval {
 		return
 	}
 	switch {
-	case c.ownLease.id == 0:
-		c.ownLease.opInFlight = LeaseGrant
-	case c.now >= c.ownLease.expiresAt-c.cfg.Cluster.LeaseTTL*2/3:
-		c.ownLease.opInFlight = LeaseExtend
+	case l.id == 0:
+		l.opInFlight = LeaseGrant
+	case l.now >= l.expiresAt-l.cfg.Cluster.LeaseTTL*2/3:
+		l.opInFlight = LeaseExtend
 	default:
 		return
 	}
-	c.ownLease.requestSentAt = c.now
-	c.emit(LeaseRequest{Op: c.ownLease.opInFlight, TTL: c.cfg.Cluster.LeaseTTL, LeaseID: c.ownLease.id})
+	l.requestSentAt = l.now
+	l.emit(LeaseRequest{Op: l.opInFlight, TTL: l.cfg.Cluster.LeaseTTL, LeaseID: l.id})
 }
 
+// mayKeepLease reports whether this controller may act at all. One that must not lets its lease expire, so
+// that others take over.
+func (c *Core) mayKeepLease() bool { return !c.lacksAuditKey() && !c.storeHealth.isWatchStalled(c.now) }
+
 // isWatchStalled reports whether reads of the store have stayed unanswered for too long. Such a controller can
 // write and extend its lease, but knows neither what it owns nor what others do: a new leader in that
 // state did nothing for twenty seconds, and no other controller could take over.
-func (c *Core) isWatchStalled() bool {
-	return c.storeHealth.firstLostReadAt != 0 && c.now-c.storeHealth.firstLostReadAt > watchStallTimeout
+func (h *storeHealth) isWatchStalled(now time.Duration) bool {
+	return h.firstLostReadAt != 0 && now-h.firstLostReadAt > watchStallTimeout
 }
 
-// handleLeaseResult takes the outcome of a grant or an extension. The expiry counts from when the request was
-// sent: the store counts from when it received it, which is later.
+// handleLeaseResult takes the outcome of the lease request in flight; that of an earlier one is ignored.
 func (c *Core) handleLeaseResult(in LeaseResult) {
-	if in.Op != c.ownLease.opInFlight {
-		return
+	if in.Op == c.ownLease.opInFlight {
+		c.recordStoreStatus(in.Status)
+		c.ownLease.applyResult(in)
 	}
-	c.recordStoreStatus(in.Status)
-	c.ownLease.opInFlight = ""
+}
+
+// applyResult applies the outcome of a grant or an extension. The expiry counts from when the request was
+// sent: the store counts from when it received it, which is later.
+func (l *controllerLease) applyResult(in LeaseResult) {
+	l.opInFlight = ""
 	switch {
 	case in.Status == wire.StatusOK && in.Op == LeaseGrant && in.LeaseID != 0:
-		c.ownLease.id = in.LeaseID
-		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Cluster.LeaseTTL
+		l.id = in.LeaseID
+		l.expiresAt = l.requestSentAt + l.cfg.Cluster.LeaseTTL
 	case in.Status == wire.StatusOK && in.Op == LeaseExtend:
-		c.ownLease.expiresAt = c.ownLease.requestSentAt + c.cfg.Cluster.LeaseTTL
+		l.expiresAt = l.requestSentAt + l.cfg.Cluster.LeaseTTL
 	case in.Status == wire.StatusNotFound && in.Op == LeaseExtend:
-		c.log(LevelInfo, "lease lost", "lease", c.ownLease.id)
-		c.ownLease.id = 0
+		l.log(LevelInfo, "lease lost", "lease", l.id)
+		l.id = 0
 	}
 }
 
 // leasedValue encodes the value of a key that is bound to this controller's lease.
-func (c *Core) leasedValue(token uint64) json.RawMessage {
-	raw, err := json.Marshal(leasedKey{Node: c.cfg.Name, LeaseID: c.ownLease.id, FencingToken: token})
+func (l *controllerLease) leasedValue(token uint64) json.RawMessage {
+	raw, err := json.Marshal(leasedKey{Node: l.cfg.Name, LeaseID: l.id, FencingToken: token})
 	if err != nil {
 		panic(err) // cannot fail: a struct of strings and numbers
 	}
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -83,7 +83,7 @@
 }
 
 // ownsShard reports whether this controller holds a shard by its present lease. It does not check
-// that the lease is still in force; see holdsLease.
+// that the lease is still in force; see controllerLease.isHeld.
 func (c *Core) ownsShard(n int) bool {
 	if n < 0 || n >= len(c.ownership.shards) || c.ownLease.id == 0 {
 		return false
@@ -142,7 +142,7 @@
 // acquireOwnership claims absent shards and the leadership, and releases surplus shards. All claims of
 // one run are one transaction, which also raises the fencing token.
 func (c *Core) acquireOwnership() {
-	if c.auditNotReady() || !c.holdsLease() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
+	if c.auditNotReady() || !c.ownLease.isHeld() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
 		c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
@@ -216,7 +216,7 @@
 func (t *ownershipAttempt) addLeasedPut(key string, revision, token uint64) {
 	c := t.core
 	t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: key, Revision: revision})
-	t.txn.Then = append(t.txn.Then, wire.Write{Put: key, Value: c.leasedValue(token), LeaseID: c.ownLease.id})
+	t.txn.Then = append(t.txn.Then, wire.Write{Put: key, Value: c.ownLease.leasedValue(token), LeaseID: c.ownLease.id})
 }
 
 // hasSpace reports whether another claim fits the operations of one transaction.
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -358,7 +358,7 @@
 		c.cfg.Audit.Key != nil && !c.isAuditing() {
 		return false
 	}
-	if !c.isLeader() || !c.holdsLease() || c.schemaVersion() < schemaPermissions {
+	if !c.leadership.isHeld() || !c.ownLease.isHeld() || c.schemaVersion() < schemaPermissions {
 		return false
 	}
 	return !c.permissions.seeding && c.now >= c.permissions.nextSeedAt &&
@@ -412,7 +412,7 @@
 // handleUpdatePermissions changes an identity's permissions for a permitted caller, after a barrier.
 func (c *Core) handleUpdatePermissions(in UpdatePermissions) {
 	switch {
-	case !c.replica.loaded || c.storeUnreachable() || !c.holdsLease():
+	case !c.replica.loaded || c.storeUnreachable() || !c.ownLease.isHeld():
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 	case !c.permissionsInForce():
 		c.respondUnavailable(in.RequestID, reasonNoPermissions)
--- a/core/permissions_test.go
+++ b/core/permissions_test.go
@@ -128,7 +128,7 @@
 		c,
 		1200*time.Millisecond,
 		11,
-		event(keyLeader, string(c.leasedValue(1)), 11),
+		event(keyLeader, string(c.ownLease.leasedValue(1)), 11),
 		event(keySchemaVersion+"n1", fmt.Sprint(schemaPermissions-1), 11),
 		event(keySchemaVersion+"n2", fmt.Sprint(SchemaVersion), 11),
 		event(keySchemaVersion+"n0", fmt.Sprint(SchemaVersion), 11),
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -187,7 +187,7 @@
 		c.schemaVersion() < schemaPriorityClasses || c.auditNotReady() {
 		return false
 	}
-	return c.isLeader() && c.holdsLease() && c.now >= c.priority.nextSeedAt &&
+	return c.leadership.isHeld() && c.ownLease.isHeld() && c.now >= c.priority.nextSeedAt &&
 		!c.transactions.rateLimit.IsPaused(c.now) && c.transactions.rateLimit.WriteTokens >= 1
 }
 
--- a/core/replica.go
+++ b/core/replica.go
@@ -87,7 +87,7 @@
 // isStoreOutage reports whether the store seems down for all controllers: a majority of them is
 // reachable and none of these reaches the store.
 func (c *Core) isStoreOutage() bool {
-	if c.holdsLease() || c.isStoreReachable() {
+	if c.ownLease.isHeld() || c.isStoreReachable() {
 		return false
 	}
 	return c.controllers.membership.IsStoreOutage(c.now)
--- a/core/requests.go
+++ b/core/requests.go
@@ -201,7 +201,7 @@
 	switch {
 	case rejection != nil && rejection.isTemporary():
 		c.respondUnavailable(in.RequestID, rejection.reason)
-	case c.storeUnreachable() || !c.holdsLease():
+	case c.storeUnreachable() || !c.ownLease.isHeld():
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 	case rejection != nil:
 		c.rejectAfterReadBarrier(in)
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -181,7 +181,7 @@
 		c.commitReservations()
 		return
 	}
-	if c.isLeader() &&
+	if c.leadership.isHeld() &&
 		rateLimit.WriteTokens >= reservationCompactionBudget*rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
 		!rateLimit.IsPaused(c.now) {
 		c.compactReservations()
@@ -221,7 +221,7 @@
 // seedEquipment stores the configured equipment list if there is none.
 func (c *Core) seedEquipment() {
 	if c.cfg.Reservations.Equipment == nil || c.reservations.InventoryRevision() != 0 ||
-		!c.isLeader() || !c.holdsLease() ||
+		!c.leadership.isHeld() || !c.ownLease.isHeld() ||
 		c.now < c.reservationState.nextSeedAt ||
 		c.transactions.rateLimit.IsPaused(c.now) ||
 		c.transactions.rateLimit.WriteTokens < 1 {
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -58,7 +58,7 @@
 	c.transactions.nextBlockedScanAt = c.now + blockedScanInterval
 	due := c.collectDueJobs()
 	c.transactions.backlog = len(due)
-	if len(due) == 0 || !c.holdsLease() || !c.mayWriteNow(due, inFlight) {
+	if len(due) == 0 || !c.ownLease.isHeld() || !c.mayWriteNow(due, inFlight) {
 		return
 	}
 	c.updateEndBatchDelay()
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -95,7 +95,7 @@
 	if c.schema.declared[c.cfg.Name] >= c.cfg.SchemaVersion || c.schema.declarationInFlight ||
 		c.now < c.schema.nextDeclarationAt ||
 		c.transactions.rateLimit.IsPaused(c.now) ||
-		!c.holdsLease() {
+		!c.ownLease.isHeld() {
 		return
 	}
 	c.schema.declarationInFlight = true
