--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -76,7 +76,7 @@
 		record.Stage != jobrecord.Queued || record.Spec == nil
 	needsOwnKey := next.wantsOwnKey || len(next.compares) > 0 || len(record.PendingAudit) > 0 ||
 		target.cancellation.markerRevision != 0 || target.stored.bytes > c.cfg.Store.MaxValueBytes*3/4
-	return !isNewOrFinal && !needsOwnKey && c.canShareValues() && c.ownsJob(target)
+	return !isNewOrFinal && !needsOwnKey && c.canShareValues() && c.ownership.ownsJob(target)
 }
 
 // encodeSlotEntry encodes what changes of a proposal's job; nil if that can't be shared.
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -61,7 +61,7 @@
 func (c *Core) enforceCancellations() (overdue []string) {
 	maxAge := c.cancelTimeoutShare(c.cfg.Agents.CancelScaleInShare)
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
-		if !c.ownsJob(j) {
+		if !c.ownership.ownsJob(j) {
 			return
 		}
 		attempt := host.commands.attempts[attemptKey{j.index, assignment.Task, assignment.Attempt}]
@@ -163,7 +163,7 @@
 // runsOwnTasks reports whether a machine has tasks of jobs that this controller owns.
 func (c *Core) runsOwnTasks(m *machine) bool {
 	for key := range m.allocation.assignments {
-		if c.ownsJob(c.jobs[key.jobIndex]) {
+		if c.ownership.ownsJob(c.jobs[key.jobIndex]) {
 			return true
 		}
 	}
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -95,7 +95,7 @@
 // as the machine reports the end; the write of the end may follow later.
 func (c *Core) releaseOnce(j *job, a jobrecord.Assignment) {
 	attempt := c.attemptOf(c.machines[a.Machine], attemptKey{j.index, a.Task, a.Attempt})
-	if !attempt.resourcesReleased && c.ownsJob(j) && j.record != nil && j.record.Spec != nil {
+	if !attempt.resourcesReleased && c.ownership.ownsJob(j) && j.record != nil && j.record.Spec != nil {
 		attempt.resourcesReleased = true
 		c.recordDelta(false, j, a, j.record.Spec.Request)
 	}
@@ -153,7 +153,7 @@
 	for _, victim := range preempted {
 		m, j := c.internMachine(victim.Machine), c.internJob(victim.Job)
 		assignment, ok := m.allocation.assignments[taskKey{j.index, victim.Task}]
-		if !ok || assignment.Attempt != victim.Attempt || !c.ownsJob(j) || j.isFinal() {
+		if !ok || assignment.Attempt != victim.Attempt || !c.ownership.ownsJob(j) || j.isFinal() {
 			continue
 		}
 		key := attemptKey{j.index, victim.Task, victim.Attempt}
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -176,7 +176,7 @@
 	c, m := p.core, p.machine
 	for task, assignment := range m.allocation.assignments {
 		j := c.jobs[task.jobIndex]
-		if assignment.Incarnation != m.status.incarnation || !c.ownsJob(j) {
+		if assignment.Incarnation != m.status.incarnation || !c.ownership.ownsJob(j) {
 			continue
 		}
 		key := attemptKey{task.jobIndex, task.task, assignment.Attempt}
@@ -206,7 +206,7 @@
 	c, m := p.core, p.machine
 	for key, status := range m.status.tasks {
 		j := c.jobs[key.jobIndex]
-		if _, assigned := m.currentAssignment(key); assigned || !c.ownsJob(j) {
+		if _, assigned := m.currentAssignment(key); assigned || !c.ownership.ownsJob(j) {
 			continue
 		}
 		p.unsettled = true
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -32,7 +32,7 @@
 	for _, assignment := range m.sortedAssignments() {
 		j := c.jobs[assignment.jobIndex]
 		spec := j.record.Spec
-		if spec == nil || !c.ownsJob(j) || j.isFinal() {
+		if spec == nil || !c.ownership.ownsJob(j) || j.isFinal() {
 			continue
 		}
 		key := attemptKey{assignment.jobIndex, assignment.Task, assignment.Attempt}
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -37,6 +37,9 @@
 // shardOwnership is the state of shard ownership: the controller that holds each shard, and this
 // controller's claims and handovers of shards.
 type shardOwnership struct {
+	*environment
+	lease *controllerLease
+
 	shards         []leasedKey
 	claimInFlight  bool          // an ownership transaction is in flight; there is one at a time
 	nextClaimAt    time.Duration // no ownership transaction is sent before
@@ -75,31 +78,31 @@
 }
 
 // shardOf returns the shard of a job: that of its record, or for a job without one, that of its id.
-func (c *Core) shardOf(j *job) int {
+func (o *shardOwnership) shardOf(j *job) int {
 	if j.record != nil {
 		return j.record.Shard
 	}
-	return c.ownership.shardOfID(j.id)
+	return o.shardOfID(j.id)
 }
 
 // ownsShard reports whether this controller holds a shard by its present lease. It does not check
 // that the lease is still in force; see controllerLease.isHeld.
-func (c *Core) ownsShard(n int) bool {
-	if n < 0 || n >= len(c.ownership.shards) || c.ownLease.id == 0 {
+func (o *shardOwnership) ownsShard(n int) bool {
+	if n < 0 || n >= len(o.shards) || o.lease.id == 0 {
 		return false
 	}
-	shard := &c.ownership.shards[n]
-	return shard.LeaseID == c.ownLease.id && shard.modRevision != 0 && shard.Node == c.cfg.Name
+	shard := &o.shards[n]
+	return shard.LeaseID == o.lease.id && shard.modRevision != 0 && shard.Node == o.cfg.Name
 }
 
 // ownsJob reports whether this controller holds the shard of a job.
-func (c *Core) ownsJob(j *job) bool { return c.ownsShard(c.shardOf(j)) }
+func (o *shardOwnership) ownsJob(j *job) bool { return o.ownsShard(o.shardOf(j)) }
 
 // liveControllers lists the controllers with a lease, this one included, in name order.
-func (c *Core) liveControllers() []string {
-	names := []string{c.cfg.Name}
-	for name := range c.controllers.nodeKeys {
-		if name != c.cfg.Name {
+func (s *controllerSet) liveControllers() []string {
+	names := []string{s.cfg.Name}
+	for name := range s.nodeKeys {
+		if name != s.cfg.Name {
 			names = append(names, name)
 		}
 	}
@@ -108,17 +111,17 @@
 }
 
 // isControllerLive reports whether a controller holds a lease, as far as this replica shows.
-func (c *Core) isControllerLive(name string) bool {
-	_, ok := c.controllers.nodeKeys[name]
+func (s *controllerSet) isControllerLive(name string) bool {
+	_, ok := s.nodeKeys[name]
 	return ok
 }
 
 // rendezvousRank returns the rank of this controller for a key among the live controllers, by
 // rendezvous hashing: 0 is the preferred one.
-func (c *Core) rendezvousRank(key string, live []string) int {
-	own, rank := rendezvousWeight(c.cfg.Name, key), 0
+func (s *controllerSet) rendezvousRank(key string, live []string) int {
+	own, rank := rendezvousWeight(s.cfg.Name, key), 0
 	for _, name := range live {
-		if name != c.cfg.Name && rendezvousWeight(name, key) > own {
+		if name != s.cfg.Name && rendezvousWeight(name, key) > own {
 			rank++
 		}
 	}
@@ -180,7 +183,7 @@
 // newOwnershipAttempt takes stock of the live controllers and of the shards that each holds.
 func (c *Core) newOwnershipAttempt() ownershipAttempt {
 	_, registered := c.controllers.nodeKeys[c.cfg.Name]
-	live := c.liveControllers()
+	live := c.controllers.liveControllers()
 	shardCount := len(c.ownership.shards)
 	counts := c.ownership.countByNode()
 	run := ownershipAttempt{
@@ -228,7 +231,7 @@
 // chooseShards chooses the shards to claim.
 func (t *ownershipAttempt) chooseShards() {
 	for i := range t.core.ownership.shards {
-		if !t.core.ownsShard(i) && t.hasSpace() && t.mayClaimShard(i) {
+		if !t.core.ownership.ownsShard(i) && t.hasSpace() && t.mayClaimShard(i) {
 			t.shards = append(t.shards, i)
 		}
 	}
@@ -258,7 +261,7 @@
 
 // rankDelay is how long this controller leaves an absent key to the controllers of better rank.
 func (t *ownershipAttempt) rankDelay(key string) time.Duration {
-	return time.Duration(t.core.rendezvousRank(key, t.live)) * claimDelayPerRank
+	return time.Duration(t.core.controllers.rendezvousRank(key, t.live)) * claimDelayPerRank
 }
 
 // chooseLeadership decides whether to claim the leadership: if it has been absent for long enough, or if an
@@ -315,7 +318,7 @@
 		return
 	}
 	c.ownership.nextHandoverAt = c.now + handoverInterval
-	if n := c.surplusShard(); n >= 0 {
+	if n := t.surplusShard(); n >= 0 {
 		t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: shardKey(n), Revision: c.ownership.shards[n].modRevision})
 		t.txn.Then = append(t.txn.Then, wire.Write{Delete: shardKey(n)})
 	}
@@ -354,23 +357,23 @@
 
 // surplusShard returns the shard to release: of those held, the one for which this controller has the worst
 // rank. A shard with a write in flight is not released, as the write depends on it. -1: there is none.
-func (c *Core) surplusShard() int {
-	live := c.liveControllers()
+func (t *ownershipAttempt) surplusShard() int {
+	c := t.core
 	worst, worstRank := -1, -1
 	for n := range c.ownership.shards {
-		if !c.ownsShard(n) || c.hasUnsettledWrite(n) {
+		if !c.ownership.ownsShard(n) || hasUnsettledWrite(c.openJobs, n) {
 			continue
 		}
-		if rank := c.rendezvousRank(shardKey(n), live); rank > worstRank {
+		if rank := c.controllers.rendezvousRank(shardKey(n), t.live); rank > worstRank {
 			worst, worstRank = n, rank
 		}
 	}
 	return worst
 }
 
-// hasUnsettledWrite reports whether the outcome of a write to a job of a shard is open.
-func (c *Core) hasUnsettledWrite(shard int) bool {
-	for _, j := range c.openJobs {
+// hasUnsettledWrite reports whether the outcome of a write to one of the jobs of a shard is open.
+func hasUnsettledWrite(jobs []*job, shard int) bool {
+	for _, j := range jobs {
 		if j.record != nil && j.record.Shard == shard && (j.write.inFlight || j.write.outcomeUnknown) {
 			return true
 		}
@@ -398,15 +401,15 @@
 // pickShard draws the shard of a new job: one of this controller's if it holds any. Else it is another
 // controller's, whose holder sees the job by its watch and places its tasks: when submissions were refused
 // instead, a controller that had just started or was one too many for the shards turned users away.
-func (c *Core) pickShard() int {
+func (o *shardOwnership) pickShard() int {
 	var owned []int
-	for n := range c.ownership.shards {
-		if c.ownsShard(n) {
+	for n := range o.shards {
+		if o.ownsShard(n) {
 			owned = append(owned, n)
 		}
 	}
 	if len(owned) == 0 {
-		return c.rng.IntN(len(c.ownership.shards))
+		return o.rng.IntN(len(o.shards))
 	}
-	return owned[c.rng.IntN(len(owned))]
+	return owned[o.rng.IntN(len(owned))]
 }
--- a/core/peers.go
+++ b/core/peers.go
@@ -11,6 +11,8 @@
 // controllerSet is the other controllers: their registrations in the store, their reachability, and when
 // they are next sent this controller's health.
 type controllerSet struct {
+	*environment
+
 	membership   *membership.Members
 	nodeKeys     map[string]leasedKey // registrations of the live controllers, by name
 	nodesVersion uint64               // grows with each change of nodeKeys
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -98,7 +98,7 @@
 		return p, 0
 	}
 	spec.Dependencies = unmet // those that are done need not be stored
-	if len(unmet) > 0 || !c.ownsShard(p.record.Shard) {
+	if len(unmet) > 0 || !c.ownership.ownsShard(p.record.Shard) {
 		return p, 0
 	}
 	// The first tasks are placed with the acceptance if that does not delay the user: a team's key
@@ -115,7 +115,7 @@
 // newAcceptance is the proposal that accepts a submission as queued, without tasks.
 func (c *Core) newAcceptance(target *job, spec *wire.JobSpec, notArchived wire.Compare) *proposal {
 	submission := target.submission
-	shard := c.pickShard()
+	shard := c.ownership.pickShard()
 	priorityClass := ""
 	if c.priority.revision != 0 && c.schemaVersion() >= schemaPriorityClasses {
 		priorityClass = c.priority.classes.Name(c.priority.classes.Classify(spec))
@@ -184,7 +184,7 @@
 	update := c.newRecordUpdate(target, builder)
 	update.cancelForUsers()
 	update.cancelWithDependency()
-	if !c.ownsJob(target) {
+	if !c.ownership.ownsJob(target) {
 		return update.cancellationOnly(), 0
 	}
 	update.moveToOwnKey()
@@ -491,8 +491,8 @@
 // one of this controller was answered, or is fenced off by a higher fencing token that the machine
 // has accepted, and so are those of former owners of the shard.
 func (c *Core) noStartPending(host *machine, target *job, key attemptKey) bool {
-	shard := c.shardOf(target)
-	if !c.ownsShard(shard) || host.status.fencingToken < c.ownership.shards[shard].FencingToken {
+	shard := c.ownership.shardOf(target)
+	if !c.ownership.ownsShard(shard) || host.status.fencingToken < c.ownership.shards[shard].FencingToken {
 		return false
 	}
 	attempt := host.commands.attempts[key]
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -90,7 +90,7 @@
 	placement.unplaceable = placement.unplaceable[:0]
 	placement.nextScanAt = c.now + c.placementScanInterval()
 	for _, waiting := range c.openJobs {
-		if waiting.placement.hasUnplacedTasks && c.ownsJob(waiting) {
+		if waiting.placement.hasUnplacedTasks && c.ownership.ownsJob(waiting) {
 			c.markDirty(waiting)
 		}
 	}
@@ -147,7 +147,7 @@
 	if j.revision == 0 {
 		return j.submission != nil
 	}
-	return len(j.cancellation.waiters) > 0 || c.ownsJob(j)
+	return len(j.cancellation.waiters) > 0 || c.ownership.ownsJob(j)
 }
 
 // waitsForPlacementScan reports whether a job is evaluated only with the next scan of all waiting
@@ -200,7 +200,7 @@
 func (c *Core) updateEndBatchDelay() {
 	running := 0
 	for _, j := range c.openJobs {
-		if len(j.assignments) > 0 && j.record.Spec != nil && !j.record.Spec.Service && c.ownsJob(j) {
+		if len(j.assignments) > 0 && j.record.Spec != nil && !j.record.Spec.Service && c.ownership.ownsJob(j) {
 			running++
 		}
 	}
@@ -243,7 +243,7 @@
 func (c *Core) addWaitingEnds(builder *txnBuilder) {
 	for _, j := range c.openJobs {
 		if !j.write.waitsForEnds || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
-			builder.slotDrafts[c.slotNumber(j.id, j.record)] == nil || !c.ownsJob(j) {
+			builder.slotDrafts[c.slotNumber(j.id, j.record)] == nil || !c.ownership.ownsJob(j) {
 			continue
 		}
 		if !builder.addJob(j) {
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -74,7 +74,7 @@
 func (c *Core) firstWaitingBelow(class int) (first *job) {
 	for _, candidate := range c.openJobs {
 		if !candidate.placement.hasUnplacedTasks || candidate.write.inFlight || candidate.write.outcomeUnknown ||
-			!c.ownsJob(candidate) || candidate.record.Spec == nil ||
+			!c.ownership.ownsJob(candidate) || candidate.record.Spec == nil ||
 			c.ownPriorityClass(candidate.record) <= class ||
 			c.now < candidate.placement.backoffUntil ||
 			!c.teamOf(candidate.record.Spec).fitsMaxQuota(candidate.record.Spec.Request) {
@@ -91,7 +91,7 @@
 // isPrecededElsewhere reports whether another controller has work below a class that comes before a job.
 func (c *Core) isPrecededElsewhere(j *job, class int) bool {
 	position := membership.QueuePosition{Priority: c.agedPriorityClass(j), EnqueuedAtMS: j.effectiveEnqueueMS()}
-	return c.controllers.membership.HasEarlierWork(c.now, c.isControllerLive, position, class)
+	return c.controllers.membership.HasEarlierWork(c.now, c.controllers.isControllerLive, position, class)
 }
 
 // boost has a job evaluated now, before all other placements.
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -215,7 +215,7 @@
 	}
 	b.addCompare(wire.Compare{Key: slotKey(slot), Revision: b.core.slotState(slot).Revision})
 	switch {
-	case !b.core.ownsJob(next.job):
+	case !b.core.ownership.ownsJob(next.job):
 		// The shard's owner may be about to write the slot, and that write must fail if it does not know of this one.
 		b.removeSlotEntry(slot, next.job.id)
 	case b.slotDrafts[slot] == nil:
@@ -256,7 +256,7 @@
 // proposal's job. Acceptances and cancellations may also be written without ownership.
 func (b *txnBuilder) requireShard(next *proposal) {
 	shard := next.record.Shard
-	if (next.isCancellation || next.isAcceptance) && !b.core.ownsShard(shard) || b.comparedShards[shard] {
+	if (next.isCancellation || next.isAcceptance) && !b.core.ownership.ownsShard(shard) || b.comparedShards[shard] {
 		return
 	}
 	if b.comparedShards == nil {
--- a/core/yield.go
+++ b/core/yield.go
@@ -50,7 +50,7 @@
 	for i := range positions {
 		positions[i].before, positions[i].alike = c.controllers.membership.CountCompetitors(
 			c.now,
-			c.isControllerLive,
+			c.controllers.isControllerLive,
 			membership.QueuePosition{Priority: priorityClass, EnqueuedAtMS: enqueuedAtMS},
 			i == 1,
 		)
@@ -65,7 +65,7 @@
 	// The version is stored plus 1: 0 is that of a machine whose rank was never computed.
 	if version := c.controllers.nodesVersion + 1; m.ranking.nodesVersion != version {
 		m.ranking.nodesVersion = version
-		m.ranking.rank = c.rendezvousRank(m.name, c.liveControllers())
+		m.ranking.rank = c.controllers.rendezvousRank(m.name, c.controllers.liveControllers())
 	}
 	return m.ranking.rank
 }
@@ -119,7 +119,7 @@
 // isYieldedTo reports whether other controllers yield capacity to one of this controller's jobs: it
 // could use capacity on any machine, and has waited long enough.
 func (c *Core) isYieldedTo(j *job) bool {
-	if !j.placement.hasUnplacedTasks || j.write.inFlight || !c.ownsJob(j) || j.record.Spec == nil {
+	if !j.placement.hasUnplacedTasks || j.write.inFlight || !c.ownership.ownsJob(j) || j.record.Spec == nil {
 		return false
 	}
 	spec := j.record.Spec
