--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -99,7 +99,7 @@
 	if c.cancelAcks.quorum.IsQueryDue(c.now) {
 		query := &QuorumRead{Nonce: c.rng.Uint64() | 1, SinceRevision: c.cancellationsKnownUpTo()}
 		c.cancelAcks.quorum.BeginQuery(c.now, query.Nonce)
-		c.sendToPeers("", Message{QuorumRead: query})
+		c.controllers.sendToPeers("", Message{QuorumRead: query})
 	}
 	var unacknowledged []*job // to be sent to the other controllers
 	c.cancelAcks.pending = slices.DeleteFunc(c.cancelAcks.pending, func(ack pendingAck) bool {
@@ -121,7 +121,7 @@
 		return false
 	})
 	if len(unacknowledged) > 0 {
-		c.sendToPeers("", Message{Cancellations: c.cancellationItems(unacknowledged)})
+		c.controllers.sendToPeers("", Message{Cancellations: c.cancellationItems(unacknowledged)})
 	}
 }
 
@@ -198,7 +198,7 @@
 	}
 	held := c.applyPeerCancellations(message.Cancellations)
 	if len(held) > 0 && message.QuorumReply == nil {
-		c.sendToPeers(peer, Message{CancelAcks: held})
+		c.controllers.sendToPeers(peer, Message{CancelAcks: held})
 	}
 	for _, id := range message.CancelAcks {
 		if j := c.knownJob(id); j != nil {
@@ -233,7 +233,7 @@
 			lacking = append(lacking, j)
 		}
 	}
-	c.sendToPeers(
+	c.controllers.sendToPeers(
 		peer,
 		Message{
 			QuorumReply:   &QuorumReply{read.Nonce, c.cancellationsKnownUpTo()},
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -156,7 +156,7 @@
 	if c.leaderState != nil {
 		c.leaderState.handleReturnRequest(c, overdue, silent)
 	} else if c.leadership.leader.modRevision != 0 {
-		c.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: overdue, SilentMachines: silent})
+		c.controllers.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: overdue, SilentMachines: silent})
 	}
 }
 
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -120,7 +120,7 @@
 	if c.leaderState != nil {
 		c.leaderState.applyDeltas(c, c.cfg.Name, batch)
 	}
-	c.sendToPeers("", Message{AllocationDeltas: batch})
+	c.controllers.sendToPeers("", Message{AllocationDeltas: batch})
 }
 
 // applyPush takes the leader's array, or the rows of it that changed, and applies the deltas to them
@@ -167,7 +167,7 @@
 		return
 	}
 	c.clusterCopy.nextResendAt = c.now + pushResendInterval
-	c.sendToPeers(c.leadership.leader.Node, Message{ResendStatePush: true})
+	c.controllers.sendToPeers(c.leadership.leader.Node, Message{ResendStatePush: true})
 }
 
 // rowsOfPush converts the rows of a push, without machines that are gone. What a row tells of a
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -379,7 +379,7 @@
 		c.applyHeartbeat(in.Heartbeat, true)
 	}
 	in.ID = relayed.requestID
-	c.sendToPeers(relayed.peer, Message{CommandsResult: &in})
+	c.controllers.sendToPeers(relayed.peer, Message{CommandsResult: &in})
 }
 
 // settleStarts records the outcome of the starts in the request that was in flight. Those of an unanswered one may be
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -326,11 +326,11 @@
 		digests, c.agents.digestsToRelay = c.agents.digestsToRelay, nil
 	}
 	if len(c.agents.heartbeatsToRelay)+len(digests) > 0 {
-		c.sendToPeers("", Message{Heartbeats: c.agents.heartbeatsToRelay, HeartbeatDigests: digests})
+		c.controllers.sendToPeers("", Message{Heartbeats: c.agents.heartbeatsToRelay, HeartbeatDigests: digests})
 		c.agents.heartbeatsToRelay = nil
 	}
 	for _, peer := range sortedKeys(c.agents.missingHeartbeats) {
-		c.sendToPeers(peer, Message{WantedHeartbeats: c.agents.missingHeartbeats[peer]})
+		c.controllers.sendToPeers(peer, Message{WantedHeartbeats: c.agents.missingHeartbeats[peer]})
 		delete(c.agents.missingHeartbeats, peer)
 	}
 }
@@ -348,7 +348,7 @@
 		}
 	}
 	if len(heartbeats) > 0 {
-		c.sendToPeers(peer, Message{Heartbeats: heartbeats})
+		c.controllers.sendToPeers(peer, Message{Heartbeats: heartbeats})
 	}
 }
 
--- a/core/leader.go
+++ b/core/leader.go
@@ -270,7 +270,7 @@
 	push.Rows = c.machineCapacities(rows)
 	push.Preempted, l.pendingPreemptions = l.pendingPreemptions, nil
 	push.CapacityHold = l.capacityHold
-	c.sendToPeers("", Message{StatePush: push})
+	c.controllers.sendToPeers("", Message{StatePush: push})
 	c.applyPush(push)
 }
 
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"fmt"
 	"hash/fnv"
-	"slices"
 	"strings"
 	"time"
 )
@@ -98,50 +97,6 @@
 // ownsJob reports whether this controller holds the shard of a job.
 func (o *shardOwnership) ownsJob(j *job) bool { return o.ownsShard(o.shardOf(j)) }
 
-// liveControllers lists the controllers with a lease, this one included, in name order.
-func (s *controllerSet) liveControllers() []string {
-	names := []string{s.cfg.Name}
-	for name := range s.nodeKeys {
-		if name != s.cfg.Name {
-			names = append(names, name)
-		}
-	}
-	slices.Sort(names)
-	return names
-}
-
-// isControllerLive reports whether a controller holds a lease, as far as this replica shows.
-func (s *controllerSet) isControllerLive(name string) bool {
-	_, ok := s.nodeKeys[name]
-	return ok
-}
-
-// rendezvousRank returns the rank of this controller for a key among the live controllers, by
-// rendezvous hashing: 0 is the preferred one.
-func (s *controllerSet) rendezvousRank(key string, live []string) int {
-	own, rank := rendezvousWeight(s.cfg.Name, key), 0
-	for _, name := range live {
-		if name != s.cfg.Name && rendezvousWeight(name, key) > own {
-			rank++
-		}
-	}
-	return rank
-}
-
-// rendezvousWeight hashes a controller with a key. FNV alone leaves close inputs close together, so its
-// sum is mixed by a multiply and two shifts.
-func rendezvousWeight(name, key string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	h.Write([]byte{0})
-	h.Write([]byte(key))
-	sum := h.Sum64()
-	sum ^= sum >> 33
-	sum *= 0xff51afd7ed558ccd
-	sum ^= sum >> 33
-	return sum
-}
-
 // acquireOwnership claims absent shards and the leadership, and releases surplus shards. All claims of
 // one run are one transaction, which also raises the fencing token.
 func (c *Core) acquireOwnership() {
@@ -183,7 +138,7 @@
 // newOwnershipAttempt takes stock of the live controllers and of the shards that each holds.
 func (c *Core) newOwnershipAttempt() ownershipAttempt {
 	_, registered := c.controllers.nodeKeys[c.cfg.Name]
-	live := c.controllers.liveControllers()
+	live := c.controllers.liveNames()
 	shardCount := len(c.ownership.shards)
 	counts := c.ownership.countByNode()
 	run := ownershipAttempt{
--- a/core/peers.go
+++ b/core/peers.go
@@ -2,6 +2,8 @@
 
 import (
 	"dewlift/core/membership"
+	"hash/fnv"
+	"slices"
 	"time"
 )
 
@@ -19,21 +21,65 @@
 	nextHealthAt time.Duration
 }
 
-// sendToPeers sends a message to a peer, or to all if the name is empty. One that is out of reach gets it relayed: two
-// zones may be cut off from each other while a third reaches both, and without the other's heartbeats a
+// liveNames lists the controllers with a lease, this one included, in name order.
+func (s *controllerSet) liveNames() []string {
+	names := []string{s.cfg.Name}
+	for name := range s.nodeKeys {
+		if name != s.cfg.Name {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// isLive reports whether a controller holds a lease, as far as this replica shows.
+func (s *controllerSet) isLive(name string) bool {
+	_, ok := s.nodeKeys[name]
+	return ok
+}
+
+// rendezvousRank returns the rank of this controller for a key among the live controllers, by
+// rendezvous hashing: 0 is the preferred one.
+func (s *controllerSet) rendezvousRank(key string, live []string) int {
+	own, rank := rendezvousWeight(s.cfg.Name, key), 0
+	for _, name := range live {
+		if name != s.cfg.Name && rendezvousWeight(name, key) > own {
+			rank++
+		}
+	}
+	return rank
+}
+
+// rendezvousWeight hashes a controller with a key. FNV alone leaves close inputs close together, so its
+// sum is mixed by a multiply and two shifts.
+func rendezvousWeight(name, key string) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(name))
+	h.Write([]byte{0})
+	h.Write([]byte(key))
+	sum := h.Sum64()
+	sum ^= sum >> 33
+	sum *= 0xff51afd7ed558ccd
+	sum ^= sum >> 33
+	return sum
+}
+
+// sendToPeers sends a message to a peer, or to all if the name is empty. One that is out of reach gets it relayed:
+// two zones may be cut off from each other while a third reaches both, and without the other's heartbeats a
 // leader takes live machines for silent.
-func (c *Core) sendToPeers(peer string, m Message) {
-	for _, to := range c.cfg.Peers {
+func (s *controllerSet) sendToPeers(peer string, m Message) {
+	for _, to := range s.cfg.Peers {
 		if peer != "" && peer != to {
 			continue
 		}
-		if relay := c.controllers.membership.RelayFor(c.now, to); relay != "" {
+		if relay := s.membership.RelayFor(s.now, to); relay != "" {
 			relayed := m
-			relayed.RelayTo, relayed.RelayedFrom = to, c.cfg.Name
-			c.emit(SendToPeer{Peer: relay, Message: relayed})
+			relayed.RelayTo, relayed.RelayedFrom = to, s.cfg.Name
+			s.emit(SendToPeer{Peer: relay, Message: relayed})
 			continue
 		}
-		c.emit(SendToPeer{Peer: to, Message: m})
+		s.emit(SendToPeer{Peer: to, Message: m})
 	}
 }
 
@@ -87,7 +133,7 @@
 	from := in.Peer
 	if m.RelayTo != "" {
 		if m.RelayTo != c.cfg.Name {
-			c.relayMessage(from, m)
+			c.controllers.relayMessage(from, m)
 			return
 		}
 		from = m.RelayedFrom
@@ -114,9 +160,9 @@
 
 // relayMessage passes a message on to the controller that it is for. Only its sender's own messages are
 // passed on, so that none takes a second hop.
-func (c *Core) relayMessage(from string, m Message) {
-	if c.controllers.membership.Peer(m.RelayTo) != nil && m.RelayedFrom == from {
-		c.emit(SendToPeer{Peer: m.RelayTo, Message: m})
+func (s *controllerSet) relayMessage(from string, m Message) {
+	if s.membership.Peer(m.RelayTo) != nil && m.RelayedFrom == from {
+		s.emit(SendToPeer{Peer: m.RelayTo, Message: m})
 	}
 }
 
@@ -199,5 +245,5 @@
 		return
 	}
 	l.pollRequestRounds++
-	c.sendToPeers(peers[l.pollRequestRounds%len(peers)], Message{PollMachines: machines})
+	c.controllers.sendToPeers(peers[l.pollRequestRounds%len(peers)], Message{PollMachines: machines})
 }
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -91,7 +91,7 @@
 // isPrecededElsewhere reports whether another controller has work below a class that comes before a job.
 func (c *Core) isPrecededElsewhere(j *job, class int) bool {
 	position := membership.QueuePosition{Priority: c.agedPriorityClass(j), EnqueuedAtMS: j.effectiveEnqueueMS()}
-	return c.controllers.membership.HasEarlierWork(c.now, c.controllers.isControllerLive, position, class)
+	return c.controllers.membership.HasEarlierWork(c.now, c.controllers.isLive, position, class)
 }
 
 // boost has a job evaluated now, before all other placements.
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -241,7 +241,7 @@
 // updateRateLimit computes this controller's part of the store's write and request rates: an equal
 // part, and of the write rate also what the other controllers do not use.
 func (c *Core) updateRateLimit() {
-	live := float64(len(c.controllers.liveControllers()))
+	live := float64(len(c.controllers.liveNames()))
 	if len(c.controllers.nodeKeys) == 0 {
 		live = float64(len(c.cfg.Peers) + 1)
 	}
--- a/core/yield.go
+++ b/core/yield.go
@@ -50,7 +50,7 @@
 	for i := range positions {
 		positions[i].before, positions[i].alike = c.controllers.membership.CountCompetitors(
 			c.now,
-			c.controllers.isControllerLive,
+			c.controllers.isLive,
 			membership.QueuePosition{Priority: priorityClass, EnqueuedAtMS: enqueuedAtMS},
 			i == 1,
 		)
@@ -65,7 +65,7 @@
 	// The version is stored plus 1: 0 is that of a machine whose rank was never computed.
 	if version := c.controllers.nodesVersion + 1; m.ranking.nodesVersion != version {
 		m.ranking.nodesVersion = version
-		m.ranking.rank = c.controllers.rendezvousRank(m.name, c.controllers.liveControllers())
+		m.ranking.rank = c.controllers.rendezvousRank(m.name, c.controllers.liveNames())
 	}
 	return m.ranking.rank
 }
