--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -117,7 +117,7 @@
 	overdue := map[string]bool{}
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
 		share := outageReturnShare
-		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.silenceTimeout() {
+		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.agents.silenceTimeout() {
 			share = c.cfg.Agents.CancelScaleInShare
 		} else if _, there := host.status.tasks[attemptKey{j.index, assignment.Task, assignment.Attempt}]; !there {
 			// It has ended and was cleared by a controller with newer records. One whose start may
@@ -145,8 +145,8 @@
 		if candidate.lifecycle.gone || !c.runsOwnTasks(candidate) {
 			continue
 		}
-		c.pollQuietAgent(candidate)
-		if c.now-candidate.status.lastHeartbeatAt > c.silenceTimeout()+silenceReportGrace {
+		c.agents.pollQuietAgent(candidate)
+		if c.now-candidate.status.lastHeartbeatAt > c.agents.silenceTimeout()+silenceReportGrace {
 			silent = append(silent, candidate.name)
 		}
 	}
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -100,7 +100,7 @@
 
 // isUnresponsive reports whether a machine will probably not answer commands.
 func (c *Core) isUnresponsive(m *machine) bool {
-	return m.commands.unanswered > 0 || c.now-m.status.lastHeartbeatAt > c.maxHeartbeatGap()
+	return m.commands.unanswered > 0 || c.now-m.status.lastHeartbeatAt > c.agents.maxHeartbeatGap()
 }
 
 // dispatchTo sends a machine the commands that it needs now, and reports whether it must be examined again.
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -17,7 +17,7 @@
 		c.now >= m.health.avoidUntil &&
 		c.now-m.status.lastHeartbeatAt < c.cfg.Agents.HeartbeatInterval*missedHeartbeatsLimit &&
 		(m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) &&
-		!c.isZoneSilent(m.identity.zone, placementSilenceLimit)
+		!c.agents.isZoneSilent(m.identity.zone, placementSilenceLimit)
 }
 
 // isFeasible reports whether a job may run on a machine that is empty: by type, zone, spot and capacity.
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -27,6 +27,9 @@
 // agentLiveness is what this controller passes on to its peers about heartbeats, the status polls in flight,
 // and the liveness of zones.
 type agentLiveness struct {
+	*environment
+	controllers *controllerSet
+
 	pollsInFlight     int                      // status polls without an answer so far
 	zones             map[string]*zoneLiveness // by zone
 	nextDigestAt      time.Duration            // when the peers get the next batch of digests
@@ -130,7 +133,7 @@
 	m.status.digest = digest
 	first := !m.status.reported
 	restarted := !first && m.status.incarnation != r.Incarnation
-	c.updateMachine(m, r)
+	m.updateFrom(r, c.now)
 	c.updateTaskStatuses(m, r.Tasks)
 	c.recordLiveness(m, r.Sequence, r.FencingToken)
 	c.noteMachineChange(m)
@@ -146,9 +149,9 @@
 	c.addRowOnFirstHeartbeat(m)
 }
 
-// updateMachine takes over what a heartbeat says of the machine itself. A new incarnation starts without cached
+// updateFrom takes over what a heartbeat says of the machine itself. A new incarnation starts without cached
 // images.
-func (c *Core) updateMachine(m *machine, r *wire.Heartbeat) {
+func (m *machine) updateFrom(r *wire.Heartbeat, now time.Duration) {
 	if r.Incarnation > m.status.incarnation {
 		m.status.images = map[string]bool{}
 	}
@@ -160,9 +163,9 @@
 	}
 	notice := *r.InterruptionNoticeS
 	if notice < 0 || notice > maxInterruptionNoticeS {
-		m.lifecycle.interruptionDeadline = c.now + implausibleNoticeDeadline
+		m.lifecycle.interruptionDeadline = now + implausibleNoticeDeadline
 	} else {
-		m.lifecycle.interruptionDeadline = c.now + time.Duration(notice*float64(time.Second))
+		m.lifecycle.interruptionDeadline = now + time.Duration(notice*float64(time.Second))
 	}
 }
 
@@ -221,7 +224,7 @@
 	} else {
 		c.markDirty(j)
 	}
-	c.recordTaskEnd(m, j, cause)
+	m.health.recordTaskEnd(j.index, cause, c.now)
 }
 
 // hasTasksToComplete reports whether a job is still open and has tasks that have not completed.
@@ -242,7 +245,7 @@
 // token settles the outcome of earlier commands: they cannot be executed any more.
 func (c *Core) recordLiveness(m *machine, seq, token uint64) {
 	m.status.lastHeartbeatAt, m.status.heartbeatSeq, m.status.polls = c.now, seq, 0
-	c.zoneLivenessOf(m.identity.zone).lastHeartbeat = c.now
+	c.agents.zoneLivenessOf(m.identity.zone).lastHeartbeat = c.now
 	if token <= m.status.fencingToken {
 		return
 	}
@@ -273,20 +276,20 @@
 
 // recordTaskEnd updates the evidence that a machine is faulty from the end of a task there: a completed
 // task clears it, a failed one adds its job.
-func (c *Core) recordTaskEnd(m *machine, j *job, cause string) {
+func (h *machineHealth) recordTaskEnd(jobIndex int32, cause string, now time.Duration) {
 	switch cause {
 	case wire.CauseDone:
-		m.health.failedJobs, m.health.failures = nil, 0
+		h.failedJobs, h.failures = nil, 0
 	case wire.CauseError:
-		if m.health.failedJobs == nil {
-			m.health.failedJobs = map[int32]bool{}
+		if h.failedJobs == nil {
+			h.failedJobs = map[int32]bool{}
 		}
-		m.health.failedJobs[j.index], m.health.lastFailureAt = true, c.now
+		h.failedJobs[jobIndex], h.lastFailureAt = true, now
 	}
 }
 
-// lastHeartbeatOf rebuilds the last heartbeat of a machine, for a peer that lacks it.
-func (c *Core) lastHeartbeatOf(m *machine) *wire.Heartbeat {
+// lastHeartbeat rebuilds the last heartbeat of a machine, for a peer that lacks it. jobs is Core.jobs.
+func (m *machine) lastHeartbeat(jobs []*job, now time.Duration) *wire.Heartbeat {
 	r := &wire.Heartbeat{
 		Machine:      m.name,
 		Addr:         m.identity.address,
@@ -298,7 +301,7 @@
 		FencingToken: m.status.fencingToken,
 	}
 	if m.lifecycle.interruptionDeadline != 0 {
-		left := (m.lifecycle.interruptionDeadline - c.now).Seconds()
+		left := (m.lifecycle.interruptionDeadline - now).Seconds()
 		r.InterruptionNoticeS = &left
 	}
 	for _, k := range m.sortedAttemptKeys() {
@@ -306,7 +309,7 @@
 		r.Tasks = append(
 			r.Tasks,
 			wire.TaskStatus{
-				Task:         wire.TaskName(c.jobs[k.jobIndex].id, int(k.task)),
+				Task:         wire.TaskName(jobs[k.jobIndex].id, int(k.task)),
 				Attempt:      k.attempt,
 				Stage:        status.state,
 				Cause:        status.cause,
@@ -318,20 +321,21 @@
 }
 
 // broadcastHeartbeats passes on to the peers the heartbeats that this controller got: changed ones whole, unchanged
-// ones, most of them in a large fleet, as digests. It also requests the heartbeats that this replica lacks.
-func (c *Core) broadcastHeartbeats() {
+// ones, most of them in a large fleet, as digests, which go out once in digestInterval. It also requests the
+// heartbeats that this replica lacks.
+func (a *agentLiveness) broadcastHeartbeats(digestInterval time.Duration) {
 	var digests []HeartbeatDigest
-	if c.now >= c.agents.nextDigestAt {
-		c.agents.nextDigestAt = c.now + c.stretchUnderLoad(batchesPerDigest*c.cfg.State.DeltaInterval)
-		digests, c.agents.digestsToRelay = c.agents.digestsToRelay, nil
+	if a.now >= a.nextDigestAt {
+		a.nextDigestAt = a.now + digestInterval
+		digests, a.digestsToRelay = a.digestsToRelay, nil
 	}
-	if len(c.agents.heartbeatsToRelay)+len(digests) > 0 {
-		c.controllers.sendToPeers("", Message{Heartbeats: c.agents.heartbeatsToRelay, HeartbeatDigests: digests})
-		c.agents.heartbeatsToRelay = nil
+	if len(a.heartbeatsToRelay)+len(digests) > 0 {
+		a.controllers.sendToPeers("", Message{Heartbeats: a.heartbeatsToRelay, HeartbeatDigests: digests})
+		a.heartbeatsToRelay = nil
 	}
-	for _, peer := range sortedKeys(c.agents.missingHeartbeats) {
-		c.controllers.sendToPeers(peer, Message{WantedHeartbeats: c.agents.missingHeartbeats[peer]})
-		delete(c.agents.missingHeartbeats, peer)
+	for _, peer := range sortedKeys(a.missingHeartbeats) {
+		a.controllers.sendToPeers(peer, Message{WantedHeartbeats: a.missingHeartbeats[peer]})
+		delete(a.missingHeartbeats, peer)
 	}
 }
 
@@ -344,7 +348,7 @@
 			continue
 		}
 		if m := c.machines[i]; m.status.reported && !m.lifecycle.gone {
-			heartbeats = append(heartbeats, c.lastHeartbeatOf(m))
+			heartbeats = append(heartbeats, m.lastHeartbeat(c.jobs, c.now))
 		}
 	}
 	if len(heartbeats) > 0 {
@@ -353,15 +357,15 @@
 }
 
 // maxHeartbeatGap is the longest time between two heartbeats of a healthy machine.
-func (c *Core) maxHeartbeatGap() time.Duration {
-	return c.cfg.Agents.HeartbeatInterval*5/4 + heartbeatMargin
+func (a *agentLiveness) maxHeartbeatGap() time.Duration {
+	return a.cfg.Agents.HeartbeatInterval*5/4 + heartbeatMargin
 }
 
 // silenceTimeout is the time without a heartbeat after which a machine is declared silent. It follows from the
 // interval of heartbeats: a fixed time was shorter than the gaps of machines that report every 6 s, and
 // healthy ones were returned.
-func (c *Core) silenceTimeout() time.Duration {
-	return c.maxHeartbeatGap() + c.cfg.Agents.SilenceTimeout
+func (a *agentLiveness) silenceTimeout() time.Duration {
+	return a.maxHeartbeatGap() + a.cfg.Agents.SilenceTimeout
 }
 
 // pollQuietAgent polls the status of a machine whose heartbeat is overdue here, directly and from peers. While the
@@ -369,20 +373,19 @@
 //
 // Polls of a machine that does not answer back off exponentially, and the number in flight is bounded: when
 // every controller polled every machine of a lost zone once a second, each poll held a socket until its timeout.
-func (c *Core) pollQuietAgent(m *machine) {
-	if c.agents.pollsInFlight >= c.cfg.Agents.MaxPollRequests || !m.status.reported ||
-		c.now-m.status.lastHeartbeatAt <= c.maxHeartbeatGap() || c.isPollBackingOff(m) {
+func (a *agentLiveness) pollQuietAgent(m *machine) {
+	if a.pollsInFlight >= a.cfg.Agents.MaxPollRequests || !m.status.reported ||
+		a.now-m.status.lastHeartbeatAt <= a.maxHeartbeatGap() || m.status.isPollBackingOff(a.now) {
 		return
 	}
-	m.status.lastPollAt, m.status.polls = c.now, m.status.polls+1
-	c.agents.pollsInFlight++
-	c.emit(PollAgent{Machine: m.name, Addr: m.identity.address})
+	m.status.lastPollAt, m.status.polls = a.now, m.status.polls+1
+	a.pollsInFlight++
+	a.emit(PollAgent{Machine: m.name, Addr: m.identity.address})
 }
 
-// isPollBackingOff reports whether a machine was polled too recently to be polled again.
-func (c *Core) isPollBackingOff(m *machine) bool {
-	return m.status.polls > 0 &&
-		c.now-m.status.lastPollAt <= time.Second<<min(m.status.polls-1, maxPollBackoffShift)
+// isPollBackingOff reports whether an agent was polled too recently to be polled again.
+func (s *agentStatus) isPollBackingOff(now time.Duration) bool {
+	return s.polls > 0 && now-s.lastPollAt <= time.Second<<min(s.polls-1, maxPollBackoffShift)
 }
 
 // pollOnBehalf polls machines that a peer may not reach. The heartbeats of those that reported here recently
@@ -394,10 +397,10 @@
 		if !ok {
 			continue
 		}
-		if m := c.machines[i]; c.now-m.status.lastHeartbeatAt <= c.maxHeartbeatGap() {
+		if m := c.machines[i]; c.now-m.status.lastHeartbeatAt <= c.agents.maxHeartbeatGap() {
 			recent = append(recent, name)
 		} else if !m.lifecycle.gone {
-			c.pollQuietAgent(m)
+			c.agents.pollQuietAgent(m)
 		}
 	}
 	c.sendRequestedHeartbeats(peer, recent)
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -78,7 +78,7 @@
 			zone = &machineCounts{}
 			k.zones[m.identity.zone] = zone
 		}
-		silent := c.now-m.status.lastHeartbeatAt > c.silenceTimeout()*4/5
+		silent := c.now-m.status.lastHeartbeatAt > c.agents.silenceTimeout()*4/5
 		zone.add(silent)
 		k.all.add(silent)
 	}
@@ -90,7 +90,7 @@
 func (k *machineCheck) findUnreachableZones() {
 	c := k.core
 	for zone, count := range k.zones {
-		if !c.isZoneSilent(zone, replacementSilenceLimit) &&
+		if !c.agents.isZoneSilent(zone, replacementSilenceLimit) &&
 			(k.isDeaf || count.silent*2 <= count.up || count.silent < minSilentInZone) {
 			delete(k.zones, zone)
 			continue
@@ -107,16 +107,16 @@
 func (k *machineCheck) checkMachine(m *machine) {
 	c := k.core
 	quiet := c.now - m.status.lastHeartbeatAt
-	overdue := m.status.reported && quiet > c.maxHeartbeatGap()
+	overdue := m.status.reported && quiet > c.agents.maxHeartbeatGap()
 	if overdue {
 		k.pollTargets = append(k.pollTargets, m.name)
 	}
 	m.leaderView.zoneUnreachable = overdue && k.zones[m.identity.zone] != nil ||
-		m.status.reported && c.isZoneSilent(m.identity.zone, replacementSilenceLimit)
+		m.status.reported && c.agents.isZoneSilent(m.identity.zone, replacementSilenceLimit)
 	if reason := k.returnReason(m, quiet); reason != "" {
 		c.markForReturn(m, reason)
 	} else if m.status.reported {
-		c.pollQuietAgent(m)
+		c.agents.pollQuietAgent(m)
 	}
 }
 
@@ -161,7 +161,7 @@
 // listens for as long itself.
 func (k *machineCheck) isSilent(quiet time.Duration) bool {
 	c := k.core
-	if quiet <= c.silenceTimeout() || c.now-k.leader.leadingSince <= c.silenceTimeout() {
+	if quiet <= c.agents.silenceTimeout() || c.now-k.leader.leadingSince <= c.agents.silenceTimeout() {
 		return false
 	}
 	return !k.isDeaf || quiet > c.cfg.Agents.LeaseTTL+deafSilenceMargin
@@ -172,8 +172,8 @@
 // when the replacements should be up: when they were returned at once, all tasks there ended with nothing up to
 // take them.
 func (c *Core) unreachableZoneGrace(m *machine) time.Duration {
-	ready := c.silenceTimeout() + c.nominalBootTime(m.identity.machineType) + c.cfg.Autoscaling.ScaleOutLeadTime
-	return max(c.silenceTimeout(), min(ready, c.cfg.Agents.LeaseTTL-c.cfg.Autoscaling.ScaleOutLeadTime))
+	ready := c.agents.silenceTimeout() + c.nominalBootTime(m.identity.machineType) + c.cfg.Autoscaling.ScaleOutLeadTime
+	return max(c.agents.silenceTimeout(), min(ready, c.cfg.Agents.LeaseTTL-c.cfg.Autoscaling.ScaleOutLeadTime))
 }
 
 // delayMissesDeadline reports whether waiting would make a task of a machine miss a deadline, its job's own or
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -33,7 +33,7 @@
 	c.aliveMachines = slices.DeleteFunc(c.aliveMachines, func(candidate *machine) bool {
 		return candidate.lifecycle.gone && len(candidate.allocation.assignments) == 0
 	})
-	c.countZoneMachines()
+	c.agents.countZoneMachines(c.aliveMachines)
 	c.evictUnreferencedJobs()
 	c.updateHistoryStats()
 	if c.isFullScanDue() {
--- a/core/peers.go
+++ b/core/peers.go
@@ -114,7 +114,7 @@
 	if c.now >= c.deltaLog.nextBatchAt {
 		c.deltaLog.nextBatchAt = c.now + c.cfg.State.DeltaInterval
 		c.sendDeltas()
-		c.broadcastHeartbeats()
+		c.agents.broadcastHeartbeats(c.stretchUnderLoad(batchesPerDigest * c.cfg.State.DeltaInterval))
 	}
 	if c.now >= c.commands.nextReturnRequestAt {
 		c.commands.nextReturnRequestAt = c.now + returnRequestInterval
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -74,7 +74,7 @@
 			case "healthy":
 				j.record.CompletedTasks = j.record.CompletedTasks.Add(4)
 			}
-			c.recordTaskEnd(m, j, wire.CauseError)
+			m.health.recordTaskEnd(j.index, wire.CauseError, c.now)
 		}
 		if got, want := c.isQuarantined(m), kind != "failing everywhere"; got != want {
 			t.Errorf("%s: quarantined %v", kind, got)
--- a/core/zone_liveness.go
+++ b/core/zone_liveness.go
@@ -23,42 +23,42 @@
 )
 
 // zoneLivenessOf returns the liveness of a zone, which becomes known with it.
-func (c *Core) zoneLivenessOf(zone string) *zoneLiveness {
-	liveness := c.agents.zones[zone]
+func (a *agentLiveness) zoneLivenessOf(zone string) *zoneLiveness {
+	liveness := a.zones[zone]
 	if liveness == nil {
 		liveness = &zoneLiveness{}
-		c.agents.zones[zone] = liveness
+		a.zones[zone] = liveness
 	}
 	return liveness
 }
 
-// countZoneMachines counts the machines of each zone that have reported and are not gone.
-func (c *Core) countZoneMachines() {
-	for _, liveness := range c.agents.zones {
+// countZoneMachines counts, of some machines, those of each zone that have reported and are not gone.
+func (a *agentLiveness) countZoneMachines(machines []*machine) {
+	for _, liveness := range a.zones {
 		liveness.machinesUp = 0
 	}
-	for _, m := range c.aliveMachines {
+	for _, m := range machines {
 		if m.status.reported && !m.lifecycle.gone {
-			c.zoneLivenessOf(m.identity.zone).machinesUp++
+			a.zoneLivenessOf(m.identity.zone).machinesUp++
 		}
 	}
 }
 
 // maxZoneHeartbeatGap is the longest time between two heartbeats from a healthy zone. It must have machines.
-func (c *Core) maxZoneHeartbeatGap(zone *zoneLiveness) time.Duration {
-	return missedHeartbeatsForSilence * c.cfg.Agents.HeartbeatInterval / time.Duration(zone.machinesUp)
+func (a *agentLiveness) maxZoneHeartbeatGap(zone *zoneLiveness) time.Duration {
+	return missedHeartbeatsForSilence * a.cfg.Agents.HeartbeatInterval / time.Duration(zone.machinesUp)
 }
 
 // isZoneSilent reports whether a zone of many machines has sent no heartbeat for at least a time, while another
 // such zone has. If all are silent, it is rather this controller that does not hear them.
-func (c *Core) isZoneSilent(zone string, least time.Duration) bool {
-	liveness := c.agents.zones[zone]
+func (a *agentLiveness) isZoneSilent(zone string, least time.Duration) bool {
+	liveness := a.zones[zone]
 	if liveness == nil || liveness.machinesUp < minZoneMachines ||
-		c.now-liveness.lastHeartbeat <= max(least, c.maxZoneHeartbeatGap(liveness)) {
+		a.now-liveness.lastHeartbeat <= max(least, a.maxZoneHeartbeatGap(liveness)) {
 		return false
 	}
-	for _, other := range c.agents.zones {
-		if other.machinesUp >= minZoneMachines && c.now-other.lastHeartbeat <= c.maxZoneHeartbeatGap(other) {
+	for _, other := range a.zones {
+		if other.machinesUp >= minZoneMachines && a.now-other.lastHeartbeat <= a.maxZoneHeartbeatGap(other) {
 			return true
 		}
 	}
