--- a/core/apply.go
+++ b/core/apply.go
@@ -233,7 +233,7 @@
 	for _, assignment := range target.assignments {
 		host := c.machines[assignment.Machine]
 		host.allocation.assignments[taskKey{target.index, assignment.Task}] = assignment
-		c.noteMachineChange(host)
+		c.commands.noteChange(host)
 		status := host.status.tasks[attemptKey{target.index, assignment.Task, assignment.Attempt}]
 		if status.state == wire.TaskExited && status.cause == wire.CauseDone {
 			target.placement.completedTasks++
@@ -254,7 +254,7 @@
 		if current, ok := host.allocation.assignments[key]; ok && current == assignment {
 			delete(host.allocation.assignments, key)
 		}
-		c.noteMachineChange(host)
+		c.commands.noteChange(host)
 		if quota != nil {
 			quota.usedCPU -= request[0]
 			quota.usedGPU -= request[1]
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -65,7 +65,7 @@
 	}
 	attempt.chooseZone()
 	attempt.queuePositions = c.queuePositionsOf(priorityClass, enqueuedAtMS)
-	attempt.avoidedMachines = c.recentlyFailedMachines(p.record)
+	attempt.avoidedMachines = recentlyFailedMachines(p.record, c.unixMS())
 	attempt.placeTasks()
 	return 0
 }
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -101,7 +101,7 @@
 // countsAsSupply reports whether a plan may rely on a machine staying and being reachable.
 func (c *Core) countsAsSupply(m *machine) bool {
 	return !m.lifecycle.gone && m.leaderView.returnReason == "" && !m.leaderView.zoneUnreachable &&
-		m.lifecycle.interruptionDeadline <= 0 && !c.isQuarantined(m)
+		m.lifecycle.interruptionDeadline <= 0 && !m.health.isQuarantined(c.environment, c.jobs)
 }
 
 // isBootOverdue reports whether a machine without a heartbeat should have been up for a while.
--- a/core/core.go
+++ b/core/core.go
@@ -109,6 +109,7 @@
 	c.ownership.environment, c.ownership.lease = c.environment, &c.ownLease
 	c.controllers.environment = c.environment
 	c.agents.environment, c.agents.controllers = c.environment, &c.controllers
+	c.commands.environment, c.commands.agents, c.commands.controllers = c.environment, &c.agents, &c.controllers
 	c.replica.batchValues = map[int]*batchvalue.Slot{}
 	c.controllers.membership = membership.New(cfg.Peers, cfg.Cluster.PeerTimeout)
 	c.controllers.nodeKeys = map[string]leasedKey{}
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -593,15 +593,15 @@
 		fail(10+i, "wk-1", i, wire.CauseError)
 	}
 	fail(20, "wk-2", 1, wire.CauseError)
-	if c.isQuarantined(m) {
+	if m.health.isQuarantined(c.environment, c.jobs) {
 		t.Error("a machine is quarantined after two failing jobs")
 	}
 	fail(21, "wk-3", 1, wire.CauseError)
-	if !c.isQuarantined(m) {
+	if !m.health.isQuarantined(c.environment, c.jobs) {
 		t.Error("a machine is not quarantined after three failing jobs")
 	}
 	fail(22, "wk-4", 1, wire.CauseDone)
-	if c.isQuarantined(m) {
+	if m.health.isQuarantined(c.environment, c.jobs) {
 		t.Error("a machine is still quarantined after a completed task")
 	}
 }
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -94,7 +94,7 @@
 // releaseOnce releases the resources of a task that has ended, once. They are free for others as soon
 // as the machine reports the end; the write of the end may follow later.
 func (c *Core) releaseOnce(j *job, a jobrecord.Assignment) {
-	attempt := c.attemptOf(c.machines[a.Machine], attemptKey{j.index, a.Task, a.Attempt})
+	attempt := c.machines[a.Machine].commands.attemptOf(attemptKey{j.index, a.Task, a.Attempt})
 	if !attempt.resourcesReleased && c.ownership.ownsJob(j) && j.record != nil && j.record.Spec != nil {
 		attempt.resourcesReleased = true
 		c.recordDelta(false, j, a, j.record.Spec.Request)
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -22,6 +22,10 @@
 // commandDispatch is the state of commands to agents: the machines that may need some, the requests in flight,
 // and the requests relayed for peers.
 type commandDispatch struct {
+	*environment
+	agents      *agentLiveness
+	controllers *controllerSet
+
 	dirtyMachines       []*machine                  // machines that may need commands
 	nextDrainAt         time.Duration               // when machines with an interruption notice are examined next
 	nextReturnRequestAt time.Duration               // when the leader is next asked to return machines
@@ -52,16 +56,16 @@
 	if !c.ownLease.isHeld() && !c.isStoreOutage() {
 		return
 	}
-	unresponsive := c.countUnresponsiveRequests()
+	unresponsive := c.commands.countUnresponsiveRequests(c.machines)
 	c.commands.dirtyMachines = slices.DeleteFunc(c.commands.dirtyMachines, func(m *machine) bool {
 		if m.lifecycle.gone || !m.status.reported {
 			m.commands.queued = false // its first heartbeat queues it again
 			return true
 		}
-		if !c.isDispatchDue(m) {
+		if !c.commands.isDue(m) {
 			return false
 		}
-		isUnresponsive := c.isUnresponsive(m)
+		isUnresponsive := c.commands.isUnresponsive(m)
 		limit := c.cfg.Agents.MaxCommandRequests
 		if len(c.commands.inFlight) >= limit || isUnresponsive && unresponsive >= limit/unresponsiveShare {
 			return false
@@ -78,29 +82,30 @@
 	})
 }
 
-// countUnresponsiveRequests counts the requests in flight to machines that probably do not answer.
-func (c *Core) countUnresponsiveRequests() int {
+// countUnresponsiveRequests counts the requests in flight to machines that probably do not answer. machines is
+// Core.machines.
+func (d *commandDispatch) countUnresponsiveRequests(machines []*machine) int {
 	count := 0
-	for _, request := range c.commands.inFlight {
-		if c.isUnresponsive(c.machines[request.machineIndex]) {
+	for _, request := range d.inFlight {
+		if d.isUnresponsive(machines[request.machineIndex]) {
 			count++
 		}
 	}
 	return count
 }
 
-// isDispatchDue reports whether a machine is to be examined: it has no request in flight, is not backing off,
+// isDue reports whether a machine is to be examined: it has no request in flight, is not backing off,
 // and something changed or the retry interval has passed.
-func (c *Core) isDispatchDue(m *machine) bool {
-	if m.commands.requestID != 0 || c.now < m.commands.nextSendAt {
+func (d *commandDispatch) isDue(m *machine) bool {
+	if m.commands.requestID != 0 || d.now < m.commands.nextSendAt {
 		return false
 	}
-	return m.commands.dirty || c.now >= m.commands.lastExaminedAt+c.cfg.Agents.CommandRetryInterval
+	return m.commands.dirty || d.now >= m.commands.lastExaminedAt+d.cfg.Agents.CommandRetryInterval
 }
 
 // isUnresponsive reports whether a machine will probably not answer commands.
-func (c *Core) isUnresponsive(m *machine) bool {
-	return m.commands.unanswered > 0 || c.now-m.status.lastHeartbeatAt > c.agents.maxHeartbeatGap()
+func (d *commandDispatch) isUnresponsive(m *machine) bool {
+	return m.commands.unanswered > 0 || d.now-m.status.lastHeartbeatAt > d.agents.maxHeartbeatGap()
 }
 
 // dispatchTo sends a machine the commands that it needs now, and reports whether it must be examined again.
@@ -113,7 +118,7 @@
 	if len(plan.commands) == 0 {
 		return plan.unsettled
 	}
-	c.sendCommands(m, plan.batch(), plan.starts)
+	c.commands.send(m, plan.batch(), plan.starts)
 	return true
 }
 
@@ -136,7 +141,7 @@
 // add adds a command, unless one for the same attempt was sent within the retry interval, and reports whether it did.
 func (p *commandPlan) add(op string, key attemptKey) bool {
 	c := p.core
-	record := c.attemptOf(p.machine, key)
+	record := p.machine.commands.attemptOf(key)
 	if record.commandSent && c.now-record.lastCommandAt < c.cfg.Agents.CommandRetryInterval {
 		return false
 	}
@@ -157,7 +162,7 @@
 		return
 	}
 	if p.add(wire.OpStart, key) {
-		c.attemptOf(p.machine, key).startInFlight = true
+		p.machine.commands.attemptOf(key).startInFlight = true
 		p.starts = append(p.starts, key)
 		c.Stats.TaskStarts++
 	}
@@ -189,7 +194,7 @@
 			p.addStart(j, key)
 		case !reported || status.state == wire.TaskExited:
 		case j.isFinal():
-			c.allowImmediateResend(m, key)
+			m.commands.allowImmediateResend(key)
 			p.addStop(key, 0)
 		case status.state != wire.TaskCheckpointing:
 			if record := m.commands.attempts[key]; record != nil && record.stopReason != "" {
@@ -216,7 +221,7 @@
 		if j.revision == 0 && !c.isOrphan(m, j, key) {
 			continue
 		}
-		c.allowImmediateResend(m, key)
+		m.commands.allowImmediateResend(key)
 		if status.state == wire.TaskExited {
 			p.clears = append(p.clears, key)
 		} else {
@@ -279,23 +284,23 @@
 	return batch
 }
 
-// sendCommands sends a batch of commands to a machine, directly or by a peer. starts are the attempts that it starts.
-func (c *Core) sendCommands(m *machine, batch wire.CommandBatch, starts []attemptKey) {
-	id := c.nextID()
+// send sends a batch of commands to a machine, directly or by a peer. starts are the attempts that it starts.
+func (d *commandDispatch) send(m *machine, batch wire.CommandBatch, starts []attemptKey) {
+	id := d.nextID()
 	m.commands.requestID, m.commands.requestToken, m.commands.requestAttempts = id, batch.FencingToken, starts
 	request := SendCommands{ID: id, Machine: m.name, Addr: m.identity.address, Batch: batch}
-	if peer := c.relayPeer(m); peer != "" {
-		c.commands.inFlight[id] = inFlightCommands{m.index, c.now + c.cfg.Cluster.RelayTimeout}
-		c.emit(SendToPeer{Peer: peer, Message: Message{Commands: &request}})
+	if peer := d.relayPeer(m); peer != "" {
+		d.inFlight[id] = inFlightCommands{m.index, d.now + d.cfg.Cluster.RelayTimeout}
+		d.emit(SendToPeer{Peer: peer, Message: Message{Commands: &request}})
 		return
 	}
-	c.commands.inFlight[id] = inFlightCommands{machineIndex: m.index}
-	c.emit(request)
+	d.inFlight[id] = inFlightCommands{machineIndex: m.index}
+	d.emit(request)
 }
 
 // relayPeer returns the peer by which a machine that does not answer is tried, every other time; "" means directly.
-func (c *Core) relayPeer(m *machine) string {
-	peers := c.controllers.membership.ReachableExcept(c.now, "")
+func (d *commandDispatch) relayPeer(m *machine) string {
+	peers := d.controllers.membership.ReachableExcept(d.now, "")
 	if m.commands.unanswered%2 == 0 || len(peers) == 0 {
 		return ""
 	}
@@ -315,21 +320,21 @@
 // been accepted and placed by a peer a moment ago, so only a read barrier after the heartbeat proves it:
 // without that, tasks of new jobs of other controllers were stopped and cleared, and then started twice.
 func (c *Core) isOrphan(m *machine, j *job, key attemptKey) bool {
-	record := c.attemptOf(m, key)
+	record := m.commands.attemptOf(key)
 	if !record.orphanCheckInFlight && !record.isOrphan {
 		record.orphanCheckInFlight = true
 		c.afterReadBarrier(func(ok bool) {
 			record.orphanCheckInFlight = false
 			record.isOrphan = ok && j.revision == 0
-			c.markMachineDirty(m)
+			c.commands.markDirty(m)
 		})
 	}
 	return record.isOrphan
 }
 
 // allowImmediateResend lets a command other than the last one for an attempt be sent within the retry interval, once.
-func (c *Core) allowImmediateResend(m *machine, key attemptKey) {
-	if record := m.commands.attempts[key]; record != nil && !record.resentAtOnce {
+func (s *machineCommands) allowImmediateResend(key attemptKey) {
+	if record := s.attempts[key]; record != nil && !record.resentAtOnce {
 		record.resentAtOnce = true
 		record.commandSent = false
 	}
@@ -356,7 +361,7 @@
 		m.commands.unanswered = 0
 	}
 	m.settleStarts(in)
-	c.markMachineDirty(m)
+	c.commands.markDirty(m)
 	if in.Heartbeat != nil && in.Heartbeat.Machine == m.name {
 		c.applyHeartbeat(in.Heartbeat, true)
 	}
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		key := attemptKey{assignment.jobIndex, assignment.Task, assignment.Attempt}
-		record := c.attemptOf(m, key)
+		record := m.commands.attemptOf(key)
 		status, reported := m.status.tasks[key]
 		if record.stopReason != "" || !reported || status.state == wire.TaskExited ||
 			status.state == wire.TaskCheckpointing {
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -136,7 +136,7 @@
 	m.updateFrom(r, c.now)
 	c.updateTaskStatuses(m, r.Tasks)
 	c.recordLiveness(m, r.Sequence, r.FencingToken)
-	c.noteMachineChange(m)
+	c.commands.noteChange(m)
 	if restarted {
 		c.markTasksLost(m)
 	}
@@ -251,7 +251,7 @@
 	}
 	m.status.fencingToken = token
 	m.status.lastChangeAt = c.now
-	c.markMachineDirty(m)
+	c.commands.markDirty(m)
 	for _, assignment := range m.sortedAssignments() {
 		if j := c.jobs[assignment.jobIndex]; j.isFinal() {
 			c.markDirty(j)
--- a/core/loadshedding_test.go
+++ b/core/loadshedding_test.go
@@ -122,7 +122,7 @@
 		machine.status.tasks[key] = taskStatus{state: wire.TaskExited, cause: wire.CauseDone}
 		c.internJob("wk-1").revision = 1 // a record without assignments: all reported tasks are to be cleared
 		machine.commands.nextClearAt = time.Millisecond
-		c.markMachineDirty(machine)
+		c.commands.markDirty(machine)
 	}
 	runFor(c, time.Second, 1050*time.Millisecond)
 	if len(c.commands.inFlight) != 0 {
@@ -130,7 +130,7 @@
 	}
 	for _, machine := range c.aliveMachines {
 		machine.commands.nextSendAt = 0
-		c.markMachineDirty(machine)
+		c.commands.markDirty(machine)
 		for key := range machine.commands.attempts {
 			delete(machine.commands.attempts, key)
 		}
@@ -139,7 +139,7 @@
 	toHanging := 0
 	requests := outputsOfType[SendCommands](c.Advance(1100 * time.Millisecond))
 	for _, request := range requests {
-		if c.isUnresponsive(c.internMachine(request.Machine)) {
+		if c.commands.isUnresponsive(c.internMachine(request.Machine)) {
 			toHanging++
 		}
 	}
--- a/core/machine.go
+++ b/core/machine.go
@@ -159,28 +159,28 @@
 }
 
 // attemptOf returns the command state of an attempt on a machine, new if there is none.
-func (c *Core) attemptOf(m *machine, key attemptKey) *attempt {
-	record := m.commands.attempts[key]
+func (s *machineCommands) attemptOf(key attemptKey) *attempt {
+	record := s.attempts[key]
 	if record == nil {
 		record = &attempt{}
-		m.commands.attempts[key] = record
+		s.attempts[key] = record
 	}
 	return record
 }
 
-// markMachineDirty has dispatchCommands examine a machine.
-func (c *Core) markMachineDirty(m *machine) {
+// markDirty has dispatchCommands examine a machine.
+func (d *commandDispatch) markDirty(m *machine) {
 	m.commands.dirty = true
 	if !m.commands.queued {
 		m.commands.queued = true
-		c.commands.dirtyMachines = append(c.commands.dirtyMachines, m)
+		d.dirtyMachines = append(d.dirtyMachines, m)
 	}
 }
 
-// noteMachineChange invalidates what was computed from a machine's tasks, and has it examined.
-func (c *Core) noteMachineChange(m *machine) {
-	m.status.lastChangeAt, m.allocation.known = c.now, false
-	c.markMachineDirty(m)
+// noteChange invalidates what was computed from a machine's tasks, and has it examined.
+func (d *commandDispatch) noteChange(m *machine) {
+	m.status.lastChangeAt, m.allocation.known = d.now, false
+	d.markDirty(m)
 }
 
 // markMachineGone records the proof that a machine, and all that ran on it, is gone.
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -69,6 +69,6 @@
 		c.markDirtyKeepingDelay(open)
 	}
 	for _, alive := range c.aliveMachines {
-		c.markMachineDirty(alive)
+		c.commands.markDirty(alive)
 	}
 }
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -343,13 +343,13 @@
 		if j.record != nil && j.record.Shard == n {
 			c.markDirty(j)
 			for _, assignment := range j.assignments {
-				c.markMachineDirty(c.machines[assignment.Machine])
+				c.commands.markDirty(c.machines[assignment.Machine])
 			}
 		}
 	}
 	c.placement.capacityFreed = true
 	for _, m := range c.aliveMachines {
-		c.markMachineDirty(m)
+		c.commands.markDirty(m)
 	}
 }
 
--- a/core/preemption.go
+++ b/core/preemption.go
@@ -160,11 +160,11 @@
 
 // stopTask requests the stop of an attempt, with time for a checkpoint if its job can make one.
 func (c *Core) stopTask(m *machine, key attemptKey, spec *wire.JobSpec, reason string) {
-	target := c.attemptOf(m, key)
+	target := m.commands.attemptOf(key)
 	target.stopReason = reason
 	if spec.CanCheckpoint {
 		target.stopGraceSeconds = float64(spec.CheckpointTimeMS)/1000 + checkpointGraceSeconds
 	}
-	c.allowImmediateResend(m, key)
-	c.markMachineDirty(m)
+	m.commands.allowImmediateResend(key)
+	c.commands.markDirty(m)
 }
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -64,12 +64,12 @@
 // recentlyFailedMachines lists the machines on which tasks of a job failed recently, while nothing of
 // it has completed. It is tried elsewhere first: otherwise its tasks went to the same machine again
 // and again, and a faulty job could not be told from a faulty machine.
-func (c *Core) recentlyFailedMachines(r *jobrecord.Record) (machines []string) {
+func recentlyFailedMachines(r *jobrecord.Record, nowMS int64) (machines []string) {
 	if r.CompletedTasks.Count() > 0 {
 		return nil
 	}
 	for _, reason := range r.StopReasons {
-		if reason.Cause == wire.CauseError && c.unixMS()-reason.AtMS < avoidFailedMachineFor.Milliseconds() {
+		if reason.Cause == wire.CauseError && nowMS-reason.AtMS < avoidFailedMachineFor.Milliseconds() {
 			machines = append(machines, reason.Machine)
 		}
 	}
@@ -97,14 +97,14 @@
 }
 
 // isQuarantined reports whether a machine seems to fail every task: several jobs have failed on it
-// since a task last completed there. A job that fails everywhere does not count.
-func (c *Core) isQuarantined(m *machine) bool {
-	if len(m.health.failedJobs) < quarantineJobThreshold || c.now-m.health.lastFailureAt >= quarantineDuration {
+// since a task last completed there. A job that fails everywhere does not count. jobs is Core.jobs.
+func (h *machineHealth) isQuarantined(env *environment, jobs []*job) bool {
+	if len(h.failedJobs) < quarantineJobThreshold || env.now-h.lastFailureAt >= quarantineDuration {
 		return false
 	}
 	failed := 0
-	for index := range m.health.failedJobs {
-		if j := c.jobs[index]; j != nil && !failsEverywhere(j.record, c.unixMS()) {
+	for index := range h.failedJobs {
+		if j := jobs[index]; j != nil && !failsEverywhere(j.record, env.unixMS()) {
 			failed++
 		}
 	}
@@ -114,7 +114,7 @@
 // isProvenFaulty reports whether a quarantined machine must be returned: jobs that failed on it are
 // healthy elsewhere.
 func (c *Core) isProvenFaulty(m *machine) bool {
-	if !c.isQuarantined(m) {
+	if !m.health.isQuarantined(c.environment, c.jobs) {
 		return false
 	}
 	healthy := 0
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -76,14 +76,14 @@
 			}
 			m.health.recordTaskEnd(j.index, wire.CauseError, c.now)
 		}
-		if got, want := c.isQuarantined(m), kind != "failing everywhere"; got != want {
+		if got, want := m.health.isQuarantined(c.environment, c.jobs), kind != "failing everywhere"; got != want {
 			t.Errorf("%s: quarantined %v", kind, got)
 		}
 		if got, want := c.isProvenFaulty(m), kind == "healthy"; got != want {
 			t.Errorf("%s: proven faulty %v", kind, got)
 		}
 		c.now += quarantineDuration
-		if c.isQuarantined(m) {
+		if m.health.isQuarantined(c.environment, c.jobs) {
 			t.Errorf("%s: still quarantined after quarantineDuration", kind)
 		}
 		c.now += time.Second
