--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -266,7 +266,8 @@
 					string(head),
 					992,
 				), event(auditlog.Prefix+"settings/"+"n0", `{"idle_ms":"4000","gone":"x"}`, 992),
-				event(KeyRestored, `"snapshot of monday"`, 993), event(keyLeader, string(c.ownLease.leasedValue(1)), 994),
+				event(KeyRestored, `"snapshot of monday"`, 993),
+				event(keyLeader, string(c.ownLease.leasedValue(1)), 994),
 			}},
 		},
 	)
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -353,14 +353,7 @@
 	}
 	delete(c.commands.inFlight, in.ID)
 	m := c.machines[request.machineIndex]
-	m.commands.requestID = 0
-	if in.Status == wire.StatusNoAnswer {
-		m.commands.unanswered++
-		m.commands.lastUnansweredAt = c.now
-	} else {
-		m.commands.unanswered = 0
-	}
-	m.settleStarts(in)
+	m.commands.settleRequest(in, c.now)
 	c.commands.markDirty(m)
 	if in.Heartbeat != nil && in.Heartbeat.Machine == m.name {
 		c.applyHeartbeat(in.Heartbeat, true)
@@ -387,19 +380,31 @@
 	c.controllers.sendToPeers(relayed.peer, Message{CommandsResult: &in})
 }
 
+// settleRequest records the outcome of the request that was in flight.
+func (s *machineCommands) settleRequest(in CommandsResult, now time.Duration) {
+	s.requestID = 0
+	if in.Status == wire.StatusNoAnswer {
+		s.unanswered++
+		s.lastUnansweredAt = now
+	} else {
+		s.unanswered = 0
+	}
+	s.settleStarts(in)
+}
+
 // settleStarts records the outcome of the starts in the request that was in flight. Those of an unanswered one may be
 // executed late, until the machine has seen a token above that of the request.
-func (m *machine) settleStarts(in CommandsResult) {
+func (s *machineCommands) settleStarts(in CommandsResult) {
 	answered := in.Status == wire.StatusOK || in.Status == wire.StatusConflict || !in.MaybeDelivered
-	for _, key := range m.commands.requestAttempts {
-		record := m.commands.attempts[key]
+	for _, key := range s.requestAttempts {
+		record := s.attempts[key]
 		if record == nil {
 			continue
 		}
 		record.startInFlight = false
 		if !answered {
-			record.maxUnansweredToken = max(record.maxUnansweredToken, m.commands.requestToken)
+			record.maxUnansweredToken = max(record.maxUnansweredToken, s.requestToken)
 		}
 	}
-	m.commands.requestAttempts = nil
+	s.requestAttempts = nil
 }
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -13,7 +13,8 @@
 // isSchedulable reports whether new tasks may be assigned to a machine now, whatever their job.
 func (c *Core) isSchedulable(m *machine) bool {
 	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested &&
-		!m.health.isQuarantined(c.environment, c.jobs) && m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
+		!m.health.isQuarantined(c.environment, c.jobs) &&
+		m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
 		c.now >= m.health.avoidUntil &&
 		c.now-m.status.lastHeartbeatAt < c.cfg.Agents.HeartbeatInterval*missedHeartbeatsLimit &&
 		(m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) &&
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -106,9 +106,9 @@
 		incarnation == m.status.incarnation && sequence <= m.status.heartbeatSeq
 }
 
-// hasStatus reports whether the last heartbeat of a machine was of this incarnation and had this digest.
-func (m *machine) hasStatus(incarnation, digest uint64) bool {
-	return m.status.reported && m.status.incarnation == incarnation && m.status.digest == digest
+// matches reports whether the last heartbeat of an agent was of this incarnation and had this digest.
+func (s *agentStatus) matches(incarnation, digest uint64) bool {
+	return s.reported && s.incarnation == incarnation && s.digest == digest
 }
 
 // applyHeartbeat applies an agent's heartbeat, unless a later one was applied. A direct one came from the agent
@@ -119,7 +119,7 @@
 		return
 	}
 	digest := taskStatusDigest(r)
-	if m.hasStatus(r.Incarnation, digest) {
+	if m.status.matches(r.Incarnation, digest) {
 		// Most heartbeats of a large fleet change nothing; the peers need only the sign of life.
 		c.recordLiveness(m, r.Sequence, r.FencingToken)
 		if direct {
@@ -266,7 +266,7 @@
 	if m.isStaleHeartbeat(h.Incarnation, h.Seq) {
 		return
 	}
-	if m.hasStatus(h.Incarnation, h.Digest) {
+	if m.status.matches(h.Incarnation, h.Digest) {
 		c.recordLiveness(m, h.Seq, h.FencingToken)
 		return
 	}
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -274,7 +274,10 @@
 	}
 	c.ownership.nextHandoverAt = c.now + handoverInterval
 	if n := t.surplusShard(); n >= 0 {
-		t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: shardKey(n), Revision: c.ownership.shards[n].modRevision})
+		t.txn.Compare = append(
+			t.txn.Compare,
+			wire.Compare{Key: shardKey(n), Revision: c.ownership.shards[n].modRevision},
+		)
 		t.txn.Then = append(t.txn.Then, wire.Write{Delete: shardKey(n)})
 	}
 }
