--- a/core/lease.go
+++ b/core/lease.go
@@ -55,8 +55,8 @@
 	l.emit(LeaseRequest{Op: l.opInFlight, TTL: l.cfg.Cluster.LeaseTTL, LeaseID: l.id})
 }
 
-// mayKeepLease reports whether this controller may act at all. One that must not lets its lease expire, so
-// that others take over.
+// mayKeepLease reports whether this controller may extend its lease or request one. Without the audit key, or
+// when its watch is stalled, it must not act and lets the lease expire, so that others take over.
 func (c *Core) mayKeepLease() bool { return !c.lacksAuditKey() && !c.storeHealth.isWatchStalled(c.now) }
 
 // isWatchStalled reports whether reads of the store have stayed unanswered for too long. Such a controller can
