--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -101,7 +101,7 @@
 		c.afterReadBarrier(func(bool) {}) // the read itself is what counts
 	}
 	if query := c.cancelAcks.beginQuery(); query != nil {
-		c.sendToPeers("", Message{QuorumRead: query})
+		c.controllers.sendToPeers("", Message{QuorumRead: query})
 	}
 	var unacknowledged []*job // to be sent to the other controllers
 	c.cancelAcks.pending = slices.DeleteFunc(c.cancelAcks.pending, func(ack pendingAck) bool {
@@ -123,7 +123,7 @@
 		return false
 	})
 	if len(unacknowledged) > 0 {
-		c.sendToPeers("", Message{Cancellations: c.cancellationItems(unacknowledged)})
+		c.controllers.sendToPeers("", Message{Cancellations: c.cancellationItems(unacknowledged)})
 	}
 }
 
@@ -219,7 +219,7 @@
 	}
 	held := c.applyPeerCancellations(message.Cancellations)
 	if len(held) > 0 && message.QuorumReply == nil {
-		c.sendToPeers(peer, Message{CancelAcks: held})
+		c.controllers.sendToPeers(peer, Message{CancelAcks: held})
 	}
 	for _, id := range message.CancelAcks {
 		if j := c.knownJob(id); j != nil {
@@ -266,7 +266,7 @@
 // one's knowledge goes.
 func (c *Core) replyToQuorumRead(peer string, read *QuorumRead) {
 	lacking := c.cancelAcks.cancelledSince(read.SinceRevision)
-	c.sendToPeers(
+	c.controllers.sendToPeers(
 		peer,
 		Message{
 			QuorumReply:   &QuorumReply{read.Nonce, c.cancelAcks.knownUpTo()},
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -61,7 +61,7 @@
 func (c *Core) enforceCancellations() (overdue []string) {
 	maxAge := c.cancelAcks.timeoutShare(c.cfg.Agents.CancelScaleInShare)
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
-		if !c.ownsJob(j) {
+		if !c.ownership.ownsJob(j) {
 			return
 		}
 		attempt := host.commands.attempts[attemptKey{j.index, assignment.Task, assignment.Attempt}]
@@ -89,7 +89,7 @@
 // elsewhere. The next leader repeats it to have proof.
 func (c *Core) returnMachinesInOutage() {
 	state := &c.outageReturn
-	if state.inFlight || c.now < state.nextAttemptAt || c.holdsLease() || !c.isStoreOutage() {
+	if state.inFlight || c.now < state.nextAttemptAt || c.ownLease.isHeld() || !c.isStoreOutage() {
 		return
 	}
 	state.nextAttemptAt = c.now + outageReturnInterval
@@ -117,7 +117,7 @@
 	overdue := map[string]bool{}
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
 		share := outageReturnShare
-		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.silenceTimeout() {
+		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.agents.silenceTimeout() {
 			share = c.cfg.Agents.CancelScaleInShare
 		} else if _, there := host.status.tasks[attemptKey{j.index, assignment.Task, assignment.Attempt}]; !there {
 			// It has ended and was cleared by a controller with newer records. One whose start may
@@ -136,7 +136,7 @@
 // cancelled tasks too long, and silent ones. A controller without a lease must not judge silence: it
 // may be the unreachable one, and would have machines scaled in that answer the others.
 func (c *Core) requestReturns() {
-	if !c.holdsLease() {
+	if !c.ownLease.isHeld() {
 		return
 	}
 	overdue := c.enforceCancellations()
@@ -145,8 +145,8 @@
 		if candidate.lifecycle.gone || !c.runsOwnTasks(candidate) {
 			continue
 		}
-		c.pollQuietAgent(candidate)
-		if c.now-candidate.status.lastHeartbeatAt > c.silenceTimeout()+silenceReportGrace {
+		c.agents.pollQuietAgent(candidate)
+		if c.now-candidate.status.lastHeartbeatAt > c.agents.silenceTimeout()+silenceReportGrace {
 			silent = append(silent, candidate.name)
 		}
 	}
@@ -156,14 +156,14 @@
 	if c.leaderState != nil {
 		c.leaderState.handleReturnRequest(c, overdue, silent)
 	} else if c.leadership.leader.modRevision != 0 {
-		c.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: overdue, SilentMachines: silent})
+		c.controllers.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: overdue, SilentMachines: silent})
 	}
 }
 
 // runsOwnTasks reports whether a machine has tasks of jobs that this controller owns.
 func (c *Core) runsOwnTasks(m *machine) bool {
 	for key := range m.allocation.assignments {
-		if c.ownsJob(c.jobs[key.jobIndex]) {
+		if c.ownership.ownsJob(c.jobs[key.jobIndex]) {
 			return true
 		}
 	}
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -162,8 +162,8 @@
 // releaseOnce releases the resources of a task that has ended, once. They are free for others as soon
 // as the machine reports the end; the write of the end may follow later.
 func (c *Core) releaseOnce(j *job, a jobrecord.Assignment) {
-	attempt := c.attemptOf(c.machines[a.Machine], attemptKey{j.index, a.Task, a.Attempt})
-	if !attempt.resourcesReleased && c.ownsJob(j) && j.record != nil && j.record.Spec != nil {
+	attempt := c.machines[a.Machine].commands.attemptOf(attemptKey{j.index, a.Task, a.Attempt})
+	if !attempt.resourcesReleased && c.ownership.ownsJob(j) && j.record != nil && j.record.Spec != nil {
 		attempt.resourcesReleased = true
 		c.recordDelta(false, j, a, j.record.Spec.Request)
 	}
@@ -183,7 +183,7 @@
 	if c.leaderState != nil {
 		c.leaderState.applyDeltas(c, c.cfg.Name, batch)
 	}
-	c.sendToPeers("", Message{AllocationDeltas: batch})
+	c.controllers.sendToPeers("", Message{AllocationDeltas: batch})
 }
 
 // applyPush takes the leader's array, or the rows of it that changed, and applies the deltas to them
@@ -208,7 +208,7 @@
 	for _, victim := range preempted {
 		m, j := c.internMachine(victim.Machine), c.internJob(victim.Job)
 		assignment, ok := m.allocation.assignments[taskKey{j.index, victim.Task}]
-		if !ok || assignment.Attempt != victim.Attempt || !c.ownsJob(j) || j.isFinal() {
+		if !ok || assignment.Attempt != victim.Attempt || !c.ownership.ownsJob(j) || j.isFinal() {
 			continue
 		}
 		key := attemptKey{j.index, victim.Task, victim.Attempt}
@@ -219,7 +219,7 @@
 // requestWholeArray asks the leader for its whole array after a push was lost; the copy ages until it comes.
 func (c *Core) requestWholeArray() {
 	if c.leadership.leader.modRevision != 0 && c.clusterCopy.beginResend() {
-		c.sendToPeers(c.leadership.leader.Node, Message{ResendStatePush: true})
+		c.controllers.sendToPeers(c.leadership.leader.Node, Message{ResendStatePush: true})
 	}
 }
 
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -32,11 +32,11 @@
 	for _, assignment := range m.sortedAssignments() {
 		j := c.jobs[assignment.jobIndex]
 		spec := j.record.Spec
-		if spec == nil || !c.ownsJob(j) || j.isFinal() {
+		if spec == nil || !c.ownership.ownsJob(j) || j.isFinal() {
 			continue
 		}
 		key := attemptKey{assignment.jobIndex, assignment.Task, assignment.Attempt}
-		record := c.attemptOf(m, key)
+		record := m.commands.attemptOf(key)
 		status, reported := m.status.tasks[key]
 		if record.stopReason != "" || !reported || status.state == wire.TaskExited ||
 			status.state == wire.TaskCheckpointing {
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -12,12 +12,13 @@
 
 // isSchedulable reports whether new tasks may be assigned to a machine now, whatever their job.
 func (c *Core) isSchedulable(m *machine) bool {
-	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested && !c.isQuarantined(m) &&
+	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested &&
+		!m.health.isQuarantined(c.environment, c.jobs) &&
 		m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
 		c.now >= m.health.avoidUntil &&
 		c.now-m.status.lastHeartbeatAt < c.cfg.Agents.HeartbeatInterval*missedHeartbeatsLimit &&
 		(m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) &&
-		!c.isZoneSilent(m.identity.zone, placementSilenceLimit)
+		!c.agents.isZoneSilent(m.identity.zone, placementSilenceLimit)
 }
 
 // isFeasible reports whether a job may run on a machine that is empty: by type, zone, spot and capacity.
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -33,7 +33,7 @@
 	c.aliveMachines = slices.DeleteFunc(c.aliveMachines, func(candidate *machine) bool {
 		return candidate.lifecycle.gone && len(candidate.allocation.assignments) == 0
 	})
-	c.countZoneMachines()
+	c.agents.countZoneMachines(c.aliveMachines)
 	c.evictUnreferencedJobs()
 	c.updateHistoryStats()
 	if c.isFullScanDue() {
@@ -69,6 +69,6 @@
 		c.markDirtyKeepingDelay(open)
 	}
 	for _, alive := range c.aliveMachines {
-		c.markMachineDirty(alive)
+		c.commands.markDirty(alive)
 	}
 }
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -62,7 +62,7 @@
 	c.transactions.nextBlockedScanAt = c.now + blockedScanInterval
 	due := c.collectDueJobs()
 	c.transactions.backlog = len(due)
-	if len(due) == 0 || !c.holdsLease() || !c.placement.mayWriteNow(due, inFlight, &c.teams) {
+	if len(due) == 0 || !c.ownLease.isHeld() || !c.placement.mayWriteNow(due, inFlight, &c.teams) {
 		return
 	}
 	c.updateEndBatchDelay()
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, waiting := range c.openJobs {
-		if waiting.placement.hasUnplacedTasks && c.ownsJob(waiting) {
+		if waiting.placement.hasUnplacedTasks && c.ownership.ownsJob(waiting) {
 			c.markDirty(waiting)
 		}
 	}
@@ -165,7 +165,7 @@
 	if j.revision == 0 {
 		return j.submission != nil
 	}
-	return len(j.cancellation.waiters) > 0 || c.ownsJob(j)
+	return len(j.cancellation.waiters) > 0 || c.ownership.ownsJob(j)
 }
 
 // waitsForScan reports whether a job that is behind the first waiting one is evaluated only with the
@@ -213,7 +213,7 @@
 func (c *Core) updateEndBatchDelay() {
 	running := 0
 	for _, j := range c.openJobs {
-		if len(j.assignments) > 0 && j.record.Spec != nil && !j.record.Spec.Service && c.ownsJob(j) {
+		if len(j.assignments) > 0 && j.record.Spec != nil && !j.record.Spec.Service && c.ownership.ownsJob(j) {
 			running++
 		}
 	}
@@ -256,7 +256,7 @@
 func (c *Core) addWaitingEnds(builder *txnBuilder) {
 	for _, j := range c.openJobs {
 		if !j.write.waitsForEnds || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
-			builder.slotDrafts[c.slotNumber(j.id, j.record)] == nil || !c.ownsJob(j) {
+			builder.slotDrafts[c.slotNumber(j.id, j.record)] == nil || !c.ownership.ownsJob(j) {
 			continue
 		}
 		if !builder.addJob(j) {
