--- a/core/apply.go
+++ b/core/apply.go
@@ -124,7 +124,7 @@
 	}
 	c.autoscaler.storedRevision, c.autoscaler.storedCatalog = revision, catalog
 	if c.autoscaler.catalog == nil {
-		c.setCatalog(&catalog)
+		c.autoscaler.setCatalog(&catalog)
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 	}
 	c.removeAssignments(target)
 	if target.revision == 0 && record.Spec != nil {
-		c.recordClassArrival(record)
+		c.autoscaler.recordClassArrival(record)
 	}
 	if revision != target.revision {
 		target.stored.needsOwnKey = false
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -12,6 +12,8 @@
 // autoscalerState is what every controller keeps for scaling: the catalog of machine types, arrivals
 // by job class and the cloud requests in flight.
 type autoscalerState struct {
+	*environment
+
 	catalog         map[string]*wire.MachineType
 	typeNames       []string // keys of catalog, sorted
 	nextCatalogAt   time.Duration
@@ -46,8 +48,8 @@
 // maxScaleOut bounds the machines that one plan orders to what the cloud request rate allows for
 // rentPlanningWindow. Unsent requests are planned anew; without a bound, every plan of a full fleet
 // packed thousands of machines that could not be requested.
-func (c *Core) maxScaleOut() int {
-	requests := int(c.cfg.Autoscaling.CloudRequestRate * scaleOutPlanningWindow.Seconds())
+func (a *autoscalerState) maxScaleOut() int {
+	requests := int(a.cfg.Autoscaling.CloudRequestRate * scaleOutPlanningWindow.Seconds())
 	return max(4*maxMachinesPerScaleOut, requests*maxMachinesPerScaleOut)
 }
 
@@ -55,8 +57,8 @@
 // what does not fit, and cordons and returns idle machines.
 func (c *Core) planScaling() {
 	bins := c.appendMachineBins(nil)
-	c.dropUnsentScaleOut()
-	bins = c.appendRequestedBins(bins)
+	c.leaderState.dropUnsentScaleOut()
+	bins = c.autoscaler.appendRequestedBins(bins, c.leaderState.scaleOutRequests)
 
 	demands := c.pendingDemand()
 	stock := c.newSupply(bins)
@@ -87,7 +89,7 @@
 			b.available = b.capacity.AddScaled(c.allocatedOn(machine), -1)
 			b.availableSoon = c.releasedSoon(machine)
 			b.busyHorizon = c.busyHorizon(machine)
-		case c.isBootOverdue(machine):
+		case c.autoscaler.isBootOverdue(machine):
 			continue
 		default:
 			b.available = b.capacity
@@ -105,24 +107,23 @@
 }
 
 // isBootOverdue reports whether a machine without a heartbeat should have been up for a while.
-func (c *Core) isBootOverdue(m *machine) bool {
-	age := c.now - max(m.identity.firstSeenAt, m.leaderView.rentedAt)
-	return age > scaleDuration(c.nominalBootTime(m.identity.machineType), bootOverdueFactor)+bootOverdueSlack
+func (a *autoscalerState) isBootOverdue(m *machine) bool {
+	age := a.now - max(m.identity.firstSeenAt, m.leaderView.rentedAt)
+	return age > scaleDuration(a.nominalBootTime(m.identity.machineType), bootOverdueFactor)+bootOverdueSlack
 }
 
 // dropUnsentScaleOut drops the scale-out requests that were not sent. They are planned anew, together
 // with the demand since: cloud requests are few, so each should ask for all the machines that its
 // node group needs. Sent ones may have been executed and stay.
-func (c *Core) dropUnsentScaleOut() {
-	maps.DeleteFunc(c.leaderState.scaleOutRequests, func(_ string, r *scaleOutRequest) bool { return !r.sent })
+func (l *leaderState) dropUnsentScaleOut() {
+	maps.DeleteFunc(l.scaleOutRequests, func(_ string, r *scaleOutRequest) bool { return !r.sent })
 }
 
 // appendRequestedBins appends a bin for each machine of the sent scale-out requests.
-func (c *Core) appendRequestedBins(bins []*bin) []*bin {
-	requests := c.leaderState.scaleOutRequests
+func (a *autoscalerState) appendRequestedBins(bins []*bin, requests map[string]*scaleOutRequest) []*bin {
 	for _, name := range sortedKeys(requests) {
 		request := &requests[name].request
-		machineType := c.autoscaler.catalog[request.Type]
+		machineType := a.catalog[request.Type]
 		if machineType == nil {
 			continue
 		}
@@ -212,20 +213,21 @@
 		}
 		return
 	}
-	if view.cordonedAt == 0 && c.now-view.emptySince >= c.idleTimeout(machine) && c.isOldEnoughForScaleIn(machine) {
+	if view.cordonedAt == 0 && c.now-view.emptySince >= c.autoscaler.idleTimeout(machine) &&
+		machine.isOldEnoughForScaleIn(c.now) {
 		view.cordonedAt = c.now
 		l.pushRequested = true
 	}
 	if view.cordonedAt != 0 && c.now-view.cordonedAt > cordonDuration {
-		c.markForReturn(machine, "idle")
+		c.autoscaler.markForReturn(machine, "idle")
 	}
 }
 
 // isOldEnoughForScaleIn reports whether a machine's age, by either known start, exceeds minAgeForScaleIn.
-func (c *Core) isOldEnoughForScaleIn(m *machine) bool {
+func (m *machine) isOldEnoughForScaleIn(now time.Duration) bool {
 	rentedAt := m.leaderView.rentedAt
-	return c.now-max(m.identity.firstSeenAt, rentedAt) > minAgeForScaleIn ||
-		rentedAt != 0 && c.now-rentedAt > minAgeForScaleIn
+	return now-max(m.identity.firstSeenAt, rentedAt) > minAgeForScaleIn ||
+		rentedAt != 0 && now-rentedAt > minAgeForScaleIn
 }
 
 // logPlan logs the utilization of the fleet at most once in planLogInterval.
@@ -264,9 +266,9 @@
 }
 
 // idleTimeout is how long an empty machine is kept, longer for a type that boots slowly.
-func (c *Core) idleTimeout(m *machine) time.Duration {
-	scaling := &c.cfg.Autoscaling
-	return scaling.IdleTimeout + scaleDuration(c.nominalBootTime(m.identity.machineType), scaling.IdleBootFactor)
+func (a *autoscalerState) idleTimeout(m *machine) time.Duration {
+	scaling := &a.cfg.Autoscaling
+	return scaling.IdleTimeout + scaleDuration(a.nominalBootTime(m.identity.machineType), scaling.IdleBootFactor)
 }
 
 // hasLiveTasks reports whether a machine's last heartbeat has a task that has not exited.
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -176,7 +176,7 @@
 func (l *leaderState) handleReturnRequest(c *Core, overdue, silent []string) {
 	for _, name := range overdue {
 		if target := l.findOrAnnounceGone(c, name); target != nil {
-			c.markForReturn(target, "holds cancelled tasks")
+			c.autoscaler.markForReturn(target, "holds cancelled tasks")
 		}
 	}
 	for _, name := range silent {
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -17,42 +17,44 @@
 	maxMachineCPUs = 1e6 // a larger machine type is not believed
 )
 
-// fetchCatalog reads the machine types from the cloud when that is due, on every controller.
-func (c *Core) fetchCatalog() {
-	if c.autoscaler.catalogInFlight || c.now < c.autoscaler.nextCatalogAt {
-		return
-	}
-	c.autoscaler.catalogInFlight = true
-	id := c.nextID()
-	c.autoscaler.pendingCalls[id] = func(in CloudResult) {
-		c.autoscaler.catalogInFlight = false
+// isCatalogDue reports whether the machine types are to be read from the cloud, which every controller does.
+func (a *autoscalerState) isCatalogDue() bool {
+	return !a.catalogInFlight && a.now >= a.nextCatalogAt
+}
+
+// readCatalog reads the machine types from the cloud, takes them over, and then calls the callback.
+func (a *autoscalerState) readCatalog(onRead func(*wire.Catalog)) {
+	a.catalogInFlight = true
+	id := a.nextID()
+	a.pendingCalls[id] = func(in CloudResult) {
+		a.catalogInFlight = false
 		if in.Status != wire.StatusOK || in.Catalog == nil {
-			c.autoscaler.nextCatalogAt = c.now + catalogRetryDelay + c.jitter(catalogRetryJitter)
+			a.nextCatalogAt = a.now + catalogRetryDelay + a.jitter(catalogRetryJitter)
 			return
 		}
-		c.autoscaler.nextCatalogAt = c.now + catalogInterval + c.jitter(catalogJitter)
-		if c.autoscaler.storedRevision == 0 {
-			c.autoscaler.nextCatalogAt = c.now + unstoredInterval
+		a.nextCatalogAt = a.now + catalogInterval + a.jitter(catalogJitter)
+		if a.storedRevision == 0 {
+			a.nextCatalogAt = a.now + unstoredInterval
 		}
-		c.setCatalog(in.Catalog)
-		c.persistCatalog(in.Catalog)
+		a.setCatalog(in.Catalog)
+		onRead(in.Catalog)
 	}
-	c.emit(CloudRequest{ID: id, Op: CloudCatalog})
+	a.emit(CloudRequest{ID: id, Op: CloudCatalog})
 }
 
 // setCatalog takes over the valid machine types of a catalog; one without any is ignored.
-func (c *Core) setCatalog(catalog *wire.Catalog) {
+func (a *autoscalerState) setCatalog(catalog *wire.Catalog) {
 	next := map[string]*wire.MachineType{}
 	for i := range catalog.Types {
 		machineType := &catalog.Types[i]
 		if !isValidMachineType(machineType) {
-			c.log(LevelError, "invalid machine type", "type", machineType.Name)
+			a.log(LevelError, "invalid machine type", "type", machineType.Name)
 			continue
 		}
 		next[machineType.Name] = machineType
 	}
 	if len(next) > 0 {
-		c.autoscaler.catalog, c.autoscaler.typeNames = next, sortedKeys(next)
+		a.catalog, a.typeNames = next, sortedKeys(next)
 	}
 }
 
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -46,6 +46,14 @@
 	return true
 }
 
+// handleCloudResult calls the function that waits for a cloud request's outcome.
+func (a *autoscalerState) handleCloudResult(in CloudResult) {
+	if onResult := a.pendingCalls[in.ID]; onResult != nil {
+		delete(a.pendingCalls, in.ID)
+		onResult(in)
+	}
+}
+
 // isOverload reports whether the cloud could not take any request just now.
 func (in *CloudResult) isOverload() bool {
 	switch in.Status {
@@ -122,15 +130,15 @@
 }
 
 // markForReturn marks a machine to be returned to the cloud; the first reason stays.
-func (c *Core) markForReturn(m *machine, reason string) {
+func (a *autoscalerState) markForReturn(m *machine, reason string) {
 	if m.leaderView.returnReason != "" || m.lifecycle.gone {
 		return
 	}
 	m.leaderView.returnReason = reason
-	c.log(LevelInfo, "returning machine", "machine", m.name, "type", m.identity.machineType,
+	a.log(LevelInfo, "returning machine", "machine", m.name, "type", m.identity.machineType,
 		"zone", m.identity.zone, "spot", m.identity.spot, "why", reason,
 		"tasks", len(m.allocation.assignments),
-		"quiet_ms", (c.now - m.status.lastHeartbeatAt).Milliseconds())
+		"quiet_ms", (a.now - m.status.lastHeartbeatAt).Milliseconds())
 }
 
 // confirmGone records and announces proof that a machine is gone.
--- a/core/core.go
+++ b/core/core.go
@@ -116,6 +116,7 @@
 	c.agents.missingHeartbeats = map[string][]string{}
 	c.commands.inFlight = map[uint64]inFlightCommands{}
 	c.commands.relayed = map[uint64]relayedCommands{}
+	c.autoscaler.environment = c.environment
 	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
 	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
@@ -169,7 +170,7 @@
 	case LeaseResult:
 		c.handleLeaseResult(in)
 	case CloudResult:
-		c.handleCloudResult(in)
+		c.autoscaler.handleCloudResult(in)
 	case PeerMessage:
 		c.handlePeerMessage(in)
 	case LoadSample:
@@ -235,14 +236,6 @@
 	}
 }
 
-// handleCloudResult calls the function that waits for a cloud request's outcome.
-func (c *Core) handleCloudResult(in CloudResult) {
-	if onResult := c.autoscaler.pendingCalls[in.ID]; onResult != nil {
-		delete(c.autoscaler.pendingCalls, in.ID)
-		onResult(in)
-	}
-}
-
 // Advance moves the time forward, does what is due and returns all outputs since the last call. The
 // order of its steps is part of the behaviour: each sees what the earlier ones changed.
 func (c *Core) Advance(now time.Duration) []Output {
--- a/core/demand.go
+++ b/core/demand.go
@@ -27,15 +27,15 @@
 )
 
 // recordClassArrival updates the statistics of a job's class, from which headroom is computed.
-func (c *Core) recordClassArrival(record *jobrecord.Record) {
-	if c.autoscaler.classStats == nil {
-		c.autoscaler.classStats = map[string]*classStats{}
+func (a *autoscalerState) recordClassArrival(record *jobrecord.Record) {
+	if a.classStats == nil {
+		a.classStats = map[string]*classStats{}
 	}
 	tasks := float64(record.Spec.Tasks)
-	stats := c.autoscaler.classStats[record.Spec.Class]
+	stats := a.classStats[record.Spec.Class]
 	if stats == nil {
 		stats = &classStats{meanTasks: tasks, meanSquareTasks: tasks * tasks}
-		c.autoscaler.classStats[record.Spec.Class] = stats
+		a.classStats[record.Spec.Class] = stats
 	}
 	stats.meanSquareTasks += (tasks*tasks - stats.meanSquareTasks) / meanSquareWeight
 	stats.meanTasks += (tasks - stats.meanTasks) / meanWeight
@@ -43,7 +43,7 @@
 	if stats.lastArrivalMS != 0 && interval >= 0 {
 		stats.meanInterval += (interval - stats.meanInterval) / meanWeight
 	}
-	stats.lastSpec, stats.lastArrival, stats.lastArrivalMS = *record.Spec, c.now, record.AcceptedAtMS
+	stats.lastSpec, stats.lastArrival, stats.lastArrivalMS = *record.Spec, a.now, record.AcceptedAtMS
 }
 
 // demand is tasks of one job, or of a job class, that a plan packs onto machines.
@@ -135,7 +135,7 @@
 		}
 		d.visitedDependents[dependent] = true
 		readyIn, ok := d.core.estimateReadyIn(dependent)
-		if !ok || readyIn >= d.core.provisioningTime(dependent.record.Spec) {
+		if !ok || readyIn >= d.core.autoscaler.provisioningTime(dependent.record.Spec) {
 			continue
 		}
 		d.demands = append(d.demands, demand{
@@ -212,7 +212,7 @@
 		if assigned == 0 && d.core.now-stats.lastArrival > classHeadroomExpiry {
 			continue
 		}
-		tasks := int(math.Ceil(d.core.headroomTasks(stats, assigned)))
+		tasks := int(math.Ceil(d.core.autoscaler.headroomTasks(stats, assigned)))
 		if tasks <= 0 {
 			continue
 		}
@@ -231,7 +231,7 @@
 // limitToQuota cuts the demands, in their order, to what the maximum quotas of their teams leave.
 // Headroom and replacements are not cut.
 func (c *Core) limitToQuota(demands []demand) {
-	left := c.quotasLeft()
+	left := quotasLeft(c.teams)
 	for i := range demands {
 		d := &demands[i]
 		team := c.teamOf(d.spec)
@@ -254,9 +254,9 @@
 }
 
 // quotasLeft is the CPU and GPU (thousandths) that each team may still use; math.MaxInt64: no maximum.
-func (c *Core) quotasLeft() map[*team][2]int64 {
+func quotasLeft(teams []*team) map[*team][2]int64 {
 	left := map[*team][2]int64{}
-	for _, t := range c.teams {
+	for _, t := range teams {
 		remaining := [2]int64{math.MaxInt64, math.MaxInt64}
 		if t.MaxCPU > 0 {
 			remaining[0] = t.MaxCPU - t.usedCPU
@@ -280,18 +280,18 @@
 // assigned, but no more than the arrivals expected until a new machine is up, in standard deviations
 // (relative to its size, a large class varies less), and at least one job of mean size. It decays once
 // jobs have stopped arriving.
-func (c *Core) headroomTasks(stats *classStats, assigned int) float64 {
-	share := c.cfg.Autoscaling.HeadroomShare
+func (a *autoscalerState) headroomTasks(stats *classStats, assigned int) float64 {
+	share := a.cfg.Autoscaling.HeadroomShare
 	if stats.lastSpec.Service {
-		share = c.cfg.Autoscaling.ServiceHeadroomShare
+		share = a.cfg.Autoscaling.ServiceHeadroomShare
 	}
 	tasks := share * float64(assigned)
 	if stats.meanInterval > 0 {
-		jobs := float64(c.provisioningTime(&stats.lastSpec)) / float64(stats.meanInterval)
-		tasks = min(tasks, c.cfg.Autoscaling.HeadroomDeviations*math.Sqrt(jobs*stats.meanSquareTasks))
+		jobs := float64(a.provisioningTime(&stats.lastSpec)) / float64(stats.meanInterval)
+		tasks = min(tasks, a.cfg.Autoscaling.HeadroomDeviations*math.Sqrt(jobs*stats.meanSquareTasks))
 	}
 	tasks = max(stats.meanTasks, tasks)
-	quiet := c.now - stats.lastArrival
+	quiet := a.now - stats.lastArrival
 	if stats.meanInterval > 0 && quiet > quietIntervals*stats.meanInterval && quiet > minQuietPeriod {
 		tasks *= float64(quietIntervals*stats.meanInterval) / float64(quiet)
 	}
@@ -300,24 +300,24 @@
 
 // provisioningTime is how long it takes from a demand to a machine for it: the scale-out request, and
 // the boot of the quickest type that fits.
-func (c *Core) provisioningTime(spec *wire.JobSpec) time.Duration {
+func (a *autoscalerState) provisioningTime(spec *wire.JobSpec) time.Duration {
 	var quickest time.Duration
-	for _, name := range c.autoscaler.typeNames {
-		machineType := c.autoscaler.catalog[name]
-		if !c.isMachineTypeAllowed(spec, name) ||
+	for _, name := range a.typeNames {
+		machineType := a.catalog[name]
+		if !isMachineTypeAllowed(spec, name) ||
 			!clusterstate.Resources(machineType.Capacity()).Fits(spec.Request) {
 			continue
 		}
-		if bootTime := c.nominalBootTime(name); quickest == 0 || bootTime < quickest {
+		if bootTime := a.nominalBootTime(name); quickest == 0 || bootTime < quickest {
 			quickest = bootTime
 		}
 	}
-	return quickest + c.cfg.Autoscaling.ScaleOutLeadTime
+	return quickest + a.cfg.Autoscaling.ScaleOutLeadTime
 }
 
 // nominalBootTime is the boot time of a machine type by the catalog; 0: the type is not known.
-func (c *Core) nominalBootTime(typeName string) time.Duration {
-	machineType := c.autoscaler.catalog[typeName]
+func (a *autoscalerState) nominalBootTime(typeName string) time.Duration {
+	machineType := a.catalog[typeName]
 	if machineType == nil {
 		return 0
 	}
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -23,14 +23,14 @@
 // isFeasible reports whether a job may run on a machine that is empty: by type, zone, spot and capacity.
 func (c *Core) isFeasible(spec *wire.JobSpec, m *machine) bool {
 	machineType := c.autoscaler.catalog[m.identity.machineType]
-	return machineType != nil && c.isMachineTypeAllowed(spec, m.identity.machineType) &&
+	return machineType != nil && isMachineTypeAllowed(spec, m.identity.machineType) &&
 		(spec.Zone == "" || spec.Zone == m.identity.zone) &&
 		(spec.Spot || !m.identity.spot) &&
 		fits(machineType.Capacity(), spec.Request)
 }
 
 // isMachineTypeAllowed reports whether a job may run on a machine type; without a list it may run on all.
-func (c *Core) isMachineTypeAllowed(spec *wire.JobSpec, name string) bool {
+func isMachineTypeAllowed(spec *wire.JobSpec, name string) bool {
 	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, name)
 }
 
@@ -72,7 +72,7 @@
 		return exceedsMaxQuota
 	}
 	for _, machineType := range c.autoscaler.catalog {
-		if c.isMachineTypeAllowed(spec, machineType.Name) && fits(machineType.Capacity(), spec.Request) &&
+		if isMachineTypeAllowed(spec, machineType.Name) && fits(machineType.Capacity(), spec.Request) &&
 			(spec.Zone == "" && len(machineType.Zones) > 0 || slices.Contains(machineType.Zones, spec.Zone)) {
 			return feasible
 		}
--- a/core/leader.go
+++ b/core/leader.go
@@ -74,7 +74,9 @@
 
 // runLeader does what is due of the leader's work; on other controllers it only keeps the catalog.
 func (c *Core) runLeader() {
-	c.fetchCatalog()
+	if c.autoscaler.isCatalogDue() {
+		c.autoscaler.readCatalog(c.persistCatalog)
+	}
 	if !c.isLeader() {
 		c.leaderState = nil
 		return
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -114,7 +114,7 @@
 	m.leaderView.zoneUnreachable = overdue && k.zones[m.identity.zone] != nil ||
 		m.status.reported && c.isZoneSilent(m.identity.zone, replacementSilenceLimit)
 	if reason := k.returnReason(m, quiet); reason != "" {
-		c.markForReturn(m, reason)
+		c.autoscaler.markForReturn(m, reason)
 	} else if m.status.reported {
 		c.pollQuietAgent(m)
 	}
@@ -146,7 +146,7 @@
 // when it was rented, and waits as if it had been rented one boot time before its term.
 func (k *machineCheck) bootTimedOut(m *machine) bool {
 	c := k.core
-	boot := cmp.Or(c.nominalBootTime(m.identity.machineType), defaultBootTime)
+	boot := cmp.Or(c.autoscaler.nominalBootTime(m.identity.machineType), defaultBootTime)
 	since := max(m.identity.firstSeenAt, m.leaderView.rentedAt, k.leader.leadingSince-boot)
 	return c.now-since > scaleDuration(boot, c.cfg.Autoscaling.BootTimeoutFactor)+c.cfg.Autoscaling.CloudListLag*2
 }
@@ -172,7 +172,8 @@
 // when the replacements should be up: when they were returned at once, all tasks there ended with nothing up to
 // take them.
 func (c *Core) unreachableZoneGrace(m *machine) time.Duration {
-	ready := c.silenceTimeout() + c.nominalBootTime(m.identity.machineType) + c.cfg.Autoscaling.ScaleOutLeadTime
+	bootTime := c.autoscaler.nominalBootTime(m.identity.machineType)
+	ready := c.silenceTimeout() + bootTime + c.cfg.Autoscaling.ScaleOutLeadTime
 	return max(c.silenceTimeout(), min(ready, c.cfg.Agents.LeaseTTL-c.cfg.Autoscaling.ScaleOutLeadTime))
 }
 
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -31,11 +31,11 @@
 		need := demand{spec: spec, tasks: 100, tasksByZone: map[string]int{}, priorityClass: 1}
 		c.packDemand(need, supply)
 	}
-	if limit := uint64(30 * (machines + c.maxScaleOut())); c.Stats.PlanMachineLooks > limit {
+	if limit := uint64(30 * (machines + c.autoscaler.maxScaleOut())); c.Stats.PlanMachineLooks > limit {
 		t.Errorf("%d machines examined for %d jobs, the limit is %d", c.Stats.PlanMachineLooks, jobs, limit)
 	}
-	if supply.plannedMachines != c.maxScaleOut() {
-		t.Errorf("%d machines are ordered, want the %d that scale out allows", supply.plannedMachines, c.maxScaleOut())
+	if limit := c.autoscaler.maxScaleOut(); supply.plannedMachines != limit {
+		t.Errorf("%d machines are ordered, want the %d that scale out allows", supply.plannedMachines, limit)
 	}
 
 	// A smaller request than those that found no capacity must still find it.
--- a/core/supply.go
+++ b/core/supply.go
@@ -252,7 +252,7 @@
 
 // planMachines plans machines for what is left of the demand, up to the bound of a plan.
 func (p *demandPacking) planMachines() {
-	for p.demand.tasks > 0 && p.supply.plannedMachines < p.core.maxScaleOut() {
+	for p.demand.tasks > 0 && p.supply.plannedMachines < p.core.autoscaler.maxScaleOut() {
 		group, ok := p.chooseNodeGroup()
 		if !ok {
 			return
@@ -273,7 +273,7 @@
 // allows reports whether the demand's spec admits a bin's node group.
 func (p *demandPacking) allows(b *bin) bool {
 	spec := p.demand.spec
-	return p.core.isMachineTypeAllowed(spec, b.nodeGroup.machineType) &&
+	return isMachineTypeAllowed(spec, b.nodeGroup.machineType) &&
 		(spec.Zone == "" || spec.Zone == b.nodeGroup.zone) &&
 		(spec.Spot || !b.nodeGroup.spot)
 }
@@ -298,7 +298,7 @@
 func (p *demandPacking) chooseNodeGroup() (best nodeGroup, found bool) {
 	bestScore := 0.0
 	for _, name := range p.core.autoscaler.typeNames {
-		if !p.core.isMachineTypeAllowed(p.demand.spec, name) {
+		if !isMachineTypeAllowed(p.demand.spec, name) {
 			continue
 		}
 		machineType := p.core.autoscaler.catalog[name]
@@ -360,7 +360,7 @@
 // time of a machine like theirs.
 func (c *Core) releasedSoon(m *machine) clusterstate.Resources {
 	var released clusterstate.Resources
-	bootTime := c.nominalBootTime(m.identity.machineType)
+	bootTime := c.autoscaler.nominalBootTime(m.identity.machineType)
 	window := scaleDuration(bootTime, c.cfg.Autoscaling.SoonFreeBootFactor)
 	for key, assignment := range m.allocation.assignments {
 		spec := c.jobs[key.jobIndex].record.Spec
