--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -63,11 +63,11 @@
 	demands := c.pendingDemand()
 	stock := c.newSupply(bins)
 	c.packDemands(demands, stock)
-	c.createScaleOutRequests(stock)
-	c.logPlan(stock.bins, demands)
+	c.leaderState.createScaleOutRequests(stock)
+	c.leaderState.logPlan(stock.bins, demands, c.jobs)
 	for _, b := range stock.bins {
 		if b.machine != nil && b.machine.status.reported {
-			c.updateScaleIn(b)
+			c.leaderState.updateScaleIn(b)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 		}
 		switch {
 		case machine.status.reported:
-			b.available = b.capacity.AddScaled(c.allocatedOn(machine), -1)
+			b.available = b.capacity.AddScaled(machine.allocatedResources(c.jobs), -1)
 			b.availableSoon = c.releasedSoon(machine)
 			b.busyHorizon = c.busyHorizon(machine)
 		case c.autoscaler.isBootOverdue(machine):
@@ -158,7 +158,7 @@
 // createScaleOutRequests turns the planned machines into requests of at most maxMachinesPerRent, the
 // largest node groups first. Each group's first request precedes any group's second: an exhausted
 // group then shows with one of the few cloud requests.
-func (c *Core) createScaleOutRequests(stock *supply) {
+func (l *leaderState) createScaleOutRequests(stock *supply) {
 	groups, planned := stock.plannedGroups, stock.plannedByGroup
 	slices.SortStableFunc(groups, func(a, b nodeGroup) int { return planned[b] - planned[a] })
 	for round, more := 0, true; more; round++ {
@@ -169,16 +169,15 @@
 				continue
 			}
 			more = true
-			c.createScaleOutRequest(group, count)
+			l.createScaleOutRequest(group, count)
 		}
 	}
 }
 
 // createScaleOutRequest adds a request under a new idempotency key, unique over leaders and their terms.
-func (c *Core) createScaleOutRequest(group nodeGroup, count int) {
-	l := c.leaderState
+func (l *leaderState) createScaleOutRequest(group nodeGroup, count int) {
 	l.scaleOutSeq++
-	name := fmt.Sprintf("h-%d-%s-%06d", l.fencingToken, c.cfg.Name, l.scaleOutSeq)
+	name := fmt.Sprintf("h-%d-%s-%06d", l.fencingToken, l.cfg.Name, l.scaleOutSeq)
 	l.scaleOutRequests[name] = &scaleOutRequest{
 		request: wire.ScaleOutRequest{
 			IdempotencyKey: name,
@@ -193,14 +192,14 @@
 // updateScaleIn moves a running machine that no demand needs towards its return: it is offered last,
 // so that it empties; once idle for long enough it is cordoned, and then returned. A machine that is
 // needed again goes back to normal.
-func (c *Core) updateScaleIn(b *bin) {
-	l, machine := c.leaderState, b.machine
+func (l *leaderState) updateScaleIn(b *bin) {
+	machine := b.machine
 	view := &machine.leaderView
 	view.onDemandReserved = b.onDemandReserved
 	if len(machine.allocation.assignments) > 0 || machine.hasLiveTasks() {
 		view.emptySince = 0
 	} else if view.emptySince == 0 {
-		view.emptySince = c.now
+		view.emptySince = l.now
 	}
 	if view.offeredLast == b.needed {
 		view.offeredLast = !b.needed
@@ -213,13 +212,13 @@
 		}
 		return
 	}
-	if view.cordonedAt == 0 && c.now-view.emptySince >= c.autoscaler.idleTimeout(machine) &&
-		machine.isOldEnoughForScaleIn(c.now) {
-		view.cordonedAt = c.now
+	if view.cordonedAt == 0 && l.now-view.emptySince >= l.autoscaler.idleTimeout(machine) &&
+		machine.isOldEnoughForScaleIn(l.now) {
+		view.cordonedAt = l.now
 		l.pushRequested = true
 	}
-	if view.cordonedAt != 0 && c.now-view.cordonedAt > cordonDuration {
-		c.autoscaler.markForReturn(machine, "idle")
+	if view.cordonedAt != 0 && l.now-view.cordonedAt > cordonDuration {
+		l.autoscaler.markForReturn(machine, "idle")
 	}
 }
 
@@ -231,12 +230,11 @@
 }
 
 // logPlan logs the utilization of the fleet at most once in planLogInterval.
-func (c *Core) logPlan(bins []*bin, demands []demand) {
-	l := c.leaderState
-	if c.now < l.nextPlanLogAt {
+func (l *leaderState) logPlan(bins []*bin, demands []demand, jobs []*job) {
+	if l.now < l.nextPlanLogAt {
 		return
 	}
-	l.nextPlanLogAt = c.now + planLogInterval
+	l.nextPlanLogAt = l.now + planLogInterval
 	up, booting, offeredLast, empty, waiting, headroom := 0, 0, 0, 0, 0, 0
 	var capacity, allocated int64 // thousandths of a CPU
 	for _, b := range bins {
@@ -252,7 +250,7 @@
 			empty++
 		}
 		capacity += b.capacity[0]
-		allocated += c.allocatedOn(b.machine)[0]
+		allocated += b.machine.allocatedResources(jobs)[0]
 	}
 	for _, d := range demands {
 		if d.isHeadroom {
@@ -261,7 +259,7 @@
 			waiting += d.tasks
 		}
 	}
-	c.log(LevelInfo, "machines", "up", up, "booting", booting, "closed", offeredLast, "empty", empty,
+	l.log(LevelInfo, "machines", "up", up, "booting", booting, "closed", offeredLast, "empty", empty,
 		"cpus", capacity/1000, "used", allocated/1000, "waiting", waiting, "reserve", headroom)
 }
 
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -81,7 +81,7 @@
 			l.nextListAt = c.now + cloudRetryDelay
 			return
 		}
-		l.advanceList(c.now, c.cfg.Autoscaling.CloudListInterval, &in)
+		l.advanceList(&in)
 		for i := range in.Machines {
 			c.applyListedMachine(&in.Machines[i])
 		}
@@ -90,13 +90,13 @@
 
 // advanceList sets which page of the list is read next, and when: until the list was read completely
 // once, at once.
-func (l *leaderState) advanceList(now, interval time.Duration, in *CloudResult) {
-	l.nextListAt = now + interval
+func (l *leaderState) advanceList(in *CloudResult) {
+	l.nextListAt = l.now + l.cfg.Autoscaling.CloudListInterval
 	l.listAfter = ""
 	if n := len(in.Machines); in.More && n > 0 {
 		l.listAfter = in.Machines[n-1].Name
 		if !l.listComplete {
-			l.nextListAt = now
+			l.nextListAt = l.now
 		}
 	}
 	l.listComplete = l.listComplete || l.listAfter == ""
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -341,7 +341,7 @@
 					Attempt:     1,
 				}
 			}
-			if got := c.delayMissesDeadline(host, 10*time.Second); got != tc.want {
+			if got := host.delayMissesDeadline(c.jobs, c.unixMS(), 10*time.Second); got != tc.want {
 				t.Errorf("given up %v, want %v", got, tc.want)
 			}
 		})
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -143,7 +143,9 @@
 	if direct {
 		c.agents.heartbeatsToRelay = append(c.agents.heartbeatsToRelay, r)
 	}
-	c.addRowOnFirstHeartbeat(m)
+	if c.leaderState != nil {
+		c.leaderState.addRowOnFirstHeartbeat(m, c.jobs)
+	}
 }
 
 // updateMachine takes over what a heartbeat says of the machine itself. A new incarnation starts without cached
--- a/core/leader.go
+++ b/core/leader.go
@@ -26,6 +26,10 @@
 // leaderState is the state of one leader's term: the cluster state array, the autoscaler's plan and the
 // requests to the cloud.
 type leaderState struct {
+	*environment
+
+	autoscaler *autoscalerState
+
 	fencingToken      uint64
 	leadingSince      time.Duration
 	array             *clusterstate.Array
@@ -88,7 +92,7 @@
 		c.startTerm()
 	}
 	l := c.leaderState
-	l.refillCloudCallBudget(c.now, c.cfg.Autoscaling.CloudRequestRate)
+	l.refillCloudCallBudget()
 	if c.autoscaler.catalog == nil {
 		return
 	}
@@ -100,29 +104,37 @@
 	}
 }
 
-// startTerm begins a term of this controller as the leader.
-func (c *Core) startTerm() {
-	c.leaderState = &leaderState{
-		fencingToken:      c.leadership.leader.FencingToken,
-		leadingSince:      c.now,
+// newLeaderState returns the state of a term that begins now.
+func newLeaderState(env *environment, autoscaler *autoscalerState, fencingToken uint64) *leaderState {
+	return &leaderState{
+		environment:       env,
+		autoscaler:        autoscaler,
+		fencingToken:      fencingToken,
+		leadingSince:      env.now,
 		array:             clusterstate.NewArray(),
 		ackedBatchSeqs:    map[string]uint64{},
 		scaleOutRequests:  map[string]*scaleOutRequest{},
 		lastPreemptedFor:  map[int32]time.Duration{},
 		blockedUntil:      map[nodeGroup]time.Duration{},
-		cloudCallBudgetAt: c.now,
+		cloudCallBudgetAt: env.now,
 	}
+}
+
+// startTerm begins a term of this controller as the leader.
+func (c *Core) startTerm() {
+	c.leaderState = newLeaderState(c.environment, &c.autoscaler, c.leadership.leader.FencingToken)
 	for _, machine := range c.aliveMachines {
 		machine.leaderView = nodeState{rentedAt: machine.leaderView.rentedAt}
-		c.addRowOnFirstHeartbeat(machine)
+		c.leaderState.addRowOnFirstHeartbeat(machine, c.jobs)
 	}
 	c.log(LevelInfo, "became leader", "token", c.leaderState.fencingToken)
 }
 
 // refillCloudCallBudget adds the cloud requests allowed since the last refill, for a second at most.
-func (l *leaderState) refillCloudCallBudget(now time.Duration, rate float64) {
-	l.cloudCallBudget = min(l.cloudCallBudget+(now-l.cloudCallBudgetAt).Seconds()*rate, rate)
-	l.cloudCallBudgetAt = now
+func (l *leaderState) refillCloudCallBudget() {
+	rate := l.cfg.Autoscaling.CloudRequestRate
+	l.cloudCallBudget = min(l.cloudCallBudget+(l.now-l.cloudCallBudgetAt).Seconds()*rate, rate)
+	l.cloudCallBudgetAt = l.now
 }
 
 // runAutoscaler lists and checks the machines, plans scaling once the list is known, and sends what
@@ -144,19 +156,18 @@
 }
 
 // addRowOnFirstHeartbeat computes the row of a machine that has none, once it has sent a heartbeat.
-func (c *Core) addRowOnFirstHeartbeat(m *machine) {
-	if c.leaderState == nil || m.lifecycle.gone || !m.status.reported || m.leaderView.rowComputedAt != 0 ||
-		c.autoscaler.catalog == nil {
+func (l *leaderState) addRowOnFirstHeartbeat(m *machine, jobs []*job) {
+	if m.lifecycle.gone || !m.status.reported || m.leaderView.rowComputedAt != 0 || l.autoscaler.catalog == nil {
 		return
 	}
-	if c.recomputeRow(m) && c.cfg.State.PushInterval < slowPushInterval {
-		c.leaderState.pushRequested = true
+	if l.recomputeRow(m, jobs) && l.cfg.State.PushInterval < slowPushInterval {
+		l.pushRequested = true
 	}
 }
 
-// allocatedOn is the resources allocated on a machine: to its committed assignments, and to other
+// allocatedResources is the resources allocated on a machine: to its committed assignments, and to other
 // attempts that its heartbeat lists. It is cached until either changes.
-func (c *Core) allocatedOn(m *machine) clusterstate.Resources {
+func (m *machine) allocatedResources(jobs []*job) clusterstate.Resources {
 	if m.allocation.known {
 		return m.allocation.allocated
 	}
@@ -166,7 +177,7 @@
 		if status.state == wire.TaskExited {
 			continue // ended; the watch has not shown the write of that yet
 		}
-		if spec := c.jobs[key.jobIndex].record.Spec; spec != nil {
+		if spec := jobs[key.jobIndex].record.Spec; spec != nil {
 			allocated = allocated.AddScaled(spec.Request, 1)
 		}
 	}
@@ -175,7 +186,7 @@
 		if status.state == wire.TaskExited || m.isAssigned(key) {
 			continue
 		}
-		if record := c.jobs[key.jobIndex].record; record != nil && record.Spec != nil {
+		if record := jobs[key.jobIndex].record; record != nil && record.Spec != nil {
 			allocated = allocated.AddScaled(record.Spec.Request, 1)
 		} else {
 			known = false // the job's record may still arrive, which does not invalidate this cache
@@ -192,24 +203,24 @@
 }
 
 // recomputeRow computes a machine's row of the array; it is false if the machine type is not known.
-func (c *Core) recomputeRow(m *machine) bool {
-	machineType := c.autoscaler.catalog[m.identity.machineType]
+func (l *leaderState) recomputeRow(m *machine, jobs []*job) bool {
+	machineType := l.autoscaler.catalog[m.identity.machineType]
 	if machineType == nil {
 		return false
 	}
-	allocated := m.leaderView.allocations.Allocated(c.now, c.observedTasks(m))
-	c.leaderState.array.SetMachine(m.index, machineType.Capacity(), allocated, m.isOffered())
-	m.leaderView.rowComputedAt = max(1, c.now)
+	allocated := m.leaderView.allocations.Allocated(l.now, m.observedTasks(jobs))
+	l.array.SetMachine(m.index, machineType.Capacity(), allocated, m.isOffered())
+	m.leaderView.rowComputedAt = max(1, l.now)
 	return true
 }
 
 // observedTasks lists the tasks that hold resources on a machine, as the store and its heartbeat show.
-func (c *Core) observedTasks(m *machine) []allocation.ObservedTask {
+func (m *machine) observedTasks(jobs []*job) []allocation.ObservedTask {
 	observed := make([]allocation.ObservedTask, 0, len(m.allocation.assignments))
 	for key, assignment := range m.allocation.assignments {
-		if spec := c.jobs[key.jobIndex].record.Spec; spec != nil {
+		if spec := jobs[key.jobIndex].record.Spec; spec != nil {
 			observed = append(observed, allocation.ObservedTask{
-				AttemptKey: attemptHash(c.jobs[key.jobIndex].id, key.task, assignment.Attempt),
+				AttemptKey: attemptHash(jobs[key.jobIndex].id, key.task, assignment.Attempt),
 				Request:    spec.Request,
 			})
 		}
@@ -218,9 +229,9 @@
 		if status.state == wire.TaskExited || m.isAssigned(key) {
 			continue
 		}
-		if record := c.jobs[key.jobIndex].record; record != nil && record.Spec != nil {
+		if record := jobs[key.jobIndex].record; record != nil && record.Spec != nil {
 			observed = append(observed, allocation.ObservedTask{
-				AttemptKey: attemptHash(c.jobs[key.jobIndex].id, key.task, key.attempt),
+				AttemptKey: attemptHash(jobs[key.jobIndex].id, key.task, key.attempt),
 				Request:    record.Spec.Request,
 			})
 		}
@@ -248,12 +259,18 @@
 	}
 }
 
-// pushArray sends the array to all controllers, itself included: the rows that changed since the last
-// push, and all of them once in a full push interval.
+// pushArray sends the array to all controllers, itself included.
 func (c *Core) pushArray() {
-	l := c.leaderState
-	l.nextPushAt, l.pushRequested, l.lastPushAt = c.now+c.cfg.State.PushInterval, false, c.now
-	c.refreshRows()
+	c.leaderState.refreshRows(c.aliveMachines, c.jobs)
+	push := c.leaderState.nextPush(c.machines)
+	c.sendToPeers("", Message{StatePush: push})
+	c.applyPush(push)
+}
+
+// nextPush is the next push: the rows that changed since the last one, and all of them once in a full
+// push interval.
+func (l *leaderState) nextPush(machines []*machine) *StatePush {
+	l.nextPushAt, l.pushRequested, l.lastPushAt = l.now+l.cfg.State.PushInterval, false, l.now
 	push := &StatePush{
 		FencingToken:  l.fencingToken,
 		DeltaAcks:     make(map[string]uint64, len(l.ackedBatchSeqs)),
@@ -261,40 +278,39 @@
 	}
 	maps.Copy(push.DeltaAcks, l.ackedBatchSeqs)
 	push.GoneMachines, l.newlyGone = l.newlyGone, nil
-	if c.now >= l.nextFullPushAt || l.pushedRevision == 0 {
+	if l.now >= l.nextFullPushAt || l.pushedRevision == 0 {
 		push.AfterRevision = 0
-		l.nextFullPushAt = c.now + c.cfg.State.FullPushInterval
+		l.nextFullPushAt = l.now + l.cfg.State.FullPushInterval
 		l.goneMachines = l.goneMachines[max(0, len(l.goneMachines)-maxGoneAnnounced):]
 		push.GoneMachines = slices.Clone(l.goneMachines)
 	}
 	rows, revision := l.array.ChangedSince(push.AfterRevision)
 	push.Revision, l.pushedRevision = revision, revision
-	push.Rows = c.machineCapacities(rows)
+	push.Rows = machineCapacities(rows, machines)
 	push.Preempted, l.pendingPreemptions = l.pendingPreemptions, nil
 	push.CapacityHold = l.capacityHold
-	c.sendToPeers("", Message{StatePush: push})
-	c.applyPush(push)
+	return push
 }
 
 // refreshRows recomputes the rows of machines that have changed, and sets what all are offered as.
-func (c *Core) refreshRows() {
-	for _, machine := range c.aliveMachines {
+func (l *leaderState) refreshRows(machines []*machine, jobs []*job) {
+	for _, machine := range machines {
 		if machine.lifecycle.gone || !machine.status.reported {
 			continue
 		}
 		view := &machine.leaderView
 		if max(view.lastDeltaAt, machine.status.lastChangeAt) >= view.rowComputedAt ||
-			view.allocations.HasPending() && c.now-view.rowComputedAt > pendingRowInterval {
-			c.recomputeRow(machine)
+			view.allocations.HasPending() && l.now-view.rowComputedAt > pendingRowInterval {
+			l.recomputeRow(machine, jobs)
 		}
-		c.leaderState.array.SetOffer(machine.index, machine.isOffered(), view.offeredLast, view.onDemandReserved)
+		l.array.SetOffer(machine.index, machine.isOffered(), view.offeredLast, view.onDemandReserved)
 	}
 }
 
 // machineCapacities translates rows of the array for a push.
-func (c *Core) machineCapacities(rows []clusterstate.Row) (capacities []MachineCapacity) {
+func machineCapacities(rows []clusterstate.Row, machines []*machine) (capacities []MachineCapacity) {
 	for _, row := range rows {
-		machine := c.machines[row.Machine]
+		machine := machines[row.Machine]
 		capacities = append(capacities, MachineCapacity{
 			Machine:       machine.name,
 			Type:          machine.identity.machineType,
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -153,8 +153,9 @@
 
 // awaitsReplacement reports whether a machine of an unreachable zone is kept until a replacement is up.
 func (k *machineCheck) awaitsReplacement(m *machine, quiet time.Duration) bool {
-	grace := k.core.unreachableZoneGrace(m)
-	return quiet < grace && !k.core.delayMissesDeadline(m, grace-quiet)
+	c := k.core
+	grace := c.autoscaler.unreachableZoneGrace(m, c.silenceTimeout())
+	return quiet < grace && !m.delayMissesDeadline(c.jobs, c.unixMS(), grace-quiet)
 }
 
 // isSilent reports whether a machine without a heartbeat for so long is to be given up. A new leader first
@@ -171,18 +172,18 @@
 // its tasks run on until the agents' leases expire. So replacements are rented first, and these machines are returned
 // when the replacements should be up: when they were returned at once, all tasks there ended with nothing up to
 // take them.
-func (c *Core) unreachableZoneGrace(m *machine) time.Duration {
-	bootTime := c.autoscaler.nominalBootTime(m.identity.machineType)
-	ready := c.silenceTimeout() + bootTime + c.cfg.Autoscaling.ScaleOutLeadTime
-	return max(c.silenceTimeout(), min(ready, c.cfg.Agents.LeaseTTL-c.cfg.Autoscaling.ScaleOutLeadTime))
+func (a *autoscalerState) unreachableZoneGrace(m *machine, silenceTimeout time.Duration) time.Duration {
+	bootTime := a.nominalBootTime(m.identity.machineType)
+	ready := silenceTimeout + bootTime + a.cfg.Autoscaling.ScaleOutLeadTime
+	return max(silenceTimeout, min(ready, a.cfg.Agents.LeaseTTL-a.cfg.Autoscaling.ScaleOutLeadTime))
 }
 
 // delayMissesDeadline reports whether waiting would make a task of a machine miss a deadline, its job's own or
 // that of a dependent job. Machines with replicas of services are not given up for it: these go on serving.
-func (c *Core) delayMissesDeadline(m *machine, wait time.Duration) bool {
+func (m *machine) delayMissesDeadline(jobs []*job, nowMS int64, wait time.Duration) bool {
 	misses := false
 	for task, assignment := range m.allocation.assignments {
-		j := c.jobs[task.jobIndex]
+		j := jobs[task.jobIndex]
 		spec := j.record.Spec
 		key := attemptKey{task.jobIndex, task.task, assignment.Attempt}
 		if spec == nil || j.isFinal() || m.status.tasks[key].state == wire.TaskExited {
@@ -194,7 +195,7 @@
 		if j.effectiveDeadlineMS == 0 {
 			continue
 		}
-		expectedEndMS := c.unixMS() + wait.Milliseconds() + spec.EstimatedRuntimeMS
+		expectedEndMS := nowMS + wait.Milliseconds() + spec.EstimatedRuntimeMS
 		misses = misses || expectedEndMS > j.effectiveDeadlineMS
 	}
 	return misses
--- a/core/preemption.go
+++ b/core/preemption.go
@@ -54,7 +54,7 @@
 			!b.isSchedulable(c) || !c.isFeasible(spec, b.machine) {
 			continue
 		}
-		if victims, cost, ok := c.chooseVictims(&p.demand, b); ok {
+		if victims, cost, ok := b.chooseVictims(&p.demand, c.jobs, c.now); ok {
 			options = append(options, preemptionOption{b, victims, cost})
 		}
 	}
@@ -97,15 +97,17 @@
 
 // chooseVictims chooses the tasks of a machine that must be preempted for one task of a demand. It is
 // false if none need to be, or if all would not suffice.
-func (c *Core) chooseVictims(d *demand, b *bin) (victims []jobAssignment, cost time.Duration, ok bool) {
+func (b *bin) chooseVictims(d *demand, jobs []*job, now time.Duration) (
+	victims []jobAssignment, cost time.Duration, ok bool,
+) {
 	available := b.available
-	candidates := c.preemptibleTasks(b, d.spec.Priority)
+	candidates := b.preemptibleTasks(d.spec.Priority, jobs, now)
 	for i, candidate := range candidates {
 		if available.Fits(d.spec.Request) {
 			break
 		}
-		available = available.AddScaled(c.jobs[candidate.jobIndex].record.Spec.Request, 1)
-		cost += c.timeInState(b.machine, candidate)
+		available = available.AddScaled(jobs[candidate.jobIndex].record.Spec.Request, 1)
+		cost += b.machine.timeInState(candidate, now)
 		victims = candidates[:i+1]
 	}
 	return victims, cost, len(victims) > 0 && available.Fits(d.spec.Request)
@@ -114,13 +116,13 @@
 // preemptibleTasks lists the tasks of a machine that may be preempted for a priority, shortest time in
 // state first. It is computed once a plan and priority: hundreds of replicas that fit nowhere scan all
 // machines.
-func (c *Core) preemptibleTasks(b *bin, priority int) []jobAssignment {
+func (b *bin) preemptibleTasks(priority int, jobs []*job, now time.Duration) []jobAssignment {
 	if b.preemptible != nil && b.preemptiblePriority == priority {
 		return b.preemptible
 	}
 	tasks := []jobAssignment{} // not nil: an empty list is cached too
 	for _, candidate := range b.machine.sortedAssignments() {
-		spec := c.jobs[candidate.jobIndex].record.Spec
+		spec := jobs[candidate.jobIndex].record.Spec
 		key := attemptKey{candidate.jobIndex, candidate.Task, candidate.Attempt}
 		status, reported := b.machine.status.tasks[key]
 		if spec != nil && reported && !spec.Service && spec.Priority > priority &&
@@ -130,15 +132,15 @@
 		}
 	}
 	slices.SortStableFunc(tasks, func(x, y jobAssignment) int {
-		return cmp.Compare(c.timeInState(b.machine, x), c.timeInState(b.machine, y))
+		return cmp.Compare(b.machine.timeInState(x, now), b.machine.timeInState(y, now))
 	})
 	b.preemptible, b.preemptiblePriority = tasks, priority
 	return tasks
 }
 
 // timeInState is how long an assigned task has been in its state.
-func (c *Core) timeInState(m *machine, a jobAssignment) time.Duration {
-	return c.now - m.status.tasks[attemptKey{a.jobIndex, a.Task, a.Attempt}].stateSince
+func (m *machine) timeInState(a jobAssignment, now time.Duration) time.Duration {
+	return now - m.status.tasks[attemptKey{a.jobIndex, a.Task, a.Attempt}].stateSince
 }
 
 // withWaiting returns the hold extended by a waiting request: the smallest request of the most urgent
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -62,10 +62,7 @@
 		"x": {Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b"}, BootS: 15, Price: 1, SpotPrice: 0.5},
 	}
 	c.autoscaler.typeNames = []string{"x"}
-	c.leaderState = &leaderState{
-		blockedUntil:     map[nodeGroup]time.Duration{},
-		lastPreemptedFor: map[int32]time.Duration{},
-	}
+	c.leaderState = newLeaderState(c.environment, &c.autoscaler, 0)
 	return c
 }
 
--- a/core/supply.go
+++ b/core/supply.go
@@ -20,7 +20,7 @@
 	busyHorizonSteps    time.Duration          // busyHorizon in units of the setting BusyHorizonStep
 	freeShare           float64
 	preempted           []jobAssignment // tasks preempted by this plan
-	preemptible         []jobAssignment // cache of Core.preemptibleTasks; nil: not computed
+	preemptible         []jobAssignment // cache of preemptibleTasks; nil: not computed
 	preemptiblePriority int             // priority that preemptible was computed for
 	hasTasks            bool
 	schedulableKnown    bool // schedulable is computed
