--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -61,7 +61,7 @@
 	bins = c.autoscaler.appendRequestedBins(bins, c.leaderState.scaleOutRequests)
 
 	demands := c.pendingDemand()
-	stock := c.newSupply(bins)
+	stock := c.leaderState.newSupply(bins, &c.Stats)
 	c.packDemands(demands, stock)
 	c.leaderState.createScaleOutRequests(stock)
 	c.leaderState.logPlan(stock.bins, demands, c.jobs)
@@ -87,7 +87,7 @@
 		switch {
 		case machine.status.reported:
 			b.available = b.capacity.AddScaled(machine.allocatedResources(c.jobs), -1)
-			b.availableSoon = c.releasedSoon(machine)
+			b.availableSoon = c.autoscaler.releasedSoon(machine, c.jobs)
 			b.busyHorizon = c.busyHorizon(machine)
 		case c.autoscaler.isBootOverdue(machine):
 			continue
--- a/core/preemption.go
+++ b/core/preemption.go
@@ -15,10 +15,17 @@
 	cost    time.Duration // work that may be lost: the time that the victims have been in their states
 }
 
-// preemptForReplicas preempts tasks of lower priority for replicas that fit nowhere now: booting
-// machines would come too late for them. Victims with the least work to lose go first. It returns how
-// many replicas the preemptions serve.
-func (p *demandPacking) preemptForReplicas() (served int) {
+// replicaPreemption is the preemption of tasks for the replicas that a packing found no machines for.
+type replicaPreemption struct {
+	*demandPacking
+
+	core *Core
+}
+
+// run preempts tasks of lower priority for replicas that fit nowhere now: booting machines would come
+// too late for them. Victims with the least work to lose go first. It returns how many replicas the
+// preemptions serve.
+func (p *replicaPreemption) run() (served int) {
 	c, d := p.core, &p.demand
 	l := c.leaderState
 	at, ok := l.lastPreemptedFor[d.job.index]
@@ -46,7 +53,7 @@
 }
 
 // preemptionOptions lists the machines on which preemption serves a replica.
-func (p *demandPacking) preemptionOptions() (options []preemptionOption) {
+func (p *replicaPreemption) preemptionOptions() (options []preemptionOption) {
 	c, spec := p.core, p.demand.spec
 	for _, b := range p.supply.bins {
 		if !b.isUp() || b.nodeGroup.spot && !spec.Spot ||
@@ -63,7 +70,7 @@
 
 // preempt has the victims of an option preempted with the next push, and counts their resources as
 // available.
-func (p *demandPacking) preempt(option preemptionOption) {
+func (p *replicaPreemption) preempt(option preemptionOption) {
 	c, b := p.core, option.bin
 	l := c.leaderState
 	for _, victim := range option.victims {
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -24,7 +24,7 @@
 			available: clusterstate.Resources{500, 0, 1000},
 		})
 	}
-	supply := c.newSupply(bins)
+	supply := c.leaderState.newSupply(bins, &c.Stats)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range jobs {
 		spec := &wire.JobSpec{Tasks: 100, Spot: true, Request: [3]int64{3000 + rng.Int64N(2000), 0, 8000}}
--- a/core/supply.go
+++ b/core/supply.go
@@ -61,6 +61,10 @@
 
 // supply is the bins of one plan, in the orders in which demands fill them, and what the plan adds.
 type supply struct {
+	autoscaler   *autoscalerState
+	blockedUntil map[nodeGroup]time.Duration // leaderState.blockedUntil
+	stats        *Stats
+
 	bins            []*bin
 	packingOrders   [2][]*bin
 	machinesByGroup map[nodeGroup]int
@@ -104,8 +108,11 @@
 
 // newSupply builds the supply of a plan. Machines that stay busy longest are filled first, so that the
 // others empty; on-demand machines without services come last for work that may use spot machines.
-func (c *Core) newSupply(bins []*bin) *supply {
+func (l *leaderState) newSupply(bins []*bin, stats *Stats) *supply {
 	s := &supply{
+		autoscaler:      l.autoscaler,
+		blockedUntil:    l.blockedUntil,
+		stats:           stats,
 		bins:            bins,
 		machinesByGroup: map[nodeGroup]int{},
 		machinesByZone:  map[string]int{},
@@ -116,8 +123,8 @@
 		s.machinesByZone[b.nodeGroup.zone]++
 		row := clusterstate.Row{Available: b.available, Allocated: b.capacity.AddScaled(b.available, -1)}
 		b.freeShare = row.MinFreeFraction()
-		if c.cfg.Scheduling.BusyHorizonStep > 0 {
-			b.busyHorizonSteps = b.busyHorizon / c.cfg.Scheduling.BusyHorizonStep
+		if l.cfg.Scheduling.BusyHorizonStep > 0 {
+			b.busyHorizonSteps = b.busyHorizon / l.cfg.Scheduling.BusyHorizonStep
 		}
 	}
 	for order := range s.packingOrders {
@@ -169,7 +176,6 @@
 
 // demandPacking is the packing of one demand into the supply of a plan; demand.tasks is what is left.
 type demandPacking struct {
-	core      *Core
 	demand    demand
 	supply    *supply
 	placeable int // tasks that fit on machines that are up
@@ -178,40 +184,49 @@
 // packDemand packs a demand into the supply, and plans machines for what does not fit. It returns how
 // many tasks fit on machines that are up, without preemption.
 func (c *Core) packDemand(d demand, s *supply) (placeable int) {
-	p := &demandPacking{core: c, demand: d, supply: s}
-	bins := s.packingOrders[d.supplyOrder()]
+	p := &demandPacking{demand: d, supply: s}
 	if !d.isHeadroom && !d.isReplacement && d.spec.Service {
-		p.packReplicas(bins)
-	}
-	first := s.firstCandidate(&p.demand)
-	p.fill(bins[first:], false)
-	if !d.isHeadroom && first == 0 {
-		p.fillSoon(bins)
+		c.packReplicas(p)
 	}
-	if p.demand.tasks > 0 {
-		s.recordExhausted(&p.demand)
-	}
-	p.planMachines()
+	p.packTasks()
 	return p.placeable
 }
 
 // packReplicas packs the replicas of a service onto machines that are up, if need be by preemption:
 // machines that still boot would come too late for them.
-func (p *demandPacking) packReplicas(bins []*bin) {
-	p.fill(bins, true)
-	if preempted := p.preemptForReplicas(); preempted > 0 {
+func (c *Core) packReplicas(p *demandPacking) {
+	p.fill(p.bins(), true)
+	preemption := replicaPreemption{core: c, demandPacking: p}
+	if preempted := preemption.run(); preempted > 0 {
 		p.demand.tasks -= preempted
 		p.supply.exhausted = [2][]exhaustedRequest{} // victims may leave more than was needed
 	}
 }
 
+// bins is the bins of the demand's packing order, without those that it adds.
+func (p *demandPacking) bins() []*bin { return p.supply.packingOrders[p.demand.supplyOrder()] }
+
+// packTasks packs what is left of the demand into any bins, and plans machines for what does not fit.
+func (p *demandPacking) packTasks() {
+	bins := p.bins()
+	first := p.supply.firstCandidate(&p.demand)
+	p.fill(bins[first:], false)
+	if !p.demand.isHeadroom && first == 0 {
+		p.fillSoon(bins)
+	}
+	if p.demand.tasks > 0 {
+		p.supply.recordExhausted(&p.demand)
+	}
+	p.planMachines()
+}
+
 // fill packs what is left of the demand into the available resources of bins.
 func (p *demandPacking) fill(bins []*bin, upOnly bool) {
 	for _, b := range bins {
 		if p.demand.tasks <= 0 {
 			return
 		}
-		p.core.Stats.PlanMachineLooks++
+		p.supply.stats.PlanMachineLooks++
 		if b.available.Fits(p.demand.spec.Request) && p.allows(b) && (!upOnly || b.isUp()) {
 			p.put(b)
 		}
@@ -252,12 +267,12 @@
 
 // planMachines plans machines for what is left of the demand, up to the bound of a plan.
 func (p *demandPacking) planMachines() {
-	for p.demand.tasks > 0 && p.supply.plannedMachines < p.core.autoscaler.maxScaleOut() {
+	for p.demand.tasks > 0 && p.supply.plannedMachines < p.supply.autoscaler.maxScaleOut() {
 		group, ok := p.chooseNodeGroup()
 		if !ok {
 			return
 		}
-		capacity := p.core.autoscaler.catalog[group.machineType].Capacity()
+		capacity := p.supply.autoscaler.catalog[group.machineType].Capacity()
 		b := &bin{nodeGroup: group, available: capacity, capacity: capacity}
 		p.supply.addPlanned(b)
 		p.put(b)
@@ -297,11 +312,11 @@
 // chooseNodeGroup chooses the node group with the lowest score for what is left of the demand.
 func (p *demandPacking) chooseNodeGroup() (best nodeGroup, found bool) {
 	bestScore := 0.0
-	for _, name := range p.core.autoscaler.typeNames {
+	for _, name := range p.supply.autoscaler.typeNames {
 		if !isMachineTypeAllowed(p.demand.spec, name) {
 			continue
 		}
-		machineType := p.core.autoscaler.catalog[name]
+		machineType := p.supply.autoscaler.catalog[name]
 		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{false, true} {
 				group := nodeGroup{name, zone, spot}
@@ -329,7 +344,7 @@
 	case p.demand.isHeadroom && spec.Spot && !group.spot:
 		return false // headroom for work that may use spot machines is worth only their price
 	}
-	return p.core.now >= p.core.leaderState.blockedUntil[group]
+	return p.supply.autoscaler.now >= p.supply.blockedUntil[group]
 }
 
 // scoreNodeGroup is the price per task that a machine of a group takes, raised by its boot time and by
@@ -358,18 +373,18 @@
 
 // releasedSoon is the resources of tasks that should end, by their owners' estimates, within the boot
 // time of a machine like theirs.
-func (c *Core) releasedSoon(m *machine) clusterstate.Resources {
+func (a *autoscalerState) releasedSoon(m *machine, jobs []*job) clusterstate.Resources {
 	var released clusterstate.Resources
-	bootTime := c.autoscaler.nominalBootTime(m.identity.machineType)
-	window := scaleDuration(bootTime, c.cfg.Autoscaling.SoonFreeBootFactor)
+	bootTime := a.nominalBootTime(m.identity.machineType)
+	window := scaleDuration(bootTime, a.cfg.Autoscaling.SoonFreeBootFactor)
 	for key, assignment := range m.allocation.assignments {
-		spec := c.jobs[key.jobIndex].record.Spec
+		spec := jobs[key.jobIndex].record.Spec
 		status := m.status.tasks[attemptKey{key.jobIndex, key.task, assignment.Attempt}]
 		if spec == nil || spec.Service || status.state != wire.TaskRunning {
 			continue
 		}
 		estimate := time.Duration(spec.EstimatedRuntimeMS) * time.Millisecond
-		left := estimate - (c.now - status.stateSince)
+		left := estimate - (a.now - status.stateSince)
 		if left < window && left > -estimate/overrunDivisor {
 			released = released.AddScaled(spec.Request, 1)
 		}
