--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -324,7 +324,7 @@
 func (c *Core) broadcastHeartbeats() {
 	var digests []HeartbeatDigest
 	if c.now >= c.agents.nextDigestAt {
-		c.agents.nextDigestAt = c.now + c.stretchUnderLoad(batchesPerDigest*c.cfg.State.DeltaInterval)
+		c.agents.nextDigestAt = c.now + c.overload.Level().Stretch(batchesPerDigest*c.cfg.State.DeltaInterval)
 		digests, c.agents.digestsToRelay = c.agents.digestsToRelay, nil
 	}
 	if len(c.agents.heartbeatsToRelay)+len(digests) > 0 {
--- a/core/leader.go
+++ b/core/leader.go
@@ -141,14 +141,14 @@
 // follows to the cloud.
 func (c *Core) runAutoscaler() {
 	l := c.leaderState
-	l.nextPlanAt = c.now + c.planInterval()
+	l.nextPlanAt = c.now + planInterval(c.overload.Level())
 	c.listMachines()
 	c.checkMachines()
 	if l.listComplete && c.now-l.leadingSince > planningDelay {
 		c.planScaling()
 		// Nothing can be scaled out, so the next plan will be much the same.
 		if len(l.scaleOutRequests) == 0 && l.unmetJobs > manyUnmetJobs {
-			l.nextPlanAt += c.planInterval()
+			l.nextPlanAt += planInterval(c.overload.Level())
 		}
 	}
 	c.sendScaleOutRequests()
--- a/core/loadshedding.go
+++ b/core/loadshedding.go
@@ -20,7 +20,7 @@
 		QueueDelay:      in.MaxLoopDelay,
 		QueueUsage:      in.InputQueueUsage,
 		ConnectionUsage: in.ConnectionUsage,
-		WriteBacklog:    c.estimateWriteTime(c.transactions.backlog),
+		WriteBacklog:    estimateWriteTime(c.transactions.backlog, c.transactions.rateLimit.WriteRate),
 	}
 	if c.overload.Update(c.now, signals) {
 		c.log(LevelInfo, "load level changed", "level", c.overload.Level().String(),
@@ -29,19 +29,14 @@
 	}
 }
 
-// estimateWriteTime is how long a number of writes takes this controller at its own rate.
-func (c *Core) estimateWriteTime(writes int) time.Duration {
-	return time.Duration(float64(writes) / max(1, c.transactions.rateLimit.WriteRate) * float64(time.Second))
+// estimateWriteTime is how long a number of writes takes a controller at its rate, in writes a second.
+func estimateWriteTime(writes int, rate float64) time.Duration {
+	return time.Duration(float64(writes) / max(1, rate) * float64(time.Second))
 }
 
-// stretchUnderLoad lengthens the interval of deferrable work: it doubles with each load level.
-func (c *Core) stretchUnderLoad(interval time.Duration) time.Duration {
-	return interval << c.overload.Level()
-}
-
-// planInterval is the time between two plans of the leader.
-func (c *Core) planInterval() time.Duration {
-	if c.overload.Level() == overload.Overloaded {
+// planInterval is the time between two plans of the leader at a load level.
+func planInterval(level overload.Level) time.Duration {
+	if level == overload.Overloaded {
 		return planIntervalOverloaded
 	}
 	return normalPlanInterval
@@ -60,6 +55,6 @@
 // retryAfterSeconds is when a client whose request was shed should retry: once the pending submissions
 // are written, with as much jitter, so that clients don't retry all at once.
 func (c *Core) retryAfterSeconds() int {
-	writeSeconds := c.estimateWriteTime(c.pendingSubmissions).Seconds()
+	writeSeconds := estimateWriteTime(c.pendingSubmissions, c.transactions.rateLimit.WriteRate).Seconds()
 	return int(min(maxRetryAfterSeconds, max(1, math.Ceil(writeSeconds*(1+c.rng.Float64())))))
 }
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -19,6 +19,9 @@
 // String returns the level's name in the log.
 func (l Level) String() string { return [levelCount]string{"calm", "busy", "over"}[l] }
 
+// Stretch lengthens the interval of work that can be deferred: it doubles with each level.
+func (l Level) Stretch(interval time.Duration) time.Duration { return interval << l }
+
 // Signals are the measurements that a level is decided by.
 type Signals struct {
 	QueueDelay      time.Duration // how long the latest input had waited when it was handled
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -59,3 +59,16 @@
 		}
 	}
 }
+
+// Work that can be deferred must take less of an overloaded controller.
+func TestIntervalDoublesWithEachLevel(t *testing.T) {
+	for level, want := range map[Level]time.Duration{
+		Normal:     time.Second,
+		Busy:       2 * time.Second,
+		Overloaded: 4 * time.Second,
+	} {
+		if got := level.Stretch(time.Second); got != want {
+			t.Errorf("level %v: an interval of 1 s becomes %v, want %v", level, got, want)
+		}
+	}
+}
