--- a/core/apply.go
+++ b/core/apply.go
@@ -47,7 +47,7 @@
 	case key == KeyRestored:
 		return c.restoreMarker.apply(raw, revision)
 	case key == keyHistory:
-		c.applyHistoryMarker(revision)
+		c.history.applyMarker(revision)
 	case key == keyPriorityClasses:
 		return c.applyPriorityClasses(raw, revision)
 	case strings.HasPrefix(key, reservations.Prefix):
@@ -222,7 +222,7 @@
 	if target.isFinal() && !wasFinal {
 		c.propagateJobEnd(target)
 	}
-	c.trackEndedJob(target)
+	c.history.trackEndedJob(target)
 }
 
 // addAssignments adds a job's assignments to their machines and to its team's usage, and counts
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -104,7 +104,7 @@
 	h.sortEndedJobs()
 	c.archiving.sweep = &archiveSweep{
 		maxRevision:    h.endedJobs[keep].revision,
-		referencedJobs: c.referencedJobs(),
+		referencedJobs: referencedJobs(c.aliveMachines),
 		startedAt:      c.now,
 	}
 }
@@ -112,7 +112,7 @@
 // readSweepPage reads the next records of a sweep.
 func (c *Core) readSweepPage(sweep *archiveSweep) {
 	sweep.inFlight = true
-	c.readPrefix(keyJob, sweep.afterKey, sweepPageSize, func(in RangeResult) {
+	c.reads.readPrefix(keyJob, sweep.afterKey, sweepPageSize, func(in RangeResult) {
 		sweep.inFlight = false
 		if in.Status != wire.StatusOK || sweep != c.archiving.sweep {
 			return
@@ -178,7 +178,7 @@
 	block, revision, err := h.archiveIndex.Lookup(firstID, 0)
 	if block == nil && err == nil {
 		sweep.inFlight = true
-		c.readArchiveBlock(firstID, func(bool) { sweep.inFlight = false })
+		h.readArchiveBlock(firstID, func(bool) { sweep.inFlight = false })
 		return
 	}
 	group := sweep.pendingFor(block)
--- a/core/audit.go
+++ b/core/audit.go
@@ -226,7 +226,7 @@
 		c.respondUnavailable(in.RequestID, "too busy")
 		return
 	}
-	c.readPrefix(
+	c.reads.readPrefix(
 		audit.BlockPrefix+in.Node+"/",
 		audit.BlockKey(in.Node, in.AfterBlock),
 		auditPageBlocks,
--- a/core/core.go
+++ b/core/core.go
@@ -38,6 +38,7 @@
 	storeHealth  storeHealth
 	transactions transactionState
 	schema       schemaState
+	reads        rangeReads
 
 	// Controllers.
 	ownLease    controllerLease
@@ -101,7 +102,6 @@
 		jobIndex:     map[string]int32{},
 		teamIndex:    map[string]int{},
 		reservations: reservations.New(),
-		history:      newHistory(&cfg),
 		permissions:  permissionState{identities: map[string]storedIdentity{}},
 	}
 	c.replica.batchValues = map[int]*batchvalue.Slot{}
@@ -111,6 +111,8 @@
 	c.schema.declared = map[string]int{}
 	c.transactions.inFlight = map[uint64]*pendingTxn{}
 	c.transactions.rateLimit = ratelimit.New(now)
+	c.reads = newRangeReads(c.environment, &c.transactions.rateLimit)
+	c.history = newHistory(c.environment, &c.reads)
 	c.transactions.endBatchDelay = cfg.Scheduling.MinEndBatchDelay
 	c.agents.zones = map[string]*zoneLiveness{}
 	c.agents.missingHeartbeats = map[string][]string{}
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -26,6 +26,10 @@
 
 // history is the state of ended jobs and of the lookups of jobs that are not in memory.
 type history struct {
+	*environment
+
+	reads *rangeReads
+
 	markerRevision   uint64 // revision of keyHistory; 0: nothing was ever archived
 	coldRecords      int    // records of ended jobs that are not in memory; may be too high, never too low
 	snapshotRevision uint64 // of the last page of the snapshot: moves until then may not be counted as cold
@@ -43,7 +47,6 @@
 	readsInFlight          int
 	unresolvedDependencies []*job // dependencies of other jobs that are not known
 	nextResolveAt          time.Duration
-	pendingReads           map[uint64]func(RangeResult) // callbacks by request ID
 }
 
 // jobLookup is the search for a job that is not in memory.
@@ -58,26 +61,25 @@
 }
 
 const (
-	lookupTimeout      = 1500 * time.Millisecond // after which a lookup has failed
-	maxLookupReads     = 8                       // reads of lookups in flight at a time
-	minLookupBurst     = 4                       // reads that lookups may save up at a low rate
-	minQueuedLookups   = 8                       // lookups that may wait at a low rate
-	rangePageSize      = 1000                    // keys of a range read, the most that the store returns
-	resolveInterval    = time.Second             // between two lookups of unknown dependencies
-	endedJobBytes      = 560                     // memory of an ended job, as measured
-	throttledReadDelay = 100 * time.Millisecond  // pause of non-urgent requests after a throttled read,
-	throttledJitter    = 200 * time.Millisecond  // plus jitter
+	lookupTimeout    = 1500 * time.Millisecond // after which a lookup has failed
+	maxLookupReads   = 8                       // reads of lookups in flight at a time
+	minLookupBurst   = 4                       // reads that lookups may save up at a low rate
+	minQueuedLookups = 8                       // lookups that may wait at a low rate
+	rangePageSize    = 1000                    // keys of a range read, the most that the store returns
+	resolveInterval  = time.Second             // between two lookups of unknown dependencies
+	endedJobBytes    = 560                     // memory of an ended job, as measured
 )
 
 // errBlockRange tells that a block does not have the range that its key names.
 var errBlockRange = errors.New("range of block does not match its key")
 
 // newHistory returns the state of a controller that knows of no ended job.
-func newHistory(cfg *Config) history {
+func newHistory(env *environment, reads *rangeReads) history {
 	return history{
-		archiveIndex: archive.NewBlockCache(cfg.History.CacheBytes),
+		environment:  env,
+		reads:        reads,
+		archiveIndex: archive.NewBlockCache(env.cfg.History.CacheBytes),
 		lookups:      map[string]*jobLookup{},
-		pendingReads: map[uint64]func(RangeResult){},
 	}
 }
 
@@ -87,33 +89,32 @@
 }
 
 // trackEndedJob counts a job that has ended among those in memory.
-func (c *Core) trackEndedJob(ended *job) {
+func (h *history) trackEndedJob(ended *job) {
 	if !ended.archive.counted && !ended.archive.archived && ended.hasFinalRecord() {
 		ended.archive.counted = true
-		c.history.endedJobs = append(c.history.endedJobs, ended)
+		h.endedJobs = append(h.endedJobs, ended)
 	}
 }
 
 // maxEndedInMemory bounds the ended jobs in memory that are not archived. Twice MaxEndedJobs start a
 // sweep, and as many may end until it is done; beyond that the oldest are evicted.
-func (c *Core) maxEndedInMemory() int { return 4 * c.cfg.History.MaxEndedJobs }
+func (h *history) maxEndedInMemory() int { return 4 * h.cfg.History.MaxEndedJobs }
 
 // evictOldestEnded evicts the oldest ended jobs from memory if there are too many; their records stay.
-func (c *Core) evictOldestEnded() {
-	h := &c.history
-	if len(h.endedJobs) <= c.maxEndedInMemory() {
+func (h *history) evictOldestEnded() {
+	if len(h.endedJobs) <= h.maxEndedInMemory() {
 		return
 	}
 	h.pruneEndedJobs()
-	if len(h.endedJobs) <= c.maxEndedInMemory() {
+	if len(h.endedJobs) <= h.maxEndedInMemory() {
 		return
 	}
 	h.sortEndedJobs()
-	for _, old := range h.endedJobs[2*c.cfg.History.MaxEndedJobs:] {
+	for _, old := range h.endedJobs[2*h.cfg.History.MaxEndedJobs:] {
 		old.archive.counted = false
 		h.scheduleEviction(old)
 	}
-	h.endedJobs = slices.Clone(h.endedJobs[:2*c.cfg.History.MaxEndedJobs])
+	h.endedJobs = slices.Clone(h.endedJobs[:2*h.cfg.History.MaxEndedJobs])
 }
 
 // pruneEndedJobs drops the jobs from the list that have been archived or evicted since.
@@ -146,9 +147,9 @@
 
 // referencedJobs lists the indexes of jobs that machines report tasks of, or were sent commands for:
 // what is known of their attempts must not be lost.
-func (c *Core) referencedJobs() map[int32]bool {
+func referencedJobs(machines []*machine) map[int32]bool {
 	referenced := map[int32]bool{}
-	for _, machine := range c.aliveMachines {
+	for _, machine := range machines {
 		for key := range machine.status.tasks {
 			referenced[key.jobIndex] = true
 		}
@@ -177,11 +178,11 @@
 		}
 		h.recalledJobs = slices.Clone(h.recalledJobs[excess:])
 	}
-	c.evictOldestEnded()
+	h.evictOldestEnded()
 	if len(h.evicting) == 0 {
 		return
 	}
-	referenced := c.referencedJobs()
+	referenced := referencedJobs(c.aliveMachines)
 	h.evicting = slices.DeleteFunc(h.evicting, func(candidate *job) bool {
 		if referenced[candidate.index] || candidate.isInUse() {
 			return false
@@ -331,7 +332,7 @@
 	lookup := h.lookups[id]
 	if lookup == nil {
 		// Lookups that would time out in the queue are refused at once.
-		maxQueued := max(minQueuedLookups, int(c.lookupReadRate()*lookupTimeout.Seconds()))
+		maxQueued := max(minQueuedLookups, int(h.lookupReadRate()*lookupTimeout.Seconds()))
 		if len(h.lookupQueue) >= maxQueued || c.storeUnreachable() {
 			callback(false)
 			return
@@ -371,20 +372,21 @@
 }
 
 // lookupReadRate is how many reads a second lookups may send.
-func (c *Core) lookupReadRate() float64 {
-	return c.cfg.History.ReadShare * c.transactions.rateLimit.ReadRate
+func (h *history) lookupReadRate() float64 {
+	return h.cfg.History.ReadShare * h.reads.limiter.ReadRate
 }
 
 // refillReadTokens adds the reads that lookups may send since the last refill.
-func (h *history) refillReadTokens(now time.Duration, rate float64) {
-	h.readTokens = min(h.readTokens+(now-h.readTokensAt).Seconds()*rate, max(minLookupBurst, rate))
-	h.readTokensAt = now
+func (h *history) refillReadTokens() {
+	rate := h.lookupReadRate()
+	h.readTokens = min(h.readTokens+(h.now-h.readTokensAt).Seconds()*rate, max(minLookupBurst, rate))
+	h.readTokensAt = h.now
 }
 
 // advanceLookups sends the next reads of the queued lookups, and fails those that have timed out.
 func (c *Core) advanceLookups() {
 	h := &c.history
-	h.refillReadTokens(c.now, c.lookupReadRate())
+	h.refillReadTokens()
 	if len(h.lookupQueue) == 0 {
 		return
 	}
@@ -434,13 +436,13 @@
 	switch {
 	case h.coldRecords > 0 && !lookup.recordAbsent:
 		c.Stats.RecordReads++
-		c.readKey(keyJob+lookup.jobID, func(in RangeResult) { c.handleRecordRead(lookup, &in) })
+		c.reads.readKey(keyJob+lookup.jobID, func(in RangeResult) { c.handleRecordRead(lookup, &in) })
 	case h.markerRevision == 0: // the watch does not show yet that the record moved, or that there is an archive
 		h.endRead(lookup)
 		c.afterReadBarrier(func(bool) {})
 	default:
 		c.Stats.BlockReads++
-		c.readArchiveBlock(lookup.jobID, func(ok bool) { c.handleBlockRead(lookup, ok) })
+		h.readArchiveBlock(lookup.jobID, func(ok bool) { c.handleBlockRead(lookup, ok) })
 	}
 }
 
@@ -512,30 +514,11 @@
 	return true
 }
 
-// readKey reads one key of the store.
-func (c *Core) readKey(key string, callback func(RangeResult)) {
-	c.sendReadRange(ReadRange{Key: key}, callback)
-}
-
-// readPrefix reads a page of at most limit keys with a prefix, from the first one after a key.
-func (c *Core) readPrefix(prefix, afterKey string, limit int, callback func(RangeResult)) {
-	c.sendReadRange(ReadRange{Prefix: prefix, AfterKey: afterKey, Limit: limit}, callback)
-}
-
-// sendReadRange sends a read of the store; the callback takes its result.
-func (c *Core) sendReadRange(request ReadRange, callback func(RangeResult)) {
-	request.ID = c.nextID()
-	c.transactions.rateLimit.SpendRequest()
-	c.history.pendingReads[request.ID] = callback
-	c.emit(request)
-}
-
 // handleRangeResult takes the result of a read of the store.
 func (c *Core) handleRangeResult(in RangeResult) {
-	callback := c.history.pendingReads[in.ID]
-	delete(c.history.pendingReads, in.ID)
+	callback := c.reads.takeCallback(in.ID)
 	if in.Status == wire.StatusTooManyRequests {
-		c.transactions.rateLimit.PauseNonUrgent(c.now + throttledReadDelay + c.jitter(throttledJitter))
+		c.reads.pauseNonUrgent()
 	} else {
 		c.recordStoreStatus(in.Status)
 	}
@@ -546,20 +529,19 @@
 
 // readArchiveBlock reads the block of an ID's range into the cache, and then calls the callback; with
 // false if the store did not answer.
-func (c *Core) readArchiveBlock(id string, callback func(ok bool)) {
-	c.readPrefix(archive.BlockPrefix, archive.SeekKey(id), 1, func(in RangeResult) {
+func (h *history) readArchiveBlock(id string, callback func(ok bool)) {
+	h.reads.readPrefix(archive.BlockPrefix, archive.SeekKey(id), 1, func(in RangeResult) {
 		if in.Status != wire.StatusOK {
 			callback(in.Status == wire.StatusTooManyRequests)
 			return
 		}
-		c.cacheBlock(id, &in)
+		h.cacheBlock(id, &in)
 		callback(true)
 	})
 }
 
 // cacheBlock caches the block that a read for an ID returned.
-func (c *Core) cacheBlock(id string, in *RangeResult) {
-	h := &c.history
+func (h *history) cacheBlock(id string, in *RangeResult) {
 	if in.Revision < h.lastMoveRevision { // a record has moved since: the block may be older than what is known
 		return
 	}
@@ -573,7 +555,7 @@
 		err = errBlockRange
 	}
 	if err != nil {
-		c.log(LevelError, "corrupt block of ended jobs: cannot answer for jobs in its range",
+		h.log(LevelError, "corrupt block of ended jobs: cannot answer for jobs in its range",
 			"key", item.Key, "err", err.Error())
 		high := strings.TrimPrefix(item.Key, archive.BlockPrefix)
 		h.archiveIndex.PutCorrupt(id, high, item.Revision, in.Revision)
@@ -599,15 +581,14 @@
 	}
 }
 
-// applyHistoryMarker takes the write of keyHistory.
-func (c *Core) applyHistoryMarker(revision uint64) {
-	c.history.markerRevision = max(c.history.markerRevision, revision)
+// applyMarker takes the write of keyHistory.
+func (h *history) applyMarker(revision uint64) {
+	h.markerRevision = max(h.markerRevision, revision)
 }
 
-// updateHistoryStats updates the statistics of ended jobs.
-func (c *Core) updateHistoryStats() {
-	h := &c.history
+// updateStats updates the statistics of ended jobs.
+func (h *history) updateStats(stats *Stats) {
 	jobs := len(h.endedJobs) + len(h.recalledJobs) + len(h.evicting)
-	c.Stats.EndedInMemory, c.Stats.ColdRecords = len(h.endedJobs), h.coldRecords
-	c.Stats.CachedBlocks, c.Stats.HistoryBytes = h.archiveIndex.Blocks(), h.archiveIndex.Bytes()+jobs*endedJobBytes
+	stats.EndedInMemory, stats.ColdRecords = len(h.endedJobs), h.coldRecords
+	stats.CachedBlocks, stats.HistoryBytes = h.archiveIndex.Blocks(), h.archiveIndex.Bytes()+jobs*endedJobBytes
 }
--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -314,7 +314,7 @@
 		t.Fatalf("%d jobs in memory at most, %d kept, %d cold", maxInMemory, len(h.endedJobs), h.coldRecords)
 	}
 	for _, kept := range h.endedJobs {
-		if kept.revision < 10000-uint64(c.maxEndedInMemory()) {
+		if kept.revision < 10000-uint64(c.history.maxEndedInMemory()) {
 			t.Fatalf("a job that ended at revision %d is kept", kept.revision)
 		}
 	}
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -35,7 +35,7 @@
 	})
 	c.countZoneMachines()
 	c.evictUnreferencedJobs()
-	c.updateHistoryStats()
+	c.history.updateStats(&c.Stats)
 	if c.isFullScanDue() {
 		c.runFullScan()
 	}
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -544,7 +544,7 @@
 
 // readPastReservation reads the block of past reservations whose range includes the id, then calls f.
 func (c *Core) readPastReservation(id string, f func()) {
-	c.readPrefix(reservations.ArchivePrefix, reservations.ArchivePrefix+id, 1, func(result RangeResult) {
+	c.reads.readPrefix(reservations.ArchivePrefix, reservations.ArchivePrefix+id, 1, func(result RangeResult) {
 		var block *wire.KeyValue
 		if len(result.Items) > 0 {
 			block = &result.Items[0]
