--- a/core/cloud.go
+++ b/core/cloud.go
@@ -29,20 +29,19 @@
 
 // callCloud sends a request if the budget of cloud requests and the back-off allow it, and reports
 // whether it did. The callback handles the answer, which may come after the leader's term has ended.
-func (c *Core) callCloud(request CloudRequest, callback func(CloudResult)) bool {
-	l := c.leaderState
-	if l.cloudCallBudget < 1 || c.now < l.cloudBackoffUntil {
+func (l *leaderState) callCloud(request CloudRequest, callback func(CloudResult)) bool {
+	if l.cloudCallBudget < 1 || l.now < l.cloudBackoffUntil {
 		return false
 	}
 	l.cloudCallBudget--
-	request.ID = c.nextID()
-	c.autoscaler.pendingCalls[request.ID] = func(in CloudResult) {
-		if c.leaderState == l && in.isOverload() {
-			l.cloudBackoffUntil = c.now + cloudBackoff + c.jitter(cloudBackoff)
+	request.ID = l.nextID()
+	l.autoscaler.pendingCalls[request.ID] = func(in CloudResult) {
+		if !l.ended && in.isOverload() {
+			l.cloudBackoffUntil = l.now + cloudBackoff + l.jitter(cloudBackoff)
 		}
 		callback(in)
 	}
-	c.emit(request)
+	l.emit(request)
 	return true
 }
 
@@ -72,8 +71,8 @@
 	if l.listInFlight || c.now < l.nextListAt {
 		return
 	}
-	l.listInFlight = c.callCloud(CloudRequest{Op: CloudList, AfterMachine: l.listAfter}, func(in CloudResult) {
-		if c.leaderState != l {
+	l.listInFlight = l.callCloud(CloudRequest{Op: CloudList, AfterMachine: l.listAfter}, func(in CloudResult) {
+		if l.ended {
 			return
 		}
 		l.listInFlight = false
@@ -166,8 +165,8 @@
 	if len(names) == 0 {
 		return
 	}
-	l.returnInFlight = c.callCloud(CloudRequest{Op: CloudScaleIn, MachineNames: names}, func(in CloudResult) {
-		if c.leaderState == l {
+	l.returnInFlight = l.callCloud(CloudRequest{Op: CloudScaleIn, MachineNames: names}, func(in CloudResult) {
+		if !l.ended {
 			l.returnInFlight = false
 		}
 		if in.Status == wire.StatusOK {
@@ -195,7 +194,7 @@
 // confirmReturned records that returned machines are gone; it announces them if the term in which
 // they were returned still lasts.
 func (c *Core) confirmReturned(term *leaderState, names []string) {
-	if c.leaderState != term {
+	if term.ended {
 		for _, name := range names {
 			c.markMachineGone(c.internMachine(name))
 		}
@@ -211,16 +210,15 @@
 
 // sendScaleOutRequests sends the requests that are due, each under its idempotency key until it is
 // answered, as far as the budget of cloud requests goes.
-func (c *Core) sendScaleOutRequests() {
-	l := c.leaderState
+func (l *leaderState) sendScaleOutRequests() {
 	for _, name := range sortedKeys(l.scaleOutRequests) {
 		pending := l.scaleOutRequests[name]
-		if pending.inFlight || c.now < pending.nextAttemptAt {
+		if pending.inFlight || l.now < pending.nextAttemptAt {
 			continue
 		}
 		cloudRequest := CloudRequest{Op: CloudScaleOut, ScaleOut: pending.request}
-		pending.inFlight = c.callCloud(cloudRequest, func(in CloudResult) {
-			c.handleScaleOutResult(l, pending, &in)
+		pending.inFlight = l.callCloud(cloudRequest, func(in CloudResult) {
+			l.handleScaleOutResult(pending, &in)
 		})
 		if !pending.inFlight {
 			return
@@ -228,32 +226,32 @@
 		if !pending.sent {
 			pending.sent = true
 			request := &pending.request
-			c.log(LevelInfo, "scaling out", "hire", name, "type", request.Type, "zone", request.Zone,
+			l.log(LevelInfo, "scaling out", "hire", name, "type", request.Type, "zone", request.Zone,
 				"spot", request.Spot, "count", request.Count)
 		}
 	}
 }
 
-// handleScaleOutResult takes the answer to a scale-out request of a term. Without a definite answer,
+// handleScaleOutResult takes the answer to a scale-out request of this term. Without a definite answer,
 // the request is repeated.
-func (c *Core) handleScaleOutResult(term *leaderState, pending *scaleOutRequest, in *CloudResult) {
+func (l *leaderState) handleScaleOutResult(pending *scaleOutRequest, in *CloudResult) {
 	pending.inFlight = false
-	pending.nextAttemptAt = c.now + cloudRetryDelay
+	pending.nextAttemptAt = l.now + cloudRetryDelay
 	request := &pending.request
 	group := nodeGroup{request.Type, request.Zone, request.Spot}
 	switch {
 	case in.Status == wire.StatusOK:
-		delete(term.scaleOutRequests, request.IdempotencyKey)
+		delete(l.scaleOutRequests, request.IdempotencyKey)
 		if len(in.MachineNames) < request.Count {
-			term.blockedUntil[group] = c.now + nodeGroupBlockTime
+			l.blockedUntil[group] = l.now + nodeGroupBlockTime
 		}
 		for _, name := range in.MachineNames {
-			started := c.internMachine(name)
+			started := l.machines.internMachine(name)
 			started.identity.setNodeGroup(group)
-			started.leaderView.rentedAt = c.now
+			started.leaderView.rentedAt = l.now
 		}
 	case in.Status == wire.StatusUnavailable && in.Error == noCapacity, in.Status == wire.StatusBadRequest:
-		delete(term.scaleOutRequests, request.IdempotencyKey)
-		term.blockedUntil[group] = c.now + nodeGroupBlockTime
+		delete(l.scaleOutRequests, request.IdempotencyKey)
+		l.blockedUntil[group] = l.now + nodeGroupBlockTime
 	}
 }
--- a/core/core.go
+++ b/core/core.go
@@ -26,9 +26,7 @@
 	jobIndex           map[string]int32
 	jobs               []*job
 	openJobs           []*job // jobs that may have to be written or answered
-	machineIndex       map[string]int32
-	machines           []*machine
-	aliveMachines      []*machine // machines that are not known to be gone, or have assignments
+	machineTable
 
 	teamIndex map[string]int
 	teams     []*team
@@ -98,12 +96,12 @@
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
 		environment:  newEnvironment(cfg, now, seed),
-		machineIndex: map[string]int32{},
 		jobIndex:     map[string]int32{},
 		teamIndex:    map[string]int{},
 		reservations: reservations.New(),
 		permissions:  permissionState{identities: map[string]storedIdentity{}},
 	}
+	c.machineTable = machineTable{environment: c.environment, machineIndex: map[string]int32{}}
 	c.replica.batchValues = map[int]*batchvalue.Slot{}
 	c.controllers.membership = membership.New(cfg.Peers, cfg.Cluster.PeerTimeout)
 	c.controllers.nodeKeys = map[string]leasedKey{}
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -613,7 +613,6 @@
 	runFor(c, time.Second, 6*time.Second)
 	m := c.internMachine("m-1")
 	c.leaderState.applyDeltas(
-		c,
 		"n1",
 		&AllocationDeltas{
 			Seq:    1,
@@ -798,7 +797,7 @@
 	for _, priority := range []int{1, 2} {
 		c := newLeadingCore(t)
 		runFor(c, time.Second, 2*time.Second) // the machine of 4 CPUs is in the array
-		c.leaderState = nil
+		c.endTerm()
 		c.leadership.leader.Node = "n1"
 		c.clusterCopy.capacityHold = &CapacityHold{Priority: 1, Request: clusterstate.Resources{2000, 0, 1000}}
 		in := testSubmission("wk-1")
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -118,7 +118,7 @@
 	})
 	c.deltaLog.unsent = nil
 	if c.leaderState != nil {
-		c.leaderState.applyDeltas(c, c.cfg.Name, batch)
+		c.leaderState.applyDeltas(c.cfg.Name, batch)
 	}
 	c.sendToPeers("", Message{AllocationDeltas: batch})
 }
--- a/core/leader.go
+++ b/core/leader.go
@@ -29,7 +29,9 @@
 	*environment
 
 	autoscaler *autoscalerState
+	machines   *machineTable
 
+	ended             bool // the term is over: answers to its requests may still come
 	fencingToken      uint64
 	leadingSince      time.Duration
 	array             *clusterstate.Array
@@ -82,7 +84,7 @@
 		c.autoscaler.readCatalog(c.persistCatalog)
 	}
 	if !c.isLeader() {
-		c.leaderState = nil
+		c.endTerm()
 		return
 	}
 	if !c.holdsLease() {
@@ -105,24 +107,35 @@
 }
 
 // newLeaderState returns the state of a term that begins now.
-func newLeaderState(env *environment, autoscaler *autoscalerState, fencingToken uint64) *leaderState {
+func newLeaderState(autoscaler *autoscalerState, machines *machineTable, fencingToken uint64) *leaderState {
 	return &leaderState{
-		environment:       env,
+		environment:       autoscaler.environment,
 		autoscaler:        autoscaler,
+		machines:          machines,
 		fencingToken:      fencingToken,
-		leadingSince:      env.now,
+		leadingSince:      autoscaler.now,
 		array:             clusterstate.NewArray(),
 		ackedBatchSeqs:    map[string]uint64{},
 		scaleOutRequests:  map[string]*scaleOutRequest{},
 		lastPreemptedFor:  map[int32]time.Duration{},
 		blockedUntil:      map[nodeGroup]time.Duration{},
-		cloudCallBudgetAt: env.now,
+		cloudCallBudgetAt: autoscaler.now,
+	}
+}
+
+// endTerm ends the term of this controller as the leader, if there is one: answers that come later must
+// not count for another.
+func (c *Core) endTerm() {
+	if c.leaderState != nil {
+		c.leaderState.ended = true
+		c.leaderState = nil
 	}
 }
 
 // startTerm begins a term of this controller as the leader.
 func (c *Core) startTerm() {
-	c.leaderState = newLeaderState(c.environment, &c.autoscaler, c.leadership.leader.FencingToken)
+	c.endTerm()
+	c.leaderState = newLeaderState(&c.autoscaler, &c.machineTable, c.leadership.leader.FencingToken)
 	for _, machine := range c.aliveMachines {
 		machine.leaderView = nodeState{rentedAt: machine.leaderView.rentedAt}
 		c.leaderState.addRowOnFirstHeartbeat(machine, c.jobs)
@@ -151,7 +164,7 @@
 			l.nextPlanAt += planInterval(c.overload.Level())
 		}
 	}
-	c.sendScaleOutRequests()
+	l.sendScaleOutRequests()
 	c.returnMachines()
 }
 
@@ -247,29 +260,29 @@
 
 // applyDeltas records a controller's allocation deltas; a repeated batch is ignored. Sequence number 1
 // is that of a controller that has restarted.
-func (l *leaderState) applyDeltas(c *Core, from string, batch *AllocationDeltas) {
+func (l *leaderState) applyDeltas(from string, batch *AllocationDeltas) {
 	if batch.Seq <= l.ackedBatchSeqs[from] && batch.Seq > 1 {
 		return
 	}
 	l.ackedBatchSeqs[from] = batch.Seq
 	for _, delta := range batch.Deltas {
-		target := c.internMachine(delta.Machine)
-		target.leaderView.lastDeltaAt = c.now
-		target.leaderView.allocations.RecordDelta(c.now, delta.Start, delta.AttemptHash, delta.Request)
+		target := l.machines.internMachine(delta.Machine)
+		target.leaderView.lastDeltaAt = l.now
+		target.leaderView.allocations.RecordDelta(l.now, delta.Start, delta.AttemptHash, delta.Request)
 	}
 }
 
 // pushArray sends the array to all controllers, itself included.
 func (c *Core) pushArray() {
-	c.leaderState.refreshRows(c.aliveMachines, c.jobs)
-	push := c.leaderState.nextPush(c.machines)
+	c.leaderState.refreshRows(c.jobs)
+	push := c.leaderState.nextPush()
 	c.sendToPeers("", Message{StatePush: push})
 	c.applyPush(push)
 }
 
 // nextPush is the next push: the rows that changed since the last one, and all of them once in a full
 // push interval.
-func (l *leaderState) nextPush(machines []*machine) *StatePush {
+func (l *leaderState) nextPush() *StatePush {
 	l.nextPushAt, l.pushRequested, l.lastPushAt = l.now+l.cfg.State.PushInterval, false, l.now
 	push := &StatePush{
 		FencingToken:  l.fencingToken,
@@ -286,15 +299,15 @@
 	}
 	rows, revision := l.array.ChangedSince(push.AfterRevision)
 	push.Revision, l.pushedRevision = revision, revision
-	push.Rows = machineCapacities(rows, machines)
+	push.Rows = machineCapacities(rows, l.machines.machines)
 	push.Preempted, l.pendingPreemptions = l.pendingPreemptions, nil
 	push.CapacityHold = l.capacityHold
 	return push
 }
 
 // refreshRows recomputes the rows of machines that have changed, and sets what all are offered as.
-func (l *leaderState) refreshRows(machines []*machine, jobs []*job) {
-	for _, machine := range machines {
+func (l *leaderState) refreshRows(jobs []*job) {
+	for _, machine := range l.machines.aliveMachines {
 		if machine.lifecycle.gone || !machine.status.reported {
 			continue
 		}
--- a/core/machine.go
+++ b/core/machine.go
@@ -124,27 +124,36 @@
 	resentAtOnce        bool // a command other than its start has been let past the retry interval
 }
 
+// machineTable is the machines that this controller knows, interned by index.
+type machineTable struct {
+	*environment
+
+	machineIndex  map[string]int32 // by name
+	machines      []*machine
+	aliveMachines []*machine // machines that are not known to be gone, or have assignments
+}
+
 // internMachine returns the machine with a name, which becomes known with it. Its silence counts from then on.
-func (c *Core) internMachine(name string) *machine {
-	if i, ok := c.machineIndex[name]; ok {
-		return c.machines[i]
+func (t *machineTable) internMachine(name string) *machine {
+	if i, ok := t.machineIndex[name]; ok {
+		return t.machines[i]
 	}
-	m := &machine{name: name, index: int32(len(c.machines))}
-	m.identity.firstSeenAt = c.now
-	m.status.lastHeartbeatAt = c.now
+	m := &machine{name: name, index: int32(len(t.machines))}
+	m.identity.firstSeenAt = t.now
+	m.status.lastHeartbeatAt = t.now
 	m.status.tasks = map[attemptKey]taskStatus{}
 	m.status.images = map[string]bool{}
 	m.allocation.assignments = map[taskKey]jobrecord.Assignment{}
 	m.commands.attempts = map[attemptKey]*attempt{}
-	c.machineIndex[name] = m.index
-	c.machines = append(c.machines, m)
-	c.aliveMachines = append(c.aliveMachines, m)
+	t.machineIndex[name] = m.index
+	t.machines = append(t.machines, m)
+	t.aliveMachines = append(t.aliveMachines, m)
 	return m
 }
 
 // internMachineInZone returns the index of the machine with a name. The zone is for a machine without a heartbeat.
-func (c *Core) internMachineInZone(name, zone string) int32 {
-	m := c.internMachine(name)
+func (t *machineTable) internMachineInZone(name, zone string) int32 {
+	m := t.internMachine(name)
 	if m.identity.zone == "" {
 		m.identity.zone = zone
 	}
--- a/core/peers.go
+++ b/core/peers.go
@@ -166,7 +166,7 @@
 // show free capacity on a full machine until its row changes.
 func (c *Core) handlePeerDeltas(from string, batch *AllocationDeltas) {
 	if c.leaderState != nil {
-		c.leaderState.applyDeltas(c, from, batch)
+		c.leaderState.applyDeltas(from, batch)
 	}
 	leaderToken := c.leadership.leader.FencingToken
 	if batch.Seq <= c.clusterCopy.countedBatches[from] && c.clusterCopy.leaderToken == leaderToken {
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -62,7 +62,7 @@
 		"x": {Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b"}, BootS: 15, Price: 1, SpotPrice: 0.5},
 	}
 	c.autoscaler.typeNames = []string{"x"}
-	c.leaderState = newLeaderState(c.environment, &c.autoscaler, 0)
+	c.leaderState = newLeaderState(&c.autoscaler, &c.machineTable, 0)
 	return c
 }
 
@@ -179,3 +179,31 @@
 	c.clusterCopy.state.Replace(c.now, rows, nil)
 	return c
 }
+
+// An answer to a cloud request that comes after its leader's term must not back off: that would draw a
+// random number, on which all later decisions depend.
+func TestAnswersAfterATermAreNoBackoff(t *testing.T) {
+	for _, ended := range []bool{false, true} {
+		c := newPlanningCore()
+		term := c.leaderState
+		term.cloudCallBudget = 1
+		answered := false
+		if !term.callCloud(CloudRequest{Op: CloudList}, func(CloudResult) { answered = true }) {
+			t.Fatal("the cloud is not called")
+		}
+		id := c.lastID
+		if ended {
+			c.endTerm()
+		}
+		c.Handle(time.Second, CloudResult{ID: id, Status: wire.StatusTooManyRequests})
+		if !answered {
+			t.Errorf("ended: %v: the callback is not called", ended)
+		}
+		if backsOff := term.cloudBackoffUntil > 0; backsOff == ended {
+			t.Errorf("ended: %v: the term backs off: %v", ended, backsOff)
+		}
+		if c.leaderState != nil && ended {
+			t.Error("the term lasts on after its end")
+		}
+	}
+}
