--- a/core/apply.go
+++ b/core/apply.go
@@ -45,7 +45,7 @@
 	case key == KeyRestored:
 		return c.restoreMarker.apply(raw, revision)
 	case key == keyHistory:
-		c.applyHistoryMarker(revision)
+		c.history.applyMarker(revision)
 	case key == keyPriorityClasses:
 		return c.applyPriorityClasses(raw, revision)
 	case strings.HasPrefix(key, reservations.Prefix):
@@ -122,7 +122,7 @@
 	}
 	c.autoscaler.storedRevision, c.autoscaler.storedCatalog = revision, catalog
 	if c.autoscaler.catalog == nil {
-		c.setCatalog(&catalog)
+		c.autoscaler.setCatalog(&catalog)
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 	}
 	c.removeAssignments(target)
 	if target.revision == 0 && record.Spec != nil {
-		c.recordClassArrival(record)
+		c.autoscaler.recordClassArrival(record)
 	}
 	if revision != target.revision {
 		target.stored.needsOwnKey = false
@@ -220,7 +220,7 @@
 	if target.isFinal() && !wasFinal {
 		c.propagateJobEnd(target)
 	}
-	c.trackEndedJob(target)
+	c.history.trackEndedJob(target)
 }
 
 // addAssignments adds a job's assignments to their machines and to its team's usage, and counts
--- a/core/core.go
+++ b/core/core.go
@@ -34,6 +34,7 @@
 	storeHealth  storeHealth
 	transactions transactionState
 	schema       schemaState
+	reads        rangeReads
 
 	// Controllers.
 	ownLease    controllerLease
@@ -95,7 +96,6 @@
 		environment:  newEnvironment(cfg, now, seed),
 		teams:        newTeamSet(cfg.Teams),
 		reservations: reservations.New(),
-		history:      newHistory(&cfg),
 		permissions:  permissionState{identities: map[string]storedIdentity{}},
 	}
 	c.ownLease.environment = c.environment
@@ -111,11 +111,14 @@
 	c.schema.declared = map[string]int{}
 	c.transactions.inFlight = map[uint64]*pendingTxn{}
 	c.transactions.rateLimit = ratelimit.New(now)
+	c.reads = newRangeReads(c.environment, &c.transactions.rateLimit)
+	c.history = newHistory(c.environment, &c.reads)
 	c.transactions.endBatchDelay = cfg.Scheduling.MinEndBatchDelay
 	c.agents.zones = map[string]*zoneLiveness{}
 	c.agents.missingHeartbeats = map[string][]string{}
 	c.commands.inFlight = map[uint64]inFlightCommands{}
 	c.commands.relayed = map[uint64]relayedCommands{}
+	c.autoscaler.environment = c.environment
 	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
 	c.machineTable = machineTable{environment: c.environment, machineIndex: map[string]int32{}}
 	c.jobTable = jobTable{environment: c.environment, jobIndex: map[string]int32{}}
@@ -174,7 +177,7 @@
 	case LeaseResult:
 		c.handleLeaseResult(in)
 	case CloudResult:
-		c.handleCloudResult(in)
+		c.autoscaler.handleCloudResult(in)
 	case PeerMessage:
 		c.handlePeerMessage(in)
 	case LoadSample:
@@ -240,14 +243,6 @@
 	}
 }
 
-// handleCloudResult calls the function that waits for a cloud request's outcome.
-func (c *Core) handleCloudResult(in CloudResult) {
-	if onResult := c.autoscaler.pendingCalls[in.ID]; onResult != nil {
-		delete(c.autoscaler.pendingCalls, in.ID)
-		onResult(in)
-	}
-}
-
 // Advance moves the time forward, does what is due and returns all outputs since the last call. The
 // order of its steps is part of the behaviour: each sees what the earlier ones changed.
 func (c *Core) Advance(now time.Duration) []Output {
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -613,7 +613,6 @@
 	runFor(c, time.Second, 6*time.Second)
 	m := c.internMachine("m-1")
 	c.leaderState.applyDeltas(
-		c,
 		"n1",
 		&AllocationDeltas{
 			Seq:    1,
@@ -711,11 +710,11 @@
 	c := newServingCore(t)
 	c.cfg.Autoscaling.HeadroomShare, c.cfg.Autoscaling.HeadroomDeviations = 0.25, 1
 	st := &classStats{meanTasks: 10, meanSquareTasks: 100, meanInterval: time.Second}
-	if n := c.headroomTasks(st, 40); n != 10 {
+	if n := c.autoscaler.headroomTasks(st, 40); n != 10 {
 		t.Errorf("the headroom of a small class is %v tasks, want a job of the usual size", n)
 	}
 	// In the 3 s until capacity can be up, 3 jobs come: 17 tasks is one standard deviation.
-	if n := c.headroomTasks(st, 4000); n < 17 || n > 18 {
+	if n := c.autoscaler.headroomTasks(st, 4000); n < 17 || n > 18 {
 		t.Errorf("the headroom of a large class is %v tasks, want one standard deviation", n)
 	}
 }
@@ -798,7 +797,7 @@
 	for _, priority := range []int{1, 2} {
 		c := newLeadingCore(t)
 		runFor(c, time.Second, 2*time.Second) // the machine of 4 CPUs is in the array
-		c.leaderState = nil
+		c.endTerm()
 		c.leadership.leader.Node = "n1"
 		c.clusterCopy.capacityHold = &CapacityHold{Priority: 1, Request: clusterstate.Resources{2000, 0, 1000}}
 		in := testSubmission("wk-1")
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -181,7 +181,7 @@
 		return
 	}
 	if c.leaderState != nil {
-		c.leaderState.applyDeltas(c, c.cfg.Name, batch)
+		c.leaderState.applyDeltas(c.cfg.Name, batch)
 	}
 	c.controllers.sendToPeers("", Message{AllocationDeltas: batch})
 }
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -146,7 +146,9 @@
 	if direct {
 		c.agents.heartbeatsToRelay = append(c.agents.heartbeatsToRelay, r)
 	}
-	c.addRowOnFirstHeartbeat(m)
+	if c.leaderState != nil {
+		c.leaderState.addRowOnFirstHeartbeat(m, c.jobs)
+	}
 }
 
 // updateFrom takes over what a heartbeat says of the machine itself. A new incarnation starts without cached
--- a/core/peers.go
+++ b/core/peers.go
@@ -114,7 +114,7 @@
 	if c.now >= c.deltaLog.nextBatchAt {
 		c.deltaLog.nextBatchAt = c.now + c.cfg.State.DeltaInterval
 		c.sendDeltas()
-		c.agents.broadcastHeartbeats(c.stretchUnderLoad(batchesPerDigest * c.cfg.State.DeltaInterval))
+		c.agents.broadcastHeartbeats(c.overload.Level().Stretch(batchesPerDigest * c.cfg.State.DeltaInterval))
 	}
 	if c.now >= c.commands.nextReturnRequestAt {
 		c.commands.nextReturnRequestAt = c.now + returnRequestInterval
@@ -214,7 +214,7 @@
 // show free capacity on a full machine until its row changes.
 func (c *Core) handlePeerDeltas(from string, batch *AllocationDeltas) {
 	if c.leaderState != nil {
-		c.leaderState.applyDeltas(c, from, batch)
+		c.leaderState.applyDeltas(from, batch)
 	}
 	leaderToken := c.leadership.leader.FencingToken
 	if c.clusterCopy.hasCounted(from, batch.Seq, leaderToken) {
