--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -274,6 +274,6 @@
 		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyHistory}},
 		Then:    []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}},
 	}, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-		c.afterReadBarrier(func(bool) { sweep.inFlight = false }) // the replica shows the outcome then
+		c.replica.afterReadBarrier(func(bool) { sweep.inFlight = false }) // the replica shows the outcome then
 	}})
 }
--- a/core/audit.go
+++ b/core/audit.go
@@ -123,7 +123,7 @@
 		return
 	}
 	recorder := c.currentAuditLog()
-	if c.storeUnreachable() || !c.holdsLease() {
+	if c.replica.isStoreUnreachable() || !c.holdsLease() {
 		recorder.RejectReadWaiters()
 	}
 	if recorder.IsBusy() || !c.holdsLease() || c.transactions.rateLimit.IsPaused(c.now) ||
@@ -143,7 +143,7 @@
 		}
 		if c.currentAuditLog().HandleBlockOutcome(status, reply.Revision) {
 			// After the next barrier the replica shows whether the block was written.
-			c.afterReadBarrier(func(bool) { recorder.ClearBusy() })
+			c.replica.afterReadBarrier(func(bool) { recorder.ClearBusy() })
 		}
 	}})
 }
@@ -170,7 +170,7 @@
 	)
 	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
-		c.afterReadBarrier(func(bool) { marker.writeInFlight = false })
+		c.replica.afterReadBarrier(func(bool) { marker.writeInFlight = false })
 	}})
 }
 
@@ -197,7 +197,7 @@
 	if in.Node != "" {
 		object = "audit of " + in.Node
 	}
-	c.afterUrgentReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_audit, object, func() {
+	c.replica.afterUrgentReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_audit, object, func() {
 		c.currentAuditLog().RecordRead(in.Caller.Identity, "audit", object, func(ok bool) {
 			if !ok {
 				c.respondUnavailable(in.RequestID, "reading can't be recorded now")
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -155,7 +155,7 @@
 		t.Errorf("written without a lease: %+v", out)
 	}
 	c.ownLease.expiresAt = 3 * time.Minute
-	c.recordStoreStatus(wire.StatusOK)
+	c.storeHealth.recordStatus(wire.StatusOK)
 	writes := answerAndCollectWrites(t, c, 30*time.Second, 40*time.Second)
 	denials, entries := uint32(0), 0
 	for _, entry := range auditEntriesIn(t, writes) {
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -94,7 +94,7 @@
 func (c *Core) advanceCancelAcks() {
 	if c.cancelAcks.quorum.IsReadDue(c.now) && c.now >= c.cancelAcks.nextReadAt {
 		c.cancelAcks.nextReadAt = c.now + currencyReadInterval
-		c.afterReadBarrier(func(bool) {}) // the read itself is what counts
+		c.replica.afterReadBarrier(func(bool) {}) // the read itself is what counts
 	}
 	if c.cancelAcks.quorum.IsQueryDue(c.now) {
 		query := &QuorumRead{Nonce: c.rng.Uint64() | 1, SinceRevision: c.cancellationsKnownUpTo()}
--- a/core/core.go
+++ b/core/core.go
@@ -104,8 +104,15 @@
 		history:      newHistory(&cfg),
 		permissions:  permissionState{identities: map[string]storedIdentity{}},
 	}
-	c.replica.batchValues = map[int]*batchvalue.Slot{}
 	c.controllers.membership = membership.New(cfg.Peers, cfg.Cluster.PeerTimeout)
+	c.storeHealth.environment = c.environment
+	c.replica = storeReplica{
+		environment: c.environment,
+		health:      &c.storeHealth,
+		rateLimit:   &c.transactions.rateLimit,
+		members:     c.controllers.membership,
+		batchValues: map[int]*batchvalue.Slot{},
+	}
 	c.controllers.nodeKeys = map[string]leasedKey{}
 	c.ownership.shards = make([]leasedKey, cfg.Shards)
 	c.schema.declared = map[string]int{}
@@ -249,7 +256,7 @@
 	c.now = max(c.now, now)
 	c.stalls.advance(c.now)
 	c.transactions.rateLimit.Refill(c.now, c.cfg.Store.MaxTxnOps)
-	c.syncReplica()
+	c.replica.sync()
 	c.maintainLease()
 	c.runMaintenance()
 	c.broadcastHealth()
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -1095,7 +1095,7 @@
 					)
 				}
 			}
-			c.afterReadBarrier(func(bool) {})
+			c.replica.afterReadBarrier(func(bool) {})
 		}
 		return n
 	}
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -318,7 +318,7 @@
 	record := c.attemptOf(m, key)
 	if !record.orphanCheckInFlight && !record.isOrphan {
 		record.orphanCheckInFlight = true
-		c.afterReadBarrier(func(ok bool) {
+		c.replica.afterReadBarrier(func(ok bool) {
 			record.orphanCheckInFlight = false
 			record.isOrphan = ok && j.revision == 0
 			c.markMachineDirty(m)
@@ -365,7 +365,7 @@
 	case wire.StatusConflict:
 		m.commands.nextSendAt = c.now + conflictBackoff
 		if in.Heartbeat != nil && in.Heartbeat.FencingToken > c.leadership.fencingToken {
-			c.afterReadBarrier(func(bool) {})
+			c.replica.afterReadBarrier(func(bool) {})
 		}
 	default:
 		m.commands.nextSendAt = c.now + c.cfg.Agents.CommandRetryInterval
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -54,11 +54,11 @@
 		return
 	}
 	// The controller that issued the higher token knows of later changes than this replica shows.
-	if c.storeUnreachable() {
+	if c.replica.isStoreUnreachable() {
 		c.respondUnavailable(in.RequestID, "token not current")
 		return
 	}
-	c.afterReadBarrier(func(bool) { c.respondToHeartbeat(in) })
+	c.replica.afterReadBarrier(func(bool) { c.respondToHeartbeat(in) })
 }
 
 // respondToHeartbeat renews the agent's lease, with the commands to stop cancelled tasks, unless this controller
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -332,7 +332,7 @@
 	if lookup == nil {
 		// Lookups that would time out in the queue are refused at once.
 		maxQueued := max(minQueuedLookups, int(c.lookupReadRate()*lookupTimeout.Seconds()))
-		if len(h.lookupQueue) >= maxQueued || c.storeUnreachable() {
+		if len(h.lookupQueue) >= maxQueued || c.replica.isStoreUnreachable() {
 			callback(false)
 			return
 		}
@@ -437,7 +437,7 @@
 		c.readKey(keyJob+lookup.jobID, func(in RangeResult) { c.handleRecordRead(lookup, &in) })
 	case h.markerRevision == 0: // the watch does not show yet that the record moved, or that there is an archive
 		h.endRead(lookup)
-		c.afterReadBarrier(func(bool) {})
+		c.replica.afterReadBarrier(func(bool) {})
 	default:
 		c.Stats.BlockReads++
 		c.readArchiveBlock(lookup.jobID, func(ok bool) { c.handleBlockRead(lookup, ok) })
@@ -467,7 +467,7 @@
 		// The watch will show it, and it was never counted as cold. When it was counted out here, one
 		// cold job too few was left, and another that had been evicted was denied.
 		lookup.readInFlight = true
-		c.afterReadBarrier(func(bool) {
+		c.replica.afterReadBarrier(func(bool) {
 			lookup.readInFlight = false
 			if !lookup.completed {
 				c.tryCompleteLookup(lookup)
@@ -537,7 +537,7 @@
 	if in.Status == wire.StatusTooManyRequests {
 		c.transactions.rateLimit.PauseNonUrgent(c.now + throttledReadDelay + c.jitter(throttledJitter))
 	} else {
-		c.recordStoreStatus(in.Status)
+		c.storeHealth.recordStatus(in.Status)
 	}
 	if callback != nil {
 		callback(in)
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -50,6 +50,6 @@
 	}
 	c.commitTxn(txn, &pendingTxn{onDone: func(_ wire.Status, _ wire.TxnResponse) {
 		c.leadership.raiseInFlight = false
-		c.afterReadBarrier(func(bool) {})
+		c.replica.afterReadBarrier(func(bool) {})
 	}})
 }
--- a/core/lease.go
+++ b/core/lease.go
@@ -39,7 +39,7 @@
 // maintainLease extends this controller's lease in time, and requests a new one when it is lost. A controller
 // that must not act lets it expire, so that others take over.
 func (c *Core) maintainLease() {
-	if c.lacksAuditKey() || c.isWatchStalled() {
+	if c.lacksAuditKey() || c.storeHealth.isWatchStalled() {
 		return
 	}
 	if c.ownLease.opInFlight != "" || c.now < c.ownLease.requestSentAt+leaseRequestInterval {
@@ -57,20 +57,13 @@
 	c.emit(LeaseRequest{Op: c.ownLease.opInFlight, TTL: c.cfg.Cluster.LeaseTTL, LeaseID: c.ownLease.id})
 }
 
-// isWatchStalled reports whether reads of the store have stayed unanswered for too long. Such a controller can
-// write and extend its lease, but knows neither what it owns nor what others do: a new leader in that
-// state did nothing for twenty seconds, and no other controller could take over.
-func (c *Core) isWatchStalled() bool {
-	return c.storeHealth.firstLostReadAt != 0 && c.now-c.storeHealth.firstLostReadAt > watchStallTimeout
-}
-
 // handleLeaseResult takes the outcome of a grant or an extension. The expiry counts from when the request was
 // sent: the store counts from when it received it, which is later.
 func (c *Core) handleLeaseResult(in LeaseResult) {
 	if in.Op != c.ownLease.opInFlight {
 		return
 	}
-	c.recordStoreStatus(in.Status)
+	c.storeHealth.recordStatus(in.Status)
 	c.ownLease.opInFlight = ""
 	switch {
 	case in.Status == wire.StatusOK && in.Op == LeaseGrant && in.LeaseID != 0:
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -336,7 +336,7 @@
 			c.ownership.nextClaimAt = c.now + claimInterval + c.jitter(claimRetryJitter)
 		}
 		// Ownership changes only by the watch, in the order of revisions; the barrier brings it at once.
-		c.afterReadBarrier(func(bool) {})
+		c.replica.afterReadBarrier(func(bool) {})
 	}})
 }
 
--- a/core/peers.go
+++ b/core/peers.go
@@ -47,10 +47,10 @@
 		SendToPeer{
 			Message: Message{
 				Health: &Health{
-					StoreReachable:    c.isStoreReachable(),
+					StoreReachable:    c.storeHealth.isReachable(),
 					WriteRate:         c.transactions.rateLimit.SampleWriteRate(c.cfg.Cluster.HealthInterval),
 					ReachablePeers:    c.controllers.membership.ReachableExcept(c.now, ""),
-					SnapshotPagesRead: c.snapshotPagesRead(),
+					SnapshotPagesRead: c.replica.snapshotPagesRead(),
 					QueueHeads:        c.priority.firstWaiting,
 					CancellationsUpTo: c.cancellationsKnownUpTo(),
 				},
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -246,10 +246,10 @@
 	switch {
 	case !c.replica.loaded:
 		c.respondUnavailable(requestID, "not caught up")
-	case c.storeUnreachable():
+	case c.replica.isStoreUnreachable():
 		c.respondUnavailable(requestID, reasonStoreUnreachable)
 	default:
-		c.afterReadBarrier(func(ok bool) {
+		c.replica.afterReadBarrier(func(ok bool) {
 			if !ok {
 				c.respondUnavailable(requestID, reasonStoreUnreachable)
 				return
@@ -348,7 +348,7 @@
 	c.permissions.seeding = true
 	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
-		c.afterReadBarrier(func(bool) { c.permissions.seeding = false }) // the barrier shows the outcome
+		c.replica.afterReadBarrier(func(bool) { c.permissions.seeding = false }) // the barrier shows the outcome
 	}})
 }
 
@@ -412,12 +412,12 @@
 // handleUpdatePermissions changes an identity's permissions for a permitted caller, after a barrier.
 func (c *Core) handleUpdatePermissions(in UpdatePermissions) {
 	switch {
-	case !c.replica.loaded || c.storeUnreachable() || !c.holdsLease():
+	case !c.replica.loaded || c.replica.isStoreUnreachable() || !c.holdsLease():
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 	case !c.permissionsInForce():
 		c.respondUnavailable(in.RequestID, reasonNoPermissions)
 	default:
-		c.afterUrgentReadBarrier(func(ok bool) {
+		c.replica.afterUrgentReadBarrier(func(ok bool) {
 			switch {
 			case !ok:
 				c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
@@ -454,7 +454,7 @@
 	)
 	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
-		c.afterReadBarrier(func(bool) {}) // brings the change into the replica soon
+		c.replica.afterReadBarrier(func(bool) {}) // brings the change into the replica soon
 		if status != wire.StatusOK {
 			c.respondUnavailable(in.RequestID, "rights changed meanwhile, or the outcome is not known: ask again")
 			return
@@ -608,7 +608,7 @@
 		c.respond(in.RequestID, wire.StatusOK, struct{}{})
 		return
 	}
-	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, in.Verb, in.Object, func() {
+	c.replica.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, in.Verb, in.Object, func() {
 		c.currentAuditLog().RecordRead(in.Caller.Identity, in.Verb.String(), in.Object, func(ok bool) {
 			if !ok {
 				c.respondUnavailable(in.RequestID, "this can't be recorded now")
@@ -642,7 +642,7 @@
 		c.respondUnavailable(in.RequestID, reasonNoPermissions)
 		return
 	}
-	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "rights", func() {
+	c.replica.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "rights", func() {
 		c.respond(in.RequestID, wire.StatusOK, wire.Permissions{Text: access.Format(c.permissions.toMessage())})
 	}))
 }
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -177,7 +177,7 @@
 			Compare: []wire.Compare{{Key: keyPriorityClasses}},
 			Then:    []wire.Write{{Put: keyPriorityClasses, Value: raw}},
 		},
-		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }},
+		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.replica.afterReadBarrier(func(bool) {}) }},
 	)
 }
 
@@ -203,14 +203,14 @@
 	case c.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
-	case c.storeUnreachable() || c.schemaVersion() < schemaPriorityClasses:
+	case c.replica.isStoreUnreachable() || c.schemaVersion() < schemaPriorityClasses:
 		c.respondUnavailable(
 			in.RequestID,
 			"state service not reached, or a controller may still run a version that does not know lanes",
 		)
 		return
 	}
-	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "lanes", func() {
+	c.replica.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "lanes", func() {
 		c.storePriorityClasses(in, list)
 	}))
 }
@@ -231,7 +231,7 @@
 		Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}},
 	}
 	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
-		c.afterReadBarrier(func(bool) {}) // reads the outcome, even if the response was lost
+		c.replica.afterReadBarrier(func(bool) {}) // reads the outcome, even if the response was lost
 		if status != wire.StatusOK {
 			c.respondUnavailable(in.RequestID, "not changed, or not known whether: ask again")
 			return
--- a/core/queuelisting.go
+++ b/core/queuelisting.go
@@ -27,11 +27,11 @@
 	case c.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
-	case !c.replica.loaded || c.storeUnreachable():
+	case !c.replica.loaded || c.replica.isStoreUnreachable():
 		c.respondUnavailable(in.RequestID, "state service not reached")
 		return
 	}
-	c.afterReadBarrier(func(ok bool) {
+	c.replica.afterReadBarrier(func(ok bool) {
 		switch {
 		case !ok:
 			c.respondUnavailable(in.RequestID, "state service not reached")
--- a/core/replica.go
+++ b/core/replica.go
@@ -2,6 +2,8 @@
 
 import (
 	"dewlift/core/batchvalue"
+	"dewlift/core/membership"
+	"dewlift/core/ratelimit"
 	"dewlift/wire"
 	"slices"
 	"time"
@@ -10,6 +12,11 @@
 // storeReplica is this controller's replica of the key-value store: how far it has read, the
 // snapshot load, the watch and the read barriers. At most one request of each kind is in flight.
 type storeReplica struct {
+	*environment
+	health    *storeHealth
+	rateLimit *ratelimit.Limiter  // charged for its requests
+	members   *membership.Members // progress of the other controllers' snapshot loads
+
 	revision    uint64                   // all changes up to it are applied
 	loaded      bool                     // a snapshot is loaded, and the watch follows from it
 	batchValues map[int]*batchvalue.Slot // by slot number, see batchvalues.go
@@ -35,6 +42,7 @@
 
 // storeHealth is whether the key-value store answers this controller.
 type storeHealth struct {
+	*environment
 	firstLostReadAt time.Duration // sending time of the first read barrier lost since the last answer; 0: none
 	lastAnswerAt    time.Duration
 	lastFailureAt   time.Duration
@@ -77,109 +85,114 @@
 	slowLoaderDelay = time.Second
 )
 
-// isStoreReachable reports whether the store answered recently and has not failed since.
-func (c *Core) isStoreReachable() bool {
-	return c.storeHealth.everAnswered && c.now-c.storeHealth.lastAnswerAt < storeAnswerTimeout &&
-		(c.storeHealth.lastFailureAt <= c.storeHealth.lastAnswerAt)
+// isReachable reports whether the store answered recently and has not failed since.
+func (h *storeHealth) isReachable() bool {
+	return h.everAnswered && h.now-h.lastAnswerAt < storeAnswerTimeout && h.lastFailureAt <= h.lastAnswerAt
+}
+
+// isFailing reports whether the store has failed since its last answer, for longer than a grace time.
+func (h *storeHealth) isFailing() bool {
+	return h.lastFailureAt > h.lastAnswerAt && h.now-h.lastAnswerAt > storeFailureGrace
+}
+
+// isWatchStalled reports whether reads of the store have stayed unanswered for too long. Such a controller can
+// write and extend its lease, but knows neither what it owns nor what others do: a new leader in that
+// state did nothing for twenty seconds, and no other controller could take over.
+func (h *storeHealth) isWatchStalled() bool {
+	return h.firstLostReadAt != 0 && h.now-h.firstLostReadAt > watchStallTimeout
 }
 
 // isStoreOutage reports whether the store seems down for all controllers: a majority of them is
 // reachable and none of these reaches the store.
 func (c *Core) isStoreOutage() bool {
-	if c.holdsLease() || c.isStoreReachable() {
+	if c.holdsLease() || c.storeHealth.isReachable() {
 		return false
 	}
 	return c.controllers.membership.IsStoreOutage(c.now)
 }
 
-// storeUnreachable reports whether requests to the store would probably fail now.
-func (c *Core) storeUnreachable() bool {
-	return !c.replica.loaded ||
-		c.storeHealth.lastFailureAt > c.storeHealth.lastAnswerAt &&
-			c.now-c.storeHealth.lastAnswerAt > storeFailureGrace
-}
-
-// recordStoreStatus updates the store's health from a request's outcome. A refusal is an answer too.
-func (c *Core) recordStoreStatus(status wire.Status) {
+// recordStatus updates the store's health from a request's outcome. A refusal is an answer too.
+func (h *storeHealth) recordStatus(status wire.Status) {
 	if status == wire.StatusNoAnswer || status == wire.StatusUnavailable {
-		c.storeHealth.lastFailureAt = c.now
+		h.lastFailureAt = h.now
 		return
 	}
-	c.storeHealth.everAnswered = true
-	c.storeHealth.lastAnswerAt = c.now
+	h.everAnswered = true
+	h.lastAnswerAt = h.now
 }
 
-// syncReplica sends the requests that keep the replica current: a snapshot load first, then a
+// isStoreUnreachable reports whether requests to the store would probably fail now.
+func (r *storeReplica) isStoreUnreachable() bool { return !r.loaded || r.health.isFailing() }
+
+// sync sends the requests that keep the replica current: a snapshot load first, then a
 // watch, and read barriers while anything waits for one.
-func (c *Core) syncReplica() {
-	if !c.replica.loaded {
-		c.requestSnapshotPage()
+func (r *storeReplica) sync() {
+	if !r.loaded {
+		r.requestSnapshotPage()
 		return
 	}
-	c.requestWatch()
-	c.requestReadBarrier()
+	r.requestWatch()
+	r.requestReadBarrier()
 }
 
 // requestSnapshotPage requests the next page of the snapshot if it is due.
-func (c *Core) requestSnapshotPage() {
-	if c.replica.pageInFlight || c.now < c.replica.nextPageAt {
+func (r *storeReplica) requestSnapshotPage() {
+	if r.pageInFlight || r.now < r.nextPageAt {
 		return
 	}
-	if c.replica.pagesRead >= fastSnapshotPages && c.isSlowestToLoad() {
-		c.replica.nextPageAt = c.now + slowLoaderDelay
+	if r.pagesRead >= fastSnapshotPages && r.isSlowestToLoad() {
+		r.nextPageAt = r.now + slowLoaderDelay
 		return
 	}
-	c.replica.pageInFlight = true
-	if c.replica.lastPageKey == "" {
-		c.replica.snapshotStartedAt = c.now
+	r.pageInFlight = true
+	if r.lastPageKey == "" {
+		r.snapshotStartedAt = r.now
 	}
-	c.emit(LoadSnapshot{AfterKey: c.replica.lastPageKey})
+	r.emit(LoadSnapshot{AfterKey: r.lastPageKey})
 }
 
 // requestWatch sends a watch if it is due. A read barrier brings the changes too, so none is needed
 // while barriers follow one another.
-func (c *Core) requestWatch() {
-	if c.replica.watchInFlight || c.now < c.replica.nextWatchAt || c.replica.barrierInFlight ||
-		len(c.replica.barrierWaiters) > 0 {
+func (r *storeReplica) requestWatch() {
+	if r.watchInFlight || r.now < r.nextWatchAt || r.barrierInFlight ||
+		len(r.barrierWaiters) > 0 {
 		return
 	}
-	limit := &c.transactions.rateLimit
-	c.replica.watchInFlight, c.replica.watchSentAt = true, c.now
-	c.replica.nextWatchAt = c.now + limit.MinInterval(c.cfg.Store.MinWatchInterval, watchRequestShare)
-	limit.SpendRequest()
-	c.emit(Watch{SinceRevision: c.replica.revision, LongPoll: true})
+	r.watchInFlight, r.watchSentAt = true, r.now
+	r.nextWatchAt = r.now + r.rateLimit.MinInterval(r.cfg.Store.MinWatchInterval, watchRequestShare)
+	r.rateLimit.SpendRequest()
+	r.emit(Watch{SinceRevision: r.revision, LongPoll: true})
 }
 
 // requestReadBarrier sends a read barrier if it is due and anything waits for one. Who begins to
 // wait after that needs the next barrier.
-func (c *Core) requestReadBarrier() {
-	if c.replica.barrierInFlight || len(c.replica.barrierWaiters) == 0 || c.now < c.replica.nextBarrierAt {
+func (r *storeReplica) requestReadBarrier() {
+	if r.barrierInFlight || len(r.barrierWaiters) == 0 || r.now < r.nextBarrierAt {
 		return
 	}
-	limit := &c.transactions.rateLimit
-	c.replica.barrierInFlight, c.replica.barrierSentAt = true, c.now
-	c.replica.nextBarrierAt = c.now + limit.MinInterval(c.cfg.Store.MinReadBarrierInterval, barrierRequestShare)
-	c.replica.inFlightWaiters, c.replica.barrierWaiters = c.replica.barrierWaiters, nil
-	limit.SpendRequest()
-	c.emit(Watch{SinceRevision: c.replica.revision})
+	r.barrierInFlight, r.barrierSentAt = true, r.now
+	r.nextBarrierAt = r.now + r.rateLimit.MinInterval(r.cfg.Store.MinReadBarrierInterval, barrierRequestShare)
+	r.inFlightWaiters, r.barrierWaiters = r.barrierWaiters, nil
+	r.rateLimit.SpendRequest()
+	r.emit(Watch{SinceRevision: r.revision})
 }
 
 // afterReadBarrier calls f(true) once the replica has all changes committed until now, or f(false)
 // if that could not be established.
-func (c *Core) afterReadBarrier(f func(ok bool)) {
-	if !c.replica.loaded || len(c.replica.barrierWaiters) > maxBarrierWaiters {
+func (r *storeReplica) afterReadBarrier(f func(ok bool)) {
+	if !r.loaded || len(r.barrierWaiters) > maxBarrierWaiters {
 		f(false)
 		return
 	}
-	c.replica.barrierWaiters = append(c.replica.barrierWaiters, f)
+	r.barrierWaiters = append(r.barrierWaiters, f)
 }
 
 // afterUrgentReadBarrier is afterReadBarrier for a submission. Its user waits for the answer and few
 // submissions need a barrier, so it skips the minimum interval while read tokens are left.
-func (c *Core) afterUrgentReadBarrier(f func(ok bool)) {
-	c.afterReadBarrier(f)
-	if c.transactions.rateLimit.ReadTokens > 1 {
-		c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
+func (r *storeReplica) afterUrgentReadBarrier(f func(ok bool)) {
+	r.afterReadBarrier(f)
+	if r.rateLimit.ReadTokens > 1 {
+		r.nextBarrierAt = min(r.nextBarrierAt, r.now)
 	}
 }
 
@@ -189,8 +202,8 @@
 	sentAt := c.replica.barrierSentAt
 	if in.LongPoll {
 		sentAt = c.replica.watchSentAt
-		c.endWatch(in.Status)
-	} else if retried := c.endReadBarrier(in.Status); retried {
+		c.replica.endWatch(in.Status)
+	} else if retried := c.replica.endReadBarrier(in.Status); retried {
 		return
 	}
 	switch in.Status {
@@ -207,37 +220,37 @@
 		c.replica.nextPageAt = c.now
 	}
 	if !in.LongPoll {
-		c.callBarrierWaiters(in.Status == wire.StatusOK)
+		c.replica.callBarrierWaiters(in.Status == wire.StatusOK)
 	}
 }
 
 // endWatch notes that the watch in flight has ended. A failed one is not repeated at once.
-func (c *Core) endWatch(status wire.Status) {
-	c.replica.watchInFlight = false
+func (r *storeReplica) endWatch(status wire.Status) {
+	r.watchInFlight = false
 	if status != wire.StatusOK {
-		c.replica.nextWatchAt = max(c.replica.nextWatchAt, c.now+watchRetryDelay)
+		r.nextWatchAt = max(r.nextWatchAt, r.now+watchRetryDelay)
 	}
 }
 
 // endReadBarrier notes that the read barrier in flight has ended, and reports whether it was
 // throttled: its waiters then wait for the next one, ahead of the others.
-func (c *Core) endReadBarrier(status wire.Status) (retried bool) {
-	c.recordStoreStatus(status)
-	c.replica.barrierInFlight = false
+func (r *storeReplica) endReadBarrier(status wire.Status) (retried bool) {
+	r.health.recordStatus(status)
+	r.barrierInFlight = false
 	if status != wire.StatusTooManyRequests {
 		return false
 	}
-	c.replica.barrierWaiters = append(c.replica.inFlightWaiters, c.replica.barrierWaiters...)
-	c.replica.inFlightWaiters = nil
-	c.replica.nextBarrierAt = c.now + barrierRetryDelay + c.jitter(barrierRetryJitter)
+	r.barrierWaiters = append(r.inFlightWaiters, r.barrierWaiters...)
+	r.inFlightWaiters = nil
+	r.nextBarrierAt = r.now + barrierRetryDelay + r.jitter(barrierRetryJitter)
 	return true
 }
 
 // callBarrierWaiters calls the functions that waited for the read barrier that has ended. They may
 // wait for another one at once.
-func (c *Core) callBarrierWaiters(ok bool) {
-	waiters := c.replica.inFlightWaiters
-	c.replica.inFlightWaiters = nil
+func (r *storeReplica) callBarrierWaiters(ok bool) {
+	waiters := r.inFlightWaiters
+	r.inFlightWaiters = nil
 	for _, f := range waiters {
 		f(ok)
 	}
@@ -271,7 +284,7 @@
 		c.replica.nextPageAt = c.now + pageRetryDelay + c.jitter(pageRetryJitter)
 		return
 	}
-	c.recordStoreStatus(wire.StatusOK)
+	c.storeHealth.recordStatus(wire.StatusOK)
 	if c.replica.lastPageKey == "" {
 		c.beginSnapshot(in.Revision)
 	}
@@ -348,13 +361,13 @@
 // isSlowestToLoad reports whether another controller is further ahead in its snapshot load. When
 // they load one after the other, the first serves as soon as it is done; when they load at the same
 // time and share the request rate, all are ready only when the last is.
-func (c *Core) isSlowestToLoad() bool {
-	for _, name := range c.cfg.Peers {
-		if !c.controllers.membership.IsReachable(c.now, name) {
+func (r *storeReplica) isSlowestToLoad() bool {
+	for _, name := range r.cfg.Peers {
+		if !r.members.IsReachable(r.now, name) {
 			continue
 		}
-		loaded := c.controllers.membership.Peer(name).SnapshotPagesLoaded
-		if loaded > c.replica.pagesRead || loaded == c.replica.pagesRead && name < c.cfg.Name {
+		loaded := r.members.Peer(name).SnapshotPagesLoaded
+		if loaded > r.pagesRead || loaded == r.pagesRead && name < r.cfg.Name {
 			return true
 		}
 	}
@@ -362,9 +375,9 @@
 }
 
 // snapshotPagesRead is the number of pages read by the snapshot load in progress; 0 if there is none.
-func (c *Core) snapshotPagesRead() int {
-	if c.replica.loaded {
+func (r *storeReplica) snapshotPagesRead() int {
+	if r.loaded {
 		return 0
 	}
-	return c.replica.pagesRead
+	return r.pagesRead
 }
--- a/core/requests.go
+++ b/core/requests.go
@@ -151,11 +151,11 @@
 		c.respondNotFound(requestID)
 		return
 	}
-	if c.storeUnreachable() {
+	if c.replica.isStoreUnreachable() {
 		c.respondUnavailable(requestID, reasonStoreUnreachable)
 		return
 	}
-	c.afterReadBarrier(func(ok bool) {
+	c.replica.afterReadBarrier(func(ok bool) {
 		if j := c.knownJob(id); !ok && (j == nil || !j.isFinal()) {
 			c.respondUnavailable(requestID, reasonStoreUnreachable)
 			return
@@ -201,7 +201,7 @@
 	switch {
 	case rejection != nil && rejection.isTemporary():
 		c.respondUnavailable(in.RequestID, rejection.reason)
-	case c.storeUnreachable() || !c.holdsLease():
+	case c.replica.isStoreUnreachable() || !c.holdsLease():
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 	case rejection != nil:
 		c.rejectAfterReadBarrier(in)
@@ -214,7 +214,7 @@
 // repeated submission of an accepted job must never be rejected, so it is first determined whether
 // this is one. Also, a dependency may just have been accepted by another controller.
 func (c *Core) rejectAfterReadBarrier(in SubmitJob) {
-	c.afterUrgentReadBarrier(func(ok bool) {
+	c.replica.afterUrgentReadBarrier(func(ok bool) {
 		if !ok {
 			c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 			return
@@ -404,7 +404,7 @@
 		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
 		return
 	}
-	if c.storeUnreachable() {
+	if c.replica.isStoreUnreachable() {
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 		return
 	}
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -74,7 +74,7 @@
 		c.respondUnavailable(requestID, reasonNotReady)
 	case !c.replica.loaded:
 		c.respondUnavailable(requestID, "not caught up")
-	case c.storeUnreachable():
+	case c.replica.isStoreUnreachable():
 		c.respondUnavailable(requestID, reasonStoreUnreachable)
 	case c.schemaVersion() < schemaReservations:
 		c.respondUnavailable(requestID, reasonOldVersion)
@@ -204,13 +204,13 @@
 	leaderCompares := []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}}
 	if txn := c.reservations.ArchiveTxn(leaderCompares, endedBefore, c.cfg.Store.MaxValueBytes); txn != nil {
 		c.commitTxn(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-			c.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(txn) })
+			c.replica.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(txn) })
 		}})
 		return
 	}
 	if txn := c.reservations.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); txn != nil {
 		c.commitTxn(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-			c.afterReadBarrier(func(bool) { c.reservations.MergeDone() }) // the barrier shows the outcome
+			c.replica.afterReadBarrier(func(bool) { c.reservations.MergeDone() }) // the barrier shows the outcome
 		}})
 	}
 }
@@ -239,7 +239,7 @@
 			Compare: []wire.Compare{{Key: reservations.KeyInventory}},
 			Then:    []wire.Write{{Put: reservations.KeyInventory, Value: raw}},
 		},
-		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }},
+		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.replica.afterReadBarrier(func(bool) {}) }},
 	)
 }
 
@@ -279,7 +279,7 @@
 		if mustReadHead {
 			// Another controller committed first. Read at once: a later read would lose to it every time.
 			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
-			c.afterReadBarrier(func(bool) { c.reservations.HeadRead() })
+			c.replica.afterReadBarrier(func(bool) { c.reservations.HeadRead() })
 		}
 	}})
 }
@@ -503,7 +503,7 @@
 	if c.respondEndedReservation(in) || !c.canServeReservations(in.RequestID) {
 		return
 	}
-	c.afterReadBarrier(func(ok bool) {
+	c.replica.afterReadBarrier(func(ok bool) {
 		if !ok || !c.reservations.IsEnabled() {
 			c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 			return
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -112,7 +112,7 @@
 		},
 		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 			c.schema.declarationInFlight = false
-			c.afterReadBarrier(func(bool) {}) // the barrier brings the outcome
+			c.replica.afterReadBarrier(func(bool) {}) // the barrier brings the outcome
 		}},
 	)
 }
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -64,7 +64,7 @@
 		return
 	}
 	delete(c.transactions.inFlight, in.ID)
-	c.recordStoreStatus(in.Status)
+	c.storeHealth.recordStatus(in.Status)
 	c.pauseWritesAfter(in.Status)
 	c.logFailedTxn(in)
 	if in.Status == wire.StatusBadRequest && pending.onDone == nil { // it has no leased key
