--- a/core/apply.go
+++ b/core/apply.go
@@ -151,7 +151,7 @@
 		return err
 	}
 	c.currentAuditLog().ObserveEntries(key, revision, record.PendingAudit)
-	record = c.withSlotEntry(stored.id, record)
+	record = c.replica.slots.withCurrentEntry(stored.id, record)
 	c.adoptRecord(stored, record, record.ExpandAssignments(c.internMachineInZone), revision, len(raw))
 	return nil
 }
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -35,8 +35,11 @@
 	minAssignmentBytes = 10
 )
 
+// slotTable is the replica of the slots, by number.
+type slotTable map[int]*batchvalue.Slot
+
 // slotNumber is the number of an open job's slot.
-func (c *Core) slotNumber(id string, record *jobrecord.Record) int {
+func slotNumber(id string, record *jobrecord.Record) int {
 	slot := record.Shard * (1 + serviceSlotsPerShard)
 	if record.Spec.Service {
 		slot += 1 + int(xxhash.Sum64String(id)%serviceSlotsPerShard)
@@ -44,12 +47,12 @@
 	return slot
 }
 
-// slotState is what the replica knows of a slot.
-func (c *Core) slotState(number int) *batchvalue.Slot {
-	slot := c.replica.batchValues[number]
+// at is what the replica knows of a slot.
+func (t slotTable) at(number int) *batchvalue.Slot {
+	slot := t[number]
 	if slot == nil {
 		slot = &batchvalue.Slot{}
-		c.replica.batchValues[number] = slot
+		t[number] = slot
 	}
 	return slot
 }
@@ -65,7 +68,7 @@
 }
 
 // maxSlotBytes is the limit of a slot's entries before compression, which at least halves them.
-func (c *Core) maxSlotBytes() int { return c.cfg.Store.MaxValueBytes * 7 / 4 }
+func (s *StoreConfig) maxSlotBytes() int { return s.MaxValueBytes * 7 / 4 }
 
 // canShareProposal reports whether a proposal may be written as a slot's entry, which holds only
 // what changes while a job runs. A record that nearly fills its value is excluded, as it may be
@@ -104,10 +107,10 @@
 	return raw
 }
 
-// currentSlotEntry is the slot entry that belongs to this write of a queued job's record; nil if
+// currentEntry is the slot entry that belongs to this write of a queued job's record; nil if
 // there is none.
-func (c *Core) currentSlotEntry(id string, record *jobrecord.Record) *jobrecord.Record {
-	raw, ok := c.slotState(c.slotNumber(id, record)).Entries[id]
+func (t slotTable) currentEntry(id string, record *jobrecord.Record) *jobrecord.Record {
+	raw, ok := t.at(slotNumber(id, record)).Entries[id]
 	if !ok {
 		return nil
 	}
@@ -118,13 +121,13 @@
 	return entry
 }
 
-// withSlotEntry is a job's record with its current slot entry on top, or the record itself if there
+// withCurrentEntry is a job's record with its current slot entry on top, or the record itself if there
 // is no such entry.
-func (c *Core) withSlotEntry(id string, record *jobrecord.Record) *jobrecord.Record {
+func (t slotTable) withCurrentEntry(id string, record *jobrecord.Record) *jobrecord.Record {
 	if record.Spec == nil || record.Stage != jobrecord.Queued {
 		return record
 	}
-	entry := c.currentSlotEntry(id, record)
+	entry := t.currentEntry(id, record)
 	if entry == nil {
 		return record
 	}
@@ -140,7 +143,7 @@
 	if err != nil {
 		return fmt.Errorf("parse slot number: %w", err)
 	}
-	slot := c.slotState(number)
+	slot := c.replica.slots.at(number)
 	if revision <= slot.Revision {
 		return nil // the reply to this controller's own write came before
 	}
@@ -165,7 +168,7 @@
 	if target == nil || target.record.Spec == nil || target.isFinal() {
 		return
 	}
-	if merged := c.withSlotEntry(id, target.record); merged != target.record {
+	if merged := c.replica.slots.withCurrentEntry(id, target.record); merged != target.record {
 		c.adoptRecord(
 			target, merged, merged.ExpandAssignments(c.internMachineInZone), target.revision, target.stored.bytes,
 		)
@@ -177,7 +180,7 @@
 	if draft := b.slotDrafts[number]; draft != nil {
 		return draft
 	}
-	draft := b.core.slotState(number).BeginDraft(func(id string, raw json.RawMessage) bool {
+	draft := b.core.replica.slots.at(number).BeginDraft(func(id string, raw json.RawMessage) bool {
 		target := b.core.knownJob(id)
 		if target == nil || target.record.Spec == nil || target.isFinal() {
 			return false
@@ -204,7 +207,7 @@
 func (b *txnBuilder) removeSlotEntry(number int, id string) {
 	draft := b.slotDrafts[number]
 	if draft == nil {
-		draft = &batchvalue.Draft{Entries: b.core.slotState(number).Entries}
+		draft = &batchvalue.Draft{Entries: b.core.replica.slots.at(number).Entries}
 		b.addSlot(number, draft)
 	}
 	draft.Entries = draft.Entries.Without(id)
@@ -212,7 +215,7 @@
 
 // addSlotEntry puts a proposal's entry into its slot, and reports whether the slot has capacity for it.
 func (b *txnBuilder) addSlotEntry(next *proposal, entry json.RawMessage) bool {
-	if !b.slotDraft(next.slotIndex).TryPut(next.job.id, entry, b.core.maxSlotBytes()) {
+	if !b.slotDraft(next.slotIndex).TryPut(next.job.id, entry, b.core.cfg.Store.maxSlotBytes()) {
 		return false
 	}
 	b.valueBytes += len(entry)
@@ -236,7 +239,7 @@
 	for _, number := range sortedKeys(b.slotDrafts) {
 		raw, err := b.slotDrafts[number].Entries.Encode()
 		if err == nil && len(raw) <= b.core.cfg.Store.MaxValueBytes {
-			b.addCompare(wire.Compare{Key: slotKey(number), Revision: b.core.slotState(number).Revision})
+			b.addCompare(wire.Compare{Key: slotKey(number), Revision: b.core.replica.slots.at(number).Revision})
 			b.txn.Then = append(b.txn.Then, wire.Write{Put: slotKey(number), Value: raw})
 			continue
 		}
@@ -260,24 +263,24 @@
 	return taken
 }
 
-// lockSlots notes that a transaction in flight writes or compares slots.
-func (c *Core) lockSlots(pending *pendingTxn) {
+// lock notes that a transaction in flight writes or compares slots.
+func (t slotTable) lock(pending *pendingTxn) {
 	for number := range pending.writtenSlots {
-		c.slotState(number).WriteInFlight = true
+		t.at(number).WriteInFlight = true
 	}
 	for number := range pending.dependentSlots {
-		c.slotState(number).JobKeyWritesInFlight++
+		t.at(number).JobKeyWritesInFlight++
 	}
 }
 
-// releaseSlots notes that a transaction is no longer in flight. It returns the written slots that
+// release notes that a transaction is no longer in flight. It returns the written slots that
 // stay locked until they have been read: their write may be executed yet, or another one won.
-func (c *Core) releaseSlots(pending *pendingTxn, status wire.Status, revision uint64) (stale []int) {
+func (t slotTable) release(pending *pendingTxn, status wire.Status, revision uint64) (stale []int) {
 	for number := range pending.dependentSlots {
-		c.slotState(number).JobKeyWritesInFlight--
+		t.at(number).JobKeyWritesInFlight--
 	}
 	for _, number := range sortedKeys(pending.writtenSlots) {
-		slot := c.slotState(number)
+		slot := t.at(number)
 		switch {
 		case status == wire.StatusOK:
 			slot.WriteInFlight = false
--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -58,7 +58,7 @@
 	for _, first := range []string{"record", "slot"} {
 		c := newCoreWithSharedValues(t)
 		placedOn := func() string { return c.machines[c.internJob("wk-1").assignments[0].Machine].name }
-		slot := slotKey(c.slotNumber("wk-1", &jobrecord.Record{Spec: &wire.JobSpec{Service: true}}))
+		slot := slotKey(slotNumber("wk-1", &jobrecord.Record{Spec: &wire.JobSpec{Service: true}}))
 		value := encodeSlotValue(t, batchvalue.Entries{"wk-1": recordPlacedOn(t, c, 3, "m-2", false)})
 		if first == "slot" {
 			c.applyPut(slot, value, 20)
@@ -112,7 +112,7 @@
 func TestSharedWritesExcludeEachOther(t *testing.T) {
 	c := newCoreWithSharedValues(t)
 	c.applyPut(keyJob+"wk-1", recordPlacedOn(t, c, 1, "m-1", true), 10)
-	slot := slotKey(c.slotNumber("wk-1", c.internJob("wk-1").record))
+	slot := slotKey(slotNumber("wk-1", c.internJob("wk-1").record))
 	c.Handle(time.Second, AgentPolled{Machine: "m-1", Heartbeat: testHeartbeat(1)})
 	c.markMachineGone(c.internMachine("m-1")) // a replica is lost: its record changes
 	loss := findTxnWriting(c.Advance(1100*time.Millisecond), slot)
--- a/core/core.go
+++ b/core/core.go
@@ -3,7 +3,6 @@
 import (
 	"dewlift/audit"
 	"dewlift/core/auditlog"
-	"dewlift/core/batchvalue"
 	"dewlift/core/membership"
 	"dewlift/core/quorum"
 	"dewlift/core/ratelimit"
@@ -111,7 +110,7 @@
 		health:      &c.storeHealth,
 		rateLimit:   &c.transactions.rateLimit,
 		members:     c.controllers.membership,
-		batchValues: map[int]*batchvalue.Slot{},
+		slots:       slotTable{},
 	}
 	c.controllers.nodeKeys = map[string]leasedKey{}
 	c.ownership.shards = make([]leasedKey, cfg.Shards)
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -275,8 +275,8 @@
 	c, target := u.core, u.job
 	limiter := &c.transactions.rateLimit
 	crowded := limiter.WriteTokens >= crowdedSlotWriteShare*limiter.WriteBurst(c.cfg.Store.MaxTxnOps) &&
-		c.slotState(c.slotNumber(target.id, target.record)).IsNearlyFull(c.maxSlotBytes())
-	moved := (target.stored.needsOwnKey || crowded) && c.currentSlotEntry(target.id, target.record) != nil
+		c.replica.slots.at(slotNumber(target.id, target.record)).IsNearlyFull(c.cfg.Store.maxSlotBytes())
+	moved := (target.stored.needsOwnKey || crowded) && c.replica.slots.currentEntry(target.id, target.record) != nil
 	u.proposal.wantsOwnKey = target.stored.needsOwnKey || moved
 	if moved || target.stored.bytes > c.cfg.Store.MaxValueBytes && c.schemaVersion() >= schemaDependencies {
 		u.changed = true
@@ -425,7 +425,7 @@
 // batchingDeadline is until when the write may wait so that more ends of tasks share it; 0 if it
 // must not wait. Nothing is gained by waiting if the job's slot is written by this transaction anyway.
 func (u *recordUpdate) batchingDeadline() time.Duration {
-	if u.urgent || u.builder.slotDrafts[u.core.slotNumber(u.job.id, u.job.record)] != nil {
+	if u.urgent || u.builder.slotDrafts[slotNumber(u.job.id, u.job.record)] != nil {
 		return 0
 	}
 	return u.job.write.dirtySince + u.core.transactions.endBatchDelay
--- a/core/replica.go
+++ b/core/replica.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"dewlift/core/batchvalue"
 	"dewlift/core/membership"
 	"dewlift/core/ratelimit"
 	"dewlift/wire"
@@ -17,9 +16,9 @@
 	rateLimit *ratelimit.Limiter  // charged for its requests
 	members   *membership.Members // progress of the other controllers' snapshot loads
 
-	revision    uint64                   // all changes up to it are applied
-	loaded      bool                     // a snapshot is loaded, and the watch follows from it
-	batchValues map[int]*batchvalue.Slot // by slot number, see batchvalues.go
+	revision uint64    // all changes up to it are applied
+	loaded   bool      // a snapshot is loaded, and the watch follows from it
+	slots    slotTable // see batchvalues.go
 
 	pageInFlight      bool
 	nextPageAt        time.Duration
@@ -311,7 +310,7 @@
 	for i := range c.ownership.shards {
 		c.ownership.shards[i] = leasedKey{absentSince: c.now}
 	}
-	for _, slot := range c.replica.batchValues {
+	for _, slot := range c.replica.slots {
 		slot.Revision, slot.Entries = 0, nil
 	}
 	c.leadership.leader = leasedKey{absentSince: c.now}
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -243,7 +243,7 @@
 func (c *Core) addWaitingEnds(builder *txnBuilder) {
 	for _, j := range c.openJobs {
 		if !j.write.waitsForEnds || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
-			builder.slotDrafts[c.slotNumber(j.id, j.record)] == nil || !c.ownsJob(j) {
+			builder.slotDrafts[slotNumber(j.id, j.record)] == nil || !c.ownsJob(j) {
 			continue
 		}
 		if !builder.addJob(j) {
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -74,7 +74,7 @@
 		c.history.archiveIndex.Invalidate(key)
 	}
 	stale := in.Status != wire.StatusOK && !isNotExecuted(in.Status)
-	staleSlots := c.releaseSlots(pending, in.Status, in.Reply.Revision)
+	staleSlots := c.replica.slots.release(pending, in.Status, in.Reply.Revision)
 	for _, quota := range pending.teams {
 		quota.locked = stale // a team's state must be read before it is used again
 		if in.Status == wire.StatusOK {
@@ -167,7 +167,7 @@
 	}
 	switch {
 	case committed.inSlot:
-		if c.slotState(committed.slotIndex).Revision == revision &&
+		if c.replica.slots.at(committed.slotIndex).Revision == revision &&
 			target.record.WriteNumber == committed.record.WriteNumber &&
 			!target.isFinal() {
 			c.adoptRecord(target, committed.record, committed.assignments, target.revision, target.stored.bytes)
@@ -221,7 +221,7 @@
 			return
 		}
 		for _, slot := range slots {
-			c.slotState(slot).WriteInFlight = false
+			c.replica.slots.at(slot).WriteInFlight = false
 		}
 		for _, quota := range teams {
 			quota.locked = false
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -63,12 +63,12 @@
 // more jobs and this one is to be tried with the next; true also if the job has nothing to write now.
 func (b *txnBuilder) addJob(target *job) bool {
 	c := b.core
-	slot := c.slotOf(target)
+	slot := slotOf(target)
 	cost, ok := b.writeCost(target, slot)
 	if !ok || b.isFull(cost) {
 		return false
 	}
-	if slot >= 0 && c.slotState(slot).WriteInFlight && c.schemaVersion() >= schemaSharedValues {
+	if slot >= 0 && c.replica.slots.at(slot).WriteInFlight && c.schemaVersion() >= schemaSharedValues {
 		target.write.nextLookAt = c.now + slotRetryDelay
 		return true
 	}
@@ -91,7 +91,7 @@
 		return true
 	}
 	if entry := c.encodeSlotEntry(next); entry != nil {
-		if b.slotDrafts[slot] == nil && c.slotState(slot).JobKeyWritesInFlight > 0 {
+		if b.slotDrafts[slot] == nil && c.replica.slots.at(slot).JobKeyWritesInFlight > 0 {
 			c.undoProposal(next)
 			target.write.nextLookAt = c.now + slotRetryDelay
 			return true
@@ -107,11 +107,11 @@
 }
 
 // slotOf is the number of a job's slot; -1 if it has none: its record is not stored yet, or is final.
-func (c *Core) slotOf(target *job) int {
+func slotOf(target *job) int {
 	if target.revision == 0 || target.record == nil || target.record.Spec == nil {
 		return -1
 	}
-	return c.slotNumber(target.id, target.record)
+	return slotNumber(target.id, target.record)
 }
 
 // writeCost is the number of write tokens that must be available for a job to be added. ok is false
@@ -213,7 +213,7 @@
 	if slot < 0 || b.core.schemaVersion() < schemaSharedValues {
 		return
 	}
-	b.addCompare(wire.Compare{Key: slotKey(slot), Revision: b.core.slotState(slot).Revision})
+	b.addCompare(wire.Compare{Key: slotKey(slot), Revision: b.core.replica.slots.at(slot).Revision})
 	switch {
 	case !b.core.ownsJob(next.job):
 		// The shard's owner may be about to write the slot, and that write must fail if it does not know of this one.
@@ -313,7 +313,7 @@
 		writtenSlots:   b.slotDrafts,
 		dependentSlots: b.dependentSlots,
 	}
-	b.core.lockSlots(pending)
+	b.core.replica.slots.lock(pending)
 	b.core.commitTxn(b.txn, pending)
 }
 
