--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -195,7 +195,7 @@
 	}
 	move.buildTxn(revision)
 	sweep.inFlight = true
-	c.commitTxn(move.txn, &pendingTxn{onDone: move.handleResult})
+	c.transactions.commit(move.txn, &pendingTxn{onDone: move.handleResult})
 }
 
 // pendingFor is the first of the pending records that go to a block; nil: the block is corrupt, and the
@@ -258,7 +258,7 @@
 		// Conflict, refusal or unknown outcome. With the last it may still be executed, which changes
 		// nothing that a repetition would not.
 		if status == wire.StatusBadRequest {
-			m.core.reduceTxnLimits(&m.txn)
+			m.core.transactions.reduceLimits(&m.txn)
 		}
 		for _, block := range m.blocks {
 			index.Invalidate(archive.BlockKey(block.High))
@@ -270,7 +270,7 @@
 // writeHistoryMarker writes keyHistory, ahead of the first move.
 func (c *Core) writeHistoryMarker(sweep *archiveSweep) {
 	sweep.inFlight = true
-	c.commitTxn(wire.Txn{
+	c.transactions.commit(wire.Txn{
 		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyHistory}},
 		Then:    []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}},
 	}, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
--- a/core/audit.go
+++ b/core/audit.go
@@ -137,9 +137,9 @@
 	if txn == nil {
 		return
 	}
-	c.commitTxn(*txn, &pendingTxn{onDone: func(status wire.Status, reply wire.TxnResponse) {
+	c.transactions.commit(*txn, &pendingTxn{onDone: func(status wire.Status, reply wire.TxnResponse) {
 		if status == wire.StatusBadRequest {
-			c.reduceTxnLimits(txn)
+			c.transactions.reduceLimits(txn)
 		}
 		if c.currentAuditLog().HandleBlockOutcome(status, reply.Revision) {
 			// After the next barrier the replica shows whether the block was written.
@@ -168,7 +168,7 @@
 		"restored",
 		auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: marker.description},
 	)
-	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
 		c.replica.afterReadBarrier(func(bool) { marker.writeInFlight = false })
 	}})
--- a/core/cancelmarker.go
+++ b/core/cancelmarker.go
@@ -37,7 +37,7 @@
 	pendingAudit, auditEntryIDs := c.currentAuditLog().
 		AttachEntries(key, cancellation.markerRevision, cancellation.markerAudit, acts)
 	target.write.inFlight = true
-	c.commitTxn(wire.Txn{
+	c.transactions.commit(wire.Txn{
 		Compare: append(
 			compares,
 			wire.Compare{Key: keyJob + target.id, Revision: target.revision},
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -48,7 +48,7 @@
 			{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(c.leadership.fencingToken + 1))},
 		},
 	}
-	c.commitTxn(txn, &pendingTxn{onDone: func(_ wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(txn, &pendingTxn{onDone: func(_ wire.Status, _ wire.TxnResponse) {
 		c.leadership.raiseInFlight = false
 		c.replica.afterReadBarrier(func(bool) {})
 	}})
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -329,7 +329,7 @@
 	c, onAuditOutcome := t.core, t.onAuditOutcome
 	c.ownership.claimInFlight = true
 	c.ownership.nextClaimAt = c.now + claimInterval
-	c.commitTxn(t.txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(t.txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		c.ownership.claimInFlight = false
 		onAuditOutcome(status)
 		if status != wire.StatusOK {
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -346,7 +346,7 @@
 		auditlog.Event{Verb: "administer", Object: "rights", Reason: "first rights: " + strings.Join(seeded, " ")},
 	)
 	c.permissions.seeding = true
-	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
 		c.replica.afterReadBarrier(func(bool) { c.permissions.seeding = false }) // the barrier shows the outcome
 	}})
@@ -452,7 +452,7 @@
 		"who/"+in.Identity,
 		newAuditEvent(in.Caller, "administer", in.Identity, in.summary()),
 	)
-	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
 		c.replica.afterReadBarrier(func(bool) {}) // brings the change into the replica soon
 		if status != wire.StatusOK {
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -172,7 +172,7 @@
 		c.log(LevelError, "list of priority classes exceeds the value size limit", "bytes", len(raw))
 		return
 	}
-	c.commitTxn(
+	c.transactions.commit(
 		wire.Txn{
 			Compare: []wire.Compare{{Key: keyPriorityClasses}},
 			Then:    []wire.Write{{Put: keyPriorityClasses, Value: raw}},
@@ -230,7 +230,7 @@
 		),
 		Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}},
 	}
-	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
+	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
 		c.replica.afterReadBarrier(func(bool) {}) // reads the outcome, even if the response was lost
 		if status != wire.StatusOK {
 			c.respondUnavailable(in.RequestID, "not changed, or not known whether: ask again")
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -203,13 +203,13 @@
 	c.reservations.ForgetArchived(c.now, endedBefore)
 	leaderCompares := []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}}
 	if txn := c.reservations.ArchiveTxn(leaderCompares, endedBefore, c.cfg.Store.MaxValueBytes); txn != nil {
-		c.commitTxn(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
+		c.transactions.commit(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 			c.replica.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(txn) })
 		}})
 		return
 	}
 	if txn := c.reservations.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); txn != nil {
-		c.commitTxn(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
+		c.transactions.commit(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 			c.replica.afterReadBarrier(func(bool) { c.reservations.MergeDone() }) // the barrier shows the outcome
 		}})
 	}
@@ -234,7 +234,7 @@
 		c.reservationState.nextSeedAt = c.now + seedEquipmentRetryDelay
 		return
 	}
-	c.commitTxn(
+	c.transactions.commit(
 		wire.Txn{
 			Compare: []wire.Compare{{Key: reservations.KeyInventory}},
 			Then:    []wire.Write{{Put: reservations.KeyInventory, Value: raw}},
@@ -266,10 +266,10 @@
 	}
 	ids := state.auditEntryIDs
 	state.auditEntryIDs = nil
-	c.commitTxn(*txn, &pendingTxn{onDone: func(status wire.Status, reply wire.TxnResponse) {
+	c.transactions.commit(*txn, &pendingTxn{onDone: func(status wire.Status, reply wire.TxnResponse) {
 		c.currentAuditLog().HandleOutcome(ids, status)
 		if status == wire.StatusBadRequest && len(txn.Then) > 0 {
-			c.reduceTxnLimits(txn)
+			c.transactions.reduceLimits(txn)
 		}
 		c.reservations.InvalidateBlocks(reply.Failed)
 		responses, mustReadHead := c.reservations.HandleOutcome(status, reply.Revision)
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -34,10 +34,6 @@
 
 	// declarationInterval is the least time between two attempts to write the declaration.
 	declarationInterval = time.Second
-
-	// minValueBytes and minTxnOps bound how far refused transactions reduce the limits.
-	minValueBytes = 512
-	minTxnOps     = 2
 )
 
 // schemaState is the schema versions that the controllers declared, the active one, and this
@@ -105,7 +101,7 @@
 	if err != nil {
 		panic(err) // can't happen: a number
 	}
-	c.commitTxn(
+	c.transactions.commit(
 		wire.Txn{
 			Compare: []wire.Compare{{Key: key, Revision: c.schema.declarationRevision}},
 			Then:    []wire.Write{{Put: key, Value: raw}},
@@ -139,19 +135,3 @@
 	}
 	return c.cfg.Store.WriteRate
 }
-
-// reduceTxnLimits adapts to a store whose limits are smaller than configured: a refused transaction
-// is never sent again unchanged. First the number of writes shrinks, then the size of a value.
-func (c *Core) reduceTxnLimits(refused *wire.Txn) {
-	largest := 0
-	for _, write := range refused.Then {
-		largest = max(largest, len(write.Value))
-	}
-	if ops := len(refused.Then); ops > minTxnOps {
-		c.cfg.Store.MaxTxnOps = max(minTxnOps, ops-1)
-	} else {
-		c.cfg.Store.MaxValueBytes = max(minValueBytes, largest*7/8)
-	}
-	c.log(LevelError, "transaction refused by the store: limits reduced", "changes", len(refused.Then),
-		"largest", largest, "txn_ops", c.cfg.Store.MaxTxnOps, "value_bytes", c.cfg.Store.MaxValueBytes)
-}
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -10,6 +10,9 @@
 // transactionState is the store transactions in flight, the rate limit they are charged to, and
 // the backlog of jobs that wait to be written.
 type transactionState struct {
+	*environment
+	stats *Stats
+
 	inFlight          map[uint64]*pendingTxn // by request ID
 	rateLimit         ratelimit.Limiter
 	endBatchDelay     time.Duration // how long task ends may wait to share a write
@@ -42,18 +45,24 @@
 // too large waits for its next proposal.
 const badRequestRetryDelay = time.Second
 
+// minValueBytes and minTxnOps bound how far refused transactions reduce the limits.
+const (
+	minValueBytes = 512
+	minTxnOps     = 2
+)
+
 // storeRateUtilization is the part of the store's write rate up to which a controller takes over what
 // the others leave.
 const storeRateUtilization = 0.9
 
-// commitTxn sends a transaction and charges it to the rate limit.
-func (c *Core) commitTxn(txn wire.Txn, pending *pendingTxn) {
-	id := c.nextID()
+// commit sends a transaction and charges it to the rate limit.
+func (s *transactionState) commit(txn wire.Txn, pending *pendingTxn) {
+	id := s.nextID()
 	pending.txn = txn
-	c.transactions.inFlight[id] = pending
-	c.transactions.rateLimit.SpendTxn(len(txn.Then))
-	c.Stats.Commits++
-	c.emit(CommitTxn{ID: id, Txn: txn})
+	s.inFlight[id] = pending
+	s.rateLimit.SpendTxn(len(txn.Then))
+	s.stats.Commits++
+	s.emit(CommitTxn{ID: id, Txn: txn})
 }
 
 // handleTxnResult settles a transaction: what was committed becomes the known state, and what was
@@ -65,10 +74,10 @@
 	}
 	delete(c.transactions.inFlight, in.ID)
 	c.storeHealth.recordStatus(in.Status)
-	c.pauseWritesAfter(in.Status)
-	c.logFailedTxn(in)
+	c.transactions.pauseAfter(in.Status)
+	c.transactions.logFailure(in)
 	if in.Status == wire.StatusBadRequest && pending.onDone == nil { // it has no leased key
-		c.reduceTxnLimits(&pending.txn)
+		c.transactions.reduceLimits(&pending.txn)
 	}
 	for _, key := range in.Reply.Failed {
 		c.history.archiveIndex.Invalidate(key)
@@ -85,7 +94,7 @@
 		pending.onDone(in.Status, in.Reply)
 		return
 	}
-	c.countTxnFailure(in.Status)
+	c.transactions.countFailure(in.Status)
 	staleJobs := c.settleProposals(pending.proposals, in)
 	if stale {
 		// A controller that lost a conflict reads at once: otherwise one that writes often always wins.
@@ -94,32 +103,54 @@
 	}
 }
 
+// reduceLimits adapts to a store whose limits are smaller than configured: a refused transaction
+// is never sent again unchanged. First the number of writes shrinks, then the size of a value.
+func (s *transactionState) reduceLimits(refused *wire.Txn) {
+	largest := 0
+	for _, write := range refused.Then {
+		largest = max(largest, len(write.Value))
+	}
+	if ops := len(refused.Then); ops > minTxnOps {
+		s.cfg.Store.MaxTxnOps = max(minTxnOps, ops-1)
+	} else {
+		s.cfg.Store.MaxValueBytes = max(minValueBytes, largest*7/8)
+	}
+	s.log(LevelError, "transaction refused by the store: limits reduced", "changes", len(refused.Then),
+		"largest", largest, "txn_ops", s.cfg.Store.MaxTxnOps, "value_bytes", s.cfg.Store.MaxValueBytes)
+}
+
+// canAffordCompletions reports whether enough write tokens are left to write completions, which no
+// user waits for, and still keep a reserve for writes that users do wait for.
+func (s *transactionState) canAffordCompletions(cost float64) bool {
+	return s.rateLimit.WriteTokens >= cost+s.rateLimit.WriteRate*completionsReserve
+}
+
 // isNotExecuted reports whether a status proves that the store did not execute a transaction and
 // that nothing overtook it.
 func isNotExecuted(status wire.Status) bool {
 	return status == wire.StatusTooManyRequests || status == wire.StatusUnavailable
 }
 
-// pauseWritesAfter pauses writes if a transaction was throttled or the store did not answer.
-func (c *Core) pauseWritesAfter(status wire.Status) {
+// pauseAfter pauses writes if a transaction was throttled or the store did not answer.
+func (s *transactionState) pauseAfter(status wire.Status) {
 	switch status {
 	case wire.StatusTooManyRequests:
-		c.transactions.rateLimit.Pause(
-			c.now+throttledPause+c.jitter(throttledPauseJitter),
-			c.now+throttledUrgentPause+c.jitter(throttledUrgentJitter),
+		s.rateLimit.Pause(
+			s.now+throttledPause+s.jitter(throttledPauseJitter),
+			s.now+throttledUrgentPause+s.jitter(throttledUrgentJitter),
 		)
 	case wire.StatusUnavailable, wire.StatusNoAnswer:
-		until := c.now + unreachablePause + c.jitter(unreachableJitter)
-		c.transactions.rateLimit.Pause(until, until)
+		until := s.now + unreachablePause + s.jitter(unreachableJitter)
+		s.rateLimit.Pause(until, until)
 	}
 }
 
-// logFailedTxn logs a transaction that was not committed.
-func (c *Core) logFailedTxn(in TxnResult) {
+// logFailure logs a transaction that was not committed.
+func (s *transactionState) logFailure(in TxnResult) {
 	if in.Status == wire.StatusOK {
 		return
 	}
-	c.log(
+	s.log(
 		LevelDebug,
 		"transaction not committed",
 		"status",
@@ -131,13 +162,13 @@
 	)
 }
 
-// countTxnFailure counts conflicts and unknown outcomes.
-func (c *Core) countTxnFailure(status wire.Status) {
+// countFailure counts conflicts and unknown outcomes.
+func (s *transactionState) countFailure(status wire.Status) {
 	switch status {
 	case wire.StatusConflict:
-		c.Stats.Conflicts++
+		s.stats.Conflicts++
 	case wire.StatusNoAnswer:
-		c.Stats.UnknownOutcomes++
+		s.stats.UnknownOutcomes++
 	}
 }
 
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -86,7 +86,7 @@
 		c.undoProposal(next)
 		return false
 	}
-	if next.completionsOnly && !c.canAffordCompletions(cost) {
+	if next.completionsOnly && !c.transactions.canAffordCompletions(cost) {
 		target.write.nextLookAt = c.now + completionsRetryDelay
 		return true
 	}
@@ -145,13 +145,6 @@
 	return len(b.proposals) > 0 && expected > comparesPerOp*b.core.cfg.Store.MaxTxnOps
 }
 
-// canAffordCompletions reports whether enough write tokens are left to write completions, which no
-// user waits for, and still keep a reserve for writes that users do wait for.
-func (c *Core) canAffordCompletions(cost float64) bool {
-	limit := &c.transactions.rateLimit
-	return limit.WriteTokens >= cost+limit.WriteRate*completionsReserve
-}
-
 // addRecordWrite writes a proposal's record under its job's own key. A proposal that can't be
 // written now is taken back and its job is delayed.
 func (b *txnBuilder) addRecordWrite(next *proposal) {
@@ -314,7 +307,7 @@
 		dependentSlots: b.dependentSlots,
 	}
 	b.core.replica.slots.lock(pending)
-	b.core.commitTxn(b.txn, pending)
+	b.core.transactions.commit(b.txn, pending)
 }
 
 // encodeWithinLimit encodes a proposal's record so that it fits a value: as readable JSON if that
