--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -59,7 +59,7 @@
 func (c *Core) canArchive() bool {
 	limiter := &c.transactions.rateLimit
 	return c.overload.Level() == overload.Normal &&
-		c.cfg.History.Archive && c.schemaVersion() >= schemaArchive &&
+		c.cfg.History.Archive && c.schema.active >= schemaArchive &&
 		c.isLeader() && c.holdsLease() &&
 		c.now >= c.schema.activeSince+c.cfg.History.ArchiveStartDelay &&
 		!limiter.IsPaused(c.now) && c.pendingSubmissions == 0 && len(c.transactions.inFlight) == 0 &&
@@ -218,7 +218,7 @@
 		entries = append(entries, record.Entry)
 	}
 	// At most half a second's writes.
-	maxWrites := max(2, min(c.cfg.Store.MaxTxnOps, int(c.storeWriteRate()/2)))
+	maxWrites := max(2, min(c.cfg.Store.MaxTxnOps, int(c.schema.storeWriteRate()/2)))
 	return block.PlanMerge(entries, c.cfg.Store.MaxValueBytes, maxWrites)
 }
 
--- a/core/audit.go
+++ b/core/audit.go
@@ -74,7 +74,7 @@
 }
 
 // isAuditing reports whether this controller records changes in the audit log.
-func (c *Core) isAuditing() bool { return c.cfg.Audit.Key != nil && c.schemaVersion() >= schemaAudit }
+func (c *Core) isAuditing() bool { return c.cfg.Audit.Key != nil && c.schema.active >= schemaAudit }
 
 // lacksAuditKey reports whether other controllers audit and this one has no key for it: it must not
 // act, because its changes would be unaudited.
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -63,7 +63,7 @@
 // canShareValues reports whether this controller writes jobs into slots. Records that carry audit
 // entries or depend on permissions are written under their own keys.
 func (c *Core) canShareValues() bool {
-	return c.cfg.Store.SharedValues && c.schemaVersion() >= schemaSharedValues && c.cfg.Audit.Key == nil &&
+	return c.cfg.Store.SharedValues && c.schema.active >= schemaSharedValues && c.cfg.Audit.Key == nil &&
 		!c.permissionsInForce()
 }
 
--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -18,8 +18,8 @@
 	for _, name := range []string{"n0", "n1", "n2"} {
 		c.applyPut(keySchemaVersion+name, json.RawMessage("5"), 8)
 	}
-	if c.schemaVersion() != schemaSharedValues {
-		t.Fatalf("schema version %d, want %d", c.schemaVersion(), schemaSharedValues)
+	if c.schema.active != schemaSharedValues {
+		t.Fatalf("schema version %d, want %d", c.schema.active, schemaSharedValues)
 	}
 	return c
 }
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -73,7 +73,7 @@
 	}
 	// A controller of an older version neither replies to queries nor sends them: while there may be
 	// one, the tasks must be gone first.
-	j.ack.allowed = c.schemaVersion() >= schemaCancelQuorum &&
+	j.ack.allowed = c.schema.active >= schemaCancelQuorum &&
 		c.cancelAcks.quorum.CanAcknowledge(j.latestCancelRevision(), j.ack.heldBy)
 	return j.ack.allowed
 }
@@ -114,7 +114,7 @@
 			)
 			return true
 		}
-		if c.schemaVersion() >= schemaCancelQuorum && c.now >= ack.job.ack.nextBroadcastAt {
+		if c.schema.active >= schemaCancelQuorum && c.now >= ack.job.ack.nextBroadcastAt {
 			ack.job.ack.nextBroadcastAt = c.now + cancelResendInterval
 			unacknowledged = append(unacknowledged, ack.job)
 		}
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -72,7 +72,7 @@
 		return
 	}
 	maxBytes := c.cfg.Store.MaxValueBytes
-	raw, err := jobrecord.EncodeCatalog(catalog, maxBytes, c.schemaVersion() >= schemaDependencies)
+	raw, err := jobrecord.EncodeCatalog(catalog, maxBytes, c.schema.active >= schemaDependencies)
 	if err != nil || len(raw) > maxBytes {
 		return // it is tried again with the next read
 	}
--- a/core/core.go
+++ b/core/core.go
@@ -114,7 +114,7 @@
 	}
 	c.controllers.nodeKeys = map[string]leasedKey{}
 	c.ownership.shards = make([]leasedKey, cfg.Shards)
-	c.schema.declared = map[string]int{}
+	c.schema = schemaState{environment: c.environment, declared: map[string]int{}}
 	c.transactions.environment, c.transactions.stats = c.environment, &c.Stats
 	c.transactions.inFlight = map[uint64]*pendingTxn{}
 	c.transactions.rateLimit = ratelimit.New(now)
--- a/core/loadshedding.go
+++ b/core/loadshedding.go
@@ -50,7 +50,7 @@
 // maxPendingSubmissions is how many submissions may wait for their write: those that are written before
 // they time out. An overloaded controller relies only on its own share of the write rate.
 func (c *Core) maxPendingSubmissions() int {
-	rate := c.storeWriteRate()
+	rate := c.schema.storeWriteRate()
 	if c.overload.Level() == overload.Overloaded {
 		rate = min(rate, c.transactions.rateLimit.WriteRate)
 	}
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -152,7 +152,7 @@
 // permissionCompares returns the compares under which an authorization of the caller still holds.
 func (c *Core) permissionCompares(caller Credential) []wire.Compare {
 	if !c.permissionsInForce() {
-		if c.schemaVersion() < schemaPermissions {
+		if c.schema.active < schemaPermissions {
 			return nil
 		}
 		return []wire.Compare{{Key: keyRoles}} // fails if permissions come into force meanwhile
@@ -358,7 +358,7 @@
 		c.cfg.Audit.Key != nil && !c.isAuditing() {
 		return false
 	}
-	if !c.isLeader() || !c.holdsLease() || c.schemaVersion() < schemaPermissions {
+	if !c.isLeader() || !c.holdsLease() || c.schema.active < schemaPermissions {
 		return false
 	}
 	return !c.permissions.seeding && c.now >= c.permissions.nextSeedAt &&
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -184,7 +184,7 @@
 // maySeedPriorityClasses reports whether this controller stores the list of the settings now.
 func (c *Core) maySeedPriorityClasses() bool {
 	if c.cfg.Scheduling.PriorityClasses == nil || c.priority.revision != 0 ||
-		c.schemaVersion() < schemaPriorityClasses || c.auditNotReady() {
+		c.schema.active < schemaPriorityClasses || c.auditNotReady() {
 		return false
 	}
 	return c.isLeader() && c.holdsLease() && c.now >= c.priority.nextSeedAt &&
@@ -203,7 +203,7 @@
 	case c.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
-	case c.replica.isStoreUnreachable() || c.schemaVersion() < schemaPriorityClasses:
+	case c.replica.isStoreUnreachable() || c.schema.active < schemaPriorityClasses:
 		c.respondUnavailable(
 			in.RequestID,
 			"state service not reached, or a controller may still run a version that does not know lanes",
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -117,7 +117,7 @@
 	submission := target.submission
 	shard := c.pickShard()
 	priorityClass := ""
-	if c.priority.revision != 0 && c.schemaVersion() >= schemaPriorityClasses {
+	if c.priority.revision != 0 && c.schema.active >= schemaPriorityClasses {
 		priorityClass = c.priority.classes.Name(c.priority.classes.Classify(spec))
 	}
 	return &proposal{
@@ -210,7 +210,7 @@
 	target.write.waitsForEnds = false
 	record := *target.record
 	record.StopReasons = slices.Clone(target.record.StopReasons)
-	if c.schemaVersion() >= schemaPriorityClasses {
+	if c.schema.active >= schemaPriorityClasses {
 		record.EnqueueRevision = target.queue.enqueueRevision
 	}
 	return recordUpdate{
@@ -278,7 +278,7 @@
 		c.replica.slots.at(slotNumber(target.id, target.record)).IsNearlyFull(c.cfg.Store.maxSlotBytes())
 	moved := (target.stored.needsOwnKey || crowded) && c.replica.slots.currentEntry(target.id, target.record) != nil
 	u.proposal.wantsOwnKey = target.stored.needsOwnKey || moved
-	if moved || target.stored.bytes > c.cfg.Store.MaxValueBytes && c.schemaVersion() >= schemaDependencies {
+	if moved || target.stored.bytes > c.cfg.Store.MaxValueBytes && c.schema.active >= schemaDependencies {
 		u.changed = true
 	}
 }
@@ -503,7 +503,7 @@
 // maxAssignedTasks bounds the tasks of a job that are assigned at one time, so that its record
 // should fit a stored value. It is an estimate: encodeWithinLimit enforces the limit.
 func (c *Core) maxAssignedTasks() int {
-	if c.schemaVersion() >= schemaDependencies {
+	if c.schema.active >= schemaDependencies {
 		return max(minAssignedTaskLimit, c.cfg.Store.MaxValueBytes/packedTaskBytes)
 	}
 	return max(minAssignedTaskLimit, (c.cfg.Store.MaxValueBytes-unpackedRecordAllowance)/unpackedTaskBytes)
--- a/core/requests.go
+++ b/core/requests.go
@@ -306,7 +306,7 @@
 		spec.Dependencies = unmet
 	}
 	// A record also holds assignments and reasons of stops, which must fit its value too.
-	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &spec}, nil, c.schemaVersion() >= schemaDependencies)
+	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &spec}, nil, c.schema.active >= schemaDependencies)
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes*3/4 {
 		return &submissionRejection{
 			wire.StatusBadRequest,
@@ -321,7 +321,7 @@
 func (c *Core) validateDependencies(
 	caller Credential, spec *wire.JobSpec,
 ) (unmet []string, rejection *submissionRejection) {
-	if c.schemaVersion() < schemaDependencies {
+	if c.schema.active < schemaDependencies {
 		return nil, &submissionRejection{
 			wire.StatusUnavailable,
 			"a controller may still run a version that does not know awaits",
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -76,7 +76,7 @@
 		c.respondUnavailable(requestID, "not caught up")
 	case c.replica.isStoreUnreachable():
 		c.respondUnavailable(requestID, reasonStoreUnreachable)
-	case c.schemaVersion() < schemaReservations:
+	case c.schema.active < schemaReservations:
 		c.respondUnavailable(requestID, reasonOldVersion)
 	default:
 		return true
@@ -166,7 +166,7 @@
 	for _, response := range c.reservations.TakeExpired(c.now) {
 		c.respondToReservation(response)
 	}
-	if c.auditNotReady() || c.schemaVersion() < schemaReservations || c.unixOffsetMS == 0 {
+	if c.auditNotReady() || c.schema.active < schemaReservations || c.unixOffsetMS == 0 {
 		return
 	}
 	c.seedEquipment()
@@ -177,7 +177,7 @@
 	// Requests may overdraw the write budget by a quarter of a second's writes: callers wait for them.
 	if c.reservations.HasWork(c.now, c.unixSeconds()) && !rateLimit.IsUrgentPaused(c.now) &&
 		rateLimit.ReadTokens >= 1 &&
-		rateLimit.WriteTokens >= 1-c.storeWriteRate()/4 {
+		rateLimit.WriteTokens >= 1-c.schema.storeWriteRate()/4 {
 		c.commitReservations()
 		return
 	}
@@ -190,7 +190,7 @@
 
 // publishReservationsEnabled tells the request handlers when reservations become possible or impossible.
 func (c *Core) publishReservationsEnabled() {
-	enabled := c.reservations.IsEnabled() && c.schemaVersion() >= schemaReservations
+	enabled := c.reservations.IsEnabled() && c.schema.active >= schemaReservations
 	if enabled != c.reservationState.enabledPublished {
 		c.reservationState.enabledPublished = enabled
 		c.emit(ReservationsEnabled{Enabled: enabled})
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -39,6 +39,7 @@
 // schemaState is the schema versions that the controllers declared, the active one, and this
 // controller's own declaration.
 type schemaState struct {
+	*environment
 	declared            map[string]int // newest declared, by controller
 	active              int            // newest declared by all
 	activeSince         time.Duration
@@ -47,37 +48,41 @@
 	nextDeclarationAt   time.Duration
 }
 
-// commonVersion is the newest schema version that this controller, which knows own, and all of its
-// peers have declared.
-func (s *schemaState) commonVersion(name string, own int, peers []string) int {
-	common := min(s.declared[name], own)
-	for _, peer := range peers {
+// commonVersion is the newest schema version that this controller and all of its peers have declared.
+func (s *schemaState) commonVersion() int {
+	common := min(s.declared[s.cfg.Name], s.cfg.SchemaVersion)
+	for _, peer := range s.cfg.Peers {
 		common = min(common, s.declared[peer])
 	}
 	return common
 }
 
-// schemaVersion is the newest schema version that may be written.
-func (c *Core) schemaVersion() int { return c.schema.active }
-
-// recordSchemaVersion records a controller's declaration and activates the schema version that all
-// controllers know by now. An active one never goes back.
-func (c *Core) recordSchemaVersion(name string, version int) {
-	c.schema.declared[name] = max(c.schema.declared[name], version)
-	if name == c.cfg.Name && version > c.cfg.SchemaVersion {
-		c.log(
+// record records a controller's declaration, and reports whether it made a newer schema version
+// active: one that all controllers know by now. An active one never goes back.
+func (s *schemaState) record(name string, version int) (activated bool) {
+	s.declared[name] = max(s.declared[name], version)
+	if name == s.cfg.Name && version > s.cfg.SchemaVersion {
+		s.log(
 			LevelError,
 			"a newer version has run here before: this one may be unable to read its data",
 			"form",
 			version,
 		)
 	}
-	common := c.schema.commonVersion(c.cfg.Name, c.cfg.SchemaVersion, c.cfg.Peers)
-	if common <= c.schema.active {
+	common := s.commonVersion()
+	if common <= s.active {
+		return false
+	}
+	s.log(LevelInfo, "schema version known to every controller", "form", common)
+	s.active, s.activeSince = common, s.now
+	return true
+}
+
+// recordSchemaVersion records a controller's declaration, and adapts to a schema version that it activates.
+func (c *Core) recordSchemaVersion(name string, version int) {
+	if !c.schema.record(name, version) {
 		return
 	}
-	c.log(LevelInfo, "schema version known to every controller", "form", common)
-	c.schema.active, c.schema.activeSince = common, c.now
 	c.updateRateLimit()
 	for _, open := range c.openJobs { // records that are too large may fit under it: write them before they must be
 		if open.stored.bytes > c.cfg.Store.MaxValueBytes {
@@ -129,9 +134,9 @@
 
 // storeWriteRate is the rate of writes that all controllers together keep to. NextWriteRate replaces
 // WriteRate only when all of them know of it.
-func (c *Core) storeWriteRate() float64 {
-	if c.schemaVersion() >= schemaDependencies && c.cfg.Store.NextWriteRate > 0 {
-		return c.cfg.Store.NextWriteRate
+func (s *schemaState) storeWriteRate() float64 {
+	if s.active >= schemaDependencies && s.cfg.Store.NextWriteRate > 0 {
+		return s.cfg.Store.NextWriteRate
 	}
-	return c.cfg.Store.WriteRate
+	return s.cfg.Store.WriteRate
 }
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -190,7 +190,7 @@
 	}
 	c.Handle(2*time.Second, schemaDeclarations("n0", "n1"))
 	c.Handle(100*time.Second, schemaDeclarations("n1", "n9")) // one that is not configured does not count
-	if c.schemaVersion() != schemaInitial || c.storeWriteRate() != c.cfg.Store.WriteRate {
+	if c.schema.active != schemaInitial || c.schema.storeWriteRate() != c.cfg.Store.WriteRate {
 		t.Error("a new schema version is active without the last declaration")
 	}
 	dependent := testSubmission("wk-2")
@@ -203,7 +203,7 @@
 	in := schemaDeclarations("n2")
 	in.Changes.Revision, in.Changes.Events[0].Revision = 60, 60
 	c.Handle(101*time.Second, in)
-	if c.schemaVersion() != SchemaVersion {
+	if c.schema.active != SchemaVersion {
 		t.Error("the schema version is not active")
 	}
 	// A controller that starts later, while another is long gone, reads the declarations.
@@ -217,7 +217,7 @@
 		)
 	}
 	late.Handle(time.Second, SnapshotPage{OK: true, Revision: 9, Items: items})
-	if late.schemaVersion() != SchemaVersion {
+	if late.schema.active != SchemaVersion {
 		t.Error("a controller that starts later does not know the schema version")
 	}
 }
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -275,7 +275,7 @@
 	if len(c.controllers.nodeKeys) == 0 {
 		live = float64(len(c.cfg.Peers) + 1)
 	}
-	total := c.storeWriteRate()
+	total := c.schema.storeWriteRate()
 	unused := storeRateUtilization * total
 	for _, peer := range c.cfg.Peers {
 		if c.controllers.membership.IsReachable(c.now, peer) {
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -68,7 +68,7 @@
 	if !ok || b.isFull(cost) {
 		return false
 	}
-	if slot >= 0 && c.replica.slots.at(slot).WriteInFlight && c.schemaVersion() >= schemaSharedValues {
+	if slot >= 0 && c.replica.slots.at(slot).WriteInFlight && c.schema.active >= schemaSharedValues {
 		target.write.nextLookAt = c.now + slotRetryDelay
 		return true
 	}
@@ -128,7 +128,7 @@
 	// A write that a user waits for may overdraw the rate limit by half a second's writes of all
 	// controllers: if the others leave nothing, the store refuses it and it is retried soon after.
 	b.hasUserWaiting = true
-	return cost - b.core.storeWriteRate()/2, true
+	return cost - b.core.schema.storeWriteRate()/2, true
 }
 
 // isFull reports whether the transaction or the rate limit has no capacity for another job of this cost.
@@ -166,7 +166,7 @@
 	if next.removesCancelMarker() {
 		pendingAudit = append(slices.Clone(pendingAudit), target.cancellation.markerAudit...)
 	}
-	if c.schemaVersion() >= schemaSharedValues {
+	if c.schema.active >= schemaSharedValues {
 		next.record.WriteNumber++
 	}
 	next.record.PendingAudit, next.auditEntryIDs = c.currentAuditLog().
@@ -178,7 +178,7 @@
 		// fits. Nothing is lost meanwhile, as agents keep the status of its tasks.
 		c.undoProposal(next)
 		target.write.nextLookAt = c.now + unfitRetryDelay
-		if next.isCancellation && c.schemaVersion() >= schemaDependencies {
+		if next.isCancellation && c.schema.active >= schemaDependencies {
 			c.writeCancelMarker(target, next.record.CancelledAtMS, next.compares, next.auditActs[:next.userCancelActs])
 		}
 		return nil, false
@@ -203,7 +203,7 @@
 // requireSlot makes a transaction that writes a job's own key depend on the job's slot.
 func (b *txnBuilder) requireSlot(next *proposal) {
 	slot := next.slotIndex
-	if slot < 0 || b.core.schemaVersion() < schemaSharedValues {
+	if slot < 0 || b.core.schema.active < schemaSharedValues {
 		return
 	}
 	b.addCompare(wire.Compare{Key: slotKey(slot), Revision: b.core.replica.slots.at(slot).Revision})
@@ -323,7 +323,7 @@
 			len(raw) <= maxBytes*7/8 && len(raw)+next.record.MaxGrowth(next.assignments) <= maxBytes {
 			return raw, err
 		}
-		if c.schemaVersion() >= schemaDependencies {
+		if c.schema.active >= schemaDependencies {
 			packed, err := c.encodeRecord(next.record, next.assignments, true)
 			if err != nil || len(packed) <= maxBytes*3/4 || starts == 0 && len(packed) <= maxBytes {
 				return packed, err
