--- a/core/audit.go
+++ b/core/audit.go
@@ -88,7 +88,7 @@
 // unauditedCompares returns the compares under which a change needs no audit entry: a controller that
 // does not audit yet must not act once another one does.
 func (c *Core) unauditedCompares() []wire.Compare {
-	if c.isAuditing() || c.cfg.Audit.Key == nil && !c.permissionsInForce() {
+	if c.isAuditing() || c.cfg.Audit.Key == nil && !c.permissions.isInForce() {
 		return nil
 	}
 	return []wire.Compare{{Key: auditlog.KeyInitialized}}
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -64,7 +64,7 @@
 // entries or depend on permissions are written under their own keys.
 func (c *Core) canShareValues() bool {
 	return c.cfg.Store.SharedValues && c.schema.active >= schemaSharedValues && c.cfg.Audit.Key == nil &&
-		!c.permissionsInForce()
+		!c.permissions.isInForce()
 }
 
 // maxSlotBytes is the limit of a slot's entries before compression, which at least halves them.
--- a/core/core.go
+++ b/core/core.go
@@ -101,9 +101,9 @@
 		teamIndex:    map[string]int{},
 		reservations: reservations.New(),
 		history:      newHistory(&cfg),
-		permissions:  permissionState{identities: map[string]storedIdentity{}},
 	}
 	c.controllers.membership = membership.New(cfg.Peers, cfg.Cluster.PeerTimeout)
+	c.permissions = newPermissionState(c.environment)
 	c.storeHealth.environment = c.environment
 	c.replica = storeReplica{
 		environment: c.environment,
@@ -266,7 +266,7 @@
 		c.declareSchemaVersion()
 		c.advanceAuditLog()
 		c.seedPermissions()
-		c.publishPolicy()
+		c.permissions.publishPolicy()
 		c.scheduleJobs()
 		c.advanceReservations()
 		c.advancePriorityClasses()
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -42,7 +42,7 @@
 		c.respondUnavailable(in.RequestID, "not caught up")
 		return
 	}
-	if c.permissionsInForce() && c.currentPolicy().AgentsMustSign() {
+	if c.permissions.isInForce() && c.permissions.currentPolicy().AgentsMustSign() {
 		if decision := c.authorize(in.Caller, access.Action{Verb: pb.Verb_report}); !decision.Allowed {
 			c.respondForbidden(in.RequestID, in.Caller, "report", in.Heartbeat.Machine, decision.Reason)
 			return
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -39,6 +39,7 @@
 
 // permissionState is the replica of the stored permissions and the policy derived from it.
 type permissionState struct {
+	*environment
 	rolesRevision   uint64 // revision of the roles; 0: permissions are not in force
 	roles           *pb.Access
 	identities      map[string]storedIdentity
@@ -49,6 +50,11 @@
 	nextSeedAt      time.Duration  // no seeding attempt before
 }
 
+// newPermissionState returns the state of a store without permissions.
+func newPermissionState(env *environment) permissionState {
+	return permissionState{environment: env, identities: map[string]storedIdentity{}}
+}
+
 // storedIdentity is an identity and the revision of its key.
 type storedIdentity struct {
 	revision uint64
@@ -94,8 +100,8 @@
 	return message
 }
 
-// permissionsInForce reports whether requests must be authorized.
-func (c *Core) permissionsInForce() bool { return c.permissions.rolesRevision != 0 }
+// isInForce reports whether requests must be authorized.
+func (p *permissionState) isInForce() bool { return p.rolesRevision != 0 }
 
 // Reasons of answers that a request can't be served now.
 const (
@@ -106,44 +112,43 @@
 // isNotServing reports whether no request may be served: permissions are configured but not in force
 // yet, or the audit log can't record changes yet.
 func (c *Core) isNotServing() bool {
-	return c.cfg.Permissions != nil && !c.permissionsInForce() || c.auditNotReady()
+	return c.cfg.Permissions != nil && !c.permissions.isInForce() || c.auditNotReady()
 }
 
 // currentPolicy returns the policy of the stored permissions and rebuilds it after a change.
 // Inconsistent permissions grant nothing.
-func (c *Core) currentPolicy() *access.Policy {
-	permissions := &c.permissions
-	if !permissions.policyStale && permissions.policy != nil {
-		return permissions.policy
+func (p *permissionState) currentPolicy() *access.Policy {
+	if !p.policyStale && p.policy != nil {
+		return p.policy
 	}
-	permissions.policyStale = false
-	policy, err := access.New(permissions.toMessage())
+	p.policyStale = false
+	policy, err := access.New(p.toMessage())
 	if err != nil {
-		c.log(LevelError, "permissions are inconsistent, all access is denied", "err", err.Error())
+		p.log(LevelError, "permissions are inconsistent, all access is denied", "err", err.Error())
 		if policy, err = access.New(&pb.Access{}); err != nil {
 			panic(err) // impossible: empty permissions are consistent
 		}
 	}
-	permissions.policy = policy
+	p.policy = policy
 	return policy
 }
 
 // publishPolicy sends a changed policy to the request handlers, which authenticate tokens with it.
-func (c *Core) publishPolicy() {
-	if c.permissionsInForce() && c.currentPolicy() != c.permissions.publishedPolicy {
-		c.permissions.publishedPolicy = c.permissions.policy
-		c.emit(PermissionsChanged{Policy: c.permissions.policy})
+func (p *permissionState) publishPolicy() {
+	if p.isInForce() && p.currentPolicy() != p.publishedPolicy {
+		p.publishedPolicy = p.policy
+		p.emit(PermissionsChanged{Policy: p.policy})
 	}
 }
 
 // authorize decides whether an identity may perform an action, by the permissions known here. Until
 // permissions are in force everything is allowed, unless nothing may be served.
 func (c *Core) authorize(caller Credential, action access.Action) access.Decision {
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		return access.Decision{Allowed: !c.isNotServing()}
 	}
-	policy := c.currentPolicy()
-	if !c.hasValidKey(caller) {
+	policy := c.permissions.currentPolicy()
+	if !c.permissions.hasValidKey(caller) {
 		return access.Decision{Reason: "the key was revoked"}
 	}
 	return policy.Decide(caller.Identity, action)
@@ -151,7 +156,7 @@
 
 // permissionCompares returns the compares under which an authorization of the caller still holds.
 func (c *Core) permissionCompares(caller Credential) []wire.Compare {
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		if c.schema.active < schemaPermissions {
 			return nil
 		}
@@ -167,7 +172,7 @@
 
 // canReadJob reports whether the caller may read the job.
 func (c *Core) canReadJob(caller Credential, target *job) bool {
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		return true
 	}
 	team, class := target.record.TeamAndClass()
@@ -196,8 +201,8 @@
 }
 
 // hasValidKey reports whether the caller's key still belongs to the caller's identity.
-func (c *Core) hasValidKey(caller Credential) bool {
-	return c.currentPolicy().KeyBelongsTo(caller.Identity, caller.KeyID)
+func (p *permissionState) hasValidKey(caller Credential) bool {
+	return p.currentPolicy().KeyBelongsTo(caller.Identity, caller.KeyID)
 }
 
 // respondForbidden denies a request for lack of a permission and records the denial.
@@ -306,7 +311,7 @@
 func (c *Core) dropUnauthorizedCancellations(target *job) []wire.Compare {
 	var compares []wire.Compare
 	target.cancellation.waiters = slices.DeleteFunc(target.cancellation.waiters, func(waiter cancelWaiter) bool {
-		if c.permissionsInForce() && !c.canCancelJob(waiter.caller, target) {
+		if c.permissions.isInForce() && !c.canCancelJob(waiter.caller, target) {
 			c.respondForbidden(waiter.requestID, waiter.caller, "cancel", target.id, "no right to cancel it")
 			return true
 		}
@@ -354,7 +359,7 @@
 
 // canSeedPermissions reports whether permissions must be seeded and this controller may write now.
 func (c *Core) canSeedPermissions() bool {
-	if c.cfg.Permissions == nil || c.permissionsInForce() || c.auditNotReady() ||
+	if c.cfg.Permissions == nil || c.permissions.isInForce() || c.auditNotReady() ||
 		c.cfg.Audit.Key != nil && !c.isAuditing() {
 		return false
 	}
@@ -375,7 +380,7 @@
 			continue
 		}
 		key := keyIdentity + identity.Name
-		raw, ok := c.packPermission(key, identity)
+		raw, ok := c.permissions.pack(key, identity)
 		if !ok {
 			return txn, false
 		}
@@ -385,7 +390,7 @@
 	if len(txn.Then) > 0 {
 		return txn, true
 	}
-	raw, ok := c.packPermission(keyRoles, &pb.Access{Roles: seed.Roles, WorkersSign: seed.WorkersSign})
+	raw, ok := c.permissions.pack(keyRoles, &pb.Access{Roles: seed.Roles, WorkersSign: seed.WorkersSign})
 	if !ok {
 		return txn, false
 	}
@@ -399,11 +404,11 @@
 	return max(1, allowed)
 }
 
-// packPermission renders a message as a value and reports whether it can be stored.
-func (c *Core) packPermission(key string, message protobuf.Message) (json.RawMessage, bool) {
+// pack renders a message as a value and reports whether it can be stored.
+func (p *permissionState) pack(key string, message protobuf.Message) (json.RawMessage, bool) {
 	raw, err := jobrecord.PackMessage(message)
-	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-		c.log(LevelError, "permissions can't be stored", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
+	if err != nil || len(raw) > p.cfg.Store.MaxValueBytes {
+		p.log(LevelError, "permissions can't be stored", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
 		return nil, false
 	}
 	return raw, true
@@ -414,7 +419,7 @@
 	switch {
 	case !c.replica.loaded || c.replica.isStoreUnreachable() || !c.holdsLease():
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
-	case !c.permissionsInForce():
+	case !c.permissions.isInForce():
 		c.respondUnavailable(in.RequestID, reasonNoPermissions)
 	default:
 		c.replica.afterUrgentReadBarrier(func(ok bool) {
@@ -433,12 +438,12 @@
 // updatePermissions authorizes, validates and commits a change of an identity's permissions.
 func (c *Core) updatePermissions(in UpdatePermissions) {
 	decision := c.authorize(in.Caller, access.Action{Verb: pb.Verb_administer})
-	if !decision.Allowed && (!in.changesOnlyOwnKeys() || !c.hasValidKey(in.Caller)) {
+	if !decision.Allowed && (!in.changesOnlyOwnKeys() || !c.permissions.hasValidKey(in.Caller)) {
 		c.respondForbidden(in.RequestID, in.Caller, "administer", in.Identity, decision.Reason)
 		return
 	}
 	old := c.permissions.identities[in.Identity]
-	write, err := c.permissionsWrite(in, old.identity)
+	write, err := c.permissions.writeOf(in, old.identity)
 	if err != nil {
 		c.respond(in.RequestID, wire.StatusInvalid, wire.Error{Error: err.Error()})
 		return
@@ -468,16 +473,16 @@
 	}})
 }
 
-// permissionsWrite returns the write that stores an identity after the change. It returns an error if
+// writeOf returns the write that stores an identity after the change. It returns an error if
 // the change is invalid, does not fit a value, or would leave no administrator with a key: nobody
 // could then change permissions any more.
-func (c *Core) permissionsWrite(in UpdatePermissions, old *pb.Identity) (wire.Write, error) {
+func (p *permissionState) writeOf(in UpdatePermissions, old *pb.Identity) (wire.Write, error) {
 	write := wire.Write{Delete: keyIdentity + in.Identity}
 	next, err := in.applyTo(old)
 	if err != nil {
 		return write, err
 	}
-	all := c.permissions.toMessage()
+	all := p.toMessage()
 	all.Identities = slices.DeleteFunc(
 		all.Identities,
 		func(identity *pb.Identity) bool { return identity.Name == in.Identity },
@@ -488,7 +493,7 @@
 		if write.Value, err = jobrecord.PackMessage(next); err != nil {
 			return write, err
 		}
-		if limit := c.cfg.Store.MaxValueBytes; len(write.Value) > limit {
+		if limit := p.cfg.Store.MaxValueBytes; len(write.Value) > limit {
 			return write, fmt.Errorf("identity takes %d bytes, %d are allowed", len(write.Value), limit)
 		}
 	}
@@ -604,7 +609,7 @@
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	}
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		c.respond(in.RequestID, wire.StatusOK, struct{}{})
 		return
 	}
@@ -638,7 +643,7 @@
 
 // handleListPermissions answers with all permissions, to callers who may change them.
 func (c *Core) handleListPermissions(in ListPermissions) {
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		c.respondUnavailable(in.RequestID, reasonNoPermissions)
 		return
 	}
--- a/core/permissions_test.go
+++ b/core/permissions_test.go
@@ -149,8 +149,8 @@
 	)
 	txns := seedTxns(t, c, 3*time.Second, 6*time.Second)
 	if len(txns) != 2 || len(txns[0].Then) != 2 || txns[1].Then[0].Put != keyRoles ||
-		!c.permissionsInForce() || !c.Healthy() {
-		t.Fatalf("seeded by %+v, in force %v, healthy %v", txns, c.permissionsInForce(), c.Healthy())
+		!c.permissions.isInForce() || !c.Healthy() {
+		t.Fatalf("seeded by %+v, in force %v, healthy %v", txns, c.permissions.isInForce(), c.Healthy())
 	}
 }
 
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -434,7 +434,7 @@
 // keepPermissionFields keeps in the record of an ended job the fields that permissions to read it
 // depend on.
 func (c *Core) keepPermissionFields(record *jobrecord.Record, spec *wire.JobSpec) {
-	if c.permissionsInForce() {
+	if c.permissions.isInForce() {
 		record.Team, record.Class = spec.Team, spec.Class
 	}
 }
--- a/core/replica.go
+++ b/core/replica.go
@@ -317,7 +317,7 @@
 	c.controllers.nodeKeys = map[string]leasedKey{}
 	c.controllers.nodesVersion++
 	c.history.coldRecords, c.history.markerRevision = 0, 0
-	c.permissions = permissionState{identities: map[string]storedIdentity{}}
+	c.permissions = newPermissionState(c.environment)
 	c.history.archiveIndex.Clear()
 	c.reservations.Reset()
 	c.setPriorityClasses(nil, 0)
--- a/core/requests.go
+++ b/core/requests.go
@@ -126,7 +126,7 @@
 	case c.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
-	case c.permissionsInForce():
+	case c.permissions.isInForce():
 		c.getJobAuthorized(in)
 		return
 	}
@@ -175,7 +175,7 @@
 	switch {
 	case c.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
-	case c.permissionsInForce():
+	case c.permissions.isInForce():
 		c.submitJobAuthorized(in)
 	default:
 		c.admitSubmission(in)
@@ -273,7 +273,7 @@
 // respondToRepeatedSubmission answers the submission of a job that exists, by a caller with the
 // permission to submit it. Without permissions in force it is answered like a status request.
 func (c *Core) respondToRepeatedSubmission(requestID uint64, caller Credential, spec *wire.JobSpec, id string) {
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		c.respondWithCurrentState(requestID, id)
 		return
 	}
@@ -387,7 +387,7 @@
 	case c.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
-	case c.permissionsInForce():
+	case c.permissions.isInForce():
 		c.cancelJobAuthorized(in)
 		return
 	}
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -300,7 +300,7 @@
 ) (compares []wire.Compare, denial string) {
 	caller := request.CallerData.(reservationCaller).caller
 	compares = c.permissionCompares(caller)
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		return compares, ""
 	}
 	if request.Request.Verb == booking.VerbSetInventory {
@@ -406,7 +406,7 @@
 
 // canReadReservation reports whether the caller may read a reservation of its team and kind of equipment.
 func (c *Core) canReadReservation(caller Credential, reservation *pb.Booking) bool {
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		return true
 	}
 	kind := ""
@@ -528,7 +528,7 @@
 
 // respondEndedReservation answers a query of one ended reservation and reports whether it did.
 func (c *Core) respondEndedReservation(in ListReservations) (responded bool) {
-	if in.Query.ID == "" || !c.replica.loaded || c.isNotServing() || c.permissionsInForce() {
+	if in.Query.ID == "" || !c.replica.loaded || c.isNotServing() || c.permissions.isInForce() {
 		return false
 	}
 	c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
