--- a/core/apply.go
+++ b/core/apply.go
@@ -41,7 +41,7 @@
 	case strings.HasPrefix(key, keyPermissions):
 		return c.permissions.applyPut(key, raw, revision)
 	case strings.HasPrefix(key, auditlog.Prefix):
-		return c.currentAuditLog().ApplyPut(key, raw, revision)
+		return c.auditLog.current().ApplyPut(key, raw, revision)
 	case key == KeyRestored:
 		return c.restoreMarker.apply(raw, revision)
 	case key == keyHistory:
@@ -141,7 +141,7 @@
 	stored.stored.snapshot = c.replica.snapshots
 	if revision <= stored.revision {
 		if stored.record != nil { // the reply to this controller's own write came before
-			c.currentAuditLog().ObserveEntries(key, stored.revision, stored.record.PendingAudit)
+			c.auditLog.current().ObserveEntries(key, stored.revision, stored.record.PendingAudit)
 		}
 		return nil
 	}
@@ -150,7 +150,7 @@
 		c.history.coldRecords++ // the job exists: a lookup must not answer that it does not
 		return err
 	}
-	c.currentAuditLog().ObserveEntries(key, revision, record.PendingAudit)
+	c.auditLog.current().ObserveEntries(key, revision, record.PendingAudit)
 	record = c.replica.slots.withCurrentEntry(stored.id, record)
 	c.adoptRecord(stored, record, record.ExpandAssignments(c.internMachineInZone), revision, len(raw))
 	return nil
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -132,7 +132,7 @@
 func (c *Core) archivableRecord(sweep *archiveSweep, item wire.KeyValue) (endedRecord, bool) {
 	record, err := jobrecord.Decode(item.Value)
 	if err != nil || record.Spec != nil || record.Stage == jobrecord.Queued ||
-		item.Revision > sweep.maxRevision || !c.currentAuditLog().AllRecorded(record.PendingAudit) {
+		item.Revision > sweep.maxRevision || !c.auditLog.current().AllRecorded(record.PendingAudit) {
 		return endedRecord{}, false
 	}
 	id := strings.TrimPrefix(item.Key, keyJob)
--- a/core/audit.go
+++ b/core/audit.go
@@ -41,31 +41,40 @@
 	return json.Unmarshal(raw, &m.description)
 }
 
+// auditState is the audit log recorder, and what decides whether changes must be recorded.
+type auditState struct {
+	*environment
+	schema      *schemaState
+	permissions *permissionState
+	stats       *Stats
+	recorder    *auditlog.Recorder // see current
+}
+
 // newAuditLog returns an audit log recorder with the controller's configuration.
-func (c *Core) newAuditLog() *auditlog.Recorder {
-	settings := &c.cfg.Audit
+func newAuditLog(env *environment) *auditlog.Recorder {
+	settings := &env.cfg.Audit
 	return auditlog.New(auditlog.Config{
 		Key:            settings.Key,
-		Node:           c.cfg.Name,
+		Node:           env.cfg.Name,
 		GatherInterval: settings.GatherDelay,
 		BlockDelay:     settings.BlockDelay,
 		LateTxnWindow:  settings.ForgetAfter,
 		ClockErrorMS:   settings.MaxClockErrorMS,
 		Settings:       settings.Settings,
-		StartedAt:      c.now,
-		LogError:       func(text string, args ...any) { c.log(LevelError, text, args...) },
+		StartedAt:      env.now,
+		LogError:       func(text string, args ...any) { env.log(LevelError, text, args...) },
 	})
 }
 
-// currentAuditLog returns the audit log recorder with its environment set to the current time.
-func (c *Core) currentAuditLog() *auditlog.Recorder {
-	c.auditLog.Env = auditlog.Env{
-		Now:           c.now,
-		UnixMS:        c.unixMS(),
-		Enabled:       c.isAuditing(),
-		MaxValueBytes: c.cfg.Store.MaxValueBytes,
+// current returns the audit log recorder with its environment set to the current time.
+func (a *auditState) current() *auditlog.Recorder {
+	a.recorder.Env = auditlog.Env{
+		Now:           a.now,
+		UnixMS:        a.unixMS(),
+		Enabled:       a.isEnabled(),
+		MaxValueBytes: a.cfg.Store.MaxValueBytes,
 	}
-	return c.auditLog
+	return a.recorder
 }
 
 // newAuditEvent returns the audit event of a caller's action.
@@ -73,56 +82,58 @@
 	return auditlog.Event{Identity: caller.Identity, Key: caller.KeyID, Verb: verb, Object: object, Reason: reason}
 }
 
-// isAuditing reports whether this controller records changes in the audit log.
-func (c *Core) isAuditing() bool { return c.cfg.Audit.Key != nil && c.schema.active >= schemaAudit }
+// isEnabled reports whether this controller records changes in the audit log.
+func (a *auditState) isEnabled() bool {
+	return a.cfg.Audit.Key != nil && a.schema.active >= schemaAudit
+}
 
-// lacksAuditKey reports whether other controllers audit and this one has no key for it: it must not
+// lacksKey reports whether other controllers audit and this one has no key for it: it must not
 // act, because its changes would be unaudited.
-func (c *Core) lacksAuditKey() bool { return c.cfg.Audit.Key == nil && c.auditLog.IsInitialized() }
+func (a *auditState) lacksKey() bool { return a.cfg.Audit.Key == nil && a.recorder.IsInitialized() }
 
-// auditNotReady reports whether audited changes can't be written yet.
-func (c *Core) auditNotReady() bool {
-	return c.lacksAuditKey() || c.isAuditing() && !c.auditLog.IsStarted()
+// isNotReady reports whether audited changes can't be written yet.
+func (a *auditState) isNotReady() bool {
+	return a.lacksKey() || a.isEnabled() && !a.recorder.IsStarted()
 }
 
 // unauditedCompares returns the compares under which a change needs no audit entry: a controller that
 // does not audit yet must not act once another one does.
-func (c *Core) unauditedCompares() []wire.Compare {
-	if c.isAuditing() || c.cfg.Audit.Key == nil && !c.permissions.isInForce() {
+func (a *auditState) unauditedCompares() []wire.Compare {
+	if a.isEnabled() || a.cfg.Audit.Key == nil && !a.permissions.isInForce() {
 		return nil
 	}
 	return []wire.Compare{{Key: auditlog.KeyInitialized}}
 }
 
-// auditOpsPerTxn returns how many writes addAuditEntry adds to a transaction.
-func (c *Core) auditOpsPerTxn() int {
-	if c.isAuditing() {
+// opsPerTxn returns how many writes addEntry adds to a transaction.
+func (a *auditState) opsPerTxn() int {
+	if a.isEnabled() {
 		return 1
 	}
 	return 0
 }
 
-// addAuditEntry adds a carrier with the entry of an event to a transaction. The returned function must
+// addEntry adds a carrier with the entry of an event to a transaction. The returned function must
 // be called with the outcome of the transaction.
-func (c *Core) addAuditEntry(txn *wire.Txn, name string, event auditlog.Event) func(status wire.Status) {
-	if !c.isAuditing() {
-		for _, compare := range c.unauditedCompares() {
+func (a *auditState) addEntry(txn *wire.Txn, name string, event auditlog.Event) func(status wire.Status) {
+	if !a.isEnabled() {
+		for _, compare := range a.unauditedCompares() {
 			if !slices.Contains(txn.Compare, compare) {
 				txn.Compare = append(txn.Compare, compare)
 			}
 		}
 		return func(wire.Status) {}
 	}
-	ids := c.currentAuditLog().AttachCarrier(txn, name, event)
-	return func(status wire.Status) { c.currentAuditLog().HandleOutcome(ids, status) }
+	ids := a.current().AttachCarrier(txn, name, event)
+	return func(status wire.Status) { a.current().HandleOutcome(ids, status) }
 }
 
 // advanceAuditLog writes the next block if one is due and the rate limit allows it.
 func (c *Core) advanceAuditLog() {
-	if !c.isAuditing() {
+	if !c.auditLog.isEnabled() {
 		return
 	}
-	recorder := c.currentAuditLog()
+	recorder := c.auditLog.current()
 	if c.replica.isStoreUnreachable() || !c.holdsLease() {
 		recorder.RejectReadWaiters()
 	}
@@ -141,7 +152,7 @@
 		if status == wire.StatusBadRequest {
 			c.transactions.reduceLimits(txn)
 		}
-		if c.currentAuditLog().HandleBlockOutcome(status, reply.Revision) {
+		if c.auditLog.current().HandleBlockOutcome(status, reply.Revision) {
 			// After the next barrier the replica shows whether the block was written.
 			c.replica.afterReadBarrier(func(bool) { recorder.ClearBusy() })
 		}
@@ -163,7 +174,7 @@
 		},
 		Then: []wire.Write{{Delete: KeyRestored}},
 	}
-	handleAuditOutcome := c.addAuditEntry(
+	handleAuditOutcome := c.auditLog.addEntry(
 		&txn,
 		"restored",
 		auditlog.Event{Verb: auditlog.VerbRestore, Object: "state", Reason: marker.description},
@@ -174,11 +185,11 @@
 	}})
 }
 
-// auditDenial logs, counts and records a denied action.
-func (c *Core) auditDenial(caller Credential, verb, object, reason string) {
-	c.log(LevelInfo, "permission denied", "who", caller.Identity, "verb", verb, "object", object, "why", reason)
-	c.Stats.PermissionDenials++
-	c.currentAuditLog().
+// recordDenial logs, counts and records a denied action.
+func (a *auditState) recordDenial(caller Credential, verb, object, reason string) {
+	a.log(LevelInfo, "permission denied", "who", caller.Identity, "verb", verb, "object", object, "why", reason)
+	a.stats.PermissionDenials++
+	a.current().
 		RecordRefusal(audit.GatheredEvent{Identity: caller.Identity, Verb: verb, Object: object, Reason: reason}, 1)
 }
 
@@ -186,7 +197,7 @@
 // before the answer.
 func (c *Core) handleReadAudit(in ReadAudit) {
 	switch {
-	case c.isNotServing() || c.cfg.Audit.Key != nil && !c.isAuditing():
+	case c.isNotServing() || c.cfg.Audit.Key != nil && !c.auditLog.isEnabled():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	case c.cfg.Audit.Key == nil:
@@ -198,7 +209,7 @@
 		object = "audit of " + in.Node
 	}
 	c.replica.afterUrgentReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_audit, object, func() {
-		c.currentAuditLog().RecordRead(in.Caller.Identity, "audit", object, func(ok bool) {
+		c.auditLog.current().RecordRead(in.Caller.Identity, "audit", object, func(ok bool) {
 			if !ok {
 				c.respondUnavailable(in.RequestID, "reading can't be recorded now")
 				return
@@ -212,8 +223,8 @@
 func (c *Core) respondWithAuditPage(in ReadAudit) {
 	if in.Node == "" {
 		var out wire.AuditChainHeads
-		for _, node := range sortedKeys(c.auditLog.Heads()) {
-			head := c.auditLog.Heads()[node]
+		for _, node := range sortedKeys(c.auditLog.recorder.Heads()) {
+			head := c.auditLog.recorder.Heads()[node]
 			out.Heads = append(
 				out.Heads,
 				wire.AuditChainHead{Node: node, BlockNumber: head.BlockNumber, Code: head.MAC},
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -29,7 +29,7 @@
 	enableAuditing(c, 2*time.Second, 4*time.Second, map[string]string{"idle_ms": "4000"})
 	c.Handle(1200*time.Millisecond, schemaDeclarations("n0", "n1", "n2"))
 	answerAndCollectWrites(t, c, 1200*time.Millisecond, 1500*time.Millisecond)
-	if head := c.auditLog.Heads()["n0"]; !c.auditLog.IsStarted() || head.BlockNumber != 1 {
+	if head := c.auditLog.recorder.Heads()["n0"]; !c.auditLog.recorder.IsStarted() || head.BlockNumber != 1 {
 		t.Fatalf("the audit log has not started: %+v", head)
 	}
 	return c
@@ -39,7 +39,7 @@
 func enableAuditing(c *Core, gather, block time.Duration, settings map[string]string) {
 	c.cfg.Audit.Key, c.cfg.Audit.Settings = testKey, settings
 	c.cfg.Audit.GatherDelay, c.cfg.Audit.BlockDelay, c.cfg.Audit.ForgetAfter = gather, block, 10*time.Second
-	c.auditLog = c.newAuditLog()
+	c.auditLog.recorder = newAuditLog(c.environment)
 }
 
 // auditEntriesIn returns the entries of all blocks among the writes.
@@ -141,7 +141,7 @@
 			c.ownLease.expiresAt = at + time.Minute
 			answerAndCollectWrites(t, c, at, at+time.Millisecond)
 		}
-		c.auditDenial(potter, "cancel", fmt.Sprint("wk-", i%5), "no right to cancel it")
+		c.auditLog.recordDenial(potter, "cancel", fmt.Sprint("wk-", i%5), "no right to cancel it")
 		c.Handle(
 			at,
 			RequestsDenied{
@@ -247,7 +247,7 @@
 // The audit entry of a start lists the changed settings; a restored snapshot is recorded once.
 func TestStartAndRestoreAreAudited(t *testing.T) {
 	c := newAuditingCore(t)
-	head, err := json.Marshal(c.auditLog.Heads()["n0"])
+	head, err := json.Marshal(c.auditLog.recorder.Heads()["n0"])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -342,13 +342,13 @@
 	if got := auditVerbs(auditEntriesIn(t, writes)); !slices.Equal(got, []string{"start n0", "administer potter"}) {
 		t.Errorf("blocks hold %v", got)
 	}
-	if n := len(c.auditLog.Heads()["n0"].Incarnations); n != 41 {
+	if n := len(c.auditLog.recorder.Heads()["n0"].Incarnations); n != 41 {
 		t.Errorf("%d incarnations are kept", n)
 	}
 	c.ownLease.expiresAt = time.Minute
-	c.currentAuditLog().RecordRead("anna", "audit", "audit", func(bool) {})
+	c.auditLog.current().RecordRead("anna", "audit", "audit", func(bool) {})
 	answerAndCollectWrites(t, c, 20*time.Second, 25*time.Second)
-	if kept := c.auditLog.Heads()["n0"].Incarnations; len(kept) != 1 || kept[0].Number != 41 {
+	if kept := c.auditLog.recorder.Heads()["n0"].Incarnations; len(kept) != 1 || kept[0].Number != 41 {
 		t.Errorf("former incarnations are still kept: %+v", kept)
 	}
 }
--- a/core/cancelmarker.go
+++ b/core/cancelmarker.go
@@ -34,7 +34,7 @@
 func (c *Core) writeCancelMarker(target *job, cancelledMS int64, compares []wire.Compare, acts []auditlog.Event) {
 	key := keyCancel + target.id
 	cancellation := &target.cancellation
-	pendingAudit, auditEntryIDs := c.currentAuditLog().
+	pendingAudit, auditEntryIDs := c.auditLog.current().
 		AttachEntries(key, cancellation.markerRevision, cancellation.markerAudit, acts)
 	target.write.inFlight = true
 	c.transactions.commit(wire.Txn{
@@ -45,7 +45,7 @@
 		),
 		Then: []wire.Write{{Put: key, Value: cancelMarker{CancelMS: cancelledMS, Carried: pendingAudit}.encode()}},
 	}, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
-		c.currentAuditLog().HandleOutcome(auditEntryIDs, status)
+		c.auditLog.current().HandleOutcome(auditEntryIDs, status)
 		target.write.inFlight = false
 		c.markDirty(target)
 		if isNotExecuted(status) {
@@ -64,7 +64,7 @@
 		return fmt.Errorf("decode cancel marker: %w", err)
 	}
 	target := c.internJob(key[len(keyCancel):])
-	c.currentAuditLog().ObserveEntries(key, revision, marker.Carried)
+	c.auditLog.current().ObserveEntries(key, revision, marker.Carried)
 	target.cancellation.markerRevision = revision
 	target.cancellation.markerMS, target.cancellation.markerAudit = marker.CancelMS, marker.Carried
 	if target.revision != 0 && target.record.Stage == jobrecord.Queued {
--- a/core/core.go
+++ b/core/core.go
@@ -2,7 +2,6 @@
 
 import (
 	"dewlift/audit"
-	"dewlift/core/auditlog"
 	"dewlift/core/membership"
 	"dewlift/core/quorum"
 	"dewlift/core/ratelimit"
@@ -61,7 +60,7 @@
 	// What outlives jobs.
 	history       history
 	archiving     archivingState
-	auditLog      *auditlog.Recorder
+	auditLog      auditState
 	permissions   permissionState
 	restoreMarker restoreMarker
 
@@ -126,7 +125,13 @@
 	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
 	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
-	c.auditLog = c.newAuditLog()
+	c.auditLog = auditState{
+		environment: c.environment,
+		schema:      &c.schema,
+		permissions: &c.permissions,
+		stats:       &c.Stats,
+		recorder:    newAuditLog(c.environment),
+	}
 	c.cancelAcks.quorum = quorum.New(
 		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.Agents.CancelTimeout, AgentLeaseTTL: cfg.Agents.LeaseTTL},
 	)
@@ -224,7 +229,7 @@
 // handleRequestsDenied records requests that the API denied before they reached the core.
 func (c *Core) handleRequestsDenied(in RequestsDenied) {
 	for _, denied := range in.Items {
-		c.currentAuditLog().RecordRefusal(audit.GatheredEvent{
+		c.auditLog.current().RecordRefusal(audit.GatheredEvent{
 			Identity: denied.Who,
 			Verb:     denied.Verb,
 			Object:   denied.Object,
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -223,7 +223,7 @@
 	h.lastMoveRevision = max(h.lastMoveRevision, revision)
 	h.archiveIndex.InvalidateOlder(id, revision)
 	// The audit entries that the record carried were in audit blocks before it moved.
-	c.currentAuditLog().ResolveUnknown(keyJob+id, revision)
+	c.auditLog.current().ResolveUnknown(keyJob+id, revision)
 	i, ok := c.jobIndex[id]
 	if !ok || c.jobs[i].revision == 0 {
 		if revision > h.snapshotRevision {
--- a/core/lease.go
+++ b/core/lease.go
@@ -39,7 +39,7 @@
 // maintainLease extends this controller's lease in time, and requests a new one when it is lost. A controller
 // that must not act lets it expire, so that others take over.
 func (c *Core) maintainLease() {
-	if c.lacksAuditKey() || c.storeHealth.isWatchStalled() {
+	if c.auditLog.lacksKey() || c.storeHealth.isWatchStalled() {
 		return
 	}
 	if c.ownLease.opInFlight != "" || c.now < c.ownLease.requestSentAt+leaseRequestInterval {
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -142,7 +142,7 @@
 // acquireOwnership claims absent shards and the leadership, and releases surplus shards. All claims of
 // one run are one transaction, which also raises the fencing token.
 func (c *Core) acquireOwnership() {
-	if c.auditNotReady() || !c.holdsLease() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
+	if c.auditLog.isNotReady() || !c.holdsLease() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
 		c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
@@ -222,7 +222,7 @@
 // hasSpace reports whether another claim fits the operations of one transaction.
 func (t *ownershipAttempt) hasSpace() bool {
 	c := t.core
-	return t.nodeOps+len(t.shards)+opsPerClaim+c.auditOpsPerTxn() <= c.cfg.Store.MaxTxnOps
+	return t.nodeOps+len(t.shards)+opsPerClaim+c.auditLog.opsPerTxn() <= c.cfg.Store.MaxTxnOps
 }
 
 // chooseShards chooses the shards to claim.
@@ -293,7 +293,7 @@
 	if t.leadership {
 		t.addLeasedPut(keyLeader, c.leadership.leader.modRevision, token)
 	}
-	t.onAuditOutcome = c.addAuditEntry(
+	t.onAuditOutcome = c.auditLog.addEntry(
 		&t.txn,
 		"take/"+c.cfg.Name,
 		auditlog.Event{
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -112,7 +112,7 @@
 // isNotServing reports whether no request may be served: permissions are configured but not in force
 // yet, or the audit log can't record changes yet.
 func (c *Core) isNotServing() bool {
-	return c.cfg.Permissions != nil && !c.permissions.isInForce() || c.auditNotReady()
+	return c.cfg.Permissions != nil && !c.permissions.isInForce() || c.auditLog.isNotReady()
 }
 
 // currentPolicy returns the policy of the stored permissions and rebuilds it after a change.
@@ -167,7 +167,7 @@
 			{Key: keyRoles, Revision: c.permissions.rolesRevision},
 			{Key: keyIdentity + caller.Identity, Revision: c.permissions.identities[caller.Identity].revision},
 		},
-		c.unauditedCompares()...)
+		c.auditLog.unauditedCompares()...)
 }
 
 // canReadJob reports whether the caller may read the job.
@@ -207,7 +207,7 @@
 
 // respondForbidden denies a request for lack of a permission and records the denial.
 func (c *Core) respondForbidden(requestID uint64, caller Credential, verb, object, reason string) {
-	c.auditDenial(caller, verb, object, reason)
+	c.auditLog.recordDenial(caller, verb, object, reason)
 	c.respond(requestID, wire.StatusForbidden, wire.Error{Error: reason})
 }
 
@@ -217,7 +217,7 @@
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
 		if target == nil || !c.canReadJob(in.Caller, target) {
 			if target != nil {
-				c.auditDenial(in.Caller, "read", in.ID, "no right to read it")
+				c.auditLog.recordDenial(in.Caller, "read", in.ID, "no right to read it")
 			}
 			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
 			return
@@ -232,7 +232,7 @@
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
 		if target == nil || !c.canCancelJob(in.Caller, target) && !c.canReadJob(in.Caller, target) {
 			if target != nil {
-				c.auditDenial(in.Caller, "cancel", in.ID, "no right to cancel or read it")
+				c.auditLog.recordDenial(in.Caller, "cancel", in.ID, "no right to cancel or read it")
 			}
 			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
 			return
@@ -345,7 +345,7 @@
 	for _, write := range txn.Then {
 		seeded = append(seeded, strings.TrimPrefix(write.Put, keyPermissions))
 	}
-	handleAuditOutcome := c.addAuditEntry(
+	handleAuditOutcome := c.auditLog.addEntry(
 		&txn,
 		"rights",
 		auditlog.Event{Verb: "administer", Object: "rights", Reason: "first rights: " + strings.Join(seeded, " ")},
@@ -359,8 +359,8 @@
 
 // canSeedPermissions reports whether permissions must be seeded and this controller may write now.
 func (c *Core) canSeedPermissions() bool {
-	if c.cfg.Permissions == nil || c.permissions.isInForce() || c.auditNotReady() ||
-		c.cfg.Audit.Key != nil && !c.isAuditing() {
+	if c.cfg.Permissions == nil || c.permissions.isInForce() || c.auditLog.isNotReady() ||
+		c.cfg.Audit.Key != nil && !c.auditLog.isEnabled() {
 		return false
 	}
 	if !c.isLeader() || !c.holdsLease() || c.schema.active < schemaPermissions {
@@ -400,7 +400,7 @@
 
 // maxSeedWrites returns how many identities a seeding transaction may write now.
 func (c *Core) maxSeedWrites() int {
-	allowed := min(c.cfg.Store.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens)) - c.auditOpsPerTxn()
+	allowed := min(c.cfg.Store.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens)) - c.auditLog.opsPerTxn()
 	return max(1, allowed)
 }
 
@@ -452,7 +452,7 @@
 	if in.Caller.Identity != in.Identity {
 		txn.Compare = append(txn.Compare, wire.Compare{Key: keyIdentity + in.Identity, Revision: old.revision})
 	}
-	handleAuditOutcome := c.addAuditEntry(
+	handleAuditOutcome := c.auditLog.addEntry(
 		&txn,
 		"who/"+in.Identity,
 		newAuditEvent(in.Caller, "administer", in.Identity, in.summary()),
@@ -614,7 +614,7 @@
 		return
 	}
 	c.replica.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, in.Verb, in.Object, func() {
-		c.currentAuditLog().RecordRead(in.Caller.Identity, in.Verb.String(), in.Object, func(ok bool) {
+		c.auditLog.current().RecordRead(in.Caller.Identity, in.Verb.String(), in.Object, func(ok bool) {
 			if !ok {
 				c.respondUnavailable(in.RequestID, "this can't be recorded now")
 				return
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -184,7 +184,7 @@
 // maySeedPriorityClasses reports whether this controller stores the list of the settings now.
 func (c *Core) maySeedPriorityClasses() bool {
 	if c.cfg.Scheduling.PriorityClasses == nil || c.priority.revision != 0 ||
-		c.schema.active < schemaPriorityClasses || c.auditNotReady() {
+		c.schema.active < schemaPriorityClasses || c.auditLog.isNotReady() {
 		return false
 	}
 	return c.isLeader() && c.holdsLease() && c.now >= c.priority.nextSeedAt &&
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -62,7 +62,7 @@
 func (c *Core) applyReservation(key string, raw json.RawMessage, revision uint64) error {
 	carried, err := c.reservations.ApplyPut(key, raw, revision)
 	if key == reservations.KeyHead {
-		c.currentAuditLog().ObserveEntries(key, revision, carried)
+		c.auditLog.current().ObserveEntries(key, revision, carried)
 	}
 	return err
 }
@@ -166,7 +166,7 @@
 	for _, response := range c.reservations.TakeExpired(c.now) {
 		c.respondToReservation(response)
 	}
-	if c.auditNotReady() || c.schema.active < schemaReservations || c.unixOffsetMS == 0 {
+	if c.auditLog.isNotReady() || c.schema.active < schemaReservations || c.unixOffsetMS == 0 {
 		return
 	}
 	c.seedEquipment()
@@ -261,13 +261,13 @@
 	}
 	if !slices.ContainsFunc(txn.Then, func(write wire.Write) bool { return write.Put == reservations.KeyHead }) {
 		// The transaction only compares: entries of an attempt that did not fit are void.
-		c.currentAuditLog().DiscardEntries(state.auditEntryIDs)
+		c.auditLog.current().DiscardEntries(state.auditEntryIDs)
 		state.auditEntryIDs = nil
 	}
 	ids := state.auditEntryIDs
 	state.auditEntryIDs = nil
 	c.transactions.commit(*txn, &pendingTxn{onDone: func(status wire.Status, reply wire.TxnResponse) {
-		c.currentAuditLog().HandleOutcome(ids, status)
+		c.auditLog.current().HandleOutcome(ids, status)
 		if status == wire.StatusBadRequest && len(txn.Then) > 0 {
 			c.transactions.reduceLimits(txn)
 		}
@@ -331,7 +331,7 @@
 	changed []*pb.Booking,
 ) []audit.PendingEntry {
 	state := &c.reservationState
-	c.currentAuditLog().DiscardEntries(state.auditEntryIDs)
+	c.auditLog.current().DiscardEntries(state.auditEntryIDs)
 	requested := map[string]bool{}
 	var events []auditlog.Event
 	for _, request := range granted {
@@ -350,7 +350,7 @@
 		}
 	}
 	var list []audit.PendingEntry
-	list, state.auditEntryIDs = c.currentAuditLog().AttachEntries(reservations.KeyHead, headRevision, old, events)
+	list, state.auditEntryIDs = c.auditLog.current().AttachEntries(reservations.KeyHead, headRevision, old, events)
 	return list
 }
 
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -47,7 +47,7 @@
 
 // scheduleJobs evaluates the jobs that changed and commits their next records.
 func (c *Core) scheduleJobs() {
-	if c.auditNotReady() {
+	if c.auditLog.isNotReady() {
 		return
 	}
 	inFlight := c.countRecordTxns()
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -179,7 +179,7 @@
 	for i := range proposals {
 		settled := &proposals[i]
 		settled.job.write.inFlight = false
-		c.currentAuditLog().HandleOutcome(settled.auditEntryIDs, in.Status)
+		c.auditLog.current().HandleOutcome(settled.auditEntryIDs, in.Status)
 		if in.Status == wire.StatusOK {
 			c.adoptProposal(settled, in.Reply.Revision)
 		} else if c.rejectProposal(settled, in.Status) {
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -80,7 +80,7 @@
 	}
 	next.slotIndex = slot
 	if len(next.auditActs) > 0 {
-		next.compares = append(next.compares, c.unauditedCompares()...)
+		next.compares = append(next.compares, c.auditLog.unauditedCompares()...)
 	}
 	if b.exceedsCompares(next) {
 		c.undoProposal(next)
@@ -169,7 +169,7 @@
 	if c.schema.active >= schemaSharedValues {
 		next.record.WriteNumber++
 	}
-	next.record.PendingAudit, next.auditEntryIDs = c.currentAuditLog().
+	next.record.PendingAudit, next.auditEntryIDs = c.auditLog.current().
 		AttachEntries(keyJob+target.id, target.revision, pendingAudit, next.auditActs)
 	raw, err := c.encodeWithinLimit(next)
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
@@ -352,7 +352,7 @@
 // undoProposal takes back a proposal that was not committed: its audit entries, and the capacity
 // that its starts allocated in this controller's copy of the cluster state.
 func (c *Core) undoProposal(undone *proposal) {
-	c.currentAuditLog().DiscardEntries(undone.auditEntryIDs)
+	c.auditLog.current().DiscardEntries(undone.auditEntryIDs)
 	for _, assignment := range undone.started {
 		c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Machine: assignment.Machine, Request: undone.spec.Request})
 	}
