--- a/core/audit.go
+++ b/core/audit.go
@@ -197,7 +197,7 @@
 // before the answer.
 func (c *Core) handleReadAudit(in ReadAudit) {
 	switch {
-	case c.isNotServing() || c.cfg.Audit.Key != nil && !c.auditLog.isEnabled():
+	case c.access.isNotServing() || c.cfg.Audit.Key != nil && !c.auditLog.isEnabled():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	case c.cfg.Audit.Key == nil:
@@ -234,7 +234,7 @@
 		return
 	}
 	if c.transactions.rateLimit.ReadTokens < 1 {
-		c.respondUnavailable(in.RequestID, "too busy")
+		c.respondUnavailable(in.RequestID, reasonTooBusy)
 		return
 	}
 	c.readPrefix(
--- a/core/core.go
+++ b/core/core.go
@@ -62,6 +62,7 @@
 	archiving     archivingState
 	auditLog      auditState
 	permissions   permissionState
+	access        accessControl
 	restoreMarker restoreMarker
 
 	reservations     *reservations.Service
@@ -132,6 +133,13 @@
 		stats:       &c.Stats,
 		recorder:    newAuditLog(c.environment),
 	}
+	c.maintenance.environment = c.environment
+	c.access = accessControl{
+		environment: c.environment,
+		permissions: &c.permissions,
+		auditLog:    &c.auditLog,
+		schema:      &c.schema,
+	}
 	c.cancelAcks.quorum = quorum.New(
 		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.Agents.CancelTimeout, AgentLeaseTTL: cfg.Agents.LeaseTTL},
 	)
@@ -148,7 +156,7 @@
 // Healthy reports whether this controller can serve users: it has a replica of the store and a
 // catalog, and either holds its lease or all controllers have lost the store.
 func (c *Core) Healthy() bool {
-	return c.replica.loaded && !c.isNotServing() && c.autoscaler.catalog != nil &&
+	return c.replica.loaded && !c.access.isNotServing() && c.autoscaler.catalog != nil &&
 		(c.holdsLease() || c.isStoreOutage())
 }
 
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -39,11 +39,11 @@
 // token than this controller is answered after a read barrier only.
 func (c *Core) handleHeartbeat(in AgentHeartbeat) {
 	if !c.replica.loaded {
-		c.respondUnavailable(in.RequestID, "not caught up")
+		c.respondUnavailable(in.RequestID, reasonNotLoaded)
 		return
 	}
 	if c.permissions.isInForce() && c.permissions.currentPolicy().AgentsMustSign() {
-		if decision := c.authorize(in.Caller, access.Action{Verb: pb.Verb_report}); !decision.Allowed {
+		if decision := c.access.authorize(in.Caller, access.Action{Verb: pb.Verb_report}); !decision.Allowed {
 			c.respondForbidden(in.RequestID, in.Caller, "report", in.Heartbeat.Machine, decision.Reason)
 			return
 		}
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -12,6 +12,7 @@
 // maintenanceState is when periodic upkeep is due: the compaction of lists, and the full scan, a
 // safeguard against changes that marked nothing dirty.
 type maintenanceState struct {
+	*environment
 	nextCompactionAt time.Duration
 	nextFullScanAt   time.Duration
 }
@@ -36,7 +37,7 @@
 	c.countZoneMachines()
 	c.evictUnreferencedJobs()
 	c.updateHistoryStats()
-	if c.isFullScanDue() {
+	if c.replica.loaded && c.maintenance.isFullScanDue(c.overload.Level()) {
 		c.runFullScan()
 	}
 }
@@ -54,12 +55,12 @@
 }
 
 // isFullScanDue reports whether the full scan is to run now. Under load it runs half as often.
-func (c *Core) isFullScanDue() bool {
-	due := c.maintenance.nextFullScanAt
-	if c.overload.Level() != overload.Normal {
-		due += c.cfg.Scheduling.FullScanInterval
+func (m *maintenanceState) isFullScanDue(level overload.Level) bool {
+	due := m.nextFullScanAt
+	if level != overload.Normal {
+		due += m.cfg.Scheduling.FullScanInterval
 	}
-	return c.replica.loaded && c.now >= due
+	return m.now >= due
 }
 
 // runFullScan marks all open jobs and alive machines dirty. Otherwise only what changed is examined.
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -103,6 +103,14 @@
 // isInForce reports whether requests must be authorized.
 func (p *permissionState) isInForce() bool { return p.rolesRevision != 0 }
 
+// accessControl decides what callers may do, by the permissions and whether changes can be audited.
+type accessControl struct {
+	*environment
+	permissions *permissionState
+	auditLog    *auditState
+	schema      *schemaState
+}
+
 // Reasons of answers that a request can't be served now.
 const (
 	reasonNotReady      = "rights are not in force yet, or what is done can't be recorded yet"
@@ -111,8 +119,8 @@
 
 // isNotServing reports whether no request may be served: permissions are configured but not in force
 // yet, or the audit log can't record changes yet.
-func (c *Core) isNotServing() bool {
-	return c.cfg.Permissions != nil && !c.permissions.isInForce() || c.auditLog.isNotReady()
+func (a *accessControl) isNotServing() bool {
+	return a.cfg.Permissions != nil && !a.permissions.isInForce() || a.auditLog.isNotReady()
 }
 
 // currentPolicy returns the policy of the stored permissions and rebuilds it after a change.
@@ -143,56 +151,56 @@
 
 // authorize decides whether an identity may perform an action, by the permissions known here. Until
 // permissions are in force everything is allowed, unless nothing may be served.
-func (c *Core) authorize(caller Credential, action access.Action) access.Decision {
-	if !c.permissions.isInForce() {
-		return access.Decision{Allowed: !c.isNotServing()}
+func (a *accessControl) authorize(caller Credential, action access.Action) access.Decision {
+	if !a.permissions.isInForce() {
+		return access.Decision{Allowed: !a.isNotServing()}
 	}
-	policy := c.permissions.currentPolicy()
-	if !c.permissions.hasValidKey(caller) {
+	policy := a.permissions.currentPolicy()
+	if !a.permissions.hasValidKey(caller) {
 		return access.Decision{Reason: "the key was revoked"}
 	}
 	return policy.Decide(caller.Identity, action)
 }
 
-// permissionCompares returns the compares under which an authorization of the caller still holds.
-func (c *Core) permissionCompares(caller Credential) []wire.Compare {
-	if !c.permissions.isInForce() {
-		if c.schema.active < schemaPermissions {
+// compares returns the compares under which an authorization of the caller still holds.
+func (a *accessControl) compares(caller Credential) []wire.Compare {
+	if !a.permissions.isInForce() {
+		if a.schema.active < schemaPermissions {
 			return nil
 		}
 		return []wire.Compare{{Key: keyRoles}} // fails if permissions come into force meanwhile
 	}
 	return append(
 		[]wire.Compare{
-			{Key: keyRoles, Revision: c.permissions.rolesRevision},
-			{Key: keyIdentity + caller.Identity, Revision: c.permissions.identities[caller.Identity].revision},
+			{Key: keyRoles, Revision: a.permissions.rolesRevision},
+			{Key: keyIdentity + caller.Identity, Revision: a.permissions.identities[caller.Identity].revision},
 		},
-		c.auditLog.unauditedCompares()...)
+		a.auditLog.unauditedCompares()...)
 }
 
 // canReadJob reports whether the caller may read the job.
-func (c *Core) canReadJob(caller Credential, target *job) bool {
-	if !c.permissions.isInForce() {
+func (a *accessControl) canReadJob(caller Credential, target *job) bool {
+	if !a.permissions.isInForce() {
 		return true
 	}
 	team, class := target.record.TeamAndClass()
-	return c.authorize(caller, access.Action{Verb: pb.Verb_read, Team: team, Class: class}).Allowed
+	return a.authorize(caller, access.Action{Verb: pb.Verb_read, Team: team, Class: class}).Allowed
 }
 
 // canCancelJob reports whether the caller may cancel the job.
-func (c *Core) canCancelJob(caller Credential, target *job) bool {
+func (a *accessControl) canCancelJob(caller Credential, target *job) bool {
 	team, class := target.record.TeamAndClass()
-	return c.authorize(caller, access.Action{Verb: pb.Verb_cancel, Team: team, Class: class}).Allowed
+	return a.authorize(caller, access.Action{Verb: pb.Verb_cancel, Team: team, Class: class}).Allowed
 }
 
 // canRepeatSubmission decides whether an idempotent submission of an existing job is answered with
 // the job's state: the caller may read the job, or may submit to the same team and class.
-func (c *Core) canRepeatSubmission(caller Credential, spec *wire.JobSpec, target *job) bool {
-	if c.canReadJob(caller, target) {
+func (a *accessControl) canRepeatSubmission(caller Credential, spec *wire.JobSpec, target *job) bool {
+	if a.canReadJob(caller, target) {
 		return true
 	}
 	team, class := target.record.TeamAndClass()
-	return spec != nil && spec.Team == team && spec.Class == class && c.authorize(caller, submitAction(spec)).Allowed
+	return spec != nil && spec.Team == team && spec.Class == class && a.authorize(caller, submitAction(spec)).Allowed
 }
 
 // submitAction returns the action that a submission of the job must be authorized for.
@@ -215,11 +223,11 @@
 // answer as for a job that does not exist.
 func (c *Core) getJobAuthorized(in GetJob) {
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
-		if target == nil || !c.canReadJob(in.Caller, target) {
+		if target == nil || !c.access.canReadJob(in.Caller, target) {
 			if target != nil {
 				c.auditLog.recordDenial(in.Caller, "read", in.ID, "no right to read it")
 			}
-			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
+			c.respondNotFound(in.RequestID)
 			return
 		}
 		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
@@ -230,14 +238,14 @@
 // the job gets the same answer as for a job that does not exist.
 func (c *Core) cancelJobAuthorized(in CancelJob) {
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
-		if target == nil || !c.canCancelJob(in.Caller, target) && !c.canReadJob(in.Caller, target) {
+		if target == nil || !c.access.canCancelJob(in.Caller, target) && !c.access.canReadJob(in.Caller, target) {
 			if target != nil {
 				c.auditLog.recordDenial(in.Caller, "cancel", in.ID, "no right to cancel or read it")
 			}
-			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
+			c.respondNotFound(in.RequestID)
 			return
 		}
-		if !c.canCancelJob(in.Caller, target) {
+		if !c.access.canCancelJob(in.Caller, target) {
 			c.respondForbidden(in.RequestID, in.Caller, "cancel", in.ID, "no right to cancel it")
 			return
 		}
@@ -250,7 +258,7 @@
 func (c *Core) withJobAfterBarrier(requestID uint64, id string, f func(target *job)) {
 	switch {
 	case !c.replica.loaded:
-		c.respondUnavailable(requestID, "not caught up")
+		c.respondUnavailable(requestID, reasonNotLoaded)
 	case c.replica.isStoreUnreachable():
 		c.respondUnavailable(requestID, reasonStoreUnreachable)
 	default:
@@ -275,22 +283,22 @@
 		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
 		return
 	}
-	if in.DecodeError == "" && c.authorize(in.Caller, submitAction(&in.Spec)).Allowed &&
+	if in.DecodeError == "" && c.access.authorize(in.Caller, submitAction(&in.Spec)).Allowed &&
 		c.recallFromArchive(in.ID) == nil {
 		c.admitSubmission(in)
 		return
 	}
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(existing *job) {
 		switch {
-		case existing != nil && c.canRepeatSubmission(in.Caller, in.validSpec(), existing):
+		case existing != nil && c.access.canRepeatSubmission(in.Caller, in.validSpec(), existing):
 			c.respond(in.RequestID, wire.StatusOK, c.jobState(existing))
 		case in.DecodeError != "":
 			c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
 		default:
-			if decision := c.authorize(in.Caller, submitAction(&in.Spec)); !decision.Allowed {
+			if decision := c.access.authorize(in.Caller, submitAction(&in.Spec)); !decision.Allowed {
 				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, decision.Reason)
 			} else if existing != nil {
-				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, "the id is another's")
+				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, reasonIDTaken)
 			} else {
 				c.admitSubmission(in)
 			}
@@ -311,11 +319,11 @@
 func (c *Core) dropUnauthorizedCancellations(target *job) []wire.Compare {
 	var compares []wire.Compare
 	target.cancellation.waiters = slices.DeleteFunc(target.cancellation.waiters, func(waiter cancelWaiter) bool {
-		if c.permissions.isInForce() && !c.canCancelJob(waiter.caller, target) {
+		if c.permissions.isInForce() && !c.access.canCancelJob(waiter.caller, target) {
 			c.respondForbidden(waiter.requestID, waiter.caller, "cancel", target.id, "no right to cancel it")
 			return true
 		}
-		for _, compare := range c.permissionCompares(waiter.caller) {
+		for _, compare := range c.access.compares(waiter.caller) {
 			if !slices.Contains(compares, compare) {
 				compares = append(compares, compare)
 			}
@@ -426,7 +434,7 @@
 			switch {
 			case !ok:
 				c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
-			case c.isNotServing(): // before the audit incarnation starts, an entry could reuse another's name
+			case c.access.isNotServing(): // before the audit incarnation starts, an entry could reuse another's name
 				c.respondUnavailable(in.RequestID, reasonNotReady)
 			default:
 				c.updatePermissions(in)
@@ -437,7 +445,7 @@
 
 // updatePermissions authorizes, validates and commits a change of an identity's permissions.
 func (c *Core) updatePermissions(in UpdatePermissions) {
-	decision := c.authorize(in.Caller, access.Action{Verb: pb.Verb_administer})
+	decision := c.access.authorize(in.Caller, access.Action{Verb: pb.Verb_administer})
 	if !decision.Allowed && (!in.changesOnlyOwnKeys() || !c.permissions.hasValidKey(in.Caller)) {
 		c.respondForbidden(in.RequestID, in.Caller, "administer", in.Identity, decision.Reason)
 		return
@@ -448,7 +456,7 @@
 		c.respond(in.RequestID, wire.StatusInvalid, wire.Error{Error: err.Error()})
 		return
 	}
-	txn := wire.Txn{Compare: c.permissionCompares(in.Caller), Then: []wire.Write{write}}
+	txn := wire.Txn{Compare: c.access.compares(in.Caller), Then: []wire.Write{write}}
 	if in.Caller.Identity != in.Identity {
 		txn.Compare = append(txn.Compare, wire.Compare{Key: keyIdentity + in.Identity, Revision: old.revision})
 	}
@@ -518,7 +526,7 @@
 		if record != nil && record.Spec != nil && record.Submitter == in.Identity && !candidate.isFinal() &&
 			len(candidate.assignments) == 0 &&
 			record.CompletedTasks.Count() == 0 &&
-			c.canCancelJob(in.Caller, candidate) {
+			c.access.canCancelJob(in.Caller, candidate) {
 			ids = append(ids, candidate.id)
 			c.enqueueCancellation(candidate, CancelJob{ID: candidate.id, Caller: in.Caller, UnixMS: c.unixMS()})
 		}
@@ -605,7 +613,7 @@
 
 // handleCheckPermission answers 200 if the caller may perform an action that concerns no job.
 func (c *Core) handleCheckPermission(in CheckPermission) {
-	if c.isNotServing() {
+	if c.access.isNotServing() {
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	}
@@ -630,7 +638,7 @@
 	requestID uint64, caller Credential, verb access.Verb, object string, f func(),
 ) func(ok bool) {
 	return func(ok bool) {
-		switch decision := c.authorize(caller, access.Action{Verb: verb}); {
+		switch decision := c.access.authorize(caller, access.Action{Verb: verb}); {
 		case !ok:
 			c.respondUnavailable(requestID, reasonStoreUnreachable)
 		case !decision.Allowed:
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -200,7 +200,7 @@
 		return
 	}
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	case c.replica.isStoreUnreachable() || c.schema.active < schemaPriorityClasses:
@@ -225,7 +225,7 @@
 	}
 	txn := wire.Txn{
 		Compare: append(
-			c.permissionCompares(in.Caller),
+			c.access.compares(in.Caller),
 			wire.Compare{Key: keyPriorityClasses, Revision: c.priority.revision},
 		),
 		Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}},
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -88,7 +88,7 @@
 		submission.writeFailed && c.history.coldRecords > 0 && !submission.lookupDone {
 		return nil, c.lookUpArchived(target)
 	}
-	if decision := c.authorize(submission.caller, submitAction(&spec)); !decision.Allowed {
+	if decision := c.access.authorize(submission.caller, submitAction(&spec)); !decision.Allowed {
 		c.completeSubmission(target, wire.StatusForbidden, decision.Reason)
 		return nil, 0
 	}
@@ -131,7 +131,7 @@
 		},
 		spec:         spec,
 		isAcceptance: true,
-		compares:     append(c.permissionCompares(submission.caller), notArchived),
+		compares:     append(c.access.compares(submission.caller), notArchived),
 		auditActs: []auditlog.Event{
 			newAuditEvent(
 				submission.caller,
--- a/core/queuelisting.go
+++ b/core/queuelisting.go
@@ -24,17 +24,17 @@
 // the priority classes; all as of a read barrier.
 func (c *Core) handleListQueue(in ListQueue) {
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	case !c.replica.loaded || c.replica.isStoreUnreachable():
-		c.respondUnavailable(in.RequestID, "state service not reached")
+		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 		return
 	}
 	c.replica.afterReadBarrier(func(ok bool) {
 		switch {
 		case !ok:
-			c.respondUnavailable(in.RequestID, "state service not reached")
+			c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 		case in.ShowPriorityClasses:
 			c.respondPriorityClasses(in)
 		case in.ID != "":
@@ -59,7 +59,7 @@
 func (c *Core) respondQueuedJob(in ListQueue) {
 	queued := c.queuedJobs()
 	i := slices.IndexFunc(queued, func(j *job) bool { return j.id == in.ID })
-	if i < 0 || !c.canReadJob(in.Caller, queued[i]) {
+	if i < 0 || !c.access.canReadJob(in.Caller, queued[i]) {
 		c.respond(
 			in.RequestID,
 			wire.StatusNotFound,
@@ -79,7 +79,7 @@
 	page, refused := wire.JobQueue{Total: len(queued), Version: c.priority.revision}, []unplaceable{}
 	limit := min(max(1, in.Limit), maxQueuePage)
 	for i := max(0, in.AfterPosition); i < len(queued) && len(page.Jobs) < limit; i++ {
-		if c.canReadJob(in.Caller, queued[i]) {
+		if c.access.canReadJob(in.Caller, queued[i]) {
 			page.Jobs = append(page.Jobs, c.describeQueuedJob(queued[i], i+1, &refused))
 		}
 		page.NextOffset = i + 1
--- a/core/requests.go
+++ b/core/requests.go
@@ -123,7 +123,7 @@
 // handleGetJob answers a request for a job's state.
 func (c *Core) handleGetJob(in GetJob) {
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	case c.permissions.isInForce():
@@ -173,7 +173,7 @@
 // handleSubmitJob starts the acceptance of a submission.
 func (c *Core) handleSubmitJob(in SubmitJob) {
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 	case c.permissions.isInForce():
 		c.submitJobAuthorized(in)
@@ -223,7 +223,7 @@
 			existing := c.knownJob(in.ID)
 			rejection := c.validateSubmission(&in)
 			switch {
-			case existing != nil && !c.canRepeatSubmission(in.Caller, in.validSpec(), existing):
+			case existing != nil && !c.access.canRepeatSubmission(in.Caller, in.validSpec(), existing):
 				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, reasonIDTaken)
 			case existing != nil:
 				c.respond(in.RequestID, wire.StatusOK, c.jobState(existing))
@@ -281,7 +281,7 @@
 		switch {
 		case j == nil:
 			c.respondUnavailable(requestID, reasonHistoryUnreadable)
-		case !c.canRepeatSubmission(caller, spec, j):
+		case !c.access.canRepeatSubmission(caller, spec, j):
 			c.respondForbidden(requestID, caller, "submit", id, reasonIDTaken)
 		default:
 			c.respond(requestID, wire.StatusOK, c.jobState(j))
@@ -329,7 +329,7 @@
 	}
 	unmet, unknown, _ := c.findUnmetDependencies(spec)
 	for _, id := range spec.Dependencies {
-		if dependency := c.knownJob(id); dependency != nil && !c.canReadJob(caller, dependency) {
+		if dependency := c.knownJob(id); dependency != nil && !c.access.canReadJob(caller, dependency) {
 			unknown = id
 		}
 	}
@@ -384,7 +384,7 @@
 // handleCancelJob starts the cancellation of a job.
 func (c *Core) handleCancelJob(in CancelJob) {
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	case c.permissions.isInForce():
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -70,10 +70,10 @@
 // canServeReservations reports whether a reservation request can be served now, and answers it if not.
 func (c *Core) canServeReservations(requestID uint64) bool {
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(requestID, reasonNotReady)
 	case !c.replica.loaded:
-		c.respondUnavailable(requestID, "not caught up")
+		c.respondUnavailable(requestID, reasonNotLoaded)
 	case c.replica.isStoreUnreachable():
 		c.respondUnavailable(requestID, reasonStoreUnreachable)
 	case c.schema.active < schemaReservations:
@@ -299,12 +299,12 @@
 	kinds []string,
 ) (compares []wire.Compare, denial string) {
 	caller := request.CallerData.(reservationCaller).caller
-	compares = c.permissionCompares(caller)
+	compares = c.access.compares(caller)
 	if !c.permissions.isInForce() {
 		return compares, ""
 	}
 	if request.Request.Verb == booking.VerbSetInventory {
-		if decision := c.authorize(caller, access.Action{Verb: pb.Verb_equip}); !decision.Allowed {
+		if decision := c.access.authorize(caller, access.Action{Verb: pb.Verb_equip}); !decision.Allowed {
 			return compares, decision.Reason
 		}
 		return compares, ""
@@ -314,7 +314,7 @@
 	}
 	for _, kind := range kinds {
 		action := access.Action{Verb: pb.Verb_book, Team: team, Class: kind}
-		if decision := c.authorize(caller, action); !decision.Allowed {
+		if decision := c.access.authorize(caller, action); !decision.Allowed {
 			return compares, decision.Reason
 		}
 	}
@@ -418,7 +418,7 @@
 			kind = inventory.WantKind(reservation.Wants[0])
 		}
 	}
-	return c.authorize(caller, access.Action{Verb: pb.Verb_read, Team: reservation.Team, Class: kind}).Allowed
+	return c.access.authorize(caller, access.Action{Verb: pb.Verb_read, Team: reservation.Team, Class: kind}).Allowed
 }
 
 // toWireReservation returns a reservation as it is answered, with times in the site's time zone.
@@ -528,7 +528,7 @@
 
 // respondEndedReservation answers a query of one ended reservation and reports whether it did.
 func (c *Core) respondEndedReservation(in ListReservations) (responded bool) {
-	if in.Query.ID == "" || !c.replica.loaded || c.isNotServing() || c.permissions.isInForce() {
+	if in.Query.ID == "" || !c.replica.loaded || c.access.isNotServing() || c.permissions.isInForce() {
 		return false
 	}
 	c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -227,8 +227,8 @@
 	case wire.StatusTooManyRequests:
 		return false
 	case wire.StatusUnavailable:
-		c.completeSubmission(target, wire.StatusUnavailable, "state service not reached")
-		c.rejectCancellations(target, "state service not reached")
+		c.completeSubmission(target, wire.StatusUnavailable, reasonStoreUnreachable)
+		c.rejectCancellations(target, reasonStoreUnreachable)
 		return false
 	case wire.StatusNoAnswer:
 		c.completeSubmission(target, wire.StatusUnavailable, "outcome not known yet")
