--- a/core/apply.go
+++ b/core/apply.go
@@ -174,7 +174,7 @@
 	case key == KeyRestored:
 		c.restoreMarker.revision = 0
 	case strings.HasPrefix(key, reservations.Prefix):
-		c.reservations.ApplyDelete(key, revision)
+		c.reservations.service.ApplyDelete(key, revision)
 	case strings.HasPrefix(key, keyJob):
 		c.handleRecordArchived(key[len(keyJob):], revision)
 	}
--- a/core/core.go
+++ b/core/core.go
@@ -65,8 +65,7 @@
 	access        accessControl
 	restoreMarker restoreMarker
 
-	reservations     *reservations.Service
-	reservationState reservationState
+	reservations reservationState
 
 	overload    overload.State
 	maintenance maintenanceState
@@ -99,7 +98,6 @@
 		machineIndex: map[string]int32{},
 		jobIndex:     map[string]int32{},
 		teamIndex:    map[string]int{},
-		reservations: reservations.New(),
 		history:      newHistory(&cfg),
 	}
 	c.controllers.membership = membership.New(cfg.Peers, cfg.Cluster.PeerTimeout)
@@ -140,6 +138,13 @@
 		auditLog:    &c.auditLog,
 		schema:      &c.schema,
 	}
+	c.reservations = reservationState{
+		environment: c.environment,
+		service:     reservations.New(),
+		access:      &c.access,
+		auditLog:    &c.auditLog,
+		schema:      &c.schema,
+	}
 	c.cancelAcks.quorum = quorum.New(
 		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.Agents.CancelTimeout, AgentLeaseTTL: cfg.Agents.LeaseTTL},
 	)
--- a/core/environment.go
+++ b/core/environment.go
@@ -36,6 +36,9 @@
 // unixMS is the time of day in milliseconds since 1970, as of the last WallClock input.
 func (e *environment) unixMS() int64 { return e.unixOffsetMS + e.now.Milliseconds() }
 
+// unixSeconds is the time of day in seconds since 1970, as of the last WallClock input.
+func (e *environment) unixSeconds() int64 { return e.unixMS() / 1000 }
+
 // log emits a log line.
 func (e *environment) log(level LogLevel, text string, args ...any) {
 	e.emit(LogLine{Level: level, Message: text, Args: args})
--- a/core/replica.go
+++ b/core/replica.go
@@ -319,7 +319,7 @@
 	c.history.coldRecords, c.history.markerRevision = 0, 0
 	c.permissions = newPermissionState(c.environment)
 	c.history.archiveIndex.Clear()
-	c.reservations.Reset()
+	c.reservations.service.Reset()
 	c.setPriorityClasses(nil, 0)
 	c.archiving.sweep = nil
 	c.restoreMarker.revision = 0
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -45,8 +45,14 @@
 	reasonUndecided  = "it could not be decided in time"
 )
 
-// reservationState is the core's state beside the reservation service.
+// reservationState is the reservation service and the core's state beside it.
 type reservationState struct {
+	*environment
+	service  *reservations.Service
+	access   *accessControl
+	auditLog *auditState
+	schema   *schemaState
+
 	auditEntryIDs    []uint64 // audit entries in the transaction that is being built
 	enabledPublished bool     // last state sent to the request handlers
 	nextSeedAt       time.Duration
@@ -60,7 +66,7 @@
 
 // applyReservation applies a stored reservation key and the audit entries that it carries.
 func (c *Core) applyReservation(key string, raw json.RawMessage, revision uint64) error {
-	carried, err := c.reservations.ApplyPut(key, raw, revision)
+	carried, err := c.reservations.service.ApplyPut(key, raw, revision)
 	if key == reservations.KeyHead {
 		c.auditLog.current().ObserveEntries(key, revision, carried)
 	}
@@ -130,7 +136,7 @@
 // enqueueReservationRequest queues a request, or answers it if too many are queued.
 func (c *Core) enqueueReservationRequest(request *reservations.PendingRequest) {
 	request.Deadline = c.now + c.cfg.Scheduling.SubmitWriteTimeout
-	if !c.reservations.Enqueue(request) {
+	if !c.reservations.service.Enqueue(request) {
 		c.respondUnavailable(request.CallerData.(reservationCaller).requestID, reasonTooBusy)
 	}
 }
@@ -162,20 +168,20 @@
 // advanceReservations answers expired requests, then starts at most one transaction: a batch of
 // requests, or, on the leader with write budget to spare, compaction.
 func (c *Core) advanceReservations() {
-	c.publishReservationsEnabled()
-	for _, response := range c.reservations.TakeExpired(c.now) {
+	c.reservations.publishEnabled()
+	for _, response := range c.reservations.service.TakeExpired(c.now) {
 		c.respondToReservation(response)
 	}
 	if c.auditLog.isNotReady() || c.schema.active < schemaReservations || c.unixOffsetMS == 0 {
 		return
 	}
 	c.seedEquipment()
-	for _, id := range c.reservations.TakeBlocksToRead() {
+	for _, id := range c.reservations.service.TakeBlocksToRead() {
 		c.readPastReservation(id, func() {})
 	}
 	rateLimit := &c.transactions.rateLimit
 	// Requests may overdraw the write budget by a quarter of a second's writes: callers wait for them.
-	if c.reservations.HasWork(c.now, c.unixSeconds()) && !rateLimit.IsUrgentPaused(c.now) &&
+	if c.reservations.service.HasWork(c.now, c.unixSeconds()) && !rateLimit.IsUrgentPaused(c.now) &&
 		rateLimit.ReadTokens >= 1 &&
 		rateLimit.WriteTokens >= 1-c.schema.storeWriteRate()/4 {
 		c.commitReservations()
@@ -188,50 +194,47 @@
 	}
 }
 
-// publishReservationsEnabled tells the request handlers when reservations become possible or impossible.
-func (c *Core) publishReservationsEnabled() {
-	enabled := c.reservations.IsEnabled() && c.schema.active >= schemaReservations
-	if enabled != c.reservationState.enabledPublished {
-		c.reservationState.enabledPublished = enabled
-		c.emit(ReservationsEnabled{Enabled: enabled})
+// publishEnabled tells the request handlers when reservations become possible or impossible.
+func (r *reservationState) publishEnabled() {
+	enabled := r.service.IsEnabled() && r.schema.active >= schemaReservations
+	if enabled != r.enabledPublished {
+		r.enabledPublished = enabled
+		r.emit(ReservationsEnabled{Enabled: enabled})
 	}
 }
 
 // compactReservations archives past reservations or, if none are due, merges pages.
 func (c *Core) compactReservations() {
 	endedBefore := c.unixSeconds() - int64(c.cfg.Reservations.Retention/time.Second)
-	c.reservations.ForgetArchived(c.now, endedBefore)
+	c.reservations.service.ForgetArchived(c.now, endedBefore)
 	leaderCompares := []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}}
-	if txn := c.reservations.ArchiveTxn(leaderCompares, endedBefore, c.cfg.Store.MaxValueBytes); txn != nil {
+	if txn := c.reservations.service.ArchiveTxn(leaderCompares, endedBefore, c.cfg.Store.MaxValueBytes); txn != nil {
 		c.transactions.commit(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-			c.replica.afterReadBarrier(func(bool) { c.reservations.ArchiveDone(txn) })
+			c.replica.afterReadBarrier(func(bool) { c.reservations.service.ArchiveDone(txn) })
 		}})
 		return
 	}
-	if txn := c.reservations.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); txn != nil {
+	if txn := c.reservations.service.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); txn != nil {
 		c.transactions.commit(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-			c.replica.afterReadBarrier(func(bool) { c.reservations.MergeDone() }) // the barrier shows the outcome
+			c.replica.afterReadBarrier(func(bool) { c.reservations.service.MergeDone() }) // the barrier shows the outcome
 		}})
 	}
 }
 
-// unixSeconds returns the wall-clock time in seconds.
-func (c *Core) unixSeconds() int64 { return c.unixMS() / 1000 }
-
 // seedEquipment stores the configured equipment list if there is none.
 func (c *Core) seedEquipment() {
-	if c.cfg.Reservations.Equipment == nil || c.reservations.InventoryRevision() != 0 ||
+	if c.cfg.Reservations.Equipment == nil || c.reservations.service.InventoryRevision() != 0 ||
 		!c.isLeader() || !c.holdsLease() ||
-		c.now < c.reservationState.nextSeedAt ||
+		c.now < c.reservations.nextSeedAt ||
 		c.transactions.rateLimit.IsPaused(c.now) ||
 		c.transactions.rateLimit.WriteTokens < 1 {
 		return
 	}
-	c.reservationState.nextSeedAt = c.now + seedEquipmentInterval
+	c.reservations.nextSeedAt = c.now + seedEquipmentInterval
 	raw, err := reservations.EncodeInventory(c.cfg.Reservations.Equipment.Source())
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
 		c.log(LevelError, "equipment list does not fit a value", "bytes", len(raw))
-		c.reservationState.nextSeedAt = c.now + seedEquipmentRetryDelay
+		c.reservations.nextSeedAt = c.now + seedEquipmentRetryDelay
 		return
 	}
 	c.transactions.commit(
@@ -245,15 +248,15 @@
 
 // commitReservations decides a batch of queued requests and commits it.
 func (c *Core) commitReservations() {
-	state := &c.reservationState
-	txn := c.reservations.NextTxn(
+	state := &c.reservations
+	txn := c.reservations.service.NextTxn(
 		reservations.Env{
 			Now:           c.now,
 			UnixS:         c.unixSeconds(),
 			MaxValueBytes: c.cfg.Store.MaxValueBytes,
 			MaxCompares:   reservationComparesPerOp * c.cfg.Store.MaxTxnOps,
-			Authorize:     c.authorizeReservation,
-			AttachAudit:   c.attachReservationAudit,
+			Authorize:     c.reservations.authorize,
+			AttachAudit:   c.reservations.attachAudit,
 		},
 	)
 	if txn == nil {
@@ -271,15 +274,15 @@
 		if status == wire.StatusBadRequest && len(txn.Then) > 0 {
 			c.transactions.reduceLimits(txn)
 		}
-		c.reservations.InvalidateBlocks(reply.Failed)
-		responses, mustReadHead := c.reservations.HandleOutcome(status, reply.Revision)
+		c.reservations.service.InvalidateBlocks(reply.Failed)
+		responses, mustReadHead := c.reservations.service.HandleOutcome(status, reply.Revision)
 		for _, response := range responses {
 			c.respondToReservation(response)
 		}
 		if mustReadHead {
 			// Another controller committed first. Read at once: a later read would lose to it every time.
 			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
-			c.replica.afterReadBarrier(func(bool) { c.reservations.HeadRead() })
+			c.replica.afterReadBarrier(func(bool) { c.reservations.service.HeadRead() })
 		}
 	}})
 }
@@ -290,21 +293,21 @@
 	booking.VerbEnd: "end booking", booking.VerbSetInventory: "change equipment",
 }
 
-// authorizeReservation decides whether the caller of a request may perform it on reservations of the
+// authorize decides whether the caller of a request may perform it on reservations of the
 // team that use equipment of these kinds. It returns the compares under which the decision holds, and
 // the reason of a denial or "".
-func (c *Core) authorizeReservation(
+func (r *reservationState) authorize(
 	request *reservations.PendingRequest,
 	team string,
 	kinds []string,
 ) (compares []wire.Compare, denial string) {
 	caller := request.CallerData.(reservationCaller).caller
-	compares = c.access.compares(caller)
-	if !c.permissions.isInForce() {
+	compares = r.access.compares(caller)
+	if !r.access.permissions.isInForce() {
 		return compares, ""
 	}
 	if request.Request.Verb == booking.VerbSetInventory {
-		if decision := c.access.authorize(caller, access.Action{Verb: pb.Verb_equip}); !decision.Allowed {
+		if decision := r.access.authorize(caller, access.Action{Verb: pb.Verb_equip}); !decision.Allowed {
 			return compares, decision.Reason
 		}
 		return compares, ""
@@ -314,24 +317,23 @@
 	}
 	for _, kind := range kinds {
 		action := access.Action{Verb: pb.Verb_book, Team: team, Class: kind}
-		if decision := c.access.authorize(caller, action); !decision.Allowed {
+		if decision := r.access.authorize(caller, action); !decision.Allowed {
 			return compares, decision.Reason
 		}
 	}
 	return compares, ""
 }
 
-// attachReservationAudit returns the audit entries that the next head carries: those of old that are
+// attachAudit returns the audit entries that the next head carries: those of old that are
 // pending, and new ones of the granted requests and of reservations that changed otherwise. It replaces
 // the entries of the previous attempt to build the transaction.
-func (c *Core) attachReservationAudit(
+func (r *reservationState) attachAudit(
 	headRevision uint64,
 	old []audit.PendingEntry,
 	granted []*reservations.PendingRequest,
 	changed []*pb.Booking,
 ) []audit.PendingEntry {
-	state := &c.reservationState
-	c.auditLog.current().DiscardEntries(state.auditEntryIDs)
+	r.auditLog.current().DiscardEntries(r.auditEntryIDs)
 	requested := map[string]bool{}
 	var events []auditlog.Event
 	for _, request := range granted {
@@ -350,7 +352,7 @@
 		}
 	}
 	var list []audit.PendingEntry
-	list, state.auditEntryIDs = c.auditLog.current().AttachEntries(reservations.KeyHead, headRevision, old, events)
+	list, r.auditEntryIDs = r.auditLog.current().AttachEntries(reservations.KeyHead, headRevision, old, events)
 	return list
 }
 
@@ -392,25 +394,25 @@
 	}
 	out := wire.ReservationResponse{
 		Error:     response.Reason,
-		Free:      c.toWireFreeTimes(response.Alternatives),
-		Displaced: c.toWireReservations(response.Displaced),
+		Free:      c.reservations.toWireFreeTimes(response.Alternatives),
+		Displaced: c.reservations.toWireList(response.Displaced),
 	}
-	if response.Booking != nil && c.canReadReservation(caller.caller, response.Booking) {
-		out.Reservation = new(c.toWireReservation(response.Booking))
+	if response.Booking != nil && c.reservations.canRead(caller.caller, response.Booking) {
+		out.Reservation = new(c.reservations.toWire(response.Booking))
 	}
 	if request.Verb == booking.VerbSetInventory {
-		out.Version = c.reservations.InventoryRevision()
+		out.Version = c.reservations.service.InventoryRevision()
 	}
 	c.respond(caller.requestID, status, out)
 }
 
-// canReadReservation reports whether the caller may read a reservation of its team and kind of equipment.
-func (c *Core) canReadReservation(caller Credential, reservation *pb.Booking) bool {
-	if !c.permissions.isInForce() {
+// canRead reports whether the caller may read a reservation of its team and kind of equipment.
+func (r *reservationState) canRead(caller Credential, reservation *pb.Booking) bool {
+	if !r.access.permissions.isInForce() {
 		return true
 	}
 	kind := ""
-	if inventory := c.reservations.Inventory(); inventory != nil {
+	if inventory := r.service.Inventory(); inventory != nil {
 		switch {
 		case len(reservation.Slots) > 0:
 			kind = inventory.ItemKind(reservation.Slots[0].Piece)
@@ -418,12 +420,12 @@
 			kind = inventory.WantKind(reservation.Wants[0])
 		}
 	}
-	return c.access.authorize(caller, access.Action{Verb: pb.Verb_read, Team: reservation.Team, Class: kind}).Allowed
+	return r.access.authorize(caller, access.Action{Verb: pb.Verb_read, Team: reservation.Team, Class: kind}).Allowed
 }
 
-// toWireReservation returns a reservation as it is answered, with times in the site's time zone.
-func (c *Core) toWireReservation(reservation *pb.Booking) wire.Reservation {
-	inventory := c.reservations.Inventory()
+// toWire returns a reservation as it is answered, with times in the site's time zone.
+func (r *reservationState) toWire(reservation *pb.Booking) wire.Reservation {
+	inventory := r.service.Inventory()
 	formatTime := func(unixS int64) string {
 		if unixS == 0 || inventory == nil {
 			return ""
@@ -462,7 +464,7 @@
 		)
 	}
 	if reservation.State == pb.BookingState_waiting {
-		c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
+		r.service.ViewCommitted(func(schedule *booking.Schedule) {
 			for i, waiting := range schedule.Waitlist() {
 				if waiting.Id == reservation.Id {
 					out.WaitlistPosition = i + 1
@@ -473,23 +475,23 @@
 	return out
 }
 
-// toWireReservations returns reservations as they are answered.
-func (c *Core) toWireReservations(list []*pb.Booking) (out []wire.Reservation) {
+// toWireList returns reservations as they are answered.
+func (r *reservationState) toWireList(list []*pb.Booking) (out []wire.Reservation) {
 	for _, reservation := range list {
-		out = append(out, c.toWireReservation(reservation))
+		out = append(out, r.toWire(reservation))
 	}
 	return out
 }
 
 // toWireFreeTimes returns free intervals as they are answered.
-func (c *Core) toWireFreeTimes(list []booking.FreeSlot) (out []wire.FreeInterval) {
+func (r *reservationState) toWireFreeTimes(list []booking.FreeSlot) (out []wire.FreeInterval) {
 	for _, free := range list {
 		out = append(
 			out,
 			wire.FreeInterval{
 				Equipment: free.Piece,
-				From:      c.reservations.Inventory().FormatTime(free.From),
-				To:        c.reservations.Inventory().FormatTime(free.To),
+				From:      r.service.Inventory().FormatTime(free.From),
+				To:        r.service.Inventory().FormatTime(free.To),
 			},
 		)
 	}
@@ -504,21 +506,21 @@
 		return
 	}
 	c.replica.afterReadBarrier(func(ok bool) {
-		if !ok || !c.reservations.IsEnabled() {
+		if !ok || !c.reservations.service.IsEnabled() {
 			c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 			return
 		}
 		respond := func() {
-			if !c.loadPastReservation(query.ID) {
+			if !c.reservations.loadPast(query.ID) {
 				c.respondUnavailable(in.RequestID, reasonHistoryUnreadable)
 				return
 			}
-			c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
-				status, out := c.queryReservations(in.Caller, schedule, &query)
+			c.reservations.service.ViewCommitted(func(schedule *booking.Schedule) {
+				status, out := c.reservations.query(in.Caller, schedule, &query)
 				c.respond(in.RequestID, status, out)
 			})
 		}
-		if !c.loadPastReservation(query.ID) {
+		if !c.reservations.loadPast(query.ID) {
 			c.readPastReservation(query.ID, respond)
 			return
 		}
@@ -531,11 +533,11 @@
 	if in.Query.ID == "" || !c.replica.loaded || c.access.isNotServing() || c.permissions.isInForce() {
 		return false
 	}
-	c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
+	c.reservations.service.ViewCommitted(func(schedule *booking.Schedule) {
 		reservation := schedule.Get(in.Query.ID)
 		if reservation != nil && reservation.State == pb.BookingState_ended {
 			responded = true
-			out := wire.ReservationResponse{Reservation: new(c.toWireReservation(reservation))}
+			out := wire.ReservationResponse{Reservation: new(c.reservations.toWire(reservation))}
 			c.respond(in.RequestID, wire.StatusOK, out)
 		}
 	})
@@ -549,7 +551,7 @@
 		if len(result.Items) > 0 {
 			block = &result.Items[0]
 		}
-		err := c.reservations.HandleBlock(id, block, result.Revision, result.Status == wire.StatusOK)
+		err := c.reservations.service.HandleBlock(id, block, result.Revision, result.Status == wire.StatusOK)
 		if err != nil {
 			c.log(LevelError, "can't read past reservations", "id", id, "err", err.Error())
 		}
@@ -557,37 +559,37 @@
 	})
 }
 
-// loadPastReservation adds a past reservation to the schedule. It reports false if its block must be
+// loadPast adds a past reservation to the schedule. It reports false if its block must be
 // read first.
-func (c *Core) loadPastReservation(id string) bool {
+func (r *reservationState) loadPast(id string) bool {
 	known := true
-	c.reservations.ViewCommitted(func(schedule *booking.Schedule) {
+	r.service.ViewCommitted(func(schedule *booking.Schedule) {
 		if id == "" || schedule.Get(id) != nil {
 			return
 		}
 		var reservation *pb.Booking
-		if reservation, known = c.reservations.FindArchived(id); reservation != nil {
+		if reservation, known = r.service.FindArchived(id); reservation != nil {
 			schedule.Put(reservation)
 		}
 	})
 	return known
 }
 
-// queryReservations answers a query from the schedule: one reservation, those of a day, the waitlist,
+// query answers a query from the schedule: one reservation, those of a day, the waitlist,
 // free times, or else the equipment list.
-func (c *Core) queryReservations(
+func (r *reservationState) query(
 	caller Credential,
 	schedule *booking.Schedule,
 	query *wire.ReservationQuery,
 ) (wire.Status, wire.ReservationResponse) {
-	inventory := c.reservations.Inventory()
+	inventory := r.service.Inventory()
 	switch {
 	case query.ID != "":
 		reservation := schedule.Get(query.ID)
-		if reservation == nil || !c.canReadReservation(caller, reservation) {
+		if reservation == nil || !r.canRead(caller, reservation) {
 			return wire.StatusNotFound, wire.ReservationResponse{Error: "there is no booking " + query.ID}
 		}
-		return wire.StatusOK, wire.ReservationResponse{Reservation: new(c.toWireReservation(reservation))}
+		return wire.StatusOK, wire.ReservationResponse{Reservation: new(r.toWire(reservation))}
 	case query.Day != "":
 		from, to, err := inventory.ParseDay(query.Day)
 		if err != nil {
@@ -597,31 +599,31 @@
 		if !ok {
 			return wire.StatusNotFound, wire.ReservationResponse{Error: "there is no " + query.Equipment}
 		}
-		return wire.StatusOK, c.readableReservations(caller, list)
+		return wire.StatusOK, r.readable(caller, list)
 	case query.Waiting:
-		return wire.StatusOK, c.readableReservations(caller, schedule.Waitlist())
+		return wire.StatusOK, r.readable(caller, schedule.Waitlist())
 	case query.FreeSlots:
-		free, err := c.findFreeTimes(inventory, schedule, query)
+		free, err := r.findFreeTimes(inventory, schedule, query)
 		if err != nil {
 			return wire.StatusBadRequest, wire.ReservationResponse{Error: err.Error()}
 		}
-		return wire.StatusOK, wire.ReservationResponse{Free: c.toWireFreeTimes(free)}
+		return wire.StatusOK, wire.ReservationResponse{Free: r.toWireFreeTimes(free)}
 	}
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(inventory.Source())
 	if err != nil {
 		return wire.StatusInternalError, wire.ReservationResponse{Error: err.Error()}
 	}
-	return wire.StatusOK, wire.ReservationResponse{Equipment: string(text), Version: c.reservations.InventoryRevision()}
+	return wire.StatusOK, wire.ReservationResponse{Equipment: string(text), Version: r.service.InventoryRevision()}
 }
 
 // findFreeTimes returns the next free times that match a query, none in the past.
-func (c *Core) findFreeTimes(
+func (r *reservationState) findFreeTimes(
 	inventory *booking.Inventory,
 	schedule *booking.Schedule,
 	query *wire.ReservationQuery,
 ) ([]booking.FreeSlot, error) {
 	want := &pb.Want{Piece: query.Equipment, Kind: query.Kind, Zone: query.Zone, Slots: max(1, query.Slots)}
-	from, until := c.unixSeconds(), int64(0)
+	from, until := r.unixSeconds(), int64(0)
 	var err error
 	if query.From != "" {
 		if from, err = inventory.ParseTime(query.From); err != nil {
@@ -633,17 +635,17 @@
 			return nil, err
 		}
 	}
-	from = max(from, c.unixSeconds())
+	from = max(from, r.unixSeconds())
 	limit := min(max(1, query.Limit), maxFreeTimesListed)
 	return inventory.NextFree(schedule, "", query.Team, want, from, until, limit), nil
 }
 
-// readableReservations returns the reservations that the caller may read, up to the limit of an answer.
-func (c *Core) readableReservations(caller Credential, list []*pb.Booking) wire.ReservationResponse {
+// readable returns the reservations that the caller may read, up to the limit of an answer.
+func (r *reservationState) readable(caller Credential, list []*pb.Booking) wire.ReservationResponse {
 	var out []wire.Reservation
 	for _, reservation := range list {
-		if c.canReadReservation(caller, reservation) && len(out) < maxReservationsListed {
-			out = append(out, c.toWireReservation(reservation))
+		if r.canRead(caller, reservation) && len(out) < maxReservationsListed {
+			out = append(out, r.toWire(reservation))
 		}
 	}
 	return wire.ReservationResponse{Reservations: out}
