--- a/core/catalog.go
+++ b/core/catalog.go
@@ -81,7 +81,9 @@
 		Compare: []wire.Compare{{Key: keyMachineTypes, Revision: c.autoscaler.storedRevision}},
 		Then:    []wire.Write{{Put: keyMachineTypes, Value: raw}},
 	}
-	c.transactions.commit(txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.autoscaler.storeInFlight = false }})
+	c.transactions.commit(txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
+		c.autoscaler.storeInFlight = false
+	}})
 }
 
 // isSameMachineType reports whether two machine types agree in what makes the leader store the catalog
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -382,7 +382,9 @@
 // transaction and the rate limit allow, or the roles once all identities exist. It reports false if a
 // message can't be stored.
 func (c *Core) permissionSeedTxn(seed *pb.Access) (wire.Txn, bool) {
-	txn := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyRoles}}}
+	txn := wire.Txn{
+		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyRoles}},
+	}
 	for _, identity := range seed.Identities {
 		if _, exists := c.permissions.identities[identity.Name]; exists || len(txn.Then) >= c.maxSeedWrites() {
 			continue
--- a/core/replica.go
+++ b/core/replica.go
@@ -215,8 +215,7 @@
 		c.applyWatchEvents(in.Changes)
 		c.cancelAcks.quorum.ConfirmRead(sentAt)
 	case wire.StatusGone: // the store no longer has these changes: load a snapshot
-		c.replica.loaded, c.replica.lastPageKey = false, ""
-		c.replica.nextPageAt = c.now
+		c.replica.restartSnapshot()
 	}
 	if !in.LongPoll {
 		c.replica.callBarrierWaiters(in.Status == wire.StatusOK)
@@ -277,10 +276,7 @@
 func (c *Core) handleSnapshotPage(in SnapshotPage) {
 	c.replica.pageInFlight = false
 	if !in.OK {
-		if in.Status != wire.StatusTooManyRequests {
-			c.storeHealth.lastFailureAt = c.now
-		}
-		c.replica.nextPageAt = c.now + pageRetryDelay + c.jitter(pageRetryJitter)
+		c.replica.retryPage(in.Status)
 		return
 	}
 	c.storeHealth.recordStatus(wire.StatusOK)
@@ -294,16 +290,33 @@
 	c.replica.pagesRead++
 	c.evictUnreferencedJobs()
 	if in.More && len(in.Items) > 0 {
-		if c.replica.pagesRead >= fastSnapshotPages {
-			c.replica.nextPageAt = c.now + time.Duration(
-				float64(time.Second)/(snapshotRequestShare*c.cfg.Store.RequestRate),
-			)
-		}
+		c.replica.paceNextPage()
 		return
 	}
 	c.finishSnapshot(in.Revision)
 }
 
+// restartSnapshot makes the replica load a snapshot from its first page.
+func (r *storeReplica) restartSnapshot() {
+	r.loaded, r.lastPageKey = false, ""
+	r.nextPageAt = r.now
+}
+
+// retryPage delays the next request of a page that failed.
+func (r *storeReplica) retryPage(status wire.Status) {
+	if status != wire.StatusTooManyRequests {
+		r.health.lastFailureAt = r.now
+	}
+	r.nextPageAt = r.now + pageRetryDelay + r.jitter(pageRetryJitter)
+}
+
+// paceNextPage delays the request of the next page once the pages that need no pause are read.
+func (r *storeReplica) paceNextPage() {
+	if r.pagesRead >= fastSnapshotPages {
+		r.nextPageAt = r.now + time.Duration(float64(time.Second)/(snapshotRequestShare*r.cfg.Store.RequestRate))
+	}
+}
+
 // beginSnapshot forgets all state of keys that may have been deleted since the replica was current.
 // Jobs stay: finishSnapshot finds those that are no longer in the store.
 func (c *Core) beginSnapshot(revision uint64) {
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -216,7 +216,8 @@
 	}
 	if txn := c.reservations.service.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); txn != nil {
 		c.transactions.commit(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-			c.replica.afterReadBarrier(func(bool) { c.reservations.service.MergeDone() }) // the barrier shows the outcome
+			// The barrier shows the outcome.
+			c.replica.afterReadBarrier(func(bool) { c.reservations.service.MergeDone() })
 		}})
 	}
 }
