--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -125,7 +125,8 @@
 	if early := findTxnWriting(c.Advance(1250*time.Millisecond), keyJob+"wk-1"); early != nil {
 		t.Fatalf("cancelled beside a write of its slot: %+v", early.Txn)
 	}
-	c.Handle(1300*time.Millisecond, TxnResult{ID: loss.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: 60}})
+	committed := wire.TxnResponse{Revision: 60}
+	c.Handle(1300*time.Millisecond, TxnResult{ID: loss.ID, Status: wire.StatusOK, Reply: committed})
 	cancellation := findTxnWriting(c.Advance(1350*time.Millisecond), keyJob+"wk-1")
 	if cancellation == nil || !slices.Contains(cancellation.Txn.Compare, wire.Compare{Key: slot, Revision: 60}) ||
 		!slices.Contains(cancellation.Txn.Compare, wire.Compare{Key: keyJob + "wk-1", Revision: 10}) {
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -278,7 +278,8 @@
 						wire.WatchEvent{Put: write.Put, Delete: write.Delete, Value: write.Value, Revision: revision},
 					)
 				}
-				c.Handle(now, TxnResult{ID: output.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: revision}})
+				committed := wire.TxnResponse{Revision: revision}
+				c.Handle(now, TxnResult{ID: output.ID, Status: wire.StatusOK, Reply: committed})
 				c.Handle(now, WatchResult{
 					LongPoll: true,
 					Status:   wire.StatusOK,
