--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -59,7 +59,7 @@
 func (c *Core) canArchive() bool {
 	limiter := &c.transactions.rateLimit
 	return c.overload.Level() == overload.Normal &&
-		c.cfg.History.Archive && c.schemaVersion() >= schemaArchive &&
+		c.cfg.History.Archive && c.schema.active >= schemaArchive &&
 		c.leadership.isHeld() && c.ownLease.isHeld() &&
 		c.now >= c.schema.activeSince+c.cfg.History.ArchiveStartDelay &&
 		!limiter.IsPaused(c.now) && c.pendingSubmissions == 0 && len(c.transactions.inFlight) == 0 &&
@@ -132,7 +132,7 @@
 func (c *Core) archivableRecord(sweep *archiveSweep, item wire.KeyValue) (endedRecord, bool) {
 	record, err := jobrecord.Decode(item.Value)
 	if err != nil || record.Spec != nil || record.Stage == jobrecord.Queued ||
-		item.Revision > sweep.maxRevision || !c.currentAuditLog().AllRecorded(record.PendingAudit) {
+		item.Revision > sweep.maxRevision || !c.auditLog.current().AllRecorded(record.PendingAudit) {
 		return endedRecord{}, false
 	}
 	id := strings.TrimPrefix(item.Key, keyJob)
@@ -195,7 +195,7 @@
 	}
 	move.buildTxn(revision)
 	sweep.inFlight = true
-	c.commitTxn(move.txn, &pendingTxn{onDone: move.handleResult})
+	c.transactions.commit(move.txn, &pendingTxn{onDone: move.handleResult})
 }
 
 // pendingFor is the first of the pending records that go to a block; nil: the block is corrupt, and the
@@ -218,7 +218,7 @@
 		entries = append(entries, record.Entry)
 	}
 	// At most half a second's writes.
-	maxWrites := max(2, min(c.cfg.Store.MaxTxnOps, int(c.storeWriteRate()/2)))
+	maxWrites := max(2, min(c.cfg.Store.MaxTxnOps, int(c.schema.storeWriteRate()/2)))
 	return block.PlanMerge(entries, c.cfg.Store.MaxValueBytes, maxWrites)
 }
 
@@ -258,7 +258,7 @@
 		// Conflict, refusal or unknown outcome. With the last it may still be executed, which changes
 		// nothing that a repetition would not.
 		if status == wire.StatusBadRequest {
-			m.core.reduceTxnLimits(&m.txn)
+			m.core.transactions.reduceLimits(&m.txn)
 		}
 		for _, block := range m.blocks {
 			index.Invalidate(archive.BlockKey(block.High))
@@ -270,10 +270,10 @@
 // writeHistoryMarker writes keyHistory, ahead of the first move.
 func (c *Core) writeHistoryMarker(sweep *archiveSweep) {
 	sweep.inFlight = true
-	c.commitTxn(wire.Txn{
+	c.transactions.commit(wire.Txn{
 		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyHistory}},
 		Then:    []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}},
 	}, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-		c.afterReadBarrier(func(bool) { sweep.inFlight = false }) // the replica shows the outcome then
+		c.replica.afterReadBarrier(func(bool) { sweep.inFlight = false }) // the replica shows the outcome then
 	}})
 }
--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -18,8 +18,8 @@
 	for _, name := range []string{"n0", "n1", "n2"} {
 		c.applyPut(keySchemaVersion+name, json.RawMessage("5"), 8)
 	}
-	if c.schemaVersion() != schemaSharedValues {
-		t.Fatalf("schema version %d, want %d", c.schemaVersion(), schemaSharedValues)
+	if c.schema.active != schemaSharedValues {
+		t.Fatalf("schema version %d, want %d", c.schema.active, schemaSharedValues)
 	}
 	return c
 }
@@ -58,7 +58,7 @@
 	for _, first := range []string{"record", "slot"} {
 		c := newCoreWithSharedValues(t)
 		placedOn := func() string { return c.machines[c.internJob("wk-1").assignments[0].Machine].name }
-		slot := slotKey(c.slotNumber("wk-1", &jobrecord.Record{Spec: &wire.JobSpec{Service: true}}))
+		slot := slotKey(slotNumber("wk-1", &jobrecord.Record{Spec: &wire.JobSpec{Service: true}}))
 		value := encodeSlotValue(t, batchvalue.Entries{"wk-1": recordPlacedOn(t, c, 3, "m-2", false)})
 		if first == "slot" {
 			c.applyPut(slot, value, 20)
@@ -112,7 +112,7 @@
 func TestSharedWritesExcludeEachOther(t *testing.T) {
 	c := newCoreWithSharedValues(t)
 	c.applyPut(keyJob+"wk-1", recordPlacedOn(t, c, 1, "m-1", true), 10)
-	slot := slotKey(c.slotNumber("wk-1", c.internJob("wk-1").record))
+	slot := slotKey(slotNumber("wk-1", c.internJob("wk-1").record))
 	c.Handle(time.Second, AgentPolled{Machine: "m-1", Heartbeat: testHeartbeat(1)})
 	c.markMachineGone(c.internMachine("m-1")) // a replica is lost: its record changes
 	loss := findTxnWriting(c.Advance(1100*time.Millisecond), slot)
@@ -125,7 +125,8 @@
 	if early := findTxnWriting(c.Advance(1250*time.Millisecond), keyJob+"wk-1"); early != nil {
 		t.Fatalf("cancelled beside a write of its slot: %+v", early.Txn)
 	}
-	c.Handle(1300*time.Millisecond, TxnResult{ID: loss.ID, Status: wire.StatusOK, Reply: wire.TxnResponse{Revision: 60}})
+	committed := wire.TxnResponse{Revision: 60}
+	c.Handle(1300*time.Millisecond, TxnResult{ID: loss.ID, Status: wire.StatusOK, Reply: committed})
 	cancellation := findTxnWriting(c.Advance(1350*time.Millisecond), keyJob+"wk-1")
 	if cancellation == nil || !slices.Contains(cancellation.Txn.Compare, wire.Compare{Key: slot, Revision: 60}) ||
 		!slices.Contains(cancellation.Txn.Compare, wire.Compare{Key: keyJob + "wk-1", Revision: 10}) {
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -98,7 +98,7 @@
 // cancellations may be acknowledged by now.
 func (c *Core) advanceCancelAcks() {
 	if c.cancelAcks.beginRead() {
-		c.afterReadBarrier(func(bool) {}) // the read itself is what counts
+		c.replica.afterReadBarrier(func(bool) {}) // the read itself is what counts
 	}
 	if query := c.cancelAcks.beginQuery(); query != nil {
 		c.controllers.sendToPeers("", Message{QuorumRead: query})
@@ -116,7 +116,7 @@
 			)
 			return true
 		}
-		if c.schemaVersion() >= schemaCancelQuorum && c.now >= ack.job.ack.nextBroadcastAt {
+		if c.schema.active >= schemaCancelQuorum && c.now >= ack.job.ack.nextBroadcastAt {
 			ack.job.ack.nextBroadcastAt = c.now + cancelResendInterval
 			unacknowledged = append(unacknowledged, ack.job)
 		}
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -74,7 +74,7 @@
 		return
 	}
 	maxBytes := c.cfg.Store.MaxValueBytes
-	raw, err := jobrecord.EncodeCatalog(catalog, maxBytes, c.schemaVersion() >= schemaDependencies)
+	raw, err := jobrecord.EncodeCatalog(catalog, maxBytes, c.schema.active >= schemaDependencies)
 	if err != nil || len(raw) > maxBytes {
 		return // it is tried again with the next read
 	}
@@ -83,7 +83,9 @@
 		Compare: []wire.Compare{{Key: keyMachineTypes, Revision: c.autoscaler.storedRevision}},
 		Then:    []wire.Write{{Put: keyMachineTypes, Value: raw}},
 	}
-	c.commitTxn(txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.autoscaler.storeInFlight = false }})
+	c.transactions.commit(txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
+		c.autoscaler.storeInFlight = false
+	}})
 }
 
 // isSameMachineType reports whether two machine types agree in what makes the leader store the catalog
--- a/core/core.go
+++ b/core/core.go
@@ -2,8 +2,6 @@
 
 import (
 	"dewlift/audit"
-	"dewlift/core/auditlog"
-	"dewlift/core/batchvalue"
 	"dewlift/core/membership"
 	"dewlift/core/quorum"
 	"dewlift/core/ratelimit"
@@ -59,12 +57,12 @@
 	// What outlives jobs.
 	history       history
 	archiving     archivingState
-	auditLog      *auditlog.Recorder
+	auditLog      auditState
 	permissions   permissionState
+	access        accessControl
 	restoreMarker restoreMarker
 
-	reservations     *reservations.Service
-	reservationState reservationState
+	reservations reservationState
 
 	overload    overload.State
 	maintenance maintenanceState
@@ -93,58 +91,111 @@
 // New returns a core that starts at a time. The same seed and inputs always give the same outputs.
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
-		environment:  newEnvironment(cfg, now, seed),
-		teams:        newTeamSet(cfg.Teams),
-		reservations: reservations.New(),
-		permissions:  permissionState{identities: map[string]storedIdentity{}},
+		environment: newEnvironment(cfg, now, seed),
+		teams:       newTeamSet(cfg.Teams),
 	}
+	c.machineTable = machineTable{environment: c.environment, machineIndex: map[string]int32{}}
+	c.jobTable = jobTable{environment: c.environment, jobIndex: map[string]int32{}}
+	c.maintenance.environment = c.environment
+	c.initControllers()
+	c.initStore()
+	c.initAgents()
+	c.initScheduling()
+	c.initAccess()
+	c.updateRateLimit()
+	c.transactions.rateLimit.FillBurst()
+	return c
+}
+
+// initControllers sets up what concerns leases, leadership, shards and the other controllers.
+func (c *Core) initControllers() {
 	c.ownLease.environment = c.environment
 	c.leadership.environment, c.leadership.lease = c.environment, &c.ownLease
 	c.ownership.environment, c.ownership.lease = c.environment, &c.ownLease
+	c.ownership.shards = make([]leasedKey, c.cfg.Shards)
 	c.controllers.environment = c.environment
-	c.agents.environment, c.agents.controllers = c.environment, &c.controllers
-	c.commands.environment, c.commands.agents, c.commands.controllers = c.environment, &c.agents, &c.controllers
-	c.replica.batchValues = map[int]*batchvalue.Slot{}
-	c.controllers.membership = membership.New(cfg.Peers, cfg.Cluster.PeerTimeout)
+	c.controllers.membership = membership.New(c.cfg.Peers, c.cfg.Cluster.PeerTimeout)
 	c.controllers.nodeKeys = map[string]leasedKey{}
-	c.ownership.shards = make([]leasedKey, cfg.Shards)
-	c.schema.declared = map[string]int{}
+}
+
+// initStore sets up the replica of the store, and what reads and writes it.
+func (c *Core) initStore() {
+	c.storeHealth.environment = c.environment
+	c.transactions.environment, c.transactions.stats = c.environment, &c.Stats
 	c.transactions.inFlight = map[uint64]*pendingTxn{}
-	c.transactions.rateLimit = ratelimit.New(now)
+	c.transactions.rateLimit = ratelimit.New(c.now)
+	c.transactions.endBatchDelay = c.cfg.Scheduling.MinEndBatchDelay
+	c.replica = storeReplica{
+		environment: c.environment,
+		health:      &c.storeHealth,
+		rateLimit:   &c.transactions.rateLimit,
+		members:     c.controllers.membership,
+		slots:       slotTable{},
+	}
+	c.schema = schemaState{environment: c.environment, declared: map[string]int{}}
 	c.reads = newRangeReads(c.environment, &c.transactions.rateLimit)
 	c.history = newHistory(c.environment, &c.reads)
-	c.transactions.endBatchDelay = cfg.Scheduling.MinEndBatchDelay
+}
+
+// initAgents sets up what is known of agents and machines, the commands to them, and the calls to the cloud.
+func (c *Core) initAgents() {
+	c.agents.environment, c.agents.controllers = c.environment, &c.controllers
 	c.agents.zones = map[string]*zoneLiveness{}
 	c.agents.missingHeartbeats = map[string][]string{}
+	c.commands.environment, c.commands.agents, c.commands.controllers = c.environment, &c.agents, &c.controllers
 	c.commands.inFlight = map[uint64]inFlightCommands{}
 	c.commands.relayed = map[uint64]relayedCommands{}
 	c.autoscaler.environment = c.environment
 	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
-	c.machineTable = machineTable{environment: c.environment, machineIndex: map[string]int32{}}
-	c.jobTable = jobTable{environment: c.environment, jobIndex: map[string]int32{}}
+}
+
+// initScheduling sets up the order of work, the copy of the cluster state, and cancellations.
+func (c *Core) initScheduling() {
+	c.priority.environment = c.environment
+	c.priority.classes = priorityclass.Default(c.cfg.Scheduling.PriorityAgingInterval)
 	c.dependencies = dependencyGraph{environment: c.environment, jobs: &c.jobTable, priority: &c.priority}
+	c.placement.environment, c.placement.rateLimit = c.environment, &c.transactions.rateLimit
 	c.clusterCopy.environment = c.environment
-	c.placement.environment = c.environment
-	c.placement.rateLimit = &c.transactions.rateLimit
-	c.priority.environment = c.environment
+	c.clusterCopy.state.MaxAge = c.cfg.State.CopyExpiry
 	c.deltaLog.environment, c.deltaLog.machines = c.environment, &c.machineTable
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
-	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
-	c.auditLog = c.newAuditLog()
 	c.cancelAcks = cancelAcks{environment: c.environment, jobs: &c.jobTable, replica: &c.replica, schema: &c.schema}
-	c.cancelAcks.quorum = quorum.New(
-		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.Agents.CancelTimeout, AgentLeaseTTL: cfg.Agents.LeaseTTL},
-	)
-	c.clusterCopy.state.MaxAge = cfg.State.CopyExpiry
-	c.updateRateLimit()
-	c.transactions.rateLimit.FillBurst()
-	return c
+	c.cancelAcks.quorum = quorum.New(quorum.Config{
+		Peers:          c.cfg.Peers,
+		CancelDeadline: c.cfg.Agents.CancelTimeout,
+		AgentLeaseTTL:  c.cfg.Agents.LeaseTTL,
+	})
+}
+
+// initAccess sets up permissions, the audit log and reservations.
+func (c *Core) initAccess() {
+	c.permissions = newPermissionState(c.environment)
+	c.auditLog = auditState{
+		environment: c.environment,
+		schema:      &c.schema,
+		permissions: &c.permissions,
+		stats:       &c.Stats,
+		recorder:    newAuditLog(c.environment),
+	}
+	c.access = accessControl{
+		environment: c.environment,
+		permissions: &c.permissions,
+		auditLog:    &c.auditLog,
+		schema:      &c.schema,
+	}
+	c.reservations = reservationState{
+		environment: c.environment,
+		service:     reservations.New(),
+		access:      &c.access,
+		auditLog:    &c.auditLog,
+		schema:      &c.schema,
+	}
 }
 
 // Healthy reports whether this controller can serve users: it has a replica of the store and a
 // catalog, and either holds its lease or all controllers have lost the store.
 func (c *Core) Healthy() bool {
-	return c.replica.loaded && !c.isNotServing() && c.autoscaler.catalog != nil &&
+	return c.replica.loaded && !c.access.isNotServing() && c.autoscaler.catalog != nil &&
 		(c.ownLease.isHeld() || c.isStoreOutage())
 }
 
@@ -225,7 +276,7 @@
 // handleRequestsDenied records requests that the API denied before they reached the core.
 func (c *Core) handleRequestsDenied(in RequestsDenied) {
 	for _, denied := range in.Items {
-		c.currentAuditLog().RecordRefusal(audit.GatheredEvent{
+		c.auditLog.current().RecordRefusal(audit.GatheredEvent{
 			Identity: denied.Who,
 			Verb:     denied.Verb,
 			Object:   denied.Object,
@@ -249,7 +300,7 @@
 	c.now = max(c.now, now)
 	c.stalls.advance(c.now)
 	c.transactions.rateLimit.Refill(c.now, c.cfg.Store.MaxTxnOps)
-	c.syncReplica()
+	c.replica.sync()
 	if c.mayKeepLease() {
 		c.ownLease.maintain()
 	}
@@ -261,7 +312,7 @@
 		c.declareSchemaVersion()
 		c.advanceAuditLog()
 		c.seedPermissions()
-		c.publishPolicy()
+		c.permissions.publishPolicy()
 		c.scheduleJobs()
 		c.advanceReservations()
 		c.advancePriorityClasses()
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -42,11 +42,11 @@
 // token than this controller is answered after a read barrier only.
 func (c *Core) handleHeartbeat(in AgentHeartbeat) {
 	if !c.replica.loaded {
-		c.respondUnavailable(in.RequestID, "not caught up")
+		c.respondUnavailable(in.RequestID, reasonNotLoaded)
 		return
 	}
-	if c.permissionsInForce() && c.currentPolicy().AgentsMustSign() {
-		if decision := c.authorize(in.Caller, access.Action{Verb: pb.Verb_report}); !decision.Allowed {
+	if c.permissions.isInForce() && c.permissions.currentPolicy().AgentsMustSign() {
+		if decision := c.access.authorize(in.Caller, access.Action{Verb: pb.Verb_report}); !decision.Allowed {
 			c.respondForbidden(in.RequestID, in.Caller, "report", in.Heartbeat.Machine, decision.Reason)
 			return
 		}
@@ -57,11 +57,11 @@
 		return
 	}
 	// The controller that issued the higher token knows of later changes than this replica shows.
-	if c.storeUnreachable() {
+	if c.replica.isStoreUnreachable() {
 		c.respondUnavailable(in.RequestID, "token not current")
 		return
 	}
-	c.afterReadBarrier(func(bool) { c.respondToHeartbeat(in) })
+	c.replica.afterReadBarrier(func(bool) { c.respondToHeartbeat(in) })
 }
 
 // respondToHeartbeat renews the agent's lease, with the commands to stop cancelled tasks, unless this controller
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -219,7 +219,7 @@
 	h.lastMoveRevision = max(h.lastMoveRevision, revision)
 	h.archiveIndex.InvalidateOlder(id, revision)
 	// The audit entries that the record carried were in audit blocks before it moved.
-	c.currentAuditLog().ResolveUnknown(keyJob+id, revision)
+	c.auditLog.current().ResolveUnknown(keyJob+id, revision)
 	i, ok := c.jobIndex[id]
 	if !ok || c.jobs[i].revision == 0 {
 		if revision > h.snapshotRevision {
@@ -328,7 +328,7 @@
 	if lookup == nil {
 		// Lookups that would time out in the queue are refused at once.
 		maxQueued := max(minQueuedLookups, int(h.lookupReadRate()*lookupTimeout.Seconds()))
-		if len(h.lookupQueue) >= maxQueued || c.storeUnreachable() {
+		if len(h.lookupQueue) >= maxQueued || c.replica.isStoreUnreachable() {
 			callback(false)
 			return
 		}
@@ -434,7 +434,7 @@
 		c.reads.readKey(keyJob+lookup.jobID, func(in RangeResult) { c.handleRecordRead(lookup, &in) })
 	case h.markerRevision == 0: // the watch does not show yet that the record moved, or that there is an archive
 		h.endRead(lookup)
-		c.afterReadBarrier(func(bool) {})
+		c.replica.afterReadBarrier(func(bool) {})
 	default:
 		c.Stats.BlockReads++
 		h.readArchiveBlock(lookup.jobID, func(ok bool) { c.handleBlockRead(lookup, ok) })
@@ -464,7 +464,7 @@
 		// The watch will show it, and it was never counted as cold. When it was counted out here, one
 		// cold job too few was left, and another that had been evicted was denied.
 		lookup.readInFlight = true
-		c.afterReadBarrier(func(bool) {
+		c.replica.afterReadBarrier(func(bool) {
 			lookup.readInFlight = false
 			if !lookup.completed {
 				c.tryCompleteLookup(lookup)
@@ -515,7 +515,7 @@
 	if in.Status == wire.StatusTooManyRequests {
 		c.reads.pauseNonUrgent()
 	} else {
-		c.recordStoreStatus(in.Status)
+		c.storeHealth.recordStatus(in.Status)
 	}
 	if callback != nil {
 		callback(in)
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -51,8 +51,8 @@
 			{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(c.leadership.fencingToken + 1))},
 		},
 	}
-	c.commitTxn(txn, &pendingTxn{onDone: func(_ wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(txn, &pendingTxn{onDone: func(_ wire.Status, _ wire.TxnResponse) {
 		c.leadership.raiseInFlight = false
-		c.afterReadBarrier(func(bool) {})
+		c.replica.afterReadBarrier(func(bool) {})
 	}})
 }
--- a/core/lease.go
+++ b/core/lease.go
@@ -57,19 +57,12 @@
 
 // mayKeepLease reports whether this controller may extend its lease or request one. Without the audit key, or
 // when its watch is stalled, it must not act and lets the lease expire, so that others take over.
-func (c *Core) mayKeepLease() bool { return !c.lacksAuditKey() && !c.storeHealth.isWatchStalled(c.now) }
-
-// isWatchStalled reports whether reads of the store have stayed unanswered for too long. Such a controller can
-// write and extend its lease, but knows neither what it owns nor what others do: a new leader in that
-// state did nothing for twenty seconds, and no other controller could take over.
-func (h *storeHealth) isWatchStalled(now time.Duration) bool {
-	return h.firstLostReadAt != 0 && now-h.firstLostReadAt > watchStallTimeout
-}
+func (c *Core) mayKeepLease() bool { return !c.auditLog.lacksKey() && !c.storeHealth.isWatchStalled() }
 
 // handleLeaseResult takes the outcome of the lease request in flight; that of an earlier one is ignored.
 func (c *Core) handleLeaseResult(in LeaseResult) {
 	if in.Op == c.ownLease.opInFlight {
-		c.recordStoreStatus(in.Status)
+		c.storeHealth.recordStatus(in.Status)
 		c.ownLease.applyResult(in)
 	}
 }
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -100,7 +100,7 @@
 // acquireOwnership claims absent shards and the leadership, and releases surplus shards. All claims of
 // one run are one transaction, which also raises the fencing token.
 func (c *Core) acquireOwnership() {
-	if c.auditNotReady() || !c.ownLease.isHeld() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
+	if c.auditLog.isNotReady() || !c.ownLease.isHeld() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
 		c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
@@ -180,7 +180,7 @@
 // hasSpace reports whether another claim fits the operations of one transaction.
 func (t *ownershipAttempt) hasSpace() bool {
 	c := t.core
-	return t.nodeOps+len(t.shards)+opsPerClaim+c.auditOpsPerTxn() <= c.cfg.Store.MaxTxnOps
+	return t.nodeOps+len(t.shards)+opsPerClaim+c.auditLog.opsPerTxn() <= c.cfg.Store.MaxTxnOps
 }
 
 // chooseShards chooses the shards to claim.
@@ -251,7 +251,7 @@
 	if t.leadership {
 		t.addLeasedPut(keyLeader, c.leadership.leader.modRevision, token)
 	}
-	t.onAuditOutcome = c.addAuditEntry(
+	t.onAuditOutcome = c.auditLog.addEntry(
 		&t.txn,
 		"take/"+c.cfg.Name,
 		auditlog.Event{
@@ -290,14 +290,14 @@
 	c, onAuditOutcome := t.core, t.onAuditOutcome
 	c.ownership.claimInFlight = true
 	c.ownership.nextClaimAt = c.now + claimInterval
-	c.commitTxn(t.txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(t.txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		c.ownership.claimInFlight = false
 		onAuditOutcome(status)
 		if status != wire.StatusOK {
 			c.ownership.nextClaimAt = c.now + claimInterval + c.jitter(claimRetryJitter)
 		}
 		// Ownership changes only by the watch, in the order of revisions; the barrier brings it at once.
-		c.afterReadBarrier(func(bool) {})
+		c.replica.afterReadBarrier(func(bool) {})
 	}})
 }
 
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -39,6 +39,7 @@
 
 // permissionState is the replica of the stored permissions and the policy derived from it.
 type permissionState struct {
+	*environment
 	rolesRevision   uint64 // revision of the roles; 0: permissions are not in force
 	roles           *pb.Access
 	identities      map[string]storedIdentity
@@ -49,6 +50,11 @@
 	nextSeedAt      time.Duration  // no seeding attempt before
 }
 
+// newPermissionState returns the state of a store without permissions.
+func newPermissionState(env *environment) permissionState {
+	return permissionState{environment: env, identities: map[string]storedIdentity{}}
+}
+
 // storedIdentity is an identity and the revision of its key.
 type storedIdentity struct {
 	revision uint64
@@ -94,8 +100,16 @@
 	return message
 }
 
-// permissionsInForce reports whether requests must be authorized.
-func (c *Core) permissionsInForce() bool { return c.permissions.rolesRevision != 0 }
+// isInForce reports whether requests must be authorized.
+func (p *permissionState) isInForce() bool { return p.rolesRevision != 0 }
+
+// accessControl decides what callers may do, by the permissions and whether changes can be audited.
+type accessControl struct {
+	*environment
+	permissions *permissionState
+	auditLog    *auditState
+	schema      *schemaState
+}
 
 // Reasons of answers that a request can't be served now.
 const (
@@ -105,89 +119,88 @@
 
 // isNotServing reports whether no request may be served: permissions are configured but not in force
 // yet, or the audit log can't record changes yet.
-func (c *Core) isNotServing() bool {
-	return c.cfg.Permissions != nil && !c.permissionsInForce() || c.auditNotReady()
+func (a *accessControl) isNotServing() bool {
+	return a.cfg.Permissions != nil && !a.permissions.isInForce() || a.auditLog.isNotReady()
 }
 
 // currentPolicy returns the policy of the stored permissions and rebuilds it after a change.
 // Inconsistent permissions grant nothing.
-func (c *Core) currentPolicy() *access.Policy {
-	permissions := &c.permissions
-	if !permissions.policyStale && permissions.policy != nil {
-		return permissions.policy
+func (p *permissionState) currentPolicy() *access.Policy {
+	if !p.policyStale && p.policy != nil {
+		return p.policy
 	}
-	permissions.policyStale = false
-	policy, err := access.New(permissions.toMessage())
+	p.policyStale = false
+	policy, err := access.New(p.toMessage())
 	if err != nil {
-		c.log(LevelError, "permissions are inconsistent, all access is denied", "err", err.Error())
+		p.log(LevelError, "permissions are inconsistent, all access is denied", "err", err.Error())
 		if policy, err = access.New(&pb.Access{}); err != nil {
 			panic(err) // impossible: empty permissions are consistent
 		}
 	}
-	permissions.policy = policy
+	p.policy = policy
 	return policy
 }
 
 // publishPolicy sends a changed policy to the request handlers, which authenticate tokens with it.
-func (c *Core) publishPolicy() {
-	if c.permissionsInForce() && c.currentPolicy() != c.permissions.publishedPolicy {
-		c.permissions.publishedPolicy = c.permissions.policy
-		c.emit(PermissionsChanged{Policy: c.permissions.policy})
+func (p *permissionState) publishPolicy() {
+	if p.isInForce() && p.currentPolicy() != p.publishedPolicy {
+		p.publishedPolicy = p.policy
+		p.emit(PermissionsChanged{Policy: p.policy})
 	}
 }
 
 // authorize decides whether an identity may perform an action, by the permissions known here. Until
 // permissions are in force everything is allowed, unless nothing may be served.
-func (c *Core) authorize(caller Credential, action access.Action) access.Decision {
-	if !c.permissionsInForce() {
-		return access.Decision{Allowed: !c.isNotServing()}
+func (a *accessControl) authorize(caller Credential, action access.Action) access.Decision {
+	if !a.permissions.isInForce() {
+		return access.Decision{Allowed: !a.isNotServing()}
 	}
-	policy := c.currentPolicy()
-	if !c.hasValidKey(caller) {
+	policy := a.permissions.currentPolicy()
+	if !a.permissions.hasValidKey(caller) {
 		return access.Decision{Reason: "the key was revoked"}
 	}
 	return policy.Decide(caller.Identity, action)
 }
 
-// permissionCompares returns the compares under which an authorization of the caller still holds.
-func (c *Core) permissionCompares(caller Credential) []wire.Compare {
-	if !c.permissionsInForce() {
-		if c.schemaVersion() < schemaPermissions {
+// compares returns the compares under which an authorization of the caller still holds.
+func (a *accessControl) compares(caller Credential) []wire.Compare {
+	if !a.permissions.isInForce() {
+		if a.schema.active < schemaPermissions {
 			return nil
 		}
 		return []wire.Compare{{Key: keyRoles}} // fails if permissions come into force meanwhile
 	}
 	return append(
 		[]wire.Compare{
-			{Key: keyRoles, Revision: c.permissions.rolesRevision},
-			{Key: keyIdentity + caller.Identity, Revision: c.permissions.identities[caller.Identity].revision},
+			{Key: keyRoles, Revision: a.permissions.rolesRevision},
+			{Key: keyIdentity + caller.Identity, Revision: a.permissions.identities[caller.Identity].revision},
 		},
-		c.unauditedCompares()...)
+		a.auditLog.unauditedCompares()...)
 }
 
 // canReadJob reports whether the caller may read the job.
-func (c *Core) canReadJob(caller Credential, target *job) bool {
-	if !c.permissionsInForce() {
+func (a *accessControl) canReadJob(caller Credential, target *job) bool {
+	if !a.permissions.isInForce() {
 		return true
 	}
 	team, class := target.record.TeamAndClass()
-	return c.authorize(caller, access.Action{Verb: pb.Verb_read, Team: team, Class: class}).Allowed
+	return a.authorize(caller, access.Action{Verb: pb.Verb_read, Team: team, Class: class}).Allowed
 }
 
 // canCancelJob reports whether the caller may cancel the job.
-func (c *Core) canCancelJob(caller Credential, target *job) bool {
+func (a *accessControl) canCancelJob(caller Credential, target *job) bool {
 	team, class := target.record.TeamAndClass()
-	return c.authorize(caller, access.Action{Verb: pb.Verb_cancel, Team: team, Class: class}).Allowed
+	return a.authorize(caller, access.Action{Verb: pb.Verb_cancel, Team: team, Class: class}).Allowed
 }
 
 // canRepeatSubmission decides whether an idempotent submission of an existing job is answered with
 // the job's state: the caller may read the job, or may submit to the same team and class.
-func (c *Core) canRepeatSubmission(caller Credential, spec *wire.JobSpec, target *job) bool {
-	if c.canReadJob(caller, target) {
+func (a *accessControl) canRepeatSubmission(caller Credential, spec *wire.JobSpec, target *job) bool {
+	if a.canReadJob(caller, target) {
 		return true
 	}
 	team, class := target.record.TeamAndClass()
-	return spec != nil && spec.Team == team && spec.Class == class && c.authorize(caller, submitAction(spec)).Allowed
+	return spec != nil && spec.Team == team && spec.Class == class && a.authorize(caller, submitAction(spec)).Allowed
 }
 
 // submitAction returns the action that a submission of the job must be authorized for.
@@ -196,13 +209,13 @@
 }
 
 // hasValidKey reports whether the caller's key still belongs to the caller's identity.
-func (c *Core) hasValidKey(caller Credential) bool {
-	return c.currentPolicy().KeyBelongsTo(caller.Identity, caller.KeyID)
+func (p *permissionState) hasValidKey(caller Credential) bool {
+	return p.currentPolicy().KeyBelongsTo(caller.Identity, caller.KeyID)
 }
 
 // respondForbidden denies a request for lack of a permission and records the denial.
 func (c *Core) respondForbidden(requestID uint64, caller Credential, verb, object, reason string) {
-	c.auditDenial(caller, verb, object, reason)
+	c.auditLog.recordDenial(caller, verb, object, reason)
 	c.respond(requestID, wire.StatusForbidden, wire.Error{Error: reason})
 }
 
@@ -210,11 +223,11 @@
 // answer as for a job that does not exist.
 func (c *Core) getJobAuthorized(in GetJob) {
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
-		if target == nil || !c.canReadJob(in.Caller, target) {
+		if target == nil || !c.access.canReadJob(in.Caller, target) {
 			if target != nil {
-				c.auditDenial(in.Caller, "read", in.ID, "no right to read it")
+				c.auditLog.recordDenial(in.Caller, "read", in.ID, "no right to read it")
 			}
-			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
+			c.respondNotFound(in.RequestID)
 			return
 		}
 		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
@@ -225,14 +238,14 @@
 // the job gets the same answer as for a job that does not exist.
 func (c *Core) cancelJobAuthorized(in CancelJob) {
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
-		if target == nil || !c.canCancelJob(in.Caller, target) && !c.canReadJob(in.Caller, target) {
+		if target == nil || !c.access.canCancelJob(in.Caller, target) && !c.access.canReadJob(in.Caller, target) {
 			if target != nil {
-				c.auditDenial(in.Caller, "cancel", in.ID, "no right to cancel or read it")
+				c.auditLog.recordDenial(in.Caller, "cancel", in.ID, "no right to cancel or read it")
 			}
-			c.respond(in.RequestID, wire.StatusNotFound, wire.Error{Error: "no such job"})
+			c.respondNotFound(in.RequestID)
 			return
 		}
-		if !c.canCancelJob(in.Caller, target) {
+		if !c.access.canCancelJob(in.Caller, target) {
 			c.respondForbidden(in.RequestID, in.Caller, "cancel", in.ID, "no right to cancel it")
 			return
 		}
@@ -245,11 +258,11 @@
 func (c *Core) withJobAfterBarrier(requestID uint64, id string, f func(target *job)) {
 	switch {
 	case !c.replica.loaded:
-		c.respondUnavailable(requestID, "not caught up")
-	case c.storeUnreachable():
+		c.respondUnavailable(requestID, reasonNotLoaded)
+	case c.replica.isStoreUnreachable():
 		c.respondUnavailable(requestID, reasonStoreUnreachable)
 	default:
-		c.afterReadBarrier(func(ok bool) {
+		c.replica.afterReadBarrier(func(ok bool) {
 			if !ok {
 				c.respondUnavailable(requestID, reasonStoreUnreachable)
 				return
@@ -270,22 +283,22 @@
 		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
 		return
 	}
-	if in.DecodeError == "" && c.authorize(in.Caller, submitAction(&in.Spec)).Allowed &&
+	if in.DecodeError == "" && c.access.authorize(in.Caller, submitAction(&in.Spec)).Allowed &&
 		c.recallFromArchive(in.ID) == nil {
 		c.admitSubmission(in)
 		return
 	}
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(existing *job) {
 		switch {
-		case existing != nil && c.canRepeatSubmission(in.Caller, in.validSpec(), existing):
+		case existing != nil && c.access.canRepeatSubmission(in.Caller, in.validSpec(), existing):
 			c.respond(in.RequestID, wire.StatusOK, c.jobState(existing))
 		case in.DecodeError != "":
 			c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
 		default:
-			if decision := c.authorize(in.Caller, submitAction(&in.Spec)); !decision.Allowed {
+			if decision := c.access.authorize(in.Caller, submitAction(&in.Spec)); !decision.Allowed {
 				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, decision.Reason)
 			} else if existing != nil {
-				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, "the id is another's")
+				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, reasonIDTaken)
 			} else {
 				c.admitSubmission(in)
 			}
@@ -306,11 +319,11 @@
 func (c *Core) dropUnauthorizedCancellations(target *job) []wire.Compare {
 	var compares []wire.Compare
 	target.cancellation.waiters = slices.DeleteFunc(target.cancellation.waiters, func(waiter cancelWaiter) bool {
-		if c.permissionsInForce() && !c.canCancelJob(waiter.caller, target) {
+		if c.permissions.isInForce() && !c.access.canCancelJob(waiter.caller, target) {
 			c.respondForbidden(waiter.requestID, waiter.caller, "cancel", target.id, "no right to cancel it")
 			return true
 		}
-		for _, compare := range c.permissionCompares(waiter.caller) {
+		for _, compare := range c.access.compares(waiter.caller) {
 			if !slices.Contains(compares, compare) {
 				compares = append(compares, compare)
 			}
@@ -340,25 +353,25 @@
 	for _, write := range txn.Then {
 		seeded = append(seeded, strings.TrimPrefix(write.Put, keyPermissions))
 	}
-	handleAuditOutcome := c.addAuditEntry(
+	handleAuditOutcome := c.auditLog.addEntry(
 		&txn,
 		"rights",
 		auditlog.Event{Verb: "administer", Object: "rights", Reason: "first rights: " + strings.Join(seeded, " ")},
 	)
 	c.permissions.seeding = true
-	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
-		c.afterReadBarrier(func(bool) { c.permissions.seeding = false }) // the barrier shows the outcome
+		c.replica.afterReadBarrier(func(bool) { c.permissions.seeding = false }) // the barrier shows the outcome
 	}})
 }
 
 // canSeedPermissions reports whether permissions must be seeded and this controller may write now.
 func (c *Core) canSeedPermissions() bool {
-	if c.cfg.Permissions == nil || c.permissionsInForce() || c.auditNotReady() ||
-		c.cfg.Audit.Key != nil && !c.isAuditing() {
+	if c.cfg.Permissions == nil || c.permissions.isInForce() || c.auditLog.isNotReady() ||
+		c.cfg.Audit.Key != nil && !c.auditLog.isEnabled() {
 		return false
 	}
-	if !c.leadership.isHeld() || !c.ownLease.isHeld() || c.schemaVersion() < schemaPermissions {
+	if !c.leadership.isHeld() || !c.ownLease.isHeld() || c.schema.active < schemaPermissions {
 		return false
 	}
 	return !c.permissions.seeding && c.now >= c.permissions.nextSeedAt &&
@@ -369,13 +382,15 @@
 // transaction and the rate limit allow, or the roles once all identities exist. It reports false if a
 // message can't be stored.
 func (c *Core) permissionSeedTxn(seed *pb.Access) (wire.Txn, bool) {
-	txn := wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyRoles}}}
+	txn := wire.Txn{
+		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyRoles}},
+	}
 	for _, identity := range seed.Identities {
 		if _, exists := c.permissions.identities[identity.Name]; exists || len(txn.Then) >= c.maxSeedWrites() {
 			continue
 		}
 		key := keyIdentity + identity.Name
-		raw, ok := c.packPermission(key, identity)
+		raw, ok := c.permissions.pack(key, identity)
 		if !ok {
 			return txn, false
 		}
@@ -385,7 +400,7 @@
 	if len(txn.Then) > 0 {
 		return txn, true
 	}
-	raw, ok := c.packPermission(keyRoles, &pb.Access{Roles: seed.Roles, WorkersSign: seed.WorkersSign})
+	raw, ok := c.permissions.pack(keyRoles, &pb.Access{Roles: seed.Roles, WorkersSign: seed.WorkersSign})
 	if !ok {
 		return txn, false
 	}
@@ -395,15 +410,15 @@
 
 // maxSeedWrites returns how many identities a seeding transaction may write now.
 func (c *Core) maxSeedWrites() int {
-	allowed := min(c.cfg.Store.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens)) - c.auditOpsPerTxn()
+	allowed := min(c.cfg.Store.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens)) - c.auditLog.opsPerTxn()
 	return max(1, allowed)
 }
 
-// packPermission renders a message as a value and reports whether it can be stored.
-func (c *Core) packPermission(key string, message protobuf.Message) (json.RawMessage, bool) {
+// pack renders a message as a value and reports whether it can be stored.
+func (p *permissionState) pack(key string, message protobuf.Message) (json.RawMessage, bool) {
 	raw, err := jobrecord.PackMessage(message)
-	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-		c.log(LevelError, "permissions can't be stored", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
+	if err != nil || len(raw) > p.cfg.Store.MaxValueBytes {
+		p.log(LevelError, "permissions can't be stored", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
 		return nil, false
 	}
 	return raw, true
@@ -412,16 +427,16 @@
 // handleUpdatePermissions changes an identity's permissions for a permitted caller, after a barrier.
 func (c *Core) handleUpdatePermissions(in UpdatePermissions) {
 	switch {
-	case !c.replica.loaded || c.storeUnreachable() || !c.ownLease.isHeld():
+	case !c.replica.loaded || c.replica.isStoreUnreachable() || !c.ownLease.isHeld():
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
-	case !c.permissionsInForce():
+	case !c.permissions.isInForce():
 		c.respondUnavailable(in.RequestID, reasonNoPermissions)
 	default:
-		c.afterUrgentReadBarrier(func(ok bool) {
+		c.replica.afterUrgentReadBarrier(func(ok bool) {
 			switch {
 			case !ok:
 				c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
-			case c.isNotServing(): // before the audit incarnation starts, an entry could reuse another's name
+			case c.access.isNotServing(): // before the audit incarnation starts, an entry could reuse another's name
 				c.respondUnavailable(in.RequestID, reasonNotReady)
 			default:
 				c.updatePermissions(in)
@@ -432,29 +447,29 @@
 
 // updatePermissions authorizes, validates and commits a change of an identity's permissions.
 func (c *Core) updatePermissions(in UpdatePermissions) {
-	decision := c.authorize(in.Caller, access.Action{Verb: pb.Verb_administer})
-	if !decision.Allowed && (!in.changesOnlyOwnKeys() || !c.hasValidKey(in.Caller)) {
+	decision := c.access.authorize(in.Caller, access.Action{Verb: pb.Verb_administer})
+	if !decision.Allowed && (!in.changesOnlyOwnKeys() || !c.permissions.hasValidKey(in.Caller)) {
 		c.respondForbidden(in.RequestID, in.Caller, "administer", in.Identity, decision.Reason)
 		return
 	}
 	old := c.permissions.identities[in.Identity]
-	write, err := c.permissionsWrite(in, old.identity)
+	write, err := c.permissions.writeOf(in, old.identity)
 	if err != nil {
 		c.respond(in.RequestID, wire.StatusInvalid, wire.Error{Error: err.Error()})
 		return
 	}
-	txn := wire.Txn{Compare: c.permissionCompares(in.Caller), Then: []wire.Write{write}}
+	txn := wire.Txn{Compare: c.access.compares(in.Caller), Then: []wire.Write{write}}
 	if in.Caller.Identity != in.Identity {
 		txn.Compare = append(txn.Compare, wire.Compare{Key: keyIdentity + in.Identity, Revision: old.revision})
 	}
-	handleAuditOutcome := c.addAuditEntry(
+	handleAuditOutcome := c.auditLog.addEntry(
 		&txn,
 		"who/"+in.Identity,
 		newAuditEvent(in.Caller, "administer", in.Identity, in.summary()),
 	)
-	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
-		c.afterReadBarrier(func(bool) {}) // brings the change into the replica soon
+		c.replica.afterReadBarrier(func(bool) {}) // brings the change into the replica soon
 		if status != wire.StatusOK {
 			c.respondUnavailable(in.RequestID, "rights changed meanwhile, or the outcome is not known: ask again")
 			return
@@ -468,16 +483,16 @@
 	}})
 }
 
-// permissionsWrite returns the write that stores an identity after the change. It returns an error if
+// writeOf returns the write that stores an identity after the change. It returns an error if
 // the change is invalid, does not fit a value, or would leave no administrator with a key: nobody
 // could then change permissions any more.
-func (c *Core) permissionsWrite(in UpdatePermissions, old *pb.Identity) (wire.Write, error) {
+func (p *permissionState) writeOf(in UpdatePermissions, old *pb.Identity) (wire.Write, error) {
 	write := wire.Write{Delete: keyIdentity + in.Identity}
 	next, err := in.applyTo(old)
 	if err != nil {
 		return write, err
 	}
-	all := c.permissions.toMessage()
+	all := p.toMessage()
 	all.Identities = slices.DeleteFunc(
 		all.Identities,
 		func(identity *pb.Identity) bool { return identity.Name == in.Identity },
@@ -488,7 +503,7 @@
 		if write.Value, err = jobrecord.PackMessage(next); err != nil {
 			return write, err
 		}
-		if limit := c.cfg.Store.MaxValueBytes; len(write.Value) > limit {
+		if limit := p.cfg.Store.MaxValueBytes; len(write.Value) > limit {
 			return write, fmt.Errorf("identity takes %d bytes, %d are allowed", len(write.Value), limit)
 		}
 	}
@@ -513,7 +528,7 @@
 		if record != nil && record.Spec != nil && record.Submitter == in.Identity && !candidate.isFinal() &&
 			len(candidate.assignments) == 0 &&
 			record.CompletedTasks.Count() == 0 &&
-			c.canCancelJob(in.Caller, candidate) {
+			c.access.canCancelJob(in.Caller, candidate) {
 			ids = append(ids, candidate.id)
 			c.enqueueCancellation(candidate, CancelJob{ID: candidate.id, Caller: in.Caller, UnixMS: c.unixMS()})
 		}
@@ -600,16 +615,16 @@
 
 // handleCheckPermission answers 200 if the caller may perform an action that concerns no job.
 func (c *Core) handleCheckPermission(in CheckPermission) {
-	if c.isNotServing() {
+	if c.access.isNotServing() {
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
 	}
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		c.respond(in.RequestID, wire.StatusOK, struct{}{})
 		return
 	}
-	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, in.Verb, in.Object, func() {
-		c.currentAuditLog().RecordRead(in.Caller.Identity, in.Verb.String(), in.Object, func(ok bool) {
+	c.replica.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, in.Verb, in.Object, func() {
+		c.auditLog.current().RecordRead(in.Caller.Identity, in.Verb.String(), in.Object, func(ok bool) {
 			if !ok {
 				c.respondUnavailable(in.RequestID, "this can't be recorded now")
 				return
@@ -625,7 +640,7 @@
 	requestID uint64, caller Credential, verb access.Verb, object string, f func(),
 ) func(ok bool) {
 	return func(ok bool) {
-		switch decision := c.authorize(caller, access.Action{Verb: verb}); {
+		switch decision := c.access.authorize(caller, access.Action{Verb: verb}); {
 		case !ok:
 			c.respondUnavailable(requestID, reasonStoreUnreachable)
 		case !decision.Allowed:
@@ -638,11 +653,11 @@
 
 // handleListPermissions answers with all permissions, to callers who may change them.
 func (c *Core) handleListPermissions(in ListPermissions) {
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		c.respondUnavailable(in.RequestID, reasonNoPermissions)
 		return
 	}
-	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "rights", func() {
+	c.replica.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "rights", func() {
 		c.respond(in.RequestID, wire.StatusOK, wire.Permissions{Text: access.Format(c.permissions.toMessage())})
 	}))
 }
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -174,19 +174,19 @@
 		c.log(LevelError, "list of priority classes exceeds the value size limit", "bytes", len(raw))
 		return
 	}
-	c.commitTxn(
+	c.transactions.commit(
 		wire.Txn{
 			Compare: []wire.Compare{{Key: keyPriorityClasses}},
 			Then:    []wire.Write{{Put: keyPriorityClasses, Value: raw}},
 		},
-		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.afterReadBarrier(func(bool) {}) }},
+		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) { c.replica.afterReadBarrier(func(bool) {}) }},
 	)
 }
 
 // maySeedPriorityClasses reports whether this controller stores the list of the settings now.
 func (c *Core) maySeedPriorityClasses() bool {
 	if c.cfg.Scheduling.PriorityClasses == nil || c.priority.revision != 0 ||
-		c.schemaVersion() < schemaPriorityClasses || c.auditNotReady() {
+		c.schema.active < schemaPriorityClasses || c.auditLog.isNotReady() {
 		return false
 	}
 	return c.leadership.isHeld() && c.ownLease.isHeld() && c.now >= c.priority.nextSeedAt &&
@@ -202,17 +202,17 @@
 		return
 	}
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
-	case c.storeUnreachable() || c.schemaVersion() < schemaPriorityClasses:
+	case c.replica.isStoreUnreachable() || c.schema.active < schemaPriorityClasses:
 		c.respondUnavailable(
 			in.RequestID,
 			"state service not reached, or a controller may still run a version that does not know lanes",
 		)
 		return
 	}
-	c.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "lanes", func() {
+	c.replica.afterReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_administer, "lanes", func() {
 		c.storePriorityClasses(in, list)
 	}))
 }
@@ -227,13 +227,13 @@
 	}
 	txn := wire.Txn{
 		Compare: append(
-			c.permissionCompares(in.Caller),
+			c.access.compares(in.Caller),
 			wire.Compare{Key: keyPriorityClasses, Revision: c.priority.revision},
 		),
 		Then: []wire.Write{{Put: keyPriorityClasses, Value: raw}},
 	}
-	c.commitTxn(txn, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
-		c.afterReadBarrier(func(bool) {}) // reads the outcome, even if the response was lost
+	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
+		c.replica.afterReadBarrier(func(bool) {}) // reads the outcome, even if the response was lost
 		if status != wire.StatusOK {
 			c.respondUnavailable(in.RequestID, "not changed, or not known whether: ask again")
 			return
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -88,7 +88,7 @@
 		submission.writeFailed && c.history.coldRecords > 0 && !submission.lookupDone {
 		return nil, c.lookUpArchived(target)
 	}
-	if decision := c.authorize(submission.caller, submitAction(&spec)); !decision.Allowed {
+	if decision := c.access.authorize(submission.caller, submitAction(&spec)); !decision.Allowed {
 		c.completeSubmission(target, wire.StatusForbidden, decision.Reason)
 		return nil, 0
 	}
@@ -117,7 +117,7 @@
 	submission := target.submission
 	shard := c.ownership.pickShard()
 	priorityClass := ""
-	if c.priority.revision != 0 && c.schemaVersion() >= schemaPriorityClasses {
+	if c.priority.revision != 0 && c.schema.active >= schemaPriorityClasses {
 		priorityClass = c.priority.classes.Name(c.priority.classes.Classify(spec))
 	}
 	return &proposal{
@@ -131,7 +131,7 @@
 		},
 		spec:         spec,
 		isAcceptance: true,
-		compares:     append(c.permissionCompares(submission.caller), notArchived),
+		compares:     append(c.access.compares(submission.caller), notArchived),
 		auditActs: []auditlog.Event{
 			newAuditEvent(
 				submission.caller,
@@ -210,7 +210,7 @@
 	target.write.waitsForEnds = false
 	record := *target.record
 	record.StopReasons = slices.Clone(target.record.StopReasons)
-	if c.schemaVersion() >= schemaPriorityClasses {
+	if c.schema.active >= schemaPriorityClasses {
 		record.EnqueueRevision = target.queue.enqueueRevision
 	}
 	return recordUpdate{
@@ -275,10 +275,10 @@
 	c, target := u.core, u.job
 	limiter := &c.transactions.rateLimit
 	crowded := limiter.WriteTokens >= crowdedSlotWriteShare*limiter.WriteBurst(c.cfg.Store.MaxTxnOps) &&
-		c.slotState(c.slotNumber(target.id, target.record)).IsNearlyFull(c.maxSlotBytes())
-	moved := (target.stored.needsOwnKey || crowded) && c.currentSlotEntry(target.id, target.record) != nil
+		c.replica.slots.at(slotNumber(target.id, target.record)).IsNearlyFull(c.cfg.Store.maxSlotBytes())
+	moved := (target.stored.needsOwnKey || crowded) && c.replica.slots.currentEntry(target.id, target.record) != nil
 	u.proposal.wantsOwnKey = target.stored.needsOwnKey || moved
-	if moved || target.stored.bytes > c.cfg.Store.MaxValueBytes && c.schemaVersion() >= schemaDependencies {
+	if moved || target.stored.bytes > c.cfg.Store.MaxValueBytes && c.schema.active >= schemaDependencies {
 		u.changed = true
 	}
 }
@@ -425,7 +425,7 @@
 // batchingDeadline is until when the write may wait so that more ends of tasks share it; 0 if it
 // must not wait. Nothing is gained by waiting if the job's slot is written by this transaction anyway.
 func (u *recordUpdate) batchingDeadline() time.Duration {
-	if u.urgent || u.builder.slotDrafts[u.core.slotNumber(u.job.id, u.job.record)] != nil {
+	if u.urgent || u.builder.slotDrafts[slotNumber(u.job.id, u.job.record)] != nil {
 		return 0
 	}
 	return u.job.write.dirtySince + u.core.transactions.endBatchDelay
@@ -434,7 +434,7 @@
 // keepPermissionFields keeps in the record of an ended job the fields that permissions to read it
 // depend on.
 func (c *Core) keepPermissionFields(record *jobrecord.Record, spec *wire.JobSpec) {
-	if c.permissionsInForce() {
+	if c.permissions.isInForce() {
 		record.Team, record.Class = spec.Team, spec.Class
 	}
 }
@@ -503,7 +503,7 @@
 // maxAssignedTasks bounds the tasks of a job that are assigned at one time, so that its record
 // should fit a stored value. It is an estimate: encodeWithinLimit enforces the limit.
 func (c *Core) maxAssignedTasks() int {
-	if c.schemaVersion() >= schemaDependencies {
+	if c.schema.active >= schemaDependencies {
 		return max(minAssignedTaskLimit, c.cfg.Store.MaxValueBytes/packedTaskBytes)
 	}
 	return max(minAssignedTaskLimit, (c.cfg.Store.MaxValueBytes-unpackedRecordAllowance)/unpackedTaskBytes)
--- a/core/requests.go
+++ b/core/requests.go
@@ -123,10 +123,10 @@
 // handleGetJob answers a request for a job's state.
 func (c *Core) handleGetJob(in GetJob) {
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
-	case c.permissionsInForce():
+	case c.permissions.isInForce():
 		c.getJobAuthorized(in)
 		return
 	}
@@ -151,11 +151,11 @@
 		c.respondNotFound(requestID)
 		return
 	}
-	if c.storeUnreachable() {
+	if c.replica.isStoreUnreachable() {
 		c.respondUnavailable(requestID, reasonStoreUnreachable)
 		return
 	}
-	c.afterReadBarrier(func(ok bool) {
+	c.replica.afterReadBarrier(func(ok bool) {
 		if j := c.knownJob(id); !ok && (j == nil || !j.isFinal()) {
 			c.respondUnavailable(requestID, reasonStoreUnreachable)
 			return
@@ -173,9 +173,9 @@
 // handleSubmitJob starts the acceptance of a submission.
 func (c *Core) handleSubmitJob(in SubmitJob) {
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
-	case c.permissionsInForce():
+	case c.permissions.isInForce():
 		c.submitJobAuthorized(in)
 	default:
 		c.admitSubmission(in)
@@ -201,7 +201,7 @@
 	switch {
 	case rejection != nil && rejection.isTemporary():
 		c.respondUnavailable(in.RequestID, rejection.reason)
-	case c.storeUnreachable() || !c.ownLease.isHeld():
+	case c.replica.isStoreUnreachable() || !c.ownLease.isHeld():
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 	case rejection != nil:
 		c.rejectAfterReadBarrier(in)
@@ -214,7 +214,7 @@
 // repeated submission of an accepted job must never be rejected, so it is first determined whether
 // this is one. Also, a dependency may just have been accepted by another controller.
 func (c *Core) rejectAfterReadBarrier(in SubmitJob) {
-	c.afterUrgentReadBarrier(func(ok bool) {
+	c.replica.afterUrgentReadBarrier(func(ok bool) {
 		if !ok {
 			c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 			return
@@ -223,7 +223,7 @@
 			existing := c.knownJob(in.ID)
 			rejection := c.validateSubmission(&in)
 			switch {
-			case existing != nil && !c.canRepeatSubmission(in.Caller, in.validSpec(), existing):
+			case existing != nil && !c.access.canRepeatSubmission(in.Caller, in.validSpec(), existing):
 				c.respondForbidden(in.RequestID, in.Caller, "submit", in.ID, reasonIDTaken)
 			case existing != nil:
 				c.respond(in.RequestID, wire.StatusOK, c.jobState(existing))
@@ -273,7 +273,7 @@
 // respondToRepeatedSubmission answers the submission of a job that exists, by a caller with the
 // permission to submit it. Without permissions in force it is answered like a status request.
 func (c *Core) respondToRepeatedSubmission(requestID uint64, caller Credential, spec *wire.JobSpec, id string) {
-	if !c.permissionsInForce() {
+	if !c.permissions.isInForce() {
 		c.respondWithCurrentState(requestID, id)
 		return
 	}
@@ -281,7 +281,7 @@
 		switch {
 		case j == nil:
 			c.respondUnavailable(requestID, reasonHistoryUnreadable)
-		case !c.canRepeatSubmission(caller, spec, j):
+		case !c.access.canRepeatSubmission(caller, spec, j):
 			c.respondForbidden(requestID, caller, "submit", id, reasonIDTaken)
 		default:
 			c.respond(requestID, wire.StatusOK, c.jobState(j))
@@ -306,7 +306,7 @@
 		spec.Dependencies = unmet
 	}
 	// A record also holds assignments and reasons of stops, which must fit its value too.
-	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &spec}, nil, c.schemaVersion() >= schemaDependencies)
+	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &spec}, nil, c.schema.active >= schemaDependencies)
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes*3/4 {
 		return &submissionRejection{
 			wire.StatusBadRequest,
@@ -321,7 +321,7 @@
 func (c *Core) validateDependencies(
 	caller Credential, spec *wire.JobSpec,
 ) (unmet []string, rejection *submissionRejection) {
-	if c.schemaVersion() < schemaDependencies {
+	if c.schema.active < schemaDependencies {
 		return nil, &submissionRejection{
 			wire.StatusUnavailable,
 			"a controller may still run a version that does not know awaits",
@@ -329,7 +329,7 @@
 	}
 	unmet, unknown, _ := c.dependencies.findUnmet(spec)
 	for _, id := range spec.Dependencies {
-		if dependency := c.knownJob(id); dependency != nil && !c.canReadJob(caller, dependency) {
+		if dependency := c.knownJob(id); dependency != nil && !c.access.canReadJob(caller, dependency) {
 			unknown = id
 		}
 	}
@@ -384,10 +384,10 @@
 // handleCancelJob starts the cancellation of a job.
 func (c *Core) handleCancelJob(in CancelJob) {
 	switch {
-	case c.isNotServing():
+	case c.access.isNotServing():
 		c.respondUnavailable(in.RequestID, reasonNotReady)
 		return
-	case c.permissionsInForce():
+	case c.permissions.isInForce():
 		c.cancelJobAuthorized(in)
 		return
 	}
@@ -404,7 +404,7 @@
 		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
 		return
 	}
-	if c.storeUnreachable() {
+	if c.replica.isStoreUnreachable() {
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 		return
 	}
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -51,7 +51,7 @@
 
 // scheduleJobs evaluates the jobs that changed and commits their next records.
 func (c *Core) scheduleJobs() {
-	if c.auditNotReady() {
+	if c.auditLog.isNotReady() {
 		return
 	}
 	inFlight := c.transactions.countRecordTxns()
@@ -256,7 +256,7 @@
 func (c *Core) addWaitingEnds(builder *txnBuilder) {
 	for _, j := range c.openJobs {
 		if !j.write.waitsForEnds || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
-			builder.slotDrafts[c.slotNumber(j.id, j.record)] == nil || !c.ownership.ownsJob(j) {
+			builder.slotDrafts[slotNumber(j.id, j.record)] == nil || !c.ownership.ownsJob(j) {
 			continue
 		}
 		if !builder.addJob(j) {
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -63,12 +63,12 @@
 // more jobs and this one is to be tried with the next; true also if the job has nothing to write now.
 func (b *txnBuilder) addJob(target *job) bool {
 	c := b.core
-	slot := c.slotOf(target)
+	slot := slotOf(target)
 	cost, ok := b.writeCost(target, slot)
 	if !ok || b.isFull(cost) {
 		return false
 	}
-	if slot >= 0 && c.slotState(slot).WriteInFlight && c.schemaVersion() >= schemaSharedValues {
+	if slot >= 0 && c.replica.slots.at(slot).WriteInFlight && c.schema.active >= schemaSharedValues {
 		target.write.nextLookAt = c.now + slotRetryDelay
 		return true
 	}
@@ -80,18 +80,18 @@
 	}
 	next.slotIndex = slot
 	if len(next.auditActs) > 0 {
-		next.compares = append(next.compares, c.unauditedCompares()...)
+		next.compares = append(next.compares, c.auditLog.unauditedCompares()...)
 	}
 	if b.exceedsCompares(next) {
 		c.undoProposal(next)
 		return false
 	}
-	if next.completionsOnly && !c.canAffordCompletions(cost) {
+	if next.completionsOnly && !c.transactions.canAffordCompletions(cost) {
 		target.write.nextLookAt = c.now + completionsRetryDelay
 		return true
 	}
 	if entry := c.encodeSlotEntry(next); entry != nil {
-		if b.slotDrafts[slot] == nil && c.slotState(slot).JobKeyWritesInFlight > 0 {
+		if b.slotDrafts[slot] == nil && c.replica.slots.at(slot).JobKeyWritesInFlight > 0 {
 			c.undoProposal(next)
 			target.write.nextLookAt = c.now + slotRetryDelay
 			return true
@@ -107,11 +107,11 @@
 }
 
 // slotOf is the number of a job's slot; -1 if it has none: its record is not stored yet, or is final.
-func (c *Core) slotOf(target *job) int {
+func slotOf(target *job) int {
 	if target.revision == 0 || target.record == nil || target.record.Spec == nil {
 		return -1
 	}
-	return c.slotNumber(target.id, target.record)
+	return slotNumber(target.id, target.record)
 }
 
 // writeCost is the number of write tokens that must be available for a job to be added. ok is false
@@ -128,7 +128,7 @@
 	// A write that a user waits for may overdraw the rate limit by half a second's writes of all
 	// controllers: if the others leave nothing, the store refuses it and it is retried soon after.
 	b.hasUserWaiting = true
-	return cost - b.core.storeWriteRate()/2, true
+	return cost - b.core.schema.storeWriteRate()/2, true
 }
 
 // isFull reports whether the transaction or the rate limit has no capacity for another job of this cost.
@@ -145,13 +145,6 @@
 	return len(b.proposals) > 0 && expected > comparesPerOp*b.core.cfg.Store.MaxTxnOps
 }
 
-// canAffordCompletions reports whether enough write tokens are left to write completions, which no
-// user waits for, and still keep a reserve for writes that users do wait for.
-func (c *Core) canAffordCompletions(cost float64) bool {
-	limit := &c.transactions.rateLimit
-	return limit.WriteTokens >= cost+limit.WriteRate*completionsReserve
-}
-
 // addRecordWrite writes a proposal's record under its job's own key. A proposal that can't be
 // written now is taken back and its job is delayed.
 func (b *txnBuilder) addRecordWrite(next *proposal) {
@@ -173,10 +166,10 @@
 	if next.removesCancelMarker() {
 		pendingAudit = append(slices.Clone(pendingAudit), target.cancellation.markerAudit...)
 	}
-	if c.schemaVersion() >= schemaSharedValues {
+	if c.schema.active >= schemaSharedValues {
 		next.record.WriteNumber++
 	}
-	next.record.PendingAudit, next.auditEntryIDs = c.currentAuditLog().
+	next.record.PendingAudit, next.auditEntryIDs = c.auditLog.current().
 		AttachEntries(keyJob+target.id, target.revision, pendingAudit, next.auditActs)
 	raw, err := c.encodeWithinLimit(next)
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
@@ -185,7 +178,7 @@
 		// fits. Nothing is lost meanwhile, as agents keep the status of its tasks.
 		c.undoProposal(next)
 		target.write.nextLookAt = c.now + unfitRetryDelay
-		if next.isCancellation && c.schemaVersion() >= schemaDependencies {
+		if next.isCancellation && c.schema.active >= schemaDependencies {
 			c.writeCancelMarker(target, next.record.CancelledAtMS, next.compares, next.auditActs[:next.userCancelActs])
 		}
 		return nil, false
@@ -210,10 +203,10 @@
 // requireSlot makes a transaction that writes a job's own key depend on the job's slot.
 func (b *txnBuilder) requireSlot(next *proposal) {
 	slot := next.slotIndex
-	if slot < 0 || b.core.schemaVersion() < schemaSharedValues {
+	if slot < 0 || b.core.schema.active < schemaSharedValues {
 		return
 	}
-	b.addCompare(wire.Compare{Key: slotKey(slot), Revision: b.core.slotState(slot).Revision})
+	b.addCompare(wire.Compare{Key: slotKey(slot), Revision: b.core.replica.slots.at(slot).Revision})
 	switch {
 	case !b.core.ownership.ownsJob(next.job):
 		// The shard's owner may be about to write the slot, and that write must fail if it does not know of this one.
@@ -313,8 +306,8 @@
 		writtenSlots:   b.slotDrafts,
 		dependentSlots: b.dependentSlots,
 	}
-	b.core.lockSlots(pending)
-	b.core.commitTxn(b.txn, pending)
+	b.core.replica.slots.lock(pending)
+	b.core.transactions.commit(b.txn, pending)
 }
 
 // encodeWithinLimit encodes a proposal's record so that it fits a value: as readable JSON if that
@@ -330,7 +323,7 @@
 			len(raw) <= maxBytes*7/8 && len(raw)+next.record.MaxGrowth(next.assignments) <= maxBytes {
 			return raw, err
 		}
-		if c.schemaVersion() >= schemaDependencies {
+		if c.schema.active >= schemaDependencies {
 			packed, err := c.encodeRecord(next.record, next.assignments, true)
 			if err != nil || len(packed) <= maxBytes*3/4 || starts == 0 && len(packed) <= maxBytes {
 				return packed, err
@@ -359,7 +352,7 @@
 // undoProposal takes back a proposal that was not committed: its audit entries, and the capacity
 // that its starts allocated in this controller's copy of the cluster state.
 func (c *Core) undoProposal(undone *proposal) {
-	c.currentAuditLog().DiscardEntries(undone.auditEntryIDs)
+	c.auditLog.current().DiscardEntries(undone.auditEntryIDs)
 	for _, assignment := range undone.started {
 		c.clusterCopy.apply(clusterstate.Delta{Machine: assignment.Machine, Request: undone.spec.Request})
 	}
