--- a/core/apply.go
+++ b/core/apply.go
@@ -10,16 +10,14 @@
 	"strings"
 )
 
-// applyPut applies a key's new value to the replica. A value that can't be decoded is logged and
-// otherwise ignored: one bad key must not stop a controller.
+// applyPut applies a key's new value to the replica. A value that can't be decoded is logged.
 func (c *Core) applyPut(key string, raw json.RawMessage, revision uint64) {
 	if err := c.applyValue(key, raw, revision); err != nil {
 		c.log(LevelError, "cannot decode stored value", "key", key, "err", err.Error())
 	}
 }
 
-// applyValue dispatches a value by its key. Keys of no known kind are ignored: a newer version may
-// have written them.
+// applyValue dispatches a value by its key. Keys of no known kind are ignored.
 func (c *Core) applyValue(key string, raw json.RawMessage, revision uint64) error {
 	switch {
 	case key == keyFencingToken:
@@ -47,7 +45,7 @@
 	case key == KeyRestored:
 		return c.restoreMarker.apply(raw, revision)
 	case key == keyHistory:
-		c.applyHistoryMarker(revision)
+		c.history.applyMarker(revision)
 	case key == keyPriorityClasses:
 		return c.applyPriorityClasses(raw, revision)
 	case strings.HasPrefix(key, reservations.Prefix):
@@ -76,7 +74,7 @@
 	if err := json.Unmarshal(raw, &leased); err != nil {
 		return leasedKey{}, err
 	}
-	leased.mark = revision
+	leased.modRevision = revision
 	return leased, nil
 }
 
@@ -124,7 +122,7 @@
 	}
 	c.autoscaler.storedRevision, c.autoscaler.storedCatalog = revision, catalog
 	if c.autoscaler.catalog == nil {
-		c.setCatalog(&catalog)
+		c.autoscaler.setCatalog(&catalog)
 	}
 	return nil
 }
@@ -132,8 +130,8 @@
 // applyTeam notes that a team's quota key was written. Its value says nothing: the key's revision
 // makes writers that start tasks of one team conflict.
 func (c *Core) applyTeam(key string, revision uint64) {
-	if i, ok := c.teamIndex[key[len(keyTeam):]]; ok {
-		c.teams[i].revision = max(c.teams[i].revision, revision)
+	if written := c.teams.byName[key[len(keyTeam):]]; written != nil {
+		written.revision = max(written.revision, revision)
 	}
 }
 
@@ -163,13 +161,13 @@
 func (c *Core) applyDelete(key string, revision uint64) {
 	switch {
 	case key == keyLeader:
-		c.leadership.leader = leasedKey{since: c.now}
+		c.leadership.leader = leasedKey{absentSince: c.now}
 	case strings.HasPrefix(key, keyNode):
 		delete(c.controllers.nodeKeys, key[len(keyNode):])
 		c.controllers.nodesVersion++
 	case strings.HasPrefix(key, keyShard):
 		if shard := c.ownership.shardOfKey(key); shard >= 0 {
-			c.ownership.shards[shard] = leasedKey{since: c.now}
+			c.ownership.shards[shard] = leasedKey{absentSince: c.now}
 		}
 	case strings.HasPrefix(key, keyPermissions):
 		c.permissions.applyDelete(key)
@@ -197,7 +195,7 @@
 	}
 	c.removeAssignments(target)
 	if target.revision == 0 && record.Spec != nil {
-		c.recordClassArrival(record)
+		c.autoscaler.recordClassArrival(record)
 	}
 	if revision != target.revision {
 		target.stored.needsOwnKey = false
@@ -210,7 +208,7 @@
 	if record.Spec != nil {
 		record.Spec.ID = target.id
 	}
-	c.indexDependencies(target)
+	c.dependencies.index(target)
 	c.addAssignments(target)
 	target.placement.tasksLost = false
 	target.placement.hasUnplacedTasks = !target.isFinal() && record.Spec != nil && target.unmetDependencies == 0 &&
@@ -222,18 +220,18 @@
 	if target.isFinal() && !wasFinal {
 		c.propagateJobEnd(target)
 	}
-	c.trackEndedJob(target)
+	c.history.trackEndedJob(target)
 }
 
 // addAssignments adds a job's assignments to their machines and to its team's usage, and counts
 // those whose tasks have completed already.
 func (c *Core) addAssignments(target *job) {
-	quota, request := c.teamAndRequestOf(target)
+	quota, request := c.teams.ofJob(target)
 	target.placement.completedTasks = 0
 	for _, assignment := range target.assignments {
 		host := c.machines[assignment.Machine]
 		host.allocation.assignments[taskKey{target.index, assignment.Task}] = assignment
-		c.noteMachineChange(host)
+		c.commands.noteChange(host)
 		status := host.status.tasks[attemptKey{target.index, assignment.Task, assignment.Attempt}]
 		if status.state == wire.TaskExited && status.cause == wire.CauseDone {
 			target.placement.completedTasks++
@@ -247,14 +245,14 @@
 
 // removeAssignments removes a job's assignments from their machines and from its team's usage.
 func (c *Core) removeAssignments(target *job) {
-	quota, request := c.teamAndRequestOf(target)
+	quota, request := c.teams.ofJob(target)
 	for _, assignment := range target.assignments {
 		host := c.machines[assignment.Machine]
 		key := taskKey{target.index, assignment.Task}
 		if current, ok := host.allocation.assignments[key]; ok && current == assignment {
 			delete(host.allocation.assignments, key)
 		}
-		c.noteMachineChange(host)
+		c.commands.noteChange(host)
 		if quota != nil {
 			quota.usedCPU -= request[0]
 			quota.usedGPU -= request[1]
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -12,6 +12,8 @@
 // autoscalerState is what every controller keeps for scaling: the catalog of machine types, arrivals
 // by job class and the cloud requests in flight.
 type autoscalerState struct {
+	*environment
+
 	catalog         map[string]*wire.MachineType
 	typeNames       []string // keys of catalog, sorted
 	nextCatalogAt   time.Duration
@@ -20,7 +22,7 @@
 	storeInFlight   bool
 	catalogInFlight bool
 	classStats      map[string]*classStats
-	calls           map[uint64]func(CloudResult) // callbacks by request ID
+	pendingCalls    map[uint64]func(CloudResult) // callbacks by request ID
 }
 
 // nodeGroup is a set of interchangeable machines: what one scale-out request asks for.
@@ -31,9 +33,9 @@
 }
 
 const (
-	manyUnmetJobs      = 50              // unmet jobs above which a plan without scale-out is repeated less often
-	maxMachinesPerRent = 50              // machines that the cloud starts for one request
-	rentPlanningWindow = 4 * time.Second // period whose cloud requests one plan may use up
+	manyUnmetJobs          = 50              // unmet jobs above which a plan without scale-out is repeated less often
+	maxMachinesPerScaleOut = 50              // machines that the cloud starts for one request
+	scaleOutPlanningWindow = 4 * time.Second // period whose cloud requests one plan may use up
 
 	bootOverdueFactor = 1.7             // of the nominal boot time
 	bootOverdueSlack  = 2 * time.Second // on top of bootOverdueFactor
@@ -46,26 +48,26 @@
 // maxScaleOut bounds the machines that one plan orders to what the cloud request rate allows for
 // rentPlanningWindow. Unsent requests are planned anew; without a bound, every plan of a full fleet
 // packed thousands of machines that could not be requested.
-func (c *Core) maxScaleOut() int {
-	requests := int(c.cfg.Autoscaling.CloudRequestRate * rentPlanningWindow.Seconds())
-	return max(4*maxMachinesPerRent, requests*maxMachinesPerRent)
+func (a *autoscalerState) maxScaleOut() int {
+	requests := int(a.cfg.Autoscaling.CloudRequestRate * scaleOutPlanningWindow.Seconds())
+	return max(4*maxMachinesPerScaleOut, requests*maxMachinesPerScaleOut)
 }
 
 // planScaling packs the pending demand onto the supply of machines, creates scale-out requests for
 // what does not fit, and cordons and returns idle machines.
 func (c *Core) planScaling() {
 	bins := c.appendMachineBins(nil)
-	c.dropUnsentScaleOut()
-	bins = c.appendRequestedBins(bins)
+	c.leaderState.dropUnsentScaleOut()
+	bins = c.autoscaler.appendRequestedBins(bins, c.leaderState.scaleOutRequests)
 
 	demands := c.pendingDemand()
-	stock := c.newSupply(bins)
+	stock := c.leaderState.newSupply(bins, &c.Stats)
 	c.packDemands(demands, stock)
-	c.createScaleOutRequests(stock)
-	c.logPlan(stock.bins, demands)
+	c.leaderState.createScaleOutRequests(stock)
+	c.leaderState.logPlan(stock.bins, demands, c.jobs)
 	for _, b := range stock.bins {
 		if b.machine != nil && b.machine.status.reported {
-			c.updateScaleIn(b)
+			c.leaderState.updateScaleIn(b)
 		}
 	}
 }
@@ -84,10 +86,10 @@
 		}
 		switch {
 		case machine.status.reported:
-			b.available = b.capacity.AddScaled(c.allocatedOn(machine), -1)
-			b.availableSoon = c.releasedSoon(machine)
+			b.available = b.capacity.AddScaled(machine.allocatedResources(c.jobs), -1)
+			b.availableSoon = c.autoscaler.releasedSoon(machine, c.jobs)
 			b.busyHorizon = c.busyHorizon(machine)
-		case c.isBootOverdue(machine):
+		case c.autoscaler.isBootOverdue(machine):
 			continue
 		default:
 			b.available = b.capacity
@@ -101,28 +103,27 @@
 // countsAsSupply reports whether a plan may rely on a machine staying and being reachable.
 func (c *Core) countsAsSupply(m *machine) bool {
 	return !m.lifecycle.gone && m.leaderView.returnReason == "" && !m.leaderView.zoneUnreachable &&
-		m.lifecycle.interruptionDeadline <= 0 && !c.isQuarantined(m)
+		m.lifecycle.interruptionDeadline <= 0 && !m.health.isQuarantined(c.environment, c.jobs)
 }
 
 // isBootOverdue reports whether a machine without a heartbeat should have been up for a while.
-func (c *Core) isBootOverdue(m *machine) bool {
-	age := c.now - max(m.identity.firstSeenAt, m.leaderView.rentedAt)
-	return age > scaleDuration(c.nominalBootTime(m.identity.machineType), bootOverdueFactor)+bootOverdueSlack
+func (a *autoscalerState) isBootOverdue(m *machine) bool {
+	age := a.now - max(m.identity.firstSeenAt, m.leaderView.rentedAt)
+	return age > scaleDuration(a.nominalBootTime(m.identity.machineType), bootOverdueFactor)+bootOverdueSlack
 }
 
 // dropUnsentScaleOut drops the scale-out requests that were not sent. They are planned anew, together
 // with the demand since: cloud requests are few, so each should ask for all the machines that its
 // node group needs. Sent ones may have been executed and stay.
-func (c *Core) dropUnsentScaleOut() {
-	maps.DeleteFunc(c.leaderState.scaleOutRequests, func(_ string, r *scaleOutRequest) bool { return !r.sent })
+func (l *leaderState) dropUnsentScaleOut() {
+	maps.DeleteFunc(l.scaleOutRequests, func(_ string, r *scaleOutRequest) bool { return !r.sent })
 }
 
 // appendRequestedBins appends a bin for each machine of the sent scale-out requests.
-func (c *Core) appendRequestedBins(bins []*bin) []*bin {
-	requests := c.leaderState.scaleOutRequests
+func (a *autoscalerState) appendRequestedBins(bins []*bin, requests map[string]*scaleOutRequest) []*bin {
 	for _, name := range sortedKeys(requests) {
 		request := &requests[name].request
-		machineType := c.autoscaler.catalog[request.Type]
+		machineType := a.catalog[request.Type]
 		if machineType == nil {
 			continue
 		}
@@ -157,27 +158,26 @@
 // createScaleOutRequests turns the planned machines into requests of at most maxMachinesPerRent, the
 // largest node groups first. Each group's first request precedes any group's second: an exhausted
 // group then shows with one of the few cloud requests.
-func (c *Core) createScaleOutRequests(stock *supply) {
+func (l *leaderState) createScaleOutRequests(stock *supply) {
 	groups, planned := stock.plannedGroups, stock.plannedByGroup
 	slices.SortStableFunc(groups, func(a, b nodeGroup) int { return planned[b] - planned[a] })
 	for round, more := 0, true; more; round++ {
 		more = false
 		for _, group := range groups {
-			count := min(planned[group]-round*maxMachinesPerRent, maxMachinesPerRent)
+			count := min(planned[group]-round*maxMachinesPerScaleOut, maxMachinesPerScaleOut)
 			if count <= 0 {
 				continue
 			}
 			more = true
-			c.createScaleOutRequest(group, count)
+			l.createScaleOutRequest(group, count)
 		}
 	}
 }
 
 // createScaleOutRequest adds a request under a new idempotency key, unique over leaders and their terms.
-func (c *Core) createScaleOutRequest(group nodeGroup, count int) {
-	l := c.leaderState
+func (l *leaderState) createScaleOutRequest(group nodeGroup, count int) {
 	l.scaleOutSeq++
-	name := fmt.Sprintf("h-%d-%s-%06d", l.fencingToken, c.cfg.Name, l.scaleOutSeq)
+	name := fmt.Sprintf("h-%d-%s-%06d", l.fencingToken, l.cfg.Name, l.scaleOutSeq)
 	l.scaleOutRequests[name] = &scaleOutRequest{
 		request: wire.ScaleOutRequest{
 			IdempotencyKey: name,
@@ -192,14 +192,14 @@
 // updateScaleIn moves a running machine that no demand needs towards its return: it is offered last,
 // so that it empties; once idle for long enough it is cordoned, and then returned. A machine that is
 // needed again goes back to normal.
-func (c *Core) updateScaleIn(b *bin) {
-	l, machine := c.leaderState, b.machine
+func (l *leaderState) updateScaleIn(b *bin) {
+	machine := b.machine
 	view := &machine.leaderView
 	view.onDemandReserved = b.onDemandReserved
 	if len(machine.allocation.assignments) > 0 || machine.hasLiveTasks() {
 		view.emptySince = 0
 	} else if view.emptySince == 0 {
-		view.emptySince = c.now
+		view.emptySince = l.now
 	}
 	if view.offeredLast == b.needed {
 		view.offeredLast = !b.needed
@@ -212,29 +212,29 @@
 		}
 		return
 	}
-	if view.cordonedAt == 0 && c.now-view.emptySince >= c.idleTimeout(machine) && c.isOldEnoughForScaleIn(machine) {
-		view.cordonedAt = c.now
+	if view.cordonedAt == 0 && l.now-view.emptySince >= l.autoscaler.idleTimeout(machine) &&
+		machine.isOldEnoughForScaleIn(l.now) {
+		view.cordonedAt = l.now
 		l.pushRequested = true
 	}
-	if view.cordonedAt != 0 && c.now-view.cordonedAt > cordonDuration {
-		c.markForReturn(machine, "idle")
+	if view.cordonedAt != 0 && l.now-view.cordonedAt > cordonDuration {
+		l.autoscaler.markForReturn(machine, "idle")
 	}
 }
 
 // isOldEnoughForScaleIn reports whether a machine's age, by either known start, exceeds minAgeForScaleIn.
-func (c *Core) isOldEnoughForScaleIn(m *machine) bool {
+func (m *machine) isOldEnoughForScaleIn(now time.Duration) bool {
 	rentedAt := m.leaderView.rentedAt
-	return c.now-max(m.identity.firstSeenAt, rentedAt) > minAgeForScaleIn ||
-		rentedAt != 0 && c.now-rentedAt > minAgeForScaleIn
+	return now-max(m.identity.firstSeenAt, rentedAt) > minAgeForScaleIn ||
+		rentedAt != 0 && now-rentedAt > minAgeForScaleIn
 }
 
 // logPlan logs the utilization of the fleet at most once in planLogInterval.
-func (c *Core) logPlan(bins []*bin, demands []demand) {
-	l := c.leaderState
-	if c.now < l.nextPlanLogAt {
+func (l *leaderState) logPlan(bins []*bin, demands []demand, jobs []*job) {
+	if l.now < l.nextPlanLogAt {
 		return
 	}
-	l.nextPlanLogAt = c.now + planLogInterval
+	l.nextPlanLogAt = l.now + planLogInterval
 	up, booting, offeredLast, empty, waiting, headroom := 0, 0, 0, 0, 0, 0
 	var capacity, allocated int64 // thousandths of a CPU
 	for _, b := range bins {
@@ -250,7 +250,7 @@
 			empty++
 		}
 		capacity += b.capacity[0]
-		allocated += c.allocatedOn(b.machine)[0]
+		allocated += b.machine.allocatedResources(jobs)[0]
 	}
 	for _, d := range demands {
 		if d.isHeadroom {
@@ -259,14 +259,14 @@
 			waiting += d.tasks
 		}
 	}
-	c.log(LevelInfo, "machines", "up", up, "booting", booting, "closed", offeredLast, "empty", empty,
+	l.log(LevelInfo, "machines", "up", up, "booting", booting, "closed", offeredLast, "empty", empty,
 		"cpus", capacity/1000, "used", allocated/1000, "waiting", waiting, "reserve", headroom)
 }
 
 // idleTimeout is how long an empty machine is kept, longer for a type that boots slowly.
-func (c *Core) idleTimeout(m *machine) time.Duration {
-	scaling := &c.cfg.Autoscaling
-	return scaling.IdleTimeout + scaleDuration(c.nominalBootTime(m.identity.machineType), scaling.IdleBootFactor)
+func (a *autoscalerState) idleTimeout(m *machine) time.Duration {
+	scaling := &a.cfg.Autoscaling
+	return scaling.IdleTimeout + scaleDuration(a.nominalBootTime(m.identity.machineType), scaling.IdleBootFactor)
 }
 
 // hasLiveTasks reports whether a machine's last heartbeat has a task that has not exited.
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -45,7 +45,7 @@
 		if !j.isCancelledWithTasks() {
 			continue
 		}
-		age := c.timeSinceCancel(j)
+		age := c.cancelAcks.timeSinceCancel(j)
 		for _, assignment := range j.assignments {
 			// A reported end is proof even while its write waits for the rate limit: machines were
 			// once scaled in for tasks that had stopped long before.
@@ -59,9 +59,9 @@
 // enforceCancellations fences off unanswered starts of cancelled tasks with a higher fencing token,
 // and lists the machines that did not confirm in time that such a task is gone.
 func (c *Core) enforceCancellations() (overdue []string) {
-	maxAge := c.cancelTimeoutShare(c.cfg.Agents.CancelScaleInShare)
+	maxAge := c.cancelAcks.timeoutShare(c.cfg.Agents.CancelScaleInShare)
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
-		if !c.ownsJob(j) {
+		if !c.ownership.ownsJob(j) {
 			return
 		}
 		attempt := host.commands.attempts[attemptKey{j.index, assignment.Task, assignment.Attempt}]
@@ -77,9 +77,9 @@
 	return overdue
 }
 
-// cancelTimeoutShare is a share of the time within which cancelled tasks must be gone.
-func (c *Core) cancelTimeoutShare(share float64) time.Duration {
-	return time.Duration(share * float64(c.cfg.Agents.CancelTimeout))
+// timeoutShare is a share of the time within which cancelled tasks must be gone.
+func (a *cancelAcks) timeoutShare(share float64) time.Duration {
+	return time.Duration(share * float64(a.cfg.Agents.CancelTimeout))
 }
 
 // returnMachinesInOutage scales in machines on which cancelled tasks may still run while the store
@@ -89,7 +89,7 @@
 // elsewhere. The next leader repeats it to have proof.
 func (c *Core) returnMachinesInOutage() {
 	state := &c.outageReturn
-	if state.inFlight || c.now < state.nextAttemptAt || c.holdsLease() || !c.isStoreOutage() {
+	if state.inFlight || c.now < state.nextAttemptAt || c.ownLease.isHeld() || !c.isStoreOutage() {
 		return
 	}
 	state.nextAttemptAt = c.now + outageReturnInterval
@@ -100,7 +100,7 @@
 	c.log(LevelInfo, "scaling in machines in a store outage: cancelled tasks may be on them", "machines", names)
 	state.inFlight = true
 	request := CloudRequest{ID: c.nextID(), Op: CloudScaleIn, MachineNames: names}
-	c.autoscaler.calls[request.ID] = func(in CloudResult) {
+	c.autoscaler.pendingCalls[request.ID] = func(in CloudResult) {
 		state.inFlight = false
 		if in.Status == wire.StatusOK {
 			for _, name := range names {
@@ -117,14 +117,14 @@
 	overdue := map[string]bool{}
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
 		share := outageReturnShare
-		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.silenceTimeout() {
+		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.agents.silenceTimeout() {
 			share = c.cfg.Agents.CancelScaleInShare
 		} else if _, there := host.status.tasks[attemptKey{j.index, assignment.Task, assignment.Attempt}]; !there {
 			// It has ended and was cleared by a controller with newer records. One whose start may
 			// still arrive is findRestartableCancelledTask's concern.
 			return
 		}
-		if age > c.cancelTimeoutShare(share+outageReturnRankShare*float64(c.machineRank(host))) {
+		if age > c.cancelAcks.timeoutShare(share+outageReturnRankShare*float64(c.machineRank(host))) {
 			overdue[host.name] = true
 		}
 	})
@@ -136,7 +136,7 @@
 // cancelled tasks too long, and silent ones. A controller without a lease must not judge silence: it
 // may be the unreachable one, and would have machines scaled in that answer the others.
 func (c *Core) requestReturns() {
-	if !c.holdsLease() {
+	if !c.ownLease.isHeld() {
 		return
 	}
 	overdue := c.enforceCancellations()
@@ -145,8 +145,8 @@
 		if candidate.lifecycle.gone || !c.runsOwnTasks(candidate) {
 			continue
 		}
-		c.pollQuietAgent(candidate)
-		if c.now-candidate.status.lastHeartbeatAt > c.silenceTimeout()+silenceReportGrace {
+		c.agents.pollQuietAgent(candidate)
+		if c.now-candidate.status.lastHeartbeatAt > c.agents.silenceTimeout()+silenceReportGrace {
 			silent = append(silent, candidate.name)
 		}
 	}
@@ -155,15 +155,15 @@
 	}
 	if c.leaderState != nil {
 		c.leaderState.handleReturnRequest(c, overdue, silent)
-	} else if c.leadership.leader.mark != 0 {
-		c.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: overdue, SilentMachines: silent})
+	} else if c.leadership.leader.modRevision != 0 {
+		c.controllers.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: overdue, SilentMachines: silent})
 	}
 }
 
 // runsOwnTasks reports whether a machine has tasks of jobs that this controller owns.
 func (c *Core) runsOwnTasks(m *machine) bool {
 	for key := range m.allocation.assignments {
-		if c.ownsJob(c.jobs[key.jobIndex]) {
+		if c.ownership.ownsJob(c.jobs[key.jobIndex]) {
 			return true
 		}
 	}
@@ -176,7 +176,7 @@
 func (l *leaderState) handleReturnRequest(c *Core, overdue, silent []string) {
 	for _, name := range overdue {
 		if target := l.findOrAnnounceGone(c, name); target != nil {
-			c.markForReturn(target, "holds cancelled tasks")
+			c.autoscaler.markForReturn(target, "holds cancelled tasks")
 		}
 	}
 	for _, name := range silent {
--- a/core/core.go
+++ b/core/core.go
@@ -10,41 +10,31 @@
 	"dewlift/core/reservations"
 	"dewlift/overload"
 	"dewlift/priorityclass"
-	"math/rand/v2"
 	"time"
 )
 
 // Core is the state machine of one controller. Each group of its state is a type of its own, in the
 // file of its concern. It is not safe for concurrent use.
 type Core struct {
-	cfg          Config
-	rng          *rand.Rand
-	now          time.Duration // since the process began; it never goes back
-	unixOffsetMS int64         // time of day minus now, in ms
-	startedAt    time.Duration
-	outputs      []Output // since the last Advance
-	lastID       uint64   // last request ID
+	*environment
 
 	// Stats counts what the log reports from time to time.
 	Stats Stats
 
-	// Jobs and machines, interned by index.
+	jobTable
 	pendingSubmissions int // submissions whose write is pending
-	jobIndex           map[string]int32
-	jobs               []*job
-	openJobs           []*job // jobs that may have to be written or answered
-	machineIndex       map[string]int32
-	machines           []*machine
-	aliveMachines      []*machine // machines that are not known to be gone, or have assignments
+	dependencies       dependencyGraph
 
-	teamIndex map[string]int
-	teams     []*team
+	machineTable
+
+	teams teamSet
 
 	// The key-value store.
 	replica      storeReplica
 	storeHealth  storeHealth
 	transactions transactionState
 	schema       schemaState
+	reads        rangeReads
 
 	// Controllers.
 	ownLease    controllerLease
@@ -103,17 +93,17 @@
 // New returns a core that starts at a time. The same seed and inputs always give the same outputs.
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
-		cfg:          cfg,
-		rng:          rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		now:          now,
-		startedAt:    now,
-		machineIndex: map[string]int32{},
-		jobIndex:     map[string]int32{},
-		teamIndex:    map[string]int{},
+		environment:  newEnvironment(cfg, now, seed),
+		teams:        newTeamSet(cfg.Teams),
 		reservations: reservations.New(),
-		history:      newHistory(&cfg),
 		permissions:  permissionState{identities: map[string]storedIdentity{}},
 	}
+	c.ownLease.environment = c.environment
+	c.leadership.environment, c.leadership.lease = c.environment, &c.ownLease
+	c.ownership.environment, c.ownership.lease = c.environment, &c.ownLease
+	c.controllers.environment = c.environment
+	c.agents.environment, c.agents.controllers = c.environment, &c.controllers
+	c.commands.environment, c.commands.agents, c.commands.controllers = c.environment, &c.agents, &c.controllers
 	c.replica.batchValues = map[int]*batchvalue.Slot{}
 	c.controllers.membership = membership.New(cfg.Peers, cfg.Cluster.PeerTimeout)
 	c.controllers.nodeKeys = map[string]leasedKey{}
@@ -121,47 +111,41 @@
 	c.schema.declared = map[string]int{}
 	c.transactions.inFlight = map[uint64]*pendingTxn{}
 	c.transactions.rateLimit = ratelimit.New(now)
+	c.reads = newRangeReads(c.environment, &c.transactions.rateLimit)
+	c.history = newHistory(c.environment, &c.reads)
 	c.transactions.endBatchDelay = cfg.Scheduling.MinEndBatchDelay
 	c.agents.zones = map[string]*zoneLiveness{}
 	c.agents.missingHeartbeats = map[string][]string{}
 	c.commands.inFlight = map[uint64]inFlightCommands{}
 	c.commands.relayed = map[uint64]relayedCommands{}
-	c.autoscaler.calls = map[uint64]func(CloudResult){}
+	c.autoscaler.environment = c.environment
+	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
+	c.machineTable = machineTable{environment: c.environment, machineIndex: map[string]int32{}}
+	c.jobTable = jobTable{environment: c.environment, jobIndex: map[string]int32{}}
+	c.dependencies = dependencyGraph{environment: c.environment, jobs: &c.jobTable, priority: &c.priority}
+	c.clusterCopy.environment = c.environment
+	c.placement.environment = c.environment
+	c.placement.rateLimit = &c.transactions.rateLimit
+	c.priority.environment = c.environment
+	c.deltaLog.environment, c.deltaLog.machines = c.environment, &c.machineTable
 	c.deltaLog.uncounted = map[string][]deltaBatch{}
 	c.priority.classes = priorityclass.Default(cfg.Scheduling.PriorityAgingInterval)
 	c.auditLog = c.newAuditLog()
+	c.cancelAcks = cancelAcks{environment: c.environment, jobs: &c.jobTable, replica: &c.replica, schema: &c.schema}
 	c.cancelAcks.quorum = quorum.New(
 		quorum.Config{Peers: cfg.Peers, CancelDeadline: cfg.Agents.CancelTimeout, AgentLeaseTTL: cfg.Agents.LeaseTTL},
 	)
 	c.clusterCopy.state.MaxAge = cfg.State.CopyExpiry
 	c.updateRateLimit()
 	c.transactions.rateLimit.FillBurst()
-	for i, quota := range cfg.Teams {
-		c.teamIndex[quota.Name] = i
-		c.teams = append(c.teams, &team{Team: quota})
-	}
 	return c
 }
 
-// emit adds an output, which the next Advance returns.
-func (c *Core) emit(o Output) { c.outputs = append(c.outputs, o) }
-
-// nextID returns a new request ID. IDs are never 0.
-func (c *Core) nextID() uint64 { c.lastID++; return c.lastID }
-
-// unixMS is the time of day in milliseconds since 1970, as of the last WallClock input.
-func (c *Core) unixMS() int64 { return c.unixOffsetMS + c.now.Milliseconds() }
-
-// log emits a log line.
-func (c *Core) log(level LogLevel, text string, args ...any) {
-	c.emit(LogLine{Level: level, Message: text, Args: args})
-}
-
 // Healthy reports whether this controller can serve users: it has a replica of the store and a
 // catalog, and either holds its lease or all controllers have lost the store.
 func (c *Core) Healthy() bool {
 	return c.replica.loaded && !c.isNotServing() && c.autoscaler.catalog != nil &&
-		(c.holdsLease() || c.isStoreOutage())
+		(c.ownLease.isHeld() || c.isStoreOutage())
 }
 
 // Handle applies an input. Its outputs are returned by the next Advance.
@@ -193,7 +177,7 @@
 	case LeaseResult:
 		c.handleLeaseResult(in)
 	case CloudResult:
-		c.handleCloudResult(in)
+		c.autoscaler.handleCloudResult(in)
 	case PeerMessage:
 		c.handlePeerMessage(in)
 	case LoadSample:
@@ -250,8 +234,8 @@
 	}
 }
 
-// handleAgentPolled applies the heartbeat that a poll of an agent returned. One of another machine,
-// which has got the polled machine's address, is ignored.
+// handleAgentPolled applies the heartbeat that a poll of an agent returned. One of a machine other
+// than the polled one is ignored.
 func (c *Core) handleAgentPolled(in AgentPolled) {
 	c.agents.pollsInFlight = max(0, c.agents.pollsInFlight-1)
 	if in.Heartbeat != nil && in.Heartbeat.Machine == in.Machine {
@@ -259,14 +243,6 @@
 	}
 }
 
-// handleCloudResult calls the function that waits for a cloud request's outcome.
-func (c *Core) handleCloudResult(in CloudResult) {
-	if onResult := c.autoscaler.calls[in.ID]; onResult != nil {
-		delete(c.autoscaler.calls, in.ID)
-		onResult(in)
-	}
-}
-
 // Advance moves the time forward, does what is due and returns all outputs since the last call. The
 // order of its steps is part of the behaviour: each sees what the earlier ones changed.
 func (c *Core) Advance(now time.Duration) []Output {
@@ -274,7 +250,9 @@
 	c.stalls.advance(c.now)
 	c.transactions.rateLimit.Refill(c.now, c.cfg.Store.MaxTxnOps)
 	c.syncReplica()
-	c.maintainLease()
+	if c.mayKeepLease() {
+		c.ownLease.maintain()
+	}
 	c.runMaintenance()
 	c.broadcastHealth()
 	if c.replica.loaded {
@@ -291,7 +269,7 @@
 		c.advanceLookups()
 		c.advanceArchiveSweep()
 		c.runLeader()
-		c.drainInterrupted()
+		c.evictInterrupted()
 		c.returnMachinesInOutage()
 		c.dispatchCommands()
 		c.broadcastUpdates()
@@ -300,8 +278,3 @@
 	c.outputs = nil
 	return out
 }
-
-// jitter draws a random duration between 0 and limit.
-func (c *Core) jitter(limit time.Duration) time.Duration {
-	return time.Duration(c.rng.Int64N(int64(limit) + 1))
-}
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -12,25 +12,26 @@
 
 // isSchedulable reports whether new tasks may be assigned to a machine now, whatever their job.
 func (c *Core) isSchedulable(m *machine) bool {
-	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested && !c.isQuarantined(m) &&
+	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested &&
+		!m.health.isQuarantined(c.environment, c.jobs) &&
 		m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
 		c.now >= m.health.avoidUntil &&
 		c.now-m.status.lastHeartbeatAt < c.cfg.Agents.HeartbeatInterval*missedHeartbeatsLimit &&
 		(m.commands.lastUnansweredAt == 0 || m.status.lastHeartbeatAt > m.commands.lastUnansweredAt) &&
-		!c.isZoneSilent(m.identity.zone, placementSilenceLimit)
+		!c.agents.isZoneSilent(m.identity.zone, placementSilenceLimit)
 }
 
 // isFeasible reports whether a job may run on a machine that is empty: by type, zone, spot and capacity.
 func (c *Core) isFeasible(spec *wire.JobSpec, m *machine) bool {
 	machineType := c.autoscaler.catalog[m.identity.machineType]
-	return machineType != nil && c.isMachineTypeAllowed(spec, m.identity.machineType) &&
+	return machineType != nil && isMachineTypeAllowed(spec, m.identity.machineType) &&
 		(spec.Zone == "" || spec.Zone == m.identity.zone) &&
 		(spec.Spot || !m.identity.spot) &&
 		fits(machineType.Capacity(), spec.Request)
 }
 
 // isMachineTypeAllowed reports whether a job may run on a machine type; without a list it may run on all.
-func (c *Core) isMachineTypeAllowed(spec *wire.JobSpec, name string) bool {
+func isMachineTypeAllowed(spec *wire.JobSpec, name string) bool {
 	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, name)
 }
 
@@ -64,15 +65,15 @@
 	if c.autoscaler.catalog == nil {
 		return catalogUnknown
 	}
-	index, ok := c.teamIndex[spec.Team]
-	if !ok {
+	owner := c.teams.of(spec)
+	if owner == nil {
 		return teamUnknown
 	}
-	if !c.teams[index].couldEverRun(spec) {
+	if !owner.couldEverRun(spec) {
 		return exceedsMaxQuota
 	}
 	for _, machineType := range c.autoscaler.catalog {
-		if c.isMachineTypeAllowed(spec, machineType.Name) && fits(machineType.Capacity(), spec.Request) &&
+		if isMachineTypeAllowed(spec, machineType.Name) && fits(machineType.Capacity(), spec.Request) &&
 			(spec.Zone == "" && len(machineType.Zones) > 0 || slices.Contains(machineType.Zones, spec.Zone)) {
 			return feasible
 		}
@@ -115,20 +116,20 @@
 // isKnownUnplaceable reports whether a job's request can find no capacity, because a request that is
 // no larger, of a job before it, found none since capacity was freed last. Without it, all waiting
 // jobs of a full cluster would look at all its machines, several times a second.
-func (c *Core) isKnownUnplaceable(
+func (p *placementState) isKnownUnplaceable(
 	spec *wire.JobSpec,
 	priorityClass int,
 	enqueuedAtMS int64,
 	leavesHeldCapacity bool,
 ) bool {
-	return slices.ContainsFunc(c.placement.unplaceable, func(u unplaceable) bool {
+	return slices.ContainsFunc(p.unplaceable, func(u unplaceable) bool {
 		switch {
 		case !u.covers(spec) || u.heldBack && !leavesHeldCapacity:
 			return false
 		case u.yieldUntil == 0:
 			return true
 		}
-		return c.now < u.yieldUntil &&
+		return p.now < u.yieldUntil &&
 			(u.priorityClass < priorityClass || u.priorityClass == priorityClass && u.enqueuedAtMS <= enqueuedAtMS)
 	})
 }
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"fmt"
 	"hash/fnv"
-	"slices"
 	"strings"
 	"time"
 )
@@ -37,6 +36,9 @@
 // shardOwnership is the state of shard ownership: the controller that holds each shard, and this
 // controller's claims and handovers of shards.
 type shardOwnership struct {
+	*environment
+	lease *controllerLease
+
 	shards         []leasedKey
 	claimInFlight  bool          // an ownership transaction is in flight; there is one at a time
 	nextClaimAt    time.Duration // no ownership transaction is sent before
@@ -67,7 +69,7 @@
 func (o *shardOwnership) countByNode() map[string]int {
 	counts := map[string]int{}
 	for i := range o.shards {
-		if shard := &o.shards[i]; shard.mark != 0 {
+		if shard := &o.shards[i]; shard.modRevision != 0 {
 			counts[shard.Node]++
 		}
 	}
@@ -75,87 +77,43 @@
 }
 
 // shardOf returns the shard of a job: that of its record, or for a job without one, that of its id.
-func (c *Core) shardOf(j *job) int {
+func (o *shardOwnership) shardOf(j *job) int {
 	if j.record != nil {
 		return j.record.Shard
 	}
-	return c.ownership.shardOfID(j.id)
+	return o.shardOfID(j.id)
 }
 
 // ownsShard reports whether this controller holds a shard by its present lease. It does not check
-// that the lease is still in force; see holdsLease.
-func (c *Core) ownsShard(n int) bool {
-	if n < 0 || n >= len(c.ownership.shards) || c.ownLease.id == 0 {
+// that the lease is still in force; see controllerLease.isHeld.
+func (o *shardOwnership) ownsShard(n int) bool {
+	if n < 0 || n >= len(o.shards) || o.lease.id == 0 {
 		return false
 	}
-	shard := &c.ownership.shards[n]
-	return shard.LeaseID == c.ownLease.id && shard.mark != 0 && shard.Node == c.cfg.Name
+	shard := &o.shards[n]
+	return shard.LeaseID == o.lease.id && shard.modRevision != 0 && shard.Node == o.cfg.Name
 }
 
 // ownsJob reports whether this controller holds the shard of a job.
-func (c *Core) ownsJob(j *job) bool { return c.ownsShard(c.shardOf(j)) }
-
-// liveControllers lists the controllers with a lease, this one included, in name order.
-func (c *Core) liveControllers() []string {
-	names := []string{c.cfg.Name}
-	for name := range c.controllers.nodeKeys {
-		if name != c.cfg.Name {
-			names = append(names, name)
-		}
-	}
-	slices.Sort(names)
-	return names
-}
-
-// isControllerLive reports whether a controller holds a lease, as far as this replica shows.
-func (c *Core) isControllerLive(name string) bool {
-	_, ok := c.controllers.nodeKeys[name]
-	return ok
-}
-
-// rendezvousRank returns the rank of this controller for a key among the live controllers, by
-// rendezvous hashing: 0 is the preferred one.
-func (c *Core) rendezvousRank(key string, live []string) int {
-	own, rank := rendezvousWeight(c.cfg.Name, key), 0
-	for _, name := range live {
-		if name != c.cfg.Name && rendezvousWeight(name, key) > own {
-			rank++
-		}
-	}
-	return rank
-}
-
-// rendezvousWeight hashes a controller with a key. FNV alone leaves close inputs close together, so its
-// sum is mixed by a multiply and two shifts.
-func rendezvousWeight(name, key string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	h.Write([]byte{0})
-	h.Write([]byte(key))
-	sum := h.Sum64()
-	sum ^= sum >> 33
-	sum *= 0xff51afd7ed558ccd
-	sum ^= sum >> 33
-	return sum
-}
+func (o *shardOwnership) ownsJob(j *job) bool { return o.ownsShard(o.shardOf(j)) }
 
 // acquireOwnership claims absent shards and the leadership, and releases surplus shards. All claims of
 // one run are one transaction, which also raises the fencing token.
 func (c *Core) acquireOwnership() {
-	if c.auditNotReady() || !c.holdsLease() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
+	if c.auditNotReady() || !c.ownLease.isHeld() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
 		c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
-	attempt := c.newOwnershipAttempt()
-	attempt.registerNode()
-	attempt.chooseShards()
-	attempt.chooseLeadership()
-	if attempt.claimsAny() {
-		attempt.addClaims()
+	run := c.newOwnershipAttempt()
+	run.registerNode()
+	run.chooseShards()
+	run.chooseLeadership()
+	if run.claimsAny() {
+		run.addClaims()
 	} else {
-		attempt.releaseSurplus()
+		run.releaseSurplus()
 	}
-	attempt.commit()
+	run.commit()
 }
 
 // ownershipAttempt is one run of acquireOwnership: the distribution of the shards that it starts from, the
@@ -180,10 +138,10 @@
 // newOwnershipAttempt takes stock of the live controllers and of the shards that each holds.
 func (c *Core) newOwnershipAttempt() ownershipAttempt {
 	_, registered := c.controllers.nodeKeys[c.cfg.Name]
-	live := c.liveControllers()
+	live := c.controllers.liveNames()
 	shardCount := len(c.ownership.shards)
 	counts := c.ownership.countByNode()
-	attempt := ownershipAttempt{
+	run := ownershipAttempt{
 		core:           c,
 		live:           live,
 		registered:     registered,
@@ -194,10 +152,10 @@
 		onAuditOutcome: func(wire.Status) {},
 	}
 	for _, name := range live {
-		attempt.fewestShards = min(attempt.fewestShards, counts[name])
-		attempt.mostShards = max(attempt.mostShards, counts[name])
+		run.fewestShards = min(run.fewestShards, counts[name])
+		run.mostShards = max(run.mostShards, counts[name])
 	}
-	return attempt
+	return run
 }
 
 // registerNode writes the node key of this controller if it is absent or of an earlier lease.
@@ -208,7 +166,7 @@
 		return
 	}
 	t.nodeOps = 1
-	t.addLeasedPut(keyNode+c.cfg.Name, node.mark, 0)
+	t.addLeasedPut(keyNode+c.cfg.Name, node.modRevision, 0)
 }
 
 // addLeasedPut adds the write of a key that is bound to this controller's lease, on the condition that the
@@ -216,7 +174,7 @@
 func (t *ownershipAttempt) addLeasedPut(key string, revision, token uint64) {
 	c := t.core
 	t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: key, Revision: revision})
-	t.txn.Then = append(t.txn.Then, wire.Write{Put: key, Value: c.leasedValue(token), LeaseID: c.ownLease.id})
+	t.txn.Then = append(t.txn.Then, wire.Write{Put: key, Value: c.ownLease.leasedValue(token), LeaseID: c.ownLease.id})
 }
 
 // hasSpace reports whether another claim fits the operations of one transaction.
@@ -228,7 +186,7 @@
 // chooseShards chooses the shards to claim.
 func (t *ownershipAttempt) chooseShards() {
 	for i := range t.core.ownership.shards {
-		if !t.core.ownsShard(i) && t.hasSpace() && t.mayClaimShard(i) {
+		if !t.core.ownership.ownsShard(i) && t.hasSpace() && t.mayClaimShard(i) {
 			t.shards = append(t.shards, i)
 		}
 	}
@@ -239,7 +197,7 @@
 func (t *ownershipAttempt) mayClaimShard(n int) bool {
 	c := t.core
 	shard := &c.ownership.shards[n]
-	if shard.mark != 0 {
+	if shard.modRevision != 0 {
 		return shard.Node == c.cfg.Name
 	}
 	if !t.settled {
@@ -253,12 +211,12 @@
 	if owned > t.fewestShards {
 		wait += claimDelayNotFewest
 	}
-	return c.now-shard.since >= wait
+	return c.now-shard.absentSince >= wait
 }
 
 // rankDelay is how long this controller leaves an absent key to the controllers of better rank.
 func (t *ownershipAttempt) rankDelay(key string) time.Duration {
-	return time.Duration(t.core.rendezvousRank(key, t.live)) * claimDelayPerRank
+	return time.Duration(t.core.controllers.rendezvousRank(key, t.live)) * claimDelayPerRank
 }
 
 // chooseLeadership decides whether to claim the leadership: if it has been absent for long enough, or if an
@@ -267,8 +225,8 @@
 	c := t.core
 	leader := &c.leadership.leader
 	var due bool
-	if leader.mark == 0 {
-		due = t.settled && c.now-leader.since >= t.rankDelay(keyLeader)
+	if leader.modRevision == 0 {
+		due = t.settled && c.now-leader.absentSince >= t.rankDelay(keyLeader)
 	} else {
 		due = leader.Node == c.cfg.Name && leader.LeaseID != c.ownLease.id
 	}
@@ -288,10 +246,10 @@
 	)
 	t.txn.Then = append(t.txn.Then, wire.Write{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(token))})
 	for _, n := range t.shards {
-		t.addLeasedPut(shardKey(n), c.ownership.shards[n].mark, token)
+		t.addLeasedPut(shardKey(n), c.ownership.shards[n].modRevision, token)
 	}
 	if t.leadership {
-		t.addLeasedPut(keyLeader, c.leadership.leader.mark, token)
+		t.addLeasedPut(keyLeader, c.leadership.leader.modRevision, token)
 	}
 	t.onAuditOutcome = c.addAuditEntry(
 		&t.txn,
@@ -315,8 +273,11 @@
 		return
 	}
 	c.ownership.nextHandoverAt = c.now + handoverInterval
-	if n := c.surplusShard(); n >= 0 {
-		t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: shardKey(n), Revision: c.ownership.shards[n].mark})
+	if n := t.surplusShard(); n >= 0 {
+		t.txn.Compare = append(
+			t.txn.Compare,
+			wire.Compare{Key: shardKey(n), Revision: c.ownership.shards[n].modRevision},
+		)
 		t.txn.Then = append(t.txn.Then, wire.Write{Delete: shardKey(n)})
 	}
 }
@@ -354,23 +315,23 @@
 
 // surplusShard returns the shard to release: of those held, the one for which this controller has the worst
 // rank. A shard with a write in flight is not released, as the write depends on it. -1: there is none.
-func (c *Core) surplusShard() int {
-	live := c.liveControllers()
+func (t *ownershipAttempt) surplusShard() int {
+	c := t.core
 	worst, worstRank := -1, -1
 	for n := range c.ownership.shards {
-		if !c.ownsShard(n) || c.hasUnsettledWrite(n) {
+		if !c.ownership.ownsShard(n) || hasUnsettledWrite(c.openJobs, n) {
 			continue
 		}
-		if rank := c.rendezvousRank(shardKey(n), live); rank > worstRank {
+		if rank := c.controllers.rendezvousRank(shardKey(n), t.live); rank > worstRank {
 			worst, worstRank = n, rank
 		}
 	}
 	return worst
 }
 
-// hasUnsettledWrite reports whether the outcome of a write to a job of a shard is open.
-func (c *Core) hasUnsettledWrite(shard int) bool {
-	for _, j := range c.openJobs {
+// hasUnsettledWrite reports whether the outcome of a write to one of the jobs of a shard is open.
+func hasUnsettledWrite(jobs []*job, shard int) bool {
+	for _, j := range jobs {
 		if j.record != nil && j.record.Shard == shard && (j.write.inFlight || j.write.outcomeUnknown) {
 			return true
 		}
@@ -385,28 +346,28 @@
 		if j.record != nil && j.record.Shard == n {
 			c.markDirty(j)
 			for _, assignment := range j.assignments {
-				c.markMachineDirty(c.machines[assignment.Machine])
+				c.commands.markDirty(c.machines[assignment.Machine])
 			}
 		}
 	}
 	c.placement.capacityFreed = true
 	for _, m := range c.aliveMachines {
-		c.markMachineDirty(m)
+		c.commands.markDirty(m)
 	}
 }
 
 // pickShard draws the shard of a new job: one of this controller's if it holds any. Else it is another
 // controller's, whose holder sees the job by its watch and places its tasks: when submissions were refused
 // instead, a controller that had just started or was one too many for the shards turned users away.
-func (c *Core) pickShard() int {
+func (o *shardOwnership) pickShard() int {
 	var owned []int
-	for n := range c.ownership.shards {
-		if c.ownsShard(n) {
+	for n := range o.shards {
+		if o.ownsShard(n) {
 			owned = append(owned, n)
 		}
 	}
 	if len(owned) == 0 {
-		return c.rng.IntN(len(c.ownership.shards))
+		return o.rng.IntN(len(o.shards))
 	}
-	return owned[c.rng.IntN(len(owned))]
+	return owned[o.rng.IntN(len(owned))]
 }
--- a/core/replica.go
+++ b/core/replica.go
@@ -45,23 +45,22 @@
 	// storeAnswerTimeout is how old the last answer may be while the store counts as reachable.
 	storeAnswerTimeout = 2 * time.Second
 
-	// storeFailureGrace is how long after the last answer a failure does not count yet: single
-	// requests fail without an outage.
+	// storeFailureGrace is how long after the last answer a failure does not count yet.
 	storeFailureGrace = 400 * time.Millisecond
 
-	// maxBarrierWaiters bounds the memory of requests that wait for a read barrier; more are refused.
+	// maxBarrierWaiters bounds the functions that wait for a read barrier; beyond it they fail at once.
 	maxBarrierWaiters = 20000
 
 	// watchRequestShare and barrierRequestShare are the parts of this controller's request rate
-	// that watches and read barriers may use; the rest is for transactions.
+	// that watches and read barriers may use.
 	watchRequestShare   = 0.25
 	barrierRequestShare = 0.35
 
 	// watchRetryDelay is the wait after a failed watch.
 	watchRetryDelay = 300 * time.Millisecond
 
-	// Waits after a read barrier that the store throttled, and after a snapshot page that failed.
-	// The random parts keep the controllers from retrying together.
+	// Waits after a read barrier that the store throttled, and after a snapshot page that failed, each
+	// with a random part.
 	barrierRetryDelay  = 100 * time.Millisecond
 	barrierRetryJitter = 200 * time.Millisecond
 	pageRetryDelay     = 200 * time.Millisecond
@@ -87,7 +86,7 @@
 // isStoreOutage reports whether the store seems down for all controllers: a majority of them is
 // reachable and none of these reaches the store.
 func (c *Core) isStoreOutage() bool {
-	if c.holdsLease() || c.isStoreReachable() {
+	if c.ownLease.isHeld() || c.isStoreReachable() {
 		return false
 	}
 	return c.controllers.membership.IsStoreOutage(c.now)
@@ -203,7 +202,7 @@
 		c.storeHealth.firstLostReadAt = 0
 		c.applyWatchEvents(in.Changes)
 		c.cancelAcks.quorum.ConfirmRead(sentAt)
-	case wire.StatusGone: // the store has compacted these changes: load a snapshot
+	case wire.StatusGone: // the store no longer has these changes: load a snapshot
 		c.replica.loaded, c.replica.lastPageKey = false, ""
 		c.replica.nextPageAt = c.now
 	}
@@ -297,19 +296,19 @@
 // Jobs stay: finishSnapshot finds those that are no longer in the store.
 func (c *Core) beginSnapshot(revision uint64) {
 	for i := range c.ownership.shards {
-		c.ownership.shards[i] = leasedKey{since: c.now}
+		c.ownership.shards[i] = leasedKey{absentSince: c.now}
 	}
 	for _, slot := range c.replica.batchValues {
 		slot.Revision, slot.Entries = 0, nil
 	}
-	c.leadership.leader = leasedKey{since: c.now}
+	c.leadership.leader = leasedKey{absentSince: c.now}
 	c.controllers.nodeKeys = map[string]leasedKey{}
 	c.controllers.nodesVersion++
 	c.history.coldRecords, c.history.markerRevision = 0, 0
 	c.permissions = permissionState{identities: map[string]storedIdentity{}}
 	c.history.archiveIndex.Clear()
 	c.reservations.Reset()
-	c.setPriorityClasses(nil, 0)
+	c.priority.setClasses(nil, 0, c.jobs)
 	c.archiving.sweep = nil
 	c.restoreMarker.revision = 0
 	c.replica.snapshotRevision, c.replica.pagesRead = revision, 0
--- a/core/requests.go
+++ b/core/requests.go
@@ -39,7 +39,7 @@
 // respond answers a request. A job's state may have to wait until it may be acknowledged.
 func (c *Core) respond(requestID uint64, status wire.Status, body any) {
 	if state, ok := body.(wire.JobState); ok {
-		c.respondOrAwaitAck(requestID, status, state)
+		c.cancelAcks.respondOrAwait(requestID, status, state)
 		return
 	}
 	response := Response{RequestID: requestID, Status: status, Body: body}
@@ -201,7 +201,7 @@
 	switch {
 	case rejection != nil && rejection.isTemporary():
 		c.respondUnavailable(in.RequestID, rejection.reason)
-	case c.storeUnreachable() || !c.holdsLease():
+	case c.storeUnreachable() || !c.ownLease.isHeld():
 		c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
 	case rejection != nil:
 		c.rejectAfterReadBarrier(in)
@@ -327,7 +327,7 @@
 			"a controller may still run a version that does not know awaits",
 		}
 	}
-	unmet, unknown, _ := c.findUnmetDependencies(spec)
+	unmet, unknown, _ := c.dependencies.findUnmet(spec)
 	for _, id := range spec.Dependencies {
 		if dependency := c.knownJob(id); dependency != nil && !c.canReadJob(caller, dependency) {
 			unknown = id
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -24,18 +24,18 @@
 			available: clusterstate.Resources{500, 0, 1000},
 		})
 	}
-	supply := c.newSupply(bins)
+	supply := c.leaderState.newSupply(bins, &c.Stats)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range jobs {
 		spec := &wire.JobSpec{Tasks: 100, Spot: true, Request: [3]int64{3000 + rng.Int64N(2000), 0, 8000}}
 		need := demand{spec: spec, tasks: 100, tasksByZone: map[string]int{}, priorityClass: 1}
 		c.packDemand(need, supply)
 	}
-	if limit := uint64(30 * (machines + c.maxScaleOut())); c.Stats.PlanMachineLooks > limit {
+	if limit := uint64(30 * (machines + c.autoscaler.maxScaleOut())); c.Stats.PlanMachineLooks > limit {
 		t.Errorf("%d machines examined for %d jobs, the limit is %d", c.Stats.PlanMachineLooks, jobs, limit)
 	}
-	if supply.plannedMachines != c.maxScaleOut() {
-		t.Errorf("%d machines are ordered, want the %d that scale out allows", supply.plannedMachines, c.maxScaleOut())
+	if limit := c.autoscaler.maxScaleOut(); supply.plannedMachines != limit {
+		t.Errorf("%d machines are ordered, want the %d that scale out allows", supply.plannedMachines, limit)
 	}
 
 	// A smaller request than those that found no capacity must still find it.
@@ -62,10 +62,7 @@
 		"x": {Name: "x", CPUs: 32, MemoryGB: 128, Zones: []string{"a", "b"}, BootS: 15, Price: 1, SpotPrice: 0.5},
 	}
 	c.autoscaler.typeNames = []string{"x"}
-	c.leaderState = &leaderState{
-		blockedUntil:     map[nodeGroup]time.Duration{},
-		lastPreemptedFor: map[int32]time.Duration{},
-	}
+	c.leaderState = newLeaderState(&c.autoscaler, &c.machineTable, 0)
 	return c
 }
 
@@ -182,3 +179,31 @@
 	c.clusterCopy.state.Replace(c.now, rows, nil)
 	return c
 }
+
+// An answer to a cloud request that comes after its leader's term must not back off: that would draw a
+// random number, on which all later decisions depend.
+func TestAnswersAfterATermAreNoBackoff(t *testing.T) {
+	for _, ended := range []bool{false, true} {
+		c := newPlanningCore()
+		term := c.leaderState
+		term.cloudCallBudget = 1
+		answered := false
+		if !term.callCloud(CloudRequest{Op: CloudList}, func(CloudResult) { answered = true }) {
+			t.Fatal("the cloud is not called")
+		}
+		id := c.lastID
+		if ended {
+			c.endTerm()
+		}
+		c.Handle(time.Second, CloudResult{ID: id, Status: wire.StatusTooManyRequests})
+		if !answered {
+			t.Errorf("ended: %v: the callback is not called", ended)
+		}
+		if backsOff := term.cloudBackoffUntil > 0; backsOff == ended {
+			t.Errorf("ended: %v: the term backs off: %v", ended, backsOff)
+		}
+		if c.leaderState != nil && ended {
+			t.Error("the term lasts on after its end")
+		}
+	}
+}
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -75,7 +75,7 @@
 			}
 		}
 	}
-	if jobs < 30 || assigned < 1000 || c.leadership.fencingToken == 0 || c.leadership.leader.mark == 0 ||
+	if jobs < 30 || assigned < 1000 || c.leadership.fencingToken == 0 || c.leadership.leader.modRevision == 0 ||
 		c.autoscaler.catalog == nil {
 		t.Errorf(
 			"%d jobs, %d assignments, fencing token %d, leader %+v",
@@ -174,7 +174,7 @@
 }
 
 // A schema version becomes active once every configured controller has declared it, not before, and stays
-// active: a controller of an older version could not read what is stored.
+// active.
 func TestSchemaVersionNeedsEveryController(t *testing.T) {
 	c := newServingCore(t)
 	wrote := 0
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -122,7 +122,7 @@
 	if b.slotDrafts[slot] != nil {
 		cost-- // its slot is written anyway
 	}
-	if b.core.writePriority(target) > writePriorityAccept {
+	if target.writePriority() > writePriorityAccept {
 		return cost + reservedWrites, !b.hasUserWaiting
 	}
 	// A write that a user waits for may overdraw the rate limit by half a second's writes of all
@@ -215,7 +215,7 @@
 	}
 	b.addCompare(wire.Compare{Key: slotKey(slot), Revision: b.core.slotState(slot).Revision})
 	switch {
-	case !b.core.ownsJob(next.job):
+	case !b.core.ownership.ownsJob(next.job):
 		// The shard's owner may be about to write the slot, and that write must fail if it does not know of this one.
 		b.removeSlotEntry(slot, next.job.id)
 	case b.slotDrafts[slot] == nil:
@@ -247,7 +247,7 @@
 // addProposal adds a proposal whose writes are in the transaction already, and marks its job as being written.
 func (b *txnBuilder) addProposal(next *proposal) {
 	b.chargeQuota(next)
-	b.core.priority.startShares.recordStarts(b.core.now, next, b.core)
+	b.core.priority.recordStarts(next)
 	next.job.write.dirty, next.job.write.inFlight = false, true
 	b.proposals = append(b.proposals, *next)
 }
@@ -256,7 +256,7 @@
 // proposal's job. Acceptances and cancellations may also be written without ownership.
 func (b *txnBuilder) requireShard(next *proposal) {
 	shard := next.record.Shard
-	if (next.isCancellation || next.isAcceptance) && !b.core.ownsShard(shard) || b.comparedShards[shard] {
+	if (next.isCancellation || next.isAcceptance) && !b.core.ownership.ownsShard(shard) || b.comparedShards[shard] {
 		return
 	}
 	if b.comparedShards == nil {
@@ -265,14 +265,14 @@
 	b.comparedShards[shard] = true
 	b.txn.Compare = append(
 		b.txn.Compare,
-		wire.Compare{Key: shardKey(shard), Revision: b.core.ownership.shards[shard].mark},
+		wire.Compare{Key: shardKey(shard), Revision: b.core.ownership.shards[shard].modRevision},
 	)
 }
 
 // chargeQuota counts a proposal's starts against its team's maximum quota. Every controller that
 // starts tasks of the team writes the team's key, so two that exceed the quota together conflict.
 func (b *txnBuilder) chargeQuota(next *proposal) {
-	quota := b.core.teamOf(next.record.Spec)
+	quota := b.core.teams.of(next.record.Spec)
 	if quota == nil || !quota.hasMaxQuota() || len(next.started) == 0 {
 		return
 	}
@@ -361,6 +361,6 @@
 func (c *Core) undoProposal(undone *proposal) {
 	c.currentAuditLog().DiscardEntries(undone.auditEntryIDs)
 	for _, assignment := range undone.started {
-		c.clusterCopy.state.Apply(c.now, clusterstate.Delta{Machine: assignment.Machine, Request: undone.spec.Request})
+		c.clusterCopy.apply(clusterstate.Delta{Machine: assignment.Machine, Request: undone.spec.Request})
 	}
 }
