--- a/access/access.go
+++ b/access/access.go
@@ -5,7 +5,6 @@
 
 import (
 	"crypto/ed25519"
-	"dewlift/wire"
 	"encoding/base64"
 	"errors"
 	"fmt"
@@ -15,6 +14,7 @@
 	"google.golang.org/protobuf/encoding/prototext"
 
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // Verb is the kind of an action.
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -4,11 +4,12 @@
 
 import (
 	"context"
+	"net/http"
+	"time"
+
 	"dewlift/core"
 	"dewlift/internal/httpjson"
 	"dewlift/wire"
-	"net/http"
-	"time"
 )
 
 const (
--- a/api/api.go
+++ b/api/api.go
@@ -6,10 +6,6 @@
 import (
 	"context"
 	"crypto/tls"
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/wire"
 	"fmt"
 	"log/slog"
 	"net"
@@ -21,7 +17,11 @@
 
 	"github.com/gofiber/fiber/v3"
 
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/core"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // Service is what a server needs of the controller.
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -3,8 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"dewlift/core"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -18,6 +16,9 @@
 	"testing"
 
 	"github.com/gofiber/fiber/v3"
+
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 // fakeController answers as a core does that accepts every well-formed submission.
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -1,8 +1,6 @@
 package api
 
 import (
-	"dewlift/access"
-	"dewlift/core"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -11,6 +9,9 @@
 	"github.com/gofiber/fiber/v3"
 	lru "github.com/hashicorp/golang-lru/v2"
 	"golang.org/x/time/rate"
+
+	"dewlift/access"
+	"dewlift/core"
 )
 
 // authenticator identifies callers by tokens and certificates. Its cost is bounded: a token of an
--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -3,10 +3,6 @@
 import (
 	"crypto/tls"
 	"crypto/x509"
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/internal/testcert"
-	"dewlift/tlsconfig"
 	"encoding/base64"
 	"fmt"
 	"io"
@@ -20,7 +16,11 @@
 
 	"github.com/gofiber/fiber/v3"
 
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/internal/testcert"
 	pb "dewlift/proto"
+	"dewlift/tlsconfig"
 )
 
 // newTestAuthenticator returns an authenticator whose policy has identities with one key each.
--- a/api/queue.go
+++ b/api/queue.go
@@ -1,13 +1,14 @@
 package api
 
 import (
-	"dewlift/core"
-	"dewlift/wire"
 	"encoding/json"
 	"strconv"
 	"strings"
 
 	"github.com/gofiber/fiber/v3"
+
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 // defaultQueuePage is the number of jobs on a page of the queue if the request names none.
--- a/api/reservation.go
+++ b/api/reservation.go
@@ -1,9 +1,6 @@
 package api
 
 import (
-	"dewlift/booking"
-	"dewlift/core"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -12,6 +9,10 @@
 	"sync/atomic"
 
 	"github.com/gofiber/fiber/v3"
+
+	"dewlift/booking"
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 // maxFreeIntervals is how many free intervals a query returns.
--- a/api/routes.go
+++ b/api/routes.go
@@ -1,9 +1,6 @@
 package api
 
 import (
-	"dewlift/access"
-	"dewlift/core"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"strconv"
@@ -12,7 +9,10 @@
 
 	"github.com/gofiber/fiber/v3"
 
+	"dewlift/access"
+	"dewlift/core"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // newApp builds the application with all routes.
--- a/archive/block.go
+++ b/archive/block.go
@@ -8,7 +8,6 @@
 package archive
 
 import (
-	"dewlift/internal/compress"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -18,6 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 	protobuf "google.golang.org/protobuf/proto"
 
+	"dewlift/internal/compress"
 	pb "dewlift/proto"
 )
 
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -1,7 +1,6 @@
 package audit
 
 import (
-	"dewlift/archive"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,6 +13,7 @@
 	protobuf "google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
+	"dewlift/archive"
 	pb "dewlift/proto"
 )
 
--- a/audit/chain.go
+++ b/audit/chain.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"crypto/hmac"
-	"dewlift/archive"
 	"encoding/binary"
 	"encoding/json"
 	"errors"
@@ -12,6 +11,7 @@
 
 	protobuf "google.golang.org/protobuf/proto"
 
+	"dewlift/archive"
 	pb "dewlift/proto"
 )
 
--- a/audit/report/report.go
+++ b/audit/report/report.go
@@ -4,8 +4,6 @@
 
 import (
 	"cmp"
-	"dewlift/audit"
-	"dewlift/internal/chart"
 	"fmt"
 	"html/template"
 	"io"
@@ -17,6 +15,9 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
+
+	"dewlift/audit"
+	"dewlift/internal/chart"
 )
 
 // Report counts events by day. Zone must be set; otherwise its zero value is ready.
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -4,14 +4,15 @@
 
 import (
 	"context"
-	"dewlift/core"
-	"dewlift/internal/httpjson"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"net/url"
 	"time"
+
+	"dewlift/core"
+	"dewlift/internal/httpjson"
+	"dewlift/wire"
 )
 
 const (
--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -4,13 +4,6 @@
 	"bytes"
 	"cmp"
 	"context"
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/audit/report"
-	"dewlift/internal/httpjson"
-	"dewlift/settings"
-	"dewlift/snapshot"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -27,7 +20,14 @@
 
 	"github.com/spf13/cobra"
 
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/audit/report"
+	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
+	"dewlift/settings"
+	"dewlift/snapshot"
+	"dewlift/wire"
 )
 
 // minAuditTxnOps is the least number of writes that the store must allow in a transaction where there is
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -3,14 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"dewlift"
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/internal/fakes"
-	"dewlift/internal/httpjson"
-	"dewlift/settings"
-	"dewlift/snapshot"
-	"dewlift/wire"
 	"encoding/base64"
 	"encoding/json"
 	"errors"
@@ -28,7 +20,15 @@
 	"testing"
 	"time"
 
+	"dewlift"
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/internal/fakes"
+	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
+	"dewlift/settings"
+	"dewlift/snapshot"
+	"dewlift/wire"
 )
 
 // testSite is a site with permissions and an audit log, whose controller can be stopped and started again.
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -2,11 +2,6 @@
 
 import (
 	"context"
-	"dewlift/core"
-	"dewlift/core/jobrecord"
-	"dewlift/internal/fakes"
-	"dewlift/settings"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -23,6 +18,12 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"dewlift/core"
+	"dewlift/core/jobrecord"
+	"dewlift/internal/fakes"
+	"dewlift/settings"
+	"dewlift/wire"
 )
 
 const (
--- a/cmd/dewlift/job.go
+++ b/cmd/dewlift/job.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -11,6 +10,8 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"dewlift/wire"
 )
 
 // jobCommands makes the commands about jobs, which share their flags.
--- a/cmd/dewlift/main.go
+++ b/cmd/dewlift/main.go
@@ -4,10 +4,6 @@
 
 import (
 	"context"
-	"dewlift"
-	"dewlift/audit"
-	"dewlift/settings"
-	"dewlift/tlsconfig"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -17,6 +13,11 @@
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
+
+	"dewlift"
+	"dewlift/audit"
+	"dewlift/settings"
+	"dewlift/tlsconfig"
 )
 
 const version = "0.1.0"
--- a/cmd/dewlift/permissions.go
+++ b/cmd/dewlift/permissions.go
@@ -4,9 +4,6 @@
 	"context"
 	"crypto/tls"
 	"crypto/x509"
-	"dewlift/access"
-	"dewlift/internal/httpjson"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -17,6 +14,10 @@
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
+
+	"dewlift/access"
+	"dewlift/internal/httpjson"
+	"dewlift/wire"
 )
 
 const (
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -1,9 +1,6 @@
 package main
 
 import (
-	"dewlift/internal/httpjson"
-	"dewlift/priorityclass"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -12,6 +9,10 @@
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
+
+	"dewlift/internal/httpjson"
+	"dewlift/priorityclass"
+	"dewlift/wire"
 )
 
 // loadPriorityClasses reads a list of priority classes.
--- a/cmd/dewlift/reservation.go
+++ b/cmd/dewlift/reservation.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"dewlift/booking"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,6 +14,9 @@
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
+
+	"dewlift/booking"
+	"dewlift/wire"
 )
 
 // refusedError is a refusal by a controller, which is no bad use of the command: exit code 1.
--- a/cmd/dewlift/settings.go
+++ b/cmd/dewlift/settings.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"dewlift/settings"
 	"encoding/json"
 	"fmt"
 	"text/tabwriter"
@@ -9,6 +8,8 @@
 
 	"github.com/spf13/cobra"
 	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"dewlift/settings"
 )
 
 // settingDescription is a setting as it is shown; its tags are the output of --json.
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -2,10 +2,6 @@
 
 import (
 	"context"
-	"dewlift/internal/httpjson"
-	"dewlift/settings"
-	"dewlift/snapshot"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -21,7 +17,11 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
+	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
+	"dewlift/settings"
+	"dewlift/snapshot"
+	"dewlift/wire"
 )
 
 // snapshotFlags say where the key-value store is and how much of its request limit may be used.
--- a/controller.go
+++ b/controller.go
@@ -5,6 +5,15 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
 	"dewlift/access"
 	"dewlift/agent"
 	"dewlift/api"
@@ -15,20 +24,11 @@
 	"dewlift/core"
 	"dewlift/mesh"
 	"dewlift/priorityclass"
+	pb "dewlift/proto"
 	"dewlift/settings"
 	"dewlift/statestore"
 	"dewlift/tlsconfig"
 	"dewlift/wire"
-	"errors"
-	"fmt"
-	"log/slog"
-	"math/rand/v2"
-	"net"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	pb "dewlift/proto"
 )
 
 // Controller is one running controller.
--- a/controller_test.go
+++ b/controller_test.go
@@ -2,16 +2,6 @@
 
 import (
 	"context"
-	"dewlift/access"
-	"dewlift/archive"
-	"dewlift/booking"
-	"dewlift/core"
-	"dewlift/internal/fakes"
-	"dewlift/internal/httpjson"
-	"dewlift/priorityclass"
-	"dewlift/settings"
-	"dewlift/snapshot"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -26,7 +16,17 @@
 	"testing"
 	"time"
 
+	"dewlift/access"
+	"dewlift/archive"
+	"dewlift/booking"
+	"dewlift/core"
+	"dewlift/internal/fakes"
+	"dewlift/internal/httpjson"
+	"dewlift/priorityclass"
 	pb "dewlift/proto"
+	"dewlift/settings"
+	"dewlift/snapshot"
+	"dewlift/wire"
 )
 
 // listenLoopback listens on a free address of loopback.
--- a/core/allocation/tracker.go
+++ b/core/allocation/tracker.go
@@ -12,8 +12,9 @@
 package allocation
 
 import (
-	"dewlift/clusterstate"
 	"time"
+
+	"dewlift/clusterstate"
 )
 
 const (
--- a/core/allocation/tracker_test.go
+++ b/core/allocation/tracker_test.go
@@ -1,10 +1,11 @@
 package allocation
 
 import (
-	"dewlift/clusterstate"
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"dewlift/clusterstate"
 )
 
 var oneTaskRequest = clusterstate.Resources{1000, 0, 1000}
--- a/core/apply.go
+++ b/core/apply.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
+	"encoding/json"
+	"strings"
+
 	"dewlift/core/auditlog"
 	"dewlift/core/jobrecord"
 	"dewlift/core/reservations"
 	"dewlift/wire"
-	"encoding/json"
-	"strings"
 )
 
 // applyPut applies a key's new value to the replica. A value that can't be decoded is logged.
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -1,14 +1,15 @@
 package core
 
 import (
-	"dewlift/archive"
-	"dewlift/core/jobrecord"
-	"dewlift/overload"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"strings"
 	"time"
+
+	"dewlift/archive"
+	"dewlift/core/jobrecord"
+	"dewlift/overload"
+	"dewlift/wire"
 )
 
 // The leader moves the records of jobs that ended longest ago into the archive. It alone does, so that
@@ -88,8 +89,8 @@
 	case !sweep.lastPageRead:
 		c.readSweepPage(sweep)
 	default:
-		c.log(LevelInfo, "archive sweep done", "jobs", sweep.movedJobs, "changes", sweep.storeWrites,
-			"took_ms", (c.now - sweep.startedAt).Milliseconds())
+		c.log(LevelInfo, "archive sweep done", "jobs", sweep.movedJobs,
+			"changes", sweep.storeWrites, "took_ms", (c.now - sweep.startedAt).Milliseconds())
 		c.archiving.sweep = nil
 	}
 }
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"math"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // lockedRetryDelay is the time until a team whose key is being written is looked at again.
--- a/core/audit.go
+++ b/core/audit.go
@@ -1,16 +1,16 @@
 package core
 
 import (
-	"dewlift/audit"
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
 	"strings"
 
+	"dewlift/audit"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // KeyRestored exists while the restore of a snapshot is not recorded in the audit log yet.
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -1,10 +1,6 @@
 package core
 
 import (
-	"dewlift/audit"
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
@@ -12,7 +8,11 @@
 	"testing"
 	"time"
 
+	"dewlift/audit"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // carriedValue is the part that all stored values with audit entries have in common.
--- a/core/auditlog/blocks.go
+++ b/core/auditlog/blocks.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	"dewlift/audit"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -11,7 +9,9 @@
 	"strings"
 	"time"
 
+	"dewlift/audit"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 const (
--- a/core/auditlog/entries.go
+++ b/core/auditlog/entries.go
@@ -1,15 +1,15 @@
 package auditlog
 
 import (
-	"dewlift/audit"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
 
+	"dewlift/audit"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // maxReasonBytes bounds the reason of an entry; a longer one is cut.
@@ -184,15 +184,8 @@
 	if err == nil {
 		return pending.Entry
 	}
-	r.cfg.LogError(
-		"audit entry was altered",
-		"key",
-		key,
-		"life",
-		pending.Incarnation,
-		"count",
-		pending.Sequence,
-	)
+	r.cfg.LogError("audit entry was altered", "key", key, "life", pending.Incarnation,
+		"count", pending.Sequence)
 	return audit.Encode(
 		&pb.AuditEntry{
 			Life:    pending.Incarnation,
--- a/core/auditlog/golden_test.go
+++ b/core/auditlog/golden_test.go
@@ -1,11 +1,12 @@
 package auditlog
 
 import (
-	"dewlift/audit"
 	"encoding/json"
 	"reflect"
 	"strings"
 	"testing"
+
+	"dewlift/audit"
 )
 
 // The stored form of a carrier and all keys must not change: the same bytes are written, and stored ones read.
--- a/core/auditlog/recorder.go
+++ b/core/auditlog/recorder.go
@@ -17,8 +17,9 @@
 package auditlog
 
 import (
-	"dewlift/audit"
 	"time"
+
+	"dewlift/audit"
 )
 
 const (
--- a/core/auditlog/recorder_test.go
+++ b/core/auditlog/recorder_test.go
@@ -1,8 +1,6 @@
 package auditlog
 
 import (
-	"dewlift/audit"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -12,6 +10,9 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"dewlift/audit"
+	"dewlift/wire"
 )
 
 // key signs the entries of the tests.
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -2,11 +2,12 @@
 
 import (
 	"cmp"
-	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
 	"time"
+
+	"dewlift/wire"
 )
 
 // autoscalerState is what every controller keeps for scaling: the catalog of machine types, arrivals
@@ -259,8 +260,9 @@
 			waiting += d.tasks
 		}
 	}
-	l.log(LevelInfo, "machines", "up", up, "booting", booting, "closed", offeredLast, "empty", empty,
-		"cpus", capacity/1000, "used", allocated/1000, "waiting", waiting, "reserve", headroom)
+	l.log(LevelInfo, "machines", "up", up, "booting", booting, "closed", offeredLast,
+		"empty", empty, "cpus", capacity/1000, "used", allocated/1000, "waiting", waiting,
+		"reserve", headroom)
 }
 
 // idleTimeout is how long an empty machine is kept, longer for a type that boots slowly.
--- a/core/batchvalue/slot.go
+++ b/core/batchvalue/slot.go
@@ -12,10 +12,11 @@
 package batchvalue
 
 import (
-	"dewlift/internal/compress"
 	"encoding/json"
 	"fmt"
 	"maps"
+
+	"dewlift/internal/compress"
 )
 
 // Slot is the known state of one value, and this controller's writes in flight that depend on it.
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -2,15 +2,16 @@
 
 import (
 	"bytes"
-	"dewlift/core/batchvalue"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
 	"strconv"
 
 	"github.com/cespare/xxhash/v2"
+
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // Small jobs share values (docs/notes/shared.md). Each shard has a few slots, which the shard's owner
--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -1,13 +1,14 @@
 package core
 
 import (
-	"dewlift/core/batchvalue"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"encoding/json"
 	"slices"
 	"testing"
 	"time"
+
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // newCoreWithSharedValues returns a core that owns all shards and whose controllers all know shared values.
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -2,13 +2,14 @@
 
 import (
 	"cmp"
-	"dewlift/core/jobrecord"
-	"dewlift/core/quorum"
-	"dewlift/wire"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
+
+	"dewlift/core/jobrecord"
+	"dewlift/core/quorum"
+	"dewlift/wire"
 )
 
 // Acknowledging cancellations. A user is answered that a job is cancelled only once a majority of
--- a/core/cancelacks_test.go
+++ b/core/cancelacks_test.go
@@ -1,11 +1,12 @@
 package core
 
 import (
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"slices"
 	"testing"
 	"time"
+
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // cancelledItem is the record of a cancelled job with a task on a machine, as another controller sends it.
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // Enforcing cancellations: cancelled tasks must be off their machines within
--- a/core/cancelmarker.go
+++ b/core/cancelmarker.go
@@ -1,12 +1,13 @@
 package core
 
 import (
+	"encoding/json"
+	"fmt"
+
 	"dewlift/audit"
 	"dewlift/core/auditlog"
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
-	"encoding/json"
-	"fmt"
 )
 
 // keyCancel begins the keys of cancel markers, by job.
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/wire"
 )
 
 // scaleOutRequest is a request for machines, kept until the cloud has answered it.
@@ -226,8 +227,8 @@
 		if !pending.sent {
 			pending.sent = true
 			request := &pending.request
-			l.log(LevelInfo, "scaling out", "hire", name, "type", request.Type, "zone", request.Zone,
-				"spot", request.Spot, "count", request.Count)
+			l.log(LevelInfo, "scaling out", "hire", name, "type", request.Type,
+				"zone", request.Zone, "spot", request.Spot, "count", request.Count)
 		}
 	}
 }
--- a/core/config.go
+++ b/core/config.go
@@ -1,11 +1,12 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/access"
 	"dewlift/audit"
 	"dewlift/booking"
 	"dewlift/priorityclass"
-	"time"
 )
 
 // Config is all that a core needs to know at its start. A core supplies no defaults: where a comment
--- a/core/core.go
+++ b/core/core.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/audit"
 	"dewlift/core/membership"
 	"dewlift/core/quorum"
@@ -8,7 +10,6 @@
 	"dewlift/core/reservations"
 	"dewlift/overload"
 	"dewlift/priorityclass"
-	"time"
 )
 
 // Core is the state machine of one controller. Each group of its state is a type of its own, in the
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -1,15 +1,16 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"encoding/json"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // testConfig is the configuration of controller n0 of three, with four shards and one team.
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -1,13 +1,14 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
 	"encoding/binary"
 	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
 )
 
 const (
--- a/core/demand.go
+++ b/core/demand.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"math"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // classStats is the arrivals of jobs of one class, as exponential moving averages.
--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // jobDependencies is a job's place in the dependency graph. All of it follows from the jobs'
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
+
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // newCoreWithDependencies is a leader whose peers all support dependencies.
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/wire"
 )
 
 const (
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -1,8 +1,9 @@
 package core
 
 import (
-	"dewlift/wire"
 	"time"
+
+	"dewlift/wire"
 )
 
 const (
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/wire"
 )
 
 // missedHeartbeatsLimit is the count of heartbeat intervals after which a silent machine gets no new tasks.
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -1,11 +1,12 @@
 package core
 
 import (
-	"dewlift/audit"
 	"encoding/json"
 	"reflect"
 	"strings"
 	"testing"
+
+	"dewlift/audit"
 )
 
 // TestStoredBytesStay guards the stored form of types of this package: a controller of another version must read what
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -1,13 +1,13 @@
 package core
 
 import (
-	"dewlift/access"
-	"dewlift/wire"
 	"hash/fnv"
 	"strconv"
 	"time"
 
+	"dewlift/access"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 const (
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -1,12 +1,12 @@
 package core
 
 import (
-	"dewlift/access"
-	"dewlift/booking"
-	"dewlift/wire"
 	"time"
 
+	"dewlift/access"
+	"dewlift/booking"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // Input is an event that the core handles by Core.Handle: a request, the outcome of an output, or a measurement.
--- a/core/job.go
+++ b/core/job.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
+	"time"
+
 	"dewlift/audit"
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
-	"time"
 )
 
 // job is what this controller knows of one job: its stored record, and its volatile state here.
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -2,13 +2,14 @@
 
 import (
 	"cmp"
-	"dewlift/archive"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"errors"
 	"slices"
 	"strings"
 	"time"
+
+	"dewlift/archive"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // Ended jobs. A controller keeps the jobs that ended last in memory, as it keeps all that have not
--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -1,14 +1,15 @@
 package core
 
 import (
-	"dewlift/archive"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"dewlift/archive"
+	"dewlift/wire"
 )
 
 // archiveBlockPage is the result of reading the only block of an archive: blockRevision is that of its key,
--- a/core/jobrecord/pack.go
+++ b/core/jobrecord/pack.go
@@ -1,12 +1,13 @@
 package jobrecord
 
 import (
-	"dewlift/internal/compress"
-	"dewlift/wire"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"strconv"
+
+	"dewlift/internal/compress"
+	"dewlift/wire"
 )
 
 // A packed record stores its lists column by column as differences between neighbours, which are
--- a/core/jobrecord/record.go
+++ b/core/jobrecord/record.go
@@ -6,9 +6,6 @@
 
 import (
 	"cmp"
-	"dewlift/archive"
-	"dewlift/audit"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,6 +13,10 @@
 	"strconv"
 	"strings"
 	"unicode/utf8"
+
+	"dewlift/archive"
+	"dewlift/audit"
+	"dewlift/wire"
 )
 
 // Stages of a job, as stored in [Record.Stage].
--- a/core/jobrecord/record_test.go
+++ b/core/jobrecord/record_test.go
@@ -1,13 +1,14 @@
 package jobrecord
 
 import (
-	"dewlift/internal/compress"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"reflect"
 	"slices"
 	"testing"
+
+	"dewlift/internal/compress"
+	"dewlift/wire"
 )
 
 // A damaged packed value must be reported as an error and must not crash the controller.
--- a/core/jobrecord/value.go
+++ b/core/jobrecord/value.go
@@ -1,12 +1,13 @@
 package jobrecord
 
 import (
-	"dewlift/internal/compress"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 
 	protobuf "google.golang.org/protobuf/proto"
+
+	"dewlift/internal/compress"
+	"dewlift/wire"
 )
 
 // compressedValue is the stored form of a compressed value.
--- a/core/leader.go
+++ b/core/leader.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/core/allocation"
-	"dewlift/wire"
 	"maps"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/allocation"
+	"dewlift/wire"
 )
 
 // nodeState is the leader's view of a machine; all but rentedAt begins anew with each term.
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"time"
+
+	"dewlift/wire"
 )
 
 // tokenRaiseInterval is the least time between two increments of the fencing token that are no part of a claim.
--- a/core/lease.go
+++ b/core/lease.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"dewlift/wire"
 	"encoding/json"
 	"time"
+
+	"dewlift/wire"
 )
 
 const (
--- a/core/loadshedding.go
+++ b/core/loadshedding.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"dewlift/overload"
 	"math"
 	"time"
+
+	"dewlift/overload"
 )
 
 const (
--- a/core/loadshedding_test.go
+++ b/core/loadshedding_test.go
@@ -1,11 +1,12 @@
 package core
 
 import (
-	"dewlift/overload"
-	"dewlift/wire"
 	"fmt"
 	"testing"
 	"time"
+
+	"dewlift/overload"
+	"dewlift/wire"
 )
 
 // addFleet has machines in the zones a and b send heartbeats, and returns a function that has those of a
--- a/core/machine.go
+++ b/core/machine.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"dewlift/clusterstate"
-	"dewlift/core/jobrecord"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/jobrecord"
 )
 
 // machine is all that this controller knows of a machine. It is interned by name and never freed.
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"dewlift/wire"
 	"time"
+
+	"dewlift/wire"
 )
 
 const (
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"dewlift/overload"
 	"slices"
 	"time"
+
+	"dewlift/overload"
 )
 
 // compactionInterval is the time between two compactions of the lists that are walked often.
--- a/core/outputs.go
+++ b/core/outputs.go
@@ -1,9 +1,10 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/access"
 	"dewlift/wire"
-	"time"
 )
 
 // Output is something that the core wants done, as returned by Core.Advance. Outputs with an ID have an outcome, an
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -1,13 +1,14 @@
 package core
 
 import (
-	"dewlift/core/auditlog"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"hash/fnv"
 	"strings"
 	"time"
+
+	"dewlift/core/auditlog"
+	"dewlift/wire"
 )
 
 const (
@@ -100,7 +101,8 @@
 // acquireOwnership claims absent shards and the leadership, and releases surplus shards. All claims of
 // one run are one transaction, which also raises the fencing token.
 func (c *Core) acquireOwnership() {
-	if c.auditLog.isNotReady() || !c.ownLease.isHeld() || c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
+	if c.auditLog.isNotReady() || !c.ownLease.isHeld() ||
+		c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
 		c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
--- a/core/peers.go
+++ b/core/peers.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"dewlift/core/membership"
 	"hash/fnv"
 	"slices"
 	"time"
+
+	"dewlift/core/membership"
 )
 
 // returnRequestInterval is the time between two requests to the leader to return machines.
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -1,10 +1,6 @@
 package core
 
 import (
-	"dewlift/access"
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,7 +10,11 @@
 
 	protobuf "google.golang.org/protobuf/proto"
 
+	"dewlift/access"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // Permissions are stored under one key for the roles and one key for each identity. They are in force
--- a/core/permissions_test.go
+++ b/core/permissions_test.go
@@ -1,9 +1,6 @@
 package core
 
 import (
-	"dewlift/access"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"encoding/base64"
 	"encoding/json"
 	"fmt"
@@ -12,7 +9,10 @@
 	"testing"
 	"time"
 
+	"dewlift/access"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // examplePolicy has a technician, anna, who may also change permissions, and a visitor, potter. The
--- a/core/preemption.go
+++ b/core/preemption.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"dewlift/clusterstate"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/wire"
 )
 
 // preemptionOption is a machine whose victims make way for at least one replica.
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -2,9 +2,6 @@
 
 import (
 	"cmp"
-	"dewlift/core/jobrecord"
-	"dewlift/priorityclass"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"math"
@@ -12,7 +9,10 @@
 
 	"google.golang.org/protobuf/encoding/prototext"
 
+	"dewlift/core/jobrecord"
+	"dewlift/priorityclass"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // keyPriorityClasses is the key of the list of priority classes in force. A job's class and its queue
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"fmt"
 	"slices"
 	"time"
+
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // Causes of the end of an attempt that a controller infers itself; those that agents report are in
@@ -358,28 +359,11 @@
 // finishDone reduces the record of a job whose tasks have all completed.
 func (u *recordUpdate) finishDone() {
 	c, record := u.core, u.record
-	c.log(
-		LevelDebug,
-		"job done",
-		"job",
-		u.job.id,
-		"class",
-		record.Spec.Class,
-		"team",
-		record.Spec.Team,
-		"tasks",
-		record.Spec.Tasks,
-		"tries",
-		record.LastAttempt,
-		"estimate_s",
-		record.Spec.EstimatedRuntimeMS/1000,
-		"took_ms",
-		c.unixMS()-record.AcceptedAtMS,
-		"placed_ms",
-		u.job.placement.lastPlacedMS-record.AcceptedAtMS,
-		"why",
-		record.StopReasons,
-	)
+	c.log(LevelDebug, "job done", "job", u.job.id, "class", record.Spec.Class,
+		"team", record.Spec.Team, "tasks", record.Spec.Tasks, "tries", record.LastAttempt,
+		"estimate_s", record.Spec.EstimatedRuntimeMS/1000,
+		"took_ms", c.unixMS()-record.AcceptedAtMS,
+		"placed_ms", u.job.placement.lastPlacedMS-record.AcceptedAtMS, "why", record.StopReasons)
 	*record = jobrecord.Record{
 		Shard:          record.Shard,
 		Stage:          jobrecord.Done,
@@ -401,24 +385,10 @@
 	p.startsOnly = !u.changed
 	u.changed, u.urgent = true, true
 	u.job.placement.lastPlacedMS = c.unixMS()
-	c.log(
-		LevelDebug,
-		"tasks placed late",
-		"job",
-		u.job.id,
-		"class",
-		record.Spec.Class,
-		"tasks",
-		len(p.assignments)-before,
-		"after_ms",
-		u.job.placement.lastPlacedMS-record.AcceptedAtMS,
-		"tries",
-		record.LastAttempt,
-		"spread",
-		record.Spec.Spread,
-		"why",
-		record.StopReasons,
-	)
+	c.log(LevelDebug, "tasks placed late", "job", u.job.id, "class", record.Spec.Class,
+		"tasks", len(p.assignments)-before,
+		"after_ms", u.job.placement.lastPlacedMS-record.AcceptedAtMS, "tries", record.LastAttempt,
+		"spread", record.Spec.Spread, "why", record.StopReasons)
 	return again
 }
 
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // A job that was submitted with a mistake fails on every machine until its user cancels it. Its record
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
+
+	"dewlift/core/jobrecord"
+	"dewlift/wire"
 )
 
 // A job with a mistake kept the machines that it failed on from all work for up to half a minute, was
--- a/core/queuelisting.go
+++ b/core/queuelisting.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"dewlift/wire"
 	"slices"
+
+	"dewlift/wire"
 )
 
 // maxQueuePage bounds the jobs of one response.
--- a/core/quota.go
+++ b/core/quota.go
@@ -1,9 +1,10 @@
 package core
 
 import (
+	"math"
+
 	"dewlift/clusterstate"
 	"dewlift/wire"
-	"math"
 )
 
 // team is a team with its quota, and what its jobs use of it.
--- a/core/quota_test.go
+++ b/core/quota_test.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"dewlift/wire"
 	"math"
 	"testing"
+
+	"dewlift/wire"
 )
 
 // A team that uses more than its quota, or whose quota was lowered, must get no more tasks; a request
--- a/core/rangereads.go
+++ b/core/rangereads.go
@@ -1,8 +1,9 @@
 package core
 
 import (
-	"dewlift/core/ratelimit"
 	"time"
+
+	"dewlift/core/ratelimit"
 )
 
 const (
--- a/core/replica.go
+++ b/core/replica.go
@@ -1,11 +1,12 @@
 package core
 
 import (
+	"slices"
+	"time"
+
 	"dewlift/core/membership"
 	"dewlift/core/ratelimit"
 	"dewlift/wire"
-	"slices"
-	"time"
 )
 
 // storeReplica is this controller's replica of the key-value store: how far it has read, the
@@ -354,20 +355,8 @@
 	c.replica.loaded = true
 	c.cancelAcks.quorum.ConfirmRead(c.replica.snapshotStartedAt)
 	c.replica.watchInFlight = false
-	c.log(
-		LevelInfo,
-		"snapshot loaded",
-		"ledger",
-		c.replica.revision,
-		"pages",
-		c.replica.pagesRead,
-		"jobs",
-		len(c.jobIndex),
-		"ended",
-		len(c.history.endedJobs),
-		"cold",
-		c.history.coldRecords,
-	)
+	c.log(LevelInfo, "snapshot loaded", "ledger", c.replica.revision, "pages", c.replica.pagesRead,
+		"jobs", len(c.jobIndex), "ended", len(c.history.endedJobs), "cold", c.history.coldRecords)
 }
 
 // isSlowestToLoad reports whether another controller is further ahead in its snapshot load. When
--- a/core/requests.go
+++ b/core/requests.go
@@ -1,9 +1,10 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/core/jobrecord"
 	"dewlift/wire"
-	"time"
 )
 
 // Reasons that users are answered with. They are part of responses, so their texts stay as they are.
@@ -350,18 +351,9 @@
 	}
 	target.submission = nil
 	c.pendingSubmissions--
-	c.log(
-		LevelDebug,
-		"submission answered",
-		"job",
-		target.id,
-		"status",
-		status,
-		"after_ms",
-		(c.now - submission.receivedAt).Milliseconds(),
-		"failed",
-		submission.writeFailed,
-	)
+	c.log(LevelDebug, "submission answered", "job", target.id, "status", status,
+		"after_ms", (c.now - submission.receivedAt).Milliseconds(),
+		"failed", submission.writeFailed)
 	for i, requestID := range submission.requestIDs {
 		joinedAfterWrite := i >= submission.requestsBeforeWrite
 		switch {
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -1,9 +1,10 @@
 package core
 
 import (
-	"dewlift/wire"
 	"testing"
 	"time"
+
+	"dewlift/wire"
 )
 
 // A submission that joins one whose write is in flight must be answered by a read that began after
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -2,19 +2,19 @@
 
 import (
 	"cmp"
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/booking"
-	"dewlift/core/auditlog"
-	"dewlift/core/reservations"
-	"dewlift/wire"
 	"encoding/json"
 	"slices"
 	"time"
 
 	"google.golang.org/protobuf/encoding/prototext"
 
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/booking"
+	"dewlift/core/auditlog"
+	"dewlift/core/reservations"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // Reservations of equipment: authorization of the requests and their share of the write budget. Package
--- a/core/reservations/archive.go
+++ b/core/reservations/archive.go
@@ -1,13 +1,13 @@
 package reservations
 
 import (
-	"dewlift/booking"
-	"dewlift/wire"
 	"slices"
 	"strings"
 	"time"
 
+	"dewlift/booking"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // Past and ended reservations move from the pages to archive blocks, which no controller watches and
--- a/core/reservations/batch.go
+++ b/core/reservations/batch.go
@@ -1,13 +1,13 @@
 package reservations
 
 import (
-	"dewlift/booking"
-	"dewlift/wire"
 	"errors"
 	"fmt"
 	"slices"
 
+	"dewlift/booking"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // NextTxn decides queued requests and returns the transaction that commits the decisions, or nil if
--- a/core/reservations/golden_test.go
+++ b/core/reservations/golden_test.go
@@ -1,13 +1,13 @@
 package reservations
 
 import (
-	"dewlift/audit"
 	"reflect"
 	"strings"
 	"testing"
 
 	protobuf "google.golang.org/protobuf/proto"
 
+	"dewlift/audit"
 	pb "dewlift/proto"
 )
 
--- a/core/reservations/pages.go
+++ b/core/reservations/pages.go
@@ -1,10 +1,6 @@
 package reservations
 
 import (
-	"dewlift/audit"
-	"dewlift/booking"
-	"dewlift/internal/compress"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -13,7 +9,11 @@
 
 	protobuf "google.golang.org/protobuf/proto"
 
+	"dewlift/audit"
+	"dewlift/booking"
+	"dewlift/internal/compress"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 const (
--- a/core/reservations/service.go
+++ b/core/reservations/service.go
@@ -16,13 +16,13 @@
 package reservations
 
 import (
-	"dewlift/audit"
-	"dewlift/booking"
-	"dewlift/wire"
 	"slices"
 	"time"
 
+	"dewlift/audit"
+	"dewlift/booking"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // Keys of the key-value store.
--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -1,9 +1,6 @@
 package reservations
 
 import (
-	"dewlift/audit"
-	"dewlift/booking"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"slices"
@@ -11,7 +8,10 @@
 	"testing"
 	"time"
 
+	"dewlift/audit"
+	"dewlift/booking"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // startUnixS is the wall-clock time at which the tests start, in seconds: a whole minute.
@@ -427,8 +427,8 @@
 	})
 }
 
-// A reason that is longer than is kept must be cut between characters: invalid UTF-8 can't be stored, and the reservation
-// could not be ended.
+// A reason that is longer than is kept must be cut between characters: invalid UTF-8 can't be stored, and the
+// reservation could not be ended.
 func TestLongReasonIsCutBetweenCharacters(t *testing.T) {
 	store := newStore(t)
 	service := New()
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -1,13 +1,14 @@
 package core
 
 import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
 	"dewlift/clusterstate"
 	"dewlift/core/jobrecord"
 	"dewlift/core/membership"
 	"dewlift/wire"
-	"math/rand/v2"
-	"testing"
-	"time"
 )
 
 // While hundreds of jobs waited in a full cluster, each plan examined every machine for each of them and
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"dewlift/core/ratelimit"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/core/ratelimit"
+	"dewlift/wire"
 )
 
 // blockedScanInterval is the time between two looks at the waiting jobs while nothing can be written.
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -1,11 +1,12 @@
 package core
 
 import (
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"strings"
 	"time"
+
+	"dewlift/wire"
 )
 
 // Two versions of this program may run at once while an upgrade replaces the controllers one by one,
@@ -62,12 +63,8 @@
 func (s *schemaState) record(name string, version int) (activated bool) {
 	s.declared[name] = max(s.declared[name], version)
 	if name == s.cfg.Name && version > s.cfg.SchemaVersion {
-		s.log(
-			LevelError,
-			"a newer version has run here before: this one may be unable to read its data",
-			"form",
-			version,
-		)
+		s.log(LevelError, "a newer version has run here before: this one may be unable to read its data",
+			"form", version)
 	}
 	common := s.commonVersion()
 	if common <= s.active {
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"cmp"
-	"dewlift/core/jobrecord"
-	"dewlift/internal/previousversion"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -12,6 +9,10 @@
 	"slices"
 	"testing"
 	"time"
+
+	"dewlift/core/jobrecord"
+	"dewlift/internal/previousversion"
+	"dewlift/wire"
 )
 
 // storedItems returns keys with their values as the previous version wrote them.
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -1,10 +1,11 @@
 package core
 
 import (
-	"dewlift/core/membership"
 	"math"
 	"slices"
 	"time"
+
+	"dewlift/core/membership"
 )
 
 // startShareHalfLife is the time after which a start counts half in the shares of the priority classes.
--- a/core/supply.go
+++ b/core/supply.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"dewlift/clusterstate"
-	"dewlift/wire"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/wire"
 )
 
 // bin is one machine of a plan: up, booting, requested or planned.
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -1,10 +1,11 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/core/batchvalue"
 	"dewlift/core/ratelimit"
 	"dewlift/wire"
-	"time"
 )
 
 // transactionState is the store transactions in flight, the rate limit they are charged to, and
@@ -115,8 +116,9 @@
 	} else {
 		s.cfg.Store.MaxValueBytes = max(minValueBytes, largest*7/8)
 	}
-	s.log(LevelError, "transaction refused by the store: limits reduced", "changes", len(refused.Then),
-		"largest", largest, "txn_ops", s.cfg.Store.MaxTxnOps, "value_bytes", s.cfg.Store.MaxValueBytes)
+	s.log(LevelError, "transaction refused by the store: limits reduced",
+		"changes", len(refused.Then), "largest", largest, "txn_ops", s.cfg.Store.MaxTxnOps,
+		"value_bytes", s.cfg.Store.MaxValueBytes)
 }
 
 // canAffordCompletions reports whether enough write tokens are left to write completions, which no
@@ -150,16 +152,8 @@
 	if in.Status == wire.StatusOK {
 		return
 	}
-	s.log(
-		LevelDebug,
-		"transaction not committed",
-		"status",
-		in.Status,
-		"failed",
-		in.Reply.Failed,
-		"error",
-		in.Reply.Error,
-	)
+	s.log(LevelDebug, "transaction not committed", "status", in.Status, "failed", in.Reply.Failed,
+		"error", in.Reply.Error)
 }
 
 // countFailure counts conflicts and unknown outcomes.
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -1,12 +1,13 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/core/batchvalue"
-	"dewlift/wire"
 	"encoding/json"
 	"slices"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/core/batchvalue"
+	"dewlift/wire"
 )
 
 // txnBuilder gathers the proposals of several jobs into one transaction, within the store's limits
--- a/core/yield.go
+++ b/core/yield.go
@@ -1,9 +1,10 @@
 package core
 
 import (
+	"time"
+
 	"dewlift/core/membership"
 	"dewlift/wire"
-	"time"
 )
 
 const (
--- a/core/yield_test.go
+++ b/core/yield_test.go
@@ -1,11 +1,12 @@
 package core
 
 import (
-	"dewlift/clusterstate"
-	"dewlift/wire"
 	"fmt"
 	"testing"
 	"time"
+
+	"dewlift/clusterstate"
+	"dewlift/wire"
 )
 
 // While more work waited than there was capacity, every controller filled each new machine, and half
--- a/coreconfig.go
+++ b/coreconfig.go
@@ -1,12 +1,12 @@
 package dewlift
 
 import (
-	"dewlift/connlimit"
-	"dewlift/core"
-	"dewlift/settings"
 	"time"
 
+	"dewlift/connlimit"
+	"dewlift/core"
 	pb "dewlift/proto"
+	"dewlift/settings"
 )
 
 const (
--- a/eventloop.go
+++ b/eventloop.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"dewlift/connlimit"
-	"dewlift/core"
 	"log/slog"
 	"time"
+
+	"dewlift/connlimit"
+	"dewlift/core"
 )
 
 const (
--- a/internal/fakes/fixtures.go
+++ b/internal/fakes/fixtures.go
@@ -1,11 +1,12 @@
 package fakes
 
 import (
+	"encoding/json"
+	"fmt"
+
 	"dewlift/access"
 	"dewlift/core"
 	"dewlift/wire"
-	"encoding/json"
-	"fmt"
 )
 
 // SetMachineType stores the catalog of one machine type, as if a controller had read it from the cloud.
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -4,7 +4,6 @@
 package fakes
 
 import (
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -16,6 +15,8 @@
 	"time"
 
 	"github.com/google/btree"
+
+	"dewlift/wire"
 )
 
 // Limits are the limits that a store enforces; 0: none.
--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -15,6 +14,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"dewlift/wire"
 )
 
 // Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: a task
--- a/internal/fakes/workers_test.go
+++ b/internal/fakes/workers_test.go
@@ -1,9 +1,10 @@
 package fakes
 
 import (
-	"dewlift/wire"
 	"testing"
 	"time"
+
+	"dewlift/wire"
 )
 
 // The fake must execute commands as the protocol says: each once, in order, no more than there is capacity for,
--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -3,15 +3,6 @@
 import (
 	"bytes"
 	"cmp"
-	"dewlift/archive"
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/core/auditlog"
-	"dewlift/core/batchvalue"
-	"dewlift/core/jobrecord"
-	"dewlift/core/reservations"
-	"dewlift/snapshot"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"maps"
@@ -22,7 +13,16 @@
 
 	protobuf "google.golang.org/protobuf/proto"
 
+	"dewlift/archive"
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/core/auditlog"
+	"dewlift/core/batchvalue"
+	"dewlift/core/jobrecord"
+	"dewlift/core/reservations"
 	pb "dewlift/proto"
+	"dewlift/snapshot"
+	"dewlift/wire"
 )
 
 // stored is a value of the store, or a file: how it is written, and what it is read as.
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -1,12 +1,6 @@
 package golden
 
 import (
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/core/jobrecord"
-	"dewlift/settings"
-	"dewlift/wire"
 	"encoding/json"
 	"go/ast"
 	"go/parser"
@@ -17,6 +11,13 @@
 	"strings"
 	"testing"
 	"time"
+
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/core/jobrecord"
+	"dewlift/settings"
+	"dewlift/wire"
 )
 
 // bodies are the types of bodies on the platform's interfaces and on ours, by the names in the golden file.
--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -7,10 +7,6 @@
 import (
 	"bytes"
 	"context"
-	"dewlift"
-	"dewlift/internal/fakes"
-	"dewlift/settings"
-	"dewlift/wire"
 	"encoding/json"
 	"flag"
 	"fmt"
@@ -24,6 +20,11 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"dewlift"
+	"dewlift/internal/fakes"
+	"dewlift/settings"
+	"dewlift/wire"
 )
 
 var (
@@ -172,7 +173,8 @@
 	}
 	cluster := &platform.Cluster
 	cluster.Teams = []settings.Team{{Name: "t"}}
-	cluster.Workers.HeartbeatIntervalS, cluster.Workers.AgentLeaseS, cluster.Workers.CancelDeadlineS = heartbeatInterval.Seconds(), 36, 66
+	cluster.Workers.HeartbeatIntervalS = heartbeatInterval.Seconds()
+	cluster.Workers.AgentLeaseS, cluster.Workers.CancelDeadlineS = 36, 66
 	cluster.TimeBoundMS = 5
 	cluster.State.RPS, cluster.State.WriteRPS = storeLimits.RPS, storeLimits.WriteRPS
 	cluster.State.ValueKB, cluster.State.TxnOps = 8, storeLimits.TxnOps
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -6,12 +6,6 @@
 
 import (
 	"bytes"
-	"dewlift/access"
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/internal/fakes"
-	"dewlift/internal/measure/process"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"flag"
@@ -29,7 +23,13 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"dewlift/access"
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/internal/fakes"
+	"dewlift/internal/measure/process"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // RequestCost is the cost of requests of one kind.
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -5,11 +5,6 @@
 package main
 
 import (
-	"dewlift/archive"
-	"dewlift/core"
-	"dewlift/internal/fakes"
-	"dewlift/internal/measure/process"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"flag"
@@ -23,6 +18,12 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"dewlift/archive"
+	"dewlift/core"
+	"dewlift/internal/fakes"
+	"dewlift/internal/measure/process"
+	"dewlift/wire"
 )
 
 const (
--- a/internal/measure/history/report.go
+++ b/internal/measure/history/report.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"dewlift/internal/chart"
-	"dewlift/internal/measure/process"
 	"errors"
 	"fmt"
 	"html/template"
@@ -15,6 +13,9 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
+
+	"dewlift/internal/chart"
+	"dewlift/internal/measure/process"
 )
 
 // pageTemplate is the report; it uses the fields of StartCost and ArchivingCost by name.
--- a/internal/measure/process/process.go
+++ b/internal/measure/process/process.go
@@ -3,8 +3,6 @@
 package process
 
 import (
-	"dewlift/internal/fakes"
-	"dewlift/wire"
 	"errors"
 	"fmt"
 	"net"
@@ -15,6 +13,9 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"dewlift/internal/fakes"
+	"dewlift/wire"
 )
 
 const (
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -1,11 +1,6 @@
 package main
 
 import (
-	"dewlift"
-	"dewlift/core"
-	"dewlift/internal/eventqueue"
-	"dewlift/settings"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -13,6 +8,12 @@
 	"runtime"
 	"slices"
 	"time"
+
+	"dewlift"
+	"dewlift/core"
+	"dewlift/internal/eventqueue"
+	"dewlift/settings"
+	"dewlift/wire"
 )
 
 const (
@@ -159,7 +160,8 @@
 	}
 	cluster := &platform.Cluster
 	cluster.Teams = []settings.Team{{Name: "t"}}
-	cluster.Workers.HeartbeatIntervalS, cluster.Workers.AgentLeaseS, cluster.Workers.CancelDeadlineS = heartbeatInterval.Seconds(), 36, 66
+	cluster.Workers.HeartbeatIntervalS = heartbeatInterval.Seconds()
+	cluster.Workers.AgentLeaseS, cluster.Workers.CancelDeadlineS = 36, 66
 	cluster.TimeBoundMS = 5
 	cluster.State.RPS, cluster.State.WriteRPS = unlimitedRate, writeLimit
 	cluster.State.ValueKB, cluster.State.TxnOps = 8, 24
--- a/internal/measure/scale/main.go
+++ b/internal/measure/scale/main.go
@@ -6,8 +6,6 @@
 package main
 
 import (
-	"dewlift/internal/chart"
-	"dewlift/internal/eventqueue"
 	"encoding/json"
 	"errors"
 	"flag"
@@ -25,6 +23,9 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
+
+	"dewlift/internal/chart"
+	"dewlift/internal/eventqueue"
 )
 
 // Limits that the curve is compared with, and the load.
--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -1,10 +1,6 @@
 package sim
 
 import (
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/core/reservations"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"maps"
@@ -12,7 +8,11 @@
 	"strings"
 	"time"
 
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/core/reservations"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 var auditKey = audit.Key("the key of the sites in the tests")
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -1,12 +1,13 @@
 package sim
 
 import (
-	"dewlift/core"
-	"dewlift/wire"
 	"fmt"
 	"slices"
 	"testing"
 	"time"
+
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 // outageScenario is a combination of faults around cancellations: something keeps one or more controllers, the
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -1,13 +1,14 @@
 package sim
 
 import (
-	"dewlift/archive"
-	"dewlift/core"
-	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
 	"time"
+
+	"dewlift/archive"
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 // Checker observes a simulation and records every violated rule. It knows what users were answered and what runs on
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"dewlift/core"
 	"time"
+
+	"dewlift/core"
 )
 
 // Options configure a simulation. The zero value of a size takes its default.
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"dewlift/core"
 	"encoding/binary"
 	"encoding/json"
 	"flag"
@@ -16,6 +15,8 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
+	"dewlift/core"
 )
 
 var (
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -1,12 +1,13 @@
 package sim
 
 import (
-	"dewlift/core"
-	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
 	"time"
+
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 // Eager users poll all controllers within milliseconds after they were told that a job was accepted, has ended or is
--- a/internal/sim/fake_cloud.go
+++ b/internal/sim/fake_cloud.go
@@ -1,10 +1,11 @@
 package sim
 
 import (
-	"dewlift/core"
-	"dewlift/wire"
 	"fmt"
 	"time"
+
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 const (
--- a/internal/sim/fake_store.go
+++ b/internal/sim/fake_store.go
@@ -1,15 +1,16 @@
 package sim
 
 import (
-	"dewlift/archive"
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/wire"
 	"maps"
 	"slices"
 	"sort"
 	"strings"
 	"time"
+
+	"dewlift/archive"
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 const (
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -1,11 +1,12 @@
 package sim
 
 import (
-	"dewlift/core"
-	"dewlift/wire"
 	"fmt"
 	"sort"
 	"time"
+
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 const (
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -1,8 +1,9 @@
 package sim
 
 import (
-	"dewlift/wire"
 	"time"
+
+	"dewlift/wire"
 )
 
 const (
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"dewlift/core"
 	"time"
+
+	"dewlift/core"
 )
 
 // storeAddress and cloudAddress are the network names of the fake store and the fake cloud. Controllers and
--- a/internal/sim/outputs.go
+++ b/internal/sim/outputs.go
@@ -1,8 +1,9 @@
 package sim
 
 import (
-	"dewlift/core"
 	"time"
+
+	"dewlift/core"
 )
 
 // Timeouts of a controller's requests.
--- a/internal/sim/overlapping_faults.go
+++ b/internal/sim/overlapping_faults.go
@@ -1,12 +1,13 @@
 package sim
 
 import (
-	"dewlift/core"
-	"dewlift/wire"
 	"encoding/json"
 	"maps"
 	"slices"
 	"time"
+
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 // Overlapping faults: most rules that were violated on real machines were violated when a second fault began while
--- a/internal/sim/permissions.go
+++ b/internal/sim/permissions.go
@@ -1,14 +1,14 @@
 package sim
 
 import (
-	"dewlift/access"
-	"dewlift/core"
-	"dewlift/wire"
 	"encoding/base64"
 	"fmt"
 	"time"
 
+	"dewlift/access"
+	"dewlift/core"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // permissionView is what the administrator knows of a user's permission.
--- a/internal/sim/queue_order.go
+++ b/internal/sim/queue_order.go
@@ -1,15 +1,16 @@
 package sim
 
 import (
-	"dewlift/core"
-	"dewlift/core/jobrecord"
-	"dewlift/priorityclass"
-	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
 	"strings"
 	"time"
+
+	"dewlift/core"
+	"dewlift/core/jobrecord"
+	"dewlift/priorityclass"
+	"dewlift/wire"
 )
 
 // queueOrderChecker follows the queue by the store's own order of acceptances and the jobs' records, apart from what
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -2,10 +2,6 @@
 
 import (
 	"cmp"
-	"dewlift/booking"
-	"dewlift/core"
-	"dewlift/core/reservations"
-	"dewlift/wire"
 	"fmt"
 	"maps"
 	"slices"
@@ -14,7 +10,11 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"dewlift/booking"
+	"dewlift/core"
+	"dewlift/core/reservations"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // reservationChecker holds the equipment of a simulation, what its users were told of reservations, and what is
--- a/internal/sim/rolling_upgrade.go
+++ b/internal/sim/rolling_upgrade.go
@@ -1,14 +1,15 @@
 package sim
 
 import (
-	"dewlift/archive"
-	"dewlift/core"
-	"dewlift/internal/previousversion"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"strings"
 	"time"
+
+	"dewlift/archive"
+	"dewlift/core"
+	"dewlift/internal/previousversion"
+	"dewlift/wire"
 )
 
 // announcedLimits are the lower limits of the store that the settings announce in a simulated upgrade. A new
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -1,11 +1,6 @@
 package sim
 
 import (
-	"dewlift/audit"
-	"dewlift/core"
-	"dewlift/core/jobrecord"
-	"dewlift/internal/eventqueue"
-	"dewlift/wire"
 	"encoding/json"
 	"flag"
 	"fmt"
@@ -14,7 +9,12 @@
 	"testing"
 	"time"
 
+	"dewlift/audit"
+	"dewlift/core"
+	"dewlift/core/jobrecord"
+	"dewlift/internal/eventqueue"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // runSimulation plays a simulation, which must not violate any rule.
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -7,12 +7,13 @@
 package sim
 
 import (
-	"dewlift/core"
-	"dewlift/internal/eventqueue"
-	"dewlift/wire"
 	"fmt"
 	"math/rand/v2"
 	"time"
+
+	"dewlift/core"
+	"dewlift/internal/eventqueue"
+	"dewlift/wire"
 )
 
 // node is a controller and its process.
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -1,10 +1,11 @@
 package sim
 
 import (
-	"dewlift/core"
-	"dewlift/wire"
 	"fmt"
 	"time"
+
+	"dewlift/core"
+	"dewlift/wire"
 )
 
 // Timeouts of users, and their pause before they repeat a request.
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -7,8 +7,6 @@
 import (
 	"bufio"
 	"context"
-	"dewlift/core"
-	"dewlift/tlsconfig"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -18,6 +16,9 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"dewlift/core"
+	"dewlift/tlsconfig"
 )
 
 // Names that controllers of other versions use.
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"dewlift/core"
-	"dewlift/internal/testcert"
-	"dewlift/tlsconfig"
 	"fmt"
 	"io"
 	"log/slog"
@@ -18,6 +15,10 @@
 	"testing"
 	"testing/iotest"
 	"time"
+
+	"dewlift/core"
+	"dewlift/internal/testcert"
+	"dewlift/tlsconfig"
 )
 
 // A keep-alive written after its stream had ended panicked, which ended the process when a zone was
--- a/priorityclass/list.go
+++ b/priorityclass/list.go
@@ -5,7 +5,6 @@
 package priorityclass
 
 import (
-	"dewlift/wire"
 	"errors"
 	"fmt"
 	"regexp"
@@ -15,6 +14,7 @@
 	"google.golang.org/protobuf/encoding/prototext"
 
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 const (
--- a/priorityclass/list_test.go
+++ b/priorityclass/list_test.go
@@ -1,12 +1,13 @@
 package priorityclass
 
 import (
-	"dewlift/wire"
 	"strings"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
+
+	"dewlift/wire"
 )
 
 // Operators correct a list by its error alone: it names the class and the field.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -3,7 +3,6 @@
 package settings
 
 import (
-	"dewlift/core/quorum"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,6 +15,7 @@
 	protobuf "google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
+	"dewlift/core/quorum"
 	pb "dewlift/proto"
 )
 
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -2,10 +2,6 @@
 
 import (
 	"context"
-	"dewlift/core"
-	"dewlift/core/auditlog"
-	"dewlift/core/jobrecord"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -17,7 +13,11 @@
 
 	"golang.org/x/time/rate"
 
+	"dewlift/core"
+	"dewlift/core/auditlog"
+	"dewlift/core/jobrecord"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // Target is a key-value store that is restored to.
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"dewlift/internal/httpjson"
-	"dewlift/wire"
 	"errors"
 	"fmt"
 	"io"
@@ -16,7 +14,9 @@
 
 	"golang.org/x/time/rate"
 
+	"dewlift/internal/httpjson"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // Source is a key-value store, and how much of it may be used.
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -3,8 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"dewlift/internal/fakes"
-	"dewlift/wire"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -18,7 +16,9 @@
 	"testing"
 	"time"
 
+	"dewlift/internal/fakes"
 	pb "dewlift/proto"
+	"dewlift/wire"
 )
 
 // serveStore serves an empty fake store.
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -5,13 +5,14 @@
 
 import (
 	"context"
-	"dewlift/core"
-	"dewlift/internal/httpjson"
-	"dewlift/wire"
 	"fmt"
 	"net/http"
 	"net/url"
 	"time"
+
+	"dewlift/core"
+	"dewlift/internal/httpjson"
+	"dewlift/wire"
 )
 
 const (
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -1,15 +1,16 @@
 package statestore
 
 import (
-	"dewlift/core"
-	"dewlift/internal/fakes"
-	"dewlift/wire"
 	"encoding/json"
 	"fmt"
 	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
+
+	"dewlift/core"
+	"dewlift/internal/fakes"
+	"dewlift/wire"
 )
 
 // startFakeStore serves an empty store until the test ends.
--- a/tlsconfig/tlsconfig_test.go
+++ b/tlsconfig/tlsconfig_test.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/tls"
 	"crypto/x509"
-	"dewlift/internal/testcert"
 	"fmt"
 	"io"
 	"log/slog"
@@ -14,6 +13,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"dewlift/internal/testcert"
 )
 
 // loadFromText loads a file of settings with this text.
