--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -47,7 +47,7 @@
 )
 
 // maxScaleOut bounds the machines that one plan orders to what the cloud request rate allows for
-// rentPlanningWindow. Unsent requests are planned anew; without a bound, every plan of a full fleet
+// scaleOutPlanningWindow. Unsent requests are planned anew; without a bound, every plan of a full fleet
 // packed thousands of machines that could not be requested.
 func (a *autoscalerState) maxScaleOut() int {
 	requests := int(a.cfg.Autoscaling.CloudRequestRate * scaleOutPlanningWindow.Seconds())
@@ -156,7 +156,7 @@
 	}
 }
 
-// createScaleOutRequests turns the planned machines into requests of at most maxMachinesPerRent, the
+// createScaleOutRequests turns the planned machines into requests of at most maxMachinesPerScaleOut, the
 // largest node groups first. Each group's first request precedes any group's second: an exhausted
 // group then shows with one of the few cloud requests.
 func (l *leaderState) createScaleOutRequests(stock *supply) {
