--- a/access/access_test.go
+++ b/access/access_test.go
@@ -74,7 +74,7 @@
 }
 
 // An invalid policy gives an error of one line that names the place.
-func TestInvalidPoliciesAreNamed(t *testing.T) {
+func TestPolicyErrorsNameTheField(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{`roles { name: "a" }`, "roles[0] (a).grants"},
 		{`roles { name: "a" grants { verbs: read teams: "t" } }`, "grants[0].classes"},
@@ -101,9 +101,9 @@
 	}
 }
 
-// withKey returns the test policy with a key of anna, and the private half. The public half is also eva's
+// newPolicyWithKey returns the test policy with a key of anna, and the private half. The public half is also eva's
 // key k2.
-func withKey(t testing.TB) (*Policy, *PrivateKey) {
+func newPolicyWithKey(t testing.TB) (*Policy, *PrivateKey) {
 	t.Helper()
 	key, err := NewKey("anna", "k1")
 	if err != nil {
@@ -133,14 +133,14 @@
 
 // A token must be of no use to others, at other times, or with other claims.
 func TestTokensAreBoundToTimeAndHolder(t *testing.T) {
-	p, key := withKey(t)
+	p, key := newPolicyWithKey(t)
 	now, clockError := time.Unix(1_800_000_000, 0), 50*time.Millisecond
 	good := signToken(t, key, now, time.Minute)
 	if got, until, err := p.VerifyToken(good, now, clockError); err != nil || got.Holder != "anna" ||
 		!until.Equal(now.Add(time.Minute)) {
 		t.Fatalf("got %+v %v %v", got, until, err)
 	}
-	if id, ok := PeekKey(good); !ok || id != "k1" {
+	if id, ok := PeekKeyID(good); !ok || id != "k1" {
 		t.Errorf("peeked %q", id)
 	}
 	other, err := NewKey("anna", "k1")
@@ -200,7 +200,7 @@
 
 // FuzzVerify checks that no token is accepted whose header and claims were not signed.
 func FuzzVerify(f *testing.F) {
-	p, key := withKey(f)
+	p, key := newPolicyWithKey(f)
 	now := time.Unix(1_800_000_000, 0)
 	good, err := key.SignToken(now, time.Minute)
 	if err != nil {
@@ -209,7 +209,7 @@
 	f.Add([]byte(good))
 	f.Add([]byte("a.b.c"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		PeekKey(string(raw))
+		PeekKeyID(string(raw))
 		signed, parts := bytes.Split([]byte(good), []byte(".")), bytes.Split(raw, []byte("."))
 		if got, _, err := p.VerifyToken(string(raw), now, 0); err == nil &&
 			(len(parts) != 3 || !bytes.Equal(signed[0], parts[0]) || !bytes.Equal(signed[1], parts[1])) {
--- a/access/token.go
+++ b/access/token.go
@@ -83,8 +83,8 @@
 // ErrInvalidToken is wrapped by the errors of VerifyToken. Their texts are for the log.
 var ErrInvalidToken = errors.New("token not accepted")
 
-// PeekKey returns the ID of the key that a token claims to be signed with; nothing of it is verified.
-func PeekKey(token string) (string, bool) {
+// PeekKeyID returns the ID of the key that a token claims to be signed with; nothing of it is verified.
+func PeekKeyID(token string) (string, bool) {
 	if len(token) > maxTokenBytes {
 		return "", false
 	}
--- a/api/api.go
+++ b/api/api.go
@@ -139,7 +139,7 @@
 	s.log.Info("request denied", "path", path, "status", status, "why", why)
 	s.deniedMu.Lock()
 	defer s.deniedMu.Unlock()
-	s.denied.Add(audit.GatheredEvent{Verb: c.Method(), Object: path, Reason: why}, 1)
+	s.denied.Add(audit.AggregatedEvent{Verb: c.Method(), Object: path, Reason: why}, 1)
 }
 
 // TakeDenied returns the requests denied since the last call, for the audit log.
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -103,7 +103,7 @@
 	token string,
 	now time.Time,
 ) (caller core.Credential, status int, why string) {
-	id, ok := access.PeekKey(token)
+	id, ok := access.PeekKeyID(token)
 	if _, exists := policy.Key(id); !ok || !exists {
 		return core.Credential{}, fiber.StatusUnauthorized, access.ErrInvalidToken.Error()
 	}
--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -229,7 +229,7 @@
 }
 
 // The few blocks that were decoded last are not decoded again, and a newer one replaces them.
-func TestFewBlocksStayDecoded(t *testing.T) {
+func TestDecodedBlocksAreBounded(t *testing.T) {
 	cache := NewBlockCache(1 << 20)
 	put := func(i, completedTasks int, revision uint64) {
 		id := fmt.Sprintf("wk-%d", i)
--- a/archive/block.go
+++ b/archive/block.go
@@ -27,7 +27,7 @@
 	// MaxID is the end of the last block's range: it is after all job IDs.
 	MaxID = "~"
 
-	maxExpandedBytes = 4 << 20 // of a block's message once it is decompressed
+	maxDecompressedBytes = 4 << 20 // of a block's message once it is decompressed
 )
 
 // ErrTooManyBlocks is returned if a block that was written under larger limits would be split into more
@@ -227,7 +227,7 @@
 	if xxhash.Sum64(stored.Data) != stored.Digest {
 		return fmt.Errorf("%w: its digest does not match", ErrCorrupt)
 	}
-	plain, err := compress.Inflate(stored.Data, maxExpandedBytes)
+	plain, err := compress.Inflate(stored.Data, maxDecompressedBytes)
 	if err == nil {
 		err = protobuf.Unmarshal(plain, message)
 	}
--- a/audit/aggregator.go
+++ b/audit/aggregator.go
@@ -9,8 +9,8 @@
 	pb "dewlift/proto"
 )
 
-// GatheredEvent is an event of which only the number of occurrences is recorded.
-type GatheredEvent struct{ Identity, Verb, Object, Reason string }
+// AggregatedEvent is an event of which only the number of occurrences is recorded.
+type AggregatedEvent struct{ Identity, Verb, Object, Reason string }
 
 // Aggregator counts events until they are recorded together. Beyond its bound, further kinds of events are
 // counted without their objects, and beyond twice the bound without their identities: a flood takes bounded
@@ -18,7 +18,7 @@
 type Aggregator struct {
 	MaxBytes  int
 	usedBytes int
-	counts    map[GatheredEvent]uint32
+	counts    map[AggregatedEvent]uint32
 }
 
 const (
@@ -33,22 +33,22 @@
 const OtherValues = "(others)"
 
 // Add counts occurrences of an event.
-func (g *Aggregator) Add(event GatheredEvent, count uint32) {
-	event = GatheredEvent{
+func (g *Aggregator) Add(event AggregatedEvent, count uint32) {
+	event = AggregatedEvent{
 		TruncateText(event.Identity),
 		TruncateText(event.Verb),
 		TruncateText(event.Object),
 		TruncateText(event.Reason),
 	}
 	if g.counts == nil {
-		g.counts = map[GatheredEvent]uint32{}
+		g.counts = map[AggregatedEvent]uint32{}
 	}
 	if _, ok := g.counts[event]; !ok {
 		if g.usedBytes > g.MaxBytes {
 			event.Object, event.Reason = OtherValues, ""
 		}
 		if g.usedBytes > 2*g.MaxBytes {
-			event = GatheredEvent{Identity: OtherValues, Verb: event.Verb, Object: OtherValues}
+			event = AggregatedEvent{Identity: OtherValues, Verb: event.Verb, Object: OtherValues}
 		}
 	}
 	if _, ok := g.counts[event]; !ok {
@@ -58,7 +58,7 @@
 }
 
 // size returns about how many bytes the event takes.
-func (e *GatheredEvent) size() int {
+func (e *AggregatedEvent) size() int {
 	return len(e.Identity) + len(e.Verb) + len(e.Object) + len(e.Reason) + eventOverheadBytes
 }
 
@@ -67,11 +67,11 @@
 
 // Drain removes and returns events of at most maxBytes, but at least one if there is any, in a fixed order.
 func (g *Aggregator) Drain(maxBytes int) []*pb.AuditItem {
-	all := make([]GatheredEvent, 0, len(g.counts))
+	all := make([]AggregatedEvent, 0, len(g.counts))
 	for event := range g.counts {
 		all = append(all, event)
 	}
-	slices.SortFunc(all, func(a, b GatheredEvent) int {
+	slices.SortFunc(all, func(a, b AggregatedEvent) int {
 		return cmp.Or(
 			strings.Compare(a.Identity, b.Identity),
 			strings.Compare(a.Verb, b.Verb),
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -17,8 +17,8 @@
 	pb "dewlift/proto"
 )
 
-// key signs the chains of the tests.
-var key = Key("a key of more than thirty-two bytes")
+// testKey signs the chains of the tests.
+var testKey = Key("a key of more than thirty-two bytes")
 
 // newChain returns a chain of blocks with so many entries each.
 func newChain(t testing.TB, sizes ...int) (raws []json.RawMessage) {
@@ -31,7 +31,7 @@
 			count++
 			entries = append(
 				entries,
-				Encode(
+				EncodeEntry(
 					&pb.AuditEntry{
 						Life:   1,
 						Count:  count,
@@ -43,7 +43,7 @@
 				),
 			)
 		}
-		raw, n, mac, err := key.EncodeNextBlock(head, "n0", 500, entries, 1<<20)
+		raw, n, mac, err := testKey.EncodeNextBlock(head, "n0", 500, entries, 1<<20)
 		if err != nil || n != size {
 			t.Fatal(n, err)
 		}
@@ -55,7 +55,7 @@
 
 // verifyChain verifies blocks with the given numbers, or else numbered from 1.
 func verifyChain(raws []json.RawMessage, numbers ...uint64) (*ChainVerifier, error) {
-	verifier := &ChainVerifier{Node: "n0", Keys: []Key{Key("another key, which is of no use"), key}}
+	verifier := &ChainVerifier{Node: "n0", Keys: []Key{Key("another key, which is of no use"), testKey}}
 	for i, raw := range raws {
 		number := uint64(i + 1)
 		if i < len(numbers) {
@@ -96,7 +96,7 @@
 				t.Fatal(err)
 			}
 			f(&e)
-			b.Entries[i] = Encode(&e)
+			b.Entries[i] = EncodeEntry(&e)
 		}
 	}
 	cut := func(b *pb.AuditBlock, i, j int) {
@@ -143,7 +143,7 @@
 		altered := slices.Clone(raws)
 		altered[1] = alterBlock(t, raws[1], tt.alter)
 		_, err := verifyChain(altered)
-		if fault := (*Fault)(nil); !errors.As(err, &fault) || fault.Block != 2 || fault.Entry != tt.entry ||
+		if fault := (*ChainError)(nil); !errors.As(err, &fault) || fault.Block != 2 || fault.Entry != tt.entry ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -170,32 +170,32 @@
 		},
 	} {
 		_, err := verifyChain(tt.raws, tt.numbers...)
-		if fault := (*Fault)(nil); !errors.As(err, &fault) || fault.Block != tt.block {
+		if fault := (*ChainError)(nil); !errors.As(err, &fault) || fault.Block != tt.block {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 // A block must hold as many entries as fit, and an entry that fits no value must be an error, not a loop.
-func TestBlockHoldsWhatFits(t *testing.T) {
+func TestBlockHoldsAsManyEntriesAsFit(t *testing.T) {
 	var entries [][]byte
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 300 {
-		entries = append(entries, Encode(&pb.AuditEntry{Count: uint64(i), Object: fmt.Sprint(random.Uint64())}))
+		entries = append(entries, EncodeEntry(&pb.AuditEntry{Count: uint64(i), Object: fmt.Sprint(random.Uint64())}))
 	}
-	raw, n, _, err := key.EncodeNextBlock(&Head{}, "n0", 0, entries, 2048)
+	raw, n, _, err := testKey.EncodeNextBlock(&Head{}, "n0", 0, entries, 2048)
 	if err != nil || n < 20 || n >= 300 || len(raw) > 2048 {
 		t.Errorf("%d entries in %d bytes, %v", n, len(raw), err)
 	}
-	if _, n, _, err := key.EncodeNextBlock(&Head{}, "n0", 0, entries, 100); err == nil || n != 0 {
+	if _, n, _, err := testKey.EncodeNextBlock(&Head{}, "n0", 0, entries, 100); err == nil || n != 0 {
 		t.Errorf("%d entries in 100 bytes, %v", n, err)
 	}
 }
 
 // A pending entry must be valid for the key of its value and its controller only.
 func TestPendingEntriesCannotBeMovedOrForged(t *testing.T) {
-	signed := key.SignEntry("n0", "dl/job/wk-1", &pb.AuditEntry{Life: 3, Count: 4, Who: "anna", Verb: "submit"})
-	if entry, err := key.VerifyEntry("dl/job/wk-1", &signed); err != nil || entry.Who != "anna" {
+	signed := testKey.SignEntry("n0", "dl/job/wk-1", &pb.AuditEntry{Life: 3, Count: 4, Who: "anna", Verb: "submit"})
+	if entry, err := testKey.VerifyEntry("dl/job/wk-1", &signed); err != nil || entry.Who != "anna" {
 		t.Fatal(entry, err)
 	}
 	for name, alter := range map[string]func(c *PendingEntry) string{
@@ -205,13 +205,13 @@
 		"another count": func(c *PendingEntry) string { c.Sequence++; return "dl/job/wk-1" },
 		"another tag":   func(c *PendingEntry) string { c.MAC = []byte{1}; return "dl/job/wk-1" },
 		"another entry": func(c *PendingEntry) string {
-			c.Entry = Encode(&pb.AuditEntry{Life: 3, Count: 4, Who: "potter", Verb: "submit"})
+			c.Entry = EncodeEntry(&pb.AuditEntry{Life: 3, Count: 4, Who: "potter", Verb: "submit"})
 			return "dl/job/wk-1"
 		},
 	} {
 		altered := signed
 		valueKey := alter(&altered)
-		if _, err := key.VerifyEntry(valueKey, &altered); !errors.Is(err, ErrForged) {
+		if _, err := testKey.VerifyEntry(valueKey, &altered); !errors.Is(err, ErrForged) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -219,7 +219,7 @@
 
 // A head must know of every entry whether it is in a block, in whatever order those of former incarnations are
 // written.
-func TestHeadTellsWhatIsRecorded(t *testing.T) {
+func TestHeadContainsRecordedEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head := &Head{}
 		recorded := map[[2]uint64]bool{}
@@ -262,7 +262,7 @@
 	g := Aggregator{MaxBytes: 4096}
 	for i := range 200_000 {
 		g.Add(
-			GatheredEvent{
+			AggregatedEvent{
 				Identity: fmt.Sprint("w", i%5000),
 				Verb:     "GET",
 				Object:   fmt.Sprint("/v1/jobs/wk-", i),
@@ -292,7 +292,7 @@
 }
 
 // Filters must combine, and the hour that occurs twice when clocks go back must not merge.
-func TestFiltersAndZones(t *testing.T) {
+func TestFiltersAndTimeZones(t *testing.T) {
 	zurich, err := time.LoadLocation("Europe/Zurich")
 	if err != nil {
 		t.Skip("no zone data here")
@@ -347,18 +347,18 @@
 	}
 	good := newChain(f, 2)[0]
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		verifier := &ChainVerifier{Node: "n0", Keys: []Key{key}}
+		verifier := &ChainVerifier{Node: "n0", Keys: []Key{testKey}}
 		block, err := verifier.VerifyNext(1, raw)
 		if err == nil && len(block.Entries) == 0 {
 			t.Error("an empty block is accepted")
 		}
-		if fault := (*Fault)(nil); err != nil && !errors.As(err, &fault) {
+		if fault := (*ChainError)(nil); err != nil && !errors.As(err, &fault) {
 			t.Errorf("%v is no fault", err)
 		}
 		if _, err := DecodeBlock(raw); err != nil && !errors.Is(err, archive.ErrCorrupt) {
 			t.Errorf("%v", err)
 		}
-		if _, err := (&ChainVerifier{Node: "n0", Keys: []Key{key}}).VerifyNext(1, good); err != nil {
+		if _, err := (&ChainVerifier{Node: "n0", Keys: []Key{testKey}}).VerifyNext(1, good); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -377,7 +377,7 @@
 		}
 		var pending PendingEntry
 		if json.Unmarshal(raw, &pending) == nil {
-			if _, err := key.VerifyEntry("dl/job/wk-1", &pending); err == nil {
+			if _, err := testKey.VerifyEntry("dl/job/wk-1", &pending); err == nil {
 				t.Error("a forged entry is accepted")
 			}
 		}
--- a/audit/chain.go
+++ b/audit/chain.go
@@ -53,8 +53,8 @@
 	return k.mac([]byte("block"), []byte(block.Node), header[:], block.KeyId, block.Prev)
 }
 
-// Encode renders an entry for a block.
-func Encode(entry *pb.AuditEntry) []byte {
+// EncodeEntry renders an entry for a block.
+func EncodeEntry(entry *pb.AuditEntry) []byte {
 	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(entry)
 	if err != nil {
 		panic(err) // impossible: its strings are valid UTF-8, see TruncateText
@@ -93,8 +93,8 @@
 	return nil, 0, nil, fmt.Errorf("an entry of %d bytes fits no value of %d", len(entries[0]), maxBytes)
 }
 
-// Fault is the first place at which a chain is not as it was written.
-type Fault struct {
+// ChainError is the first place at which a chain is not as it was written.
+type ChainError struct {
 	Node   string
 	Block  uint64
 	Entry  int // from 1; 0: the block as a whole
@@ -102,7 +102,7 @@
 }
 
 // Error implements error.
-func (f *Fault) Error() string {
+func (f *ChainError) Error() string {
 	if f.Entry == 0 {
 		return fmt.Sprintf("chain of %s: block %d %s", f.Node, f.Block, f.Reason)
 	}
@@ -129,21 +129,21 @@
 // fault, are as they were written.
 func (c *ChainVerifier) VerifyNext(number uint64, raw json.RawMessage) (*Block, error) {
 	if number != c.BlockNumber+1 {
-		return nil, c.fault(c.BlockNumber+1, 0, fmt.Sprintf("is missing: block %d follows", number))
+		return nil, c.errorAt(c.BlockNumber+1, 0, fmt.Sprintf("is missing: block %d follows", number))
 	}
 	var stored pb.AuditBlock
 	if err := archive.Unpack(raw, &stored); err != nil {
-		return nil, c.fault(number, 0, "can't be read: "+err.Error())
+		return nil, c.errorAt(number, 0, "can't be read: "+err.Error())
 	}
 	if stored.Node != c.Node || stored.Number != number {
-		return nil, c.fault(number, 0, fmt.Sprintf("is block %d of %s", stored.Number, stored.Node))
+		return nil, c.errorAt(number, 0, fmt.Sprintf("is block %d of %s", stored.Number, stored.Node))
 	}
 	if !bytes.Equal(stored.Prev, c.MAC) {
-		return nil, c.fault(number, 0, "does not follow the one before: that, or this one, was replaced")
+		return nil, c.errorAt(number, 0, "does not follow the one before: that, or this one, was replaced")
 	}
 	key := c.keyWithID(stored.KeyId)
 	if key == nil {
-		return nil, c.fault(number, 0, fmt.Sprintf("is signed with another key (%x)", stored.KeyId))
+		return nil, c.errorAt(number, 0, fmt.Sprintf("is signed with another key (%x)", stored.KeyId))
 	}
 	block, mac, err := c.verifyEntries(key, &stored)
 	if err != nil {
@@ -154,9 +154,9 @@
 	return block, nil
 }
 
-// fault returns a fault of the chain.
-func (c *ChainVerifier) fault(block uint64, entry int, reason string) error {
-	return &Fault{Node: c.Node, Block: block, Entry: entry, Reason: reason}
+// errorAt returns a fault of the chain.
+func (c *ChainVerifier) errorAt(block uint64, entry int, reason string) error {
+	return &ChainError{Node: c.Node, Block: block, Entry: entry, Reason: reason}
 }
 
 // keyWithID returns the key that signed a block, or nil.
@@ -178,17 +178,17 @@
 		mac = key.mac(mac, raw)
 		if len(stored.Tags) < (i+1)*tagBytes ||
 			!hmac.Equal(mac[:tagBytes], stored.Tags[i*tagBytes:(i+1)*tagBytes]) {
-			return block, nil, c.fault(stored.Number, i+1, "was altered, added, removed or moved")
+			return block, nil, c.errorAt(stored.Number, i+1, "was altered, added, removed or moved")
 		}
 		entry := &pb.AuditEntry{}
 		if err := protobuf.Unmarshal(raw, entry); err != nil {
-			return block, nil, c.fault(stored.Number, i+1, "can't be read: "+err.Error())
+			return block, nil, c.errorAt(stored.Number, i+1, "can't be read: "+err.Error())
 		}
 		block.Entries = append(block.Entries, entry)
 	}
 	if len(stored.Tags) != len(stored.Entries)*tagBytes || !hmac.Equal(mac, stored.Code) {
 		reason := "was removed, or the block's code was altered"
-		return block, nil, c.fault(stored.Number, len(stored.Entries)+1, reason)
+		return block, nil, c.errorAt(stored.Number, len(stored.Entries)+1, reason)
 	}
 	return block, mac, nil
 }
@@ -224,7 +224,7 @@
 
 // SignEntry returns an entry as the value of a key carries it.
 func (k Key) SignEntry(node, valueKey string, entry *pb.AuditEntry) PendingEntry {
-	pending := PendingEntry{Node: node, Incarnation: entry.Life, Sequence: entry.Count, Entry: Encode(entry)}
+	pending := PendingEntry{Node: node, Incarnation: entry.Life, Sequence: entry.Count, Entry: EncodeEntry(entry)}
 	pending.MAC = k.entryMAC(valueKey, &pending)
 	return pending
 }
--- a/booking/booking_test.go
+++ b/booking/booking_test.go
@@ -25,8 +25,8 @@
 	return inventory
 }
 
-// workshop is equipment with and without opening hours, closed days, teams and cooldown.
-const workshop = `time_zone: "Europe/Zurich"
+// testEquipment is equipment with and without opening hours, closed days, teams and cooldown.
+const testEquipment = `time_zone: "Europe/Zurich"
 pieces { name: "k1" kind: "kiln" slot_minutes: 60 cool_minutes: 90 }
 pieces {
 	name: "k2" kind: "kiln" units: 2 slot_minutes: 60
@@ -51,7 +51,7 @@
 // Days of 23 and 25 hours must not shift reservations, and local times that occur twice or never must be told
 // apart.
 func TestDaylightSavingChanges(t *testing.T) {
-	s := mustParse(t, workshop)
+	s := mustParse(t, testEquipment)
 	for day, want := range map[string]int64{"2027-03-28": 23, "2027-03-29": 24, "2027-10-31": 25} {
 		from, to, err := s.ParseDay(day)
 		if err != nil || (to-from)/3600 != want {
@@ -123,7 +123,7 @@
 
 // A reservation outside of opening hours or off the slot grid must be refused, with the reason.
 func TestOpeningHours(t *testing.T) {
-	s := mustParse(t, workshop)
+	s := mustParse(t, testEquipment)
 	for text, want := range map[string]string{
 		"k2 2027-03-04T08:00 1": "",
 		"k2 2027-03-04T23:00 1": "",
@@ -152,7 +152,7 @@
 }
 
 // The error of an invalid equipment list must name the field, in one line.
-func TestInvalidInventoriesAreNamed(t *testing.T) {
+func TestInventoryErrorsNameTheField(t *testing.T) {
 	const valid = `name: "a" kind: "k" slot_minutes: 5`
 	for _, tt := range []struct{ text, want string }{
 		{`time_zone: "Mars"`, `time_zone: "Mars" is no time zone`},
@@ -183,8 +183,8 @@
 	}
 }
 
-// describe returns the outcome, state, reason and free hours of a result.
-func describe(inventory *Inventory, result Result) string {
+// describeResult returns the outcome, state, reason and free hours of a result.
+func describeResult(inventory *Inventory, result Result) string {
 	text := fmt.Sprintf("%s none", result.Outcome)
 	if result.Booking != nil {
 		text = fmt.Sprintf("%s %s", result.Outcome, result.Booking.State)
@@ -204,7 +204,7 @@
 
 // Every kind of request must have its outcome, and the reason that its user reads.
 func TestDecisions(t *testing.T) {
-	s, schedule := mustParse(t, workshop), NewSchedule()
+	s, schedule := mustParse(t, testEquipment), NewSchedule()
 	draft := schedule.NewDraft()
 	want := func(piece, from string, slots uint32) []*pb.Want {
 		return []*pb.Want{{Piece: piece, From: mustParseTime(t, s, from), Slots: slots}}
@@ -260,7 +260,7 @@
 		}, // the cooldown of its own first slot is in the way
 	}
 	for i, step := range steps {
-		got := describe(s, s.Decide(draft, now, &step.request))
+		got := describeResult(s, s.Decide(draft, now, &step.request))
 		if got != step.want && !strings.HasPrefix(got, step.want+" ") {
 			t.Errorf("step %d: %s, want %s", i, got, step.want)
 		}
@@ -275,7 +275,7 @@
 	schedule := draft.schedule
 	less := mustParse(
 		t,
-		strings.ReplaceAll(workshop, `"kiln" slot_minutes: 60 cool_minutes: 90`, `"kiln" slot_minutes: 60 out: 1`),
+		strings.ReplaceAll(testEquipment, `"kiln" slot_minutes: 60 cool_minutes: 90`, `"kiln" slot_minutes: 60 out: 1`),
 	)
 	request := &Request{Verb: VerbSetInventory, Replacement: less}
 	result := s.Decide(draft, now, request)
@@ -414,7 +414,7 @@
 // Whatever is requested in whatever order: no unit may be used twice, no reservation may wait for what it
 // could have, no free time may be missed, and an undone draft must leave no trace.
 func TestScheduleKeepsItsInvariants(t *testing.T) {
-	s := mustParse(t, workshop)
+	s := mustParse(t, testEquipment)
 	start := mustParseTime(t, s, "2027-03-04T00:00")
 	rapid.Check(t, func(t *rapid.T) {
 		schedule, now := NewSchedule(), start-secondsPerDay
@@ -436,8 +436,8 @@
 }
 
 // The time of a decision must not grow with the number of other reservations.
-func BenchmarkDecideInAFullLedger(b *testing.B) {
-	s, schedule := mustParse(b, workshop), NewSchedule()
+func BenchmarkDecideInFullSchedule(b *testing.B) {
+	s, schedule := mustParse(b, testEquipment), NewSchedule()
 	draft := schedule.NewDraft()
 	now := mustParseTime(b, s, "2027-03-01T00:00")
 	for i := range 1_500 {
@@ -455,7 +455,7 @@
 
 // Every valid equipment list must stay valid when it is read again, and have opening hours.
 func FuzzParse(f *testing.F) {
-	f.Add(workshop)
+	f.Add(testEquipment)
 	f.Add(`pieces {
 		name: "a" kind: "k" slot_minutes: 5
 		hours { rule: "FREQ=YEARLY;BYEASTER=1" from: "0:00" to: "24:00" }
--- a/booking/reason_test.go
+++ b/booking/reason_test.go
@@ -31,7 +31,7 @@
 // Whatever the reason, the reservation ends and can be stored, with as much of the reason as is kept.
 func TestAnyReasonCanBeStored(t *testing.T) {
 	for _, reason := range reasonsAroundLimit() {
-		inventory, schedule := mustParse(t, workshop), NewSchedule()
+		inventory, schedule := mustParse(t, testEquipment), NewSchedule()
 		draft := schedule.NewDraft()
 		now := mustParseTime(t, inventory, "2027-03-01T00:00")
 		wants := []*pb.Want{{Piece: "k1", From: mustParseTime(t, inventory, "2027-03-04T08:00"), Slots: 1}}
--- a/booking/schedule.go
+++ b/booking/schedule.go
@@ -47,8 +47,8 @@
 // LastChange returns the number of the last change.
 func (s *Schedule) LastChange() uint64 { return s.lastChange }
 
-// NoteChange records that changes up to a number were made, even if what they stored is in other values.
-func (s *Schedule) NoteChange(change uint64) { s.lastChange = max(s.lastChange, change) }
+// ObserveChange records that changes up to a number were made, even if what they stored is in other values.
+func (s *Schedule) ObserveChange(change uint64) { s.lastChange = max(s.lastChange, change) }
 
 // Get returns a reservation, or nil if there is none. The caller must not modify it.
 func (s *Schedule) Get(id string) *pb.Booking { return s.byID[id] }
@@ -64,9 +64,9 @@
 	}
 }
 
-// Forget drops the reservations for which f returns true from memory. f must not return true for one
+// Evict drops the reservations for which f returns true from memory. f must not return true for one
 // that has slots to come or waits.
-func (s *Schedule) Forget(f func(reservation *pb.Booking) bool) {
+func (s *Schedule) Evict(f func(reservation *pb.Booking) bool) {
 	for id, reservation := range s.byID {
 		if f(reservation) {
 			s.setBooking(id, nil)
--- a/clusterstate/candidates.go
+++ b/clusterstate/candidates.go
@@ -12,14 +12,14 @@
 
 // CandidateQuery describes the candidates that are wanted.
 type CandidateQuery struct {
-	Count         int              // of candidates at most
-	Request       Resources        // of one task
-	IsAllowed     func(int32) bool // feasibility of a machine, capacity aside
-	TierOf        func(int32) int  // machines of a smaller tier come first; nil: all have the same
-	DistanceOf    func(int32) int  // within a tier, machines of a smaller distance come first; nil: all have the same
-	OtherMachines []int32          // machines to choose from at random if the copy is expired
-	HonorReserved bool             // reserved resources are not available
-	FillRandomly  bool             // fill up with random machines that seem full
+	Count            int              // of candidates at most
+	Request          Resources        // of one task
+	IsAllowed        func(int32) bool // feasibility of a machine, capacity aside
+	TierOf           func(int32) int  // machines of a smaller tier come first; nil: all have the same
+	RankOf           func(int32) int  // within a tier, machines of a smaller distance come first; nil: all have the same
+	FallbackMachines []int32          // machines to choose from at random if the copy is expired
+	HonorReserved    bool             // reserved resources are not available
+	FillRandomly     bool             // fill up with random machines that seem full
 }
 
 // candidate is a machine with capacity, with its scores. They are computed once per machine: in a large
@@ -27,7 +27,7 @@
 type candidate struct {
 	machine  int32
 	tier     int
-	distance int
+	rank     int
 	fraction float64 // smallest available fraction of a resource
 	tieBreak uint32  // random, so that controllers do not all choose the same of equal machines
 }
@@ -36,7 +36,7 @@
 func (a candidate) compare(b candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.tier, b.tier),
-		cmp.Compare(a.distance, b.distance),
+		cmp.Compare(a.rank, b.rank),
 		cmp.Compare(b.fraction, a.fraction),
 		cmp.Compare(a.tieBreak, b.tieBreak),
 	)
@@ -64,7 +64,7 @@
 // randomCandidates chooses among the machines that are known besides the copy.
 func randomCandidates(query CandidateQuery, rng *rand.Rand) []int32 {
 	var allowed []int32
-	for _, machine := range query.OtherMachines {
+	for _, machine := range query.FallbackMachines {
 		if query.IsAllowed(machine) {
 			allowed = append(allowed, machine)
 		}
@@ -106,8 +106,8 @@
 	if q.TierOf != nil {
 		scored.tier = q.TierOf(row.Machine)
 	}
-	if q.DistanceOf != nil {
-		scored.distance = q.DistanceOf(row.Machine)
+	if q.RankOf != nil {
+		scored.rank = q.RankOf(row.Machine)
 	}
 	if row.OfferedLast {
 		scored.tier += offeredLastTier
--- a/clusterstate/candidates_test.go
+++ b/clusterstate/candidates_test.go
@@ -37,10 +37,10 @@
 	c := copyOf(Row{Machine: 0, Available: Resources{1000, 0, 0}, Schedulable: true})
 	rng := rand.New(rand.NewPCG(3, 4))
 	query := CandidateQuery{
-		Count:         1,
-		Request:       Resources{1, 0, 0},
-		IsAllowed:     allowAll,
-		OtherMachines: []int32{0, 1, 2},
+		Count:            1,
+		Request:          Resources{1, 0, 0},
+		IsAllowed:        allowAll,
+		FallbackMachines: []int32{0, 1, 2},
 	}
 	chosen := map[int32]bool{}
 	for range 50 {
--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -483,7 +483,7 @@
 				return err
 			}
 			if code, ok := known[block.Number]; ok && !bytes.Equal(code, verifier.MAC) {
-				return &audit.Fault{
+				return &audit.ChainError{
 					Node:   verifier.Node,
 					Block:  block.Number,
 					Reason: "is another than was known: the chain was replaced",
@@ -495,7 +495,7 @@
 	}
 	for number := range known {
 		if number > verifier.BlockNumber {
-			return &audit.Fault{
+			return &audit.ChainError{
 				Node:   verifier.Node,
 				Block:  verifier.BlockNumber + 1,
 				Reason: fmt.Sprintf("and those behind it, up to %d, were removed", number),
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -417,7 +417,7 @@
 			count++
 			list = append(
 				list,
-				audit.Encode(
+				audit.EncodeEntry(
 					&pb.AuditEntry{
 						Life:   1,
 						Count:  count,
@@ -495,7 +495,7 @@
 		"made with another": {savedAuditLog(t, forger, whole), "chain of n0: block 1 is signed with another key"},
 	} {
 		_, err := verify(x.path, "--ends", ends)
-		if fault := (*audit.Fault)(nil); !errors.As(err, &fault) || !strings.HasPrefix(err.Error(), x.want) {
+		if fault := (*audit.ChainError)(nil); !errors.As(err, &fault) || !strings.HasPrefix(err.Error(), x.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/cmd/dewlift/main.go
+++ b/cmd/dewlift/main.go
@@ -36,7 +36,7 @@
 
 // exitCode returns the exit code for an error: 1 for a finding or a refusal, 2 for bad use and all else.
 func exitCode(err error) int {
-	fault, refusal := (*audit.Fault)(nil), refusedError("")
+	fault, refusal := (*audit.ChainError)(nil), refusedError("")
 	if errors.As(err, &fault) || errors.As(err, &refusal) {
 		return 1
 	}
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -108,7 +108,7 @@
 	printf(out, "lanes are valid: %d\n", classes.Len())
 	for i := range classes.Len() {
 		highest := classes.EffectiveClass(i, longest)
-		if wait, ok := classes.RiseTime(i, highest); ok && highest < i {
+		if wait, ok := classes.AgingTime(i, highest); ok && highest < i {
 			printf(out, "  %s: after %s, work is ordered as in %s\n", classes.Name(i), wait, classes.Name(highest))
 		} else {
 			printf(out, "  %s: work stays in its lane\n", classes.Name(i))
--- a/core/apply.go
+++ b/core/apply.go
@@ -25,8 +25,8 @@
 		return c.applyFencingToken(raw, revision)
 	case key == keyLeader:
 		return c.applyLeader(raw, revision)
-	case strings.HasPrefix(key, keyNode):
-		return c.applyNode(key, raw, revision)
+	case strings.HasPrefix(key, keyRegistration):
+		return c.applyRegistration(key, raw, revision)
 	case strings.HasPrefix(key, keyShard):
 		return c.applyShard(key, raw, revision)
 	case key == keyMachineTypes:
@@ -46,7 +46,7 @@
 	case key == KeyRestored:
 		return c.restoreMarker.apply(raw, revision)
 	case key == keyHistory:
-		c.history.applyMarker(revision)
+		c.history.applyHistoryMarker(revision)
 	case key == keyPriorityClasses:
 		return c.applyPriorityClasses(raw, revision)
 	case strings.HasPrefix(key, reservations.Prefix):
@@ -89,14 +89,14 @@
 	return nil
 }
 
-// applyNode applies the key of a live controller.
-func (c *Core) applyNode(key string, raw json.RawMessage, revision uint64) error {
+// applyRegistration applies the key of a live controller.
+func (c *Core) applyRegistration(key string, raw json.RawMessage, revision uint64) error {
 	leased, err := decodeLeasedKey(raw, revision)
 	if err != nil {
 		return err
 	}
-	c.controllers.nodeKeys[key[len(keyNode):]] = leased
-	c.controllers.nodesVersion++
+	c.controllers.registrations[key[len(keyRegistration):]] = leased
+	c.controllers.registrationsVersion++
 	return nil
 }
 
@@ -108,7 +108,7 @@
 		return err
 	}
 	c.ownership.shards[shard] = leased
-	if leased.Node == c.cfg.Name && leased.LeaseID == c.ownLease.id {
+	if leased.Holder == c.cfg.Name && leased.LeaseID == c.ownLease.id {
 		c.handleShardGained(shard)
 	}
 	return nil
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	c.autoscaler.storedRevision, c.autoscaler.storedCatalog = revision, catalog
+	c.autoscaler.storedCatalogRevision, c.autoscaler.storedCatalog = revision, catalog
 	if c.autoscaler.catalog == nil {
 		c.autoscaler.setCatalog(&catalog)
 	}
@@ -139,7 +139,7 @@
 // applyJob applies a job's own key, with its slot's entry on top if that belongs to this write.
 func (c *Core) applyJob(key string, raw json.RawMessage, revision uint64) error {
 	stored := c.internJob(key[len(keyJob):])
-	stored.stored.snapshot = c.replica.snapshots
+	stored.stored.lastSnapshotLoad = c.replica.snapshotLoads
 	if revision <= stored.revision {
 		if stored.record != nil { // the reply to this controller's own write came before
 			c.auditLog.current().ObserveEntries(key, stored.revision, stored.record.PendingAudit)
@@ -163,9 +163,9 @@
 	switch {
 	case key == keyLeader:
 		c.leadership.leader = leasedKey{absentSince: c.now}
-	case strings.HasPrefix(key, keyNode):
-		delete(c.controllers.nodeKeys, key[len(keyNode):])
-		c.controllers.nodesVersion++
+	case strings.HasPrefix(key, keyRegistration):
+		delete(c.controllers.registrations, key[len(keyRegistration):])
+		c.controllers.registrationsVersion++
 	case strings.HasPrefix(key, keyShard):
 		if shard := c.ownership.shardOfKey(key); shard >= 0 {
 			c.ownership.shards[shard] = leasedKey{absentSince: c.now}
@@ -232,7 +232,7 @@
 	for _, assignment := range target.assignments {
 		host := c.machines[assignment.Machine]
 		host.allocation.assignments[taskKey{target.index, assignment.Task}] = assignment
-		c.commands.noteChange(host)
+		c.commands.markTasksChanged(host)
 		status := host.status.tasks[attemptKey{target.index, assignment.Task, assignment.Attempt}]
 		if status.state == wire.TaskExited && status.cause == wire.CauseDone {
 			target.placement.completedTasks++
@@ -253,7 +253,7 @@
 		if current, ok := host.allocation.assignments[key]; ok && current == assignment {
 			delete(host.allocation.assignments, key)
 		}
-		c.commands.noteChange(host)
+		c.commands.markTasksChanged(host)
 		if quota != nil {
 			quota.usedCPU -= request[0]
 			quota.usedGPU -= request[1]
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -26,7 +26,7 @@
 
 	// minSweepWriteTokens is the share of the write burst that must be saved up before a move: moves
 	// yield to all other writes.
-	minSweepWriteTokens = 0.75
+	minSweepWriteBurstShare = 0.75
 )
 
 // archivingState is the sweep that moves ended jobs into the archive.
@@ -64,8 +64,8 @@
 		c.leadership.isHeld() && c.ownLease.isHeld() &&
 		c.now >= c.schema.activeSince+c.cfg.History.ArchiveStartDelay &&
 		!limiter.IsPaused(c.now) && c.pendingSubmissions == 0 && len(c.transactions.inFlight) == 0 &&
-		limiter.WriteTokens >= minSweepWriteTokens*limiter.WriteBurst(c.cfg.Store.MaxTxnOps) &&
-		limiter.ReadTokens > 1
+		limiter.WriteTokens >= minSweepWriteBurstShare*limiter.WriteBurst(c.cfg.Store.MaxTxnOps) &&
+		limiter.RequestTokens > 1
 }
 
 // advanceArchiveSweep starts a sweep when one is due, or takes the next step of the running one.
@@ -176,7 +176,7 @@
 		return
 	}
 	firstID := sweep.pending[0].ID
-	block, revision, err := h.archiveIndex.Lookup(firstID, 0)
+	block, revision, err := h.blockCache.Lookup(firstID, 0)
 	if block == nil && err == nil {
 		sweep.inFlight = true
 		h.readArchiveBlock(firstID, func(bool) { sweep.inFlight = false })
@@ -242,7 +242,7 @@
 
 // handleResult takes the result of a move.
 func (m *archiveMove) handleResult(status wire.Status, response wire.TxnResponse) {
-	index, stats := m.core.history.archiveIndex, &m.core.Stats
+	index, stats := m.core.history.blockCache, &m.core.Stats
 	m.sweep.inFlight = false
 	switch status {
 	case wire.StatusOK:
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -44,7 +44,7 @@
 		limit = min(limit, team.tasksWithinMaxQuota(spec.Request, b.addedUsage[team]))
 	}
 	priorityClass, enqueuedAtMS := c.placementPosition(p)
-	leavesHeldCapacity := c.clusterCopy.leavesHeldCapacity(priorityClass)
+	leavesHeldCapacity := c.clusterCopy.mustAvoidHeldCapacity(priorityClass)
 	if limit <= 0 || c.placement.isKnownUnplaceable(spec, priorityClass, enqueuedAtMS, leavesHeldCapacity) {
 		return 0
 	}
@@ -58,14 +58,14 @@
 		spec:                 spec,
 		priorityClass:        priorityClass,
 		enqueuedAtMS:         enqueuedAtMS,
-		leavesHeldCapacity:   leavesHeldCapacity,
+		avoidsHeldCapacity:   leavesHeldCapacity,
 		tasks:                tasks,
 		tasksInZone:          map[string]int{},
 		maxTasksInZone:       (spec.Tasks + 1) / 2,
 		triedWithoutCapacity: map[int32]bool{},
 	}
 	attempt.chooseZone()
-	attempt.queuePositions = c.queuePositionsOf(priorityClass, enqueuedAtMS)
+	attempt.competitors = c.countCompetitors(priorityClass, enqueuedAtMS)
 	attempt.avoidedMachines = recentlyFailedMachines(p.record, c.unixMS())
 	attempt.placeTasks()
 	return 0
@@ -97,8 +97,8 @@
 
 	priorityClass      int
 	enqueuedAtMS       int64
-	leavesHeldCapacity bool // must leave the capacity alone that is held for more important work
-	queuePositions     queuePositions
+	avoidsHeldCapacity bool // must leave the capacity alone that is held for more important work
+	competitors        competitorCounts
 	avoidedMachines    []string // tasks of the job failed there recently
 
 	tasks                []int32        // still without a machine
@@ -158,13 +158,13 @@
 		FillRandomly:  c.cfg.Scheduling.RandomPlacement,
 		HonorReserved: a.spec.Spot,
 		IsAllowed:     a.isAllowed,
-		DistanceOf:    func(i int32) int { return c.machineRank(c.machines[i]) },
+		RankOf:        func(i int32) int { return c.machineRank(c.machines[i]) },
 		TierOf:        a.tierOf,
 	}
 	if !c.clusterCopy.state.IsFresh(c.now) {
 		for _, m := range c.aliveMachines {
 			if m.status.reported && !m.lifecycle.gone {
-				query.OtherMachines = append(query.OtherMachines, m.index)
+				query.FallbackMachines = append(query.FallbackMachines, m.index)
 			}
 		}
 	}
@@ -181,7 +181,7 @@
 		a.onlyZone != "" && target.identity.zone != a.onlyZone {
 		return false
 	}
-	if a.leavesHeldCapacity && c.clusterCopy.state.Row(index).Available.Fits(c.clusterCopy.capacityHold.Request) {
+	if a.avoidsHeldCapacity && c.clusterCopy.state.Row(index).Available.Fits(c.clusterCopy.capacityHold.Request) {
 		return false
 	}
 	// A full zone holds no candidates. The best of all candidates were often in one, as its machines
@@ -190,7 +190,7 @@
 	if a.isZoneFull(target.identity.zone) {
 		return false
 	}
-	delay := c.yieldDelay(index, a.queuePositions)
+	delay := c.yieldDelay(index, a.competitors)
 	if delay > 0 && (a.yieldDelay == 0 || delay < a.yieldDelay) {
 		a.yieldDelay = delay
 	}
@@ -253,11 +253,11 @@
 		return
 	}
 	refusal := unplaceable{
-		request:       a.spec.Request,
-		allowsSpot:    a.spec.Spot,
-		heldBack:      a.leavesHeldCapacity,
-		priorityClass: a.priorityClass,
-		enqueuedAtMS:  a.enqueuedAtMS,
+		request:            a.spec.Request,
+		allowsSpot:         a.spec.Spot,
+		avoidsHeldCapacity: a.avoidsHeldCapacity,
+		priorityClass:      a.priorityClass,
+		enqueuedAtMS:       a.enqueuedAtMS,
 	}
 	if a.yieldDelay > 0 {
 		refusal.yieldUntil = c.now + a.yieldDelay
--- a/core/audit.go
+++ b/core/audit.go
@@ -18,7 +18,7 @@
 
 const (
 	// auditPageBlocks bounds the blocks in one page of the audit log, and so the size of the answer.
-	auditPageBlocks = 40
+	maxAuditPageBlocks = 40
 
 	// auditBlockWriteTokens is the write budget that must be left before a block is written: one
 	// write for the block and one for the head of the chain.
@@ -54,15 +54,15 @@
 func newAuditLog(env *environment) *auditlog.Recorder {
 	settings := &env.cfg.Audit
 	return auditlog.New(auditlog.Config{
-		Key:            settings.Key,
-		Node:           env.cfg.Name,
-		GatherInterval: settings.GatherDelay,
-		BlockDelay:     settings.BlockDelay,
-		LateTxnWindow:  settings.ForgetAfter,
-		ClockErrorMS:   settings.MaxClockErrorMS,
-		Settings:       settings.Settings,
-		StartedAt:      env.now,
-		LogError:       func(text string, args ...any) { env.log(LevelError, text, args...) },
+		Key:                 settings.Key,
+		Node:                env.cfg.Name,
+		AggregationInterval: settings.AggregationInterval,
+		BlockDelay:          settings.BlockDelay,
+		LateTxnWindow:       settings.LateTxnWindow,
+		ClockErrorMS:        settings.MaxClockErrorMS,
+		Settings:            settings.Settings,
+		StartedAt:           env.now,
+		LogError:            func(text string, args ...any) { env.log(LevelError, text, args...) },
 	})
 }
 
@@ -124,7 +124,7 @@
 		}
 		return func(wire.Status) {}
 	}
-	ids := a.current().AttachCarrier(txn, name, event)
+	ids := a.current().AttachOutbox(txn, name, event)
 	return func(status wire.Status) { a.current().HandleOutcome(ids, status) }
 }
 
@@ -190,7 +190,7 @@
 	a.log(LevelInfo, "permission denied", "who", caller.Identity, "verb", verb, "object", object, "why", reason)
 	a.stats.PermissionDenials++
 	a.current().
-		RecordRefusal(audit.GatheredEvent{Identity: caller.Identity, Verb: verb, Object: object, Reason: reason}, 1)
+		RecordDenial(audit.AggregatedEvent{Identity: caller.Identity, Verb: verb, Object: object, Reason: reason}, 1)
 }
 
 // handleReadAudit answers with a page of the audit log, to permitted callers. Reading is itself recorded,
@@ -233,14 +233,14 @@
 		c.respond(in.RequestID, wire.StatusOK, out)
 		return
 	}
-	if c.transactions.rateLimit.ReadTokens < 1 {
+	if c.transactions.rateLimit.RequestTokens < 1 {
 		c.respondUnavailable(in.RequestID, reasonTooBusy)
 		return
 	}
 	c.reads.readPrefix(
 		audit.BlockPrefix+in.Node+"/",
 		audit.BlockKey(in.Node, in.AfterBlock),
-		auditPageBlocks,
+		maxAuditPageBlocks,
 		func(result RangeResult) {
 			if result.Status != wire.StatusOK {
 				c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -15,12 +15,12 @@
 	"dewlift/wire"
 )
 
-// carriedValue is the part that all stored values with audit entries have in common.
-type carriedValue struct {
+// valueWithEntries is the part that all stored values with audit entries have in common.
+type valueWithEntries struct {
 	Carried []audit.PendingEntry `json:"e"`
 }
 
-var testKey = audit.Key("the key of the tests of the core")
+var testAuditKey = audit.Key("the key of the tests of the core")
 
 // newAuditingCore returns a serving controller with permissions in force that audits, in its first incarnation.
 func newAuditingCore(t *testing.T) *Core {
@@ -37,8 +37,8 @@
 
 // enableAuditing gives the audit key to a controller that has not recorded anything yet.
 func enableAuditing(c *Core, gather, block time.Duration, settings map[string]string) {
-	c.cfg.Audit.Key, c.cfg.Audit.Settings = testKey, settings
-	c.cfg.Audit.GatherDelay, c.cfg.Audit.BlockDelay, c.cfg.Audit.ForgetAfter = gather, block, 10*time.Second
+	c.cfg.Audit.Key, c.cfg.Audit.Settings = testAuditKey, settings
+	c.cfg.Audit.AggregationInterval, c.cfg.Audit.BlockDelay, c.cfg.Audit.LateTxnWindow = gather, block, 10*time.Second
 	c.auditLog.recorder = newAuditLog(c.environment)
 }
 
@@ -68,17 +68,17 @@
 // carriedVerbs returns the verbs of the entries that the last write of a key carries.
 func carriedVerbs(t *testing.T, writes []wire.Write, key string) (verbs []string) {
 	t.Helper()
-	var value carriedValue
+	var value valueWithEntries
 	for _, write := range writes {
 		if write.Put == key {
-			value = carriedValue{}
+			value = valueWithEntries{}
 			if err := json.Unmarshal(write.Value, &value); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	for _, pending := range value.Carried {
-		entry, err := testKey.VerifyEntry(key, &pending)
+		entry, err := testAuditKey.VerifyEntry(key, &pending)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -286,9 +286,9 @@
 func TestAlteredAuditEntryIsReported(t *testing.T) {
 	c := newAuditingCore(t)
 	key := auditlog.Prefix + "of/" + "who/potter"
-	forged := testKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 9, Who: "anna"})
+	forged := testAuditKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 9, Who: "anna"})
 	forged.Incarnation = 2 // an incarnation that never existed
-	raw, err := json.Marshal(carriedValue{[]audit.PendingEntry{forged}})
+	raw, err := json.Marshal(valueWithEntries{[]audit.PendingEntry{forged}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -304,9 +304,9 @@
 func TestNoAuditEntryIsLostInACrashLoop(t *testing.T) {
 	key := auditlog.Prefix + "of/" + "who/potter"
 	pending, err := json.Marshal(
-		carriedValue{
+		valueWithEntries{
 			[]audit.PendingEntry{
-				testKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 2, Verb: "administer", Object: "potter"}),
+				testAuditKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 2, Verb: "administer", Object: "potter"}),
 			},
 		},
 	)
--- a/core/auditlog/blocks.go
+++ b/core/auditlog/blocks.go
@@ -19,7 +19,7 @@
 	minBlockInterval      = time.Second            // between blocks, however many entries wait
 	blockRetryDelay       = 300 * time.Millisecond // after a block transaction that was not committed
 	blockEncodeRetryDelay = 10 * time.Second       // after a block that could not be encoded
-	gatheredEntryBytes    = 2000                   // bound of the gathered events in one entry
+	aggregatedEntryBytes  = 2000                   // bound of the gathered events in one entry
 )
 
 // blockAttempt is a block that was sent. The head shows whether it was written.
@@ -42,8 +42,8 @@
 	if !r.isBlockDue() || r.Env.Now-r.lastBlockAt < minBlockInterval {
 		return nil
 	}
-	r.flushGathered(&r.refusals, &r.refusalsSince, "refused", pb.AuditOutcome_refused)
-	r.flushGathered(&r.reads, &r.readsSince, "read", pb.AuditOutcome_done)
+	r.flushAggregated(&r.denials, &r.denialsSince, "refused", pb.AuditOutcome_refused)
+	r.flushAggregated(&r.reads, &r.readsSince, "read", pb.AuditOutcome_done)
 	if r.reads.Len() == 0 && len(r.readWaiters) > 0 { // the waiters' entry is now the last of the queue
 		last := &r.queue[len(r.queue)-1]
 		last.onRecorded = append(last.onRecorded, r.readWaiters...)
@@ -60,24 +60,24 @@
 		len(r.queue) > 0 && now-r.queue[0].queuedAt >= r.cfg.BlockDelay,
 		len(r.readWaiters) > 0,
 		len(r.formerEntries) > 0,
-		r.refusals.Len() > 0 && now-r.refusalsSince >= r.cfg.GatherInterval,
-		r.reads.Len() > 0 && now-r.readsSince >= r.cfg.GatherInterval:
+		r.denials.Len() > 0 && now-r.denialsSince >= r.cfg.AggregationInterval,
+		r.reads.Len() > 0 && now-r.readsSince >= r.cfg.AggregationInterval:
 		return true
 	}
 	return slices.ContainsFunc(r.queue, func(entry queuedEntry) bool { return len(entry.onRecorded) > 0 })
 }
 
-// flushGathered queues one entry of gathered events, if there are any.
-func (r *Recorder) flushGathered(
+// flushAggregated queues one entry of gathered events, if there are any.
+func (r *Recorder) flushAggregated(
 	gathered *audit.Aggregator, since *time.Duration, verb string, outcome pb.AuditOutcome,
 ) {
 	if gathered.Len() == 0 {
 		return
 	}
 	entry := r.newEntry(Event{Verb: verb})
-	entry.Outcome, entry.Items = outcome, gathered.Drain(min(gatheredEntryBytes, r.Env.MaxValueBytes/4))
+	entry.Outcome, entry.Items = outcome, gathered.Drain(min(aggregatedEntryBytes, r.Env.MaxValueBytes/4))
 	*since = r.Env.Now
-	r.enqueue(r.incarnation, entry.Count, audit.Encode(entry))
+	r.enqueue(r.incarnation, entry.Count, audit.EncodeEntry(entry))
 }
 
 // nextBlock returns the transaction that writes as many queued entries as fit a block.
@@ -150,7 +150,7 @@
 		head,
 		r.cfg.Node,
 		r.cfg.ClockErrorMS,
-		[][]byte{audit.Encode(entry)},
+		[][]byte{audit.EncodeEntry(entry)},
 		r.Env.MaxValueBytes,
 	)
 	if err != nil {
--- a/core/auditlog/entries.go
+++ b/core/auditlog/entries.go
@@ -16,14 +16,14 @@
 // maxReasonBytes bounds the reason of an entry; a longer one is cut.
 const maxReasonBytes = 600
 
-// carrier is the replica of a key whose only purpose is to carry entries.
-type carrier struct {
+// outbox is the replica of a key whose only purpose is to carry entries.
+type outbox struct {
 	revision uint64
 	entries  []audit.PendingEntry
 }
 
-// carrierValue is the stored form of a carrier, and the part that all values with entries share.
-type carrierValue struct {
+// outboxValue is the stored form of a carrier, and the part that all values with entries share.
+type outboxValue struct {
 	Entries []audit.PendingEntry `json:"e"`
 }
 
@@ -87,12 +87,12 @@
 	return list, ids
 }
 
-// AttachCarrier adds a carrier with the entry of an event to a transaction.
-func (r *Recorder) AttachCarrier(txn *wire.Txn, name string, event Event) (ids []uint64) {
-	key := carrierPrefix + name
-	old := r.carriers[key]
+// AttachOutbox adds a carrier with the entry of an event to a transaction.
+func (r *Recorder) AttachOutbox(txn *wire.Txn, name string, event Event) (ids []uint64) {
+	key := outboxPrefix + name
+	old := r.outboxes[key]
 	list, ids := r.AttachEntries(key, old.revision, old.entries, []Event{event})
-	raw, err := json.Marshal(carrierValue{list})
+	raw, err := json.Marshal(outboxValue{list})
 	if err != nil {
 		panic(err) // impossible: the value has only bytes, strings and numbers
 	}
@@ -124,7 +124,7 @@
 		switch {
 		case entry == nil:
 		case status == wire.StatusOK:
-			r.enqueueWritten(id)
+			r.enqueueCommitted(id)
 		default:
 			r.unknownOutcome[entry.key] = append(r.unknownOutcome[entry.key], id)
 		}
@@ -138,8 +138,8 @@
 	}
 }
 
-// enqueueWritten queues an in-flight entry for a block: its change is committed.
-func (r *Recorder) enqueueWritten(id uint64) {
+// enqueueCommitted queues an in-flight entry for a block: its change is committed.
+func (r *Recorder) enqueueCommitted(id uint64) {
 	if entry := r.inFlight[id]; entry != nil {
 		delete(r.inFlight, id)
 		r.enqueue(r.incarnation, id, entry.encoded)
@@ -167,7 +167,7 @@
 		switch {
 		case pending.Node != r.cfg.Node:
 		case pending.Incarnation == r.incarnation:
-			r.enqueueWritten(pending.Sequence)
+			r.enqueueCommitted(pending.Sequence)
 		case r.IsRecorded(pending) || r.formerEntries[id]:
 		default:
 			r.formerEntries[id] = true
@@ -186,7 +186,7 @@
 	}
 	r.cfg.LogError("audit entry was altered", "key", key, "life", pending.Incarnation,
 		"count", pending.Sequence)
-	return audit.Encode(
+	return audit.EncodeEntry(
 		&pb.AuditEntry{
 			Life:    pending.Incarnation,
 			Count:   pending.Sequence,
@@ -229,14 +229,14 @@
 			return fmt.Errorf("decode chain head: %w", err)
 		}
 		r.applyHead(strings.TrimPrefix(key, HeadPrefix), head, revision)
-	case strings.HasPrefix(key, carrierPrefix):
-		var value carrierValue
+	case strings.HasPrefix(key, outboxPrefix):
+		var value outboxValue
 		if err := json.Unmarshal(raw, &value); err != nil {
 			return fmt.Errorf("decode audit carrier: %w", err)
 		}
 		r.ObserveEntries(key, revision, value.Entries)
-		if revision > r.carriers[key].revision {
-			r.carriers[key] = carrier{revision, value.Entries}
+		if revision > r.outboxes[key].revision {
+			r.outboxes[key] = outbox{revision, value.Entries}
 		}
 	case key == settingsPrefix+r.cfg.Node:
 		if revision > r.settingsRevision {
--- a/core/auditlog/golden_test.go
+++ b/core/auditlog/golden_test.go
@@ -10,8 +10,8 @@
 )
 
 // The stored form of a carrier and all keys must not change: the same bytes are written, and stored ones read.
-func TestStoredBytesStay(t *testing.T) {
-	value := carrierValue{
+func TestStoredFormatIsStable(t *testing.T) {
+	value := outboxValue{
 		[]audit.PendingEntry{
 			{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")},
 		},
@@ -21,11 +21,11 @@
 	if err != nil || string(raw) != want {
 		t.Errorf("encoded as %s, want %s (%v)", raw, want, err)
 	}
-	var read carrierValue
+	var read outboxValue
 	if err := json.Unmarshal([]byte(want), &read); err != nil || !reflect.DeepEqual(read, value) {
 		t.Errorf("decoded as %+v (%v)", read, err)
 	}
-	keys := strings.Join([]string{Prefix, KeyInitialized, HeadPrefix, carrierPrefix, settingsPrefix}, " ")
+	keys := strings.Join([]string{Prefix, KeyInitialized, HeadPrefix, outboxPrefix, settingsPrefix}, " ")
 	if keys != "dl/audit/ dl/audit/begun dl/audit/head/ dl/audit/of/ dl/audit/settings/" {
 		t.Errorf("keys are %s", keys)
 	}
--- a/core/auditlog/recorder.go
+++ b/core/auditlog/recorder.go
@@ -33,21 +33,21 @@
 	// and these sort before all keys that carry entries.
 	HeadPrefix = Prefix + "head/"
 
-	carrierPrefix  = Prefix + "of/"       // entries of changes to values that can't carry them
+	outboxPrefix   = Prefix + "of/"       // entries of changes to values that can't carry them
 	settingsPrefix = Prefix + "settings/" // settings of each controller as of its last start
 )
 
 // Config is the fixed configuration of a recorder.
 type Config struct {
-	Key            audit.Key // nil: nothing is recorded, but the heads of others are followed
-	Node           string
-	GatherInterval time.Duration // how long denials and reads are gathered into one entry
-	BlockDelay     time.Duration // how long other entries wait to share a block
-	LateTxnWindow  time.Duration // after it, no transaction of a former incarnation is executed any more
-	ClockErrorMS   uint32        // bound of the error of the wall clock
-	Settings       map[string]string
-	StartedAt      time.Duration
-	LogError       func(text string, args ...any)
+	Key                 audit.Key // nil: nothing is recorded, but the heads of others are followed
+	Node                string
+	AggregationInterval time.Duration // how long denials and reads are gathered into one entry
+	BlockDelay          time.Duration // how long other entries wait to share a block
+	LateTxnWindow       time.Duration // after it, no transaction of a former incarnation is executed any more
+	ClockErrorMS        uint32        // bound of the error of the wall clock
+	Settings            map[string]string
+	StartedAt           time.Duration
+	LogError            func(text string, args ...any)
 }
 
 // Env is the environment of a call. The caller sets it before every call.
@@ -66,7 +66,7 @@
 	initializedRevision uint64 // of KeyInitialized
 	heads               map[string]*audit.Head
 	headRevisions       map[string]uint64
-	carriers            map[string]carrier
+	outboxes            map[string]outbox
 	storedSettings      map[string]string // as of the last start
 	settingsRevision    uint64
 
@@ -82,18 +82,18 @@
 	nextBlockAt               time.Duration  // no attempt before
 	lastBlockAt               time.Duration
 
-	refusals, reads           audit.Aggregator
-	refusalsSince, readsSince time.Duration // start of gathering
-	readWaiters               []func(ok bool)
-	recordedUntil             map[string]time.Duration // by reader: further reads need no entry until then
+	denials, reads           audit.Aggregator
+	denialsSince, readsSince time.Duration // start of gathering
+	readWaiters              []func(ok bool)
+	recordedUntil            map[string]time.Duration // by reader: further reads need no entry until then
 }
 
 // Event is what an entry records. Without an identity, the service itself acted.
 type Event struct{ Identity, Key, Verb, Object, Reason string }
 
 const (
-	maxGatheredBytes  = 16 << 10    // bound of gathered events that are told apart, in bytes
-	readerDedupWindow = time.Minute // after a recorded read, further reads of the same reader are only counted
+	maxAggregatedBytes = 16 << 10    // bound of gathered events that are told apart, in bytes
+	readerDedupWindow  = time.Minute // after a recorded read, further reads of the same reader are only counted
 )
 
 // Verbs of events that controllers cause.
@@ -111,13 +111,13 @@
 		cfg:            cfg,
 		heads:          map[string]*audit.Head{},
 		headRevisions:  map[string]uint64{},
-		carriers:       map[string]carrier{},
+		outboxes:       map[string]outbox{},
 		inFlight:       map[uint64]*inFlightEntry{},
 		unknownOutcome: map[string][]uint64{},
 		formerEntries:  map[[2]uint64]bool{},
 		recordedUntil:  map[string]time.Duration{},
-		refusals:       audit.Aggregator{MaxBytes: maxGatheredBytes},
-		reads:          audit.Aggregator{MaxBytes: maxGatheredBytes},
+		denials:        audit.Aggregator{MaxBytes: maxAggregatedBytes},
+		reads:          audit.Aggregator{MaxBytes: maxAggregatedBytes},
 	}
 }
 
@@ -130,15 +130,15 @@
 // Heads returns the heads of all chains by controller. The caller must not modify them.
 func (r *Recorder) Heads() map[string]*audit.Head { return r.heads }
 
-// RecordRefusal gathers count denials of the same event.
-func (r *Recorder) RecordRefusal(event audit.GatheredEvent, count uint32) {
+// RecordDenial gathers count denials of the same event.
+func (r *Recorder) RecordDenial(event audit.AggregatedEvent, count uint32) {
 	if r.cfg.Key == nil {
 		return
 	}
-	if r.refusals.Len() == 0 {
-		r.refusalsSince = r.Env.Now
+	if r.denials.Len() == 0 {
+		r.denialsSince = r.Env.Now
 	}
-	r.refusals.Add(event, count)
+	r.denials.Add(event, count)
 }
 
 // RecordRead records a read that needs a permission and calls f once it is recorded, or with false if it
@@ -152,7 +152,7 @@
 	if r.reads.Len() == 0 {
 		r.readsSince = r.Env.Now
 	}
-	r.reads.Add(audit.GatheredEvent{Identity: identity, Verb: verb, Object: object}, 1)
+	r.reads.Add(audit.AggregatedEvent{Identity: identity, Verb: verb, Object: object}, 1)
 	reader := identity + " " + verb
 	if r.recordedUntil[reader] > r.Env.Now {
 		f(true)
--- a/core/auditlog/recorder_test.go
+++ b/core/auditlog/recorder_test.go
@@ -15,8 +15,8 @@
 	"dewlift/wire"
 )
 
-// key signs the entries of the tests.
-var key = audit.Key("a key for the tests of the recorder")
+// testKey signs the entries of the tests.
+var testKey = audit.Key("a key for the tests of the recorder")
 
 // entryID identifies an entry by incarnation and sequence number.
 type entryID = [2]uint64
@@ -48,7 +48,7 @@
 
 // entriesIn returns the entries that a value carries.
 func entriesIn(raw json.RawMessage) []audit.PendingEntry {
-	var value carrierValue
+	var value outboxValue
 	_ = json.Unmarshal(raw, &value) // blocks and heads carry none
 	return value.Entries
 }
@@ -104,8 +104,8 @@
 	now      time.Duration
 }
 
-// pass advances the clock.
-func (run *recorderRun) pass(d time.Duration) {
+// advanceClock advances the clock.
+func (run *recorderRun) advanceClock(d time.Duration) {
 	run.now += d
 	run.recorder.Env = Env{Now: run.now, UnixMS: run.now.Milliseconds(), Enabled: true, MaxValueBytes: 1200}
 }
@@ -114,15 +114,15 @@
 func (run *recorderRun) restart() {
 	run.t.Helper()
 	run.recorder = New(Config{
-		Key:            key,
-		Node:           "n0",
-		GatherInterval: time.Second,
-		BlockDelay:     2 * time.Second,
-		LateTxnWindow:  time.Hour,
-		StartedAt:      run.now,
-		LogError:       func(string, ...any) {},
+		Key:                 testKey,
+		Node:                "n0",
+		AggregationInterval: time.Second,
+		BlockDelay:          2 * time.Second,
+		LateTxnWindow:       time.Hour,
+		StartedAt:           run.now,
+		LogError:            func(string, ...any) {},
 	})
-	run.pass(0)
+	run.advanceClock(0)
 	if err := run.store.replayTo(run.recorder); err != nil {
 		run.t.Fatalf("load after a restart: %v", err)
 	}
@@ -169,7 +169,7 @@
 		entriesIn(item.Value),
 		[]Event{{Verb: "submit", Object: jobKey}},
 	)
-	raw, err := json.Marshal(carrierValue{list})
+	raw, err := json.Marshal(outboxValue{list})
 	if err != nil {
 		run.t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 // step performs one random operation.
 func (run *recorderRun) step() {
 	run.t.Helper()
-	run.pass(time.Duration(rapid.Int64Range(0, int64(1500*time.Millisecond)).Draw(run.t, "pass")))
+	run.advanceClock(time.Duration(rapid.Int64Range(0, int64(1500*time.Millisecond)).Draw(run.t, "pass")))
 	how := delivery(rapid.IntRange(0, 7).Draw(run.t, "how"))
 	switch rapid.IntRange(0, 9).Draw(run.t, "what") {
 	case 0:
@@ -248,7 +248,7 @@
 			run.step()
 		}
 		for range 60 { // without failures from here on
-			run.pass(3 * time.Second)
+			run.advanceClock(3 * time.Second)
 			if err := run.store.replayTo(run.recorder); err != nil {
 				t.Fatalf("watch without failures: %v", err)
 			}
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -15,16 +15,16 @@
 type autoscalerState struct {
 	*environment
 
-	catalog         map[string]*wire.MachineType
-	typeNames       []string // keys of catalog, sorted
-	nextCatalogAt   time.Duration
-	storedRevision  uint64       // revision of the stored catalog; 0: none is stored
-	storedCatalog   wire.Catalog // as the key-value store holds it
-	storeInFlight   bool
-	tooLargeLogged  bool // it was told that the catalog does not fit a value
-	catalogInFlight bool
-	classStats      map[string]*classStats
-	pendingCalls    map[uint64]func(CloudResult) // callbacks by request ID
+	catalog               map[string]*wire.MachineType
+	typeNames             []string // keys of catalog, sorted
+	nextCatalogAt         time.Duration
+	storedCatalogRevision uint64       // revision of the stored catalog; 0: none is stored
+	storedCatalog         wire.Catalog // as the key-value store holds it
+	catalogStoreInFlight  bool
+	catalogTooLargeLogged bool // it was told that the catalog does not fit a value
+	catalogInFlight       bool
+	classStats            map[string]*classStats
+	pendingCalls          map[uint64]func(CloudResult) // callbacks by request ID
 }
 
 // nodeGroup is a set of interchangeable machines: what one scale-out request asks for.
--- a/core/batchvalue/slot.go
+++ b/core/batchvalue/slot.go
@@ -35,8 +35,8 @@
 	Data []byte `json:"b"`
 }
 
-// maxExpandedBytes bounds a value after decompression, so that a damaged one can't exhaust the memory.
-const maxExpandedBytes = 1 << 20
+// maxDecompressedBytes bounds a value after decompression, so that a damaged one can't exhaust the memory.
+const maxDecompressedBytes = 1 << 20
 
 // Decode decodes a stored value.
 func Decode(raw json.RawMessage) (Entries, error) {
@@ -44,7 +44,7 @@
 	if err := json.Unmarshal(raw, &value); err != nil {
 		return nil, fmt.Errorf("decode shared value: %w", err)
 	}
-	plain, err := compress.Inflate(value.Data, maxExpandedBytes)
+	plain, err := compress.Inflate(value.Data, maxDecompressedBytes)
 	if err != nil {
 		return nil, fmt.Errorf("decompress shared value: %w", err)
 	}
--- a/core/batchvalue/slot_test.go
+++ b/core/batchvalue/slot_test.go
@@ -11,7 +11,7 @@
 
 // Encoded entries decode to the same entries, the same entries always encode to the same bytes, and a damaged
 // value is an error.
-func TestValuesAreReadBack(t *testing.T) {
+func TestEntriesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := Entries{}
 		ids, values := rapid.StringMatching(`wk-[0-9]{6}`), rapid.IntRange(0, 1<<30)
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -29,7 +29,7 @@
 
 	// maxEntryShare is the divisor of a value's limit that gives the largest entry of a slot. Larger
 	// ones are written under the job's own key.
-	maxEntryShare = 4
+	entryLimitDivisor = 4
 
 	// minAssignmentBytes is a low estimate of an encoded assignment: entries that it shows to be too
 	// large are not encoded at all.
@@ -85,8 +85,8 @@
 
 // encodeSlotEntry encodes what changes of a proposal's job; nil if that can't be shared.
 func (c *Core) encodeSlotEntry(next *proposal) json.RawMessage {
-	maxBytes := c.cfg.Store.MaxValueBytes / maxEntryShare
-	maxAssignments := c.cfg.Store.MaxValueBytes / (maxEntryShare * minAssignmentBytes)
+	maxBytes := c.cfg.Store.MaxValueBytes / entryLimitDivisor
+	maxAssignments := c.cfg.Store.MaxValueBytes / (entryLimitDivisor * minAssignmentBytes)
 	if !c.canShareProposal(next) || len(next.assignments) > maxAssignments {
 		return nil
 	}
@@ -272,7 +272,7 @@
 	for number := range pending.writtenSlots {
 		t.at(number).WriteInFlight = true
 	}
-	for number := range pending.dependentSlots {
+	for number := range pending.comparedSlots {
 		t.at(number).JobKeyWritesInFlight++
 	}
 }
@@ -280,7 +280,7 @@
 // release notes that a transaction is no longer in flight. It returns the written slots that
 // stay locked until they have been read: their write may be executed yet, or another one won.
 func (t slotTable) release(pending *pendingTxn, status wire.Status, revision uint64) (stale []int) {
-	for number := range pending.dependentSlots {
+	for number := range pending.comparedSlots {
 		t.at(number).JobKeyWritesInFlight--
 	}
 	for _, number := range sortedKeys(pending.writtenSlots) {
--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -144,7 +144,7 @@
 		),
 		20,
 	)
-	c.ownership.shards[0].Node = "n1"
+	c.ownership.shards[0].Holder = "n1"
 	c.Handle(time.Second, CancelJob{RequestID: 5, ID: "wk-1", UnixMS: 1})
 	cancellation = findTxnWriting(c.Advance(1100*time.Millisecond), slot)
 	if cancellation == nil || findTxnWriting([]Output{*cancellation}, keyJob+"wk-1") == nil ||
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -38,11 +38,11 @@
 	replica *storeReplica
 	schema  *schemaState
 
-	waitersUntil  time.Duration // until then, users may wait for a cancellation
-	quorum        *quorum.View  // how current this controller's knowledge is, and what the others hold
-	pending       []pendingAck
-	peersKnowUpTo uint64        // revision up to which other controllers have sent all cancellations
-	nextReadAt    time.Duration // not before then is the store read only to stay current
+	waitersUntil        time.Duration // until then, users may wait for a cancellation
+	quorum              *quorum.View  // how current this controller's knowledge is, and what the others hold
+	pending             []pendingAck
+	peersKnownRevision  uint64        // revision up to which other controllers have sent all cancellations
+	nextFreshnessReadAt time.Duration // not before then is the store read only to stay current
 }
 
 // pendingAck is an answer that is delayed until a cancellation may be acknowledged.
@@ -53,9 +53,9 @@
 }
 
 const (
-	ackTimeout           = 1500 * time.Millisecond // an answer waits so long for a majority: users wait 2 s
-	cancelResendInterval = 500 * time.Millisecond  // until a cancellation is sent to the others again
-	currencyReadInterval = time.Second             // between reads of the store only to stay current
+	ackTimeout            = 1500 * time.Millisecond // an answer waits so long for a majority: users wait 2 s
+	cancelResendInterval  = 500 * time.Millisecond  // until a cancellation is sent to the others again
+	freshnessReadInterval = time.Second             // between reads of the store only to stay current
 )
 
 // isCancelledWithTasks reports whether a job is cancelled while tasks of it may be on machines.
@@ -98,7 +98,7 @@
 // advanceCancelAcks keeps the knowledge of cancellations current, and answers the users whose
 // cancellations may be acknowledged by now.
 func (c *Core) advanceCancelAcks() {
-	if c.cancelAcks.beginRead() {
+	if c.cancelAcks.beginFreshnessRead() {
 		c.replica.afterReadBarrier(func(bool) {}) // the read itself is what counts
 	}
 	if query := c.cancelAcks.beginQuery(); query != nil {
@@ -128,12 +128,12 @@
 	}
 }
 
-// beginRead reports whether the store is read now only to stay current, and holds off the next read.
-func (a *cancelAcks) beginRead() bool {
-	if !a.quorum.IsReadDue(a.now) || a.now < a.nextReadAt {
+// beginFreshnessRead reports whether the store is read now only to stay current, and holds off the next read.
+func (a *cancelAcks) beginFreshnessRead() bool {
+	if !a.quorum.IsReadDue(a.now) || a.now < a.nextFreshnessReadAt {
 		return false
 	}
-	a.nextReadAt = a.now + currencyReadInterval
+	a.nextFreshnessReadAt = a.now + freshnessReadInterval
 	return true
 }
 
@@ -142,17 +142,17 @@
 	if !a.quorum.IsQueryDue(a.now) {
 		return nil
 	}
-	query := &QuorumRead{Nonce: a.rng.Uint64() | 1, SinceRevision: a.knownUpTo()}
+	query := &QuorumRead{Nonce: a.rng.Uint64() | 1, SinceRevision: a.knownRevision()}
 	a.quorum.BeginQuery(a.now, query.Nonce)
 	return query
 }
 
-// knownUpTo is the revision up to which all cancellations are known here.
-func (a *cancelAcks) knownUpTo() uint64 {
+// knownRevision is the revision up to which all cancellations are known here.
+func (a *cancelAcks) knownRevision() uint64 {
 	if !a.replica.loaded {
 		return 0
 	}
-	return max(a.replica.revision, a.peersKnowUpTo)
+	return max(a.replica.revision, a.peersKnownRevision)
 }
 
 // cancellationItems are the stored records and cancel markers of cancelled jobs, to be sent to
@@ -239,7 +239,7 @@
 // reply is to the query in flight.
 func (a *cancelAcks) handleReply(peer string, reply *QuorumReply) {
 	if a.quorum.HandleReply(peer, reply.Nonce) {
-		a.peersKnowUpTo = max(a.peersKnowUpTo, reply.UpToRevision)
+		a.peersKnownRevision = max(a.peersKnownRevision, reply.UpToRevision)
 	}
 	a.quorum.RecordHeldRevision(peer, reply.UpToRevision)
 }
@@ -270,7 +270,7 @@
 	c.controllers.sendToPeers(
 		peer,
 		Message{
-			QuorumReply:   &QuorumReply{read.Nonce, c.cancelAcks.knownUpTo()},
+			QuorumReply:   &QuorumReply{read.Nonce, c.cancelAcks.knownRevision()},
 			Cancellations: c.cancellationItems(lacking),
 		},
 	)
--- a/core/cancelacks_test.go
+++ b/core/cancelacks_test.go
@@ -31,7 +31,7 @@
 // A cancellation that another controller sends is held, and acknowledged, before the watch delivers
 // it. A delayed copy, of a job that was evicted from memory long ago, must not revive it: its tasks
 // would count as being on their machines, whose agents would get no response.
-func TestLateCancellationCopyRevivesNothing(t *testing.T) {
+func TestDelayedCancellationDoesNotRestoreEvictedJob(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
 		aheadOfReplica uint64 // revisions
@@ -66,7 +66,7 @@
 
 // A controller that has not loaded a snapshot holds nothing, so it must neither acknowledge nor reply:
 // a majority that counts it would not hold the cancellation.
-func TestUnloadedControllerAnswersNoQuorumRead(t *testing.T) {
+func TestUnloadedControllerIgnoresQuorumReads(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	c.Handle(
 		time.Second,
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -146,7 +146,7 @@
 		if candidate.lifecycle.gone || !c.runsOwnTasks(candidate) {
 			continue
 		}
-		c.agents.pollQuietAgent(candidate)
+		c.agents.pollOverdueAgent(candidate)
 		if c.now-candidate.status.lastHeartbeatAt > c.agents.silenceTimeout()+silenceReportGrace {
 			silent = append(silent, candidate.name)
 		}
@@ -157,7 +157,7 @@
 	if c.leaderState != nil {
 		c.leaderState.handleReturnRequest(c, overdue, silent)
 	} else if c.leadership.leader.modRevision != 0 {
-		c.controllers.sendToPeers(c.leadership.leader.Node, Message{MachinesToReturn: overdue, SilentMachines: silent})
+		c.controllers.sendToPeers(c.leadership.leader.Holder, Message{MachinesToReturn: overdue, SilentMachines: silent})
 	}
 }
 
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	catalogRetryDelay  = 500 * time.Millisecond // after a failed read, plus jitter
-	catalogRetryJitter = time.Second
-	catalogInterval    = 45 * time.Second // between two reads, plus jitter
-	catalogJitter      = 15 * time.Second
-	unstoredInterval   = 5 * time.Second // the same until the leader has stored the catalog
+	catalogRetryDelay       = 500 * time.Millisecond // after a failed read, plus jitter
+	catalogRetryJitter      = time.Second
+	catalogInterval         = 45 * time.Second // between two reads, plus jitter
+	catalogJitter           = 15 * time.Second
+	unstoredCatalogInterval = 5 * time.Second // the same until the leader has stored the catalog
 
 	maxMachineCPUs = 1e6 // a larger machine type is not believed
 )
@@ -35,8 +35,8 @@
 			return
 		}
 		a.nextCatalogAt = a.now + catalogInterval + a.jitter(catalogJitter)
-		if a.storedRevision == 0 {
-			a.nextCatalogAt = a.now + unstoredInterval
+		if a.storedCatalogRevision == 0 {
+			a.nextCatalogAt = a.now + unstoredCatalogInterval
 		}
 		a.setCatalog(in.Catalog)
 		onRead(in.Catalog)
@@ -69,7 +69,7 @@
 // persistCatalog has the leader store the catalog if it differs from the stored one: a controller that
 // restarts while the cloud is down could not serve before it is back otherwise.
 func (c *Core) persistCatalog(catalog *wire.Catalog) {
-	if c.leaderState == nil || c.autoscaler.storeInFlight || !c.ownLease.isHeld() {
+	if c.leaderState == nil || c.autoscaler.catalogStoreInFlight || !c.ownLease.isHeld() {
 		return
 	}
 	if slices.EqualFunc(catalog.Types, c.autoscaler.storedCatalog.Types, isSameMachineType) {
@@ -78,20 +78,20 @@
 	maxBytes := c.cfg.Store.MaxValueBytes
 	raw, err := jobrecord.EncodeCatalog(catalog, maxBytes, c.schema.active >= schemaDependencies)
 	if err != nil || len(raw) > maxBytes {
-		if !c.autoscaler.tooLargeLogged {
-			c.autoscaler.tooLargeLogged = true
+		if !c.autoscaler.catalogTooLargeLogged {
+			c.autoscaler.catalogTooLargeLogged = true
 			c.log(LevelError, "machine types do not fit a value: not served while the cloud is down, after a restart",
 				"bytes", len(raw), "value_bytes", maxBytes, "err", err)
 		}
 		return // it is tried again with the next read
 	}
-	c.autoscaler.storeInFlight = true
+	c.autoscaler.catalogStoreInFlight = true
 	txn := wire.Txn{
-		Compare: []wire.Compare{{Key: keyMachineTypes, Revision: c.autoscaler.storedRevision}},
+		Compare: []wire.Compare{{Key: keyMachineTypes, Revision: c.autoscaler.storedCatalogRevision}},
 		Then:    []wire.Write{{Put: keyMachineTypes, Value: raw}},
 	}
 	c.transactions.commit(txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-		c.autoscaler.storeInFlight = false
+		c.autoscaler.catalogStoreInFlight = false
 	}})
 }
 
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -20,12 +20,12 @@
 const noCapacity = "no capacity"
 
 const (
-	cloudBackoff        = 300 * time.Millisecond // after a refused or unanswered request, plus jitter of as much
-	cloudRetryDelay     = time.Second            // from an answer to the next attempt of the same request
-	nodeGroupBlockTime  = 10 * time.Second       // for a node group that had too few machines
-	maxMachineAge       = 1e9                    // seconds; an older age in the cloud's list is not believed
-	maxScaleInMachines  = 100                    // in one request
-	maxFailedPerScaleIn = 50                     // of maxScaleInMachines; leaves space for running machines
+	cloudBackoff         = 300 * time.Millisecond // after a refused or unanswered request, plus jitter of as much
+	cloudRetryDelay      = time.Second            // from an answer to the next attempt of the same request
+	nodeGroupBlockTime   = 10 * time.Second       // for a node group that had too few machines
+	maxMachineAgeSeconds = 1e9                    // seconds; an older age in the cloud's list is not believed
+	maxScaleInMachines   = 100                    // in one request
+	maxFailedPerScaleIn  = 50                     // of maxScaleInMachines; leaves space for running machines
 )
 
 // callCloud sends a request if the budget of cloud requests and the back-off allow it, and reports
@@ -112,7 +112,7 @@
 	if target.identity.address == "" {
 		target.identity.address = listed.Addr
 	}
-	if target.leaderView.rentedAt == 0 && listed.AgeS >= 0 && listed.AgeS < maxMachineAge {
+	if target.leaderView.rentedAt == 0 && listed.AgeS >= 0 && listed.AgeS < maxMachineAgeSeconds {
 		target.leaderView.rentedAt = c.now - time.Duration(listed.AgeS*float64(time.Second))
 	}
 	if listed.Stage == wire.MachineFailed {
--- a/core/config.go
+++ b/core/config.go
@@ -288,7 +288,7 @@
 	Key audit.Key
 
 	// GatherDelay is how long refusals and reads are gathered in memory. A crash loses at most these.
-	GatherDelay time.Duration
+	AggregationInterval time.Duration
 
 	// BlockDelay is how long other entries, which are stored with what they are about, wait to share a
 	// block.
@@ -296,7 +296,7 @@
 
 	// ForgetAfter is the time after which no transaction that this controller sent before a restart can
 	// be executed any more.
-	ForgetAfter time.Duration
+	LateTxnWindow time.Duration
 
 	// MaxClockErrorMS bounds the error of the time of day, in milliseconds. It is recorded in the log.
 	MaxClockErrorMS uint32
--- a/core/core.go
+++ b/core/core.go
@@ -117,7 +117,7 @@
 	c.ownership.shards = make([]leasedKey, c.cfg.Shards)
 	c.controllers.environment = c.environment
 	c.controllers.membership = membership.New(c.cfg.Peers, c.cfg.Cluster.PeerTimeout)
-	c.controllers.nodeKeys = map[string]leasedKey{}
+	c.controllers.registrations = map[string]leasedKey{}
 }
 
 // initStore sets up the replica of the store, and what reads and writes it.
@@ -161,7 +161,7 @@
 	c.clusterCopy.environment = c.environment
 	c.clusterCopy.state.MaxAge = c.cfg.State.CopyExpiry
 	c.deltaLog.environment, c.deltaLog.machines = c.environment, &c.machineTable
-	c.deltaLog.uncounted = map[string][]deltaBatch{}
+	c.deltaLog.unacked = map[string][]deltaBatch{}
 	c.cancelAcks = cancelAcks{environment: c.environment, jobs: &c.jobTable, replica: &c.replica, schema: &c.schema}
 	c.cancelAcks.quorum = quorum.New(quorum.Config{
 		Peers:          c.cfg.Peers,
@@ -279,7 +279,7 @@
 // handleRequestsDenied records requests that the API denied before they reached the core.
 func (c *Core) handleRequestsDenied(in RequestsDenied) {
 	for _, denied := range in.Items {
-		c.auditLog.current().RecordRefusal(audit.GatheredEvent{
+		c.auditLog.current().RecordDenial(audit.AggregatedEvent{
 			Identity: denied.Who,
 			Verb:     denied.Verb,
 			Object:   denied.Object,
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -295,7 +295,7 @@
 
 // A transaction whose outcome stayed unknown while the snapshot was loaded again made the core retry in an
 // endless loop; it must wait for the end of the load, and refuse the submission at once.
-func TestUnknownOutcomeWhileReadingAllKeysAgain(t *testing.T) {
+func TestUnknownOutcomeDuringSnapshotReload(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(time.Second, testSubmission("wk-1"))
 	var commit *CommitTxn
@@ -528,7 +528,7 @@
 
 // A machine whose controller is cut off takes longer to find another than the silence timeout. The leader must
 // have its peers poll it.
-func TestPeersPollQuietMachines(t *testing.T) {
+func TestPeersPollMachinesWithOverdueHeartbeats(t *testing.T) {
 	c := newLeadingCore(t)
 	polledBy := map[string]int{}
 	c.ownLease.expiresAt = time.Hour
@@ -650,13 +650,13 @@
 }
 
 // A controller that had been cut off had live machines returned as silent when it came back.
-func TestCutOffControllerDoesNotJudgeSilence(t *testing.T) {
+func TestCutOffControllerReportsNoSilentMachines(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		c := newLeadingCore(t)
 		c.Handle(time.Second, testSubmission("wk-1"))
 		runFor(c, time.Second, 2*time.Second)
 		// Another controller leads; then no heartbeat of the machine comes for long.
-		other, err := json.Marshal(leasedKey{Node: "n1", LeaseID: 9, FencingToken: 2})
+		other, err := json.Marshal(leasedKey{Holder: "n1", LeaseID: 9, FencingToken: 2})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -679,7 +679,7 @@
 }
 
 // With heartbeats every 6 s, a healthy machine may be quiet for 7.5 s; it was returned after 6.5 s.
-func TestQuietMachineIsNotSilent(t *testing.T) {
+func TestMachineWithinSilenceTimeoutIsNotReturned(t *testing.T) {
 	c := newLeadingCore(t)
 	c.cfg.Agents.HeartbeatInterval = 6 * time.Second
 	m := c.internMachine("m-1")
@@ -799,7 +799,7 @@
 		c := newLeadingCore(t)
 		runFor(c, time.Second, 2*time.Second) // the machine of 4 CPUs is in the array
 		c.endTerm()
-		c.leadership.leader.Node = "n1"
+		c.leadership.leader.Holder = "n1"
 		c.clusterCopy.capacityHold = &CapacityHold{Priority: 1, Request: clusterstate.Resources{2000, 0, 1000}}
 		in := testSubmission("wk-1")
 		in.Spec.Priority = priority
@@ -852,13 +852,13 @@
 	}
 	names := []string{"n1", "n2", "n3", "n4", "n0"}
 	for i := range names {
-		raw, err := json.Marshal(leasedKey{Node: names[i], LeaseID: uint64(7 + i), FencingToken: 1})
+		raw, err := json.Marshal(leasedKey{Holder: names[i], LeaseID: uint64(7 + i), FencingToken: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
 		in.Items = append(
 			in.Items,
-			wire.KeyValue{Key: keyNode + names[i], Value: raw, Revision: 5},
+			wire.KeyValue{Key: keyRegistration + names[i], Value: raw, Revision: 5},
 			wire.KeyValue{Key: keyLeader, Value: raw, Revision: 5},
 		)
 		for shard := 0; shard < 3 && i < 4; shard++ {
@@ -934,10 +934,10 @@
 	j := c.internJob("wk-1")
 	before := j.writePriority()
 	c.markMachineGone(c.internMachine("m-1"))
-	if got := j.writePriority(); got >= before || !j.write.dirty || j.write.nextLookAt > c.now {
+	if got := j.writePriority(); got >= before || !j.write.dirty || j.write.nextExamineAt > c.now {
 		t.Errorf(
 			"write priority %d before, %d after the loss; examined %v later",
-			before, got, j.write.nextLookAt-c.now,
+			before, got, j.write.nextExamineAt-c.now,
 		)
 	}
 }
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -13,11 +13,11 @@
 
 const (
 	// maxUncountedBatches bounds the batches kept of a controller while no push counts them.
-	maxUncountedBatches = 64
+	maxUnackedBatches = 64
 	// pushResendInterval is the least time between two requests for the whole array.
 	pushResendInterval = 500 * time.Millisecond
 	// countingDelayWeight is the divisor by which a measurement moves the average of the counting delay.
-	countingDelayWeight = 8
+	ackDelayDivisor = 8
 	// maxPropagationDelay bounds how long a start is expected to take until the other controllers know it.
 	maxPropagationDelay = 2 * time.Second
 )
@@ -29,33 +29,33 @@
 	state          clusterstate.Copy
 	revision       uint64            // of the leader's array, as of the last push taken
 	leaderToken    uint64            // fencing token of the leader that sent it
-	countedBatches map[string]uint64 // by controller, the last batch of deltas that the leader had counted
+	ackedBatchSeqs map[string]uint64 // by controller, the last batch of deltas that the leader had counted
 	nextResendAt   time.Duration     // when the whole array may be requested again
 	capacityHold   *CapacityHold     // capacity held for more important work; nil: none
 }
 
-// follows reports whether a push that carries only the rows that changed continues from the copy.
-func (s *clusterCopy) follows(push *StatePush) bool {
+// acceptsIncremental reports whether a push that carries only the rows that changed continues from the copy.
+func (s *clusterCopy) acceptsIncremental(push *StatePush) bool {
 	return push.FencingToken == s.leaderToken && push.AfterRevision == s.revision
 }
 
-// take takes the rows of a push over, and applies the deltas to them that the push does not count.
-func (s *clusterCopy) take(push *StatePush, rows []clusterstate.Row, pending []clusterstate.Delta) {
+// applyPushedRows takes the rows of a push over, and applies the deltas to them that the push does not count.
+func (s *clusterCopy) applyPushedRows(push *StatePush, rows []clusterstate.Row, pending []clusterstate.Delta) {
 	s.leaderToken, s.revision = push.FencingToken, push.Revision
-	s.countedBatches = push.DeltaAcks
-	if push.isWhole() {
+	s.ackedBatchSeqs = push.DeltaAcks
+	if push.isFull() {
 		s.state.Replace(s.now, rows, pending)
 	} else {
 		s.state.Update(s.now, rows, pending)
 	}
 }
 
-// isWhole reports whether a push carries all rows of the leader's array.
-func (p *StatePush) isWhole() bool { return p.AfterRevision == 0 }
+// isFull reports whether a push carries all rows of the leader's array.
+func (p *StatePush) isFull() bool { return p.AfterRevision == 0 }
 
-// hasCounted reports whether the leader had counted a controller's batch in the last push that was taken.
-func (s *clusterCopy) hasCounted(controller string, batchSeq, leaderToken uint64) bool {
-	return batchSeq <= s.countedBatches[controller] && s.leaderToken == leaderToken
+// hasAcked reports whether the leader had counted a controller's batch in the last push that was taken.
+func (s *clusterCopy) hasAcked(controller string, batchSeq, leaderToken uint64) bool {
+	return batchSeq <= s.ackedBatchSeqs[controller] && s.leaderToken == leaderToken
 }
 
 // apply applies a delta to the copy.
@@ -70,9 +70,9 @@
 	return true
 }
 
-// leavesHeldCapacity reports whether work of a priority class must leave the capacity alone that the
+// mustAvoidHeldCapacity reports whether work of a priority class must leave the capacity alone that the
 // leader holds for more important work.
-func (s *clusterCopy) leavesHeldCapacity(priorityClass int) bool {
+func (s *clusterCopy) mustAvoidHeldCapacity(priorityClass int) bool {
 	return s.capacityHold != nil && priorityClass > s.capacityHold.Priority && s.state.IsFresh(s.now)
 }
 
@@ -81,11 +81,11 @@
 	*environment
 	machines *machineTable
 
-	unsent        []AllocationDelta       // of this controller, for the next batch
-	uncounted     map[string][]deltaBatch // by controller
-	lastSeq       uint64                  // of this controller's batches
-	countingDelay time.Duration           // average time from sending a batch to a push that counts it
-	nextBatchAt   time.Duration
+	unsent      []AllocationDelta       // of this controller, for the next batch
+	unacked     map[string][]deltaBatch // by controller
+	lastSeq     uint64                  // of this controller's batches
+	ackDelay    time.Duration           // average time from sending a batch to a push that counts it
+	nextBatchAt time.Duration
 }
 
 // deltaBatch is a batch of deltas that was sent to a leader.
@@ -98,21 +98,21 @@
 
 // retain keeps a batch of a controller until a push counts it.
 func (l *deltaLog) retain(controller string, batch deltaBatch) {
-	batches := l.uncounted[controller]
+	batches := l.unacked[controller]
 	batches = append(batches, batch)
-	l.uncounted[controller] = batches[max(0, len(batches)-maxUncountedBatches):]
+	l.unacked[controller] = batches[max(0, len(batches)-maxUnackedBatches):]
 }
 
-// dropCounted drops the batches of a controller that a push counts, and those sent to a former leader:
+// dropAcked drops the batches of a controller that a push counts, and those sent to a former leader:
 // a new leader builds its array from heartbeats instead.
-func (l *deltaLog) dropCounted(controller string, push *StatePush) {
-	l.uncounted[controller] = slices.DeleteFunc(l.uncounted[controller], func(batch deltaBatch) bool {
+func (l *deltaLog) dropAcked(controller string, push *StatePush) {
+	l.unacked[controller] = slices.DeleteFunc(l.unacked[controller], func(batch deltaBatch) bool {
 		return batch.leaderToken != push.FencingToken || batch.seq <= push.DeltaAcks[controller]
 	})
 }
 
-// takeBatch makes the unsent deltas a batch to a leader and retains it; nil if there are none.
-func (l *deltaLog) takeBatch(leaderToken uint64) *AllocationDeltas {
+// nextBatch makes the unsent deltas a batch to a leader and retains it; nil if there are none.
+func (l *deltaLog) nextBatch(leaderToken uint64) *AllocationDeltas {
 	if len(l.unsent) == 0 {
 		return nil
 	}
@@ -131,15 +131,15 @@
 // propagationDelay is how long it takes until the other controllers know of a start: the time of a
 // batch of deltas, or the recently measured time if that is longer.
 func (l *deltaLog) propagationDelay() time.Duration {
-	return min(max(2*l.cfg.State.DeltaInterval, l.countingDelay/2), maxPropagationDelay)
+	return min(max(2*l.cfg.State.DeltaInterval, l.ackDelay/2), maxPropagationDelay)
 }
 
-// measureCountingDelay takes how long this controller's batches waited for a push that counts them.
-func (l *deltaLog) measureCountingDelay(push *StatePush) {
+// measureAckDelay takes how long this controller's batches waited for a push that counts them.
+func (l *deltaLog) measureAckDelay(push *StatePush) {
 	self := l.cfg.Name
-	for _, batch := range l.uncounted[self] {
+	for _, batch := range l.unacked[self] {
 		if batch.leaderToken == push.FencingToken && batch.seq <= push.DeltaAcks[self] {
-			l.countingDelay += (l.now - batch.sentAt - l.countingDelay) / countingDelayWeight
+			l.ackDelay += (l.now - batch.sentAt - l.ackDelay) / ackDelayDivisor
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	if c.leadership.leader.modRevision == 0 {
 		return
 	}
-	batch := c.deltaLog.takeBatch(c.leadership.leader.FencingToken)
+	batch := c.deltaLog.nextBatch(c.leadership.leader.FencingToken)
 	if batch == nil {
 		return
 	}
@@ -195,12 +195,12 @@
 	}
 	c.stopPreempted(push.Preempted)
 	c.clusterCopy.capacityHold = push.CapacityHold
-	if !push.isWhole() && !c.clusterCopy.follows(push) {
-		c.requestWholeArray()
+	if !push.isFull() && !c.clusterCopy.acceptsIncremental(push) {
+		c.requestFullPush()
 		return
 	}
 	rows := c.rowsOfPush(push)
-	c.clusterCopy.take(push, rows, c.deltaLog.uncountedDeltas(push))
+	c.clusterCopy.applyPushedRows(push, rows, c.deltaLog.unackedDeltas(push))
 	c.placement.capacityFreed = true
 }
 
@@ -217,10 +217,10 @@
 	}
 }
 
-// requestWholeArray asks the leader for its whole array after a push was lost; the copy ages until it comes.
-func (c *Core) requestWholeArray() {
+// requestFullPush asks the leader for its whole array after a push was lost; the copy ages until it comes.
+func (c *Core) requestFullPush() {
 	if c.leadership.leader.modRevision != 0 && c.clusterCopy.beginResend() {
-		c.controllers.sendToPeers(c.leadership.leader.Node, Message{ResendStatePush: true})
+		c.controllers.sendToPeers(c.leadership.leader.Holder, Message{ResendStatePush: true})
 	}
 }
 
@@ -249,12 +249,12 @@
 	return rows
 }
 
-// uncountedDeltas drops the batches that a push counts, and lists the remaining deltas of all controllers.
-func (l *deltaLog) uncountedDeltas(push *StatePush) (pending []clusterstate.Delta) {
-	l.measureCountingDelay(push)
-	for _, controller := range sortedKeys(l.uncounted) {
-		l.dropCounted(controller, push)
-		for _, batch := range l.uncounted[controller] {
+// unackedDeltas drops the batches that a push counts, and lists the remaining deltas of all controllers.
+func (l *deltaLog) unackedDeltas(push *StatePush) (pending []clusterstate.Delta) {
+	l.measureAckDelay(push)
+	for _, controller := range sortedKeys(l.unacked) {
+		l.dropAcked(controller, push)
+		for _, batch := range l.unacked[controller] {
 			pending = l.machines.appendDeltas(pending, batch.deltas)
 		}
 	}
--- a/core/demand.go
+++ b/core/demand.go
@@ -23,8 +23,8 @@
 
 // Weights of the moving averages: each value moves them by one part in so many.
 const (
-	meanWeight       = 8
-	meanSquareWeight = 16
+	meanDivisor       = 8
+	meanSquareDivisor = 16
 )
 
 // recordClassArrival updates the statistics of a job's class, from which headroom is computed.
@@ -38,11 +38,11 @@
 		stats = &classStats{meanTasks: tasks, meanSquareTasks: tasks * tasks}
 		a.classStats[record.Spec.Class] = stats
 	}
-	stats.meanSquareTasks += (tasks*tasks - stats.meanSquareTasks) / meanSquareWeight
-	stats.meanTasks += (tasks - stats.meanTasks) / meanWeight
+	stats.meanSquareTasks += (tasks*tasks - stats.meanSquareTasks) / meanSquareDivisor
+	stats.meanTasks += (tasks - stats.meanTasks) / meanDivisor
 	interval := time.Duration(record.AcceptedAtMS-stats.lastArrivalMS) * time.Millisecond
 	if stats.lastArrivalMS != 0 && interval >= 0 {
-		stats.meanInterval += (interval - stats.meanInterval) / meanWeight
+		stats.meanInterval += (interval - stats.meanInterval) / meanDivisor
 	}
 	stats.lastSpec, stats.lastArrival, stats.lastArrivalMS = *record.Spec, a.now, record.AcceptedAtMS
 }
@@ -59,9 +59,9 @@
 	enqueuedAtMS  int64
 }
 
-// packingOrder is the primary sort key of demands. Headroom for work that may not use spot machines
+// packingRank is the primary sort key of demands. Headroom for work that may not use spot machines
 // precedes pending work that may: the latter would fill the few machines that the former can use.
-func (d *demand) packingOrder() int {
+func (d *demand) packingRank() int {
 	switch {
 	case !d.isHeadroom && !d.spec.Spot:
 		return 0
@@ -73,12 +73,12 @@
 	return 3
 }
 
-// supplyOrder is the index of the packing order that a demand fills.
-func (d *demand) supplyOrder() int {
+// binOrder is the index of the packing order that a demand fills.
+func (d *demand) binOrder() int {
 	if d.spec.Spot {
-		return spotOrder
+		return spotBinOrder
 	}
-	return onDemandOrder
+	return onDemandBinOrder
 }
 
 // isUnconstrained reports whether a demand fits any machine of its packing order with enough resources.
@@ -89,7 +89,7 @@
 // compareDemands orders demands for packing.
 func compareDemands(a, b demand) int {
 	return cmp.Or(
-		cmp.Compare(a.packingOrder(), b.packingOrder()),
+		cmp.Compare(a.packingRank(), b.packingRank()),
 		cmp.Compare(a.priorityClass, b.priorityClass),
 		cmp.Compare(a.enqueuedAtMS, b.enqueuedAtMS),
 		cmp.Compare(a.spec.Class, b.spec.Class),
--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -98,15 +98,15 @@
 	ended.dependents = nil
 	c.dependencies.unlink(ended)
 	if ended.record.Stage == jobrecord.Done {
-		c.dependencies.meet(dependents, ended.revision)
+		c.dependencies.markDependencyDone(dependents, ended.revision)
 		return
 	}
 	c.cancelDependents(dependents, ended.rootCancelledJob())
 }
 
-// meet counts a dependency of these jobs as done at a revision. Those without further ones
+// markDependencyDone counts a dependency of these jobs as done at a revision. Those without further ones
 // are ready to be placed.
-func (g *dependencyGraph) meet(dependents []*job, revision uint64) {
+func (g *dependencyGraph) markDependencyDone(dependents []*job, revision uint64) {
 	for _, dependent := range dependents {
 		dependent.unmetDependencies--
 		if dependent.unmetDependencies != 0 || dependent.isFinal() {
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -232,7 +232,7 @@
 }
 
 // A cancellation that comes after the job is done must not cancel its dependents.
-func TestCancelOfADoneJobCancelsNothing(t *testing.T) {
+func TestCancellingDoneJobKeepsDependents(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	done := addKnownJob(c, 100, wire.JobSpec{}, "wk-1", jobrecord.Done)
 	dependent := addKnownJob(c, 101, wire.JobSpec{}, "wk-2", jobrecord.Queued, "wk-1")
@@ -315,7 +315,7 @@
 // Tasks of a pipeline once stayed on the machines of an unreachable zone until others had been scaled
 // out, and its last job missed its deadline. A machine with such a task must be given up as soon as
 // it counts as silent, unless replicas of a service go on there.
-func TestUnreachableMachineIsGivenUpForADeadline(t *testing.T) {
+func TestUnreachableMachineIsGivenUpToMeetDeadline(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		deadlineMS int64
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -10,9 +10,9 @@
 const (
 	// unresponsiveShare is the part, one in so many, of the command requests that may be in flight to machines
 	// which probably do not answer.
-	unresponsiveShare = 4
+	unresponsiveRequestDivisor = 4
 	// maxEndedReported is how many ended tasks a machine reports at most before they are cleared at once.
-	maxEndedReported = 8
+	maxEndedTasksBeforeClear = 8
 	// attemptRetention is how long after its last command an attempt is remembered that is neither assigned
 	// nor reported.
 	attemptRetention = 10 * time.Second
@@ -28,7 +28,7 @@
 	controllers *controllerSet
 
 	dirtyMachines       []*machine                  // machines that may need commands
-	nextDrainAt         time.Duration               // when machines with an interruption notice are examined next
+	nextEvictionCheckAt time.Duration               // when machines with an interruption notice are examined next
 	nextReturnRequestAt time.Duration               // when the leader is next asked to return machines
 	inFlight            map[uint64]inFlightCommands // by request id
 	relayed             map[uint64]relayedCommands  // by the id of this controller's request
@@ -60,7 +60,7 @@
 	unresponsive := c.commands.countUnresponsiveRequests(c.machines)
 	c.commands.dirtyMachines = slices.DeleteFunc(c.commands.dirtyMachines, func(m *machine) bool {
 		if m.lifecycle.gone || !m.status.reported {
-			m.commands.queued = false // its first heartbeat queues it again
+			m.commands.inDirtyList = false // its first heartbeat queues it again
 			return true
 		}
 		if !c.commands.isDue(m) {
@@ -68,7 +68,7 @@
 		}
 		isUnresponsive := c.commands.isUnresponsive(m)
 		limit := c.cfg.Agents.MaxCommandRequests
-		if len(c.commands.inFlight) >= limit || isUnresponsive && unresponsive >= limit/unresponsiveShare {
+		if len(c.commands.inFlight) >= limit || isUnresponsive && unresponsive >= limit/unresponsiveRequestDivisor {
 			return false
 		}
 		m.commands.dirty = false
@@ -78,8 +78,8 @@
 		if isUnresponsive && m.commands.requestID != 0 {
 			unresponsive++
 		}
-		m.commands.queued = unsettled || m.commands.requestID != 0
-		return !m.commands.queued
+		m.commands.inDirtyList = unsettled || m.commands.requestID != 0
+		return !m.commands.inDirtyList
 	})
 }
 
@@ -117,7 +117,7 @@
 	plan.collectClears()
 	plan.forgetOldAttempts()
 	if len(plan.commands) == 0 {
-		return plan.unsettled
+		return plan.needsRecheck
 	}
 	c.commands.send(m, plan.batch(), plan.starts)
 	return true
@@ -125,12 +125,12 @@
 
 // commandPlan is the commands for one machine, collected in one run of dispatchTo.
 type commandPlan struct {
-	core      *Core
-	machine   *machine
-	commands  []plannedCommand
-	starts    []attemptKey // attempts with a start among the commands
-	clears    []attemptKey // ended attempts that the agent may forget
-	unsettled bool         // the machine must be examined again, even without a change
+	core         *Core
+	machine      *machine
+	commands     []plannedCommand
+	starts       []attemptKey // attempts with a start among the commands
+	clears       []attemptKey // ended attempts that the agent may forget
+	needsRecheck bool         // the machine must be examined again, even without a change
 }
 
 // plannedCommand is a command with the attempt that it is for.
@@ -188,7 +188,7 @@
 		key := attemptKey{task.jobIndex, task.task, assignment.Attempt}
 		status, reported := m.status.tasks[key]
 		if !reported || j.isFinal() {
-			p.unsettled = true
+			p.needsRecheck = true
 		}
 		switch {
 		case !reported && !j.isFinal():
@@ -199,7 +199,7 @@
 			p.addStop(key, 0)
 		case status.state != wire.TaskCheckpointing:
 			if record := m.commands.attempts[key]; record != nil && record.stopReason != "" {
-				p.unsettled = true
+				p.needsRecheck = true
 				p.addStop(key, record.stopGraceSeconds)
 			}
 		}
@@ -215,7 +215,7 @@
 		if _, assigned := m.currentAssignment(key); assigned || !c.ownership.ownsJob(j) {
 			continue
 		}
-		p.unsettled = true
+		p.needsRecheck = true
 		if j.write.inFlight || j.write.outcomeUnknown || !c.noStartPending(m, j, key) {
 			continue
 		}
@@ -242,7 +242,7 @@
 	if m.commands.nextClearAt == 0 {
 		m.commands.nextClearAt = c.now + c.cfg.Agents.EndedTaskClearDelay
 	}
-	if len(p.commands) == 0 && c.now < m.commands.nextClearAt && len(p.clears) <= maxEndedReported {
+	if len(p.commands) == 0 && c.now < m.commands.nextClearAt && len(p.clears) <= maxEndedTasksBeforeClear {
 		return
 	}
 	for _, key := range p.clears {
@@ -256,7 +256,7 @@
 	c, m := p.core, p.machine
 	for key, record := range m.commands.attempts {
 		if record.startInFlight {
-			p.unsettled = true
+			p.needsRecheck = true
 			continue
 		}
 		if _, reported := m.status.tasks[key]; reported || c.now-record.lastCommandAt < attemptRetention {
@@ -354,7 +354,7 @@
 	}
 	delete(c.commands.inFlight, in.ID)
 	m := c.machines[request.machineIndex]
-	m.commands.settleRequest(in, c.now)
+	m.commands.recordRequestOutcome(in, c.now)
 	c.commands.markDirty(m)
 	if in.Heartbeat != nil && in.Heartbeat.Machine == m.name {
 		c.applyHeartbeat(in.Heartbeat, true)
@@ -381,8 +381,8 @@
 	c.controllers.sendToPeers(relayed.peer, Message{CommandsResult: &in})
 }
 
-// settleRequest records the outcome of the request that was in flight.
-func (s *machineCommands) settleRequest(in CommandsResult, now time.Duration) {
+// recordRequestOutcome records the outcome of the request that was in flight.
+func (s *machineCommands) recordRequestOutcome(in CommandsResult, now time.Duration) {
 	s.requestID = 0
 	if in.Status == wire.StatusNoAnswer {
 		s.unanswered++
@@ -390,12 +390,12 @@
 	} else {
 		s.unanswered = 0
 	}
-	s.settleStarts(in)
+	s.recordStartOutcomes(in)
 }
 
-// settleStarts records the outcome of the starts in the request that was in flight. Those of an unanswered one may be
+// recordStartOutcomes records the outcome of the starts in the request that was in flight. Those of an unanswered one may be
 // executed late, until the machine has seen a token above that of the request.
-func (s *machineCommands) settleStarts(in CommandsResult) {
+func (s *machineCommands) recordStartOutcomes(in CommandsResult) {
 	answered := in.Status == wire.StatusOK || in.Status == wire.StatusConflict || !in.MaybeDelivered
 	for _, key := range s.requestAttempts {
 		record := s.attempts[key]
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -17,10 +17,10 @@
 // evictInterrupted stops tasks on machines that the cloud is about to interrupt, where running on gains nothing: those
 // that will not complete in time restart elsewhere at once, and those that can checkpoint get the time for it.
 func (c *Core) evictInterrupted() {
-	if c.now < c.commands.nextDrainAt {
+	if c.now < c.commands.nextEvictionCheckAt {
 		return
 	}
-	c.commands.nextDrainAt = c.now + evictionInterval
+	c.commands.nextEvictionCheckAt = c.now + evictionInterval
 	for _, m := range c.aliveMachines {
 		if !m.lifecycle.gone && m.lifecycle.interruptionDeadline != 0 {
 			c.evictTasks(m)
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -82,9 +82,9 @@
 	return exceedsMachineTypes
 }
 
-// hasFeasibleMachine reports whether a task of a job could be placed on some machine, by the copy of
+// canPlaceTaskNow reports whether a task of a job could be placed on some machine, by the copy of
 // the cluster state. refused are requests known to find no capacity; a new one is added to them.
-func (c *Core) hasFeasibleMachine(spec *wire.JobSpec, refused *[]unplaceable) bool {
+func (c *Core) canPlaceTaskNow(spec *wire.JobSpec, refused *[]unplaceable) bool {
 	if slices.ContainsFunc(*refused, func(u unplaceable) bool { return u.covers(spec) }) {
 		return false
 	}
@@ -101,12 +101,12 @@
 
 // unplaceable records that a request found no capacity, for a job at a queue position.
 type unplaceable struct {
-	request       clusterstate.Resources
-	allowsSpot    bool
-	heldBack      bool          // capacity that is held for more important work was left alone
-	yieldUntil    time.Duration // until then capacity is yielded to other controllers; 0: there was none at all
-	priorityClass int
-	enqueuedAtMS  int64
+	request            clusterstate.Resources
+	allowsSpot         bool
+	avoidsHeldCapacity bool          // capacity that is held for more important work was left alone
+	yieldUntil         time.Duration // until then capacity is yielded to other controllers; 0: there was none at all
+	priorityClass      int
+	enqueuedAtMS       int64
 }
 
 // covers reports whether a job's request is at least as large, for the same kinds of machines.
@@ -125,7 +125,7 @@
 ) bool {
 	return slices.ContainsFunc(p.unplaceable, func(u unplaceable) bool {
 		switch {
-		case !u.covers(spec) || u.heldBack && !leavesHeldCapacity:
+		case !u.covers(spec) || u.avoidsHeldCapacity && !leavesHeldCapacity:
 			return false
 		case u.yieldUntil == 0:
 			return true
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -25,7 +25,7 @@
 			`{"cm":1700000000123,"e":[{"a":"node-a","l":3,"q":4,"e":"ZW50cnk=","t":"dGFn"}]}`,
 		},
 		{&leasedKey{}, `{"n":"","t":0,"b":0}`},
-		{&leasedKey{Node: "node-a", LeaseID: 5, FencingToken: 6}, `{"n":"node-a","t":5,"b":6}`},
+		{&leasedKey{Holder: "node-a", LeaseID: 5, FencingToken: 6}, `{"n":"node-a","t":5,"b":6}`},
 	} {
 		raw, err := json.Marshal(tc.value)
 		if err != nil || string(raw) != tc.want {
@@ -50,7 +50,7 @@
 func TestStoredKeysStay(t *testing.T) {
 	got := []string{
 		Root,
-		keyNode,
+		keyRegistration,
 		keyLeader,
 		keyShard,
 		shardKey(7),
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestDeclarationStays guards the values that every version of the controller must be able to read: the declared schema
+// TestDeclarationsAndMarkersStayReadable guards the values that every version of the controller must be able to read: the declared schema
 // version, the restore marker and the fencing token.
-func TestDeclarationStays(t *testing.T) {
+func TestDeclarationsAndMarkersStayReadable(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	if err := c.applySchemaVersion("dl/form/node-b", json.RawMessage("8"), 3); err != nil ||
 		c.schema.declared["node-b"] != 8 {
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -121,7 +121,7 @@
 		return
 	}
 	digest := taskStatusDigest(r)
-	if m.status.matches(r.Incarnation, digest) && m.isDescribedBy(r, c.now) {
+	if m.status.matches(r.Incarnation, digest) && m.isUnchangedBy(r, c.now) {
 		// Most heartbeats of a large fleet change nothing; the peers need only the sign of life.
 		c.recordLiveness(m, r.Sequence, r.FencingToken)
 		if direct {
@@ -138,7 +138,7 @@
 	m.updateFrom(r, c.now)
 	c.updateTaskStatuses(m, r.Tasks)
 	c.recordLiveness(m, r.Sequence, r.FencingToken)
-	c.commands.noteChange(m)
+	c.commands.markTasksChanged(m)
 	if restarted {
 		c.markTasksLost(m)
 	}
@@ -175,9 +175,9 @@
 	return now + time.Duration(noticeS*float64(time.Second))
 }
 
-// isDescribedBy reports whether a heartbeat tells nothing new of the machine itself. taskStatusDigest, which
+// isUnchangedBy reports whether a heartbeat tells nothing new of the machine itself. taskStatusDigest, which
 // controllers exchange, covers the tasks and whether there is an interruption notice.
-func (m *machine) isDescribedBy(r *wire.Heartbeat, now time.Duration) bool {
+func (m *machine) isUnchangedBy(r *wire.Heartbeat, now time.Duration) bool {
 	if m.identity.address != r.Addr || m.identity.machineType != r.Type || m.identity.zone != r.Zone ||
 		m.identity.spot != r.Spot {
 		return false
@@ -226,7 +226,7 @@
 		c.handleTaskExit(m, j, key, status.cause)
 	case status.state == wire.TaskRunning && j.record != nil && j.record.Spec != nil:
 		m.status.images[j.record.Spec.Image] = true
-		c.noteRunning(j)
+		c.recordTaskRunning(j)
 	}
 }
 
@@ -389,12 +389,12 @@
 	return a.maxHeartbeatGap() + a.cfg.Agents.SilenceTimeout
 }
 
-// pollQuietAgent polls the status of a machine whose heartbeat is overdue here, directly and from peers. While the
+// pollOverdueAgent polls the status of a machine whose heartbeat is overdue here, directly and from peers. While the
 // controllers cannot reach each other, this is the only source on tasks whose agent reports elsewhere.
 //
 // Polls of a machine that does not answer back off exponentially, and the number in flight is bounded: when
 // every controller polled every machine of a lost zone once a second, each poll held a socket until its timeout.
-func (a *agentLiveness) pollQuietAgent(m *machine) {
+func (a *agentLiveness) pollOverdueAgent(m *machine) {
 	if a.pollsInFlight >= a.cfg.Agents.MaxPollRequests || !m.status.reported ||
 		a.now-m.status.lastHeartbeatAt <= a.maxHeartbeatGap() || m.status.isPollBackingOff(a.now) {
 		return
@@ -409,9 +409,9 @@
 	return s.polls > 0 && now-s.lastPollAt <= time.Second<<min(s.polls-1, maxPollBackoffShift)
 }
 
-// pollOnBehalf polls machines that a peer may not reach. The heartbeats of those that reported here recently
+// pollForPeer polls machines that a peer may not reach. The heartbeats of those that reported here recently
 // are sent to the peer at once.
-func (c *Core) pollOnBehalf(peer string, names []string) {
+func (c *Core) pollForPeer(peer string, names []string) {
 	var recent []string
 	for _, name := range names {
 		i, ok := c.machineIndex[name]
@@ -421,7 +421,7 @@
 		if m := c.machines[i]; c.now-m.status.lastHeartbeatAt <= c.agents.maxHeartbeatGap() {
 			recent = append(recent, name)
 		} else if !m.lifecycle.gone {
-			c.agents.pollQuietAgent(m)
+			c.agents.pollOverdueAgent(m)
 		}
 	}
 	c.sendRequestedHeartbeats(peer, recent)
--- a/core/job.go
+++ b/core/job.go
@@ -33,25 +33,25 @@
 
 // storedRecord is how a job's record lies in the key-value store.
 type storedRecord struct {
-	bytes       int    // size of the record as stored
-	needsOwnKey bool   // it did not fit its slot: the next write goes to a key of its own
-	snapshot    uint64 // the last snapshot load that contained the record
+	bytes            int    // size of the record as stored
+	needsOwnKey      bool   // it did not fit its slot: the next write goes to a key of its own
+	lastSnapshotLoad uint64 // the last snapshot load that contained the record
 }
 
 // jobWrite is when a job is examined for a new record, and the write in flight.
 type jobWrite struct {
-	inFlight       bool
-	outcomeUnknown bool          // the outcome of the last write is being determined by a read barrier
-	dirty          bool          // the job is to be examined
-	inOpenList     bool          // it is in jobTable.openJobs
-	openNumber     uint64        // numbers the jobs of jobTable.openJobs in their order
-	inExamineList  bool          // it is in jobTable.jobsToExamine
-	dirtySince     time.Duration // when it became dirty
-	nextLookAt     time.Duration // it is not examined before, although dirty
-	alone          bool          // it is written in a transaction of its own: one with others was refused
-	refusals       int           // in a row, of writes of its own, as malformed or too large
-	refusedUntil   time.Duration // after a refusal it is not written before
-	waitsForEnds   bool          // its next record only records ends of tasks and waits to share a write
+	inFlight         bool
+	outcomeUnknown   bool          // the outcome of the last write is being determined by a read barrier
+	dirty            bool          // the job is to be examined
+	inOpenList       bool          // it is in jobTable.openJobs
+	openNumber       uint64        // numbers the jobs of jobTable.openJobs in their order
+	inExamineList    bool          // it is in jobTable.jobsToExamine
+	dirtySince       time.Duration // when it became dirty
+	nextExamineAt    time.Duration // it is not examined before, although dirty
+	separateTxn      bool          // it is written in a transaction of its own: one with others was refused
+	refusals         int           // in a row, of writes of its own, as malformed or too large
+	refusedUntil     time.Duration // after a refusal it is not written before
+	waitsForTaskEnds bool          // its next record only records ends of tasks and waits to share a write
 }
 
 // jobCancellation is the users who wait for a job's cancellation, and its cancel marker: a small
@@ -216,7 +216,7 @@
 // markDirty has a job examined in the next scheduling pass.
 func (t *jobTable) markDirty(j *job) {
 	t.markDirtyKeepingDelay(j)
-	j.write.nextLookAt = 0
+	j.write.nextExamineAt = 0
 }
 
 // markDirtyKeepingDelay has a job examined again, but not before the time that its last examination
@@ -228,15 +228,15 @@
 		j.write.openNumber = t.openedCount
 		t.openJobs = append(t.openJobs, j)
 	}
-	t.addToExamine(j)
+	t.addToExamineList(j)
 	if !j.write.dirty {
 		j.write.dirty = true
 		j.write.dirtySince = t.now
 	}
 }
 
-// addToExamine has the next scheduling pass look at an open job.
-func (t *jobTable) addToExamine(j *job) {
+// addToExamineList has the next scheduling pass look at an open job.
+func (t *jobTable) addToExamineList(j *job) {
 	if !j.write.inExamineList {
 		j.write.inExamineList = true
 		t.jobsToExamine = append(t.jobsToExamine, j)
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -38,7 +38,7 @@
 	recalledJobs     []*job // in memory because of a lookup, oldest first
 	evicting         []*job // to be evicted from memory once nothing refers to them
 
-	archiveIndex     *archive.BlockCache
+	blockCache       *archive.BlockCache
 	lastMoveRevision uint64                // revision of the last move that the watch has shown
 	lookups          map[string]*jobLookup // by job ID
 	lookupQueue      []*jobLookup
@@ -74,10 +74,10 @@
 // newHistory returns the state of a controller that knows of no ended job.
 func newHistory(env *environment, reads *rangeReads) history {
 	return history{
-		environment:  env,
-		reads:        reads,
-		archiveIndex: archive.NewBlockCache(env.cfg.History.CacheBytes),
-		lookups:      map[string]*jobLookup{},
+		environment: env,
+		reads:       reads,
+		blockCache:  archive.NewBlockCache(env.cfg.History.CacheBytes),
+		lookups:     map[string]*jobLookup{},
 	}
 }
 
@@ -218,7 +218,7 @@
 func (c *Core) handleRecordArchived(id string, revision uint64) {
 	h := &c.history
 	h.lastMoveRevision = max(h.lastMoveRevision, revision)
-	h.archiveIndex.InvalidateOlder(id, revision)
+	h.blockCache.InvalidateOlder(id, revision)
 	// The audit entries that the record carried were in audit blocks before it moved.
 	c.auditLog.current().ResolveUnknown(keyJob+id, revision)
 	i, ok := c.jobIndex[id]
@@ -249,10 +249,10 @@
 	}
 }
 
-// checkAbsent checks for a job that is not in memory, as of the replica's revision. It returns whether
+// checkExistence checks for a job that is not in memory, as of the replica's revision. It returns whether
 // its existence is known (an archived job is cached then) or something must be read first. lookup is
 // what was read for it; nil: nothing.
-func (c *Core) checkAbsent(id string, lookup *jobLookup) (known bool, err error) {
+func (c *Core) checkExistence(id string, lookup *jobLookup) (known bool, err error) {
 	h := &c.history
 	since := uint64(0)
 	if h.coldRecords > 0 {
@@ -267,7 +267,7 @@
 	if h.markerRevision == 0 {
 		return since == 0, nil
 	}
-	block, revision, err := h.archiveIndex.Lookup(id, since)
+	block, revision, err := h.blockCache.Lookup(id, since)
 	if block == nil || err != nil {
 		return false, err
 	}
@@ -285,13 +285,13 @@
 	return ok
 }
 
-// recallFromArchive returns a job that is in memory, or in a block that is; nil: neither.
-func (c *Core) recallFromArchive(id string) *job {
+// findCachedJob returns a job that is in memory, or in a block that is; nil: neither.
+func (c *Core) findCachedJob(id string) *job {
 	if c.history.markerRevision == 0 || c.knownJob(id) != nil {
 		return c.knownJob(id)
 	}
 	// A corrupt block answers for nothing, like one that is not cached.
-	if block, revision, _ := c.history.archiveIndex.Lookup(id, 0); block != nil {
+	if block, revision, _ := c.history.blockCache.Lookup(id, 0); block != nil {
 		c.cacheFromBlock(block, revision, id)
 	}
 	return c.knownJob(id)
@@ -303,7 +303,7 @@
 	if c.history.markerRevision == 0 {
 		return wire.Compare{Key: keyHistory}, true
 	}
-	block, revision, err := c.history.archiveIndex.Lookup(id, 0)
+	block, revision, err := c.history.blockCache.Lookup(id, 0)
 	if block == nil || err != nil {
 		return wire.Compare{}, false
 	}
@@ -321,7 +321,7 @@
 		callback(true)
 		return
 	}
-	if known, err := c.checkAbsent(id, nil); known || err != nil {
+	if known, err := c.checkExistence(id, nil); known || err != nil {
 		callback(err == nil)
 		return
 	}
@@ -369,7 +369,7 @@
 
 // lookupReadRate is how many reads a second lookups may send.
 func (h *history) lookupReadRate() float64 {
-	return h.cfg.History.ReadShare * h.reads.limiter.ReadRate
+	return h.cfg.History.ReadShare * h.reads.limiter.RequestRate
 }
 
 // refillReadTokens adds the reads that lookups may send since the last refill.
@@ -413,7 +413,7 @@
 		c.history.completeLookup(lookup, true)
 		return true
 	}
-	known, err := c.checkAbsent(lookup.jobID, lookup)
+	known, err := c.checkExistence(lookup.jobID, lookup)
 	if known || err != nil {
 		c.history.completeLookup(lookup, err == nil)
 	}
@@ -542,7 +542,7 @@
 		return
 	}
 	if len(in.Items) == 0 { // so far only keyHistory was written
-		h.archiveIndex.Put(archive.EmptyBlock(), nil, 0, in.Revision)
+		h.blockCache.Put(archive.EmptyBlock(), nil, 0, in.Revision)
 		return
 	}
 	item := in.Items[0]
@@ -554,10 +554,10 @@
 		h.log(LevelError, "corrupt block of ended jobs: cannot answer for jobs in its range",
 			"key", item.Key, "err", err.Error())
 		high := strings.TrimPrefix(item.Key, archive.BlockPrefix)
-		h.archiveIndex.PutCorrupt(id, high, item.Revision, in.Revision)
+		h.blockCache.PutCorrupt(id, high, item.Revision, in.Revision)
 		return
 	}
-	h.archiveIndex.Put(block, item.Value, item.Revision, in.Revision)
+	h.blockCache.Put(block, item.Value, item.Revision, in.Revision)
 }
 
 // resolveDependencies looks up the dependencies of other jobs that are not known.
@@ -569,8 +569,8 @@
 	}
 }
 
-// applyMarker takes the write of keyHistory.
-func (h *history) applyMarker(revision uint64) {
+// applyHistoryMarker takes the write of keyHistory.
+func (h *history) applyHistoryMarker(revision uint64) {
 	h.markerRevision = max(h.markerRevision, revision)
 }
 
@@ -578,5 +578,5 @@
 func (h *history) updateStats(stats *Stats) {
 	jobs := len(h.endedJobs) + len(h.recalledJobs) + len(h.evicting)
 	stats.EndedInMemory, stats.ColdRecords = len(h.endedJobs), h.coldRecords
-	stats.CachedBlocks, stats.HistoryBytes = h.archiveIndex.Blocks(), h.archiveIndex.Bytes()+jobs*endedJobBytes
+	stats.CachedBlocks, stats.HistoryBytes = h.blockCache.Blocks(), h.blockCache.Bytes()+jobs*endedJobBytes
 }
--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -258,7 +258,7 @@
 }
 
 // A corrupt block must not deny a job that it may hold, nor let it be accepted again; all else is served.
-func TestCorruptBlockAnswersForNothing(t *testing.T) {
+func TestCorruptBlockMakesItsRangeUnavailable(t *testing.T) {
 	c := newCoreWithArchive(t)
 	corrupt := archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2})
 	raw := slices.Clone(corrupt.Items[0].Value)
@@ -289,7 +289,7 @@
 
 // At its start, a controller keeps only the jobs that ended last: a million ended jobs took more memory
 // than a controller has. The others are read on request.
-func TestStartKeepsLittleOfALongHistory(t *testing.T) {
+func TestSnapshotLoadBoundsEndedJobsInMemory(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(2*time.Second, WatchResult{LongPoll: true, Status: wire.StatusGone})
 	maxInMemory := 0
@@ -379,15 +379,15 @@
 	}
 }
 
-// newSweepingCore returns a leader with so many ended jobs that it has started a sweep, its outputs with
+// newCoreWithArchiveSweep returns a leader with so many ended jobs that it has started a sweep, its outputs with
 // the first read of the sweep, and the page that answers it.
-func newSweepingCore(t *testing.T, jobs int) (*Core, []Output, RangeResult) {
+func newCoreWithArchiveSweep(t *testing.T, jobs int) (*Core, []Output, RangeResult) {
 	t.Helper()
 	c := newCoreWithArchive(t)
 	c.cfg.History.MaxEndedJobs = 2
 	events := []wire.WatchEvent{
 		event(keyLeader, string(c.ownLease.leasedValue(1)), 11),
-		event(keyNode+"n0", string(c.ownLease.leasedValue(0)), 11),
+		event(keyRegistration+"n0", string(c.ownLease.leasedValue(0)), 11),
 	}
 	for _, name := range []string{"n0", "n1", "n2"} {
 		events = append(events, event(keySchemaVersion+name, fmt.Sprint(SchemaVersion), 11))
@@ -430,8 +430,8 @@
 // A move is one transaction, conditional on the leadership, the block and each record; the jobs that
 // ended last stay. After an unknown outcome all is read again, and a move that was executed late is not
 // repeated.
-func TestMoveIsOneTransaction(t *testing.T) {
-	c, out, page := newSweepingCore(t, 8)
+func TestArchiveMoveIsOneTransaction(t *testing.T) {
+	c, out, page := newCoreWithArchiveSweep(t, 8)
 	at := c.now + 50*time.Millisecond
 	out = answerRead(t, c, at, out, page)
 	out = append(out, c.Advance(at+time.Second)...)
@@ -476,7 +476,7 @@
 
 // When all controllers started at once with a long history, each read all keys at a fifth of the rate, and
 // none served for longer than a minute. The one that has read most goes on, the others wait.
-func TestOneControllerReadsAheadOfTheOthers(t *testing.T) {
+func TestControllersWaitForMostAdvancedSnapshotLoad(t *testing.T) {
 	for pages, ahead := range map[int]bool{10: false, 30: true} {
 		c := New(testConfig(), 0, 1)
 		at := time.Second
@@ -513,7 +513,7 @@
 }
 
 // A record that can't be decoded exists all the same: its job must not be answered with 404.
-func TestUnreadableRecordIsNotDenied(t *testing.T) {
+func TestUndecodableRecordIsNotReportedAsMissing(t *testing.T) {
 	c := newServingCore(t)
 	watchEvents(c, 1100*time.Millisecond, 10, event(keyJob+"wk-7", `{"st":5}`, 10))
 	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-7"})
@@ -537,7 +537,7 @@
 
 // The block of a new job's range was read again, for another request, between the job's submission and its
 // write, and holds it: a write conditional on that block would have revived it.
-func TestBlockShowsAJobBetweenItsSubmissionAndItsWrite(t *testing.T) {
+func TestBlockReadAfterSubmissionPreventsAcceptance(t *testing.T) {
 	c := newCoreWithArchive(t)
 	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"}) // caches the block
 	c.Advance(1200 * time.Millisecond)
@@ -554,7 +554,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.history.archiveIndex.Put(block, raw, 12, 12)
+	c.history.blockCache.Put(block, raw, 12, 12)
 	out := append(c.Advance(1500*time.Millisecond), c.Advance(1600*time.Millisecond)...)
 	written, r := findAcceptTxn(out, "wk-5") != nil, outputsOfType[Response](out)
 	if written || len(r) != 1 || r[0].Status != wire.StatusOK {
--- a/core/jobrecord/pack.go
+++ b/core/jobrecord/pack.go
@@ -17,8 +17,8 @@
 // errMalformedLists is the error of packed lists that are truncated or contradict each other.
 var errMalformedLists = errors.New("malformed packed lists")
 
-// maxUnpackedBytes bounds the expansion of a packed value, so that a damaged one can't exhaust memory.
-const maxUnpackedBytes = 4 << 20
+// maxDecompressedBytes bounds the expansion of a packed value, so that a damaged one can't exhaust memory.
+const maxDecompressedBytes = 4 << 20
 
 // packLists moves the record's lists into PackedLists. The record's Spec is copied, not modified.
 func (r *Record) packLists() error {
@@ -45,7 +45,7 @@
 
 // unpackLists is the reverse of packLists.
 func (r *Record) unpackLists() error {
-	raw, err := compress.Inflate(r.PackedLists, maxUnpackedBytes)
+	raw, err := compress.Inflate(r.PackedLists, maxDecompressedBytes)
 	if err != nil {
 		return fmt.Errorf("unpack lists: %w", err)
 	}
--- a/core/jobrecord/record_test.go
+++ b/core/jobrecord/record_test.go
@@ -31,7 +31,7 @@
 	if err := r.packLists(); err != nil {
 		t.Fatal(err)
 	}
-	plain, err := compress.Inflate(r.PackedLists, maxUnpackedBytes)
+	plain, err := compress.Inflate(r.PackedLists, maxDecompressedBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 
 // The machine types must fit a value too: otherwise a controller that restarts during an outage of
 // the cloud can't serve.
-func TestManyMachineTypesFitAValue(t *testing.T) {
+func TestLargeCatalogFitsValueLimit(t *testing.T) {
 	var catalog wire.Catalog
 	for i := range 20 {
 		catalog.Types = append(
--- a/core/jobrecord/value.go
+++ b/core/jobrecord/value.go
@@ -42,7 +42,7 @@
 	err := json.Unmarshal(raw, &value)
 	if err == nil {
 		var plain []byte
-		if plain, err = compress.Inflate(value.Data, maxUnpackedBytes); err == nil {
+		if plain, err = compress.Inflate(value.Data, maxDecompressedBytes); err == nil {
 			err = protobuf.Unmarshal(plain, message)
 		}
 	}
@@ -71,7 +71,7 @@
 	err := json.Unmarshal(raw, &value)
 	if err == nil && value.Data != nil {
 		var plain []byte
-		if plain, err = compress.Inflate(value.Data, maxUnpackedBytes); err == nil {
+		if plain, err = compress.Inflate(value.Data, maxDecompressedBytes); err == nil {
 			err = json.Unmarshal(plain, &value.Catalog)
 		}
 	}
--- a/core/keys.go
+++ b/core/keys.go
@@ -5,7 +5,7 @@
 	// Root begins all keys that the controllers use.
 	Root = "dl/"
 
-	keyNode         = Root + "node/"  // live controllers, by name; leased
+	keyRegistration = Root + "node/"  // live controllers, by name; leased
 	keyLeader       = Root + "leader" // the leadership; leased
 	keyShard        = Root + "shard/" // owners of shards, by number; leased
 	keyFencingToken = Root + "epoch"
@@ -21,4 +21,4 @@
 )
 
 // LeasedKeyPrefixes begin the keys that are attached to a controller's lease.
-var LeasedKeyPrefixes = []string{keyNode, keyLeader, keyShard}
+var LeasedKeyPrefixes = []string{keyRegistration, keyLeader, keyShard}
--- a/core/latestarts.go
+++ b/core/latestarts.go
@@ -4,7 +4,7 @@
 
 const (
 	// lateStart is the time after its acceptance from which on the first running task of a job is logged.
-	lateStart = time.Minute
+	lateStartThreshold = time.Minute
 	// lateStartLogInterval bounds the lines about late starts: the jobs between two are counted.
 	lateStartLogInterval = time.Second
 )
@@ -15,15 +15,15 @@
 	suppressed int // late starts since the last line
 }
 
-// noteRunning logs the first task of a job that runs, if that was long after the acceptance. Only the controller
+// recordTaskRunning logs the first task of a job that runs, if that was long after the acceptance. Only the controller
 // that placed tasks of the job says so: one that took it over does not know whether it ran before.
-func (c *Core) noteRunning(j *job) {
+func (c *Core) recordTaskRunning(j *job) {
 	if j.placement.hasRun {
 		return
 	}
 	j.placement.hasRun = true
 	waited := time.Duration(c.unixMS()-j.record.AcceptedAtMS) * time.Millisecond
-	if waited < lateStart || j.placement.lastPlacedMS == 0 || !c.ownership.ownsJob(j) {
+	if waited < lateStartThreshold || j.placement.lastPlacedMS == 0 || !c.ownership.ownsJob(j) {
 		return
 	}
 	if c.now < c.lateStarts.nextAt {
--- a/core/leader.go
+++ b/core/leader.go
@@ -10,8 +10,8 @@
 	"dewlift/wire"
 )
 
-// nodeState is the leader's view of a machine; all but rentedAt begins anew with each term.
-type nodeState struct {
+// leaderMachineState is the leader's view of a machine; all but rentedAt begins anew with each term.
+type leaderMachineState struct {
 	allocations      allocation.Tracker
 	lastDeltaAt      time.Duration          // when an allocation delta for it last came
 	rowComputedAt    time.Duration          // when its row was last computed; 0: it has none
@@ -138,7 +138,7 @@
 	c.endTerm()
 	c.leaderState = newLeaderState(&c.autoscaler, &c.machineTable, c.leadership.leader.FencingToken)
 	for _, machine := range c.aliveMachines {
-		machine.leaderView = nodeState{rentedAt: machine.leaderView.rentedAt}
+		machine.leaderView = leaderMachineState{rentedAt: machine.leaderView.rentedAt}
 		c.leaderState.addRowOnFirstHeartbeat(machine, c.jobs)
 	}
 	c.log(LevelInfo, "became leader", "token", c.leaderState.fencingToken)
@@ -182,7 +182,7 @@
 // allocatedResources is the resources allocated on a machine: to its committed assignments, and to other
 // attempts that its heartbeat lists. It is cached until either changes.
 func (m *machine) allocatedResources(jobs []*job) clusterstate.Resources {
-	if m.allocation.known {
+	if m.allocation.allocatedValid {
 		return m.allocation.allocated
 	}
 	var allocated clusterstate.Resources
@@ -206,7 +206,7 @@
 			known = false // the job's record may still arrive, which does not invalidate this cache
 		}
 	}
-	m.allocation.allocated, m.allocation.known = allocated, known
+	m.allocation.allocated, m.allocation.allocatedValid = allocated, known
 	return allocated
 }
 
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -27,7 +27,7 @@
 // isHeld reports whether the leadership is bound to this controller's present lease. It does not check
 // that the lease is still in force; see controllerLease.isHeld.
 func (s *leadershipState) isHeld() bool {
-	return s.lease.id != 0 && s.leader.modRevision != 0 && s.leader.Node == s.cfg.Name &&
+	return s.lease.id != 0 && s.leader.modRevision != 0 && s.leader.Holder == s.cfg.Name &&
 		s.leader.LeaseID == s.lease.id
 }
 
--- a/core/lease.go
+++ b/core/lease.go
@@ -28,7 +28,7 @@
 // leasedKey is the stored value of a key that is bound to a controller's lease: a controller's
 // registration, a shard or the leadership. The store deletes it when the lease expires.
 type leasedKey struct {
-	Node         string        `json:"n"` // the controller that holds it
+	Holder       string        `json:"n"` // the controller that holds it
 	LeaseID      uint64        `json:"t"`
 	FencingToken uint64        `json:"b"` // token that it was acquired with; 0 for a registration
 	modRevision  uint64        `json:"-"` // modification revision in the store; 0: the key is absent
@@ -86,7 +86,7 @@
 
 // leasedValue encodes the value of a key that is bound to this controller's lease.
 func (l *controllerLease) leasedValue(token uint64) json.RawMessage {
-	raw, err := json.Marshal(leasedKey{Node: l.cfg.Name, LeaseID: l.id, FencingToken: token})
+	raw, err := json.Marshal(leasedKey{Holder: l.cfg.Name, LeaseID: l.id, FencingToken: token})
 	if err != nil {
 		panic(err) // cannot fail: a struct of strings and numbers
 	}
--- a/core/loadshedding.go
+++ b/core/loadshedding.go
@@ -9,7 +9,7 @@
 
 const (
 	normalPlanInterval     = 500 * time.Millisecond // between two plans of the leader
-	planIntervalOverloaded = time.Second
+	overloadedPlanInterval = time.Second
 
 	minPendingSubmissions = 8  // submissions that may wait for their write whatever the rate
 	maxRetryAfterSeconds  = 30 // longest retry time that a client is given
@@ -38,7 +38,7 @@
 // planInterval is the time between two plans of the leader at a load level.
 func planInterval(level overload.Level) time.Duration {
 	if level == overload.Overloaded {
-		return planIntervalOverloaded
+		return overloadedPlanInterval
 	}
 	return normalPlanInterval
 }
--- a/core/loadshedding_test.go
+++ b/core/loadshedding_test.go
@@ -46,7 +46,7 @@
 
 // Each machine of a lost zone counted as healthy for two heartbeat intervals, and tasks started there
 // meanwhile were lost.
-func TestSilentZoneTakesNoWork(t *testing.T) {
+func TestSilentZoneGetsNoTasks(t *testing.T) {
 	c := newLeadingCore(t)
 	sendHeartbeats := addFleet(c, time.Second, 40)
 	runFor(c, time.Second, 2500*time.Millisecond)
@@ -72,7 +72,7 @@
 
 // Every machine of a lost zone was polled once a second, and each poll held a connection until its
 // timeout.
-func TestLostZoneTakesFewRequests(t *testing.T) {
+func TestLostZoneGetsFewPolls(t *testing.T) {
 	c := newLeadingCore(t)
 	const machines = 400
 	addFleet(c, time.Second, machines)
--- a/core/machine.go
+++ b/core/machine.go
@@ -14,7 +14,7 @@
 	name  string
 	index int32 // in Core.machines
 
-	leaderView nodeState // of use to the leader only
+	leaderView leaderMachineState // of use to the leader only
 
 	identity   machineIdentity
 	status     agentStatus
@@ -68,17 +68,17 @@
 	nextSendAt       time.Duration
 	nextClearAt      time.Duration // when ended tasks are cleared at the latest; 0: there are none
 	dirty            bool          // something changed since it was last examined
-	queued           bool          // it is in commandDispatch.dirtyMachines
+	inDirtyList      bool          // it is in commandDispatch.dirtyMachines
 	lastExaminedAt   time.Duration
 }
 
 // machineAllocation is the committed assignments to a machine, and what follows from them.
 type machineAllocation struct {
-	assignments   map[taskKey]jobrecord.Assignment
-	allocated     clusterstate.Resources // cached sum of their requests, valid if known
-	known         bool
-	busyHorizon   time.Duration // cached time until its tasks end, as of busyHorizonAt
-	busyHorizonAt time.Duration
+	assignments    map[taskKey]jobrecord.Assignment
+	allocated      clusterstate.Resources // cached sum of their requests, valid if known
+	allocatedValid bool
+	busyHorizon    time.Duration // cached time until its tasks end, as of busyHorizonAt
+	busyHorizonAt  time.Duration
 }
 
 // machineHealth is the failures on a machine: the back-off after them, and the evidence that it is faulty.
@@ -181,15 +181,15 @@
 // markDirty has dispatchCommands examine a machine.
 func (d *commandDispatch) markDirty(m *machine) {
 	m.commands.dirty = true
-	if !m.commands.queued {
-		m.commands.queued = true
+	if !m.commands.inDirtyList {
+		m.commands.inDirtyList = true
 		d.dirtyMachines = append(d.dirtyMachines, m)
 	}
 }
 
-// noteChange invalidates what was computed from a machine's tasks, and has it examined.
-func (d *commandDispatch) noteChange(m *machine) {
-	m.status.lastChangeAt, m.allocation.known = d.now, false
+// markTasksChanged invalidates what was computed from a machine's tasks, and has it examined.
+func (d *commandDispatch) markTasksChanged(m *machine) {
+	m.status.lastChangeAt, m.allocation.allocatedValid = d.now, false
 	d.markDirty(m)
 }
 
@@ -218,7 +218,7 @@
 			continue
 		}
 		c.markDirtyKeepingDelay(j)
-		j.write.nextLookAt = max(j.write.nextLookAt, c.now+c.cfg.Agents.LostTaskBatchDelay)
+		j.write.nextExamineAt = max(j.write.nextExamineAt, c.now+c.cfg.Agents.LostTaskBatchDelay)
 	}
 }
 
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -10,18 +10,18 @@
 const (
 	// implausibleSilences is how many machines must be silent before the silence of a majority counts as this
 	// controller's own fault.
-	implausibleSilences = 2
+	minSilentWhenIsolated = 2
 	// minSilentInZone is how many machines of a zone must be silent for the zone to count as unreachable.
 	minSilentInZone = 3
 	// silentZoneBlock is how long nothing is rented in an unreachable zone, renewed by every check.
-	silentZoneBlock = 3 * time.Second
+	unreachableZoneBlock = 3 * time.Second
 	// defaultBootTime stands for the boot time of a machine type that the catalog does not know.
 	defaultBootTime = 30 * time.Second
 	// noticeMargin is how long before its interruption a machine is returned.
 	noticeMargin = 1500 * time.Millisecond
 	// deafSilenceMargin is added to the lease of agents before a machine is returned as silent by a controller
 	// that may be the one at fault: by then the agent has stopped its tasks itself.
-	deafSilenceMargin = 10 * time.Second
+	isolatedSilenceMargin = 10 * time.Second
 )
 
 // Reasons for the return of a machine, as they are logged.
@@ -49,7 +49,7 @@
 	leader      *leaderState
 	all         machineCounts
 	zones       map[string]*machineCounts // after findUnreachableZones: the unreachable ones
-	isDeaf      bool                      // most machines are silent at once: this controller is rather at fault
+	isIsolated  bool                      // most machines are silent at once: this controller is rather at fault
 	pollTargets []string                  // machines for a peer to poll
 }
 
@@ -83,7 +83,7 @@
 		zone.add(silent)
 		k.all.add(silent)
 	}
-	k.isDeaf = k.all.silent*2 > k.all.up && k.all.silent >= implausibleSilences
+	k.isIsolated = k.all.silent*2 > k.all.up && k.all.silent >= minSilentWhenIsolated
 }
 
 // findUnreachableZones keeps only the unreachable zones, and blocks scale-out there: what is rented in one could not
@@ -92,13 +92,13 @@
 	c := k.core
 	for zone, count := range k.zones {
 		if !c.agents.isZoneSilent(zone, replacementSilenceLimit) &&
-			(k.isDeaf || count.silent*2 <= count.up || count.silent < minSilentInZone) {
+			(k.isIsolated || count.silent*2 <= count.up || count.silent < minSilentInZone) {
 			delete(k.zones, zone)
 			continue
 		}
 		for _, machineType := range c.autoscaler.typeNames {
 			for _, spot := range []bool{false, true} {
-				k.leader.blockedUntil[nodeGroup{machineType, zone, spot}] = c.now + silentZoneBlock
+				k.leader.blockedUntil[nodeGroup{machineType, zone, spot}] = c.now + unreachableZoneBlock
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 	if reason := k.returnReason(m, quiet); reason != "" {
 		c.autoscaler.markForReturn(m, reason)
 	} else if m.status.reported {
-		c.agents.pollQuietAgent(m)
+		c.agents.pollOverdueAgent(m)
 	}
 }
 
@@ -166,7 +166,7 @@
 	if quiet <= c.agents.silenceTimeout() || c.now-k.leader.leadingSince <= c.agents.silenceTimeout() {
 		return false
 	}
-	return !k.isDeaf || quiet > c.cfg.Agents.LeaseTTL+deafSilenceMargin
+	return !k.isIsolated || quiet > c.cfg.Agents.LeaseTTL+isolatedSilenceMargin
 }
 
 // unreachableZoneGrace is how long the machines of an unreachable zone are kept. The zone may only be partitioned, and
--- a/core/membership/members.go
+++ b/core/membership/members.go
@@ -19,8 +19,8 @@
 	SnapshotPagesLoaded int             // pages of the store that it has loaded; 0: it is not loading
 	QueueHeads          []QueuePosition // by priority class, the first of its jobs that wait for capacity
 
-	everHeard   bool
-	lastHeardAt time.Duration
+	everSeen   bool
+	lastSeenAt time.Duration
 }
 
 // Members is the other controllers of a site.
@@ -45,16 +45,16 @@
 // Peer returns a controller, or nil if there is none of that name.
 func (m *Members) Peer(name string) *Peer { return m.peers[name] }
 
-// MarkHeard records that a controller was heard of. The name must be one of PeerNames.
-func (m *Members) MarkHeard(now time.Duration, name string) {
+// MarkSeen records that a controller was heard of. The name must be one of PeerNames.
+func (m *Members) MarkSeen(now time.Duration, name string) {
 	peer := m.peers[name]
-	peer.everHeard, peer.lastHeardAt = true, now
+	peer.everSeen, peer.lastSeenAt = true, now
 }
 
 // IsReachable reports whether a controller was heard of recently.
 func (m *Members) IsReachable(now time.Duration, name string) bool {
 	peer := m.peers[name]
-	return peer != nil && peer.everHeard && now-peer.lastHeardAt < m.unreachableAfter
+	return peer != nil && peer.everSeen && now-peer.lastSeenAt < m.unreachableAfter
 }
 
 // ReachableExcept lists the reachable controllers except one, in the order of the settings.
@@ -71,7 +71,7 @@
 // "": send directly. While no reachable controller says that it reaches the target, all of them are
 // tried in turn: one in the same zone is cut off from the other zone as well.
 func (m *Members) RelayFor(now time.Duration, target string) string {
-	if !m.peers[target].everHeard || m.IsReachable(now, target) {
+	if !m.peers[target].everSeen || m.IsReachable(now, target) {
 		return ""
 	}
 	reachable := m.ReachableExcept(now, target)
@@ -91,7 +91,7 @@
 func (m *Members) IsStoreOutage(now time.Duration) bool {
 	agreeing := 1 // the caller
 	for _, peer := range m.peers {
-		if !peer.everHeard || now-peer.lastHeardAt >= storeStatusTTL {
+		if !peer.everSeen || now-peer.lastSeenAt >= storeStatusTTL {
 			continue
 		}
 		if peer.StoreReachable {
--- a/core/membership/members_test.go
+++ b/core/membership/members_test.go
@@ -12,7 +12,7 @@
 	const unreachableAfter = 1500 * time.Millisecond
 	members := New([]string{"n1", "n2", "n3"}, unreachableAfter)
 	hear := func(now time.Duration, name string, reachable ...string) {
-		members.MarkHeard(now, name)
+		members.MarkSeen(now, name)
 		members.Peer(name).ReachablePeers = reachable
 	}
 	if members.RelayFor(time.Second, "n3") != "" {
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			members := New([]string{"n1", "n2", "n3", "n4"}, time.Second)
 			for _, peer := range test.heard {
-				members.MarkHeard(5*time.Second, peer)
+				members.MarkSeen(5*time.Second, peer)
 				members.Peer(peer).StoreReachable = peer == test.reachesStore
 			}
 			if got := members.IsStoreOutage(6 * time.Second); got != test.want {
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -71,7 +71,7 @@
 	counts := map[string]int{}
 	for i := range o.shards {
 		if shard := &o.shards[i]; shard.modRevision != 0 {
-			counts[shard.Node]++
+			counts[shard.Holder]++
 		}
 	}
 	return counts
@@ -92,7 +92,7 @@
 		return false
 	}
 	shard := &o.shards[n]
-	return shard.LeaseID == o.lease.id && shard.modRevision != 0 && shard.Node == o.cfg.Name
+	return shard.LeaseID == o.lease.id && shard.modRevision != 0 && shard.Holder == o.cfg.Name
 }
 
 // ownsJob reports whether this controller holds the shard of a job.
@@ -107,7 +107,7 @@
 		return
 	}
 	run := c.newOwnershipAttempt()
-	run.registerNode()
+	run.registerController()
 	run.chooseShards()
 	run.chooseLeadership()
 	if run.claimsAny() {
@@ -123,23 +123,23 @@
 type ownershipAttempt struct {
 	core *Core
 
-	live           []string // live controllers, in name order
-	registered     bool     // this controller's node key is in the replica, of any of its leases
-	settled        bool     // absent keys may be claimed, see ownershipSettleTime
-	fairShare      int      // shards for each controller, rounded up
-	ownedShards    int      // shards held under this controller's name
-	fewestShards   int      // shards of the controller with the fewest
-	mostShards     int      // shards of the controller with the most
-	nodeOps        int      // operations that register this controller, 0 or 1
-	shards         []int    // shards to claim
-	leadership     bool     // the leadership is to be claimed
-	txn            wire.Txn // what is sent
-	onAuditOutcome func(wire.Status)
+	live            []string // live controllers, in name order
+	registered      bool     // this controller's node key is in the replica, of any of its leases
+	settled         bool     // absent keys may be claimed, see ownershipSettleTime
+	fairShare       int      // shards for each controller, rounded up
+	ownedShards     int      // shards held under this controller's name
+	fewestShards    int      // shards of the controller with the fewest
+	mostShards      int      // shards of the controller with the most
+	registrationOps int      // operations that register this controller, 0 or 1
+	shards          []int    // shards to claim
+	leadership      bool     // the leadership is to be claimed
+	txn             wire.Txn // what is sent
+	onAuditOutcome  func(wire.Status)
 }
 
 // newOwnershipAttempt takes stock of the live controllers and of the shards that each holds.
 func (c *Core) newOwnershipAttempt() ownershipAttempt {
-	_, registered := c.controllers.nodeKeys[c.cfg.Name]
+	_, registered := c.controllers.registrations[c.cfg.Name]
 	live := c.controllers.liveNames()
 	shardCount := len(c.ownership.shards)
 	counts := c.ownership.countByNode()
@@ -160,15 +160,15 @@
 	return run
 }
 
-// registerNode writes the node key of this controller if it is absent or of an earlier lease.
-func (t *ownershipAttempt) registerNode() {
+// registerController writes the node key of this controller if it is absent or of an earlier lease.
+func (t *ownershipAttempt) registerController() {
 	c := t.core
-	node := c.controllers.nodeKeys[c.cfg.Name]
+	node := c.controllers.registrations[c.cfg.Name]
 	if t.registered && node.LeaseID == c.ownLease.id {
 		return
 	}
-	t.nodeOps = 1
-	t.addLeasedPut(keyNode+c.cfg.Name, node.modRevision, 0)
+	t.registrationOps = 1
+	t.addLeasedPut(keyRegistration+c.cfg.Name, node.modRevision, 0)
 }
 
 // addLeasedPut adds the write of a key that is bound to this controller's lease, on the condition that the
@@ -182,7 +182,7 @@
 // hasSpace reports whether another claim fits the operations of one transaction.
 func (t *ownershipAttempt) hasSpace() bool {
 	c := t.core
-	return t.nodeOps+len(t.shards)+opsPerClaim+c.auditLog.opsPerTxn() <= c.cfg.Store.MaxTxnOps
+	return t.registrationOps+len(t.shards)+opsPerClaim+c.auditLog.opsPerTxn() <= c.cfg.Store.MaxTxnOps
 }
 
 // chooseShards chooses the shards to claim.
@@ -200,7 +200,7 @@
 	c := t.core
 	shard := &c.ownership.shards[n]
 	if shard.modRevision != 0 {
-		return shard.Node == c.cfg.Name
+		return shard.Holder == c.cfg.Name
 	}
 	if !t.settled {
 		return false
@@ -230,7 +230,7 @@
 	if leader.modRevision == 0 {
 		due = t.settled && c.now-leader.absentSince >= t.rankDelay(keyLeader)
 	} else {
-		due = leader.Node == c.cfg.Name && leader.LeaseID != c.ownLease.id
+		due = leader.Holder == c.cfg.Name && leader.LeaseID != c.ownLease.id
 	}
 	t.leadership = due && t.hasSpace()
 }
@@ -271,7 +271,7 @@
 	// The rounded fair share alone is not enough: of twelve shards among five controllers, four had
 	// three each and one had none.
 	uneven := t.ownedShards == t.mostShards && t.mostShards-t.fewestShards >= 2
-	if t.nodeOps > 0 || t.ownedShards <= t.fairShare && !uneven || c.now < c.ownership.nextHandoverAt {
+	if t.registrationOps > 0 || t.ownedShards <= t.fairShare && !uneven || c.now < c.ownership.nextHandoverAt {
 		return
 	}
 	c.ownership.nextHandoverAt = c.now + handoverInterval
--- a/core/peers.go
+++ b/core/peers.go
@@ -16,16 +16,16 @@
 type controllerSet struct {
 	*environment
 
-	membership   *membership.Members
-	nodeKeys     map[string]leasedKey // registrations of the live controllers, by name
-	nodesVersion uint64               // grows with each change of nodeKeys
-	nextHealthAt time.Duration
+	membership           *membership.Members
+	registrations        map[string]leasedKey // registrations of the live controllers, by name
+	registrationsVersion uint64               // grows with each change of nodeKeys
+	nextHealthAt         time.Duration
 }
 
 // liveNames lists the controllers with a lease, this one included, in name order.
 func (s *controllerSet) liveNames() []string {
 	names := []string{s.cfg.Name}
-	for name := range s.nodeKeys {
+	for name := range s.registrations {
 		if name != s.cfg.Name {
 			names = append(names, name)
 		}
@@ -36,7 +36,7 @@
 
 // isLive reports whether a controller holds a lease, as far as this replica shows.
 func (s *controllerSet) isLive(name string) bool {
-	_, ok := s.nodeKeys[name]
+	_, ok := s.registrations[name]
 	return ok
 }
 
@@ -101,7 +101,7 @@
 					ReachablePeers:    c.controllers.membership.ReachableExcept(c.now, ""),
 					SnapshotPagesRead: c.replica.snapshotPagesRead(),
 					QueueHeads:        c.priority.firstWaiting,
-					CancellationsUpTo: c.cancelAcks.knownUpTo(),
+					CancellationsUpTo: c.cancelAcks.knownRevision(),
 				},
 			},
 		},
@@ -115,7 +115,7 @@
 	if c.now >= c.deltaLog.nextBatchAt {
 		c.deltaLog.nextBatchAt = c.now + c.cfg.State.DeltaInterval
 		c.sendDeltas()
-		c.agents.broadcastHeartbeats(c.overload.Level().Stretch(batchesPerDigest * c.cfg.State.DeltaInterval))
+		c.agents.broadcastHeartbeats(c.overload.Level().ScaleInterval(batchesPerDigest * c.cfg.State.DeltaInterval))
 	}
 	if c.now >= c.commands.nextReturnRequestAt {
 		c.commands.nextReturnRequestAt = c.now + returnRequestInterval
@@ -129,7 +129,7 @@
 		return
 	}
 	m := in.Message
-	c.controllers.membership.MarkHeard(c.now, in.Peer)
+	c.controllers.membership.MarkSeen(c.now, in.Peer)
 	from := in.Peer
 	if m.RelayTo != "" {
 		if m.RelayTo != c.cfg.Name {
@@ -194,7 +194,7 @@
 	if len(m.WantedHeartbeats) > 0 {
 		c.sendRequestedHeartbeats(from, m.WantedHeartbeats)
 	}
-	c.pollOnBehalf(from, m.PollMachines)
+	c.pollForPeer(from, m.PollMachines)
 }
 
 // applyTo takes a peer's health over into what is known of it.
@@ -217,7 +217,7 @@
 		c.leaderState.applyDeltas(from, batch)
 	}
 	leaderToken := c.leadership.leader.FencingToken
-	if c.clusterCopy.hasCounted(from, batch.Seq, leaderToken) {
+	if c.clusterCopy.hasAcked(from, batch.Seq, leaderToken) {
 		return
 	}
 	c.deltaLog.retain(from, deltaBatch{batch.Seq, 0, leaderToken, batch.Deltas})
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -284,7 +284,7 @@
 		return
 	}
 	if in.DecodeError == "" && c.access.authorize(in.Caller, submitAction(&in.Spec)).Allowed &&
-		c.recallFromArchive(in.ID) == nil {
+		c.findCachedJob(in.ID) == nil {
 		c.admitSubmission(in)
 		return
 	}
@@ -453,7 +453,7 @@
 		return
 	}
 	old := c.permissions.identities[in.Identity]
-	write, err := c.permissions.writeOf(in, old.identity)
+	write, err := c.permissions.identityWrite(in, old.identity)
 	if err != nil {
 		c.respond(in.RequestID, wire.StatusInvalid, wire.Error{Error: err.Error()})
 		return
@@ -483,10 +483,10 @@
 	}})
 }
 
-// writeOf returns the write that stores an identity after the change. It returns an error if
+// identityWrite returns the write that stores an identity after the change. It returns an error if
 // the change is invalid, does not fit a value, or would leave no administrator with a key: nobody
 // could then change permissions any more.
-func (p *permissionState) writeOf(in UpdatePermissions, old *pb.Identity) (wire.Write, error) {
+func (p *permissionState) identityWrite(in UpdatePermissions, old *pb.Identity) (wire.Write, error) {
 	write := wire.Write{Delete: keyIdentity + in.Identity}
 	next, err := in.applyTo(old)
 	if err != nil {
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -43,23 +43,23 @@
 
 // proposal is the next record of a job. It takes effect only once its transaction is committed.
 type proposal struct {
-	job             *job
-	record          *jobrecord.Record
-	spec            *wire.JobSpec // set even if the record is final and has none
-	assignments     []jobrecord.Assignment
-	started         []jobrecord.Assignment
-	ended           []jobrecord.Assignment
-	encodedSize     int // bytes of the record as written
-	isAcceptance    bool
-	isCancellation  bool
-	completionsOnly bool             // it only records ends of tasks
-	startsOnly      bool             // it only starts tasks
-	slotIndex       int              // slot of a job that existed before
-	inSlot          bool             // the record is written into its slot
-	wantsOwnKey     bool             // the record is to be written to a key of its own
-	auditActs       []auditlog.Event // to be recorded with the write
-	userCancelActs  int              // how many of auditActs, the first, are cancellations by users
-	auditEntryIDs   []uint64         // of the audit log entries of auditActs
+	job              *job
+	record           *jobrecord.Record
+	spec             *wire.JobSpec // set even if the record is final and has none
+	assignments      []jobrecord.Assignment
+	started          []jobrecord.Assignment
+	ended            []jobrecord.Assignment
+	encodedSize      int // bytes of the record as written
+	isAcceptance     bool
+	isCancellation   bool
+	completionsOnly  bool             // it only records ends of tasks
+	startsOnly       bool             // it only starts tasks
+	slotIndex        int              // slot of a job that existed before
+	inSlot           bool             // the record is written into its slot
+	wantsOwnKey      bool             // the record is to be written to a key of its own
+	auditEvents      []auditlog.Event // to be recorded with the write
+	userCancelEvents int              // how many of auditActs, the first, are cancellations by users
+	auditEntryIDs    []uint64         // of the audit log entries of auditActs
 	// compares are the preconditions of the write beside the record's own: a new job has not been
 	// archived, and its submitter still has the permission.
 	compares []wire.Compare
@@ -133,7 +133,7 @@
 		spec:         spec,
 		isAcceptance: true,
 		compares:     append(c.access.compares(submission.caller), notArchived),
-		auditActs: []auditlog.Event{
+		auditEvents: []auditlog.Event{
 			newAuditEvent(
 				submission.caller,
 				"submit",
@@ -154,7 +154,7 @@
 		CancelledByJob: dependency.id,
 	}
 	c.keepPermissionFields(p.record, p.spec)
-	p.auditActs = append(p.auditActs, dependencyCancelEvent(p.job, dependency))
+	p.auditEvents = append(p.auditEvents, dependencyCancelEvent(p.job, dependency))
 }
 
 // dependencyCancelEvent is the audit event of a cancellation that follows from another job's.
@@ -195,7 +195,7 @@
 		return nil, again
 	}
 	if due := update.batchingDeadline(); c.now < due {
-		target.write.waitsForEnds = true
+		target.write.waitsForTaskEnds = true
 		if again == 0 {
 			again = due
 		}
@@ -208,7 +208,7 @@
 // newRecordUpdate starts from a copy of a job's record, so that the adopted one stays as it is
 // until the write is committed.
 func (c *Core) newRecordUpdate(target *job, builder *txnBuilder) recordUpdate {
-	target.write.waitsForEnds = false
+	target.write.waitsForTaskEnds = false
 	record := *target.record
 	record.StopReasons = slices.Clone(target.record.StopReasons)
 	if c.schema.active >= schemaPriorityClasses {
@@ -239,11 +239,11 @@
 	u.record.CancelledAtMS = cancellation.requestedMS
 	for _, waiter := range cancellation.waiters {
 		event := newAuditEvent(waiter.caller, "cancel", u.job.id, "")
-		if !slices.Contains(u.proposal.auditActs, event) {
-			u.proposal.auditActs = append(u.proposal.auditActs, event)
+		if !slices.Contains(u.proposal.auditEvents, event) {
+			u.proposal.auditEvents = append(u.proposal.auditEvents, event)
 		}
 	}
-	u.proposal.userCancelActs = len(u.proposal.auditActs)
+	u.proposal.userCancelEvents = len(u.proposal.auditEvents)
 }
 
 // cancelWithDependency cancels a queued job because one that it depends on is cancelled.
@@ -256,7 +256,7 @@
 	u.record.Stage = jobrecord.Cancelled
 	u.record.CancelledByJob = dependency.id
 	u.record.CancelledAtMS = u.core.unixMS()
-	u.proposal.auditActs = append(u.proposal.auditActs, dependencyCancelEvent(u.job, dependency))
+	u.proposal.auditEvents = append(u.proposal.auditEvents, dependencyCancelEvent(u.job, dependency))
 }
 
 // cancellationOnly is the proposal for a job of a shard that another controller owns: only a user's
@@ -306,7 +306,7 @@
 			stopped = append(stopped, u.recordStop(assignment, cause))
 		}
 	}
-	u.proposal.auditActs = append(u.proposal.auditActs, taskStopEvents(u.job.id, stopped)...)
+	u.proposal.auditEvents = append(u.proposal.auditEvents, taskStopEvents(u.job.id, stopped)...)
 }
 
 // recordStop records that an attempt of a queued job ended without completing its task. Where the
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -13,7 +13,7 @@
 // A job with a mistake kept the machines that it failed on from all work for up to half a minute, was
 // started whole again and again, and had healthy machines returned. Its record must tell it from a
 // faulty machine, at every controller.
-func TestJobFailingEverywhereIsToldFromAFaultyMachine(t *testing.T) {
+func TestFailingJobIsDistinguishedFromFaultyMachine(t *testing.T) {
 	for name, test := range map[string]struct {
 		history                  string // pairs of machine and cause, or "done"
 		failing, failsEverywhere bool
@@ -58,7 +58,7 @@
 // Three jobs fail on each of three machines. Those of one fail everywhere, so it stays in use; those
 // of another are healthy elsewhere, so it is returned. Where nothing is known of the jobs, the
 // machine is tried again after a while.
-func TestOnlyAMachineThatFailsHealthyJobsIsReturned(t *testing.T) {
+func TestOnlyMachinesFailingHealthyJobsAreReturned(t *testing.T) {
 	c := newLeadingCore(t)
 	for i, kind := range []string{"failing everywhere", "healthy", "unknown"} {
 		m := c.internMachine(fmt.Sprint("m-", i))
--- a/core/queuelisting.go
+++ b/core/queuelisting.go
@@ -151,7 +151,7 @@
 	case !c.teams.of(spec).fitsMaxQuota(spec.Request):
 		return waitsForQuota, "its team " + spec.Team +
 			" uses all that it may; it begins when other work of the team ends"
-	case !c.hasFeasibleMachine(spec, refused):
+	case !c.canPlaceTaskNow(spec, refused):
 		return waitsForCapacity, "no machine has room for one of its tasks; machines are rented if there are " +
 			"any to be had, and those before it in the queue come first"
 	}
--- a/core/quorum/quorum.go
+++ b/core/quorum/quorum.go
@@ -41,8 +41,8 @@
 
 	// readsPerStaleness and queriesPerStaleness say after which part of MaxStaleness without a proof a
 	// read or a query is due. Queries come later: they are needed only where reads bring nothing.
-	readsPerStaleness   = 4
-	queriesPerStaleness = 3
+	readAgeDivisor  = 4
+	queryAgeDivisor = 3
 
 	queryRetryInterval = time.Second // until a query without a majority of replies is sent again
 )
@@ -86,12 +86,12 @@
 }
 
 // IsReadDue reports whether the store must be read now for the view to stay current.
-func (v *View) IsReadDue(now time.Duration) bool { return v.exceedsAge(now, readsPerStaleness) }
+func (v *View) IsReadDue(now time.Duration) bool { return v.exceedsAge(now, readAgeDivisor) }
 
 // IsQueryDue reports whether the other controllers must be queried, as reads have brought no proof for
 // a while.
 func (v *View) IsQueryDue(now time.Duration) bool {
-	return v.exceedsAge(now, queriesPerStaleness) &&
+	return v.exceedsAge(now, queryAgeDivisor) &&
 		(v.queryNonce == 0 || now >= v.querySentAt+queryRetryInterval)
 }
 
--- a/core/ratelimit/limiter.go
+++ b/core/ratelimit/limiter.go
@@ -10,8 +10,8 @@
 
 // Limiter is a token bucket each for writes and for requests, of one controller.
 type Limiter struct {
-	WriteTokens, ReadTokens float64 // writes and requests that may be sent now; below 0: overdrawn
-	WriteRate, ReadRate     float64 // tokens added per second
+	WriteTokens, RequestTokens float64 // writes and requests that may be sent now; below 0: overdrawn
+	WriteRate, RequestRate     float64 // tokens added per second
 
 	refilledAt        time.Duration
 	writesSinceSample float64 // writes since the last SampleWriteRate
@@ -20,21 +20,21 @@
 	pausedUntil, urgentPausedUntil time.Duration
 }
 
-// minReadBurst is the number of request tokens that may accumulate however low the rate is.
-const minReadBurst = 4
+// minRequestBurst is the number of request tokens that may accumulate however low the rate is.
+const minRequestBurst = 4
 
 // New returns a limiter without tokens or rates that begins at a time.
 func New(now time.Duration) Limiter { return Limiter{refilledAt: now} }
 
 // FillBurst sets both kinds of tokens to one second's worth.
-func (b *Limiter) FillBurst() { b.WriteTokens, b.ReadTokens = b.WriteRate, b.ReadRate }
+func (b *Limiter) FillBurst() { b.WriteTokens, b.RequestTokens = b.WriteRate, b.RequestRate }
 
 // SetRates sets the rates from those of all controllers together. Of the total write rate a
 // controller gets an equal part, or what the others leave unused if that is more, but no more than
 // maxShare of it (from 0 to 1); of the total request rate it gets an equal part.
 func (b *Limiter) SetRates(totalWrites, totalRequests, controllers, unusedWrites, maxShare float64) {
 	b.WriteRate = min(max(totalWrites/controllers, unusedWrites), totalWrites*maxShare)
-	b.ReadRate = totalRequests / controllers
+	b.RequestRate = totalRequests / controllers
 }
 
 // WriteBurst is the number of write tokens that may accumulate: one second's worth, but at least a
@@ -46,17 +46,17 @@
 	elapsed := (now - b.refilledAt).Seconds()
 	b.refilledAt = now
 	b.WriteTokens = min(b.WriteTokens+elapsed*b.WriteRate, b.WriteBurst(maxTxnOps))
-	b.ReadTokens = min(b.ReadTokens+elapsed*b.ReadRate, max(b.ReadRate, minReadBurst))
+	b.RequestTokens = min(b.RequestTokens+elapsed*b.RequestRate, max(b.RequestRate, minRequestBurst))
 }
 
 // SpendRequest charges a request that writes nothing.
-func (b *Limiter) SpendRequest() { b.ReadTokens-- }
+func (b *Limiter) SpendRequest() { b.RequestTokens-- }
 
 // SpendTxn charges a transaction: its writes and the request.
 func (b *Limiter) SpendTxn(writes int) {
 	b.WriteTokens -= float64(writes)
 	b.writesSinceSample += float64(writes)
-	b.ReadTokens--
+	b.RequestTokens--
 }
 
 // SampleWriteRate returns the recent rate of writes per second. It is to be called once per
@@ -84,5 +84,5 @@
 // MinInterval is the time between two requests of a kind that may use a share (from 0 to 1) of the
 // request rate, and at least minInterval.
 func (b *Limiter) MinInterval(minInterval time.Duration, share float64) time.Duration {
-	return max(minInterval, time.Duration(float64(time.Second)/(share*b.ReadRate)))
+	return max(minInterval, time.Duration(float64(time.Second)/(share*b.RequestRate)))
 }
--- a/core/replica.go
+++ b/core/replica.go
@@ -25,7 +25,7 @@
 	nextPageAt        time.Duration
 	lastPageKey       string        // last key of the snapshot load so far; empty: it has not begun
 	snapshotRevision  uint64        // revision of the snapshot's first page
-	snapshots         uint64        // snapshot loads begun
+	snapshotLoads     uint64        // snapshot loads begun
 	pagesRead         int           // pages of the current or last snapshot load
 	snapshotStartedAt time.Duration // when the first page was requested
 
@@ -191,7 +191,7 @@
 // submissions need a barrier, so it skips the minimum interval while read tokens are left.
 func (r *storeReplica) afterUrgentReadBarrier(f func(ok bool)) {
 	r.afterReadBarrier(f)
-	if r.rateLimit.ReadTokens > 1 {
+	if r.rateLimit.RequestTokens > 1 {
 		r.nextBarrierAt = min(r.nextBarrierAt, r.now)
 	}
 }
@@ -328,17 +328,17 @@
 		slot.Revision, slot.Entries = 0, nil
 	}
 	c.leadership.leader = leasedKey{absentSince: c.now}
-	c.controllers.nodeKeys = map[string]leasedKey{}
-	c.controllers.nodesVersion++
+	c.controllers.registrations = map[string]leasedKey{}
+	c.controllers.registrationsVersion++
 	c.history.coldRecords, c.history.markerRevision = 0, 0
 	c.permissions = newPermissionState(c.environment)
-	c.history.archiveIndex.Clear()
+	c.history.blockCache.Clear()
 	c.reservations.service.Reset()
 	c.priority.setClasses(nil, 0, c.jobs)
 	c.archiving.sweep = nil
 	c.restoreMarker.revision = 0
 	c.replica.snapshotRevision, c.replica.pagesRead = revision, 0
-	c.replica.snapshots++
+	c.replica.snapshotLoads++
 }
 
 // finishSnapshot makes the replica usable after the snapshot's last page, which was read at lastRevision.
@@ -346,7 +346,7 @@
 	c.history.snapshotRevision = lastRevision
 	for _, known := range slices.Clone(c.jobs) {
 		if known != nil && known.revision != 0 && !known.archive.archived &&
-			known.stored.snapshot != c.replica.snapshots {
+			known.stored.lastSnapshotLoad != c.replica.snapshotLoads {
 			c.evictArchivedJob(known, c.replica.snapshotRevision) // archived while the changes were not followed
 		}
 	}
--- a/core/requests.go
+++ b/core/requests.go
@@ -144,7 +144,7 @@
 		c.respondUnavailable(requestID, reasonNotLoaded)
 		return
 	}
-	if j := c.recallFromArchive(id); j != nil && j.isFinal() {
+	if j := c.findCachedJob(id); j != nil && j.isFinal() {
 		c.respond(requestID, wire.StatusOK, c.jobState(j))
 		return
 	}
@@ -194,7 +194,7 @@
 		c.respondUnavailable(in.RequestID, reasonNotLoaded)
 		return
 	}
-	if c.recallFromArchive(in.ID) != nil {
+	if c.findCachedJob(in.ID) != nil {
 		c.respondToRepeatedSubmission(in.RequestID, in.Caller, in.validSpec(), in.ID)
 		return
 	}
@@ -393,7 +393,7 @@
 		c.respondUnavailable(in.RequestID, reasonNotLoaded)
 		return
 	}
-	target := c.recallFromArchive(in.ID)
+	target := c.findCachedJob(in.ID)
 	if target != nil && target.isFinal() {
 		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
 		return
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -189,12 +189,12 @@
 	}
 	c.seedEquipment()
 	for _, id := range c.reservations.service.TakeBlocksToRead() {
-		c.readPastReservation(id, func() {})
+		c.readArchivedReservation(id, func() {})
 	}
 	rateLimit := &c.transactions.rateLimit
 	// Requests may overdraw the write budget by a quarter of a second's writes: callers wait for them.
 	if c.reservations.service.HasWork(c.now, c.unixSeconds()) && !rateLimit.IsUrgentPaused(c.now) &&
-		rateLimit.ReadTokens >= 1 &&
+		rateLimit.RequestTokens >= 1 &&
 		rateLimit.WriteTokens >= 1-c.schema.storeWriteRate()/4 {
 		c.commitReservations()
 		return
@@ -218,7 +218,7 @@
 // compactReservations archives past reservations or, if none are due, merges pages.
 func (c *Core) compactReservations() {
 	endedBefore := c.unixSeconds() - int64(c.cfg.Reservations.Retention/time.Second)
-	c.reservations.service.ForgetArchived(c.now, endedBefore)
+	c.reservations.service.EvictArchived(c.now, endedBefore)
 	leaderCompares := []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}}
 	if txn := c.reservations.service.ArchiveTxn(leaderCompares, endedBefore, c.cfg.Store.MaxValueBytes); txn != nil {
 		c.transactions.commit(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
@@ -529,7 +529,7 @@
 			return
 		}
 		respond := func() {
-			if !c.reservations.loadPast(query.ID) {
+			if !c.reservations.loadArchived(query.ID) {
 				c.respondUnavailable(in.RequestID, reasonHistoryUnreadable)
 				return
 			}
@@ -538,8 +538,8 @@
 				c.respond(in.RequestID, status, out)
 			})
 		}
-		if !c.reservations.loadPast(query.ID) {
-			c.readPastReservation(query.ID, respond)
+		if !c.reservations.loadArchived(query.ID) {
+			c.readArchivedReservation(query.ID, respond)
 			return
 		}
 		respond()
@@ -562,8 +562,8 @@
 	return responded
 }
 
-// readPastReservation reads the block of past reservations whose range includes the id, then calls f.
-func (c *Core) readPastReservation(id string, f func()) {
+// readArchivedReservation reads the block of past reservations whose range includes the id, then calls f.
+func (c *Core) readArchivedReservation(id string, f func()) {
 	c.reads.readPrefix(reservations.ArchivePrefix, reservations.ArchivePrefix+id, 1, func(result RangeResult) {
 		var block *wire.KeyValue
 		if len(result.Items) > 0 {
@@ -577,9 +577,9 @@
 	})
 }
 
-// loadPast adds a past reservation to the schedule. It reports false if its block must be
+// loadArchived adds a past reservation to the schedule. It reports false if its block must be
 // read first.
-func (r *reservationState) loadPast(id string) bool {
+func (r *reservationState) loadArchived(id string) bool {
 	known := true
 	r.service.ViewCommitted(func(schedule *booking.Schedule) {
 		if id == "" || schedule.Get(id) != nil {
--- a/core/reservations/archive.go
+++ b/core/reservations/archive.go
@@ -25,8 +25,8 @@
 	keyArchive = Prefix + "past" // exists once there may be blocks
 	maxID      = "~"             // sorts behind all ids: the end of the last block
 
-	maxCachedBlocks = 24 // kept decoded in memory
-	forgetInterval  = time.Minute
+	maxCachedBlocks  = 24 // kept decoded in memory
+	evictionInterval = time.Minute
 )
 
 // archiveBlock is the archived reservations with ids in [low, high).
@@ -284,14 +284,14 @@
 	}
 }
 
-// ForgetArchived drops ended reservations that no page holds any more from memory.
-func (s *Service) ForgetArchived(now time.Duration, endedBefore int64) {
-	if s.inFlight != nil || now < s.nextForgetAt {
+// EvictArchived drops ended reservations that no page holds any more from memory.
+func (s *Service) EvictArchived(now time.Duration, endedBefore int64) {
+	if s.inFlight != nil || now < s.nextEvictionAt {
 		return
 	}
-	s.nextForgetAt = now + forgetInterval
+	s.nextEvictionAt = now + evictionInterval
 	if s.archiveRevision != 0 {
-		s.schedule.Forget(func(reservation *pb.Booking) bool {
+		s.schedule.Evict(func(reservation *pb.Booking) bool {
 			return s.valueCounts[reservation.Id] == 0 && booking.IsOver(reservation, endedBefore)
 		})
 	}
--- a/core/reservations/batch.go
+++ b/core/reservations/batch.go
@@ -144,7 +144,7 @@
 			inFlight.newInventory = request.Request.Replacement
 			break
 		}
-		if len(compares)+spareCompares > env.MaxCompares {
+		if len(compares)+reservedCompares > env.MaxCompares {
 			break
 		}
 	}
--- a/core/reservations/denials_test.go
+++ b/core/reservations/denials_test.go
@@ -22,7 +22,7 @@
 
 // deniedEnv returns an environment in which the requests of deniedCaller are denied.
 func deniedEnv(now time.Duration) Env {
-	out := env(now)
+	out := newEnv(now)
 	out.Authorize = func(request *PendingRequest, _ string, _ []string) ([]wire.Compare, string) {
 		if request.CallerData == deniedCaller {
 			return nil, "no permission"
@@ -60,7 +60,7 @@
 
 // Denied requests must leave no trace: the requests before and after them, in the same batch, are decided and stored
 // as if they had not been there.
-func TestDeniedRequestsLeaveTheBatchAlone(t *testing.T) {
+func TestDeniedRequestsDoNotAffectTheirBatch(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		with, without := newStore(t), newStore(t)
--- a/core/reservations/golden_test.go
+++ b/core/reservations/golden_test.go
@@ -12,7 +12,7 @@
 )
 
 // The stored form of reservations and all keys must not change: the same bytes are written, and stored ones read.
-func TestStoredBytesStay(t *testing.T) {
+func TestStoredFormatIsStable(t *testing.T) {
 	carried := []audit.PendingEntry{
 		{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")},
 	}
--- a/core/reservations/pages.go
+++ b/core/reservations/pages.go
@@ -18,7 +18,7 @@
 
 const (
 	// maxExpandedBytes bounds the expansion of a stored value, so that a damaged one can't exhaust memory.
-	maxExpandedBytes = 1 << 20
+	maxDecompressedBytes = 1 << 20
 
 	// minPagesToMerge is the number of pages below which none are merged.
 	minPagesToMerge = 4
@@ -64,7 +64,7 @@
 func unpackMessage(raw json.RawMessage, message protobuf.Message) (value storedValue, err error) {
 	if err = json.Unmarshal(raw, &value); err == nil {
 		var plain []byte
-		if plain, err = compress.Inflate(value.Data, maxExpandedBytes); err == nil {
+		if plain, err = compress.Inflate(value.Data, maxDecompressedBytes); err == nil {
 			err = protobuf.Unmarshal(plain, message)
 		}
 	}
@@ -147,7 +147,7 @@
 	for _, reservation := range stored.Bookings {
 		s.schedule.Put(reservation)
 	}
-	s.schedule.NoteChange(stored.Change)
+	s.schedule.ObserveChange(stored.Change)
 }
 
 // ApplyDelete applies the deletion of a page: its content that still counts is in other values.
--- a/core/reservations/poison_test.go
+++ b/core/reservations/poison_test.go
@@ -83,15 +83,15 @@
 	decided := 0
 	for range 100 {
 		now += time.Second
-		if !service.HasWork(now, env(now).UnixS) {
+		if !service.HasWork(now, newEnv(now).UnixS) {
 			continue
 		}
-		txn := service.NextTxn(env(now))
+		txn := service.NextTxn(newEnv(now))
 		if txn == nil {
 			continue
 		}
 		for _, write := range txn.Then {
-			if len(write.Value) > env(now).MaxValueBytes {
+			if len(write.Value) > newEnv(now).MaxValueBytes {
 				t.Fatalf("%s has %d bytes", write.Put, len(write.Value))
 			}
 		}
@@ -107,7 +107,7 @@
 	if decided != 1 {
 		t.Errorf("%d answers to the new request", decided)
 	}
-	if service.schedule.HasDueChanges(env(now).UnixS) {
+	if service.schedule.HasDueChanges(newEnv(now).UnixS) {
 		t.Error("not all holds have ended")
 	}
 }
@@ -118,7 +118,7 @@
 	service := New()
 	store.replayTo(t, service)
 	service.Enqueue(newRequest("x", 100))
-	if service.NextTxn(env(0)) == nil {
+	if service.NextTxn(newEnv(0)) == nil {
 		t.Fatal("no transaction")
 	}
 	if responses, _ := service.HandleOutcome(wire.StatusBadRequest, 0); len(responses) != 0 {
@@ -140,10 +140,10 @@
 	isPoisoned := func(response Response) bool { return response.Request.Request.ID == "r4" }
 	decided := map[string]booking.Outcome{}
 	for now := time.Duration(0); now < 6*time.Second; now += 50 * time.Millisecond {
-		if !service.HasWork(now, env(now).UnixS) {
+		if !service.HasWork(now, newEnv(now).UnixS) {
 			continue
 		}
-		txn := service.NextTxn(env(now))
+		txn := service.NextTxn(newEnv(now))
 		status, revision := wire.StatusBadRequest, uint64(0)
 		if !slices.ContainsFunc(service.inFlight.responses, isPoisoned) || len(txn.Then) == 0 {
 			status, revision = store.commit(txn)
--- a/core/reservations/service.go
+++ b/core/reservations/service.go
@@ -50,7 +50,7 @@
 
 	// spareCompares are reserved in a transaction for its last request, the head, the equipment and a
 	// spilled page.
-	spareCompares = 8
+	reservedCompares = 8
 )
 
 // PendingRequest is a request that waits for its decision.
@@ -107,7 +107,7 @@
 	blocksToRead    []string                     // ids whose blocks must be read
 	pagesRevision   uint64                       // of the last change or deletion of a page: some may be archived
 	archiving       bool                         // an ArchiveTxn is in flight
-	nextForgetAt    time.Duration
+	nextEvictionAt  time.Duration
 
 	needsHeadRead   bool // the head must be read before the next decision
 	nextTxnAt       time.Duration
--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// env returns the environment at a time, in which everything is authorized and nothing audited.
-func env(now time.Duration) Env {
+// newEnv returns the environment at a time, in which everything is authorized and nothing audited.
+func newEnv(now time.Duration) Env {
 	return Env{
 		Now: now, UnixS: startUnixS + int64(now.Seconds()), MaxValueBytes: 8192, MaxCompares: 48,
 		Authorize: func(*PendingRequest, string, []string) ([]wire.Compare, string) { return nil, "" },
@@ -115,7 +115,7 @@
 		store.replayTo(t, first)
 		store.replayTo(t, second)
 		first.Enqueue(newRequest("x", 100))
-		unknown := first.NextTxn(env(0))
+		unknown := first.NextTxn(newEnv(0))
 		if executed == "at once" {
 			store.commit(unknown)
 		}
@@ -127,7 +127,7 @@
 		store.replayTo(t, first)
 		second.Enqueue(newRequest("y", 100))
 		store.replayTo(t, second)
-		status, revision := store.commit(second.NextTxn(env(0)))
+		status, revision := store.commit(second.NextTxn(newEnv(0)))
 		out, _ = second.HandleOutcome(status, revision)
 		switch executed {
 		case "at once":
@@ -135,7 +135,7 @@
 		default:
 			expectOutcomes(t, out, booking.OutcomeDone)
 		}
-		repeated := first.NextTxn(env(time.Second)) // decided without the second controller's change
+		repeated := first.NextTxn(newEnv(time.Second)) // decided without the second controller's change
 		if executed == "late" && status == wire.StatusOK {
 			if late, _ := store.commit(unknown); late != wire.StatusConflict {
 				t.Error("a late transaction was executed after another controller's")
@@ -152,7 +152,7 @@
 		}
 		first.HeadRead()
 		store.replayTo(t, first)
-		status, revision = store.commit(first.NextTxn(env(2 * time.Second)))
+		status, revision = store.commit(first.NextTxn(newEnv(2 * time.Second)))
 		out, _ = first.HandleOutcome(status, revision)
 		expectOutcomes(t, out, booking.OutcomeRefused)
 	}
@@ -164,7 +164,7 @@
 	service := New()
 	store.replayTo(t, service)
 	service.Enqueue(newRequest("x", 100))
-	status, revision := store.commit(service.NextTxn(env(0)))
+	status, revision := store.commit(service.NextTxn(newEnv(0)))
 	store.replayTo(t, service) // the watch shows its own write before the outcome
 	service.ViewCommitted(func(schedule *booking.Schedule) {
 		if schedule.Get("x") == nil {
@@ -175,7 +175,7 @@
 	expectOutcomes(t, out, booking.OutcomeDone)
 
 	service.Enqueue(newRequest("z", 101))
-	_ = service.NextTxn(env(time.Second))
+	_ = service.NextTxn(newEnv(time.Second))
 	service.ViewCommitted(func(schedule *booking.Schedule) {
 		if schedule.Get("z") != nil {
 			t.Error("an uncommitted reservation is shown")
@@ -184,20 +184,20 @@
 	other := New()
 	store.replayTo(t, other)
 	other.Enqueue(newRequest("y", 101))
-	store.commit(other.NextTxn(env(0)))
+	store.commit(other.NextTxn(newEnv(0)))
 	store.replayTo(t, service) // another controller committed first
 	if out, mustRead := service.HandleOutcome(wire.StatusConflict, 0); out != nil || !mustRead {
 		t.Fatal("another controller committed first, and it does not read the head")
 	}
 	service.HeadRead()
-	status, revision = store.commit(service.NextTxn(env(2 * time.Second)))
+	status, revision = store.commit(service.NextTxn(newEnv(2 * time.Second)))
 	out, _ = service.HandleOutcome(status, revision)
 	expectOutcomes(t, out, booking.OutcomeRefused)
 }
 
 // Concurrent reservations must share writes, also over the years: full heads become pages, and pages with
 // few current reservations are merged. A controller that reads all of it must know the same.
-func TestChangesAreFew(t *testing.T) {
+func TestReservationsShareWrites(t *testing.T) {
 	const maxValueBytes = 8192
 	store := newStore(t)
 	service := New()
@@ -205,7 +205,7 @@
 	writes, now := 0, time.Duration(0)
 	step := func() {
 		t.Helper()
-		if txn := service.NextTxn(env(now)); txn != nil {
+		if txn := service.NextTxn(newEnv(now)); txn != nil {
 			status, revision := store.commit(txn)
 			for _, write := range txn.Then {
 				if len(write.Value) > maxValueBytes {
@@ -300,7 +300,7 @@
 	t.Helper()
 	for range 2 { // the first batch may only request blocks
 		s.serveBlockReads(t, service)
-		if txn := service.NextTxn(env(now)); txn != nil {
+		if txn := service.NextTxn(newEnv(now)); txn != nil {
 			status, revision := s.commit(txn)
 			if out, _ := service.HandleOutcome(status, revision); out != nil {
 				return out
@@ -344,7 +344,7 @@
 
 // Past reservations must leave memory and the keys that a start reads, for blocks that split as they
 // fill. Their ids must never be used again.
-func TestPastBookingsLeave(t *testing.T) {
+func TestPastReservationsAreArchived(t *testing.T) {
 	store := newStore(t)
 	service := New()
 	store.replayTo(t, service)
@@ -367,7 +367,7 @@
 	step(service)
 	endedBefore := startUnixS + int64(now.Seconds()) + 1
 	moves := store.archiveAll(t, service, endedBefore, 4*bookings)
-	service.ForgetArchived(now+time.Hour, endedBefore)
+	service.EvictArchived(now+time.Hour, endedBefore)
 	other := New()
 	store.replayTo(t, other)
 	for _, service := range []*Service{service, other} {
@@ -391,11 +391,11 @@
 	// A new id must compare the block that lacks it.
 	other.Enqueue(newRequest("b00001x", 900_001))
 	store.serveBlockReads(t, other)
-	if txn := other.NextTxn(env(now + time.Hour)); txn != nil {
+	if txn := other.NextTxn(newEnv(now + time.Hour)); txn != nil {
 		t.Error("decided before the block was read")
 	}
 	store.serveBlockReads(t, other)
-	txn := other.NextTxn(env(now + time.Hour))
+	txn := other.NextTxn(newEnv(now + time.Hour))
 	if !slices.ContainsFunc(txn.Compare, func(compare wire.Compare) bool {
 		return strings.HasPrefix(compare.Key, ArchivePrefix) && compare.Revision != 0
 	}) {
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -73,7 +73,7 @@
 	members := membership.New([]string{"n1", "n2", "n3"}, time.Second)
 	isLive := func(name string) bool { return name != "n3" }
 	for _, name := range members.PeerNames() {
-		members.MarkHeard(0, name)
+		members.MarkSeen(0, name)
 		members.Peer(name).StoreReachable = true
 	}
 	members.Peer("n1").QueueHeads = []membership.QueuePosition{
@@ -129,7 +129,7 @@
 // A job may have half of its tasks in a zone. When that zone's machines were the best, as they hold its
 // image, no others were examined, and replicas waited for minutes beside hundreds of machines with
 // capacity.
-func TestReplicasFindCapacityBesideAFullZone(t *testing.T) {
+func TestReplicasUseOtherZoneWhenOneIsFull(t *testing.T) {
 	for _, placed := range []int{0, 1} { // tasks that zone a has already
 		c := newCoreOfTwoZones()
 		spec := &wire.JobSpec{Service: true, Spread: true, Tasks: 2, Request: [3]int64{1000, 0, 1000}, Image: "i"}
@@ -183,7 +183,7 @@
 
 // An answer to a cloud request that comes after its leader's term must not back off: that would draw a
 // random number, on which all later decisions depend.
-func TestAnswersAfterATermAreNoBackoff(t *testing.T) {
+func TestCloudResponseAfterTermDoesNotBackOff(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		c := newPlanningCore()
 		term := c.leaderState
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -21,9 +21,9 @@
 const (
 	// batchPlacementJobs is the count of waiting jobs of teams with a maximum quota from which on they
 	// are placed together.
-	batchPlacementJobs = 4
+	minBatchPlacementJobs = 4
 	// batchPlacementTokens is the part of the write burst that must be available to place them.
-	batchPlacementTokens = 0.7
+	batchPlacementTokenShare = 0.7
 	// endBatchWriteShare is the part of the write rate that the ends of tasks may use.
 	endBatchWriteShare = 0.5
 )
@@ -123,7 +123,7 @@
 // which no user waits.
 func (p *placementState) isWriteBlocked(inFlight int) bool {
 	limiter := p.rateLimit
-	return limiter.IsPaused(p.now) || inFlight >= maxTxnsInFlight || limiter.ReadTokens < 1 ||
+	return limiter.IsPaused(p.now) || inFlight >= maxTxnsInFlight || limiter.RequestTokens < 1 ||
 		limiter.WriteTokens < 1+reservedWrites
 }
 
@@ -140,7 +140,7 @@
 
 // isDue reports whether a job may be written now. A job that needs no write is no longer dirty then.
 func (c *Core) isDue(j *job) bool {
-	lookAt := max(j.write.nextLookAt, j.write.refusedUntil)
+	lookAt := max(j.write.nextExamineAt, j.write.refusedUntil)
 	if !j.write.dirty || j.write.inFlight || j.write.outcomeUnknown || c.now < lookAt {
 		return false
 	}
@@ -152,7 +152,7 @@
 		return false
 	}
 	if c.placement.waitsForScan(j) && c.priority.isBehindFirstWaiting(j) {
-		j.write.nextLookAt = c.placement.nextScanAt
+		j.write.nextExamineAt = c.placement.nextScanAt
 		return false
 	}
 	return true
@@ -193,7 +193,7 @@
 	isUrgent := func(j *job) bool { return j.writePriority() <= writePriorityAccept }
 	if slices.ContainsFunc(due, isUrgent) {
 		return !limiter.IsUrgentPaused(p.now) && inFlight < maxUrgentTxnsInFlight &&
-			limiter.ReadTokens >= -limiter.ReadRate/2
+			limiter.RequestTokens >= -limiter.RequestRate/2
 	}
 	return !p.isWriteBlocked(inFlight) && !p.defersBatch(due, teams)
 }
@@ -202,7 +202,7 @@
 // key is one more write for each transaction: where writes are scarce and many jobs of teams with a
 // maximum quota wait, they are placed together.
 func (p *placementState) defersBatch(due []*job, teams *teamSet) bool {
-	if p.rateLimit.WriteTokens >= batchPlacementTokens*p.rateLimit.WriteBurst(p.cfg.Store.MaxTxnOps) {
+	if p.rateLimit.WriteTokens >= batchPlacementTokenShare*p.rateLimit.WriteBurst(p.cfg.Store.MaxTxnOps) {
 		return false
 	}
 	n := 0
@@ -214,7 +214,7 @@
 			n++
 		}
 	}
-	return n >= batchPlacementJobs
+	return n >= minBatchPlacementJobs
 }
 
 // updateEndBatchDelay sets how long the end of a task may wait for others to share a write: the more
@@ -264,7 +264,7 @@
 // addWaitingEnds adds the jobs whose ends of tasks wait to share a write, if their slot is written anyway.
 func (c *Core) addWaitingEnds(builder *txnBuilder) {
 	for _, j := range c.openJobs {
-		if !j.write.waitsForEnds || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
+		if !j.write.waitsForTaskEnds || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
 			builder.slotDrafts[slotNumber(j.id, j.record)] == nil || !c.ownership.ownsJob(j) {
 			continue
 		}
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -11,8 +11,8 @@
 // startShareHalfLife is the time after which a start counts half in the shares of the priority classes.
 const startShareHalfLife = 20 * time.Second
 
-// startShareBoost is how long a job is ordered as one of the first class for the share of its own.
-const startShareBoost = time.Second
+// startShareBoostDuration is how long a job is ordered as one of the first class for the share of its own.
+const startShareBoostDuration = time.Second
 
 // startShares counts the recent starts of each priority class, decaying with startShareHalfLife.
 type startShares struct {
@@ -61,10 +61,10 @@
 			continue
 		}
 		first := c.firstWaitingBelow(class)
-		if first == nil || c.isPrecededElsewhere(first, class) {
+		if first == nil || c.hasEarlierWorkElsewhere(first, class) {
 			continue
 		}
-		c.addToExamine(first)
+		c.addToExamineList(first)
 		return c.priority.boost(first, due)
 	}
 	return due
@@ -90,16 +90,16 @@
 	return first
 }
 
-// isPrecededElsewhere reports whether another controller has work below a class that comes before a job.
-func (c *Core) isPrecededElsewhere(j *job, class int) bool {
+// hasEarlierWorkElsewhere reports whether another controller has work below a class that comes before a job.
+func (c *Core) hasEarlierWorkElsewhere(j *job, class int) bool {
 	position := membership.QueuePosition{Priority: c.priority.agedClass(j), EnqueuedAtMS: j.effectiveEnqueueMS()}
 	return c.controllers.membership.HasEarlierWork(c.now, c.controllers.isLive, position, class)
 }
 
 // boost has a job evaluated now, before all other placements.
 func (p *priorityState) boost(j *job, due []*job) []*job {
-	j.queue.boostedUntil = p.now + startShareBoost
-	j.write.dirty, j.write.nextLookAt = true, 0
+	j.queue.boostedUntil = p.now + startShareBoostDuration
+	j.write.dirty, j.write.nextExamineAt = true, 0
 	if i := slices.Index(due, j); i >= 0 {
 		due = slices.Delete(due, i, i+1)
 	}
--- a/core/storelimits.go
+++ b/core/storelimits.go
@@ -38,8 +38,8 @@
 	return size
 }
 
-// atLeast returns the larger of each part of two sizes.
-func (s txnSize) atLeast(other txnSize) txnSize {
+// componentMax returns the larger of each part of two sizes.
+func (s txnSize) componentMax(other txnSize) txnSize {
 	return txnSize{ops: max(s.ops, other.ops), valueBytes: max(s.valueBytes, other.valueBytes)}
 }
 
@@ -49,22 +49,22 @@
 type storeLimits struct {
 	*environment
 
-	configured      txnSize       // the limits before the first reduction
-	accepted        txnSize       // the largest parts of the transactions accepted in this period
-	acceptedBefore  txnSize       // the same of the period before
-	periodEnd       time.Duration // of accepted
-	raiseAt         time.Duration // 0: the limits are as configured
-	raiseDelay      time.Duration
-	raisedSinceLast bool // the limits were raised after the last reduction
+	configured           txnSize       // the limits before the first reduction
+	accepted             txnSize       // the largest parts of the transactions accepted in this period
+	previousAccepted     txnSize       // the same of the period before
+	periodEnd            time.Duration // of accepted
+	raiseAt              time.Duration // 0: the limits are as configured
+	raiseDelay           time.Duration
+	raisedSinceReduction bool // the limits were raised after the last reduction
 }
 
 // recordAccepted records that the store took a transaction.
 func (l *storeLimits) recordAccepted(txn *wire.Txn) {
 	if l.now >= l.periodEnd {
-		l.acceptedBefore, l.accepted = l.accepted, txnSize{}
+		l.previousAccepted, l.accepted = l.accepted, txnSize{}
 		l.periodEnd = l.now + acceptedSizePeriod
 	}
-	l.accepted = l.accepted.atLeast(sizeOf(txn))
+	l.accepted = l.accepted.componentMax(sizeOf(txn))
 }
 
 // mayBeTooLarge reports whether a refused transaction may have been refused for its size.
@@ -73,7 +73,7 @@
 	if size.ops <= minTxnOps && size.valueBytes <= minValueBytes {
 		return false
 	}
-	accepted := l.accepted.atLeast(l.acceptedBefore)
+	accepted := l.accepted.componentMax(l.previousAccepted)
 	return size.ops > accepted.ops || size.valueBytes > accepted.valueBytes
 }
 
@@ -106,10 +106,10 @@
 	if l.raiseAt == 0 {
 		l.configured = txnSize{ops: limits.MaxTxnOps, valueBytes: limits.MaxValueBytes}
 		l.raiseDelay = minRaiseDelay
-	} else if l.raisedSinceLast {
+	} else if l.raisedSinceReduction {
 		l.raiseDelay = min(2*l.raiseDelay, maxRaiseDelay)
 	}
-	l.raiseAt, l.raisedSinceLast = l.now+l.raiseDelay, false
+	l.raiseAt, l.raisedSinceReduction = l.now+l.raiseDelay, false
 	if size.ops > minTxnOps {
 		limits.MaxTxnOps = max(minTxnOps, size.ops-1)
 	} else {
@@ -136,6 +136,6 @@
 	limits := &l.cfg.Store
 	limits.MaxTxnOps = min(raiseFactor*limits.MaxTxnOps, l.configured.ops)
 	limits.MaxValueBytes = min(raiseFactor*limits.MaxValueBytes, l.configured.valueBytes)
-	l.raiseAt, l.raisedSinceLast = l.now+l.raiseDelay, true
+	l.raiseAt, l.raisedSinceReduction = l.now+l.raiseDelay, true
 	l.log(LevelInfo, "limits of transactions raised", "txn_ops", limits.MaxTxnOps, "value_bytes", limits.MaxValueBytes)
 }
--- a/core/supply.go
+++ b/core/supply.go
@@ -19,7 +19,7 @@
 	onDemandReserved    clusterstate.Resources // packed with tasks that may not use spot machines
 	busyHorizon         time.Duration          // how long its tasks should keep it busy
 	busyHorizonSteps    time.Duration          // busyHorizon in units of the setting BusyHorizonStep
-	freeShare           float64
+	minFreeFraction     float64
 	preempted           []jobAssignment // tasks preempted by this plan
 	preemptible         []jobAssignment // cache of preemptibleTasks; nil: not computed
 	preemptiblePriority int             // priority that preemptible was computed for
@@ -56,8 +56,8 @@
 
 // Indexes of supply.packingOrders and supply.exhausted.
 const (
-	onDemandOrder = iota // for demands that may not use spot machines
-	spotOrder            // for demands that may
+	onDemandBinOrder = iota // for demands that may not use spot machines
+	spotBinOrder            // for demands that may
 )
 
 // supply is the bins of one plan, in the orders in which demands fill them, and what the plan adds.
@@ -67,7 +67,7 @@
 	stats        *Stats
 
 	bins            []*bin
-	packingOrders   [2][]*bin
+	binOrders       [2][]*bin
 	machinesByGroup map[nodeGroup]int
 	machinesByZone  map[string]int
 	exhausted       [2][]exhaustedRequest
@@ -78,17 +78,17 @@
 
 // exhaustedRequest is a resource request that fits none of the first bins of a packing order, now or soon.
 type exhaustedRequest struct {
-	request         clusterstate.Resources
-	binsWithoutRoom int
+	request             clusterstate.Resources
+	binsWithoutCapacity int
 }
 
 // firstCandidate is the index in its packing order from which a demand may fit: no smaller request
 // fitted before it. Without it, each of hundreds of waiting jobs scanned a whole full fleet in each plan.
 func (s *supply) firstCandidate(d *demand) (first int) {
 	if d.isUnconstrained() {
-		for _, exhausted := range s.exhausted[d.supplyOrder()] {
+		for _, exhausted := range s.exhausted[d.binOrder()] {
 			if clusterstate.Resources(d.spec.Request).Fits(exhausted.request) {
-				first = max(first, exhausted.binsWithoutRoom)
+				first = max(first, exhausted.binsWithoutCapacity)
 			}
 		}
 	}
@@ -100,11 +100,11 @@
 	if !d.isUnconstrained() {
 		return
 	}
-	order := d.supplyOrder()
+	order := d.binOrder()
 	s.exhausted[order] = slices.DeleteFunc(s.exhausted[order], func(e exhaustedRequest) bool {
 		return e.request.Fits(d.spec.Request)
 	})
-	s.exhausted[order] = append(s.exhausted[order], exhaustedRequest{d.spec.Request, len(s.packingOrders[order])})
+	s.exhausted[order] = append(s.exhausted[order], exhaustedRequest{d.spec.Request, len(s.binOrders[order])})
 }
 
 // newSupply builds the supply of a plan. Machines that stay busy longest are filled first, so that the
@@ -123,25 +123,25 @@
 		s.machinesByGroup[b.nodeGroup]++
 		s.machinesByZone[b.nodeGroup.zone]++
 		row := clusterstate.Row{Available: b.available, Allocated: b.capacity.AddScaled(b.available, -1)}
-		b.freeShare = row.MinFreeFraction()
+		b.minFreeFraction = row.MinFreeFraction()
 		if l.cfg.Scheduling.BusyHorizonStep > 0 {
 			b.busyHorizonSteps = b.busyHorizon / l.cfg.Scheduling.BusyHorizonStep
 		}
 	}
-	for order := range s.packingOrders {
+	for order := range s.binOrders {
 		for _, b := range bins {
-			if order == spotOrder || !b.nodeGroup.spot {
-				s.packingOrders[order] = append(s.packingOrders[order], b)
+			if order == spotBinOrder || !b.nodeGroup.spot {
+				s.binOrders[order] = append(s.binOrders[order], b)
 			}
 		}
-		slices.SortStableFunc(s.packingOrders[order], func(x, y *bin) int {
-			if order == spotOrder && x.isDrainableOnDemand() != y.isDrainableOnDemand() {
+		slices.SortStableFunc(s.binOrders[order], func(x, y *bin) int {
+			if order == spotBinOrder && x.isDrainableOnDemand() != y.isDrainableOnDemand() {
 				return compareBool(x.isDrainableOnDemand(), y.isDrainableOnDemand())
 			}
 			return cmp.Or(
 				cmp.Compare(y.busyHorizonSteps, x.busyHorizonSteps),
 				compareBool(y.hasTasks, x.hasTasks),
-				cmp.Compare(x.freeShare, y.freeShare),
+				cmp.Compare(x.minFreeFraction, y.minFreeFraction),
 			)
 		})
 	}
@@ -162,9 +162,9 @@
 // addPlanned adds a machine that is to be requested, behind all others.
 func (s *supply) addPlanned(b *bin) {
 	s.bins = append(s.bins, b)
-	s.packingOrders[spotOrder] = append(s.packingOrders[spotOrder], b)
+	s.binOrders[spotBinOrder] = append(s.binOrders[spotBinOrder], b)
 	if !b.nodeGroup.spot {
-		s.packingOrders[onDemandOrder] = append(s.packingOrders[onDemandOrder], b)
+		s.binOrders[onDemandBinOrder] = append(s.binOrders[onDemandBinOrder], b)
 	}
 	s.machinesByGroup[b.nodeGroup]++
 	s.machinesByZone[b.nodeGroup.zone]++
@@ -205,7 +205,7 @@
 }
 
 // bins is the bins of the demand's packing order, without those that it adds.
-func (p *demandPacking) bins() []*bin { return p.supply.packingOrders[p.demand.supplyOrder()] }
+func (p *demandPacking) bins() []*bin { return p.supply.binOrders[p.demand.binOrder()] }
 
 // packTasks packs what is left of the demand into any bins, and plans machines for what does not fit.
 func (p *demandPacking) packTasks() {
@@ -213,7 +213,7 @@
 	first := p.supply.firstCandidate(&p.demand)
 	p.fill(bins[first:], false)
 	if !p.demand.isHeadroom && first == 0 {
-		p.fillSoon(bins)
+		p.fillReleasedSoon(bins)
 	}
 	if p.demand.tasks > 0 {
 		p.supply.recordExhausted(&p.demand)
@@ -229,27 +229,27 @@
 		}
 		p.supply.stats.PlanMachineLooks++
 		if b.available.Fits(p.demand.spec.Request) && p.allows(b) && (!upOnly || b.isUp()) {
-			p.put(b)
+			p.packInto(b)
 		}
 	}
 }
 
-// put packs as many tasks as fit into a bin.
-func (p *demandPacking) put(b *bin) {
+// packInto packs as many tasks as fit into a bin.
+func (p *demandPacking) packInto(b *bin) {
 	tasks := min(tasksFitting(b.available, p.demand.spec.Request), p.zoneLimit(b.nodeGroup.zone))
 	if tasks <= 0 {
 		return
 	}
 	b.reserve(p.demand.spec, tasks)
-	p.count(b, tasks)
+	p.recordPacked(b, tasks)
 	if b.isUp() {
 		p.placeable += int(tasks)
 	}
 }
 
-// fillSoon packs what is left of the demand into resources that should be released before a new
+// fillReleasedSoon packs what is left of the demand into resources that should be released before a new
 // machine could be up.
-func (p *demandPacking) fillSoon(bins []*bin) {
+func (p *demandPacking) fillReleasedSoon(bins []*bin) {
 	request := p.demand.spec.Request
 	for _, b := range bins {
 		if p.demand.tasks <= 0 {
@@ -261,7 +261,7 @@
 		if tasks := min(tasksFitting(b.availableSoon, request), p.zoneLimit(b.nodeGroup.zone)); tasks > 0 {
 			b.availableSoon = b.availableSoon.AddScaled(request, -tasks)
 			b.needed = true
-			p.count(b, tasks)
+			p.recordPacked(b, tasks)
 		}
 	}
 }
@@ -276,12 +276,12 @@
 		capacity := p.supply.autoscaler.catalog[group.machineType].Capacity()
 		b := &bin{nodeGroup: group, available: capacity, capacity: capacity}
 		p.supply.addPlanned(b)
-		p.put(b)
+		p.packInto(b)
 	}
 }
 
-// count takes packed tasks off the demand.
-func (p *demandPacking) count(b *bin, tasks int64) {
+// recordPacked takes packed tasks off the demand.
+func (p *demandPacking) recordPacked(b *bin, tasks int64) {
 	p.demand.tasks -= int(tasks)
 	p.demand.tasksByZone[b.nodeGroup.zone] += int(tasks)
 }
--- a/core/suspected_faults_test.go
+++ b/core/suspected_faults_test.go
@@ -17,7 +17,7 @@
 
 // The health of a controller that comes by a relay must not be taken for the relay's: n1 was then believed to reach the
 // store, and n2 not to. A peer of any version may relay it.
-func TestRelayedHealthIsItsSenders(t *testing.T) {
+func TestRelayedHealthIsAttributedToSender(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(2*time.Second, PeerMessage{Peer: "n1", Message: Message{
 		RelayTo: "n0", RelayedFrom: "n2", Health: &Health{StoreReachable: true, WriteRate: 7},
@@ -36,7 +36,7 @@
 
 // A heartbeat in which only the address, the spot flag or the length of an interruption notice changed was taken for
 // one that changes nothing: commands went on to the old address.
-func TestChangedIdentityOfAnAgentIsNoticed(t *testing.T) {
+func TestAgentIdentityChangeIsApplied(t *testing.T) {
 	seconds := func(s float64) *float64 { return &s }
 	for name, tt := range map[string]struct {
 		change  func(heartbeat *wire.Heartbeat)
@@ -127,7 +127,7 @@
 
 // A job for one zone that has tasks in two, should it ever, is continued in the zone with most of them. The zone was
 // the one that came last in a map: of 50 choices here, some were a and some b.
-func TestZoneOfAOneZoneJobIsDetermined(t *testing.T) {
+func TestSingleZoneJobChoosesZoneDeterministically(t *testing.T) {
 	c := newLeadingCore(t)
 	for i, zone := range []string{"a", "b", "b"} {
 		m := c.internMachine(fmt.Sprint("z-", i))
@@ -154,7 +154,7 @@
 
 // An entry that does not fit its slot must not leave the slot in the transaction: it was written for nothing, one
 // write of the twenty to thirty a second that a site has.
-func TestEntryThatDoesNotFitLeavesNoSlot(t *testing.T) {
+func TestOversizedEntryLeavesNoSlotDraft(t *testing.T) {
 	c := newServingCore(t)
 	builder := &txnBuilder{core: c}
 	full := batchvalue.Entries{"wk-9": []byte(`"` + strings.Repeat("x", c.cfg.Store.maxSlotBytes()) + `"`)}
@@ -173,7 +173,7 @@
 }
 
 // After preemption for a part of a demand, the rest counted as served for four seconds: no machine was rented for it.
-func TestPartialPreemptionLeavesTheRestOfADemand(t *testing.T) {
+func TestPartialPreemptionLeavesRemainingDemand(t *testing.T) {
 	c := newLeadingCore(t)
 	c.Advance(time.Second)
 	j := c.internJob("wk-1")
