--- a/core/transactions.go
+++ b/core/transactions.go
@@ -25,12 +25,12 @@
 // pendingTxn is a transaction in flight. If onDone is set, it alone handles the outcome, apart
 // from the bookkeeping that every transaction needs.
 type pendingTxn struct {
-	proposals      []proposal
-	teams          []*team                   // teams whose quota keys it writes
-	writtenSlots   map[int]*batchvalue.Draft // slots it writes
-	dependentSlots map[int]bool              // slots it only compares, for writes of jobs' own keys
-	onDone         func(status wire.Status, r wire.TxnResponse)
-	txn            wire.Txn
+	proposals     []proposal
+	teams         []*team                   // teams whose quota keys it writes
+	writtenSlots  map[int]*batchvalue.Draft // slots it writes
+	comparedSlots map[int]bool              // slots it only compares, for writes of jobs' own keys
+	onDone        func(status wire.Status, r wire.TxnResponse)
+	txn           wire.Txn
 }
 
 // Pauses of writes after a refused or lost transaction, each with a random part.
@@ -82,7 +82,7 @@
 		c.transactions.limits.recordAccepted(&pending.txn)
 	}
 	for _, key := range in.Reply.Failed {
-		c.history.archiveIndex.Invalidate(key)
+		c.history.blockCache.Invalidate(key)
 	}
 	stale := in.Status != wire.StatusOK && !isNotExecuted(in.Status)
 	staleSlots := c.replica.slots.release(pending, in.Status, in.Reply.Revision)
@@ -175,7 +175,7 @@
 // A newer state, which a watch may have brought before the transaction's reply, stays.
 func (c *Core) adoptProposal(committed *proposal, revision uint64) {
 	target := committed.job
-	target.write.alone, target.write.refusals = false, 0
+	target.write.separateTxn, target.write.refusals = false, 0
 	for _, assignment := range committed.ended {
 		c.releaseOnce(target, assignment)
 	}
@@ -228,7 +228,7 @@
 func (c *Core) handleRefusedProposals(pending *pendingTxn) {
 	forContent := c.transactions.limits.handleRefusal(&pending.txn)
 	for i := range pending.proposals {
-		pending.proposals[i].job.write.alone = true
+		pending.proposals[i].job.write.separateTxn = true
 	}
 	if len(pending.proposals) != 1 {
 		return
@@ -276,7 +276,7 @@
 // part, and of the write rate also what the other controllers do not use.
 func (c *Core) updateRateLimit() {
 	live := float64(len(c.controllers.liveNames()))
-	if len(c.controllers.nodeKeys) == 0 {
+	if len(c.controllers.registrations) == 0 {
 		live = float64(len(c.cfg.Peers) + 1)
 	}
 	total := c.schema.storeWriteRate()
@@ -284,7 +284,7 @@
 	for _, peer := range c.cfg.Peers {
 		if c.controllers.membership.IsReachable(c.now, peer) {
 			unused -= c.controllers.membership.Peer(peer).WriteRate
-		} else if _, ok := c.controllers.nodeKeys[peer]; ok {
+		} else if _, ok := c.controllers.registrations[peer]; ok {
 			unused -= total / live
 		}
 	}
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -21,7 +21,7 @@
 	valueBytes     int                       // estimated size of the values written
 	comparedShards map[int]bool              // shards whose ownership the transaction depends on
 	slotDrafts     map[int]*batchvalue.Draft // slots it writes, by number
-	dependentSlots map[int]bool              // slots it only compares
+	comparedSlots  map[int]bool              // slots it only compares
 
 	hasUserWaiting bool // it has a write that a user waits for
 }
@@ -50,7 +50,7 @@
 	slotRetryDelay = 10 * time.Millisecond
 
 	// unfitRetryDelay is the wait of a job whose record does not fit a value until more of its tasks have ended.
-	unfitRetryDelay = time.Second
+	oversizedRetryDelay = time.Second
 
 	// completionsRetryDelay is the wait of completions that left the write tokens to more urgent writes.
 	completionsRetryDelay = 100 * time.Millisecond
@@ -66,21 +66,21 @@
 	c := b.core
 	slot := slotOf(target)
 	cost, ok := b.writeCost(target, slot)
-	if !ok || b.isFull(cost) || b.mustSeparate(target) {
+	if !ok || b.isFull(cost) || b.cannotShareTxn(target) {
 		return false
 	}
 	if slot >= 0 && c.replica.slots.at(slot).WriteInFlight && c.schema.active >= schemaSharedValues {
-		target.write.nextLookAt = c.now + slotRetryDelay
+		target.write.nextExamineAt = c.now + slotRetryDelay
 		return true
 	}
 	next, retryAt := c.proposeRecord(target, b)
 	if next == nil {
 		target.write.dirty = retryAt != 0
-		target.write.nextLookAt = retryAt
+		target.write.nextExamineAt = retryAt
 		return true
 	}
 	next.slotIndex = slot
-	if len(next.auditActs) > 0 {
+	if len(next.auditEvents) > 0 {
 		next.compares = append(next.compares, c.auditLog.unauditedCompares()...)
 	}
 	if b.exceedsCompares(next) {
@@ -88,13 +88,13 @@
 		return false
 	}
 	if next.completionsOnly && !c.transactions.canAffordCompletions(cost) {
-		target.write.nextLookAt = c.now + completionsRetryDelay
+		target.write.nextExamineAt = c.now + completionsRetryDelay
 		return true
 	}
 	if entry := c.encodeSlotEntry(next); entry != nil {
 		if b.slotDrafts[slot] == nil && c.replica.slots.at(slot).JobKeyWritesInFlight > 0 {
 			c.undoProposal(next)
-			target.write.nextLookAt = c.now + slotRetryDelay
+			target.write.nextExamineAt = c.now + slotRetryDelay
 			return true
 		}
 		if b.addSlotEntry(next, entry) {
@@ -107,9 +107,9 @@
 	return true
 }
 
-// mustSeparate reports whether a job may not share the transaction, as it or the one before it is written alone.
-func (b *txnBuilder) mustSeparate(target *job) bool {
-	return len(b.proposals) > 0 && (target.write.alone || b.proposals[0].job.write.alone)
+// cannotShareTxn reports whether a job may not share the transaction, as it or the one before it is written alone.
+func (b *txnBuilder) cannotShareTxn(target *job) bool {
+	return len(b.proposals) > 0 && (target.write.separateTxn || b.proposals[0].job.write.separateTxn)
 }
 
 // slotOf is the number of a job's slot; -1 if it has none: its record is not stored yet, or is final.
@@ -176,16 +176,16 @@
 		next.record.WriteNumber++
 	}
 	next.record.PendingAudit, next.auditEntryIDs = c.auditLog.current().
-		AttachEntries(keyJob+target.id, target.revision, pendingAudit, next.auditActs)
+		AttachEntries(keyJob+target.id, target.revision, pendingAudit, next.auditEvents)
 	raw, err := c.encodeWithinLimit(next)
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
 		// An older version may have stored it under larger limits, or its tasks end in an order that
 		// leaves many separate ranges. It is written once more tasks have ended: a final record always
 		// fits. Nothing is lost meanwhile, as agents keep the status of its tasks.
 		c.undoProposal(next)
-		target.write.nextLookAt = c.now + unfitRetryDelay
+		target.write.nextExamineAt = c.now + oversizedRetryDelay
 		if next.isCancellation && c.schema.active >= schemaDependencies {
-			c.writeCancelMarker(target, next.record.CancelledAtMS, next.compares, next.auditActs[:next.userCancelActs])
+			c.writeCancelMarker(target, next.record.CancelledAtMS, next.compares, next.auditEvents[:next.userCancelEvents])
 		}
 		return nil, false
 	}
@@ -194,7 +194,7 @@
 		// No start fits the value before others of its tasks have ended. Without this, such a job
 		// was written unchanged again and again, and other jobs starved.
 		c.undoProposal(next)
-		target.write.nextLookAt = c.now + unfitRetryDelay
+		target.write.nextExamineAt = c.now + oversizedRetryDelay
 		return nil, false
 	}
 	return raw, true
@@ -218,10 +218,10 @@
 		// The shard's owner may be about to write the slot, and that write must fail if it does not know of this one.
 		b.removeSlotEntry(slot, next.job.id)
 	case b.slotDrafts[slot] == nil:
-		if b.dependentSlots == nil {
-			b.dependentSlots = map[int]bool{}
+		if b.comparedSlots == nil {
+			b.comparedSlots = map[int]bool{}
 		}
-		b.dependentSlots[slot] = true
+		b.comparedSlots[slot] = true
 	}
 }
 
@@ -310,10 +310,10 @@
 		}
 	}
 	pending := &pendingTxn{
-		proposals:      b.proposals,
-		teams:          b.teams,
-		writtenSlots:   b.slotDrafts,
-		dependentSlots: b.dependentSlots,
+		proposals:     b.proposals,
+		teams:         b.teams,
+		writtenSlots:  b.slotDrafts,
+		comparedSlots: b.comparedSlots,
 	}
 	b.core.replica.slots.lock(pending)
 	b.core.transactions.commit(b.txn, pending)
--- a/core/yield.go
+++ b/core/yield.go
@@ -9,19 +9,19 @@
 
 const (
 	// maxFirstRankWindow bounds how long a controller has freed capacity to itself.
-	maxFirstRankWindow = 400 * time.Millisecond
+	maxExclusiveWindow = 400 * time.Millisecond
 	// minPlacementScanInterval is the least time between two scans of all waiting jobs.
 	minPlacementScanInterval = 200 * time.Millisecond
 	// placementScanWrites is the count of writes that gather between two scans, at half of the write rate.
 	placementScanWrites = 2
 )
 
-// queuePositions count, for on-demand and for spot machines, the other controllers whose waiting work
+// competitorCounts count, for on-demand and for spot machines, the other controllers whose waiting work
 // is before a job in the queue, and those whose work is at about the same position.
-type queuePositions [2]queuePosition
+type competitorCounts [2]competitorCount
 
-// queuePosition counts the other controllers by their waiting work.
-type queuePosition struct{ before, alike int }
+// competitorCount counts the other controllers by their waiting work.
+type competitorCount struct{ before, alike int }
 
 // yieldDelay is how long capacity on a machine that was freed recently is still left to other
 // controllers. All controllers learn of it with the same push, and each would fill it: while more work
@@ -30,7 +30,7 @@
 // one. Before all of them come the controllers whose work has waited longer than the job to place:
 // when each controller filled the same share of the capacity, jobs of the same priority and age
 // started two minutes apart, depending on their controller.
-func (c *Core) yieldDelay(index int32, positions queuePositions) time.Duration {
+func (c *Core) yieldDelay(index int32, positions competitorCounts) time.Duration {
 	row, target := c.clusterCopy.state.Row(index), c.machines[index]
 	if row == nil || !c.clusterCopy.state.IsFresh(c.now) {
 		return 0
@@ -44,7 +44,7 @@
 		return 0
 	}
 	propagationDelay := c.deltaLog.propagationDelay()
-	window := c.placement.firstRankWindow(propagationDelay) + time.Duration(rank-1)*propagationDelay
+	window := c.placement.exclusiveWindow(propagationDelay) + time.Duration(rank-1)*propagationDelay
 	return max(0, row.CapacityFreedAt()+window-c.now)
 }
 
@@ -53,15 +53,15 @@
 // follow those alike to it, and these are alike to this one or before it: so with any before it, this
 // one follows all of those alike too. When it followed only those before it in the machine's order, it
 // could have the same rank as a controller whose work had waited longer, and start later work first.
-func (p queuePosition) rank(machineRank int) int {
+func (p competitorCount) rank(machineRank int) int {
 	if p.before > 0 {
 		return p.before + p.alike
 	}
 	return min(machineRank, p.alike)
 }
 
-// queuePositionsOf compares a job's queue position with those of the other controllers' waiting work.
-func (c *Core) queuePositionsOf(priorityClass int, enqueuedAtMS int64) (positions queuePositions) {
+// countCompetitors compares a job's queue position with those of the other controllers' waiting work.
+func (c *Core) countCompetitors(priorityClass int, enqueuedAtMS int64) (positions competitorCounts) {
 	for i := range positions {
 		positions[i].before, positions[i].alike = c.controllers.membership.CountCompetitors(
 			c.now,
@@ -78,17 +78,17 @@
 // choose between the same two pushes would otherwise all choose the same machines.
 func (c *Core) machineRank(m *machine) int {
 	// The version is stored plus 1: 0 is that of a machine whose rank was never computed.
-	if version := c.controllers.nodesVersion + 1; m.ranking.nodesVersion != version {
+	if version := c.controllers.registrationsVersion + 1; m.ranking.nodesVersion != version {
 		m.ranking.nodesVersion = version
 		m.ranking.rank = c.controllers.rendezvousRank(m.name, c.controllers.liveNames())
 	}
 	return m.ranking.rank
 }
 
-// firstRankWindow is how long a controller has freed capacity to itself: until its next placement
+// exclusiveWindow is how long a controller has freed capacity to itself: until its next placement
 // scan is over, and the others know what it took.
-func (p *placementState) firstRankWindow(propagationDelay time.Duration) time.Duration {
-	return min(p.scanInterval(), maxFirstRankWindow) + propagationDelay
+func (p *placementState) exclusiveWindow(propagationDelay time.Duration) time.Duration {
+	return min(p.scanInterval(), maxExclusiveWindow) + propagationDelay
 }
 
 // scanInterval is the time between two scans of all waiting jobs. Placing a job's tasks one
--- a/core/yield_test.go
+++ b/core/yield_test.go
@@ -15,7 +15,7 @@
 // While more work waited than there was capacity, every controller filled each new machine, and half
 // of all starts were refused. Each controller must fill the machines whose rendezvous order it heads,
 // and those of the others only after a moment.
-func TestControllersTakeTurnsForFreedCapacity(t *testing.T) {
+func TestControllersYieldFreedCapacity(t *testing.T) {
 	const machines, tasksPerMachine = 40, 4
 	filledAtOnce := map[string]int{} // count of controllers by machine
 	for _, name := range []string{"n0", "n1", "n2"} {
@@ -59,10 +59,10 @@
 	c := newServingCore(t)
 	c.cfg.Name = name
 	for _, node := range []string{"n0", "n1", "n2"} {
-		c.applyPut(keyNode+node, []byte(`{"t":7}`), 8)
+		c.applyPut(keyRegistration+node, []byte(`{"t":7}`), 8)
 	}
 	for i := range c.ownership.shards {
-		c.ownership.shards[i].Node = name
+		c.ownership.shards[i].Holder = name
 	}
 	return c
 }
@@ -102,7 +102,7 @@
 		for i, head := range heads {
 			position := membership.QueuePosition{EnqueuedAtMS: int64(head) * 1000}
 			before, alike := othersOf(heads, i).CountCompetitors(0, func(string) bool { return true }, position, false)
-			ranks[i] = queuePosition{before: before, alike: alike}.rank(order[i])
+			ranks[i] = competitorCount{before: before, alike: alike}.rank(order[i])
 		}
 		for i, head := range heads {
 			for j, other := range heads {
@@ -138,7 +138,7 @@
 			continue
 		}
 		name := fmt.Sprint("n", i)
-		members.MarkHeard(0, name)
+		members.MarkSeen(0, name)
 		members.Peer(name).StoreReachable = true
 		if head >= 0 {
 			members.Peer(name).QueueHeads = []membership.QueuePosition{{EnqueuedAtMS: int64(head) * 1000}}
--- a/coreconfig.go
+++ b/coreconfig.go
@@ -170,14 +170,14 @@
 
 func auditConfig(platform *settings.Platform, tuning *pb.Tuning) core.AuditConfig {
 	return core.AuditConfig{
-		ForgetAfter: maxStoreRequestDelay,
+		LateTxnWindow: maxStoreRequestDelay,
 
 		// From the platform.
 		MaxClockErrorMS: uint32(platform.Cluster.TimeBoundMS),
 
 		// From the operators' settings.
-		GatherDelay: milliseconds(tuning.GetAuditGatherMs()),
-		BlockDelay:  milliseconds(tuning.GetAuditBlockMs()),
+		AggregationInterval: milliseconds(tuning.GetAuditGatherMs()),
+		BlockDelay:          milliseconds(tuning.GetAuditBlockMs()),
 	}
 }
 
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -27,14 +27,14 @@
 }
 
 const (
-	keptEvents      = 10_000   // minimum number of events that watches can go back
-	maxBodyBytes    = 64 << 10 // of a transaction
-	maxKeyBytes     = 200
-	defaultPageSize = 1000 // keys
-	itemOverhead    = 40   // bytes of a key in a page beside its name and value
-	maxLongPollMS   = 60_000
-	minLeaseMS      = 100
-	maxLeaseMS      = 600_000
+	minRetainedEvents = 10_000   // minimum number of events that watches can go back
+	maxBodyBytes      = 64 << 10 // of a transaction
+	maxKeyBytes       = 200
+	defaultPageSize   = 1000 // keys
+	itemOverheadBytes = 40   // bytes of a key in a page beside its name and value
+	maxLongPollMS     = 60_000
+	minLeaseMS        = 100
+	maxLeaseMS        = 600_000
 )
 
 // Store is a fake of the consensus-backed key-value store. It is safe for concurrent use.
@@ -237,7 +237,7 @@
 			out.More = true
 			return false
 		}
-		bytes += len(item.Key) + len(item.Value) + itemOverhead
+		bytes += len(item.Key) + len(item.Value) + itemOverheadBytes
 		out.Items = append(out.Items, item)
 		return true
 	})
@@ -340,8 +340,8 @@
 // appendEvent records an event. Old events are dropped in bulk, so that appending stays cheap.
 func (s *Store) appendEvent(event wire.WatchEvent) {
 	s.events = append(s.events, event)
-	if len(s.events) >= 2*keptEvents {
-		s.events = slices.Clone(s.events[len(s.events)-keptEvents:])
+	if len(s.events) >= 2*minRetainedEvents {
+		s.events = slices.Clone(s.events[len(s.events)-minRetainedEvents:])
 	}
 }
 
--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -28,7 +28,7 @@
 	rentalMu          sync.Mutex // guards ctx, rentals and the rental fields of the workers
 	ctx               context.Context
 	startsRefused     atomic.Int64
-	cutZone           atomic.Pointer[string] // zone that is partitioned
+	partitionedZone   atomic.Pointer[string] // zone that is partitioned
 	rentals           map[string][]string    // names of rented machines by idempotency key
 	heartbeatInterval time.Duration
 	taskShape         TaskShape
@@ -60,7 +60,7 @@
 
 const (
 	bootTime          = 2 * time.Second
-	imageFetchTime    = 200 * time.Millisecond // from a start command until the task runs
+	imagePullTime     = 200 * time.Millisecond // from a start command until the task runs
 	zoneCheckInterval = 200 * time.Millisecond // while a zone is partitioned
 	minHeartbeatGap   = 500 * time.Millisecond // between two heartbeats
 	heartbeatTimeout  = 4 * time.Second
@@ -149,7 +149,7 @@
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
 		}
-		if names := all.rentMachines(request); len(names) > 0 {
+		if names := all.scaleOut(request); len(names) > 0 {
 			writeJSON(w, http.StatusOK, wire.MachineNames{Machines: names})
 			return
 		}
@@ -161,7 +161,7 @@
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
 		}
-		all.returnMachines(names.Machines)
+		all.scaleIn(names.Machines)
 		writeJSON(w, http.StatusOK, struct{}{})
 	})
 	return mux
@@ -188,9 +188,9 @@
 // isRented reports whether a machine is rented now. The caller holds rentalMu.
 func (w *Worker) isRented() bool { return w.ctx != nil && !w.returned }
 
-// rentMachines rents as many machines as there are, up to the count. A repeated request returns the machines of the
+// scaleOut rents as many machines as there are, up to the count. A repeated request returns the machines of the
 // first.
-func (all *Workers) rentMachines(request wire.ScaleOutRequest) []string {
+func (all *Workers) scaleOut(request wire.ScaleOutRequest) []string {
 	all.rentalMu.Lock()
 	defer all.rentalMu.Unlock()
 	names, ok := all.rentals[request.IdempotencyKey]
@@ -215,8 +215,8 @@
 	return names
 }
 
-// returnMachines ends rentals; a returned machine is never rented again.
-func (all *Workers) returnMachines(names []string) {
+// scaleIn ends rentals; a returned machine is never rented again.
+func (all *Workers) scaleIn(names []string) {
 	all.rentalMu.Lock()
 	defer all.rentalMu.Unlock()
 	for _, worker := range all.workers {
@@ -239,13 +239,13 @@
 	return count
 }
 
-// CutZone partitions the machines of a zone: they send no heartbeats, and requests to them wait. Their tasks keep
+// PartitionZone partitions the machines of a zone: they send no heartbeats, and requests to them wait. Their tasks keep
 // running. An empty zone ends the partition.
-func (all *Workers) CutZone(zone string) { all.cutZone.Store(&zone) }
+func (all *Workers) PartitionZone(zone string) { all.partitionedZone.Store(&zone) }
 
-// isZoneCut reports whether the machine's zone is partitioned.
-func (w *Worker) isZoneCut() bool {
-	zone := w.fleet.cutZone.Load()
+// isPartitioned reports whether the machine's zone is partitioned.
+func (w *Worker) isPartitioned() bool {
+	zone := w.fleet.partitionedZone.Load()
 	return zone != nil && *zone == w.machine.Zone
 }
 
@@ -271,7 +271,7 @@
 		http.Error(rw, "no such machine", http.StatusNotFound)
 		return
 	}
-	for worker.isZoneCut() {
+	for worker.isPartitioned() {
 		select {
 		case <-r.Context().Done():
 			return
@@ -354,11 +354,11 @@
 		return
 	}
 	w.tasks = append(w.tasks, status)
-	time.AfterFunc(imageFetchTime, func() {
+	time.AfterFunc(imagePullTime, func() {
 		w.transitionTask(command, wire.TaskPullingImage, wire.TaskRunning, "")
 	})
 	if duration > 0 {
-		time.AfterFunc(imageFetchTime+duration, func() {
+		time.AfterFunc(imagePullTime+duration, func() {
 			w.transitionTask(command, wire.TaskRunning, wire.TaskExited, wire.CauseDone)
 		})
 	}
@@ -414,7 +414,7 @@
 			timer.Stop()
 		}
 		wait = w.fleet.heartbeatInterval*3/4 + rand.N(w.fleet.heartbeatInterval/2)
-		if w.isZoneCut() {
+		if w.isPartitioned() {
 			wait = zoneCheckInterval
 			continue
 		}
--- a/internal/fakes/workers_test.go
+++ b/internal/fakes/workers_test.go
@@ -57,21 +57,21 @@
 }
 
 // A scale-out request has one outcome, however often it is repeated, and a returned machine is never rented again.
-func TestCloudRentIsIdempotent(t *testing.T) {
+func TestScaleOutIsIdempotent(t *testing.T) {
 	machineType := wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a", "b"}}
 	all := NewWorkers(4, machineType, []string{"127.0.0.1:1"}, time.Minute, nil)
 	all.ctx = t.Context()
 	request := wire.ScaleOutRequest{IdempotencyKey: "h-1", Type: "x", Zone: "a", Count: 5}
-	first, again := all.rentMachines(request), all.rentMachines(request)
+	first, again := all.scaleOut(request), all.scaleOut(request)
 	if len(first) != 2 || len(again) != 2 || first[0] != again[0] || all.RentedCount() != 2 {
 		t.Errorf("%v, then %v", first, again)
 	}
 	if list := all.listMachines("", 1); len(list.Machines) != 1 || !list.More {
 		t.Errorf("a page of one of two: %+v", list)
 	}
-	all.returnMachines(first[:1])
+	all.scaleIn(first[:1])
 	request.IdempotencyKey = "h-2"
-	if all.RentedCount() != 1 || len(all.rentMachines(request)) != 0 || len(all.listMachines("", 9).Machines) != 1 {
+	if all.RentedCount() != 1 || len(all.scaleOut(request)) != 0 || len(all.listMachines("", 9).Machines) != 1 {
 		t.Error("a machine that was returned is rented again")
 	}
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -160,9 +160,9 @@
 	}
 }
 
-// same compares what is written now with a golden file, as JSON: the order of fields does not count. It returns the
+// checkGolden compares what is written now with a golden file, as JSON: the order of fields does not count. It returns the
 // contents of the file.
-func same(t *testing.T, file string, got map[string]any) map[string]json.RawMessage {
+func checkGolden(t *testing.T, file string, got map[string]any) map[string]json.RawMessage {
 	t.Helper()
 	file = "testdata/" + file + ".json"
 	if *update {
@@ -239,8 +239,8 @@
 	return out
 }
 
-// written is a value with everything set, and one with nothing set: that shows what is omitted.
-type written struct {
+// encodedForms is a value with everything set, and one with nothing set: that shows what is omitted.
+type encodedForms struct {
 	Filled json.RawMessage `json:"filled"`
 	Zero   json.RawMessage `json:"zero"`
 }
@@ -260,13 +260,13 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		got[name], full[name] = written{raw, zero}, all.Interface()
+		got[name], full[name] = encodedForms{raw, zero}, all.Interface()
 	}
-	for name, raw := range same(t, file, got) {
+	for name, raw := range checkGolden(t, file, got) {
 		if types[name] == nil {
 			continue
 		}
-		var w written
+		var w encodedForms
 		var text bytes.Buffer
 		if err := json.Unmarshal(raw, &w); err != nil {
 			t.Fatal(err)
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -54,7 +54,7 @@
 		}
 		got[name] = message{raw, lines}
 	}
-	for name, raw := range same(t, "messages", got) {
+	for name, raw := range checkGolden(t, "messages", got) {
 		if all[name] == nil {
 			continue
 		}
@@ -74,7 +74,7 @@
 }
 
 // The names of enum values must stay: they are in texts and responses.
-func TestChoices(t *testing.T) {
+func TestEnumValueNames(t *testing.T) {
 	got := map[string]any{}
 	for name, enum := range map[string]protoreflect.Enum{
 		"verb":    pb.Verb(0),
@@ -88,5 +88,5 @@
 		}
 		got[name] = list
 	}
-	same(t, "choices", got)
+	checkGolden(t, "choices", got)
 }
--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -25,15 +25,15 @@
 	"dewlift/wire"
 )
 
-// stored is a value of the store, or a file: how it is written, and what it is read as.
-type stored struct {
+// storedFormat is a value of the store, or a file: how it is written, and what it is read as.
+type storedFormat struct {
 	write func() ([]byte, error)
 	read  func(raw []byte) (any, error)
 	want  any
 }
 
-// messageOf fills a message.
-func messageOf[T protobuf.Message](message T, path string) T {
+// filledProto fills a message.
+func filledProto[T protobuf.Message](message T, path string) T {
 	fillMessage(message.ProtoReflect(), path)
 	return message
 }
@@ -47,17 +47,17 @@
 	return reflect.DeepEqual(got, want)
 }
 
-// placed is a record with its expanded assignments.
-type placed struct {
-	record jobrecord.Record
-	place  []jobrecord.Assignment
+// expandedRecord is a record with its expanded assignments.
+type expandedRecord struct {
+	record      jobrecord.Record
+	assignments []jobrecord.Assignment
 }
 
 // machine is a machine as a record refers to it.
 type machine struct{ name, zone string }
 
 // storedRecord is a job's record with everything set and tasks on machines.
-func storedRecord(machines []machine, packed bool) stored {
+func storedRecord(machines []machine, packed bool) storedFormat {
 	record := filled[jobrecord.Record]("record")
 	record.Assignments, record.PackedLists = nil, nil
 	record.CompletedTasks, record.Spec.Tasks = jobrecord.TaskSet{0, 2, 9, 9}, 40
@@ -69,7 +69,7 @@
 		{Task: 10, Machine: 2, Incarnation: 1 << 40, Attempt: 1},
 		{Task: 11, Machine: 3, Incarnation: 6, Attempt: 2},
 	}
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) {
 			return jobrecord.Encode(record, assignments, packed, func(index int32) (name, zone string) {
 				return machines[index].name, machines[index].zone
@@ -87,15 +87,15 @@
 				return cmp.Or(cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.Task, b.Task))
 			})
 			got.Assignments = nil
-			return placed{*got, list}, nil
+			return expandedRecord{*got, list}, nil
 		},
-		want: placed{*record, assignments},
+		want: expandedRecord{*record, assignments},
 	}
 }
 
 // plainRecord is a record without assignments.
-func plainRecord(record jobrecord.Record) stored {
-	return stored{
+func plainRecord(record jobrecord.Record) storedFormat {
+	return storedFormat{
 		write: func() ([]byte, error) { return jobrecord.Encode(&record, nil, false, nil) },
 		read: func(raw []byte) (any, error) {
 			got, err := jobrecord.Decode(raw)
@@ -109,8 +109,8 @@
 }
 
 // storedMessage is a message that is stored packed.
-func storedMessage(message protobuf.Message) stored {
-	return stored{
+func storedMessage(message protobuf.Message) storedFormat {
+	return storedFormat{
 		write: func() ([]byte, error) { return jobrecord.PackMessage(message) },
 		read: func(raw []byte) (any, error) {
 			got := message.ProtoReflect().New().Interface()
@@ -121,9 +121,9 @@
 }
 
 // storedCatalog is the catalog, packed if it has more than maxBytes.
-func storedCatalog(maxBytes int) stored {
+func storedCatalog(maxBytes int) storedFormat {
 	catalog := filled[wire.Catalog]("types")
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) { return jobrecord.EncodeCatalog(catalog, maxBytes, true) },
 		read:  func(raw []byte) (any, error) { return jobrecord.DecodeCatalog(raw) },
 		want:  *catalog,
@@ -133,14 +133,14 @@
 var auditKey = audit.Key("a key of thirty-two bytes or more")
 
 // storedBlock is a block of an audit chain after a head.
-func storedBlock() stored {
+func storedBlock() storedFormat {
 	const clockErrorMS = 250
 	head := filled[audit.Head]("head")
 	var entries [][]byte
 	for _, name := range []string{"first", "second"} {
-		entries = append(entries, audit.Encode(messageOf(&pb.AuditEntry{}, name)))
+		entries = append(entries, audit.EncodeEntry(filledProto(&pb.AuditEntry{}, name)))
 	}
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) {
 			raw, count, _, err := auditKey.EncodeNextBlock(head, "node-a", clockErrorMS, entries, 1<<20)
 			if count != len(entries) {
@@ -161,7 +161,7 @@
 			}
 			out := &pb.AuditBlock{Number: block.Number, BoundMs: block.ClockErrorMS}
 			for _, entry := range block.Entries {
-				out.Entries = append(out.Entries, audit.Encode(entry))
+				out.Entries = append(out.Entries, audit.EncodeEntry(entry))
 			}
 			return out, nil
 		},
@@ -169,10 +169,10 @@
 	}
 }
 
-// storedCarried is an audit entry as a stored value carries it.
-func storedCarried() stored {
-	entry := messageOf(&pb.AuditEntry{}, "carried")
-	return stored{
+// storedPendingEntry is an audit entry as a stored value carries it.
+func storedPendingEntry() storedFormat {
+	entry := filledProto(&pb.AuditEntry{}, "carried")
+	return storedFormat{
 		write: func() ([]byte, error) { return json.Marshal(auditKey.SignEntry("node-a", "dl/job/wk-1", entry)) },
 		read: func(raw []byte) (any, error) {
 			var pending audit.PendingEntry
@@ -186,7 +186,7 @@
 }
 
 // storedArchive is a block of the archive.
-func storedArchive() stored {
+func storedArchive() storedFormat {
 	block := &archive.Block{Low: "wk-", High: archive.MaxID, Entries: []archive.Entry{
 		{ID: "wk-1", CompletedTasks: 7, Team: "team", Class: "class"},
 		{
@@ -200,7 +200,7 @@
 		},
 		{ID: "wk-3", CompletedTasks: 100_000},
 	}}
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) { return block.Encode() },
 		read:  func(raw []byte) (any, error) { return archive.Decode(raw) },
 		want:  block,
@@ -208,12 +208,12 @@
 }
 
 // storedSnapshot is a file of two parts.
-func storedSnapshot() stored {
-	keys := messageOf(&pb.Keys{}, "snapshot")
+func storedSnapshot() storedFormat {
+	keys := filledProto(&pb.Keys{}, "snapshot")
 	keys.Keys[0].Value = bytes.Repeat([]byte("7"), 256<<10)
 	want := protobuf.Clone(keys).(*pb.Keys)
 	want.Keys = append(want.Keys, &pb.Key{Name: "trailer of 2 parts", Mark: 77, Value: []byte("1700000000123")})
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) {
 			var file bytes.Buffer
 			writer, err := snapshot.NewWriter(&file)
@@ -249,7 +249,7 @@
 }
 
 // plainRecords are records without assignments, by what they are of.
-func plainRecords() map[string]stored {
+func plainRecords() map[string]storedFormat {
 	entry := jobrecord.Record{
 		WriteNumber:    7,
 		Shard:          3,
@@ -276,7 +276,7 @@
 		Team:           "team",
 		Class:          "class",
 	}
-	return map[string]stored{
+	return map[string]storedFormat{
 		"record, nothing in it":        plainRecord(jobrecord.Record{}),
 		"record of a job that is done": plainRecord(ended),
 		"record of a cancelled job":    plainRecord(cancelled),
@@ -285,10 +285,10 @@
 }
 
 // assignedRecords are records with assignments, which are stored in different forms.
-func assignedRecords() map[string]stored {
+func assignedRecords() map[string]storedFormat {
 	numbers := []machine{{"m-001", "a"}, {"m-017", "a"}, {"m-900", "b"}, {"m-002", "c"}}
 	words := []machine{{"kiln-ab", "a"}, {"kiln-cdé", "a"}, {"oven", "b"}, {"x", "c"}}
-	return map[string]stored{
+	return map[string]storedFormat{
 		"record, machines by number":                  storedRecord(numbers, false),
 		"record, machines by number, packed":          storedRecord(numbers, true),
 		"record, machines by name":                    storedRecord(words, false),
@@ -308,8 +308,8 @@
 }
 
 // restoredRecord is a record that was restored before and is prepared for a restore again.
-func restoredRecord(record stored) stored {
-	return stored{
+func restoredRecord(record storedFormat) storedFormat {
+	return storedFormat{
 		write: func() ([]byte, error) {
 			raw, err := record.write()
 			return jobrecord.PrepareForRestore(raw, 7, 2_000_000), err
@@ -320,9 +320,9 @@
 }
 
 // firstRestoredRecord is a record that is prepared for its first restore.
-func firstRestoredRecord() stored {
+func firstRestoredRecord() storedFormat {
 	first := jobrecord.Record{WriteNumber: 1, Shard: 2, EnqueueRevision: 11, Spec: filled[wire.JobSpec]("spec")}
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) {
 			raw, err := jobrecord.Encode(&first, nil, false, nil)
 			return jobrecord.PrepareForRestore(raw, 7, 30), err
@@ -333,9 +333,9 @@
 }
 
 // storedInventory is the inventory of equipment.
-func storedInventory() stored {
-	list := messageOf(&pb.Equipment{}, "list")
-	return stored{
+func storedInventory() storedFormat {
+	list := filledProto(&pb.Equipment{}, "list")
+	return storedFormat{
 		write: func() ([]byte, error) { return reservations.EncodeInventory(list) },
 		// core/reservations reads it; here it is the packed message under another name
 		read: func(raw []byte) (any, error) {
@@ -357,8 +357,8 @@
 }
 
 // storedAuditHead is the head of an audit chain.
-func storedAuditHead() stored {
-	return stored{
+func storedAuditHead() storedFormat {
+	return storedFormat{
 		write: func() ([]byte, error) { return json.Marshal(filled[audit.Head]("head")) },
 		read: func(raw []byte) (any, error) {
 			head := &audit.Head{}
@@ -369,12 +369,12 @@
 }
 
 // otherValues are all stored values but records, and the file of a snapshot.
-func otherValues() map[string]stored {
+func otherValues() map[string]storedFormat {
 	entries := batchvalue.Entries{
 		"wk-1": json.RawMessage(`{"h":3,"v":7}`),
 		"wk-2": json.RawMessage(`{"h":3,"v":8,"d":[0,1]}`),
 	}
-	return map[string]stored{
+	return map[string]storedFormat{
 		"shared value": {
 			write: func() ([]byte, error) { return entries.Encode() },
 			read:  func(raw []byte) (any, error) { return batchvalue.Decode(raw) },
@@ -382,12 +382,12 @@
 		},
 		"machine types":         storedCatalog(1 << 20),
 		"machine types, packed": storedCatalog(1),
-		"roles":                 storedMessage(&pb.Access{Roles: messageOf(&pb.Access{}, "roles").Roles}),
-		"identity":              storedMessage(messageOf(&pb.Identity{}, "identity")),
-		"lanes":                 storedMessage(messageOf(&pb.Lanes{}, "lanes")),
+		"roles":                 storedMessage(&pb.Access{Roles: filledProto(&pb.Access{}, "roles").Roles}),
+		"identity":              storedMessage(filledProto(&pb.Identity{}, "identity")),
+		"lanes":                 storedMessage(filledProto(&pb.Lanes{}, "lanes")),
 		"list of equipment":     storedInventory(),
 		"audit block":           storedBlock(),
-		"carried entry":         storedCarried(),
+		"carried entry":         storedPendingEntry(),
 		"audit head":            storedAuditHead(),
 		"archive":               storedArchive(),
 		"snapshot file":         storedSnapshot(),
@@ -396,9 +396,9 @@
 
 // Every stored value that has exported types must be written as the same bytes in all its forms, and the bytes of
 // earlier versions must be read.
-func TestStored(t *testing.T) {
-	all := map[string]stored{}
-	for _, values := range []map[string]stored{plainRecords(), assignedRecords(), otherValues()} {
+func TestStoredValues(t *testing.T) {
+	all := map[string]storedFormat{}
+	for _, values := range []map[string]storedFormat{plainRecords(), assignedRecords(), otherValues()} {
 		maps.Copy(all, values)
 	}
 	got := map[string]any{}
@@ -413,7 +413,7 @@
 			got[name] = raw
 		}
 	}
-	for name, golden := range same(t, "stored", got) {
+	for name, golden := range checkGolden(t, "stored", got) {
 		value, ok := all[name]
 		if !ok {
 			continue
@@ -444,7 +444,7 @@
 
 // The exported keys of the store, its schema version and stored words must stay.
 func TestKeys(t *testing.T) {
-	same(t, "keys", map[string]any{
+	checkGolden(t, "keys", map[string]any{
 		"all": []string{
 			core.Root,
 			core.KeyFencingToken,
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -98,10 +98,10 @@
 func TestBodies(t *testing.T) { checkTypes(t, "bodies", bodies()) }
 
 // Messages between controllers must stay.
-func TestMesh(t *testing.T) { checkTypes(t, "mesh", messages()) }
+func TestPeerMessages(t *testing.T) { checkTypes(t, "mesh", messages()) }
 
 // Every exported type of these packages that has JSON tags must be among the golden types.
-func TestNoTypeIsLeftOut(t *testing.T) {
+func TestEveryTaggedTypeIsListed(t *testing.T) {
 	for dir, types := range map[string]map[string]any{"../../wire": bodies(), "../../core": messages()} {
 		listed := map[string]bool{}
 		for _, v := range types {
@@ -154,7 +154,7 @@
 // The settings of the platform, and the names under which they are audited, must stay.
 func TestPlatform(t *testing.T) {
 	checkTypes(t, "platform", map[string]any{"platform": new(settings.Platform)})
-	same(
+	checkGolden(
 		t,
 		"recorded",
 		map[string]any{
@@ -165,7 +165,7 @@
 
 // Names of paths, stages and causes must stay.
 func TestNames(t *testing.T) {
-	same(t, "names", map[string]any{
+	checkGolden(t, "names", map[string]any{
 		"paths": []string{
 			wire.PathJobs,
 			wire.PathHealth,
@@ -229,7 +229,7 @@
 		}
 		got[name] = spec
 	}
-	same(t, "submissions", got)
+	checkGolden(t, "submissions", got)
 }
 
 // A token must be signed as before, and one signed before must be accepted.
@@ -245,7 +245,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, raw := range same(t, "token", map[string]any{"token": token, "public key": privateKey.PublicBase64()}) {
+	for name, raw := range checkGolden(t, "token", map[string]any{"token": token, "public key": privateKey.PublicBase64()}) {
 		if name != "token" {
 			continue
 		}
@@ -253,7 +253,7 @@
 		if err := json.Unmarshal(raw, &was); err != nil {
 			t.Fatal(err)
 		}
-		id, ok := access.PeekKey(was)
+		id, ok := access.PeekKeyID(was)
 		key, until, err := policy.VerifyToken(was, now, time.Second)
 		if err != nil || !ok || id != "anna-1" || key.Holder != "anna" || !until.Equal(now.Add(time.Hour)) {
 			t.Errorf("the token is one of %q until %v (%v)", id, until, err)
@@ -262,7 +262,7 @@
 }
 
 // Every field that is sent or stored as JSON must have a tag: else its Go name would be its name on the wire.
-func TestEveryFieldIsNamed(t *testing.T) {
+func TestEveryFieldHasTag(t *testing.T) {
 	visited := map[reflect.Type]bool{}
 	var walk func(typ reflect.Type)
 	walk = func(typ reflect.Type) {
--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -195,7 +195,7 @@
 	if err != nil {
 		return fmt.Errorf("create profile: %w", err)
 	}
-	workers.CutZone(*cutZone)
+	workers.PartitionZone(*cutZone)
 	ackedBefore, failedBefore := workers.HeartbeatCounts()
 	if err := pprof.StartCPUProfile(profile); err != nil {
 		return fmt.Errorf("start profile: %w", err)
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -541,7 +541,7 @@
 	if i%10 == 0 {
 		entry.Verb, entry.Why = "cancel", ""
 	}
-	return audit.Encode(entry)
+	return audit.EncodeEntry(entry)
 }
 
 // fillAuditBlocks stores a chain of blocks with so many entries.
--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -17,13 +17,13 @@
 
 var auditKey = audit.Key("the key of the sites in the tests")
 
-// maxCarriedTime is how long an entry may be stored with its change before it is in a block: longer than any outage.
-const maxCarriedTime = 120 * time.Second
+// maxPendingTime is how long an entry may be stored with its change before it is in a block: longer than any outage.
+const maxPendingTime = 120 * time.Second
 
 // Keys of the audit log.
 const (
-	keyAuditBegun      = core.Root + "audit/begun" // exists once every change needs its entry
-	auditCarrierPrefix = core.Root + "audit/of/"   // values that carry entries of changes without a value of their own
+	keyAuditInitialized = core.Root + "audit/begun" // exists once every change needs its entry
+	auditCarrierPrefix  = core.Root + "audit/of/"   // values that carry entries of changes without a value of their own
 )
 
 // entryID identifies an audit entry.
@@ -37,7 +37,7 @@
 type auditChecker struct {
 	checker     *Checker
 	now         func() time.Duration
-	carriedAt   map[entryID]time.Duration // when an entry was stored with its change
+	storedAt    map[entryID]time.Duration // when an entry was stored with its change
 	blockCounts map[entryID]int           // blocks that contain an entry
 	verbCounts  map[string]int            // entries in blocks by verb
 }
@@ -46,7 +46,7 @@
 	return &auditChecker{
 		checker:     checker,
 		now:         now,
-		carriedAt:   map[entryID]time.Duration{},
+		storedAt:    map[entryID]time.Duration{},
 		blockCounts: map[entryID]int{},
 		verbCounts:  map[string]int{},
 	}
@@ -54,7 +54,7 @@
 
 // entryCarrier is the part of a stored value that carries entries, and of a job's record that shows its changes.
 type entryCarrier struct {
-	Carried     []audit.PendingEntry `json:"e"`
+	Entries     []audit.PendingEntry `json:"e"`
 	Stage       string               `json:"st"`
 	User        string               `json:"u"`
 	StopReasons []stopReason         `json:"w"`
@@ -108,10 +108,10 @@
 			r.violated("%s carries a bad entry: %v", key, err)
 			continue
 		}
-		if _, carried := r.carriedAt[id]; carried {
+		if _, carried := r.storedAt[id]; carried {
 			r.violated("%s carries entry %v, which was written before", key, id)
 		}
-		r.carriedAt[id] = r.now()
+		r.storedAt[id] = r.now()
 		out[entry.Verb] = append(out[entry.Verb], entry)
 	}
 	for id := range had {
@@ -124,7 +124,7 @@
 
 // CheckTxn checks a transaction that is about to be executed.
 func (r *auditChecker) CheckTxn(keys map[string]*wire.KeyValue, txn wire.Txn) {
-	isOn := keys[keyAuditBegun] != nil
+	isOn := keys[keyAuditInitialized] != nil
 	separate := r.checkAuditWrites(keys, txn)
 	if !isOn {
 		return
@@ -182,7 +182,7 @@
 // newEntriesOf returns the entries that a write adds to those that its key carried, by verb.
 func (r *auditChecker) newEntriesOf(keys map[string]*wire.KeyValue, write wire.Write) map[string][]*pb.AuditEntry {
 	key := write.Put + write.Delete
-	return r.newEntries(key, storedCarrier(keys, key).Carried, decodeEntryCarrier(write.Value).Carried)
+	return r.newEntries(key, storedCarrier(keys, key).Entries, decodeEntryCarrier(write.Value).Entries)
 }
 
 // checkJobWrite checks the write of a job's record: a submission, a cancellation or a preemption has its entry, and
@@ -192,9 +192,9 @@
 	before, after := storedCarrier(keys, key), decodeEntryCarrier(write.Value)
 	wasRequested := keys[cancelKey] != nil
 	if wasRequested && slices.ContainsFunc(txn.Then, func(w wire.Write) bool { return w.Delete == cancelKey }) {
-		before.Carried = append(before.Carried, storedCarrier(keys, cancelKey).Carried...)
+		before.Entries = append(before.Entries, storedCarrier(keys, cancelKey).Entries...)
 	}
-	added := r.newEntries(key, before.Carried, after.Carried)
+	added := r.newEntries(key, before.Entries, after.Entries)
 	isNew := keys[key] == nil
 	isCancelled := after.Stage == "c" && before.Stage == "" && !wasRequested
 	isStopped := slices.ContainsFunc(after.StopReasons, func(reason stopReason) bool {
@@ -245,7 +245,7 @@
 		case "forged":
 			r.violated("entry %v: %s", id, entry.Why)
 		default:
-			if _, carried := r.carriedAt[id]; !carried {
+			if _, carried := r.storedAt[id]; !carried {
 				r.violated("entry %v is in a block and its change was not made: %v", id, entry)
 			}
 		}
@@ -257,7 +257,7 @@
 	carried := map[entryID]bool{}
 	chains := map[string]*audit.ChainVerifier{}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		for _, pending := range decodeEntryCarrier(keys[key].Value).Carried {
+		for _, pending := range decodeEntryCarrier(keys[key].Value).Entries {
 			carried[entryID{pending.Node, pending.Incarnation, pending.Sequence}] = true
 		}
 		if node, number, ok := audit.SplitBlockKey(key); ok {
@@ -269,8 +269,8 @@
 			}
 		}
 	}
-	for id, at := range r.carriedAt {
-		if r.blockCounts[id] == 0 && (!carried[id] || r.now()-at > maxCarriedTime) {
+	for id, at := range r.storedAt {
+		if r.blockCounts[id] == 0 && (!carried[id] || r.now()-at > maxPendingTime) {
 			r.violated("entry %v, written at %v, is in no block, carried: %v", id, at, carried[id])
 		}
 	}
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -18,11 +18,11 @@
 	adjustOptions  func(options *Options)
 	beforeCancel   func(w *Simulator, blind []*node) // 1.5 s before the cancellations; blind lists the leader first
 	cancel         func(w *Simulator, id string, blind []*node)
-	onCancelTold   func(w *Simulator, teller *node) // right after a user was told
+	onCancelAcked  func(w *Simulator, teller *node) // right after a user was told
 	outage         time.Duration                    // 0: 70 s
 	duringOutage   func(w *Simulator, blind []*node)
 	delayedCommits bool // transactions are executed 2 to 5 s late meanwhile
-	workMayDie     bool // tasks that are not cancelled may end: no majority of controllers is loaded
+	tasksMayEnd    bool // tasks that are not cancelled may end: no majority of controllers is loaded
 }
 
 const (
@@ -86,7 +86,7 @@
 	}, "submit", spec.ID, isAccepted, func(*node) {})
 }
 
-func (w *Simulator) cancelUntilTold(pick func() *node, id string, told func(*node)) {
+func (w *Simulator) cancelUntilAcked(pick func() *node, id string, told func(*node)) {
 	w.Checker.CancelRequested(id)
 	w.requestUntil(pick, func(requestID uint64) core.Input {
 		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS()}
@@ -101,12 +101,12 @@
 
 // outageRun is one run of a scenario.
 type outageRun struct {
-	t         *testing.T
-	sim       *Simulator
-	scenario  outageScenario
-	blind     []*node           // all controllers, the leader first, as of 1.5 s before the cancellations
-	placement map[string]string // of the tasks that nobody cancels, then
-	told      int               // cancellations that a user was told of
+	t            *testing.T
+	sim          *Simulator
+	scenario     outageScenario
+	leaderFirst  []*node           // all controllers, the leader first, as of 1.5 s before the cancellations
+	placement    map[string]string // of the tasks that nobody cancels, then
+	ackedCancels int               // cancellations that a user was told of
 }
 
 // runOutageScenario plays a scenario and checks both sides: cancelled tasks stop in time, and all others keep
@@ -133,8 +133,8 @@
 	for _, violation := range run.sim.Checker.Violations {
 		t.Errorf("seed %d at %v: %s", seed, run.sim.now, violation)
 	}
-	if scenario.cancel == nil && run.told != scenarioJobs/2 {
-		t.Errorf("%d cancellations told", run.told)
+	if scenario.cancel == nil && run.ackedCancels != scenarioJobs/2 {
+		t.Errorf("%d cancellations told", run.ackedCancels)
 	}
 }
 
@@ -175,8 +175,8 @@
 	}
 }
 
-// keptPlacement returns by task the machine, with its incarnation, of the tasks that nobody cancels.
-func (r *outageRun) keptPlacement() map[string]string {
+// uncancelledPlacement returns by task the machine, with its incarnation, of the tasks that nobody cancels.
+func (r *outageRun) uncancelledPlacement() map[string]string {
 	placement := map[string]string{}
 	for i := 0; i < scenarioJobs; i += 2 {
 		for task := range scenarioTasks {
@@ -193,14 +193,14 @@
 func (r *outageRun) scheduleCancellations() {
 	w := r.sim
 	w.schedule(cancellationTime-1500*time.Millisecond, func() {
-		r.placement = r.keptPlacement()
-		r.blind = []*node{w.leaderNode()}
+		r.placement = r.uncancelledPlacement()
+		r.leaderFirst = []*node{w.leaderNode()}
 		for _, n := range w.nodes {
-			if n != r.blind[0] {
-				r.blind = append(r.blind, n)
+			if n != r.leaderFirst[0] {
+				r.leaderFirst = append(r.leaderFirst, n)
 			}
 		}
-		r.scenario.beforeCancel(w, r.blind)
+		r.scenario.beforeCancel(w, r.leaderFirst)
 	})
 	w.schedule(cancellationTime, func() {
 		for i := 1; i < scenarioJobs; i += 2 {
@@ -213,13 +213,13 @@
 func (r *outageRun) cancel(id string) {
 	w := r.sim
 	if r.scenario.cancel != nil {
-		r.scenario.cancel(w, id, r.blind)
+		r.scenario.cancel(w, id, r.leaderFirst)
 		return
 	}
-	w.cancelUntilTold(w.randomNodeExcept(r.blind[:1]), id, func(teller *node) {
-		r.told++
-		if r.scenario.onCancelTold != nil {
-			r.scenario.onCancelTold(w, teller)
+	w.cancelUntilAcked(w.randomNodeExcept(r.leaderFirst[:1]), id, func(teller *node) {
+		r.ackedCancels++
+		if r.scenario.onCancelAcked != nil {
+			r.scenario.onCancelAcked(w, teller)
 		}
 	})
 }
@@ -237,20 +237,20 @@
 		}
 	}
 	w.schedule(cancellationTime+2*time.Second, func() { w.store.startOutage(scenario.outage) })
-	w.schedule(cancellationTime+scenario.outage, r.checkPlacementKept)
+	w.schedule(cancellationTime+scenario.outage, r.checkPlacementUnchanged)
 	if scenario.duringOutage != nil {
-		w.schedule(cancellationTime+2*time.Second, func() { scenario.duringOutage(w, r.blind) })
+		w.schedule(cancellationTime+2*time.Second, func() { scenario.duringOutage(w, r.leaderFirst) })
 	}
 }
 
-// checkPlacementKept checks that all tasks that nobody cancelled ran, and that the outage ended none.
-func (r *outageRun) checkPlacementKept() {
-	placement := r.keptPlacement()
+// checkPlacementUnchanged checks that all tasks that nobody cancelled ran, and that the outage ended none.
+func (r *outageRun) checkPlacementUnchanged() {
+	placement := r.uncancelledPlacement()
 	if len(r.placement) != scenarioJobs/2*scenarioTasks {
 		r.t.Errorf("%d tasks ran", len(r.placement))
 	}
 	for task, machine := range r.placement {
-		if placement[task] != machine && !r.scenario.workMayDie {
+		if placement[task] != machine && !r.scenario.tasksMayEnd {
 			r.t.Errorf("%s was on %s and is on %q: an outage of the store alone ended it",
 				task, machine, placement[task])
 		}
@@ -302,19 +302,19 @@
 		},
 		"two of five": {nodes: 5, beforeCancel: refuseNodes(2)},
 		"two of three": {beforeCancel: refuseNodes(2), cancel: func(w *Simulator, id string, blind []*node) {
-			w.cancelUntilTold(w.randomNodeExcept(blind[:2]), id, func(*node) {})
+			w.cancelUntilAcked(w.randomNodeExcept(blind[:2]), id, func(*node) {})
 		}},
 		"reads of changes": {
 			beforeCancel: func(w *Simulator, blind []*node) { w.store.stalledWatches[blind[0].name] = true },
 		},
 		"held packets":       {beforeCancel: isolateLeader(14*time.Second, false)},
 		"told by a question": {beforeCancel: refuseNodes(1), cancel: pollAfterLostCancel},
-		"the teller ends":    {beforeCancel: refuseNodes(1), onCancelTold: (*Simulator).crashIfUp, workMayDie: true},
+		"the teller ends":    {beforeCancel: refuseNodes(1), onCancelAcked: (*Simulator).crashIfUp, tasksMayEnd: true},
 		"the teller ends and is back at once": {
 			beforeCancel:  refuseNodes(1),
 			adjustOptions: func(o *Options) { o.FlappingProcesses = true },
-			onCancelTold:  (*Simulator).crashIfUp,
-			workMayDie:    true,
+			onCancelAcked: (*Simulator).crashIfUp,
+			tasksMayEnd:   true,
 		},
 		"the blind one stands still": {beforeCancel: refuseNodes(1), duringOutage: func(w *Simulator, blind []*node) {
 			for at := time.Duration(0); at < 60*time.Second; at += 9 * time.Second {
@@ -322,8 +322,8 @@
 			}
 		}},
 		"the teller stands still": {
-			beforeCancel: refuseNodes(1),
-			onCancelTold: func(w *Simulator, n *node) { n.pausedUntil = max(n.pausedUntil, w.now+8*time.Second) },
+			beforeCancel:  refuseNodes(1),
+			onCancelAcked: func(w *Simulator, n *node) { n.pausedUntil = max(n.pausedUntil, w.now+8*time.Second) },
 		},
 		"executed late": {beforeCancel: refuseNodes(1), delayedCommits: true},
 		"beside production": {
@@ -339,8 +339,8 @@
 			beforeCancel:  refuseNodes(1),
 			adjustOptions: func(o *Options) { o.CancelTimeout, o.WorkerLease = 26*time.Second, 20*time.Second },
 		},
-		"machines hang":                  {beforeCancel: hangMachinesPastCancelTimeout, workMayDie: true},
-		"cut from state and controllers": {beforeCancel: isolateLeader(90*time.Second, true), workMayDie: true},
+		"machines hang":                  {beforeCancel: hangMachinesPastCancelTimeout, tasksMayEnd: true},
+		"cut from state and controllers": {beforeCancel: isolateLeader(90*time.Second, true), tasksMayEnd: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -381,7 +381,7 @@
 		w.schedule(5*time.Second, func() { w.submitUntilAccepted(w.randomNodeExcept(nil), first) })
 		w.schedule(50*time.Second, func() { w.submitUntilAccepted(w.randomNodeExcept(nil), spec) })
 		w.schedule(51*time.Second, func() {
-			w.cancelUntilTold(w.randomNodeExcept(nil), spec.ID, func(*node) {
+			w.cancelUntilAcked(w.randomNodeExcept(nil), spec.ID, func(*node) {
 				toldAt = w.now
 				w.store.startOutage(75 * time.Second)
 			})
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -38,19 +38,19 @@
 
 // observedJob is what users and machines show of a job.
 type observedJob struct {
-	spec            wire.JobSpec
-	submitted       bool
-	accepted        bool
-	acceptedAt      time.Duration
-	stage           string         // "done" or "cancelled" once a user was told
-	cancelRequested bool           // its user asked to cancel it
-	endToldAt       time.Duration  // when a user was first told of its end
-	cancelToldAt    time.Duration  // when a user was told of the cancellation
-	completedTasks  map[int]bool   // tasks completed on a worker
-	tasksByZone     map[string]int // running tasks by zone
-	runningTasks    int            // tasks on machines
-	startedAt       time.Duration  // when a task of it first started; 0: never
-	readyAt         time.Duration  // when its last dependency was done; notReady before
+	spec             wire.JobSpec
+	submitted        bool
+	accepted         bool
+	acceptedAt       time.Duration
+	stage            string         // "done" or "cancelled" once a user was told
+	cancelRequested  bool           // its user asked to cancel it
+	endReportedAt    time.Duration  // when a user was first told of its end
+	cancelReportedAt time.Duration  // when a user was told of the cancellation
+	completedTasks   map[int]bool   // tasks completed on a worker
+	tasksByZone      map[string]int // running tasks by zone
+	runningTasks     int            // tasks on machines
+	startedAt        time.Duration  // when a task of it first started; 0: never
+	readyAt          time.Duration  // when its last dependency was done; notReady before
 	// unansweredSince is when the first unanswered request about it was sent, since the last answered one and
 	// faultFreeFrom; 0: none.
 	unansweredSince time.Duration
@@ -150,7 +150,7 @@
 		k.recordAcceptance(job, now)
 	}
 	if job.stage != "" && stage != job.stage {
-		if sentAt < job.endToldAt && stage != wire.StageDone && stage != wire.StageCancelled {
+		if sentAt < job.endReportedAt && stage != wire.StageDone && stage != wire.StageCancelled {
 			return // it was in flight when a user was told of the end
 		}
 		k.violated("went_back", "%s was reported %s and is reported %s", id, job.stage, stage)
@@ -197,7 +197,7 @@
 			job.spec.ID, len(job.completedTasks), job.spec.Tasks)
 	}
 	if job.stage == "" {
-		job.endToldAt = now
+		job.endReportedAt = now
 	}
 	job.stage = wire.StageDone
 }
@@ -208,7 +208,7 @@
 		k.violated("went_back", "%s is reported cancelled, its user did not ask", job.spec.ID)
 	}
 	if job.stage == "" {
-		job.cancelToldAt, job.endToldAt = now, now
+		job.cancelReportedAt, job.endReportedAt = now, now
 		k.cancelled = append(k.cancelled, job)
 		k.cancelDependents(job, now)
 	}
@@ -351,9 +351,9 @@
 // startCounts counts the accepted jobs of a group, and those of them that started.
 type startCounts struct{ jobs, started int }
 
-// checkServed checks that at least half of the jobs of each class, of each team and of the largest jobs of each class
+// checkJobsStarted checks that at least half of the jobs of each class, of each team and of the largest jobs of each class
 // started, and that the largest started in time.
-func (k *Checker) checkServed(now time.Duration) {
+func (k *Checker) checkJobsStarted(now time.Duration) {
 	groups := map[string]*startCounts{}
 	largest := map[string]int{} // by class
 	for _, job := range k.jobs {
@@ -408,9 +408,9 @@
 // failingJob counts the starts of a job whose tasks fail on every machine.
 type failingJob struct{ starts []time.Duration }
 
-// maxFailingStarts is how many starts a minute a failing job may cost beyond one of each task, with owners that
+// maxExtraStartsPerMinute is how many starts a minute a failing job may cost beyond one of each task, with owners that
 // crash and lose their count of attempts.
-const maxFailingStarts = 20
+const maxExtraStartsPerMinute = 20
 
 // recordStart records and checks a start of a failing job.
 func (f *failingJob) recordStart(k *Checker, now time.Duration, id string) {
@@ -421,7 +421,7 @@
 			count++
 		}
 	}
-	if limit := k.jobs[id].spec.Tasks + maxFailingStarts; count > limit {
+	if limit := k.jobs[id].spec.Tasks + maxExtraStartsPerMinute; count > limit {
 		k.violated("mistaken", "%s was started %d times within a minute", id, count)
 	}
 }
@@ -447,10 +447,10 @@
 func (k *Checker) Tick(now time.Duration) {
 	k.lastEventAt = now
 	for _, job := range k.cancelled {
-		if now-job.cancelToldAt > k.cancelTimeout && job.runningTasks > 0 {
+		if now-job.cancelReportedAt > k.cancelTimeout && job.runningTasks > 0 {
 			k.violated("ran_cancelled", "tasks of %s are on machines %v after its cancellation",
-				job.spec.ID, now-job.cancelToldAt)
-			job.cancelToldAt = now // reported once
+				job.spec.ID, now-job.cancelReportedAt)
+			job.cancelReportedAt = now // reported once
 		}
 	}
 }
@@ -458,16 +458,16 @@
 // Finish checks what must have happened by the end.
 func (k *Checker) Finish(now time.Duration) {
 	if k.faultFreeFrom != 0 {
-		k.checkServed(now)
+		k.checkJobsStarted(now)
 	}
 	if k.Starts == 0 {
 		k.violated("nothing_ran", "no task was started")
 	}
 }
 
-// checkJobsKept checks that every accepted job is stored once, as a record or in the archive, and as its users were
+// checkJobsStored checks that every accepted job is stored once, as a record or in the archive, and as its users were
 // told.
-func (w *Simulator) checkJobsKept() {
+func (w *Simulator) checkJobsStored() {
 	archived := w.store.archivedJobs()
 	for id, job := range w.Checker.jobs {
 		entry, isArchived := archived[id]
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -144,8 +144,8 @@
 	}
 	if w.options.AuditLog {
 		cfg.Audit.Key, cfg.Audit.MaxClockErrorMS, cfg.Audit.Settings = auditKey, 500, settingsFor(n)
-		cfg.Audit.ForgetAfter = 60 * time.Second // requests are delayed by 40 s at most
-		cfg.Audit.GatherDelay, cfg.Audit.BlockDelay = 2*time.Second, w.randomDuration(time.Second, 8*time.Second)
+		cfg.Audit.LateTxnWindow = 60 * time.Second // requests are delayed by 40 s at most
+		cfg.Audit.AggregationInterval, cfg.Audit.BlockDelay = 2*time.Second, w.randomDuration(time.Second, 8*time.Second)
 	}
 	if w.options.Archive {
 		cfg.History.Archive, cfg.History.MaxEndedJobs, cfg.History.CacheBytes = true, 1+int(w.options.Seed%4), 1<<10
@@ -169,7 +169,7 @@
 		cfg.Scheduling.PriorityClasses = w.queueOrder.classes
 	}
 	if w.options.ReservationUsers > 0 {
-		cfg.Reservations.Equipment = w.reservations.site
+		cfg.Reservations.Equipment = w.reservations.inventory
 		cfg.Store.MaxValueBytes = 640 // small, so that there are many pages
 		if w.options.AuditLog {
 			cfg.Store.MaxValueBytes = 4096 // audit entries must fit
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -20,8 +20,8 @@
 )
 
 var (
-	updateDigests = flag.Bool("update", false, "write the digests anew: behaviour was changed on purpose")
-	digestSeeds   = flag.Int(
+	updateDigests   = flag.Bool("update", false, "write the digests anew: behaviour was changed on purpose")
+	digestSeedCount = flag.Int(
 		"digest-seeds",
 		0,
 		"also play so many seeds of every kind of world, and write their digests",
@@ -29,12 +29,12 @@
 	digestFile = flag.String("digest-file", "digests.json", "where the digests of -digest-seeds go")
 )
 
-const digestLength = 240 * time.Second
+const digestDuration = 240 * time.Second
 
 // digestScenarios are simulations of every kind.
 func digestScenarios() map[string]Options {
 	out := map[string]Options{
-		"quiet": {Seed: 1, Duration: digestLength, Jobs: 25, NoFaults: true},
+		"quiet": {Seed: 1, Duration: digestDuration, Jobs: 25, NoFaults: true},
 		"large": {
 			Seed:           2,
 			Duration:       60 * time.Second,
@@ -43,13 +43,13 @@
 			MaxMachines:    300,
 			MaxTasksPerJob: 400,
 		},
-		"chains":  {Seed: 3, Duration: digestLength, Jobs: 5, Pipelines: 12},
-		"upgrade": {Seed: 4, Duration: digestLength, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
-		"history": {Seed: 6, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true},
-		"rights":  {Seed: 7, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true},
+		"chains":  {Seed: 3, Duration: digestDuration, Jobs: 5, Pipelines: 12},
+		"upgrade": {Seed: 4, Duration: digestDuration, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
+		"history": {Seed: 6, Duration: digestDuration, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true},
+		"rights":  {Seed: 7, Duration: digestDuration, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true},
 		"audit": {
 			Seed:           8,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			MaxTasksPerJob: 4,
 			Pipelines:      2,
@@ -61,7 +61,7 @@
 	for seed := uint64(10); seed < 16; seed++ {
 		out[fmt.Sprint("rough", seed)] = Options{
 			Seed:       seed,
-			Duration:   digestLength,
+			Duration:   digestDuration,
 			Jobs:       25,
 			FlakyCloud: seed%3 == 0,
 		}
@@ -233,7 +233,7 @@
 
 // A change that is meant to keep the behaviour of controllers keeps every output of these simulations. One that is
 // meant to change it writes the digests anew: go test ./internal/sim -run Digest -update
-func TestDigestOfOutputsIsKept(t *testing.T) {
+func TestOutputDigestsAreUnchanged(t *testing.T) {
 	const file = "testdata/digests.json"
 	want := map[string]string{}
 	if *updateDigests {
@@ -268,12 +268,12 @@
 	}
 }
 
-// manyWorlds returns a simulation of every kind for a seed; some options vary from seed to seed.
-func manyWorlds(seed uint64) map[string]Options { //nolint:funlen // a table
+// scenariosForSeed returns a simulation of every kind for a seed; some options vary from seed to seed.
+func scenariosForSeed(seed uint64) map[string]Options { //nolint:funlen // a table
 	odd, third, tenth := seed%2 == 1, seed%3 == 0, seed%10 == 0
 	return map[string]Options{
-		"rough": {Seed: seed, Duration: digestLength, Jobs: 25, FlakyCloud: third},
-		"quiet": {Seed: seed, Duration: digestLength, Jobs: 25, NoFaults: true},
+		"rough": {Seed: seed, Duration: digestDuration, Jobs: 25, FlakyCloud: third},
+		"quiet": {Seed: seed, Duration: digestDuration, Jobs: 25, NoFaults: true},
 		"large": {
 			Seed:           seed,
 			Duration:       30 * time.Second,
@@ -282,11 +282,11 @@
 			MaxMachines:    200,
 			MaxTasksPerJob: 300,
 		},
-		"chains":  {Seed: seed, Duration: digestLength, Jobs: 5, Pipelines: 12, NoFaults: tenth},
-		"upgrade": {Seed: seed, Duration: digestLength, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
+		"chains":  {Seed: seed, Duration: digestDuration, Jobs: 5, Pipelines: 12, NoFaults: tenth},
+		"upgrade": {Seed: seed, Duration: digestDuration, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
 		"history": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			MaxTasksPerJob: 4,
 			Pipelines:      4,
@@ -295,7 +295,7 @@
 		},
 		"rights": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			MaxTasksPerJob: 4,
 			Pipelines:      2,
@@ -304,7 +304,7 @@
 		},
 		"audit": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			MaxTasksPerJob: 4,
 			Pipelines:      2,
@@ -314,7 +314,7 @@
 		},
 		"shared": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			BatchValues:    true,
 			NoFaults:       tenth,
@@ -331,10 +331,10 @@
 			Permissions:      odd,
 			AuditLog:         odd,
 		},
-		"mistakes": {Seed: seed, Duration: digestLength, Jobs: 30, FailingJobs: 10, NoFaults: odd},
+		"mistakes": {Seed: seed, Duration: digestDuration, Jobs: 30, FailingJobs: 10, NoFaults: odd},
 		"meet": {
 			Seed:              seed,
-			Duration:          digestLength,
+			Duration:          digestDuration,
 			Jobs:              25,
 			OverlappingFaults: true,
 			LongTasks:         odd,
@@ -342,7 +342,7 @@
 		},
 		"flap": {
 			Seed:              seed,
-			Duration:          digestLength,
+			Duration:          digestDuration,
 			Jobs:              30,
 			MaxTasksPerJob:    6,
 			FlappingProcesses: true,
@@ -350,7 +350,7 @@
 		},
 		"beside": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           20,
 			MixedVersions:  true,
 			SingleTaskJobs: 10,
@@ -361,15 +361,15 @@
 
 // With -digest-seeds, the digests of many simulations are written to a file: the files of two versions that are
 // meant to behave alike are equal.
-func TestDigestsOfManyWorldsAreWritten(t *testing.T) {
-	if *digestSeeds == 0 {
+func TestWriteDigestsForSeeds(t *testing.T) {
+	if *digestSeedCount == 0 {
 		t.Skip("only with -digest-seeds")
 	}
 	var mu sync.Mutex
 	digests := map[string]string{}
 	t.Cleanup(func() { writeDigests(t, *digestFile, digests) })
-	for seed := range uint64(*digestSeeds) {
-		for name, o := range manyWorlds(seed + 1000) {
+	for seed := range uint64(*digestSeedCount) {
+		for name, o := range scenariosForSeed(seed + 1000) {
 			name = fmt.Sprint(name, " ", seed)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
@@ -383,7 +383,7 @@
 }
 
 // The digest changes with any output, with their number and with their order.
-func TestDigestTellsOutputsApart(t *testing.T) {
+func TestDigestDistinguishesOutputs(t *testing.T) {
 	type entry struct {
 		now  time.Duration
 		node string
@@ -448,7 +448,7 @@
 }
 
 // Every value of every kind of output counts: the digest changes with any one of them.
-func TestDigestCountsEveryValue(t *testing.T) {
+func TestDigestCoversEveryValue(t *testing.T) {
 	for _, out := range []core.Output{
 		core.Response{},
 		core.CommitTxn{},
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -176,7 +176,7 @@
 	for _, id := range slices.Sorted(maps.Keys(w.Checker.jobs)) {
 		job := w.Checker.jobs[id]
 		switch {
-		case !w.Checker.mustProgress(job) || !w.Checker.hasFeasible(job, machines):
+		case !w.Checker.mustProgress(job) || !w.Checker.hasFeasibleMachine(job, machines):
 			job.starvingSince = 0
 		case job.starvingSince == 0:
 			job.starvingSince = w.now
@@ -215,8 +215,8 @@
 	return tasksLeft && !k.mayBeCancelled(job) && !k.isAtQuota(&job.spec)
 }
 
-// hasFeasible reports whether one of the machines is feasible for the next task of a job and has the cores for it.
-func (k *Checker) hasFeasible(job *observedJob, machines []usableMachine) bool {
+// hasFeasibleMachine reports whether one of the machines is feasible for the next task of a job and has the cores for it.
+func (k *Checker) hasFeasibleMachine(job *observedJob, machines []usableMachine) bool {
 	return slices.ContainsFunc(machines, func(candidate usableMachine) bool {
 		return candidate.freeCPU >= job.spec.Request[0] && k.isFeasible(job, candidate.machine)
 	})
--- a/internal/sim/fake_cloud.go
+++ b/internal/sim/fake_cloud.go
@@ -132,7 +132,7 @@
 	}
 	for range count {
 		name := fmt.Sprintf("m-%06d", len(c.machines)+1)
-		c.rent(wire.Machine{
+		c.addMachine(wire.Machine{
 			Name: name, Addr: "x:" + name, Type: order.Type, Zone: order.Zone, Spot: order.Spot,
 			Stage: wire.MachineBooting,
 		})
@@ -141,8 +141,8 @@
 	c.rentals[order.IdempotencyKey] = out.MachineNames
 }
 
-// rent adds a machine, schedules its boot, which a few never finish, and the interruption of a spot machine.
-func (c *fakeCloud) rent(machine wire.Machine) {
+// addMachine adds a machine, schedules its boot, which a few never finish, and the interruption of a spot machine.
+func (c *fakeCloud) addMachine(machine wire.Machine) {
 	w := c.sim
 	worker := &fakeWorker{
 		sim: w, machine: machine, rentedAt: w.now, tasks: map[string]*fakeTask{}, images: map[string]bool{},
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -69,20 +69,20 @@
 func (m *fakeWorker) returnToCloud() {
 	m.returned = true
 	if !m.gone {
-		m.stopAll()
+		m.terminate()
 	}
 }
 
 // fail ends the machine; the cloud lists it as failed.
 func (m *fakeWorker) fail() {
-	m.stopAll()
+	m.terminate()
 	m.failed = true
 }
 
-// stopAll ends the machine and the tasks on it.
-func (m *fakeWorker) stopAll() {
+// terminate ends the machine and the tasks on it.
+func (m *fakeWorker) terminate() {
 	for _, key := range m.taskKeys() {
-		m.noteTaskStopped(m.tasks[key])
+		m.reportTaskStopped(m.tasks[key])
 	}
 	m.tasks = map[string]*fakeTask{}
 	m.gone, m.up, m.goneAt = true, false, m.sim.now
@@ -98,12 +98,12 @@
 		m.interruptionAt = m.sim.now + notice
 		m.sim.schedule(notice, func() {
 			if !m.gone {
-				m.stopAll()
+				m.terminate()
 			}
 		})
 		return
 	}
-	m.stopAll()
+	m.terminate()
 }
 
 // taskKeys returns the keys of all tasks in order.
@@ -116,8 +116,8 @@
 	return keys
 }
 
-// noteTaskStopped tells the checker that a task, if it ran, runs no longer.
-func (m *fakeWorker) noteTaskStopped(task *fakeTask) {
+// reportTaskStopped tells the checker that a task, if it ran, runs no longer.
+func (m *fakeWorker) reportTaskStopped(task *fakeTask) {
 	if task.stage == wire.TaskRunning || task.stage == wire.TaskCheckpointing {
 		m.sim.Checker.TaskStopped(task.job, task.task, m.machine.Name)
 	}
@@ -131,7 +131,7 @@
 	}
 	if m.sim.now >= m.hungUntil && m.sim.now-m.lastAckedAt > m.sim.options.WorkerLease {
 		for _, key := range m.taskKeys() {
-			m.noteTaskStopped(m.tasks[key])
+			m.reportTaskStopped(m.tasks[key])
 			m.tasks[key].generation++
 		}
 		m.tasks = map[string]*fakeTask{}
@@ -275,7 +275,7 @@
 
 // exitTask ends an attempt with a cause.
 func (m *fakeWorker) exitTask(task *fakeTask, cause string) {
-	m.noteTaskStopped(task)
+	m.reportTaskStopped(task)
 	task.stage, task.cause = wire.TaskExited, cause
 	task.generation++
 }
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -23,7 +23,7 @@
 			return
 		}
 		if w.partitioned[link] {
-			w.heldPackets[link] = append(w.heldPackets[link], deliver)
+			w.queuedMessages[link] = append(w.queuedMessages[link], deliver)
 			return
 		}
 		deliver()
@@ -88,8 +88,8 @@
 			continue
 		}
 		delete(w.partitioned, link)
-		queued := w.heldPackets[link]
-		delete(w.heldPackets, link)
+		queued := w.queuedMessages[link]
+		delete(w.queuedMessages, link)
 		for _, deliver := range queued {
 			w.schedule(time.Millisecond, deliver)
 		}
--- a/internal/sim/queue_order_test.go
+++ b/internal/sim/queue_order_test.go
@@ -19,7 +19,7 @@
 
 // No job is overtaken for long by a later one of its class and shape, in worlds of few machines with full priority
 // classes and controllers that crash.
-func TestEarlierWorkIsNotOvertaken(t *testing.T) {
+func TestEarlierJobIsNotOvertaken(t *testing.T) {
 	seeds := queueOrderSeeds
 	for seed := uint64(2000); seed < 2040; seed++ {
 		seeds = append(seeds, seed)
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -21,7 +21,7 @@
 // stored. It checks what is stored after each write with code of its own that compares every pair of reservations.
 type reservationChecker struct {
 	sim              *Simulator
-	site             *booking.Inventory
+	inventory        *booking.Inventory
 	lastStored       map[string]*pb.Booking
 	views            map[string]reservationView
 	requested        map[string][][]string // by reservation: all sets of slots that it was ever requested with
@@ -40,8 +40,8 @@
 
 // reservationView is what users know of a reservation.
 type reservationView struct {
-	state  string
-	toldAt time.Duration // when a user was first told of the state
+	state      string
+	reportedAt time.Duration // when a user was first told of the state
 }
 
 // parseEquipment returns the inventory of a simulation: a kiln that has to cool, two equal kilns and a roaster,
@@ -59,7 +59,7 @@
 func newReservationChecker(w *Simulator) *reservationChecker {
 	return &reservationChecker{
 		sim:          w,
-		site:         parseEquipment(""),
+		inventory:    parseEquipment(""),
 		lastStored:   map[string]*pb.Booking{},
 		views:        map[string]reservationView{},
 		requested:    map[string][][]string{},
@@ -218,7 +218,7 @@
 func (k *reservationChecker) checkComplete(b *pb.Booking) {
 	var has []string
 	for _, slot := range b.Slots {
-		has = append(has, fmt.Sprintf("%s %d %d", k.site.ItemKind(slot.Piece), slot.From, slot.To))
+		has = append(has, fmt.Sprintf("%s %d %d", k.inventory.ItemKind(slot.Piece), slot.From, slot.To))
 	}
 	if !slices.ContainsFunc(k.requested[b.Id], func(set []string) bool { return slices.Equal(set, has) }) {
 		k.sim.Checker.violated("half_booked", "%v has %v, requested was %v", b, has, k.requested[b.Id])
@@ -231,7 +231,7 @@
 		return false
 	}
 	want := b.Wants[0]
-	for _, item := range k.site.Source().Pieces {
+	for _, item := range k.inventory.Source().Pieces {
 		if item.Name != want.Piece && item.Kind != want.Kind {
 			continue
 		}
@@ -266,12 +266,12 @@
 	return startUnixMS/1000 + int64(k.sim.now.Seconds()) - 1
 }
 
-// checkAnswer checks the response to a request about a reservation that was sent at sentAt, and returns the
+// checkResponse checks the response to a request about a reservation that was sent at sentAt, and returns the
 // reservation in it.
-func (k *reservationChecker) checkAnswer(sentAt time.Duration, id string, response core.Response) *wire.Reservation {
+func (k *reservationChecker) checkResponse(sentAt time.Duration, id string, response core.Response) *wire.Reservation {
 	body, _ := response.Body.(wire.ReservationResponse)
 	view, known := k.views[id]
-	isLater := sentAt >= view.toldAt // than what users were told
+	isLater := sentAt >= view.reportedAt // than what users were told
 	broken := k.sim.Checker.violated
 	if response.Status == wire.StatusNotFound && known && isLater {
 		broken("booking_lost", "%s was reported %s and is unknown", id, view.state)
@@ -328,7 +328,7 @@
 	withCaller := func(requestID uint64) core.Input { return withRootCaller(newInput(requestID)) }
 	w.sendRequest(w.anyNode(), reservationTimeout, withCaller, func(response core.Response, ok bool) {
 		if ok {
-			current := k.checkAnswer(sentAt, id, response)
+			current := k.checkResponse(sentAt, id, response)
 			if response.Status != wire.StatusUnavailable {
 				then(response, current)
 				return
@@ -348,8 +348,8 @@
 // hourAfterStart returns the Unix seconds of a full hour after the start of the simulation.
 func hourAfterStart(hours int64) int64 { return (startUnixMS/1000/3600 + hours) * 3600 }
 
-// randomWants draws one slot or a few, close together, so that many users want the same.
-func (k *reservationChecker) randomWants() (wants []wire.SlotRequest) {
+// randomSlotRequests draws one slot or a few, close together, so that many users want the same.
+func (k *reservationChecker) randomSlotRequests() (wants []wire.SlotRequest) {
 	w := k.sim
 	hour := hourAfterStart(30)
 	for range 1 + w.rng.IntN(4)/3*(1+w.rng.IntN(2)) {
@@ -370,16 +370,16 @@
 	return wants
 }
 
-// noteRequested records the slots that a reservation is requested with.
-func (k *reservationChecker) noteRequested(id string, slots []wire.SlotRequest) {
-	wants, err := reservations.ResolveWants(k.site, slots, "")
+// recordRequested records the slots that a reservation is requested with.
+func (k *reservationChecker) recordRequested(id string, slots []wire.SlotRequest) {
+	wants, err := reservations.ResolveWants(k.inventory, slots, "")
 	if err != nil {
 		panic(err) // all wants are valid
 	}
 	var set []string
 	for _, want := range wants {
 		minutes := int64(60)
-		kind := k.site.WantKind(want)
+		kind := k.inventory.WantKind(want)
 		if kind == "roaster" {
 			minutes = 30
 		}
@@ -438,12 +438,12 @@
 // runReservationUser starts a user who makes a reservation and then changes or lists it at random.
 func (k *reservationChecker) runReservationUser(id string) {
 	w := k.sim
-	request := wire.ReservationRequest{ID: id, Slots: k.randomWants(), Waitlist: w.chance(0.5)}
+	request := wire.ReservationRequest{ID: id, Slots: k.randomSlotRequests(), Waitlist: w.chance(0.5)}
 	if w.chance(0.4) {
 		request.HoldS = uint32(2 + w.rng.IntN(30))
 	}
 	request.Priority = wire.PriorityName(w.rng.IntN(3))
-	k.noteRequested(id, request.Slots)
+	k.recordRequested(id, request.Slots)
 	user := &reservationUser{checker: k, request: request}
 	user.send(booking.VerbCreate, request, func(response core.Response) {
 		switch response.Status {
@@ -481,8 +481,8 @@
 	case 0:
 		u.send(booking.VerbConfirm, wire.ReservationRequest{ID: id}, next)
 	case 1:
-		moved := wire.ReservationRequest{ID: id, Slots: k.randomWants()}
-		k.noteRequested(id, moved.Slots)
+		moved := wire.ReservationRequest{ID: id, Slots: k.randomSlotRequests()}
+		k.recordRequested(id, moved.Slots)
 		u.send(booking.VerbMove, moved, next)
 	case 2:
 		k.endRequested[id] = true
@@ -513,7 +513,7 @@
 func (k *reservationChecker) runSingleSlotUser(id string) {
 	w := k.sim
 	slot := k.formatTime(hourAfterStart(200 + 2*int64(w.rng.IntN(3))))
-	k.noteRequested(id, []wire.SlotRequest{{Equipment: "k1", From: slot}})
+	k.recordRequested(id, []wire.SlotRequest{{Equipment: "k1", From: slot}})
 	user := &singleSlotUser{checker: k, id: id, slot: slot}
 	user.create(func() {
 		w.schedule(w.randomDuration(time.Second, 10*time.Second), func() {
--- a/internal/sim/reservations_test.go
+++ b/internal/sim/reservations_test.go
@@ -97,7 +97,7 @@
 	}
 	key := reservations.KeyInventory
 	w.reservations.checkStored(map[string]*wire.KeyValue{key: {Key: key, Value: raw, Revision: 1}})
-	if !w.Checker.firstViolation("let_in") {
+	if !w.Checker.firstViolationIs("let_in") {
 		t.Errorf("violations are %v", w.Checker.Violations)
 	}
 }
@@ -157,7 +157,7 @@
 		}
 		k.checkTransition(clone(test.was), clone(test.now))
 		name, _, _ := strings.Cut(rule, ":")
-		if !w.Checker.firstViolation(name) {
+		if !w.Checker.firstViolationIs(name) {
 			t.Errorf("%s: violations are %v", rule, w.Checker.Violations)
 		}
 	}
--- a/internal/sim/rolling_upgrade.go
+++ b/internal/sim/rolling_upgrade.go
@@ -118,7 +118,7 @@
 		in.Changes.Events = events
 		return in
 	case core.PeerMessage:
-		in.Message = throughPreviousVersion(w, in.Message)
+		in.Message = messageForPreviousVersion(w, in.Message)
 		return in
 	case core.SubmitJob:
 		in.Spec.Dependencies = nil
@@ -136,8 +136,8 @@
 	return value, known && err == nil
 }
 
-// throughPreviousVersion returns a message as the previous version reads it.
-func throughPreviousVersion(w *Simulator, message core.Message) core.Message {
+// messageForPreviousVersion returns a message as the previous version reads it.
+func messageForPreviousVersion(w *Simulator, message core.Message) core.Message {
 	var previous previousversion.Message
 	var out core.Message
 	raw, err := json.Marshal(message)
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -51,8 +51,8 @@
 	return counts
 }
 
-// firstViolation reports whether the first violation is one of a rule.
-func (k *Checker) firstViolation(rule string) bool {
+// firstViolationIs reports whether the first violation is one of a rule.
+func (k *Checker) firstViolationIs(rule string) bool {
 	return len(k.Violations) > 0 && strings.HasPrefix(k.Violations[0], rule+":")
 }
 
@@ -106,11 +106,11 @@
 	}
 }
 
-var overlapSeeds = flag.Uint64("worlds", 24, "how many worlds in which troubles meet are played")
+var overlapSeedCount = flag.Uint64("worlds", 24, "how many worlds in which troubles meet are played")
 
 // Each fault begins while another lasts (docs/notes/meetings.md).
 func TestInvariantsHoldUnderOverlappingFaults(t *testing.T) {
-	for seed := uint64(1); seed <= *overlapSeeds; seed++ {
+	for seed := uint64(1); seed <= *overlapSeedCount; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
 			w := runSimulation(t, OverlappingFaultOptions(seed))
@@ -258,7 +258,7 @@
 // The combinations that operators have seen rules violated in, one by one, in simulations without other faults.
 func TestInvariantsHoldForEachFaultPair(t *testing.T) {
 	for name, combination := range faultPairs {
-		for seed := uint64(1); seed <= max(1, *overlapSeeds/16); seed++ {
+		for seed := uint64(1); seed <= max(1, *overlapSeedCount/16); seed++ {
 			t.Run(fmt.Sprint(name, " seed", seed), func(t *testing.T) {
 				t.Parallel()
 				options := OverlappingFaultOptions(seed)
@@ -366,7 +366,7 @@
 		w.now++
 		step(w.queueOrder)
 		name, _, _ := strings.Cut(rule, ":")
-		if !w.Checker.firstViolation(name) {
+		if !w.Checker.firstViolationIs(name) {
 			t.Errorf("%s: violations are %v", rule, w.Checker.Violations)
 		}
 	}
@@ -414,7 +414,7 @@
 			w.now = at
 			run()
 		}
-		if w.Checker.firstViolation("left_waiting") != test.fires || len(w.Checker.Violations) > 0 && !test.fires {
+		if w.Checker.firstViolationIs("left_waiting") != test.fires || len(w.Checker.Violations) > 0 && !test.fires {
 			t.Errorf("%s: violations are %v", name, w.Checker.Violations)
 		}
 	}
@@ -443,7 +443,7 @@
 			k.CheckResponse(time.Second, time.Second, "submit", id, wire.StatusCreated, wire.StageQueued)
 		}
 		step(k)
-		if !k.firstViolation(rule) {
+		if !k.firstViolationIs(rule) {
 			t.Errorf("%s: violations are %v", rule, k.Violations)
 		}
 	}
@@ -682,7 +682,7 @@
 		)
 	}
 	value := func(stage string, list ...audit.PendingEntry) json.RawMessage {
-		raw, err := json.Marshal(entryCarrier{Carried: list, Stage: stage, User: "u"})
+		raw, err := json.Marshal(entryCarrier{Entries: list, Stage: stage, User: "u"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -736,14 +736,14 @@
 					keys[write.Put] = &wire.KeyValue{Value: write.Value}
 				}
 			}
-			if (len(checker.Violations) > 0) != broken || broken && !checker.firstViolation("unrecorded") {
+			if (len(checker.Violations) > 0) != broken || broken && !checker.firstViolationIs("unrecorded") {
 				t.Errorf("%s (%v): %v", name, broken, checker.Violations)
 			}
 		}
 	}
 	checker := NewChecker(time.Second, nil)
 	auditor := newAuditChecker(checker, func() time.Duration { return time.Hour })
-	auditor.carriedAt[entryID{"n0", 1, 1}] = 0
+	auditor.storedAt[entryID{"n0", 1, 1}] = 0
 	auditor.Finish(map[string]*wire.KeyValue{job: {Value: good.Value}})
 	if len(checker.Violations) != 1 {
 		t.Errorf("an entry that is carried for ever: %v", checker.Violations)
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -34,18 +34,18 @@
 
 // Simulator is one seeded simulation.
 type Simulator struct {
-	Checker       *Checker
-	options       Options
-	rng           *rand.Rand
-	now           time.Duration
-	events        eventqueue.Queue
-	nodes         []*node
-	store         *fakeStore
-	cloud         *fakeCloud
-	partitioned   map[[2]string]bool
-	heldPackets   map[[2]string][]func()
-	lastRequestID uint64
-	teams         []core.Team
+	Checker        *Checker
+	options        Options
+	rng            *rand.Rand
+	now            time.Duration
+	events         eventqueue.Queue
+	nodes          []*node
+	store          *fakeStore
+	cloud          *fakeCloud
+	partitioned    map[[2]string]bool
+	queuedMessages map[[2]string][]func()
+	lastRequestID  uint64
+	teams          []core.Team
 
 	auditChecker *auditChecker
 	reservations *reservationChecker
@@ -82,7 +82,7 @@
 		options:              options,
 		rng:                  rand.New(rand.NewPCG(options.Seed, 77)),
 		partitioned:          map[[2]string]bool{},
-		heldPackets:          map[[2]string][]func(){},
+		queuedMessages:       map[[2]string][]func(){},
 		commitDelay:          func(wire.Txn) time.Duration { return 0 },
 		commandDelay:         func(core.SendCommands) time.Duration { return 0 },
 		onHeartbeat:          func(*wire.Heartbeat) {},
@@ -197,7 +197,7 @@
 	if w.options.PriorityClasses {
 		w.queueOrder.checkOvertaking()
 	}
-	w.checkJobsKept()
+	w.checkJobsStored()
 	if w.options.AuditLog {
 		w.auditChecker.Finish(w.store.keys)
 	}
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -19,8 +19,8 @@
 // String returns the level's name in the log.
 func (l Level) String() string { return [levelCount]string{"calm", "busy", "over"}[l] }
 
-// Stretch lengthens the interval of work that can be deferred: it doubles with each level.
-func (l Level) Stretch(interval time.Duration) time.Duration { return interval << l }
+// ScaleInterval lengthens the interval of work that can be deferred: it doubles with each level.
+func (l Level) ScaleInterval(interval time.Duration) time.Duration { return interval << l }
 
 // Signals are the measurements that a level is decided by.
 type Signals struct {
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -67,7 +67,7 @@
 		Busy:       2 * time.Second,
 		Overloaded: 4 * time.Second,
 	} {
-		if got := level.Stretch(time.Second); got != want {
+		if got := level.ScaleInterval(time.Second); got != want {
 			t.Errorf("level %v: an interval of 1 s becomes %v, want %v", level, got, want)
 		}
 	}
--- a/priorityclass/list.go
+++ b/priorityclass/list.go
@@ -165,15 +165,15 @@
 		(c.DueWithinS == 0 || spec.DeadlineMS > 0 && spec.DeadlineMS <= 1000*int64(c.DueWithinS))
 }
 
-// riseAfter is how long a job of a class waits until it is ordered as one of the class above; 0: it
+// agingInterval is how long a job of a class waits until it is ordered as one of the class above; 0: it
 // never is.
-func (c *class) riseAfter() time.Duration { return time.Duration(c.RiseAfterS) * time.Second }
+func (c *class) agingInterval() time.Duration { return time.Duration(c.RiseAfterS) * time.Second }
 
 // EffectiveClass is the class by which a job is ordered after it has waited. It rises by a class after
 // the time of rising of each class it reaches, as far as a class without such a time, or the first.
 func (l *List) EffectiveClass(classIndex int, waited time.Duration) int {
 	for classIndex > 0 {
-		after := l.classes[classIndex].riseAfter()
+		after := l.classes[classIndex].agingInterval()
 		if after == 0 || waited < after {
 			break
 		}
@@ -188,11 +188,11 @@
 	return float64(l.classes[classIndex].SharePercent) / 100
 }
 
-// RiseTime is how long a job of a class waits until it is ordered as one of another class above; false
+// AgingTime is how long a job of a class waits until it is ordered as one of another class above; false
 // if it never is.
-func (l *List) RiseTime(classIndex, target int) (sum time.Duration, ok bool) {
+func (l *List) AgingTime(classIndex, target int) (sum time.Duration, ok bool) {
 	for ; classIndex > target; classIndex-- {
-		after := l.classes[classIndex].riseAfter()
+		after := l.classes[classIndex].agingInterval()
 		if after == 0 {
 			return 0, false
 		}
--- a/priorityclass/list_test.go
+++ b/priorityclass/list_test.go
@@ -11,7 +11,7 @@
 )
 
 // Operators correct a list by its error alone: it names the class and the field.
-func TestInvalidListsAreNamed(t *testing.T) {
+func TestInvalidListErrorNamesClassAndField(t *testing.T) {
 	const last = ` lanes { name: "b" }`
 	for text, want := range map[string]string{
 		``:                                      "0 lanes, must be from 1 to 20",
@@ -57,7 +57,7 @@
 
 // Work never sinks by waiting, never passes what does not rise, and after the longest time has come as
 // far as it ever does.
-func TestRisingIsMonotonic(t *testing.T) {
+func TestAgingIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawList(t)
 		class := rapid.IntRange(0, list.Len()-1).Draw(t, "lane")
@@ -68,7 +68,7 @@
 			t.Fatalf("class %d is %d after %v and %d after %v", class, before, waited, after, longer)
 		}
 		end := list.EffectiveClass(class, 1<<62)
-		if riseTime, ok := list.RiseTime(class, end); !ok || list.EffectiveClass(class, riseTime) != end ||
+		if riseTime, ok := list.AgingTime(class, end); !ok || list.EffectiveClass(class, riseTime) != end ||
 			riseTime > 0 && list.EffectiveClass(class, riseTime-1) == end {
 			t.Fatalf("class %d comes to %d after %v", class, end, riseTime)
 		}
--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -31,7 +31,7 @@
 	// FormatVersion is the version of the format that is written, and the newest that is read.
 	FormatVersion = 1
 
-	fullPartBytes    = 256 << 10 // of keys before compression, at which a part is written
+	partFlushBytes   = 256 << 10 // of keys before compression, at which a part is written
 	keyOverheadBytes = 16        // of a key, besides its name and value
 	maxPartBytes     = 16 << 20  // of a part that is read, before and after decompression
 )
@@ -63,7 +63,7 @@
 	w.pendingKeys.Keys = append(w.pendingKeys.Keys, key)
 	w.trailer.Keys++
 	w.pendingBytes += len(key.Name) + len(key.Value) + keyOverheadBytes
-	if w.pendingBytes < fullPartBytes {
+	if w.pendingBytes < partFlushBytes {
 		return nil
 	}
 	return w.flush()
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -32,7 +32,7 @@
 
 	// fencingTokenLeap is by how much the fencing token rises: agents reject tokens lower than they have
 	// seen, and the cluster may have gone on after the snapshot was taken.
-	fencingTokenLeap = 1_000_000
+	fencingTokenIncrement = 1_000_000
 
 	maxTxnBytes        = 40 << 10 // of a transaction
 	writeOverheadBytes = 50       // of a write, besides its key and value
@@ -113,7 +113,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("parse fencing token of the snapshot: %w", err)
 		}
-		return []byte(strconv.FormatUint(token+fencingTokenLeap, 10)), nil
+		return []byte(strconv.FormatUint(token+fencingTokenIncrement, 10)), nil
 	case strings.HasPrefix(key.Name, core.KeyJob):
 		return jobrecord.PrepareForRestore(key.Value, key.Mark, revision), nil
 	}
@@ -123,7 +123,7 @@
 // claimEmptyStore marks an empty store as being restored from the named snapshot. One that is already
 // marked with that name may be restored further; any other is not empty.
 func (t *Target) claimEmptyStore(ctx context.Context, name string) error {
-	first, err := t.readPage(ctx, siteRoot, "", 1)
+	first, err := t.readPage(ctx, clusterKeyPrefix, "", 1)
 	if err != nil {
 		return err
 	}
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -29,7 +29,7 @@
 }
 
 const (
-	siteRoot         = "d" // prefix of all keys of a cluster
+	clusterKeyPrefix = "d" // prefix of all keys of a cluster
 	pageItems        = 1000
 	pagesPerWatch    = 20 // pages between two reads of changes: the store keeps only so many changes
 	requestTimeout   = 10 * time.Second
@@ -97,7 +97,7 @@
 // readChanges adds the last change of each key since a revision, and returns the revision as of which they
 // are complete.
 func (s *Source) readChanges(ctx context.Context, since uint64, changed map[string]wire.WatchEvent) (uint64, error) {
-	path := fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, siteRoot, since)
+	path := fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, clusterKeyPrefix, since)
 	changes, status, err := requestWithRetry[wire.WatchResponse](ctx, s, http.MethodGet, path, nil)
 	switch {
 	case err != nil:
@@ -166,7 +166,7 @@
 	}
 	afterKey, revision, keys := "", uint64(0), 0
 	for pages := 1; ; pages++ {
-		page, err := s.readPage(ctx, siteRoot, afterKey, pageItems)
+		page, err := s.readPage(ctx, clusterKeyPrefix, afterKey, pageItems)
 		if err != nil {
 			return 0, err
 		}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -224,7 +224,7 @@
 	for _, leased := range []string{"dl/node/n0", "dl/shard/03", "dl/leader"} {
 		delete(want, leased)
 	}
-	want["dl/epoch"] = fmt.Sprint(7 + fencingTokenLeap)
+	want["dl/epoch"] = fmt.Sprint(7 + fencingTokenIncrement)
 	if got := keysOf(t, again); !maps.Equal(got, want) {
 		t.Errorf("restored %v", got)
 	}
