--- a/core/apply.go
+++ b/core/apply.go
@@ -11,7 +11,7 @@
 	"dewlift/wire"
 )
 
-// applyPut applies a key's new value to the replica. A value that can't be decoded is logged.
+// applyPut applies a key's new value to the replica, and logs a value that can't be decoded.
 func (c *Core) applyPut(key string, raw json.RawMessage, revision uint64) {
 	if err := c.applyValue(key, raw, revision); err != nil {
 		c.log(LevelError, "cannot decode stored value", "key", key, "err", err.Error())
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// applyFencingToken applies the fencing token. An older revision never replaces a newer one.
+// applyFencingToken applies the stored fencing token, unless a newer revision was applied before.
 func (c *Core) applyFencingToken(raw json.RawMessage, revision uint64) error {
 	var token uint64
 	if err := json.Unmarshal(raw, &token); err != nil {
@@ -69,7 +69,6 @@
 	return nil
 }
 
-// decodeLeasedKey decodes the value of a leased key.
 func decodeLeasedKey(raw json.RawMessage, revision uint64) (leasedKey, error) {
 	var leased leasedKey
 	if err := json.Unmarshal(raw, &leased); err != nil {
@@ -79,7 +78,6 @@
 	return leased, nil
 }
 
-// applyLeader applies the leadership key.
 func (c *Core) applyLeader(raw json.RawMessage, revision uint64) error {
 	leased, err := decodeLeasedKey(raw, revision)
 	if err != nil {
@@ -89,7 +87,7 @@
 	return nil
 }
 
-// applyRegistration applies the key of a live controller.
+// applyRegistration applies the registration of a live controller.
 func (c *Core) applyRegistration(key string, raw json.RawMessage, revision uint64) error {
 	leased, err := decodeLeasedKey(raw, revision)
 	if err != nil {
@@ -128,27 +126,28 @@
 	return nil
 }
 
-// applyTeam notes that a team's quota key was written. Its value says nothing: the key's revision
-// makes writers that start tasks of one team conflict.
+// applyTeam applies a write of a team's quota key. Its value has no meaning: transactions that start
+// tasks of the same team conflict on the key's revision.
 func (c *Core) applyTeam(key string, revision uint64) {
-	if written := c.teams.byName[key[len(keyTeam):]]; written != nil {
-		written.revision = max(written.revision, revision)
+	if quota := c.teams.byName[key[len(keyTeam):]]; quota != nil {
+		quota.revision = max(quota.revision, revision)
 	}
 }
 
-// applyJob applies a job's own key, with its slot's entry on top if that belongs to this write.
+// applyJob applies the value of a job's own key, merged with the job's slot entry if that entry belongs
+// to this version of the record.
 func (c *Core) applyJob(key string, raw json.RawMessage, revision uint64) error {
 	stored := c.internJob(key[len(keyJob):])
 	stored.stored.lastSnapshotLoad = c.replica.snapshotLoads
 	if revision <= stored.revision {
-		if stored.record != nil { // the reply to this controller's own write came before
+		if stored.record != nil { // applied already, from the reply to this controller's own write
 			c.auditLog.current().ObserveEntries(key, stored.revision, stored.record.PendingAudit)
 		}
 		return nil
 	}
 	record, err := jobrecord.Decode(raw)
 	if err != nil {
-		c.history.coldRecords++ // the job exists: a lookup must not answer that it does not
+		c.history.coldRecords++ // the job exists, so a lookup must not answer that it does not
 		return err
 	}
 	c.auditLog.current().ObserveEntries(key, revision, record.PendingAudit)
@@ -158,7 +157,7 @@
 }
 
 // applyDelete applies a key's deletion to the replica. Keys that are never deleted, and those whose
-// deletion says nothing new, have no case.
+// deletion changes nothing here, have no case.
 func (c *Core) applyDelete(key string, revision uint64) {
 	switch {
 	case key == keyLeader:
@@ -181,8 +180,8 @@
 	}
 }
 
-// adoptRecord makes a committed record the known state of a job. revision is that of the job's own
-// key, and size the bytes of its value.
+// adoptRecord makes a committed record the known state of a job. revision is the revision of the job's
+// own key, and size the size of its value in bytes.
 func (c *Core) adoptRecord(
 	target *job,
 	record *jobrecord.Record,
@@ -224,8 +223,8 @@
 	c.history.trackEndedJob(target)
 }
 
-// addAssignments adds a job's assignments to their machines and to its team's usage, and counts
-// those whose tasks have completed already.
+// addAssignments adds a job's assignments to their machines and to its team's usage, and counts the
+// assignments whose tasks have completed already.
 func (c *Core) addAssignments(target *job) {
 	quota, request := c.teams.ofJob(target)
 	target.placement.completedTasks = 0
@@ -261,7 +260,7 @@
 	}
 }
 
-// encodeRecord encodes a job's record with its assignments, either readable or packed.
+// encodeRecord encodes a job's record with its assignments, as readable JSON or packed.
 func (c *Core) encodeRecord(
 	record *jobrecord.Record,
 	assignments []jobrecord.Assignment,
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -14,32 +14,32 @@
 	"dewlift/wire"
 )
 
-// Small jobs share values (docs/notes/shared.md). Each shard has a few slots, which the shard's owner
-// writes, comparing the revisions of the shard and of the slot. Every later write of a job's own key
-// compares the revision of the job's slot too; one by a controller that does not own the shard, a
-// cancellation, writes the slot as well. So of a write of a slot and a write of a job's own key that
-// do not know of each other, only one succeeds, however late either is executed.
+// Small jobs share values (docs/notes/shared.md). Each shard has a few slots. Only the shard's owner
+// adds entries to them, with transactions that compare the revisions of the shard and of the slot. Every
+// later write of a job's own key also compares the revision of the job's slot; a cancellation by a
+// controller that does not own the shard also writes the slot. So if a write of a slot and a write of a
+// job's own key are concurrent, only one of them succeeds, however late either is executed.
 
 const (
 	keySlot = Root + "over/" // slots, by number
 
-	// serviceSlotsPerShard is the number of a shard's slots for services, beside the one for job
-	// arrays: arrays are written all the time, services only when tasks are lost.
+	// serviceSlotsPerShard is the number of a shard's slots for services. Job arrays have one slot of their
+	// own, as they are written continuously, and services only when tasks are lost.
 	serviceSlotsPerShard = 2
 
-	// maxEntryShare is the divisor of a value's limit that gives the largest entry of a slot. Larger
-	// ones are written under the job's own key.
+	// entryLimitDivisor divides the size limit of a value to give the size limit of a slot entry. Larger
+	// entries are written under the job's own key.
 	entryLimitDivisor = 4
 
-	// minAssignmentBytes is a low estimate of an encoded assignment: entries that it shows to be too
-	// large are not encoded at all.
+	// minAssignmentBytes is a lower bound of the size of an encoded assignment. Entries that are too large
+	// by this bound are not encoded at all.
 	minAssignmentBytes = 10
 )
 
 // slotTable is the replica of the slots, by number.
 type slotTable map[int]*batchvalue.Slot
 
-// slotNumber is the number of an open job's slot.
+// slotNumber returns the number of an open job's slot.
 func slotNumber(id string, record *jobrecord.Record) int {
 	slot := record.Shard * (1 + serviceSlotsPerShard)
 	if record.Spec.Service {
@@ -48,7 +48,7 @@
 	return slot
 }
 
-// at is what the replica knows of a slot.
+// at returns the known state of a slot, which it creates if there is none.
 func (t slotTable) at(number int) *batchvalue.Slot {
 	slot := t[number]
 	if slot == nil {
@@ -58,22 +58,22 @@
 	return slot
 }
 
-// slotKey is the store's key of a slot.
+// slotKey returns the store key of a slot.
 func slotKey(number int) string { return fmt.Sprintf("%s%02d", keySlot, number) }
 
-// canShareValues reports whether this controller writes jobs into slots. Records that carry audit
-// entries or depend on permissions are written under their own keys.
+// canShareValues reports whether this controller writes jobs into slots. While audit entries are stored
+// with the records, or permissions are in force, all records are written under their own keys.
 func (c *Core) canShareValues() bool {
 	return c.cfg.Store.SharedValues && c.schema.active >= schemaSharedValues && c.cfg.Audit.Key == nil &&
 		!c.permissions.isInForce()
 }
 
-// maxSlotBytes is the limit of a slot's entries before compression, which at least halves them.
+// maxSlotBytes returns the limit of a slot's entries before compression, which at least halves their size.
 func (s *StoreConfig) maxSlotBytes() int { return s.MaxValueBytes * 7 / 4 }
 
-// canShareProposal reports whether a proposal may be written as a slot's entry, which holds only
-// what changes while a job runs. A record that nearly fills its value is excluded, as it may be
-// cancelled by a marker of which the slot knows nothing.
+// canShareProposal reports whether a proposal may be written as a slot entry, which holds only what
+// changes while a job runs. A record that nearly fills its value is excluded: its job may be cancelled
+// by a cancel marker, whose write does not compare the slot.
 func (c *Core) canShareProposal(next *proposal) bool {
 	target, record := next.job, next.record
 	isNewOrFinal := target.revision == 0 || next.isAcceptance || next.isCancellation ||
@@ -83,7 +83,8 @@
 	return !isNewOrFinal && !needsOwnKey && c.canShareValues() && c.ownership.ownsJob(target)
 }
 
-// encodeSlotEntry encodes what changes of a proposal's job; nil if that can't be shared.
+// encodeSlotEntry encodes the slot entry of a proposal. It returns nil if the proposal can't be written
+// into a slot.
 func (c *Core) encodeSlotEntry(next *proposal) json.RawMessage {
 	maxBytes := c.cfg.Store.MaxValueBytes / entryLimitDivisor
 	maxAssignments := c.cfg.Store.MaxValueBytes / (entryLimitDivisor * minAssignmentBytes)
@@ -102,13 +103,13 @@
 		next.assignments,
 		false,
 	)
-	if err != nil || len(raw) > maxBytes { // the record gets its own key, whose write reports errors
+	if err != nil || len(raw) > maxBytes { // the record is written under its own key, which reports errors
 		return nil
 	}
 	return raw
 }
 
-// currentEntry is the slot entry that belongs to this write of a queued job's record; nil if
+// currentEntry returns the slot entry that belongs to this version of a queued job's record, or nil if
 // there is none.
 func (t slotTable) currentEntry(id string, record *jobrecord.Record) *jobrecord.Record {
 	raw, ok := t.at(slotNumber(id, record)).Entries[id]
@@ -122,8 +123,8 @@
 	return entry
 }
 
-// withCurrentEntry is a job's record with its current slot entry on top, or the record itself if there
-// is no such entry.
+// withCurrentEntry returns a job's record merged with its current slot entry, or the record itself if
+// there is no such entry.
 func (t slotTable) withCurrentEntry(id string, record *jobrecord.Record) *jobrecord.Record {
 	if record.Spec == nil || record.Stage != jobrecord.Queued {
 		return record
@@ -146,7 +147,7 @@
 	}
 	slot := c.replica.slots.at(number)
 	if revision <= slot.Revision {
-		return nil // the reply to this controller's own write came before
+		return nil // applied already, from the reply to this controller's own write
 	}
 	entries, err := batchvalue.Decode(raw)
 	if err != nil {
@@ -162,8 +163,8 @@
 	return nil
 }
 
-// adoptSlotEntry makes a changed slot entry part of its job's known state, if it belongs to the
-// write of the job's record that is known.
+// adoptSlotEntry merges a changed slot entry into its job's known state, if it belongs to the known
+// version of the job's record.
 func (c *Core) adoptSlotEntry(id string) {
 	target := c.knownJob(id)
 	if target == nil || target.record.Spec == nil || target.isFinal() {
@@ -176,8 +177,8 @@
 	}
 }
 
-// slotDraft is the next value of a slot in a transaction: the one begun already, or a new one with the entries
-// that still apply, which is not part of the transaction yet.
+// slotDraft returns the next value of a slot in a transaction: the draft begun already, or a new one with
+// the entries that still apply. A new draft is not part of the transaction before addSlot.
 func (b *txnBuilder) slotDraft(number int) *batchvalue.Draft {
 	if draft := b.slotDrafts[number]; draft != nil {
 		return draft
@@ -188,22 +189,22 @@
 			return false
 		}
 		entry, err := jobrecord.Decode(raw)
-		// An entry that can't be decoded, or belongs to a write that the replica does not have yet, is kept.
+		// An entry is kept if it can't be decoded, or if the replica lacks the record version that it belongs to.
 		return err != nil || entry.WriteNumber >= target.record.WriteNumber
 	})
 }
 
-// addSlot makes a transaction write a slot.
+// addSlot adds the write of a slot to a transaction.
 func (b *txnBuilder) addSlot(number int, draft *batchvalue.Draft) {
 	if b.slotDrafts == nil {
 		b.slotDrafts = map[int]*batchvalue.Draft{}
 	}
 	b.slotDrafts[number] = draft
-	b.valueBytes += b.core.cfg.Store.MaxValueBytes // all of its entries are written
+	b.valueBytes += b.core.cfg.Store.MaxValueBytes // a slot is written with all of its entries
 }
 
-// removeSlotEntry removes a job's entry from a slot whose shard another controller owns. The other
-// entries stay as they are.
+// removeSlotEntry removes a job's entry from a slot whose shard another controller owns, and keeps the
+// other entries unchanged.
 func (b *txnBuilder) removeSlotEntry(number int, id string) {
 	draft := b.slotDrafts[number]
 	if draft == nil {
@@ -213,7 +214,7 @@
 	draft.Entries = draft.Entries.Without(id)
 }
 
-// addSlotEntry puts a proposal's entry into its slot, and reports whether the slot has capacity for it.
+// addSlotEntry puts a proposal's entry into its slot, and reports whether there was space for it.
 func (b *txnBuilder) addSlotEntry(next *proposal, entry json.RawMessage) bool {
 	draft := b.slotDraft(next.slotIndex)
 	if !draft.TryPut(next.job.id, entry, b.core.cfg.Store.maxSlotBytes()) {
@@ -227,19 +228,19 @@
 	return true
 }
 
-// opCount is the number of writes in a transaction.
+// opCount returns the number of writes in the transaction.
 func (b *txnBuilder) opCount() int { return len(b.txn.Then) + len(b.slotDrafts) }
 
-// addCompare adds a compare unless the transaction has it already.
+// addCompare adds a compare, unless the transaction has it already.
 func (b *txnBuilder) addCompare(compare wire.Compare) {
 	if !slices.Contains(b.txn.Compare, compare) {
 		b.txn.Compare = append(b.txn.Compare, compare)
 	}
 }
 
-// encodeSlots encodes the slots of a transaction, and returns the proposals of those that do not fit
-// a value after all: their entries compress worse than expected.
-func (b *txnBuilder) encodeSlots() (unfit []proposal) {
+// encodeSlots encodes the slots of a transaction. It removes the slots that exceed the size limit of a
+// value, because their entries compress worse than expected, and returns the proposals in them.
+func (b *txnBuilder) encodeSlots() (oversized []proposal) {
 	for _, number := range sortedKeys(b.slotDrafts) {
 		raw, err := b.slotDrafts[number].Entries.Encode()
 		if err == nil && len(raw) <= b.core.cfg.Store.MaxValueBytes {
@@ -247,13 +248,13 @@
 			b.txn.Then = append(b.txn.Then, wire.Write{Put: slotKey(number), Value: raw})
 			continue
 		}
-		delete(b.slotDrafts, number) // these jobs are written under their own keys next time
-		unfit = append(unfit, b.takeSlotProposals(number)...)
+		delete(b.slotDrafts, number) // its jobs are written under their own keys next time
+		oversized = append(oversized, b.takeSlotProposals(number)...)
 	}
-	return unfit
+	return oversized
 }
 
-// takeSlotProposals removes the proposals whose entries are in a slot from the transaction and returns them.
+// takeSlotProposals removes from the transaction the proposals whose entries are in a slot, and returns them.
 func (b *txnBuilder) takeSlotProposals(number int) (taken []proposal) {
 	kept := b.proposals[:0:0]
 	for _, candidate := range b.proposals {
@@ -267,7 +268,7 @@
 	return taken
 }
 
-// lock notes that a transaction in flight writes or compares slots.
+// lock records that a transaction in flight writes or compares slots.
 func (t slotTable) lock(pending *pendingTxn) {
 	for number := range pending.writtenSlots {
 		t.at(number).WriteInFlight = true
@@ -277,8 +278,8 @@
 	}
 }
 
-// release notes that a transaction is no longer in flight. It returns the written slots that
-// stay locked until they have been read: their write may be executed yet, or another one won.
+// release records that a transaction is no longer in flight. It returns the written slots that stay locked
+// until they have been read, because their write may still be executed or has lost to another one.
 func (t slotTable) release(pending *pendingTxn, status wire.Status, revision uint64) (stale []int) {
 	for number := range pending.comparedSlots {
 		t.at(number).JobKeyWritesInFlight--
--- a/core/core.go
+++ b/core/core.go
@@ -12,12 +12,12 @@
 	"dewlift/priorityclass"
 )
 
-// Core is the state machine of one controller. Each group of its state is a type of its own, in the
+// Core is the state machine of one controller. Its state is grouped by concern into types, each in the
 // file of its concern. It is not safe for concurrent use.
 type Core struct {
 	*environment
 
-	// Stats counts what the log reports from time to time.
+	// Stats holds the counters and gauges that are logged periodically.
 	Stats Stats
 
 	jobTable
@@ -55,7 +55,7 @@
 	placement  placementState
 	cancelAcks cancelAcks
 
-	// What outlives jobs.
+	// State that outlives jobs.
 	history       history
 	archiving     archivingState
 	auditLog      auditState
@@ -71,18 +71,18 @@
 	stalls      stallDetector
 }
 
-// stallDetector notices pauses of this process. Heartbeats that did not arrive during one are no
-// sign that a machine is silent.
+// stallDetector detects pauses of this process. A heartbeat that is missing because of a pause does
+// not mean that its machine is silent.
 type stallDetector struct {
 	lastAdvanceAt time.Duration
 	runningSince  time.Duration // end of the last pause
 }
 
-// stallThreshold is the gap between two Advance calls that counts as a pause: a controller's clock
-// ticks many times a second.
+// stallThreshold is the gap between two Advance calls beyond which the process counts as paused.
+// Advance is normally called many times per second.
 const stallThreshold = time.Second
 
-// advance notes that the process runs.
+// advance records that the process is running now.
 func (s *stallDetector) advance(now time.Duration) {
 	if now-s.lastAdvanceAt > stallThreshold {
 		s.runningSince = now
@@ -90,7 +90,7 @@
 	s.lastAdvanceAt = now
 }
 
-// New returns a core that starts at a time. The same seed and inputs always give the same outputs.
+// New returns a core that starts at time now. The same seed and inputs always give the same outputs.
 func New(cfg Config, now time.Duration, seed uint64) *Core {
 	c := &Core{
 		environment: newEnvironment(cfg, now, seed),
@@ -109,7 +109,7 @@
 	return c
 }
 
-// initControllers sets up what concerns leases, leadership, shards and the other controllers.
+// initControllers initializes the lease, the leadership, the shards and the other controllers.
 func (c *Core) initControllers() {
 	c.ownLease.environment = c.environment
 	c.leadership.environment, c.leadership.lease = c.environment, &c.ownLease
@@ -120,7 +120,7 @@
 	c.controllers.registrations = map[string]leasedKey{}
 }
 
-// initStore sets up the replica of the store, and what reads and writes it.
+// initStore initializes the replica of the store, and the state of reads and writes.
 func (c *Core) initStore() {
 	c.storeHealth.environment = c.environment
 	c.transactions.environment, c.transactions.stats = c.environment, &c.Stats
@@ -140,7 +140,7 @@
 	c.history = newHistory(c.environment, &c.reads)
 }
 
-// initAgents sets up what is known of agents and machines, the commands to them, and the calls to the cloud.
+// initAgents initializes the state of agents and machines, commands to them, and calls to the cloud API.
 func (c *Core) initAgents() {
 	c.agents.environment, c.agents.controllers = c.environment, &c.controllers
 	c.agents.zones = map[string]*zoneLiveness{}
@@ -152,7 +152,7 @@
 	c.autoscaler.pendingCalls = map[uint64]func(CloudResult){}
 }
 
-// initScheduling sets up the order of work, the copy of the cluster state, and cancellations.
+// initScheduling initializes the queue order, the copy of the cluster state, and cancellations.
 func (c *Core) initScheduling() {
 	c.priority.environment = c.environment
 	c.priority.classes = priorityclass.Default(c.cfg.Scheduling.PriorityAgingInterval)
@@ -170,7 +170,7 @@
 	})
 }
 
-// initAccess sets up permissions, the audit log and reservations.
+// initAccess initializes permissions, the audit log and reservations.
 func (c *Core) initAccess() {
 	c.permissions = newPermissionState(c.environment)
 	c.auditLog = auditState{
@@ -210,7 +210,7 @@
 	}
 }
 
-// handlePlatformInput handles inputs of agents, the store, the cloud, peers and clocks, and reports
+// handlePlatformInput handles inputs from agents, the store, the cloud, peers and clocks, and reports
 // whether the input was one of these.
 func (c *Core) handlePlatformInput(in Input) bool {
 	switch in := in.(type) {
@@ -244,7 +244,7 @@
 	return true
 }
 
-// handleUserRequest handles requests of users, and those that the API denied.
+// handleUserRequest handles users' requests, and reports of requests that the API denied.
 func (c *Core) handleUserRequest(in Input) {
 	switch in := in.(type) {
 	case SubmitJob:
@@ -276,7 +276,7 @@
 	}
 }
 
-// handleRequestsDenied records requests that the API denied before they reached the core.
+// handleRequestsDenied records in the audit log requests that the API denied before they reached the core.
 func (c *Core) handleRequestsDenied(in RequestsDenied) {
 	for _, denied := range in.Items {
 		c.auditLog.current().RecordDenial(audit.AggregatedEvent{
@@ -288,8 +288,8 @@
 	}
 }
 
-// handleAgentPolled applies the heartbeat that a poll of an agent returned. One of a machine other
-// than the polled one is ignored.
+// handleAgentPolled applies the heartbeat that a poll of an agent returned. A heartbeat of another
+// machine than the polled one is ignored.
 func (c *Core) handleAgentPolled(in AgentPolled) {
 	c.agents.pollsInFlight = max(0, c.agents.pollsInFlight-1)
 	if in.Heartbeat != nil && in.Heartbeat.Machine == in.Machine {
@@ -297,8 +297,8 @@
 	}
 }
 
-// Advance moves the time forward, does what is due and returns all outputs since the last call. The
-// order of its steps is part of the behaviour: each sees what the earlier ones changed.
+// Advance moves the time forward, does all work that is due and returns the outputs since the last call.
+// The order of its steps matters: each step sees the changes of the earlier ones.
 func (c *Core) Advance(now time.Duration) []Output {
 	c.now = max(c.now, now)
 	c.stalls.advance(c.now)
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -710,12 +710,12 @@
 func TestHeadroomOfALargeClass(t *testing.T) {
 	c := newServingCore(t)
 	c.cfg.Autoscaling.HeadroomShare, c.cfg.Autoscaling.HeadroomDeviations = 0.25, 1
-	st := &classStats{meanTasks: 10, meanSquareTasks: 100, meanInterval: time.Second}
-	if n := c.autoscaler.headroomTasks(st, 40); n != 10 {
+	stats := &classStats{meanTasks: 10, meanSquareTasks: 100, meanInterval: time.Second}
+	if n := c.autoscaler.headroomTasks(stats, 40); n != 10 {
 		t.Errorf("the headroom of a small class is %v tasks, want a job of the usual size", n)
 	}
 	// In the 3 s until capacity can be up, 3 jobs come: 17 tasks is one standard deviation.
-	if n := c.autoscaler.headroomTasks(st, 4000); n < 17 || n > 18 {
+	if n := c.autoscaler.headroomTasks(stats, 4000); n < 17 || n > 18 {
 		t.Errorf("the headroom of a large class is %v tasks, want one standard deviation", n)
 	}
 }
--- a/core/environment.go
+++ b/core/environment.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// environment is what every concern of a core shares: the settings, the time of the current input, the
-// random source and the outputs since the last Advance. Core and its parts hold the same one.
+// environment is shared by all parts of a core: the configuration, the time of the current input, the
+// random source and the outputs since the last Advance.
 type environment struct {
 	cfg          Config
 	rng          *rand.Rand
-	now          time.Duration // since the process began; it never goes back
-	unixOffsetMS int64         // time of day minus now, in ms
+	now          time.Duration // monotonic, since the process began
+	unixOffsetMS int64         // wall-clock time minus now, in ms
 	startedAt    time.Duration
 	outputs      []Output // since the last Advance
 	lastID       uint64   // last request ID
 }
 
-// newEnvironment returns the environment of a core that starts at a time.
+// newEnvironment returns the environment of a core that starts at time now.
 func newEnvironment(cfg Config, now time.Duration, seed uint64) *environment {
 	return &environment{
 		cfg:       cfg,
@@ -33,18 +33,18 @@
 // nextID returns a new request ID. IDs are never 0.
 func (e *environment) nextID() uint64 { e.lastID++; return e.lastID }
 
-// unixMS is the time of day in milliseconds since 1970, as of the last WallClock input.
+// unixMS returns the wall-clock time in milliseconds since 1970, as set by the last WallClock input.
 func (e *environment) unixMS() int64 { return e.unixOffsetMS + e.now.Milliseconds() }
 
-// unixSeconds is the time of day in seconds since 1970, as of the last WallClock input.
+// unixSeconds returns the wall-clock time in seconds since 1970, as set by the last WallClock input.
 func (e *environment) unixSeconds() int64 { return e.unixMS() / 1000 }
 
-// log emits a log line.
+// log emits a log line; args are keys and values in turn.
 func (e *environment) log(level LogLevel, text string, args ...any) {
 	e.emit(LogLine{Level: level, Message: text, Args: args})
 }
 
-// jitter draws a random duration between 0 and limit.
+// jitter returns a random duration from 0 to limit.
 func (e *environment) jitter(limit time.Duration) time.Duration {
 	return time.Duration(e.rng.Int64N(int64(limit) + 1))
 }
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -9,18 +9,18 @@
 	"dewlift/wire"
 )
 
-// Input is an event that the core handles by Core.Handle: a request, the outcome of an output, or a measurement.
+// Input is an event for Core.Handle: a request, the outcome of an output, or a measurement.
 type Input interface{ input() }
 
-// Requests of users and agents. RequestID is chosen by the edge, which finds the caller of a Response by it;
-// Caller is who was authenticated, empty if nobody was.
+// Requests of users and agents. The API chooses RequestID, and finds the caller of a Response by it. Caller
+// is the authenticated caller, empty if there is none.
 type (
 	// SubmitJob is an idempotent submission of a job.
 	SubmitJob struct {
 		RequestID   uint64
 		ID          string // chosen by the user; empty if the body did not give one
 		Spec        wire.JobSpec
-		DecodeError string // why the body is malformed; empty: it is not
+		DecodeError string // why the body is malformed; empty: it is well-formed
 		UnixMS      int64  // when it was received, in ms since 1970
 		Caller      Credential
 	}
@@ -44,22 +44,22 @@
 		Identity  string
 		Edit      wire.PermissionsEdit
 	}
-	// CheckPermission asks whether the caller may do something that concerns no particular job.
+	// CheckPermission asks whether the caller may perform an operation that is not about a particular job.
 	CheckPermission struct {
 		RequestID uint64
 		Caller    Credential
 		Verb      access.Verb
-		Object    string // what it is done to, for the audit log
+		Object    string // the object of the operation, for the audit log
 	}
-	// RequestsDenied reports requests that the edge denied because the caller could not be authenticated.
+	// RequestsDenied reports requests that the API denied because the caller could not be authenticated.
 	RequestsDenied struct {
-		Items []*pb.AuditItem // each stands for a count of alike requests
+		Items []*pb.AuditItem // each counts identical requests
 	}
 	// ReadAudit requests blocks of a controller's audit log.
 	ReadAudit struct {
 		RequestID  uint64
 		Caller     Credential
-		Node       string // the controller; empty: the ends of the logs of all controllers are requested
+		Node       string // the controller; empty: the last entries of all controllers' logs are requested
 		AfterBlock uint64 // blocks with higher numbers are requested
 	}
 	// ListPermissions requests all permissions.
@@ -67,7 +67,7 @@
 		RequestID uint64
 		Caller    Credential
 	}
-	// ReserveEquipment requests a reservation, or changes one.
+	// ReserveEquipment makes a reservation, or changes one.
 	ReserveEquipment struct {
 		RequestID uint64
 		Caller    Credential
@@ -91,8 +91,8 @@
 		RequestID           uint64
 		Caller              Credential
 		ID                  string // the single job; empty: a page is requested
-		AfterPosition       int    // jobs before the page
-		Limit               int    // most jobs in the page
+		AfterPosition       int    // number of jobs before the page
+		Limit               int    // maximum number of jobs in the page
 		ShowPriorityClasses bool   // the priority classes are requested instead
 	}
 	// SetPriorityClasses replaces the list of priority classes.
@@ -109,8 +109,8 @@
 	}
 )
 
-// Outcomes of outputs. ID is that of the output; a status of wire.StatusNoAnswer (0) means that no answer came, so
-// that it is not known whether the request was executed.
+// Outcomes of outputs. ID is that of the output. The status wire.StatusNoAnswer (0) means that no answer came:
+// the request may have been executed or not.
 type (
 	// AgentPolled is the outcome of a PollAgent.
 	AgentPolled struct {
@@ -122,7 +122,7 @@
 		ID             uint64          `json:"ID"`
 		Status         wire.Status     `json:"Status"`
 		MaybeDelivered bool            `json:"Sent"`   // the request may have reached the agent, and be executed late
-		Heartbeat      *wire.Heartbeat `json:"Report"` // status after the commands; nil: the answer held none
+		Heartbeat      *wire.Heartbeat `json:"Report"` // status after the commands; nil: the answer had none
 	}
 	// TxnResult is the outcome of a CommitTxn.
 	TxnResult struct {
@@ -132,17 +132,17 @@
 	}
 	// WatchResult is the outcome of a Watch.
 	WatchResult struct {
-		LongPoll bool // as in the Watch; false: it was a read barrier
+		LongPoll bool // as in the Watch; false: a read barrier
 		Status   wire.Status
 		Changes  wire.WatchResponse // empty unless the status is OK
 	}
 	// SnapshotPage is the outcome of a LoadSnapshot.
 	SnapshotPage struct {
 		OK       bool            // the page was read
-		Status   wire.Status     // why not, unless OK
+		Status   wire.Status     // the reason if it was not read
 		More     bool            // there are further pages
 		Items    []wire.KeyValue // in key order
-		Revision uint64          // of the store when the page was read
+		Revision uint64          // revision of the store when the page was read
 	}
 	// RangeResult is the outcome of a ReadRange; wire.StatusNotFound if a single key does not exist.
 	RangeResult struct {
@@ -150,7 +150,7 @@
 		Status   wire.Status
 		Items    []wire.KeyValue // in key order
 		More     bool            // there are further pages
-		Revision uint64          // of the store when it was read
+		Revision uint64          // revision of the store when the range was read
 	}
 	// LeaseResult is the outcome of a LeaseRequest.
 	LeaseResult struct {
@@ -158,34 +158,34 @@
 		Status  wire.Status
 		LeaseID uint64 // the lease that was granted; 0: none was
 	}
-	// CloudResult is the outcome of a CloudRequest. Which fields are set depends on its operation.
+	// CloudResult is the outcome of a CloudRequest. The fields that are set depend on its operation.
 	CloudResult struct {
 		ID           uint64
 		Status       wire.Status
-		Catalog      *wire.Catalog  // of CloudCatalog
-		Machines     []wire.Machine // of CloudList, a page
-		More         bool           // of CloudList: there are further pages
-		MachineNames []string       // of CloudScaleOut: the new machines, possibly fewer than requested
-		Error        string         // what went wrong, for the log; empty: nothing
+		Catalog      *wire.Catalog  // CloudCatalog
+		Machines     []wire.Machine // CloudList: a page
+		More         bool           // CloudList: there are further pages
+		MachineNames []string       // CloudScaleOut: the new machines, possibly fewer than requested
+		Error        string         // the error, for the log; empty: none
 	}
 )
 
-// Events of other kinds.
+// Other inputs.
 type (
 	// PeerMessage is a message from another controller.
 	PeerMessage struct {
-		Peer    string // the controller that sent it to this one; it may relay it for another
+		Peer    string // the controller that delivered it, which may relay it for another one
 		Message Message
 	}
-	// WallClock gives the time of day, which the core otherwise does not know.
+	// WallClock sets the wall-clock time, which the core can't read itself.
 	WallClock struct {
 		UnixMS int64 // in ms since 1970
 	}
 	// LoadSample is a measurement of the load of this process.
 	LoadSample struct {
 		MaxLoopDelay    time.Duration // longest delay of the core's loop since the last sample
-		InputQueueUsage float64       // fraction of the input queue in use, 0 to 1
-		ConnectionUsage float64       // fraction of the permitted connections in use, 0 to 1
+		InputQueueUsage float64       // fraction of the input queue in use, from 0 to 1
+		ConnectionUsage float64       // fraction of the permitted connections in use, from 0 to 1
 	}
 )
 
--- a/core/leader.go
+++ b/core/leader.go
@@ -10,76 +10,78 @@
 	"dewlift/wire"
 )
 
-// leaderMachineState is the leader's view of a machine; all but rentedAt begins anew with each term.
+// leaderMachineState is the leader's view of a machine. All fields except rentedAt are reset at the start of
+// each term.
 type leaderMachineState struct {
 	allocations      allocation.Tracker
-	lastDeltaAt      time.Duration          // when an allocation delta for it last came
+	lastDeltaAt      time.Duration          // when its last allocation delta arrived
 	rowComputedAt    time.Duration          // when its row was last computed; 0: it has none
 	rentedAt         time.Duration          // when the cloud started it, by this clock; 0: not known
 	emptySince       time.Duration          // since when it has had no task; 0: it has some
-	cordonedAt       time.Duration          // when it was cordoned as idle; 0: it is not
-	offeredLast      bool                   // placement should prefer all other machines, so that it empties
-	onDemandReserved clusterstate.Resources // kept for work that may not use spot machines
-	returnReason     string                 // why it must be returned; "": it need not
-	zoneUnreachable  bool                   // silent with most of its zone: its tasks are to be replaced
+	cordonedAt       time.Duration          // when it was cordoned as idle; 0: it is not cordoned
+	offeredLast      bool                   // placement prefers all other machines, so that this one empties
+	onDemandReserved clusterstate.Resources // reserved for work that may not use spot machines
+	returnReason     string                 // why scale in must release it; empty: it need not
+	zoneUnreachable  bool                   // silent like most of its zone: its tasks are to be replaced
 }
 
-// leaderState is the state of one leader's term: the cluster state array, the autoscaler's plan and the
-// requests to the cloud.
+// leaderState is the state of one leader's term: the cluster state array, the scaling plan and the requests
+// to the cloud API.
 type leaderState struct {
 	*environment
 
 	autoscaler *autoscalerState
 	machines   *machineTable
 
-	ended             bool // the term is over: answers to its requests may still come
+	ended             bool // the term is over, although answers to its requests may still arrive
 	fencingToken      uint64
 	leadingSince      time.Duration
 	array             *clusterstate.Array
-	ackedBatchSeqs    map[string]uint64 // highest sequence number of allocation deltas, by controller
+	ackedBatchSeqs    map[string]uint64 // by controller: sequence number of its last batch of allocation deltas
 	nextPushAt        time.Duration
 	lastPushAt        time.Duration
 	pushedRevision    uint64        // revision of the array as of the last push; 0: none in this term
-	nextFullPushAt    time.Duration // when all rows are due again
+	nextFullPushAt    time.Duration
 	nextPlanAt        time.Duration
 	nextPlanLogAt     time.Duration
 	nextListAt        time.Duration
-	listComplete      bool // all pages of the cloud's list were read once
+	listComplete      bool // all pages of the cloud's list have been read at least once
 	listInFlight      bool
-	pollRequestRounds int    // rounds in which peers were asked to poll silent machines
+	pollRequestRounds int    // number of times that a peer was asked to poll machines
 	listAfter         string // the next page begins after this machine
 
 	scaleOutRequests   map[string]*scaleOutRequest // by idempotency key
-	blockedUntil       map[nodeGroup]time.Duration // no scale-out of the group before
+	blockedUntil       map[nodeGroup]time.Duration // until when the group is not scaled out
 	scaleOutSeq        int
 	cloudCallBudget    float64 // tokens, one for each cloud request
 	cloudCallBudgetAt  time.Duration
 	cloudBackoffUntil  time.Duration
 	returnInFlight     bool
-	goneMachines       []string // announced with every full push
-	newlyGone          []string // announced with the next push
+	goneMachines       []string // sent with every full push
+	newlyGone          []string // sent with the next push
 	capacityHold       *CapacityHold
-	unmetJobs          int                        // jobs whose demand the last plan could not place at once
-	pendingPreemptions []PreemptedTask            // for the next push
-	lastPreemptedFor   map[int32]preemptionRecord // by the index of the job that tasks were preempted for
+	unmetJobs          int                        // jobs whose demand did not fit the free capacity at the last plan
+	pendingPreemptions []PreemptedTask            // sent with the next push
+	lastPreemptedFor   map[int32]preemptionRecord // by the index of the job for which tasks were preempted
 	failedMachines     []string                   // failed machines that the cloud still lists
 	pushRequested      bool
 }
 
 const (
-	maxGoneAnnounced = 2000 // gone machines announced with a full push
+	maxGoneAnnounced = 2000 // machines that a full push announces as gone
 
 	// planningDelay is the time from the start of a term to its first plan.
 	planningDelay = 2 * time.Second
 
-	// pendingRowInterval is how often a row with pending deltas is recomputed: deltas can be lost.
+	// pendingRowInterval is the time between recomputations of a row with pending deltas, as deltas can be
+	// lost.
 	pendingRowInterval = time.Second
 
-	// slowPushInterval is the push interval from which a new row waits for the regular push.
+	// slowPushInterval is the push interval from which on a new row waits for the regular push.
 	slowPushInterval = 3 * time.Second
 )
 
-// runLeader does what is due of the leader's work; on other controllers it only keeps the catalog.
+// runLeader does the leader's work that is due. On other controllers it only refreshes the catalog.
 func (c *Core) runLeader() {
 	if c.autoscaler.isCatalogDue() {
 		c.autoscaler.readCatalog(c.persistCatalog)
@@ -107,7 +109,7 @@
 	}
 }
 
-// newLeaderState returns the state of a term that begins now.
+// newLeaderState returns the state of a new term.
 func newLeaderState(autoscaler *autoscalerState, machines *machineTable, fencingToken uint64) *leaderState {
 	return &leaderState{
 		environment:       autoscaler.environment,
@@ -124,8 +126,8 @@
 	}
 }
 
-// endTerm ends the term of this controller as the leader, if there is one: answers that come later must
-// not count for another.
+// endTerm ends this controller's term as the leader, if there is one, so that late answers to its requests
+// do not affect the next term.
 func (c *Core) endTerm() {
 	if c.leaderState != nil {
 		c.leaderState.ended = true
@@ -133,7 +135,7 @@
 	}
 }
 
-// startTerm begins a term of this controller as the leader.
+// startTerm starts a term of this controller as the leader.
 func (c *Core) startTerm() {
 	c.endTerm()
 	c.leaderState = newLeaderState(&c.autoscaler, &c.machineTable, c.leadership.leader.FencingToken)
@@ -144,15 +146,15 @@
 	c.log(LevelInfo, "became leader", "token", c.leaderState.fencingToken)
 }
 
-// refillCloudCallBudget adds the cloud requests allowed since the last refill, for a second at most.
+// refillCloudCallBudget adds the cloud requests allowed since the last refill, up to those of one second.
 func (l *leaderState) refillCloudCallBudget() {
 	rate := l.cfg.Autoscaling.CloudRequestRate
 	l.cloudCallBudget = min(l.cloudCallBudget+(l.now-l.cloudCallBudgetAt).Seconds()*rate, rate)
 	l.cloudCallBudgetAt = l.now
 }
 
-// runAutoscaler lists and checks the machines, plans scaling once the list is known, and sends what
-// follows to the cloud.
+// runAutoscaler lists and checks the machines, plans scaling once the list is complete, and sends the
+// resulting requests to the cloud API.
 func (c *Core) runAutoscaler() {
 	l := c.leaderState
 	l.nextPlanAt = c.now + planInterval(c.overload.Level())
@@ -160,7 +162,7 @@
 	c.checkMachines()
 	if l.listComplete && c.now-l.leadingSince > planningDelay {
 		c.planScaling()
-		// Nothing can be scaled out, so the next plan will be much the same.
+		// Nothing can be scaled out, so the next plan would hardly differ and may wait.
 		if len(l.scaleOutRequests) == 0 && l.unmetJobs > manyUnmetJobs {
 			l.nextPlanAt += planInterval(c.overload.Level())
 		}
@@ -179,8 +181,8 @@
 	}
 }
 
-// allocatedResources is the resources allocated on a machine: to its committed assignments, and to other
-// attempts that its heartbeat lists. It is cached until either changes.
+// allocatedResources returns the resources allocated on a machine: to its committed assignments, and to
+// other attempts that its heartbeat lists. The result is cached until either changes.
 func (m *machine) allocatedResources(jobs []*job) clusterstate.Resources {
 	if m.allocation.allocatedValid {
 		return m.allocation.allocated
@@ -189,13 +191,13 @@
 	for key, assignment := range m.allocation.assignments {
 		status := m.status.tasks[attemptKey{key.jobIndex, key.task, assignment.Attempt}]
 		if status.state == wire.TaskExited {
-			continue // ended; the watch has not shown the write of that yet
+			continue // ended, although the write of its end is not in the replica yet
 		}
 		if spec := jobs[key.jobIndex].record.Spec; spec != nil {
 			allocated = allocated.AddScaled(spec.Request, 1)
 		}
 	}
-	known := true
+	complete := true
 	for key, status := range m.status.tasks {
 		if status.state == wire.TaskExited || m.isAssigned(key) {
 			continue
@@ -203,10 +205,10 @@
 		if record := jobs[key.jobIndex].record; record != nil && record.Spec != nil {
 			allocated = allocated.AddScaled(record.Spec.Request, 1)
 		} else {
-			known = false // the job's record may still arrive, which does not invalidate this cache
+			complete = false // not cached: the job's record may still arrive, which does not invalidate the cache
 		}
 	}
-	m.allocation.allocated, m.allocation.allocatedValid = allocated, known
+	m.allocation.allocated, m.allocation.allocatedValid = allocated, complete
 	return allocated
 }
 
@@ -216,7 +218,7 @@
 	return ok && assignment.Attempt == key.attempt
 }
 
-// recomputeRow computes a machine's row of the array; it is false if the machine type is not known.
+// recomputeRow computes a machine's row of the array. It returns false if the machine type is unknown.
 func (l *leaderState) recomputeRow(m *machine, jobs []*job) bool {
 	machineType := l.autoscaler.catalog[m.identity.machineType]
 	if machineType == nil {
@@ -228,7 +230,7 @@
 	return true
 }
 
-// observedTasks lists the tasks that hold resources on a machine, as the store and its heartbeat show.
+// observedTasks lists the tasks that hold resources on a machine according to the store and its heartbeat.
 func (m *machine) observedTasks(jobs []*job) []allocation.ObservedTask {
 	observed := make([]allocation.ObservedTask, 0, len(m.allocation.assignments))
 	for key, assignment := range m.allocation.assignments {
@@ -253,14 +255,14 @@
 	return observed
 }
 
-// isOffered reports whether new tasks may be placed on a machine, as far as the leader decides.
+// isOffered reports whether the leader permits new tasks on a machine.
 func (m *machine) isOffered() bool {
 	return m.leaderView.cordonedAt == 0 && m.leaderView.returnReason == "" &&
 		m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested
 }
 
-// applyDeltas records a controller's allocation deltas; a repeated batch is ignored. Sequence number 1
-// is that of a controller that has restarted.
+// applyDeltas records a batch of allocation deltas of a controller. A repeated batch is ignored, except
+// for sequence number 1, with which a controller begins again after a restart.
 func (l *leaderState) applyDeltas(from string, batch *AllocationDeltas) {
 	if batch.Seq <= l.ackedBatchSeqs[from] && batch.Seq > 1 {
 		return
@@ -273,7 +275,7 @@
 	}
 }
 
-// pushArray sends the array to all controllers, itself included.
+// pushArray sends the next push to all other controllers, and applies it to this one.
 func (c *Core) pushArray() {
 	c.leaderState.refreshRows(c.jobs)
 	push := c.leaderState.nextPush()
@@ -281,8 +283,8 @@
 	c.applyPush(push)
 }
 
-// nextPush is the next push: the rows that changed since the last one, and all of them once in a full
-// push interval.
+// nextPush returns the next push: an incremental push of the rows that changed since the last one, or a
+// full push if one is due.
 func (l *leaderState) nextPush() *StatePush {
 	l.nextPushAt, l.pushRequested, l.lastPushAt = l.now+l.cfg.State.PushInterval, false, l.now
 	push := &StatePush{
@@ -306,7 +308,8 @@
 	return push
 }
 
-// refreshRows recomputes the rows of machines that have changed, and sets what all are offered as.
+// refreshRows recomputes the rows of machines that have changed, and updates for all machines whether and
+// how placement may use them.
 func (l *leaderState) refreshRows(jobs []*job) {
 	for _, machine := range l.machines.aliveMachines {
 		if machine.lifecycle.gone || !machine.status.reported {
@@ -321,7 +324,7 @@
 	}
 }
 
-// machineCapacities translates rows of the array for a push.
+// machineCapacities converts rows of the array to their form in a push.
 func machineCapacities(rows []clusterstate.Row, machines []*machine) (capacities []MachineCapacity) {
 	for _, row := range rows {
 		machine := machines[row.Machine]
@@ -340,7 +343,7 @@
 	return capacities
 }
 
-// announceGone has the other controllers told with the next pushes that a machine is gone.
+// announceGone announces with the next pushes that a machine is gone.
 func (l *leaderState) announceGone(name string) {
 	l.goneMachines = append(l.goneMachines, name)
 	l.newlyGone = append(l.newlyGone, name)
--- a/core/leadership.go
+++ b/core/leadership.go
@@ -8,11 +8,11 @@
 	"dewlift/wire"
 )
 
-// tokenRaiseInterval is the least time between two increments of the fencing token that are no part of a claim.
+// tokenRaiseInterval is the minimum time between two increments of the fencing token outside of claims.
 const tokenRaiseInterval = 5 * time.Second
 
-// leadershipState is the leader and the fencing token, as the replica shows them, and this controller's
-// increments of the token.
+// leadershipState holds the leader and the fencing token as in the replica, and the state of this
+// controller's increments of the token.
 type leadershipState struct {
 	*environment
 	lease *controllerLease
@@ -21,11 +21,11 @@
 	fencingTokenRevision uint64        // modification revision of its key
 	leader               leasedKey     // the leadership's key
 	raiseInFlight        bool          // an increment is in flight
-	nextRaiseAt          time.Duration // no increment is sent before
+	nextRaiseAt          time.Duration // earliest time of the next increment
 }
 
-// isHeld reports whether the leadership is bound to this controller's present lease. It does not check
-// that the lease is still in force; see controllerLease.isHeld.
+// isHeld reports whether the leadership is bound to this controller's current lease. It does not check
+// that the lease is still valid; see controllerLease.isHeld.
 func (s *leadershipState) isHeld() bool {
 	return s.lease.id != 0 && s.leader.modRevision != 0 && s.leader.Holder == s.cfg.Name &&
 		s.leader.LeaseID == s.lease.id
@@ -37,8 +37,8 @@
 	return c.replica.loaded && c.leadership.fencingToken > 0 && (c.ownLease.isHeld() || c.isStoreOutage())
 }
 
-// raiseFencingToken increments the fencing token: once a machine has seen the new token, commands
-// that are still in flight to it with an older one cannot be executed.
+// raiseFencingToken increments the fencing token. A machine that has seen the new token rejects commands
+// with an older one that are still in flight to it.
 func (c *Core) raiseFencingToken() {
 	if c.leadership.raiseInFlight || c.ownership.claimInFlight || c.now < c.leadership.nextRaiseAt ||
 		!c.ownLease.isHeld() || c.transactions.rateLimit.IsPaused(c.now) {
--- a/core/lease.go
+++ b/core/lease.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// leaseRequestInterval is the least time between two requests about the lease, also after a failure.
+	// leaseRequestInterval is the minimum time between two lease requests, also after a failure.
 	leaseRequestInterval = 150 * time.Millisecond
-	// watchStallTimeout is how long reads may stay unanswered before the lease is given up: two reads in a
-	// row without an answer, and a margin.
+	// watchStallTimeout is how long reads may stay unanswered before this controller stops extending its
+	// lease: two unanswered reads in a row and a margin.
 	watchStallTimeout = 5 * time.Second
 )
 
-// controllerLease is this controller's own lease in the store and the request about it in flight.
+// controllerLease is this controller's own lease in the store, and the lease request in flight.
 type controllerLease struct {
 	*environment
 
-	id            uint64        // 0: there is none
-	expiresAt     time.Duration // it is certainly in force until then
+	id            uint64        // 0: there is no lease
+	expiresAt     time.Duration // until when it is certainly valid
 	opInFlight    LeaseOp       // empty: no request is in flight
-	requestSentAt time.Duration // when the last request about it was sent
+	requestSentAt time.Duration // when the last lease request was sent
 }
 
 // leasedKey is the stored value of a key that is bound to a controller's lease: a controller's
@@ -30,16 +30,16 @@
 type leasedKey struct {
 	Holder       string        `json:"n"` // the controller that holds it
 	LeaseID      uint64        `json:"t"`
-	FencingToken uint64        `json:"b"` // token that it was acquired with; 0 for a registration
+	FencingToken uint64        `json:"b"` // token with which it was acquired; 0 for a registration
 	modRevision  uint64        `json:"-"` // modification revision in the store; 0: the key is absent
-	absentSince  time.Duration `json:"-"` // since when it has been absent, if it is
+	absentSince  time.Duration `json:"-"` // if the key is absent: since when
 }
 
-// isHeld reports whether this controller's lease is certain to be in force. Without it, others may
-// hold its shards and the leadership by now.
+// isHeld reports whether this controller's lease is certainly valid. Otherwise other controllers may
+// already hold its shards and the leadership.
 func (l *controllerLease) isHeld() bool { return l.id != 0 && l.now < l.expiresAt }
 
-// maintain extends this controller's lease in time, and requests a new one when it is lost.
+// maintain extends this controller's lease before it expires, and requests a new one if there is none.
 func (l *controllerLease) maintain() {
 	if l.opInFlight != "" || l.now < l.requestSentAt+leaseRequestInterval {
 		return
@@ -57,10 +57,11 @@
 }
 
 // mayKeepLease reports whether this controller may extend its lease or request one. Without the audit key, or
-// when its watch is stalled, it must not act and lets the lease expire, so that others take over.
+// when its watch is stalled, it must not act: it lets the lease expire, so that other controllers take over.
 func (c *Core) mayKeepLease() bool { return !c.auditLog.lacksKey() && !c.storeHealth.isWatchStalled() }
 
-// handleLeaseResult takes the outcome of the lease request in flight; that of an earlier one is ignored.
+// handleLeaseResult handles the outcome of the lease request in flight. Outcomes of earlier requests are
+// ignored.
 func (c *Core) handleLeaseResult(in LeaseResult) {
 	if in.Op == c.ownLease.opInFlight {
 		c.storeHealth.recordStatus(in.Status)
@@ -68,8 +69,8 @@
 	}
 }
 
-// applyResult applies the outcome of a grant or an extension. The expiry counts from when the request was
-// sent: the store counts from when it received it, which is later.
+// applyResult applies the outcome of a grant or an extension. The expiry is counted from the sending of the
+// request, which is before the store's count begins.
 func (l *controllerLease) applyResult(in LeaseResult) {
 	l.opInFlight = ""
 	switch {
--- a/core/loadshedding.go
+++ b/core/loadshedding.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	normalPlanInterval     = 500 * time.Millisecond // between two plans of the leader
+	normalPlanInterval     = 500 * time.Millisecond // time between two scaling plans of the leader
 	overloadedPlanInterval = time.Second
 
-	minPendingSubmissions = 8  // submissions that may wait for their write whatever the rate
-	maxRetryAfterSeconds  = 30 // longest retry time that a client is given
+	minPendingSubmissions = 8  // submissions that may wait for their write however low the rate is
+	maxRetryAfterSeconds  = 30 // upper limit of the Retry-After that a client gets
 )
 
 // handleLoadSample updates the load level from the state of the process and the write backlog.
@@ -30,12 +30,12 @@
 	}
 }
 
-// estimateWriteTime is how long a number of writes takes a controller at its rate, in writes a second.
+// estimateWriteTime returns how long a controller needs for a number of writes at a rate in writes per second.
 func estimateWriteTime(writes int, rate float64) time.Duration {
 	return time.Duration(float64(writes) / max(1, rate) * float64(time.Second))
 }
 
-// planInterval is the time between two plans of the leader at a load level.
+// planInterval returns the time between two scaling plans of the leader at a load level.
 func planInterval(level overload.Level) time.Duration {
 	if level == overload.Overloaded {
 		return overloadedPlanInterval
@@ -43,8 +43,8 @@
 	return normalPlanInterval
 }
 
-// maxPendingSubmissions is how many submissions may wait for their write: those that are written before
-// they time out. An overloaded controller relies only on its own share of the write rate.
+// maxPendingSubmissions returns how many submissions may wait for their write, so that all of them can be
+// written before they time out. An overloaded controller counts only on its own share of the write rate.
 func (c *Core) maxPendingSubmissions() int {
 	rate := c.schema.storeWriteRate()
 	if c.overload.Level() == overload.Overloaded {
@@ -53,8 +53,9 @@
 	return max(minPendingSubmissions, int(rate*c.cfg.Scheduling.SubmitWriteTimeout.Seconds()))
 }
 
-// retryAfterSeconds is when a client whose request was shed should retry: once the pending submissions
-// are written, with as much jitter, so that clients don't retry all at once.
+// retryAfterSeconds returns after how many seconds a client whose request was shed should retry: the time in
+// which the pending submissions are written, with a jitter of up to the same time, so that clients don't
+// retry all at once.
 func (c *Core) retryAfterSeconds() int {
 	writeSeconds := estimateWriteTime(c.pendingSubmissions, c.transactions.rateLimit.WriteRate).Seconds()
 	return int(min(maxRetryAfterSeconds, max(1, math.Ceil(writeSeconds*(1+c.rng.Float64())))))
--- a/core/membership/members.go
+++ b/core/membership/members.go
@@ -1,6 +1,6 @@
-// Package membership decides which other controllers are reachable, which of them relays messages to
-// one that is not, and whose waiting work comes before a job of this controller. It owns what is known
-// of each controller. It sends nothing and has no clock: the caller tells what was received and when.
+// Package membership decides which other controllers are reachable, which of them relays messages to an
+// unreachable one, and whose waiting work precedes a job of this controller. It owns the known state of
+// each controller. It sends nothing and has no clock: the caller passes in what was received, and when.
 package membership
 
 import (
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// storeStatusTTL is how long a controller's word on whether it reaches the store counts.
+// storeStatusTTL is how long a controller's report on whether it reaches the store is valid.
 const storeStatusTTL = 2 * time.Second
 
-// Peer is what is known of another controller, by its own word.
+// Peer is the state of another controller, as it last reported it.
 type Peer struct {
 	StoreReachable      bool            // it reached the store recently
 	WriteRate           float64         // its writes to the store per second
 	ReachablePeers      []string        // controllers that it can reach
-	SnapshotPagesLoaded int             // pages of the store that it has loaded; 0: it is not loading
-	QueueHeads          []QueuePosition // by priority class, the first of its jobs that wait for capacity
+	SnapshotPagesLoaded int             // pages of its snapshot load so far; 0: none is in progress
+	QueueHeads          []QueuePosition // by priority class: the first of its jobs that wait for capacity
 
 	everSeen   bool
 	lastSeenAt time.Duration
 }
 
-// Members is the other controllers of a site.
+// Members is the other controllers of a cluster.
 type Members struct {
 	peerNames        []string         // in the order of the settings
-	unreachableAfter time.Duration    // a controller not heard of for so long is unreachable
+	unreachableAfter time.Duration    // how long after its last message a controller counts as unreachable
 	peers            map[string]*Peer // by name
 }
 
-// New returns the members of these names; none was heard of yet.
+// New returns the members with these names, none of which has been seen yet.
 func New(names []string, unreachableAfter time.Duration) *Members {
 	members := &Members{peerNames: names, unreachableAfter: unreachableAfter, peers: map[string]*Peer{}}
 	for _, name := range names {
@@ -42,16 +42,16 @@
 // PeerNames lists the other controllers in the order of the settings.
 func (m *Members) PeerNames() []string { return m.peerNames }
 
-// Peer returns a controller, or nil if there is none of that name.
+// Peer returns the controller of a name, or nil if there is none.
 func (m *Members) Peer(name string) *Peer { return m.peers[name] }
 
-// MarkSeen records that a controller was heard of. The name must be one of PeerNames.
+// MarkSeen records that a message of a controller has arrived. The name must be one of PeerNames.
 func (m *Members) MarkSeen(now time.Duration, name string) {
 	peer := m.peers[name]
 	peer.everSeen, peer.lastSeenAt = true, now
 }
 
-// IsReachable reports whether a controller was heard of recently.
+// IsReachable reports whether a message of a controller has arrived recently.
 func (m *Members) IsReachable(now time.Duration, name string) bool {
 	peer := m.peers[name]
 	return peer != nil && peer.everSeen && now-peer.lastSeenAt < m.unreachableAfter
@@ -67,9 +67,9 @@
 	return reachable
 }
 
-// RelayFor is the controller that relays messages to one that was heard of once and is unreachable now;
-// "": send directly. While no reachable controller says that it reaches the target, all of them are
-// tried in turn: one in the same zone is cut off from the other zone as well.
+// RelayFor returns the controller that relays messages to a target that was reachable once and is not now,
+// or "" if they are to be sent directly. If no reachable controller reports that it reaches the target, all
+// of them are tried in turn: one in the same zone as this controller is probably also cut off from it.
 func (m *Members) RelayFor(now time.Duration, target string) string {
 	if !m.peers[target].everSeen || m.IsReachable(now, target) {
 		return ""
@@ -86,8 +86,9 @@
 	return reachable[int(now/m.unreachableAfter)%len(reachable)]
 }
 
-// IsStoreOutage reports whether a majority of all controllers agrees that the store is down: the caller,
-// who must not reach it, and others that were heard of recently, none of which reaches it.
+// IsStoreOutage reports whether a majority of all controllers agrees that the store is down. The caller
+// must not reach it, and is counted. The others count by their recent reports, none of which may say that
+// it reaches the store.
 func (m *Members) IsStoreOutage(now time.Duration) bool {
 	agreeing := 1 // the caller
 	for _, peer := range m.peers {
--- a/core/messages.go
+++ b/core/messages.go
@@ -5,14 +5,14 @@
 	"dewlift/wire"
 )
 
-// Message is a message between controllers, in JSON. It carries what its set fields hold; the others are absent. A
-// controller of another version ignores the fields that it does not know, so their tags never change meaning.
+// Message is a message between controllers, in JSON, of which only the fields that are set are sent. Controllers of
+// another version ignore fields that they do not know, so a tag must never change its meaning.
 type Message struct {
-	RelayTo     string `json:"to,omitempty"` // the controller to pass it on to; empty: the receiver
+	RelayTo     string `json:"to,omitempty"` // the controller to relay it to; empty: it is for the receiver
 	RelayedFrom string `json:"fr,omitempty"` // the sender of a relayed message; empty: it is not relayed
 
-	Commands       *SendCommands   `json:"o,omitempty"`  // to send to an agent that the sender may not reach
-	CommandsResult *CommandsResult `json:"od,omitempty"` // outcome of Commands that the receiver had sent
+	Commands       *SendCommands   `json:"o,omitempty"`  // to be sent to an agent that the sender may not reach
+	CommandsResult *CommandsResult `json:"od,omitempty"` // outcome of Commands in an earlier message of the receiver
 	Health         *Health         `json:"h,omitempty"`
 
 	Heartbeats       []*wire.Heartbeat `json:"r,omitempty"` // heartbeats that changed something
@@ -21,84 +21,84 @@
 
 	AllocationDeltas *AllocationDeltas `json:"d,omitempty"`
 	StatePush        *StatePush        `json:"p,omitempty"`
-	ResendStatePush  bool              `json:"a,omitempty"` // the sender missed a push and needs all rows
+	ResendStatePush  bool              `json:"a,omitempty"` // the sender missed a push and needs a full one
 
-	MachinesToReturn []string `json:"s,omitempty"` // machines that the leader must return to the cloud
+	MachinesToReturn []string `json:"s,omitempty"` // machines that the leader must release to the cloud
 	SilentMachines   []string `json:"q,omitempty"` // machines without a heartbeat at the sender
 
 	QuorumRead    *QuorumRead     `json:"v,omitempty"`  // requests the cancellations that the receiver holds
-	QuorumReply   *QuorumReply    `json:"vd,omitempty"` // answers a QuorumRead
+	QuorumReply   *QuorumReply    `json:"vd,omitempty"` // the reply to a QuorumRead
 	Cancellations []wire.KeyValue `json:"c,omitempty"`  // cancellations, as the store holds them
 	CancelAcks    []string        `json:"y,omitempty"`  // jobs whose cancellation the sender holds
-	PollMachines  []string        `json:"l,omitempty"`  // machines to poll, as the sender may not reach them
+	PollMachines  []string        `json:"l,omitempty"`  // machines for the receiver to poll, in case it reaches them
 }
 
-// HeartbeatDigest stands for a heartbeat that changed nothing. By the digest, the receiver knows whether it has the
-// heartbeat that this one repeats; if not, it requests that.
+// HeartbeatDigest replaces a heartbeat that changed nothing. The receiver compares the digest with its last heartbeat
+// of the machine, and requests the full heartbeat if they differ.
 type HeartbeatDigest struct {
 	Machine      string `json:"m"`
 	Incarnation  uint64 `json:"s"` // of the agent
 	Seq          uint64 `json:"q"` // sequence number in this incarnation
 	FencingToken uint64 `json:"b"` // highest token that the agent has seen
-	Digest       uint64 `json:"d"` // of the task statuses, see taskStatusDigest
+	Digest       uint64 `json:"d"` // hash of the task statuses, see taskStatusDigest
 }
 
-// Health is the state of a controller, sent to its peers at regular intervals.
+// Health is the state of a controller, which it sends to its peers periodically.
 type Health struct {
 	StoreReachable    bool     `json:"ok"`          // it has reached the store recently
 	WriteRate         float64  `json:"u"`           // recent writes to the store per second
-	ReachablePeers    []string `json:"n,omitempty"` // none: there are none, or an earlier version sent it
+	ReachablePeers    []string `json:"n,omitempty"` // empty: there are none, or an earlier version sent it
 	SnapshotPagesRead int      `json:"g,omitempty"` // pages of its snapshot load so far; 0: none is in progress
-	// the sender holds all cancellations up to this revision; 0: its replica is not loaded, or an earlier
-	// version sent it
+	// CancellationsUpTo is the revision up to which the sender holds all cancellations. 0: its replica is not
+	// loaded, or an earlier version sent it.
 	CancellationsUpTo uint64 `json:"v,omitempty"`
-	// the first of its jobs, in each priority class, that wait for capacity; none: there are none, or an earlier
-	// version sent it
+	// QueueHeads are the first jobs of the sender, one for each priority class, that wait for capacity. Empty:
+	// there are none, or an earlier version sent it.
 	QueueHeads []QueueHead `json:"w,omitempty"`
 }
 
 // QueueHead is the queue position of a job.
 type QueueHead struct {
 	Priority     int   `json:"p"`           // index of its priority class; 0 is the first
-	EnqueuedAtMS int64 `json:"a"`           // its effective enqueue time, in ms since 1970
+	EnqueuedAtMS int64 `json:"a"`           // effective enqueue time, in ms since 1970
 	Spot         bool  `json:"s,omitempty"` // it may use spot machines
 }
 
-// AllocationDeltas is a batch of starts and finishes of tasks by one controller.
+// AllocationDeltas is a batch of starts and ends of tasks, sent by one controller.
 type AllocationDeltas struct {
-	Seq    uint64            `json:"q"` // number of the batch at its sender, from 1
+	Seq    uint64            `json:"q"` // sequence number of the batch at its sender, from 1
 	Deltas []AllocationDelta `json:"l"`
 }
 
-// AllocationDelta is a start or a finish of a task on a machine.
+// AllocationDelta is a start or an end of a task on a machine.
 type AllocationDelta struct {
-	Start       bool                   `json:"st,omitempty"` // false: a finish
+	Start       bool                   `json:"st,omitempty"` // false: an end
 	Machine     string                 `json:"m"`
 	Request     clusterstate.Resources `json:"c"`           // resources of the task
-	AttemptHash uint64                 `json:"k,omitempty"` // names the attempt; 0: an earlier version sent it
+	AttemptHash uint64                 `json:"k,omitempty"` // identifies the attempt; 0: an earlier version sent it
 }
 
-// StatePush is the leader's array of available capacity: from time to time whole, else the rows that changed since
-// an earlier push.
+// StatePush is a push of the leader's array of available capacity. A full push carries all rows, an incremental push
+// the rows that changed since an earlier push.
 type StatePush struct {
-	AfterRevision uint64            `json:"after,omitempty"` // the rows changed after this revision; 0: they are all
-	Revision      uint64            `json:"rev"`             // of the array, with these rows
+	AfterRevision uint64            `json:"after,omitempty"` // Rows are those changed after it; 0: a full push
+	Revision      uint64            `json:"rev"`             // revision of the array with these rows
 	Rows          []MachineCapacity `json:"rows,omitempty"`
 	Preempted     []PreemptedTask   `json:"stop,omitempty"` // task attempts to preempt
 	GoneMachines  []string          `json:"gone,omitempty"` // machines that are proven to be gone
-	DeltaAcks     map[string]uint64 `json:"acks,omitempty"` // by controller: number of its last batch that is counted
-	FencingToken  uint64            `json:"tok"`            // of the leader
-	CapacityHold  *CapacityHold     `json:"hold,omitempty"` // nil: no capacity is held back
+	DeltaAcks     map[string]uint64 `json:"acks,omitempty"` // by controller: last batch of deltas that Rows include
+	FencingToken  uint64            `json:"tok"`            // fencing token of the leader
+	CapacityHold  *CapacityHold     `json:"hold,omitempty"` // nil: no capacity is held
 }
 
-// CapacityHold says that tasks of a priority wait for capacity: work of lower priority leaves free what their
-// smallest request needs.
+// CapacityHold means that tasks of a priority wait for capacity: work of lower priority must leave free what the
+// smallest of their requests needs.
 type CapacityHold struct {
 	Priority int                    `json:"p"`
 	Request  clusterstate.Resources `json:"c"`
 }
 
-// PreemptedTask names a task attempt that is preempted by work of higher priority.
+// PreemptedTask identifies a task attempt that is preempted by work of higher priority.
 type PreemptedTask struct {
 	Machine string `json:"m"`
 	Job     string `json:"j"`
@@ -114,7 +114,7 @@
 	Spot          bool                   `json:"s,omitempty"`
 	Available     clusterstate.Resources `json:"a"`
 	Allocated     clusterstate.Resources `json:"o"`
-	Reserved      clusterstate.Resources `json:"k"`           // kept free for work that may not use spot machines
-	OfferedLast   bool                   `json:"l,omitempty"` // to be used only if no other machine fits
+	Reserved      clusterstate.Resources `json:"k"`           // reserved for work that may not use spot machines
+	OfferedLast   bool                   `json:"l,omitempty"` // used only if no other machine fits
 	Unschedulable bool                   `json:"x,omitempty"` // no new tasks are placed on it
 }
--- a/core/outputs.go
+++ b/core/outputs.go
@@ -7,8 +7,7 @@
 	"dewlift/wire"
 )
 
-// Output is something that the core wants done, as returned by Core.Advance. Outputs with an ID have an outcome, an
-// Input with that ID.
+// Output is an action that Core.Advance requests. The outcome of an output with an ID is an Input with the same ID.
 type Output interface{ output() }
 
 // Outputs.
@@ -18,7 +17,7 @@
 		RequestID         uint64 // as in the request
 		Status            wire.Status
 		Body              any // encoded as JSON
-		RetryAfterSeconds int // when to try again, in seconds; 0: not given
+		RetryAfterSeconds int // when the client may retry; 0: not set
 	}
 	// CommitTxn sends a compare-and-swap transaction to the store. Outcome: TxnResult.
 	CommitTxn struct {
@@ -27,7 +26,7 @@
 	}
 	// Watch reads the changes of the store since a revision. Outcome: WatchResult.
 	Watch struct {
-		SinceRevision uint64 // changes after this revision
+		SinceRevision uint64 // changes after this revision are read
 		LongPoll      bool   // wait for a change if there is none; false: a read barrier, answered at once
 	}
 	// LoadSnapshot reads a page of all keys. Outcome: SnapshotPage.
@@ -40,13 +39,13 @@
 		Key      string // the single key; empty: a page is read
 		Prefix   string
 		AfterKey string // the page begins after this key; empty: the first page
-		Limit    int    // most keys in the page
+		Limit    int    // maximum number of keys in the page
 	}
 	// LeaseRequest grants or extends this controller's lease in the store. Outcome: LeaseResult.
 	LeaseRequest struct {
 		Op      LeaseOp
 		TTL     time.Duration
-		LeaseID uint64 // the lease to extend; 0 with a grant
+		LeaseID uint64 // the lease to extend; 0 for a grant
 	}
 	// SendCommands sends commands to an agent. Controllers relay it inside a Message, in JSON. Outcome: CommandsResult.
 	SendCommands struct {
@@ -60,24 +59,24 @@
 		Machine string
 		Addr    string // host and port of the agent
 	}
-	// CloudRequest is a call to the cloud. Outcome: CloudResult. Which fields are set depends on its operation.
+	// CloudRequest is a call to the cloud API. Outcome: CloudResult. The fields that are set depend on its operation.
 	CloudRequest struct {
 		ID           uint64
 		Op           CloudOp
-		ScaleOut     wire.ScaleOutRequest // of CloudScaleOut
-		MachineNames []string             // of CloudScaleIn: the machines to return
-		AfterMachine string               // of CloudList: the page begins after this machine; empty: the first page
+		ScaleOut     wire.ScaleOutRequest // CloudScaleOut
+		MachineNames []string             // CloudScaleIn: the machines to release
+		AfterMachine string               // CloudList: the page begins after this machine; empty: the first page
 	}
 	// SendToPeer sends a message to another controller. It may be lost.
 	SendToPeer struct {
 		Peer    string // empty: all other controllers
 		Message Message
 	}
-	// PermissionsChanged gives the edge the policy in force, by which it authenticates callers.
+	// PermissionsChanged gives the API the policy in force, by which it authenticates callers.
 	PermissionsChanged struct{ Policy *access.Policy }
-	// ReservationsEnabled tells the edge whether there is equipment to reserve.
+	// ReservationsEnabled tells the API whether there is equipment to reserve.
 	ReservationsEnabled struct{ Enabled bool }
-	// QueueEnabled tells the edge whether a list of priority classes is in force.
+	// QueueEnabled tells the API whether a list of priority classes is in force.
 	QueueEnabled struct{ Enabled bool }
 	// LogLine is a line for the log.
 	LogLine struct {
@@ -127,7 +126,7 @@
 // CloudOp is the operation of a CloudRequest.
 type CloudOp string
 
-// Operations of the cloud.
+// Operations of the cloud API.
 const (
 	CloudCatalog  CloudOp = "catalog"
 	CloudList     CloudOp = "list"
@@ -138,7 +137,7 @@
 // LogLevel is the severity of a LogLine.
 type LogLevel string
 
-// Levels of the log, the most severe first.
+// Log levels, the most severe first.
 const (
 	LevelError LogLevel = "error"
 	LevelInfo  LogLevel = "info"
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -12,41 +12,40 @@
 )
 
 const (
-	// ownershipSettleTime is how long a started controller waits before it claims absent keys, so that
-	// controllers which start together have registered and the shards spread over all of them.
+	// ownershipSettleTime is how long a controller waits after its start before it claims absent keys, so
+	// that controllers started together have registered and the shards are spread over all of them.
 	ownershipSettleTime = 700 * time.Millisecond
-	// claimDelayPerRank staggers the claims of an absent key by rendezvous rank: the preferred controller
-	// writes first, and the others rarely conflict with it.
+	// claimDelayPerRank staggers the claims of an absent key by rendezvous rank, so that the preferred
+	// controller writes first and the others rarely conflict with it.
 	claimDelayPerRank = 300 * time.Millisecond
-	// claimDelayOverShare is added when this controller already has its fair share of the shards.
+	// claimDelayOverShare is added if this controller already has its fair share of the shards.
 	claimDelayOverShare = 700 * time.Millisecond
-	// claimDelayNotFewest is added when another controller has fewer shards: the shard was probably
-	// released for that one.
+	// claimDelayNotFewest is added if another controller has fewer shards: the shard was probably
+	// released for that controller.
 	claimDelayNotFewest = 400 * time.Millisecond
-	// handoverInterval is the least time between two shards that this controller releases.
+	// handoverInterval is the minimum time between two releases of a shard by this controller.
 	handoverInterval = 1500 * time.Millisecond
-	// claimInterval is the least time between two ownership transactions.
+	// claimInterval is the minimum time between two ownership transactions.
 	claimInterval = 100 * time.Millisecond
 	// claimRetryJitter is the random part of the back-off after an ownership transaction that failed.
 	claimRetryJitter = 200 * time.Millisecond
-	// opsPerClaim is the most operations that the next claim adds to a transaction: the fencing token
-	// and the claimed key.
+	// opsPerClaim is the maximum number of operations that another claim adds to a transaction: the fencing
+	// token and the claimed key.
 	opsPerClaim = 2
 )
 
-// shardOwnership is the state of shard ownership: the controller that holds each shard, and this
-// controller's claims and handovers of shards.
+// shardOwnership holds the owner of each shard, and the state of this controller's claims and handovers.
 type shardOwnership struct {
 	*environment
 	lease *controllerLease
 
 	shards         []leasedKey
-	claimInFlight  bool          // an ownership transaction is in flight; there is one at a time
-	nextClaimAt    time.Duration // no ownership transaction is sent before
-	nextHandoverAt time.Duration // no shard is released before
+	claimInFlight  bool          // an ownership transaction is in flight; there is at most one
+	nextClaimAt    time.Duration // earliest time of the next ownership transaction
+	nextHandoverAt time.Duration // earliest time of the next release of a shard
 }
 
-// shardKey is the store key of a shard.
+// shardKey returns the store key of a shard.
 func shardKey(n int) string { return fmt.Sprintf("%s%02d", keyShard, n) }
 
 // shardOfKey returns the shard with a store key, or -1 if the key is not that of a shard.
@@ -59,14 +58,14 @@
 	return -1
 }
 
-// shardOfID returns the shard that a job id hashes to.
+// shardOfID returns the shard to which a job ID hashes.
 func (o *shardOwnership) shardOfID(id string) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return int(h.Sum32() % uint32(len(o.shards)))
 }
 
-// countByNode counts the shards that each controller holds.
+// countByNode counts the shards of each controller.
 func (o *shardOwnership) countByNode() map[string]int {
 	counts := map[string]int{}
 	for i := range o.shards {
@@ -77,7 +76,7 @@
 	return counts
 }
 
-// shardOf returns the shard of a job: that of its record, or for a job without one, that of its id.
+// shardOf returns the shard in a job's record or, if it has no record, the shard to which its ID hashes.
 func (o *shardOwnership) shardOf(j *job) int {
 	if j.record != nil {
 		return j.record.Shard
@@ -85,8 +84,8 @@
 	return o.shardOfID(j.id)
 }
 
-// ownsShard reports whether this controller holds a shard by its present lease. It does not check
-// that the lease is still in force; see controllerLease.isHeld.
+// ownsShard reports whether a shard is bound to this controller's current lease. It does not check that
+// the lease is still valid; see controllerLease.isHeld.
 func (o *shardOwnership) ownsShard(n int) bool {
 	if n < 0 || n >= len(o.shards) || o.lease.id == 0 {
 		return false
@@ -98,52 +97,52 @@
 // ownsJob reports whether this controller holds the shard of a job.
 func (o *shardOwnership) ownsJob(j *job) bool { return o.ownsShard(o.shardOf(j)) }
 
-// acquireOwnership claims absent shards and the leadership, and releases surplus shards. All claims of
-// one run are one transaction, which also raises the fencing token.
+// acquireOwnership claims absent shards and the leadership, and releases surplus shards. All claims of one
+// attempt are made by one transaction, which also increments the fencing token.
 func (c *Core) acquireOwnership() {
 	if c.auditLog.isNotReady() || !c.ownLease.isHeld() ||
 		c.ownership.claimInFlight || c.now < c.ownership.nextClaimAt ||
 		c.transactions.rateLimit.IsPaused(c.now) {
 		return
 	}
-	run := c.newOwnershipAttempt()
-	run.registerController()
-	run.chooseShards()
-	run.chooseLeadership()
-	if run.claimsAny() {
-		run.addClaims()
+	attempt := c.newOwnershipAttempt()
+	attempt.registerController()
+	attempt.chooseShards()
+	attempt.chooseLeadership()
+	if attempt.claimsAny() {
+		attempt.addClaims()
 	} else {
-		run.releaseSurplus()
+		attempt.releaseSurplus()
 	}
-	run.commit()
+	attempt.commit()
 }
 
-// ownershipAttempt is one run of acquireOwnership: the distribution of the shards that it starts from, the
-// keys chosen, and the transaction built from them.
+// ownershipAttempt is one call of acquireOwnership: the initial distribution of the shards, the keys chosen
+// to be claimed, and the transaction built from them.
 type ownershipAttempt struct {
 	core *Core
 
 	live            []string // live controllers, in name order
-	registered      bool     // this controller's node key is in the replica, of any of its leases
+	registered      bool     // the replica has a registration of this controller, with whichever lease
 	settled         bool     // absent keys may be claimed, see ownershipSettleTime
-	fairShare       int      // shards for each controller, rounded up
-	ownedShards     int      // shards held under this controller's name
+	fairShare       int      // shards per live controller, rounded up
+	ownedShards     int      // shards held under this controller's name, with whichever lease
 	fewestShards    int      // shards of the controller with the fewest
 	mostShards      int      // shards of the controller with the most
 	registrationOps int      // operations that register this controller, 0 or 1
 	shards          []int    // shards to claim
 	leadership      bool     // the leadership is to be claimed
-	txn             wire.Txn // what is sent
+	txn             wire.Txn // the transaction to send
 	onAuditOutcome  func(wire.Status)
 }
 
-// newOwnershipAttempt takes stock of the live controllers and of the shards that each holds.
+// newOwnershipAttempt determines the live controllers and the distribution of the shards among them.
 func (c *Core) newOwnershipAttempt() ownershipAttempt {
 	_, registered := c.controllers.registrations[c.cfg.Name]
 	live := c.controllers.liveNames()
 	shardCount := len(c.ownership.shards)
 	counts := c.ownership.countByNode()
-	run := ownershipAttempt{
+	attempt := ownershipAttempt{
 		core:           c,
 		live:           live,
 		registered:     registered,
@@ -154,151 +153,152 @@
 		onAuditOutcome: func(wire.Status) {},
 	}
 	for _, name := range live {
-		run.fewestShards = min(run.fewestShards, counts[name])
-		run.mostShards = max(run.mostShards, counts[name])
+		attempt.fewestShards = min(attempt.fewestShards, counts[name])
+		attempt.mostShards = max(attempt.mostShards, counts[name])
 	}
-	return run
+	return attempt
 }
 
-// registerController writes the node key of this controller if it is absent or of an earlier lease.
-func (t *ownershipAttempt) registerController() {
-	c := t.core
+// registerController writes this controller's registration if it is absent or bound to an earlier lease.
+func (a *ownershipAttempt) registerController() {
+	c := a.core
 	node := c.controllers.registrations[c.cfg.Name]
-	if t.registered && node.LeaseID == c.ownLease.id {
+	if a.registered && node.LeaseID == c.ownLease.id {
 		return
 	}
-	t.registrationOps = 1
-	t.addLeasedPut(keyRegistration+c.cfg.Name, node.modRevision, 0)
+	a.registrationOps = 1
+	a.addLeasedPut(keyRegistration+c.cfg.Name, node.modRevision, 0)
 }
 
-// addLeasedPut adds the write of a key that is bound to this controller's lease, on the condition that the
-// key is still at a revision.
-func (t *ownershipAttempt) addLeasedPut(key string, revision, token uint64) {
-	c := t.core
-	t.txn.Compare = append(t.txn.Compare, wire.Compare{Key: key, Revision: revision})
-	t.txn.Then = append(t.txn.Then, wire.Write{Put: key, Value: c.ownLease.leasedValue(token), LeaseID: c.ownLease.id})
+// addLeasedPut adds the write of a key that is bound to this controller's lease, and a compare of the key's
+// revision.
+func (a *ownershipAttempt) addLeasedPut(key string, revision, token uint64) {
+	c := a.core
+	a.txn.Compare = append(a.txn.Compare, wire.Compare{Key: key, Revision: revision})
+	a.txn.Then = append(a.txn.Then, wire.Write{Put: key, Value: c.ownLease.leasedValue(token), LeaseID: c.ownLease.id})
 }
 
-// hasSpace reports whether another claim fits the operations of one transaction.
-func (t *ownershipAttempt) hasSpace() bool {
-	c := t.core
-	return t.registrationOps+len(t.shards)+opsPerClaim+c.auditLog.opsPerTxn() <= c.cfg.Store.MaxTxnOps
+// hasSpace reports whether another claim fits into the transaction.
+func (a *ownershipAttempt) hasSpace() bool {
+	c := a.core
+	return a.registrationOps+len(a.shards)+opsPerClaim+c.auditLog.opsPerTxn() <= c.cfg.Store.MaxTxnOps
 }
 
 // chooseShards chooses the shards to claim.
-func (t *ownershipAttempt) chooseShards() {
-	for i := range t.core.ownership.shards {
-		if !t.core.ownership.ownsShard(i) && t.hasSpace() && t.mayClaimShard(i) {
-			t.shards = append(t.shards, i)
+func (a *ownershipAttempt) chooseShards() {
+	for i := range a.core.ownership.shards {
+		if !a.core.ownership.ownsShard(i) && a.hasSpace() && a.mayClaimShard(i) {
+			a.shards = append(a.shards, i)
 		}
 	}
 }
 
-// mayClaimShard reports whether a shard may be claimed now: at once if an earlier incarnation of this controller
-// holds it, else if it has been absent for as long as this controller's rank and load demand.
-func (t *ownershipAttempt) mayClaimShard(n int) bool {
-	c := t.core
+// mayClaimShard reports whether a shard may be claimed now. A shard held by an earlier incarnation of this
+// controller may be claimed at once, an absent one after a delay by this controller's rank and number of shards.
+func (a *ownershipAttempt) mayClaimShard(n int) bool {
+	c := a.core
 	shard := &c.ownership.shards[n]
 	if shard.modRevision != 0 {
 		return shard.Holder == c.cfg.Name
 	}
-	if !t.settled {
+	if !a.settled {
 		return false
 	}
-	wait := t.rankDelay(shardKey(n))
-	owned := t.ownedShards + len(t.shards)
-	if owned >= t.fairShare {
+	wait := a.rankDelay(shardKey(n))
+	owned := a.ownedShards + len(a.shards)
+	if owned >= a.fairShare {
 		wait += claimDelayOverShare
 	}
-	if owned > t.fewestShards {
+	if owned > a.fewestShards {
 		wait += claimDelayNotFewest
 	}
 	return c.now-shard.absentSince >= wait
 }
 
-// rankDelay is how long this controller leaves an absent key to the controllers of better rank.
-func (t *ownershipAttempt) rankDelay(key string) time.Duration {
-	return time.Duration(t.core.controllers.rendezvousRank(key, t.live)) * claimDelayPerRank
+// rankDelay returns how long this controller leaves an absent key to the controllers of better rank.
+func (a *ownershipAttempt) rankDelay(key string) time.Duration {
+	return time.Duration(a.core.controllers.rendezvousRank(key, a.live)) * claimDelayPerRank
 }
 
-// chooseLeadership decides whether to claim the leadership: if it has been absent for long enough, or if an
-// earlier lease of this controller holds it.
-func (t *ownershipAttempt) chooseLeadership() {
-	c := t.core
+// chooseLeadership decides whether to claim the leadership: if its key has been absent for long enough, or is
+// bound to an earlier lease of this controller.
+func (a *ownershipAttempt) chooseLeadership() {
+	c := a.core
 	leader := &c.leadership.leader
 	var due bool
 	if leader.modRevision == 0 {
-		due = t.settled && c.now-leader.absentSince >= t.rankDelay(keyLeader)
+		due = a.settled && c.now-leader.absentSince >= a.rankDelay(keyLeader)
 	} else {
 		due = leader.Holder == c.cfg.Name && leader.LeaseID != c.ownLease.id
 	}
-	t.leadership = due && t.hasSpace()
+	a.leadership = due && a.hasSpace()
 }
 
-// claimsAny reports whether something was chosen to claim.
-func (t *ownershipAttempt) claimsAny() bool { return len(t.shards) > 0 || t.leadership }
+// claimsAny reports whether any key was chosen to be claimed.
+func (a *ownershipAttempt) claimsAny() bool { return len(a.shards) > 0 || a.leadership }
 
-// addClaims adds the claims, the next fencing token that they carry, and their audit entry.
-func (t *ownershipAttempt) addClaims() {
-	c := t.core
+// addClaims adds the claims, the incremented fencing token that they carry, and their audit entry.
+func (a *ownershipAttempt) addClaims() {
+	c := a.core
 	token := c.leadership.fencingToken + 1
-	t.txn.Compare = append(
-		t.txn.Compare,
+	a.txn.Compare = append(
+		a.txn.Compare,
 		wire.Compare{Key: keyFencingToken, Revision: c.leadership.fencingTokenRevision},
 	)
-	t.txn.Then = append(t.txn.Then, wire.Write{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(token))})
-	for _, n := range t.shards {
-		t.addLeasedPut(shardKey(n), c.ownership.shards[n].modRevision, token)
+	a.txn.Then = append(a.txn.Then, wire.Write{Put: keyFencingToken, Value: json.RawMessage(fmt.Sprint(token))})
+	for _, n := range a.shards {
+		a.addLeasedPut(shardKey(n), c.ownership.shards[n].modRevision, token)
 	}
-	if t.leadership {
-		t.addLeasedPut(keyLeader, c.leadership.leader.modRevision, token)
+	if a.leadership {
+		a.addLeasedPut(keyLeader, c.leadership.leader.modRevision, token)
 	}
-	t.onAuditOutcome = c.auditLog.addEntry(
-		&t.txn,
+	a.onAuditOutcome = c.auditLog.addEntry(
+		&a.txn,
 		"take/"+c.cfg.Name,
 		auditlog.Event{
 			Verb:   auditlog.VerbTakeOver,
-			Object: describeClaims(t.shards, t.leadership),
+			Object: describeClaims(a.shards, a.leadership),
 			Reason: fmt.Sprintf("token %d", token),
 		},
 	)
 }
 
-// releaseSurplus releases one shard if this controller holds more than its part, in a transaction that does
-// nothing else.
-func (t *ownershipAttempt) releaseSurplus() {
-	c := t.core
-	// The rounded fair share alone is not enough: of twelve shards among five controllers, four had
-	// three each and one had none.
-	uneven := t.ownedShards == t.mostShards && t.mostShards-t.fewestShards >= 2
-	if t.registrationOps > 0 || t.ownedShards <= t.fairShare && !uneven || c.now < c.ownership.nextHandoverAt {
+// releaseSurplus releases one shard if this controller holds too many, in a transaction that does nothing
+// else.
+func (a *ownershipAttempt) releaseSurplus() {
+	c := a.core
+	// The rounded fair share alone does not suffice: with twelve shards and five controllers, four would
+	// keep three shards each and the fifth would have none.
+	uneven := a.ownedShards == a.mostShards && a.mostShards-a.fewestShards >= 2
+	if a.registrationOps > 0 || a.ownedShards <= a.fairShare && !uneven || c.now < c.ownership.nextHandoverAt {
 		return
 	}
 	c.ownership.nextHandoverAt = c.now + handoverInterval
-	if n := t.surplusShard(); n >= 0 {
-		t.txn.Compare = append(
-			t.txn.Compare,
+	if n := a.surplusShard(); n >= 0 {
+		a.txn.Compare = append(
+			a.txn.Compare,
 			wire.Compare{Key: shardKey(n), Revision: c.ownership.shards[n].modRevision},
 		)
-		t.txn.Then = append(t.txn.Then, wire.Write{Delete: shardKey(n)})
+		a.txn.Then = append(a.txn.Then, wire.Write{Delete: shardKey(n)})
 	}
 }
 
-// commit sends the transaction, if there is anything in it.
-func (t *ownershipAttempt) commit() {
-	if len(t.txn.Then) == 0 {
+// commit sends the transaction, unless it is empty.
+func (a *ownershipAttempt) commit() {
+	if len(a.txn.Then) == 0 {
 		return
 	}
-	c, onAuditOutcome := t.core, t.onAuditOutcome
+	c, onAuditOutcome := a.core, a.onAuditOutcome
 	c.ownership.claimInFlight = true
 	c.ownership.nextClaimAt = c.now + claimInterval
-	c.transactions.commit(t.txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
+	c.transactions.commit(a.txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		c.ownership.claimInFlight = false
 		onAuditOutcome(status)
 		if status != wire.StatusOK {
 			c.ownership.nextClaimAt = c.now + claimInterval + c.jitter(claimRetryJitter)
 		}
-		// Ownership changes only by the watch, in the order of revisions; the barrier brings it at once.
+		// Changes of ownership are applied only from watch results, in the order of revisions. The read barrier
+		// fetches them at once.
 		c.replica.afterReadBarrier(func(bool) {})
 	}})
 }
@@ -315,23 +315,23 @@
 	return strings.Join(list, ", ")
 }
 
-// surplusShard returns the shard to release: of those held, the one for which this controller has the worst
-// rank. A shard with a write in flight is not released, as the write depends on it. -1: there is none.
-func (t *ownershipAttempt) surplusShard() int {
-	c := t.core
+// surplusShard returns the shard to release, the held one for which this controller has the worst rank, or -1
+// if there is none. A shard with a write in flight is not released, as the write depends on its ownership.
+func (a *ownershipAttempt) surplusShard() int {
+	c := a.core
 	worst, worstRank := -1, -1
 	for n := range c.ownership.shards {
 		if !c.ownership.ownsShard(n) || hasUnsettledWrite(c.openJobs, n) {
 			continue
 		}
-		if rank := c.controllers.rendezvousRank(shardKey(n), t.live); rank > worstRank {
+		if rank := c.controllers.rendezvousRank(shardKey(n), a.live); rank > worstRank {
 			worst, worstRank = n, rank
 		}
 	}
 	return worst
 }
 
-// hasUnsettledWrite reports whether the outcome of a write to one of the jobs of a shard is open.
+// hasUnsettledWrite reports whether a write of any job of a shard has no known outcome yet.
 func hasUnsettledWrite(jobs []*job, shard int) bool {
 	for _, j := range jobs {
 		if j.record != nil && j.record.Shard == shard && (j.write.inFlight || j.write.outcomeUnknown) {
@@ -341,8 +341,8 @@
 	return false
 }
 
-// handleShardGained is called when the watch shows that this controller has become the owner of a shard:
-// it examines all jobs of the shard and all machines, as it has not acted on them so far.
+// handleShardGained is called when this controller has become the owner of a shard. It marks all jobs of the
+// shard and all machines to be examined, as this controller has not acted on them so far.
 func (c *Core) handleShardGained(n int) {
 	for _, j := range c.openJobs {
 		if j.record != nil && j.record.Shard == n {
@@ -358,9 +358,9 @@
 	}
 }
 
-// pickShard draws the shard of a new job: one of this controller's if it holds any. Else it is another
-// controller's, whose holder sees the job by its watch and places its tasks: when submissions were refused
-// instead, a controller that had just started or was one too many for the shards turned users away.
+// pickShard chooses a random shard for a new job: one of this controller's own, or any if it has none. The owner
+// of another shard learns of the job by its watch and places its tasks. Were submissions refused instead, a
+// controller without a shard could not serve users, after its start or if there are more controllers than shards.
 func (o *shardOwnership) pickShard() int {
 	var owned []int
 	for n := range o.shards {
--- a/core/peers.go
+++ b/core/peers.go
@@ -8,21 +8,21 @@
 	"dewlift/core/membership"
 )
 
-// returnRequestInterval is the time between two requests to the leader to return machines.
+// returnRequestInterval is the time between two requests to the leader to release machines.
 const returnRequestInterval = time.Second
 
-// controllerSet is the other controllers: their registrations in the store, their reachability, and when
-// they are next sent this controller's health.
+// controllerSet holds the registrations of all controllers, the reachability of the peers, and when this
+// controller's health is next sent to them.
 type controllerSet struct {
 	*environment
 
 	membership           *membership.Members
-	registrations        map[string]leasedKey // registrations of the live controllers, by name
-	registrationsVersion uint64               // grows with each change of nodeKeys
+	registrations        map[string]leasedKey // of the live controllers, by name
+	registrationsVersion uint64               // incremented with each change of registrations
 	nextHealthAt         time.Duration
 }
 
-// liveNames lists the controllers with a lease, this one included, in name order.
+// liveNames lists the registered controllers in name order, always including this one.
 func (s *controllerSet) liveNames() []string {
 	names := []string{s.cfg.Name}
 	for name := range s.registrations {
@@ -34,14 +34,14 @@
 	return names
 }
 
-// isLive reports whether a controller holds a lease, as far as this replica shows.
+// isLive reports whether a controller is registered, according to this replica.
 func (s *controllerSet) isLive(name string) bool {
 	_, ok := s.registrations[name]
 	return ok
 }
 
-// rendezvousRank returns the rank of this controller for a key among the live controllers, by
-// rendezvous hashing: 0 is the preferred one.
+// rendezvousRank returns this controller's rank among the live controllers for a key, by rendezvous
+// hashing. 0 is the rank of the preferred controller.
 func (s *controllerSet) rendezvousRank(key string, live []string) int {
 	own, rank := rendezvousWeight(s.cfg.Name, key), 0
 	for _, name := range live {
@@ -52,8 +52,8 @@
 	return rank
 }
 
-// rendezvousWeight hashes a controller with a key. FNV alone leaves close inputs close together, so its
-// sum is mixed by a multiply and two shifts.
+// rendezvousWeight hashes a controller's name with a key. FNV alone maps similar inputs to close sums, so
+// the sum is mixed by a multiplication and two shifts.
 func rendezvousWeight(name, key string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
@@ -66,9 +66,9 @@
 	return sum
 }
 
-// sendToPeers sends a message to a peer, or to all if the name is empty. One that is out of reach gets it relayed:
-// two zones may be cut off from each other while a third reaches both, and without the other's heartbeats a
-// leader takes live machines for silent.
+// sendToPeers sends a message to a peer, or to all if the name is empty. Unreachable peers get it by a relay:
+// two zones may be partitioned from each other while a third reaches both, and a leader that lacks the
+// heartbeats of the other zone would consider its live machines silent.
 func (s *controllerSet) sendToPeers(peer string, m Message) {
 	for _, to := range s.cfg.Peers {
 		if peer != "" && peer != to {
@@ -84,8 +84,8 @@
 	}
 }
 
-// broadcastHealth sends the peers this controller's health. A controller that has not loaded its replica does so
-// too: an outage of the store is declared by a majority, which may need it.
+// broadcastHealth sends this controller's health to the peers, even before its replica is loaded: the majority
+// that declares an outage of the store may need its report.
 func (c *Core) broadcastHealth() {
 	if c.now < c.controllers.nextHealthAt {
 		return
@@ -109,8 +109,8 @@
 	c.updateRateLimit()
 }
 
-// broadcastUpdates sends the peers what has gathered for them: allocation deltas, heartbeats, and requests to
-// return machines.
+// broadcastUpdates sends the peers the updates collected for them: allocation deltas, heartbeats, and requests
+// to release machines.
 func (c *Core) broadcastUpdates() {
 	if c.now >= c.deltaLog.nextBatchAt {
 		c.deltaLog.nextBatchAt = c.now + c.cfg.State.DeltaInterval
@@ -123,7 +123,7 @@
 	}
 }
 
-// handlePeerMessage handles a message of another controller, or passes it on if it is for a third one.
+// handlePeerMessage handles a message of another controller, or relays it if it is for a third one.
 func (c *Core) handlePeerMessage(in PeerMessage) {
 	if c.controllers.membership.Peer(in.Peer) == nil {
 		return
@@ -145,7 +145,7 @@
 	c.handleQuorumMessage(from, &m)
 	if m.Health != nil {
 		c.cancelAcks.quorum.RecordHeldRevision(from, m.Health.CancellationsUpTo)
-		m.Health.applyTo(c.controllers.membership.Peer(from)) // not to a controller that only relayed it
+		m.Health.applyTo(c.controllers.membership.Peer(from)) // to the sender, not the relay
 	}
 	c.handlePeerHeartbeats(from, &m)
 	if m.AllocationDeltas != nil {
@@ -158,16 +158,16 @@
 	}
 }
 
-// relayMessage passes a message on to the controller that it is for. Only its sender's own messages are
-// passed on, so that none takes a second hop.
+// relayMessage relays a message to its receiver. It relays only messages that come directly from their sender,
+// so that no message takes a second hop.
 func (s *controllerSet) relayMessage(from string, m Message) {
 	if s.membership.Peer(m.RelayTo) != nil && m.RelayedFrom == from {
 		s.emit(SendToPeer{Peer: m.RelayTo, Message: m})
 	}
 }
 
-// handlePeerCommands sends the commands of a peer to a machine that it may not reach, under a request id of this
-// controller, and takes the outcome of those that a peer sent for this one.
+// handlePeerCommands sends commands on behalf of a peer that may not reach their machine, with a request ID of this
+// controller, and handles the outcome of commands that a peer sent on behalf of this one.
 func (c *Core) handlePeerCommands(from string, m *Message) {
 	if m.Commands != nil {
 		id := c.nextID()
@@ -181,7 +181,8 @@
 	}
 }
 
-// handlePeerHeartbeats applies the heartbeats that a peer passes on, and answers its requests for some.
+// handlePeerHeartbeats applies the heartbeats and digests that a peer forwards, and answers its requests for
+// heartbeats and polls.
 func (c *Core) handlePeerHeartbeats(from string, m *Message) {
 	for _, heartbeat := range m.Heartbeats {
 		if heartbeat != nil {
@@ -197,7 +198,7 @@
 	c.pollForPeer(from, m.PollMachines)
 }
 
-// applyTo takes a peer's health over into what is known of it.
+// applyTo updates the known state of a peer from its health.
 func (h *Health) applyTo(peer *membership.Peer) {
 	peer.StoreReachable = h.StoreReachable
 	peer.WriteRate = max(0, h.WriteRate)
@@ -209,8 +210,8 @@
 	}
 }
 
-// handlePeerDeltas counts a peer's allocation deltas, at the leader and in this controller's copy of the state. A push
-// of the leader may have counted them already, as it takes another path: counted twice, a finish would
+// handlePeerDeltas applies a peer's allocation deltas to the leader's state and to this controller's copy. Batches that
+// a push of the leader already includes are skipped, as pushes may arrive first: applied twice, the end of a task would
 // show free capacity on a full machine until its row changes.
 func (c *Core) handlePeerDeltas(from string, batch *AllocationDeltas) {
 	if c.leaderState != nil {
@@ -225,7 +226,7 @@
 	c.placement.capacityFreed = true
 }
 
-// handlePeerRequests handles what peers ask of the leader: to return machines, and to push the whole array.
+// handlePeerRequests handles peers' requests to the leader: to release machines, and to send a full push.
 func (l *leaderState) handlePeerRequests(c *Core, m *Message) {
 	if len(m.MachinesToReturn)+len(m.SilentMachines) > 0 {
 		l.handleReturnRequest(c, m.MachinesToReturn, m.SilentMachines)
@@ -236,9 +237,9 @@
 	}
 }
 
-// requestPollsByPeer has a peer, another one each time, poll machines whose heartbeat is overdue. Two zones may be cut
-// off from each other: the machines of one that reported to the other are healthy, but take longer to
-// find a controller in reach than the silence timeout of a machine.
+// requestPollsByPeer asks a peer, each time the next one, to poll machines whose heartbeats are overdue. If two zones
+// are partitioned, machines of one that sent their heartbeats to the other are healthy, but may need longer than the
+// silence timeout to find a controller that they reach.
 func (l *leaderState) requestPollsByPeer(c *Core, machines []string) {
 	peers := c.controllers.membership.ReachableExcept(c.now, "")
 	if len(machines) == 0 || len(peers) == 0 {
--- a/core/quorum/quorum_test.go
+++ b/core/quorum/quorum_test.go
@@ -145,12 +145,12 @@
 	if m.cutLinks[[2]int{min(from, to), max(from, to)}] {
 		return
 	}
-	after := m.randomMillis(300)
+	delay := m.randomMillis(300)
 	for m.rng.IntN(4) == 0 {
-		after += m.randomMillis(30_000)
-		m.delayed = append(m.delayed, message{m.now + after, deliver})
+		delay += m.randomMillis(30_000)
+		m.delayed = append(m.delayed, message{m.now + delay, deliver})
 	}
-	m.delayed = append(m.delayed, message{m.now + after, deliver})
+	m.delayed = append(m.delayed, message{m.now + delay, deliver})
 }
 
 // randomMillis is a random time below that many milliseconds.
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -178,16 +178,16 @@
 // active.
 func TestSchemaVersionNeedsEveryController(t *testing.T) {
 	c := newServingCore(t)
-	wrote := 0
+	declarations := 0
 	for _, o := range outputsOfType[CommitTxn](c.Advance(1100 * time.Millisecond)) {
 		for _, w := range o.Txn.Then {
 			if w.Put == keySchemaVersion+"n0" {
-				wrote++
+				declarations++
 			}
 		}
 	}
-	if wrote != 1 {
-		t.Errorf("declared %d times", wrote)
+	if declarations != 1 {
+		t.Errorf("declared %d times", declarations)
 	}
 	c.Handle(2*time.Second, schemaDeclarations("n0", "n1"))
 	c.Handle(100*time.Second, schemaDeclarations("n1", "n9")) // one that is not configured does not count
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -290,10 +290,10 @@
 
 // flush sends the transaction, if there is anything in it, and locks the teams and slots that it depends on.
 func (b *txnBuilder) flush() {
-	for _, unfit := range b.encodeSlots() {
-		b.core.undoProposal(&unfit)
-		unfit.job.write.inFlight, unfit.job.stored.needsOwnKey = false, true
-		b.core.markDirty(unfit.job)
+	for _, oversized := range b.encodeSlots() {
+		b.core.undoProposal(&oversized)
+		oversized.job.write.inFlight, oversized.job.stored.needsOwnKey = false, true
+		b.core.markDirty(oversized.job)
 	}
 	if len(b.proposals) == 0 {
 		return
