--- a/core/batchvalues_test.go
+++ b/core/batchvalues_test.go
@@ -11,7 +11,7 @@
 	"dewlift/wire"
 )
 
-// newCoreWithSharedValues returns a core that owns all shards and whose controllers all know shared values.
+// newCoreWithSharedValues returns a core that owns all shards, with schemaSharedValues active.
 func newCoreWithSharedValues(t *testing.T) *Core {
 	t.Helper()
 	c := newServingCore(t)
@@ -25,7 +25,7 @@
 	return c
 }
 
-// recordPlacedOn returns an encoded record or slot entry with a task on a machine; a record has a description.
+// recordPlacedOn returns an encoded record with a task on a machine, or a slot entry, which has no job spec.
 func recordPlacedOn(t *testing.T, c *Core, writeNumber uint64, machine string, described bool) json.RawMessage {
 	t.Helper()
 	record := &jobrecord.Record{WriteNumber: writeNumber, LastAttempt: 1}
@@ -43,7 +43,7 @@
 	return raw
 }
 
-// encodeSlotValue returns the stored value of a slot.
+// encodeSlotValue encodes the stored value of a slot.
 func encodeSlotValue(t *testing.T, entries batchvalue.Entries) json.RawMessage {
 	t.Helper()
 	raw, err := entries.Encode()
@@ -53,8 +53,8 @@
 	return raw
 }
 
-// An entry applies to the write of the record that it names, whichever of both is read first, and to no
-// other: a stale entry would bring back assignments that have ended.
+// A slot entry must apply only to the record version that it names, whichever of the two is read first: a stale
+// entry would restore assignments that have ended.
 func TestSlotEntryAppliesOnlyToItsRecordVersion(t *testing.T) {
 	for _, first := range []string{"record", "slot"} {
 		c := newCoreWithSharedValues(t)
@@ -91,13 +91,13 @@
 			encodeSlotValue(t, batchvalue.Entries{"wk-1": recordPlacedOn(t, c, 4, "m-4", false)}),
 			50,
 		)
-		if c.applyPut(slot, value, 45); placedOn() != "m-4" { // a page that was read before
+		if c.applyPut(slot, value, 45); placedOn() != "m-4" { // from a snapshot page that was read earlier
 			t.Errorf("%s first: on %s, an older value was applied", first, placedOn())
 		}
 	}
 }
 
-// findTxnWriting returns the transaction that writes a key; nil if there is none.
+// findTxnWriting returns the transaction that writes a key, or nil if there is none.
 func findTxnWriting(out []Output, key string) *CommitTxn {
 	for _, o := range outputsOfType[CommitTxn](out) {
 		if slices.ContainsFunc(o.Txn.Then, func(w wire.Write) bool { return w.Put == key }) {
@@ -107,9 +107,8 @@
 	return nil
 }
 
-// Of a write of a slot and a write of a job's own key that do not know of each other only one may
-// succeed, however late either is executed: a cancellation that did not know of a placement would
-// drop the assignment of a running task.
+// If a write of a slot and a write of a job's own key are concurrent, only one of them may succeed, however late
+// either is executed: a cancellation that misses a placement would drop the assignment of a running task.
 func TestSharedWritesExcludeEachOther(t *testing.T) {
 	c := newCoreWithSharedValues(t)
 	c.applyPut(keyJob+"wk-1", recordPlacedOn(t, c, 1, "m-1", true), 10)
@@ -121,19 +120,19 @@
 		!slices.ContainsFunc(loss.Txn.Compare, func(k wire.Compare) bool { return k.Key == shardKey(0) }) {
 		t.Fatalf("the loss is not in the slot: %+v", loss)
 	}
-	// While that write is in flight, a cancellation waits; after its reply it compares the slot's new revision.
+	// A cancellation waits while that write is in flight. After the reply it compares the slot's new revision.
 	c.Handle(1200*time.Millisecond, CancelJob{RequestID: 5, ID: "wk-1", UnixMS: 1})
 	if early := findTxnWriting(c.Advance(1250*time.Millisecond), keyJob+"wk-1"); early != nil {
-		t.Fatalf("cancelled beside a write of its slot: %+v", early.Txn)
+		t.Fatalf("cancelled while a write of its slot is in flight: %+v", early.Txn)
 	}
 	committed := wire.TxnResponse{Revision: 60}
 	c.Handle(1300*time.Millisecond, TxnResult{ID: loss.ID, Status: wire.StatusOK, Reply: committed})
 	cancellation := findTxnWriting(c.Advance(1350*time.Millisecond), keyJob+"wk-1")
 	if cancellation == nil || !slices.Contains(cancellation.Txn.Compare, wire.Compare{Key: slot, Revision: 60}) ||
 		!slices.Contains(cancellation.Txn.Compare, wire.Compare{Key: keyJob + "wk-1", Revision: 10}) {
-		t.Fatalf("the cancellation is %+v", cancellation)
+		t.Fatalf("got cancellation %+v", cancellation)
 	}
-	// A controller that does not own the shard writes the slot as well.
+	// A controller that does not own the shard also writes the slot.
 	c = newCoreWithSharedValues(t)
 	c.applyPut(keyJob+"wk-1", recordPlacedOn(t, c, 1, "m-1", true), 10)
 	c.applyPut(
@@ -149,20 +148,20 @@
 	cancellation = findTxnWriting(c.Advance(1100*time.Millisecond), slot)
 	if cancellation == nil || findTxnWriting([]Output{*cancellation}, keyJob+"wk-1") == nil ||
 		!slices.Contains(cancellation.Txn.Compare, wire.Compare{Key: slot, Revision: 20}) {
-		t.Fatalf("the cancellation by another is %+v", cancellation)
+		t.Fatalf("got cancellation %+v by a controller that does not own the shard", cancellation)
 	}
 	for _, write := range cancellation.Txn.Then {
 		if write.Put != slot {
 			continue
 		}
 		if entries, err := batchvalue.Decode(write.Value); err != nil || len(entries) != 1 || entries["wk-2"] == nil {
-			t.Errorf("it leaves %v in the slot, %v", entries, err)
+			t.Errorf("the cancellation leaves entries %v in the slot (%v)", entries, err)
 		}
 	}
 }
 
-// Jobs whose entries do not fit their slot are written under their own keys: a full slot must not stop the
-// other jobs' writes.
+// Jobs whose entries do not fit into their slot must be written under their own keys: a full slot must not block
+// writes.
 func TestFullSlotDoesNotBlockWrites(t *testing.T) {
 	c := newCoreWithSharedValues(t)
 	c.cfg.Store.MaxValueBytes = 600
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -13,7 +13,7 @@
 	"dewlift/wire"
 )
 
-// testConfig is the configuration of controller n0 of three, with four shards and one team.
+// testConfig returns the configuration of controller n0 of three, with four shards and one team.
 func testConfig() Config {
 	return Config{
 		Cluster: ClusterConfig{
@@ -77,7 +77,7 @@
 	}
 }
 
-// outputsOfType returns the outputs of one type, in their order.
+// outputsOfType returns the outputs of one type, in order.
 func outputsOfType[T Output](out []Output) []T {
 	var got []T
 	for _, o := range out {
@@ -88,8 +88,8 @@
 	return got
 }
 
-// Controllers that restarted while the cloud was down served no requests until it was back: they did not know the
-// machine types.
+// Controllers that restart while the cloud is down must serve requests with the stored machine types. They served none
+// until the cloud was back, because they did not know the machine types.
 func TestServesWithStoredMachineTypesWhileCloudIsDown(t *testing.T) {
 	raw, err := json.Marshal(
 		wire.Catalog{Types: []wire.MachineType{{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}}}},
@@ -113,18 +113,18 @@
 	}
 }
 
-// In an outage of the store, a controller that cannot load its replica must still report that it does not reach
-// the store: else a loaded one lacks the majority that declares the outage, and all tasks end.
+// In a store outage, a controller that cannot load its replica must still report that it does not reach the store.
+// Otherwise a controller with a loaded replica lacks the majority that declares the outage, and all tasks end.
 func TestBroadcastsHealthBeforeSnapshotIsLoaded(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	messages := outputsOfType[SendToPeer](c.Advance(time.Second))
 	if len(messages) != 1 || messages[0].Message.Health == nil || messages[0].Message.Health.StoreReachable {
-		t.Fatalf("got messages %+v, want one with a health that lacks the store", messages)
+		t.Fatalf("got messages %+v, want one with a health whose store is unreachable", messages)
 	}
 }
 
-// A job of the largest size must fit a value at every stage of its work, also when its tasks end in the order
-// that leaves the most ranges: every other one first.
+// The record of a job of the largest size must fit a value at every stage, also if its tasks end in the order that
+// leaves the most ranges: every other one first.
 func TestLargestJobFitsAValue(t *testing.T) {
 	for _, perMachine := range []int{1, 8} {
 		c := New(testConfig(), 0, 1)
@@ -180,8 +180,8 @@
 	}
 }
 
-// A job of whose waiting tasks none fit its value any more was written again and again without a change, 20
-// times a second, and used up the write budget that others needed.
+// A record that has no space for another task must not be written again without a change. Such a record was written 20
+// times per second, and used up the write budget that other jobs needed.
 func TestFullRecordIsNotWrittenAgain(t *testing.T) {
 	c := newLeadingCore(t)
 	c.cfg.Store.MaxValueBytes = 1700
@@ -205,7 +205,8 @@
 	}
 }
 
-// Jobs of hundreds of tasks were placed in portions of 170, each of which waited for the ends of the one before.
+// A job of hundreds of tasks must be placed at once. Such jobs were placed in portions of 170 tasks, each of which
+// waited until the previous portion had ended.
 func TestJobOfHundredsIsPlacedAtOnce(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	spec := &wire.JobSpec{
@@ -251,8 +252,8 @@
 	}
 }
 
-// newServingCore returns a core that has loaded its replica, holds its lease and all shards, and knows a
-// machine type.
+// newServingCore returns a core that has loaded its replica, holds its lease and all shards, and has a catalog of
+// one machine type.
 func newServingCore(t *testing.T) *Core {
 	t.Helper()
 	cfg := testConfig()
@@ -284,7 +285,7 @@
 	return c
 }
 
-// testSubmission is the submission of a job with one small task.
+// testSubmission returns the submission of a job with one small task.
 func testSubmission(id string) SubmitJob {
 	return SubmitJob{
 		RequestID: 1,
@@ -293,8 +294,8 @@
 	}
 }
 
-// A transaction whose outcome stayed unknown while the snapshot was loaded again made the core retry in an
-// endless loop; it must wait for the end of the load, and refuse the submission at once.
+// If the outcome of a transaction is unknown while a snapshot is loaded, the core must refuse the submission at once
+// and wait for the end of the load. It retried in an endless loop.
 func TestUnknownOutcomeDuringSnapshotReload(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(time.Second, testSubmission("wk-1"))
@@ -317,7 +318,7 @@
 	}
 }
 
-// TestAnswersToBadSubmissions guards the status of submissions that can never be accepted.
+// TestAnswersToBadSubmissions checks the status of submissions that can never be accepted.
 func TestAnswersToBadSubmissions(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*SubmitJob)
@@ -336,7 +337,7 @@
 			c.Handle(1100*time.Millisecond, in)
 			out := c.Advance(1100 * time.Millisecond)
 			responses := outputsOfType[Response](out)
-			if len(responses) == 0 { // a read barrier first shows whether the job was accepted before
+			if len(responses) == 0 { // a read barrier first determines whether the job was accepted before
 				c.Handle(
 					1110*time.Millisecond,
 					WatchResult{Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: 6}},
@@ -350,8 +351,8 @@
 	}
 }
 
-// runFor lets time pass and answers the outputs of a core: every write succeeds, the cloud has no machines. It
-// returns the messages to other controllers and the commands to agents.
+// runFor advances the time and answers the outputs of a core: every write succeeds, and the cloud has no machines.
+// It returns the messages to other controllers and the commands to agents.
 func runFor(c *Core, from, to time.Duration) (messages []Message, commands []SendCommands) {
 	revision := uint64(100)
 	for _, j := range c.jobs {
@@ -382,7 +383,7 @@
 	return messages, commands
 }
 
-// testHeartbeat is a heartbeat of machine m-1 in zone a.
+// testHeartbeat returns a heartbeat of machine m-1 in zone a.
 func testHeartbeat(seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Machine:      "m-1",
@@ -408,7 +409,8 @@
 	return c
 }
 
-// Replicas of services waited for up to a minute for capacity that work of lower priority held.
+// A waiting replica of a service must preempt work of lower priority. Replicas waited up to a minute for capacity that
+// such work held.
 func TestWaitingReplicaPreemptsLowerPriority(t *testing.T) {
 	for _, priority := range []int{0, 2} {
 		c := newLeadingCore(t)
@@ -446,8 +448,8 @@
 	}
 }
 
-// A row that was computed between the heartbeat with the end of a task and the allocation delta of it counted
-// the end twice, and controllers saw free capacity on a full machine.
+// The end of a task must be counted once. A row that was computed between the heartbeat with the end and its
+// allocation delta counted the end twice, and controllers saw free capacity on a full machine.
 func TestEndIsCountedOnce(t *testing.T) {
 	c := newLeadingCore(t)
 	in := testSubmission("wk-1")
@@ -486,7 +488,8 @@
 	}
 }
 
-// Without relaying, a leader that cannot reach another zone's controllers lacks their heartbeats.
+// Messages to an unreachable peer must be relayed. Otherwise a leader that cannot reach another zone's controllers
+// lacks the heartbeats that they receive.
 func TestMessagesAreRelayedWhenPeerIsUnreachable(t *testing.T) {
 	c := newServingCore(t)
 	for _, n := range []string{"n1", "n2"} {
@@ -500,7 +503,7 @@
 			continue
 		}
 		if o.Peer != "n2" {
-			t.Errorf("a heartbeat was sent to %s, which is out of reach", o.Peer)
+			t.Errorf("a heartbeat was sent to %s, which is unreachable", o.Peer)
 		}
 		if o.Message.RelayTo == "n1" && o.Message.RelayedFrom == "n0" {
 			relayed++
@@ -509,7 +512,7 @@
 	if relayed != 1 {
 		t.Errorf("%d heartbeats for n1 were relayed by n2, want 1", relayed)
 	}
-	// A message that this controller is to relay is passed on.
+	// A message that another controller sends for n1 is relayed to it.
 	c.Handle(
 		4*time.Second,
 		PeerMessage{
@@ -526,8 +529,8 @@
 	}
 }
 
-// A machine whose controller is cut off takes longer to find another than the silence timeout. The leader must
-// have its peers poll it.
+// The leader must ask its peers to poll machines with overdue heartbeats: a machine whose controller is cut off needs
+// longer than the silence timeout to find another one.
 func TestPeersPollMachinesWithOverdueHeartbeats(t *testing.T) {
 	c := newLeadingCore(t)
 	polledBy := map[string]int{}
@@ -545,7 +548,7 @@
 	if polledBy["n1"] == 0 || polledBy["n2"] == 0 {
 		t.Errorf("peers with a request to poll: %v, want n1 and n2", polledBy)
 	}
-	// Such a peer polls the machine, or sends the heartbeat that it has.
+	// The peer polls the machine, or sends the heartbeat that it has.
 	for _, recent := range []bool{false, true} {
 		c := newLeadingCore(t)
 		if now := 8 * time.Second; recent {
@@ -574,7 +577,8 @@
 	}
 }
 
-// A machine on which different jobs fail must be quarantined; one job that fails everywhere is no proof.
+// A machine on which several different jobs fail must be quarantined. A single job may fail everywhere, so it does not
+// count as evidence.
 func TestFaultyMachineIsQuarantined(t *testing.T) {
 	c := newLeadingCore(t)
 	m := c.internMachine("m-1")
@@ -607,8 +611,8 @@
 	}
 }
 
-// A wrong row led to refused starts. These were changes at the machine, which so was never quiet for long
-// enough for its row to be computed anew.
+// A wrong delta must be dropped even while the machine refuses starts. A wrong row led to refused starts, which counted
+// as changes of the machine, so that its row was never recomputed.
 func TestWrongDeltaIsDroppedDespiteRefusals(t *testing.T) {
 	c := newLeadingCore(t)
 	runFor(c, time.Second, 6*time.Second)
@@ -649,13 +653,14 @@
 	}
 }
 
-// A controller that had been cut off had live machines returned as silent when it came back.
+// A controller that has been cut off must not report machines as silent. When its connections were restored, it had
+// live machines released.
 func TestCutOffControllerReportsNoSilentMachines(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		c := newLeadingCore(t)
 		c.Handle(time.Second, testSubmission("wk-1"))
 		runFor(c, time.Second, 2*time.Second)
-		// Another controller leads; then no heartbeat of the machine comes for long.
+		// Another controller is the leader, and no heartbeat of the machine arrives for a long time.
 		other, err := json.Marshal(leasedKey{Holder: "n1", LeaseID: 9, FencingToken: 2})
 		if err != nil {
 			t.Fatal(err)
@@ -673,12 +678,12 @@
 			requested = requested || len(o.Message.SilentMachines) > 0
 		}
 		if requested == cut {
-			t.Errorf("cut off %v: return requested %v", cut, requested)
+			t.Errorf("cut off %v: release requested %v", cut, requested)
 		}
 	}
 }
 
-// With heartbeats every 6 s, a healthy machine may be quiet for 7.5 s; it was returned after 6.5 s.
+// With a heartbeat interval of 6 s, a healthy machine may be silent for 7.5 s. It was released after 6.5 s.
 func TestMachineWithinSilenceTimeoutIsNotReturned(t *testing.T) {
 	c := newLeadingCore(t)
 	c.cfg.Agents.HeartbeatInterval = 6 * time.Second
@@ -697,31 +702,31 @@
 		)
 		runFor(c, at, at+7500*time.Millisecond)
 		if m.leaderView.returnReason != "" {
-			t.Fatalf("returned at %v as %s", c.now, m.leaderView.returnReason)
+			t.Fatalf("to be released at %v as %s", c.now, m.leaderView.returnReason)
 		}
 	}
 	runFor(c, 31*time.Second, 45*time.Second)
 	if m.leaderView.returnReason != "silent" {
-		t.Errorf("a machine that never reports again is not returned as silent but as %q", m.leaderView.returnReason)
+		t.Errorf("a machine without further heartbeats is to be released as %q, want silent", m.leaderView.returnReason)
 	}
 }
 
-// The headroom must grow with the spread of the requests of jobs, not with the size of the fleet.
+// The headroom must grow with the variance of the demand, not with the size of the cluster.
 func TestHeadroomOfALargeClass(t *testing.T) {
 	c := newServingCore(t)
 	c.cfg.Autoscaling.HeadroomShare, c.cfg.Autoscaling.HeadroomDeviations = 0.25, 1
 	stats := &classStats{meanTasks: 10, meanSquareTasks: 100, meanInterval: time.Second}
 	if n := c.autoscaler.headroomTasks(stats, 40); n != 10 {
-		t.Errorf("the headroom of a small class is %v tasks, want a job of the usual size", n)
+		t.Errorf("the headroom of a small class is %v tasks, want those of an average job", n)
 	}
-	// In the 3 s until capacity can be up, 3 jobs come: 17 tasks is one standard deviation.
+	// In the 3 s until new capacity is ready, 3 jobs arrive: one standard deviation is 17 tasks.
 	if n := c.autoscaler.headroomTasks(stats, 4000); n < 17 || n > 18 {
 		t.Errorf("the headroom of a large class is %v tasks, want one standard deviation", n)
 	}
 }
 
-// Machines were returned for cancelled tasks that had stopped long before: only the write of their ends was
-// waiting for the write budget.
+// A machine must not be released for a cancelled task that has stopped. Machines were released for tasks that had
+// stopped long before, because the writes of their ends waited for the write budget.
 func TestStoppedTaskDoesNotReturnItsMachine(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
 		c := newLeadingCore(t)
@@ -736,13 +741,14 @@
 		c.Handle(2*time.Second, AgentHeartbeat{RequestID: 10, Heartbeat: testHeartbeat(2, status)})
 		c.now = 2*time.Second + c.cfg.Agents.CancelTimeout/2
 		if got := len(c.enforceCancellations()); got != map[bool]int{false: 1, true: 0}[stopped] {
-			t.Errorf("stopped %v: %d machines are to be returned", stopped, got)
+			t.Errorf("stopped %v: %d machines are to be released", stopped, got)
 		}
 	}
 }
 
-// All machines of a cut-off zone were returned after a few seconds, with all tasks that ran on there, and
-// nothing was up to take them. Replacements must be rented first.
+// Replacements of an unreachable zone must be provisioned before its machines are released. All machines of a
+// partitioned zone were released after a few seconds, although their tasks were still running and no other machines
+// were ready for them.
 func TestUnreachableZoneIsReplacedBeforeItIsReturned(t *testing.T) {
 	c := newLeadingCore(t)
 	c.autoscaler.catalog["x"].Zones, c.autoscaler.catalog["x"].BootS = []string{"a", "b"}, 6
@@ -785,15 +791,15 @@
 		}
 	}
 	if rented == 0 || returned == 0 || returned-rented < 5*time.Second {
-		t.Errorf("rented at %v, returned at %v", rented, returned)
+		t.Errorf("scaled out at %v, machines released at %v", rented, returned)
 	}
 	if m := c.internMachine("m/2"); m.leaderView.returnReason == "silent" {
-		t.Error("a machine of the other zone was returned")
+		t.Error("a machine of the other zone is to be released")
 	}
 }
 
-// Work of lower priority took every bit of capacity that was freed, while urgent jobs of other controllers
-// waited for it.
+// Work of lower priority must leave held capacity free. It took all capacity that was freed, while urgent jobs of other
+// controllers waited for it.
 func TestLowerPriorityRespectsCapacityHold(t *testing.T) {
 	for _, priority := range []int{1, 2} {
 		c := newLeadingCore(t)
@@ -806,15 +812,15 @@
 		in.Spec.Tasks = 4
 		c.Handle(2*time.Second, in)
 		runFor(c, 2*time.Second, 3*time.Second)
-		// Lower priority may use what the waiting request does not fit into: nothing, while all is free.
+		// Lower priority may use only machines without space for the held request, and the only machine is empty.
 		if got, want := len(c.internJob("wk-1").assignments), map[int]int{1: 4, 2: 0}[priority]; got != want {
 			t.Errorf("priority %d: %d tasks placed, want %d", priority, got, want)
 		}
 	}
 }
 
-// The capacity hold must be for the highest waiting priority, with the least of each resource that its requests
-// need, whatever the order of the jobs.
+// The capacity hold must be for the highest waiting priority, with the minimum of each resource over its requests, in
+// whichever order the jobs come.
 func TestCapacityHoldIsForTheHighestPriority(t *testing.T) {
 	var hold *CapacityHold
 	hold = hold.withWaiting(2, clusterstate.Resources{4000, 0, 4000})
@@ -826,8 +832,8 @@
 	}
 }
 
-// newCoreOfFive returns a serving core that is one of five controllers, of which the first four hold three of the
-// twelve shards each, and the last none.
+// newCoreOfFive returns a serving core that is one of five controllers. The first four hold three of the twelve shards
+// each, and the last one holds none.
 func newCoreOfFive(t *testing.T, index int) *Core {
 	t.Helper()
 	cfg := testConfig()
@@ -871,15 +877,16 @@
 	return c
 }
 
-// Of twelve shards among five controllers, four held three each and the fifth none, and it refused every
-// submission. A controller with most shards must release one, and one without any must accept all the same.
+// A controller without shards must accept submissions, and one with the most shards must release one for it. With
+// twelve shards and five controllers, four held three shards each, and the fifth held none and refused every
+// submission.
 func TestControllerWithoutShardServes(t *testing.T) {
 	c := newCoreOfFive(t, 4)
 	c.Handle(1100*time.Millisecond, testSubmission("wk-1"))
 	accepted := false
 	for _, commit := range outputsOfType[CommitTxn](c.Advance(1100 * time.Millisecond)) {
 		for _, write := range commit.Txn.Then {
-			// The job's key and the archive's marker are compared, and no shard.
+			// The compares are of the job's key and the archive's marker, and of no shard.
 			accepted = accepted || write.Put == keyJob+"wk-1" && len(commit.Txn.Compare) == 2
 		}
 	}
@@ -898,8 +905,8 @@
 	}
 }
 
-// Replicas went to whichever machine had most capacity, and after a busy start each of hundreds of machines of
-// ordinary price was kept up by a few of them.
+// Replicas of services must be packed onto few machines. Each was placed on the machine with the most free capacity, so
+// that after a busy start a few replicas on each of hundreds of on-demand machines kept all of these from scale in.
 func TestReplicasShareMachines(t *testing.T) {
 	c := newLeadingCore(t)
 	c.cfg.Scheduling.BusyHorizonStep = 10 * time.Second
@@ -923,8 +930,9 @@
 	}
 }
 
-// After a zone was lost, the writes of its replicas came after those of all jobs that waited for capacity: only
-// a job whose loss had been written counted as one with tasks to place.
+// A job with lost replicas must be written with the priority of one with tasks to place. After the loss of a zone, the
+// writes of its jobs came after those of all jobs that waited for capacity, because a job counted as one with tasks to
+// place only after the write of its loss.
 func TestLostReplicaIsAsUrgentAsAWaitingOne(t *testing.T) {
 	c := newLeadingCore(t)
 	in := testSubmission("wk-1")
@@ -936,13 +944,14 @@
 	c.markMachineGone(c.internMachine("m-1"))
 	if got := j.writePriority(); got >= before || !j.write.dirty || j.write.nextExamineAt > c.now {
 		t.Errorf(
-			"write priority %d before, %d after the loss; examined %v later",
+			"write priority %d before and %d after the loss, examined %v later",
 			before, got, j.write.nextExamineAt-c.now,
 		)
 	}
 }
 
-// The replicas of a lost zone restart with one write for each job: the jobs with most replicas must come first.
+// The replicas of a lost zone restart with one write per job, so the jobs with the most lost replicas must be written
+// first.
 func TestMostLostReplicasAreWrittenFirst(t *testing.T) {
 	c := newLeadingCore(t)
 	for i, n := range []int{1, 3, 2} {
@@ -973,8 +982,8 @@
 	}
 }
 
-// Several of the few cloud calls per second requested one node group at a time, and when it was used up, all of
-// them were in vain.
+// Each node group must be requested once before any is requested again. Several of the few cloud calls per second
+// requested the same node group, and if it had no capacity left, all of them were wasted.
 func TestEachNodeGroupIsRequestedBeforeAnyTwice(t *testing.T) {
 	c := newLeadingCore(t)
 	c.autoscaler.catalog["x"].Zones = []string{"a", "b", "c", "d"}
@@ -996,8 +1005,8 @@
 	}
 }
 
-// The work of a controller per second must follow the events, not the size of the fleet: at a thousand
-// machines, walking and sending everything took a quarter of a core.
+// The work of a controller per second must depend on the number of events, not of machines: with a thousand machines,
+// examining and sending everything took a quarter of a CPU core.
 func TestWorkDoesNotGrowWithTheFleet(t *testing.T) {
 	type work struct{ examined, rows, heartbeats, digests int }
 	second := func(n int) (w work) {
@@ -1037,7 +1046,7 @@
 		return w
 	}
 	small, large := second(20), second(1000)
-	// Each of the two peers gets every heartbeat once.
+	// Each of the two peers gets every heartbeat and digest once.
 	if small.heartbeats != 2 || large.heartbeats != 2 || small.digests != 2*20 || large.digests != 2*1000 {
 		t.Errorf("heartbeats of 20 machines: %+v, of 1000: %+v", small, large)
 	}
@@ -1046,8 +1055,8 @@
 	}
 }
 
-// Of more submissions than can be written in time, the rest must be refused at once with a time to retry, and
-// nothing of it kept.
+// Submissions that cannot be written in time must be refused at once with a time to retry, and must use no memory after
+// that.
 func TestSubmissionFloodIsRefusedAtOnce(t *testing.T) {
 	c := newServingCore(t)
 	c.cfg.Store.WriteRate = 20
@@ -1066,15 +1075,15 @@
 	if refused != 470 || len(c.jobs) != 30 {
 		t.Errorf("%d of 500 refused at once, %d jobs kept", refused, len(c.jobs))
 	}
-	// Those whose write has not been sent are refused at their deadline; the others wait for its outcome.
+	// Submissions whose write has not been sent are refused at their deadline. The others wait for its outcome.
 	late := len(outputsOfType[Response](c.Advance(3 * time.Second)))
 	if late == 0 || late+c.pendingSubmissions != 30 {
 		t.Errorf("%d refused late, %d still wait, of 30", late, c.pendingSubmissions)
 	}
 }
 
-// A controller whose reads got no answer while its writes did held its lease and its shards, and did nothing
-// with them: it must let them go until a read is answered.
+// A controller whose reads are not answered must let its lease expire until one is answered. If its writes were still
+// answered, it kept its lease and its shards, but did not act on them.
 func TestControllerWithStalledWatchLetsItsLeaseExpire(t *testing.T) {
 	c := newServingCore(t)
 	extended := func(from, to time.Duration, status wire.Status) (n int) {
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -9,8 +9,8 @@
 	"dewlift/audit"
 )
 
-// TestStoredBytesStay guards the stored form of types of this package: a controller of another version must read what
-// this one writes, and this one what was written before. Other stored types are covered by internal/golden.
+// TestStoredBytesStay guards the stored encoding of types of this package: controllers of other versions must be able
+// to read what this one writes, and the reverse. Other stored types are covered by internal/golden.
 func TestStoredBytesStay(t *testing.T) {
 	carried := []audit.PendingEntry{
 		{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")},
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestDeclarationsAndMarkersStayReadable guards the values that every version of the controller must be able to read: the declared schema
-// version, the restore marker and the fencing token.
+// TestDeclarationsAndMarkersStayReadable guards the encoding of values that every version of the controller must be
+// able to read: the declared schema version, the restore marker and the fencing token.
 func TestDeclarationsAndMarkersStayReadable(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	if err := c.applySchemaVersion("dl/form/node-b", json.RawMessage("8"), 3); err != nil ||
--- a/core/leader.go
+++ b/core/leader.go
@@ -40,7 +40,7 @@
 	ackedBatchSeqs    map[string]uint64 // by controller: sequence number of its last batch of allocation deltas
 	nextPushAt        time.Duration
 	lastPushAt        time.Duration
-	pushedRevision    uint64        // revision of the array as of the last push; 0: none in this term
+	pushedRevision    uint64 // revision of the array as of the last push; 0: none in this term
 	nextFullPushAt    time.Duration
 	nextPlanAt        time.Duration
 	nextPlanLogAt     time.Duration
--- a/core/loadshedding_test.go
+++ b/core/loadshedding_test.go
@@ -9,8 +9,8 @@
 	"dewlift/wire"
 )
 
-// addFleet has machines in the zones a and b send heartbeats, and returns a function that has those of a
-// zone send one again; "" stands for both zones.
+// addFleet adds machines in the zones a and b by their heartbeats. It returns a function that sends another
+// heartbeat of each machine of a zone, or of both zones if the zone is "".
 func addFleet(c *Core, now time.Duration, machines int) (sendHeartbeats func(now time.Duration, zone string)) {
 	sequence := uint64(1)
 	sendHeartbeats = func(now time.Duration, zone string) {
@@ -34,7 +34,7 @@
 	return sendHeartbeats
 }
 
-// schedulableInZone counts the machines of a zone that new tasks may go to.
+// schedulableInZone counts the machines of a zone on which new tasks may be placed.
 func schedulableInZone(c *Core, zone string) (count int) {
 	for _, machine := range c.aliveMachines {
 		if machine.identity.zone == zone && c.isSchedulable(machine) {
@@ -44,8 +44,8 @@
 	return count
 }
 
-// Each machine of a lost zone counted as healthy for two heartbeat intervals, and tasks started there
-// meanwhile were lost.
+// Machines of a lost zone must soon get no new tasks. They counted as healthy for two heartbeat intervals, and the
+// tasks started there in the meantime were lost.
 func TestSilentZoneGetsNoTasks(t *testing.T) {
 	c := newLeadingCore(t)
 	sendHeartbeats := addFleet(c, time.Second, 40)
@@ -60,18 +60,18 @@
 	if a, b := schedulableInZone(c, "a"), schedulableInZone(c, "b"); a < 20 || b != 0 {
 		t.Errorf("%d and %d machines are schedulable 2 s after the last heartbeat from the second zone", a, b)
 	}
-	c.Advance(5500 * time.Millisecond) // silence of both: rather this controller is cut off
+	c.Advance(5500 * time.Millisecond) // if both are silent, this controller is probably cut off
 	if a, b := schedulableInZone(c, "a"), schedulableInZone(c, "b"); a < 20 || b != 20 {
 		t.Errorf("%d and %d machines are schedulable when both zones are silent", a, b)
 	}
 	sendHeartbeats(5600*time.Millisecond, "b")
 	if schedulableInZone(c, "b") != 20 {
-		t.Error("the second zone is back, and not all of its machines are schedulable")
+		t.Error("the second zone sends heartbeats again, and not all of its machines are schedulable")
 	}
 }
 
-// Every machine of a lost zone was polled once a second, and each poll held a connection until its
-// timeout.
+// The machines of a lost zone must be polled rarely. Each was polled once per second, and every poll held a
+// connection until its timeout.
 func TestLostZoneGetsFewPolls(t *testing.T) {
 	c := newLeadingCore(t)
 	const machines = 400
@@ -110,7 +110,7 @@
 	}
 }
 
-// Commands to machines that hang must leave requests for those to others.
+// Commands to hanging machines must not use up the requests that may be in flight.
 func TestHangingMachinesDoNotBlockCommandsToOthers(t *testing.T) {
 	c := newLeadingCore(t)
 	c.cfg.Agents.MaxCommandRequests = 40
@@ -149,7 +149,7 @@
 	}
 }
 
-// A client whose request is shed retries when the present backlog is written, and not all at once.
+// Clients whose requests are shed must retry once the current backlog is written, and not all at once.
 func TestRetryAfterGrowsWithTheBacklog(t *testing.T) {
 	c := newServingCore(t)
 	c.transactions.rateLimit.WriteRate = 10
--- a/core/quorum/quorum_test.go
+++ b/core/quorum/quorum_test.go
@@ -14,10 +14,10 @@
 	modelSteps = 3000 // for each seed
 )
 
-// A controller that renews a lease must know every cancellation acknowledged longer ago than the
-// bound, whatever fails. The model: cancellations are committed one by one, and acknowledged when
-// they may be. Processes crash and restart without memory, pause, and lose the store or each other;
-// messages are delayed and duplicated, also across incarnations.
+// A controller that renews a lease must know every cancellation that was acknowledged longer than MaxStaleness
+// ago, whatever fails. In the model, cancellations are committed one by one, and acknowledged as soon as
+// permitted. Processes crash and restart without state, pause, and lose their connection to the store or each
+// other. Messages are delayed and duplicated, also across incarnations.
 func TestRenewersKnowAcknowledgedCancellations(t *testing.T) {
 	renewed, acknowledged := 0, 0
 	for seed := uint64(1); seed <= modelSeeds; seed++ {
@@ -34,7 +34,7 @@
 	t.Logf("%d renewals, %d acknowledged cancellations", renewed, acknowledged)
 }
 
-// The model must find a violation if any one of the rules is broken; otherwise it shows nothing.
+// The model must find a violation if any one of the rules is broken. Otherwise the test above would prove nothing.
 func TestModelCatchesBrokenRules(t *testing.T) {
 	for name, breakRule := range map[string]func(m *model){
 		"acknowledging without a majority":     func(m *model) { m.ackWithoutQuorum = true },
@@ -66,15 +66,15 @@
 	agentLeaseTTL  = 20 * time.Second
 )
 
-// process is one controller of the model.
+// process is a controller of the model.
 type process struct {
 	view             *View
 	loaded           bool                       // it has loaded a snapshot of the store
 	revision         uint64                     // it holds all cancellations up to this revision
-	heldBeyond       map[uint64]bool            // and these beyond it
+	heldBeyond       map[uint64]bool            // cancellations after revision that it holds
 	acks             map[uint64]map[string]bool // by cancellation that it wants to acknowledge: peers that hold it
 	pausedUntil      time.Duration
-	storeUnreachable bool // for this process alone
+	storeUnreachable bool // for this process only
 	name             string
 	incarnation      int
 }
@@ -84,7 +84,7 @@
 	return revision <= p.revision || p.heldBeyond[revision]
 }
 
-// model is a cell of controllers and their store, with faults.
+// model is a cluster of controllers and their store, with faults.
 type model struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -92,7 +92,7 @@
 	revision     uint64 // of the last cancellation committed
 	processes    []*process
 	acknowledged map[uint64]time.Duration // by cancellation: when a user was first answered with it
-	storeDown    bool                     // for all
+	storeDown    bool                     // for all processes
 	cutLinks     map[[2]int]bool
 	delayed      []message
 	renewed      int
@@ -103,13 +103,13 @@
 	ackWithoutQuorum, acceptAnyNonce, replyUnloaded, ignoreStaleness, countFromReply, ignorePeers bool
 }
 
-// message is something to be delivered later.
+// message is a message in transit.
 type message struct {
 	deliverAt time.Duration
 	deliver   func()
 }
 
-// newModel is a cell of 1, 3 or 5 controllers, by the seed.
+// newModel returns a cluster of 1, 3 or 5 controllers, depending on the seed.
 func newModel(t *testing.T, seed uint64) *model {
 	t.Helper()
 	m := &model{
@@ -127,7 +127,7 @@
 	return m
 }
 
-// boot starts the next incarnation of a process, without memory of the last.
+// boot starts the next incarnation of a process, without the state of the last one.
 func (m *model) boot(p *process) {
 	var peers []string
 	for _, other := range m.processes {
@@ -140,7 +140,7 @@
 	p.heldBeyond, p.acks = map[uint64]bool{}, map[uint64]map[string]bool{}
 }
 
-// send delivers a message to a process, at times late, and at times more than once.
+// send sends a message between two processes. Some messages are late or delivered more than once.
 func (m *model) send(from, to int, deliver func()) {
 	if m.cutLinks[[2]int{min(from, to), max(from, to)}] {
 		return
@@ -153,12 +153,12 @@
 	m.delayed = append(m.delayed, message{m.now + delay, deliver})
 }
 
-// randomMillis is a random time below that many milliseconds.
+// randomMillis returns a random duration below that many milliseconds.
 func (m *model) randomMillis(below int) time.Duration {
 	return time.Duration(m.rng.IntN(below)) * time.Millisecond
 }
 
-// step lets time pass and one process act, and checks what it may do.
+// step advances the time and lets one process act, and checks each lease that it renews.
 func (m *model) step() {
 	m.now += m.randomMillis(200)
 	m.deliverDue()
@@ -199,7 +199,7 @@
 	}
 }
 
-// injectFault begins or ends a fault at times, mostly one of process i.
+// injectFault randomly begins or ends a fault, mostly one of process i.
 func (m *model) injectFault(i int) {
 	p := m.processes[i]
 	switch m.rng.IntN(120) {
@@ -217,8 +217,7 @@
 	}
 }
 
-// readStore has a process read the store. What the read shows is of some moment between its sending
-// and its answer.
+// readStore lets a process read the store. The read shows the store as of its sending, and may be answered late.
 func (m *model) readStore(p *process) {
 	sentAt, shown, incarnation := m.now, m.revision, p.incarnation
 	answer := func() {
@@ -238,15 +237,15 @@
 	answer()
 }
 
-// commitCancellation has a process commit a cancellation, which it then wants to acknowledge.
+// commitCancellation lets a process commit a cancellation, which it then wants to acknowledge.
 func (m *model) commitCancellation(p *process) {
 	m.revision++
 	p.heldBeyond[m.revision] = true
 	p.acks[m.revision] = map[string]bool{}
 }
 
-// acknowledge has process i acknowledge the cancellations that it may, and send the others to its
-// peers at times.
+// acknowledge lets process i acknowledge the cancellations that it may, and sometimes send the others to its
+// peers.
 func (m *model) acknowledge(i int) {
 	p := m.processes[i]
 	for _, revision := range slices.Sorted(maps.Keys(p.acks)) {
@@ -262,8 +261,8 @@
 	}
 }
 
-// broadcastCancellation has process i send a cancellation to its peers, at times, and collects those
-// that hold it then.
+// broadcastCancellation lets process i send a cancellation to random peers, and collects those that
+// acknowledge holding it.
 func (m *model) broadcastCancellation(i int, revision uint64, acks map[string]bool) {
 	p := m.processes[i]
 	for k, peer := range m.processes {
@@ -285,7 +284,7 @@
 	}
 }
 
-// queryPeers has process i query its peers for the cancellations that it may lack.
+// queryPeers lets process i query its peers for the cancellations that it may lack.
 func (m *model) queryPeers(i int) {
 	p := m.processes[i]
 	nonce, since := m.rng.Uint64(), p.revision
@@ -310,8 +309,8 @@
 	}
 }
 
-// applyReply has a process apply a peer's reply to a query. nonce is shared by all replies to that
-// query: a broken rule that replaces it holds for the later ones too.
+// applyReply lets a process apply a peer's reply to a query. nonce is shared by all replies to the query, so
+// that a broken rule which replaces it also affects the later ones.
 func (m *model) applyReply(p *process, peer string, nonce *uint64, held []uint64, upTo uint64) {
 	if !p.loaded || m.now < p.pausedUntil {
 		return
@@ -328,8 +327,8 @@
 	p.view.HandleReply(peer, *nonce)
 }
 
-// renewLease has a process renew a lease if it may, and checks that it lacks no cancellation whose
-// deadline the lease would exceed.
+// renewLease lets a process renew a lease if it may, and checks that it holds every cancellation whose deadline
+// the lease would exceed.
 func (m *model) renewLease(p *process) {
 	fresh := p.view.IsFresh(m.now) || m.ignoreStaleness && p.view.initialized
 	if !p.loaded || !fresh {
@@ -349,7 +348,7 @@
 	}
 }
 
-// Times that allow no renewal must give a bound that shows it, so that settings are rejected.
+// MaxStaleness must not be positive for times that allow no renewal, so that such settings are rejected.
 func TestMaxStaleness(t *testing.T) {
 	for _, tc := range []struct {
 		name                          string
@@ -368,7 +367,7 @@
 	}
 }
 
-// A single controller must be its own majority, or it could never renew a lease in a store outage.
+// A single controller must be a majority by itself, or it could never renew a lease in a store outage.
 func TestOneControllerIsItsOwnQuorum(t *testing.T) {
 	v := New(Config{nil, cancelDeadline, agentLeaseTTL})
 	v.BeginQuery(time.Minute, 7)
--- a/core/ratelimit/limiter_test.go
+++ b/core/ratelimit/limiter_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A controller that spends whenever it has tokens never exceeds its rate by more than one burst, and its
-// rate stays within its part of the total.
+// A controller that spends tokens whenever it has enough must never exceed its rate by more than one burst, and
+// its rate must stay within its share of the total.
 func TestWritesStayWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := New(0)
@@ -33,8 +33,8 @@
 	})
 }
 
-// A pause holds writes that no user waits for longer than the others, and a later pause of these alone does
-// not shorten it.
+// Writes that no user waits for must be paused longer than the others, and a later pause of only these must not
+// shorten it.
 func TestPauseSparesUrgentWrites(t *testing.T) {
 	limiter := New(0)
 	limiter.Pause(3*time.Second, time.Second)
--- a/core/replica.go
+++ b/core/replica.go
@@ -9,7 +9,7 @@
 	"dewlift/wire"
 )
 
-// storeReplica is this controller's replica of the key-value store: how far it has read, the
+// storeReplica is the state of this controller's replica of the key-value store: its revision, the
 // snapshot load, the watch and the read barriers. At most one request of each kind is in flight.
 type storeReplica struct {
 	*environment
@@ -17,13 +17,13 @@
 	rateLimit *ratelimit.Limiter  // charged for its requests
 	members   *membership.Members // progress of the other controllers' snapshot loads
 
-	revision uint64    // all changes up to it are applied
-	loaded   bool      // a snapshot is loaded, and the watch follows from it
+	revision uint64    // revision up to which all changes are applied
+	loaded   bool      // a snapshot is loaded, and the watch continues from its revision
 	slots    slotTable // see batchvalues.go
 
 	pageInFlight      bool
 	nextPageAt        time.Duration
-	lastPageKey       string        // last key of the snapshot load so far; empty: it has not begun
+	lastPageKey       string        // last key that the snapshot load has read; empty: it has not begun
 	snapshotRevision  uint64        // revision of the snapshot's first page
 	snapshotLoads     uint64        // snapshot loads begun
 	pagesRead         int           // pages of the current or last snapshot load
@@ -33,42 +33,41 @@
 	nextWatchAt   time.Duration
 	watchSentAt   time.Duration
 
-	barrierWaiters  []func(ok bool) // for the next read barrier
-	inFlightWaiters []func(ok bool) // for the one in flight
+	barrierWaiters  []func(ok bool) // wait for the next read barrier
+	inFlightWaiters []func(ok bool) // wait for the read barrier in flight
 	barrierInFlight bool
 	nextBarrierAt   time.Duration
 	barrierSentAt   time.Duration
 }
 
-// storeHealth is whether the key-value store answers this controller.
+// storeHealth tracks whether the key-value store answers this controller.
 type storeHealth struct {
 	*environment
-	firstLostReadAt time.Duration // sending time of the first read barrier lost since the last answer; 0: none
+	firstLostReadAt time.Duration // when the first read barrier after the last answered read was lost; 0: none was
 	lastAnswerAt    time.Duration
 	lastFailureAt   time.Duration
 	everAnswered    bool
 }
 
 const (
-	// storeAnswerTimeout is how old the last answer may be while the store counts as reachable.
+	// storeAnswerTimeout is how long after its last answer the store counts as reachable.
 	storeAnswerTimeout = 2 * time.Second
 
-	// storeFailureGrace is how long after the last answer a failure does not count yet.
+	// storeFailureGrace is how long after the last answer failures are ignored.
 	storeFailureGrace = 400 * time.Millisecond
 
-	// maxBarrierWaiters bounds the functions that wait for a read barrier; beyond it they fail at once.
+	// maxBarrierWaiters bounds the functions that wait for a read barrier; further ones fail at once.
 	maxBarrierWaiters = 20000
 
-	// watchRequestShare and barrierRequestShare are the parts of this controller's request rate
-	// that watches and read barriers may use.
+	// watchRequestShare and barrierRequestShare are the shares of this controller's request rate that
+	// watches and read barriers may use.
 	watchRequestShare   = 0.25
 	barrierRequestShare = 0.35
 
-	// watchRetryDelay is the wait after a failed watch.
+	// watchRetryDelay is the delay after a failed watch.
 	watchRetryDelay = 300 * time.Millisecond
 
-	// Waits after a read barrier that the store throttled, and after a snapshot page that failed, each
-	// with a random part.
+	// Delays after a throttled read barrier, and after a failed snapshot page, each with jitter.
 	barrierRetryDelay  = 100 * time.Millisecond
 	barrierRetryJitter = 200 * time.Millisecond
 	pageRetryDelay     = 200 * time.Millisecond
@@ -77,11 +76,11 @@
 	// fastSnapshotPages is the number of pages of a snapshot load that are requested without a pause.
 	fastSnapshotPages = 20
 
-	// snapshotRequestShare is the part of all controllers' request rate that the later pages may
-	// use; controllers that serve users need the rest.
+	// snapshotRequestShare is the share of all controllers' request rate that the later pages may use;
+	// controllers that serve users need the rest.
 	snapshotRequestShare = 0.5
 
-	// slowLoaderDelay is the wait of a controller that leaves the snapshot load to one further ahead.
+	// slowLoaderDelay is the delay of a snapshot load while that of another controller is further ahead.
 	slowLoaderDelay = time.Second
 )
 
@@ -90,20 +89,20 @@
 	return h.everAnswered && h.now-h.lastAnswerAt < storeAnswerTimeout && h.lastFailureAt <= h.lastAnswerAt
 }
 
-// isFailing reports whether the store has failed since its last answer, for longer than a grace time.
+// isFailing reports whether the store has failed since its last answer, which is older than a grace period.
 func (h *storeHealth) isFailing() bool {
 	return h.lastFailureAt > h.lastAnswerAt && h.now-h.lastAnswerAt > storeFailureGrace
 }
 
-// isWatchStalled reports whether reads of the store have stayed unanswered for too long. Such a controller can
-// write and extend its lease, but knows neither what it owns nor what others do: a new leader in that
-// state did nothing for twenty seconds, and no other controller could take over.
+// isWatchStalled reports whether reads of the store have been unanswered for too long. A controller in that state
+// may still write and extend its lease, but learns neither what it owns nor what others do: a new leader in that
+// state did nothing for 20 seconds, and no other controller could take over.
 func (h *storeHealth) isWatchStalled() bool {
 	return h.firstLostReadAt != 0 && h.now-h.firstLostReadAt > watchStallTimeout
 }
 
-// isStoreOutage reports whether the store seems down for all controllers: a majority of them is
-// reachable and none of these reaches the store.
+// isStoreOutage reports whether the store seems down for all controllers: a majority of them, this one
+// included, is reachable, and none of these reaches the store.
 func (c *Core) isStoreOutage() bool {
 	if c.ownLease.isHeld() || c.storeHealth.isReachable() {
 		return false
@@ -111,7 +110,7 @@
 	return c.controllers.membership.IsStoreOutage(c.now)
 }
 
-// recordStatus updates the store's health from a request's outcome. A refusal is an answer too.
+// recordStatus updates the store's health from the outcome of a request. A refusal counts as an answer.
 func (h *storeHealth) recordStatus(status wire.Status) {
 	if status == wire.StatusNoAnswer || status == wire.StatusUnavailable {
 		h.lastFailureAt = h.now
@@ -121,11 +120,11 @@
 	h.lastAnswerAt = h.now
 }
 
-// isStoreUnreachable reports whether requests to the store would probably fail now.
+// isStoreUnreachable reports whether requests to the store would probably fail.
 func (r *storeReplica) isStoreUnreachable() bool { return !r.loaded || r.health.isFailing() }
 
-// sync sends the requests that keep the replica current: a snapshot load first, then a
-// watch, and read barriers while anything waits for one.
+// sync sends the requests that keep the replica current: first a snapshot load, then watches, and read
+// barriers if anything waits for one.
 func (r *storeReplica) sync() {
 	if !r.loaded {
 		r.requestSnapshotPage()
@@ -151,8 +150,8 @@
 	r.emit(LoadSnapshot{AfterKey: r.lastPageKey})
 }
 
-// requestWatch sends a watch if it is due. A read barrier brings the changes too, so none is needed
-// while barriers follow one another.
+// requestWatch sends a watch if it is due. No watch is needed while a read barrier is in flight or waited
+// for, as that returns the changes too.
 func (r *storeReplica) requestWatch() {
 	if r.watchInFlight || r.now < r.nextWatchAt || r.barrierInFlight ||
 		len(r.barrierWaiters) > 0 {
@@ -164,8 +163,8 @@
 	r.emit(Watch{SinceRevision: r.revision, LongPoll: true})
 }
 
-// requestReadBarrier sends a read barrier if it is due and anything waits for one. Who begins to
-// wait after that needs the next barrier.
+// requestReadBarrier sends a read barrier if it is due and anything waits for one. Functions that begin to
+// wait after that are called by the next barrier.
 func (r *storeReplica) requestReadBarrier() {
 	if r.barrierInFlight || len(r.barrierWaiters) == 0 || r.now < r.nextBarrierAt {
 		return
@@ -177,7 +176,7 @@
 	r.emit(Watch{SinceRevision: r.revision})
 }
 
-// afterReadBarrier calls f(true) once the replica has all changes committed until now, or f(false)
+// afterReadBarrier calls f(true) once the replica has all changes committed before this call, or f(false)
 // if that could not be established.
 func (r *storeReplica) afterReadBarrier(f func(ok bool)) {
 	if !r.loaded || len(r.barrierWaiters) > maxBarrierWaiters {
@@ -187,8 +186,8 @@
 	r.barrierWaiters = append(r.barrierWaiters, f)
 }
 
-// afterUrgentReadBarrier is afterReadBarrier for a submission. Its user waits for the answer and few
-// submissions need a barrier, so it skips the minimum interval while read tokens are left.
+// afterUrgentReadBarrier is afterReadBarrier for submissions, whose users wait for the answer. Few
+// submissions need a barrier, so they skip the minimum interval as long as request tokens are left.
 func (r *storeReplica) afterUrgentReadBarrier(f func(ok bool)) {
 	r.afterReadBarrier(f)
 	if r.rateLimit.RequestTokens > 1 {
@@ -196,8 +195,8 @@
 	}
 }
 
-// handleWatchResult applies the changes that a watch or a read barrier brought, and calls who waits
-// for the barrier after that.
+// handleWatchResult applies the changes of a watch or a read barrier, and then calls the functions that wait
+// for the barrier.
 func (c *Core) handleWatchResult(in WatchResult) {
 	sentAt := c.replica.barrierSentAt
 	if in.LongPoll {
@@ -215,7 +214,7 @@
 		c.storeHealth.firstLostReadAt = 0
 		c.applyWatchEvents(in.Changes)
 		c.cancelAcks.quorum.ConfirmRead(sentAt)
-	case wire.StatusGone: // the store no longer has these changes: load a snapshot
+	case wire.StatusGone: // the store has compacted these changes, so a snapshot must be loaded
 		c.replica.restartSnapshot()
 	}
 	if !in.LongPoll {
@@ -223,7 +222,7 @@
 	}
 }
 
-// endWatch notes that the watch in flight has ended. A failed one is not repeated at once.
+// endWatch ends the watch in flight. A failed one is repeated after a delay.
 func (r *storeReplica) endWatch(status wire.Status) {
 	r.watchInFlight = false
 	if status != wire.StatusOK {
@@ -231,8 +230,8 @@
 	}
 }
 
-// endReadBarrier notes that the read barrier in flight has ended, and reports whether it was
-// throttled: its waiters then wait for the next one, ahead of the others.
+// endReadBarrier ends the read barrier in flight. If it was throttled, its waiters wait for the next one,
+// ahead of the others, and endReadBarrier returns true.
 func (r *storeReplica) endReadBarrier(status wire.Status) (retried bool) {
 	r.health.recordStatus(status)
 	r.barrierInFlight = false
@@ -245,8 +244,8 @@
 	return true
 }
 
-// callBarrierWaiters calls the functions that waited for the read barrier that has ended. They may
-// wait for another one at once.
+// callBarrierWaiters calls the functions that waited for the read barrier that has ended. They may begin to
+// wait for another one.
 func (r *storeReplica) callBarrierWaiters(ok bool) {
 	waiters := r.inFlightWaiters
 	r.inFlightWaiters = nil
@@ -255,8 +254,8 @@
 	}
 }
 
-// applyWatchEvents applies the changes of a watch or read barrier. Those up to the replica's
-// revision are known already: two answers may overlap, and an older one must not undo a newer.
+// applyWatchEvents applies the changes of a watch or read barrier. Changes up to the replica's revision are
+// skipped: the changes of two answers may overlap, and an older change must not undo a newer one.
 func (c *Core) applyWatchEvents(changes wire.WatchResponse) {
 	for _, event := range changes.Events {
 		if event.Revision <= c.replica.revision {
@@ -271,9 +270,9 @@
 	c.replica.revision = max(c.replica.revision, changes.Revision)
 }
 
-// handleSnapshotPage applies a page of the snapshot. Later pages may show later changes than the
-// first one: the watch follows from the first page's revision and brings these again. Only open jobs
-// and those that ended last stay in memory.
+// handleSnapshotPage applies a page of the snapshot. Later pages may include changes that are newer than the
+// first page; the watch begins at the first page's revision and delivers these again. Only open jobs and the
+// most recently ended ones stay in memory.
 func (c *Core) handleSnapshotPage(in SnapshotPage) {
 	c.replica.pageInFlight = false
 	if !in.OK {
@@ -297,13 +296,13 @@
 	c.finishSnapshot(in.Revision)
 }
 
-// restartSnapshot makes the replica load a snapshot from its first page.
+// restartSnapshot makes the replica load a new snapshot.
 func (r *storeReplica) restartSnapshot() {
 	r.loaded, r.lastPageKey = false, ""
 	r.nextPageAt = r.now
 }
 
-// retryPage delays the next request of a page that failed.
+// retryPage schedules the next request of a page that failed.
 func (r *storeReplica) retryPage(status wire.Status) {
 	if status != wire.StatusTooManyRequests {
 		r.health.lastFailureAt = r.now
@@ -311,15 +310,15 @@
 	r.nextPageAt = r.now + pageRetryDelay + r.jitter(pageRetryJitter)
 }
 
-// paceNextPage delays the request of the next page once the pages that need no pause are read.
+// paceNextPage delays the request of the next page, except for the first fastSnapshotPages pages.
 func (r *storeReplica) paceNextPage() {
 	if r.pagesRead >= fastSnapshotPages {
 		r.nextPageAt = r.now + time.Duration(float64(time.Second)/(snapshotRequestShare*r.cfg.Store.RequestRate))
 	}
 }
 
-// beginSnapshot forgets all state of keys that may have been deleted since the replica was current.
-// Jobs stay: finishSnapshot finds those that are no longer in the store.
+// beginSnapshot drops the state of all keys that may have been deleted since the replica was current. Jobs
+// are kept: finishSnapshot finds those that are no longer in the store.
 func (c *Core) beginSnapshot(revision uint64) {
 	for i := range c.ownership.shards {
 		c.ownership.shards[i] = leasedKey{absentSince: c.now}
@@ -347,7 +346,7 @@
 	for _, known := range slices.Clone(c.jobs) {
 		if known != nil && known.revision != 0 && !known.archive.archived &&
 			known.stored.lastSnapshotLoad != c.replica.snapshotLoads {
-			c.evictArchivedJob(known, c.replica.snapshotRevision) // archived while the changes were not followed
+			c.evictArchivedJob(known, c.replica.snapshotRevision) // archived while the watch was interrupted
 		}
 	}
 	c.replica.revision = c.replica.snapshotRevision
@@ -359,9 +358,9 @@
 		"jobs", len(c.jobIndex), "ended", len(c.history.endedJobs), "cold", c.history.coldRecords)
 }
 
-// isSlowestToLoad reports whether another controller is further ahead in its snapshot load. When
-// they load one after the other, the first serves as soon as it is done; when they load at the same
-// time and share the request rate, all are ready only when the last is.
+// isSlowestToLoad reports whether another controller is further ahead in its snapshot load. If controllers
+// load one after the other, the first can serve as soon as it is done. If they load at the same time and
+// share the request rate, none can serve before nearly all are done.
 func (r *storeReplica) isSlowestToLoad() bool {
 	for _, name := range r.cfg.Peers {
 		if !r.members.IsReachable(r.now, name) {
@@ -375,7 +374,7 @@
 	return false
 }
 
-// snapshotPagesRead is the number of pages read by the snapshot load in progress; 0 if there is none.
+// snapshotPagesRead returns the number of pages read by the snapshot load in progress, or 0 if there is none.
 func (r *storeReplica) snapshotPagesRead() int {
 	if r.loaded {
 		return 0
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -9,19 +9,19 @@
 	"dewlift/wire"
 )
 
-// Two versions of this program may run at once while an upgrade replaces the controllers one by one,
-// and both read what either stores. A schema version is a way of storing data and sending messages.
-// Each controller declares the newest one that it knows, once and for ever, under a key of its own: a
-// controller that ran a version is never downgraded. A schema version becomes active, that is may be
-// written, only when every configured controller has declared it; silence is never taken for a
-// declaration. Data stored under older schema versions stays readable for ever.
+// During a rolling upgrade two versions of this program run at the same time, and both read what either
+// stores. A schema version defines how data is stored and messages are sent. Each controller declares the
+// newest schema version that it knows under a key of its own. The declaration is permanent: a controller
+// is never downgraded below it. A schema version becomes active, so that it may be written, only when every
+// configured controller has declared it; a missing declaration never counts as one. Data stored under older
+// schema versions stays readable.
 const (
 	schemaInitial         = 0 // the version without declarations
 	schemaDependencies    = 1 // job specs with dependencies, packed records, cancel markers
 	schemaArchive         = 2 // ended jobs may be in the archive
 	schemaPermissions     = 3 // permissions; final records keep their team and class
 	schemaAudit           = 4 // values carry audit entries
-	schemaSharedValues    = 5 // records are numbered, and entries of shared values apply on top of them
+	schemaSharedValues    = 5 // records are numbered, and slot entries are merged into them
 	schemaReservations    = 6 // reservations of equipment
 	schemaPriorityClasses = 7 // records keep their priority class and enqueue order; classes can be configured
 	schemaCancelQuorum    = 8 // a quorum acknowledges cancellations (cancelacks.go); stored data is unchanged
@@ -33,23 +33,23 @@
 const (
 	keySchemaVersion = Root + "form/" // declarations, by controller
 
-	// declarationInterval is the least time between two attempts to write the declaration.
+	// declarationInterval is the minimum time between two attempts to write the declaration.
 	declarationInterval = time.Second
 )
 
-// schemaState is the schema versions that the controllers declared, the active one, and this
-// controller's own declaration.
+// schemaState holds the declared schema versions, the active one, and the state of this controller's own
+// declaration.
 type schemaState struct {
 	*environment
-	declared            map[string]int // newest declared, by controller
-	active              int            // newest declared by all
+	declared            map[string]int // newest declared version, by controller
+	active              int            // newest version declared by all controllers
 	activeSince         time.Duration
-	declarationRevision uint64 // of this controller's key; 0: it is not there
+	declarationRevision uint64 // revision of this controller's declaration; 0: it is not stored
 	declarationInFlight bool
 	nextDeclarationAt   time.Duration
 }
 
-// commonVersion is the newest schema version that this controller and all of its peers have declared.
+// commonVersion returns the newest schema version that this controller and all of its peers have declared.
 func (s *schemaState) commonVersion() int {
 	common := min(s.declared[s.cfg.Name], s.cfg.SchemaVersion)
 	for _, peer := range s.cfg.Peers {
@@ -58,30 +58,31 @@
 	return common
 }
 
-// record records a controller's declaration, and reports whether it made a newer schema version
-// active: one that all controllers know by now. An active one never goes back.
+// record records a controller's declaration, and reports whether it activated a newer schema version. The
+// active version never decreases.
 func (s *schemaState) record(name string, version int) (activated bool) {
 	s.declared[name] = max(s.declared[name], version)
 	if name == s.cfg.Name && version > s.cfg.SchemaVersion {
-		s.log(LevelError, "a newer version has run here before: this one may be unable to read its data",
+		s.log(LevelError, "controller was downgraded: stored data of the newer version may be unreadable",
 			"form", version)
 	}
 	common := s.commonVersion()
 	if common <= s.active {
 		return false
 	}
-	s.log(LevelInfo, "schema version known to every controller", "form", common)
+	s.log(LevelInfo, "schema version activated", "form", common)
 	s.active, s.activeSince = common, s.now
 	return true
 }
 
-// recordSchemaVersion records a controller's declaration, and adapts to a schema version that it activates.
+// recordSchemaVersion records a controller's declaration, and applies the schema version that it activates,
+// if any.
 func (c *Core) recordSchemaVersion(name string, version int) {
 	if !c.schema.record(name, version) {
 		return
 	}
 	c.updateRateLimit()
-	for _, open := range c.openJobs { // records that are too large may fit under it: write them before they must be
+	for _, open := range c.openJobs { // oversized records may fit under the new version, so they are written again
 		if open.stored.bytes > c.cfg.Store.MaxValueBytes {
 			c.markDirty(open)
 		}
@@ -101,7 +102,7 @@
 	key := keySchemaVersion + c.cfg.Name
 	raw, err := json.Marshal(c.cfg.SchemaVersion)
 	if err != nil {
-		panic(err) // can't happen: a number
+		panic(err) // can't happen, as an int always marshals
 	}
 	c.transactions.commit(
 		wire.Txn{
@@ -110,7 +111,7 @@
 		},
 		&pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
 			c.schema.declarationInFlight = false
-			c.replica.afterReadBarrier(func(bool) {}) // the barrier brings the outcome
+			c.replica.afterReadBarrier(func(bool) {}) // to read the outcome at once
 		}},
 	)
 }
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// storeWriteRate is the rate of writes that all controllers together keep to. NextWriteRate replaces
-// WriteRate only when all of them know of it.
+// storeWriteRate returns the limit of writes per second of all controllers together. NextWriteRate replaces
+// WriteRate only when all of them know it.
 func (s *schemaState) storeWriteRate() float64 {
 	if s.active >= schemaDependencies && s.cfg.Store.NextWriteRate > 0 {
 		return s.cfg.Store.NextWriteRate
--- a/core/schemaversion_test.go
+++ b/core/schemaversion_test.go
@@ -15,7 +15,7 @@
 	"dewlift/wire"
 )
 
-// storedItems returns keys with their values as the previous version wrote them.
+// storedItems returns keys and values as the previous version wrote them.
 func storedItems(t *testing.T) []wire.KeyValue {
 	t.Helper()
 	raw, err := os.ReadFile("../internal/previousversion/testdata/keys.json")
@@ -29,7 +29,7 @@
 	return items
 }
 
-// requireNoErrorLogs fails the test for each log line of level error.
+// requireNoErrorLogs fails the test if there is a log line of level error.
 func requireNoErrorLogs(t *testing.T, out []Output) {
 	t.Helper()
 	for _, line := range outputsOfType[LogLine](out) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// All that the previous version stored stays readable, and what is written from it means the same to
-// the previous version: both run side by side during an upgrade.
+// Data stored by the previous version must be readable, and must mean the same to that version after this one has
+// written it again: both run at the same time during an upgrade.
 func TestReadsDataStoredByPreviousVersion(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	c.ownership.shards = make([]leasedKey, 6)
@@ -88,8 +88,8 @@
 	}
 }
 
-// readByPreviousVersion returns a job's record as the previous version reads what is written of it, directly or
-// after it was stored packed.
+// readByPreviousVersion returns a job's record as the previous version reads it after this one has encoded it,
+// directly or after it was stored packed.
 func readByPreviousVersion(t *testing.T, c *Core, known *job, packed bool) *previousversion.Record {
 	t.Helper()
 	raw, err := c.encodeRecord(known.record, known.assignments, packed)
@@ -117,13 +117,13 @@
 	t.Helper()
 	out, ok := r.Assignments()
 	if !ok {
-		t.Fatal("assignments do not fit together")
+		t.Fatal("the assignments are inconsistent")
 	}
 	slices.SortFunc(out, func(a, b previousversion.Assignment) int { return cmp.Compare(a.Task, b.Task) })
 	return out
 }
 
-// Messages of the previous version are read without loss, and what is sent from them means the same to it.
+// Messages of the previous version must be read without loss, and mean the same to it after they are encoded again.
 func TestReadsMessagesOfPreviousVersion(t *testing.T) {
 	raw, err := os.ReadFile("../internal/previousversion/testdata/messages.json")
 	if err != nil {
@@ -158,7 +158,7 @@
 	}
 }
 
-// schemaDeclarations returns the watch result that brings these controllers' declarations.
+// schemaDeclarations returns a watch result with the declarations of these controllers.
 func schemaDeclarations(names ...string) WatchResult {
 	in := WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: 50}}
 	for _, name := range names {
@@ -174,8 +174,7 @@
 	return in
 }
 
-// A schema version becomes active once every configured controller has declared it, not before, and stays
-// active.
+// A schema version must become active only once every configured controller has declared it, and stay active.
 func TestSchemaVersionNeedsEveryController(t *testing.T) {
 	c := newServingCore(t)
 	declarations := 0
@@ -190,7 +189,7 @@
 		t.Errorf("declared %d times", declarations)
 	}
 	c.Handle(2*time.Second, schemaDeclarations("n0", "n1"))
-	c.Handle(100*time.Second, schemaDeclarations("n1", "n9")) // one that is not configured does not count
+	c.Handle(100*time.Second, schemaDeclarations("n1", "n9")) // n9 is not configured and does not count
 	if c.schema.active != schemaInitial || c.schema.storeWriteRate() != c.cfg.Store.WriteRate {
 		t.Error("a new schema version is active without the last declaration")
 	}
@@ -207,7 +206,7 @@
 	if c.schema.active != SchemaVersion {
 		t.Error("the schema version is not active")
 	}
-	// A controller that starts later, while another is long gone, reads the declarations.
+	// A controller that starts later reads the declarations, even if another one is gone by then.
 	late := New(testConfig(), 0, 1)
 	late.Advance(time.Second)
 	var items []wire.KeyValue
@@ -223,8 +222,8 @@
 	}
 }
 
-// newCoreWithLargeRecord returns a leader under small limits, with a job that an older version stored under
-// larger ones: its record exceeds the limit of a value.
+// newCoreWithLargeRecord returns a leader with small limits, and a job whose record exceeds the size limit of a
+// value, as an older version stored it under larger limits.
 func newCoreWithLargeRecord(t *testing.T) (c *Core, large *job) {
 	t.Helper()
 	c = newLeadingCore(t)
@@ -233,7 +232,7 @@
 	spec := &wire.JobSpec{Class: "some-class", Team: "t", Tasks: 600, Request: [3]int64{1, 0, 1}}
 	record := &jobrecord.Record{Spec: spec, LastAttempt: 600}
 	var assignments []jobrecord.Assignment
-	// The worst for packing: incarnations and attempts without any order.
+	// Incarnations and attempts without any order are the worst case for packing.
 	for i := range 600 {
 		host := c.internMachine(fmt.Sprintf("m-%d", 7919*(i+1)%1_000_000))
 		host.identity.zone, host.status.reported, host.identity.machineType = "a", true, "x"
@@ -259,13 +258,13 @@
 	return c, c.internJob("wk-9")
 }
 
-// answerTxns answers the core's requests as the store does, and shows it each write by the watch.
-// Transactions that accepts declines are refused as too large.
+// answerTxns answers the core's requests as the store does, and sends it a watch result for each write.
+// Transactions for which accepts returns false are refused as bad requests.
 func answerTxns(c *Core, from, to time.Duration, accepts func(wire.Txn) bool) {
 	answerAndObserve(c, from, to, accepts, func(Output) {})
 }
 
-// answerAndObserve is answerTxns that also shows every output to observe.
+// answerAndObserve is answerTxns, and also calls observe with every output.
 func answerAndObserve(c *Core, from, to time.Duration, accepts func(wire.Txn) bool, observe func(Output)) {
 	revision := max(uint64(1000), c.replica.revision)
 	for now := from; now < to; now += 50 * time.Millisecond {
@@ -303,7 +302,7 @@
 	}
 }
 
-// answerAndCollectWrites answers all writes, which must keep to the limits, and returns them.
+// answerAndCollectWrites accepts all transactions, checks that they keep to the limits, and returns their writes.
 func answerAndCollectWrites(t *testing.T, c *Core, from, to time.Duration) (writes []wire.Write) {
 	t.Helper()
 	answerTxns(c, from, to, func(txn wire.Txn) bool {
@@ -318,8 +317,8 @@
 	return writes
 }
 
-// A job whose record does not fit a value in any encoding must still be cancelled: at once, by any
-// controller, with one small write that every later reader of the keys understands.
+// A job whose record fits a value in no encoding must still be cancelled at once, by any controller: with one small
+// write that every later reader of the keys understands.
 func TestCancelOfARecordTooLargeToWrite(t *testing.T) {
 	c, large := newCoreWithLargeRecord(t)
 	if large.stored.bytes <= c.cfg.Store.MaxValueBytes {
@@ -335,7 +334,7 @@
 		!slices.ContainsFunc(writes, func(w wire.Write) bool { return w.Put == keyCancel+large.id }) {
 		t.Fatalf("not cancelled: %+v, %d writes", large.record.Stage, len(writes))
 	}
-	// Another controller reads it the same, in whatever order the keys come.
+	// Another controller reads the same state, in whichever order the keys arrive.
 	stored := func(key string, raw json.RawMessage) wire.KeyValue {
 		return wire.KeyValue{Key: key, Value: raw, Revision: 90}
 	}
@@ -365,8 +364,8 @@
 	}
 }
 
-// Task ends that do not fit a value wait in the agents' heartbeats, and a job whose tasks have all
-// completed is done however large its record was.
+// Ended tasks whose record does not fit a value must be kept in the agents' heartbeats, and a job whose tasks have all
+// completed must be done however large its record was.
 func TestEndOfARecordTooLargeToWrite(t *testing.T) {
 	c, large := newCoreWithLargeRecord(t)
 	for i, assignment := range large.assignments {
@@ -398,7 +397,7 @@
 	}
 }
 
-// Under small limits, a job of hundreds of tasks is still placed with one write.
+// With small limits, a job of hundreds of tasks must still be placed with one write.
 func TestJobOfHundredsUnderSmallLimits(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	c.cfg.Store.MaxValueBytes = 2048
@@ -428,8 +427,8 @@
 	checkKeepsAllAssignments(t, c, raw, large.assignments)
 }
 
-// A transaction that the store refuses as too large is not sent again unchanged, whatever limits are
-// configured: it would be refused for ever.
+// A transaction that the store refuses as too large must not be sent again unchanged, whatever limits are
+// configured: it would be refused again and again.
 func TestRefusedSizeIsNotRepeated(t *testing.T) {
 	c := newLeadingCore(t)
 	for i := range 60 {
@@ -460,6 +459,6 @@
 		return true
 	})
 	if largest > 8192 || written == 0 {
-		t.Errorf("the last one refused had %d bytes, %d smaller ones were written", largest, written)
+		t.Errorf("the last refused value had %d bytes, %d smaller ones were written", largest, written)
 	}
 }
--- a/core/stats.go
+++ b/core/stats.go
@@ -1,25 +1,25 @@
 package core
 
-// Stats counts what the log reports from time to time. Counters only grow; gauges are as of the last
-// maintenance.
+// Stats holds the counters and gauges that are logged periodically. Counters only grow; gauges are updated
+// by the periodic maintenance.
 type Stats struct {
 	Accepted        uint64 // jobs whose submission was accepted
 	TaskStarts      uint64 // start commands to agents
 	StartRefusals   uint64 // attempts that agents refused for lack of capacity
 	Commits         uint64 // transactions sent
-	Conflicts       uint64 // transactions that lost a compare
-	UnknownOutcomes uint64 // transactions without an answer
+	Conflicts       uint64 // transactions whose compares failed
+	UnknownOutcomes uint64 // transactions that were not answered
 
 	MachineLooks     uint64 // machines examined for commands to send
 	PlanMachineLooks uint64 // machines examined by the autoscaler for capacity
 
 	Archived      uint64 // jobs whose records were archived
-	ArchiveWrites uint64 // writes to the store that this took
+	ArchiveWrites uint64 // writes to the store for archiving
 	RecordReads   uint64 // reads of ended jobs' records
 	BlockReads    uint64 // reads of archive blocks
 	RecalledJobs  uint64 // ended jobs read back into memory
 
-	PermissionDenials uint64 // requests refused for lack of permission
+	PermissionDenials uint64 // requests denied for lack of permission
 
 	EndedInMemory int // gauge: ended jobs in memory
 	ColdRecords   int // gauge: other ended jobs that still have records
--- a/core/storelimits.go
+++ b/core/storelimits.go
@@ -7,29 +7,28 @@
 )
 
 const (
-	// minValueBytes and minTxnOps bound how far refused transactions reduce the limits.
+	// minValueBytes and minTxnOps are the lower bounds of the limits after refused transactions.
 	minValueBytes = 512
 	minTxnOps     = 2
 
-	// acceptedSizePeriod is for how long, at least, the size of an accepted transaction tells that the store
-	// takes transactions of that size.
+	// acceptedSizePeriod is the minimum time for which an accepted transaction counts as evidence that the
+	// store accepts transactions of its size.
 	acceptedSizePeriod = time.Minute
 
-	// Reduced limits are raised after a delay, which doubles each time that this was too early.
+	// Reduced limits are raised after a delay, which is doubled if raising them leads to another reduction.
 	minRaiseDelay = time.Minute
 	maxRaiseDelay = time.Hour
 
-	// raiseFactor is by how much limits are raised at a time.
+	// raiseFactor is the factor by which limits are raised at a time.
 	raiseFactor = 2
 )
 
-// txnSize is the size of a transaction, as far as the store limits it.
+// txnSize is the size of a transaction in the dimensions that the store limits.
 type txnSize struct {
 	ops        int // writes
 	valueBytes int // of the largest value
 }
 
-// sizeOf returns the size of a transaction.
 func sizeOf(txn *wire.Txn) txnSize {
 	size := txnSize{ops: len(txn.Then)}
 	for _, write := range txn.Then {
@@ -38,27 +37,27 @@
 	return size
 }
 
-// componentMax returns the larger of each part of two sizes.
+// componentMax returns the componentwise maximum of two sizes.
 func (s txnSize) componentMax(other txnSize) txnSize {
 	return txnSize{ops: max(s.ops, other.ops), valueBytes: max(s.valueBytes, other.valueBytes)}
 }
 
-// storeLimits adapts the limits of transactions to a store that takes less than is configured. A refused
-// transaction counts as too large only if no transaction of its size was accepted recently: any other one is
-// refused for what is in it, and says nothing of the limits. Limits that were reduced are raised again.
+// storeLimits adapts the limits of transactions to a store that accepts less than is configured. A refused
+// transaction counts as too large only if no transaction of its size was accepted recently; otherwise it was
+// refused for its content, which is no reason to reduce the limits. Reduced limits are raised again later.
 type storeLimits struct {
 	*environment
 
 	configured           txnSize       // the limits before the first reduction
-	accepted             txnSize       // the largest parts of the transactions accepted in this period
-	previousAccepted     txnSize       // the same of the period before
-	periodEnd            time.Duration // of accepted
-	raiseAt              time.Duration // 0: the limits are as configured
+	accepted             txnSize       // componentwise maximum of the transactions accepted in this period
+	previousAccepted     txnSize       // componentwise maximum of those accepted in the previous period
+	periodEnd            time.Duration // end of the period of accepted
+	raiseAt              time.Duration // when reduced limits are raised; 0: the limits are as configured
 	raiseDelay           time.Duration
 	raisedSinceReduction bool // the limits were raised after the last reduction
 }
 
-// recordAccepted records that the store took a transaction.
+// recordAccepted records that the store accepted a transaction.
 func (l *storeLimits) recordAccepted(txn *wire.Txn) {
 	if l.now >= l.periodEnd {
 		l.previousAccepted, l.accepted = l.accepted, txnSize{}
@@ -78,16 +77,16 @@
 }
 
 // handleRefusal handles a transaction that the store refused as malformed or too large. It reports whether the
-// transaction was refused for what is in it: then it would be refused again in any size.
+// transaction was refused for its content, so that reducing its size would not help.
 func (l *storeLimits) handleRefusal(refused *wire.Txn) (forContent bool) {
 	if l.mayBeTooLarge(refused) {
 		l.reduce(refused)
 		return false
 	}
 	size := sizeOf(refused)
-	l.log(LevelError, "transaction refused by the store, which takes larger ones",
+	l.log(LevelError, "store refused a transaction for its content: it recently accepted larger ones",
 		"changes", size.ops, "largest", size.valueBytes, "first", firstKey(refused))
-	l.restore() // refusals that were taken for a smaller limit before were of the same content
+	l.restore() // earlier refusals, for which the limits were reduced, were due to the same content
 	return true
 }
 
@@ -99,8 +98,8 @@
 	return txn.Then[0].Put + txn.Then[0].Delete
 }
 
-// reduce lowers a limit below a refused transaction, so that it is not sent again unchanged: first the number
-// of writes, then the size of a value.
+// reduce lowers a limit below the size of a refused transaction, so that it is not sent again unchanged: first
+// the limit of writes, and then the limit of a value's size.
 func (l *storeLimits) reduce(refused *wire.Txn) {
 	limits, size := &l.cfg.Store, sizeOf(refused)
 	if l.raiseAt == 0 {
@@ -115,12 +114,12 @@
 	} else {
 		limits.MaxValueBytes = max(minValueBytes, size.valueBytes*7/8)
 	}
-	l.log(LevelError, "transaction refused by the store: limits reduced",
+	l.log(LevelError, "store refused a transaction: transaction limits reduced",
 		"changes", size.ops, "largest", size.valueBytes, "txn_ops", limits.MaxTxnOps,
 		"value_bytes", limits.MaxValueBytes)
 }
 
-// restore puts the configured limits in force.
+// restore resets the limits to the configured ones.
 func (l *storeLimits) restore() {
 	if l.raiseAt != 0 {
 		l.raiseAt = 0
@@ -128,7 +127,7 @@
 	}
 }
 
-// advance raises reduced limits when that is due: the store may take more again.
+// advance raises reduced limits when that is due, as the store may accept larger transactions again.
 func (l *storeLimits) advance() {
 	if l.raiseAt == 0 || l.now < l.raiseAt {
 		return
@@ -137,5 +136,5 @@
 	limits.MaxTxnOps = min(raiseFactor*limits.MaxTxnOps, l.configured.ops)
 	limits.MaxValueBytes = min(raiseFactor*limits.MaxValueBytes, l.configured.valueBytes)
 	l.raiseAt, l.raisedSinceReduction = l.now+l.raiseDelay, true
-	l.log(LevelInfo, "limits of transactions raised", "txn_ops", limits.MaxTxnOps, "value_bytes", limits.MaxValueBytes)
+	l.log(LevelInfo, "transaction limits raised", "txn_ops", limits.MaxTxnOps, "value_bytes", limits.MaxValueBytes)
 }
--- a/core/storelimits_test.go
+++ b/core/storelimits_test.go
@@ -10,20 +10,19 @@
 	"dewlift/wire"
 )
 
-// What happens: one request of which the store takes no write lowers what every later transaction may hold, until the
-// process restarts, and keeps the jobs that were written with it waiting. Why: any 400 of the store was taken for a
-// limit that is smaller than the settings say. What showed it: "transaction refused by the store: limits reduced"
-// once a second, down to txn_ops=2 and value_bytes=512, after a single job was refused.
+// These tests guard against a single refused job lowering the transaction limits until the process restarts, and
+// blocking the jobs that are written with it. This happened when every status 400 of the store was treated as a sign
+// of smaller limits than configured: the limits were reduced once a second, down to 2 writes and 512 bytes.
 
-// refusesJob returns whether the store takes a transaction, if it refuses all that write a job.
+// refusesJob returns the accepts function of a store that refuses all transactions which write a job.
 func refusesJob(id string) func(txn wire.Txn) bool {
 	return func(txn wire.Txn) bool {
 		return !slices.ContainsFunc(txn.Then, func(write wire.Write) bool { return write.Put == keyJob+id })
 	}
 }
 
-// A job that the store refuses, whatever its size, must be answered 400, must not lower the limits, and must not keep
-// those that came with it from being accepted.
+// A job that the store refuses for its content must be answered with status 400. It must neither lower the limits nor
+// keep the jobs submitted with it from being accepted.
 func TestRefusedJobLeavesLimitsAndOthers(t *testing.T) {
 	c := newLeadingCore(t)
 	answerAndCollectWrites(t, c, time.Second, 2*time.Second)
@@ -56,7 +55,7 @@
 	}
 }
 
-// Limits that were lowered because the store took less for a while must rise again, without a restart.
+// Limits that were lowered because the store temporarily accepted less must be raised again without a restart.
 func TestLoweredLimitsRiseAgain(t *testing.T) {
 	c := newLeadingCore(t)
 	answerAndCollectWrites(t, c, time.Second, 2*time.Second)
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -8,8 +8,8 @@
 	"dewlift/wire"
 )
 
-// transactionState is the store transactions in flight, the rate limit they are charged to, and
-// the backlog of jobs that wait to be written.
+// transactionState holds the store transactions in flight, the limits that apply to them, and the backlog of
+// jobs that wait to be written.
 type transactionState struct {
 	*environment
 	stats *Stats
@@ -17,47 +17,47 @@
 	inFlight          map[uint64]*pendingTxn // by request ID
 	rateLimit         ratelimit.Limiter
 	limits            storeLimits
-	endBatchDelay     time.Duration // how long task ends may wait to share a write
+	endBatchDelay     time.Duration // how long ended tasks may wait so that one write records several
 	nextBlockedScanAt time.Duration // when blocked jobs are scanned even if nothing can be written
-	backlog           int           // jobs that waited for a write at the last scan
+	backlog           int           // jobs that were waiting for a write at the last scan
 }
 
-// pendingTxn is a transaction in flight. If onDone is set, it alone handles the outcome, apart
-// from the bookkeeping that every transaction needs.
+// pendingTxn is a transaction in flight. If onDone is set, it handles the outcome, apart from the bookkeeping
+// that is common to all transactions.
 type pendingTxn struct {
 	proposals     []proposal
 	teams         []*team                   // teams whose quota keys it writes
 	writtenSlots  map[int]*batchvalue.Draft // slots it writes
-	comparedSlots map[int]bool              // slots it only compares, for writes of jobs' own keys
+	comparedSlots map[int]bool              // slots that it only compares, for writes of jobs' own keys
 	onDone        func(status wire.Status, r wire.TxnResponse)
 	txn           wire.Txn
 }
 
-// Pauses of writes after a refused or lost transaction, each with a random part.
+// Pauses of writes after a refused or lost transaction, each with jitter.
 const (
-	throttledPause        = 80 * time.Millisecond // the store refused for its rate limit
+	throttledPause        = 80 * time.Millisecond // after the store refused a transaction for its rate limit
 	throttledPauseJitter  = 150 * time.Millisecond
-	throttledUrgentPause  = 20 * time.Millisecond // the same, for writes that users wait for
+	throttledUrgentPause  = 20 * time.Millisecond // the same for writes that users wait for
 	throttledUrgentJitter = 40 * time.Millisecond
-	unreachablePause      = 100 * time.Millisecond // the store did not answer
+	unreachablePause      = 100 * time.Millisecond // after the store did not answer
 	unreachableJitter     = 100 * time.Millisecond
 )
 
-// badRequestRetryDelay is how long a job of a transaction that the store refused as malformed or
-// too large waits for its next proposal, at first. It doubles with each refusal.
+// badRequestRetryDelay is the delay of a job's next proposal after the store has refused its transaction as
+// malformed or too large. It is doubled with each refusal in a row.
 const badRequestRetryDelay = time.Second
 
-// maxBadRequestDoublings bounds the delay after refusals: a minute, about.
+// maxBadRequestDoublings bounds the delay after refusals to about a minute.
 const maxBadRequestDoublings = 6
 
-// reasonRefusedByStore answers a submission that can't be stored.
+// reasonRefusedByStore is the error text for a submission that can't be stored.
 const reasonRefusedByStore = "the state service refuses to store it"
 
-// storeRateUtilization is the part of the store's write rate up to which a controller takes over what
-// the others leave.
+// storeRateUtilization is the share of the store's write rate up to which controllers use the writes that
+// others leave unused.
 const storeRateUtilization = 0.9
 
-// commit sends a transaction and charges it to the rate limit.
+// commit sends a transaction and spends its tokens of the rate limit.
 func (s *transactionState) commit(txn wire.Txn, pending *pendingTxn) {
 	id := s.nextID()
 	pending.txn = txn
@@ -67,8 +67,8 @@
 	s.emit(CommitTxn{ID: id, Txn: txn})
 }
 
-// handleTxnResult settles a transaction: what was committed becomes the known state, and what was
-// not is proposed again, after a read barrier if the outcome is unknown or another write won.
+// handleTxnResult handles the outcome of a transaction. Committed proposals become the known state; others
+// are made again, after a read barrier if the outcome is unknown or another write won.
 func (c *Core) handleTxnResult(in TxnResult) {
 	pending := c.transactions.inFlight[in.ID]
 	if pending == nil {
@@ -98,25 +98,26 @@
 	}
 	c.transactions.countFailure(in.Status)
 	staleJobs := c.settleProposals(pending.proposals, in)
-	// Not for a lease that ended: only transactions with onDone have leased keys.
+	// A bad request can't be due to an expired lease: only transactions with onDone write leased keys.
 	if in.Status == wire.StatusBadRequest {
 		c.handleRefusedProposals(pending)
 	}
 	if stale {
-		// A controller that lost a conflict reads at once: otherwise one that writes often always wins.
+		// A controller that lost a conflict reads at once. Otherwise a controller that writes often would
+		// always win.
 		c.replica.nextBarrierAt = c.now
 		c.resolveAfterBarrier(staleJobs, pending.teams, staleSlots)
 	}
 }
 
-// canAffordCompletions reports whether enough write tokens are left to write completions, which no
-// user waits for, and still keep a reserve for writes that users do wait for.
+// canAffordCompletions reports whether there are enough write tokens for completions, which no user waits
+// for, and for a reserve for writes that users wait for.
 func (s *transactionState) canAffordCompletions(cost float64) bool {
 	return s.rateLimit.WriteTokens >= cost+s.rateLimit.WriteRate*completionsReserve
 }
 
-// isNotExecuted reports whether a status proves that the store did not execute a transaction and
-// that nothing overtook it.
+// isNotExecuted reports whether a status proves that the store did not execute a transaction, and that it
+// was not refused because of another write.
 func isNotExecuted(status wire.Status) bool {
 	return status == wire.StatusTooManyRequests || status == wire.StatusUnavailable
 }
@@ -154,8 +155,8 @@
 	}
 }
 
-// settleProposals applies a transaction's outcome to the jobs in it, and returns those whose state
-// must be read before anything else is proposed for them.
+// settleProposals applies a transaction's outcome to its jobs, and returns the jobs whose state must be read
+// before anything else is proposed for them.
 func (c *Core) settleProposals(proposals []proposal, in TxnResult) []*job {
 	var stale []*job
 	for i := range proposals {
@@ -171,8 +172,8 @@
 	return stale
 }
 
-// adoptProposal makes a committed proposal the known state of its job and answers who waited for it.
-// A newer state, which a watch may have brought before the transaction's reply, stays.
+// adoptProposal makes a committed proposal the known state of its job and answers the requests that waited
+// for it. A newer state is kept, as a watch may have delivered it before the transaction's reply.
 func (c *Core) adoptProposal(committed *proposal, revision uint64) {
 	target := committed.job
 	target.write.separateTxn, target.write.refusals = false, 0
@@ -195,8 +196,8 @@
 	c.completeCancellations(target)
 }
 
-// rejectProposal takes back a proposal that was not committed, as far as is known, and reports
-// whether its job's state must be read before anything else is proposed for it.
+// rejectProposal undoes a proposal that was not committed, as far as is known. It reports whether the job's
+// state must be read before anything else is proposed for it.
 func (c *Core) rejectProposal(rejected *proposal, status wire.Status) (stale bool) {
 	target := rejected.job
 	for _, assignment := range rejected.started {
@@ -217,14 +218,14 @@
 		c.completeSubmission(target, wire.StatusUnavailable, "outcome not known yet")
 		c.rejectCancellations(target, "outcome not known yet")
 	}
-	// The write may be applied late, or another one won: read before proposing anything again.
+	// The write may still be executed, or another one has won: read before proposing anything again.
 	target.write.outcomeUnknown = true
 	return true
 }
 
-// handleRefusedProposals handles the refusal of a transaction as malformed or too large. Its jobs are written one
-// by one from now on, so that one that is refused for what is in it keeps no other from being written. That one is
-// tried more and more seldom, and not accepted if it is new.
+// handleRefusedProposals handles the refusal of a transaction as malformed or too large. From now on its jobs are
+// written in separate transactions, so that one refused for its content does not block the others. That one is
+// retried with exponential back-off, and its submission is refused if it is new.
 func (c *Core) handleRefusedProposals(pending *pendingTxn) {
 	forContent := c.transactions.limits.handleRefusal(&pending.txn)
 	for i := range pending.proposals {
@@ -242,10 +243,10 @@
 	}
 }
 
-// resolveAfterBarrier frees jobs, teams and slots for new proposals once a read barrier has shown their state.
+// resolveAfterBarrier unlocks jobs, teams and slots for new proposals once a read barrier has fetched their state.
 func (c *Core) resolveAfterBarrier(jobs []*job, teams []*team, slots []int) {
-	// Queued directly, past the checks of afterReadBarrier: while a snapshot is being loaded, it
-	// waits for the end of that.
+	// Added directly, without the checks of afterReadBarrier: while a snapshot is being loaded, the function
+	// must wait until that has ended.
 	c.replica.barrierWaiters = append(c.replica.barrierWaiters, func(ok bool) {
 		if !ok {
 			c.resolveAfterBarrier(jobs, teams, slots)
@@ -272,8 +273,8 @@
 	})
 }
 
-// updateRateLimit computes this controller's part of the store's write and request rates: an equal
-// part, and of the write rate also what the other controllers do not use.
+// updateRateLimit computes this controller's share of the store's write and request rates: an equal share,
+// or more of the write rate if the other controllers leave some unused.
 func (c *Core) updateRateLimit() {
 	live := float64(len(c.controllers.liveNames()))
 	if len(c.controllers.registrations) == 0 {
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -10,8 +10,8 @@
 	"dewlift/wire"
 )
 
-// txnBuilder gathers the proposals of several jobs into one transaction, within the store's limits
-// and this controller's rate limit.
+// txnBuilder combines the proposals of several jobs into one transaction, within the store's limits and this
+// controller's rate limit.
 type txnBuilder struct {
 	core           *Core
 	proposals      []proposal
@@ -21,47 +21,49 @@
 	valueBytes     int                       // estimated size of the values written
 	comparedShards map[int]bool              // shards whose ownership the transaction depends on
 	slotDrafts     map[int]*batchvalue.Draft // slots it writes, by number
-	comparedSlots  map[int]bool              // slots it only compares
+	comparedSlots  map[int]bool              // slots that it only compares
 
-	hasUserWaiting bool // it has a write that a user waits for
+	hasUserWaiting bool // it has a write for which a user waits
 }
 
 const (
-	// comparesPerJob is how many compares a job may add beside its proposal's own: its record, its
-	// shard, its slot, its team and its cancel marker.
+	// comparesPerJob is the number of compares that a job may add in addition to those of its proposal: of its
+	// record, its shard, its slot, its team and its cancel marker.
 	comparesPerJob = 5
 
-	// comparesPerOp bounds a transaction's compares, as a multiple of its write limit.
+	// comparesPerOp bounds the compares of a transaction, as a multiple of the limit of its writes.
 	comparesPerOp = 4
 
-	// writesPerJob is how many writes a job may add: its record, its team's key, and its slot or cancel marker.
+	// writesPerJob is the number of writes that a job may add: its record, its team's key, and its slot or cancel
+	// marker.
 	writesPerJob = 3
 
-	// maxProposalsPerTxn bounds the jobs written together, as each needs a placement decision.
+	// maxProposalsPerTxn bounds the jobs written together, as each of them needs a placement decision.
 	maxProposalsPerTxn = 64
 
-	// maxTxnValueBytes is the estimated size of values at which a transaction takes no more jobs.
+	// maxTxnValueBytes is the estimated total size of values beyond which a transaction takes no more jobs.
 	maxTxnValueBytes = 40 << 10
 
-	// jobWriteOverheadBytes estimates the size of a job's write beside its value: keys and compares.
+	// jobWriteOverheadBytes is the estimated size of a job's write without its value: keys and compares.
 	jobWriteOverheadBytes = 200
 
-	// slotRetryDelay is the wait of a job whose slot has a conflicting write in flight.
+	// slotRetryDelay is the delay of a job whose slot has a conflicting write in flight.
 	slotRetryDelay = 10 * time.Millisecond
 
-	// unfitRetryDelay is the wait of a job whose record does not fit a value until more of its tasks have ended.
+	// oversizedRetryDelay is the delay of a job whose record exceeds the size limit of a value until more of
+	// its tasks have ended.
 	oversizedRetryDelay = time.Second
 
-	// completionsRetryDelay is the wait of completions that left the write tokens to more urgent writes.
+	// completionsRetryDelay is the delay of completions that left the write tokens to more urgent writes.
 	completionsRetryDelay = 100 * time.Millisecond
 
-	// completionsReserve is the write tokens that completions leave to urgent writes, as a share of
-	// what one second brings.
+	// completionsReserve is the number of write tokens that completions leave to urgent writes, as a share of
+	// those of one second.
 	completionsReserve = 0.2
 )
 
-// addJob proposes a job's next record and adds its write. False means that the transaction takes no
-// more jobs and this one is to be tried with the next; true also if the job has nothing to write now.
+// addJob proposes a job's next record and adds its write. It returns false if this job must go into the next
+// transaction and this one takes no more jobs, and true also if the job has nothing to write now.
 func (b *txnBuilder) addJob(target *job) bool {
 	c := b.core
 	slot := slotOf(target)
@@ -107,12 +109,13 @@
 	return true
 }
 
-// cannotShareTxn reports whether a job may not share the transaction, as it or the one before it is written alone.
+// cannotShareTxn reports whether a job can't be added to the transaction because it, or the job already in the
+// transaction, must be written in a separate one.
 func (b *txnBuilder) cannotShareTxn(target *job) bool {
 	return len(b.proposals) > 0 && (target.write.separateTxn || b.proposals[0].job.write.separateTxn)
 }
 
-// slotOf is the number of a job's slot; -1 if it has none: its record is not stored yet, or is final.
+// slotOf returns the number of a job's slot, or -1 if it has none: its record is not stored yet, or is final.
 func slotOf(target *job) int {
 	if target.revision == 0 || target.record == nil || target.record.Spec == nil {
 		return -1
@@ -120,24 +123,24 @@
 	return slotNumber(target.id, target.record)
 }
 
-// writeCost is the number of write tokens that must be available for a job to be added. ok is false
-// if the job may not share the transaction: a conflict on a key that other controllers write too
-// must not fail what users wait for.
+// writeCost returns the number of write tokens that must be available for a job to be added. ok is false if
+// the job may not share the transaction: a conflict on a key that other controllers also write must not fail
+// a write that a user waits for.
 func (b *txnBuilder) writeCost(target *job, slot int) (cost float64, ok bool) {
 	cost = float64(b.opCount() + 1)
 	if b.slotDrafts[slot] != nil {
-		cost-- // its slot is written anyway
+		cost-- // its slot is already in the transaction
 	}
 	if target.writePriority() > writePriorityAccept {
 		return cost + reservedWrites, !b.hasUserWaiting
 	}
-	// A write that a user waits for may overdraw the rate limit by half a second's writes of all
-	// controllers: if the others leave nothing, the store refuses it and it is retried soon after.
+	// A write that a user waits for may overdraw the rate limit by the writes of all controllers in half a
+	// second. If the others leave nothing unused, the store throttles it and it is soon retried.
 	b.hasUserWaiting = true
 	return cost - b.core.schema.storeWriteRate()/2, true
 }
 
-// isFull reports whether the transaction or the rate limit has no capacity for another job of this cost.
+// isFull reports whether the transaction or the rate limit has no space for another job of this cost.
 func (b *txnBuilder) isFull(cost float64) bool {
 	return b.opCount()+writesPerJob > b.core.cfg.Store.MaxTxnOps ||
 		len(b.proposals) >= maxProposalsPerTxn ||
@@ -145,14 +148,15 @@
 		b.core.transactions.rateLimit.WriteTokens < cost
 }
 
-// exceedsCompares reports whether a proposal would add too many compares. The first proposal never does.
+// exceedsCompares reports whether a proposal would exceed the limit of compares. The first proposal of a
+// transaction never does.
 func (b *txnBuilder) exceedsCompares(next *proposal) bool {
 	expected := len(b.txn.Compare) + len(b.slotDrafts) + len(next.compares) + comparesPerJob
 	return len(b.proposals) > 0 && expected > comparesPerOp*b.core.cfg.Store.MaxTxnOps
 }
 
-// addRecordWrite writes a proposal's record under its job's own key. A proposal that can't be
-// written now is taken back and its job is delayed.
+// addRecordWrite adds the write of a proposal's record under its job's own key. A proposal that can't be
+// written now is undone, and its job is delayed.
 func (b *txnBuilder) addRecordWrite(next *proposal) {
 	raw, ok := b.core.encodeProposal(next)
 	if !ok {
@@ -164,8 +168,8 @@
 	b.addProposal(next)
 }
 
-// encodeProposal numbers a proposal's record, attaches its audit entries and encodes it. If the
-// record does not fit a value, or no start in it does, the proposal is taken back and ok is false.
+// encodeProposal numbers a proposal's record, attaches its audit entries and encodes it. If the record, or
+// every start in it, exceeds the size limit of a value, the proposal is undone and ok is false.
 func (c *Core) encodeProposal(next *proposal) (raw json.RawMessage, ok bool) {
 	target := next.job
 	pendingAudit := next.record.PendingAudit
@@ -179,20 +183,22 @@
 		AttachEntries(keyJob+target.id, target.revision, pendingAudit, next.auditEvents)
 	raw, err := c.encodeWithinLimit(next)
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-		// An older version may have stored it under larger limits, or its tasks end in an order that
-		// leaves many separate ranges. It is written once more tasks have ended: a final record always
-		// fits. Nothing is lost meanwhile, as agents keep the status of its tasks.
+		// An older version may have stored the record under larger limits, or tasks have ended in an order
+		// that leaves many separate ranges. The record is written once more tasks have ended, as a final
+		// record always fits. Nothing is lost until then, because agents keep the status of its tasks.
 		c.undoProposal(next)
 		target.write.nextExamineAt = c.now + oversizedRetryDelay
 		if next.isCancellation && c.schema.active >= schemaDependencies {
-			c.writeCancelMarker(target, next.record.CancelledAtMS, next.compares, next.auditEvents[:next.userCancelEvents])
+			c.writeCancelMarker(
+				target, next.record.CancelledAtMS, next.compares, next.auditEvents[:next.userCancelEvents],
+			)
 		}
 		return nil, false
 	}
 	next.encodedSize = len(raw)
 	if next.startsOnly && len(next.started) == 0 {
-		// No start fits the value before others of its tasks have ended. Without this, such a job
-		// was written unchanged again and again, and other jobs starved.
+		// No start fits the value before others of the job's tasks have ended. Without this check, such a
+		// job was written unchanged again and again, and other jobs starved.
 		c.undoProposal(next)
 		target.write.nextExamineAt = c.now + oversizedRetryDelay
 		return nil, false
@@ -200,13 +206,13 @@
 	return raw, true
 }
 
-// removesCancelMarker reports whether a proposal's record is final and its job has a cancel marker,
-// which is deleted with the same transaction.
+// removesCancelMarker reports whether a proposal's record is final and its job has a cancel marker, which the
+// same transaction deletes.
 func (p *proposal) removesCancelMarker() bool {
 	return p.job.cancellation.markerRevision != 0 && p.record.Spec == nil
 }
 
-// requireSlot makes a transaction that writes a job's own key depend on the job's slot.
+// requireSlot makes a transaction that writes a job's own key compare the revision of the job's slot.
 func (b *txnBuilder) requireSlot(next *proposal) {
 	slot := next.slotIndex
 	if slot < 0 || b.core.schema.active < schemaSharedValues {
@@ -215,7 +221,8 @@
 	b.addCompare(wire.Compare{Key: slotKey(slot), Revision: b.core.replica.slots.at(slot).Revision})
 	switch {
 	case !b.core.ownership.ownsJob(next.job):
-		// The shard's owner may be about to write the slot, and that write must fail if it does not know of this one.
+		// The shard's owner may be about to write the slot. That write must fail unless it takes this one into
+		// account.
 		b.removeSlotEntry(slot, next.job.id)
 	case b.slotDrafts[slot] == nil:
 		if b.comparedSlots == nil {
@@ -225,7 +232,7 @@
 	}
 }
 
-// putRecord adds the write of a job's own key with its compares.
+// putRecord adds the write of a job's own key and its compares.
 func (b *txnBuilder) putRecord(next *proposal, raw json.RawMessage) {
 	target := next.job
 	markerRevision := target.cancellation.markerRevision
@@ -243,7 +250,7 @@
 	b.valueBytes += len(raw) + jobWriteOverheadBytes
 }
 
-// addProposal adds a proposal whose writes are in the transaction already, and marks its job as being written.
+// addProposal adds a proposal whose writes are already in the transaction, and marks its job as being written.
 func (b *txnBuilder) addProposal(next *proposal) {
 	b.chargeQuota(next)
 	b.core.priority.recordStarts(next)
@@ -254,7 +261,7 @@
 	b.proposals = append(b.proposals, *next)
 }
 
-// requireShard makes a transaction depend on this controller's ownership of the shard of a
+// requireShard makes a transaction compare the revision of a shard that this controller owns, the one of a
 // proposal's job. Acceptances and cancellations may also be written without ownership.
 func (b *txnBuilder) requireShard(next *proposal) {
 	shard := next.record.Shard
@@ -271,8 +278,8 @@
 	)
 }
 
-// chargeQuota counts a proposal's starts against its team's maximum quota. Every controller that
-// starts tasks of the team writes the team's key, so two that exceed the quota together conflict.
+// chargeQuota counts a proposal's starts against its team's maximum quota. Every transaction that starts tasks
+// of the team writes the team's key, so that two which together exceed the quota conflict.
 func (b *txnBuilder) chargeQuota(next *proposal) {
 	quota := b.core.teams.of(next.record.Spec)
 	if quota == nil || !quota.hasMaxQuota() || len(next.started) == 0 {
@@ -288,7 +295,7 @@
 	b.addedUsage[quota] = [2]int64{usage[0] + starts*request[0], usage[1] + starts*request[1]}
 }
 
-// flush sends the transaction, if there is anything in it, and locks the teams and slots that it depends on.
+// flush sends the transaction, unless it is empty, and locks the teams and slots that it depends on.
 func (b *txnBuilder) flush() {
 	for _, oversized := range b.encodeSlots() {
 		b.core.undoProposal(&oversized)
@@ -319,10 +326,10 @@
 	b.core.transactions.commit(b.txn, pending)
 }
 
-// encodeWithinLimit encodes a proposal's record so that it fits a value: as readable JSON if that
-// leaves space for the ends of its tasks, else packed. While neither fits, the last quarter of the
-// new starts is taken back and waits, then the stop reasons are dropped. The result may still be
-// too large; the caller checks.
+// encodeWithinLimit encodes a proposal's record so that it fits a value: as readable JSON if that leaves space
+// to record the ends of its tasks, or else packed. While neither fits, it undoes the last quarter of the new
+// starts, and once there are none, it drops the stop reasons. The result may still be too large, which the
+// caller must check.
 func (c *Core) encodeWithinLimit(next *proposal) (json.RawMessage, error) {
 	maxBytes := c.cfg.Store.MaxValueBytes
 	for {
@@ -349,7 +356,7 @@
 	}
 }
 
-// undoLastStarts takes the last starts of a proposal back, so that its record becomes smaller.
+// undoLastStarts undoes the last starts of a proposal, so that its record becomes smaller.
 func (c *Core) undoLastStarts(next *proposal, count int) {
 	kept := len(next.started) - count
 	c.undoProposal(&proposal{started: next.started[kept:], spec: next.spec})
@@ -358,7 +365,7 @@
 	next.record.LastAttempt -= uint64(count)
 }
 
-// undoProposal takes back a proposal that was not committed: its audit entries, and the capacity
+// undoProposal undoes a proposal that was not committed: it discards its audit entries, and frees the capacity
 // that its starts allocated in this controller's copy of the cluster state.
 func (c *Core) undoProposal(undone *proposal) {
 	c.auditLog.current().DiscardEntries(undone.auditEntryIDs)
