--- a/core/core_test.go
+++ b/core/core_test.go
@@ -765,7 +765,7 @@
 	}
 	report(time.Second, 2, "")
 	lost := c.internMachine("m/3")
-	var rented, returned time.Duration
+	var scaledOutAt, releasedAt time.Duration
 	seq := uint64(2)
 	for now := time.Second; now < 25*time.Second; now += time.Second {
 		seq++
@@ -783,15 +783,15 @@
 		}
 		c.markDirty(j)
 		runFor(c, now, now+time.Second)
-		if rented == 0 && c.leaderState.scaleOutSeq > 0 {
-			rented = now
+		if scaledOutAt == 0 && c.leaderState.scaleOutSeq > 0 {
+			scaledOutAt = now
 		}
-		if returned == 0 && lost.leaderView.returnReason != "" {
-			returned = now
+		if releasedAt == 0 && lost.leaderView.returnReason != "" {
+			releasedAt = now
 		}
 	}
-	if rented == 0 || returned == 0 || returned-rented < 5*time.Second {
-		t.Errorf("scaled out at %v, machines released at %v", rented, returned)
+	if scaledOutAt == 0 || releasedAt == 0 || releasedAt-scaledOutAt < 5*time.Second {
+		t.Errorf("scaled out at %v, machines released at %v", scaledOutAt, releasedAt)
 	}
 	if m := c.internMachine("m/2"); m.leaderView.returnReason == "silent" {
 		t.Error("a machine of the other zone is to be released")
--- a/core/membership/members_test.go
+++ b/core/membership/members_test.go
@@ -44,7 +44,7 @@
 // A controller that is cut off from the store must not mistake that for an outage. An outage needs a reachable
 // majority, no member of which reaches the store.
 func TestStoreOutageNeedsAMajority(t *testing.T) {
-	for name, test := range map[string]struct {
+	for name, tc := range map[string]struct {
 		seen         []string
 		reachesStore string
 		want         bool
@@ -57,12 +57,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			members := New([]string{"n1", "n2", "n3", "n4"}, time.Second)
-			for _, peer := range test.seen {
+			for _, peer := range tc.seen {
 				members.MarkSeen(5*time.Second, peer)
-				members.Peer(peer).StoreReachable = peer == test.reachesStore
+				members.Peer(peer).StoreReachable = peer == tc.reachesStore
 			}
-			if got := members.IsStoreOutage(6 * time.Second); got != test.want {
-				t.Errorf("outage %v, want %v", got, test.want)
+			if got := members.IsStoreOutage(6 * time.Second); got != tc.want {
+				t.Errorf("outage %v, want %v", got, tc.want)
 			}
 			if members.IsStoreOutage(8 * time.Second) {
 				t.Error("reports that are too old count as an outage")
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -65,8 +65,8 @@
 	return int(h.Sum32() % uint32(len(o.shards)))
 }
 
-// countByNode counts the shards of each controller.
-func (o *shardOwnership) countByNode() map[string]int {
+// countByController counts the shards of each controller.
+func (o *shardOwnership) countByController() map[string]int {
 	counts := map[string]int{}
 	for i := range o.shards {
 		if shard := &o.shards[i]; shard.modRevision != 0 {
@@ -141,7 +141,7 @@
 	_, registered := c.controllers.registrations[c.cfg.Name]
 	live := c.controllers.liveNames()
 	shardCount := len(c.ownership.shards)
-	counts := c.ownership.countByNode()
+	counts := c.ownership.countByController()
 	attempt := ownershipAttempt{
 		core:           c,
 		live:           live,
@@ -162,12 +162,12 @@
 // registerController writes this controller's registration if it is absent or bound to an earlier lease.
 func (a *ownershipAttempt) registerController() {
 	c := a.core
-	node := c.controllers.registrations[c.cfg.Name]
-	if a.registered && node.LeaseID == c.ownLease.id {
+	registration := c.controllers.registrations[c.cfg.Name]
+	if a.registered && registration.LeaseID == c.ownLease.id {
 		return
 	}
 	a.registrationOps = 1
-	a.addLeasedPut(keyRegistration+c.cfg.Name, node.modRevision, 0)
+	a.addLeasedPut(keyRegistration+c.cfg.Name, registration.modRevision, 0)
 }
 
 // addLeasedPut adds the write of a key that is bound to this controller's lease, and a compare of the key's
--- a/core/replica.go
+++ b/core/replica.go
@@ -43,7 +43,7 @@
 // storeHealth tracks whether the key-value store answers this controller.
 type storeHealth struct {
 	*environment
-	firstLostReadAt time.Duration // when the first read barrier after the last answered read was lost; 0: none was
+	firstLostReadAt time.Duration // sending time of the first unanswered read barrier since the last answer; 0: none
 	lastAnswerAt    time.Duration
 	lastFailureAt   time.Duration
 	everAnswered    bool
