--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Events of the same time must run in the order in which they were added, or a seed would not give the same run
+// Events at the same time must run in the order in which they were added; otherwise a seed would not give the same run
 // twice.
 func TestEventsRunInOrderOfTimeAndAddition(t *testing.T) {
 	var queue Queue
@@ -20,7 +20,7 @@
 	last := time.Duration(0)
 	for at, run, ok := queue.PopUntil(4); ok; at, run, ok = queue.PopUntil(4) {
 		if at < last {
-			t.Errorf("time goes back from %v to %v", last, at)
+			t.Errorf("time goes backwards from %v to %v", last, at)
 		}
 		last = at
 		run()
--- a/internal/fakes/fixtures.go
+++ b/internal/fakes/fixtures.go
@@ -18,7 +18,7 @@
 	s.PutUnchecked([]wire.KeyValue{{Key: core.Root + "types", Value: raw}})
 }
 
-// JobRequest returns the body of a submission of a small job of team t, in the names of the wire.
+// JobRequest returns the body of a submission of a small job of team t, with the field names of the API.
 func JobRequest(id, class string) map[string]any {
 	return map[string]any{
 		"uid":      id,
@@ -53,8 +53,9 @@
 	roles { name: "portal" grants { verbs: submit verbs: cancel verbs: read teams: "t" classes: "reroast" } }
 	roles { name: "admin" grants { verbs: administer verbs: audit } }`
 
-// TestPolicy returns the policy of a cooperative and a roastery with a key for each user: a glaze technician, a
-// visiting potter, a packer who may reprint labels but not cancel a reroast, a service, and an administrator.
+// TestPolicy returns a policy with five identities, and their private keys by name: a technician, a visitor with fewer
+// permissions, a packer who may cancel jobs of class labels but only read those of class reroast, a service, and an
+// administrator.
 func TestPolicy() (*access.Policy, map[string]*access.PrivateKey, error) {
 	text := testRoles
 	keys := map[string]*access.PrivateKey{}
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -19,7 +19,7 @@
 	"dewlift/wire"
 )
 
-// Limits are the limits that a store enforces; 0: none.
+// Limits are the limits that a store enforces. A limit of 0 is off.
 type Limits struct {
 	RPS, WriteRPS      float64 // requests and writes per second, with bursts of one second's worth
 	ValueBytes, TxnOps int     // size of a value, and writes of a transaction
@@ -27,11 +27,11 @@
 }
 
 const (
-	minRetainedEvents = 10_000   // minimum number of events that watches can go back
+	minRetainedEvents = 10_000   // events that a watch can still resume from, at least
 	maxBodyBytes      = 64 << 10 // of a transaction
 	maxKeyBytes       = 200
 	defaultPageSize   = 1000 // keys
-	itemOverheadBytes = 40   // bytes of a key in a page beside its name and value
+	itemOverheadBytes = 40   // of a key in a page, in addition to its name and value
 	maxLongPollMS     = 60_000
 	minLeaseMS        = 100
 	maxLeaseMS        = 600_000
@@ -96,8 +96,8 @@
 	s.limits = limits
 }
 
-// SetDown begins or ends an outage: requests get 503 and open watches wait. At its end every lease has its full
-// time to live again.
+// SetDown begins or ends an outage: requests get 503 and open watches wait. At its end the TTL of every lease starts
+// anew.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,7 +256,7 @@
 	writeJSON(w, status, response)
 }
 
-// Commit executes a transaction without a request.
+// Commit executes a transaction directly, without an HTTP request.
 func (s *Store) Commit(txn wire.Txn) (status int, response wire.TxnResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -280,7 +280,7 @@
 	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-// invalidReason returns why a transaction is malformed or beyond the limits; empty if it is not.
+// invalidReason returns why a transaction is malformed or exceeds a limit; empty if it is valid.
 func (s *Store) invalidReason(txn wire.Txn) string {
 	if limit := s.limits.TxnOps; limit > 0 && (len(txn.Then) > limit || len(txn.Compare) > 4*limit) {
 		return "too many changes or conditions"
--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -18,9 +18,9 @@
 	"dewlift/wire"
 )
 
-// Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: a task
-// runs a moment after its start command and is done after its time. All machines share one listener on loopback;
-// each has an address of its own in 127.0.0.0/8.
+// Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: a task runs
+// shortly after its start command and is done after its duration. All machines share one listener on loopback; each has
+// an address of its own in 127.0.0.0/8.
 type Workers struct {
 	machineType       wire.MachineType
 	workers           []*Worker
@@ -28,21 +28,22 @@
 	rentalMu          sync.Mutex // guards ctx, rentals and the rental fields of the workers
 	ctx               context.Context
 	startsRefused     atomic.Int64
-	partitionedZone   atomic.Pointer[string] // zone that is partitioned
-	rentals           map[string][]string    // names of rented machines by idempotency key
+	partitionedZone   atomic.Pointer[string] // nil or empty: none
+	rentals           map[string][]string    // names of the machines of each scale-out by idempotency key
 	heartbeatInterval time.Duration
 	taskShape         TaskShape
 	byIP              map[string]*Worker
 	httpClient        http.Client
 }
 
-// TaskShape returns the resources that a task takes of its machine and how long it runs; 0: until it is stopped.
+// TaskShape returns the resource request of a task and its duration; a duration of 0 means that the task runs until it
+// is stopped.
 type TaskShape = func(task string) (request [3]int64, duration time.Duration)
 
 // Worker is one machine with its agent.
 type Worker struct {
 	machine  wire.Machine
-	ctx      context.Context // of its rental; nil: not rented
+	ctx      context.Context // of its rental; nil: it was never rented
 	stop     context.CancelFunc
 	rentedAt time.Time
 	returned bool
@@ -54,7 +55,7 @@
 	tasks                             []wire.TaskStatus
 	ackedHeartbeats, failedHeartbeats int
 
-	changed    chan struct{} // asks for the next heartbeat at once
+	changed    chan struct{} // triggers the next heartbeat at once
 	controller int           // index of the controller that gets the next heartbeat; of heartbeatLoop only
 }
 
@@ -75,7 +76,7 @@
 	heartbeatInterval time.Duration,
 	taskShape TaskShape,
 ) *Workers {
-	all := &Workers{
+	ws := &Workers{
 		machineType:       machineType,
 		controllers:       controllers,
 		heartbeatInterval: heartbeatInterval,
@@ -83,7 +84,7 @@
 		byIP:              map[string]*Worker{},
 		rentals:           map[string][]string{},
 	}
-	all.httpClient.Transport = &http.Transport{
+	ws.httpClient.Transport = &http.Transport{
 		MaxIdleConns:        2 * count,
 		MaxIdleConnsPerHost: 2 * count,
 		IdleConnTimeout:     time.Minute,
@@ -91,7 +92,7 @@
 	for i := range count {
 		ip := fmt.Sprintf("127.%d.%d.1", 1+i/250, 1+i%250)
 		worker := &Worker{
-			fleet: all, controller: i % len(controllers), changed: make(chan struct{}, 1),
+			fleet: ws, controller: i % len(controllers), changed: make(chan struct{}, 1),
 			machine: wire.Machine{
 				Name:  fmt.Sprintf("m-%06d", i),
 				Addr:  ip,
@@ -100,25 +101,25 @@
 				Stage: wire.MachineBooting,
 			},
 		}
-		all.byIP[ip] = worker
-		all.workers = append(all.workers, worker)
+		ws.byIP[ip] = worker
+		ws.workers = append(ws.workers, worker)
 	}
-	return all
+	return ws
 }
 
-// Run serves the agents of rented machines until the context ends.
-func (all *Workers) Run(ctx context.Context) error {
+// Run serves the agents of rented machines until the context is cancelled.
+func (ws *Workers) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		return fmt.Errorf("listen for agents: %w", err)
 	}
-	all.rentalMu.Lock()
-	for _, worker := range all.workers {
+	ws.rentalMu.Lock()
+	for _, worker := range ws.workers {
 		worker.machine.Addr = fmt.Sprintf("%s:%d", worker.machine.Addr, listener.Addr().(*net.TCPAddr).Port)
 	}
-	all.ctx = ctx // rentals end with it
-	all.rentalMu.Unlock()
-	server := &http.Server{Handler: all}
+	ws.ctx = ctx // rentals end with it
+	ws.rentalMu.Unlock()
+	server := &http.Server{Handler: ws}
 	go func() {
 		<-ctx.Done()
 		_ = server.Close() // Serve returns then
@@ -130,10 +131,10 @@
 }
 
 // CloudHandler serves the cloud's interface.
-func (all *Workers) CloudHandler() http.Handler {
+func (ws *Workers) CloudHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.PathCatalog, func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{all.machineType}})
+		writeJSON(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{ws.machineType}})
 	})
 	mux.HandleFunc("GET "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
 		limit, err := strconv.Atoi(r.URL.Query().Get("most"))
@@ -141,7 +142,7 @@
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: "most: " + err.Error()})
 			return
 		}
-		writeJSON(w, http.StatusOK, all.listMachines(r.URL.Query().Get("from"), limit))
+		writeJSON(w, http.StatusOK, ws.listMachines(r.URL.Query().Get("from"), limit))
 	})
 	mux.HandleFunc("POST "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
 		var request wire.ScaleOutRequest
@@ -149,7 +150,7 @@
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
 		}
-		if names := all.scaleOut(request); len(names) > 0 {
+		if names := ws.scaleOut(request); len(names) > 0 {
 			writeJSON(w, http.StatusOK, wire.MachineNames{Machines: names})
 			return
 		}
@@ -161,17 +162,17 @@
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
 		}
-		all.scaleIn(names.Machines)
+		ws.scaleIn(names.Machines)
 		writeJSON(w, http.StatusOK, struct{}{})
 	})
 	return mux
 }
 
 // listMachines returns a page of the rented machines after a name.
-func (all *Workers) listMachines(after string, limit int) (list wire.MachineList) {
-	all.rentalMu.Lock()
-	defer all.rentalMu.Unlock()
-	for _, worker := range all.workers {
+func (ws *Workers) listMachines(after string, limit int) (list wire.MachineList) {
+	ws.rentalMu.Lock()
+	defer ws.rentalMu.Unlock()
+	for _, worker := range ws.workers {
 		if !worker.isRented() || worker.machine.Name <= after {
 			continue
 		}
@@ -188,38 +189,37 @@
 // isRented reports whether a machine is rented now. The caller holds rentalMu.
 func (w *Worker) isRented() bool { return w.ctx != nil && !w.returned }
 
-// scaleOut rents as many machines as there are, up to the count. A repeated request returns the machines of the
-// first.
-func (all *Workers) scaleOut(request wire.ScaleOutRequest) []string {
-	all.rentalMu.Lock()
-	defer all.rentalMu.Unlock()
-	names, ok := all.rentals[request.IdempotencyKey]
-	if ok || all.ctx == nil || request.Type != all.machineType.Name {
+// scaleOut rents as many machines as there are, up to the count. A repeated request returns the machines of the first.
+func (ws *Workers) scaleOut(request wire.ScaleOutRequest) []string {
+	ws.rentalMu.Lock()
+	defer ws.rentalMu.Unlock()
+	names, ok := ws.rentals[request.IdempotencyKey]
+	if ok || ws.ctx == nil || request.Type != ws.machineType.Name {
 		return names
 	}
-	for _, worker := range all.workers {
+	for _, worker := range ws.workers {
 		if len(names) == request.Count {
 			break
 		}
 		if worker.ctx != nil || worker.returned || worker.machine.Zone != request.Zone {
 			continue
 		}
-		worker.ctx, worker.stop = context.WithCancel(all.ctx)
+		worker.ctx, worker.stop = context.WithCancel(ws.ctx)
 		worker.rentedAt, worker.machine.Spot = time.Now(), request.Spot
 		names = append(names, worker.machine.Name)
 		go worker.heartbeatLoop(worker.ctx)
 	}
 	if len(names) > 0 {
-		all.rentals[request.IdempotencyKey] = names
+		ws.rentals[request.IdempotencyKey] = names
 	}
 	return names
 }
 
-// scaleIn ends rentals; a returned machine is never rented again.
-func (all *Workers) scaleIn(names []string) {
-	all.rentalMu.Lock()
-	defer all.rentalMu.Unlock()
-	for _, worker := range all.workers {
+// scaleIn ends rentals; a machine is never rented again.
+func (ws *Workers) scaleIn(names []string) {
+	ws.rentalMu.Lock()
+	defer ws.rentalMu.Unlock()
+	for _, worker := range ws.workers {
 		if worker.isRented() && slices.Contains(names, worker.machine.Name) {
 			worker.returned = true
 			worker.stop()
@@ -228,10 +228,10 @@
 }
 
 // RentedCount returns the number of rented machines.
-func (all *Workers) RentedCount() (count int) {
-	all.rentalMu.Lock()
-	defer all.rentalMu.Unlock()
-	for _, worker := range all.workers {
+func (ws *Workers) RentedCount() (count int) {
+	ws.rentalMu.Lock()
+	defer ws.rentalMu.Unlock()
+	for _, worker := range ws.workers {
 		if worker.isRented() {
 			count++
 		}
@@ -241,7 +241,7 @@
 
 // PartitionZone partitions the machines of a zone: they send no heartbeats, and requests to them wait. Their tasks keep
 // running. An empty zone ends the partition.
-func (all *Workers) PartitionZone(zone string) { all.partitionedZone.Store(&zone) }
+func (ws *Workers) PartitionZone(zone string) { ws.partitionedZone.Store(&zone) }
 
 // isPartitioned reports whether the machine's zone is partitioned.
 func (w *Worker) isPartitioned() bool {
@@ -250,11 +250,11 @@
 }
 
 // StartsRefused returns how many start commands found no capacity.
-func (all *Workers) StartsRefused() int64 { return all.startsRefused.Load() }
+func (ws *Workers) StartsRefused() int64 { return ws.startsRefused.Load() }
 
 // HeartbeatCounts returns how many heartbeats were acknowledged, and how many were not.
-func (all *Workers) HeartbeatCounts() (acked, failed int) {
-	for _, worker := range all.workers {
+func (ws *Workers) HeartbeatCounts() (acked, failed int) {
+	for _, worker := range ws.workers {
 		worker.mu.Lock()
 		acked += worker.ackedHeartbeats
 		failed += worker.failedHeartbeats
@@ -264,9 +264,9 @@
 }
 
 // ServeHTTP serves the interface of all agents: the local address of the connection selects the machine.
-func (all *Workers) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (ws *Workers) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	local := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
-	worker := all.byIP[local.IP.String()]
+	worker := ws.byIP[local.IP.String()]
 	if worker == nil || !worker.isUp() {
 		http.Error(rw, "no such machine", http.StatusNotFound)
 		return
@@ -342,7 +342,7 @@
 	return true
 }
 
-// startTask admits a task if there is capacity, and schedules its run and its end. The caller holds mu.
+// startTask admits a task if there is capacity, and schedules its stage transitions. The caller holds mu.
 func (w *Worker) startTask(command wire.Command) {
 	request, duration := w.fleet.taskShape(command.Task)
 	status := wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Stage: wire.TaskPullingImage}
@@ -364,7 +364,7 @@
 	}
 }
 
-// transitionTask moves a task from one stage to the next, if it is still in the first, and sends a heartbeat at once.
+// transitionTask moves a task from one stage to the next, if it is still in the first, and triggers a heartbeat.
 func (w *Worker) transitionTask(command wire.Command, from, to, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -400,7 +400,7 @@
 }
 
 // heartbeatLoop sends heartbeats, periodically with jitter and when a task changes, until the rental ends. After a
-// failed one the next goes to the next controller.
+// failed heartbeat the next one goes to the next controller.
 func (w *Worker) heartbeatLoop(ctx context.Context) {
 	wait := bootTime + rand.N(time.Second)
 	for {
@@ -463,7 +463,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("send heartbeat: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it is read to its end, or the heartbeat has failed
+	defer func() { _ = response.Body.Close() }() // the body is read to its end, or the heartbeat has failed
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, fmt.Errorf("read heartbeat response: %w", err)
--- a/internal/golden/doc.go
+++ b/internal/golden/doc.go
@@ -1,9 +1,9 @@
-// Package golden holds, in its tests, what is sent or stored as earlier versions wrote it: messages between
-// controllers, bodies of the platform's interfaces, values of the store, files, settings. Names in Go may change;
-// these must not.
+// Package golden tests that what is sent or stored keeps the encoding of earlier versions: messages between
+// controllers, bodies of the platform's APIs, values of the store, files, settings. Names in Go may change; encoded
+// names must not.
 //
-// Values are filled by reflection, each field with a value derived from its name on the wire, so that only what is
-// written counts. Unexported types that are sent or stored are checked in their own packages.
+// Values are filled by reflection, each field with a value derived from its encoded name, so that Go names have no
+// influence. Unexported types that are sent or stored are checked in their own packages.
 //
-// A change that is meant to be visible writes the files anew: go test ./internal/golden -update
+// After an intended change of an encoding, regenerate the files with go test ./internal/golden -update
 package golden
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -20,17 +20,17 @@
 var update = flag.Bool(
 	"update",
 	false,
-	"write the golden files anew: what travels or is stored was changed on purpose",
+	"rewrite the golden files, after an intended change of what is sent or stored",
 )
 
-// number derives a number from a path; never 0.
+// number derives a number from a path; it is never 0.
 func number(path string) uint64 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(path)) // never fails
 	return uint64(hash.Sum32()%999_983) + 1
 }
 
-// fill sets everything of a value that JSON shows to values derived from the names there.
+// fill sets everything in a value that encoding/json writes, to values derived from the encoded names.
 func fill(v reflect.Value, path string) {
 	switch v.Interface().(type) {
 	case json.RawMessage:
@@ -72,11 +72,11 @@
 	case reflect.Float64:
 		v.SetFloat(float64(number(path)) + 0.5)
 	default:
-		panic(path + ": no value for a " + v.Kind().String())
+		panic(path + ": unsupported kind " + v.Kind().String())
 	}
 }
 
-// fillFields fills the fields of a struct that JSON shows.
+// fillFields fills the fields of a struct that encoding/json writes.
 func fillFields(v reflect.Value, path string) {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
@@ -93,7 +93,7 @@
 	}
 }
 
-// filled returns a filled value.
+// filled returns a new value that is filled.
 func filled[T any](path string) *T {
 	v := new(T)
 	fill(reflect.ValueOf(v).Elem(), path)
@@ -142,10 +142,10 @@
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(float64(n) + 0.5)
 	}
-	panic(path + ": no value for a " + field.Kind().String())
+	panic(path + ": unsupported kind " + field.Kind().String())
 }
 
-// writeGolden writes a golden file anew.
+// writeGolden rewrites a golden file.
 func writeGolden(t *testing.T, file string, got map[string]any) {
 	t.Helper()
 	var text bytes.Buffer
@@ -160,8 +160,8 @@
 	}
 }
 
-// checkGolden compares what is written now with a golden file, as JSON: the order of fields does not count. It returns the
-// contents of the file.
+// checkGolden compares the current encodings with a golden file, as JSON, so that the order of fields does not matter.
+// It returns the contents of the file.
 func checkGolden(t *testing.T, file string, got map[string]any) map[string]json.RawMessage {
 	t.Helper()
 	file = "testdata/" + file + ".json"
@@ -175,7 +175,7 @@
 	}
 	for name := range want {
 		if _, ok := got[name]; !ok {
-			t.Errorf("%s: %s is no longer written", file, name)
+			t.Errorf("%s: %s is no longer encoded", file, name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(got)) {
@@ -188,7 +188,7 @@
 	return want
 }
 
-// compareLeaves reports every path whose value differs, or that is in one of two texts only.
+// compareLeaves reports every path whose value differs, or that is in only one of the two texts.
 func compareLeaves(t *testing.T, what string, got, want map[string]string) {
 	t.Helper()
 	for _, path := range slices.Sorted(maps.Keys(want)) {
@@ -239,13 +239,15 @@
 	return out
 }
 
-// encodedForms is a value with everything set, and one with nothing set: that shows what is omitted.
+// encodedForms holds the encoding of a value with all fields set, and that of the zero value, which shows what is
+// omitted.
 type encodedForms struct {
 	Filled json.RawMessage `json:"filled"`
 	Zero   json.RawMessage `json:"zero"`
 }
 
-// checkTypes writes a value of each type, compares it with a golden file, and reads the value in the file.
+// checkTypes encodes a value of each type, compares the result with a golden file, and decodes the encoding in the
+// file.
 func checkTypes(t *testing.T, file string, types map[string]any) {
 	t.Helper()
 	got, full := map[string]any{}, map[string]any{}
@@ -276,7 +278,7 @@
 		}
 		read := reflect.New(reflect.TypeOf(types[name]).Elem()).Interface()
 		if err := json.Unmarshal(text.Bytes(), read); err != nil || !reflect.DeepEqual(read, full[name]) {
-			t.Errorf("%s: %s is read as %+v (%v)", file, name, read, err)
+			t.Errorf("%s: %s is decoded as %+v (%v)", file, name, read, err)
 		}
 	}
 }
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -13,13 +13,13 @@
 	pb "dewlift/proto"
 )
 
-// message is a message with everything set, in both its encodings.
+// message holds both encodings of a message with all fields set.
 type message struct {
 	Binary []byte   `json:"binary"`
 	Text   []string `json:"text"`
 }
 
-// Every message of proto must keep its binary form, which is stored, and its text form, which is in operators' files.
+// Every protobuf message must keep its binary form, which is stored, and its text form, which is in operators' files.
 func TestMessages(t *testing.T) {
 	all := map[string]protobuf.Message{
 		"rights":      &pb.Access{},
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-		for i, line := range lines { // the amount of white space differs from build to build
+		for i, line := range lines { // prototext varies the amount of white space from build to build
 			lines[i] = strings.Join(strings.Fields(line), " ")
 		}
 		got[name] = message{raw, lines}
@@ -64,16 +64,16 @@
 		}
 		decoded := all[name].ProtoReflect().New().Interface()
 		if err := protobuf.Unmarshal(was.Binary, decoded); err != nil || !protobuf.Equal(decoded, all[name]) {
-			t.Errorf("%s is read as %v (%v)", name, decoded, err)
+			t.Errorf("%s is decoded as %v (%v)", name, decoded, err)
 		}
 		if err := prototext.Unmarshal([]byte(strings.Join(was.Text, "\n")), decoded); err != nil ||
 			!protobuf.Equal(decoded, all[name]) {
-			t.Errorf("the text of %s is read as %v (%v)", name, decoded, err)
+			t.Errorf("the text of %s is decoded as %v (%v)", name, decoded, err)
 		}
 	}
 }
 
-// The names of enum values must stay: they are in texts and responses.
+// The names of enum values must not change: they are in text files and responses.
 func TestEnumValueNames(t *testing.T) {
 	got := map[string]any{}
 	for name, enum := range map[string]protoreflect.Enum{
--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -25,14 +25,15 @@
 	"dewlift/wire"
 )
 
-// storedFormat is a value of the store, or a file: how it is written, and what it is read as.
+// storedFormat is one form of a stored value or a file: how it is encoded and decoded, and the value that decoding
+// returns.
 type storedFormat struct {
 	write func() ([]byte, error)
 	read  func(raw []byte) (any, error)
 	want  any
 }
 
-// filledProto fills a message.
+// filledProto sets all fields of a message and returns it.
 func filledProto[T protobuf.Message](message T, path string) T {
 	fillMessage(message.ProtoReflect(), path)
 	return message
@@ -56,7 +57,7 @@
 // machine is a machine as a record refers to it.
 type machine struct{ name, zone string }
 
-// storedRecord is a job's record with everything set and tasks on machines.
+// storedRecord is a job's record with all fields set and tasks on machines.
 func storedRecord(machines []machine, packed bool) storedFormat {
 	record := filled[jobrecord.Record]("record")
 	record.Assignments, record.PackedLists = nil, nil
@@ -108,7 +109,7 @@
 	}
 }
 
-// storedMessage is a message that is stored packed.
+// storedMessage is a message that is stored compressed.
 func storedMessage(message protobuf.Message) storedFormat {
 	return storedFormat{
 		write: func() ([]byte, error) { return jobrecord.PackMessage(message) },
@@ -120,7 +121,7 @@
 	}
 }
 
-// storedCatalog is the catalog, packed if it has more than maxBytes.
+// storedCatalog is the catalog, compressed if it has more than maxBytes.
 func storedCatalog(maxBytes int) storedFormat {
 	catalog := filled[wire.Catalog]("types")
 	return storedFormat{
@@ -132,7 +133,7 @@
 
 var auditKey = audit.Key("a key of thirty-two bytes or more")
 
-// storedBlock is a block of an audit chain after a head.
+// storedBlock is a block of an audit chain that follows a chain head.
 func storedBlock() storedFormat {
 	const clockErrorMS = 250
 	head := filled[audit.Head]("head")
@@ -144,7 +145,7 @@
 		write: func() ([]byte, error) {
 			raw, count, _, err := auditKey.EncodeNextBlock(head, "node-a", clockErrorMS, entries, 1<<20)
 			if count != len(entries) {
-				return nil, errors.New("not all entries are in the block")
+				return nil, errors.New("the block lacks some of the entries")
 			}
 			return raw, err
 		},
@@ -169,7 +170,7 @@
 	}
 }
 
-// storedPendingEntry is an audit entry as a stored value carries it.
+// storedPendingEntry is a pending audit entry, as stored values hold it.
 func storedPendingEntry() storedFormat {
 	entry := filledProto(&pb.AuditEntry{}, "carried")
 	return storedFormat{
@@ -207,7 +208,7 @@
 	}
 }
 
-// storedSnapshot is a file of two parts.
+// storedSnapshot is a snapshot file of two parts.
 func storedSnapshot() storedFormat {
 	keys := filledProto(&pb.Keys{}, "snapshot")
 	keys.Keys[0].Value = bytes.Repeat([]byte("7"), 256<<10)
@@ -238,7 +239,7 @@
 				return nil, err
 			}
 			if trailer.Version != 1 || trailer.Parts != 2 || trailer.Keys != 2 {
-				return nil, errors.New("other parts or keys")
+				return nil, errors.New("unexpected version, parts or keys in the trailer")
 			}
 			taken, err := json.Marshal(trailer.TakenMs)
 			out.Keys = append(out.Keys, &pb.Key{Name: "trailer of 2 parts", Mark: trailer.Ledger, Value: taken})
@@ -248,7 +249,7 @@
 	}
 }
 
-// plainRecords are records without assignments, by what they are of.
+// plainRecords returns records without assignments, by description.
 func plainRecords() map[string]storedFormat {
 	entry := jobrecord.Record{
 		WriteNumber:    7,
@@ -284,7 +285,7 @@
 	}
 }
 
-// assignedRecords are records with assignments, which are stored in different forms.
+// assignedRecords returns records with assignments, in each of their stored forms.
 func assignedRecords() map[string]storedFormat {
 	numbers := []machine{{"m-001", "a"}, {"m-017", "a"}, {"m-900", "b"}, {"m-002", "c"}}
 	words := []machine{{"kiln-ab", "a"}, {"kiln-cdé", "a"}, {"oven", "b"}, {"x", "c"}}
@@ -307,7 +308,7 @@
 	return []uint64{got.EnqueueRevision, got.RestoreOrder}, nil
 }
 
-// restoredRecord is a record that was restored before and is prepared for a restore again.
+// restoredRecord is a record that was restored before and is prepared for another restore.
 func restoredRecord(record storedFormat) storedFormat {
 	return storedFormat{
 		write: func() ([]byte, error) {
@@ -337,7 +338,7 @@
 	list := filledProto(&pb.Equipment{}, "list")
 	return storedFormat{
 		write: func() ([]byte, error) { return reservations.EncodeInventory(list) },
-		// core/reservations reads it; here it is the packed message under another name
+		// core/reservations decodes it; here the compressed message moves to the field that UnpackMessage reads
 		read: func(raw []byte) (any, error) {
 			var packed struct {
 				Data []byte `json:"p"`
@@ -368,7 +369,7 @@
 	}
 }
 
-// otherValues are all stored values but records, and the file of a snapshot.
+// otherValues returns all stored values other than records, and the snapshot file.
 func otherValues() map[string]storedFormat {
 	entries := batchvalue.Entries{
 		"wk-1": json.RawMessage(`{"h":3,"v":7}`),
@@ -394,8 +395,8 @@
 	}
 }
 
-// Every stored value that has exported types must be written as the same bytes in all its forms, and the bytes of
-// earlier versions must be read.
+// Every stored value that has exported types must be encoded as the same bytes as in earlier versions, in all its
+// forms, and those bytes must be decoded.
 func TestStoredValues(t *testing.T) {
 	all := map[string]storedFormat{}
 	for _, values := range []map[string]storedFormat{plainRecords(), assignedRecords(), otherValues()} {
@@ -420,12 +421,12 @@
 		}
 		raw := storedBytes(t, golden)
 		if v, err := value.read(raw); err != nil || !equal(v, value.want) {
-			t.Errorf("%s is read as %+v (%v), was written from %+v", name, v, err, value.want)
+			t.Errorf("%s is decoded as %+v (%v), was encoded from %+v", name, v, err, value.want)
 		}
 	}
 }
 
-// storedBytes returns the stored bytes from a golden file: it has JSON as text, and other bytes in base64.
+// storedBytes returns the stored bytes from a golden file, which holds JSON as text and other bytes in base64.
 func storedBytes(t *testing.T, golden json.RawMessage) []byte {
 	t.Helper()
 	var text string
@@ -442,7 +443,7 @@
 	return raw
 }
 
-// The exported keys of the store, its schema version and stored words must stay.
+// The exported keys of the store, its schema version and stored constants must not change.
 func TestKeys(t *testing.T) {
 	checkGolden(t, "keys", map[string]any{
 		"all": []string{
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -20,7 +20,7 @@
 	"dewlift/wire"
 )
 
-// bodies are the types of bodies on the platform's interfaces and on ours, by the names in the golden file.
+// bodies returns the types of the bodies of the platform's APIs and of ours, by their names in the golden file.
 func bodies() map[string]any {
 	return map[string]any{
 		"booking ask":      new(wire.ReservationRequest),
@@ -74,7 +74,7 @@
 	}
 }
 
-// messages are the types of messages between controllers, by the names in the golden file.
+// messages returns the types of messages between controllers, by their names in the golden file.
 func messages() map[string]any {
 	return map[string]any{
 		"message":      new(core.Message),
@@ -94,10 +94,10 @@
 	}
 }
 
-// Bodies from and to users, agents, the store and the cloud must stay.
+// The encodings of bodies from and to users, agents, the store and the cloud must not change.
 func TestBodies(t *testing.T) { checkTypes(t, "bodies", bodies()) }
 
-// Messages between controllers must stay.
+// The encodings of messages between controllers must not change.
 func TestPeerMessages(t *testing.T) { checkTypes(t, "mesh", messages()) }
 
 // Every exported type of these packages that has JSON tags must be among the golden types.
@@ -151,7 +151,7 @@
 	return names
 }
 
-// The settings of the platform, and the names under which they are audited, must stay.
+// The settings of the platform, and the names under which they are audited, must not change.
 func TestPlatform(t *testing.T) {
 	checkTypes(t, "platform", map[string]any{"platform": new(settings.Platform)})
 	checkGolden(
@@ -163,7 +163,7 @@
 	)
 }
 
-// Names of paths, stages and causes must stay.
+// Names of paths, stages and causes must not change.
 func TestNames(t *testing.T) {
 	checkGolden(t, "names", map[string]any{
 		"paths": []string{
@@ -212,7 +212,7 @@
 	})
 }
 
-// Submissions must be understood and stored as before.
+// Submissions must be parsed and stored as before.
 func TestSubmissions(t *testing.T) {
 	got := map[string]any{}
 	for name, body := range map[string]string{
@@ -232,7 +232,7 @@
 	checkGolden(t, "submissions", got)
 }
 
-// A token must be signed as before, and one signed before must be accepted.
+// A token must get the same signature as in earlier versions, and a token that one of them signed must be accepted.
 func TestToken(t *testing.T) {
 	privateKey := access.PrivateKey{Holder: "anna", ID: "anna-1", Seed: []byte("a seed of thirty-two bytes, just")}
 	now := time.Unix(1_700_000_000, 0)
@@ -245,7 +245,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, raw := range checkGolden(t, "token", map[string]any{"token": token, "public key": privateKey.PublicBase64()}) {
+	for name, raw := range checkGolden(
+		t,
+		"token",
+		map[string]any{"token": token, "public key": privateKey.PublicBase64()},
+	) {
 		if name != "token" {
 			continue
 		}
@@ -256,12 +260,12 @@
 		id, ok := access.PeekKeyID(was)
 		key, until, err := policy.VerifyToken(was, now, time.Second)
 		if err != nil || !ok || id != "anna-1" || key.Holder != "anna" || !until.Equal(now.Add(time.Hour)) {
-			t.Errorf("the token is one of %q until %v (%v)", id, until, err)
+			t.Errorf("the token has key %q and is valid until %v (%v)", id, until, err)
 		}
 	}
 }
 
-// Every field that is sent or stored as JSON must have a tag: else its Go name would be its name on the wire.
+// Every field that is sent or stored as JSON must have a tag; otherwise its Go name would be its encoded name.
 func TestEveryFieldHasTag(t *testing.T) {
 	visited := map[reflect.Type]bool{}
 	var walk func(typ reflect.Type)
@@ -280,7 +284,7 @@
 					continue
 				}
 				if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name == "" && !field.Anonymous {
-					t.Errorf("%v.%s has no name for JSON", typ, field.Name)
+					t.Errorf("%v.%s has no name in a JSON tag", typ, field.Name)
 				}
 				walk(field.Type)
 			}
--- a/internal/previousversion/previousversion.go
+++ b/internal/previousversion/previousversion.go
@@ -1,8 +1,8 @@
-// Package previousversion holds the record and message types of the previous version, which runs in production,
-// frozen as they were, for tests: what a new version writes while a process of the previous one may be running is
-// read in the previous version's terms, and simulated controllers of that version see only what it understood. The
-// package decides nothing and must not follow changes of the current types. Names in tags, and of fields without a
-// tag, are those on the wire. testdata was written by the previous version itself, in a simulation.
+// Package previousversion holds frozen copies of the record and message types of the previous version, which runs in
+// production. Tests use them to check that the previous version can read what a new version writes while processes of
+// both may be running, and to limit simulated controllers of the previous version to the keys and fields that it knew.
+// The types must not follow changes of the current types. Names in tags, and Go names of fields without a tag, are
+// names on the wire. The files in testdata were written by the previous version itself, in a simulation.
 package previousversion
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-const maxTasks = 100_000 // of a job
+const maxTasks = 100_000 // per job
 
 // Spec is the specification of a job.
 type Spec struct {
@@ -202,17 +202,18 @@
 	GraceS  *float64 `json:"damp_s,omitempty"`
 }
 
-// Message is a message between controllers. Fields without a tag keep their names: these are on the wire.
+// Message is a message between controllers. The Go names of fields without a tag are names on the wire and must not
+// change.
 type Message struct {
-	To           string `json:"to,omitempty"`
-	From         string `json:"fr,omitempty"`
+	RelayTo      string `json:"to,omitempty"`
+	RelayedFrom  string `json:"fr,omitempty"`
 	SendCommands *struct {
 		ID            uint64
 		Machine, Addr string
 		Body          struct {
-			Token   uint64    `json:"baton"`
-			Session uint64    `json:"shift"`
-			Orders  []command `json:"orders"`
+			FencingToken uint64    `json:"baton"`
+			Incarnation  uint64    `json:"shift"`
+			Commands     []command `json:"orders"`
 		}
 	} `json:"o,omitempty"`
 	CommandsResult *struct {
@@ -222,55 +223,55 @@
 		Report *heartbeat
 	} `json:"od,omitempty"`
 	Health *struct {
-		StateOK bool    `json:"ok"`
-		Used    float64 `json:"u"`
+		StoreReachable bool    `json:"ok"`
+		WriteRate      float64 `json:"u"`
 	} `json:"h,omitempty"`
 	Heartbeats       []*heartbeat `json:"r,omitempty"`
 	HeartbeatDigests []struct {
-		Machine string `json:"m"`
-		Session uint64 `json:"s"`
-		Seq     uint64 `json:"q"`
-		Token   uint64 `json:"b"`
-		Digest  uint64 `json:"d"`
+		Machine      string `json:"m"`
+		Incarnation  uint64 `json:"s"`
+		Seq          uint64 `json:"q"`
+		FencingToken uint64 `json:"b"`
+		Digest       uint64 `json:"d"`
 	} `json:"e,omitempty"`
-	Want   []string `json:"w,omitempty"`
-	Deltas *struct {
-		Seq  uint64 `json:"q"`
-		List []struct {
+	WantedHeartbeats []string `json:"w,omitempty"`
+	AllocationDeltas *struct {
+		Seq    uint64 `json:"q"`
+		Deltas []struct {
 			Start   bool      `json:"st,omitempty"`
 			Machine string    `json:"m"`
-			Claim   Resources `json:"c"`
+			Request Resources `json:"c"`
 		} `json:"l"`
 	} `json:"d,omitempty"`
-	Push *struct {
-		After uint64 `json:"after,omitempty"`
-		Rev   uint64 `json:"rev"`
-		Rows  []struct {
-			Machine string    `json:"m"`
-			Type    string    `json:"t"`
-			Zone    string    `json:"z"`
-			Spot    bool      `json:"s,omitempty"`
-			Avail   Resources `json:"a"`
-			Occ     Resources `json:"o"`
-			Keep    Resources `json:"k"`
-			Last    bool      `json:"l,omitempty"`
-			Closed  bool      `json:"x,omitempty"`
+	StatePush *struct {
+		AfterRevision uint64 `json:"after,omitempty"`
+		Revision      uint64 `json:"rev"`
+		Rows          []struct {
+			Machine       string    `json:"m"`
+			Type          string    `json:"t"`
+			Zone          string    `json:"z"`
+			Spot          bool      `json:"s,omitempty"`
+			Available     Resources `json:"a"`
+			Allocated     Resources `json:"o"`
+			Reserved      Resources `json:"k"`
+			OfferedLast   bool      `json:"l,omitempty"`
+			Unschedulable bool      `json:"x,omitempty"`
 		} `json:"rows,omitempty"`
-		Stop []struct {
+		Preempted []struct {
 			Machine string `json:"m"`
 			Job     string `json:"j"`
 			Task    int32  `json:"i"`
-			Try     uint64 `json:"t"`
+			Attempt uint64 `json:"t"`
 		} `json:"stop,omitempty"`
-		Gone  []string          `json:"gone,omitempty"`
-		Acks  map[string]uint64 `json:"acks,omitempty"`
-		Token uint64            `json:"tok"`
-		Hold  *struct {
+		GoneMachines []string          `json:"gone,omitempty"`
+		DeltaAcks    map[string]uint64 `json:"acks,omitempty"`
+		FencingToken uint64            `json:"tok"`
+		CapacityHold *struct {
 			Priority int       `json:"p"`
-			Claim    Resources `json:"c"`
+			Request  Resources `json:"c"`
 		} `json:"hold,omitempty"`
 	} `json:"p,omitempty"`
-	Resend bool     `json:"a,omitempty"`
-	Return []string `json:"s,omitempty"`
-	Silent []string `json:"q,omitempty"`
+	ResendStatePush  bool     `json:"a,omitempty"`
+	MachinesToReturn []string `json:"s,omitempty"`
+	SilentMachines   []string `json:"q,omitempty"`
 }
