--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -17,13 +17,14 @@
 
 var auditKey = audit.Key("the key of the sites in the tests")
 
-// maxPendingTime is how long an entry may be stored with its change before it is in a block: longer than any outage.
+// maxPendingTime is how long an entry may be stored with its change before it is in a block. It is longer than any
+// outage.
 const maxPendingTime = 120 * time.Second
 
 // Keys of the audit log.
 const (
-	keyAuditInitialized = core.Root + "audit/begun" // exists once every change needs its entry
-	auditCarrierPrefix  = core.Root + "audit/of/"   // values that carry entries of changes without a value of their own
+	keyAuditInitialized = core.Root + "audit/begun" // exists once every change needs an entry
+	outboxPrefix        = core.Root + "audit/of/"   // entries of changes without a value of their own
 )
 
 // entryID identifies an audit entry.
@@ -52,8 +53,9 @@
 	}
 }
 
-// entryCarrier is the part of a stored value that carries entries, and of a job's record that shows its changes.
-type entryCarrier struct {
+// auditedValue holds the fields of a stored value with its audit entries, and the fields of a job's record that show
+// its changes.
+type auditedValue struct {
 	Entries     []audit.PendingEntry `json:"e"`
 	Stage       string               `json:"st"`
 	User        string               `json:"u"`
@@ -63,7 +65,7 @@
 	Lease       uint64               `json:"t"`
 }
 
-// stopReason is a preemption of a task, as a job's record keeps it.
+// stopReason is a preemption of a task, as a job's record holds it.
 type stopReason struct {
 	Task    int    `json:"i"`
 	At      int64  `json:"t"`
@@ -74,22 +76,22 @@
 	r.checker.violated("unrecorded", format, args...)
 }
 
-// decodeEntryCarrier decodes a stored value.
-func decodeEntryCarrier(raw json.RawMessage) entryCarrier {
-	var carrier entryCarrier
-	_ = json.Unmarshal(raw, &carrier) // a value of another form carries no entries
-	return carrier
+// decodeAuditedValue decodes a stored value.
+func decodeAuditedValue(raw json.RawMessage) auditedValue {
+	var value auditedValue
+	_ = json.Unmarshal(raw, &value) // a value of another form holds no entries
+	return value
 }
 
-// storedCarrier decodes the value of a key; an empty one if there is none.
-func storedCarrier(keys map[string]*wire.KeyValue, key string) entryCarrier {
+// storedValue decodes the value of a key; it returns an empty one if there is none.
+func storedValue(keys map[string]*wire.KeyValue, key string) auditedValue {
 	if item := keys[key]; item != nil {
-		return decodeEntryCarrier(item.Value)
+		return decodeAuditedValue(item.Value)
 	}
-	return entryCarrier{}
+	return auditedValue{}
 }
 
-// newEntries verifies the entries that a value carries, and returns by verb those that it did not carry before.
+// newEntries verifies the entries that a value holds, and returns by verb those that it did not hold before.
 func (r *auditChecker) newEntries(key string, before, after []audit.PendingEntry) map[string][]*pb.AuditEntry {
 	out := map[string][]*pb.AuditEntry{}
 	had := map[entryID]bool{}
@@ -105,11 +107,11 @@
 		}
 		entry, err := auditKey.VerifyEntry(key, &pending)
 		if err != nil {
-			r.violated("%s carries a bad entry: %v", key, err)
+			r.violated("%s holds an invalid entry: %v", key, err)
 			continue
 		}
-		if _, carried := r.storedAt[id]; carried {
-			r.violated("%s carries entry %v, which was written before", key, id)
+		if _, wasStored := r.storedAt[id]; wasStored {
+			r.violated("%s holds entry %v, which was stored before", key, id)
 		}
 		r.storedAt[id] = r.now()
 		out[entry.Verb] = append(out[entry.Verb], entry)
@@ -136,13 +138,13 @@
 		switch {
 		case key == reservations.KeyHead:
 			if len(r.newEntriesOf(keys, write)) == 0 {
-				r.violated("reservations change without an entry")
+				r.violated("reservations are changed without an audit entry")
 			}
 		case isJob && write.Put != "":
 			r.checkJobWrite(keys, txn, write, id)
 		case strings.HasPrefix(write.Put, core.Root+"cancel/"):
 			if len(r.newEntriesOf(keys, write)["cancel"]) == 0 {
-				r.violated("%s without its entry", key)
+				r.violated("%s is changed without its audit entry", key)
 			}
 		case strings.HasPrefix(key, core.Root+"access/"):
 			changes["administer"] = 1
@@ -154,17 +156,17 @@
 	}
 	for verb, count := range changes {
 		if separate[verb] != count {
-			r.violated("%d entries of %s for a transaction with %d: %+v", separate[verb], verb, count, txn)
+			r.violated("%d audit entries of %s, want %d for the transaction %+v", separate[verb], verb, count, txn)
 		}
 	}
 }
 
 // checkAuditWrites checks the writes of the audit log itself, and returns the number of new entries by verb in
-// values that only carry entries.
+// outboxes.
 func (r *auditChecker) checkAuditWrites(keys map[string]*wire.KeyValue, txn wire.Txn) map[string]int {
 	separate := map[string]int{}
 	for _, write := range txn.Then {
-		if strings.HasPrefix(write.Put, auditCarrierPrefix) {
+		if strings.HasPrefix(write.Put, outboxPrefix) {
 			for verb, entries := range r.newEntriesOf(keys, write) {
 				separate[verb] += len(entries)
 			}
@@ -179,20 +181,20 @@
 	return separate
 }
 
-// newEntriesOf returns the entries that a write adds to those that its key carried, by verb.
+// newEntriesOf returns the entries that a write adds to those that its key held, by verb.
 func (r *auditChecker) newEntriesOf(keys map[string]*wire.KeyValue, write wire.Write) map[string][]*pb.AuditEntry {
 	key := write.Put + write.Delete
-	return r.newEntries(key, storedCarrier(keys, key).Entries, decodeEntryCarrier(write.Value).Entries)
+	return r.newEntries(key, storedValue(keys, key).Entries, decodeAuditedValue(write.Value).Entries)
 }
 
-// checkJobWrite checks the write of a job's record: a submission, a cancellation or a preemption has its entry, and
-// no other change has one.
+// checkJobWrite checks the write of a job's record: a submission, a cancellation or a preemption must have its entry,
+// and no other change may have one.
 func (r *auditChecker) checkJobWrite(keys map[string]*wire.KeyValue, txn wire.Txn, write wire.Write, id string) {
 	key, cancelKey := write.Put, core.Root+"cancel/"+id
-	before, after := storedCarrier(keys, key), decodeEntryCarrier(write.Value)
+	before, after := storedValue(keys, key), decodeAuditedValue(write.Value)
 	wasRequested := keys[cancelKey] != nil
 	if wasRequested && slices.ContainsFunc(txn.Then, func(w wire.Write) bool { return w.Delete == cancelKey }) {
-		before.Entries = append(before.Entries, storedCarrier(keys, cancelKey).Entries...)
+		before.Entries = append(before.Entries, storedValue(keys, cancelKey).Entries...)
 	}
 	added := r.newEntries(key, before.Entries, after.Entries)
 	isNew := keys[key] == nil
@@ -205,18 +207,18 @@
 		made bool
 	}{{"submit", isNew}, {"cancel", isCancelled}, {"stop", isStopped}} {
 		if change.made && len(added[change.verb]) == 0 {
-			r.violated("%s: %s without its entry", key, change.verb)
+			r.violated("%s: %s without its audit entry", key, change.verb)
 		}
 		// The record keeps the latest stop reasons only.
 		if !change.made && len(added[change.verb]) > 0 && change.verb != "stop" {
-			r.violated("%s: an entry of %s without its change", key, change.verb)
+			r.violated("%s: audit entry of %s without its change", key, change.verb)
 		}
 	}
 	if !isNew {
 		return
 	}
 	if len(added["submit"]) != 1 {
-		r.violated("%s: %d entries of its submission", key, len(added["submit"]))
+		r.violated("%s: %d audit entries of its submission", key, len(added["submit"]))
 	} else if after.Spec != nil && added["submit"][0].Who != after.User {
 		r.violated("%s was submitted by %s, its entry says %s", key, after.User, added["submit"][0].Who)
 	}
@@ -226,7 +228,7 @@
 func (r *auditChecker) checkBlock(keys map[string]*wire.KeyValue, write wire.Write) {
 	node, number, ok := audit.SplitBlockKey(write.Put)
 	if keys[write.Put] != nil || !ok {
-		r.violated("%s is written twice, or is no key of a block", write.Put)
+		r.violated("%s is written twice or is not the key of a block", write.Put)
 		return
 	}
 	block, err := audit.DecodeBlock(write.Value)
@@ -241,24 +243,25 @@
 		}
 		r.verbCounts[entry.Verb]++
 		switch entry.Verb {
-		case "start", "refused", "read": // no stored change belongs to these
+		case "start", "refused", "read": // these have no stored change
 		case "forged":
 			r.violated("entry %v: %s", id, entry.Why)
 		default:
-			if _, carried := r.storedAt[id]; !carried {
-				r.violated("entry %v is in a block and its change was not made: %v", id, entry)
+			if _, wasStored := r.storedAt[id]; !wasStored {
+				r.violated("entry %v is in a block, but its change was not made: %v", id, entry)
 			}
 		}
 	}
 }
 
-// Finish checks that every entry is in a block or still carried, and that every chain of blocks is complete.
+// Finish checks that every entry is in a block or still stored with its change, and that every chain of blocks is
+// complete.
 func (r *auditChecker) Finish(keys map[string]*wire.KeyValue) {
-	carried := map[entryID]bool{}
+	pendingIDs := map[entryID]bool{}
 	chains := map[string]*audit.ChainVerifier{}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		for _, pending := range decodeEntryCarrier(keys[key].Value).Entries {
-			carried[entryID{pending.Node, pending.Incarnation, pending.Sequence}] = true
+		for _, pending := range decodeAuditedValue(keys[key].Value).Entries {
+			pendingIDs[entryID{pending.Node, pending.Incarnation, pending.Sequence}] = true
 		}
 		if node, number, ok := audit.SplitBlockKey(key); ok {
 			if chains[node] == nil {
@@ -270,8 +273,8 @@
 		}
 	}
 	for id, at := range r.storedAt {
-		if r.blockCounts[id] == 0 && (!carried[id] || r.now()-at > maxPendingTime) {
-			r.violated("entry %v, written at %v, is in no block, carried: %v", id, at, carried[id])
+		if r.blockCounts[id] == 0 && (!pendingIDs[id] || r.now()-at > maxPendingTime) {
+			r.violated("entry %v, stored at %v, is in no block; still pending: %v", id, at, pendingIDs[id])
 		}
 	}
 }
@@ -279,7 +282,7 @@
 // auditReadTimeout is how long a reader of the audit log waits.
 const auditReadTimeout = 2 * time.Second
 
-// scheduleAuditReaders schedules users who read the audit log, half of them without permission.
+// scheduleAuditReaders schedules reads of the audit log, half of them by a user without permission.
 func (w *Simulator) scheduleAuditReaders() {
 	var read func()
 	read = func() {
@@ -297,7 +300,7 @@
 		}, func(response core.Response, ok bool) {
 			allowed := response.Status == wire.StatusOK
 			if ok && allowed != (caller.Identity == rootUser) && response.Status != wire.StatusUnavailable {
-				w.Checker.violated("let_in", "%s reads the audit log: %d", caller.Identity, response.Status)
+				w.Checker.violated("let_in", "%s gets status %d for the audit log", caller.Identity, response.Status)
 			}
 		})
 		w.schedule(w.randomDuration(2*time.Second, 20*time.Second), read)
@@ -305,7 +308,7 @@
 	w.schedule(5*time.Second, read)
 }
 
-// settingsFor returns the audited settings of a controller's process: every other start has new ones.
+// settingsFor returns the audited settings of a controller's process. They change with every other start.
 func settingsFor(n *node) map[string]string {
 	return map[string]string{"life": fmt.Sprint(n.incarnation / 2), "fixed": "1"}
 }
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -10,29 +10,30 @@
 	"dewlift/wire"
 )
 
-// outageScenario is a combination of faults around cancellations: something keeps one or more controllers, the
-// blind ones, from learning of them, others tell users of them, and then the store is down for all, for longer than
-// the cancel timeout.
+// outageScenario is a combination of faults around cancellations: a fault keeps some controllers from learning of the
+// cancellations, others acknowledge them to users, and then the store is down for all controllers, for longer than the
+// cancel timeout. leaderFirst lists all controllers.
 type outageScenario struct {
 	nodes          int
 	adjustOptions  func(options *Options)
-	beforeCancel   func(w *Simulator, blind []*node) // 1.5 s before the cancellations; blind lists the leader first
-	cancel         func(w *Simulator, id string, blind []*node)
-	onCancelAcked  func(w *Simulator, teller *node) // right after a user was told
-	outage         time.Duration                    // 0: 70 s
-	duringOutage   func(w *Simulator, blind []*node)
-	delayedCommits bool // transactions are executed 2 to 5 s late meanwhile
-	tasksMayEnd    bool // tasks that are not cancelled may end: no majority of controllers is loaded
+	beforeCancel   func(w *Simulator, leaderFirst []*node) // called 1.5 s before the cancellations
+	cancel         func(w *Simulator, id string, leaderFirst []*node)
+	onCancelAcked  func(w *Simulator, n *node) // called right after n acknowledged a cancellation
+	outage         time.Duration               // 0: 70 s
+	duringOutage   func(w *Simulator, leaderFirst []*node)
+	delayedCommits bool // transactions around the cancellations are executed 2 to 5 s late
+	tasksMayEnd    bool // tasks that are not cancelled may end, as no majority of controllers is loaded
 }
 
 const (
-	cancellationTime      = 60 * time.Second // when users cancel
+	cancellationTime      = 60 * time.Second // when users begin to cancel
 	defaultScenarioOutage = 70 * time.Second
 	scenarioJobs          = 12 // jobs with odd numbers are cancelled
 	scenarioTasks         = 3  // tasks of each
 )
 
-// requestUntil repeats a request of a user until a response satisfies.
+// requestUntil repeats a user's request until a response satisfies a condition, and then calls then with the controller
+// that sent the response.
 func (w *Simulator) requestUntil(
 	pick func() *node,
 	newInput func(requestID uint64) core.Input,
@@ -55,7 +56,7 @@
 	attempt()
 }
 
-// hasStage returns a condition on the stage of the job in a response.
+// hasStage returns the condition that a response reports a stage of the job.
 func hasStage(stage string) func(core.Response) bool {
 	return func(response core.Response) bool {
 		state, _ := response.Body.(wire.JobState)
@@ -86,17 +87,17 @@
 	}, "submit", spec.ID, isAccepted, func(*node) {})
 }
 
-func (w *Simulator) cancelUntilAcked(pick func() *node, id string, told func(*node)) {
+func (w *Simulator) cancelUntilAcked(pick func() *node, id string, acked func(*node)) {
 	w.Checker.CancelRequested(id)
 	w.requestUntil(pick, func(requestID uint64) core.Input {
 		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS()}
-	}, "cancel", id, hasStage(wire.StageCancelled), told)
+	}, "cancel", id, hasStage(wire.StageCancelled), acked)
 }
 
-func (w *Simulator) pollUntilCancelled(pick func() *node, id string, told func(*node)) {
+func (w *Simulator) pollUntilCancelled(pick func() *node, id string, acked func(*node)) {
 	w.requestUntil(pick, func(requestID uint64) core.Input {
 		return core.GetJob{RequestID: requestID, ID: id}
-	}, "poll", id, hasStage(wire.StageCancelled), told)
+	}, "poll", id, hasStage(wire.StageCancelled), acked)
 }
 
 // outageRun is one run of a scenario.
@@ -104,13 +105,12 @@
 	t            *testing.T
 	sim          *Simulator
 	scenario     outageScenario
-	leaderFirst  []*node           // all controllers, the leader first, as of 1.5 s before the cancellations
-	placement    map[string]string // of the tasks that nobody cancels, then
-	ackedCancels int               // cancellations that a user was told of
+	leaderFirst  []*node           // all controllers, as of 1.5 s before the cancellations
+	placement    map[string]string // of the tasks that nobody cancels, at the same time
+	ackedCancels int               // number of acknowledged cancellations
 }
 
-// runOutageScenario plays a scenario and checks both sides: cancelled tasks stop in time, and all others keep
-// running.
+// runOutageScenario runs a scenario and checks that cancelled tasks stop in time and that all others keep running.
 func runOutageScenario(t *testing.T, seed uint64, scenario outageScenario) {
 	t.Helper()
 	options := Options{
@@ -123,7 +123,7 @@
 		scenario.outage = defaultScenarioOutage
 	}
 	run := &outageRun{t: t, sim: New(options), scenario: scenario}
-	if !options.MixedVersions { // the previous version does not know dependencies
+	if !options.MixedVersions { // the previous version does not support dependencies
 		run.scheduleDependents()
 	}
 	run.scheduleSubmissions()
@@ -134,14 +134,14 @@
 		t.Errorf("seed %d at %v: %s", seed, run.sim.now, violation)
 	}
 	if scenario.cancel == nil && run.ackedCancels != scenarioJobs/2 {
-		t.Errorf("%d cancellations told", run.ackedCancels)
+		t.Errorf("%d cancellations were acknowledged", run.ackedCancels)
 	}
 }
 
 // scenarioJobID returns the ID of a job.
 func scenarioJobID(i int) string { return fmt.Sprintf("wk-%06d", i) }
 
-// scheduleDependents submits jobs that depend on cancelled ones: they are to be cancelled with them.
+// scheduleDependents submits jobs that depend on cancelled ones, and must be cancelled with them.
 func (r *outageRun) scheduleDependents() {
 	for i := 1; i < scenarioJobs; i += 4 {
 		spec := wire.JobSpec{
@@ -175,7 +175,7 @@
 	}
 }
 
-// uncancelledPlacement returns by task the machine, with its incarnation, of the tasks that nobody cancels.
+// uncancelledPlacement returns, by task, the machine and incarnation of the tasks that nobody cancels.
 func (r *outageRun) uncancelledPlacement() map[string]string {
 	placement := map[string]string{}
 	for i := 0; i < scenarioJobs; i += 2 {
@@ -189,7 +189,7 @@
 	return placement
 }
 
-// scheduleCancellations blinds controllers and then cancels every other job.
+// scheduleCancellations injects the scenario's first fault and then cancels every other job.
 func (r *outageRun) scheduleCancellations() {
 	w := r.sim
 	w.schedule(cancellationTime-1500*time.Millisecond, func() {
@@ -209,23 +209,24 @@
 	})
 }
 
-// cancel cancels a job the scenario's way, or at the controllers that are not blind.
+// cancel cancels a job as the scenario specifies; by default at a controller other than the leader, until it is
+// acknowledged.
 func (r *outageRun) cancel(id string) {
 	w := r.sim
 	if r.scenario.cancel != nil {
 		r.scenario.cancel(w, id, r.leaderFirst)
 		return
 	}
-	w.cancelUntilAcked(w.randomNodeExcept(r.leaderFirst[:1]), id, func(teller *node) {
+	w.cancelUntilAcked(w.randomNodeExcept(r.leaderFirst[:1]), id, func(n *node) {
 		r.ackedCancels++
 		if r.scenario.onCancelAcked != nil {
-			r.scenario.onCancelAcked(w, teller)
+			r.scenario.onCancelAcked(w, n)
 		}
 	})
 }
 
-// scheduleOutage has the store down for all after the cancellations, and checks at the end of the outage that the
-// tasks that nobody cancelled are where they were.
+// scheduleOutage begins an outage of the store after the cancellations. At its end the tasks that nobody cancelled must
+// be where they were.
 func (r *outageRun) scheduleOutage() {
 	w, scenario := r.sim, r.scenario
 	if scenario.delayedCommits {
@@ -243,7 +244,7 @@
 	}
 }
 
-// checkPlacementUnchanged checks that all tasks that nobody cancelled ran, and that the outage ended none.
+// checkPlacementUnchanged checks that all tasks that nobody cancelled ran, and that the outage ended none of them.
 func (r *outageRun) checkPlacementUnchanged() {
 	placement := r.uncancelledPlacement()
 	if len(r.placement) != scenarioJobs/2*scenarioTasks {
@@ -251,29 +252,31 @@
 	}
 	for task, machine := range r.placement {
 		if placement[task] != machine && !r.scenario.tasksMayEnd {
-			r.t.Errorf("%s was on %s and is on %q: an outage of the store alone ended it",
+			r.t.Errorf("%s ran on %s and is on %q: an outage of the store alone ended it",
 				task, machine, placement[task])
 		}
 	}
 }
 
-// refuseNodes has the store refuse the first blind controllers.
-func refuseNodes(count int) func(w *Simulator, blind []*node) {
-	return func(w *Simulator, blind []*node) {
-		for _, n := range blind[:count] {
+// refuseNodes returns a fault in which the store refuses the first controllers.
+func refuseNodes(count int) func(w *Simulator, leaderFirst []*node) {
+	return func(w *Simulator, leaderFirst []*node) {
+		for _, n := range leaderFirst[:count] {
 			w.store.refuseNode(n.name, 14*time.Second)
 		}
 	}
 }
 
-// isolateLeader has the leader partitioned from the store, and from its peers too if fromPeers is set.
-func isolateLeader(duration time.Duration, fromPeers bool) func(w *Simulator, blind []*node) {
-	return func(w *Simulator, blind []*node) { w.isolate(blind[0].name, duration, true, fromPeers, false) }
+// isolateLeader returns a fault that partitions the leader from the store, and from its peers too if fromPeers is set.
+func isolateLeader(duration time.Duration, fromPeers bool) func(w *Simulator, leaderFirst []*node) {
+	return func(w *Simulator, leaderFirst []*node) {
+		w.isolate(leaderFirst[0].name, duration, true, fromPeers, false)
+	}
 }
 
-// pollAfterLostCancel cancels a job without waiting for the response, and has a poll tell of the cancellation.
-func pollAfterLostCancel(w *Simulator, id string, blind []*node) {
-	pick := w.randomNodeExcept(blind[:1])
+// pollAfterLostCancel cancels a job and ignores the response; the user learns of the cancellation by polling.
+func pollAfterLostCancel(w *Simulator, id string, leaderFirst []*node) {
+	pick := w.randomNodeExcept(leaderFirst[:1])
 	w.Checker.CancelRequested(id)
 	w.sendRequest(pick(), time.Second, func(requestID uint64) core.Input {
 		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS()}
@@ -282,8 +285,8 @@
 }
 
 // hangMachinesPastCancelTimeout suspends machines with cancelled tasks until after the cancel timeout.
-func hangMachinesPastCancelTimeout(w *Simulator, blind []*node) {
-	w.store.refuseNode(blind[0].name, 14*time.Second)
+func hangMachinesPastCancelTimeout(w *Simulator, leaderFirst []*node) {
+	w.store.refuseNode(leaderFirst[0].name, 14*time.Second)
 	for _, name := range []string{"wk-000001/0", "wk-000003/1"} {
 		for machine := range w.Checker.runningOn[name] {
 			w.cloud.find(machine).hangFor(65 * time.Second)
@@ -291,21 +294,29 @@
 	}
 }
 
-// The store refuses one controller, the others tell users of cancellations, and then it is down for all: the
-// refused one renewed the leases of machines with the cancelled tasks throughout, as an outage entitled it again.
+// The store refuses one controller, the others acknowledge cancellations to users, and then the store is down for all
+// controllers. This guards against a refused controller that renews the leases of machines with cancelled tasks
+// throughout, because an outage of the store entitles it to renew leases again.
 func TestCancelledTasksStopWhenOutageFollowsRefusal(t *testing.T) {
 	for name, scenario := range map[string]outageScenario{
 		"three": {beforeCancel: refuseNodes(1)},
 		"five":  {nodes: 5, beforeCancel: refuseNodes(1)},
 		"not the leader": {
-			beforeCancel: func(w *Simulator, blind []*node) { w.store.refuseNode(blind[1].name, 14*time.Second) },
+			beforeCancel: func(w *Simulator, leaderFirst []*node) {
+				w.store.refuseNode(leaderFirst[1].name, 14*time.Second)
+			},
 		},
 		"two of five": {nodes: 5, beforeCancel: refuseNodes(2)},
-		"two of three": {beforeCancel: refuseNodes(2), cancel: func(w *Simulator, id string, blind []*node) {
-			w.cancelUntilAcked(w.randomNodeExcept(blind[:2]), id, func(*node) {})
-		}},
+		"two of three": {
+			beforeCancel: refuseNodes(2),
+			cancel: func(w *Simulator, id string, leaderFirst []*node) {
+				w.cancelUntilAcked(w.randomNodeExcept(leaderFirst[:2]), id, func(*node) {})
+			},
+		},
 		"reads of changes": {
-			beforeCancel: func(w *Simulator, blind []*node) { w.store.stalledWatches[blind[0].name] = true },
+			beforeCancel: func(w *Simulator, leaderFirst []*node) {
+				w.store.stalledWatches[leaderFirst[0].name] = true
+			},
 		},
 		"held packets":       {beforeCancel: isolateLeader(14*time.Second, false)},
 		"told by a question": {beforeCancel: refuseNodes(1), cancel: pollAfterLostCancel},
@@ -316,11 +327,14 @@
 			onCancelAcked: (*Simulator).crashIfUp,
 			tasksMayEnd:   true,
 		},
-		"the blind one stands still": {beforeCancel: refuseNodes(1), duringOutage: func(w *Simulator, blind []*node) {
-			for at := time.Duration(0); at < 60*time.Second; at += 9 * time.Second {
-				w.schedule(at, func() { blind[0].pausedUntil = w.now + 7*time.Second })
-			}
-		}},
+		"the blind one stands still": {
+			beforeCancel: refuseNodes(1),
+			duringOutage: func(w *Simulator, leaderFirst []*node) {
+				for at := time.Duration(0); at < 60*time.Second; at += 9 * time.Second {
+					w.schedule(at, func() { leaderFirst[0].pausedUntil = w.now + 7*time.Second })
+				}
+			},
+		},
 		"the teller stands still": {
 			beforeCancel:  refuseNodes(1),
 			onCancelAcked: func(w *Simulator, n *node) { n.pausedUntil = max(n.pausedUntil, w.now+8*time.Second) },
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -11,17 +11,17 @@
 	"dewlift/wire"
 )
 
-// Checker observes a simulation and records every violated rule. It knows what users were answered and what runs on
-// machines, and nothing of what controllers believe.
+// Checker observes a simulation and records every violated rule. It sees only the responses to users and the tasks on
+// machines, nothing of the state of controllers.
 type Checker struct {
-	Violations    []string // "rule: what happened"
+	Violations    []string // each as "rule: details"
 	cancelTimeout time.Duration
 	quotas        map[string][2]int64 // maximum of CPU and memory by team; 0: none
 	jobs          map[string]*observedJob
 	runningOn     map[string]map[string]bool // by task name: the machines that it runs on
 	machines      map[string]wire.Machine
 	allocated     map[string][2]int64       // CPU and memory of the running tasks by team
-	cancelled     []*observedJob            // jobs whose cancellation users were told of
+	cancelled     []*observedJob            // jobs whose cancellation was acknowledged to a user
 	dependents    map[string][]*observedJob // by job: the jobs that depend on it
 	permissions   map[string]permissionView
 	Starts        int // task starts
@@ -33,7 +33,7 @@
 	// overlappingFaults is set if faults follow each other so closely that no job may have a chance to start before
 	// faultFreeFrom.
 	overlappingFaults bool
-	lastEventAt       time.Duration // time of the latest event
+	lastEventAt       time.Duration // time of the last event
 }
 
 // observedJob is what users and machines show of a job.
@@ -42,26 +42,26 @@
 	submitted        bool
 	accepted         bool
 	acceptedAt       time.Duration
-	stage            string         // "done" or "cancelled" once a user was told
+	stage            string         // "done" or "cancelled" once that was reported to a user
 	cancelRequested  bool           // its user asked to cancel it
-	endReportedAt    time.Duration  // when a user was first told of its end
-	cancelReportedAt time.Duration  // when a user was told of the cancellation
+	endReportedAt    time.Duration  // when its end was first reported to a user
+	cancelReportedAt time.Duration  // when its cancellation was first reported to a user
 	completedTasks   map[int]bool   // tasks completed on a worker
 	tasksByZone      map[string]int // running tasks by zone
 	runningTasks     int            // tasks on machines
 	startedAt        time.Duration  // when a task of it first started; 0: never
 	readyAt          time.Duration  // when its last dependency was done; notReady before
-	// unansweredSince is when the first unanswered request about it was sent, since the last answered one and
-	// faultFreeFrom; 0: none.
+	// unansweredSince is when the first request about it was sent that was not answered, since the last answer and
+	// faultFreeFrom; 0: there is none.
 	unansweredSince time.Duration
-	// starvingSince is since when it is feasible, waits and no task of it starts, after faultFreeFrom; 0: it does
-	// not.
+	// starvingSince is when it began to starve, after faultFreeFrom: a feasible machine has capacity, and no task of it
+	// starts. 0: it is not starving.
 	starvingSince         time.Duration
-	dependencyCancelled   bool          // users were told that a job it depends on was cancelled
-	dependencyCancelledAt time.Duration // when they were told
+	dependencyCancelled   bool          // the cancellation of a job it depends on was reported
+	dependencyCancelledAt time.Duration // when it was reported
 }
 
-// allTasksCompleted reports whether all tasks of a job completed on workers. An unknown job has not.
+// allTasksCompleted reports whether all tasks of a job completed on workers. It is false for an unknown job.
 func (j *observedJob) allTasksCompleted() bool {
 	return j != nil && len(j.completedTasks) >= j.spec.Tasks
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// violated records a violation. Tests compare the names of rules: they stay.
+// violated records a violation. Tests match the names of rules, so these must not change.
 func (k *Checker) violated(rule, format string, args ...any) {
 	k.Violations = append(k.Violations, rule+": "+fmt.Sprintf(format, args...))
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-// cancelDependents records that all jobs that depend on a cancelled one are to be cancelled too: within the cancel
-// timeout after users were told of it, or after their own acceptance if that is later.
+// cancelDependents records that all jobs that depend on a cancelled one must be cancelled too: within the cancel
+// timeout after its cancellation was reported, or after their own acceptance if that is later.
 func (k *Checker) cancelDependents(job *observedJob, at time.Duration) {
 	for list := k.dependents[job.spec.ID]; len(list) > 0; {
 		dependent := list[len(list)-1]
@@ -114,8 +114,8 @@
 	}
 }
 
-// dependencyMayBeCancelled reports whether a direct or indirect dependency of a job is cancelled or may be soon:
-// its user has asked for it.
+// dependencyMayBeCancelled reports whether a direct or indirect dependency of a job is cancelled or may be soon,
+// because its user has asked for it.
 func (k *Checker) dependencyMayBeCancelled(job *observedJob) bool {
 	visited := map[string]bool{}
 	for list := job.spec.Dependencies; len(list) > 0; {
@@ -143,7 +143,7 @@
 		return
 	}
 	if job == nil {
-		k.violated("invented", "%s of %s got %d", verb, id, status)
+		k.violated("invented", "%s of %s got status %d, but nobody submitted it", verb, id, status)
 		return
 	}
 	if !job.accepted {
@@ -151,9 +151,9 @@
 	}
 	if job.stage != "" && stage != job.stage {
 		if sentAt < job.endReportedAt && stage != wire.StageDone && stage != wire.StageCancelled {
-			return // it was in flight when a user was told of the end
+			return // the request was in flight when the end was reported
 		}
-		k.violated("went_back", "%s was reported %s and is reported %s", id, job.stage, stage)
+		k.violated("went_back", "%s was reported %s and is now reported %s", id, job.stage, stage)
 	}
 	switch stage {
 	case wire.StageDone:
@@ -169,16 +169,16 @@
 	}
 }
 
-// checkFailure checks a failed request: an accepted job is neither unknown nor invalid.
+// checkFailure checks a failed request: an accepted job must not be reported as unknown or invalid.
 func (k *Checker) checkFailure(verb, id string, status wire.Status) {
 	job := k.jobs[id]
 	invalid := verb == "submit" && (status == wire.StatusBadRequest || status == wire.StatusInvalid)
 	if job != nil && job.accepted && (status == wire.StatusNotFound || invalid) {
-		k.violated("forgotten", "%s of %s got %d", verb, id, status)
+		k.violated("forgotten", "%s of the accepted job %s got status %d", verb, id, status)
 	}
 }
 
-// recordAcceptance records that a job is accepted. One that depends on a cancelled job is to be cancelled too.
+// recordAcceptance records that a job is accepted. If it depends on a cancelled job, it must be cancelled too.
 func (k *Checker) recordAcceptance(job *observedJob, now time.Duration) {
 	job.accepted, job.acceptedAt = true, now
 	for _, id := range job.spec.Dependencies {
@@ -190,10 +190,10 @@
 	}
 }
 
-// checkDone checks a job that is reported done: all its tasks completed.
+// checkDone checks a job that is reported done: all its tasks must have completed.
 func (k *Checker) checkDone(job *observedJob, now time.Duration) {
 	if !job.allTasksCompleted() {
-		k.violated("not_done", "%s is reported done with %d of %d tasks",
+		k.violated("not_done", "%s is reported done with %d of %d tasks completed",
 			job.spec.ID, len(job.completedTasks), job.spec.Tasks)
 	}
 	if job.stage == "" {
@@ -202,10 +202,11 @@
 	job.stage = wire.StageDone
 }
 
-// checkCancelled checks a job that is reported cancelled: a user asked for it, or for that of a dependency.
+// checkCancelled checks a job that is reported cancelled: a user must have requested that, or the cancellation of a
+// dependency.
 func (k *Checker) checkCancelled(job *observedJob, now time.Duration) {
 	if !job.cancelRequested && !k.dependencyMayBeCancelled(job) {
-		k.violated("went_back", "%s is reported cancelled, its user did not ask", job.spec.ID)
+		k.violated("went_back", "%s is reported cancelled, but its user did not request it", job.spec.ID)
 	}
 	if job.stage == "" {
 		job.cancelReportedAt, job.endReportedAt = now, now
@@ -224,12 +225,12 @@
 	name := wire.TaskName(id, task)
 	job := k.jobs[id]
 	if job == nil {
-		k.violated("invented", "%s runs, nobody submitted it", name)
+		k.violated("invented", "%s runs, but nobody submitted it", name)
 		return
 	}
 	for other := range k.runningOn[name] {
 		if other != machine.Name {
-			k.violated("ran_twice", "%s starts on %s while it is on %s", name, machine.Name, other)
+			k.violated("ran_twice", "%s starts on %s while it runs on %s", name, machine.Name, other)
 		}
 	}
 	if job.startedAt == 0 {
@@ -262,7 +263,7 @@
 	}
 }
 
-// checkPlacement checks that a machine satisfies the constraints of a job, with the task counted already.
+// checkPlacement checks that a machine satisfies the constraints of a job. The task is counted already.
 func (k *Checker) checkPlacement(job *observedJob, name string, machine wire.Machine) {
 	spec := &job.spec
 	if !satisfiesMachineConstraints(spec, machine) {
@@ -270,7 +271,7 @@
 			name, machine.Name, machine.Type, machine.Zone, machine.Spot)
 	}
 	if spec.OneZone && len(job.tasksByZone) > 1 {
-		k.violated("wrong_place", "%s on %s: its job is in zones %v: %v",
+		k.violated("wrong_place", "%s on %s: its job must be in one zone and is in %v: %v",
 			name, machine.Name, job.tasksByZone, k.runningOn)
 	}
 	if spec.Spread && job.tasksByZone[machine.Zone] > (spec.Tasks+1)/2 {
@@ -287,7 +288,7 @@
 		(!machine.Spot || spec.Spot)
 }
 
-// checkQuota checks that a team is within its maximum.
+// checkQuota checks that a team is within its quota.
 func (k *Checker) checkQuota(team string) {
 	quota, allocated := k.quotas[team], k.allocated[team]
 	for i := range allocated {
@@ -323,8 +324,8 @@
 	}
 }
 
-// CheckResponsive checks that requests about a job are answered in time once faults are over: with its state, or
-// that it does not exist.
+// CheckResponsive checks that requests about a job are answered in time once faults are over: with its state, or with
+// the information that it does not exist.
 func (k *Checker) CheckResponsive(sentAt, now time.Duration, id string, status wire.Status) {
 	job := k.jobs[id]
 	if job == nil || !job.accepted || k.faultFreeFrom == 0 || sentAt < k.faultFreeFrom {
@@ -340,7 +341,7 @@
 	}
 }
 
-// Service-level objectives of the operators, as worded in the issue and in LATER.md.
+// Service-level objectives of the operators; LATER.md has their wording.
 const (
 	maxUnansweredTime = 75 * time.Second
 	maxStartDelay     = 4 * time.Minute
@@ -351,8 +352,8 @@
 // startCounts counts the accepted jobs of a group, and those of them that started.
 type startCounts struct{ jobs, started int }
 
-// checkJobsStarted checks that at least half of the jobs of each class, of each team and of the largest jobs of each class
-// started, and that the largest started in time.
+// checkJobsStarted checks that at least half of the jobs of each class, of each team and of the largest jobs of each
+// class started, and that the largest started in time.
 func (k *Checker) checkJobsStarted(now time.Duration) {
 	groups := map[string]*startCounts{}
 	largest := map[string]int{} // by class
@@ -386,12 +387,12 @@
 	}
 }
 
-// mayBeCancelled reports whether a job is cancelled or may be soon, for its own sake or with a dependency.
+// mayBeCancelled reports whether a job is cancelled or may be soon, on its own or with a dependency.
 func (k *Checker) mayBeCancelled(job *observedJob) bool {
 	return job.cancelRequested || job.dependencyCancelled || k.dependencyMayBeCancelled(job)
 }
 
-// checkStartDelay checks that a job started in time after it could: after its acceptance and its dependencies.
+// checkStartDelay checks that a job started in time after its acceptance and the completion of its dependencies.
 func (k *Checker) checkStartDelay(job *observedJob, now time.Duration) {
 	earliest := max(job.acceptedAt, job.readyAt)
 	if k.overlappingFaults {
@@ -408,8 +409,8 @@
 // failingJob counts the starts of a job whose tasks fail on every machine.
 type failingJob struct{ starts []time.Duration }
 
-// maxExtraStartsPerMinute is how many starts a minute a failing job may cost beyond one of each task, with owners that
-// crash and lose their count of attempts.
+// maxExtraStartsPerMinute limits the starts of a failing job per minute, beyond one for each task. It allows for owners
+// that crash and lose their count of attempts.
 const maxExtraStartsPerMinute = 20
 
 // recordStart records and checks a start of a failing job.
@@ -455,7 +456,7 @@
 	}
 }
 
-// Finish checks what must have happened by the end.
+// Finish checks what must be true at the end.
 func (k *Checker) Finish(now time.Duration) {
 	if k.faultFreeFrom != 0 {
 		k.checkJobsStarted(now)
@@ -465,8 +466,8 @@
 	}
 }
 
-// checkJobsStored checks that every accepted job is stored once, as a record or in the archive, and as its users were
-// told.
+// checkJobsStored checks that every accepted job is stored once, as a record or in the archive, and that the archive
+// agrees with what its users were told.
 func (w *Simulator) checkJobsStored() {
 	archived := w.store.archivedJobs()
 	for id, job := range w.Checker.jobs {
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -23,16 +23,16 @@
 	AuditLog       bool // the audit log is written and checked
 	BatchValues    bool // small jobs share stored values
 	Archive        bool // ended jobs move to the archive almost at once
-	// Priority classes are configured, many jobs of few shapes queue, and controllers crash all the time.
+	// Priority classes are configured, many jobs of few shapes queue, and controllers crash again and again.
 	PriorityClasses   bool
 	ReservationUsers  int           // users who reserve equipment
 	MixedVersions     bool          // one controller runs the previous version throughout
 	CancelTimeout     time.Duration // 0: 40 s
 	WorkerLease       time.Duration // lease of a worker; 0: 20 s
 	FailingJobs       int           // jobs whose tasks fail on every machine, until their users cancel them
-	OverlappingFaults bool          // faults come in pairs only, followed by a fault-free tail that shows lost state
-	FaultNames        []string      // the only faults that overlap; nil: any two of all
-	LongTasks         bool          // tasks run for up to 80 s: those of a small job end far apart
+	OverlappingFaults bool          // faults come in pairs only; a fault-free tail shows lost state
+	FaultNames        []string      // the faults that overlap; nil: all
+	LongTasks         bool          // tasks run for up to 80 s, so that those of a small job end far apart
 	QuotaLimited      bool          // every team has a maximum below its demand
 	// Jobs of one task each, submitted four a second one after the other; a quarter is cancelled.
 	SingleTaskJobs  int
@@ -145,7 +145,8 @@
 	if w.options.AuditLog {
 		cfg.Audit.Key, cfg.Audit.MaxClockErrorMS, cfg.Audit.Settings = auditKey, 500, settingsFor(n)
 		cfg.Audit.LateTxnWindow = 60 * time.Second // requests are delayed by 40 s at most
-		cfg.Audit.AggregationInterval, cfg.Audit.BlockDelay = 2*time.Second, w.randomDuration(time.Second, 8*time.Second)
+		cfg.Audit.AggregationInterval, cfg.Audit.BlockDelay = 2*time.Second,
+			w.randomDuration(time.Second, 8*time.Second)
 	}
 	if w.options.Archive {
 		cfg.History.Archive, cfg.History.MaxEndedJobs, cfg.History.CacheBytes = true, 1+int(w.options.Seed%4), 1<<10
@@ -163,7 +164,7 @@
 	return cfg
 }
 
-// addNewVersionConfig adds the settings that the previous version does not know.
+// addNewVersionConfig adds the settings that the previous version does not support.
 func (w *Simulator) addNewVersionConfig(cfg *core.Config) {
 	if w.options.PriorityClasses {
 		cfg.Scheduling.PriorityClasses = w.queueOrder.classes
--- a/internal/sim/denied_equipment.go
+++ b/internal/sim/denied_equipment.go
@@ -10,17 +10,17 @@
 	"dewlift/wire"
 )
 
-// Callers without permission replace the list of equipment again and again: every request must be denied, and no
-// write may hold their list.
+// Callers without permission try to replace the inventory of equipment again and again: every request must be denied,
+// and their inventories must never be stored.
 
 const (
-	// deniedItemName names the item of the lists that are sent without permission.
+	// deniedItemName names the item in the inventories that are sent without permission.
 	deniedItemName = "denied"
 
 	maxDeniedEditInterval = 6 * time.Second
 )
 
-// scheduleDeniedEdits schedules changes of the equipment by users who may not change it.
+// scheduleDeniedEdits schedules changes of the inventory by users who may not change it.
 func (k *reservationChecker) scheduleDeniedEdits() {
 	w := k.sim
 	w.schedule(w.randomDuration(time.Second, maxDeniedEditInterval), func() {
@@ -29,8 +29,8 @@
 	})
 }
 
-// sendDeniedEdit sends a list of equipment without permission. No answer and 503 decide nothing; any other answer
-// than 403 is a violation.
+// sendDeniedEdit sends an inventory without permission. No response and status 503 prove nothing; any other status than
+// 403 is a violation.
 func (k *reservationChecker) sendDeniedEdit() {
 	w := k.sim
 	caller := w.randomUser()
@@ -44,13 +44,13 @@
 		}
 		k.deniedEdits++
 		if response.Status != wire.StatusForbidden {
-			w.Checker.violated("let_in", "a list of equipment of %s got %d: %v",
+			w.Checker.violated("let_in", "an inventory of %s got status %d: %v",
 				caller.Identity, response.Status, response.Body)
 		}
 	})
 }
 
-// checkNoDeniedItem checks that no list of a caller without permission is stored.
+// checkNoDeniedItem checks that no inventory of a caller without permission is stored.
 func (k *reservationChecker) checkNoDeniedItem(keys map[string]*wire.KeyValue) {
 	stored := keys[reservations.KeyInventory]
 	if stored == nil {
@@ -62,7 +62,7 @@
 	}
 	for _, item := range equipment.Pieces {
 		if strings.EqualFold(item.Name, deniedItemName) {
-			k.sim.Checker.violated("let_in", "the list of a caller without permission is stored: %v", &equipment)
+			k.sim.Checker.violated("let_in", "the inventory of a caller without permission is stored: %v", &equipment)
 		}
 	}
 }
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -20,18 +20,18 @@
 )
 
 var (
-	updateDigests   = flag.Bool("update", false, "write the digests anew: behaviour was changed on purpose")
+	updateDigests   = flag.Bool("update", false, "rewrite the digests, after an intended change of behaviour")
 	digestSeedCount = flag.Int(
 		"digest-seeds",
 		0,
-		"also play so many seeds of every kind of world, and write their digests",
+		"number of seeds to run of every scenario for -digest-file; 0 writes no file",
 	)
-	digestFile = flag.String("digest-file", "digests.json", "where the digests of -digest-seeds go")
+	digestFile = flag.String("digest-file", "digests.json", "file for the digests of -digest-seeds")
 )
 
 const digestDuration = 240 * time.Second
 
-// digestScenarios are simulations of every kind.
+// digestScenarios returns simulations of every kind.
 func digestScenarios() map[string]Options {
 	out := map[string]Options{
 		"quiet": {Seed: 1, Duration: digestDuration, Jobs: 25, NoFaults: true},
@@ -69,7 +69,7 @@
 	return out
 }
 
-// outputKind returns the number of each kind of output: it stays when the Go type is renamed.
+// outputKind returns the number of an output's type. It does not depend on the name of the type.
 func outputKind(out core.Output) (kind byte, ok bool) {
 	switch out.(type) {
 	case core.Response:
@@ -100,7 +100,7 @@
 	return 0, false
 }
 
-// digester hashes outputs by their values: by the order of the fields of a type, and not by their names in Go.
+// digester hashes the values of outputs, in the order of the fields of their types, so that Go names have no influence.
 type digester struct {
 	hash *xxhash.Digest
 	buf  []byte
@@ -108,7 +108,8 @@
 
 func newDigester() *digester { return &digester{hash: xxhash.New()} }
 
-// add hashes the next output. Log lines may change, and permissions are passed by a pointer: both are left out.
+// add hashes the next output. It skips log lines, which may be reworded, and permissions, which are passed by a
+// pointer.
 func (d *digester) add(now time.Duration, node string, out core.Output) error {
 	switch out.(type) {
 	case core.LogLine, core.PermissionsChanged:
@@ -116,7 +117,7 @@
 	}
 	kind, ok := outputKind(out)
 	if !ok {
-		return fmt.Errorf("no kind of output: %T", out)
+		return fmt.Errorf("unknown type of output: %T", out)
 	}
 	d.buf = binary.BigEndian.AppendUint64(d.buf[:0], uint64(now))
 	d.text(node)
@@ -175,7 +176,7 @@
 	case reflect.Map:
 		return d.entries(v)
 	default:
-		return fmt.Errorf("a value of kind %v", v.Kind())
+		return fmt.Errorf("unsupported kind %v", v.Kind())
 	}
 	return nil
 }
@@ -231,8 +232,8 @@
 	return fmt.Sprintf("%016x %d starts", d.sum(), w.Checker.Starts)
 }
 
-// A change that is meant to keep the behaviour of controllers keeps every output of these simulations. One that is
-// meant to change it writes the digests anew: go test ./internal/sim -run Digest -update
+// A change that must not affect the behaviour of controllers must not change any output of these simulations. After an
+// intended change of behaviour, regenerate the digests with go test ./internal/sim -run Digest -update
 func TestOutputDigestsAreUnchanged(t *testing.T) {
 	const file = "testdata/digests.json"
 	want := map[string]string{}
@@ -251,7 +252,7 @@
 			if *updateDigests {
 				want[name] = got
 			} else if got != want[name] {
-				t.Errorf("%s, was %s", got, want[name])
+				t.Errorf("digest is %s, was %s", got, want[name])
 			}
 		})
 	}
@@ -359,11 +360,11 @@
 	}
 }
 
-// With -digest-seeds, the digests of many simulations are written to a file: the files of two versions that are
-// meant to behave alike are equal.
+// With -digest-seeds, the digests of many simulations are written to a file. Two versions that behave alike write equal
+// files.
 func TestWriteDigestsForSeeds(t *testing.T) {
 	if *digestSeedCount == 0 {
-		t.Skip("only with -digest-seeds")
+		t.Skip("needs -digest-seeds")
 	}
 	var mu sync.Mutex
 	digests := map[string]string{}
@@ -382,7 +383,7 @@
 	}
 }
 
-// The digest changes with any output, with their number and with their order.
+// The digest must depend on every output, and on the number and order of the outputs.
 func TestDigestDistinguishesOutputs(t *testing.T) {
 	type entry struct {
 		now  time.Duration
@@ -439,15 +440,15 @@
 		"another member": with(3, entry{2, "n1", core.CloudRequest{ID: 3, MachineNames: []string{"x", "z"}}}),
 	} {
 		if sum(other) == want {
-			t.Errorf("%s: the digest stays", name)
+			t.Errorf("%s: the digest does not change", name)
 		}
 	}
 	if again := sum(list); again != want {
-		t.Errorf("the same outputs: %x, then %x", want, again)
+		t.Errorf("the same outputs have digest %x, and then %x", want, again)
 	}
 }
 
-// Every value of every kind of output counts: the digest changes with any one of them.
+// The digest must depend on every value of every type of output.
 func TestDigestCoversEveryValue(t *testing.T) {
 	for _, out := range []core.Output{
 		core.Response{},
@@ -477,19 +478,19 @@
 				s := sum(v.Interface().(core.Output))
 				path = fmt.Sprintf("%T field %d%s", out, i, path)
 				if other, twice := seen[s]; twice || s == plain {
-					t.Errorf("%s: does not count, or as %q does", path, other)
+					t.Errorf("%s: no influence on the digest, or the same as %q", path, other)
 				}
 				seen[s] = path
 			}, "", 0)
 			if !changed {
-				t.Errorf("%T field %d: nothing of it was changed", out, i)
+				t.Errorf("%T field %d: no value of it was changed", out, i)
 			}
 		}
 	}
 }
 
-// changeValues sets each value below v in turn, calls did, and restores it.
-func changeValues(v reflect.Value, did func(path string), path string, depth int) bool {
+// changeValues sets each value below v in turn, calls onChange, and restores it. It reports whether there was any.
+func changeValues(v reflect.Value, onChange func(path string), path string, depth int) bool {
 	was := reflect.New(v.Type()).Elem()
 	was.Set(v)
 	defer v.Set(was)
@@ -508,29 +509,29 @@
 		v.Set(reflect.ValueOf("x"))
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		did(path + " set")
-		return depth > 6 || changeValues(v.Elem(), did, path, depth+1)
+		onChange(path + " set")
+		return depth > 6 || changeValues(v.Elem(), onChange, path, depth+1)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		did(path + " of one")
-		return depth > 6 || changeValues(v.Index(0), did, path+"[0]", depth+1)
+		onChange(path + " of one")
+		return depth > 6 || changeValues(v.Index(0), onChange, path+"[0]", depth+1)
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(reflect.Zero(v.Type().Key()), reflect.Zero(v.Type().Elem()))
 	case reflect.Array:
-		return changeValues(v.Index(v.Len()-1), did, path+"[]", depth+1)
+		return changeValues(v.Index(v.Len()-1), onChange, path+"[]", depth+1)
 	case reflect.Struct:
 		changed := false
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
 			if f.IsExported() && !strings.HasPrefix(f.Tag.Get("json"), "-") {
-				changed = changeValues(v.Field(i), did, fmt.Sprintf("%s.%d", path, i), depth+1) || changed
+				changed = changeValues(v.Field(i), onChange, fmt.Sprintf("%s.%d", path, i), depth+1) || changed
 			}
 		}
 		return changed
 	default:
 		return false
 	}
-	did(path)
+	onChange(path)
 	return true
 }
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -10,8 +10,9 @@
 	"dewlift/wire"
 )
 
-// Eager users poll all controllers within milliseconds after they were told that a job was accepted, has ended or is
-// cancelled, several times, and repeat the submission; some cancel at once. Other users here send invalid requests.
+// Eager users poll all controllers several times within milliseconds after a response that a job was accepted, has
+// ended or is cancelled, and repeat the submission; some cancel at once. Other users in this file send invalid
+// requests.
 
 const eagerPollRounds = 3 // polls of each controller
 
@@ -47,12 +48,12 @@
 	}
 }
 
-// resubmit submits a job, known or not, to a controller once.
+// resubmit sends the submission of a job, known or not, to a controller once.
 func (w *Simulator) resubmit(target *node, caller core.Credential, spec wire.JobSpec) {
 	w.submitOnce(target, core.SubmitJob{ID: spec.ID, Spec: spec, Caller: caller}, func(core.Response, bool) {})
 }
 
-// cancelUntilAnswered cancels a job until a controller acknowledges it or knows no such job.
+// cancelUntilAnswered cancels a job until a controller acknowledges that or knows no such job.
 func (w *Simulator) cancelUntilAnswered(caller core.Credential, id string) {
 	w.Checker.CancelRequested(id)
 	var attempt func()
@@ -84,9 +85,9 @@
 	return ids[w.rng.IntN(len(ids))], true
 }
 
-// sendInvalidRequests sends invalid requests for a while: repeated submissions of unfinished jobs with other
-// bodies, cancellations of done jobs, and submissions of jobs that are infeasible or lack a field. The last must
-// never be accepted: the checker does not know these jobs and reports them as invented.
+// sendInvalidRequests sends invalid requests for a while: repeated submissions of unfinished jobs with other bodies,
+// cancellations of done jobs, and submissions of jobs that are infeasible or lack a field. The last must never be
+// accepted: the checker does not know these jobs and reports them as invented.
 func (w *Simulator) sendInvalidRequests() {
 	w.Trace("%v invalid requests", w.now)
 	until := w.now + w.randomDuration(10*time.Second, 40*time.Second)
@@ -138,10 +139,10 @@
 	}
 }
 
-// CheckRejected checks the response to an invalid submission: it is rejected for good, or for now.
+// CheckRejected checks the response to an invalid submission: its status must be want, or 503 or 403.
 func (k *Checker) CheckRejected(what string, status, want wire.Status) {
 	if status != want && status != wire.StatusUnavailable && status != wire.StatusForbidden {
-		k.violated("unfit", "%s got %d", what, status)
+		k.violated("unfit", "%s got status %d", what, status)
 	}
 }
 
@@ -158,18 +159,18 @@
 		spec.MachineTypes = []string{"huge"}
 	case 3:
 		spec.Zone = "z"
-	case 4: // a service above the maximum of its team
+	case 4: // a service above the quota of its team
 		spec.Team, spec.Service, spec.Tasks, spec.Request = "t1", true, 100, [3]int64{1000, 0, 0}
 	}
 	return spec
 }
 
-// maxStarvation is how long after the last fault a job may wait while a feasible machine has capacity for it and
-// its team is below its maximum.
+// maxStarvation is how long after the last fault a job may wait while a feasible machine has capacity for it and its
+// team is below its quota.
 const maxStarvation = 90 * time.Second
 
-// checkStarvation looks every second for starving jobs, by the machines there are and the tasks on them, and not by
-// what a controller believes.
+// checkStarvation checks every second for starving jobs. It considers the existing machines and the tasks on them, not
+// the state of any controller.
 func (w *Simulator) checkStarvation() {
 	w.schedule(time.Second, w.checkStarvation)
 	machines := w.usableMachines()
@@ -193,8 +194,8 @@
 	freeCPU int64 // thousandths of a core
 }
 
-// usableMachines lists the machines that run, are reachable both ways, have no interruption notice and have heard
-// of a leader.
+// usableMachines lists the machines that run, are reachable both ways, have no interruption notice and have received a
+// fencing token.
 func (w *Simulator) usableMachines() (usable []usableMachine) {
 	for _, worker := range w.cloud.machines {
 		name := worker.machine.Name
@@ -206,7 +207,7 @@
 	return usable
 }
 
-// mustProgress reports whether a job has tasks left that nothing but a lack of capacity may keep from starting.
+// mustProgress reports whether a job has tasks left whose start only a lack of capacity may prevent.
 func (k *Checker) mustProgress(job *observedJob) bool {
 	if !job.accepted || job.stage != "" || k.failingJobs[job.spec.ID] != nil || job.readyAt == notReady {
 		return false
@@ -215,14 +216,15 @@
 	return tasksLeft && !k.mayBeCancelled(job) && !k.isAtQuota(&job.spec)
 }
 
-// hasFeasibleMachine reports whether one of the machines is feasible for the next task of a job and has the cores for it.
+// hasFeasibleMachine reports whether one of the machines is feasible for the next task of a job and has the cores for
+// it.
 func (k *Checker) hasFeasibleMachine(job *observedJob, machines []usableMachine) bool {
 	return slices.ContainsFunc(machines, func(candidate usableMachine) bool {
 		return candidate.freeCPU >= job.spec.Request[0] && k.isFeasible(job, candidate.machine)
 	})
 }
 
-// isAtQuota reports whether another task would exceed the maximum of its team.
+// isAtQuota reports whether another task would exceed the quota of its team.
 func (k *Checker) isAtQuota(spec *wire.JobSpec) bool {
 	quota, allocated := k.quotas[spec.Team], k.allocated[spec.Team]
 	for i := range allocated {
@@ -233,7 +235,7 @@
 	return false
 }
 
-// isFeasible reports whether the next task of a job may be placed on a machine, its capacity aside.
+// isFeasible reports whether a machine satisfies the constraints on the next task of a job, regardless of its capacity.
 func (k *Checker) isFeasible(job *observedJob, machine wire.Machine) bool {
 	spec := &job.spec
 	if !satisfiesMachineConstraints(spec, machine) {
--- a/internal/sim/fake_cloud.go
+++ b/internal/sim/fake_cloud.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	cloudPageSize = 20              // machines of a page of the list
-	cloudListLag  = 3 * time.Second // a new machine is not listed before
+	cloudPageSize = 20              // machines per page of the list
+	cloudListLag  = 3 * time.Second // age from which a machine is listed
 	// goneListedFor is how long a machine stays in the list after it has ended.
 	goneListedFor = 5 * time.Second
 )
@@ -141,7 +141,8 @@
 	c.rentals[order.IdempotencyKey] = out.MachineNames
 }
 
-// addMachine adds a machine, schedules its boot, which a few never finish, and the interruption of a spot machine.
+// addMachine adds a machine, schedules its boot, which a few machines never finish, and the interruption of a spot
+// machine.
 func (c *fakeCloud) addMachine(machine wire.Machine) {
 	w := c.sim
 	worker := &fakeWorker{
@@ -180,8 +181,8 @@
 	}
 }
 
-// isListed reports whether a machine is in the list: it is neither too new, nor returned, nor gone for long. A
-// failed one stays until it is returned.
+// isListed reports whether a machine is in the list: it must not be too new, returned, or gone for long. A failed
+// machine stays until it is returned.
 func (c *fakeCloud) isListed(worker *fakeWorker) bool {
 	age, gone := c.sim.now-worker.rentedAt, worker.gone && !worker.failed
 	return !worker.returned && age > cloudListLag && (!gone || c.sim.now-worker.goneAt < goneListedFor)
--- a/internal/sim/fake_store.go
+++ b/internal/sim/fake_store.go
@@ -16,7 +16,7 @@
 const (
 	leaseCheckInterval   = 50 * time.Millisecond
 	watchLongPollTimeout = 12 * time.Second
-	// snapshotPageSize is the number of keys of a page of a snapshot: small, so that keys change between pages.
+	// snapshotPageSize is the number of keys per page of a snapshot: small, so that keys change between pages.
 	snapshotPageSize = 20
 )
 
@@ -31,11 +31,11 @@
 	lastLeaseID    uint64
 	down           bool
 	refusedNodes   map[string]bool // controllers whose requests are refused
-	maxDelay       time.Duration   // maximum additional delay of a request
+	maxDelay       time.Duration   // maximum additional delay of a request; 0: none
 	stalledWatches map[string]bool // controllers whose watches get no response
 	watches        []*pendingWatch
 	limits         storeLimits
-	spentWrites    float64 // token bucket of the write rate, as of spentAt
+	spentWrites    float64 // used tokens of the write rate's token bucket, as of spentAt
 	spentAt        time.Duration
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// startOutage makes the store unavailable for a duration. Afterwards every lease has its full time to live again.
+// startOutage makes the store unavailable for a duration. Afterwards the TTL of every lease starts anew.
 func (s *fakeStore) startOutage(duration time.Duration) {
 	if s.down {
 		return
@@ -257,7 +257,7 @@
 	}
 }
 
-// watchOnce returns the events that there are.
+// watchOnce returns the events that there are already.
 func (s *fakeStore) watchOnce(node string, request core.Watch) core.WatchResult {
 	if s.isUnavailable(node) {
 		return core.WatchResult{Status: wire.StatusUnavailable}
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -23,7 +23,7 @@
 	attempt    uint64
 	stage      string
 	cause      string
-	generation int // counts changes, so that earlier timers do nothing
+	generation int // counts changes, so that timers set before a change do nothing
 }
 
 // fakeWorker is a fake of a machine with its agent.
@@ -35,7 +35,7 @@
 	up                bool
 	gone              bool
 	failed            bool
-	returned          bool          // by a controller
+	returned          bool          // a controller scaled it in
 	hungUntil         time.Duration // the machine is suspended until then
 	incarnation       uint64
 	seq               uint64
@@ -60,12 +60,12 @@
 	m.leaseCheckLoop()
 }
 
-// hangFor suspends the machine for a duration; commands that reach it meanwhile are executed afterwards.
+// hangFor suspends the machine for a duration; commands that arrive meanwhile are executed afterwards.
 func (m *fakeWorker) hangFor(duration time.Duration) {
 	m.hungUntil = max(m.hungUntil, m.sim.now+duration)
 }
 
-// returnToCloud is the end of the rental by a controller.
+// returnToCloud ends the rental when a controller scales the machine in.
 func (m *fakeWorker) returnToCloud() {
 	m.returned = true
 	if !m.gone {
@@ -88,7 +88,7 @@
 	m.gone, m.up, m.goneAt = true, false, m.sim.now
 }
 
-// reclaimSpot is the interruption of a spot machine by the cloud, mostly with notice.
+// reclaimSpot interrupts a spot machine, mostly with notice.
 func (m *fakeWorker) reclaimSpot() {
 	if m.gone {
 		return
@@ -116,15 +116,15 @@
 	return keys
 }
 
-// reportTaskStopped tells the checker that a task, if it ran, runs no longer.
+// reportTaskStopped tells the checker that a task no longer runs, if it ran.
 func (m *fakeWorker) reportTaskStopped(task *fakeTask) {
 	if task.stage == wire.TaskRunning || task.stage == wire.TaskCheckpointing {
 		m.sim.Checker.TaskStopped(task.job, task.task, m.machine.Name)
 	}
 }
 
-// leaseCheckLoop stops all tasks and begins a new incarnation when no heartbeat was acknowledged for a lease:
-// controllers may start the tasks elsewhere from then on.
+// leaseCheckLoop stops all tasks and begins a new incarnation if no heartbeat was acknowledged for the duration of a
+// lease: controllers may start the tasks elsewhere from then on.
 func (m *fakeWorker) leaseCheckLoop() {
 	if m.gone {
 		return
@@ -176,8 +176,8 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat to the current controller, one at a time. Without a good response the next
-// controller gets one after a second.
+// sendHeartbeat sends a heartbeat to the current controller, one at a time. Without a successful response, it sends one
+// to the next controller after a second.
 func (m *fakeWorker) sendHeartbeat() {
 	w := m.sim
 	if m.gone || m.heartbeatInFlight || w.now < m.hungUntil {
@@ -234,7 +234,7 @@
 	m.executeCommands(body.Commands)
 }
 
-// handleCommands executes commands that a controller sent directly; a suspended machine does so when it resumes.
+// handleCommands executes commands that a controller sent directly. A suspended machine executes them when it resumes.
 func (m *fakeWorker) handleCommands(batch wire.CommandBatch) (wire.Status, *wire.Heartbeat) {
 	if m.gone || !m.up {
 		return wire.StatusNoAnswer, nil
@@ -280,7 +280,7 @@
 	task.generation++
 }
 
-// startTask admits a task and pulls its image; then it runs.
+// startTask admits a task, pulls its image and runs it.
 func (m *fakeWorker) startTask(key string, command wire.Command) {
 	jobID, index, _ := wire.SplitTaskName(command.Task)
 	task := &fakeTask{job: jobID, task: index, attempt: command.Attempt, stage: wire.TaskPullingImage}
@@ -320,7 +320,7 @@
 	return false
 }
 
-// runTask runs a task whose image is there, and schedules its end.
+// runTask runs a task whose image is pulled, and schedules its end.
 func (m *fakeWorker) runTask(task *fakeTask, job *observedJob) {
 	w := m.sim
 	m.images[job.spec.Image] = true
@@ -354,7 +354,7 @@
 	})
 }
 
-// completeTask ends a task that has run for its time: with success, or a rare error.
+// completeTask ends a task after its runtime, with success or rarely with an error.
 func (m *fakeWorker) completeTask(task *fakeTask, job *observedJob) {
 	w := m.sim
 	if !w.options.NoFaults && w.chance(0.02) {
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// injectFault injects one random fault. The number and order of the random draws are part of every seed's run.
+// injectFault injects one random fault. The number and order of its random draws determine the run of every seed.
 func (w *Simulator) injectFault() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	duration := w.randomDuration(2*time.Second, 25*time.Second)
@@ -80,7 +80,7 @@
 	}
 }
 
-// hangRandomMachine stops a machine for a duration.
+// hangRandomMachine suspends a machine for a duration.
 func (w *Simulator) hangRandomMachine(duration time.Duration) {
 	if worker := w.cloud.randomMachine(); worker != nil {
 		w.Trace("%v machine %s hangs for %v", w.now, worker.machine.Name, duration)
@@ -110,8 +110,7 @@
 	}
 }
 
-// injectFlap crashes a controller around one of its writes now and then, and executes some writes a second time,
-// late.
+// injectFlap sometimes crashes a controller around one of its writes, and executes some writes a second time, late.
 func (w *Simulator) injectFlap(n *node, txn wire.Txn) {
 	if w.now > w.options.Duration-flapFreeTail {
 		return
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -14,8 +14,8 @@
 	cloudAddress = "cloud"
 )
 
-// send delivers a message after a random network delay. It is lost if nothing may reach the receiver, and queued
-// while the two are partitioned.
+// send delivers a message after a random network delay. The message is lost if the receiver's inbound traffic is
+// blocked, and queued while the two are partitioned.
 func (w *Simulator) send(from, to string, deliver func()) {
 	link := [2]string{from, to}
 	w.schedule(w.randomDuration(500*time.Microsecond, cmp.Or(w.options.MaxNetworkDelay, 5*time.Millisecond)), func() {
@@ -37,9 +37,9 @@
 	delay    time.Duration // before the request leaves the caller
 }
 
-// rpc carries a request to a server and its outcome back. execute returns the delay of the response; below 0 the
-// response is lost. Without a response before the timeout the caller gives up, and the request may still be executed
-// later: cores must survive that.
+// rpc carries a request to a server and its outcome back. execute returns the delay of the response; if it is negative
+// the response is lost. Without a response before the timeout the caller gives up. The request may still be executed
+// later, which cores must tolerate.
 func (w *Simulator) rpc(request rpcRequest, execute func() (responseDelay time.Duration), done func(ok bool)) {
 	finished := false
 	finish := func(ok bool) {
@@ -66,7 +66,7 @@
 	})
 }
 
-// call is an rpc whose outcome is an input of the caller's core: what execute returned, or failed after a timeout.
+// call is an rpc whose outcome is an input of the caller's core: the result of execute, or failed after a timeout.
 func (w *Simulator) call(request rpcRequest, failed core.Input, execute func() core.Input, deliver func(core.Input)) {
 	var result core.Input
 	w.rpc(request, func() time.Duration {
--- a/internal/sim/outputs.go
+++ b/internal/sim/outputs.go
@@ -14,8 +14,8 @@
 	cloudTimeout = 4 * time.Second
 )
 
-// Shares of requests that are executed seconds late, see randomDelay. Transactions that are rare elsewhere have
-// higher shares, so that a test meets their late copies at all.
+// Shares of requests that are executed seconds late, see randomDelay. Rare transactions have higher shares, so that
+// tests exercise their late execution too.
 const (
 	lateCommitShare            = 0.01
 	lateAuditCommitShare       = 0.06
@@ -26,8 +26,8 @@
 	lateCloudShare             = 0.02
 )
 
-// performOutput carries out one output of a controller's core. Its outcome comes back as an input, unless the process
-// has ended meanwhile.
+// performOutput carries out one output of a controller's core. The outcome comes back as an input, unless the process
+// has ended by then.
 func (w *Simulator) performOutput(n *node, output core.Output) {
 	w.OnOutput(n.name, output)
 	incarnation := n.incarnation
@@ -97,7 +97,7 @@
 	}
 }
 
-// commitTxn sends a transaction to the store, and crashes its sender now and then while it is under way.
+// commitTxn sends a transaction to the store, and sometimes crashes its sender while it is in flight.
 func (w *Simulator) commitTxn(n *node, output core.CommitTxn, deliver func(core.Input)) {
 	result := core.TxnResult{ID: output.ID}
 	w.checkWrittenSchema(n, output.Txn)
@@ -135,7 +135,7 @@
 	})
 }
 
-// sendCommands sends commands to an agent. The sender can't tell whether they arrived if there is no response.
+// sendCommands sends commands to an agent. Without a response, the sender can't tell whether they arrived.
 func (w *Simulator) sendCommands(n *node, output core.SendCommands, deliver func(core.Input)) {
 	worker := w.cloud.find(output.Machine)
 	failed := core.CommandsResult{ID: output.ID, MaybeDelivered: true}
@@ -164,7 +164,7 @@
 	}, deliver)
 }
 
-// randomDelay delays a share of requests by seconds: they are executed after their sender gave up.
+// randomDelay delays a share of requests by seconds, so that they are executed after their sender gave up.
 func (w *Simulator) randomDelay(share float64) time.Duration {
 	if !w.options.NoFaults && w.chance(share) {
 		return w.randomDuration(2*time.Second, 40*time.Second)
--- a/internal/sim/overlapping_faults.go
+++ b/internal/sim/overlapping_faults.go
@@ -10,8 +10,8 @@
 	"dewlift/wire"
 )
 
-// Overlapping faults: most rules that were violated on real machines were violated when a second fault began while
-// the first lasted. Simulations of this kind have pairs of faults only.
+// Overlapping faults: most violations of rules on real machines occurred when a second fault began while the first
+// lasted. These simulations inject faults in pairs only.
 
 const (
 	// overlapFreeTail is how long before the end the last pair of faults may begin.
@@ -44,8 +44,8 @@
 	}
 }
 
-// faultsByName returns all faults. Their names are part of every seed's run: faults are drawn in the order of the
-// names.
+// faultsByName returns all faults. Faults are drawn in the order of their names, so the names determine the run of
+// every seed.
 func (w *Simulator) faultsByName() map[string]func() {
 	return map[string]func(){
 		"refused, then all":    w.refuseThenOutage,
@@ -99,8 +99,8 @@
 	return w.anyNode()
 }
 
-// refuseThenOutage has the store refuse one or two controllers, and then be down for all, often for longer than the
-// cancel timeout.
+// refuseThenOutage has the store refuse one or two controllers, and then be down for all controllers, often for longer
+// than the cancel timeout.
 func (w *Simulator) refuseThenOutage() {
 	for range 1 + w.rng.IntN(2) {
 		n := w.randomNode()
@@ -114,8 +114,7 @@
 	})
 }
 
-// isolateFromStoreAndPeers partitions a controller from the store and its peers, while its workers and users reach
-// it.
+// isolateFromStoreAndPeers partitions a controller from the store and its peers; workers and users still reach it.
 func (w *Simulator) isolateFromStoreAndPeers() {
 	n, duration := w.randomNode(), w.randomDuration(5*time.Second, w.options.CancelTimeout+30*time.Second)
 	w.Trace("%v %s isolated from store and peers for %v", w.now, n.name, duration)
@@ -181,7 +180,7 @@
 	}
 }
 
-// hangMachines suspends machines; they resume with what arrived meanwhile.
+// hangMachines suspends machines. When they resume, they process what arrived meanwhile.
 func (w *Simulator) hangMachines() {
 	w.Trace("%v machines hang", w.now)
 	for range 3 {
@@ -199,14 +198,14 @@
 	w.schedule(w.randomDuration(5*time.Second, 60*time.Second), func() { delete(w.store.stalledWatches, n.name) })
 }
 
-// pauseController suspends a controller's process; it resumes with what arrived meanwhile.
+// pauseController suspends a controller's process. When it resumes, it processes what arrived meanwhile.
 func (w *Simulator) pauseController() {
 	n, duration := w.randomNode(), w.randomDuration(time.Second, 70*time.Second)
 	w.Trace("%v %s is paused for %v", w.now, n.name, duration)
 	n.pausedUntil = w.now + duration
 }
 
-// slowStore delays all requests to the store by up to seconds.
+// slowStore delays all requests to the store, by up to three seconds.
 func (w *Simulator) slowStore() {
 	w.Trace("%v slow store", w.now)
 	w.store.maxDelay = w.randomDuration(500*time.Millisecond, 3*time.Second)
@@ -225,7 +224,7 @@
 	}
 }
 
-// loseCommitResponses executes all transactions at once, and delays or loses a share of their responses.
+// loseCommitResponses delays or loses the responses to a share of all transactions, which are executed without delay.
 func (w *Simulator) loseCommitResponses() {
 	w.Trace("%v lost commit responses", w.now)
 	until, share := w.now+w.randomDuration(5*time.Second, 25*time.Second), 0.1+0.4*w.rng.Float64()
@@ -300,7 +299,7 @@
 	maxHungInBurst = 8
 )
 
-// cancelBurst cancels running jobs within a fifth of a second, while some of their machines hang.
+// cancelBurst cancels running jobs within 200 ms, while some of their machines hang.
 func (w *Simulator) cancelBurst() {
 	running := w.acceptedJobsWhere(func(job *observedJob) bool { return job.runningTasks > 0 && !job.cancelRequested })
 	hangTime := time.Duration(0)
@@ -340,7 +339,7 @@
 	w.eagerPollsUntil = w.now + w.randomDuration(10*time.Second, 40*time.Second)
 }
 
-// replaceMachinesFast fails machines; those rented in their place boot within two seconds.
+// replaceMachinesFast fails machines. The machines that replace them boot within two seconds.
 func (w *Simulator) replaceMachinesFast() {
 	w.Trace("%v machines fail, new ones boot at once", w.now)
 	w.fastBootsUntil = w.now + w.randomDuration(10*time.Second, 40*time.Second)
@@ -378,7 +377,8 @@
 	downtime := w.randomDuration(w.options.WorkerLease, w.options.WorkerLease+20*time.Second)
 	first := w.rng.IntN(len(w.nodes))
 	w.Trace("%v all are down for %v, %s restarts first", w.now, downtime, w.nodes[first].name)
-	// No controller can scale in a machine that hangs longer: it resumes, and its lease has expired by then.
+	// No controller is up to scale in a machine that hangs for longer, so each machine resumes after at most a lease,
+	// and its own lease has expired by then.
 	for _, worker := range w.cloud.machines {
 		worker.hungUntil = min(worker.hungUntil, w.now+w.options.WorkerLease)
 	}
@@ -391,7 +391,8 @@
 	}
 }
 
-// crashTenLeaders crashes the leader ten times in two minutes, sometimes with an outage of the store meanwhile.
+// crashTenLeaders crashes the leader ten times in two minutes, in half of the cases with an outage of the store
+// meanwhile.
 func (w *Simulator) crashTenLeaders() {
 	w.Trace("%v ten leaders crash", w.now)
 	if w.chance(0.5) {
@@ -415,8 +416,8 @@
 	}
 }
 
-// failoverThenCancel moves a controller's shards to others by the expiry of its lease, while its process goes on, and
-// cancels jobs meanwhile.
+// failoverThenCancel has a controller lose its lease and its shards to others while its process continues, and cancels
+// jobs meanwhile.
 func (w *Simulator) failoverThenCancel() {
 	n := w.randomNode()
 	w.Trace("%v failover from %s", w.now, n.name)
@@ -439,7 +440,7 @@
 		Archive:           seed%4 == 0,
 		Pipelines:         int(seed % 3),
 	}
-	if seed%7 == 0 { // within an upgrade, when users do not ask for new features yet
+	if seed%7 == 0 { // during an upgrade, before users use new features
 		options.MixedVersions, options.Pipelines = true, 0
 	}
 	return options
--- a/internal/sim/permissions.go
+++ b/internal/sim/permissions.go
@@ -11,7 +11,7 @@
 	"dewlift/wire"
 )
 
-// permissionView is what the administrator knows of a user's permission.
+// permissionView is what the administrator knows about a user's permission.
 type permissionView struct {
 	granted     bool
 	confirmed   bool // the last change was acknowledged, and none is in progress
@@ -28,8 +28,8 @@
 	k.permissions[user] = permissionView{granted: granted, confirmed: true, confirmedAt: now}
 }
 
-// CheckAuthorized checks a request that was sent at sentAt and succeeded: the acknowledged state of the user's
-// permission must not have been revoked before.
+// CheckAuthorized checks a request that was sent at sentAt and succeeded: no revocation of the user's permission may
+// have been acknowledged before.
 func (k *Checker) CheckAuthorized(sentAt time.Duration, user, verb, id string) {
 	view := k.permissions[user]
 	if view.confirmed && !view.granted && view.confirmedAt < sentAt {
@@ -54,7 +54,7 @@
 	return core.Credential{Identity: user, KeyID: "key-" + user}
 }
 
-// initialPolicy returns the policy that a simulation starts with: every user may do everything with jobs, root may
+// initialPolicy returns the policy that a simulation starts with: every user may do everything with jobs, and root may
 // change permissions.
 func initialPolicy() *access.Policy {
 	verbs := []pb.Verb{pb.Verb_submit, pb.Verb_read, pb.Verb_cancel, pb.Verb_prioritise, pb.Verb_book}
@@ -135,8 +135,8 @@
 	})
 }
 
-// checkPermission checks a response by the caller's permission. It returns false if the response says nothing about
-// the job, as the caller may not have been permitted to see it.
+// checkPermission checks the status of a response against the caller's permission. It returns false if the response
+// says nothing about the job, because the caller may not have been permitted to see it.
 func (w *Simulator) checkPermission(
 	caller core.Credential,
 	sentAt time.Duration,
@@ -152,7 +152,7 @@
 	}
 	surelyGranted := w.Checker.isSurelyGranted(sentAt, caller.Identity)
 	if status == wire.StatusForbidden && surelyGranted {
-		w.Checker.violated("shut_out", "%s of %s by %s, who is permitted", verb, id, caller.Identity)
+		w.Checker.violated("shut_out", "%s of %s was denied to %s, who is permitted", verb, id, caller.Identity)
 	}
 	return status != wire.StatusForbidden && surelyGranted
 }
--- a/internal/sim/pipelines.go
+++ b/internal/sim/pipelines.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// pipelinesStartAt returns when users begin to submit pipelines. In an upgrade that is after every process runs the
-// new version, as the previous one does not know dependencies.
+// pipelinesStartAt returns when users begin to submit pipelines. In an upgrade they wait until every process runs the
+// new version, as the previous one does not support dependencies.
 func (w *Simulator) pipelinesStartAt() time.Duration {
 	if !w.options.RollingUpgrade {
 		return 0
@@ -20,8 +20,8 @@
 	ids  []string // jobs submitted so far
 }
 
-// submitPipeline submits a pipeline of a random shape: one root or several, stages that depend on some or all of
-// the jobs before, and a last job that may be submitted late. Some of its jobs are cancelled, as any job.
+// submitPipeline submits a pipeline of a random shape: one root or several, stages that depend on some or all of the
+// jobs before, and a last job that may be submitted late. Its jobs may be cancelled like any other.
 func (w *Simulator) submitPipeline() {
 	if w.options.RollingUpgrade && w.previousVersionMayRun() {
 		w.schedule(time.Second, w.submitPipeline) // an upgraded process has not restarted yet
@@ -35,7 +35,7 @@
 	p.submitNext()
 }
 
-// submitNext submits the next job, and continues once that is accepted.
+// submitNext submits the next job, and continues once it is accepted.
 func (p *pipeline) submitNext() {
 	if len(p.ids) == p.size {
 		return
--- a/internal/sim/queue_order.go
+++ b/internal/sim/queue_order.go
@@ -13,8 +13,8 @@
 	"dewlift/wire"
 )
 
-// queueOrderChecker follows the queue by the store's own order of acceptances and the jobs' records, apart from what
-// controllers believe.
+// queueOrderChecker tracks the queue from the order of acceptances in the store and from the jobs' records. It does not
+// depend on the state of any controller.
 type queueOrderChecker struct {
 	sim        *Simulator
 	classes    *priorityclass.List
@@ -33,12 +33,12 @@
 }
 
 const (
-	// crashSettleTime is how long after a crash the order of starts is not checked, see crashedShortlyBefore.
+	// crashSettleTime is how long after a crash the order of starts is not checked; see crashedShortlyBefore.
 	crashSettleTime = 12 * time.Second
-	// minAcceptGap is the smallest difference of acceptance times that is checked: controllers exchange the heads
-	// of their queues twice a second and compare waiting times by 3 s.
+	// minAcceptGap is the smallest difference between acceptance times that is checked: controllers exchange the heads
+	// of their queues twice a second, and treat waiting times that differ by less than 3 s as equal.
 	minAcceptGap = 5 * time.Second
-	// maxOvertakeDelay is for how long a later job of the same class and shape may be ahead: meanwhile a crashed
+	// maxOvertakeDelay is how long a job may start after a later one of its class and shape. Meanwhile a crashed
 	// controller is replaced, and its shards are taken over, read and written.
 	maxOvertakeDelay = 75 * time.Second
 )
@@ -70,7 +70,7 @@
 	}
 }
 
-// jobWritten checks that a job keeps its priority class and its position.
+// jobWritten records a job's record and checks that the job keeps its priority class and its position.
 func (o *queueOrderChecker) jobWritten(id string, record *jobrecord.Record, revision uint64) {
 	job := o.jobs[id]
 	if job == nil {
@@ -83,7 +83,7 @@
 		o.jobs[id] = job
 	} else if record.Spec != nil &&
 		(record.PriorityClass != job.priorityClass || record.EnqueueRevision != job.enqueueRevision) {
-		o.sim.Checker.violated("demoted", "%s was accepted into priority class %q as %d and is in %q as %d",
+		o.sim.Checker.violated("demoted", "%s was accepted into priority class %q at revision %d, is now in %q at %d",
 			id, job.priorityClass, job.enqueueRevision, record.PriorityClass, record.EnqueueRevision)
 	}
 	job.ended = record.Spec == nil || record.Stage != jobrecord.Queued
@@ -96,8 +96,7 @@
 	}
 }
 
-// checkOvertaking checks that no job started long before an earlier one of its class and shape, which could have
-// started.
+// checkOvertaking checks that no job started long before an earlier one of its class and shape that could have started.
 func (o *queueOrderChecker) checkOvertaking() {
 	ids := slices.Sorted(maps.Keys(o.jobs))
 	for _, id := range ids {
@@ -110,7 +109,7 @@
 			startedLate := earlier.startedAt != 0 && earlier.startedAt-later.startedAt > maxOvertakeDelay
 			overdue := earlier.startedAt == 0 && o.sim.now-later.startedAt > maxOvertakeDelay
 			if startedLate || overdue {
-				o.sim.Checker.violated("jumped", "%s (%d) started at %v, %s (%d) before it in priority class %q at %v",
+				o.sim.Checker.violated("jumped", "%s (%d) started at %v, the earlier %s (%d) of class %q at %v",
 					otherID, later.enqueueRevision, later.startedAt,
 					id, earlier.enqueueRevision, earlier.priorityClass, earlier.startedAt)
 			}
@@ -118,8 +117,8 @@
 	}
 }
 
-// mustStartInOrder reports whether the start of a job implies that the other, accepted well before it, could start
-// too.
+// mustStartInOrder reports whether the start of the later job implies that the other, which was accepted well before
+// it, could start too.
 func (o *queueOrderChecker) mustStartInOrder(earlier, later *queuedJob) bool {
 	if earlier.priorityClass != later.priorityClass || !sameShape(&earlier.spec, &later.spec) {
 		return false
@@ -134,15 +133,15 @@
 	return !endedUnstarted
 }
 
-// crashedShortlyBefore reports whether a controller crashed shortly before: one that starts knows neither the
-// cluster state nor what waits at the others, and chooses machines at random, as in the paper.
+// crashedShortlyBefore reports whether a controller crashed shortly before. A controller that starts knows neither the
+// cluster state nor the queues of the others, and chooses machines at random.
 func (o *queueOrderChecker) crashedShortlyBefore(at time.Duration) bool {
 	return slices.ContainsFunc(o.crashTimes, func(crashedAt time.Duration) bool {
 		return crashedAt <= at && at < crashedAt+crashSettleTime
 	})
 }
 
-// sameShape reports whether two jobs could use the same capacity.
+// sameShape reports whether two jobs can use the same capacity.
 func sameShape(a, b *wire.JobSpec) bool {
 	return a.Request == b.Request && a.Spot == b.Spot && a.Service == b.Service && a.Team == b.Team &&
 		a.Priority == b.Priority
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -17,8 +17,9 @@
 	"dewlift/wire"
 )
 
-// reservationChecker holds the equipment of a simulation, what its users were told of reservations, and what is
-// stored. It checks what is stored after each write with code of its own that compares every pair of reservations.
+// reservationChecker holds the equipment of a simulation, what its users were told about reservations, and what is
+// stored. After each write it checks the stored reservations independently of the core, by comparing every pair of
+// them.
 type reservationChecker struct {
 	sim              *Simulator
 	inventory        *booking.Inventory
@@ -26,26 +27,26 @@
 	views            map[string]reservationView
 	requested        map[string][][]string // by reservation: all sets of slots that it was ever requested with
 	endRequested     map[string]bool
-	equipmentChanged bool                  // the inventory was changed, which may end reservations
+	equipmentChanged bool                  // displaced reservations may have ended
 	history          []porcupine.Operation // of single slots, see CheckLinearizable
-	stateCounts      map[string]int        // reservations that reached a state; shows that a run was not idle
+	stateCounts      map[string]int        // reservations by state that they reached; shows that a run was not idle
 	lastClientID     int
 
 	archived   int // reservations in archive blocks
 	pages      int // stored values with reservations
-	pageMerges int // times their number fell
+	pageMerges int // how often their number fell
 
-	deniedEdits int // changes of the inventory without permission that were decided
+	deniedEdits int // requests to change the inventory without permission that got a final response
 }
 
-// reservationView is what users know of a reservation.
+// reservationView is what users know about a reservation.
 type reservationView struct {
 	state      string
-	reportedAt time.Duration // when a user was first told of the state
+	reportedAt time.Duration // when the state was first reported to a user
 }
 
-// parseEquipment returns the inventory of a simulation: a kiln that has to cool, two equal kilns and a roaster,
-// always open, and more in the inventory's text form.
+// parseEquipment returns the inventory of a simulation: a kiln with a cooling time, two equal kilns and a roaster,
+// always open, and the items in more, in the inventory's text form.
 func parseEquipment(more string) *booking.Inventory {
 	inventory, err := booking.Parse([]byte(`pieces { name: "k1" kind: "kiln" slot_minutes: 60 cool_minutes: 30 }
 pieces { name: "k2" kind: "kiln" units: 2 slot_minutes: 60 }
@@ -75,7 +76,7 @@
 	})
 }
 
-// occupiesSlots reports whether a reservation keeps others from its slots.
+// occupiesSlots reports whether a reservation blocks its slots for others.
 func occupiesSlots(b *pb.Booking) bool {
 	return b != nil && (b.State == pb.BookingState_held || b.State == pb.BookingState_confirmed)
 }
@@ -147,13 +148,13 @@
 	}
 }
 
-// checkNoneLost checks that no reservation is lost or older, and that none leaves a final state.
+// checkNoneLost checks that no reservation is lost or reset to an earlier change, and that none leaves a final state.
 func (k *reservationChecker) checkNoneLost(before, after map[string]*pb.Booking) {
-	broken := k.sim.Checker.violated
+	violated := k.sim.Checker.violated
 	for _, id := range slices.Sorted(maps.Keys(before)) {
 		previous, current := before[id], after[id]
 		if current == nil || current.Change < previous.Change {
-			broken("booking_lost", "%s was stored as %v and is %v", id, previous, current)
+			violated("booking_lost", "%s was stored as %v and is %v", id, previous, current)
 			continue
 		}
 		if current.State == previous.State {
@@ -162,14 +163,14 @@
 		mayEnd := current.State == pb.BookingState_ended && (k.endRequested[id] || k.equipmentChanged)
 		switch {
 		case previous.State == pb.BookingState_ended:
-			broken("booking_back", "%s had ended and is %s", id, current.State)
+			violated("booking_back", "%s had ended and is %s", id, current.State)
 		case previous.State == pb.BookingState_confirmed && !mayEnd:
-			broken("booking_back", "%s was confirmed and is %s, nobody asked for it", id, current.State)
+			violated("booking_back", "%s was confirmed and is %s, but nobody requested that", id, current.State)
 		}
 	}
 }
 
-// checkNotDoubleBooked checks that a reservation overlaps neither itself nor one of others.
+// checkNotDoubleBooked checks that a reservation overlaps neither itself nor another one.
 func (k *reservationChecker) checkNotDoubleBooked(b *pb.Booking, others []string, stored map[string]*pb.Booking) {
 	for _, id := range others {
 		if other := stored[id]; occupiesSlots(other) && k.overlap(b, other) {
@@ -178,9 +179,8 @@
 	}
 }
 
-// checkNotOvertaken replays changes in the order in which they were decided: no reservation that ranks lower may
-// get slots while the waiting one could have had what it waits for, and the waiting one may not have it afterwards
-// either.
+// checkNotOvertaken replays changes in the order in which they were decided: no reservation of lower rank may get slots
+// while the waiting one could have its slots, and afterwards the waiting one must not be able to have them either.
 func (k *reservationChecker) checkNotOvertaken(
 	waiting *pb.Booking,
 	before, after map[string]*pb.Booking,
@@ -191,18 +191,18 @@
 		ranksLower := granted.Rank > waiting.Rank || granted.Rank == waiting.Rank && granted.Made > waiting.Made
 		getsSlots := occupiesSlots(granted) && !occupiesSlots(before[granted.Id])
 		if ranksLower && getsSlots && k.couldReserve(state, waiting) {
-			k.sim.Checker.violated("overtaken", "%v could have what it waits for when %v got its slots",
+			k.sim.Checker.violated("overtaken", "%v could have had its slots when %v got slots",
 				waiting, granted)
 		}
 		state[granted.Id] = granted
 	}
 	if k.couldReserve(after, waiting) && !k.equipmentChanged {
-		k.sim.Checker.violated("overtaken", "%v could have what it waits for", waiting)
+		k.sim.Checker.violated("overtaken", "%v waits but could have its slots", waiting)
 	}
 }
 
-// overlap reports whether two reservations have a unit at the same time; of one reservation, whether it has a unit
-// twice.
+// overlap reports whether two reservations occupy the same unit at the same time or, for a reservation and itself,
+// whether two of its slots do.
 func (k *reservationChecker) overlap(a, b *pb.Booking) bool {
 	for i, x := range a.Slots {
 		for j, y := range b.Slots {
@@ -214,18 +214,18 @@
 	return false
 }
 
-// checkComplete checks that a reservation has all that was requested at one time.
+// checkComplete checks that a reservation has exactly a set of slots that was requested for it.
 func (k *reservationChecker) checkComplete(b *pb.Booking) {
 	var has []string
 	for _, slot := range b.Slots {
 		has = append(has, fmt.Sprintf("%s %d %d", k.inventory.ItemKind(slot.Piece), slot.From, slot.To))
 	}
 	if !slices.ContainsFunc(k.requested[b.Id], func(set []string) bool { return slices.Equal(set, has) }) {
-		k.sim.Checker.violated("half_booked", "%v has %v, requested was %v", b, has, k.requested[b.Id])
+		k.sim.Checker.violated("half_booked", "%v has %v, but %v was requested", b, has, k.requested[b.Id])
 	}
 }
 
-// couldReserve reports whether a reservation that waits for one future slot could have it beside others.
+// couldReserve reports whether a reservation that waits for one future slot could have it, given the others.
 func (k *reservationChecker) couldReserve(others map[string]*pb.Booking, b *pb.Booking) bool {
 	if len(b.Wants) != 1 || b.Wants[0].From <= k.unixSeconds() {
 		return false
@@ -261,7 +261,7 @@
 	return true
 }
 
-// unixSeconds is a lower bound of the wall clock of all controllers.
+// unixSeconds returns a lower bound of the wall clocks of all controllers.
 func (k *reservationChecker) unixSeconds() int64 {
 	return startUnixMS/1000 + int64(k.sim.now.Seconds()) - 1
 }
@@ -271,10 +271,10 @@
 func (k *reservationChecker) checkResponse(sentAt time.Duration, id string, response core.Response) *wire.Reservation {
 	body, _ := response.Body.(wire.ReservationResponse)
 	view, known := k.views[id]
-	isLater := sentAt >= view.reportedAt // than what users were told
-	broken := k.sim.Checker.violated
+	isLater := sentAt >= view.reportedAt // the request was sent after the last report
+	violated := k.sim.Checker.violated
 	if response.Status == wire.StatusNotFound && known && isLater {
-		broken("booking_lost", "%s was reported %s and is unknown", id, view.state)
+		violated("booking_lost", "%s was reported %s and is unknown", id, view.state)
 	}
 	current := body.Reservation
 	if current == nil || current.ID != id || response.Status >= 300 && response.Status != wire.StatusConflict {
@@ -283,13 +283,13 @@
 	if known && isLater {
 		switch {
 		case view.state == "ended" && current.State != view.state:
-			broken("booking_back", "%s was reported ended and is %s", id, current.State)
+			violated("booking_back", "%s was reported ended and is %s", id, current.State)
 		case view.state == "confirmed" && (current.State == "held" || current.State == "waiting"):
-			broken("booking_back", "%s was reported confirmed and is %s", id, current.State)
+			violated("booking_back", "%s was reported confirmed and is %s", id, current.State)
 		}
 	}
 	if k.lastStored[id] == nil {
-		broken("booking_lost", "%s is reported %s and is not stored", id, current.State)
+		violated("booking_lost", "%s is reported %s and is not stored", id, current.State)
 	}
 	if !known || view.state != current.State && isLater {
 		k.views[id] = reservationView{current.State, k.sim.now}
@@ -317,7 +317,7 @@
 // reservationTimeout is how long a user waits for a response about a reservation.
 const reservationTimeout = 2 * time.Second
 
-// requestUntilDecided repeats a request about a reservation until a response decides it.
+// requestUntilDecided repeats a request about a reservation until it gets a final response.
 func (k *reservationChecker) requestUntilDecided(
 	id string,
 	newInput func(requestID uint64) core.Input,
@@ -340,12 +340,12 @@
 	})
 }
 
-// formatTime formats a time in Unix seconds as requests have it.
+// formatTime formats Unix seconds as requests have them.
 func (k *reservationChecker) formatTime(unixSeconds int64) string {
 	return time.Unix(unixSeconds, 0).UTC().Format(time.RFC3339)
 }
 
-// hourAfterStart returns the Unix seconds of a full hour after the start of the simulation.
+// hourAfterStart returns, in Unix seconds, a full hour after the start of the simulation.
 func hourAfterStart(hours int64) int64 { return (startUnixMS/1000/3600 + hours) * 3600 }
 
 // randomSlotRequests draws one slot or a few, close together, so that many users want the same.
@@ -374,7 +374,7 @@
 func (k *reservationChecker) recordRequested(id string, slots []wire.SlotRequest) {
 	wants, err := reservations.ResolveWants(k.inventory, slots, "")
 	if err != nil {
-		panic(err) // all wants are valid
+		panic(err) // all requested slots are valid
 	}
 	var set []string
 	for _, want := range wants {
@@ -388,8 +388,8 @@
 	k.requested[id] = append(k.requested[id], set)
 }
 
-// scheduleReservationUsers schedules users who reserve the same few hours of the same equipment, repeat requests,
-// move, confirm, end and list.
+// scheduleReservationUsers schedules users who reserve the same few hours of the same equipment, repeat requests, and
+// move, confirm, end and list reservations.
 func (w *Simulator) scheduleReservationUsers() {
 	k := w.reservations
 	for i := range w.options.ReservationUsers {
@@ -405,7 +405,7 @@
 	if w.options.Permissions {
 		k.scheduleDeniedEdits()
 	}
-	if w.options.ReservationUsers > 20 { // a kiln goes out of order, and is back later
+	if w.options.ReservationUsers > 20 { // an out-of-order kiln is added, and removed later
 		w.schedule(w.options.Duration/3, func() {
 			k.changeEquipment(` pieces { name: "spare" kind: "kiln" slot_minutes: 60 out: 1 }`, false)
 		})
@@ -424,7 +424,7 @@
 		}
 	}, func(response core.Response, _ *wire.Reservation) {
 		if response.Status != wire.StatusOK && response.Status != wire.StatusConflict {
-			k.sim.Checker.violated("booking", "a list of equipment got %d: %v", response.Status, response.Body)
+			k.sim.Checker.violated("booking", "an inventory got status %d: %v", response.Status, response.Body)
 		}
 	})
 }
@@ -451,12 +451,12 @@
 			user.scheduleNext()
 		case wire.StatusConflict:
 		default:
-			w.Checker.violated("booking", "%s got %d: %v", id, response.Status, response.Body)
+			w.Checker.violated("booking", "%s got status %d: %v", id, response.Status, response.Body)
 		}
 	})
 }
 
-// send repeats a request until a response decides it.
+// send repeats a request until it gets a final response.
 func (u *reservationUser) send(
 	verb booking.Verb,
 	request wire.ReservationRequest,
@@ -487,7 +487,7 @@
 	case 2:
 		k.endRequested[id] = true
 		u.send(booking.VerbEnd, wire.ReservationRequest{ID: id, Reason: "done with it"}, next)
-	case 3: // an idempotent repetition
+	case 3: // an idempotent repetition of the first request
 		u.send(booking.VerbCreate, u.request, next)
 	default:
 		k.requestUntilDecided(id, func(requestID uint64) core.Input {
@@ -545,7 +545,7 @@
 	}, then)
 }
 
-// record sends a request until it is decided, and appends the operation to the history.
+// record sends a request until it gets a final response, and appends the operation to the history.
 func (u *singleSlotUser) record(end bool, newInput func(requestID uint64) core.Input, then func()) {
 	k := u.checker
 	calledAt := k.sim.now
@@ -601,7 +601,7 @@
 // linearizabilityTimeout limits the search of CheckLinearizable, in real time.
 const linearizabilityTimeout = 20 * time.Second
 
-// CheckLinearizable reports whether some order of all operations on single slots explains their responses.
+// CheckLinearizable reports whether some sequential order of all operations on single slots explains their responses.
 func (k *reservationChecker) CheckLinearizable() porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(slotModel, k.history, linearizabilityTimeout)
 }
--- a/internal/sim/reservations_test.go
+++ b/internal/sim/reservations_test.go
@@ -17,7 +17,7 @@
 // Users reserve the same few hours while controllers crash during a write, writes are executed late, the store is
 // unavailable, the inventory changes and a new version replaces the previous one.
 func TestInvariantsHoldForReservations(t *testing.T) {
-	seeds := []uint64{212, 88, 15, 12} // found a block that was read before reservations moved to it
+	seeds := []uint64{212, 88, 15, 12} // regressions: a block was read before reservations moved to it
 	for seed := uint64(1); seed <= 16; seed++ {
 		seeds = append(seeds, seed)
 	}
@@ -44,10 +44,10 @@
 				t.Errorf("%d operations, linearizable: %v", len(k.history), got)
 			}
 			if seed%5 != 1 && (k.pageMerges == 0 || k.archived < 10) {
-				t.Errorf("%d pages, merged %d times, %d reservations in blocks", k.pages, k.pageMerges, k.archived)
+				t.Errorf("%d pages, %d merges, %d reservations in blocks", k.pages, k.pageMerges, k.archived)
 			}
 			t.Logf(
-				"reservations reached %v, %d operations, %d pages, merged %d times, %d in blocks",
+				"reservations reached %v, %d operations, %d pages, %d merges, %d in blocks",
 				k.stateCounts,
 				len(k.history),
 				k.pages,
@@ -58,7 +58,7 @@
 	}
 }
 
-// With permissions and the audit log in force, every change of a reservation is stored with its audit entry.
+// With permissions and the audit log enabled, every change of a reservation must be stored with its audit entry.
 func TestReservationsAreAudited(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -81,13 +81,13 @@
 				}
 			}
 			if w.reservations.deniedEdits < 5 {
-				t.Errorf("%d changes of the equipment without permission were decided", w.reservations.deniedEdits)
+				t.Errorf("%d changes without permission got a final response", w.reservations.deniedEdits)
 			}
 		})
 	}
 }
 
-// A stored list of a caller without permission must be noticed.
+// The checker must report a stored inventory of a caller without permission.
 func TestReservationCheckerDetectsDeniedList(t *testing.T) {
 	w := New(Options{Seed: 1})
 	equipment := parseEquipment(` pieces { name: "` + deniedItemName + `" kind: "kiln" slot_minutes: 60 }`).Source()
@@ -102,7 +102,7 @@
 	}
 }
 
-// Each rule of reservations must be violated by a wrong step.
+// For each rule about reservations, the checker must report a step that violates it.
 func TestReservationCheckerDetectsViolations(t *testing.T) {
 	slot := func(piece string, from int64) *pb.Slot {
 		return &pb.Slot{Piece: piece, Unit: 1, From: from, To: from + 3600, Clear: from + 3600 + 1800}
--- a/internal/sim/rolling_upgrade.go
+++ b/internal/sim/rolling_upgrade.go
@@ -12,12 +12,12 @@
 	"dewlift/wire"
 )
 
-// announcedLimits are the lower limits of the store that the settings announce in a simulated upgrade. A new
-// version keeps to them from its start.
+// announcedLimits are the lower limits of the store that the settings announce in a simulated upgrade. The new version
+// complies with them from its start.
 var announcedLimits = storeLimits{txnOps: 4, valueBytes: 2048, writesPerSecond: 30}
 
-// scheduleRollingUpgrade upgrades the processes one by one, and lowers the limits at some moment after it or even
-// during it. A process that crashes before its upgrade restarts with the previous version.
+// scheduleRollingUpgrade upgrades the processes one by one, and lowers the limits after the upgrade or even during it.
+// A process that crashes before its upgrade restarts with the previous version.
 func (w *Simulator) scheduleRollingUpgrade() {
 	at := w.randomDuration(15*time.Second, 40*time.Second)
 	for _, n := range w.nodes {
@@ -55,14 +55,14 @@
 	return false
 }
 
-// checkWrittenSchema checks that a new version writes only what it may: nothing beyond the announced limits, and
-// while a process of the previous version may be running, nothing that it would not understand or would lose.
+// checkWrittenSchema checks that the new version writes only what it may: nothing beyond the announced limits and,
+// while a process of the previous version may be running, nothing that this version can't read or would lose.
 func (w *Simulator) checkWrittenSchema(n *node, txn wire.Txn) {
 	if n.runsPrevious || !w.options.RollingUpgrade {
 		return
 	}
 	if announcedLimits.exceeded(txn) {
-		w.Checker.violated("limits", "%s sends %d writes, more or larger than will be accepted", n.name, len(txn.Then))
+		w.Checker.violated("limits", "%s sends %d writes, beyond the announced limits", n.name, len(txn.Then))
 	}
 	if !w.previousVersionMayRun() {
 		return
@@ -88,8 +88,8 @@
 	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && fmt.Sprint(x) == fmt.Sprint(y)
 }
 
-// asUnderstoodBy returns an input as a controller's process understands it: the previous version ignores unknown
-// keys and fields.
+// asUnderstoodBy returns an input as a controller's process reads it: the previous version ignores unknown keys and
+// fields.
 func (w *Simulator) asUnderstoodBy(n *node, in core.Input) core.Input {
 	if !n.runsPrevious {
 		return in
@@ -151,7 +151,7 @@
 		err = json.Unmarshal(raw, &out)
 	}
 	if err != nil {
-		w.Checker.violated("forms", "a message is not understood: %v", err)
+		w.Checker.violated("forms", "the previous version can't read a message: %v", err)
 	}
 	return out
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -17,13 +17,13 @@
 	"dewlift/wire"
 )
 
-// runSimulation plays a simulation, which must not violate any rule.
+// runSimulation runs a simulation, which must not violate any rule.
 func runSimulation(t *testing.T, options Options) *Simulator {
 	t.Helper()
 	return runObserved(t, options, func(string, core.Output) {})
 }
 
-// runObserved plays a simulation like runSimulation, and calls observe with each output of its controllers.
+// runObserved is like runSimulation, and calls observe with each output of the controllers.
 func runObserved(t *testing.T, options Options, observe func(node string, output core.Output)) *Simulator {
 	t.Helper()
 	w := New(options)
@@ -35,7 +35,7 @@
 	return w
 }
 
-// stageCounts counts jobs by what their users know of them at the end.
+// stageCounts counts jobs by the stage that was last reported to their users.
 func (k *Checker) stageCounts() map[string]int {
 	counts := map[string]int{}
 	for _, job := range k.jobs {
@@ -51,7 +51,7 @@
 	return counts
 }
 
-// firstViolationIs reports whether the first violation is one of a rule.
+// firstViolationIs reports whether the first violation is of a rule.
 func (k *Checker) firstViolationIs(rule string) bool {
 	return len(k.Violations) > 0 && strings.HasPrefix(k.Violations[0], rule+":")
 }
@@ -69,7 +69,7 @@
 }
 
 func TestInvariantsHoldUnderFaults(t *testing.T) {
-	seeds := []uint64{1096, 1539, 3094} // found tasks of a new job that another controller stopped
+	seeds := []uint64{1096, 1539, 3094} // regressions: another controller stopped tasks of a new job
 	for seed := uint64(1); seed <= 60; seed++ {
 		seeds = append(seeds, seed)
 	}
@@ -82,9 +82,9 @@
 	}
 }
 
-// Controllers that crash around a write, or five times within three seconds, restart within a second, before the
-// lease, streams and transactions of their former process have ended; copies of what they sent and wrote arrive
-// late. Then there are no faults: nothing may be lost, and all users are served.
+// Controllers that crash around a write, or five times within three seconds, restart within a second, before the lease,
+// streams and transactions of their previous process have ended; copies of their messages and writes arrive late. In
+// the fault-free tail, nothing may be lost and all users must be served.
 func TestInvariantsHoldWhenProcessesFlap(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -106,9 +106,9 @@
 	}
 }
 
-var overlapSeedCount = flag.Uint64("worlds", 24, "how many worlds in which troubles meet are played")
+var overlapSeedCount = flag.Uint64("worlds", 24, "number of seeds to run with overlapping faults")
 
-// Each fault begins while another lasts (docs/notes/meetings.md).
+// Faults come in pairs: the second begins while the first lasts (docs/notes/meetings.md).
 func TestInvariantsHoldUnderOverlappingFaults(t *testing.T) {
 	for seed := uint64(1); seed <= *overlapSeedCount; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// faultPairs are the combinations of faults in which operators have seen rules violated, and the options that they
+// faultPairs are the combinations of faults in which operators have seen rules violated, with the options that they
 // need.
 var faultPairs = map[string]struct {
 	faults []string
@@ -255,7 +255,7 @@
 	},
 }
 
-// The combinations that operators have seen rules violated in, one by one, in simulations without other faults.
+// Each combination of faults in which operators have seen rules violated is run by itself, without other faults.
 func TestInvariantsHoldForEachFaultPair(t *testing.T) {
 	for name, combination := range faultPairs {
 		for seed := uint64(1); seed <= max(1, *overlapSeedCount/16); seed++ {
@@ -266,7 +266,7 @@
 				if combination.adjust != nil {
 					combination.adjust(&options)
 				}
-				// Beside the previous version permissions can't be in force, and nobody is served.
+				// While the previous version runs, permissions can't be enforced, and no request would be served.
 				options.MixedVersions = options.MixedVersions && !options.Permissions
 				w := runSimulation(t, options)
 				t.Logf(
@@ -280,8 +280,9 @@
 	}
 }
 
-// Jobs that were submitted with a mistake fail on every machine until their users cancel them. They cost a bounded
-// number of starts, no machine is taken for faulty because of them, and the other jobs are done.
+// Jobs that were submitted with a mistake fail on every machine until their users cancel them. They must cost a bounded
+// number of starts. Without other faults, no machine may be considered faulty because of them, and all other jobs must
+// complete.
 func TestFailingJobsCostBoundedStarts(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -308,8 +309,8 @@
 	}
 }
 
-// Controllers crash at random moments while the queues are full: no job is overtaken for long by a later one of its
-// priority class and shape, and none changes its class or position.
+// Controllers crash at random moments while the queues are full: no job may be overtaken for long by a later one of its
+// priority class and shape, and none may change its class or position.
 func TestQueueOrderHoldsThroughCrashes(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -339,7 +340,7 @@
 	}
 }
 
-// Each rule of the queue order must be violated by a wrong step.
+// For each rule about the queue order, the checker must report a step that violates it.
 func TestQueueOrderCheckerDetectsViolations(t *testing.T) {
 	for rule, step := range map[string]func(o *queueOrderChecker){
 		"demoted": func(o *queueOrderChecker) {
@@ -372,8 +373,8 @@
 	}
 }
 
-// A job that waits while a feasible machine has capacity and its team is below its maximum is reported, and one
-// that has to wait is not.
+// The checker must report a job that waits while a feasible machine has capacity and its team is below its quota, and
+// no job that has to wait.
 func TestStarvationCheckerDetectsViolations(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(w *Simulator, m *fakeWorker)
@@ -420,13 +421,13 @@
 	}
 }
 
-// Each service-level objective of the operators must be violated by a wrong step.
+// For each service-level objective of the operators, the checker must report a step that violates it.
 func TestServiceLevelCheckerDetectsViolations(t *testing.T) {
 	for rule, step := range map[string]func(k *Checker){
 		"forgotten": func(k *Checker) {
 			for at := 110 * time.Second; at < 200*time.Second; at += 5 * time.Second {
 				k.CheckResponsive(at, at+2*time.Second, "wk-000001", wire.StatusUnavailable)
-				k.CheckResponsive(at, at+2*time.Second, "wk-000002", wire.StatusOK) // others fare well
+				k.CheckResponsive(at, at+2*time.Second, "wk-000002", wire.StatusOK) // other jobs are answered
 			}
 		},
 		"unserved": func(k *Checker) { k.Finish(200 * time.Second) },
@@ -449,14 +450,14 @@
 	}
 }
 
-// The previous version is replaced process by process under faults; then the limits of the store are lowered, and
-// users submit pipelines.
+// The previous version is replaced process by process under faults; then the limits of the store are lowered, and users
+// submit pipelines.
 func TestInvariantsHoldThroughRollingUpgrade(t *testing.T) {
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
 			o := Options{Seed: seed, Duration: 240 * time.Second, Jobs: 20, RollingUpgrade: true, Pipelines: 8}
-			if seed%8 == 0 { // jobs that outgrow a value under the announced limits
+			if seed%8 == 0 { // jobs whose records exceed a value under the announced limits
 				o.MaxMachines, o.MaxTasksPerJob, o.Jobs = 300, 400, 40
 			}
 			w := runSimulation(t, o)
@@ -465,8 +466,8 @@
 	}
 }
 
-// Ended jobs move to the archive as soon as they can, and are polled, submitted again, cancelled and depended on
-// all the time, under faults and through upgrades.
+// Ended jobs move to the archive as soon as possible, while users poll, resubmit, cancel and depend on them, under
+// faults and through upgrades.
 func TestInvariantsHoldWithArchive(t *testing.T) {
 	var moved atomic.Int64
 	t.Cleanup(func() {
@@ -495,8 +496,8 @@
 	}
 }
 
-// Permissions are granted and revoked under faults: no request is authorized after a revocation was acknowledged,
-// at any controller, even if it is partitioned, late or restarted; and none that is permitted is denied.
+// Permissions are granted and revoked under faults: no request may be authorized after the acknowledgement of a
+// revocation, at any controller, even if it is partitioned, late or restarted, and no permitted request may be denied.
 func TestInvariantsHoldWithPermissions(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -519,10 +520,10 @@
 	}
 }
 
-// The audit log is complete under faults: no change without its entry, no entry without its change, none lost or
-// written twice, no block written again.
+// The audit log must be complete under faults: no change without its entry, no entry without its change, no entry lost
+// or written twice, and no block written twice.
 func TestInvariantsHoldWithAuditLog(t *testing.T) {
-	seeds := []uint64{191} // found a block of a former process that was written after its entries were read
+	seeds := []uint64{191} // regression: an earlier process wrote a block after its entries were read
 	for seed := uint64(1); seed <= 20; seed++ {
 		seeds = append(seeds, seed)
 	}
@@ -544,14 +545,14 @@
 				},
 			)
 			if w.auditChecker.verbCounts["submit"] == 0 || w.auditChecker.verbCounts["administer"] == 0 {
-				t.Errorf("entries %v", w.auditChecker.verbCounts)
+				t.Errorf("the audit log has entries %v", w.auditChecker.verbCounts)
 			}
 			t.Logf("%d starts, %v, entries %v", w.Checker.Starts, w.Checker.stageCounts(), w.auditChecker.verbCounts)
 		})
 	}
 }
 
-// Pipelines of all shapes, with cancellations at any time.
+// Users submit pipelines of all shapes, and cancel their jobs at any time.
 func TestInvariantsHoldForPipelines(t *testing.T) {
 	for seed := uint64(1); seed <= 16; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -565,7 +566,8 @@
 	}
 }
 
-// Five controllers, and jobs and machines enough to cross the limits of a value and of a transaction, under faults.
+// Five controllers run under faults, with enough jobs and machines to exceed the limits of a value and of a
+// transaction.
 func TestInvariantsHoldInLargeClusters(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -586,7 +588,7 @@
 	}
 }
 
-// The same seed must give the same run, or a failing seed could not be investigated.
+// The same seed must give the same run; otherwise a failing seed could not be investigated.
 func TestSimulationIsDeterministic(t *testing.T) {
 	run := func() string {
 		var trace strings.Builder
@@ -600,7 +602,7 @@
 	}
 }
 
-// Each rule of the checker must be violated by a wrong step.
+// For each rule of the checker, it must report a step that violates the rule.
 func TestCheckerDetectsEveryViolation(t *testing.T) {
 	m1 := wire.Machine{Name: "m1", Type: "big", Zone: "a"}
 	m2 := wire.Machine{Name: "m2", Type: "big", Zone: "b"}
@@ -639,7 +641,7 @@
 			k.PermissionChanging("u")
 			k.CheckAuthorized(1, "u", "poll", "wk-1") // it may not be revoked yet
 			k.PermissionChanged(2, "u", false)
-			k.CheckAuthorized(1, "u", "poll", "wk-1") // asked for before
+			k.CheckAuthorized(1, "u", "poll", "wk-1") // sent before the revocation
 			k.CheckAuthorized(3, "u", "poll", "wk-1")
 		},
 		"nothing_ran": func(k *Checker) { k.Finish(0) },
@@ -665,13 +667,13 @@
 		k.JobSubmitted(spec)
 		step(k)
 		if len(k.Violations) == 0 || !strings.HasPrefix(k.Violations[0], rule) {
-			t.Errorf("%s was not caught: %v", rule, k.Violations)
+			t.Errorf("the violation of %s was not reported: %v", rule, k.Violations)
 		}
 	}
 }
 
-// The audit checker must report a change without its entry, an entry without its change, one that is dropped,
-// written twice or lost, and a block that is written again.
+// The audit checker must report a change without its entry, an entry without its change, an entry that is dropped,
+// written twice or lost, and a block that is written twice.
 func TestAuditCheckerDetectsViolations(t *testing.T) {
 	const job, shard, who = core.Root + "job/wk-1", core.Root + "shard/00", core.Root + "access/who/u"
 	entry := func(key, verb, by string, count uint64) audit.PendingEntry {
@@ -682,7 +684,7 @@
 		)
 	}
 	value := func(stage string, list ...audit.PendingEntry) json.RawMessage {
-		raw, err := json.Marshal(entryCarrier{Entries: list, Stage: stage, User: "u"})
+		raw, err := json.Marshal(auditedValue{Entries: list, Stage: stage, User: "u"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -722,7 +724,7 @@
 		"a block again":          {{good}, {block(1, s1)}, {block(1, s1)}},
 		"a block deleted":        {{good}, {block(1, s1)}, {wire.Write{Delete: audit.BlockKey("n0", 1)}}},
 	} {
-		for _, broken := range []bool{false, true} { // all but the last transaction must be good
+		for _, broken := range []bool{false, true} { // all but the last transaction must be valid
 			checker := NewChecker(time.Second, nil)
 			auditor := newAuditChecker(checker, func() time.Duration { return 0 })
 			keys := map[string]*wire.KeyValue{core.Root + "audit/begun": {}}
@@ -746,7 +748,7 @@
 	auditor.storedAt[entryID{"n0", 1, 1}] = 0
 	auditor.Finish(map[string]*wire.KeyValue{job: {Value: good.Value}})
 	if len(checker.Violations) != 1 {
-		t.Errorf("an entry that is carried for ever: %v", checker.Violations)
+		t.Errorf("want one violation for an entry that stays pending, got %v", checker.Violations)
 	}
 }
 
@@ -768,7 +770,7 @@
 	}
 }
 
-// Small jobs share stored values, under faults of all kinds and through upgrades: late writes, partitions,
+// Small jobs share stored values, under faults of all kinds and through upgrades, with late writes, partitions, and
 // cancellations by controllers that do not own the shard.
 func TestInvariantsHoldWithBatchValues(t *testing.T) {
 	var slots atomic.Int64
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -1,8 +1,8 @@
 // Package sim is a deterministic, seeded simulation of a cluster for tests: fakes of the store, the cloud, workers,
 // users and the network around several cores, and checkers that verify every rule of the scheduler.
 //
-// It owns simulated time and every random draw. All outcomes follow from Options.Seed; the order of the draws is
-// therefore part of its behaviour, and the digests of its tests change with it. Run never reads the wall clock and
+// The package owns simulated time and all random draws, which depend on Options.Seed only. The order of the draws is
+// therefore part of its behaviour: another order changes the digests of the tests. Run never reads the wall clock and
 // starts no goroutine.
 package sim
 
@@ -26,10 +26,10 @@
 	startedAt       time.Duration
 	pendingRequests map[uint64]func(core.Response)
 
-	pausedUntil time.Duration // its process is suspended until then; inputs wait
+	pausedUntil time.Duration // the process is suspended until then; inputs wait
 
 	bootsPrevious bool // its next process runs the previous version
-	runsPrevious  bool // its current process does
+	runsPrevious  bool // its current process runs the previous version
 }
 
 // Simulator is one seeded simulation.
@@ -53,11 +53,11 @@
 	Trace        func(string, ...any)                  // receives log lines of the simulation and its controllers
 	OnOutput     func(node string, output core.Output) // receives every output of a controller
 
-	// Hooks that faults set, each idle by default.
+	// Hooks that faults set. By default they have no effect.
 
 	// commitDelay is an additional delay before a transaction is executed.
 	commitDelay func(txn wire.Txn) time.Duration
-	// commitResponseDelay is the delay of the response to an executed transaction; below 0 it is lost.
+	// commitResponseDelay is the delay of the response to an executed transaction; if negative, the response is lost.
 	commitResponseDelay func(txn wire.Txn) time.Duration
 	// commandDelay is an additional delay of agent commands.
 	commandDelay func(commands core.SendCommands) time.Duration
@@ -75,7 +75,7 @@
 
 var zones = []string{"a", "b", "c"}
 
-// New returns a simulation whose controllers are about to boot.
+// New returns a simulation that is ready to run.
 func New(options Options) *Simulator {
 	options = options.withDefaults()
 	w := &Simulator{
@@ -116,7 +116,7 @@
 	return w
 }
 
-// createTeams creates two teams, and returns the maximum of CPU and memory of those that have one.
+// createTeams creates two teams, and returns the CPU and memory quotas of those that have one.
 func (w *Simulator) createTeams() map[string][2]int64 {
 	maxCPU := 40000 * int64(w.options.MaxTasksPerJob) / defaultMaxTasksPerJob // thousandths of a core
 	w.teams = []core.Team{{Name: "t0"}, {Name: "t1", ReservedCPU: maxCPU * 2 / 5, MaxCPU: maxCPU}}
@@ -141,7 +141,7 @@
 	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
-// Run plays the simulation to its end, or to the first violation.
+// Run runs the simulation to its end, or to the first violation.
 func (w *Simulator) Run() {
 	w.scheduleWorkload()
 	w.scheduleFaultPlan()
@@ -163,7 +163,7 @@
 	w.checkFinalState()
 }
 
-// scheduleWorkload schedules everything that users do.
+// scheduleWorkload schedules all actions of users.
 func (w *Simulator) scheduleWorkload() {
 	w.scheduleUsers()
 	if w.options.Permissions {
@@ -191,7 +191,7 @@
 	}
 }
 
-// checkFinalState checks what must have happened by the end.
+// checkFinalState checks what must be true at the end.
 func (w *Simulator) checkFinalState() {
 	w.Checker.Finish(w.now)
 	if w.options.PriorityClasses {
@@ -278,5 +278,5 @@
 	}
 }
 
-// nowUnixMS is the true wall clock.
+// nowUnixMS returns the true wall clock.
 func (w *Simulator) nowUnixMS() int64 { return startUnixMS + w.now.Milliseconds() }
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -8,7 +8,7 @@
 	"dewlift/wire"
 )
 
-// Timeouts of users, and their pause before they repeat a request.
+// Timeouts and intervals of users.
 const (
 	submitTimeout = 5 * time.Second
 	cancelTimeout = 5 * time.Second
@@ -123,7 +123,7 @@
 // runUser starts a user who submits a job.
 func (w *Simulator) runUser(spec wire.JobSpec) { w.runUserThen(spec, func() {}) }
 
-// runUserThen starts a user who submits a job, and calls accepted each time a submission of it succeeds.
+// runUserThen starts a user who submits a job, and calls accepted each time a submission of the job succeeds.
 func (w *Simulator) runUserThen(spec wire.JobSpec, accepted func()) {
 	if w.Checker.jobs[spec.ID] != nil {
 		return
@@ -133,7 +133,7 @@
 	user.submit()
 }
 
-// jobUser is a user with one job: it submits until that is accepted, polls, and perhaps cancels.
+// jobUser is a user with one job, who submits it until it is accepted, polls, and may cancel it.
 type jobUser struct {
 	sim       *Simulator
 	caller    core.Credential
@@ -146,7 +146,7 @@
 func (u *jobUser) submit() {
 	w := u.sim
 	for range 3 {
-		if w.now < w.eagerPollsUntil && w.chance(0.3) { // an impatient user
+		if w.now < w.eagerPollsUntil && w.chance(0.3) { // an impatient user resubmits
 			w.schedule(w.randomDuration(0, 300*time.Millisecond), func() { w.resubmit(w.anyNode(), u.caller, u.spec) })
 		}
 	}
@@ -165,7 +165,7 @@
 	w := u.sim
 	u.accepted()
 	w.schedule(w.randomDuration(time.Second, 5*time.Second), u.poll)
-	if w.Checker.failingJobs[u.spec.ID] != nil { // it takes long until the user notices
+	if w.Checker.failingJobs[u.spec.ID] != nil { // the user notices the failures late
 		w.schedule(w.randomDuration(60*time.Second, 150*time.Second), u.cancel)
 	} else if u.spec.Service || w.chance(0.25) {
 		w.schedule(w.randomDuration(time.Second, 60*time.Second), u.cancel)
@@ -184,7 +184,7 @@
 	)
 }
 
-// poll asks for the job's state until the cancellation is acknowledged, and now and then afterwards.
+// poll asks for the job's state until the cancellation is acknowledged, and sometimes afterwards.
 func (u *jobUser) poll() {
 	w := u.sim
 	w.pollOnce(w.anyNode(), u.caller, u.spec.ID, func() {
@@ -194,7 +194,7 @@
 	})
 }
 
-// cancel asks to cancel the job until that is acknowledged.
+// cancel asks for the cancellation of the job until it is acknowledged.
 func (u *jobUser) cancel() {
 	w := u.sim
 	w.Checker.CancelRequested(u.spec.ID)
