--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -72,8 +72,8 @@
 	Machine string `json:"m"`
 }
 
-func (r *auditChecker) violated(format string, args ...any) {
-	r.checker.violated("unrecorded", format, args...)
+func (c *auditChecker) violated(format string, args ...any) {
+	c.checker.violated("unrecorded", format, args...)
 }
 
 // decodeAuditedValue decodes a stored value.
@@ -92,7 +92,7 @@
 }
 
 // newEntries verifies the entries that a value holds, and returns by verb those that it did not hold before.
-func (r *auditChecker) newEntries(key string, before, after []audit.PendingEntry) map[string][]*pb.AuditEntry {
+func (c *auditChecker) newEntries(key string, before, after []audit.PendingEntry) map[string][]*pb.AuditEntry {
 	out := map[string][]*pb.AuditEntry{}
 	had := map[entryID]bool{}
 	for _, pending := range before {
@@ -107,27 +107,27 @@
 		}
 		entry, err := auditKey.VerifyEntry(key, &pending)
 		if err != nil {
-			r.violated("%s holds an invalid entry: %v", key, err)
+			c.violated("%s holds an invalid entry: %v", key, err)
 			continue
 		}
-		if _, wasStored := r.storedAt[id]; wasStored {
-			r.violated("%s holds entry %v, which was stored before", key, id)
+		if _, wasStored := c.storedAt[id]; wasStored {
+			c.violated("%s holds entry %v, which was stored before", key, id)
 		}
-		r.storedAt[id] = r.now()
+		c.storedAt[id] = c.now()
 		out[entry.Verb] = append(out[entry.Verb], entry)
 	}
 	for id := range had {
-		if !has[id] && r.blockCounts[id] == 0 {
-			r.violated("%s drops entry %v, which is in no block", key, id)
+		if !has[id] && c.blockCounts[id] == 0 {
+			c.violated("%s drops entry %v, which is in no block", key, id)
 		}
 	}
 	return out
 }
 
 // CheckTxn checks a transaction that is about to be executed.
-func (r *auditChecker) CheckTxn(keys map[string]*wire.KeyValue, txn wire.Txn) {
+func (c *auditChecker) CheckTxn(keys map[string]*wire.KeyValue, txn wire.Txn) {
 	isOn := keys[keyAuditInitialized] != nil
-	separate := r.checkAuditWrites(keys, txn)
+	separate := c.checkAuditWrites(keys, txn)
 	if !isOn {
 		return
 	}
@@ -137,14 +137,14 @@
 		id, isJob := strings.CutPrefix(key, core.Root+"job/")
 		switch {
 		case key == reservations.KeyHead:
-			if len(r.newEntriesOf(keys, write)) == 0 {
-				r.violated("reservations are changed without an audit entry")
+			if len(c.newEntriesOf(keys, write)) == 0 {
+				c.violated("reservations are changed without an audit entry")
 			}
 		case isJob && write.Put != "":
-			r.checkJobWrite(keys, txn, write, id)
+			c.checkJobWrite(keys, txn, write, id)
 		case strings.HasPrefix(write.Put, core.Root+"cancel/"):
-			if len(r.newEntriesOf(keys, write)["cancel"]) == 0 {
-				r.violated("%s is changed without its audit entry", key)
+			if len(c.newEntriesOf(keys, write)["cancel"]) == 0 {
+				c.violated("%s is changed without its audit entry", key)
 			}
 		case strings.HasPrefix(key, core.Root+"access/"):
 			changes["administer"] = 1
@@ -156,47 +156,47 @@
 	}
 	for verb, count := range changes {
 		if separate[verb] != count {
-			r.violated("%d audit entries of %s, want %d for the transaction %+v", separate[verb], verb, count, txn)
+			c.violated("%d audit entries of %s, want %d for the transaction %+v", separate[verb], verb, count, txn)
 		}
 	}
 }
 
 // checkAuditWrites checks the writes of the audit log itself, and returns the number of new entries by verb in
 // outboxes.
-func (r *auditChecker) checkAuditWrites(keys map[string]*wire.KeyValue, txn wire.Txn) map[string]int {
+func (c *auditChecker) checkAuditWrites(keys map[string]*wire.KeyValue, txn wire.Txn) map[string]int {
 	separate := map[string]int{}
 	for _, write := range txn.Then {
 		if strings.HasPrefix(write.Put, outboxPrefix) {
-			for verb, entries := range r.newEntriesOf(keys, write) {
+			for verb, entries := range c.newEntriesOf(keys, write) {
 				separate[verb] += len(entries)
 			}
 		}
 		if strings.HasPrefix(write.Put, audit.BlockPrefix) {
-			r.checkBlock(keys, write)
+			c.checkBlock(keys, write)
 		}
 		if strings.HasPrefix(write.Delete, audit.BlockPrefix) {
-			r.violated("%s is deleted", write.Delete)
+			c.violated("%s is deleted", write.Delete)
 		}
 	}
 	return separate
 }
 
 // newEntriesOf returns the entries that a write adds to those that its key held, by verb.
-func (r *auditChecker) newEntriesOf(keys map[string]*wire.KeyValue, write wire.Write) map[string][]*pb.AuditEntry {
+func (c *auditChecker) newEntriesOf(keys map[string]*wire.KeyValue, write wire.Write) map[string][]*pb.AuditEntry {
 	key := write.Put + write.Delete
-	return r.newEntries(key, storedValue(keys, key).Entries, decodeAuditedValue(write.Value).Entries)
+	return c.newEntries(key, storedValue(keys, key).Entries, decodeAuditedValue(write.Value).Entries)
 }
 
 // checkJobWrite checks the write of a job's record: a submission, a cancellation or a preemption must have its entry,
 // and no other change may have one.
-func (r *auditChecker) checkJobWrite(keys map[string]*wire.KeyValue, txn wire.Txn, write wire.Write, id string) {
+func (c *auditChecker) checkJobWrite(keys map[string]*wire.KeyValue, txn wire.Txn, write wire.Write, id string) {
 	key, cancelKey := write.Put, core.Root+"cancel/"+id
 	before, after := storedValue(keys, key), decodeAuditedValue(write.Value)
 	wasRequested := keys[cancelKey] != nil
 	if wasRequested && slices.ContainsFunc(txn.Then, func(w wire.Write) bool { return w.Delete == cancelKey }) {
 		before.Entries = append(before.Entries, storedValue(keys, cancelKey).Entries...)
 	}
-	added := r.newEntries(key, before.Entries, after.Entries)
+	added := c.newEntries(key, before.Entries, after.Entries)
 	isNew := keys[key] == nil
 	isCancelled := after.Stage == "c" && before.Stage == "" && !wasRequested
 	isStopped := slices.ContainsFunc(after.StopReasons, func(reason stopReason) bool {
@@ -207,48 +207,48 @@
 		made bool
 	}{{"submit", isNew}, {"cancel", isCancelled}, {"stop", isStopped}} {
 		if change.made && len(added[change.verb]) == 0 {
-			r.violated("%s: %s without its audit entry", key, change.verb)
+			c.violated("%s: %s without its audit entry", key, change.verb)
 		}
 		// The record keeps the latest stop reasons only.
 		if !change.made && len(added[change.verb]) > 0 && change.verb != "stop" {
-			r.violated("%s: audit entry of %s without its change", key, change.verb)
+			c.violated("%s: audit entry of %s without its change", key, change.verb)
 		}
 	}
 	if !isNew {
 		return
 	}
 	if len(added["submit"]) != 1 {
-		r.violated("%s: %d audit entries of its submission", key, len(added["submit"]))
+		c.violated("%s: %d audit entries of its submission", key, len(added["submit"]))
 	} else if after.Spec != nil && added["submit"][0].Who != after.User {
-		r.violated("%s was submitted by %s, its entry says %s", key, after.User, added["submit"][0].Who)
+		c.violated("%s was submitted by %s, its entry says %s", key, after.User, added["submit"][0].Who)
 	}
 }
 
 // checkBlock checks and records a new block of the audit log.
-func (r *auditChecker) checkBlock(keys map[string]*wire.KeyValue, write wire.Write) {
+func (c *auditChecker) checkBlock(keys map[string]*wire.KeyValue, write wire.Write) {
 	node, number, ok := audit.SplitBlockKey(write.Put)
 	if keys[write.Put] != nil || !ok {
-		r.violated("%s is written twice or is not the key of a block", write.Put)
+		c.violated("%s is written twice or is not the key of a block", write.Put)
 		return
 	}
 	block, err := audit.DecodeBlock(write.Value)
 	if err != nil || block.Number != number {
-		r.violated("%s: %v", write.Put, err)
+		c.violated("%s: %v", write.Put, err)
 		return
 	}
 	for _, entry := range block.Entries {
 		id := entryID{node, entry.Life, entry.Count}
-		if r.blockCounts[id]++; r.blockCounts[id] > 1 {
-			r.violated("entry %v is in two blocks", id)
+		if c.blockCounts[id]++; c.blockCounts[id] > 1 {
+			c.violated("entry %v is in two blocks", id)
 		}
-		r.verbCounts[entry.Verb]++
+		c.verbCounts[entry.Verb]++
 		switch entry.Verb {
 		case "start", "refused", "read": // these have no stored change
 		case "forged":
-			r.violated("entry %v: %s", id, entry.Why)
+			c.violated("entry %v: %s", id, entry.Why)
 		default:
-			if _, wasStored := r.storedAt[id]; !wasStored {
-				r.violated("entry %v is in a block, but its change was not made: %v", id, entry)
+			if _, wasStored := c.storedAt[id]; !wasStored {
+				c.violated("entry %v is in a block, but its change was not made: %v", id, entry)
 			}
 		}
 	}
@@ -256,7 +256,7 @@
 
 // Finish checks that every entry is in a block or still stored with its change, and that every chain of blocks is
 // complete.
-func (r *auditChecker) Finish(keys map[string]*wire.KeyValue) {
+func (c *auditChecker) Finish(keys map[string]*wire.KeyValue) {
 	pendingIDs := map[entryID]bool{}
 	chains := map[string]*audit.ChainVerifier{}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
@@ -268,13 +268,13 @@
 				chains[node] = &audit.ChainVerifier{Node: node, Keys: []audit.Key{auditKey}}
 			}
 			if _, err := chains[node].VerifyNext(number, keys[key].Value); err != nil {
-				r.violated("%v", err)
+				c.violated("%v", err)
 			}
 		}
 	}
-	for id, at := range r.storedAt {
-		if r.blockCounts[id] == 0 && (!pendingIDs[id] || r.now()-at > maxPendingTime) {
-			r.violated("entry %v, stored at %v, is in no block; still pending: %v", id, at, pendingIDs[id])
+	for id, at := range c.storedAt {
+		if c.blockCounts[id] == 0 && (!pendingIDs[id] || c.now()-at > maxPendingTime) {
+			c.violated("entry %v, stored at %v, is in no block; still pending: %v", id, at, pendingIDs[id])
 		}
 	}
 }
@@ -283,29 +283,29 @@
 const auditReadTimeout = 2 * time.Second
 
 // scheduleAuditReaders schedules reads of the audit log, half of them by a user without permission.
-func (w *Simulator) scheduleAuditReaders() {
+func (s *Simulator) scheduleAuditReaders() {
 	var read func()
 	read = func() {
 		caller := credentialOf(rootUser)
-		if w.chance(0.5) {
+		if s.chance(0.5) {
 			caller = credentialOf("u0")
 		}
 		query := core.ReadAudit{Caller: caller}
-		if w.chance(0.5) {
-			query.Node = w.nodes[0].name
+		if s.chance(0.5) {
+			query.Node = s.nodes[0].name
 		}
-		w.sendRequest(w.anyNode(), auditReadTimeout, func(requestID uint64) core.Input {
+		s.sendRequest(s.anyNode(), auditReadTimeout, func(requestID uint64) core.Input {
 			query.RequestID = requestID
 			return query
 		}, func(response core.Response, ok bool) {
 			allowed := response.Status == wire.StatusOK
 			if ok && allowed != (caller.Identity == rootUser) && response.Status != wire.StatusUnavailable {
-				w.Checker.violated("let_in", "%s gets status %d for the audit log", caller.Identity, response.Status)
+				s.Checker.violated("let_in", "%s gets status %d for the audit log", caller.Identity, response.Status)
 			}
 		})
-		w.schedule(w.randomDuration(2*time.Second, 20*time.Second), read)
+		s.schedule(s.randomDuration(2*time.Second, 20*time.Second), read)
 	}
-	w.schedule(5*time.Second, read)
+	s.schedule(5*time.Second, read)
 }
 
 // settingsFor returns the audited settings of a controller's process. They change with every other start.
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -16,11 +16,11 @@
 type outageScenario struct {
 	nodes          int
 	adjustOptions  func(options *Options)
-	beforeCancel   func(w *Simulator, leaderFirst []*node) // called 1.5 s before the cancellations
-	cancel         func(w *Simulator, id string, leaderFirst []*node)
-	onCancelAcked  func(w *Simulator, n *node) // called right after n acknowledged a cancellation
-	outage         time.Duration               // 0: 70 s
-	duringOutage   func(w *Simulator, leaderFirst []*node)
+	beforeCancel   func(sim *Simulator, leaderFirst []*node) // called 1.5 s before the cancellations
+	cancel         func(sim *Simulator, id string, leaderFirst []*node)
+	onCancelAcked  func(sim *Simulator, n *node) // called right after n acknowledged a cancellation
+	outage         time.Duration                 // 0: 70 s
+	duringOutage   func(sim *Simulator, leaderFirst []*node)
 	delayedCommits bool // transactions around the cancellations are executed 2 to 5 s late
 	tasksMayEnd    bool // tasks that are not cancelled may end, as no majority of controllers is loaded
 }
@@ -34,7 +34,7 @@
 
 // requestUntil repeats a user's request until a response satisfies a condition, and then calls then with the controller
 // that sent the response.
-func (w *Simulator) requestUntil(
+func (s *Simulator) requestUntil(
 	pick func() *node,
 	newInput func(requestID uint64) core.Input,
 	verb, id string,
@@ -43,11 +43,11 @@
 ) {
 	var attempt func()
 	attempt = func() {
-		sentAt, target := w.now, pick()
-		w.sendRequest(target, 3*time.Second, newInput, func(response core.Response, ok bool) {
-			w.checkJobResponse(core.Credential{}, sentAt, verb, id, response, ok)
+		sentAt, target := s.now, pick()
+		s.sendRequest(target, 3*time.Second, newInput, func(response core.Response, ok bool) {
+			s.checkJobResponse(core.Credential{}, sentAt, verb, id, response, ok)
 			if !ok || !satisfies(response) {
-				w.schedule(500*time.Millisecond, attempt)
+				s.schedule(500*time.Millisecond, attempt)
 				return
 			}
 			then(target)
@@ -70,32 +70,32 @@
 }
 
 // randomNodeExcept returns a function that draws one of the other controllers.
-func (w *Simulator) randomNodeExcept(excluded []*node) func() *node {
+func (s *Simulator) randomNodeExcept(excluded []*node) func() *node {
 	var nodes []*node
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		if !slices.Contains(excluded, n) {
 			nodes = append(nodes, n)
 		}
 	}
-	return func() *node { return nodes[w.rng.IntN(len(nodes))] }
+	return func() *node { return nodes[s.rng.IntN(len(nodes))] }
 }
 
-func (w *Simulator) submitUntilAccepted(pick func() *node, spec wire.JobSpec) {
-	w.Checker.JobSubmitted(spec)
-	w.requestUntil(pick, func(requestID uint64) core.Input {
-		return core.SubmitJob{RequestID: requestID, ID: spec.ID, Spec: spec, UnixMS: w.nowUnixMS()}
+func (s *Simulator) submitUntilAccepted(pick func() *node, spec wire.JobSpec) {
+	s.Checker.JobSubmitted(spec)
+	s.requestUntil(pick, func(requestID uint64) core.Input {
+		return core.SubmitJob{RequestID: requestID, ID: spec.ID, Spec: spec, UnixMS: s.nowUnixMS()}
 	}, "submit", spec.ID, isAccepted, func(*node) {})
 }
 
-func (w *Simulator) cancelUntilAcked(pick func() *node, id string, acked func(*node)) {
-	w.Checker.CancelRequested(id)
-	w.requestUntil(pick, func(requestID uint64) core.Input {
-		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS()}
+func (s *Simulator) cancelUntilAcked(pick func() *node, id string, acked func(*node)) {
+	s.Checker.CancelRequested(id)
+	s.requestUntil(pick, func(requestID uint64) core.Input {
+		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: s.nowUnixMS()}
 	}, "cancel", id, hasStage(wire.StageCancelled), acked)
 }
 
-func (w *Simulator) pollUntilCancelled(pick func() *node, id string, acked func(*node)) {
-	w.requestUntil(pick, func(requestID uint64) core.Input {
+func (s *Simulator) pollUntilCancelled(pick func() *node, id string, acked func(*node)) {
+	s.requestUntil(pick, func(requestID uint64) core.Input {
 		return core.GetJob{RequestID: requestID, ID: id}
 	}, "poll", id, hasStage(wire.StageCancelled), acked)
 }
@@ -158,7 +158,7 @@
 
 // scheduleSubmissions submits services.
 func (r *outageRun) scheduleSubmissions() {
-	w := r.sim
+	sim := r.sim
 	for i := range scenarioJobs {
 		spec := wire.JobSpec{
 			ID:      scenarioJobID(i),
@@ -169,8 +169,8 @@
 			Request: [3]int64{1000, 0, 1000},
 			Spread:  i%2 == 0,
 		}
-		w.schedule(w.randomDuration(5*time.Second, 15*time.Second), func() {
-			w.submitUntilAccepted(w.randomNodeExcept(nil), spec)
+		sim.schedule(sim.randomDuration(5*time.Second, 15*time.Second), func() {
+			sim.submitUntilAccepted(sim.randomNodeExcept(nil), spec)
 		})
 	}
 }
@@ -191,20 +191,20 @@
 
 // scheduleCancellations injects the scenario's first fault and then cancels every other job.
 func (r *outageRun) scheduleCancellations() {
-	w := r.sim
-	w.schedule(cancellationTime-1500*time.Millisecond, func() {
+	sim := r.sim
+	sim.schedule(cancellationTime-1500*time.Millisecond, func() {
 		r.placement = r.uncancelledPlacement()
-		r.leaderFirst = []*node{w.leaderNode()}
-		for _, n := range w.nodes {
+		r.leaderFirst = []*node{sim.leaderNode()}
+		for _, n := range sim.nodes {
 			if n != r.leaderFirst[0] {
 				r.leaderFirst = append(r.leaderFirst, n)
 			}
 		}
-		r.scenario.beforeCancel(w, r.leaderFirst)
+		r.scenario.beforeCancel(sim, r.leaderFirst)
 	})
-	w.schedule(cancellationTime, func() {
+	sim.schedule(cancellationTime, func() {
 		for i := 1; i < scenarioJobs; i += 2 {
-			w.schedule(w.randomDuration(0, time.Second), func() { r.cancel(scenarioJobID(i)) })
+			sim.schedule(sim.randomDuration(0, time.Second), func() { r.cancel(scenarioJobID(i)) })
 		}
 	})
 }
@@ -212,15 +212,15 @@
 // cancel cancels a job as the scenario specifies; by default at a controller other than the leader, until it is
 // acknowledged.
 func (r *outageRun) cancel(id string) {
-	w := r.sim
+	sim := r.sim
 	if r.scenario.cancel != nil {
-		r.scenario.cancel(w, id, r.leaderFirst)
+		r.scenario.cancel(sim, id, r.leaderFirst)
 		return
 	}
-	w.cancelUntilAcked(w.randomNodeExcept(r.leaderFirst[:1]), id, func(n *node) {
+	sim.cancelUntilAcked(sim.randomNodeExcept(r.leaderFirst[:1]), id, func(n *node) {
 		r.ackedCancels++
 		if r.scenario.onCancelAcked != nil {
-			r.scenario.onCancelAcked(w, n)
+			r.scenario.onCancelAcked(sim, n)
 		}
 	})
 }
@@ -228,19 +228,19 @@
 // scheduleOutage begins an outage of the store after the cancellations. At its end the tasks that nobody cancelled must
 // be where they were.
 func (r *outageRun) scheduleOutage() {
-	w, scenario := r.sim, r.scenario
+	sim, scenario := r.sim, r.scenario
 	if scenario.delayedCommits {
-		w.commitDelay = func(wire.Txn) time.Duration {
-			if w.now < cancellationTime || w.now > cancellationTime+5*time.Second || w.chance(0.5) {
+		sim.commitDelay = func(wire.Txn) time.Duration {
+			if sim.now < cancellationTime || sim.now > cancellationTime+5*time.Second || sim.chance(0.5) {
 				return 0
 			}
-			return w.randomDuration(2*time.Second, 5*time.Second)
+			return sim.randomDuration(2*time.Second, 5*time.Second)
 		}
 	}
-	w.schedule(cancellationTime+2*time.Second, func() { w.store.startOutage(scenario.outage) })
-	w.schedule(cancellationTime+scenario.outage, r.checkPlacementUnchanged)
+	sim.schedule(cancellationTime+2*time.Second, func() { sim.store.startOutage(scenario.outage) })
+	sim.schedule(cancellationTime+scenario.outage, r.checkPlacementUnchanged)
 	if scenario.duringOutage != nil {
-		w.schedule(cancellationTime+2*time.Second, func() { scenario.duringOutage(w, r.leaderFirst) })
+		sim.schedule(cancellationTime+2*time.Second, func() { scenario.duringOutage(sim, r.leaderFirst) })
 	}
 }
 
@@ -259,37 +259,37 @@
 }
 
 // refuseNodes returns a fault in which the store refuses the first controllers.
-func refuseNodes(count int) func(w *Simulator, leaderFirst []*node) {
-	return func(w *Simulator, leaderFirst []*node) {
+func refuseNodes(count int) func(sim *Simulator, leaderFirst []*node) {
+	return func(sim *Simulator, leaderFirst []*node) {
 		for _, n := range leaderFirst[:count] {
-			w.store.refuseNode(n.name, 14*time.Second)
+			sim.store.refuseNode(n.name, 14*time.Second)
 		}
 	}
 }
 
 // isolateLeader returns a fault that partitions the leader from the store, and from its peers too if fromPeers is set.
-func isolateLeader(duration time.Duration, fromPeers bool) func(w *Simulator, leaderFirst []*node) {
-	return func(w *Simulator, leaderFirst []*node) {
-		w.isolate(leaderFirst[0].name, duration, true, fromPeers, false)
+func isolateLeader(duration time.Duration, fromPeers bool) func(sim *Simulator, leaderFirst []*node) {
+	return func(sim *Simulator, leaderFirst []*node) {
+		sim.isolate(leaderFirst[0].name, duration, true, fromPeers, false)
 	}
 }
 
 // pollAfterLostCancel cancels a job and ignores the response; the user learns of the cancellation by polling.
-func pollAfterLostCancel(w *Simulator, id string, leaderFirst []*node) {
-	pick := w.randomNodeExcept(leaderFirst[:1])
-	w.Checker.CancelRequested(id)
-	w.sendRequest(pick(), time.Second, func(requestID uint64) core.Input {
-		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS()}
+func pollAfterLostCancel(sim *Simulator, id string, leaderFirst []*node) {
+	pick := sim.randomNodeExcept(leaderFirst[:1])
+	sim.Checker.CancelRequested(id)
+	sim.sendRequest(pick(), time.Second, func(requestID uint64) core.Input {
+		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: sim.nowUnixMS()}
 	}, func(core.Response, bool) {})
-	w.schedule(300*time.Millisecond, func() { w.pollUntilCancelled(pick, id, func(*node) {}) })
+	sim.schedule(300*time.Millisecond, func() { sim.pollUntilCancelled(pick, id, func(*node) {}) })
 }
 
 // hangMachinesPastCancelTimeout suspends machines with cancelled tasks until after the cancel timeout.
-func hangMachinesPastCancelTimeout(w *Simulator, leaderFirst []*node) {
-	w.store.refuseNode(leaderFirst[0].name, 14*time.Second)
+func hangMachinesPastCancelTimeout(sim *Simulator, leaderFirst []*node) {
+	sim.store.refuseNode(leaderFirst[0].name, 14*time.Second)
 	for _, name := range []string{"wk-000001/0", "wk-000003/1"} {
-		for machine := range w.Checker.runningOn[name] {
-			w.cloud.find(machine).hangFor(65 * time.Second)
+		for machine := range sim.Checker.runningOn[name] {
+			sim.cloud.find(machine).hangFor(65 * time.Second)
 		}
 	}
 }
@@ -302,20 +302,20 @@
 		"three": {beforeCancel: refuseNodes(1)},
 		"five":  {nodes: 5, beforeCancel: refuseNodes(1)},
 		"not the leader": {
-			beforeCancel: func(w *Simulator, leaderFirst []*node) {
-				w.store.refuseNode(leaderFirst[1].name, 14*time.Second)
+			beforeCancel: func(sim *Simulator, leaderFirst []*node) {
+				sim.store.refuseNode(leaderFirst[1].name, 14*time.Second)
 			},
 		},
 		"two of five": {nodes: 5, beforeCancel: refuseNodes(2)},
 		"two of three": {
 			beforeCancel: refuseNodes(2),
-			cancel: func(w *Simulator, id string, leaderFirst []*node) {
-				w.cancelUntilAcked(w.randomNodeExcept(leaderFirst[:2]), id, func(*node) {})
+			cancel: func(sim *Simulator, id string, leaderFirst []*node) {
+				sim.cancelUntilAcked(sim.randomNodeExcept(leaderFirst[:2]), id, func(*node) {})
 			},
 		},
 		"reads of changes": {
-			beforeCancel: func(w *Simulator, leaderFirst []*node) {
-				w.store.stalledWatches[leaderFirst[0].name] = true
+			beforeCancel: func(sim *Simulator, leaderFirst []*node) {
+				sim.store.stalledWatches[leaderFirst[0].name] = true
 			},
 		},
 		"held packets":       {beforeCancel: isolateLeader(14*time.Second, false)},
@@ -329,15 +329,15 @@
 		},
 		"the blind one stands still": {
 			beforeCancel: refuseNodes(1),
-			duringOutage: func(w *Simulator, leaderFirst []*node) {
+			duringOutage: func(sim *Simulator, leaderFirst []*node) {
 				for at := time.Duration(0); at < 60*time.Second; at += 9 * time.Second {
-					w.schedule(at, func() { leaderFirst[0].pausedUntil = w.now + 7*time.Second })
+					sim.schedule(at, func() { leaderFirst[0].pausedUntil = sim.now + 7*time.Second })
 				}
 			},
 		},
 		"the teller stands still": {
 			beforeCancel:  refuseNodes(1),
-			onCancelAcked: func(w *Simulator, n *node) { n.pausedUntil = max(n.pausedUntil, w.now+8*time.Second) },
+			onCancelAcked: func(sim *Simulator, n *node) { n.pausedUntil = max(n.pausedUntil, sim.now+8*time.Second) },
 		},
 		"executed late": {beforeCancel: refuseNodes(1), delayedCommits: true},
 		"beside production": {
@@ -370,7 +370,7 @@
 // execution.
 func TestDelayedStartOfCancelledTaskIsIgnored(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
-		w := New(Options{Seed: seed, Duration: 200 * time.Second, NoFaults: true})
+		sim := New(Options{Seed: seed, Duration: 200 * time.Second, NoFaults: true})
 		spec := wire.JobSpec{
 			ID:      "wk-000001",
 			Class:   "c",
@@ -382,7 +382,7 @@
 		first := spec
 		first.ID = "wk-000000" // so that there are machines with free capacity
 		delayed := 0
-		w.commandDelay = func(commands core.SendCommands) time.Duration {
+		sim.commandDelay = func(commands core.SendCommands) time.Duration {
 			for _, command := range commands.Batch.Commands {
 				if id, _, _ := wire.SplitTaskName(command.Task); id == spec.ID && command.Op == wire.OpStart {
 					delayed++
@@ -392,18 +392,18 @@
 			return 0
 		}
 		toldAt := time.Duration(0)
-		w.schedule(5*time.Second, func() { w.submitUntilAccepted(w.randomNodeExcept(nil), first) })
-		w.schedule(50*time.Second, func() { w.submitUntilAccepted(w.randomNodeExcept(nil), spec) })
-		w.schedule(51*time.Second, func() {
-			w.cancelUntilAcked(w.randomNodeExcept(nil), spec.ID, func(*node) {
-				toldAt = w.now
-				w.store.startOutage(75 * time.Second)
+		sim.schedule(5*time.Second, func() { sim.submitUntilAccepted(sim.randomNodeExcept(nil), first) })
+		sim.schedule(50*time.Second, func() { sim.submitUntilAccepted(sim.randomNodeExcept(nil), spec) })
+		sim.schedule(51*time.Second, func() {
+			sim.cancelUntilAcked(sim.randomNodeExcept(nil), spec.ID, func(*node) {
+				toldAt = sim.now
+				sim.store.startOutage(75 * time.Second)
 			})
 		})
-		w.Run()
-		if len(w.Checker.Violations) > 0 || delayed == 0 || toldAt == 0 || toldAt > 53*time.Second {
+		sim.Run()
+		if len(sim.Checker.Violations) > 0 || delayed == 0 || toldAt == 0 || toldAt > 53*time.Second {
 			t.Errorf("seed %d: violations %v, %d starts delayed, told at %v",
-				seed, w.Checker.Violations, delayed, toldAt)
+				seed, sim.Checker.Violations, delayed, toldAt)
 		}
 	}
 }
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -63,7 +63,7 @@
 }
 
 // baseCoreConfig returns the settings that all controllers of a simulation have in common.
-func (w *Simulator) baseCoreConfig() core.Config {
+func (s *Simulator) baseCoreConfig() core.Config {
 	return core.Config{
 		Cluster: core.ClusterConfig{
 			LeaseTTL:       4 * time.Second,
@@ -89,7 +89,7 @@
 			CloudListInterval: 2500 * time.Millisecond,
 			ScaleOutLeadTime:  3 * time.Second,
 		},
-		Agents: w.agentConfig(),
+		Agents: s.agentConfig(),
 		State: core.StateConfig{
 			DeltaInterval:    500 * time.Millisecond,
 			PushInterval:     time.Second,
@@ -113,17 +113,17 @@
 
 		SchemaVersion: core.SchemaVersion,
 		Zone:          "a",
-		Teams:         w.teams,
+		Teams:         s.teams,
 		Shards:        6,
 	}
 }
 
 // agentConfig returns the settings about agents.
-func (w *Simulator) agentConfig() core.AgentConfig {
+func (s *Simulator) agentConfig() core.AgentConfig {
 	return core.AgentConfig{
 		HeartbeatInterval:    heartbeatInterval,
-		LeaseTTL:             w.options.WorkerLease,
-		CancelTimeout:        w.options.CancelTimeout,
+		LeaseTTL:             s.options.WorkerLease,
+		CancelTimeout:        s.options.CancelTimeout,
 		SilenceTimeout:       4 * time.Second,
 		CommandRetryInterval: time.Second,
 		MaxCommandRequests:   400,
@@ -135,28 +135,28 @@
 }
 
 // coreConfig returns the settings of a controller's next process.
-func (w *Simulator) coreConfig(n *node) core.Config {
-	cfg := w.baseCoreConfig()
+func (s *Simulator) coreConfig(n *node) core.Config {
+	cfg := s.baseCoreConfig()
 	cfg.Name = n.name
-	cfg.Store.SharedValues = w.options.BatchValues
-	if w.options.Permissions {
+	cfg.Store.SharedValues = s.options.BatchValues
+	if s.options.Permissions {
 		cfg.Permissions = initialPolicy()
 	}
-	if w.options.AuditLog {
+	if s.options.AuditLog {
 		cfg.Audit.Key, cfg.Audit.MaxClockErrorMS, cfg.Audit.Settings = auditKey, 500, settingsFor(n)
 		cfg.Audit.LateTxnWindow = 60 * time.Second // requests are delayed by 40 s at most
 		cfg.Audit.AggregationInterval, cfg.Audit.BlockDelay = 2*time.Second,
-			w.randomDuration(time.Second, 8*time.Second)
+			s.randomDuration(time.Second, 8*time.Second)
 	}
-	if w.options.Archive {
-		cfg.History.Archive, cfg.History.MaxEndedJobs, cfg.History.CacheBytes = true, 1+int(w.options.Seed%4), 1<<10
+	if s.options.Archive {
+		cfg.History.Archive, cfg.History.MaxEndedJobs, cfg.History.CacheBytes = true, 1+int(s.options.Seed%4), 1<<10
 	}
 	if n.bootsPrevious {
 		cfg.SchemaVersion = 0
 	} else {
-		w.addNewVersionConfig(&cfg)
+		s.addNewVersionConfig(&cfg)
 	}
-	for _, peer := range w.nodes {
+	for _, peer := range s.nodes {
 		if peer != n {
 			cfg.Peers = append(cfg.Peers, peer.name)
 		}
@@ -165,19 +165,19 @@
 }
 
 // addNewVersionConfig adds the settings that the previous version does not support.
-func (w *Simulator) addNewVersionConfig(cfg *core.Config) {
-	if w.options.PriorityClasses {
-		cfg.Scheduling.PriorityClasses = w.queueOrder.classes
+func (s *Simulator) addNewVersionConfig(cfg *core.Config) {
+	if s.options.PriorityClasses {
+		cfg.Scheduling.PriorityClasses = s.queueOrder.classes
 	}
-	if w.options.ReservationUsers > 0 {
-		cfg.Reservations.Equipment = w.reservations.inventory
+	if s.options.ReservationUsers > 0 {
+		cfg.Reservations.Equipment = s.reservations.inventory
 		cfg.Store.MaxValueBytes = 640 // small, so that there are many pages
-		if w.options.AuditLog {
+		if s.options.AuditLog {
 			cfg.Store.MaxValueBytes = 4096 // audit entries must fit
 		}
-		cfg.Reservations.Retention = time.Duration(w.options.Seed%3) * 10 * time.Second
+		cfg.Reservations.Retention = time.Duration(s.options.Seed%3) * 10 * time.Second
 	}
-	if w.options.RollingUpgrade {
+	if s.options.RollingUpgrade {
 		cfg.Store.MaxValueBytes = announcedLimits.valueBytes
 		cfg.Store.MaxTxnOps = announcedLimits.txnOps
 		cfg.Store.NextWriteRate = announcedLimits.writesPerSecond
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -216,20 +216,20 @@
 }
 
 // outputDigest returns the digest of all outputs of the controllers of a simulation, in order.
-func outputDigest(t *testing.T, o Options) string {
+func outputDigest(t *testing.T, options Options) string {
 	t.Helper()
-	w := New(o)
+	sim := New(options)
 	d := newDigester()
-	w.OnOutput = func(node string, out core.Output) {
-		if err := d.add(w.now, node, out); err != nil {
+	sim.OnOutput = func(node string, out core.Output) {
+		if err := d.add(sim.now, node, out); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w.Run()
-	if len(w.Checker.Violations) > 0 {
-		t.Errorf("%v", w.Checker.Violations)
+	sim.Run()
+	if len(sim.Checker.Violations) > 0 {
+		t.Errorf("%v", sim.Checker.Violations)
 	}
-	return fmt.Sprintf("%016x %d starts", d.sum(), w.Checker.Starts)
+	return fmt.Sprintf("%016x %d starts", d.sum(), sim.Checker.Starts)
 }
 
 // A change that must not affect the behaviour of controllers must not change any output of these simulations. After an
@@ -243,10 +243,10 @@
 		t.Fatalf("%s: %v", file, err)
 	}
 	var mu sync.Mutex
-	for name, o := range digestScenarios() {
+	for name, options := range digestScenarios() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := outputDigest(t, o)
+			got := outputDigest(t, options)
 			mu.Lock()
 			defer mu.Unlock()
 			if *updateDigests {
@@ -370,11 +370,11 @@
 	digests := map[string]string{}
 	t.Cleanup(func() { writeDigests(t, *digestFile, digests) })
 	for seed := range uint64(*digestSeedCount) {
-		for name, o := range scenariosForSeed(seed + 1000) {
+		for name, options := range scenariosForSeed(seed + 1000) {
 			name = fmt.Sprint(name, " ", seed)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				got := outputDigest(t, o)
+				got := outputDigest(t, options)
 				mu.Lock()
 				defer mu.Unlock()
 				digests[name] = got
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -23,44 +23,44 @@
 }
 
 // userViewOf returns what users were told of a job.
-func (k *Checker) userViewOf(id string) userView {
-	if job := k.jobs[id]; job != nil {
+func (c *Checker) userViewOf(id string) userView {
+	if job := c.jobs[id]; job != nil {
 		return userView{job.accepted, job.stage}
 	}
 	return userView{}
 }
 
 // pollEagerly polls a job at all controllers at once: a controller that lags behind must not contradict another.
-func (w *Simulator) pollEagerly(caller core.Credential, id string) {
-	spec := w.Checker.jobs[id].spec
+func (s *Simulator) pollEagerly(caller core.Credential, id string) {
+	spec := s.Checker.jobs[id].spec
 	for round := range eagerPollRounds {
-		for _, n := range w.nodes {
-			w.schedule(time.Duration(round)*15*time.Millisecond+w.randomDuration(0, 20*time.Millisecond), func() {
-				if w.chance(0.5) {
-					w.resubmit(n, caller, spec)
+		for _, n := range s.nodes {
+			s.schedule(time.Duration(round)*15*time.Millisecond+s.randomDuration(0, 20*time.Millisecond), func() {
+				if s.chance(0.5) {
+					s.resubmit(n, caller, spec)
 				}
-				w.pollOnce(n, caller, id, func() {})
+				s.pollOnce(n, caller, id, func() {})
 			})
 		}
 	}
-	if job := w.Checker.jobs[id]; job.stage == "" && w.chance(0.3) {
-		w.schedule(w.randomDuration(0, 30*time.Millisecond), func() { w.cancelUntilAnswered(caller, id) })
+	if job := s.Checker.jobs[id]; job.stage == "" && s.chance(0.3) {
+		s.schedule(s.randomDuration(0, 30*time.Millisecond), func() { s.cancelUntilAnswered(caller, id) })
 	}
 }
 
 // resubmit sends the submission of a job, known or not, to a controller once.
-func (w *Simulator) resubmit(target *node, caller core.Credential, spec wire.JobSpec) {
-	w.submitOnce(target, core.SubmitJob{ID: spec.ID, Spec: spec, Caller: caller}, func(core.Response, bool) {})
+func (s *Simulator) resubmit(target *node, caller core.Credential, spec wire.JobSpec) {
+	s.submitOnce(target, core.SubmitJob{ID: spec.ID, Spec: spec, Caller: caller}, func(core.Response, bool) {})
 }
 
 // cancelUntilAnswered cancels a job until a controller acknowledges that or knows no such job.
-func (w *Simulator) cancelUntilAnswered(caller core.Credential, id string) {
-	w.Checker.CancelRequested(id)
+func (s *Simulator) cancelUntilAnswered(caller core.Credential, id string) {
+	s.Checker.CancelRequested(id)
 	var attempt func()
 	attempt = func() {
-		w.cancelOnce(w.anyNode(), caller, id, func(response core.Response, ok bool) {
+		s.cancelOnce(s.anyNode(), caller, id, func(response core.Response, ok bool) {
 			if !ok || response.Status != wire.StatusOK && response.Status != wire.StatusNotFound {
-				w.schedule(retryInterval, attempt)
+				s.schedule(retryInterval, attempt)
 			}
 		})
 	}
@@ -68,9 +68,9 @@
 }
 
 // acceptedJobsWhere lists the jobs that users know to be accepted and that match, in order.
-func (w *Simulator) acceptedJobsWhere(matches func(job *observedJob) bool) (ids []string) {
-	for _, id := range slices.Sorted(maps.Keys(w.Checker.jobs)) {
-		if job := w.Checker.jobs[id]; job.accepted && matches(job) {
+func (s *Simulator) acceptedJobsWhere(matches func(job *observedJob) bool) (ids []string) {
+	for _, id := range slices.Sorted(maps.Keys(s.Checker.jobs)) {
+		if job := s.Checker.jobs[id]; job.accepted && matches(job) {
 			ids = append(ids, id)
 		}
 	}
@@ -78,79 +78,79 @@
 }
 
 // randomID draws one of several job IDs, if there are any.
-func (w *Simulator) randomID(ids []string) (id string, ok bool) {
+func (s *Simulator) randomID(ids []string) (id string, ok bool) {
 	if len(ids) == 0 {
 		return "", false
 	}
-	return ids[w.rng.IntN(len(ids))], true
+	return ids[s.rng.IntN(len(ids))], true
 }
 
 // sendInvalidRequests sends invalid requests for a while: repeated submissions of unfinished jobs with other bodies,
 // cancellations of done jobs, and submissions of jobs that are infeasible or lack a field. The last must never be
 // accepted: the checker does not know these jobs and reports them as invented.
-func (w *Simulator) sendInvalidRequests() {
-	w.Trace("%v invalid requests", w.now)
-	until := w.now + w.randomDuration(10*time.Second, 40*time.Second)
+func (s *Simulator) sendInvalidRequests() {
+	s.Trace("%v invalid requests", s.now)
+	until := s.now + s.randomDuration(10*time.Second, 40*time.Second)
 	var next func()
 	next = func() {
-		if w.now > until {
+		if s.now > until {
 			return
 		}
-		w.schedule(w.randomDuration(50*time.Millisecond, 600*time.Millisecond), next)
-		w.sendInvalidRequest()
+		s.schedule(s.randomDuration(50*time.Millisecond, 600*time.Millisecond), next)
+		s.sendInvalidRequest()
 	}
 	next()
 }
 
 // sendInvalidRequest sends one invalid request of a random kind.
-func (w *Simulator) sendInvalidRequest() {
-	target, caller := w.anyNode(), w.randomUser()
-	switch w.rng.IntN(4) {
+func (s *Simulator) sendInvalidRequest() {
+	target, caller := s.anyNode(), s.randomUser()
+	switch s.rng.IntN(4) {
 	case 0: // a repeated submission, as it was or with another body
-		unfinished := w.acceptedJobsWhere(func(job *observedJob) bool { return job.stage == "" })
-		if id, ok := w.randomID(unfinished); ok {
-			spec := w.Checker.jobs[id].spec
-			if w.chance(0.5) {
+		unfinished := s.acceptedJobsWhere(func(job *observedJob) bool { return job.stage == "" })
+		if id, ok := s.randomID(unfinished); ok {
+			spec := s.Checker.jobs[id].spec
+			if s.chance(0.5) {
 				spec.Tasks, spec.Request = spec.Tasks+1, [3]int64{1_000_000, 0, 0}
 			}
-			w.resubmit(target, caller, spec)
+			s.resubmit(target, caller, spec)
 		}
 	case 1:
-		done := w.acceptedJobsWhere(func(job *observedJob) bool { return job.stage == wire.StageDone })
-		if id, ok := w.randomID(done); ok {
-			w.cancelUntilAnswered(caller, id)
+		done := s.acceptedJobsWhere(func(job *observedJob) bool { return job.stage == wire.StageDone })
+		if id, ok := s.randomID(done); ok {
+			s.cancelUntilAnswered(caller, id)
 		}
 	case 2:
-		spec := w.infeasibleJob()
+		spec := s.infeasibleJob()
 		submission := core.SubmitJob{ID: spec.ID, Spec: spec, Caller: caller}
-		w.submitOnce(target, submission, func(response core.Response, ok bool) {
+		s.submitOnce(target, submission, func(response core.Response, ok bool) {
 			if ok {
-				w.Checker.CheckRejected(fmt.Sprintf("%+v", spec), response.Status, wire.StatusInvalid)
+				s.Checker.CheckRejected(fmt.Sprintf("%+v", spec), response.Status, wire.StatusInvalid)
 			}
 		})
 	case 3:
-		id := fmt.Sprintf("wk-y%05d", w.rng.IntN(100000))
+		id := fmt.Sprintf("wk-y%05d", s.rng.IntN(100000))
 		submission := core.SubmitJob{ID: id, DecodeError: "pieces is missing", Caller: caller}
-		w.submitOnce(target, submission, func(response core.Response, ok bool) {
+		s.submitOnce(target, submission, func(response core.Response, ok bool) {
 			if ok {
-				w.Checker.CheckRejected("a job that lacks a field", response.Status, wire.StatusBadRequest)
+				s.Checker.CheckRejected("a job that lacks a field", response.Status, wire.StatusBadRequest)
 			}
 		})
 	}
 }
 
 // CheckRejected checks the response to an invalid submission: its status must be want, or 503 or 403.
-func (k *Checker) CheckRejected(what string, status, want wire.Status) {
+func (c *Checker) CheckRejected(what string, status, want wire.Status) {
 	if status != want && status != wire.StatusUnavailable && status != wire.StatusForbidden {
-		k.violated("unfit", "%s got status %d", what, status)
+		c.violated("unfit", "%s got status %d", what, status)
 	}
 }
 
 // infeasibleJob draws a job that can never run.
-func (w *Simulator) infeasibleJob() wire.JobSpec {
-	spec := w.randomJob()
-	spec.ID = fmt.Sprintf("wk-z%05d", w.rng.IntN(100000))
-	switch w.rng.IntN(5) {
+func (s *Simulator) infeasibleJob() wire.JobSpec {
+	spec := s.randomJob()
+	spec.ID = fmt.Sprintf("wk-z%05d", s.rng.IntN(100000))
+	switch s.rng.IntN(5) {
 	case 0:
 		spec.Request[0] = 17_000 // more cores than any machine has
 	case 1:
@@ -171,19 +171,19 @@
 
 // checkStarvation checks every second for starving jobs. It considers the existing machines and the tasks on them, not
 // the state of any controller.
-func (w *Simulator) checkStarvation() {
-	w.schedule(time.Second, w.checkStarvation)
-	machines := w.usableMachines()
-	for _, id := range slices.Sorted(maps.Keys(w.Checker.jobs)) {
-		job := w.Checker.jobs[id]
+func (s *Simulator) checkStarvation() {
+	s.schedule(time.Second, s.checkStarvation)
+	machines := s.usableMachines()
+	for _, id := range slices.Sorted(maps.Keys(s.Checker.jobs)) {
+		job := s.Checker.jobs[id]
 		switch {
-		case !w.Checker.mustProgress(job) || !w.Checker.hasFeasibleMachine(job, machines):
+		case !s.Checker.mustProgress(job) || !s.Checker.hasFeasibleMachine(job, machines):
 			job.starvingSince = 0
 		case job.starvingSince == 0:
-			job.starvingSince = w.now
-		case w.now-job.starvingSince >= maxStarvation:
-			w.Checker.violated("left_waiting", "%s has waited for %v: %d of %d tasks are done, %d on machines",
-				id, w.now-job.starvingSince, len(job.completedTasks), job.spec.Tasks, job.runningTasks)
+			job.starvingSince = s.now
+		case s.now-job.starvingSince >= maxStarvation:
+			s.Checker.violated("left_waiting", "%s has waited for %v: %d of %d tasks are done, %d on machines",
+				id, s.now-job.starvingSince, len(job.completedTasks), job.spec.Tasks, job.runningTasks)
 		}
 	}
 }
@@ -196,11 +196,11 @@
 
 // usableMachines lists the machines that run, are reachable both ways, have no interruption notice and have received a
 // fencing token.
-func (w *Simulator) usableMachines() (usable []usableMachine) {
-	for _, worker := range w.cloud.machines {
+func (s *Simulator) usableMachines() (usable []usableMachine) {
+	for _, worker := range s.cloud.machines {
 		name := worker.machine.Name
-		if worker.up && !worker.gone && w.now >= worker.hungUntil && w.now >= w.inboundBlockedUntil[name] &&
-			w.now >= w.outboundBlockedUntil[name] && worker.interruptionAt == 0 && worker.fencingToken > 0 {
+		if worker.up && !worker.gone && s.now >= worker.hungUntil && s.now >= s.inboundBlockedUntil[name] &&
+			s.now >= s.outboundBlockedUntil[name] && worker.interruptionAt == 0 && worker.fencingToken > 0 {
 			usable = append(usable, usableMachine{worker.machine, worker.freeCPU()})
 		}
 	}
@@ -208,25 +208,25 @@
 }
 
 // mustProgress reports whether a job has tasks left whose start only a lack of capacity may prevent.
-func (k *Checker) mustProgress(job *observedJob) bool {
-	if !job.accepted || job.stage != "" || k.failingJobs[job.spec.ID] != nil || job.readyAt == notReady {
+func (c *Checker) mustProgress(job *observedJob) bool {
+	if !job.accepted || job.stage != "" || c.failingJobs[job.spec.ID] != nil || job.readyAt == notReady {
 		return false
 	}
 	tasksLeft := len(job.completedTasks)+job.runningTasks < job.spec.Tasks
-	return tasksLeft && !k.mayBeCancelled(job) && !k.isAtQuota(&job.spec)
+	return tasksLeft && !c.mayBeCancelled(job) && !c.isAtQuota(&job.spec)
 }
 
 // hasFeasibleMachine reports whether one of the machines is feasible for the next task of a job and has the cores for
 // it.
-func (k *Checker) hasFeasibleMachine(job *observedJob, machines []usableMachine) bool {
+func (c *Checker) hasFeasibleMachine(job *observedJob, machines []usableMachine) bool {
 	return slices.ContainsFunc(machines, func(candidate usableMachine) bool {
-		return candidate.freeCPU >= job.spec.Request[0] && k.isFeasible(job, candidate.machine)
+		return candidate.freeCPU >= job.spec.Request[0] && c.isFeasible(job, candidate.machine)
 	})
 }
 
 // isAtQuota reports whether another task would exceed the quota of its team.
-func (k *Checker) isAtQuota(spec *wire.JobSpec) bool {
-	quota, allocated := k.quotas[spec.Team], k.allocated[spec.Team]
+func (c *Checker) isAtQuota(spec *wire.JobSpec) bool {
+	quota, allocated := c.quotas[spec.Team], c.allocated[spec.Team]
 	for i := range allocated {
 		if quota[i] > 0 && allocated[i]+spec.Request[i] > quota[i] {
 			return true
@@ -236,7 +236,7 @@
 }
 
 // isFeasible reports whether a machine satisfies the constraints on the next task of a job, regardless of its capacity.
-func (k *Checker) isFeasible(job *observedJob, machine wire.Machine) bool {
+func (c *Checker) isFeasible(job *observedJob, machine wire.Machine) bool {
 	spec := &job.spec
 	if !satisfiesMachineConstraints(spec, machine) {
 		return false
--- a/internal/sim/fake_cloud.go
+++ b/internal/sim/fake_cloud.go
@@ -24,8 +24,8 @@
 	down     bool
 }
 
-func newFakeCloud(w *Simulator) *fakeCloud {
-	return &fakeCloud{sim: w, byName: map[string]*fakeWorker{}, rentals: map[string][]string{}}
+func newFakeCloud(sim *Simulator) *fakeCloud {
+	return &fakeCloud{sim: sim, byName: map[string]*fakeWorker{}, rentals: map[string][]string{}}
 }
 
 // catalog lists the machine types of every simulation.
@@ -144,21 +144,21 @@
 // addMachine adds a machine, schedules its boot, which a few machines never finish, and the interruption of a spot
 // machine.
 func (c *fakeCloud) addMachine(machine wire.Machine) {
-	w := c.sim
+	sim := c.sim
 	worker := &fakeWorker{
-		sim: w, machine: machine, rentedAt: w.now, tasks: map[string]*fakeTask{}, images: map[string]bool{},
+		sim: sim, machine: machine, rentedAt: sim.now, tasks: map[string]*fakeTask{}, images: map[string]bool{},
 	}
 	c.machines = append(c.machines, worker)
 	c.byName[machine.Name] = worker
-	if w.options.NoFaults || !w.chance(0.05) {
-		bootTime := w.randomDuration(2*time.Second, 12*time.Second)
-		if w.now < w.fastBootsUntil {
-			bootTime = w.randomDuration(0, 2*time.Second)
+	if sim.options.NoFaults || !sim.chance(0.05) {
+		bootTime := sim.randomDuration(2*time.Second, 12*time.Second)
+		if sim.now < sim.fastBootsUntil {
+			bootTime = sim.randomDuration(0, 2*time.Second)
 		}
-		w.schedule(bootTime, worker.start)
+		sim.schedule(bootTime, worker.start)
 	}
-	if machine.Spot && !w.options.NoFaults {
-		w.schedule(w.randomDuration(10*time.Second, 300*time.Second), worker.reclaimSpot)
+	if machine.Spot && !sim.options.NoFaults {
+		sim.schedule(sim.randomDuration(10*time.Second, 300*time.Second), worker.reclaimSpot)
 	}
 }
 
--- a/internal/sim/fake_store.go
+++ b/internal/sim/fake_store.go
@@ -51,16 +51,16 @@
 	respond       func()
 }
 
-func newFakeStore(w *Simulator) *fakeStore {
+func newFakeStore(sim *Simulator) *fakeStore {
 	s := &fakeStore{
-		sim:            w,
+		sim:            sim,
 		keys:           map[string]*wire.KeyValue{},
 		leases:         map[uint64]*leaseState{},
 		refusedNodes:   map[string]bool{},
 		stalledWatches: map[string]bool{},
 		limits:         storeLimits{txnOps: 12, valueBytes: 8192},
 	}
-	w.schedule(leaseCheckInterval, s.expireLeases)
+	sim.schedule(leaseCheckInterval, s.expireLeases)
 	return s
 }
 
@@ -268,22 +268,22 @@
 // serveLongPoll responds as soon as there are events. A long poll that is open stays open while the store is down or
 // refuses its caller, until the caller gives up.
 func (s *fakeStore) serveLongPoll(n *node, request core.Watch, deliver func(core.Input)) {
-	w := s.sim
+	sim := s.sim
 	finished := false
 	respond := func(result core.WatchResult) {
 		if finished {
 			return
 		}
 		finished = true
-		w.send(storeAddress, n.name, func() { deliver(result) })
+		sim.send(storeAddress, n.name, func() { deliver(result) })
 	}
-	w.schedule(watchLongPollTimeout, func() { // the caller gives up
+	sim.schedule(watchLongPollTimeout, func() { // the caller gives up
 		if !finished {
 			finished = true
 			deliver(core.WatchResult{LongPoll: true})
 		}
 	})
-	w.send(n.name, storeAddress, func() {
+	sim.send(n.name, storeAddress, func() {
 		if s.isUnavailable(n.name) {
 			respond(core.WatchResult{LongPoll: true, Status: wire.StatusUnavailable})
 			return
@@ -291,7 +291,7 @@
 		watch := &pendingWatch{sinceRevision: request.SinceRevision}
 		watch.respond = func() {
 			if s.refusedNodes[n.name] {
-				w.schedule(time.Second, watch.respond)
+				sim.schedule(time.Second, watch.respond)
 				return
 			}
 			respond(core.WatchResult{
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -179,14 +179,14 @@
 // sendHeartbeat sends a heartbeat to the current controller, one at a time. Without a successful response, it sends one
 // to the next controller after a second.
 func (m *fakeWorker) sendHeartbeat() {
-	w := m.sim
-	if m.gone || m.heartbeatInFlight || w.now < m.hungUntil {
+	sim := m.sim
+	if m.gone || m.heartbeatInFlight || sim.now < m.hungUntil {
 		return
 	}
 	m.heartbeatInFlight = true
-	controller := w.nodes[m.controllerIndex]
+	controller := sim.nodes[m.controllerIndex]
 	heartbeat := m.nextHeartbeat()
-	sentAt, incarnation := w.now, m.incarnation
+	sentAt, incarnation := sim.now, m.incarnation
 	finished := false
 	finish := func(response core.Response, ok bool) {
 		if finished || m.gone {
@@ -196,19 +196,19 @@
 		m.heartbeatInFlight = false
 		m.handleHeartbeatResponse(sentAt, incarnation, response, ok)
 	}
-	w.schedule(heartbeatTimeout, func() { finish(core.Response{}, false) })
-	w.send(m.machine.Name, controller.name, func() {
-		if controller.down || w.now < w.outboundBlockedUntil[m.machine.Name] {
-			w.schedule(time.Millisecond, func() { finish(core.Response{}, false) })
+	sim.schedule(heartbeatTimeout, func() { finish(core.Response{}, false) })
+	sim.send(m.machine.Name, controller.name, func() {
+		if controller.down || sim.now < sim.outboundBlockedUntil[m.machine.Name] {
+			sim.schedule(time.Millisecond, func() { finish(core.Response{}, false) })
 			return
 		}
-		w.onHeartbeat(heartbeat)
-		w.lastRequestID++
-		requestID := w.lastRequestID
+		sim.onHeartbeat(heartbeat)
+		sim.lastRequestID++
+		requestID := sim.lastRequestID
 		controller.pendingRequests[requestID] = func(response core.Response) {
-			w.send(controller.name, m.machine.Name, func() { finish(response, true) })
+			sim.send(controller.name, m.machine.Name, func() { finish(response, true) })
 		}
-		w.deliver(controller, core.AgentHeartbeat{RequestID: requestID, Heartbeat: heartbeat})
+		sim.deliver(controller, core.AgentHeartbeat{RequestID: requestID, Heartbeat: heartbeat})
 	})
 }
 
@@ -322,18 +322,18 @@
 
 // runTask runs a task whose image is pulled, and schedules its end.
 func (m *fakeWorker) runTask(task *fakeTask, job *observedJob) {
-	w := m.sim
+	sim := m.sim
 	m.images[job.spec.Image] = true
 	if job.completedTasks[task.task] {
 		m.exitTask(task, wire.CauseDone)
 		return
 	}
 	task.stage = wire.TaskRunning
-	w.Checker.TaskStarted(w.now, task.job, task.task, m.machine)
-	w.queueOrder.jobStarted(task.job)
+	sim.Checker.TaskStarted(sim.now, task.job, task.task, m.machine)
+	sim.queueOrder.jobStarted(task.job)
 	generation := task.generation
-	if w.Checker.failingJobs[task.job] != nil {
-		w.schedule(w.randomDuration(100*time.Millisecond, 3*time.Second), func() {
+	if sim.Checker.failingJobs[task.job] != nil {
+		sim.schedule(sim.randomDuration(100*time.Millisecond, 3*time.Second), func() {
 			if !m.gone && task.generation == generation {
 				m.exitTask(task, wire.CauseError)
 			}
@@ -344,10 +344,10 @@
 		return
 	}
 	maxRuntime := maxTaskRuntime
-	if w.options.LongTasks {
+	if sim.options.LongTasks {
 		maxRuntime = maxLongTaskRuntime
 	}
-	w.schedule(w.randomDuration(2*time.Second, maxRuntime), func() {
+	sim.schedule(sim.randomDuration(2*time.Second, maxRuntime), func() {
 		if !m.gone && task.generation == generation {
 			m.completeTask(task, job)
 		}
@@ -356,15 +356,15 @@
 
 // completeTask ends a task after its runtime, with success or rarely with an error.
 func (m *fakeWorker) completeTask(task *fakeTask, job *observedJob) {
-	w := m.sim
-	if !w.options.NoFaults && w.chance(0.02) {
+	sim := m.sim
+	if !sim.options.NoFaults && sim.chance(0.02) {
 		m.exitTask(task, wire.CauseError)
 		return
 	}
 	if len(job.completedTasks) == job.spec.Tasks-1 && !job.completedTasks[task.task] {
-		w.onLastTaskEnding(task.job)
+		sim.onLastTaskEnding(task.job)
 	}
-	w.Checker.TaskCompleted(task.job, task.task)
+	sim.Checker.TaskCompleted(task.job, task.task)
 	m.exitTask(task, wire.CauseDone)
 	m.sendHeartbeat()
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -15,110 +15,110 @@
 )
 
 // scheduleFaults schedules random faults; they may overlap.
-func (w *Simulator) scheduleFaults() {
+func (s *Simulator) scheduleFaults() {
 	tail := faultFreeTail
-	if w.options.FlappingProcesses {
+	if s.options.FlappingProcesses {
 		tail = flapFreeTail
-		w.Checker.faultFreeFrom = w.options.Duration - tail + maxFaultDuration
+		s.Checker.faultFreeFrom = s.options.Duration - tail + maxFaultDuration
 	}
-	for at := 10 * time.Second; at < w.options.Duration-tail; at += w.randomDuration(3*time.Second, 15*time.Second) {
-		w.schedule(at, w.injectFault)
+	for at := 10 * time.Second; at < s.options.Duration-tail; at += s.randomDuration(3*time.Second, 15*time.Second) {
+		s.schedule(at, s.injectFault)
 	}
 }
 
 // injectFault injects one random fault. The number and order of its random draws determine the run of every seed.
-func (w *Simulator) injectFault() {
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	duration := w.randomDuration(2*time.Second, 25*time.Second)
-	if w.options.FlappingProcesses && w.chance(0.3) {
-		w.flapProcess(n)
+func (s *Simulator) injectFault() {
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
+	duration := s.randomDuration(2*time.Second, 25*time.Second)
+	if s.options.FlappingProcesses && s.chance(0.3) {
+		s.flapProcess(n)
 		return
 	}
 	const faultKinds = 13
-	switch w.rng.IntN(faultKinds) {
+	switch s.rng.IntN(faultKinds) {
 	case 0:
 		if !n.down {
-			w.Trace("%v crash %s", w.now, n.name)
-			w.crash(n)
+			s.Trace("%v crash %s", s.now, n.name)
+			s.crash(n)
 		}
 	case 1:
-		w.Trace("%v crash all", w.now)
-		w.crashAllNodes()
+		s.Trace("%v crash all", s.now)
+		s.crashAllNodes()
 	case 2:
-		w.Trace("%v store outage for %v", w.now, duration)
-		w.store.startOutage(duration)
+		s.Trace("%v store outage for %v", s.now, duration)
+		s.store.startOutage(duration)
 	case 3:
-		w.Trace("%v store refuses %s for %v", w.now, n.name, duration)
-		w.store.refuseNode(n.name, duration)
+		s.Trace("%v store refuses %s for %v", s.now, n.name, duration)
+		s.store.refuseNode(n.name, duration)
 	case 4:
-		w.Trace("%v cloud outage for %v", w.now, duration)
-		w.cloud.startOutage(duration)
+		s.Trace("%v cloud outage for %v", s.now, duration)
+		s.cloud.startOutage(duration)
 	case 5:
-		w.Trace("%v isolate %s for %v", w.now, n.name, duration)
-		w.isolate(n.name, duration, true, true, true)
+		s.Trace("%v isolate %s for %v", s.now, n.name, duration)
+		s.isolate(n.name, duration, true, true, true)
 	case 6:
-		w.isolate(n.name, duration, true, false, false)
+		s.isolate(n.name, duration, true, false, false)
 	case 7:
-		w.isolate(n.name, duration, false, true, false)
+		s.isolate(n.name, duration, false, true, false)
 	case 8:
-		w.isolate(n.name, duration, false, false, true)
+		s.isolate(n.name, duration, false, false, true)
 	case 9, 10:
-		w.hangRandomMachine(duration)
+		s.hangRandomMachine(duration)
 	case 11:
-		w.failRandomMachine()
+		s.failRandomMachine()
 	case 12: // controller i is in zone i
-		i := w.rng.IntN(zoneCount)
-		w.partitionZones(i, (i+1)%zoneCount, duration)
+		i := s.rng.IntN(zoneCount)
+		s.partitionZones(i, (i+1)%zoneCount, duration)
 	}
 }
 
 // flapProcess crashes a controller up to five times within three seconds.
-func (w *Simulator) flapProcess(n *node) {
-	w.Trace("%v %s crashes five times", w.now, n.name)
+func (s *Simulator) flapProcess(n *node) {
+	s.Trace("%v %s crashes five times", s.now, n.name)
 	for range 5 {
-		w.schedule(w.randomDuration(0, 3*time.Second), func() { w.crashIfUp(n) })
+		s.schedule(s.randomDuration(0, 3*time.Second), func() { s.crashIfUp(n) })
 	}
 }
 
 // hangRandomMachine suspends a machine for a duration.
-func (w *Simulator) hangRandomMachine(duration time.Duration) {
-	if worker := w.cloud.randomMachine(); worker != nil {
-		w.Trace("%v machine %s hangs for %v", w.now, worker.machine.Name, duration)
+func (s *Simulator) hangRandomMachine(duration time.Duration) {
+	if worker := s.cloud.randomMachine(); worker != nil {
+		s.Trace("%v machine %s hangs for %v", s.now, worker.machine.Name, duration)
 		worker.hangFor(duration)
 	}
 }
 
 // failRandomMachine ends a machine without notice.
-func (w *Simulator) failRandomMachine() {
-	if worker := w.cloud.randomMachine(); worker != nil {
-		w.Trace("%v machine %s fails", w.now, worker.machine.Name)
+func (s *Simulator) failRandomMachine() {
+	if worker := s.cloud.randomMachine(); worker != nil {
+		s.Trace("%v machine %s fails", s.now, worker.machine.Name)
 		worker.fail()
 	}
 }
 
 // crashIfUp crashes a controller unless it is down already.
-func (w *Simulator) crashIfUp(n *node) {
+func (s *Simulator) crashIfUp(n *node) {
 	if !n.down {
-		w.crash(n)
+		s.crash(n)
 	}
 }
 
 // crashAllNodes crashes every controller that is up.
-func (w *Simulator) crashAllNodes() {
-	for _, n := range w.nodes {
-		w.crashIfUp(n)
+func (s *Simulator) crashAllNodes() {
+	for _, n := range s.nodes {
+		s.crashIfUp(n)
 	}
 }
 
 // injectFlap sometimes crashes a controller around one of its writes, and executes some writes a second time, late.
-func (w *Simulator) injectFlap(n *node, txn wire.Txn) {
-	if w.now > w.options.Duration-flapFreeTail {
+func (s *Simulator) injectFlap(n *node, txn wire.Txn) {
+	if s.now > s.options.Duration-flapFreeTail {
 		return
 	}
-	if w.chance(0.02) {
-		w.crashSoon(n, "a write")
+	if s.chance(0.02) {
+		s.crashSoon(n, "a write")
 	}
-	if w.chance(0.05) {
-		w.schedule(w.randomDuration(10*time.Millisecond, 20*time.Second), func() { w.store.commit(n.name, txn) })
+	if s.chance(0.05) {
+		s.schedule(s.randomDuration(10*time.Millisecond, 20*time.Second), func() { s.store.commit(n.name, txn) })
 	}
 }
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -16,14 +16,14 @@
 
 // send delivers a message after a random network delay. The message is lost if the receiver's inbound traffic is
 // blocked, and queued while the two are partitioned.
-func (w *Simulator) send(from, to string, deliver func()) {
+func (s *Simulator) send(from, to string, deliver func()) {
 	link := [2]string{from, to}
-	w.schedule(w.randomDuration(500*time.Microsecond, cmp.Or(w.options.MaxNetworkDelay, 5*time.Millisecond)), func() {
-		if w.now < w.inboundBlockedUntil[to] {
+	s.schedule(s.randomDuration(500*time.Microsecond, cmp.Or(s.options.MaxNetworkDelay, 5*time.Millisecond)), func() {
+		if s.now < s.inboundBlockedUntil[to] {
 			return
 		}
-		if w.partitioned[link] {
-			w.queuedMessages[link] = append(w.queuedMessages[link], deliver)
+		if s.partitioned[link] {
+			s.queuedMessages[link] = append(s.queuedMessages[link], deliver)
 			return
 		}
 		deliver()
@@ -40,7 +40,7 @@
 // rpc carries a request to a server and its outcome back. execute returns the delay of the response; if it is negative
 // the response is lost. Without a response before the timeout the caller gives up. The request may still be executed
 // later, which cores must tolerate.
-func (w *Simulator) rpc(request rpcRequest, execute func() (responseDelay time.Duration), done func(ok bool)) {
+func (s *Simulator) rpc(request rpcRequest, execute func() (responseDelay time.Duration), done func(ok bool)) {
 	finished := false
 	finish := func(ok bool) {
 		if !finished {
@@ -49,16 +49,16 @@
 		}
 	}
 	delay := request.delay
-	if request.to == storeAddress && w.store.maxDelay > 0 {
-		delay += w.randomDuration(0, w.store.maxDelay)
+	if request.to == storeAddress && s.store.maxDelay > 0 {
+		delay += s.randomDuration(0, s.store.maxDelay)
 	}
-	w.schedule(request.timeout, func() { finish(false) })
-	w.schedule(delay, func() {
-		w.send(request.from, request.to, func() {
-			respond := func() { w.send(request.to, request.from, func() { finish(true) }) }
+	s.schedule(request.timeout, func() { finish(false) })
+	s.schedule(delay, func() {
+		s.send(request.from, request.to, func() {
+			respond := func() { s.send(request.to, request.from, func() { finish(true) }) }
 			switch responseDelay := execute(); { // also after the caller gave up
 			case responseDelay > 0:
-				w.schedule(responseDelay, respond)
+				s.schedule(responseDelay, respond)
 			case responseDelay == 0:
 				respond()
 			}
@@ -67,9 +67,9 @@
 }
 
 // call is an rpc whose outcome is an input of the caller's core: the result of execute, or failed after a timeout.
-func (w *Simulator) call(request rpcRequest, failed core.Input, execute func() core.Input, deliver func(core.Input)) {
+func (s *Simulator) call(request rpcRequest, failed core.Input, execute func() core.Input, deliver func(core.Input)) {
 	var result core.Input
-	w.rpc(request, func() time.Duration {
+	s.rpc(request, func() time.Duration {
 		result = execute()
 		return 0
 	}, func(ok bool) {
@@ -81,57 +81,57 @@
 }
 
 // setPartition cuts or restores the network between two addresses. Restoring delivers the queued messages.
-func (w *Simulator) setPartition(a, b string, partitioned bool) {
+func (s *Simulator) setPartition(a, b string, partitioned bool) {
 	for _, link := range [][2]string{{a, b}, {b, a}} {
 		if partitioned {
-			w.partitioned[link] = true
+			s.partitioned[link] = true
 			continue
 		}
-		delete(w.partitioned, link)
-		queued := w.queuedMessages[link]
-		delete(w.queuedMessages, link)
+		delete(s.partitioned, link)
+		queued := s.queuedMessages[link]
+		delete(s.queuedMessages, link)
 		for _, deliver := range queued {
-			w.schedule(time.Millisecond, deliver)
+			s.schedule(time.Millisecond, deliver)
 		}
 	}
 }
 
 // partitionZones partitions two zones, by the indices of their controllers.
-func (w *Simulator) partitionZones(i, j int, duration time.Duration) {
-	w.Trace("%v zones %s and %s partitioned for %v", w.now, zones[i], zones[j], duration)
-	pairs := [][2]string{{w.nodes[i].name, w.nodes[j].name}}
-	for _, worker := range w.cloud.machines {
+func (s *Simulator) partitionZones(i, j int, duration time.Duration) {
+	s.Trace("%v zones %s and %s partitioned for %v", s.now, zones[i], zones[j], duration)
+	pairs := [][2]string{{s.nodes[i].name, s.nodes[j].name}}
+	for _, worker := range s.cloud.machines {
 		switch worker.machine.Zone {
 		case zones[i]:
-			pairs = append(pairs, [2]string{w.nodes[j].name, worker.machine.Name})
+			pairs = append(pairs, [2]string{s.nodes[j].name, worker.machine.Name})
 		case zones[j]:
-			pairs = append(pairs, [2]string{w.nodes[i].name, worker.machine.Name})
+			pairs = append(pairs, [2]string{s.nodes[i].name, worker.machine.Name})
 		}
 	}
-	w.partitionFor(pairs, duration)
+	s.partitionFor(pairs, duration)
 }
 
 // partitionFor cuts the network between pairs of addresses for a duration.
-func (w *Simulator) partitionFor(pairs [][2]string, duration time.Duration) {
+func (s *Simulator) partitionFor(pairs [][2]string, duration time.Duration) {
 	for _, pair := range pairs {
-		w.setPartition(pair[0], pair[1], true)
+		s.setPartition(pair[0], pair[1], true)
 	}
-	w.schedule(duration, func() {
+	s.schedule(duration, func() {
 		for _, pair := range pairs {
-			w.setPartition(pair[0], pair[1], false)
+			s.setPartition(pair[0], pair[1], false)
 		}
 	})
 }
 
 // isolate partitions a controller from the store, from its peers, or from the cloud and all machines.
-func (w *Simulator) isolate(name string, duration time.Duration, fromStore, fromPeers, fromWorkers bool) {
+func (s *Simulator) isolate(name string, duration time.Duration, fromStore, fromPeers, fromWorkers bool) {
 	var pairs [][2]string
 	from := func(other string) { pairs = append(pairs, [2]string{name, other}) }
 	if fromStore {
 		from(storeAddress)
 	}
 	if fromPeers {
-		for _, peer := range w.nodes {
+		for _, peer := range s.nodes {
 			if peer.name != name {
 				from(peer.name)
 			}
@@ -139,16 +139,16 @@
 	}
 	if fromWorkers {
 		from(cloudAddress)
-		for _, worker := range w.cloud.machines {
+		for _, worker := range s.cloud.machines {
 			from(worker.machine.Name)
 		}
 	}
-	w.partitionFor(pairs, duration)
+	s.partitionFor(pairs, duration)
 }
 
 // sendRequest sends a user's request to a controller. done is called once, with ok false if the controller is down or
 // does not respond before the timeout.
-func (w *Simulator) sendRequest(
+func (s *Simulator) sendRequest(
 	target *node,
 	timeout time.Duration,
 	newInput func(requestID uint64) core.Input,
@@ -162,22 +162,22 @@
 		}
 	}
 	linkDelay := func() time.Duration { // random while users poll eagerly: responses overtake each other
-		if w.now < w.eagerPollsUntil {
-			return w.randomDuration(100*time.Microsecond, 20*time.Millisecond)
+		if s.now < s.eagerPollsUntil {
+			return s.randomDuration(100*time.Microsecond, 20*time.Millisecond)
 		}
 		return time.Millisecond
 	}
-	w.schedule(timeout, func() { finish(core.Response{}, false) })
-	w.schedule(linkDelay(), func() {
+	s.schedule(timeout, func() { finish(core.Response{}, false) })
+	s.schedule(linkDelay(), func() {
 		if target.down {
 			finish(core.Response{}, false)
 			return
 		}
-		w.lastRequestID++
-		requestID := w.lastRequestID
+		s.lastRequestID++
+		requestID := s.lastRequestID
 		target.pendingRequests[requestID] = func(response core.Response) {
-			w.schedule(linkDelay(), func() { finish(response, true) })
+			s.schedule(linkDelay(), func() { finish(response, true) })
 		}
-		w.deliver(target, newInput(requestID))
+		s.deliver(target, newInput(requestID))
 	})
 }
--- a/internal/sim/outputs.go
+++ b/internal/sim/outputs.go
@@ -28,45 +28,45 @@
 
 // performOutput carries out one output of a controller's core. The outcome comes back as an input, unless the process
 // has ended by then.
-func (w *Simulator) performOutput(n *node, output core.Output) {
-	w.OnOutput(n.name, output)
+func (s *Simulator) performOutput(n *node, output core.Output) {
+	s.OnOutput(n.name, output)
 	incarnation := n.incarnation
 	deliver := func(in core.Input) {
 		if n.incarnation == incarnation && !n.down {
-			w.deliver(n, in)
+			s.deliver(n, in)
 		}
 	}
 	switch output := output.(type) {
 	case core.Response:
 		n.respond(output)
 	case core.SendToPeer:
-		w.sendToPeers(n, output)
+		s.sendToPeers(n, output)
 	case core.CommitTxn:
-		w.commitTxn(n, output, deliver)
+		s.commitTxn(n, output, deliver)
 	case core.Watch:
-		w.store.serveWatch(n, output, deliver)
+		s.store.serveWatch(n, output, deliver)
 	case core.LoadSnapshot:
-		w.call(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, core.SnapshotPage{},
-			func() core.Input { return w.store.loadSnapshot(n.name, output) }, deliver)
+		s.call(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, core.SnapshotPage{},
+			func() core.Input { return s.store.loadSnapshot(n.name, output) }, deliver)
 	case core.ReadRange:
-		w.call(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, core.RangeResult{ID: output.ID},
-			func() core.Input { return w.store.readRange(n.name, output) }, deliver)
+		s.call(rpcRequest{from: n.name, to: storeAddress, timeout: storeTimeout}, core.RangeResult{ID: output.ID},
+			func() core.Input { return s.store.readRange(n.name, output) }, deliver)
 	case core.LeaseRequest:
-		w.call(
-			rpcRequest{from: n.name, to: storeAddress, timeout: leaseTimeout, delay: w.randomDelay(lateLeaseShare)},
+		s.call(
+			rpcRequest{from: n.name, to: storeAddress, timeout: leaseTimeout, delay: s.randomDelay(lateLeaseShare)},
 			core.LeaseResult{Op: output.Op},
-			func() core.Input { return w.store.serveLease(n.name, output) }, deliver)
+			func() core.Input { return s.store.serveLease(n.name, output) }, deliver)
 	case core.SendCommands:
-		w.sendCommands(n, output, deliver)
+		s.sendCommands(n, output, deliver)
 	case core.PollAgent:
-		w.pollAgent(n, output, deliver)
+		s.pollAgent(n, output, deliver)
 	case core.CloudRequest:
-		w.call(
-			rpcRequest{from: n.name, to: cloudAddress, timeout: cloudTimeout, delay: w.randomDelay(lateCloudShare)},
+		s.call(
+			rpcRequest{from: n.name, to: cloudAddress, timeout: cloudTimeout, delay: s.randomDelay(lateCloudShare)},
 			core.CloudResult{ID: output.ID},
-			func() core.Input { return w.cloud.serve(output) }, deliver)
+			func() core.Input { return s.cloud.serve(output) }, deliver)
 	case core.LogLine:
-		w.Trace("%v %s %s %v", w.now, n.name, output.Message, output.Args)
+		s.Trace("%v %s %s %v", s.now, n.name, output.Message, output.Args)
 	}
 }
 
@@ -79,53 +79,53 @@
 }
 
 // sendToPeers sends a message to one peer, or to all if it names none.
-func (w *Simulator) sendToPeers(n *node, output core.SendToPeer) {
-	for _, peer := range w.nodes {
+func (s *Simulator) sendToPeers(n *node, output core.SendToPeer) {
+	for _, peer := range s.nodes {
 		if peer == n || output.Peer != "" && output.Peer != peer.name {
 			continue
 		}
 		arrive := func() {
 			if !peer.down {
-				w.deliver(peer, core.PeerMessage{Peer: n.name, Message: output.Message})
+				s.deliver(peer, core.PeerMessage{Peer: n.name, Message: output.Message})
 			}
 		}
-		w.send(n.name, peer.name, arrive)
+		s.send(n.name, peer.name, arrive)
 		// A duplicate may arrive after its sender or receiver has restarted.
-		if w.options.FlappingProcesses && w.chance(0.01) {
-			w.schedule(w.randomDuration(0, 3*time.Second), arrive)
+		if s.options.FlappingProcesses && s.chance(0.01) {
+			s.schedule(s.randomDuration(0, 3*time.Second), arrive)
 		}
 	}
 }
 
 // commitTxn sends a transaction to the store, and sometimes crashes its sender while it is in flight.
-func (w *Simulator) commitTxn(n *node, output core.CommitTxn, deliver func(core.Input)) {
+func (s *Simulator) commitTxn(n *node, output core.CommitTxn, deliver func(core.Input)) {
 	result := core.TxnResult{ID: output.ID}
-	w.checkWrittenSchema(n, output.Txn)
+	s.checkWrittenSchema(n, output.Txn)
 	lateShare := lateCommitShare
-	if w.options.FlappingProcesses {
-		w.injectFlap(n, output.Txn)
+	if s.options.FlappingProcesses {
+		s.injectFlap(n, output.Txn)
 	}
-	if w.options.AuditLog && writesAuditLog(output.Txn) {
+	if s.options.AuditLog && writesAuditLog(output.Txn) {
 		lateShare = lateAuditCommitShare
 	}
-	delay := w.commitDelay(output.Txn)
+	delay := s.commitDelay(output.Txn)
 	if writesReservations(output.Txn) {
 		lateShare = lateReservationCommitShare
-		if !w.options.NoFaults && w.chance(0.01) {
-			w.crashSoon(n, "a reservation")
+		if !s.options.NoFaults && s.chance(0.01) {
+			s.crashSoon(n, "a reservation")
 		}
 	}
 	if movesToArchive(output.Txn) {
 		lateShare = lateArchiveCommitShare
-		if !w.options.NoFaults && w.chance(0.04) {
-			w.crashSoon(n, "a move to the archive")
+		if !s.options.NoFaults && s.chance(0.04) {
+			s.crashSoon(n, "a move to the archive")
 		}
 	}
-	responseDelay := w.commitResponseDelay(output.Txn)
-	w.rpc(rpcRequest{
-		from: n.name, to: storeAddress, timeout: storeTimeout, delay: max(delay, w.randomDelay(lateShare)),
+	responseDelay := s.commitResponseDelay(output.Txn)
+	s.rpc(rpcRequest{
+		from: n.name, to: storeAddress, timeout: storeTimeout, delay: max(delay, s.randomDelay(lateShare)),
 	}, func() time.Duration {
-		result.Status, result.Reply = w.store.commit(n.name, output.Txn)
+		result.Status, result.Reply = s.store.commit(n.name, output.Txn)
 		return responseDelay
 	}, func(ok bool) {
 		if !ok {
@@ -136,12 +136,12 @@
 }
 
 // sendCommands sends commands to an agent. Without a response, the sender can't tell whether they arrived.
-func (w *Simulator) sendCommands(n *node, output core.SendCommands, deliver func(core.Input)) {
-	worker := w.cloud.find(output.Machine)
+func (s *Simulator) sendCommands(n *node, output core.SendCommands, deliver func(core.Input)) {
+	worker := s.cloud.find(output.Machine)
 	failed := core.CommandsResult{ID: output.ID, MaybeDelivered: true}
-	w.call(rpcRequest{
+	s.call(rpcRequest{
 		from: n.name, to: output.Machine, timeout: agentTimeout,
-		delay: max(w.commandDelay(output), w.randomDelay(lateCommandShare)),
+		delay: max(s.commandDelay(output), s.randomDelay(lateCommandShare)),
 	}, failed, func() core.Input {
 		result := failed
 		if worker != nil && !worker.gone {
@@ -152,10 +152,10 @@
 }
 
 // pollAgent asks an agent for its status.
-func (w *Simulator) pollAgent(n *node, output core.PollAgent, deliver func(core.Input)) {
-	worker := w.cloud.find(output.Machine)
+func (s *Simulator) pollAgent(n *node, output core.PollAgent, deliver func(core.Input)) {
+	worker := s.cloud.find(output.Machine)
 	failed := core.AgentPolled{Machine: output.Machine}
-	w.call(rpcRequest{from: n.name, to: output.Machine, timeout: agentTimeout}, failed, func() core.Input {
+	s.call(rpcRequest{from: n.name, to: output.Machine, timeout: agentTimeout}, failed, func() core.Input {
 		result := failed
 		if worker != nil && worker.up && !worker.gone {
 			result.Heartbeat = worker.nextHeartbeat()
@@ -165,9 +165,9 @@
 }
 
 // randomDelay delays a share of requests by seconds, so that they are executed after their sender gave up.
-func (w *Simulator) randomDelay(share float64) time.Duration {
-	if !w.options.NoFaults && w.chance(share) {
-		return w.randomDuration(2*time.Second, 40*time.Second)
+func (s *Simulator) randomDelay(share float64) time.Duration {
+	if !s.options.NoFaults && s.chance(share) {
+		return s.randomDuration(2*time.Second, 40*time.Second)
 	}
 	return 0
 }
--- a/internal/sim/permissions.go
+++ b/internal/sim/permissions.go
@@ -19,28 +19,28 @@
 }
 
 // PermissionChanging records that a user's permission is about to change.
-func (k *Checker) PermissionChanging(user string) {
-	k.permissions[user] = permissionView{granted: k.permissions[user].granted}
+func (c *Checker) PermissionChanging(user string) {
+	c.permissions[user] = permissionView{granted: c.permissions[user].granted}
 }
 
 // PermissionChanged records that a change was acknowledged.
-func (k *Checker) PermissionChanged(now time.Duration, user string, granted bool) {
-	k.permissions[user] = permissionView{granted: granted, confirmed: true, confirmedAt: now}
+func (c *Checker) PermissionChanged(now time.Duration, user string, granted bool) {
+	c.permissions[user] = permissionView{granted: granted, confirmed: true, confirmedAt: now}
 }
 
 // CheckAuthorized checks a request that was sent at sentAt and succeeded: no revocation of the user's permission may
 // have been acknowledged before.
-func (k *Checker) CheckAuthorized(sentAt time.Duration, user, verb, id string) {
-	view := k.permissions[user]
+func (c *Checker) CheckAuthorized(sentAt time.Duration, user, verb, id string) {
+	view := c.permissions[user]
 	if view.confirmed && !view.granted && view.confirmedAt < sentAt {
-		k.violated("let_in", "%s of %s by %s %v after the permission was revoked",
+		c.violated("let_in", "%s of %s by %s %v after the permission was revoked",
 			verb, id, user, sentAt-view.confirmedAt)
 	}
 }
 
 // isSurelyGranted reports whether a user certainly had the permission all the time since sentAt.
-func (k *Checker) isSurelyGranted(sentAt time.Duration, user string) bool {
-	view := k.permissions[user]
+func (c *Checker) isSurelyGranted(sentAt time.Duration, user string) bool {
+	view := c.permissions[user]
 	return view.confirmed && view.granted && view.confirmedAt < sentAt
 }
 
@@ -84,33 +84,33 @@
 }
 
 // randomUser draws a user's credential; an empty one if requests are not authorized.
-func (w *Simulator) randomUser() core.Credential {
-	if !w.options.Permissions {
+func (s *Simulator) randomUser() core.Credential {
+	if !s.options.Permissions {
 		return core.Credential{}
 	}
-	return credentialOf(fmt.Sprintf("u%d", w.rng.IntN(userCount)))
+	return credentialOf(fmt.Sprintf("u%d", s.rng.IntN(userCount)))
 }
 
 // schedulePermissionChanges revokes and grants every user's permission again and again.
-func (w *Simulator) schedulePermissionChanges() {
+func (s *Simulator) schedulePermissionChanges() {
 	for i := range userCount {
 		user := fmt.Sprintf("u%d", i)
-		w.Checker.PermissionChanged(0, user, true)
+		s.Checker.PermissionChanged(0, user, true)
 		granted := true
 		var next func()
 		next = func() {
 			granted = !granted
 			edit := wire.PermissionsEdit{GrantRoles: []string{"all"}}
 			if !granted {
-				edit = wire.PermissionsEdit{RevokeRoles: []string{"all"}, CancelQueued: w.chance(0.2)}
+				edit = wire.PermissionsEdit{RevokeRoles: []string{"all"}, CancelQueued: s.chance(0.2)}
 			}
-			w.Checker.PermissionChanging(user)
-			w.setPermission(user, edit, func() {
-				w.Checker.PermissionChanged(w.now, user, granted)
-				w.schedule(w.randomDuration(2*time.Second, 40*time.Second), next)
+			s.Checker.PermissionChanging(user)
+			s.setPermission(user, edit, func() {
+				s.Checker.PermissionChanged(s.now, user, granted)
+				s.schedule(s.randomDuration(2*time.Second, 40*time.Second), next)
 			})
 		}
-		w.schedule(w.randomDuration(10*time.Second, 60*time.Second), next)
+		s.schedule(s.randomDuration(10*time.Second, 60*time.Second), next)
 	}
 }
 
@@ -118,18 +118,18 @@
 const permissionTimeout = 5 * time.Second
 
 // setPermission requests a change until it is acknowledged.
-func (w *Simulator) setPermission(user string, edit wire.PermissionsEdit, done func()) {
-	w.sendRequest(w.anyNode(), permissionTimeout, func(requestID uint64) core.Input {
+func (s *Simulator) setPermission(user string, edit wire.PermissionsEdit, done func()) {
+	s.sendRequest(s.anyNode(), permissionTimeout, func(requestID uint64) core.Input {
 		return core.UpdatePermissions{
 			RequestID: requestID, Caller: credentialOf(rootUser), Identity: user, Edit: edit,
 		}
 	}, func(response core.Response, ok bool) {
 		if !ok || response.Status != wire.StatusOK {
-			w.schedule(retryInterval, func() { w.setPermission(user, edit, done) })
+			s.schedule(retryInterval, func() { s.setPermission(user, edit, done) })
 			return
 		}
 		for _, id := range response.Body.(wire.PermissionsEditResult).Cancelled {
-			w.Checker.CancelRequested(id)
+			s.Checker.CancelRequested(id)
 		}
 		done()
 	})
@@ -137,22 +137,22 @@
 
 // checkPermission checks the status of a response against the caller's permission. It returns false if the response
 // says nothing about the job, because the caller may not have been permitted to see it.
-func (w *Simulator) checkPermission(
+func (s *Simulator) checkPermission(
 	caller core.Credential,
 	sentAt time.Duration,
 	verb, id string,
 	status wire.Status,
 ) bool {
-	if !w.options.Permissions {
+	if !s.options.Permissions {
 		return true
 	}
 	if status == wire.StatusOK || status == wire.StatusCreated {
-		w.Checker.CheckAuthorized(sentAt, caller.Identity, verb, id)
+		s.Checker.CheckAuthorized(sentAt, caller.Identity, verb, id)
 		return true
 	}
-	surelyGranted := w.Checker.isSurelyGranted(sentAt, caller.Identity)
+	surelyGranted := s.Checker.isSurelyGranted(sentAt, caller.Identity)
 	if status == wire.StatusForbidden && surelyGranted {
-		w.Checker.violated("shut_out", "%s of %s was denied to %s, who is permitted", verb, id, caller.Identity)
+		s.Checker.violated("shut_out", "%s of %s was denied to %s, who is permitted", verb, id, caller.Identity)
 	}
 	return status != wire.StatusForbidden && surelyGranted
 }
--- a/internal/sim/queue_order.go
+++ b/internal/sim/queue_order.go
@@ -43,7 +43,7 @@
 	maxOvertakeDelay = 75 * time.Second
 )
 
-func newQueueOrderChecker(w *Simulator) *queueOrderChecker {
+func newQueueOrderChecker(sim *Simulator) *queueOrderChecker {
 	list, err := priorityclass.Parse(
 		[]byte(`lanes { name: "first" priorities: "critical" priorities: "high" share_percent: 20 }
 		lanes { name: "second" priorities: "standard" } lanes { name: "rest" rise_after_s: 60 }`),
@@ -51,11 +51,11 @@
 	if err != nil {
 		panic(err) // the text is constant
 	}
-	return &queueOrderChecker{sim: w, classes: list, jobs: map[string]*queuedJob{}}
+	return &queueOrderChecker{sim: sim, classes: list, jobs: map[string]*queuedJob{}}
 }
 
 // checkTxn records and checks the jobs' records that a transaction wrote at a revision.
-func (o *queueOrderChecker) checkTxn(txn wire.Txn, revision uint64) {
+func (c *queueOrderChecker) checkTxn(txn wire.Txn, revision uint64) {
 	for _, write := range txn.Then {
 		id, ok := strings.CutPrefix(write.Put, core.Root+"job/")
 		if !ok {
@@ -63,53 +63,53 @@
 		}
 		record, err := jobrecord.Decode(write.Value)
 		if err != nil {
-			o.sim.Checker.violated("order", "%s: %v", id, err)
+			c.sim.Checker.violated("order", "%s: %v", id, err)
 			continue
 		}
-		o.jobWritten(id, record, revision)
+		c.jobWritten(id, record, revision)
 	}
 }
 
 // jobWritten records a job's record and checks that the job keeps its priority class and its position.
-func (o *queueOrderChecker) jobWritten(id string, record *jobrecord.Record, revision uint64) {
-	job := o.jobs[id]
+func (c *queueOrderChecker) jobWritten(id string, record *jobrecord.Record, revision uint64) {
+	job := c.jobs[id]
 	if job == nil {
 		job = &queuedJob{
-			priorityClass: record.PriorityClass, enqueueRevision: revision, acceptedAt: o.sim.now,
+			priorityClass: record.PriorityClass, enqueueRevision: revision, acceptedAt: c.sim.now,
 		}
 		if record.Spec != nil {
 			job.spec = *record.Spec
 		}
-		o.jobs[id] = job
+		c.jobs[id] = job
 	} else if record.Spec != nil &&
 		(record.PriorityClass != job.priorityClass || record.EnqueueRevision != job.enqueueRevision) {
-		o.sim.Checker.violated("demoted", "%s was accepted into priority class %q at revision %d, is now in %q at %d",
+		c.sim.Checker.violated("demoted", "%s was accepted into priority class %q at revision %d, is now in %q at %d",
 			id, job.priorityClass, job.enqueueRevision, record.PriorityClass, record.EnqueueRevision)
 	}
 	job.ended = record.Spec == nil || record.Stage != jobrecord.Queued
 }
 
 // jobStarted records that a task of a job runs.
-func (o *queueOrderChecker) jobStarted(id string) {
-	if job := o.jobs[id]; job != nil && job.startedAt == 0 {
-		job.startedAt = o.sim.now
+func (c *queueOrderChecker) jobStarted(id string) {
+	if job := c.jobs[id]; job != nil && job.startedAt == 0 {
+		job.startedAt = c.sim.now
 	}
 }
 
 // checkOvertaking checks that no job started long before an earlier one of its class and shape that could have started.
-func (o *queueOrderChecker) checkOvertaking() {
-	ids := slices.Sorted(maps.Keys(o.jobs))
+func (c *queueOrderChecker) checkOvertaking() {
+	ids := slices.Sorted(maps.Keys(c.jobs))
 	for _, id := range ids {
-		earlier := o.jobs[id]
+		earlier := c.jobs[id]
 		for _, otherID := range ids {
-			later := o.jobs[otherID]
-			if !o.mustStartInOrder(earlier, later) {
+			later := c.jobs[otherID]
+			if !c.mustStartInOrder(earlier, later) {
 				continue
 			}
 			startedLate := earlier.startedAt != 0 && earlier.startedAt-later.startedAt > maxOvertakeDelay
-			overdue := earlier.startedAt == 0 && o.sim.now-later.startedAt > maxOvertakeDelay
+			overdue := earlier.startedAt == 0 && c.sim.now-later.startedAt > maxOvertakeDelay
 			if startedLate || overdue {
-				o.sim.Checker.violated("jumped", "%s (%d) started at %v, the earlier %s (%d) of class %q at %v",
+				c.sim.Checker.violated("jumped", "%s (%d) started at %v, the earlier %s (%d) of class %q at %v",
 					otherID, later.enqueueRevision, later.startedAt,
 					id, earlier.enqueueRevision, earlier.priorityClass, earlier.startedAt)
 			}
@@ -119,14 +119,14 @@
 
 // mustStartInOrder reports whether the start of the later job implies that the other, which was accepted well before
 // it, could start too.
-func (o *queueOrderChecker) mustStartInOrder(earlier, later *queuedJob) bool {
+func (c *queueOrderChecker) mustStartInOrder(earlier, later *queuedJob) bool {
 	if earlier.priorityClass != later.priorityClass || !sameShape(&earlier.spec, &later.spec) {
 		return false
 	}
 	if earlier.enqueueRevision >= later.enqueueRevision || later.acceptedAt < earlier.acceptedAt+minAcceptGap {
 		return false
 	}
-	if later.startedAt == 0 || later.startedAt < earlier.acceptedAt || o.crashedShortlyBefore(later.startedAt) {
+	if later.startedAt == 0 || later.startedAt < earlier.acceptedAt || c.crashedShortlyBefore(later.startedAt) {
 		return false
 	}
 	endedUnstarted := earlier.ended && earlier.startedAt == 0
@@ -135,8 +135,8 @@
 
 // crashedShortlyBefore reports whether a controller crashed shortly before. A controller that starts knows neither the
 // cluster state nor the queues of the others, and chooses machines at random.
-func (o *queueOrderChecker) crashedShortlyBefore(at time.Duration) bool {
-	return slices.ContainsFunc(o.crashTimes, func(crashedAt time.Duration) bool {
+func (c *queueOrderChecker) crashedShortlyBefore(at time.Duration) bool {
+	return slices.ContainsFunc(c.crashTimes, func(crashedAt time.Duration) bool {
 		return crashedAt <= at && at < crashedAt+crashSettleTime
 	})
 }
@@ -148,13 +148,13 @@
 }
 
 // uniformJob draws a job of one of few shapes, so that many wait for the same capacity.
-func (w *Simulator) uniformJob() wire.JobSpec {
+func (s *Simulator) uniformJob() wire.JobSpec {
 	return wire.JobSpec{
-		ID:                 fmt.Sprintf("wk-%06d", w.rng.IntN(1_000_000)),
+		ID:                 fmt.Sprintf("wk-%06d", s.rng.IntN(1_000_000)),
 		Class:              "c",
 		Team:               "t0",
-		Priority:           w.rng.IntN(4),
-		Tasks:              1 + w.rng.IntN(3),
+		Priority:           s.rng.IntN(4),
+		Tasks:              1 + s.rng.IntN(3),
 		Request:            [3]int64{3000, 0, 2000},
 		Image:              "i0",
 		EstimatedRuntimeMS: 10000,
@@ -165,15 +165,15 @@
 const crashFreeTail = 40 * time.Second
 
 // scheduleCrashes schedules crashes of one controller or all.
-func (w *Simulator) scheduleCrashes() {
-	end := w.options.Duration - crashFreeTail
-	for at := 10 * time.Second; at < end; at += w.randomDuration(5*time.Second, 40*time.Second) {
-		w.schedule(at, func() {
-			all := w.chance(0.15)
-			for _, n := range w.nodes {
-				if !n.down && (all || n == w.anyNode()) {
-					w.queueOrder.crashTimes = append(w.queueOrder.crashTimes, w.now)
-					w.crash(n)
+func (s *Simulator) scheduleCrashes() {
+	end := s.options.Duration - crashFreeTail
+	for at := 10 * time.Second; at < end; at += s.randomDuration(5*time.Second, 40*time.Second) {
+		s.schedule(at, func() {
+			all := s.chance(0.15)
+			for _, n := range s.nodes {
+				if !n.down && (all || n == s.anyNode()) {
+					s.queueOrder.crashTimes = append(s.queueOrder.crashTimes, s.now)
+					s.crash(n)
 				}
 			}
 		})
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -57,9 +57,9 @@
 	return inventory
 }
 
-func newReservationChecker(w *Simulator) *reservationChecker {
+func newReservationChecker(sim *Simulator) *reservationChecker {
 	return &reservationChecker{
-		sim:          w,
+		sim:          sim,
 		inventory:    parseEquipment(""),
 		lastStored:   map[string]*pb.Booking{},
 		views:        map[string]reservationView{},
@@ -88,10 +88,10 @@
 }
 
 // checkStored checks what the store holds after a write.
-func (k *reservationChecker) checkStored(keys map[string]*wire.KeyValue) {
+func (c *reservationChecker) checkStored(keys map[string]*wire.KeyValue) {
 	stored := map[string]*pb.Booking{}
 	pages := 0
-	k.archived = 0
+	c.archived = 0
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		isArchive := strings.HasPrefix(key, reservations.ArchivePrefix)
 		if !isArchive && !isReservationPage(key) {
@@ -99,12 +99,12 @@
 		}
 		page, _, err := reservations.Decode(keys[key].Value)
 		if isArchive {
-			k.archived += len(page.GetBookings())
+			c.archived += len(page.GetBookings())
 		} else {
 			pages++
 		}
 		if err != nil {
-			k.sim.Checker.violated("booking", "%s: %v", key, err)
+			c.sim.Checker.violated("booking", "%s: %v", key, err)
 		}
 		for _, b := range page.GetBookings() {
 			if other := stored[b.Id]; other == nil || other.Change < b.Change {
@@ -112,45 +112,45 @@
 			}
 		}
 	}
-	if pages < k.pages {
-		k.pageMerges++
+	if pages < c.pages {
+		c.pageMerges++
 	}
-	k.pages = pages
-	k.checkNoDeniedItem(keys)
-	k.checkTransition(k.lastStored, stored)
-	k.lastStored = stored
+	c.pages = pages
+	c.checkNoDeniedItem(keys)
+	c.checkTransition(c.lastStored, stored)
+	c.lastStored = stored
 }
 
 // checkTransition compares what was stored before a write with what is stored after it.
-func (k *reservationChecker) checkTransition(before, after map[string]*pb.Booking) {
-	k.checkNoneLost(before, after)
+func (c *reservationChecker) checkTransition(before, after map[string]*pb.Booking) {
+	c.checkNoneLost(before, after)
 	ids := slices.Sorted(maps.Keys(after))
 	var changed []*pb.Booking
 	for i, id := range ids {
 		current, previous := after[id], before[id]
 		if previous == nil || previous.State != current.State {
-			k.stateCounts[current.State.String()]++
+			c.stateCounts[current.State.String()]++
 		}
 		if previous == nil || previous.Change != current.Change {
 			changed = append(changed, current)
 		}
 		if occupiesSlots(current) {
-			k.checkComplete(current)
-			k.checkNotDoubleBooked(current, ids[i:], after)
+			c.checkComplete(current)
+			c.checkNotDoubleBooked(current, ids[i:], after)
 		}
 	}
 	slices.SortFunc(changed, func(a, b *pb.Booking) int { return cmp.Compare(a.Change, b.Change) })
 	for _, id := range ids {
 		current, previous := after[id], before[id]
 		if previous != nil && current.State == pb.BookingState_waiting && previous.State == current.State {
-			k.checkNotOvertaken(current, before, after, changed)
+			c.checkNotOvertaken(current, before, after, changed)
 		}
 	}
 }
 
 // checkNoneLost checks that no reservation is lost or reset to an earlier change, and that none leaves a final state.
-func (k *reservationChecker) checkNoneLost(before, after map[string]*pb.Booking) {
-	violated := k.sim.Checker.violated
+func (c *reservationChecker) checkNoneLost(before, after map[string]*pb.Booking) {
+	violated := c.sim.Checker.violated
 	for _, id := range slices.Sorted(maps.Keys(before)) {
 		previous, current := before[id], after[id]
 		if current == nil || current.Change < previous.Change {
@@ -160,7 +160,7 @@
 		if current.State == previous.State {
 			continue
 		}
-		mayEnd := current.State == pb.BookingState_ended && (k.endRequested[id] || k.equipmentChanged)
+		mayEnd := current.State == pb.BookingState_ended && (c.endRequested[id] || c.equipmentChanged)
 		switch {
 		case previous.State == pb.BookingState_ended:
 			violated("booking_back", "%s had ended and is %s", id, current.State)
@@ -171,17 +171,17 @@
 }
 
 // checkNotDoubleBooked checks that a reservation overlaps neither itself nor another one.
-func (k *reservationChecker) checkNotDoubleBooked(b *pb.Booking, others []string, stored map[string]*pb.Booking) {
+func (c *reservationChecker) checkNotDoubleBooked(b *pb.Booking, others []string, stored map[string]*pb.Booking) {
 	for _, id := range others {
-		if other := stored[id]; occupiesSlots(other) && k.overlap(b, other) {
-			k.sim.Checker.violated("double_booked", "%v and %v", b, other)
+		if other := stored[id]; occupiesSlots(other) && c.overlap(b, other) {
+			c.sim.Checker.violated("double_booked", "%v and %v", b, other)
 		}
 	}
 }
 
 // checkNotOvertaken replays changes in the order in which they were decided: no reservation of lower rank may get slots
 // while the waiting one could have its slots, and afterwards the waiting one must not be able to have them either.
-func (k *reservationChecker) checkNotOvertaken(
+func (c *reservationChecker) checkNotOvertaken(
 	waiting *pb.Booking,
 	before, after map[string]*pb.Booking,
 	changed []*pb.Booking,
@@ -190,20 +190,20 @@
 	for _, granted := range changed {
 		ranksLower := granted.Rank > waiting.Rank || granted.Rank == waiting.Rank && granted.Made > waiting.Made
 		getsSlots := occupiesSlots(granted) && !occupiesSlots(before[granted.Id])
-		if ranksLower && getsSlots && k.couldReserve(state, waiting) {
-			k.sim.Checker.violated("overtaken", "%v could have had its slots when %v got slots",
+		if ranksLower && getsSlots && c.couldReserve(state, waiting) {
+			c.sim.Checker.violated("overtaken", "%v could have had its slots when %v got slots",
 				waiting, granted)
 		}
 		state[granted.Id] = granted
 	}
-	if k.couldReserve(after, waiting) && !k.equipmentChanged {
-		k.sim.Checker.violated("overtaken", "%v waits but could have its slots", waiting)
+	if c.couldReserve(after, waiting) && !c.equipmentChanged {
+		c.sim.Checker.violated("overtaken", "%v waits but could have its slots", waiting)
 	}
 }
 
 // overlap reports whether two reservations occupy the same unit at the same time or, for a reservation and itself,
 // whether two of its slots do.
-func (k *reservationChecker) overlap(a, b *pb.Booking) bool {
+func (c *reservationChecker) overlap(a, b *pb.Booking) bool {
 	for i, x := range a.Slots {
 		for j, y := range b.Slots {
 			if (a != b || i != j) && x.Piece == y.Piece && x.Unit == y.Unit && x.From < y.Clear && y.From < x.Clear {
@@ -215,23 +215,23 @@
 }
 
 // checkComplete checks that a reservation has exactly a set of slots that was requested for it.
-func (k *reservationChecker) checkComplete(b *pb.Booking) {
+func (c *reservationChecker) checkComplete(b *pb.Booking) {
 	var has []string
 	for _, slot := range b.Slots {
-		has = append(has, fmt.Sprintf("%s %d %d", k.inventory.ItemKind(slot.Piece), slot.From, slot.To))
+		has = append(has, fmt.Sprintf("%s %d %d", c.inventory.ItemKind(slot.Piece), slot.From, slot.To))
 	}
-	if !slices.ContainsFunc(k.requested[b.Id], func(set []string) bool { return slices.Equal(set, has) }) {
-		k.sim.Checker.violated("half_booked", "%v has %v, but %v was requested", b, has, k.requested[b.Id])
+	if !slices.ContainsFunc(c.requested[b.Id], func(set []string) bool { return slices.Equal(set, has) }) {
+		c.sim.Checker.violated("half_booked", "%v has %v, but %v was requested", b, has, c.requested[b.Id])
 	}
 }
 
 // couldReserve reports whether a reservation that waits for one future slot could have it, given the others.
-func (k *reservationChecker) couldReserve(others map[string]*pb.Booking, b *pb.Booking) bool {
-	if len(b.Wants) != 1 || b.Wants[0].From <= k.unixSeconds() {
+func (c *reservationChecker) couldReserve(others map[string]*pb.Booking, b *pb.Booking) bool {
+	if len(b.Wants) != 1 || b.Wants[0].From <= c.unixSeconds() {
 		return false
 	}
 	want := b.Wants[0]
-	for _, item := range k.inventory.Source().Pieces {
+	for _, item := range c.inventory.Source().Pieces {
 		if item.Name != want.Piece && item.Kind != want.Kind {
 			continue
 		}
@@ -242,7 +242,7 @@
 				From:  want.From,
 				Clear: want.From + int64(want.Slots*item.SlotMinutes+item.CoolMinutes)*60,
 			}
-			if k.isFree(slot, others) {
+			if c.isFree(slot, others) {
 				return true
 			}
 		}
@@ -251,10 +251,10 @@
 }
 
 // isFree reports whether no reservation occupies a slot.
-func (k *reservationChecker) isFree(slot *pb.Slot, others map[string]*pb.Booking) bool {
+func (c *reservationChecker) isFree(slot *pb.Slot, others map[string]*pb.Booking) bool {
 	wanted := &pb.Booking{Slots: []*pb.Slot{slot}}
 	for _, other := range others {
-		if occupiesSlots(other) && k.overlap(wanted, other) {
+		if occupiesSlots(other) && c.overlap(wanted, other) {
 			return false
 		}
 	}
@@ -262,17 +262,17 @@
 }
 
 // unixSeconds returns a lower bound of the wall clocks of all controllers.
-func (k *reservationChecker) unixSeconds() int64 {
-	return startUnixMS/1000 + int64(k.sim.now.Seconds()) - 1
+func (c *reservationChecker) unixSeconds() int64 {
+	return startUnixMS/1000 + int64(c.sim.now.Seconds()) - 1
 }
 
 // checkResponse checks the response to a request about a reservation that was sent at sentAt, and returns the
 // reservation in it.
-func (k *reservationChecker) checkResponse(sentAt time.Duration, id string, response core.Response) *wire.Reservation {
+func (c *reservationChecker) checkResponse(sentAt time.Duration, id string, response core.Response) *wire.Reservation {
 	body, _ := response.Body.(wire.ReservationResponse)
-	view, known := k.views[id]
+	view, known := c.views[id]
 	isLater := sentAt >= view.reportedAt // the request was sent after the last report
-	violated := k.sim.Checker.violated
+	violated := c.sim.Checker.violated
 	if response.Status == wire.StatusNotFound && known && isLater {
 		violated("booking_lost", "%s was reported %s and is unknown", id, view.state)
 	}
@@ -288,11 +288,11 @@
 			violated("booking_back", "%s was reported confirmed and is %s", id, current.State)
 		}
 	}
-	if k.lastStored[id] == nil {
+	if c.lastStored[id] == nil {
 		violated("booking_lost", "%s is reported %s and is not stored", id, current.State)
 	}
 	if !known || view.state != current.State && isLater {
-		k.views[id] = reservationView{current.State, k.sim.now}
+		c.views[id] = reservationView{current.State, c.sim.now}
 	}
 	return current
 }
@@ -318,30 +318,30 @@
 const reservationTimeout = 2 * time.Second
 
 // requestUntilDecided repeats a request about a reservation until it gets a final response.
-func (k *reservationChecker) requestUntilDecided(
+func (c *reservationChecker) requestUntilDecided(
 	id string,
 	newInput func(requestID uint64) core.Input,
 	then func(response core.Response, reservation *wire.Reservation),
 ) {
-	w := k.sim
-	sentAt := w.now
+	sim := c.sim
+	sentAt := sim.now
 	withCaller := func(requestID uint64) core.Input { return withRootCaller(newInput(requestID)) }
-	w.sendRequest(w.anyNode(), reservationTimeout, withCaller, func(response core.Response, ok bool) {
+	sim.sendRequest(sim.anyNode(), reservationTimeout, withCaller, func(response core.Response, ok bool) {
 		if ok {
-			current := k.checkResponse(sentAt, id, response)
+			current := c.checkResponse(sentAt, id, response)
 			if response.Status != wire.StatusUnavailable {
 				then(response, current)
 				return
 			}
 		}
-		w.schedule(w.randomDuration(300*time.Millisecond, 2*time.Second), func() {
-			k.requestUntilDecided(id, newInput, then)
+		sim.schedule(sim.randomDuration(300*time.Millisecond, 2*time.Second), func() {
+			c.requestUntilDecided(id, newInput, then)
 		})
 	})
 }
 
 // formatTime formats Unix seconds as requests have them.
-func (k *reservationChecker) formatTime(unixSeconds int64) string {
+func (c *reservationChecker) formatTime(unixSeconds int64) string {
 	return time.Unix(unixSeconds, 0).UTC().Format(time.RFC3339)
 }
 
@@ -349,13 +349,13 @@
 func hourAfterStart(hours int64) int64 { return (startUnixMS/1000/3600 + hours) * 3600 }
 
 // randomSlotRequests draws one slot or a few, close together, so that many users want the same.
-func (k *reservationChecker) randomSlotRequests() (wants []wire.SlotRequest) {
-	w := k.sim
+func (c *reservationChecker) randomSlotRequests() (wants []wire.SlotRequest) {
+	sim := c.sim
 	hour := hourAfterStart(30)
-	for range 1 + w.rng.IntN(4)/3*(1+w.rng.IntN(2)) {
-		from := k.formatTime(hour + 3600*int64(w.rng.IntN(12)))
-		want := wire.SlotRequest{From: from, Slots: uint32(1 + w.rng.IntN(2))}
-		switch w.rng.IntN(4) {
+	for range 1 + sim.rng.IntN(4)/3*(1+sim.rng.IntN(2)) {
+		from := c.formatTime(hour + 3600*int64(sim.rng.IntN(12)))
+		want := wire.SlotRequest{From: from, Slots: uint32(1 + sim.rng.IntN(2))}
+		switch sim.rng.IntN(4) {
 		case 0:
 			want.Equipment = "k1"
 		case 1:
@@ -371,60 +371,60 @@
 }
 
 // recordRequested records the slots that a reservation is requested with.
-func (k *reservationChecker) recordRequested(id string, slots []wire.SlotRequest) {
-	wants, err := reservations.ResolveWants(k.inventory, slots, "")
+func (c *reservationChecker) recordRequested(id string, slots []wire.SlotRequest) {
+	wants, err := reservations.ResolveWants(c.inventory, slots, "")
 	if err != nil {
 		panic(err) // all requested slots are valid
 	}
 	var set []string
 	for _, want := range wants {
 		minutes := int64(60)
-		kind := k.inventory.WantKind(want)
+		kind := c.inventory.WantKind(want)
 		if kind == "roaster" {
 			minutes = 30
 		}
 		set = append(set, fmt.Sprintf("%s %d %d", kind, want.From, want.From+int64(want.Slots)*minutes*60))
 	}
-	k.requested[id] = append(k.requested[id], set)
+	c.requested[id] = append(c.requested[id], set)
 }
 
 // scheduleReservationUsers schedules users who reserve the same few hours of the same equipment, repeat requests, and
 // move, confirm, end and list reservations.
-func (w *Simulator) scheduleReservationUsers() {
-	k := w.reservations
-	for i := range w.options.ReservationUsers {
-		w.schedule(w.randomDuration(2*time.Second, w.options.Duration*3/4), func() {
-			k.runReservationUser(fmt.Sprintf("b%03d", i))
+func (s *Simulator) scheduleReservationUsers() {
+	checker := s.reservations
+	for i := range s.options.ReservationUsers {
+		s.schedule(s.randomDuration(2*time.Second, s.options.Duration*3/4), func() {
+			checker.runReservationUser(fmt.Sprintf("b%03d", i))
 		})
 	}
-	for i := range w.options.ReservationUsers / 2 {
-		w.schedule(w.randomDuration(2*time.Second, w.options.Duration*3/4), func() {
-			k.runSingleSlotUser(fmt.Sprintf("s%03d", i))
+	for i := range s.options.ReservationUsers / 2 {
+		s.schedule(s.randomDuration(2*time.Second, s.options.Duration*3/4), func() {
+			checker.runSingleSlotUser(fmt.Sprintf("s%03d", i))
 		})
 	}
-	if w.options.Permissions {
-		k.scheduleDeniedEdits()
+	if s.options.Permissions {
+		checker.scheduleDeniedEdits()
 	}
-	if w.options.ReservationUsers > 20 { // an out-of-order kiln is added, and removed later
-		w.schedule(w.options.Duration/3, func() {
-			k.changeEquipment(` pieces { name: "spare" kind: "kiln" slot_minutes: 60 out: 1 }`, false)
+	if s.options.ReservationUsers > 20 { // an out-of-order kiln is added, and removed later
+		s.schedule(s.options.Duration/3, func() {
+			checker.changeEquipment(` pieces { name: "spare" kind: "kiln" slot_minutes: 60 out: 1 }`, false)
 		})
-		w.schedule(w.options.Duration/2, func() { k.changeEquipment("", true) })
+		s.schedule(s.options.Duration/2, func() { checker.changeEquipment("", true) })
 	}
 }
 
 // changeEquipment replaces the inventory.
-func (k *reservationChecker) changeEquipment(more string, endDisplaced bool) {
+func (c *reservationChecker) changeEquipment(more string, endDisplaced bool) {
 	text := parseEquipment(more).Source().String()
-	k.equipmentChanged = k.equipmentChanged || endDisplaced
-	k.requestUntilDecided("", func(requestID uint64) core.Input {
+	c.equipmentChanged = c.equipmentChanged || endDisplaced
+	c.requestUntilDecided("", func(requestID uint64) core.Input {
 		return core.SetEquipment{
 			RequestID: requestID,
 			Edit:      wire.EquipmentEdit{Text: text, EndDisplaced: endDisplaced, Reason: "the kiln is out of order"},
 		}
 	}, func(response core.Response, _ *wire.Reservation) {
 		if response.Status != wire.StatusOK && response.Status != wire.StatusConflict {
-			k.sim.Checker.violated("booking", "an inventory got status %d: %v", response.Status, response.Body)
+			c.sim.Checker.violated("booking", "an inventory got status %d: %v", response.Status, response.Body)
 		}
 	})
 }
@@ -436,22 +436,22 @@
 }
 
 // runReservationUser starts a user who makes a reservation and then changes or lists it at random.
-func (k *reservationChecker) runReservationUser(id string) {
-	w := k.sim
-	request := wire.ReservationRequest{ID: id, Slots: k.randomSlotRequests(), Waitlist: w.chance(0.5)}
-	if w.chance(0.4) {
-		request.HoldS = uint32(2 + w.rng.IntN(30))
+func (c *reservationChecker) runReservationUser(id string) {
+	sim := c.sim
+	request := wire.ReservationRequest{ID: id, Slots: c.randomSlotRequests(), Waitlist: sim.chance(0.5)}
+	if sim.chance(0.4) {
+		request.HoldS = uint32(2 + sim.rng.IntN(30))
 	}
-	request.Priority = wire.PriorityName(w.rng.IntN(3))
-	k.recordRequested(id, request.Slots)
-	user := &reservationUser{checker: k, request: request}
+	request.Priority = wire.PriorityName(sim.rng.IntN(3))
+	c.recordRequested(id, request.Slots)
+	user := &reservationUser{checker: c, request: request}
 	user.send(booking.VerbCreate, request, func(response core.Response) {
 		switch response.Status {
 		case wire.StatusOK, wire.StatusCreated:
 			user.scheduleNext()
 		case wire.StatusConflict:
 		default:
-			w.Checker.violated("booking", "%s got status %d: %v", id, response.Status, response.Body)
+			sim.Checker.violated("booking", "%s got status %d: %v", id, response.Status, response.Body)
 		}
 	})
 }
@@ -469,28 +469,28 @@
 
 // scheduleNext schedules the next request.
 func (u *reservationUser) scheduleNext() {
-	w := u.checker.sim
-	w.schedule(w.randomDuration(500*time.Millisecond, 12*time.Second), u.sendRandomRequest)
+	sim := u.checker.sim
+	sim.schedule(sim.randomDuration(500*time.Millisecond, 12*time.Second), u.sendRandomRequest)
 }
 
 // sendRandomRequest sends a request of a random kind, and schedules the next after its response.
 func (u *reservationUser) sendRandomRequest() {
-	k, id := u.checker, u.request.ID
+	checker, id := u.checker, u.request.ID
 	next := func(core.Response) { u.scheduleNext() }
-	switch k.sim.rng.IntN(6) {
+	switch checker.sim.rng.IntN(6) {
 	case 0:
 		u.send(booking.VerbConfirm, wire.ReservationRequest{ID: id}, next)
 	case 1:
-		moved := wire.ReservationRequest{ID: id, Slots: k.randomSlotRequests()}
-		k.recordRequested(id, moved.Slots)
+		moved := wire.ReservationRequest{ID: id, Slots: checker.randomSlotRequests()}
+		checker.recordRequested(id, moved.Slots)
 		u.send(booking.VerbMove, moved, next)
 	case 2:
-		k.endRequested[id] = true
+		checker.endRequested[id] = true
 		u.send(booking.VerbEnd, wire.ReservationRequest{ID: id, Reason: "done with it"}, next)
 	case 3: // an idempotent repetition of the first request
 		u.send(booking.VerbCreate, u.request, next)
 	default:
-		k.requestUntilDecided(id, func(requestID uint64) core.Input {
+		checker.requestUntilDecided(id, func(requestID uint64) core.Input {
 			return core.ListReservations{RequestID: requestID, Query: wire.ReservationQuery{ID: id}}
 		}, func(core.Response, *wire.Reservation) { u.scheduleNext() })
 	}
@@ -510,15 +510,15 @@
 
 // runSingleSlotUser starts a user who reserves one slot that others want too, ends the reservation, and repeats the
 // first request.
-func (k *reservationChecker) runSingleSlotUser(id string) {
-	w := k.sim
-	slot := k.formatTime(hourAfterStart(200 + 2*int64(w.rng.IntN(3))))
-	k.recordRequested(id, []wire.SlotRequest{{Equipment: "k1", From: slot}})
-	user := &singleSlotUser{checker: k, id: id, slot: slot}
+func (c *reservationChecker) runSingleSlotUser(id string) {
+	sim := c.sim
+	slot := c.formatTime(hourAfterStart(200 + 2*int64(sim.rng.IntN(3))))
+	c.recordRequested(id, []wire.SlotRequest{{Equipment: "k1", From: slot}})
+	user := &singleSlotUser{checker: c, id: id, slot: slot}
 	user.create(func() {
-		w.schedule(w.randomDuration(time.Second, 10*time.Second), func() {
+		sim.schedule(sim.randomDuration(time.Second, 10*time.Second), func() {
 			user.end(func() {
-				w.schedule(w.randomDuration(0, 5*time.Second), func() { user.create(func() {}) })
+				sim.schedule(sim.randomDuration(0, 5*time.Second), func() { user.create(func() {}) })
 			})
 		})
 	})
@@ -547,21 +547,21 @@
 
 // record sends a request until it gets a final response, and appends the operation to the history.
 func (u *singleSlotUser) record(end bool, newInput func(requestID uint64) core.Input, then func()) {
-	k := u.checker
-	calledAt := k.sim.now
-	k.lastClientID++
-	clientID := k.lastClientID
-	k.requestUntilDecided(u.id, newInput, func(_ core.Response, reservation *wire.Reservation) {
+	checker := u.checker
+	calledAt := checker.sim.now
+	checker.lastClientID++
+	clientID := checker.lastClientID
+	checker.requestUntilDecided(u.id, newInput, func(_ core.Response, reservation *wire.Reservation) {
 		state := "none"
 		if reservation != nil {
 			state = reservation.State
 		}
-		k.history = append(k.history, porcupine.Operation{
+		checker.history = append(checker.history, porcupine.Operation{
 			ClientId: clientID,
 			Input:    slotOperation{u.slot, u.id, end},
 			Call:     int64(calledAt),
 			Output:   state,
-			Return:   int64(k.sim.now),
+			Return:   int64(checker.sim.now),
 		})
 		then()
 	})
@@ -602,6 +602,6 @@
 const linearizabilityTimeout = 20 * time.Second
 
 // CheckLinearizable reports whether some sequential order of all operations on single slots explains their responses.
-func (k *reservationChecker) CheckLinearizable() porcupine.CheckResult {
-	return porcupine.CheckOperationsTimeout(slotModel, k.history, linearizabilityTimeout)
+func (c *reservationChecker) CheckLinearizable() porcupine.CheckResult {
+	return porcupine.CheckOperationsTimeout(slotModel, c.history, linearizabilityTimeout)
 }
--- a/internal/sim/reservations_test.go
+++ b/internal/sim/reservations_test.go
@@ -24,7 +24,7 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			o := Options{
+			options := Options{
 				Seed:             seed,
 				Duration:         180 * time.Second,
 				Jobs:             8,
@@ -34,25 +34,30 @@
 				NoFaults:         seed%10 == 0,
 				RollingUpgrade:   seed%5 == 1,
 			}
-			w := runSimulation(t, o)
-			k := w.reservations
-			if k.stateCounts["confirmed"] < 5 || k.stateCounts["ended"] < 5 ||
-				seed%5 != 1 && (k.stateCounts["waiting"] == 0 || k.stateCounts["held"] == 0) {
-				t.Errorf("reservations reached %v", k.stateCounts)
+			sim := runSimulation(t, options)
+			checker := sim.reservations
+			if checker.stateCounts["confirmed"] < 5 || checker.stateCounts["ended"] < 5 ||
+				seed%5 != 1 && (checker.stateCounts["waiting"] == 0 || checker.stateCounts["held"] == 0) {
+				t.Errorf("reservations reached %v", checker.stateCounts)
 			}
-			if got := k.CheckLinearizable(); got == porcupine.Illegal || len(k.history) < 20 {
-				t.Errorf("%d operations, linearizable: %v", len(k.history), got)
+			if got := checker.CheckLinearizable(); got == porcupine.Illegal || len(checker.history) < 20 {
+				t.Errorf("%d operations, linearizable: %v", len(checker.history), got)
 			}
-			if seed%5 != 1 && (k.pageMerges == 0 || k.archived < 10) {
-				t.Errorf("%d pages, %d merges, %d reservations in blocks", k.pages, k.pageMerges, k.archived)
+			if seed%5 != 1 && (checker.pageMerges == 0 || checker.archived < 10) {
+				t.Errorf(
+					"%d pages, %d merges, %d reservations in blocks",
+					checker.pages,
+					checker.pageMerges,
+					checker.archived,
+				)
 			}
 			t.Logf(
 				"reservations reached %v, %d operations, %d pages, %d merges, %d in blocks",
-				k.stateCounts,
-				len(k.history),
-				k.pages,
-				k.pageMerges,
-				k.archived,
+				checker.stateCounts,
+				len(checker.history),
+				checker.pages,
+				checker.pageMerges,
+				checker.archived,
 			)
 		})
 	}
@@ -63,7 +68,7 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{
 					Seed:             seed,
@@ -76,12 +81,12 @@
 				},
 			)
 			for _, verb := range []string{"book", "move booking", "end booking", "change equipment"} {
-				if w.auditChecker.verbCounts[verb] == 0 {
-					t.Errorf("no %s in the audit log: %v", verb, w.auditChecker.verbCounts)
+				if sim.auditChecker.verbCounts[verb] == 0 {
+					t.Errorf("no %s in the audit log: %v", verb, sim.auditChecker.verbCounts)
 				}
 			}
-			if w.reservations.deniedEdits < 5 {
-				t.Errorf("%d changes without permission got a final response", w.reservations.deniedEdits)
+			if sim.reservations.deniedEdits < 5 {
+				t.Errorf("%d changes without permission got a final response", sim.reservations.deniedEdits)
 			}
 		})
 	}
@@ -89,16 +94,16 @@
 
 // The checker must report a stored inventory of a caller without permission.
 func TestReservationCheckerDetectsDeniedList(t *testing.T) {
-	w := New(Options{Seed: 1})
+	sim := New(Options{Seed: 1})
 	equipment := parseEquipment(` pieces { name: "` + deniedItemName + `" kind: "kiln" slot_minutes: 60 }`).Source()
 	raw, err := reservations.EncodeInventory(equipment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	key := reservations.KeyInventory
-	w.reservations.checkStored(map[string]*wire.KeyValue{key: {Key: key, Value: raw, Revision: 1}})
-	if !w.Checker.firstViolationIs("let_in") {
-		t.Errorf("violations are %v", w.Checker.Violations)
+	sim.reservations.checkStored(map[string]*wire.KeyValue{key: {Key: key, Value: raw, Revision: 1}})
+	if !sim.Checker.firstViolationIs("let_in") {
+		t.Errorf("violations are %v", sim.Checker.Violations)
 	}
 }
 
@@ -138,15 +143,15 @@
 		"overtaken":   {state{"w": wait}, state{"w": wait, "a": a}},
 		"overtaken: ": {state{"w": wait, "a": a}, state{"w": wait, "a": one("a", 3, pb.BookingState_ended)}},
 	} {
-		w := New(Options{Seed: 1})
-		k := w.reservations
+		sim := New(Options{Seed: 1})
+		checker := sim.reservations
 		for _, id := range []string{"a", "b"} {
 			for at := later; at <= later+3600; at += 3600 {
-				k.requested[id] = append(k.requested[id], []string{fmt.Sprintf("kiln %d %d", at, at+3600)})
+				checker.requested[id] = append(checker.requested[id], []string{fmt.Sprintf("kiln %d %d", at, at+3600)})
 			}
 		}
 		if strings.HasPrefix(rule, "overtaken") {
-			k.endRequested["a"] = true
+			checker.endRequested["a"] = true
 		}
 		clone := func(s state) state {
 			out := state{}
@@ -155,10 +160,10 @@
 			}
 			return out
 		}
-		k.checkTransition(clone(test.was), clone(test.now))
+		checker.checkTransition(clone(test.was), clone(test.now))
 		name, _, _ := strings.Cut(rule, ":")
-		if !w.Checker.firstViolationIs(name) {
-			t.Errorf("%s: violations are %v", rule, w.Checker.Violations)
+		if !sim.Checker.firstViolationIs(name) {
+			t.Errorf("%s: violations are %v", rule, sim.Checker.Violations)
 		}
 	}
 }
--- a/internal/sim/rolling_upgrade.go
+++ b/internal/sim/rolling_upgrade.go
@@ -18,36 +18,36 @@
 
 // scheduleRollingUpgrade upgrades the processes one by one, and lowers the limits after the upgrade or even during it.
 // A process that crashes before its upgrade restarts with the previous version.
-func (w *Simulator) scheduleRollingUpgrade() {
-	at := w.randomDuration(15*time.Second, 40*time.Second)
-	for _, n := range w.nodes {
+func (s *Simulator) scheduleRollingUpgrade() {
+	at := s.randomDuration(15*time.Second, 40*time.Second)
+	for _, n := range s.nodes {
 		n.bootsPrevious = true
-		w.schedule(at, func() { w.upgradeNode(n) })
-		at += w.randomDuration(3*time.Second, 15*time.Second)
+		s.schedule(at, func() { s.upgradeNode(n) })
+		at += s.randomDuration(3*time.Second, 15*time.Second)
 	}
-	if w.chance(0.2) { // earlier than announced
-		w.schedule(w.randomDuration(15*time.Second, at), w.applyAnnouncedLimits)
+	if s.chance(0.2) { // earlier than announced
+		s.schedule(s.randomDuration(15*time.Second, at), s.applyAnnouncedLimits)
 		return
 	}
-	w.schedule(at+w.randomDuration(0, 20*time.Second), w.applyAnnouncedLimits)
+	s.schedule(at+s.randomDuration(0, 20*time.Second), s.applyAnnouncedLimits)
 }
 
 // upgradeNode restarts a process with the new version.
-func (w *Simulator) upgradeNode(n *node) {
-	w.Trace("%v upgrade %s", w.now, n.name)
+func (s *Simulator) upgradeNode(n *node) {
+	s.Trace("%v upgrade %s", s.now, n.name)
 	n.bootsPrevious = false
-	w.crashIfUp(n)
+	s.crashIfUp(n)
 }
 
 // applyAnnouncedLimits has the store enforce the announced limits.
-func (w *Simulator) applyAnnouncedLimits() {
-	w.Trace("%v lower limits of the store", w.now)
-	w.store.limits = announcedLimits
+func (s *Simulator) applyAnnouncedLimits() {
+	s.Trace("%v lower limits of the store", s.now)
+	s.store.limits = announcedLimits
 }
 
 // previousVersionMayRun reports whether a process of the previous version may be running.
-func (w *Simulator) previousVersionMayRun() bool {
-	for _, n := range w.nodes {
+func (s *Simulator) previousVersionMayRun() bool {
+	for _, n := range s.nodes {
 		if n.bootsPrevious || n.runsPrevious {
 			return true
 		}
@@ -57,26 +57,26 @@
 
 // checkWrittenSchema checks that the new version writes only what it may: nothing beyond the announced limits and,
 // while a process of the previous version may be running, nothing that this version can't read or would lose.
-func (w *Simulator) checkWrittenSchema(n *node, txn wire.Txn) {
-	if n.runsPrevious || !w.options.RollingUpgrade {
+func (s *Simulator) checkWrittenSchema(n *node, txn wire.Txn) {
+	if n.runsPrevious || !s.options.RollingUpgrade {
 		return
 	}
 	if announcedLimits.exceeded(txn) {
-		w.Checker.violated("limits", "%s sends %d writes, beyond the announced limits", n.name, len(txn.Then))
+		s.Checker.violated("limits", "%s sends %d writes, beyond the announced limits", n.name, len(txn.Then))
 	}
-	if !w.previousVersionMayRun() {
+	if !s.previousVersionMayRun() {
 		return
 	}
 	for _, write := range txn.Then {
 		if strings.HasPrefix(write.Put, archive.BlockPrefix) || strings.HasPrefix(write.Delete, core.Root+"job/") {
-			w.Checker.violated("forms", "%s archives a job while the previous version may run", n.name)
+			s.Checker.violated("forms", "%s archives a job while the previous version may run", n.name)
 		}
 		if write.Put == "" {
 			continue
 		}
 		understood, known, err := previousversion.RoundTripValue(write.Put, write.Value)
 		if err != nil || known && !sameJSON(understood, write.Value) {
-			w.Checker.violated("forms", "%s writes %s while the previous version may run: %s (%v)",
+			s.Checker.violated("forms", "%s writes %s while the previous version may run: %s (%v)",
 				n.name, write.Put, write.Value, err)
 		}
 	}
@@ -90,7 +90,7 @@
 
 // asUnderstoodBy returns an input as a controller's process reads it: the previous version ignores unknown keys and
 // fields.
-func (w *Simulator) asUnderstoodBy(n *node, in core.Input) core.Input {
+func (s *Simulator) asUnderstoodBy(n *node, in core.Input) core.Input {
 	if !n.runsPrevious {
 		return in
 	}
@@ -98,7 +98,7 @@
 	case core.SnapshotPage:
 		var items []wire.KeyValue
 		for _, item := range in.Items {
-			if value, ok := w.valueForPreviousVersion(n, item.Key, item.Value); ok {
+			if value, ok := s.valueForPreviousVersion(n, item.Key, item.Value); ok {
 				item.Value = value
 				items = append(items, item)
 			}
@@ -110,7 +110,7 @@
 		for _, event := range in.Changes.Events {
 			if event.Put == "" {
 				events = append(events, event)
-			} else if value, ok := w.valueForPreviousVersion(n, event.Put, event.Value); ok {
+			} else if value, ok := s.valueForPreviousVersion(n, event.Put, event.Value); ok {
 				event.Value = value
 				events = append(events, event)
 			}
@@ -118,7 +118,7 @@
 		in.Changes.Events = events
 		return in
 	case core.PeerMessage:
-		in.Message = messageForPreviousVersion(w, in.Message)
+		in.Message = messageForPreviousVersion(s, in.Message)
 		return in
 	case core.SubmitJob:
 		in.Spec.Dependencies = nil
@@ -128,16 +128,16 @@
 }
 
 // valueForPreviousVersion returns a stored value as the previous version reads it; ok is false if it ignores the key.
-func (w *Simulator) valueForPreviousVersion(n *node, key string, raw json.RawMessage) (json.RawMessage, bool) {
+func (s *Simulator) valueForPreviousVersion(n *node, key string, raw json.RawMessage) (json.RawMessage, bool) {
 	value, known, err := previousversion.RoundTripValue(key, raw)
 	if err != nil {
-		w.Checker.violated("forms", "%s can't read %s: %v", n.name, key, err)
+		s.Checker.violated("forms", "%s can't read %s: %v", n.name, key, err)
 	}
 	return value, known && err == nil
 }
 
 // messageForPreviousVersion returns a message as the previous version reads it.
-func messageForPreviousVersion(w *Simulator, message core.Message) core.Message {
+func messageForPreviousVersion(sim *Simulator, message core.Message) core.Message {
 	var previous previousversion.Message
 	var out core.Message
 	raw, err := json.Marshal(message)
@@ -151,7 +151,7 @@
 		err = json.Unmarshal(raw, &out)
 	}
 	if err != nil {
-		w.Checker.violated("forms", "the previous version can't read a message: %v", err)
+		sim.Checker.violated("forms", "the previous version can't read a message: %v", err)
 	}
 	return out
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -26,19 +26,19 @@
 // runObserved is like runSimulation, and calls observe with each output of the controllers.
 func runObserved(t *testing.T, options Options, observe func(node string, output core.Output)) *Simulator {
 	t.Helper()
-	w := New(options)
-	w.OnOutput = observe
-	w.Run()
-	if len(w.Checker.Violations) > 0 {
-		t.Fatalf("seed %d at %v: %s", options.Seed, w.now, strings.Join(w.Checker.Violations, "; "))
+	sim := New(options)
+	sim.OnOutput = observe
+	sim.Run()
+	if len(sim.Checker.Violations) > 0 {
+		t.Fatalf("seed %d at %v: %s", options.Seed, sim.now, strings.Join(sim.Checker.Violations, "; "))
 	}
-	return w
+	return sim
 }
 
 // stageCounts counts jobs by the stage that was last reported to their users.
-func (k *Checker) stageCounts() map[string]int {
+func (c *Checker) stageCounts() map[string]int {
 	counts := map[string]int{}
-	for _, job := range k.jobs {
+	for _, job := range c.jobs {
 		switch {
 		case job.stage != "":
 			counts[job.stage]++
@@ -52,13 +52,13 @@
 }
 
 // firstViolationIs reports whether the first violation is of a rule.
-func (k *Checker) firstViolationIs(rule string) bool {
-	return len(k.Violations) > 0 && strings.HasPrefix(k.Violations[0], rule+":")
+func (c *Checker) firstViolationIs(rule string) bool {
+	return len(c.Violations) > 0 && strings.HasPrefix(c.Violations[0], rule+":")
 }
 
 func TestAllJobsFinishWithoutFaults(t *testing.T) {
-	w := runSimulation(t, Options{Seed: 1, Duration: 200 * time.Second, Jobs: 20, NoFaults: true})
-	for id, job := range w.Checker.jobs {
+	sim := runSimulation(t, Options{Seed: 1, Duration: 200 * time.Second, Jobs: 20, NoFaults: true})
+	for id, job := range sim.Checker.jobs {
 		if !job.accepted {
 			t.Errorf("%s was not accepted", id)
 		}
@@ -76,8 +76,8 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 25, FlakyCloud: seed%6 == 0})
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			sim := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 25, FlakyCloud: seed%6 == 0})
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
@@ -100,8 +100,8 @@
 				Archive:           seed%4 == 0,
 				Pipelines:         int(seed % 3),
 			}
-			w := runSimulation(t, o)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			sim := runSimulation(t, o)
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
@@ -113,8 +113,8 @@
 	for seed := uint64(1); seed <= *overlapSeedCount; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, OverlappingFaultOptions(seed))
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			sim := runSimulation(t, OverlappingFaultOptions(seed))
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
@@ -268,12 +268,12 @@
 				}
 				// While the previous version runs, permissions can't be enforced, and no request would be served.
 				options.MixedVersions = options.MixedVersions && !options.Permissions
-				w := runSimulation(t, options)
+				sim := runSimulation(t, options)
 				t.Logf(
 					"%d starts, %d after a confirmed cancellation, %v",
-					w.Checker.Starts,
-					w.Checker.StartsAfterCancel,
-					w.Checker.stageCounts(),
+					sim.Checker.Starts,
+					sim.Checker.StartsAfterCancel,
+					sim.Checker.stageCounts(),
 				)
 			})
 		}
@@ -287,20 +287,20 @@
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := New(
+			sim := New(
 				Options{Seed: seed, Duration: 240 * time.Second, Jobs: 30, FailingJobs: 10, NoFaults: seed%2 == 0},
 			)
-			w.Trace = func(f string, a ...any) {
-				if line := fmt.Sprintf(f, a...); w.options.NoFaults && strings.Contains(line, "faulty") {
+			sim.Trace = func(f string, a ...any) {
+				if line := fmt.Sprintf(f, a...); sim.options.NoFaults && strings.Contains(line, "faulty") {
 					t.Error(line)
 				}
 			}
-			w.Run()
-			if len(w.Checker.Violations) > 0 {
-				t.Errorf("at %v: %s", w.now, strings.Join(w.Checker.Violations, "; "))
+			sim.Run()
+			if len(sim.Checker.Violations) > 0 {
+				t.Errorf("at %v: %s", sim.now, strings.Join(sim.Checker.Violations, "; "))
 			}
-			for id, job := range w.Checker.jobs {
-				if w.Checker.failingJobs[id] == nil && w.options.NoFaults && !job.spec.Service &&
+			for id, job := range sim.Checker.jobs {
+				if sim.Checker.failingJobs[id] == nil && sim.options.NoFaults && !job.spec.Service &&
 					!job.cancelRequested && len(job.completedTasks) < job.spec.Tasks {
 					t.Errorf("%s: %d of %d tasks done", id, len(job.completedTasks), job.spec.Tasks)
 				}
@@ -315,7 +315,7 @@
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{
 					Seed:            seed,
@@ -327,48 +327,52 @@
 				},
 			)
 			waited := 0
-			for _, j := range w.queueOrder.jobs {
+			for _, j := range sim.queueOrder.jobs {
 				if j.startedAt > j.acceptedAt+5*time.Second {
 					waited++
 				}
 			}
 			if waited < 20 {
-				t.Errorf("%d jobs of %d waited", waited, len(w.queueOrder.jobs))
+				t.Errorf("%d jobs of %d waited", waited, len(sim.queueOrder.jobs))
 			}
-			t.Logf("%d of %d jobs waited, %v", waited, len(w.queueOrder.jobs), w.Checker.stageCounts())
+			t.Logf("%d of %d jobs waited, %v", waited, len(sim.queueOrder.jobs), sim.Checker.stageCounts())
 		})
 	}
 }
 
 // For each rule about the queue order, the checker must report a step that violates it.
 func TestQueueOrderCheckerDetectsViolations(t *testing.T) {
-	for rule, step := range map[string]func(o *queueOrderChecker){
-		"demoted": func(o *queueOrderChecker) {
-			o.jobWritten("a", &jobrecord.Record{
+	for rule, step := range map[string]func(checker *queueOrderChecker){
+		"demoted": func(checker *queueOrderChecker) {
+			checker.jobWritten("a", &jobrecord.Record{
 				PriorityClass:   "second",
 				EnqueueRevision: 7,
 				Spec:            &wire.JobSpec{},
 			}, 9)
 		},
-		"demoted: place": func(o *queueOrderChecker) {
-			o.jobWritten("a", &jobrecord.Record{PriorityClass: "first", EnqueueRevision: 9, Spec: &wire.JobSpec{}}, 9)
+		"demoted: place": func(checker *queueOrderChecker) {
+			checker.jobWritten("a", &jobrecord.Record{
+				PriorityClass:   "first",
+				EnqueueRevision: 9,
+				Spec:            &wire.JobSpec{},
+			}, 9)
 		},
-		"jumped": func(o *queueOrderChecker) {
-			o.jobStarted("b")
-			o.sim.now += maxOvertakeDelay + time.Second
-			o.checkOvertaking()
+		"jumped": func(checker *queueOrderChecker) {
+			checker.jobStarted("b")
+			checker.sim.now += maxOvertakeDelay + time.Second
+			checker.checkOvertaking()
 		},
 	} {
-		w := New(Options{Seed: 1})
+		sim := New(Options{Seed: 1})
 		for i, id := range []string{"a", "b"} {
-			w.now += time.Duration(i) * (minAcceptGap + time.Second)
-			w.queueOrder.jobWritten(id, &jobrecord.Record{PriorityClass: "first", Spec: &wire.JobSpec{}}, uint64(7+i))
+			sim.now += time.Duration(i) * (minAcceptGap + time.Second)
+			sim.queueOrder.jobWritten(id, &jobrecord.Record{PriorityClass: "first", Spec: &wire.JobSpec{}}, uint64(7+i))
 		}
-		w.now++
-		step(w.queueOrder)
+		sim.now++
+		step(sim.queueOrder)
 		name, _, _ := strings.Cut(rule, ":")
-		if !w.Checker.firstViolationIs(name) {
-			t.Errorf("%s: violations are %v", rule, w.Checker.Violations)
+		if !sim.Checker.firstViolationIs(name) {
+			t.Errorf("%s: violations are %v", rule, sim.Checker.Violations)
 		}
 	}
 }
@@ -377,75 +381,76 @@
 // no job that has to wait.
 func TestStarvationCheckerDetectsViolations(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(w *Simulator, m *fakeWorker)
+		change func(sim *Simulator, m *fakeWorker)
 		fires  bool
 	}{
 		"left waiting": {func(*Simulator, *fakeWorker) {}, true},
 		"no room": {func(_ *Simulator, m *fakeWorker) {
 			m.tasks["x"] = &fakeTask{job: "wk-000002", stage: wire.TaskRunning}
 		}, false},
-		"other zone":   {func(w *Simulator, _ *fakeWorker) { w.Checker.jobs["wk-000001"].spec.Zone = "b" }, false},
-		"at its limit": {func(w *Simulator, _ *fakeWorker) { w.Checker.quotas["t0"] = [2]int64{3000, 0} }, false},
+		"other zone":   {func(sim *Simulator, _ *fakeWorker) { sim.Checker.jobs["wk-000001"].spec.Zone = "b" }, false},
+		"at its limit": {func(sim *Simulator, _ *fakeWorker) { sim.Checker.quotas["t0"] = [2]int64{3000, 0} }, false},
 		"it hangs":     {func(_ *Simulator, m *fakeWorker) { m.hangFor(200 * time.Second) }, false},
-		"cancelled":    {func(w *Simulator, _ *fakeWorker) { w.Checker.CancelRequested("wk-000001") }, false},
-		"it starts": {func(w *Simulator, m *fakeWorker) {
-			w.schedule(50*time.Second, func() { w.Checker.TaskStarted(w.now, "wk-000001", 0, m.machine) })
-			w.Checker.jobs["wk-000001"].spec.Tasks = 2
+		"cancelled":    {func(sim *Simulator, _ *fakeWorker) { sim.Checker.CancelRequested("wk-000001") }, false},
+		"it starts": {func(sim *Simulator, m *fakeWorker) {
+			sim.schedule(50*time.Second, func() { sim.Checker.TaskStarted(sim.now, "wk-000001", 0, m.machine) })
+			sim.Checker.jobs["wk-000001"].spec.Tasks = 2
 		}, false},
 	} {
-		w := New(Options{Seed: 1, NoFaults: true})
-		w.events = eventqueue.Queue{} // no controller does anything
-		w.Checker.faultFreeFrom = 1
+		sim := New(Options{Seed: 1, NoFaults: true})
+		sim.events = eventqueue.Queue{} // no controller does anything
+		sim.Checker.faultFreeFrom = 1
 		worker := &fakeWorker{
-			sim:          w,
+			sim:          sim,
 			machine:      wire.Machine{Name: "m1", Type: "small", Zone: "a"},
 			up:           true,
 			fencingToken: 1,
 			tasks:        map[string]*fakeTask{},
 		}
-		w.cloud.machines = append(w.cloud.machines, worker)
+		sim.cloud.machines = append(sim.cloud.machines, worker)
 		for _, id := range []string{"wk-000001", "wk-000002"} {
-			w.Checker.JobSubmitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
+			sim.Checker.JobSubmitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
 		}
-		w.Checker.CheckResponse(0, 0, "submit", "wk-000001", wire.StatusCreated, wire.StageQueued)
-		test.change(w, worker)
-		w.schedule(time.Second, w.checkStarvation)
+		sim.Checker.CheckResponse(0, 0, "submit", "wk-000001", wire.StatusCreated, wire.StageQueued)
+		test.change(sim, worker)
+		sim.schedule(time.Second, sim.checkStarvation)
 		const end = 120 * time.Second
-		for at, run, ok := w.events.PopUntil(end); ok; at, run, ok = w.events.PopUntil(end) {
-			w.now = at
+		for at, run, ok := sim.events.PopUntil(end); ok; at, run, ok = sim.events.PopUntil(end) {
+			sim.now = at
 			run()
 		}
-		if w.Checker.firstViolationIs("left_waiting") != test.fires || len(w.Checker.Violations) > 0 && !test.fires {
-			t.Errorf("%s: violations are %v", name, w.Checker.Violations)
+		if sim.Checker.firstViolationIs("left_waiting") != test.fires ||
+			len(sim.Checker.Violations) > 0 && !test.fires {
+			t.Errorf("%s: violations are %v", name, sim.Checker.Violations)
 		}
 	}
 }
 
 // For each service-level objective of the operators, the checker must report a step that violates it.
 func TestServiceLevelCheckerDetectsViolations(t *testing.T) {
-	for rule, step := range map[string]func(k *Checker){
-		"forgotten": func(k *Checker) {
+	for rule, step := range map[string]func(checker *Checker){
+		"forgotten": func(checker *Checker) {
 			for at := 110 * time.Second; at < 200*time.Second; at += 5 * time.Second {
-				k.CheckResponsive(at, at+2*time.Second, "wk-000001", wire.StatusUnavailable)
-				k.CheckResponsive(at, at+2*time.Second, "wk-000002", wire.StatusOK) // other jobs are answered
+				checker.CheckResponsive(at, at+2*time.Second, "wk-000001", wire.StatusUnavailable)
+				checker.CheckResponsive(at, at+2*time.Second, "wk-000002", wire.StatusOK) // other jobs are answered
 			}
 		},
-		"unserved": func(k *Checker) { k.Finish(200 * time.Second) },
-		"late_largest": func(k *Checker) {
-			k.jobs["wk-000001"].startedAt = 300 * time.Second
-			k.jobs["wk-000002"].startedAt = 1
-			k.Finish(400 * time.Second)
+		"unserved": func(checker *Checker) { checker.Finish(200 * time.Second) },
+		"late_largest": func(checker *Checker) {
+			checker.jobs["wk-000001"].startedAt = 300 * time.Second
+			checker.jobs["wk-000002"].startedAt = 1
+			checker.Finish(400 * time.Second)
 		},
 	} {
-		k := NewChecker(defaultCancelTimeout, nil)
-		k.faultFreeFrom, k.Starts = 100*time.Second, 1
+		checker := NewChecker(defaultCancelTimeout, nil)
+		checker.faultFreeFrom, checker.Starts = 100*time.Second, 1
 		for i, id := range []string{"wk-000001", "wk-000002"} {
-			k.JobSubmitted(wire.JobSpec{ID: id, Class: "c", Team: "t0", Tasks: 3 - i})
-			k.CheckResponse(time.Second, time.Second, "submit", id, wire.StatusCreated, wire.StageQueued)
+			checker.JobSubmitted(wire.JobSpec{ID: id, Class: "c", Team: "t0", Tasks: 3 - i})
+			checker.CheckResponse(time.Second, time.Second, "submit", id, wire.StatusCreated, wire.StageQueued)
 		}
-		step(k)
-		if !k.firstViolationIs(rule) {
-			t.Errorf("%s: violations are %v", rule, k.Violations)
+		step(checker)
+		if !checker.firstViolationIs(rule) {
+			t.Errorf("%s: violations are %v", rule, checker.Violations)
 		}
 	}
 }
@@ -460,8 +465,8 @@
 			if seed%8 == 0 { // jobs whose records exceed a value under the announced limits
 				o.MaxMachines, o.MaxTasksPerJob, o.Jobs = 300, 400, 40
 			}
-			w := runSimulation(t, o)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			sim := runSimulation(t, o)
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
@@ -488,10 +493,10 @@
 				NoFaults:       seed%10 == 0,
 				RollingUpgrade: seed%3 == 0,
 			}
-			w := runSimulation(t, o)
-			archived := len(w.store.archivedJobs())
+			sim := runSimulation(t, o)
+			archived := len(sim.store.archivedJobs())
 			moved.Add(int64(archived))
-			t.Logf("%d starts, %d archived, %v", w.Checker.Starts, archived, w.Checker.stageCounts())
+			t.Logf("%d starts, %d archived, %v", sim.Checker.Starts, archived, sim.Checker.stageCounts())
 		})
 	}
 }
@@ -502,7 +507,7 @@
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{
 					Seed:           seed,
@@ -515,7 +520,7 @@
 					NoFaults:       seed%10 == 0,
 				},
 			)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
@@ -530,7 +535,7 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{
 					Seed:           seed,
@@ -544,10 +549,15 @@
 					NoFaults:       seed%10 == 0,
 				},
 			)
-			if w.auditChecker.verbCounts["submit"] == 0 || w.auditChecker.verbCounts["administer"] == 0 {
-				t.Errorf("the audit log has entries %v", w.auditChecker.verbCounts)
+			if sim.auditChecker.verbCounts["submit"] == 0 || sim.auditChecker.verbCounts["administer"] == 0 {
+				t.Errorf("the audit log has entries %v", sim.auditChecker.verbCounts)
 			}
-			t.Logf("%d starts, %v, entries %v", w.Checker.Starts, w.Checker.stageCounts(), w.auditChecker.verbCounts)
+			t.Logf(
+				"%d starts, %v, entries %v",
+				sim.Checker.Starts,
+				sim.Checker.stageCounts(),
+				sim.auditChecker.verbCounts,
+			)
 		})
 	}
 }
@@ -557,11 +567,11 @@
 	for seed := uint64(1); seed <= 16; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{Seed: seed, Duration: 240 * time.Second, Jobs: 5, Pipelines: 12, NoFaults: seed%5 == 0},
 			)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
@@ -572,7 +582,7 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{
 					Seed:           seed,
@@ -583,7 +593,7 @@
 					MaxTasksPerJob: 400,
 				},
 			)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
@@ -592,10 +602,10 @@
 func TestSimulationIsDeterministic(t *testing.T) {
 	run := func() string {
 		var trace strings.Builder
-		w := New(Options{Seed: 5, Duration: 120 * time.Second, Jobs: 20})
-		w.Trace = func(f string, a ...any) { fmt.Fprintf(&trace, f+"\n", a...) }
-		w.Run()
-		return fmt.Sprint(trace.String(), w.Checker.Starts, w.store.revision)
+		sim := New(Options{Seed: 5, Duration: 120 * time.Second, Jobs: 20})
+		sim.Trace = func(f string, a ...any) { fmt.Fprintf(&trace, f+"\n", a...) }
+		sim.Run()
+		return fmt.Sprint(trace.String(), sim.Checker.Starts, sim.store.revision)
 	}
 	if a, b := run(), run(); a != b {
 		t.Fatal("two runs of one seed differ")
@@ -609,65 +619,68 @@
 	m3 := wire.Machine{Name: "m3", Type: "big", Zone: "a", Spot: true}
 	spec := wire.JobSpec{ID: "wk-1", Team: "t", Tasks: 2, Request: [3]int64{1000, 0, 0}}
 	after := wire.JobSpec{ID: "wk-2", Team: "t", Tasks: 1, Dependencies: []string{"wk-1"}}
-	for rule, step := range map[string]func(k *Checker){
-		"ran_twice": func(k *Checker) { k.TaskStarted(0, "wk-1", 0, m1); k.TaskStarted(0, "wk-1", 0, m2) },
-		"quota": func(k *Checker) {
-			k.quotas["t"] = [2]int64{1500, 0}
-			k.TaskStarted(0, "wk-1", 0, m1)
-			k.TaskStarted(0, "wk-1", 1, m1)
+	for rule, step := range map[string]func(checker *Checker){
+		"ran_twice": func(checker *Checker) {
+			checker.TaskStarted(0, "wk-1", 0, m1)
+			checker.TaskStarted(0, "wk-1", 0, m2)
+		},
+		"quota": func(checker *Checker) {
+			checker.quotas["t"] = [2]int64{1500, 0}
+			checker.TaskStarted(0, "wk-1", 0, m1)
+			checker.TaskStarted(0, "wk-1", 1, m1)
 		},
-		"wrong_place": func(k *Checker) { k.TaskStarted(0, "wk-1", 0, m3) },
-		"ran_cancelled": func(k *Checker) {
-			k.TaskStarted(0, "wk-1", 0, m1)
-			k.CancelRequested("wk-1")
-			k.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
-			k.Tick(11 * time.Second)
+		"wrong_place": func(checker *Checker) { checker.TaskStarted(0, "wk-1", 0, m3) },
+		"ran_cancelled": func(checker *Checker) {
+			checker.TaskStarted(0, "wk-1", 0, m1)
+			checker.CancelRequested("wk-1")
+			checker.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
+			checker.Tick(11 * time.Second)
 		},
-		"forgotten": func(k *Checker) {
-			k.CheckResponse(0, 0, "submit", "wk-1", wire.StatusCreated, "queued")
-			k.CheckResponse(0, 0, "poll", "wk-1", wire.StatusNotFound, "")
+		"forgotten": func(checker *Checker) {
+			checker.CheckResponse(0, 0, "submit", "wk-1", wire.StatusCreated, "queued")
+			checker.CheckResponse(0, 0, "poll", "wk-1", wire.StatusNotFound, "")
 		},
-		"invented": func(k *Checker) { k.CheckResponse(0, 0, "poll", "wk-2", wire.StatusOK, "queued") },
-		"not_done": func(k *Checker) {
-			k.TaskCompleted("wk-1", 0)
-			k.CheckResponse(0, 0, "poll", "wk-1", wire.StatusOK, "done")
+		"invented": func(checker *Checker) { checker.CheckResponse(0, 0, "poll", "wk-2", wire.StatusOK, "queued") },
+		"not_done": func(checker *Checker) {
+			checker.TaskCompleted("wk-1", 0)
+			checker.CheckResponse(0, 0, "poll", "wk-1", wire.StatusOK, "done")
 		},
-		"went_back": func(k *Checker) {
-			k.CancelRequested("wk-1")
-			k.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
-			k.CheckResponse(1, 2, "poll", "wk-1", wire.StatusOK, "queued")
+		"went_back": func(checker *Checker) {
+			checker.CancelRequested("wk-1")
+			checker.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
+			checker.CheckResponse(1, 2, "poll", "wk-1", wire.StatusOK, "queued")
 		},
-		"let_in": func(k *Checker) {
-			k.PermissionChanging("u")
-			k.CheckAuthorized(1, "u", "poll", "wk-1") // it may not be revoked yet
-			k.PermissionChanged(2, "u", false)
-			k.CheckAuthorized(1, "u", "poll", "wk-1") // sent before the revocation
-			k.CheckAuthorized(3, "u", "poll", "wk-1")
+		"let_in": func(checker *Checker) {
+			checker.PermissionChanging("u")
+			checker.CheckAuthorized(1, "u", "poll", "wk-1") // it may not be revoked yet
+			checker.PermissionChanged(2, "u", false)
+			checker.CheckAuthorized(1, "u", "poll", "wk-1") // sent before the revocation
+			checker.CheckAuthorized(3, "u", "poll", "wk-1")
 		},
-		"nothing_ran": func(k *Checker) { k.Finish(0) },
-		"unfit": func(k *Checker) {
-			k.CheckRejected("wk-3", wire.StatusInvalid, wire.StatusInvalid)
-			k.CheckRejected("wk-3", wire.StatusUnavailable, wire.StatusInvalid)
-			k.CheckRejected("wk-3", wire.StatusBadRequest, wire.StatusInvalid)
+		"nothing_ran": func(checker *Checker) { checker.Finish(0) },
+		"unfit": func(checker *Checker) {
+			checker.CheckRejected("wk-3", wire.StatusInvalid, wire.StatusInvalid)
+			checker.CheckRejected("wk-3", wire.StatusUnavailable, wire.StatusInvalid)
+			checker.CheckRejected("wk-3", wire.StatusBadRequest, wire.StatusInvalid)
 		},
-		"too_early": func(k *Checker) {
-			k.JobSubmitted(after)
-			k.TaskCompleted("wk-1", 0)
-			k.TaskStarted(0, "wk-2", 0, m1)
+		"too_early": func(checker *Checker) {
+			checker.JobSubmitted(after)
+			checker.TaskCompleted("wk-1", 0)
+			checker.TaskStarted(0, "wk-2", 0, m1)
 		},
-		"orphaned": func(k *Checker) {
-			k.JobSubmitted(after)
-			k.CheckResponse(0, 0, "submit", "wk-2", wire.StatusCreated, "queued")
-			k.CancelRequested("wk-1")
-			k.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
-			k.CheckResponse(11*time.Second, 11*time.Second, "poll", "wk-2", wire.StatusOK, "queued")
+		"orphaned": func(checker *Checker) {
+			checker.JobSubmitted(after)
+			checker.CheckResponse(0, 0, "submit", "wk-2", wire.StatusCreated, "queued")
+			checker.CancelRequested("wk-1")
+			checker.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
+			checker.CheckResponse(11*time.Second, 11*time.Second, "poll", "wk-2", wire.StatusOK, "queued")
 		},
 	} {
-		k := NewChecker(10*time.Second, map[string][2]int64{})
-		k.JobSubmitted(spec)
-		step(k)
-		if len(k.Violations) == 0 || !strings.HasPrefix(k.Violations[0], rule) {
-			t.Errorf("the violation of %s was not reported: %v", rule, k.Violations)
+		checker := NewChecker(10*time.Second, map[string][2]int64{})
+		checker.JobSubmitted(spec)
+		step(checker)
+		if len(checker.Violations) == 0 || !strings.HasPrefix(checker.Violations[0], rule) {
+			t.Errorf("the violation of %s was not reported: %v", rule, checker.Violations)
 		}
 	}
 }
@@ -756,16 +769,16 @@
 	m1 := wire.Machine{Name: "m1", Type: "big", Zone: "a"}
 	m2 := wire.Machine{Name: "m2", Type: "big", Zone: "b"}
 	for _, s := range []wire.JobSpec{{ID: "wk-1", Tasks: 2, Spread: true}, {ID: "wk-1", Tasks: 2, OneZone: true}} {
-		k := NewChecker(time.Second, nil)
-		k.JobSubmitted(s)
-		k.TaskStarted(0, "wk-1", 0, m1)
+		checker := NewChecker(time.Second, nil)
+		checker.JobSubmitted(s)
+		checker.TaskStarted(0, "wk-1", 0, m1)
 		other := m2
 		if s.Spread {
 			other = m1
 		}
-		k.TaskStarted(0, "wk-1", 1, other)
-		if len(k.Violations) != 1 {
-			t.Errorf("spread %v: %v", s.Spread, k.Violations)
+		checker.TaskStarted(0, "wk-1", 1, other)
+		if len(checker.Violations) != 1 {
+			t.Errorf("spread %v: %v", s.Spread, checker.Violations)
 		}
 	}
 }
@@ -799,7 +812,7 @@
 				options.Duration, options.Jobs, options.Pipelines = 120*time.Second, 60, 0
 				options.Controllers, options.MaxMachines, options.MaxTasksPerJob = 5, 300, 400
 			}
-			w := runObserved(t, options, func(_ string, output core.Output) {
+			sim := runObserved(t, options, func(_ string, output core.Output) {
 				if commit, ok := output.(core.CommitTxn); ok {
 					for _, write := range commit.Txn.Then {
 						if strings.HasPrefix(write.Put, core.Root+"over/") {
@@ -808,7 +821,7 @@
 					}
 				}
 			})
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
--- a/internal/sim/simulator.go
+++ b/internal/sim/simulator.go
@@ -78,7 +78,7 @@
 // New returns a simulation that is ready to run.
 func New(options Options) *Simulator {
 	options = options.withDefaults()
-	w := &Simulator{
+	sim := &Simulator{
 		options:              options,
 		rng:                  rand.New(rand.NewPCG(options.Seed, 77)),
 		partitioned:          map[[2]string]bool{},
@@ -93,190 +93,190 @@
 		Trace:                func(string, ...any) {},
 		OnOutput:             func(string, core.Output) {},
 	}
-	quotas := w.createTeams()
-	w.Checker = NewChecker(options.CancelTimeout, quotas)
-	w.auditChecker = newAuditChecker(w.Checker, func() time.Duration { return w.now })
-	w.store = newFakeStore(w)
-	w.cloud = newFakeCloud(w)
-	w.reservations = newReservationChecker(w)
-	w.queueOrder = newQueueOrderChecker(w)
+	quotas := sim.createTeams()
+	sim.Checker = NewChecker(options.CancelTimeout, quotas)
+	sim.auditChecker = newAuditChecker(sim.Checker, func() time.Duration { return sim.now })
+	sim.store = newFakeStore(sim)
+	sim.cloud = newFakeCloud(sim)
+	sim.reservations = newReservationChecker(sim)
+	sim.queueOrder = newQueueOrderChecker(sim)
 	for i := range options.Controllers {
-		clockOffset := time.Duration(w.rng.IntN(5000)) * time.Millisecond
-		w.nodes = append(w.nodes, &node{name: fmt.Sprintf("n%d", i), clockOffset: clockOffset})
+		clockOffset := time.Duration(sim.rng.IntN(5000)) * time.Millisecond
+		sim.nodes = append(sim.nodes, &node{name: fmt.Sprintf("n%d", i), clockOffset: clockOffset})
 	}
 	if options.RollingUpgrade {
-		w.scheduleRollingUpgrade()
+		sim.scheduleRollingUpgrade()
 	}
 	if options.MixedVersions {
-		w.nodes[options.Seed%uint64(options.Controllers)].bootsPrevious = true
+		sim.nodes[options.Seed%uint64(options.Controllers)].bootsPrevious = true
 	}
-	for _, n := range w.nodes {
-		w.boot(n)
+	for _, n := range sim.nodes {
+		sim.boot(n)
 	}
-	return w
+	return sim
 }
 
 // createTeams creates two teams, and returns the CPU and memory quotas of those that have one.
-func (w *Simulator) createTeams() map[string][2]int64 {
-	maxCPU := 40000 * int64(w.options.MaxTasksPerJob) / defaultMaxTasksPerJob // thousandths of a core
-	w.teams = []core.Team{{Name: "t0"}, {Name: "t1", ReservedCPU: maxCPU * 2 / 5, MaxCPU: maxCPU}}
+func (s *Simulator) createTeams() map[string][2]int64 {
+	maxCPU := 40000 * int64(s.options.MaxTasksPerJob) / defaultMaxTasksPerJob // thousandths of a core
+	s.teams = []core.Team{{Name: "t0"}, {Name: "t1", ReservedCPU: maxCPU * 2 / 5, MaxCPU: maxCPU}}
 	quotas := map[string][2]int64{"t1": {maxCPU, 0}}
-	if w.options.QuotaLimited {
-		w.teams[0].MaxCPU = maxCPU
+	if s.options.QuotaLimited {
+		s.teams[0].MaxCPU = maxCPU
 		quotas["t0"] = [2]int64{maxCPU, 0}
 	}
 	return quotas
 }
 
 // schedule runs a function after a delay in simulated time.
-func (w *Simulator) schedule(delay time.Duration, run func()) {
-	w.events.Add(w.now+delay, run)
+func (s *Simulator) schedule(delay time.Duration, run func()) {
+	s.events.Add(s.now+delay, run)
 }
 
 // chance draws true with a probability.
-func (w *Simulator) chance(probability float64) bool { return w.rng.Float64() < probability }
+func (s *Simulator) chance(probability float64) bool { return s.rng.Float64() < probability }
 
 // randomDuration draws a duration between two, both included.
-func (w *Simulator) randomDuration(low, high time.Duration) time.Duration {
-	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
+func (s *Simulator) randomDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.rng.Int64N(int64(high-low)+1))
 }
 
 // Run runs the simulation to its end, or to the first violation.
-func (w *Simulator) Run() {
-	w.scheduleWorkload()
-	w.scheduleFaultPlan()
-	if w.Checker.faultFreeFrom != 0 {
-		w.schedule(w.Checker.faultFreeFrom, w.checkStarvation)
+func (s *Simulator) Run() {
+	s.scheduleWorkload()
+	s.scheduleFaultPlan()
+	if s.Checker.faultFreeFrom != 0 {
+		s.schedule(s.Checker.faultFreeFrom, s.checkStarvation)
 	}
 	for {
-		at, run, ok := w.events.PopUntil(w.options.Duration)
+		at, run, ok := s.events.PopUntil(s.options.Duration)
 		if !ok {
 			break
 		}
-		w.now = at
+		s.now = at
 		run()
-		w.Checker.Tick(w.now)
-		if len(w.Checker.Violations) > 0 {
+		s.Checker.Tick(s.now)
+		if len(s.Checker.Violations) > 0 {
 			return
 		}
 	}
-	w.checkFinalState()
+	s.checkFinalState()
 }
 
 // scheduleWorkload schedules all actions of users.
-func (w *Simulator) scheduleWorkload() {
-	w.scheduleUsers()
-	if w.options.Permissions {
-		w.schedulePermissionChanges()
+func (s *Simulator) scheduleWorkload() {
+	s.scheduleUsers()
+	if s.options.Permissions {
+		s.schedulePermissionChanges()
 	}
-	if w.options.AuditLog {
-		w.scheduleAuditReaders()
+	if s.options.AuditLog {
+		s.scheduleAuditReaders()
 	}
-	if w.options.ReservationUsers > 0 {
-		w.scheduleReservationUsers()
+	if s.options.ReservationUsers > 0 {
+		s.scheduleReservationUsers()
 	}
 }
 
 // scheduleFaultPlan schedules the kind of faults that the options ask for.
-func (w *Simulator) scheduleFaultPlan() {
+func (s *Simulator) scheduleFaultPlan() {
 	switch {
-	case w.options.PriorityClasses:
-		if !w.options.NoFaults {
-			w.scheduleCrashes()
+	case s.options.PriorityClasses:
+		if !s.options.NoFaults {
+			s.scheduleCrashes()
 		}
-	case w.options.OverlappingFaults:
-		w.scheduleOverlappingFaults()
-	case !w.options.NoFaults:
-		w.scheduleFaults()
+	case s.options.OverlappingFaults:
+		s.scheduleOverlappingFaults()
+	case !s.options.NoFaults:
+		s.scheduleFaults()
 	}
 }
 
 // checkFinalState checks what must be true at the end.
-func (w *Simulator) checkFinalState() {
-	w.Checker.Finish(w.now)
-	if w.options.PriorityClasses {
-		w.queueOrder.checkOvertaking()
+func (s *Simulator) checkFinalState() {
+	s.Checker.Finish(s.now)
+	if s.options.PriorityClasses {
+		s.queueOrder.checkOvertaking()
 	}
-	w.checkJobsStored()
-	if w.options.AuditLog {
-		w.auditChecker.Finish(w.store.keys)
+	s.checkJobsStored()
+	if s.options.AuditLog {
+		s.auditChecker.Finish(s.store.keys)
 	}
 }
 
 // boot starts a controller's process.
-func (w *Simulator) boot(n *node) {
+func (s *Simulator) boot(n *node) {
 	n.incarnation++
 	n.down, n.runsPrevious = false, n.bootsPrevious
-	n.startedAt = w.now
+	n.startedAt = s.now
 	n.pendingRequests = map[uint64]func(core.Response){}
-	n.core = core.New(w.coreConfig(n), 0, w.rng.Uint64())
+	n.core = core.New(s.coreConfig(n), 0, s.rng.Uint64())
 	incarnation := n.incarnation
 	var tick func()
 	tick = func() {
 		if n.incarnation != incarnation || n.down {
 			return
 		}
-		w.deliver(n, core.WallClock{UnixMS: w.nowUnixMS() + int64(n.clockOffset/time.Second)})
-		w.schedule(50*time.Millisecond, tick)
+		s.deliver(n, core.WallClock{UnixMS: s.nowUnixMS() + int64(n.clockOffset/time.Second)})
+		s.schedule(50*time.Millisecond, tick)
 	}
-	w.schedule(time.Millisecond, tick)
+	s.schedule(time.Millisecond, tick)
 }
 
 // crash ends a controller's process, which restarts after a random time.
-func (w *Simulator) crash(n *node) {
-	downtime := w.randomDuration(time.Second, 6*time.Second)
-	if w.options.FlappingProcesses || w.options.OverlappingFaults && w.chance(0.5) {
-		downtime = w.randomDuration(0, 900*time.Millisecond)
+func (s *Simulator) crash(n *node) {
+	downtime := s.randomDuration(time.Second, 6*time.Second)
+	if s.options.FlappingProcesses || s.options.OverlappingFaults && s.chance(0.5) {
+		downtime = s.randomDuration(0, 900*time.Millisecond)
 	}
-	w.crashFor(n, downtime)
+	s.crashFor(n, downtime)
 }
 
 // crashFor ends a controller's process, which restarts after downtime.
-func (w *Simulator) crashFor(n *node, downtime time.Duration) {
+func (s *Simulator) crashFor(n *node, downtime time.Duration) {
 	n.down = true
 	n.incarnation++
 	n.core = nil
-	w.schedule(downtime, func() {
+	s.schedule(downtime, func() {
 		if n.down {
-			w.boot(n)
+			s.boot(n)
 		}
 	})
 }
 
 // crashSoon crashes a controller around a request that it is about to send to the store: before the request is
 // executed, or before its response arrives.
-func (w *Simulator) crashSoon(n *node, during string) {
+func (s *Simulator) crashSoon(n *node, during string) {
 	incarnation := n.incarnation
-	w.schedule(w.randomDuration(0, 12*time.Millisecond), func() {
+	s.schedule(s.randomDuration(0, 12*time.Millisecond), func() {
 		if n.incarnation == incarnation && !n.down {
-			w.Trace("%v crash %s during %s", w.now, n.name, during)
-			w.crash(n)
+			s.Trace("%v crash %s during %s", s.now, n.name, during)
+			s.crash(n)
 		}
 	})
 }
 
 // deliver hands an input to a controller's core and carries out the outputs. While the process is paused, inputs
 // wait in their order.
-func (w *Simulator) deliver(n *node, in core.Input) {
+func (s *Simulator) deliver(n *node, in core.Input) {
 	if n.down {
 		return
 	}
-	if w.now < n.pausedUntil {
+	if s.now < n.pausedUntil {
 		incarnation := n.incarnation
-		w.schedule(n.pausedUntil-w.now, func() {
+		s.schedule(n.pausedUntil-s.now, func() {
 			if n.incarnation == incarnation {
-				w.deliver(n, in)
+				s.deliver(n, in)
 			}
 		})
 		return
 	}
 	// The monotonic clock may run fast by up to 0.05%.
-	uptime := time.Duration(float64(w.now-n.startedAt) * (1 + 0.0005*float64(n.clockOffset)/float64(5*time.Second)))
-	n.core.Handle(uptime, w.asUnderstoodBy(n, in))
+	uptime := time.Duration(float64(s.now-n.startedAt) * (1 + 0.0005*float64(n.clockOffset)/float64(5*time.Second)))
+	n.core.Handle(uptime, s.asUnderstoodBy(n, in))
 	for _, output := range n.core.Advance(uptime) {
-		w.performOutput(n, output)
+		s.performOutput(n, output)
 	}
 }
 
 // nowUnixMS returns the true wall clock.
-func (w *Simulator) nowUnixMS() int64 { return startUnixMS + w.now.Milliseconds() }
+func (s *Simulator) nowUnixMS() int64 { return startUnixMS + s.now.Milliseconds() }
