--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -25,11 +25,11 @@
 	machineType       wire.MachineType
 	workers           []*Worker
 	controllers       []string   // addresses
-	rentalMu          sync.Mutex // guards ctx, rentals and the rental fields of the workers
+	provisioningMu    sync.Mutex // guards ctx, scaleOuts and the provisioning of the workers
 	ctx               context.Context
 	startsRefused     atomic.Int64
 	partitionedZone   atomic.Pointer[string] // nil or empty: none
-	rentals           map[string][]string    // names of the machines of each scale-out by idempotency key
+	scaleOuts         map[string][]string    // names of the machines of each scale-out by idempotency key
 	heartbeatInterval time.Duration
 	taskShape         TaskShape
 	byIP              map[string]*Worker
@@ -42,12 +42,12 @@
 
 // Worker is one machine with its agent.
 type Worker struct {
-	machine  wire.Machine
-	ctx      context.Context // of its rental; nil: it was never rented
-	stop     context.CancelFunc
-	rentedAt time.Time
-	returned bool
-	fleet    *Workers
+	machine       wire.Machine
+	ctx           context.Context // cancelled at scale-in; nil: never provisioned
+	stop          context.CancelFunc
+	provisionedAt time.Time
+	scaledIn      bool
+	fleet         *Workers
 
 	mu                                sync.Mutex // guards the fields below
 	seq                               uint64
@@ -56,7 +56,7 @@
 	ackedHeartbeats, failedHeartbeats int
 
 	changed    chan struct{} // triggers the next heartbeat at once
-	controller int           // index of the controller that gets the next heartbeat; of heartbeatLoop only
+	controller int           // index of the controller that gets the next heartbeat; only heartbeatLoop uses it
 }
 
 const (
@@ -68,7 +68,7 @@
 	retryInterval     = time.Second // after a failed heartbeat
 )
 
-// NewWorkers returns machines that can be rented and whose agents send heartbeats to the controllers.
+// NewWorkers returns machines that can be provisioned and whose agents send heartbeats to the controllers.
 func NewWorkers(
 	count int,
 	machineType wire.MachineType,
@@ -82,7 +82,7 @@
 		heartbeatInterval: heartbeatInterval,
 		taskShape:         taskShape,
 		byIP:              map[string]*Worker{},
-		rentals:           map[string][]string{},
+		scaleOuts:         map[string][]string{},
 	}
 	ws.httpClient.Transport = &http.Transport{
 		MaxIdleConns:        2 * count,
@@ -107,18 +107,18 @@
 	return ws
 }
 
-// Run serves the agents of rented machines until the context is cancelled.
+// Run serves the agents of provisioned machines until the context is cancelled.
 func (ws *Workers) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		return fmt.Errorf("listen for agents: %w", err)
 	}
-	ws.rentalMu.Lock()
+	ws.provisioningMu.Lock()
 	for _, worker := range ws.workers {
 		worker.machine.Addr = fmt.Sprintf("%s:%d", worker.machine.Addr, listener.Addr().(*net.TCPAddr).Port)
 	}
-	ws.ctx = ctx // rentals end with it
-	ws.rentalMu.Unlock()
+	ws.ctx = ctx // the contexts of the machines derive from it
+	ws.provisioningMu.Unlock()
 	server := &http.Server{Handler: ws}
 	go func() {
 		<-ctx.Done()
@@ -168,32 +168,33 @@
 	return mux
 }
 
-// listMachines returns a page of the rented machines after a name.
+// listMachines returns a page of the provisioned machines after a name.
 func (ws *Workers) listMachines(after string, limit int) (list wire.MachineList) {
-	ws.rentalMu.Lock()
-	defer ws.rentalMu.Unlock()
+	ws.provisioningMu.Lock()
+	defer ws.provisioningMu.Unlock()
 	for _, worker := range ws.workers {
-		if !worker.isRented() || worker.machine.Name <= after {
+		if !worker.isProvisioned() || worker.machine.Name <= after {
 			continue
 		}
 		if list.More = len(list.Machines) == limit; list.More {
 			break
 		}
 		machine := worker.machine
-		machine.AgeS = time.Since(worker.rentedAt).Seconds()
+		machine.AgeS = time.Since(worker.provisionedAt).Seconds()
 		list.Machines = append(list.Machines, machine)
 	}
 	return list
 }
 
-// isRented reports whether a machine is rented now. The caller holds rentalMu.
-func (w *Worker) isRented() bool { return w.ctx != nil && !w.returned }
+// isProvisioned reports whether a machine is provisioned now. The caller holds provisioningMu.
+func (w *Worker) isProvisioned() bool { return w.ctx != nil && !w.scaledIn }
 
-// scaleOut rents as many machines as there are, up to the count. A repeated request returns the machines of the first.
+// scaleOut provisions as many machines as there are, up to the count. A repeated request returns the machines of the
+// first.
 func (ws *Workers) scaleOut(request wire.ScaleOutRequest) []string {
-	ws.rentalMu.Lock()
-	defer ws.rentalMu.Unlock()
-	names, ok := ws.rentals[request.IdempotencyKey]
+	ws.provisioningMu.Lock()
+	defer ws.provisioningMu.Unlock()
+	names, ok := ws.scaleOuts[request.IdempotencyKey]
 	if ok || ws.ctx == nil || request.Type != ws.machineType.Name {
 		return names
 	}
@@ -201,38 +202,38 @@
 		if len(names) == request.Count {
 			break
 		}
-		if worker.ctx != nil || worker.returned || worker.machine.Zone != request.Zone {
+		if worker.ctx != nil || worker.scaledIn || worker.machine.Zone != request.Zone {
 			continue
 		}
 		worker.ctx, worker.stop = context.WithCancel(ws.ctx)
-		worker.rentedAt, worker.machine.Spot = time.Now(), request.Spot
+		worker.provisionedAt, worker.machine.Spot = time.Now(), request.Spot
 		names = append(names, worker.machine.Name)
 		go worker.heartbeatLoop(worker.ctx)
 	}
 	if len(names) > 0 {
-		ws.rentals[request.IdempotencyKey] = names
+		ws.scaleOuts[request.IdempotencyKey] = names
 	}
 	return names
 }
 
-// scaleIn ends rentals; a machine is never rented again.
+// scaleIn removes machines. They are never provisioned again.
 func (ws *Workers) scaleIn(names []string) {
-	ws.rentalMu.Lock()
-	defer ws.rentalMu.Unlock()
+	ws.provisioningMu.Lock()
+	defer ws.provisioningMu.Unlock()
 	for _, worker := range ws.workers {
-		if worker.isRented() && slices.Contains(names, worker.machine.Name) {
-			worker.returned = true
+		if worker.isProvisioned() && slices.Contains(names, worker.machine.Name) {
+			worker.scaledIn = true
 			worker.stop()
 		}
 	}
 }
 
-// RentedCount returns the number of rented machines.
+// RentedCount returns the number of provisioned machines.
 func (ws *Workers) RentedCount() (count int) {
-	ws.rentalMu.Lock()
-	defer ws.rentalMu.Unlock()
+	ws.provisioningMu.Lock()
+	defer ws.provisioningMu.Unlock()
 	for _, worker := range ws.workers {
-		if worker.isRented() {
+		if worker.isProvisioned() {
 			count++
 		}
 	}
@@ -292,11 +293,11 @@
 	writeJSON(rw, http.StatusOK, worker.nextHeartbeat())
 }
 
-// isUp reports whether the machine is rented and has booted.
+// isUp reports whether the machine is provisioned and has booted.
 func (w *Worker) isUp() bool {
-	w.fleet.rentalMu.Lock()
-	defer w.fleet.rentalMu.Unlock()
-	return w.isRented() && time.Since(w.rentedAt) > bootTime
+	w.fleet.provisioningMu.Lock()
+	defer w.fleet.provisioningMu.Unlock()
+	return w.isProvisioned() && time.Since(w.provisionedAt) > bootTime
 }
 
 // nextHeartbeat returns a heartbeat with the status of all tasks.
@@ -385,7 +386,7 @@
 	}
 }
 
-// fits reports whether a request fits beside the tasks that have not exited. The caller holds mu.
+// fits reports whether a request fits next to the tasks that have not exited. The caller holds mu.
 func (w *Worker) fits(request [3]int64) bool {
 	available := w.fleet.machineType.Capacity()
 	for _, status := range w.tasks {
@@ -399,8 +400,8 @@
 	return available[0] >= request[0] && available[1] >= request[1] && available[2] >= request[2]
 }
 
-// heartbeatLoop sends heartbeats, periodically with jitter and when a task changes, until the rental ends. After a
-// failed heartbeat the next one goes to the next controller.
+// heartbeatLoop sends heartbeats, periodically with jitter and when a task changes, until the machine is scaled in.
+// After a failed heartbeat the next one goes to the next controller.
 func (w *Worker) heartbeatLoop(ctx context.Context) {
 	wait := bootTime + rand.N(time.Second)
 	for {
--- a/internal/fakes/workers_test.go
+++ b/internal/fakes/workers_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A scale-out request has one outcome, however often it is repeated, and a machine that was scaled in is never rented
-// again.
+// A scale-out request has one outcome, however often it is repeated, and a machine that was scaled in is never
+// provisioned again.
 func TestScaleOutIsIdempotent(t *testing.T) {
 	machineType := wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a", "b"}}
 	ws := NewWorkers(4, machineType, []string{"127.0.0.1:1"}, time.Minute, nil)
@@ -73,6 +73,6 @@
 	ws.scaleIn(first[:1])
 	request.IdempotencyKey = "h-2"
 	if ws.RentedCount() != 1 || len(ws.scaleOut(request)) != 0 || len(ws.listMachines("", 9).Machines) != 1 {
-		t.Error("a machine that was scaled in is listed or rented again")
+		t.Error("a machine that was scaled in is listed or provisioned again")
 	}
 }
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -391,19 +391,19 @@
 			}
 			return 0
 		}
-		toldAt := time.Duration(0)
+		ackedAt := time.Duration(0)
 		sim.schedule(5*time.Second, func() { sim.submitUntilAccepted(sim.randomNodeExcept(nil), first) })
 		sim.schedule(50*time.Second, func() { sim.submitUntilAccepted(sim.randomNodeExcept(nil), spec) })
 		sim.schedule(51*time.Second, func() {
 			sim.cancelUntilAcked(sim.randomNodeExcept(nil), spec.ID, func(*node) {
-				toldAt = sim.now
+				ackedAt = sim.now
 				sim.store.startOutage(75 * time.Second)
 			})
 		})
 		sim.Run()
-		if len(sim.Checker.Violations) > 0 || delayed == 0 || toldAt == 0 || toldAt > 53*time.Second {
-			t.Errorf("seed %d: violations %v, %d starts delayed, told at %v",
-				seed, sim.Checker.Violations, delayed, toldAt)
+		if len(sim.Checker.Violations) > 0 || delayed == 0 || ackedAt == 0 || ackedAt > 53*time.Second {
+			t.Errorf("seed %d: violations %v, %d starts delayed, cancellation acknowledged at %v",
+				seed, sim.Checker.Violations, delayed, ackedAt)
 		}
 	}
 }
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -16,7 +16,7 @@
 type Checker struct {
 	Violations    []string // each as "rule: details"
 	cancelTimeout time.Duration
-	quotas        map[string][2]int64 // maximum of CPU and memory by team; 0: none
+	quotas        map[string][2]int64 // maximum CPU and memory by team; 0: unlimited
 	jobs          map[string]*observedJob
 	runningOn     map[string]map[string]bool // by task name: the machines that it runs on
 	machines      map[string]wire.Machine
@@ -467,7 +467,7 @@
 }
 
 // checkJobsStored checks that every accepted job is stored once, as a record or in the archive, and that the archive
-// agrees with what its users were told.
+// agrees with the stage that was reported to its users.
 func (s *Simulator) checkJobsStored() {
 	archived := s.store.archivedJobs()
 	for id, job := range s.Checker.jobs {
@@ -481,7 +481,7 @@
 	}
 }
 
-// contradicts reports whether an archived job differs from what its users were told.
+// contradicts reports whether an archived job differs from what was reported to its users.
 func contradicts(job *observedJob, entry archive.Entry) bool {
 	if !entry.Cancelled && entry.CompletedTasks != job.spec.Tasks {
 		return true
--- a/internal/sim/eager_users.go
+++ b/internal/sim/eager_users.go
@@ -16,13 +16,13 @@
 
 const eagerPollRounds = 3 // polls of each controller
 
-// userView is what users were told of a job.
+// userView is what users know about a job.
 type userView struct {
 	accepted bool
 	stage    string
 }
 
-// userViewOf returns what users were told of a job.
+// userViewOf returns what users know about a job.
 func (c *Checker) userViewOf(id string) userView {
 	if job := c.jobs[id]; job != nil {
 		return userView{job.accepted, job.stage}
@@ -30,7 +30,8 @@
 	return userView{}
 }
 
-// pollEagerly polls a job at all controllers at once: a controller that lags behind must not contradict another.
+// pollEagerly polls a job at all controllers at the same time: a controller that lags behind must not contradict
+// another.
 func (s *Simulator) pollEagerly(caller core.Credential, id string) {
 	spec := s.Checker.jobs[id].spec
 	for round := range eagerPollRounds {
--- a/internal/sim/fake_cloud.go
+++ b/internal/sim/fake_cloud.go
@@ -15,17 +15,17 @@
 	goneListedFor = 5 * time.Second
 )
 
-// fakeCloud is a fake of the cloud provider: it rents machines, and takes spot machines back.
+// fakeCloud is a fake of the cloud provider: it scales machines out and in, and interrupts spot machines.
 type fakeCloud struct {
-	sim      *Simulator
-	machines []*fakeWorker // all that were ever rented, by name
-	byName   map[string]*fakeWorker
-	rentals  map[string][]string // machine names by idempotency key
-	down     bool
+	sim       *Simulator
+	machines  []*fakeWorker // all that were ever provisioned, ordered by name
+	byName    map[string]*fakeWorker
+	scaleOuts map[string][]string // machine names by idempotency key
+	down      bool
 }
 
 func newFakeCloud(sim *Simulator) *fakeCloud {
-	return &fakeCloud{sim: sim, byName: map[string]*fakeWorker{}, rentals: map[string][]string{}}
+	return &fakeCloud{sim: sim, byName: map[string]*fakeWorker{}, scaleOuts: map[string][]string{}}
 }
 
 // catalog lists the machine types of every simulation.
@@ -103,7 +103,7 @@
 	case core.CloudScaleIn:
 		for _, name := range request.MachineNames {
 			if worker := c.find(name); worker != nil {
-				worker.returnToCloud()
+				worker.scaleIn()
 			}
 		}
 	case core.CloudList:
@@ -112,10 +112,10 @@
 	return out
 }
 
-// scaleOut rents machines. A repeated request returns the machines of the first.
+// scaleOut provisions machines. A repeated request returns the machines of the first.
 func (c *fakeCloud) scaleOut(request core.CloudRequest, out *core.CloudResult) {
 	order := request.ScaleOut
-	if names, ok := c.rentals[order.IdempotencyKey]; ok {
+	if names, ok := c.scaleOuts[order.IdempotencyKey]; ok {
 		out.MachineNames = names
 		return
 	}
@@ -138,7 +138,7 @@
 		})
 		out.MachineNames = append(out.MachineNames, name)
 	}
-	c.rentals[order.IdempotencyKey] = out.MachineNames
+	c.scaleOuts[order.IdempotencyKey] = out.MachineNames
 }
 
 // addMachine adds a machine, schedules its boot, which a few machines never finish, and the interruption of a spot
@@ -146,7 +146,7 @@
 func (c *fakeCloud) addMachine(machine wire.Machine) {
 	sim := c.sim
 	worker := &fakeWorker{
-		sim: sim, machine: machine, rentedAt: sim.now, tasks: map[string]*fakeTask{}, images: map[string]bool{},
+		sim: sim, machine: machine, provisionedAt: sim.now, tasks: map[string]*fakeTask{}, images: map[string]bool{},
 	}
 	c.machines = append(c.machines, worker)
 	c.byName[machine.Name] = worker
@@ -173,7 +173,7 @@
 			return
 		}
 		entry := worker.machine
-		entry.AgeS = (c.sim.now - worker.rentedAt).Seconds()
+		entry.AgeS = (c.sim.now - worker.provisionedAt).Seconds()
 		if worker.failed {
 			entry.Stage = wire.MachineFailed
 		}
@@ -181,9 +181,9 @@
 	}
 }
 
-// isListed reports whether a machine is in the list: it must not be too new, returned, or gone for long. A failed
-// machine stays until it is returned.
+// isListed reports whether a machine is in the list: it must not be too new, scaled in, or gone for long. A failed
+// machine stays until it is scaled in.
 func (c *fakeCloud) isListed(worker *fakeWorker) bool {
-	age, gone := c.sim.now-worker.rentedAt, worker.gone && !worker.failed
-	return !worker.returned && age > cloudListLag && (!gone || c.sim.now-worker.goneAt < goneListedFor)
+	age, gone := c.sim.now-worker.provisionedAt, worker.gone && !worker.failed
+	return !worker.scaledIn && age > cloudListLag && (!gone || c.sim.now-worker.goneAt < goneListedFor)
 }
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -30,12 +30,12 @@
 type fakeWorker struct {
 	sim               *Simulator
 	machine           wire.Machine
-	rentedAt          time.Duration
+	provisionedAt     time.Duration
 	goneAt            time.Duration
 	up                bool
 	gone              bool
 	failed            bool
-	returned          bool          // a controller scaled it in
+	scaledIn          bool
 	hungUntil         time.Duration // the machine is suspended until then
 	incarnation       uint64
 	seq               uint64
@@ -65,9 +65,9 @@
 	m.hungUntil = max(m.hungUntil, m.sim.now+duration)
 }
 
-// returnToCloud ends the rental when a controller scales the machine in.
-func (m *fakeWorker) returnToCloud() {
-	m.returned = true
+// scaleIn ends the machine on a controller's request.
+func (m *fakeWorker) scaleIn() {
+	m.scaledIn = true
 	if !m.gone {
 		m.terminate()
 	}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -786,10 +786,10 @@
 // Small jobs share stored values, under faults of all kinds and through upgrades, with late writes, partitions, and
 // cancellations by controllers that do not own the shard.
 func TestInvariantsHoldWithBatchValues(t *testing.T) {
-	var slots atomic.Int64
+	var batchValueWrites atomic.Int64
 	t.Cleanup(func() {
-		if slots.Load() < 500 {
-			t.Errorf("%d slots were written in all simulations", slots.Load())
+		if batchValueWrites.Load() < 500 {
+			t.Errorf("%d shared values were written in all simulations", batchValueWrites.Load())
 		}
 	})
 	for seed := uint64(1); seed <= 24; seed++ {
@@ -816,7 +816,7 @@
 				if commit, ok := output.(core.CommitTxn); ok {
 					for _, write := range commit.Txn.Then {
 						if strings.HasPrefix(write.Put, core.Root+"over/") {
-							slots.Add(1)
+							batchValueWrites.Add(1)
 						}
 					}
 				}
