--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -18,35 +18,36 @@
 	"dewlift/wire"
 )
 
-// Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: a task
-// runs a moment after its start command and is done after its time. All machines share one listener on loopback;
-// each has an address of its own in 127.0.0.0/8.
+// Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: a task runs
+// shortly after its start command and is done after its duration. All machines share one listener on loopback; each has
+// an address of its own in 127.0.0.0/8.
 type Workers struct {
 	machineType       wire.MachineType
 	workers           []*Worker
 	controllers       []string   // addresses
-	rentalMu          sync.Mutex // guards ctx, rentals and the rental fields of the workers
+	provisioningMu    sync.Mutex // guards ctx, scaleOuts and the provisioning of the workers
 	ctx               context.Context
 	startsRefused     atomic.Int64
-	partitionedZone   atomic.Pointer[string] // zone that is partitioned
-	rentals           map[string][]string    // names of rented machines by idempotency key
+	partitionedZone   atomic.Pointer[string] // nil or empty: none
+	scaleOuts         map[string][]string    // names of the machines of each scale-out by idempotency key
 	heartbeatInterval time.Duration
 	taskShape         TaskShape
 	byIP              map[string]*Worker
 	httpClient        http.Client
 }
 
-// TaskShape returns the resources that a task takes of its machine and how long it runs; 0: until it is stopped.
+// TaskShape returns the resource request of a task and its duration; a duration of 0 means that the task runs until it
+// is stopped.
 type TaskShape = func(task string) (request [3]int64, duration time.Duration)
 
 // Worker is one machine with its agent.
 type Worker struct {
-	machine  wire.Machine
-	ctx      context.Context // of its rental; nil: not rented
-	stop     context.CancelFunc
-	rentedAt time.Time
-	returned bool
-	fleet    *Workers
+	machine       wire.Machine
+	ctx           context.Context // cancelled at scale-in; nil: never provisioned
+	stop          context.CancelFunc
+	provisionedAt time.Time
+	scaledIn      bool
+	fleet         *Workers
 
 	mu                                sync.Mutex // guards the fields below
 	seq                               uint64
@@ -54,8 +55,8 @@
 	tasks                             []wire.TaskStatus
 	ackedHeartbeats, failedHeartbeats int
 
-	changed    chan struct{} // asks for the next heartbeat at once
-	controller int           // index of the controller that gets the next heartbeat; of heartbeatLoop only
+	changed    chan struct{} // triggers the next heartbeat at once
+	controller int           // index of the controller that gets the next heartbeat; only heartbeatLoop uses it
 }
 
 const (
@@ -67,7 +68,7 @@
 	retryInterval     = time.Second // after a failed heartbeat
 )
 
-// NewWorkers returns machines that can be rented and whose agents send heartbeats to the controllers.
+// NewWorkers returns machines that can be provisioned and whose agents send heartbeats to the controllers.
 func NewWorkers(
 	count int,
 	machineType wire.MachineType,
@@ -75,15 +76,15 @@
 	heartbeatInterval time.Duration,
 	taskShape TaskShape,
 ) *Workers {
-	all := &Workers{
+	ws := &Workers{
 		machineType:       machineType,
 		controllers:       controllers,
 		heartbeatInterval: heartbeatInterval,
 		taskShape:         taskShape,
 		byIP:              map[string]*Worker{},
-		rentals:           map[string][]string{},
+		scaleOuts:         map[string][]string{},
 	}
-	all.httpClient.Transport = &http.Transport{
+	ws.httpClient.Transport = &http.Transport{
 		MaxIdleConns:        2 * count,
 		MaxIdleConnsPerHost: 2 * count,
 		IdleConnTimeout:     time.Minute,
@@ -91,7 +92,7 @@
 	for i := range count {
 		ip := fmt.Sprintf("127.%d.%d.1", 1+i/250, 1+i%250)
 		worker := &Worker{
-			fleet: all, controller: i % len(controllers), changed: make(chan struct{}, 1),
+			fleet: ws, controller: i % len(controllers), changed: make(chan struct{}, 1),
 			machine: wire.Machine{
 				Name:  fmt.Sprintf("m-%06d", i),
 				Addr:  ip,
@@ -100,25 +101,25 @@
 				Stage: wire.MachineBooting,
 			},
 		}
-		all.byIP[ip] = worker
-		all.workers = append(all.workers, worker)
+		ws.byIP[ip] = worker
+		ws.workers = append(ws.workers, worker)
 	}
-	return all
+	return ws
 }
 
-// Run serves the agents of rented machines until the context ends.
-func (all *Workers) Run(ctx context.Context) error {
+// Run serves the agents of provisioned machines until the context is cancelled.
+func (ws *Workers) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		return fmt.Errorf("listen for agents: %w", err)
 	}
-	all.rentalMu.Lock()
-	for _, worker := range all.workers {
+	ws.provisioningMu.Lock()
+	for _, worker := range ws.workers {
 		worker.machine.Addr = fmt.Sprintf("%s:%d", worker.machine.Addr, listener.Addr().(*net.TCPAddr).Port)
 	}
-	all.ctx = ctx // rentals end with it
-	all.rentalMu.Unlock()
-	server := &http.Server{Handler: all}
+	ws.ctx = ctx // the contexts of the machines derive from it
+	ws.provisioningMu.Unlock()
+	server := &http.Server{Handler: ws}
 	go func() {
 		<-ctx.Done()
 		_ = server.Close() // Serve returns then
@@ -130,10 +131,10 @@
 }
 
 // CloudHandler serves the cloud's interface.
-func (all *Workers) CloudHandler() http.Handler {
+func (ws *Workers) CloudHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.PathCatalog, func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{all.machineType}})
+		writeJSON(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{ws.machineType}})
 	})
 	mux.HandleFunc("GET "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
 		limit, err := strconv.Atoi(r.URL.Query().Get("most"))
@@ -141,7 +142,7 @@
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: "most: " + err.Error()})
 			return
 		}
-		writeJSON(w, http.StatusOK, all.listMachines(r.URL.Query().Get("from"), limit))
+		writeJSON(w, http.StatusOK, ws.listMachines(r.URL.Query().Get("from"), limit))
 	})
 	mux.HandleFunc("POST "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
 		var request wire.ScaleOutRequest
@@ -149,7 +150,7 @@
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
 		}
-		if names := all.scaleOut(request); len(names) > 0 {
+		if names := ws.scaleOut(request); len(names) > 0 {
 			writeJSON(w, http.StatusOK, wire.MachineNames{Machines: names})
 			return
 		}
@@ -161,78 +162,78 @@
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
 		}
-		all.scaleIn(names.Machines)
+		ws.scaleIn(names.Machines)
 		writeJSON(w, http.StatusOK, struct{}{})
 	})
 	return mux
 }
 
-// listMachines returns a page of the rented machines after a name.
-func (all *Workers) listMachines(after string, limit int) (list wire.MachineList) {
-	all.rentalMu.Lock()
-	defer all.rentalMu.Unlock()
-	for _, worker := range all.workers {
-		if !worker.isRented() || worker.machine.Name <= after {
+// listMachines returns a page of the provisioned machines after a name.
+func (ws *Workers) listMachines(after string, limit int) (list wire.MachineList) {
+	ws.provisioningMu.Lock()
+	defer ws.provisioningMu.Unlock()
+	for _, worker := range ws.workers {
+		if !worker.isProvisioned() || worker.machine.Name <= after {
 			continue
 		}
 		if list.More = len(list.Machines) == limit; list.More {
 			break
 		}
 		machine := worker.machine
-		machine.AgeS = time.Since(worker.rentedAt).Seconds()
+		machine.AgeS = time.Since(worker.provisionedAt).Seconds()
 		list.Machines = append(list.Machines, machine)
 	}
 	return list
 }
 
-// isRented reports whether a machine is rented now. The caller holds rentalMu.
-func (w *Worker) isRented() bool { return w.ctx != nil && !w.returned }
+// isProvisioned reports whether a machine is provisioned now. The caller holds provisioningMu.
+func (w *Worker) isProvisioned() bool { return w.ctx != nil && !w.scaledIn }
 
-// scaleOut rents as many machines as there are, up to the count. A repeated request returns the machines of the
+// scaleOut provisions as many machines as there are, up to the count. A repeated request returns the machines of the
 // first.
-func (all *Workers) scaleOut(request wire.ScaleOutRequest) []string {
-	all.rentalMu.Lock()
-	defer all.rentalMu.Unlock()
-	names, ok := all.rentals[request.IdempotencyKey]
-	if ok || all.ctx == nil || request.Type != all.machineType.Name {
+func (ws *Workers) scaleOut(request wire.ScaleOutRequest) []string {
+	ws.provisioningMu.Lock()
+	defer ws.provisioningMu.Unlock()
+	names, ok := ws.scaleOuts[request.IdempotencyKey]
+	if ok || ws.ctx == nil || request.Type != ws.machineType.Name {
 		return names
 	}
-	for _, worker := range all.workers {
+	for _, worker := range ws.workers {
 		if len(names) == request.Count {
 			break
 		}
-		if worker.ctx != nil || worker.returned || worker.machine.Zone != request.Zone {
+		if worker.ctx != nil || worker.scaledIn || worker.machine.Zone != request.Zone {
 			continue
 		}
-		worker.ctx, worker.stop = context.WithCancel(all.ctx)
-		worker.rentedAt, worker.machine.Spot = time.Now(), request.Spot
+		worker.ctx, worker.stop = context.WithCancel(ws.ctx)
+		worker.provisionedAt, worker.machine.Spot = time.Now(), request.Spot
 		names = append(names, worker.machine.Name)
 		go worker.heartbeatLoop(worker.ctx)
 	}
 	if len(names) > 0 {
-		all.rentals[request.IdempotencyKey] = names
+		ws.scaleOuts[request.IdempotencyKey] = names
 	}
 	return names
 }
 
-// scaleIn ends rentals; a returned machine is never rented again.
-func (all *Workers) scaleIn(names []string) {
-	all.rentalMu.Lock()
-	defer all.rentalMu.Unlock()
-	for _, worker := range all.workers {
-		if worker.isRented() && slices.Contains(names, worker.machine.Name) {
-			worker.returned = true
+// scaleIn removes machines. They are never provisioned again.
+func (ws *Workers) scaleIn(names []string) {
+	ws.provisioningMu.Lock()
+	defer ws.provisioningMu.Unlock()
+	for _, worker := range ws.workers {
+		if worker.isProvisioned() && slices.Contains(names, worker.machine.Name) {
+			worker.scaledIn = true
 			worker.stop()
 		}
 	}
 }
 
-// RentedCount returns the number of rented machines.
-func (all *Workers) RentedCount() (count int) {
-	all.rentalMu.Lock()
-	defer all.rentalMu.Unlock()
-	for _, worker := range all.workers {
-		if worker.isRented() {
+// RentedCount returns the number of provisioned machines.
+func (ws *Workers) RentedCount() (count int) {
+	ws.provisioningMu.Lock()
+	defer ws.provisioningMu.Unlock()
+	for _, worker := range ws.workers {
+		if worker.isProvisioned() {
 			count++
 		}
 	}
@@ -241,7 +242,7 @@
 
 // PartitionZone partitions the machines of a zone: they send no heartbeats, and requests to them wait. Their tasks keep
 // running. An empty zone ends the partition.
-func (all *Workers) PartitionZone(zone string) { all.partitionedZone.Store(&zone) }
+func (ws *Workers) PartitionZone(zone string) { ws.partitionedZone.Store(&zone) }
 
 // isPartitioned reports whether the machine's zone is partitioned.
 func (w *Worker) isPartitioned() bool {
@@ -250,11 +251,11 @@
 }
 
 // StartsRefused returns how many start commands found no capacity.
-func (all *Workers) StartsRefused() int64 { return all.startsRefused.Load() }
+func (ws *Workers) StartsRefused() int64 { return ws.startsRefused.Load() }
 
 // HeartbeatCounts returns how many heartbeats were acknowledged, and how many were not.
-func (all *Workers) HeartbeatCounts() (acked, failed int) {
-	for _, worker := range all.workers {
+func (ws *Workers) HeartbeatCounts() (acked, failed int) {
+	for _, worker := range ws.workers {
 		worker.mu.Lock()
 		acked += worker.ackedHeartbeats
 		failed += worker.failedHeartbeats
@@ -264,9 +265,9 @@
 }
 
 // ServeHTTP serves the interface of all agents: the local address of the connection selects the machine.
-func (all *Workers) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (ws *Workers) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	local := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
-	worker := all.byIP[local.IP.String()]
+	worker := ws.byIP[local.IP.String()]
 	if worker == nil || !worker.isUp() {
 		http.Error(rw, "no such machine", http.StatusNotFound)
 		return
@@ -292,11 +293,11 @@
 	writeJSON(rw, http.StatusOK, worker.nextHeartbeat())
 }
 
-// isUp reports whether the machine is rented and has booted.
+// isUp reports whether the machine is provisioned and has booted.
 func (w *Worker) isUp() bool {
-	w.fleet.rentalMu.Lock()
-	defer w.fleet.rentalMu.Unlock()
-	return w.isRented() && time.Since(w.rentedAt) > bootTime
+	w.fleet.provisioningMu.Lock()
+	defer w.fleet.provisioningMu.Unlock()
+	return w.isProvisioned() && time.Since(w.provisionedAt) > bootTime
 }
 
 // nextHeartbeat returns a heartbeat with the status of all tasks.
@@ -342,7 +343,7 @@
 	return true
 }
 
-// startTask admits a task if there is capacity, and schedules its run and its end. The caller holds mu.
+// startTask admits a task if there is capacity, and schedules its stage transitions. The caller holds mu.
 func (w *Worker) startTask(command wire.Command) {
 	request, duration := w.fleet.taskShape(command.Task)
 	status := wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Stage: wire.TaskPullingImage}
@@ -364,7 +365,7 @@
 	}
 }
 
-// transitionTask moves a task from one stage to the next, if it is still in the first, and sends a heartbeat at once.
+// transitionTask moves a task from one stage to the next, if it is still in the first, and triggers a heartbeat.
 func (w *Worker) transitionTask(command wire.Command, from, to, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -385,7 +386,7 @@
 	}
 }
 
-// fits reports whether a request fits beside the tasks that have not exited. The caller holds mu.
+// fits reports whether a request fits next to the tasks that have not exited. The caller holds mu.
 func (w *Worker) fits(request [3]int64) bool {
 	available := w.fleet.machineType.Capacity()
 	for _, status := range w.tasks {
@@ -399,8 +400,8 @@
 	return available[0] >= request[0] && available[1] >= request[1] && available[2] >= request[2]
 }
 
-// heartbeatLoop sends heartbeats, periodically with jitter and when a task changes, until the rental ends. After a
-// failed one the next goes to the next controller.
+// heartbeatLoop sends heartbeats, periodically with jitter and when a task changes, until the machine is scaled in.
+// After a failed heartbeat the next one goes to the next controller.
 func (w *Worker) heartbeatLoop(ctx context.Context) {
 	wait := bootTime + rand.N(time.Second)
 	for {
@@ -463,7 +464,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("send heartbeat: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it is read to its end, or the heartbeat has failed
+	defer func() { _ = response.Body.Close() }() // the body is read to its end, or the heartbeat has failed
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, fmt.Errorf("read heartbeat response: %w", err)
--- a/internal/sim/fake_store.go
+++ b/internal/sim/fake_store.go
@@ -16,7 +16,7 @@
 const (
 	leaseCheckInterval   = 50 * time.Millisecond
 	watchLongPollTimeout = 12 * time.Second
-	// snapshotPageSize is the number of keys of a page of a snapshot: small, so that keys change between pages.
+	// snapshotPageSize is the number of keys per page of a snapshot: small, so that keys change between pages.
 	snapshotPageSize = 20
 )
 
@@ -31,11 +31,11 @@
 	lastLeaseID    uint64
 	down           bool
 	refusedNodes   map[string]bool // controllers whose requests are refused
-	maxDelay       time.Duration   // maximum additional delay of a request
+	maxDelay       time.Duration   // maximum additional delay of a request; 0: none
 	stalledWatches map[string]bool // controllers whose watches get no response
 	watches        []*pendingWatch
 	limits         storeLimits
-	spentWrites    float64 // token bucket of the write rate, as of spentAt
+	spentWrites    float64 // used tokens of the write rate's token bucket, as of spentAt
 	spentAt        time.Duration
 }
 
@@ -51,16 +51,16 @@
 	respond       func()
 }
 
-func newFakeStore(w *Simulator) *fakeStore {
+func newFakeStore(sim *Simulator) *fakeStore {
 	s := &fakeStore{
-		sim:            w,
+		sim:            sim,
 		keys:           map[string]*wire.KeyValue{},
 		leases:         map[uint64]*leaseState{},
 		refusedNodes:   map[string]bool{},
 		stalledWatches: map[string]bool{},
 		limits:         storeLimits{txnOps: 12, valueBytes: 8192},
 	}
-	w.schedule(leaseCheckInterval, s.expireLeases)
+	sim.schedule(leaseCheckInterval, s.expireLeases)
 	return s
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// startOutage makes the store unavailable for a duration. Afterwards every lease has its full time to live again.
+// startOutage makes the store unavailable for a duration. Afterwards the TTL of every lease starts anew.
 func (s *fakeStore) startOutage(duration time.Duration) {
 	if s.down {
 		return
@@ -257,7 +257,7 @@
 	}
 }
 
-// watchOnce returns the events that there are.
+// watchOnce returns the events that there are already.
 func (s *fakeStore) watchOnce(node string, request core.Watch) core.WatchResult {
 	if s.isUnavailable(node) {
 		return core.WatchResult{Status: wire.StatusUnavailable}
@@ -268,22 +268,22 @@
 // serveLongPoll responds as soon as there are events. A long poll that is open stays open while the store is down or
 // refuses its caller, until the caller gives up.
 func (s *fakeStore) serveLongPoll(n *node, request core.Watch, deliver func(core.Input)) {
-	w := s.sim
+	sim := s.sim
 	finished := false
 	respond := func(result core.WatchResult) {
 		if finished {
 			return
 		}
 		finished = true
-		w.send(storeAddress, n.name, func() { deliver(result) })
+		sim.send(storeAddress, n.name, func() { deliver(result) })
 	}
-	w.schedule(watchLongPollTimeout, func() { // the caller gives up
+	sim.schedule(watchLongPollTimeout, func() { // the caller gives up
 		if !finished {
 			finished = true
 			deliver(core.WatchResult{LongPoll: true})
 		}
 	})
-	w.send(n.name, storeAddress, func() {
+	sim.send(n.name, storeAddress, func() {
 		if s.isUnavailable(n.name) {
 			respond(core.WatchResult{LongPoll: true, Status: wire.StatusUnavailable})
 			return
@@ -291,7 +291,7 @@
 		watch := &pendingWatch{sinceRevision: request.SinceRevision}
 		watch.respond = func() {
 			if s.refusedNodes[n.name] {
-				w.schedule(time.Second, watch.respond)
+				sim.schedule(time.Second, watch.respond)
 				return
 			}
 			respond(core.WatchResult{
