--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent is the client of the agents on machines: it sends them commands and polls their status.
-// It keeps no state but idle connections; what a result means is decided by the core.
+// Package agent is the client for the agents on machines: it sends them commands and polls their status. It
+// keeps no state other than idle connections, and package core decides what a result means.
 package agent
 
 import (
@@ -14,22 +14,23 @@
 
 const (
 	requestTimeout = 2 * time.Second
-	// maxConnsPerAgent bounds connections to one agent.
+	// maxConnsPerAgent is the maximum number of connections to one agent.
 	maxConnsPerAgent = 2
-	// maxResponseBytes bounds a response, a heartbeat with the status of all tasks of a machine.
+	// maxResponseBytes is the maximum size of a response, which is a heartbeat with the status of all tasks
+	// of a machine.
 	maxResponseBytes = 4 << 20
 )
 
 // Client sends requests to agents.
 type Client struct{ httpClient *httpjson.Client }
 
-// New returns a client that keeps at most maxIdleConns connections open for later requests.
+// New returns a client that keeps at most maxIdleConns idle connections open.
 func New(maxIdleConns int) *Client {
 	return &Client{httpClient: httpjson.New(maxConnsPerAgent, maxIdleConns, maxResponseBytes)}
 }
 
-// SendCommands sends commands. An agent answers with a heartbeat, also if it has seen a higher fencing
-// token and executes none of them.
+// SendCommands sends commands to an agent. The agent responds with a heartbeat even if it executes no
+// commands because it has seen a higher fencing token.
 func (c *Client) SendCommands(ctx context.Context, o core.SendCommands) core.CommandsResult {
 	resp := c.httpClient.Do(ctx, requestTimeout, http.MethodPost, "http://"+o.Addr+wire.PathAgentCommands, o.Batch)
 	result := core.CommandsResult{ID: o.ID, Status: wire.Status(resp.Status), MaybeDelivered: resp.Sent}
@@ -38,14 +39,14 @@
 	}
 	heartbeat, err := wire.ParseHeartbeat(resp.Body)
 	if err != nil {
-		result.Status = wire.StatusNoAnswer // an invalid response is as good as none
+		result.Status = wire.StatusNoAnswer // an invalid response is treated like a missing one
 		return result
 	}
 	result.Heartbeat = heartbeat
 	return result
 }
 
-// PollAgent asks an agent for its status; the result has no heartbeat if no valid response came.
+// PollAgent requests the status of an agent. The result has no heartbeat if there was no valid response.
 func (c *Client) PollAgent(ctx context.Context, o core.PollAgent) core.AgentPolled {
 	resp := c.httpClient.Do(ctx, requestTimeout, http.MethodGet, "http://"+o.Addr+wire.PathAgentStatus, nil)
 	result := core.AgentPolled{Machine: o.Machine}
--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawEntry draws an ended job.
+// drawEntry draws an arbitrary ended job.
 func drawEntry(t *rapid.T) Entry {
 	entry := Entry{
 		ID:             rapid.StringMatching(`wk-[0-9a-zA-Z_-]{1,12}`).Draw(t, "id"),
@@ -45,12 +45,12 @@
 	return entries
 }
 
-// withoutRepeats drops entries with the ID of the one before.
+// withoutRepeats removes entries with the same ID as the previous one.
 func withoutRepeats(entries []Entry) []Entry {
 	return slices.CompactFunc(entries, func(a, b Entry) bool { return a.ID == b.ID })
 }
 
-// testArchive is an archive in a store with ordered keys, and what it should hold.
+// testArchive is an archive in a store with ordered keys, with the entries that it should contain.
 type testArchive struct {
 	stored   map[string]json.RawMessage
 	want     map[string]Entry
@@ -58,7 +58,8 @@
 	maxOps   int
 }
 
-// blockFor finds the block for an ID by one read: it is that of the first key after the ID's.
+// blockFor finds the block for an ID by one read: it is stored under the first key after the seek key of the
+// ID.
 func (a *testArchive) blockFor(t *rapid.T, id string) *Block {
 	t.Helper()
 	first := ""
@@ -88,7 +89,7 @@
 	return withoutRepeats(sortedByID(group))
 }
 
-// move archives a group of entries. Those for a block that can't be split under the limits stay out.
+// move archives a group of entries. It skips those for a block that can't be split under the current limits.
 func (a *testArchive) move(t *rapid.T, group []Entry) {
 	t.Helper()
 	for attempts := 0; len(group) > 0; attempts++ {
@@ -98,7 +99,7 @@
 			count = len(group)
 		}
 		blocks, moved, err := block.PlanMerge(group[:count], a.maxBytes, a.maxOps)
-		if errors.Is(err, ErrTooManyBlocks) { // a block of the larger limits
+		if errors.Is(err, ErrTooManyBlocks) { // a block written under larger limits
 			group = group[count:]
 			continue
 		}
@@ -113,7 +114,7 @@
 	}
 }
 
-// store replaces a block by others, which must cover its range without gap or overlap.
+// store replaces a block by others, which must cover its range without a gap or an overlap.
 func (a *testArchive) store(t *rapid.T, replaced *Block, blocks []EncodedBlock) {
 	t.Helper()
 	low := replaced.Low
@@ -129,9 +130,9 @@
 	}
 }
 
-// However jobs are grouped into moves, under limits that fall meanwhile: each archived job is found as it
-// was, by one read, and no other is; no transaction exceeds the limits; the ranges of the blocks cover
-// all IDs without overlap.
+// However jobs are grouped into moves, and even if the limits decrease in between: each archived job must be
+// found unchanged by one read, no other job may be found, no transaction may exceed the limits, and the
+// ranges of the blocks must cover all IDs without overlap.
 func TestEveryArchivedJobIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		archive := &testArchive{
@@ -160,7 +161,7 @@
 	})
 }
 
-// A repeated move changes nothing, and an archived entry stays as it was.
+// A repeated move must change nothing, and an archived entry must stay unchanged.
 func TestMergeIsIdempotent(t *testing.T) {
 	block := EmptyBlock().Merge([]Entry{{ID: "wk-1", CompletedTasks: 1}, {ID: "wk-3", CompletedTasks: 3}})
 	again := block.Merge(
@@ -172,7 +173,7 @@
 	}
 }
 
-// A flipped bit of a stored block is an error or harmless, and never changes what it holds.
+// A flipped bit in a stored block must cause an error or leave the decoded content unchanged.
 func TestEveryFlippedBitIsDetected(t *testing.T) {
 	raw, err := EmptyBlock().Merge([]Entry{
 		{ID: "wk-1", CompletedTasks: 1},
@@ -195,7 +196,8 @@
 	}
 }
 
-// The cache stays within its bytes, and returns no block that a job moved into after it was read.
+// The cache must stay within its size, and must not return a block that a job was moved into after the block
+// was read.
 func TestBlockCacheIsExactAndBounded(t *testing.T) {
 	cache := NewBlockCache(3 * (blockOverheadBytes + 10))
 	put := func(low, high string, revision uint64) {
@@ -203,7 +205,7 @@
 	}
 	has := func(id string) bool {
 		_, _, err := cache.Lookup(id, 0)
-		return err != nil // the cached value is no block, so that a lookup which finds it fails
+		return err != nil // the cached value is not a valid block, so a lookup that finds it fails
 	}
 	put("", "wk-3", 5)
 	put("wk-3", "wk-6", 6)
@@ -211,7 +213,7 @@
 	if !has("wk-2") || !has("wk-3") || !has("wk-9") || cache.Blocks() != 3 {
 		t.Fatal("a block is missing")
 	}
-	cache.InvalidateOlder("wk-4", 6) // which the block shows already
+	cache.InvalidateOlder("wk-4", 6) // the block was read at this revision
 	cache.InvalidateOlder("wk-7", 8)
 	if !has("wk-4") || has("wk-7") {
 		t.Error("a move after the read does not invalidate, or one before it does")
@@ -228,7 +230,7 @@
 	}
 }
 
-// The few blocks that were decoded last are not decoded again, and a newer one replaces them.
+// The most recently decoded blocks must not be decoded again, and a newer version must replace them.
 func TestDecodedBlocksAreBounded(t *testing.T) {
 	cache := NewBlockCache(1 << 20)
 	put := func(i, completedTasks int, revision uint64) {
@@ -272,7 +274,7 @@
 	}
 }
 
-// FuzzDecode checks that whatever is decoded is encoded and decoded to the same.
+// FuzzDecode checks that a decoded value stays the same when it is encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for count := range 4 {
 		var entries []Entry
@@ -307,7 +309,7 @@
 	})
 }
 
-// BenchmarkPlanMerge merges a group into a block of the usual size, and reports the bytes that a job takes.
+// BenchmarkPlanMerge merges a group into a block of the usual size, and reports the bytes per job.
 func BenchmarkPlanMerge(b *testing.B) {
 	const maxBytes = 8192
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/archive/block.go
+++ b/archive/block.go
@@ -1,10 +1,10 @@
-// Package archive stores ended jobs in compact blocks, sorted by job ID. It decides how blocks are
-// encoded, found, filled and split, and owns the cache of blocks. It does no I/O: package core reads
-// and writes the blocks.
+// Package archive stores ended jobs in compact blocks, sorted by job ID. It defines how blocks are encoded,
+// found, filled and split, and owns the cache of blocks. It does no I/O: package core reads and writes the
+// blocks.
 //
-// The key-value store keeps its keys in order. A block's key is the first ID after its range, so that
-// the first key after an ID is that of the block for it: one read finds a job, without any index in
-// memory.
+// The key-value store keeps its keys in order. The key of a block contains the first ID after its range, so
+// that the first key after that of an ID belongs to the block of that ID: one read finds a job without an
+// index in memory.
 package archive
 
 import (
@@ -27,23 +27,23 @@
 	// MaxID is the end of the last block's range: it is after all job IDs.
 	MaxID = "~"
 
-	maxDecompressedBytes = 4 << 20 // of a block's message once it is decompressed
+	maxDecompressedBytes = 4 << 20 // of a block's message after decompression
 )
 
-// ErrTooManyBlocks is returned if a block that was written under larger limits would be split into more
-// blocks than a transaction may write. It stays as it is, and can be read.
+// ErrTooManyBlocks is returned if a block that was written under larger limits would have to be split into
+// more blocks than a transaction may write. The block stays unchanged and readable.
 var ErrTooManyBlocks = errors.New("split of block exceeds the writes of a transaction")
 
-// ErrCorrupt is wrapped by the errors of decoding: a value is not what was encoded.
+// ErrCorrupt is wrapped by the errors of decoding a value that is not a valid block.
 var ErrCorrupt = errors.New("corrupt block")
 
-// BlockKey is the key of the block whose range ends before high.
+// BlockKey returns the key of the block whose range ends before high.
 func BlockKey(high string) string { return BlockPrefix + high }
 
-// SeekKey is the key after which a range read begins, so that its first item is the block for an ID.
+// SeekKey returns the key after which a range read starts so that its first item is the block for an ID.
 func SeekKey(id string) string { return BlockPrefix + id }
 
-// StopReason is why a task of a job was stopped, and when (Unix time in ms).
+// StopReason records why and when a task of a job was stopped. AtMS is Unix time in milliseconds.
 type StopReason struct {
 	Task    int
 	Machine string
@@ -56,13 +56,13 @@
 	ID             string
 	Cancelled      bool
 	CompletedTasks int
-	CancelledByJob string // the cancelled job that it depended on; "": it was cancelled itself, or not at all
+	CancelledByJob string // the cancelled dependency that caused its cancellation, if any
 	StopReasons    []StopReason
-	Team           string // Team and Class are both empty if not known
+	Team           string // Team and Class are both empty if they are unknown
 	Class          string
 }
 
-// Block holds all archived jobs with IDs in [Low, High), in the order of their IDs.
+// Block holds all archived jobs with IDs in [Low, High), sorted by ID.
 type Block struct {
 	Low, High string
 	Entries   []Entry
@@ -74,7 +74,7 @@
 // Covers reports whether an ID is in the block's range.
 func (b *Block) Covers(id string) bool { return b.Low <= id && id < b.High }
 
-// Find returns the entry of a job.
+// Find returns the entry of a job and whether there is one.
 func (b *Block) Find(id string) (Entry, bool) {
 	i, ok := slices.BinarySearchFunc(b.Entries, id, func(e Entry, id string) int { return strings.Compare(e.ID, id) })
 	if !ok {
@@ -83,8 +83,8 @@
 	return b.Entries[i], true
 }
 
-// Merge returns a block with entries added, which are sorted by ID and in its range. An entry that the
-// block has already stays as it is: an ended job never changes.
+// Merge returns a copy of the block with entries added, which must be sorted by ID and within its range. An
+// entry that the block already has is kept unchanged, because an ended job never changes.
 func (b *Block) Merge(added []Entry) *Block {
 	merged := &Block{Low: b.Low, High: b.High, Entries: make([]Entry, 0, len(b.Entries)+len(added))}
 	old := b.Entries
@@ -101,7 +101,7 @@
 	return merged
 }
 
-// splitInHalf splits a block of at least two entries in the middle.
+// splitInHalf splits a block of at least two entries into two halves.
 func (b *Block) splitInHalf() (lower, upper *Block) {
 	half := len(b.Entries) / 2
 	middle := b.Entries[half].ID
@@ -115,9 +115,9 @@
 	Value json.RawMessage
 }
 
-// EncodeToFit encodes a block, split into as many as it takes for values of at most maxBytes. They are
-// in the order of their ranges; the last one keeps the block's key. A single entry that does not fit is
-// an error.
+// EncodeToFit encodes a block and splits it as often as needed for values of at most maxBytes. The results
+// are in the order of their ranges, and the last one keeps the block's key. It returns an error if a single
+// entry does not fit.
 func (b *Block) EncodeToFit(maxBytes int) ([]EncodedBlock, error) {
 	raw, err := b.Encode()
 	if err != nil {
@@ -132,7 +132,7 @@
 	return b.encodeHalves(maxBytes)
 }
 
-// encodeHalves splits a block of at least two entries, and encodes both halves.
+// encodeHalves splits a block of at least two entries and encodes both halves.
 func (b *Block) encodeHalves(maxBytes int) ([]EncodedBlock, error) {
 	lower, upper := b.splitInHalf()
 	blocks, err := lower.EncodeToFit(maxBytes)
@@ -143,14 +143,14 @@
 	return append(blocks, more...), err
 }
 
-// storedValue is a block as the key-value store holds it.
+// storedValue is the form of a message in the key-value store.
 type storedValue struct {
 	Digest uint64 `json:"x,string"` // xxHash64 of Data
-	Data   []byte `json:"z"`        // a message, compressed
+	Data   []byte `json:"z"`        // the compressed message
 }
 
-// Encode encodes a block as a stored value. IDs are stored by what they share with the one before, and
-// the other fields in columns, which compress well.
+// Encode encodes a block as a stored value. Each ID is stored without the prefix that it shares with the
+// previous one, and the other fields are stored in columns, which compress well.
 func (b *Block) Encode() (json.RawMessage, error) {
 	message := pb.Block{Low: b.Low, High: b.High}
 	lastID, lastCancelled := "", 0
@@ -182,7 +182,7 @@
 	return Pack(&message)
 }
 
-// commonPrefix is the length of the prefix that two IDs share.
+// commonPrefix returns the length of the common prefix of two IDs.
 func commonPrefix(a, b string) int {
 	n := 0
 	for n < min(len(a), len(b)) && a[n] == b[n] {
@@ -191,7 +191,7 @@
 	return n
 }
 
-// detailMessage encodes what few entries have.
+// detailMessage encodes the fields of an entry that only few entries have.
 func detailMessage(index int, entry *Entry) *pb.Detail {
 	detail := &pb.Detail{Entry: uint32(index), By: entry.CancelledByJob}
 	for _, stop := range entry.StopReasons {
@@ -205,7 +205,7 @@
 	return detail
 }
 
-// Pack encodes a message as a stored value, compressed and with a digest.
+// Pack encodes a message as a compressed stored value with a digest.
 func Pack(message protobuf.Message) (json.RawMessage, error) {
 	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
@@ -218,7 +218,7 @@
 	return json.Marshal(storedValue{Digest: xxhash.Sum64(data), Data: data})
 }
 
-// Unpack decodes what Pack encoded; its errors wrap ErrCorrupt.
+// Unpack decodes a value that Pack encoded. Its errors wrap ErrCorrupt.
 func Unpack(raw json.RawMessage, message protobuf.Message) error {
 	var stored storedValue
 	if err := json.Unmarshal(raw, &stored); err != nil {
@@ -237,8 +237,8 @@
 	return nil
 }
 
-// Decode decodes what Encode encoded. Anything else is an error that wraps ErrCorrupt: a damaged block
-// must not answer for a job that it may have held.
+// Decode decodes a value that Block.Encode encoded. Any other value is an error that wraps ErrCorrupt: a
+// corrupt block must not be used to answer for a job that it may have contained.
 func Decode(raw json.RawMessage) (*Block, error) {
 	var message pb.Block
 	if err := Unpack(raw, &message); err != nil {
@@ -251,7 +251,7 @@
 	return block, nil
 }
 
-// fromMessage decodes a block's message, and checks all that Encode guarantees.
+// fromMessage decodes a block's message and checks everything that Encode guarantees.
 func fromMessage(message *pb.Block) (*Block, error) {
 	count := len(message.Shared)
 	if len(message.Rest) != count || len(message.Done) != count || message.Low >= message.High {
@@ -295,7 +295,7 @@
 	return nil
 }
 
-// decodeGroups sets the teams and classes of the entries; group 0 stands for not known.
+// decodeGroups sets the teams and classes of the entries; group 0 means that they are unknown.
 func (b *Block) decodeGroups(message *pb.Block) error {
 	if len(message.Group) > len(b.Entries) {
 		return errors.New("more groups than entries")
@@ -312,7 +312,7 @@
 	return nil
 }
 
-// decodeCancelled marks the cancelled entries, which are stored as distances between their indexes.
+// decodeCancelled marks the cancelled entries, whose indexes are stored as differences.
 func (b *Block) decodeCancelled(message *pb.Block) error {
 	index := 0
 	for i, distance := range message.Cancelled {
@@ -324,7 +324,7 @@
 	return nil
 }
 
-// decodeDetails sets what few entries have.
+// decodeDetails sets the fields that only few entries have.
 func (b *Block) decodeDetails(message *pb.Block) error {
 	for _, detail := range message.Details {
 		if int(detail.Entry) >= len(b.Entries) {
--- a/archive/cache.go
+++ b/archive/cache.go
@@ -7,31 +7,31 @@
 	"strings"
 )
 
-// BlockCache caches blocks as they are stored, up to a number of bytes. A block stays exact until a job
-// of its range is archived: as long as all moves are reported to InvalidateOlder, a cached block shows
-// both which jobs are archived and which are not.
+// BlockCache caches stored blocks up to a number of bytes. A block stays exact until a job of its range is
+// archived. As long as all moves are reported to InvalidateOlder, a cached block shows which jobs are
+// archived and which are not.
 type BlockCache struct {
 	maxBytes  int
 	usedBytes int
-	byRange   []*cachedBlock // in the order of their ranges, which do not overlap
-	lru       *list.List     // of *cachedBlock, the most recently used one in front
-	decoded   []*cachedBlock // those that hold a decoded block, the one decoded last at the end
+	byRange   []*cachedBlock // ordered by range; the ranges do not overlap
+	lru       *list.List     // of *cachedBlock, most recently used first
+	decoded   []*cachedBlock // the blocks that are kept decoded, most recently decoded last
 }
 
 // cachedBlock is a block in the cache.
 type cachedBlock struct {
 	low, high    string
-	revision     uint64 // of its key; 0: the empty archive
-	readRevision uint64 // of the store, as of which it is exact
+	revision     uint64 // of the block's key; 0: the archive is empty
+	readRevision uint64 // revision of the store as of which the block is exact
 	raw          json.RawMessage
-	corrupt      bool   // it can't be decoded
-	block        *Block // nil: not decoded now
+	corrupt      bool   // the block can't be decoded
+	block        *Block // decoded block; nil if it is not kept
 	lruElement   *list.Element
 }
 
 const (
-	blockOverheadBytes = 200 // memory of a block besides its value
-	maxDecodedBlocks   = 3   // of some 100 KB each; a request looks at the same block several times
+	blockOverheadBytes = 200 // memory of a block in addition to its value
+	maxDecodedBlocks   = 3   // of about 100 KB each; a request accesses the same block several times
 )
 
 // NewBlockCache returns an empty cache of at most maxBytes.
@@ -39,25 +39,26 @@
 	return &BlockCache{maxBytes: maxBytes, lru: list.New()}
 }
 
-// Bytes is the memory of the cached blocks.
+// Bytes returns the memory used by the cached blocks.
 func (x *BlockCache) Bytes() int { return x.usedBytes }
 
-// Blocks is the number of cached blocks.
+// Blocks returns the number of cached blocks.
 func (x *BlockCache) Blocks() int { return len(x.byRange) }
 
-// Put caches a block as of a revision of the store; revision is that of its key, 0 for the empty archive.
+// Put caches a block as read at readRevision of the store. revision is that of the block's key, or 0 for the
+// empty archive.
 func (x *BlockCache) Put(b *Block, raw json.RawMessage, revision, readRevision uint64) {
 	x.insert(&cachedBlock{low: b.Low, high: b.High, revision: revision, readRevision: readRevision, raw: raw})
 }
 
-// PutCorrupt caches that the block for an ID, whose range should end before high, can't be decoded. Where
-// its range begins is not known then: it covers the IDs from the given one.
+// PutCorrupt records that the block for an ID, whose range should end before high, can't be decoded. The
+// start of its range is then unknown, so the record covers the IDs from the given one on.
 func (x *BlockCache) PutCorrupt(id, high string, revision, readRevision uint64) {
 	x.insert(&cachedBlock{low: id, high: high, revision: revision, readRevision: readRevision, corrupt: true})
 }
 
-// insert adds a block, and drops those that overlap with it or exceed maxBytes. The block itself stays,
-// however large.
+// insert adds a block, and removes blocks that overlap with it or make the cache exceed maxBytes. The added
+// block is kept whatever its size.
 func (x *BlockCache) insert(added *cachedBlock) {
 	x.byRange = slices.DeleteFunc(x.byRange, func(other *cachedBlock) bool {
 		if other.high <= added.low || added.high <= other.low {
@@ -77,7 +78,7 @@
 	}
 }
 
-// release takes a block that is dropped out of all but byRange.
+// release removes a dropped block from everything but byRange.
 func (x *BlockCache) release(dropped *cachedBlock) {
 	if dropped.block != nil {
 		dropped.block = nil
@@ -87,7 +88,7 @@
 	x.lru.Remove(dropped.lruElement)
 }
 
-// find returns the cached block whose range covers an ID; nil: none.
+// find returns the cached block whose range covers an ID, or nil.
 func (x *BlockCache) find(id string) *cachedBlock {
 	i, _ := slices.BinarySearchFunc(x.byRange, id, func(candidate *cachedBlock, id string) int {
 		if candidate.high <= id {
@@ -101,8 +102,8 @@
 	return x.byRange[i]
 }
 
-// InvalidateOlder drops the block for an ID if it was read before the revision at which the job was
-// archived: it is not exact any more.
+// InvalidateOlder drops the block for an ID if it was read before the given revision, at which the job was
+// archived: the block is no longer exact.
 func (x *BlockCache) InvalidateOlder(id string, revision uint64) {
 	if cached := x.find(id); cached != nil && cached.readRevision < revision {
 		x.evict(cached)
@@ -135,9 +136,9 @@
 	x.lru.Init()
 }
 
-// Lookup returns the block that covers an ID and the revision of its key, if it is cached and was read
-// at revision since or later; nil otherwise. The block must not be changed. The error wraps ErrCorrupt if
-// the block can't be decoded.
+// Lookup returns the block that covers an ID and the revision of its key, if the block is cached and was read
+// at revision since or later; otherwise it returns nil. The block must not be modified. The error wraps
+// ErrCorrupt if the block can't be decoded.
 func (x *BlockCache) Lookup(id string, since uint64) (b *Block, revision uint64, err error) {
 	cached := x.find(id)
 	if cached == nil || cached.readRevision < since {
@@ -159,7 +160,7 @@
 	return cached.block, cached.revision, nil
 }
 
-// keepDecoded keeps a decoded block, and drops the one decoded first if they are too many.
+// keepDecoded keeps a decoded block, and drops the one decoded first if there are too many.
 func (x *BlockCache) keepDecoded(cached *cachedBlock) {
 	x.decoded = append(x.decoded, cached)
 	if len(x.decoded) > maxDecodedBlocks {
--- a/archive/plan.go
+++ b/archive/plan.go
@@ -1,8 +1,9 @@
 package archive
 
-// PlanMerge plans a transaction of at most maxWrites writes: the first n of the entries, which are
-// sorted by ID and in the block's range, are merged into it; each takes a write that deletes its record.
-// The returned blocks, at least one, replace it. n is 0 if the block must be split first.
+// PlanMerge plans a transaction of at most maxWrites writes that merges the first n of the entries into the
+// block. The entries must be sorted by ID and within the block's range, and each of them takes one write that
+// deletes its record. The block is replaced by the returned blocks, of which there is at least one. n is 0 if
+// the block must be split first.
 func (b *Block) PlanMerge(entries []Entry, maxBytes, maxWrites int) (blocks []EncodedBlock, n int, err error) {
 	for n = min(len(entries), maxWrites-1); n > 0; {
 		blocks, err = b.Merge(entries[:n]).EncodeToFit(maxBytes)
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -12,37 +12,38 @@
 	"dewlift/wire"
 )
 
-// The leader moves the records of jobs that ended longest ago into the archive. It alone does, so that
-// many records of one range share the write of a block, and no other controller's write conflicts. A
-// move is one transaction, conditional on the leadership, the block and each record. An ended record
-// never changes: whoever moves it, and however late, moves the same, once.
+// The leader moves the records of the jobs that ended longest ago into the archive. Only the leader does
+// this: many records of one ID range then share the write of one block, and no other controller's write
+// conflicts with it. A move is one transaction that is conditional on the leadership, the block and each
+// record. The record of an ended job never changes, so a move is idempotent, whoever executes it and however
+// late.
 //
-// Moves come in sweeps over all records in the order of their IDs: each block is then written as few
-// times as possible. Only a page of records is kept in memory for it.
+// A sweep walks all records in the order of their IDs, so that each block is written as few times as
+// possible. It holds only one page of records in memory.
 
 const (
 	sweepCheckInterval = time.Second
-	sweepPageSize      = rangePageSize / 2 // records read at a time
+	sweepPageSize      = rangePageSize / 2 // records per read
 
-	// minSweepWriteTokens is the share of the write burst that must be saved up before a move: moves
-	// yield to all other writes.
+	// minSweepWriteBurstShare is the part of the write burst, from 0 to 1, that must be available before a
+	// move, so that moves yield to all other writes.
 	minSweepWriteBurstShare = 0.75
 )
 
-// archivingState is the sweep that moves ended jobs into the archive.
+// archivingState is the state of moving ended jobs into the archive.
 type archivingState struct {
-	sweep            *archiveSweep // nil: none
+	sweep            *archiveSweep // nil: none is running
 	nextSweepCheckAt time.Duration
 }
 
-// archiveSweep is one pass over the records.
+// archiveSweep is one pass over the job records.
 type archiveSweep struct {
-	maxRevision    uint64        // records changed later stay
-	afterKey       string        // the records up to this key were read
-	pending        []endedRecord // read and not moved yet
+	maxRevision    uint64        // records with a later revision are not archived
+	afterKey       string        // key of the last record read
+	pending        []endedRecord // records that were read and are not archived yet
 	lastPageRead   bool
-	inFlight       bool           // a read or a write is
-	referencedJobs map[int32]bool // indexes of jobs that machines refer to, which stay
+	inFlight       bool           // a read or a write of the sweep is in flight
+	referencedJobs map[int32]bool // by job index: jobs that machines refer to, which are not archived
 	movedJobs      int
 	storeWrites    int
 	startedAt      time.Duration
@@ -55,8 +56,8 @@
 	revision uint64
 }
 
-// canArchive reports whether records may move now: all controllers run a version that looks into the
-// archive, and no other work waits for the requests and writes that it takes.
+// canArchive reports whether records may be archived now: all controllers run a version that reads the
+// archive, and no other work needs the reads and writes that a sweep takes.
 func (c *Core) canArchive() bool {
 	limiter := &c.transactions.rateLimit
 	return c.overload.Level() == overload.Normal &&
@@ -68,7 +69,7 @@
 		limiter.RequestTokens > 1
 }
 
-// advanceArchiveSweep starts a sweep when one is due, or takes the next step of the running one.
+// advanceArchiveSweep starts a sweep if one is due, or executes the next step of the running one.
 func (c *Core) advanceArchiveSweep() {
 	if c.archiving.sweep == nil {
 		if c.now < c.archiving.nextSweepCheckAt || !c.canArchive() {
@@ -89,13 +90,13 @@
 	case !sweep.lastPageRead:
 		c.readSweepPage(sweep)
 	default:
-		c.log(LevelInfo, "archive sweep done", "jobs", sweep.movedJobs,
+		c.log(LevelInfo, "archive sweep finished", "jobs", sweep.movedJobs,
 			"changes", sweep.storeWrites, "took_ms", (c.now - sweep.startedAt).Milliseconds())
 		c.archiving.sweep = nil
 	}
 }
 
-// startArchiveSweep starts a sweep if more than twice the ended jobs to be kept have records.
+// startArchiveSweep starts a sweep if more than twice as many ended jobs have records as are to be kept.
 func (c *Core) startArchiveSweep() {
 	h, keep := &c.history, c.cfg.History.MaxEndedJobs
 	h.pruneEndedJobs()
@@ -110,7 +111,7 @@
 	}
 }
 
-// readSweepPage reads the next records of a sweep.
+// readSweepPage reads the next page of records.
 func (c *Core) readSweepPage(sweep *archiveSweep) {
 	sweep.inFlight = true
 	c.reads.readPrefix(keyJob, sweep.afterKey, sweepPageSize, func(in RangeResult) {
@@ -128,8 +129,7 @@
 	})
 }
 
-// archivableRecord decodes a record; false if it must stay where it is. One that can't be decoded stays
-// too.
+// archivableRecord decodes a record. It returns false if the record must not be archived or can't be decoded.
 func (c *Core) archivableRecord(sweep *archiveSweep, item wire.KeyValue) (endedRecord, bool) {
 	record, err := jobrecord.Decode(item.Value)
 	if err != nil || record.Spec != nil || record.Stage == jobrecord.Queued ||
@@ -137,14 +137,15 @@
 		return endedRecord{}, false
 	}
 	id := strings.TrimPrefix(item.Key, keyJob)
-	// The owner must know a job until machines have cleared its tasks.
+	// The owner of the job needs the record until the agents have cleared its tasks.
 	if i, ok := c.jobIndex[id]; ok && (sweep.referencedJobs[i] || len(c.jobs[i].dependents) > 0) {
 		return endedRecord{}, false
 	}
 	return endedRecord{record.ToArchive(id), item.Key, item.Revision}, true
 }
 
-// restart has a sweep read its pending records again: something differed from what it had read.
+// restart makes the sweep read its pending records again, because a move found a different state than was
+// read.
 func (s *archiveSweep) restart() {
 	if len(s.pending) == 0 {
 		return
@@ -153,22 +154,22 @@
 	s.pending = nil
 }
 
-// keyBefore is a key before the given one, and behind all record keys before that.
+// keyBefore returns a key that sorts before the given one and after all record keys that precede it.
 func keyBefore(key string) string {
 	return key[:len(key)-1] + string(rune(key[len(key)-1]-1)) + "~~~~"
 }
 
-// archiveMove is one transaction of a sweep: the first records of its pending ones go into a block,
-// which may be split by it.
+// archiveMove is one transaction of a sweep: it moves the first of the pending records into a block, and may
+// split the block.
 type archiveMove struct {
 	core   *Core
 	sweep  *archiveSweep
 	blocks []archive.EncodedBlock
-	jobs   int // pending records that move
+	jobs   int // number of pending records that it moves
 	txn    wire.Txn
 }
 
-// archiveNextBlock moves the next records of a sweep, or reads the block that they go to.
+// archiveNextBlock moves the next pending records into their block, or reads that block if it is not cached.
 func (c *Core) archiveNextBlock(sweep *archiveSweep) {
 	h := &c.history
 	if h.markerRevision == 0 {
@@ -199,8 +200,8 @@
 	c.transactions.commit(move.txn, &pendingTxn{onDone: move.handleResult})
 }
 
-// pendingFor is the first of the pending records that go to a block; nil: the block is corrupt, and the
-// first record alone is passed over.
+// pendingFor returns the leading pending records that belong to a block. A nil block is corrupt; then only
+// the first record is returned, which the sweep skips.
 func (s *archiveSweep) pendingFor(block *archive.Block) []endedRecord {
 	if block == nil {
 		return s.pending[:1]
@@ -212,23 +213,24 @@
 	return s.pending[:n]
 }
 
-// planArchiveMove plans which of a group of records one transaction moves into a block.
+// planArchiveMove plans one transaction that moves records of a group into a block. It returns the resulting
+// blocks and the number of records that are moved.
 func (c *Core) planArchiveMove(block *archive.Block, group []endedRecord) ([]archive.EncodedBlock, int, error) {
 	entries := make([]archive.Entry, 0, len(group))
 	for _, record := range group {
 		entries = append(entries, record.Entry)
 	}
-	// At most half a second's writes.
+	// At most the writes of half a second.
 	maxWrites := max(2, min(c.cfg.Store.MaxTxnOps, int(c.schema.storeWriteRate()/2)))
 	return block.PlanMerge(entries, c.cfg.Store.MaxValueBytes, maxWrites)
 }
 
-// buildTxn builds the transaction of a move into a block of the given revision.
+// buildTxn builds the transaction of the move. revision is that of the block's key.
 func (m *archiveMove) buildTxn(revision uint64) {
 	m.txn = wire.Txn{Compare: []wire.Compare{{Key: keyLeader, Revision: m.core.leadership.leader.modRevision}}}
 	for i, block := range m.blocks {
 		condition := wire.Compare{Key: archive.BlockKey(block.High)}
-		if i == len(m.blocks)-1 { // the last one keeps the block's key; the others are new
+		if i == len(m.blocks)-1 { // the last block keeps the key of the original one; the others have new keys
 			condition.Revision = revision
 		}
 		m.txn.Compare = append(m.txn.Compare, condition)
@@ -240,7 +242,7 @@
 	}
 }
 
-// handleResult takes the result of a move.
+// handleResult handles the outcome of the move.
 func (m *archiveMove) handleResult(status wire.Status, response wire.TxnResponse) {
 	index, stats := m.core.history.blockCache, &m.core.Stats
 	m.sweep.inFlight = false
@@ -254,10 +256,10 @@
 		m.sweep.movedJobs += m.jobs
 		m.sweep.storeWrites += len(m.txn.Then)
 		m.sweep.pending = m.sweep.pending[m.jobs:]
-	case wire.StatusTooManyRequests, wire.StatusUnavailable: // not executed; it is planned again
+	case wire.StatusTooManyRequests, wire.StatusUnavailable: // not executed: the move is planned again
 	default:
-		// Conflict, refusal or unknown outcome. With the last it may still be executed, which changes
-		// nothing that a repetition would not.
+		// Conflict, refusal or unknown outcome. After an unknown outcome the transaction may still be
+		// executed, and repeating the move is safe because it is idempotent.
 		if status == wire.StatusBadRequest {
 			m.core.transactions.limits.handleRefusal(&m.txn)
 		}
@@ -268,13 +270,13 @@
 	}
 }
 
-// writeHistoryMarker writes keyHistory, ahead of the first move.
+// writeHistoryMarker writes keyHistory, which must exist before the first move.
 func (c *Core) writeHistoryMarker(sweep *archiveSweep) {
 	sweep.inFlight = true
 	c.transactions.commit(wire.Txn{
 		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyHistory}},
 		Then:    []wire.Write{{Put: keyHistory, Value: json.RawMessage("1")}},
 	}, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-		c.replica.afterReadBarrier(func(bool) { sweep.inFlight = false }) // the replica shows the outcome then
+		c.replica.afterReadBarrier(func(bool) { sweep.inFlight = false }) // the replica then has the marker
 	}})
 }
--- a/core/batchvalue/slot.go
+++ b/core/batchvalue/slot.go
@@ -1,14 +1,14 @@
-// Package batchvalue keeps the frequently changing part of many jobs in one stored value: their
-// assignments and which tasks have completed. One write to the store then serves all jobs of a slot,
-// where a key for each job takes a write for each.
+// Package batchvalue stores the frequently changing part of many jobs, which is their assignments and
+// completed tasks, in one value. One write to the store then covers all jobs of a slot, instead of one write
+// per job.
 //
-// A job's own key stays, with its description and with everything as of its last write, which has a
-// number. An entry of a slot applies on top of the write whose number it has, and is void with the
-// next write of the key. So no entry has to be removed, and a reader of both, in whatever order they
-// arrive, knows which of them is newer.
+// Each job still has a key of its own that holds its description and its state as of the last write of that
+// key. That write has a number. An entry of a slot builds on the write whose number it carries and becomes
+// void with the next write of the key. So entries need not be removed, and a reader that receives both in any
+// order can tell which one is newer.
 //
-// The package owns the encoding of a slot and the known state of one. It does not decode entries and
-// does not decide which jobs share a slot or when it is written.
+// The package owns the encoding of a slot and its known state. It does not decode entries, and it does not
+// decide which jobs share a slot or when the slot is written.
 package batchvalue
 
 import (
@@ -19,26 +19,28 @@
 	"dewlift/internal/compress"
 )
 
-// Slot is the known state of one value, and this controller's writes in flight that depend on it.
+// Slot is the known state of one stored value, with this controller's writes in flight that depend on it.
 type Slot struct {
 	Revision             uint64 // 0: the key does not exist
 	Entries              Entries
-	WriteInFlight        bool // a write of it is in flight, or its outcome is unknown
-	JobKeyWritesInFlight int  // writes of its jobs' own keys in flight, which compare its revision
+	WriteInFlight        bool // a write of the value is in flight or has an unknown outcome
+	JobKeyWritesInFlight int  // writes in flight of the keys of its jobs, which are conditional on Revision
 }
 
-// Entries are encoded records by job ID. They are treated as immutable once a Slot has them.
+// Entries are encoded records by job ID. They must not be modified once a Slot holds them.
 type Entries map[string]json.RawMessage
 
-// compressedValue is the stored form of entries. They are compressed, as they resemble each other.
+// compressedValue is the stored form of entries. Compression is effective because entries resemble each
+// other.
 type compressedValue struct {
 	Data []byte `json:"b"`
 }
 
-// maxDecompressedBytes bounds a value after decompression, so that a damaged one can't exhaust the memory.
+// maxDecompressedBytes bounds the size of a value after decompression, so that a corrupt value can't exhaust
+// the memory.
 const maxDecompressedBytes = 1 << 20
 
-// Decode decodes a stored value.
+// Decode decodes the entries of a stored value.
 func Decode(raw json.RawMessage) (Entries, error) {
 	var value compressedValue
 	if err := json.Unmarshal(raw, &value); err != nil {
@@ -55,7 +57,7 @@
 	return entries, nil
 }
 
-// Encode encodes entries for the store. The same entries always give the same bytes.
+// Encode encodes entries as a stored value. It is deterministic.
 func (e Entries) Encode() (json.RawMessage, error) {
 	plain, err := json.Marshal(e)
 	if err != nil {
@@ -72,7 +74,7 @@
 	return raw, nil
 }
 
-// Without returns a copy of the entries without one job's.
+// Without returns a copy of the entries that lacks the entry of one job.
 func (e Entries) Without(jobID string) Entries {
 	rest := maps.Clone(e)
 	if rest == nil {
@@ -82,7 +84,7 @@
 	return rest
 }
 
-// size is the number of bytes of all entries and their IDs before compression.
+// size returns the total size of all entries and job IDs before compression, in bytes.
 func (e Entries) size() int {
 	total := 0
 	for id, raw := range e {
@@ -91,18 +93,19 @@
 	return total
 }
 
-// IsNearlyFull reports whether a slot has more than three quarters of maxBytes before compression.
+// IsNearlyFull reports whether the entries of a slot take more than three quarters of maxBytes before
+// compression.
 func (s *Slot) IsNearlyFull(maxBytes int) bool {
 	return s.Entries.size() > maxBytes*3/4
 }
 
-// Draft is the next value of a slot while entries are put into it.
+// Draft is the next value of a slot while it is being assembled.
 type Draft struct {
 	Entries Entries
-	size    int // bytes of Entries before compression, if begun with BeginDraft
+	size    int // size of Entries before compression; valid only in a draft of BeginDraft
 }
 
-// BeginDraft begins the next value with the entries that still apply.
+// BeginDraft returns a draft with the entries of the slot that still apply.
 func (s *Slot) BeginDraft(applies func(jobID string, entry json.RawMessage) bool) *Draft {
 	draft := &Draft{Entries: Entries{}}
 	for id, raw := range s.Entries {
@@ -114,8 +117,8 @@
 	return draft
 }
 
-// TryPut adds or replaces a job's entry if all entries then have at most maxBytes before
-// compression, and reports whether it did.
+// TryPut adds or replaces the entry of a job and reports whether it did. It does not if the entries would
+// then exceed maxBytes before compression.
 func (d *Draft) TryPut(jobID string, entry json.RawMessage, maxBytes int) bool {
 	size := d.size + len(jobID) + len(entry)
 	if old, ok := d.Entries[jobID]; ok {
--- a/core/batchvalue/slot_test.go
+++ b/core/batchvalue/slot_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Encoded entries decode to the same entries, the same entries always encode to the same bytes, and a damaged
-// value is an error.
+// Encoding and decoding must preserve the entries, encoding must be deterministic, and decoding a truncated
+// value must fail.
 func TestEntriesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := Entries{}
@@ -42,7 +42,8 @@
 	})
 }
 
-// A draft begins with the entries that still apply, and never grows beyond its limit: the store would refuse it.
+// A draft must contain only the entries that still apply and must not exceed its size limit, because the
+// store would refuse the value.
 func TestDraftStaysWithinLimit(t *testing.T) {
 	slot := Slot{Entries: Entries{"wk-1": json.RawMessage(`{"v":1}`), "wk-2": json.RawMessage(`{"v":2}`)}}
 	draft := slot.BeginDraft(func(id string, _ json.RawMessage) bool { return id == "wk-2" })
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -12,23 +12,23 @@
 	"dewlift/wire"
 )
 
-// Acknowledging cancellations. A user is answered that a job is cancelled only once a majority of
-// the controllers holds the cancellation, or no task of the job is on a machine; and no controller
-// renews an agent's lease without knowing the acknowledged cancellations (core/quorum,
-// docs/notes/cancellation.md). The core's part is in this file: it delays answers, queries the other
-// controllers and answers their queries, keeps its knowledge of cancellations current, and stops
-// cancelled tasks with each response to an agent.
+// Acknowledging cancellations. A cancellation is acknowledged to the user only once a majority of the
+// controllers holds it or no task of the job is on a machine, and no controller renews an agent's lease
+// without knowing the acknowledged cancellations (core/quorum, docs/notes/cancellation.md). The code in this
+// file delays responses, queries the other controllers and answers their queries, keeps this controller's
+// knowledge of cancellations fresh, and sends stop commands for cancelled tasks with each response to an
+// agent.
 
-// QuorumRead asks for the cancellations that a controller holds and the sender may lack.
+// QuorumRead requests the cancellations that the receiver holds and the sender may lack.
 type QuorumRead struct {
 	Nonce         uint64 `json:"n"`
-	SinceRevision uint64 `json:"s"` // the sender holds all up to this revision
+	SinceRevision uint64 `json:"s"` // the sender holds all cancellations up to this revision
 }
 
-// QuorumReply answers a QuorumRead.
+// QuorumReply is the reply to a QuorumRead.
 type QuorumReply struct {
 	Nonce        uint64 `json:"n"`
-	UpToRevision uint64 `json:"u"` // the sender holds all up to this revision, and those in the same message
+	UpToRevision uint64 `json:"u"` // the sender holds all up to this revision, with those in the same message
 }
 
 // cancelAcks is the state of acknowledging cancellations.
@@ -38,14 +38,14 @@
 	replica *storeReplica
 	schema  *schemaState
 
-	waitersUntil        time.Duration // until then, users may wait for a cancellation
-	quorum              *quorum.View  // how current this controller's knowledge is, and what the others hold
+	waitersUntil        time.Duration // until then, requests may wait for a cancellation
+	quorum              *quorum.View  // how fresh this controller's knowledge is, and what the others hold
 	pending             []pendingAck
-	peersKnownRevision  uint64        // revision up to which other controllers have sent all cancellations
-	nextFreshnessReadAt time.Duration // not before then is the store read only to stay current
+	peersKnownRevision  uint64        // up to this revision, other controllers have sent all cancellations
+	nextFreshnessReadAt time.Duration // earliest time of the next freshness read
 }
 
-// pendingAck is an answer that is delayed until a cancellation may be acknowledged.
+// pendingAck is a response that is delayed until the cancellation may be acknowledged.
 type pendingAck struct {
 	requestID uint64
 	job       *job
@@ -53,38 +53,39 @@
 }
 
 const (
-	ackTimeout            = 1500 * time.Millisecond // an answer waits so long for a majority: users wait 2 s
-	cancelResendInterval  = 500 * time.Millisecond  // until a cancellation is sent to the others again
-	freshnessReadInterval = time.Second             // between reads of the store only to stay current
+	ackTimeout            = 1500 * time.Millisecond // a response waits this long for a majority; users wait 2 s
+	cancelResendInterval  = 500 * time.Millisecond  // between two broadcasts of the same cancellation
+	freshnessReadInterval = time.Second             // between two reads of the store that only keep the knowledge fresh
 )
 
-// isCancelledWithTasks reports whether a job is cancelled while tasks of it may be on machines.
+// isCancelledWithTasks reports whether a job is cancelled and tasks of it may still be on machines.
 func (j *job) isCancelledWithTasks() bool {
 	return j.record != nil && j.record.Stage == jobrecord.Cancelled && len(j.assignments) > 0
 }
 
-// timeSinceCancel is the time since the cancellation of a job was requested, by the time of day.
+// timeSinceCancel returns the wall-clock time since the cancellation of a job was requested.
 func (a *cancelAcks) timeSinceCancel(j *job) time.Duration {
 	return time.Duration(a.unixMS()-j.record.CancelledAtMS) * time.Millisecond
 }
 
-// latestCancelRevision is a revision at which a cancelled job's cancellation was stored: a
-// controller whose replica has reached it knows of the cancellation.
+// latestCancelRevision returns a revision at which the cancellation of a job was stored: a controller whose
+// replica has reached it knows of the cancellation.
 func (j *job) latestCancelRevision() uint64 { return max(j.revision, j.cancellation.markerRevision) }
 
-// canAcknowledge reports whether users may be answered that a job is cancelled.
+// canAcknowledge reports whether the cancellation of a job may be acknowledged to users.
 func (a *cancelAcks) canAcknowledge(j *job) bool {
 	if !j.isCancelledWithTasks() || j.ack.allowed {
 		return true
 	}
-	// A controller of an older version neither replies to queries nor sends them: while there may be
+	// A controller of an older version neither sends quorum reads nor replies to them. While there may be
 	// one, the tasks must be gone first.
 	j.ack.allowed = a.schema.active >= schemaCancelQuorum &&
 		a.quorum.CanAcknowledge(j.latestCancelRevision(), j.ack.heldBy)
 	return j.ack.allowed
 }
 
-// respondOrAwait answers with a job's state, once that may be acknowledged.
+// respondOrAwait responds with a job's state, at once or, if it shows a cancellation, when that may be
+// acknowledged.
 func (a *cancelAcks) respondOrAwait(requestID uint64, status wire.Status, state wire.JobState) {
 	if state.Stage == wire.StageCancelled {
 		if j := a.jobs.knownJob(state.ID); j != nil && !a.canAcknowledge(j) {
@@ -95,11 +96,11 @@
 	a.emit(Response{RequestID: requestID, Status: status, Body: state})
 }
 
-// advanceCancelAcks keeps the knowledge of cancellations current, and answers the users whose
-// cancellations may be acknowledged by now.
+// advanceCancelAcks keeps the knowledge of cancellations fresh and sends the responses whose cancellations
+// may now be acknowledged.
 func (c *Core) advanceCancelAcks() {
 	if c.cancelAcks.beginFreshnessRead() {
-		c.replica.afterReadBarrier(func(bool) {}) // the read itself is what counts
+		c.replica.afterReadBarrier(func(bool) {}) // only the read itself is needed
 	}
 	if query := c.cancelAcks.beginQuery(); query != nil {
 		c.controllers.sendToPeers("", Message{QuorumRead: query})
@@ -128,7 +129,7 @@
 	}
 }
 
-// beginFreshnessRead reports whether the store is read now only to stay current, and holds off the next read.
+// beginFreshnessRead reports whether a freshness read of the store is due, and schedules the next one.
 func (a *cancelAcks) beginFreshnessRead() bool {
 	if !a.quorum.IsReadDue(a.now) || a.now < a.nextFreshnessReadAt {
 		return false
@@ -137,7 +138,8 @@
 	return true
 }
 
-// beginQuery returns a query of the other controllers if one is due, and awaits its replies; nil otherwise.
+// beginQuery returns a query to the other controllers if one is due, and registers it for their replies;
+// otherwise it returns nil.
 func (a *cancelAcks) beginQuery() *QuorumRead {
 	if !a.quorum.IsQueryDue(a.now) {
 		return nil
@@ -147,7 +149,7 @@
 	return query
 }
 
-// knownRevision is the revision up to which all cancellations are known here.
+// knownRevision returns the revision up to which this controller knows all cancellations.
 func (a *cancelAcks) knownRevision() uint64 {
 	if !a.replica.loaded {
 		return 0
@@ -155,8 +157,8 @@
 	return max(a.replica.revision, a.peersKnownRevision)
 }
 
-// cancellationItems are the stored records and cancel markers of cancelled jobs, to be sent to
-// other controllers.
+// cancellationItems returns the stored records and cancel markers of cancelled jobs, to be sent to other
+// controllers.
 func (c *Core) cancellationItems(cancelled []*job) (items []wire.KeyValue) {
 	for _, j := range cancelled {
 		raw, err := c.encodeRecord(j.record, j.assignments, false)
@@ -178,17 +180,17 @@
 	return items
 }
 
-// applyPeerCancellations applies cancellations that another controller holds as if the watch had
-// delivered them; what the watch delivers later of the same or older revisions is ignored. It lists
-// the jobs whose cancellations are held now.
+// applyPeerCancellations applies cancellations that another controller holds as if the watch had delivered
+// them; the watch's later events of the same or older revisions are ignored. It returns the IDs of the jobs
+// whose cancellations this controller now holds.
 func (c *Core) applyPeerCancellations(items []wire.KeyValue) (held []string) {
 	for _, item := range items {
 		id, ok := jobIDOfCancelKey(item.Key)
 		if !ok {
 			continue
 		}
-		// What the watch has delivered is held, and may have been evicted from memory since: a
-		// delayed copy must not revive it.
+		// This controller holds what the watch has delivered, and may have evicted it from memory since: a
+		// delayed copy must not bring the job back.
 		delivered := item.Revision <= c.replica.revision
 		if !delivered {
 			c.applyPut(item.Key, item.Value, item.Revision)
@@ -201,7 +203,7 @@
 	return held
 }
 
-// jobIDOfCancelKey is the id of the job whose record or cancel marker is stored under a key.
+// jobIDOfCancelKey returns the ID of the job whose record or cancel marker is stored under a key.
 func jobIDOfCancelKey(key string) (id string, ok bool) {
 	for _, prefix := range []string{keyJob, keyCancel} {
 		if id, ok := strings.CutPrefix(key, prefix); ok && id != "" {
@@ -211,9 +213,9 @@
 	return "", false
 }
 
-// handleQuorumMessage applies what another controller sends about cancellations, and answers it. A
-// controller that has not loaded a snapshot holds nothing and must not answer: it may confirm that
-// the store is down, but not what it holds.
+// handleQuorumMessage applies what another controller sends about cancellations, and replies to it. A
+// controller that has not loaded a snapshot holds nothing and must not reply: it may confirm that the store
+// is down, but not that it holds a cancellation.
 func (c *Core) handleQuorumMessage(peer string, message *Message) {
 	if !c.replica.loaded {
 		return
@@ -235,8 +237,8 @@
 	}
 }
 
-// handleReply takes how far the knowledge of another controller goes, and this one's with it if the
-// reply is to the query in flight.
+// handleReply records the revision up to which another controller holds all cancellations. If the reply is to
+// the query in flight, this controller then holds them too.
 func (a *cancelAcks) handleReply(peer string, reply *QuorumReply) {
 	if a.quorum.HandleReply(peer, reply.Nonce) {
 		a.peersKnownRevision = max(a.peersKnownRevision, reply.UpToRevision)
@@ -252,7 +254,7 @@
 	a.heldBy[peer] = true
 }
 
-// cancelledSince lists the jobs whose cancellations were stored after a revision and whose tasks may
+// cancelledSince returns the jobs whose cancellations were stored after a revision and whose tasks may still
 // be on machines.
 func (a *cancelAcks) cancelledSince(revision uint64) (cancelled []*job) {
 	for _, j := range a.jobs.openJobs {
@@ -263,8 +265,8 @@
 	return cancelled
 }
 
-// replyToQuorumRead sends the cancellations that the asking controller may lack, and how far this
-// one's knowledge goes.
+// replyToQuorumRead sends the cancellations that the querying controller may lack, with the revision up to
+// which this controller knows all of them.
 func (c *Core) replyToQuorumRead(peer string, read *QuorumRead) {
 	lacking := c.cancelAcks.cancelledSince(read.SinceRevision)
 	c.controllers.sendToPeers(
@@ -276,10 +278,10 @@
 	)
 }
 
-// stopCommandsFor are the commands that go with the response to an agent's heartbeat: cancelled
-// tasks on its machine stop. That needs neither a write nor ownership of the jobs' shards.
+// stopCommandsFor returns the commands that are sent with the response to an agent's heartbeat: they stop the
+// cancelled tasks on its machine. That needs neither a write nor ownership of the jobs' shards.
 func (a *cancelAcks) stopCommandsFor(m *machine) []wire.Command {
-	var cancelled []attemptKey // mostly none: only these are sorted, as each heartbeat is answered
+	var cancelled []attemptKey // usually empty; only these keys are sorted, because this runs for each heartbeat
 	for key, status := range m.status.tasks {
 		if j := a.jobs.jobs[key.jobIndex]; status.state != wire.TaskExited && j != nil && j.record != nil &&
 			j.record.Stage == jobrecord.Cancelled {
@@ -303,12 +305,12 @@
 	return commands
 }
 
-// findRestartableCancelledTask names a cancelled task that is not on a machine but may still be
-// started there by a start command in flight, later than allowed; "" if there is none. Such a
-// command is bound to the agent's incarnation, which ends if its lease is not renewed. (A higher
-// fencing token would fence the command off too, but in an outage of the store there is none.)
+// findRestartableCancelledTask returns the name of a cancelled task that is not on a machine but that a
+// delayed start command may still start there after the staleness bound; "" if there is none. Such a command
+// is bound to the agent's incarnation, which ends if the lease is not renewed. A higher fencing token would
+// reject the command too, but can't be issued during an outage of the store.
 func (c *Core) findRestartableCancelledTask(m *machine) string {
-	var restartable []taskKey // mostly none
+	var restartable []taskKey // usually empty
 	for key, assignment := range m.allocation.assignments {
 		j := c.jobs[key.jobIndex]
 		if !j.isCancelledWithTasks() || assignment.Incarnation != m.status.incarnation ||
@@ -316,7 +318,7 @@
 			continue
 		}
 		if _, there := m.status.tasks[attemptKey{key.jobIndex, key.task, assignment.Attempt}]; there {
-			continue // the response to the heartbeat stops it
+			continue // the response to the heartbeat stops the task
 		}
 		if ended, _ := c.attemptOutcome(j, assignment); !ended {
 			restartable = append(restartable, key)
@@ -331,13 +333,13 @@
 	return wire.TaskName(c.jobs[first.jobIndex].id, int(first.task))
 }
 
-// stalenessBound is how long after a cancellation a controller that lacks it may still renew
+// stalenessBound is how long after a cancellation a controller that does not know of it may still renew
 // leases.
 func (a *cancelAcks) stalenessBound() time.Duration {
 	return quorum.MaxStaleness(a.cfg.Agents.CancelTimeout, a.cfg.Agents.LeaseTTL)
 }
 
-// leaseDenialReason is why this controller may not renew the lease of a machine's agent with the
+// leaseDenialReason returns why this controller may not renew the lease of a machine's agent with the
 // response to a heartbeat; "" if it may.
 func (c *Core) leaseDenialReason(m *machine, heartbeat *wire.Heartbeat) string {
 	switch {
--- a/core/cancelacks_test.go
+++ b/core/cancelacks_test.go
@@ -9,7 +9,8 @@
 	"dewlift/wire"
 )
 
-// cancelledItem is the record of a cancelled job with a task on a machine, as another controller sends it.
+// cancelledItem returns the record of a cancelled job with a task on machine m-1, as another controller sends
+// it.
 func cancelledItem(t *testing.T, c *Core, id string, revision uint64) wire.KeyValue {
 	t.Helper()
 	host := c.internMachine("m-1")
@@ -28,9 +29,9 @@
 	return wire.KeyValue{Key: keyJob + id, Value: raw, Revision: revision}
 }
 
-// A cancellation that another controller sends is held, and acknowledged, before the watch delivers
-// it. A delayed copy, of a job that was evicted from memory long ago, must not revive it: its tasks
-// would count as being on their machines, whose agents would get no response.
+// A controller must hold and acknowledge a cancellation that another controller sends before the watch
+// delivers it. A delayed copy of the cancellation of a job that was evicted from memory must not bring the
+// job back: its tasks would count as being on their machines, and the agents there would get no response.
 func TestDelayedCancellationDoesNotRestoreEvictedJob(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -64,8 +65,8 @@
 	}
 }
 
-// A controller that has not loaded a snapshot holds nothing, so it must neither acknowledge nor reply:
-// a majority that counts it would not hold the cancellation.
+// A controller that has not loaded a snapshot holds nothing, so it must neither acknowledge cancellations nor
+// reply to quorum reads: a majority that counts it would not hold the cancellation.
 func TestUnloadedControllerIgnoresQuorumReads(t *testing.T) {
 	c := New(testConfig(), 0, 1)
 	c.Handle(
@@ -86,8 +87,8 @@
 	}
 }
 
-// The response to an agent's heartbeat must stop the cancelled tasks on its machine, and only these,
-// whichever controller owns their jobs.
+// The response to an agent's heartbeat must stop exactly the cancelled tasks on its machine, whichever
+// controller owns their jobs.
 func TestHeartbeatResponseStopsCancelledTasks(t *testing.T) {
 	c := newLeadingCore(t)
 	runFor(c, time.Second, 2*time.Second)
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -8,37 +8,37 @@
 	"dewlift/wire"
 )
 
-// Enforcing cancellations: cancelled tasks must be off their machines within
-// Config.Agents.CancelTimeout. Where an agent does not confirm that, scaling in its machine is the
-// proof. Here is what the owners of jobs request of the leader, what any controller does in an
-// outage of the store, and how the leader handles those requests.
+// Enforcing cancellations: cancelled tasks must be off their machines within Config.Agents.CancelTimeout. If
+// an agent does not confirm that, scaling in its machine proves it. This file contains what job owners
+// request of the leader, what every controller does in an outage of the store, and how the leader handles the
+// requests.
 
 const (
-	outageReturnInterval = time.Second // between scale-in requests in an outage
+	outageReturnInterval = time.Second // between two scale-in requests during a store outage
 
-	// outageReturnShare is the share of the cancel timeout after which machines that still send
-	// heartbeats are scaled in too, in an outage.
+	// outageReturnShare is the part of the cancel timeout, from 0 to 1, after which machines that still send
+	// heartbeats are scaled in too, during a store outage.
 	outageReturnShare = 0.7
 
-	// outageReturnRankShare is the share of the cancel timeout that each controller leaves to the one
-	// ranked before it for a machine, so that not all send the same request.
+	// outageReturnRankShare is the part of the cancel timeout by which each controller waits longer than the
+	// one ranked before it for a machine, so that not all send the same request.
 	outageReturnRankShare = 0.04
 
-	maxOutageReturns = 100 // machines in one scale-in request
+	maxOutageReturns = 100 // machines per scale-in request
 
-	// silenceReportGrace is how much longer than the silence timeout a machine must be silent before
-	// an owner of its tasks reports it to the leader.
+	// silenceReportGrace is the time beyond the silence timeout after which an owner of tasks on a silent
+	// machine reports it to the leader.
 	silenceReportGrace = 2 * time.Second
 )
 
-// outageReturnState is this controller's scaling in for cancelled tasks while there is no leader.
+// outageReturnState is the state of scaling in machines with cancelled tasks while there is no leader.
 type outageReturnState struct {
 	inFlight      bool // a request is in flight
 	nextAttemptAt time.Duration
 }
 
-// forEachUnconfirmedStop calls visit for each task of a cancelled job that is not proven to be off
-// its machine, with the time since the cancellation.
+// forEachUnconfirmedStop calls visit for each task of a cancelled job that is not proven to be off its
+// machine. age is the time since the cancellation.
 func (c *Core) forEachUnconfirmedStop(
 	visit func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration),
 ) {
@@ -48,8 +48,8 @@
 		}
 		age := c.cancelAcks.timeSinceCancel(j)
 		for _, assignment := range j.assignments {
-			// A reported end is proof even while its write waits for the rate limit: machines were
-			// once scaled in for tasks that had stopped long before.
+			// A reported end is proof even while its write waits for the rate limit. Otherwise machines are
+			// scaled in for tasks that stopped long before.
 			if ended, _ := c.attemptOutcome(j, assignment); !ended {
 				visit(j, assignment, c.machines[assignment.Machine], age)
 			}
@@ -57,8 +57,8 @@
 	}
 }
 
-// enforceCancellations fences off unanswered starts of cancelled tasks with a higher fencing token,
-// and lists the machines that did not confirm in time that such a task is gone.
+// enforceCancellations raises the fencing token to invalidate unanswered starts of cancelled tasks, and
+// returns the names of the machines that did not confirm in time that such a task is gone.
 func (c *Core) enforceCancellations() (overdue []string) {
 	maxAge := c.cancelAcks.timeoutShare(c.cfg.Agents.CancelScaleInShare)
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
@@ -78,16 +78,16 @@
 	return overdue
 }
 
-// timeoutShare is a share of the time within which cancelled tasks must be gone.
+// timeoutShare returns a part of CancelTimeout, the time within which cancelled tasks must be gone.
 func (a *cancelAcks) timeoutShare(share float64) time.Duration {
 	return time.Duration(share * float64(a.cfg.Agents.CancelTimeout))
 }
 
-// returnMachinesInOutage scales in machines on which cancelled tasks may still run while the store
-// is down for all controllers, so that there is no leader to do it. Without this, an agent that
-// hangs or is unreachable kept such tasks beyond the cancel timeout. The request needs neither a
-// write nor ownership, may be repeated by any controller, and at worst costs work that starts again
-// elsewhere. The next leader repeats it to have proof.
+// returnMachinesInOutage scales in machines on which cancelled tasks may still run while no controller can
+// reach the store, so that there is no leader to do it. Otherwise an agent that hangs or is unreachable keeps
+// such tasks beyond the cancel timeout. The request needs neither a write nor ownership and may be repeated
+// by any controller; at worst, work is lost and starts again elsewhere. The next leader repeats the request
+// to obtain the proof.
 func (c *Core) returnMachinesInOutage() {
 	state := &c.outageReturn
 	if state.inFlight || c.now < state.nextAttemptAt || c.ownLease.isHeld() || !c.isStoreOutage() {
@@ -98,7 +98,7 @@
 	if len(names) == 0 {
 		return
 	}
-	c.log(LevelInfo, "scaling in machines in a store outage: cancelled tasks may be on them", "machines", names)
+	c.log(LevelInfo, "store outage: scaling in machines that may still run cancelled tasks", "machines", names)
 	state.inFlight = true
 	request := CloudRequest{ID: c.nextID(), Op: CloudScaleIn, MachineNames: names}
 	c.autoscaler.pendingCalls[request.ID] = func(in CloudResult) {
@@ -112,8 +112,8 @@
 	c.emit(request)
 }
 
-// overdueMachinesInOutage names the machines that this controller has to scale in now because of
-// cancelled tasks, at most maxOutageReturns, in order of their names.
+// overdueMachinesInOutage returns the names of the machines that this controller must scale in now because of
+// cancelled tasks, sorted and at most maxOutageReturns.
 func (c *Core) overdueMachinesInOutage() []string {
 	overdue := map[string]bool{}
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
@@ -121,8 +121,8 @@
 		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.agents.silenceTimeout() {
 			share = c.cfg.Agents.CancelScaleInShare
 		} else if _, there := host.status.tasks[attemptKey{j.index, assignment.Task, assignment.Attempt}]; !there {
-			// It has ended and was cleared by a controller with newer records. One whose start may
-			// still arrive is findRestartableCancelledTask's concern.
+			// The task has ended and a controller with newer records has cleared it. A task that a delayed
+			// command may still start is handled by findRestartableCancelledTask.
 			return
 		}
 		if age > c.cancelAcks.timeoutShare(share+outageReturnRankShare*float64(c.machineRank(host))) {
@@ -133,9 +133,9 @@
 	return names[:min(len(names), maxOutageReturns)]
 }
 
-// requestReturns names to the leader the machines whose scale-in is needed as proof: those that hold
-// cancelled tasks too long, and silent ones. A controller without a lease must not judge silence: it
-// may be the unreachable one, and would have machines scaled in that answer the others.
+// requestReturns reports to the leader the machines whose scale-in is needed as proof: those that hold
+// cancelled tasks for too long, and silent ones. A controller without a lease must not judge silence: it may
+// itself be the unreachable one, and would have machines scaled in that respond to the others.
 func (c *Core) requestReturns() {
 	if !c.ownLease.isHeld() {
 		return
@@ -157,11 +157,14 @@
 	if c.leaderState != nil {
 		c.leaderState.handleReturnRequest(c, overdue, silent)
 	} else if c.leadership.leader.modRevision != 0 {
-		c.controllers.sendToPeers(c.leadership.leader.Holder, Message{MachinesToReturn: overdue, SilentMachines: silent})
+		c.controllers.sendToPeers(
+			c.leadership.leader.Holder,
+			Message{MachinesToReturn: overdue, SilentMachines: silent},
+		)
 	}
 }
 
-// runsOwnTasks reports whether a machine has tasks of jobs that this controller owns.
+// runsOwnTasks reports whether tasks of jobs that this controller owns are assigned to a machine.
 func (c *Core) runsOwnTasks(m *machine) bool {
 	for key := range m.allocation.assignments {
 		if c.ownership.ownsJob(c.jobs[key.jobIndex]) {
@@ -171,9 +174,9 @@
 	return false
 }
 
-// handleReturnRequest scales in machines whose tasks' owners need proof that the tasks are gone, and
-// announces again those that are gone already. Reported silence alone scales in nothing: the leader
-// goes by the heartbeats that it receives itself (checkMachines).
+// handleReturnRequest scales in the machines whose tasks' owners need proof that the tasks are gone, and
+// announces again those that are already gone. Reported silence alone does not cause a scale-in: the leader
+// relies on the heartbeats that it receives itself (checkMachines).
 func (l *leaderState) handleReturnRequest(c *Core, overdue, silent []string) {
 	for _, name := range overdue {
 		if target := l.findOrAnnounceGone(c, name); target != nil {
@@ -185,8 +188,8 @@
 	}
 }
 
-// findOrAnnounceGone is the machine of a name. If it is gone, that is announced to the owners of its
-// tasks, and nil returned.
+// findOrAnnounceGone returns the machine with a name. If the machine is gone, it announces that to the owners
+// of its tasks and returns nil.
 func (l *leaderState) findOrAnnounceGone(c *Core, name string) *machine {
 	target := c.internMachine(name)
 	if !target.lifecycle.gone {
--- a/core/cancelmarker.go
+++ b/core/cancelmarker.go
@@ -10,14 +10,15 @@
 	"dewlift/wire"
 )
 
-// keyCancel begins the keys of cancel markers, by job.
+// keyCancel is the prefix of the keys of cancel markers; the job ID follows.
 const keyCancel = Root + "cancel/"
 
-// cancelMarker cancels a job whose record is too large to be written again as it is: an older
-// version may have stored it under larger limits. The marker is one small durable write beside the
-// record. The record follows as its tasks end, and the write of the final one deletes the marker.
+// cancelMarker cancels a job whose record exceeds the current size limit and can't be rewritten, because an
+// older version stored it under a larger limit. The marker is a small durable write in addition to the
+// record. The record is rewritten as the job's tasks end, and the write of the final record deletes the
+// marker.
 type cancelMarker struct {
-	CancelMS int64                `json:"cm"` // time of day of the cancellation
+	CancelMS int64                `json:"cm"` // wall-clock time of the cancellation
 	Carried  []audit.PendingEntry `json:"e,omitempty"`
 }
 
@@ -25,13 +26,13 @@
 func (m cancelMarker) encode() json.RawMessage {
 	raw, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // can't happen: a number, and bytes
+		panic(err) // impossible: the marker holds only a number and bytes
 	}
 	return raw
 }
 
-// writeCancelMarker cancels a job by a marker, if the job's record and marker are unchanged and the
-// other compares hold. Until the outcome is known nothing else is written of the job.
+// writeCancelMarker cancels a job by a marker, on the condition that the job's record and marker are
+// unchanged and that the given compares hold. No other write of the job is sent until the outcome is known.
 func (c *Core) writeCancelMarker(target *job, cancelledMS int64, compares []wire.Compare, acts []auditlog.Event) {
 	key := keyCancel + target.id
 	cancellation := &target.cancellation
@@ -53,12 +54,12 @@
 			return
 		}
 		target.write.outcomeUnknown = true
-		c.resolveAfterBarrier([]*job{target}, nil, nil) // answers the users once the replica has the marker
+		c.resolveAfterBarrier([]*job{target}, nil, nil) // responds to the users once the replica has the marker
 	}})
 }
 
-// applyCancelMarker applies a stored marker. Its job is cancelled whichever of marker and record is
-// read first: adoptRecord looks for a marker too.
+// applyCancelMarker applies a stored marker. The job is cancelled whether its marker or its record is read
+// first, because adoptRecord also checks for a marker.
 func (c *Core) applyCancelMarker(key string, raw json.RawMessage, revision uint64) error {
 	var marker cancelMarker
 	if err := json.Unmarshal(raw, &marker); err != nil {
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -8,50 +8,51 @@
 )
 
 const (
-	// unresponsiveShare is the part, one in so many, of the command requests that may be in flight to machines
-	// which probably do not answer.
+	// unresponsiveRequestDivisor: at most one in so many of the allowed command requests may be in flight to
+	// machines that probably do not respond.
 	unresponsiveRequestDivisor = 4
-	// maxEndedReported is how many ended tasks a machine reports at most before they are cleared at once.
+	// maxEndedTasksBeforeClear is the number of ended tasks reported by a machine above which they are
+	// cleared without delay.
 	maxEndedTasksBeforeClear = 8
-	// attemptRetention is how long after its last command an attempt is remembered that is neither assigned
-	// nor reported.
+	// attemptRetention is the time since its last command after which the state of an attempt that is neither
+	// assigned nor reported may be dropped.
 	attemptRetention = 10 * time.Second
-	// conflictBackoff is how long a machine is left alone after it rejected a command batch.
+	// conflictBackoff is the time without commands to a machine after it rejected a command batch.
 	conflictBackoff = 300 * time.Millisecond
 )
 
-// commandDispatch is the state of commands to agents: the machines that may need some, the requests in flight,
-// and the requests relayed for peers.
+// commandDispatch is the state of sending commands to agents: the machines that may need commands, the
+// requests in flight, and the requests relayed for peers.
 type commandDispatch struct {
 	*environment
 	agents      *agentLiveness
 	controllers *controllerSet
 
 	dirtyMachines       []*machine                  // machines that may need commands
-	nextEvictionCheckAt time.Duration               // when machines with an interruption notice are examined next
-	nextReturnRequestAt time.Duration               // when the leader is next asked to return machines
-	inFlight            map[uint64]inFlightCommands // by request id
-	relayed             map[uint64]relayedCommands  // by the id of this controller's request
+	nextEvictionCheckAt time.Duration               // when machines with an interruption notice are next checked
+	nextReturnRequestAt time.Duration               // when the leader is next asked to scale in machines
+	inFlight            map[uint64]inFlightCommands // by request ID
+	relayed             map[uint64]relayedCommands  // by the ID of this controller's request
 }
 
-// inFlightCommands is a request with commands that has no outcome yet.
+// inFlightCommands is a command request whose outcome is not known yet.
 type inFlightCommands struct {
 	machineIndex int32
-	deadline     time.Duration // of a relayed request: when it counts as unanswered; 0: it is not relayed
+	deadline     time.Duration // when a relayed request counts as unanswered; 0: the request is not relayed
 }
 
-// relayedCommands is a peer's request that this controller sends on its behalf.
+// relayedCommands is a peer's command request that this controller sends on its behalf.
 type relayedCommands struct {
 	peer      string
-	requestID uint64 // id of the request at the peer
+	requestID uint64 // ID of the request at the peer
 }
 
-// dispatchCommands sends the machines the commands that they need. Only machines with a change or with
-// something unsettled are examined.
+// dispatchCommands sends the machines the commands that they need. It examines only machines with a change or
+// with unfinished work.
 //
-// Each request holds a socket, and one to a machine that does not answer holds it for seconds; in a lost
-// zone, that is every machine. So the requests in flight are bounded, and those to machines that
-// probably do not answer have a smaller bound of their own.
+// Each request holds a socket, and a request to a machine that does not respond holds it for seconds; in a
+// lost zone, that is every machine. So the number of requests in flight is bounded, with a smaller bound for
+// machines that probably do not respond.
 func (c *Core) dispatchCommands() {
 	c.expireRelayedCommands()
 	if !c.ownLease.isHeld() && !c.isStoreOutage() {
@@ -60,7 +61,7 @@
 	unresponsive := c.commands.countUnresponsiveRequests(c.machines)
 	c.commands.dirtyMachines = slices.DeleteFunc(c.commands.dirtyMachines, func(m *machine) bool {
 		if m.lifecycle.gone || !m.status.reported {
-			m.commands.inDirtyList = false // its first heartbeat queues it again
+			m.commands.inDirtyList = false // its first heartbeat adds it again
 			return true
 		}
 		if !c.commands.isDue(m) {
@@ -83,8 +84,8 @@
 	})
 }
 
-// countUnresponsiveRequests counts the requests in flight to machines that probably do not answer. machines is
-// Core.machines.
+// countUnresponsiveRequests counts the requests in flight to machines that probably do not respond. machines
+// is Core.machines.
 func (d *commandDispatch) countUnresponsiveRequests(machines []*machine) int {
 	count := 0
 	for _, request := range d.inFlight {
@@ -95,8 +96,8 @@
 	return count
 }
 
-// isDue reports whether a machine is to be examined: it has no request in flight, is not backing off,
-// and something changed or the retry interval has passed.
+// isDue reports whether a machine must be examined: it has no request in flight and is not backing off, and
+// something changed or the retry interval has passed.
 func (d *commandDispatch) isDue(m *machine) bool {
 	if m.commands.requestID != 0 || d.now < m.commands.nextSendAt {
 		return false
@@ -104,12 +105,13 @@
 	return m.commands.dirty || d.now >= m.commands.lastExaminedAt+d.cfg.Agents.CommandRetryInterval
 }
 
-// isUnresponsive reports whether a machine will probably not answer commands.
+// isUnresponsive reports whether a machine will probably not respond to commands.
 func (d *commandDispatch) isUnresponsive(m *machine) bool {
 	return m.commands.unanswered > 0 || d.now-m.status.lastHeartbeatAt > d.agents.maxHeartbeatGap()
 }
 
-// dispatchTo sends a machine the commands that it needs now, and reports whether it must be examined again.
+// dispatchTo sends a machine the commands that it needs now, and reports whether it must be examined again
+// even without a change.
 func (c *Core) dispatchTo(m *machine) (unsettled bool) {
 	plan := commandPlan{core: c, machine: m}
 	plan.collectAssigned()
@@ -123,13 +125,13 @@
 	return true
 }
 
-// commandPlan is the commands for one machine, collected in one run of dispatchTo.
+// commandPlan collects the commands for one machine in one run of dispatchTo.
 type commandPlan struct {
 	core         *Core
 	machine      *machine
 	commands     []plannedCommand
-	starts       []attemptKey // attempts with a start among the commands
-	clears       []attemptKey // ended attempts that the agent may forget
+	starts       []attemptKey // attempts that the commands start
+	clears       []attemptKey // ended attempts that the agent may clear
 	needsRecheck bool         // the machine must be examined again, even without a change
 }
 
@@ -139,7 +141,8 @@
 	command wire.Command
 }
 
-// add adds a command, unless one for the same attempt was sent within the retry interval, and reports whether it did.
+// add adds a command and reports whether it did. It does not if a command for the same attempt was sent
+// within the retry interval.
 func (p *commandPlan) add(op string, key attemptKey) bool {
 	c := p.core
 	record := p.machine.commands.attemptOf(key)
@@ -154,8 +157,8 @@
 	return true
 }
 
-// addStart adds a start, unless the machine is about to be removed, this controller may not start tasks now, or the
-// cancellation of the job is pending.
+// addStart adds a start, unless the machine is about to be removed, this controller may not start tasks now,
+// or a cancellation of the job is pending.
 func (p *commandPlan) addStart(j *job, key attemptKey) {
 	c := p.core
 	if p.machine.lifecycle.interruptionDeadline != 0 || p.machine.lifecycle.returnRequested || !c.ownLease.isHeld() ||
@@ -176,8 +179,8 @@
 	}
 }
 
-// collectAssigned collects the commands for the tasks that are assigned to the machine: starts of those that it
-// does not report, stops of those whose job is final or that are preempted or evicted.
+// collectAssigned collects the commands for the tasks that are assigned to the machine: starts for those that
+// it does not report, and stops for those whose job is final or that are to be preempted or evicted.
 func (p *commandPlan) collectAssigned() {
 	c, m := p.core, p.machine
 	for task, assignment := range m.allocation.assignments {
@@ -206,8 +209,8 @@
 	}
 }
 
-// collectUnassigned collects the stops and clears of the tasks that the machine reports and no record assigns to
-// it: their end is committed, or they must not run.
+// collectUnassigned collects the stops and clears for the tasks that the machine reports but no record
+// assigns to it: either their end is committed, or they must not run.
 func (p *commandPlan) collectUnassigned() {
 	c, m := p.core, p.machine
 	for key, status := range m.status.tasks {
@@ -231,8 +234,8 @@
 	}
 }
 
-// collectClears adds the clears if other commands go out, if there are many, or after a delay: nothing waits
-// for an agent to forget a task, so they do not get a request of their own at once.
+// collectClears adds the clears if other commands are sent, if there are many clears, or after a delay:
+// nothing waits for an agent to clear a task, so clears do not cause a request of their own at once.
 func (p *commandPlan) collectClears() {
 	c, m := p.core, p.machine
 	if len(p.clears) == 0 {
@@ -250,8 +253,8 @@
 	}
 }
 
-// forgetOldAttempts drops the attempts that are neither assigned nor reported, once no start of them can be
-// executed any more.
+// forgetOldAttempts drops the state of attempts that are neither assigned nor reported, once no start command
+// for them can be executed any more.
 func (p *commandPlan) forgetOldAttempts() {
 	c, m := p.core, p.machine
 	for key, record := range m.commands.attempts {
@@ -272,7 +275,7 @@
 	}
 }
 
-// batch is the collected commands, in the order of their attempts.
+// batch returns the collected commands, ordered by attempt.
 func (p *commandPlan) batch() wire.CommandBatch {
 	slices.SortFunc(p.commands, func(x, y plannedCommand) int { return x.compare(y.attemptKey) })
 	batch := wire.CommandBatch{
@@ -285,7 +288,8 @@
 	return batch
 }
 
-// send sends a batch of commands to a machine, directly or by a peer. starts are the attempts that it starts.
+// send sends a batch of commands to a machine, directly or through a peer. starts lists the attempts that the
+// batch starts.
 func (d *commandDispatch) send(m *machine, batch wire.CommandBatch, starts []attemptKey) {
 	id := d.nextID()
 	m.commands.requestID, m.commands.requestToken, m.commands.requestAttempts = id, batch.FencingToken, starts
@@ -299,7 +303,9 @@
 	d.emit(request)
 }
 
-// relayPeer returns the peer by which a machine that does not answer is tried, every other time; "" means directly.
+// relayPeer returns the peer through which a command request is sent; "" means directly. After an odd number
+// of unanswered requests in a row it returns a reachable peer, if any, so that a machine that does not
+// respond is tried both ways.
 func (d *commandDispatch) relayPeer(m *machine) string {
 	peers := d.controllers.membership.ReachableExcept(d.now, "")
 	if m.commands.unanswered%2 == 0 || len(peers) == 0 {
@@ -308,7 +314,7 @@
 	return peers[m.commands.unanswered/2%len(peers)]
 }
 
-// expireRelayedCommands gives up the requests that peers relay and that have no outcome by their deadline.
+// expireRelayedCommands treats the relayed requests without an outcome by their deadline as unanswered.
 func (c *Core) expireRelayedCommands() {
 	for _, id := range sortedKeys(c.commands.inFlight) {
 		if request := c.commands.inFlight[id]; request.deadline != 0 && c.now >= request.deadline {
@@ -317,9 +323,9 @@
 	}
 }
 
-// isOrphan reports whether a reported task is of a job that does not exist. A job that is unknown here may have
-// been accepted and placed by a peer a moment ago, so only a read barrier after the heartbeat proves it:
-// without that, tasks of new jobs of other controllers were stopped and cleared, and then started twice.
+// isOrphan reports whether a reported task belongs to a job that does not exist. A peer may just have
+// accepted and placed a job that is unknown here, so only a read barrier after the heartbeat proves that:
+// without it, tasks of other controllers' new jobs are stopped and cleared, and then started twice.
 func (c *Core) isOrphan(m *machine, j *job, key attemptKey) bool {
 	record := m.commands.attemptOf(key)
 	if !record.orphanCheckInFlight && !record.isOrphan {
@@ -333,7 +339,8 @@
 	return record.isOrphan
 }
 
-// allowImmediateResend lets a command other than the last one for an attempt be sent within the retry interval, once.
+// allowImmediateResend allows, once per attempt, that a command different from the last one is sent within
+// the retry interval.
 func (s *machineCommands) allowImmediateResend(key attemptKey) {
 	if record := s.attempts[key]; record != nil && !record.resentAtOnce {
 		record.resentAtOnce = true
@@ -341,8 +348,8 @@
 	}
 }
 
-// handleCommandsResult takes the outcome of a request with commands. That of a relayed one is passed to the
-// peer that it was sent for.
+// handleCommandsResult handles the outcome of a command request. The outcome of a relayed request is
+// forwarded to the peer that requested it.
 func (c *Core) handleCommandsResult(in CommandsResult) {
 	if relayed, ok := c.commands.relayed[in.ID]; ok {
 		c.returnRelayedResult(relayed, in)
@@ -371,7 +378,7 @@
 	}
 }
 
-// returnRelayedResult passes the outcome of a relayed request to the peer that it was sent for.
+// returnRelayedResult forwards the outcome of a relayed request to the peer that requested it.
 func (c *Core) returnRelayedResult(relayed relayedCommands, in CommandsResult) {
 	delete(c.commands.relayed, in.ID)
 	if in.Heartbeat != nil {
@@ -393,8 +400,9 @@
 	s.recordStartOutcomes(in)
 }
 
-// recordStartOutcomes records the outcome of the starts in the request that was in flight. Those of an unanswered one may be
-// executed late, until the machine has seen a token above that of the request.
+// recordStartOutcomes records the outcome of the starts in the request that was in flight. The starts of an
+// unanswered request may be executed late, until the machine has seen a higher fencing token than that of the
+// request.
 func (s *machineCommands) recordStartOutcomes(in CommandsResult) {
 	answered := in.Status == wire.StatusOK || in.Status == wire.StatusConflict || !in.MaybeDelivered
 	for _, key := range s.requestAttempts {
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// evictionInterval is the time between two examinations of the machines with an interruption notice.
+	// evictionInterval is the time between two checks of the machines with an interruption notice.
 	evictionInterval = 100 * time.Millisecond
-	// checkpointMargin is the time that a checkpoint needs beside its own duration: to send the stop, and to
-	// start it. While the notice leaves more, the task runs on.
+	// checkpointMargin is the time that a checkpoint needs in addition to its own duration, to send the stop
+	// and to begin. A task runs on while the notice leaves more time.
 	checkpointMargin = 4 * time.Second
 )
 
-// evictInterrupted stops tasks on machines that the cloud is about to interrupt, where running on gains nothing: those
-// that will not complete in time restart elsewhere at once, and those that can checkpoint get the time for it.
+// evictInterrupted stops the tasks on machines with an interruption notice that gain nothing by running on:
+// tasks that will not complete in time restart elsewhere at once, and tasks that can checkpoint get the time
+// for it.
 func (c *Core) evictInterrupted() {
 	if c.now < c.commands.nextEvictionCheckAt {
 		return
@@ -28,7 +29,7 @@
 	}
 }
 
-// evictTasks stops the tasks of a machine with an interruption notice that are not to run on.
+// evictTasks stops the tasks of a machine with an interruption notice that must not run on.
 func (c *Core) evictTasks(m *machine) {
 	for _, assignment := range m.sortedAssignments() {
 		j := c.jobs[assignment.jobIndex]
@@ -49,8 +50,9 @@
 	}
 }
 
-// mayRunUntilInterruption reports whether a task runs on although its machine is interrupted after some time: it will
-// complete before, or there is time left to checkpoint it later. Replicas of services never complete.
+// mayRunUntilInterruption reports whether a task may run on although its machine is interrupted after the
+// given time: it will complete before, or there is time left to checkpoint it later. Replicas of services
+// never complete.
 func (c *Core) mayRunUntilInterruption(spec *wire.JobSpec, status taskStatus, notice time.Duration) bool {
 	if spec.Service {
 		return false
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -11,37 +11,39 @@
 )
 
 const (
-	// maxInterruptionNoticeS bounds a plausible interruption notice, in seconds.
+	// maxInterruptionNoticeS is the longest plausible interruption notice, in seconds.
 	maxInterruptionNoticeS = 1e6
-	// implausibleNoticeDeadline is the time left to a machine whose notice is negative or beyond that bound.
+	// implausibleNoticeDeadline is the time left that is assumed for a machine whose notice is negative or
+	// exceeds maxInterruptionNoticeS.
 	implausibleNoticeDeadline = time.Second
-	// batchesPerDigest is how many batches of allocation deltas go out for one of heartbeat digests: a machine
-	// is declared silent only after seconds, so digests may wait longer.
+	// batchesPerDigest is the number of batches of allocation deltas that are sent for each batch of
+	// heartbeat digests. Digests may wait longer because a machine is declared silent only after seconds.
 	batchesPerDigest = 4
-	// heartbeatMargin is added to the interval of heartbeats for delays of the network and the agent.
+	// heartbeatMargin is added to the heartbeat interval to allow for delays of the network and the agent.
 	heartbeatMargin = 300 * time.Millisecond
-	// noticeTolerance is how much the deadline of an interruption notice differs from heartbeat to heartbeat.
+	// noticeTolerance is the difference between the interruption deadlines of two heartbeats that counts as
+	// no change.
 	noticeTolerance = 2 * time.Second
-	// maxPollBackoffShift bounds the exponential back-off between status polls: 1 s shifted by it is 16 s.
+	// maxPollBackoffShift limits the exponential back-off between status polls: 1 s shifted by it is 16 s.
 	maxPollBackoffShift = 4
 )
 
-// agentLiveness is what this controller passes on to its peers about heartbeats, the status polls in flight,
-// and the liveness of zones.
+// agentLiveness is the state of heartbeats to relay to the peers, of the status polls in flight, and of the
+// liveness of zones.
 type agentLiveness struct {
 	*environment
 	controllers *controllerSet
 
-	pollsInFlight     int                      // status polls without an answer so far
+	pollsInFlight     int                      // status polls without a response so far
 	zones             map[string]*zoneLiveness // by zone
-	nextDigestAt      time.Duration            // when the peers get the next batch of digests
+	nextDigestAt      time.Duration            // when the next batch of digests is sent to the peers
 	heartbeatsToRelay []*wire.Heartbeat        // changed heartbeats for the next batch
 	digestsToRelay    []HeartbeatDigest        // unchanged heartbeats for the next batch of digests
-	missingHeartbeats map[string][]string      // by peer: machines whose full heartbeat is to be requested from it
+	missingHeartbeats map[string][]string      // by peer: machines whose full heartbeats are to be requested from it
 }
 
-// handleHeartbeat applies an agent's heartbeat and answers it. An agent that has seen a higher fencing
-// token than this controller is answered after a read barrier only.
+// handleHeartbeat applies an agent's heartbeat and responds to it. If the agent has seen a higher fencing
+// token than this controller, the response waits for a read barrier.
 func (c *Core) handleHeartbeat(in AgentHeartbeat) {
 	if !c.replica.loaded {
 		c.respondUnavailable(in.RequestID, reasonNotLoaded)
@@ -58,7 +60,7 @@
 		c.respondToHeartbeat(in)
 		return
 	}
-	// The controller that issued the higher token knows of later changes than this replica shows.
+	// The controller that issued the higher token knows of later changes than this replica contains.
 	if c.replica.isStoreUnreachable() {
 		c.respondUnavailable(in.RequestID, "token not current")
 		return
@@ -66,8 +68,8 @@
 	c.replica.afterReadBarrier(func(bool) { c.respondToHeartbeat(in) })
 }
 
-// respondToHeartbeat renews the agent's lease, with the commands to stop cancelled tasks, unless this controller
-// may not renew it.
+// respondToHeartbeat renews the agent's lease and sends the commands that stop cancelled tasks, unless this
+// controller may not renew the lease.
 func (c *Core) respondToHeartbeat(in AgentHeartbeat) {
 	m := c.internMachine(in.Heartbeat.Machine)
 	if why := c.leaseDenialReason(m, in.Heartbeat); why != "" {
@@ -81,7 +83,8 @@
 	)
 }
 
-// taskStatusDigest returns a digest of the tasks of a heartbeat that does not depend on their order.
+// taskStatusDigest returns a digest of the task statuses of a heartbeat, which does not depend on their
+// order, and of the presence of an interruption notice.
 func taskStatusDigest(r *wire.Heartbeat) uint64 {
 	var sum uint64
 	var buf []byte
@@ -101,20 +104,20 @@
 	return sum
 }
 
-// isStaleHeartbeat reports whether a heartbeat with these numbers is no later than the last one applied:
-// heartbeats may be delayed, or come again by another controller.
+// isStaleHeartbeat reports whether a heartbeat with these numbers is not newer than the last one applied:
+// heartbeats may be delayed, or arrive again through another controller.
 func (m *machine) isStaleHeartbeat(incarnation, sequence uint64) bool {
 	return m.lifecycle.gone || incarnation < m.status.incarnation ||
 		incarnation == m.status.incarnation && sequence <= m.status.heartbeatSeq
 }
 
-// matches reports whether the last heartbeat of an agent was of this incarnation and had this digest.
+// matches reports whether the last heartbeat of an agent had this incarnation and this digest.
 func (s *agentStatus) matches(incarnation, digest uint64) bool {
 	return s.reported && s.incarnation == incarnation && s.digest == digest
 }
 
-// applyHeartbeat applies an agent's heartbeat, unless a later one was applied. A direct one came from the agent
-// itself, and is passed on to the peers.
+// applyHeartbeat applies an agent's heartbeat, unless a newer one was applied. direct means that it came from
+// the agent itself; then it is relayed to the peers.
 func (c *Core) applyHeartbeat(r *wire.Heartbeat, direct bool) {
 	m := c.internMachine(r.Machine)
 	if m.isStaleHeartbeat(r.Incarnation, r.Sequence) {
@@ -122,7 +125,7 @@
 	}
 	digest := taskStatusDigest(r)
 	if m.status.matches(r.Incarnation, digest) && m.isUnchangedBy(r, c.now) {
-		// Most heartbeats of a large fleet change nothing; the peers need only the sign of life.
+		// Most heartbeats of a large fleet change nothing; the peers need only the digest.
 		c.recordLiveness(m, r.Sequence, r.FencingToken)
 		if direct {
 			c.agents.digestsToRelay = append(
@@ -153,8 +156,8 @@
 	}
 }
 
-// updateFrom takes over what a heartbeat says of the machine itself. A new incarnation starts without cached
-// images.
+// updateFrom applies what a heartbeat reports about the machine itself. A new incarnation starts without
+// cached images.
 func (m *machine) updateFrom(r *wire.Heartbeat, now time.Duration) {
 	if r.Incarnation > m.status.incarnation {
 		m.status.images = map[string]bool{}
@@ -167,7 +170,7 @@
 	}
 }
 
-// interruptionDeadline returns when a machine is interrupted by a notice of so many seconds.
+// interruptionDeadline returns when a machine with an interruption notice of noticeS seconds is interrupted.
 func interruptionDeadline(noticeS float64, now time.Duration) time.Duration {
 	if noticeS < 0 || noticeS > maxInterruptionNoticeS {
 		return now + implausibleNoticeDeadline
@@ -175,8 +178,8 @@
 	return now + time.Duration(noticeS*float64(time.Second))
 }
 
-// isUnchangedBy reports whether a heartbeat tells nothing new of the machine itself. taskStatusDigest, which
-// controllers exchange, covers the tasks and whether there is an interruption notice.
+// isUnchangedBy reports whether a heartbeat changes nothing about the machine itself. taskStatusDigest, which
+// controllers exchange, covers its tasks and the presence of an interruption notice.
 func (m *machine) isUnchangedBy(r *wire.Heartbeat, now time.Duration) bool {
 	if m.identity.address != r.Addr || m.identity.machineType != r.Type || m.identity.zone != r.Zone ||
 		m.identity.spot != r.Spot {
@@ -189,19 +192,21 @@
 	return change.Abs() <= noticeTolerance
 }
 
-// updateTaskStatuses replaces the task statuses of a machine by those of a heartbeat, and acts on the changes.
+// updateTaskStatuses replaces the task statuses of a machine with those of a heartbeat, and handles the
+// changes.
 func (c *Core) updateTaskStatuses(m *machine, reported []wire.TaskStatus) {
 	next := make(map[attemptKey]taskStatus, len(reported))
 	for i := range reported {
 		c.updateTaskStatus(m, &reported[i], next)
 	}
-	for k := range m.status.tasks { // those left are not reported any more
+	for k := range m.status.tasks { // the remaining ones are not reported any more
 		c.markDirty(c.jobs[k.jobIndex])
 	}
 	m.status.tasks = next
 }
 
-// updateTaskStatus moves one task status from the statuses of a machine to the next ones, as it is reported now.
+// updateTaskStatus moves one task status from the current statuses of a machine to the next ones, updated as
+// reported.
 func (c *Core) updateTaskStatus(m *machine, reported *wire.TaskStatus, next map[attemptKey]taskStatus) {
 	id, task, ok := wire.SplitTaskName(reported.Task)
 	if !ok {
@@ -230,7 +235,7 @@
 	}
 }
 
-// handleTaskExit releases the resources of a task that its machine reports as ended, and has its job examined.
+// handleTaskExit releases the resources of a task that its machine reports as ended, and marks its job dirty.
 func (c *Core) handleTaskExit(m *machine, j *job, key attemptKey, cause string) {
 	assignment, assigned := m.currentAssignment(key)
 	completed := assigned && cause == wire.CauseDone
@@ -241,20 +246,21 @@
 		j.placement.completedTasks++
 	}
 	if completed && j.hasTasksToComplete() {
-		c.markDirtyKeepingDelay(j) // the write of this end may wait for the ends of the others
+		c.markDirtyKeepingDelay(j) // the write of this end may wait to be combined with others
 	} else {
 		c.markDirty(j)
 	}
 	m.health.recordTaskEnd(j.index, cause, c.now)
 }
 
-// hasTasksToComplete reports whether a job is still open and has tasks that have not completed.
+// hasTasksToComplete reports whether a job is not final and has tasks that have not completed.
 func (j *job) hasTasksToComplete() bool {
 	return !j.isFinal() && j.record != nil && j.record.Spec != nil &&
 		j.record.CompletedTasks.Count()+j.placement.completedTasks < j.record.Spec.Tasks
 }
 
-// handleFirstHeartbeat has the jobs with tasks on a machine examined at its first heartbeat; it is new capacity.
+// handleFirstHeartbeat handles the first heartbeat of a machine: it marks the jobs dirty that have tasks
+// there, and counts the machine as new capacity.
 func (c *Core) handleFirstHeartbeat(m *machine) {
 	for _, assignment := range m.sortedAssignments() {
 		c.markDirty(c.jobs[assignment.jobIndex])
@@ -262,8 +268,8 @@
 	c.placement.capacityFreed = true
 }
 
-// recordLiveness records a sign of life of a machine, with its sequence number and fencing token. A higher
-// token settles the outcome of earlier commands: they cannot be executed any more.
+// recordLiveness records a heartbeat's sequence number and fencing token. A higher token than before means
+// that earlier commands can't be executed any more, which settles their outcomes.
 func (c *Core) recordLiveness(m *machine, seq, token uint64) {
 	m.status.lastHeartbeatAt, m.status.heartbeatSeq, m.status.polls = c.now, seq, 0
 	c.agents.zoneLivenessOf(m.identity.zone).lastHeartbeat = c.now
@@ -280,8 +286,8 @@
 	}
 }
 
-// applyHeartbeatDigest applies the digest of an unchanged heartbeat that a peer got. If this replica lacks the
-// heartbeat that it repeats, the full one is requested from that peer.
+// applyHeartbeatDigest applies the digest of an unchanged heartbeat that a peer received. If this replica
+// lacks the full heartbeat, it is requested from that peer.
 func (c *Core) applyHeartbeatDigest(peer string, h HeartbeatDigest) {
 	m := c.internMachine(h.Machine)
 	if m.isStaleHeartbeat(h.Incarnation, h.Seq) {
@@ -295,8 +301,8 @@
 	c.agents.missingHeartbeats[peer] = append(c.agents.missingHeartbeats[peer], h.Machine)
 }
 
-// recordTaskEnd updates the evidence that a machine is faulty from the end of a task there: a completed
-// task clears it, a failed one adds its job.
+// recordTaskEnd updates the evidence that a machine is faulty when a task ends there: a completed task clears
+// it, and a failed task adds its job.
 func (h *machineHealth) recordTaskEnd(jobIndex int32, cause string, now time.Duration) {
 	switch cause {
 	case wire.CauseDone:
@@ -309,7 +315,7 @@
 	}
 }
 
-// lastHeartbeat rebuilds the last heartbeat of a machine, for a peer that lacks it. jobs is Core.jobs.
+// lastHeartbeat reconstructs the last heartbeat of a machine for a peer that lacks it. jobs is Core.jobs.
 func (m *machine) lastHeartbeat(jobs []*job, now time.Duration) *wire.Heartbeat {
 	r := &wire.Heartbeat{
 		Machine:      m.name,
@@ -341,9 +347,9 @@
 	return r
 }
 
-// broadcastHeartbeats passes on to the peers the heartbeats that this controller got: changed ones whole, unchanged
-// ones, most of them in a large fleet, as digests, which go out once in digestInterval. It also requests the
-// heartbeats that this replica lacks.
+// broadcastHeartbeats relays the heartbeats that this controller received to the peers: changed heartbeats in
+// full, and unchanged ones, which are most of them in a large fleet, as digests once per digestInterval. It
+// also requests the heartbeats that this replica lacks.
 func (a *agentLiveness) broadcastHeartbeats(digestInterval time.Duration) {
 	var digests []HeartbeatDigest
 	if a.now >= a.nextDigestAt {
@@ -360,7 +366,8 @@
 	}
 }
 
-// sendRequestedHeartbeats sends a peer the last heartbeats of the machines that it asked for, as far as known here.
+// sendRequestedHeartbeats sends a peer the last heartbeats of the machines that it requested, as far as they
+// are known here.
 func (c *Core) sendRequestedHeartbeats(peer string, names []string) {
 	var heartbeats []*wire.Heartbeat
 	for _, name := range names {
@@ -377,23 +384,25 @@
 	}
 }
 
-// maxHeartbeatGap is the longest time between two heartbeats of a healthy machine.
+// maxHeartbeatGap returns the longest time between two heartbeats of a healthy machine.
 func (a *agentLiveness) maxHeartbeatGap() time.Duration {
 	return a.cfg.Agents.HeartbeatInterval*5/4 + heartbeatMargin
 }
 
-// silenceTimeout is the time without a heartbeat after which a machine is declared silent. It follows from the
-// interval of heartbeats: a fixed time was shorter than the gaps of machines that report every 6 s, and
-// healthy ones were returned.
+// silenceTimeout returns the time without a heartbeat after which a machine is declared silent. It depends on
+// the heartbeat interval: a fixed time is shorter than the gaps of machines that report every 6 s, so that
+// healthy machines would be scaled in.
 func (a *agentLiveness) silenceTimeout() time.Duration {
 	return a.maxHeartbeatGap() + a.cfg.Agents.SilenceTimeout
 }
 
-// pollOverdueAgent polls the status of a machine whose heartbeat is overdue here, directly and from peers. While the
-// controllers cannot reach each other, this is the only source on tasks whose agent reports elsewhere.
+// pollOverdueAgent polls the status of an agent whose heartbeat is overdue, whether sent by the agent or
+// relayed by peers. While the controllers cannot reach each other, this is the only source of task statuses
+// whose agent reports to another controller.
 //
-// Polls of a machine that does not answer back off exponentially, and the number in flight is bounded: when
-// every controller polled every machine of a lost zone once a second, each poll held a socket until its timeout.
+// Polls of an agent that does not respond back off exponentially, and the number in flight is bounded: if
+// every controller polls every machine of a lost zone once a second, each poll holds a socket until its
+// timeout.
 func (a *agentLiveness) pollOverdueAgent(m *machine) {
 	if a.pollsInFlight >= a.cfg.Agents.MaxPollRequests || !m.status.reported ||
 		a.now-m.status.lastHeartbeatAt <= a.maxHeartbeatGap() || m.status.isPollBackingOff(a.now) {
@@ -404,13 +413,13 @@
 	a.emit(PollAgent{Machine: m.name, Addr: m.identity.address})
 }
 
-// isPollBackingOff reports whether an agent was polled too recently to be polled again.
+// isPollBackingOff reports whether the last unanswered poll of an agent is too recent for another one.
 func (s *agentStatus) isPollBackingOff(now time.Duration) bool {
 	return s.polls > 0 && now-s.lastPollAt <= time.Second<<min(s.polls-1, maxPollBackoffShift)
 }
 
-// pollForPeer polls machines that a peer may not reach. The heartbeats of those that reported here recently
-// are sent to the peer at once.
+// pollForPeer polls machines that a peer may be unable to reach. It sends the peer at once the heartbeats of
+// the machines that reported here recently.
 func (c *Core) pollForPeer(peer string, names []string) {
 	var recent []string
 	for _, name := range names {
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -12,17 +12,17 @@
 	"dewlift/wire"
 )
 
-// Ended jobs. A controller keeps the jobs that ended last in memory, as it keeps all that have not
-// ended. An older one is cold while its record is still in the store, and archived once that has moved
-// into a block (see archivesweep.go). Both are read on request, and then cached for a while.
+// Ended jobs. A controller keeps all unfinished jobs and the most recently ended ones in memory. An older
+// ended job is cold while its record is still in the store, and archived once the record has moved into a
+// block (see archivesweep.go). Cold and archived jobs are read on request and then cached for a while.
 //
-// A job is unknown only if a read barrier does not show it, there is no cold record of it, and the
-// block of its range, as of that barrier, lacks it. The record is read before the block: records move
-// from the store into blocks and never back.
+// A job does not exist only if a read barrier does not show it, there is no cold record of it, and the block
+// of its ID range, as of that barrier, does not contain it. The record is read before the block, because
+// records move from the store into blocks and never back.
 
-// keyHistory exists once anything may be archived. A transaction that writes a new job is conditional
-// on its absence, or on the block of the job's range being as it was when it lacked the job: otherwise
-// an acceptance executed late could revive a job that had ended and moved meanwhile.
+// keyHistory exists once anything may be archived. A transaction that writes a new job is conditional on the
+// absence of this key, or on the block of the job's ID range being unchanged since it was seen not to contain
+// the job. Otherwise a late acceptance could recreate a job that has ended and been archived in the meantime.
 const keyHistory = Root + "history"
 
 // history is the state of ended jobs and of the lookups of jobs that are not in memory.
@@ -31,47 +31,47 @@
 
 	reads *rangeReads
 
-	markerRevision   uint64 // revision of keyHistory; 0: nothing was ever archived
-	coldRecords      int    // records of ended jobs that are not in memory; may be too high, never too low
-	snapshotRevision uint64 // of the last page of the snapshot: moves until then may not be counted as cold
-	endedJobs        []*job // in memory and not archived
-	recalledJobs     []*job // in memory because of a lookup, oldest first
-	evicting         []*job // to be evicted from memory once nothing refers to them
+	markerRevision   uint64 // revision of keyHistory; 0: it does not exist, so nothing was archived
+	coldRecords      int    // records of ended jobs that are not in memory; may be too high, but never too low
+	snapshotRevision uint64 // of the last page of the snapshot; records archived up to it may not be counted as cold
+	endedJobs        []*job // ended jobs that are in memory and not archived
+	recalledJobs     []*job // ended jobs that are in memory because of a lookup, oldest lookup first
+	evicting         []*job // jobs that are evicted from memory once nothing refers to them
 
 	blockCache       *archive.BlockCache
-	lastMoveRevision uint64                // revision of the last move that the watch has shown
+	lastMoveRevision uint64                // revision of the last move into the archive that the watch has delivered
 	lookups          map[string]*jobLookup // by job ID
 	lookupQueue      []*jobLookup
-	readTokens       float64 // reads that lookups may send now
+	readTokens       float64 // number of reads that lookups may send now
 	readTokensAt     time.Duration
 	readsInFlight    int
 }
 
-// jobLookup is the search for a job that is not in memory.
+// jobLookup is the lookup of a job that is not in memory.
 type jobLookup struct {
 	jobID          string
 	startedAt      time.Duration
-	recordAbsent   bool   // it has no record
-	recordAbsentAt uint64 // as of this revision
+	recordAbsent   bool   // the job has no record in the store
+	recordAbsentAt uint64 // revision of the store as of which recordAbsent is known
 	readInFlight   bool
 	completed      bool
 	callbacks      []func(ok bool)
 }
 
 const (
-	lookupTimeout    = 1500 * time.Millisecond // after which a lookup has failed
-	maxLookupReads   = 8                       // reads of lookups in flight at a time
-	minLookupBurst   = 4                       // reads that lookups may save up at a low rate
-	minQueuedLookups = 8                       // lookups that may wait at a low rate
-	rangePageSize    = 1000                    // keys of a range read, the most that the store returns
-	resolveInterval  = time.Second             // between two lookups of unknown dependencies
-	endedJobBytes    = 560                     // memory of an ended job, as measured
+	lookupTimeout    = 1500 * time.Millisecond // after which a lookup fails
+	maxLookupReads   = 8                       // reads of lookups in flight
+	minLookupBurst   = 4                       // least capacity of the token bucket of lookup reads
+	minQueuedLookups = 8                       // least length of the lookup queue
+	rangePageSize    = 1000                    // keys per range read, the most that the store returns
+	resolveInterval  = time.Second             // between two lookups of unresolved dependencies
+	endedJobBytes    = 560                     // memory per ended job
 )
 
-// errBlockRange tells that a block does not have the range that its key names.
+// errBlockRange is the error of a block whose range does not match its key.
 var errBlockRange = errors.New("range of block does not match its key")
 
-// newHistory returns the state of a controller that knows of no ended job.
+// newHistory returns the state of a controller that knows of no ended jobs.
 func newHistory(env *environment, reads *rangeReads) history {
 	return history{
 		environment: env,
@@ -81,12 +81,12 @@
 	}
 }
 
-// hasFinalRecord reports whether a job has ended and nothing is left to be done for it.
+// hasFinalRecord reports whether a job has ended and its record needs no further write.
 func (j *job) hasFinalRecord() bool {
 	return j.record != nil && j.record.Spec == nil && j.record.Stage != jobrecord.Queued
 }
 
-// trackEndedJob counts a job that has ended among those in memory.
+// trackEndedJob adds a job to endedJobs if it has ended and is not archived.
 func (h *history) trackEndedJob(ended *job) {
 	if !ended.archive.counted && !ended.archive.archived && ended.hasFinalRecord() {
 		ended.archive.counted = true
@@ -94,11 +94,13 @@
 	}
 }
 
-// maxEndedInMemory bounds the ended jobs in memory that are not archived. Twice MaxEndedJobs start a
-// sweep, and as many may end until it is done; beyond that the oldest are evicted.
+// maxEndedInMemory returns the maximum number of ended jobs in memory that are not archived. A sweep starts
+// at twice MaxEndedJobs, and as many jobs again may end until it is finished; beyond that the oldest are
+// evicted.
 func (h *history) maxEndedInMemory() int { return 4 * h.cfg.History.MaxEndedJobs }
 
-// evictOldestEnded evicts the oldest ended jobs from memory if there are too many; their records stay.
+// evictOldestEnded evicts the oldest ended jobs from memory if there are too many. Their records stay in the
+// store.
 func (h *history) evictOldestEnded() {
 	if len(h.endedJobs) <= h.maxEndedInMemory() {
 		return
@@ -115,19 +117,19 @@
 	h.endedJobs = slices.Clone(h.endedJobs[:2*h.cfg.History.MaxEndedJobs])
 }
 
-// pruneEndedJobs drops the jobs from the list that have been archived or evicted since.
+// pruneEndedJobs removes the jobs from endedJobs that have been archived or evicted since.
 func (h *history) pruneEndedJobs() {
 	h.endedJobs = slices.DeleteFunc(h.endedJobs, func(j *job) bool {
 		return j.archive.archived || !j.archive.counted
 	})
 }
 
-// sortEndedJobs sorts the ended jobs, the one that ended last first.
+// sortEndedJobs sorts the ended jobs by revision, most recent first.
 func (h *history) sortEndedJobs() {
 	slices.SortFunc(h.endedJobs, func(a, b *job) int { return -compareByRevision(a, b) })
 }
 
-// scheduleEviction has a job evicted from memory once nothing refers to it.
+// scheduleEviction schedules a job to be evicted from memory once nothing refers to it.
 func (h *history) scheduleEviction(j *job) {
 	if !j.archive.evicting {
 		j.archive.evicting = true
@@ -143,8 +145,8 @@
 	return strings.Compare(a.id, b.id)
 }
 
-// referencedJobs lists the indexes of jobs that machines report tasks of, or were sent commands for:
-// what is known of their attempts must not be lost.
+// referencedJobs returns the indexes of the jobs that machines have tasks, commands or failures of: what is
+// known of their attempts must not be lost.
 func referencedJobs(machines []*machine) map[int32]bool {
 	referenced := map[int32]bool{}
 	for _, machine := range machines {
@@ -167,7 +169,8 @@
 	return referenced
 }
 
-// evictUnreferencedJobs evicts the jobs from memory that are scheduled for it and not referred to.
+// evictUnreferencedJobs evicts the jobs from memory that are scheduled for eviction and that nothing refers
+// to.
 func (c *Core) evictUnreferencedJobs() {
 	h := &c.history
 	if excess := len(h.recalledJobs) - max(c.cfg.History.MaxEndedJobs, 1); excess > 0 {
@@ -199,7 +202,7 @@
 		len(j.cancellation.waiters) > 0 || len(j.dependents) > 0
 }
 
-// cacheEndedJob puts a job that was looked up into memory, if it is not there.
+// cacheEndedJob adds an ended job that was looked up to memory, unless it is there already.
 func (c *Core) cacheEndedJob(id string, record *jobrecord.Record, revision uint64, archived bool) {
 	ended := c.internJob(id)
 	if ended.revision != 0 {
@@ -214,12 +217,13 @@
 	c.propagateJobEnd(ended)
 }
 
-// handleRecordArchived takes the deletion of a job's record: it has moved into the archive.
+// handleRecordArchived handles the deletion of a job's record, which means that it was moved into the
+// archive.
 func (c *Core) handleRecordArchived(id string, revision uint64) {
 	h := &c.history
 	h.lastMoveRevision = max(h.lastMoveRevision, revision)
 	h.blockCache.InvalidateOlder(id, revision)
-	// The audit entries that the record carried were in audit blocks before it moved.
+	// The audit entries in the record were written to audit blocks before it was archived.
 	c.auditLog.current().ResolveUnknown(keyJob+id, revision)
 	i, ok := c.jobIndex[id]
 	if !ok || c.jobs[i].revision == 0 {
@@ -231,8 +235,8 @@
 	c.evictArchivedJob(c.jobs[i], revision)
 }
 
-// evictArchivedJob has an archived job evicted from memory. One that was not known to have ended moved
-// while the watch was interrupted: it counts as unknown until the archive is read.
+// evictArchivedJob schedules the eviction of an archived job. A job that was not known to have ended was
+// archived while the watch was interrupted: it counts as unknown until the archive is read.
 func (c *Core) evictArchivedJob(archived *job, revision uint64) {
 	if archived.hasFinalRecord() {
 		if !archived.archive.archived {
@@ -249,9 +253,9 @@
 	}
 }
 
-// checkExistence checks for a job that is not in memory, as of the replica's revision. It returns whether
-// its existence is known (an archived job is cached then) or something must be read first. lookup is
-// what was read for it; nil: nothing.
+// checkExistence determines whether a job that is not in memory exists, as of the replica's revision. It
+// returns true if that is known, and caches the job if it is archived; it returns false if something must be
+// read first. lookup holds what was already read for the job; nil means nothing.
 func (c *Core) checkExistence(id string, lookup *jobLookup) (known bool, err error) {
 	h := &c.history
 	since := uint64(0)
@@ -259,7 +263,8 @@
 		if lookup == nil || !lookup.recordAbsent {
 			return false, nil
 		}
-		// Its record may have moved shortly before it was read, and the watch may not show that yet.
+		// The record may have been archived shortly before it was read, and the watch may not have delivered
+		// that yet.
 		if since = lookup.recordAbsentAt; c.replica.revision >= since {
 			since = 0
 		}
@@ -275,7 +280,7 @@
 	return true, nil
 }
 
-// cacheFromBlock caches a job if a block holds it, and reports whether it does.
+// cacheFromBlock caches a job if a block contains it, and reports whether it does.
 func (c *Core) cacheFromBlock(block *archive.Block, revision uint64, id string) bool {
 	entry, ok := block.Find(id)
 	if ok {
@@ -285,20 +290,20 @@
 	return ok
 }
 
-// findCachedJob returns a job that is in memory, or in a block that is; nil: neither.
+// findCachedJob returns a job from memory or from a cached block; nil if it is in neither.
 func (c *Core) findCachedJob(id string) *job {
 	if c.history.markerRevision == 0 || c.knownJob(id) != nil {
 		return c.knownJob(id)
 	}
-	// A corrupt block answers for nothing, like one that is not cached.
+	// A corrupt block is treated like one that is not cached.
 	if block, revision, _ := c.history.blockCache.Lookup(id, 0); block != nil {
 		c.cacheFromBlock(block, revision, id)
 	}
 	return c.knownJob(id)
 }
 
-// notArchivedCompare is the condition on which a job known to be absent has not been archived meanwhile;
-// false if that must be looked up again.
+// notArchivedCompare returns the compare on which a job known not to exist has not been archived since. It
+// returns false if the job must be looked up again.
 func (c *Core) notArchivedCompare(id string) (wire.Compare, bool) {
 	if c.history.markerRevision == 0 {
 		return wire.Compare{Key: keyHistory}, true
@@ -307,14 +312,14 @@
 	if block == nil || err != nil {
 		return wire.Compare{}, false
 	}
-	if c.cacheFromBlock(block, revision, id) { // the block was read again since the job was submitted
+	if c.cacheFromBlock(block, revision, id) { // the block was read again after the job was submitted
 		return wire.Compare{}, false
 	}
 	return wire.Compare{Key: archive.BlockKey(block.High), Revision: revision}, true
 }
 
-// lookUpJob looks up a job, and then calls the callback: with false if that failed; with true, the job
-// is in memory or does not exist, as of the last read barrier.
+// lookUpJob looks up a job and then calls the callback. ok is false if the lookup failed; if it is true, the
+// job is in memory or does not exist as of the last read barrier.
 func (c *Core) lookUpJob(id string, callback func(ok bool)) {
 	h := &c.history
 	if c.knownJob(id) != nil {
@@ -327,7 +332,7 @@
 	}
 	lookup := h.lookups[id]
 	if lookup == nil {
-		// Lookups that would time out in the queue are refused at once.
+		// A lookup that would time out in the queue is refused at once.
 		maxQueued := max(minQueuedLookups, int(h.lookupReadRate()*lookupTimeout.Seconds()))
 		if len(h.lookupQueue) >= maxQueued || c.replica.isStoreUnreachable() {
 			callback(false)
@@ -340,8 +345,8 @@
 	lookup.callbacks = append(lookup.callbacks, callback)
 }
 
-// lookUpJobForRequest looks up a job for a request, and calls the callback with it; nil: there is none.
-// If that fails, it answers the request itself.
+// lookUpJobForRequest looks up a job for a request and calls the callback with it, or with nil if it does not
+// exist. If the lookup fails, lookUpJobForRequest responds to the request itself.
 func (c *Core) lookUpJobForRequest(requestID uint64, id string, callback func(j *job)) {
 	c.lookUpJob(id, func(ok bool) {
 		if found := c.knownJob(id); ok || found != nil {
@@ -352,7 +357,8 @@
 	})
 }
 
-// lookUpJobs looks up several jobs, and calls the callback once all are; with false if any failed.
+// lookUpJobs looks up several jobs and calls the callback when all lookups are complete. ok is false if any
+// of them failed.
 func (c *Core) lookUpJobs(ids []string, callback func(ok bool)) {
 	left, allOK := len(ids)+1, true
 	complete := func(ok bool) {
@@ -367,19 +373,19 @@
 	complete(true)
 }
 
-// lookupReadRate is how many reads a second lookups may send.
+// lookupReadRate returns the number of reads per second that lookups may send.
 func (h *history) lookupReadRate() float64 {
 	return h.cfg.History.ReadShare * h.reads.limiter.RequestRate
 }
 
-// refillReadTokens adds the reads that lookups may send since the last refill.
+// refillReadTokens refills the token bucket of lookup reads.
 func (h *history) refillReadTokens() {
 	rate := h.lookupReadRate()
 	h.readTokens = min(h.readTokens+(h.now-h.readTokensAt).Seconds()*rate, max(minLookupBurst, rate))
 	h.readTokensAt = h.now
 }
 
-// advanceLookups sends the next reads of the queued lookups, and fails those that have timed out.
+// advanceLookups sends the next reads of the queued lookups and fails the lookups that have timed out.
 func (c *Core) advanceLookups() {
 	h := &c.history
 	h.refillReadTokens()
@@ -398,7 +404,7 @@
 	h.lookupQueue = slices.DeleteFunc(h.lookupQueue, func(lookup *jobLookup) bool { return lookup.completed })
 }
 
-// completeLookup ends a lookup and calls its callbacks.
+// completeLookup completes a lookup and calls its callbacks.
 func (h *history) completeLookup(lookup *jobLookup, ok bool) {
 	lookup.completed = true
 	delete(h.lookups, lookup.jobID)
@@ -407,7 +413,7 @@
 	}
 }
 
-// tryCompleteLookup completes a lookup if its result is known now.
+// tryCompleteLookup completes a lookup if its result is now known, and reports whether it did.
 func (c *Core) tryCompleteLookup(lookup *jobLookup) bool {
 	if c.knownJob(lookup.jobID) != nil {
 		c.history.completeLookup(lookup, true)
@@ -420,8 +426,8 @@
 	return known || err != nil
 }
 
-// sendLookupRead sends the next read of a lookup: of the job's record, if there may be one, and then of
-// the block of its range.
+// sendLookupRead sends the next read of a lookup: first of the job's record, if it may have one, and then of
+// the block of its ID range.
 func (c *Core) sendLookupRead(lookup *jobLookup) {
 	h := &c.history
 	if c.tryCompleteLookup(lookup) {
@@ -433,7 +439,7 @@
 	case h.coldRecords > 0 && !lookup.recordAbsent:
 		c.Stats.RecordReads++
 		c.reads.readKey(keyJob+lookup.jobID, func(in RangeResult) { c.handleRecordRead(lookup, &in) })
-	case h.markerRevision == 0: // the watch does not show yet that the record moved, or that there is an archive
+	case h.markerRevision == 0: // the watch has not yet delivered the record's move or keyHistory
 		h.endRead(lookup)
 		c.replica.afterReadBarrier(func(bool) {})
 	default:
@@ -448,13 +454,13 @@
 	lookup.readInFlight = true
 }
 
-// endRead counts a read of a lookup as answered.
+// endRead counts a read of a lookup as complete.
 func (h *history) endRead(lookup *jobLookup) {
 	h.readsInFlight--
 	lookup.readInFlight = false
 }
 
-// handleRecordRead takes the result of reading the record of a job that is looked up.
+// handleRecordRead handles the result of reading the record of a job that is looked up.
 func (c *Core) handleRecordRead(lookup *jobLookup, in *RangeResult) {
 	c.history.endRead(lookup)
 	found := in.Status == wire.StatusOK && len(in.Items) == 1
@@ -462,8 +468,9 @@
 	case in.Status == wire.StatusNotFound:
 		lookup.recordAbsent, lookup.recordAbsentAt = true, in.Revision
 	case found && in.Items[0].Revision > c.replica.revision:
-		// The watch will show it, and it was never counted as cold. When it was counted out here, one
-		// cold job too few was left, and another that had been evicted was denied.
+		// The watch will deliver the record, and it was never counted as cold. Subtracting it from
+		// coldRecords makes the count too low, and requests for another job that was evicted are then
+		// answered as if it did not exist.
 		lookup.readInFlight = true
 		c.replica.afterReadBarrier(func(bool) {
 			lookup.readInFlight = false
@@ -480,7 +487,7 @@
 	c.tryCompleteLookup(lookup)
 }
 
-// handleBlockRead takes the result of reading a block for a lookup: it may complete other lookups too.
+// handleBlockRead handles the result of reading a block for a lookup. It may complete other lookups too.
 func (c *Core) handleBlockRead(lookup *jobLookup, ok bool) {
 	h := &c.history
 	h.endRead(lookup)
@@ -495,8 +502,8 @@
 	}
 }
 
-// cacheColdRecord caches the record of a job that was not in memory; false if it can't be decoded. A
-// record that is not final needs no caching: its job is in memory.
+// cacheColdRecord caches the record of a job that was not in memory. It returns false if the record can't be
+// decoded. A record that is not final needs no caching, because its job is in memory.
 func (c *Core) cacheColdRecord(id string, item wire.KeyValue) bool {
 	record, err := jobrecord.Decode(item.Value)
 	if err != nil {
@@ -510,7 +517,7 @@
 	return true
 }
 
-// handleRangeResult takes the result of a read of the store.
+// handleRangeResult handles the result of a range read of the store.
 func (c *Core) handleRangeResult(in RangeResult) {
 	callback := c.reads.takeCallback(in.ID)
 	if in.Status == wire.StatusTooManyRequests {
@@ -523,8 +530,8 @@
 	}
 }
 
-// readArchiveBlock reads the block of an ID's range into the cache, and then calls the callback; with
-// false if the store did not answer.
+// readArchiveBlock reads the block of an ID's range into the cache and then calls the callback. ok is false
+// if the store did not respond.
 func (h *history) readArchiveBlock(id string, callback func(ok bool)) {
 	h.reads.readPrefix(archive.BlockPrefix, archive.SeekKey(id), 1, func(in RangeResult) {
 		if in.Status != wire.StatusOK {
@@ -536,12 +543,12 @@
 	})
 }
 
-// cacheBlock caches the block that a read for an ID returned.
+// cacheBlock caches the block that was read for an ID.
 func (h *history) cacheBlock(id string, in *RangeResult) {
-	if in.Revision < h.lastMoveRevision { // a record has moved since: the block may be older than what is known
+	if in.Revision < h.lastMoveRevision { // the block may lack a record that was archived since
 		return
 	}
-	if len(in.Items) == 0 { // so far only keyHistory was written
+	if len(in.Items) == 0 { // only keyHistory was written so far
 		h.blockCache.Put(archive.EmptyBlock(), nil, 0, in.Revision)
 		return
 	}
@@ -551,7 +558,7 @@
 		err = errBlockRange
 	}
 	if err != nil {
-		h.log(LevelError, "corrupt block of ended jobs: cannot answer for jobs in its range",
+		h.log(LevelError, "corrupt archive block: requests for jobs in its range fail",
 			"key", item.Key, "err", err.Error())
 		high := strings.TrimPrefix(item.Key, archive.BlockPrefix)
 		h.blockCache.PutCorrupt(id, high, item.Revision, in.Revision)
@@ -560,7 +567,7 @@
 	h.blockCache.Put(block, item.Value, item.Revision, in.Revision)
 }
 
-// resolveDependencies looks up the dependencies of other jobs that are not known.
+// resolveDependencies looks up the unresolved dependencies of other jobs.
 func (c *Core) resolveDependencies() {
 	for _, dependency := range c.dependencies.unresolvedDue() {
 		if dependency.revision == 0 {
@@ -569,7 +576,7 @@
 	}
 }
 
-// applyHistoryMarker takes the write of keyHistory.
+// applyHistoryMarker applies a write of keyHistory.
 func (h *history) applyHistoryMarker(revision uint64) {
 	h.markerRevision = max(h.markerRevision, revision)
 }
--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -12,8 +12,8 @@
 	"dewlift/wire"
 )
 
-// archiveBlockPage is the result of reading the only block of an archive: blockRevision is that of its key,
-// storeRevision that of the store.
+// archiveBlockPage returns the result of reading the only block of an archive. blockRevision is that of the
+// block's key, and storeRevision that of the store.
 func archiveBlockPage(t *testing.T, blockRevision, storeRevision uint64, entries ...archive.Entry) RangeResult {
 	t.Helper()
 	block := archive.EmptyBlock().Merge(entries)
@@ -28,25 +28,25 @@
 	}
 }
 
-// event is the write of a key, as the watch shows it.
+// event returns the watch event of a write to a key.
 func event(key, value string, revision uint64) wire.WatchEvent {
 	return wire.WatchEvent{Put: key, Value: json.RawMessage(value), Revision: revision}
 }
 
-// watchEvents has the watch show events up to a revision of the store.
+// watchEvents delivers watch events up to a revision of the store.
 func watchEvents(c *Core, at time.Duration, revision uint64, events ...wire.WatchEvent) []Output {
 	changes := wire.WatchResponse{Revision: revision, Events: events}
 	c.Handle(at, WatchResult{LongPoll: true, Status: wire.StatusOK, Changes: changes})
 	return c.Advance(at)
 }
 
-// completeBarrier answers a read barrier: nothing has changed.
+// completeBarrier completes a read barrier without changes.
 func completeBarrier(c *Core, at time.Duration) []Output {
 	c.Handle(at, WatchResult{Status: wire.StatusOK, Changes: wire.WatchResponse{Revision: c.replica.revision}})
 	return c.Advance(at)
 }
 
-// answerRead answers the one read that is in flight.
+// answerRead responds to the one read that is in flight.
 func answerRead(t *testing.T, c *Core, at time.Duration, out []Output, in RangeResult) []Output {
 	t.Helper()
 	reads := outputsOfType[ReadRange](out)
@@ -58,7 +58,7 @@
 	return c.Advance(at)
 }
 
-// newCoreWithArchive returns a serving core that knows that there is an archive.
+// newCoreWithArchive returns a serving core that knows that an archive exists.
 func newCoreWithArchive(t *testing.T) *Core {
 	t.Helper()
 	c := newServingCore(t)
@@ -66,7 +66,7 @@
 	return c
 }
 
-// findAcceptTxn returns the transaction that writes a job's record; nil: there is none.
+// findAcceptTxn returns the transaction that writes a job's record, or nil if there is none.
 func findAcceptTxn(out []Output, id string) *CommitTxn {
 	for _, commit := range outputsOfType[CommitTxn](out) {
 		for _, write := range commit.Txn.Then {
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// A new job must not revive an archived one: its write is conditional on the block of its range being as
-// it was when it lacked the job, or, before there is an archive, on that. A transaction may be executed
-// minutes late, when the job was accepted elsewhere, ran, ended and was archived.
+// Accepting a new job must not recreate an archived one: a transaction may be executed minutes late, after
+// the job was accepted elsewhere, ran, ended and was archived. So the write is conditional on the block of
+// the job's ID range being unchanged since it was seen not to contain the job, or on there being no archive.
 func TestNewJobIsWrittenOnlyIfItIsNotArchived(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(time.Second, testSubmission("wk-1"))
@@ -106,7 +106,7 @@
 	if accept == nil || !slices.Contains(accept.Txn.Compare, blockUnchanged) {
 		t.Fatalf("got %+v", accept)
 	}
-	// It conflicts with a move into that block, which is read again and holds the job now.
+	// The write conflicts with a move into that block. The block is read again and now contains the job.
 	c.Handle(1400*time.Millisecond, TxnResult{
 		ID:     accept.ID,
 		Status: wire.StatusConflict,
@@ -128,7 +128,8 @@
 	}
 }
 
-// Requests for an archived job are answered as before it was archived; repeated ones need no read.
+// Requests for an archived job must be answered as before it was archived, and repeated ones must need no
+// further read.
 func TestArchivedJobIsAnswered(t *testing.T) {
 	c := newCoreWithArchive(t)
 	entry := archive.Entry{
@@ -149,7 +150,7 @@
 	)
 	c.Handle(1500*time.Millisecond, CancelJob{RequestID: 2, ID: "wk-7"})
 	c.Handle(1500*time.Millisecond, SubmitJob{RequestID: 3, ID: "wk-7", DecodeError: "nonsense"})
-	c.Handle(1500*time.Millisecond, WatchResult{LongPoll: true, Status: wire.StatusUnavailable}) // also in an outage
+	c.Handle(1500*time.Millisecond, WatchResult{LongPoll: true, Status: wire.StatusUnavailable}) // in an outage too
 	out = append(out, c.Advance(1500*time.Millisecond)...)
 	want := wire.JobState{
 		ID:          "wk-7",
@@ -167,7 +168,7 @@
 			t.Errorf("got %+v", response)
 		}
 	}
-	// The same block shows after a read barrier, without another read, that a job was never accepted.
+	// After a read barrier, the same block shows without another read that a job was never accepted.
 	c.Handle(1600*time.Millisecond, GetJob{RequestID: 4, ID: "wk-8"})
 	c.Advance(1600 * time.Millisecond)
 	out = completeBarrier(c, 1700*time.Millisecond)
@@ -175,7 +176,7 @@
 		len(outputsOfType[ReadRange](out)) != 0 {
 		t.Errorf("got %+v", out)
 	}
-	// After a move into its range, the cached block no longer shows that.
+	// After a move into its range, the cached block must no longer be used for that.
 	watchEvents(c, 1800*time.Millisecond, 20, wire.WatchEvent{Delete: keyJob + "wk-8", Revision: 20})
 	c.Handle(1900*time.Millisecond, GetJob{RequestID: 5, ID: "wk-8"})
 	c.Advance(1900 * time.Millisecond)
@@ -184,7 +185,8 @@
 	}
 }
 
-// A queued job may depend on one that ended and was archived before this controller started.
+// A queued job may depend on a job that ended and was archived before this controller started. The dependency
+// must be resolved from the archive.
 func TestDependencyArchivedBeforeStartIsResolved(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		c := newCoreWithArchive(t)
@@ -213,8 +215,8 @@
 	}
 }
 
-// Jobs may end and be archived while the watch is interrupted (status 410). They are unknown until the
-// archive is read: in the replica they still run.
+// Jobs may end and be archived while the watch is interrupted (status 410). As they still run according to
+// the replica, they must count as unknown until the archive is read.
 func TestJobArchivedWhileWatchWasInterrupted(t *testing.T) {
 	c := newCoreWithArchive(t)
 	watchEvents(
@@ -257,7 +259,8 @@
 	}
 }
 
-// A corrupt block must not deny a job that it may hold, nor let it be accepted again; all else is served.
+// A corrupt block must not cause a job that it may contain to be reported as missing or accepted again. All
+// other requests must be served.
 func TestCorruptBlockMakesItsRangeUnavailable(t *testing.T) {
 	c := newCoreWithArchive(t)
 	corrupt := archiveBlockPage(t, 9, 10, archive.Entry{ID: "wk-7", CompletedTasks: 2})
@@ -287,8 +290,8 @@
 	}
 }
 
-// At its start, a controller keeps only the jobs that ended last: a million ended jobs took more memory
-// than a controller has. The others are read on request.
+// A controller that starts must keep only the most recently ended jobs in memory, because a million ended
+// jobs exceed the memory of a controller. The others must be read on request.
 func TestSnapshotLoadBoundsEndedJobsInMemory(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(2*time.Second, WatchResult{LongPoll: true, Status: wire.StatusGone})
@@ -346,8 +349,8 @@
 	}
 }
 
-// A record has just moved: it is absent from the store, the cached block is older than the move, and the
-// watch does not show it yet. Only a block read after that may answer.
+// A record was just archived: it is absent from the store, the cached block is older than the move, and the
+// watch has not delivered the move yet. Only a block read after the move may be used to answer.
 func TestRecordMovesBetweenTwoReads(t *testing.T) {
 	c := newCoreWithArchive(t)
 	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"}) // caches the block
@@ -379,8 +382,8 @@
 	}
 }
 
-// newCoreWithArchiveSweep returns a leader with so many ended jobs that it has started a sweep, its outputs with
-// the first read of the sweep, and the page that answers it.
+// newCoreWithArchiveSweep returns a leader with enough ended jobs that it has started a sweep, its outputs
+// with the first read of the sweep, and the page that answers that read.
 func newCoreWithArchiveSweep(t *testing.T, jobs int) (*Core, []Output, RangeResult) {
 	t.Helper()
 	c := newCoreWithArchive(t)
@@ -415,7 +418,7 @@
 	return nil, nil, page
 }
 
-// findArchiveTxn returns the transaction that writes a block; nil: there is none.
+// findArchiveTxn returns the transaction that writes a block, or nil if there is none.
 func findArchiveTxn(out []Output) *CommitTxn {
 	for _, commit := range outputsOfType[CommitTxn](out) {
 		if slices.ContainsFunc(commit.Txn.Then, func(w wire.Write) bool {
@@ -427,9 +430,9 @@
 	return nil
 }
 
-// A move is one transaction, conditional on the leadership, the block and each record; the jobs that
-// ended last stay. After an unknown outcome all is read again, and a move that was executed late is not
-// repeated.
+// A move must be one transaction that is conditional on the leadership, the block and each record, and the
+// most recently ended jobs must not be archived. After an unknown outcome the records must be read again, and
+// a move that was executed late must not be repeated.
 func TestArchiveMoveIsOneTransaction(t *testing.T) {
 	c, out, page := newCoreWithArchiveSweep(t, 8)
 	at := c.now + 50*time.Millisecond
@@ -475,7 +478,7 @@
 }
 
 // When all controllers started at once with a long history, each read all keys at a fifth of the rate, and
-// none served for longer than a minute. The one that has read most goes on, the others wait.
+// none served for more than a minute. The controller that has read most must continue while the others wait.
 func TestControllersWaitForMostAdvancedSnapshotLoad(t *testing.T) {
 	for pages, ahead := range map[int]bool{10: false, 30: true} {
 		c := New(testConfig(), 0, 1)
@@ -504,7 +507,7 @@
 		if got := len(outputsOfType[LoadSnapshot](c.Advance(at))) == 0; got != ahead {
 			t.Errorf("another controller has read %d pages: this one waits %v", pages, got)
 		}
-		at += 2 * time.Second // no message from the other any more
+		at += 2 * time.Second // no more messages from the other controller
 		c.Advance(at)
 		if !c.replica.pageInFlight && len(outputsOfType[LoadSnapshot](c.Advance(at))) == 0 {
 			t.Error("it waits for a controller that is gone")
@@ -512,7 +515,7 @@
 	}
 }
 
-// A record that can't be decoded exists all the same: its job must not be answered with 404.
+// A record that can't be decoded exists nevertheless: requests for its job must not be answered with 404.
 func TestUndecodableRecordIsNotReportedAsMissing(t *testing.T) {
 	c := newServingCore(t)
 	watchEvents(c, 1100*time.Millisecond, 10, event(keyJob+"wk-7", `{"st":5}`, 10))
@@ -535,8 +538,8 @@
 	}
 }
 
-// The block of a new job's range was read again, for another request, between the job's submission and its
-// write, and holds it: a write conditional on that block would have revived it.
+// The block of a new job's ID range is read again for another request, between the job's submission and its
+// write, and now contains the job. A write that is conditional on that block would recreate the archived job.
 func TestBlockReadAfterSubmissionPreventsAcceptance(t *testing.T) {
 	c := newCoreWithArchive(t)
 	c.Handle(1200*time.Millisecond, GetJob{RequestID: 1, ID: "wk-1"}) // caches the block
@@ -562,15 +565,17 @@
 	}
 }
 
-// A record that is read before the watch has shown it is not one of those counted as cold. When it was
-// counted out, the next job that had been evicted from memory was denied, as no cold record seemed left.
+// A record that is read before the watch delivers it is not counted as cold, so it must not be subtracted
+// from the count. Otherwise the next request for a job that was evicted from memory is answered as if the job
+// did not exist, because no cold record seems to be left.
 func TestRecordAheadOfTheWatchIsNotCountedAsCold(t *testing.T) {
 	const cancelled = `{"h":0,"st":"c"}`
 	old, fresh := event(keyJob+"wk-000001", cancelled, 4), event(keyJob+"wk-000002", cancelled, 9)
 	c := newServingCore(t)
 	c.history.coldRecords = 1 // wk-000001, which was evicted from memory
 	now, shown := 1100*time.Millisecond, uint64(0)
-	// poll requests a job's state. It answers reads of records as they are, and read barriers up to shown.
+	// poll requests the state of a job. It answers record reads truthfully, and read barriers up to the
+	// revision shown.
 	poll := func(id string) (responses []Response) {
 		c.Handle(now, GetJob{RequestID: 1, ID: id})
 		for range 12 {
--- a/core/jobrecord/pack.go
+++ b/core/jobrecord/pack.go
@@ -10,14 +10,15 @@
 	"dewlift/wire"
 )
 
-// A packed record stores its lists column by column as differences between neighbours, which are
-// mostly the same small numbers, and compresses them: a job of 500 tasks on 500 machines takes about
-// a kilobyte. Records that fit a value unpacked stay readable JSON.
+// A packed record stores its lists column by column as differences between neighbours, which are mostly the
+// same small numbers, and compresses them: a job of 500 tasks on 500 machines takes about a kilobyte. Records
+// that fit in a value without packing remain readable JSON.
 
-// errMalformedLists is the error of packed lists that are truncated or contradict each other.
+// errMalformedLists is the error of packed lists that are truncated or inconsistent.
 var errMalformedLists = errors.New("malformed packed lists")
 
-// maxDecompressedBytes bounds the expansion of a packed value, so that a damaged one can't exhaust memory.
+// maxDecompressedBytes bounds the size of a packed value after decompression, so that a corrupt value can't
+// exhaust memory.
 const maxDecompressedBytes = 4 << 20
 
 // packLists moves the record's lists into PackedLists. The record's Spec is copied, not modified.
@@ -65,17 +66,18 @@
 	return nil
 }
 
-// listPacker appends lists to a buffer as variable-length numbers.
+// listPacker appends lists to a buffer as variable-length integers.
 type listPacker struct{ buf []byte }
 
 func (p *listPacker) putUint(v uint64)   { p.buf = binary.AppendUvarint(p.buf, v) }
 func (p *listPacker) putCount(v int)     { p.putUint(uint64(v)) }
 func (p *listPacker) putString(s string) { p.putCount(len(s)); p.buf = append(p.buf, s...) }
 
-// putDelta writes a number as its difference from another; the difference may wrap around.
+// putDelta appends the difference between two numbers, which may wrap around.
 func (p *listPacker) putDelta(v, from uint64) { p.buf = binary.AppendVarint(p.buf, int64(v-from)) }
 
-// putNames writes for each name the length of the prefix shared with the previous one, and the rest.
+// putNames appends, for each name, the length of the prefix shared with the previous name, and the rest of
+// the name.
 func (p *listPacker) putNames(names []string) {
 	p.putCount(len(names))
 	last := ""
@@ -90,10 +92,12 @@
 	}
 }
 
-// maxDecimalWidth is the most digits of which every number fits 64 bits, also as a signed difference.
+// maxDecimalWidth is the largest number of decimal digits for which every number and every signed difference
+// fits in 64 bits.
 const maxDecimalWidth = 18
 
-// decimalWidth returns the length of the names if all are decimal numbers of the same length, else 0.
+// decimalWidth returns the length of the names if all of them are decimal numbers of the same length, and 0
+// otherwise.
 func decimalWidth(names []string) int {
 	for _, name := range names {
 		if name == "" || len(name) > maxDecimalWidth || len(name) != len(names[0]) {
@@ -119,8 +123,8 @@
 	p.putTaskRuns(group.TaskRuns)
 }
 
-// putNameSuffixes writes the decimal width of the names and then their differences, or width 0 and
-// the names themselves.
+// putNameSuffixes appends the decimal width of the names followed by their differences, or width 0 followed
+// by the names themselves.
 func (p *listPacker) putNameSuffixes(suffixes []string) {
 	width := decimalWidth(suffixes)
 	p.putCount(width)
@@ -133,15 +137,15 @@
 	for _, suffix := range suffixes {
 		v, err := strconv.ParseUint(suffix, 10, 64)
 		if err != nil {
-			panic(err) // impossible: decimalWidth admits only numbers that fit
+			panic(err) // impossible: decimalWidth accepts only numbers that fit in 64 bits
 		}
 		p.putDelta(v, last)
 		last = v
 	}
 }
 
-// putTaskRuns writes the lengths of all runs, then the first tasks, then the first attempts, the
-// latter two as differences from the end of the previous run.
+// putTaskRuns appends the lengths of all runs, then the first tasks, and then the first attempts. The latter
+// two are differences from the end of the previous run.
 func (p *listPacker) putTaskRuns(runs []uint64) {
 	for i := 2; i < len(runs); i += runFields {
 		p.putUint(runs[i])
@@ -164,8 +168,8 @@
 	}
 }
 
-// listUnpacker reads what a listPacker wrote. malformed is set at the first inconsistency; after that
-// the values returned are meaningless, and readers stop.
+// listUnpacker reads what a listPacker wrote. malformed is set at the first inconsistency; from then on the
+// returned values are meaningless, and readers stop.
 type listUnpacker struct {
 	remaining []byte
 	malformed bool
@@ -181,8 +185,8 @@
 	return v
 }
 
-// readCount reads a number of items that follow, or another small number. It is bounded, so that a
-// damaged count can't make a reader allocate without limit.
+// readCount reads the number of items that follow, or another small number. The value is bounded, so that a
+// corrupt count can't make a reader allocate without limit.
 func (u *listUnpacker) readCount() int {
 	v := u.readUint()
 	if v > wire.MaxTasksPerJob {
@@ -237,7 +241,7 @@
 		group.RunsPerMachine = append(group.RunsPerMachine, n)
 		runs += n
 	}
-	if u.malformed || runFields*runs > len(u.remaining) { // each number takes a byte at least
+	if u.malformed || runFields*runs > len(u.remaining) { // each number takes at least one byte
 		u.malformed = true
 		return group
 	}
--- a/core/jobrecord/record.go
+++ b/core/jobrecord/record.go
@@ -1,7 +1,7 @@
-// Package jobrecord defines how jobs are stored in the key-value store: the job record in all its
-// schema versions, and the encoding of large values. It decides only representation. It owns no
-// state and may not depend on the scheduler: machines are dense indices chosen by the caller, and
-// machine names appear only when a record is encoded or decoded.
+// Package jobrecord defines how jobs are stored in the key-value store: the job record in all its schema
+// versions, and the encoding of large values. It decides only the representation, has no state and must not
+// depend on the scheduler: machines are dense indexes chosen by the caller, and machine names appear only
+// when a record is encoded or decoded.
 package jobrecord
 
 import (
@@ -26,51 +26,51 @@
 	Cancelled = "c"
 )
 
-// Record is the stored form of a job. The JSON keys are the stored format and must not change;
-// fields that came with a later schema version are optional.
+// Record is the stored form of a job. The JSON keys are the stored format and must not change. Fields that
+// were added in a later schema version are optional.
 type Record struct {
 	Shard          int                  `json:"h"`
 	Stage          string               `json:"st,omitempty"`
 	Spec           *wire.JobSpec        `json:"s,omitempty"` // absent once the job has ended
 	Assignments    []AssignmentGroup    `json:"a,omitempty"`
 	CompletedTasks TaskSet              `json:"d,omitempty"`
-	LastAttempt    uint64               `json:"t,omitempty"`  // highest attempt number allocated
+	LastAttempt    uint64               `json:"t,omitempty"`  // highest attempt number assigned so far
 	AcceptedAtMS   int64                `json:"at,omitempty"` // wall-clock time of acceptance
 	CancelledAtMS  int64                `json:"cm,omitempty"` // wall-clock time of cancellation
 	StopReasons    []StopReason         `json:"w,omitempty"`
-	Submitter      string               `json:"u,omitempty"`  // submitting identity, if permissions are in force
+	Submitter      string               `json:"u,omitempty"`  // identity of the submitter, if permissions are in force
 	Team           string               `json:"gt,omitempty"` // of an ended job, since schema version 3
 	Class          string               `json:"gc,omitempty"` // of an ended job, since schema version 3
 	CancelledByJob string               `json:"by,omitempty"` // cancelled dependency that caused the cancellation
 	PendingAudit   []audit.PendingEntry `json:"e,omitempty"`  // audit entries not yet written to a block
 	PackedLists    []byte               `json:"b,omitempty"`  // packed Assignments, CompletedTasks, Spec.Dependencies
-	// PriorityClass is the class the job was accepted into, if classes are configured; since schema
+	// PriorityClass is the class that the job was accepted into, if classes are configured. Since schema
 	// version 7.
 	PriorityClass string `json:"ln,omitempty"`
-	// EnqueueRevision is the revision of the job's acceptance, which orders the queue within its
-	// priority class. Absent: the revision of this write.
+	// EnqueueRevision is the revision of the job's acceptance, which orders the queue within its priority
+	// class. If it is absent, the revision of this write takes its place.
 	EnqueueRevision uint64 `json:"nr,omitempty"`
-	// RestoreOrder is set on a restored job: it precedes all jobs accepted since the restore, a larger
-	// value before a smaller one.
+	// RestoreOrder is set on a restored job: the job precedes all jobs accepted since the restore, and
+	// restored jobs with smaller values.
 	RestoreOrder uint64 `json:"ob,omitempty"`
-	// WriteNumber counts the writes of the job's key, since schema version 5; in an entry of a batch
-	// value, it is the number of the write that the entry builds on.
+	// WriteNumber counts the writes of the job's key. In an entry of a batch value, it is the number of the
+	// write that the entry builds on. Since schema version 5.
 	WriteNumber uint64 `json:"v,omitempty"`
 }
 
-// AssignmentGroup lists the tasks assigned to machines of one zone and one incarnation. Jobs of
-// hundreds of tasks fit a value because neighbours share common parts: the prefix of the machine
-// names, and runs of tasks with consecutive task and attempt numbers.
+// AssignmentGroup lists the tasks assigned to machines of one zone and one incarnation. Jobs of hundreds of
+// tasks fit in a value because neighbours share common parts: the prefix of the machine names, and runs of
+// tasks with consecutive task and attempt numbers.
 type AssignmentGroup struct {
 	Zone           string   `json:"z"` // a new shard owner needs it before the machine's first heartbeat
 	Incarnation    uint64   `json:"s"`
 	NamePrefix     string   `json:"p"` // common prefix of the machine names
 	NameSuffixes   []string `json:"m"` // rest of each machine name
 	RunsPerMachine []int    `json:"n"` // number of runs of each machine
-	TaskRuns       []uint64 `json:"r"` // three numbers a run: first task, its attempt, number of tasks
+	TaskRuns       []uint64 `json:"r"` // three numbers per run: first task, its attempt, number of tasks
 }
 
-// runFields is how many numbers describe a run in [AssignmentGroup.TaskRuns].
+// runFields is the number of values per run in [AssignmentGroup.TaskRuns].
 const runFields = 3
 
 // forEachRun calls visit for every run and reports whether the lists are consistent.
@@ -100,12 +100,12 @@
 	AtMS    int64  `json:"t"`
 }
 
-// maxStopReasons bounds the stop reasons kept in a record: the record must keep fitting a value.
+// maxStopReasons bounds the stop reasons in a record, so that the record continues to fit in a value.
 const maxStopReasons = 4
 
-// AddStopReason records why a task stopped and keeps only the most recent reasons. While no task of
-// the job has completed, errors are kept in preference to other reasons: they show the submitter
-// that the job itself is faulty.
+// AddStopReason records why a task stopped and keeps only the most recent reasons. While no task of the job
+// has completed, errors are kept in preference to other reasons, because they show the submitter that the job
+// itself is faulty.
 func (r *Record) AddStopReason(reason StopReason) {
 	r.StopReasons = append(r.StopReasons, reason)
 	if len(r.StopReasons) <= maxStopReasons {
@@ -192,7 +192,7 @@
 	return true
 }
 
-// ErrInvalid is the error of a record whose lists contradict each other.
+// ErrInvalid is the error of a record with inconsistent lists.
 var ErrInvalid = errors.New("inconsistent lists")
 
 // Decode reads a record of any schema version, packed or not.
@@ -226,7 +226,7 @@
 	name, zone string
 }
 
-// Encode renders a record with the given assignments, with packed lists if packed is set.
+// Encode encodes a record with the given assignments, with packed lists if packed is set.
 func Encode(r *Record, assignments []Assignment, packed bool, names MachineNames) (json.RawMessage, error) {
 	out := *r
 	out.Assignments = groupAssignments(sortedAssignments(assignments, names))
@@ -242,7 +242,7 @@
 	return raw, nil
 }
 
-// sortedAssignments orders assignments so that those which share a group, machine or run are adjacent.
+// sortedAssignments sorts assignments so that those of the same group, machine or run are adjacent.
 func sortedAssignments(assignments []Assignment, names MachineNames) []namedAssignment {
 	sorted := make([]namedAssignment, len(assignments))
 	for i, assignment := range assignments {
@@ -296,8 +296,8 @@
 	g.TaskRuns = append(g.TaskRuns, uint64(assignment.Task), assignment.Attempt, 1)
 }
 
-// extractNamePrefix moves the common prefix of all names to NamePrefix. The prefix ends between two
-// characters, because JSON would replace half a UTF-8 sequence.
+// extractNamePrefix moves the common prefix of all names to NamePrefix. The prefix ends at a character
+// boundary, because JSON would replace a partial UTF-8 sequence.
 func (g *AssignmentGroup) extractNamePrefix() {
 	n := len(g.NameSuffixes[0])
 	for _, name := range g.NameSuffixes {
@@ -312,8 +312,8 @@
 	}
 }
 
-// MaxGrowth returns by how many bytes a record with these assignments can grow while its tasks end
-// one by one. In the worst case every second task of a run ends first, which leaves one run and one
+// MaxGrowth returns the maximum number of bytes by which a record with these assignments can grow while its
+// tasks end one by one. In the worst case every second task of a run ends first, which leaves one run and one
 // completed range for each task.
 func (r *Record) MaxGrowth(assignments []Assignment) int {
 	if r.Spec == nil || r.Spec.Service {
@@ -324,8 +324,8 @@
 	return len(assignments) * (2*digits + separators)
 }
 
-// ExpandAssignments lists the record's assignments, one for each task. machineIndex returns the
-// caller's index of the machine with the given name and zone.
+// ExpandAssignments returns the record's assignments, one for each task. machineIndex returns the caller's
+// index of the machine with the given name and zone.
 func (r *Record) ExpandAssignments(machineIndex func(name, zone string) int32) []Assignment {
 	var out []Assignment
 	for i := range r.Assignments {
@@ -340,8 +340,8 @@
 	return out
 }
 
-// TeamAndClass returns the team and class that readers of the job need a grant for; both are empty
-// if they are no longer known.
+// TeamAndClass returns the team and class for which readers of the job need a grant. Both are empty if they
+// are no longer known.
 func (r *Record) TeamAndClass() (team, class string) {
 	if r.Spec != nil {
 		return r.Spec.Team, r.Spec.Class
@@ -349,8 +349,8 @@
 	return r.Team, r.Class
 }
 
-// UnassignedTasks lists up to limit tasks that are neither completed nor assigned, lowest first, so
-// that the completed set stays a few ranges.
+// UnassignedTasks returns up to limit tasks that are neither completed nor assigned, lowest first, so that
+// the set of completed tasks consists of few ranges.
 func (r *Record) UnassignedTasks(assignments []Assignment, limit int) []int32 {
 	assigned := make(map[int32]bool, len(assignments))
 	for _, assignment := range assignments {
@@ -394,7 +394,7 @@
 	return r
 }
 
-// ToArchive returns what is archived of an ended job's record.
+// ToArchive returns the archive entry of an ended job's record.
 func (r *Record) ToArchive(id string) archive.Entry {
 	entry := archive.Entry{
 		ID:             id,
--- a/core/jobrecord/record_test.go
+++ b/core/jobrecord/record_test.go
@@ -11,7 +11,7 @@
 	"dewlift/wire"
 )
 
-// A damaged packed value must be reported as an error and must not crash the controller.
+// A corrupt packed value must be reported as an error and must not crash the controller.
 func TestDamagedPackedRecordIsAnError(t *testing.T) {
 	r := &Record{
 		Assignments: []AssignmentGroup{
@@ -65,8 +65,8 @@
 	}
 }
 
-// The machine types must fit a value too: otherwise a controller that restarts during an outage of
-// the cloud can't serve.
+// A large catalog of machine types must fit in a value. Otherwise a controller that restarts during an outage
+// of the cloud can't serve requests.
 func TestLargeCatalogFitsValueLimit(t *testing.T) {
 	var catalog wire.Catalog
 	for i := range 20 {
@@ -91,7 +91,8 @@
 	}
 }
 
-// A stored record, damaged in any way, is an error or a record with the same content when encoded again.
+// A corrupt stored record is either an error or decodes to a record that keeps its content when it is encoded
+// again.
 func FuzzDecodeRecord(f *testing.F) {
 	for _, raw := range []string{
 		`{"h":1,"st":"d","d":[0,4]}`, `{"h":1,"st":"c","by":"wk-2","w":[{"i":1,"m":"m","c":"idle","t":5}]}`,
@@ -114,7 +115,7 @@
 			names, zones = append(names, name), append(zones, zone)
 			return int32(len(names) - 1)
 		}
-		for _, group := range r.Assignments { // longer runs than a controller writes would only be slow
+		for _, group := range r.Assignments { // longer runs than a controller writes only slow the test down
 			for i := 2; i < len(group.TaskRuns); i += 3 {
 				if group.TaskRuns[i] > 1000 {
 					return
@@ -149,7 +150,7 @@
 	}
 }
 
-// Restored jobs keep their order, before all jobs accepted later, also after repeated restores.
+// Restored jobs must keep their order and precede all jobs accepted later, also after repeated restores.
 func TestRestoredJobsKeepQueueOrder(t *testing.T) {
 	encode := func(r Record) json.RawMessage {
 		t.Helper()
@@ -169,7 +170,8 @@
 		return r.RestoreOrder
 	}
 	const snapshotRevision = 100
-	// In queue order: two restored earlier, one accepted at 10 and written again at 90, one accepted at 50.
+	// In queue order: two jobs restored earlier, one accepted at revision 10 and written again at 90, one
+	// accepted at 50.
 	var orders []uint64
 	for _, restored := range []json.RawMessage{
 		PrepareForRestore(encode(Record{RestoreOrder: 7, EnqueueRevision: 3}), 60, snapshotRevision),
--- a/core/jobrecord/value.go
+++ b/core/jobrecord/value.go
@@ -15,7 +15,7 @@
 	Data []byte `json:"b"`
 }
 
-// packValue compresses bytes into a value.
+// packValue compresses bytes into a stored value.
 func packValue(raw []byte) (json.RawMessage, error) {
 	data, err := compress.Deflate(raw)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return json.Marshal(compressedValue{data})
 }
 
-// PackMessage renders a protocol buffer message as a compressed value, deterministically.
+// PackMessage encodes a protocol buffer message deterministically as a compressed value.
 func PackMessage(message protobuf.Message) (json.RawMessage, error) {
 	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err == nil {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// EncodeCatalog renders machine types as JSON, or compressed if they exceed maxBytes and compression
-// is allowed. The result may still exceed maxBytes.
+// EncodeCatalog encodes the machine types as JSON, or compressed if the JSON exceeds maxBytes and mayPack is
+// set. The result may still exceed maxBytes.
 func EncodeCatalog(catalog *wire.Catalog, maxBytes int, mayPack bool) (json.RawMessage, error) {
 	raw, err := json.Marshal(catalog)
 	if err != nil || len(raw) <= maxBytes || !mayPack {
@@ -62,7 +62,7 @@
 	return packValue(raw)
 }
 
-// DecodeCatalog reads machine types, compressed or not.
+// DecodeCatalog decodes machine types, compressed or not.
 func DecodeCatalog(raw json.RawMessage) (wire.Catalog, error) {
 	var value struct {
 		compressedValue
--- a/core/latestarts.go
+++ b/core/latestarts.go
@@ -3,20 +3,24 @@
 import "time"
 
 const (
-	// lateStart is the time after its acceptance from which on the first running task of a job is logged.
+	// lateStartThreshold is the time from the acceptance of a job to its first running task above which the
+	// start is logged.
 	lateStartThreshold = time.Minute
-	// lateStartLogInterval bounds the lines about late starts: the jobs between two are counted.
+	// lateStartLogInterval is the least time between two log lines about late starts. The jobs in between are
+	// counted.
 	lateStartLogInterval = time.Second
 )
 
-// lateStartLog says why jobs began late: operators see the time that users waited, and not where it went.
+// lateStartLog limits the log lines about late starts. They show why jobs started late: users only see that
+// they waited.
 type lateStartLog struct {
 	nextAt     time.Duration
-	suppressed int // late starts since the last line
+	suppressed int // late starts since the last log line
 }
 
-// recordTaskRunning logs the first task of a job that runs, if that was long after the acceptance. Only the controller
-// that placed tasks of the job says so: one that took it over does not know whether it ran before.
+// recordTaskRunning records that a task of a job is running, and logs the job's first one if it started late.
+// Only the controller that placed tasks of the job logs it: one that took the job over does not know whether
+// it ran before.
 func (c *Core) recordTaskRunning(j *job) {
 	if j.placement.hasRun {
 		return
@@ -30,7 +34,7 @@
 		c.lateStarts.suppressed++
 		return
 	}
-	c.log(LevelInfo, "job began late", "job", j.id, "class", j.record.Spec.Class, "tasks", j.record.Spec.Tasks,
+	c.log(LevelInfo, "job started late", "job", j.id, "class", j.record.Spec.Class, "tasks", j.record.Spec.Tasks,
 		"after_ms", waited.Milliseconds(), "placed_ms", j.placedAfterMS(), "attempts", j.record.LastAttempt,
 		"why", j.record.StopReasons, "others", c.lateStarts.suppressed)
 	c.lateStarts = lateStartLog{nextAt: c.now + lateStartLogInterval}
--- a/core/latestarts_test.go
+++ b/core/latestarts_test.go
@@ -7,9 +7,10 @@
 	"dewlift/wire"
 )
 
-// What happens: an urgent job counts as started minutes late, and neither log nor metrics say where the time went. A
-// job whose first task runs a minute after its acceptance, or later, is logged once, with when its tasks were placed
-// and what stopped earlier ones; many such jobs give one line a second.
+// An urgent job counted as started minutes late, and neither logs nor metrics showed where the time went. A
+// job whose first task runs a minute after its acceptance or later must be logged once, with the time of its
+// placement and the reasons why earlier tasks stopped. Late starts of many jobs must cause at most one log
+// line per second.
 func TestLateStartIsLogged(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
@@ -32,7 +33,7 @@
 			c.Handle(at, WallClock{UnixMS: 1_700_000_000_000 + at.Milliseconds()})
 			c.Handle(at, AgentHeartbeat{RequestID: 10, Heartbeat: testHeartbeat(2+i, running)})
 			for _, line := range outputsOfType[LogLine](c.Advance(at)) {
-				if line.Message == "job began late" {
+				if line.Message == "job started late" {
 					lines++
 				}
 			}
--- a/core/machine.go
+++ b/core/machine.go
@@ -9,12 +9,12 @@
 	"dewlift/core/jobrecord"
 )
 
-// machine is all that this controller knows of a machine. It is interned by name and never freed.
+// machine is all that this controller knows of one machine. It is interned by name and never freed.
 type machine struct {
 	name  string
 	index int32 // in Core.machines
 
-	leaderView leaderMachineState // of use to the leader only
+	leaderView leaderMachineState // used only by the leader
 
 	identity   machineIdentity
 	status     agentStatus
@@ -25,71 +25,72 @@
 	ranking    rankCache
 }
 
-// machineIdentity is what the agent says of its machine. All but firstSeenAt is empty before the first heartbeat,
-// except for a zone that is known otherwise.
+// machineIdentity describes a machine as its agent reports it. Before the first heartbeat, all fields but
+// firstSeenAt are empty, except that the zone may be known from elsewhere.
 type machineIdentity struct {
 	address     string
 	machineType string
 	zone        string
 	spot        bool
-	firstSeenAt time.Duration // when this controller first knew of it
+	firstSeenAt time.Duration // when this controller first learned of the machine
 }
 
-// agentStatus is the last heartbeat of an agent and the status polls since.
+// agentStatus is the content of an agent's last heartbeat, and the status polls since.
 type agentStatus struct {
-	incarnation     uint64        // of the agent; it grows with each of its starts
+	incarnation     uint64        // of the agent; increases each time it starts
 	heartbeatSeq    uint64        // sequence number of the last heartbeat
 	fencingToken    uint64        // highest token that the agent has seen
-	reported        bool          // a heartbeat was applied; without it, this status is empty
-	lastHeartbeatAt time.Duration // last sign of life; before the first, when the machine became known
+	reported        bool          // a heartbeat was applied; otherwise the status is empty
+	lastHeartbeatAt time.Duration // last heartbeat or digest; before the first, when the machine became known
 	lastChangeAt    time.Duration // when its tasks or assignments last changed
 	lastPollAt      time.Duration // when it was last polled
-	polls           int           // polls since the last sign of life
-	digest          uint64        // of the tasks of the last heartbeat
+	polls           int           // polls since the last heartbeat
+	digest          uint64        // taskStatusDigest of the last heartbeat
 	tasks           map[attemptKey]taskStatus
-	images          map[string]bool // container images that it has run in this incarnation, so has cached
+	images          map[string]bool // container images run in this incarnation, which are therefore cached
 }
 
-// machineLifecycle is the end of a machine: interruption notice, return to the cloud, proof that it is gone.
+// machineLifecycle is the state of a machine's end: interruption notice, scale-in, and proof that it is gone.
 type machineLifecycle struct {
-	interruptionDeadline time.Duration // when the cloud takes it back; 0: there is no notice
-	gone                 bool          // it is proven that the machine, and all that ran on it, is gone
-	returnRequested      bool          // the cloud was asked to take it back
+	interruptionDeadline time.Duration // when the cloud interrupts the machine; 0: there is no notice
+	gone                 bool          // the machine and all tasks on it are proven to be gone
+	returnRequested      bool          // its scale-in was requested from the cloud
 }
 
-// machineCommands is the state of the commands to an agent. One request is in flight at a time.
+// machineCommands is the state of the commands to one agent. At most one request is in flight at a time.
 type machineCommands struct {
-	lastUnansweredAt time.Duration // when a request last stayed unanswered
+	lastUnansweredAt time.Duration // time of the last request without a response
 	attempts         map[attemptKey]*attempt
-	requestID        uint64       // of the request in flight; 0: there is none
+	requestID        uint64       // of the request in flight; 0: none
 	requestToken     uint64       // fencing token of that request
-	requestAttempts  []attemptKey // attempts that it starts
-	unanswered       int          // unanswered requests in a row
+	requestAttempts  []attemptKey // attempts that the request in flight starts
+	unanswered       int          // number of consecutive requests without a response
 	nextSendAt       time.Duration
-	nextClearAt      time.Duration // when ended tasks are cleared at the latest; 0: there are none
-	dirty            bool          // something changed since it was last examined
-	inDirtyList      bool          // it is in commandDispatch.dirtyMachines
+	nextClearAt      time.Duration // deadline for clearing ended tasks; 0: there are none
+	dirty            bool          // something changed since the machine was last examined
+	inDirtyList      bool          // the machine is in commandDispatch.dirtyMachines
 	lastExaminedAt   time.Duration
 }
 
-// machineAllocation is the committed assignments to a machine, and what follows from them.
+// machineAllocation is the committed assignments to a machine, and what is computed from them.
 type machineAllocation struct {
 	assignments    map[taskKey]jobrecord.Assignment
-	allocated      clusterstate.Resources // cached sum of their requests, valid if known
+	allocated      clusterstate.Resources // cached sum of the requests of the assigned tasks
 	allocatedValid bool
-	busyHorizon    time.Duration // cached time until its tasks end, as of busyHorizonAt
+	busyHorizon    time.Duration // cached time until the machine's tasks end, as of busyHorizonAt
 	busyHorizonAt  time.Duration
 }
 
-// machineHealth is the failures on a machine: the back-off after them, and the evidence that it is faulty.
+// machineHealth is the record of failures on a machine: the back-off after them, and the evidence that it is
+// faulty.
 type machineHealth struct {
-	avoidUntil    time.Duration // no tasks are placed there before
+	avoidUntil    time.Duration // no tasks are placed there before this time
 	failures      int
 	lastFailureAt time.Duration
-	failedJobs    map[int32]bool // jobs, by index, that failed there since a task last completed
+	failedJobs    map[int32]bool // by job index: jobs that failed there since a task last completed
 }
 
-// rankCache is this controller's cached rank among those that may place tasks on a machine.
+// rankCache caches this controller's rank among the controllers that may place tasks on a machine.
 type rankCache struct {
 	nodesVersion uint64 // controllerSet.nodesVersion that the rank was computed for
 	rank         int    // 0 is the first
@@ -98,34 +99,34 @@
 // taskStatus is the status of a task in the last heartbeat of its machine.
 type taskStatus struct {
 	state        string
-	cause        string // why it ended; "": it has not
+	cause        string // why the task ended; "": it has not
 	checkpointed bool
-	stateSince   time.Duration // when this controller first saw this status
+	stateSince   time.Duration // when this controller first received this status
 }
 
-// equal compares two statuses, but for the time when they were seen.
+// equal reports whether two statuses are the same, regardless of when they were received.
 func (p taskStatus) equal(q taskStatus) bool {
 	return p.state == q.state && p.cause == q.cause && p.checkpointed == q.checkpointed
 }
 
-// attempt is what this controller knows of the commands that it sent for an attempt.
+// attempt is what this controller knows of the commands that it sent for an attempt of a task.
 type attempt struct {
-	startInFlight bool // a start of it is in the request in flight
-	// highest fencing token of an unanswered request with a start of it: that one may be executed late,
-	// until the machine has seen a higher token; 0: there is none
+	startInFlight bool // the request in flight contains a start of the attempt
+	// Highest fencing token of an unanswered request with a start of the attempt, which may be executed late
+	// until the machine has seen a higher token; 0: there is none.
 	maxUnansweredToken  uint64
-	lastCommandAt       time.Duration // when a command for it was last sent
-	commandSent         bool          // lastCommandAt holds off the next command
-	stopReason          string        // why it is to be stopped; "": it is not
+	lastCommandAt       time.Duration // when a command for the attempt was last sent
+	commandSent         bool          // the next command must wait for the retry interval after lastCommandAt
+	stopReason          string        // why the attempt must be stopped; "": it need not be
 	stopGraceSeconds    float64
-	failureCounted      bool // its failure is in the back-off
-	resourcesReleased   bool // its finish was recorded as an allocation delta
-	orphanCheckInFlight bool // a read barrier to check that its job exists is in flight
-	isOrphan            bool // its job does not exist
-	resentAtOnce        bool // a command other than its start has been let past the retry interval
+	failureCounted      bool // its failure was counted in the back-off
+	resourcesReleased   bool // the release of its resources was recorded as an allocation delta
+	orphanCheckInFlight bool // a read barrier that checks whether its job exists is in flight
+	isOrphan            bool // the read barrier has shown that its job does not exist
+	resentAtOnce        bool // a command was already allowed within the retry interval
 }
 
-// machineTable is the machines that this controller knows, interned by index.
+// machineTable holds the machines that this controller knows, interned by index.
 type machineTable struct {
 	*environment
 
@@ -134,7 +135,8 @@
 	aliveMachines []*machine // machines that are not known to be gone, or have assignments
 }
 
-// internMachine returns the machine with a name, which becomes known with it. Its silence counts from then on.
+// internMachine returns the machine with a name and adds it if it is not known yet. The silence of a new
+// machine counts from then on.
 func (t *machineTable) internMachine(name string) *machine {
 	if i, ok := t.machineIndex[name]; ok {
 		return t.machines[i]
@@ -152,7 +154,8 @@
 	return m
 }
 
-// internMachineInZone returns the index of the machine with a name. The zone is for a machine without a heartbeat.
+// internMachineInZone returns the index of the machine with a name. The zone is used until the machine's
+// first heartbeat.
 func (t *machineTable) internMachineInZone(name, zone string) int32 {
 	m := t.internMachine(name)
 	if m.identity.zone == "" {
@@ -161,14 +164,14 @@
 	return m.index
 }
 
-// currentAssignment returns the committed assignment of an attempt to a machine, if there is one of the
-// machine's present incarnation.
+// currentAssignment returns the committed assignment of an attempt to a machine, and whether there is one for
+// the machine's current incarnation.
 func (m *machine) currentAssignment(key attemptKey) (jobrecord.Assignment, bool) {
 	assignment, ok := m.allocation.assignments[taskKey{key.jobIndex, key.task}]
 	return assignment, ok && assignment.Attempt == key.attempt && assignment.Incarnation == m.status.incarnation
 }
 
-// attemptOf returns the command state of an attempt on a machine, new if there is none.
+// attemptOf returns the command state of an attempt on a machine, and creates it if there is none.
 func (s *machineCommands) attemptOf(key attemptKey) *attempt {
 	record := s.attempts[key]
 	if record == nil {
@@ -178,7 +181,7 @@
 	return record
 }
 
-// markDirty has dispatchCommands examine a machine.
+// markDirty makes dispatchCommands examine a machine.
 func (d *commandDispatch) markDirty(m *machine) {
 	m.commands.dirty = true
 	if !m.commands.inDirtyList {
@@ -187,13 +190,13 @@
 	}
 }
 
-// markTasksChanged invalidates what was computed from a machine's tasks, and has it examined.
+// markTasksChanged invalidates what was computed from a machine's tasks and marks the machine dirty.
 func (d *commandDispatch) markTasksChanged(m *machine) {
 	m.status.lastChangeAt, m.allocation.allocatedValid = d.now, false
 	d.markDirty(m)
 }
 
-// markMachineGone records the proof that a machine, and all that ran on it, is gone.
+// markMachineGone records the proof that a machine and all tasks on it are gone.
 func (c *Core) markMachineGone(m *machine) {
 	if m.lifecycle.gone {
 		return
@@ -206,9 +209,9 @@
 	}
 }
 
-// markTasksLost has the jobs examined whose tasks were lost with a machine or an incarnation of its agent. The
-// machines of a lost zone are found one after the other, so a batch job waits for a moment to be written
-// once for many of them; services do not wait.
+// markTasksLost marks the jobs dirty whose tasks were lost with a machine or with an incarnation of its
+// agent. The machines of a lost zone are detected one after the other, so a batch job waits for a moment, so
+// that one write covers many of its lost tasks; services do not wait.
 func (c *Core) markTasksLost(m *machine) {
 	for _, lost := range m.sortedAssignments() {
 		j := c.jobs[lost.jobIndex]
@@ -228,7 +231,8 @@
 	jobrecord.Assignment
 }
 
-// sortedAssignments lists a machine's assignments by job and task: maps have no fixed order, and outputs must.
+// sortedAssignments returns a machine's assignments ordered by job and task, because outputs must not depend
+// on the order of map iteration.
 func (m *machine) sortedAssignments() []jobAssignment {
 	out := make([]jobAssignment, 0, len(m.allocation.assignments))
 	for k, a := range m.allocation.assignments {
@@ -240,7 +244,7 @@
 	return out
 }
 
-// sortedAttemptKeys lists the attempts that a machine reported, in a fixed order.
+// sortedAttemptKeys returns the attempts that a machine reported, in a fixed order.
 func (m *machine) sortedAttemptKeys() []attemptKey {
 	out := make([]attemptKey, 0, len(m.status.tasks))
 	for k := range m.status.tasks {
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// implausibleSilences is how many machines must be silent before the silence of a majority counts as this
-	// controller's own fault.
+	// minSilentWhenIsolated is the least number of silent machines, if they are the majority, from which this
+	// controller considers itself isolated.
 	minSilentWhenIsolated = 2
-	// minSilentInZone is how many machines of a zone must be silent for the zone to count as unreachable.
+	// minSilentInZone is the least number of silent machines of a zone from which the zone may count as
+	// unreachable.
 	minSilentInZone = 3
-	// silentZoneBlock is how long nothing is rented in an unreachable zone, renewed by every check.
+	// unreachableZoneBlock is how long scale-out in an unreachable zone is blocked; every check renews it.
 	unreachableZoneBlock = 3 * time.Second
-	// defaultBootTime stands for the boot time of a machine type that the catalog does not know.
+	// defaultBootTime is the boot time assumed for a machine type that the catalog does not contain.
 	defaultBootTime = 30 * time.Second
-	// noticeMargin is how long before its interruption a machine is returned.
+	// noticeMargin is how long before its interruption a machine is scaled in.
 	noticeMargin = 1500 * time.Millisecond
-	// deafSilenceMargin is added to the lease of agents before a machine is returned as silent by a controller
-	// that may be the one at fault: by then the agent has stopped its tasks itself.
+	// isolatedSilenceMargin is added to the agents' lease TTL to get the silence after which a controller
+	// that may be isolated scales in a machine: by then the agent has stopped its tasks itself.
 	isolatedSilenceMargin = 10 * time.Second
 )
 
-// Reasons for the return of a machine, as they are logged.
+// Reasons for the scale-in of a machine, as they are logged.
 const (
 	returnBootTimeout  = "boot timeout"
 	returnInterruption = "interruption notice"
@@ -32,7 +33,7 @@
 	returnFaulty       = "faulty"
 )
 
-// machineCounts counts machines that have reported, and those of them that are silent.
+// machineCounts counts the machines that have reported, and the silent ones among them.
 type machineCounts struct{ up, silent int }
 
 // add counts a machine that has reported.
@@ -48,13 +49,13 @@
 	core        *Core
 	leader      *leaderState
 	all         machineCounts
-	zones       map[string]*machineCounts // after findUnreachableZones: the unreachable ones
-	isIsolated  bool                      // most machines are silent at once: this controller is rather at fault
-	pollTargets []string                  // machines for a peer to poll
+	zones       map[string]*machineCounts // by zone; after findUnreachableZones, only unreachable zones
+	isIsolated  bool                      // most machines are silent, so this controller is probably isolated
+	pollTargets []string                  // names of machines that a peer is to poll
 }
 
-// checkMachines finds the machines to return: silent and faulty ones, those that did not boot in time, and those
-// about to be interrupted. Others whose heartbeat is overdue are polled.
+// checkMachines determines the machines to scale in: silent and faulty ones, those that did not boot in time,
+// and those about to be interrupted. It polls other machines whose heartbeats are overdue.
 func (c *Core) checkMachines() {
 	check := machineCheck{core: c, leader: c.leaderState, zones: map[string]*machineCounts{}}
 	check.countSilent()
@@ -67,7 +68,7 @@
 	c.leaderState.requestPollsByPeer(c, check.pollTargets)
 }
 
-// countSilent counts the machines, and those that will soon be silent for too long, by zone and in all.
+// countSilent counts the machines, and those that will soon exceed the silence timeout, by zone and in total.
 func (k *machineCheck) countSilent() {
 	c := k.core
 	for _, m := range c.aliveMachines {
@@ -86,8 +87,8 @@
 	k.isIsolated = k.all.silent*2 > k.all.up && k.all.silent >= minSilentWhenIsolated
 }
 
-// findUnreachableZones keeps only the unreachable zones, and blocks scale-out there: what is rented in one could not
-// be used.
+// findUnreachableZones reduces zones to the unreachable ones and blocks scale-out there, because new machines
+// in an unreachable zone could not be used.
 func (k *machineCheck) findUnreachableZones() {
 	c := k.core
 	for zone, count := range k.zones {
@@ -104,7 +105,7 @@
 	}
 }
 
-// checkMachine marks a machine for return or polls it.
+// checkMachine marks a machine for scale-in or polls it.
 func (k *machineCheck) checkMachine(m *machine) {
 	c := k.core
 	quiet := c.now - m.status.lastHeartbeatAt
@@ -121,7 +122,8 @@
 	}
 }
 
-// returnReason is why a machine without a heartbeat for so long must be returned; "" if it need not.
+// returnReason returns why a machine without a heartbeat for the given time must be scaled in; "" if it need
+// not be.
 func (k *machineCheck) returnReason(m *machine, quiet time.Duration) string {
 	c := k.core
 	deadline := m.lifecycle.interruptionDeadline
@@ -143,8 +145,8 @@
 	return ""
 }
 
-// bootTimedOut reports whether a machine has taken too long for its first heartbeat. A new leader does not know
-// when it was rented, and waits as if it had been rented one boot time before its term.
+// bootTimedOut reports whether a machine has taken too long until its first heartbeat. A new leader does not
+// know when the machine was started, and waits as if that had been one boot time before its term.
 func (k *machineCheck) bootTimedOut(m *machine) bool {
 	c := k.core
 	boot := cmp.Or(c.autoscaler.nominalBootTime(m.identity.machineType), defaultBootTime)
@@ -152,15 +154,15 @@
 	return c.now-since > scaleDuration(boot, c.cfg.Autoscaling.BootTimeoutFactor)+c.cfg.Autoscaling.CloudListLag*2
 }
 
-// awaitsReplacement reports whether a machine of an unreachable zone is kept until a replacement is up.
+// awaitsReplacement reports whether a machine of an unreachable zone is kept until its replacement is up.
 func (k *machineCheck) awaitsReplacement(m *machine, quiet time.Duration) bool {
 	c := k.core
 	grace := c.autoscaler.unreachableZoneGrace(m, c.agents.silenceTimeout())
 	return quiet < grace && !m.delayMissesDeadline(c.jobs, c.unixMS(), grace-quiet)
 }
 
-// isSilent reports whether a machine without a heartbeat for so long is to be given up. A new leader first
-// listens for as long itself.
+// isSilent reports whether a machine without a heartbeat for the given time counts as lost. A new leader
+// first waits for heartbeats for the silence timeout itself.
 func (k *machineCheck) isSilent(quiet time.Duration) bool {
 	c := k.core
 	if quiet <= c.agents.silenceTimeout() || c.now-k.leader.leadingSince <= c.agents.silenceTimeout() {
@@ -169,18 +171,19 @@
 	return !k.isIsolated || quiet > c.cfg.Agents.LeaseTTL+isolatedSilenceMargin
 }
 
-// unreachableZoneGrace is how long the machines of an unreachable zone are kept. The zone may only be partitioned, and
-// its tasks run on until the agents' leases expire. So replacements are rented first, and these machines are returned
-// when the replacements should be up: when they were returned at once, all tasks there ended with nothing up to
-// take them.
+// unreachableZoneGrace returns how long the machines of an unreachable zone are kept. The zone may only be
+// partitioned, and its tasks run on until the agents' leases expire. So replacements are started first, and
+// these machines are scaled in when the replacements should be up. Scaling them in at once would end all
+// tasks there while no machine is up to take them.
 func (a *autoscalerState) unreachableZoneGrace(m *machine, silenceTimeout time.Duration) time.Duration {
 	bootTime := a.nominalBootTime(m.identity.machineType)
 	ready := silenceTimeout + bootTime + a.cfg.Autoscaling.ScaleOutLeadTime
 	return max(silenceTimeout, min(ready, a.cfg.Agents.LeaseTTL-a.cfg.Autoscaling.ScaleOutLeadTime))
 }
 
-// delayMissesDeadline reports whether waiting would make a task of a machine miss a deadline, its job's own or
-// that of a dependent job. Machines with replicas of services are not given up for it: these go on serving.
+// delayMissesDeadline reports whether waiting would make a task of a machine miss the deadline of its job or
+// of a dependent job. It is false for a machine with service replicas, because these go on serving while the
+// machine is kept.
 func (m *machine) delayMissesDeadline(jobs []*job, nowMS int64, wait time.Duration) bool {
 	misses := false
 	for task, assignment := range m.allocation.assignments {
--- a/core/maintenance.go
+++ b/core/maintenance.go
@@ -7,19 +7,19 @@
 	"dewlift/overload"
 )
 
-// compactionInterval is the time between two compactions of the lists that are walked often.
+// compactionInterval is the time between two compactions of the lists that are iterated often.
 const compactionInterval = time.Second
 
-// maintenanceState is when periodic upkeep is due: the compaction of lists, and the full scan, a
-// safeguard against changes that marked nothing dirty.
+// maintenanceState schedules periodic maintenance: the compaction of lists, and the full scan, a safeguard
+// against changes that failed to mark something dirty.
 type maintenanceState struct {
 	*environment
 	nextCompactionAt time.Duration
 	nextFullScanAt   time.Duration
 }
 
-// runMaintenance drops entries without further work from the lists that are walked often, and runs
-// the full scan.
+// runMaintenance removes entries without further work from the lists that are iterated often, and runs the
+// full scan when it is due.
 func (c *Core) runMaintenance() {
 	if c.now < c.maintenance.nextCompactionAt {
 		return
@@ -44,8 +44,8 @@
 	}
 }
 
-// needsAttention reports whether a job has something to write or answer now, or will have without
-// being marked dirty first. A job that waits only for dependencies is marked when these end.
+// needsAttention reports whether a job has something to write or respond to now, or may have later without
+// being marked dirty first. A job that only waits for dependencies is marked dirty when these end.
 func (j *job) needsAttention() bool {
 	if j.mustBeExamined() || j.write.inFlight {
 		return true
@@ -56,7 +56,7 @@
 	return j.unmetDependencies <= 0 || j.cancelledBy != nil || len(j.assignments) > 0
 }
 
-// isFullScanDue reports whether the full scan is to run now. Under load it runs half as often.
+// isFullScanDue reports whether the full scan must run now. Under load it runs half as often.
 func (m *maintenanceState) isFullScanDue(level overload.Level) bool {
 	due := m.nextFullScanAt
 	if level != overload.Normal {
@@ -65,7 +65,8 @@
 	return m.now >= due
 }
 
-// runFullScan marks all open jobs and alive machines dirty. Otherwise only what changed is examined.
+// runFullScan marks all open jobs and alive machines dirty. Between full scans, only what changed is
+// examined.
 func (c *Core) runFullScan() {
 	c.maintenance.nextFullScanAt = c.now + c.cfg.Scheduling.FullScanInterval
 	for _, open := range c.openJobs {
