--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -9,33 +9,35 @@
 	"dewlift/wire"
 )
 
-// A job that was submitted with a mistake fails on every machine until its user cancels it. Its record
-// tells every controller: nothing of it has completed, and its last tasks failed. From then on only a
-// few of its tasks run at a time, on machines where it has not failed, and it causes little scale out.
-// A job that failed on several machines says nothing about them; one that failed on a single machine
-// may have met a faulty one.
+// A faulty job fails on every machine until its user cancels it. Its record shows that to every controller:
+// none of its tasks has completed, and its most recent tasks failed. From then on only a few of its tasks run
+// at a time, on machines where it has not failed, and it causes little scale-out. A job that failed on
+// several machines is no evidence against them; a job that failed on a single machine may have met a faulty
+// one.
 
 const (
-	// failingThreshold is the count of errors, of the stop reasons that a record keeps, that makes a job failing.
+	// failingThreshold is the number of errors among the stop reasons in a record from which the job counts
+	// as failing.
 	failingThreshold = 3
-	// failureWindow is the age after which an error no longer counts: a service that once met faulty
-	// machines must start at once when it is lost as a whole.
+	// failureWindow is the age from which an error no longer counts: a service that once ran on faulty
+	// machines must start at once when all its replicas are lost.
 	failureWindow = 5 * time.Minute
-	// steadyAfter is how long a task must have run to show that more tasks of its job may be tried.
+	// steadyAfter is how long a task must have run before more tasks of its failing job may be tried.
 	steadyAfter = 10 * time.Second
-	// quarantineJobThreshold is the count of jobs failing on a machine that quarantines it.
+	// quarantineJobThreshold is the number of jobs that failed on a machine from which it is quarantined.
 	quarantineJobThreshold = 3
-	// returnHealthyJobThreshold is the count of these jobs, healthy elsewhere, that proves a machine faulty.
+	// returnHealthyJobThreshold is the number of these jobs that must be healthy elsewhere to prove the
+	// machine faulty.
 	returnHealthyJobThreshold = 2
-	// avoidFailedMachineFor is how long a job avoids a machine where it failed. It is bounded because
-	// there may be no other machine.
+	// avoidFailedMachineFor is how long a job avoids a machine where it failed. It is bounded because there
+	// may be no other machine.
 	avoidFailedMachineFor = 30 * time.Second
-	// quarantineDuration is the time from the last failure on a quarantined machine until it is tried
-	// again, if it was not proven faulty.
+	// quarantineDuration is the time from the last failure on a quarantined machine until it is used again,
+	// unless it was proven faulty.
 	quarantineDuration = time.Minute
 )
 
-// isFailing reports whether a job, by its record, has done nothing but fail recently.
+// isFailing reports whether a job, according to its record, has only failed recently and completed nothing.
 func isFailing(r *jobrecord.Record, nowMS int64) bool {
 	if r == nil || r.CompletedTasks.Count() > 0 {
 		return false
@@ -49,8 +51,8 @@
 	return failures >= failingThreshold
 }
 
-// failsEverywhere reports whether a job, by its record, seems to fail on every machine: it is failing,
-// and its errors are of more than one machine.
+// failsEverywhere reports whether a job, according to its record, seems to fail on every machine: it is
+// failing, and its errors are from more than one machine.
 func failsEverywhere(r *jobrecord.Record, nowMS int64) bool {
 	first := ""
 	return isFailing(r, nowMS) && slices.ContainsFunc(r.StopReasons, func(reason jobrecord.StopReason) bool {
@@ -62,9 +64,9 @@
 	})
 }
 
-// recentlyFailedMachines lists the machines on which tasks of a job failed recently, while nothing of
-// it has completed. It is tried elsewhere first: otherwise its tasks went to the same machine again
-// and again, and a faulty job could not be told from a faulty machine.
+// recentlyFailedMachines returns the machines on which tasks of a job failed recently, unless any of its
+// tasks has completed. The job is tried elsewhere first. Otherwise its tasks go to the same machine again and
+// again, and a faulty job can't be distinguished from a faulty machine.
 func recentlyFailedMachines(r *jobrecord.Record, nowMS int64) (machines []string) {
 	if r.CompletedTasks.Count() > 0 {
 		return nil
@@ -77,14 +79,15 @@
 	return machines
 }
 
-// maxTasksWhileFailing is how many tasks of a failing job may be assigned at a time: one, and two more
-// for each that keeps running. Nothing of a service ever completes, nor soon of an array of long
-// tasks, and a job that only met a few faulty machines must get on.
+// maxTasksWhileFailing returns how many tasks of a failing job may be assigned at a time: one, and two more
+// for each that keeps running. The limit must grow without completed tasks, because those of a service never
+// complete and those of an array of long tasks not soon, and a job that only met a few faulty machines must
+// make progress.
 func (c *Core) maxTasksWhileFailing(j *job, assignments []jobrecord.Assignment) int {
 	return 1 + 2*c.countSteadyTasks(j, assignments)
 }
 
-// countSteadyTasks counts the assigned tasks of a job that have run for steadyAfter.
+// countSteadyTasks counts the assigned tasks of a job that have run for at least steadyAfter.
 func (c *Core) countSteadyTasks(j *job, assignments []jobrecord.Assignment) (steady int) {
 	for _, assignment := range assignments {
 		m := c.machines[assignment.Machine]
@@ -97,8 +100,8 @@
 	return steady
 }
 
-// isQuarantined reports whether a machine seems to fail every task: several jobs have failed on it
-// since a task last completed there. A job that fails everywhere does not count. jobs is Core.jobs.
+// isQuarantined reports whether a machine seems to fail every task: several jobs have failed on it since a
+// task last completed there. Jobs that fail everywhere do not count. jobs is Core.jobs.
 func (h *machineHealth) isQuarantined(env *environment, jobs []*job) bool {
 	if len(h.failedJobs) < quarantineJobThreshold || env.now-h.lastFailureAt >= quarantineDuration {
 		return false
@@ -112,7 +115,7 @@
 	return failed >= quarantineJobThreshold
 }
 
-// isProvenFaulty reports whether a quarantined machine must be returned: jobs that failed on it are
+// isProvenFaulty reports whether a quarantined machine must be scaled in because jobs that failed on it are
 // healthy elsewhere.
 func (c *Core) isProvenFaulty(m *machine) bool {
 	if !m.health.isQuarantined(c.environment, c.jobs) {
@@ -127,7 +130,7 @@
 	return healthy >= returnHealthyJobThreshold
 }
 
-// isHealthyJob reports whether tasks of a job have completed, or keep running.
+// isHealthyJob reports whether tasks of a job have completed or keep running.
 func (c *Core) isHealthyJob(j *job) bool {
 	if j.record == nil {
 		return false
@@ -137,7 +140,7 @@
 		c.countSteadyTasks(j, j.assignments) > 0
 }
 
-// failureExplanation tells the user of a failing job what becomes of it.
+// failureExplanation returns the note that tells the user of a failing job how it is handled.
 func failureExplanation(r *jobrecord.Record, nowMS int64) string {
 	if failsEverywhere(r, nowMS) {
 		return "nothing of it has completed, and its tasks failed on several machines: it was probably " +
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -10,9 +10,9 @@
 	"dewlift/wire"
 )
 
-// A job with a mistake kept the machines that it failed on from all work for up to half a minute, was
-// started whole again and again, and had healthy machines returned. Its record must tell it from a
-// faulty machine, at every controller.
+// A faulty job blocked the machines that it failed on for all jobs for up to half a minute, was restarted
+// with all its tasks again and again, and had healthy machines scaled in. Every controller must be able to
+// tell from its record that the job is faulty and not the machine.
 func TestFailingJobIsDistinguishedFromFaultyMachine(t *testing.T) {
 	for name, test := range map[string]struct {
 		history                  string // pairs of machine and cause, or "done"
@@ -39,8 +39,8 @@
 	}
 }
 
-// recordWithHistory is the record of a job with stop reasons, written as pairs of machine and cause, and
-// completed tasks, written as "done".
+// recordWithHistory returns the record of a job with stop reasons, given as pairs of machine and cause, and
+// completed tasks, given as "done".
 func recordWithHistory(history string) *jobrecord.Record {
 	record := &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 9}}
 	fields := strings.Fields(history)
@@ -55,9 +55,9 @@
 	return record
 }
 
-// Three jobs fail on each of three machines. Those of one fail everywhere, so it stays in use; those
-// of another are healthy elsewhere, so it is returned. Where nothing is known of the jobs, the
-// machine is tried again after a while.
+// Three jobs fail on each of three machines. The machine whose jobs fail everywhere must stay in use. The
+// machine whose jobs are healthy elsewhere must be scaled in. The machine with jobs of which nothing is known
+// must be tried again after quarantineDuration.
 func TestOnlyMachinesFailingHealthyJobsAreReturned(t *testing.T) {
 	c := newLeadingCore(t)
 	for i, kind := range []string{"failing everywhere", "healthy", "unknown"} {
--- a/core/requests.go
+++ b/core/requests.go
@@ -7,7 +7,7 @@
 	"dewlift/wire"
 )
 
-// Reasons that users are answered with. They are part of responses, so their texts stay as they are.
+// Reasons in responses to users. Their texts are part of the API and must not change.
 const (
 	reasonTooBusy           = "too busy"
 	reasonNotLoaded         = "not caught up"
@@ -18,17 +18,17 @@
 )
 
 const (
-	maxDependenciesShown = 20 // unfinished dependencies that the state of a queued job lists
+	maxDependenciesShown = 20 // unfinished dependencies listed in the state of a queued job
 
-	// cancelWriteGrace is how long after the deadline of a cancellation's answer a write of it may
-	// still be in flight.
+	// cancelWriteGrace is the time after the deadline for responding to a cancellation during which a write
+	// of it may still be in flight.
 	cancelWriteGrace = 5 * time.Second
 
-	// retryAfterUnavailable is when a client should retry a request that was not executed.
+	// retryAfterUnavailable is the delay after which a client should retry a request that was not executed.
 	retryAfterUnavailable = 1 // seconds
 )
 
-// submissionRejection is why a submission can't be accepted.
+// submissionRejection describes why a submission can't be accepted.
 type submissionRejection struct {
 	status wire.Status
 	reason string
@@ -37,7 +37,8 @@
 // isTemporary reports whether the client should retry the same submission.
 func (r *submissionRejection) isTemporary() bool { return r.status == wire.StatusUnavailable }
 
-// respond answers a request. A job's state may have to wait until it may be acknowledged.
+// respond responds to a request. A job's state may have to wait until the cancellation that it shows may be
+// acknowledged.
 func (c *Core) respond(requestID uint64, status wire.Status, body any) {
 	if state, ok := body.(wire.JobState); ok {
 		c.cancelAcks.respondOrAwait(requestID, status, state)
@@ -50,7 +51,7 @@
 	c.emit(response)
 }
 
-// respondUnavailable answers that a request was not executed and may be retried.
+// respondUnavailable responds that a request was not executed and may be retried.
 func (c *Core) respondUnavailable(requestID uint64, why string) {
 	c.log(LevelDebug, "request refused", "why", why)
 	response := Response{
@@ -65,12 +66,12 @@
 	c.emit(response)
 }
 
-// respondNotFound answers that there is no job of the requested id.
+// respondNotFound responds that there is no job with the requested ID.
 func (c *Core) respondNotFound(requestID uint64) {
 	c.respond(requestID, wire.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
 }
 
-// jobState is a job's state as its users see it.
+// jobState returns the state of a job as users see it.
 func (c *Core) jobState(j *job) wire.JobState {
 	state := wire.JobState{ID: j.id, Stage: wire.StageQueued}
 	if j.record == nil {
@@ -108,7 +109,7 @@
 	return state
 }
 
-// countRunningTasks is the number of a job's tasks that run, by the newest heartbeats.
+// countRunningTasks returns the number of a job's tasks that run according to the latest heartbeats.
 func (c *Core) countRunningTasks(j *job) (running int) {
 	for _, assignment := range j.assignments {
 		host := c.machines[assignment.Machine]
@@ -121,7 +122,7 @@
 	return running
 }
 
-// handleGetJob answers a request for a job's state.
+// handleGetJob responds to a request for the state of a job.
 func (c *Core) handleGetJob(in GetJob) {
 	switch {
 	case c.access.isNotServing():
@@ -134,11 +135,11 @@
 	c.respondWithCurrentState(in.RequestID, in.ID)
 }
 
-// respondWithCurrentState answers with a job's state: that of a final job from memory, as it never
-// changes, any other as of a linearizable read that begins now. Without that read, an answer could
-// contradict an end or a cancellation which another user was answered with earlier. Status
-// requests, repeated submissions, and submissions that join one whose write was already sent are
-// all answered here.
+// respondWithCurrentState responds with the state of a job. The state of a final job is taken from memory
+// because it never changes; any other is as of a linearizable read that begins now. Without that read, a
+// response could contradict the end or cancellation of the job that another user was already informed of.
+// This handles status requests, repeated submissions, and submissions that join one whose write was already
+// sent.
 func (c *Core) respondWithCurrentState(requestID uint64, id string) {
 	if !c.replica.loaded {
 		c.respondUnavailable(requestID, reasonNotLoaded)
@@ -171,7 +172,7 @@
 	})
 }
 
-// handleSubmitJob starts the acceptance of a submission.
+// handleSubmitJob handles a submission.
 func (c *Core) handleSubmitJob(in SubmitJob) {
 	switch {
 	case c.access.isNotServing():
@@ -183,7 +184,7 @@
 	}
 }
 
-// admitSubmission validates a submission whose caller has the permission for it, and queues it to be
+// admitSubmission validates a submission of a caller with the required permission, and queues it to be
 // accepted.
 func (c *Core) admitSubmission(in SubmitJob) {
 	if in.ID == "" {
@@ -211,9 +212,9 @@
 	}
 }
 
-// rejectAfterReadBarrier answers a submission that can't be accepted by what is known here. A
-// repeated submission of an accepted job must never be rejected, so it is first determined whether
-// this is one. Also, a dependency may just have been accepted by another controller.
+// rejectAfterReadBarrier rejects a submission that is not acceptable as far as this controller knows. It
+// first performs a read barrier and lookups: the submission may repeat that of an accepted job, which must
+// never be rejected, or another controller may just have accepted a dependency.
 func (c *Core) rejectAfterReadBarrier(in SubmitJob) {
 	c.replica.afterUrgentReadBarrier(func(ok bool) {
 		if !ok {
@@ -241,9 +242,8 @@
 	})
 }
 
-// enqueueSubmission queues a valid submission to be written, or adds it to one of the same job by
-// the same caller. Beyond what the store can write before their deadline, submissions are rejected
-// at once.
+// enqueueSubmission queues a valid submission to be written, or adds it to a pending one of the same job by
+// the same caller. Submissions that the store could not write before their deadline are rejected at once.
 func (c *Core) enqueueSubmission(in SubmitJob) {
 	if i, ok := c.jobIndex[in.ID]; c.pendingSubmissions >= c.maxPendingSubmissions() &&
 		(!ok || c.jobs[i].submission == nil) {
@@ -271,8 +271,8 @@
 	c.markDirty(target)
 }
 
-// respondToRepeatedSubmission answers the submission of a job that exists, by a caller with the
-// permission to submit it. Without permissions in force it is answered like a status request.
+// respondToRepeatedSubmission responds to the submission of a job that exists, from a caller with the
+// permission to submit it. Without permissions in force, the response is that to a status request.
 func (c *Core) respondToRepeatedSubmission(requestID uint64, caller Credential, spec *wire.JobSpec, id string) {
 	if !c.permissions.isInForce() {
 		c.respondWithCurrentState(requestID, id)
@@ -290,7 +290,8 @@
 	})
 }
 
-// validateSubmission is why a submission can't be accepted, by what is known here; nil if it can.
+// validateSubmission returns why a submission can't be accepted as far as this controller knows; nil if it
+// can.
 func (c *Core) validateSubmission(in *SubmitJob) *submissionRejection {
 	if in.DecodeError != "" {
 		return &submissionRejection{wire.StatusBadRequest, in.DecodeError}
@@ -306,7 +307,7 @@
 		}
 		spec.Dependencies = unmet
 	}
-	// A record also holds assignments and reasons of stops, which must fit its value too.
+	// A record also holds assignments and stop reasons, which must fit in its value too.
 	raw, err := c.encodeRecord(&jobrecord.Record{Spec: &spec}, nil, c.schema.active >= schemaDependencies)
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes*3/4 {
 		return &submissionRejection{
@@ -317,8 +318,9 @@
 	return nil
 }
 
-// validateDependencies lists the unmet dependencies of a submission, or is why it can't have them. A
-// dependency that the caller may not read is treated as unknown, so that its existence isn't revealed.
+// validateDependencies returns the unmet dependencies of a submission, or why the submission can't have its
+// dependencies. A dependency that the caller may not read is treated as unknown, so that its existence isn't
+// revealed.
 func (c *Core) validateDependencies(
 	caller Credential, spec *wire.JobSpec,
 ) (unmet []string, rejection *submissionRejection) {
@@ -343,7 +345,7 @@
 	return unmet, nil
 }
 
-// completeSubmission answers all requests that wait for a job's acceptance.
+// completeSubmission responds to all requests that wait for a job's acceptance.
 func (c *Core) completeSubmission(target *job, status wire.Status, why string) {
 	submission := target.submission
 	if submission == nil {
@@ -360,7 +362,7 @@
 		case status == wire.StatusForbidden:
 			c.respondForbidden(requestID, submission.caller, "submit", target.id, why)
 		case status == wire.StatusOK || status == wire.StatusCreated && joinedAfterWrite:
-			// Others may have read the write, and changed the job, before this request arrived.
+			// Other controllers may have read the write and changed the job before this request arrived.
 			c.respondToRepeatedSubmission(requestID, submission.caller, &submission.spec, target.id)
 		case status == wire.StatusCreated && i > 0:
 			c.respond(requestID, wire.StatusOK, c.jobState(target))
@@ -375,7 +377,7 @@
 	}
 }
 
-// handleCancelJob starts the cancellation of a job.
+// handleCancelJob handles a request to cancel a job.
 func (c *Core) handleCancelJob(in CancelJob) {
 	switch {
 	case c.access.isNotServing():
@@ -415,7 +417,8 @@
 	})
 }
 
-// enqueueCancellation has a job cancelled with its next write, which then answers the request.
+// enqueueCancellation schedules the cancellation of a job with its next write, after which the request is
+// responded to.
 func (c *Core) enqueueCancellation(target *job, in CancelJob) {
 	if target.isFinal() {
 		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
@@ -428,7 +431,7 @@
 	c.markDirty(target)
 }
 
-// completeCancellations answers those who wait for a job's cancellation once the job is final.
+// completeCancellations responds to the requests that wait for a job's cancellation if the job is final.
 func (c *Core) completeCancellations(target *job) {
 	if len(target.cancellation.waiters) == 0 || !target.isFinal() {
 		return
@@ -439,7 +442,7 @@
 	target.cancellation.waiters = nil
 }
 
-// rejectCancellations answers those who wait for a job's cancellation that it was not executed.
+// rejectCancellations responds to the requests that wait for a job's cancellation that it was not executed.
 func (c *Core) rejectCancellations(target *job, why string) {
 	for _, waiter := range target.cancellation.waiters {
 		c.respondUnavailable(waiter.requestID, why)
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -7,9 +7,9 @@
 	"dewlift/wire"
 )
 
-// A submission that joins one whose write is in flight must be answered by a read that began after
-// it arrived. It was once answered «queued» by that write alone, which another controller had read,
-// and whose cancellation of the job another user had already been answered with.
+// A submission that joins a pending one whose write is in flight must be answered by a read that began after
+// it arrived. Otherwise the outcome of that write alone answers it as «queued», although another controller
+// may have read the write and cancelled the job, and may have told another user so.
 func TestJoinedSubmissionIsAnsweredByItsOwnReadBarrier(t *testing.T) {
 	const (
 		queuedRecord    = `{"h":0,"s":{"cl":"c","tm":"t","pr":2,"n":1,"rc":[1000,0,1000]},"at":1}`
@@ -69,7 +69,7 @@
 	}
 }
 
-// answeredStage is the stage of the job state that a request was answered with; "" if there is none.
+// answeredStage returns the stage in the job state of the response to a request; "" if there is none.
 func answeredStage(out []Output, requestID uint64) string {
 	stage := ""
 	for _, r := range outputsOfType[Response](out) {
@@ -80,8 +80,8 @@
 	return stage
 }
 
-// A rejection must keep its status and reason, and only one that may pass by itself is temporary:
-// it is answered as unavailable, so that the client retries.
+// A rejection must keep its status and reason. Only a rejection that may resolve by itself is temporary: it
+// is sent as unavailable, so that the client retries.
 func TestValidateSubmissionRejections(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
--- a/core/zone_liveness.go
+++ b/core/zone_liveness.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// zoneLiveness is the signs of life of a zone's machines together. A single machine reports every few seconds, so its
-// silence shows only after longer than that; of hundreds, one reports every few milliseconds, and a second
-// without any shows that the zone is cut off.
+// zoneLiveness tracks the heartbeats of all machines of a zone together. A single machine sends a heartbeat
+// every few seconds, so that only a longer silence is significant; hundreds of machines together send one
+// every few milliseconds, so that a second without any shows that the zone is cut off.
 type zoneLiveness struct {
-	lastHeartbeat time.Duration // of any of its machines
-	machinesUp    int           // as of the last count
+	lastHeartbeat time.Duration // time of the last heartbeat from any of its machines
+	machinesUp    int           // machines that have reported and are not gone, as of the last count
 }
 
 const (
-	// placementSilenceLimit is the least silence of a zone from which no new tasks are placed there.
+	// placementSilenceLimit is the least silence of a zone after which no new tasks are placed there.
 	placementSilenceLimit = 1500 * time.Millisecond
-	// replacementSilenceLimit is the least silence from which capacity is sought elsewhere for its tasks.
+	// replacementSilenceLimit is the least silence of a zone after which replacement capacity is sought in
+	// other zones.
 	replacementSilenceLimit = 3 * time.Second
-	// minZoneMachines is the least number of machines whose common silence shows more than that of one.
+	// minZoneMachines is the least number of machines of a zone for its common silence to be significant.
 	minZoneMachines = 12
-	// missedHeartbeatsForSilence is how many heartbeats a healthy zone would have sent in the shortest silence
-	// that counts.
+	// missedHeartbeatsForSilence is the number of heartbeats that a healthy zone sends in the shortest
+	// silence that counts.
 	missedHeartbeatsForSilence = 10
 )
 
-// zoneLivenessOf returns the liveness of a zone, which becomes known with it.
+// zoneLivenessOf returns the liveness of a zone, and creates it if the zone is not known yet.
 func (a *agentLiveness) zoneLivenessOf(zone string) *zoneLiveness {
 	liveness := a.zones[zone]
 	if liveness == nil {
@@ -32,7 +33,8 @@
 	return liveness
 }
 
-// countZoneMachines counts, of some machines, those of each zone that have reported and are not gone.
+// countZoneMachines updates, for each zone, the number of the given machines that have reported and are not
+// gone.
 func (a *agentLiveness) countZoneMachines(machines []*machine) {
 	for _, liveness := range a.zones {
 		liveness.machinesUp = 0
@@ -44,13 +46,14 @@
 	}
 }
 
-// maxZoneHeartbeatGap is the longest time between two heartbeats from a healthy zone. It must have machines.
+// maxZoneHeartbeatGap returns the longest time between two heartbeats from a healthy zone. The zone must have
+// machines.
 func (a *agentLiveness) maxZoneHeartbeatGap(zone *zoneLiveness) time.Duration {
 	return missedHeartbeatsForSilence * a.cfg.Agents.HeartbeatInterval / time.Duration(zone.machinesUp)
 }
 
-// isZoneSilent reports whether a zone of many machines has sent no heartbeat for at least a time, while another
-// such zone has. If all are silent, it is rather this controller that does not hear them.
+// isZoneSilent reports whether a zone with many machines has sent no heartbeat for at least the given time
+// while another such zone has. If all zones are silent, this controller is probably isolated.
 func (a *agentLiveness) isZoneSilent(zone string, least time.Duration) bool {
 	liveness := a.zones[zone]
 	if liveness == nil || liveness.machinesUp < minZoneMachines ||
--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -1,10 +1,10 @@
-// Package snapshot saves the whole state of a cluster to a file, as of one revision and while the cluster
-// runs, verifies such files, and restores one to an empty key-value store. It owns the file format; it
-// changes nothing in a store that holds anything else.
+// Package snapshot saves the whole state of a running cluster to a file as of one revision, verifies such
+// files, and restores one to an empty key-value store. It owns the file format. It does not modify a store
+// that contains anything else.
 //
-// A file begins with Magic. Parts (proto/history.proto) follow, each preceded by its length as a varint.
-// The last part is the trailer: the numbers of parts and keys, the revision, the time, and a digest of
-// all parts' digests. Keys are in order.
+// A file starts with Magic, followed by parts (proto/history.proto), each preceded by its length as a varint.
+// The last part is the trailer: the numbers of parts and keys, the revision, the time, and a digest of all
+// parts' digests. Keys are in order.
 package snapshot
 
 import (
@@ -26,17 +26,17 @@
 )
 
 const (
-	// Magic begins a file.
+	// Magic is the header of a file.
 	Magic = "dewlift snapshot\n"
-	// FormatVersion is the version of the format that is written, and the newest that is read.
+	// FormatVersion is the version of the format that is written, and the newest one that can be read.
 	FormatVersion = 1
 
-	partFlushBytes   = 256 << 10 // of keys before compression, at which a part is written
-	keyOverheadBytes = 16        // of a key, besides its name and value
-	maxPartBytes     = 16 << 20  // of a part that is read, before and after decompression
+	partFlushBytes   = 256 << 10 // size of the pending keys, before compression, at which a part is written
+	keyOverheadBytes = 16        // per key, in addition to its name and value
+	maxPartBytes     = 16 << 20  // maximum size of a part that is read, before and after decompression
 )
 
-// Writer writes a snapshot.
+// Writer writes a snapshot file.
 type Writer struct {
 	out          io.Writer
 	encoder      *zstd.Encoder
@@ -46,7 +46,7 @@
 	trailer      pb.Trailer
 }
 
-// NewWriter begins a snapshot with its header.
+// NewWriter returns a Writer and writes the header.
 func NewWriter(w io.Writer) (*Writer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -58,7 +58,7 @@
 	return &Writer{out: w, encoder: encoder, digestSum: sha256.New(), trailer: pb.Trailer{Version: FormatVersion}}, nil
 }
 
-// Add adds a key; keys must come in order.
+// Add adds a key. Keys must be added in order.
 func (w *Writer) Add(key *pb.Key) error {
 	w.pendingKeys.Keys = append(w.pendingKeys.Keys, key)
 	w.trailer.Keys++
@@ -80,7 +80,7 @@
 	return err
 }
 
-// writePart writes a part with keys, or with the trailer if it is the last one.
+// writePart writes a part that contains keys, or the trailer if it is the last one.
 func (w *Writer) writePart(number uint32, message protobuf.Message, last bool) error {
 	raw, err := protobuf.Marshal(message)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Close writes what is pending and the trailer, with the revision of the snapshot and the time at which it
+// Close writes the pending keys and the trailer, with the revision of the snapshot and the time at which it
 // was taken.
 func (w *Writer) Close(revision uint64, taken time.Time) error {
 	if err := w.flush(); err != nil {
@@ -108,7 +108,7 @@
 	return w.writePart(w.trailer.Parts+1, &w.trailer, true)
 }
 
-// partDigest is the digest of a part: with its number, so that parts can't change places.
+// partDigest returns the digest of a part, which includes its number so that reordered parts are detected.
 func partDigest(number uint32, data []byte) []byte {
 	digest := sha256.New()
 	digest.Write(binary.BigEndian.AppendUint32(nil, number))
@@ -116,11 +116,11 @@
 	return digest.Sum(nil)
 }
 
-// ErrDamaged is wrapped by the errors of reading a file that is not a whole snapshot.
+// ErrDamaged is wrapped by the errors of reading a file that is not a complete snapshot.
 var ErrDamaged = errors.New("damaged snapshot")
 
-// Read reads a snapshot and calls visit for each key, in order. The file is known to be whole only when
-// Read returns without an error: no effect of visit may count before that. An error names the part.
+// Read reads a snapshot and calls visit for each key, in order. The file is known to be complete only when
+// Read returns without an error: before that, the caller must not rely on any key. An error names the part.
 func Read(r io.Reader, visit func(*pb.Key) error) (*pb.Trailer, error) {
 	in := bufio.NewReaderSize(r, 1<<16)
 	magic := make([]byte, len(Magic))
@@ -148,7 +148,7 @@
 	}
 }
 
-// partReader reads the parts of a snapshot, and counts what the trailer must match.
+// partReader reads the parts of a snapshot and computes the values that the trailer must match.
 type partReader struct {
 	in        *bufio.Reader
 	decoder   *zstd.Decoder
@@ -158,7 +158,7 @@
 	digestSum hash.Hash
 }
 
-// next reads a part, and decompresses its content.
+// next reads a part and decompresses its content.
 func (r *partReader) next() (*pb.Part, []byte, error) {
 	r.number++
 	part := &pb.Part{}
@@ -180,12 +180,12 @@
 	return part, raw, nil
 }
 
-// partError wraps an error of decoding the part read last.
+// partError wraps an error of decoding the last part read.
 func (r *partReader) partError(err error) error {
 	return fmt.Errorf("%w: part %d: %w", ErrDamaged, r.number, err)
 }
 
-// visitKeys decodes the keys of a part, and visits them. Errors of visit are returned as they are.
+// visitKeys decodes the keys of a part and calls visit for each. Errors of visit are returned unchanged.
 func (r *partReader) visitKeys(raw []byte, visit func(*pb.Key) error) error {
 	var part pb.Keys
 	if err := protobuf.Unmarshal(raw, &part); err != nil {
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// readTrailer decodes the trailer, and checks that it matches the parts and that nothing follows it.
+// readTrailer decodes the trailer and checks that it matches the parts and that nothing follows it.
 func (r *partReader) readTrailer(raw []byte) (*pb.Trailer, error) {
 	var trailer pb.Trailer
 	err := protobuf.Unmarshal(raw, &trailer)
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -20,37 +20,37 @@
 	"dewlift/wire"
 )
 
-// Target is a key-value store that is restored to.
+// Target is a key-value store to restore to.
 type Target struct {
 	Source
-	WriteRPS float64 // writes a second
-	TxnOps   int     // writes of a transaction
+	WriteRPS float64 // writes per second
+	TxnOps   int     // writes per transaction
 }
 
 const (
-	keyRestoring = core.Root + "restoring" // names the snapshot while it is being restored
+	keyRestoring = core.Root + "restoring" // holds the digest of the snapshot while it is being restored
 
-	// fencingTokenLeap is by how much the fencing token rises: agents reject tokens lower than they have
-	// seen, and the cluster may have gone on after the snapshot was taken.
+	// fencingTokenIncrement is added to the fencing token: agents reject tokens lower than the highest that
+	// they have seen, and the cluster may have continued to run after the snapshot was taken.
 	fencingTokenIncrement = 1_000_000
 
-	maxTxnBytes        = 40 << 10 // of a transaction
-	writeOverheadBytes = 50       // of a write, besides its key and value
+	maxTxnBytes        = 40 << 10 // per transaction
+	writeOverheadBytes = 50       // per write, in addition to its key and value
 )
 
-// ErrNotEmpty is returned if a store holds anything but a part of the same snapshot.
+// ErrNotEmpty is returned if a store contains anything other than a partial restore of the same snapshot.
 var ErrNotEmpty = errors.New("the store is not empty")
 
-// isLeaseBound reports whether a key belongs to a controller's lease and ends with it.
+// isLeaseBound reports whether a key belongs to a controller's lease and is deleted with it.
 func isLeaseBound(name string) bool {
 	return slices.ContainsFunc(core.LeasedKeyPrefixes, func(prefix string) bool {
 		return strings.HasPrefix(name, prefix)
 	})
 }
 
-// Restore writes the keys of a snapshot to an empty store. The file is verified first: a damaged one
-// changes nothing. An interrupted restore can be repeated with the same file. No controller may run
-// meanwhile. progress is called with the number of keys read, and of all; it may be nil.
+// Restore writes the keys of a snapshot to an empty store. It verifies the file first, so that a damaged file
+// changes nothing. An interrupted restore can be repeated with the same file. No controller may run in the
+// meantime. progress, which may be nil, is called with the number of keys read and the total.
 func Restore(ctx context.Context, t *Target, path string, progress func(keys, of int)) (*pb.Trailer, error) {
 	t.connect()
 	trailer, err := Verify(path)
@@ -76,7 +76,7 @@
 	return trailer, t.commit(ctx, last)
 }
 
-// restoreKeys writes the keys of a file, and reports whether the cluster has an audit log.
+// restoreKeys writes the keys of a file and reports whether the cluster has an audit log.
 func (t *Target) restoreKeys(
 	ctx context.Context,
 	path string,
@@ -105,7 +105,7 @@
 	return hasAudit, batcher.flush(ctx)
 }
 
-// restoredValue is the value that a key is restored with, from a snapshot of a revision.
+// restoredValue returns the value to restore for a key. revision is that of the snapshot.
 func restoredValue(key *pb.Key, revision uint64) (json.RawMessage, error) {
 	switch {
 	case key.Name == core.KeyFencingToken:
@@ -120,8 +120,8 @@
 	return key.Value, nil
 }
 
-// claimEmptyStore marks an empty store as being restored from the named snapshot. One that is already
-// marked with that name may be restored further; any other is not empty.
+// claimEmptyStore marks an empty store as being restored from the named snapshot. A store that is already
+// marked with that name may be restored further; any other store is not empty.
 func (t *Target) claimEmptyStore(ctx context.Context, name string) error {
 	first, err := t.readPage(ctx, clusterKeyPrefix, "", 1)
 	if err != nil {
@@ -147,7 +147,7 @@
 	})
 }
 
-// commit commits a transaction whose conditions must hold.
+// commit commits a transaction whose compares must hold.
 func (t *Target) commit(ctx context.Context, txn wire.Txn) error {
 	_, status, err := requestWithRetry[wire.TxnResponse](ctx, &t.Source, http.MethodPost, wire.PathTxn, txn)
 	if err == nil && status != http.StatusOK {
@@ -156,7 +156,7 @@
 	return err
 }
 
-// txnBatcher gathers writes of new keys into transactions.
+// txnBatcher collects writes of new keys into transactions.
 type txnBatcher struct {
 	target  *Target
 	limiter *rate.Limiter
@@ -164,7 +164,7 @@
 	bytes   int
 }
 
-// put adds a write, and commits those before it if a transaction can't take more.
+// put adds a write. It first commits the pending writes if the transaction can't take another one.
 func (b *txnBatcher) put(ctx context.Context, write wire.Write) error {
 	if len(b.writes) == b.target.TxnOps || b.bytes+len(write.Value) > maxTxnBytes {
 		if err := b.flush(ctx); err != nil {
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// flush commits the writes. Each is conditional on the absence of its key: those that an interrupted
-// restore has committed are left out.
+// flush commits the pending writes. Each is conditional on the absence of its key, and the keys that an
+// interrupted restore has already written are skipped.
 func (b *txnBatcher) flush(ctx context.Context) error {
 	for len(b.writes) > 0 {
 		if err := b.limiter.WaitN(ctx, len(b.writes)); err != nil {
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -19,28 +19,28 @@
 	"dewlift/wire"
 )
 
-// Source is a key-value store, and how much of it may be used.
+// Source is a key-value store and the rate at which it may be read.
 type Source struct {
 	Addr string
-	RPS  float64 // requests a second
+	RPS  float64 // requests per second
 
 	client  *httpjson.Client
 	limiter *rate.Limiter
 }
 
 const (
-	clusterKeyPrefix = "d" // prefix of all keys of a cluster
+	clusterKeyPrefix = "d" // prefix of all keys of the cluster
 	pageItems        = 1000
-	pagesPerWatch    = 20 // pages between two reads of changes: the store keeps only so many changes
+	pagesPerWatch    = 20 // pages between two reads of changes: the store keeps a limited number of changes
 	requestTimeout   = 10 * time.Second
 	maxResponseBytes = 64 << 20
 
-	maxAttempts      = 20 // of a request
+	maxAttempts      = 20 // per request
 	retryDelay       = 200 * time.Millisecond
 	maxDelayMultiple = 10 // the delay grows by retryDelay with each attempt, up to this multiple
 )
 
-// connect makes the client and the limiter at the first use.
+// connect creates the client and the limiter on first use.
 func (s *Source) connect() {
 	if s.client == nil {
 		s.client = httpjson.New(1, 1, maxResponseBytes)
@@ -53,8 +53,8 @@
 	return fmt.Errorf("store responds with status %d", status)
 }
 
-// requestWithRetry makes a request, and repeats it while the store is throttling or unavailable. Without an
-// answer, only a read is repeated: a write may have been executed.
+// requestWithRetry sends a request and repeats it while the store is throttling or unavailable. If there is
+// no response, only a read is repeated, because a write may have been executed.
 func requestWithRetry[T any](ctx context.Context, s *Source, method, path string, body any) (T, int, error) {
 	var none T
 	var last httpjson.Response
@@ -84,7 +84,7 @@
 	return none, last.Status, statusError(last.Status)
 }
 
-// readPage reads a page of at most limit keys with a prefix, after a key.
+// readPage reads a page of at most limit keys with a prefix that follow afterKey.
 func (s *Source) readPage(ctx context.Context, prefix, afterKey string, limit int) (wire.RangeResponse, error) {
 	path := wire.RangePath(prefix, afterKey, limit)
 	page, status, err := requestWithRetry[wire.RangeResponse](ctx, s, http.MethodGet, path, nil)
@@ -94,8 +94,8 @@
 	return page, err
 }
 
-// readChanges adds the last change of each key since a revision, and returns the revision as of which they
-// are complete.
+// readChanges adds the last change of each key since a revision, and returns the revision as of which the
+// changes are complete.
 func (s *Source) readChanges(ctx context.Context, since uint64, changed map[string]wire.WatchEvent) (uint64, error) {
 	path := fmt.Sprintf("%s?starts=%s&from=%d", wire.PathWatch, clusterKeyPrefix, since)
 	changes, status, err := requestWithRetry[wire.WatchResponse](ctx, s, http.MethodGet, path, nil)
@@ -113,9 +113,10 @@
 	return max(since, changes.Revision), nil
 }
 
-// Save writes all keys as of one revision to a file, which exists only once it is whole. The cluster runs
-// while the pages are read: they go to a temporary file, and the keys that changed since the first page
-// are then merged into it. progress is called with the number of keys read; it may be nil.
+// Save writes all keys as of one revision to a file, which exists only once it is complete. Because the
+// cluster runs while the pages are read, they are written to a temporary file, and the keys that have changed
+// since the first page are then merged into it. progress, which may be nil, is called with the number of keys
+// read.
 func Save(ctx context.Context, s *Source, path string, progress func(keys int)) (trailer *pb.Trailer, err error) {
 	s.connect()
 	dir := filepath.Dir(path)
@@ -123,7 +124,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer func() { // a temporary file: a failure to remove it makes the snapshot no worse
+	defer func() { // a failure to remove the temporary file does not affect the snapshot
 		_ = pages.Close()
 		_ = os.Remove(pages.Name())
 	}()
@@ -136,14 +137,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer func() { _ = os.Remove(out.Name()) }() // after it was renamed, there is none
+	defer func() { _ = os.Remove(out.Name()) }() // has no effect after the file was renamed
 	if err := mergeChanges(pages, out, changed, revision); err != nil {
 		return nil, errors.Join(err, out.Close())
 	}
 	if err := errors.Join(out.Sync(), out.Close()); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if trailer, err = Verify(out.Name()); err != nil { // what is on the disk is what counts
+	if trailer, err = Verify(out.Name()); err != nil { // verifies what was written to disk
 		return nil, err
 	}
 	if err := os.Rename(out.Name(), path); err != nil {
@@ -152,8 +153,8 @@
 	return trailer, nil
 }
 
-// readPages writes all keys as they are read, and collects the changes from the first page until after the
-// last one. It returns the revision as of which pages and changes together are complete.
+// readPages writes all keys as they are read, and collects the changes that are made until the last page has
+// been read. It returns the revision as of which pages and changes together are complete.
 func (s *Source) readPages(
 	ctx context.Context,
 	w io.Writer,
@@ -194,7 +195,7 @@
 	}
 }
 
-// mergeChanges writes the keys of the pages, with the changed ones as they were last.
+// mergeChanges writes the keys of the pages, with changed keys in their last state.
 func mergeChanges(pages *os.File, w io.Writer, changed map[string]wire.WatchEvent, revision uint64) error {
 	if _, err := pages.Seek(0, io.SeekStart); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -232,18 +233,18 @@
 	return out.Close(revision, time.Now())
 }
 
-// Verify reads a whole file, and returns its trailer.
+// Verify reads a whole file, checks it and returns its trailer.
 func Verify(path string) (*pb.Trailer, error) {
 	return ReadFile(path, func(*pb.Key) error { return nil })
 }
 
-// ReadFile reads a file as Read does.
+// ReadFile reads a file like Read.
 func ReadFile(path string, visit func(*pb.Key) error) (*pb.Trailer, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer func() { _ = in.Close() }() // only read from
+	defer func() { _ = in.Close() }() // it was only read
 	trailer, err := Read(in, visit)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -30,7 +30,7 @@
 	return store, Source{Addr: strings.TrimPrefix(server.URL, "http://"), RPS: 1e6}
 }
 
-// keysOf reads the keys and values of a file.
+// keysOf returns the keys and values in a file.
 func keysOf(t *testing.T, path string) map[string]string {
 	t.Helper()
 	values := map[string]string{}
@@ -43,8 +43,8 @@
 	return values
 }
 
-// While the pages are read, keys are written and deleted, always in pairs by one transaction: a snapshot as
-// of one revision has both of a pair or neither, with the same value.
+// While the pages are read, keys are written and deleted in pairs, each pair by one transaction. A snapshot
+// as of one revision must contain both keys of a pair with the same value, or neither.
 func TestSaveIsConsistentAtOneRevision(t *testing.T) {
 	store, source := serveStore(t, fakes.Limits{PageItems: 7})
 	var items []wire.KeyValue
@@ -58,7 +58,7 @@
 	writer := Source{Addr: source.Addr, RPS: 1e6}
 	writer.connect()
 	changes := 0
-	changePairs := func(int) { // called with each page that is read
+	changePairs := func(int) { // called for each page that is read
 		for range 5 {
 			changes++
 			id := fmt.Sprintf("%03d", changes*37%330)
@@ -93,7 +93,7 @@
 	}
 }
 
-// smallSnapshot is a snapshot of 20 keys in two parts.
+// smallSnapshot returns a snapshot of 20 keys in two parts.
 func smallSnapshot(t *testing.T) []byte {
 	t.Helper()
 	var file bytes.Buffer
@@ -117,7 +117,7 @@
 	return file.Bytes()
 }
 
-// A file that is truncated anywhere, or has any bit flipped, is not read as whole.
+// A file that is truncated at any position or has any bit flipped must not be accepted as complete.
 func TestEveryDamageIsDetected(t *testing.T) {
 	good := smallSnapshot(t)
 	read := func(raw []byte) error {
@@ -168,8 +168,8 @@
 	return damaged
 }
 
-// A restore writes all keys but those of leases, raises the fencing token, and refuses a damaged file and a
-// store that is not empty, without a change. An interrupted one can be repeated.
+// A restore must write all keys except those of leases, and raise the fencing token. It must refuse a damaged
+// file and a store that is not empty without changing anything. An interrupted restore must be repeatable.
 func TestRestoreRebuildsTheStore(t *testing.T) {
 	ctx := t.Context()
 	store, source := serveStore(t, fakes.Limits{})
@@ -230,7 +230,7 @@
 	}
 }
 
-// FuzzRead checks that a file which is read without an error has as many keys as its trailer says.
+// FuzzRead checks that a file that is read without an error has as many keys as its trailer says.
 func FuzzRead(f *testing.F) {
 	var file bytes.Buffer
 	w, err := NewWriter(&file)
