--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -73,7 +73,7 @@
 	}
 	block, err := Decode(a.stored[first])
 	if err != nil || BlockKey(block.High) != first || !block.Covers(id) {
-		t.Fatalf("the read for %s leads to %s: %v", id, first, err)
+		t.Fatalf("the read for %s found the wrong block %s: %v", id, first, err)
 	}
 	return block
 }
@@ -120,13 +120,13 @@
 	low := replaced.Low
 	for _, block := range blocks {
 		if block.Low != low || len(block.Value) > a.maxBytes {
-			t.Fatalf("a block from %q after %q, %d bytes", block.Low, low, len(block.Value))
+			t.Fatalf("a block starts at %q, want %q; it has %d bytes", block.Low, low, len(block.Value))
 		}
 		low = block.High
 		a.stored[BlockKey(block.High)] = block.Value
 	}
 	if low != replaced.High {
-		t.Fatalf("the blocks end at %q, not at %q", low, replaced.High)
+		t.Fatalf("the blocks end at %q, want %q", low, replaced.High)
 	}
 }
 
@@ -155,7 +155,7 @@
 		other := drawEntry(t).ID
 		if _, ok := archive.want[other]; !ok {
 			if _, found := archive.blockFor(t, other).Find(other); found {
-				t.Fatalf("%s is found", other)
+				t.Fatalf("%s was found but not archived", other)
 			}
 		}
 	})
@@ -216,7 +216,7 @@
 	cache.InvalidateOlder("wk-4", 6) // the block was read at this revision
 	cache.InvalidateOlder("wk-7", 8)
 	if !has("wk-4") || has("wk-7") {
-		t.Error("a move after the read does not invalidate, or one before it does")
+		t.Error("a block must be invalidated by a move after it was read, and only then")
 	}
 	put("wk-6", "wk-8", 9) // a split
 	put("wk-8", MaxID, 9)
@@ -226,7 +226,7 @@
 	cache.Invalidate(BlockKey("wk-6"))
 	put("wk-1", MaxID, 10) // covers the ranges of others
 	if cache.Blocks() != 1 || has("wk-0") || !has("wk-7") {
-		t.Error("ranges overlap")
+		t.Error("overlapping blocks were not removed")
 	}
 }
 
@@ -254,13 +254,13 @@
 	}
 	first := get(0)
 	if get(0) != first {
-		t.Error("it is decoded twice")
+		t.Error("the block was decoded twice")
 	}
 	for i := range 8 {
 		get(i)
 	}
 	if len(cache.decoded) != maxDecodedBlocks || get(0) == first {
-		t.Errorf("%d blocks stay decoded", len(cache.decoded))
+		t.Errorf("%d blocks are kept decoded", len(cache.decoded))
 	}
 	put(0, 2, 20)
 	if e, _ := get(0).Find("wk-0"); e.CompletedTasks != 2 || len(cache.decoded) > maxDecodedBlocks {
--- a/archive/block.go
+++ b/archive/block.go
@@ -32,7 +32,7 @@
 
 // ErrTooManyBlocks is returned if a block that was written under larger limits would have to be split into
 // more blocks than a transaction may write. The block stays unchanged and readable.
-var ErrTooManyBlocks = errors.New("split of block exceeds the writes of a transaction")
+var ErrTooManyBlocks = errors.New("splitting the block exceeds the write limit of a transaction")
 
 // ErrCorrupt is wrapped by the errors of decoding a value that is not a valid block.
 var ErrCorrupt = errors.New("corrupt block")
@@ -127,7 +127,7 @@
 		return []EncodedBlock{{b, raw}}, nil
 	}
 	if len(b.Entries) < 2 {
-		return nil, fmt.Errorf("block of %d entries takes %d bytes, %d are allowed", len(b.Entries), len(raw), maxBytes)
+		return nil, fmt.Errorf("encoded block of %d entries has %d bytes, the limit is %d", len(b.Entries), len(raw), maxBytes)
 	}
 	return b.encodeHalves(maxBytes)
 }
@@ -225,7 +225,7 @@
 		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if xxhash.Sum64(stored.Data) != stored.Digest {
-		return fmt.Errorf("%w: its digest does not match", ErrCorrupt)
+		return fmt.Errorf("%w: digest mismatch", ErrCorrupt)
 	}
 	plain, err := compress.Inflate(stored.Data, maxDecompressedBytes)
 	if err == nil {
@@ -255,7 +255,7 @@
 func fromMessage(message *pb.Block) (*Block, error) {
 	count := len(message.Shared)
 	if len(message.Rest) != count || len(message.Done) != count || message.Low >= message.High {
-		return nil, errors.New("columns or range don't match")
+		return nil, errors.New("inconsistent column lengths or invalid range")
 	}
 	block := &Block{Low: message.Low, High: message.High, Entries: make([]Entry, count)}
 	if err := block.decodeIDs(message); err != nil {
@@ -279,12 +279,12 @@
 	for i := range b.Entries {
 		shared, rest := int(message.Shared[i]), int(message.Rest[i])
 		if shared > len(lastID) || rest > len(tails) {
-			return errors.New("an ID is cut off")
+			return errors.New("truncated IDs")
 		}
 		id := lastID[:shared] + tails[:rest]
 		tails = tails[rest:]
 		if i > 0 && id <= lastID || !b.Covers(id) {
-			return errors.New("an ID is out of order or out of range")
+			return errors.New("job ID out of order or out of range")
 		}
 		lastID = id
 		b.Entries[i] = Entry{ID: id, CompletedTasks: int(message.Done[i])}
@@ -302,7 +302,7 @@
 	}
 	for i, number := range message.Group {
 		if int(number) > len(message.Groups) {
-			return errors.New("an unknown group")
+			return errors.New("unknown group number")
 		}
 		if number > 0 {
 			group := message.Groups[number-1]
@@ -317,7 +317,7 @@
 	index := 0
 	for i, distance := range message.Cancelled {
 		if index += int(distance); index >= len(b.Entries) || i > 0 && distance == 0 {
-			return errors.New("a cancelled entry is out of range")
+			return errors.New("index of a cancelled entry is out of range")
 		}
 		b.Entries[index].Cancelled = true
 	}
@@ -328,7 +328,7 @@
 func (b *Block) decodeDetails(message *pb.Block) error {
 	for _, detail := range message.Details {
 		if int(detail.Entry) >= len(b.Entries) {
-			return errors.New("details of an entry that is out of range")
+			return errors.New("entry index of details is out of range")
 		}
 		entry := &b.Entries[detail.Entry]
 		entry.CancelledByJob = detail.By
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -244,12 +244,12 @@
 
 // handleResult handles the outcome of the move.
 func (m *archiveMove) handleResult(status wire.Status, response wire.TxnResponse) {
-	index, stats := m.core.history.blockCache, &m.core.Stats
+	cache, stats := m.core.history.blockCache, &m.core.Stats
 	m.sweep.inFlight = false
 	switch status {
 	case wire.StatusOK:
 		for _, block := range m.blocks {
-			index.Put(block.Block, block.Value, response.Revision, response.Revision)
+			cache.Put(block.Block, block.Value, response.Revision, response.Revision)
 		}
 		stats.Archived += uint64(m.jobs)
 		stats.ArchiveWrites += uint64(len(m.txn.Then))
@@ -264,7 +264,7 @@
 			m.core.transactions.limits.handleRefusal(&m.txn)
 		}
 		for _, block := range m.blocks {
-			index.Invalidate(archive.BlockKey(block.High))
+			cache.Invalidate(archive.BlockKey(block.High))
 		}
 		m.sweep.restart()
 	}
--- a/core/batchvalue/slot.go
+++ b/core/batchvalue/slot.go
@@ -44,15 +44,15 @@
 func Decode(raw json.RawMessage) (Entries, error) {
 	var value compressedValue
 	if err := json.Unmarshal(raw, &value); err != nil {
-		return nil, fmt.Errorf("decode shared value: %w", err)
+		return nil, fmt.Errorf("decode batch value: %w", err)
 	}
 	plain, err := compress.Inflate(value.Data, maxDecompressedBytes)
 	if err != nil {
-		return nil, fmt.Errorf("decompress shared value: %w", err)
+		return nil, fmt.Errorf("decompress batch value: %w", err)
 	}
 	var entries Entries
 	if err := json.Unmarshal(plain, &entries); err != nil {
-		return nil, fmt.Errorf("decode shared entries: %w", err)
+		return nil, fmt.Errorf("decode entries of batch value: %w", err)
 	}
 	return entries, nil
 }
@@ -61,15 +61,15 @@
 func (e Entries) Encode() (json.RawMessage, error) {
 	plain, err := json.Marshal(e)
 	if err != nil {
-		return nil, fmt.Errorf("encode shared entries: %w", err)
+		return nil, fmt.Errorf("encode entries of batch value: %w", err)
 	}
 	data, err := compress.Deflate(plain)
 	if err != nil {
-		return nil, fmt.Errorf("compress shared value: %w", err)
+		return nil, fmt.Errorf("compress batch value: %w", err)
 	}
 	raw, err := json.Marshal(compressedValue{data})
 	if err != nil {
-		return nil, fmt.Errorf("encode shared value: %w", err)
+		return nil, fmt.Errorf("encode batch value: %w", err)
 	}
 	return raw, nil
 }
@@ -117,8 +117,8 @@
 	return draft
 }
 
-// TryPut adds or replaces the entry of a job and reports whether it did. It does not if the entries would
-// then exceed maxBytes before compression.
+// TryPut adds or replaces the entry of a job, unless the entries would then exceed maxBytes before
+// compression. It reports whether it did.
 func (d *Draft) TryPut(jobID string, entry json.RawMessage, maxBytes int) bool {
 	size := d.size + len(jobID) + len(entry)
 	if old, ok := d.Entries[jobID]; ok {
--- a/core/batchvalue/slot_test.go
+++ b/core/batchvalue/slot_test.go
@@ -24,7 +24,7 @@
 		}
 		again, err := entries.Encode()
 		if err != nil || !bytes.Equal(raw, again) {
-			t.Fatalf("the same entries gave other bytes (%v)", err)
+			t.Fatalf("encoding is not deterministic (%v)", err)
 		}
 		got, err := Decode(raw)
 		if err != nil || len(got) != len(entries) {
@@ -52,12 +52,12 @@
 		t.Errorf("entries %v", draft.Entries)
 	}
 	if !draft.TryPut("wk-2", json.RawMessage(`{"v":4}`), 22) || draft.TryPut("wk-2", json.RawMessage(`{"v":44}`), 22) {
-		t.Error("an entry in place of one of the same size must fit, a larger one must not")
+		t.Error("replacing an entry must succeed at the same size and fail at a larger one")
 	}
 	if rest := draft.Entries.Without("wk-2"); len(rest) != 1 || len(draft.Entries) != 2 {
-		t.Errorf("%v without one, of %v", rest, draft.Entries)
+		t.Errorf("Without returned %v for %v", rest, draft.Entries)
 	}
 	if slot.IsNearlyFull(30) || !slot.IsNearlyFull(20) {
-		t.Error("22 bytes are more than three quarters of 20, and less of 30")
+		t.Error("a slot of 22 bytes must be nearly full at a limit of 20 bytes and not at 30")
 	}
 }
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -163,7 +163,7 @@
 	for _, j := range cancelled {
 		raw, err := c.encodeRecord(j.record, j.assignments, false)
 		if err != nil {
-			c.log(LevelError, "cancellation not sent to peers: encode record", "job", j.id, "err", err.Error())
+			c.log(LevelError, "cannot encode cancelled job: cancellation not sent to peers", "job", j.id, "err", err.Error())
 			continue
 		}
 		items = append(items, wire.KeyValue{Key: keyJob + j.id, Value: raw, Revision: j.revision})
@@ -268,12 +268,12 @@
 // replyToQuorumRead sends the cancellations that the querying controller may lack, with the revision up to
 // which this controller knows all of them.
 func (c *Core) replyToQuorumRead(peer string, read *QuorumRead) {
-	lacking := c.cancelAcks.cancelledSince(read.SinceRevision)
+	missing := c.cancelAcks.cancelledSince(read.SinceRevision)
 	c.controllers.sendToPeers(
 		peer,
 		Message{
 			QuorumReply:   &QuorumReply{read.Nonce, c.cancelAcks.knownRevision()},
-			Cancellations: c.cancellationItems(lacking),
+			Cancellations: c.cancellationItems(missing),
 		},
 	)
 }
@@ -317,7 +317,7 @@
 			c.cancelAcks.timeSinceCancel(j) <= c.cancelAcks.stalenessBound() {
 			continue
 		}
-		if _, there := m.status.tasks[attemptKey{key.jobIndex, key.task, assignment.Attempt}]; there {
+		if _, reported := m.status.tasks[attemptKey{key.jobIndex, key.task, assignment.Attempt}]; reported {
 			continue // the response to the heartbeat stops the task
 		}
 		if ended, _ := c.attemptOutcome(j, assignment); !ended {
@@ -333,7 +333,7 @@
 	return wire.TaskName(c.jobs[first.jobIndex].id, int(first.task))
 }
 
-// stalenessBound is how long after a cancellation a controller that does not know of it may still renew
+// stalenessBound returns how long after a cancellation a controller that does not know of it may still renew
 // leases.
 func (a *cancelAcks) stalenessBound() time.Duration {
 	return quorum.MaxStaleness(a.cfg.Agents.CancelTimeout, a.cfg.Agents.LeaseTTL)
--- a/core/cancelacks_test.go
+++ b/core/cancelacks_test.go
@@ -50,7 +50,7 @@
 				PeerMessage{Peer: "n1", Message: Message{Cancellations: []wire.KeyValue{item}}},
 			)
 			if got := c.knownJob("wk-7") != nil; got != tc.wantKnown {
-				t.Errorf("known %v, want %v", got, tc.wantKnown)
+				t.Errorf("job known: %v, want %v", got, tc.wantKnown)
 			}
 			acked := slices.ContainsFunc(
 				outputsOfType[SendToPeer](c.Advance(2*time.Second)),
@@ -59,7 +59,7 @@
 				},
 			)
 			if !acked {
-				t.Error("not acknowledged")
+				t.Error("the cancellation was not acknowledged")
 			}
 		})
 	}
--- a/core/cancelmarker.go
+++ b/core/cancelmarker.go
@@ -33,11 +33,11 @@
 
 // writeCancelMarker cancels a job by a marker, on the condition that the job's record and marker are
 // unchanged and that the given compares hold. No other write of the job is sent until the outcome is known.
-func (c *Core) writeCancelMarker(target *job, cancelledMS int64, compares []wire.Compare, acts []auditlog.Event) {
+func (c *Core) writeCancelMarker(target *job, cancelledMS int64, compares []wire.Compare, events []auditlog.Event) {
 	key := keyCancel + target.id
 	cancellation := &target.cancellation
 	pendingAudit, auditEntryIDs := c.auditLog.current().
-		AttachEntries(key, cancellation.markerRevision, cancellation.markerAudit, acts)
+		AttachEntries(key, cancellation.markerRevision, cancellation.markerAudit, events)
 	target.write.inFlight = true
 	c.transactions.commit(wire.Txn{
 		Compare: append(
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// unresponsiveRequestDivisor: at most one in so many of the allowed command requests may be in flight to
-	// machines that probably do not respond.
+	// unresponsiveRequestDivisor limits the command requests in flight to machines that probably do not
+	// respond: at most one in so many of MaxCommandRequests.
 	unresponsiveRequestDivisor = 4
 	// maxEndedTasksBeforeClear is the number of ended tasks reported by a machine above which they are
 	// cleared without delay.
 	maxEndedTasksBeforeClear = 8
 	// attemptRetention is the time since its last command after which the state of an attempt that is neither
-	// assigned nor reported may be dropped.
+	// assigned nor reported may be evicted.
 	attemptRetention = 10 * time.Second
 	// conflictBackoff is the time without commands to a machine after it rejected a command batch.
 	conflictBackoff = 300 * time.Millisecond
@@ -75,11 +75,11 @@
 		m.commands.dirty = false
 		m.commands.lastExaminedAt = c.now
 		c.Stats.MachineLooks++
-		unsettled := c.dispatchTo(m)
+		needsRecheck := c.dispatchTo(m)
 		if isUnresponsive && m.commands.requestID != 0 {
 			unresponsive++
 		}
-		m.commands.inDirtyList = unsettled || m.commands.requestID != 0
+		m.commands.inDirtyList = needsRecheck || m.commands.requestID != 0
 		return !m.commands.inDirtyList
 	})
 }
@@ -112,7 +112,7 @@
 
 // dispatchTo sends a machine the commands that it needs now, and reports whether it must be examined again
 // even without a change.
-func (c *Core) dispatchTo(m *machine) (unsettled bool) {
+func (c *Core) dispatchTo(m *machine) (needsRecheck bool) {
 	plan := commandPlan{core: c, machine: m}
 	plan.collectAssigned()
 	plan.collectUnassigned()
@@ -141,8 +141,8 @@
 	command wire.Command
 }
 
-// add adds a command and reports whether it did. It does not if a command for the same attempt was sent
-// within the retry interval.
+// add adds a command, unless one for the same attempt was sent within the retry interval, and reports whether
+// it did.
 func (p *commandPlan) add(op string, key attemptKey) bool {
 	c := p.core
 	record := p.machine.commands.attemptOf(key)
@@ -253,8 +253,8 @@
 	}
 }
 
-// forgetOldAttempts drops the state of attempts that are neither assigned nor reported, once no start command
-// for them can be executed any more.
+// forgetOldAttempts evicts the state of attempts that are neither assigned nor reported, once no start
+// command for them can be executed any more.
 func (p *commandPlan) forgetOldAttempts() {
 	c, m := p.core, p.machine
 	for key, record := range m.commands.attempts {
@@ -314,7 +314,7 @@
 	return peers[m.commands.unanswered/2%len(peers)]
 }
 
-// expireRelayedCommands treats the relayed requests without an outcome by their deadline as unanswered.
+// expireRelayedCommands treats relayed requests that have no outcome by their deadline as unanswered.
 func (c *Core) expireRelayedCommands() {
 	for _, id := range sortedKeys(c.commands.inFlight) {
 		if request := c.commands.inFlight[id]; request.deadline != 0 && c.now >= request.deadline {
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -83,8 +83,8 @@
 	)
 }
 
-// taskStatusDigest returns a digest of the task statuses of a heartbeat, which does not depend on their
-// order, and of the presence of an interruption notice.
+// taskStatusDigest returns a digest of the task statuses of a heartbeat and of whether it has an interruption
+// notice. The digest does not depend on the order of the tasks.
 func taskStatusDigest(r *wire.Heartbeat) uint64 {
 	var sum uint64
 	var buf []byte
@@ -396,9 +396,9 @@
 	return a.maxHeartbeatGap() + a.cfg.Agents.SilenceTimeout
 }
 
-// pollOverdueAgent polls the status of an agent whose heartbeat is overdue, whether sent by the agent or
-// relayed by peers. While the controllers cannot reach each other, this is the only source of task statuses
-// whose agent reports to another controller.
+// pollOverdueAgent polls the status of an agent if its heartbeat is overdue, whether directly or through
+// peers. While the controllers cannot reach each other, polling is the only source of task statuses from
+// agents that send their heartbeats to another controller.
 //
 // Polls of an agent that does not respond back off exponentially, and the number in flight is bounded: if
 // every controller polls every machine of a lost zone once a second, each poll holds a socket until its
--- a/core/job.go
+++ b/core/job.go
@@ -12,7 +12,7 @@
 
 // job is what this controller knows of one job: its stored record, and its volatile state in this process.
 type job struct {
-	index       int32  // in jobTable.jobs
+	index       int32  // index in jobTable.jobs
 	id          string // as submitted
 	revision    uint64 // revision of the record; 0: the job is not known to exist
 	record      *jobrecord.Record
@@ -74,7 +74,7 @@
 
 // jobQueueState is the position of a job in the queue of waiting jobs.
 type jobQueueState struct {
-	missingReplicas int           // replicas of a service that are lost, as of the last scheduling pass
+	missingReplicas int           // lost replicas of a service, as of the last scheduling pass
 	enqueueRevision uint64        // revision of the acceptance, which orders the jobs of a priority class
 	rank            queueRank     // rank computed last
 	boostedUntil    time.Duration // until then, it ranks in the first priority class, for the share of its own
@@ -166,13 +166,13 @@
 	return j.record != nil && (j.record.Stage != jobrecord.Queued || j.cancelledBy != nil)
 }
 
-// jobTable is the jobs in memory, interned by index.
+// jobTable holds the jobs in memory, interned by index.
 type jobTable struct {
 	*environment
 
 	jobIndex    map[string]int32
 	jobs        []*job // nil at a free index
-	openJobs    []*job // jobs that may have to be written or answered
+	openJobs    []*job // jobs that may have something to write or respond to
 	openedCount uint64 // number of jobs ever added to openJobs
 
 	// jobsToExamine are the open jobs that are dirty or have requests to respond to. Examining all open jobs
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -25,7 +25,7 @@
 // the job. Otherwise a late acceptance could recreate a job that has ended and been archived in the meantime.
 const keyHistory = Root + "history"
 
-// history is the state of ended jobs and of the lookups of jobs that are not in memory.
+// history is the state of the ended jobs and of the lookups of jobs that are not in memory.
 type history struct {
 	*environment
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// hasFinalRecord reports whether a job has ended and its record needs no further write.
+// hasFinalRecord reports whether a job has ended and no further write of its record is needed.
 func (j *job) hasFinalRecord() bool {
 	return j.record != nil && j.record.Spec == nil && j.record.Stage != jobrecord.Queued
 }
@@ -223,7 +223,7 @@
 	h := &c.history
 	h.lastMoveRevision = max(h.lastMoveRevision, revision)
 	h.blockCache.InvalidateOlder(id, revision)
-	// The audit entries in the record were written to audit blocks before it was archived.
+	// The outbox of the record was written to audit blocks before it was archived.
 	c.auditLog.current().ResolveUnknown(keyJob+id, revision)
 	i, ok := c.jobIndex[id]
 	if !ok || c.jobs[i].revision == 0 {
--- a/core/joblookup_test.go
+++ b/core/joblookup_test.go
@@ -181,7 +181,7 @@
 	c.Handle(1900*time.Millisecond, GetJob{RequestID: 5, ID: "wk-8"})
 	c.Advance(1900 * time.Millisecond)
 	if out = completeBarrier(c, 2000*time.Millisecond); len(outputsOfType[ReadRange](out)) != 1 {
-		t.Errorf("an outdated block answered for its range: %+v", out)
+		t.Errorf("an outdated block was used to answer: %+v", out)
 	}
 }
 
@@ -281,7 +281,7 @@
 		}
 	}
 	if len(outputsOfType[Response](out)) != 2 || !logged || findAcceptTxn(out, "wk-8") != nil {
-		t.Errorf("block logged %v, got %+v", logged, out)
+		t.Errorf("corrupt block logged: %v, got %+v", logged, out)
 	}
 	watchEvents(c, 1600*time.Millisecond, 11, event(keyJob+"wk-9", `{"h":0,"st":"d","d":[0,1]}`, 11))
 	c.Handle(1700*time.Millisecond, GetJob{RequestID: 3, ID: "wk-9"})
@@ -414,7 +414,7 @@
 		}
 		clear(c.transactions.inFlight)
 	}
-	t.Fatal("no sweep starts")
+	t.Fatal("no sweep was started")
 	return nil, nil, page
 }
 
@@ -441,7 +441,7 @@
 	out = answerRead(t, c, at+2*time.Second, out, RangeResult{Status: wire.StatusOK, Revision: page.Revision})
 	move := findArchiveTxn(append(out, c.Advance(at+3*time.Second)...))
 	if move == nil {
-		t.Fatal("no record moves")
+		t.Fatal("no record was archived")
 	}
 	conditions, deletes := move.Txn.Compare, 0
 	for _, write := range move.Txn.Then {
@@ -451,7 +451,7 @@
 		deletes++
 		i := slices.IndexFunc(page.Items, func(item wire.KeyValue) bool { return item.Key == write.Delete })
 		if !slices.Contains(conditions, wire.Compare{Key: write.Delete, Revision: page.Items[i].Revision}) || i > 5 {
-			t.Errorf("%s moves without a condition, or too soon", write.Delete)
+			t.Errorf("%s was archived too early or without a condition on its revision", write.Delete)
 		}
 	}
 	if deletes != 6 || len(move.Txn.Then) != 7 ||
@@ -469,11 +469,11 @@
 	c.Handle(at+6*time.Second, page)
 	for i := range 10 {
 		if again := findArchiveTxn(c.Advance(at + time.Duration(7+i)*time.Second)); again != nil {
-			t.Fatalf("moved again: %+v", again.Txn)
+			t.Fatalf("archived again: %+v", again.Txn)
 		}
 	}
 	if c.archiving.sweep != nil && len(c.archiving.sweep.pending) > 0 {
-		t.Error("the sweep does not end")
+		t.Error("the sweep did not finish")
 	}
 }
 
@@ -499,18 +499,18 @@
 				},
 			)
 			if page < fastSnapshotPages-1 && len(outputsOfType[LoadSnapshot](c.Advance(at))) != 1 {
-				t.Fatal("a short history is not read without waiting")
+				t.Fatal("a short history must be read without waiting")
 			}
 		}
 		c.Handle(at, PeerMessage{Peer: "n1", Message: Message{Health: &Health{SnapshotPagesRead: pages}}})
 		at += 200 * time.Millisecond
 		if got := len(outputsOfType[LoadSnapshot](c.Advance(at))) == 0; got != ahead {
-			t.Errorf("another controller has read %d pages: this one waits %v", pages, got)
+			t.Errorf("another controller has read %d pages: waiting is %v", pages, got)
 		}
 		at += 2 * time.Second // no more messages from the other controller
 		c.Advance(at)
 		if !c.replica.pageInFlight && len(outputsOfType[LoadSnapshot](c.Advance(at))) == 0 {
-			t.Error("it waits for a controller that is gone")
+			t.Error("the core waits for a controller that sends no messages")
 		}
 	}
 }
--- a/core/jobrecord/record.go
+++ b/core/jobrecord/record.go
@@ -42,7 +42,7 @@
 	Team           string               `json:"gt,omitempty"` // of an ended job, since schema version 3
 	Class          string               `json:"gc,omitempty"` // of an ended job, since schema version 3
 	CancelledByJob string               `json:"by,omitempty"` // cancelled dependency that caused the cancellation
-	PendingAudit   []audit.PendingEntry `json:"e,omitempty"`  // audit entries not yet written to a block
+	PendingAudit   []audit.PendingEntry `json:"e,omitempty"`  // outbox: audit entries not yet written to a block
 	PackedLists    []byte               `json:"b,omitempty"`  // packed Assignments, CompletedTasks, Spec.Dependencies
 	// PriorityClass is the class that the job was accepted into, if classes are configured. Since schema
 	// version 7.
--- a/core/latestarts_test.go
+++ b/core/latestarts_test.go
@@ -39,7 +39,7 @@
 			}
 		}
 		if lines != tt.want {
-			t.Errorf("%s: %d lines, want %d", tt.name, lines, tt.want)
+			t.Errorf("%s: %d log lines, want %d", tt.name, lines, tt.want)
 		}
 	}
 }
--- a/core/machine.go
+++ b/core/machine.go
@@ -12,7 +12,7 @@
 // machine is all that this controller knows of one machine. It is interned by name and never freed.
 type machine struct {
 	name  string
-	index int32 // in Core.machines
+	index int32 // index in Core.machines
 
 	leaderView leaderMachineState // used only by the leader
 
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -27,10 +27,10 @@
 		t.Run(name, func(t *testing.T) {
 			record := recordWithHistory(test.history)
 			if got := isFailing(record, 1000); got != test.failing {
-				t.Errorf("failing %v: %v", got, record.StopReasons)
+				t.Errorf("isFailing is %v: %v", got, record.StopReasons)
 			}
 			if got := failsEverywhere(record, 1000); got != test.failsEverywhere {
-				t.Errorf("fails everywhere %v: %v", got, record.StopReasons)
+				t.Errorf("failsEverywhere is %v: %v", got, record.StopReasons)
 			}
 			if isFailing(record, 1000+failureWindow.Milliseconds()) {
 				t.Error("still failing after the failure window")
@@ -78,10 +78,10 @@
 			m.health.recordTaskEnd(j.index, wire.CauseError, c.now)
 		}
 		if got, want := m.health.isQuarantined(c.environment, c.jobs), kind != "failing everywhere"; got != want {
-			t.Errorf("%s: quarantined %v", kind, got)
+			t.Errorf("%s: isQuarantined is %v", kind, got)
 		}
 		if got, want := c.isProvenFaulty(m), kind == "healthy"; got != want {
-			t.Errorf("%s: proven faulty %v", kind, got)
+			t.Errorf("%s: isProvenFaulty is %v", kind, got)
 		}
 		c.now += quarantineDuration
 		if m.health.isQuarantined(c.environment, c.jobs) {
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -39,7 +39,7 @@
 			c.Handle(1100*time.Millisecond, in)
 			write := findAcceptTxn(c.Advance(1100*time.Millisecond), in.ID)
 			if write == nil {
-				t.Fatal("not written")
+				t.Fatal("the job was not written")
 			}
 			in.RequestID = joinedRequest
 			c.Handle(1150*time.Millisecond, in)
@@ -47,7 +47,7 @@
 			out = append(out, c.Advance(1600*time.Millisecond)...)
 			for _, r := range outputsOfType[Response](out) {
 				if r.RequestID == joinedRequest {
-					t.Errorf("answered without a read: %+v", r)
+					t.Errorf("responded without a read: %+v", r)
 				}
 			}
 			if len(outputsOfType[Watch](out)) == 0 {
@@ -63,7 +63,7 @@
 			})
 			stage := answeredStage(c.Advance(1700*time.Millisecond), joinedRequest)
 			if stage != wire.StageCancelled {
-				t.Errorf("answered %q", stage)
+				t.Errorf("got stage %q", stage)
 			}
 		})
 	}
--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -125,7 +125,7 @@
 	in := bufio.NewReaderSize(r, 1<<16)
 	magic := make([]byte, len(Magic))
 	if _, err := io.ReadFull(in, magic); err != nil || string(magic) != Magic {
-		return nil, fmt.Errorf("%w: no header", ErrDamaged)
+		return nil, fmt.Errorf("%w: missing header", ErrDamaged)
 	}
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPartBytes))
 	if err != nil {
@@ -171,7 +171,7 @@
 	data := part.Keys
 	data = append(data, part.Trailer...) // one of them is empty
 	if part.Number != r.number || !bytes.Equal(part.Digest, partDigest(r.number, data)) {
-		return nil, nil, fmt.Errorf("%w: part %d: its digest does not match", ErrDamaged, r.number)
+		return nil, nil, fmt.Errorf("%w: part %d: digest mismatch", ErrDamaged, r.number)
 	}
 	raw, err := r.decoder.DecodeAll(data, nil)
 	if err != nil {
@@ -214,7 +214,7 @@
 	switch {
 	case err != nil:
 	case trailer.Version > FormatVersion:
-		return nil, fmt.Errorf("snapshot of format %d: this version reads up to %d", trailer.Version, FormatVersion)
+		return nil, fmt.Errorf("snapshot has format version %d, the newest supported one is %d", trailer.Version, FormatVersion)
 	case trailer.Parts != r.number-1 || trailer.Keys != r.keys || !bytes.Equal(trailer.Digest, r.digestSum.Sum(nil)):
 		err = errors.New("the trailer does not match the parts")
 	}
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -199,7 +199,7 @@
 				return slices.Contains(response.Failed, write.Put)
 			})
 			if len(left) == len(b.writes) {
-				return fmt.Errorf("write %s: conflict without a failed condition", b.writes[0].Put)
+				return fmt.Errorf("write %s: store reported a conflict without a failed condition", b.writes[0].Put)
 			}
 			b.writes = left
 		default:
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -50,7 +50,7 @@
 
 // statusError is the error of a response with an unexpected status.
 func statusError(status int) error {
-	return fmt.Errorf("store responds with status %d", status)
+	return fmt.Errorf("store responded with status %d", status)
 }
 
 // requestWithRetry sends a request and repeats it while the store is throttling or unavailable. If there is
@@ -103,7 +103,7 @@
 	case err != nil:
 		return 0, err
 	case status == http.StatusGone:
-		return 0, errors.New("the store dropped changes before they were read: allow the snapshot more requests")
+		return 0, errors.New("the store dropped changes before they were read: increase the request rate of the snapshot")
 	case status != http.StatusOK:
 		return 0, statusError(status)
 	}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -193,11 +193,11 @@
 	}
 	target := func(s Source) *Target { return &Target{Source: s, WriteRPS: 1e6, TxnOps: 4} }
 	if _, err := Restore(ctx, target(source), path, nil); !errors.Is(err, ErrNotEmpty) {
-		t.Errorf("a store that is not empty: %v", err)
+		t.Errorf("restore to a store that is not empty: %v", err)
 	}
 	restored, destination := serveStore(t, fakes.Limits{TxnOps: 4})
 	if _, err := Restore(ctx, target(destination), damagedCopy(t, path), nil); !errors.Is(err, ErrDamaged) {
-		t.Errorf("a damaged file: %v", err)
+		t.Errorf("restore of a damaged file: %v", err)
 	}
 	if n, _ := restored.CountKeys(""); n != 0 {
 		t.Errorf("%d keys of a damaged file were written", n)
@@ -209,7 +209,7 @@
 			once.Do(stop)
 		}
 	}); err == nil {
-		t.Fatal("not interrupted")
+		t.Fatal("the restore was not interrupted")
 	}
 	if n, _ := restored.CountKeys(""); n < 10 || n > 40 {
 		t.Fatalf("%d keys were written before the interruption", n)
@@ -246,7 +246,7 @@
 		keys := 0
 		trailer, err := Read(bytes.NewReader(raw), func(*pb.Key) error { keys++; return nil })
 		if err == nil && int(trailer.Keys) != keys {
-			t.Fatalf("%d keys, the trailer says %d", keys, trailer.Keys)
+			t.Fatalf("read %d keys, the trailer has %d", keys, trailer.Keys)
 		}
 	})
 }
