--- a/archive/block.go
+++ b/archive/block.go
@@ -127,7 +127,7 @@
 		return []EncodedBlock{{b, raw}}, nil
 	}
 	if len(b.Entries) < 2 {
-		return nil, fmt.Errorf("encoded block of %d entries has %d bytes, the limit is %d", len(b.Entries), len(raw), maxBytes)
+		return nil, fmt.Errorf("block of %d entries has %d bytes, the limit is %d", len(b.Entries), len(raw), maxBytes)
 	}
 	return b.encodeHalves(maxBytes)
 }
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -163,7 +163,7 @@
 	for _, j := range cancelled {
 		raw, err := c.encodeRecord(j.record, j.assignments, false)
 		if err != nil {
-			c.log(LevelError, "cannot encode cancelled job: cancellation not sent to peers", "job", j.id, "err", err.Error())
+			c.log(LevelError, "cannot encode cancelled job for peers", "job", j.id, "err", err.Error())
 			continue
 		}
 		items = append(items, wire.KeyValue{Key: keyJob + j.id, Value: raw, Revision: j.revision})
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -120,7 +120,7 @@
 		share := outageReturnShare
 		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.agents.silenceTimeout() {
 			share = c.cfg.Agents.CancelScaleInShare
-		} else if _, reported := host.status.tasks[attemptKey{j.index, assignment.Task, assignment.Attempt}]; !reported {
+		} else if _, found := host.status.tasks[attemptKey{j.index, assignment.Task, assignment.Attempt}]; !found {
 			// The task has ended and a controller with newer records has cleared it. A task that a delayed
 			// command may still start is handled by findRestartableCancelledTask.
 			return
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -103,7 +103,7 @@
 	case err != nil:
 		return 0, err
 	case status == http.StatusGone:
-		return 0, errors.New("the store dropped changes before they were read: increase the request rate of the snapshot")
+		return 0, errors.New("the store dropped changes before they were read: increase the snapshot's request rate")
 	case status != http.StatusOK:
 		return 0, statusError(status)
 	}
