--- a/archive/plan.go
+++ b/archive/plan.go
@@ -10,8 +10,8 @@
 		if err == nil && len(blocks)+n <= maxWrites {
 			return blocks, n, nil
 		}
-		if left := maxWrites - len(blocks); err == nil && left < n {
-			n = left
+		if remaining := maxWrites - len(blocks); err == nil && remaining < n {
+			n = remaining
 		} else {
 			n--
 		}
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -85,12 +85,12 @@
 
 // taskStatusDigest returns a digest of the task statuses of a heartbeat and of whether it has an interruption
 // notice. The digest does not depend on the order of the tasks.
-func taskStatusDigest(r *wire.Heartbeat) uint64 {
+func taskStatusDigest(heartbeat *wire.Heartbeat) uint64 {
 	var sum uint64
 	var buf []byte
 	h := fnv.New64a()
-	for i := range r.Tasks {
-		status := &r.Tasks[i]
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
 		buf = append(buf[:0], status.Task...)
 		buf = append(append(append(append(buf, ' '), status.Stage...), ' '), status.Cause...)
 		buf = strconv.AppendBool(strconv.AppendUint(append(buf, ' '), status.Attempt, 10), status.Checkpointed)
@@ -98,7 +98,7 @@
 		h.Write(buf)
 		sum += h.Sum64()
 	}
-	if r.InterruptionNoticeS != nil {
+	if heartbeat.InterruptionNoticeS != nil {
 		sum++
 	}
 	return sum
@@ -118,29 +118,31 @@
 
 // applyHeartbeat applies an agent's heartbeat, unless a newer one was applied. direct means that it came from
 // the agent itself; then it is relayed to the peers.
-func (c *Core) applyHeartbeat(r *wire.Heartbeat, direct bool) {
-	m := c.internMachine(r.Machine)
-	if m.isStaleHeartbeat(r.Incarnation, r.Sequence) {
+func (c *Core) applyHeartbeat(heartbeat *wire.Heartbeat, direct bool) {
+	m := c.internMachine(heartbeat.Machine)
+	if m.isStaleHeartbeat(heartbeat.Incarnation, heartbeat.Sequence) {
 		return
 	}
-	digest := taskStatusDigest(r)
-	if m.status.matches(r.Incarnation, digest) && m.isUnchangedBy(r, c.now) {
+	digest := taskStatusDigest(heartbeat)
+	if m.status.matches(heartbeat.Incarnation, digest) && m.isUnchangedBy(heartbeat, c.now) {
 		// Most heartbeats of a large fleet change nothing; the peers need only the digest.
-		c.recordLiveness(m, r.Sequence, r.FencingToken)
+		c.recordLiveness(m, heartbeat.Sequence, heartbeat.FencingToken)
 		if direct {
 			c.agents.digestsToRelay = append(
 				c.agents.digestsToRelay,
-				HeartbeatDigest{r.Machine, r.Incarnation, r.Sequence, r.FencingToken, digest},
+				HeartbeatDigest{
+					heartbeat.Machine, heartbeat.Incarnation, heartbeat.Sequence, heartbeat.FencingToken, digest,
+				},
 			)
 		}
 		return
 	}
 	m.status.digest = digest
 	first := !m.status.reported
-	restarted := !first && m.status.incarnation != r.Incarnation
-	m.updateFrom(r, c.now)
-	c.updateTaskStatuses(m, r.Tasks)
-	c.recordLiveness(m, r.Sequence, r.FencingToken)
+	restarted := !first && m.status.incarnation != heartbeat.Incarnation
+	m.updateFrom(heartbeat, c.now)
+	c.updateTaskStatuses(m, heartbeat.Tasks)
+	c.recordLiveness(m, heartbeat.Sequence, heartbeat.FencingToken)
 	c.commands.markTasksChanged(m)
 	if restarted {
 		c.markTasksLost(m)
@@ -149,7 +151,7 @@
 		c.handleFirstHeartbeat(m)
 	}
 	if direct {
-		c.agents.heartbeatsToRelay = append(c.agents.heartbeatsToRelay, r)
+		c.agents.heartbeatsToRelay = append(c.agents.heartbeatsToRelay, heartbeat)
 	}
 	if c.leaderState != nil {
 		c.leaderState.addRowOnFirstHeartbeat(m, c.jobs)
@@ -158,15 +160,15 @@
 
 // updateFrom applies what a heartbeat reports about the machine itself. A new incarnation starts without
 // cached images.
-func (m *machine) updateFrom(r *wire.Heartbeat, now time.Duration) {
-	if r.Incarnation > m.status.incarnation {
+func (m *machine) updateFrom(heartbeat *wire.Heartbeat, now time.Duration) {
+	if heartbeat.Incarnation > m.status.incarnation {
 		m.status.images = map[string]bool{}
 	}
 	m.status.reported = true
-	m.identity.address, m.identity.machineType, m.identity.zone, m.identity.spot = r.Addr, r.Type, r.Zone, r.Spot
-	m.status.incarnation = r.Incarnation
-	if r.InterruptionNoticeS != nil {
-		m.lifecycle.interruptionDeadline = interruptionDeadline(*r.InterruptionNoticeS, now)
+	m.identity.address, m.identity.machineType, m.identity.zone, m.identity.spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	m.status.incarnation = heartbeat.Incarnation
+	if heartbeat.InterruptionNoticeS != nil {
+		m.lifecycle.interruptionDeadline = interruptionDeadline(*heartbeat.InterruptionNoticeS, now)
 	}
 }
 
@@ -180,15 +182,15 @@
 
 // isUnchangedBy reports whether a heartbeat changes nothing about the machine itself. taskStatusDigest, which
 // controllers exchange, covers its tasks and the presence of an interruption notice.
-func (m *machine) isUnchangedBy(r *wire.Heartbeat, now time.Duration) bool {
-	if m.identity.address != r.Addr || m.identity.machineType != r.Type || m.identity.zone != r.Zone ||
-		m.identity.spot != r.Spot {
+func (m *machine) isUnchangedBy(heartbeat *wire.Heartbeat, now time.Duration) bool {
+	if m.identity.address != heartbeat.Addr || m.identity.machineType != heartbeat.Type ||
+		m.identity.zone != heartbeat.Zone || m.identity.spot != heartbeat.Spot {
 		return false
 	}
-	if r.InterruptionNoticeS == nil {
+	if heartbeat.InterruptionNoticeS == nil {
 		return true
 	}
-	change := interruptionDeadline(*r.InterruptionNoticeS, now) - m.lifecycle.interruptionDeadline
+	change := interruptionDeadline(*heartbeat.InterruptionNoticeS, now) - m.lifecycle.interruptionDeadline
 	return change.Abs() <= noticeTolerance
 }
 
@@ -317,7 +319,7 @@
 
 // lastHeartbeat reconstructs the last heartbeat of a machine for a peer that lacks it. jobs is Core.jobs.
 func (m *machine) lastHeartbeat(jobs []*job, now time.Duration) *wire.Heartbeat {
-	r := &wire.Heartbeat{
+	heartbeat := &wire.Heartbeat{
 		Machine:      m.name,
 		Addr:         m.identity.address,
 		Type:         m.identity.machineType,
@@ -329,12 +331,12 @@
 	}
 	if m.lifecycle.interruptionDeadline != 0 {
 		left := (m.lifecycle.interruptionDeadline - now).Seconds()
-		r.InterruptionNoticeS = &left
+		heartbeat.InterruptionNoticeS = &left
 	}
 	for _, k := range m.sortedAttemptKeys() {
 		status := m.status.tasks[k]
-		r.Tasks = append(
-			r.Tasks,
+		heartbeat.Tasks = append(
+			heartbeat.Tasks,
 			wire.TaskStatus{
 				Task:         wire.TaskName(jobs[k.jobIndex].id, int(k.task)),
 				Attempt:      k.attempt,
@@ -344,7 +346,7 @@
 			},
 		)
 	}
-	return r
+	return heartbeat
 }
 
 // broadcastHeartbeats relays the heartbeats that this controller received to the peers: changed heartbeats in
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -108,14 +108,14 @@
 // checkMachine marks a machine for scale-in or polls it.
 func (k *machineCheck) checkMachine(m *machine) {
 	c := k.core
-	quiet := c.now - m.status.lastHeartbeatAt
-	overdue := m.status.reported && quiet > c.agents.maxHeartbeatGap()
+	silence := c.now - m.status.lastHeartbeatAt
+	overdue := m.status.reported && silence > c.agents.maxHeartbeatGap()
 	if overdue {
 		k.pollTargets = append(k.pollTargets, m.name)
 	}
 	m.leaderView.zoneUnreachable = overdue && k.zones[m.identity.zone] != nil ||
 		m.status.reported && c.agents.isZoneSilent(m.identity.zone, replacementSilenceLimit)
-	if reason := k.returnReason(m, quiet); reason != "" {
+	if reason := k.returnReason(m, silence); reason != "" {
 		c.autoscaler.markForReturn(m, reason)
 	} else if m.status.reported {
 		c.agents.pollOverdueAgent(m)
@@ -124,7 +124,7 @@
 
 // returnReason returns why a machine without a heartbeat for the given time must be scaled in; "" if it need
 // not be.
-func (k *machineCheck) returnReason(m *machine, quiet time.Duration) string {
+func (k *machineCheck) returnReason(m *machine, silence time.Duration) string {
 	c := k.core
 	deadline := m.lifecycle.interruptionDeadline
 	switch {
@@ -135,9 +135,9 @@
 		return ""
 	case deadline > 0 && c.now > deadline-noticeMargin:
 		return returnInterruption
-	case m.leaderView.zoneUnreachable && k.awaitsReplacement(m, quiet):
+	case m.leaderView.zoneUnreachable && k.awaitsReplacement(m, silence):
 		return ""
-	case k.isSilent(quiet):
+	case k.isSilent(silence):
 		return returnSilent
 	case c.isProvenFaulty(m):
 		return returnFaulty
@@ -155,20 +155,20 @@
 }
 
 // awaitsReplacement reports whether a machine of an unreachable zone is kept until its replacement is up.
-func (k *machineCheck) awaitsReplacement(m *machine, quiet time.Duration) bool {
+func (k *machineCheck) awaitsReplacement(m *machine, silence time.Duration) bool {
 	c := k.core
 	grace := c.autoscaler.unreachableZoneGrace(m, c.agents.silenceTimeout())
-	return quiet < grace && !m.delayMissesDeadline(c.jobs, c.unixMS(), grace-quiet)
+	return silence < grace && !m.delayMissesDeadline(c.jobs, c.unixMS(), grace-silence)
 }
 
 // isSilent reports whether a machine without a heartbeat for the given time counts as lost. A new leader
 // first waits for heartbeats for the silence timeout itself.
-func (k *machineCheck) isSilent(quiet time.Duration) bool {
+func (k *machineCheck) isSilent(silence time.Duration) bool {
 	c := k.core
-	if quiet <= c.agents.silenceTimeout() || c.now-k.leader.leadingSince <= c.agents.silenceTimeout() {
+	if silence <= c.agents.silenceTimeout() || c.now-k.leader.leadingSince <= c.agents.silenceTimeout() {
 		return false
 	}
-	return !k.isIsolated || quiet > c.cfg.Agents.LeaseTTL+isolatedSilenceMargin
+	return !k.isIsolated || silence > c.cfg.Agents.LeaseTTL+isolatedSilenceMargin
 }
 
 // unreachableZoneGrace returns how long the machines of an unreachable zone are kept. The zone may only be
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -195,13 +195,13 @@
 		case status == http.StatusOK:
 			b.writes = nil
 		case status == http.StatusConflict:
-			left := slices.DeleteFunc(slices.Clone(b.writes), func(write wire.Write) bool {
+			remaining := slices.DeleteFunc(slices.Clone(b.writes), func(write wire.Write) bool {
 				return slices.Contains(response.Failed, write.Put)
 			})
-			if len(left) == len(b.writes) {
+			if len(remaining) == len(b.writes) {
 				return fmt.Errorf("write %s: store reported a conflict without a failed condition", b.writes[0].Put)
 			}
-			b.writes = left
+			b.writes = remaining
 		default:
 			return fmt.Errorf("write %s and others: %w: %s", b.writes[0].Put, statusError(status), response.Error)
 		}
--- a/snapshot/save.go
+++ b/snapshot/save.go
@@ -56,11 +56,11 @@
 // requestWithRetry sends a request and repeats it while the store is throttling or unavailable. If there is
 // no response, only a read is repeated, because a write may have been executed.
 func requestWithRetry[T any](ctx context.Context, s *Source, method, path string, body any) (T, int, error) {
-	var none T
+	var zero T
 	var last httpjson.Response
 	for attempt := range maxAttempts {
 		if err := s.limiter.Wait(ctx); err != nil {
-			return none, 0, err
+			return zero, 0, err
 		}
 		value, response := httpjson.Decode[T](s.client.Do(ctx, requestTimeout, method, "http://"+s.Addr+path, body))
 		switch {
@@ -79,9 +79,9 @@
 		}
 	}
 	if last.Err != nil {
-		return none, 0, fmt.Errorf("request to store: %w", last.Err)
+		return zero, 0, fmt.Errorf("request to store: %w", last.Err)
 	}
-	return none, last.Status, statusError(last.Status)
+	return zero, last.Status, statusError(last.Status)
 }
 
 // readPage reads a page of at most limit keys with a prefix that follow afterKey.
