--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -213,7 +213,7 @@
 	if !has("wk-2") || !has("wk-3") || !has("wk-9") || cache.Blocks() != 3 {
 		t.Fatal("a block is missing")
 	}
-	cache.InvalidateOlder("wk-4", 6) // the block was read at this revision
+	cache.InvalidateOlder("wk-4", 6) // the block already contains this move
 	cache.InvalidateOlder("wk-7", 8)
 	if !has("wk-4") || has("wk-7") {
 		t.Error("a block must be invalidated by a move after it was read, and only then")
--- a/core/cancelmarker.go
+++ b/core/cancelmarker.go
@@ -14,8 +14,8 @@
 const keyCancel = Root + "cancel/"
 
 // cancelMarker cancels a job whose record exceeds the current size limit and can't be rewritten, because an
-// older version stored it under a larger limit. The marker is a small durable write in addition to the
-// record. The record is rewritten as the job's tasks end, and the write of the final record deletes the
+// older version may have stored it under a larger limit. The marker is a small durable write in addition to
+// the record. The record is rewritten as the job's tasks end, and the write of the final record deletes the
 // marker.
 type cancelMarker struct {
 	CancelMS int64                `json:"cm"` // wall-clock time of the cancellation
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -165,7 +165,8 @@
 		m.status.images = map[string]bool{}
 	}
 	m.status.reported = true
-	m.identity.address, m.identity.machineType, m.identity.zone, m.identity.spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	m.identity.address, m.identity.machineType, m.identity.zone, m.identity.spot = heartbeat.Addr,
+		heartbeat.Type, heartbeat.Zone, heartbeat.Spot
 	m.status.incarnation = heartbeat.Incarnation
 	if heartbeat.InterruptionNoticeS != nil {
 		m.lifecycle.interruptionDeadline = interruptionDeadline(*heartbeat.InterruptionNoticeS, now)
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -16,9 +16,9 @@
 // ended job is cold while its record is still in the store, and archived once the record has moved into a
 // block (see archivesweep.go). Cold and archived jobs are read on request and then cached for a while.
 //
-// A job does not exist only if a read barrier does not show it, there is no cold record of it, and the block
-// of its ID range, as of that barrier, does not contain it. The record is read before the block, because
-// records move from the store into blocks and never back.
+// A job counts as nonexistent only if a read barrier does not show it, there is no cold record of it, and the
+// block of its ID range, as of that barrier, does not contain it. The record is read before the block,
+// because records move from the store into blocks and never back.
 
 // keyHistory exists once anything may be archived. A transaction that writes a new job is conditional on the
 // absence of this key, or on the block of the job's ID range being unchanged since it was seen not to contain
--- a/core/latestarts.go
+++ b/core/latestarts.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// lateStartThreshold is the time from the acceptance of a job to its first running task above which the
-	// start is logged.
+	// lateStartThreshold is the time from the acceptance of a job to its first running task at which the
+	// start counts as late and is logged.
 	lateStartThreshold = time.Minute
 	// lateStartLogInterval is the least time between two log lines about late starts. The jobs in between are
 	// counted.
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// minSilentWhenIsolated is the least number of silent machines, if they are the majority, from which this
+	// minSilentWhenIsolated is the least number of silent machines, if they are the majority, at which this
 	// controller considers itself isolated.
 	minSilentWhenIsolated = 2
-	// minSilentInZone is the least number of silent machines of a zone from which the zone may count as
+	// minSilentInZone is the least number of silent machines in a zone that can make the zone count as
 	// unreachable.
 	minSilentInZone = 3
 	// unreachableZoneBlock is how long scale-out in an unreachable zone is blocked; every check renews it.
@@ -55,7 +55,8 @@
 }
 
 // checkMachines determines the machines to scale in: silent and faulty ones, those that did not boot in time,
-// and those about to be interrupted. It polls other machines whose heartbeats are overdue.
+// and those about to be interrupted. It polls the other machines whose heartbeats are overdue, and has a peer
+// poll them.
 func (c *Core) checkMachines() {
 	check := machineCheck{core: c, leader: c.leaderState, zones: map[string]*machineCounts{}}
 	check.countSilent()
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -16,18 +16,18 @@
 // one.
 
 const (
-	// failingThreshold is the number of errors among the stop reasons in a record from which the job counts
-	// as failing.
+	// failingThreshold is the number of errors, among the stop reasons that a record keeps, at which its job
+	// counts as failing.
 	failingThreshold = 3
-	// failureWindow is the age from which an error no longer counts: a service that once ran on faulty
-	// machines must start at once when all its replicas are lost.
+	// failureWindow is the age at which an error stops counting: a service that once ran on faulty machines
+	// must start at once when all its replicas are lost.
 	failureWindow = 5 * time.Minute
 	// steadyAfter is how long a task must have run before more tasks of its failing job may be tried.
 	steadyAfter = 10 * time.Second
-	// quarantineJobThreshold is the number of jobs that failed on a machine from which it is quarantined.
+	// quarantineJobThreshold is the number of jobs failing on a machine at which the machine is quarantined.
 	quarantineJobThreshold = 3
-	// returnHealthyJobThreshold is the number of these jobs that must be healthy elsewhere to prove the
-	// machine faulty.
+	// returnHealthyJobThreshold is the number of these jobs, healthy elsewhere, that proves the machine
+	// faulty.
 	returnHealthyJobThreshold = 2
 	// avoidFailedMachineFor is how long a job avoids a machine where it failed. It is bounded because there
 	// may be no other machine.
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("%s: isQuarantined is %v", kind, got)
 		}
 		if got, want := c.isProvenFaulty(m), kind == "healthy"; got != want {
-			t.Errorf("%s: isProvenFaulty is %v", kind, got)
+			t.Errorf("%s: proven faulty is %v", kind, got)
 		}
 		c.now += quarantineDuration
 		if m.health.isQuarantined(c.environment, c.jobs) {
--- a/core/requests.go
+++ b/core/requests.go
@@ -417,8 +417,8 @@
 	})
 }
 
-// enqueueCancellation schedules the cancellation of a job with its next write, after which the request is
-// responded to.
+// enqueueCancellation schedules the cancellation of a job with its next write and registers the request for
+// the response.
 func (c *Core) enqueueCancellation(target *job, in CancelJob) {
 	if target.isFinal() {
 		c.respond(in.RequestID, wire.StatusOK, c.jobState(target))
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -8,8 +8,8 @@
 )
 
 // A submission that joins a pending one whose write is in flight must be answered by a read that began after
-// it arrived. Otherwise the outcome of that write alone answers it as «queued», although another controller
-// may have read the write and cancelled the job, and may have told another user so.
+// it arrived. Otherwise the outcome of that write alone answers it with stage "queued", although another
+// controller may have read the write and cancelled the job, and may have told another user so.
 func TestJoinedSubmissionIsAnsweredByItsOwnReadBarrier(t *testing.T) {
 	const (
 		queuedRecord    = `{"h":0,"s":{"cl":"c","tm":"t","pr":2,"n":1,"rc":[1000,0,1000]},"at":1}`
--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -214,7 +214,8 @@
 	switch {
 	case err != nil:
 	case trailer.Version > FormatVersion:
-		return nil, fmt.Errorf("snapshot format %d is newer than the supported format %d", trailer.Version, FormatVersion)
+		return nil, fmt.Errorf(
+			"snapshot format %d is newer than the supported format %d", trailer.Version, FormatVersion)
 	case trailer.Parts != r.number-1 || trailer.Keys != r.keys || !bytes.Equal(trailer.Digest, r.digestSum.Sum(nil)):
 		err = errors.New("the trailer does not match the parts")
 	}
