--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// unresponsiveRequestDivisor limits the command requests in flight to machines that probably do not
-	// respond: at most one in so many of MaxCommandRequests.
+	// unresponsiveRequestDivisor is the divisor of MaxCommandRequests that gives the limit of requests in
+	// flight to machines that probably do not respond.
 	unresponsiveRequestDivisor = 4
 	// maxEndedTasksBeforeClear is the number of ended tasks reported by a machine above which they are
 	// cleared without delay.
