--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -117,7 +117,7 @@
 	plan.collectAssigned()
 	plan.collectUnassigned()
 	plan.collectClears()
-	plan.forgetOldAttempts()
+	plan.evictOldAttempts()
 	if len(plan.commands) == 0 {
 		return plan.needsRecheck
 	}
@@ -253,9 +253,9 @@
 	}
 }
 
-// forgetOldAttempts evicts the state of attempts that are neither assigned nor reported, once no start
+// evictOldAttempts evicts the state of attempts that are neither assigned nor reported, once no start
 // command for them can be executed any more.
-func (p *commandPlan) forgetOldAttempts() {
+func (p *commandPlan) evictOldAttempts() {
 	c, m := p.core, p.machine
 	for key, record := range m.commands.attempts {
 		if record.startInFlight {
--- a/core/job.go
+++ b/core/job.go
@@ -77,7 +77,7 @@
 	missingReplicas int           // lost replicas of a service, as of the last scheduling pass
 	enqueueRevision uint64        // revision of the acceptance, which orders the jobs of a priority class
 	rank            queueRank     // rank computed last
-	boostedUntil    time.Duration // until then, it ranks in the first priority class, within its own class's share
+	boostedUntil    time.Duration // until then, it ranks in the first class, for the reserved share of its own class
 }
 
 // jobPlacement is the state of placing a job's tasks, and of the back-off after failures.
