--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawEntry draws an ended job.
+// drawEntry draws an arbitrary ended job.
 func drawEntry(t *rapid.T) Entry {
 	entry := Entry{
 		ID:             rapid.StringMatching(`wk-[0-9a-zA-Z_-]{1,12}`).Draw(t, "id"),
@@ -45,12 +45,12 @@
 	return entries
 }
 
-// withoutRepeats drops entries with the ID of the one before.
+// withoutRepeats removes entries with the same ID as the previous one.
 func withoutRepeats(entries []Entry) []Entry {
 	return slices.CompactFunc(entries, func(a, b Entry) bool { return a.ID == b.ID })
 }
 
-// testArchive is an archive in a store with ordered keys, and what it should hold.
+// testArchive is an archive in a store with ordered keys, with the entries that it should contain.
 type testArchive struct {
 	stored   map[string]json.RawMessage
 	want     map[string]Entry
@@ -58,7 +58,8 @@
 	maxOps   int
 }
 
-// blockFor finds the block for an ID by one read: it is that of the first key after the ID's.
+// blockFor finds the block for an ID by one read: it is stored under the first key after the seek key of the
+// ID.
 func (a *testArchive) blockFor(t *rapid.T, id string) *Block {
 	t.Helper()
 	first := ""
@@ -72,7 +73,7 @@
 	}
 	block, err := Decode(a.stored[first])
 	if err != nil || BlockKey(block.High) != first || !block.Covers(id) {
-		t.Fatalf("the read for %s leads to %s: %v", id, first, err)
+		t.Fatalf("the read for %s found the wrong block %s: %v", id, first, err)
 	}
 	return block
 }
@@ -88,7 +89,7 @@
 	return withoutRepeats(sortedByID(group))
 }
 
-// move archives a group of entries. Those for a block that can't be split under the limits stay out.
+// move archives a group of entries. It skips those for a block that can't be split under the current limits.
 func (a *testArchive) move(t *rapid.T, group []Entry) {
 	t.Helper()
 	for attempts := 0; len(group) > 0; attempts++ {
@@ -98,7 +99,7 @@
 			count = len(group)
 		}
 		blocks, moved, err := block.PlanMerge(group[:count], a.maxBytes, a.maxOps)
-		if errors.Is(err, ErrTooManyBlocks) { // a block of the larger limits
+		if errors.Is(err, ErrTooManyBlocks) { // a block written under larger limits
 			group = group[count:]
 			continue
 		}
@@ -113,25 +114,25 @@
 	}
 }
 
-// store replaces a block by others, which must cover its range without gap or overlap.
+// store replaces a block by others, which must cover its range without a gap or an overlap.
 func (a *testArchive) store(t *rapid.T, replaced *Block, blocks []EncodedBlock) {
 	t.Helper()
 	low := replaced.Low
 	for _, block := range blocks {
 		if block.Low != low || len(block.Value) > a.maxBytes {
-			t.Fatalf("a block from %q after %q, %d bytes", block.Low, low, len(block.Value))
+			t.Fatalf("a block starts at %q, want %q; it has %d bytes", block.Low, low, len(block.Value))
 		}
 		low = block.High
 		a.stored[BlockKey(block.High)] = block.Value
 	}
 	if low != replaced.High {
-		t.Fatalf("the blocks end at %q, not at %q", low, replaced.High)
+		t.Fatalf("the blocks end at %q, want %q", low, replaced.High)
 	}
 }
 
-// However jobs are grouped into moves, under limits that fall meanwhile: each archived job is found as it
-// was, by one read, and no other is; no transaction exceeds the limits; the ranges of the blocks cover
-// all IDs without overlap.
+// However jobs are grouped into moves, and even if the limits decrease in between: each archived job must be
+// found unchanged by one read, no other job may be found, no transaction may exceed the limits, and the
+// ranges of the blocks must cover all IDs without overlap.
 func TestEveryArchivedJobIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		archive := &testArchive{
@@ -154,13 +155,13 @@
 		other := drawEntry(t).ID
 		if _, ok := archive.want[other]; !ok {
 			if _, found := archive.blockFor(t, other).Find(other); found {
-				t.Fatalf("%s is found", other)
+				t.Fatalf("%s was found but not archived", other)
 			}
 		}
 	})
 }
 
-// A repeated move changes nothing, and an archived entry stays as it was.
+// A repeated move must change nothing, and an archived entry must stay unchanged.
 func TestMergeIsIdempotent(t *testing.T) {
 	block := EmptyBlock().Merge([]Entry{{ID: "wk-1", CompletedTasks: 1}, {ID: "wk-3", CompletedTasks: 3}})
 	again := block.Merge(
@@ -172,7 +173,7 @@
 	}
 }
 
-// A flipped bit of a stored block is an error or harmless, and never changes what it holds.
+// A flipped bit in a stored block must cause an error or leave the decoded content unchanged.
 func TestEveryFlippedBitIsDetected(t *testing.T) {
 	raw, err := EmptyBlock().Merge([]Entry{
 		{ID: "wk-1", CompletedTasks: 1},
@@ -195,7 +196,8 @@
 	}
 }
 
-// The cache stays within its bytes, and returns no block that a job moved into after it was read.
+// The cache must stay within its size, and must not return a block that a job was moved into after the block
+// was read.
 func TestBlockCacheIsExactAndBounded(t *testing.T) {
 	cache := NewBlockCache(3 * (blockOverheadBytes + 10))
 	put := func(low, high string, revision uint64) {
@@ -203,7 +205,7 @@
 	}
 	has := func(id string) bool {
 		_, _, err := cache.Lookup(id, 0)
-		return err != nil // the cached value is no block, so that a lookup which finds it fails
+		return err != nil // the cached value is not a valid block, so a lookup that finds it fails
 	}
 	put("", "wk-3", 5)
 	put("wk-3", "wk-6", 6)
@@ -211,10 +213,10 @@
 	if !has("wk-2") || !has("wk-3") || !has("wk-9") || cache.Blocks() != 3 {
 		t.Fatal("a block is missing")
 	}
-	cache.InvalidateOlder("wk-4", 6) // which the block shows already
+	cache.InvalidateOlder("wk-4", 6) // the block already contains this move
 	cache.InvalidateOlder("wk-7", 8)
 	if !has("wk-4") || has("wk-7") {
-		t.Error("a move after the read does not invalidate, or one before it does")
+		t.Error("a block must be invalidated by a move after it was read, and only then")
 	}
 	put("wk-6", "wk-8", 9) // a split
 	put("wk-8", MaxID, 9)
@@ -224,11 +226,11 @@
 	cache.Invalidate(BlockKey("wk-6"))
 	put("wk-1", MaxID, 10) // covers the ranges of others
 	if cache.Blocks() != 1 || has("wk-0") || !has("wk-7") {
-		t.Error("ranges overlap")
+		t.Error("overlapping blocks were not removed")
 	}
 }
 
-// The few blocks that were decoded last are not decoded again, and a newer one replaces them.
+// The most recently decoded blocks must not be decoded again, and a newer version must replace them.
 func TestDecodedBlocksAreBounded(t *testing.T) {
 	cache := NewBlockCache(1 << 20)
 	put := func(i, completedTasks int, revision uint64) {
@@ -252,13 +254,13 @@
 	}
 	first := get(0)
 	if get(0) != first {
-		t.Error("it is decoded twice")
+		t.Error("the block was decoded twice")
 	}
 	for i := range 8 {
 		get(i)
 	}
 	if len(cache.decoded) != maxDecodedBlocks || get(0) == first {
-		t.Errorf("%d blocks stay decoded", len(cache.decoded))
+		t.Errorf("%d blocks are kept decoded", len(cache.decoded))
 	}
 	put(0, 2, 20)
 	if e, _ := get(0).Find("wk-0"); e.CompletedTasks != 2 || len(cache.decoded) > maxDecodedBlocks {
@@ -272,7 +274,7 @@
 	}
 }
 
-// FuzzDecode checks that whatever is decoded is encoded and decoded to the same.
+// FuzzDecode checks that a decoded value stays the same when it is encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for count := range 4 {
 		var entries []Entry
@@ -307,7 +309,7 @@
 	})
 }
 
-// BenchmarkPlanMerge merges a group into a block of the usual size, and reports the bytes that a job takes.
+// BenchmarkPlanMerge merges a group into a block of the usual size, and reports the bytes per job.
 func BenchmarkPlanMerge(b *testing.B) {
 	const maxBytes = 8192
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/core/requests_test.go
+++ b/core/requests_test.go
@@ -7,9 +7,9 @@
 	"dewlift/wire"
 )
 
-// A submission that joins one whose write is in flight must be answered by a read that began after
-// it arrived. It was once answered «queued» by that write alone, which another controller had read,
-// and whose cancellation of the job another user had already been answered with.
+// A submission that joins a pending one whose write is in flight must be answered by a read that began after
+// it arrived. Otherwise the outcome of that write alone answers it with stage "queued", although another
+// controller may have read the write and cancelled the job, and may have told another user so.
 func TestJoinedSubmissionIsAnsweredByItsOwnReadBarrier(t *testing.T) {
 	const (
 		queuedRecord    = `{"h":0,"s":{"cl":"c","tm":"t","pr":2,"n":1,"rc":[1000,0,1000]},"at":1}`
@@ -39,7 +39,7 @@
 			c.Handle(1100*time.Millisecond, in)
 			write := findAcceptTxn(c.Advance(1100*time.Millisecond), in.ID)
 			if write == nil {
-				t.Fatal("not written")
+				t.Fatal("the job was not written")
 			}
 			in.RequestID = joinedRequest
 			c.Handle(1150*time.Millisecond, in)
@@ -47,7 +47,7 @@
 			out = append(out, c.Advance(1600*time.Millisecond)...)
 			for _, r := range outputsOfType[Response](out) {
 				if r.RequestID == joinedRequest {
-					t.Errorf("answered without a read: %+v", r)
+					t.Errorf("responded without a read: %+v", r)
 				}
 			}
 			if len(outputsOfType[Watch](out)) == 0 {
@@ -63,13 +63,13 @@
 			})
 			stage := answeredStage(c.Advance(1700*time.Millisecond), joinedRequest)
 			if stage != wire.StageCancelled {
-				t.Errorf("answered %q", stage)
+				t.Errorf("got stage %q", stage)
 			}
 		})
 	}
 }
 
-// answeredStage is the stage of the job state that a request was answered with; "" if there is none.
+// answeredStage returns the stage in the job state of the response to a request; "" if there is none.
 func answeredStage(out []Output, requestID uint64) string {
 	stage := ""
 	for _, r := range outputsOfType[Response](out) {
@@ -80,8 +80,8 @@
 	return stage
 }
 
-// A rejection must keep its status and reason, and only one that may pass by itself is temporary:
-// it is answered as unavailable, so that the client retries.
+// A rejection must keep its status and reason. Only a rejection that may resolve by itself is temporary: it
+// is sent as unavailable, so that the client retries.
 func TestValidateSubmissionRejections(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
