--- a/core/assignment.go
+++ b/core/assignment.go
@@ -10,13 +10,13 @@
 	"dewlift/wire"
 )
 
-// lockedRetryDelay is the time until a team whose key is being written is looked at again.
+// lockedRetryDelay is the delay before a job is examined again while its team's key is being written.
 const lockedRetryDelay = 20 * time.Millisecond
 
-// unboundedHorizon is the busy horizon of a machine that runs a service: it has no expected end.
+// unboundedHorizon is the busy horizon of a machine that runs a service, which has no expected end.
 const unboundedHorizon = time.Hour
 
-// Penalties added to a machine's scoring tier; a machine of a smaller tier is a better candidate.
+// Penalties added to a machine's scoring tier. A machine of a smaller tier is a better candidate.
 // A larger penalty outweighs the sum of all smaller ones.
 const (
 	onDemandTierPenalty     = 200 // a spot job on an on-demand machine that will become idle
@@ -25,9 +25,9 @@
 	maxHorizonTierPenalty   = 90  // a task that outlasts the machine's busy horizon
 )
 
-// assignTasks chooses machines for a job's unassigned tasks: CandidateRatio candidates per task from
-// the copy of the cluster state, best first, the rest at random. It appends the assignments to the
-// proposal. A retryAt that is not 0 is the time to look at the job again.
+// assignTasks chooses machines for a job's unassigned tasks and appends the assignments to the
+// proposal. It takes CandidateRatio candidates per task from the copy of the cluster state, the best
+// first and the rest at random. A nonzero retryAt is the time to examine the job again.
 func (c *Core) assignTasks(p *proposal, b *txnBuilder) (retryAt time.Duration) {
 	spec := p.record.Spec
 	if c.autoscaler.catalog == nil || !c.ownLease.isHeld() {
@@ -44,8 +44,8 @@
 		limit = min(limit, team.tasksWithinMaxQuota(spec.Request, b.addedUsage[team]))
 	}
 	priorityClass, enqueuedAtMS := c.placementPosition(p)
-	leavesHeldCapacity := c.clusterCopy.mustAvoidHeldCapacity(priorityClass)
-	if limit <= 0 || c.placement.isKnownUnplaceable(spec, priorityClass, enqueuedAtMS, leavesHeldCapacity) {
+	avoidsHeldCapacity := c.clusterCopy.mustAvoidHeldCapacity(priorityClass)
+	if limit <= 0 || c.placement.isKnownUnplaceable(spec, priorityClass, enqueuedAtMS, avoidsHeldCapacity) {
 		return 0
 	}
 	tasks := p.record.UnassignedTasks(p.assignments, limit)
@@ -58,7 +58,7 @@
 		spec:                 spec,
 		priorityClass:        priorityClass,
 		enqueuedAtMS:         enqueuedAtMS,
-		avoidsHeldCapacity:   leavesHeldCapacity,
+		avoidsHeldCapacity:   avoidsHeldCapacity,
 		tasks:                tasks,
 		tasksInZone:          map[string]int{},
 		maxTasksInZone:       (spec.Tasks + 1) / 2,
@@ -71,7 +71,8 @@
 	return 0
 }
 
-// newAssignmentLimit is how many more tasks the size of a record and the job's failures allow to assign.
+// newAssignmentLimit returns how many more tasks may be assigned, given the size limit of a record and
+// the job's recent failures.
 func (c *Core) newAssignmentLimit(p *proposal) int {
 	limit := min(c.maxAssignedTasks()-len(p.assignments), p.record.Spec.Tasks)
 	if isFailing(p.record, c.unixMS()) {
@@ -80,8 +81,8 @@
 	return limit
 }
 
-// placementPosition is the queue position by which a proposal competes for capacity. A job that is
-// only being accepted has none of its own yet: it gets the position it will have.
+// placementPosition returns the queue position with which a proposal competes for capacity. A job that
+// is being accepted has no position yet, so it gets the one that it will have.
 func (c *Core) placementPosition(p *proposal) (priorityClass int, enqueuedAtMS int64) {
 	if p.isAcceptance {
 		return c.priority.classes.Classify(p.record.Spec), p.record.AcceptedAtMS
@@ -89,7 +90,7 @@
 	return c.priority.effectiveClass(p.job), p.job.effectiveEnqueueMS()
 }
 
-// placementAttempt is the working state of one run of assignTasks.
+// placementAttempt is the state of one run of assignTasks.
 type placementAttempt struct {
 	core     *Core
 	proposal *proposal
@@ -97,19 +98,19 @@
 
 	priorityClass      int
 	enqueuedAtMS       int64
-	avoidsHeldCapacity bool // must leave the capacity alone that is held for more important work
+	avoidsHeldCapacity bool // must not use the capacity held for higher-priority work
 	competitors        competitorCounts
-	avoidedMachines    []string // tasks of the job failed there recently
+	avoidedMachines    []string // machines on which tasks of the job failed recently
 
-	tasks                []int32        // still without a machine
-	tasksInZone          map[string]int // assigned tasks of the job by zone
-	maxTasksInZone       int            // of a job that is spread over zones
-	onlyZone             string         // all tasks must go there; "": any zone
-	triedWithoutCapacity map[int32]bool // seem full, and have had their one attempt
-	yieldDelay           time.Duration  // until the first capacity yielded to other controllers may be used; 0: none is
+	tasks                []int32        // tasks without a machine
+	tasksInZone          map[string]int // number of assigned tasks by zone
+	maxTasksInZone       int            // limit for a job that is spread over zones
+	onlyZone             string         // zone for all tasks; "": any zone
+	triedWithoutCapacity map[int32]bool // machines that seem full and have been tried once
+	yieldDelay           time.Duration  // time until the first yielded capacity may be used; 0: none is yielded
 }
 
-// chooseZone counts the job's tasks by zone, and fixes the zone of a job that must run in a single one.
+// chooseZone counts the job's tasks by zone and chooses the zone of a job that must run in a single one.
 func (a *placementAttempt) chooseZone() {
 	for _, assignment := range a.proposal.assignments {
 		a.tasksInZone[a.core.machines[assignment.Machine].identity.zone]++
@@ -127,8 +128,8 @@
 	}
 }
 
-// placeTasks assigns tasks to candidates. It queries again only if a zone has become full meanwhile:
-// the remaining tasks may find capacity in the other zones.
+// placeTasks assigns tasks to candidates. It queries again only if a zone has become full in the
+// meantime, because the remaining tasks may find capacity in other zones.
 func (a *placementAttempt) placeTasks() {
 	query := a.candidateQuery()
 	for len(a.tasks) > 0 {
@@ -149,7 +150,7 @@
 	}
 }
 
-// candidateQuery describes the machines that may run the job's tasks, and which of them are better.
+// candidateQuery returns the query for machines that may run the job's tasks, with their ranking.
 func (a *placementAttempt) candidateQuery() clusterstate.CandidateQuery {
 	c := a.core
 	query := clusterstate.CandidateQuery{
@@ -171,8 +172,8 @@
 	return query
 }
 
-// isAllowed is the feasibility filter: it reports whether a machine may run the job's tasks now. It
-// notes when capacity that is yielded to other controllers may be used.
+// isAllowed reports whether a machine may run the job's tasks now. It also records in yieldDelay when
+// capacity that is yielded to other controllers may be used.
 func (a *placementAttempt) isAllowed(index int32) bool {
 	c := a.core
 	target := c.machines[index]
@@ -184,9 +185,9 @@
 	if a.avoidsHeldCapacity && c.clusterCopy.state.Row(index).Available.Fits(c.clusterCopy.capacityHold.Request) {
 		return false
 	}
-	// A full zone holds no candidates. The best of all candidates were often in one, as its machines
-	// hold the image: replicas lost with a zone waited for minutes beside hundreds of machines with
-	// capacity in the other zones.
+	// Machines in a full zone are excluded here, before ranking. They often ranked best because they
+	// had the image, and replicas lost with a zone waited for minutes although hundreds of machines in
+	// other zones had capacity.
 	if a.isZoneFull(target.identity.zone) {
 		return false
 	}
@@ -197,7 +198,7 @@
 	return delay == 0
 }
 
-// tierOf scores a machine coarsely: candidates of a smaller tier are taken first.
+// tierOf returns the scoring tier of a machine. Candidates of a smaller tier are used first.
 func (a *placementAttempt) tierOf(index int32) int {
 	settings, target, tier := &a.core.cfg.Scheduling, a.core.machines[index], 0
 	horizon := a.core.busyHorizon(target)
@@ -210,8 +211,8 @@
 	if settings.BusyHorizonStep <= 0 {
 		return tier
 	}
-	// A machine is paid for until its last task ends: a task that ends before costs nothing. A
-	// replica has no expected end: alone on a machine it would keep that machine for itself.
+	// A machine is paid for until its last task ends, so a task that ends earlier adds no cost. A
+	// replica has no expected end: alone on a machine, it would keep the machine busy indefinitely.
 	estimate := time.Duration(a.spec.EstimatedRuntimeMS) * time.Millisecond
 	if a.spec.Service && horizon < unboundedHorizon {
 		tier += serviceTierPenalty
@@ -221,12 +222,12 @@
 	return tier
 }
 
-// isZoneFull reports whether a job that is spread over zones has all tasks in a zone that may be there.
+// isZoneFull reports whether a job that is spread over zones has reached its task limit in a zone.
 func (a *placementAttempt) isZoneFull(zone string) bool {
 	return a.spec.Spread && a.tasksInZone[zone] >= a.maxTasksInZone
 }
 
-// countFullZones counts the zones that may get no more tasks of the job.
+// countFullZones counts the zones that have reached the task limit of the job.
 func (a *placementAttempt) countFullZones() (n int) {
 	for zone := range a.tasksInZone {
 		if a.isZoneFull(zone) {
@@ -236,8 +237,8 @@
 	return n
 }
 
-// scheduleScanOfYielded makes the scheduler look at the waiting jobs again when the first capacity
-// that was yielded to other controllers may be used.
+// scheduleScanOfYielded schedules a scan of the waiting jobs for the time when the first capacity that
+// was yielded to other controllers may be used.
 func (a *placementAttempt) scheduleScanOfYielded() {
 	placement, scanAt := &a.core.placement, a.core.now+a.yieldDelay
 	if a.yieldDelay > 0 && (placement.yieldedUntil == 0 || scanAt < placement.yieldedUntil) {
@@ -245,8 +246,9 @@
 	}
 }
 
-// recordUnplaceable records that the job's request found no capacity. It says nothing of other jobs
-// if this one is restricted to some machines, or if it chose from an expired copy.
+// recordUnplaceable records that the job's request does not fit on any machine. It records nothing if
+// the job is restricted to some machines or the copy has expired: the result then says nothing about
+// other jobs.
 func (a *placementAttempt) recordUnplaceable() {
 	c := a.core
 	if a.spec.Zone != "" || a.spec.MachineTypes != nil || a.onlyZone != "" || !c.clusterCopy.state.IsFresh(c.now) {
@@ -265,7 +267,7 @@
 	c.placement.unplaceable = append(c.placement.unplaceable, refusal)
 }
 
-// assignRound gives each candidate one task at most; false if none took any.
+// assignRound assigns at most one task to each candidate. It reports whether any task was assigned.
 func (a *placementAttempt) assignRound(candidates []int32) (progress bool) {
 	for _, index := range candidates {
 		if len(a.tasks) == 0 {
@@ -280,7 +282,7 @@
 			if a.onlyZone != "" && target.identity.zone != a.onlyZone {
 				continue
 			}
-			a.onlyZone = target.identity.zone // the first task decides where no zone could be preferred
+			a.onlyZone = target.identity.zone // without a preferred zone, the first task determines it
 		}
 		a.assignNext(target)
 		progress = true
@@ -288,8 +290,9 @@
 	return progress
 }
 
-// hasCapacityOrFirstTry reports whether a candidate has capacity for a task by the copy, or seems
-// full and has not been tried yet: an expired copy, or a random choice, may be wrong once per machine.
+// hasCapacityOrFirstTry reports whether a candidate has capacity for a task according to the copy, or
+// may be tried although it seems full. With an expired copy or random placement, each such machine is
+// tried once.
 func (a *placementAttempt) hasCapacityOrFirstTry(index int32) bool {
 	c := a.core
 	if row := c.clusterCopy.state.Row(index); row != nil && row.HasCapacity(a.spec.Request, a.spec.Spot) {
@@ -302,7 +305,7 @@
 	return true
 }
 
-// assignNext assigns the next task to a machine, and allocates its request on the copy.
+// assignNext assigns the next task to a machine and allocates its request in the copy.
 func (a *placementAttempt) assignNext(target *machine) {
 	c, p := a.core, a.proposal
 	p.record.LastAttempt++
@@ -319,8 +322,8 @@
 	c.clusterCopy.apply(clusterstate.Delta{Start: true, Machine: target.index, Request: a.spec.Request})
 }
 
-// busyHorizon is how long a machine's tasks are expected to keep it busy. The value is cached: it is
-// computed again when the tasks change, and once a second.
+// busyHorizon returns how long a machine's tasks are expected to keep it busy. The value is cached and
+// recomputed when the tasks change and after busyHorizonMaxAge.
 func (c *Core) busyHorizon(m *machine) time.Duration {
 	cached := &m.allocation
 	if cached.busyHorizonAt != 0 && cached.busyHorizonAt > m.status.lastChangeAt &&
@@ -331,10 +334,11 @@
 	return cached.busyHorizon
 }
 
-// busyHorizonMaxAge is how long a computed busy horizon is used while the machine's tasks stay the same.
+// busyHorizonMaxAge is how long a computed busy horizon is reused while the machine's tasks do not change.
 const busyHorizonMaxAge = time.Second
 
-// computeBusyHorizon is the longest remaining time of a machine's tasks; services have no end.
+// computeBusyHorizon returns the longest remaining time of a machine's tasks, or unboundedHorizon if it
+// runs a service.
 func (c *Core) computeBusyHorizon(m *machine) time.Duration {
 	var horizon time.Duration
 	for key, assignment := range m.allocation.assignments {
@@ -351,7 +355,7 @@
 	return horizon
 }
 
-// remainingTime is how long an assigned task should still run, by its owner's estimate.
+// remainingTime returns how long an assigned task is expected to keep running, by its owner's estimate.
 func (c *Core) remainingTime(j *job, m *machine, a jobrecord.Assignment) time.Duration {
 	left := time.Duration(j.record.Spec.EstimatedRuntimeMS) * time.Millisecond
 	switch status := m.status.tasks[attemptKey{j.index, a.Task, a.Attempt}]; status.state {
@@ -364,7 +368,7 @@
 	return left
 }
 
-// reportsLiveTask reports whether a machine still reports an attempt of a task that has not exited.
+// reportsLiveTask reports whether a machine reports an attempt of a task that has not exited.
 func (c *Core) reportsLiveTask(m *machine, j *job, task int32) bool {
 	for key, status := range m.status.tasks {
 		if key.jobIndex == j.index && key.task == task && status.state != wire.TaskExited {
@@ -374,8 +378,8 @@
 	return false
 }
 
-// zoneWithMostCapacity is the zone whose schedulable machines fit the most tasks of a job; of equal
-// zones the first by name, and "" if no machine is feasible.
+// zoneWithMostCapacity returns the zone whose schedulable machines fit the most tasks of a job. Ties
+// go to the first zone by name; "" means that no machine is feasible.
 func (c *Core) zoneWithMostCapacity(spec *wire.JobSpec) string {
 	capacity := map[string]int64{}
 	for _, m := range c.aliveMachines {
@@ -393,10 +397,10 @@
 	return best
 }
 
-// maxTasksFitting bounds the count of tasks whose request is zero.
+// maxTasksFitting limits the result of tasksFitting for a request of zero.
 const maxTasksFitting = 1 << 20
 
-// tasksFitting is how many tasks of a request fit into the available resources.
+// tasksFitting returns how many tasks with a given request fit into the available resources.
 func tasksFitting(available, request [3]int64) int64 {
 	n := int64(maxTasksFitting)
 	for i := range available {
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -8,10 +8,10 @@
 	"dewlift/wire"
 )
 
-// missedHeartbeatsLimit is the count of heartbeat intervals after which a silent machine gets no new tasks.
+// missedHeartbeatsLimit is the number of heartbeat intervals after which a silent machine gets no new tasks.
 const missedHeartbeatsLimit = 2
 
-// isSchedulable reports whether new tasks may be assigned to a machine now, whatever their job.
+// isSchedulable reports whether new tasks may be assigned to a machine now, regardless of their job.
 func (c *Core) isSchedulable(m *machine) bool {
 	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested &&
 		!m.health.isQuarantined(c.environment, c.jobs) &&
@@ -22,7 +22,8 @@
 		!c.agents.isZoneSilent(m.identity.zone, placementSilenceLimit)
 }
 
-// isFeasible reports whether a job may run on a machine that is empty: by type, zone, spot and capacity.
+// isFeasible reports whether a job could run on a machine if that were empty, considering machine type,
+// zone, spot and total capacity.
 func (c *Core) isFeasible(spec *wire.JobSpec, m *machine) bool {
 	machineType := c.autoscaler.catalog[m.identity.machineType]
 	return machineType != nil && isMachineTypeAllowed(spec, m.identity.machineType) &&
@@ -31,7 +32,8 @@
 		fits(machineType.Capacity(), spec.Request)
 }
 
-// isMachineTypeAllowed reports whether a job may run on a machine type; without a list it may run on all.
+// isMachineTypeAllowed reports whether a job may run on a machine type. Without a list of types, all are
+// allowed.
 func isMachineTypeAllowed(spec *wire.JobSpec, name string) bool {
 	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, name)
 }
@@ -39,7 +41,8 @@
 // fits reports whether a request fits into the available resources.
 func fits(available, request [3]int64) bool { return clusterstate.Resources(available).Fits(request) }
 
-// infeasibility is why a job can't be accepted because no machine could ever run it, as its user is told.
+// infeasibility is the reason, as shown to the user, why no machine could ever run a job. It is empty for
+// a feasible job.
 type infeasibility string
 
 const (
@@ -50,7 +53,7 @@
 	exceedsMachineTypes infeasibility = "fits no allowed machine type"
 )
 
-// status is the status of a response that rejects a submission for this reason.
+// status returns the response status for a submission that is rejected for this reason.
 func (i infeasibility) status() wire.Status {
 	switch i {
 	case feasible:
@@ -61,7 +64,7 @@
 	return wire.StatusInvalid
 }
 
-// checkEverFeasible tells why a job can never run, or why that can't be decided yet.
+// checkEverFeasible returns why a job can never run, or why that cannot be decided yet.
 func (c *Core) checkEverFeasible(spec *wire.JobSpec) infeasibility {
 	if c.autoscaler.catalog == nil {
 		return catalogUnknown
@@ -82,8 +85,8 @@
 	return exceedsMachineTypes
 }
 
-// canPlaceTaskNow reports whether a task of a job could be placed on some machine, by the copy of
-// the cluster state. refused are requests known to find no capacity; a new one is added to them.
+// canPlaceTaskNow reports whether some machine has capacity for a task of a job, according to the copy
+// of the cluster state. refused holds the requests that are known not to fit; a new one is added to it.
 func (c *Core) canPlaceTaskNow(spec *wire.JobSpec, refused *[]unplaceable) bool {
 	if slices.ContainsFunc(*refused, func(u unplaceable) bool { return u.covers(spec) }) {
 		return false
@@ -99,33 +102,33 @@
 	return found
 }
 
-// unplaceable records that a request found no capacity, for a job at a queue position.
+// unplaceable records that the request of a job at a given queue position did not fit on any machine.
 type unplaceable struct {
 	request            clusterstate.Resources
 	allowsSpot         bool
-	avoidsHeldCapacity bool          // capacity that is held for more important work was left alone
-	yieldUntil         time.Duration // until then capacity is yielded to other controllers; 0: there was none at all
+	avoidsHeldCapacity bool          // capacity held for higher-priority work was not used
+	yieldUntil         time.Duration // until then, capacity is yielded to other controllers; 0: none was
 	priorityClass      int
 	enqueuedAtMS       int64
 }
 
-// covers reports whether a job's request is at least as large, for the same kinds of machines.
+// covers reports whether a job's request is at least as large, with the same spot permission.
 func (u *unplaceable) covers(spec *wire.JobSpec) bool {
 	return u.allowsSpot == spec.Spot && clusterstate.Resources(spec.Request).Fits(u.request)
 }
 
-// isKnownUnplaceable reports whether a job's request can find no capacity, because a request that is
-// no larger, of a job before it, found none since capacity was freed last. Without it, all waiting
-// jobs of a full cluster would look at all its machines, several times a second.
+// isKnownUnplaceable reports whether a job's request is known not to fit, because since capacity was last
+// freed, a request of an earlier job that is no larger did not fit. Without this check, all waiting jobs
+// of a full cluster would scan all machines several times a second.
 func (p *placementState) isKnownUnplaceable(
 	spec *wire.JobSpec,
 	priorityClass int,
 	enqueuedAtMS int64,
-	leavesHeldCapacity bool,
+	avoidsHeldCapacity bool,
 ) bool {
 	return slices.ContainsFunc(p.unplaceable, func(u unplaceable) bool {
 		switch {
-		case !u.covers(spec) || u.avoidsHeldCapacity && !leavesHeldCapacity:
+		case !u.covers(spec) || u.avoidsHeldCapacity && !avoidsHeldCapacity:
 			return false
 		case u.yieldUntil == 0:
 			return true
--- a/core/preemption.go
+++ b/core/preemption.go
@@ -9,29 +9,29 @@
 	"dewlift/wire"
 )
 
-// preemptionOption is a machine whose victims make way for at least one replica.
+// preemptionOption is a machine on which preempting the victims frees capacity for at least one replica.
 type preemptionOption struct {
 	bin     *bin
 	victims []jobAssignment
-	cost    time.Duration // work that may be lost: the time that the victims have been in their states
+	cost    time.Duration // work that may be lost: the sum of the times that the victims have been in their states
 }
 
-// preemptionRecord is the last preemption for a job, and how many of its replicas it serves.
+// preemptionRecord records the last preemption for a job and how many of its replicas that serves.
 type preemptionRecord struct {
 	at     time.Duration
 	served int
 }
 
-// replicaPreemption is the preemption of tasks for the replicas that a packing found no machines for.
+// replicaPreemption preempts tasks for replicas that did not fit on any machine that is up.
 type replicaPreemption struct {
 	*demandPacking
 
 	core *Core
 }
 
-// run preempts tasks of lower priority for replicas that fit nowhere now: booting machines would come
-// too late for them. Victims with the least work to lose go first. It returns how many replicas the
-// preemptions serve.
+// run preempts lower-priority tasks for replicas that fit on no machine now, because booting machines
+// would come too late for them. Victims that lose the least work are chosen first. run returns how many
+// replicas the preemptions serve.
 func (p *replicaPreemption) run() (served int) {
 	c, d := p.core, &p.demand
 	l := c.leaderState
@@ -40,7 +40,7 @@
 		return 0
 	}
 	if ok && c.now-last.at < c.cfg.Scheduling.PreemptionRetryInterval {
-		return min(d.tasks, last.served) // earlier victims are about to end
+		return min(d.tasks, last.served) // the earlier victims are about to end
 	}
 	options := p.preemptionOptions()
 	slices.SortStableFunc(options, func(x, y preemptionOption) int { return cmp.Compare(x.cost, y.cost) })
@@ -62,7 +62,7 @@
 	return served
 }
 
-// preemptionOptions lists the machines on which preemption serves a replica.
+// preemptionOptions returns the machines on which preemption frees capacity for a replica.
 func (p *replicaPreemption) preemptionOptions() (options []preemptionOption) {
 	c, spec := p.core, p.demand.spec
 	for _, b := range p.supply.bins {
@@ -78,8 +78,8 @@
 	return options
 }
 
-// preempt has the victims of an option preempted with the next push, and counts their resources as
-// available.
+// preempt schedules the preemption of an option's victims with the next push, and counts their resources
+// as available.
 func (p *replicaPreemption) preempt(option preemptionOption) {
 	c, b := p.core, option.bin
 	l := c.leaderState
@@ -97,13 +97,13 @@
 	b.preemptible = nil
 }
 
-// placeReplicas packs up to limit replicas into a bin, and returns how many. It leaves demand.tasks
-// alone: the caller takes off what all preemptions served.
+// placeReplicas packs up to limit replicas into a bin and returns their number. It does not change
+// demand.tasks: the caller subtracts the replicas that all preemptions served.
 func (p *demandPacking) placeReplicas(b *bin, limit int) (placed int) {
 	d := &p.demand
 	for placed < limit && b.available.Fits(d.spec.Request) && p.zoneLimit(b.nodeGroup.zone) > 0 {
 		b.available = b.available.AddScaled(d.spec.Request, -1)
-		// Unlike in bin.reserve, for replicas that may use spot machines too.
+		// Unlike in bin.reserve, this also counts replicas that may use spot machines.
 		b.onDemandReserved = b.onDemandReserved.AddScaled(d.spec.Request, 1)
 		d.tasksByZone[b.nodeGroup.zone]++
 		placed++
@@ -112,8 +112,8 @@
 	return placed
 }
 
-// chooseVictims chooses the tasks of a machine that must be preempted for one task of a demand. It is
-// false if none need to be, or if all would not suffice.
+// chooseVictims chooses the tasks of a machine to preempt for one task of a demand. ok is false if no
+// preemption is needed, or if preempting all candidates would not free enough capacity.
 func (b *bin) chooseVictims(d *demand, jobs []*job, now time.Duration) (
 	victims []jobAssignment, cost time.Duration, ok bool,
 ) {
@@ -130,14 +130,14 @@
 	return victims, cost, len(victims) > 0 && available.Fits(d.spec.Request)
 }
 
-// preemptibleTasks lists the tasks of a machine that may be preempted for a priority, shortest time in
-// state first. It is computed once a plan and priority: hundreds of replicas that fit nowhere scan all
-// machines.
+// preemptibleTasks returns the tasks of a machine that may be preempted for a priority, shortest time in
+// state first. The list is cached for the priority it was last computed for, because hundreds of
+// replicas that fit nowhere scan all machines.
 func (b *bin) preemptibleTasks(priority int, jobs []*job, now time.Duration) []jobAssignment {
 	if b.preemptible != nil && b.preemptiblePriority == priority {
 		return b.preemptible
 	}
-	tasks := []jobAssignment{} // not nil: an empty list is cached too
+	tasks := []jobAssignment{} // not nil, so that an empty list is cached too
 	for _, candidate := range b.machine.sortedAssignments() {
 		spec := jobs[candidate.jobIndex].record.Spec
 		key := attemptKey{candidate.jobIndex, candidate.Task, candidate.Attempt}
@@ -155,13 +155,13 @@
 	return tasks
 }
 
-// timeInState is how long an assigned task has been in its state.
+// timeInState returns how long an assigned task has been in its state.
 func (m *machine) timeInState(a jobAssignment, now time.Duration) time.Duration {
 	return now - m.status.tasks[attemptKey{a.jobIndex, a.Task, a.Attempt}].stateSince
 }
 
-// withWaiting returns the hold extended by a waiting request: the smallest request of the most urgent
-// priority class counts.
+// withWaiting returns the hold after a waiting request is added. The hold has the most urgent priority
+// class of the waiting requests and, per resource, the smallest amount requested in that class.
 func (h *CapacityHold) withWaiting(priority int, request clusterstate.Resources) *CapacityHold {
 	switch {
 	case h == nil || priority < h.Priority:
@@ -174,10 +174,10 @@
 	return h
 }
 
-// checkpointGraceSeconds is added to a task's checkpoint time before it is killed.
+// checkpointGraceSeconds is added to a task's checkpoint time before the task is killed.
 const checkpointGraceSeconds = 1
 
-// stopTask requests the stop of an attempt, with time for a checkpoint if its job can make one.
+// stopTask requests that an attempt be stopped, with time for a checkpoint if its job can make one.
 func (c *Core) stopTask(m *machine, key attemptKey, spec *wire.JobSpec, reason string) {
 	target := m.commands.attemptOf(key)
 	target.stopReason = reason
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -10,8 +10,8 @@
 	"dewlift/wire"
 )
 
-// Causes of the end of an attempt that a controller infers itself; those that agents report are in
-// package wire. They are stored in job records and shown to users, so their values must not change.
+// Causes of an attempt's end that a controller infers itself. Those that agents report are in package
+// wire. They are stored in job records and shown to users, so their values must not change.
 const (
 	causeMachineGone = "machine gone"
 	causeLeaseLost   = "machine lost its lease"
@@ -19,29 +19,29 @@
 )
 
 const (
-	// startRefusalCooldown is how long a machine that refused a start gets no new tasks, and how long
-	// a job whose command a machine does not know is not placed.
+	// startRefusalCooldown is how long a machine that refused a start gets no new tasks, and how long a
+	// job is not placed after a machine did not know its command.
 	startRefusalCooldown = 2 * time.Second
 
-	// machineFailureCooldown is how long a machine gets no new tasks, for each task that failed on it
-	// in a row, counted up to maxCountedMachineFailures.
+	// machineFailureCooldown is how long a machine gets no new tasks for each consecutive task failure
+	// on it, counted up to maxCountedMachineFailures.
 	machineFailureCooldown    = 5 * time.Second
 	maxCountedMachineFailures = 6
 
-	// crowdedSlotWriteShare is the share of the write burst that must be unused before records are
-	// moved out of a nearly full slot: the move is housekeeping and must not delay other writes.
+	// crowdedSlotWriteShare is the share of the write burst that must be available before records are
+	// moved out of a nearly full slot. The move is maintenance and must not delay other writes.
 	crowdedSlotWriteShare = 0.9
 )
 
-// Bounds of the tasks of a job that are assigned at one time, from the size of their encoding.
+// Constants for the limit on simultaneously assigned tasks of a job, from the size of their encoding.
 const (
-	minAssignedTaskLimit    = 8    // tasks; applies however small the value limit is
-	packedTaskBytes         = 3    // of a task in the packed encoding: about 2, with reserve
-	unpackedTaskBytes       = 12   // of a task in the encoding of older schema versions
-	unpackedRecordAllowance = 1024 // bytes, for the rest of a record in that encoding
+	minAssignedTaskLimit    = 8    // lower bound of the limit, however small the value limit is
+	packedTaskBytes         = 3    // per task in the packed encoding: about 2, plus a margin
+	unpackedTaskBytes       = 12   // per task in the encoding of older schema versions
+	unpackedRecordAllowance = 1024 // bytes for the rest of a record in that encoding
 )
 
-// proposal is the next record of a job. It takes effect only once its transaction is committed.
+// proposal is the proposed next record of a job. It takes effect only once its transaction is committed.
 type proposal struct {
 	job              *job
 	record           *jobrecord.Record
@@ -49,25 +49,25 @@
 	assignments      []jobrecord.Assignment
 	started          []jobrecord.Assignment
 	ended            []jobrecord.Assignment
-	encodedSize      int // bytes of the record as written
+	encodedSize      int // size in bytes of the record as written
 	isAcceptance     bool
 	isCancellation   bool
-	completionsOnly  bool             // it only records ends of tasks
+	completionsOnly  bool             // it only records task completions
 	startsOnly       bool             // it only starts tasks
-	slotIndex        int              // slot of a job that existed before
+	slotIndex        int              // slot of a job that is already stored
 	inSlot           bool             // the record is written into its slot
-	wantsOwnKey      bool             // the record is to be written to a key of its own
-	auditEvents      []auditlog.Event // to be recorded with the write
-	userCancelEvents int              // how many of auditActs, the first, are cancellations by users
-	auditEntryIDs    []uint64         // of the audit log entries of auditActs
-	// compares are the preconditions of the write beside the record's own: a new job has not been
-	// archived, and its submitter still has the permission.
+	wantsOwnKey      bool             // the record must be written to a key of its own
+	auditEvents      []auditlog.Event // recorded with the write
+	userCancelEvents int              // number of leading auditEvents that are cancellations by users
+	auditEntryIDs    []uint64         // IDs of the audit log entries of auditEvents
+	// compares are the preconditions of the write besides the record's own: a new job must not have been
+	// archived, and its submitter must still have the permission.
 	compares []wire.Compare
 }
 
-// proposeRecord computes the next record of a job from the current state; nil if nothing changes.
-// A nonzero again is when the job must be examined once more even if nothing new arrives.
-func (c *Core) proposeRecord(target *job, builder *txnBuilder) (p *proposal, again time.Duration) {
+// proposeRecord computes the next record of a job from the current state, or nil if nothing changes. A
+// nonzero retryAt is the time to examine the job again even if nothing new arrives.
+func (c *Core) proposeRecord(target *job, builder *txnBuilder) (p *proposal, retryAt time.Duration) {
 	if target.revision == 0 {
 		return c.proposeAcceptance(target, builder)
 	}
@@ -78,9 +78,9 @@
 	return c.proposeUpdate(target, builder)
 }
 
-// proposeAcceptance proposes the first record of a submitted job, with its first tasks if those can
-// be placed at once. A submission whose dependency is cancelled is accepted as cancelled.
-func (c *Core) proposeAcceptance(target *job, builder *txnBuilder) (p *proposal, again time.Duration) {
+// proposeAcceptance proposes the first record of a submitted job, with its first assignments if tasks
+// can be placed immediately. A submission with a cancelled dependency is accepted as cancelled.
+func (c *Core) proposeAcceptance(target *job, builder *txnBuilder) (p *proposal, retryAt time.Duration) {
 	submission := target.submission
 	notArchived, known := c.notArchivedCompare(target.id)
 	spec := submission.spec
@@ -98,12 +98,12 @@
 		c.acceptAsCancelled(p, cancelled)
 		return p, 0
 	}
-	spec.Dependencies = unmet // those that are done need not be stored
+	spec.Dependencies = unmet // completed dependencies need not be stored
 	if len(unmet) > 0 || !c.ownership.ownsShard(p.record.Shard) {
 		return p, 0
 	}
-	// The first tasks are placed with the acceptance if that does not delay the user: a team's key
-	// may be locked, or written by others so often that the write fails.
+	// The first tasks are placed with the acceptance unless that would delay the response: a team's key
+	// may be locked, or other controllers may write it so often that this write fails.
 	if c.isTeamLocked(&spec) && c.now < submission.receivedAt+2*lockedRetryDelay {
 		return nil, c.now + lockedRetryDelay
 	}
@@ -113,7 +113,7 @@
 	return p, 0
 }
 
-// newAcceptance is the proposal that accepts a submission as queued, without tasks.
+// newAcceptance returns a proposal that accepts a submission as queued, without assignments.
 func (c *Core) newAcceptance(target *job, spec *wire.JobSpec, notArchived wire.Compare) *proposal {
 	submission := target.submission
 	shard := c.ownership.pickShard()
@@ -144,8 +144,8 @@
 	}
 }
 
-// acceptAsCancelled turns an acceptance into that of a job which is cancelled because a job that it
-// depends on is.
+// acceptAsCancelled changes an acceptance so that the job is accepted as cancelled, because a job that
+// it depends on is cancelled.
 func (c *Core) acceptAsCancelled(p *proposal, dependency *job) {
 	p.record = &jobrecord.Record{
 		Shard:          p.record.Shard,
@@ -157,31 +157,31 @@
 	p.auditEvents = append(p.auditEvents, dependencyCancelEvent(p.job, dependency))
 }
 
-// dependencyCancelEvent is the audit event of a cancellation that follows from another job's.
+// dependencyCancelEvent returns the audit event for a job that is cancelled because of a dependency.
 func dependencyCancelEvent(target, dependency *job) auditlog.Event {
 	return auditlog.Event{Verb: "cancel", Object: target.id, Reason: "needs " + dependency.id}
 }
 
-// isTeamLocked reports whether the quota of a job's team can't be charged now, as another write of
+// isTeamLocked reports whether the quota of a job's team cannot be charged now because another write of
 // the team's usage is in flight.
 func (c *Core) isTeamLocked(spec *wire.JobSpec) bool {
 	t := c.teams.of(spec)
 	return t != nil && t.hasMaxQuota() && t.locked
 }
 
-// recordUpdate is the state of one run of proposeUpdate. Its methods are the stages of that run.
+// recordUpdate is the state of one run of proposeUpdate. Its methods are the steps of that run.
 type recordUpdate struct {
 	core     *Core
 	job      *job
 	builder  *txnBuilder
 	proposal *proposal
-	record   *jobrecord.Record // the proposed one; proposal.record points to it too
+	record   *jobrecord.Record // the proposed record, which proposal.record also points to
 	changed  bool              // the proposed record differs from the stored one
-	urgent   bool              // the write must not be delayed to share one with other ends of tasks
+	urgent   bool              // the write must not be delayed to share it with other task completions
 }
 
 // proposeUpdate proposes the next record of an accepted job that is not yet final in the store.
-func (c *Core) proposeUpdate(target *job, builder *txnBuilder) (p *proposal, again time.Duration) {
+func (c *Core) proposeUpdate(target *job, builder *txnBuilder) (p *proposal, retryAt time.Duration) {
 	update := c.newRecordUpdate(target, builder)
 	update.cancelForUsers()
 	update.cancelWithDependency()
@@ -190,22 +190,22 @@
 	}
 	update.moveToOwnKey()
 	update.recordOutcomes()
-	again = update.completeOrPlace()
+	retryAt = update.completeOrPlace()
 	if !update.changed {
-		return nil, again
+		return nil, retryAt
 	}
 	if due := update.batchingDeadline(); c.now < due {
 		target.write.waitsForTaskEnds = true
-		if again == 0 {
-			again = due
+		if retryAt == 0 {
+			retryAt = due
 		}
-		return nil, min(again, due)
+		return nil, min(retryAt, due)
 	}
 	update.proposal.completionsOnly = !update.urgent
 	return update.proposal, 0
 }
 
-// newRecordUpdate starts from a copy of a job's record, so that the adopted one stays as it is
+// newRecordUpdate starts from a copy of a job's record, so that the record in memory does not change
 // until the write is committed.
 func (c *Core) newRecordUpdate(target *job, builder *txnBuilder) recordUpdate {
 	target.write.waitsForTaskEnds = false
@@ -223,7 +223,7 @@
 	}
 }
 
-// cancelForUsers cancels a queued job for those who asked for that and still have the permission.
+// cancelForUsers cancels a queued job for the users who requested it and still have the permission.
 func (u *recordUpdate) cancelForUsers() {
 	cancellation := &u.job.cancellation
 	if len(cancellation.waiters) == 0 || u.record.Stage != jobrecord.Queued {
@@ -246,7 +246,7 @@
 	u.proposal.userCancelEvents = len(u.proposal.auditEvents)
 }
 
-// cancelWithDependency cancels a queued job because one that it depends on is cancelled.
+// cancelWithDependency cancels a queued job because a job that it depends on is cancelled.
 func (u *recordUpdate) cancelWithDependency() {
 	dependency := u.job.cancelledBy
 	if dependency == nil || u.record.Stage != jobrecord.Queued {
@@ -259,8 +259,9 @@
 	u.proposal.auditEvents = append(u.proposal.auditEvents, dependencyCancelEvent(u.job, dependency))
 }
 
-// cancellationOnly is the proposal for a job of a shard that another controller owns: only a user's
-// cancellation may be written here, and the assignments stay as they are. It is nil otherwise.
+// cancellationOnly returns the proposal for a job of a shard that another controller owns. This
+// controller may write only a user's cancellation, without changing the assignments. The result is nil
+// if there is no cancellation.
 func (u *recordUpdate) cancellationOnly() *proposal {
 	if !u.proposal.isCancellation {
 		return nil
@@ -269,9 +270,9 @@
 	return u.proposal
 }
 
-// moveToOwnKey moves the record out of its slot if it did not fit there, or if the slot is nearly
-// full and there are writes to spare. It also has a record rewritten that an older schema version
-// left longer than the value limit.
+// moveToOwnKey moves the record out of its slot if it did not fit there, or if the slot is nearly full
+// and enough write tokens are unused. It also causes a rewrite of a record that an older schema version
+// stored longer than the value limit.
 func (u *recordUpdate) moveToOwnKey() {
 	c, target := u.core, u.job
 	limiter := &c.transactions.rateLimit
@@ -284,8 +285,8 @@
 	}
 }
 
-// recordOutcomes separates the assignments whose attempts have ended from those that remain, and
-// records completions and failures.
+// recordOutcomes separates ended assignments from the remaining ones, and records completions and
+// failures.
 func (u *recordUpdate) recordOutcomes() {
 	var stopped []jobrecord.StopReason
 	for _, assignment := range u.job.assignments {
@@ -309,8 +310,8 @@
 	u.proposal.auditEvents = append(u.proposal.auditEvents, taskStopEvents(u.job.id, stopped)...)
 }
 
-// recordStop records that an attempt of a queued job ended without completing its task. Where the
-// agent only reports that the attempt was stopped, the cause is that of the stop command.
+// recordStop records that an attempt of a queued job ended without completing its task. If the agent
+// only reports that the attempt was stopped, the cause is the reason of the stop command.
 func (u *recordUpdate) recordStop(assignment jobrecord.Assignment, cause string) jobrecord.StopReason {
 	c, host := u.core, u.core.machines[assignment.Machine]
 	attempt := host.commands.attempts[attemptKey{u.job.index, assignment.Task, assignment.Attempt}]
@@ -328,9 +329,9 @@
 	return reason
 }
 
-// completeOrPlace reduces the record to its final form once no more of the job is to be done, and
-// assigns waiting tasks otherwise. A nonzero again is when placement must be tried once more.
-func (u *recordUpdate) completeOrPlace() (again time.Duration) {
+// completeOrPlace reduces the record to its final form once the job has ended, and assigns waiting
+// tasks otherwise. A nonzero retryAt is the time to try placement again.
+func (u *recordUpdate) completeOrPlace() (retryAt time.Duration) {
 	switch {
 	case u.record.Stage == jobrecord.Cancelled && len(u.proposal.assignments) == 0:
 		u.finishCancelled()
@@ -342,7 +343,7 @@
 	return 0
 }
 
-// finishCancelled reduces the record of a cancelled job without tasks on machines.
+// finishCancelled reduces the record of a cancelled job that has no tasks on machines to its final form.
 func (u *recordUpdate) finishCancelled() {
 	*u.record = jobrecord.Record{
 		Shard:          u.record.Shard,
@@ -356,7 +357,7 @@
 	u.changed = true
 }
 
-// finishDone reduces the record of a job whose tasks have all completed.
+// finishDone reduces the record of a job whose tasks have all completed to its final form.
 func (u *recordUpdate) finishDone() {
 	c, record := u.core, u.record
 	c.log(LevelDebug, "job done", "job", u.job.id, "class", record.Spec.Class,
@@ -374,25 +375,25 @@
 	u.changed, u.urgent = true, true
 }
 
-// placeTasks assigns waiting tasks of the job to machines, as far as there is capacity.
-func (u *recordUpdate) placeTasks() (again time.Duration) {
+// placeTasks assigns waiting tasks of the job to machines as far as there is capacity.
+func (u *recordUpdate) placeTasks() (retryAt time.Duration) {
 	c, p, record := u.core, u.proposal, u.record
 	before := len(p.assignments)
-	again = c.assignTasks(p, u.builder)
+	retryAt = c.assignTasks(p, u.builder)
 	if len(p.assignments) == before {
-		return again
+		return retryAt
 	}
 	p.startsOnly = !u.changed
 	u.changed, u.urgent = true, true
-	c.log(LevelDebug, "tasks placed late", "job", u.job.id, "class", record.Spec.Class,
+	c.log(LevelDebug, "tasks placed after acceptance", "job", u.job.id, "class", record.Spec.Class,
 		"tasks", len(p.assignments)-before,
 		"after_ms", c.unixMS()-record.AcceptedAtMS, "tries", record.LastAttempt,
 		"spread", record.Spec.Spread, "why", record.StopReasons)
-	return again
+	return retryAt
 }
 
-// batchingDeadline is until when the write may wait so that more ends of tasks share it; 0 if it
-// must not wait. Nothing is gained by waiting if the job's slot is written by this transaction anyway.
+// batchingDeadline returns until when the write may wait to be shared with other task completions, or 0
+// if it must not wait. Waiting gains nothing if this transaction writes the job's slot anyway.
 func (u *recordUpdate) batchingDeadline() time.Duration {
 	if u.urgent || u.builder.slotDrafts[slotNumber(u.job.id, u.job.record)] != nil {
 		return 0
@@ -400,18 +401,17 @@
 	return u.job.write.dirtySince + u.core.transactions.endBatchDelay
 }
 
-// keepPermissionFields keeps in the record of an ended job the fields that permissions to read it
-// depend on.
+// keepPermissionFields keeps the fields that read permissions depend on in the record of an ended job.
 func (c *Core) keepPermissionFields(record *jobrecord.Record, spec *wire.JobSpec) {
 	if c.permissions.isInForce() {
 		record.Team, record.Class = spec.Team, spec.Class
 	}
 }
 
-// lookUpArchived looks up a new job and its dependencies among the archived jobs: an id must not be
-// accepted twice, and a dependency may have ended long ago. A nonzero again is when the job must be
-// examined once more.
-func (c *Core) lookUpArchived(target *job) (again time.Duration) {
+// lookUpArchived looks up a new job and its dependencies among the archived jobs, because an ID must not
+// be accepted twice and a dependency may have ended long ago. A nonzero retryAt is the time to examine
+// the job again.
+func (c *Core) lookUpArchived(target *job) (retryAt time.Duration) {
 	submission := target.submission
 	if submission.lookupInFlight {
 		return c.now + lockedRetryDelay
@@ -433,7 +433,7 @@
 	return c.now + lockedRetryDelay
 }
 
-// attemptOutcome reports whether the attempt of an assignment has ended, and the cause.
+// attemptOutcome reports whether the attempt of an assignment has ended, and why.
 func (c *Core) attemptOutcome(target *job, assignment jobrecord.Assignment) (ended bool, cause string) {
 	host := c.machines[assignment.Machine]
 	switch {
@@ -448,17 +448,17 @@
 	if status, ok := host.status.tasks[key]; ok {
 		return status.state == wire.TaskExited, status.cause
 	}
-	// Absence from the newest heartbeat proves that the attempt is not running only if no start
-	// command can still arrive. It is used only for final jobs: others are to be started.
+	// If the newest heartbeat does not list the attempt, that proves that it is not running only if no
+	// start command can still arrive. This is used only for final jobs, as tasks of others must start.
 	if target.isFinal() && c.noStartPending(host, target, key) {
 		return true, causeNotStarted
 	}
 	return false, ""
 }
 
-// noStartPending reports whether no start command of an attempt can still reach its machine: each
-// one of this controller was answered, or is fenced off by a higher fencing token that the machine
-// has accepted, and so are those of former owners of the shard.
+// noStartPending reports whether no start command of an attempt can still take effect on its machine.
+// Each command of this controller must have been answered, or be fenced by a higher fencing token that
+// the machine has accepted. Commands of former owners of the shard must be fenced as well.
 func (c *Core) noStartPending(host *machine, target *job, key attemptKey) bool {
 	shard := c.ownership.shardOf(target)
 	if !c.ownership.ownsShard(shard) || host.status.fencingToken < c.ownership.shards[shard].FencingToken {
@@ -469,8 +469,8 @@
 		(attempt.maxUnansweredToken == 0 || host.status.fencingToken > attempt.maxUnansweredToken)
 }
 
-// maxAssignedTasks bounds the tasks of a job that are assigned at one time, so that its record
-// should fit a stored value. It is an estimate: encodeWithinLimit enforces the limit.
+// maxAssignedTasks returns the limit on simultaneously assigned tasks of a job, so that its record is
+// likely to fit a stored value. It is an estimate; encodeWithinLimit enforces the size limit.
 func (c *Core) maxAssignedTasks() int {
 	if c.schema.active >= schemaDependencies {
 		return max(minAssignedTaskLimit, c.cfg.Store.MaxValueBytes/packedTaskBytes)
@@ -478,9 +478,8 @@
 	return max(minAssignedTaskLimit, (c.cfg.Store.MaxValueBytes-unpackedRecordAllowance)/unpackedTaskBytes)
 }
 
-// handleTaskFailure backs off from a job or a machine after an attempt failed, once for each
-// attempt. With jobAtFault the job fails wherever it is started, so its failure is no evidence
-// against the machine.
+// handleTaskFailure backs off from a job or a machine after an attempt failed, once per attempt.
+// jobAtFault means that the job fails on every machine, so the failure says nothing about this machine.
 func (c *Core) handleTaskFailure(
 	target *job, host *machine, cause string, assignment jobrecord.Assignment, jobAtFault bool,
 ) {
@@ -495,10 +494,10 @@
 		host.health.avoidUntil = c.now + startRefusalCooldown
 		c.placement.capacityFreed = true
 	case wire.CauseError:
-		// A job with a mistake in its description fails everywhere: back off from the job. A
+		// A job with an error in its specification fails on every machine, so the job backs off. A
 		// machine on which different jobs fail is faulty.
 		target.placement.backOffAfterFailure(c.now)
-		if jobAtFault { // counted against machines, one such job kept a tenth of a fleet from all work
+		if jobAtFault { // if counted against machines, one such job blocked a tenth of a fleet for all work
 			return
 		}
 		host.health.failures++
--- a/core/quota.go
+++ b/core/quota.go
@@ -7,37 +7,38 @@
 	"dewlift/wire"
 )
 
-// team is a team with its quota, and what its jobs use of it.
+// team is a team with its quota and the usage of its jobs.
 type team struct {
 	Team
-	revision uint64 // of the team's key in the store
+	revision uint64 // revision of the team's key in the store
 	usedCPU  int64  // thousandths of a core
 	usedGPU  int64  // thousandths of a GPU
 	locked   bool   // a transaction that writes the team's key is in flight
 }
 
-// hasMaxQuota reports whether the team's usage is limited.
+// hasMaxQuota reports whether the team has a maximum quota for CPU or GPU.
 func (t *team) hasMaxQuota() bool { return t.MaxCPU > 0 || t.MaxGPU > 0 }
 
-// fitsMaxQuota reports whether the team's maximum quota allows one more task; a job without a team has no quota.
+// fitsMaxQuota reports whether the team's maximum quota allows one more task. A nil team has no quota.
 func (t *team) fitsMaxQuota(request clusterstate.Resources) bool {
 	return t == nil ||
 		(t.MaxCPU == 0 || t.usedCPU+request[0] <= t.MaxCPU) && (t.MaxGPU == 0 || t.usedGPU+request[1] <= t.MaxGPU)
 }
 
-// couldEverRun reports whether the team's maximum quota allows a job while nothing else of the team
-// runs. The replicas of a service run together; other tasks may run one after the other.
+// couldEverRun reports whether the team's maximum quota allows a job if nothing else of the team runs.
+// The replicas of a service run concurrently; other tasks may run one after the other.
 func (t *team) couldEverRun(spec *wire.JobSpec) bool {
-	together := int64(1)
+	concurrentTasks := int64(1)
 	if spec.Service {
-		together = int64(spec.Tasks)
+		concurrentTasks = int64(spec.Tasks)
 	}
-	return (t.MaxCPU <= 0 || spec.Request[0]*together <= t.MaxCPU) &&
-		(t.MaxGPU <= 0 || spec.Request[1]*together <= t.MaxGPU)
+	return (t.MaxCPU <= 0 || spec.Request[0]*concurrentTasks <= t.MaxCPU) &&
+		(t.MaxGPU <= 0 || spec.Request[1]*concurrentTasks <= t.MaxGPU)
 }
 
-// tasksWithinMaxQuota is how many more tasks the team's maximum quota allows. uncommitted is the CPU
-// and GPU of tasks that the transaction being built starts. The result is below 0 if the quota is exceeded.
+// tasksWithinMaxQuota returns how many more tasks the team's maximum quota allows. uncommitted is the
+// CPU and GPU of the tasks that the transaction under construction starts. The result is negative if the
+// quota is exceeded.
 func (t *team) tasksWithinMaxQuota(request [3]int64, uncommitted [2]int64) int {
 	limit := math.MaxInt
 	if t.MaxCPU > 0 && request[0] > 0 {
@@ -49,13 +50,13 @@
 	return limit
 }
 
-// teamSet is the teams of the settings.
+// teamSet holds the teams of the settings.
 type teamSet struct {
 	list   []*team
 	byName map[string]*team
 }
 
-// newTeamSet returns the teams of a list of quotas, with no usage.
+// newTeamSet returns the teams of a list of quotas, without usage.
 func newTeamSet(quotas []Team) teamSet {
 	set := teamSet{byName: map[string]*team{}}
 	for _, quota := range quotas {
@@ -66,7 +67,7 @@
 	return set
 }
 
-// of is the team of a job; nil if the specification or the team is unknown.
+// of returns the team of a job, or nil if the specification or the team is unknown.
 func (s *teamSet) of(spec *wire.JobSpec) *team {
 	if spec == nil {
 		return nil
@@ -74,7 +75,7 @@
 	return s.byName[spec.Team]
 }
 
-// ofJob is the team of a job and the request of one of its tasks, as far as they are known.
+// ofJob returns the team of a job and the resource request of one of its tasks, if they are known.
 func (s *teamSet) ofJob(j *job) (*team, clusterstate.Resources) {
 	if j.record == nil || j.record.Spec == nil {
 		return nil, clusterstate.Resources{}
--- a/core/quota_test.go
+++ b/core/quota_test.go
@@ -7,8 +7,8 @@
 	"dewlift/wire"
 )
 
-// A team that uses more than its quota, or whose quota was lowered, must get no more tasks; a request
-// that does not use a limited resource must not be bounded by it.
+// A team that exceeds its quota, for example because the quota was lowered, must get no more tasks. A request
+// that does not use a limited resource must not be limited by it.
 func TestTasksWithinMaxQuota(t *testing.T) {
 	inUse := team{Team: Team{MaxCPU: 8000}, usedCPU: 3000}
 	for name, test := range map[string]struct {
@@ -32,8 +32,8 @@
 	}
 }
 
-// A job that exceeds its team's quota by itself would wait for ever: it must be rejected. Replicas of a
-// service run together, other tasks may run one after the other.
+// A job that exceeds its team's quota on its own would wait forever, so it must be rejected. The replicas of a
+// service run concurrently; other tasks may run one after the other.
 func TestCouldEverRunWithinMaxQuota(t *testing.T) {
 	limited := &team{Team: Team{MaxCPU: 4000, MaxGPU: 1000}, usedCPU: 4000}
 	for name, test := range map[string]struct {
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -8,27 +8,27 @@
 	"dewlift/wire"
 )
 
-// blockedScanInterval is the time between two looks at the waiting jobs while nothing can be written.
+// blockedScanInterval is the time between two examinations of the waiting jobs while no write is possible.
 const blockedScanInterval = 200 * time.Millisecond
 
-// Transactions of jobs' records that may be in flight at once. Users wait for cancellations and
-// acceptances, so these may add more.
+// Limits on the concurrent transactions that write job records. The limit is higher for cancellations
+// and acceptances because users wait for them.
 const (
 	maxTxnsInFlight       = 3
 	maxUrgentTxnsInFlight = 6
 )
 
 const (
-	// batchPlacementJobs is the count of waiting jobs of teams with a maximum quota from which on they
-	// are placed together.
+	// minBatchPlacementJobs is the number of waiting jobs of teams with a maximum quota at which their
+	// placements are batched.
 	minBatchPlacementJobs = 4
-	// batchPlacementTokens is the part of the write burst that must be available to place them.
+	// batchPlacementTokenShare is the share of the write burst that must be available to place a batch.
 	batchPlacementTokenShare = 0.7
-	// endBatchWriteShare is the part of the write rate that the ends of tasks may use.
+	// endBatchWriteShare is the share of the write rate that task completions may use.
 	endBatchWriteShare = 0.5
 )
 
-// Priorities of writes; the smallest is written first.
+// Write priorities. Writes with the smallest value go first.
 const (
 	writePriorityCancel = iota
 	writePriorityAccept
@@ -36,21 +36,21 @@
 	writePriorityComplete
 )
 
-// reservedWrites is the count of writes that are left for cancellations and acceptances.
+// reservedWrites is the number of write tokens that are reserved for cancellations and acceptances.
 const reservedWrites = 2
 
-// placementState is when waiting tasks are placed next, and which requests are known to find no capacity.
+// placementState holds when waiting tasks are placed next and which resource requests are known not to fit.
 type placementState struct {
 	*environment
 	rateLimit *ratelimit.Limiter
 
-	unplaceable   []unplaceable // requests that found no capacity since some was freed last
-	nextScanAt    time.Duration // of all waiting jobs
+	unplaceable   []unplaceable // requests that did not fit since capacity was last freed
+	nextScanAt    time.Duration // time of the next scan of all waiting jobs
 	capacityFreed bool          // capacity may have been freed since the last scan
-	yieldedUntil  time.Duration // when capacity yielded to other controllers may be used; 0: none is
+	yieldedUntil  time.Duration // when capacity yielded to other controllers may be used; 0: none is yielded
 }
 
-// scheduleJobs evaluates the jobs that changed and commits their next records.
+// scheduleJobs examines the jobs that changed and commits their next records.
 func (c *Core) scheduleJobs() {
 	if c.auditLog.isNotReady() {
 		return
@@ -71,7 +71,7 @@
 	c.commitJobs(c.enforceStartShares(due))
 }
 
-// countRecordTxns counts the transactions in flight that write jobs' records.
+// countRecordTxns counts the in-flight transactions that write job records.
 func (t *transactionState) countRecordTxns() (n int) {
 	for _, txn := range t.inFlight {
 		if txn.onDone == nil {
@@ -81,8 +81,8 @@
 	return n
 }
 
-// startPlacementScan marks the waiting jobs to be evaluated, if capacity may have been freed or
-// capacity yielded to other controllers may be used now.
+// startPlacementScan marks all waiting jobs dirty if capacity may have been freed, or if capacity that
+// was yielded to other controllers may be used now.
 func (c *Core) startPlacementScan() {
 	if !c.placement.beginScan() {
 		return
@@ -94,8 +94,8 @@
 	}
 }
 
-// beginScan reports whether a scan of all waiting jobs is due, and begins it: no request is known any
-// more to find no capacity.
+// beginScan reports whether a scan of all waiting jobs is due. If so, it begins the scan and forgets
+// the requests that are known not to fit.
 func (p *placementState) beginScan() bool {
 	if p.yieldedUntil != 0 && p.now >= p.yieldedUntil {
 		p.yieldedUntil, p.nextScanAt, p.capacityFreed = 0, p.now, true
@@ -109,9 +109,9 @@
 	return true
 }
 
-// skipsBlockedScan reports whether the evaluation of jobs is left out because nothing could be
-// written and no user waits. With hundreds of waiting jobs, finding that out job by job takes most
-// of the time of an input.
+// skipsBlockedScan reports whether to skip examining jobs because no write is possible and no user
+// waits. With hundreds of waiting jobs, finding that out for each job takes most of the time spent on
+// an input.
 func (c *Core) skipsBlockedScan(inFlight int) bool {
 	if c.pendingSubmissions != 0 || c.now < c.cancelAcks.waitersUntil || c.now >= c.transactions.nextBlockedScanAt {
 		return false
@@ -119,15 +119,15 @@
 	return c.placement.isWriteBlocked(inFlight)
 }
 
-// isWriteBlocked reports whether the rate limit and the transactions in flight allow no other one for
-// which no user waits.
+// isWriteBlocked reports whether the rate limit or the number of in-flight transactions prevents
+// another transaction that no user waits for.
 func (p *placementState) isWriteBlocked(inFlight int) bool {
 	limiter := p.rateLimit
 	return limiter.IsPaused(p.now) || inFlight >= maxTxnsInFlight || limiter.RequestTokens < 1 ||
 		limiter.WriteTokens < 1+reservedWrites
 }
 
-// collectDueJobs lists the changed jobs that may be written now, and rejects requests whose time has run out.
+// collectDueJobs returns the changed jobs that may be written now. It also rejects requests past their deadline.
 func (c *Core) collectDueJobs() (due []*job) {
 	c.examineJobs(func(j *job) {
 		c.rejectExpiredRequests(j)
@@ -138,10 +138,11 @@
 	return due
 }
 
-// isDue reports whether a job may be written now. A job that needs no write is no longer dirty then.
+// isDue reports whether a job may be written now. It clears the job's dirty mark if another controller
+// is responsible for it.
 func (c *Core) isDue(j *job) bool {
-	lookAt := max(j.write.nextExamineAt, j.write.refusedUntil)
-	if !j.write.dirty || j.write.inFlight || j.write.outcomeUnknown || c.now < lookAt {
+	examineAt := max(j.write.nextExamineAt, j.write.refusedUntil)
+	if !j.write.dirty || j.write.inFlight || j.write.outcomeUnknown || c.now < examineAt {
 		return false
 	}
 	if j.revision != 0 && j.submission != nil {
@@ -158,7 +159,8 @@
 	return true
 }
 
-// rejectExpiredRequests answers a submission or cancellations that can't be written in time.
+// rejectExpiredRequests rejects a submission or cancellations that could not be written before their
+// deadline.
 func (c *Core) rejectExpiredRequests(j *job) {
 	if j.submission != nil && !j.write.inFlight && c.now >= j.submission.deadline {
 		c.completeSubmission(j, wire.StatusUnavailable, reasonTooBusy)
@@ -168,8 +170,8 @@
 	}
 }
 
-// isResponsibleFor reports whether this controller has to write a job: a new one that was submitted
-// here, one that was cancelled here, or one of its own shards.
+// isResponsibleFor reports whether this controller must write a job: a new job submitted here, a job
+// cancelled here, or a job of a shard that it owns.
 func (c *Core) isResponsibleFor(j *job) bool {
 	if j.revision == 0 {
 		return j.submission != nil
@@ -177,17 +179,18 @@
 	return len(j.cancellation.waiters) > 0 || c.ownership.ownsJob(j)
 }
 
-// waitsForScan reports whether a job that is behind the first waiting one is evaluated only with the
-// next scan of all waiting jobs, in their order: otherwise it would take freed capacity before the first
-// of them.
+// waitsForScan reports whether a job that is behind the first waiting job is examined only with the
+// next scan of all waiting jobs, in queue order. Otherwise it would take freed capacity ahead of the
+// first waiting job.
 func (p *placementState) waitsForScan(j *job) bool {
 	return p.capacityFreed && p.now < p.nextScanAt &&
 		j.placement.hasUnplacedTasks && !j.placement.tasksLost &&
 		j.revision != 0 && len(j.cancellation.waiters) == 0
 }
 
-// mayWriteNow reports whether the rate limit and the transactions in flight allow another one. What
-// users wait for is held back less by an exhausted rate limit or a slow store.
+// mayWriteNow reports whether the rate limit and the number of in-flight transactions allow another
+// transaction. Writes that users wait for are allowed more of both, so that an exhausted rate limit or
+// a slow store delays them less.
 func (p *placementState) mayWriteNow(due []*job, inFlight int, teams *teamSet) bool {
 	limiter := p.rateLimit
 	isUrgent := func(j *job) bool { return j.writePriority() <= writePriorityAccept }
@@ -198,9 +201,9 @@
 	return !p.isWriteBlocked(inFlight) && !p.defersBatch(due, teams)
 }
 
-// defersBatch reports whether placements wait until they can share transactions. A team's
-// key is one more write for each transaction: where writes are scarce and many jobs of teams with a
-// maximum quota wait, they are placed together.
+// defersBatch reports whether placements wait until they can share transactions. Each transaction also
+// writes the team's key, so when writes are scarce and many jobs of teams with a maximum quota wait,
+// their placements are batched.
 func (p *placementState) defersBatch(due []*job, teams *teamSet) bool {
 	if p.rateLimit.WriteTokens >= batchPlacementTokenShare*p.rateLimit.WriteBurst(p.cfg.Store.MaxTxnOps) {
 		return false
@@ -217,8 +220,8 @@
 	return n >= minBatchPlacementJobs
 }
 
-// updateEndBatchDelay sets how long the end of a task may wait for others to share a write: the more
-// jobs run, the longer.
+// updateEndBatchDelay sets how long a task completion may wait to share a write with others. The delay
+// grows with the number of running jobs.
 func (c *Core) updateEndBatchDelay() {
 	running := 0
 	for _, j := range c.openJobs {
@@ -233,7 +236,7 @@
 	)
 }
 
-// sortByWriteOrder sorts jobs by the priority of their writes, and within one by their queue rank.
+// sortByWriteOrder sorts jobs by write priority, then by queue rank.
 func (c *Core) sortByWriteOrder(due []*job) {
 	for _, j := range due {
 		j.queue.missingReplicas = c.countLostReplicas(j)
@@ -247,7 +250,7 @@
 	})
 }
 
-// commitJobs commits the next records of jobs, in their order, as far as they fit a transaction.
+// commitJobs commits the next records of jobs, in order, up to the capacity of one transaction.
 func (c *Core) commitJobs(due []*job) {
 	builder := &txnBuilder{core: c, addedUsage: map[*team][2]int64{}}
 	for _, j := range due {
@@ -261,7 +264,8 @@
 	builder.flush()
 }
 
-// addWaitingEnds adds the jobs whose ends of tasks wait to share a write, if their slot is written anyway.
+// addWaitingEnds adds the jobs whose task completions wait to share a write, if the transaction writes
+// their slot anyway.
 func (c *Core) addWaitingEnds(builder *txnBuilder) {
 	for _, j := range c.openJobs {
 		if !j.write.waitsForTaskEnds || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
@@ -274,7 +278,7 @@
 	}
 }
 
-// writePriority orders writes: cancellations, then acceptances, then placements, then completions.
+// writePriority returns the job's write priority: cancellation, acceptance, placement or completion.
 func (j *job) writePriority() int {
 	switch {
 	case len(j.cancellation.waiters) > 0:
