--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -10,24 +10,24 @@
 	"dewlift/wire"
 )
 
-// autoscalerState is what every controller keeps for scaling: the catalog of machine types, arrivals
-// by job class and the cloud requests in flight.
+// autoscalerState holds the autoscaling data that every controller maintains: the catalog of machine
+// types, arrival statistics by job class, and in-flight cloud requests.
 type autoscalerState struct {
 	*environment
 
 	catalog               map[string]*wire.MachineType
 	typeNames             []string // keys of catalog, sorted
 	nextCatalogAt         time.Duration
-	storedCatalogRevision uint64       // revision of the stored catalog; 0: none is stored
-	storedCatalog         wire.Catalog // as the key-value store holds it
+	storedCatalogRevision uint64       // revision of the stored catalog; 0: no catalog is stored
+	storedCatalog         wire.Catalog // the catalog in the key-value store
 	catalogStoreInFlight  bool
-	catalogTooLargeLogged bool // it was told that the catalog does not fit a value
+	catalogTooLargeLogged bool // the error that the catalog exceeds the value size limit was logged
 	catalogInFlight       bool
 	classStats            map[string]*classStats
 	pendingCalls          map[uint64]func(CloudResult) // callbacks by request ID
 }
 
-// nodeGroup is a set of interchangeable machines: what one scale-out request asks for.
+// nodeGroup identifies a set of interchangeable machines. A scale-out request names one node group.
 type nodeGroup struct {
 	machineType string
 	zone        string
@@ -36,45 +36,45 @@
 
 const (
 	manyUnmetJobs          = 50              // unmet jobs above which a plan without scale-out is repeated less often
-	maxMachinesPerScaleOut = 50              // machines that the cloud starts for one request
-	scaleOutPlanningWindow = 4 * time.Second // period whose cloud requests one plan may use up
+	maxMachinesPerScaleOut = 50              // most machines that the cloud starts for one request
+	scaleOutPlanningWindow = 4 * time.Second // one plan may use the cloud requests of this period
 
-	bootOverdueFactor = 1.7             // of the nominal boot time
-	bootOverdueSlack  = 2 * time.Second // on top of bootOverdueFactor
+	bootOverdueFactor = 1.7             // multiple of the nominal boot time after which a boot is overdue
+	bootOverdueSlack  = 2 * time.Second // added to that time
 
-	minAgeForScaleIn = 60 * time.Second        // a younger machine is not returned as idle
-	cordonDuration   = 1500 * time.Millisecond // from cordon to return
+	minAgeForScaleIn = 60 * time.Second        // younger machines are not returned as idle
+	cordonDuration   = 1500 * time.Millisecond // time from cordon to return
 	planLogInterval  = 10 * time.Second
 )
 
-// maxScaleOut bounds the machines that one plan orders to what the cloud request rate allows for
-// scaleOutPlanningWindow. Unsent requests are planned anew; without a bound, every plan of a full fleet
-// packed thousands of machines that could not be requested.
+// maxScaleOut returns how many machines one plan may request: as many as the cloud request rate allows
+// within scaleOutPlanningWindow. Unsent requests are planned again; without this limit, every plan for
+// a full fleet packed thousands of machines that could not be requested.
 func (a *autoscalerState) maxScaleOut() int {
 	requests := int(a.cfg.Autoscaling.CloudRequestRate * scaleOutPlanningWindow.Seconds())
 	return max(4*maxMachinesPerScaleOut, requests*maxMachinesPerScaleOut)
 }
 
-// planScaling packs the pending demand onto the supply of machines, creates scale-out requests for
-// what does not fit, and cordons and returns idle machines.
+// planScaling packs the pending demand into the supply of machines, creates scale-out requests for the
+// rest, and cordons and returns idle machines.
 func (c *Core) planScaling() {
 	bins := c.appendMachineBins(nil)
 	c.leaderState.dropUnsentScaleOut()
 	bins = c.autoscaler.appendRequestedBins(bins, c.leaderState.scaleOutRequests)
 
 	demands := c.pendingDemand()
-	stock := c.leaderState.newSupply(bins, &c.Stats)
-	c.packDemands(demands, stock)
-	c.leaderState.createScaleOutRequests(stock)
-	c.leaderState.logPlan(stock.bins, demands, c.jobs)
-	for _, b := range stock.bins {
+	s := c.leaderState.newSupply(bins, &c.Stats)
+	c.packDemands(demands, s)
+	c.leaderState.createScaleOutRequests(s)
+	c.leaderState.logPlan(s.bins, demands, c.jobs)
+	for _, b := range s.bins {
 		if b.machine != nil && b.machine.status.reported {
 			c.leaderState.updateScaleIn(b)
 		}
 	}
 }
 
-// appendMachineBins appends a bin for each machine that is up or booting in time.
+// appendMachineBins appends a bin for each machine that is up, or booting and not overdue.
 func (c *Core) appendMachineBins(bins []*bin) []*bin {
 	for _, machine := range c.aliveMachines {
 		machineType := c.autoscaler.catalog[machine.identity.machineType]
@@ -102,21 +102,21 @@
 	return bins
 }
 
-// countsAsSupply reports whether a plan may rely on a machine staying and being reachable.
+// countsAsSupply reports whether a plan may expect a machine to stay and to be reachable.
 func (c *Core) countsAsSupply(m *machine) bool {
 	return !m.lifecycle.gone && m.leaderView.returnReason == "" && !m.leaderView.zoneUnreachable &&
 		m.lifecycle.interruptionDeadline <= 0 && !m.health.isQuarantined(c.environment, c.jobs)
 }
 
-// isBootOverdue reports whether a machine without a heartbeat should have been up for a while.
+// isBootOverdue reports whether a machine has sent no heartbeat although it should have booted by now.
 func (a *autoscalerState) isBootOverdue(m *machine) bool {
 	age := a.now - max(m.identity.firstSeenAt, m.leaderView.rentedAt)
 	return age > scaleDuration(a.nominalBootTime(m.identity.machineType), bootOverdueFactor)+bootOverdueSlack
 }
 
-// dropUnsentScaleOut drops the scale-out requests that were not sent. They are planned anew, together
-// with the demand since: cloud requests are few, so each should ask for all the machines that its
-// node group needs. Sent ones may have been executed and stay.
+// dropUnsentScaleOut drops the scale-out requests that were not sent. They are planned again together
+// with newer demand: the cloud request rate is low, so each request should ask for all the machines
+// that its node group needs. Sent requests stay because they may have been executed.
 func (l *leaderState) dropUnsentScaleOut() {
 	maps.DeleteFunc(l.scaleOutRequests, func(_ string, r *scaleOutRequest) bool { return !r.sent })
 }
@@ -140,13 +140,13 @@
 	return bins
 }
 
-// packDemands packs the demands in their order. It counts the jobs that do not fit on running
-// machines, and holds capacity for the most urgent unconstrained ones among them.
-func (c *Core) packDemands(demands []demand, stock *supply) {
+// packDemands packs the demands in order. It counts the jobs that do not fit on running machines, and
+// holds capacity for the most urgent unconstrained ones among them.
+func (c *Core) packDemands(demands []demand, s *supply) {
 	l := c.leaderState
 	l.capacityHold, l.unmetJobs = nil, 0
 	for _, d := range demands {
-		placeable := c.packDemand(d, stock)
+		placeable := c.packDemand(d, s)
 		if placeable >= d.tasks || d.isHeadroom {
 			continue
 		}
@@ -157,11 +157,11 @@
 	}
 }
 
-// createScaleOutRequests turns the planned machines into requests of at most maxMachinesPerScaleOut, the
-// largest node groups first. Each group's first request precedes any group's second: an exhausted
-// group then shows with one of the few cloud requests.
-func (l *leaderState) createScaleOutRequests(stock *supply) {
-	groups, planned := stock.plannedGroups, stock.plannedByGroup
+// createScaleOutRequests creates requests for the planned machines, each for at most
+// maxMachinesPerScaleOut, the largest node groups first. Each group's first request precedes any
+// group's second, so that an exhausted group is detected with only one of the few cloud requests.
+func (l *leaderState) createScaleOutRequests(s *supply) {
+	groups, planned := s.plannedGroups, s.plannedByGroup
 	slices.SortStableFunc(groups, func(a, b nodeGroup) int { return planned[b] - planned[a] })
 	for round, more := 0, true; more; round++ {
 		more = false
@@ -176,7 +176,7 @@
 	}
 }
 
-// createScaleOutRequest adds a request under a new idempotency key, unique over leaders and their terms.
+// createScaleOutRequest adds a request with a new idempotency key that is unique across leaders and terms.
 func (l *leaderState) createScaleOutRequest(group nodeGroup, count int) {
 	l.scaleOutSeq++
 	name := fmt.Sprintf("h-%d-%s-%06d", l.fencingToken, l.cfg.Name, l.scaleOutSeq)
@@ -191,9 +191,9 @@
 	}
 }
 
-// updateScaleIn moves a running machine that no demand needs towards its return: it is offered last,
-// so that it empties; once idle for long enough it is cordoned, and then returned. A machine that is
-// needed again goes back to normal.
+// updateScaleIn advances the scale-in of a running machine that no demand needs. The machine is first
+// offered last, so that it becomes empty. Once it has been idle for long enough, it is cordoned and then
+// returned. A machine that is needed again goes back to normal.
 func (l *leaderState) updateScaleIn(b *bin) {
 	machine := b.machine
 	view := &machine.leaderView
@@ -224,14 +224,15 @@
 	}
 }
 
-// isOldEnoughForScaleIn reports whether a machine's age, by either known start, exceeds minAgeForScaleIn.
+// isOldEnoughForScaleIn reports whether a machine's age exceeds minAgeForScaleIn, measured from its first
+// observation or from its rental.
 func (m *machine) isOldEnoughForScaleIn(now time.Duration) bool {
 	rentedAt := m.leaderView.rentedAt
 	return now-max(m.identity.firstSeenAt, rentedAt) > minAgeForScaleIn ||
 		rentedAt != 0 && now-rentedAt > minAgeForScaleIn
 }
 
-// logPlan logs the utilization of the fleet at most once in planLogInterval.
+// logPlan logs the utilization of the fleet at most once per planLogInterval.
 func (l *leaderState) logPlan(bins []*bin, demands []demand, jobs []*job) {
 	if l.now < l.nextPlanLogAt {
 		return
@@ -261,18 +262,18 @@
 			waiting += d.tasks
 		}
 	}
-	l.log(LevelInfo, "machines", "up", up, "booting", booting, "closed", offeredLast,
+	l.log(LevelInfo, "fleet utilization", "up", up, "booting", booting, "closed", offeredLast,
 		"empty", empty, "cpus", capacity/1000, "used", allocated/1000, "waiting", waiting,
 		"reserve", headroom)
 }
 
-// idleTimeout is how long an empty machine is kept, longer for a type that boots slowly.
+// idleTimeout returns how long an empty machine is kept. Machine types that boot slowly are kept longer.
 func (a *autoscalerState) idleTimeout(m *machine) time.Duration {
 	scaling := &a.cfg.Autoscaling
 	return scaling.IdleTimeout + scaleDuration(a.nominalBootTime(m.identity.machineType), scaling.IdleBootFactor)
 }
 
-// hasLiveTasks reports whether a machine's last heartbeat has a task that has not exited.
+// hasLiveTasks reports whether a machine's last heartbeat lists a task that has not exited.
 func (m *machine) hasLiveTasks() bool {
 	for _, status := range m.status.tasks {
 		if status.state != wire.TaskExited {
@@ -282,5 +283,5 @@
 	return false
 }
 
-// sortedKeys returns the keys of a map in order, for iteration that is the same in each run.
+// sortedKeys returns the keys of a map in order, so that iteration is deterministic.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -14,17 +14,17 @@
 	catalogRetryJitter      = time.Second
 	catalogInterval         = 45 * time.Second // between two reads, plus jitter
 	catalogJitter           = 15 * time.Second
-	unstoredCatalogInterval = 5 * time.Second // the same until the leader has stored the catalog
+	unstoredCatalogInterval = 5 * time.Second // between two reads until the leader has stored the catalog
 
-	maxMachineCPUs = 1e6 // a larger machine type is not believed
+	maxMachineCPUs = 1e6 // machine types with more CPUs are rejected as invalid
 )
 
-// isCatalogDue reports whether the machine types are to be read from the cloud, which every controller does.
+// isCatalogDue reports whether to read the machine types from the cloud now. Every controller reads them.
 func (a *autoscalerState) isCatalogDue() bool {
 	return !a.catalogInFlight && a.now >= a.nextCatalogAt
 }
 
-// readCatalog reads the machine types from the cloud, takes them over, and then calls the callback.
+// readCatalog reads the machine types from the cloud, adopts them, and then calls onRead.
 func (a *autoscalerState) readCatalog(onRead func(*wire.Catalog)) {
 	a.catalogInFlight = true
 	id := a.nextID()
@@ -44,7 +44,7 @@
 	a.emit(CloudRequest{ID: id, Op: CloudCatalog})
 }
 
-// setCatalog takes over the valid machine types of a catalog; one without any is ignored.
+// setCatalog adopts the valid machine types of a catalog. A catalog without valid types is ignored.
 func (a *autoscalerState) setCatalog(catalog *wire.Catalog) {
 	next := map[string]*wire.MachineType{}
 	for i := range catalog.Types {
@@ -60,14 +60,15 @@
 	}
 }
 
-// isValidMachineType reports whether a machine type can be planned with.
+// isValidMachineType reports whether a plan can use a machine type.
 func isValidMachineType(t *wire.MachineType) bool {
 	return t.Name != "" && t.CPUs > 0 && t.CPUs <= maxMachineCPUs && !(t.GPUs < 0) &&
 		t.MemoryGB > 0 && t.Price >= 0
 }
 
-// persistCatalog has the leader store the catalog if it differs from the stored one: a controller that
-// restarts while the cloud is down could not serve before it is back otherwise.
+// persistCatalog stores the catalog at the leader if it differs from the stored one. Without a stored
+// catalog, a controller that restarts during an outage of the cloud could not serve until the outage
+// ends.
 func (c *Core) persistCatalog(catalog *wire.Catalog) {
 	if c.leaderState == nil || c.autoscaler.catalogStoreInFlight || !c.ownLease.isHeld() {
 		return
@@ -80,10 +81,11 @@
 	if err != nil || len(raw) > maxBytes {
 		if !c.autoscaler.catalogTooLargeLogged {
 			c.autoscaler.catalogTooLargeLogged = true
-			c.log(LevelError, "machine types do not fit a value: not served while the cloud is down, after a restart",
+			c.log(LevelError,
+				"machine types exceed the value size limit: a controller that restarts in a cloud outage cannot serve",
 				"bytes", len(raw), "value_bytes", maxBytes, "err", err)
 		}
-		return // it is tried again with the next read
+		return // retried after the next read
 	}
 	c.autoscaler.catalogStoreInFlight = true
 	txn := wire.Txn{
@@ -95,7 +97,7 @@
 	}})
 }
 
-// isSameMachineType reports whether two machine types agree in everything that is stored of them.
+// isSameMachineType reports whether two machine types agree in all stored fields.
 func isSameMachineType(a, b wire.MachineType) bool {
 	zonesOfA, zonesOfB := a.Zones, b.Zones
 	a.Zones, b.Zones = nil, nil
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -7,29 +7,29 @@
 	"dewlift/wire"
 )
 
-// scaleOutRequest is a request for machines, kept until the cloud has answered it.
+// scaleOutRequest is a request for machines. It is kept until the cloud has answered it.
 type scaleOutRequest struct {
 	request       wire.ScaleOutRequest
 	inFlight      bool
-	sent          bool // it may have been executed: it is only repeated under its idempotency key
+	sent          bool // it may have been executed, so retries reuse its idempotency key
 	nextAttemptAt time.Duration
 }
 
-// noCapacity is the cloud's error text for a node group without machines; it comes with
-// wire.StatusUnavailable, which means that the cloud is down otherwise.
+// noCapacity is the cloud's error text for a node group without machines. It comes with
+// wire.StatusUnavailable, which otherwise means that the cloud is down.
 const noCapacity = "no capacity"
 
 const (
-	cloudBackoff         = 300 * time.Millisecond // after a refused or unanswered request, plus jitter of as much
+	cloudBackoff         = 300 * time.Millisecond // after a rejected or unanswered request, plus as much jitter
 	cloudRetryDelay      = time.Second            // from an answer to the next attempt of the same request
 	nodeGroupBlockTime   = 10 * time.Second       // for a node group that had too few machines
-	maxMachineAgeSeconds = 1e9                    // seconds; an older age in the cloud's list is not believed
+	maxMachineAgeSeconds = 1e9                    // a listed age from this on is ignored as invalid
 	maxScaleInMachines   = 100                    // in one request
-	maxFailedPerScaleIn  = 50                     // of maxScaleInMachines; leaves space for running machines
+	maxFailedPerScaleIn  = 50                     // of maxScaleInMachines; leaves room for running machines
 )
 
-// callCloud sends a request if the budget of cloud requests and the back-off allow it, and reports
-// whether it did. The callback handles the answer, which may come after the leader's term has ended.
+// callCloud sends a request if the cloud request budget and the back-off allow it, and reports whether
+// it did. The callback handles the response, which may arrive after the leader's term has ended.
 func (l *leaderState) callCloud(request CloudRequest, callback func(CloudResult)) bool {
 	if l.cloudCallBudget < 1 || l.now < l.cloudBackoffUntil {
 		return false
@@ -46,7 +46,7 @@
 	return true
 }
 
-// handleCloudResult calls the function that waits for a cloud request's outcome.
+// handleCloudResult calls the callback of a cloud request.
 func (a *autoscalerState) handleCloudResult(in CloudResult) {
 	if onResult := a.pendingCalls[in.ID]; onResult != nil {
 		delete(a.pendingCalls, in.ID)
@@ -54,7 +54,7 @@
 	}
 }
 
-// isOverload reports whether the cloud could not take any request just now.
+// isOverload reports whether the cloud was unable to handle any request.
 func (in *CloudResult) isOverload() bool {
 	switch in.Status {
 	case wire.StatusTooManyRequests, wire.StatusNoAnswer:
@@ -65,8 +65,8 @@
 	return false
 }
 
-// listMachines reads a page of the cloud's list of machines when one is due. A large fleet takes
-// several pages, and the requests are few.
+// listMachines reads the next page of the cloud's list of machines when it is due. A large fleet takes
+// several pages, and the cloud request rate is low.
 func (c *Core) listMachines() {
 	l := c.leaderState
 	if l.listInFlight || c.now < l.nextListAt {
@@ -88,8 +88,8 @@
 	})
 }
 
-// advanceList sets which page of the list is read next, and when: until the list was read completely
-// once, at once.
+// advanceList sets which page of the list is read next, and when. Until the list has been read
+// completely once, the next page is read immediately.
 func (l *leaderState) advanceList(in *CloudResult) {
 	l.nextListAt = l.now + l.cfg.Autoscaling.CloudListInterval
 	l.listAfter = ""
@@ -102,7 +102,7 @@
 	l.listComplete = l.listComplete || l.listAfter == ""
 }
 
-// applyListedMachine takes over what the cloud's list says of a machine, as far as it is not known.
+// applyListedMachine adopts a machine's attributes from the cloud's list as far as they are not known.
 func (c *Core) applyListedMachine(listed *wire.Machine) {
 	target := c.internMachine(listed.Name)
 	if target.lifecycle.gone {
@@ -122,14 +122,14 @@
 	}
 }
 
-// setNodeGroup sets a machine's type, zone and kind if they are not known.
+// setNodeGroup sets a machine's type, zone and spot flag if its type is not known.
 func (id *machineIdentity) setNodeGroup(group nodeGroup) {
 	if id.machineType == "" {
 		id.machineType, id.zone, id.spot = group.machineType, group.zone, group.spot
 	}
 }
 
-// markForReturn marks a machine to be returned to the cloud; the first reason stays.
+// markForReturn marks a machine to be returned to the cloud. The first reason is kept.
 func (a *autoscalerState) markForReturn(m *machine, reason string) {
 	if m.leaderView.returnReason != "" || m.lifecycle.gone {
 		return
@@ -141,7 +141,7 @@
 		"quiet_ms", (a.now - m.status.lastHeartbeatAt).Milliseconds())
 }
 
-// confirmGone records and announces proof that a machine is gone.
+// confirmGone records that a machine is proven to be gone and announces it.
 func (c *Core) confirmGone(m *machine) {
 	if m.lifecycle.gone {
 		return
@@ -150,8 +150,8 @@
 	c.leaderState.announceGone(m.name)
 }
 
-// returnMachines returns marked machines to the cloud, one request at a time and repeated until the
-// cloud confirms it: only that is proof that their tasks have ended.
+// returnMachines returns marked machines to the cloud with one request at a time, and retries until the
+// cloud confirms it. Only that confirmation proves that their tasks have ended.
 func (c *Core) returnMachines() {
 	l := c.leaderState
 	if l.returnInFlight {
@@ -176,8 +176,8 @@
 	})
 }
 
-// machinesToReturn lists the machines marked for return, those with services first: replicas wait for
-// the proof that they are gone, and a lost zone has many machines.
+// machinesToReturn returns the machines marked for return, those with services first: replacement
+// replicas wait for the proof that these machines are gone, and a lost zone has many machines.
 func (c *Core) machinesToReturn() []*machine {
 	var due, later []*machine
 	for _, machine := range c.aliveMachines {
@@ -192,8 +192,8 @@
 	return append(due, later...)
 }
 
-// confirmReturned records that returned machines are gone; it announces them if the term in which
-// they were returned still lasts.
+// confirmReturned records that returned machines are gone. It announces them if the term in which they
+// were returned has not ended.
 func (c *Core) confirmReturned(term *leaderState, names []string) {
 	if term.ended {
 		for _, name := range names {
@@ -209,8 +209,8 @@
 	})
 }
 
-// sendScaleOutRequests sends the requests that are due, each under its idempotency key until it is
-// answered, as far as the budget of cloud requests goes.
+// sendScaleOutRequests sends the requests that are due, as far as the cloud request budget allows. A
+// request is retried with the same idempotency key until it is answered.
 func (l *leaderState) sendScaleOutRequests() {
 	for _, name := range sortedKeys(l.scaleOutRequests) {
 		pending := l.scaleOutRequests[name]
@@ -233,8 +233,8 @@
 	}
 }
 
-// handleScaleOutResult takes the answer to a scale-out request of this term. Without a definite answer,
-// the request is repeated.
+// handleScaleOutResult handles the response to a scale-out request of this term. Without a definite
+// response, the request is retried.
 func (l *leaderState) handleScaleOutResult(pending *scaleOutRequest, in *CloudResult) {
 	pending.inFlight = false
 	pending.nextAttemptAt = l.now + cloudRetryDelay
--- a/core/demand.go
+++ b/core/demand.go
@@ -11,23 +11,23 @@
 	"dewlift/wire"
 )
 
-// classStats is the arrivals of jobs of one class, as exponential moving averages.
+// classStats holds arrival statistics of one job class, as exponential moving averages.
 type classStats struct {
 	lastSpec        wire.JobSpec
-	meanTasks       float64       // of tasks per job
-	meanSquareTasks float64       // of the square of tasks per job
-	meanInterval    time.Duration // between two arrivals
-	lastArrival     time.Duration // when the last one was recorded here
-	lastArrivalMS   int64         // Unix time at which the last one was accepted
+	meanTasks       float64       // mean number of tasks per job
+	meanSquareTasks float64       // mean square of the number of tasks per job
+	meanInterval    time.Duration // mean time between two arrivals
+	lastArrival     time.Duration // when the last job was recorded here
+	lastArrivalMS   int64         // Unix time at which the last job was accepted
 }
 
-// Weights of the moving averages: each value moves them by one part in so many.
+// Inverse weights of a new sample in the moving averages.
 const (
 	meanDivisor       = 8
 	meanSquareDivisor = 16
 )
 
-// recordClassArrival updates the statistics of a job's class, from which headroom is computed.
+// recordClassArrival updates the arrival statistics of a job's class. Headroom is computed from them.
 func (a *autoscalerState) recordClassArrival(record *jobrecord.Record) {
 	if a.classStats == nil {
 		a.classStats = map[string]*classStats{}
@@ -47,20 +47,21 @@
 	stats.lastSpec, stats.lastArrival, stats.lastArrivalMS = *record.Spec, a.now, record.AcceptedAtMS
 }
 
-// demand is tasks of one job, or of a job class, that a plan packs onto machines.
+// demand is a number of tasks, of one job or of a job class, that a plan packs onto machines.
 type demand struct {
-	job           *job // nil: headroom for a class
+	job           *job // nil: headroom for a job class
 	spec          *wire.JobSpec
 	tasks         int
 	tasksByZone   map[string]int
-	isHeadroom    bool // for tasks that are expected
-	isReplacement bool // the tasks still run, on machines that will probably be returned
+	isHeadroom    bool // the tasks are only expected
+	isReplacement bool // the tasks still run, on machines that will probably be returned to the cloud
 	priorityClass int
 	enqueuedAtMS  int64
 }
 
-// packingRank is the primary sort key of demands. Headroom for work that may not use spot machines
-// precedes pending work that may: the latter would fill the few machines that the former can use.
+// packingRank returns the primary sort key of a demand. Headroom for work that may not use spot machines
+// precedes pending work that may: the latter would otherwise fill the few machines that the former can
+// use.
 func (d *demand) packingRank() int {
 	switch {
 	case !d.isHeadroom && !d.spec.Spot:
@@ -73,7 +74,7 @@
 	return 3
 }
 
-// binOrder is the index of the packing order that a demand fills.
+// binOrder returns the index into supply.binOrders of the bins that a demand may use.
 func (d *demand) binOrder() int {
 	if d.spec.Spot {
 		return spotBinOrder
@@ -81,12 +82,13 @@
 	return onDemandBinOrder
 }
 
-// isUnconstrained reports whether a demand fits any machine of its packing order with enough resources.
+// isUnconstrained reports whether a demand may use every machine of its bin order that has enough
+// resources.
 func (d *demand) isUnconstrained() bool {
 	return !d.spec.Spread && d.spec.MachineTypes == nil && d.spec.Zone == "" && !d.isHeadroom
 }
 
-// compareDemands orders demands for packing.
+// compareDemands orders demands by their packing order.
 func compareDemands(a, b demand) int {
 	return cmp.Or(
 		cmp.Compare(a.packingRank(), b.packingRank()),
@@ -104,8 +106,8 @@
 	visitedDependents map[*job]bool
 }
 
-// pendingDemand lists the pending tasks and the headroom for expected ones, in the order in which they
-// are packed.
+// pendingDemand returns the demands for pending tasks and the headroom for expected ones, in packing
+// order.
 func (c *Core) pendingDemand() []demand {
 	collector := demandCollector{
 		core:              c,
@@ -127,8 +129,8 @@
 	return collector.demands
 }
 
-// addReadySoon adds headroom for dependent jobs that should be ready before a machine requested now
-// could be up.
+// addReadySoon adds headroom for dependent jobs that are expected to be ready before a machine requested
+// now could be up.
 func (d *demandCollector) addReadySoon(dependents []*job) {
 	for _, dependent := range dependents {
 		if d.visitedDependents[dependent] {
@@ -151,8 +153,8 @@
 	}
 }
 
-// addJob adds the tasks of a ready job that are not assigned, and replacements of those on machines
-// in unreachable zones.
+// addJob adds the unassigned tasks of a ready job, and replacements for its tasks on machines in
+// unreachable zones.
 func (d *demandCollector) addJob(pending *job) {
 	spec := pending.record.Spec
 	d.assignedByClass[spec.Class] += len(pending.assignments)
@@ -180,7 +182,7 @@
 	}
 }
 
-// locateTasks counts a job's assigned tasks by zone; those in unreachable zones are counted apart.
+// locateTasks counts a job's assigned tasks by zone. Those in unreachable zones are counted separately.
 func (d *demandCollector) locateTasks(pending *job) (unreachable int, tasksByZone map[string]int) {
 	tasksByZone = map[string]int{}
 	for _, assignment := range pending.assignments {
@@ -193,7 +195,8 @@
 	return unreachable, tasksByZone
 }
 
-// unassignedTasks is how many tasks of a job may still be assigned: fewer while it keeps failing.
+// unassignedTasks returns how many more tasks of a job may be assigned. While a job keeps failing, the
+// number is limited.
 func (d *demandCollector) unassignedTasks(pending *job) int {
 	assigned := len(pending.assignments)
 	tasks := pending.record.Spec.Tasks - pending.record.CompletedTasks.Count() - assigned
@@ -203,10 +206,11 @@
 	return tasks
 }
 
-// classHeadroomExpiry ends the headroom of a class without assigned tasks, this long after its last arrival.
+// classHeadroomExpiry is the time after the last arrival at which a class without assigned tasks loses its
+// headroom.
 const classHeadroomExpiry = 3 * time.Minute
 
-// addClassHeadroom adds headroom for the next jobs of each active class.
+// addClassHeadroom adds headroom for expected jobs of each active class.
 func (d *demandCollector) addClassHeadroom() {
 	for class, stats := range d.core.autoscaler.classStats {
 		assigned := d.assignedByClass[class]
@@ -229,8 +233,8 @@
 	}
 }
 
-// limitToQuota cuts the demands, in their order, to what the maximum quotas of their teams leave.
-// Headroom and replacements are not cut.
+// limitToQuota limits the demands, in order, to the remaining maximum quotas of their teams. Headroom and
+// replacements are not limited.
 func (c *Core) limitToQuota(demands []demand) {
 	left := quotasLeft(c.teams.list)
 	for i := range demands {
@@ -254,7 +258,8 @@
 	}
 }
 
-// quotasLeft is the CPU and GPU (thousandths) that each team may still use; math.MaxInt64: no maximum.
+// quotasLeft returns the CPU and GPU, in thousandths, that each team may still use. math.MaxInt64 means no
+// maximum.
 func quotasLeft(teams []*team) map[*team][2]int64 {
 	left := map[*team][2]int64{}
 	for _, t := range teams {
@@ -270,17 +275,17 @@
 	return left
 }
 
-// Decay of a class's headroom once no job arrives: after a period of quietIntervals mean intervals and
-// at least minQuietPeriod.
+// The headroom of a class decays once no job has arrived for quietIntervals mean intervals, and for at
+// least minQuietPeriod.
 const (
 	quietIntervals = 5
 	minQuietPeriod = 20 * time.Second
 )
 
-// headroomTasks is the number of tasks of a class that resources are kept for: a share of those
-// assigned, but no more than the arrivals expected until a new machine is up, in standard deviations
-// (relative to its size, a large class varies less), and at least one job of mean size. It decays once
-// jobs have stopped arriving.
+// headroomTasks returns the number of expected tasks of a class to keep resources for: a share of the
+// assigned tasks, but at most HeadroomDeviations standard deviations of the arrivals until a new machine
+// is up, because a large class varies less relative to its size. It is at least one job of mean size,
+// and decays once jobs have stopped arriving.
 func (a *autoscalerState) headroomTasks(stats *classStats, assigned int) float64 {
 	share := a.cfg.Autoscaling.HeadroomShare
 	if stats.lastSpec.Service {
@@ -299,8 +304,8 @@
 	return tasks
 }
 
-// provisioningTime is how long it takes from a demand to a machine for it: the scale-out request, and
-// the boot of the quickest type that fits.
+// provisioningTime returns how long it takes to provide a machine for a demand: the lead time of the
+// scale-out request plus the boot time of the quickest machine type that fits.
 func (a *autoscalerState) provisioningTime(spec *wire.JobSpec) time.Duration {
 	var quickest time.Duration
 	for _, name := range a.typeNames {
@@ -316,7 +321,8 @@
 	return quickest + a.cfg.Autoscaling.ScaleOutLeadTime
 }
 
-// nominalBootTime is the boot time of a machine type by the catalog; 0: the type is not known.
+// nominalBootTime returns the boot time of a machine type according to the catalog, or 0 if the type is
+// not known.
 func (a *autoscalerState) nominalBootTime(typeName string) time.Duration {
 	machineType := a.catalog[typeName]
 	if machineType == nil {
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -12,8 +12,8 @@
 )
 
 // While hundreds of jobs waited in a full cluster, each plan examined every machine for each of them and
-// ordered thousands of machines that the cloud did not have: it took most of the processor's time, so
-// that agents' polls timed out.
+// requested thousands of machines that the cloud did not have. Planning used most of the CPU time, so that
+// polls of agents timed out.
 func TestPlansOfAFullClusterAreBounded(t *testing.T) {
 	c := newPlanningCore()
 	const machines, jobs = 1000, 500
@@ -36,21 +36,21 @@
 		t.Errorf("%d machines examined for %d jobs, the limit is %d", c.Stats.PlanMachineLooks, jobs, limit)
 	}
 	if limit := c.autoscaler.maxScaleOut(); supply.plannedMachines != limit {
-		t.Errorf("%d machines are ordered, want the %d that scale out allows", supply.plannedMachines, limit)
+		t.Errorf("%d machines are planned, want the scale-out limit of %d", supply.plannedMachines, limit)
 	}
 
-	// A smaller request than those that found no capacity must still find it.
+	// A request that is smaller than those that did not fit must still be packed.
 	small := demand{
 		spec:        &wire.JobSpec{Tasks: 3, Spot: true, Request: [3]int64{400, 0, 900}},
 		tasks:       3,
 		tasksByZone: map[string]int{},
 	}
 	if now := c.packDemand(small, supply); now != 0 || !bins[0].needed {
-		t.Errorf("small tasks found no capacity: %d placed now, machine needed: %v", now, bins[0].needed)
+		t.Errorf("small tasks do not fit: %d placed now, machine needed: %v", now, bins[0].needed)
 	}
 }
 
-// newPlanningCore is a leader that may scale out machines of a single type.
+// newPlanningCore returns a leader that can scale out machines of a single type.
 func newPlanningCore() *Core {
 	c := New(Config{
 		Autoscaling:   AutoscalingConfig{CloudRequestRate: 4},
@@ -67,8 +67,8 @@
 	return c
 }
 
-// Controllers took the same share of freed capacity whatever waited at each: jobs of the same age
-// started two minutes apart.
+// Controllers took equal shares of freed capacity regardless of the work that waited at each, so that jobs of
+// the same age started two minutes apart.
 func TestFreedCapacityGoesToTheOldestWork(t *testing.T) {
 	members := membership.New([]string{"n1", "n2", "n3"}, time.Second)
 	isLive := func(name string) bool { return name != "n3" }
@@ -122,15 +122,15 @@
 
 	members.Peer("n1").StoreReachable = false
 	if before, _ := members.CountCompetitors(0, isLive, job, false); before != 0 {
-		t.Error("capacity is yielded to a controller that can't write")
+		t.Error("capacity is yielded to a controller that cannot reach the store")
 	}
 }
 
-// A job may have half of its tasks in a zone. When that zone's machines were the best, as they hold its
-// image, no others were examined, and replicas waited for minutes beside hundreds of machines with
-// capacity.
+// A spread job may have at most half of its tasks in one zone. When the machines of a full zone ranked best
+// because they had the image, no others were examined, and replicas waited for minutes although hundreds of
+// machines in other zones had capacity.
 func TestReplicasUseOtherZoneWhenOneIsFull(t *testing.T) {
-	for _, placed := range []int{0, 1} { // tasks that zone a has already
+	for _, placed := range []int{0, 1} { // number of tasks already in zone a
 		c := newCoreOfTwoZones()
 		spec := &wire.JobSpec{Service: true, Spread: true, Tasks: 2, Request: [3]int64{1000, 0, 1000}, Image: "i"}
 		p := &proposal{job: &job{}, record: &jobrecord.Record{Spec: spec}, spec: spec, isAcceptance: true}
@@ -143,13 +143,13 @@
 			tasksInZone[c.machines[assignment.Machine].identity.zone]++
 		}
 		if tasksInZone["a"] != 1 || tasksInZone["b"] != 1 {
-			t.Errorf("with %d in zone a: tasks are in %v", placed, tasksInZone)
+			t.Errorf("with %d tasks already in zone a: tasks by zone are %v", placed, tasksInZone)
 		}
 	}
 }
 
-// newCoreOfTwoZones is a controller with 20 empty machines in each of two zones; those of zone a, which
-// have the smaller indices, hold image i.
+// newCoreOfTwoZones returns a controller with 20 empty machines in each of two zones. The machines of zone a,
+// which have the smaller indices, have image i.
 func newCoreOfTwoZones() *Core {
 	c := New(Config{
 		Store:         StoreConfig{MaxTxnOps: 12, MaxValueBytes: 8192, WriteRate: 30, RequestRate: 100},
@@ -181,8 +181,8 @@
 	return c
 }
 
-// An answer to a cloud request that comes after its leader's term must not back off: that would draw a
-// random number, on which all later decisions depend.
+// A response to a cloud request that arrives after its leader's term has ended must not trigger a back-off,
+// because the jitter would draw a random number, on which all later decisions depend.
 func TestCloudResponseAfterTermDoesNotBackOff(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		c := newPlanningCore()
@@ -190,7 +190,7 @@
 		term.cloudCallBudget = 1
 		answered := false
 		if !term.callCloud(CloudRequest{Op: CloudList}, func(CloudResult) { answered = true }) {
-			t.Fatal("the cloud is not called")
+			t.Fatal("the request was not sent")
 		}
 		id := c.lastID
 		if ended {
@@ -198,13 +198,13 @@
 		}
 		c.Handle(time.Second, CloudResult{ID: id, Status: wire.StatusTooManyRequests})
 		if !answered {
-			t.Errorf("ended: %v: the callback is not called", ended)
+			t.Errorf("ended: %v: the callback was not called", ended)
 		}
 		if backsOff := term.cloudBackoffUntil > 0; backsOff == ended {
-			t.Errorf("ended: %v: the term backs off: %v", ended, backsOff)
+			t.Errorf("ended: %v: back-off is active: %v", ended, backsOff)
 		}
 		if c.leaderState != nil && ended {
-			t.Error("the term lasts on after its end")
+			t.Error("the leader state still exists after the end of the term")
 		}
 	}
 }
--- a/core/supply.go
+++ b/core/supply.go
@@ -9,27 +9,27 @@
 	"dewlift/wire"
 )
 
-// bin is one machine of a plan: up, booting, requested or planned.
+// bin represents one machine in a plan. The machine is up, booting, requested or planned.
 type bin struct {
-	machine             *machine // nil: requested or planned
+	machine             *machine // nil if the machine is requested or planned
 	nodeGroup           nodeGroup
 	available           clusterstate.Resources
 	capacity            clusterstate.Resources
-	availableSoon       clusterstate.Resources // of tasks that should end before a new machine could be up
-	onDemandReserved    clusterstate.Resources // packed with tasks that may not use spot machines
-	busyHorizon         time.Duration          // how long its tasks should keep it busy
+	availableSoon       clusterstate.Resources // resources of tasks that should end before a new machine could be up
+	onDemandReserved    clusterstate.Resources // resources packed with tasks that may not use spot machines
+	busyHorizon         time.Duration          // how long its tasks are expected to keep it busy
 	busyHorizonSteps    time.Duration          // busyHorizon in units of the setting BusyHorizonStep
 	minFreeFraction     float64
 	preempted           []jobAssignment // tasks preempted by this plan
 	preemptible         []jobAssignment // cache of preemptibleTasks; nil: not computed
-	preemptiblePriority int             // priority that preemptible was computed for
+	preemptiblePriority int             // the priority that preemptible was computed for
 	hasTasks            bool
-	schedulableKnown    bool // schedulable is computed
+	schedulableKnown    bool // schedulable has been computed
 	schedulable         bool
-	needed              bool // some demand was packed into it
+	needed              bool // a demand was packed into it
 }
 
-// isSchedulable reports whether new tasks may go to its machine now, computed once a plan.
+// isSchedulable reports whether new tasks may be assigned to the machine now. It is computed once per plan.
 func (b *bin) isSchedulable(c *Core) bool {
 	if !b.schedulableKnown {
 		b.schedulableKnown, b.schedulable = true, c.isSchedulable(b.machine)
@@ -37,15 +37,16 @@
 	return b.schedulable
 }
 
-// isUp reports whether its machine has sent a heartbeat.
+// isUp reports whether the machine has sent a heartbeat.
 func (b *bin) isUp() bool { return b.machine != nil && b.machine.status.reported }
 
-// isDrainableOnDemand reports whether it is an on-demand machine without services: one that can empty.
+// isDrainableOnDemand reports whether the machine is an on-demand machine without services, which becomes
+// empty once its tasks end.
 func (b *bin) isDrainableOnDemand() bool {
 	return !b.nodeGroup.spot && b.busyHorizon < unboundedHorizon
 }
 
-// reserve allocates resources for a number of tasks of a spec.
+// reserve allocates resources for tasks of a job.
 func (b *bin) reserve(spec *wire.JobSpec, tasks int64) {
 	b.available = b.available.AddScaled(spec.Request, -tasks)
 	b.needed = true
@@ -54,13 +55,14 @@
 	}
 }
 
-// Indexes of supply.packingOrders and supply.exhausted.
+// Indices into supply.binOrders and supply.exhausted.
 const (
 	onDemandBinOrder = iota // for demands that may not use spot machines
 	spotBinOrder            // for demands that may
 )
 
-// supply is the bins of one plan, in the orders in which demands fill them, and what the plan adds.
+// supply holds the bins of one plan, in the orders in which demands fill them, and the machines that the
+// plan adds.
 type supply struct {
 	autoscaler   *autoscalerState
 	blockedUntil map[nodeGroup]time.Duration // leaderState.blockedUntil
@@ -71,19 +73,21 @@
 	machinesByGroup map[nodeGroup]int
 	machinesByZone  map[string]int
 	exhausted       [2][]exhaustedRequest
-	plannedMachines int               // machines to be requested by this plan
+	plannedMachines int               // number of machines that this plan requests
 	plannedByGroup  map[nodeGroup]int // plannedMachines by node group
-	plannedGroups   []nodeGroup       // keys of plannedByGroup, in the order of their first use
+	plannedGroups   []nodeGroup       // keys of plannedByGroup in order of first use
 }
 
-// exhaustedRequest is a resource request that fits none of the first bins of a packing order, now or soon.
+// exhaustedRequest is a resource request that fits none of the first binsWithoutCapacity bins of a bin order,
+// neither now nor soon.
 type exhaustedRequest struct {
 	request             clusterstate.Resources
 	binsWithoutCapacity int
 }
 
-// firstCandidate is the index in its packing order from which a demand may fit: no smaller request
-// fitted before it. Without it, each of hundreds of waiting jobs scanned a whole full fleet in each plan.
+// firstCandidate returns the index in the demand's bin order of the first bin into which the demand may
+// fit: all earlier bins were found too full for a request that is no larger. Without this, each plan
+// scanned a whole full fleet for each of hundreds of waiting jobs.
 func (s *supply) firstCandidate(d *demand) (first int) {
 	if d.isUnconstrained() {
 		for _, exhausted := range s.exhausted[d.binOrder()] {
@@ -95,7 +99,7 @@
 	return first
 }
 
-// recordExhausted records that an unconstrained demand fits no bin of its order.
+// recordExhausted records that an unconstrained demand fits no bin of its bin order.
 func (s *supply) recordExhausted(d *demand) {
 	if !d.isUnconstrained() {
 		return
@@ -108,7 +112,7 @@
 }
 
 // newSupply builds the supply of a plan. Machines that stay busy longest are filled first, so that the
-// others empty; on-demand machines without services come last for work that may use spot machines.
+// others become empty. For work that may use spot machines, on-demand machines without services come last.
 func (l *leaderState) newSupply(bins []*bin, stats *Stats) *supply {
 	s := &supply{
 		autoscaler:      l.autoscaler,
@@ -159,7 +163,7 @@
 	return -1
 }
 
-// addPlanned adds a machine that is to be requested, behind all others.
+// addPlanned adds a machine that this plan requests, after all others.
 func (s *supply) addPlanned(b *bin) {
 	s.bins = append(s.bins, b)
 	s.binOrders[spotBinOrder] = append(s.binOrders[spotBinOrder], b)
@@ -175,15 +179,16 @@
 	s.plannedByGroup[b.nodeGroup]++
 }
 
-// demandPacking is the packing of one demand into the supply of a plan; demand.tasks is what is left.
+// demandPacking is the state of packing one demand into the supply of a plan. demand.tasks is the number of
+// tasks that are still to be packed.
 type demandPacking struct {
 	demand    demand
 	supply    *supply
-	placeable int // tasks that fit on machines that are up
+	placeable int // number of tasks that fit on machines that are up
 }
 
-// packDemand packs a demand into the supply, and plans machines for what does not fit. It returns how
-// many tasks fit on machines that are up, without preemption.
+// packDemand packs a demand into the supply and plans machines for the rest. It returns how many tasks
+// fit on machines that are up, without preemption.
 func (c *Core) packDemand(d demand, s *supply) (placeable int) {
 	p := &demandPacking{demand: d, supply: s}
 	if !d.isHeadroom && !d.isReplacement && d.spec.Service {
@@ -193,21 +198,21 @@
 	return p.placeable
 }
 
-// packReplicas packs the replicas of a service onto machines that are up, if need be by preemption:
-// machines that still boot would come too late for them.
+// packReplicas packs the replicas of a service onto machines that are up, with preemption if necessary,
+// because machines that are still booting would come too late for them.
 func (c *Core) packReplicas(p *demandPacking) {
 	p.fill(p.bins(), true)
 	preemption := replicaPreemption{core: c, demandPacking: p}
 	if preempted := preemption.run(); preempted > 0 {
 		p.demand.tasks -= preempted
-		p.supply.exhausted = [2][]exhaustedRequest{} // victims may leave more than was needed
+		p.supply.exhausted = [2][]exhaustedRequest{} // preemption may have freed more than was needed
 	}
 }
 
-// bins is the bins of the demand's packing order, without those that it adds.
+// bins returns the bins of the demand's bin order. Machines that are planned later are not included.
 func (p *demandPacking) bins() []*bin { return p.supply.binOrders[p.demand.binOrder()] }
 
-// packTasks packs what is left of the demand into any bins, and plans machines for what does not fit.
+// packTasks packs the rest of the demand into any bins, and plans machines for the tasks that do not fit.
 func (p *demandPacking) packTasks() {
 	bins := p.bins()
 	first := p.supply.firstCandidate(&p.demand)
@@ -221,7 +226,7 @@
 	p.planMachines()
 }
 
-// fill packs what is left of the demand into the available resources of bins.
+// fill packs the rest of the demand into the available resources of bins.
 func (p *demandPacking) fill(bins []*bin, upOnly bool) {
 	for _, b := range bins {
 		if p.demand.tasks <= 0 {
@@ -234,7 +239,7 @@
 	}
 }
 
-// packInto packs as many tasks as fit into a bin.
+// packInto packs as many of the remaining tasks into a bin as fit.
 func (p *demandPacking) packInto(b *bin) {
 	tasks := min(tasksFitting(b.available, p.demand.spec.Request), p.zoneLimit(b.nodeGroup.zone))
 	if tasks <= 0 {
@@ -247,7 +252,7 @@
 	}
 }
 
-// fillReleasedSoon packs what is left of the demand into resources that should be released before a new
+// fillReleasedSoon packs the rest of the demand into resources that should be released before a new
 // machine could be up.
 func (p *demandPacking) fillReleasedSoon(bins []*bin) {
 	request := p.demand.spec.Request
@@ -266,7 +271,7 @@
 	}
 }
 
-// planMachines plans machines for what is left of the demand, up to the bound of a plan.
+// planMachines plans machines for the rest of the demand, up to the limit of a plan.
 func (p *demandPacking) planMachines() {
 	for p.demand.tasks > 0 && p.supply.plannedMachines < p.supply.autoscaler.maxScaleOut() {
 		group, ok := p.chooseNodeGroup()
@@ -280,13 +285,13 @@
 	}
 }
 
-// recordPacked takes packed tasks off the demand.
+// recordPacked subtracts packed tasks from the demand and counts them in the bin's zone.
 func (p *demandPacking) recordPacked(b *bin, tasks int64) {
 	p.demand.tasks -= int(tasks)
 	p.demand.tasksByZone[b.nodeGroup.zone] += int(tasks)
 }
 
-// allows reports whether the demand's spec admits a bin's node group.
+// allows reports whether the demand's job may run in a bin's node group.
 func (p *demandPacking) allows(b *bin) bool {
 	spec := p.demand.spec
 	return isMachineTypeAllowed(spec, b.nodeGroup.machineType) &&
@@ -294,8 +299,8 @@
 		(spec.Spot || !b.nodeGroup.spot)
 }
 
-// zoneLimit is how many more tasks may go to a zone: a spread job has at most half of its tasks,
-// rounded up, in one. It may be negative.
+// zoneLimit returns how many more tasks may be placed in a zone. A spread job may have at most half of its
+// tasks, rounded up, in one zone. The result may be negative.
 func (p *demandPacking) zoneLimit(zone string) int64 {
 	d := &p.demand
 	if !d.spec.Spread {
@@ -306,11 +311,11 @@
 
 const (
 	bootPenaltySeconds = 120  // boot time that doubles the score of a node group
-	groupSharePenalty  = 0.4  // score added for a node group that is the whole fleet
-	zoneSharePenalty   = 0.05 // the same for a zone
+	groupSharePenalty  = 0.4  // relative increase of the score for a node group that is the whole fleet
+	zoneSharePenalty   = 0.05 // relative increase of the score for a zone that is the whole fleet
 )
 
-// chooseNodeGroup chooses the node group with the lowest score for what is left of the demand.
+// chooseNodeGroup returns the node group with the lowest score for the rest of the demand.
 func (p *demandPacking) chooseNodeGroup() (best nodeGroup, found bool) {
 	bestScore := 0.0
 	for _, name := range p.supply.autoscaler.typeNames {
@@ -334,7 +339,7 @@
 	return best, found
 }
 
-// mayPlan reports whether a machine of an allowed type may be planned in a node group.
+// mayPlan reports whether a machine of an allowed type may be planned in a node group for the demand.
 func (p *demandPacking) mayPlan(group nodeGroup, machineType *wire.MachineType) bool {
 	spec := p.demand.spec
 	switch {
@@ -343,15 +348,15 @@
 	case group.spot && (!spec.Spot || machineType.SpotPrice <= 0):
 		return false
 	case p.demand.isHeadroom && spec.Spot && !group.spot:
-		return false // headroom for work that may use spot machines is worth only their price
+		return false // headroom for work that may use spot machines is worth only the price of a spot machine
 	}
 	return p.supply.autoscaler.now >= p.supply.blockedUntil[group]
 }
 
-// scoreNodeGroup is the price per task that a machine of a group takes, raised by its boot time and by
-// the share of the fleet that its group and zone have: the fleet must not depend on one of them. (By
-// absolute numbers instead of shares, on-demand machines at 2.5 times the price were chosen once a
-// spot group had 150 machines.) It is false if no task fits.
+// scoreNodeGroup returns the price of a machine per task that fits on it, increased by its boot time and
+// by the shares of the fleet that its group and zone have, so that the fleet does not depend on one group
+// or zone. With absolute numbers instead of shares, on-demand machines at 2.5 times the price were chosen
+// once a spot group had 150 machines. The second result is false if no task fits.
 func (p *demandPacking) scoreNodeGroup(group nodeGroup, machineType *wire.MachineType) (float64, bool) {
 	tasks := min(tasksFitting(machineType.Capacity(), p.demand.spec.Request), p.zoneLimit(group.zone))
 	if tasks <= 0 {
@@ -368,12 +373,12 @@
 	return price / float64(tasks) * bootFactor * shareFactor, true
 }
 
-// overrunDivisor bounds the overrun of a task that still counts as ending soon: its estimated runtime
-// divided by this.
+// overrunDivisor limits how far a task may exceed its estimated runtime and still be expected to end soon:
+// by the estimated runtime divided by this.
 const overrunDivisor = 4
 
-// releasedSoon is the resources of tasks that should end, by their owners' estimates, within the boot
-// time of a machine like theirs.
+// releasedSoon returns the resources of tasks that should end, by their owners' estimates, within
+// SoonFreeBootFactor times the boot time of a machine of the same type.
 func (a *autoscalerState) releasedSoon(m *machine, jobs []*job) clusterstate.Resources {
 	var released clusterstate.Resources
 	bootTime := a.nominalBootTime(m.identity.machineType)
--- a/core/suspected_faults_test.go
+++ b/core/suspected_faults_test.go
@@ -12,11 +12,11 @@
 	"dewlift/wire"
 )
 
-// Faults that reading the code had shown and nothing had reproduced. Each test failed before its mend; the figures are
-// of that run.
+// These tests reproduce faults that were found by reading the code. Each test failed before its fault was fixed. The
+// figures in the comments are from those runs.
 
-// The health of a controller that comes by a relay must not be taken for the relay's: n1 was then believed to reach the
-// store, and n2 not to. A peer of any version may relay it.
+// Relayed health of a controller must not be attributed to the relay. When it was, n1 counted as able to reach the
+// store and n2 did not. A peer of any version may be the relay.
 func TestRelayedHealthIsAttributedToSender(t *testing.T) {
 	c := newServingCore(t)
 	c.Handle(2*time.Second, PeerMessage{Peer: "n1", Message: Message{
@@ -24,18 +24,18 @@
 	}})
 	members := c.controllers.membership
 	if got := members.Peer("n2"); !got.StoreReachable || got.WriteRate != 7 {
-		t.Errorf("of the sender is known: %+v", got)
+		t.Errorf("health of the sender is recorded as %+v", got)
 	}
 	if got := members.Peer("n1"); got.StoreReachable || got.WriteRate != 0 {
-		t.Errorf("of the relay is believed: %+v", got)
+		t.Errorf("health of the relay is recorded as %+v", got)
 	}
 	if members.IsReachable(2*time.Second, "n2") {
-		t.Error("a controller heard of by a relay alone counts as directly reachable")
+		t.Error("a controller whose health only a relay sent counts as directly reachable")
 	}
 }
 
-// A heartbeat in which only the address, the spot flag or the length of an interruption notice changed was taken for
-// one that changes nothing: commands went on to the old address.
+// A heartbeat in which only the address, the spot flag or the length of an interruption notice changed was treated as
+// unchanged, so that commands were still sent to the old address.
 func TestAgentIdentityChangeIsApplied(t *testing.T) {
 	seconds := func(s float64) *float64 { return &s }
 	for name, tt := range map[string]struct {
@@ -68,14 +68,14 @@
 			tt.change(changed)
 			c.Handle(3*time.Second, AgentHeartbeat{RequestID: 11, Heartbeat: changed})
 			if m := c.internMachine("m-1"); !tt.noticed(m) {
-				t.Errorf("known are %+v and %+v", m.identity, m.lifecycle)
+				t.Errorf("identity is %+v and lifecycle is %+v", m.identity, m.lifecycle)
 			}
 		})
 	}
 }
 
-// A catalog in which only a spot price, the local disk or the image pull rate changed was not stored: after a restart
-// during an outage of the cloud, controllers planned by old prices.
+// A catalog in which only a spot price, the local disk or the image pull rate changed was not stored. After a restart
+// during a cloud outage, controllers planned with old prices.
 func TestCatalogIsStoredAfterAnyChange(t *testing.T) {
 	for name, change := range map[string]func(*wire.MachineType){
 		"spot price": func(machineType *wire.MachineType) { machineType.SpotPrice = 0.25 },
@@ -102,7 +102,7 @@
 	return writes
 }
 
-// A catalog that is too large to be stored must be told, once.
+// A catalog that is too large to be stored must be logged, but only once.
 func TestCatalogTooLargeIsLogged(t *testing.T) {
 	c := newLeadingCore(t)
 	c.Advance(time.Second)
@@ -115,18 +115,18 @@
 	for range 3 {
 		c.persistCatalog(&wire.Catalog{Types: types})
 		for _, line := range outputsOfType[LogLine](c.Advance(2 * time.Second)) {
-			if strings.Contains(line.Message, "machine types do not fit a value") {
+			if strings.Contains(line.Message, "machine types exceed the value size limit") {
 				lines++
 			}
 		}
 	}
 	if lines != 1 {
-		t.Errorf("%d lines tell that the catalog is too large", lines)
+		t.Errorf("%d log lines report that the catalog is too large, want 1", lines)
 	}
 }
 
-// A job for one zone that has tasks in two, should it ever, is continued in the zone with most of them. The zone was
-// the one that came last in a map: of 50 choices here, some were a and some b.
+// If a single-zone job ever has tasks in two zones, it must continue in the zone with the most tasks. The zone used to
+// depend on the iteration order of a map: of 50 choices in this test, some were a and some b.
 func TestSingleZoneJobChoosesZoneDeterministically(t *testing.T) {
 	c := newLeadingCore(t)
 	for i, zone := range []string{"a", "b", "b"} {
@@ -147,13 +147,13 @@
 		}
 		attempt.chooseZone()
 		if attempt.onlyZone != "b" {
-			t.Fatalf("zone %q, most tasks are in b", attempt.onlyZone)
+			t.Fatalf("zone is %q, want b, which has the most tasks", attempt.onlyZone)
 		}
 	}
 }
 
-// An entry that does not fit its slot must not leave the slot in the transaction: it was written for nothing, one
-// write of the twenty to thirty a second that a site has.
+// An entry that does not fit its slot must not leave the slot in the transaction. Otherwise the slot is written without
+// need, which costs one of the 20 to 30 writes per second that a site has.
 func TestOversizedEntryLeavesNoSlotDraft(t *testing.T) {
 	c := newServingCore(t)
 	builder := &txnBuilder{core: c}
@@ -164,15 +164,15 @@
 	c.internJob("wk-9").revision = 5
 	next := &proposal{job: c.internJob("wk-1"), slotIndex: 1}
 	if builder.addSlotEntry(next, []byte(`{}`)) {
-		t.Fatal("the entry fits")
+		t.Fatal("the entry was added although it does not fit")
 	}
 	if len(builder.slotDrafts) != 0 || builder.opCount() != 0 || builder.valueBytes != 0 {
-		t.Errorf("%d slots, %d writes and %d bytes are left in the transaction",
+		t.Errorf("%d slots, %d writes and %d bytes remain in the transaction",
 			len(builder.slotDrafts), builder.opCount(), builder.valueBytes)
 	}
 }
 
-// After preemption for a part of a demand, the rest counted as served for four seconds: no machine was rented for it.
+// After preemption for a part of a demand, the rest counted as served for 4 s, and no scale-out was requested for it.
 func TestPartialPreemptionLeavesRemainingDemand(t *testing.T) {
 	c := newLeadingCore(t)
 	c.Advance(time.Second)
@@ -184,6 +184,6 @@
 		supply: &supply{},
 	}
 	if got := (&replicaPreemption{core: c, demandPacking: packing}).run(); got != 2 {
-		t.Errorf("%d of 10 replicas count as served, 2 were", got)
+		t.Errorf("%d of 10 replicas count as served, want 2", got)
 	}
 }
