--- a/core/deltas.go
+++ b/core/deltas.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// maxUncountedBatches bounds the batches kept of a controller while no push counts them.
+	// maxUnackedBatches limits the batches kept per controller while no push acknowledges them.
 	maxUnackedBatches = 64
-	// pushResendInterval is the least time between two requests for the whole array.
+	// pushResendInterval is the minimum time between two requests for a full push.
 	pushResendInterval = 500 * time.Millisecond
-	// countingDelayWeight is the divisor by which a measurement moves the average of the counting delay.
+	// ackDelayDivisor is the inverse weight of a new sample in the moving average of ackDelay.
 	ackDelayDivisor = 8
-	// maxPropagationDelay bounds how long a start is expected to take until the other controllers know it.
+	// maxPropagationDelay limits the estimated time until the other controllers know of a start.
 	maxPropagationDelay = 2 * time.Second
 )
 
-// clusterCopy is this controller's copy of the shared cluster state, as of the leader's last push.
+// clusterCopy is this controller's copy of the leader's cluster state, as of the last push.
 type clusterCopy struct {
 	*environment
 
 	state          clusterstate.Copy
-	revision       uint64            // of the leader's array, as of the last push taken
-	leaderToken    uint64            // fencing token of the leader that sent it
-	ackedBatchSeqs map[string]uint64 // by controller, the last batch of deltas that the leader had counted
-	nextResendAt   time.Duration     // when the whole array may be requested again
-	capacityHold   *CapacityHold     // capacity held for more important work; nil: none
+	revision       uint64            // of the leader's array, as of the last applied push
+	leaderToken    uint64            // fencing token of the leader that sent that push
+	ackedBatchSeqs map[string]uint64 // by controller, the last acknowledged batch of deltas
+	nextResendAt   time.Duration     // when a full push may be requested again
+	capacityHold   *CapacityHold     // capacity held for higher-priority work; nil: none
 }
 
-// acceptsIncremental reports whether a push that carries only the rows that changed continues from the copy.
+// acceptsIncremental reports whether an incremental push continues from the state of the copy.
 func (s *clusterCopy) acceptsIncremental(push *StatePush) bool {
 	return push.FencingToken == s.leaderToken && push.AfterRevision == s.revision
 }
 
-// applyPushedRows takes the rows of a push over, and applies the deltas to them that the push does not count.
+// applyPushedRows adopts the rows of a push and applies the unacknowledged deltas to them.
 func (s *clusterCopy) applyPushedRows(push *StatePush, rows []clusterstate.Row, pending []clusterstate.Delta) {
 	s.leaderToken, s.revision = push.FencingToken, push.Revision
 	s.ackedBatchSeqs = push.DeltaAcks
@@ -50,10 +50,10 @@
 	}
 }
 
-// isFull reports whether a push carries all rows of the leader's array.
+// isFull reports whether a push carries all rows of the leader's array, not only those that changed.
 func (p *StatePush) isFull() bool { return p.AfterRevision == 0 }
 
-// hasAcked reports whether the leader had counted a controller's batch in the last push that was taken.
+// hasAcked reports whether the last applied push acknowledges a controller's batch.
 func (s *clusterCopy) hasAcked(controller string, batchSeq, leaderToken uint64) bool {
 	return batchSeq <= s.ackedBatchSeqs[controller] && s.leaderToken == leaderToken
 }
@@ -61,7 +61,8 @@
 // apply applies a delta to the copy.
 func (s *clusterCopy) apply(delta clusterstate.Delta) { s.state.Apply(s.now, delta) }
 
-// beginResend reports whether the whole array may be requested now, and holds off the next request.
+// beginResend reports whether a full push may be requested now. If so, it delays the next request by
+// pushResendInterval.
 func (s *clusterCopy) beginResend() bool {
 	if s.now < s.nextResendAt {
 		return false
@@ -70,21 +71,21 @@
 	return true
 }
 
-// mustAvoidHeldCapacity reports whether work of a priority class must leave the capacity alone that the
-// leader holds for more important work.
+// mustAvoidHeldCapacity reports whether work of a priority class must not use the capacity that the
+// leader holds for higher-priority work.
 func (s *clusterCopy) mustAvoidHeldCapacity(priorityClass int) bool {
 	return s.capacityHold != nil && priorityClass > s.capacityHold.Priority && s.state.IsFresh(s.now)
 }
 
-// deltaLog is the deltas of this controller and the others that the leader may not have counted yet.
+// deltaLog holds the deltas of all controllers that the leader has not acknowledged yet.
 type deltaLog struct {
 	*environment
 	machines *machineTable
 
-	unsent      []AllocationDelta       // of this controller, for the next batch
+	unsent      []AllocationDelta       // deltas of this controller for the next batch
 	unacked     map[string][]deltaBatch // by controller
-	lastSeq     uint64                  // of this controller's batches
-	ackDelay    time.Duration           // average time from sending a batch to a push that counts it
+	lastSeq     uint64                  // sequence number of this controller's last batch
+	ackDelay    time.Duration           // average time from sending a batch to the push that acknowledges it
 	nextBatchAt time.Duration
 }
 
@@ -96,22 +97,23 @@
 	deltas      []AllocationDelta
 }
 
-// retain keeps a batch of a controller until a push counts it.
+// retain keeps a batch of a controller until a push acknowledges it.
 func (l *deltaLog) retain(controller string, batch deltaBatch) {
 	batches := l.unacked[controller]
 	batches = append(batches, batch)
 	l.unacked[controller] = batches[max(0, len(batches)-maxUnackedBatches):]
 }
 
-// dropAcked drops the batches of a controller that a push counts, and those sent to a former leader:
-// a new leader builds its array from heartbeats instead.
+// dropAcked drops the batches of a controller that a push acknowledges, and those sent to a former
+// leader: a new leader builds its array from heartbeats instead.
 func (l *deltaLog) dropAcked(controller string, push *StatePush) {
 	l.unacked[controller] = slices.DeleteFunc(l.unacked[controller], func(batch deltaBatch) bool {
 		return batch.leaderToken != push.FencingToken || batch.seq <= push.DeltaAcks[controller]
 	})
 }
 
-// nextBatch makes the unsent deltas a batch to a leader and retains it; nil if there are none.
+// nextBatch turns the unsent deltas into a batch for a leader and retains it. It returns nil if there are
+// none.
 func (l *deltaLog) nextBatch(leaderToken uint64) *AllocationDeltas {
 	if len(l.unsent) == 0 {
 		return nil
@@ -128,13 +130,13 @@
 	return batch
 }
 
-// propagationDelay is how long it takes until the other controllers know of a start: the time of a
-// batch of deltas, or the recently measured time if that is longer.
+// propagationDelay estimates how long it takes until the other controllers know of a start. It is based
+// on the delta interval, or on the recent acknowledgment delay if that gives a longer time.
 func (l *deltaLog) propagationDelay() time.Duration {
 	return min(max(2*l.cfg.State.DeltaInterval, l.ackDelay/2), maxPropagationDelay)
 }
 
-// measureAckDelay takes how long this controller's batches waited for a push that counts them.
+// measureAckDelay adds the acknowledgment delays of this controller's batches to the moving average.
 func (l *deltaLog) measureAckDelay(push *StatePush) {
 	self := l.cfg.Name
 	for _, batch := range l.unacked[self] {
@@ -144,9 +146,9 @@
 	}
 }
 
-// recordDelta records a start or finish for the leader; this controller's copy shows starts already. A
-// start is recorded when its write is sent: the sooner the others know, the fewer choose the same
-// capacity. If the write fails, a finish follows.
+// recordDelta records the start or finish of a task for the leader. This controller's copy already
+// includes starts. A start is recorded when its write is sent, because early deltas make it less likely
+// that other controllers choose the same capacity. If the write fails, a finish is recorded.
 func (c *Core) recordDelta(start bool, j *job, a jobrecord.Assignment, request clusterstate.Resources) {
 	c.deltaLog.unsent = append(c.deltaLog.unsent, AllocationDelta{
 		Start:       start,
@@ -160,8 +162,8 @@
 	}
 }
 
-// releaseOnce releases the resources of a task that has ended, once. They are free for others as soon
-// as the machine reports the end; the write of the end may follow later.
+// releaseOnce releases the resources of an ended task, at most once per attempt. They become available
+// as soon as the machine reports the end, which may be before the end is written.
 func (c *Core) releaseOnce(j *job, a jobrecord.Assignment) {
 	attempt := c.machines[a.Machine].commands.attemptOf(attemptKey{j.index, a.Task, a.Attempt})
 	if !attempt.resourcesReleased && c.ownership.ownsJob(j) && j.record != nil && j.record.Spec != nil {
@@ -170,9 +172,9 @@
 	}
 }
 
-// sendDeltas sends the unsent deltas as a batch: to the leader, as in the paper, and to the other
-// controllers too, so that no two of them choose the same capacity between two pushes. The batch is
-// retained until a push shows that the leader counted it.
+// sendDeltas sends the unsent deltas as a batch: to the leader, as in the paper, and also to the other
+// controllers, so that no two of them choose the same capacity between two pushes. The batch is
+// retained until a push acknowledges it.
 func (c *Core) sendDeltas() {
 	if c.leadership.leader.modRevision == 0 {
 		return
@@ -187,8 +189,8 @@
 	c.controllers.sendToPeers("", Message{AllocationDeltas: batch})
 }
 
-// applyPush takes the leader's array, or the rows of it that changed, and applies the deltas to them
-// that the leader had not counted yet.
+// applyPush adopts a full or incremental push of the leader's array, and applies the unacknowledged
+// deltas to it. If an incremental push does not continue from the copy, it requests a full one.
 func (c *Core) applyPush(push *StatePush) {
 	for _, name := range push.GoneMachines {
 		c.markMachineGone(c.internMachine(name))
@@ -204,7 +206,7 @@
 	c.placement.capacityFreed = true
 }
 
-// stopPreempted stops those of the preempted attempts that are of this controller's jobs and still assigned.
+// stopPreempted stops the preempted attempts that belong to this controller's jobs and are still assigned.
 func (c *Core) stopPreempted(preempted []PreemptedTask) {
 	for _, victim := range preempted {
 		m, j := c.internMachine(victim.Machine), c.internJob(victim.Job)
@@ -217,15 +219,16 @@
 	}
 }
 
-// requestFullPush asks the leader for its whole array after a push was lost; the copy ages until it comes.
+// requestFullPush requests a full push from the leader after a push was lost. Until it arrives, the copy
+// is not refreshed and may expire.
 func (c *Core) requestFullPush() {
 	if c.leadership.leader.modRevision != 0 && c.clusterCopy.beginResend() {
 		c.controllers.sendToPeers(c.leadership.leader.Holder, Message{ResendStatePush: true})
 	}
 }
 
-// rowsOfPush converts the rows of a push, without machines that are gone. What a row tells of a
-// machine that has not reported yet is taken.
+// rowsOfPush converts the rows of a push and leaves out machines that are gone. It adopts the type, zone
+// and spot flag of machines whose type is not known yet.
 func (t *machineTable) rowsOfPush(push *StatePush) []clusterstate.Row {
 	rows := make([]clusterstate.Row, 0, len(push.Rows))
 	for i := range push.Rows {
@@ -249,7 +252,8 @@
 	return rows
 }
 
-// unackedDeltas drops the batches that a push counts, and lists the remaining deltas of all controllers.
+// unackedDeltas drops the batches that a push acknowledges and returns the remaining deltas of all
+// controllers.
 func (l *deltaLog) unackedDeltas(push *StatePush) (pending []clusterstate.Delta) {
 	l.measureAckDelay(push)
 	for _, controller := range sortedKeys(l.unacked) {
@@ -261,7 +265,7 @@
 	return l.machines.appendDeltas(pending, l.unsent)
 }
 
-// appendDeltas appends deltas to a list, with the indices of their machines in place of the names.
+// appendDeltas appends deltas to a list, with machine indices in place of machine names.
 func (t *machineTable) appendDeltas(list []clusterstate.Delta, deltas []AllocationDelta) []clusterstate.Delta {
 	for _, delta := range deltas {
 		list = append(list, clusterstate.Delta{
@@ -280,7 +284,8 @@
 	}
 }
 
-// attemptHash identifies an attempt in deltas; it is never 0, which stands for an unknown attempt.
+// attemptHash returns the hash that identifies an attempt in deltas. It is never 0, which stands for an
+// unknown attempt.
 func attemptHash(job string, task int32, attempt uint64) uint64 {
 	raw := append(make([]byte, 0, 64), job...)
 	raw = binary.LittleEndian.AppendUint32(raw, uint32(task))
--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -8,41 +8,41 @@
 	"dewlift/wire"
 )
 
-// jobDependencies is a job's place in the dependency graph. All of it follows from the jobs'
-// records. The edges are indexed in both directions, and a change at a job is propagated along them
-// iteratively: chains may have thousands of jobs, so neither recursion nor a scan of all jobs will do.
+// jobDependencies is a job's node in the dependency graph. It is derived from the records of the jobs.
+// Edges are indexed in both directions, and changes are propagated along them iteratively: a chain may
+// have thousands of jobs, which rules out recursion as well as scans of all jobs.
 type jobDependencies struct {
 	indexed           bool
-	dependencies      []*job // jobs that must be done before it, as its record names them
-	dependents        []*job // jobs that depend on it and are not final
+	dependencies      []*job // jobs that must be done first, according to its record
+	dependents        []*job // non-final jobs that depend on it
 	unmetDependencies int    // dependencies that are not known to be done
 	cancelledBy       *job   // a cancelled job that it depends on, directly or indirectly; nil: none
-	readySinceMS      int64  // time of day since when it has no unmet dependencies, in ms; 0: not known
-	readyRevision     uint64 // revision at which its last dependency was done, as far as that is known
+	readySinceMS      int64  // Unix time in ms since when it has no unmet dependencies; 0: not known
+	readyRevision     uint64 // revision at which its last dependency was done, if known
 
-	// The order of work also follows from what is inherited from dependents. Quotas, machine types
-	// and preemption remain the job's own.
-	effectiveClass      int   // the most urgent priority class of its own and its dependents'
-	effectiveDeadlineMS int64 // time of day by which it must be done for all deadlines to be met, in ms; 0: none
+	// Urgency inherited from dependents affects the order of work. Quotas, machine types and preemption
+	// use only the job's own attributes.
+	effectiveClass      int   // the most urgent priority class among its own and those of its dependents
+	effectiveDeadlineMS int64 // Unix time in ms by which it must be done to meet all deadlines; 0: none
 }
 
-// dependencyGraph keeps the places of all jobs in memory in the dependency graph.
+// dependencyGraph maintains the dependencies between all jobs in memory.
 type dependencyGraph struct {
 	*environment
 	jobs     *jobTable
 	priority *priorityState
 
-	unresolved    []*job // dependencies of other jobs that are not known
+	unresolved    []*job // dependencies of other jobs whose records are not known
 	nextResolveAt time.Duration
 }
 
-// addUnresolved has a dependency of other jobs looked up that is not known.
+// addUnresolved schedules a lookup of a dependency whose record is not known.
 func (g *dependencyGraph) addUnresolved(dependency *job) {
 	g.unresolved = append(g.unresolved, dependency)
 }
 
-// unresolvedDue lists the dependencies that are not known, if they are to be looked up now. The list is
-// a copy: a lookup may change the graph.
+// unresolvedDue returns the unresolved dependencies if their lookup is due. The result is a copy, because
+// a lookup may change the graph.
 func (g *dependencyGraph) unresolvedDue() []*job {
 	if g.now < g.nextResolveAt || len(g.unresolved) == 0 {
 		return nil
@@ -54,8 +54,8 @@
 	return slices.Clone(g.unresolved)
 }
 
-// index adds a job to the dependency graph when its record is first seen with its
-// description; later calls have no effect.
+// index adds a job to the dependency graph when its record with its specification is first seen. Later
+// calls have no effect.
 func (g *dependencyGraph) index(j *job) {
 	if j.indexed || j.record.Spec == nil {
 		return
@@ -82,7 +82,7 @@
 	g.priority.propagateUrgency([]*job{j})
 }
 
-// rootCancelledJob is the cancelled job because of which j is cancelled: j itself, or one that it
+// rootCancelledJob returns the job whose cancellation caused that of j: j itself, or a job that it
 // depends on.
 func (j *job) rootCancelledJob() *job {
 	if j.cancelledBy != nil {
@@ -91,8 +91,8 @@
 	return j
 }
 
-// propagateJobEnd propagates that a job is final: its dependents have one unmet dependency less, or
-// are cancelled with it.
+// propagateJobEnd propagates that a job is final. Its dependents have one unmet dependency less if the
+// job is done, and are cancelled otherwise.
 func (c *Core) propagateJobEnd(ended *job) {
 	dependents := ended.dependents
 	ended.dependents = nil
@@ -104,8 +104,8 @@
 	c.cancelDependents(dependents, ended.rootCancelledJob())
 }
 
-// markDependencyDone counts a dependency of these jobs as done at a revision. Those without further ones
-// are ready to be placed.
+// markDependencyDone records that a dependency of these jobs was done at a revision. Jobs without other
+// unmet dependencies become ready to be placed.
 func (g *dependencyGraph) markDependencyDone(dependents []*job, revision uint64) {
 	for _, dependent := range dependents {
 		dependent.unmetDependencies--
@@ -119,8 +119,8 @@
 	}
 }
 
-// cancelDependents cancels these jobs, and all that depend on them, because of a cancelled job.
-// Their records follow with their next writes.
+// cancelDependents cancels these jobs and all their direct and indirect dependents, because root is
+// cancelled. The next write of each job updates its record.
 func (c *Core) cancelDependents(pending []*job, root *job) {
 	for len(pending) > 0 {
 		dependent := pending[len(pending)-1]
@@ -137,8 +137,8 @@
 	}
 }
 
-// unlink removes a final job from the graph, so that its dependencies no longer inherit
-// its priority class and deadline.
+// unlink removes a final job from the graph, so that its dependencies no longer inherit its priority
+// class and deadline.
 func (g *dependencyGraph) unlink(j *job) {
 	dependencies := j.dependencies
 	j.dependencies = nil
@@ -148,8 +148,8 @@
 	g.priority.propagateUrgency(dependencies)
 }
 
-// propagateUrgency recomputes what jobs inherit from their dependents, and propagates changes to
-// their own dependencies.
+// propagateUrgency recomputes the priority class and deadline that jobs inherit from their dependents,
+// and propagates changes to their own dependencies.
 func (p *priorityState) propagateUrgency(pending []*job) {
 	for len(pending) > 0 {
 		j := pending[0]
@@ -166,9 +166,9 @@
 	}
 }
 
-// inheritedUrgency is the most urgent priority class, and the earliest deadline (time of day in ms;
-// 0: none), of a job's own and those that it inherits from its dependents. A dependent's deadline
-// counts less the dependent's estimated runtime.
+// inheritedUrgency returns the most urgent priority class and the earliest deadline (Unix time in ms;
+// 0: none) among a job's own and those of its dependents. The estimated runtime of a dependent is
+// subtracted from its deadline.
 func (p *priorityState) inheritedUrgency(j *job) (class int, deadlineMS int64) {
 	class = p.ownClass(j.record)
 	if own := j.record.Spec.DeadlineMS; own > 0 {
@@ -187,9 +187,9 @@
 	return class, deadlineMS
 }
 
-// effectiveEnqueueMS is the time of day, in ms, by which controllers compare whose work has waited
-// longest, and by which the autoscaler orders demand: since when the job could run, or when it must
-// start to meet its deadline, if that is earlier.
+// effectiveEnqueueMS returns the Unix time in ms by which controllers compare whose work has waited
+// longest, and by which the autoscaler orders demand. It is the time at which the job became ready to
+// run, or the latest start time that meets its deadline if that is earlier.
 func (j *job) effectiveEnqueueMS() int64 {
 	at := max(j.record.AcceptedAtMS, j.readySinceMS)
 	if j.effectiveDeadlineMS != 0 {
@@ -198,9 +198,9 @@
 	return at
 }
 
-// findUnmet lists the dependencies of a description that are not done. unknown is one
-// that was never accepted, as far as is known here, and cancelled is the cancelled job because of
-// which one will never be done.
+// findUnmet returns the dependencies of a specification that are not done. unknown is a dependency that
+// was never accepted as far as this controller knows, and cancelled is the cancelled job because of
+// which a dependency will never be done.
 func (g *dependencyGraph) findUnmet(spec *wire.JobSpec) (unmet []string, unknown string, cancelled *job) {
 	for _, id := range spec.Dependencies {
 		dependency := g.jobs.knownJob(id)
@@ -218,8 +218,8 @@
 	return unmet, unknown, cancelled
 }
 
-// estimateReadyIn is in what time a waiting job should become ready, by the estimated runtimes of its
-// dependencies. That can be estimated only once each of them has started all its tasks.
+// estimateReadyIn estimates how long it takes until a waiting job is ready, from the estimated runtimes
+// of its dependencies. ok is false unless each of them has started all its tasks.
 func (c *Core) estimateReadyIn(j *job) (in time.Duration, ok bool) {
 	for _, dependency := range j.dependencies {
 		if dependency.record == nil || dependency.record.Stage == jobrecord.Done {
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -10,7 +10,7 @@
 	"dewlift/wire"
 )
 
-// newCoreWithDependencies is a leader whose peers all support dependencies.
+// newCoreWithDependencies returns a leader whose peers all support dependencies.
 func newCoreWithDependencies(t *testing.T) *Core {
 	t.Helper()
 	c := newLeadingCore(t)
@@ -18,14 +18,14 @@
 	return c
 }
 
-// dependentSubmission is a submission of a job with these dependencies.
+// dependentSubmission returns a submission of a job with these dependencies.
 func dependentSubmission(id string, dependencies ...string) SubmitJob {
 	in := testSubmission(id)
 	in.Spec.Dependencies = dependencies
 	return in
 }
 
-// submitAndRespond submits a job, commits its write, and returns the response.
+// submitAndRespond submits a job, commits its write and returns the response.
 func submitAndRespond(t *testing.T, c *Core, in SubmitJob) Response {
 	t.Helper()
 	c.Handle(c.now, in)
@@ -56,14 +56,14 @@
 	return Response{}
 }
 
-// Each submission with dependencies must be answered with the status that shows what is wrong with it.
+// Each submission with dependencies must get the response status that matches its error.
 func TestSubmissionsWithDependenciesAreAnswered(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1")); r.Status != wire.StatusInvalid {
-		t.Errorf("dependency that was never accepted: %d", r.Status)
+		t.Errorf("dependency that was never accepted: status %d", r.Status)
 	}
 	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-2")); r.Status != wire.StatusInvalid {
-		t.Errorf("dependency on itself: %d", r.Status)
+		t.Errorf("dependency on itself: status %d", r.Status)
 	}
 	submitAndRespond(t, c, dependentSubmission("wk-1"))
 	r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-1"))
@@ -72,12 +72,12 @@
 		t.Errorf("got %+v", r)
 	}
 	if r := submitAndRespond(t, c, dependentSubmission("wk-2", "wk-77")); r.Status != wire.StatusOK {
-		t.Errorf("repeated submission with another dependency: %d", r.Status)
+		t.Errorf("repeated submission with another dependency: status %d", r.Status)
 	}
 }
 
-// A list of dependencies that is too long to be stored must be rejected, and one that fits in the
-// packed encoding accepted.
+// A list of dependencies that is too long to be stored must be rejected, and one that fits in the packed
+// encoding must be accepted.
 func TestLongDependencyLists(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	var few, many []string
@@ -90,16 +90,15 @@
 		}
 	}
 	if r := submitAndRespond(t, c, dependentSubmission("wk-3", many...)); r.Status != wire.StatusBadRequest {
-		t.Errorf("4000 dependencies: %d", r.Status)
+		t.Errorf("4000 dependencies: status %d", r.Status)
 	}
 	if r := submitAndRespond(t, c, dependentSubmission("wk-4", few...)); r.Status != wire.StatusCreated {
-		t.Errorf("700 dependencies: %d", r.Status)
+		t.Errorf("700 dependencies: status %d", r.Status)
 	}
 }
 
-// Another controller may just have accepted a dependency: only a read barrier shows that it was
-// never accepted. The barrier must be requested at once: waiting for the next periodic one took a
-// quarter of a second.
+// Another controller may just have accepted a dependency, so only a read barrier shows that it was never
+// accepted. The barrier must be requested immediately: waiting for the next periodic one took 250 ms.
 func TestDependencyArrivingWithTheReadBarrier(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	c.Advance(2 * time.Second)
@@ -131,7 +130,7 @@
 		},
 	)
 	if r := outputsOfType[Response](c.Advance(2 * time.Second)); len(r) > 0 {
-		t.Errorf("answered %+v", r)
+		t.Errorf("unexpected responses %+v", r)
 	}
 	if c.internJob("wk-2").submission == nil && c.knownJob("wk-2") == nil {
 		t.Error("the job is not being accepted")
@@ -152,13 +151,13 @@
 	return added
 }
 
-// completeJob has the replica show that a job of one task is done.
+// completeJob updates the replica so that a job of one task is done.
 func completeJob(c *Core, j *job, revision uint64) {
 	record := &jobrecord.Record{Stage: jobrecord.Done, CompletedTasks: jobrecord.TaskSet{0, 0}}
 	c.adoptRecord(j, record, nil, revision, 10)
 }
 
-// A job must not start before all its dependencies are done, and then must.
+// A job must not start before all its dependencies are done, and must start afterwards.
 func TestNothingStartsBeforeItsDependenciesAreDone(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	first := addKnownJob(c, 100, wire.JobSpec{}, "wk-1", jobrecord.Queued)
@@ -179,7 +178,7 @@
 	completeJob(c, first, 3000)
 	runFor(c, 4*time.Second, 5*time.Second)
 	if len(join.assignments) != 0 {
-		t.Error("placed before both are done")
+		t.Error("placed before both dependencies are done")
 	}
 	completeJob(c, second, 3001)
 	runFor(c, 5*time.Second, 6*time.Second)
@@ -188,8 +187,9 @@
 	}
 }
 
-// The write of one cancellation must cancel all direct and indirect dependents, in whatever order the
-// records arrive, and those submitted later too. A chain of thousands must not exhaust the stack.
+// The write of one cancellation must cancel all direct and indirect dependents, including those submitted
+// later, regardless of the order in which the records arrive. A chain of thousands of jobs must not exhaust
+// the stack.
 func TestCancellationReachesAllDependents(t *testing.T) {
 	const n = 5000
 	name := func(i int) string { return fmt.Sprintf("wk-%d", i) }
@@ -231,7 +231,7 @@
 	}
 }
 
-// A cancellation that comes after the job is done must not cancel its dependents.
+// A cancellation that arrives after the job is done must not cancel its dependents.
 func TestCancellingDoneJobKeepsDependents(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	done := addKnownJob(c, 100, wire.JobSpec{}, "wk-1", jobrecord.Done)
@@ -250,15 +250,15 @@
 	}
 }
 
-// The priority class and deadline of a pipeline's last job must be inherited along the critical path,
-// even if that job is submitted late, and no longer once it has ended.
+// The priority class and deadline of a pipeline's last job must be inherited along the critical path, even if
+// that job is submitted late. Once it has ended, they must no longer be inherited.
 func TestDependenciesInheritPriorityAndDeadline(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	spec := wire.JobSpec{Priority: 3, EstimatedRuntimeMS: 10_000}
 	first := addKnownJob(c, 100, spec, "wk-1", jobrecord.Queued)
 	second := addKnownJob(c, 101, spec, "wk-2", jobrecord.Queued, "wk-1")
 	if first.effectiveClass != 3 || first.effectiveDeadlineMS != 0 {
-		t.Fatalf("priority %d, due %d", first.effectiveClass, first.effectiveDeadlineMS)
+		t.Fatalf("class %d, deadline %d", first.effectiveClass, first.effectiveDeadlineMS)
 	}
 	last := addKnownJob(
 		c,
@@ -272,7 +272,7 @@
 	if first.effectiveClass != 1 || second.effectiveClass != 1 || last.effectiveDeadlineMS != 61_000 ||
 		second.effectiveDeadlineMS != 56_000 || first.effectiveDeadlineMS != 46_000 {
 		t.Errorf(
-			"priorities %d, %d; due %d, %d, %d",
+			"classes %d, %d; deadlines %d, %d, %d",
 			first.effectiveClass,
 			second.effectiveClass,
 			first.effectiveDeadlineMS,
@@ -284,7 +284,7 @@
 	if first.effectiveClass != 3 || second.effectiveClass != 3 ||
 		first.effectiveDeadlineMS != 0 || second.effectiveDeadlineMS != 0 {
 		t.Errorf(
-			"after the end of the last: priorities %d, %d, due %d, %d",
+			"after the last job has ended: classes %d, %d, deadlines %d, %d",
 			first.effectiveClass,
 			second.effectiveClass,
 			first.effectiveDeadlineMS,
@@ -293,8 +293,8 @@
 	}
 }
 
-// Jobs with unmet dependencies must not be examined in every scheduling pass, nor count as demand
-// before they are about to be ready.
+// Jobs with unmet dependencies must not be examined in every scheduling pass, and must not count as demand
+// until they are about to be ready.
 func TestJobsWithUnmetDependenciesAreNoDemand(t *testing.T) {
 	c := newCoreWithDependencies(t)
 	addKnownJob(c, 100, wire.JobSpec{EstimatedRuntimeMS: 600_000}, "wk-1", jobrecord.Queued)
@@ -303,7 +303,7 @@
 	}
 	runFor(c, 2*time.Second, 4*time.Second)
 	if len(c.openJobs) > 10 {
-		t.Errorf("%d jobs are examined", len(c.openJobs))
+		t.Errorf("%d jobs are examined, want at most 10", len(c.openJobs))
 	}
 	for _, demand := range c.pendingDemand() {
 		if demand.job != nil {
@@ -312,9 +312,9 @@
 	}
 }
 
-// Tasks of a pipeline once stayed on the machines of an unreachable zone until others had been scaled
-// out, and its last job missed its deadline. A machine with such a task must be given up as soon as
-// it counts as silent, unless replicas of a service go on there.
+// Tasks of a pipeline once stayed on machines in an unreachable zone until replacement machines had been scaled
+// out, so that its last job missed its deadline. A machine with such a task must be given up as soon as it
+// counts as silent, unless replicas of a service keep running there.
 func TestUnreachableMachineIsGivenUpToMeetDeadline(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -343,7 +343,7 @@
 				}
 			}
 			if got := host.delayMissesDeadline(c.jobs, c.unixMS(), 10*time.Second); got != tc.want {
-				t.Errorf("given up %v, want %v", got, tc.want)
+				t.Errorf("given up: %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -16,32 +16,32 @@
 	"dewlift/wire"
 )
 
-// keyPriorityClasses is the key of the list of priority classes in force. A job's class and its queue
-// position are in its record: the class it was accepted into, and the store's revision of its
-// acceptance. So the order of work is the same at every controller, after a failover, a restart of all
-// controllers and an upgrade. No clock decides it, except where the list depends on time.
+// keyPriorityClasses is the key of the active list of priority classes. A job's record holds its queue
+// position: the class that it was accepted into and the store revision of its acceptance. The order of
+// work is therefore the same at every controller, and survives a failover, a restart of all controllers
+// and an upgrade. It does not depend on a clock, except where the list itself depends on time.
 const keyPriorityClasses = Root + "lanes"
 
-// priorityClassesAuditObject is the list of priority classes in the audit log.
+// priorityClassesAuditObject is the object name of the list of priority classes in the audit log.
 const priorityClassesAuditObject = "lanes"
 
-// priorityClassesSeedInterval is the least time between two attempts to store the list of the settings.
+// priorityClassesSeedInterval is the minimum time between two attempts to store the list from the settings.
 const priorityClassesSeedInterval = 2 * time.Second
 
-// priorityState is the list of priority classes in force, their shares of starts, and the first waiting job of each.
+// priorityState holds the active list of priority classes, their shares of starts and the first waiting job of each.
 type priorityState struct {
 	*environment
 
 	classes          *priorityclass.List
-	revision         uint64 // of the stored list; 0: there is none, a class for each priority is in force
+	revision         uint64 // of the stored list; 0: none is stored, and there is a class for each priority
 	nextSeedAt       time.Duration
-	enabledPublished bool // the API was told that there is a stored list
+	enabledPublished bool // the API was informed that a list is stored
 	startShares      startShares
-	firstWaiting     []QueueHead // by class, the first job that other controllers yield capacity to
+	firstWaiting     []QueueHead // by class, the first waiting job that other controllers yield capacity to
 }
 
-// ownClass is the class of a job by its record. A job accepted without a list, or into a class
-// that was removed since, is classified anew.
+// ownClass returns the priority class of a job according to its record. A job that was accepted without
+// a list, or into a class that has since been removed, is classified again.
 func (p *priorityState) ownClass(r *jobrecord.Record) int {
 	if i, ok := p.classes.IndexOf(r.PriorityClass); ok {
 		return i
@@ -49,8 +49,8 @@
 	return p.classes.Classify(r.Spec)
 }
 
-// effectiveClass is the class by which a job is ordered now: the aged class, or the first one
-// while the job is boosted for the reserved share of its own class.
+// effectiveClass returns the class by which a job is ordered now: its aged class, or the first class
+// while the job is boosted to enforce a reserved share of starts.
 func (p *priorityState) effectiveClass(j *job) int {
 	if p.now < j.queue.boostedUntil {
 		return 0
@@ -58,29 +58,29 @@
 	return p.agedClass(j)
 }
 
-// agedClass is the class of a job, or of a more urgent job that depends on it, raised by the
-// time it has waited.
+// agedClass returns the class of a job, or of a more urgent job that depends on it, after priority aging
+// for the time it has waited.
 func (p *priorityState) agedClass(j *job) int {
 	waited := time.Duration(p.unixMS()-j.effectiveEnqueueMS()) * time.Millisecond
 	return p.classes.EffectiveClass(j.effectiveClass, waited)
 }
 
-// queueRank orders jobs: by class, lost replicas, missed deadline, and queue position. The loss of a
-// zone takes replicas of nearly every service, and each takes a write: replaced in the order of their
-// age, half of all replicas waited for half of the writes. So the services that lost most come first
-// in their class.
+// queueRank orders jobs by class, lost replicas, missed deadline and queue position. The loss of a zone
+// affects replicas of nearly every service, and each affected service takes a write. When services were
+// handled in order of age, half of all replicas waited for half of the writes; therefore the services
+// that lost the most replicas come first in their class.
 type queueRank struct {
 	priorityClass   int
 	missingReplicas int
-	// latestStartMS is the time at which a job should have started to meet its deadline, if that is
-	// before its acceptance; 0 otherwise.
+	// latestStartMS is the latest start time that meets the job's deadline if that is before its
+	// acceptance, and 0 otherwise.
 	latestStartMS   int64
-	restoreOrder    uint64 // of a restored job: before all accepted since, the largest first; 0: not restored
+	restoreOrder    uint64 // restored jobs precede all later ones, the largest value first; 0: not restored
 	enqueueRevision uint64
 	enqueueMS       int64
 }
 
-// rankOf is a job's rank now. A submission that is not written yet comes last in its class.
+// rankOf returns a job's current queue rank. A submission that is not written yet is last in its class.
 func (p *priorityState) rankOf(j *job) queueRank {
 	switch {
 	case j.submission != nil:
@@ -105,7 +105,7 @@
 	return rank
 }
 
-// compare is negative if a comes before b.
+// compare returns a negative number if a comes before b.
 func (a queueRank) compare(b queueRank) int {
 	return cmp.Or(
 		cmp.Compare(a.priorityClass, b.priorityClass),
@@ -117,7 +117,7 @@
 	)
 }
 
-// latestStartOrNever is latestStartMS, or a time after all others if there is none.
+// latestStartOrNever returns latestStartMS, or the maximum if it is not set.
 func (a queueRank) latestStartOrNever() int64 {
 	if a.latestStartMS == 0 {
 		return math.MaxInt64
@@ -125,8 +125,8 @@
 	return a.latestStartMS
 }
 
-// setClasses puts a list in force at this controller; nil: a class for each priority. Open jobs are
-// classified again, also those that wait for others and are in no list of jobs.
+// setClasses activates a list at this controller; nil stands for a class for each priority. It classifies
+// all given jobs again, including those that wait for their dependencies and are not among the open jobs.
 func (p *priorityState) setClasses(list *priorityclass.List, revision uint64, jobs []*job) {
 	p.revision = revision
 	if list == nil {
@@ -143,8 +143,8 @@
 	p.propagateUrgency(reclassified)
 }
 
-// applyPriorityClasses takes the stored list. One that can't be read leaves the former in force, and
-// is not looked at again.
+// applyPriorityClasses activates the stored list. If it cannot be decoded, the previous list stays active
+// and this revision is not tried again.
 func (c *Core) applyPriorityClasses(raw json.RawMessage, revision uint64) error {
 	if revision <= c.priority.revision {
 		return nil
@@ -152,18 +152,18 @@
 	c.priority.revision = revision
 	var stored pb.Lanes
 	if err := jobrecord.UnpackMessage(raw, &stored); err != nil {
-		return fmt.Errorf("unpack list of priority classes: %w", err)
+		return fmt.Errorf("decode list of priority classes: %w", err)
 	}
 	list, err := priorityclass.New(&stored)
 	if err != nil {
-		return fmt.Errorf("check list of priority classes: %w", err)
+		return fmt.Errorf("validate list of priority classes: %w", err)
 	}
 	c.priority.setClasses(list, revision, c.jobs)
 	return nil
 }
 
-// advancePriorityClasses tells the API whether a list is stored, and, at the leader, stores that of
-// the settings where there is none.
+// advancePriorityClasses informs the API whether a list is stored. At the leader, it stores the list
+// from the settings if none is stored.
 func (c *Core) advancePriorityClasses() {
 	if enabled := c.priority.revision != 0; enabled != c.priority.enabledPublished {
 		c.priority.enabledPublished = enabled
@@ -187,7 +187,7 @@
 	)
 }
 
-// maySeedPriorityClasses reports whether this controller stores the list of the settings now.
+// maySeedPriorityClasses reports whether this controller may store the list from the settings now.
 func (c *Core) maySeedPriorityClasses() bool {
 	if c.cfg.Scheduling.PriorityClasses == nil || c.priority.revision != 0 ||
 		c.schema.active < schemaPriorityClasses || c.auditLog.isNotReady() {
@@ -197,8 +197,8 @@
 		!c.transactions.rateLimit.IsPaused(c.now) && c.transactions.rateLimit.WriteTokens >= 1
 }
 
-// handleSetPriorityClasses replaces the list in force, for a caller who is authorized to. Jobs keep
-// the class that they were accepted into, if the new list has it.
+// handleSetPriorityClasses replaces the active list for an authorized caller. Jobs keep the class that
+// they were accepted into if the new list has it.
 func (c *Core) handleSetPriorityClasses(in SetPriorityClasses) {
 	list, err := priorityclass.Parse([]byte(in.Text))
 	if err != nil {
@@ -222,8 +222,8 @@
 	)
 }
 
-// storePriorityClasses commits a list, on condition that neither the former list nor the caller's
-// permissions have changed, and answers the request.
+// storePriorityClasses commits a list on condition that neither the previous list nor the caller's
+// permissions have changed, and responds to the request.
 func (c *Core) storePriorityClasses(in SetPriorityClasses, list *priorityclass.List) {
 	raw, err := jobrecord.PackMessage(list.Source())
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
@@ -242,7 +242,7 @@
 	handleAuditOutcome := c.auditLog.addEntry(&txn, object, event)
 	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, r wire.TxnResponse) {
 		handleAuditOutcome(status)
-		c.replica.afterReadBarrier(func(bool) {}) // reads the outcome, even if the response was lost
+		c.replica.afterReadBarrier(func(bool) {}) // observes the outcome even if the response was lost
 		if status != wire.StatusOK {
 			c.respondUnavailable(in.RequestID, "not changed, or not known whether: ask again")
 			return
@@ -251,7 +251,7 @@
 	}})
 }
 
-// text is the list in force in protobuf text format.
+// text returns the active list in protobuf text format.
 func (p *priorityState) text() (string, error) {
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(p.classes.Source())
 	return string(text), err
--- a/core/queuelisting.go
+++ b/core/queuelisting.go
@@ -7,10 +7,10 @@
 	"dewlift/wire"
 )
 
-// maxQueuePage bounds the jobs of one response.
+// maxQueuePage is the maximum number of jobs in one response.
 const maxQueuePage = 200
 
-// waitReason is why a queued job does not start, as the API tells it.
+// waitReason is the reason why a queued job does not start. Its value is part of the API.
 type waitReason string
 
 const (
@@ -21,8 +21,8 @@
 	waitsForWrite        waitReason = "changes"
 )
 
-// handleListQueue answers with the queued jobs in their order, with why a single one waits, or with
-// the priority classes; all as of a read barrier.
+// handleListQueue responds with the queued jobs in order, with a single queued job, or with the priority
+// classes. All responses reflect the state after a read barrier.
 func (c *Core) handleListQueue(in ListQueue) {
 	switch {
 	case c.access.isNotServing():
@@ -46,7 +46,7 @@
 	})
 }
 
-// respondPriorityClasses answers with the list of priority classes in force.
+// respondPriorityClasses responds with the active list of priority classes.
 func (c *Core) respondPriorityClasses(in ListQueue) {
 	text, err := c.priority.text()
 	if err != nil {
@@ -56,7 +56,7 @@
 	c.respond(in.RequestID, wire.StatusOK, wire.JobQueue{Version: c.priority.revision, PriorityClasses: text})
 }
 
-// respondQueuedJob answers with a single queued job, if the caller may read it.
+// respondQueuedJob responds with a single queued job if the caller may read it.
 func (c *Core) respondQueuedJob(in ListQueue) {
 	queued := c.queuedJobs()
 	i := slices.IndexFunc(queued, func(j *job) bool { return j.id == in.ID })
@@ -74,7 +74,7 @@
 	})
 }
 
-// respondQueuePage answers with a page of the queued jobs that the caller may read.
+// respondQueuePage responds with a page of the queued jobs that the caller may read.
 func (c *Core) respondQueuePage(in ListQueue) {
 	queued := c.queuedJobs()
 	page, refused := wire.JobQueue{Total: len(queued), Version: c.priority.revision}, []unplaceable{}
@@ -91,7 +91,7 @@
 	c.respond(in.RequestID, wire.StatusOK, page)
 }
 
-// queuedJobs lists the jobs with tasks that wait, in queue order; those with unmet dependencies last.
+// queuedJobs returns the jobs with waiting tasks in queue order. Jobs with unmet dependencies come last.
 func (c *Core) queuedJobs() (queued []*job) {
 	for _, j := range c.openJobs {
 		if j.record != nil && j.record.Spec != nil && !j.isFinal() &&
@@ -113,8 +113,8 @@
 	return queued
 }
 
-// describeQueuedJob describes a queued job and why it waits, as far as every controller can tell.
-// refused are requests that found no capacity, of jobs before it in the same response.
+// describeQueuedJob describes a queued job and why it waits, as far as any controller can tell. refused
+// holds the requests of earlier jobs in the same response that are known not to fit.
 func (c *Core) describeQueuedJob(j *job, position int, refused *[]unplaceable) wire.QueuedJob {
 	spec := j.record.Spec
 	own, effective := c.priority.ownClass(j.record), c.priority.effectiveClass(j)
@@ -138,7 +138,7 @@
 	return description
 }
 
-// waitReasonOf tells why a queued job does not start, and explains it to its user.
+// waitReasonOf returns why a queued job does not start, with an explanation for the user.
 func (c *Core) waitReasonOf(j *job, refused *[]unplaceable) (reason waitReason, explanation string) {
 	spec := j.record.Spec
 	switch {
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -8,19 +8,20 @@
 	"dewlift/core/membership"
 )
 
-// startShareHalfLife is the time after which a start counts half in the shares of the priority classes.
+// startShareHalfLife is the half-life of a start in the shares of the priority classes.
 const startShareHalfLife = 20 * time.Second
 
-// startShareBoostDuration is how long a job is ordered as one of the first class for the share of its own.
+// startShareBoostDuration is how long a job is ordered as one of the first class to enforce the reserved
+// share of its own class.
 const startShareBoostDuration = time.Second
 
-// startShares counts the recent starts of each priority class, decaying with startShareHalfLife.
+// startShares counts the recent starts of each priority class. The counts decay with startShareHalfLife.
 type startShares struct {
 	updatedAt     time.Duration
 	startsByClass []float64
 }
 
-// recordStarts counts the starts of a proposal.
+// recordStarts adds the starts of a proposal to the shares.
 func (p *priorityState) recordStarts(made *proposal) {
 	if len(made.started) == 0 || made.record.Spec == nil {
 		return
@@ -37,7 +38,8 @@
 	s.startsByClass[class] += float64(len(made.started))
 }
 
-// shareBelow is the part of the recent starts that the classes below one had; 1 if there were none.
+// shareBelow returns the share of recent starts that belong to the classes below the given one. It is 1 if
+// there were no recent starts.
 func (s *startShares) shareBelow(class int) float64 {
 	all, below := 0.0, 0.0
 	for i, n := range s.startsByClass {
@@ -52,8 +54,8 @@
 	return below / all
 }
 
-// enforceStartShares moves the first job below a class that exceeds its share of the starts to the
-// head of the placements.
+// enforceStartShares checks whether the classes below some class got less than their reserved share of
+// starts. If so, it moves the first waiting job of those classes ahead of all other placements.
 func (c *Core) enforceStartShares(due []*job) []*job {
 	for class := range c.priority.classes.Len() - 1 {
 		if share := c.priority.classes.ReservedShare(class); share == 0 ||
@@ -70,9 +72,9 @@
 	return due
 }
 
-// firstWaitingBelow is the first of this controller's waiting jobs of the classes below one; nil if
-// there is none. Jobs that were evaluated and found no capacity are among them: else jobs that came
-// later would take what is reserved for these.
+// firstWaitingBelow returns the first of this controller's waiting jobs in the classes below the given
+// one, or nil if there is none. Jobs that were examined without finding capacity are included. Otherwise,
+// later jobs would take the starts that are reserved for them.
 func (c *Core) firstWaitingBelow(class int) (first *job) {
 	for _, candidate := range c.openJobs {
 		if !candidate.placement.hasUnplacedTasks || candidate.write.inFlight || candidate.write.outcomeUnknown ||
@@ -90,13 +92,14 @@
 	return first
 }
 
-// hasEarlierWorkElsewhere reports whether another controller has work below a class that comes before a job.
+// hasEarlierWorkElsewhere reports whether another controller has waiting work in the classes below the
+// given one that comes before a job.
 func (c *Core) hasEarlierWorkElsewhere(j *job, class int) bool {
 	position := membership.QueuePosition{Priority: c.priority.agedClass(j), EnqueuedAtMS: j.effectiveEnqueueMS()}
 	return c.controllers.membership.HasEarlierWork(c.now, c.controllers.isLive, position, class)
 }
 
-// boost has a job evaluated now, before all other placements.
+// boost moves a job ahead of all other placements, so that it is examined now.
 func (p *priorityState) boost(j *job, due []*job) []*job {
 	j.queue.boostedUntil = p.now + startShareBoostDuration
 	j.write.dirty, j.write.nextExamineAt = true, 0
--- a/core/yield.go
+++ b/core/yield.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// maxFirstRankWindow bounds how long a controller has freed capacity to itself.
+	// maxExclusiveWindow limits the part of the exclusive window that stems from the scan interval.
 	maxExclusiveWindow = 400 * time.Millisecond
-	// minPlacementScanInterval is the least time between two scans of all waiting jobs.
+	// minPlacementScanInterval is the minimum time between two scans of all waiting jobs.
 	minPlacementScanInterval = 200 * time.Millisecond
-	// placementScanWrites is the count of writes that gather between two scans, at half of the write rate.
+	// placementScanWrites is the number of writes that accumulate between two scans at half the write rate.
 	placementScanWrites = 2
 )
 
-// competitorCounts count, for on-demand and for spot machines, the other controllers whose waiting work
-// is before a job in the queue, and those whose work is at about the same position.
+// competitorCounts holds the competing controllers for on-demand machines (index 0) and for spot machines
+// (index 1).
 type competitorCounts [2]competitorCount
 
-// competitorCount counts the other controllers by their waiting work.
+// competitorCount counts the other controllers whose waiting work is before a job in the queue, and those
+// whose waiting work is at about the same position.
 type competitorCount struct{ before, alike int }
 
-// yieldDelay is how long capacity on a machine that was freed recently is still left to other
-// controllers. All controllers learn of it with the same push, and each would fill it: while more work
-// waited than there was capacity, half of all starts found the machine full. So the first in the
-// machine's rendezvous order has the capacity to itself for a moment, and the others follow one by
-// one. Before all of them come the controllers whose work has waited longer than the job to place:
-// when each controller filled the same share of the capacity, jobs of the same priority and age
-// started two minutes apart, depending on their controller.
-func (c *Core) yieldDelay(index int32, positions competitorCounts) time.Duration {
+// yieldDelay returns how much longer recently freed capacity on a machine is yielded to other controllers.
+// All controllers learn of freed capacity from the same push and would all fill it: while more work waited
+// than there was capacity, half of all starts found the machine full. Therefore, the first controller in
+// the machine's rendezvous order may use the capacity exclusively for a short time, and the others follow
+// one by one. Controllers whose work has waited longer than the job to place precede all of them: when
+// each controller filled the same share of the capacity, jobs of the same priority and age started two
+// minutes apart, depending on their controller.
+func (c *Core) yieldDelay(index int32, competitors competitorCounts) time.Duration {
 	row, target := c.clusterCopy.state.Row(index), c.machines[index]
 	if row == nil || !c.clusterCopy.state.IsFresh(c.now) {
 		return 0
 	}
-	position := positions[0]
+	competing := competitors[0]
 	if target.identity.spot {
-		position = positions[1]
+		competing = competitors[1]
 	}
-	rank := position.rank(c.machineRank(target))
+	rank := competing.rank(c.machineRank(target))
 	if rank == 0 {
 		return 0
 	}
@@ -48,36 +49,37 @@
 	return max(0, row.CapacityFreedAt()+window-c.now)
 }
 
-// rank is how many controllers have freed capacity on a machine before this one, whose rank in the
-// machine's rendezvous order is machineRank. A controller whose work comes before this one's may itself
-// follow those alike to it, and these are alike to this one or before it: so with any before it, this
-// one follows all of those alike too. When it followed only those before it in the machine's order, it
+// rank returns how many controllers may use freed capacity on a machine before this one. machineRank is
+// this controller's rank in the machine's rendezvous order. A controller whose work is before this one's
+// may itself follow controllers with work at about the same position as its own. Each of those is before
+// this controller or at about its position, so if any controller is before this one, this one follows all
+// that are at about its position too. When it followed only those ahead of it in the rendezvous order, it
 // could have the same rank as a controller whose work had waited longer, and start later work first.
-func (p competitorCount) rank(machineRank int) int {
-	if p.before > 0 {
-		return p.before + p.alike
+func (n competitorCount) rank(machineRank int) int {
+	if n.before > 0 {
+		return n.before + n.alike
 	}
-	return min(machineRank, p.alike)
+	return min(machineRank, n.alike)
 }
 
 // countCompetitors compares a job's queue position with those of the other controllers' waiting work.
-func (c *Core) countCompetitors(priorityClass int, enqueuedAtMS int64) (positions competitorCounts) {
-	for i := range positions {
-		positions[i].before, positions[i].alike = c.controllers.membership.CountCompetitors(
+func (c *Core) countCompetitors(priorityClass int, enqueuedAtMS int64) (counts competitorCounts) {
+	for i := range counts {
+		counts[i].before, counts[i].alike = c.controllers.membership.CountCompetitors(
 			c.now,
 			c.controllers.isLive,
 			membership.QueuePosition{Priority: priorityClass, EnqueuedAtMS: enqueuedAtMS},
 			i == 1,
 		)
 	}
-	return positions
+	return counts
 }
 
-// machineRank is this controller's rank in a machine's rendezvous order of the live controllers, from
-// 0. Of machines of the same tier, a job's tasks go to those of the smallest rank: controllers that
-// choose between the same two pushes would otherwise all choose the same machines.
+// machineRank returns this controller's rank, from 0, in a machine's rendezvous order of the live
+// controllers. Within a tier, a job's tasks go to the machines for which this rank is smallest. Otherwise,
+// controllers that choose between the same two pushes would all choose the same machines.
 func (c *Core) machineRank(m *machine) int {
-	// The version is stored plus 1: 0 is that of a machine whose rank was never computed.
+	// The version is stored plus 1, because 0 means that the rank was never computed.
 	if version := c.controllers.registrationsVersion + 1; m.ranking.nodesVersion != version {
 		m.ranking.nodesVersion = version
 		m.ranking.rank = c.controllers.rendezvousRank(m.name, c.controllers.liveNames())
@@ -85,23 +87,24 @@
 	return m.ranking.rank
 }
 
-// exclusiveWindow is how long a controller has freed capacity to itself: until its next placement
-// scan is over, and the others know what it took.
+// exclusiveWindow returns how long the first controller may use freed capacity exclusively: until its next
+// placement scan is over and the others know what it allocated.
 func (p *placementState) exclusiveWindow(propagationDelay time.Duration) time.Duration {
 	return min(p.scanInterval(), maxExclusiveWindow) + propagationDelay
 }
 
-// scanInterval is the time between two scans of all waiting jobs. Placing a job's tasks one
-// by one would take a write each, and another for its team's key: where writes are scarce, tasks gather.
+// scanInterval returns the time between two scans of all waiting jobs. Placing a job's tasks one by one
+// would take one write each and another one for the team's key, so with a low write rate, the interval is
+// longer and more tasks share a write.
 func (p *placementState) scanInterval() time.Duration {
 	seconds := placementScanWrites / (0.5 * p.rateLimit.WriteRate)
 	return max(minPlacementScanInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// firstWaitingByClass lists for each priority class the first of this controller's jobs that has
-// waited for capacity for YieldAfter, so that other controllers yield to it. Capacity that is scarce
-// for only seconds goes to the first controller that can use it: when all yielded after one second,
-// hardly any work started within two.
+// firstWaitingByClass returns, for each priority class, the first of this controller's jobs that has
+// waited for capacity for at least YieldAfter. Other controllers yield to it. While capacity is scarce
+// only for seconds, it goes to the first controller that can use it: when controllers yielded after one
+// second, hardly any work started within two.
 func (c *Core) firstWaitingByClass() (heads []QueueHead) {
 	first := make([]*job, c.priority.classes.Len())
 	for _, candidate := range c.openJobs {
@@ -125,8 +128,8 @@
 	return heads
 }
 
-// isYieldedTo reports whether other controllers yield capacity to one of this controller's jobs: it
-// could use capacity on any machine, and has waited long enough.
+// isYieldedTo reports whether other controllers should yield capacity to one of this controller's jobs,
+// because it may use any machine and has waited long enough.
 func (c *Core) isYieldedTo(j *job) bool {
 	if !j.placement.hasUnplacedTasks || j.write.inFlight || !c.ownership.ownsJob(j) || j.record.Spec == nil {
 		return false
@@ -138,10 +141,10 @@
 		c.teams.of(spec).fitsMaxQuota(spec.Request)
 }
 
-// hasEarlierWaiting reports whether work that a new job must not overtake waits here for the same
-// capacity. The new job's tasks are then placed in queue order, a moment after its acceptance: placed
-// together with the acceptance, which is written before all placements, new jobs overtook those that
-// had waited longest.
+// hasEarlierWaiting reports whether work that a new job must not overtake waits at this controller for the
+// same capacity. In that case the new job's tasks are placed in queue order, shortly after its acceptance.
+// When they were placed together with the acceptance, which is written before all placements, new jobs
+// overtook those that had waited longest.
 func (p *priorityState) hasEarlierWaiting(spec *wire.JobSpec) bool {
 	if len(p.firstWaiting) == 0 {
 		return false
@@ -150,9 +153,9 @@
 	return head.Priority <= p.classes.Classify(spec) && (head.Spot || !spec.Spot)
 }
 
-// isBehindFirstWaiting reports whether a waiting job comes after the first of this controller's
-// waiting jobs. Evaluated by itself, as soon as it was accepted, it would take capacity that was
-// freed since the jobs before it were evaluated.
+// isBehindFirstWaiting reports whether a waiting job comes after the first of this controller's waiting
+// jobs. If such a job were examined on its own, as soon as it is accepted, it would take capacity that was
+// freed since the jobs before it were examined.
 func (p *priorityState) isBehindFirstWaiting(j *job) bool {
 	if len(p.firstWaiting) == 0 || j.record.Spec == nil {
 		return false
--- a/core/yield_test.go
+++ b/core/yield_test.go
@@ -12,12 +12,12 @@
 	"dewlift/wire"
 )
 
-// While more work waited than there was capacity, every controller filled each new machine, and half
-// of all starts were refused. Each controller must fill the machines whose rendezvous order it heads,
-// and those of the others only after a moment.
+// While more work waited than there was capacity, every controller filled each new machine, and half of all
+// starts were refused. Each controller must fill the machines for which it is first in the rendezvous order
+// immediately, and the other machines only after a delay.
 func TestControllersYieldFreedCapacity(t *testing.T) {
 	const machines, tasksPerMachine = 40, 4
-	filledAtOnce := map[string]int{} // count of controllers by machine
+	filledImmediately := map[string]int{} // number of controllers by machine
 	for _, name := range []string{"n0", "n1", "n2"} {
 		c := newCoreOfThree(t, name)
 		push := reportEmptyMachines(c, machines)
@@ -32,28 +32,28 @@
 			tasksOn[c.machines[assignment.Machine].name]++
 		}
 		for machine, tasks := range tasksOn {
-			filledAtOnce[machine]++
+			filledImmediately[machine]++
 			if tasks != tasksPerMachine {
-				t.Errorf("%s: %d tasks on %s, which has capacity for %d", name, tasks, machine, tasksPerMachine)
+				t.Errorf("%s: %d tasks on %s, want %d, which fill it", name, tasks, machine, tasksPerMachine)
 			}
 		}
 
 		runFor(c, 1050*time.Millisecond, 3*time.Second)
 		if got := len(c.internJob("wk-1").assignments); got != machines*tasksPerMachine {
-			t.Errorf("%s: %d tasks placed in the end, there is capacity for %d", name, got, machines*tasksPerMachine)
+			t.Errorf("%s: %d tasks placed after the delay, want %d", name, got, machines*tasksPerMachine)
 		}
 	}
-	for machine, controllers := range filledAtOnce {
+	for machine, controllers := range filledImmediately {
 		if controllers != 1 {
-			t.Errorf("%s was filled at once by %d controllers", machine, controllers)
+			t.Errorf("%s was filled immediately by %d controllers", machine, controllers)
 		}
 	}
-	if len(filledAtOnce) != machines {
-		t.Errorf("%d of %d machines were filled at once", len(filledAtOnce), machines)
+	if len(filledImmediately) != machines {
+		t.Errorf("%d of %d machines were filled immediately", len(filledImmediately), machines)
 	}
 }
 
-// newCoreOfThree is a serving controller that knows the controllers n0 to n2 and owns all shards.
+// newCoreOfThree returns a serving controller that knows the controllers n0 to n2 and owns all shards.
 func newCoreOfThree(t *testing.T, name string) *Core {
 	t.Helper()
 	c := newServingCore(t)
@@ -67,7 +67,7 @@
 	return c
 }
 
-// reportEmptyMachines has machines report to a controller; the push that shows them as empty is returned.
+// reportEmptyMachines sends heartbeats of machines to a controller and returns the push that shows them as empty.
 func reportEmptyMachines(c *Core, machines int) *StatePush {
 	push := &StatePush{Revision: 1, FencingToken: 1}
 	for i := range machines {
@@ -91,8 +91,9 @@
 	return push
 }
 
-// A controller whose work comes clearly before another's has freed capacity first, whatever the order of the machine:
-// two that had the same rank took it in the order in which they heard of it.
+// A controller whose work is clearly before another's must use freed capacity first, regardless of the machine's
+// rendezvous order. Two controllers once had the same rank and took the capacity in the order in which they learned of
+// it.
 func TestEarlierWorkHasFreedCapacityFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const noWork = -1
@@ -114,7 +115,7 @@
 	})
 }
 
-// indices lists the numbers from 0 to n-1.
+// indices returns the numbers from 0 to n-1.
 func indices(n int) []int {
 	out := make([]int, n)
 	for i := range out {
@@ -123,8 +124,8 @@
 	return out
 }
 
-// othersOf is what the controller of an index knows of the others, each with the head of its queue, or none if that is
-// negative.
+// othersOf returns what the controller with an index knows of the others. heads holds the enqueue time of the first
+// waiting job of each controller in seconds; a negative value means that no job waits.
 func othersOf(heads []int, index int) *membership.Members {
 	var names []string
 	for i := range heads {
