--- a/clusterstate/array.go
+++ b/clusterstate/array.go
@@ -1,8 +1,8 @@
-// Package clusterstate holds what the paper calls collaborate-state: the leader's array of each
-// machine's available and allocated resources, the copies of it that are pushed to the controllers, the
-// deltas that keep both current, and the choice of candidate machines from a copy. It decides which
-// machines are candidates for a request and in which order, by filters and scores of the caller. It
-// sends nothing, stores nothing, and has no clock and no source of randomness of its own.
+// Package clusterstate implements the shared cluster state, which the paper calls collaborate-state: the
+// leader's array with the available and allocated resources of each machine, the copies of it that are
+// pushed to the controllers, and the deltas that keep both up to date. It also chooses the candidate
+// machines for a request from a copy and orders them, using filters and scores supplied by the caller. It
+// does no I/O, and the caller passes in the time and the source of randomness.
 package clusterstate
 
 import (
@@ -16,17 +16,18 @@
 	Available   Resources
 	Allocated   Resources
 	Reserved    Resources // part of the available resources, for work that is feasible on fewer machines
-	OfferedLast bool      // a candidate after all others: the leader wants the machine to become idle
-	Schedulable bool      // false: no candidate, the machine is about to be returned
+	OfferedLast bool      // ranked after all other candidates, because the leader wants the machine to become idle
+	Schedulable bool      // false: never a candidate, because the machine is about to be returned
 
-	revision        uint64        // of the array, at the last change of the row
-	capacityFreedAt time.Duration // of a copy, when the row was last seen to gain available resources
+	revision        uint64        // revision of the array at the last change of the row
+	capacityFreedAt time.Duration // set only in a copy: when the row last gained available resources
 }
 
-// CapacityFreedAt is when a copy's row was last seen to gain available resources.
+// CapacityFreedAt returns when a row of a copy last gained available resources.
 func (r *Row) CapacityFreedAt() time.Duration { return r.capacityFreedAt }
 
-// MinFreeFraction is the smallest available fraction over CPU, GPU and memory; 1 of a machine without resources.
+// MinFreeFraction returns the smallest available fraction among CPU, GPU and memory. It is 1 for a machine
+// without resources.
 func (r *Row) MinFreeFraction() float64 {
 	fraction := 1.0
 	for i := range r.Available {
@@ -37,8 +38,8 @@
 	return fraction
 }
 
-// HasCapacity reports whether a request fits into the available resources, without those reserved if
-// honorReserved is set.
+// HasCapacity reports whether a request fits into the available resources. If honorReserved is set,
+// reserved resources do not count as available.
 func (r *Row) HasCapacity(request Resources, honorReserved bool) bool {
 	if honorReserved {
 		return r.Available.AddScaled(r.Reserved, -1).Fits(request)
@@ -56,15 +57,15 @@
 	r.Allocated = r.Allocated.AddScaled(d.Request, sign)
 }
 
-// Delta is the start or finish of a task, as the resources it allocates or releases.
+// Delta is the start or finish of a task and the resources that it allocates or releases.
 type Delta struct {
 	Start   bool
 	Machine int32
 	Request Resources
 }
 
-// Array is the leader's array, with a row for each machine. Each row has the revision of its last
-// change, so that a push needs to carry only the rows that changed.
+// Array is the leader's array, with one row per machine. Each row has the revision of its last change, so
+// that an incremental push needs to carry only the rows that changed.
 type Array struct {
 	rows         map[int32]*Row // by machine index
 	machineOrder []int32        // machine indices, sorted
@@ -74,7 +75,7 @@
 // NewArray returns an empty array.
 func NewArray() *Array { return &Array{rows: map[int32]*Row{}} }
 
-// SetMachine sets a machine's total and allocated resources, and adds the machine if it has no row.
+// SetMachine sets a machine's total and allocated resources. It adds a row if the machine has none.
 func (a *Array) SetMachine(machine int32, total, allocated Resources, schedulable bool) {
 	row := a.rows[machine]
 	if row == nil {
@@ -88,7 +89,7 @@
 	})
 }
 
-// updateRow changes a row. Only a real change advances the revision.
+// updateRow changes a row. The revision advances only if a value changes.
 func (a *Array) updateRow(row *Row, change func(*Row)) {
 	old := *row
 	change(row)
@@ -98,10 +99,10 @@
 	}
 }
 
-// Row returns a machine's row, or nil.
+// Row returns a machine's row, or nil if there is none.
 func (a *Array) Row(machine int32) *Row { return a.rows[machine] }
 
-// SetOffer sets whether a machine is offered to the controllers, whether only after all others, and
+// SetOffer sets whether a machine is offered to the controllers, whether it ranks after all others, and
 // which of its available resources are reserved. A machine without a row is ignored.
 func (a *Array) SetOffer(machine int32, schedulable, offeredLast bool, reserved Resources) {
 	if row := a.rows[machine]; row != nil {
@@ -122,8 +123,8 @@
 	}
 }
 
-// ChangedSince lists the rows that changed after a revision, sorted by machine index, and the revision
-// that they lead to. After revision 0 these are all rows.
+// ChangedSince returns the rows that changed after a revision, sorted by machine index, and the current
+// revision. After revision 0, it returns all rows.
 func (a *Array) ChangedSince(after uint64) (changed []Row, revision uint64) {
 	for _, machine := range a.machineOrder {
 		if row := a.rows[machine]; row.revision > after {
--- a/clusterstate/array_test.go
+++ b/clusterstate/array_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A push carries only the rows that changed: one that is missed leaves a controller's copy wrong, and
-// one that did not change makes the push of a large cluster too large.
+// An incremental push carries only the rows that changed. A missing row would leave a controller's copy
+// wrong, and unchanged rows would make the push of a large cluster too large.
 func TestChangedSinceListsOnlyRealChanges(t *testing.T) {
 	total, half := Resources{4000, 0, 4000}, Resources{2000, 0, 2000}
 	a := NewArray()
@@ -32,10 +32,10 @@
 
 	a.Remove(1)
 	if rows, _ = a.ChangedSince(0); len(rows) != 2 || a.Row(1) != nil {
-		t.Errorf("a removed machine is listed: %+v", rows)
+		t.Errorf("removed machine is still listed: %+v", rows)
 	}
 	if rows, third := a.ChangedSince(second); len(rows) != 0 || third != second {
-		t.Errorf("after no change revision %d leads to %d with %+v", second, third, rows)
+		t.Errorf("without a change, revision went from %d to %d with rows %+v", second, third, rows)
 	}
 }
 
--- a/clusterstate/candidates.go
+++ b/clusterstate/candidates.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// offeredLastTier is added to the tier of a machine that is offered last; it exceeds every tier of a query.
+// offeredLastTier is added to the tier of a machine that is offered last. It exceeds every tier of a query.
 const offeredLastTier = 1 << 20
 
-// CandidateQuery describes the candidates that are wanted.
+// CandidateQuery specifies which machines are candidates for a request and how they are ranked.
 type CandidateQuery struct {
-	Count            int              // of candidates at most
-	Request          Resources        // of one task
-	IsAllowed        func(int32) bool // feasibility of a machine, capacity aside
-	TierOf           func(int32) int  // machines of a smaller tier come first; nil: all have the same
-	RankOf           func(int32) int  // within a tier, machines of a smaller distance come first; nil: all have the same
-	FallbackMachines []int32          // machines to choose from at random if the copy is expired
-	HonorReserved    bool             // reserved resources are not available
-	FillRandomly     bool             // fill up with random machines that seem full
+	Count            int              // maximum number of candidates
+	Request          Resources        // resources of one task
+	IsAllowed        func(int32) bool // reports whether a machine is feasible, regardless of its capacity
+	TierOf           func(int32) int  // machines of a smaller tier come first; nil: all are in one tier
+	RankOf           func(int32) int  // within a tier, machines of a smaller rank come first; nil: all are equal
+	FallbackMachines []int32          // machines to choose from at random if the copy has expired
+	HonorReserved    bool             // reserved resources do not count as available
+	FillRandomly     bool             // if there are too few candidates, add random machines that seem full
 }
 
-// candidate is a machine with capacity, with its scores. They are computed once per machine: in a large
-// cluster the comparisons take the most time.
+// candidate is a machine with capacity and its scores. The scores are computed once per machine, because
+// in a large cluster the comparisons take the most time.
 type candidate struct {
 	machine  int32
 	tier     int
 	rank     int
-	fraction float64 // smallest available fraction of a resource
-	tieBreak uint32  // random, so that controllers do not all choose the same of equal machines
+	fraction float64 // smallest available fraction among its resources
+	tieBreak uint32  // random, so that controllers do not all choose the same one of equal machines
 }
 
-// compare is negative if a is the better candidate.
+// compare returns a negative number if a is the better candidate.
 func (a candidate) compare(b candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.tier, b.tier),
@@ -42,8 +42,8 @@
 	)
 }
 
-// Candidates chooses machines for a request: first those with capacity, best first, then, if the query
-// says so, random ones that seem full. From an expired copy it chooses at random.
+// Candidates chooses machines for a request: those with capacity, best first, and then, with FillRandomly,
+// random machines that seem full. If the copy has expired, all are chosen at random.
 func (c *Copy) Candidates(now time.Duration, query CandidateQuery, rng *rand.Rand) []int32 {
 	if !c.IsFresh(now) {
 		return randomCandidates(query, rng)
@@ -61,7 +61,7 @@
 	return chosen
 }
 
-// randomCandidates chooses among the machines that are known besides the copy.
+// randomCandidates chooses randomly among the allowed fallback machines.
 func randomCandidates(query CandidateQuery, rng *rand.Rand) []int32 {
 	var allowed []int32
 	for _, machine := range query.FallbackMachines {
@@ -72,15 +72,15 @@
 	return shuffledPrefix(allowed, query.Count, rng)
 }
 
-// shuffledPrefix shuffles machines in place, and returns the first of them.
+// shuffledPrefix shuffles machines in place and returns the first count of them.
 func shuffledPrefix(machines []int32, count int, rng *rand.Rand) []int32 {
 	rng.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 	return machines[:min(len(machines), count)]
 }
 
-// filter lists the schedulable and allowed machines: those with capacity with their scores, and, if
-// the query fills up with them, those that seem full. Random numbers are drawn in machine order, for
-// machines with capacity only.
+// filter returns the schedulable and allowed machines: those with capacity along with their scores, and,
+// with FillRandomly, those that seem full. Random numbers are drawn in machine order, and only for
+// machines with capacity.
 func (c *Copy) filter(query *CandidateQuery, rng *rand.Rand) (ranked []candidate, full []int32) {
 	for _, machine := range c.machineOrder {
 		row := c.rows[machine]
@@ -100,7 +100,7 @@
 	return ranked, full
 }
 
-// score scores a machine with capacity.
+// score computes the scores of a machine with capacity.
 func (q *CandidateQuery) score(row *Row, rng *rand.Rand) candidate {
 	scored := candidate{machine: row.Machine, fraction: row.MinFreeFraction(), tieBreak: rng.Uint32()}
 	if q.TierOf != nil {
--- a/clusterstate/candidates_test.go
+++ b/clusterstate/candidates_test.go
@@ -8,6 +8,8 @@
 
 func allowAll(int32) bool { return true }
 
+// Machines with capacity must come first, the largest free fraction first, and machines that seem full only
+// with FillRandomly. Machines that are not schedulable must never be candidates.
 func TestCandidatesPreferMostCapacityThenRandom(t *testing.T) {
 	c := copyOf(
 		Row{Machine: 0, Available: Resources{1000, 0, 1000}, Allocated: Resources{3000, 0, 3000}, Schedulable: true},
@@ -29,10 +31,11 @@
 	}
 	query.FillRandomly = false
 	if got = c.Candidates(time.Second, query, rng); len(got) != 3 {
-		t.Fatalf("without random fill: got %v, want the three with capacity", got)
+		t.Fatalf("without FillRandomly: got %v, want the three machines with capacity", got)
 	}
 }
 
+// An expired copy must not be used for ranking. Candidates are chosen at random from all fallback machines.
 func TestExpiredCopyChoosesAtRandom(t *testing.T) {
 	c := copyOf(Row{Machine: 0, Available: Resources{1000, 0, 0}, Schedulable: true})
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -51,6 +54,6 @@
 		chosen[got[0]] = true
 	}
 	if len(chosen) != 3 {
-		t.Fatalf("random choice never took all machines: %v", chosen)
+		t.Fatalf("random choice did not cover all machines: %v", chosen)
 	}
 }
--- a/clusterstate/copy.go
+++ b/clusterstate/copy.go
@@ -10,11 +10,11 @@
 	MaxAge       time.Duration
 	rows         map[int32]*Row // by machine index
 	machineOrder []int32        // machine indices, in the order in which they were first pushed
-	receivedAt   time.Duration  // of the last push
-	received     bool           // there was a push
+	receivedAt   time.Duration  // time of the last push
+	received     bool           // at least one push was received
 }
 
-// Replace takes a push of the whole array, and the deltas that it does not count yet.
+// Replace applies a full push, and then the deltas that it does not acknowledge.
 func (c *Copy) Replace(now time.Duration, rows []Row, pending []Delta) {
 	old := c.rows
 	c.rows = make(map[int32]*Row, len(rows))
@@ -22,8 +22,8 @@
 	c.applyPush(now, old, rows, pending)
 }
 
-// Update takes a push of the rows that changed since the last one, and the deltas that it does not
-// count yet. The other rows stay as the deltas since then left them.
+// Update applies an incremental push, and then the deltas that it does not acknowledge. Other rows keep
+// their values, including the deltas applied since the last push.
 func (c *Copy) Update(now time.Duration, rows []Row, pending []Delta) {
 	if c.rows == nil {
 		c.rows = map[int32]*Row{}
@@ -31,11 +31,11 @@
 	c.applyPush(now, c.rows, rows, pending)
 }
 
-// applyPush takes pushed rows, applies the pending deltas to them, and compares them with the rows
-// before the push.
+// applyPush adopts pushed rows, applies the pending deltas to them, and compares the result with the rows
+// before the push to find rows that gained capacity.
 func (c *Copy) applyPush(now time.Duration, old map[int32]*Row, rows []Row, pending []Delta) {
 	c.receivedAt, c.received = now, true
-	before := make([]*Row, len(rows)) // the rows before the push, which may be replaced in old
+	before := make([]*Row, len(rows)) // rows before the push; old may be the map that is changed below
 	pushed := make(map[int32]*Row, len(rows))
 	for i := range rows {
 		row := rows[i]
@@ -59,8 +59,8 @@
 	}
 }
 
-// gainsCapacityOver reports whether a row offers more than it did before: more available resources, or
-// any at all on a machine that was not schedulable.
+// gainsCapacityOver reports whether a row offers more capacity than before: more of any available
+// resource, or a machine that has become schedulable.
 func (r *Row) gainsCapacityOver(before *Row) bool {
 	return !before.Schedulable && r.Schedulable || r.Available.exceedsAny(before.Available)
 }
@@ -76,10 +76,10 @@
 	}
 }
 
-// IsFresh reports whether there was a push and the copy has not expired.
+// IsFresh reports whether a push was received and the copy has not expired.
 func (c *Copy) IsFresh(now time.Duration) bool { return c.received && now-c.receivedAt < c.MaxAge }
 
-// Apply applies a delta of this controller or another one to the copy.
+// Apply applies a delta of any controller to the copy.
 func (c *Copy) Apply(now time.Duration, delta Delta) {
 	if row := c.rows[delta.Machine]; row != nil {
 		row.apply(delta)
@@ -89,5 +89,5 @@
 	}
 }
 
-// Row returns a machine's row, or nil.
+// Row returns a machine's row, or nil if there is none.
 func (c *Copy) Row(machine int32) *Row { return c.rows[machine] }
--- a/clusterstate/copy_test.go
+++ b/clusterstate/copy_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// copyOf is a copy that was pushed these rows at time 0, and expires after 30 s.
+// copyOf returns a copy that received these rows in a push at time 0 and expires after 30 s.
 func copyOf(rows ...Row) *Copy {
 	c := &Copy{MaxAge: 30 * time.Second}
 	c.Replace(0, rows, nil)
 	return c
 }
 
-// Controllers take turns for capacity that was freed: a push that only repeats what a copy knows must
-// not start the turns again.
+// Controllers yield freed capacity to each other for a limited time. A push that only repeats known values
+// must not restart that time.
 func TestCapacityFreedAtChangesOnlyWithMoreCapacity(t *testing.T) {
 	before := Row{Available: Resources{2000, 0, 2000}, Schedulable: true}
 	unschedulable := before
@@ -52,15 +52,16 @@
 	}
 }
 
-// A copy without pushes must not be trusted: the leader may have assigned and returned machines since.
+// A copy without recent pushes must expire: the leader may have returned machines and others may have
+// allocated capacity since then.
 func TestCopyExpires(t *testing.T) {
 	c := copyOf(Row{Schedulable: true})
 	for now, want := range map[time.Duration]bool{0: true, c.MaxAge - 1: true, c.MaxAge: false} {
 		if got := c.IsFresh(now); got != want {
-			t.Errorf("fresh %v after %v, want %v", got, now, want)
+			t.Errorf("fresh is %v after %v, want %v", got, now, want)
 		}
 	}
 	if (&Copy{MaxAge: time.Hour}).IsFresh(0) {
-		t.Error("a copy that had no push is fresh")
+		t.Error("a copy that never received a push is fresh")
 	}
 }
--- a/core/allocation/tracker.go
+++ b/core/allocation/tracker.go
@@ -1,14 +1,14 @@
-// Package allocation decides how much of a machine is allocated, as the leader counts it. A task is known by two
-// paths: by the allocation deltas of its start and its finish, which are quick but may be lost, and by its committed
-// record, which is certain but later. Each task is counted once, whichever comes first.
+// Package allocation computes the leader's view of how many resources of a machine are allocated. The leader learns of
+// a task in two ways: from the allocation deltas of its start and finish, which are fast but may be lost, and from its
+// committed record, which is reliable but arrives later. Each task is counted once, whichever arrives first.
 //
-// A heartbeat with the end of a task does not count here: controllers apply the delta of the end on top of the rows
-// that the leader pushes, until those are known to contain it. (Rows were once seeded anew from records and heartbeats
-// when a machine had been quiet for a time. Under load, deltas and records came later than that, tasks were counted
-// twice or not at all, and up to a third of all starts were refused.)
+// The end of a task in a heartbeat is not counted here: controllers apply the delta of the end to the rows that the
+// leader pushes until a push acknowledges it. An earlier version reset a machine's row from records and heartbeats when
+// no delta had arrived for some time. Under load, deltas and records arrived later than that, tasks were counted twice
+// or not at all, and up to a third of all starts were refused.
 //
-// A Tracker owns the pending deltas of one machine. It has no clock, does no I/O and is not safe for concurrent use;
-// times are durations since the start of the process.
+// A Tracker owns the pending deltas of one machine. It has no clock, does no I/O and is not safe for concurrent use.
+// Times are durations since the start of the process.
 package allocation
 
 import (
@@ -18,16 +18,16 @@
 )
 
 const (
-	// deltaTTL is how long a delta counts whose task is not observed: the delta of its finish, or the finish of
-	// a write that failed, may be lost.
+	// deltaTTL is how long a delta counts without its task being observed. It is needed because the delta of the
+	// task's finish, or the finish that follows a failed write, may be lost.
 	deltaTTL = 10 * time.Second
-	// keylessDeltaTTL is the same for a delta without a key, which nothing else can settle.
+	// keylessDeltaTTL is how long a delta without a key counts. No other event can settle such a delta.
 	keylessDeltaTTL = 2500 * time.Millisecond
 )
 
-// ObservedTask is a task that a record assigns to the machine, or that the machine runs without one.
+// ObservedTask is a task that a record assigns to the machine, or that the machine runs without a record.
 type ObservedTask struct {
-	AttemptKey uint64 // of the task's attempt, as in its deltas
+	AttemptKey uint64 // key of the task's attempt, as in its deltas
 	Request    clusterstate.Resources
 }
 
@@ -37,14 +37,14 @@
 	receivedAt time.Duration
 }
 
-// Tracker counts the allocated resources of one machine. The zero value has no pending deltas.
+// Tracker tracks the allocated resources of one machine. The zero value has no pending deltas.
 type Tracker struct {
-	pendingStarts map[uint64]pendingDelta  // starts of tasks that have not been observed, by key
+	pendingStarts map[uint64]pendingDelta  // starts of tasks that have not been observed yet, by key
 	recentEnds    map[uint64]time.Duration // finishes of tasks that may still be observed, by key
 	keylessDeltas []pendingDelta           // deltas without a key; a finish has a negative request
 }
 
-// RecordDelta records the start or the finish of a task. Key 0 is from a version of the controller without keys.
+// RecordDelta records the start or the finish of a task. Key 0 is sent by controller versions without keys.
 func (t *Tracker) RecordDelta(now time.Duration, start bool, key uint64, request clusterstate.Resources) {
 	switch {
 	case key == 0 && start:
@@ -52,7 +52,7 @@
 	case key == 0:
 		t.keylessDeltas = append(t.keylessDeltas, pendingDelta{clusterstate.Resources{}.AddScaled(request, -1), now})
 	case start:
-		delete(t.recentEnds, key) // a write that failed is tried again under the same attempt
+		delete(t.recentEnds, key) // a failed write is retried with the same attempt
 		if t.pendingStarts == nil {
 			t.pendingStarts = map[uint64]pendingDelta{}
 		}
@@ -66,13 +66,13 @@
 	}
 }
 
-// HasPending reports whether there are deltas that count, or that hide an observed task.
+// HasPending reports whether there are deltas that add to the allocation or mark an observed task as finished.
 func (t *Tracker) HasPending() bool {
 	return len(t.pendingStarts)+len(t.recentEnds)+len(t.keylessDeltas) > 0
 }
 
-// Allocated returns the resources of the observed tasks that have not finished, and of the tasks that only a delta has
-// started. It drops the deltas that are settled by the observed tasks or have expired.
+// Allocated returns the resources of the observed tasks that have not finished, and of the tasks that are known only
+// from a start delta. It drops the deltas that the observed tasks settle, and expired ones.
 func (t *Tracker) Allocated(now time.Duration, observed []ObservedTask) clusterstate.Resources {
 	allocated := t.countObserved(now, observed)
 	for key, start := range t.pendingStarts {
@@ -98,8 +98,8 @@
 	return allocated
 }
 
-// countObserved sums the requests of the observed tasks without a finish. A finish stays recorded for as long as its
-// task is observed, and the TTL beyond.
+// countObserved sums the requests of the observed tasks without a recorded finish. A finish stays recorded while its
+// task is observed, and for deltaTTL afterwards.
 func (t *Tracker) countObserved(now time.Duration, observed []ObservedTask) clusterstate.Resources {
 	var allocated clusterstate.Resources
 	for _, task := range observed {
--- a/core/allocation/tracker_test.go
+++ b/core/allocation/tracker_test.go
@@ -10,8 +10,8 @@
 
 var oneTaskRequest = clusterstate.Resources{1000, 0, 1000}
 
-// Whichever comes first, delta or record, and however late the other, a task must be counted from the first sign of its
-// start to the first sign of its end.
+// A task must be counted exactly once, from the earlier of its start delta and its record to the earlier of its finish
+// delta and the end of its record, however late the other one arrives.
 func TestEachTaskIsAllocatedOnce(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -45,19 +45,19 @@
 				}
 			}
 			if got := tracker.Allocated(now, observed); got[0] != want*1000 {
-				t.Fatalf("seed %d at %v: %d allocated, %d tasks run", seed, now, got[0], want)
+				t.Fatalf("seed %d at %v: %d allocated, want %d tasks", seed, now, got[0], want)
 			}
 		}
 	}
 }
 
-// The finish that follows a failed write must not hide the task when the write succeeds on the next try.
+// The finish that is recorded after a failed write must not hide the task once a retry of the write succeeds.
 func TestRetriedWriteKeepsTaskAllocated(t *testing.T) {
 	var tracker Tracker
 	tracker.RecordDelta(0, true, 1, oneTaskRequest)
 	tracker.RecordDelta(1, false, 1, oneTaskRequest)
 	if got := tracker.Allocated(2, nil); got != (clusterstate.Resources{}) {
-		t.Errorf("%v allocated after the write failed, want nothing", got)
+		t.Errorf("%v allocated after the failed write, want nothing", got)
 	}
 	tracker.RecordDelta(3, true, 1, oneTaskRequest)
 	for _, observed := range [][]ObservedTask{
@@ -66,13 +66,13 @@
 		{{AttemptKey: 1, Request: oneTaskRequest}},
 	} {
 		if got := tracker.Allocated(4, observed); got != oneTaskRequest {
-			t.Errorf("%v allocated for one task, observed %v", got, observed)
+			t.Errorf("%v allocated for one task, with observed tasks %v", got, observed)
 		}
 	}
 }
 
-// A start whose write failed, or whose finish was lost, must not stay allocated for ever; nor must a delta without
-// a key.
+// The finish of a task or of a failed write may be lost. Neither such a start nor a delta without a key may stay
+// allocated forever.
 func TestDeltasExpire(t *testing.T) {
 	var tracker Tracker
 	tracker.RecordDelta(0, true, 1, oneTaskRequest)
@@ -82,12 +82,12 @@
 	tracker.RecordDelta(0, true, 0, oneTaskRequest)
 	tracker.RecordDelta(0, false, 0, oneTaskRequest)
 	if got := tracker.Allocated(time.Second, nil); got[0] != 2000 {
-		t.Errorf("%v allocated for one start with a key, and two without of which one has finished", got)
+		t.Errorf("%v allocated, want one start with a key and one of two without a key, as the other has finished", got)
 	}
 	if got := tracker.Allocated(3*time.Second, nil); got[0] != 1000 {
-		t.Errorf("%v allocated for one start", got)
+		t.Errorf("%v allocated, want one start", got)
 	}
 	if got := tracker.Allocated(11*time.Second, nil); got != (clusterstate.Resources{}) || tracker.HasPending() {
-		t.Errorf("%v allocated after all deltas expired, pending %v", got, tracker.HasPending())
+		t.Errorf("%v allocated after all deltas expired, has pending deltas: %v", got, tracker.HasPending())
 	}
 }
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -1,6 +1,6 @@
-// Package overload decides how overloaded a controller is, from signals that it is given. It has no clock:
-// times are since the start of the process and come as parameters. What is shed at each level is decided
-// by its callers.
+// Package overload computes how overloaded a controller is from signals that the caller measures. It has no
+// clock: times are parameters, measured since the start of the process. Callers decide what to shed at each
+// level.
 package overload
 
 import "time"
@@ -8,53 +8,53 @@
 // Level is how overloaded a controller is. docs/operations/overload.md lists what is shed at each level.
 type Level int
 
-// The levels, in rising order.
+// The overload levels, in increasing order.
 const (
 	Normal     Level = iota
-	Busy             // work that can be deferred is
-	Overloaded       // new work is refused, with the time after which to try again
+	Busy             // deferrable work is deferred
+	Overloaded       // new work is rejected with a retry delay
 	levelCount = iota
 )
 
-// String returns the level's name in the log.
+// String returns the level's name as logged.
 func (l Level) String() string { return [levelCount]string{"calm", "busy", "over"}[l] }
 
-// ScaleInterval lengthens the interval of work that can be deferred: it doubles with each level.
+// ScaleInterval returns the interval of deferrable work at this level. The interval doubles with each level.
 func (l Level) ScaleInterval(interval time.Duration) time.Duration { return interval << l }
 
-// Signals are the measurements that a level is decided by.
+// Signals are the measurements that determine the level.
 type Signals struct {
-	QueueDelay      time.Duration // how long the latest input had waited when it was handled
+	QueueDelay      time.Duration // how long the latest input waited before it was handled
 	QueueUsage      float64       // share of the input queue in use
 	ConnectionUsage float64       // share of the inbound connections in use
-	WriteBacklog    time.Duration // how long the pending writes would take
+	WriteBacklog    time.Duration // how long the pending writes will take
 }
 
-// enterThresholds are the signals that enter each level but the first; any one is enough.
+// enterThresholds are the signals at which each level except Normal is entered. One signal is sufficient.
 var enterThresholds = [levelCount]Signals{
 	Busy:       {100 * time.Millisecond, 0.25, 0.85, 4 * time.Second},
 	Overloaded: {600 * time.Millisecond, 0.6, 0.98, 15 * time.Second},
 }
 
 const (
-	// leaveFactor is the share of a level's thresholds that all signals must be below to leave it.
+	// leaveFactor is the share of a level's thresholds below which all signals must be to leave the level.
 	leaveFactor = 0.5
-	// leaveDelay is how long they must have been.
+	// leaveDelay is how long all signals must stay below that share.
 	leaveDelay = 3 * time.Second
 )
 
-// State is a controller's level. The zero value is Normal.
+// State tracks a controller's overload level. The zero value is at level Normal.
 type State struct {
 	level        Level
-	lastSignalAt time.Duration // when a signal last kept the level
-	Signals      Signals       // of the last update
+	lastSignalAt time.Duration // when a signal last prevented leaving the level
+	Signals      Signals       // signals of the last update
 }
 
-// Level returns the present level.
+// Level returns the current level.
 func (s *State) Level() Level { return s.level }
 
-// Update evaluates signals and reports whether the level has changed. A level is entered at once, and left
-// for the next lower one after its signals have been gone for leaveDelay, so that it does not oscillate.
+// Update evaluates signals and reports whether the level has changed. A level is entered immediately. It is
+// left for the next lower one only after all signals have been low for leaveDelay, to prevent oscillation.
 func (s *State) Update(now time.Duration, signals Signals) (changed bool) {
 	s.Signals = signals
 	for level := Overloaded; level > s.level; level-- {
@@ -78,7 +78,7 @@
 	return true
 }
 
-// anyReaches reports whether one of the signals is at least a share of its threshold.
+// anyReaches reports whether any signal is at least the given share of its threshold.
 func (s Signals) anyReaches(threshold Signals, share float64) bool {
 	return float64(s.QueueDelay) >= share*float64(threshold.QueueDelay) ||
 		s.QueueUsage >= share*threshold.QueueUsage ||
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Each signal alone must enter each level.
+// Each signal must be sufficient on its own to enter each level.
 func TestEachSignalIsEnough(t *testing.T) {
 	for level := Busy; level <= Overloaded; level++ {
 		threshold := enterThresholds[level]
@@ -31,8 +31,8 @@
 	}
 }
 
-// Signals that go up and down around a threshold must not change the level each time, and a level must be
-// left in bounded time after they are gone.
+// Signals that fluctuate around a threshold must not change the level each time. After the signals are low, the
+// level must return to Normal within a bounded time.
 func TestLevelDoesNotOscillate(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -45,7 +45,7 @@
 			}
 		}
 		threshold := enterThresholds[Overloaded].QueueDelay
-		for range 600 { // a minute around the second level's threshold
+		for range 600 { // one minute around the threshold of Overloaded
 			update(threshold/2 + time.Duration(rng.Int64N(int64(threshold))))
 		}
 		if state.Level() != Overloaded || changes > 2 {
@@ -55,12 +55,12 @@
 			update(0)
 		}
 		if state.Level() != Normal || changes > 4 {
-			t.Fatalf("seed %d: %v 8 s after it was over, %d changes", seed, state.Level(), changes)
+			t.Fatalf("seed %d: %v 8 s after the overload ended, %d changes", seed, state.Level(), changes)
 		}
 	}
 }
 
-// Work that can be deferred must take less of an overloaded controller.
+// Deferrable work must use less of the capacity of an overloaded controller.
 func TestIntervalDoublesWithEachLevel(t *testing.T) {
 	for level, want := range map[Level]time.Duration{
 		Normal:     time.Second,
--- a/priorityclass/list.go
+++ b/priorityclass/list.go
@@ -1,7 +1,8 @@
-// Package priorityclass decides which work goes before which: it assigns a job to one of the listed
-// priority classes (lanes, to operators), and raises the class of work that has waited. It owns the list,
-// which never changes after its check. It is pure: the same list, job and time always give the same class.
-// The order of the jobs of a class is not decided here, but by the store's order of their acceptances.
+// Package priorityclass determines which work takes precedence. It assigns each job to one of the configured
+// priority classes, which operators know as lanes, and applies priority aging to work that has waited. A list
+// does not change after it has been validated. Functions are pure: the same list, job and waiting time always
+// give the same class. Within a class, jobs are ordered by the store's order of their acceptances, outside
+// this package.
 package priorityclass
 
 import (
@@ -18,14 +19,14 @@
 )
 
 const (
-	maxClasses      = 20 // each adds a queue position to every health message between controllers
-	maxSharePercent = 90 // of the starts; the rest stays with the class itself and those above
+	maxClasses      = 20 // each class adds a queue position to every health message between controllers
+	maxSharePercent = 90 // of the starts; the rest remains for the class itself and those above it
 )
 
-// validName is the form of a class's name, which appears in job records and on command lines.
+// validName matches valid names of classes. They appear in job records and on command lines.
 var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,29}$`)
 
-// List is a checked list of priority classes, the most urgent first. It is immutable.
+// List is a validated list of priority classes, the most urgent first. It is immutable.
 type List struct {
 	source      *pb.Lanes
 	classes     []class
@@ -38,28 +39,29 @@
 	priorities []int // Lane.Priorities as numbers
 }
 
-// Default is the list in force where none is stored: a class for each priority of a job. Work of the
-// classes below the second rises after a time; 0: never.
-func Default(riseAfter time.Duration) *List {
+// Default returns the list that is used if none is stored: a class for each job priority. Work of the classes
+// below the second moves up by one class per agingInterval; 0 disables aging.
+func Default(agingInterval time.Duration) *List {
 	source := &pb.Lanes{}
 	for priority := range wire.PriorityLowest + 1 {
 		lane := &pb.Lane{Name: wire.PriorityName(priority)}
 		if priority < wire.PriorityLowest {
 			lane.Priorities = []string{lane.Name}
 		}
-		if priority > 1 { // nothing rises to the first class, which is for critical work
-			lane.RiseAfterS = uint32(riseAfter / time.Second)
+		if priority > 1 { // aging never reaches the first class, which is reserved for critical work
+			lane.RiseAfterS = uint32(agingInterval / time.Second)
 		}
 		source.Lanes = append(source.Lanes, lane)
 	}
 	list, err := New(source)
 	if err != nil {
-		panic(err) // the list is constant but for the time of rising, which can't be wrong
+		panic(err) // only the aging interval varies, and every value of it is valid
 	}
 	return list
 }
 
-// Parse reads a list in protobuf text format. Its error is one line and names the place.
+// Parse decodes and validates a list in protobuf text format. An error is a single line and names the
+// location.
 func Parse(text []byte) (*List, error) {
 	var source pb.Lanes
 	if err := prototext.Unmarshal(text, &source); err != nil {
@@ -68,7 +70,7 @@
 	return New(&source)
 }
 
-// New checks a list. The source must not be changed afterwards.
+// New validates a list and returns it. The caller must not change the source afterwards.
 func New(source *pb.Lanes) (*List, error) {
 	if len(source.Lanes) == 0 || len(source.Lanes) > maxClasses {
 		return nil, fmt.Errorf("%d lanes, must be from 1 to %d", len(source.Lanes), maxClasses)
@@ -82,7 +84,7 @@
 	return list, nil
 }
 
-// add checks a class and appends it. An error begins with the field of the class that is wrong.
+// add validates a class and appends it. An error begins with the invalid field of the class.
 func (l *List) add(lane *pb.Lane, isLast bool) error {
 	isFirst := len(l.classes) == 0
 	if _, twice := l.indexByName[lane.Name]; twice || !validName.MatchString(lane.Name) {
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// checkRules checks the share, the time of rising and the conditions of a class against its position.
+// checkRules validates the share, the aging interval and the conditions of a class for its position in the
+// list.
 func checkRules(lane *pb.Lane, isFirst, isLast bool) error {
 	matchesByName := len(lane.Priorities)+len(lane.Classes)+len(lane.Teams) > 0
 	hasConditions := matchesByName || lane.DueWithinS > 0
@@ -123,13 +126,13 @@
 	return nil
 }
 
-// Source is the list as it was checked; it must not be changed.
+// Source returns the list as it was passed to New. The caller must not change it.
 func (l *List) Source() *pb.Lanes { return l.source }
 
-// Len is the number of classes.
+// Len returns the number of classes.
 func (l *List) Len() int { return len(l.classes) }
 
-// Name is the name of a class.
+// Name returns the name of a class.
 func (l *List) Name(classIndex int) string { return l.classes[classIndex].Name }
 
 // Names returns the names of all classes, the most urgent first.
@@ -141,13 +144,14 @@
 	return names
 }
 
-// IndexOf is the index of the class of a name; false if there is none.
+// IndexOf returns the index of the class with a name. It reports false if there is none.
 func (l *List) IndexOf(name string) (int, bool) {
 	i, ok := l.indexByName[name]
 	return i, ok
 }
 
-// Classify is the index of the first class whose conditions a job meets; the last class has none.
+// Classify returns the index of the first class whose conditions a job meets. The last class has no
+// conditions.
 func (l *List) Classify(spec *wire.JobSpec) int {
 	for i := range l.classes {
 		if l.classes[i].matches(spec) {
@@ -165,38 +169,40 @@
 		(c.DueWithinS == 0 || spec.DeadlineMS > 0 && spec.DeadlineMS <= 1000*int64(c.DueWithinS))
 }
 
-// agingInterval is how long a job of a class waits until it is ordered as one of the class above; 0: it
-// never is.
+// agingInterval returns how long a job of a class waits until it is ordered as one of the class above. 0
+// means that it never is.
 func (c *class) agingInterval() time.Duration { return time.Duration(c.RiseAfterS) * time.Second }
 
-// EffectiveClass is the class by which a job is ordered after it has waited. It rises by a class after
-// the time of rising of each class it reaches, as far as a class without such a time, or the first.
+// EffectiveClass returns the class by which a job is ordered after it has waited. The job moves up by one
+// class after the aging interval of each class that it reaches, up to the first class or a class without an
+// aging interval.
 func (l *List) EffectiveClass(classIndex int, waited time.Duration) int {
 	for classIndex > 0 {
-		after := l.classes[classIndex].agingInterval()
-		if after == 0 || waited < after {
+		interval := l.classes[classIndex].agingInterval()
+		if interval == 0 || waited < interval {
 			break
 		}
-		waited -= after
+		waited -= interval
 		classIndex--
 	}
 	return classIndex
 }
 
-// ReservedShare is the least part of the starts that the classes below one get while their work waits.
+// ReservedShare returns the minimum share of starts that the classes below the given one get while their work
+// waits.
 func (l *List) ReservedShare(classIndex int) float64 {
 	return float64(l.classes[classIndex].SharePercent) / 100
 }
 
-// AgingTime is how long a job of a class waits until it is ordered as one of another class above; false
-// if it never is.
+// AgingTime returns how long a job of a class waits until it is ordered as one of a target class above. It
+// reports false if that never happens.
 func (l *List) AgingTime(classIndex, target int) (sum time.Duration, ok bool) {
 	for ; classIndex > target; classIndex-- {
-		after := l.classes[classIndex].agingInterval()
-		if after == 0 {
+		interval := l.classes[classIndex].agingInterval()
+		if interval == 0 {
 			return 0, false
 		}
-		sum += after
+		sum += interval
 	}
 	return sum, true
 }
--- a/priorityclass/list_test.go
+++ b/priorityclass/list_test.go
@@ -10,7 +10,7 @@
 	"dewlift/wire"
 )
 
-// Operators correct a list by its error alone: it names the class and the field.
+// Operators correct a list using only its error, so the error must name the class and the field.
 func TestInvalidListErrorNamesClassAndField(t *testing.T) {
 	const last = ` lanes { name: "b" }`
 	for text, want := range map[string]string{
@@ -35,7 +35,7 @@
 	}
 }
 
-// A job belongs to the first class all of whose conditions it meets.
+// A job must belong to the first class of which it meets all conditions.
 func TestClassifyJob(t *testing.T) {
 	list, err := Parse([]byte(`
 		lanes { name: "reroast" classes: "reroast" due_within_s: 60 }
@@ -55,8 +55,8 @@
 	}
 }
 
-// Work never sinks by waiting, never passes what does not rise, and after the longest time has come as
-// far as it ever does.
+// Waiting must never move work to a less urgent class, nor past a class without an aging interval. The most
+// urgent class that work ever reaches must be reached after exactly the reported aging time.
 func TestAgingIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawList(t)
@@ -65,17 +65,17 @@
 		longer := waited + time.Duration(rapid.IntRange(0, 500).Draw(t, "b"))*time.Second
 		before, after := list.EffectiveClass(class, waited), list.EffectiveClass(class, longer)
 		if after > before || before > class {
-			t.Fatalf("class %d is %d after %v and %d after %v", class, before, waited, after, longer)
+			t.Fatalf("class %d becomes %d after %v and %d after %v", class, before, waited, after, longer)
 		}
 		end := list.EffectiveClass(class, 1<<62)
-		if riseTime, ok := list.AgingTime(class, end); !ok || list.EffectiveClass(class, riseTime) != end ||
-			riseTime > 0 && list.EffectiveClass(class, riseTime-1) == end {
-			t.Fatalf("class %d comes to %d after %v", class, end, riseTime)
+		if agingTime, ok := list.AgingTime(class, end); !ok || list.EffectiveClass(class, agingTime) != end ||
+			agingTime > 0 && list.EffectiveClass(class, agingTime-1) == end {
+			t.Fatalf("class %d reaches class %d, reported aging time %v", class, end, agingTime)
 		}
 	})
 }
 
-// drawList draws a list of 2 to 6 classes with any times of rising.
+// drawList draws a list of 2 to 6 classes with random aging intervals.
 func drawList(t *rapid.T) *List {
 	t.Helper()
 	var text strings.Builder
