--- a/core/allocation/tracker_test.go
+++ b/core/allocation/tracker_test.go
@@ -18,12 +18,12 @@
 		var tracker Tracker
 		type taskTimes struct{ started, ended, recorded, unrecorded time.Duration }
 		tasks := make([]taskTimes, 1+rng.IntN(12))
-		late := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
+		randomDelay := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
 		for i := range tasks {
-			begin := late(20 * time.Second)
-			tasks[i].started, tasks[i].recorded = begin+late(4*time.Second), begin+late(4*time.Second)
-			end := max(tasks[i].started, tasks[i].recorded) + late(8*time.Second)
-			tasks[i].ended, tasks[i].unrecorded = end+late(4*time.Second), end+late(8*time.Second)
+			begin := randomDelay(20 * time.Second)
+			tasks[i].started, tasks[i].recorded = begin+randomDelay(4*time.Second), begin+randomDelay(4*time.Second)
+			end := max(tasks[i].started, tasks[i].recorded) + randomDelay(8*time.Second)
+			tasks[i].ended, tasks[i].unrecorded = end+randomDelay(4*time.Second), end+randomDelay(8*time.Second)
 		}
 		const step = 10 * time.Millisecond
 		for now := time.Duration(0); now < 45*time.Second; now += step {
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -254,7 +254,7 @@
 	if a.spec.Zone != "" || a.spec.MachineTypes != nil || a.onlyZone != "" || !c.clusterCopy.state.IsFresh(c.now) {
 		return
 	}
-	refusal := unplaceable{
+	entry := unplaceable{
 		request:            a.spec.Request,
 		allowsSpot:         a.spec.Spot,
 		avoidsHeldCapacity: a.avoidsHeldCapacity,
@@ -262,9 +262,9 @@
 		enqueuedAtMS:       a.enqueuedAtMS,
 	}
 	if a.yieldDelay > 0 {
-		refusal.yieldUntil = c.now + a.yieldDelay
+		entry.yieldUntil = c.now + a.yieldDelay
 	}
-	c.placement.unplaceable = append(c.placement.unplaceable, refusal)
+	c.placement.unplaceable = append(c.placement.unplaceable, entry)
 }
 
 // assignRound assigns at most one task to each candidate. It reports whether any task was assigned.
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -42,8 +42,8 @@
 	bootOverdueFactor = 1.7             // multiple of the nominal boot time after which a boot is overdue
 	bootOverdueSlack  = 2 * time.Second // added to that time
 
-	minAgeForScaleIn = 60 * time.Second        // younger machines are not returned as idle
-	cordonDuration   = 1500 * time.Millisecond // time from cordon to return
+	minAgeForScaleIn = 60 * time.Second        // younger machines are not scaled in as idle
+	cordonDuration   = 1500 * time.Millisecond // time from the cordon to the return to the cloud
 	planLogInterval  = 10 * time.Second
 )
 
@@ -56,7 +56,7 @@
 }
 
 // planScaling packs the pending demand into the supply of machines, creates scale-out requests for the
-// rest, and cordons and returns idle machines.
+// rest, and cordons and scales in idle machines.
 func (c *Core) planScaling() {
 	bins := c.appendMachineBins(nil)
 	c.leaderState.dropUnsentScaleOut()
@@ -193,7 +193,7 @@
 
 // updateScaleIn advances the scale-in of a running machine that no demand needs. The machine is first
 // offered last, so that it becomes empty. Once it has been idle for long enough, it is cordoned and then
-// returned. A machine that is needed again goes back to normal.
+// returned to the cloud. If it is needed again before its return, it is uncordoned and offered normally.
 func (l *leaderState) updateScaleIn(b *bin) {
 	machine := b.machine
 	view := &machine.leaderView
@@ -224,8 +224,8 @@
 	}
 }
 
-// isOldEnoughForScaleIn reports whether a machine's age exceeds minAgeForScaleIn, measured from its first
-// observation or from its rental.
+// isOldEnoughForScaleIn reports whether a machine's age exceeds minAgeForScaleIn, by the time at which it
+// was first seen or by the time at which the cloud started it.
 func (m *machine) isOldEnoughForScaleIn(now time.Duration) bool {
 	rentedAt := m.leaderView.rentedAt
 	return now-max(m.identity.firstSeenAt, rentedAt) > minAgeForScaleIn ||
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -23,8 +23,8 @@
 	cloudBackoff         = 300 * time.Millisecond // after a rejected or unanswered request, plus as much jitter
 	cloudRetryDelay      = time.Second            // from an answer to the next attempt of the same request
 	nodeGroupBlockTime   = 10 * time.Second       // for a node group that had too few machines
-	maxMachineAgeSeconds = 1e9                    // a listed age from this on is ignored as invalid
-	maxScaleInMachines   = 100                    // in one request
+	maxMachineAgeSeconds = 1e9                    // listed ages of at least this are ignored as invalid
+	maxScaleInMachines   = 100                    // limit per request
 	maxFailedPerScaleIn  = 50                     // of maxScaleInMachines; leaves room for running machines
 )
 
@@ -129,13 +129,13 @@
 	}
 }
 
-// markForReturn marks a machine to be returned to the cloud. The first reason is kept.
+// markForReturn marks a machine for scale-in, that is, its return to the cloud. The first reason is kept.
 func (a *autoscalerState) markForReturn(m *machine, reason string) {
 	if m.leaderView.returnReason != "" || m.lifecycle.gone {
 		return
 	}
 	m.leaderView.returnReason = reason
-	a.log(LevelInfo, "returning machine", "machine", m.name, "type", m.identity.machineType,
+	a.log(LevelInfo, "scaling in machine", "machine", m.name, "type", m.identity.machineType,
 		"zone", m.identity.zone, "spot", m.identity.spot, "why", reason,
 		"tasks", len(m.allocation.assignments),
 		"quiet_ms", (a.now - m.status.lastHeartbeatAt).Milliseconds())
@@ -150,8 +150,8 @@
 	c.leaderState.announceGone(m.name)
 }
 
-// returnMachines returns marked machines to the cloud with one request at a time, and retries until the
-// cloud confirms it. Only that confirmation proves that their tasks have ended.
+// returnMachines scales in the marked machines with one request at a time, and retries until the cloud
+// confirms it. Only that confirmation proves that their tasks have ended.
 func (c *Core) returnMachines() {
 	l := c.leaderState
 	if l.returnInFlight {
@@ -176,7 +176,7 @@
 	})
 }
 
-// machinesToReturn returns the machines marked for return, those with services first: replacement
+// machinesToReturn returns the machines marked for scale-in, those with services first: replacement
 // replicas wait for the proof that these machines are gone, and a lost zone has many machines.
 func (c *Core) machinesToReturn() []*machine {
 	var due, later []*machine
--- a/core/demand.go
+++ b/core/demand.go
@@ -236,14 +236,14 @@
 // limitToQuota limits the demands, in order, to the remaining maximum quotas of their teams. Headroom and
 // replacements are not limited.
 func (c *Core) limitToQuota(demands []demand) {
-	left := quotasLeft(c.teams.list)
+	remainingByTeam := quotasLeft(c.teams.list)
 	for i := range demands {
 		d := &demands[i]
 		team := c.teams.of(d.spec)
 		if team == nil || d.isHeadroom || d.isReplacement {
 			continue
 		}
-		remaining := left[team]
+		remaining := remainingByTeam[team]
 		for k, limit := range remaining {
 			if d.spec.Request[k] > 0 && limit != math.MaxInt64 {
 				d.tasks = min(d.tasks, int(max(0, limit)/d.spec.Request[k]))
@@ -254,14 +254,14 @@
 				remaining[k] -= int64(d.tasks) * d.spec.Request[k]
 			}
 		}
-		left[team] = remaining
+		remainingByTeam[team] = remaining
 	}
 }
 
 // quotasLeft returns the CPU and GPU, in thousandths, that each team may still use. math.MaxInt64 means no
 // maximum.
 func quotasLeft(teams []*team) map[*team][2]int64 {
-	left := map[*team][2]int64{}
+	remainingByTeam := map[*team][2]int64{}
 	for _, t := range teams {
 		remaining := [2]int64{math.MaxInt64, math.MaxInt64}
 		if t.MaxCPU > 0 {
@@ -270,9 +270,9 @@
 		if t.MaxGPU > 0 {
 			remaining[1] = t.MaxGPU - t.usedGPU
 		}
-		left[t] = remaining
+		remainingByTeam[t] = remaining
 	}
-	return left
+	return remainingByTeam
 }
 
 // The headroom of a class decays once no job has arrived for quietIntervals mean intervals, and for at
--- a/core/dependencies.go
+++ b/core/dependencies.go
@@ -220,7 +220,7 @@
 
 // estimateReadyIn estimates how long it takes until a waiting job is ready, from the estimated runtimes
 // of its dependencies. ok is false unless each of them has started all its tasks.
-func (c *Core) estimateReadyIn(j *job) (in time.Duration, ok bool) {
+func (c *Core) estimateReadyIn(j *job) (readyIn time.Duration, ok bool) {
 	for _, dependency := range j.dependencies {
 		if dependency.record == nil || dependency.record.Stage == jobrecord.Done {
 			continue
@@ -229,10 +229,10 @@
 			return 0, false
 		}
 		for _, assignment := range dependency.assignments {
-			in = max(in, c.remainingTime(dependency, c.machines[assignment.Machine], assignment))
+			readyIn = max(readyIn, c.remainingTime(dependency, c.machines[assignment.Machine], assignment))
 		}
 	}
-	return in, true
+	return readyIn, true
 }
 
 // hasStartedAllTasks reports whether each task of a queued job is assigned to a machine or completed.
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -86,9 +86,9 @@
 }
 
 // canPlaceTaskNow reports whether some machine has capacity for a task of a job, according to the copy
-// of the cluster state. refused holds the requests that are known not to fit; a new one is added to it.
-func (c *Core) canPlaceTaskNow(spec *wire.JobSpec, refused *[]unplaceable) bool {
-	if slices.ContainsFunc(*refused, func(u unplaceable) bool { return u.covers(spec) }) {
+// of the cluster state. knownUnplaceable holds the requests that are known not to fit; a new one is added.
+func (c *Core) canPlaceTaskNow(spec *wire.JobSpec, knownUnplaceable *[]unplaceable) bool {
+	if slices.ContainsFunc(*knownUnplaceable, func(u unplaceable) bool { return u.covers(spec) }) {
 		return false
 	}
 	found := slices.ContainsFunc(c.aliveMachines, func(m *machine) bool {
@@ -97,7 +97,7 @@
 			c.isSchedulable(m) && c.isFeasible(spec, m)
 	})
 	if !found && spec.MachineTypes == nil && spec.Zone == "" {
-		*refused = append(*refused, unplaceable{request: spec.Request, allowsSpot: spec.Spot})
+		*knownUnplaceable = append(*knownUnplaceable, unplaceable{request: spec.Request, allowsSpot: spec.Spot})
 	}
 	return found
 }
@@ -107,7 +107,7 @@
 	request            clusterstate.Resources
 	allowsSpot         bool
 	avoidsHeldCapacity bool          // capacity held for higher-priority work was not used
-	yieldUntil         time.Duration // until then, capacity is yielded to other controllers; 0: none was
+	yieldUntil         time.Duration // until then, fitting capacity is yielded to other controllers; 0: none existed
 	priorityClass      int
 	enqueuedAtMS       int64
 }
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -75,7 +75,7 @@
 	// latestStartMS is the latest start time that meets the job's deadline if that is before its
 	// acceptance, and 0 otherwise.
 	latestStartMS   int64
-	restoreOrder    uint64 // restored jobs precede all later ones, the largest value first; 0: not restored
+	restoreOrder    uint64 // restored jobs precede those accepted since, the largest value first; 0: not restored
 	enqueueRevision uint64
 	enqueueMS       int64
 }
--- a/core/queuelisting.go
+++ b/core/queuelisting.go
@@ -77,11 +77,11 @@
 // respondQueuePage responds with a page of the queued jobs that the caller may read.
 func (c *Core) respondQueuePage(in ListQueue) {
 	queued := c.queuedJobs()
-	page, refused := wire.JobQueue{Total: len(queued), Version: c.priority.revision}, []unplaceable{}
+	page, knownUnplaceable := wire.JobQueue{Total: len(queued), Version: c.priority.revision}, []unplaceable{}
 	limit := min(max(1, in.Limit), maxQueuePage)
 	for i := max(0, in.AfterPosition); i < len(queued) && len(page.Jobs) < limit; i++ {
 		if c.access.canReadJob(in.Caller, queued[i]) {
-			page.Jobs = append(page.Jobs, c.describeQueuedJob(queued[i], i+1, &refused))
+			page.Jobs = append(page.Jobs, c.describeQueuedJob(queued[i], i+1, &knownUnplaceable))
 		}
 		page.NextOffset = i + 1
 	}
@@ -113,12 +113,12 @@
 	return queued
 }
 
-// describeQueuedJob describes a queued job and why it waits, as far as any controller can tell. refused
-// holds the requests of earlier jobs in the same response that are known not to fit.
-func (c *Core) describeQueuedJob(j *job, position int, refused *[]unplaceable) wire.QueuedJob {
+// describeQueuedJob describes a queued job and why it waits, as far as any controller can tell.
+// knownUnplaceable holds the requests of earlier jobs in the same response that are known not to fit.
+func (c *Core) describeQueuedJob(j *job, position int, knownUnplaceable *[]unplaceable) wire.QueuedJob {
 	spec := j.record.Spec
 	own, effective := c.priority.ownClass(j.record), c.priority.effectiveClass(j)
-	reason, explanation := c.waitReasonOf(j, refused)
+	reason, explanation := c.waitReasonOf(j, knownUnplaceable)
 	description := wire.QueuedJob{
 		ID:            j.id,
 		Position:      position,
@@ -139,7 +139,7 @@
 }
 
 // waitReasonOf returns why a queued job does not start, with an explanation for the user.
-func (c *Core) waitReasonOf(j *job, refused *[]unplaceable) (reason waitReason, explanation string) {
+func (c *Core) waitReasonOf(j *job, knownUnplaceable *[]unplaceable) (reason waitReason, explanation string) {
 	spec := j.record.Spec
 	switch {
 	case j.unmetDependencies > 0:
@@ -151,7 +151,7 @@
 	case !c.teams.of(spec).fitsMaxQuota(spec.Request):
 		return waitsForQuota, "its team " + spec.Team +
 			" uses all that it may; it begins when other work of the team ends"
-	case !c.canPlaceTaskNow(spec, refused):
+	case !c.canPlaceTaskNow(spec, knownUnplaceable):
 		return waitsForCapacity, "no machine has room for one of its tasks; machines are rented if there are " +
 			"any to be had, and those before it in the queue come first"
 	}
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -29,8 +29,8 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range jobs {
 		spec := &wire.JobSpec{Tasks: 100, Spot: true, Request: [3]int64{3000 + rng.Int64N(2000), 0, 8000}}
-		need := demand{spec: spec, tasks: 100, tasksByZone: map[string]int{}, priorityClass: 1}
-		c.packDemand(need, supply)
+		d := demand{spec: spec, tasks: 100, tasksByZone: map[string]int{}, priorityClass: 1}
+		c.packDemand(d, supply)
 	}
 	if limit := uint64(30 * (machines + c.autoscaler.maxScaleOut())); c.Stats.PlanMachineLooks > limit {
 		t.Errorf("%d machines examined for %d jobs, the limit is %d", c.Stats.PlanMachineLooks, jobs, limit)
@@ -45,8 +45,8 @@
 		tasks:       3,
 		tasksByZone: map[string]int{},
 	}
-	if now := c.packDemand(small, supply); now != 0 || !bins[0].needed {
-		t.Errorf("small tasks do not fit: %d placed now, machine needed: %v", now, bins[0].needed)
+	if placeable := c.packDemand(small, supply); placeable != 0 || !bins[0].needed {
+		t.Errorf("small tasks do not fit: %d placed now, machine needed: %v", placeable, bins[0].needed)
 	}
 }
 
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// beginScan reports whether a scan of all waiting jobs is due. If so, it begins the scan and forgets
-// the requests that are known not to fit.
+// beginScan reports whether a scan of all waiting jobs is due. If so, it begins the scan and clears
+// the list of requests that are known not to fit.
 func (p *placementState) beginScan() bool {
 	if p.yieldedUntil != 0 && p.now >= p.yieldedUntil {
 		p.yieldedUntil, p.nextScanAt, p.capacityFreed = 0, p.now, true
@@ -138,8 +138,8 @@
 	return due
 }
 
-// isDue reports whether a job may be written now. It clears the job's dirty mark if another controller
-// is responsible for it.
+// isDue reports whether a job may be written now. It clears the job's dirty mark if this
+// controller is not responsible for it.
 func (c *Core) isDue(j *job) bool {
 	examineAt := max(j.write.nextExamineAt, j.write.refusedUntil)
 	if !j.write.dirty || j.write.inFlight || j.write.outcomeUnknown || c.now < examineAt {
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -22,11 +22,11 @@
 }
 
 // recordStarts adds the starts of a proposal to the shares.
-func (p *priorityState) recordStarts(made *proposal) {
-	if len(made.started) == 0 || made.record.Spec == nil {
+func (p *priorityState) recordStarts(next *proposal) {
+	if len(next.started) == 0 || next.record.Spec == nil {
 		return
 	}
-	s, class := &p.startShares, p.ownClass(made.record)
+	s, class := &p.startShares, p.ownClass(next.record)
 	if len(s.startsByClass) != p.classes.Len() {
 		s.startsByClass = make([]float64, p.classes.Len())
 	}
@@ -35,23 +35,23 @@
 	for i := range s.startsByClass {
 		s.startsByClass[i] *= decay
 	}
-	s.startsByClass[class] += float64(len(made.started))
+	s.startsByClass[class] += float64(len(next.started))
 }
 
 // shareBelow returns the share of recent starts that belong to the classes below the given one. It is 1 if
 // there were no recent starts.
 func (s *startShares) shareBelow(class int) float64 {
-	all, below := 0.0, 0.0
+	total, below := 0.0, 0.0
 	for i, n := range s.startsByClass {
-		all += n
+		total += n
 		if i > class {
 			below += n
 		}
 	}
-	if all < 1 {
+	if total < 1 {
 		return 1
 	}
-	return below / all
+	return below / total
 }
 
 // enforceStartShares checks whether the classes below some class got less than their reserved share of
--- a/core/yield.go
+++ b/core/yield.go
@@ -77,7 +77,7 @@
 
 // machineRank returns this controller's rank, from 0, in a machine's rendezvous order of the live
 // controllers. Within a tier, a job's tasks go to the machines for which this rank is smallest. Otherwise,
-// controllers that choose between the same two pushes would all choose the same machines.
+// controllers that place tasks in the interval between two pushes would all choose the same machines.
 func (c *Core) machineRank(m *machine) int {
 	// The version is stored plus 1, because 0 means that the rank was never computed.
 	if version := c.controllers.registrationsVersion + 1; m.ranking.nodesVersion != version {
