--- a/access/access.go
+++ b/access/access.go
@@ -1,6 +1,6 @@
-// Package access authorizes actions by a policy of roles, grants and identities, and verifies tokens. It
-// owns no state besides the policy, does no I/O and has no clock: the same policy and the same action
-// always give the same decision, with the grant that made it.
+// Package access authorizes actions by a policy of roles, grants and identities, and verifies tokens. It holds no
+// state besides the policy, does no I/O and reads no clock: the same policy and the same action always give the
+// same decision, which names the grant behind it.
 package access
 
 import (
@@ -23,17 +23,17 @@
 // AnyGroup stands for all teams or classes in a grant.
 const AnyGroup = "*"
 
-// Limits of a policy, so that it fits in memory and in a listing.
+// Limits that keep a policy small enough for memory and for a listing.
 const (
 	maxIdentities      = 10_000
 	maxRoles           = 1_000
 	maxGrantsPerRole   = 100
-	maxKeysPerIdentity = 10  // the old and the new one while a key is rotated, and a few more
+	maxKeysPerIdentity = 10  // a rotation needs two, the others are spare
 	maxGroupNameBytes  = 200 // of a team or class
 )
 
-// Action is what an identity requests; Team and Class are those of the job, if it concerns one. Priority
-// counts for submissions: 0 is the highest.
+// Action is an action that an identity requests. Team and Class are those of the job, if the action concerns one.
+// Priority matters for submissions only; 0 is the highest.
 type Action struct {
 	Verb     Verb
 	Team     string
@@ -41,7 +41,7 @@
 	Priority int
 }
 
-// Decision is whether an action is allowed, and by which grant.
+// Decision tells whether an action is allowed, and by which grant.
 type Decision struct {
 	Allowed     bool   `json:"allowed"`
 	Role        string `json:"role,omitempty"`  // of the grant that allows it
@@ -49,7 +49,7 @@
 	Reason      string `json:"why"`
 }
 
-// Policy is the valid permissions of a cluster. It never changes.
+// Policy is a valid set of permissions of a cluster. It is immutable.
 type Policy struct {
 	source     *pb.Access
 	roles      map[string]*role
@@ -87,7 +87,7 @@
 
 var validName = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._@-]{0,79}$`)
 
-// Parse reads a policy in protobuf text format. An error is one line and names the place.
+// Parse reads a policy in protobuf text format. Its error is a single line and names the invalid field.
 func Parse(text []byte) (*Policy, error) {
 	var source pb.Access
 	if err := prototext.Unmarshal(text, &source); err != nil {
@@ -96,7 +96,8 @@
 	return New(&source)
 }
 
-// New checks a policy. An error names the place: the parts of its path are joined by wrapping.
+// New validates a policy. Its error names the invalid field: each level of validation prepends its part of the path
+// by wrapping.
 func New(source *pb.Access) (*Policy, error) {
 	p := &Policy{
 		source:     source,
@@ -121,7 +122,7 @@
 	return p, nil
 }
 
-// addRole checks and adds a role.
+// addRole validates and adds a role.
 func (p *Policy) addRole(source *pb.Role) error {
 	if !validName.MatchString(source.Name) || p.roles[source.Name] != nil {
 		return fmt.Errorf(".name: %q is no name, or used twice", source.Name)
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// newGrant checks a grant.
+// newGrant validates a grant.
 func newGrant(source *pb.Grant) (grant, error) {
 	checked := grant{verbs: map[Verb]bool{}, highestPriority: wire.PriorityStandard}
 	if len(source.Verbs) == 0 {
@@ -175,7 +176,7 @@
 	return checked, nil
 }
 
-// newGroups checks the teams or classes of a grant.
+// newGroups validates the teams or classes of a grant.
 func newGroups(field string, names []string, required bool) (map[string]bool, error) {
 	if required && len(names) == 0 {
 		return nil, fmt.Errorf(".%s: there are none; %q stands for all", field, AnyGroup)
@@ -190,7 +191,7 @@
 	return groups, nil
 }
 
-// addIdentity checks and adds an identity and its keys.
+// addIdentity validates and adds an identity and its keys.
 func (p *Policy) addIdentity(source *pb.Identity) error {
 	if !validName.MatchString(source.Name) || p.identities[source.Name] != nil {
 		return fmt.Errorf(".name: %q is no name, or used twice", source.Name)
@@ -216,7 +217,7 @@
 	return nil
 }
 
-// addKey checks and adds a key of an identity.
+// addKey validates and adds a key of an identity.
 func (p *Policy) addKey(holder string, source *pb.PublicKey) error {
 	raw, err := base64.StdEncoding.DecodeString(source.Ed25519)
 	if err != nil || len(raw) != ed25519.PublicKeySize {
@@ -242,13 +243,13 @@
 	return prototext.MarshalOptions{Multiline: true, Indent: "  "}.Format(source)
 }
 
-// Source is the policy as it was given; it must not be changed.
+// Source returns the message that the policy was made from. The caller must not modify it.
 func (p *Policy) Source() *pb.Access { return p.source }
 
-// HasIdentity reports whether there is an identity of that name.
+// HasIdentity reports whether an identity of that name exists.
 func (p *Policy) HasIdentity(identityName string) bool { return p.identities[identityName] != nil }
 
-// HasAdministrator reports whether an identity with a key may change permissions.
+// HasAdministrator reports whether any identity that has a key may change permissions.
 func (p *Policy) HasAdministrator() bool {
 	for _, key := range p.keys {
 		if p.Decide(key.Holder, Action{Verb: pb.Verb_administer}).Allowed {
@@ -258,13 +259,13 @@
 	return false
 }
 
-// ParseVerb returns the verb with a name.
+// ParseVerb returns the verb of that name.
 func ParseVerb(name string) (Verb, bool) {
 	verb, ok := pb.Verb_value[name]
 	return Verb(verb), ok && verb != 0
 }
 
-// Key returns the key with an ID.
+// Key returns the key with that ID.
 func (p *Policy) Key(id string) (*Key, bool) {
 	key, ok := p.keys[id]
 	return key, ok
@@ -273,7 +274,7 @@
 // CertificateKey is the key ID that stands for a client certificate.
 const CertificateKey = "certificate"
 
-// AllowsCertificate reports whether an identity may authenticate by a client certificate.
+// AllowsCertificate reports whether an identity may authenticate with a client certificate.
 func (p *Policy) AllowsCertificate(identityName string) bool {
 	found := p.identities[identityName]
 	return found != nil && found.allowsCertificate
@@ -293,8 +294,9 @@
 	return len(p.roles), len(p.identities), len(p.keys)
 }
 
-// Decide decides whether an identity may do an action. The first grant that covers it allows it; without
-// one it is denied. A submission above standard priority needs two: to submit, and to prioritise that far.
+// Decide decides whether an identity may perform an action. The first grant that covers the action allows it;
+// without such a grant it is denied. A submission above standard priority needs two grants: one to submit, and one
+// to prioritise up to that priority.
 func (p *Policy) Decide(identityName string, action Action) Decision {
 	actor := p.identities[identityName]
 	if actor == nil {
@@ -308,8 +310,8 @@
 	return actor.findGrant(action)
 }
 
-// findGrant decides by the first grant that covers an action. If there is none, the reason is what the
-// last grant of its verb lacks.
+// findGrant allows an action by the first grant that covers it. If there is none, the reason tells why the last
+// grant of the verb does not cover it.
 func (id *identity) findGrant(action Action) Decision {
 	reason := "no grant of " + action.Verb.String()
 	for _, r := range id.roles {
@@ -342,7 +344,8 @@
 	return containsGroup(g.teams, action.Team) && containsGroup(g.classes, action.Class)
 }
 
-// containsGroup reports whether a set has a team or class; one that is not known is only in AnyGroup.
+// containsGroup reports whether a set includes a team or class. An unknown one has no name, and only AnyGroup
+// includes it.
 func containsGroup(set map[string]bool, name string) bool {
 	return set[AnyGroup] || name != "" && set[name]
 }
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -31,7 +31,7 @@
 identities { name: "portal" service: true }
 `
 
-// A decision without its grant could not be explained to users, nor audited.
+// Every decision must name the grant behind it: otherwise it can neither be explained to users nor audited.
 func TestDecisionsNameTheirGrant(t *testing.T) {
 	p, err := Parse([]byte(testPolicy))
 	if err != nil {
@@ -44,7 +44,7 @@
 	}{
 		{"anna", "submit", "kiln-floor", "firing", 2, "technician 1"},
 		{"anna", "submit", "kiln-floor", "firing", 1, "technician 2"},
-		{"anna", "submit", "kiln-floor", "firing", 0, ""}, // its grant is up to high
+		{"anna", "submit", "kiln-floor", "firing", 0, ""}, // its grant ends at high
 		{"anna", "submit", "kiln-floor", "glaze", 1, ""},  // another class
 		{"anna", "submit", "potters", "plan", 3, ""},
 		{"anna", "administer", "", "", 0, "admin 1"},
@@ -73,7 +73,7 @@
 	}
 }
 
-// An invalid policy gives an error of one line that names the place.
+// The error of an invalid policy must be a single line that names the invalid field.
 func TestPolicyErrorsNameTheField(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{`roles { name: "a" }`, "roles[0] (a).grants"},
@@ -101,8 +101,8 @@
 	}
 }
 
-// newPolicyWithKey returns the test policy with a key of anna, and the private half. The public half is also eva's
-// key k2.
+// newPolicyWithKey returns the test policy with a key of anna, and the private key. The same public key is also
+// eva's key k2.
 func newPolicyWithKey(t testing.TB) (*Policy, *PrivateKey) {
 	t.Helper()
 	key, err := NewKey("anna", "k1")
@@ -121,7 +121,7 @@
 	return p, key
 }
 
-// signToken signs a token.
+// signToken signs a token, or fails the test.
 func signToken(t *testing.T, key *PrivateKey, now time.Time, lifetime time.Duration) string {
 	t.Helper()
 	token, err := key.SignToken(now, lifetime)
@@ -131,7 +131,8 @@
 	return token
 }
 
-// A token must be of no use to others, at other times, or with other claims.
+// A token must be rejected outside of its lifetime, when it is signed with the key of another identity, and when
+// its header or claims were altered.
 func TestTokensAreBoundToTimeAndHolder(t *testing.T) {
 	p, key := newPolicyWithKey(t)
 	now, clockError := time.Unix(1_800_000_000, 0), 50*time.Millisecond
@@ -148,7 +149,7 @@
 		t.Fatal(err)
 	}
 	otherHolder := *key
-	otherHolder.ID = "k2" // eva's, with the same private half
+	otherHolder.ID = "k2" // eva's key, which has the same private key
 	unknown := *key
 	unknown.ID = "k9"
 	parts := strings.Split(good, ".")
@@ -179,7 +180,8 @@
 	}
 }
 
-// FuzzParse checks that errors are one line, and that a policy survives being formatted.
+// FuzzParse checks that errors are a single line, and that a policy is unchanged after it was formatted and parsed
+// again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(testPolicy))
 	f.Add([]byte(`identities { name: "x" keys { id: "k" ed25519: "AAAA" } }`))
@@ -187,7 +189,7 @@
 		p, err := Parse(text)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Fatalf("more than a line: %q", err)
+				t.Fatalf("the error has more than one line: %q", err)
 			}
 			return
 		}
@@ -198,7 +200,7 @@
 	})
 }
 
-// FuzzVerify checks that no token is accepted whose header and claims were not signed.
+// FuzzVerify checks that a token is accepted only with the header and claims that were signed.
 func FuzzVerify(f *testing.F) {
 	p, key := newPolicyWithKey(f)
 	now := time.Unix(1_800_000_000, 0)
--- a/access/token.go
+++ b/access/token.go
@@ -13,18 +13,19 @@
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// A token authenticates its holder for a short time. It is signed with a private key that never leaves the
-// holder; a cluster has only public keys. Permissions are not part of it: they are looked up at its use.
+// A token authenticates its holder for a limited time. It is signed with a private key that never leaves the
+// holder; a cluster knows only public keys. A token does not contain permissions: they are looked up when it is
+// used.
 
 const (
 	audience = "dewlift"
-	// MaxTokenLifetime is the longest lifetime of a token that is accepted. A lost key is usable until it
-	// is revoked, a lost token no longer than this.
+	// MaxTokenLifetime is the longest accepted lifetime of a token, and so bounds the use of a stolen token. A
+	// stolen key can be used until it is revoked.
 	MaxTokenLifetime = 12 * time.Hour
 	maxTokenBytes    = 2 << 10
 )
 
-// PrivateKey is a private key as its holder keeps it, in a file that no other user can read.
+// PrivateKey is a private key as its holder stores it, in a file that no other user can read.
 type PrivateKey struct {
 	Holder string `json:"holder"`
 	ID     string `json:"id"`
@@ -38,7 +39,7 @@
 	}
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("make key: %w", err)
+		return nil, fmt.Errorf("generate key: %w", err)
 	}
 	return &PrivateKey{Holder: holder, ID: id, Seed: key.Seed()}, nil
 }
@@ -55,15 +56,15 @@
 	return &key, nil
 }
 
-// PublicBase64 is the public key, in base64.
+// PublicBase64 returns the public key in base64.
 func (k *PrivateKey) PublicBase64() string {
 	return base64.StdEncoding.EncodeToString(ed25519.NewKeyFromSeed(k.Seed).Public().(ed25519.PublicKey))
 }
 
-// SignToken signs a token that is valid from now on for a lifetime.
+// SignToken returns a signed token that is valid from now on for the given lifetime.
 func (k *PrivateKey) SignToken(now time.Time, lifetime time.Duration) (string, error) {
 	if lifetime <= 0 || lifetime > MaxTokenLifetime {
-		return "", fmt.Errorf("a token lives more than 0 and at most %v", MaxTokenLifetime)
+		return "", fmt.Errorf("the lifetime of a token must be more than 0 and at most %v", MaxTokenLifetime)
 	}
 	token := jwt.NewWithClaims(jwt.SigningMethodEdDSA, jwt.RegisteredClaims{
 		Subject:   k.Holder,
@@ -80,10 +81,11 @@
 	return signed, nil
 }
 
-// ErrInvalidToken is wrapped by the errors of VerifyToken. Their texts are for the log.
+// ErrInvalidToken is wrapped by the errors of VerifyToken, whose texts are for the log only: a client gets just the
+// text of ErrInvalidToken.
 var ErrInvalidToken = errors.New("token not accepted")
 
-// PeekKeyID returns the ID of the key that a token claims to be signed with; nothing of it is verified.
+// PeekKeyID returns the ID of the key that a token claims to be signed with. It verifies nothing.
 func PeekKeyID(token string) (string, bool) {
 	if len(token) > maxTokenBytes {
 		return "", false
@@ -99,8 +101,8 @@
 	return header.KeyID, header.KeyID != ""
 }
 
-// VerifyToken verifies a token, and returns the key that signed it and its expiry. clockError bounds the
-// error of now, and that of the signer's clock.
+// VerifyToken verifies a token and returns the key that signed it and its expiry. clockError bounds the error of
+// now and also that of the signer's clock, so twice that much is tolerated.
 func (p *Policy) VerifyToken(token string, now time.Time, clockError time.Duration) (*Key, time.Time, error) {
 	if len(token) > maxTokenBytes {
 		return nil, now, fmt.Errorf("%w: too long", ErrInvalidToken)
