--- a/audit/aggregator.go
+++ b/audit/aggregator.go
@@ -9,12 +9,12 @@
 	pb "dewlift/proto"
 )
 
-// AggregatedEvent is an event of which only the number of occurrences is recorded.
+// AggregatedEvent is a kind of event. The log records only how often it occurred.
 type AggregatedEvent struct{ Identity, Verb, Object, Reason string }
 
-// Aggregator counts events until they are recorded together. Beyond its bound, further kinds of events are
-// counted without their objects, and beyond twice the bound without their identities: a flood takes bounded
-// memory, and nothing is dropped silently.
+// Aggregator counts events until they are recorded together. Above MaxBytes, further kinds of events are counted
+// without their objects and reasons, and above twice MaxBytes without their identities too: so a flood of events
+// takes bounded memory, and no event goes uncounted.
 type Aggregator struct {
 	MaxBytes  int
 	usedBytes int
@@ -22,14 +22,14 @@
 }
 
 const (
-	eventOverheadBytes = 16  // of an event beside its texts
-	maxTextBytes       = 200 // of a text in an entry
+	eventOverheadBytes = 16  // of an event, in addition to its texts
+	maxTextBytes       = 200 // of each text in an entry
 )
 
-// Ellipsis ends a text that was cut.
+// Ellipsis is the end of a truncated text.
 const Ellipsis = "..."
 
-// OtherValues stands for objects or identities that are not told apart.
+// OtherValues replaces objects or identities that are counted together.
 const OtherValues = "(others)"
 
 // Add counts occurrences of an event.
@@ -57,7 +57,7 @@
 	g.counts[event] += count
 }
 
-// size returns about how many bytes the event takes.
+// size returns approximately how many bytes the event takes.
 func (e *AggregatedEvent) size() int {
 	return len(e.Identity) + len(e.Verb) + len(e.Object) + len(e.Reason) + eventOverheadBytes
 }
@@ -65,7 +65,8 @@
 // Len returns the number of distinct events.
 func (g *Aggregator) Len() int { return len(g.counts) }
 
-// Drain removes and returns events of at most maxBytes, but at least one if there is any, in a fixed order.
+// Drain removes events of at most maxBytes in total, but at least one if there is any, and returns them in a
+// deterministic order.
 func (g *Aggregator) Drain(maxBytes int) []*pb.AuditItem {
 	all := make([]AggregatedEvent, 0, len(g.counts))
 	for event := range g.counts {
@@ -98,7 +99,7 @@
 	return out
 }
 
-// TruncateText returns a text as an entry holds it: valid UTF-8 of bounded length.
+// TruncateText returns a text in the form in which an entry holds it: valid UTF-8 of bounded length.
 func TruncateText(text string) string {
 	return utf8text.Truncate(text, maxTextBytes, Ellipsis)
 }
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -20,7 +20,7 @@
 // testKey signs the chains of the tests.
 var testKey = Key("a key of more than thirty-two bytes")
 
-// newChain returns a chain of blocks with so many entries each.
+// newChain returns a chain of blocks with the given numbers of entries.
 func newChain(t testing.TB, sizes ...int) (raws []json.RawMessage) {
 	t.Helper()
 	head := &Head{}
@@ -53,7 +53,7 @@
 	return raws
 }
 
-// verifyChain verifies blocks with the given numbers, or else numbered from 1.
+// verifyChain verifies blocks that have the given numbers, or are numbered from 1 if there are none.
 func verifyChain(raws []json.RawMessage, numbers ...uint64) (*ChainVerifier, error) {
 	verifier := &ChainVerifier{Node: "n0", Keys: []Key{Key("another key, which is of no use"), testKey}}
 	for i, raw := range raws {
@@ -68,7 +68,7 @@
 	return verifier, nil
 }
 
-// alterBlock changes a block as anyone with write access to the store could, checksum included.
+// alterBlock changes a block and updates its checksum, as anyone with write access to the store could.
 func alterBlock(t testing.TB, raw json.RawMessage, alter func(b *pb.AuditBlock)) json.RawMessage {
 	t.Helper()
 	var block pb.AuditBlock
@@ -83,7 +83,8 @@
 	return out
 }
 
-// Whatever is done to a block without the key, the first altered entry must be located.
+// Whoever alters a block without knowing the key must be detected: verification must locate the first altered
+// entry.
 func TestEveryAlterationIsLocated(t *testing.T) {
 	raws := newChain(t, 3, 4, 2)
 	if verifier, err := verifyChain(raws); err != nil || verifier.BlockNumber != 3 || verifier.EntryCount != 9 {
@@ -143,14 +144,15 @@
 		altered := slices.Clone(raws)
 		altered[1] = alterBlock(t, raws[1], tt.alter)
 		_, err := verifyChain(altered)
-		if fault := (*ChainError)(nil); !errors.As(err, &fault) || fault.Block != 2 || fault.Entry != tt.entry ||
-			strings.Contains(err.Error(), "\n") {
+		if chainErr := (*ChainError)(nil); !errors.As(err, &chainErr) || chainErr.Block != 2 ||
+			chainErr.Entry != tt.entry || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// Whatever is done to the order of blocks, the first block that does not continue the chain must be located.
+// Removed, reordered and replaced blocks must be detected: verification must locate the first block that does not
+// continue the chain.
 func TestEveryReplacedBlockIsLocated(t *testing.T) {
 	raws := newChain(t, 3, 4, 2)
 	for name, tt := range map[string]struct {
@@ -170,13 +172,14 @@
 		},
 	} {
 		_, err := verifyChain(tt.raws, tt.numbers...)
-		if fault := (*ChainError)(nil); !errors.As(err, &fault) || fault.Block != tt.block {
+		if chainErr := (*ChainError)(nil); !errors.As(err, &chainErr) || chainErr.Block != tt.block {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// A block must hold as many entries as fit, and an entry that fits no value must be an error, not a loop.
+// A block must hold many entries up to its size limit. An entry that exceeds the limit by itself must be an error,
+// not an endless loop.
 func TestBlockHoldsAsManyEntriesAsFit(t *testing.T) {
 	var entries [][]byte
 	random := rand.New(rand.NewPCG(1, 2))
@@ -192,7 +195,8 @@
 	}
 }
 
-// A pending entry must be valid for the key of its value and its controller only.
+// A pending entry must be valid only in the value and for the controller that it was signed for: otherwise, anyone
+// with write access to the store could move or forge entries.
 func TestPendingEntriesCannotBeMovedOrForged(t *testing.T) {
 	signed := testKey.SignEntry("n0", "dl/job/wk-1", &pb.AuditEntry{Life: 3, Count: 4, Who: "anna", Verb: "submit"})
 	if entry, err := testKey.VerifyEntry("dl/job/wk-1", &signed); err != nil || entry.Who != "anna" {
@@ -217,13 +221,13 @@
 	}
 }
 
-// A head must know of every entry whether it is in a block, in whatever order those of former incarnations are
-// written.
+// A head must tell for every entry whether it is in a block, whatever the order in which the entries of former
+// incarnations are written.
 func TestHeadContainsRecordedEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head := &Head{}
 		recorded := map[[2]uint64]bool{}
-		highest := map[uint64]uint64{} // sequence number by incarnation
+		highest := map[uint64]uint64{} // highest sequence number by incarnation
 		for life := uint64(1); life <= 6; life++ {
 			head = &Head{Incarnations: head.WithIncarnation(Incarnation{Number: life, NextSequence: 1})}
 			for range rapid.IntRange(0, 30).Draw(t, "steps") {
@@ -257,7 +261,7 @@
 	}
 }
 
-// A flood of events must take bounded memory, and all of them must be counted.
+// A flood of distinct events must take bounded memory, and every event must be counted.
 func TestFloodIsCountedInBoundedMemory(t *testing.T) {
 	g := Aggregator{MaxBytes: 4096}
 	for i := range 200_000 {
@@ -291,7 +295,8 @@
 	}
 }
 
-// Filters must combine, and the hour that occurs twice when clocks go back must not merge.
+// Filters must combine. Events in the two occurrences of the hour that is repeated when clocks go back must be told
+// apart.
 func TestFiltersAndTimeZones(t *testing.T) {
 	zurich, err := time.LoadLocation("Europe/Zurich")
 	if err != nil {
@@ -340,7 +345,7 @@
 	}
 }
 
-// A damaged block must be reported as a fault, and must not break the verification of others.
+// A damaged block must be reported as a ChainError, and must not break the verification of other blocks.
 func FuzzChain(f *testing.F) {
 	for _, raw := range newChain(f, 2, 3) {
 		f.Add([]byte(raw))
@@ -352,8 +357,8 @@
 		if err == nil && len(block.Entries) == 0 {
 			t.Error("an empty block is accepted")
 		}
-		if fault := (*ChainError)(nil); err != nil && !errors.As(err, &fault) {
-			t.Errorf("%v is no fault", err)
+		if chainErr := (*ChainError)(nil); err != nil && !errors.As(err, &chainErr) {
+			t.Errorf("%v is not a ChainError", err)
 		}
 		if _, err := DecodeBlock(raw); err != nil && !errors.Is(err, archive.ErrCorrupt) {
 			t.Errorf("%v", err)
@@ -364,7 +369,7 @@
 	})
 }
 
-// Keys, pending entries and block keys from outside must be rejected or read as they were written.
+// Arbitrary key files, pending entries and block keys must be rejected, or be parsed as they were written.
 func FuzzKeyAndCarried(f *testing.F) {
 	text, err := NewKey()
 	if err != nil {
@@ -373,7 +378,7 @@
 	f.Add(text, []byte(`{"a":"n0","l":1,"q":2,"e":"CAE=","t":"AAAA"}`), "da/a/n0/000000000001")
 	f.Fuzz(func(t *testing.T, text string, raw []byte, name string) {
 		if parsed, err := ParseKey(text); err == nil && len(parsed) < keyBytes {
-			t.Errorf("a key of %d bytes", len(parsed))
+			t.Errorf("a key of %d bytes is accepted", len(parsed))
 		}
 		var pending PendingEntry
 		if json.Unmarshal(raw, &pending) == nil {
--- a/audit/chain.go
+++ b/audit/chain.go
@@ -15,24 +15,25 @@
 	pb "dewlift/proto"
 )
 
-// BlockPrefix begins the keys of all blocks. No controller watches them.
+// BlockPrefix is the prefix of the keys of all blocks. No controller watches them.
 const BlockPrefix = "da/a/"
 
 const (
-	// tagBytes is the length of the MAC kept for each entry, which locates an alteration. The MAC of the
-	// whole block is not shortened.
+	// tagBytes is the length of the truncated MAC that is stored for each entry and locates an alteration. The MAC
+	// of the whole block is not truncated.
 	tagBytes = 8
 
-	// entryMACBytes is the length of the MAC of a pending entry.
+	// entryMACBytes is the length of the truncated MAC of a pending entry.
 	entryMACBytes = 16
 )
 
-// BlockKey returns the key of a block. The keys of a controller's blocks sort by number.
+// BlockKey returns the key under which a block is stored. The keys of a controller's blocks sort by number.
 func BlockKey(node string, number uint64) string {
 	return fmt.Sprintf("%s%s/%012d", BlockPrefix, node, number)
 }
 
-// SplitBlockKey is the reverse of BlockKey.
+// SplitBlockKey returns the controller and the number in a key that BlockKey made. It reports false for any other
+// key.
 func SplitBlockKey(key string) (node string, number uint64, ok bool) {
 	rest, ok := strings.CutPrefix(key, BlockPrefix)
 	i := strings.LastIndexByte(rest, '/')
@@ -45,7 +46,7 @@
 	return rest[:i], number, true
 }
 
-// initialMAC returns the MAC of a block's header, which the MACs of its entries continue.
+// initialMAC returns the MAC of a block's header, from which the MACs of its entries are chained.
 func (k Key) initialMAC(block *pb.AuditBlock) []byte {
 	var header [12]byte
 	binary.BigEndian.PutUint64(header[:], block.Number)
@@ -53,7 +54,7 @@
 	return k.mac([]byte("block"), []byte(block.Node), header[:], block.KeyId, block.Prev)
 }
 
-// EncodeEntry renders an entry for a block.
+// EncodeEntry encodes an entry for a block.
 func EncodeEntry(entry *pb.AuditEntry) []byte {
 	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(entry)
 	if err != nil {
@@ -62,8 +63,8 @@
 	return raw
 }
 
-// EncodeNextBlock returns the block behind a head with the first n of the entries: as many as fit a value of
-// maxBytes. It returns an error if not even one fits.
+// EncodeNextBlock returns the block that follows a head, its MAC, and the number n of leading entries in it. If the
+// entries don't all fit a value of maxBytes, it tries fewer and fewer; it returns an error if not even one fits.
 func (k Key) EncodeNextBlock(
 	head *Head,
 	node string,
@@ -90,10 +91,10 @@
 			return raw, n, mac, err
 		}
 	}
-	return nil, 0, nil, fmt.Errorf("an entry of %d bytes fits no value of %d", len(entries[0]), maxBytes)
+	return nil, 0, nil, fmt.Errorf("an entry of %d bytes does not fit a value of %d bytes", len(entries[0]), maxBytes)
 }
 
-// ChainError is the first place at which a chain is not as it was written.
+// ChainError names the first place at which a chain differs from what was written.
 type ChainError struct {
 	Node   string
 	Block  uint64
@@ -109,7 +110,7 @@
 	return fmt.Sprintf("chain of %s: entry %d of block %d %s", f.Node, f.Entry, f.Block, f.Reason)
 }
 
-// ChainVerifier verifies the blocks of a controller one after the other.
+// ChainVerifier verifies the chain of a controller, block by block.
 type ChainVerifier struct {
 	Node        string
 	Keys        []Key  // any of which may have signed a block
@@ -118,15 +119,15 @@
 	EntryCount  uint64
 }
 
-// Block is a block that was read.
+// Block is a decoded block.
 type Block struct {
 	Number       uint64
 	ClockErrorMS uint32
 	Entries      []*pb.AuditEntry
 }
 
-// VerifyNext verifies the next block. Its error is a *Fault; the entries returned with it, those before the
-// fault, are as they were written.
+// VerifyNext verifies the next block. Its error is a *ChainError; the entries returned with it precede the altered
+// place and are as they were written.
 func (c *ChainVerifier) VerifyNext(number uint64, raw json.RawMessage) (*Block, error) {
 	if number != c.BlockNumber+1 {
 		return nil, c.errorAt(c.BlockNumber+1, 0, fmt.Sprintf("is missing: block %d follows", number))
@@ -139,7 +140,7 @@
 		return nil, c.errorAt(number, 0, fmt.Sprintf("is block %d of %s", stored.Number, stored.Node))
 	}
 	if !bytes.Equal(stored.Prev, c.MAC) {
-		return nil, c.errorAt(number, 0, "does not follow the one before: that, or this one, was replaced")
+		return nil, c.errorAt(number, 0, "does not continue the previous block: one of the two was replaced")
 	}
 	key := c.keyWithID(stored.KeyId)
 	if key == nil {
@@ -154,12 +155,12 @@
 	return block, nil
 }
 
-// errorAt returns a fault of the chain.
+// errorAt returns a ChainError for a block of this chain, or for an entry of it.
 func (c *ChainVerifier) errorAt(block uint64, entry int, reason string) error {
 	return &ChainError{Node: c.Node, Block: block, Entry: entry, Reason: reason}
 }
 
-// keyWithID returns the key that signed a block, or nil.
+// keyWithID returns the key with that ID, or nil.
 func (c *ChainVerifier) keyWithID(id []byte) Key {
 	var found Key
 	for _, key := range c.Keys {
@@ -170,7 +171,7 @@
 	return found
 }
 
-// verifyEntries verifies the entries of a block and its MAC, which it returns.
+// verifyEntries verifies the entries and the MAC of a block, and returns that MAC.
 func (c *ChainVerifier) verifyEntries(key Key, stored *pb.AuditBlock) (*Block, []byte, error) {
 	block := &Block{Number: stored.Number, ClockErrorMS: stored.BoundMs}
 	mac := key.initialMAC(stored)
@@ -187,7 +188,7 @@
 		block.Entries = append(block.Entries, entry)
 	}
 	if len(stored.Tags) != len(stored.Entries)*tagBytes || !hmac.Equal(mac, stored.Code) {
-		reason := "was removed, or the block's code was altered"
+		reason := "was removed, or the MAC of the block was altered"
 		return block, nil, c.errorAt(stored.Number, len(stored.Entries)+1, reason)
 	}
 	return block, mac, nil
@@ -210,7 +211,7 @@
 	return block, nil
 }
 
-// PendingEntry is an entry carried by the value whose change it records, until it is in a block.
+// PendingEntry is an entry that is not in a block yet: it is stored in the value whose change it records.
 type PendingEntry struct {
 	Node        string `json:"a"`
 	Incarnation uint64 `json:"l"`
@@ -219,17 +220,18 @@
 	MAC         []byte `json:"t"` // the first entryMACBytes
 }
 
-// ErrForged is the error of a pending entry that is not as its controller wrote it.
+// ErrForged is the error of a pending entry that was altered since its controller wrote it. Its text is stored in
+// the audit log.
 var ErrForged = errors.New("carried entry is not as it was written")
 
-// SignEntry returns an entry as the value of a key carries it.
+// SignEntry returns the signed form in which the value of a key carries an entry.
 func (k Key) SignEntry(node, valueKey string, entry *pb.AuditEntry) PendingEntry {
 	pending := PendingEntry{Node: node, Incarnation: entry.Life, Sequence: entry.Count, Entry: EncodeEntry(entry)}
 	pending.MAC = k.entryMAC(valueKey, &pending)
 	return pending
 }
 
-// entryMAC returns the MAC of a pending entry, which is valid for its controller and the key of its value only.
+// entryMAC returns the MAC of a pending entry. It is valid only for that controller and the key of that value.
 func (k Key) entryMAC(valueKey string, pending *PendingEntry) []byte {
 	return k.mac([]byte("carried"), []byte(pending.Node), []byte(valueKey), pending.Entry)[:entryMACBytes]
 }
--- a/audit/event.go
+++ b/audit/event.go
@@ -6,7 +6,7 @@
 	pb "dewlift/proto"
 )
 
-// Event is one event of the audit log: an entry, or an item of one. Its JSON form is what commands print.
+// Event is one event of the audit log: an entry, or an item of an entry. Commands print its JSON form.
 type Event struct {
 	Node         string    `json:"node"`
 	Block        uint64    `json:"block"`
@@ -22,7 +22,7 @@
 	Count        uint32    `json:"count"`
 }
 
-// Events returns the events of a block in its order, with times in the given zone.
+// Events returns the events of a block in their order, with times in the given zone.
 func (b *Block) Events(node string, zone *time.Location) []Event {
 	var out []Event
 	for i, entry := range b.Entries {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// Filter selects events. Empty fields don't restrict.
+// Filter selects events. An empty field matches every event.
 type Filter struct {
 	Identity, Verb, Object, Outcome string
 	Since, Until                    time.Time // Until is exclusive
--- a/audit/key.go
+++ b/audit/key.go
@@ -1,7 +1,6 @@
-// Package audit is the audit log: who did what, and what was denied. Each controller has a chain of blocks
-// of its own, which are never rewritten. A MAC under a key that the key-value store does not hold chains
-// each entry to all earlier ones. The package decides how entries are signed, chained, aggregated, verified
-// and filtered. It does no I/O.
+// Package audit defines the audit log, which records who did what and what was denied. Each controller appends to
+// its own chain of blocks, which are never rewritten. A MAC chains each entry to all earlier ones; its key is not
+// in the key-value store. The package signs, chains, aggregates, verifies and filters entries. It does no I/O.
 package audit
 
 import (
@@ -15,15 +14,15 @@
 	"strings"
 )
 
-// Key is the secret with which entries are signed.
+// Key is the secret key with which entries are signed.
 type Key []byte
 
 const (
-	keyBytes   = 32 // at least, as for SHA-256
+	keyBytes   = 32 // at least: the size of a SHA-256 hash
 	keyIDBytes = 8
 )
 
-// NewKey returns a new random key as the line of a key file.
+// NewKey returns a random key as the line of a key file.
 func NewKey() (string, error) {
 	raw := make([]byte, keyBytes)
 	if _, err := rand.Read(raw); err != nil {
@@ -32,7 +31,7 @@
 	return base64.StdEncoding.EncodeToString(raw) + "\n", nil
 }
 
-// ParseKey reads the content of a key file.
+// ParseKey parses the content of a key file.
 func ParseKey(text string) (Key, error) {
 	raw, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
 	if err != nil || len(raw) < keyBytes {
@@ -44,8 +43,8 @@
 // ID identifies a key without revealing it.
 func (k Key) ID() []byte { return k.mac([]byte("dewlift audit key"))[:keyIDBytes] }
 
-// mac returns the HMAC-SHA256 of parts. Each part is preceded by its length, so that no two different
-// lists of parts have the same content.
+// mac returns the HMAC-SHA256 of the parts. Each part is preceded by its length, so that different lists of parts
+// never yield the same input.
 func (k Key) mac(parts ...[]byte) []byte {
 	hash := hmac.New(sha256.New, k)
 	for _, part := range parts {
--- a/audit/report/report.go
+++ b/audit/report/report.go
@@ -1,5 +1,5 @@
-// Package report renders audit events as an HTML page with a plot: who did what, by calendar day. It owns
-// only the counts of one report, and does no I/O but to the writer it is given.
+// Package report renders audit events as an HTML page with a plot that shows who did what on each calendar day. Its
+// only state is the counts of a report, and its only output is the writer that the caller provides.
 package report
 
 import (
@@ -20,7 +20,7 @@
 	"dewlift/internal/chart"
 )
 
-// Report counts events by day. Zone must be set; otherwise its zero value is ready.
+// Report counts events by day. Zone must be set; the other fields are ready at their zero values.
 type Report struct {
 	Zone        *time.Location // of the days
 	days        map[string]map[EventKind]*EventCount
@@ -36,21 +36,21 @@
 	EventKind
 	Count   uint64
 	Objects []string // the first maxObjectsShown
-	More    bool     // there are others
+	More    bool     // there are further objects
 }
 
-// maxObjectsShown bounds the objects named in a line, so that it stays readable.
+// maxObjectsShown bounds the objects that a row names, so that it stays readable.
 const maxObjectsShown = 3
 
 // Appearance of the plot.
 const (
-	maxLevelLabels = 8             // days with horizontal labels; more overlap
-	labelRotation  = 0.7           // rad, of the labels of more days
+	maxLevelLabels = 8             // days with horizontal labels, which overlap if there are more
+	labelRotation  = 0.7           // rad, of the labels of more days than that
 	titlePadding   = vg.Length(10) // points
 	plotWidth      = 380           // points for all bars
 	minBarWidth    = 4             // points
-	legendShare    = 0.2           // of the days, left free for the legend
-	minLegendDays  = 0.5           // at least
+	legendShare    = 0.2           // of the days: the width left free for the legend
+	minLegendDays  = 0.5           // least width left free for the legend
 )
 
 // Add counts an event on its calendar day in the report's zone.
@@ -95,7 +95,7 @@
 	return out
 }
 
-// pageTemplate is the page; it refers to no other files.
+// pageTemplate is the page. It is self-contained.
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>dewlift: who did what</title>
 <style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:62em;color:#222}` +
@@ -112,7 +112,7 @@
 {{end}}</table>
 {{end}}`))
 
-// WriteHTML writes the page, with a note beside the counts.
+// WriteHTML writes the page, with a note next to the counts.
 func (r *Report) WriteHTML(w io.Writer, note string) error {
 	type day struct {
 		Day   string
@@ -139,7 +139,8 @@
 	)
 }
 
-// plot draws the events of each day as a stack of bars, one for each verb and one for denials.
+// plot draws the events of each day as stacked bars: one for each verb and one for denials. It returns the image as
+// a data URL.
 func (r *Report) plot() (template.URL, error) {
 	days := r.Days()
 	if len(days) == 0 {
@@ -176,7 +177,7 @@
 	return chart.PNGDataURL(canvas)
 }
 
-// valuesByVerb returns the number of events on each day by verb; denials of all verbs are one.
+// valuesByVerb returns the number of events on each day by verb. Denials of all verbs are counted together.
 func (r *Report) valuesByVerb(days []string) map[string]plotter.Values {
 	values := map[string]plotter.Values{}
 	for i, day := range days {
