--- a/booking/booking_test.go
+++ b/booking/booking_test.go
@@ -15,7 +15,7 @@
 	pb "dewlift/proto"
 )
 
-// mustParse returns the equipment of a list.
+// mustParse parses an equipment list, or fails the test.
 func mustParse(t testing.TB, text string) *Inventory {
 	t.Helper()
 	inventory, err := Parse([]byte(text))
@@ -25,7 +25,7 @@
 	return inventory
 }
 
-// testEquipment is equipment with and without opening hours, closed days, teams and cooldown.
+// testEquipment is a list of equipment with and without opening hours, closed days, teams and cooldown.
 const testEquipment = `time_zone: "Europe/Zurich"
 pieces { name: "k1" kind: "kiln" slot_minutes: 60 cool_minutes: 90 }
 pieces {
@@ -38,7 +38,7 @@
 	hours { from: "06:30" to: "20:00" }
 }`
 
-// mustParseTime returns a local time of the site.
+// mustParseTime parses a local time of the site, or fails the test.
 func mustParseTime(t testing.TB, inventory *Inventory, text string) int64 {
 	t.Helper()
 	at, err := inventory.ParseTime(text)
@@ -48,8 +48,8 @@
 	return at
 }
 
-// Days of 23 and 25 hours must not shift reservations, and local times that occur twice or never must be told
-// apart.
+// Days of 23 and 25 hours must not shift reservations. A local time that is skipped must be an error, and the two
+// occurrences of a repeated one must be told apart.
 func TestDaylightSavingChanges(t *testing.T) {
 	s := mustParse(t, testEquipment)
 	for day, want := range map[string]int64{"2027-03-28": 23, "2027-03-29": 24, "2027-10-31": 25} {
@@ -69,7 +69,7 @@
 	if second-first != 3600 || mustParseTime(t, s, "2027-10-31T02:30+02:00") != first {
 		t.Errorf("a repeated time: %d, %d", first, second)
 	}
-	// A reservation through the change keeps its length.
+	// A reservation across the change keeps its length.
 	schedule := NewSchedule()
 	request := &Request{
 		ID:    "a",
@@ -77,7 +77,7 @@
 	}
 	result := s.Decide(schedule.NewDraft(), 0, request)
 	if result.Outcome != OutcomeDone || s.FormatTime(result.Booking.Slots[0].To) != "2027-03-28T09:00:00+02:00" {
-		t.Errorf("a reservation through the change: %v", result)
+		t.Errorf("a reservation across the change: %v", result)
 	}
 	// A series keeps its local time of day.
 	list, err := s.ExpandRecurrence(
@@ -85,15 +85,15 @@
 		"FREQ=WEEKLY;COUNT=2",
 	)
 	if err != nil || len(list) != 2 || s.FormatTime(list[1].From) != "2027-03-30T08:00:00+02:00" {
-		t.Errorf("a weekly series through the change: %v, %v", list, err)
+		t.Errorf("a weekly series across the change: %v, %v", list, err)
 	}
 	if _, err := s.ExpandRecurrence(list[0], "FREQ=DAILY;BYMONTH=2;BYMONTHDAY=30;COUNT=2"); err == nil {
 		t.Error("a rule that matches no day is accepted")
 	}
 }
 
-// Every minute of every day must map to the time at which it is local time, or is skipped, and never before
-// the previous minute.
+// Every minute of every day must map to the moment at which local clocks show it, or skip it, and never to a moment
+// before that of the previous minute.
 func TestTimeOnDay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{
@@ -121,7 +121,7 @@
 	})
 }
 
-// A reservation outside of opening hours or off the slot grid must be refused, with the reason.
+// A reservation outside of opening hours or off the slot grid must be refused with the right reason.
 func TestOpeningHours(t *testing.T) {
 	s := mustParse(t, testEquipment)
 	for text, want := range map[string]string{
@@ -151,7 +151,7 @@
 	}
 }
 
-// The error of an invalid equipment list must name the field, in one line.
+// The error of an invalid equipment list must be a single line that names the invalid field.
 func TestInventoryErrorsNameTheField(t *testing.T) {
 	const valid = `name: "a" kind: "k" slot_minutes: 5`
 	for _, tt := range []struct{ text, want string }{
@@ -202,7 +202,7 @@
 	return text
 }
 
-// Every kind of request must have its outcome, and the reason that its user reads.
+// Every kind of request must get the right outcome, and its user the right reason.
 func TestDecisions(t *testing.T) {
 	s, schedule := mustParse(t, testEquipment), NewSchedule()
 	draft := schedule.NewDraft()
@@ -235,7 +235,7 @@
 		},
 		{Request{Verb: VerbConfirm, ID: "w"}, "refused waiting w waits for its slots"},
 		{Request{Verb: VerbMove, ID: "b", Wants: want("k1", "2027-03-05T14:00", 1)}, "done held"},
-		{Request{Verb: VerbConfirm, ID: "w"}, "repeated confirmed"}, // it was assigned what b released
+		{Request{Verb: VerbConfirm, ID: "w"}, "repeated confirmed"}, // it was assigned the slot that b released
 		{Request{Verb: VerbConfirm, ID: "b"}, "done confirmed"},
 		{Request{Verb: VerbEnd, ID: "b", Reason: "cracked"}, "done ended"},
 		{Request{Verb: VerbEnd, ID: "b", Reason: "again"}, "repeated ended"},
@@ -257,7 +257,7 @@
 				Wants: append(want("k1", "2027-03-09T14:00", 1), want("k1", "2027-03-09T15:00", 1)...),
 			},
 			"refused none",
-		}, // the cooldown of its own first slot is in the way
+		}, // its second slot is within the cooldown of its first
 	}
 	for i, step := range steps {
 		got := describeResult(s, s.Decide(draft, now, &step.request))
@@ -302,7 +302,7 @@
 	}
 }
 
-// isFreeByBruteForce reports whether a unit is free, by a look at every reservation but one.
+// isFreeByBruteForce reports whether a unit is free, by examining every reservation but one.
 func isFreeByBruteForce(s *Schedule, item *equipmentItem, unit uint32, needed interval, exceptID string) bool {
 	for _, reservation := range s.byID {
 		if reservation.Id == exceptID ||
@@ -347,13 +347,13 @@
 	}
 }
 
-// checkUndo fails unless an undone draft leaves the schedule as it was before.
+// checkUndo undoes a draft and fails unless the schedule is as it was before.
 func checkUndo(t *rapid.T, schedule *Schedule, draft *Draft, before map[string]*pb.Booking) {
 	t.Helper()
 	changed := draft.Bookings
 	draft.Undo()
 	if !maps.Equal(schedule.byID, before) {
-		t.Fatal("an undone draft left a trace")
+		t.Fatal("an undone draft changed the schedule")
 	}
 	for _, reservation := range changed {
 		if schedule.byID[reservation.Id] == reservation {
@@ -362,8 +362,8 @@
 	}
 }
 
-// checkSchedule fails unless no unit is used twice, no waiting reservation could be met, and the index by
-// unit matches the reservations.
+// checkSchedule fails if a unit is used twice, a waiting reservation could be met, or the index by unit does not
+// match the reservations.
 func checkSchedule(t *rapid.T, s *Inventory, schedule *Schedule) {
 	t.Helper()
 	uses := 0
@@ -380,7 +380,7 @@
 		}
 		if reservation.State == pb.BookingState_waiting {
 			if slots, _, err := s.findUnits(schedule, id, reservation.Team, reservation.Wants); err == nil {
-				t.Fatalf("%v waits and could have %v", reservation, slots)
+				t.Fatalf("%v waits, but could be assigned %v", reservation, slots)
 			}
 		}
 	}
@@ -388,7 +388,7 @@
 		uses -= len(list)
 	}
 	if uses != 0 {
-		t.Fatalf("the index is off by %d", uses)
+		t.Fatalf("the number of occupancies in the index is off by %d", uses)
 	}
 }
 
@@ -411,8 +411,8 @@
 	}
 }
 
-// Whatever is requested in whatever order: no unit may be used twice, no reservation may wait for what it
-// could have, no free time may be missed, and an undone draft must leave no trace.
+// Whatever is requested in whatever order: no unit may be used twice, no reservation may wait although its wants
+// can be met, no free time may be missed, and an undone draft must not change the schedule.
 func TestScheduleKeepsItsInvariants(t *testing.T) {
 	s := mustParse(t, testEquipment)
 	start := mustParseTime(t, s, "2027-03-04T00:00")
@@ -435,7 +435,8 @@
 	})
 }
 
-// The time of a decision must not grow with the number of other reservations.
+// BenchmarkDecideInFullSchedule measures a decision among many reservations: its time must not grow with their
+// number.
 func BenchmarkDecideInFullSchedule(b *testing.B) {
 	s, schedule := mustParse(b, testEquipment), NewSchedule()
 	draft := schedule.NewDraft()
@@ -453,7 +454,8 @@
 	}
 }
 
-// Every valid equipment list must stay valid when it is read again, and have opening hours.
+// FuzzParse checks that a valid equipment list is still valid when it is read again, and that its opening hours can
+// be computed.
 func FuzzParse(f *testing.F) {
 	f.Add(testEquipment)
 	f.Add(`pieces {
--- a/booking/decide.go
+++ b/booking/decide.go
@@ -17,30 +17,30 @@
 
 // Limits of a reservation.
 const (
-	MaxWants     = 60   // slots in one reservation
-	MaxWaitlist  = 2000 // reservations that wait
-	MaxDisplaced = 40   // reservations that one change of the equipment may end: they are stored together
+	MaxWants     = 60   // wants in one reservation, one for each of its slots
+	MaxWaitlist  = 2000 // reservations on the waitlist
+	MaxDisplaced = 40   // reservations that one change of the equipment may end, as they must fit one value together
 
-	maxSlotsPerWant = 1000        // consecutive slots of the item
+	maxSlotsPerWant = 1000        // consecutive slots of an item
 	maxHoldMinutes  = 7 * 24 * 60 // a week
-	maxAlternatives = 3           // free times suggested in place of an occupied one
+	maxAlternatives = 3           // free times that are suggested instead of an occupied one
 	maxReasonBytes  = 200
 )
 
 var validID = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
 
-// ValidID reports whether a reservation may have the id.
+// ValidID reports whether a reservation may have that ID.
 func ValidID(id string) bool { return validID.MatchString(id) }
 
-// Request is a user's request.
+// Request is a user's request to create or change a reservation, or to replace the equipment.
 type Request struct {
 	Verb         Verb
 	ID           string
 	Team         string
 	Identity     string
 	Wants        []*pb.Want // for VerbCreate and VerbMove
-	HoldSeconds  uint32     // for VerbCreate: how long it is held unconfirmed; 0: it is confirmed at once
-	WaitlistRank uint32     // for VerbCreate: lower ranks come first
+	HoldSeconds  uint32     // for VerbCreate: time to confirm it before it ends; 0: it is confirmed at once
+	WaitlistRank uint32     // for VerbCreate: lower ranks are served first
 	JoinWaitlist bool       // for VerbCreate: wait if the wants can't be met now
 	Reason       string     // for VerbEnd and VerbSetInventory
 	Replacement  *Inventory // for VerbSetInventory
@@ -50,7 +50,7 @@
 // Verb is the kind of a request.
 type Verb int
 
-// Verbs.
+// Kinds of requests.
 const (
 	VerbCreate Verb = iota
 	VerbConfirm
@@ -59,21 +59,21 @@
 	VerbSetInventory
 )
 
-// Outcome is the kind of a result. It is neither stored nor sent, so its numbers may change.
+// Outcome is the kind of a result. Outcomes are neither stored nor sent, so their numbers may change.
 type Outcome int
 
-// Outcomes. The zero value is no success: a result that nobody has filled in grants nothing.
+// Outcomes. The zero value is not a success, so that a result that was never set grants nothing.
 const (
 	OutcomeUndecided Outcome = iota
-	OutcomeDone              // the only one that changes something
-	OutcomeRepeated          // an identical request was done before
-	OutcomeRefused           // not possible now: Reason says why
-	OutcomeInvalid           // never possible
-	OutcomeNotFound          // there is no such reservation
+	OutcomeDone              // the only outcome with changes
+	OutcomeRepeated          // an identical request was granted before
+	OutcomeRefused           // not possible now, for the given Reason
+	OutcomeInvalid           // the request itself is invalid
+	OutcomeNotFound          // the reservation does not exist
 	OutcomeForbidden         // the caller lacks the permission
 )
 
-// outcomeNames are the names of outcomes in logs and tests.
+// outcomeNames are the names of the outcomes in logs and tests.
 var outcomeNames = [...]string{"undecided", "done", "repeated", "refused", "invalid", "not found", "forbidden"}
 
 // String returns the name of an outcome.
@@ -84,26 +84,26 @@
 	return outcomeNames[o]
 }
 
-// Result is the result of a request.
+// Result is the decision on a request.
 type Result struct {
 	Outcome      Outcome
 	Reason       string
-	Booking      *pb.Booking // after the request
+	Booking      *pb.Booking // as of after the request
 	Alternatives []FreeSlot
 	Displaced    []*pb.Booking
 }
 
-// IsGranted reports whether the request was granted: only then may its changes be written and recorded.
+// IsGranted reports whether the request was granted: only then may its changes be written and audited.
 func (r *Result) IsGranted() bool { return r.Outcome == OutcomeDone }
 
-// FreeSlot is a time at which an item can be reserved.
+// FreeSlot is an interval in which an item can be reserved.
 type FreeSlot struct {
 	Piece    string
 	From, To int64 // s since 1970
 }
 
-// Decide decides a request and adds the changes to a draft. now is the wall clock in seconds. The result
-// holds once the draft is committed, provided that nothing else was committed since the schedule was read.
+// Decide decides a request and adds its changes to a draft. now is the wall-clock time in seconds. The result is
+// valid once the draft is committed, provided that nothing else was committed since the schedule was read.
 func (inv *Inventory) Decide(draft *Draft, now int64, request *Request) Result {
 	var result Result
 	switch request.Verb {
@@ -123,7 +123,7 @@
 		if request.Verb == VerbSetInventory {
 			current = request.Replacement
 		}
-		current.Advance(draft, now) // assigns what became free
+		current.Advance(draft, now) // assigns the units that became free
 	}
 	if result.Booking != nil {
 		result.Booking = draft.schedule.byID[result.Booking.Id]
@@ -144,7 +144,7 @@
 	return endBooking(draft, now, reservation, cmp.Or(truncateReason(request.Reason), "ended by its booker"))
 }
 
-// truncateReason returns a reason as it is stored: valid UTF-8 of bounded length.
+// truncateReason returns a reason in its stored form: valid UTF-8 of bounded length.
 func truncateReason(reason string) string { return utf8text.Truncate(reason, maxReasonBytes, "") }
 
 // refusal returns the result of a request that is not possible now.
@@ -152,7 +152,7 @@
 	return Result{Outcome: OutcomeRefused, Booking: reservation, Reason: fmt.Sprintf(format, args...)}
 }
 
-// HasDueChanges reports whether Advance would change something because of the time.
+// HasDueChanges reports whether a reservation has to end because its time has run out: Advance would end it.
 func (s *Schedule) HasDueChanges(now int64) bool {
 	for _, reservation := range s.held {
 		if reservation.HeldUntil <= now {
@@ -165,17 +165,18 @@
 	)
 }
 
-// hasBegun reports whether any of the wants should have begun.
+// hasBegun reports whether the start of any of the wants has passed.
 func hasBegun(wants []*pb.Want, now int64) bool {
 	return slices.ContainsFunc(wants, func(want *pb.Want) bool { return want.From <= now })
 }
 
-// Advance ends reservations whose time has run out and assigns what is free to the waitlist, in its
-// order. Afterwards no waiting reservation can be met, so a later request never overtakes one.
+// Advance ends the reservations whose time has run out and assigns free units to the waitlist, in its order.
+// Afterwards no waiting reservation can be met, so a later request never takes what a waiting one could have.
 func (inv *Inventory) Advance(draft *Draft, now int64) { inv.AdvanceUpTo(draft, now, math.MaxInt) }
 
-// AdvanceUpTo is Advance that ends at most maxEnded reservations, those first that changed longest ago: HasDueChanges
-// reports whether some are left. Those keep what they have, so nothing that they free is assigned too early.
+// AdvanceUpTo does what Advance does, but ends at most maxEnded reservations. Expired holds come first, the least
+// recently changed of them before the others. HasDueChanges reports whether any are left; those keep their units,
+// so that none is reassigned before its reservation ends.
 func (inv *Inventory) AdvanceUpTo(draft *Draft, now int64, maxEnded int) {
 	var expired []*pb.Booking
 	for _, reservation := range draft.schedule.held {
@@ -205,14 +206,14 @@
 	}
 }
 
-// nextVersion returns a copy of a reservation that may be changed.
+// nextVersion returns a copy of a reservation that may be modified.
 func nextVersion(reservation *pb.Booking) *pb.Booking {
 	next := protobuf.CloneOf(reservation)
 	next.Change = 0
 	return next
 }
 
-// grantSlots makes a reservation confirmed, or held if it must be confirmed.
+// grantSlots marks a reservation as confirmed, or as held if its user still has to confirm it.
 func grantSlots(reservation *pb.Booking, now int64) {
 	reservation.State = pb.BookingState_confirmed
 	if reservation.HoldS > 0 {
@@ -220,8 +221,8 @@
 	}
 }
 
-// requestDigest identifies the content of a request: a repeated one has the same digest. It is stored, so
-// it must not change.
+// requestDigest returns a hash of the content of a request, by which a repeated request is recognized. The hash is
+// stored, so its definition must not change.
 func requestDigest(request *Request) uint64 {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s|%s|%d|%d|%v",
@@ -232,7 +233,8 @@
 	return xxhash.Sum64String(text.String())
 }
 
-// createBooking creates a reservation, on the waitlist if its wants can't be met and it may wait.
+// createBooking creates a reservation. It is put on the waitlist if its wants can't be met and the request allows
+// it.
 func (inv *Inventory) createBooking(draft *Draft, now int64, request *Request) Result {
 	digest := requestDigest(request)
 	if existing := draft.schedule.byID[request.ID]; existing != nil {
@@ -277,7 +279,7 @@
 	return Result{Outcome: OutcomeDone, Booking: created}
 }
 
-// alternatives returns the next free times for a want of a reservation that can't be met.
+// alternatives returns the next free times for a want that can't be met.
 func (inv *Inventory) alternatives(draft *Draft, reservation *pb.Booking, want *pb.Want, now int64) []FreeSlot {
 	from := max(now, want.From)
 	return inv.NextFree(draft.schedule, reservation.Id, reservation.Team, want, from, 0, maxAlternatives)
@@ -302,8 +304,8 @@
 	return nil
 }
 
-// validateCandidates returns the error of the first candidate of a want, unless some candidate is open to
-// the team at that time.
+// validateCandidates returns nil if the team may reserve some candidate of the want at that time, and otherwise the
+// error of the first candidate.
 func (inv *Inventory) validateCandidates(team string, want *pb.Want) error {
 	candidates := inv.candidates(want)
 	if len(candidates) == 0 {
@@ -338,7 +340,7 @@
 	return refusal(reservation, "%s has ended: %s", reservation.Id, reservation.Why)
 }
 
-// moveBooking replaces the slots of a reservation. If the new wants can't be met, it keeps its own.
+// moveBooking replaces the slots of a reservation. If the new wants can't be met, the reservation keeps its slots.
 func (inv *Inventory) moveBooking(draft *Draft, now int64, reservation *pb.Booking, request *Request) Result {
 	if reservation.State == pb.BookingState_ended {
 		return refusal(reservation, "%s has ended: %s", reservation.Id, reservation.Why)
@@ -369,7 +371,7 @@
 	return Result{Outcome: OutcomeDone, Booking: next}
 }
 
-// hasWants reports whether a reservation already has what is wanted, as after a repeated move.
+// hasWants reports whether a reservation already has the wanted slots, which is the case when a move is repeated.
 func (inv *Inventory) hasWants(reservation *pb.Booking, wants []*pb.Want) bool {
 	if reservation.State == pb.BookingState_waiting || len(reservation.Slots) != len(wants) {
 		return false
@@ -396,7 +398,7 @@
 	return Result{Outcome: OutcomeDone, Booking: next}
 }
 
-// IsOver reports whether a reservation can't change any more: it ended, or its time is past.
+// IsOver reports whether a reservation can't change any more: it has ended, or all its slots have passed.
 func IsOver(reservation *pb.Booking, now int64) bool {
 	switch reservation.State {
 	case pb.BookingState_ended:
@@ -407,8 +409,8 @@
 	return false
 }
 
-// replaceInventory replaces the equipment. Reservations that the new equipment can't serve are reported,
-// and ended only on request.
+// replaceInventory replaces the equipment. Reservations that the new equipment can't serve are displaced: the
+// result lists them, and they are ended only if the request says so.
 func (inv *Inventory) replaceInventory(draft *Draft, now int64, request *Request) Result {
 	displaced := request.Replacement.Displaced(draft.schedule, now)
 	switch {
@@ -439,8 +441,8 @@
 	return Result{Outcome: OutcomeDone, Displaced: displaced}
 }
 
-// Displaced returns the reservations that this equipment can't serve, in the order of their creation. A
-// reservation keeps the length and cooldown of its slots from when they were granted.
+// Displaced returns the reservations that this equipment can't serve, in the order of their creation. A changed
+// slot length or cooldown displaces none: slots keep those that they were granted with.
 func (inv *Inventory) Displaced(schedule *Schedule, now int64) (out []*pb.Booking) {
 	for _, reservation := range schedule.byID {
 		if inv.displaces(reservation, now) {
--- a/booking/inventory.go
+++ b/booking/inventory.go
@@ -1,6 +1,6 @@
 // Package booking decides reservations of shared equipment. It is deterministic and does no I/O: the same
-// reservations, equipment, time and request always give the same result. It owns the schedule in memory;
-// package core/reservations stores it. It may not authorize requests.
+// reservations, equipment, time and request always give the same result. It keeps the schedule in memory; package
+// core/reservations stores it. It must not authorize requests: its callers do.
 package booking
 
 import (
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 	"time"
-	_ "time/tzdata" // sites run where no time zones are installed
+	_ "time/tzdata" // for hosts without an installed time zone database
 
 	"github.com/teambition/rrule-go"
 	"google.golang.org/protobuf/encoding/prototext"
@@ -25,7 +25,7 @@
 	maxUnits           = 200 // of an item
 	maxSlotMinutes     = minutesPerDay
 	maxCooldownMinutes = 7 * minutesPerDay
-	maxRules           = 50 // of an item: opening hours, and closed days
+	maxRules           = 50 // of each kind in an item: opening hours, closed days
 	firstYear          = 2000
 	lastYear           = 2100 // exclusive
 )
@@ -34,7 +34,7 @@
 	secondsPerDay = 86400
 	minutesPerDay = 24 * 60
 
-	// maxCachedDays bounds the cached opening hours of an item.
+	// maxCachedDays bounds the days whose opening hours are cached for an item.
 	maxCachedDays = 4000
 
 	dayFormat   = "2006-01-02"
@@ -43,8 +43,8 @@
 
 var validName = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,39}$`)
 
-// Inventory is a valid equipment list. It is immutable except for caches of the calendar, so it must be
-// used by one goroutine only.
+// Inventory is a validated equipment list. It is immutable except for its calendar caches, which are not
+// synchronized: only one goroutine may use it.
 type Inventory struct {
 	source      *pb.Equipment
 	location    *time.Location
@@ -52,17 +52,17 @@
 	items       []*equipmentItem
 }
 
-// equipmentItem is a piece of equipment, of which there may be several units.
+// equipmentItem is a piece of equipment, which may have several interchangeable units.
 type equipmentItem struct {
 	*pb.Piece
 	slotSeconds, cooldownSeconds int64
 	unitCount                    int
 	openingRules                 []openingHours
 	closedDays                   []dayRule
-	openingCache                 map[int]interval // opening hours by day since 1970
+	openingCache                 map[int]interval // opening hours by days since 1970
 }
 
-// openingHours are the opening hours on the days of a rule.
+// openingHours is the opening hours on the days that match a rule.
 type openingHours struct {
 	days                 dayRule
 	fromMinute, toMinute int // of the day
@@ -71,14 +71,14 @@
 // interval is [from, to) in seconds since 1970.
 type interval struct{ from, to int64 }
 
-// dayRule is a set of days.
+// dayRule is a set of days: every day, a single one, or those that match a recurrence rule.
 type dayRule struct {
-	rule         *rrule.ROption       // nil: singleDay
-	singleDay    int                  // day since 1970; 0: every day
-	matchingDays map[int]map[int]bool // cache of rule by year and day since 1970
+	rule         *rrule.ROption       // nil: singleDay decides
+	singleDay    int                  // days since 1970; 0: every day
+	matchingDays map[int]map[int]bool // cached days of rule, by year and days since 1970
 }
 
-// Parse reads an equipment list in protobuf text format. Its error is one line and names the field.
+// Parse reads an equipment list in protobuf text format. Its error is a single line and names the invalid field.
 func Parse(text []byte) (*Inventory, error) {
 	var equipment pb.Equipment
 	if err := prototext.Unmarshal(text, &equipment); err != nil {
@@ -87,7 +87,7 @@
 	return NewInventory(&equipment)
 }
 
-// NewInventory checks an equipment list. The caller must not modify the list afterwards.
+// NewInventory validates an equipment list. The caller must not modify the list afterwards.
 func NewInventory(equipment *pb.Equipment) (*Inventory, error) {
 	zone, err := time.LoadLocation(equipment.TimeZone)
 	if err != nil || strings.EqualFold(equipment.TimeZone, "local") {
@@ -111,7 +111,7 @@
 	return inv, nil
 }
 
-// newEquipmentItem checks an item.
+// newEquipmentItem validates an item.
 func newEquipmentItem(piece *pb.Piece) (*equipmentItem, error) {
 	item := &equipmentItem{
 		Piece:           piece,
@@ -132,7 +132,7 @@
 	return item, nil
 }
 
-// validateLimits checks the names and numbers of an item.
+// validateLimits validates the names and numbers of an item.
 func (item *equipmentItem) validateLimits() error {
 	piece := item.Piece
 	switch {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// parseHours reads the opening hours of an item.
+// parseHours parses the opening hours of an item.
 func (item *equipmentItem) parseHours() error {
 	for i, hours := range item.Hours {
 		days, err := parseRule(hours.Rule)
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// parseClosedDays reads the days on which an item is closed.
+// parseClosedDays parses the days on which an item is closed.
 func (item *equipmentItem) parseClosedDays() error {
 	for i, text := range item.Closed {
 		days := dayRule{}
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// parseTimeOfDay reads a time of day, up to 24:00, as minutes.
+// parseTimeOfDay parses a time of day from 0:00 to 24:00 and returns it in minutes.
 func parseTimeOfDay(text string) (int, bool) {
 	hourText, minuteText, ok := strings.Cut(text, ":")
 	hour, hourErr := strconv.Atoi(hourText)
@@ -207,7 +207,8 @@
 		hour >= 0 && minute >= 0 && minute < 60 && minutes <= minutesPerDay
 }
 
-// parseRule reads a rule of days, which must not have a start or end of its own.
+// parseRule parses a recurrence rule of days, which must not have a start or end of its own. An empty text matches
+// every day.
 func parseRule(text string) (dayRule, error) {
 	if text == "" {
 		return dayRule{}, nil
@@ -221,7 +222,7 @@
 	return dayRule{rule: options}, err
 }
 
-// includes reports whether a day since 1970 is in the set.
+// includes reports whether a day, in days since 1970, is in the set.
 func (r *dayRule) includes(day int) bool {
 	if r.rule == nil {
 		return r.singleDay == 0 || r.singleDay == day
@@ -238,13 +239,13 @@
 	return days[day]
 }
 
-// daysOf returns the days since 1970 of a year that match the rule.
+// daysOf returns the days of a year that match the rule, in days since 1970.
 func (r *dayRule) daysOf(year int) map[int]bool {
 	first := time.Date(year, 1, 1, 0, 0, 0, 0, time.UTC)
 	options := *r.rule
 	options.Dtstart = first
 	days := map[int]bool{}
-	if rule, err := rrule.NewRRule(options); err == nil { // an invalid rule matches no day
+	if rule, err := rrule.NewRRule(options); err == nil { // a rule that can't be evaluated matches no day
 		for _, day := range rule.Between(first, first.AddDate(1, 0, -1), true) {
 			days[int(day.Unix()/secondsPerDay)] = true
 		}
@@ -258,14 +259,15 @@
 	return int(time.Date(year, month, day, 0, 0, 0, 0, time.UTC).Unix() / secondsPerDay)
 }
 
-// timeOnDay returns when the local time is so many minutes after midnight of a day. A time that is
-// skipped when clocks go forward is the moment of the change; of one that occurs twice, the first counts.
+// timeOnDay returns the moment at which local clocks show a day and a number of minutes after midnight. For a local
+// time that is skipped when clocks go forward, it returns the moment of the change; for one that occurs twice, the
+// first occurrence.
 func (inv *Inventory) timeOnDay(day, minute int) int64 {
 	year, month, dayOfMonth := time.Unix(int64(day)*secondsPerDay, 0).UTC().Date()
 	t := time.Date(year, month, dayOfMonth, minute/60, minute%60, 0, 0, inv.location)
 	want := time.Date(year, month, dayOfMonth, minute/60, minute%60, 0, 0, time.UTC).Unix()
 	_, offset := t.Zone()
-	if t.Unix()+int64(offset) != want { // skipped: the change lies between the results of the two offsets
+	if t.Unix()+int64(offset) != want { // skipped: the change lies between the results of both offsets
 		from, to := t.ZoneBounds()
 		if t.Unix()+int64(offset) > want {
 			return from.Unix()
@@ -281,8 +283,8 @@
 	return t.Unix()
 }
 
-// openingOn returns the opening hours of an item on a day, and whether it opens at all. Of several
-// matching rules, the first counts.
+// openingOn returns the opening hours of an item on a day, and whether it opens at all. The first matching rule
+// decides.
 func (inv *Inventory) openingOn(item *equipmentItem, day int) (interval, bool) {
 	if open, ok := item.openingCache[day]; ok {
 		return open, open.from < open.to
@@ -295,7 +297,7 @@
 	return open, open.from < open.to
 }
 
-// computeOpening computes the opening hours of an item on a day; they are empty if it is closed.
+// computeOpening computes the opening hours of an item on a day. The interval is empty if the item is closed.
 func (inv *Inventory) computeOpening(item *equipmentItem, day int) interval {
 	if slices.ContainsFunc(item.closedDays, func(days dayRule) bool { return days.includes(day) }) {
 		return interval{}
@@ -317,7 +319,8 @@
 	return interval{}
 }
 
-// checkSlots returns an error unless an item has so many consecutive slots from a time on.
+// checkSlots returns an error unless an item offers the number of consecutive slots from that time on, whether they
+// are occupied or not.
 func (inv *Inventory) checkSlots(item *equipmentItem, from int64, slots int) error {
 	year := time.Unix(from, 0).UTC().Year()
 	if year < firstYear || year >= lastYear {
@@ -352,7 +355,7 @@
 	return time.Unix(at, 0).In(inv.location).Format(time.RFC3339)
 }
 
-// ParseTime reads a time: in the site's time zone, as 2027-03-04T08:00, or with an offset.
+// ParseTime parses a time like 2027-03-04T08:00, which is in the site's time zone unless it has an offset.
 func (inv *Inventory) ParseTime(text string) (int64, error) {
 	if t, err := time.Parse(time.RFC3339, text); err == nil {
 		return t.Unix(), nil
@@ -371,7 +374,7 @@
 	return at, nil
 }
 
-// ParseDay reads a day and returns its start and end.
+// ParseDay parses a day and returns its start and end.
 func (inv *Inventory) ParseDay(text string) (from, to int64, err error) {
 	t, err := time.Parse(dayFormat, text)
 	if err != nil {
@@ -406,7 +409,7 @@
 	return len(item.Teams) == 0 || slices.Contains(item.Teams, team)
 }
 
-// isUnitUsable reports whether a unit exists and is in order.
+// isUnitUsable reports whether a unit exists and is not out of order.
 func (item *equipmentItem) isUnitUsable(unit int) bool {
 	return unit >= 1 && unit <= item.unitCount && !slices.Contains(item.Out, uint32(unit))
 }
--- a/booking/reason_test.go
+++ b/booking/reason_test.go
@@ -10,12 +10,12 @@
 	pb "dewlift/proto"
 )
 
-// What happens: a reservation can't be ended with a long reason in a language whose letters take several bytes. Why:
-// the reason is cut after 200 bytes, within a character, and a protobuf message takes no invalid UTF-8. What showed
-// it: the request is answered "too much to be stored in one value", and the message can't be encoded ("string field
-// contains invalid UTF-8").
+// A reservation could not be ended with a long reason of multi-byte characters: the reason was cut after 200 bytes,
+// within a character, and protobuf does not encode invalid UTF-8. The request was answered "too much to be stored
+// in one value".
 
-// reasonsAroundLimit returns reasons one byte short of the limit, at it and beyond it, of characters of 1 to 4 bytes.
+// reasonsAroundLimit returns reasons of characters of 1 to 4 bytes that are one byte shorter than the limit, at the
+// limit and one byte longer, and others with invalid UTF-8.
 func reasonsAroundLimit() (out []string) {
 	for _, character := range []string{"a", "é", "窯", "🏺"} {
 		for length := maxReasonBytes - 1; length <= maxReasonBytes+1; length++ {
@@ -28,7 +28,7 @@
 	return append(out, "", "\x00", "a\x00b", strings.Repeat("窯", 5000), "\xff", "a\xc3", strings.Repeat("\xff", 500))
 }
 
-// Whatever the reason, the reservation ends and can be stored, with as much of the reason as is kept.
+// Whatever the reason, the reservation must end and be storable, with as much of the reason as fits the limit.
 func TestAnyReasonCanBeStored(t *testing.T) {
 	for _, reason := range reasonsAroundLimit() {
 		inventory, schedule := mustParse(t, testEquipment), NewSchedule()
--- a/booking/recurrence.go
+++ b/booking/recurrence.go
@@ -11,10 +11,10 @@
 	pb "dewlift/proto"
 )
 
-// maxSeriesYears bounds the time that a series spans.
+// maxSeriesYears bounds the time span of a series.
 const maxSeriesYears = 10
 
-// ExpandRecurrence returns one want for each time of a recurrence rule, at the same local time of day.
+// ExpandRecurrence returns one want for each day of a recurrence rule, each at the same local time of day.
 func (inv *Inventory) ExpandRecurrence(want *pb.Want, text string) ([]*pb.Want, error) {
 	options, err := rrule.StrToROption(text)
 	if err != nil {
@@ -28,7 +28,7 @@
 	options.Dtstart = time.Date(local.Year(), local.Month(), local.Day(), 0, 0, 0, 0, time.UTC)
 	last := options.Dtstart.AddDate(maxSeriesYears, 0, 0)
 	if options.Until.IsZero() || options.Until.After(last) {
-		options.Until = last // bounds the search of a rule that matches no day
+		options.Until = last // bounds the search if the rule matches no day
 	}
 	rule, err := rrule.NewRRule(*options)
 	if err != nil {
--- a/booking/schedule.go
+++ b/booking/schedule.go
@@ -7,8 +7,8 @@
 	pb "dewlift/proto"
 )
 
-// Schedule is all known reservations and the use of each unit over time. It holds the committed state and,
-// while a draft exists, that of the draft. Reservations in it are never modified, only replaced.
+// Schedule holds all known reservations and the use of each unit over time. It shows the committed state or, while
+// a draft exists, the state with the changes of the draft. Reservations in it are never modified, only replaced.
 type Schedule struct {
 	byID       map[string]*pb.Booking
 	occupied   map[unitKey][]occupancy // by unit, ordered by start
@@ -23,13 +23,13 @@
 	number uint32
 }
 
-// occupancy is the use of a unit by a reservation, with the cooldown after it.
+// occupancy is the use of a unit by a reservation, including the cooldown after it.
 type occupancy struct {
 	interval
 	bookingID string
 }
 
-// compareStart compares the start of a use with a time.
+// compareStart compares the start of an occupancy with a time.
 func compareStart(use occupancy, at int64) int { return cmp.Compare(use.from, at) }
 
 // NewSchedule returns a schedule without reservations.
@@ -47,16 +47,17 @@
 // LastChange returns the number of the last change.
 func (s *Schedule) LastChange() uint64 { return s.lastChange }
 
-// ObserveChange records that changes up to a number were made, even if what they stored is in other values.
+// ObserveChange records that all changes up to a number were made, even if the caller passes to Put only some of
+// the reservations that they stored.
 func (s *Schedule) ObserveChange(change uint64) { s.lastChange = max(s.lastChange, change) }
 
 // Get returns a reservation, or nil if there is none. The caller must not modify it.
 func (s *Schedule) Get(id string) *pb.Booking { return s.byID[id] }
 
-// Waitlist returns the waiting reservations in their order.
+// Waitlist returns the waiting reservations in the order in which they are served.
 func (s *Schedule) Waitlist() []*pb.Booking { return slices.Clone(s.waitlist) }
 
-// Put adds a stored reservation. Of two with the same id, the later change counts.
+// Put adds a stored reservation, unless a later change of the same reservation is known.
 func (s *Schedule) Put(reservation *pb.Booking) {
 	s.lastChange = max(s.lastChange, reservation.Change)
 	if old := s.byID[reservation.Id]; old == nil || old.Change < reservation.Change {
@@ -64,8 +65,8 @@
 	}
 }
 
-// Evict drops the reservations for which f returns true from memory. f must not return true for one
-// that has slots to come or waits.
+// Evict removes from memory the reservations for which f returns true. f must not return true for one that has
+// future slots or waits.
 func (s *Schedule) Evict(f func(reservation *pb.Booking) bool) {
 	for id, reservation := range s.byID {
 		if f(reservation) {
@@ -74,7 +75,7 @@
 	}
 }
 
-// setBooking replaces the reservation with the id, or removes it if the new one is nil.
+// setBooking replaces the reservation with that ID, or removes it if the new one is nil.
 func (s *Schedule) setBooking(id string, reservation *pb.Booking) {
 	if old := s.byID[id]; old != nil {
 		s.release(old)
@@ -120,17 +121,17 @@
 	}
 }
 
-// compareWaitlist orders the waitlist by rank, then by creation.
+// compareWaitlist orders the waitlist by rank, then by order of creation.
 func compareWaitlist(a, b *pb.Booking) int {
 	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Made, b.Made))
 }
 
-// firstConflict returns a use of a unit that overlaps an interval, other than by one reservation.
+// firstConflict returns an occupancy of a unit that overlaps an interval. The reservation exceptID is no conflict.
 func (s *Schedule) firstConflict(unit unitKey, needed interval, exceptID string) (occupancy, bool) {
 	uses := s.occupied[unit]
 	i, _ := slices.BinarySearchFunc(uses, needed.to, compareStart)
-	// Uses of a unit don't overlap, so they end in the order in which they start. Only those that a
-	// change of the equipment left behind may, and they are few.
+	// Occupancies of a unit don't overlap, so they end in the order in which they start. Only the few that were
+	// left by a change of the equipment may overlap.
 	for i--; i >= 0; i-- {
 		if uses[i].bookingID == exceptID {
 			continue
@@ -143,7 +144,7 @@
 	return occupancy{}, false
 }
 
-// Draft is a set of changes that are not committed yet. The schedule shows them until Undo.
+// Draft is a set of changes that are not committed yet. The schedule shows them until Undo is called.
 type Draft struct {
 	schedule   *Schedule
 	baseChange uint64 // last change before the draft
@@ -151,7 +152,7 @@
 	replaced   map[string]*pb.Booking
 }
 
-// NewDraft begins a draft. There may be only one at a time.
+// NewDraft begins a draft. A schedule may have only one at a time.
 func (s *Schedule) NewDraft() *Draft {
 	return &Draft{schedule: s, baseChange: s.lastChange, replaced: map[string]*pb.Booking{}}
 }
--- a/booking/search.go
+++ b/booking/search.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	// maxSearchSteps bounds the search for units that meet several wants together.
+	// maxSearchSteps bounds the backtracking search for units that meet several wants together, which takes
+	// exponential time in the worst case.
 	maxSearchSteps = 5000
 
-	// searchDays is for how many days free times are searched.
+	// searchDays is how many days ahead free times are searched.
 	searchDays = 60
 )
 
-// unitSearch is one search for units that meet all wants of a reservation, by backtracking.
+// unitSearch is a backtracking search for units that meet all wants of a reservation.
 type unitSearch struct {
 	inventory *Inventory
 	schedule  *Schedule
-	bookingID string // whose own slots are no conflict
+	bookingID string // its own slots are no conflict
 	team      string
 	wants     []*pb.Want
 
-	// wantOrder is the order in which wants are assigned: those with the fewest candidates first, so
-	// that one with more choice does not take what they need.
+	// wantOrder is the order in which units are assigned to wants: those with the fewest candidates first, so that
+	// a want with more candidates does not take the units that they need.
 	wantOrder []int
 
 	slots      []*pb.Slot // by want
 	steps      int
-	bestDepth  int   // most wants that could be met together
-	failedWant int   // the want that could not be met beside these
-	failure    error // why
+	bestDepth  int   // the largest number of wants that could be met together
+	failedWant int   // index of the next want, which could not be met in addition
+	failure    error // why it could not be met
 }
 
-// findUnits finds a unit for each want, all or none. On failure it returns the index of a want that can't
-// be met, and why.
+// findUnits finds a unit for each want. If it can't meet all of them, it returns the index of a want that can't be
+// met, and the reason as an error.
 func (inv *Inventory) findUnits(
 	schedule *Schedule, id, team string, wants []*pb.Want,
 ) (slots []*pb.Slot, failedWant int, err error) {
@@ -64,7 +65,8 @@
 	return nil, search.failedWant, search.failure
 }
 
-// assignFrom assigns units to the wants from a depth of the order on.
+// assignFrom assigns units to the wants from position depth of wantOrder on, and reports whether it could meet all
+// of them.
 func (x *unitSearch) assignFrom(depth int) bool {
 	if depth == len(x.wantOrder) {
 		return true
@@ -99,9 +101,9 @@
 	return false
 }
 
-// tryUnits assigns each free unit of an item to the want at a depth of the order, until the remaining
-// wants can be met or the search has taken too many steps: then it is finished. Otherwise freeAt is when
-// the first occupied unit becomes free, or 0 if no unit is usable.
+// tryUnits tries each free unit of an item for the want at position depth of wantOrder. It stops and reports
+// finished once the remaining wants can be met or the search has taken too many steps. Otherwise freeAt is when the
+// first occupied unit becomes free, or 0 if no unit is usable.
 func (x *unitSearch) tryUnits(depth int, item *equipmentItem) (finished bool, freeAt int64) {
 	index := x.wantOrder[depth]
 	want := x.wants[index]
@@ -123,8 +125,8 @@
 	return false, freeAt
 }
 
-// occupiedUntil returns the end of a conflicting use of a unit, by another reservation or by a want that
-// was assigned before.
+// occupiedUntil returns the end of a conflicting occupancy of a unit, by another reservation or by a want that has
+// already been assigned.
 func (x *unitSearch) occupiedUntil(depth int, key unitKey, needed interval) (until int64, occupied bool) {
 	if conflict, ok := x.schedule.firstConflict(key, needed, x.bookingID); ok {
 		return conflict.to, true
@@ -138,8 +140,8 @@
 	return 0, false
 }
 
-// NextFree returns up to limit times from a time on, and until another unless that is 0, at which a want
-// can be met. The slots of the reservation with the id are no conflict.
+// NextFree returns up to limit free intervals for a want that begin at from or later and end by until; 0 means no
+// such end. The slots of the reservation with that ID are no conflict.
 func (inv *Inventory) NextFree(
 	schedule *Schedule, id, team string, want *pb.Want, from, until int64, limit int,
 ) (out []FreeSlot) {
@@ -171,8 +173,8 @@
 	return out
 }
 
-// BookingsBetween returns the reservations that use an item at some time of an interval, ordered by time.
-// It reports false if there is no such item.
+// BookingsBetween returns the reservations that use an item at any time in an interval, ordered by start. It
+// reports false if there is no such item.
 func (s *Schedule) BookingsBetween(
 	inventory *Inventory, name string, from, to int64,
 ) (out []*pb.Booking, ok bool) {
