--- a/core/audit.go
+++ b/core/audit.go
@@ -13,18 +13,18 @@
 	"dewlift/wire"
 )
 
-// KeyRestored exists while the restore of a snapshot is not recorded in the audit log yet.
+// KeyRestored exists from the restore of a snapshot until the restore is recorded in the audit log.
 const KeyRestored = Root + "restored"
 
 const (
-	// auditPageBlocks bounds the blocks in one page of the audit log, and so the size of the answer.
+	// maxAuditPageBlocks bounds the blocks in one page of the audit log, and so the size of the response.
 	maxAuditPageBlocks = 40
 
-	// auditBlockWriteTokens is the write budget that must be left before a block is written: one
-	// write for the block and one for the head of the chain.
+	// auditBlockWriteTokens is the number of write tokens that writing a block needs: one for the block and one for
+	// the head of the chain.
 	auditBlockWriteTokens = 2
 
-	// maxStopEventMachines bounds the machines that a stop event names, so that it fits an entry.
+	// maxStopEventMachines bounds the machines that the event of a task stop names, so that it fits an entry.
 	maxStopEventMachines = 3
 )
 
@@ -32,25 +32,25 @@
 type restoreMarker struct {
 	revision      uint64 // of KeyRestored; 0: absent
 	description   string
-	writeInFlight bool // the transaction that records the restore
+	writeInFlight bool // a transaction that records the restore is in flight
 }
 
-// apply applies the stored marker.
+// apply updates the replica from a stored value.
 func (m *restoreMarker) apply(raw json.RawMessage, revision uint64) error {
 	m.revision = max(m.revision, revision)
 	return json.Unmarshal(raw, &m.description)
 }
 
-// auditState is the audit log recorder, and what decides whether changes must be recorded.
+// auditState is the audit log recorder and the state that decides whether changes must be recorded.
 type auditState struct {
 	*environment
 	schema      *schemaState
 	permissions *permissionState
 	stats       *Stats
-	recorder    *auditlog.Recorder // see current
+	recorder    *auditlog.Recorder // to be used by current, which sets its environment
 }
 
-// newAuditLog returns an audit log recorder with the controller's configuration.
+// newAuditLog returns an audit log recorder for the controller's configuration.
 func newAuditLog(env *environment) *auditlog.Recorder {
 	settings := &env.cfg.Audit
 	return auditlog.New(auditlog.Config{
@@ -66,7 +66,7 @@
 	})
 }
 
-// current returns the audit log recorder with its environment set to the current time.
+// current sets the environment of the audit log recorder to the current time and state, and returns the recorder.
 func (a *auditState) current() *auditlog.Recorder {
 	a.recorder.Env = auditlog.Env{
 		Now:           a.now,
@@ -87,17 +87,17 @@
 	return a.cfg.Audit.Key != nil && a.schema.active >= schemaAudit
 }
 
-// lacksKey reports whether other controllers audit and this one has no key for it: it must not
-// act, because its changes would be unaudited.
+// lacksKey reports whether other controllers audit but this one has no audit key: it must not act, because its
+// changes would not be audited.
 func (a *auditState) lacksKey() bool { return a.cfg.Audit.Key == nil && a.recorder.IsInitialized() }
 
-// isNotReady reports whether audited changes can't be written yet.
+// isNotReady reports whether changes that must be audited can't be written yet.
 func (a *auditState) isNotReady() bool {
 	return a.lacksKey() || a.isEnabled() && !a.recorder.IsStarted()
 }
 
-// unauditedCompares returns the compares under which a change needs no audit entry: a controller that
-// does not audit yet must not act once another one does.
+// unauditedCompares returns the compares that a change without an audit entry needs: they fail once any controller
+// audits, because a controller that does not audit yet must not act then.
 func (a *auditState) unauditedCompares() []wire.Compare {
 	if a.isEnabled() || a.cfg.Audit.Key == nil && !a.permissions.isInForce() {
 		return nil
@@ -105,7 +105,7 @@
 	return []wire.Compare{{Key: auditlog.KeyInitialized}}
 }
 
-// opsPerTxn returns how many writes addEntry adds to a transaction.
+// opsPerTxn returns the number of writes that addEntry adds to a transaction.
 func (a *auditState) opsPerTxn() int {
 	if a.isEnabled() {
 		return 1
@@ -113,8 +113,8 @@
 	return 0
 }
 
-// addEntry adds a carrier with the entry of an event to a transaction. The returned function must
-// be called with the outcome of the transaction.
+// addEntry adds a write of an outbox key with the entry of an event to a transaction. The caller must pass the
+// outcome of the transaction to the returned function.
 func (a *auditState) addEntry(txn *wire.Txn, name string, event auditlog.Event) func(status wire.Status) {
 	if !a.isEnabled() {
 		for _, compare := range a.unauditedCompares() {
@@ -128,7 +128,7 @@
 	return func(status wire.Status) { a.current().HandleOutcome(ids, status) }
 }
 
-// advanceAuditLog writes the next block if one is due and the rate limit allows it.
+// advanceAuditLog starts the transaction of the next block if one is due and the rate limit allows it.
 func (c *Core) advanceAuditLog() {
 	if !c.auditLog.isEnabled() {
 		return
@@ -153,14 +153,14 @@
 			c.transactions.limits.handleRefusal(txn)
 		}
 		if c.auditLog.current().HandleBlockOutcome(status, reply.Revision) {
-			// After the next barrier the replica shows whether the block was written.
+			// After the next read barrier the replica shows whether the block was written.
 			c.replica.afterReadBarrier(func(bool) { recorder.ClearBusy() })
 		}
 	}})
 }
 
-// auditRestore records once that the state was restored from a snapshot; the same transaction deletes
-// the marker.
+// auditRestore records that the state was restored from a snapshot. The same transaction deletes the marker, so the
+// restore is recorded exactly once.
 func (c *Core) auditRestore() {
 	marker := &c.restoreMarker
 	if marker.revision == 0 || marker.writeInFlight || !c.leadership.isHeld() {
@@ -193,8 +193,8 @@
 		RecordDenial(audit.AggregatedEvent{Identity: caller.Identity, Verb: verb, Object: object, Reason: reason}, 1)
 }
 
-// handleReadAudit answers with a page of the audit log, to permitted callers. Reading is itself recorded,
-// before the answer.
+// handleReadAudit responds to a permitted caller with a page of the audit log. The read itself is recorded before
+// the response.
 func (c *Core) handleReadAudit(in ReadAudit) {
 	switch {
 	case c.access.isNotServing() || c.cfg.Audit.Key != nil && !c.auditLog.isEnabled():
@@ -219,7 +219,8 @@
 	}))
 }
 
-// respondWithAuditPage answers with the heads of all chains, or with a page of one controller's blocks.
+// respondWithAuditPage responds with a page of one controller's blocks or, if no controller is named, with the
+// heads of all chains.
 func (c *Core) respondWithAuditPage(in ReadAudit) {
 	if in.Node == "" {
 		var out wire.AuditChainHeads
@@ -257,15 +258,15 @@
 	)
 }
 
-// stoppedTasks are the tasks of a job that stopped for one cause, and their machines without repetition.
+// stoppedTasks are the tasks of a job that stopped for one cause, and their machines without duplicates.
 type stoppedTasks struct {
 	tasks    jobrecord.TaskSet
 	machines []string
 }
 
-// taskStopEvents returns the audit events of stopped tasks, one for each cause, ordered by cause.
+// taskStopEvents returns one audit event for each cause for which tasks of a job stopped, ordered by cause.
 func taskStopEvents(id string, reasons []jobrecord.StopReason) (events []auditlog.Event) {
-	if len(reasons) == 0 { // as for most writes of a record
+	if len(reasons) == 0 { // true for most writes of a record
 		return nil
 	}
 	causes := map[string]*stoppedTasks{}
@@ -289,7 +290,7 @@
 	return events
 }
 
-// summary describes the stopped tasks for the audit log. It sorts the machines.
+// summary describes the stopped tasks for the audit log, with consecutive tasks as ranges. It sorts the machines.
 func (s *stoppedTasks) summary() string {
 	var tasks []string
 	for i := 0; i < len(s.tasks); i += 2 {
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -15,14 +15,15 @@
 	"dewlift/wire"
 )
 
-// valueWithEntries is the part that all stored values with audit entries have in common.
+// valueWithEntries is the common part of all stored values that carry audit entries.
 type valueWithEntries struct {
 	Carried []audit.PendingEntry `json:"e"`
 }
 
 var testAuditKey = audit.Key("the key of the tests of the core")
 
-// newAuditingCore returns a serving controller with permissions in force that audits, in its first incarnation.
+// newAuditingCore returns a serving controller in its first incarnation, with permissions in force and auditing
+// enabled.
 func newAuditingCore(t *testing.T) *Core {
 	t.Helper()
 	c := newCoreWithPermissions(t)
@@ -35,10 +36,11 @@
 	return c
 }
 
-// enableAuditing gives the audit key to a controller that has not recorded anything yet.
-func enableAuditing(c *Core, gather, block time.Duration, settings map[string]string) {
+// enableAuditing configures the audit key of a controller that has not recorded anything yet.
+func enableAuditing(c *Core, aggregation, blockDelay time.Duration, settings map[string]string) {
 	c.cfg.Audit.Key, c.cfg.Audit.Settings = testAuditKey, settings
-	c.cfg.Audit.AggregationInterval, c.cfg.Audit.BlockDelay, c.cfg.Audit.LateTxnWindow = gather, block, 10*time.Second
+	c.cfg.Audit.AggregationInterval, c.cfg.Audit.BlockDelay = aggregation, blockDelay
+	c.cfg.Audit.LateTxnWindow = 10 * time.Second
 	c.auditLog.recorder = newAuditLog(c.environment)
 }
 
@@ -65,7 +67,7 @@
 	return out
 }
 
-// carriedVerbs returns the verbs of the entries that the last write of a key carries.
+// carriedVerbs returns the verbs of the audit entries that the last write of a key carries.
 func carriedVerbs(t *testing.T, writes []wire.Write, key string) (verbs []string) {
 	t.Helper()
 	var value valueWithEntries
@@ -87,8 +89,8 @@
 	return verbs
 }
 
-// An entry must need no write of its own: the job's record carries it, it is written to a block exactly
-// once, and the next write of the record drops it.
+// An audit entry must not cost an additional write: the job's record carries it until it is written to a block,
+// which happens exactly once, and the next write of the record drops it.
 func TestAuditEntryIsCommittedWithItsChange(t *testing.T) {
 	c := newAuditingCore(t)
 	c.Handle(1500*time.Millisecond, submittedBy(anna, testSubmission("wk-1")))
@@ -112,7 +114,8 @@
 	}
 }
 
-// The audit entry of a cancellation must not be lost when the record replaces the cancel marker: both carry it.
+// The audit entry of a cancellation must not be lost when a write of the record replaces the cancel marker that
+// carries it: the record must then carry it.
 func TestCancelMarkerCarriesItsAuditEntry(t *testing.T) {
 	c, j := newCoreWithLargeRecord(t)
 	enableAuditing(c, time.Hour, time.Hour, nil)
@@ -131,8 +134,8 @@
 	}
 }
 
-// Denials must not flood the store: however many there are, they share a few entries, are counted, and wait
-// until an outage ends.
+// Many denials must not flood the store: they are counted in a few entries, and those that occur during an outage
+// are recorded after it.
 func TestDenialsAreAuditedInBatches(t *testing.T) {
 	c := newAuditingCore(t)
 	for i := range 3000 {
@@ -172,8 +175,8 @@
 	}
 }
 
-// Reading the audit log needs a permission and is recorded before the answer; later pages of the same reader
-// are recorded once a minute.
+// Reading the audit log must need a permission and be recorded before the response. Further pages of the same
+// reader are answered at once and recorded once a minute.
 func TestReadIsAuditedBeforeItIsAnswered(t *testing.T) {
 	c := newAuditingCore(t)
 	read := func(at time.Duration, caller Credential, node string) (out []Output) {
@@ -184,7 +187,7 @@
 	if s := statusOf(t, read(2*time.Second, potter, "")); s != wire.StatusForbidden {
 		t.Errorf("a visitor reads the audit log: %d", s)
 	}
-	// The verb administer, which anna has, does not include audit.
+	// anna has the verb administer, which does not include audit.
 	if s := statusOf(t, read(3*time.Second, anna, "")); s != wire.StatusForbidden {
 		t.Errorf("an administrator without the verb reads the audit log: %d", s)
 	}
@@ -218,8 +221,8 @@
 	}
 }
 
-// A controller without the audit key in a cluster that audits must not act: it serves no request and does not
-// renew its lease.
+// A controller without the audit key must not act in a cluster that audits, because its changes would not be
+// audited: it must serve no request and not renew its lease.
 func TestControllerWithoutAuditKeyDoesNotAct(t *testing.T) {
 	c := newCoreWithPermissions(t)
 	watchEvents(c, 1200*time.Millisecond, 11, event(auditlog.KeyInitialized, "1", 11))
@@ -232,7 +235,8 @@
 	}
 }
 
-// A controller with the audit key that does not audit yet must compare that no other one does.
+// A controller that has the audit key but does not audit yet must make its changes conditional on no other
+// controller auditing: otherwise they would not be audited.
 func TestNoUnauditedChangeOnceOthersAudit(t *testing.T) {
 	c := newCoreWithPermissions(t)
 	enableAuditing(c, time.Hour, time.Hour, nil)
@@ -244,7 +248,7 @@
 	}
 }
 
-// The audit entry of a start lists the changed settings; a restored snapshot is recorded once.
+// The audit entry of a start must list the changed settings, and the restore of a snapshot must be recorded once.
 func TestStartAndRestoreAreAudited(t *testing.T) {
 	c := newAuditingCore(t)
 	head, err := json.Marshal(c.auditLog.recorder.Heads()["n0"])
@@ -282,12 +286,12 @@
 	}
 }
 
-// An entry that was altered before it was in a block must be recorded as forged.
+// An audit entry that was altered before it was in a block must be recorded as forged.
 func TestAlteredAuditEntryIsReported(t *testing.T) {
 	c := newAuditingCore(t)
 	key := auditlog.Prefix + "of/" + "who/potter"
 	forged := testAuditKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 9, Who: "anna"})
-	forged.Incarnation = 2 // an incarnation that never existed
+	forged.Incarnation = 2 // there is no such incarnation
 	raw, err := json.Marshal(valueWithEntries{[]audit.PendingEntry{forged}})
 	if err != nil {
 		t.Fatal(err)
@@ -299,14 +303,18 @@
 	}
 }
 
-// A controller that crashes again and again before it writes a block must still write the pending
-// entries of its first incarnation: they were lost when only the last eight incarnations were kept.
+// A controller in a crash loop must still write the pending entries of its first incarnation once it can write a
+// block. They were lost when the head kept only the last eight incarnations.
 func TestNoAuditEntryIsLostInACrashLoop(t *testing.T) {
 	key := auditlog.Prefix + "of/" + "who/potter"
 	pending, err := json.Marshal(
 		valueWithEntries{
 			[]audit.PendingEntry{
-				testAuditKey.SignEntry("n0", key, &pb.AuditEntry{Life: 1, Count: 2, Verb: "administer", Object: "potter"}),
+				testAuditKey.SignEntry(
+					"n0",
+					key,
+					&pb.AuditEntry{Life: 1, Count: 2, Verb: "administer", Object: "potter"},
+				),
 			},
 		},
 	)
@@ -354,7 +362,8 @@
 	}
 }
 
-// Stopped tasks are recorded once for each cause, with task ranges and the first machines.
+// Stopped tasks must be recorded as one event for each cause, which names ranges of tasks and only the first
+// machines.
 func TestTaskStopsAreAuditedByCause(t *testing.T) {
 	var reasons []jobrecord.StopReason
 	for i := range 6 {
--- a/core/auditlog/blocks.go
+++ b/core/auditlog/blocks.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	fullBlockEntries      = 48                     // queued entries that are written without waiting for more
-	minBlockInterval      = time.Second            // between blocks, however many entries wait
-	blockRetryDelay       = 300 * time.Millisecond // after a block transaction that was not committed
-	blockEncodeRetryDelay = 10 * time.Second       // after a block that could not be encoded
-	aggregatedEntryBytes  = 2000                   // bound of the gathered events in one entry
+	fullBlockEntries      = 48                     // a queue of that many entries is written without waiting for more
+	minBlockInterval      = time.Second            // between blocks, however many entries are queued
+	blockRetryDelay       = 300 * time.Millisecond // after a block transaction that failed or has no known outcome
+	blockEncodeRetryDelay = 10 * time.Second       // after a block that can't be encoded
+	aggregatedEntryBytes  = 2000                   // bound of the aggregated events in one entry
 )
 
-// blockAttempt is a block that was sent. The head shows whether it was written.
+// blockAttempt is a block in a transaction whose outcome may be unknown. The head shows whether it was written.
 type blockAttempt struct {
 	blockNumber       uint64
 	mac               []byte
@@ -30,7 +30,7 @@
 	startsIncarnation bool
 }
 
-// IsBusy reports whether no block may be written now.
+// IsBusy reports whether a block transaction is in flight or the delay after a failed one has not passed.
 func (r *Recorder) IsBusy() bool { return r.blockInFlight || r.Env.Now < r.nextBlockAt }
 
 // NextBlockTxn returns the transaction that writes the next block, or nil if none is due. Its outcome
@@ -44,7 +44,7 @@
 	}
 	r.flushAggregated(&r.denials, &r.denialsSince, "refused", pb.AuditOutcome_refused)
 	r.flushAggregated(&r.reads, &r.readsSince, "read", pb.AuditOutcome_done)
-	if r.reads.Len() == 0 && len(r.readWaiters) > 0 { // the waiters' entry is now the last of the queue
+	if r.reads.Len() == 0 && len(r.readWaiters) > 0 { // their entry is now the last in the queue
 		last := &r.queue[len(r.queue)-1]
 		last.onRecorded = append(last.onRecorded, r.readWaiters...)
 		r.readWaiters = nil
@@ -52,7 +52,8 @@
 	return r.nextBlock()
 }
 
-// isBlockDue reports whether entries have waited long enough, are many enough, or must not wait.
+// isBlockDue reports whether queued or aggregated entries have waited long enough, are numerous enough, or must not
+// wait.
 func (r *Recorder) isBlockDue() bool {
 	now := r.Env.Now
 	switch {
@@ -67,15 +68,15 @@
 	return slices.ContainsFunc(r.queue, func(entry queuedEntry) bool { return len(entry.onRecorded) > 0 })
 }
 
-// flushAggregated queues one entry of gathered events, if there are any.
+// flushAggregated queues one entry of aggregated events, if there are any.
 func (r *Recorder) flushAggregated(
-	gathered *audit.Aggregator, since *time.Duration, verb string, outcome pb.AuditOutcome,
+	aggregated *audit.Aggregator, since *time.Duration, verb string, outcome pb.AuditOutcome,
 ) {
-	if gathered.Len() == 0 {
+	if aggregated.Len() == 0 {
 		return
 	}
 	entry := r.newEntry(Event{Verb: verb})
-	entry.Outcome, entry.Items = outcome, gathered.Drain(min(aggregatedEntryBytes, r.Env.MaxValueBytes/4))
+	entry.Outcome, entry.Items = outcome, aggregated.Drain(min(aggregatedEntryBytes, r.Env.MaxValueBytes/4))
 	*since = r.Env.Now
 	r.enqueue(r.incarnation, entry.Count, audit.EncodeEntry(entry))
 }
@@ -90,7 +91,7 @@
 	maxBytes := r.Env.MaxValueBytes * 15 / 16
 	raw, n, mac, err := r.cfg.Key.EncodeNextBlock(head, r.cfg.Node, r.cfg.ClockErrorMS, encoded, maxBytes)
 	if err != nil {
-		r.cfg.LogError("can't continue the audit log", "err", err.Error())
+		r.cfg.LogError("failed to encode an audit block", "err", err.Error())
 		r.nextBlockAt = r.Env.Now + blockEncodeRetryDelay
 		return nil
 	}
@@ -103,7 +104,7 @@
 	return r.blockTxn(raw, next, wire.Txn{}, attempt)
 }
 
-// incarnationsAfter returns the incarnations of the head once the first n queued entries are in a block.
+// incarnationsAfter returns the incarnations for the head of the block that the first n queued entries are in.
 func (r *Recorder) incarnationsAfter(head *audit.Head, n int) []audit.Incarnation {
 	written, remaining := r.queue[:n], r.queue[n:]
 	isFormer := func(entry queuedEntry) bool { return entry.incarnation != r.incarnation }
@@ -113,8 +114,8 @@
 			incarnations = (&audit.Head{Incarnations: incarnations}).WithRecorded(entry.incarnation, entry.sequence)
 		}
 	}
-	// The pending entries of former incarnations were all read at the start, and after LateTxnWindow
-	// none of their transactions is executed any more: without entries in the queue they are complete.
+	// All pending entries of former incarnations were read at the start, and after LateTxnWindow no transaction of
+	// theirs is executed any more. So once the queue holds none of their entries, all of them are in blocks.
 	if r.Env.Now-r.cfg.StartedAt >= r.cfg.LateTxnWindow && !slices.ContainsFunc(remaining, isFormer) {
 		incarnations = incarnations[len(incarnations)-1:]
 	}
@@ -134,8 +135,8 @@
 	return incarnations
 }
 
-// startIncarnation returns the transaction that writes the first block of this incarnation: its entry
-// records the start and the changed settings.
+// startIncarnation returns the transaction that writes the first block of this incarnation. The entry in it records
+// the start and the changed settings.
 func (r *Recorder) startIncarnation() *wire.Txn {
 	head := cmp.Or(r.heads[r.cfg.Node], &audit.Head{})
 	r.incarnation, r.lastSequence = head.BlockNumber+1, 0
@@ -154,7 +155,7 @@
 		r.Env.MaxValueBytes,
 	)
 	if err != nil {
-		r.cfg.LogError("can't start the audit log", "err", err.Error())
+		r.cfg.LogError("failed to encode the first audit block of this process", "err", err.Error())
 		r.nextBlockAt = r.Env.Now + blockEncodeRetryDelay
 		return nil
 	}
@@ -166,8 +167,8 @@
 	return r.blockTxn(raw, next, txn, blockAttempt{blockNumber: next.BlockNumber, mac: mac, startsIncarnation: true})
 }
 
-// addSettings adds a write of changed settings to the transaction, if they fit a value, and returns how
-// the settings compare with those of the last start.
+// addSettings adds a write of the settings to the transaction if they have changed and fit a value. It returns a
+// description of how they differ from those of the last start.
 func (r *Recorder) addSettings(txn *wire.Txn) (reason string) {
 	changed := diffSettings(r.storedSettings, r.cfg.Settings)
 	if len(changed) > 0 || r.settingsRevision == 0 {
@@ -186,8 +187,8 @@
 	return "settings as before"
 }
 
-// diffSettings lists the changed settings in order of their names: first those that are set, then those
-// that are no longer set. was is nil if no settings are stored.
+// diffSettings describes the changed settings in order of their names: first those that are set now, then those
+// that no longer are. was is nil if no settings are stored, which yields no changes.
 func diffSettings(was, is map[string]string) (list []string) {
 	if was == nil {
 		return nil
@@ -206,7 +207,7 @@
 	return list
 }
 
-// blockTxn completes the transaction that writes a block and the head of the chain behind it.
+// blockTxn adds the writes of a block and of the head that follows it to a transaction, and notes the attempt.
 func (r *Recorder) blockTxn(raw json.RawMessage, next *audit.Head, txn wire.Txn, attempt blockAttempt) *wire.Txn {
 	rawHead, err := json.Marshal(next)
 	if err != nil {
@@ -225,8 +226,8 @@
 	return &txn
 }
 
-// HandleBlockOutcome handles the outcome of the transaction that NextBlockTxn returned. It reports
-// whether the caller must bring the replica up to date first and then call ClearBusy.
+// HandleBlockOutcome handles the outcome of the transaction that NextBlockTxn returned. It reports whether the
+// caller must bring the replica up to date and then call ClearBusy before the next block can be written.
 func (r *Recorder) HandleBlockOutcome(status wire.Status, revision uint64) (mustRead bool) {
 	switch status {
 	case wire.StatusOK:
@@ -240,10 +241,10 @@
 	return status != wire.StatusTooManyRequests && status != wire.StatusUnavailable
 }
 
-// ClearBusy ends the wait for a block with unknown outcome: the replica shows whether it was written.
+// ClearBusy ends the wait for a block with unknown outcome, once the replica shows whether it was written.
 func (r *Recorder) ClearBusy() { r.blockInFlight = false }
 
-// applyHead applies a head. The controller's own head shows which of its block attempts was written.
+// applyHead updates the replica of a head. The controller's own head shows which of its block attempts was written.
 func (r *Recorder) applyHead(node string, head *audit.Head, revision uint64) {
 	if revision <= r.headRevisions[node] {
 		return
@@ -262,13 +263,12 @@
 	r.confirmBlock(r.blockAttempts[i])
 }
 
-// handleForeignHead ends this incarnation: the chain was continued by a process that is not this one,
-// usually a former one, or was set back by a restore. The entries of this incarnation show with the
-// watched changes, like those of a former one.
+// handleForeignHead ends this incarnation, because another process, usually a former one, extended the chain, or a
+// restore rolled it back. The watched changes then show the entries of this incarnation like those of a former one.
 func (r *Recorder) handleForeignHead(head *audit.Head) {
 	if r.started {
 		r.cfg.LogError(
-			"audit chain was continued by another process, or set back",
+			"audit chain was extended by another process or rolled back; starting a new incarnation",
 			"block",
 			head.BlockNumber,
 		)
@@ -276,7 +276,7 @@
 	r.started, r.incarnation, r.blockAttempts = false, 0, nil
 	clear(r.inFlight)
 	clear(r.unknownOutcome)
-	// The last block of a former incarnation may be written after its entries were queued here.
+	// The last block of a former incarnation may have been written after its entries were queued here.
 	r.queue = slices.DeleteFunc(r.queue, func(entry queuedEntry) bool {
 		if !head.Contains(entry.incarnation, entry.sequence) {
 			return false
--- a/core/auditlog/entries.go
+++ b/core/auditlog/entries.go
@@ -13,28 +13,28 @@
 	"dewlift/wire"
 )
 
-// maxReasonBytes bounds the reason of an entry; a longer one is cut.
+// maxReasonBytes bounds the reason in an entry; a longer one is truncated.
 const maxReasonBytes = 600
 
-// outbox is the replica of a key whose only purpose is to carry entries.
+// outbox is the replica of an outbox key, whose only purpose is to carry entries.
 type outbox struct {
 	revision uint64
 	entries  []audit.PendingEntry
 }
 
-// outboxValue is the stored form of a carrier, and the part that all values with entries share.
+// outboxValue is the stored form of an outbox, and the common part of all values that carry entries.
 type outboxValue struct {
 	Entries []audit.PendingEntry `json:"e"`
 }
 
-// inFlightEntry is an entry of a transaction without a known outcome.
+// inFlightEntry is an entry in a transaction whose outcome is not known yet.
 type inFlightEntry struct {
 	encoded  []byte
 	key      string // that carries it
-	revision uint64 // of the key, compared by the transaction
+	revision uint64 // of the key, which the transaction compares
 }
 
-// queuedEntry is a committed entry that waits for a block.
+// queuedEntry is a committed entry that waits to be written to a block.
 type queuedEntry struct {
 	incarnation, sequence uint64
 	encoded               []byte
@@ -42,8 +42,8 @@
 	onRecorded            []func(ok bool)
 }
 
-// newEntry returns the entry of an event of this incarnation, with the next sequence number. Its outcome is that it
-// was done, whose stored number is 0: callers that record a denial set the outcome.
+// newEntry returns the entry of an event, with the next sequence number of this incarnation. Its outcome is done,
+// which is stored as 0; a caller that records denials must set another.
 func (r *Recorder) newEntry(event Event) *pb.AuditEntry {
 	r.lastSequence++
 	return &pb.AuditEntry{
@@ -60,9 +60,9 @@
 	}
 }
 
-// AttachEntries returns the entries that a value carries in its next write: those of old that are in no
-// block, and new entries of the events. The write must compare the key's revision. The ids name the new
-// entries; the outcome of the write goes to HandleOutcome or DiscardEntries.
+// AttachEntries returns the entries that a value must carry in its next write: those of old that are in no block,
+// and new entries of the events. The write must compare the key's revision. ids identifies the new entries: the
+// caller passes it to HandleOutcome with the outcome of the write, or to DiscardEntries.
 func (r *Recorder) AttachEntries(
 	key string,
 	revision uint64,
@@ -87,7 +87,7 @@
 	return list, ids
 }
 
-// AttachOutbox adds a carrier with the entry of an event to a transaction.
+// AttachOutbox adds a write of an outbox key with the entry of an event to a transaction.
 func (r *Recorder) AttachOutbox(txn *wire.Txn, name string, event Event) (ids []uint64) {
 	key := outboxPrefix + name
 	old := r.outboxes[key]
@@ -101,7 +101,7 @@
 	return ids
 }
 
-// IsRecorded reports whether a pending entry is in a block, so that no value needs to carry it.
+// IsRecorded reports whether a pending entry is in a block, so that no value needs to carry it any more.
 func (r *Recorder) IsRecorded(pending *audit.PendingEntry) bool {
 	head := r.heads[pending.Node]
 	return head != nil && head.Contains(pending.Incarnation, pending.Sequence)
@@ -112,7 +112,7 @@
 	return !slices.ContainsFunc(list, func(pending audit.PendingEntry) bool { return !r.IsRecorded(&pending) })
 }
 
-// HandleOutcome handles the outcome of a transaction with the entries.
+// HandleOutcome handles the outcome of the transaction that contains the entries.
 func (r *Recorder) HandleOutcome(ids []uint64, status wire.Status) {
 	switch status {
 	case wire.StatusConflict, wire.StatusTooManyRequests, wire.StatusUnavailable, wire.StatusBadRequest: // not executed
@@ -138,7 +138,7 @@
 	}
 }
 
-// enqueueCommitted queues an in-flight entry for a block: its change is committed.
+// enqueueCommitted queues an in-flight entry for a block, because its change is committed.
 func (r *Recorder) enqueueCommitted(id uint64) {
 	if entry := r.inFlight[id]; entry != nil {
 		delete(r.inFlight, id)
@@ -154,9 +154,9 @@
 	)
 }
 
-// ObserveEntries handles the entries that a key carries as of a revision. Entries of this controller
-// that are in no block are queued. Entries with unknown outcome that the key does not carry were not
-// written and never will be.
+// ObserveEntries handles the entries that a key carries as of a revision. It queues those of this controller that
+// are in no block, and drops the entries with unknown outcome that the key does not carry: they were not written
+// and never will be.
 func (r *Recorder) ObserveEntries(key string, revision uint64, list []audit.PendingEntry) {
 	if r.cfg.Key == nil {
 		return
@@ -177,14 +177,14 @@
 	r.ResolveUnknown(key, revision)
 }
 
-// verifiedEntry returns a pending entry of a former incarnation as it goes into a block: unchanged if
-// its MAC is valid, else replaced by an entry that records the forgery under the same number.
+// verifiedEntry returns what goes into a block for a pending entry of a former incarnation: the entry if its MAC is
+// valid, else an entry that records the forgery under the same sequence number.
 func (r *Recorder) verifiedEntry(key string, pending *audit.PendingEntry) []byte {
 	_, err := r.cfg.Key.VerifyEntry(key, pending)
 	if err == nil {
 		return pending.Entry
 	}
-	r.cfg.LogError("audit entry was altered", "key", key, "life", pending.Incarnation,
+	r.cfg.LogError("pending audit entry was altered; recording it as forged", "key", key, "life", pending.Incarnation,
 		"count", pending.Sequence)
 	return audit.EncodeEntry(
 		&pb.AuditEntry{
@@ -199,8 +199,8 @@
 	)
 }
 
-// ResolveUnknown drops the entries with unknown outcome that the key would carry, as of the revision,
-// if they had been written.
+// ResolveUnknown drops the entries with unknown outcome whose write to the key the revision rules out: the key
+// would carry them if they had been written.
 func (r *Recorder) ResolveUnknown(key string, revision uint64) {
 	if len(r.unknownOutcome[key]) == 0 {
 		return
@@ -218,7 +218,7 @@
 	}
 }
 
-// ApplyPut applies a watched audit key.
+// ApplyPut updates the replica from a watched audit key.
 func (r *Recorder) ApplyPut(key string, raw json.RawMessage, revision uint64) error {
 	switch {
 	case key == KeyInitialized:
@@ -232,7 +232,7 @@
 	case strings.HasPrefix(key, outboxPrefix):
 		var value outboxValue
 		if err := json.Unmarshal(raw, &value); err != nil {
-			return fmt.Errorf("decode audit carrier: %w", err)
+			return fmt.Errorf("decode audit outbox: %w", err)
 		}
 		r.ObserveEntries(key, revision, value.Entries)
 		if revision > r.outboxes[key].revision {
--- a/core/auditlog/golden_test.go
+++ b/core/auditlog/golden_test.go
@@ -9,7 +9,7 @@
 	"dewlift/audit"
 )
 
-// The stored form of a carrier and all keys must not change: the same bytes are written, and stored ones read.
+// The stored form of an outbox and all keys must not change, so that controllers of other versions can read them.
 func TestStoredFormatIsStable(t *testing.T) {
 	value := outboxValue{
 		[]audit.PendingEntry{
--- a/core/auditlog/recorder.go
+++ b/core/auditlog/recorder.go
@@ -1,19 +1,19 @@
-// Package auditlog writes a controller's part of the audit log. It decides which stored value carries
-// an entry until the entry is in a block, and when a block is written. It owns the controller's
-// pending entries and its replica of the audit keys. It does no I/O: it returns transactions, and the
-// caller reports their outcomes and the watched changes of the store.
+// Package auditlog writes a controller's chain of the audit log. It decides which stored value carries an entry
+// until the entry is in a block, and when a block is written. It owns the controller's pending entries and its
+// replica of the audit keys. It does no I/O: it returns transactions, and the caller reports their outcomes and the
+// watched changes of the store.
 //
-// An entry is committed in the same transaction as the change it records, without an additional write:
-// the job's record carries it or, where no value can, a carrier key beside the change. The controller
-// that committed it writes it into the next block of its chain, exactly once. A block and the head of
-// the chain, which shows every controller what is in blocks, are one transaction that compares the
-// previous head. The next write of a value drops the entries that are in blocks.
+// An entry is committed in the same transaction as the change it records, as in the transactional outbox pattern.
+// Usually it needs no write of its own, because the changed value carries it; where no value can, the transaction
+// also writes an outbox key. The controller that committed an entry writes it into the next block of its chain,
+// exactly once. One transaction writes a block and the head of the chain, which shows every controller what is in
+// blocks, and compares the previous head. The next write of a value drops the entries that are in blocks.
 //
-// An entry is identified by the incarnation of its process and a sequence number. The head shows
-// whether an entry of a former incarnation is in a block. So a controller that restarts, and reads all
-// keys anyway, finds the pending entries of its former incarnations, and neither loses an entry nor
-// writes it twice. A transaction with unknown outcome is resolved by the entries its key carries once
-// the key changes; if it is executed late, the watch shows its entry.
+// An entry is identified by the incarnation of its process and a sequence number. The head shows whether an entry
+// of a former incarnation is in a block. So a controller that restarts, which reads all keys anyway, finds the
+// pending entries of its former incarnations, and neither loses an entry nor writes it twice. The outcome of a
+// transaction without a response is known once its key changes: it was executed if the key then carries its entry.
+// If it is executed late, the watch shows its entry.
 package auditlog
 
 import (
@@ -23,14 +23,14 @@
 )
 
 const (
-	// Prefix begins the keys that every controller watches.
+	// Prefix is the prefix of the audit keys that every controller watches.
 	Prefix = "dl/audit/"
 
-	// KeyInitialized exists once any controller audits: one that does not audit must not act then.
+	// KeyInitialized exists once any controller audits: a controller that does not audit must not act then.
 	KeyInitialized = Prefix + "begun"
 
-	// HeadPrefix begins the keys of the chain heads, one for each controller. Keys are read in order,
-	// and these sort before all keys that carry entries.
+	// HeadPrefix is the prefix of the keys of the chain heads, one for each controller. Keys are read in their
+	// order, and these sort before all keys that carry entries.
 	HeadPrefix = Prefix + "head/"
 
 	outboxPrefix   = Prefix + "of/"       // entries of changes to values that can't carry them
@@ -39,26 +39,26 @@
 
 // Config is the fixed configuration of a recorder.
 type Config struct {
-	Key                 audit.Key // nil: nothing is recorded, but the heads of others are followed
+	Key                 audit.Key // nil: nothing is recorded, but the heads of other controllers are watched
 	Node                string
-	AggregationInterval time.Duration // how long denials and reads are gathered into one entry
-	BlockDelay          time.Duration // how long other entries wait to share a block
-	LateTxnWindow       time.Duration // after it, no transaction of a former incarnation is executed any more
-	ClockErrorMS        uint32        // bound of the error of the wall clock
+	AggregationInterval time.Duration // how long denials and reads are counted before an entry records them
+	BlockDelay          time.Duration // how long other entries wait for more to share their block
+	LateTxnWindow       time.Duration // how long after a start a former incarnation's transaction may run
+	ClockErrorMS        uint32        // bound of the wall clock's error
 	Settings            map[string]string
 	StartedAt           time.Duration
 	LogError            func(text string, args ...any)
 }
 
-// Env is the environment of a call. The caller sets it before every call.
+// Env is the environment of a call to a Recorder. The caller sets it before every call.
 type Env struct {
 	Now           time.Duration // monotonic
 	UnixMS        int64         // wall clock
-	Enabled       bool          // there is a key, and every controller knows the audit log
+	Enabled       bool          // there is a key, and every controller's version supports the audit log
 	MaxValueBytes int           // limit of the store
 }
 
-// Recorder is the state of a controller's audit log.
+// Recorder records a controller's events in the audit log.
 type Recorder struct {
 	Env Env
 	cfg Config
@@ -74,38 +74,38 @@
 	started                   bool   // the first block of this incarnation is written
 	inFlight                  map[uint64]*inFlightEntry
 	unknownOutcome            map[string][]uint64 // sequence numbers by carrying key
-	formerEntries             map[[2]uint64]bool  // entries of former incarnations in the queue
+	formerEntries             map[[2]uint64]bool  // entries of former incarnations that are in the queue
 	queue                     []queuedEntry       // to be written to blocks
 	blockInFlight             bool
-	blockAttempts             []blockAttempt // of the next block
+	blockAttempts             []blockAttempt // attempts to write the next block
 	nextHead                  *audit.Head    // of the last attempt
-	nextBlockAt               time.Duration  // no attempt before
+	nextBlockAt               time.Duration  // no attempt is made before
 	lastBlockAt               time.Duration
 
 	denials, reads           audit.Aggregator
-	denialsSince, readsSince time.Duration // start of gathering
+	denialsSince, readsSince time.Duration // when counting of the current events began
 	readWaiters              []func(ok bool)
-	recordedUntil            map[string]time.Duration // by reader: further reads need no entry until then
+	recordedUntil            map[string]time.Duration // by reader: until then, further reads need not wait for an entry
 }
 
-// Event is what an entry records. Without an identity, the service itself acted.
+// Event is what an entry records. If there is no identity, the service itself acted.
 type Event struct{ Identity, Key, Verb, Object, Reason string }
 
 const (
-	maxAggregatedBytes = 16 << 10    // bound of gathered events that are told apart, in bytes
-	readerDedupWindow  = time.Minute // after a recorded read, further reads of the same reader are only counted
+	maxAggregatedBytes = 16 << 10    // bound of the aggregated events that are counted separately
+	readerDedupWindow  = time.Minute // after a recorded read: further reads of the same reader are only counted
 )
 
-// Verbs of events that controllers cause.
+// Verbs of events that a controller causes by itself.
 const (
 	VerbTakeOver = "take"    // of shards or the leadership
 	VerbStart    = "start"   // of a controller
 	VerbStop     = "stop"    // of tasks
 	VerbRestore  = "restore" // of a snapshot
-	VerbForged   = "forged"  // an entry that was altered before it was in a block
+	VerbForged   = "forged"  // of an entry that was altered before it was in a block
 )
 
-// New returns a recorder that has recorded nothing.
+// New returns a recorder that has not recorded anything.
 func New(cfg Config) *Recorder {
 	return &Recorder{
 		cfg:            cfg,
@@ -121,7 +121,7 @@
 	}
 }
 
-// IsInitialized reports whether any controller audits.
+// IsInitialized reports whether any controller has ever audited.
 func (r *Recorder) IsInitialized() bool { return r.initializedRevision != 0 }
 
 // IsStarted reports whether the first block of this incarnation is written.
@@ -130,7 +130,7 @@
 // Heads returns the heads of all chains by controller. The caller must not modify them.
 func (r *Recorder) Heads() map[string]*audit.Head { return r.heads }
 
-// RecordDenial gathers count denials of the same event.
+// RecordDenial counts denials of the same kind, which are recorded together later.
 func (r *Recorder) RecordDenial(event audit.AggregatedEvent, count uint32) {
 	if r.cfg.Key == nil {
 		return
@@ -141,9 +141,9 @@
 	r.denials.Add(event, count)
 }
 
-// RecordRead records a read that needs a permission and calls f once it is recorded, or with false if it
-// can't be recorded now. Of a reader who reads page after page, later reads are only counted, and f is
-// called at once.
+// RecordRead records a read that needs a permission. It calls f with true once the read is recorded, or with false
+// if it can't be recorded now. Within readerDedupWindow after a recorded read, further reads of the same reader are
+// only counted, and f is called at once: so reading page after page does not wait for a block each time.
 func (r *Recorder) RecordRead(identity, verb, object string, f func(ok bool)) {
 	if !r.Env.Enabled {
 		f(true)
@@ -166,7 +166,7 @@
 	})
 }
 
-// RejectReadWaiters rejects all reads that wait to be recorded: nothing can be written now.
+// RejectReadWaiters rejects all reads that wait to be recorded. The caller uses it when nothing can be written.
 func (r *Recorder) RejectReadWaiters() {
 	for len(r.readWaiters) > 0 {
 		reject := r.readWaiters[0]
--- a/core/auditlog/recorder_test.go
+++ b/core/auditlog/recorder_test.go
@@ -21,7 +21,7 @@
 // entryID identifies an entry by incarnation and sequence number.
 type entryID = [2]uint64
 
-// fakeStore is a key-value store, with the transactions on their way to it.
+// fakeStore is a key-value store and the transactions that are delayed on their way to it.
 type fakeStore struct {
 	keys             map[string]wire.KeyValue
 	revision         uint64
@@ -29,7 +29,7 @@
 	committedEntries map[entryID]bool // entries whose change was committed
 }
 
-// execute commits a transaction if its compares hold.
+// execute commits a transaction if its compares hold, and reports whether it did.
 func (s *fakeStore) execute(txn wire.Txn) bool {
 	for _, compare := range txn.Compare {
 		if s.keys[compare.Key].Revision != compare.Revision {
@@ -49,11 +49,11 @@
 // entriesIn returns the entries that a value carries.
 func entriesIn(raw json.RawMessage) []audit.PendingEntry {
 	var value outboxValue
-	_ = json.Unmarshal(raw, &value) // blocks and heads carry none
+	_ = json.Unmarshal(raw, &value) // blocks and heads carry no entries
 	return value.Entries
 }
 
-// replayTo applies all keys to a recorder in key order, as a snapshot load and as the watch would.
+// replayTo applies all keys to a recorder in key order, as loading a snapshot and the watch do.
 func (s *fakeStore) replayTo(r *Recorder) error {
 	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
 		item := s.keys[key]
@@ -68,15 +68,15 @@
 	return nil
 }
 
-// delivery is what becomes of a transaction and what its sender learns of it. Higher numbers than
-// those named here are executed at once and answered.
+// delivery is what happens to a transaction and what its sender learns of it. The numbers above rejectUnexecuted
+// all mean deliver.
 type delivery int
 
 const (
-	deliverLate      delivery = iota // executed later, if ever; no answer
-	loseAnswer                       // executed at once; no answer
-	rejectUnexecuted                 // not executed, and the sender knows
-	deliver          delivery = 7    // executed at once and answered
+	deliverLate      delivery = iota // executed later, if at all; no response
+	loseAnswer                       // executed at once; no response
+	rejectUnexecuted                 // not executed, and the sender is told
+	deliver          delivery = 7    // executed at once, with a response
 )
 
 // send executes a transaction now, later or not at all, and returns the outcome that its sender sees.
@@ -96,7 +96,7 @@
 	return wire.StatusOK
 }
 
-// recorderRun is a recorder, its store and its clock.
+// recorderRun is a simulation of a recorder, its store and its clock.
 type recorderRun struct {
 	t        *rapid.T
 	store    *fakeStore
@@ -110,7 +110,7 @@
 	run.recorder.Env = Env{Now: run.now, UnixMS: run.now.Milliseconds(), Enabled: true, MaxValueBytes: 1200}
 }
 
-// restart replaces the recorder by one of a new process.
+// restart replaces the recorder by that of a new process.
 func (run *recorderRun) restart() {
 	run.t.Helper()
 	run.recorder = New(Config{
@@ -128,7 +128,7 @@
 	}
 }
 
-// writeBlock sends the next block, if one is due.
+// writeBlock sends the transaction of the next block, if one is due.
 func (run *recorderRun) writeBlock(how delivery) {
 	run.t.Helper()
 	if run.recorder.IsBusy() {
@@ -144,7 +144,7 @@
 	}
 }
 
-// executeDelayed executes one of the transactions that are on their way.
+// executeDelayed executes one of the delayed transactions.
 func (run *recorderRun) executeDelayed() {
 	if n := len(run.store.delayedTxns); n > 0 {
 		i := rapid.IntRange(0, n-1).Draw(run.t, "late")
@@ -157,7 +157,7 @@
 func (run *recorderRun) writeJob(how delivery) {
 	run.t.Helper()
 	jobKey := fmt.Sprint("dl/job/", rapid.IntRange(0, 3).Draw(run.t, "key"))
-	if len(run.recorder.unknownOutcome[jobKey]) > 0 { // the owner of a key reads it before it writes again
+	if len(run.recorder.unknownOutcome[jobKey]) > 0 { // a key's owner reads it before it writes it again
 		if err := run.store.replayTo(run.recorder); err != nil {
 			run.t.Fatalf("read after a write with unknown outcome: %v", err)
 		}
@@ -180,7 +180,7 @@
 	run.recorder.HandleOutcome(ids, run.store.send(txn, how))
 }
 
-// step performs one random operation.
+// step performs a random operation.
 func (run *recorderRun) step() {
 	run.t.Helper()
 	run.advanceClock(time.Duration(rapid.Int64Range(0, int64(1500*time.Millisecond)).Draw(run.t, "pass")))
@@ -205,10 +205,10 @@
 	}
 }
 
-// checkBlocks fails unless the blocks hold every committed entry exactly once, and no other.
+// checkBlocks fails unless the blocks hold every committed entry exactly once, and no other entry.
 func (run *recorderRun) checkBlocks() {
 	run.t.Helper()
-	blocks := map[entryID]int{} // that hold an entry
+	blocks := map[entryID]int{} // number of blocks that hold an entry
 	for key, item := range run.store.keys {
 		if !strings.HasPrefix(key, audit.BlockPrefix) {
 			continue
@@ -235,8 +235,9 @@
 	}
 }
 
-// Whatever becomes of the transactions and processes, every committed entry must be in exactly one block,
-// and no other entry in any: a lost entry hides a change, a second one invents one.
+// Whatever transactions are lost or delayed and whenever the process restarts, every committed entry must be in
+// exactly one block and no other entry in any: a lost entry would hide a change, and a duplicate would report one
+// that did not happen.
 func TestEveryCommittedEntryIsRecordedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := &recorderRun{
@@ -247,7 +248,7 @@
 		for range rapid.IntRange(1, 120).Draw(t, "acts") {
 			run.step()
 		}
-		for range 60 { // without failures from here on
+		for range 60 { // without failures, until all entries are in blocks
 			run.advanceClock(3 * time.Second)
 			if err := run.store.replayTo(run.recorder); err != nil {
 				t.Fatalf("watch without failures: %v", err)
