--- a/core/denials_test.go
+++ b/core/denials_test.go
@@ -17,16 +17,15 @@
 	"dewlift/wire"
 )
 
-// What happens: a request whose caller lacks the permission gets a response that denies it, but part of its effect is
-// written all the same. Why: the denial of a list of equipment left the outcome of the request at its zero value,
-// which meant "done", and only one of two conditions that followed asked whether the request was denied. What showed
-// it: the transaction of TestForbiddenEquipmentIsNotWritten, whose writes hold the new dl/booking/list beside an
-// answer 403. These tests send each verb of the API without permission and compare all writes that follow.
+// These tests guard against a denied request whose effect is written nevertheless. That happened to an equipment
+// list: its denial left the outcome at the zero value, which meant "done", and only one of two later conditions
+// checked for the denial, so the list was written although the response was 403. The tests send each verb of the
+// API without permission and check all writes that follow.
 
-// equipmentText is the list of equipment in force in these tests: one kiln, reserved by the minute.
+// equipmentText is the equipment list in force in these tests: one kiln that is reserved by the minute.
 const equipmentText = `pieces { name: "k" kind: "kiln" slot_minutes: 1 }`
 
-// deniedRequest is a request that potter of examplePolicy may not make.
+// deniedRequest is a request for which potter of examplePolicy lacks the permission.
 type deniedRequest struct {
 	name   string
 	verb   string // in the audit log
@@ -101,7 +100,8 @@
 	}
 }
 
-// newAuditingCoreWithEquipment returns newAuditingCore with equipment in force and a waiting job of anna.
+// newAuditingCoreWithEquipment returns the controller of newAuditingCore with equipment in force and a queued job
+// of anna.
 func newAuditingCoreWithEquipment(t *testing.T) *Core {
 	t.Helper()
 	c := newAuditingCore(t)
@@ -125,8 +125,8 @@
 	return c
 }
 
-// auditedDenials returns how often the audit log among the writes records the denial of an act of an identity, and the
-// entries that record an act of that identity as done.
+// auditedDenials returns how often the audit entries among the writes record a denial of the action of an identity,
+// and the actions of that identity that they record as done.
 func auditedDenials(t *testing.T, writes []wire.Write, identity, verb, object string) (denials uint32, done []string) {
 	t.Helper()
 	for _, entry := range auditEntriesIn(t, writes) {
@@ -143,8 +143,8 @@
 	return denials, done
 }
 
-// A denied request must be answered as denied, must change nothing in the store beside the audit log, and must be
-// recorded as denied, exactly once.
+// The response to a denied request must say so. The request must change nothing in the store except the audit log,
+// which must record the denial exactly once.
 func TestDeniedRequestChangesNothing(t *testing.T) {
 	for _, tt := range deniedRequests() {
 		t.Run(tt.name, func(t *testing.T) {
@@ -168,8 +168,8 @@
 	}
 }
 
-// A permission that is revoked after the decision and before the commit must have the request decided again: then it
-// is denied and nothing is written.
+// If a permission is revoked between the decision on a request and its commit, the request must be decided again:
+// then it must be denied, and nothing written.
 func TestRevocationBetweenDecisionAndCommit(t *testing.T) {
 	c := newAuditingCoreWithEquipment(t)
 	grant := func(revision uint64, verbs ...pb.Verb) {
@@ -216,8 +216,8 @@
 	}
 }
 
-// responsesAndWrites answers all writes in an interval, and returns them with the statuses of the responses to the
-// denied request.
+// responsesAndWrites commits all transactions in an interval. It returns their writes and the statuses of the
+// responses to the denied request.
 func responsesAndWrites(c *Core, from, to time.Duration) (statuses []wire.Status, writes []wire.Write) {
 	accepts := func(txn wire.Txn) bool {
 		writes = append(writes, txn.Then...)
@@ -231,7 +231,7 @@
 	return statuses, writes
 }
 
-// packedEvent is the write of a key with a packed message.
+// packedEvent returns the watch event of a write of a packed message.
 func packedEvent(t *testing.T, key string, message protobuf.Message, revision uint64) wire.WatchEvent {
 	t.Helper()
 	raw, err := jobrecord.PackMessage(message)
@@ -241,9 +241,8 @@
 	return wire.WatchEvent{Put: key, Value: raw, Revision: revision}
 }
 
-// Every change that needs a permission must be in the audit log. What happened: a new list of priority classes was
-// stored without an entry, as its transaction alone did not ask the audit log for one. What showed it: the writes of
-// the transaction hold dl/lanes and no key beside it.
+// Every change that needs a permission must be in the audit log. A new list of priority classes was stored without
+// an audit entry, because its transaction was the only one that did not add any.
 func TestChangeOfPriorityClassesIsAudited(t *testing.T) {
 	c := newAuditingCoreWithEquipment(t)
 	in := SetPriorityClasses{RequestID: deniedRequestID, Caller: anna, Text: `lanes { name: "all" }`}
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -17,40 +17,40 @@
 	"dewlift/wire"
 )
 
-// Permissions are stored under one key for the roles and one key for each identity. They are in force
-// once the roles exist; seeding writes the roles last. Authorization must never rely on a replica that
-// lags behind a revocation:
+// Permissions are stored under one key for the roles and one key for each identity. They are in force once the
+// roles exist; seeding writes the roles last. An authorization must never rely on a replica that lags behind a
+// revocation:
 //
 //   - a change (a new job, a cancellation, a change of permissions) is committed with compares on the
 //     roles and the identity, so it fails if either has changed since the decision;
 //   - a read (a job's state) is answered after a read barrier that began after the request arrived.
 //
-// So a revocation takes effect everywhere with its own write, independent of clocks and leases. During
-// an outage of the store nothing can be decided, and every request is answered 503. A denial also
-// waits for a barrier: the permission may just have been granted.
+// So a revocation takes effect on all controllers as soon as it is committed, independent of clocks and leases.
+// During an outage of the store nothing can be authorized, and every request gets status 503. A denial waits for a
+// read barrier too, because the permission may just have been granted.
 const (
 	keyPermissions = Root + "access/"
 	keyRoles       = keyPermissions + "roles"
 	keyIdentity    = keyPermissions + "who/"
 )
 
-// Credential is an authenticated identity and the key that proved it.
+// Credential is an authenticated identity and the ID of the key that authenticated it.
 type Credential struct{ Identity, KeyID string }
 
-// permissionState is the replica of the stored permissions and the policy derived from it.
+// permissionState is the replica of the stored permissions, and the policy derived from it.
 type permissionState struct {
 	*environment
 	rolesRevision   uint64 // revision of the roles; 0: permissions are not in force
 	roles           *pb.Access
 	identities      map[string]storedIdentity
 	policy          *access.Policy
-	publishedPolicy *access.Policy // last policy sent to the request handlers
+	publishedPolicy *access.Policy // the policy that was last sent to the request handlers
 	policyStale     bool           // policy must be rebuilt before use
 	seeding         bool           // a seeding transaction is in flight
-	nextSeedAt      time.Duration  // no seeding attempt before
+	nextSeedAt      time.Duration  // no seeding is attempted before
 }
 
-// newPermissionState returns the state of a store without permissions.
+// newPermissionState returns the replica of a store without permissions.
 func newPermissionState(env *environment) permissionState {
 	return permissionState{environment: env, identities: map[string]storedIdentity{}}
 }
@@ -61,8 +61,8 @@
 	identity *pb.Identity
 }
 
-// applyPut applies a stored permission key. An older revision than the known one is ignored.
-// Unreadable roles or an unreadable identity grant nothing.
+// applyPut updates the replica from a stored permission key, unless it knows a later revision. Roles or an identity
+// that can't be decoded grant nothing.
 func (p *permissionState) applyPut(key string, raw json.RawMessage, revision uint64) error {
 	p.policyStale = true
 	if key == keyRoles {
@@ -85,7 +85,7 @@
 	return err
 }
 
-// applyDelete applies the deletion of an identity's key.
+// applyDelete removes an identity whose key was deleted from the replica.
 func (p *permissionState) applyDelete(key string) {
 	p.policyStale = true
 	delete(p.identities, strings.TrimPrefix(key, keyIdentity))
@@ -100,10 +100,10 @@
 	return message
 }
 
-// isInForce reports whether requests must be authorized.
+// isInForce reports whether permissions are in force, so that requests must be authorized.
 func (p *permissionState) isInForce() bool { return p.rolesRevision != 0 }
 
-// accessControl decides what callers may do, by the permissions and whether changes can be audited.
+// accessControl decides what callers may do, according to the permissions and to whether changes can be audited.
 type accessControl struct {
 	*environment
 	permissions *permissionState
@@ -111,7 +111,7 @@
 	schema      *schemaState
 }
 
-// Reasons of answers that a request can't be served now.
+// Reasons in responses to requests that can't be served now.
 const (
 	reasonNotReady      = "rights are not in force yet, or what is done can't be recorded yet"
 	reasonNoPermissions = "rights are not in force"
@@ -123,8 +123,8 @@
 	return a.cfg.Permissions != nil && !a.permissions.isInForce() || a.auditLog.isNotReady()
 }
 
-// currentPolicy returns the policy of the stored permissions and rebuilds it after a change.
-// Inconsistent permissions grant nothing.
+// currentPolicy returns the policy of the stored permissions, which it rebuilds after a change. Inconsistent
+// permissions grant nothing.
 func (p *permissionState) currentPolicy() *access.Policy {
 	if !p.policyStale && p.policy != nil {
 		return p.policy
@@ -132,7 +132,7 @@
 	p.policyStale = false
 	policy, err := access.New(p.toMessage())
 	if err != nil {
-		p.log(LevelError, "permissions are inconsistent, all access is denied", "err", err.Error())
+		p.log(LevelError, "stored permissions are inconsistent; denying all access", "err", err.Error())
 		if policy, err = access.New(&pb.Access{}); err != nil {
 			panic(err) // impossible: empty permissions are consistent
 		}
@@ -141,7 +141,7 @@
 	return policy
 }
 
-// publishPolicy sends a changed policy to the request handlers, which authenticate tokens with it.
+// publishPolicy sends a changed policy to the request handlers, which use it to authenticate tokens.
 func (p *permissionState) publishPolicy() {
 	if p.isInForce() && p.currentPolicy() != p.publishedPolicy {
 		p.publishedPolicy = p.policy
@@ -149,8 +149,8 @@
 	}
 }
 
-// authorize decides whether an identity may perform an action, by the permissions known here. Until
-// permissions are in force everything is allowed, unless nothing may be served.
+// authorize decides whether a caller may perform an action, according to the replica of the permissions. Until
+// permissions are in force, every action is allowed, unless no request may be served.
 func (a *accessControl) authorize(caller Credential, action access.Action) access.Decision {
 	if !a.permissions.isInForce() {
 		return access.Decision{Allowed: !a.isNotServing()}
@@ -162,7 +162,7 @@
 	return policy.Decide(caller.Identity, action)
 }
 
-// compares returns the compares under which an authorization of the caller still holds.
+// compares returns the compares that fail if an authorization of the caller no longer holds.
 func (a *accessControl) compares(caller Credential) []wire.Compare {
 	if !a.permissions.isInForce() {
 		if a.schema.active < schemaPermissions {
@@ -193,8 +193,8 @@
 	return a.authorize(caller, access.Action{Verb: pb.Verb_cancel, Team: team, Class: class}).Allowed
 }
 
-// canRepeatSubmission decides whether an idempotent submission of an existing job is answered with
-// the job's state: the caller may read the job, or may submit to the same team and class.
+// canRepeatSubmission reports whether the repeated submission of an existing job is answered with the job's state:
+// the caller must be allowed to read the job, or to submit the same team and class.
 func (a *accessControl) canRepeatSubmission(caller Credential, spec *wire.JobSpec, target *job) bool {
 	if a.canReadJob(caller, target) {
 		return true
@@ -203,7 +203,7 @@
 	return spec != nil && spec.Team == team && spec.Class == class && a.authorize(caller, submitAction(spec)).Allowed
 }
 
-// submitAction returns the action that a submission of the job must be authorized for.
+// submitAction returns the action that the submission of a job must be authorized for.
 func submitAction(spec *wire.JobSpec) access.Action {
 	return access.Action{Verb: pb.Verb_submit, Team: spec.Team, Class: spec.Class, Priority: spec.Priority}
 }
@@ -213,14 +213,14 @@
 	return p.currentPolicy().KeyBelongsTo(caller.Identity, caller.KeyID)
 }
 
-// respondForbidden denies a request for lack of a permission and records the denial.
+// respondForbidden denies a request whose caller lacks a permission, and records the denial.
 func (c *Core) respondForbidden(requestID uint64, caller Credential, verb, object, reason string) {
 	c.auditLog.recordDenial(caller, verb, object, reason)
 	c.respond(requestID, wire.StatusForbidden, wire.Error{Error: reason})
 }
 
-// getJobAuthorized answers a poll after a barrier. A caller without read permission gets the same
-// answer as for a job that does not exist.
+// getJobAuthorized answers a poll after a read barrier. A caller without read permission gets the same response as
+// for a job that does not exist.
 func (c *Core) getJobAuthorized(in GetJob) {
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
 		if target == nil || !c.access.canReadJob(in.Caller, target) {
@@ -234,8 +234,8 @@
 	})
 }
 
-// cancelJobAuthorized cancels a job for a permitted caller. A caller who may neither cancel nor read
-// the job gets the same answer as for a job that does not exist.
+// cancelJobAuthorized cancels a job for a permitted caller. A caller who may neither cancel nor read the job gets
+// the same response as for a job that does not exist.
 func (c *Core) cancelJobAuthorized(in CancelJob) {
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
 		if target == nil || !c.access.canCancelJob(in.Caller, target) && !c.access.canReadJob(in.Caller, target) {
@@ -253,8 +253,8 @@
 	})
 }
 
-// withJobAfterBarrier calls f with a job as of a read barrier that begins now, or with nil if there is
-// no such job. It answers the request itself if the barrier fails.
+// withJobAfterBarrier calls f with a job as of a read barrier that begins now, or with nil if there is no such job.
+// If the barrier fails, it responds to the request itself.
 func (c *Core) withJobAfterBarrier(requestID uint64, id string, f func(target *job)) {
 	switch {
 	case !c.replica.loaded:
@@ -276,8 +276,8 @@
 	}
 }
 
-// submitJobAuthorized admits a submission of a permitted caller; its transaction compares the
-// permissions again. A submission that can't be admitted at once is decided after a read barrier.
+// submitJobAuthorized admits the submission of a permitted caller at once, because the transaction that accepts the
+// job compares the permissions again. Any other submission is decided after a read barrier.
 func (c *Core) submitJobAuthorized(in SubmitJob) {
 	if in.ID == "" {
 		c.respond(in.RequestID, wire.StatusBadRequest, wire.Error{Error: in.DecodeError})
@@ -314,8 +314,8 @@
 	return &in.Spec
 }
 
-// dropUnauthorizedCancellations denies the waiting cancellations whose callers have lost the permission
-// since their request, and returns the compares under which the remaining ones hold.
+// dropUnauthorizedCancellations denies the waiting cancellations whose callers have lost the permission since their
+// request. It returns the compares that fail if the remaining ones are no longer authorized.
 func (c *Core) dropUnauthorizedCancellations(target *job) []wire.Compare {
 	var compares []wire.Compare
 	target.cancellation.waiters = slices.DeleteFunc(target.cancellation.waiters, func(waiter cancelWaiter) bool {
@@ -333,13 +333,13 @@
 	return compares
 }
 
-// permissionSeedRetryDelay spaces attempts to seed permissions that don't fit a value, which only
-// another configuration mends.
+// permissionSeedRetryDelay is the delay between attempts to seed permissions that don't fit a value. Only a change
+// of the configuration can make them fit.
 const permissionSeedRetryDelay = 10 * time.Second
 
-// seedPermissions writes the configured permissions to a store without any: identities first, in as
-// many transactions as needed, then the roles, which bring them into force. An interrupted seeding is
-// continued, also by the next leader.
+// seedPermissions writes the configured permissions to a store that has none: first the identities, in as many
+// transactions as needed, then the roles, which bring them into force. An interrupted seeding is continued, by the
+// next leader if need be.
 func (c *Core) seedPermissions() {
 	if !c.canSeedPermissions() {
 		return
@@ -361,11 +361,11 @@
 	c.permissions.seeding = true
 	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
-		c.replica.afterReadBarrier(func(bool) { c.permissions.seeding = false }) // the barrier shows the outcome
+		c.replica.afterReadBarrier(func(bool) { c.permissions.seeding = false }) // the replica then shows the outcome
 	}})
 }
 
-// canSeedPermissions reports whether permissions must be seeded and this controller may write now.
+// canSeedPermissions reports whether permissions must be seeded and this controller can do so now.
 func (c *Core) canSeedPermissions() bool {
 	if c.cfg.Permissions == nil || c.permissions.isInForce() || c.auditLog.isNotReady() ||
 		c.cfg.Audit.Key != nil && !c.auditLog.isEnabled() {
@@ -378,9 +378,9 @@
 		!c.transactions.rateLimit.IsPaused(c.now) && c.transactions.rateLimit.WriteTokens >= 1
 }
 
-// permissionSeedTxn returns the next transaction of a seeding: missing identities, as many as a
-// transaction and the rate limit allow, or the roles once all identities exist. It reports false if a
-// message can't be stored.
+// permissionSeedTxn returns the next transaction of a seeding. It writes as many missing identities as a
+// transaction and the rate limit allow, or the roles once all identities exist. It reports false if a message can't
+// be stored.
 func (c *Core) permissionSeedTxn(seed *pb.Access) (wire.Txn, bool) {
 	txn := wire.Txn{
 		Compare: []wire.Compare{{Key: keyLeader, Revision: c.leadership.leader.modRevision}, {Key: keyRoles}},
@@ -408,23 +408,24 @@
 	return txn, true
 }
 
-// maxSeedWrites returns how many identities a seeding transaction may write now.
+// maxSeedWrites returns the number of identities that a seeding transaction may write now.
 func (c *Core) maxSeedWrites() int {
 	allowed := min(c.cfg.Store.MaxTxnOps, int(c.transactions.rateLimit.WriteTokens)) - c.auditLog.opsPerTxn()
 	return max(1, allowed)
 }
 
-// pack renders a message as a value and reports whether it can be stored.
+// pack encodes a message as a value and reports whether it can be stored.
 func (p *permissionState) pack(key string, message protobuf.Message) (json.RawMessage, bool) {
 	raw, err := jobrecord.PackMessage(message)
 	if err != nil || len(raw) > p.cfg.Store.MaxValueBytes {
-		p.log(LevelError, "permissions can't be stored", "key", key, "bytes", len(raw), "err", fmt.Sprint(err))
+		p.log(LevelError, "configured permissions can't be stored in one value",
+			"key", key, "bytes", len(raw), "err", fmt.Sprint(err))
 		return nil, false
 	}
 	return raw, true
 }
 
-// handleUpdatePermissions changes an identity's permissions for a permitted caller, after a barrier.
+// handleUpdatePermissions changes an identity's permissions for a permitted caller, after a read barrier.
 func (c *Core) handleUpdatePermissions(in UpdatePermissions) {
 	switch {
 	case !c.replica.loaded || c.replica.isStoreUnreachable() || !c.ownLease.isHeld():
@@ -436,7 +437,7 @@
 			switch {
 			case !ok:
 				c.respondUnavailable(in.RequestID, reasonStoreUnreachable)
-			case c.access.isNotServing(): // before the audit incarnation starts, an entry could reuse another's name
+			case c.access.isNotServing(): // before the audit log starts, a new entry could get the ID of a former one
 				c.respondUnavailable(in.RequestID, reasonNotReady)
 			default:
 				c.updatePermissions(in)
@@ -469,7 +470,7 @@
 	)
 	c.transactions.commit(txn, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		handleAuditOutcome(status)
-		c.replica.afterReadBarrier(func(bool) {}) // brings the change into the replica soon
+		c.replica.afterReadBarrier(func(bool) {}) // brings the replica up to date soon
 		if status != wire.StatusOK {
 			c.respondUnavailable(in.RequestID, "rights changed meanwhile, or the outcome is not known: ask again")
 			return
@@ -483,9 +484,9 @@
 	}})
 }
 
-// identityWrite returns the write that stores an identity after the change. It returns an error if
-// the change is invalid, does not fit a value, or would leave no administrator with a key: nobody
-// could then change permissions any more.
+// identityWrite returns the write that stores an identity after the change. It returns an error if the change is
+// invalid, does not fit a value, or would leave no administrator with a key, so that nobody could change
+// permissions any more.
 func (p *permissionState) identityWrite(in UpdatePermissions, old *pb.Identity) (wire.Write, error) {
 	write := wire.Write{Delete: keyIdentity + in.Identity}
 	next, err := in.applyTo(old)
@@ -517,8 +518,8 @@
 	return write, nil
 }
 
-// cancelQueuedJobs cancels the queued jobs of the changed identity that have not started, if the
-// request asks for it, and returns their ids.
+// cancelQueuedJobs cancels, if the request asks for it, the jobs of the changed identity of which no task has
+// started. It returns their IDs.
 func (c *Core) cancelQueuedJobs(in UpdatePermissions) (ids []string) {
 	if !in.Edit.CancelQueued {
 		return nil
@@ -536,8 +537,8 @@
 	return ids
 }
 
-// changesOnlyOwnKeys reports whether a change affects nothing but the caller's own keys, which every
-// identity may replace.
+// changesOnlyOwnKeys reports whether a change affects only the keys of the caller, which every identity may
+// replace.
 func (in *UpdatePermissions) changesOnlyOwnKeys() bool {
 	edit := &in.Edit
 	return in.Caller.Identity == in.Identity && len(edit.GrantRoles)+len(edit.RevokeRoles) == 0 && !edit.Delete &&
@@ -613,7 +614,7 @@
 	return next, nil
 }
 
-// handleCheckPermission answers 200 if the caller may perform an action that concerns no job.
+// handleCheckPermission responds with status 200 if the caller may perform an action that concerns no job.
 func (c *Core) handleCheckPermission(in CheckPermission) {
 	if c.access.isNotServing() {
 		c.respondUnavailable(in.RequestID, reasonNotReady)
@@ -634,8 +635,8 @@
 	}))
 }
 
-// ifAuthorized returns a function to call after a read barrier: it calls f if the caller may perform
-// an action that concerns no job, and denies the request otherwise.
+// ifAuthorized returns a callback for a read barrier. It calls f if the caller may perform an action that concerns
+// no job, and denies the request otherwise.
 func (c *Core) ifAuthorized(
 	requestID uint64, caller Credential, verb access.Verb, object string, f func(),
 ) func(ok bool) {
@@ -651,7 +652,7 @@
 	}
 }
 
-// handleListPermissions answers with all permissions, to callers who may change them.
+// handleListPermissions responds with all permissions to a caller who may change them.
 func (c *Core) handleListPermissions(in ListPermissions) {
 	if !c.permissions.isInForce() {
 		c.respondUnavailable(in.RequestID, reasonNoPermissions)
--- a/core/permissions_test.go
+++ b/core/permissions_test.go
@@ -15,8 +15,8 @@
 	"dewlift/wire"
 )
 
-// examplePolicy has a technician, anna, who may also change permissions, and a visitor, potter. The
-// team of test jobs is t, their class c.
+// examplePolicy returns a policy with a technician, anna, who may also change permissions, and a visitor, potter.
+// Test jobs have the team t and the class c.
 func examplePolicy(t *testing.T) *access.Policy {
 	t.Helper()
 	key := func(b byte) string { return base64.StdEncoding.EncodeToString(append(make([]byte, 31), b)) }
@@ -67,7 +67,7 @@
 	return c
 }
 
-// submittedBy returns the submission as made by the caller.
+// submittedBy returns the submission with the given caller and standard priority.
 func submittedBy(by Credential, in SubmitJob) SubmitJob {
 	in.Caller, in.Spec.Priority = by, wire.PriorityStandard
 	return in
@@ -83,8 +83,8 @@
 	return responses[0].Status
 }
 
-// seedTxns advances the controller through an interval, commits every transaction, and returns those
-// that write permissions. Each must compare the roles, or two controllers could both seed.
+// seedTxns advances the controller through an interval, commits every transaction, and returns those that write
+// permissions. Each of them must compare the roles: otherwise two controllers could both seed.
 func seedTxns(t *testing.T, c *Core, from, to time.Duration) (txns []wire.Txn) {
 	t.Helper()
 	writesPermission := func(write wire.Write) bool { return strings.HasPrefix(write.Put, keyPermissions) }
@@ -115,8 +115,8 @@
 	return txns
 }
 
-// Configured permissions come into force once every controller knows the schema: identities first,
-// then the roles, with compares. No request may be served before.
+// Configured permissions must come into force only once every controller supports them. The identities must be
+// written before the roles, and no request may be served before the permissions are in force.
 func TestPermissionsAreSeededOnce(t *testing.T) {
 	c := newServingCore(t)
 	c.cfg.Permissions = examplePolicy(t)
@@ -134,7 +134,7 @@
 		event(keySchemaVersion+"n0", fmt.Sprint(SchemaVersion), 11),
 	)
 	if txns := seedTxns(t, c, 1300*time.Millisecond, 3*time.Second); len(txns) != 0 {
-		t.Errorf("seeded while another controller does not know permissions: %+v", txns)
+		t.Errorf("seeded while another controller does not support permissions: %+v", txns)
 	}
 	c.Handle(
 		3*time.Second,
@@ -154,8 +154,8 @@
 	}
 }
 
-// A caller without read permission must not learn that a job exists: neither by a poll, a cancellation
-// or a repeated submission, nor by a job that depends on it.
+// A caller without read permission must not learn that a job exists, neither by a poll, a cancellation or a
+// repeated submission, nor by submitting a job that depends on it.
 func TestUnreadableJobsAreNotRevealed(t *testing.T) {
 	c := newCoreWithPermissions(t)
 	watchEvents(
@@ -225,8 +225,9 @@
 	}
 }
 
-// An acceptance compares the submitter's permissions: if they were revoked meanwhile, the submission
-// is denied and the job not accepted. Jobs accepted before stay, until someone permitted cancels them.
+// The transaction that accepts a job must compare the submitter's permissions: if they were revoked meanwhile, the
+// submission must be denied. Jobs accepted before the revocation must stay queued until a permitted caller cancels
+// them.
 func TestPermissionRevokedWhileAJobIsWritten(t *testing.T) {
 	c := newCoreWithPermissions(t)
 	c.Handle(1200*time.Millisecond, submittedBy(potter, testSubmission("wk-1")))
@@ -254,7 +255,7 @@
 	if s := statusOf(t, out); s != wire.StatusForbidden || findAcceptTxn(out, "wk-1") != nil {
 		t.Errorf("a submission without permission is answered %d", s)
 	}
-	// A job accepted before stays queued and is cancelled only on request of a permitted caller.
+	// A job that was accepted before stays queued and is cancelled only at the request of a permitted caller.
 	watchEvents(
 		c,
 		1500*time.Millisecond,
@@ -301,8 +302,8 @@
 	}
 }
 
-// Permissions must not reach a state that nobody could change again. Every identity may replace its own
-// keys, and nothing else.
+// Permissions must not get into a state that nobody can change any more. An identity without the verb administer
+// may replace its own keys, and nothing else.
 func TestUpdatePermissions(t *testing.T) {
 	next := base64.StdEncoding.EncodeToString(append(make([]byte, 31), 9))
 	for _, tt := range []struct {
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -19,35 +19,36 @@
 	"dewlift/wire"
 )
 
-// Reservations of equipment: authorization of the requests and their share of the write budget. Package
-// booking decides the requests, package core/reservations what is stored.
+// This file authorizes and validates reservation requests and limits the rate of their writes. Package booking
+// decides the requests, and package core/reservations decides what is stored.
 
 const (
-	// seedEquipmentInterval spaces attempts to seed the equipment.
+	// seedEquipmentInterval is the delay between attempts to seed the equipment.
 	seedEquipmentInterval = 2 * time.Second
 
-	// seedEquipmentRetryDelay follows equipment that does not fit a value, which only another
-	// configuration mends.
+	// seedEquipmentRetryDelay is the delay after an attempt to seed equipment that does not fit a value. Only a
+	// change of the configuration can make it fit.
 	seedEquipmentRetryDelay = time.Minute
 
-	// reservationComparesPerOp is how many compares a transaction may have for each write allowed in it.
+	// reservationComparesPerOp is the number of compares that a transaction may have for each write that the store
+	// allows in it.
 	reservationComparesPerOp = 4
 
-	// reservationCompactionBudget is the share of a full write budget that must be left before past
-	// reservations are archived or pages merged: neither is urgent.
+	// reservationCompactionBudget is the share of the write burst that must be available before past reservations
+	// are archived or pages merged. Neither is urgent.
 	reservationCompactionBudget = 0.75
 
 	maxReservationsListed = 500 // in one answer
 	maxFreeTimesListed    = 50  // in one answer
 )
 
-// Reasons of answers that a reservation request can't be served now.
+// Reasons in responses to reservation requests that can't be served now.
 const (
 	reasonOldVersion = "a controller may still run a version that does not know bookings"
 	reasonUndecided  = "it could not be decided in time"
 )
 
-// reservationState is the reservation service and the core's state beside it.
+// reservationState is the reservation service and the state that the core keeps for it.
 type reservationState struct {
 	*environment
 	service  *reservations.Service
@@ -55,8 +56,8 @@
 	auditLog *auditState
 	schema   *schemaState
 
-	auditEntryIDs    []uint64 // audit entries in the transaction that is being built
-	enabledPublished bool     // last state sent to the request handlers
+	auditEntryIDs    []uint64 // audit entries of the transaction that is being built
+	enabledPublished bool     // the state that was last sent to the request handlers
 	nextSeedAt       time.Duration
 }
 
@@ -66,7 +67,8 @@
 	caller    Credential
 }
 
-// applyReservation applies a stored reservation key and the audit entries that it carries.
+// applyReservation updates the replica from a stored reservation key and passes on the audit entries that it
+// carries.
 func (c *Core) applyReservation(key string, raw json.RawMessage, revision uint64) error {
 	carried, err := c.reservations.service.ApplyPut(key, raw, revision)
 	if key == reservations.KeyHead {
@@ -75,7 +77,7 @@
 	return err
 }
 
-// canServeReservations reports whether a reservation request can be served now, and answers it if not.
+// canServeReservations reports whether a reservation request can be served now. If not, it responds to the request.
 func (c *Core) canServeReservations(requestID uint64) bool {
 	switch {
 	case c.access.isNotServing():
@@ -123,8 +125,7 @@
 	)
 }
 
-// validateReservation returns the rank of a request on the waitlist, or an error that names the field
-// that no reservation may have so.
+// validateReservation returns the waitlist rank of a request, or an error that names the invalid field.
 func validateReservation(reservation *wire.ReservationRequest) (rank int, err error) {
 	if !booking.ValidID(reservation.ID) {
 		return 0, errors.New("id: letters, digits, dots, dashes and underscores, at most 64")
@@ -139,7 +140,7 @@
 	return rank, nil
 }
 
-// enqueueReservationRequest queues a request, or answers it if too many are queued.
+// enqueueReservationRequest queues a request, or rejects it if too many are queued.
 func (c *Core) enqueueReservationRequest(request *reservations.PendingRequest) {
 	request.Deadline = c.now + c.cfg.Scheduling.SubmitWriteTimeout
 	if !c.reservations.service.Enqueue(request) {
@@ -177,8 +178,8 @@
 	)
 }
 
-// advanceReservations answers expired requests, then starts at most one transaction: a batch of
-// requests, or, on the leader with write budget to spare, compaction.
+// advanceReservations responds to expired requests and starts at most one transaction: a batch of requests or, on a
+// leader that has write tokens to spare, a compaction.
 func (c *Core) advanceReservations() {
 	c.reservations.publishEnabled()
 	for _, response := range c.reservations.service.TakeExpired(c.now) {
@@ -192,7 +193,7 @@
 		c.readArchivedReservation(id, func() {})
 	}
 	rateLimit := &c.transactions.rateLimit
-	// Requests may overdraw the write budget by a quarter of a second's writes: callers wait for them.
+	// Requests may overdraw the write tokens by a quarter of a second's writes, because callers wait for them.
 	if c.reservations.service.HasWork(c.now, c.unixSeconds()) && !rateLimit.IsUrgentPaused(c.now) &&
 		rateLimit.RequestTokens >= 1 &&
 		rateLimit.WriteTokens >= 1-c.schema.storeWriteRate()/4 {
@@ -206,7 +207,7 @@
 	}
 }
 
-// publishEnabled tells the request handlers when reservations become possible or impossible.
+// publishEnabled notifies the request handlers when reservations become enabled or disabled.
 func (r *reservationState) publishEnabled() {
 	enabled := r.service.IsEnabled() && r.schema.active >= schemaReservations
 	if enabled != r.enabledPublished {
@@ -215,7 +216,7 @@
 	}
 }
 
-// compactReservations archives past reservations or, if none are due, merges pages.
+// compactReservations archives past reservations or, if none can be archived, merges pages.
 func (c *Core) compactReservations() {
 	endedBefore := c.unixSeconds() - int64(c.cfg.Reservations.Retention/time.Second)
 	c.reservations.service.EvictArchived(c.now, endedBefore)
@@ -234,7 +235,7 @@
 	}
 }
 
-// seedEquipment stores the configured equipment list if there is none.
+// seedEquipment stores the configured equipment list if the store has none.
 func (c *Core) seedEquipment() {
 	if c.cfg.Reservations.Equipment == nil || c.reservations.service.InventoryRevision() != 0 ||
 		!c.leadership.isHeld() || !c.ownLease.isHeld() ||
@@ -246,7 +247,7 @@
 	c.reservations.nextSeedAt = c.now + seedEquipmentInterval
 	raw, err := reservations.EncodeInventory(c.cfg.Reservations.Equipment.Source())
 	if err != nil || len(raw) > c.cfg.Store.MaxValueBytes {
-		c.log(LevelError, "equipment list does not fit a value", "bytes", len(raw))
+		c.log(LevelError, "configured equipment list can't be stored in one value", "bytes", len(raw))
 		c.reservations.nextSeedAt = c.now + seedEquipmentRetryDelay
 		return
 	}
@@ -259,7 +260,7 @@
 	)
 }
 
-// commitReservations decides a batch of queued requests and commits it.
+// commitReservations decides a batch of queued requests and starts its transaction.
 func (c *Core) commitReservations() {
 	state := &c.reservations
 	txn := c.reservations.service.NextTxn(
@@ -276,7 +277,7 @@
 		return
 	}
 	if !slices.ContainsFunc(txn.Then, func(write wire.Write) bool { return write.Put == reservations.KeyHead }) {
-		// The transaction only compares: entries of an attempt that did not fit are void.
+		// The transaction has no writes: discard the entries of a previous attempt, which did not fit.
 		c.auditLog.current().DiscardEntries(state.auditEntryIDs)
 		state.auditEntryIDs = nil
 	}
@@ -293,22 +294,23 @@
 			c.respondToReservation(response)
 		}
 		if mustReadHead {
-			// Another controller committed first. Read at once: a later read would lose to it every time.
+			// Another controller committed first. Read at once: with a delayed read, this controller would lose
+			// against it every time.
 			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
 			c.replica.afterReadBarrier(func(bool) { c.reservations.service.HeadRead() })
 		}
 	}})
 }
 
-// reservationAuditVerbs are the verbs of reservation requests in the audit log.
+// reservationAuditVerbs maps the kinds of reservation requests to verbs of the audit log.
 var reservationAuditVerbs = map[booking.Verb]string{
 	booking.VerbCreate: "book", booking.VerbConfirm: "confirm booking", booking.VerbMove: "move booking",
 	booking.VerbEnd: "end booking", booking.VerbSetInventory: "change equipment",
 }
 
-// authorize decides whether the caller of a request may perform it on reservations of the
-// team that use equipment of these kinds. It returns the compares under which the decision holds, and
-// the reason of a denial or "".
+// authorize decides whether the caller of a request may perform it on reservations of the team that use equipment
+// of these kinds. It returns the compares that fail if the decision no longer holds, and the reason of a denial or
+// "".
 func (r *reservationState) authorize(
 	request *reservations.PendingRequest,
 	team string,
@@ -323,7 +325,7 @@
 		return compares, denialReason(r.access.authorize(caller, access.Action{Verb: pb.Verb_equip}))
 	}
 	if len(kinds) == 0 {
-		kinds = []string{""} // of a reservation that does not exist
+		kinds = []string{""} // the reservation does not exist
 	}
 	for _, kind := range kinds {
 		action := access.Action{Verb: pb.Verb_book, Team: team, Class: kind}
@@ -334,7 +336,7 @@
 	return compares, ""
 }
 
-// denialReason returns why a decision denies an action, never "", or "" if it allows it.
+// denialReason returns the reason of a denial, which is never "", or "" if the action is allowed.
 func denialReason(decision access.Decision) string {
 	if decision.Allowed {
 		return ""
@@ -342,9 +344,9 @@
 	return cmp.Or(decision.Reason, "not permitted")
 }
 
-// attachAudit returns the audit entries that the next head carries: those of old that are
-// pending, and new ones of the granted requests and of reservations that changed otherwise. It replaces
-// the entries of the previous attempt to build the transaction.
+// attachAudit returns the audit entries that the next head must carry: those of old that are still pending, and new
+// ones of the granted requests and of reservations that changed for another reason. It replaces the entries of the
+// previous attempt to build the transaction.
 func (r *reservationState) attachAudit(
 	headRevision uint64,
 	old []audit.PendingEntry,
@@ -379,7 +381,7 @@
 	return cmp.Or(request.Request.ID, "equipment")
 }
 
-// reservationStatuses are the statuses of requests that were decided and not denied.
+// reservationStatuses maps the outcomes of requests that were decided and not denied to response statuses.
 var reservationStatuses = map[booking.Outcome]wire.Status{
 	booking.OutcomeDone:     wire.StatusOK,
 	booking.OutcomeRepeated: wire.StatusOK,
@@ -388,7 +390,7 @@
 	booking.OutcomeNotFound: wire.StatusNotFound,
 }
 
-// respondToReservation answers a decided, denied or expired request.
+// respondToReservation responds to a request that was decided or denied, or has expired.
 func (c *Core) respondToReservation(response reservations.Response) {
 	request := &response.Request.Request
 	caller := response.Request.CallerData.(reservationCaller)
@@ -424,7 +426,7 @@
 	c.respond(caller.requestID, status, out)
 }
 
-// canRead reports whether the caller may read a reservation of its team and kind of equipment.
+// canRead reports whether the caller may read a reservation, which depends on its team and kind of equipment.
 func (r *reservationState) canRead(caller Credential, reservation *pb.Booking) bool {
 	if !r.access.permissions.isInForce() {
 		return true
@@ -441,7 +443,7 @@
 	return r.access.authorize(caller, access.Action{Verb: pb.Verb_read, Team: reservation.Team, Class: kind}).Allowed
 }
 
-// toWire returns a reservation as it is answered, with times in the site's time zone.
+// toWire converts a reservation to its form in responses, with times in the site's time zone.
 func (r *reservationState) toWire(reservation *pb.Booking) wire.Reservation {
 	inventory := r.service.Inventory()
 	formatTime := func(unixS int64) string {
@@ -493,7 +495,7 @@
 	return out
 }
 
-// toWireList returns reservations as they are answered.
+// toWireList converts reservations to their form in responses.
 func (r *reservationState) toWireList(list []*pb.Booking) (out []wire.Reservation) {
 	for _, reservation := range list {
 		out = append(out, r.toWire(reservation))
@@ -501,7 +503,7 @@
 	return out
 }
 
-// toWireFreeTimes returns free intervals as they are answered.
+// toWireFreeTimes converts free intervals to their form in responses.
 func (r *reservationState) toWireFreeTimes(list []booking.FreeSlot) (out []wire.FreeInterval) {
 	for _, free := range list {
 		out = append(
@@ -516,8 +518,8 @@
 	return out
 }
 
-// handleListReservations answers a query of reservations as of a read barrier. Only an ended
-// reservation, which never changes any more, is answered without one, if no permissions are in force.
+// handleListReservations answers a query of reservations as of a read barrier. It needs none for a single ended
+// reservation, which never changes any more, if no permissions are in force.
 func (c *Core) handleListReservations(in ListReservations) {
 	query := in.Query
 	if c.respondEndedReservation(in) || !c.canServeReservations(in.RequestID) {
@@ -546,7 +548,8 @@
 	})
 }
 
-// respondEndedReservation answers a query of one ended reservation and reports whether it did.
+// respondEndedReservation answers a query of a single ended reservation without a read barrier, and reports whether
+// it did.
 func (c *Core) respondEndedReservation(in ListReservations) (responded bool) {
 	if in.Query.ID == "" || !c.replica.loaded || c.access.isNotServing() || c.permissions.isInForce() {
 		return false
@@ -562,7 +565,7 @@
 	return responded
 }
 
-// readArchivedReservation reads the block of past reservations whose range includes the id, then calls f.
+// readArchivedReservation reads the archive block whose range includes the ID, and then calls f.
 func (c *Core) readArchivedReservation(id string, f func()) {
 	c.reads.readPrefix(reservations.ArchivePrefix, reservations.ArchivePrefix+id, 1, func(result RangeResult) {
 		var block *wire.KeyValue
@@ -571,14 +574,14 @@
 		}
 		err := c.reservations.service.HandleBlock(id, block, result.Revision, result.Status == wire.StatusOK)
 		if err != nil {
-			c.log(LevelError, "can't read past reservations", "id", id, "err", err.Error())
+			c.log(LevelError, "failed to decode a block of archived reservations", "id", id, "err", err.Error())
 		}
 		f()
 	})
 }
 
-// loadArchived adds a past reservation to the schedule. It reports false if its block must be
-// read first.
+// loadArchived adds an archived reservation to the schedule, if there is one. It reports false if the archive block
+// must be read first.
 func (r *reservationState) loadArchived(id string) bool {
 	known := true
 	r.service.ViewCommitted(func(schedule *booking.Schedule) {
@@ -593,8 +596,8 @@
 	return known
 }
 
-// query answers a query from the schedule: one reservation, those of a day, the waitlist,
-// free times, or else the equipment list.
+// query answers a query from the schedule: a single reservation, those of a day, the waitlist or free times, or
+// else the equipment list.
 func (r *reservationState) query(
 	caller Credential,
 	schedule *booking.Schedule,
@@ -634,7 +637,7 @@
 	return wire.StatusOK, wire.ReservationResponse{Equipment: string(text), Version: r.service.InventoryRevision()}
 }
 
-// findFreeTimes returns the next free times that match a query, none in the past.
+// findFreeTimes returns the next free times that match a query. None of them begin in the past.
 func (r *reservationState) findFreeTimes(
 	inventory *booking.Inventory,
 	schedule *booking.Schedule,
@@ -658,7 +661,7 @@
 	return inventory.NextFree(schedule, "", query.Team, want, from, until, limit), nil
 }
 
-// readable returns the reservations that the caller may read, up to the limit of an answer.
+// readable returns the reservations in the list that the caller may read, at most maxReservationsListed.
 func (r *reservationState) readable(caller Credential, list []*pb.Booking) wire.ReservationResponse {
 	var out []wire.Reservation
 	for _, reservation := range list {
--- a/core/reservations/archive.go
+++ b/core/reservations/archive.go
@@ -10,34 +10,35 @@
 	"dewlift/wire"
 )
 
-// Past and ended reservations move from the pages to archive blocks, which no controller watches and
-// which are sorted by id. The key of a block is the end of its range, so one read finds a reservation.
-// Archived reservations never change, so they may be kept in memory. A new reservation compares the
-// block of its id as of when the id was not in it, or that there are no blocks: so no id is used twice,
-// and a write that is executed late revives nothing.
+// Past and ended reservations are moved from the pages to archive blocks, which no controller watches. Each block
+// holds a range of IDs, and its key contains the end of the range, so one read finds a reservation. Archived
+// reservations never change, so they may be cached. The transaction of a new reservation compares the revision of
+// the block that lacks its ID, or that there are no blocks. So no ID is used twice, and a transaction that is
+// executed late can't recreate an archived reservation.
 //
-// A reservation is archived only when a single value holds it: a copy in an older page would count again.
+// A reservation is archived only when a single value holds it: otherwise an outdated copy in an older page would
+// become the current one.
 
 const (
-	// ArchivePrefix begins the keys of archive blocks.
+	// ArchivePrefix is the prefix of the keys of archive blocks.
 	ArchivePrefix = "da/k/"
 
-	keyArchive = Prefix + "past" // exists once there may be blocks
-	maxID      = "~"             // sorts behind all ids: the end of the last block
+	keyArchive = Prefix + "past" // exists once there may be archive blocks
+	maxID      = "~"             // sorts after all IDs: the end of the last block's range
 
-	maxCachedBlocks  = 24 // kept decoded in memory
+	maxCachedBlocks  = 24 // decoded blocks kept in memory
 	evictionInterval = time.Minute
 )
 
-// archiveBlock is the archived reservations with ids in [low, high).
+// archiveBlock holds the archived reservations with IDs in [low, high).
 type archiveBlock struct {
 	low, high    string
-	revision     uint64 // 0: the block does not exist, and no id of its range is archived
-	readRevision uint64 // revision of the store as of which it was read
+	revision     uint64 // 0: the block does not exist, and no ID in its range is archived
+	readRevision uint64 // the store's revision when the block was read
 	bookings     []*pb.Booking
 }
 
-// find returns the reservation with the id, or nil.
+// find returns the reservation with the ID, or nil.
 func (b *archiveBlock) find(id string) *pb.Booking {
 	i, ok := slices.BinarySearchFunc(
 		b.bookings,
@@ -50,12 +51,12 @@
 	return b.bookings[i]
 }
 
-// compareIDs orders reservations by id.
+// compareIDs orders reservations by ID.
 func compareIDs(a, b *pb.Booking) int { return strings.Compare(a.Id, b.Id) }
 
-// cachedBlockFor returns the cached block whose range includes the id, or nil, and makes it the most
-// recently used. Blocks that were read before the last change of a page are dropped: they may lack
-// reservations that were archived since, which would then seem never to have existed.
+// cachedBlockFor returns the cached block whose range includes the ID, or nil, and marks it as the most recently
+// used. It drops the blocks that were read before the last change of a page: they may lack reservations that were
+// archived since, which would then seem never to have existed.
 func (s *Service) cachedBlockFor(id string) *archiveBlock {
 	s.cachedBlocks = slices.DeleteFunc(
 		s.cachedBlocks,
@@ -73,8 +74,8 @@
 	return block
 }
 
-// lookUpArchived looks up an archived reservation, and returns the compare under which the result holds.
-// It reports false if a block must be read first.
+// lookUpArchived looks up an archived reservation. It returns the compare that fails if the result no longer holds,
+// and reports false if a block must be read first.
 func (s *Service) lookUpArchived(id string) (reservation *pb.Booking, compare wire.Compare, known bool) {
 	if s.archiveRevision == 0 {
 		return nil, wire.Compare{Key: keyArchive}, true
@@ -86,14 +87,13 @@
 	return block.find(id), wire.Compare{Key: ArchivePrefix + block.high, Revision: block.revision}, true
 }
 
-// FindArchived looks up an archived reservation for a query. It reports false if its block must be read
-// first.
+// FindArchived looks up an archived reservation for a query. It reports false if a block must be read first.
 func (s *Service) FindArchived(id string) (reservation *pb.Booking, known bool) {
 	reservation, _, known = s.lookUpArchived(id)
 	return reservation, known
 }
 
-// deferUntilBlockRead removes the requests from the queue that need a block to be read first.
+// deferUntilBlockRead removes from the queue the requests that need a block to be read first.
 func (s *Service) deferUntilBlockRead() {
 	s.queue = slices.DeleteFunc(s.queue, func(request *PendingRequest) bool {
 		id := request.Request.ID
@@ -108,7 +108,7 @@
 	})
 }
 
-// requestBlock requests the block of an id to be read, for a request that waits for it unless nil.
+// requestBlock requests that the block of an ID be read. request waits for it, unless it is nil.
 func (s *Service) requestBlock(id string, request *PendingRequest) {
 	waiting, requested := s.awaitingBlock[id]
 	if request != nil {
@@ -120,16 +120,16 @@
 	}
 }
 
-// TakeBlocksToRead returns the ids whose blocks the caller must read: the first key behind ArchivePrefix
-// and the id. The result goes to HandleBlock.
+// TakeBlocksToRead returns the IDs whose blocks the caller must read: for each, the value of the first key after
+// ArchivePrefix and the ID. The caller passes the result to HandleBlock.
 func (s *Service) TakeBlocksToRead() []string {
 	ids := s.blocksToRead
 	s.blocksToRead = nil
 	return ids
 }
 
-// HandleBlock handles the block that was read for an id at a revision of the store; item is nil if there
-// is none, and ok is false if the read failed. The requests that wait for the block are queued again.
+// HandleBlock handles the block that was read for an ID at a revision of the store. item is nil if there is none,
+// and ok is false if the read failed. In either case, the requests that wait for the block are queued again.
 func (s *Service) HandleBlock(id string, item *wire.KeyValue, revision uint64, ok bool) error {
 	waiting := s.awaitingBlock[id]
 	delete(s.awaitingBlock, id)
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// ArchiveTxn returns a transaction that moves reservations that ended before a time from a page to their
-// block, under the given compares, or nil if none is due or a block must be read first. After its
-// outcome, ArchiveDone must be called.
+// ArchiveTxn returns a transaction with the given compares that moves reservations that ended before a time from a
+// page to their archive block. It returns nil if there are none or a block must be read first. After the outcome,
+// the caller must call ArchiveDone.
 func (s *Service) ArchiveTxn(compares []wire.Compare, endedBefore int64, maxValueBytes int) *wire.Txn {
 	if s.archiving || s.merging || s.inFlight != nil {
 		return nil
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// archivable returns the reservations of a page that ended before a time and that no other value holds.
+// archivable returns the reservations of a page that ended before a time and are in no other value.
 func (s *Service) archivable(stored page, endedBefore int64) (due []*pb.Booking) {
 	for _, reservation := range stored.bookings {
 		if s.valueCounts[reservation.Id] == 1 && s.isCurrent(reservation) &&
@@ -187,8 +187,8 @@
 	return due
 }
 
-// archiveFromPage returns a transaction that moves as many of the reservations as belong to the block of
-// the first one, and fit, from their page. The first transaction of all only creates keyArchive.
+// archiveFromPage returns a transaction that moves reservations from their page to an archive block: as many as
+// belong to the block of the first one and fit it. If there is no keyArchive yet, the transaction only creates it.
 func (s *Service) archiveFromPage(
 	key string, due []*pb.Booking, compares []wire.Compare, maxValueBytes int,
 ) *wire.Txn {
@@ -216,8 +216,8 @@
 	return nil
 }
 
-// moveToBlock returns the transaction that moves reservations from a page to a block, which is split in
-// two if it gets too large, or nil if they do not fit.
+// moveToBlock returns the transaction that moves reservations from a page to a block. The block is split in two if
+// it gets too large. If the reservations don't fit then either, moveToBlock returns nil.
 func (s *Service) moveToBlock(block *archiveBlock, due []*pb.Booking, key string, maxValueBytes int) *wire.Txn {
 	stored := s.pages[key]
 	all := append(slices.Clone(block.bookings), due...)
@@ -258,8 +258,8 @@
 	return txn
 }
 
-// ArchiveDone ends a transaction of ArchiveTxn, whatever its outcome, once the replica shows the pages it
-// changed. The blocks it wrote must be read anew.
+// ArchiveDone ends a transaction of ArchiveTxn, whatever its outcome, once the replica shows the pages that it
+// changed. The blocks that it wrote are dropped from the cache, because they must be read again.
 func (s *Service) ArchiveDone(txn *wire.Txn) {
 	s.archiving = false
 	for _, write := range txn.Then {
@@ -272,7 +272,7 @@
 	}
 }
 
-// InvalidateBlocks drops the cached blocks among keys whose compares failed.
+// InvalidateBlocks drops the cached blocks whose keys are among the given keys, whose compares failed.
 func (s *Service) InvalidateBlocks(keys []string) {
 	for _, key := range keys {
 		if high, ok := strings.CutPrefix(key, ArchivePrefix); ok {
@@ -284,7 +284,8 @@
 	}
 }
 
-// EvictArchived drops ended reservations that no page holds any more from memory.
+// EvictArchived removes from memory the ended reservations that neither the head nor a page holds any more. It does
+// so at most once in evictionInterval.
 func (s *Service) EvictArchived(now time.Duration, endedBefore int64) {
 	if s.inFlight != nil || now < s.nextEvictionAt {
 		return
--- a/core/reservations/batch.go
+++ b/core/reservations/batch.go
@@ -11,10 +11,10 @@
 	"dewlift/wire"
 )
 
-// NextTxn decides queued requests and returns the transaction that commits the decisions, or nil if
-// there is nothing to commit. The outcome goes to HandleOutcome. A batch that does not fit a value is
-// halved until it fits. If not even one request fits beside what the time has ended, that is committed
-// alone, in as many transactions as needed.
+// NextTxn decides queued requests and returns the transaction that commits the decisions, or nil if there is
+// nothing to commit. The caller passes its outcome to HandleOutcome. A batch that does not fit a value is halved
+// until it fits. If not even one request fits in addition to the reservations whose time has run out, these are
+// ended first, in as many transactions as needed.
 func (s *Service) NextTxn(env Env) *wire.Txn {
 	s.deferUntilBlockRead()
 	s.blockedByAudit = false
@@ -38,8 +38,8 @@
 	}
 }
 
-// nextDueTxn returns a transaction that ends as many of the reservations whose time has run out as fit
-// a value, without any request: requests wait until all of them have ended.
+// nextDueTxn returns a transaction without requests that ends as many of the reservations whose time has run out as
+// fit a value. Requests wait until all of these have ended.
 func (s *Service) nextDueTxn(env Env) *wire.Txn {
 	for limit := s.schedule.Len(); limit > 0; limit /= 2 {
 		if txn, fits := s.tryBatch(env, 0, limit); fits {
@@ -50,9 +50,9 @@
 	return s.handleOversizedBatch(env, 0)
 }
 
-// handleOversizedBatch handles a batch of one request, or of none, that does not fit a value. If only
-// audit entries make it too large, the batch waits until they are in blocks; otherwise the request is
-// rejected.
+// handleOversizedBatch handles a batch of one request, or of none, that does not fit a value. If it would fit
+// without audit entries, or has no request, it is tried again later, when audit entries may be in blocks; otherwise
+// the request is rejected.
 func (s *Service) handleOversizedBatch(env Env, requests int) *wire.Txn {
 	s.rollBackInFlight()
 	s.inFlight = nil
@@ -78,7 +78,7 @@
 	return s.compareTxn(nil)
 }
 
-// compareTxn returns a transaction that compares the head, the equipment and the given compares.
+// compareTxn returns a transaction that compares the head and the equipment and has the given compares.
 func (s *Service) compareTxn(compares []wire.Compare) *wire.Txn {
 	txn := &wire.Txn{
 		Compare: []wire.Compare{
@@ -94,13 +94,13 @@
 	return txn
 }
 
-// tryBatch ends up to maxEnded reservations whose time has run out, decides up to limit queued requests
-// and builds their transaction, which becomes the one in flight. It reports false if a value would be too large.
+// tryBatch ends up to maxEnded reservations whose time has run out, decides up to limit queued requests and builds
+// the transaction, which becomes the one in flight. It reports false if a value would be too large.
 func (s *Service) tryBatch(env Env, limit, maxEnded int) (txn *wire.Txn, fits bool) {
 	s.rollBackInFlight()
 	inFlight := &inFlightTxn{draft: s.schedule.NewDraft()}
 	s.inFlight = inFlight
-	// Otherwise every change has already assigned what it freed, and no waiting reservation can get it.
+	// If no change is due, the waitlist can't be served: every change that frees units assigns them itself.
 	if s.schedule.HasDueChanges(env.UnixS) {
 		s.inventory.AdvanceUpTo(inFlight.draft, env.UnixS, maxEnded)
 	}
@@ -123,9 +123,9 @@
 	return txn, true
 }
 
-// decideRequests decides requests in order, until the transaction has no capacity for more compares or
-// the equipment changes: later requests are decided by the new equipment. It returns the compares under
-// which the decisions hold, and the granted requests.
+// decideRequests decides requests in order, until the transaction has no capacity for more compares or a request
+// changes the equipment, by which the next batch is then decided. It returns the compares that fail if the
+// decisions no longer hold, and the granted requests.
 func (s *Service) decideRequests(
 	env Env, inFlight *inFlightTxn, requests []*PendingRequest,
 ) (compares []wire.Compare, granted []*PendingRequest) {
@@ -151,14 +151,14 @@
 	return compares, granted
 }
 
-// addHead adds the write of the next head to a transaction; a full head becomes a page. It reports
-// false if the head is too large.
+// addHead adds the write of the next head to a transaction. A head that would be too large is spilled to a page
+// first. It reports false if the next head is too large nevertheless.
 func (s *Service) addHead(env Env, inFlight *inFlightTxn, txn *wire.Txn, granted []*PendingRequest) bool {
 	changed := inFlight.draft.Bookings
 	change := s.schedule.LastChange()
 	inFlight.pendingAudit = env.AttachAudit(s.headRevision, s.pendingAudit, granted, changed)
 	inFlight.headBookings = slices.Clone(s.headBookings)
-	for _, changedBooking := range changed { // of a reservation that changes again, only the last change is kept
+	for _, changedBooking := range changed { // the head keeps only the last change of a reservation
 		inFlight.headBookings = slices.DeleteFunc(
 			inFlight.headBookings,
 			func(old *pb.Booking) bool { return old.Id == changedBooking.Id },
@@ -178,8 +178,8 @@
 	return true
 }
 
-// spillHead adds a write that turns the current head into a page, and returns the next head, which
-// holds only the changes of the transaction.
+// spillHead adds a write of a page with the content of the current head, and returns the next head, which holds
+// only the changes of the transaction.
 func (s *Service) spillHead(inFlight *inFlightTxn, txn *wire.Txn, change uint64) ([]byte, error) {
 	changed := inFlight.draft.Bookings
 	inFlight.headBookings = slices.Clone(changed)
@@ -194,7 +194,7 @@
 	return encodePage(inFlight.headBookings, change, inFlight.pendingAudit)
 }
 
-// decideRequest decides one request. It returns the compares under which the decision holds.
+// decideRequest decides one request. It returns the compares that fail if the decision no longer holds.
 func (s *Service) decideRequest(
 	env Env, draft *booking.Draft, pending *PendingRequest,
 ) (Response, []wire.Compare) {
@@ -210,11 +210,11 @@
 		request.Wants = wants
 	}
 	existing := s.schedule.Get(request.ID)
-	var archiveCompares []wire.Compare // under which the archive has no other reservation of this id
+	var archiveCompares []wire.Compare // fail once the archive has a reservation with this ID
 	if existing == nil && request.Verb != booking.VerbSetInventory {
 		var compare wire.Compare
 		if existing, compare, _ = s.lookUpArchived(request.ID); existing != nil {
-			s.schedule.Put(existing) // an archived reservation never changes any more
+			s.schedule.Put(existing) // an archived reservation never changes any more, so the schedule may keep it
 		}
 		archiveCompares = append(archiveCompares, compare)
 	}
@@ -233,8 +233,8 @@
 	return Response{Request: pending, Result: s.inventory.Decide(draft, env.UnixS, request)}, compares
 }
 
-// equipmentKinds returns the kinds of equipment that an existing reservation, if any, uses and that the
-// wants name, sorted and without repetition.
+// equipmentKinds returns the kinds of equipment of the slots of an existing reservation, if any, and of the wants,
+// sorted and without duplicates.
 func (s *Service) equipmentKinds(existing *pb.Booking, wants []*pb.Want) []string {
 	var kinds []string
 	for _, slot := range existing.GetSlots() {
@@ -247,7 +247,7 @@
 	return slices.Compact(kinds)
 }
 
-// ResolveWants translates requested slots by the equipment in force, with one want for each recurrence.
+// ResolveWants translates requested slots to wants of the equipment in force, one for each recurrence of each slot.
 func ResolveWants(
 	inventory *booking.Inventory, requested []wire.SlotRequest, rule string,
 ) (out []*pb.Want, err error) {
@@ -270,9 +270,9 @@
 	return out, nil
 }
 
-// HandleOutcome handles the outcome of the transaction that NextTxn returned: its status and the
-// revision of its writes. It returns the answers that are now committed, and whether the caller must
-// read the head, and then call HeadRead, before more is decided.
+// HandleOutcome handles the outcome of the transaction that NextTxn returned: its status and the revision of its
+// writes. It returns the responses that are now final, and whether the caller must read the head and then call
+// HeadRead before the next requests are decided.
 func (s *Service) HandleOutcome(status wire.Status, revision uint64) (out []Response, mustReadHead bool) {
 	inFlight := s.inFlight
 	if inFlight == nil {
@@ -290,7 +290,7 @@
 		return nil, s.requeueInFlight(status)
 	}
 	switch {
-	case inFlight.rolledBack: // the watch showed it before, and perhaps later changes too
+	case inFlight.rolledBack: // the watch has already shown this transaction, and perhaps later changes
 	case inFlight.hasChanges || inFlight.newInventory != nil:
 		s.applyInFlight(inFlight, revision)
 	}
@@ -298,9 +298,10 @@
 	return inFlight.responses, false
 }
 
-// handleRefusedBatch halves the next batch after the store refused one as malformed or too large, so that a
-// request that it does not take keeps no others from being decided. That request is rejected once it was refused
-// alone more than maxSingleRefusals times: until then a smaller limit may let it pass.
+// handleRefusedBatch halves the next batch after the store refused one as malformed or too large, so that a request
+// that the store does not accept does not keep others from being decided. That request is rejected once it was
+// refused alone more than maxSingleRefusals times; until then, lower limits of the transaction size may let it
+// pass.
 func (s *Service) handleRefusedBatch() (rejected []Response) {
 	responses := s.inFlight.responses
 	s.batchLimit = max(1, len(responses)/2)
@@ -316,8 +317,8 @@
 	return []Response{{Request: responses[0].Request, Result: result}}
 }
 
-// requeueInFlight queues the requests of a transaction that was not committed, as far as known, for
-// another decision. It reports whether the head must be read first.
+// requeueInFlight puts the requests of a transaction that was not committed, or may not have been, back at the
+// front of the queue. It reports whether the head must be read before they are decided again.
 func (s *Service) requeueInFlight(status wire.Status) (mustReadHead bool) {
 	s.rollBackInFlight()
 	requests := make([]*PendingRequest, 0, len(s.inFlight.responses))
@@ -330,7 +331,7 @@
 	return s.needsHeadRead
 }
 
-// applyInFlight applies a committed transaction to the replica.
+// applyInFlight updates the replica from a committed transaction.
 func (s *Service) applyInFlight(inFlight *inFlightTxn, revision uint64) {
 	if inFlight.spilledPage != "" {
 		s.updateValueCounts(nil, inFlight.spilledBookings)
@@ -343,5 +344,5 @@
 	}
 }
 
-// HeadRead reports that the replica is as recent as the unknown outcome that required a read.
+// HeadRead tells the service that the head was read as HandleOutcome required.
 func (s *Service) HeadRead() { s.needsHeadRead = false }
--- a/core/reservations/denials_test.go
+++ b/core/reservations/denials_test.go
@@ -12,12 +12,11 @@
 	"dewlift/wire"
 )
 
-// What happens: a denied request takes part in the batch that it arrived with. A denied list of equipment is stored,
-// and ends the batch, so that the requests behind it are decided by equipment that nobody was allowed to set. Why: the
-// outcome of a denied request is the zero value, which meant "done". What showed it: the writes of the batches below
-// differ from those of the same batches without the denied requests.
+// These tests guard against a denied request that still takes effect in its batch: a denied equipment list was
+// stored and ended the batch, so that the requests after it were decided by equipment that nobody was allowed to
+// set. The cause was that the outcome of a denied request was the zero value, which meant "done".
 
-// deniedCaller marks the requests that deniedEnv denies.
+// deniedCaller is the caller whose requests deniedEnv denies.
 const deniedCaller = "denied"
 
 // deniedEnv returns an environment in which the requests of deniedCaller are denied.
@@ -32,7 +31,7 @@
 	return out
 }
 
-// randomRequest draws a request of any kind among few reservations, so that they meet.
+// randomRequest draws a request of any kind for one of few reservations, so that requests conflict.
 func randomRequest(t *testing.T, random *rand.Rand) *PendingRequest {
 	t.Helper()
 	id := fmt.Sprint("r", random.IntN(6))
@@ -58,8 +57,8 @@
 	return request
 }
 
-// Denied requests must leave no trace: the requests before and after them, in the same batch, are decided and stored
-// as if they had not been there.
+// Denied requests must have no effect: the other requests of their batch must be decided and stored as if the
+// denied ones had not been there.
 func TestDeniedRequestsDoNotAffectTheirBatch(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -98,7 +97,7 @@
 	}
 }
 
-// decideAll decides all queued requests at a time and commits the decisions.
+// decideAll decides all queued requests at the given time and commits the decisions.
 func decideAll(t *testing.T, store *fakeStore, service *Service, now time.Duration) (out []Response) {
 	t.Helper()
 	for range 100 {
@@ -113,11 +112,11 @@
 		responses, _ := service.HandleOutcome(status, revision)
 		out = append(out, responses...)
 	}
-	t.Fatal("requests are left undecided")
+	t.Fatal("some requests are still undecided")
 	return nil
 }
 
-// outcomes returns what the requests were answered, in order.
+// outcomes describes the responses, in order.
 func outcomes(responses []Response) (out []string) {
 	for _, response := range responses {
 		out = append(out, fmt.Sprint(response.Request.Request.ID, response.Outcome, response.Reason))
--- a/core/reservations/golden_test.go
+++ b/core/reservations/golden_test.go
@@ -11,7 +11,8 @@
 	pb "dewlift/proto"
 )
 
-// The stored form of reservations and all keys must not change: the same bytes are written, and stored ones read.
+// The stored form of reservations and all keys must not change, so that controllers of other versions can read
+// them.
 func TestStoredFormatIsStable(t *testing.T) {
 	carried := []audit.PendingEntry{
 		{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")},
@@ -70,7 +71,7 @@
 	}
 }
 
-// Values as earlier versions stored them.
+// Values in the form in which earlier versions stored them.
 const (
 	headBytes = `{"p":"4mAXyuZiTtI1FGCXYFNg0mIpSU3MNWJJzMtLtJLiYsnOzMkTYJRoeHR+FZvChH/nV7FpLJh1YRWbA1jEwyaAKYq5PK` +
 		`MyMZkBArIkIHqEWEFksRRjogJYpQZTwRMQDQgAAP//","e":[{"a":"node-a","l":3,"q":4,"e":"ZW50cnk=","t":"d` +
--- a/core/reservations/pages.go
+++ b/core/reservations/pages.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// maxExpandedBytes bounds the expansion of a stored value, so that a damaged one can't exhaust memory.
+	// maxDecompressedBytes bounds the decompressed size of a stored value, so that a damaged one can't exhaust
+	// memory.
 	maxDecompressedBytes = 1 << 20
 
 	// minPagesToMerge is the number of pages below which none are merged.
@@ -36,12 +37,12 @@
 	PendingAudit []audit.PendingEntry `json:"e,omitempty"`
 }
 
-// encodePage renders a head or a page.
+// encodePage encodes a head or a page.
 func encodePage(bookings []*pb.Booking, change uint64, carried []audit.PendingEntry) (json.RawMessage, error) {
 	return packMessage(&pb.Page{Change: change, Bookings: bookings}, carried)
 }
 
-// packMessage renders a message as a compressed value, deterministically.
+// packMessage encodes a message as a compressed value. The encoding is deterministic.
 func packMessage(message protobuf.Message, carried []audit.PendingEntry) (json.RawMessage, error) {
 	raw, err := protobuf.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err == nil {
@@ -53,14 +54,14 @@
 	return json.Marshal(storedValue{raw, carried})
 }
 
-// Decode reads a head, a page or a block, with the audit entries it carries.
+// Decode decodes a head, a page or an archive block, and the audit entries that it carries.
 func Decode(raw json.RawMessage) (*pb.Page, []audit.PendingEntry, error) {
 	decoded := &pb.Page{}
 	value, err := unpackMessage(raw, decoded)
 	return decoded, value.PendingAudit, err
 }
 
-// unpackMessage is the reverse of packMessage.
+// unpackMessage decodes a value that packMessage encoded.
 func unpackMessage(raw json.RawMessage, message protobuf.Message) (value storedValue, err error) {
 	if err = json.Unmarshal(raw, &value); err == nil {
 		var plain []byte
@@ -74,18 +75,19 @@
 	return value, err
 }
 
-// EncodeInventory renders equipment as a value.
+// EncodeInventory encodes an equipment list as a value.
 func EncodeInventory(equipment *pb.Equipment) (json.RawMessage, error) {
 	return packMessage(equipment, nil)
 }
 
-// DecodeInventory is the reverse of EncodeInventory.
+// DecodeInventory decodes a value that EncodeInventory encoded.
 func DecodeInventory(raw json.RawMessage, equipment *pb.Equipment) error {
 	_, err := unpackMessage(raw, equipment)
 	return err
 }
 
-// ApplyPut applies a watched key. It returns the audit entries that the head carries.
+// ApplyPut updates the replica from a watched key. If the key is KeyHead, it returns the audit entries that the
+// head carries.
 func (s *Service) ApplyPut(key string, raw json.RawMessage, revision uint64) ([]audit.PendingEntry, error) {
 	switch {
 	case key == KeyInventory:
@@ -108,8 +110,8 @@
 	return nil, nil
 }
 
-// applyInventory applies stored equipment. Equipment that can't be read leaves the previous in force; its
-// revision is kept, so that it can be replaced.
+// applyInventory puts a stored equipment list in force. If the list can't be decoded, the previous one stays in
+// force, but the new revision is remembered so that the list can be replaced.
 func (s *Service) applyInventory(raw json.RawMessage, revision uint64) error {
 	if revision <= s.inventoryRevision {
 		return nil
@@ -126,7 +128,7 @@
 	return err
 }
 
-// applyPage applies a stored page.
+// applyPage updates the replica of a page.
 func (s *Service) applyPage(key string, raw json.RawMessage, revision uint64) error {
 	if revision <= s.pages[key].revision {
 		return nil
@@ -142,7 +144,8 @@
 	return err
 }
 
-// addToSchedule adds the reservations of a head or page to the schedule, which keeps the latest change of each.
+// addToSchedule adds the reservations of a head or page to the schedule, which keeps only the latest change of
+// each.
 func (s *Service) addToSchedule(stored *pb.Page) {
 	for _, reservation := range stored.Bookings {
 		s.schedule.Put(reservation)
@@ -150,14 +153,14 @@
 	s.schedule.ObserveChange(stored.Change)
 }
 
-// ApplyDelete applies the deletion of a page: its content that still counts is in other values.
+// ApplyDelete removes a deleted page from the replica. Its current reservations are in other values.
 func (s *Service) ApplyDelete(key string, revision uint64) {
 	s.pagesRevision = max(s.pagesRevision, revision)
 	s.updateValueCounts(s.pages[key].bookings, nil)
 	delete(s.pages, key)
 }
 
-// updateValueCounts counts the stored values that hold each reservation, after a value changed.
+// updateValueCounts updates the number of stored values that hold each reservation after a value changed.
 func (s *Service) updateValueCounts(was, is []*pb.Booking) {
 	for _, reservation := range is {
 		s.valueCounts[reservation.Id]++
@@ -169,23 +172,24 @@
 	}
 }
 
-// sortedPageKeys returns the keys of the pages in order of their last changes.
+// sortedPageKeys returns the keys of the pages, which sort by the last change in the page.
 func (s *Service) sortedPageKeys() []string { return slices.Sorted(maps.Keys(s.pages)) }
 
-// isCurrent reports whether a stored reservation is the latest change of it.
+// isCurrent reports whether a stored reservation is its latest change.
 func (s *Service) isCurrent(reservation *pb.Booking) bool {
 	return s.schedule.Get(reservation.Id).GetChange() == reservation.Change
 }
 
-// MergeTxn returns a transaction that merges pages, from the first one of which at most two thirds still
-// count, or nil if none is due. It has at most maxOps writes. After its outcome, MergeDone must be called.
+// MergeTxn returns a transaction of at most maxOps writes that merges consecutive pages, or nil if no merge is due.
+// The first of them is the first page of which at most two thirds of the reservations are current. After the
+// outcome, the caller must call MergeDone.
 func (s *Service) MergeTxn(maxOps, maxValueBytes int) *wire.Txn {
 	if s.merging || s.archiving || s.inFlight != nil || len(s.pages) < minPagesToMerge {
 		return nil
 	}
 	txn := &wire.Txn{}
 	var merged []*pb.Booking
-	var mergedKey string // of the last merged page, which takes the content of all
+	var mergedKey string // key of the last merged page, which gets the content of all
 	var mergedValue json.RawMessage
 	for _, key := range s.sortedPageKeys() {
 		stored := s.pages[key]
@@ -215,5 +219,5 @@
 	return txn
 }
 
-// MergeDone ends a merge, whatever its outcome: the watch shows what it wrote.
+// MergeDone ends a merge, whatever its outcome. The watch shows what it wrote.
 func (s *Service) MergeDone() { s.merging = false }
--- a/core/reservations/poison_test.go
+++ b/core/reservations/poison_test.go
@@ -11,14 +11,13 @@
 	"dewlift/wire"
 )
 
-// What happens: a request whose reservation can't be encoded, or can never fit a value, sits among others. Why it
-// matters: the batch that holds it can't be built. What was found: one such request is refused and the others are
-// decided; but reservations that change by time (holds that run out together) have no limit for a transaction, and
-// from some 250 on nothing at all was decided any more: each request was refused as "too much to be stored in one
-// value", for ever.
+// These tests guard against poison requests, whose reservations can't be encoded or never fit a value, so that no
+// batch with such a request can be built. They also guard against the same effect of holds that run out together:
+// one transaction had to end all of them, and from about 250 on it did not fit a value. From then on, every request
+// was refused as "too much to be stored in one value".
 
-// A request that can't be encoded must be refused alone; those before and behind it are decided, also by a controller
-// that takes over in between.
+// A request that can't be encoded must be refused alone. Those before and after it must be decided, also by a
+// controller that takes over in between.
 func TestRequestThatCannotBeEncodedIsRefusedAlone(t *testing.T) {
 	poisons := map[string]func(*PendingRequest){
 		"invalid UTF-8": func(request *PendingRequest) { request.Request.Team = "a\xff" },
@@ -105,14 +104,14 @@
 		}
 	}
 	if decided != 1 {
-		t.Errorf("%d answers to the new request", decided)
+		t.Errorf("%d responses to the new request", decided)
 	}
 	if service.schedule.HasDueChanges(newEnv(now).UnixS) {
 		t.Error("not all holds have ended")
 	}
 }
 
-// A status without meaning for a batch must not lose its requests.
+// A batch that the store refuses must be decided again: its requests must not get lost.
 func TestRefusedBatchIsDecidedAgain(t *testing.T) {
 	store := newStore(t)
 	service := New()
@@ -122,14 +121,14 @@
 		t.Fatal("no transaction")
 	}
 	if responses, _ := service.HandleOutcome(wire.StatusBadRequest, 0); len(responses) != 0 {
-		t.Fatalf("answered %+v", responses)
+		t.Fatalf("unexpected responses %+v", responses)
 	}
 	service.HeadRead()
 	expectOutcomes(t, store.commitBatch(t, service, time.Second), booking.OutcomeDone)
 }
 
-// A request that the store itself refuses, with status 400, must be answered so, and the others of its batch decided,
-// within the time that a request may wait. The whole batch was tried again and again until all of it had expired.
+// A request that the store itself refuses with status 400 must be rejected, and the others in its batch decided,
+// before the deadline of the requests. The whole batch was retried until all its requests had expired.
 func TestRequestRefusedByTheStoreIsAnsweredAlone(t *testing.T) {
 	store := newStore(t)
 	service := New()
--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -14,7 +14,7 @@
 	"dewlift/wire"
 )
 
-// startUnixS is the wall-clock time at which the tests start, in seconds: a whole minute.
+// startUnixS is the wall-clock time at the start of a test, in seconds. It is a whole minute.
 const startUnixS = 1_700_000_040
 
 // fakeStore is a key-value store with compare-and-swap transactions.
@@ -23,7 +23,7 @@
 	revision uint64
 }
 
-// commit executes a transaction if its compares hold.
+// commit commits a transaction if its compares hold, and returns the status and the revision.
 func (s *fakeStore) commit(txn *wire.Txn) (wire.Status, uint64) {
 	for _, compare := range txn.Compare {
 		if s.keys[compare.Key].Revision != compare.Revision {
@@ -41,7 +41,7 @@
 	return wire.StatusOK, s.revision
 }
 
-// replayTo applies all keys to a service, as a snapshot load and as the watch would.
+// replayTo applies all keys to a service, as loading a snapshot and the watch do.
 func (s *fakeStore) replayTo(t *testing.T, service *Service) {
 	t.Helper()
 	for key, item := range s.keys {
@@ -51,7 +51,7 @@
 	}
 }
 
-// newEnv returns the environment at a time, in which everything is authorized and nothing audited.
+// newEnv returns the environment at a time. It authorizes every request and audits nothing.
 func newEnv(now time.Duration) Env {
 	return Env{
 		Now: now, UnixS: startUnixS + int64(now.Seconds()), MaxValueBytes: 8192, MaxCompares: 48,
@@ -62,7 +62,7 @@
 	}
 }
 
-// newStore returns a store with one kiln, k, that is reserved by the minute.
+// newStore returns a store with one item of equipment, the kiln k, which is reserved by the minute.
 func newStore(t *testing.T) *fakeStore {
 	t.Helper()
 	inventory, err := booking.Parse([]byte(`pieces { name: "k" kind: "kiln" slot_minutes: 1 }`))
@@ -78,7 +78,7 @@
 	return store
 }
 
-// newRequest returns a request for the kiln in a minute after startUnixS.
+// newRequest returns a request to reserve the kiln for one minute that begins so many minutes after startUnixS.
 func newRequest(id string, minute int) *PendingRequest {
 	return &PendingRequest{
 		Request: booking.Request{ID: id},
@@ -106,8 +106,8 @@
 	}
 }
 
-// A transaction with unknown outcome that was executed must be found when its request is repeated; one
-// that is executed late, after another controller has committed, must fail.
+// The requests of a transaction without a response are decided again: they must find their own reservations if the
+// transaction was executed. If it is executed late, after another controller has committed, it must fail.
 func TestUnknownOutcomesAreResolved(t *testing.T) {
 	for _, executed := range []string{"at once", "late", "after another's"} {
 		store := newStore(t)
@@ -121,7 +121,7 @@
 		}
 		out, mustRead := first.HandleOutcome(wire.StatusNoAnswer, 0)
 		if out != nil || !mustRead || first.HasWork(time.Hour, 0) {
-			t.Fatal("it must read before it decides again")
+			t.Fatal("the service does not wait for a read before it decides again")
 		}
 		first.HeadRead()
 		store.replayTo(t, first)
@@ -135,10 +135,10 @@
 		default:
 			expectOutcomes(t, out, booking.OutcomeDone)
 		}
-		repeated := first.NextTxn(newEnv(time.Second)) // decided without the second controller's change
+		repeated := first.NextTxn(newEnv(time.Second)) // decided without the change of the second controller
 		if executed == "late" && status == wire.StatusOK {
 			if late, _ := store.commit(unknown); late != wire.StatusConflict {
-				t.Error("a late transaction was executed after another controller's")
+				t.Error("a late transaction was committed after that of another controller")
 			}
 		}
 		status, revision = store.commit(repeated)
@@ -148,7 +148,7 @@
 			continue
 		}
 		if !mustRead {
-			t.Fatal("another controller committed first, and it does not read the head")
+			t.Fatal("another controller committed first, and the service does not ask for a read of the head")
 		}
 		first.HeadRead()
 		store.replayTo(t, first)
@@ -158,14 +158,14 @@
 	}
 }
 
-// Watch events during a transaction show the committed state, whether they include the transaction or not.
+// Watch events during a transaction must show the committed state, whether they include the transaction or not.
 func TestWatchEventsDuringAWrite(t *testing.T) {
 	store := newStore(t)
 	service := New()
 	store.replayTo(t, service)
 	service.Enqueue(newRequest("x", 100))
 	status, revision := store.commit(service.NextTxn(newEnv(0)))
-	store.replayTo(t, service) // the watch shows its own write before the outcome
+	store.replayTo(t, service) // the watch shows the service's own write before the outcome
 	service.ViewCommitted(func(schedule *booking.Schedule) {
 		if schedule.Get("x") == nil {
 			t.Error("a committed reservation is not shown")
@@ -187,7 +187,7 @@
 	store.commit(other.NextTxn(newEnv(0)))
 	store.replayTo(t, service) // another controller committed first
 	if out, mustRead := service.HandleOutcome(wire.StatusConflict, 0); out != nil || !mustRead {
-		t.Fatal("another controller committed first, and it does not read the head")
+		t.Fatal("another controller committed first, and the service does not ask for a read of the head")
 	}
 	service.HeadRead()
 	status, revision = store.commit(service.NextTxn(newEnv(2 * time.Second)))
@@ -195,8 +195,8 @@
 	expectOutcomes(t, out, booking.OutcomeRefused)
 }
 
-// Concurrent reservations must share writes, also over the years: full heads become pages, and pages with
-// few current reservations are merged. A controller that reads all of it must know the same.
+// Concurrent reservations must share writes, and pages with few current reservations must be merged, so that stored
+// pages don't pile up. A controller that reads all pages must get the same state.
 func TestReservationsShareWrites(t *testing.T) {
 	const maxValueBytes = 8192
 	store := newStore(t)
@@ -223,7 +223,7 @@
 		now += batchInterval
 	}
 	const bookings = 3000
-	for i := range bookings { // fifty a second
+	for i := range bookings { // 12 in each batch
 		service.Enqueue(newRequest(fmt.Sprintf("booking-%05d", i), 1000+i))
 		if i%12 == 11 {
 			step()
@@ -269,7 +269,7 @@
 			return
 		}
 		if status, _ := s.commit(txn); status != wire.StatusOK {
-			t.Fatal("a merge was not committed")
+			t.Fatal("a merge transaction was not committed")
 		}
 		for _, write := range txn.Then {
 			service.ApplyDelete(write.Delete, s.revision)
@@ -279,7 +279,7 @@
 	}
 }
 
-// serveBlockReads answers the requested reads of archive blocks.
+// serveBlockReads performs the requested reads of archive blocks.
 func (s *fakeStore) serveBlockReads(t *testing.T, service *Service) {
 	t.Helper()
 	for _, id := range service.TakeBlocksToRead() {
@@ -295,10 +295,10 @@
 	}
 }
 
-// commitBatch serves block reads and commits a batch of a service, and returns the answers.
+// commitBatch serves block reads, commits a batch of a service and returns the responses.
 func (s *fakeStore) commitBatch(t *testing.T, service *Service, now time.Duration) []Response {
 	t.Helper()
-	for range 2 { // the first batch may only request blocks
+	for range 2 { // the first attempt may only request blocks
 		s.serveBlockReads(t, service)
 		if txn := service.NextTxn(newEnv(now)); txn != nil {
 			status, revision := s.commit(txn)
@@ -310,8 +310,8 @@
 	return nil
 }
 
-// archiveAll archives the reservations that ended before a time, with at most limit transactions, and
-// returns how many it took.
+// archiveAll archives the reservations that ended before a time in at most limit steps. It returns the number of
+// transactions.
 func (s *fakeStore) archiveAll(t *testing.T, service *Service, endedBefore int64, limit int) (moves int) {
 	t.Helper()
 	const maxValueBytes = 2048
@@ -342,8 +342,8 @@
 	return moves
 }
 
-// Past reservations must leave memory and the keys that a start reads, for blocks that split as they
-// fill. Their ids must never be used again.
+// Past reservations must be evicted from memory and moved from the keys that a controller reads at its start to
+// archive blocks, which are split when they are full. Their IDs must never be used again.
 func TestPastReservationsAreArchived(t *testing.T) {
 	store := newStore(t)
 	service := New()
@@ -371,11 +371,11 @@
 	other := New()
 	store.replayTo(t, other)
 	for _, service := range []*Service{service, other} {
-		if n, pages := service.Counts(); n > 150 || pages > 2 { // the last ones stay in the head
+		if n, pages := service.Counts(); n > 150 || pages > 2 { // the last reservations stay in the head
 			t.Errorf("%d reservations in memory, %d pages", n, pages)
 		}
 	}
-	t.Logf("%d reservations in %d moves", bookings, moves)
+	t.Logf("%d reservations archived in %d transactions", bookings, moves)
 	other.Enqueue(newRequest(id(3), 100_003))
 	other.Enqueue(newRequest(id(4), 100_000))
 	other.Enqueue(newEndRequest(id(5)))
@@ -388,7 +388,7 @@
 		booking.OutcomeRepeated,
 		booking.OutcomeNotFound,
 	)
-	// A new id must compare the block that lacks it.
+	// The transaction of a new ID must compare the block that lacks it.
 	other.Enqueue(newRequest("b00001x", 900_001))
 	store.serveBlockReads(t, other)
 	if txn := other.NextTxn(newEnv(now + time.Hour)); txn != nil {
@@ -399,11 +399,11 @@
 	if !slices.ContainsFunc(txn.Compare, func(compare wire.Compare) bool {
 		return strings.HasPrefix(compare.Key, ArchivePrefix) && compare.Revision != 0
 	}) {
-		t.Errorf("compares %v lack the block", txn.Compare)
+		t.Errorf("compares %v do not include the block", txn.Compare)
 	}
 }
 
-// A damaged head must be an error, or be applied without a crash.
+// FuzzDecode checks that a damaged head is either an error or applied without a panic.
 func FuzzDecode(f *testing.F) {
 	raw, err := encodePage(
 		[]*pb.Booking{{Id: "x", Change: 1, Slots: []*pb.Slot{{Piece: "k", Unit: 1, From: 60, To: 120, Clear: 120}}}},
@@ -427,8 +427,8 @@
 	})
 }
 
-// A reason that is longer than is kept must be cut between characters: invalid UTF-8 can't be stored, and the
-// reservation could not be ended.
+// A reason that exceeds the limit must be truncated between characters: otherwise it is invalid UTF-8, which can't
+// be stored, and the reservation can't be ended.
 func TestLongReasonIsCutBetweenCharacters(t *testing.T) {
 	store := newStore(t)
 	service := New()
--- a/core/reservations_test.go
+++ b/core/reservations_test.go
@@ -12,7 +12,7 @@
 	"dewlift/wire"
 )
 
-// An equipment list that its sender may not set must not be written: the response is 403, and the list in force stays.
+// An equipment list from a caller without permission must not be written.
 func TestForbiddenEquipmentIsNotWritten(t *testing.T) {
 	c := newCoreWithPermissions(t)
 	c.schema.active = SchemaVersion
@@ -36,7 +36,8 @@
 	}
 }
 
-// A request with a text that can't be stored is refused with the field and its limit, and is not queued.
+// A request with a text that can't be stored must be refused at once, with the name of the field, and not be
+// queued.
 func TestUnstorableReservationIsRefusedAtOnce(t *testing.T) {
 	c := newAuditingCoreWithEquipment(t)
 	long := strings.Repeat("é", 101)
