--- a/access/access_test.go
+++ b/access/access_test.go
@@ -131,8 +131,8 @@
 	return token
 }
 
-// A token must be rejected outside of its lifetime, when it is signed with the key of another identity, and when
-// its header or claims were altered.
+// A token must be rejected outside of its lifetime, when its signature is not by the named key of its holder, and
+// when its header or claims were altered.
 func TestTokensAreBoundToTimeAndHolder(t *testing.T) {
 	p, key := newPolicyWithKey(t)
 	now, clockError := time.Unix(1_800_000_000, 0), 50*time.Millisecond
@@ -142,7 +142,7 @@
 		t.Fatalf("got %+v %v %v", got, until, err)
 	}
 	if id, ok := PeekKeyID(good); !ok || id != "k1" {
-		t.Errorf("peeked %q", id)
+		t.Errorf("the unverified key ID is %q", id)
 	}
 	other, err := NewKey("anna", "k1")
 	if err != nil {
@@ -160,16 +160,16 @@
 		token string
 		at    time.Time
 	}{
-		"too late":      {good, now.Add(time.Minute + 200*time.Millisecond)},
-		"too early":     {good, now.Add(-time.Second)},
-		"another key":   {signToken(t, other, now, time.Minute), now},
-		"another name":  {signToken(t, &otherHolder, now, time.Minute), now},
-		"unknown key":   {signToken(t, &unknown, now, time.Minute), now},
-		"not signed":    {unsigned + "." + parts[1] + ".", now},
-		"other claims":  {parts[0] + "." + forged + "." + parts[2], now},
-		"too long":      {good + strings.Repeat("x", maxTokenBytes), now},
-		"empty":         {"", now},
-		"life too long": {signToken(t, key, now, MaxTokenLifetime), now.Add(MaxTokenLifetime + time.Second)},
+		"too late":          {good, now.Add(time.Minute + 200*time.Millisecond)},
+		"too early":         {good, now.Add(-time.Second)},
+		"another key":       {signToken(t, other, now, time.Minute), now},
+		"another name":      {signToken(t, &otherHolder, now, time.Minute), now},
+		"unknown key":       {signToken(t, &unknown, now, time.Minute), now},
+		"not signed":        {unsigned + "." + parts[1] + ".", now},
+		"other claims":      {parts[0] + "." + forged + "." + parts[2], now},
+		"too long":          {good + strings.Repeat("x", maxTokenBytes), now},
+		"empty":             {"", now},
+		"lifetime too long": {signToken(t, key, now, MaxTokenLifetime), now.Add(MaxTokenLifetime + time.Second)},
 	} {
 		if got, _, err := p.VerifyToken(test.token, test.at, clockError); !errors.Is(err, ErrInvalidToken) {
 			t.Errorf("%s: %+v %v", name, got, err)
--- a/access/token.go
+++ b/access/token.go
@@ -44,7 +44,7 @@
 	return &PrivateKey{Holder: holder, ID: id, Seed: key.Seed()}, nil
 }
 
-// ParsePrivateKey reads a private key.
+// ParsePrivateKey parses a private key from the JSON form of its file.
 func ParsePrivateKey(raw []byte) (*PrivateKey, error) {
 	var key PrivateKey
 	if err := json.Unmarshal(raw, &key); err != nil {
--- a/core/auditlog/blocks.go
+++ b/core/auditlog/blocks.go
@@ -33,8 +33,8 @@
 // IsBusy reports whether a block transaction is in flight or the delay after a failed one has not passed.
 func (r *Recorder) IsBusy() bool { return r.blockInFlight || r.Env.Now < r.nextBlockAt }
 
-// NextBlockTxn returns the transaction that writes the next block, or nil if none is due. Its outcome
-// goes to HandleBlockOutcome.
+// NextBlockTxn returns the transaction that writes the next block, or nil if none is due. The caller passes its
+// outcome to HandleBlockOutcome.
 func (r *Recorder) NextBlockTxn() *wire.Txn {
 	if !r.started {
 		return r.startIncarnation()
--- a/core/denials_test.go
+++ b/core/denials_test.go
@@ -34,7 +34,7 @@
 	input  Input
 }
 
-// deniedRequestID is the id of each denied request.
+// deniedRequestID is the request ID of each denied request.
 const deniedRequestID = 77
 
 // deniedRequests returns a request for each verb that needs a permission.
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -38,8 +38,8 @@
 	// are archived or pages merged. Neither is urgent.
 	reservationCompactionBudget = 0.75
 
-	maxReservationsListed = 500 // in one answer
-	maxFreeTimesListed    = 50  // in one answer
+	maxReservationsListed = 500 // in one response
+	maxFreeTimesListed    = 50  // in one response
 )
 
 // Reasons in responses to reservation requests that can't be served now.
@@ -229,7 +229,7 @@
 	}
 	if txn := c.reservations.service.MergeTxn(max(2, c.cfg.Store.MaxTxnOps/2), c.cfg.Store.MaxValueBytes); txn != nil {
 		c.transactions.commit(*txn, &pendingTxn{onDone: func(wire.Status, wire.TxnResponse) {
-			// The barrier shows the outcome.
+			// After the barrier the replica shows the outcome.
 			c.replica.afterReadBarrier(func(bool) { c.reservations.service.MergeDone() })
 		}})
 	}
