--- a/audit/aggregator.go
+++ b/audit/aggregator.go
@@ -33,28 +33,28 @@
 const OtherValues = "(others)"
 
 // Add counts occurrences of an event.
-func (g *Aggregator) Add(event AggregatedEvent, count uint32) {
+func (a *Aggregator) Add(event AggregatedEvent, count uint32) {
 	event = AggregatedEvent{
 		TruncateText(event.Identity),
 		TruncateText(event.Verb),
 		TruncateText(event.Object),
 		TruncateText(event.Reason),
 	}
-	if g.counts == nil {
-		g.counts = map[AggregatedEvent]uint32{}
+	if a.counts == nil {
+		a.counts = map[AggregatedEvent]uint32{}
 	}
-	if _, ok := g.counts[event]; !ok {
-		if g.usedBytes > g.MaxBytes {
+	if _, ok := a.counts[event]; !ok {
+		if a.usedBytes > a.MaxBytes {
 			event.Object, event.Reason = OtherValues, ""
 		}
-		if g.usedBytes > 2*g.MaxBytes {
+		if a.usedBytes > 2*a.MaxBytes {
 			event = AggregatedEvent{Identity: OtherValues, Verb: event.Verb, Object: OtherValues}
 		}
 	}
-	if _, ok := g.counts[event]; !ok {
-		g.usedBytes += event.size()
+	if _, ok := a.counts[event]; !ok {
+		a.usedBytes += event.size()
 	}
-	g.counts[event] += count
+	a.counts[event] += count
 }
 
 // size returns approximately how many bytes the event takes.
@@ -63,7 +63,7 @@
 }
 
 // Len returns the number of distinct events.
-func (g *Aggregator) Len() int { return len(g.counts) }
+func (a *Aggregator) Len() int { return len(a.counts) }
 
 // Drain removes events of at most maxBytes in total, but at least one if there is any, and returns them in a
 // deterministic order.
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -228,10 +228,10 @@
 		head := &Head{}
 		recorded := map[[2]uint64]bool{}
 		highest := map[uint64]uint64{} // highest sequence number by incarnation
-		for life := uint64(1); life <= 6; life++ {
-			head = &Head{Incarnations: head.WithIncarnation(Incarnation{Number: life, NextSequence: 1})}
+		for incarnation := uint64(1); incarnation <= 6; incarnation++ {
+			head = &Head{Incarnations: head.WithIncarnation(Incarnation{Number: incarnation, NextSequence: 1})}
 			for range rapid.IntRange(0, 30).Draw(t, "steps") {
-				former := rapid.Uint64Range(1, life).Draw(t, "life")
+				former := rapid.Uint64Range(1, incarnation).Draw(t, "life")
 				sequence := rapid.Uint64Range(1, highest[former]+3).Draw(t, "count")
 				highest[former] = max(highest[former], sequence)
 				if !recorded[[2]uint64{former, sequence}] {
@@ -239,7 +239,7 @@
 					recorded[[2]uint64{former, sequence}] = true
 				}
 			}
-			for former := uint64(1); former <= life; former++ {
+			for former := uint64(1); former <= incarnation; former++ {
 				for sequence := uint64(1); sequence <= highest[former]+3; sequence++ {
 					got, want := head.Contains(former, sequence), recorded[[2]uint64{former, sequence}]
 					if got != want {
@@ -250,8 +250,8 @@
 		}
 	})
 	head := &Head{}
-	for life := uint64(1); life <= 2*maxIncarnations; life++ {
-		head.Incarnations = head.WithIncarnation(Incarnation{Number: life, NextSequence: 5})
+	for incarnation := uint64(1); incarnation <= 2*maxIncarnations; incarnation++ {
+		head.Incarnations = head.WithIncarnation(Incarnation{Number: incarnation, NextSequence: 5})
 	}
 	if len(head.Incarnations) != maxIncarnations || !head.Contains(1, 9) || head.Contains(maxIncarnations+1, 9) ||
 		head.Contains(2*maxIncarnations, 9) ||
@@ -263,9 +263,9 @@
 
 // A flood of distinct events must take bounded memory, and every event must be counted.
 func TestFloodIsCountedInBoundedMemory(t *testing.T) {
-	g := Aggregator{MaxBytes: 4096}
+	aggregator := Aggregator{MaxBytes: 4096}
 	for i := range 200_000 {
-		g.Add(
+		aggregator.Add(
 			AggregatedEvent{
 				Identity: fmt.Sprint("w", i%5000),
 				Verb:     "GET",
@@ -275,12 +275,12 @@
 			1,
 		)
 	}
-	if g.usedBytes > 4*4096 || g.Len() > 1000 {
-		t.Errorf("%d kinds in %d bytes", g.Len(), g.usedBytes)
+	if aggregator.usedBytes > 4*4096 || aggregator.Len() > 1000 {
+		t.Errorf("%d kinds in %d bytes", aggregator.Len(), aggregator.usedBytes)
 	}
 	total, entries := uint32(0), 0
-	for g.Len() > 0 {
-		items, size := g.Drain(1000), 0
+	for aggregator.Len() > 0 {
+		items, size := aggregator.Drain(1000), 0
 		for _, item := range items {
 			total += item.Count
 			size += protobuf.Size(item)
@@ -290,8 +290,8 @@
 		}
 		entries++
 	}
-	if total != 200_000 || g.usedBytes != 0 || entries > 20 {
-		t.Errorf("%d counted in %d entries, %d bytes left", total, entries, g.usedBytes)
+	if total != 200_000 || aggregator.usedBytes != 0 || entries > 20 {
+		t.Errorf("%d counted in %d entries, %d bytes left", total, entries, aggregator.usedBytes)
 	}
 }
 
--- a/audit/report/report.go
+++ b/audit/report/report.go
@@ -66,20 +66,20 @@
 	if event.Identity == "" && event.Outcome == audit.OutcomeRefused {
 		kind.Who = "(nobody known)"
 	}
-	line := r.days[day][kind]
-	if line == nil {
-		line = &EventCount{EventKind: kind}
-		r.days[day][kind] = line
+	eventCount := r.days[day][kind]
+	if eventCount == nil {
+		eventCount = &EventCount{EventKind: kind}
+		r.days[day][kind] = eventCount
 	}
-	line.Count += uint64(event.Count)
+	eventCount.Count += uint64(event.Count)
 	r.eventTotal += uint64(event.Count)
 	r.controllers[event.Node] = true
 	switch {
-	case slices.Contains(line.Objects, event.Object):
-	case len(line.Objects) < maxObjectsShown:
-		line.Objects = append(line.Objects, event.Object)
+	case slices.Contains(eventCount.Objects, event.Object):
+	case len(eventCount.Objects) < maxObjectsShown:
+		eventCount.Objects = append(eventCount.Objects, event.Object)
 	default:
-		line.More = true
+		eventCount.More = true
 	}
 }
 
@@ -181,7 +181,7 @@
 func (r *Report) valuesByVerb(days []string) map[string]plotter.Values {
 	values := map[string]plotter.Values{}
 	for i, day := range days {
-		for kind, line := range r.days[day] {
+		for kind, eventCount := range r.days[day] {
 			verb := kind.Verb
 			if kind.Outcome == audit.OutcomeRefused {
 				verb = audit.OutcomeRefused
@@ -189,7 +189,7 @@
 			if values[verb] == nil {
 				values[verb] = make(plotter.Values, len(days))
 			}
-			values[verb][i] += float64(line.Count)
+			values[verb][i] += float64(eventCount.Count)
 		}
 	}
 	return values
--- a/booking/booking_test.go
+++ b/booking/booking_test.go
@@ -51,43 +51,43 @@
 // Days of 23 and 25 hours must not shift reservations. A local time that is skipped must be an error, and the two
 // occurrences of a repeated one must be told apart.
 func TestDaylightSavingChanges(t *testing.T) {
-	s := mustParse(t, testEquipment)
+	inventory := mustParse(t, testEquipment)
 	for day, want := range map[string]int64{"2027-03-28": 23, "2027-03-29": 24, "2027-10-31": 25} {
-		from, to, err := s.ParseDay(day)
+		from, to, err := inventory.ParseDay(day)
 		if err != nil || (to-from)/3600 != want {
 			t.Errorf("%s has %d hours, %v", day, (to-from)/3600, err)
 		}
-		open, ok := s.openingOn(s.itemsByName["k1"], s.dayOf(from))
+		open, ok := inventory.openingOn(inventory.itemsByName["k1"], inventory.dayOf(from))
 		if !ok || open != (interval{from, to}) {
 			t.Errorf("%s: open %v, day is %d to %d", day, open, from, to)
 		}
 	}
-	if _, err := s.ParseTime("2027-03-28T02:30"); err == nil || !strings.Contains(err.Error(), "never show") {
+	if _, err := inventory.ParseTime("2027-03-28T02:30"); err == nil || !strings.Contains(err.Error(), "never show") {
 		t.Errorf("a skipped time: %v", err)
 	}
-	first, second := mustParseTime(t, s, "2027-10-31T02:30"), mustParseTime(t, s, "2027-10-31T02:30+01:00")
-	if second-first != 3600 || mustParseTime(t, s, "2027-10-31T02:30+02:00") != first {
+	first, second := mustParseTime(t, inventory, "2027-10-31T02:30"), mustParseTime(t, inventory, "2027-10-31T02:30+01:00")
+	if second-first != 3600 || mustParseTime(t, inventory, "2027-10-31T02:30+02:00") != first {
 		t.Errorf("a repeated time: %d, %d", first, second)
 	}
 	// A reservation across the change keeps its length.
 	schedule := NewSchedule()
 	request := &Request{
 		ID:    "a",
-		Wants: []*pb.Want{{Piece: "k1", From: mustParseTime(t, s, "2027-03-27T22:00"), Slots: 10}},
+		Wants: []*pb.Want{{Piece: "k1", From: mustParseTime(t, inventory, "2027-03-27T22:00"), Slots: 10}},
 	}
-	result := s.Decide(schedule.NewDraft(), 0, request)
-	if result.Outcome != OutcomeDone || s.FormatTime(result.Booking.Slots[0].To) != "2027-03-28T09:00:00+02:00" {
+	result := inventory.Decide(schedule.NewDraft(), 0, request)
+	if result.Outcome != OutcomeDone || inventory.FormatTime(result.Booking.Slots[0].To) != "2027-03-28T09:00:00+02:00" {
 		t.Errorf("a reservation across the change: %v", result)
 	}
 	// A series keeps its local time of day.
-	list, err := s.ExpandRecurrence(
-		&pb.Want{Piece: "k1", From: mustParseTime(t, s, "2027-03-23T08:00"), Slots: 1},
+	list, err := inventory.ExpandRecurrence(
+		&pb.Want{Piece: "k1", From: mustParseTime(t, inventory, "2027-03-23T08:00"), Slots: 1},
 		"FREQ=WEEKLY;COUNT=2",
 	)
-	if err != nil || len(list) != 2 || s.FormatTime(list[1].From) != "2027-03-30T08:00:00+02:00" {
+	if err != nil || len(list) != 2 || inventory.FormatTime(list[1].From) != "2027-03-30T08:00:00+02:00" {
 		t.Errorf("a weekly series across the change: %v, %v", list, err)
 	}
-	if _, err := s.ExpandRecurrence(list[0], "FREQ=DAILY;BYMONTH=2;BYMONTHDAY=30;COUNT=2"); err == nil {
+	if _, err := inventory.ExpandRecurrence(list[0], "FREQ=DAILY;BYMONTH=2;BYMONTHDAY=30;COUNT=2"); err == nil {
 		t.Error("a rule that matches no day is accepted")
 	}
 }
@@ -104,16 +104,16 @@
 			"UTC",
 		}).
 			Draw(t, "zone")
-		s, err := NewInventory(&pb.Equipment{TimeZone: zone})
+		inventory, err := NewInventory(&pb.Equipment{TimeZone: zone})
 		if err != nil {
 			t.Fatal(err)
 		}
 		day, minute := rapid.IntRange(7305, 40000).Draw(t, "day"), rapid.IntRange(1, 24*60).Draw(t, "minute")
-		at := s.timeOnDay(day, minute)
-		if before := s.timeOnDay(day, minute-1); at < before {
+		at := inventory.timeOnDay(day, minute)
+		if before := inventory.timeOnDay(day, minute-1); at < before {
 			t.Fatalf("minute %d is at %d, the previous one at %d", minute, at, before)
 		}
-		local := time.Unix(at, 0).In(s.location)
+		local := time.Unix(at, 0).In(inventory.location)
 		want := time.Unix(int64(day)*86400+int64(minute)*60, 0).UTC().Format(clockFormat)
 		if got := local.Format(clockFormat); got != want && got < want {
 			t.Fatalf("%s shows %s", want, got)
@@ -123,7 +123,7 @@
 
 // A reservation outside of opening hours or off the slot grid must be refused with the right reason.
 func TestOpeningHours(t *testing.T) {
-	s := mustParse(t, testEquipment)
+	inventory := mustParse(t, testEquipment)
 	for text, want := range map[string]string{
 		"k2 2027-03-04T08:00 1": "",
 		"k2 2027-03-04T23:00 1": "",
@@ -142,7 +142,7 @@
 			t.Fatal(err)
 		}
 		got := ""
-		if err := s.checkSlots(s.itemsByName[fields[0]], mustParseTime(t, s, fields[1]), slots); err != nil {
+		if err := inventory.checkSlots(inventory.itemsByName[fields[0]], mustParseTime(t, inventory, fields[1]), slots); err != nil {
 			got = err.Error()
 		}
 		if got != want {
@@ -204,12 +204,12 @@
 
 // Every kind of request must get the right outcome, and its user the right reason.
 func TestDecisions(t *testing.T) {
-	s, schedule := mustParse(t, testEquipment), NewSchedule()
+	inventory, schedule := mustParse(t, testEquipment), NewSchedule()
 	draft := schedule.NewDraft()
 	want := func(piece, from string, slots uint32) []*pb.Want {
-		return []*pb.Want{{Piece: piece, From: mustParseTime(t, s, from), Slots: slots}}
+		return []*pb.Want{{Piece: piece, From: mustParseTime(t, inventory, from), Slots: slots}}
 	}
-	now := mustParseTime(t, s, "2027-03-01T00:00")
+	now := mustParseTime(t, inventory, "2027-03-01T00:00")
 	steps := []struct {
 		request Request
 		want    string
@@ -260,42 +260,42 @@
 		}, // its second slot is within the cooldown of its first
 	}
 	for i, step := range steps {
-		got := describeResult(s, s.Decide(draft, now, &step.request))
+		got := describeResult(inventory, inventory.Decide(draft, now, &step.request))
 		if got != step.want && !strings.HasPrefix(got, step.want+" ") {
 			t.Errorf("step %d: %s, want %s", i, got, step.want)
 		}
 	}
-	checkDisplacement(t, s, draft, now)
+	checkDisplacement(t, inventory, draft, now)
 }
 
 // checkDisplacement fails unless a new equipment list without k1 is refused while it displaces two
 // reservations, and ends them only on request and with a reason.
-func checkDisplacement(t *testing.T, s *Inventory, draft *Draft, now int64) {
+func checkDisplacement(t *testing.T, inventory *Inventory, draft *Draft, now int64) {
 	t.Helper()
 	schedule := draft.schedule
-	less := mustParse(
+	reduced := mustParse(
 		t,
 		strings.ReplaceAll(testEquipment, `"kiln" slot_minutes: 60 cool_minutes: 90`, `"kiln" slot_minutes: 60 out: 1`),
 	)
-	request := &Request{Verb: VerbSetInventory, Replacement: less}
-	result := s.Decide(draft, now, request)
+	request := &Request{Verb: VerbSetInventory, Replacement: reduced}
+	result := inventory.Decide(draft, now, request)
 	if result.Outcome != OutcomeRefused || len(result.Displaced) != 2 ||
 		schedule.Get("a").State != pb.BookingState_confirmed {
 		t.Errorf("without consent: %v", result)
 	}
 	request.EndDisplaced = true
-	if result = s.Decide(draft, now, request); result.Outcome != OutcomeInvalid {
+	if result = inventory.Decide(draft, now, request); result.Outcome != OutcomeInvalid {
 		t.Errorf("without a reason: %v", result)
 	}
 	request.Reason = "relined"
-	if result = s.Decide(draft, now, request); result.Outcome != OutcomeDone || schedule.Get("a").Why != "relined" {
+	if result = inventory.Decide(draft, now, request); result.Outcome != OutcomeDone || schedule.Get("a").Why != "relined" {
 		t.Errorf("with a reason: %v", result)
 	}
 	list, ok := schedule.BookingsBetween(
-		s,
+		inventory,
 		"k1",
-		mustParseTime(t, s, "2027-03-04T00:00"),
-		mustParseTime(t, s, "2027-03-05T00:00"),
+		mustParseTime(t, inventory, "2027-03-04T00:00"),
+		mustParseTime(t, inventory, "2027-03-05T00:00"),
 	)
 	if !ok || len(list) != 0 {
 		t.Errorf("displaced reservations are listed: %v", list)
@@ -364,7 +364,7 @@
 
 // checkSchedule fails if a unit is used twice, a waiting reservation could be met, or the index by unit does not
 // match the reservations.
-func checkSchedule(t *rapid.T, s *Inventory, schedule *Schedule) {
+func checkSchedule(t *rapid.T, inventory *Inventory, schedule *Schedule) {
 	t.Helper()
 	uses := 0
 	for _, id := range slices.Sorted(maps.Keys(schedule.byID)) {
@@ -373,13 +373,13 @@
 			for _, slot := range reservation.Slots {
 				uses++
 				used := interval{slot.From, slot.Clear}
-				if !isFreeByBruteForce(schedule, s.itemsByName[slot.Piece], slot.Unit, used, id) {
+				if !isFreeByBruteForce(schedule, inventory.itemsByName[slot.Piece], slot.Unit, used, id) {
 					t.Fatalf("%v shares a unit", reservation)
 				}
 			}
 		}
 		if reservation.State == pb.BookingState_waiting {
-			if slots, _, err := s.findUnits(schedule, id, reservation.Team, reservation.Wants); err == nil {
+			if slots, _, err := inventory.findUnits(schedule, id, reservation.Team, reservation.Wants); err == nil {
 				t.Fatalf("%v waits, but could be assigned %v", reservation, slots)
 			}
 		}
@@ -393,18 +393,18 @@
 }
 
 // checkNextFree fails if a want could be met before its next free time.
-func checkNextFree(t *rapid.T, s *Inventory, schedule *Schedule, want *pb.Want, start int64) {
+func checkNextFree(t *rapid.T, inventory *Inventory, schedule *Schedule, want *pb.Want, start int64) {
 	t.Helper()
-	free := s.NextFree(schedule, "", "packing", want, start, 0, 1)
-	for _, item := range s.candidates(want) {
-		open, _ := s.openingOn(item, s.dayOf(start))
+	free := inventory.NextFree(schedule, "", "packing", want, start, 0, 1)
+	for _, item := range inventory.candidates(want) {
+		open, _ := inventory.openingOn(item, inventory.dayOf(start))
 		for from := open.from; from < open.to; from += item.slotSeconds {
 			needed := interval{from, from + int64(want.Slots)*item.slotSeconds + item.cooldownSeconds}
 			for unit := uint32(1); int(unit) <= item.unitCount; unit++ {
-				if s.checkSlots(item, from, int(want.Slots)) == nil &&
+				if inventory.checkSlots(item, from, int(want.Slots)) == nil &&
 					isFreeByBruteForce(schedule, item, unit, needed, "") &&
 					from < free[0].From {
-					t.Fatalf("%s is free at %s, before %v", item.Name, s.FormatTime(from), free)
+					t.Fatalf("%s is free at %s, before %v", item.Name, inventory.FormatTime(from), free)
 				}
 			}
 		}
@@ -414,40 +414,40 @@
 // Whatever is requested in whatever order: no unit may be used twice, no reservation may wait although its wants
 // can be met, no free time may be missed, and an undone draft must not change the schedule.
 func TestScheduleKeepsItsInvariants(t *testing.T) {
-	s := mustParse(t, testEquipment)
-	start := mustParseTime(t, s, "2027-03-04T00:00")
+	inventory := mustParse(t, testEquipment)
+	start := mustParseTime(t, inventory, "2027-03-04T00:00")
 	rapid.Check(t, func(t *rapid.T) {
 		schedule, now := NewSchedule(), start-secondsPerDay
 		for range rapid.IntRange(1, 25).Draw(t, "batches") {
 			now += rapid.Int64Range(0, 40).Draw(t, "time")
 			before := maps.Clone(schedule.byID)
 			draft := schedule.NewDraft()
-			s.Advance(draft, now)
+			inventory.Advance(draft, now)
 			for range rapid.IntRange(1, 3).Draw(t, "wishes") {
-				s.Decide(draft, now, drawRequest(t, start))
+				inventory.Decide(draft, now, drawRequest(t, start))
 			}
 			if rapid.IntRange(0, 3).Draw(t, "undo") == 0 {
 				checkUndo(t, schedule, draft, before)
 			}
-			checkSchedule(t, s, schedule)
+			checkSchedule(t, inventory, schedule)
 		}
-		checkNextFree(t, s, schedule, drawWants(t, "free", start)[0], start)
+		checkNextFree(t, inventory, schedule, drawWants(t, "free", start)[0], start)
 	})
 }
 
 // BenchmarkDecideInFullSchedule measures a decision among many reservations: its time must not grow with their
 // number.
 func BenchmarkDecideInFullSchedule(b *testing.B) {
-	s, schedule := mustParse(b, testEquipment), NewSchedule()
+	inventory, schedule := mustParse(b, testEquipment), NewSchedule()
 	draft := schedule.NewDraft()
-	now := mustParseTime(b, s, "2027-03-01T00:00")
+	now := mustParseTime(b, inventory, "2027-03-01T00:00")
 	for i := range 1_500 {
 		wants := []*pb.Want{{Kind: "kiln", From: now + 3600*int64(i), Slots: 1}}
-		s.Decide(draft, now, &Request{ID: fmt.Sprint("x", i), Wants: wants})
+		inventory.Decide(draft, now, &Request{ID: fmt.Sprint("x", i), Wants: wants})
 	}
 	request := Request{ID: "n", Wants: []*pb.Want{{Piece: "k1", From: now + 3600*900, Slots: 1}}}
 	for b.Loop() {
-		result := s.Decide(schedule.NewDraft(), now, &request)
+		result := inventory.Decide(schedule.NewDraft(), now, &request)
 		if result.Outcome != OutcomeRefused || len(result.Alternatives) == 0 {
 			b.Fatal(result)
 		}
@@ -463,16 +463,16 @@
 		hours { rule: "FREQ=YEARLY;BYEASTER=1" from: "0:00" to: "24:00" }
 	}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		s, err := Parse([]byte(text))
+		inventory, err := Parse([]byte(text))
 		if err != nil {
 			return
 		}
-		if again, err := NewInventory(protobuf.CloneOf(s.Source())); err != nil ||
-			!protobuf.Equal(again.Source(), s.Source()) {
+		if again, err := NewInventory(protobuf.CloneOf(inventory.Source())); err != nil ||
+			!protobuf.Equal(again.Source(), inventory.Source()) {
 			t.Fatal(err)
 		}
-		for _, item := range s.items {
-			s.openingOn(item, 20000)
+		for _, item := range inventory.items {
+			inventory.openingOn(item, 20000)
 		}
 	})
 }
--- a/core/auditlog/blocks.go
+++ b/core/auditlog/blocks.go
@@ -188,20 +188,20 @@
 }
 
 // diffSettings describes the changed settings in order of their names: first those that are set now, then those
-// that no longer are. was is nil if no settings are stored, which yields no changes.
-func diffSettings(was, is map[string]string) (list []string) {
-	if was == nil {
+// that no longer are. old is nil if no settings are stored, which yields no changes.
+func diffSettings(old, current map[string]string) (list []string) {
+	if old == nil {
 		return nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(is)) {
-		if was[name] != is[name] {
-			value, former := cmp.Or(is[name], "unset"), cmp.Or(was[name], "unset")
+	for _, name := range slices.Sorted(maps.Keys(current)) {
+		if old[name] != current[name] {
+			value, former := cmp.Or(current[name], "unset"), cmp.Or(old[name], "unset")
 			list = append(list, fmt.Sprintf("%s %s, was %s", name, value, former))
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(was)) {
-		if _, ok := is[name]; !ok {
-			list = append(list, fmt.Sprintf("%s unset, was %s", name, was[name]))
+	for _, name := range slices.Sorted(maps.Keys(old)) {
+		if _, ok := current[name]; !ok {
+			list = append(list, fmt.Sprintf("%s unset, was %s", name, old[name]))
 		}
 	}
 	return list
--- a/core/reservations/pages.go
+++ b/core/reservations/pages.go
@@ -161,11 +161,11 @@
 }
 
 // updateValueCounts updates the number of stored values that hold each reservation after a value changed.
-func (s *Service) updateValueCounts(was, is []*pb.Booking) {
-	for _, reservation := range is {
+func (s *Service) updateValueCounts(old, current []*pb.Booking) {
+	for _, reservation := range current {
 		s.valueCounts[reservation.Id]++
 	}
-	for _, reservation := range was {
+	for _, reservation := range old {
 		if s.valueCounts[reservation.Id]--; s.valueCounts[reservation.Id] == 0 {
 			delete(s.valueCounts, reservation.Id)
 		}
--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -312,7 +312,7 @@
 
 // archiveAll archives the reservations that ended before a time in at most limit steps. It returns the number of
 // transactions.
-func (s *fakeStore) archiveAll(t *testing.T, service *Service, endedBefore int64, limit int) (moves int) {
+func (s *fakeStore) archiveAll(t *testing.T, service *Service, endedBefore int64, limit int) (txnCount int) {
 	t.Helper()
 	const maxValueBytes = 2048
 	for range limit {
@@ -327,7 +327,7 @@
 		if status, _ := s.commit(txn); status != wire.StatusOK || len(txn.Then) > 3 {
 			t.Fatalf("status %d, %d writes", status, len(txn.Then))
 		}
-		moves++
+		txnCount++
 		for _, write := range txn.Then {
 			if len(write.Value) > maxValueBytes && strings.HasPrefix(write.Put, ArchivePrefix) {
 				t.Fatalf("a block of %d bytes", len(write.Value))
@@ -339,7 +339,7 @@
 		s.replayTo(t, service)
 		service.ArchiveDone(txn)
 	}
-	return moves
+	return txnCount
 }
 
 // Past reservations must be evicted from memory and moved from the keys that a controller reads at its start to
@@ -366,7 +366,7 @@
 	service.Enqueue(newRequest("live", 900_000))
 	step(service)
 	endedBefore := startUnixS + int64(now.Seconds()) + 1
-	moves := store.archiveAll(t, service, endedBefore, 4*bookings)
+	txnCount := store.archiveAll(t, service, endedBefore, 4*bookings)
 	service.EvictArchived(now+time.Hour, endedBefore)
 	other := New()
 	store.replayTo(t, other)
@@ -375,7 +375,7 @@
 			t.Errorf("%d reservations in memory, %d pages", n, pages)
 		}
 	}
-	t.Logf("%d reservations archived in %d transactions", bookings, moves)
+	t.Logf("%d reservations archived in %d transactions", bookings, txnCount)
 	other.Enqueue(newRequest(id(3), 100_003))
 	other.Enqueue(newRequest(id(4), 100_000))
 	other.Enqueue(newEndRequest(id(5)))
