--- a/audit/aggregator.go
+++ b/audit/aggregator.go
@@ -67,17 +67,17 @@
 
 // Drain removes events of at most maxBytes in total, but at least one if there is any, and returns them in a
 // deterministic order.
-func (g *Aggregator) Drain(maxBytes int) []*pb.AuditItem {
-	all := make([]AggregatedEvent, 0, len(g.counts))
-	for event := range g.counts {
+func (a *Aggregator) Drain(maxBytes int) []*pb.AuditItem {
+	all := make([]AggregatedEvent, 0, len(a.counts))
+	for event := range a.counts {
 		all = append(all, event)
 	}
-	slices.SortFunc(all, func(a, b AggregatedEvent) int {
+	slices.SortFunc(all, func(x, y AggregatedEvent) int {
 		return cmp.Or(
-			strings.Compare(a.Identity, b.Identity),
-			strings.Compare(a.Verb, b.Verb),
-			strings.Compare(a.Object, b.Object),
-			strings.Compare(a.Reason, b.Reason),
+			strings.Compare(x.Identity, y.Identity),
+			strings.Compare(x.Verb, y.Verb),
+			strings.Compare(x.Object, y.Object),
+			strings.Compare(x.Reason, y.Reason),
 		)
 	})
 	var out []*pb.AuditItem
@@ -91,10 +91,10 @@
 			Verb:   event.Verb,
 			Object: event.Object,
 			Why:    event.Reason,
-			Count:  g.counts[event],
+			Count:  a.counts[event],
 		})
-		g.usedBytes -= event.size()
-		delete(g.counts, event)
+		a.usedBytes -= event.size()
+		delete(a.counts, event)
 	}
 	return out
 }
--- a/booking/booking_test.go
+++ b/booking/booking_test.go
@@ -65,7 +65,9 @@
 	if _, err := inventory.ParseTime("2027-03-28T02:30"); err == nil || !strings.Contains(err.Error(), "never show") {
 		t.Errorf("a skipped time: %v", err)
 	}
-	first, second := mustParseTime(t, inventory, "2027-10-31T02:30"), mustParseTime(t, inventory, "2027-10-31T02:30+01:00")
+	first, second := mustParseTime(t, inventory, "2027-10-31T02:30"), mustParseTime(
+		t, inventory, "2027-10-31T02:30+01:00",
+	)
 	if second-first != 3600 || mustParseTime(t, inventory, "2027-10-31T02:30+02:00") != first {
 		t.Errorf("a repeated time: %d, %d", first, second)
 	}
@@ -76,7 +78,8 @@
 		Wants: []*pb.Want{{Piece: "k1", From: mustParseTime(t, inventory, "2027-03-27T22:00"), Slots: 10}},
 	}
 	result := inventory.Decide(schedule.NewDraft(), 0, request)
-	if result.Outcome != OutcomeDone || inventory.FormatTime(result.Booking.Slots[0].To) != "2027-03-28T09:00:00+02:00" {
+	if result.Outcome != OutcomeDone ||
+		inventory.FormatTime(result.Booking.Slots[0].To) != "2027-03-28T09:00:00+02:00" {
 		t.Errorf("a reservation across the change: %v", result)
 	}
 	// A series keeps its local time of day.
@@ -142,7 +145,9 @@
 			t.Fatal(err)
 		}
 		got := ""
-		if err := inventory.checkSlots(inventory.itemsByName[fields[0]], mustParseTime(t, inventory, fields[1]), slots); err != nil {
+		if err := inventory.checkSlots(
+			inventory.itemsByName[fields[0]], mustParseTime(t, inventory, fields[1]), slots,
+		); err != nil {
 			got = err.Error()
 		}
 		if got != want {
@@ -288,7 +293,8 @@
 		t.Errorf("without a reason: %v", result)
 	}
 	request.Reason = "relined"
-	if result = inventory.Decide(draft, now, request); result.Outcome != OutcomeDone || schedule.Get("a").Why != "relined" {
+	if result = inventory.Decide(draft, now, request); result.Outcome != OutcomeDone ||
+		schedule.Get("a").Why != "relined" {
 		t.Errorf("with a reason: %v", result)
 	}
 	list, ok := schedule.BookingsBetween(
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -36,11 +36,11 @@
 	return c
 }
 
-// enableAuditing configures the audit key of a controller that has not recorded anything yet.
-func enableAuditing(c *Core, aggregation, blockDelay time.Duration, settings map[string]string) {
+// enableAuditing configures the audit key, the aggregation interval and the block delay of a controller that has not
+// recorded anything yet.
+func enableAuditing(c *Core, interval, delay time.Duration, settings map[string]string) {
 	c.cfg.Audit.Key, c.cfg.Audit.Settings = testAuditKey, settings
-	c.cfg.Audit.AggregationInterval, c.cfg.Audit.BlockDelay = aggregation, blockDelay
-	c.cfg.Audit.LateTxnWindow = 10 * time.Second
+	c.cfg.Audit.AggregationInterval, c.cfg.Audit.BlockDelay, c.cfg.Audit.LateTxnWindow = interval, delay, 10*time.Second
 	c.auditLog.recorder = newAuditLog(c.environment)
 }
 
