--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -300,7 +300,7 @@
 func TestFiltersAndTimeZones(t *testing.T) {
 	zurich, err := time.LoadLocation("Europe/Zurich")
 	if err != nil {
-		t.Skip("no zone data here")
+		t.Skip("no time zone data on this host")
 	}
 	at := time.Date(2026, 10, 25, 0, 30, 0, 0, time.UTC)
 	block := &Block{Number: 4, ClockErrorMS: 500, Entries: []*pb.AuditEntry{
--- a/booking/booking_test.go
+++ b/booking/booking_test.go
@@ -286,7 +286,7 @@
 	result := inventory.Decide(draft, now, request)
 	if result.Outcome != OutcomeRefused || len(result.Displaced) != 2 ||
 		schedule.Get("a").State != pb.BookingState_confirmed {
-		t.Errorf("without consent: %v", result)
+		t.Errorf("without EndDisplaced: %v", result)
 	}
 	request.EndDisplaced = true
 	if result = inventory.Decide(draft, now, request); result.Outcome != OutcomeInvalid {
--- a/booking/reason_test.go
+++ b/booking/reason_test.go
@@ -10,9 +10,9 @@
 	pb "dewlift/proto"
 )
 
-// A reservation could not be ended with a long reason of multi-byte characters: the reason was cut after 200 bytes,
-// within a character, and protobuf does not encode invalid UTF-8. The request was answered "too much to be stored
-// in one value".
+// The test below guards against a reservation that can't be ended with a long reason of multi-byte characters: the
+// reason was truncated to 200 bytes within a character, and protobuf does not encode invalid UTF-8. The request was
+// answered "too much to be stored in one value".
 
 // reasonsAroundLimit returns reasons of characters of 1 to 4 bytes that are one byte shorter than the limit, at the
 // limit and one byte longer, and others with invalid UTF-8.
