--- a/api/api.go
+++ b/api/api.go
@@ -108,38 +108,38 @@
 	return state.PeerCertificates[0].Subject.CommonName
 }
 
-// handlerFor is a handler that gets the caller's proven identity.
-type handlerFor func(c fiber.Ctx, caller core.Credential) error
+// authenticatedHandler is a handler that gets the caller's proven identity.
+type authenticatedHandler func(c fiber.Ctx, caller core.Credential) error
 
 // authenticated wraps a handler: it denies requests whose caller is not proven.
-func (s *Server) authenticated(handle handlerFor) fiber.Handler {
+func (s *Server) authenticated(handle authenticatedHandler) fiber.Handler {
 	return func(c fiber.Ctx) error {
-		caller, status, why := s.authenticate(c)
+		caller, status, reason := s.authenticate(c)
 		if status == 0 {
 			return handle(c, caller)
 		}
-		s.recordDenied(c, status, why)
+		s.recordDenied(c, status, reason)
 		if status == fiber.StatusTooManyRequests {
 			c.Set(fiber.HeaderRetryAfter, retryAfterSeconds)
 		} else {
 			c.Set(fiber.HeaderWWWAuthenticate, "Bearer")
 		}
-		return c.Status(status).JSON(wire.Error{Error: why})
+		return c.Status(status).JSON(wire.Error{Error: reason})
 	}
 }
 
 // authenticate returns the caller of a request; a status other than 0 denies it.
-func (s *Server) authenticate(c fiber.Ctx) (caller core.Credential, status int, why string) {
+func (s *Server) authenticate(c fiber.Ctx) (caller core.Credential, status int, reason string) {
 	return s.authenticator.authenticate(c.Get(fiber.HeaderAuthorization), commonName(c), time.Now())
 }
 
 // recordDenied keeps a request whose caller is not proven for the audit log.
-func (s *Server) recordDenied(c fiber.Ctx, status int, why string) {
+func (s *Server) recordDenied(c fiber.Ctx, status int, reason string) {
 	path := strings.Clone(c.Path()) // fiber reuses the memory of requests
-	s.log.Info("request denied", "path", path, "status", status, "why", why)
+	s.log.Info("request denied", "path", path, "status", status, "why", reason)
 	s.deniedMu.Lock()
 	defer s.deniedMu.Unlock()
-	s.denied.Add(audit.AggregatedEvent{Verb: c.Method(), Object: path, Reason: why}, 1)
+	s.denied.Add(audit.AggregatedEvent{Verb: c.Method(), Object: path, Reason: reason}, 1)
 }
 
 // TakeDenied returns the requests denied since the last call, for the audit log.
@@ -192,11 +192,11 @@
 	s.mu.Unlock()
 }
 
-func unavailable(c fiber.Ctx, why string) error {
+func unavailable(c fiber.Ctx, reason string) error {
 	c.Set(fiber.HeaderRetryAfter, retryAfterSeconds)
-	return c.Status(fiber.StatusServiceUnavailable).JSON(wire.Error{Error: why})
+	return c.Status(fiber.StatusServiceUnavailable).JSON(wire.Error{Error: reason})
 }
 
-func badRequest(c fiber.Ctx, why string) error {
-	return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: why})
+func badRequest(c fiber.Ctx, reason string) error {
+	return c.Status(fiber.StatusBadRequest).JSON(wire.Error{Error: reason})
 }
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -60,7 +60,7 @@
 func (a *authenticator) authenticate(
 	header, certificate string,
 	now time.Time,
-) (caller core.Credential, status int, why string) {
+) (caller core.Credential, status int, reason string) {
 	policy := a.policy.Load()
 	if policy == nil {
 		return core.Credential{}, 0, ""
@@ -102,7 +102,7 @@
 	policy *access.Policy,
 	token string,
 	now time.Time,
-) (caller core.Credential, status int, why string) {
+) (caller core.Credential, status int, reason string) {
 	id, ok := access.PeekKeyID(token)
 	if _, exists := policy.Key(id); !ok || !exists {
 		return core.Credential{}, fiber.StatusUnauthorized, access.ErrInvalidToken.Error()
--- a/api/reservation.go
+++ b/api/reservation.go
@@ -23,7 +23,7 @@
 func (s *Server) SetReservationsEnabled(enabled bool) { s.reservationsEnabled.Store(enabled) }
 
 // whenEnabled returns an authenticated handler of a path that is unknown until a feature is enabled.
-func (s *Server) whenEnabled(enabled *atomic.Bool, handle handlerFor) fiber.Handler {
+func (s *Server) whenEnabled(enabled *atomic.Bool, handle authenticatedHandler) fiber.Handler {
 	authenticated := s.authenticated(handle)
 	return func(c fiber.Ctx) error {
 		if !enabled.Load() {
@@ -57,7 +57,7 @@
 	return s.whenEnabled(&s.reservationsEnabled, func(c fiber.Ctx, caller core.Credential) error {
 		in := core.ListReservations{Caller: caller}
 		if err := parse(c, &in.Query); err != nil {
-			return badReservation(c, err.Error())
+			return badReservationRequest(c, err.Error())
 		}
 		return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
 			in.RequestID = requestID
@@ -94,7 +94,7 @@
 func (s *Server) setEquipment(c fiber.Ctx, caller core.Credential) error {
 	in := core.SetEquipment{Caller: caller}
 	if err := json.Unmarshal(c.Body(), &in.Edit); err != nil {
-		return badReservation(c, "not a change of the equipment: "+err.Error())
+		return badReservationRequest(c, "not a change of the equipment: "+err.Error())
 	}
 	return s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
 		in.RequestID = requestID
@@ -109,7 +109,7 @@
 		in := core.ReserveEquipment{Caller: caller, Verb: verb}
 		if len(c.Body()) > 0 {
 			if err := json.Unmarshal(c.Body(), &in.Request); err != nil {
-				return badReservation(c, "not a booking: "+err.Error())
+				return badReservationRequest(c, "not a booking: "+err.Error())
 			}
 		}
 		if id := c.Params("id"); id != "" {
@@ -122,6 +122,6 @@
 	})
 }
 
-func badReservation(c fiber.Ctx, why string) error {
-	return c.Status(fiber.StatusBadRequest).JSON(wire.ReservationResponse{Error: why})
+func badReservationRequest(c fiber.Ctx, reason string) error {
+	return c.Status(fiber.StatusBadRequest).JSON(wire.ReservationResponse{Error: reason})
 }
--- a/api/routes.go
+++ b/api/routes.go
@@ -147,9 +147,9 @@
 	var caller core.Credential
 	if policy := s.authenticator.policy.Load(); policy != nil && policy.AgentsMustSign() {
 		var status int
-		var why string
-		if caller, status, why = s.authenticate(c); status != 0 {
-			s.recordDenied(c, status, why)
+		var reason string
+		if caller, status, reason = s.authenticate(c); status != 0 {
+			s.recordDenied(c, status, reason)
 			return c.Status(status).JSON(wire.Error{Error: access.ErrInvalidToken.Error()})
 		}
 	}
--- a/connlimit/limits.go
+++ b/connlimit/limits.go
@@ -12,16 +12,16 @@
 	Inbound        int // connections of users and agents
 }
 
-// minPerUse is the least number of sockets of a use, however few there are in all.
-const minPerUse = 16
+// minSocketsPerUse is the least number of sockets of a use, however few there are in all.
+const minSocketsPerUse = 16
 
 // Divide divides a number of sockets. The rest is for the key-value store, the cloud, the other
 // controllers, files, and sockets that outlive their connections for a moment.
-func Divide(all int) Limits {
+func Divide(total int) Limits {
 	return Limits{
-		AgentCommands:  max(minPerUse, all/8),
-		AgentPolls:     max(minPerUse, all/32),
-		IdleAgentConns: max(4*minPerUse, all/8),
-		Inbound:        max(4*minPerUse, all*9/16),
+		AgentCommands:  max(minSocketsPerUse, total/8),
+		AgentPolls:     max(minSocketsPerUse, total/32),
+		IdleAgentConns: max(4*minSocketsPerUse, total/8),
+		Inbound:        max(4*minSocketsPerUse, total*9/16),
 	}
 }
--- a/connlimit/listener.go
+++ b/connlimit/listener.go
@@ -60,12 +60,12 @@
 	defer l.mu.Unlock()
 	c.lastUsed = l.now()
 	c.element = l.byLastUse.PushBack(c)
-	l.closeIdlest(c.lastUsed)
+	l.closeLongestIdle(c.lastUsed)
 	return c, nil
 }
 
-// closeIdlest closes the connection idle for longest if the limits say so. l.mu is held.
-func (l *Listener) closeIdlest(now time.Time) {
+// closeLongestIdle closes the connection idle for longest if the limits say so. l.mu is held.
+func (l *Listener) closeLongestIdle(now time.Time) {
 	if l.byLastUse.Len() <= l.softLimit {
 		return
 	}
@@ -73,13 +73,13 @@
 	if l.byLastUse.Len() > l.hardLimit {
 		timeout = hardIdleTimeout
 	}
-	idlest := l.byLastUse.Front().Value.(*conn)
-	if now.Sub(idlest.lastUsed) <= timeout {
+	longestIdle := l.byLastUse.Front().Value.(*conn)
+	if now.Sub(longestIdle.lastUsed) <= timeout {
 		return
 	}
-	l.byLastUse.Remove(idlest.element)
-	idlest.element = nil
-	_ = idlest.Conn.Close() // its server notices when it reads
+	l.byLastUse.Remove(longestIdle.element)
+	longestIdle.element = nil
+	_ = longestIdle.Conn.Close() // its server notices when it reads
 }
 
 // conn is a connection that records its use with its listener.
--- a/controller_test.go
+++ b/controller_test.go
@@ -41,14 +41,14 @@
 
 // startController runs a controller against a key-value store until the test ends, and waits until it
 // is healthy. It returns its address for users.
-func startController(t *testing.T, store string, permissions *access.Policy, more ...func(*Options)) string {
+func startController(t *testing.T, store string, permissions *access.Policy, setOptions ...func(*Options)) string {
 	t.Helper()
 	users, peers := listenLoopback(t), listenLoopback(t)
 	platform := testPlatform(users.Addr().String(), peers.Addr().String(), store)
 	tuning := settings.DefaultTuning()
 	tuning.Archive, tuning.HistoryWaitMs, tuning.EndedKept = new(true), new(uint32(0)), new(uint32(20))
 	options := Options{Permissions: permissions}
-	for _, set := range more {
+	for _, set := range setOptions {
 		set(&options)
 	}
 	controller := New(platform, tuning, options, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -126,7 +126,7 @@
 
 // A snapshot taken while stored jobs are being compacted must lose none of them: it is restored to
 // another store, and a controller there answers for every job as the first one does.
-func TestSiteIsCompactedSavedAndRestored(t *testing.T) {
+func TestSnapshotDuringCompactionKeepsAllJobs(t *testing.T) {
 	const jobs = 400
 	limits := fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50}
 	store, addr := startStore(t, limits)
@@ -314,10 +314,10 @@
 }
 
 // create reserves the slot at an hour; more is further JSON of the request.
-func (c *reservationClient) create(t *testing.T, id, hour, more string) (int, string, wire.ReservationResponse) {
+func (c *reservationClient) create(t *testing.T, id, hour, extraFields string) (int, string, wire.ReservationResponse) {
 	t.Helper()
 	const request = `{"id":%q,"slots":[{"piece":"k","from":"%sT%s:00"}]%s}`
-	return c.do(t, "POST", "", fmt.Sprintf(request, id, c.day, hour, more))
+	return c.do(t, "POST", "", fmt.Sprintf(request, id, c.day, hour, extraFields))
 }
 
 // Without a list of equipment and of priority classes, the paths of reservations and of the queue are
@@ -347,7 +347,7 @@
 		status, _, got := client.do(t, "GET", "/a", "")
 		return status == 200 && got.Reservation.State == "confirmed"
 	})
-	checkReservationsOutlivedController(t, client)
+	checkReservationsAfterRestart(t, client)
 }
 
 // checkFeaturePathsUnknown checks that the paths of features that are off answer as an unknown one does.
@@ -459,8 +459,8 @@
 	}
 }
 
-// checkReservationsOutlivedController checks what a later controller answers.
-func checkReservationsOutlivedController(t *testing.T, client *reservationClient) {
+// checkReservationsAfterRestart checks what a later controller answers.
+func checkReservationsAfterRestart(t *testing.T, client *reservationClient) {
 	t.Helper()
 	if _, body, got := client.do(t, "GET", "/b", ""); got.Reservation == nil || got.Reservation.EndReason != "cracked" {
 		t.Errorf("an ended reservation: %s", body)
--- a/coreconfig.go
+++ b/coreconfig.go
@@ -61,14 +61,14 @@
 // storeConfig takes the lower of the limits in force and those announced, but for the write rate, of which the
 // core gets both.
 func storeConfig(platform *settings.Platform, tuning *pb.Tuning) core.StoreConfig {
-	now, next := &platform.Cluster.State, &platform.Cluster.State.Next
+	current, announced := &platform.Cluster.State, &platform.Cluster.State.Next
 	return core.StoreConfig{
 		// From the platform.
-		RequestRate:   lowerLimit(now.RPS, next.RPS),
-		WriteRate:     now.WriteRPS,
-		NextWriteRate: lowerLimit(now.WriteRPS, next.WriteRPS),
-		MaxValueBytes: int(lowerLimit(now.ValueKB, next.ValueKB) * 1024),
-		MaxTxnOps:     lowerLimit(now.TxnOps, next.TxnOps),
+		RequestRate:   lowerLimit(current.RPS, announced.RPS),
+		WriteRate:     current.WriteRPS,
+		NextWriteRate: lowerLimit(current.WriteRPS, announced.WriteRPS),
+		MaxValueBytes: int(lowerLimit(current.ValueKB, announced.ValueKB) * 1024),
+		MaxTxnOps:     lowerLimit(current.TxnOps, announced.TxnOps),
 
 		// From the operators' settings.
 		MinWatchInterval:       milliseconds(tuning.GetWatchGapMs()),
@@ -191,9 +191,9 @@
 func milliseconds(v uint32) time.Duration { return time.Duration(v) * time.Millisecond }
 
 // lowerLimit returns the smaller of the limit in force and the announced one; nil: none is announced.
-func lowerLimit[T int | float64](now T, next *T) T {
-	if next == nil {
-		return now
+func lowerLimit[T int | float64](current T, announced *T) T {
+	if announced == nil {
+		return current
 	}
-	return min(now, *next)
+	return min(current, *announced)
 }
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -10,7 +10,7 @@
 
 // A response that is too large must be reported as such. The error was "read answer: %!w(<nil>)", as nothing had failed
 // while it was read.
-func TestTooLargeResponseIsNamed(t *testing.T) {
+func TestOversizedResponseErrorNamesLimit(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(strings.Repeat("x", 101))) // the client gives up earlier
 	}))
--- a/knownred_test.go
+++ b/knownred_test.go
@@ -10,7 +10,7 @@
 
 // The list of known failures must let CI pass over just the tests that it names, and must not become a place to hide:
 // an entry without its command, what was seen or its issue, and a test that there is not, fail the run.
-func TestKnownRedPassesOverWhatItNames(t *testing.T) {
+func TestKnownRedSkipsOnlyListedTests(t *testing.T) {
 	const tests = "TestA\nTestB\nTestB/seed3\n"
 	for _, tt := range []struct{ name, list, want, wantError string }{
 		{"a test", "TestA | go test . | it fails | issue 1\n", "^TestA$", ""},
--- a/mesh/golden_test.go
+++ b/mesh/golden_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Controllers of other versions use these names: a changed one would cut them off.
-func TestNamesStay(t *testing.T) {
+func TestWireNamesAreStable(t *testing.T) {
 	if streamPath != "/mesh" || nodeHeader != "Dewlift-Node" {
 		t.Errorf("%s %s", streamPath, nodeHeader)
 	}
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -23,7 +23,7 @@
 
 // A keep-alive written after its stream had ended panicked, which ended the process when a zone was
 // cut off.
-func TestStreamsThatEndWhileKeepAlivesAreWritten(t *testing.T) {
+func TestStreamEndDuringKeepAliveWrites(t *testing.T) {
 	ctx := t.Context()
 	m := New("n0", map[string]string{"n1": "127.0.0.1:1"}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	m.keepAliveInterval = 20 * time.Microsecond
@@ -168,7 +168,7 @@
 
 // A stream that ends within a message, as it does when its sender is stopped, is no error to log; a
 // complete line that is no message is.
-func TestStreamCutWithinAMessageIsNotLogged(t *testing.T) {
+func TestTruncatedStreamIsNotLogged(t *testing.T) {
 	var logged strings.Builder
 	m := New("n0", map[string]string{"n1": "127.0.0.1:1"}, nil, slog.New(slog.NewTextHandler(&logged, nil)))
 	for text, want := range map[string]int{
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -117,7 +117,7 @@
 	// leadership raises the fencing token, and starts of a team with a maximum write its key.
 	minTxnOps = 2
 	// maxNumber is the largest number that is accepted in the platform's settings.
-	maxNumber = 1e9
+	maxPlatformNumber = 1e9
 )
 
 // validate returns an error that names the first invalid field.
@@ -177,7 +177,7 @@
 		{"cloud.rps", cluster.Cloud.RPS},
 		{"quota.mem_mb", cluster.Quota.MemMB},
 	} {
-		if !positive(number.value) {
+		if !isPositive(number.value) {
 			return fmt.Errorf("cluster.%s must be greater than 0", number.field)
 		}
 	}
@@ -206,7 +206,7 @@
 		field string
 		value *float64
 	}{{"rps", next.RPS}, {"write_rps", next.WriteRPS}, {"value_kb", next.ValueKB}} {
-		if number.value != nil && !positive(*number.value) {
+		if number.value != nil && !isPositive(*number.value) {
 			return fmt.Errorf("cluster.state.next.%s must be greater than 0", number.field)
 		}
 	}
@@ -225,7 +225,7 @@
 		}
 		used[team.Name] = true
 		for _, v := range []float64{team.ReservedCPUs, team.MaxCPUs, team.ReservedGPUs, team.MaxGPUs} {
-			if !(v >= 0) || v > maxNumber {
+			if !(v >= 0) || v > maxPlatformNumber {
 				return fmt.Errorf("cluster.teams[%d]: an amount is out of range", i)
 			}
 		}
@@ -233,8 +233,8 @@
 	return nil
 }
 
-// positive is false for NaN too.
-func positive(v float64) bool { return v > 0 && v <= maxNumber }
+// isPositive is false for NaN too.
+func isPositive(v float64) bool { return v > 0 && v <= maxPlatformNumber }
 
 // Setting is one of the operators' own settings, as proto/tuning.proto describes it: a field of pb.Tuning.
 type Setting struct {
--- a/tlsconfig/tlsconfig_test.go
+++ b/tlsconfig/tlsconfig_test.go
@@ -29,7 +29,7 @@
 
 // No request may fail while a certificate is being replaced: a half-written file changes nothing, new
 // connections show the new certificate and open ones stay. Plain text is never served.
-func TestCertificatesAreReplacedWithoutADroppedRequest(t *testing.T) {
+func TestCertificateReloadDropsNoRequests(t *testing.T) {
 	first, second := testcert.New(t), testcert.New(t)
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
@@ -47,12 +47,12 @@
 	}
 	go func() { _ = srv.Serve(tls.NewListener(inner, files.ServerConfig())) }() // ends with the test
 	t.Cleanup(func() { _ = srv.Close() })
-	old, fresh := clientTrusting(t, first.CertFile), clientTrusting(t, second.CertFile)
+	oldClient, newClient := clientTrusting(t, first.CertFile), clientTrusting(t, second.CertFile)
 	get := func(client *http.Client) error { return getOnce(client, "https://"+inner.Addr().String()) }
-	if err := get(old); err != nil {
+	if err := get(oldClient); err != nil {
 		t.Fatal(err)
 	}
-	if err := get(fresh); err == nil {
+	if err := get(newClient); err == nil {
 		t.Fatal("another authority is trusted")
 	}
 	makeCheckDue := func() {
@@ -69,10 +69,10 @@
 	}
 	second.Issue(t, "n0", cert, key)
 	makeCheckDue()
-	if err := get(fresh); err != nil {
+	if err := get(newClient); err != nil {
 		t.Errorf("after: %v", err)
 	}
-	if err := get(old); err != nil { // over its open connection
+	if err := get(oldClient); err != nil { // over its open connection
 		t.Errorf("an open connection: %v", err)
 	}
 	checkNoPlainText(t, inner.Addr().String())
--- a/wire/job.go
+++ b/wire/job.go
@@ -276,13 +276,13 @@
 		Service:            *s.Kind == kindService,
 		Priority:           priority,
 		Tasks:              *s.Tasks,
-		Request:            [3]int64{thousandths(*s.CPUs), thousandths(*s.GPUs), thousandths(*s.MemoryGB)},
+		Request:            [3]int64{toThousandths(*s.CPUs), toThousandths(*s.GPUs), toThousandths(*s.MemoryGB)},
 		MachineTypes:       s.MachineTypes,
 		OneZone:            *s.OneZone,
 		Spread:             *s.Spread,
 		Spot:               *s.Spot,
-		EstimatedRuntimeMS: thousandths(*s.EstimatedRuntime),
-		CheckpointTimeMS:   thousandths(*s.CheckpointTime),
+		EstimatedRuntimeMS: toThousandths(*s.EstimatedRuntime),
+		CheckpointTimeMS:   toThousandths(*s.CheckpointTime),
 		CanCheckpoint:      *s.CheckpointInterval > 0,
 		Dependencies:       slices.Compact(s.Dependencies),
 		Image:              *s.Image,
@@ -291,13 +291,13 @@
 		spec.Zone = *s.Zone
 	}
 	if s.Deadline != nil {
-		spec.DeadlineMS = max(1, thousandths(*s.Deadline)) // 0 means that there is none
+		spec.DeadlineMS = max(1, toThousandths(*s.Deadline)) // 0 means that there is none
 	}
 	return spec
 }
 
-// thousandths rounds an amount up to whole thousandths, except for the error of its binary form.
-func thousandths(v float64) int64 { return int64(math.Ceil(v*1000 - 1e-6)) }
+// toThousandths rounds an amount up to whole thousandths, except for the error of its binary form.
+func toThousandths(v float64) int64 { return int64(math.Ceil(v*1000 - 1e-6)) }
 
 // Stages of a job as users see them.
 const (
--- a/wire/job_test.go
+++ b/wire/job_test.go
@@ -24,7 +24,7 @@
 
 // A text at its limit is taken, one beyond it is refused with the name of the field and its limit, whatever the length
 // of its characters; before, the message named the field alone.
-func TestTextsAroundTheirLimits(t *testing.T) {
+func TestTextFieldLengthLimits(t *testing.T) {
 	for _, field := range []string{"ware", "crew", "yard", "mould"} {
 		for _, character := range []string{"a", "é", "窯", "🏺", "\x00"} {
 			for length := maxNameBytes - 1; length <= maxNameBytes+1; length++ {
@@ -37,7 +37,7 @@
 				if err == nil {
 					continue
 				}
-				if why := err.Error(); !strings.Contains(why, field) || !strings.Contains(why, "200 bytes") {
+				if message := err.Error(); !strings.Contains(message, field) || !strings.Contains(message, "200 bytes") {
 					t.Errorf("%s of %d bytes: the error names no limit: %v", field, length, err)
 				}
 			}
