--- a/api/api.go
+++ b/api/api.go
@@ -1,6 +1,6 @@
 // Package api serves users, agents and health checks over HTTP/1.1. It authenticates requests, decodes
-// them into inputs of the core and answers with the core's responses. It owns the requests that wait
-// for a response; it decides nothing about jobs, machines or permissions.
+// them into inputs of the core and returns the core's responses. It owns the requests that wait for a
+// response; all decisions about jobs, machines and permissions are made by the core.
 package api
 
 import (
@@ -24,48 +24,49 @@
 	"dewlift/wire"
 )
 
-// Service is what a server needs of the controller.
+// Service is the part of the controller that a server depends on.
 type Service interface {
-	// Enqueue hands an input to the core; it reports false if the queue is full.
+	// Enqueue queues an input for the core. It reports false if the queue is full.
 	Enqueue(core.Input) bool
 	// Healthy reports whether this controller can serve requests.
 	Healthy() bool
-	// StoreEndpoint returns the address and the limits of the key-value store.
+	// StoreEndpoint returns the address and the request limits of the key-value store.
 	StoreEndpoint() wire.StoreEndpoint
 }
 
-// Server holds the requests that wait for the core's responses.
+// Server is the HTTP server for users and agents. It holds the requests that wait for the core's responses.
 type Server struct {
 	service          Service
 	log              *slog.Logger
-	mu               sync.Mutex // of the next two
+	mu               sync.Mutex // guards lastRequestID and pendingResponses
 	lastRequestID    uint64
 	pendingResponses map[uint64]chan core.Response // by request id
 	authenticator    *authenticator
-	tlsConfig        *tls.Config // nil: plain text
+	tlsConfig        *tls.Config // nil means plain text
 
-	reservationsEnabled atomic.Bool // there is a list of equipment
-	queueEnabled        atomic.Bool // there is a list of priority classes
+	reservationsEnabled atomic.Bool // whether an equipment inventory is configured
+	queueEnabled        atomic.Bool // whether priority classes are configured
 
-	deniedMu sync.Mutex // of denied
+	deniedMu sync.Mutex // guards denied
 	denied   audit.Aggregator
 }
 
 const (
-	// maxDeniedBytes bounds the distinct denied requests that are kept for the audit log.
+	// maxDeniedBytes bounds the memory of the distinct denied requests that are kept for the audit log.
 	maxDeniedBytes = 8 << 10
-	// maxDeniedItemBytes bounds what one call of TakeDenied returns: all that maxDeniedBytes admits.
+	// maxDeniedItemBytes bounds the items that one call of TakeDenied returns. It is large enough for
+	// everything that fits in maxDeniedBytes.
 	maxDeniedItemBytes = 4 * maxDeniedBytes
 
-	userResponseTimeout      = 1900 * time.Millisecond // users wait 2 s for a response
-	heartbeatResponseTimeout = 3 * time.Second         // agents wait 4 s
+	userResponseTimeout      = 1900 * time.Millisecond // users give up after 2 s
+	heartbeatResponseTimeout = 3 * time.Second         // agents give up after 4 s
 
-	// retryAfterSeconds is the delay asked of clients when the core has not named another.
+	// retryAfterSeconds is the Retry-After value of responses for which the core has not set one.
 	retryAfterSeconds = "1"
 )
 
-// New returns a server. clockErrorBound is how far the clocks of controllers and users may be apart.
-// Without a TLS configuration it serves plain text.
+// New returns a server. clockErrorBound is the largest difference between the clocks of controllers and
+// users. Without a TLS configuration the server uses plain text.
 func New(service Service, clockErrorBound time.Duration, tlsConfig *tls.Config, log *slog.Logger) *Server {
 	return &Server{
 		service:          service,
@@ -77,17 +78,17 @@
 	}
 }
 
-// Serve answers on a listener until the context ends or the listener fails. It closes the listener.
+// Serve handles requests on a listener until the context ends or the listener fails. It closes the listener.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	if s.tlsConfig != nil {
 		ln = tls.NewListener(ln, s.tlsConfig)
 	}
 	app := s.newApp()
-	// Serve does not wait for the end of this: it drains idle connections, which may take minutes, and
-	// the process is ending.
+	// Serve does not wait for this function: draining idle connections may take minutes, and the process
+	// is about to exit.
 	context.AfterFunc(ctx, func() {
 		_ = app.Shutdown()
-		_ = ln.Close() // closed already, unless the application had not begun to listen
+		_ = ln.Close() // needed only if the context ends before the application listens
 	})
 	if err := app.Listener(ln, fiber.ListenConfig{DisableStartupMessage: true}); err != nil {
 		return fmt.Errorf("serve api: %w", err)
@@ -95,11 +96,11 @@
 	return nil
 }
 
-// SetPermissions puts a policy in force: from now on, requests must be authenticated.
+// SetPermissions sets the policy. From then on, requests must be authenticated.
 func (s *Server) SetPermissions(policy *access.Policy) { s.authenticator.setPolicy(policy) }
 
-// commonName returns the name in the certificate that a client has proven to hold, "" if there is none.
-// The certificate's chain was verified in the handshake.
+// commonName returns the common name of the client certificate, or "" if the client presented none. The
+// certificate's chain was verified in the handshake.
 func commonName(c fiber.Ctx) string {
 	state := c.RequestCtx().TLSConnectionState()
 	if state == nil || len(state.VerifiedChains) == 0 {
@@ -108,10 +109,10 @@
 	return state.PeerCertificates[0].Subject.CommonName
 }
 
-// authenticatedHandler is a handler that gets the caller's proven identity.
+// authenticatedHandler handles a request of an authenticated caller.
 type authenticatedHandler func(c fiber.Ctx, caller core.Credential) error
 
-// authenticated wraps a handler: it denies requests whose caller is not proven.
+// authenticated wraps a handler so that requests that fail authentication are denied.
 func (s *Server) authenticated(handle authenticatedHandler) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		caller, status, reason := s.authenticate(c)
@@ -128,14 +129,14 @@
 	}
 }
 
-// authenticate returns the caller of a request; a status other than 0 denies it.
+// authenticate returns the caller of a request. A status other than 0 means that the request is denied.
 func (s *Server) authenticate(c fiber.Ctx) (caller core.Credential, status int, reason string) {
 	return s.authenticator.authenticate(c.Get(fiber.HeaderAuthorization), commonName(c), time.Now())
 }
 
-// recordDenied keeps a request whose caller is not proven for the audit log.
+// recordDenied logs a request that failed authentication and keeps it for the audit log.
 func (s *Server) recordDenied(c fiber.Ctx, status int, reason string) {
-	path := strings.Clone(c.Path()) // fiber reuses the memory of requests
+	path := strings.Clone(c.Path()) // fiber reuses request memory
 	s.log.Info("request denied", "path", path, "status", status, "why", reason)
 	s.deniedMu.Lock()
 	defer s.deniedMu.Unlock()
@@ -149,18 +150,20 @@
 	return s.denied.Drain(maxDeniedItemBytes)
 }
 
-// DeliverResponse delivers a response of the core to the request that waits for it, if it still does.
+// DeliverResponse delivers a response of the core to the request that waits for it. It drops the response
+// if the request has timed out.
 func (s *Server) DeliverResponse(response core.Response) {
 	s.mu.Lock()
 	pending := s.pendingResponses[response.RequestID]
 	delete(s.pendingResponses, response.RequestID)
 	s.mu.Unlock()
 	if pending != nil {
-		pending <- response // never blocks: one response for each channel
+		pending <- response // never blocks: the channel is buffered and gets one response
 	}
 }
 
-// handleInput hands an input to the core and answers with the core's response.
+// handleInput passes an input to the core and responds with the core's response, or with status 503 if
+// none arrives within the timeout.
 func (s *Server) handleInput(c fiber.Ctx, timeout time.Duration, newInput func(requestID uint64) core.Input) error {
 	pending := make(chan core.Response, 1)
 	s.mu.Lock()
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -21,7 +21,7 @@
 	"dewlift/wire"
 )
 
-// fakeController answers as a core does that accepts every well-formed submission.
+// fakeController is a Service whose core accepts every well-formed submission and answers polls with 503.
 type fakeController struct {
 	server    *Server
 	queueFull bool
@@ -77,7 +77,7 @@
  "cpus":8.0,"cards":1.0,"ram_gb":64.0,"mould":"img-07","image_gb":6.2,"kilns":["g8"],"yard":null,"one_zone":true,
  "spread":false,"borrowed":true,"firing_s":240.0,"glaze_s":30.0,"cool_s":4.0,"due_s":900.0}`
 
-// Malformed requests must be refused as such, not accepted or answered with a server's error.
+// Malformed requests must be rejected with a 4xx status, not accepted or answered with a server error.
 func TestResponseStatuses(t *testing.T) {
 	app := newTestApp(&fakeController{})
 	for name, tc := range map[string]struct {
@@ -120,12 +120,12 @@
 			t.Errorf("%s: status %d, want %d", name, status, tc.want)
 		}
 		if status == http.StatusServiceUnavailable && header.Get("Retry-After") == "" {
-			t.Errorf("%s: a refusal has no Retry-After", name)
+			t.Errorf("%s: a 503 response has no Retry-After header", name)
 		}
 	}
 }
 
-// Every field is required but those that may be null: a job without an image was accepted once.
+// Every field is required except the nullable ones. A missing check accepted jobs without an image.
 func TestEachFieldIsRequired(t *testing.T) {
 	app := newTestApp(&fakeController{})
 	var fields map[string]any
@@ -155,7 +155,8 @@
 	}
 }
 
-// A full input queue must refuse at once and make the controller unhealthy, not let requests wait.
+// While the input queue is full, requests must be rejected at once and the health check must fail. Otherwise
+// requests would wait until they time out.
 func TestFullInputQueueRefusesAtOnce(t *testing.T) {
 	app := newTestApp(&fakeController{queueFull: true})
 	for _, path := range []string{"/v1/jobs/wk-1", "/healthz"} {
@@ -166,7 +167,7 @@
 	}
 }
 
-// A body over the limit must be refused by its length, before it is read.
+// A body over the limit must be rejected by its Content-Length, before it is read.
 func TestOversizedBodyIsRefused(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -14,11 +14,11 @@
 	"dewlift/core"
 )
 
-// authenticator identifies callers by tokens and certificates. Its cost is bounded: a token of an
-// unknown key costs no verification, a verified one is cached, and each key has its own limit of
-// verifications, so that a flood in one name slows nobody else.
+// authenticator identifies callers by tokens and certificates. Its cost is bounded: a token with an
+// unknown key is rejected without verification, verified tokens are cached, and each key has its own rate
+// limit of verifications, so that a flood of tokens for one key does not slow down other callers.
 type authenticator struct {
-	policy          atomic.Pointer[access.Policy] // nil: none is in force, and callers stay unknown
+	policy          atomic.Pointer[access.Policy] // nil means that requests are not authenticated
 	clockErrorBound time.Duration
 	verifiedTokens  *lru.Cache[string, verifiedToken]
 	mu              sync.Mutex
@@ -32,13 +32,13 @@
 
 const (
 	maxVerifiedTokens      = 4096
-	verificationsPerSecond = 20 // for each key; the burst is as large
+	verificationsPerSecond = 20 // per key; also the burst size
 )
 
 func newAuthenticator(clockErrorBound time.Duration) *authenticator {
 	tokens, err := lru.New[string, verifiedToken](maxVerifiedTokens)
 	if err != nil {
-		panic(err) // impossible: the size is a constant
+		panic(err) // unreachable: the size is a positive constant
 	}
 	return &authenticator{
 		clockErrorBound: clockErrorBound,
@@ -47,7 +47,7 @@
 	}
 }
 
-// setPolicy puts a policy in force. It drops all limiters, as keys may be gone.
+// setPolicy sets the policy. It drops all rate limiters, as the new policy may lack some of the keys.
 func (a *authenticator) setPolicy(policy *access.Policy) {
 	a.policy.Store(policy)
 	a.mu.Lock()
@@ -55,8 +55,8 @@
 	clear(a.verifyLimiters)
 }
 
-// authenticate identifies the caller by the authorization header or, without one, by the name in a
-// verified certificate. A status other than 0 denies the request, and why says the reason.
+// authenticate identifies the caller by the authorization header or, without one, by the common name of a
+// verified certificate. A status other than 0 means that the request is denied for the returned reason.
 func (a *authenticator) authenticate(
 	header, certificate string,
 	now time.Time,
@@ -81,8 +81,8 @@
 	return a.verifyToken(policy, token, now)
 }
 
-// cachedKey returns the key of a token that was verified before, nil if there is none, the token has
-// expired, or its key is no longer the same.
+// cachedKey returns the key of a token that was verified before. It returns nil if the token is not cached,
+// has expired, or was signed with a key that has since changed.
 func (a *authenticator) cachedKey(policy *access.Policy, token string, now time.Time) *access.Key {
 	verified, ok := a.verifiedTokens.Get(token)
 	if !ok {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// verifyToken verifies a token's signature and times, within the limit of its key.
+// verifyToken verifies a token's signature and validity period, within the rate limit of its key.
 func (a *authenticator) verifyToken(
 	policy *access.Policy,
 	token string,
@@ -118,6 +118,7 @@
 	return core.Credential{Identity: key.Holder, KeyID: key.ID}, 0, ""
 }
 
+// allowVerification reports whether the rate limit of a key allows another verification.
 func (a *authenticator) allowVerification(keyID string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -58,12 +58,12 @@
 	return "Bearer " + s
 }
 
-// Without a policy in force every caller is let in; with one a token is needed, and a verified one is no
-// longer accepted after it has expired or its key was replaced.
+// Without a policy every request is allowed. With one a token is required, and a token in the cache is
+// rejected after it has expired or its key was replaced.
 func TestTokenIdentifiesCaller(t *testing.T) {
 	now := time.Now()
 	if _, status, _ := newAuthenticator(0).authenticate("", "", now); status != 0 {
-		t.Errorf("no policy in force: %d", status)
+		t.Errorf("without a policy: status %d", status)
 	}
 	auth, keys := newTestAuthenticator(t, "anna", "potter")
 	token := bearerHeader(t, keys["anna"], now)
@@ -74,7 +74,7 @@
 		}
 	}
 	if _, status, _ := auth.authenticate(token, "", now.Add(2*time.Minute)); status != 401 {
-		t.Errorf("after its expiry: %d", status)
+		t.Errorf("expired token: status %d", status)
 	}
 	for _, header := range []string{
 		"",
@@ -91,12 +91,12 @@
 	other, _ := newTestAuthenticator(t, "anna")
 	auth.setPolicy(other.policy.Load()) // another key of the same name
 	if _, status, _ := auth.authenticate(token, "", now); status != 401 {
-		t.Errorf("after its key was replaced: %d", status)
+		t.Errorf("token of a replaced key: status %d", status)
 	}
 }
 
-// A flood of bad tokens in one name must cost a bounded number of verifications, and must not slow others
-// or a token that was verified before.
+// A flood of bad tokens for one key must cost a bounded number of verifications. It must not cause the
+// rejection of other keys' tokens or of a token that was verified before.
 func TestFloodOfBadTokensCostsBoundedVerifications(t *testing.T) {
 	auth, keys := newTestAuthenticator(t, "anna", "potter")
 	now := time.Now()
@@ -115,10 +115,10 @@
 		t.Errorf("%d signatures were verified", verified)
 	}
 	if _, status, _ := auth.authenticate(known, "", now); status != 0 {
-		t.Errorf("one accepted before: %d", status)
+		t.Errorf("token that was verified before: status %d", status)
 	}
 	if _, status, _ := auth.authenticate(bearerHeader(t, keys["potter"], now), "", now); status != 0 {
-		t.Errorf("another: %d", status)
+		t.Errorf("token of another key: status %d", status)
 	}
 }
 
@@ -149,8 +149,8 @@
 	})
 }
 
-// A certificate identifies its holder only if an authority of the site issued it and the identity allows
-// certificates.
+// A certificate identifies its holder only if a trusted authority issued it and the policy allows
+// certificates for this identity.
 func TestCertificateIdentifiesCaller(t *testing.T) {
 	own, other := testcert.New(t), testcert.New(t)
 	dir := t.TempDir()
@@ -190,9 +190,9 @@
 		t.Fatal(err)
 	}
 	for _, test := range []struct {
-		name   string // in the certificate; empty: no certificate
+		name   string // in the certificate; empty means no certificate
 		issuer *testcert.Authority
-		want   int // 0: no connection; 503: let in, as fakeController answers polls
+		want   int // 0 means no connection; 503 means authenticated, as fakeController answers polls with it
 	}{{"anna", own, 503}, {"potter", own, 401}, {"nobody", own, 401}, {"", own, 401}, {"anna", other, 0}} {
 		cfg := &tls.Config{RootCAs: x509.NewCertPool()}
 		cfg.RootCAs.AppendCertsFromPEM(raw)
@@ -211,7 +211,7 @@
 	}
 }
 
-// useClientCertificate makes a client show a certificate for a name.
+// useClientCertificate makes a client present a certificate for a name.
 func useClientCertificate(t *testing.T, cfg *tls.Config, issuer *testcert.Authority, name string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -224,8 +224,8 @@
 	cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
 }
 
-// A certificate must identify only an identity of exactly its name that may use one, and a denied request
-// must not be recorded under a name that was not proven.
+// A certificate must match only the identity with exactly its name, and only if that identity may use
+// certificates. A denied request must not carry a name that was not authenticated.
 func FuzzCertificateName(f *testing.F) {
 	for _, s := range []string{"anna", "anna ", "Anna", "ann\x00a", "potter", "", "*", "anna,O=x", "\xff"} {
 		f.Add(s, "")
@@ -249,7 +249,7 @@
 	})
 }
 
-// Denied requests must reach the audit log with their number, and a flood of them must take bounded memory.
+// Denied requests must reach the audit log with correct counts, and a flood of them must use bounded memory.
 func TestDeniedRequestsAreHandedToTheAuditLog(t *testing.T) {
 	auth, _ := newTestAuthenticator(t, "anna")
 	s := New(nil, 0, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -273,6 +273,6 @@
 		}
 	}
 	if total != 2000 || len(items) > 300 || len(s.TakeDenied()) != 0 {
-		t.Errorf("%d requests in %d items", total, len(items))
+		t.Errorf("%d requests in %d audit items", total, len(items))
 	}
 }
--- a/api/queue.go
+++ b/api/queue.go
@@ -11,11 +11,11 @@
 	"dewlift/wire"
 )
 
-// defaultQueuePage is the number of jobs on a page of the queue if the request names none.
+// defaultQueuePage is the number of jobs on a page of the queue if the request does not set a limit.
 const defaultQueuePage = 100
 
-// SetQueueEnabled says whether there is a list of priority classes; without one, the paths of the queue
-// are unknown.
+// SetQueueEnabled sets whether priority classes are configured. Without them, requests to the paths of the
+// queue get the response of an unknown path.
 func (s *Server) SetQueueEnabled(enabled bool) { s.queueEnabled.Store(enabled) }
 
 // addQueueRoutes adds the routes of the queue and of the priority classes.
@@ -32,7 +32,7 @@
 	app.Post(wire.PathPriorityClasses, s.whenEnabled(&s.queueEnabled, s.setPriorityClasses))
 }
 
-// queueQuery returns a handler of a query that parse reads from the request.
+// queueQuery returns a handler of a queue query whose parameters parse reads from the request.
 func (s *Server) queueQuery(parse func(c fiber.Ctx, in *core.ListQueue) error) fiber.Handler {
 	return s.whenEnabled(&s.queueEnabled, func(c fiber.Ctx, caller core.Credential) error {
 		in := core.ListQueue{Caller: caller}
--- a/api/reservation.go
+++ b/api/reservation.go
@@ -15,14 +15,14 @@
 	"dewlift/wire"
 )
 
-// maxFreeIntervals is how many free intervals a query returns.
+// maxFreeIntervals is the largest number of free intervals that a query returns.
 const maxFreeIntervals = 10
 
-// SetReservationsEnabled says whether there is a list of equipment; without one, the paths of
-// reservations are unknown.
+// SetReservationsEnabled sets whether an equipment inventory is configured. Without one, requests to the
+// paths of reservations get the response of an unknown path.
 func (s *Server) SetReservationsEnabled(enabled bool) { s.reservationsEnabled.Store(enabled) }
 
-// whenEnabled returns an authenticated handler of a path that is unknown until a feature is enabled.
+// whenEnabled returns an authenticated handler that treats its path as unknown while a feature is disabled.
 func (s *Server) whenEnabled(enabled *atomic.Bool, handle authenticatedHandler) fiber.Handler {
 	authenticated := s.authenticated(handle)
 	return func(c fiber.Ctx) error {
@@ -52,7 +52,7 @@
 	}
 }
 
-// reservationQuery returns a handler of a query that parse reads from the request.
+// reservationQuery returns a handler of a reservation query whose parameters parse reads from the request.
 func (s *Server) reservationQuery(parse func(c fiber.Ctx, query *wire.ReservationQuery) error) fiber.Handler {
 	return s.whenEnabled(&s.reservationsEnabled, func(c fiber.Ctx, caller core.Credential) error {
 		in := core.ListReservations{Caller: caller}
@@ -66,8 +66,8 @@
 	})
 }
 
-// parseReservationList reads a query of a day, of the waiting list or of free intervals. Text is
-// cloned, as fiber reuses the memory of requests.
+// parseReservationList parses a query for a day, the waitlist or free intervals. It clones strings, as
+// fiber reuses request memory.
 func parseReservationList(c fiber.Ctx, query *wire.ReservationQuery) error {
 	query.Day = strings.Clone(c.Query("day"))
 	query.Equipment = strings.Clone(c.Query("piece"))
@@ -102,8 +102,8 @@
 	})
 }
 
-// reservationEdit returns a handler that creates or changes a reservation. The path names the one to
-// change; that of a new one is in the body.
+// reservationEdit returns a handler that creates or changes a reservation. The id of an existing reservation
+// is in the path, and that of a new one in the body.
 func (s *Server) reservationEdit(verb booking.Verb) fiber.Handler {
 	return s.whenEnabled(&s.reservationsEnabled, func(c fiber.Ctx, caller core.Credential) error {
 		in := core.ReserveEquipment{Caller: caller, Verb: verb}
--- a/api/routes.go
+++ b/api/routes.go
@@ -41,7 +41,7 @@
 	return app
 }
 
-// respondError answers with an error that fiber found or a handler returned.
+// respondError responds with an error of fiber or of a handler.
 func respondError(c fiber.Ctx, err error) error {
 	status := fiber.StatusInternalServerError
 	var fiberErr *fiber.Error
@@ -61,7 +61,7 @@
 	return unavailable(c, "not serving")
 }
 
-// getStoreEndpoint answers administrators; the core checks the permission and records the access.
+// getStoreEndpoint responds to administrators. The core checks the permission and audits the access.
 func (s *Server) getStoreEndpoint(c fiber.Ctx, caller core.Credential) error {
 	err := s.handleInput(c, userResponseTimeout, func(requestID uint64) core.Input {
 		object := "site"
@@ -107,8 +107,8 @@
 	})
 }
 
-// submitJob hands invalid submissions to the core too, as far as they can be read: it may know a job of
-// that id, and records what it refuses.
+// submitJob passes invalid submissions to the core too, with the job id if that can be decoded: the core may
+// have a job with this id, and it audits the requests that it rejects.
 func (s *Server) submitJob(c fiber.Ctx, caller core.Credential) error {
 	in := core.SubmitJob{Caller: caller, UnixMS: time.Now().UnixMilli()}
 	spec, err := wire.ParseSubmission(c.Body())
@@ -138,7 +138,7 @@
 	})
 }
 
-// agentHeartbeat needs an authenticated agent only if the policy says so.
+// agentHeartbeat requires authentication only if the policy requires agents to sign their heartbeats.
 func (s *Server) agentHeartbeat(c fiber.Ctx) error {
 	heartbeat, err := wire.ParseHeartbeat(c.Body())
 	if err != nil {
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud that machines come from: it executes the core's requests and
-// returns typed results. It retries nothing: that is decided by the core.
+// Package cloud is the client of the cloud provider's API. It executes the core's requests and returns typed
+// results. It does not retry requests: the core decides about retries.
 package cloud
 
 import (
@@ -17,11 +17,11 @@
 
 const (
 	requestTimeout = 4 * time.Second
-	// pageSize is the number of machines asked for on a page of the list.
+	// pageSize is the number of machines requested per page of the list.
 	pageSize = 500
-	// maxConns bounds connections to the cloud, in use and idle.
+	// maxConns bounds both the open and the idle connections to the cloud.
 	maxConns = 4
-	// maxResponseBytes bounds a response.
+	// maxResponseBytes bounds the body of a response.
 	maxResponseBytes = 4 << 20
 )
 
@@ -36,7 +36,7 @@
 	return &Client{baseURL: "http://" + addr, httpClient: httpjson.New(maxConns, maxConns, maxResponseBytes)}
 }
 
-// Execute makes one request.
+// Execute sends one request and returns its result.
 func (c *Client) Execute(ctx context.Context, o core.CloudRequest) core.CloudResult {
 	result := core.CloudResult{ID: o.ID}
 	var resp httpjson.Response
