--- a/connlimit/connlimit_test.go
+++ b/connlimit/connlimit_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The limits of all uses together must leave sockets for the rest.
+// The limits of all uses must be positive, and their sum must not exceed the total number of sockets.
 func TestLimitsLeaveSpareSockets(t *testing.T) {
 	for _, all := range []int{512, 1000, 2847, 3172, 100_000} {
 		limits := Divide(all)
@@ -19,7 +19,8 @@
 	}
 }
 
-// Abandoned connections of users must not hold the sockets that agents need.
+// Connections that users have abandoned must not use up the sockets that agents need: above the limits, the
+// listener closes the connections that are idle for longest, and no others.
 func TestIdleConnectionsAreClosedFirst(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +36,7 @@
 		all = append(all, connect())
 	}
 	clock.Add(int64(5 * time.Second))
-	for _, pair := range all[1:] { // the first is abandoned
+	for _, pair := range all[1:] { // the first one stays idle
 		if err := pair.ping(); err != nil {
 			t.Fatal(err)
 		}
@@ -43,7 +44,7 @@
 	clock.Add(int64(6 * time.Second))
 	connect()
 	if listener.OpenConns() != 10 {
-		t.Errorf("%d connections, at most 10 with one abandoned", listener.OpenConns())
+		t.Errorf("%d open connections, want 10: the abandoned one was not closed", listener.OpenConns())
 	}
 	if err := all[0].ping(); err == nil {
 		t.Error("the abandoned connection is still open")
@@ -51,11 +52,11 @@
 	connect()
 	connect()
 	if listener.OpenConns() != 12 {
-		t.Errorf("%d connections: one that was used 6 s ago was closed without need", listener.OpenConns())
+		t.Errorf("%d open connections, want 12: one that was idle for 6 s was closed", listener.OpenConns())
 	}
-	connect() // now there are more than can be
+	connect() // exceeds the hard limit
 	if listener.OpenConns() != 12 {
-		t.Errorf("%d connections, at most 12", listener.OpenConns())
+		t.Errorf("%d open connections, want 12", listener.OpenConns())
 	}
 	for _, pair := range all[2:] {
 		if err := pair.ping(); err != nil {
@@ -64,14 +65,14 @@
 		if err := pair.server.Close(); err != nil {
 			t.Error(err)
 		}
-		_ = pair.server.Close() // a server may close twice; it counts once
+		_ = pair.server.Close() // a second call must not count
 	}
 	if listener.OpenConns() != 4 {
-		t.Errorf("%d connections after eight of twelve were closed", listener.OpenConns())
+		t.Errorf("%d open connections, want 4", listener.OpenConns())
 	}
 }
 
-// connPair is both ends of a connection.
+// connPair holds both ends of a connection.
 type connPair struct{ client, server net.Conn }
 
 // connectPair opens a connection to a listener; both ends are closed when the test ends.
@@ -85,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = client.Close(), server.Close() }) // closed by the listener or the test, perhaps
+	t.Cleanup(func() { _, _ = client.Close(), server.Close() }) // they may be closed already
 	return connPair{client, server}
 }
 
--- a/connlimit/limits.go
+++ b/connlimit/limits.go
@@ -1,22 +1,22 @@
-// Package connlimit divides a process's sockets among their uses, so that no use can take those of
-// another: a lost zone once had a request hanging to each of its machines, and users and agents found no
-// socket left. It also closes idle inbound connections when there are too many. It decides nothing about
+// Package connlimit divides a process's sockets among their uses, so that no use can exhaust those of
+// another: when a zone was lost, hanging requests to each of its machines left no sockets for users and
+// agents. The package also closes idle inbound connections when there are too many. It does not look at
 // the requests on them.
 package connlimit
 
-// Limits are the most sockets that each use may have.
+// Limits are the largest numbers of sockets for each use.
 type Limits struct {
-	AgentCommands  int // requests with commands to agents, in flight
-	AgentPolls     int // status polls of agents, in flight
-	IdleAgentConns int // connections to agents that are kept for the next request
+	AgentCommands  int // command requests to agents in flight
+	AgentPolls     int // status polls of agents in flight
+	IdleAgentConns int // idle connections to agents that are kept for reuse
 	Inbound        int // connections of users and agents
 }
 
-// minSocketsPerUse is the least number of sockets of a use, however few there are in all.
+// minSocketsPerUse is the smallest limit of a use, even if the total is too small for it.
 const minSocketsPerUse = 16
 
-// Divide divides a number of sockets. The rest is for the key-value store, the cloud, the other
-// controllers, files, and sockets that outlive their connections for a moment.
+// Divide divides a total number of sockets. The remainder is for the key-value store, the cloud, the other
+// controllers, files, and sockets that briefly outlive their connections.
 func Divide(total int) Limits {
 	return Limits{
 		AgentCommands:  max(minSocketsPerUse, total/8),
--- a/connlimit/listener.go
+++ b/connlimit/listener.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// softIdleTimeout is longer than agents are silent: a connection idle for longer is no agent's.
+	// softIdleTimeout is longer than the interval between two requests of an agent, so a connection that is idle
+	// for longer does not belong to an agent.
 	softIdleTimeout = 10 * time.Second
-	// hardIdleTimeout is shorter, for when there are more connections than there should ever be: a client
-	// that waits for a response on one idle for longer has given up.
+	// hardIdleTimeout applies above the hard limit. It is shorter, but a client that has waited longer for a
+	// response has given up.
 	hardIdleTimeout = 4 * time.Second
 )
 
-// Listener bounds the connections that it accepts: above the soft limit, each new one closes the one idle
-// for longest if it is idle for softIdleTimeout; above the hard limit, for hardIdleTimeout. A client
-// whose connection was closed opens another; a connection that finds no socket would fail.
+// Listener bounds the number of its open connections. Above the soft limit, each new connection closes the
+// one that is idle for longest, provided that this is for more than softIdleTimeout, or above the hard limit
+// for more than hardIdleTimeout. A client can replace a closed connection, but without free sockets new
+// connections would fail.
 type Listener struct {
 	net.Listener
 	softLimit, hardLimit int
 	mu                   sync.Mutex
-	byLastUse            list.List // of *conn, the one idle for longest first
+	byLastUse            list.List // of *conn, least recently used first
 	now                  func() time.Time
 }
 
-// NewListener bounds a listener's connections by the inbound limit.
+// NewListener wraps a listener and bounds its connections by limits.Inbound.
 func NewListener(ln net.Listener, limits Limits) *Listener {
 	return &Listener{
 		Listener:  ln,
@@ -36,10 +38,10 @@
 	}
 }
 
-// hardLimitFor returns the hard limit: above it, only connections in use are kept.
+// hardLimitFor returns the hard limit for a soft limit. Above the hard limit, only connections in use are kept.
 func hardLimitFor(soft int) int { return soft + soft/5 }
 
-// Utilization returns the open connections as a share of the hard limit.
+// Utilization returns the number of open connections as a fraction of the hard limit.
 func (l *Listener) Utilization() float64 { return float64(l.OpenConns()) / float64(l.hardLimit) }
 
 // OpenConns returns the number of open connections.
@@ -64,7 +66,8 @@
 	return c, nil
 }
 
-// closeLongestIdle closes the connection idle for longest if the limits say so. l.mu is held.
+// closeLongestIdle closes the connection that is idle for longest if the limits require it. The caller holds
+// l.mu.
 func (l *Listener) closeLongestIdle(now time.Time) {
 	if l.byLastUse.Len() <= l.softLimit {
 		return
@@ -79,14 +82,14 @@
 	}
 	l.byLastUse.Remove(longestIdle.element)
 	longestIdle.element = nil
-	_ = longestIdle.Conn.Close() // its server notices when it reads
+	_ = longestIdle.Conn.Close() // the server's next read fails
 }
 
 // conn is a connection that records its use with its listener.
 type conn struct {
 	net.Conn
 	listener *Listener
-	element  *list.Element // in the listener's byLastUse, whose mu guards it; nil: closed
+	element  *list.Element // in listener.byLastUse, guarded by listener.mu; nil if closed
 	lastUsed time.Time
 }
 
@@ -99,7 +102,7 @@
 	}
 }
 
-// Read reads from the connection; received bytes count as use.
+// Read reads from the connection. Received bytes count as use.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -114,7 +117,7 @@
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection; it counts once, also if it is closed again.
+// Close closes the connection. Repeated calls do not change the listener's count again.
 func (c *conn) Close() error {
 	c.listener.mu.Lock()
 	if c.element != nil {
--- a/controller.go
+++ b/controller.go
@@ -1,6 +1,6 @@
-// Package dewlift assembles a controller of the cluster scheduler from its parts and runs it. It owns
+// Package dewlift assembles a controller of the cluster scheduler from its components and runs it. It owns
 // the listeners, the event loop, which is the only caller of the core, and the requests in flight that
-// the core has asked for. It decides nothing about jobs and machines: that is the core's.
+// the core has issued. All decisions about jobs and machines are made by the core.
 package dewlift
 
 import (
@@ -34,11 +34,11 @@
 // Controller is one running controller.
 type Controller struct {
 	log       *slog.Logger
-	core      *core.Core // used by the event loop only
+	core      *core.Core // accessed only by the event loop
 	inputs    chan core.Input
 	healthy   atomic.Bool
 	startedAt time.Time
-	requests  sync.WaitGroup // requests in flight that the core has asked for
+	requests  sync.WaitGroup // requests in flight that the core has issued
 
 	store    *statestore.Client
 	cloud    *cloud.Client
@@ -50,21 +50,22 @@
 	metrics *metrics
 }
 
-// inputQueueLength is how many inputs may wait for the event loop; more are refused.
+// inputQueueLength is the capacity of the event loop's input queue. Inputs beyond it are rejected.
 const inputQueueLength = 4096
 
-// Options are the optional features of a controller; the zero value has none of them.
+// Options are the optional features of a controller. The zero value enables none of them.
 type Options struct {
-	// Permissions is the initial policy, used if the store has none; nil: everyone may do everything.
+	// Permissions is the initial policy, used if the store has none. With nil, everyone may do everything.
 	Permissions *access.Policy
-	// AuditKey authenticates the audit log; nil: there is none.
+	// AuditKey authenticates the audit log. With nil, there is no audit log.
 	AuditKey audit.Key
-	// TLSFiles are the certificates and keys; nil: all connections are in plain text.
+	// TLSFiles are the certificates and keys. With nil, all connections use plain text.
 	TLSFiles *tlsconfig.Files
-	// Equipment is the initial list of reservable equipment, used if the store has none; nil: nothing
-	// can be reserved.
+	// Equipment is the initial inventory of reservable equipment, used if the store has none. With nil,
+	// nothing can be reserved.
 	Equipment *booking.Inventory
-	// PriorityClasses is the initial list, used if the store has none; nil: one class for each priority.
+	// PriorityClasses is the initial list, used if the store has none. With nil, there is one class for each
+	// priority.
 	PriorityClasses *priorityclass.List
 }
 
@@ -97,7 +98,7 @@
 	return c
 }
 
-// Enqueue hands an input to the core; it reports false if the queue is full.
+// Enqueue queues an input for the core. It reports false if the queue is full.
 func (c *Controller) Enqueue(in core.Input) bool {
 	select {
 	case c.inputs <- in:
@@ -107,7 +108,7 @@
 	}
 }
 
-// enqueueResult hands the result of a request to the core. It waits for space in the queue, as no result
+// enqueueResult queues the result of a request for the core. It blocks while the queue is full, as no result
 // may be lost.
 func (c *Controller) enqueueResult(ctx context.Context, in core.Input) {
 	select {
@@ -119,7 +120,7 @@
 // Healthy reports whether this controller can serve requests.
 func (c *Controller) Healthy() bool { return c.healthy.Load() }
 
-// StoreEndpoint returns the address and the limits of the key-value store.
+// StoreEndpoint returns the address and the request limits of the key-value store.
 func (c *Controller) StoreEndpoint() wire.StoreEndpoint {
 	limits := &c.platform.Cluster.State
 	return wire.StoreEndpoint{
@@ -130,7 +131,8 @@
 	}
 }
 
-// Run runs the controller on the addresses of its platform until the context ends or a listener fails.
+// Run runs the controller on the addresses of its platform settings until the context ends or a listener
+// fails.
 func (c *Controller) Run(ctx context.Context) error {
 	users, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", c.platform.Listen)
 	if err != nil {
@@ -144,15 +146,15 @@
 }
 
 // Serve runs the controller on two listeners, one for users and agents and one for the other
-// controllers, until the context ends or one of them fails. It closes them, and returns after its
-// servers and all requests in flight have ended.
+// controllers, until the context ends or a listener fails. It closes both listeners, and returns after
+// its servers and all requests in flight have ended.
 func (c *Controller) Serve(ctx context.Context, users, peers net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var servers sync.WaitGroup
 	defer c.requests.Wait()
 	defer servers.Wait()
 	defer cancel()
-	errs := make(chan error, 2) // one of each server
+	errs := make(chan error, 2) // room for one error of each server
 	limited := connlimit.NewListener(users, connlimit.Divide(c.platform.Cluster.Quota.FDLimit))
 	servers.Go(func() { errs <- c.server.Serve(ctx, limited) })
 	servers.Go(func() {
--- a/controller_test.go
+++ b/controller_test.go
@@ -29,7 +29,7 @@
 	"dewlift/wire"
 )
 
-// listenLoopback listens on a free address of loopback.
+// listenLoopback listens on a free port of the loopback address.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -39,8 +39,8 @@
 	return ln
 }
 
-// startController runs a controller against a key-value store until the test ends, and waits until it
-// is healthy. It returns its address for users.
+// startController runs a controller with a key-value store until the test ends, and waits until it is
+// healthy. It returns the address of the user API.
 func startController(t *testing.T, store string, permissions *access.Policy, setOptions ...func(*Options)) string {
 	t.Helper()
 	users, peers := listenLoopback(t), listenLoopback(t)
@@ -72,7 +72,7 @@
 	return platform.Listen
 }
 
-// testPlatform is a cluster of one controller, without a cloud.
+// testPlatform returns the platform settings of a single controller without a cloud.
 func testPlatform(listen, meshAddr, store string) *settings.Platform {
 	platform := &settings.Platform{Name: "n0", Zone: "a", Listen: listen, MeshAddr: meshAddr}
 	platform.Services.State, platform.Services.Cloud = store, "127.0.0.1:1" // nothing listens there
@@ -90,7 +90,7 @@
 	return platform
 }
 
-// eventually waits until a condition holds, for a minute at most.
+// eventually waits until a condition holds, for at most a minute.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for range 1200 {
@@ -102,7 +102,7 @@
 	t.Fatalf("not %s within a minute", what)
 }
 
-// getJob reads the state of a job; the status is 0 if no response came.
+// getJob reads the state of a job. The status is 0 if there was no response.
 func getJob(server, id string) (int, wire.JobState) {
 	var state wire.JobState
 	resp, err := http.Get("http://" + server + wire.PathJobs + "/" + id)
@@ -110,7 +110,7 @@
 		return 0, state
 	}
 	defer func() { _ = resp.Body.Close() }()
-	_ = json.NewDecoder(resp.Body).Decode(&state) // a response without a state shows in the status
+	_ = json.NewDecoder(resp.Body).Decode(&state) // the status shows whether there is a state
 	return resp.StatusCode, state
 }
 
@@ -124,13 +124,14 @@
 	return store, strings.TrimPrefix(srv.URL, "http://")
 }
 
-// A snapshot taken while stored jobs are being compacted must lose none of them: it is restored to
-// another store, and a controller there answers for every job as the first one does.
+// A snapshot taken while job records are moved to the archive could miss jobs that are moved between two page
+// reads. The test saves one in the middle of the move and restores it to another store, where a controller must
+// know every job.
 func TestSnapshotDuringCompactionKeepsAllJobs(t *testing.T) {
 	const jobs = 400
 	limits := fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50}
 	store, addr := startStore(t, limits)
-	for i := range jobs { // in the schema before the archive
+	for i := range jobs { // in the format that precedes the archive
 		store.PutUnchecked([]wire.KeyValue{{
 			Key:   fmt.Sprintf("%sjob/wk-%03d", core.Root, i),
 			Value: json.RawMessage(fmt.Sprintf(`{"h":1,"st":"d","d":[0,%d]}`, i)),
@@ -141,7 +142,7 @@
 	saved := false
 	eventually(t, "compacted", func() bool {
 		left, _ := store.CountKeys(core.Root + "job/")
-		if left < jobs*2/3 && !saved { // in the middle of compaction
+		if left < jobs*2/3 && !saved { // in the middle of the move
 			saved = true
 			if _, err := snapshot.Save(t.Context(), &snapshot.Source{Addr: addr, RPS: 1000}, path, nil); err != nil {
 				t.Fatal(err)
@@ -150,7 +151,7 @@
 		return left <= 40
 	})
 	if archived, records, err := countSavedJobs(path); err != nil || archived == 0 || archived+records != jobs {
-		t.Fatalf("%d archived and %d records in the snapshot: %v", archived, records, err)
+		t.Fatalf("%d archived jobs and %d records in the snapshot: %v", archived, records, err)
 	}
 	copied := httptest.NewServer(fakes.NewStore(limits))
 	t.Cleanup(copied.Close)
@@ -167,7 +168,7 @@
 	}
 }
 
-// countSavedJobs counts the jobs of a snapshot that are archived and those that have a record.
+// countSavedJobs returns the numbers of archived jobs and of job records in a snapshot.
 func countSavedJobs(path string) (archived, records int, err error) {
 	_, err = snapshot.ReadFile(path, func(k *pb.Key) error {
 		if strings.HasPrefix(k.Name, archive.BlockPrefix) {
@@ -184,8 +185,8 @@
 	return archived, records, err
 }
 
-// checkEndedJobs checks the answers for every seventh of the jobs wk-000 and on, of which wk-n is done
-// with n+1 tasks, and for one that never existed.
+// checkEndedJobs checks the state of every seventh job from wk-000, where wk-n is done with n+1 tasks, and
+// that of a job that never existed.
 func checkEndedJobs(t *testing.T, server string, jobs int) {
 	t.Helper()
 	for i := 0; i < jobs; i += 7 {
@@ -199,12 +200,13 @@
 		})
 	}
 	if status, _ := getJob(server, "wk-never"); status != 404 && status != 503 {
-		t.Errorf("a job that never existed: %d", status)
+		t.Errorf("job that never existed: status %d", status)
 	}
 }
 
-// Each identity may do what its roles say, and nothing else: a glaze technician, a visiting potter, a
-// packer who may not cancel a reroast, and a service. A revocation is effective at once.
+// Each identity must be allowed exactly what its roles grant. Among the identities are a user who may submit but
+// not cancel jobs, one who may cancel only some classes of jobs, and a service. A revocation must take effect at
+// once.
 func TestRolesLimitWhatUsersMayDo(t *testing.T) {
 	store, addr := startStore(t, fakes.Limits{ValueBytes: 8192, TxnOps: 12})
 	permissions, keys, err := fakes.TestPolicy()
@@ -226,15 +228,15 @@
 		{"anna", post, "/v1/jobs", fakes.JobRequest("wk-1", "firing"), 200},
 		{"potter", post, "/v1/jobs", fakes.JobRequest("wk-2", "plan"), 201},
 		{"potter", post, "/v1/jobs", fakes.JobRequest("wk-3", "firing"), 403},
-		{"potter", post, "/v1/jobs/wk-2/withdraw", struct{}{}, 403}, // may read it, not cancel it
-		{"potter", get, "/v1/jobs/wk-1", nil, 404},                  // must not learn that it exists
+		{"potter", post, "/v1/jobs/wk-2/withdraw", struct{}{}, 403}, // may read but not cancel it
+		{"potter", get, "/v1/jobs/wk-1", nil, 404},                  // must not reveal that it exists
 		{"portal", post, "/v1/jobs", fakes.JobRequest("wk-4", "reroast"), 201},
 		{"pia", post, "/v1/jobs", fakes.JobRequest("wk-5", "labels"), 201},
 		{"pia", get, "/v1/jobs/wk-4", nil, 200},
 		{"pia", post, "/v1/jobs/wk-4/withdraw", struct{}{}, 403},
 		{"pia", post, "/v1/jobs/wk-5/withdraw", struct{}{}, 200},
 		{"portal", post, "/v1/jobs/wk-4/withdraw", struct{}{}, 200},
-		{"portal", get, "/v1/jobs/wk-4", nil, 200}, // has ended; permissions to read it still hold
+		{"portal", get, "/v1/jobs/wk-4", nil, 200}, // still readable after its end
 		{"anna", get, "/v1/jobs/wk-4", nil, 404},
 		{"nobody", get, "/v1/jobs/wk-1", nil, 401},
 		{"nobody", post, "/v1/jobs", fakes.JobRequest("wk-6", "plan"), 401},
@@ -251,18 +253,18 @@
 			t.Errorf("%s %s %s: %d, want %d", step.identity, step.method, step.path, got, step.want)
 		}
 	}
-	eventually(t, "shut out", func() bool { return status("pia", get, "/v1/jobs/wk-5", nil) == 401 })
+	eventually(t, "rejected", func() bool { return status("pia", get, "/v1/jobs/wk-5", nil) == 401 })
 	if got := status("anna", get, "/v1/jobs/wk-1", nil); got != 200 {
-		t.Errorf("another identity gets %d", got)
+		t.Errorf("another identity: status %d", got)
 	}
-	// The potter's job was accepted before the revocation: it stays.
+	// The job was accepted before the revocation, so it must stay.
 	if stored, _ := store.CountKeys(core.Root + "job/wk-2"); stored != 1 {
-		t.Error("a queued job ended with its user's permission")
+		t.Error("a queued job was removed when its user's permission was revoked")
 	}
 }
 
-// statusAs makes a request with a token signed by key, or without one, and returns the status of its
-// response. While the controller is unavailable it tries again; 0: it stayed so.
+// statusAs makes a request with a token signed by key, or without a token if key is nil, and returns the
+// status of the response. It retries while the controller is unavailable and returns 0 if it stays so.
 func statusAs(t *testing.T, key *access.PrivateKey, method, url string, body any) int {
 	t.Helper()
 	for range 100 {
@@ -298,14 +300,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = json.Unmarshal(b, &decoded) // what does not fit shows in the fields
+	_ = json.Unmarshal(b, &decoded) // callers check the fields, which stay empty if this fails
 	return resp.StatusCode, string(b), decoded
 }
 
-// reservationClient makes requests about reservations of the equipment "k" on one day.
+// reservationClient makes requests about reservations of equipment "k" on one day.
 type reservationClient struct {
 	server string
-	day    string // as 2027-03-04
+	day    string // for example 2027-03-04
 }
 
 func (c *reservationClient) do(t *testing.T, method, path, body string) (int, string, wire.ReservationResponse) {
@@ -313,15 +315,16 @@
 	return requestJSON[wire.ReservationResponse](t, method, c.server+wire.PathReservations+path, body)
 }
 
-// create reserves the slot at an hour; more is further JSON of the request.
+// create reserves the slot at an hour. extraFields is JSON that is appended to the fields of the request.
 func (c *reservationClient) create(t *testing.T, id, hour, extraFields string) (int, string, wire.ReservationResponse) {
 	t.Helper()
 	const request = `{"id":%q,"slots":[{"piece":"k","from":"%sT%s:00"}]%s}`
 	return c.do(t, "POST", "", fmt.Sprintf(request, id, c.day, hour, extraFields))
 }
 
-// Without a list of equipment and of priority classes, the paths of reservations and of the queue are
-// unknown. With them, a reservation is made, held, moved and ended, and outlives its controller.
+// Without an equipment inventory and priority classes, the paths of reservations and of the queue must be
+// unknown. With them, reservations can be created, held, moved and ended, and they must survive a restart of the
+// controller.
 func TestReservationsAndQueueOverHTTP(t *testing.T) {
 	limits := fakes.Limits{ValueBytes: 8192, TxnOps: 12, PageItems: 50}
 	_, addr := startStore(t, limits)
@@ -330,7 +333,7 @@
 		checkFeaturePathsUnknown(t, startController(t, without, nil))
 	})
 	client := &reservationClient{day: time.Now().UTC().AddDate(0, 0, 3).Format("2006-01-02")}
-	t.Run("first life", func(t *testing.T) {
+	t.Run("before restart", func(t *testing.T) {
 		client.server = startController(t, addr, nil, enableReservationsAndQueue(t))
 		eventually(t, "open", func() bool {
 			status, _, _ := requestJSON[any](t, "GET", client.server+wire.PathEquipment, "")
@@ -341,7 +344,7 @@
 		submitTwoPriorities(t, client.server)
 		checkQueue(t, client.server)
 	})
-	// Another process, without files: what is in force is kept in the store.
+	// A new controller without files must load the inventory and the priority classes from the store.
 	client.server = startController(t, addr, nil)
 	eventually(t, "open", func() bool {
 		status, _, got := client.do(t, "GET", "/a", "")
@@ -350,7 +353,7 @@
 	checkReservationsAfterRestart(t, client)
 }
 
-// checkFeaturePathsUnknown checks that the paths of features that are off answer as an unknown one does.
+// checkFeaturePathsUnknown checks that paths of disabled features get the same response as an unknown path.
 func checkFeaturePathsUnknown(t *testing.T, server string) {
 	t.Helper()
 	status, want, _ := requestJSON[any](t, "GET", server+"/v1/nothing", "")
@@ -363,12 +366,12 @@
 		wire.PathPriorityClasses,
 	} {
 		if got, body, _ := requestJSON[any](t, "GET", server+path, ""); got != status || body != want {
-			t.Errorf("%s: %d %s, an unknown path gets %d %s", path, got, body, status, want)
+			t.Errorf("%s: got %d %s, want %d %s as for an unknown path", path, got, body, status, want)
 		}
 	}
 }
 
-// enableReservationsAndQueue returns an option with a list of equipment and one of priority classes.
+// enableReservationsAndQueue returns a function that sets an equipment inventory and priority classes.
 func enableReservationsAndQueue(t *testing.T) func(*Options) {
 	t.Helper()
 	equipment, err := booking.Parse([]byte(`pieces { name: "k" kind: "kiln" slot_minutes: 60 cool_minutes: 60 }`))
@@ -382,7 +385,7 @@
 	return func(options *Options) { options.Equipment, options.PriorityClasses = equipment, classes }
 }
 
-// checkReservationSteps makes, repeats, confirms, moves and ends reservations, and checks refusals.
+// checkReservationSteps creates, retries, confirms, moves and ends reservations, and checks rejected requests.
 func checkReservationSteps(t *testing.T, client *reservationClient) {
 	t.Helper()
 	create := func(id, hour, more string) func() (int, string, wire.ReservationResponse) {
@@ -399,7 +402,7 @@
 		{201, "confirmed", create("a", "08", "")},
 		{200, "confirmed", create("a", "08", "")},
 		{409, "confirmed", create("a", "12", "")},
-		{409, "", create("b", "09", "")}, // the kiln cools
+		{409, "", create("b", "09", "")}, // the equipment is cooling
 		{201, "held", create("b", "10", `,"hold_s":600`)},
 		{200, "confirmed", do("POST", "/b/confirm", "")},
 		{200, "confirmed", do("POST", "/b/move", `{"slots":[{"piece":"k","from":"`+client.day+`T14:00"}]}`)},
@@ -414,22 +417,22 @@
 			t.Errorf("step %d: %d %s, want %d %s", i, status, body, step.status, step.state)
 		}
 		if status == 409 && step.state == "" && len(got.Free) == 0 {
-			t.Errorf("step %d: no free interval is offered instead", i)
+			t.Errorf("step %d: the conflict response offers no free interval", i)
 		}
 	}
 }
 
-// checkDisplacedReservation checks that a list of equipment which displaces a reservation is refused.
+// checkDisplacedReservation checks that an inventory that displaces a reservation is rejected.
 func checkDisplacedReservation(t *testing.T, server string) {
 	t.Helper()
 	status, body, got := requestJSON[wire.ReservationResponse](t, "POST", server+wire.PathEquipment,
 		`{"equipment":"pieces { name: \"k\" kind: \"kiln\" slot_minutes: 60 out: 1 }"}`)
 	if status != 409 || len(got.Displaced) != 1 || got.Displaced[0].ID != "a" {
-		t.Errorf("a list that displaces a reservation: %d %s", status, body)
+		t.Errorf("inventory that displaces a reservation: %d %s", status, body)
 	}
 }
 
-// submitTwoPriorities submits wk-000001 with standard and wk-000002 with high priority.
+// submitTwoPriorities submits wk-000001 with standard priority and wk-000002 with high priority.
 func submitTwoPriorities(t *testing.T, server string) {
 	t.Helper()
 	for id, priority := range map[string]string{"wk-000001": "standard", "wk-000002": "high"} {
@@ -455,27 +458,28 @@
 	}
 	_, body, page := requestJSON[wire.JobQueue](t, "GET", server+wire.PathQueue+"?most=1", "")
 	if len(page.Jobs) != 1 || page.NextOffset != 1 || page.Total != 2 {
-		t.Errorf("a page: %s", body)
+		t.Errorf("page of one job: %s", body)
 	}
 }
 
-// checkReservationsAfterRestart checks what a later controller answers.
+// checkReservationsAfterRestart checks the reservations and the queue of a restarted controller.
 func checkReservationsAfterRestart(t *testing.T, client *reservationClient) {
 	t.Helper()
 	if _, body, got := client.do(t, "GET", "/b", ""); got.Reservation == nil || got.Reservation.EndReason != "cracked" {
-		t.Errorf("an ended reservation: %s", body)
+		t.Errorf("ended reservation: %s", body)
 	}
 	if _, body, got := client.do(t, "GET", "?piece=k&day="+client.day, ""); len(got.Reservations) != 1 {
-		t.Errorf("the day: %s", body)
+		t.Errorf("reservations of the day: %s", body)
 	}
 	_, body, queue := requestJSON[wire.JobQueue](t, "GET", client.server+wire.PathQueue+"/wk-000001", "")
 	if len(queue.Jobs) != 1 || queue.Jobs[0].Position != 2 || queue.Jobs[0].PriorityClass != "rest" {
-		t.Errorf("its position: %s", body)
+		t.Errorf("position of the job: %s", body)
 	}
 }
 
-// A process that is suspended while it takes inputs must see the time that has passed at the next one:
-// a heartbeat that came after the suspension was answered as of before it.
+// If the process is suspended while it handles queued inputs, the next input must get the time after the
+// suspension. When one time was used for all of them, a heartbeat that arrived after the suspension was
+// answered with the time before it, which renewed agents' leases on outdated state.
 func TestEachQueuedInputIsHandledWithItsOwnTime(t *testing.T) {
 	inputs := make(chan core.Input, 4)
 	now := time.Second
@@ -488,7 +492,7 @@
 		func() time.Duration { return now },
 		func(at time.Duration, in core.Input) {
 			got = append(got, at)
-			now += time.Minute // it is suspended, and a heartbeat comes
+			now += time.Minute // the process is suspended; then a heartbeat arrives
 			if in == (core.WallClock{UnixMS: 1}) {
 				inputs <- core.AgentHeartbeat{}
 			}
--- a/coreconfig.go
+++ b/coreconfig.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// maxStoreRequestDelay bounds how late the key-value store may still execute a request; delays of
-	// minutes were observed.
+	// maxStoreRequestDelay bounds the time after which the key-value store may still execute a request.
+	// Delays of several minutes occur.
 	maxStoreRequestDelay = 15 * time.Minute
-	// cloudRateShare is the part of the cloud's request limit that is used.
+	// cloudRateShare is the fraction of the cloud's request limit that is used.
 	cloudRateShare = 0.9
-	// minCloudRequestRate is used, in requests a second, where the limit is lower.
+	// minCloudRequestRate is the lowest request rate to the cloud, in requests per second. It also applies if the
+	// cloud's limit is lower.
 	minCloudRequestRate = 1
 )
 
-// CoreConfig translates the platform's settings and the operators' own settings, which
-// `dewlift settings` describes, into the configuration of a core.
+// CoreConfig converts the platform's settings and the operators' settings, which `dewlift settings`
+// describes, into the configuration of a core.
 func CoreConfig(platform *settings.Platform, tuning *pb.Tuning) core.Config {
 	cfg := core.Config{
 		SchemaVersion: core.SchemaVersion,
@@ -32,7 +33,7 @@
 		// From the operators' settings.
 		Shards: int(tuning.GetShards()),
 
-		// From both, as each says.
+		// From both sources, as each function says.
 		Store:        storeConfig(platform, tuning),
 		Cluster:      clusterConfig(tuning),
 		Agents:       agentConfig(platform, tuning),
@@ -58,7 +59,7 @@
 	return cfg
 }
 
-// storeConfig takes the lower of the limits in force and those announced, but for the write rate, of which the
+// storeConfig uses the lower of the current and the announced limit, except for the write rate, where the
 // core gets both.
 func storeConfig(platform *settings.Platform, tuning *pb.Tuning) core.StoreConfig {
 	current, announced := &platform.Cluster.State, &platform.Cluster.State.Next
@@ -190,7 +191,7 @@
 
 func milliseconds(v uint32) time.Duration { return time.Duration(v) * time.Millisecond }
 
-// lowerLimit returns the smaller of the limit in force and the announced one; nil: none is announced.
+// lowerLimit returns the lower of the current and the announced limit. With nil, no limit is announced.
 func lowerLimit[T int | float64](current T, announced *T) T {
 	if announced == nil {
 		return current
--- a/eventloop.go
+++ b/eventloop.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// tickInterval is the longest time between two iterations of the event loop.
+	// tickInterval is the interval at which the event loop runs an iteration even without input.
 	tickInterval = 25 * time.Millisecond
-	// clockInterval is the least time between two inputs of the time of day and of the load.
+	// clockInterval is the shortest time between two inputs with the time of day and the load.
 	clockInterval = time.Second
-	// metricsInterval is the time between two lines of metrics in the log.
+	// metricsInterval is the interval at which metrics are logged.
 	metricsInterval = 10 * time.Second
-	// maxInputsPerIteration bounds the inputs handled before the outputs are executed.
+	// maxInputsPerIteration bounds the queued inputs that are handled before the outputs are executed.
 	maxInputsPerIteration = 256
 )
 
-// eventLoop is the state of a running event loop. Times are since the controller was started.
+// eventLoop is the state of a running event loop. Times are relative to the start of the controller.
 type eventLoop struct {
 	*Controller
 	users         *connlimit.Listener
-	lastClock     time.Duration // when the core last got the time of day; under 0: never
+	lastClock     time.Duration // when the core last got the time of day; negative if never
 	lastIteration time.Duration
 	nextMetrics   time.Duration
-	load          core.LoadSample // peaks since lastClock
+	load          core.LoadSample // peak values since lastClock
 }
 
-// runEventLoop handles inputs and executes outputs until the context ends or a server fails. It is
-// the only caller of the core, which therefore needs no locks.
+// runEventLoop handles inputs and executes outputs until the context ends or a server fails. It is the
+// only caller of the core, so the core needs no locks.
 func (c *Controller) runEventLoop(ctx context.Context, users *connlimit.Listener, errs <-chan error) error {
 	loop := eventLoop{
 		Controller:    c,
@@ -48,7 +48,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case err := <-errs:
-			if ctx.Err() != nil { // the servers ended because the context did
+			if ctx.Err() != nil { // the server ended because the context did
 				return ctx.Err()
 			}
 			return err
@@ -59,8 +59,8 @@
 	}
 }
 
-// iterate handles the first input, if there is one, and those that wait, and executes what the core
-// decides.
+// iterate handles the first input, if there is one, and the queued inputs, and then executes the core's
+// outputs.
 func (l *eventLoop) iterate(ctx context.Context, first core.Input) {
 	now := l.elapsed()
 	l.sampleLoad(now)
@@ -84,15 +84,15 @@
 
 func (l *eventLoop) elapsed() time.Duration { return time.Since(l.startedAt) }
 
-// sampleLoad updates the peaks of the load. An iteration begins at every tick at the latest: time
-// beyond it was spent in the iteration before, or waiting for the processor.
+// sampleLoad updates the peak values of the load. Iterations begin at most tickInterval apart if the
+// process keeps up. Any additional time was spent in the previous iteration or waiting for the processor.
 func (l *eventLoop) sampleLoad(now time.Duration) {
 	l.load.MaxLoopDelay = max(l.load.MaxLoopDelay, now-l.lastIteration-tickInterval)
 	l.load.InputQueueUsage = max(l.load.InputQueueUsage, float64(len(l.inputs))/inputQueueLength)
 	l.lastIteration = now
 }
 
-// handlePeriodicInputs gives the core the time of day, the load and the denied requests.
+// handlePeriodicInputs passes the time of day, the load and the denied requests to the core.
 func (l *eventLoop) handlePeriodicInputs(now time.Duration) {
 	l.lastClock = now
 	l.core.Handle(now, core.WallClock{UnixMS: time.Now().UnixMilli()})
@@ -104,19 +104,20 @@
 	}
 }
 
-// updateHealth publishes the core's health to the servers, and logs its changes.
+// updateHealth publishes the core's health to the API server and logs changes.
 func (l *eventLoop) updateHealth() {
 	healthy := l.core.Healthy()
 	if healthy == l.healthy.Load() {
 		return
 	}
 	l.healthy.Store(healthy)
-	l.log.Info("health", "healthy", healthy)
+	l.log.Info("health changed", "healthy", healthy)
 }
 
-// handleQueuedInputs handles the inputs that wait, at most limit, each with the time read after it
-// was taken; it returns the last of these times. With one time read before all of them, a process that
-// was suspended in between answered agents as of before: it renewed leases on outdated knowledge.
+// handleQueuedInputs handles at most limit queued inputs and returns the time of the last one. It reads the
+// clock after it takes each input. If it read the clock only once, a process that is suspended while it
+// handles inputs would answer later heartbeats with the time before the suspension, and so renew agents'
+// leases on outdated state.
 func handleQueuedInputs(
 	inputs <-chan core.Input,
 	limit int,
@@ -135,8 +136,8 @@
 	return last
 }
 
-// execute carries out an output. Requests run in goroutines that Serve waits for; their results come
-// back as inputs.
+// execute executes an output of the core. Requests run in goroutines that Serve waits for, and their
+// results become inputs.
 func (c *Controller) execute(ctx context.Context, output core.Output) {
 	switch o := output.(type) {
 	case core.Response:
@@ -170,7 +171,7 @@
 	}
 }
 
-// commitTxn executes a transaction and records how long the store took.
+// commitTxn executes a transaction and records its latency.
 func (c *Controller) commitTxn(ctx context.Context, txn core.CommitTxn) core.TxnResult {
 	sentAt := time.Now()
 	result := c.store.CommitTxn(ctx, txn)
--- a/knownred_test.go
+++ b/knownred_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// The list of known failures must let CI pass over just the tests that it names, and must not become a place to hide:
-// an entry without its command, what was seen or its issue, and a test that there is not, fail the run.
+// The list of known failures makes CI skip exactly the tests that it names. An incomplete entry, without its command,
+// what was seen or its issue, and an entry for a test that does not exist must fail the run, so that the list cannot
+// hide other failures.
 func TestKnownRedSkipsOnlyListedTests(t *testing.T) {
 	const tests = "TestA\nTestB\nTestB/seed3\n"
 	for _, tt := range []struct{ name, list, want, wantError string }{
--- a/metrics.go
+++ b/metrics.go
@@ -9,16 +9,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// metrics collects latencies between two summaries in the log. Its methods may be called concurrently.
+// metrics collects latencies between two log summaries. Its methods may be called concurrently.
 type metrics struct {
 	mu              sync.Mutex
-	txnLatency      *hdrhistogram.Histogram // of a transaction, from sending to its answer, in µs
-	decisionLatency *hdrhistogram.Histogram // of the core, to decide on an iteration's inputs, in µs
-	gcCount         uint32                  // garbage collections up to the last summary
+	txnLatency      *hdrhistogram.Histogram // from sending a transaction to its response, in µs
+	decisionLatency *hdrhistogram.Histogram // from an iteration's last input until its outputs are executed, in µs
+	gcCount         uint32                  // garbage collections as of the last summary
 }
 
 const (
-	// maxLatency is the highest latency that histograms hold, far beyond any timeout.
+	// maxLatency is the highest latency that histograms can record. It exceeds all timeouts.
 	maxLatency = time.Minute
 	// histogramDigits is the precision of histograms in decimal digits.
 	histogramDigits = 2
@@ -34,10 +34,10 @@
 func (m *metrics) recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_ = histogram.RecordValue(max(1, latency.Microseconds())) // fails beyond maxLatency only
+	_ = histogram.RecordValue(max(1, latency.Microseconds())) // fails only above maxLatency
 }
 
-// logSummary logs the latencies since the last call, the core's statistics and the use of memory.
+// logSummary logs the latencies since the last call, the core's statistics and the memory usage.
 func (m *metrics) logSummary(log *slog.Logger, stats any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -49,7 +49,7 @@
 	)
 }
 
-// drainHistogram summarizes a histogram for the log and empties it.
+// drainHistogram returns a summary of a histogram for the log and resets the histogram.
 func drainHistogram(name string, histogram *hdrhistogram.Histogram) slog.Attr {
 	defer histogram.Reset()
 	return slog.Group(name,
@@ -60,7 +60,8 @@
 	)
 }
 
-// memoryGroup summarizes memory, in MB, and what is run by the runtime.
+// memoryGroup returns the memory usage in MB, the garbage collections since the last summary and the number
+// of goroutines.
 func (m *metrics) memoryGroup() slog.Attr {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
