--- a/internal/compress/compress.go
+++ b/internal/compress/compress.go
@@ -1,4 +1,4 @@
-// Package compress compresses small values, and bounds what they decompress to.
+// Package compress compresses small values and bounds their size when it decompresses them.
 package compress
 
 import (
@@ -10,14 +10,14 @@
 	"sync"
 )
 
-// ErrTooLarge is returned for a value that decompresses to more than its reader allows.
-var ErrTooLarge = errors.New("expands to too much")
+// ErrTooLarge is the error for a value that is larger than allowed when it is decompressed.
+var ErrTooLarge = errors.New("decompressed value is too large")
 
 // flateWriters holds writers for reuse.
 var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestCompression)
 	if err != nil {
-		panic(err) // impossible: the level is a constant
+		panic(err) // unreachable: the level is a valid constant
 	}
 	return w
 }}
@@ -37,7 +37,7 @@
 	return compressed.Bytes(), nil
 }
 
-// Inflate reverses Deflate; it fails with ErrTooLarge beyond maxBytes.
+// Inflate decompresses the output of Deflate. It returns ErrTooLarge if the result exceeds maxBytes.
 func Inflate(raw []byte, maxBytes int) ([]byte, error) {
 	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(raw)), int64(maxBytes)+1))
 	if err != nil {
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson makes JSON requests over HTTP/1.1 with bounded time and size. It tells whether a
-// request may have been executed, and never sends one with a body twice.
+// Package httpjson makes JSON requests over HTTP/1.1 with a timeout and bounded response size. It reports
+// whether a request may have been executed, and never sends a request with a body twice.
 package httpjson
 
 import (
@@ -23,15 +23,15 @@
 
 // Client makes requests to one kind of server.
 type Client struct {
-	// Token, if set, is sent as bearer token with every request.
+	// Token is sent as the bearer token of every request unless it is empty.
 	Token string
 
 	httpClient   http.Client
 	maxBodyBytes int64
 }
 
-// New returns a client with at most maxConnsPerHost connections to a host and maxIdleConns idle ones to
-// all hosts together. It reads at most maxBodyBytes of a response.
+// New returns a client with at most maxConnsPerHost connections per host and maxIdleConns idle connections
+// in total. Response bodies of more than maxBodyBytes are an error.
 func New(maxConnsPerHost, maxIdleConns int, maxBodyBytes int64) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return &Client{maxBodyBytes: maxBodyBytes, httpClient: http.Client{
@@ -54,13 +54,13 @@
 
 // Response is the outcome of a request.
 type Response struct {
-	Status int  // 0: no response came
-	Sent   bool // the request may have reached the server, also if no response came
+	Status int  // 0 if there was no response
+	Sent   bool // whether the request may have reached the server, even without a response
 	Body   []byte
 	Err    error
 }
 
-// Do makes a request with a JSON body, if there is one, and reads its response.
+// Do sends a request, with body encoded as JSON unless it is nil, and reads the response.
 func (c *Client) Do(ctx context.Context, timeout time.Duration, method, url string, body any) Response {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -77,13 +77,13 @@
 	if err != nil {
 		return Response{Sent: sent.Load(), Err: err}
 	}
-	defer func() { _ = resp.Body.Close() }() // what was read of it counts
+	defer func() { _ = resp.Body.Close() }() // the body has been read, so an error does not matter
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBodyBytes+1))
 	if err == nil && int64(len(raw)) > c.maxBodyBytes {
-		err = fmt.Errorf("more than %d bytes", c.maxBodyBytes)
+		err = fmt.Errorf("body exceeds %d bytes", c.maxBodyBytes)
 	}
 	if err != nil {
-		return Response{Sent: true, Err: fmt.Errorf("read answer: %w", err)}
+		return Response{Sent: true, Err: fmt.Errorf("read response: %w", err)}
 	}
 	return Response{Status: resp.StatusCode, Sent: true, Body: raw}
 }
@@ -107,21 +107,21 @@
 	if c.Token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.Token)
 	}
-	// Without it the transport cannot send a request again on its own: a transaction or a scale-out must
-	// not be executed twice.
+	// Without GetBody, the transport cannot resend a request with a body by itself. A transaction or a
+	// scale-out must not be executed twice.
 	req.GetBody = nil
 	return req, nil
 }
 
-// Decode decodes the body of a response with status 200, 404 or 409. One that cannot be decoded counts
-// as no response: its status becomes 0.
+// Decode decodes the body of a response with status 200, 404 or 409. If that fails, it sets the status to 0,
+// as if there was no response.
 func Decode[T any](resp Response) (T, Response) {
 	var v T
 	if resp.Status != http.StatusOK && resp.Status != http.StatusNotFound && resp.Status != http.StatusConflict {
 		return v, resp
 	}
 	if err := json.Unmarshal(resp.Body, &v); err != nil {
-		resp.Status, resp.Err = 0, fmt.Errorf("decode answer: %w", err)
+		resp.Status, resp.Err = 0, fmt.Errorf("decode response: %w", err)
 	}
 	return v, resp
 }
--- a/internal/utf8text/utf8text.go
+++ b/internal/utf8text/utf8text.go
@@ -1,5 +1,5 @@
-// Package utf8text cuts texts to a length in bytes without breaking a character: a protobuf message can't hold invalid
-// UTF-8, and JSON would replace it.
+// Package utf8text truncates text to a length in bytes without splitting a character. A protobuf message cannot contain
+// invalid UTF-8, and the JSON encoder would replace it.
 package utf8text
 
 import (
@@ -7,10 +7,11 @@
 	"unicode/utf8"
 )
 
-// invalidReplacement stands in a text for a sequence of bytes that is no UTF-8.
+// invalidReplacement replaces each sequence of bytes that is not valid UTF-8.
 const invalidReplacement = "?"
 
-// PrefixLength returns the length of the longest prefix of text of at most maxBytes that ends between two characters.
+// PrefixLength returns the length of the longest prefix of text that has at most maxBytes and does not split a
+// character.
 func PrefixLength(text string, maxBytes int) int {
 	if len(text) <= maxBytes {
 		return len(text)
@@ -21,7 +22,8 @@
 	return maxBytes
 }
 
-// Truncate returns a text as valid UTF-8 of at most maxBytes. A text that is cut ends with ellipsis, which counts.
+// Truncate returns a text as valid UTF-8 of at most maxBytes. A truncated text ends with the ellipsis, which counts
+// toward maxBytes.
 func Truncate(text string, maxBytes int, ellipsis string) string {
 	text = strings.ToValidUTF8(text, invalidReplacement)
 	if len(text) <= maxBytes {
--- a/internal/utf8text/utf8text_test.go
+++ b/internal/utf8text/utf8text_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// A text is cut between characters, as late as possible, and what fits stays as it is.
+// Text is truncated between characters, as late as possible, and text within the limit is unchanged.
 func TestTruncate(t *testing.T) {
 	for _, tt := range []struct {
 		text     string
@@ -29,12 +29,12 @@
 		{"窯窯窯", 8, "...", "窯..."},
 	} {
 		if got := Truncate(tt.text, tt.maxBytes, tt.ellipsis); got != tt.want {
-			t.Errorf("%q in %d bytes is %q, want %q", tt.text, tt.maxBytes, got, tt.want)
+			t.Errorf("%q truncated to %d bytes is %q, want %q", tt.text, tt.maxBytes, got, tt.want)
 		}
 	}
 }
 
-// Any text is cut to valid UTF-8 within the limit, and loses less than a character beside what must go.
+// Any text is truncated to valid UTF-8 within the limit, and loses less than one character more than necessary.
 func TestTruncateAnyText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := string(rapid.SliceOf(rapid.Byte()).Draw(t, "text"))
@@ -42,10 +42,10 @@
 		got := Truncate(text, maxBytes, "")
 		valid := strings.ToValidUTF8(text, invalidReplacement)
 		if !utf8.ValidString(got) || len(got) > maxBytes || !strings.HasPrefix(valid, got) {
-			t.Fatalf("%q in %d bytes is %q", text, maxBytes, got)
+			t.Fatalf("%q truncated to %d bytes is %q", text, maxBytes, got)
 		}
 		if len(got) < min(len(valid), maxBytes)-(utf8.UTFMax-1) {
-			t.Fatalf("%q in %d bytes is %q, cut too early", text, maxBytes, got)
+			t.Fatalf("%q truncated to %d bytes is %q, which is too short", text, maxBytes, got)
 		}
 	})
 }
