--- a/mesh/golden_test.go
+++ b/mesh/golden_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Controllers of other versions use these names: a changed one would cut them off.
+// Controllers of other versions use these names, so a change would break their connections.
 func TestWireNamesAreStable(t *testing.T) {
 	if streamPath != "/mesh" || nodeHeader != "Dewlift-Node" {
 		t.Errorf("%s %s", streamPath, nodeHeader)
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -1,7 +1,7 @@
-// Package mesh carries messages between controllers over HTTP/2 streams, with mutual TLS if it is
-// configured: each controller holds one stream open to each other one and writes JSON messages to it,
-// one a line. It owns the streams and a bounded queue for each peer. Messages may be lost: nothing that
-// safety depends on may be sent over the mesh alone.
+// Package mesh sends messages between controllers over HTTP/2 streams, with mutual TLS if configured. Each
+// controller keeps one stream open to each peer and writes JSON messages to it, one per line. The package
+// owns the streams and a bounded queue for each peer. Messages may be lost, so nothing that safety depends
+// on may be sent over the mesh alone.
 package mesh
 
 import (
@@ -21,22 +21,22 @@
 	"dewlift/tlsconfig"
 )
 
-// Names that controllers of other versions use.
+// Names on the wire. Controllers of other versions depend on them.
 const (
 	streamPath = "/mesh"
 	nodeHeader = "Dewlift-Node"
 )
 
 const (
-	// outboxLength is how many messages may wait for a peer; more are dropped.
+	// outboxLength is the capacity of a peer's outbox. Messages beyond it are dropped.
 	outboxLength = 2048
-	// maxMessageBytes bounds a message; the cluster state of a large fleet is long.
+	// maxMessageBytes bounds the size of a message. It must hold the cluster state of a large fleet.
 	maxMessageBytes = 8 << 20
-	// defaultKeepAliveInterval is the time between two keep-alives on the response of a stream.
+	// defaultKeepAliveInterval is the interval of keep-alives in the response of a stream.
 	defaultKeepAliveInterval = 500 * time.Millisecond
-	// peerTimeout is the time without a keep-alive after which a stream is given up.
+	// peerTimeout is the time without a keep-alive after which a stream is closed.
 	peerTimeout = 2500 * time.Millisecond
-	// reconnectDelay is the time between the end of a stream and the next attempt.
+	// reconnectDelay is the time between the end of a stream and the next connection attempt.
 	reconnectDelay      = 300 * time.Millisecond
 	dialTimeout         = time.Second
 	tlsHandshakeTimeout = 2 * time.Second
@@ -46,26 +46,27 @@
 	keepAliveReadBytes  = 256
 )
 
-// Handler handles a message from a peer. It is called concurrently for different streams.
+// Handler handles a message from a peer. Different streams call it concurrently.
 type Handler func(peer string, message core.Message)
 
 // Mesh holds the streams of one controller.
 type Mesh struct {
 	nodeName          string
-	peers             map[string]*peerLink // by name; fixed
+	peers             map[string]*peerLink // by name; never changes
 	log               *slog.Logger
 	keepAliveInterval time.Duration
 	tlsFiles          *tlsconfig.Files
 }
 
-// peerLink is a peer with the messages that wait to be sent to it.
+// peerLink is a peer with its queue of outgoing messages.
 type peerLink struct {
 	name   string
 	addr   string
-	outbox chan []byte // encoded messages, each with its line end
+	outbox chan []byte // encoded messages, each with a newline
 }
 
-// New returns a mesh with peers by name and their addresses; without TLS files it is in plain text.
+// New returns a mesh of the named controller. The map holds the addresses of its peers by name. Without TLS
+// files the mesh uses plain text.
 func New(name string, peers map[string]string, files *tlsconfig.Files, log *slog.Logger) *Mesh {
 	m := &Mesh{
 		nodeName:          name,
@@ -80,12 +81,12 @@
 	return m
 }
 
-// Send queues a message to a peer, or to all if the name is empty. It never blocks: when a peer's
-// queue is full the message is dropped.
+// Send queues a message for a peer, or for all peers if the name is empty. It never blocks: it drops the
+// message if the peer's queue is full.
 func (m *Mesh) Send(peer string, message core.Message) {
 	line, err := json.Marshal(message) // once for all peers: the cluster state of a large fleet is long
 	if err != nil {
-		m.log.Error("mesh message not encoded", "err", err)
+		m.log.Error("failed to encode mesh message", "err", err)
 		return
 	}
 	line = append(line, '\n')
@@ -99,8 +100,9 @@
 	}
 }
 
-// Serve receives the peers' streams on a listener and maintains its own to each of them, until the
-// context ends or the listener fails. It closes the listener, and returns after its own streams ended.
+// Serve accepts the peers' streams on a listener and maintains an outgoing stream to each peer, until the
+// context ends or the listener fails. It closes the listener, and returns after the outgoing streams have
+// ended.
 func (m *Mesh) Serve(ctx context.Context, ln net.Listener, handle Handler) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var streams sync.WaitGroup
@@ -110,7 +112,7 @@
 	for _, link := range m.peers {
 		streams.Go(func() { m.maintainStream(ctx, link) })
 	}
-	context.AfterFunc(ctx, func() { _ = srv.Close() }) // nothing is left to do if it fails
+	context.AfterFunc(ctx, func() { _ = srv.Close() }) // an error cannot be handled here
 	var err error
 	if srv.TLSConfig != nil {
 		err = srv.ServeTLS(ln, "", "")
@@ -139,7 +141,7 @@
 	}
 }
 
-// receiveStream handles the messages of a peer's stream, and writes keep-alives to its response.
+// receiveStream handles the messages of a peer's stream and writes keep-alives to the response.
 func (m *Mesh) receiveStream(w http.ResponseWriter, r *http.Request, handle Handler) {
 	peer := r.Header.Get(nodeHeader)
 	if m.peers[peer] == nil {
@@ -147,7 +149,7 @@
 		return
 	}
 	if r.TLS != nil && r.TLS.PeerCertificates[0].VerifyHostname(peer) != nil {
-		m.log.Error("mesh certificate is for another name", "peer", peer)
+		m.log.Error("mesh certificate does not match the peer's name", "peer", peer)
 		http.Error(w, "not your name", http.StatusForbidden)
 		return
 	}
@@ -155,8 +157,8 @@
 	if http.NewResponseController(w).Flush() != nil {
 		return
 	}
-	// Keep-alives end before the handler does: a write after its end panics, which ended the whole
-	// process when a zone was cut off.
+	// Wait for writeKeepAlives before the handler returns. A write to the response after that panics, which
+	// crashed the process when the network to a zone failed.
 	ctx, cancel := context.WithCancel(r.Context())
 	var keepAlives sync.WaitGroup
 	defer keepAlives.Wait()
@@ -182,7 +184,7 @@
 	}
 }
 
-// readMessages handles messages until the stream ends or one cannot be decoded.
+// readMessages handles messages until the stream ends or a message cannot be decoded.
 func (m *Mesh) readMessages(peer string, body io.Reader, handle Handler) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, readBufferBytes), maxMessageBytes)
@@ -193,18 +195,18 @@
 		}
 		var message core.Message
 		if err := json.Unmarshal(scanner.Bytes(), &message); err != nil {
-			m.log.Error("mesh message not decoded", "peer", peer, "err", err)
+			m.log.Error("failed to decode mesh message", "peer", peer, "err", err)
 			return
 		}
 		handle(peer, message)
 	}
 	if errors.Is(scanner.Err(), bufio.ErrTooLong) {
-		m.log.Error("mesh message too long", "peer", peer, "most", maxMessageBytes)
+		m.log.Error("mesh message is too long", "peer", peer, "most", maxMessageBytes)
 	}
 }
 
-// splitCompleteLines is a bufio.SplitFunc for lines that drops an unfinished last one: it is what is
-// left of a message whose sender was stopped or cut off.
+// splitCompleteLines is a bufio.SplitFunc for lines that drops an incomplete last line, which is part of a
+// message whose sender stopped or lost its connection.
 func splitCompleteLines(data []byte, atEOF bool) (advance int, line []byte, err error) {
 	advance, line, err = bufio.ScanLines(data, false)
 	if atEOF && advance == 0 {
@@ -213,13 +215,13 @@
 	return advance, line, err
 }
 
-// maintainStream keeps a stream to a peer open until the context ends.
+// maintainStream keeps a stream to a peer open and reconnects when it fails, until the context ends.
 func (m *Mesh) maintainStream(ctx context.Context, link *peerLink) {
 	for ctx.Err() == nil {
 		if err := m.runStream(ctx, link); err != nil && ctx.Err() == nil {
 			m.log.Debug("mesh stream ended", "peer", link.name, "err", err)
 		}
-		for len(link.outbox) > 0 { // outdated by the time of the next stream
+		for len(link.outbox) > 0 { // the messages would be outdated on the next stream
 			<-link.outbox
 		}
 		select {
@@ -229,7 +231,7 @@
 	}
 }
 
-// runStream opens a stream to a peer and sends it messages until one side fails or the context ends.
+// runStream opens a stream to a peer and sends messages on it until either side fails or the context ends.
 func (m *Mesh) runStream(ctx context.Context, link *peerLink) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -244,15 +246,15 @@
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	defer cancel()
-	defer func() { _ = bodyWriter.Close() }() // never fails; the request's body ends
+	defer func() { _ = bodyWriter.Close() }() // ends the request body; never fails
 	keepAlives := make(chan struct{}, 1)
-	failures := make(chan error, 2) // one of each worker, so that none blocks
+	failures := make(chan error, 2) // room for one error of each worker, so that none blocks
 	workers.Go(func() { failures <- readKeepAlives(transport, req, keepAlives) })
 	workers.Go(func() { failures <- link.writeMessages(ctx, bodyReader, bodyWriter) })
 	return awaitStreamEnd(ctx, keepAlives, failures)
 }
 
-// newTransport returns a transport for one stream to a peer, and the scheme of its URL.
+// newTransport returns a transport for one stream to a peer, and the URL scheme to use with it.
 func (m *Mesh) newTransport(peer string) (transport *http.Transport, scheme string) {
 	tlsConfig := m.tlsFiles.MeshClientConfig(peer)
 	scheme = "http://"
@@ -270,7 +272,7 @@
 	}, scheme
 }
 
-// readKeepAlives makes the request and reports the keep-alives on its response until that ends.
+// readKeepAlives sends the request and reports keep-alives until the response ends.
 func readKeepAlives(transport *http.Transport, req *http.Request, keepAlives chan<- struct{}) error {
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
@@ -278,7 +280,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }() // the stream has ended
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("unexpected status %d", resp.StatusCode)
 	}
 	buf := make([]byte, keepAliveReadBytes)
 	for {
@@ -286,7 +288,7 @@
 		if n > 0 {
 			select {
 			case keepAlives <- struct{}{}:
-			default: // one is reported already
+			default: // a keep-alive is pending already
 			}
 		}
 		if err != nil {
@@ -295,7 +297,7 @@
 	}
 }
 
-// writeMessages writes the queued messages to the request's body. It flushes when none is left.
+// writeMessages writes the queued messages to the request body. It flushes when the queue is empty.
 func (l *peerLink) writeMessages(ctx context.Context, body *io.PipeReader, w io.Writer) error {
 	buffered := bufio.NewWriterSize(w, writeBufferBytes)
 	for {
@@ -315,7 +317,7 @@
 	}
 }
 
-// awaitStreamEnd returns why a stream ended: a failure, missing keep-alives or the context.
+// awaitStreamEnd waits until a worker fails, keep-alives are missing or the context ends, and returns the cause.
 func awaitStreamEnd(ctx context.Context, keepAlives <-chan struct{}, failures <-chan error) error {
 	timeout := time.NewTimer(peerTimeout)
 	defer timeout.Stop()
@@ -328,7 +330,7 @@
 		case <-keepAlives:
 			timeout.Reset(peerTimeout)
 		case <-timeout.C:
-			return errors.New("no keep-alive from peer")
+			return errors.New("keep-alive timeout")
 		}
 	}
 }
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -21,8 +21,8 @@
 	"dewlift/tlsconfig"
 )
 
-// A keep-alive written after its stream had ended panicked, which ended the process when a zone was
-// cut off.
+// A keep-alive that was written after its stream had ended panicked, which crashed the process when the
+// network to a zone failed.
 func TestStreamEndDuringKeepAliveWrites(t *testing.T) {
 	ctx := t.Context()
 	m := New("n0", map[string]string{"n1": "127.0.0.1:1"}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = srv.Close() })
-	go func() { _ = srv.Serve(ln) }() // ends with the test
+	go func() { _ = srv.Serve(ln) }() // ends when the test closes srv
 	transport := &http.Transport{Protocols: &protocols}
 	t.Cleanup(transport.CloseIdleConnections)
 	const streams = 300
@@ -76,8 +76,8 @@
 	}
 }
 
-// newTLSFiles returns a node's TLS files: a certificate for a name, issued by one authority, and the
-// authority that it trusts.
+// newTLSFiles returns a controller's TLS files with a certificate for a name, issued by one authority, and
+// with a trusted authority.
 func newTLSFiles(t *testing.T, name string, by, trusted *testcert.Authority) *tlsconfig.Files {
 	t.Helper()
 	dir := t.TempDir()
@@ -95,8 +95,8 @@
 	return f
 }
 
-// Controllers accept only certificates for each other's names: another authority's, another name's, and
-// plain text are refused.
+// Controllers accept only certificates that the trusted authority issued for each other's names. Certificates
+// of another authority or for another name and plain text must be rejected.
 func TestPeersAuthenticateEachOther(t *testing.T) {
 	own, other := testcert.New(t), testcert.New(t)
 	good := func(name string) *tlsconfig.Files { return newTLSFiles(t, name, own, own) }
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sender, received := startSenderAndReceiver(t, test.sender, test.receiver)
-			attempts := 40 // two seconds show that nothing arrives
+			attempts := 40 // two seconds are enough to show that nothing arrives
 			if test.received {
 				attempts = 1200
 			}
@@ -125,25 +125,25 @@
 				select {
 				case got := <-received:
 					if !test.received || got != "n0m" {
-						t.Fatalf("received %s", got)
+						t.Fatalf("unexpectedly received %s", got)
 					}
 					return
 				case <-time.After(50 * time.Millisecond):
 				}
 			}
 			if test.received {
-				t.Error("nothing was received")
+				t.Error("no message was received")
 			}
 		})
 	}
 }
 
-// startSenderAndReceiver runs n0's stream to n1 until the test ends. It returns n0, and for each message
-// that n1 receives the sender's name and the first wanted heartbeat.
+// startSenderAndReceiver runs n0's stream to n1 until the test ends. It returns n0 and a channel that gets, for
+// each message that n1 receives, the sender's name followed by the first wanted heartbeat.
 func startSenderAndReceiver(t *testing.T, senderFiles, receiverFiles *tlsconfig.Files) (*Mesh, <-chan string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	// Kept from here on: a port that is closed and opened again may be another test's by then.
+	// The listener stays open: another test could take a port that is closed and opened again.
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -166,8 +166,8 @@
 	return sender, received
 }
 
-// A stream that ends within a message, as it does when its sender is stopped, is no error to log; a
-// complete line that is no message is.
+// A stream that ends within a message, as it does when its sender stops, must not be logged as an error. A
+// complete line that is not a valid message must be.
 func TestTruncatedStreamIsNotLogged(t *testing.T) {
 	var logged strings.Builder
 	m := New("n0", map[string]string{"n1": "127.0.0.1:1"}, nil, slog.New(slog.NewTextHandler(&logged, nil)))
@@ -188,8 +188,8 @@
 	}
 	r := httptest.NewRequest(http.MethodPost, streamPath, strings.NewReader("{\"w\"\n"))
 	r.Header.Set(nodeHeader, "n1")
-	m.receiveStream(httptest.NewRecorder(), r, func(string, core.Message) { t.Error("nonsense was received") })
-	if !strings.Contains(logged.String(), "mesh message not decoded") {
-		t.Error("a line that is no message was not logged")
+	m.receiveStream(httptest.NewRecorder(), r, func(string, core.Message) { t.Error("invalid message received") })
+	if !strings.Contains(logged.String(), "failed to decode mesh message") {
+		t.Error("invalid message not logged")
 	}
 }
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -1,6 +1,6 @@
-// Package statestore is the client of the platform's key-value store: it executes the requests of the
-// core and returns typed results. It retries nothing and keeps no state but idle connections; what a
-// result means is decided by the core.
+// Package statestore is the client of the platform's key-value store. It executes the core's requests and
+// returns typed results. It does not retry requests and keeps no state except idle connections. The core
+// interprets the results.
 package statestore
 
 import (
@@ -17,15 +17,15 @@
 
 const (
 	requestTimeout = 2 * time.Second
-	// leaseTimeout bounds requests for leases, which have less time than others.
+	// leaseTimeout bounds lease requests, which must finish sooner than others.
 	leaseTimeout = requestTimeout / 2
-	// longPollTime is how long the store holds a watch without changes open.
+	// longPollTime is how long the store waits for a change before it answers a watch.
 	longPollTime = 10 * time.Second
-	// maxPageSize is the largest page, in keys, that the store returns.
+	// maxPageSize is the largest number of keys that the store returns in a page.
 	maxPageSize = 1000
-	// maxConns bounds connections to the store, in use and idle.
+	// maxConns bounds both the open and the idle connections to the store.
 	maxConns = 16
-	// maxResponseBytes bounds a response.
+	// maxResponseBytes bounds the body of a response.
 	maxResponseBytes = 16 << 20
 )
 
@@ -45,13 +45,13 @@
 	reply, resp := httpjson.Decode[wire.TxnResponse](
 		c.httpClient.Do(ctx, requestTimeout, http.MethodPost, c.baseURL+wire.PathTxn, o.Txn),
 	)
-	if !resp.Sent { // never reached the store, so it was certainly not executed
+	if !resp.Sent { // the request never reached the store, so it was not executed
 		return core.TxnResult{ID: o.ID, Status: wire.StatusUnavailable}
 	}
 	return core.TxnResult{ID: o.ID, Status: wire.Status(resp.Status), Reply: reply}
 }
 
-// Watch reads the changes after a revision; with LongPoll it waits for one.
+// Watch reads the changes after a revision. With LongPoll it waits until there is one.
 func (c *Client) Watch(ctx context.Context, o core.Watch) core.WatchResult {
 	hold := time.Duration(0)
 	if o.LongPoll {
@@ -77,7 +77,7 @@
 	}
 }
 
-// ReadRange reads one key, if one is named, or a page of the keys with a prefix.
+// ReadRange reads a single key if o.Key is set, or else a page of the keys with a prefix.
 func (c *Client) ReadRange(ctx context.Context, o core.ReadRange) core.RangeResult {
 	if o.Key != "" {
 		return c.readKey(ctx, o)
@@ -112,7 +112,7 @@
 	return httpjson.Decode[wire.RangeResponse](c.httpClient.Do(ctx, requestTimeout, http.MethodGet, target, nil))
 }
 
-// GrantOrRenewLease grants a lease or extends one.
+// GrantOrRenewLease requests a new lease or extends an existing one.
 func (c *Client) GrantOrRenewLease(ctx context.Context, o core.LeaseRequest) core.LeaseResult {
 	if o.Op == core.LeaseGrant {
 		granted, resp := httpjson.Decode[wire.LeaseResponse](
--- a/statestore/statestore_test.go
+++ b/statestore/statestore_test.go
@@ -13,7 +13,7 @@
 	"dewlift/wire"
 )
 
-// startFakeStore serves an empty store until the test ends.
+// startFakeStore serves an empty fake store until the test ends.
 func startFakeStore(t *testing.T, limits fakes.Limits) (*fakes.Store, *Client) {
 	t.Helper()
 	store := fakes.NewStore(limits)
@@ -22,8 +22,8 @@
 	return store, New(strings.TrimPrefix(srv.URL, "http://"))
 }
 
-// The client must speak the store's protocol: keys, pages, comparisons, leases, watches, an outage and
-// limits. The steps are in order, on one store.
+// The client must implement the store's protocol: keys, pages, comparisons, leases, watches, outages and
+// limits. All steps use the same store and depend on their order.
 func TestClientSpeaksTheProtocol(t *testing.T) {
 	store, client := startFakeStore(t, fakes.Limits{PageItems: 40, TxnOps: 4})
 	var items []wire.KeyValue
@@ -40,18 +40,18 @@
 	checkLeasedKey(t, client)
 	store.SetDown(true)
 	if r := commitPut(t, client, 0); r.Status != wire.StatusUnavailable {
-		t.Errorf("in an outage: %+v", r)
+		t.Errorf("commit in an outage: %+v", r)
 	}
 	store.SetDown(false)
 	checkCompactedWatch(t, store, client)
 	store.SetLimits(fakes.Limits{WriteRPS: 1})
 	commitPut(t, client, 0)
 	if r := commitPut(t, client, 0); r.Status != wire.StatusTooManyRequests {
-		t.Errorf("too many changes: %+v", r)
+		t.Errorf("commit above the write limit: %+v", r)
 	}
 }
 
-// commitPut puts dl/x with a lease if it does not exist.
+// commitPut creates dl/x with a lease; the comparison fails if the key exists.
 func commitPut(t *testing.T, client *Client, lease uint64) core.TxnResult {
 	t.Helper()
 	return client.CommitTxn(t.Context(), core.CommitTxn{Txn: wire.Txn{
@@ -71,13 +71,13 @@
 		loaded, after, more = loaded+len(page.Items), page.Items[len(page.Items)-1].Key, page.More
 	}
 	if loaded != want {
-		t.Errorf("%d keys were loaded, want %d", loaded, want)
+		t.Errorf("loaded %d keys, want %d", loaded, want)
 	}
 }
 
 func checkRangeReads(t *testing.T, client *Client) {
 	t.Helper()
-	// The first key after an id is that of its block.
+	// A block's key is the first id after its range, so the first key after an id is that of its block.
 	for id, want := range map[string]string{"wk-049": "5", "wk-050": "9", "wk-9": "9", "wk-0": "5"} {
 		read := core.ReadRange{ID: 3, Prefix: "da/b/", AfterKey: "da/b/" + id, Limit: 1}
 		if r := client.ReadRange(t.Context(), read); r.ID != 3 || r.Status != wire.StatusOK ||
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkLeasedKey checks comparisons, and that a key is deleted when its lease expires.
+// checkLeasedKey checks that a failed comparison is reported and that a key is deleted when its lease expires.
 func checkLeasedKey(t *testing.T, client *Client) {
 	t.Helper()
 	ctx := t.Context()
@@ -113,11 +113,11 @@
 		t.Errorf("an expired lease was extended: %+v", r)
 	}
 	if r := commitPut(t, client, lease.LeaseID); r.Status != wire.StatusBadRequest {
-		t.Errorf("a key of an expired lease: %+v", r)
+		t.Errorf("a key was written with an expired lease: %+v", r)
 	}
 }
 
-// checkCompactedWatch checks a watch from a revision that the store no longer has the changes after.
+// checkCompactedWatch checks a watch from a revision whose later changes the store has compacted.
 func checkCompactedWatch(t *testing.T, store *fakes.Store, client *Client) {
 	t.Helper()
 	const keptChanges, perTxn = 10_000, 4
@@ -126,13 +126,13 @@
 		for k := range perTxn {
 			txn.Then = append(txn.Then, wire.Write{Put: fmt.Sprintf("dl/y/%d", k), Value: json.RawMessage("1")})
 		}
-		if i%1000 != 0 { // most of them not over the network
+		if i%1000 != 0 { // most transactions bypass HTTP
 			store.Commit(txn)
 		} else if r := client.CommitTxn(t.Context(), core.CommitTxn{Txn: txn}); r.Status != wire.StatusOK {
 			t.Fatalf("got %+v", r)
 		}
 	}
 	if r := client.Watch(t.Context(), core.Watch{SinceRevision: 2}); r.Status != wire.StatusGone {
-		t.Errorf("too old: %+v", r.Status)
+		t.Errorf("watch from a compacted revision: %+v", r.Status)
 	}
 }
--- a/tlsconfig/tlsconfig.go
+++ b/tlsconfig/tlsconfig.go
@@ -1,6 +1,7 @@
-// Package tlsconfig makes the TLS configurations of a controller from files, and reloads these when they
-// change: open connections stay, new ones use the new certificates. A file that cannot be read, while it
-// is being replaced or for good, changes nothing. Where TLS is configured there is no plain text.
+// Package tlsconfig builds the TLS configurations of a controller from files, and reloads the files when
+// they change. Open connections are kept, and new ones use the new certificates. If a file cannot be loaded,
+// for example while it is being replaced, the previous certificates stay in use. Where TLS is configured,
+// plain text is neither sent nor accepted.
 package tlsconfig
 
 import (
@@ -18,15 +19,15 @@
 	pb "dewlift/proto"
 )
 
-// reloadCheckInterval is the least time between two checks whether the files have changed.
+// reloadCheckInterval is the shortest time between two checks for changed files.
 const reloadCheckInterval = time.Second
 
-// Files are the certificates and keys of a controller. A nil *Files has none: all is in plain text.
+// Files are the certificates and keys of a controller. With a nil *Files, all connections use plain text.
 type Files struct {
-	serverCerts, meshCerts *certReloader // nil: plain text
+	serverCerts, meshCerts *certReloader // nil means plain text
 }
 
-// Load reads a file of settings and all files that it names. An error is one line.
+// Load reads a file with TLS settings and all files that it names. Its errors have one line.
 func Load(path string, log *slog.Logger) (*Files, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -55,8 +56,8 @@
 	return files, nil
 }
 
-// ServerConfig returns the configuration of the listener for users and agents; nil: plain text. Clients may
-// prove who they are by a certificate.
+// ServerConfig returns the configuration of the listener for users and agents, or nil for plain text. If the
+// settings name authorities of users, clients may authenticate with a certificate.
 func (f *Files) ServerConfig() *tls.Config {
 	if f == nil || f.serverCerts == nil {
 		return nil
@@ -78,7 +79,7 @@
 	}
 }
 
-// MeshServerConfig returns the configuration for streams from other controllers; nil: plain text.
+// MeshServerConfig returns the configuration for streams from other controllers, or nil for plain text.
 func (f *Files) MeshServerConfig() *tls.Config {
 	if f == nil || f.meshCerts == nil {
 		return nil
@@ -99,7 +100,7 @@
 	}
 }
 
-// MeshClientConfig returns the configuration for a stream to another controller; nil: plain text.
+// MeshClientConfig returns the configuration for a stream to another controller, or nil for plain text.
 func (f *Files) MeshClientConfig(peer string) *tls.Config {
 	if f == nil || f.meshCerts == nil {
 		return nil
@@ -113,25 +114,25 @@
 	}
 }
 
-// certReloader holds a certificate with its key and the authorities of the other side, and reloads them
-// when a file changes.
+// certReloader holds a certificate with its key and the authorities trusted for peer certificates. It
+// reloads them when a file changes.
 type certReloader struct {
 	certFile, keyFile string
-	authoritiesFile   string // "": none
+	authoritiesFile   string // empty if there is none
 	log               *slog.Logger
-	mu                sync.Mutex // of the rest
+	mu                sync.Mutex // guards the fields below
 	loaded            certSet
 	lastCheck         time.Time
 	versions          [3]fileVersion
 }
 
-// certSet is what the files hold.
+// certSet holds the contents of the files.
 type certSet struct {
 	cert   tls.Certificate
-	caPool *x509.CertPool // nil: no authorities
+	caPool *x509.CertPool // nil if there is no authorities file
 }
 
-// fileVersion tells a replaced file from the one before.
+// fileVersion identifies a version of a file, to detect that the file was replaced.
 type fileVersion struct {
 	modTime time.Time
 	size    int64
@@ -142,14 +143,14 @@
 		return nil, errors.New("certificate or key is missing")
 	}
 	r := &certReloader{certFile: certFile, keyFile: keyFile, authoritiesFile: authoritiesFile, log: log}
-	// Before the files are read: one replaced in between is read again.
+	// Read the versions before the files, so that a file that is replaced in between is reloaded.
 	r.versions, r.lastCheck = r.fileVersions(), time.Now()
 	var err error
 	r.loaded, err = r.loadFiles()
 	return r, err
 }
 
-// fileVersions returns the versions of the files; one that cannot be read has the zero version.
+// fileVersions returns the versions of the files. It is zero for a file that cannot be read.
 func (r *certReloader) fileVersions() (versions [3]fileVersion) {
 	for i, name := range [...]string{r.certFile, r.keyFile, r.authoritiesFile} {
 		if info, err := os.Stat(name); err == nil {
@@ -179,7 +180,8 @@
 	return certs, nil
 }
 
-// currentCerts returns what the files hold, or held when they could last be loaded.
+// currentCerts returns the certificates of the last successful load. It first reloads the files if they have
+// changed.
 func (r *certReloader) currentCerts() certSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,7 +195,7 @@
 	}
 	certs, err := r.loadFiles()
 	if err != nil {
-		r.log.Error("certificates not reloaded", "err", err)
+		r.log.Error("failed to reload certificates", "err", err)
 		return r.loaded
 	}
 	r.loaded, r.versions = certs, versions
--- a/tlsconfig/tlsconfig_test.go
+++ b/tlsconfig/tlsconfig_test.go
@@ -17,7 +17,7 @@
 	"dewlift/internal/testcert"
 )
 
-// loadFromText loads a file of settings with this text.
+// loadFromText loads TLS settings from a temporary file with this text.
 func loadFromText(t *testing.T, text string) (*Files, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tls")
@@ -27,8 +27,8 @@
 	return Load(path, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// No request may fail while a certificate is being replaced: a half-written file changes nothing, new
-// connections show the new certificate and open ones stay. Plain text is never served.
+// No request may fail while a certificate is being replaced: a partially written file must not be used, new
+// connections must get the new certificate and open ones must stay usable. Plain text must never be served.
 func TestCertificateReloadDropsNoRequests(t *testing.T) {
 	first, second := testcert.New(t), testcert.New(t)
 	dir := t.TempDir()
@@ -45,7 +45,7 @@
 	srv := &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }),
 	}
-	go func() { _ = srv.Serve(tls.NewListener(inner, files.ServerConfig())) }() // ends with the test
+	go func() { _ = srv.Serve(tls.NewListener(inner, files.ServerConfig())) }() // ends when the test closes srv
 	t.Cleanup(func() { _ = srv.Close() })
 	oldClient, newClient := clientTrusting(t, first.CertFile), clientTrusting(t, second.CertFile)
 	get := func(client *http.Client) error { return getOnce(client, "https://"+inner.Addr().String()) }
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if err := get(newClient); err == nil {
-		t.Fatal("another authority is trusted")
+		t.Fatal("a client that trusts only another authority accepted the certificate")
 	}
 	makeCheckDue := func() {
 		files.serverCerts.mu.Lock()
@@ -65,15 +65,15 @@
 	}
 	makeCheckDue()
 	if err := get(clientTrusting(t, first.CertFile)); err != nil {
-		t.Errorf("while the files are replaced: %v", err)
+		t.Errorf("request while the files are being replaced: %v", err)
 	}
 	second.Issue(t, "n0", cert, key)
 	makeCheckDue()
 	if err := get(newClient); err != nil {
-		t.Errorf("after: %v", err)
+		t.Errorf("request after the replacement: %v", err)
 	}
 	if err := get(oldClient); err != nil { // over its open connection
-		t.Errorf("an open connection: %v", err)
+		t.Errorf("request over an open connection: %v", err)
 	}
 	checkNoPlainText(t, inner.Addr().String())
 }
@@ -93,7 +93,7 @@
 	}
 }
 
-// getOnce makes a request and reads the whole response, so that the connection can be used again.
+// getOnce sends a request and reads the whole response, so that the connection can be reused.
 func getOnce(client *http.Client, url string) error {
 	resp, err := client.Get(url)
 	if err != nil {
@@ -115,12 +115,12 @@
 	if _, err := io.WriteString(conn, "GET / HTTP/1.0\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if raw, _ := io.ReadAll(conn); strings.Contains(string(raw), "\nok") { // an error is as good as an end
+	if raw, _ := io.ReadAll(conn); strings.Contains(string(raw), "\nok") { // a read error is fine
 		t.Errorf("plain text was served: %q", raw)
 	}
 }
 
-// A bad file must be refused with one line that names the fault, and an empty one means plain text.
+// An invalid file must be rejected with a one-line error that names the fault, and an empty one means plain text.
 func TestBadFilesGiveOneLineErrors(t *testing.T) {
 	authority := testcert.New(t)
 	dir := t.TempDir()
@@ -141,6 +141,6 @@
 	files, err := loadFromText(t, "")
 	if err != nil || files.ServerConfig() != nil || files.MeshServerConfig() != nil ||
 		files.MeshClientConfig("n1") != nil {
-		t.Errorf("nothing set: %v", err)
+		t.Errorf("empty file: %v", err)
 	}
 }
