--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and validates the platform's settings file and the operators' own settings. It
-// decides no defaults: those are in proto/tuning.proto.
+// Package settings reads and validates the platform's settings file and the operators' settings. The defaults
+// of the latter are in proto/tuning.proto.
 package settings
 
 import (
@@ -19,14 +19,14 @@
 	pb "dewlift/proto"
 )
 
-// Peer is another controller.
+// Peer identifies another controller.
 type Peer struct {
 	Name string `json:"node_name"`
 	Zone string `json:"zone"`
 	Addr string `json:"endpoint"`
 }
 
-// Team is a team with its quotas: what is reserved for it and its maximum; 0 means none.
+// Team is a team with its reserved resources and its maximum. 0 means that there is none.
 type Team struct {
 	Name         string  `json:"name"`
 	ReservedCPUs float64 `json:"cpus"`
@@ -35,7 +35,7 @@
 	MaxGPUs      float64 `json:"gpus_max"`
 }
 
-// Objective is a service-level objective that the users stated.
+// Objective is a service-level objective of the users.
 type Objective struct {
 	Kind        string  `json:"kind"`
 	Class       string  `json:"class"`
@@ -44,7 +44,7 @@
 	TargetShare float64 `json:"share"`
 }
 
-// NextStoreLimits are the announced limits of the key-value store; nil means as they are now.
+// NextStoreLimits are the announced limits of the key-value store. A nil limit stays as it is.
 type NextStoreLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -93,7 +93,7 @@
 	} `json:"cluster"`
 }
 
-// LoadPlatform reads and checks the platform's settings file.
+// LoadPlatform reads and validates the platform's settings file.
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -109,14 +109,15 @@
 	return platform, nil
 }
 
-// DurationFromSeconds converts a number of seconds, as the platform writes durations.
+// DurationFromSeconds converts a number of seconds, the platform's unit of durations, to a Duration.
 func DurationFromSeconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
 const (
-	// minTxnOps is the least number of writes that the store must allow in a transaction: a claim of
-	// leadership raises the fencing token, and starts of a team with a maximum write its key.
+	// minTxnOps is the smallest transaction limit of the store, in writes, with which the controller works: a
+	// claim of leadership also raises the fencing token, and task starts of a team with a maximum also write
+	// the team's key.
 	minTxnOps = 2
-	// maxNumber is the largest number that is accepted in the platform's settings.
+	// maxPlatformNumber is the largest valid number in the platform's settings.
 	maxPlatformNumber = 1e9
 )
 
@@ -134,7 +135,7 @@
 	return p.validateTeams()
 }
 
-// validateAddrs checks names and addresses, this controller's and its peers'.
+// validateAddrs checks the names and addresses of this controller, its peers and the services.
 func (p *Platform) validateAddrs() error {
 	if p.Name == "" {
 		return errors.New("node_name is missing")
@@ -148,7 +149,7 @@
 	used := map[string]bool{p.Name: true}
 	for i, peer := range p.Peers {
 		if peer.Name == "" || used[peer.Name] {
-			return fmt.Errorf("peers[%d]: node_name is missing or used twice", i)
+			return fmt.Errorf("peers[%d]: node_name is missing or not unique", i)
 		}
 		used[peer.Name] = true
 		addrs = append(addrs, struct{ field, addr string }{fmt.Sprintf("peers[%d].endpoint", i), peer.Addr})
@@ -161,7 +162,8 @@
 	return nil
 }
 
-// validateNumbers checks the numbers that must be positive, and that cancellations have enough time.
+// validateNumbers checks the numbers that must be positive, and that the cancellation deadline exceeds the
+// agents' lease by enough.
 func (p *Platform) validateNumbers() error {
 	cluster := &p.Cluster
 	for _, number := range []struct {
@@ -178,7 +180,7 @@
 		{"quota.mem_mb", cluster.Quota.MemMB},
 	} {
 		if !isPositive(number.value) {
-			return fmt.Errorf("cluster.%s must be greater than 0", number.field)
+			return fmt.Errorf("cluster.%s must be greater than 0 and at most 1e9", number.field)
 		}
 	}
 	staleness := quorum.MaxStaleness(
@@ -187,8 +189,8 @@
 	)
 	if staleness < quorum.MinUsableStaleness {
 		return fmt.Errorf(
-			"cluster.workers.cancel_s is too little above lease_s (%v and %v): "+
-				"a task could outlive its cancellation in an outage; some 6 s more are needed",
+			"cluster.workers.cancel_s must exceed lease_s by about 6 s (they are %v and %v): "+
+				"otherwise a task could outlive its cancellation in an outage",
 			cluster.Workers.CancelDeadlineS,
 			cluster.Workers.AgentLeaseS,
 		)
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// validateStoreLimits checks the limits of the store that are in force and those announced.
+// validateStoreLimits checks the current and the announced limits of the store.
 func (p *Platform) validateStoreLimits() error {
 	if p.Cluster.State.TxnOps < minTxnOps {
 		return fmt.Errorf("cluster.state.txn_ops must be at least %d", minTxnOps)
@@ -207,7 +209,7 @@
 		value *float64
 	}{{"rps", next.RPS}, {"write_rps", next.WriteRPS}, {"value_kb", next.ValueKB}} {
 		if number.value != nil && !isPositive(*number.value) {
-			return fmt.Errorf("cluster.state.next.%s must be greater than 0", number.field)
+			return fmt.Errorf("cluster.state.next.%s must be greater than 0 and at most 1e9", number.field)
 		}
 	}
 	if next.TxnOps != nil && *next.TxnOps < minTxnOps {
@@ -216,27 +218,27 @@
 	return nil
 }
 
-// validateTeams checks the teams' names and quotas.
+// validateTeams checks the names and quotas of the teams.
 func (p *Platform) validateTeams() error {
 	used := map[string]bool{}
 	for i, team := range p.Cluster.Teams {
 		if team.Name == "" || used[team.Name] {
-			return fmt.Errorf("cluster.teams[%d]: name is missing or used twice", i)
+			return fmt.Errorf("cluster.teams[%d]: name is missing or not unique", i)
 		}
 		used[team.Name] = true
 		for _, v := range []float64{team.ReservedCPUs, team.MaxCPUs, team.ReservedGPUs, team.MaxGPUs} {
 			if !(v >= 0) || v > maxPlatformNumber {
-				return fmt.Errorf("cluster.teams[%d]: an amount is out of range", i)
+				return fmt.Errorf("cluster.teams[%d]: a quota is not from 0 to 1e9", i)
 			}
 		}
 	}
 	return nil
 }
 
-// isPositive is false for NaN too.
+// isPositive reports whether v is greater than 0 and at most maxPlatformNumber. It is false for NaN.
 func isPositive(v float64) bool { return v > 0 && v <= maxPlatformNumber }
 
-// Setting is one of the operators' own settings, as proto/tuning.proto describes it: a field of pb.Tuning.
+// Setting is one of the operators' settings: a field of pb.Tuning with its description in proto/tuning.proto.
 type Setting struct {
 	Name       string
 	Kind       protoreflect.Kind // bool, uint32 or double
@@ -244,13 +246,13 @@
 	descriptor protoreflect.FieldDescriptor
 }
 
-// OperatorSettings lists the operators' own settings, in the order of their descriptions.
+// OperatorSettings lists the operators' settings in the order of proto/tuning.proto.
 func OperatorSettings() []Setting {
 	fields := (&pb.Tuning{}).ProtoReflect().Descriptor().Fields()
 	out := make([]Setting, fields.Len())
 	for i := range out {
 		f := fields.Get(i)
-		// Without a description its range is empty, which a test finds.
+		// A field without a description has an empty range, which TestEverySettingIsDescribed detects.
 		about, _ := protobuf.GetExtension(f.Options(), pb.E_About).(*pb.About)
 		out[i] = Setting{Name: string(f.Name()), Kind: f.Kind(), About: about, descriptor: f}
 	}
@@ -268,10 +270,10 @@
 	return protoreflect.ValueOfFloat64(v)
 }
 
-// Default returns the default value as it is written in a file.
+// Default returns the default value in protobuf text format.
 func (s *Setting) Default() string { return s.protoValue(s.About.Is).String() }
 
-// DefaultTuning returns the tuning that has every default.
+// DefaultTuning returns the operators' settings with their default values.
 func DefaultTuning() *pb.Tuning {
 	tuning := &pb.Tuning{}
 	for _, s := range OperatorSettings() {
@@ -280,7 +282,7 @@
 	return tuning
 }
 
-// AuditedValues returns all settings by name, as the audit log records them.
+// AuditedValues returns the platform's and the operators' settings by name, as the audit log records them.
 func AuditedValues(platform *Platform, tuning *pb.Tuning) map[string]string {
 	out := map[string]string{}
 	tuning.ProtoReflect().Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
@@ -293,13 +295,13 @@
 		err = json.Unmarshal(raw, &tree)
 	}
 	if err != nil {
-		panic(err) // impossible: it was read from JSON
+		panic(err) // unreachable: the settings were decoded from JSON
 	}
 	flattenJSON("", tree, out)
 	return out
 }
 
-// flattenJSON adds the leaves of decoded JSON to out, by their paths.
+// flattenJSON adds the leaf values of decoded JSON to out, keyed by their paths.
 func flattenJSON(path string, v any, out map[string]string) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -316,7 +318,8 @@
 	}
 }
 
-// LoadTuning reads the operators' settings over the defaults; without a path it returns the defaults.
+// LoadTuning reads the operators' settings from a file and uses the defaults for those that it does not set. With
+// an empty path it returns the defaults.
 func LoadTuning(path string) (*pb.Tuning, error) {
 	tuning := DefaultTuning()
 	if path == "" {
@@ -337,7 +340,7 @@
 	return tuning, nil
 }
 
-// ValidateTuning returns an error that names the first invalid value.
+// ValidateTuning returns an error that names the first invalid setting.
 func ValidateTuning(tuning *pb.Tuning) error {
 	for _, s := range OperatorSettings() {
 		value := tuning.ProtoReflect().Get(s.descriptor)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -23,7 +23,7 @@
 "cluster":{"teams":[{"name":"t","cpus_max":4.0}],"workers":{"report_s":3.0,"lease_s":30.0,"cancel_s":60.0},
 "state":{"rps":60.0,"write_rps":20.0,"value_kb":8.0,"txn_ops":12},"cloud":{"rps":4.0},"quota":{"mem_mb":179.0}}}`
 
-// An invalid file must be refused with one line that names the field.
+// An invalid file must be rejected with a one-line error that names the field.
 func TestPlatformSettings(t *testing.T) {
 	if _, err := LoadPlatform(writeTempFile(t, validPlatform)); err != nil {
 		t.Fatal(err)
@@ -45,7 +45,8 @@
 	}
 }
 
-// A setting without a description, or whose default is out of its range, could not be operated.
+// Every setting needs a description and a range that contains its default. Otherwise operators could not know
+// how to use it, or the default would fail validation.
 func TestEverySettingIsDescribed(t *testing.T) {
 	for _, s := range OperatorSettings() {
 		about := s.About
@@ -57,7 +58,7 @@
 	}
 }
 
-// Tuning must keep the defaults of what it does not name, and name what is invalid.
+// Settings that a file does not set must keep their defaults, and the error for an invalid one must name it.
 func TestTuning(t *testing.T) {
 	if err := ValidateTuning(DefaultTuning()); err != nil {
 		t.Fatal(err)
