--- a/wire/agent.go
+++ b/wire/agent.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// TaskStatus is the state of a task as an agent reports it.
+// TaskStatus is the state of a task in an agent's heartbeat.
 type TaskStatus struct {
 	Task         string `json:"piece"`
 	Attempt      uint64 `json:"try"`
@@ -15,7 +15,7 @@
 	Checkpointed bool   `json:"kept,omitempty"`
 }
 
-// Stages of a task.
+// Stages of a task on its machine.
 const (
 	TaskPullingImage  = "pulling"
 	TaskRunning       = "running"
@@ -33,16 +33,16 @@
 	CauseNoSuchTask = "no_such"
 )
 
-// Heartbeat is an agent's heartbeat with the status of its machine and of all tasks on it.
+// Heartbeat is an agent's heartbeat. It describes the machine and the status of all tasks on it.
 type Heartbeat struct {
 	Machine             string       `json:"hearth"`
 	Addr                string       `json:"address"`
 	Type                string       `json:"kiln"`
 	Zone                string       `json:"yard"`
 	Spot                bool         `json:"borrowed"`
-	Incarnation         uint64       `json:"shift"` // of the agent; a restarted one has another
+	Incarnation         uint64       `json:"shift"` // of the agent; changes when it restarts
 	Sequence            uint64       `json:"tally"`
-	FencingToken        uint64       `json:"baton"` // the highest that the agent knows
+	FencingToken        uint64       `json:"baton"` // highest that the agent knows
 	InterruptionNoticeS *float64     `json:"recall_s"`
 	Tasks               []TaskStatus `json:"pieces"`
 }
@@ -70,7 +70,7 @@
 	return &heartbeat, nil
 }
 
-// Operations of a command.
+// Operations of commands to agents.
 const (
 	OpStart = "start"
 	OpStop  = "stop"
@@ -82,18 +82,18 @@
 	Op           string   `json:"order"`
 	Task         string   `json:"piece"`
 	Attempt      uint64   `json:"try"`
-	GracePeriodS *float64 `json:"damp_s,omitempty"` // of a stop: time to checkpoint
+	GracePeriodS *float64 `json:"damp_s,omitempty"` // time to checkpoint before a stop
 }
 
-// HeartbeatResponse answers a heartbeat.
+// HeartbeatResponse is the response to a heartbeat, with commands to the agent.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"orders"`
 }
 
-// CommandBatch is sent to an agent without waiting for its next heartbeat.
+// CommandBatch holds commands that are sent to an agent without waiting for its next heartbeat.
 type CommandBatch struct {
 	FencingToken uint64    `json:"baton"`
-	Incarnation  uint64    `json:"shift"` // that the commands are meant for
+	Incarnation  uint64    `json:"shift"` // of the agent that the commands are for
 	Commands     []Command `json:"orders"`
 }
--- a/wire/audit.go
+++ b/wire/audit.go
@@ -14,13 +14,13 @@
 	Heads []AuditChainHead `json:"heads"`
 }
 
-// AuditBlock is a block as it is stored.
+// AuditBlock is a block of the audit log in its stored form.
 type AuditBlock struct {
 	Number uint64          `json:"number"`
 	Value  json.RawMessage `json:"value"`
 }
 
-// AuditPage is a page of a chain.
+// AuditPage is a page of the blocks of a chain.
 type AuditPage struct {
 	Blocks []AuditBlock `json:"blocks"`
 	More   bool         `json:"more"`
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,6 +1,6 @@
 package wire
 
-// MachineType is an entry of the cloud's catalog.
+// MachineType is a machine type in the cloud's catalog.
 type MachineType struct {
 	Name            string   `json:"sku"`
 	CPUs            float64  `json:"cpus"`
@@ -14,17 +14,17 @@
 	Zones           []string `json:"yards"`
 }
 
-// Catalog lists the machine types.
+// Catalog lists the machine types that the cloud offers.
 type Catalog struct {
 	Types []MachineType `json:"kilns"`
 }
 
-// Capacity returns the resources of an empty machine of this type: milli-CPUs, milli-GPUs, MB.
+// Capacity returns the resources of an empty machine of this type in milli-CPUs, milli-GPUs and MB.
 func (t *MachineType) Capacity() [3]int64 {
 	return [3]int64{int64(t.CPUs * 1000), int64(t.GPUs * 1000), int64(t.MemoryGB * 1000)}
 }
 
-// ScaleOutRequest asks the cloud for machines.
+// ScaleOutRequest requests machines from the cloud.
 type ScaleOutRequest struct {
 	IdempotencyKey string `json:"hire"`
 	Type           string `json:"kiln"`
@@ -33,19 +33,19 @@
 	Count          int    `json:"how_many"`
 }
 
-// MachineNames lists machines by name, in answers to a scale-out and in scale-ins.
+// MachineNames lists machines by name, in the response to a scale-out and in the request for a scale-in.
 type MachineNames struct {
 	Machines []string `json:"hearths"`
 }
 
-// Stages of a machine as the cloud lists them.
+// Stages of a machine in the cloud's list of machines.
 const (
 	MachineBooting = "starting"
 	MachineRunning = "running"
 	MachineFailed  = "failed"
 )
 
-// Machine is an entry of the cloud's list of machines.
+// Machine is a machine in the cloud's list.
 type Machine struct {
 	Name  string  `json:"uid"`
 	Addr  string  `json:"address"`
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,9 +1,9 @@
-// Package wire defines the messages exchanged with users, agents, the cloud and the key-value store,
-// and validates what comes from outside. It is the only package that knows the themed names of the
-// platform's interfaces; everything else uses the terms of cluster schedulers. It owns no state and
-// decides nothing: no I/O, no clocks.
+// Package wire defines the messages exchanged with users, agents, the cloud and the key-value store, and
+// validates incoming ones. It is the only package that knows the names in the platform's interfaces; all
+// other packages use the standard terms of cluster schedulers. It has no state, makes no scheduling
+// decisions, does no I/O and reads no clocks.
 //
-// The names on the wire are fixed by the platform. They map to terms as follows:
+// The platform defines the wire names. They correspond to these terms:
 //
 //	wire name     term                       where
 //	uid           id                         Submission, JobState, Machine, QueuedJob
--- a/wire/job.go
+++ b/wire/job.go
@@ -20,14 +20,14 @@
 	MaxTasksPerJob = 100_000
 
 	maxNameBytes    = 200 // of a class, team, image, zone or machine type
-	maxMachineTypes = 50  // that a job may name
+	maxMachineTypes = 50  // per job
 	maxAmount       = 1e9 // of a resource or of seconds
 	jobIDPrefix     = "wk-"
 	minJobIDBytes   = 4
 	maxJobIDBytes   = 80
 )
 
-// Submission is a job as users submit it. Fields are pointers to tell a missing one from a zero.
+// Submission is a job as users submit it. Fields are pointers to distinguish a missing value from zero.
 type Submission struct {
 	ID                 *string  `json:"uid"`
 	Class              *string  `json:"ware"`
@@ -58,16 +58,16 @@
 	kindService = "daemon"
 )
 
-// priorities are the names of all priorities, most important first; a job's priority is an index into it.
+// priorities are the names of all priorities, highest first. A job's priority is an index into this list.
 var priorities = []string{"critical", "high", "standard", "idle"}
 
-// PriorityStandard is the index of the priority that needs no permission of its own.
+// PriorityStandard is the index of the highest priority that requires no extra permission.
 const PriorityStandard = 2
 
-// PriorityLowest is the index of the least important priority.
+// PriorityLowest is the index of the lowest priority.
 const PriorityLowest = 3
 
-// Priority returns the index of a priority's name; 0 is the most important.
+// Priority returns the index of the priority with this name. 0 is the highest priority.
 func Priority(name string) (int, bool) {
 	i := slices.Index(priorities, name)
 	return i, i >= 0
@@ -76,7 +76,7 @@
 // PriorityName returns the name of the priority with index i.
 func PriorityName(i int) string { return priorities[i] }
 
-// JobSpec is a valid job. Resources are in thousandths. Its tags are the stored form of a job.
+// JobSpec is a validated job, with resources in thousandths. Its JSON tags define the stored form of a job.
 type JobSpec struct {
 	ID                 string   `json:"-"`
 	Class              string   `json:"cl,omitempty"`
@@ -95,7 +95,7 @@
 	CheckpointTimeMS   int64    `json:"sa,omitempty"`
 	DeadlineMS         int64    `json:"dl,omitempty"`
 	CanCheckpoint      bool     `json:"cp,omitempty"`
-	Dependencies       []string `json:"aw,omitempty"` // ids of jobs that must be done first, sorted
+	Dependencies       []string `json:"aw,omitempty"` // sorted ids of the jobs that must be done before this one
 }
 
 // ValidJobID reports whether s has the syntax of a job id.
@@ -115,7 +115,7 @@
 	return r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '-' || r == '_'
 }
 
-// PeekJobID returns the job id of a body that may be invalid otherwise, or "" if it has no valid one.
+// PeekJobID returns the job id in a body that may otherwise be invalid, or "" if it has no valid id.
 func PeekJobID(body []byte) string {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(body, &fields) != nil {
@@ -128,7 +128,7 @@
 	return id
 }
 
-// ParseSubmission decodes and validates a submitted body.
+// ParseSubmission decodes and validates the body of a submission.
 func ParseSubmission(body []byte) (JobSpec, error) {
 	trimmed := bytes.TrimSpace(body)
 	if len(trimmed) == 0 || trimmed[0] != '{' {
@@ -144,7 +144,7 @@
 	return submission.spec(), nil
 }
 
-// fieldLimit describes the limit of a field of a submission, for an error; "" if it has none.
+// fieldLimit describes the limit of a submission's field for an error message. It is "" if there is none.
 func fieldLimit(field string) string {
 	switch field {
 	case "uid", "awaits":
@@ -183,7 +183,7 @@
 	return ""
 }
 
-// invalidIdentity checks what the job is and whose.
+// invalidIdentity checks the job's id, class, team, kind, priority and number of tasks.
 func (s *Submission) invalidIdentity() string {
 	if s.ID == nil || !ValidJobID(*s.ID) {
 		return "uid"
@@ -209,7 +209,7 @@
 	return ""
 }
 
-// invalidAmount checks resources and durations.
+// invalidAmount checks the resources and durations.
 func (s *Submission) invalidAmount() string {
 	for _, amount := range []struct {
 		field string
@@ -233,7 +233,7 @@
 	return ""
 }
 
-// invalidPlacement checks the image and on which machines the job may run.
+// invalidPlacement checks the image and the placement constraints.
 func (s *Submission) invalidPlacement() string {
 	if s.Image == nil || len(*s.Image) > maxNameBytes {
 		return "mould"
@@ -255,10 +255,10 @@
 	return ""
 }
 
-// ValidTeam reports whether a team may have a name.
+// ValidTeam reports whether name is valid as the name of a team.
 func ValidTeam(name string) bool { return len(name) <= maxNameBytes && utf8.ValidString(name) }
 
-// TeamLimit describes the names that a team may have, for an error.
+// TeamLimit describes the valid names of a team for an error message.
 func TeamLimit() string { return fmt.Sprintf("valid UTF-8 of at most %d bytes", maxNameBytes) }
 
 func validName(name *string) bool { return name != nil && *name != "" && len(*name) <= maxNameBytes }
@@ -267,7 +267,7 @@
 
 // spec converts a valid submission. It sorts the submission's dependencies in place.
 func (s *Submission) spec() JobSpec {
-	priority, _ := Priority(*s.Priority) // known: invalidIdentity checked it
+	priority, _ := Priority(*s.Priority) // invalidIdentity has checked that it is known
 	slices.Sort(s.Dependencies)
 	spec := JobSpec{
 		ID:                 *s.ID,
@@ -291,15 +291,15 @@
 		spec.Zone = *s.Zone
 	}
 	if s.Deadline != nil {
-		spec.DeadlineMS = max(1, toThousandths(*s.Deadline)) // 0 means that there is none
+		spec.DeadlineMS = max(1, toThousandths(*s.Deadline)) // 0 means no deadline
 	}
 	return spec
 }
 
-// toThousandths rounds an amount up to whole thousandths, except for the error of its binary form.
+// toThousandths converts an amount to thousandths and rounds up, with a tolerance for floating-point errors.
 func toThousandths(v float64) int64 { return int64(math.Ceil(v*1000 - 1e-6)) }
 
-// Stages of a job as users see them.
+// Stages of a job in responses to users.
 const (
 	StageQueued    = "queued"
 	StageRunning   = "running"
@@ -307,17 +307,18 @@
 	StageCancelled = "cancelled"
 )
 
-// JobState answers a query of a job. The fields after Running are extensions of the platform's interface.
+// JobState is the state of a job in responses to users. The fields after Running are extensions of the
+// platform's interface.
 type JobState struct {
 	ID              string     `json:"uid"`
 	Stage           string     `json:"stage"`
 	Done            int        `json:"done"`
 	Running         int        `json:"running"`
 	TaskStops       []TaskStop `json:"reasons,omitempty"`
-	Note            string     `json:"note,omitempty"`         // what its user should know, in plain words
-	Dependencies    []string   `json:"awaits,omitempty"`       // the first of those that are not done
-	DependencyCount int        `json:"awaits_count,omitempty"` // all of those that are not done
-	CancelledBy     string     `json:"cancelled_by,omitempty"` // job whose end cancelled this one
+	Note            string     `json:"note,omitempty"`         // explanation for the user
+	Dependencies    []string   `json:"awaits,omitempty"`       // the first dependencies that are not done
+	DependencyCount int        `json:"awaits_count,omitempty"` // number of all dependencies that are not done
+	CancelledBy     string     `json:"cancelled_by,omitempty"` // job because of whose end this one was cancelled
 }
 
 // TaskStop says why a task stopped.
@@ -328,12 +329,12 @@
 	AtMS    int64  `json:"at_ms"`
 }
 
-// Error is the body of a refusal.
+// Error is the body of an error response.
 type Error struct {
 	Error string `json:"error"`
 }
 
-// SplitTaskName parses a task name into the id of its job and the index of the task.
+// SplitTaskName splits a task name into the id of its job and the index of the task.
 func SplitTaskName(s string) (job string, task int, ok bool) {
 	i := strings.LastIndexByte(s, '/')
 	if i < 0 || !ValidJobID(s[:i]) {
@@ -346,5 +347,5 @@
 	return s[:i], n, true
 }
 
-// TaskName returns the name of a task on the wire.
+// TaskName returns the wire name of a task.
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
--- a/wire/job_test.go
+++ b/wire/job_test.go
@@ -22,8 +22,8 @@
 	return raw
 }
 
-// A text at its limit is taken, one beyond it is refused with the name of the field and its limit, whatever the length
-// of its characters; before, the message named the field alone.
+// A text of the maximum length is accepted, and a longer one is rejected with an error that names the field and its
+// limit, whether its characters have one byte or several. The error used to name only the field.
 func TestTextFieldLengthLimits(t *testing.T) {
 	for _, field := range []string{"ware", "crew", "yard", "mould"} {
 		for _, character := range []string{"a", "é", "窯", "🏺", "\x00"} {
@@ -37,7 +37,7 @@
 				if err == nil {
 					continue
 				}
-				if message := err.Error(); !strings.Contains(message, field) || !strings.Contains(message, "200 bytes") {
+				if got := err.Error(); !strings.Contains(got, field) || !strings.Contains(got, "200 bytes") {
 					t.Errorf("%s of %d bytes: the error names no limit: %v", field, length, err)
 				}
 			}
--- a/wire/permissions.go
+++ b/wire/permissions.go
@@ -1,27 +1,27 @@
 package wire
 
-// PermissionsEdit changes what an identity may do. Roles have the names of the permissions in force.
+// PermissionsEdit changes the permissions of an identity. Roles are named as in the current permissions.
 type PermissionsEdit struct {
 	GrantRoles   []string    `json:"grant_roles,omitempty"`
 	RevokeRoles  []string    `json:"revoke_roles,omitempty"`
 	AddKeys      []PublicKey `json:"add_keys,omitempty"`
 	RevokeKeys   []string    `json:"revoke_keys,omitempty"`
-	Service      bool        `json:"service,omitempty"`     // a new identity is a service, not a person
-	Certificate  *bool       `json:"certificate,omitempty"` // whether a certificate proves the identity
+	Service      bool        `json:"service,omitempty"`     // if the identity is created: it is a service, not a person
+	Certificate  *bool       `json:"certificate,omitempty"` // whether the identity may authenticate with a certificate
 	Delete       bool        `json:"delete,omitempty"`
-	CancelQueued bool        `json:"cancel_queued,omitempty"` // cancel its jobs that have not started
+	CancelQueued bool        `json:"cancel_queued,omitempty"` // cancel the identity's jobs that have not started
 }
 
-// PublicKey is a public key of an identity.
+// PublicKey is a public key of an identity, which verifies its tokens.
 type PublicKey struct {
 	ID      string `json:"id"`
 	Ed25519 string `json:"ed25519"`
 }
 
-// PermissionsEditResult answers a change of permissions.
+// PermissionsEditResult is the response to a change of permissions.
 type PermissionsEditResult struct {
 	Identity  string   `json:"who"`
-	Cancelled []string `json:"cancelled,omitempty"` // jobs that are being cancelled with it
+	Cancelled []string `json:"cancelled,omitempty"` // ids of the jobs that are being cancelled
 }
 
 // Permissions holds all permissions in protobuf text format.
--- a/wire/status.go
+++ b/wire/status.go
@@ -2,12 +2,12 @@
 
 import "net/http"
 
-// Status is the outcome of a request: the HTTP status of its answer, or StatusNoAnswer.
+// Status is the outcome of a request: the HTTP status of the response, or StatusNoAnswer.
 type Status int
 
-// The outcomes that the platform's services and this program answer with.
+// Outcomes of requests to the platform's services and to controllers.
 const (
-	// StatusNoAnswer means that no answer came: whether the request was executed is not known.
+	// StatusNoAnswer means that there was no response. It is unknown whether the request was executed.
 	StatusNoAnswer         Status = 0
 	StatusOK               Status = http.StatusOK
 	StatusCreated          Status = http.StatusCreated
@@ -25,8 +25,9 @@
 	StatusInternalError    Status = http.StatusInternalServerError
 )
 
-// OK reports whether the request was executed as asked.
+// OK reports whether the request succeeded.
 func (s Status) OK() bool { return s == StatusOK }
 
-// NotExecuted reports whether a service refused the request before it did any of it: it may be sent again as it is.
+// NotExecuted reports whether the service rejected the request without executing any of it, so that it is safe to
+// retry.
 func (s Status) NotExecuted() bool { return s == StatusTooManyRequests || s == StatusUnavailable }
