--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -211,11 +211,11 @@
 }
 
 // openChains opens the snapshot, if one is named, or the controller.
-func (f *auditFlags) openChains(me *clientIdentity) (auditChains, error) {
+func (f *auditFlags) openChains(identity *clientIdentity) (auditChains, error) {
 	if f.snapshotFile != "" {
 		return readSnapshotChains(f.snapshotFile)
 	}
-	return &liveChains{me, f.server}, nil
+	return &liveChains{identity, f.server}, nil
 }
 
 // chainHeads returns the heads of the selected chains.
@@ -269,12 +269,12 @@
 	return nil
 }
 
-// forEachAct calls do for all selected events, those of all chains merged by their times.
-func (f *auditFlags) forEachAct(ctx context.Context, me *clientIdentity, do func(*audit.Event) error) error {
+// forEachEvent calls do for all selected events, those of all chains merged by their times.
+func (f *auditFlags) forEachEvent(ctx context.Context, identity *clientIdentity, do func(*audit.Event) error) error {
 	if err := f.parseTimes(); err != nil {
 		return err
 	}
-	chains, err := f.openChains(me)
+	chains, err := f.openChains(identity)
 	if err != nil {
 		return err
 	}
@@ -319,9 +319,9 @@
 	return earliest, nil
 }
 
-func auditCommand(me *clientIdentity) *cobra.Command {
+func auditCommand(identity *clientIdentity) *cobra.Command {
 	cmd := &cobra.Command{Use: "audit", Short: "Read and verify the record of who did what"}
-	cmd.AddCommand(auditKeyCommand(), auditListCommand(me), auditVerifyCommand(me), auditReportCommand(me))
+	cmd.AddCommand(auditKeyCommand(), auditListCommand(identity), auditVerifyCommand(identity), auditReportCommand(identity))
 	return cmd
 }
 
@@ -338,7 +338,7 @@
 	}
 }
 
-func auditListCommand(me *clientIdentity) *cobra.Command {
+func auditListCommand(identity *clientIdentity) *cobra.Command {
 	var f auditFlags
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -348,11 +348,11 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			enc := json.NewEncoder(out)
-			return f.forEachAct(cmd.Context(), me, func(a *audit.Event) error {
+			return f.forEachEvent(cmd.Context(), identity, func(a *audit.Event) error {
 				if asJSON {
 					return enc.Encode(a)
 				}
-				return printAct(out, a)
+				return printEvent(out, a)
 			})
 		},
 	}
@@ -362,8 +362,8 @@
 	return cmd
 }
 
-// printAct prints an event in one line.
-func printAct(w io.Writer, event *audit.Event) error {
+// printEvent prints an event in one line.
+func printEvent(w io.Writer, event *audit.Event) error {
 	times, why := "", ""
 	if event.Count > 1 {
 		times = fmt.Sprintf(" (%d times)", event.Count)
@@ -376,10 +376,10 @@
 	return err
 }
 
-func auditVerifyCommand(me *clientIdentity) *cobra.Command {
+func auditVerifyCommand(identity *clientIdentity) *cobra.Command {
 	var f auditFlags
-	var keys []string
-	var known string
+	var keyFiles []string
+	var endsFile string
 	cmd := &cobra.Command{
 		Use: "verify", Short: "Check that no entry was altered, removed, added or moved", Args: cobra.NoArgs,
 		Long: "Check that no entry was altered, removed, added or moved since it was written. " +
@@ -389,42 +389,42 @@
 			"elsewhere and brought up to date by each good check.",
 		Example: "  dewlift audit verify --audit-key audit.key --ends ends.json --key admin.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if len(keys) == 0 {
+			if len(keyFiles) == 0 {
 				return errors.New("--audit-key is needed: without it nothing can be proven")
 			}
-			var loaded []audit.Key
-			for _, path := range keys {
+			var keys []audit.Key
+			for _, path := range keyFiles {
 				key, err := loadAuditKey(path)
 				if err != nil {
 					return err
 				}
-				loaded = append(loaded, key)
+				keys = append(keys, key)
 			}
-			chains, err := f.openChains(me)
+			chains, err := f.openChains(identity)
 			if err != nil {
 				return err
 			}
-			return f.verify(cmd, chains, loaded, known)
+			return f.verify(cmd, chains, keys, endsFile)
 		},
 	}
 	f.addSourceFlags(cmd)
 	cmd.Flags().
-		StringSliceVar(&keys, "audit-key", nil, "a key's file; repeated where controllers have their own, "+
+		StringSliceVar(&keyFiles, "audit-key", nil, "a key's file; repeated where controllers have their own, "+
 			"or the key was changed")
-	cmd.Flags().StringVar(&known, "ends", "", "the file of ends that were found before")
+	cmd.Flags().StringVar(&endsFile, "ends", "", "the file of ends that were found before")
 	return cmd
 }
 
 // chainEnd is the last block of a chain when it was verified; its tags are the form of the file of ends.
 type chainEnd struct {
 	Number uint64 `json:"number"`
-	Code   []byte `json:"code"`
+	MAC    []byte `json:"code"`
 }
 
 // verify verifies the selected chains, also against the ends found before, and saves the new ends. endsFile
 // may be "": none.
 func (f *auditFlags) verify(cmd *cobra.Command, chains auditChains, keys []audit.Key, endsFile string) error {
-	before, err := loadChainEnds(endsFile)
+	previousEnds, err := loadChainEnds(endsFile)
 	if err != nil {
 		return err
 	}
@@ -432,22 +432,22 @@
 	if err != nil {
 		return err
 	}
-	for node := range before { // a chain that was there and is gone must be noticed
+	for node := range previousEnds { // a chain that was there and is gone must be noticed
 		if f.node == "" && !slices.ContainsFunc(heads, func(h wire.AuditChainHead) bool { return h.Node == node }) {
 			heads = append(heads, wire.AuditChainHead{Node: node})
 		}
 	}
 	show, done := newProgress("verifying", -1)
 	defer done()
-	ends := maps.Clone(before)
+	ends := maps.Clone(previousEnds)
 	total := uint64(0)
 	for _, head := range heads {
 		known := map[uint64][]byte{} // codes of blocks by number, from other sources than the chain
 		if head.Code != nil {
 			known[head.BlockNumber] = head.Code
 		}
-		if end, ok := before[head.Node]; ok {
-			known[end.Number] = end.Code
+		if end, ok := previousEnds[head.Node]; ok {
+			known[end.Number] = end.MAC
 		}
 		verifier := &audit.ChainVerifier{Node: head.Node, Keys: keys}
 		progress := func() { show(int(total+verifier.EntryCount), -1) }
@@ -548,7 +548,7 @@
 	return nil
 }
 
-func auditReportCommand(me *clientIdentity) *cobra.Command {
+func auditReportCommand(identity *clientIdentity) *cobra.Command {
 	var f auditFlags
 	var file string
 	cmd := &cobra.Command{
@@ -564,7 +564,7 @@
 			}
 			page := &report.Report{Zone: f.location}
 			add := func(event *audit.Event) error { page.Add(event); return nil }
-			if err := f.forEachAct(cmd.Context(), me, add); err != nil {
+			if err := f.forEachEvent(cmd.Context(), identity, add); err != nil {
 				return err
 			}
 			out, err := os.Create(file)
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -177,10 +177,10 @@
 // lived on must be found, although the controller is killed amid the acts of a glaze technician, a visiting
 // potter, a packer who may reprint labels and not cancel a reroast, and a service. The log must verify, also as a
 // snapshot and where that was restored.
-func TestEveryActIsRecordedOverKills(t *testing.T) {
+func TestRequestsAreAuditedAcrossKills(t *testing.T) {
 	s := newTestSite(t)
 	s.start(s.addr)
-	script := &actScript{t: t, site: s, rng: rand.New(rand.NewPCG(14, 1)), deniedNow: map[act]uint32{}}
+	script := &requestScript{t: t, site: s, rng: rand.New(rand.NewPCG(14, 1)), deniedNow: map[expectedEvent]uint32{}}
 	for i := range 5 {
 		script.round(i)
 	}
@@ -201,31 +201,31 @@
 		t.Fatal(err)
 	}
 	s.start(restored)
-	checkRestoredLogGoesOn(t, s, saved)
+	checkRestoredLogContinues(t, s, saved)
 	s.stop()
 }
 
-// act is what the audit log must have of a request.
-type act struct {
+// expectedEvent is what the audit log must have of a request.
+type expectedEvent struct {
 	identity, verb, object string
 	denied                 bool
 }
 
-// actScript makes requests and kills the controller amid some of them.
-type actScript struct {
+// requestScript makes requests and kills the controller amid some of them.
+type requestScript struct {
 	t         *testing.T
 	site      *testSite
 	rng       *rand.Rand // the kills are the same in every run
-	acts      []act
-	deniedNow map[act]uint32 // denied by the controller that runs now
+	expected  []expectedEvent
+	deniedNow map[expectedEvent]uint32 // denied by the controller that runs now
 }
 
 // do makes a request until it is answered.
-func (a *actScript) do(caller, method, path string, body any, done act, want int) {
+func (a *requestScript) do(caller, method, path string, body any, expected expectedEvent, want int) {
 	a.t.Helper()
-	die, wait := a.rng.Float64() < 0.12, time.Duration(a.rng.Int64N(int64(25*time.Millisecond)))
+	kill, wait := a.rng.Float64() < 0.12, time.Duration(a.rng.Int64N(int64(25*time.Millisecond)))
 	for attempt := range 200 {
-		status := a.requestAmidKill(die && attempt == 0, wait, caller, method, path, body)
+		status := a.requestDuringKill(kill && attempt == 0, wait, caller, method, path, body)
 		if status == 0 || status == 503 || status == 500 || status == 429 {
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -233,17 +233,17 @@
 		if status != want && (want != 201 || status != 200) {
 			a.t.Fatalf("%s %s %s: %d, want %d", caller, method, path, status, want)
 		}
-		if done.denied {
-			a.deniedNow[done]++
+		if expected.denied {
+			a.deniedNow[expected]++
 		}
-		a.acts = append(a.acts, done)
+		a.expected = append(a.expected, expected)
 		return
 	}
 	a.t.Fatalf("%s %s %s: no answer", caller, method, path)
 }
 
-// requestAmidKill makes a request; with kill, the controller is killed meanwhile and started again.
-func (a *actScript) requestAmidKill(
+// requestDuringKill makes a request; with kill, the controller is killed meanwhile and started again.
+func (a *requestScript) requestDuringKill(
 	kill bool,
 	wait time.Duration,
 	caller, method, path string,
@@ -267,18 +267,18 @@
 }
 
 // round makes ten requests about new jobs and a new identity.
-func (a *actScript) round(i int) {
+func (a *requestScript) round(i int) {
 	a.t.Helper()
 	id := func(kind string) string { return fmt.Sprintf("wk-%s%d", kind, i) }
 	submit := func(caller, kind, class string, denied bool, want int) {
 		a.t.Helper()
 		body := fakes.JobRequest(id(kind), class)
-		a.do(caller, http.MethodPost, "/v1/jobs", body, act{caller, "submit", id(kind), denied}, want)
+		a.do(caller, http.MethodPost, "/v1/jobs", body, expectedEvent{caller, "submit", id(kind), denied}, want)
 	}
 	cancel := func(caller, kind string, denied bool, want int) {
 		a.t.Helper()
 		path := "/v1/jobs/" + id(kind) + "/withdraw"
-		a.do(caller, http.MethodPost, path, struct{}{}, act{caller, "cancel", id(kind), denied}, want)
+		a.do(caller, http.MethodPost, path, struct{}{}, expectedEvent{caller, "cancel", id(kind), denied}, want)
 	}
 	submit("anna", "fire", "firing", false, 201)
 	submit("potter", "plan", "plan", false, 201)
@@ -287,16 +287,16 @@
 	submit("pia", "label", "labels", false, 201)
 	cancel("pia", "roast", true, 403)
 	read := "/v1/jobs/" + id("fire")
-	a.do("potter", http.MethodGet, read, nil, act{"potter", "read", id("fire"), true}, 404)
-	a.do("nobody", http.MethodGet, read, nil, act{"", "GET", read, true}, 401)
+	a.do("potter", http.MethodGet, read, nil, expectedEvent{"potter", "read", id("fire"), true}, 404)
+	a.do("nobody", http.MethodGet, read, nil, expectedEvent{"", "GET", read, true}, 401)
 	cancel("anna", "fire", false, 200)
 	guest := fmt.Sprint("guest", i)
 	edit := wire.PermissionsEdit{GrantRoles: []string{"visitor"}}
-	a.do("root", http.MethodPost, "/v1/access/"+guest, edit, act{"root", "administer", guest, false}, 200)
+	a.do("root", http.MethodPost, "/v1/access/"+guest, edit, expectedEvent{"root", "administer", guest, false}, 200)
 }
 
 // checkRecorded waits until all acts are in the audit log as often as they must be.
-func (a *actScript) checkRecorded() {
+func (a *requestScript) checkRecorded() {
 	a.t.Helper()
 	missing := "nothing was listed"
 	defer func() {
@@ -306,13 +306,13 @@
 	}()
 	a.site.eventually("recorded", func() bool {
 		missing = ""
-		count, entries := map[act]uint32{}, map[act]int{}
+		count, entries := map[expectedEvent]uint32{}, map[expectedEvent]int{}
 		for _, event := range a.site.list() {
-			recorded := act{event.Identity, event.Verb, event.Object, event.Outcome == audit.OutcomeRefused}
+			recorded := expectedEvent{event.Identity, event.Verb, event.Object, event.Outcome == audit.OutcomeRefused}
 			count[recorded] += event.Count
 			entries[recorded]++
 		}
-		for _, done := range a.acts {
+		for _, done := range a.expected {
 			// A denial by a controller that was killed may be lost with it. A change of permissions that was
 			// requested twice is recorded twice.
 			if done.denied && count[done] < a.deniedNow[done] ||
@@ -379,9 +379,9 @@
 	}
 }
 
-// checkRestoredLogGoesOn checks that the chain of a restored site says so, continues the saved one without
+// checkRestoredLogContinues checks that the chain of a restored site says so, continues the saved one without
 // changing it, and verifies.
-func checkRestoredLogGoesOn(t *testing.T, s *testSite, saved string) {
+func checkRestoredLogContinues(t *testing.T, s *testSite, saved string) {
 	t.Helper()
 	s.eventually("recorded that it was restored", func() bool { return len(s.list("--verb", "restore")) == 1 })
 	if _, err := s.run("snapshot", "save", s.file("again"), "--share", "1"); err != nil {
@@ -464,15 +464,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := func(keys []*pb.Key) []*pb.Key { return keys }
+	unchanged := func(keys []*pb.Key) []*pb.Key { return keys }
 	verify := func(path string, more ...string) (string, error) {
 		return runCommand(append([]string{"audit", "verify", "--snapshot", path, "--audit-key", file}, more...)...)
 	}
-	if out, err := verify(savedAuditLog(t, key, whole), "--ends", ends); err != nil ||
+	if out, err := verify(savedAuditLog(t, key, unchanged), "--ends", ends); err != nil ||
 		out != "chain of n0: 3 blocks, 9 entries, whole\n" {
 		t.Fatalf("%q %v", out, err)
 	}
-	forger := audit.Key(slices.Repeat([]byte("x"), 32))
+	otherKey := audit.Key(slices.Repeat([]byte("x"), 32))
 	for name, x := range map[string]struct {
 		path, want string
 	}{
@@ -492,7 +492,7 @@
 			savedAuditLog(t, key, func([]*pb.Key) []*pb.Key { return nil }),
 			"chain of n0: block 1 and those behind it",
 		},
-		"made with another": {savedAuditLog(t, forger, whole), "chain of n0: block 1 is signed with another key"},
+		"made with another": {savedAuditLog(t, otherKey, unchanged), "chain of n0: block 1 is signed with another key"},
 	} {
 		_, err := verify(x.path, "--ends", ends)
 		if fault := (*audit.ChainError)(nil); !errors.As(err, &fault) || !strings.HasPrefix(err.Error(), x.want) {
@@ -509,7 +509,7 @@
 }
 
 // Days must be those of the calendar in a time zone, 23 or 25 hours long where clocks change.
-func TestListByCalendarDays(t *testing.T) {
+func TestAuditListByCalendarDays(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "audit.key")
 	if _, err := runCommand("audit", "key", file); err != nil {
 		t.Fatal(err)
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -45,7 +45,7 @@
 	running        sync.WaitGroup
 }
 
-func demoCommand(files *featureFiles, tuning *string) *cobra.Command {
+func demoCommand(files *featureFiles, tuningFile *string) *cobra.Command {
 	var logs string
 	cmd := &cobra.Command{
 		Use:   "demo",
@@ -60,7 +60,7 @@
 			defer stop()
 			d := &demoSite{out: cmd.OutOrStdout()}
 			for flag, path := range map[string]string{
-				"--tuning":  *tuning,
+				"--tuning":  *tuningFile,
 				"--access":  files.permissionsFile,
 				"--tls":     files.tlsFile,
 				"--booking": files.equipmentFile,
@@ -69,13 +69,13 @@
 				if path == "" {
 					continue
 				}
-				whole, err := filepath.Abs(path)
+				absolute, err := filepath.Abs(path)
 				if err != nil {
 					return err
 				}
-				d.controllerArgs = append(d.controllerArgs, flag, whole)
+				d.controllerArgs = append(d.controllerArgs, flag, absolute)
 			}
-			if err := files.validate(*tuning); err != nil {
+			if err := files.validate(*tuningFile); err != nil {
 				return err
 			}
 			var err error
--- a/cmd/dewlift/files_test.go
+++ b/cmd/dewlift/files_test.go
@@ -9,7 +9,7 @@
 
 // A file of ends that holds null must be refused in one line. It was taken as no ends at all, and saving the new ones
 // ended in "assignment to entry in nil map".
-func TestNullFileOfEndsIsRefused(t *testing.T) {
+func TestNullChainEndsFileIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ends.json")
 	if err := os.WriteFile(path, []byte("null\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 
 // The demo must check each feature file at its start. A wrong one of --tls was found by the controllers alone, which
 // ended one by one while the demo waited for them.
-func TestFeatureFilesAreChecked(t *testing.T) {
+func TestFeatureFilesAreValidated(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "wrong.textproto")
 	if err := os.WriteFile(path, []byte("no such field: 1"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/dewlift/golden_test.go
+++ b/cmd/dewlift/golden_test.go
@@ -18,8 +18,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew: the command line was changed on purpose")
 
-// compare compares lines by name with a golden file, which fixes what operators' scripts use.
-func compare(t *testing.T, file string, got map[string][]string) {
+// compareGolden compares lines by name with a golden file, which fixes what operators' scripts use.
+func compareGolden(t *testing.T, file string, got map[string][]string) {
 	t.Helper()
 	if *update {
 		var encoded bytes.Buffer
@@ -51,7 +51,7 @@
 }
 
 // Scripts of operators use the verbs and flags, and read their descriptions: none may change.
-func TestCommandLineStays(t *testing.T) {
+func TestCommandLineIsUnchanged(t *testing.T) {
 	// Their values would be shown as defaults.
 	for _, name := range []string{
 		"ACCESS",
@@ -102,11 +102,11 @@
 		}
 	}
 	walk(rootCommand())
-	compare(t, "testdata/commands.json", got)
+	compareGolden(t, "testdata/commands.json", got)
 }
 
 // The list of settings must stay, as it is printed and as JSON.
-func TestSettingsStay(t *testing.T) {
+func TestSettingsOutputIsUnchanged(t *testing.T) {
 	got := map[string][]string{}
 	for name, args := range map[string][]string{
 		"list":    {"settings"},
@@ -119,16 +119,16 @@
 		}
 		got[name] = strings.Split(strings.TrimSuffix(out, "\n"), "\n")
 	}
-	compare(t, "testdata/settings.json", got)
+	compareGolden(t, "testdata/settings.json", got)
 }
 
 // The file of ends that `dewlift audit verify` keeps, and the JSON of a setting, must stay readable.
-func TestFilesStay(t *testing.T) {
+func TestFileFormatsAreUnchanged(t *testing.T) {
 	for _, test := range []struct {
 		value any
 		want  string
 	}{
-		{&chainEnd{Number: 7, Code: []byte("code")}, `{"number":7,"code":"Y29kZQ=="}`},
+		{&chainEnd{Number: 7, MAC: []byte("code")}, `{"number":7,"code":"Y29kZQ=="}`},
 		{&settingDescription{}, `{"name":"","default":"","min":0,"max":0,"does":""}`},
 		{
 			&settingDescription{
--- a/cmd/dewlift/job.go
+++ b/cmd/dewlift/job.go
@@ -78,8 +78,8 @@
 	}
 }
 
-func jobCommand(me *clientIdentity) *cobra.Command {
-	j := &jobCommands{identity: me}
+func jobCommand(identity *clientIdentity) *cobra.Command {
+	j := &jobCommands{identity: identity}
 	cmd := &cobra.Command{Use: "job", Short: "Submit jobs, look at them and withdraw them"}
 	cmd.PersistentFlags().
 		StringVar(&j.server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
--- a/cmd/dewlift/main.go
+++ b/cmd/dewlift/main.go
@@ -47,8 +47,8 @@
 type featureFiles struct{ permissionsFile, tlsFile, equipmentFile, priorityClassesFile string }
 
 // validate reads the files that are named, and the tuning.
-func (files *featureFiles) validate(tuning string) error {
-	if _, err := settings.LoadTuning(tuning); err != nil {
+func (files *featureFiles) validate(tuningFile string) error {
+	if _, err := settings.LoadTuning(tuningFile); err != nil {
 		return err
 	}
 	if files.permissionsFile != "" {
@@ -91,22 +91,22 @@
 }
 
 func rootCommand() *cobra.Command {
-	var config, tuning string
+	var config, tuningFile string
 	var files featureFiles
 	identity := &clientIdentity{}
 	cmd := &cobra.Command{
 		Use: "dewlift", Short: "A cluster scheduler with collaborate-state", Args: cobra.NoArgs,
 		SilenceUsage: true, SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runController(cmd.Context(), config, tuning, files)
+			return runController(cmd.Context(), config, tuningFile, files)
 		},
 	}
 	cmd.PersistentFlags().StringVar(&config, "config", "", "the platform's settings file (JSON)")
 	cmd.PersistentFlags().
-		StringVar(&tuning, "tuning", os.Getenv("DEWLIFT_TUNING"), "the operators' own settings (protobuf text format)")
+		StringVar(&tuningFile, "tuning", os.Getenv("DEWLIFT_TUNING"), "the operators' own settings (protobuf text format)")
 	files.addFlags(cmd.Flags())
 	identity.addFlags(cmd.PersistentFlags())
-	demo := demoCommand(&files, &tuning)
+	demo := demoCommand(&files, &tuningFile)
 	files.addFlags(demo.Flags())
 	cmd.AddCommand(&cobra.Command{
 		Use: "check", Short: "Check the settings", Args: cobra.NoArgs,
@@ -114,7 +114,7 @@
 			if _, err := settings.LoadPlatform(config); err != nil {
 				return err
 			}
-			if _, err := settings.LoadTuning(tuning); err != nil {
+			if _, err := settings.LoadTuning(tuningFile); err != nil {
 				return err
 			}
 			printf(cmd.OutOrStdout(), "settings are valid\n")
--- a/cmd/dewlift/main_test.go
+++ b/cmd/dewlift/main_test.go
@@ -69,7 +69,7 @@
 
 // The steps of docs/operations/access.md must lead from a new key to a valid policy; a key file must never be
 // replaced.
-func TestFirstKeys(t *testing.T) {
+func TestFirstKeysMakeValidPermissions(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "admin.key")
 	line, err := runCommand("key", "new", "admin", "--id", "admin-1", "--out", file)
--- a/cmd/dewlift/permissions.go
+++ b/cmd/dewlift/permissions.go
@@ -31,24 +31,24 @@
 // clientIdentity holds the files by which a command proves its caller's identity and trusts controllers.
 type clientIdentity struct{ keyFile, caFile, certificateFile, certificateKeyFile string }
 
-func (me *clientIdentity) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&me.keyFile, "key", os.Getenv("DEWLIFT_KEY"), "a private key, to prove who asks")
-	f.StringVar(&me.caFile, "ca",
+func (identity *clientIdentity) addFlags(f *pflag.FlagSet) {
+	f.StringVar(&identity.keyFile, "key", os.Getenv("DEWLIFT_KEY"), "a private key, to prove who asks")
+	f.StringVar(&identity.caFile, "ca",
 		os.Getenv("DEWLIFT_CA"), "authorities of controllers' certificates (PEM): TLS is used")
-	f.StringVar(&me.certificateFile, "certificate",
+	f.StringVar(&identity.certificateFile, "certificate",
 		os.Getenv("DEWLIFT_CERTIFICATE"), "a certificate, to prove who asks (PEM)")
-	f.StringVar(&me.certificateKeyFile, "certificate-key", os.Getenv("DEWLIFT_CERTIFICATE_KEY"), "its key (PEM)")
+	f.StringVar(&identity.certificateKeyFile, "certificate-key", os.Getenv("DEWLIFT_CERTIFICATE_KEY"), "its key (PEM)")
 }
 
 // request makes a request to a controller or, of several separated by commas, to the first that is
 // available. Requests must be idempotent: a controller that does not answer may have executed one.
-func (me *clientIdentity) request(
+func (identity *clientIdentity) request(
 	ctx context.Context,
 	method, servers, path string,
 	body any,
 ) (resp httpjson.Response, err error) {
 	for server := range strings.SplitSeq(servers, ",") {
-		resp, err = me.requestOne(ctx, method, strings.TrimPrefix(server, "http://"), path, body)
+		resp, err = identity.requestOne(ctx, method, strings.TrimPrefix(server, "http://"), path, body)
 		if err != nil || resp.Err == nil && resp.Status != http.StatusServiceUnavailable {
 			return resp, err
 		}
@@ -56,14 +56,14 @@
 	return resp, err
 }
 
-func (me *clientIdentity) requestOne(
+func (identity *clientIdentity) requestOne(
 	ctx context.Context,
 	method, server, path string,
 	body any,
 ) (httpjson.Response, error) {
 	client, scheme := httpjson.New(1, 1, maxResponseBytes), "http://"
-	if me.keyFile != "" {
-		key, err := loadKey(me.keyFile)
+	if identity.keyFile != "" {
+		key, err := loadKey(identity.keyFile)
 		if err != nil {
 			return httpjson.Response{}, err
 		}
@@ -71,17 +71,17 @@
 			return httpjson.Response{}, err
 		}
 	}
-	if me.caFile != "" {
-		raw, err := os.ReadFile(me.caFile)
+	if identity.caFile != "" {
+		raw, err := os.ReadFile(identity.caFile)
 		if err != nil {
 			return httpjson.Response{}, fmt.Errorf("read authorities: %w", err)
 		}
 		cfg := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: x509.NewCertPool()}
 		if !cfg.RootCAs.AppendCertsFromPEM(raw) {
-			return httpjson.Response{}, fmt.Errorf("no certificate in %s", me.caFile)
+			return httpjson.Response{}, fmt.Errorf("no certificate in %s", identity.caFile)
 		}
-		if me.certificateFile != "" {
-			pair, err := tls.LoadX509KeyPair(me.certificateFile, me.certificateKeyFile)
+		if identity.certificateFile != "" {
+			pair, err := tls.LoadX509KeyPair(identity.certificateFile, identity.certificateKeyFile)
 			if err != nil {
 				return httpjson.Response{}, fmt.Errorf("certificate: %w", err)
 			}
@@ -107,14 +107,16 @@
 
 // loadPermissions reads a policy that can be put in force: one with an administrator.
 func loadPermissions(path string) (*access.Policy, error) {
-	policy, err := parseAccess(path)
+	policy, err := parsePermissions(path)
 	if err == nil && !policy.HasAdministrator() {
 		return nil, fmt.Errorf("access %s: nobody with a key may administer: rights could never be changed", path)
 	}
 	return policy, err
 }
 
-func parseAccess(path string) (*access.Policy, error) { return loadFile(path, "access", access.Parse) }
+func parsePermissions(path string) (*access.Policy, error) {
+	return loadFile(path, "access", access.Parse)
+}
 
 // loadFile reads and parses an operators' file; what names it in errors.
 func loadFile[T any](path, what string, parse func([]byte) (T, error)) (v T, err error) {
@@ -128,7 +130,7 @@
 	return v, nil
 }
 
-func accessCommand(me *clientIdentity) *cobra.Command {
+func accessCommand(identity *clientIdentity) *cobra.Command {
 	cmd := &cobra.Command{Use: "access", Short: "Check, explain and change who may do what"}
 	cmd.AddCommand(&cobra.Command{
 		Use: "check FILE", Short: "Check a file of rights", Args: cobra.ExactArgs(1),
@@ -137,23 +139,23 @@
 			if err != nil {
 				return err
 			}
-			roles, people, keys := policy.Counts()
-			printf(cmd.OutOrStdout(), "rights are valid: %d roles, %d identities, %d keys\n", roles, people, keys)
+			roles, identities, keys := policy.Counts()
+			printf(cmd.OutOrStdout(), "rights are valid: %d roles, %d identities, %d keys\n", roles, identities, keys)
 			return nil
 		},
-	}, explainCommand(), showPermissionsCommand(me), grantCommand(me), revokeCommand(me))
+	}, explainCommand(), showPermissionsCommand(identity), grantCommand(identity), revokeCommand(identity))
 	return cmd
 }
 
 func explainCommand() *cobra.Command {
-	var who, verb, team, class, priority string
+	var identity, verb, team, class, priority string
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use: "explain FILE", Short: "Tell which grant decides", Args: cobra.ExactArgs(1),
 		Example: "  dewlift access explain access.textproto --who packer --verb cancel --team roastmasters " +
 			"--class reroast-rush",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			policy, err := parseAccess(args[0])
+			policy, err := parsePermissions(args[0])
 			if err != nil {
 				return err
 			}
@@ -166,20 +168,20 @@
 				return fmt.Errorf("--priority: no priority %q", priority)
 			}
 			action := access.Action{Verb: parsedVerb, Team: team, Class: class, Priority: priorityIndex}
-			decision := policy.Decide(who, action)
+			decision := policy.Decide(identity, action)
 			if asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(decision)
 			}
-			word := "may not"
+			permission := "may not"
 			if decision.Allowed {
-				word = "may"
+				permission = "may"
 			}
-			printf(cmd.OutOrStdout(), "%s %s %s: %s\n", who, word, verb, decision.Reason)
+			printf(cmd.OutOrStdout(), "%s %s %s: %s\n", identity, permission, verb, decision.Reason)
 			return nil
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&who, "who", "", "the identity")
+	f.StringVar(&identity, "who", "", "the identity")
 	f.StringVar(&verb, "verb", "", "submit, read, cancel, prioritise, administer, audit, report, book or equip")
 	f.StringVar(&team, "team", "", "the job's team")
 	f.StringVar(&class, "class", "", "the job's class")
@@ -191,14 +193,14 @@
 // editPermissions changes the permissions of an identity.
 func editPermissions(
 	ctx context.Context,
-	me *clientIdentity,
-	server, who string,
+	identity *clientIdentity,
+	server, target string,
 	edit wire.PermissionsEdit,
 ) (*wire.PermissionsEditResult, error) {
-	if me.keyFile == "" && me.certificateFile == "" {
+	if identity.keyFile == "" && identity.certificateFile == "" {
 		return nil, errors.New("--key FILE or --certificate FILE is needed: rights are changed in somebody's name")
 	}
-	resp, err := me.request(ctx, http.MethodPost, server, wire.PathPermissions+"/"+who, edit)
+	resp, err := identity.request(ctx, http.MethodPost, server, wire.PathPermissions+"/"+target, edit)
 	if err != nil {
 		return nil, err
 	}
@@ -226,12 +228,12 @@
 	return refusal.Error
 }
 
-func showPermissionsCommand(me *clientIdentity) *cobra.Command {
+func showPermissionsCommand(identity *clientIdentity) *cobra.Command {
 	var server string
 	cmd := &cobra.Command{
 		Use: "show", Short: "Show the rights in force, as a file of rights", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			resp, err := me.request(cmd.Context(), http.MethodGet, server, wire.PathPermissions, nil)
+			resp, err := identity.request(cmd.Context(), http.MethodGet, server, wire.PathPermissions, nil)
 			if err != nil {
 				return err
 			}
@@ -251,7 +253,7 @@
 	cmd.Flags().StringVar(server, "server", "127.0.0.1:8080", "address of a controller")
 }
 
-func grantCommand(me *clientIdentity) *cobra.Command {
+func grantCommand(identity *clientIdentity) *cobra.Command {
 	var server string
 	var edit wire.PermissionsEdit
 	var id, public string
@@ -273,7 +275,7 @@
 			if len(edit.GrantRoles)+len(edit.AddKeys) == 0 && !certificate {
 				return errors.New("nothing to grant: name --role, --by-certificate, or --key-id and --public")
 			}
-			if _, err := editPermissions(cmd.Context(), me, server, args[0], edit); err != nil {
+			if _, err := editPermissions(cmd.Context(), identity, server, args[0], edit); err != nil {
 				return err
 			}
 			printf(cmd.OutOrStdout(), "granted to %s\n", args[0])
@@ -289,7 +291,7 @@
 	return cmd
 }
 
-func revokeCommand(me *clientIdentity) *cobra.Command {
+func revokeCommand(identity *clientIdentity) *cobra.Command {
 	var server string
 	var edit wire.PermissionsEdit
 	var certificate bool
@@ -305,7 +307,7 @@
 			if !edit.Delete && !certificate && len(edit.RevokeRoles)+len(edit.RevokeKeys) == 0 {
 				return errors.New("nothing to revoke: name --role, --key-id, --by-certificate or --all")
 			}
-			out, err := editPermissions(cmd.Context(), me, server, args[0], edit)
+			out, err := editPermissions(cmd.Context(), identity, server, args[0], edit)
 			if err != nil {
 				return err
 			}
@@ -327,7 +329,7 @@
 	return cmd
 }
 
-func keyCommand(me *clientIdentity) *cobra.Command {
+func keyCommand(identity *clientIdentity) *cobra.Command {
 	cmd := &cobra.Command{Use: "key", Short: "Make keys and tokens"}
 	var id, out string
 	create := &cobra.Command{
@@ -352,7 +354,7 @@
 	}
 	create.Flags().StringVar(&id, "id", "", "its id, unique in the site")
 	create.Flags().StringVar(&out, "out", "", "the file; it must not exist")
-	var life time.Duration
+	var lifetime time.Duration
 	token := &cobra.Command{
 		Use:   "token FILE",
 		Short: "Print a token, to be sent as `Authorization: Bearer TOKEN`",
@@ -362,14 +364,14 @@
 			if err != nil {
 				return err
 			}
-			signed, err := key.SignToken(time.Now(), life)
+			signed, err := key.SignToken(time.Now(), lifetime)
 			if err == nil {
 				printf(cmd.OutOrStdout(), "%s\n", signed)
 			}
 			return err
 		},
 	}
-	token.Flags().DurationVar(&life, "for", time.Hour, "how long it is good")
+	token.Flags().DurationVar(&lifetime, "for", time.Hour, "how long it is good")
 	cmd.AddCommand(create, token, &cobra.Command{
 		Use: "show FILE", Short: "Print the public half, as a file of rights has it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -379,11 +381,11 @@
 			}
 			return err
 		},
-	}, rotateKeyCommand(me), revokeKeyCommand(me))
+	}, rotateKeyCommand(identity), revokeKeyCommand(identity))
 	return cmd
 }
 
-func revokeKeyCommand(me *clientIdentity) *cobra.Command {
+func revokeKeyCommand(identity *clientIdentity) *cobra.Command {
 	var server string
 	cmd := &cobra.Command{
 		Use:     "revoke HOLDER ID",
@@ -391,7 +393,7 @@
 		Args:    cobra.ExactArgs(2),
 		Example: "  dewlift key revoke anna anna-1 --key admin.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if _, err := editPermissions(cmd.Context(), me, server, args[0], wire.PermissionsEdit{
+			if _, err := editPermissions(cmd.Context(), identity, server, args[0], wire.PermissionsEdit{
 				RevokeKeys: []string{args[1]},
 			}); err != nil {
 				return err
@@ -433,16 +435,16 @@
 	return nil
 }
 
-func rotateKeyCommand(me *clientIdentity) *cobra.Command {
+func rotateKeyCommand(identity *clientIdentity) *cobra.Command {
 	var server, id, out string
 	cmd := &cobra.Command{
 		Use: "rotate", Short: "Replace your own key: the old one is good no more", Args: cobra.NoArgs,
 		Example: "  dewlift key rotate --key anna.key --id anna-2 --out anna-2.key --server 10.0.0.1:8080",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if me.keyFile == "" || id == "" || out == "" {
+			if identity.keyFile == "" || id == "" || out == "" {
 				return errors.New("--key, --id and --out are needed")
 			}
-			old, err := loadKey(me.keyFile)
+			old, err := loadKey(identity.keyFile)
 			if err != nil {
 				return err
 			}
@@ -453,7 +455,7 @@
 			if err := saveKey(out, key); err != nil { // before it is granted: an unsaved key would lock out its holder
 				return err
 			}
-			if _, err := editPermissions(cmd.Context(), me, server, old.Holder, wire.PermissionsEdit{
+			if _, err := editPermissions(cmd.Context(), identity, server, old.Holder, wire.PermissionsEdit{
 				AddKeys:    []wire.PublicKey{{ID: id, Ed25519: key.PublicBase64()}},
 				RevokeKeys: []string{old.ID},
 			}); err != nil {
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -24,11 +24,11 @@
 // refusedError.
 func requestQueue(
 	cmd *cobra.Command,
-	me *clientIdentity,
+	identity *clientIdentity,
 	server, method, path string,
 	body any,
 ) (queue wire.JobQueue, err error) {
-	resp, err := me.request(cmd.Context(), method, server, path, body)
+	resp, err := identity.request(cmd.Context(), method, server, path, body)
 	if err != nil {
 		return queue, err
 	}
@@ -47,7 +47,7 @@
 	return queue, checkResponse(server, resp)
 }
 
-func priorityClassesCommand(me *clientIdentity) *cobra.Command {
+func priorityClassesCommand(identity *clientIdentity) *cobra.Command {
 	var server string
 	cmd := &cobra.Command{Use: "lanes", Short: "Check, show and change which work goes ahead of which"}
 	cmd.PersistentFlags().
@@ -67,7 +67,7 @@
 	}, &cobra.Command{
 		Use: "show", Short: "Show the lanes in force", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			queue, err := requestQueue(cmd, me, server, http.MethodGet, wire.PathPriorityClasses, nil)
+			queue, err := requestQueue(cmd, identity, server, http.MethodGet, wire.PathPriorityClasses, nil)
 			if err == nil {
 				printf(cmd.OutOrStdout(), "%s", queue.PriorityClasses)
 			}
@@ -87,7 +87,7 @@
 			}
 			queue, err := requestQueue(
 				cmd,
-				me,
+				identity,
 				server,
 				http.MethodPost,
 				wire.PathPriorityClasses,
@@ -116,9 +116,9 @@
 	}
 }
 
-func queueCommand(me *clientIdentity) *cobra.Command {
+func queueCommand(identity *clientIdentity) *cobra.Command {
 	var server string
-	var most int
+	var limit int
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "queue",
@@ -126,7 +126,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
-			all, err := listQueue(cmd, me, server, most)
+			all, err := listQueue(cmd, identity, server, limit)
 			if err != nil {
 				return err
 			}
@@ -142,7 +142,7 @@
 	}
 	cmd.Flags().
 		StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
-	cmd.Flags().IntVar(&most, "most", 1000, "how many are listed at most")
+	cmd.Flags().IntVar(&limit, "most", 1000, "how many are listed at most")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return cmd
 }
@@ -151,10 +151,10 @@
 const queuePageSize = 100
 
 // listQueue reads the first jobs of the queue, page by page.
-func listQueue(cmd *cobra.Command, me *clientIdentity, server string, limit int) (all wire.JobQueue, err error) {
+func listQueue(cmd *cobra.Command, identity *clientIdentity, server string, limit int) (all wire.JobQueue, err error) {
 	for after := 0; ; {
 		path := fmt.Sprintf("%s?after=%d&most=%d", wire.PathQueue, after, min(queuePageSize, limit-after))
-		page, err := requestQueue(cmd, me, server, http.MethodGet, path, nil)
+		page, err := requestQueue(cmd, identity, server, http.MethodGet, path, nil)
 		if err != nil {
 			return all, err
 		}
--- a/cmd/dewlift/reservation.go
+++ b/cmd/dewlift/reservation.go
@@ -162,8 +162,8 @@
 	return requests, nil
 }
 
-func reservationCommand(me *clientIdentity) *cobra.Command {
-	b := &reservationCommands{identity: me}
+func reservationCommand(identity *clientIdentity) *cobra.Command {
+	b := &reservationCommands{identity: identity}
 	cmd := &cobra.Command{Use: "booking", Short: "Book shared equipment, and ask who has it when"}
 	cmd.PersistentFlags().
 		StringVar(&b.server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -32,10 +32,10 @@
 }
 
 // snapshotCommand makes the commands that save, check and restore a site's state.
-func snapshotCommand(config *string, me *clientIdentity) *cobra.Command {
+func snapshotCommand(config *string, identity *clientIdentity) *cobra.Command {
 	var f snapshotFlags
 	cmd := &cobra.Command{Use: "snapshot", Short: "Save, check and restore the whole state of a site"}
-	cmd.AddCommand(f.save(config, me), f.restore(config, me), &cobra.Command{
+	cmd.AddCommand(f.save(config, identity), f.restore(config, identity), &cobra.Command{
 		Use: "verify FILE", Short: "Read a whole snapshot and check every part", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			trailer, err := snapshot.Verify(args[0])
@@ -55,12 +55,12 @@
 }
 
 // save makes the command that saves a site's state.
-func (f *snapshotFlags) save(config *string, me *clientIdentity) *cobra.Command {
+func (f *snapshotFlags) save(config *string, identity *clientIdentity) *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "save FILE", Short: "Save the state as of one moment, while the site serves", Args: cobra.ExactArgs(1),
 		Example: "  dewlift snapshot save --server 10.0.0.1:8080 monday.snapshot",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := f.resolveStore(cmd.Context(), *config, me); err != nil {
+			if err := f.resolveStore(cmd.Context(), *config, identity); err != nil {
 				return err
 			}
 			if !(f.requestShare > 0 && f.requestShare <= 1) {
@@ -84,14 +84,14 @@
 }
 
 // restore makes the command that restores a site's state.
-func (f *snapshotFlags) restore(config *string, me *clientIdentity) *cobra.Command {
+func (f *snapshotFlags) restore(config *string, identity *clientIdentity) *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "restore FILE", Short: "Restore a state to an empty state service", Args: cobra.ExactArgs(1),
 		Long: "Restore a state to an empty state service. No controller may be running, " +
 			"and every machine must have been returned.",
 		Example: "  dewlift snapshot restore --config settings.json monday.snapshot",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := f.resolveStore(cmd.Context(), *config, me); err != nil {
+			if err := f.resolveStore(cmd.Context(), *config, identity); err != nil {
 				return err
 			}
 			show, done := newProgress("restoring", 0)
@@ -151,10 +151,10 @@
 
 // resolveStore finds the store's address and limits: from a controller, the platform's settings, or the flags
 // alone.
-func (f *snapshotFlags) resolveStore(ctx context.Context, config string, me *clientIdentity) error {
+func (f *snapshotFlags) resolveStore(ctx context.Context, config string, identity *clientIdentity) error {
 	switch {
 	case f.server != "":
-		resp, err := me.request(
+		resp, err := identity.request(
 			ctx,
 			http.MethodGet,
 			f.server,
