--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -28,20 +28,20 @@
 
 const (
 	demoNodes        = 3
-	demoMachines     = 240         // over the demo's life: a machine that was scaled in is not used again
-	demoRestartDelay = time.Second // of a controller that ended
-	demoStartTimeout = time.Minute // until all controllers are healthy
+	demoMachines     = 240         // for the whole run, since a machine that was scaled in is not reused
+	demoRestartDelay = time.Second // before a controller that exited is restarted
+	demoStartTimeout = time.Minute // for all controllers to become healthy
 	demoBootTime     = 2 * time.Second
 )
 
-// demoSite is a site on loopback: fakes of the store, the cloud and the agents in this process, and a process
-// for each controller.
+// demoSite is a site on the loopback interface. The store, the cloud and the agents are fakes in this process, and
+// each controller is a process of its own.
 type demoSite struct {
 	out            io.Writer
-	outMu          sync.Mutex // of out
+	outMu          sync.Mutex // guards out
 	dir            string
-	controllerArgs []string // of each controller, beside its settings
-	addrs          []string // of the controllers, for users
+	controllerArgs []string // arguments of every controller besides --config
+	addrs          []string // addresses of the controllers for users
 	running        sync.WaitGroup
 }
 
@@ -49,11 +49,11 @@
 	var logs string
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "Serve a site on loopback to try dewlift on: three controllers around stand-ins of all else",
+		Short: "Run a demo site on the loopback interface: three controllers and simulated services",
 		Args:  cobra.NoArgs,
-		Long: "Three controllers, each a process of this program, around stand-ins of the state service, the cloud " +
-			"and the workers. Tasks take their\n" +
-			"estimated time and do nothing. A controller that ends is started again. All is gone when the demo ends.",
+		Long: "Run three controllers, each a process of its own, with a simulated state service, cloud and workers. " +
+			"Tasks run for their estimated time\n" +
+			"and do nothing. A controller that exits is restarted. All state is lost when the demo ends.",
 		Example: "  dewlift demo --booking deploy/booking.textproto",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
@@ -82,7 +82,7 @@
 			if d.dir, err = os.MkdirTemp("", "dewlift-demo-*"); err != nil {
 				return err
 			}
-			defer func() { _ = os.RemoveAll(d.dir) }() // a temporary directory
+			defer func() { _ = os.RemoveAll(d.dir) }() // leftovers in the temporary directory do no harm
 			if logs == "" {
 				logs = d.dir
 			} else if err := os.MkdirAll(logs, 0o755); err != nil {
@@ -91,7 +91,7 @@
 			return d.run(ctx, logs)
 		},
 	}
-	cmd.Flags().StringVar(&logs, "logs", "", "folder for the controllers' logs; none: they are not kept")
+	cmd.Flags().StringVar(&logs, "logs", "", "directory for the controllers' logs; without it, they are not kept")
 	return cmd
 }
 
@@ -101,7 +101,7 @@
 	printf(d.out, format+"\n", args...)
 }
 
-// serve serves a handler on a free address of loopback until the context ends.
+// serve serves a handler on a free loopback port until the context ends, and returns its address.
 func (d *demoSite) serve(ctx context.Context, h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -113,8 +113,8 @@
 	return ln.Addr().String(), nil
 }
 
-// freeAddrs returns addresses on loopback that nobody listens on: not every system can hand a listener to a
-// process.
+// freeAddrs returns loopback addresses with free ports. The controllers open the listeners themselves, because not
+// every operating system can pass a listener to a child process.
 func freeAddrs(n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -122,13 +122,13 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = ln.Close() }() // only its address is needed
+		defer func() { _ = ln.Close() }() // only the address is needed
 		out = append(out, ln.Addr().String())
 	}
 	return out, nil
 }
 
-// run serves the site until the context ends.
+// run runs the site until the context ends.
 func (d *demoSite) run(ctx context.Context, logs string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer d.running.Wait()
@@ -155,7 +155,7 @@
 	}
 	d.addrs = addrs[:demoNodes]
 	fleet := fakes.NewWorkers(demoMachines, machineType, d.addrs, demoBootTime, taskDescriptions(store))
-	d.running.Go(func() { _ = fleet.Run(ctx) }) // without it, no machine boots, which shows
+	d.running.Go(func() { _ = fleet.Run(ctx) }) // a failure is visible: no machine boots
 	cloudAddr, err := d.serve(ctx, fleet.CloudHandler())
 	if err != nil {
 		return err
@@ -174,14 +174,14 @@
 	return nil
 }
 
-// taskDescriptions returns a function that says what a task requests and how long it runs. Real agents
-// fetch that themselves; the fakes read it where it is stored.
+// taskDescriptions returns a function that looks up the resources that a task requests and how long it runs. Real
+// agents fetch the task themselves; the fake agents read the job record in the store.
 func taskDescriptions(store *fakes.Store) func(task string) ([3]int64, time.Duration) {
 	return func(task string) ([3]int64, time.Duration) {
 		id, _, _ := wire.SplitTaskName(task)
 		record, err := jobrecord.Decode(store.Value(core.KeyJob + id))
 		if err != nil || record.Spec == nil {
-			return [3]int64{}, time.Second // its job has ended
+			return [3]int64{}, time.Second // the job has ended
 		}
 		runtime := time.Duration(record.Spec.EstimatedRuntimeMS) * time.Millisecond
 		if !record.Spec.Service {
@@ -191,8 +191,8 @@
 	}
 }
 
-// demoPlatform returns the settings of a controller. addrs are the addresses of all controllers for users, then
-// those for the mesh.
+// demoPlatform returns the platform settings of a controller. addrs holds the addresses of all controllers for users,
+// followed by their mesh addresses.
 func demoPlatform(node int, addrs, zones []string, storeAddr, cloudAddr string) *settings.Platform {
 	platform := &settings.Platform{
 		Name:     fmt.Sprintf("n%d", node),
@@ -230,8 +230,8 @@
 	return platform
 }
 
-// startController writes a controller's settings and keeps it running until the context ends. Its log is
-// closed when it no longer runs.
+// startController writes a controller's settings file and keeps the controller running until the context ends. The
+// log file is closed after the controller has exited.
 func (d *demoSite) startController(ctx context.Context, platform *settings.Platform, logs string) error {
 	raw, err := json.Marshal(platform)
 	if err != nil {
@@ -246,13 +246,13 @@
 		return err
 	}
 	d.running.Go(func() {
-		defer func() { _ = log.Close() }() // written by the controller's process, which has ended
+		defer func() { _ = log.Close() }() // the controller, which writes it, has exited
 		d.keepControllerRunning(ctx, platform, path, log)
 	})
 	return nil
 }
 
-// keepControllerRunning runs a controller, and restarts it when it ends, until the context ends.
+// keepControllerRunning runs a controller until the context ends, and restarts it whenever it exits.
 func (d *demoSite) keepControllerRunning(
 	ctx context.Context,
 	platform *settings.Platform,
@@ -305,5 +305,5 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	return errors.New("the controllers do not serve; --logs FOLDER keeps what they say")
+	return errors.New("the controllers did not become healthy; use --logs DIRECTORY to keep their logs")
 }
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -15,12 +15,12 @@
 	"dewlift/wire"
 )
 
-// loadPriorityClasses reads a list of priority classes.
+// loadPriorityClasses reads a file of priority classes, which the command line calls lanes.
 func loadPriorityClasses(path string) (*priorityclass.List, error) {
 	return loadFile(path, "lanes", priorityclass.Parse)
 }
 
-// requestQueue makes a request about the queue or the priority classes; a refusal by the controller is a
+// requestQueue makes a request about the queue or the priority classes. A refusal by the controller is returned as a
 // refusedError.
 func requestQueue(
 	cmd *cobra.Command,
@@ -35,13 +35,13 @@
 	var refusal wire.Error
 	if resp.Err == nil && resp.Status == http.StatusNotFound {
 		if json.Unmarshal(resp.Body, &refusal) != nil || refusal.Error == "Not Found" {
-			refusal.Error = "this site has no lanes"
+			refusal.Error = "no lanes are configured at this site"
 		}
 		return queue, refusedError(refusal.Error)
 	}
 	queue, resp = httpjson.Decode[wire.JobQueue](resp)
 	if resp.Err == nil && resp.Status != http.StatusOK {
-		_ = json.Unmarshal(resp.Body, &refusal) // without a reason, the status says enough
+		_ = json.Unmarshal(resp.Body, &refusal) // a refusal without a reason is reported by its status alone
 		return queue, refusedError(fmt.Sprintf("status %d: %s", resp.Status, refusal.Error))
 	}
 	return queue, checkResponse(server, resp)
@@ -49,12 +49,13 @@
 
 func priorityClassesCommand(identity *clientIdentity) *cobra.Command {
 	var server string
-	cmd := &cobra.Command{Use: "lanes", Short: "Check, show and change which work goes ahead of which"}
+	cmd := &cobra.Command{Use: "lanes", Short: "Check, show and replace the lanes (priority classes)"}
 	cmd.PersistentFlags().
-		StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
+		StringVar(&server, "server", "127.0.0.1:8080",
+			"address of a controller, or several addresses separated by commas")
 	cmd.AddCommand(&cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a list of lanes, and tell how long work waits at most until it goes ahead",
+		Short: "Check a lanes file and print how long jobs wait until they are ordered as in a higher lane",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			classes, err := loadPriorityClasses(args[0])
@@ -65,7 +66,7 @@
 			return nil
 		},
 	}, &cobra.Command{
-		Use: "show", Short: "Show the lanes in force", Args: cobra.NoArgs,
+		Use: "show", Short: "Print the current lanes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			queue, err := requestQueue(cmd, identity, server, http.MethodGet, wire.PathPriorityClasses, nil)
 			if err == nil {
@@ -75,7 +76,7 @@
 		},
 	}, &cobra.Command{
 		Use:   "put FILE",
-		Short: "Put another list in force; jobs keep the lanes that they were accepted into",
+		Short: "Replace the lanes; jobs keep the lane in which they were accepted",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := loadPriorityClasses(args[0]); err != nil {
@@ -94,7 +95,7 @@
 				wire.JobQueue{PriorityClasses: string(raw)},
 			)
 			if err == nil {
-				printf(cmd.OutOrStdout(), "the lanes are in force, as version %d\n", queue.Version)
+				printf(cmd.OutOrStdout(), "lanes replaced, version %d\n", queue.Version)
 			}
 			return err
 		},
@@ -102,16 +103,17 @@
 	return cmd
 }
 
-// printPriorityClasses prints, for each class, after which wait its jobs are ordered as in which higher one.
+// printPriorityClasses prints, for each class, the highest class that its jobs reach by priority aging, and after how
+// long a wait.
 func printPriorityClasses(out io.Writer, classes *priorityclass.List) {
-	const longest = 1 << 62 // nanoseconds: as long as a job could wait
+	const maxWait = 1 << 62 // in nanoseconds; longer than any job waits
 	printf(out, "lanes are valid: %d\n", classes.Len())
 	for i := range classes.Len() {
-		highest := classes.EffectiveClass(i, longest)
+		highest := classes.EffectiveClass(i, maxWait)
 		if wait, ok := classes.AgingTime(i, highest); ok && highest < i {
-			printf(out, "  %s: after %s, work is ordered as in %s\n", classes.Name(i), wait, classes.Name(highest))
+			printf(out, "  %s: after %s, jobs are ordered as in %s\n", classes.Name(i), wait, classes.Name(highest))
 		} else {
-			printf(out, "  %s: work stays in its lane\n", classes.Name(i))
+			printf(out, "  %s: jobs stay in this lane\n", classes.Name(i))
 		}
 	}
 }
@@ -122,7 +124,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "queue",
-		Short: "List the jobs that wait, in the order of work, and what each waits for",
+		Short: "List the waiting jobs in scheduling order, and what each waits for",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
@@ -141,16 +143,17 @@
 		},
 	}
 	cmd.Flags().
-		StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
-	cmd.Flags().IntVar(&limit, "most", 1000, "how many are listed at most")
-	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+		StringVar(&server, "server", "127.0.0.1:8080",
+			"address of a controller, or several addresses separated by commas")
+	cmd.Flags().IntVar(&limit, "most", 1000, "maximum number of jobs to list")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return cmd
 }
 
-// queuePageSize is the number of jobs requested at once.
+// queuePageSize is the maximum number of jobs per request.
 const queuePageSize = 100
 
-// listQueue reads the first jobs of the queue, page by page.
+// listQueue reads the first jobs of the queue, up to limit, page by page.
 func listQueue(cmd *cobra.Command, identity *clientIdentity, server string, limit int) (all wire.JobQueue, err error) {
 	for after := 0; ; {
 		path := fmt.Sprintf("%s?after=%d&most=%d", wire.PathQueue, after, min(queuePageSize, limit-after))
@@ -165,7 +168,7 @@
 	}
 }
 
-// printQueue prints jobs as a table, nothing if there are none.
+// printQueue prints jobs as a table. It prints nothing if there are none.
 func printQueue(out io.Writer, jobs []wire.QueuedJob) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for i, job := range jobs {
