--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -34,7 +34,7 @@
 	arrayRate       = flag.Float64("arrays", 0.75, "arrays of 90 tasks that come a second; each task takes 40 s")
 	measuredSeconds = flag.Int("seconds", 30, "of steady load that are measured")
 	pollRate        = flag.Float64("polls", 100, "polls a second")
-	cutZone         = flag.String("cut", "", "a zone that is cut off when the measured time begins")
+	partitionedZone = flag.String("cut", "", "a zone that is cut off when the measured time begins")
 	profileFile     = flag.String("profile", "fleet.prof", "file for the processor profile of the measured time")
 )
 
@@ -47,13 +47,13 @@
 }
 
 const (
-	arrayTaskTime     = 40 * time.Second
-	heartbeatInterval = 6 * time.Second
-	startTime         = 8 * time.Second       // until controllers own their shards
-	serviceGap        = 30 * time.Millisecond // between submissions of services
-	warmUpTime        = 45 * time.Second      // of arrays, before the measured time
-	firstArrayNumber  = 100_000               // services have lower numbers
-	maxSubmitAttempts = 30
+	arrayTaskDuration     = 40 * time.Second
+	heartbeatInterval     = 6 * time.Second
+	shardAcquisitionTime  = 8 * time.Second       // until controllers own their shards
+	serviceSubmitInterval = 30 * time.Millisecond // between submissions of services
+	warmUpTime            = 45 * time.Second      // of arrays, before the measured time
+	firstArrayNumber      = 100_000               // services have lower numbers
+	maxSubmitAttempts     = 30
 )
 
 // storeLimits are the limits of the fake store and of the controllers' settings.
@@ -114,7 +114,7 @@
 	if id, _, _ := wire.SplitTaskName(task); id < jobID(firstArrayNumber) {
 		return [3]int64{1000, 0, 2200}, 0
 	}
-	return [3]int64{4000, 0, 8900}, arrayTaskTime
+	return [3]int64{4000, 0, 8900}, arrayTaskDuration
 }
 
 // jobID returns the ID of a job.
@@ -151,7 +151,7 @@
 			log.Fatal("fleet: ", err)
 		}
 	}()
-	time.Sleep(startTime)
+	time.Sleep(shardAcquisitionTime)
 	transport := &http.Transport{MaxIdleConnsPerHost: 100}
 	client := &jobClient{httpClient: http.Client{Timeout: 5 * time.Second, Transport: transport}, addrs: addrs}
 	client.applyLoad(ctx)
@@ -195,7 +195,7 @@
 	if err != nil {
 		return fmt.Errorf("create profile: %w", err)
 	}
-	workers.PartitionZone(*cutZone)
+	workers.PartitionZone(*partitionedZone)
 	ackedBefore, failedBefore := workers.HeartbeatCounts()
 	if err := pprof.StartCPUProfile(profile); err != nil {
 		return fmt.Errorf("start profile: %w", err)
@@ -213,8 +213,8 @@
 		workers.StartsRefused(),
 		client.accepted.Load(),
 		client.refused.Load(),
-		client.polled.Load(),
-		client.late.Load(),
+		client.polls.Load(),
+		client.failedPolls.Load(),
 	)
 	return profile.Close()
 }
@@ -235,9 +235,9 @@
 
 // jobClient is all users: it submits and polls jobs and counts the outcomes.
 type jobClient struct {
-	httpClient                      http.Client
-	addrs                           []string // of the controllers
-	accepted, refused, polled, late atomic.Int64
+	httpClient                            http.Client
+	addrs                                 []string // of the controllers
+	accepted, refused, polls, failedPolls atomic.Int64
 }
 
 // applyLoad submits all services, and then arrays and polls at their rates until the context ends. It returns after
@@ -246,7 +246,7 @@
 	var services sync.WaitGroup
 	for i := range *serviceCount {
 		services.Go(func() { c.submit(serviceRequest(jobID(i))) })
-		time.Sleep(serviceGap)
+		time.Sleep(serviceSubmitInterval)
 	}
 	services.Wait()
 	next := firstArrayNumber
@@ -297,10 +297,10 @@
 
 // poll polls a job once.
 func (c *jobClient) poll(id string) {
-	c.polled.Add(1)
+	c.polls.Add(1)
 	addr := c.addrs[int(time.Now().UnixNano()>>8)%len(c.addrs)]
 	if c.doRequest(http.MethodGet, addr+wire.PathJobs+"/"+id, nil) != http.StatusOK {
-		c.late.Add(1)
+		c.failedPolls.Add(1)
 	}
 }
 
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -34,25 +34,25 @@
 
 // RequestCost is the cost of requests of one kind.
 type RequestCost struct {
-	Guards    string  `json:"guards"` // "none", "rights" or "rights and record"
-	Operation string  `json:"what"`
-	Count     int     `json:"count"`
-	Retries   int64   `json:"again"` // attempts after 429 and 503
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"`
-	CPU       float64 `json:"cpu_us"`  // of the controller, per request
-	Changes   float64 `json:"changes"` // writes to the store, per request
+	SecurityMode string  `json:"guards"` // "none", "rights" or "rights and record"
+	Operation    string  `json:"what"`
+	Count        int     `json:"count"`
+	Retries      int64   `json:"again"` // attempts after 429 and 503
+	P50MS        float64 `json:"p50_ms"`
+	P99MS        float64 `json:"p99_ms"`
+	CPUMicros    float64 `json:"cpu_us"`  // of the controller, per request
+	Writes       float64 `json:"changes"` // writes to the store, per request
 }
 
 // AuditReadCost is the cost of reading a long audit log.
 type AuditReadCost struct {
-	Command string  `json:"what"`
-	Entries int     `json:"entries"`
-	Blocks  int     `json:"blocks"`
-	Stored  float64 `json:"stored_bytes_per_entry"`
-	TookS   float64 `json:"took_s"`
-	PeakMB  float64 `json:"peak_mb"` // of the command
-	Printed int     `json:"printed"`
+	Command             string  `json:"what"`
+	Entries             int     `json:"entries"`
+	Blocks              int     `json:"blocks"`
+	StoredBytesPerEntry float64 `json:"stored_bytes_per_entry"`
+	TookS               float64 `json:"took_s"`
+	PeakMB              float64 `json:"peak_mb"` // of the command
+	PrintedLines        int     `json:"printed"`
 }
 
 func main() {
@@ -70,24 +70,24 @@
 
 // Guards of the requests, as figures.json names them.
 const (
-	guardNone  = "none"
-	guardRoles = "rights"
-	guardAudit = "rights and record"
+	securityNone           = "none"
+	securityAccess         = "rights"
+	securityAccessAndAudit = "rights and record"
 )
 
-var guardKinds = []string{guardNone, guardRoles, guardAudit}
+var securityModes = []string{securityNone, securityAccess, securityAccessAndAudit}
 
 const (
-	clientCount       = 8
-	floodConnections  = 16
-	requestTimeout    = 5 * time.Second
-	shardTime         = 2 * time.Second // until a healthy controller owns its shards
-	retryGap          = 10 * time.Millisecond
-	maxAttempts       = 200
-	throttlePeriod    = 25 * time.Millisecond
-	maxValueBytes     = 8192
-	entriesPerBlock   = 160 // as many as nearly fill a value
-	invalidCredential = "Bearer eyJhbGciOiJFZERTQSIsImtpZCI6Im5vYm9keSJ9.e30.AAAA"
+	clientCount          = 8
+	floodConnections     = 16
+	requestTimeout       = 5 * time.Second
+	shardAcquisitionTime = 2 * time.Second // until a healthy controller owns its shards
+	retryDelay           = 10 * time.Millisecond
+	maxAttempts          = 200
+	throttlePeriod       = 25 * time.Millisecond
+	maxValueBytes        = 8192
+	entriesPerBlock      = 160 // as many as nearly fill a value
+	invalidCredential    = "Bearer eyJhbGciOiJFZERTQSIsImtpZCI6Im5vYm9keSJ9.e30.AAAA"
 )
 
 // run measures everything and writes the figures.
@@ -95,26 +95,26 @@
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return fmt.Errorf("create folder of figures: %w", err)
 	}
-	keys, err := newGuardKeys()
+	creds, err := newCredentials()
 	if err != nil {
 		return err
 	}
 	var costs []*RequestCost
 	for round := range rounds {
-		for i := range guardKinds { // in another order each round
-			kind := guardKinds[(i+round)%len(guardKinds)]
-			ofKind, err := keys.measureRound(bin, kind, requests, false)
+		for i := range securityModes { // in another order each round
+			mode := securityModes[(i+round)%len(securityModes)]
+			roundCosts, err := creds.measureRound(bin, mode, requests, false)
 			if err != nil {
 				return err
 			}
-			costs = append(costs, ofKind...)
+			costs = append(costs, roundCosts...)
 		}
 	}
-	flood, err := keys.measureRound(bin, guardAudit, requests, true)
+	flood, err := creds.measureRound(bin, securityAccessAndAudit, requests, true)
 	if err != nil {
 		return err
 	}
-	reads, err := keys.measureAuditReads(bin, entries)
+	reads, err := creds.measureAuditReads(bin, entries)
 	if err != nil {
 		return err
 	}
@@ -128,14 +128,14 @@
 	return nil
 }
 
-// guardKeys are the user, the access policy and the key of the audit log.
-type guardKeys struct {
+// credentials are the user, the access policy and the key of the audit log.
+type credentials struct {
 	user         *access.PrivateKey
 	accessPolicy string
 	auditKey     string
 }
 
-func newGuardKeys() (*guardKeys, error) {
+func newCredentials() (*credentials, error) {
 	user, err := access.NewKey("portal", "portal-1")
 	if err != nil {
 		return nil, fmt.Errorf("create user's key: %w", err)
@@ -153,19 +153,19 @@
 		}
 		identities { name: "portal" roles: "all" keys { id: %q ed25519: %q } }
 		`, user.ID, user.PublicBase64())
-	return &guardKeys{user: user, auditKey: auditKey, accessPolicy: policy}, nil
+	return &credentials{user: user, auditKey: auditKey, accessPolicy: policy}, nil
 }
 
 // processOptions returns the settings of a controller with guards.
-func (k *guardKeys) processOptions(kind string) process.Options {
+func (c *credentials) processOptions(mode string) process.Options {
 	options := process.Options{RPS: 1000, WriteRPS: 1000, MemMB: 186, Files: map[string]string{}}
-	if kind == guardNone {
+	if mode == securityNone {
 		return options
 	}
-	options.Files["access"] = k.accessPolicy
+	options.Files["access"] = c.accessPolicy
 	options.Args = []string{"--access", "%DIR%/access"}
-	if kind == guardAudit {
-		options.Files["audit"] = k.auditKey
+	if mode == securityAccessAndAudit {
+		options.Files["audit"] = c.auditKey
 		options.Files["access"] += `audit_key: "%DIR%/audit"`
 	}
 	return options
@@ -180,23 +180,23 @@
 	return store
 }
 
-// newRequest returns the request of a number.
-type newRequest func(number int) (method, path string, body any)
+// requestBuilder returns the request of a number.
+type requestBuilder func(number int) (method, path string, body any)
 
-// submission is a newRequest that submits jobs.
-func submission(number int) (method, path string, body any) {
+// buildSubmission is a newRequest that submits jobs.
+func buildSubmission(number int) (method, path string, body any) {
 	return http.MethodPost, wire.PathJobs, fakes.JobRequest(fmt.Sprintf("wk-%06d", number), "c")
 }
 
-// jobPoll is a newRequest that polls these jobs.
-func jobPoll(number int) (method, path string, body any) {
+// buildPoll is a newRequest that polls these jobs.
+func buildPoll(number int) (method, path string, body any) {
 	return http.MethodGet, fmt.Sprintf("%s/wk-%06d", wire.PathJobs, number), nil
 }
 
 // measureRound starts a controller and measures submissions and polls; with a flood, polls at the controller's
 // share of a core, without and with invalid credentials that come as fast as they are answered.
-func (k *guardKeys) measureRound(bin, kind string, requests int, flood bool) (costs []*RequestCost, err error) {
-	controller, err := process.Start(bin, newStore(), k.processOptions(kind))
+func (c *credentials) measureRound(bin, mode string, requests int, flood bool) (costs []*RequestCost, err error) {
+	controller, err := process.Start(bin, newStore(), c.processOptions(mode))
 	if err != nil {
 		return nil, err
 	}
@@ -204,20 +204,20 @@
 	if _, err := controller.WaitHealthy(); err != nil {
 		return nil, err
 	}
-	time.Sleep(shardTime)
-	cost, err := k.measureRequests(controller, kind, "acceptance", requests, submission)
+	time.Sleep(shardAcquisitionTime)
+	cost, err := c.measureRequests(controller, mode, "acceptance", requests, buildSubmission)
 	if err != nil {
 		return nil, err
 	}
 	costs = append(costs, cost)
 	if !flood {
-		cost, err := k.measureRequests(controller, kind, "poll", requests, jobPoll)
+		cost, err := c.measureRequests(controller, mode, "poll", requests, buildPoll)
 		return append(costs, cost), err
 	}
 	stop := throttleProcess(controller)
 	defer stop()
 	for _, connections := range []int{0, floodConnections} {
-		cost, err := k.measureFlood(controller, kind, requests/3, connections)
+		cost, err := c.measureFlood(controller, mode, requests/3, connections)
 		if err != nil {
 			return nil, err
 		}
@@ -228,9 +228,9 @@
 }
 
 // measureFlood measures polls beside connections with invalid credentials.
-func (k *guardKeys) measureFlood(
+func (c *credentials) measureFlood(
 	controller *process.Process,
-	kind string,
+	mode string,
 	requests, connections int,
 ) (*RequestCost, error) {
 	end := make(chan struct{})
@@ -241,7 +241,7 @@
 	}
 	startedAt := time.Now()
 	operation := fmt.Sprintf("poll beside %d connections with bad credentials", connections)
-	cost, err := k.measureRequests(controller, kind, operation, requests, jobPoll)
+	cost, err := c.measureRequests(controller, mode, operation, requests, buildPoll)
 	close(end)
 	flood.Wait()
 	if err != nil {
@@ -299,16 +299,16 @@
 }
 
 // measureRequests sends requests by a few clients and measures them.
-func (k *guardKeys) measureRequests(
+func (c *credentials) measureRequests(
 	controller *process.Process,
-	kind, operation string,
+	mode, operation string,
 	count int,
-	build newRequest,
+	build requestBuilder,
 ) (*RequestCost, error) {
 	token := ""
-	if kind != guardNone {
+	if mode != securityNone {
 		var err error
-		if token, err = k.user.SignToken(time.Now(), time.Hour); err != nil {
+		if token, err = c.user.SignToken(time.Now(), time.Hour); err != nil {
 			return nil, fmt.Errorf("sign token: %w", err)
 		}
 	}
@@ -321,30 +321,30 @@
 		addr: controller.Addr, token: token, build: build, count: int64(count),
 		latencies: hdrhistogram.New(1, 60_000_000, 3),
 	}
-	failed := clients.run()
+	sendErr := clients.run()
 	cpuAfter, _, err := controller.Usage()
-	if err != nil || failed != nil {
-		return nil, errors.Join(err, failed)
+	if err != nil || sendErr != nil {
+		return nil, errors.Join(err, sendErr)
 	}
 	perRequest := func(total int64) float64 { return float64(total) / float64(count) }
 	cost := &RequestCost{
-		Guards:    kind,
-		Operation: operation,
-		Count:     count,
-		Retries:   clients.retries.Load(),
-		P50:       float64(clients.latencies.ValueAtQuantile(50)) / 1000,
-		P99:       float64(clients.latencies.ValueAtQuantile(99)) / 1000,
-		CPU:       perRequest((cpuAfter - cpuBefore).Microseconds()),
-		Changes:   perRequest(int64(controller.Store.Counters()["changed"] - writesBefore)),
+		SecurityMode: mode,
+		Operation:    operation,
+		Count:        count,
+		Retries:      clients.retries.Load(),
+		P50MS:        float64(clients.latencies.ValueAtQuantile(50)) / 1000,
+		P99MS:        float64(clients.latencies.ValueAtQuantile(99)) / 1000,
+		CPUMicros:    perRequest((cpuAfter - cpuBefore).Microseconds()),
+		Writes:       perRequest(int64(controller.Store.Counters()["changed"] - writesBefore)),
 	}
 	log.Printf(
 		"%-18s %-12s p50 %6.2f ms, p99 %7.2f ms, %5.0f us of processor, %.3f changes, %d again",
-		cost.Guards,
+		cost.SecurityMode,
 		cost.Operation,
-		cost.P50,
-		cost.P99,
-		cost.CPU,
-		cost.Changes,
+		cost.P50MS,
+		cost.P99MS,
+		cost.CPUMicros,
+		cost.Writes,
 		cost.Retries,
 	)
 	return cost, nil
@@ -353,14 +353,14 @@
 // clientGroup is a few clients that share a number of requests.
 type clientGroup struct {
 	addr, token string
-	build       newRequest
+	build       requestBuilder
 	count       int64
-	next        atomic.Int64 // number of the last request that a client took
+	lastNumber  atomic.Int64 // number of the last request that a client took
 	retries     atomic.Int64
 
 	mu        sync.Mutex              // guards the fields below
 	latencies *hdrhistogram.Histogram // in microseconds
-	failed    error                   // of the first request that failed
+	firstErr  error                   // of the first request that failed
 }
 
 // run sends all requests, and returns the first error.
@@ -370,19 +370,19 @@
 		clients.Go(g.runClient)
 	}
 	clients.Wait()
-	return g.failed
+	return g.firstErr
 }
 
 // runClient sends requests over connections of its own.
 func (g *clientGroup) runClient() {
 	client := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	for i := g.next.Add(1); i <= g.count; i = g.next.Add(1) {
+	for i := g.lastNumber.Add(1); i <= g.count; i = g.lastNumber.Add(1) {
 		took, retries, err := g.sendUntilAnswered(client, int(i))
 		g.retries.Add(int64(retries))
 		g.mu.Lock()
-		if err != nil && g.failed == nil {
-			g.failed = err
+		if err != nil && g.firstErr == nil {
+			g.firstErr = err
 		}
 		_ = g.latencies.RecordValue(took.Microseconds()) // an hour would not fit, and would have failed
 		g.mu.Unlock()
@@ -417,7 +417,7 @@
 		case http.StatusOK, http.StatusCreated:
 			return time.Since(startedAt), retries, nil
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-			time.Sleep(retryGap)
+			time.Sleep(retryDelay)
 		default:
 			return 0, retries, fmt.Errorf("%s %s: %d", method, path, response.StatusCode)
 		}
@@ -429,9 +429,9 @@
 type auditLogSize struct{ entries, blocks, bytes int }
 
 // measureAuditReads reads and verifies a long audit log through a controller, at the limits of the users' store.
-func (k *guardKeys) measureAuditReads(bin string, entries int) (reads []*AuditReadCost, err error) {
+func (c *credentials) measureAuditReads(bin string, entries int) (reads []*AuditReadCost, err error) {
 	store := newStore()
-	key, err := audit.ParseKey(k.auditKey)
+	key, err := audit.ParseKey(c.auditKey)
 	if err != nil {
 		return nil, fmt.Errorf("parse audit key: %w", err)
 	}
@@ -439,7 +439,7 @@
 	if err != nil {
 		return nil, err
 	}
-	options := k.processOptions(guardAudit)
+	options := c.processOptions(securityAccessAndAudit)
 	options.RPS, options.WriteRPS = 150, 30
 	controller, err := process.Start(bin, store, options)
 	if err != nil {
@@ -454,7 +454,7 @@
 		return nil, fmt.Errorf("create folder of keys: %w", err)
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	userKey, auditKey, err := k.writeKeys(dir)
+	userKey, auditKey, err := c.writeKeys(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -476,13 +476,13 @@
 }
 
 // writeKeys writes the files of the user's key and of the audit key.
-func (k *guardKeys) writeKeys(dir string) (userKey, auditKey string, err error) {
-	raw, err := json.Marshal(k.user)
+func (c *credentials) writeKeys(dir string) (userKey, auditKey string, err error) {
+	raw, err := json.Marshal(c.user)
 	if err != nil {
 		return "", "", fmt.Errorf("encode user's key: %w", err)
 	}
 	userKey, auditKey = filepath.Join(dir, "portal.key"), filepath.Join(dir, "audit.key")
-	err = errors.Join(os.WriteFile(userKey, raw, 0o600), os.WriteFile(auditKey, []byte(k.auditKey), 0o600))
+	err = errors.Join(os.WriteFile(userKey, raw, 0o600), os.WriteFile(auditKey, []byte(c.auditKey), 0o600))
 	if err != nil {
 		return "", "", fmt.Errorf("write keys: %w", err)
 	}
@@ -504,23 +504,23 @@
 		return nil, errors.New("the memory of a command is not known on this system")
 	}
 	cost := &AuditReadCost{
-		Command: strings.Join(args[:2], " "),
-		Entries: size.entries,
-		Blocks:  size.blocks,
-		Stored:  float64(size.bytes) / float64(size.entries),
-		TookS:   took.Seconds(),
-		PeakMB:  float64(usage.Maxrss) / 1024,
-		Printed: bytes.Count(stdout.Bytes(), []byte("\n")),
+		Command:             strings.Join(args[:2], " "),
+		Entries:             size.entries,
+		Blocks:              size.blocks,
+		StoredBytesPerEntry: float64(size.bytes) / float64(size.entries),
+		TookS:               took.Seconds(),
+		PeakMB:              float64(usage.Maxrss) / 1024,
+		PrintedLines:        bytes.Count(stdout.Bytes(), []byte("\n")),
 	}
 	log.Printf(
 		"%s: %d entries in %d blocks, %.1f bytes each: %.1f s, %.0f MB, %d lines",
 		cost.Command,
 		cost.Entries,
 		cost.Blocks,
-		cost.Stored,
+		cost.StoredBytesPerEntry,
 		cost.TookS,
 		cost.PeakMB,
-		cost.Printed,
+		cost.PrintedLines,
 	)
 	return cost, nil
 }
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -32,23 +32,23 @@
 	keptRecords = 7500
 	// maxKeptRecords is the number of records at which archiving counts as finished: the latest ended jobs keep
 	// theirs.
-	maxKeptRecords   = 10_100
-	jobsPerBlock     = 1200 // of the archive, as many as there are on average
-	maxValueBytes    = 8192
-	storeWriteRate   = 30 // per second, of a start
-	archiveRate      = 1000
-	archiveTimeout   = 15 * time.Minute
-	archivePollGap   = 200 * time.Millisecond
-	pollsPerStart    = 60
-	maxPollAttempts  = 5
-	pollRetryGap     = 500 * time.Millisecond
-	endedJobsPrefix  = core.Root + "job/wk-0"
-	formRecords      = "records"
-	formArchive      = "archive"
-	versionNow       = "now"
-	versionBefore    = "before"
-	archivingTuning  = "archive: true history_wait_ms: 0"
-	unixMSOfLiveJobs = 1700000000000
+	maxKeptRecords      = 10_100
+	jobsPerBlock        = 1200 // of the archive, as many as there are on average
+	maxValueBytes       = 8192
+	storeWriteRate      = 30 // per second, of a start
+	archiveRate         = 1000
+	archiveTimeout      = 15 * time.Minute
+	archivePollInterval = 200 * time.Millisecond
+	pollsPerStart       = 60
+	maxPollAttempts     = 5
+	pollRetryDelay      = 500 * time.Millisecond
+	endedJobsPrefix     = core.Root + "job/wk-0"
+	formRecords         = "records"
+	formArchive         = "archive"
+	versionCurrent      = "now"
+	versionEarlier      = "before"
+	archivingTuning     = "archive: true history_wait_ms: 0"
+	liveJobUnixMS       = 1700000000000
 )
 
 // StartCost is the cost of one start. The page's template uses the names of the fields.
@@ -73,25 +73,25 @@
 
 // options are the command's flags.
 type options struct {
-	bin, before string // paths of the program and of an earlier version
-	sizes       string
-	rates       string
-	quotaMB     float64
-	out         string
-	archive     int // records to archive; 0: none
+	bin, earlierBin string // paths of the program and of an earlier version
+	jobCounts       string
+	rates           string
+	quotaMB         float64
+	out             string
+	archiveCount    int // records to archive; 0: none
 }
 
 func main() {
 	log.SetFlags(0)
 	var o options
 	flag.StringVar(&o.bin, "program", "target/dewlift", "the program")
-	flag.StringVar(&o.before, "before", "", "an earlier version's program, for comparison")
-	flag.StringVar(&o.sizes, "jobs", "10000,100000,1000000", "numbers of ended jobs")
+	flag.StringVar(&o.earlierBin, "before", "", "an earlier version's program, for comparison")
+	flag.StringVar(&o.jobCounts, "jobs", "10000,100000,1000000", "numbers of ended jobs")
 	flag.StringVar(&o.rates, "rps", "150,70", "requests a second of the state service")
 	flag.Float64Var(&o.quotaMB, "mem-mb", 186, "memory quota of a controller")
 	flag.StringVar(&o.out, "out", "history", "folder for figures.json and report.html")
 	flag.IntVar(
-		&o.archive,
+		&o.archiveCount,
 		"compact",
 		0,
 		"also have so many records moved, with 1000 changes a second, and count what that takes",
@@ -117,7 +117,7 @@
 
 // run measures all starts and writes the report.
 func (o *options) run() error {
-	jobs, err := parseNumbers(o.sizes)
+	jobs, err := parseNumbers(o.jobCounts)
 	if err != nil {
 		return err
 	}
@@ -131,20 +131,20 @@
 	var starts []*StartCost
 	for _, rps := range rates {
 		for _, kind := range []StartCost{
-			{Version: versionBefore, Form: formRecords, RPS: rps},
-			{Version: versionNow, Form: formRecords, RPS: rps},
-			{Version: versionNow, Form: formArchive, RPS: rps},
+			{Version: versionEarlier, Form: formRecords, RPS: rps},
+			{Version: versionCurrent, Form: formRecords, RPS: rps},
+			{Version: versionCurrent, Form: formArchive, RPS: rps},
 		} {
-			ofKind, err := o.measureKind(kind, jobs)
+			kindCosts, err := o.measureKind(kind, jobs)
 			if err != nil {
 				return err
 			}
-			starts = append(starts, ofKind...)
+			starts = append(starts, kindCosts...)
 		}
 	}
 	var archiving *ArchivingCost
-	if o.archive > 0 {
-		if archiving, err = measureArchiving(o.bin, o.archive, o.quotaMB); err != nil {
+	if o.archiveCount > 0 {
+		if archiving, err = measureArchiving(o.bin, o.archiveCount, o.quotaMB); err != nil {
 			return err
 		}
 	}
@@ -161,8 +161,8 @@
 // measureKind measures a start of a kind with each number of jobs; none if there is no program of its version.
 func (o *options) measureKind(kind StartCost, jobs []float64) (starts []*StartCost, err error) {
 	bin := o.bin
-	if kind.Version == versionBefore {
-		bin = o.before
+	if kind.Version == versionEarlier {
+		bin = o.earlierBin
 	}
 	if bin == "" {
 		return nil, nil
@@ -274,7 +274,7 @@
 			fmt.Sprintf("%sjob/wk-live-%04d", core.Root, i),
 			fmt.Sprintf(
 				`{"h":1,"s":{"cl":"c","tm":"t","pr":2,"n":4,"rc":[4000,0,8000],"im":"img"},"at":%d}`,
-				int64(unixMSOfLiveJobs),
+				int64(liveJobUnixMS),
 			),
 		)
 	}
@@ -297,7 +297,7 @@
 var httpClient = http.Client{Timeout: 2 * time.Second}
 
 // pollJob polls a job, and reports whether the response is right. An empty stage stands for an unknown job.
-func pollJob(controller *process.Process, id, stage string, done int) (right bool, took time.Duration) {
+func pollJob(controller *process.Process, id, stage string, done int) (correct bool, took time.Duration) {
 	startedAt := time.Now()
 	for range maxPollAttempts { // 503 is no answer
 		response, err := httpClient.Get("http://" + controller.Addr + wire.PathJobs + "/" + id)
@@ -313,7 +313,7 @@
 		case response.StatusCode == http.StatusOK && err == nil:
 			return state.Stage == stage && state.Done == done, time.Since(startedAt)
 		}
-		time.Sleep(pollRetryGap)
+		time.Sleep(pollRetryDelay)
 	}
 	return false, time.Since(startedAt)
 }
@@ -332,12 +332,12 @@
 		if job.Cancelled {
 			stage = wire.StageCancelled
 		}
-		right, took := pollJob(controller, job.ID, stage, job.CompletedTasks)
+		correct, took := pollJob(controller, job.ID, stage, job.CompletedTasks)
 		durations = append(durations, took)
-		if !right {
+		if !correct {
 			wrong++
 		}
-		if right, _ := pollJob(controller, "wk-never-"+job.ID[3:], "", 0); !right {
+		if correct, _ := pollJob(controller, "wk-never-"+job.ID[3:], "", 0); !correct {
 			wrong++
 		}
 	}
@@ -361,7 +361,7 @@
 	_, bytes := store.CountKeys(prefix)
 	c.StoreB = float64(bytes) / float64(c.Jobs)
 	tuning := ""
-	if c.Version == versionNow {
+	if c.Version == versionCurrent {
 		tuning = archivingTuning
 	}
 	controller, err := process.Start(bin, store, process.Options{
@@ -442,7 +442,7 @@
 		if time.Since(startedAt) > archiveTimeout {
 			return fmt.Errorf("%d records are left", left)
 		}
-		time.Sleep(archivePollGap)
+		time.Sleep(archivePollInterval)
 		wrong, _ := pollRandomJobs(controller, ended, 2)
 		c.Wrong, c.Polls = c.Wrong+wrong, c.Polls+4
 		left, _ = controller.Store.CountKeys(endedJobsPrefix)
--- a/internal/measure/history/report.go
+++ b/internal/measure/history/report.go
@@ -42,7 +42,7 @@
 type metric struct {
 	title, unit string
 	limit       float64 // 0: none
-	of          func(cost *StartCost) float64
+	value       func(cost *StartCost) float64
 }
 
 var metrics = []metric{
@@ -70,7 +70,7 @@
 			names = append(names, name)
 		}
 		jobs := float64(cost.Jobs)
-		lines[name] = append(lines[name], plotter.XY{X: jobs, Y: m.of(cost)})
+		lines[name] = append(lines[name], plotter.XY{X: jobs, Y: m.value(cost)})
 		minJobs, maxJobs = min(minJobs, jobs), max(maxJobs, jobs)
 	}
 	for i, name := range names {
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	controllerCount   = 3
-	heartbeatInterval = 6 * time.Second
-	minHeartbeatGap   = 500 * time.Millisecond // between two heartbeats of a machine
-	localLatency      = time.Millisecond
-	storeLatency      = 8 * time.Millisecond // round trip
-	cloudLatency      = 100 * time.Millisecond
-	requestTimeout    = 2 * time.Second // of requests to an agent that does not respond
-	imagePullTime     = 200 * time.Millisecond
-	pollInterval      = 5 * time.Second
-	startUnixMS       = 1_700_000_000_000
+	controllerCount      = 3
+	heartbeatInterval    = 6 * time.Second
+	minHeartbeatInterval = 500 * time.Millisecond // between two heartbeats of a machine
+	localLatency         = time.Millisecond
+	storeLatency         = 8 * time.Millisecond // round trip
+	cloudLatency         = 100 * time.Millisecond
+	requestTimeout       = 2 * time.Second // of requests to an agent that does not respond
+	imagePullTime        = 200 * time.Millisecond
+	pollInterval         = 5 * time.Second
+	startUnixMS          = 1_700_000_000_000
 	// unlimitedRate is a rate of writes and requests that is never reached: the demand is measured, not a limit.
 	unlimitedRate = 1e6
 	// firstArrayID is the least ID of a job array; services have lower ones.
@@ -53,15 +53,15 @@
 // simCluster is a seeded cluster in simulated time: the real core of each controller, and everything around it as
 // simple as possible.
 type simCluster struct {
-	maxMachines   int // at a time
-	rng           *rand.Rand
-	now           time.Duration
-	lastRequestID uint64 // of users and agents
-	events        eventqueue.Queue
-	nodes         []*node
-	machines      []*machine // that are rented
-	byName        map[string]*machine
-	cutZone       string // zone that is partitioned from everything
+	maxMachines     int // at a time
+	rng             *rand.Rand
+	now             time.Duration
+	lastRequestID   uint64 // of users and agents
+	events          eventqueue.Queue
+	nodes           []*node
+	machines        []*machine // that are rented
+	machinesByName  map[string]*machine
+	partitionedZone string // zone that is partitioned from everything
 
 	// The store.
 	revision       uint64
@@ -97,7 +97,7 @@
 // machine is a machine with its agent.
 type machine struct {
 	name, zone        string
-	spot, gone        bool
+	spot, returned    bool
 	rentedAt          time.Duration
 	controllerIndex   int
 	seq, fencingToken uint64
@@ -109,14 +109,14 @@
 }
 
 // isUnreachable reports whether requests to a machine get no response.
-func (m *machine) isUnreachable() bool { return m.gone || m.zone == m.cluster.cutZone }
+func (m *machine) isUnreachable() bool { return m.returned || m.zone == m.cluster.partitionedZone }
 
 // newSimCluster returns a cluster without machines, whose controllers are about to start.
 func newSimCluster(maxMachines int, seed uint64) *simCluster {
 	s := &simCluster{
 		maxMachines:     maxMachines,
 		rng:             rand.New(rand.NewPCG(seed, 1)),
-		byName:          map[string]*machine{},
+		machinesByName:  map[string]*machine{},
 		keys:            map[string]wire.KeyValue{},
 		unstartedArrays: map[string]time.Duration{},
 	}
@@ -135,7 +135,7 @@
 func (s *simCluster) startController(i int, seed uint64) {
 	platform := platformSettings(i)
 	tuning := settings.DefaultTuning()
-	if writeLimit == unlimitedRate {
+	if storeWriteLimit == unlimitedRate {
 		tuning.SettleMs = tuning.SettleMostMs // ends of tasks are batched as long as they are where writes are few
 	}
 	tuning.SharedValues = &batchValues
@@ -163,7 +163,7 @@
 	cluster.Workers.HeartbeatIntervalS = heartbeatInterval.Seconds()
 	cluster.Workers.AgentLeaseS, cluster.Workers.CancelDeadlineS = 36, 66
 	cluster.TimeBoundMS = 5
-	cluster.State.RPS, cluster.State.WriteRPS = unlimitedRate, writeLimit
+	cluster.State.RPS, cluster.State.WriteRPS = unlimitedRate, storeWriteLimit
 	cluster.State.ValueKB, cluster.State.TxnOps = 8, 24
 	cluster.Cloud.RPS, cluster.Cloud.ListLagS = 40, 5
 	cluster.Quota.FDLimit = 100_000
@@ -173,7 +173,7 @@
 // rentMachine adds a machine that boots.
 func (s *simCluster) rentMachine(zone string, spot bool) *machine {
 	m := &machine{
-		name:            fmt.Sprintf("m-%06d", len(s.byName)),
+		name:            fmt.Sprintf("m-%06d", len(s.machinesByName)),
 		zone:            zone,
 		spot:            spot,
 		rentedAt:        s.now,
@@ -181,7 +181,7 @@
 		cluster:         s,
 	}
 	s.machines = append(s.machines, m)
-	s.byName[m.name] = m
+	s.machinesByName[m.name] = m
 	m.nextHeartbeatAt = s.now + 2*time.Second + time.Duration(s.rng.Int64N(int64(time.Second)))
 	s.schedule(m.nextHeartbeatAt-s.now, m.sendHeartbeat)
 	return m
@@ -189,13 +189,13 @@
 
 // returnMachine ends a machine, and counts the replicas on it as lost.
 func (s *simCluster) returnMachine(name string) {
-	returned := s.byName[name]
-	if returned == nil || returned.gone {
+	m := s.machinesByName[name]
+	if m == nil || m.returned {
 		return
 	}
-	returned.gone = true
-	s.machines = slices.DeleteFunc(s.machines, func(other *machine) bool { return other == returned })
-	for _, status := range returned.tasks {
+	m.returned = true
+	s.machines = slices.DeleteFunc(s.machines, func(other *machine) bool { return other == m })
+	for _, status := range m.tasks {
 		if id, _, _ := wire.SplitTaskName(status.Task); id < firstArrayID && status.Stage != wire.TaskExited {
 			s.counters.lost++
 		}
@@ -247,12 +247,12 @@
 
 // performOutput carries out one output of a core. Its outcome comes back as an input.
 func (s *simCluster) performOutput(n *node, output core.Output) {
-	respondAfter := func(delay time.Duration, in core.Input) { s.schedule(delay, func() { s.deliver(n, in) }) }
+	deliverAfter := func(delay time.Duration, in core.Input) { s.schedule(delay, func() { s.deliver(n, in) }) }
 	switch output := output.(type) {
 	case core.Response:
-		if deliver := n.pendingRequests[output.RequestID]; deliver != nil {
+		if respond := n.pendingRequests[output.RequestID]; respond != nil {
 			delete(n.pendingRequests, output.RequestID)
-			deliver(output)
+			respond(output)
 		}
 	case core.SendToPeer:
 		s.sendToPeers(n, output)
@@ -260,7 +260,7 @@
 		s.schedule(storeLatency/2, func() {
 			result := core.TxnResult{ID: output.ID}
 			result.Status, result.Reply = s.commit(output.Txn)
-			respondAfter(storeLatency/2, result)
+			deliverAfter(storeLatency/2, result)
 		})
 	case core.Watch:
 		s.schedule(storeLatency/2, func() { s.serveWatch(n, output) })
@@ -269,32 +269,32 @@
 		for _, key := range slices.Sorted(maps.Keys(s.keys)) {
 			page.Items = append(page.Items, s.keys[key])
 		}
-		respondAfter(storeLatency, page)
+		deliverAfter(storeLatency, page)
 	case core.LeaseRequest:
-		respondAfter(storeLatency, core.LeaseResult{Op: output.Op, Status: wire.StatusOK, LeaseID: n.leaseID})
+		deliverAfter(storeLatency, core.LeaseResult{Op: output.Op, Status: wire.StatusOK, LeaseID: n.leaseID})
 	case core.SendCommands:
-		target := s.byName[output.Machine]
+		target := s.machinesByName[output.Machine]
 		s.schedule(localLatency, func() {
 			result := core.CommandsResult{ID: output.ID, MaybeDelivered: true}
 			if target.isUnreachable() {
-				respondAfter(requestTimeout, result)
+				deliverAfter(requestTimeout, result)
 				return
 			}
 			target.executeCommands(output.Batch.FencingToken, output.Batch.Commands)
 			result.Status, result.Heartbeat = wire.StatusOK, target.nextHeartbeat()
-			respondAfter(localLatency, result)
+			deliverAfter(localLatency, result)
 		})
 	case core.PollAgent:
-		target := s.byName[output.Machine]
+		target := s.machinesByName[output.Machine]
 		s.schedule(localLatency, func() {
 			if target.isUnreachable() {
-				respondAfter(requestTimeout, core.AgentPolled{Machine: output.Machine})
+				deliverAfter(requestTimeout, core.AgentPolled{Machine: output.Machine})
 				return
 			}
-			respondAfter(localLatency, core.AgentPolled{Machine: output.Machine, Heartbeat: target.nextHeartbeat()})
+			deliverAfter(localLatency, core.AgentPolled{Machine: output.Machine, Heartbeat: target.nextHeartbeat()})
 		})
 	case core.CloudRequest:
-		respondAfter(cloudLatency, s.serveCloud(output))
+		deliverAfter(cloudLatency, s.serveCloud(output))
 	}
 }
 
@@ -430,7 +430,7 @@
 // sendHeartbeat sends a heartbeat if one is due, and schedules the next.
 func (m *machine) sendHeartbeat() {
 	s := m.cluster
-	if s.now < m.nextHeartbeatAt || m.gone {
+	if s.now < m.nextHeartbeatAt || m.returned {
 		return
 	}
 	m.nextHeartbeatAt = s.now + heartbeatInterval*3/4 + time.Duration(s.rng.Int64N(int64(heartbeatInterval/2)))
@@ -450,7 +450,7 @@
 
 // heartbeatSoon sends the next heartbeat as soon as minHeartbeatGap allows, as a task has changed.
 func (m *machine) heartbeatSoon() {
-	if at := max(m.cluster.now, m.lastHeartbeatAt+minHeartbeatGap); at < m.nextHeartbeatAt {
+	if at := max(m.cluster.now, m.lastHeartbeatAt+minHeartbeatInterval); at < m.nextHeartbeatAt {
 		m.nextHeartbeatAt = at
 		m.cluster.schedule(at-m.cluster.now, m.sendHeartbeat)
 	}
@@ -536,20 +536,20 @@
 func (s *simCluster) sendRequest(
 	n *node,
 	newInput func(requestID uint64) core.Input,
-	then func(response core.Response),
+	onResponse func(response core.Response),
 ) {
 	s.lastRequestID++
 	requestID := s.lastRequestID
-	n.pendingRequests[requestID] = func(response core.Response) { s.schedule(localLatency, func() { then(response) }) }
+	n.pendingRequests[requestID] = func(response core.Response) { s.schedule(localLatency, func() { onResponse(response) }) }
 	s.schedule(localLatency, func() { s.deliver(n, newInput(requestID)) })
 }
 
-// anyNode draws a controller.
-func (s *simCluster) anyNode() *node { return s.nodes[s.rng.IntN(controllerCount)] }
+// randomNode draws a controller.
+func (s *simCluster) randomNode() *node { return s.nodes[s.rng.IntN(controllerCount)] }
 
 // submitUntilAccepted submits a job until it is accepted.
 func (s *simCluster) submitUntilAccepted(spec wire.JobSpec) {
-	s.sendRequest(s.anyNode(), func(requestID uint64) core.Input {
+	s.sendRequest(s.randomNode(), func(requestID uint64) core.Input {
 		return core.SubmitJob{
 			RequestID: requestID, ID: spec.ID, Spec: spec, UnixMS: startUnixMS + s.now.Milliseconds(),
 		}
@@ -566,7 +566,7 @@
 // pollUntilDone polls a job periodically, as its user does.
 func (s *simCluster) pollUntilDone(id string) {
 	s.schedule(pollInterval, func() {
-		s.sendRequest(s.anyNode(), func(requestID uint64) core.Input {
+		s.sendRequest(s.randomNode(), func(requestID uint64) core.Input {
 			return core.GetJob{RequestID: requestID, ID: id}
 		}, func(response core.Response) {
 			if state, ok := response.Body.(wire.JobState); ok && state.Stage == wire.StageDone {
--- a/internal/measure/scale/main.go
+++ b/internal/measure/scale/main.go
@@ -30,27 +30,27 @@
 
 // Limits that the curve is compared with, and the load.
 const (
-	limitCore    = 0.25  // of a core, for each controller
-	limitMB      = 200.0 // of each controller
-	limitChanges = 20.0  // writes per second of all controllers
+	controllerCoreLimit     = 0.25  // of a core, for each controller
+	controllerMemoryLimitMB = 200.0 // of each controller
+	clusterWriteRateLimit   = 20.0  // writes per second of all controllers
 
-	servicesPerMachine  = 0.5
-	arraysPerMachine    = 0.0012 // per second
-	serviceSubmitTime   = 3 * time.Second
-	serviceSubmitSpread = 30 * time.Second // over which services are submitted
-	arraySubmitTime     = 20 * time.Second
-	firstArrayNumber    = 500_000 // see firstArrayID
-	warmUpTime          = 100 * time.Second
-	measuredTime        = 30 * time.Second
-	lostZoneTime        = time.Minute
-	lostZoneStep        = 250 * time.Millisecond
-	replacedShare       = 0.95 // of the lost replicas
-	minMachines         = 100
+	servicesPerMachine     = 0.5
+	arraysPerMachine       = 0.0012 // per second
+	serviceSubmitTime      = 3 * time.Second
+	serviceSubmitSpread    = 30 * time.Second // over which services are submitted
+	arraySubmitTime        = 20 * time.Second
+	firstArrayNumber       = 500_000 // see firstArrayID
+	warmUpTime             = 100 * time.Second
+	measuredTime           = 30 * time.Second
+	zoneLossDuration       = time.Minute
+	zoneLossSampleInterval = 250 * time.Millisecond
+	replacedFraction       = 0.95 // of the lost replicas
+	minMachines            = 100
 )
 
 var (
-	batchValues bool
-	writeLimit  float64
+	batchValues     bool
+	storeWriteLimit float64
 )
 
 // SizeCost is the cost of one size, per simulated second. It is that of one controller, the one of the three that
@@ -89,7 +89,7 @@
 	sizes := flag.String("machines", "500,1500,3000,6000,10000", "numbers of machines")
 	out := flag.String("out", "scale", "folder for figures.json, report.html and curve.svg")
 	flag.Float64Var(
-		&writeLimit,
+		&storeWriteLimit,
 		"changes",
 		unlimitedRate,
 		"changes a second that the state service takes of all; without it, what is needed shows",
@@ -168,7 +168,7 @@
 		cost.Tasks += len(m.tasks)
 	}
 	s.measureSteady(cost)
-	s.measureLostZone(cost)
+	s.measureZoneLoss(cost)
 	s.measureMemory(cost)
 	cost.findNearestLimit()
 	return cost
@@ -182,14 +182,14 @@
 		s.schedule(at, func() { s.submitJob(i, true) })
 	}
 	next := firstArrayNumber
-	gap := time.Duration(float64(time.Second) / (arraysPerMachine * float64(machines)))
-	var arrive func()
-	arrive = func() {
+	interval := time.Duration(float64(time.Second) / (arraysPerMachine * float64(machines)))
+	var submitNext func()
+	submitNext = func() {
 		next++
 		s.submitJob(next, false)
-		s.schedule(gap, arrive)
+		s.schedule(interval, submitNext)
 	}
-	s.schedule(arraySubmitTime, arrive)
+	s.schedule(arraySubmitTime, submitNext)
 }
 
 // nodeCosts returns the costs of all controllers so far.
@@ -223,28 +223,28 @@
 	cost.RefusedPct = 100 * float64(counters.refused) / float64(max(1, counters.refused+counters.started))
 }
 
-// measureLostZone partitions a zone: its machines are given up and their replicas started elsewhere.
-func (s *simCluster) measureLostZone(cost *SizeCost) {
+// measureZoneLoss partitions a zone: its machines are given up and their replicas started elsewhere.
+func (s *simCluster) measureZoneLoss(cost *SizeCost) {
 	before := s.nodeCosts()
 	s.counters = eventCounts{}
-	cutAt := s.now
-	s.cutZone = machineType.Zones[1]
+	lostAt := s.now
+	s.partitionedZone = machineType.Zones[1]
 	type step struct {
 		at       time.Duration
 		replaced int
 	}
 	var steps []step
-	for s.now < cutAt+lostZoneTime {
-		s.runUntil(s.now + lostZoneStep)
-		steps = append(steps, step{s.now - cutAt, s.counters.replaced})
+	for s.now < lostAt+zoneLossDuration {
+		s.runUntil(s.now + zoneLossSampleInterval)
+		steps = append(steps, step{s.now - lostAt, s.counters.replaced})
 	}
 	for _, step := range steps { // how many are lost is known at the end only
-		if float64(step.replaced) >= replacedShare*float64(s.counters.lost) {
+		if float64(step.replaced) >= replacedFraction*float64(s.counters.lost) {
 			cost.LostReplacedIn = step.at.Seconds()
 			break
 		}
 	}
-	seconds := lostZoneTime.Seconds()
+	seconds := zoneLossDuration.Seconds()
 	for i, n := range s.nodes {
 		busy := n.coreTime + n.codecTime - before[i].coreTime - before[i].codecTime
 		cost.LostCoreS = max(cost.LostCoreS, busy.Seconds()/seconds)
@@ -265,28 +265,28 @@
 	runtime.KeepAlive(s)
 }
 
-// limitPart is the part of a limit that a size takes.
-type limitPart struct {
-	name string
-	of   func(cost *SizeCost) float64
+// limitUsage is the part of a limit that a size takes.
+type limitUsage struct {
+	name     string
+	fraction func(cost *SizeCost) float64
 }
 
 // Parts of the limits, for the report and the plot.
 var (
-	processorPart = func(cost *SizeCost) float64 { return (cost.CoreS + cost.CodecS) / limitCore }
-	memoryPart    = func(cost *SizeCost) float64 { return cost.MB / limitMB }
-	changesPart   = func(cost *SizeCost) float64 { return cost.Changes / limitChanges }
+	coreFraction   = func(cost *SizeCost) float64 { return (cost.CoreS + cost.CodecS) / controllerCoreLimit }
+	memoryFraction = func(cost *SizeCost) float64 { return cost.MB / controllerMemoryLimitMB }
+	writeFraction  = func(cost *SizeCost) float64 { return cost.Changes / clusterWriteRateLimit }
 )
 
 // findNearestLimit sets the limit that is nearest.
 func (c *SizeCost) findNearestLimit() {
-	for _, limit := range []limitPart{
-		{"the processor", processorPart},
-		{"memory", memoryPart},
-		{"changes", changesPart},
+	for _, limit := range []limitUsage{
+		{"the processor", coreFraction},
+		{"memory", memoryFraction},
+		{"changes", writeFraction},
 	} {
-		if part := limit.of(c); part > c.Part {
-			c.Binds, c.Part = limit.name, part
+		if fraction := limit.fraction(c); fraction > c.Part {
+			c.Binds, c.Part = limit.name, fraction
 		}
 	}
 }
@@ -322,7 +322,7 @@
 	if err := os.WriteFile(filepath.Join(out, "figures.json"), append(raw, '\n'), 0o644); err != nil {
 		return fmt.Errorf("write figures: %w", err)
 	}
-	curve, err := plotParts(figures)
+	curve, err := plotLimitUsage(figures)
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
@@ -336,22 +336,22 @@
 	return writePage(filepath.Join(out, "report.html"), figures, image)
 }
 
-// plotParts plots the parts of the limits by the number of machines.
-func plotParts(figures []*SizeCost) (*plot.Plot, error) {
+// plotLimitUsage plots the parts of the limits by the number of machines.
+func plotLimitUsage(figures []*SizeCost) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Parts of a controller's limits by the number of machines (simulated)"
 	p.Title.Padding = vg.Points(8)
 	p.X.Label.Text, p.Y.Label.Text = "machines", "part of the limit"
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
-	for i, limit := range []limitPart{
-		{fmt.Sprintf("processor (%v of a core)", limitCore), processorPart},
-		{fmt.Sprintf("memory (%v MB)", limitMB), memoryPart},
-		{fmt.Sprintf("changes (%v a second)", limitChanges), changesPart},
+	for i, limit := range []limitUsage{
+		{fmt.Sprintf("processor (%v of a core)", controllerCoreLimit), coreFraction},
+		{fmt.Sprintf("memory (%v MB)", controllerMemoryLimitMB), memoryFraction},
+		{fmt.Sprintf("changes (%v a second)", clusterWriteRateLimit), writeFraction},
 	} {
 		var values plotter.XYs
 		for _, cost := range figures {
-			values = append(values, plotter.XY{X: float64(cost.Machines), Y: limit.of(cost)})
+			values = append(values, plotter.XY{X: float64(cost.Machines), Y: limit.fraction(cost)})
 		}
 		line, points, err := plotter.NewLinePoints(values)
 		if err != nil {
--- a/internal/measure/scale/overload.go
+++ b/internal/measure/scale/overload.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	overloadTime      = 100 * time.Second // for which the rate of arrays is multiplied
-	overloadCutAfter  = 20 * time.Second  // from its begin until a zone is lost
-	overloadStep      = 20 * time.Second  // between two lines of output
-	arraysPerCapacity = 1.5               // times arraysPerMachine fill the cluster
+	overloadDuration       = 100 * time.Second // for which the rate of arrays is multiplied
+	overloadZoneLossDelay  = 20 * time.Second  // from its begin until a zone is lost
+	overloadReportInterval = 20 * time.Second  // between two lines of output
+	saturationFactor       = 1.5               // times arraysPerMachine fill the cluster
 )
 
 // runOverload plays a cluster into which arrays come factor times as often as it has capacity for, while a zone is
@@ -27,14 +27,14 @@
 		s.schedule(at, func() { s.submitJob(i, true) })
 	}
 	next := firstArrayNumber
-	rate := arraysPerMachine * float64(machines) * arraysPerCapacity // per second
-	var arrive func()
-	arrive = func() {
+	rate := arraysPerMachine * float64(machines) * saturationFactor // per second
+	var submitNext func()
+	submitNext = func() {
 		next++
 		s.submitJob(next, false)
-		s.schedule(time.Duration(float64(time.Second)/rate), arrive)
+		s.schedule(time.Duration(float64(time.Second)/rate), submitNext)
 	}
-	s.schedule(arraySubmitTime, arrive)
+	s.schedule(arraySubmitTime, submitNext)
 	if profile != "" {
 		file, err := os.Create(profile)
 		if err != nil {
@@ -50,13 +50,13 @@
 			}
 		})
 	}
-	for at := overloadStep; at <= warmUpTime+2*overloadTime; at += overloadStep {
-		switch at - overloadStep {
+	for at := overloadReportInterval; at <= warmUpTime+2*overloadDuration; at += overloadReportInterval {
+		switch at - overloadReportInterval {
 		case warmUpTime:
 			rate *= factor
-		case warmUpTime + overloadCutAfter:
-			s.cutZone = machineType.Zones[1]
-		case warmUpTime + overloadTime:
+		case warmUpTime + overloadZoneLossDelay:
+			s.partitionedZone = machineType.Zones[1]
+		case warmUpTime + overloadDuration:
 			rate /= factor
 		}
 		s.runOverloadStep(at)
@@ -73,7 +73,7 @@
 	maxBusy := 0.0
 	for i, n := range s.nodes {
 		busy := n.coreTime + n.codecTime - before[i].coreTime - before[i].codecTime
-		maxBusy = max(maxBusy, busy.Seconds()/overloadStep.Seconds())
+		maxBusy = max(maxBusy, busy.Seconds()/overloadReportInterval.Seconds())
 	}
 	fmt.Printf(
 		"%4.0f s: %d machines, %.3f of a core, %d jobs accepted and %d tasks started, "+
--- a/internal/measure/scale/scale_test.go
+++ b/internal/measure/scale/scale_test.go
@@ -9,7 +9,7 @@
 // The experiment itself must hold: a small cluster accepts its jobs, runs some ten tasks per machine, wastes no
 // starts, and replaces the replicas of a lost zone.
 func TestSmallCluster(t *testing.T) {
-	writeLimit = unlimitedRate
+	storeWriteLimit = unlimitedRate
 	cost := measureSize(120, 1)
 	if cost.Machines == 0 || cost.Tasks < 6*cost.Machines || cost.RefusedPct > 5 || cost.PerJob <= 0 || cost.MB <= 0 {
 		t.Errorf("%+v", cost)
@@ -22,7 +22,7 @@
 // BenchmarkFleet counts work, which does not depend on the computer: looks at machines and inputs per simulated
 // second, by the size of the cluster.
 func BenchmarkFleet(b *testing.B) {
-	writeLimit = unlimitedRate
+	storeWriteLimit = unlimitedRate
 	for _, machines := range []int{200, 400, 800} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			for b.Loop() {
