--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart embeds plots into HTML pages that refer to no other file.
+// Package chart embeds plots into self-contained HTML pages.
 package chart
 
 import (
@@ -11,13 +11,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of an image.
+// Size of a rendered plot.
 const (
 	width  = 8 * vg.Inch
 	height = 4 * vg.Inch
 )
 
-// PNGDataURL renders a plot as an image and returns it as a data URL.
+// PNGDataURL renders a plot as a PNG image and returns it as a data URL.
 func PNGDataURL(p *plot.Plot) (template.URL, error) {
 	image, err := p.WriterTo(width, height, "png")
 	if err != nil {
--- a/internal/measure/process/process.go
+++ b/internal/measure/process/process.go
@@ -1,5 +1,6 @@
-// Package process runs the built program against the fake store on loopback, for measurements. It owns the
-// program's process, its folder and the fake store's listener; each process is ended by its own ID.
+// Package process runs the built program as a child process against the fake store on loopback, for measurements.
+// It owns the child process, its working folder and the fake store's listener, and kills only processes that it
+// started.
 package process
 
 import (
@@ -19,37 +20,39 @@
 )
 
 const (
-	// CoreShare is the share of a core that a controller has in production; the processes here have a whole core.
+	// CoreShare is the share of a core that a controller has in production. A process that Start starts has a whole
+	// core.
 	CoreShare      = 0.276
-	healthyTimeout = 3 * time.Minute // until a process must be healthy
+	healthyTimeout = 3 * time.Minute // from the start of a process until it must be healthy
 	healthInterval = 20 * time.Millisecond
 	healthTimeout  = 2 * time.Second       // of one health request
-	clockTick      = 10 * time.Millisecond // unit of processor time in /proc
+	clockTick      = 10 * time.Millisecond // unit of CPU time in /proc
 	dirPlaceholder = "%DIR%"
 )
 
 // Options are the settings of a cluster with one controller.
 type Options struct {
-	RPS, WriteRPS float64           // limits of the store
+	RPS, WriteRPS float64           // store limits in the controller's settings, in requests and writes per second
 	MemMB         float64           // memory quota of the controller
-	TuningText    string            // the operators' settings; "": the defaults
-	Files         map[string]string // written to the process's folder; %DIR% in a text stands for it
-	Args          []string          // beside the settings; %DIR% stands for the process's folder
+	TuningText    string            // the operators' settings; "" selects the defaults
+	Files         map[string]string // contents by file name; %DIR% expands to the process's folder
+	Args          []string          // in addition to the settings flags; %DIR% expands to the process's folder
 }
 
-// Process is a controller's process and the fake store that it uses.
+// Process is a running controller and the fake store that it uses.
 type Process struct {
 	Store       *fakes.Store
 	Addr        string // of the controller
 	StoreAddr   string // of the fake store
 	storeServer *http.Server
 	cmd         *exec.Cmd
-	exited      chan error // receives the outcome of Wait, once
+	exited      chan error // receives the result of cmd.Wait once
 	dir         string
 	startedAt   time.Time
 }
 
-// freeAddr returns an address on loopback that nothing listens on: a separate process can't be handed a listener.
+// freeAddr returns a loopback address that nothing listens on. A child process binds its own listener, so it gets an
+// address rather than an open listener.
 func freeAddr() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -58,7 +61,7 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// Start starts a controller.
+// Start starts the fake store and a controller that uses it. Stop ends both.
 func Start(bin string, store *fakes.Store, options Options) (*Process, error) {
 	p := &Process{Store: store, exited: make(chan error, 1)}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -69,7 +72,7 @@
 	go func() { _ = p.storeServer.Serve(listener) }() // ends with Stop
 	p.StoreAddr = listener.Addr().String()
 	if p.dir, err = os.MkdirTemp("", "dewlift-*"); err != nil {
-		return nil, fmt.Errorf("create folder: %w", err)
+		return nil, fmt.Errorf("create folder of process: %w", err)
 	}
 	args, err := p.writeFiles(options)
 	if err != nil {
@@ -81,7 +84,7 @@
 	return p, nil
 }
 
-// writeFiles writes the settings and other files to the process's folder, and returns the program's arguments.
+// writeFiles writes the settings and the files of options to the process's folder and returns the program's arguments.
 func (p *Process) writeFiles(options Options) (args []string, err error) {
 	platform, err := p.platformSettings(options)
 	if err != nil {
@@ -107,9 +110,9 @@
 	return args, nil
 }
 
-// platformSettings chooses the controller's addresses, and returns the platform's settings.
+// platformSettings picks free addresses for the controller and returns the platform settings as JSON.
 func (p *Process) platformSettings(options Options) (string, error) {
-	var addrs [3]string // of the controller, its mesh and the cloud, which nothing serves
+	var addrs [3]string // of the controller, its mesh, and a cloud that nothing serves
 	for i := range addrs {
 		var err error
 		if addrs[i], err = freeAddr(); err != nil {
@@ -126,20 +129,20 @@
 	), nil
 }
 
-// startProgram starts the program with its log in the process's folder.
+// startProgram starts the program, which logs to a file in the process's folder.
 func (p *Process) startProgram(bin string, args []string) error {
 	logs, err := os.Create(filepath.Join(p.dir, "log"))
 	if err != nil {
-		return fmt.Errorf("create log: %w", err)
+		return fmt.Errorf("create log file: %w", err)
 	}
 	p.cmd = exec.Command(bin, args...)
 	p.cmd.Stderr = logs
 	p.startedAt = time.Now()
 	err = p.cmd.Start()
-	if closeErr := logs.Close(); err == nil && closeErr != nil { // the program has a descriptor of its own
+	if closeErr := logs.Close(); err == nil && closeErr != nil { // the child process has its own descriptor
 		_ = p.cmd.Process.Kill()
 		_ = p.cmd.Wait()
-		return fmt.Errorf("close log: %w", closeErr)
+		return fmt.Errorf("close log file: %w", closeErr)
 	}
 	if err != nil {
 		return fmt.Errorf("start %s: %w", bin, err)
@@ -148,16 +151,16 @@
 	return nil
 }
 
-// Stop ends the process and the fake store, and removes the process's folder.
+// Stop kills the process, closes the fake store and removes the process's folder.
 func (p *Process) Stop() error {
 	if p.cmd.ProcessState == nil {
-		_ = p.cmd.Process.Kill() // it may have exited
+		_ = p.cmd.Process.Kill() // fails if the process has exited already
 		<-p.exited
 	}
 	return errors.Join(p.storeServer.Close(), os.RemoveAll(p.dir))
 }
 
-// WaitHealthy waits until the process accepts requests, and returns how long that took since its start.
+// WaitHealthy waits until the process is healthy and returns the time since its start.
 func (p *Process) WaitHealthy() (time.Duration, error) {
 	client := http.Client{Timeout: healthTimeout}
 	for time.Since(p.startedAt) < healthyTimeout {
@@ -173,10 +176,10 @@
 			}
 		}
 	}
-	return 0, fmt.Errorf("not healthy after %v", healthyTimeout)
+	return 0, fmt.Errorf("process is not healthy after %v", healthyTimeout)
 }
 
-// Usage returns the processor time and the peak of resident memory of the process.
+// Usage returns the CPU time and the peak resident memory of the process.
 func (p *Process) Usage() (cpu time.Duration, peakMB float64, err error) {
 	if peakMB, err = p.peakMemoryMB(); err != nil {
 		return 0, 0, err
@@ -185,17 +188,17 @@
 	return cpu, peakMB, err
 }
 
-// peakMemoryMB returns the peak of resident memory.
+// peakMemoryMB returns the peak resident memory, or 0 if /proc does not report it.
 func (p *Process) peakMemoryMB() (float64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
-		return 0, fmt.Errorf("read memory of process: %w", err)
+		return 0, fmt.Errorf("read memory use of process: %w", err)
 	}
 	for line := range strings.Lines(string(status)) {
 		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
 			kb, err := strconv.ParseFloat(strings.Fields(value)[0], 64)
 			if err != nil {
-				return 0, fmt.Errorf("read memory of process: %w", err)
+				return 0, fmt.Errorf("read memory use of process: %w", err)
 			}
 			return kb / 1024, nil
 		}
@@ -203,23 +206,23 @@
 	return 0, nil
 }
 
-// cpuTime returns the user and system time.
+// cpuTime returns the sum of user and system time.
 func (p *Process) cpuTime() (time.Duration, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
-		return 0, fmt.Errorf("read processor time of process: %w", err)
+		return 0, fmt.Errorf("read CPU time of process: %w", err)
 	}
-	_, rest, _ := strings.Cut(string(stat), ") ") // after the program's name, which may have spaces
+	_, rest, _ := strings.Cut(string(stat), ") ") // skips the program's name, which may contain spaces
 	var ticks int64
 	for _, field := range strings.Fields(rest)[11:13] { // utime and stime
 		value, err := strconv.ParseInt(field, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("read processor time of process: %w", err)
+			return 0, fmt.Errorf("read CPU time of process: %w", err)
 		}
 		ticks += value
 	}
 	return time.Duration(ticks) * clockTick, nil
 }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(signal os.Signal) error { return p.cmd.Process.Signal(signal) }
