--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -1,7 +1,6 @@
-// Command fleet measures what a fleet of machines costs its controllers: it runs controllers in this process, over
-// real connections on loopback, with the fake store and machines whose agents follow the protocol, and writes a
-// profile of the processor time. The cost of the fakes shows separately in the profile (`go tool pprof`), as all
-// run in one process.
+// Command fleet measures the load that many machines put on their controllers. It runs several controllers in this
+// process over loopback connections, with a fake store and fake machines whose agents follow the protocol, and writes
+// a CPU profile. The fakes run in the same process; `go tool pprof` shows their cost separately.
 package main
 
 import (
@@ -30,12 +29,12 @@
 var (
 	machineCount    = flag.Int("machines", 1000, "machines")
 	controllerCount = flag.Int("controllers", 3, "controllers")
-	serviceCount    = flag.Int("services", 250, "services of 8 tasks that are there from the start")
-	arrayRate       = flag.Float64("arrays", 0.75, "arrays of 90 tasks that come a second; each task takes 40 s")
-	measuredSeconds = flag.Int("seconds", 30, "of steady load that are measured")
-	pollRate        = flag.Float64("polls", 100, "polls a second")
-	partitionedZone = flag.String("cut", "", "a zone that is cut off when the measured time begins")
-	profileFile     = flag.String("profile", "fleet.prof", "file for the processor profile of the measured time")
+	serviceCount    = flag.Int("services", 250, "number of services with 8 tasks each, submitted at the start")
+	arrayRate       = flag.Float64("arrays", 0.75, "arrays of 90 tasks submitted per second; each task runs for 40 s")
+	measuredSeconds = flag.Int("seconds", 30, "duration of the measurement under steady load, in seconds")
+	pollRate        = flag.Float64("polls", 100, "polls per second")
+	partitionedZone = flag.String("cut", "", "zone to partition when the measurement begins")
+	profileFile     = flag.String("profile", "fleet.prof", "output file for the CPU profile of the measurement")
 )
 
 func main() {
@@ -49,14 +48,14 @@
 const (
 	arrayTaskDuration     = 40 * time.Second
 	heartbeatInterval     = 6 * time.Second
-	shardAcquisitionTime  = 8 * time.Second       // until controllers own their shards
+	shardAcquisitionTime  = 8 * time.Second       // until the controllers own their shards
 	serviceSubmitInterval = 30 * time.Millisecond // between submissions of services
-	warmUpTime            = 45 * time.Second      // of arrays, before the measured time
+	warmUpTime            = 45 * time.Second      // of arrays and their tasks, before the measurement
 	firstArrayNumber      = 100_000               // services have lower numbers
 	maxSubmitAttempts     = 30
 )
 
-// storeLimits are the limits of the fake store and of the controllers' settings.
+// storeLimits are the limits that the fake store enforces and the controllers are configured with.
 var storeLimits = fakes.Limits{
 	RPS: 150, WriteRPS: 30, ValueBytes: 8 << 10, TxnOps: 24, PageItems: 500, PageKB: 256,
 }
@@ -71,7 +70,7 @@
 	SpotPrice: 0.4,
 }
 
-// listen listens on a free port of loopback.
+// listen listens on a free loopback port.
 func listen() (net.Listener, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -80,7 +79,7 @@
 	return listener, nil
 }
 
-// serveUntilExit serves in the background; the listener ends with the process.
+// serveUntilExit serves requests in the background until the program exits.
 func serveUntilExit(handler http.Handler) (addr string, err error) {
 	listener, err := listen()
 	if err != nil {
@@ -109,7 +108,8 @@
 	return listeners, nil
 }
 
-// taskShape returns the resources of a task and how long it runs: services run until they are stopped.
+// taskShape returns the resources that a task requests and its run time, which is 0 for services: their tasks run
+// until they are stopped.
 func taskShape(task string) (request [3]int64, duration time.Duration) {
 	if id, _, _ := wire.SplitTaskName(task); id < jobID(firstArrayNumber) {
 		return [3]int64{1000, 0, 2200}, 0
@@ -117,10 +117,9 @@
 	return [3]int64{4000, 0, 8900}, arrayTaskDuration
 }
 
-// jobID returns the ID of a job.
 func jobID(number int) string { return fmt.Sprintf("wk-%06d", number) }
 
-// run starts the fleet and its load, and measures it.
+// run starts the store, machines, controllers and load, and takes the measurement.
 func run() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -158,7 +157,7 @@
 	return measure(workers, client)
 }
 
-// startController starts a controller in this process. The program ends if it fails.
+// startController starts a controller in this process. If the controller fails, the program exits.
 func startController(ctx context.Context, i int, listeners []controllerListeners, storeAddr, cloudAddr string) {
 	platform := &settings.Platform{
 		Name: fmt.Sprintf("n%d", i),
@@ -189,7 +188,7 @@
 	}()
 }
 
-// measure profiles the steady load and prints what happened.
+// measure profiles the controllers under steady load and prints the event counts.
 func measure(workers *fakes.Workers, client *jobClient) error {
 	profile, err := os.Create(*profileFile)
 	if err != nil {
@@ -204,8 +203,8 @@
 	pprof.StopCPUProfile()
 	acked, failed := workers.HeartbeatCounts()
 	fmt.Printf(
-		"%d machines, %d controllers: %d reports a second, %d in all failed, %d starts refused, %d accepted, "+
-			"%d refused, %d polls, %d late or refused\n",
+		"%d machines, %d controllers: %d heartbeats/s, %d heartbeats failed, %d starts refused, %d jobs accepted, "+
+			"%d submissions refused, %d polls, %d polls failed\n",
 		workers.RentedCount(),
 		*controllerCount,
 		(acked-ackedBefore)/(*measuredSeconds),
@@ -219,7 +218,7 @@
 	return profile.Close()
 }
 
-// runAtRate calls a function so many times a second until the context ends.
+// runAtRate calls a function rate times per second until the context ends.
 func runAtRate(ctx context.Context, rate float64, call func()) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer ticker.Stop()
@@ -233,15 +232,15 @@
 	}
 }
 
-// jobClient is all users: it submits and polls jobs and counts the outcomes.
+// jobClient simulates all users: it submits and polls jobs and counts the outcomes.
 type jobClient struct {
 	httpClient                            http.Client
 	addrs                                 []string // of the controllers
 	accepted, refused, polls, failedPolls atomic.Int64
 }
 
-// applyLoad submits all services, and then arrays and polls at their rates until the context ends. It returns after
-// the warm-up.
+// applyLoad submits all services, then submits arrays and, after the warm-up, polls services at constant rates until
+// the context ends. It returns when the warm-up is over.
 func (c *jobClient) applyLoad(ctx context.Context) {
 	var services sync.WaitGroup
 	for i := range *serviceCount {
@@ -277,7 +276,7 @@
 	return request
 }
 
-// submit submits a job until it is accepted, or often enough.
+// submit submits a job until it is accepted, at most maxSubmitAttempts times.
 func (c *jobClient) submit(request map[string]any) {
 	raw, err := json.Marshal(request)
 	if err != nil {
@@ -295,7 +294,6 @@
 	}
 }
 
-// poll polls a job once.
 func (c *jobClient) poll(id string) {
 	c.polls.Add(1)
 	addr := c.addrs[int(time.Now().UnixNano()>>8)%len(c.addrs)]
@@ -304,7 +302,7 @@
 	}
 }
 
-// doRequest sends a request and returns its status; 0 if there is no response.
+// doRequest sends a request and returns the response status, or 0 if there is no response.
 func (c *jobClient) doRequest(method, url string, body []byte) int {
 	request, err := http.NewRequest(method, "http://"+url, bytes.NewReader(body))
 	if err != nil {
@@ -314,7 +312,7 @@
 	if err != nil {
 		return 0
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // so that the connection is reused
+	_, _ = io.Copy(io.Discard, response.Body) // a connection is reused only if the body was read
 	_ = response.Body.Close()
 	return response.StatusCode
 }
--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -1,7 +1,8 @@
-// Command guards measures what permissions and the audit log cost: submissions and polls without them, with
-// permissions, and with both, as ratios of one run; valid requests beside a flood of invalid credentials; and
-// reading and verifying a long audit log. It starts the built program against the fake store, on loopback alone,
-// bounded in count and time. docs/operations/access.md shows how it is run.
+// Command guards measures the cost of permissions and the audit log. It compares, within one run, submissions and
+// polls without them, with permissions, and with permissions and the audit log. It also measures valid requests
+// during a flood of requests with invalid credentials, and reading and verifying a long audit log. It starts the
+// built program against the fake store on loopback only; the number and duration of requests are bounded.
+// docs/operations/access.md shows how to run it.
 package main
 
 import (
@@ -32,19 +33,19 @@
 	"dewlift/wire"
 )
 
-// RequestCost is the cost of requests of one kind.
+// RequestCost is the cost of one operation in one security mode.
 type RequestCost struct {
 	SecurityMode string  `json:"guards"` // "none", "rights" or "rights and record"
 	Operation    string  `json:"what"`
 	Count        int     `json:"count"`
-	Retries      int64   `json:"again"` // attempts after 429 and 503
+	Retries      int64   `json:"again"` // after responses 429 and 503
 	P50MS        float64 `json:"p50_ms"`
 	P99MS        float64 `json:"p99_ms"`
-	CPUMicros    float64 `json:"cpu_us"`  // of the controller, per request
-	Writes       float64 `json:"changes"` // writes to the store, per request
+	CPU          float64 `json:"cpu_us"`  // microseconds of CPU time of the controller, per request
+	Writes       float64 `json:"changes"` // to the store, per request
 }
 
-// AuditReadCost is the cost of reading a long audit log.
+// AuditReadCost is the cost of a command that reads a long audit log.
 type AuditReadCost struct {
 	Command             string  `json:"what"`
 	Entries             int     `json:"entries"`
@@ -57,18 +58,19 @@
 
 func main() {
 	log.SetFlags(0)
-	bin := flag.String("program", "target/dewlift", "the program")
-	requests := flag.Int("requests", 1500, "acceptances, and as many polls, of each round")
-	rounds := flag.Int("rounds", 3, "rounds, in which each kind comes once")
-	entries := flag.Int("entries", 1_000_000, "entries of the long record")
-	out := flag.String("out", "guards", "folder for figures.json")
+	bin := flag.String("program", "target/dewlift", "path of the dewlift program")
+	requests := flag.Int("requests", 1500, "number of submissions, and of polls, per round")
+	rounds := flag.Int("rounds", 3, "number of rounds; each round measures every security mode once")
+	entries := flag.Int("entries", 1_000_000, "number of entries in the long audit log")
+	out := flag.String("out", "guards", "output folder for figures.json")
 	flag.Parse()
 	if err := run(*bin, *requests, *rounds, *entries, *out); err != nil {
 		log.Fatal("guards: ", err)
 	}
 }
 
-// Guards of the requests, as figures.json names them.
+// Security modes of a controller, by their names in figures.json: without permissions, with permissions, and with
+// permissions and the audit log.
 const (
 	securityNone           = "none"
 	securityAccess         = "rights"
@@ -81,19 +83,19 @@
 	clientCount          = 8
 	floodConnections     = 16
 	requestTimeout       = 5 * time.Second
-	shardAcquisitionTime = 2 * time.Second // until a healthy controller owns its shards
+	shardAcquisitionTime = 2 * time.Second // from healthy until the controller owns its shards
 	retryDelay           = 10 * time.Millisecond
 	maxAttempts          = 200
 	throttlePeriod       = 25 * time.Millisecond
 	maxValueBytes        = 8192
-	entriesPerBlock      = 160 // as many as nearly fill a value
+	entriesPerBlock      = 160 // nearly fill a value of the store
 	invalidCredential    = "Bearer eyJhbGciOiJFZERTQSIsImtpZCI6Im5vYm9keSJ9.e30.AAAA"
 )
 
-// run measures everything and writes the figures.
+// run takes all measurements and writes the figures.
 func run(bin string, requests, rounds, entries int, out string) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
-		return fmt.Errorf("create folder of figures: %w", err)
+		return fmt.Errorf("create folder for figures: %w", err)
 	}
 	creds, err := newCredentials()
 	if err != nil {
@@ -101,7 +103,7 @@
 	}
 	var costs []*RequestCost
 	for round := range rounds {
-		for i := range securityModes { // in another order each round
+		for i := range securityModes { // the order rotates, so that it favors no mode
 			mode := securityModes[(i+round)%len(securityModes)]
 			roundCosts, err := creds.measureRound(bin, mode, requests, false)
 			if err != nil {
@@ -128,7 +130,7 @@
 	return nil
 }
 
-// credentials are the user, the access policy and the key of the audit log.
+// credentials are a user's private key, an access policy that grants the user everything, and an audit key.
 type credentials struct {
 	user         *access.PrivateKey
 	accessPolicy string
@@ -156,7 +158,7 @@
 	return &credentials{user: user, auditKey: auditKey, accessPolicy: policy}, nil
 }
 
-// processOptions returns the settings of a controller with guards.
+// processOptions returns the options that start a controller in a security mode.
 func (c *credentials) processOptions(mode string) process.Options {
 	options := process.Options{RPS: 1000, WriteRPS: 1000, MemMB: 186, Files: map[string]string{}}
 	if mode == securityNone {
@@ -171,7 +173,7 @@
 	return options
 }
 
-// newStore returns a store with what a controller needs to serve.
+// newStore returns a store that holds what a controller needs to become healthy.
 func newStore() *fakes.Store {
 	store := fakes.NewStore(fakes.Limits{ValueBytes: maxValueBytes, TxnOps: 24, PageItems: 1000, PageKB: 512})
 	store.SetMachineType(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
@@ -180,21 +182,22 @@
 	return store
 }
 
-// requestBuilder returns the request of a number.
+// requestBuilder builds the request with a number.
 type requestBuilder func(number int) (method, path string, body any)
 
-// buildSubmission is a newRequest that submits jobs.
+// buildSubmission builds the submission of a job.
 func buildSubmission(number int) (method, path string, body any) {
 	return http.MethodPost, wire.PathJobs, fakes.JobRequest(fmt.Sprintf("wk-%06d", number), "c")
 }
 
-// buildPoll is a newRequest that polls these jobs.
+// buildPoll builds a poll of a job that buildSubmission submits.
 func buildPoll(number int) (method, path string, body any) {
 	return http.MethodGet, fmt.Sprintf("%s/wk-%06d", wire.PathJobs, number), nil
 }
 
-// measureRound starts a controller and measures submissions and polls; with a flood, polls at the controller's
-// share of a core, without and with invalid credentials that come as fast as they are answered.
+// measureRound starts a controller and measures submissions and polls. With flood, the controller is limited to its
+// production share of a core during the polls, and they are measured both without and with concurrent requests that
+// carry invalid credentials.
 func (c *credentials) measureRound(bin, mode string, requests int, flood bool) (costs []*RequestCost, err error) {
 	controller, err := process.Start(bin, newStore(), c.processOptions(mode))
 	if err != nil {
@@ -227,7 +230,7 @@
 	return costs, nil
 }
 
-// measureFlood measures polls beside connections with invalid credentials.
+// measureFlood measures polls while a number of connections send invalid credentials.
 func (c *credentials) measureFlood(
 	controller *process.Process,
 	mode string,
@@ -254,7 +257,7 @@
 	return cost, nil
 }
 
-// sendInvalidCredentials sends polls with an invalid credential, one after the other, until end is closed.
+// sendInvalidCredentials sends polls with an invalid credential, one at a time, until end is closed.
 func sendInvalidCredentials(addr string, end <-chan struct{}, refused *atomic.Int64) {
 	client := &http.Client{Timeout: requestTimeout}
 	for i := 0; ; i++ {
@@ -276,10 +279,11 @@
 	}
 }
 
-// throttleProcess limits the process to its share of a core: it is suspended for the rest of every period.
+// throttleProcess limits the controller to process.CoreShare of a core by suspending its process for the rest of
+// every period.
 func throttleProcess(controller *process.Process) (stop func()) {
 	end, done := make(chan struct{}), make(chan struct{})
-	period := throttlePeriod // a variable: a product of constants would have to be a whole number
+	period := throttlePeriod // a variable, since Go does not convert a fractional constant to a Duration
 	runTime := time.Duration(process.CoreShare * float64(period))
 	pauseTime := time.Duration((1 - process.CoreShare) * float64(period))
 	go func() {
@@ -290,7 +294,7 @@
 				return
 			case <-time.After(runTime):
 			}
-			_ = controller.Signal(syscall.SIGSTOP) // a process that has exited shows in its responses
+			_ = controller.Signal(syscall.SIGSTOP) // an exited process is noticed by its missing responses
 			time.Sleep(pauseTime)
 			_ = controller.Signal(syscall.SIGCONT)
 		}
@@ -298,7 +302,7 @@
 	return func() { close(end); <-done }
 }
 
-// measureRequests sends requests by a few clients and measures them.
+// measureRequests sends count requests from clientCount concurrent clients and measures them.
 func (c *credentials) measureRequests(
 	controller *process.Process,
 	mode, operation string,
@@ -334,36 +338,36 @@
 		Retries:      clients.retries.Load(),
 		P50MS:        float64(clients.latencies.ValueAtQuantile(50)) / 1000,
 		P99MS:        float64(clients.latencies.ValueAtQuantile(99)) / 1000,
-		CPUMicros:    perRequest((cpuAfter - cpuBefore).Microseconds()),
+		CPU:          perRequest((cpuAfter - cpuBefore).Microseconds()),
 		Writes:       perRequest(int64(controller.Store.Counters()["changed"] - writesBefore)),
 	}
 	log.Printf(
-		"%-18s %-12s p50 %6.2f ms, p99 %7.2f ms, %5.0f us of processor, %.3f changes, %d again",
+		"%-18s %-12s p50 %6.2f ms, p99 %7.2f ms, %5.0f us CPU/request, %.3f writes/request, %d retries",
 		cost.SecurityMode,
 		cost.Operation,
 		cost.P50MS,
 		cost.P99MS,
-		cost.CPUMicros,
+		cost.CPU,
 		cost.Writes,
 		cost.Retries,
 	)
 	return cost, nil
 }
 
-// clientGroup is a few clients that share a number of requests.
+// clientGroup is a group of concurrent clients that together send count requests.
 type clientGroup struct {
 	addr, token string
 	build       requestBuilder
 	count       int64
-	lastNumber  atomic.Int64 // number of the last request that a client took
+	lastNumber  atomic.Int64 // of the latest request that a client started
 	retries     atomic.Int64
 
 	mu        sync.Mutex              // guards the fields below
 	latencies *hdrhistogram.Histogram // in microseconds
-	firstErr  error                   // of the first request that failed
+	firstErr  error                   // error of the first request that failed
 }
 
-// run sends all requests, and returns the first error.
+// run sends all requests and returns the first error.
 func (g *clientGroup) run() error {
 	var clients sync.WaitGroup
 	for range clientCount {
@@ -373,7 +377,7 @@
 	return g.firstErr
 }
 
-// runClient sends requests over connections of its own.
+// runClient sends requests over its own connections until the group has sent all.
 func (g *clientGroup) runClient() {
 	client := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -384,12 +388,12 @@
 		if err != nil && g.firstErr == nil {
 			g.firstErr = err
 		}
-		_ = g.latencies.RecordValue(took.Microseconds()) // an hour would not fit, and would have failed
+		_ = g.latencies.RecordValue(took.Microseconds()) // fails only beyond the histogram's maximum of 60 s
 		g.mu.Unlock()
 	}
 }
 
-// sendUntilAnswered sends a request until it succeeds; it returns the time since the first attempt.
+// sendUntilAnswered sends a request until it succeeds and returns the time since the first attempt.
 func (g *clientGroup) sendUntilAnswered(
 	client *http.Client,
 	number int,
@@ -422,13 +426,14 @@
 			return 0, retries, fmt.Errorf("%s %s: %d", method, path, response.StatusCode)
 		}
 	}
-	return 0, retries, fmt.Errorf("%s %s: no answer", method, path)
+	return 0, retries, fmt.Errorf("%s %s: refused after all retries", method, path)
 }
 
 // auditLogSize is the size of a stored audit log.
 type auditLogSize struct{ entries, blocks, bytes int }
 
-// measureAuditReads reads and verifies a long audit log through a controller, at the limits of the users' store.
+// measureAuditReads verifies, lists and reports a long audit log through a controller whose settings have the store
+// limits of the users' deployments.
 func (c *credentials) measureAuditReads(bin string, entries int) (reads []*AuditReadCost, err error) {
 	store := newStore()
 	key, err := audit.ParseKey(c.auditKey)
@@ -451,7 +456,7 @@
 	}
 	dir, err := os.MkdirTemp("", "guards-*")
 	if err != nil {
-		return nil, fmt.Errorf("create folder of keys: %w", err)
+		return nil, fmt.Errorf("create folder for keys: %w", err)
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	userKey, auditKey, err := c.writeKeys(dir)
@@ -471,11 +476,11 @@
 		reads = append(reads, cost)
 	}
 	_, peak, err := controller.Usage()
-	log.Printf("the controller: peak %.0f MB", peak)
+	log.Printf("controller: peak memory %.0f MB", peak)
 	return reads, err
 }
 
-// writeKeys writes the files of the user's key and of the audit key.
+// writeKeys writes the user's key and the audit key to files in dir and returns their paths.
 func (c *credentials) writeKeys(dir string) (userKey, auditKey string, err error) {
 	raw, err := json.Marshal(c.user)
 	if err != nil {
@@ -489,7 +494,7 @@
 	return userKey, auditKey, nil
 }
 
-// measureCommand runs a command of the program and measures it.
+// measureCommand runs a command of the program and measures its run time and peak memory.
 func measureCommand(bin string, args []string, size auditLogSize) (*AuditReadCost, error) {
 	command := exec.Command(bin, args...)
 	var stdout, stderr bytes.Buffer
@@ -501,7 +506,7 @@
 	took := time.Since(startedAt)
 	usage, ok := command.ProcessState.SysUsage().(*syscall.Rusage)
 	if !ok {
-		return nil, errors.New("the memory of a command is not known on this system")
+		return nil, errors.New("this system does not report the memory use of a command")
 	}
 	cost := &AuditReadCost{
 		Command:             strings.Join(args[:2], " "),
@@ -513,7 +518,7 @@
 		PrintedLines:        bytes.Count(stdout.Bytes(), []byte("\n")),
 	}
 	log.Printf(
-		"%s: %d entries in %d blocks, %.1f bytes each: %.1f s, %.0f MB, %d lines",
+		"%s: %d entries in %d blocks, %.1f bytes/entry: took %.1f s, peak memory %.0f MB, printed %d lines",
 		cost.Command,
 		cost.Entries,
 		cost.Blocks,
@@ -525,7 +530,7 @@
 	return cost, nil
 }
 
-// auditEntry returns an entry of the long audit log, encoded.
+// auditEntry returns an encoded entry of the long audit log.
 func auditEntry(i int) []byte {
 	user := fmt.Sprintf("user-%d", i*7919%500)
 	entry := &pb.AuditEntry{
@@ -544,7 +549,7 @@
 	return audit.EncodeEntry(entry)
 }
 
-// fillAuditBlocks stores a chain of blocks with so many entries.
+// fillAuditBlocks stores an audit log with a number of entries as a chain of blocks.
 func fillAuditBlocks(store *fakes.Store, key audit.Key, entries int) (auditLogSize, error) {
 	const maxBlockBytes = maxValueBytes * 15 / 16
 	size := auditLogSize{entries: entries}
