--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -1,7 +1,6 @@
-// Command history measures what a long history costs a controller: it starts the built program against the fake
-// store, which holds so many ended jobs, and writes a table, JSON and an HTML report. docs/operations/history.md
-// shows how it is run. Everything is on loopback; a run of one size takes a minute at most, and each process is
-// ended by its ID.
+// Command history measures what a long history of ended jobs costs a controller. It starts the built program against
+// a fake store on loopback that holds a number of ended jobs, and writes a table, JSON and an HTML report. A run with
+// one number of jobs takes at most a minute. docs/operations/history.md shows how to run it.
 package main
 
 import (
@@ -28,14 +27,14 @@
 
 const (
 	liveJobs = 2000
-	// keptRecords is the number of the latest ended jobs of an archived history that still have records.
+	// keptRecords is the number of the latest ended jobs of an archived history that keep a record of their own.
 	keptRecords = 7500
-	// maxKeptRecords is the number of records at which archiving counts as finished: the latest ended jobs keep
-	// theirs.
+	// maxKeptRecords is the number of records at or below which archiving counts as finished, since the latest ended
+	// jobs keep theirs.
 	maxKeptRecords      = 10_100
-	jobsPerBlock        = 1200 // of the archive, as many as there are on average
+	jobsPerBlock        = 1200 // of the archive, on average
 	maxValueBytes       = 8192
-	storeWriteRate      = 30 // per second, of a start
+	storeWriteRate      = 30 // writes per second while a start is measured
 	archiveRate         = 1000
 	archiveTimeout      = 15 * time.Minute
 	archivePollInterval = 200 * time.Millisecond
@@ -51,21 +50,21 @@
 	liveJobUnixMS       = 1700000000000
 )
 
-// StartCost is the cost of one start. The page's template uses the names of the fields.
+// StartCost is the cost of one start. The report's template uses its field names.
 type StartCost struct {
 	Version   string  `json:"version"`
-	Form      string  `json:"form"` // "records": a key for each job; "archive": compact blocks
+	Form      string  `json:"form"` // "records": one key per job; "archive": compact blocks of jobs
 	Jobs      int     `json:"jobs"`
 	RPS       float64 `json:"rps"`
 	HealthyS  float64 `json:"healthy_s"`
 	CPUS      float64 `json:"cpu_s"`
-	ShareS    float64 `json:"share_s"` // lower bound of the time until healthy with its share of a core
+	ShareS    float64 `json:"share_s"` // lower bound of the time until healthy at the production share of a core
 	PeakMB    float64 `json:"peak_mb"`
 	Requests  int     `json:"requests"`
 	StoreB    float64 `json:"store_bytes_per_job"`
-	MemoryB   float64 `json:"memory_bytes_per_job"` // beyond the start of its kind with the fewest jobs
-	Ended     string  `json:"ended,omitempty"`      // why it never became healthy
-	PollMS    float64 `json:"poll_ms,omitempty"`    // median, of random ended jobs
+	MemoryB   float64 `json:"memory_bytes_per_job"` // relative to the first start of its kind
+	Ended     string  `json:"ended,omitempty"`      // why the controller did not become healthy
+	PollMS    float64 `json:"poll_ms,omitempty"`    // median for random ended jobs
 	Wrong     int     `json:"wrong"`                // wrong responses to polls
 	Polls     int     `json:"polls"`
 	Committed int     `json:"changes"`
@@ -73,28 +72,28 @@
 
 // options are the command's flags.
 type options struct {
-	bin, earlierBin string // paths of the program and of an earlier version
+	bin, earlierBin string // paths of the program and of an earlier version; "": none
 	jobCounts       string
 	rates           string
 	quotaMB         float64
 	out             string
-	archiveCount    int // records to archive; 0: none
+	archiveCount    int // number of records; 0: don't measure archiving
 }
 
 func main() {
 	log.SetFlags(0)
 	var o options
-	flag.StringVar(&o.bin, "program", "target/dewlift", "the program")
-	flag.StringVar(&o.earlierBin, "before", "", "an earlier version's program, for comparison")
-	flag.StringVar(&o.jobCounts, "jobs", "10000,100000,1000000", "numbers of ended jobs")
-	flag.StringVar(&o.rates, "rps", "150,70", "requests a second of the state service")
-	flag.Float64Var(&o.quotaMB, "mem-mb", 186, "memory quota of a controller")
-	flag.StringVar(&o.out, "out", "history", "folder for figures.json and report.html")
+	flag.StringVar(&o.bin, "program", "target/dewlift", "path of the dewlift program")
+	flag.StringVar(&o.earlierBin, "before", "", "path of an earlier version of the program, for comparison")
+	flag.StringVar(&o.jobCounts, "jobs", "10000,100000,1000000", "numbers of ended jobs, separated by commas")
+	flag.StringVar(&o.rates, "rps", "150,70", "request limits of the state service per second, separated by commas")
+	flag.Float64Var(&o.quotaMB, "mem-mb", 186, "memory quota of a controller in MB")
+	flag.StringVar(&o.out, "out", "history", "output folder for figures.json and report.html")
 	flag.IntVar(
 		&o.archiveCount,
 		"compact",
 		0,
-		"also have so many records moved, with 1000 changes a second, and count what that takes",
+		"also measure archiving this number of records at 1000 writes per second; 0 disables it",
 	)
 	flag.Parse()
 	if err := o.run(); err != nil {
@@ -115,7 +114,7 @@
 	return out, nil
 }
 
-// run measures all starts and writes the report.
+// run measures all starts and, if asked to, archiving, and writes the report.
 func (o *options) run() error {
 	jobs, err := parseNumbers(o.jobCounts)
 	if err != nil {
@@ -126,7 +125,7 @@
 		return err
 	}
 	if err := os.MkdirAll(o.out, 0o755); err != nil {
-		return fmt.Errorf("create folder of report: %w", err)
+		return fmt.Errorf("create folder for report: %w", err)
 	}
 	var starts []*StartCost
 	for _, rps := range rates {
@@ -158,7 +157,8 @@
 	return writeReport(filepath.Join(o.out, "report.html"), starts, archiving)
 }
 
-// measureKind measures a start of a kind with each number of jobs; none if there is no program of its version.
+// measureKind measures a start of a kind with each number of jobs. It measures none if the program of its version
+// was not given.
 func (o *options) measureKind(kind StartCost, jobs []float64) (starts []*StartCost, err error) {
 	bin := o.bin
 	if kind.Version == versionEarlier {
@@ -183,11 +183,10 @@
 	return starts, nil
 }
 
-// log prints the cost of a start.
 func (c *StartCost) log() {
 	log.Printf(
-		"%-6s %-7s %8d jobs %3.0f rps: healthy %6.1f s (cpu %5.1f s, at its share %6.1f s), peak %4.0f MB, "+
-			"%5d requests, %5.1f B/job stored, poll %.0f ms, %d of %d wrong %s",
+		"%-6s %-7s %8d jobs %3.0f rps: healthy %6.1f s (CPU %5.1f s, at production share %6.1f s), peak %4.0f MB, "+
+			"%5d requests, %5.1f B/job stored, median poll %.0f ms, %d of %d polls wrong %s",
 		c.Version,
 		c.Form,
 		c.Jobs,
@@ -205,7 +204,7 @@
 	)
 }
 
-// endedJobs returns ended jobs in the order of their IDs.
+// endedJobs returns random ended jobs in the order of their IDs. They depend only on count.
 func endedJobs(count int) []archive.Entry {
 	rng := rand.New(rand.NewPCG(uint64(count), 1))
 	out := make([]archive.Entry, count)
@@ -235,14 +234,14 @@
 	*l = append(*l, wire.KeyValue{Key: key, Value: json.RawMessage(value)})
 }
 
-// addRecords adds the records of ended jobs.
+// addRecords adds one record for each ended job.
 func (l *keyList) addRecords(jobs []archive.Entry) {
 	for _, job := range jobs {
 		l.add(core.Root+"job/"+job.ID, encodeRecord(job))
 	}
 }
 
-// addBlocks adds archive blocks with ended jobs.
+// addBlocks adds archive blocks that hold ended jobs.
 func (l *keyList) addBlocks(jobs []archive.Entry) error {
 	low := ""
 	for start := 0; start < len(jobs); {
@@ -253,10 +252,10 @@
 		}
 		raw, err := block.Encode()
 		if err != nil {
-			return fmt.Errorf("encode block: %w", err)
+			return fmt.Errorf("encode archive block: %w", err)
 		}
 		if len(raw) > maxValueBytes {
-			return fmt.Errorf("a block takes %d bytes", len(raw))
+			return fmt.Errorf("archive block of %d bytes exceeds the limit of a store value", len(raw))
 		}
 		l.add(archive.BlockKey(block.High), string(raw))
 		low, start = block.High, end
@@ -264,7 +263,8 @@
 	return nil
 }
 
-// fillStore stores the keys of a cluster: what a controller needs to serve, live jobs and ended ones.
+// fillStore stores the keys of a cluster: what a controller needs to become healthy, live jobs and ended jobs. If
+// archived, the older ended jobs are in archive blocks.
 func fillStore(store *fakes.Store, ended []archive.Entry, archived bool) error {
 	store.SetMachineType(wire.MachineType{Name: "x", CPUs: 32, MemoryGB: 128, Price: 1, Zones: []string{"a"}})
 	var keys keyList
@@ -288,7 +288,7 @@
 	} else {
 		keys.addRecords(ended)
 	}
-	for revision := range slices.Chunk(keys, 100) { // several revisions, as in a store that was written to
+	for revision := range slices.Chunk(keys, 100) { // several revisions, as after ordinary writes
 		store.PutUnchecked(revision)
 	}
 	return nil
@@ -296,10 +296,11 @@
 
 var httpClient = http.Client{Timeout: 2 * time.Second}
 
-// pollJob polls a job, and reports whether the response is right. An empty stage stands for an unknown job.
+// pollJob polls a job until it is answered and reports whether the response is correct. An empty stage stands for an
+// unknown job.
 func pollJob(controller *process.Process, id, stage string, done int) (correct bool, took time.Duration) {
 	startedAt := time.Now()
-	for range maxPollAttempts { // 503 is no answer
+	for range maxPollAttempts { // retries errors and responses such as 503
 		response, err := httpClient.Get("http://" + controller.Addr + wire.PathJobs + "/" + id)
 		if err != nil {
 			continue
@@ -318,7 +319,8 @@
 	return false, time.Since(startedAt)
 }
 
-// pollRandomJobs polls random ended jobs, and as many that never existed.
+// pollRandomJobs polls random ended jobs and as many unknown ones. It returns the number of wrong responses and the
+// median duration of the polls of ended jobs.
 func pollRandomJobs(
 	controller *process.Process,
 	ended []archive.Entry,
@@ -345,7 +347,7 @@
 	return wrong, durations[count/2]
 }
 
-// measureStart starts the program with a history and measures it until it has answered polls.
+// measureStart starts a controller with a history of ended jobs, and measures the start and a few polls.
 func (c *StartCost) measureStart(bin string, quotaMB float64) error {
 	ended := endedJobs(c.Jobs)
 	store := fakes.NewStore(fakes.Limits{
@@ -379,7 +381,7 @@
 	return errors.Join(c.measureHealthy(controller, ended), controller.Stop())
 }
 
-// measureHealthy measures a controller that has just become healthy.
+// measureHealthy measures the use of resources of a controller that has just become healthy, and polls jobs.
 func (c *StartCost) measureHealthy(controller *process.Process, ended []archive.Entry) error {
 	c.Requests = controller.Store.Counters()["requests"]
 	cpu, _, err := controller.Usage()
@@ -396,21 +398,21 @@
 	return err
 }
 
-// ArchivingCost is the cost of moving records to the archive. The page's template uses the names of the fields.
+// ArchivingCost is the cost of moving records to the archive. The report's template uses its field names.
 type ArchivingCost struct {
 	Jobs        int     `json:"jobs"`
 	TookS       float64 `json:"took_s"`
-	Changes     int     `json:"changes"` // all writes meanwhile
-	PerJob      float64 `json:"per_job"` // writes per job, with the deletion of its record
-	Beyond      float64 `json:"beyond"`  // writes per job without that
-	Blocks      int     `json:"blocks"`  // at the end
+	Changes     int     `json:"changes"` // writes to the store meanwhile
+	PerJob      float64 `json:"per_job"` // writes per job, including the deletion of its record
+	Beyond      float64 `json:"beyond"`  // writes per job, without the deletion of its record
+	Blocks      int     `json:"blocks"`  // in the archive at the end
 	BytesPerJob float64 `json:"bytes_per_job"`
 	PeakMB      float64 `json:"peak_mb"`
 	Wrong       int     `json:"wrong"`
 	Polls       int     `json:"polls"`
 }
 
-// measureArchiving has a controller archive the records of ended jobs, and polls jobs meanwhile.
+// measureArchiving starts a controller that archives the records of ended jobs, and polls jobs meanwhile.
 func measureArchiving(bin string, jobs int, quotaMB float64) (*ArchivingCost, error) {
 	ended := endedJobs(jobs)
 	store := fakes.NewStore(fakes.Limits{ValueBytes: maxValueBytes, TxnOps: 24, PageItems: 1000, PageKB: 512})
@@ -431,7 +433,7 @@
 	return cost, nil
 }
 
-// measure waits until all but the latest records are archived.
+// measure polls jobs until all but the latest records are archived, and takes the measurements.
 func (c *ArchivingCost) measure(controller *process.Process, ended []archive.Entry) error {
 	if _, err := controller.WaitHealthy(); err != nil {
 		return err
@@ -440,7 +442,7 @@
 	left := len(ended)
 	for left > maxKeptRecords {
 		if time.Since(startedAt) > archiveTimeout {
-			return fmt.Errorf("%d records are left", left)
+			return fmt.Errorf("archiving timed out with %d records left", left)
 		}
 		time.Sleep(archivePollInterval)
 		wrong, _ := pollRandomJobs(controller, ended, 2)
@@ -459,11 +461,10 @@
 	return err
 }
 
-// log prints the cost.
 func (c *ArchivingCost) log() {
 	log.Printf(
-		"moved %d jobs in %.0f s: %.3f changes a job, %.3f beyond the deletion of its record; "+
-			"%d blocks, %.1f B/job; peak %.0f MB; %d of %d answers wrong",
+		"archived %d jobs in %.0f s: %.3f writes/job, %.3f without the deletion of the record; "+
+			"%d blocks, %.1f B/job; peak memory %.0f MB; %d of %d polls wrong",
 		c.Jobs,
 		c.TookS,
 		c.PerJob,
--- a/internal/measure/history/report.go
+++ b/internal/measure/history/report.go
@@ -18,42 +18,42 @@
 	"dewlift/internal/measure/process"
 )
 
-// pageTemplate is the report; it uses the fields of StartCost and ArchivingCost by name.
+// pageTemplate is the HTML report. It uses the field names of StartCost and ArchivingCost.
 //
-//nolint:lll // the page is text whose lines are rows of a table
+//nolint:lll // a line of the template is a row of a table
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
-<html lang="en"><meta charset="utf-8"><title>dewlift: what a long history costs</title>
+<html lang="en"><meta charset="utf-8"><title>dewlift: cost of a long history</title>
 <style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:62em;color:#222}table{border-collapse:collapse;margin:1em 0}
 td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}th{background:#f3f3f3}td:first-child,td:nth-child(2){text-align:left}img{max-width:100%}.bad{color:#a00}</style>
-<h1>What a long history costs a controller</h1>
-<p>The built program, started against the stand-in state service on loopback with {{.Live}} jobs that are not over and so many that are.
-<em>records</em>: each ended job has a key of its own. <em>archive</em>: it is in a compact block. At its share: the time it would take at least
-with {{.Share}} of a core. {{.Machine}}.</p>
+<h1>Cost of a long history for a controller</h1>
+<p>The built program was started against a fake state service on loopback with {{.Live}} live jobs and the given number of ended jobs.
+<em>records</em>: each ended job has its own key. <em>archive</em>: ended jobs are stored in compact blocks. At production share: the least time
+that the start takes with {{.Share}} of a core. {{.Machine}}.</p>
 {{range .Plots}}<p><img alt="plot" src="{{.}}"></p>{{end}}
-<table><tr><th>version<th>form<th>ended jobs<th>requests a second<th>healthy, s<th>at its share, s<th>peak memory, MB<th>requests<th>stored, B a job<th>memory, B a job<th>poll, ms<th>wrong answers</tr>
+<table><tr><th>version<th>form<th>ended jobs<th>requests per second<th>healthy after, s<th>at production share, s<th>peak memory, MB<th>requests<th>stored, B per job<th>memory, B per job<th>median poll, ms<th>wrong responses</tr>
 {{range .Starts}}<tr><td>{{.Version}}<td>{{.Form}}<td>{{.Jobs}}<td>{{.RPS}}
 {{if .Ended}}<td class="bad" colspan="8">{{.Ended}}{{else}}<td>{{printf "%.1f" .HealthyS}}<td>{{printf "%.1f" .ShareS}}<td>{{printf "%.0f" .PeakMB}}<td>{{.Requests}}<td>{{printf "%.1f" .StoreB}}<td>{{printf "%.1f" .MemoryB}}<td>{{printf "%.0f" .PollMS}}<td>{{.Wrong}} of {{.Polls}}{{end}}</tr>
 {{end}}</table>
-{{with .Moved}}<h2>Moving records</h2><p>{{.Jobs}} records moved in {{printf "%.0f" .TookS}} s, with 1000 changes a second allowed: {{printf "%.3f" .PerJob}} changes a job, {{printf "%.3f" .Beyond}} of
-them beyond the deletion of its record. {{.Blocks}} blocks, {{printf "%.1f" .BytesPerJob}} bytes a job; peak memory {{printf "%.0f" .PeakMB}} MB. Asked for jobs all along: {{.Wrong}} of {{.Polls}} answers wrong.</p>{{end}}
+{{with .Moved}}<h2>Archiving records</h2><p>{{.Jobs}} records were archived in {{printf "%.0f" .TookS}} s, with a limit of 1000 writes per second: {{printf "%.3f" .PerJob}} writes per job, {{printf "%.3f" .Beyond}} of
+them in addition to the deletion of its record. {{.Blocks}} blocks, {{printf "%.1f" .BytesPerJob}} bytes per job; peak memory {{printf "%.0f" .PeakMB}} MB. Jobs were polled meanwhile: {{.Wrong}} of {{.Polls}} responses were wrong.</p>{{end}}
 `))
 
-// metric is a value of a start that is plotted.
+// metric is a plotted value of a start.
 type metric struct {
 	title, unit string
-	limit       float64 // 0: none
+	limit       float64 // target that the plot shows; 0: none
 	value       func(cost *StartCost) float64
 }
 
 var metrics = []metric{
 	{"Peak memory", "MB", 120, func(cost *StartCost) float64 { return cost.PeakMB }},
-	{"Time to healthy, at its share of a core", "s", 60, func(cost *StartCost) float64 { return cost.ShareS }},
+	{"Time to healthy, at production share of a core", "s", 60, func(cost *StartCost) float64 { return cost.ShareS }},
 }
 
-// plotStarts plots a metric of the starts at a request rate by the number of ended jobs.
+// plotStarts plots a metric of the starts with one request limit against the number of ended jobs.
 func plotStarts(m metric, starts []*StartCost, rps float64) (template.URL, error) {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s, %v requests a second", m.title, rps)
+	p.Title.Text = fmt.Sprintf("%s, %v requests per second", m.title, rps)
 	p.Title.Padding = vg.Points(10)
 	p.X.Label.Text, p.Y.Label.Text = "ended jobs", m.unit
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
@@ -90,16 +90,16 @@
 		}
 		line.Color, line.Dashes = color.Gray{90}, []vg.Length{4, 4}
 		p.Add(line)
-		p.Legend.Add(fmt.Sprintf("aim: %v", m.limit), line)
+		p.Legend.Add(fmt.Sprintf("target: %v", m.limit), line)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
 	return chart.PNGDataURL(p)
 }
 
-// writeReport writes the report as a page that needs no other file.
+// writeReport writes the report as a self-contained HTML page.
 func writeReport(path string, starts []*StartCost, archiving *ArchivingCost) error {
 	var plots []template.URL
-	plotted := map[float64]bool{} // by request rate
+	plotted := map[float64]bool{} // by request limit
 	for _, cost := range starts {
 		if plotted[cost.RPS] {
 			continue
@@ -115,14 +115,14 @@
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("create page: %w", err)
+		return fmt.Errorf("create report: %w", err)
 	}
 	err = pageTemplate.Execute(file, map[string]any{
 		"Starts": starts, "Moved": archiving, "Plots": plots, "Live": liveJobs, "Share": process.CoreShare,
 		"Machine": fmt.Sprintf("Measured on %d processors, %s", runtime.NumCPU(), runtime.Version()),
 	})
 	if err := errors.Join(err, file.Close()); err != nil {
-		return fmt.Errorf("write page: %w", err)
+		return fmt.Errorf("write report: %w", err)
 	}
 	return nil
 }
