--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -19,22 +19,23 @@
 const (
 	controllerCount      = 3
 	heartbeatInterval    = 6 * time.Second
-	minHeartbeatInterval = 500 * time.Millisecond // between two heartbeats of a machine
+	minHeartbeatInterval = 500 * time.Millisecond // between consecutive heartbeats of a machine
 	localLatency         = time.Millisecond
 	storeLatency         = 8 * time.Millisecond // round trip
 	cloudLatency         = 100 * time.Millisecond
-	requestTimeout       = 2 * time.Second // of requests to an agent that does not respond
+	requestTimeout       = 2 * time.Second // until a request to an unreachable agent fails
 	imagePullTime        = 200 * time.Millisecond
 	pollInterval         = 5 * time.Second
 	startUnixMS          = 1_700_000_000_000
-	// unlimitedRate is a rate of writes and requests that is never reached: the demand is measured, not a limit.
+	// unlimitedRate is a rate of writes and requests that is never reached, so that the demand is
+	// measured rather than a limit.
 	unlimitedRate = 1e6
-	// firstArrayID is the least ID of a job array; services have lower ones.
+	// firstArrayID is a lower bound of the IDs of job arrays; services have lower IDs.
 	firstArrayID = "wk-500000"
 
 	serviceCPUs      = 1
 	arrayCPUs        = 3
-	replicasPerJob   = 9 // a service's first attempts have the numbers 1 to 9
+	replicasPerJob   = 9 // of a service; its first task attempts have the numbers 1 to 9
 	tasksPerArray    = 90
 	minArrayTaskTime = 30 * time.Second
 	maxArrayTaskTime = 70 * time.Second
@@ -50,18 +51,18 @@
 	SpotPrice: 0.4,
 }
 
-// simCluster is a seeded cluster in simulated time: the real core of each controller, and everything around it as
-// simple as possible.
+// simCluster is a seeded cluster in simulated time: the production scheduling core of each controller, with simple
+// models of the store, the cloud, the machines and the users.
 type simCluster struct {
-	maxMachines     int // at a time
+	maxMachines     int // rented at the same time
 	rng             *rand.Rand
 	now             time.Duration
-	lastRequestID   uint64 // of users and agents
+	lastRequestID   uint64 // of requests from users and agents
 	events          eventqueue.Queue
 	nodes           []*node
-	machines        []*machine // that are rented
+	machines        []*machine // currently rented
 	machinesByName  map[string]*machine
-	partitionedZone string // zone that is partitioned from everything
+	partitionedZone string // zone whose machines are unreachable and can reach nothing
 
 	// The store.
 	revision       uint64
@@ -70,31 +71,32 @@
 	pendingWatches []func()
 
 	counters        eventCounts
-	unstartedArrays map[string]time.Duration // submission times of arrays of which no task has started
-	startDelays     []time.Duration          // how long the others waited for their first start
+	unstartedArrays map[string]time.Duration // submission times of arrays without a started task
+	startDelays     []time.Duration          // of the other arrays, from submission to first task start
 }
 
-// eventCounts counts events since it was last reset.
+// eventCounts counts events since the last reset: writes to the store, accepted jobs, started tasks, refused starts,
+// and lost and replaced replicas of services.
 type eventCounts struct {
 	writes, accepted, started, refused, lost, replaced int
 }
 
-// node is a controller with the cost of its core.
+// node is a controller and its cost.
 type node struct {
 	name             string
 	core             *core.Core
 	leaseID          uint64
-	coreTime         time.Duration // processor time in the core
-	codecTime        time.Duration // processor time to encode and decode messages between controllers
+	coreTime         time.Duration // CPU time in the scheduling core
+	codecTime        time.Duration // CPU time to encode and decode messages between controllers
 	inputs           int
 	messagesSent     int // to other controllers
-	bytesSent        int
+	bytesSent        int // to other controllers
 	pendingRequests  map[uint64]func(core.Response)
 	advanceScheduled bool // an Advance is scheduled for the pending inputs
 	pendingInputs    []core.Input
 }
 
-// machine is a machine with its agent.
+// machine is a machine and its agent.
 type machine struct {
 	name, zone        string
 	spot, returned    bool
@@ -108,10 +110,10 @@
 	cluster           *simCluster
 }
 
-// isUnreachable reports whether requests to a machine get no response.
+// isUnreachable reports whether requests to the machine get no response.
 func (m *machine) isUnreachable() bool { return m.returned || m.zone == m.cluster.partitionedZone }
 
-// newSimCluster returns a cluster without machines, whose controllers are about to start.
+// newSimCluster returns a cluster without machines, whose controllers start when simulated time advances.
 func newSimCluster(maxMachines int, seed uint64) *simCluster {
 	s := &simCluster{
 		maxMachines:     maxMachines,
@@ -131,12 +133,12 @@
 	return s
 }
 
-// startController starts a controller and its clock.
+// startController adds a controller and schedules its periodic clock input.
 func (s *simCluster) startController(i int, seed uint64) {
 	platform := platformSettings(i)
 	tuning := settings.DefaultTuning()
 	if storeWriteLimit == unlimitedRate {
-		tuning.SettleMs = tuning.SettleMostMs // ends of tasks are batched as long as they are where writes are few
+		tuning.SettleMs = tuning.SettleMostMs // batch task ends for as long as a controller does when writes are scarce
 	}
 	tuning.SharedValues = &batchValues
 	n := &node{name: platform.Name, leaseID: uint64(i + 1), pendingRequests: map[uint64]func(core.Response){}}
@@ -150,7 +152,7 @@
 	s.schedule(time.Duration(i)*time.Millisecond, tick)
 }
 
-// platformSettings returns the platform's settings of a controller.
+// platformSettings returns the platform settings of a controller.
 func platformSettings(i int) *settings.Platform {
 	platform := &settings.Platform{Name: fmt.Sprintf("n%d", i), Zone: machineType.Zones[i%len(machineType.Zones)]}
 	for peer := range controllerCount {
@@ -170,7 +172,7 @@
 	return platform
 }
 
-// rentMachine adds a machine that boots.
+// rentMachine adds a machine, which sends its first heartbeat after its boot.
 func (s *simCluster) rentMachine(zone string, spot bool) *machine {
 	m := &machine{
 		name:            fmt.Sprintf("m-%06d", len(s.machinesByName)),
@@ -187,7 +189,7 @@
 	return m
 }
 
-// returnMachine ends a machine, and counts the replicas on it as lost.
+// returnMachine removes a machine and counts the service replicas on it as lost.
 func (s *simCluster) returnMachine(name string) {
 	m := s.machinesByName[name]
 	if m == nil || m.returned {
@@ -202,7 +204,7 @@
 	}
 }
 
-// schedule runs a function after a delay in simulated time.
+// schedule runs a function after a delay of simulated time.
 func (s *simCluster) schedule(delay time.Duration, run func()) {
 	s.events.Add(s.now+delay, run)
 }
@@ -220,8 +222,8 @@
 	s.now = until
 }
 
-// deliver hands an input to a core. As in a process, inputs that arrive at about the same time are handled in one
-// batch.
+// deliver passes an input to a node's core. As in a real process, inputs that arrive at about the same time are
+// handled in one batch.
 func (s *simCluster) deliver(n *node, in core.Input) {
 	n.pendingInputs = append(n.pendingInputs, in)
 	n.inputs++
@@ -245,7 +247,7 @@
 	})
 }
 
-// performOutput carries out one output of a core. Its outcome comes back as an input.
+// performOutput carries out one output of a core and delivers the result to the core as an input.
 func (s *simCluster) performOutput(n *node, output core.Output) {
 	deliverAfter := func(delay time.Duration, in core.Input) { s.schedule(delay, func() { s.deliver(n, in) }) }
 	switch output := output.(type) {
@@ -298,7 +300,7 @@
 	}
 }
 
-// sendToPeers sends a message to one peer, or to all if it names none, and measures its encoding and decoding.
+// sendToPeers sends a message to one peer, or to all if output names none, and measures its encoding and decoding.
 func (s *simCluster) sendToPeers(n *node, output core.SendToPeer) {
 	startedAt := time.Now()
 	raw, err := json.Marshal(output.Message)
@@ -324,7 +326,7 @@
 	}
 }
 
-// serveCloud executes a request to the cloud.
+// serveCloud executes a request to the cloud and returns its result.
 func (s *simCluster) serveCloud(request core.CloudRequest) core.CloudResult {
 	out := core.CloudResult{ID: request.ID, Status: wire.StatusOK}
 	switch request.Op {
@@ -353,7 +355,7 @@
 	return out
 }
 
-// applyWrite executes a write in the current revision.
+// applyWrite applies a write at the current revision.
 func (s *simCluster) applyWrite(write wire.Write) {
 	if write.Delete != "" {
 		delete(s.keys, write.Delete)
@@ -364,7 +366,7 @@
 	s.storeEvents = append(s.storeEvents, wire.WatchEvent{Put: write.Put, Value: write.Value, Revision: s.revision})
 }
 
-// commit executes a compare-and-swap transaction.
+// commit executes a compare-and-swap transaction and responds to the pending watches.
 func (s *simCluster) commit(txn wire.Txn) (wire.Status, wire.TxnResponse) {
 	var failed []string
 	for _, compare := range txn.Compare {
@@ -372,7 +374,7 @@
 			failed = append(failed, compare.Key)
 		}
 	}
-	s.counters.writes += len(txn.Then) // a failed transaction counts against the store's rate too
+	s.counters.writes += len(txn.Then) // the store counts failed transactions against its write limit too
 	if len(failed) > 0 {
 		return wire.StatusConflict, wire.TxnResponse{Revision: s.revision, Failed: failed}
 	}
@@ -388,7 +390,7 @@
 	return wire.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-// serveWatch responds with the events after a revision; a long poll waits for one.
+// serveWatch responds with the events after a revision. A long poll waits until there is one.
 func (s *simCluster) serveWatch(n *node, request core.Watch) {
 	respond := func() {
 		first, _ := slices.BinarySearchFunc(
@@ -412,7 +414,7 @@
 	respond()
 }
 
-// nextHeartbeat returns a heartbeat with the status of all tasks.
+// nextHeartbeat returns a heartbeat with the status of all tasks and the next sequence number.
 func (m *machine) nextHeartbeat() *wire.Heartbeat {
 	m.seq++
 	return &wire.Heartbeat{
@@ -448,7 +450,7 @@
 	})
 }
 
-// heartbeatSoon sends the next heartbeat as soon as minHeartbeatGap allows, as a task has changed.
+// heartbeatSoon sends the next heartbeat as soon as minHeartbeatInterval allows, because a task has changed.
 func (m *machine) heartbeatSoon() {
 	if at := max(m.cluster.now, m.lastHeartbeatAt+minHeartbeatInterval); at < m.nextHeartbeatAt {
 		m.nextHeartbeatAt = at
@@ -456,7 +458,7 @@
 	}
 }
 
-// taskCPUs returns the cores of a task.
+// taskCPUs returns the number of cores that a task takes.
 func taskCPUs(task string) int64 {
 	if id, _, _ := wire.SplitTaskName(task); id < firstArrayID {
 		return serviceCPUs
@@ -483,7 +485,8 @@
 	}
 }
 
-// startTask admits a task if there is capacity, and schedules its run and, if it is an array's, its end.
+// startTask starts a task if there is capacity, and otherwise reports it as exited. Tasks of arrays exit after a
+// random time; those of services run until they are stopped.
 func (m *machine) startTask(command wire.Command) {
 	s := m.cluster
 	jobID, _, _ := wire.SplitTaskName(command.Task)
@@ -520,7 +523,7 @@
 	}
 }
 
-// transitionTask moves a task from one stage to the next, if it is still in the first, and releases cores.
+// transitionTask moves a task from one stage to another, if it is still in the first, and releases freedCPUs cores.
 func (m *machine) transitionTask(command wire.Command, from, to, cause string, freedCPUs int64) {
 	for i := range m.tasks {
 		status := &m.tasks[i]
@@ -532,7 +535,7 @@
 	}
 }
 
-// sendRequest sends a request of a user or an agent to a controller.
+// sendRequest sends a request of a user or an agent to a controller and calls onResponse with the response.
 func (s *simCluster) sendRequest(
 	n *node,
 	newInput func(requestID uint64) core.Input,
@@ -540,14 +543,16 @@
 ) {
 	s.lastRequestID++
 	requestID := s.lastRequestID
-	n.pendingRequests[requestID] = func(response core.Response) { s.schedule(localLatency, func() { onResponse(response) }) }
+	n.pendingRequests[requestID] = func(response core.Response) {
+		s.schedule(localLatency, func() { onResponse(response) })
+	}
 	s.schedule(localLatency, func() { s.deliver(n, newInput(requestID)) })
 }
 
-// randomNode draws a controller.
+// randomNode returns a random controller.
 func (s *simCluster) randomNode() *node { return s.nodes[s.rng.IntN(controllerCount)] }
 
-// submitUntilAccepted submits a job until it is accepted.
+// submitUntilAccepted submits a job and retries after the requested delay until it is accepted.
 func (s *simCluster) submitUntilAccepted(spec wire.JobSpec) {
 	s.sendRequest(s.randomNode(), func(requestID uint64) core.Input {
 		return core.SubmitJob{
@@ -563,7 +568,7 @@
 	})
 }
 
-// pollUntilDone polls a job periodically, as its user does.
+// pollUntilDone polls a job every pollInterval until it is done.
 func (s *simCluster) pollUntilDone(id string) {
 	s.schedule(pollInterval, func() {
 		s.sendRequest(s.randomNode(), func(requestID uint64) core.Input {
@@ -577,7 +582,7 @@
 	})
 }
 
-// submitJob submits and polls a service or an array.
+// submitJob submits a service or an array and polls it.
 func (s *simCluster) submitJob(number int, service bool) {
 	id := fmt.Sprintf("wk-%06d", number)
 	spec := wire.JobSpec{
@@ -609,10 +614,10 @@
 	s.pollUntilDone(id)
 }
 
-// heapBytes returns the bytes of live objects.
+// heapBytes returns the size of live heap objects after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // frees what finalizers of the first still held
+	runtime.GC() // frees objects that finalizers kept alive during the first collection
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
--- a/internal/measure/scale/main.go
+++ b/internal/measure/scale/main.go
@@ -1,8 +1,9 @@
-// Command scale measures at what size a controller reaches its limits: the cores of three controllers run a seeded
-// cluster in simulated time, with services and arrays that grow with the machines, some ten tasks on each. It
-// measures what a simulated second takes of a processor, of memory, of the store's writes and of the network, then
-// loses a zone, and writes a table, JSON, a page and a plot. Writes are not limited, so that the demand shows. The
-// cost of the edges (HTTP) is not included; `internal/measure/fleet` runs them.
+// Command scale measures at what cluster size a controller reaches its limits. The scheduling cores of three
+// controllers run a seeded cluster in simulated time. The number of services and arrays is proportional to the number
+// of machines, with about ten tasks on each machine. The command measures CPU time, memory, store writes and network
+// traffic per simulated second, then partitions a zone, and writes a table, JSON, an HTML report and a plot. By
+// default writes are not limited, so that the figures show the demand. HTTP handling is not included; the command in
+// internal/measure/fleet covers it.
 package main
 
 import (
@@ -28,23 +29,23 @@
 	"dewlift/internal/eventqueue"
 )
 
-// Limits that the curve is compared with, and the load.
+// Limits that the measured costs are compared with, and parameters of the load.
 const (
-	controllerCoreLimit     = 0.25  // of a core, for each controller
+	controllerCoreLimit     = 0.25  // cores of each controller
 	controllerMemoryLimitMB = 200.0 // of each controller
-	clusterWriteRateLimit   = 20.0  // writes per second of all controllers
+	clusterWriteRateLimit   = 20.0  // writes per second of all controllers together
 
 	servicesPerMachine     = 0.5
 	arraysPerMachine       = 0.0012 // per second
 	serviceSubmitTime      = 3 * time.Second
-	serviceSubmitSpread    = 30 * time.Second // over which services are submitted
+	serviceSubmitSpread    = 30 * time.Second // period over which the submissions of services are spread
 	arraySubmitTime        = 20 * time.Second
-	firstArrayNumber       = 500_000 // see firstArrayID
+	firstArrayNumber       = 500_000 // matches firstArrayID
 	warmUpTime             = 100 * time.Second
 	measuredTime           = 30 * time.Second
 	zoneLossDuration       = time.Minute
 	zoneLossSampleInterval = 250 * time.Millisecond
-	replacedFraction       = 0.95 // of the lost replicas
+	replacedFraction       = 0.95 // of the lost replicas, for LostReplacedIn
 	minMachines            = 100
 )
 
@@ -53,55 +54,56 @@
 	storeWriteLimit float64
 )
 
-// SizeCost is the cost of one size, per simulated second. It is that of one controller, the one of the three that
-// needs most, but for writes, which are those of all. The page's template uses the names of the fields.
+// SizeCost is the cost of one cluster size per simulated second. The values per controller are those of the controller
+// that needs most, except for memory, which is measured for one controller only. Writes are those of all controllers
+// together. The report's template uses its field names.
 type SizeCost struct {
 	Machines int `json:"machines"`
 	Tasks    int `json:"tasks"`
 
-	CoreS      float64 `json:"core_s"`     // processor seconds in the core
-	CodecS     float64 `json:"codec_s"`    // processor seconds to encode and decode messages between controllers
-	InputUS    float64 `json:"input_us"`   // processor microseconds in the core per input
+	CoreS      float64 `json:"core_s"`     // CPU seconds in the scheduling core
+	CodecS     float64 `json:"codec_s"`    // CPU seconds to encode and decode messages between controllers
+	InputUS    float64 `json:"input_us"`   // CPU microseconds in the scheduling core per input
 	Inputs     float64 `json:"inputs"`     // per second
 	Messages   float64 `json:"messages"`   // per second, to other controllers
 	KB         float64 `json:"message_kb"` // per second
 	MB         float64 `json:"memory_mb"`
-	MachineB   float64 `json:"machine_b"` // memory per machine with its tasks
+	MachineB   float64 `json:"machine_b"` // memory per machine, including its tasks
 	Changes    float64 `json:"changes"`   // writes per second, of all controllers
 	PerJob     float64 `json:"changes_per_job"`
 	PerTask    float64 `json:"changes_per_task"`
-	RefusedPct float64 `json:"refused_percent"` // start commands that found no capacity
+	RefusedPct float64 `json:"refused_percent"` // start commands refused for lack of capacity
 
 	LostReplicas int     `json:"lost_replicas"`
 	PerReplica   float64 `json:"changes_per_lost_replica"`
-	LostCoreS    float64 `json:"lost_core_s"` // processor seconds per second in the minute after a zone was lost
+	LostCoreS    float64 `json:"lost_core_s"` // CPU seconds per second in the minute after the loss of a zone
 	LostChanges  float64 `json:"lost_changes"`
-	// LostReplacedIn is the time from the loss until 95% of the lost replicas started elsewhere; 0: not within a
-	// minute.
+	// LostReplacedIn is the time from the loss until 95% of the lost replicas were started elsewhere; 0: not within
+	// a minute.
 	LostReplacedIn float64 `json:"lost_replaced_in_s"`
 
-	Binds string  `json:"binds"` // the limit that is nearest, or exceeded most
-	Part  float64 // the part of that limit
+	Binds string  `json:"binds"` // the limit of which the largest fraction is used
+	Part  float64 // the used fraction of that limit
 }
 
 func main() {
 	log.SetFlags(0)
-	sizes := flag.String("machines", "500,1500,3000,6000,10000", "numbers of machines")
-	out := flag.String("out", "scale", "folder for figures.json, report.html and curve.svg")
+	sizes := flag.String("machines", "500,1500,3000,6000,10000", "numbers of machines, separated by commas")
+	out := flag.String("out", "scale", "output folder for figures.json, report.html and curve.svg")
 	flag.Float64Var(
 		&storeWriteLimit,
 		"changes",
 		unlimitedRate,
-		"changes a second that the state service takes of all; without it, what is needed shows",
+		"writes per second that the state service accepts in all; unlimited by default, to show the demand",
 	)
-	flag.BoolVar(&batchValues, "shared", false, "small jobs share values")
+	flag.BoolVar(&batchValues, "shared", false, "store the records of small jobs in shared values")
 	seed := flag.Uint64("seed", 1, "seed")
 	factor := flag.Float64(
 		"crush",
 		0,
-		"instead: how many times more arrays come than the first number of machines has room for, while a zone is lost",
+		"instead simulate an overload: arrays at this multiple of the first size's capacity, and the loss of a zone",
 	)
-	profile := flag.String("profile", "", "file for the processor's profile of that")
+	profile := flag.String("profile", "", "output file for a CPU profile of the overload")
 	flag.Parse()
 	if *factor > 0 {
 		machines, err := strconv.Atoi(strings.Split(*sizes, ",")[0])
@@ -118,13 +120,13 @@
 	}
 }
 
-// run measures all sizes and writes the report.
+// run measures all cluster sizes and writes the report.
 func run(sizes, out string, seed uint64) error {
 	var figures []*SizeCost
 	for _, size := range strings.Split(sizes, ",") {
 		machines, err := strconv.Atoi(size)
 		if err != nil || machines < minMachines {
-			return fmt.Errorf("not a number of machines from %d on: %q", minMachines, size)
+			return fmt.Errorf("number of machines must be an integer of at least %d: %q", minMachines, size)
 		}
 		startedAt := time.Now()
 		cost := measureSize(machines, seed)
@@ -134,12 +136,11 @@
 	return writeReport(out, figures)
 }
 
-// log prints the cost of a size.
 func (c *SizeCost) log(took time.Duration) {
 	log.Printf(
-		"%d machines, %d tasks: %.3f of a core (%.3f for messages), %.0f MB, %.1f changes/s, %.2f a job, %.4f a task, "+
-			"%.1f%% refused; zone lost: %d replicas, %.2f changes each, back in %.0f s; "+
-			"%s is nearest (%.0f%%); took %.0f s",
+		"%d machines, %d tasks: %.3f of a core (%.3f for messages), %.0f MB, %.1f writes/s, %.2f/job, %.4f/task, "+
+			"%.1f%% of starts refused; zone loss: %d replicas, %.2f writes/replica, 95 percent replaced in %.0f s; "+
+			"nearest limit: %s (%.0f%%); measurement took %.0f s",
 		c.Machines,
 		c.Tasks,
 		c.CoreS+c.CodecS,
@@ -158,7 +159,7 @@
 	)
 }
 
-// measureSize plays a cluster of a size: it warms up, runs steadily, and loses a zone.
+// measureSize simulates a cluster of one size: a warm-up, steady load, and the loss of a zone.
 func measureSize(machines int, seed uint64) *SizeCost {
 	s := newSimCluster(machines, seed)
 	s.scheduleLoad(machines)
@@ -174,7 +175,7 @@
 	return cost
 }
 
-// scheduleLoad schedules services at the start and arrays at a steady rate.
+// scheduleLoad schedules the submissions of services at the start and of arrays at a constant rate.
 func (s *simCluster) scheduleLoad(machines int) {
 	services := int(servicesPerMachine * float64(machines))
 	for i := range services {
@@ -192,7 +193,7 @@
 	s.schedule(arraySubmitTime, submitNext)
 }
 
-// nodeCosts returns the costs of all controllers so far.
+// nodeCosts returns a copy of the costs of all controllers so far.
 func (s *simCluster) nodeCosts() (costs []node) {
 	for _, n := range s.nodes {
 		costs = append(costs, *n)
@@ -200,7 +201,7 @@
 	return costs
 }
 
-// measureSteady measures a time of steady load.
+// measureSteady measures the costs under steady load.
 func (s *simCluster) measureSteady(cost *SizeCost) {
 	before := s.nodeCosts()
 	s.counters = eventCounts{}
@@ -223,7 +224,8 @@
 	cost.RefusedPct = 100 * float64(counters.refused) / float64(max(1, counters.refused+counters.started))
 }
 
-// measureZoneLoss partitions a zone: its machines are given up and their replicas started elsewhere.
+// measureZoneLoss partitions a zone and measures the costs while its machines are given up and their replicas started
+// elsewhere.
 func (s *simCluster) measureZoneLoss(cost *SizeCost) {
 	before := s.nodeCosts()
 	s.counters = eventCounts{}
@@ -238,7 +240,7 @@
 		s.runUntil(s.now + zoneLossSampleInterval)
 		steps = append(steps, step{s.now - lostAt, s.counters.replaced})
 	}
-	for _, step := range steps { // how many are lost is known at the end only
+	for _, step := range steps { // only now is the number of lost replicas known
 		if float64(step.replaced) >= replacedFraction*float64(s.counters.lost) {
 			cost.LostReplacedIn = step.at.Seconds()
 			break
@@ -254,31 +256,32 @@
 	cost.PerReplica = (writes - seconds*cost.Changes) / float64(max(1, s.counters.lost))
 }
 
-// measureMemory measures the memory of one core by releasing it. The cluster can't run afterwards.
+// measureMemory measures the memory of one controller's scheduling core by releasing it. The cluster can't run
+// afterwards.
 func (s *simCluster) measureMemory(cost *SizeCost) {
 	before := heapBytes()
 	released := s.nodes[2]
-	s.nodes, s.events = s.nodes[:2:2], eventqueue.Queue{} // scheduled events refer to the core
+	s.nodes, s.events = s.nodes[:2:2], eventqueue.Queue{} // scheduled events would keep a reference to the core
 	released.core, released.pendingRequests, released.pendingInputs = nil, nil, nil
 	cost.MB = (before - heapBytes()) / 1e6
 	cost.MachineB = cost.MB * 1e6 / float64(cost.Machines)
 	runtime.KeepAlive(s)
 }
 
-// limitUsage is the part of a limit that a size takes.
+// limitUsage is a limit, by its name, and the fraction of it that a cluster size uses.
 type limitUsage struct {
 	name     string
 	fraction func(cost *SizeCost) float64
 }
 
-// Parts of the limits, for the report and the plot.
+// Used fractions of the limits.
 var (
 	coreFraction   = func(cost *SizeCost) float64 { return (cost.CoreS + cost.CodecS) / controllerCoreLimit }
 	memoryFraction = func(cost *SizeCost) float64 { return cost.MB / controllerMemoryLimitMB }
 	writeFraction  = func(cost *SizeCost) float64 { return cost.Changes / clusterWriteRateLimit }
 )
 
-// findNearestLimit sets the limit that is nearest.
+// findNearestLimit sets the limit of which the largest fraction is used.
 func (c *SizeCost) findNearestLimit() {
 	for _, limit := range []limitUsage{
 		{"the processor", coreFraction},
@@ -291,29 +294,29 @@
 	}
 }
 
-// pageTemplate is the report; it uses the fields of SizeCost by name.
+// pageTemplate is the HTML report. It uses the field names of SizeCost.
 //
-//nolint:lll // the page is text whose lines are rows of a table
+//nolint:lll // a line of the template is a row of a table
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
-<html lang="en"><meta charset="utf-8"><title>dewlift: at what size the limits end</title>
+<html lang="en"><meta charset="utf-8"><title>dewlift: cluster size and controller limits</title>
 <style>body{font:15px/1.45 sans-serif;margin:2em auto;max-width:66em;color:#222}table{border-collapse:collapse;margin:1em 0}
 td,th{border:1px solid #ccc;padding:.25em .6em;text-align:right}th{background:#f3f3f3}img{max-width:100%}</style>
-<h1>At what size the limits of a controller end</h1>
-<p>Cores of three controllers on a seeded site in simulated time; a second is a simulated one. Simulated machines; the edges (HTTP) are not in it. {{.Machine}}.</p>
-<p><img alt="parts of the limits by machines" src="{{.Plot}}"></p>
-<table><tr><th>machines<th>tasks<th>core<th>messages coded<th>µs an input<th>inputs/s<th>messages/s<th>KB/s<th>memory, MB<th>bytes a machine<th>changes/s<th>a job<th>a task<th>refused<th>nearest limit</tr>
+<h1>Cluster size at which a controller reaches its limits</h1>
+<p>The scheduling cores of three controllers run a seeded cluster of simulated machines in simulated time. All seconds are simulated ones. HTTP handling is not included. Changes are writes to the store. {{.Machine}}.</p>
+<p><img alt="used fractions of the limits by number of machines" src="{{.Plot}}"></p>
+<table><tr><th>machines<th>tasks<th>CPU, cores<th>message encoding, cores<th>µs per input<th>inputs/s<th>messages/s<th>message KB/s<th>memory, MB<th>bytes per machine<th>writes/s<th>writes per job<th>writes per task<th>starts refused<th>nearest limit</tr>
 {{range .Figures}}<tr><td>{{.Machines}}<td>{{.Tasks}}<td>{{printf "%.3f" .CoreS}}<td>{{printf "%.3f" .CodecS}}<td>{{printf "%.0f" .InputUS}}<td>{{printf "%.0f" .Inputs}}<td>{{printf "%.0f" .Messages}}<td>{{printf "%.0f" .KB}}<td>{{printf "%.0f" .MB}}<td>{{printf "%.0f" .MachineB}}<td>{{printf "%.1f" .Changes}}<td>{{printf "%.2f" .PerJob}}<td>{{printf "%.4f" .PerTask}}<td>{{printf "%.1f%%" .RefusedPct}}<td>{{.Binds}}</tr>
 {{end}}</table>
-<h2>A zone is lost</h2>
-<table><tr><th>machines<th>lost replicas<th>changes for each<th>95% are back after, s<th>core in that minute<th>changes/s</tr>
+<h2>Loss of a zone</h2>
+<table><tr><th>machines<th>lost replicas<th>writes per replica<th>95% are replaced after, s<th>CPU in that minute, cores<th>writes/s</tr>
 {{range .Figures}}<tr><td>{{.Machines}}<td>{{.LostReplicas}}<td>{{printf "%.2f" .PerReplica}}<td>{{printf "%.0f" .LostReplacedIn}}<td>{{printf "%.3f" .LostCoreS}}<td>{{printf "%.1f" .LostChanges}}</tr>
 {{end}}</table>
 `))
 
-// writeReport writes the figures, the plot and the page.
+// writeReport writes the figures as JSON, the plot and the HTML report.
 func writeReport(out string, figures []*SizeCost) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
-		return fmt.Errorf("create folder of report: %w", err)
+		return fmt.Errorf("create folder for report: %w", err)
 	}
 	raw, err := json.MarshalIndent(figures, "", " ")
 	if err != nil {
@@ -324,30 +327,30 @@
 	}
 	curve, err := plotLimitUsage(figures)
 	if err != nil {
-		return fmt.Errorf("plot: %w", err)
+		return fmt.Errorf("plot limit usage: %w", err)
 	}
 	if err := curve.Save(8*vg.Inch, 4*vg.Inch, filepath.Join(out, "curve.svg")); err != nil {
-		return fmt.Errorf("plot: %w", err)
+		return fmt.Errorf("write plot: %w", err)
 	}
 	image, err := chart.PNGDataURL(curve)
 	if err != nil {
-		return fmt.Errorf("plot: %w", err)
+		return fmt.Errorf("encode plot: %w", err)
 	}
 	return writePage(filepath.Join(out, "report.html"), figures, image)
 }
 
-// plotLimitUsage plots the parts of the limits by the number of machines.
+// plotLimitUsage plots the used fractions of the limits against the number of machines.
 func plotLimitUsage(figures []*SizeCost) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = "Parts of a controller's limits by the number of machines (simulated)"
+	p.Title.Text = "Used fraction of a controller's limits by number of machines (simulated)"
 	p.Title.Padding = vg.Points(8)
-	p.X.Label.Text, p.Y.Label.Text = "machines", "part of the limit"
+	p.X.Label.Text, p.Y.Label.Text = "machines", "fraction of the limit"
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
 	for i, limit := range []limitUsage{
-		{fmt.Sprintf("processor (%v of a core)", controllerCoreLimit), coreFraction},
+		{fmt.Sprintf("CPU (%v of a core)", controllerCoreLimit), coreFraction},
 		{fmt.Sprintf("memory (%v MB)", controllerMemoryLimitMB), memoryFraction},
-		{fmt.Sprintf("changes (%v a second)", clusterWriteRateLimit), writeFraction},
+		{fmt.Sprintf("writes (%v per second)", clusterWriteRateLimit), writeFraction},
 	} {
 		var values plotter.XYs
 		for _, cost := range figures {
@@ -369,11 +372,11 @@
 	return p, nil
 }
 
-// writePage writes the report as a page that needs no other file.
+// writePage writes the report as a self-contained HTML page.
 func writePage(path string, figures []*SizeCost, image template.URL) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("create page: %w", err)
+		return fmt.Errorf("create report: %w", err)
 	}
 	err = pageTemplate.Execute(file, map[string]any{
 		"Figures": figures, "Plot": image,
@@ -386,7 +389,7 @@
 		),
 	})
 	if err := errors.Join(err, file.Close()); err != nil {
-		return fmt.Errorf("write page: %w", err)
+		return fmt.Errorf("write report: %w", err)
 	}
 	return nil
 }
--- a/internal/measure/scale/overload.go
+++ b/internal/measure/scale/overload.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	overloadDuration       = 100 * time.Second // for which the rate of arrays is multiplied
-	overloadZoneLossDelay  = 20 * time.Second  // from its begin until a zone is lost
-	overloadReportInterval = 20 * time.Second  // between two lines of output
-	saturationFactor       = 1.5               // times arraysPerMachine fill the cluster
+	overloadDuration       = 100 * time.Second // during which the rate of arrays is multiplied
+	overloadZoneLossDelay  = 20 * time.Second  // from the start of the overload until a zone is lost
+	overloadReportInterval = 20 * time.Second  // simulated time between two lines of output
+	saturationFactor       = 1.5               // arraysPerMachine times this factor fills the cluster
 )
 
-// runOverload plays a cluster into which arrays come factor times as often as it has capacity for, while a zone is
-// lost, and prints what a core takes as the queue grows: the work must not grow with it.
+// runOverload simulates a cluster that receives factor times as many arrays as it has capacity for and loses a zone
+// meanwhile. It prints the CPU use of the busiest controller, which must not grow with the queue.
 func runOverload(machines int, factor float64, seed uint64, profile string) (err error) {
 	s := newSimCluster(machines, seed)
 	services := machines / 4
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// runOverloadStep runs until a time and prints what that took.
+// runOverloadStep runs the simulation until a time and prints the costs and events of that period.
 func (s *simCluster) runOverloadStep(until time.Duration) {
 	before := s.nodeCosts()
 	accepted, started := s.counters.accepted, s.counters.started
@@ -78,7 +78,7 @@
 	fmt.Printf(
 		"%4.0f s: %d machines, %.3f of a core, %d jobs accepted and %d tasks started, "+
 			"%d replicas lost and %d replaced so far; "+
-			"%d arrays began, after %.0f s at the median and %.0f s at most, %d wait\n",
+			"%d arrays started, median delay %.0f s, maximum %.0f s; %d arrays waiting\n",
 		until.Seconds(),
 		len(s.machines),
 		maxBusy,
@@ -93,7 +93,7 @@
 	)
 }
 
-// medianSeconds returns the median of durations in seconds; 0 of none. It sorts them.
+// medianSeconds returns the median of durations in seconds, or 0 if there are none. It sorts durations.
 func medianSeconds(durations []time.Duration) float64 {
 	if len(durations) == 0 {
 		return 0
--- a/internal/measure/scale/scale_test.go
+++ b/internal/measure/scale/scale_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The experiment itself must hold: a small cluster accepts its jobs, runs some ten tasks per machine, wastes no
-// starts, and replaces the replicas of a lost zone.
+// TestSmallCluster guards against a faulty simulation, whose figures would be meaningless. A small cluster must accept
+// its jobs, run about ten tasks per machine, have few refused starts, and replace the replicas of a lost zone.
 func TestSmallCluster(t *testing.T) {
 	storeWriteLimit = unlimitedRate
 	cost := measureSize(120, 1)
@@ -19,8 +19,8 @@
 	}
 }
 
-// BenchmarkFleet counts work, which does not depend on the computer: looks at machines and inputs per simulated
-// second, by the size of the cluster.
+// BenchmarkFleet counts work, which does not depend on the computer that runs it, by the number of machines: examined
+// machines, inputs and message bytes per machine and simulated second, and store writes per job.
 func BenchmarkFleet(b *testing.B) {
 	storeWriteLimit = unlimitedRate
 	for _, machines := range []int{200, 400, 800} {
