--- a/access/access_test.go
+++ b/access/access_test.go
@@ -31,7 +31,7 @@
 identities { name: "portal" service: true }
 `
 
-// A decision without its grant could not be explained to users, nor audited.
+// Every decision must name the grant behind it: otherwise it can neither be explained to users nor audited.
 func TestDecisionsNameTheirGrant(t *testing.T) {
 	p, err := Parse([]byte(testPolicy))
 	if err != nil {
@@ -44,7 +44,7 @@
 	}{
 		{"anna", "submit", "kiln-floor", "firing", 2, "technician 1"},
 		{"anna", "submit", "kiln-floor", "firing", 1, "technician 2"},
-		{"anna", "submit", "kiln-floor", "firing", 0, ""}, // its grant is up to high
+		{"anna", "submit", "kiln-floor", "firing", 0, ""}, // its grant ends at high
 		{"anna", "submit", "kiln-floor", "glaze", 1, ""},  // another class
 		{"anna", "submit", "potters", "plan", 3, ""},
 		{"anna", "administer", "", "", 0, "admin 1"},
@@ -73,8 +73,8 @@
 	}
 }
 
-// An invalid policy gives an error of one line that names the place.
-func TestInvalidPoliciesAreNamed(t *testing.T) {
+// The error of an invalid policy must be a single line that names the invalid field.
+func TestPolicyErrorsNameTheField(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{`roles { name: "a" }`, "roles[0] (a).grants"},
 		{`roles { name: "a" grants { verbs: read teams: "t" } }`, "grants[0].classes"},
@@ -101,9 +101,9 @@
 	}
 }
 
-// withKey returns the test policy with a key of anna, and the private half. The public half is also eva's
-// key k2.
-func withKey(t testing.TB) (*Policy, *PrivateKey) {
+// newPolicyWithKey returns the test policy with a key of anna, and the private key. The same public key is also
+// eva's key k2.
+func newPolicyWithKey(t testing.TB) (*Policy, *PrivateKey) {
 	t.Helper()
 	key, err := NewKey("anna", "k1")
 	if err != nil {
@@ -121,7 +121,7 @@
 	return p, key
 }
 
-// signToken signs a token.
+// signToken signs a token, or fails the test.
 func signToken(t *testing.T, key *PrivateKey, now time.Time, lifetime time.Duration) string {
 	t.Helper()
 	token, err := key.SignToken(now, lifetime)
@@ -131,24 +131,25 @@
 	return token
 }
 
-// A token must be of no use to others, at other times, or with other claims.
+// A token must be rejected outside of its lifetime, when its signature is not by the named key of its holder, and
+// when its header or claims were altered.
 func TestTokensAreBoundToTimeAndHolder(t *testing.T) {
-	p, key := withKey(t)
+	p, key := newPolicyWithKey(t)
 	now, clockError := time.Unix(1_800_000_000, 0), 50*time.Millisecond
 	good := signToken(t, key, now, time.Minute)
 	if got, until, err := p.VerifyToken(good, now, clockError); err != nil || got.Holder != "anna" ||
 		!until.Equal(now.Add(time.Minute)) {
 		t.Fatalf("got %+v %v %v", got, until, err)
 	}
-	if id, ok := PeekKey(good); !ok || id != "k1" {
-		t.Errorf("peeked %q", id)
+	if id, ok := PeekKeyID(good); !ok || id != "k1" {
+		t.Errorf("the unverified key ID is %q", id)
 	}
 	other, err := NewKey("anna", "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	otherHolder := *key
-	otherHolder.ID = "k2" // eva's, with the same private half
+	otherHolder.ID = "k2" // eva's key, which has the same private key
 	unknown := *key
 	unknown.ID = "k9"
 	parts := strings.Split(good, ".")
@@ -159,16 +160,16 @@
 		token string
 		at    time.Time
 	}{
-		"too late":      {good, now.Add(time.Minute + 200*time.Millisecond)},
-		"too early":     {good, now.Add(-time.Second)},
-		"another key":   {signToken(t, other, now, time.Minute), now},
-		"another name":  {signToken(t, &otherHolder, now, time.Minute), now},
-		"unknown key":   {signToken(t, &unknown, now, time.Minute), now},
-		"not signed":    {unsigned + "." + parts[1] + ".", now},
-		"other claims":  {parts[0] + "." + forged + "." + parts[2], now},
-		"too long":      {good + strings.Repeat("x", maxTokenBytes), now},
-		"empty":         {"", now},
-		"life too long": {signToken(t, key, now, MaxTokenLifetime), now.Add(MaxTokenLifetime + time.Second)},
+		"too late":          {good, now.Add(time.Minute + 200*time.Millisecond)},
+		"too early":         {good, now.Add(-time.Second)},
+		"another key":       {signToken(t, other, now, time.Minute), now},
+		"another name":      {signToken(t, &otherHolder, now, time.Minute), now},
+		"unknown key":       {signToken(t, &unknown, now, time.Minute), now},
+		"not signed":        {unsigned + "." + parts[1] + ".", now},
+		"other claims":      {parts[0] + "." + forged + "." + parts[2], now},
+		"too long":          {good + strings.Repeat("x", maxTokenBytes), now},
+		"empty":             {"", now},
+		"lifetime too long": {signToken(t, key, now, MaxTokenLifetime), now.Add(MaxTokenLifetime + time.Second)},
 	} {
 		if got, _, err := p.VerifyToken(test.token, test.at, clockError); !errors.Is(err, ErrInvalidToken) {
 			t.Errorf("%s: %+v %v", name, got, err)
@@ -179,7 +180,8 @@
 	}
 }
 
-// FuzzParse checks that errors are one line, and that a policy survives being formatted.
+// FuzzParse checks that errors are a single line, and that a policy is unchanged after it was formatted and parsed
+// again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(testPolicy))
 	f.Add([]byte(`identities { name: "x" keys { id: "k" ed25519: "AAAA" } }`))
@@ -187,7 +189,7 @@
 		p, err := Parse(text)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Fatalf("more than a line: %q", err)
+				t.Fatalf("the error has more than one line: %q", err)
 			}
 			return
 		}
@@ -198,9 +200,9 @@
 	})
 }
 
-// FuzzVerify checks that no token is accepted whose header and claims were not signed.
+// FuzzVerify checks that a token is accepted only with the header and claims that were signed.
 func FuzzVerify(f *testing.F) {
-	p, key := withKey(f)
+	p, key := newPolicyWithKey(f)
 	now := time.Unix(1_800_000_000, 0)
 	good, err := key.SignToken(now, time.Minute)
 	if err != nil {
@@ -209,7 +211,7 @@
 	f.Add([]byte(good))
 	f.Add([]byte("a.b.c"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		PeekKey(string(raw))
+		PeekKeyID(string(raw))
 		signed, parts := bytes.Split([]byte(good), []byte(".")), bytes.Split(raw, []byte("."))
 		if got, _, err := p.VerifyToken(string(raw), now, 0); err == nil &&
 			(len(parts) != 3 || !bytes.Equal(signed[0], parts[0]) || !bytes.Equal(signed[1], parts[1])) {
--- a/audit/aggregator.go
+++ b/audit/aggregator.go
@@ -9,74 +9,75 @@
 	pb "dewlift/proto"
 )
 
-// GatheredEvent is an event of which only the number of occurrences is recorded.
-type GatheredEvent struct{ Identity, Verb, Object, Reason string }
+// AggregatedEvent is a kind of event. The log records only how often it occurred.
+type AggregatedEvent struct{ Identity, Verb, Object, Reason string }
 
-// Aggregator counts events until they are recorded together. Beyond its bound, further kinds of events are
-// counted without their objects, and beyond twice the bound without their identities: a flood takes bounded
-// memory, and nothing is dropped silently.
+// Aggregator counts events until they are recorded together. Above MaxBytes, further kinds of events are counted
+// without their objects and reasons, and above twice MaxBytes without their identities too: so a flood of events
+// takes bounded memory, and no event goes uncounted.
 type Aggregator struct {
 	MaxBytes  int
 	usedBytes int
-	counts    map[GatheredEvent]uint32
+	counts    map[AggregatedEvent]uint32
 }
 
 const (
-	eventOverheadBytes = 16  // of an event beside its texts
-	maxTextBytes       = 200 // of a text in an entry
+	eventOverheadBytes = 16  // of an event, in addition to its texts
+	maxTextBytes       = 200 // of each text in an entry
 )
 
-// Ellipsis ends a text that was cut.
+// Ellipsis is the end of a truncated text.
 const Ellipsis = "..."
 
-// OtherValues stands for objects or identities that are not told apart.
+// OtherValues replaces objects or identities that are counted together.
 const OtherValues = "(others)"
 
 // Add counts occurrences of an event.
-func (g *Aggregator) Add(event GatheredEvent, count uint32) {
-	event = GatheredEvent{
+func (a *Aggregator) Add(event AggregatedEvent, count uint32) {
+	event = AggregatedEvent{
 		TruncateText(event.Identity),
 		TruncateText(event.Verb),
 		TruncateText(event.Object),
 		TruncateText(event.Reason),
 	}
-	if g.counts == nil {
-		g.counts = map[GatheredEvent]uint32{}
+	if a.counts == nil {
+		a.counts = map[AggregatedEvent]uint32{}
 	}
-	if _, ok := g.counts[event]; !ok {
-		if g.usedBytes > g.MaxBytes {
+	if _, ok := a.counts[event]; !ok {
+		if a.usedBytes > a.MaxBytes {
 			event.Object, event.Reason = OtherValues, ""
 		}
-		if g.usedBytes > 2*g.MaxBytes {
-			event = GatheredEvent{Identity: OtherValues, Verb: event.Verb, Object: OtherValues}
+		if a.usedBytes > 2*a.MaxBytes {
+			event = AggregatedEvent{Identity: OtherValues, Verb: event.Verb, Object: OtherValues}
 		}
 	}
-	if _, ok := g.counts[event]; !ok {
-		g.usedBytes += event.size()
+	if _, ok := a.counts[event]; !ok {
+		a.usedBytes += event.size()
 	}
-	g.counts[event] += count
+	a.counts[event] += count
 }
 
-// size returns about how many bytes the event takes.
-func (e *GatheredEvent) size() int {
+// size returns approximately how many bytes the event takes.
+func (e *AggregatedEvent) size() int {
 	return len(e.Identity) + len(e.Verb) + len(e.Object) + len(e.Reason) + eventOverheadBytes
 }
 
 // Len returns the number of distinct events.
-func (g *Aggregator) Len() int { return len(g.counts) }
+func (a *Aggregator) Len() int { return len(a.counts) }
 
-// Drain removes and returns events of at most maxBytes, but at least one if there is any, in a fixed order.
-func (g *Aggregator) Drain(maxBytes int) []*pb.AuditItem {
-	all := make([]GatheredEvent, 0, len(g.counts))
-	for event := range g.counts {
+// Drain removes events of at most maxBytes in total, but at least one if there is any, and returns them in a
+// deterministic order.
+func (a *Aggregator) Drain(maxBytes int) []*pb.AuditItem {
+	all := make([]AggregatedEvent, 0, len(a.counts))
+	for event := range a.counts {
 		all = append(all, event)
 	}
-	slices.SortFunc(all, func(a, b GatheredEvent) int {
+	slices.SortFunc(all, func(x, y AggregatedEvent) int {
 		return cmp.Or(
-			strings.Compare(a.Identity, b.Identity),
-			strings.Compare(a.Verb, b.Verb),
-			strings.Compare(a.Object, b.Object),
-			strings.Compare(a.Reason, b.Reason),
+			strings.Compare(x.Identity, y.Identity),
+			strings.Compare(x.Verb, y.Verb),
+			strings.Compare(x.Object, y.Object),
+			strings.Compare(x.Reason, y.Reason),
 		)
 	})
 	var out []*pb.AuditItem
@@ -90,15 +91,15 @@
 			Verb:   event.Verb,
 			Object: event.Object,
 			Why:    event.Reason,
-			Count:  g.counts[event],
+			Count:  a.counts[event],
 		})
-		g.usedBytes -= event.size()
-		delete(g.counts, event)
+		a.usedBytes -= event.size()
+		delete(a.counts, event)
 	}
 	return out
 }
 
-// TruncateText returns a text as an entry holds it: valid UTF-8 of bounded length.
+// TruncateText returns a text in the form in which an entry holds it: valid UTF-8 of bounded length.
 func TruncateText(text string) string {
 	return utf8text.Truncate(text, maxTextBytes, Ellipsis)
 }
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -17,10 +17,10 @@
 	pb "dewlift/proto"
 )
 
-// key signs the chains of the tests.
-var key = Key("a key of more than thirty-two bytes")
+// testKey signs the chains of the tests.
+var testKey = Key("a key of more than thirty-two bytes")
 
-// newChain returns a chain of blocks with so many entries each.
+// newChain returns a chain of blocks with the given numbers of entries.
 func newChain(t testing.TB, sizes ...int) (raws []json.RawMessage) {
 	t.Helper()
 	head := &Head{}
@@ -31,7 +31,7 @@
 			count++
 			entries = append(
 				entries,
-				Encode(
+				EncodeEntry(
 					&pb.AuditEntry{
 						Life:   1,
 						Count:  count,
@@ -43,7 +43,7 @@
 				),
 			)
 		}
-		raw, n, mac, err := key.EncodeNextBlock(head, "n0", 500, entries, 1<<20)
+		raw, n, mac, err := testKey.EncodeNextBlock(head, "n0", 500, entries, 1<<20)
 		if err != nil || n != size {
 			t.Fatal(n, err)
 		}
@@ -53,9 +53,9 @@
 	return raws
 }
 
-// verifyChain verifies blocks with the given numbers, or else numbered from 1.
+// verifyChain verifies blocks that have the given numbers, or are numbered from 1 if there are none.
 func verifyChain(raws []json.RawMessage, numbers ...uint64) (*ChainVerifier, error) {
-	verifier := &ChainVerifier{Node: "n0", Keys: []Key{Key("another key, which is of no use"), key}}
+	verifier := &ChainVerifier{Node: "n0", Keys: []Key{Key("another key, which is of no use"), testKey}}
 	for i, raw := range raws {
 		number := uint64(i + 1)
 		if i < len(numbers) {
@@ -68,7 +68,7 @@
 	return verifier, nil
 }
 
-// alterBlock changes a block as anyone with write access to the store could, checksum included.
+// alterBlock changes a block and updates its checksum, as anyone with write access to the store could.
 func alterBlock(t testing.TB, raw json.RawMessage, alter func(b *pb.AuditBlock)) json.RawMessage {
 	t.Helper()
 	var block pb.AuditBlock
@@ -83,7 +83,8 @@
 	return out
 }
 
-// Whatever is done to a block without the key, the first altered entry must be located.
+// Whoever alters a block without knowing the key must be detected: verification must locate the first altered
+// entry.
 func TestEveryAlterationIsLocated(t *testing.T) {
 	raws := newChain(t, 3, 4, 2)
 	if verifier, err := verifyChain(raws); err != nil || verifier.BlockNumber != 3 || verifier.EntryCount != 9 {
@@ -96,7 +97,7 @@
 				t.Fatal(err)
 			}
 			f(&e)
-			b.Entries[i] = Encode(&e)
+			b.Entries[i] = EncodeEntry(&e)
 		}
 	}
 	cut := func(b *pb.AuditBlock, i, j int) {
@@ -143,14 +144,15 @@
 		altered := slices.Clone(raws)
 		altered[1] = alterBlock(t, raws[1], tt.alter)
 		_, err := verifyChain(altered)
-		if fault := (*Fault)(nil); !errors.As(err, &fault) || fault.Block != 2 || fault.Entry != tt.entry ||
-			strings.Contains(err.Error(), "\n") {
+		if chainErr := (*ChainError)(nil); !errors.As(err, &chainErr) || chainErr.Block != 2 ||
+			chainErr.Entry != tt.entry || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// Whatever is done to the order of blocks, the first block that does not continue the chain must be located.
+// Removed, reordered and replaced blocks must be detected: verification must locate the first block that does not
+// continue the chain.
 func TestEveryReplacedBlockIsLocated(t *testing.T) {
 	raws := newChain(t, 3, 4, 2)
 	for name, tt := range map[string]struct {
@@ -170,32 +172,34 @@
 		},
 	} {
 		_, err := verifyChain(tt.raws, tt.numbers...)
-		if fault := (*Fault)(nil); !errors.As(err, &fault) || fault.Block != tt.block {
+		if chainErr := (*ChainError)(nil); !errors.As(err, &chainErr) || chainErr.Block != tt.block {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// A block must hold as many entries as fit, and an entry that fits no value must be an error, not a loop.
-func TestBlockHoldsWhatFits(t *testing.T) {
+// A block must hold many entries up to its size limit. An entry that exceeds the limit by itself must be an error,
+// not an endless loop.
+func TestBlockHoldsAsManyEntriesAsFit(t *testing.T) {
 	var entries [][]byte
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 300 {
-		entries = append(entries, Encode(&pb.AuditEntry{Count: uint64(i), Object: fmt.Sprint(random.Uint64())}))
+		entries = append(entries, EncodeEntry(&pb.AuditEntry{Count: uint64(i), Object: fmt.Sprint(random.Uint64())}))
 	}
-	raw, n, _, err := key.EncodeNextBlock(&Head{}, "n0", 0, entries, 2048)
+	raw, n, _, err := testKey.EncodeNextBlock(&Head{}, "n0", 0, entries, 2048)
 	if err != nil || n < 20 || n >= 300 || len(raw) > 2048 {
 		t.Errorf("%d entries in %d bytes, %v", n, len(raw), err)
 	}
-	if _, n, _, err := key.EncodeNextBlock(&Head{}, "n0", 0, entries, 100); err == nil || n != 0 {
+	if _, n, _, err := testKey.EncodeNextBlock(&Head{}, "n0", 0, entries, 100); err == nil || n != 0 {
 		t.Errorf("%d entries in 100 bytes, %v", n, err)
 	}
 }
 
-// A pending entry must be valid for the key of its value and its controller only.
+// A pending entry must be valid only in the value and for the controller that it was signed for: otherwise, anyone
+// with write access to the store could move or forge entries.
 func TestPendingEntriesCannotBeMovedOrForged(t *testing.T) {
-	signed := key.SignEntry("n0", "dl/job/wk-1", &pb.AuditEntry{Life: 3, Count: 4, Who: "anna", Verb: "submit"})
-	if entry, err := key.VerifyEntry("dl/job/wk-1", &signed); err != nil || entry.Who != "anna" {
+	signed := testKey.SignEntry("n0", "dl/job/wk-1", &pb.AuditEntry{Life: 3, Count: 4, Who: "anna", Verb: "submit"})
+	if entry, err := testKey.VerifyEntry("dl/job/wk-1", &signed); err != nil || entry.Who != "anna" {
 		t.Fatal(entry, err)
 	}
 	for name, alter := range map[string]func(c *PendingEntry) string{
@@ -205,29 +209,29 @@
 		"another count": func(c *PendingEntry) string { c.Sequence++; return "dl/job/wk-1" },
 		"another tag":   func(c *PendingEntry) string { c.MAC = []byte{1}; return "dl/job/wk-1" },
 		"another entry": func(c *PendingEntry) string {
-			c.Entry = Encode(&pb.AuditEntry{Life: 3, Count: 4, Who: "potter", Verb: "submit"})
+			c.Entry = EncodeEntry(&pb.AuditEntry{Life: 3, Count: 4, Who: "potter", Verb: "submit"})
 			return "dl/job/wk-1"
 		},
 	} {
 		altered := signed
 		valueKey := alter(&altered)
-		if _, err := key.VerifyEntry(valueKey, &altered); !errors.Is(err, ErrForged) {
+		if _, err := testKey.VerifyEntry(valueKey, &altered); !errors.Is(err, ErrForged) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// A head must know of every entry whether it is in a block, in whatever order those of former incarnations are
-// written.
-func TestHeadTellsWhatIsRecorded(t *testing.T) {
+// A head must tell for every entry whether it is in a block, whatever the order in which the entries of former
+// incarnations are written.
+func TestHeadContainsRecordedEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head := &Head{}
 		recorded := map[[2]uint64]bool{}
-		highest := map[uint64]uint64{} // sequence number by incarnation
-		for life := uint64(1); life <= 6; life++ {
-			head = &Head{Incarnations: head.WithIncarnation(Incarnation{Number: life, NextSequence: 1})}
+		highest := map[uint64]uint64{} // highest sequence number by incarnation
+		for incarnation := uint64(1); incarnation <= 6; incarnation++ {
+			head = &Head{Incarnations: head.WithIncarnation(Incarnation{Number: incarnation, NextSequence: 1})}
 			for range rapid.IntRange(0, 30).Draw(t, "steps") {
-				former := rapid.Uint64Range(1, life).Draw(t, "life")
+				former := rapid.Uint64Range(1, incarnation).Draw(t, "life")
 				sequence := rapid.Uint64Range(1, highest[former]+3).Draw(t, "count")
 				highest[former] = max(highest[former], sequence)
 				if !recorded[[2]uint64{former, sequence}] {
@@ -235,7 +239,7 @@
 					recorded[[2]uint64{former, sequence}] = true
 				}
 			}
-			for former := uint64(1); former <= life; former++ {
+			for former := uint64(1); former <= incarnation; former++ {
 				for sequence := uint64(1); sequence <= highest[former]+3; sequence++ {
 					got, want := head.Contains(former, sequence), recorded[[2]uint64{former, sequence}]
 					if got != want {
@@ -246,8 +250,8 @@
 		}
 	})
 	head := &Head{}
-	for life := uint64(1); life <= 2*maxIncarnations; life++ {
-		head.Incarnations = head.WithIncarnation(Incarnation{Number: life, NextSequence: 5})
+	for incarnation := uint64(1); incarnation <= 2*maxIncarnations; incarnation++ {
+		head.Incarnations = head.WithIncarnation(Incarnation{Number: incarnation, NextSequence: 5})
 	}
 	if len(head.Incarnations) != maxIncarnations || !head.Contains(1, 9) || head.Contains(maxIncarnations+1, 9) ||
 		head.Contains(2*maxIncarnations, 9) ||
@@ -257,12 +261,12 @@
 	}
 }
 
-// A flood of events must take bounded memory, and all of them must be counted.
+// A flood of distinct events must take bounded memory, and every event must be counted.
 func TestFloodIsCountedInBoundedMemory(t *testing.T) {
-	g := Aggregator{MaxBytes: 4096}
+	aggregator := Aggregator{MaxBytes: 4096}
 	for i := range 200_000 {
-		g.Add(
-			GatheredEvent{
+		aggregator.Add(
+			AggregatedEvent{
 				Identity: fmt.Sprint("w", i%5000),
 				Verb:     "GET",
 				Object:   fmt.Sprint("/v1/jobs/wk-", i),
@@ -271,12 +275,12 @@
 			1,
 		)
 	}
-	if g.usedBytes > 4*4096 || g.Len() > 1000 {
-		t.Errorf("%d kinds in %d bytes", g.Len(), g.usedBytes)
+	if aggregator.usedBytes > 4*4096 || aggregator.Len() > 1000 {
+		t.Errorf("%d kinds in %d bytes", aggregator.Len(), aggregator.usedBytes)
 	}
 	total, entries := uint32(0), 0
-	for g.Len() > 0 {
-		items, size := g.Drain(1000), 0
+	for aggregator.Len() > 0 {
+		items, size := aggregator.Drain(1000), 0
 		for _, item := range items {
 			total += item.Count
 			size += protobuf.Size(item)
@@ -286,16 +290,17 @@
 		}
 		entries++
 	}
-	if total != 200_000 || g.usedBytes != 0 || entries > 20 {
-		t.Errorf("%d counted in %d entries, %d bytes left", total, entries, g.usedBytes)
+	if total != 200_000 || aggregator.usedBytes != 0 || entries > 20 {
+		t.Errorf("%d counted in %d entries, %d bytes left", total, entries, aggregator.usedBytes)
 	}
 }
 
-// Filters must combine, and the hour that occurs twice when clocks go back must not merge.
-func TestFiltersAndZones(t *testing.T) {
+// Filters must combine. Events in the two occurrences of the hour that is repeated when clocks go back must be told
+// apart.
+func TestFiltersAndTimeZones(t *testing.T) {
 	zurich, err := time.LoadLocation("Europe/Zurich")
 	if err != nil {
-		t.Skip("no zone data here")
+		t.Skip("no time zone data on this host")
 	}
 	at := time.Date(2026, 10, 25, 0, 30, 0, 0, time.UTC)
 	block := &Block{Number: 4, ClockErrorMS: 500, Entries: []*pb.AuditEntry{
@@ -340,31 +345,31 @@
 	}
 }
 
-// A damaged block must be reported as a fault, and must not break the verification of others.
+// A damaged block must be reported as a ChainError, and must not break the verification of other blocks.
 func FuzzChain(f *testing.F) {
 	for _, raw := range newChain(f, 2, 3) {
 		f.Add([]byte(raw))
 	}
 	good := newChain(f, 2)[0]
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		verifier := &ChainVerifier{Node: "n0", Keys: []Key{key}}
+		verifier := &ChainVerifier{Node: "n0", Keys: []Key{testKey}}
 		block, err := verifier.VerifyNext(1, raw)
 		if err == nil && len(block.Entries) == 0 {
 			t.Error("an empty block is accepted")
 		}
-		if fault := (*Fault)(nil); err != nil && !errors.As(err, &fault) {
-			t.Errorf("%v is no fault", err)
+		if chainErr := (*ChainError)(nil); err != nil && !errors.As(err, &chainErr) {
+			t.Errorf("%v is not a ChainError", err)
 		}
 		if _, err := DecodeBlock(raw); err != nil && !errors.Is(err, archive.ErrCorrupt) {
 			t.Errorf("%v", err)
 		}
-		if _, err := (&ChainVerifier{Node: "n0", Keys: []Key{key}}).VerifyNext(1, good); err != nil {
+		if _, err := (&ChainVerifier{Node: "n0", Keys: []Key{testKey}}).VerifyNext(1, good); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// Keys, pending entries and block keys from outside must be rejected or read as they were written.
+// Arbitrary key files, pending entries and block keys must be rejected, or be parsed as they were written.
 func FuzzKeyAndCarried(f *testing.F) {
 	text, err := NewKey()
 	if err != nil {
@@ -373,11 +378,11 @@
 	f.Add(text, []byte(`{"a":"n0","l":1,"q":2,"e":"CAE=","t":"AAAA"}`), "da/a/n0/000000000001")
 	f.Fuzz(func(t *testing.T, text string, raw []byte, name string) {
 		if parsed, err := ParseKey(text); err == nil && len(parsed) < keyBytes {
-			t.Errorf("a key of %d bytes", len(parsed))
+			t.Errorf("a key of %d bytes is accepted", len(parsed))
 		}
 		var pending PendingEntry
 		if json.Unmarshal(raw, &pending) == nil {
-			if _, err := key.VerifyEntry("dl/job/wk-1", &pending); err == nil {
+			if _, err := testKey.VerifyEntry("dl/job/wk-1", &pending); err == nil {
 				t.Error("a forged entry is accepted")
 			}
 		}
--- a/booking/booking_test.go
+++ b/booking/booking_test.go
@@ -15,7 +15,7 @@
 	pb "dewlift/proto"
 )
 
-// mustParse returns the equipment of a list.
+// mustParse parses an equipment list, or fails the test.
 func mustParse(t testing.TB, text string) *Inventory {
 	t.Helper()
 	inventory, err := Parse([]byte(text))
@@ -25,8 +25,8 @@
 	return inventory
 }
 
-// workshop is equipment with and without opening hours, closed days, teams and cooldown.
-const workshop = `time_zone: "Europe/Zurich"
+// testEquipment is a list of equipment with and without opening hours, closed days, teams and cooldown.
+const testEquipment = `time_zone: "Europe/Zurich"
 pieces { name: "k1" kind: "kiln" slot_minutes: 60 cool_minutes: 90 }
 pieces {
 	name: "k2" kind: "kiln" units: 2 slot_minutes: 60
@@ -38,7 +38,7 @@
 	hours { from: "06:30" to: "20:00" }
 }`
 
-// mustParseTime returns a local time of the site.
+// mustParseTime parses a local time of the site, or fails the test.
 func mustParseTime(t testing.TB, inventory *Inventory, text string) int64 {
 	t.Helper()
 	at, err := inventory.ParseTime(text)
@@ -48,52 +48,55 @@
 	return at
 }
 
-// Days of 23 and 25 hours must not shift reservations, and local times that occur twice or never must be told
-// apart.
+// Days of 23 and 25 hours must not shift reservations. A local time that is skipped must be an error, and the two
+// occurrences of a repeated one must be told apart.
 func TestDaylightSavingChanges(t *testing.T) {
-	s := mustParse(t, workshop)
+	inventory := mustParse(t, testEquipment)
 	for day, want := range map[string]int64{"2027-03-28": 23, "2027-03-29": 24, "2027-10-31": 25} {
-		from, to, err := s.ParseDay(day)
+		from, to, err := inventory.ParseDay(day)
 		if err != nil || (to-from)/3600 != want {
 			t.Errorf("%s has %d hours, %v", day, (to-from)/3600, err)
 		}
-		open, ok := s.openingOn(s.itemsByName["k1"], s.dayOf(from))
+		open, ok := inventory.openingOn(inventory.itemsByName["k1"], inventory.dayOf(from))
 		if !ok || open != (interval{from, to}) {
 			t.Errorf("%s: open %v, day is %d to %d", day, open, from, to)
 		}
 	}
-	if _, err := s.ParseTime("2027-03-28T02:30"); err == nil || !strings.Contains(err.Error(), "never show") {
+	if _, err := inventory.ParseTime("2027-03-28T02:30"); err == nil || !strings.Contains(err.Error(), "never show") {
 		t.Errorf("a skipped time: %v", err)
 	}
-	first, second := mustParseTime(t, s, "2027-10-31T02:30"), mustParseTime(t, s, "2027-10-31T02:30+01:00")
-	if second-first != 3600 || mustParseTime(t, s, "2027-10-31T02:30+02:00") != first {
+	first, second := mustParseTime(t, inventory, "2027-10-31T02:30"), mustParseTime(
+		t, inventory, "2027-10-31T02:30+01:00",
+	)
+	if second-first != 3600 || mustParseTime(t, inventory, "2027-10-31T02:30+02:00") != first {
 		t.Errorf("a repeated time: %d, %d", first, second)
 	}
-	// A reservation through the change keeps its length.
+	// A reservation across the change keeps its length.
 	schedule := NewSchedule()
 	request := &Request{
 		ID:    "a",
-		Wants: []*pb.Want{{Piece: "k1", From: mustParseTime(t, s, "2027-03-27T22:00"), Slots: 10}},
+		Wants: []*pb.Want{{Piece: "k1", From: mustParseTime(t, inventory, "2027-03-27T22:00"), Slots: 10}},
 	}
-	result := s.Decide(schedule.NewDraft(), 0, request)
-	if result.Outcome != OutcomeDone || s.FormatTime(result.Booking.Slots[0].To) != "2027-03-28T09:00:00+02:00" {
-		t.Errorf("a reservation through the change: %v", result)
+	result := inventory.Decide(schedule.NewDraft(), 0, request)
+	if result.Outcome != OutcomeDone ||
+		inventory.FormatTime(result.Booking.Slots[0].To) != "2027-03-28T09:00:00+02:00" {
+		t.Errorf("a reservation across the change: %v", result)
 	}
 	// A series keeps its local time of day.
-	list, err := s.ExpandRecurrence(
-		&pb.Want{Piece: "k1", From: mustParseTime(t, s, "2027-03-23T08:00"), Slots: 1},
+	list, err := inventory.ExpandRecurrence(
+		&pb.Want{Piece: "k1", From: mustParseTime(t, inventory, "2027-03-23T08:00"), Slots: 1},
 		"FREQ=WEEKLY;COUNT=2",
 	)
-	if err != nil || len(list) != 2 || s.FormatTime(list[1].From) != "2027-03-30T08:00:00+02:00" {
-		t.Errorf("a weekly series through the change: %v, %v", list, err)
+	if err != nil || len(list) != 2 || inventory.FormatTime(list[1].From) != "2027-03-30T08:00:00+02:00" {
+		t.Errorf("a weekly series across the change: %v, %v", list, err)
 	}
-	if _, err := s.ExpandRecurrence(list[0], "FREQ=DAILY;BYMONTH=2;BYMONTHDAY=30;COUNT=2"); err == nil {
+	if _, err := inventory.ExpandRecurrence(list[0], "FREQ=DAILY;BYMONTH=2;BYMONTHDAY=30;COUNT=2"); err == nil {
 		t.Error("a rule that matches no day is accepted")
 	}
 }
 
-// Every minute of every day must map to the time at which it is local time, or is skipped, and never before
-// the previous minute.
+// Every minute of every day must map to the moment at which local clocks show it, or skip it, and never to a moment
+// before that of the previous minute.
 func TestTimeOnDay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom([]string{
@@ -104,16 +107,16 @@
 			"UTC",
 		}).
 			Draw(t, "zone")
-		s, err := NewInventory(&pb.Equipment{TimeZone: zone})
+		inventory, err := NewInventory(&pb.Equipment{TimeZone: zone})
 		if err != nil {
 			t.Fatal(err)
 		}
 		day, minute := rapid.IntRange(7305, 40000).Draw(t, "day"), rapid.IntRange(1, 24*60).Draw(t, "minute")
-		at := s.timeOnDay(day, minute)
-		if before := s.timeOnDay(day, minute-1); at < before {
+		at := inventory.timeOnDay(day, minute)
+		if before := inventory.timeOnDay(day, minute-1); at < before {
 			t.Fatalf("minute %d is at %d, the previous one at %d", minute, at, before)
 		}
-		local := time.Unix(at, 0).In(s.location)
+		local := time.Unix(at, 0).In(inventory.location)
 		want := time.Unix(int64(day)*86400+int64(minute)*60, 0).UTC().Format(clockFormat)
 		if got := local.Format(clockFormat); got != want && got < want {
 			t.Fatalf("%s shows %s", want, got)
@@ -121,9 +124,9 @@
 	})
 }
 
-// A reservation outside of opening hours or off the slot grid must be refused, with the reason.
+// A reservation outside of opening hours or off the slot grid must be refused with the right reason.
 func TestOpeningHours(t *testing.T) {
-	s := mustParse(t, workshop)
+	inventory := mustParse(t, testEquipment)
 	for text, want := range map[string]string{
 		"k2 2027-03-04T08:00 1": "",
 		"k2 2027-03-04T23:00 1": "",
@@ -142,7 +145,9 @@
 			t.Fatal(err)
 		}
 		got := ""
-		if err := s.checkSlots(s.itemsByName[fields[0]], mustParseTime(t, s, fields[1]), slots); err != nil {
+		if err := inventory.checkSlots(
+			inventory.itemsByName[fields[0]], mustParseTime(t, inventory, fields[1]), slots,
+		); err != nil {
 			got = err.Error()
 		}
 		if got != want {
@@ -151,8 +156,8 @@
 	}
 }
 
-// The error of an invalid equipment list must name the field, in one line.
-func TestInvalidInventoriesAreNamed(t *testing.T) {
+// The error of an invalid equipment list must be a single line that names the invalid field.
+func TestInventoryErrorsNameTheField(t *testing.T) {
 	const valid = `name: "a" kind: "k" slot_minutes: 5`
 	for _, tt := range []struct{ text, want string }{
 		{`time_zone: "Mars"`, `time_zone: "Mars" is no time zone`},
@@ -183,8 +188,8 @@
 	}
 }
 
-// describe returns the outcome, state, reason and free hours of a result.
-func describe(inventory *Inventory, result Result) string {
+// describeResult returns the outcome, state, reason and free hours of a result.
+func describeResult(inventory *Inventory, result Result) string {
 	text := fmt.Sprintf("%s none", result.Outcome)
 	if result.Booking != nil {
 		text = fmt.Sprintf("%s %s", result.Outcome, result.Booking.State)
@@ -202,14 +207,14 @@
 	return text
 }
 
-// Every kind of request must have its outcome, and the reason that its user reads.
+// Every kind of request must get the right outcome, and its user the right reason.
 func TestDecisions(t *testing.T) {
-	s, schedule := mustParse(t, workshop), NewSchedule()
+	inventory, schedule := mustParse(t, testEquipment), NewSchedule()
 	draft := schedule.NewDraft()
 	want := func(piece, from string, slots uint32) []*pb.Want {
-		return []*pb.Want{{Piece: piece, From: mustParseTime(t, s, from), Slots: slots}}
+		return []*pb.Want{{Piece: piece, From: mustParseTime(t, inventory, from), Slots: slots}}
 	}
-	now := mustParseTime(t, s, "2027-03-01T00:00")
+	now := mustParseTime(t, inventory, "2027-03-01T00:00")
 	steps := []struct {
 		request Request
 		want    string
@@ -235,7 +240,7 @@
 		},
 		{Request{Verb: VerbConfirm, ID: "w"}, "refused waiting w waits for its slots"},
 		{Request{Verb: VerbMove, ID: "b", Wants: want("k1", "2027-03-05T14:00", 1)}, "done held"},
-		{Request{Verb: VerbConfirm, ID: "w"}, "repeated confirmed"}, // it was assigned what b released
+		{Request{Verb: VerbConfirm, ID: "w"}, "repeated confirmed"}, // it was assigned the slot that b released
 		{Request{Verb: VerbConfirm, ID: "b"}, "done confirmed"},
 		{Request{Verb: VerbEnd, ID: "b", Reason: "cracked"}, "done ended"},
 		{Request{Verb: VerbEnd, ID: "b", Reason: "again"}, "repeated ended"},
@@ -257,52 +262,53 @@
 				Wants: append(want("k1", "2027-03-09T14:00", 1), want("k1", "2027-03-09T15:00", 1)...),
 			},
 			"refused none",
-		}, // the cooldown of its own first slot is in the way
+		}, // its second slot is within the cooldown of its first
 	}
 	for i, step := range steps {
-		got := describe(s, s.Decide(draft, now, &step.request))
+		got := describeResult(inventory, inventory.Decide(draft, now, &step.request))
 		if got != step.want && !strings.HasPrefix(got, step.want+" ") {
 			t.Errorf("step %d: %s, want %s", i, got, step.want)
 		}
 	}
-	checkDisplacement(t, s, draft, now)
+	checkDisplacement(t, inventory, draft, now)
 }
 
 // checkDisplacement fails unless a new equipment list without k1 is refused while it displaces two
 // reservations, and ends them only on request and with a reason.
-func checkDisplacement(t *testing.T, s *Inventory, draft *Draft, now int64) {
+func checkDisplacement(t *testing.T, inventory *Inventory, draft *Draft, now int64) {
 	t.Helper()
 	schedule := draft.schedule
-	less := mustParse(
+	reduced := mustParse(
 		t,
-		strings.ReplaceAll(workshop, `"kiln" slot_minutes: 60 cool_minutes: 90`, `"kiln" slot_minutes: 60 out: 1`),
+		strings.ReplaceAll(testEquipment, `"kiln" slot_minutes: 60 cool_minutes: 90`, `"kiln" slot_minutes: 60 out: 1`),
 	)
-	request := &Request{Verb: VerbSetInventory, Replacement: less}
-	result := s.Decide(draft, now, request)
+	request := &Request{Verb: VerbSetInventory, Replacement: reduced}
+	result := inventory.Decide(draft, now, request)
 	if result.Outcome != OutcomeRefused || len(result.Displaced) != 2 ||
 		schedule.Get("a").State != pb.BookingState_confirmed {
-		t.Errorf("without consent: %v", result)
+		t.Errorf("without EndDisplaced: %v", result)
 	}
 	request.EndDisplaced = true
-	if result = s.Decide(draft, now, request); result.Outcome != OutcomeInvalid {
+	if result = inventory.Decide(draft, now, request); result.Outcome != OutcomeInvalid {
 		t.Errorf("without a reason: %v", result)
 	}
 	request.Reason = "relined"
-	if result = s.Decide(draft, now, request); result.Outcome != OutcomeDone || schedule.Get("a").Why != "relined" {
+	if result = inventory.Decide(draft, now, request); result.Outcome != OutcomeDone ||
+		schedule.Get("a").Why != "relined" {
 		t.Errorf("with a reason: %v", result)
 	}
 	list, ok := schedule.BookingsBetween(
-		s,
+		inventory,
 		"k1",
-		mustParseTime(t, s, "2027-03-04T00:00"),
-		mustParseTime(t, s, "2027-03-05T00:00"),
+		mustParseTime(t, inventory, "2027-03-04T00:00"),
+		mustParseTime(t, inventory, "2027-03-05T00:00"),
 	)
 	if !ok || len(list) != 0 {
 		t.Errorf("displaced reservations are listed: %v", list)
 	}
 }
 
-// isFreeByBruteForce reports whether a unit is free, by a look at every reservation but one.
+// isFreeByBruteForce reports whether a unit is free, by examining every reservation but one.
 func isFreeByBruteForce(s *Schedule, item *equipmentItem, unit uint32, needed interval, exceptID string) bool {
 	for _, reservation := range s.byID {
 		if reservation.Id == exceptID ||
@@ -347,13 +353,13 @@
 	}
 }
 
-// checkUndo fails unless an undone draft leaves the schedule as it was before.
+// checkUndo undoes a draft and fails unless the schedule is as it was before.
 func checkUndo(t *rapid.T, schedule *Schedule, draft *Draft, before map[string]*pb.Booking) {
 	t.Helper()
 	changed := draft.Bookings
 	draft.Undo()
 	if !maps.Equal(schedule.byID, before) {
-		t.Fatal("an undone draft left a trace")
+		t.Fatal("an undone draft changed the schedule")
 	}
 	for _, reservation := range changed {
 		if schedule.byID[reservation.Id] == reservation {
@@ -362,9 +368,9 @@
 	}
 }
 
-// checkSchedule fails unless no unit is used twice, no waiting reservation could be met, and the index by
-// unit matches the reservations.
-func checkSchedule(t *rapid.T, s *Inventory, schedule *Schedule) {
+// checkSchedule fails if a unit is used twice, a waiting reservation could be met, or the index by unit does not
+// match the reservations.
+func checkSchedule(t *rapid.T, inventory *Inventory, schedule *Schedule) {
 	t.Helper()
 	uses := 0
 	for _, id := range slices.Sorted(maps.Keys(schedule.byID)) {
@@ -373,14 +379,14 @@
 			for _, slot := range reservation.Slots {
 				uses++
 				used := interval{slot.From, slot.Clear}
-				if !isFreeByBruteForce(schedule, s.itemsByName[slot.Piece], slot.Unit, used, id) {
+				if !isFreeByBruteForce(schedule, inventory.itemsByName[slot.Piece], slot.Unit, used, id) {
 					t.Fatalf("%v shares a unit", reservation)
 				}
 			}
 		}
 		if reservation.State == pb.BookingState_waiting {
-			if slots, _, err := s.findUnits(schedule, id, reservation.Team, reservation.Wants); err == nil {
-				t.Fatalf("%v waits and could have %v", reservation, slots)
+			if slots, _, err := inventory.findUnits(schedule, id, reservation.Team, reservation.Wants); err == nil {
+				t.Fatalf("%v waits, but could be assigned %v", reservation, slots)
 			}
 		}
 	}
@@ -388,89 +394,91 @@
 		uses -= len(list)
 	}
 	if uses != 0 {
-		t.Fatalf("the index is off by %d", uses)
+		t.Fatalf("the number of occupancies in the index is off by %d", uses)
 	}
 }
 
 // checkNextFree fails if a want could be met before its next free time.
-func checkNextFree(t *rapid.T, s *Inventory, schedule *Schedule, want *pb.Want, start int64) {
+func checkNextFree(t *rapid.T, inventory *Inventory, schedule *Schedule, want *pb.Want, start int64) {
 	t.Helper()
-	free := s.NextFree(schedule, "", "packing", want, start, 0, 1)
-	for _, item := range s.candidates(want) {
-		open, _ := s.openingOn(item, s.dayOf(start))
+	free := inventory.NextFree(schedule, "", "packing", want, start, 0, 1)
+	for _, item := range inventory.candidates(want) {
+		open, _ := inventory.openingOn(item, inventory.dayOf(start))
 		for from := open.from; from < open.to; from += item.slotSeconds {
 			needed := interval{from, from + int64(want.Slots)*item.slotSeconds + item.cooldownSeconds}
 			for unit := uint32(1); int(unit) <= item.unitCount; unit++ {
-				if s.checkSlots(item, from, int(want.Slots)) == nil &&
+				if inventory.checkSlots(item, from, int(want.Slots)) == nil &&
 					isFreeByBruteForce(schedule, item, unit, needed, "") &&
 					from < free[0].From {
-					t.Fatalf("%s is free at %s, before %v", item.Name, s.FormatTime(from), free)
+					t.Fatalf("%s is free at %s, before %v", item.Name, inventory.FormatTime(from), free)
 				}
 			}
 		}
 	}
 }
 
-// Whatever is requested in whatever order: no unit may be used twice, no reservation may wait for what it
-// could have, no free time may be missed, and an undone draft must leave no trace.
+// Whatever is requested in whatever order: no unit may be used twice, no reservation may wait although its wants
+// can be met, no free time may be missed, and an undone draft must not change the schedule.
 func TestScheduleKeepsItsInvariants(t *testing.T) {
-	s := mustParse(t, workshop)
-	start := mustParseTime(t, s, "2027-03-04T00:00")
+	inventory := mustParse(t, testEquipment)
+	start := mustParseTime(t, inventory, "2027-03-04T00:00")
 	rapid.Check(t, func(t *rapid.T) {
 		schedule, now := NewSchedule(), start-secondsPerDay
 		for range rapid.IntRange(1, 25).Draw(t, "batches") {
 			now += rapid.Int64Range(0, 40).Draw(t, "time")
 			before := maps.Clone(schedule.byID)
 			draft := schedule.NewDraft()
-			s.Advance(draft, now)
+			inventory.Advance(draft, now)
 			for range rapid.IntRange(1, 3).Draw(t, "wishes") {
-				s.Decide(draft, now, drawRequest(t, start))
+				inventory.Decide(draft, now, drawRequest(t, start))
 			}
 			if rapid.IntRange(0, 3).Draw(t, "undo") == 0 {
 				checkUndo(t, schedule, draft, before)
 			}
-			checkSchedule(t, s, schedule)
+			checkSchedule(t, inventory, schedule)
 		}
-		checkNextFree(t, s, schedule, drawWants(t, "free", start)[0], start)
+		checkNextFree(t, inventory, schedule, drawWants(t, "free", start)[0], start)
 	})
 }
 
-// The time of a decision must not grow with the number of other reservations.
-func BenchmarkDecideInAFullLedger(b *testing.B) {
-	s, schedule := mustParse(b, workshop), NewSchedule()
+// BenchmarkDecideInFullSchedule measures a decision among many reservations: its time must not grow with their
+// number.
+func BenchmarkDecideInFullSchedule(b *testing.B) {
+	inventory, schedule := mustParse(b, testEquipment), NewSchedule()
 	draft := schedule.NewDraft()
-	now := mustParseTime(b, s, "2027-03-01T00:00")
+	now := mustParseTime(b, inventory, "2027-03-01T00:00")
 	for i := range 1_500 {
 		wants := []*pb.Want{{Kind: "kiln", From: now + 3600*int64(i), Slots: 1}}
-		s.Decide(draft, now, &Request{ID: fmt.Sprint("x", i), Wants: wants})
+		inventory.Decide(draft, now, &Request{ID: fmt.Sprint("x", i), Wants: wants})
 	}
 	request := Request{ID: "n", Wants: []*pb.Want{{Piece: "k1", From: now + 3600*900, Slots: 1}}}
 	for b.Loop() {
-		result := s.Decide(schedule.NewDraft(), now, &request)
+		result := inventory.Decide(schedule.NewDraft(), now, &request)
 		if result.Outcome != OutcomeRefused || len(result.Alternatives) == 0 {
 			b.Fatal(result)
 		}
 	}
 }
 
-// Every valid equipment list must stay valid when it is read again, and have opening hours.
+// FuzzParse checks that a valid equipment list is still valid when it is read again, and that its opening hours can
+// be computed.
 func FuzzParse(f *testing.F) {
-	f.Add(workshop)
+	f.Add(testEquipment)
 	f.Add(`pieces {
 		name: "a" kind: "k" slot_minutes: 5
 		hours { rule: "FREQ=YEARLY;BYEASTER=1" from: "0:00" to: "24:00" }
 	}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		s, err := Parse([]byte(text))
+		inventory, err := Parse([]byte(text))
 		if err != nil {
 			return
 		}
-		if again, err := NewInventory(protobuf.CloneOf(s.Source())); err != nil ||
-			!protobuf.Equal(again.Source(), s.Source()) {
+		if again, err := NewInventory(protobuf.CloneOf(inventory.Source())); err != nil ||
+			!protobuf.Equal(again.Source(), inventory.Source()) {
 			t.Fatal(err)
 		}
-		for _, item := range s.items {
-			s.openingOn(item, 20000)
+		for _, item := range inventory.items {
+			inventory.openingOn(item, 20000)
 		}
 	})
 }
--- a/cmd/dewlift/priorityclass.go
+++ b/cmd/dewlift/priorityclass.go
@@ -15,46 +15,47 @@
 	"dewlift/wire"
 )
 
-// loadPriorityClasses reads a list of priority classes.
+// loadPriorityClasses reads a file of priority classes, which the command line calls lanes.
 func loadPriorityClasses(path string) (*priorityclass.List, error) {
 	return loadFile(path, "lanes", priorityclass.Parse)
 }
 
-// requestQueue makes a request about the queue or the priority classes; a refusal by the controller is a
+// requestQueue makes a request about the queue or the priority classes. A refusal by the controller is returned as a
 // refusedError.
 func requestQueue(
 	cmd *cobra.Command,
-	me *clientIdentity,
+	identity *clientIdentity,
 	server, method, path string,
 	body any,
 ) (queue wire.JobQueue, err error) {
-	resp, err := me.request(cmd.Context(), method, server, path, body)
+	resp, err := identity.request(cmd.Context(), method, server, path, body)
 	if err != nil {
 		return queue, err
 	}
 	var refusal wire.Error
 	if resp.Err == nil && resp.Status == http.StatusNotFound {
 		if json.Unmarshal(resp.Body, &refusal) != nil || refusal.Error == "Not Found" {
-			refusal.Error = "this site has no lanes"
+			refusal.Error = "no lanes are configured at this site"
 		}
 		return queue, refusedError(refusal.Error)
 	}
 	queue, resp = httpjson.Decode[wire.JobQueue](resp)
 	if resp.Err == nil && resp.Status != http.StatusOK {
-		_ = json.Unmarshal(resp.Body, &refusal) // without a reason, the status says enough
+		_ = json.Unmarshal(resp.Body, &refusal) // a refusal without a reason is reported by its status alone
 		return queue, refusedError(fmt.Sprintf("status %d: %s", resp.Status, refusal.Error))
 	}
 	return queue, checkResponse(server, resp)
 }
 
-func priorityClassesCommand(me *clientIdentity) *cobra.Command {
+func priorityClassesCommand(identity *clientIdentity) *cobra.Command {
 	var server string
-	cmd := &cobra.Command{Use: "lanes", Short: "Check, show and change which work goes ahead of which"}
+	cmd := &cobra.Command{Use: "lanes", Short: "Check, show and replace the lanes (priority classes)"}
 	cmd.PersistentFlags().
-		StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
+		StringVar(&server, "server", "127.0.0.1:8080",
+			"address of a controller, or several addresses separated by commas")
 	cmd.AddCommand(&cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a list of lanes, and tell how long work waits at most until it goes ahead",
+		Short: "Check a lanes file and print how long jobs wait until they are ordered as in a higher lane",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			classes, err := loadPriorityClasses(args[0])
@@ -65,9 +66,9 @@
 			return nil
 		},
 	}, &cobra.Command{
-		Use: "show", Short: "Show the lanes in force", Args: cobra.NoArgs,
+		Use: "show", Short: "Print the current lanes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			queue, err := requestQueue(cmd, me, server, http.MethodGet, wire.PathPriorityClasses, nil)
+			queue, err := requestQueue(cmd, identity, server, http.MethodGet, wire.PathPriorityClasses, nil)
 			if err == nil {
 				printf(cmd.OutOrStdout(), "%s", queue.PriorityClasses)
 			}
@@ -75,7 +76,7 @@
 		},
 	}, &cobra.Command{
 		Use:   "put FILE",
-		Short: "Put another list in force; jobs keep the lanes that they were accepted into",
+		Short: "Replace the lanes; jobs keep the lane in which they were accepted",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := loadPriorityClasses(args[0]); err != nil {
@@ -87,14 +88,14 @@
 			}
 			queue, err := requestQueue(
 				cmd,
-				me,
+				identity,
 				server,
 				http.MethodPost,
 				wire.PathPriorityClasses,
 				wire.JobQueue{PriorityClasses: string(raw)},
 			)
 			if err == nil {
-				printf(cmd.OutOrStdout(), "the lanes are in force, as version %d\n", queue.Version)
+				printf(cmd.OutOrStdout(), "lanes replaced, version %d\n", queue.Version)
 			}
 			return err
 		},
@@ -102,31 +103,32 @@
 	return cmd
 }
 
-// printPriorityClasses prints, for each class, after which wait its jobs are ordered as in which higher one.
+// printPriorityClasses prints, for each class, the highest class that its jobs reach by priority aging, and after how
+// long a wait.
 func printPriorityClasses(out io.Writer, classes *priorityclass.List) {
-	const longest = 1 << 62 // nanoseconds: as long as a job could wait
+	const maxWait = 1 << 62 // in nanoseconds; longer than any job waits
 	printf(out, "lanes are valid: %d\n", classes.Len())
 	for i := range classes.Len() {
-		highest := classes.EffectiveClass(i, longest)
-		if wait, ok := classes.RiseTime(i, highest); ok && highest < i {
-			printf(out, "  %s: after %s, work is ordered as in %s\n", classes.Name(i), wait, classes.Name(highest))
+		highest := classes.EffectiveClass(i, maxWait)
+		if wait, ok := classes.AgingTime(i, highest); ok && highest < i {
+			printf(out, "  %s: after %s, jobs are ordered as in %s\n", classes.Name(i), wait, classes.Name(highest))
 		} else {
-			printf(out, "  %s: work stays in its lane\n", classes.Name(i))
+			printf(out, "  %s: jobs stay in this lane\n", classes.Name(i))
 		}
 	}
 }
 
-func queueCommand(me *clientIdentity) *cobra.Command {
+func queueCommand(identity *clientIdentity) *cobra.Command {
 	var server string
-	var most int
+	var limit int
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "queue",
-		Short: "List the jobs that wait, in the order of work, and what each waits for",
+		Short: "List the waiting jobs in scheduling order, and what each waits for",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
-			all, err := listQueue(cmd, me, server, most)
+			all, err := listQueue(cmd, identity, server, limit)
 			if err != nil {
 				return err
 			}
@@ -141,20 +143,21 @@
 		},
 	}
 	cmd.Flags().
-		StringVar(&server, "server", "127.0.0.1:8080", "address of a controller, or of several, separated by commas")
-	cmd.Flags().IntVar(&most, "most", 1000, "how many are listed at most")
-	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+		StringVar(&server, "server", "127.0.0.1:8080",
+			"address of a controller, or several addresses separated by commas")
+	cmd.Flags().IntVar(&limit, "most", 1000, "maximum number of jobs to list")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return cmd
 }
 
-// queuePageSize is the number of jobs requested at once.
+// queuePageSize is the maximum number of jobs per request.
 const queuePageSize = 100
 
-// listQueue reads the first jobs of the queue, page by page.
-func listQueue(cmd *cobra.Command, me *clientIdentity, server string, limit int) (all wire.JobQueue, err error) {
+// listQueue reads the first jobs of the queue, up to limit, page by page.
+func listQueue(cmd *cobra.Command, identity *clientIdentity, server string, limit int) (all wire.JobQueue, err error) {
 	for after := 0; ; {
 		path := fmt.Sprintf("%s?after=%d&most=%d", wire.PathQueue, after, min(queuePageSize, limit-after))
-		page, err := requestQueue(cmd, me, server, http.MethodGet, path, nil)
+		page, err := requestQueue(cmd, identity, server, http.MethodGet, path, nil)
 		if err != nil {
 			return all, err
 		}
@@ -165,7 +168,7 @@
 	}
 }
 
-// printQueue prints jobs as a table, nothing if there are none.
+// printQueue prints jobs as a table. It prints nothing if there are none.
 func printQueue(out io.Writer, jobs []wire.QueuedJob) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for i, job := range jobs {
--- a/core/apply.go
+++ b/core/apply.go
@@ -11,7 +11,7 @@
 	"dewlift/wire"
 )
 
-// applyPut applies a key's new value to the replica. A value that can't be decoded is logged.
+// applyPut applies a key's new value to the replica, and logs a value that can't be decoded.
 func (c *Core) applyPut(key string, raw json.RawMessage, revision uint64) {
 	if err := c.applyValue(key, raw, revision); err != nil {
 		c.log(LevelError, "cannot decode stored value", "key", key, "err", err.Error())
@@ -25,8 +25,8 @@
 		return c.applyFencingToken(raw, revision)
 	case key == keyLeader:
 		return c.applyLeader(raw, revision)
-	case strings.HasPrefix(key, keyNode):
-		return c.applyNode(key, raw, revision)
+	case strings.HasPrefix(key, keyRegistration):
+		return c.applyRegistration(key, raw, revision)
 	case strings.HasPrefix(key, keyShard):
 		return c.applyShard(key, raw, revision)
 	case key == keyMachineTypes:
@@ -46,7 +46,7 @@
 	case key == KeyRestored:
 		return c.restoreMarker.apply(raw, revision)
 	case key == keyHistory:
-		c.history.applyMarker(revision)
+		c.history.applyHistoryMarker(revision)
 	case key == keyPriorityClasses:
 		return c.applyPriorityClasses(raw, revision)
 	case strings.HasPrefix(key, reservations.Prefix):
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// applyFencingToken applies the fencing token. An older revision never replaces a newer one.
+// applyFencingToken applies the stored fencing token, unless a newer revision was applied before.
 func (c *Core) applyFencingToken(raw json.RawMessage, revision uint64) error {
 	var token uint64
 	if err := json.Unmarshal(raw, &token); err != nil {
@@ -69,7 +69,6 @@
 	return nil
 }
 
-// decodeLeasedKey decodes the value of a leased key.
 func decodeLeasedKey(raw json.RawMessage, revision uint64) (leasedKey, error) {
 	var leased leasedKey
 	if err := json.Unmarshal(raw, &leased); err != nil {
@@ -79,7 +78,6 @@
 	return leased, nil
 }
 
-// applyLeader applies the leadership key.
 func (c *Core) applyLeader(raw json.RawMessage, revision uint64) error {
 	leased, err := decodeLeasedKey(raw, revision)
 	if err != nil {
@@ -89,14 +87,14 @@
 	return nil
 }
 
-// applyNode applies the key of a live controller.
-func (c *Core) applyNode(key string, raw json.RawMessage, revision uint64) error {
+// applyRegistration applies the registration of a live controller.
+func (c *Core) applyRegistration(key string, raw json.RawMessage, revision uint64) error {
 	leased, err := decodeLeasedKey(raw, revision)
 	if err != nil {
 		return err
 	}
-	c.controllers.nodeKeys[key[len(keyNode):]] = leased
-	c.controllers.nodesVersion++
+	c.controllers.registrations[key[len(keyRegistration):]] = leased
+	c.controllers.registrationsVersion++
 	return nil
 }
 
@@ -108,7 +106,7 @@
 		return err
 	}
 	c.ownership.shards[shard] = leased
-	if leased.Node == c.cfg.Name && leased.LeaseID == c.ownLease.id {
+	if leased.Holder == c.cfg.Name && leased.LeaseID == c.ownLease.id {
 		c.handleShardGained(shard)
 	}
 	return nil
@@ -121,34 +119,35 @@
 	if err != nil {
 		return err
 	}
-	c.autoscaler.storedRevision, c.autoscaler.storedCatalog = revision, catalog
+	c.autoscaler.storedCatalogRevision, c.autoscaler.storedCatalog = revision, catalog
 	if c.autoscaler.catalog == nil {
 		c.autoscaler.setCatalog(&catalog)
 	}
 	return nil
 }
 
-// applyTeam notes that a team's quota key was written. Its value says nothing: the key's revision
-// makes writers that start tasks of one team conflict.
+// applyTeam applies a write of a team's quota key. Its value has no meaning: transactions that start
+// tasks of the same team conflict on the key's revision.
 func (c *Core) applyTeam(key string, revision uint64) {
-	if written := c.teams.byName[key[len(keyTeam):]]; written != nil {
-		written.revision = max(written.revision, revision)
+	if quota := c.teams.byName[key[len(keyTeam):]]; quota != nil {
+		quota.revision = max(quota.revision, revision)
 	}
 }
 
-// applyJob applies a job's own key, with its slot's entry on top if that belongs to this write.
+// applyJob applies the value of a job's own key, merged with the job's slot entry if that entry belongs
+// to this version of the record.
 func (c *Core) applyJob(key string, raw json.RawMessage, revision uint64) error {
 	stored := c.internJob(key[len(keyJob):])
-	stored.stored.snapshot = c.replica.snapshots
+	stored.stored.lastSnapshotLoad = c.replica.snapshotLoads
 	if revision <= stored.revision {
-		if stored.record != nil { // the reply to this controller's own write came before
+		if stored.record != nil { // applied already, from the reply to this controller's own write
 			c.auditLog.current().ObserveEntries(key, stored.revision, stored.record.PendingAudit)
 		}
 		return nil
 	}
 	record, err := jobrecord.Decode(raw)
 	if err != nil {
-		c.history.coldRecords++ // the job exists: a lookup must not answer that it does not
+		c.history.coldRecords++ // the job exists, so a lookup must not answer that it does not
 		return err
 	}
 	c.auditLog.current().ObserveEntries(key, revision, record.PendingAudit)
@@ -158,14 +157,14 @@
 }
 
 // applyDelete applies a key's deletion to the replica. Keys that are never deleted, and those whose
-// deletion says nothing new, have no case.
+// deletion changes nothing here, have no case.
 func (c *Core) applyDelete(key string, revision uint64) {
 	switch {
 	case key == keyLeader:
 		c.leadership.leader = leasedKey{absentSince: c.now}
-	case strings.HasPrefix(key, keyNode):
-		delete(c.controllers.nodeKeys, key[len(keyNode):])
-		c.controllers.nodesVersion++
+	case strings.HasPrefix(key, keyRegistration):
+		delete(c.controllers.registrations, key[len(keyRegistration):])
+		c.controllers.registrationsVersion++
 	case strings.HasPrefix(key, keyShard):
 		if shard := c.ownership.shardOfKey(key); shard >= 0 {
 			c.ownership.shards[shard] = leasedKey{absentSince: c.now}
@@ -181,8 +180,8 @@
 	}
 }
 
-// adoptRecord makes a committed record the known state of a job. revision is that of the job's own
-// key, and size the bytes of its value.
+// adoptRecord makes a committed record the known state of a job. revision is the revision of the job's
+// own key, and size the size of its value in bytes.
 func (c *Core) adoptRecord(
 	target *job,
 	record *jobrecord.Record,
@@ -224,15 +223,15 @@
 	c.history.trackEndedJob(target)
 }
 
-// addAssignments adds a job's assignments to their machines and to its team's usage, and counts
-// those whose tasks have completed already.
+// addAssignments adds a job's assignments to their machines and to its team's usage, and counts the
+// assignments whose tasks have completed already.
 func (c *Core) addAssignments(target *job) {
 	quota, request := c.teams.ofJob(target)
 	target.placement.completedTasks = 0
 	for _, assignment := range target.assignments {
 		host := c.machines[assignment.Machine]
 		host.allocation.assignments[taskKey{target.index, assignment.Task}] = assignment
-		c.commands.noteChange(host)
+		c.commands.markTasksChanged(host)
 		status := host.status.tasks[attemptKey{target.index, assignment.Task, assignment.Attempt}]
 		if status.state == wire.TaskExited && status.cause == wire.CauseDone {
 			target.placement.completedTasks++
@@ -253,7 +252,7 @@
 		if current, ok := host.allocation.assignments[key]; ok && current == assignment {
 			delete(host.allocation.assignments, key)
 		}
-		c.commands.noteChange(host)
+		c.commands.markTasksChanged(host)
 		if quota != nil {
 			quota.usedCPU -= request[0]
 			quota.usedGPU -= request[1]
@@ -261,7 +260,7 @@
 	}
 }
 
-// encodeRecord encodes a job's record with its assignments, either readable or packed.
+// encodeRecord encodes a job's record with its assignments, as readable JSON or packed.
 func (c *Core) encodeRecord(
 	record *jobrecord.Record,
 	assignments []jobrecord.Assignment,
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -10,10 +10,10 @@
 	"dewlift/wire"
 )
 
-// A job with a mistake kept the machines that it failed on from all work for up to half a minute, was
-// started whole again and again, and had healthy machines returned. Its record must tell it from a
-// faulty machine, at every controller.
-func TestJobFailingEverywhereIsToldFromAFaultyMachine(t *testing.T) {
+// A faulty job blocked the machines that it failed on for all jobs for up to half a minute, was restarted
+// with all its tasks again and again, and had healthy machines scaled in. Every controller must be able to
+// tell from its record that the job is faulty and not the machine.
+func TestFailingJobIsDistinguishedFromFaultyMachine(t *testing.T) {
 	for name, test := range map[string]struct {
 		history                  string // pairs of machine and cause, or "done"
 		failing, failsEverywhere bool
@@ -27,10 +27,10 @@
 		t.Run(name, func(t *testing.T) {
 			record := recordWithHistory(test.history)
 			if got := isFailing(record, 1000); got != test.failing {
-				t.Errorf("failing %v: %v", got, record.StopReasons)
+				t.Errorf("isFailing is %v: %v", got, record.StopReasons)
 			}
 			if got := failsEverywhere(record, 1000); got != test.failsEverywhere {
-				t.Errorf("fails everywhere %v: %v", got, record.StopReasons)
+				t.Errorf("failsEverywhere is %v: %v", got, record.StopReasons)
 			}
 			if isFailing(record, 1000+failureWindow.Milliseconds()) {
 				t.Error("still failing after the failure window")
@@ -39,8 +39,8 @@
 	}
 }
 
-// recordWithHistory is the record of a job with stop reasons, written as pairs of machine and cause, and
-// completed tasks, written as "done".
+// recordWithHistory returns the record of a job with stop reasons, given as pairs of machine and cause, and
+// completed tasks, given as "done".
 func recordWithHistory(history string) *jobrecord.Record {
 	record := &jobrecord.Record{Spec: &wire.JobSpec{Tasks: 9}}
 	fields := strings.Fields(history)
@@ -55,10 +55,10 @@
 	return record
 }
 
-// Three jobs fail on each of three machines. Those of one fail everywhere, so it stays in use; those
-// of another are healthy elsewhere, so it is returned. Where nothing is known of the jobs, the
-// machine is tried again after a while.
-func TestOnlyAMachineThatFailsHealthyJobsIsReturned(t *testing.T) {
+// Three jobs fail on each of three machines. The machine whose jobs fail everywhere must stay in use. The
+// machine whose jobs are healthy elsewhere must be scaled in. The machine with jobs of which nothing is known
+// must be tried again after quarantineDuration.
+func TestOnlyMachinesFailingHealthyJobsAreReturned(t *testing.T) {
 	c := newLeadingCore(t)
 	for i, kind := range []string{"failing everywhere", "healthy", "unknown"} {
 		m := c.internMachine(fmt.Sprint("m-", i))
@@ -78,10 +78,10 @@
 			m.health.recordTaskEnd(j.index, wire.CauseError, c.now)
 		}
 		if got, want := m.health.isQuarantined(c.environment, c.jobs), kind != "failing everywhere"; got != want {
-			t.Errorf("%s: quarantined %v", kind, got)
+			t.Errorf("%s: isQuarantined is %v", kind, got)
 		}
 		if got, want := c.isProvenFaulty(m), kind == "healthy"; got != want {
-			t.Errorf("%s: proven faulty %v", kind, got)
+			t.Errorf("%s: proven faulty is %v", kind, got)
 		}
 		c.now += quarantineDuration
 		if m.health.isQuarantined(c.environment, c.jobs) {
--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -25,15 +25,16 @@
 	"dewlift/wire"
 )
 
-// stored is a value of the store, or a file: how it is written, and what it is read as.
-type stored struct {
+// storedFormat is one form of a stored value or a file: how it is encoded and decoded, and the value that decoding
+// returns.
+type storedFormat struct {
 	write func() ([]byte, error)
 	read  func(raw []byte) (any, error)
 	want  any
 }
 
-// messageOf fills a message.
-func messageOf[T protobuf.Message](message T, path string) T {
+// filledProto sets all fields of a message and returns it.
+func filledProto[T protobuf.Message](message T, path string) T {
 	fillMessage(message.ProtoReflect(), path)
 	return message
 }
@@ -47,17 +48,17 @@
 	return reflect.DeepEqual(got, want)
 }
 
-// placed is a record with its expanded assignments.
-type placed struct {
-	record jobrecord.Record
-	place  []jobrecord.Assignment
+// expandedRecord is a record with its expanded assignments.
+type expandedRecord struct {
+	record      jobrecord.Record
+	assignments []jobrecord.Assignment
 }
 
 // machine is a machine as a record refers to it.
 type machine struct{ name, zone string }
 
-// storedRecord is a job's record with everything set and tasks on machines.
-func storedRecord(machines []machine, packed bool) stored {
+// storedRecord is a job's record with all fields set and tasks on machines.
+func storedRecord(machines []machine, packed bool) storedFormat {
 	record := filled[jobrecord.Record]("record")
 	record.Assignments, record.PackedLists = nil, nil
 	record.CompletedTasks, record.Spec.Tasks = jobrecord.TaskSet{0, 2, 9, 9}, 40
@@ -69,7 +70,7 @@
 		{Task: 10, Machine: 2, Incarnation: 1 << 40, Attempt: 1},
 		{Task: 11, Machine: 3, Incarnation: 6, Attempt: 2},
 	}
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) {
 			return jobrecord.Encode(record, assignments, packed, func(index int32) (name, zone string) {
 				return machines[index].name, machines[index].zone
@@ -87,15 +88,15 @@
 				return cmp.Or(cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.Task, b.Task))
 			})
 			got.Assignments = nil
-			return placed{*got, list}, nil
+			return expandedRecord{*got, list}, nil
 		},
-		want: placed{*record, assignments},
+		want: expandedRecord{*record, assignments},
 	}
 }
 
 // plainRecord is a record without assignments.
-func plainRecord(record jobrecord.Record) stored {
-	return stored{
+func plainRecord(record jobrecord.Record) storedFormat {
+	return storedFormat{
 		write: func() ([]byte, error) { return jobrecord.Encode(&record, nil, false, nil) },
 		read: func(raw []byte) (any, error) {
 			got, err := jobrecord.Decode(raw)
@@ -108,9 +109,9 @@
 	}
 }
 
-// storedMessage is a message that is stored packed.
-func storedMessage(message protobuf.Message) stored {
-	return stored{
+// storedMessage is a message that is stored compressed.
+func storedMessage(message protobuf.Message) storedFormat {
+	return storedFormat{
 		write: func() ([]byte, error) { return jobrecord.PackMessage(message) },
 		read: func(raw []byte) (any, error) {
 			got := message.ProtoReflect().New().Interface()
@@ -120,10 +121,10 @@
 	}
 }
 
-// storedCatalog is the catalog, packed if it has more than maxBytes.
-func storedCatalog(maxBytes int) stored {
+// storedCatalog is the catalog, compressed if it has more than maxBytes.
+func storedCatalog(maxBytes int) storedFormat {
 	catalog := filled[wire.Catalog]("types")
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) { return jobrecord.EncodeCatalog(catalog, maxBytes, true) },
 		read:  func(raw []byte) (any, error) { return jobrecord.DecodeCatalog(raw) },
 		want:  *catalog,
@@ -132,19 +133,19 @@
 
 var auditKey = audit.Key("a key of thirty-two bytes or more")
 
-// storedBlock is a block of an audit chain after a head.
-func storedBlock() stored {
+// storedBlock is a block of an audit chain that follows a chain head.
+func storedBlock() storedFormat {
 	const clockErrorMS = 250
 	head := filled[audit.Head]("head")
 	var entries [][]byte
 	for _, name := range []string{"first", "second"} {
-		entries = append(entries, audit.Encode(messageOf(&pb.AuditEntry{}, name)))
+		entries = append(entries, audit.EncodeEntry(filledProto(&pb.AuditEntry{}, name)))
 	}
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) {
 			raw, count, _, err := auditKey.EncodeNextBlock(head, "node-a", clockErrorMS, entries, 1<<20)
 			if count != len(entries) {
-				return nil, errors.New("not all entries are in the block")
+				return nil, errors.New("the block lacks some of the entries")
 			}
 			return raw, err
 		},
@@ -161,7 +162,7 @@
 			}
 			out := &pb.AuditBlock{Number: block.Number, BoundMs: block.ClockErrorMS}
 			for _, entry := range block.Entries {
-				out.Entries = append(out.Entries, audit.Encode(entry))
+				out.Entries = append(out.Entries, audit.EncodeEntry(entry))
 			}
 			return out, nil
 		},
@@ -169,10 +170,10 @@
 	}
 }
 
-// storedCarried is an audit entry as a stored value carries it.
-func storedCarried() stored {
-	entry := messageOf(&pb.AuditEntry{}, "carried")
-	return stored{
+// storedPendingEntry is a pending audit entry, as stored values hold it.
+func storedPendingEntry() storedFormat {
+	entry := filledProto(&pb.AuditEntry{}, "carried")
+	return storedFormat{
 		write: func() ([]byte, error) { return json.Marshal(auditKey.SignEntry("node-a", "dl/job/wk-1", entry)) },
 		read: func(raw []byte) (any, error) {
 			var pending audit.PendingEntry
@@ -186,7 +187,7 @@
 }
 
 // storedArchive is a block of the archive.
-func storedArchive() stored {
+func storedArchive() storedFormat {
 	block := &archive.Block{Low: "wk-", High: archive.MaxID, Entries: []archive.Entry{
 		{ID: "wk-1", CompletedTasks: 7, Team: "team", Class: "class"},
 		{
@@ -200,20 +201,20 @@
 		},
 		{ID: "wk-3", CompletedTasks: 100_000},
 	}}
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) { return block.Encode() },
 		read:  func(raw []byte) (any, error) { return archive.Decode(raw) },
 		want:  block,
 	}
 }
 
-// storedSnapshot is a file of two parts.
-func storedSnapshot() stored {
-	keys := messageOf(&pb.Keys{}, "snapshot")
+// storedSnapshot is a snapshot file of two parts.
+func storedSnapshot() storedFormat {
+	keys := filledProto(&pb.Keys{}, "snapshot")
 	keys.Keys[0].Value = bytes.Repeat([]byte("7"), 256<<10)
 	want := protobuf.Clone(keys).(*pb.Keys)
 	want.Keys = append(want.Keys, &pb.Key{Name: "trailer of 2 parts", Mark: 77, Value: []byte("1700000000123")})
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) {
 			var file bytes.Buffer
 			writer, err := snapshot.NewWriter(&file)
@@ -238,7 +239,7 @@
 				return nil, err
 			}
 			if trailer.Version != 1 || trailer.Parts != 2 || trailer.Keys != 2 {
-				return nil, errors.New("other parts or keys")
+				return nil, errors.New("unexpected version, parts or keys in the trailer")
 			}
 			taken, err := json.Marshal(trailer.TakenMs)
 			out.Keys = append(out.Keys, &pb.Key{Name: "trailer of 2 parts", Mark: trailer.Ledger, Value: taken})
@@ -248,8 +249,8 @@
 	}
 }
 
-// plainRecords are records without assignments, by what they are of.
-func plainRecords() map[string]stored {
+// plainRecords returns records without assignments, by description.
+func plainRecords() map[string]storedFormat {
 	entry := jobrecord.Record{
 		WriteNumber:    7,
 		Shard:          3,
@@ -276,7 +277,7 @@
 		Team:           "team",
 		Class:          "class",
 	}
-	return map[string]stored{
+	return map[string]storedFormat{
 		"record, nothing in it":        plainRecord(jobrecord.Record{}),
 		"record of a job that is done": plainRecord(ended),
 		"record of a cancelled job":    plainRecord(cancelled),
@@ -284,11 +285,11 @@
 	}
 }
 
-// assignedRecords are records with assignments, which are stored in different forms.
-func assignedRecords() map[string]stored {
+// assignedRecords returns records with assignments, in each of their stored forms.
+func assignedRecords() map[string]storedFormat {
 	numbers := []machine{{"m-001", "a"}, {"m-017", "a"}, {"m-900", "b"}, {"m-002", "c"}}
 	words := []machine{{"kiln-ab", "a"}, {"kiln-cdé", "a"}, {"oven", "b"}, {"x", "c"}}
-	return map[string]stored{
+	return map[string]storedFormat{
 		"record, machines by number":                  storedRecord(numbers, false),
 		"record, machines by number, packed":          storedRecord(numbers, true),
 		"record, machines by name":                    storedRecord(words, false),
@@ -307,9 +308,9 @@
 	return []uint64{got.EnqueueRevision, got.RestoreOrder}, nil
 }
 
-// restoredRecord is a record that was restored before and is prepared for a restore again.
-func restoredRecord(record stored) stored {
-	return stored{
+// restoredRecord is a record that was restored before and is prepared for another restore.
+func restoredRecord(record storedFormat) storedFormat {
+	return storedFormat{
 		write: func() ([]byte, error) {
 			raw, err := record.write()
 			return jobrecord.PrepareForRestore(raw, 7, 2_000_000), err
@@ -320,9 +321,9 @@
 }
 
 // firstRestoredRecord is a record that is prepared for its first restore.
-func firstRestoredRecord() stored {
+func firstRestoredRecord() storedFormat {
 	first := jobrecord.Record{WriteNumber: 1, Shard: 2, EnqueueRevision: 11, Spec: filled[wire.JobSpec]("spec")}
-	return stored{
+	return storedFormat{
 		write: func() ([]byte, error) {
 			raw, err := jobrecord.Encode(&first, nil, false, nil)
 			return jobrecord.PrepareForRestore(raw, 7, 30), err
@@ -333,11 +334,11 @@
 }
 
 // storedInventory is the inventory of equipment.
-func storedInventory() stored {
-	list := messageOf(&pb.Equipment{}, "list")
-	return stored{
+func storedInventory() storedFormat {
+	list := filledProto(&pb.Equipment{}, "list")
+	return storedFormat{
 		write: func() ([]byte, error) { return reservations.EncodeInventory(list) },
-		// core/reservations reads it; here it is the packed message under another name
+		// core/reservations decodes it; here the compressed message moves to the field that UnpackMessage reads
 		read: func(raw []byte) (any, error) {
 			var packed struct {
 				Data []byte `json:"p"`
@@ -357,8 +358,8 @@
 }
 
 // storedAuditHead is the head of an audit chain.
-func storedAuditHead() stored {
-	return stored{
+func storedAuditHead() storedFormat {
+	return storedFormat{
 		write: func() ([]byte, error) { return json.Marshal(filled[audit.Head]("head")) },
 		read: func(raw []byte) (any, error) {
 			head := &audit.Head{}
@@ -368,13 +369,13 @@
 	}
 }
 
-// otherValues are all stored values but records, and the file of a snapshot.
-func otherValues() map[string]stored {
+// otherValues returns all stored values other than records, and the snapshot file.
+func otherValues() map[string]storedFormat {
 	entries := batchvalue.Entries{
 		"wk-1": json.RawMessage(`{"h":3,"v":7}`),
 		"wk-2": json.RawMessage(`{"h":3,"v":8,"d":[0,1]}`),
 	}
-	return map[string]stored{
+	return map[string]storedFormat{
 		"shared value": {
 			write: func() ([]byte, error) { return entries.Encode() },
 			read:  func(raw []byte) (any, error) { return batchvalue.Decode(raw) },
@@ -382,23 +383,23 @@
 		},
 		"machine types":         storedCatalog(1 << 20),
 		"machine types, packed": storedCatalog(1),
-		"roles":                 storedMessage(&pb.Access{Roles: messageOf(&pb.Access{}, "roles").Roles}),
-		"identity":              storedMessage(messageOf(&pb.Identity{}, "identity")),
-		"lanes":                 storedMessage(messageOf(&pb.Lanes{}, "lanes")),
+		"roles":                 storedMessage(&pb.Access{Roles: filledProto(&pb.Access{}, "roles").Roles}),
+		"identity":              storedMessage(filledProto(&pb.Identity{}, "identity")),
+		"lanes":                 storedMessage(filledProto(&pb.Lanes{}, "lanes")),
 		"list of equipment":     storedInventory(),
 		"audit block":           storedBlock(),
-		"carried entry":         storedCarried(),
+		"carried entry":         storedPendingEntry(),
 		"audit head":            storedAuditHead(),
 		"archive":               storedArchive(),
 		"snapshot file":         storedSnapshot(),
 	}
 }
 
-// Every stored value that has exported types must be written as the same bytes in all its forms, and the bytes of
-// earlier versions must be read.
-func TestStored(t *testing.T) {
-	all := map[string]stored{}
-	for _, values := range []map[string]stored{plainRecords(), assignedRecords(), otherValues()} {
+// Every stored value that has exported types must be encoded as the same bytes as in earlier versions, in all its
+// forms, and those bytes must be decoded.
+func TestStoredValues(t *testing.T) {
+	all := map[string]storedFormat{}
+	for _, values := range []map[string]storedFormat{plainRecords(), assignedRecords(), otherValues()} {
 		maps.Copy(all, values)
 	}
 	got := map[string]any{}
@@ -413,19 +414,19 @@
 			got[name] = raw
 		}
 	}
-	for name, golden := range same(t, "stored", got) {
+	for name, golden := range checkGolden(t, "stored", got) {
 		value, ok := all[name]
 		if !ok {
 			continue
 		}
 		raw := storedBytes(t, golden)
 		if v, err := value.read(raw); err != nil || !equal(v, value.want) {
-			t.Errorf("%s is read as %+v (%v), was written from %+v", name, v, err, value.want)
+			t.Errorf("%s is decoded as %+v (%v), was encoded from %+v", name, v, err, value.want)
 		}
 	}
 }
 
-// storedBytes returns the stored bytes from a golden file: it has JSON as text, and other bytes in base64.
+// storedBytes returns the stored bytes from a golden file, which holds JSON as text and other bytes in base64.
 func storedBytes(t *testing.T, golden json.RawMessage) []byte {
 	t.Helper()
 	var text string
@@ -442,9 +443,9 @@
 	return raw
 }
 
-// The exported keys of the store, its schema version and stored words must stay.
+// The exported keys of the store, its schema version and stored constants must not change.
 func TestKeys(t *testing.T) {
-	same(t, "keys", map[string]any{
+	checkGolden(t, "keys", map[string]any{
 		"all": []string{
 			core.Root,
 			core.KeyFencingToken,
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -10,30 +10,31 @@
 	"dewlift/wire"
 )
 
-// outageScenario is a combination of faults around cancellations: something keeps one or more controllers, the
-// blind ones, from learning of them, others tell users of them, and then the store is down for all, for longer than
-// the cancel timeout.
+// outageScenario is a combination of faults around cancellations: a fault keeps some controllers from learning of the
+// cancellations, others acknowledge them to users, and then the store is down for all controllers, for longer than the
+// cancel timeout. leaderFirst lists all controllers.
 type outageScenario struct {
 	nodes          int
 	adjustOptions  func(options *Options)
-	beforeCancel   func(w *Simulator, blind []*node) // 1.5 s before the cancellations; blind lists the leader first
-	cancel         func(w *Simulator, id string, blind []*node)
-	onCancelTold   func(w *Simulator, teller *node) // right after a user was told
-	outage         time.Duration                    // 0: 70 s
-	duringOutage   func(w *Simulator, blind []*node)
-	delayedCommits bool // transactions are executed 2 to 5 s late meanwhile
-	workMayDie     bool // tasks that are not cancelled may end: no majority of controllers is loaded
+	beforeCancel   func(sim *Simulator, leaderFirst []*node) // called 1.5 s before the cancellations
+	cancel         func(sim *Simulator, id string, leaderFirst []*node)
+	onCancelAcked  func(sim *Simulator, n *node) // called right after n acknowledged a cancellation
+	outage         time.Duration                 // 0: 70 s
+	duringOutage   func(sim *Simulator, leaderFirst []*node)
+	delayedCommits bool // transactions around the cancellations are executed 2 to 5 s late
+	tasksMayEnd    bool // tasks that are not cancelled may end, as no majority of controllers is loaded
 }
 
 const (
-	cancellationTime      = 60 * time.Second // when users cancel
+	cancellationTime      = 60 * time.Second // when users begin to cancel
 	defaultScenarioOutage = 70 * time.Second
 	scenarioJobs          = 12 // jobs with odd numbers are cancelled
 	scenarioTasks         = 3  // tasks of each
 )
 
-// requestUntil repeats a request of a user until a response satisfies.
-func (w *Simulator) requestUntil(
+// requestUntil repeats a user's request until a response satisfies a condition, and then calls then with the controller
+// that sent the response.
+func (s *Simulator) requestUntil(
 	pick func() *node,
 	newInput func(requestID uint64) core.Input,
 	verb, id string,
@@ -42,11 +43,11 @@
 ) {
 	var attempt func()
 	attempt = func() {
-		sentAt, target := w.now, pick()
-		w.sendRequest(target, 3*time.Second, newInput, func(response core.Response, ok bool) {
-			w.checkJobResponse(core.Credential{}, sentAt, verb, id, response, ok)
+		sentAt, target := s.now, pick()
+		s.sendRequest(target, 3*time.Second, newInput, func(response core.Response, ok bool) {
+			s.checkJobResponse(core.Credential{}, sentAt, verb, id, response, ok)
 			if !ok || !satisfies(response) {
-				w.schedule(500*time.Millisecond, attempt)
+				s.schedule(500*time.Millisecond, attempt)
 				return
 			}
 			then(target)
@@ -55,7 +56,7 @@
 	attempt()
 }
 
-// hasStage returns a condition on the stage of the job in a response.
+// hasStage returns the condition that a response reports a stage of the job.
 func hasStage(stage string) func(core.Response) bool {
 	return func(response core.Response) bool {
 		state, _ := response.Body.(wire.JobState)
@@ -69,48 +70,47 @@
 }
 
 // randomNodeExcept returns a function that draws one of the other controllers.
-func (w *Simulator) randomNodeExcept(excluded []*node) func() *node {
+func (s *Simulator) randomNodeExcept(excluded []*node) func() *node {
 	var nodes []*node
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		if !slices.Contains(excluded, n) {
 			nodes = append(nodes, n)
 		}
 	}
-	return func() *node { return nodes[w.rng.IntN(len(nodes))] }
+	return func() *node { return nodes[s.rng.IntN(len(nodes))] }
 }
 
-func (w *Simulator) submitUntilAccepted(pick func() *node, spec wire.JobSpec) {
-	w.Checker.JobSubmitted(spec)
-	w.requestUntil(pick, func(requestID uint64) core.Input {
-		return core.SubmitJob{RequestID: requestID, ID: spec.ID, Spec: spec, UnixMS: w.nowUnixMS()}
+func (s *Simulator) submitUntilAccepted(pick func() *node, spec wire.JobSpec) {
+	s.Checker.JobSubmitted(spec)
+	s.requestUntil(pick, func(requestID uint64) core.Input {
+		return core.SubmitJob{RequestID: requestID, ID: spec.ID, Spec: spec, UnixMS: s.nowUnixMS()}
 	}, "submit", spec.ID, isAccepted, func(*node) {})
 }
 
-func (w *Simulator) cancelUntilTold(pick func() *node, id string, told func(*node)) {
-	w.Checker.CancelRequested(id)
-	w.requestUntil(pick, func(requestID uint64) core.Input {
-		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS()}
-	}, "cancel", id, hasStage(wire.StageCancelled), told)
+func (s *Simulator) cancelUntilAcked(pick func() *node, id string, acked func(*node)) {
+	s.Checker.CancelRequested(id)
+	s.requestUntil(pick, func(requestID uint64) core.Input {
+		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: s.nowUnixMS()}
+	}, "cancel", id, hasStage(wire.StageCancelled), acked)
 }
 
-func (w *Simulator) pollUntilCancelled(pick func() *node, id string, told func(*node)) {
-	w.requestUntil(pick, func(requestID uint64) core.Input {
+func (s *Simulator) pollUntilCancelled(pick func() *node, id string, acked func(*node)) {
+	s.requestUntil(pick, func(requestID uint64) core.Input {
 		return core.GetJob{RequestID: requestID, ID: id}
-	}, "poll", id, hasStage(wire.StageCancelled), told)
+	}, "poll", id, hasStage(wire.StageCancelled), acked)
 }
 
 // outageRun is one run of a scenario.
 type outageRun struct {
-	t         *testing.T
-	sim       *Simulator
-	scenario  outageScenario
-	blind     []*node           // all controllers, the leader first, as of 1.5 s before the cancellations
-	placement map[string]string // of the tasks that nobody cancels, then
-	told      int               // cancellations that a user was told of
+	t            *testing.T
+	sim          *Simulator
+	scenario     outageScenario
+	leaderFirst  []*node           // all controllers, as of 1.5 s before the cancellations
+	placement    map[string]string // of the tasks that nobody cancels, at the same time
+	ackedCancels int               // number of acknowledged cancellations
 }
 
-// runOutageScenario plays a scenario and checks both sides: cancelled tasks stop in time, and all others keep
-// running.
+// runOutageScenario runs a scenario and checks that cancelled tasks stop in time and that all others keep running.
 func runOutageScenario(t *testing.T, seed uint64, scenario outageScenario) {
 	t.Helper()
 	options := Options{
@@ -123,7 +123,7 @@
 		scenario.outage = defaultScenarioOutage
 	}
 	run := &outageRun{t: t, sim: New(options), scenario: scenario}
-	if !options.MixedVersions { // the previous version does not know dependencies
+	if !options.MixedVersions { // the previous version does not support dependencies
 		run.scheduleDependents()
 	}
 	run.scheduleSubmissions()
@@ -133,15 +133,15 @@
 	for _, violation := range run.sim.Checker.Violations {
 		t.Errorf("seed %d at %v: %s", seed, run.sim.now, violation)
 	}
-	if scenario.cancel == nil && run.told != scenarioJobs/2 {
-		t.Errorf("%d cancellations told", run.told)
+	if scenario.cancel == nil && run.ackedCancels != scenarioJobs/2 {
+		t.Errorf("%d cancellations were acknowledged", run.ackedCancels)
 	}
 }
 
 // scenarioJobID returns the ID of a job.
 func scenarioJobID(i int) string { return fmt.Sprintf("wk-%06d", i) }
 
-// scheduleDependents submits jobs that depend on cancelled ones: they are to be cancelled with them.
+// scheduleDependents submits jobs that depend on cancelled ones, and must be cancelled with them.
 func (r *outageRun) scheduleDependents() {
 	for i := 1; i < scenarioJobs; i += 4 {
 		spec := wire.JobSpec{
@@ -158,7 +158,7 @@
 
 // scheduleSubmissions submits services.
 func (r *outageRun) scheduleSubmissions() {
-	w := r.sim
+	sim := r.sim
 	for i := range scenarioJobs {
 		spec := wire.JobSpec{
 			ID:      scenarioJobID(i),
@@ -169,14 +169,14 @@
 			Request: [3]int64{1000, 0, 1000},
 			Spread:  i%2 == 0,
 		}
-		w.schedule(w.randomDuration(5*time.Second, 15*time.Second), func() {
-			w.submitUntilAccepted(w.randomNodeExcept(nil), spec)
+		sim.schedule(sim.randomDuration(5*time.Second, 15*time.Second), func() {
+			sim.submitUntilAccepted(sim.randomNodeExcept(nil), spec)
 		})
 	}
 }
 
-// keptPlacement returns by task the machine, with its incarnation, of the tasks that nobody cancels.
-func (r *outageRun) keptPlacement() map[string]string {
+// uncancelledPlacement returns, by task, the machine and incarnation of the tasks that nobody cancels.
+func (r *outageRun) uncancelledPlacement() map[string]string {
 	placement := map[string]string{}
 	for i := 0; i < scenarioJobs; i += 2 {
 		for task := range scenarioTasks {
@@ -189,141 +189,155 @@
 	return placement
 }
 
-// scheduleCancellations blinds controllers and then cancels every other job.
+// scheduleCancellations injects the scenario's first fault and then cancels every other job.
 func (r *outageRun) scheduleCancellations() {
-	w := r.sim
-	w.schedule(cancellationTime-1500*time.Millisecond, func() {
-		r.placement = r.keptPlacement()
-		r.blind = []*node{w.leaderNode()}
-		for _, n := range w.nodes {
-			if n != r.blind[0] {
-				r.blind = append(r.blind, n)
+	sim := r.sim
+	sim.schedule(cancellationTime-1500*time.Millisecond, func() {
+		r.placement = r.uncancelledPlacement()
+		r.leaderFirst = []*node{sim.leaderNode()}
+		for _, n := range sim.nodes {
+			if n != r.leaderFirst[0] {
+				r.leaderFirst = append(r.leaderFirst, n)
 			}
 		}
-		r.scenario.beforeCancel(w, r.blind)
+		r.scenario.beforeCancel(sim, r.leaderFirst)
 	})
-	w.schedule(cancellationTime, func() {
+	sim.schedule(cancellationTime, func() {
 		for i := 1; i < scenarioJobs; i += 2 {
-			w.schedule(w.randomDuration(0, time.Second), func() { r.cancel(scenarioJobID(i)) })
+			sim.schedule(sim.randomDuration(0, time.Second), func() { r.cancel(scenarioJobID(i)) })
 		}
 	})
 }
 
-// cancel cancels a job the scenario's way, or at the controllers that are not blind.
+// cancel cancels a job as the scenario specifies; by default at a controller other than the leader, until it is
+// acknowledged.
 func (r *outageRun) cancel(id string) {
-	w := r.sim
+	sim := r.sim
 	if r.scenario.cancel != nil {
-		r.scenario.cancel(w, id, r.blind)
+		r.scenario.cancel(sim, id, r.leaderFirst)
 		return
 	}
-	w.cancelUntilTold(w.randomNodeExcept(r.blind[:1]), id, func(teller *node) {
-		r.told++
-		if r.scenario.onCancelTold != nil {
-			r.scenario.onCancelTold(w, teller)
+	sim.cancelUntilAcked(sim.randomNodeExcept(r.leaderFirst[:1]), id, func(n *node) {
+		r.ackedCancels++
+		if r.scenario.onCancelAcked != nil {
+			r.scenario.onCancelAcked(sim, n)
 		}
 	})
 }
 
-// scheduleOutage has the store down for all after the cancellations, and checks at the end of the outage that the
-// tasks that nobody cancelled are where they were.
+// scheduleOutage begins an outage of the store after the cancellations. At its end the tasks that nobody cancelled must
+// be where they were.
 func (r *outageRun) scheduleOutage() {
-	w, scenario := r.sim, r.scenario
+	sim, scenario := r.sim, r.scenario
 	if scenario.delayedCommits {
-		w.commitDelay = func(wire.Txn) time.Duration {
-			if w.now < cancellationTime || w.now > cancellationTime+5*time.Second || w.chance(0.5) {
+		sim.commitDelay = func(wire.Txn) time.Duration {
+			if sim.now < cancellationTime || sim.now > cancellationTime+5*time.Second || sim.chance(0.5) {
 				return 0
 			}
-			return w.randomDuration(2*time.Second, 5*time.Second)
+			return sim.randomDuration(2*time.Second, 5*time.Second)
 		}
 	}
-	w.schedule(cancellationTime+2*time.Second, func() { w.store.startOutage(scenario.outage) })
-	w.schedule(cancellationTime+scenario.outage, r.checkPlacementKept)
+	sim.schedule(cancellationTime+2*time.Second, func() { sim.store.startOutage(scenario.outage) })
+	sim.schedule(cancellationTime+scenario.outage, r.checkPlacementUnchanged)
 	if scenario.duringOutage != nil {
-		w.schedule(cancellationTime+2*time.Second, func() { scenario.duringOutage(w, r.blind) })
+		sim.schedule(cancellationTime+2*time.Second, func() { scenario.duringOutage(sim, r.leaderFirst) })
 	}
 }
 
-// checkPlacementKept checks that all tasks that nobody cancelled ran, and that the outage ended none.
-func (r *outageRun) checkPlacementKept() {
-	placement := r.keptPlacement()
+// checkPlacementUnchanged checks that all tasks that nobody cancelled ran, and that the outage ended none of them.
+func (r *outageRun) checkPlacementUnchanged() {
+	placement := r.uncancelledPlacement()
 	if len(r.placement) != scenarioJobs/2*scenarioTasks {
 		r.t.Errorf("%d tasks ran", len(r.placement))
 	}
 	for task, machine := range r.placement {
-		if placement[task] != machine && !r.scenario.workMayDie {
-			r.t.Errorf("%s was on %s and is on %q: an outage of the store alone ended it",
+		if placement[task] != machine && !r.scenario.tasksMayEnd {
+			r.t.Errorf("%s ran on %s and is on %q: an outage of the store alone ended it",
 				task, machine, placement[task])
 		}
 	}
 }
 
-// refuseNodes has the store refuse the first blind controllers.
-func refuseNodes(count int) func(w *Simulator, blind []*node) {
-	return func(w *Simulator, blind []*node) {
-		for _, n := range blind[:count] {
-			w.store.refuseNode(n.name, 14*time.Second)
+// refuseNodes returns a fault in which the store refuses the first controllers.
+func refuseNodes(count int) func(sim *Simulator, leaderFirst []*node) {
+	return func(sim *Simulator, leaderFirst []*node) {
+		for _, n := range leaderFirst[:count] {
+			sim.store.refuseNode(n.name, 14*time.Second)
 		}
 	}
 }
 
-// isolateLeader has the leader partitioned from the store, and from its peers too if fromPeers is set.
-func isolateLeader(duration time.Duration, fromPeers bool) func(w *Simulator, blind []*node) {
-	return func(w *Simulator, blind []*node) { w.isolate(blind[0].name, duration, true, fromPeers, false) }
+// isolateLeader returns a fault that partitions the leader from the store, and from its peers too if fromPeers is set.
+func isolateLeader(duration time.Duration, fromPeers bool) func(sim *Simulator, leaderFirst []*node) {
+	return func(sim *Simulator, leaderFirst []*node) {
+		sim.isolate(leaderFirst[0].name, duration, true, fromPeers, false)
+	}
 }
 
-// pollAfterLostCancel cancels a job without waiting for the response, and has a poll tell of the cancellation.
-func pollAfterLostCancel(w *Simulator, id string, blind []*node) {
-	pick := w.randomNodeExcept(blind[:1])
-	w.Checker.CancelRequested(id)
-	w.sendRequest(pick(), time.Second, func(requestID uint64) core.Input {
-		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: w.nowUnixMS()}
+// pollAfterLostCancel cancels a job and ignores the response; the user learns of the cancellation by polling.
+func pollAfterLostCancel(sim *Simulator, id string, leaderFirst []*node) {
+	pick := sim.randomNodeExcept(leaderFirst[:1])
+	sim.Checker.CancelRequested(id)
+	sim.sendRequest(pick(), time.Second, func(requestID uint64) core.Input {
+		return core.CancelJob{RequestID: requestID, ID: id, UnixMS: sim.nowUnixMS()}
 	}, func(core.Response, bool) {})
-	w.schedule(300*time.Millisecond, func() { w.pollUntilCancelled(pick, id, func(*node) {}) })
+	sim.schedule(300*time.Millisecond, func() { sim.pollUntilCancelled(pick, id, func(*node) {}) })
 }
 
 // hangMachinesPastCancelTimeout suspends machines with cancelled tasks until after the cancel timeout.
-func hangMachinesPastCancelTimeout(w *Simulator, blind []*node) {
-	w.store.refuseNode(blind[0].name, 14*time.Second)
+func hangMachinesPastCancelTimeout(sim *Simulator, leaderFirst []*node) {
+	sim.store.refuseNode(leaderFirst[0].name, 14*time.Second)
 	for _, name := range []string{"wk-000001/0", "wk-000003/1"} {
-		for machine := range w.Checker.runningOn[name] {
-			w.cloud.find(machine).hangFor(65 * time.Second)
+		for machine := range sim.Checker.runningOn[name] {
+			sim.cloud.find(machine).hangFor(65 * time.Second)
 		}
 	}
 }
 
-// The store refuses one controller, the others tell users of cancellations, and then it is down for all: the
-// refused one renewed the leases of machines with the cancelled tasks throughout, as an outage entitled it again.
+// The store refuses one controller, the others acknowledge cancellations to users, and then the store is down for all
+// controllers. This guards against a refused controller that renews the leases of machines with cancelled tasks
+// throughout, because an outage of the store entitles it to renew leases again.
 func TestCancelledTasksStopWhenOutageFollowsRefusal(t *testing.T) {
 	for name, scenario := range map[string]outageScenario{
 		"three": {beforeCancel: refuseNodes(1)},
 		"five":  {nodes: 5, beforeCancel: refuseNodes(1)},
 		"not the leader": {
-			beforeCancel: func(w *Simulator, blind []*node) { w.store.refuseNode(blind[1].name, 14*time.Second) },
+			beforeCancel: func(sim *Simulator, leaderFirst []*node) {
+				sim.store.refuseNode(leaderFirst[1].name, 14*time.Second)
+			},
 		},
 		"two of five": {nodes: 5, beforeCancel: refuseNodes(2)},
-		"two of three": {beforeCancel: refuseNodes(2), cancel: func(w *Simulator, id string, blind []*node) {
-			w.cancelUntilTold(w.randomNodeExcept(blind[:2]), id, func(*node) {})
-		}},
+		"two of three": {
+			beforeCancel: refuseNodes(2),
+			cancel: func(sim *Simulator, id string, leaderFirst []*node) {
+				sim.cancelUntilAcked(sim.randomNodeExcept(leaderFirst[:2]), id, func(*node) {})
+			},
+		},
 		"reads of changes": {
-			beforeCancel: func(w *Simulator, blind []*node) { w.store.stalledWatches[blind[0].name] = true },
+			beforeCancel: func(sim *Simulator, leaderFirst []*node) {
+				sim.store.stalledWatches[leaderFirst[0].name] = true
+			},
 		},
 		"held packets":       {beforeCancel: isolateLeader(14*time.Second, false)},
 		"told by a question": {beforeCancel: refuseNodes(1), cancel: pollAfterLostCancel},
-		"the teller ends":    {beforeCancel: refuseNodes(1), onCancelTold: (*Simulator).crashIfUp, workMayDie: true},
+		"the teller ends":    {beforeCancel: refuseNodes(1), onCancelAcked: (*Simulator).crashIfUp, tasksMayEnd: true},
 		"the teller ends and is back at once": {
 			beforeCancel:  refuseNodes(1),
 			adjustOptions: func(o *Options) { o.FlappingProcesses = true },
-			onCancelTold:  (*Simulator).crashIfUp,
-			workMayDie:    true,
+			onCancelAcked: (*Simulator).crashIfUp,
+			tasksMayEnd:   true,
 		},
-		"the blind one stands still": {beforeCancel: refuseNodes(1), duringOutage: func(w *Simulator, blind []*node) {
-			for at := time.Duration(0); at < 60*time.Second; at += 9 * time.Second {
-				w.schedule(at, func() { blind[0].pausedUntil = w.now + 7*time.Second })
-			}
-		}},
-		"the teller stands still": {
+		"the blind one stands still": {
 			beforeCancel: refuseNodes(1),
-			onCancelTold: func(w *Simulator, n *node) { n.pausedUntil = max(n.pausedUntil, w.now+8*time.Second) },
+			duringOutage: func(sim *Simulator, leaderFirst []*node) {
+				for at := time.Duration(0); at < 60*time.Second; at += 9 * time.Second {
+					sim.schedule(at, func() { leaderFirst[0].pausedUntil = sim.now + 7*time.Second })
+				}
+			},
+		},
+		"the teller stands still": {
+			beforeCancel:  refuseNodes(1),
+			onCancelAcked: func(sim *Simulator, n *node) { n.pausedUntil = max(n.pausedUntil, sim.now+8*time.Second) },
 		},
 		"executed late": {beforeCancel: refuseNodes(1), delayedCommits: true},
 		"beside production": {
@@ -339,8 +353,8 @@
 			beforeCancel:  refuseNodes(1),
 			adjustOptions: func(o *Options) { o.CancelTimeout, o.WorkerLease = 26*time.Second, 20*time.Second },
 		},
-		"machines hang":                  {beforeCancel: hangMachinesPastCancelTimeout, workMayDie: true},
-		"cut from state and controllers": {beforeCancel: isolateLeader(90*time.Second, true), workMayDie: true},
+		"machines hang":                  {beforeCancel: hangMachinesPastCancelTimeout, tasksMayEnd: true},
+		"cut from state and controllers": {beforeCancel: isolateLeader(90*time.Second, true), tasksMayEnd: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -356,7 +370,7 @@
 // execution.
 func TestDelayedStartOfCancelledTaskIsIgnored(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
-		w := New(Options{Seed: seed, Duration: 200 * time.Second, NoFaults: true})
+		sim := New(Options{Seed: seed, Duration: 200 * time.Second, NoFaults: true})
 		spec := wire.JobSpec{
 			ID:      "wk-000001",
 			Class:   "c",
@@ -368,7 +382,7 @@
 		first := spec
 		first.ID = "wk-000000" // so that there are machines with free capacity
 		delayed := 0
-		w.commandDelay = func(commands core.SendCommands) time.Duration {
+		sim.commandDelay = func(commands core.SendCommands) time.Duration {
 			for _, command := range commands.Batch.Commands {
 				if id, _, _ := wire.SplitTaskName(command.Task); id == spec.ID && command.Op == wire.OpStart {
 					delayed++
@@ -377,19 +391,19 @@
 			}
 			return 0
 		}
-		toldAt := time.Duration(0)
-		w.schedule(5*time.Second, func() { w.submitUntilAccepted(w.randomNodeExcept(nil), first) })
-		w.schedule(50*time.Second, func() { w.submitUntilAccepted(w.randomNodeExcept(nil), spec) })
-		w.schedule(51*time.Second, func() {
-			w.cancelUntilTold(w.randomNodeExcept(nil), spec.ID, func(*node) {
-				toldAt = w.now
-				w.store.startOutage(75 * time.Second)
+		ackedAt := time.Duration(0)
+		sim.schedule(5*time.Second, func() { sim.submitUntilAccepted(sim.randomNodeExcept(nil), first) })
+		sim.schedule(50*time.Second, func() { sim.submitUntilAccepted(sim.randomNodeExcept(nil), spec) })
+		sim.schedule(51*time.Second, func() {
+			sim.cancelUntilAcked(sim.randomNodeExcept(nil), spec.ID, func(*node) {
+				ackedAt = sim.now
+				sim.store.startOutage(75 * time.Second)
 			})
 		})
-		w.Run()
-		if len(w.Checker.Violations) > 0 || delayed == 0 || toldAt == 0 || toldAt > 53*time.Second {
-			t.Errorf("seed %d: violations %v, %d starts delayed, told at %v",
-				seed, w.Checker.Violations, delayed, toldAt)
+		sim.Run()
+		if len(sim.Checker.Violations) > 0 || delayed == 0 || ackedAt == 0 || ackedAt > 53*time.Second {
+			t.Errorf("seed %d: violations %v, %d starts delayed, cancellation acknowledged at %v",
+				seed, sim.Checker.Violations, delayed, ackedAt)
 		}
 	}
 }
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -23,16 +23,16 @@
 	AuditLog       bool // the audit log is written and checked
 	BatchValues    bool // small jobs share stored values
 	Archive        bool // ended jobs move to the archive almost at once
-	// Priority classes are configured, many jobs of few shapes queue, and controllers crash all the time.
+	// Priority classes are configured, many jobs of few shapes queue, and controllers crash again and again.
 	PriorityClasses   bool
 	ReservationUsers  int           // users who reserve equipment
 	MixedVersions     bool          // one controller runs the previous version throughout
 	CancelTimeout     time.Duration // 0: 40 s
 	WorkerLease       time.Duration // lease of a worker; 0: 20 s
 	FailingJobs       int           // jobs whose tasks fail on every machine, until their users cancel them
-	OverlappingFaults bool          // faults come in pairs only, followed by a fault-free tail that shows lost state
-	FaultNames        []string      // the only faults that overlap; nil: any two of all
-	LongTasks         bool          // tasks run for up to 80 s: those of a small job end far apart
+	OverlappingFaults bool          // faults come in pairs only; a fault-free tail shows lost state
+	FaultNames        []string      // the faults that overlap; nil: all
+	LongTasks         bool          // tasks run for up to 80 s, so that those of a small job end far apart
 	QuotaLimited      bool          // every team has a maximum below its demand
 	// Jobs of one task each, submitted four a second one after the other; a quarter is cancelled.
 	SingleTaskJobs  int
@@ -63,7 +63,7 @@
 }
 
 // baseCoreConfig returns the settings that all controllers of a simulation have in common.
-func (w *Simulator) baseCoreConfig() core.Config {
+func (s *Simulator) baseCoreConfig() core.Config {
 	return core.Config{
 		Cluster: core.ClusterConfig{
 			LeaseTTL:       4 * time.Second,
@@ -89,7 +89,7 @@
 			CloudListInterval: 2500 * time.Millisecond,
 			ScaleOutLeadTime:  3 * time.Second,
 		},
-		Agents: w.agentConfig(),
+		Agents: s.agentConfig(),
 		State: core.StateConfig{
 			DeltaInterval:    500 * time.Millisecond,
 			PushInterval:     time.Second,
@@ -113,17 +113,17 @@
 
 		SchemaVersion: core.SchemaVersion,
 		Zone:          "a",
-		Teams:         w.teams,
+		Teams:         s.teams,
 		Shards:        6,
 	}
 }
 
 // agentConfig returns the settings about agents.
-func (w *Simulator) agentConfig() core.AgentConfig {
+func (s *Simulator) agentConfig() core.AgentConfig {
 	return core.AgentConfig{
 		HeartbeatInterval:    heartbeatInterval,
-		LeaseTTL:             w.options.WorkerLease,
-		CancelTimeout:        w.options.CancelTimeout,
+		LeaseTTL:             s.options.WorkerLease,
+		CancelTimeout:        s.options.CancelTimeout,
 		SilenceTimeout:       4 * time.Second,
 		CommandRetryInterval: time.Second,
 		MaxCommandRequests:   400,
@@ -135,27 +135,28 @@
 }
 
 // coreConfig returns the settings of a controller's next process.
-func (w *Simulator) coreConfig(n *node) core.Config {
-	cfg := w.baseCoreConfig()
+func (s *Simulator) coreConfig(n *node) core.Config {
+	cfg := s.baseCoreConfig()
 	cfg.Name = n.name
-	cfg.Store.SharedValues = w.options.BatchValues
-	if w.options.Permissions {
+	cfg.Store.SharedValues = s.options.BatchValues
+	if s.options.Permissions {
 		cfg.Permissions = initialPolicy()
 	}
-	if w.options.AuditLog {
+	if s.options.AuditLog {
 		cfg.Audit.Key, cfg.Audit.MaxClockErrorMS, cfg.Audit.Settings = auditKey, 500, settingsFor(n)
-		cfg.Audit.ForgetAfter = 60 * time.Second // requests are delayed by 40 s at most
-		cfg.Audit.GatherDelay, cfg.Audit.BlockDelay = 2*time.Second, w.randomDuration(time.Second, 8*time.Second)
+		cfg.Audit.LateTxnWindow = 60 * time.Second // requests are delayed by 40 s at most
+		cfg.Audit.AggregationInterval, cfg.Audit.BlockDelay = 2*time.Second,
+			s.randomDuration(time.Second, 8*time.Second)
 	}
-	if w.options.Archive {
-		cfg.History.Archive, cfg.History.MaxEndedJobs, cfg.History.CacheBytes = true, 1+int(w.options.Seed%4), 1<<10
+	if s.options.Archive {
+		cfg.History.Archive, cfg.History.MaxEndedJobs, cfg.History.CacheBytes = true, 1+int(s.options.Seed%4), 1<<10
 	}
 	if n.bootsPrevious {
 		cfg.SchemaVersion = 0
 	} else {
-		w.addNewVersionConfig(&cfg)
+		s.addNewVersionConfig(&cfg)
 	}
-	for _, peer := range w.nodes {
+	for _, peer := range s.nodes {
 		if peer != n {
 			cfg.Peers = append(cfg.Peers, peer.name)
 		}
@@ -163,20 +164,20 @@
 	return cfg
 }
 
-// addNewVersionConfig adds the settings that the previous version does not know.
-func (w *Simulator) addNewVersionConfig(cfg *core.Config) {
-	if w.options.PriorityClasses {
-		cfg.Scheduling.PriorityClasses = w.queueOrder.classes
+// addNewVersionConfig adds the settings that the previous version does not support.
+func (s *Simulator) addNewVersionConfig(cfg *core.Config) {
+	if s.options.PriorityClasses {
+		cfg.Scheduling.PriorityClasses = s.queueOrder.classes
 	}
-	if w.options.ReservationUsers > 0 {
-		cfg.Reservations.Equipment = w.reservations.site
+	if s.options.ReservationUsers > 0 {
+		cfg.Reservations.Equipment = s.reservations.inventory
 		cfg.Store.MaxValueBytes = 640 // small, so that there are many pages
-		if w.options.AuditLog {
+		if s.options.AuditLog {
 			cfg.Store.MaxValueBytes = 4096 // audit entries must fit
 		}
-		cfg.Reservations.Retention = time.Duration(w.options.Seed%3) * 10 * time.Second
+		cfg.Reservations.Retention = time.Duration(s.options.Seed%3) * 10 * time.Second
 	}
-	if w.options.RollingUpgrade {
+	if s.options.RollingUpgrade {
 		cfg.Store.MaxValueBytes = announcedLimits.valueBytes
 		cfg.Store.MaxTxnOps = announcedLimits.txnOps
 		cfg.Store.NextWriteRate = announcedLimits.writesPerSecond
--- a/internal/sim/digest_test.go
+++ b/internal/sim/digest_test.go
@@ -20,21 +20,21 @@
 )
 
 var (
-	updateDigests = flag.Bool("update", false, "write the digests anew: behaviour was changed on purpose")
-	digestSeeds   = flag.Int(
+	updateDigests   = flag.Bool("update", false, "rewrite the digests, after an intended change of behaviour")
+	digestSeedCount = flag.Int(
 		"digest-seeds",
 		0,
-		"also play so many seeds of every kind of world, and write their digests",
+		"number of seeds to run of every scenario for -digest-file; 0 writes no file",
 	)
-	digestFile = flag.String("digest-file", "digests.json", "where the digests of -digest-seeds go")
+	digestFile = flag.String("digest-file", "digests.json", "file for the digests of -digest-seeds")
 )
 
-const digestLength = 240 * time.Second
+const digestDuration = 240 * time.Second
 
-// digestScenarios are simulations of every kind.
+// digestScenarios returns simulations of every kind.
 func digestScenarios() map[string]Options {
 	out := map[string]Options{
-		"quiet": {Seed: 1, Duration: digestLength, Jobs: 25, NoFaults: true},
+		"quiet": {Seed: 1, Duration: digestDuration, Jobs: 25, NoFaults: true},
 		"large": {
 			Seed:           2,
 			Duration:       60 * time.Second,
@@ -43,13 +43,13 @@
 			MaxMachines:    300,
 			MaxTasksPerJob: 400,
 		},
-		"chains":  {Seed: 3, Duration: digestLength, Jobs: 5, Pipelines: 12},
-		"upgrade": {Seed: 4, Duration: digestLength, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
-		"history": {Seed: 6, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true},
-		"rights":  {Seed: 7, Duration: digestLength, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true},
+		"chains":  {Seed: 3, Duration: digestDuration, Jobs: 5, Pipelines: 12},
+		"upgrade": {Seed: 4, Duration: digestDuration, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
+		"history": {Seed: 6, Duration: digestDuration, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 4, Archive: true},
+		"rights":  {Seed: 7, Duration: digestDuration, Jobs: 40, MaxTasksPerJob: 4, Pipelines: 2, Permissions: true},
 		"audit": {
 			Seed:           8,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			MaxTasksPerJob: 4,
 			Pipelines:      2,
@@ -61,7 +61,7 @@
 	for seed := uint64(10); seed < 16; seed++ {
 		out[fmt.Sprint("rough", seed)] = Options{
 			Seed:       seed,
-			Duration:   digestLength,
+			Duration:   digestDuration,
 			Jobs:       25,
 			FlakyCloud: seed%3 == 0,
 		}
@@ -69,7 +69,7 @@
 	return out
 }
 
-// outputKind returns the number of each kind of output: it stays when the Go type is renamed.
+// outputKind returns the number of an output's type. It does not depend on the name of the type.
 func outputKind(out core.Output) (kind byte, ok bool) {
 	switch out.(type) {
 	case core.Response:
@@ -100,7 +100,7 @@
 	return 0, false
 }
 
-// digester hashes outputs by their values: by the order of the fields of a type, and not by their names in Go.
+// digester hashes the values of outputs, in the order of the fields of their types, so that Go names have no influence.
 type digester struct {
 	hash *xxhash.Digest
 	buf  []byte
@@ -108,7 +108,8 @@
 
 func newDigester() *digester { return &digester{hash: xxhash.New()} }
 
-// add hashes the next output. Log lines may change, and permissions are passed by a pointer: both are left out.
+// add hashes the next output. It skips log lines, which may be reworded, and permissions, which are passed by a
+// pointer.
 func (d *digester) add(now time.Duration, node string, out core.Output) error {
 	switch out.(type) {
 	case core.LogLine, core.PermissionsChanged:
@@ -116,7 +117,7 @@
 	}
 	kind, ok := outputKind(out)
 	if !ok {
-		return fmt.Errorf("no kind of output: %T", out)
+		return fmt.Errorf("unknown type of output: %T", out)
 	}
 	d.buf = binary.BigEndian.AppendUint64(d.buf[:0], uint64(now))
 	d.text(node)
@@ -175,7 +176,7 @@
 	case reflect.Map:
 		return d.entries(v)
 	default:
-		return fmt.Errorf("a value of kind %v", v.Kind())
+		return fmt.Errorf("unsupported kind %v", v.Kind())
 	}
 	return nil
 }
@@ -215,25 +216,25 @@
 }
 
 // outputDigest returns the digest of all outputs of the controllers of a simulation, in order.
-func outputDigest(t *testing.T, o Options) string {
+func outputDigest(t *testing.T, options Options) string {
 	t.Helper()
-	w := New(o)
+	sim := New(options)
 	d := newDigester()
-	w.OnOutput = func(node string, out core.Output) {
-		if err := d.add(w.now, node, out); err != nil {
+	sim.OnOutput = func(node string, out core.Output) {
+		if err := d.add(sim.now, node, out); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w.Run()
-	if len(w.Checker.Violations) > 0 {
-		t.Errorf("%v", w.Checker.Violations)
+	sim.Run()
+	if len(sim.Checker.Violations) > 0 {
+		t.Errorf("%v", sim.Checker.Violations)
 	}
-	return fmt.Sprintf("%016x %d starts", d.sum(), w.Checker.Starts)
+	return fmt.Sprintf("%016x %d starts", d.sum(), sim.Checker.Starts)
 }
 
-// A change that is meant to keep the behaviour of controllers keeps every output of these simulations. One that is
-// meant to change it writes the digests anew: go test ./internal/sim -run Digest -update
-func TestDigestOfOutputsIsKept(t *testing.T) {
+// A change that must not affect the behaviour of controllers must not change any output of these simulations. After an
+// intended change of behaviour, regenerate the digests with go test ./internal/sim -run Digest -update
+func TestOutputDigestsAreUnchanged(t *testing.T) {
 	const file = "testdata/digests.json"
 	want := map[string]string{}
 	if *updateDigests {
@@ -242,16 +243,16 @@
 		t.Fatalf("%s: %v", file, err)
 	}
 	var mu sync.Mutex
-	for name, o := range digestScenarios() {
+	for name, options := range digestScenarios() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := outputDigest(t, o)
+			got := outputDigest(t, options)
 			mu.Lock()
 			defer mu.Unlock()
 			if *updateDigests {
 				want[name] = got
 			} else if got != want[name] {
-				t.Errorf("%s, was %s", got, want[name])
+				t.Errorf("digest is %s, was %s", got, want[name])
 			}
 		})
 	}
@@ -268,12 +269,12 @@
 	}
 }
 
-// manyWorlds returns a simulation of every kind for a seed; some options vary from seed to seed.
-func manyWorlds(seed uint64) map[string]Options { //nolint:funlen // a table
+// scenariosForSeed returns a simulation of every kind for a seed; some options vary from seed to seed.
+func scenariosForSeed(seed uint64) map[string]Options { //nolint:funlen // a table
 	odd, third, tenth := seed%2 == 1, seed%3 == 0, seed%10 == 0
 	return map[string]Options{
-		"rough": {Seed: seed, Duration: digestLength, Jobs: 25, FlakyCloud: third},
-		"quiet": {Seed: seed, Duration: digestLength, Jobs: 25, NoFaults: true},
+		"rough": {Seed: seed, Duration: digestDuration, Jobs: 25, FlakyCloud: third},
+		"quiet": {Seed: seed, Duration: digestDuration, Jobs: 25, NoFaults: true},
 		"large": {
 			Seed:           seed,
 			Duration:       30 * time.Second,
@@ -282,11 +283,11 @@
 			MaxMachines:    200,
 			MaxTasksPerJob: 300,
 		},
-		"chains":  {Seed: seed, Duration: digestLength, Jobs: 5, Pipelines: 12, NoFaults: tenth},
-		"upgrade": {Seed: seed, Duration: digestLength, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
+		"chains":  {Seed: seed, Duration: digestDuration, Jobs: 5, Pipelines: 12, NoFaults: tenth},
+		"upgrade": {Seed: seed, Duration: digestDuration, Jobs: 20, RollingUpgrade: true, Pipelines: 8},
 		"history": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			MaxTasksPerJob: 4,
 			Pipelines:      4,
@@ -295,7 +296,7 @@
 		},
 		"rights": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			MaxTasksPerJob: 4,
 			Pipelines:      2,
@@ -304,7 +305,7 @@
 		},
 		"audit": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			MaxTasksPerJob: 4,
 			Pipelines:      2,
@@ -314,7 +315,7 @@
 		},
 		"shared": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           40,
 			BatchValues:    true,
 			NoFaults:       tenth,
@@ -331,10 +332,10 @@
 			Permissions:      odd,
 			AuditLog:         odd,
 		},
-		"mistakes": {Seed: seed, Duration: digestLength, Jobs: 30, FailingJobs: 10, NoFaults: odd},
+		"mistakes": {Seed: seed, Duration: digestDuration, Jobs: 30, FailingJobs: 10, NoFaults: odd},
 		"meet": {
 			Seed:              seed,
-			Duration:          digestLength,
+			Duration:          digestDuration,
 			Jobs:              25,
 			OverlappingFaults: true,
 			LongTasks:         odd,
@@ -342,7 +343,7 @@
 		},
 		"flap": {
 			Seed:              seed,
-			Duration:          digestLength,
+			Duration:          digestDuration,
 			Jobs:              30,
 			MaxTasksPerJob:    6,
 			FlappingProcesses: true,
@@ -350,7 +351,7 @@
 		},
 		"beside": {
 			Seed:           seed,
-			Duration:       digestLength,
+			Duration:       digestDuration,
 			Jobs:           20,
 			MixedVersions:  true,
 			SingleTaskJobs: 10,
@@ -359,21 +360,21 @@
 	}
 }
 
-// With -digest-seeds, the digests of many simulations are written to a file: the files of two versions that are
-// meant to behave alike are equal.
-func TestDigestsOfManyWorldsAreWritten(t *testing.T) {
-	if *digestSeeds == 0 {
-		t.Skip("only with -digest-seeds")
+// With -digest-seeds, the digests of many simulations are written to a file. Two versions that behave alike write equal
+// files.
+func TestWriteDigestsForSeeds(t *testing.T) {
+	if *digestSeedCount == 0 {
+		t.Skip("needs -digest-seeds")
 	}
 	var mu sync.Mutex
 	digests := map[string]string{}
 	t.Cleanup(func() { writeDigests(t, *digestFile, digests) })
-	for seed := range uint64(*digestSeeds) {
-		for name, o := range manyWorlds(seed + 1000) {
+	for seed := range uint64(*digestSeedCount) {
+		for name, options := range scenariosForSeed(seed + 1000) {
 			name = fmt.Sprint(name, " ", seed)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				got := outputDigest(t, o)
+				got := outputDigest(t, options)
 				mu.Lock()
 				defer mu.Unlock()
 				digests[name] = got
@@ -382,8 +383,8 @@
 	}
 }
 
-// The digest changes with any output, with their number and with their order.
-func TestDigestTellsOutputsApart(t *testing.T) {
+// The digest must depend on every output, and on the number and order of the outputs.
+func TestDigestDistinguishesOutputs(t *testing.T) {
 	type entry struct {
 		now  time.Duration
 		node string
@@ -439,16 +440,16 @@
 		"another member": with(3, entry{2, "n1", core.CloudRequest{ID: 3, MachineNames: []string{"x", "z"}}}),
 	} {
 		if sum(other) == want {
-			t.Errorf("%s: the digest stays", name)
+			t.Errorf("%s: the digest does not change", name)
 		}
 	}
 	if again := sum(list); again != want {
-		t.Errorf("the same outputs: %x, then %x", want, again)
+		t.Errorf("the same outputs have digest %x, and then %x", want, again)
 	}
 }
 
-// Every value of every kind of output counts: the digest changes with any one of them.
-func TestDigestCountsEveryValue(t *testing.T) {
+// The digest must depend on every value of every type of output.
+func TestDigestCoversEveryValue(t *testing.T) {
 	for _, out := range []core.Output{
 		core.Response{},
 		core.CommitTxn{},
@@ -477,19 +478,19 @@
 				s := sum(v.Interface().(core.Output))
 				path = fmt.Sprintf("%T field %d%s", out, i, path)
 				if other, twice := seen[s]; twice || s == plain {
-					t.Errorf("%s: does not count, or as %q does", path, other)
+					t.Errorf("%s: no influence on the digest, or the same as %q", path, other)
 				}
 				seen[s] = path
 			}, "", 0)
 			if !changed {
-				t.Errorf("%T field %d: nothing of it was changed", out, i)
+				t.Errorf("%T field %d: no value of it was changed", out, i)
 			}
 		}
 	}
 }
 
-// changeValues sets each value below v in turn, calls did, and restores it.
-func changeValues(v reflect.Value, did func(path string), path string, depth int) bool {
+// changeValues sets each value below v in turn, calls onChange, and restores it. It reports whether there was any.
+func changeValues(v reflect.Value, onChange func(path string), path string, depth int) bool {
 	was := reflect.New(v.Type()).Elem()
 	was.Set(v)
 	defer v.Set(was)
@@ -508,29 +509,29 @@
 		v.Set(reflect.ValueOf("x"))
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		did(path + " set")
-		return depth > 6 || changeValues(v.Elem(), did, path, depth+1)
+		onChange(path + " set")
+		return depth > 6 || changeValues(v.Elem(), onChange, path, depth+1)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		did(path + " of one")
-		return depth > 6 || changeValues(v.Index(0), did, path+"[0]", depth+1)
+		onChange(path + " of one")
+		return depth > 6 || changeValues(v.Index(0), onChange, path+"[0]", depth+1)
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(reflect.Zero(v.Type().Key()), reflect.Zero(v.Type().Elem()))
 	case reflect.Array:
-		return changeValues(v.Index(v.Len()-1), did, path+"[]", depth+1)
+		return changeValues(v.Index(v.Len()-1), onChange, path+"[]", depth+1)
 	case reflect.Struct:
 		changed := false
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
 			if f.IsExported() && !strings.HasPrefix(f.Tag.Get("json"), "-") {
-				changed = changeValues(v.Field(i), did, fmt.Sprintf("%s.%d", path, i), depth+1) || changed
+				changed = changeValues(v.Field(i), onChange, fmt.Sprintf("%s.%d", path, i), depth+1) || changed
 			}
 		}
 		return changed
 	default:
 		return false
 	}
-	did(path)
+	onChange(path)
 	return true
 }
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -23,19 +23,19 @@
 	attempt    uint64
 	stage      string
 	cause      string
-	generation int // counts changes, so that earlier timers do nothing
+	generation int // counts changes, so that timers set before a change do nothing
 }
 
 // fakeWorker is a fake of a machine with its agent.
 type fakeWorker struct {
 	sim               *Simulator
 	machine           wire.Machine
-	rentedAt          time.Duration
+	provisionedAt     time.Duration
 	goneAt            time.Duration
 	up                bool
 	gone              bool
 	failed            bool
-	returned          bool          // by a controller
+	scaledIn          bool
 	hungUntil         time.Duration // the machine is suspended until then
 	incarnation       uint64
 	seq               uint64
@@ -60,35 +60,35 @@
 	m.leaseCheckLoop()
 }
 
-// hangFor suspends the machine for a duration; commands that reach it meanwhile are executed afterwards.
+// hangFor suspends the machine for a duration; commands that arrive meanwhile are executed afterwards.
 func (m *fakeWorker) hangFor(duration time.Duration) {
 	m.hungUntil = max(m.hungUntil, m.sim.now+duration)
 }
 
-// returnToCloud is the end of the rental by a controller.
-func (m *fakeWorker) returnToCloud() {
-	m.returned = true
+// scaleIn ends the machine on a controller's request.
+func (m *fakeWorker) scaleIn() {
+	m.scaledIn = true
 	if !m.gone {
-		m.stopAll()
+		m.terminate()
 	}
 }
 
 // fail ends the machine; the cloud lists it as failed.
 func (m *fakeWorker) fail() {
-	m.stopAll()
+	m.terminate()
 	m.failed = true
 }
 
-// stopAll ends the machine and the tasks on it.
-func (m *fakeWorker) stopAll() {
+// terminate ends the machine and the tasks on it.
+func (m *fakeWorker) terminate() {
 	for _, key := range m.taskKeys() {
-		m.noteTaskStopped(m.tasks[key])
+		m.reportTaskStopped(m.tasks[key])
 	}
 	m.tasks = map[string]*fakeTask{}
 	m.gone, m.up, m.goneAt = true, false, m.sim.now
 }
 
-// reclaimSpot is the interruption of a spot machine by the cloud, mostly with notice.
+// reclaimSpot interrupts a spot machine, mostly with notice.
 func (m *fakeWorker) reclaimSpot() {
 	if m.gone {
 		return
@@ -98,12 +98,12 @@
 		m.interruptionAt = m.sim.now + notice
 		m.sim.schedule(notice, func() {
 			if !m.gone {
-				m.stopAll()
+				m.terminate()
 			}
 		})
 		return
 	}
-	m.stopAll()
+	m.terminate()
 }
 
 // taskKeys returns the keys of all tasks in order.
@@ -116,22 +116,22 @@
 	return keys
 }
 
-// noteTaskStopped tells the checker that a task, if it ran, runs no longer.
-func (m *fakeWorker) noteTaskStopped(task *fakeTask) {
+// reportTaskStopped tells the checker that a task no longer runs, if it ran.
+func (m *fakeWorker) reportTaskStopped(task *fakeTask) {
 	if task.stage == wire.TaskRunning || task.stage == wire.TaskCheckpointing {
 		m.sim.Checker.TaskStopped(task.job, task.task, m.machine.Name)
 	}
 }
 
-// leaseCheckLoop stops all tasks and begins a new incarnation when no heartbeat was acknowledged for a lease:
-// controllers may start the tasks elsewhere from then on.
+// leaseCheckLoop stops all tasks and begins a new incarnation if no heartbeat was acknowledged for the duration of a
+// lease: controllers may start the tasks elsewhere from then on.
 func (m *fakeWorker) leaseCheckLoop() {
 	if m.gone {
 		return
 	}
 	if m.sim.now >= m.hungUntil && m.sim.now-m.lastAckedAt > m.sim.options.WorkerLease {
 		for _, key := range m.taskKeys() {
-			m.noteTaskStopped(m.tasks[key])
+			m.reportTaskStopped(m.tasks[key])
 			m.tasks[key].generation++
 		}
 		m.tasks = map[string]*fakeTask{}
@@ -176,17 +176,17 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat to the current controller, one at a time. Without a good response the next
-// controller gets one after a second.
+// sendHeartbeat sends a heartbeat to the current controller, one at a time. Without a successful response, it sends one
+// to the next controller after a second.
 func (m *fakeWorker) sendHeartbeat() {
-	w := m.sim
-	if m.gone || m.heartbeatInFlight || w.now < m.hungUntil {
+	sim := m.sim
+	if m.gone || m.heartbeatInFlight || sim.now < m.hungUntil {
 		return
 	}
 	m.heartbeatInFlight = true
-	controller := w.nodes[m.controllerIndex]
+	controller := sim.nodes[m.controllerIndex]
 	heartbeat := m.nextHeartbeat()
-	sentAt, incarnation := w.now, m.incarnation
+	sentAt, incarnation := sim.now, m.incarnation
 	finished := false
 	finish := func(response core.Response, ok bool) {
 		if finished || m.gone {
@@ -196,19 +196,19 @@
 		m.heartbeatInFlight = false
 		m.handleHeartbeatResponse(sentAt, incarnation, response, ok)
 	}
-	w.schedule(heartbeatTimeout, func() { finish(core.Response{}, false) })
-	w.send(m.machine.Name, controller.name, func() {
-		if controller.down || w.now < w.outboundBlockedUntil[m.machine.Name] {
-			w.schedule(time.Millisecond, func() { finish(core.Response{}, false) })
+	sim.schedule(heartbeatTimeout, func() { finish(core.Response{}, false) })
+	sim.send(m.machine.Name, controller.name, func() {
+		if controller.down || sim.now < sim.outboundBlockedUntil[m.machine.Name] {
+			sim.schedule(time.Millisecond, func() { finish(core.Response{}, false) })
 			return
 		}
-		w.onHeartbeat(heartbeat)
-		w.lastRequestID++
-		requestID := w.lastRequestID
+		sim.onHeartbeat(heartbeat)
+		sim.lastRequestID++
+		requestID := sim.lastRequestID
 		controller.pendingRequests[requestID] = func(response core.Response) {
-			w.send(controller.name, m.machine.Name, func() { finish(response, true) })
+			sim.send(controller.name, m.machine.Name, func() { finish(response, true) })
 		}
-		w.deliver(controller, core.AgentHeartbeat{RequestID: requestID, Heartbeat: heartbeat})
+		sim.deliver(controller, core.AgentHeartbeat{RequestID: requestID, Heartbeat: heartbeat})
 	})
 }
 
@@ -234,7 +234,7 @@
 	m.executeCommands(body.Commands)
 }
 
-// handleCommands executes commands that a controller sent directly; a suspended machine does so when it resumes.
+// handleCommands executes commands that a controller sent directly. A suspended machine executes them when it resumes.
 func (m *fakeWorker) handleCommands(batch wire.CommandBatch) (wire.Status, *wire.Heartbeat) {
 	if m.gone || !m.up {
 		return wire.StatusNoAnswer, nil
@@ -275,12 +275,12 @@
 
 // exitTask ends an attempt with a cause.
 func (m *fakeWorker) exitTask(task *fakeTask, cause string) {
-	m.noteTaskStopped(task)
+	m.reportTaskStopped(task)
 	task.stage, task.cause = wire.TaskExited, cause
 	task.generation++
 }
 
-// startTask admits a task and pulls its image; then it runs.
+// startTask admits a task, pulls its image and runs it.
 func (m *fakeWorker) startTask(key string, command wire.Command) {
 	jobID, index, _ := wire.SplitTaskName(command.Task)
 	task := &fakeTask{job: jobID, task: index, attempt: command.Attempt, stage: wire.TaskPullingImage}
@@ -320,20 +320,20 @@
 	return false
 }
 
-// runTask runs a task whose image is there, and schedules its end.
+// runTask runs a task whose image is pulled, and schedules its end.
 func (m *fakeWorker) runTask(task *fakeTask, job *observedJob) {
-	w := m.sim
+	sim := m.sim
 	m.images[job.spec.Image] = true
 	if job.completedTasks[task.task] {
 		m.exitTask(task, wire.CauseDone)
 		return
 	}
 	task.stage = wire.TaskRunning
-	w.Checker.TaskStarted(w.now, task.job, task.task, m.machine)
-	w.queueOrder.jobStarted(task.job)
+	sim.Checker.TaskStarted(sim.now, task.job, task.task, m.machine)
+	sim.queueOrder.jobStarted(task.job)
 	generation := task.generation
-	if w.Checker.failingJobs[task.job] != nil {
-		w.schedule(w.randomDuration(100*time.Millisecond, 3*time.Second), func() {
+	if sim.Checker.failingJobs[task.job] != nil {
+		sim.schedule(sim.randomDuration(100*time.Millisecond, 3*time.Second), func() {
 			if !m.gone && task.generation == generation {
 				m.exitTask(task, wire.CauseError)
 			}
@@ -344,27 +344,27 @@
 		return
 	}
 	maxRuntime := maxTaskRuntime
-	if w.options.LongTasks {
+	if sim.options.LongTasks {
 		maxRuntime = maxLongTaskRuntime
 	}
-	w.schedule(w.randomDuration(2*time.Second, maxRuntime), func() {
+	sim.schedule(sim.randomDuration(2*time.Second, maxRuntime), func() {
 		if !m.gone && task.generation == generation {
 			m.completeTask(task, job)
 		}
 	})
 }
 
-// completeTask ends a task that has run for its time: with success, or a rare error.
+// completeTask ends a task after its runtime, with success or rarely with an error.
 func (m *fakeWorker) completeTask(task *fakeTask, job *observedJob) {
-	w := m.sim
-	if !w.options.NoFaults && w.chance(0.02) {
+	sim := m.sim
+	if !sim.options.NoFaults && sim.chance(0.02) {
 		m.exitTask(task, wire.CauseError)
 		return
 	}
 	if len(job.completedTasks) == job.spec.Tasks-1 && !job.completedTasks[task.task] {
-		w.onLastTaskEnding(task.job)
+		sim.onLastTaskEnding(task.job)
 	}
-	w.Checker.TaskCompleted(task.job, task.task)
+	sim.Checker.TaskCompleted(task.job, task.task)
 	m.exitTask(task, wire.CauseDone)
 	m.sendHeartbeat()
 }
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -17,35 +17,36 @@
 	"dewlift/wire"
 )
 
-// reservationChecker holds the equipment of a simulation, what its users were told of reservations, and what is
-// stored. It checks what is stored after each write with code of its own that compares every pair of reservations.
+// reservationChecker holds the equipment of a simulation, what its users were told about reservations, and what is
+// stored. After each write it checks the stored reservations independently of the core, by comparing every pair of
+// them.
 type reservationChecker struct {
 	sim              *Simulator
-	site             *booking.Inventory
+	inventory        *booking.Inventory
 	lastStored       map[string]*pb.Booking
 	views            map[string]reservationView
 	requested        map[string][][]string // by reservation: all sets of slots that it was ever requested with
 	endRequested     map[string]bool
-	equipmentChanged bool                  // the inventory was changed, which may end reservations
+	equipmentChanged bool                  // displaced reservations may have ended
 	history          []porcupine.Operation // of single slots, see CheckLinearizable
-	stateCounts      map[string]int        // reservations that reached a state; shows that a run was not idle
+	stateCounts      map[string]int        // reservations by state that they reached; shows that a run was not idle
 	lastClientID     int
 
 	archived   int // reservations in archive blocks
 	pages      int // stored values with reservations
-	pageMerges int // times their number fell
+	pageMerges int // how often their number fell
 
-	deniedEdits int // changes of the inventory without permission that were decided
+	deniedEdits int // requests to change the inventory without permission that got a final response
 }
 
-// reservationView is what users know of a reservation.
+// reservationView is what users know about a reservation.
 type reservationView struct {
-	state  string
-	toldAt time.Duration // when a user was first told of the state
+	state      string
+	reportedAt time.Duration // when the state was first reported to a user
 }
 
-// parseEquipment returns the inventory of a simulation: a kiln that has to cool, two equal kilns and a roaster,
-// always open, and more in the inventory's text form.
+// parseEquipment returns the inventory of a simulation: a kiln with a cooling time, two equal kilns and a roaster,
+// always open, and the items in more, in the inventory's text form.
 func parseEquipment(more string) *booking.Inventory {
 	inventory, err := booking.Parse([]byte(`pieces { name: "k1" kind: "kiln" slot_minutes: 60 cool_minutes: 30 }
 pieces { name: "k2" kind: "kiln" units: 2 slot_minutes: 60 }
@@ -56,10 +57,10 @@
 	return inventory
 }
 
-func newReservationChecker(w *Simulator) *reservationChecker {
+func newReservationChecker(sim *Simulator) *reservationChecker {
 	return &reservationChecker{
-		sim:          w,
-		site:         parseEquipment(""),
+		sim:          sim,
+		inventory:    parseEquipment(""),
 		lastStored:   map[string]*pb.Booking{},
 		views:        map[string]reservationView{},
 		requested:    map[string][][]string{},
@@ -75,7 +76,7 @@
 	})
 }
 
-// occupiesSlots reports whether a reservation keeps others from its slots.
+// occupiesSlots reports whether a reservation blocks its slots for others.
 func occupiesSlots(b *pb.Booking) bool {
 	return b != nil && (b.State == pb.BookingState_held || b.State == pb.BookingState_confirmed)
 }
@@ -87,10 +88,10 @@
 }
 
 // checkStored checks what the store holds after a write.
-func (k *reservationChecker) checkStored(keys map[string]*wire.KeyValue) {
+func (c *reservationChecker) checkStored(keys map[string]*wire.KeyValue) {
 	stored := map[string]*pb.Booking{}
 	pages := 0
-	k.archived = 0
+	c.archived = 0
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		isArchive := strings.HasPrefix(key, reservations.ArchivePrefix)
 		if !isArchive && !isReservationPage(key) {
@@ -98,12 +99,12 @@
 		}
 		page, _, err := reservations.Decode(keys[key].Value)
 		if isArchive {
-			k.archived += len(page.GetBookings())
+			c.archived += len(page.GetBookings())
 		} else {
 			pages++
 		}
 		if err != nil {
-			k.sim.Checker.violated("booking", "%s: %v", key, err)
+			c.sim.Checker.violated("booking", "%s: %v", key, err)
 		}
 		for _, b := range page.GetBookings() {
 			if other := stored[b.Id]; other == nil || other.Change < b.Change {
@@ -111,77 +112,76 @@
 			}
 		}
 	}
-	if pages < k.pages {
-		k.pageMerges++
+	if pages < c.pages {
+		c.pageMerges++
 	}
-	k.pages = pages
-	k.checkNoDeniedItem(keys)
-	k.checkTransition(k.lastStored, stored)
-	k.lastStored = stored
+	c.pages = pages
+	c.checkNoDeniedItem(keys)
+	c.checkTransition(c.lastStored, stored)
+	c.lastStored = stored
 }
 
 // checkTransition compares what was stored before a write with what is stored after it.
-func (k *reservationChecker) checkTransition(before, after map[string]*pb.Booking) {
-	k.checkNoneLost(before, after)
+func (c *reservationChecker) checkTransition(before, after map[string]*pb.Booking) {
+	c.checkNoneLost(before, after)
 	ids := slices.Sorted(maps.Keys(after))
 	var changed []*pb.Booking
 	for i, id := range ids {
 		current, previous := after[id], before[id]
 		if previous == nil || previous.State != current.State {
-			k.stateCounts[current.State.String()]++
+			c.stateCounts[current.State.String()]++
 		}
 		if previous == nil || previous.Change != current.Change {
 			changed = append(changed, current)
 		}
 		if occupiesSlots(current) {
-			k.checkComplete(current)
-			k.checkNotDoubleBooked(current, ids[i:], after)
+			c.checkComplete(current)
+			c.checkNotDoubleBooked(current, ids[i:], after)
 		}
 	}
 	slices.SortFunc(changed, func(a, b *pb.Booking) int { return cmp.Compare(a.Change, b.Change) })
 	for _, id := range ids {
 		current, previous := after[id], before[id]
 		if previous != nil && current.State == pb.BookingState_waiting && previous.State == current.State {
-			k.checkNotOvertaken(current, before, after, changed)
+			c.checkNotOvertaken(current, before, after, changed)
 		}
 	}
 }
 
-// checkNoneLost checks that no reservation is lost or older, and that none leaves a final state.
-func (k *reservationChecker) checkNoneLost(before, after map[string]*pb.Booking) {
-	broken := k.sim.Checker.violated
+// checkNoneLost checks that no reservation is lost or reset to an earlier change, and that none leaves a final state.
+func (c *reservationChecker) checkNoneLost(before, after map[string]*pb.Booking) {
+	violated := c.sim.Checker.violated
 	for _, id := range slices.Sorted(maps.Keys(before)) {
 		previous, current := before[id], after[id]
 		if current == nil || current.Change < previous.Change {
-			broken("booking_lost", "%s was stored as %v and is %v", id, previous, current)
+			violated("booking_lost", "%s was stored as %v and is %v", id, previous, current)
 			continue
 		}
 		if current.State == previous.State {
 			continue
 		}
-		mayEnd := current.State == pb.BookingState_ended && (k.endRequested[id] || k.equipmentChanged)
+		mayEnd := current.State == pb.BookingState_ended && (c.endRequested[id] || c.equipmentChanged)
 		switch {
 		case previous.State == pb.BookingState_ended:
-			broken("booking_back", "%s had ended and is %s", id, current.State)
+			violated("booking_back", "%s had ended and is %s", id, current.State)
 		case previous.State == pb.BookingState_confirmed && !mayEnd:
-			broken("booking_back", "%s was confirmed and is %s, nobody asked for it", id, current.State)
+			violated("booking_back", "%s was confirmed and is %s, but nobody requested that", id, current.State)
 		}
 	}
 }
 
-// checkNotDoubleBooked checks that a reservation overlaps neither itself nor one of others.
-func (k *reservationChecker) checkNotDoubleBooked(b *pb.Booking, others []string, stored map[string]*pb.Booking) {
+// checkNotDoubleBooked checks that a reservation overlaps neither itself nor another one.
+func (c *reservationChecker) checkNotDoubleBooked(b *pb.Booking, others []string, stored map[string]*pb.Booking) {
 	for _, id := range others {
-		if other := stored[id]; occupiesSlots(other) && k.overlap(b, other) {
-			k.sim.Checker.violated("double_booked", "%v and %v", b, other)
+		if other := stored[id]; occupiesSlots(other) && c.overlap(b, other) {
+			c.sim.Checker.violated("double_booked", "%v and %v", b, other)
 		}
 	}
 }
 
-// checkNotOvertaken replays changes in the order in which they were decided: no reservation that ranks lower may
-// get slots while the waiting one could have had what it waits for, and the waiting one may not have it afterwards
-// either.
-func (k *reservationChecker) checkNotOvertaken(
+// checkNotOvertaken replays changes in the order in which they were decided: no reservation of lower rank may get slots
+// while the waiting one could have its slots, and afterwards the waiting one must not be able to have them either.
+func (c *reservationChecker) checkNotOvertaken(
 	waiting *pb.Booking,
 	before, after map[string]*pb.Booking,
 	changed []*pb.Booking,
@@ -190,20 +190,20 @@
 	for _, granted := range changed {
 		ranksLower := granted.Rank > waiting.Rank || granted.Rank == waiting.Rank && granted.Made > waiting.Made
 		getsSlots := occupiesSlots(granted) && !occupiesSlots(before[granted.Id])
-		if ranksLower && getsSlots && k.couldReserve(state, waiting) {
-			k.sim.Checker.violated("overtaken", "%v could have what it waits for when %v got its slots",
+		if ranksLower && getsSlots && c.couldReserve(state, waiting) {
+			c.sim.Checker.violated("overtaken", "%v could have had its slots when %v got slots",
 				waiting, granted)
 		}
 		state[granted.Id] = granted
 	}
-	if k.couldReserve(after, waiting) && !k.equipmentChanged {
-		k.sim.Checker.violated("overtaken", "%v could have what it waits for", waiting)
+	if c.couldReserve(after, waiting) && !c.equipmentChanged {
+		c.sim.Checker.violated("overtaken", "%v waits but could have its slots", waiting)
 	}
 }
 
-// overlap reports whether two reservations have a unit at the same time; of one reservation, whether it has a unit
-// twice.
-func (k *reservationChecker) overlap(a, b *pb.Booking) bool {
+// overlap reports whether two reservations occupy the same unit at the same time or, for a reservation and itself,
+// whether two of its slots do.
+func (c *reservationChecker) overlap(a, b *pb.Booking) bool {
 	for i, x := range a.Slots {
 		for j, y := range b.Slots {
 			if (a != b || i != j) && x.Piece == y.Piece && x.Unit == y.Unit && x.From < y.Clear && y.From < x.Clear {
@@ -214,24 +214,24 @@
 	return false
 }
 
-// checkComplete checks that a reservation has all that was requested at one time.
-func (k *reservationChecker) checkComplete(b *pb.Booking) {
+// checkComplete checks that a reservation has exactly a set of slots that was requested for it.
+func (c *reservationChecker) checkComplete(b *pb.Booking) {
 	var has []string
 	for _, slot := range b.Slots {
-		has = append(has, fmt.Sprintf("%s %d %d", k.site.ItemKind(slot.Piece), slot.From, slot.To))
+		has = append(has, fmt.Sprintf("%s %d %d", c.inventory.ItemKind(slot.Piece), slot.From, slot.To))
 	}
-	if !slices.ContainsFunc(k.requested[b.Id], func(set []string) bool { return slices.Equal(set, has) }) {
-		k.sim.Checker.violated("half_booked", "%v has %v, requested was %v", b, has, k.requested[b.Id])
+	if !slices.ContainsFunc(c.requested[b.Id], func(set []string) bool { return slices.Equal(set, has) }) {
+		c.sim.Checker.violated("half_booked", "%v has %v, but %v was requested", b, has, c.requested[b.Id])
 	}
 }
 
-// couldReserve reports whether a reservation that waits for one future slot could have it beside others.
-func (k *reservationChecker) couldReserve(others map[string]*pb.Booking, b *pb.Booking) bool {
-	if len(b.Wants) != 1 || b.Wants[0].From <= k.unixSeconds() {
+// couldReserve reports whether a reservation that waits for one future slot could have it, given the others.
+func (c *reservationChecker) couldReserve(others map[string]*pb.Booking, b *pb.Booking) bool {
+	if len(b.Wants) != 1 || b.Wants[0].From <= c.unixSeconds() {
 		return false
 	}
 	want := b.Wants[0]
-	for _, item := range k.site.Source().Pieces {
+	for _, item := range c.inventory.Source().Pieces {
 		if item.Name != want.Piece && item.Kind != want.Kind {
 			continue
 		}
@@ -242,7 +242,7 @@
 				From:  want.From,
 				Clear: want.From + int64(want.Slots*item.SlotMinutes+item.CoolMinutes)*60,
 			}
-			if k.isFree(slot, others) {
+			if c.isFree(slot, others) {
 				return true
 			}
 		}
@@ -251,30 +251,30 @@
 }
 
 // isFree reports whether no reservation occupies a slot.
-func (k *reservationChecker) isFree(slot *pb.Slot, others map[string]*pb.Booking) bool {
+func (c *reservationChecker) isFree(slot *pb.Slot, others map[string]*pb.Booking) bool {
 	wanted := &pb.Booking{Slots: []*pb.Slot{slot}}
 	for _, other := range others {
-		if occupiesSlots(other) && k.overlap(wanted, other) {
+		if occupiesSlots(other) && c.overlap(wanted, other) {
 			return false
 		}
 	}
 	return true
 }
 
-// unixSeconds is a lower bound of the wall clock of all controllers.
-func (k *reservationChecker) unixSeconds() int64 {
-	return startUnixMS/1000 + int64(k.sim.now.Seconds()) - 1
+// unixSeconds returns a lower bound of the wall clocks of all controllers.
+func (c *reservationChecker) unixSeconds() int64 {
+	return startUnixMS/1000 + int64(c.sim.now.Seconds()) - 1
 }
 
-// checkAnswer checks the response to a request about a reservation that was sent at sentAt, and returns the
+// checkResponse checks the response to a request about a reservation that was sent at sentAt, and returns the
 // reservation in it.
-func (k *reservationChecker) checkAnswer(sentAt time.Duration, id string, response core.Response) *wire.Reservation {
+func (c *reservationChecker) checkResponse(sentAt time.Duration, id string, response core.Response) *wire.Reservation {
 	body, _ := response.Body.(wire.ReservationResponse)
-	view, known := k.views[id]
-	isLater := sentAt >= view.toldAt // than what users were told
-	broken := k.sim.Checker.violated
+	view, known := c.views[id]
+	isLater := sentAt >= view.reportedAt // the request was sent after the last report
+	violated := c.sim.Checker.violated
 	if response.Status == wire.StatusNotFound && known && isLater {
-		broken("booking_lost", "%s was reported %s and is unknown", id, view.state)
+		violated("booking_lost", "%s was reported %s and is unknown", id, view.state)
 	}
 	current := body.Reservation
 	if current == nil || current.ID != id || response.Status >= 300 && response.Status != wire.StatusConflict {
@@ -283,16 +283,16 @@
 	if known && isLater {
 		switch {
 		case view.state == "ended" && current.State != view.state:
-			broken("booking_back", "%s was reported ended and is %s", id, current.State)
+			violated("booking_back", "%s was reported ended and is %s", id, current.State)
 		case view.state == "confirmed" && (current.State == "held" || current.State == "waiting"):
-			broken("booking_back", "%s was reported confirmed and is %s", id, current.State)
+			violated("booking_back", "%s was reported confirmed and is %s", id, current.State)
 		}
 	}
-	if k.lastStored[id] == nil {
-		broken("booking_lost", "%s is reported %s and is not stored", id, current.State)
+	if c.lastStored[id] == nil {
+		violated("booking_lost", "%s is reported %s and is not stored", id, current.State)
 	}
 	if !known || view.state != current.State && isLater {
-		k.views[id] = reservationView{current.State, k.sim.now}
+		c.views[id] = reservationView{current.State, c.sim.now}
 	}
 	return current
 }
@@ -317,45 +317,45 @@
 // reservationTimeout is how long a user waits for a response about a reservation.
 const reservationTimeout = 2 * time.Second
 
-// requestUntilDecided repeats a request about a reservation until a response decides it.
-func (k *reservationChecker) requestUntilDecided(
+// requestUntilDecided repeats a request about a reservation until it gets a final response.
+func (c *reservationChecker) requestUntilDecided(
 	id string,
 	newInput func(requestID uint64) core.Input,
 	then func(response core.Response, reservation *wire.Reservation),
 ) {
-	w := k.sim
-	sentAt := w.now
+	sim := c.sim
+	sentAt := sim.now
 	withCaller := func(requestID uint64) core.Input { return withRootCaller(newInput(requestID)) }
-	w.sendRequest(w.anyNode(), reservationTimeout, withCaller, func(response core.Response, ok bool) {
+	sim.sendRequest(sim.anyNode(), reservationTimeout, withCaller, func(response core.Response, ok bool) {
 		if ok {
-			current := k.checkAnswer(sentAt, id, response)
+			current := c.checkResponse(sentAt, id, response)
 			if response.Status != wire.StatusUnavailable {
 				then(response, current)
 				return
 			}
 		}
-		w.schedule(w.randomDuration(300*time.Millisecond, 2*time.Second), func() {
-			k.requestUntilDecided(id, newInput, then)
+		sim.schedule(sim.randomDuration(300*time.Millisecond, 2*time.Second), func() {
+			c.requestUntilDecided(id, newInput, then)
 		})
 	})
 }
 
-// formatTime formats a time in Unix seconds as requests have it.
-func (k *reservationChecker) formatTime(unixSeconds int64) string {
+// formatTime formats Unix seconds as requests have them.
+func (c *reservationChecker) formatTime(unixSeconds int64) string {
 	return time.Unix(unixSeconds, 0).UTC().Format(time.RFC3339)
 }
 
-// hourAfterStart returns the Unix seconds of a full hour after the start of the simulation.
+// hourAfterStart returns, in Unix seconds, a full hour after the start of the simulation.
 func hourAfterStart(hours int64) int64 { return (startUnixMS/1000/3600 + hours) * 3600 }
 
-// randomWants draws one slot or a few, close together, so that many users want the same.
-func (k *reservationChecker) randomWants() (wants []wire.SlotRequest) {
-	w := k.sim
+// randomSlotRequests draws one slot or a few, close together, so that many users want the same.
+func (c *reservationChecker) randomSlotRequests() (wants []wire.SlotRequest) {
+	sim := c.sim
 	hour := hourAfterStart(30)
-	for range 1 + w.rng.IntN(4)/3*(1+w.rng.IntN(2)) {
-		from := k.formatTime(hour + 3600*int64(w.rng.IntN(12)))
-		want := wire.SlotRequest{From: from, Slots: uint32(1 + w.rng.IntN(2))}
-		switch w.rng.IntN(4) {
+	for range 1 + sim.rng.IntN(4)/3*(1+sim.rng.IntN(2)) {
+		from := c.formatTime(hour + 3600*int64(sim.rng.IntN(12)))
+		want := wire.SlotRequest{From: from, Slots: uint32(1 + sim.rng.IntN(2))}
+		switch sim.rng.IntN(4) {
 		case 0:
 			want.Equipment = "k1"
 		case 1:
@@ -370,61 +370,61 @@
 	return wants
 }
 
-// noteRequested records the slots that a reservation is requested with.
-func (k *reservationChecker) noteRequested(id string, slots []wire.SlotRequest) {
-	wants, err := reservations.ResolveWants(k.site, slots, "")
+// recordRequested records the slots that a reservation is requested with.
+func (c *reservationChecker) recordRequested(id string, slots []wire.SlotRequest) {
+	wants, err := reservations.ResolveWants(c.inventory, slots, "")
 	if err != nil {
-		panic(err) // all wants are valid
+		panic(err) // all requested slots are valid
 	}
 	var set []string
 	for _, want := range wants {
 		minutes := int64(60)
-		kind := k.site.WantKind(want)
+		kind := c.inventory.WantKind(want)
 		if kind == "roaster" {
 			minutes = 30
 		}
 		set = append(set, fmt.Sprintf("%s %d %d", kind, want.From, want.From+int64(want.Slots)*minutes*60))
 	}
-	k.requested[id] = append(k.requested[id], set)
+	c.requested[id] = append(c.requested[id], set)
 }
 
-// scheduleReservationUsers schedules users who reserve the same few hours of the same equipment, repeat requests,
-// move, confirm, end and list.
-func (w *Simulator) scheduleReservationUsers() {
-	k := w.reservations
-	for i := range w.options.ReservationUsers {
-		w.schedule(w.randomDuration(2*time.Second, w.options.Duration*3/4), func() {
-			k.runReservationUser(fmt.Sprintf("b%03d", i))
+// scheduleReservationUsers schedules users who reserve the same few hours of the same equipment, repeat requests, and
+// move, confirm, end and list reservations.
+func (s *Simulator) scheduleReservationUsers() {
+	checker := s.reservations
+	for i := range s.options.ReservationUsers {
+		s.schedule(s.randomDuration(2*time.Second, s.options.Duration*3/4), func() {
+			checker.runReservationUser(fmt.Sprintf("b%03d", i))
 		})
 	}
-	for i := range w.options.ReservationUsers / 2 {
-		w.schedule(w.randomDuration(2*time.Second, w.options.Duration*3/4), func() {
-			k.runSingleSlotUser(fmt.Sprintf("s%03d", i))
+	for i := range s.options.ReservationUsers / 2 {
+		s.schedule(s.randomDuration(2*time.Second, s.options.Duration*3/4), func() {
+			checker.runSingleSlotUser(fmt.Sprintf("s%03d", i))
 		})
 	}
-	if w.options.Permissions {
-		k.scheduleDeniedEdits()
+	if s.options.Permissions {
+		checker.scheduleDeniedEdits()
 	}
-	if w.options.ReservationUsers > 20 { // a kiln goes out of order, and is back later
-		w.schedule(w.options.Duration/3, func() {
-			k.changeEquipment(` pieces { name: "spare" kind: "kiln" slot_minutes: 60 out: 1 }`, false)
+	if s.options.ReservationUsers > 20 { // an out-of-order kiln is added, and removed later
+		s.schedule(s.options.Duration/3, func() {
+			checker.changeEquipment(` pieces { name: "spare" kind: "kiln" slot_minutes: 60 out: 1 }`, false)
 		})
-		w.schedule(w.options.Duration/2, func() { k.changeEquipment("", true) })
+		s.schedule(s.options.Duration/2, func() { checker.changeEquipment("", true) })
 	}
 }
 
 // changeEquipment replaces the inventory.
-func (k *reservationChecker) changeEquipment(more string, endDisplaced bool) {
+func (c *reservationChecker) changeEquipment(more string, endDisplaced bool) {
 	text := parseEquipment(more).Source().String()
-	k.equipmentChanged = k.equipmentChanged || endDisplaced
-	k.requestUntilDecided("", func(requestID uint64) core.Input {
+	c.equipmentChanged = c.equipmentChanged || endDisplaced
+	c.requestUntilDecided("", func(requestID uint64) core.Input {
 		return core.SetEquipment{
 			RequestID: requestID,
 			Edit:      wire.EquipmentEdit{Text: text, EndDisplaced: endDisplaced, Reason: "the kiln is out of order"},
 		}
 	}, func(response core.Response, _ *wire.Reservation) {
 		if response.Status != wire.StatusOK && response.Status != wire.StatusConflict {
-			k.sim.Checker.violated("booking", "a list of equipment got %d: %v", response.Status, response.Body)
+			c.sim.Checker.violated("booking", "an inventory got status %d: %v", response.Status, response.Body)
 		}
 	})
 }
@@ -436,27 +436,27 @@
 }
 
 // runReservationUser starts a user who makes a reservation and then changes or lists it at random.
-func (k *reservationChecker) runReservationUser(id string) {
-	w := k.sim
-	request := wire.ReservationRequest{ID: id, Slots: k.randomWants(), Waitlist: w.chance(0.5)}
-	if w.chance(0.4) {
-		request.HoldS = uint32(2 + w.rng.IntN(30))
+func (c *reservationChecker) runReservationUser(id string) {
+	sim := c.sim
+	request := wire.ReservationRequest{ID: id, Slots: c.randomSlotRequests(), Waitlist: sim.chance(0.5)}
+	if sim.chance(0.4) {
+		request.HoldS = uint32(2 + sim.rng.IntN(30))
 	}
-	request.Priority = wire.PriorityName(w.rng.IntN(3))
-	k.noteRequested(id, request.Slots)
-	user := &reservationUser{checker: k, request: request}
+	request.Priority = wire.PriorityName(sim.rng.IntN(3))
+	c.recordRequested(id, request.Slots)
+	user := &reservationUser{checker: c, request: request}
 	user.send(booking.VerbCreate, request, func(response core.Response) {
 		switch response.Status {
 		case wire.StatusOK, wire.StatusCreated:
 			user.scheduleNext()
 		case wire.StatusConflict:
 		default:
-			w.Checker.violated("booking", "%s got %d: %v", id, response.Status, response.Body)
+			sim.Checker.violated("booking", "%s got status %d: %v", id, response.Status, response.Body)
 		}
 	})
 }
 
-// send repeats a request until a response decides it.
+// send repeats a request until it gets a final response.
 func (u *reservationUser) send(
 	verb booking.Verb,
 	request wire.ReservationRequest,
@@ -469,28 +469,28 @@
 
 // scheduleNext schedules the next request.
 func (u *reservationUser) scheduleNext() {
-	w := u.checker.sim
-	w.schedule(w.randomDuration(500*time.Millisecond, 12*time.Second), u.sendRandomRequest)
+	sim := u.checker.sim
+	sim.schedule(sim.randomDuration(500*time.Millisecond, 12*time.Second), u.sendRandomRequest)
 }
 
 // sendRandomRequest sends a request of a random kind, and schedules the next after its response.
 func (u *reservationUser) sendRandomRequest() {
-	k, id := u.checker, u.request.ID
+	checker, id := u.checker, u.request.ID
 	next := func(core.Response) { u.scheduleNext() }
-	switch k.sim.rng.IntN(6) {
+	switch checker.sim.rng.IntN(6) {
 	case 0:
 		u.send(booking.VerbConfirm, wire.ReservationRequest{ID: id}, next)
 	case 1:
-		moved := wire.ReservationRequest{ID: id, Slots: k.randomWants()}
-		k.noteRequested(id, moved.Slots)
+		moved := wire.ReservationRequest{ID: id, Slots: checker.randomSlotRequests()}
+		checker.recordRequested(id, moved.Slots)
 		u.send(booking.VerbMove, moved, next)
 	case 2:
-		k.endRequested[id] = true
+		checker.endRequested[id] = true
 		u.send(booking.VerbEnd, wire.ReservationRequest{ID: id, Reason: "done with it"}, next)
-	case 3: // an idempotent repetition
+	case 3: // an idempotent repetition of the first request
 		u.send(booking.VerbCreate, u.request, next)
 	default:
-		k.requestUntilDecided(id, func(requestID uint64) core.Input {
+		checker.requestUntilDecided(id, func(requestID uint64) core.Input {
 			return core.ListReservations{RequestID: requestID, Query: wire.ReservationQuery{ID: id}}
 		}, func(core.Response, *wire.Reservation) { u.scheduleNext() })
 	}
@@ -510,15 +510,15 @@
 
 // runSingleSlotUser starts a user who reserves one slot that others want too, ends the reservation, and repeats the
 // first request.
-func (k *reservationChecker) runSingleSlotUser(id string) {
-	w := k.sim
-	slot := k.formatTime(hourAfterStart(200 + 2*int64(w.rng.IntN(3))))
-	k.noteRequested(id, []wire.SlotRequest{{Equipment: "k1", From: slot}})
-	user := &singleSlotUser{checker: k, id: id, slot: slot}
+func (c *reservationChecker) runSingleSlotUser(id string) {
+	sim := c.sim
+	slot := c.formatTime(hourAfterStart(200 + 2*int64(sim.rng.IntN(3))))
+	c.recordRequested(id, []wire.SlotRequest{{Equipment: "k1", From: slot}})
+	user := &singleSlotUser{checker: c, id: id, slot: slot}
 	user.create(func() {
-		w.schedule(w.randomDuration(time.Second, 10*time.Second), func() {
+		sim.schedule(sim.randomDuration(time.Second, 10*time.Second), func() {
 			user.end(func() {
-				w.schedule(w.randomDuration(0, 5*time.Second), func() { user.create(func() {}) })
+				sim.schedule(sim.randomDuration(0, 5*time.Second), func() { user.create(func() {}) })
 			})
 		})
 	})
@@ -545,23 +545,23 @@
 	}, then)
 }
 
-// record sends a request until it is decided, and appends the operation to the history.
+// record sends a request until it gets a final response, and appends the operation to the history.
 func (u *singleSlotUser) record(end bool, newInput func(requestID uint64) core.Input, then func()) {
-	k := u.checker
-	calledAt := k.sim.now
-	k.lastClientID++
-	clientID := k.lastClientID
-	k.requestUntilDecided(u.id, newInput, func(_ core.Response, reservation *wire.Reservation) {
+	checker := u.checker
+	calledAt := checker.sim.now
+	checker.lastClientID++
+	clientID := checker.lastClientID
+	checker.requestUntilDecided(u.id, newInput, func(_ core.Response, reservation *wire.Reservation) {
 		state := "none"
 		if reservation != nil {
 			state = reservation.State
 		}
-		k.history = append(k.history, porcupine.Operation{
+		checker.history = append(checker.history, porcupine.Operation{
 			ClientId: clientID,
 			Input:    slotOperation{u.slot, u.id, end},
 			Call:     int64(calledAt),
 			Output:   state,
-			Return:   int64(k.sim.now),
+			Return:   int64(checker.sim.now),
 		})
 		then()
 	})
@@ -601,7 +601,7 @@
 // linearizabilityTimeout limits the search of CheckLinearizable, in real time.
 const linearizabilityTimeout = 20 * time.Second
 
-// CheckLinearizable reports whether some order of all operations on single slots explains their responses.
-func (k *reservationChecker) CheckLinearizable() porcupine.CheckResult {
-	return porcupine.CheckOperationsTimeout(slotModel, k.history, linearizabilityTimeout)
+// CheckLinearizable reports whether some sequential order of all operations on single slots explains their responses.
+func (c *reservationChecker) CheckLinearizable() porcupine.CheckResult {
+	return porcupine.CheckOperationsTimeout(slotModel, c.history, linearizabilityTimeout)
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -17,28 +17,28 @@
 	"dewlift/wire"
 )
 
-// runSimulation plays a simulation, which must not violate any rule.
+// runSimulation runs a simulation, which must not violate any rule.
 func runSimulation(t *testing.T, options Options) *Simulator {
 	t.Helper()
 	return runObserved(t, options, func(string, core.Output) {})
 }
 
-// runObserved plays a simulation like runSimulation, and calls observe with each output of its controllers.
+// runObserved is like runSimulation, and calls observe with each output of the controllers.
 func runObserved(t *testing.T, options Options, observe func(node string, output core.Output)) *Simulator {
 	t.Helper()
-	w := New(options)
-	w.OnOutput = observe
-	w.Run()
-	if len(w.Checker.Violations) > 0 {
-		t.Fatalf("seed %d at %v: %s", options.Seed, w.now, strings.Join(w.Checker.Violations, "; "))
+	sim := New(options)
+	sim.OnOutput = observe
+	sim.Run()
+	if len(sim.Checker.Violations) > 0 {
+		t.Fatalf("seed %d at %v: %s", options.Seed, sim.now, strings.Join(sim.Checker.Violations, "; "))
 	}
-	return w
+	return sim
 }
 
-// stageCounts counts jobs by what their users know of them at the end.
-func (k *Checker) stageCounts() map[string]int {
+// stageCounts counts jobs by the stage that was last reported to their users.
+func (c *Checker) stageCounts() map[string]int {
 	counts := map[string]int{}
-	for _, job := range k.jobs {
+	for _, job := range c.jobs {
 		switch {
 		case job.stage != "":
 			counts[job.stage]++
@@ -51,14 +51,14 @@
 	return counts
 }
 
-// firstViolation reports whether the first violation is one of a rule.
-func (k *Checker) firstViolation(rule string) bool {
-	return len(k.Violations) > 0 && strings.HasPrefix(k.Violations[0], rule+":")
+// firstViolationIs reports whether the first violation is of a rule.
+func (c *Checker) firstViolationIs(rule string) bool {
+	return len(c.Violations) > 0 && strings.HasPrefix(c.Violations[0], rule+":")
 }
 
 func TestAllJobsFinishWithoutFaults(t *testing.T) {
-	w := runSimulation(t, Options{Seed: 1, Duration: 200 * time.Second, Jobs: 20, NoFaults: true})
-	for id, job := range w.Checker.jobs {
+	sim := runSimulation(t, Options{Seed: 1, Duration: 200 * time.Second, Jobs: 20, NoFaults: true})
+	for id, job := range sim.Checker.jobs {
 		if !job.accepted {
 			t.Errorf("%s was not accepted", id)
 		}
@@ -69,22 +69,22 @@
 }
 
 func TestInvariantsHoldUnderFaults(t *testing.T) {
-	seeds := []uint64{1096, 1539, 3094} // found tasks of a new job that another controller stopped
+	seeds := []uint64{1096, 1539, 3094} // regressions: another controller stopped tasks of a new job
 	for seed := uint64(1); seed <= 60; seed++ {
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 25, FlakyCloud: seed%6 == 0})
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			sim := runSimulation(t, Options{Seed: seed, Duration: 240 * time.Second, Jobs: 25, FlakyCloud: seed%6 == 0})
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
 
-// Controllers that crash around a write, or five times within three seconds, restart within a second, before the
-// lease, streams and transactions of their former process have ended; copies of what they sent and wrote arrive
-// late. Then there are no faults: nothing may be lost, and all users are served.
+// Controllers that crash around a write, or five times within three seconds, restart within a second, before the lease,
+// streams and transactions of their previous process have ended; copies of their messages and writes arrive late. In
+// the fault-free tail, nothing may be lost and all users must be served.
 func TestInvariantsHoldWhenProcessesFlap(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -100,26 +100,26 @@
 				Archive:           seed%4 == 0,
 				Pipelines:         int(seed % 3),
 			}
-			w := runSimulation(t, o)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			sim := runSimulation(t, o)
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
 
-var overlapSeeds = flag.Uint64("worlds", 24, "how many worlds in which troubles meet are played")
+var overlapSeedCount = flag.Uint64("worlds", 24, "number of seeds to run with overlapping faults")
 
-// Each fault begins while another lasts (docs/notes/meetings.md).
+// Faults come in pairs: the second begins while the first lasts (docs/notes/meetings.md).
 func TestInvariantsHoldUnderOverlappingFaults(t *testing.T) {
-	for seed := uint64(1); seed <= *overlapSeeds; seed++ {
+	for seed := uint64(1); seed <= *overlapSeedCount; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(t, OverlappingFaultOptions(seed))
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			sim := runSimulation(t, OverlappingFaultOptions(seed))
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
 
-// faultPairs are the combinations of faults in which operators have seen rules violated, and the options that they
+// faultPairs are the combinations of faults in which operators have seen rules violated, with the options that they
 // need.
 var faultPairs = map[string]struct {
 	faults []string
@@ -255,10 +255,10 @@
 	},
 }
 
-// The combinations that operators have seen rules violated in, one by one, in simulations without other faults.
+// Each combination of faults in which operators have seen rules violated is run by itself, without other faults.
 func TestInvariantsHoldForEachFaultPair(t *testing.T) {
 	for name, combination := range faultPairs {
-		for seed := uint64(1); seed <= max(1, *overlapSeeds/16); seed++ {
+		for seed := uint64(1); seed <= max(1, *overlapSeedCount/16); seed++ {
 			t.Run(fmt.Sprint(name, " seed", seed), func(t *testing.T) {
 				t.Parallel()
 				options := OverlappingFaultOptions(seed)
@@ -266,40 +266,41 @@
 				if combination.adjust != nil {
 					combination.adjust(&options)
 				}
-				// Beside the previous version permissions can't be in force, and nobody is served.
+				// While the previous version runs, permissions can't be enforced, and no request would be served.
 				options.MixedVersions = options.MixedVersions && !options.Permissions
-				w := runSimulation(t, options)
+				sim := runSimulation(t, options)
 				t.Logf(
 					"%d starts, %d after a confirmed cancellation, %v",
-					w.Checker.Starts,
-					w.Checker.StartsAfterCancel,
-					w.Checker.stageCounts(),
+					sim.Checker.Starts,
+					sim.Checker.StartsAfterCancel,
+					sim.Checker.stageCounts(),
 				)
 			})
 		}
 	}
 }
 
-// Jobs that were submitted with a mistake fail on every machine until their users cancel them. They cost a bounded
-// number of starts, no machine is taken for faulty because of them, and the other jobs are done.
+// Jobs that were submitted with a mistake fail on every machine until their users cancel them. They must cost a bounded
+// number of starts. Without other faults, no machine may be considered faulty because of them, and all other jobs must
+// complete.
 func TestFailingJobsCostBoundedStarts(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := New(
+			sim := New(
 				Options{Seed: seed, Duration: 240 * time.Second, Jobs: 30, FailingJobs: 10, NoFaults: seed%2 == 0},
 			)
-			w.Trace = func(f string, a ...any) {
-				if line := fmt.Sprintf(f, a...); w.options.NoFaults && strings.Contains(line, "faulty") {
+			sim.Trace = func(f string, a ...any) {
+				if line := fmt.Sprintf(f, a...); sim.options.NoFaults && strings.Contains(line, "faulty") {
 					t.Error(line)
 				}
 			}
-			w.Run()
-			if len(w.Checker.Violations) > 0 {
-				t.Errorf("at %v: %s", w.now, strings.Join(w.Checker.Violations, "; "))
+			sim.Run()
+			if len(sim.Checker.Violations) > 0 {
+				t.Errorf("at %v: %s", sim.now, strings.Join(sim.Checker.Violations, "; "))
 			}
-			for id, job := range w.Checker.jobs {
-				if w.Checker.failingJobs[id] == nil && w.options.NoFaults && !job.spec.Service &&
+			for id, job := range sim.Checker.jobs {
+				if sim.Checker.failingJobs[id] == nil && sim.options.NoFaults && !job.spec.Service &&
 					!job.cancelRequested && len(job.completedTasks) < job.spec.Tasks {
 					t.Errorf("%s: %d of %d tasks done", id, len(job.completedTasks), job.spec.Tasks)
 				}
@@ -308,13 +309,13 @@
 	}
 }
 
-// Controllers crash at random moments while the queues are full: no job is overtaken for long by a later one of its
-// priority class and shape, and none changes its class or position.
+// Controllers crash at random moments while the queues are full: no job may be overtaken for long by a later one of its
+// priority class and shape, and none may change its class or position.
 func TestQueueOrderHoldsThroughCrashes(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{
 					Seed:            seed,
@@ -326,147 +327,152 @@
 				},
 			)
 			waited := 0
-			for _, j := range w.queueOrder.jobs {
+			for _, j := range sim.queueOrder.jobs {
 				if j.startedAt > j.acceptedAt+5*time.Second {
 					waited++
 				}
 			}
 			if waited < 20 {
-				t.Errorf("%d jobs of %d waited", waited, len(w.queueOrder.jobs))
+				t.Errorf("%d jobs of %d waited", waited, len(sim.queueOrder.jobs))
 			}
-			t.Logf("%d of %d jobs waited, %v", waited, len(w.queueOrder.jobs), w.Checker.stageCounts())
+			t.Logf("%d of %d jobs waited, %v", waited, len(sim.queueOrder.jobs), sim.Checker.stageCounts())
 		})
 	}
 }
 
-// Each rule of the queue order must be violated by a wrong step.
+// For each rule about the queue order, the checker must report a step that violates it.
 func TestQueueOrderCheckerDetectsViolations(t *testing.T) {
-	for rule, step := range map[string]func(o *queueOrderChecker){
-		"demoted": func(o *queueOrderChecker) {
-			o.jobWritten("a", &jobrecord.Record{
+	for rule, step := range map[string]func(checker *queueOrderChecker){
+		"demoted": func(checker *queueOrderChecker) {
+			checker.jobWritten("a", &jobrecord.Record{
 				PriorityClass:   "second",
 				EnqueueRevision: 7,
 				Spec:            &wire.JobSpec{},
 			}, 9)
 		},
-		"demoted: place": func(o *queueOrderChecker) {
-			o.jobWritten("a", &jobrecord.Record{PriorityClass: "first", EnqueueRevision: 9, Spec: &wire.JobSpec{}}, 9)
+		"demoted: place": func(checker *queueOrderChecker) {
+			checker.jobWritten("a", &jobrecord.Record{
+				PriorityClass:   "first",
+				EnqueueRevision: 9,
+				Spec:            &wire.JobSpec{},
+			}, 9)
 		},
-		"jumped": func(o *queueOrderChecker) {
-			o.jobStarted("b")
-			o.sim.now += maxOvertakeDelay + time.Second
-			o.checkOvertaking()
+		"jumped": func(checker *queueOrderChecker) {
+			checker.jobStarted("b")
+			checker.sim.now += maxOvertakeDelay + time.Second
+			checker.checkOvertaking()
 		},
 	} {
-		w := New(Options{Seed: 1})
+		sim := New(Options{Seed: 1})
 		for i, id := range []string{"a", "b"} {
-			w.now += time.Duration(i) * (minAcceptGap + time.Second)
-			w.queueOrder.jobWritten(id, &jobrecord.Record{PriorityClass: "first", Spec: &wire.JobSpec{}}, uint64(7+i))
+			sim.now += time.Duration(i) * (minAcceptGap + time.Second)
+			sim.queueOrder.jobWritten(id, &jobrecord.Record{PriorityClass: "first", Spec: &wire.JobSpec{}}, uint64(7+i))
 		}
-		w.now++
-		step(w.queueOrder)
+		sim.now++
+		step(sim.queueOrder)
 		name, _, _ := strings.Cut(rule, ":")
-		if !w.Checker.firstViolation(name) {
-			t.Errorf("%s: violations are %v", rule, w.Checker.Violations)
+		if !sim.Checker.firstViolationIs(name) {
+			t.Errorf("%s: violations are %v", rule, sim.Checker.Violations)
 		}
 	}
 }
 
-// A job that waits while a feasible machine has capacity and its team is below its maximum is reported, and one
-// that has to wait is not.
+// The checker must report a job that waits while a feasible machine has capacity and its team is below its quota, and
+// no job that has to wait.
 func TestStarvationCheckerDetectsViolations(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(w *Simulator, m *fakeWorker)
+		change func(sim *Simulator, m *fakeWorker)
 		fires  bool
 	}{
 		"left waiting": {func(*Simulator, *fakeWorker) {}, true},
 		"no room": {func(_ *Simulator, m *fakeWorker) {
 			m.tasks["x"] = &fakeTask{job: "wk-000002", stage: wire.TaskRunning}
 		}, false},
-		"other zone":   {func(w *Simulator, _ *fakeWorker) { w.Checker.jobs["wk-000001"].spec.Zone = "b" }, false},
-		"at its limit": {func(w *Simulator, _ *fakeWorker) { w.Checker.quotas["t0"] = [2]int64{3000, 0} }, false},
+		"other zone":   {func(sim *Simulator, _ *fakeWorker) { sim.Checker.jobs["wk-000001"].spec.Zone = "b" }, false},
+		"at its limit": {func(sim *Simulator, _ *fakeWorker) { sim.Checker.quotas["t0"] = [2]int64{3000, 0} }, false},
 		"it hangs":     {func(_ *Simulator, m *fakeWorker) { m.hangFor(200 * time.Second) }, false},
-		"cancelled":    {func(w *Simulator, _ *fakeWorker) { w.Checker.CancelRequested("wk-000001") }, false},
-		"it starts": {func(w *Simulator, m *fakeWorker) {
-			w.schedule(50*time.Second, func() { w.Checker.TaskStarted(w.now, "wk-000001", 0, m.machine) })
-			w.Checker.jobs["wk-000001"].spec.Tasks = 2
+		"cancelled":    {func(sim *Simulator, _ *fakeWorker) { sim.Checker.CancelRequested("wk-000001") }, false},
+		"it starts": {func(sim *Simulator, m *fakeWorker) {
+			sim.schedule(50*time.Second, func() { sim.Checker.TaskStarted(sim.now, "wk-000001", 0, m.machine) })
+			sim.Checker.jobs["wk-000001"].spec.Tasks = 2
 		}, false},
 	} {
-		w := New(Options{Seed: 1, NoFaults: true})
-		w.events = eventqueue.Queue{} // no controller does anything
-		w.Checker.faultFreeFrom = 1
+		sim := New(Options{Seed: 1, NoFaults: true})
+		sim.events = eventqueue.Queue{} // no controller does anything
+		sim.Checker.faultFreeFrom = 1
 		worker := &fakeWorker{
-			sim:          w,
+			sim:          sim,
 			machine:      wire.Machine{Name: "m1", Type: "small", Zone: "a"},
 			up:           true,
 			fencingToken: 1,
 			tasks:        map[string]*fakeTask{},
 		}
-		w.cloud.machines = append(w.cloud.machines, worker)
+		sim.cloud.machines = append(sim.cloud.machines, worker)
 		for _, id := range []string{"wk-000001", "wk-000002"} {
-			w.Checker.JobSubmitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
+			sim.Checker.JobSubmitted(wire.JobSpec{ID: id, Team: "t0", Tasks: 1, Request: [3]int64{4000, 0, 0}})
 		}
-		w.Checker.CheckResponse(0, 0, "submit", "wk-000001", wire.StatusCreated, wire.StageQueued)
-		test.change(w, worker)
-		w.schedule(time.Second, w.checkStarvation)
+		sim.Checker.CheckResponse(0, 0, "submit", "wk-000001", wire.StatusCreated, wire.StageQueued)
+		test.change(sim, worker)
+		sim.schedule(time.Second, sim.checkStarvation)
 		const end = 120 * time.Second
-		for at, run, ok := w.events.PopUntil(end); ok; at, run, ok = w.events.PopUntil(end) {
-			w.now = at
+		for at, run, ok := sim.events.PopUntil(end); ok; at, run, ok = sim.events.PopUntil(end) {
+			sim.now = at
 			run()
 		}
-		if w.Checker.firstViolation("left_waiting") != test.fires || len(w.Checker.Violations) > 0 && !test.fires {
-			t.Errorf("%s: violations are %v", name, w.Checker.Violations)
+		if sim.Checker.firstViolationIs("left_waiting") != test.fires ||
+			len(sim.Checker.Violations) > 0 && !test.fires {
+			t.Errorf("%s: violations are %v", name, sim.Checker.Violations)
 		}
 	}
 }
 
-// Each service-level objective of the operators must be violated by a wrong step.
+// For each service-level objective of the operators, the checker must report a step that violates it.
 func TestServiceLevelCheckerDetectsViolations(t *testing.T) {
-	for rule, step := range map[string]func(k *Checker){
-		"forgotten": func(k *Checker) {
+	for rule, step := range map[string]func(checker *Checker){
+		"forgotten": func(checker *Checker) {
 			for at := 110 * time.Second; at < 200*time.Second; at += 5 * time.Second {
-				k.CheckResponsive(at, at+2*time.Second, "wk-000001", wire.StatusUnavailable)
-				k.CheckResponsive(at, at+2*time.Second, "wk-000002", wire.StatusOK) // others fare well
+				checker.CheckResponsive(at, at+2*time.Second, "wk-000001", wire.StatusUnavailable)
+				checker.CheckResponsive(at, at+2*time.Second, "wk-000002", wire.StatusOK) // other jobs are answered
 			}
 		},
-		"unserved": func(k *Checker) { k.Finish(200 * time.Second) },
-		"late_largest": func(k *Checker) {
-			k.jobs["wk-000001"].startedAt = 300 * time.Second
-			k.jobs["wk-000002"].startedAt = 1
-			k.Finish(400 * time.Second)
+		"unserved": func(checker *Checker) { checker.Finish(200 * time.Second) },
+		"late_largest": func(checker *Checker) {
+			checker.jobs["wk-000001"].startedAt = 300 * time.Second
+			checker.jobs["wk-000002"].startedAt = 1
+			checker.Finish(400 * time.Second)
 		},
 	} {
-		k := NewChecker(defaultCancelTimeout, nil)
-		k.faultFreeFrom, k.Starts = 100*time.Second, 1
+		checker := NewChecker(defaultCancelTimeout, nil)
+		checker.faultFreeFrom, checker.Starts = 100*time.Second, 1
 		for i, id := range []string{"wk-000001", "wk-000002"} {
-			k.JobSubmitted(wire.JobSpec{ID: id, Class: "c", Team: "t0", Tasks: 3 - i})
-			k.CheckResponse(time.Second, time.Second, "submit", id, wire.StatusCreated, wire.StageQueued)
+			checker.JobSubmitted(wire.JobSpec{ID: id, Class: "c", Team: "t0", Tasks: 3 - i})
+			checker.CheckResponse(time.Second, time.Second, "submit", id, wire.StatusCreated, wire.StageQueued)
 		}
-		step(k)
-		if !k.firstViolation(rule) {
-			t.Errorf("%s: violations are %v", rule, k.Violations)
+		step(checker)
+		if !checker.firstViolationIs(rule) {
+			t.Errorf("%s: violations are %v", rule, checker.Violations)
 		}
 	}
 }
 
-// The previous version is replaced process by process under faults; then the limits of the store are lowered, and
-// users submit pipelines.
+// The previous version is replaced process by process under faults; then the limits of the store are lowered, and users
+// submit pipelines.
 func TestInvariantsHoldThroughRollingUpgrade(t *testing.T) {
 	for seed := uint64(1); seed <= 24; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
 			o := Options{Seed: seed, Duration: 240 * time.Second, Jobs: 20, RollingUpgrade: true, Pipelines: 8}
-			if seed%8 == 0 { // jobs that outgrow a value under the announced limits
+			if seed%8 == 0 { // jobs whose records exceed a value under the announced limits
 				o.MaxMachines, o.MaxTasksPerJob, o.Jobs = 300, 400, 40
 			}
-			w := runSimulation(t, o)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			sim := runSimulation(t, o)
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
 
-// Ended jobs move to the archive as soon as they can, and are polled, submitted again, cancelled and depended on
-// all the time, under faults and through upgrades.
+// Ended jobs move to the archive as soon as possible, while users poll, resubmit, cancel and depend on them, under
+// faults and through upgrades.
 func TestInvariantsHoldWithArchive(t *testing.T) {
 	var moved atomic.Int64
 	t.Cleanup(func() {
@@ -487,21 +493,21 @@
 				NoFaults:       seed%10 == 0,
 				RollingUpgrade: seed%3 == 0,
 			}
-			w := runSimulation(t, o)
-			archived := len(w.store.archivedJobs())
+			sim := runSimulation(t, o)
+			archived := len(sim.store.archivedJobs())
 			moved.Add(int64(archived))
-			t.Logf("%d starts, %d archived, %v", w.Checker.Starts, archived, w.Checker.stageCounts())
+			t.Logf("%d starts, %d archived, %v", sim.Checker.Starts, archived, sim.Checker.stageCounts())
 		})
 	}
 }
 
-// Permissions are granted and revoked under faults: no request is authorized after a revocation was acknowledged,
-// at any controller, even if it is partitioned, late or restarted; and none that is permitted is denied.
+// Permissions are granted and revoked under faults: no request may be authorized after the acknowledgement of a
+// revocation, at any controller, even if it is partitioned, late or restarted, and no permitted request may be denied.
 func TestInvariantsHoldWithPermissions(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{
 					Seed:           seed,
@@ -514,22 +520,22 @@
 					NoFaults:       seed%10 == 0,
 				},
 			)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
 
-// The audit log is complete under faults: no change without its entry, no entry without its change, none lost or
-// written twice, no block written again.
+// The audit log must be complete under faults: no change without its entry, no entry without its change, no entry lost
+// or written twice, and no block written twice.
 func TestInvariantsHoldWithAuditLog(t *testing.T) {
-	seeds := []uint64{191} // found a block of a former process that was written after its entries were read
+	seeds := []uint64{191} // regression: an earlier process wrote a block after its entries were read
 	for seed := uint64(1); seed <= 20; seed++ {
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{
 					Seed:           seed,
@@ -543,34 +549,40 @@
 					NoFaults:       seed%10 == 0,
 				},
 			)
-			if w.auditChecker.verbCounts["submit"] == 0 || w.auditChecker.verbCounts["administer"] == 0 {
-				t.Errorf("entries %v", w.auditChecker.verbCounts)
+			if sim.auditChecker.verbCounts["submit"] == 0 || sim.auditChecker.verbCounts["administer"] == 0 {
+				t.Errorf("the audit log has entries %v", sim.auditChecker.verbCounts)
 			}
-			t.Logf("%d starts, %v, entries %v", w.Checker.Starts, w.Checker.stageCounts(), w.auditChecker.verbCounts)
+			t.Logf(
+				"%d starts, %v, entries %v",
+				sim.Checker.Starts,
+				sim.Checker.stageCounts(),
+				sim.auditChecker.verbCounts,
+			)
 		})
 	}
 }
 
-// Pipelines of all shapes, with cancellations at any time.
+// Users submit pipelines of all shapes, and cancel their jobs at any time.
 func TestInvariantsHoldForPipelines(t *testing.T) {
 	for seed := uint64(1); seed <= 16; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{Seed: seed, Duration: 240 * time.Second, Jobs: 5, Pipelines: 12, NoFaults: seed%5 == 0},
 			)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
 
-// Five controllers, and jobs and machines enough to cross the limits of a value and of a transaction, under faults.
+// Five controllers run under faults, with enough jobs and machines to exceed the limits of a value and of a
+// transaction.
 func TestInvariantsHoldInLargeClusters(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			w := runSimulation(
+			sim := runSimulation(
 				t,
 				Options{
 					Seed:           seed,
@@ -581,97 +593,100 @@
 					MaxTasksPerJob: 400,
 				},
 			)
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
 
-// The same seed must give the same run, or a failing seed could not be investigated.
+// The same seed must give the same run; otherwise a failing seed could not be investigated.
 func TestSimulationIsDeterministic(t *testing.T) {
 	run := func() string {
 		var trace strings.Builder
-		w := New(Options{Seed: 5, Duration: 120 * time.Second, Jobs: 20})
-		w.Trace = func(f string, a ...any) { fmt.Fprintf(&trace, f+"\n", a...) }
-		w.Run()
-		return fmt.Sprint(trace.String(), w.Checker.Starts, w.store.revision)
+		sim := New(Options{Seed: 5, Duration: 120 * time.Second, Jobs: 20})
+		sim.Trace = func(f string, a ...any) { fmt.Fprintf(&trace, f+"\n", a...) }
+		sim.Run()
+		return fmt.Sprint(trace.String(), sim.Checker.Starts, sim.store.revision)
 	}
 	if a, b := run(), run(); a != b {
 		t.Fatal("two runs of one seed differ")
 	}
 }
 
-// Each rule of the checker must be violated by a wrong step.
+// For each rule of the checker, it must report a step that violates the rule.
 func TestCheckerDetectsEveryViolation(t *testing.T) {
 	m1 := wire.Machine{Name: "m1", Type: "big", Zone: "a"}
 	m2 := wire.Machine{Name: "m2", Type: "big", Zone: "b"}
 	m3 := wire.Machine{Name: "m3", Type: "big", Zone: "a", Spot: true}
 	spec := wire.JobSpec{ID: "wk-1", Team: "t", Tasks: 2, Request: [3]int64{1000, 0, 0}}
 	after := wire.JobSpec{ID: "wk-2", Team: "t", Tasks: 1, Dependencies: []string{"wk-1"}}
-	for rule, step := range map[string]func(k *Checker){
-		"ran_twice": func(k *Checker) { k.TaskStarted(0, "wk-1", 0, m1); k.TaskStarted(0, "wk-1", 0, m2) },
-		"quota": func(k *Checker) {
-			k.quotas["t"] = [2]int64{1500, 0}
-			k.TaskStarted(0, "wk-1", 0, m1)
-			k.TaskStarted(0, "wk-1", 1, m1)
+	for rule, step := range map[string]func(checker *Checker){
+		"ran_twice": func(checker *Checker) {
+			checker.TaskStarted(0, "wk-1", 0, m1)
+			checker.TaskStarted(0, "wk-1", 0, m2)
+		},
+		"quota": func(checker *Checker) {
+			checker.quotas["t"] = [2]int64{1500, 0}
+			checker.TaskStarted(0, "wk-1", 0, m1)
+			checker.TaskStarted(0, "wk-1", 1, m1)
 		},
-		"wrong_place": func(k *Checker) { k.TaskStarted(0, "wk-1", 0, m3) },
-		"ran_cancelled": func(k *Checker) {
-			k.TaskStarted(0, "wk-1", 0, m1)
-			k.CancelRequested("wk-1")
-			k.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
-			k.Tick(11 * time.Second)
+		"wrong_place": func(checker *Checker) { checker.TaskStarted(0, "wk-1", 0, m3) },
+		"ran_cancelled": func(checker *Checker) {
+			checker.TaskStarted(0, "wk-1", 0, m1)
+			checker.CancelRequested("wk-1")
+			checker.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
+			checker.Tick(11 * time.Second)
 		},
-		"forgotten": func(k *Checker) {
-			k.CheckResponse(0, 0, "submit", "wk-1", wire.StatusCreated, "queued")
-			k.CheckResponse(0, 0, "poll", "wk-1", wire.StatusNotFound, "")
+		"forgotten": func(checker *Checker) {
+			checker.CheckResponse(0, 0, "submit", "wk-1", wire.StatusCreated, "queued")
+			checker.CheckResponse(0, 0, "poll", "wk-1", wire.StatusNotFound, "")
 		},
-		"invented": func(k *Checker) { k.CheckResponse(0, 0, "poll", "wk-2", wire.StatusOK, "queued") },
-		"not_done": func(k *Checker) {
-			k.TaskCompleted("wk-1", 0)
-			k.CheckResponse(0, 0, "poll", "wk-1", wire.StatusOK, "done")
+		"invented": func(checker *Checker) { checker.CheckResponse(0, 0, "poll", "wk-2", wire.StatusOK, "queued") },
+		"not_done": func(checker *Checker) {
+			checker.TaskCompleted("wk-1", 0)
+			checker.CheckResponse(0, 0, "poll", "wk-1", wire.StatusOK, "done")
 		},
-		"went_back": func(k *Checker) {
-			k.CancelRequested("wk-1")
-			k.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
-			k.CheckResponse(1, 2, "poll", "wk-1", wire.StatusOK, "queued")
+		"went_back": func(checker *Checker) {
+			checker.CancelRequested("wk-1")
+			checker.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
+			checker.CheckResponse(1, 2, "poll", "wk-1", wire.StatusOK, "queued")
 		},
-		"let_in": func(k *Checker) {
-			k.PermissionChanging("u")
-			k.CheckAuthorized(1, "u", "poll", "wk-1") // it may not be revoked yet
-			k.PermissionChanged(2, "u", false)
-			k.CheckAuthorized(1, "u", "poll", "wk-1") // asked for before
-			k.CheckAuthorized(3, "u", "poll", "wk-1")
+		"let_in": func(checker *Checker) {
+			checker.PermissionChanging("u")
+			checker.CheckAuthorized(1, "u", "poll", "wk-1") // it may not be revoked yet
+			checker.PermissionChanged(2, "u", false)
+			checker.CheckAuthorized(1, "u", "poll", "wk-1") // sent before the revocation
+			checker.CheckAuthorized(3, "u", "poll", "wk-1")
 		},
-		"nothing_ran": func(k *Checker) { k.Finish(0) },
-		"unfit": func(k *Checker) {
-			k.CheckRejected("wk-3", wire.StatusInvalid, wire.StatusInvalid)
-			k.CheckRejected("wk-3", wire.StatusUnavailable, wire.StatusInvalid)
-			k.CheckRejected("wk-3", wire.StatusBadRequest, wire.StatusInvalid)
+		"nothing_ran": func(checker *Checker) { checker.Finish(0) },
+		"unfit": func(checker *Checker) {
+			checker.CheckRejected("wk-3", wire.StatusInvalid, wire.StatusInvalid)
+			checker.CheckRejected("wk-3", wire.StatusUnavailable, wire.StatusInvalid)
+			checker.CheckRejected("wk-3", wire.StatusBadRequest, wire.StatusInvalid)
 		},
-		"too_early": func(k *Checker) {
-			k.JobSubmitted(after)
-			k.TaskCompleted("wk-1", 0)
-			k.TaskStarted(0, "wk-2", 0, m1)
+		"too_early": func(checker *Checker) {
+			checker.JobSubmitted(after)
+			checker.TaskCompleted("wk-1", 0)
+			checker.TaskStarted(0, "wk-2", 0, m1)
 		},
-		"orphaned": func(k *Checker) {
-			k.JobSubmitted(after)
-			k.CheckResponse(0, 0, "submit", "wk-2", wire.StatusCreated, "queued")
-			k.CancelRequested("wk-1")
-			k.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
-			k.CheckResponse(11*time.Second, 11*time.Second, "poll", "wk-2", wire.StatusOK, "queued")
+		"orphaned": func(checker *Checker) {
+			checker.JobSubmitted(after)
+			checker.CheckResponse(0, 0, "submit", "wk-2", wire.StatusCreated, "queued")
+			checker.CancelRequested("wk-1")
+			checker.CheckResponse(0, 0, "cancel", "wk-1", wire.StatusOK, "cancelled")
+			checker.CheckResponse(11*time.Second, 11*time.Second, "poll", "wk-2", wire.StatusOK, "queued")
 		},
 	} {
-		k := NewChecker(10*time.Second, map[string][2]int64{})
-		k.JobSubmitted(spec)
-		step(k)
-		if len(k.Violations) == 0 || !strings.HasPrefix(k.Violations[0], rule) {
-			t.Errorf("%s was not caught: %v", rule, k.Violations)
+		checker := NewChecker(10*time.Second, map[string][2]int64{})
+		checker.JobSubmitted(spec)
+		step(checker)
+		if len(checker.Violations) == 0 || !strings.HasPrefix(checker.Violations[0], rule) {
+			t.Errorf("the violation of %s was not reported: %v", rule, checker.Violations)
 		}
 	}
 }
 
-// The audit checker must report a change without its entry, an entry without its change, one that is dropped,
-// written twice or lost, and a block that is written again.
+// The audit checker must report a change without its entry, an entry without its change, an entry that is dropped,
+// written twice or lost, and a block that is written twice.
 func TestAuditCheckerDetectsViolations(t *testing.T) {
 	const job, shard, who = core.Root + "job/wk-1", core.Root + "shard/00", core.Root + "access/who/u"
 	entry := func(key, verb, by string, count uint64) audit.PendingEntry {
@@ -682,7 +697,7 @@
 		)
 	}
 	value := func(stage string, list ...audit.PendingEntry) json.RawMessage {
-		raw, err := json.Marshal(entryCarrier{Carried: list, Stage: stage, User: "u"})
+		raw, err := json.Marshal(auditedValue{Entries: list, Stage: stage, User: "u"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -722,7 +737,7 @@
 		"a block again":          {{good}, {block(1, s1)}, {block(1, s1)}},
 		"a block deleted":        {{good}, {block(1, s1)}, {wire.Write{Delete: audit.BlockKey("n0", 1)}}},
 	} {
-		for _, broken := range []bool{false, true} { // all but the last transaction must be good
+		for _, broken := range []bool{false, true} { // all but the last transaction must be valid
 			checker := NewChecker(time.Second, nil)
 			auditor := newAuditChecker(checker, func() time.Duration { return 0 })
 			keys := map[string]*wire.KeyValue{core.Root + "audit/begun": {}}
@@ -736,17 +751,17 @@
 					keys[write.Put] = &wire.KeyValue{Value: write.Value}
 				}
 			}
-			if (len(checker.Violations) > 0) != broken || broken && !checker.firstViolation("unrecorded") {
+			if (len(checker.Violations) > 0) != broken || broken && !checker.firstViolationIs("unrecorded") {
 				t.Errorf("%s (%v): %v", name, broken, checker.Violations)
 			}
 		}
 	}
 	checker := NewChecker(time.Second, nil)
 	auditor := newAuditChecker(checker, func() time.Duration { return time.Hour })
-	auditor.carriedAt[entryID{"n0", 1, 1}] = 0
+	auditor.storedAt[entryID{"n0", 1, 1}] = 0
 	auditor.Finish(map[string]*wire.KeyValue{job: {Value: good.Value}})
 	if len(checker.Violations) != 1 {
-		t.Errorf("an entry that is carried for ever: %v", checker.Violations)
+		t.Errorf("want one violation for an entry that stays pending, got %v", checker.Violations)
 	}
 }
 
@@ -754,27 +769,27 @@
 	m1 := wire.Machine{Name: "m1", Type: "big", Zone: "a"}
 	m2 := wire.Machine{Name: "m2", Type: "big", Zone: "b"}
 	for _, s := range []wire.JobSpec{{ID: "wk-1", Tasks: 2, Spread: true}, {ID: "wk-1", Tasks: 2, OneZone: true}} {
-		k := NewChecker(time.Second, nil)
-		k.JobSubmitted(s)
-		k.TaskStarted(0, "wk-1", 0, m1)
+		checker := NewChecker(time.Second, nil)
+		checker.JobSubmitted(s)
+		checker.TaskStarted(0, "wk-1", 0, m1)
 		other := m2
 		if s.Spread {
 			other = m1
 		}
-		k.TaskStarted(0, "wk-1", 1, other)
-		if len(k.Violations) != 1 {
-			t.Errorf("spread %v: %v", s.Spread, k.Violations)
+		checker.TaskStarted(0, "wk-1", 1, other)
+		if len(checker.Violations) != 1 {
+			t.Errorf("spread %v: %v", s.Spread, checker.Violations)
 		}
 	}
 }
 
-// Small jobs share stored values, under faults of all kinds and through upgrades: late writes, partitions,
+// Small jobs share stored values, under faults of all kinds and through upgrades, with late writes, partitions, and
 // cancellations by controllers that do not own the shard.
 func TestInvariantsHoldWithBatchValues(t *testing.T) {
-	var slots atomic.Int64
+	var batchValueWrites atomic.Int64
 	t.Cleanup(func() {
-		if slots.Load() < 500 {
-			t.Errorf("%d slots were written in all simulations", slots.Load())
+		if batchValueWrites.Load() < 500 {
+			t.Errorf("%d shared values were written in all simulations", batchValueWrites.Load())
 		}
 	})
 	for seed := uint64(1); seed <= 24; seed++ {
@@ -797,16 +812,16 @@
 				options.Duration, options.Jobs, options.Pipelines = 120*time.Second, 60, 0
 				options.Controllers, options.MaxMachines, options.MaxTasksPerJob = 5, 300, 400
 			}
-			w := runObserved(t, options, func(_ string, output core.Output) {
+			sim := runObserved(t, options, func(_ string, output core.Output) {
 				if commit, ok := output.(core.CommitTxn); ok {
 					for _, write := range commit.Txn.Then {
 						if strings.HasPrefix(write.Put, core.Root+"over/") {
-							slots.Add(1)
+							batchValueWrites.Add(1)
 						}
 					}
 				}
 			})
-			t.Logf("%d starts, %v", w.Checker.Starts, w.Checker.stageCounts())
+			t.Logf("%d starts, %v", sim.Checker.Starts, sim.Checker.stageCounts())
 		})
 	}
 }
