--- a/api/routes.go
+++ b/api/routes.go
@@ -77,7 +77,7 @@
 }
 
 func (s *Server) readAudit(c fiber.Ctx, caller core.Credential) error {
-	in := core.ReadAudit{Caller: caller, Node: strings.Clone(c.Query("node"))}
+	in := core.ReadAudit{Caller: caller, Controller: strings.Clone(c.Query("node"))}
 	if after := c.Query("after"); after != "" {
 		var err error
 		if in.AfterBlock, err = strconv.ParseUint(after, 10, 64); err != nil {
--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -451,8 +451,8 @@
 	total := uint64(0)
 	for _, head := range heads {
 		known := map[uint64][]byte{} // MACs by block number, from sources other than the chain
-		if head.Code != nil {
-			known[head.BlockNumber] = head.Code
+		if head.MAC != nil {
+			known[head.BlockNumber] = head.MAC
 		}
 		if end, ok := previousEnds[head.Node]; ok {
 			known[end.Number] = end.MAC
--- a/core/audit.go
+++ b/core/audit.go
@@ -205,8 +205,8 @@
 		return
 	}
 	object := "audit"
-	if in.Node != "" {
-		object = "audit of " + in.Node
+	if in.Controller != "" {
+		object = "audit of " + in.Controller
 	}
 	c.replica.afterUrgentReadBarrier(c.ifAuthorized(in.RequestID, in.Caller, pb.Verb_audit, object, func() {
 		c.auditLog.current().RecordRead(in.Caller.Identity, "audit", object, func(ok bool) {
@@ -222,13 +222,13 @@
 // respondWithAuditPage responds with a page of one controller's blocks or, if no controller is named, with the
 // heads of all chains.
 func (c *Core) respondWithAuditPage(in ReadAudit) {
-	if in.Node == "" {
+	if in.Controller == "" {
 		var out wire.AuditChainHeads
 		for _, node := range sortedKeys(c.auditLog.recorder.Heads()) {
 			head := c.auditLog.recorder.Heads()[node]
 			out.Heads = append(
 				out.Heads,
-				wire.AuditChainHead{Node: node, BlockNumber: head.BlockNumber, Code: head.MAC},
+				wire.AuditChainHead{Node: node, BlockNumber: head.BlockNumber, MAC: head.MAC},
 			)
 		}
 		c.respond(in.RequestID, wire.StatusOK, out)
@@ -239,8 +239,8 @@
 		return
 	}
 	c.reads.readPrefix(
-		audit.BlockPrefix+in.Node+"/",
-		audit.BlockKey(in.Node, in.AfterBlock),
+		audit.BlockPrefix+in.Controller+"/",
+		audit.BlockKey(in.Controller, in.AfterBlock),
 		maxAuditPageBlocks,
 		func(result RangeResult) {
 			if result.Status != wire.StatusOK {
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -181,7 +181,7 @@
 	c := newAuditingCore(t)
 	read := func(at time.Duration, caller Credential, node string) (out []Output) {
 		c.ownLease.expiresAt = at + time.Minute
-		c.Handle(at, ReadAudit{RequestID: 9, Caller: caller, Node: node})
+		c.Handle(at, ReadAudit{RequestID: 9, Caller: caller, Controller: node})
 		return append(c.Advance(at), completeBarrier(c, at+300*time.Millisecond)...)
 	}
 	if s := statusOf(t, read(2*time.Second, potter, "")); s != wire.StatusForbidden {
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -104,13 +104,13 @@
 
 // countsAsSupply reports whether a plan may expect a machine to stay and to be reachable.
 func (c *Core) countsAsSupply(m *machine) bool {
-	return !m.lifecycle.gone && m.leaderView.returnReason == "" && !m.leaderView.zoneUnreachable &&
+	return !m.lifecycle.gone && m.leaderView.scaleInReason == "" && !m.leaderView.zoneUnreachable &&
 		m.lifecycle.interruptionDeadline <= 0 && !m.health.isQuarantined(c.environment, c.jobs)
 }
 
 // isBootOverdue reports whether a machine has sent no heartbeat although it should have booted by now.
 func (a *autoscalerState) isBootOverdue(m *machine) bool {
-	age := a.now - max(m.identity.firstSeenAt, m.leaderView.rentedAt)
+	age := a.now - max(m.identity.firstSeenAt, m.leaderView.provisionedAt)
 	return age > scaleDuration(a.nominalBootTime(m.identity.machineType), bootOverdueFactor)+bootOverdueSlack
 }
 
@@ -220,14 +220,14 @@
 		l.pushRequested = true
 	}
 	if view.cordonedAt != 0 && l.now-view.cordonedAt > cordonDuration {
-		l.autoscaler.markForReturn(machine, "idle")
+		l.autoscaler.markForScaleIn(machine, "idle")
 	}
 }
 
 // isOldEnoughForScaleIn reports whether a machine's age exceeds minAgeForScaleIn, by the time at which it
 // was first seen or by the time at which the cloud started it.
 func (m *machine) isOldEnoughForScaleIn(now time.Duration) bool {
-	rentedAt := m.leaderView.rentedAt
+	rentedAt := m.leaderView.provisionedAt
 	return now-max(m.identity.firstSeenAt, rentedAt) > minAgeForScaleIn ||
 		rentedAt != 0 && now-rentedAt > minAgeForScaleIn
 }
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -170,7 +170,7 @@
 		if j.cancellation.markerRevision == 0 {
 			continue
 		}
-		marker := cancelMarker{CancelMS: j.cancellation.markerMS, Carried: j.cancellation.markerAudit}
+		marker := cancelMarker{CancelMS: j.cancellation.markerMS, PendingAudit: j.cancellation.markerAudit}
 		items = append(items, wire.KeyValue{
 			Key:      keyCancel + j.id,
 			Value:    marker.encode(),
--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -14,25 +14,25 @@
 // requests.
 
 const (
-	outageReturnInterval = time.Second // between two scale-in requests during a store outage
+	outageScaleInInterval = time.Second // between two scale-in requests during a store outage
 
 	// outageReturnShare is the part of the cancel timeout, from 0 to 1, after which machines that still send
 	// heartbeats are scaled in too, during a store outage.
-	outageReturnShare = 0.7
+	outageScaleInShare = 0.7
 
 	// outageReturnRankShare is the part of the cancel timeout by which each controller waits longer than the
 	// one ranked before it for a machine, so that not all send the same request.
-	outageReturnRankShare = 0.04
+	outageScaleInRankShare = 0.04
 
-	maxOutageReturns = 100 // machines per scale-in request
+	maxOutageScaleIns = 100 // machines per scale-in request
 
 	// silenceReportGrace is the time beyond the silence timeout after which an owner of tasks on a silent
 	// machine reports it to the leader.
 	silenceReportGrace = 2 * time.Second
 )
 
-// outageReturnState is the state of scaling in machines with cancelled tasks while there is no leader.
-type outageReturnState struct {
+// outageScaleInState is the state of scaling in machines with cancelled tasks while there is no leader.
+type outageScaleInState struct {
 	inFlight      bool // a request is in flight
 	nextAttemptAt time.Duration
 }
@@ -83,17 +83,17 @@
 	return time.Duration(share * float64(a.cfg.Agents.CancelTimeout))
 }
 
-// returnMachinesInOutage scales in machines on which cancelled tasks may still run while no controller can
+// scaleInDuringOutage scales in machines on which cancelled tasks may still run while no controller can
 // reach the store, so that there is no leader to do it. Otherwise an agent that hangs or is unreachable keeps
 // such tasks beyond the cancel timeout. The request needs neither a write nor ownership and may be repeated
 // by any controller; at worst, work is lost and starts again elsewhere. The next leader repeats the request
 // to obtain the proof.
-func (c *Core) returnMachinesInOutage() {
-	state := &c.outageReturn
+func (c *Core) scaleInDuringOutage() {
+	state := &c.outageScaleIn
 	if state.inFlight || c.now < state.nextAttemptAt || c.ownLease.isHeld() || !c.isStoreOutage() {
 		return
 	}
-	state.nextAttemptAt = c.now + outageReturnInterval
+	state.nextAttemptAt = c.now + outageScaleInInterval
 	names := c.overdueMachinesInOutage()
 	if len(names) == 0 {
 		return
@@ -117,7 +117,7 @@
 func (c *Core) overdueMachinesInOutage() []string {
 	overdue := map[string]bool{}
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
-		share := outageReturnShare
+		share := outageScaleInShare
 		if c.now-max(host.status.lastHeartbeatAt, c.stalls.runningSince) > c.agents.silenceTimeout() {
 			share = c.cfg.Agents.CancelScaleInShare
 		} else if _, found := host.status.tasks[attemptKey{j.index, assignment.Task, assignment.Attempt}]; !found {
@@ -125,18 +125,18 @@
 			// command may still start is handled by findRestartableCancelledTask.
 			return
 		}
-		if age > c.cancelAcks.timeoutShare(share+outageReturnRankShare*float64(c.machineRank(host))) {
+		if age > c.cancelAcks.timeoutShare(share+outageScaleInRankShare*float64(c.machineRank(host))) {
 			overdue[host.name] = true
 		}
 	})
 	names := sortedKeys(overdue)
-	return names[:min(len(names), maxOutageReturns)]
+	return names[:min(len(names), maxOutageScaleIns)]
 }
 
-// requestReturns reports to the leader the machines whose scale-in is needed as proof: those that hold
+// requestScaleIns reports to the leader the machines whose scale-in is needed as proof: those that hold
 // cancelled tasks for too long, and silent ones. A controller without a lease must not judge silence: it may
 // itself be the unreachable one, and would have machines scaled in that respond to the others.
-func (c *Core) requestReturns() {
+func (c *Core) requestScaleIns() {
 	if !c.ownLease.isHeld() {
 		return
 	}
@@ -155,11 +155,11 @@
 		return
 	}
 	if c.leaderState != nil {
-		c.leaderState.handleReturnRequest(c, overdue, silent)
+		c.leaderState.handleScaleInRequest(c, overdue, silent)
 	} else if c.leadership.leader.modRevision != 0 {
 		c.controllers.sendToPeers(
 			c.leadership.leader.Holder,
-			Message{MachinesToReturn: overdue, SilentMachines: silent},
+			Message{MachinesToScaleIn: overdue, SilentMachines: silent},
 		)
 	}
 }
@@ -174,13 +174,13 @@
 	return false
 }
 
-// handleReturnRequest scales in the machines whose tasks' owners need proof that the tasks are gone, and
+// handleScaleInRequest scales in the machines whose tasks' owners need proof that the tasks are gone, and
 // announces again those that are already gone. Reported silence alone does not cause a scale-in: the leader
 // relies on the heartbeats that it receives itself (checkMachines).
-func (l *leaderState) handleReturnRequest(c *Core, overdue, silent []string) {
+func (l *leaderState) handleScaleInRequest(c *Core, overdue, silent []string) {
 	for _, name := range overdue {
 		if target := l.findOrAnnounceGone(c, name); target != nil {
-			c.autoscaler.markForReturn(target, "holds cancelled tasks")
+			c.autoscaler.markForScaleIn(target, "holds cancelled tasks")
 		}
 	}
 	for _, name := range silent {
--- a/core/cancelmarker.go
+++ b/core/cancelmarker.go
@@ -18,8 +18,8 @@
 // the record. The record is rewritten as the job's tasks end, and the write of the final record deletes the
 // marker.
 type cancelMarker struct {
-	CancelMS int64                `json:"cm"` // wall-clock time of the cancellation
-	Carried  []audit.PendingEntry `json:"e,omitempty"`
+	CancelMS     int64                `json:"cm"` // wall-clock time of the cancellation
+	PendingAudit []audit.PendingEntry `json:"e,omitempty"`
 }
 
 // encode returns the marker's stored value.
@@ -45,7 +45,7 @@
 			wire.Compare{Key: keyJob + target.id, Revision: target.revision},
 			wire.Compare{Key: key, Revision: cancellation.markerRevision},
 		),
-		Then: []wire.Write{{Put: key, Value: cancelMarker{CancelMS: cancelledMS, Carried: pendingAudit}.encode()}},
+		Then: []wire.Write{{Put: key, Value: cancelMarker{CancelMS: cancelledMS, PendingAudit: pendingAudit}.encode()}},
 	}, &pendingTxn{onDone: func(status wire.Status, _ wire.TxnResponse) {
 		c.auditLog.current().HandleOutcome(auditEntryIDs, status)
 		target.write.inFlight = false
@@ -66,9 +66,9 @@
 		return fmt.Errorf("decode cancel marker: %w", err)
 	}
 	target := c.internJob(key[len(keyCancel):])
-	c.auditLog.current().ObserveEntries(key, revision, marker.Carried)
+	c.auditLog.current().ObserveEntries(key, revision, marker.PendingAudit)
 	target.cancellation.markerRevision = revision
-	target.cancellation.markerMS, target.cancellation.markerAudit = marker.CancelMS, marker.Carried
+	target.cancellation.markerMS, target.cancellation.markerAudit = marker.CancelMS, marker.PendingAudit
 	if target.revision != 0 && target.record.Stage == jobrecord.Queued {
 		record := *target.record
 		c.adoptRecord(target, &record, target.assignments, target.revision, target.stored.bytes)
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -112,12 +112,12 @@
 	if target.identity.address == "" {
 		target.identity.address = listed.Addr
 	}
-	if target.leaderView.rentedAt == 0 && listed.AgeS >= 0 && listed.AgeS < maxMachineAgeSeconds {
-		target.leaderView.rentedAt = c.now - time.Duration(listed.AgeS*float64(time.Second))
+	if target.leaderView.provisionedAt == 0 && listed.AgeS >= 0 && listed.AgeS < maxMachineAgeSeconds {
+		target.leaderView.provisionedAt = c.now - time.Duration(listed.AgeS*float64(time.Second))
 	}
 	if listed.Stage == wire.MachineFailed {
 		c.confirmGone(target)
-		target.leaderView.returnReason = "failed"
+		target.leaderView.scaleInReason = "failed"
 		c.leaderState.failedMachines = append(c.leaderState.failedMachines, target.name)
 	}
 }
@@ -129,12 +129,12 @@
 	}
 }
 
-// markForReturn marks a machine for scale-in, that is, its return to the cloud. The first reason is kept.
-func (a *autoscalerState) markForReturn(m *machine, reason string) {
-	if m.leaderView.returnReason != "" || m.lifecycle.gone {
+// markForScaleIn marks a machine for scale-in, that is, its return to the cloud. The first reason is kept.
+func (a *autoscalerState) markForScaleIn(m *machine, reason string) {
+	if m.leaderView.scaleInReason != "" || m.lifecycle.gone {
 		return
 	}
-	m.leaderView.returnReason = reason
+	m.leaderView.scaleInReason = reason
 	a.log(LevelInfo, "scaling in machine", "machine", m.name, "type", m.identity.machineType,
 		"zone", m.identity.zone, "spot", m.identity.spot, "why", reason,
 		"tasks", len(m.allocation.assignments),
@@ -150,39 +150,39 @@
 	c.leaderState.announceGone(m.name)
 }
 
-// returnMachines scales in the marked machines with one request at a time, and retries until the cloud
+// scaleInMachines scales in the marked machines with one request at a time, and retries until the cloud
 // confirms it. Only that confirmation proves that their tasks have ended.
-func (c *Core) returnMachines() {
+func (c *Core) scaleInMachines() {
 	l := c.leaderState
-	if l.returnInFlight {
+	if l.scaleInInFlight {
 		return
 	}
 	names := slices.Clone(l.failedMachines[:min(len(l.failedMachines), maxFailedPerScaleIn)])
-	due := c.machinesToReturn()
+	due := c.machinesToScaleIn()
 	for _, machine := range due[:min(len(due), maxScaleInMachines-len(names))] {
-		machine.lifecycle.returnRequested = true
+		machine.lifecycle.scaleInRequested = true
 		names = append(names, machine.name)
 	}
 	if len(names) == 0 {
 		return
 	}
-	l.returnInFlight = l.callCloud(CloudRequest{Op: CloudScaleIn, MachineNames: names}, func(in CloudResult) {
+	l.scaleInInFlight = l.callCloud(CloudRequest{Op: CloudScaleIn, MachineNames: names}, func(in CloudResult) {
 		if !l.ended {
-			l.returnInFlight = false
+			l.scaleInInFlight = false
 		}
 		if in.Status == wire.StatusOK {
-			c.confirmReturned(l, names)
+			c.confirmScaleIn(l, names)
 		}
 	})
 }
 
-// machinesToReturn returns the machines marked for scale-in, those with services first: replacement
+// machinesToScaleIn returns the machines marked for scale-in, those with services first: replacement
 // replicas wait for the proof that these machines are gone, and a lost zone has many machines.
-func (c *Core) machinesToReturn() []*machine {
+func (c *Core) machinesToScaleIn() []*machine {
 	var due, later []*machine
 	for _, machine := range c.aliveMachines {
 		switch {
-		case machine.lifecycle.gone || machine.leaderView.returnReason == "":
+		case machine.lifecycle.gone || machine.leaderView.scaleInReason == "":
 		case c.busyHorizon(machine) < unboundedHorizon:
 			later = append(later, machine)
 		default:
@@ -192,9 +192,9 @@
 	return append(due, later...)
 }
 
-// confirmReturned records that returned machines are gone. It announces them if the term in which they
+// confirmScaleIn records that returned machines are gone. It announces them if the term in which they
 // were returned has not ended.
-func (c *Core) confirmReturned(term *leaderState, names []string) {
+func (c *Core) confirmScaleIn(term *leaderState, names []string) {
 	if term.ended {
 		for _, name := range names {
 			c.markMachineGone(c.internMachine(name))
@@ -249,7 +249,7 @@
 		for _, name := range in.MachineNames {
 			started := l.machines.internMachine(name)
 			started.identity.setNodeGroup(group)
-			started.leaderView.rentedAt = l.now
+			started.leaderView.provisionedAt = l.now
 		}
 	case in.Status == wire.StatusUnavailable && in.Error == noCapacity, in.Status == wire.StatusBadRequest:
 		delete(l.scaleOutRequests, request.IdempotencyKey)
--- a/core/config.go
+++ b/core/config.go
@@ -193,8 +193,8 @@
 	// MinEndBatchDelay and MaxEndBatchDelay bound how long ended tasks wait so that one write records
 	// several; within the bounds the delay grows with the number of running jobs. 0 for both: they do not
 	// wait.
-	MinEndBatchDelay time.Duration
-	MaxEndBatchDelay time.Duration
+	MinCompletionBatchDelay time.Duration
+	MaxCompletionBatchDelay time.Duration
 
 	// PreemptionRetryInterval is the minimum time between two preemptions for the same job. 0: none.
 	PreemptionRetryInterval time.Duration
--- a/core/core.go
+++ b/core/core.go
@@ -45,10 +45,10 @@
 	deltaLog    deltaLog
 
 	// Agents and machines.
-	agents       agentLiveness
-	commands     commandDispatch
-	autoscaler   autoscalerState
-	outageReturn outageReturnState
+	agents        agentLiveness
+	commands      commandDispatch
+	autoscaler    autoscalerState
+	outageScaleIn outageScaleInState
 
 	// Scheduling.
 	priority   priorityState
@@ -127,7 +127,7 @@
 	c.transactions.inFlight = map[uint64]*pendingTxn{}
 	c.transactions.limits.environment = c.environment
 	c.transactions.rateLimit = ratelimit.New(c.now)
-	c.transactions.endBatchDelay = c.cfg.Scheduling.MinEndBatchDelay
+	c.transactions.completionBatchDelay = c.cfg.Scheduling.MinCompletionBatchDelay
 	c.replica = storeReplica{
 		environment: c.environment,
 		health:      &c.storeHealth,
@@ -324,7 +324,7 @@
 		c.advanceArchiveSweep()
 		c.runLeader()
 		c.evictInterrupted()
-		c.returnMachinesInOutage()
+		c.scaleInDuringOutage()
 		c.dispatchCommands()
 		c.broadcastUpdates()
 	}
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -57,7 +57,7 @@
 		Scheduling: SchedulingConfig{
 			CandidateRatio:          2,
 			PreemptionRetryInterval: 4 * time.Second,
-			MaxEndBatchDelay:        2 * time.Second,
+			MaxCompletionBatchDelay: 2 * time.Second,
 			SubmitWriteTimeout:      1500 * time.Millisecond,
 			FullScanInterval:        20 * time.Second,
 		},
@@ -517,12 +517,12 @@
 		4*time.Second,
 		PeerMessage{
 			Peer:    "n2",
-			Message: Message{RelayTo: "n1", RelayedFrom: "n2", MachinesToReturn: []string{"m-9"}},
+			Message: Message{RelayTo: "n1", RelayedFrom: "n2", MachinesToScaleIn: []string{"m-9"}},
 		},
 	)
 	delivered := false
 	for _, o := range outputsOfType[SendToPeer](c.Advance(4 * time.Second)) {
-		delivered = delivered || o.Peer == "n1" && len(o.Message.MachinesToReturn) == 1
+		delivered = delivered || o.Peer == "n1" && len(o.Message.MachinesToScaleIn) == 1
 	}
 	if !delivered {
 		t.Error("a message for n1 was not relayed")
@@ -684,11 +684,11 @@
 }
 
 // With a heartbeat interval of 6 s, a healthy machine may be silent for 7.5 s. It was released after 6.5 s.
-func TestMachineWithinSilenceTimeoutIsNotReturned(t *testing.T) {
+func TestMachineWithinSilenceTimeoutIsNotScaledIn(t *testing.T) {
 	c := newLeadingCore(t)
 	c.cfg.Agents.HeartbeatInterval = 6 * time.Second
 	m := c.internMachine("m-1")
-	m.leaderView.rentedAt = time.Second
+	m.leaderView.provisionedAt = time.Second
 	for at := 1 * time.Second; at < 30*time.Second; at += 7500 * time.Millisecond {
 		c.Handle(
 			at,
@@ -701,13 +701,13 @@
 			},
 		)
 		runFor(c, at, at+7500*time.Millisecond)
-		if m.leaderView.returnReason != "" {
-			t.Fatalf("to be released at %v as %s", c.now, m.leaderView.returnReason)
+		if m.leaderView.scaleInReason != "" {
+			t.Fatalf("to be released at %v as %s", c.now, m.leaderView.scaleInReason)
 		}
 	}
 	runFor(c, 31*time.Second, 45*time.Second)
-	if m.leaderView.returnReason != "silent" {
-		t.Errorf("a machine without further heartbeats is to be released as %q, want silent", m.leaderView.returnReason)
+	if m.leaderView.scaleInReason != "silent" {
+		t.Errorf("a machine without further heartbeats is to be released as %q, want silent", m.leaderView.scaleInReason)
 	}
 }
 
@@ -727,7 +727,7 @@
 
 // A machine must not be released for a cancelled task that has stopped. Machines were released for tasks that had
 // stopped long before, because the writes of their ends waited for the write budget.
-func TestStoppedTaskDoesNotReturnItsMachine(t *testing.T) {
+func TestStoppedTaskDoesNotCauseScaleIn(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
 		c := newLeadingCore(t)
 		c.Handle(time.Second, testSubmission("wk-1"))
@@ -749,7 +749,7 @@
 // Replacements of an unreachable zone must be provisioned before its machines are released. All machines of a
 // partitioned zone were released after a few seconds, although their tasks were still running and no other machines
 // were ready for them.
-func TestUnreachableZoneIsReplacedBeforeItIsReturned(t *testing.T) {
+func TestUnreachableZoneIsReplacedBeforeScaleIn(t *testing.T) {
 	c := newLeadingCore(t)
 	c.autoscaler.catalog["x"].Zones, c.autoscaler.catalog["x"].BootS = []string{"a", "b"}, 6
 	report := func(now time.Duration, seq uint64, zone string) {
@@ -786,14 +786,14 @@
 		if scaledOutAt == 0 && c.leaderState.scaleOutSeq > 0 {
 			scaledOutAt = now
 		}
-		if releasedAt == 0 && lost.leaderView.returnReason != "" {
+		if releasedAt == 0 && lost.leaderView.scaleInReason != "" {
 			releasedAt = now
 		}
 	}
 	if scaledOutAt == 0 || releasedAt == 0 || releasedAt-scaledOutAt < 5*time.Second {
 		t.Errorf("scaled out at %v, machines released at %v", scaledOutAt, releasedAt)
 	}
-	if m := c.internMachine("m/2"); m.leaderView.returnReason == "silent" {
+	if m := c.internMachine("m/2"); m.leaderView.scaleInReason == "silent" {
 		t.Error("a machine of the other zone is to be released")
 	}
 }
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -28,11 +28,11 @@
 	agents      *agentLiveness
 	controllers *controllerSet
 
-	dirtyMachines       []*machine                  // machines that may need commands
-	nextEvictionCheckAt time.Duration               // when machines with an interruption notice are next checked
-	nextReturnRequestAt time.Duration               // when the leader is next asked to scale in machines
-	inFlight            map[uint64]inFlightCommands // by request ID
-	relayed             map[uint64]relayedCommands  // by the ID of this controller's request
+	dirtyMachines        []*machine                  // machines that may need commands
+	nextEvictionCheckAt  time.Duration               // when machines with an interruption notice are next checked
+	nextScaleInRequestAt time.Duration               // when the leader is next asked to scale in machines
+	inFlight             map[uint64]inFlightCommands // by request ID
+	relayed              map[uint64]relayedCommands  // by the ID of this controller's request
 }
 
 // inFlightCommands is a command request whose outcome is not known yet.
@@ -161,7 +161,7 @@
 // or a cancellation of the job is pending.
 func (p *commandPlan) addStart(j *job, key attemptKey) {
 	c := p.core
-	if p.machine.lifecycle.interruptionDeadline != 0 || p.machine.lifecycle.returnRequested || !c.ownLease.isHeld() ||
+	if p.machine.lifecycle.interruptionDeadline != 0 || p.machine.lifecycle.scaleInRequested || !c.ownLease.isHeld() ||
 		!c.cancelAcks.quorum.IsFresh(c.now) || len(j.cancellation.waiters) != 0 {
 		return
 	}
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -13,7 +13,7 @@
 
 // isSchedulable reports whether new tasks may be assigned to a machine now, regardless of their job.
 func (c *Core) isSchedulable(m *machine) bool {
-	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.returnRequested &&
+	return m.status.reported && !m.lifecycle.gone && !m.lifecycle.scaleInRequested &&
 		!m.health.isQuarantined(c.environment, c.jobs) &&
 		m.lifecycle.interruptionDeadline == 0 && m.status.incarnation > 0 && m.identity.address != "" &&
 		c.now >= m.health.avoidUntil &&
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -9,9 +9,9 @@
 	"dewlift/audit"
 )
 
-// TestStoredBytesStay guards the stored encoding of types of this package: controllers of other versions must be able
+// TestStoredFormatIsStable guards the stored encoding of types of this package: controllers of other versions must be able
 // to read what this one writes, and the reverse. Other stored types are covered by internal/golden.
-func TestStoredBytesStay(t *testing.T) {
+func TestStoredFormatIsStable(t *testing.T) {
 	carried := []audit.PendingEntry{
 		{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")},
 	}
@@ -21,7 +21,7 @@
 	}{
 		{&cancelMarker{CancelMS: 1_700_000_000_123}, `{"cm":1700000000123}`},
 		{
-			&cancelMarker{CancelMS: 1_700_000_000_123, Carried: carried},
+			&cancelMarker{CancelMS: 1_700_000_000_123, PendingAudit: carried},
 			`{"cm":1700000000123,"e":[{"a":"node-a","l":3,"q":4,"e":"ZW50cnk=","t":"dGFn"}]}`,
 		},
 		{&leasedKey{}, `{"n":"","t":0,"b":0}`},
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestStoredKeysStay guards the store keys and the schema versions of this package, which all versions of the
+// TestStoredKeysAreStable guards the store keys and the schema versions of this package, which all versions of the
 // controller share.
-func TestStoredKeysStay(t *testing.T) {
+func TestStoredKeysAreStable(t *testing.T) {
 	got := []string{
 		Root,
 		keyRegistration,
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -59,7 +59,7 @@
 	ReadAudit struct {
 		RequestID  uint64
 		Caller     Credential
-		Node       string // the controller; empty: the last entries of all controllers' logs are requested
+		Controller string // the controller; empty: the last entries of all controllers' logs are requested
 		AfterBlock uint64 // blocks with higher numbers are requested
 	}
 	// ListPermissions requests all permissions.
--- a/core/job.go
+++ b/core/job.go
@@ -40,18 +40,18 @@
 
 // jobWrite is the state of examining a job for a new record, and of the write in flight.
 type jobWrite struct {
-	inFlight         bool
-	outcomeUnknown   bool          // a read barrier is determining the outcome of the last write
-	dirty            bool          // the job must be examined
-	inOpenList       bool          // it is in jobTable.openJobs
-	openNumber       uint64        // position in the order of jobTable.openJobs
-	inExamineList    bool          // it is in jobTable.jobsToExamine
-	dirtySince       time.Duration // when it became dirty
-	nextExamineAt    time.Duration // it is not examined before, even if it is dirty
-	separateTxn      bool          // it is written in a transaction of its own, because one with other jobs was refused
-	refusals         int           // consecutive refusals, as malformed or too large, of writes of this job alone
-	refusedUntil     time.Duration // it is not written before, after a refusal
-	waitsForTaskEnds bool          // its next record only adds ends of tasks, and waits to combine more of them
+	inFlight            bool
+	outcomeUnknown      bool          // a read barrier is determining the outcome of the last write
+	dirty               bool          // the job must be examined
+	inOpenList          bool          // it is in jobTable.openJobs
+	openNumber          uint64        // position in the order of jobTable.openJobs
+	inExamineList       bool          // it is in jobTable.jobsToExamine
+	dirtySince          time.Duration // when it became dirty
+	nextExamineAt       time.Duration // it is not examined before, even if it is dirty
+	separateTxn         bool          // it is written in a transaction of its own, because one with other jobs was refused
+	refusals            int           // consecutive refusals, as malformed or too large, of writes of this job alone
+	refusedUntil        time.Duration // it is not written before, after a refusal
+	waitsForCompletions bool          // its next record only adds ends of tasks, and waits to combine more of them
 }
 
 // jobCancellation is the requests that wait for a job's cancellation, and its cancel marker: a small value in
--- a/core/leader.go
+++ b/core/leader.go
@@ -16,12 +16,12 @@
 	allocations      allocation.Tracker
 	lastDeltaAt      time.Duration          // when its last allocation delta arrived
 	rowComputedAt    time.Duration          // when its row was last computed; 0: it has none
-	rentedAt         time.Duration          // when the cloud started it, by this clock; 0: not known
+	provisionedAt    time.Duration          // when the cloud started it, by this clock; 0: not known
 	emptySince       time.Duration          // since when it has had no task; 0: it has some
 	cordonedAt       time.Duration          // when it was cordoned as idle; 0: it is not cordoned
 	offeredLast      bool                   // placement prefers all other machines, so that this one empties
 	onDemandReserved clusterstate.Resources // reserved for work that may not use spot machines
-	returnReason     string                 // why scale in must release it; empty: it need not
+	scaleInReason    string                 // why scale in must release it; empty: it need not
 	zoneUnreachable  bool                   // silent like most of its zone: its tasks are to be replaced
 }
 
@@ -56,7 +56,7 @@
 	cloudCallBudget    float64 // tokens, one for each cloud request
 	cloudCallBudgetAt  time.Duration
 	cloudBackoffUntil  time.Duration
-	returnInFlight     bool
+	scaleInInFlight    bool
 	goneMachines       []string // sent with every full push
 	newlyGone          []string // sent with the next push
 	capacityHold       *CapacityHold
@@ -140,7 +140,7 @@
 	c.endTerm()
 	c.leaderState = newLeaderState(&c.autoscaler, &c.machineTable, c.leadership.leader.FencingToken)
 	for _, machine := range c.aliveMachines {
-		machine.leaderView = leaderMachineState{rentedAt: machine.leaderView.rentedAt}
+		machine.leaderView = leaderMachineState{provisionedAt: machine.leaderView.provisionedAt}
 		c.leaderState.addRowOnFirstHeartbeat(machine, c.jobs)
 	}
 	c.log(LevelInfo, "became leader", "token", c.leaderState.fencingToken)
@@ -168,7 +168,7 @@
 		}
 	}
 	l.sendScaleOutRequests()
-	c.returnMachines()
+	c.scaleInMachines()
 }
 
 // addRowOnFirstHeartbeat computes the row of a machine that has none, once it has sent a heartbeat.
@@ -257,8 +257,8 @@
 
 // isOffered reports whether the leader permits new tasks on a machine.
 func (m *machine) isOffered() bool {
-	return m.leaderView.cordonedAt == 0 && m.leaderView.returnReason == "" &&
-		m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.returnRequested
+	return m.leaderView.cordonedAt == 0 && m.leaderView.scaleInReason == "" &&
+		m.lifecycle.interruptionDeadline == 0 && !m.lifecycle.scaleInRequested
 }
 
 // applyDeltas records a batch of allocation deltas of a controller. A repeated batch is ignored, except
--- a/core/machine.go
+++ b/core/machine.go
@@ -54,7 +54,7 @@
 type machineLifecycle struct {
 	interruptionDeadline time.Duration // when the cloud interrupts the machine; 0: there is no notice
 	gone                 bool          // the machine and all tasks on it are proven to be gone
-	returnRequested      bool          // its scale-in was requested from the cloud
+	scaleInRequested     bool          // its scale-in was requested from the cloud
 }
 
 // machineCommands is the state of the commands to one agent. At most one request is in flight at a time.
@@ -92,8 +92,8 @@
 
 // rankCache caches this controller's rank among the controllers that may place tasks on a machine.
 type rankCache struct {
-	nodesVersion uint64 // controllerSet.nodesVersion that the rank was computed for
-	rank         int    // 0 is the first
+	registrationsVersion uint64 // controllerSet.nodesVersion that the rank was computed for
+	rank                 int    // 0 is the first
 }
 
 // taskStatus is the status of a task in the last heartbeat of its machine.
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -27,10 +27,10 @@
 
 // Reasons for the scale-in of a machine, as they are logged.
 const (
-	returnBootTimeout  = "boot timeout"
-	returnInterruption = "interruption notice"
-	returnSilent       = "silent"
-	returnFaulty       = "faulty"
+	scaleInBootTimeout  = "boot timeout"
+	scaleInInterruption = "interruption notice"
+	scaleInSilent       = "silent"
+	scaleInFaulty       = "faulty"
 )
 
 // machineCounts counts the machines that have reported, and the silent ones among them.
@@ -62,7 +62,7 @@
 	check.countSilent()
 	check.findUnreachableZones()
 	for _, m := range c.aliveMachines {
-		if !m.lifecycle.gone && m.leaderView.returnReason == "" {
+		if !m.lifecycle.gone && m.leaderView.scaleInReason == "" {
 			check.checkMachine(m)
 		}
 	}
@@ -116,32 +116,32 @@
 	}
 	m.leaderView.zoneUnreachable = overdue && k.zones[m.identity.zone] != nil ||
 		m.status.reported && c.agents.isZoneSilent(m.identity.zone, replacementSilenceLimit)
-	if reason := k.returnReason(m, silence); reason != "" {
-		c.autoscaler.markForReturn(m, reason)
+	if reason := k.scaleInReason(m, silence); reason != "" {
+		c.autoscaler.markForScaleIn(m, reason)
 	} else if m.status.reported {
 		c.agents.pollOverdueAgent(m)
 	}
 }
 
-// returnReason returns why a machine without a heartbeat for the given time must be scaled in; "" if it need
+// scaleInReason returns why a machine without a heartbeat for the given time must be scaled in; "" if it need
 // not be.
-func (k *machineCheck) returnReason(m *machine, silence time.Duration) string {
+func (k *machineCheck) scaleInReason(m *machine, silence time.Duration) string {
 	c := k.core
 	deadline := m.lifecycle.interruptionDeadline
 	switch {
 	case !m.status.reported:
 		if k.bootTimedOut(m) {
-			return returnBootTimeout
+			return scaleInBootTimeout
 		}
 		return ""
 	case deadline > 0 && c.now > deadline-noticeMargin:
-		return returnInterruption
+		return scaleInInterruption
 	case m.leaderView.zoneUnreachable && k.awaitsReplacement(m, silence):
 		return ""
 	case k.isSilent(silence):
-		return returnSilent
+		return scaleInSilent
 	case c.isProvenFaulty(m):
-		return returnFaulty
+		return scaleInFaulty
 	}
 	return ""
 }
@@ -151,7 +151,7 @@
 func (k *machineCheck) bootTimedOut(m *machine) bool {
 	c := k.core
 	boot := cmp.Or(c.autoscaler.nominalBootTime(m.identity.machineType), defaultBootTime)
-	since := max(m.identity.firstSeenAt, m.leaderView.rentedAt, k.leader.leadingSince-boot)
+	since := max(m.identity.firstSeenAt, m.leaderView.provisionedAt, k.leader.leadingSince-boot)
 	return c.now-since > scaleDuration(boot, c.cfg.Autoscaling.BootTimeoutFactor)+c.cfg.Autoscaling.CloudListLag*2
 }
 
--- a/core/messages.go
+++ b/core/messages.go
@@ -23,8 +23,8 @@
 	StatePush        *StatePush        `json:"p,omitempty"`
 	ResendStatePush  bool              `json:"a,omitempty"` // the sender missed a push and needs a full one
 
-	MachinesToReturn []string `json:"s,omitempty"` // machines that the leader must release to the cloud
-	SilentMachines   []string `json:"q,omitempty"` // machines without a heartbeat at the sender
+	MachinesToScaleIn []string `json:"s,omitempty"` // machines that the leader must release to the cloud
+	SilentMachines    []string `json:"q,omitempty"` // machines without a heartbeat at the sender
 
 	QuorumRead    *QuorumRead     `json:"v,omitempty"`  // requests the cancellations that the receiver holds
 	QuorumReply   *QuorumReply    `json:"vd,omitempty"` // the reply to a QuorumRead
--- a/core/peers.go
+++ b/core/peers.go
@@ -8,8 +8,8 @@
 	"dewlift/core/membership"
 )
 
-// returnRequestInterval is the time between two requests to the leader to release machines.
-const returnRequestInterval = time.Second
+// scaleInRequestInterval is the time between two requests to the leader to release machines.
+const scaleInRequestInterval = time.Second
 
 // controllerSet holds the registrations of all controllers, the reachability of the peers, and when this
 // controller's health is next sent to them.
@@ -117,9 +117,9 @@
 		c.sendDeltas()
 		c.agents.broadcastHeartbeats(c.overload.Level().ScaleInterval(batchesPerDigest * c.cfg.State.DeltaInterval))
 	}
-	if c.now >= c.commands.nextReturnRequestAt {
-		c.commands.nextReturnRequestAt = c.now + returnRequestInterval
-		c.requestReturns()
+	if c.now >= c.commands.nextScaleInRequestAt {
+		c.commands.nextScaleInRequestAt = c.now + scaleInRequestInterval
+		c.requestScaleIns()
 	}
 }
 
@@ -228,8 +228,8 @@
 
 // handlePeerRequests handles peers' requests to the leader: to release machines, and to send a full push.
 func (l *leaderState) handlePeerRequests(c *Core, m *Message) {
-	if len(m.MachinesToReturn)+len(m.SilentMachines) > 0 {
-		l.handleReturnRequest(c, m.MachinesToReturn, m.SilentMachines)
+	if len(m.MachinesToScaleIn)+len(m.SilentMachines) > 0 {
+		l.handleScaleInRequest(c, m.MachinesToScaleIn, m.SilentMachines)
 	}
 	if m.ResendStatePush {
 		l.nextFullPushAt = c.now
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -195,7 +195,7 @@
 		return nil, retryAt
 	}
 	if due := update.batchingDeadline(); c.now < due {
-		target.write.waitsForTaskEnds = true
+		target.write.waitsForCompletions = true
 		if retryAt == 0 {
 			retryAt = due
 		}
@@ -208,7 +208,7 @@
 // newRecordUpdate starts from a copy of a job's record, so that the record in memory does not change
 // until the write is committed.
 func (c *Core) newRecordUpdate(target *job, builder *txnBuilder) recordUpdate {
-	target.write.waitsForTaskEnds = false
+	target.write.waitsForCompletions = false
 	record := *target.record
 	record.StopReasons = slices.Clone(target.record.StopReasons)
 	if c.schema.active >= schemaPriorityClasses {
@@ -398,7 +398,7 @@
 	if u.urgent || u.builder.slotDrafts[slotNumber(u.job.id, u.job.record)] != nil {
 		return 0
 	}
-	return u.job.write.dirtySince + u.core.transactions.endBatchDelay
+	return u.job.write.dirtySince + u.core.transactions.completionBatchDelay
 }
 
 // keepPermissionFields keeps the fields that read permissions depend on in the record of an ended job.
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -28,7 +28,7 @@
 	quarantineJobThreshold = 3
 	// returnHealthyJobThreshold is the number of these jobs, healthy elsewhere, that proves the machine
 	// faulty.
-	returnHealthyJobThreshold = 2
+	faultyMachineJobThreshold = 2
 	// avoidFailedMachineFor is how long a job avoids a machine where it failed. It is bounded because there
 	// may be no other machine.
 	avoidFailedMachineFor = 30 * time.Second
@@ -127,7 +127,7 @@
 			healthy++
 		}
 	}
-	return healthy >= returnHealthyJobThreshold
+	return healthy >= faultyMachineJobThreshold
 }
 
 // isHealthyJob reports whether tasks of a job have completed or keep running.
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -58,7 +58,7 @@
 // Three jobs fail on each of three machines. The machine whose jobs fail everywhere must stay in use. The
 // machine whose jobs are healthy elsewhere must be scaled in. The machine with jobs of which nothing is known
 // must be tried again after quarantineDuration.
-func TestOnlyMachinesFailingHealthyJobsAreReturned(t *testing.T) {
+func TestOnlyMachinesFailingHealthyJobsAreScaledIn(t *testing.T) {
 	c := newLeadingCore(t)
 	for i, kind := range []string{"failing everywhere", "healthy", "unknown"} {
 		m := c.internMachine(fmt.Sprint("m-", i))
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -130,8 +130,8 @@
 	if !booking.ValidID(reservation.ID) {
 		return 0, errors.New("id: letters, digits, dots, dashes and underscores, at most 64")
 	}
-	if !wire.ValidTeam(reservation.Team) {
-		return 0, errors.New("team: " + wire.TeamLimit())
+	if !wire.ValidTeamName(reservation.Team) {
+		return 0, errors.New("team: " + wire.TeamNameLimit())
 	}
 	rank, ok := wire.Priority(cmp.Or(reservation.Priority, wire.PriorityName(wire.PriorityStandard)))
 	if !ok {
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -66,7 +66,7 @@
 	if len(due) == 0 || !c.ownLease.isHeld() || !c.placement.mayWriteNow(due, inFlight, &c.teams) {
 		return
 	}
-	c.updateEndBatchDelay()
+	c.updateCompletionBatchDelay()
 	c.sortByWriteOrder(due)
 	c.commitJobs(c.enforceStartShares(due))
 }
@@ -220,9 +220,9 @@
 	return n >= minBatchPlacementJobs
 }
 
-// updateEndBatchDelay sets how long a task completion may wait to share a write with others. The delay
+// updateCompletionBatchDelay sets how long a task completion may wait to share a write with others. The delay
 // grows with the number of running jobs.
-func (c *Core) updateEndBatchDelay() {
+func (c *Core) updateCompletionBatchDelay() {
 	running := 0
 	for _, j := range c.openJobs {
 		if len(j.assignments) > 0 && j.record.Spec != nil && !j.record.Spec.Service && c.ownership.ownsJob(j) {
@@ -230,9 +230,9 @@
 		}
 	}
 	seconds := float64(running) / (endBatchWriteShare * c.transactions.rateLimit.WriteRate)
-	c.transactions.endBatchDelay = min(
-		c.cfg.Scheduling.MaxEndBatchDelay,
-		max(c.cfg.Scheduling.MinEndBatchDelay, time.Duration(seconds*float64(time.Second))),
+	c.transactions.completionBatchDelay = min(
+		c.cfg.Scheduling.MaxCompletionBatchDelay,
+		max(c.cfg.Scheduling.MinCompletionBatchDelay, time.Duration(seconds*float64(time.Second))),
 	)
 }
 
@@ -259,16 +259,16 @@
 		}
 	}
 	if len(builder.slotDrafts) > 0 {
-		c.addWaitingEnds(builder)
+		c.addWaitingCompletions(builder)
 	}
 	builder.flush()
 }
 
-// addWaitingEnds adds the jobs whose task completions wait to share a write, if the transaction writes
+// addWaitingCompletions adds the jobs whose task completions wait to share a write, if the transaction writes
 // their slot anyway.
-func (c *Core) addWaitingEnds(builder *txnBuilder) {
+func (c *Core) addWaitingCompletions(builder *txnBuilder) {
 	for _, j := range c.openJobs {
-		if !j.write.waitsForTaskEnds || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
+		if !j.write.waitsForCompletions || j.write.inFlight || j.write.outcomeUnknown || j.record.Spec == nil ||
 			builder.slotDrafts[slotNumber(j.id, j.record)] == nil || !c.ownership.ownsJob(j) {
 			continue
 		}
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -14,12 +14,12 @@
 	*environment
 	stats *Stats
 
-	inFlight          map[uint64]*pendingTxn // by request ID
-	rateLimit         ratelimit.Limiter
-	limits            storeLimits
-	endBatchDelay     time.Duration // how long ended tasks may wait so that one write records several
-	nextBlockedScanAt time.Duration // when blocked jobs are scanned even if nothing can be written
-	backlog           int           // jobs that were waiting for a write at the last scan
+	inFlight             map[uint64]*pendingTxn // by request ID
+	rateLimit            ratelimit.Limiter
+	limits               storeLimits
+	completionBatchDelay time.Duration // how long ended tasks may wait so that one write records several
+	nextBlockedScanAt    time.Duration // when blocked jobs are scanned even if nothing can be written
+	backlog              int           // jobs that were waiting for a write at the last scan
 }
 
 // pendingTxn is a transaction in flight. If onDone is set, it handles the outcome, apart from the bookkeeping
--- a/core/yield.go
+++ b/core/yield.go
@@ -22,7 +22,7 @@
 
 // competitorCount counts the other controllers whose waiting work is before a job in the queue, and those
 // whose waiting work is at about the same position.
-type competitorCount struct{ before, alike int }
+type competitorCount struct{ before, tied int }
 
 // yieldDelay returns how much longer recently freed capacity on a machine is yielded to other controllers.
 // All controllers learn of freed capacity from the same push and would all fill it: while more work waited
@@ -57,15 +57,15 @@
 // could have the same rank as a controller whose work had waited longer, and start later work first.
 func (n competitorCount) rank(machineRank int) int {
 	if n.before > 0 {
-		return n.before + n.alike
+		return n.before + n.tied
 	}
-	return min(machineRank, n.alike)
+	return min(machineRank, n.tied)
 }
 
 // countCompetitors compares a job's queue position with those of the other controllers' waiting work.
 func (c *Core) countCompetitors(priorityClass int, enqueuedAtMS int64) (counts competitorCounts) {
 	for i := range counts {
-		counts[i].before, counts[i].alike = c.controllers.membership.CountCompetitors(
+		counts[i].before, counts[i].tied = c.controllers.membership.CountCompetitors(
 			c.now,
 			c.controllers.isLive,
 			membership.QueuePosition{Priority: priorityClass, EnqueuedAtMS: enqueuedAtMS},
@@ -80,8 +80,8 @@
 // controllers that place tasks in the interval between two pushes would all choose the same machines.
 func (c *Core) machineRank(m *machine) int {
 	// The version is stored plus 1, because 0 means that the rank was never computed.
-	if version := c.controllers.registrationsVersion + 1; m.ranking.nodesVersion != version {
-		m.ranking.nodesVersion = version
+	if version := c.controllers.registrationsVersion + 1; m.ranking.registrationsVersion != version {
+		m.ranking.registrationsVersion = version
 		m.ranking.rank = c.controllers.rendezvousRank(m.name, c.controllers.liveNames())
 	}
 	return m.ranking.rank
--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -228,8 +228,8 @@
 	}
 }
 
-// RentedCount returns the number of provisioned machines.
-func (ws *Workers) RentedCount() (count int) {
+// ProvisionedCount returns the number of provisioned machines.
+func (ws *Workers) ProvisionedCount() (count int) {
 	ws.provisioningMu.Lock()
 	defer ws.provisioningMu.Unlock()
 	for _, worker := range ws.workers {
--- a/internal/fakes/workers_test.go
+++ b/internal/fakes/workers_test.go
@@ -64,7 +64,7 @@
 	ws.ctx = t.Context()
 	request := wire.ScaleOutRequest{IdempotencyKey: "h-1", Type: "x", Zone: "a", Count: 5}
 	first, again := ws.scaleOut(request), ws.scaleOut(request)
-	if len(first) != 2 || len(again) != 2 || first[0] != again[0] || ws.RentedCount() != 2 {
+	if len(first) != 2 || len(again) != 2 || first[0] != again[0] || ws.ProvisionedCount() != 2 {
 		t.Errorf("scale-out returned %v, and %v when it was repeated", first, again)
 	}
 	if list := ws.listMachines("", 1); len(list.Machines) != 1 || !list.More {
@@ -72,7 +72,7 @@
 	}
 	ws.scaleIn(first[:1])
 	request.IdempotencyKey = "h-2"
-	if ws.RentedCount() != 1 || len(ws.scaleOut(request)) != 0 || len(ws.listMachines("", 9).Machines) != 1 {
+	if ws.ProvisionedCount() != 1 || len(ws.scaleOut(request)) != 0 || len(ws.listMachines("", 9).Machines) != 1 {
 		t.Error("a machine that was scaled in is listed or provisioned again")
 	}
 }
--- a/internal/measure/fleet/main.go
+++ b/internal/measure/fleet/main.go
@@ -205,7 +205,7 @@
 	fmt.Printf(
 		"%d machines, %d controllers: %d heartbeats/s, %d heartbeats failed, %d starts refused, %d jobs accepted, "+
 			"%d submissions refused, %d polls, %d polls failed\n",
-		workers.RentedCount(),
+		workers.ProvisionedCount(),
 		*controllerCount,
 		(acked-ackedBefore)/(*measuredSeconds),
 		failed-failedBefore,
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -172,8 +172,8 @@
 	return platform
 }
 
-// rentMachine adds a machine, which sends its first heartbeat after its boot.
-func (s *simCluster) rentMachine(zone string, spot bool) *machine {
+// addMachine adds a machine, which sends its first heartbeat after its boot.
+func (s *simCluster) addMachine(zone string, spot bool) *machine {
 	m := &machine{
 		name:            fmt.Sprintf("m-%06d", len(s.machinesByName)),
 		zone:            zone,
@@ -189,8 +189,8 @@
 	return m
 }
 
-// returnMachine removes a machine and counts the service replicas on it as lost.
-func (s *simCluster) returnMachine(name string) {
+// removeMachine removes a machine and counts the service replicas on it as lost.
+func (s *simCluster) removeMachine(name string) {
 	m := s.machinesByName[name]
 	if m == nil || m.returned {
 		return
@@ -342,14 +342,14 @@
 	case core.CloudScaleOut:
 		order := request.ScaleOut
 		for range min(order.Count, s.maxMachines-len(s.machines)) {
-			out.MachineNames = append(out.MachineNames, s.rentMachine(order.Zone, order.Spot).name)
+			out.MachineNames = append(out.MachineNames, s.addMachine(order.Zone, order.Spot).name)
 		}
 		if len(out.MachineNames) == 0 {
 			out.Status, out.Error = wire.StatusUnavailable, "no capacity"
 		}
 	case core.CloudScaleIn:
 		for _, name := range request.MachineNames {
-			s.returnMachine(name)
+			s.removeMachine(name)
 		}
 	}
 	return out
--- a/internal/previousversion/previousversion.go
+++ b/internal/previousversion/previousversion.go
@@ -271,7 +271,7 @@
 			Request  Resources `json:"c"`
 		} `json:"hold,omitempty"`
 	} `json:"p,omitempty"`
-	ResendStatePush  bool     `json:"a,omitempty"`
-	MachinesToReturn []string `json:"s,omitempty"`
-	SilentMachines   []string `json:"q,omitempty"`
+	ResendStatePush   bool     `json:"a,omitempty"`
+	MachinesToScaleIn []string `json:"s,omitempty"`
+	SilentMachines    []string `json:"q,omitempty"`
 }
--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -292,7 +292,7 @@
 		}
 		query := core.ReadAudit{Caller: caller}
 		if s.chance(0.5) {
-			query.Node = s.nodes[0].name
+			query.Controller = s.nodes[0].name
 		}
 		s.sendRequest(s.anyNode(), auditReadTimeout, func(requestID uint64) core.Input {
 			query.RequestID = requestID
--- a/wire/audit.go
+++ b/wire/audit.go
@@ -6,7 +6,7 @@
 type AuditChainHead struct {
 	Node        string `json:"node"`
 	BlockNumber uint64 `json:"number"`
-	Code        []byte `json:"code"` // message authentication code of that block
+	MAC         []byte `json:"code"` // message authentication code of that block
 }
 
 // AuditChainHeads lists the heads of all chains.
--- a/wire/job.go
+++ b/wire/job.go
@@ -255,11 +255,11 @@
 	return ""
 }
 
-// ValidTeam reports whether name is valid as the name of a team.
-func ValidTeam(name string) bool { return len(name) <= maxNameBytes && utf8.ValidString(name) }
+// ValidTeamName reports whether name is valid as the name of a team.
+func ValidTeamName(name string) bool { return len(name) <= maxNameBytes && utf8.ValidString(name) }
 
-// TeamLimit describes the valid names of a team for an error message.
-func TeamLimit() string { return fmt.Sprintf("valid UTF-8 of at most %d bytes", maxNameBytes) }
+// TeamNameLimit describes the valid names of a team for an error message.
+func TeamNameLimit() string { return fmt.Sprintf("valid UTF-8 of at most %d bytes", maxNameBytes) }
 
 func validName(name *string) bool { return name != nil && *name != "" && len(*name) <= maxNameBytes }
 
