--- a/core/config.go
+++ b/core/config.go
@@ -144,7 +144,7 @@
 	EndedTaskClearDelay time.Duration
 
 	// LostTaskBatchDelay is how long lost tasks of a job wait so that one write records several. 0: they
-	// do not wait. Those of services never do.
+	// do not wait. Lost tasks of services never wait.
 	LostTaskBatchDelay time.Duration
 
 	// CancelScaleInShare is the share of CancelTimeout, from 0 to 1, after which scale in releases machines
@@ -190,9 +190,9 @@
 	// them busy. 0: they are not ranked by that.
 	BusyHorizonStep time.Duration
 
-	// MinEndBatchDelay and MaxEndBatchDelay bound how long ended tasks wait so that one write records
-	// several; within the bounds the delay grows with the number of running jobs. 0 for both: they do not
-	// wait.
+	// MinCompletionBatchDelay and MaxCompletionBatchDelay bound how long task completions wait so that
+	// one write records several; within the bounds the delay grows with the number of running jobs. 0 for both:
+	// they do not wait.
 	MinCompletionBatchDelay time.Duration
 	MaxCompletionBatchDelay time.Duration
 
@@ -240,11 +240,12 @@
 	// before a new machine is ready.
 	HeadroomDeviations float64
 
-	// IdleBootFactor is the number of boot times by which an empty machine is kept beyond IdleTimeout.
+	// IdleBootFactor is the number of boot times by which an empty machine is kept beyond IdleTimeout. 0:
+	// none.
 	IdleBootFactor float64
 
-	// SoonFreeBootFactor is the number of boot times before its estimated end from which on a task's
-	// resources count as capacity that is free soon. 0: only those of tasks past their estimated end.
+	// SoonFreeBootFactor is how long before a task's estimated end its resources count as free soon, as a
+	// number of boot times. 0: only the resources of tasks past their estimated end do.
 	SoonFreeBootFactor float64
 
 	// IdleTimeout is how long an empty machine is kept. 0: it is released at once.
--- a/core/leader.go
+++ b/core/leader.go
@@ -10,8 +10,8 @@
 	"dewlift/wire"
 )
 
-// leaderMachineState is the leader's view of a machine. All fields except rentedAt are reset at the start of
-// each term.
+// leaderMachineState is the leader's view of a machine. All fields except provisionedAt are reset at the
+// start of each term.
 type leaderMachineState struct {
 	allocations      allocation.Tracker
 	lastDeltaAt      time.Duration          // when its last allocation delta arrived
@@ -70,14 +70,14 @@
 const (
 	maxGoneAnnounced = 2000 // machines that a full push announces as gone
 
-	// planningDelay is the time from the start of a term to its first plan.
+	// planningDelay is the minimum time from the start of a term to its first plan.
 	planningDelay = 2 * time.Second
 
 	// pendingRowInterval is the time between recomputations of a row with pending deltas, as deltas can be
 	// lost.
 	pendingRowInterval = time.Second
 
-	// slowPushInterval is the push interval from which on a new row waits for the regular push.
+	// slowPushInterval is the shortest push interval with which a new row waits for the regular push.
 	slowPushInterval = 3 * time.Second
 )
 
--- a/core/messages.go
+++ b/core/messages.go
@@ -52,8 +52,8 @@
 	// CancellationsUpTo is the revision up to which the sender holds all cancellations. 0: its replica is not
 	// loaded, or an earlier version sent it.
 	CancellationsUpTo uint64 `json:"v,omitempty"`
-	// QueueHeads are the first jobs of the sender, one for each priority class, that wait for capacity. Empty:
-	// there are none, or an earlier version sent it.
+	// QueueHeads are, for each priority class, the first of the sender's jobs that have waited for capacity for
+	// at least YieldAfter. Empty: there are none, or an earlier version sent it.
 	QueueHeads []QueueHead `json:"w,omitempty"`
 }
 
@@ -91,8 +91,8 @@
 	CapacityHold  *CapacityHold     `json:"hold,omitempty"` // nil: no capacity is held
 }
 
-// CapacityHold means that tasks of a priority wait for capacity: work of lower priority must leave free what the
-// smallest of their requests needs.
+// CapacityHold means that tasks of a priority wait for capacity: work of lower priority must leave free Request,
+// the minimum of each resource over their requests.
 type CapacityHold struct {
 	Priority int                    `json:"p"`
 	Request  clusterstate.Resources `json:"c"`
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -194,7 +194,8 @@
 }
 
 // mayClaimShard reports whether a shard may be claimed now. A shard held by an earlier incarnation of this
-// controller may be claimed at once, an absent one after a delay by this controller's rank and number of shards.
+// controller may be claimed at once, an absent one after a delay that grows with this controller's rank and
+// number of shards.
 func (a *ownershipAttempt) mayClaimShard(n int) bool {
 	c := a.core
 	shard := &c.ownership.shards[n]
@@ -359,8 +360,8 @@
 }
 
 // pickShard chooses a random shard for a new job: one of this controller's own, or any if it has none. The owner
-// of another shard learns of the job by its watch and places its tasks. Were submissions refused instead, a
-// controller without a shard could not serve users, after its start or if there are more controllers than shards.
+// of another shard learns of the job by its watch and places its tasks. A controller without a shard must accept
+// submissions too: it may have just started, or there may be more controllers than shards.
 func (o *shardOwnership) pickShard() int {
 	var owned []int
 	for n := range o.shards {
--- a/core/schemaversion.go
+++ b/core/schemaversion.go
@@ -12,9 +12,9 @@
 // During a rolling upgrade two versions of this program run at the same time, and both read what either
 // stores. A schema version defines how data is stored and messages are sent. Each controller declares the
 // newest schema version that it knows under a key of its own. The declaration is permanent: a controller
-// is never downgraded below it. A schema version becomes active, so that it may be written, only when every
-// configured controller has declared it; a missing declaration never counts as one. Data stored under older
-// schema versions stays readable.
+// is never downgraded below it. A schema version becomes active, which means that it may be written, only when
+// every configured controller has declared it; a missing declaration never counts as one. Data stored under
+// older schema versions always stays readable.
 const (
 	schemaInitial         = 0 // the version without declarations
 	schemaDependencies    = 1 // job specs with dependencies, packed records, cancel markers
@@ -82,7 +82,8 @@
 		return
 	}
 	c.updateRateLimit()
-	for _, open := range c.openJobs { // oversized records may fit under the new version, so they are written again
+	// Oversized records may fit under the new version: they are written again before a change requires it.
+	for _, open := range c.openJobs {
 		if open.stored.bytes > c.cfg.Store.MaxValueBytes {
 			c.markDirty(open)
 		}
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -17,7 +17,7 @@
 	inFlight             map[uint64]*pendingTxn // by request ID
 	rateLimit            ratelimit.Limiter
 	limits               storeLimits
-	completionBatchDelay time.Duration // how long ended tasks may wait so that one write records several
+	completionBatchDelay time.Duration // how long task completions may wait so that one write records several
 	nextBlockedScanAt    time.Duration // when blocked jobs are scanned even if nothing can be written
 	backlog              int           // jobs that were waiting for a write at the last scan
 }
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -62,8 +62,8 @@
 	completionsReserve = 0.2
 )
 
-// addJob proposes a job's next record and adds its write. It returns false if this job must go into the next
-// transaction and this one takes no more jobs, and true also if the job has nothing to write now.
+// addJob proposes a job's next record and adds its write. It returns false if the transaction takes no more
+// jobs, this one included, and true also if the job has nothing to write now or is delayed.
 func (b *txnBuilder) addJob(target *job) bool {
 	c := b.core
 	slot := slotOf(target)
@@ -261,8 +261,8 @@
 	b.proposals = append(b.proposals, *next)
 }
 
-// requireShard makes a transaction compare the revision of a shard that this controller owns, the one of a
-// proposal's job. Acceptances and cancellations may also be written without ownership.
+// requireShard makes a transaction compare the revision of the shard of a proposal's job, so that it fails if
+// this controller no longer owns the shard. Acceptances and cancellations may also be written without ownership.
 func (b *txnBuilder) requireShard(next *proposal) {
 	shard := next.record.Shard
 	if (next.isCancellation || next.isAcceptance) && !b.core.ownership.ownsShard(shard) || b.comparedShards[shard] {
