--- a/core/membership/members.go
+++ b/core/membership/members.go
@@ -23,7 +23,7 @@
 	lastSeenAt time.Duration
 }
 
-// Members is the other controllers of a cluster.
+// Members tracks the other controllers of a cluster.
 type Members struct {
 	peerNames        []string         // in the order of the settings
 	unreachableAfter time.Duration    // how long after its last message a controller counts as unreachable
@@ -87,8 +87,8 @@
 }
 
 // IsStoreOutage reports whether a majority of all controllers agrees that the store is down. The caller
-// must not reach it, and is counted. The others count by their recent reports, none of which may say that
-// it reaches the store.
+// is counted, and calls this only if it does not reach the store itself. The others count by their recent
+// reports, none of which may say that the store is reachable.
 func (m *Members) IsStoreOutage(now time.Duration) bool {
 	agreeing := 1 // the caller
 	for _, peer := range m.peers {
--- a/core/ratelimit/limiter.go
+++ b/core/ratelimit/limiter.go
@@ -3,7 +3,7 @@
 //
 // It owns the tokens, the rates and the pauses. It neither sends nor refuses anything: callers check the
 // tokens and pauses, and spend tokens for what they send. It has no clock: times, as durations since the
-// process began, are passed in.
+// process began, are passed in. Urgent writes are those that a user waits for.
 package ratelimit
 
 import "time"
@@ -67,18 +67,18 @@
 	return l.recentWriteRate
 }
 
-// Pause pauses writes that no user waits for until one time, and those that users wait for until another.
+// Pause pauses non-urgent writes until the time until, and urgent ones until urgentUntil.
 func (l *Limiter) Pause(until, urgentUntil time.Duration) {
 	l.pausedUntil, l.urgentPausedUntil = until, urgentUntil
 }
 
-// PauseNonUrgent extends the pause of writes that no user waits for, and never shortens it.
+// PauseNonUrgent extends the pause of non-urgent writes, and never shortens it.
 func (l *Limiter) PauseNonUrgent(until time.Duration) { l.pausedUntil = max(l.pausedUntil, until) }
 
-// IsPaused reports whether writes that no user waits for are paused.
+// IsPaused reports whether non-urgent writes are paused.
 func (l *Limiter) IsPaused(now time.Duration) bool { return now < l.pausedUntil }
 
-// IsUrgentPaused reports whether writes that users wait for are paused.
+// IsUrgentPaused reports whether urgent writes are paused.
 func (l *Limiter) IsUrgentPaused(now time.Duration) bool { return now < l.urgentPausedUntil }
 
 // MinInterval returns the time between two requests of a kind that may use a share (from 0 to 1) of the
