--- a/core/core_test.go
+++ b/core/core_test.go
@@ -707,7 +707,10 @@
 	}
 	runFor(c, 31*time.Second, 45*time.Second)
 	if m.leaderView.scaleInReason != "silent" {
-		t.Errorf("a machine without further heartbeats is to be released as %q, want silent", m.leaderView.scaleInReason)
+		t.Errorf(
+			"a machine without further heartbeats is to be released as %q, want silent",
+			m.leaderView.scaleInReason,
+		)
 	}
 }
 
@@ -1009,7 +1012,7 @@
 // examining and sending everything took a quarter of a CPU core.
 func TestWorkDoesNotGrowWithTheFleet(t *testing.T) {
 	type work struct{ examined, rows, heartbeats, digests int }
-	second := func(n int) (w work) {
+	workInOneSecond := func(n int) (w work) {
 		c := newLeadingCore(t)
 		report := func(now time.Duration, seq uint64, i int, tasks ...wire.TaskStatus) {
 			heartbeat := testHeartbeat(seq, tasks...)
@@ -1045,7 +1048,7 @@
 		w.examined = int(c.Stats.MachineLooks - examinedBefore)
 		return w
 	}
-	small, large := second(20), second(1000)
+	small, large := workInOneSecond(20), workInOneSecond(1000)
 	// Each of the two peers gets every heartbeat and digest once.
 	if small.heartbeats != 2 || large.heartbeats != 2 || small.digests != 2*20 || large.digests != 2*1000 {
 		t.Errorf("heartbeats of 20 machines: %+v, of 1000: %+v", small, large)
--- a/core/golden_test.go
+++ b/core/golden_test.go
@@ -9,10 +9,10 @@
 	"dewlift/audit"
 )
 
-// TestStoredFormatIsStable guards the stored encoding of types of this package: controllers of other versions must be able
-// to read what this one writes, and the reverse. Other stored types are covered by internal/golden.
+// TestStoredFormatIsStable guards the stored encoding of types of this package: controllers of other versions must be
+// able to read what this one writes, and the reverse. Other stored types are covered by internal/golden.
 func TestStoredFormatIsStable(t *testing.T) {
-	carried := []audit.PendingEntry{
+	pendingAudit := []audit.PendingEntry{
 		{Node: "node-a", Incarnation: 3, Sequence: 4, Entry: []byte("entry"), MAC: []byte("tag")},
 	}
 	for _, tc := range []struct {
@@ -21,7 +21,7 @@
 	}{
 		{&cancelMarker{CancelMS: 1_700_000_000_123}, `{"cm":1700000000123}`},
 		{
-			&cancelMarker{CancelMS: 1_700_000_000_123, PendingAudit: carried},
+			&cancelMarker{CancelMS: 1_700_000_000_123, PendingAudit: pendingAudit},
 			`{"cm":1700000000123,"e":[{"a":"node-a","l":3,"q":4,"e":"ZW50cnk=","t":"dGFn"}]}`,
 		},
 		{&leasedKey{}, `{"n":"","t":0,"b":0}`},
--- a/core/storelimits_test.go
+++ b/core/storelimits_test.go
@@ -33,7 +33,7 @@
 			statuses[response.RequestID] = response.Status
 		}
 	}
-	const poisoned = 104
+	const refusedRequest = 104
 	for i := range 10 {
 		submission := testSubmission(fmt.Sprintf("wk-%06d", i))
 		submission.RequestID = 100 + uint64(i)
@@ -42,7 +42,7 @@
 	answerAndObserve(c, 2*time.Second, 30*time.Second, refusesJob("wk-000004"), observe)
 	for id := uint64(100); id < 110; id++ {
 		want := wire.StatusCreated
-		if id == poisoned {
+		if id == refusedRequest {
 			want = wire.StatusBadRequest
 		}
 		if statuses[id] != want {
