--- a/internal/golden/stored_test.go
+++ b/internal/golden/stored_test.go
@@ -57,7 +57,7 @@
 // machine is a machine as a record refers to it.
 type machine struct{ name, zone string }
 
-// storedRecord is a job's record with all fields set and tasks on machines.
+// storedRecord returns the form of a job's record with all fields set and tasks on machines.
 func storedRecord(machines []machine, packed bool) storedFormat {
 	record := filled[jobrecord.Record]("record")
 	record.Assignments, record.PackedLists = nil, nil
@@ -94,7 +94,7 @@
 	}
 }
 
-// plainRecord is a record without assignments.
+// plainRecord returns the form of a record without assignments.
 func plainRecord(record jobrecord.Record) storedFormat {
 	return storedFormat{
 		write: func() ([]byte, error) { return jobrecord.Encode(&record, nil, false, nil) },
@@ -109,7 +109,7 @@
 	}
 }
 
-// storedMessage is a message that is stored compressed.
+// storedMessage returns the form of a message that is stored compressed.
 func storedMessage(message protobuf.Message) storedFormat {
 	return storedFormat{
 		write: func() ([]byte, error) { return jobrecord.PackMessage(message) },
@@ -121,7 +121,7 @@
 	}
 }
 
-// storedCatalog is the catalog, compressed if it has more than maxBytes.
+// storedCatalog returns the form of the catalog, compressed if it has more than maxBytes.
 func storedCatalog(maxBytes int) storedFormat {
 	catalog := filled[wire.Catalog]("types")
 	return storedFormat{
@@ -133,7 +133,7 @@
 
 var auditKey = audit.Key("a key of thirty-two bytes or more")
 
-// storedBlock is a block of an audit chain that follows a chain head.
+// storedBlock returns the form of a block of an audit chain that follows a chain head.
 func storedBlock() storedFormat {
 	const clockErrorMS = 250
 	head := filled[audit.Head]("head")
@@ -170,7 +170,7 @@
 	}
 }
 
-// storedPendingEntry is a pending audit entry, as stored values hold it.
+// storedPendingEntry returns the form of a pending audit entry, as stored values hold it.
 func storedPendingEntry() storedFormat {
 	entry := filledProto(&pb.AuditEntry{}, "carried")
 	return storedFormat{
@@ -186,7 +186,7 @@
 	}
 }
 
-// storedArchive is a block of the archive.
+// storedArchive returns the form of a block of the archive.
 func storedArchive() storedFormat {
 	block := &archive.Block{Low: "wk-", High: archive.MaxID, Entries: []archive.Entry{
 		{ID: "wk-1", CompletedTasks: 7, Team: "team", Class: "class"},
@@ -208,7 +208,7 @@
 	}
 }
 
-// storedSnapshot is a snapshot file of two parts.
+// storedSnapshot returns the form of a snapshot file of two parts.
 func storedSnapshot() storedFormat {
 	keys := filledProto(&pb.Keys{}, "snapshot")
 	keys.Keys[0].Value = bytes.Repeat([]byte("7"), 256<<10)
@@ -308,7 +308,7 @@
 	return []uint64{got.EnqueueRevision, got.RestoreOrder}, nil
 }
 
-// restoredRecord is a record that was restored before and is prepared for another restore.
+// restoredRecord returns the form of a record that was restored before and is prepared for another restore.
 func restoredRecord(record storedFormat) storedFormat {
 	return storedFormat{
 		write: func() ([]byte, error) {
@@ -320,7 +320,7 @@
 	}
 }
 
-// firstRestoredRecord is a record that is prepared for its first restore.
+// firstRestoredRecord returns the form of a record that is prepared for its first restore.
 func firstRestoredRecord() storedFormat {
 	first := jobrecord.Record{WriteNumber: 1, Shard: 2, EnqueueRevision: 11, Spec: filled[wire.JobSpec]("spec")}
 	return storedFormat{
@@ -333,12 +333,13 @@
 	}
 }
 
-// storedInventory is the inventory of equipment.
+// storedInventory returns the form of the inventory of equipment.
 func storedInventory() storedFormat {
 	list := filledProto(&pb.Equipment{}, "list")
 	return storedFormat{
 		write: func() ([]byte, error) { return reservations.EncodeInventory(list) },
-		// core/reservations decodes it; here the compressed message moves to the field that UnpackMessage reads
+		// In operation core/reservations decodes this form. The test moves the compressed message to the field that
+		// UnpackMessage reads.
 		read: func(raw []byte) (any, error) {
 			var packed struct {
 				Data []byte `json:"p"`
@@ -357,7 +358,7 @@
 	}
 }
 
-// storedAuditHead is the head of an audit chain.
+// storedAuditHead returns the form of the head of an audit chain.
 func storedAuditHead() storedFormat {
 	return storedFormat{
 		write: func() ([]byte, error) { return json.Marshal(filled[audit.Head]("head")) },
--- a/internal/previousversion/previousversion.go
+++ b/internal/previousversion/previousversion.go
@@ -109,8 +109,8 @@
 }
 
 var (
-	errBadDoneSet     = errors.New("bad done set")
-	errBadAssignments = errors.New("bad assignments")
+	errBadDoneSet     = errors.New("job record: done tasks are not ascending ranges")
+	errBadAssignments = errors.New("job record: lists of assignments are inconsistent")
 )
 
 // ReadRecord reads a job's record as the previous version did.
--- a/internal/sim/auditlog.go
+++ b/internal/sim/auditlog.go
@@ -209,7 +209,7 @@
 		if change.made && len(added[change.verb]) == 0 {
 			c.violated("%s: %s without its audit entry", key, change.verb)
 		}
-		// The record keeps the latest stop reasons only.
+		// A record keeps only the latest stop reasons, so the reason for an entry of a preemption may be gone.
 		if !change.made && len(added[change.verb]) > 0 && change.verb != "stop" {
 			c.violated("%s: audit entry of %s without its change", key, change.verb)
 		}
--- a/internal/sim/cancel_outage_test.go
+++ b/internal/sim/cancel_outage_test.go
@@ -12,7 +12,7 @@
 
 // outageScenario is a combination of faults around cancellations: a fault keeps some controllers from learning of the
 // cancellations, others acknowledge them to users, and then the store is down for all controllers, for longer than the
-// cancel timeout. leaderFirst lists all controllers.
+// cancel timeout. leaderFirst lists all controllers, beginning with the leader.
 type outageScenario struct {
 	nodes          int
 	adjustOptions  func(options *Options)
@@ -21,7 +21,7 @@
 	onCancelAcked  func(sim *Simulator, n *node) // called right after n acknowledged a cancellation
 	outage         time.Duration                 // 0: 70 s
 	duringOutage   func(sim *Simulator, leaderFirst []*node)
-	delayedCommits bool // transactions around the cancellations are executed 2 to 5 s late
+	delayedCommits bool // half of the transactions around the cancellations are executed 2 to 5 s late
 	tasksMayEnd    bool // tasks that are not cancelled may end, as no majority of controllers is loaded
 }
 
@@ -296,7 +296,8 @@
 
 // The store refuses one controller, the others acknowledge cancellations to users, and then the store is down for all
 // controllers. This guards against a refused controller that renews the leases of machines with cancelled tasks
-// throughout, because an outage of the store entitles it to renew leases again.
+// throughout: it has not learned of the cancellations, and an outage for all controllers allows it to serve agents
+// without a lease of its own.
 func TestCancelledTasksStopWhenOutageFollowsRefusal(t *testing.T) {
 	for name, scenario := range map[string]outageScenario{
 		"three": {beforeCancel: refuseNodes(1)},
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -36,7 +36,7 @@
 	lastEventAt       time.Duration // time of the last event
 }
 
-// observedJob is what users and machines show of a job.
+// observedJob is what the checker observed of a job, from responses to users and from tasks on machines.
 type observedJob struct {
 	spec             wire.JobSpec
 	submitted        bool
--- a/internal/sim/config.go
+++ b/internal/sim/config.go
@@ -30,16 +30,16 @@
 	CancelTimeout     time.Duration // 0: 40 s
 	WorkerLease       time.Duration // lease of a worker; 0: 20 s
 	FailingJobs       int           // jobs whose tasks fail on every machine, until their users cancel them
-	OverlappingFaults bool          // faults come in pairs only; a fault-free tail shows lost state
+	OverlappingFaults bool          // faults come in pairs only; the end is fault-free, so that lost state shows
 	FaultNames        []string      // the faults that overlap; nil: all
 	LongTasks         bool          // tasks run for up to 80 s, so that those of a small job end far apart
 	QuotaLimited      bool          // every team has a maximum below its demand
-	// Jobs of one task each, submitted four a second one after the other; a quarter is cancelled.
+	// Number of jobs with one task each; four are submitted per second, and about a quarter of them is cancelled.
 	SingleTaskJobs  int
 	ZonePinnedJobs  bool          // every job is bound to one zone
 	MaxNetworkDelay time.Duration // maximum delay of a message; 0: 5 ms
-	// A crashed process restarts within a second and meets late copies of its own requests; a fault-free tail shows
-	// lost state.
+	// A crashed process restarts within a second, while late copies of its requests still arrive. The end is
+	// fault-free, so that lost state shows.
 	FlappingProcesses bool
 }
 
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -213,7 +213,7 @@
 }
 
 // handleHeartbeatResponse renews the lease from the moment at which the heartbeat was sent, and executes the
-// commands. A response with a lower fencing token, or to an earlier incarnation, has no effect.
+// commands. A response with a lower fencing token, to an earlier incarnation or to a suspended machine has no effect.
 func (m *fakeWorker) handleHeartbeatResponse(
 	sentAt time.Duration,
 	incarnation uint64,
--- a/internal/sim/overlapping_faults.go
+++ b/internal/sim/overlapping_faults.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// leaderNode returns the controller that holds the leader's key in the store; the first controller if none does.
+// leaderNode returns the controller that the leader's key in the store names; the first controller if there is none.
 func (s *Simulator) leaderNode() *node {
 	var leader struct {
 		Node string `json:"n"`
@@ -205,14 +205,14 @@
 	n.pausedUntil = s.now + duration
 }
 
-// slowStore delays all requests to the store, by up to three seconds.
+// slowStore delays all requests to the store except long polls, by up to three seconds.
 func (s *Simulator) slowStore() {
 	s.Trace("%v slow store", s.now)
 	s.store.maxDelay = s.randomDuration(500*time.Millisecond, 3*time.Second)
 	s.schedule(s.randomDuration(10*time.Second, 40*time.Second), func() { s.store.maxDelay = 0 })
 }
 
-// delayCommands delays half of all agent commands by seconds to a minute.
+// delayCommands delays half of all agent commands by 2 to 70 seconds.
 func (s *Simulator) delayCommands() {
 	s.Trace("%v delayed commands", s.now)
 	until := s.now + s.randomDuration(5*time.Second, 20*time.Second)
@@ -377,8 +377,8 @@
 	downtime := s.randomDuration(s.options.WorkerLease, s.options.WorkerLease+20*time.Second)
 	first := s.rng.IntN(len(s.nodes))
 	s.Trace("%v all are down for %v, %s restarts first", s.now, downtime, s.nodes[first].name)
-	// No controller is up to scale in a machine that hangs for longer, so each machine resumes after at most a lease,
-	// and its own lease has expired by then.
+	// No controller is up to scale in a machine that hangs. No hang therefore lasts longer than a lease from now, and
+	// after that time the machine's own lease has expired.
 	for _, worker := range s.cloud.machines {
 		worker.hungUntil = min(worker.hungUntil, s.now+s.options.WorkerLease)
 	}
--- a/internal/sim/queue_order.go
+++ b/internal/sim/queue_order.go
@@ -38,8 +38,8 @@
 	// minAcceptGap is the smallest difference between acceptance times that is checked: controllers exchange the heads
 	// of their queues twice a second, and treat waiting times that differ by less than 3 s as equal.
 	minAcceptGap = 5 * time.Second
-	// maxOvertakeDelay is how long a job may start after a later one of its class and shape. Meanwhile a crashed
-	// controller is replaced, and its shards are taken over, read and written.
+	// maxOvertakeDelay is how much later a job may start than one of its class and shape that was accepted after it.
+	// Meanwhile a crashed controller is replaced, and its shards are taken over, read and written.
 	maxOvertakeDelay = 75 * time.Second
 )
 
--- a/internal/sim/queue_order_test.go
+++ b/internal/sim/queue_order_test.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-// The fault that these tests guard against: of two jobs of the same class and shape, the one that was accepted 6 s
-// later started, and the earlier one did not start within 75 s after it. A controller yields freed capacity for a
-// delay to competitors whose jobs have waited longer. Such a competitor itself yields to those that are alike to it,
-// and both delays could be the same: the controller that learned of the freed capacity first took it. With seed 1033,
-// at machine m-000003, controller n1 had the later job and knew of the capacity since 14.758 s, with one competitor
-// before it, one alike, machineRank 0 and therefore rank 1. n2 had the earlier job and knew of it since 15.057 s, with
-// none before it, one alike, machineRank 2 and therefore rank 1 too. At 16.003 s n2 still yielded, and at 16.007 s n1
-// took the capacity. The class had no other start for the rest of the run.
+// These tests guard against a job that starts although a job of the same class and shape was accepted 6 s before it and
+// does not start within the next 75 s. A controller yields freed capacity to the competitors whose jobs have waited
+// longer. Such a competitor yields to those that are tied with it, and both could have the same rank and thus the same
+// delay: the controller that learned of the capacity first took it. With seed 1033, at machine m-000003, n1 had the
+// later job (one competitor before it, one tied, machineRank 0, rank 1) and knew of the capacity since 14.758 s. n2 had
+// the earlier job (none before it, one tied, machineRank 2, rank 1) and knew of it since 15.057 s. n1 took it at
+// 16.007 s, while n2 still yielded at 16.003 s. The class had no other start for the rest of the run.
 
 // queueOrderSeeds are the seeds in which a later job started first.
 var queueOrderSeeds = []uint64{1033}
--- a/internal/sim/reservations.go
+++ b/internal/sim/reservations.go
@@ -29,7 +29,7 @@
 	endRequested     map[string]bool
 	equipmentChanged bool                  // displaced reservations may have ended
 	history          []porcupine.Operation // of single slots, see CheckLinearizable
-	stateCounts      map[string]int        // reservations by state that they reached; shows that a run was not idle
+	stateCounts      map[string]int        // how often each state was reached; shows that a run was not idle
 	lastClientID     int
 
 	archived   int // reservations in archive blocks
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -57,8 +57,8 @@
 // anyNode draws a controller; it may be down.
 func (s *Simulator) anyNode() *node { return s.nodes[s.rng.IntN(len(s.nodes))] }
 
-// checkJobResponse hands a response about a job to the checker. Without a response, or if the caller may not have
-// been permitted to see the job, nothing is concluded.
+// checkJobResponse hands a response about a job to the checker. A missing response only counts as an unanswered
+// request. A response says nothing about the job if the caller may not have been permitted to see it.
 func (s *Simulator) checkJobResponse(
 	caller core.Credential,
 	sentAt time.Duration,
