--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -18,9 +18,9 @@
 	"dewlift/wire"
 )
 
-// Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: a task runs
-// shortly after its start command and is done after its duration. All machines share one listener on loopback; each has
-// an address of its own in 127.0.0.0/8.
+// Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: they report
+// a task as running shortly after its start command and as done after its duration. All machines share one listener
+// on all interfaces; each has an address of its own in 127.0.0.0/8.
 type Workers struct {
 	machineType       wire.MachineType
 	workers           []*Worker
--- a/internal/sim/queue_order.go
+++ b/internal/sim/queue_order.go
@@ -134,7 +134,7 @@
 }
 
 // crashedShortlyBefore reports whether a controller crashed shortly before. A controller that starts knows neither the
-// cluster state nor the queues of the others, and chooses machines at random.
+// cluster state nor the queues of the others, and chooses machines at random, as in the paper.
 func (c *queueOrderChecker) crashedShortlyBefore(at time.Duration) bool {
 	return slices.ContainsFunc(c.crashTimes, func(crashedAt time.Duration) bool {
 		return crashedAt <= at && at < crashedAt+crashSettleTime
