--- a/clusterstate/array.go
+++ b/clusterstate/array.go
@@ -17,7 +17,7 @@
 	Allocated   Resources
 	Reserved    Resources // part of the available resources, for work that is feasible on fewer machines
 	OfferedLast bool      // ranked after all other candidates, because the leader wants the machine to become idle
-	Schedulable bool      // false: never a candidate, because the machine is about to be returned
+	Schedulable bool      // false: never a candidate, because the machine is about to be scaled in
 
 	revision        uint64        // revision of the array at the last change of the row
 	capacityFreedAt time.Duration // set only in a copy: when the row last gained available resources
--- a/clusterstate/copy_test.go
+++ b/clusterstate/copy_test.go
@@ -34,25 +34,25 @@
 		"schedulable again":             {unschedulable, before, nil, true},
 		"no longer schedulable":         {before, unschedulable, nil, false},
 		"still not schedulable":         {unschedulable, unschedulable, nil, false},
-		"finish that is not counted":    {before, before, []Delta{{Request: Resources{1, 0, 0}}}, true},
+		"unacknowledged finish":         {before, before, []Delta{{Request: Resources{1, 0, 0}}}, true},
 		"delta of a machine not pushed": {before, before, []Delta{{Machine: 9, Request: Resources{1, 0, 0}}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for push, apply := range map[string]func(*Copy, time.Duration, []Row, []Delta){
-				"whole":   (*Copy).Replace,
-				"changes": (*Copy).Update,
+				"full":        (*Copy).Replace,
+				"incremental": (*Copy).Update,
 			} {
 				c := copyOf(test.before)
 				apply(c, time.Second, []Row{test.pushed}, test.pending)
 				if freed := c.Row(0).CapacityFreedAt() == time.Second; freed != test.freed {
-					t.Errorf("push of %s: capacity freed %v, want %v", push, freed, test.freed)
+					t.Errorf("%s push: capacity freed %v, want %v", push, freed, test.freed)
 				}
 			}
 		})
 	}
 }
 
-// A copy without recent pushes must expire: the leader may have returned machines and others may have
+// A copy without recent pushes must expire: the leader may have scaled in machines and others may have
 // allocated capacity since then.
 func TestCopyExpires(t *testing.T) {
 	c := copyOf(Row{Schedulable: true})
--- a/core/assignment.go
+++ b/core/assignment.go
@@ -10,7 +10,8 @@
 	"dewlift/wire"
 )
 
-// lockedRetryDelay is the delay before a job is examined again while its team's key is being written.
+// lockedRetryDelay is the delay before a job is examined again while its team's key is being written, or
+// while it is being looked up among the archived jobs.
 const lockedRetryDelay = 20 * time.Millisecond
 
 // unboundedHorizon is the busy horizon of a machine that runs a service, which has no expected end.
@@ -22,12 +23,13 @@
 	onDemandTierPenalty     = 200 // a spot job on an on-demand machine that will become idle
 	missingImageTierPenalty = 100 // the machine would have to pull the image
 	serviceTierPenalty      = 90  // a service on a machine that would otherwise become idle
-	maxHorizonTierPenalty   = 90  // a task that outlasts the machine's busy horizon
+	maxHorizonTierPenalty   = 90  // maximum for a task that outlasts the machine's busy horizon
 )
 
 // assignTasks chooses machines for a job's unassigned tasks and appends the assignments to the
 // proposal. It takes CandidateRatio candidates per task from the copy of the cluster state, the best
-// first and the rest at random. A nonzero retryAt is the time to examine the job again.
+// first. With RandomPlacement, random machines that seem full make up for missing candidates. A nonzero
+// retryAt is the time to examine the job again.
 func (c *Core) assignTasks(p *proposal, b *txnBuilder) (retryAt time.Duration) {
 	spec := p.record.Spec
 	if c.autoscaler.catalog == nil || !c.ownLease.isHeld() {
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -43,7 +43,7 @@
 	bootOverdueSlack  = 2 * time.Second // added to that time
 
 	minAgeForScaleIn = 60 * time.Second        // younger machines are not scaled in as idle
-	cordonDuration   = 1500 * time.Millisecond // time from the cordon to the return to the cloud
+	cordonDuration   = 1500 * time.Millisecond // time from the cordon to the scale-in
 	planLogInterval  = 10 * time.Second
 )
 
@@ -193,7 +193,7 @@
 
 // updateScaleIn advances the scale-in of a running machine that no demand needs. The machine is first
 // offered last, so that it becomes empty. Once it has been idle for long enough, it is cordoned and then
-// returned to the cloud. If it is needed again before its return, it is uncordoned and offered normally.
+// scaled in. If it is needed again before that, it is uncordoned and offered normally.
 func (l *leaderState) updateScaleIn(b *bin) {
 	machine := b.machine
 	view := &machine.leaderView
@@ -224,12 +224,12 @@
 	}
 }
 
-// isOldEnoughForScaleIn reports whether a machine's age exceeds minAgeForScaleIn, by the time at which it
-// was first seen or by the time at which the cloud started it.
+// isOldEnoughForScaleIn reports whether a machine's age exceeds minAgeForScaleIn. The age counts from when
+// the cloud started the machine or, if that is not known, from when it was first seen.
 func (m *machine) isOldEnoughForScaleIn(now time.Duration) bool {
-	rentedAt := m.leaderView.provisionedAt
-	return now-max(m.identity.firstSeenAt, rentedAt) > minAgeForScaleIn ||
-		rentedAt != 0 && now-rentedAt > minAgeForScaleIn
+	provisionedAt := m.leaderView.provisionedAt
+	return now-max(m.identity.firstSeenAt, provisionedAt) > minAgeForScaleIn ||
+		provisionedAt != 0 && now-provisionedAt > minAgeForScaleIn
 }
 
 // logPlan logs the utilization of the fleet at most once per planLogInterval.
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -192,8 +192,8 @@
 	return append(due, later...)
 }
 
-// confirmScaleIn records that returned machines are gone. It announces them if the term in which they
-// were returned has not ended.
+// confirmScaleIn records that scaled-in machines are gone. It announces them if the term in which their
+// scale-in was requested has not ended.
 func (c *Core) confirmScaleIn(term *leaderState, names []string) {
 	if term.ended {
 		for _, name := range names {
--- a/core/demand.go
+++ b/core/demand.go
@@ -54,7 +54,7 @@
 	tasks         int
 	tasksByZone   map[string]int
 	isHeadroom    bool // the tasks are only expected
-	isReplacement bool // the tasks still run, on machines that will probably be returned to the cloud
+	isReplacement bool // the tasks still run, on machines that will probably be scaled in
 	priorityClass int
 	enqueuedAtMS  int64
 }
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -313,7 +313,7 @@
 }
 
 // Tasks of a pipeline once stayed on machines in an unreachable zone until replacement machines had been scaled
-// out, so that its last job missed its deadline. A machine with such a task must be given up as soon as it
+// out, so that its last job missed its deadline. A machine with such a task must be scaled in as soon as it
 // counts as silent, unless replicas of a service keep running there.
 func TestUnreachableMachineIsGivenUpToMeetDeadline(t *testing.T) {
 	for _, tc := range []struct {
@@ -343,7 +343,7 @@
 				}
 			}
 			if got := host.delayMissesDeadline(c.jobs, c.unixMS(), 10*time.Second); got != tc.want {
-				t.Errorf("given up: %v, want %v", got, tc.want)
+				t.Errorf("the delay would miss the deadline: %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -107,7 +107,7 @@
 	request            clusterstate.Resources
 	allowsSpot         bool
 	avoidsHeldCapacity bool          // capacity held for higher-priority work was not used
-	yieldUntil         time.Duration // until then, fitting capacity is yielded to other controllers; 0: none existed
+	yieldUntil         time.Duration // until then, fitting capacity is yielded to other controllers; 0: there was none
 	priorityClass      int
 	enqueuedAtMS       int64
 }
@@ -117,9 +117,10 @@
 	return u.allowsSpot == spec.Spot && clusterstate.Resources(spec.Request).Fits(u.request)
 }
 
-// isKnownUnplaceable reports whether a job's request is known not to fit, because since capacity was last
-// freed, a request of an earlier job that is no larger did not fit. Without this check, all waiting jobs
-// of a full cluster would scan all machines several times a second.
+// isKnownUnplaceable reports whether a job's request is known not to fit, because a request that is no
+// larger has not fit since capacity was last freed. If fitting capacity was yielded to other controllers,
+// this applies until it may be used, and only to jobs that are not before the one with that request.
+// Without this check, all waiting jobs of a full cluster would scan all machines several times a second.
 func (p *placementState) isKnownUnplaceable(
 	spec *wire.JobSpec,
 	priorityClass int,
--- a/core/preemption.go
+++ b/core/preemption.go
@@ -57,7 +57,7 @@
 	if served > 0 {
 		l.lastPreemptedFor[d.job.index] = preemptionRecord{at: c.now, served: served}
 		l.pushRequested = true
-		c.log(LevelInfo, "preempting tasks", "job", d.job.id, "tasks", served)
+		c.log(LevelInfo, "preempting tasks to place replicas of a service", "job", d.job.id, "tasks", served)
 	}
 	return served
 }
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -20,7 +20,7 @@
 
 const (
 	// startRefusalCooldown is how long a machine that refused a start gets no new tasks, and how long a
-	// job is not placed after a machine did not know its command.
+	// job is not placed after an agent reported that it does not know the task.
 	startRefusalCooldown = 2 * time.Second
 
 	// machineFailureCooldown is how long a machine gets no new tasks for each consecutive task failure
@@ -449,7 +449,8 @@
 		return status.state == wire.TaskExited, status.cause
 	}
 	// If the newest heartbeat does not list the attempt, that proves that it is not running only if no
-	// start command can still arrive. This is used only for final jobs, as tasks of others must start.
+	// start command can still arrive. This is used only for final jobs: the tasks of other jobs are to be
+	// started anyway.
 	if target.isFinal() && c.noStartPending(host, target, key) {
 		return true, causeNotStarted
 	}
--- a/core/saturation_test.go
+++ b/core/saturation_test.go
@@ -82,10 +82,10 @@
 	}
 	members.Peer("n3").QueueHeads = []membership.QueuePosition{{EnqueuedAtMS: 1}}
 	for _, test := range []struct {
-		name          string
-		job           membership.QueuePosition
-		spot          bool
-		before, alike int
+		name         string
+		job          membership.QueuePosition
+		spot         bool
+		before, tied int
 	}{
 		{"later", membership.QueuePosition{Priority: 1, EnqueuedAtMS: 60_000}, false, 1, 1},
 		{"about as old", membership.QueuePosition{Priority: 1, EnqueuedAtMS: 51_000}, false, 0, 2},
@@ -93,9 +93,9 @@
 		{"higher class", membership.QueuePosition{Priority: 0, EnqueuedAtMS: 60_000}, false, 0, 1},
 		{"lower class on spot", membership.QueuePosition{Priority: 2, EnqueuedAtMS: 10_000}, true, 1, 1},
 	} {
-		before, alike := members.CountCompetitors(0, isLive, test.job, test.spot)
-		if before != test.before || alike != test.alike {
-			t.Errorf("%s: %d before and %d alike, want %d and %d", test.name, before, alike, test.before, test.alike)
+		before, tied := members.CountCompetitors(0, isLive, test.job, test.spot)
+		if before != test.before || tied != test.tied {
+			t.Errorf("%s: %d before and %d tied, want %d and %d", test.name, before, tied, test.before, test.tied)
 		}
 	}
 
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -138,8 +138,8 @@
 	return due
 }
 
-// isDue reports whether a job may be written now. It clears the job's dirty mark if this
-// controller is not responsible for it.
+// isDue reports whether a job may be written now. It responds to a submission whose job has been
+// accepted in the meantime, and clears the job's dirty mark if this controller is not responsible for it.
 func (c *Core) isDue(j *job) bool {
 	examineAt := max(j.write.nextExamineAt, j.write.refusedUntil)
 	if !j.write.dirty || j.write.inFlight || j.write.outcomeUnknown || c.now < examineAt {
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -55,7 +55,8 @@
 }
 
 // enforceStartShares checks whether the classes below some class got less than their reserved share of
-// starts. If so, it moves the first waiting job of those classes ahead of all other placements.
+// starts. If so, it moves the first waiting job of those classes ahead of all other placements, unless
+// another controller has earlier work of those classes.
 func (c *Core) enforceStartShares(due []*job) []*job {
 	for class := range c.priority.classes.Len() - 1 {
 		if share := c.priority.classes.ReservedShare(class); share == 0 ||
--- a/core/yield.go
+++ b/core/yield.go
@@ -21,7 +21,7 @@
 type competitorCounts [2]competitorCount
 
 // competitorCount counts the other controllers whose waiting work is before a job in the queue, and those
-// whose waiting work is at about the same position.
+// that are tied with it: their waiting work is at about the same position, or none is known.
 type competitorCount struct{ before, tied int }
 
 // yieldDelay returns how much longer recently freed capacity on a machine is yielded to other controllers.
@@ -50,11 +50,10 @@
 }
 
 // rank returns how many controllers may use freed capacity on a machine before this one. machineRank is
-// this controller's rank in the machine's rendezvous order. A controller whose work is before this one's
-// may itself follow controllers with work at about the same position as its own. Each of those is before
-// this controller or at about its position, so if any controller is before this one, this one follows all
-// that are at about its position too. When it followed only those ahead of it in the rendezvous order, it
-// could have the same rank as a controller whose work had waited longer, and start later work first.
+// this controller's rank in the machine's rendezvous order. If any controller is before this one, this one
+// also follows all that are tied with it, because the earlier controller may itself follow those. When this
+// one followed only those ahead of it in the rendezvous order, it could have the same rank as a controller
+// whose work had waited longer, and start later work first.
 func (n competitorCount) rank(machineRank int) int {
 	if n.before > 0 {
 		return n.before + n.tied
--- a/core/yield_test.go
+++ b/core/yield_test.go
@@ -102,8 +102,8 @@
 		ranks := make([]int, len(heads))
 		for i, head := range heads {
 			position := membership.QueuePosition{EnqueuedAtMS: int64(head) * 1000}
-			before, alike := othersOf(heads, i).CountCompetitors(0, func(string) bool { return true }, position, false)
-			ranks[i] = competitorCount{before: before, tied: alike}.rank(order[i])
+			before, tied := othersOf(heads, i).CountCompetitors(0, func(string) bool { return true }, position, false)
+			ranks[i] = competitorCount{before: before, tied: tied}.rank(order[i])
 		}
 		for i, head := range heads {
 			for j, other := range heads {
