--- a/clusterstate/copy_test.go
+++ b/clusterstate/copy_test.go
@@ -39,13 +39,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for push, apply := range map[string]func(*Copy, time.Duration, []Row, []Delta){
-				"full":        (*Copy).Replace,
-				"incremental": (*Copy).Update,
+				"whole":   (*Copy).Replace,
+				"changes": (*Copy).Update,
 			} {
 				c := copyOf(test.before)
 				apply(c, time.Second, []Row{test.pushed}, test.pending)
 				if freed := c.Row(0).CapacityFreedAt() == time.Second; freed != test.freed {
-					t.Errorf("%s push: capacity freed %v, want %v", push, freed, test.freed)
+					t.Errorf("push of %s: capacity freed %v, want %v", push, freed, test.freed)
 				}
 			}
 		})
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -140,7 +140,7 @@
 	return bins
 }
 
-// packDemands packs the demands in order. It counts the jobs that do not fit on running machines, and
+// packDemands packs the demands in order. It counts the jobs that do not fit on machines that are up, and
 // holds capacity for the most urgent unconstrained ones among them.
 func (c *Core) packDemands(demands []demand, s *supply) {
 	l := c.leaderState
--- a/core/startshares.go
+++ b/core/startshares.go
@@ -39,7 +39,7 @@
 }
 
 // shareBelow returns the share of recent starts that belong to the classes below the given one. It is 1 if
-// there were no recent starts.
+// the counts add up to less than one start. They decay only when further starts are recorded.
 func (s *startShares) shareBelow(class int) float64 {
 	total, below := 0.0, 0.0
 	for i, n := range s.startsByClass {
--- a/core/supply.go
+++ b/core/supply.go
@@ -226,7 +226,8 @@
 	p.planMachines()
 }
 
-// fill packs the rest of the demand into the available resources of bins.
+// fill packs the rest of the demand into the available resources of bins. With upOnly, it uses only machines
+// that are up.
 func (p *demandPacking) fill(bins []*bin, upOnly bool) {
 	for _, b := range bins {
 		if p.demand.tasks <= 0 {
--- a/priorityclass/list.go
+++ b/priorityclass/list.go
@@ -87,7 +87,7 @@
 // add validates a class and appends it. An error begins with the invalid field of the class.
 func (l *List) add(lane *pb.Lane, isLast bool) error {
 	isFirst := len(l.classes) == 0
-	if _, twice := l.indexByName[lane.Name]; twice || !validName.MatchString(lane.Name) {
+	if _, duplicate := l.indexByName[lane.Name]; duplicate || !validName.MatchString(lane.Name) {
 		return errors.New(".name: no name, or used twice")
 	}
 	if err := checkRules(lane, isFirst, isLast); err != nil {
