--- a/core/startshares.go
+++ b/core/startshares.go
@@ -39,7 +39,7 @@
 }
 
 // shareBelow returns the share of recent starts that belong to the classes below the given one. It is 1 if
-// there were no recent starts.
+// the counts add up to less than one start. They decay only when further starts are recorded.
 func (s *startShares) shareBelow(class int) float64 {
 	total, below := 0.0, 0.0
 	for i, n := range s.startsByClass {
@@ -55,7 +55,8 @@
 }
 
 // enforceStartShares checks whether the classes below some class got less than their reserved share of
-// starts. If so, it moves the first waiting job of those classes ahead of all other placements.
+// starts. If so, it moves the first waiting job of those classes ahead of all other placements, unless
+// another controller has earlier work of those classes.
 func (c *Core) enforceStartShares(due []*job) []*job {
 	for class := range c.priority.classes.Len() - 1 {
 		if share := c.priority.classes.ReservedShare(class); share == 0 ||
