--- a/access/access.go
+++ b/access/access.go
@@ -280,12 +280,12 @@
 	return found != nil && found.allowsCertificate
 }
 
-// KeyBelongsTo reports whether a key, or a client certificate, authenticates an identity.
-func (p *Policy) KeyBelongsTo(identityName, key string) bool {
-	if key == CertificateKey {
+// KeyBelongsTo reports whether the key with that ID, or a client certificate, authenticates an identity.
+func (p *Policy) KeyBelongsTo(identityName, keyID string) bool {
+	if keyID == CertificateKey {
 		return p.AllowsCertificate(identityName)
 	}
-	known, ok := p.keys[key]
+	known, ok := p.keys[keyID]
 	return ok && known.Holder == identityName
 }
 
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -131,8 +131,8 @@
 	return token
 }
 
-// A token must be rejected outside of its lifetime, when its signature is not by the named key of its holder, and
-// when its header or claims were altered.
+// A token must be rejected outside of its lifetime, when it is not signed with the key of its holder that its header
+// names, and when its header or claims were altered.
 func TestTokensAreBoundToTimeAndHolder(t *testing.T) {
 	p, key := newPolicyWithKey(t)
 	now, clockError := time.Unix(1_800_000_000, 0), 50*time.Millisecond
--- a/access/token.go
+++ b/access/token.go
@@ -81,8 +81,8 @@
 	return signed, nil
 }
 
-// ErrInvalidToken is wrapped by the errors of VerifyToken, whose texts are for the log only: a client gets just the
-// text of ErrInvalidToken.
+// ErrInvalidToken is wrapped by the errors of VerifyToken. A client gets just the text of ErrInvalidToken, not that of
+// the wrapping error, which tells why the token is invalid.
 var ErrInvalidToken = errors.New("token not accepted")
 
 // PeekKeyID returns the ID of the key that a token claims to be signed with. It verifies nothing.
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -83,8 +83,8 @@
 	return out
 }
 
-// Whoever alters a block without knowing the key must be detected: verification must locate the first altered
-// entry.
+// An alteration of a block by someone who does not know the key must be detected: verification must locate the first
+// altered entry.
 func TestEveryAlterationIsLocated(t *testing.T) {
 	raws := newChain(t, 3, 4, 2)
 	if verifier, err := verifyChain(raws); err != nil || verifier.BlockNumber != 3 || verifier.EntryCount != 9 {
@@ -203,11 +203,11 @@
 		t.Fatal(entry, err)
 	}
 	for name, alter := range map[string]func(c *PendingEntry) string{
-		"another value": func(*PendingEntry) string { return "dl/job/wk-2" },
-		"another node":  func(c *PendingEntry) string { c.Node = "n1"; return "dl/job/wk-1" },
-		"another life":  func(c *PendingEntry) string { c.Incarnation++; return "dl/job/wk-1" },
-		"another count": func(c *PendingEntry) string { c.Sequence++; return "dl/job/wk-1" },
-		"another tag":   func(c *PendingEntry) string { c.MAC = []byte{1}; return "dl/job/wk-1" },
+		"another value":           func(*PendingEntry) string { return "dl/job/wk-2" },
+		"another node":            func(c *PendingEntry) string { c.Node = "n1"; return "dl/job/wk-1" },
+		"another incarnation":     func(c *PendingEntry) string { c.Incarnation++; return "dl/job/wk-1" },
+		"another sequence number": func(c *PendingEntry) string { c.Sequence++; return "dl/job/wk-1" },
+		"another MAC":             func(c *PendingEntry) string { c.MAC = []byte{1}; return "dl/job/wk-1" },
 		"another entry": func(c *PendingEntry) string {
 			c.Entry = EncodeEntry(&pb.AuditEntry{Life: 3, Count: 4, Who: "potter", Verb: "submit"})
 			return "dl/job/wk-1"
--- a/audit/chain.go
+++ b/audit/chain.go
@@ -103,11 +103,11 @@
 }
 
 // Error implements error.
-func (f *ChainError) Error() string {
-	if f.Entry == 0 {
-		return fmt.Sprintf("chain of %s: block %d %s", f.Node, f.Block, f.Reason)
+func (e *ChainError) Error() string {
+	if e.Entry == 0 {
+		return fmt.Sprintf("chain of %s: block %d %s", e.Node, e.Block, e.Reason)
 	}
-	return fmt.Sprintf("chain of %s: entry %d of block %d %s", f.Node, f.Entry, f.Block, f.Reason)
+	return fmt.Sprintf("chain of %s: entry %d of block %d %s", e.Node, e.Entry, e.Block, e.Reason)
 }
 
 // ChainVerifier verifies the chain of a controller, block by block.
@@ -211,7 +211,8 @@
 	return block, nil
 }
 
-// PendingEntry is an entry that is not in a block yet: it is stored in the value whose change it records.
+// PendingEntry is an entry that is not in a block yet. The value whose change it records carries it or, where that
+// value can't, another value that the same transaction writes.
 type PendingEntry struct {
 	Node        string `json:"a"`
 	Incarnation uint64 `json:"l"`
@@ -231,7 +232,8 @@
 	return pending
 }
 
-// entryMAC returns the MAC of a pending entry. It is valid only for that controller and the key of that value.
+// entryMAC returns the MAC of a pending entry. It is valid only for the controller of the entry and for the value under
+// valueKey.
 func (k Key) entryMAC(valueKey string, pending *PendingEntry) []byte {
 	return k.mac([]byte("carried"), []byte(pending.Node), []byte(valueKey), pending.Entry)[:entryMACBytes]
 }
--- a/audit/report/report.go
+++ b/audit/report/report.go
@@ -45,7 +45,7 @@
 // Appearance of the plot.
 const (
 	maxLevelLabels = 8             // days with horizontal labels, which overlap if there are more
-	labelRotation  = 0.7           // rad, of the labels of more days than that
+	labelRotation  = 0.7           // rad, of the labels if there are more days
 	titlePadding   = vg.Length(10) // points
 	plotWidth      = 380           // points for all bars
 	minBarWidth    = 4             // points
