--- a/booking/decide.go
+++ b/booking/decide.go
@@ -66,7 +66,7 @@
 const (
 	OutcomeUndecided Outcome = iota
 	OutcomeDone              // the only outcome with changes
-	OutcomeRepeated          // an identical request was granted before
+	OutcomeRepeated          // granted before, or the reservation already is as requested
 	OutcomeRefused           // not possible now, for the given Reason
 	OutcomeInvalid           // the request itself is invalid
 	OutcomeNotFound          // the reservation does not exist
@@ -398,7 +398,8 @@
 	return Result{Outcome: OutcomeDone, Booking: next}
 }
 
-// IsOver reports whether a reservation can't change any more: it has ended, or all its slots have passed.
+// IsOver reports whether a reservation can't change any more: it has ended, or all its slots have passed with the
+// cooldowns after them.
 func IsOver(reservation *pb.Booking, now int64) bool {
 	switch reservation.State {
 	case pb.BookingState_ended:
--- a/booking/inventory.go
+++ b/booking/inventory.go
@@ -25,8 +25,8 @@
 	maxUnits           = 200 // of an item
 	maxSlotMinutes     = minutesPerDay
 	maxCooldownMinutes = 7 * minutesPerDay
-	maxRules           = 50 // of each kind in an item: opening hours, closed days
-	firstYear          = 2000
+	maxRules           = 50   // of each kind in an item: opening hours, closed days
+	firstYear          = 2000 // in which a reservation may begin
 	lastYear           = 2100 // exclusive
 )
 
--- a/booking/search.go
+++ b/booking/search.go
@@ -140,8 +140,8 @@
 	return 0, false
 }
 
-// NextFree returns up to limit free intervals for a want that begin at from or later and end by until; 0 means no
-// such end. The slots of the reservation with that ID are no conflict.
+// NextFree returns up to limit intervals in which a want can be met. They begin at from or later and end by until; if
+// until is 0, they may end at any time. The slots of the reservation with that ID are no conflict.
 func (inv *Inventory) NextFree(
 	schedule *Schedule, id, team string, want *pb.Want, from, until int64, limit int,
 ) (out []FreeSlot) {
@@ -173,8 +173,8 @@
 	return out
 }
 
-// BookingsBetween returns the reservations that use an item at any time in an interval, ordered by start. It
-// reports false if there is no such item.
+// BookingsBetween returns the reservations that use an item at any time in an interval, ordered by start. A cooldown
+// counts as use. It reports false if there is no such item.
 func (s *Schedule) BookingsBetween(
 	inventory *Inventory, name string, from, to int64,
 ) (out []*pb.Booking, ok bool) {
