--- a/core/audit.go
+++ b/core/audit.go
@@ -47,7 +47,7 @@
 	schema      *schemaState
 	permissions *permissionState
 	stats       *Stats
-	recorder    *auditlog.Recorder // to be used by current, which sets its environment
+	recorder    *auditlog.Recorder // call it through current, which sets its environment
 }
 
 // newAuditLog returns an audit log recorder for the controller's configuration.
--- a/core/audit_test.go
+++ b/core/audit_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// Many denials must not flood the store: they are counted in a few entries, and those that occur during an outage
-// are recorded after it.
+// Many denials must not flood the store: they are counted in a few entries, and those that are not recorded when an
+// outage begins are recorded after it.
 func TestDenialsAreAuditedInBatches(t *testing.T) {
 	c := newAuditingCore(t)
 	for i := range 3000 {
@@ -179,9 +179,9 @@
 // reader are answered at once and recorded once a minute.
 func TestReadIsAuditedBeforeItIsAnswered(t *testing.T) {
 	c := newAuditingCore(t)
-	read := func(at time.Duration, caller Credential, node string) (out []Output) {
+	read := func(at time.Duration, caller Credential, controller string) (out []Output) {
 		c.ownLease.expiresAt = at + time.Minute
-		c.Handle(at, ReadAudit{RequestID: 9, Caller: caller, Controller: node})
+		c.Handle(at, ReadAudit{RequestID: 9, Caller: caller, Controller: controller})
 		return append(c.Advance(at), completeBarrier(c, at+300*time.Millisecond)...)
 	}
 	if s := statusOf(t, read(2*time.Second, potter, "")); s != wire.StatusForbidden {
--- a/core/auditlog/blocks.go
+++ b/core/auditlog/blocks.go
@@ -104,7 +104,7 @@
 	return r.blockTxn(raw, next, wire.Txn{}, attempt)
 }
 
-// incarnationsAfter returns the incarnations for the head of the block that the first n queued entries are in.
+// incarnationsAfter returns the incarnations for the head that follows a block with the first n queued entries.
 func (r *Recorder) incarnationsAfter(head *audit.Head, n int) []audit.Incarnation {
 	written, remaining := r.queue[:n], r.queue[n:]
 	isFormer := func(entry queuedEntry) bool { return entry.incarnation != r.incarnation }
--- a/core/auditlog/entries.go
+++ b/core/auditlog/entries.go
@@ -199,8 +199,8 @@
 	)
 }
 
-// ResolveUnknown drops the entries with unknown outcome whose write to the key the revision rules out: the key
-// would carry them if they had been written.
+// ResolveUnknown drops the entries with unknown outcome whose transaction compares an earlier revision of the key than
+// the given one, at which the key does not carry them: it was not executed, and its compare fails from now on.
 func (r *Recorder) ResolveUnknown(key string, revision uint64) {
 	if len(r.unknownOutcome[key]) == 0 {
 		return
--- a/core/auditlog/recorder.go
+++ b/core/auditlog/recorder.go
@@ -141,9 +141,10 @@
 	r.denials.Add(event, count)
 }
 
-// RecordRead records a read that needs a permission. It calls f with true once the read is recorded, or with false
-// if it can't be recorded now. Within readerDedupWindow after a recorded read, further reads of the same reader are
-// only counted, and f is called at once: so reading page after page does not wait for a block each time.
+// RecordRead records a read that needs a permission. It calls f with true once the read is recorded, or at once if
+// auditing is not enabled, and with false if the read can't be recorded now. Within readerDedupWindow after a recorded
+// read, further reads of the same reader are only counted, and f is called at once: so reading page after page does not
+// wait for a block each time.
 func (r *Recorder) RecordRead(identity, verb, object string, f func(ok bool)) {
 	if !r.Env.Enabled {
 		f(true)
--- a/core/denials_test.go
+++ b/core/denials_test.go
@@ -143,8 +143,8 @@
 	return denials, done
 }
 
-// The response to a denied request must say so. The request must change nothing in the store except the audit log,
-// which must record the denial exactly once.
+// A denied request must get status 403, or 404 where its caller must not learn whether a job exists. It must change
+// nothing in the store except the audit log, which must record the denial exactly once.
 func TestDeniedRequestChangesNothing(t *testing.T) {
 	for _, tt := range deniedRequests() {
 		t.Run(tt.name, func(t *testing.T) {
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -518,8 +518,8 @@
 	return write, nil
 }
 
-// cancelQueuedJobs cancels, if the request asks for it, the jobs of the changed identity of which no task has
-// started. It returns their IDs.
+// cancelQueuedJobs cancels, if the request asks for it, the jobs that the changed identity submitted and that have
+// neither assigned nor completed tasks, as far as the caller may cancel them. It returns their IDs.
 func (c *Core) cancelQueuedJobs(in UpdatePermissions) (ids []string) {
 	if !in.Edit.CancelQueued {
 		return nil
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -294,8 +294,8 @@
 			c.respondToReservation(response)
 		}
 		if mustReadHead {
-			// Another controller committed first. Read at once: with a delayed read, this controller would lose
-			// against it every time.
+			// Another controller may have committed first. Read at once: with a delayed read, this controller
+			// would lose to it every time.
 			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
 			c.replica.afterReadBarrier(func(bool) { c.reservations.service.HeadRead() })
 		}
@@ -336,7 +336,7 @@
 	return compares, ""
 }
 
-// denialReason returns the reason of a denial, which is never "", or "" if the action is allowed.
+// denialReason returns "" if the action is allowed, and otherwise the reason of the denial, which is never "".
 func denialReason(decision access.Decision) string {
 	if decision.Allowed {
 		return ""
--- a/core/reservations/pages.go
+++ b/core/reservations/pages.go
@@ -31,7 +31,7 @@
 	bookings []*pb.Booking
 }
 
-// storedValue is the stored form of the head, a page, a block or the equipment.
+// storedValue is the stored form of the head, a page, an archive block or the equipment.
 type storedValue struct {
 	Data         []byte               `json:"p"`
 	PendingAudit []audit.PendingEntry `json:"e,omitempty"`
