--- a/core/audit.go
+++ b/core/audit.go
@@ -47,7 +47,7 @@
 	schema      *schemaState
 	permissions *permissionState
 	stats       *Stats
-	recorder    *auditlog.Recorder // call it through current, which sets its environment
+	recorder    *auditlog.Recorder // calls that need its environment go through current
 }
 
 // newAuditLog returns an audit log recorder for the controller's configuration.
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -178,8 +178,9 @@
 	)
 }
 
-// advanceReservations responds to expired requests and starts at most one transaction: a batch of requests or, on a
-// leader that has write tokens to spare, a compaction.
+// advanceReservations responds to expired requests, seeds the equipment, starts the reads of archive blocks that
+// requests need, and starts at most one further transaction: a batch of requests or, on a leader that has write tokens
+// to spare, a compaction.
 func (c *Core) advanceReservations() {
 	c.reservations.publishEnabled()
 	for _, response := range c.reservations.service.TakeExpired(c.now) {
