--- a/core/reservations.go
+++ b/core/reservations.go
@@ -178,8 +178,9 @@
 	)
 }
 
-// advanceReservations responds to expired requests and starts at most one transaction: a batch of requests or, on a
-// leader that has write tokens to spare, a compaction.
+// advanceReservations responds to expired requests, seeds the equipment, starts the reads of archive blocks that
+// requests need, and starts at most one further transaction: a batch of requests or, on a leader that has write tokens
+// to spare, a compaction.
 func (c *Core) advanceReservations() {
 	c.reservations.publishEnabled()
 	for _, response := range c.reservations.service.TakeExpired(c.now) {
@@ -294,8 +295,8 @@
 			c.respondToReservation(response)
 		}
 		if mustReadHead {
-			// Another controller committed first. Read at once: with a delayed read, this controller would lose
-			// against it every time.
+			// Another controller may have committed first. Read at once: with a delayed read, this controller
+			// would lose to it every time.
 			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
 			c.replica.afterReadBarrier(func(bool) { c.reservations.service.HeadRead() })
 		}
@@ -336,7 +337,7 @@
 	return compares, ""
 }
 
-// denialReason returns the reason of a denial, which is never "", or "" if the action is allowed.
+// denialReason returns "" if the action is allowed, and otherwise the reason of the denial, which is never "".
 func denialReason(decision access.Decision) string {
 	if decision.Allowed {
 		return ""
