--- a/core/cancelenforcement.go
+++ b/core/cancelenforcement.go
@@ -16,11 +16,11 @@
 const (
 	outageScaleInInterval = time.Second // between two scale-in requests during a store outage
 
-	// outageReturnShare is the part of the cancel timeout, from 0 to 1, after which machines that still send
+	// outageScaleInShare is the part of the cancel timeout, from 0 to 1, after which machines that still send
 	// heartbeats are scaled in too, during a store outage.
 	outageScaleInShare = 0.7
 
-	// outageReturnRankShare is the part of the cancel timeout by which each controller waits longer than the
+	// outageScaleInRankShare is the part of the cancel timeout by which each controller waits longer than the
 	// one ranked before it for a machine, so that not all send the same request.
 	outageScaleInRankShare = 0.04
 
@@ -78,7 +78,7 @@
 	return overdue
 }
 
-// timeoutShare returns a part of CancelTimeout, the time within which cancelled tasks must be gone.
+// timeoutShare returns the given part of CancelTimeout, the time within which cancelled tasks must be gone.
 func (a *cancelAcks) timeoutShare(share float64) time.Duration {
 	return time.Duration(share * float64(a.cfg.Agents.CancelTimeout))
 }
@@ -113,7 +113,7 @@
 }
 
 // overdueMachinesInOutage returns the names of the machines that this controller must scale in now because of
-// cancelled tasks, sorted and at most maxOutageReturns.
+// cancelled tasks, sorted and at most maxOutageScaleIns.
 func (c *Core) overdueMachinesInOutage() []string {
 	overdue := map[string]bool{}
 	c.forEachUnconfirmedStop(func(j *job, assignment jobrecord.Assignment, host *machine, age time.Duration) {
--- a/core/cancelmarker.go
+++ b/core/cancelmarker.go
@@ -13,10 +13,10 @@
 // keyCancel is the prefix of the keys of cancel markers; the job ID follows.
 const keyCancel = Root + "cancel/"
 
-// cancelMarker cancels a job whose record exceeds the current size limit and can't be rewritten, because an
-// older version may have stored it under a larger limit. The marker is a small durable write in addition to
-// the record. The record is rewritten as the job's tasks end, and the write of the final record deletes the
-// marker.
+// cancelMarker cancels a job whose record would exceed the size limit of a value: an older version may have
+// stored it under a larger limit, or its tasks may have ended in an order that leaves many separate ranges. The
+// marker is a small durable write in addition to the record. The record is written once enough of the job's
+// tasks have ended for it to fit, and the write of the final record deletes the marker.
 type cancelMarker struct {
 	CancelMS     int64                `json:"cm"` // wall-clock time of the cancellation
 	PendingAudit []audit.PendingEntry `json:"e,omitempty"`
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -28,7 +28,7 @@
 	maxPollBackoffShift = 4
 )
 
-// agentLiveness is the state of heartbeats to relay to the peers, of the status polls in flight, and of the
+// agentLiveness holds the heartbeats to relay to the peers, the number of status polls in flight, and the
 // liveness of zones.
 type agentLiveness struct {
 	*environment
@@ -249,7 +249,7 @@
 		j.placement.completedTasks++
 	}
 	if completed && j.hasTasksToComplete() {
-		c.markDirtyKeepingDelay(j) // the write of this end may wait to be combined with others
+		c.markDirtyKeepingDelay(j) // the write of this completion may wait to be combined with others
 	} else {
 		c.markDirty(j)
 	}
@@ -399,9 +399,9 @@
 	return a.maxHeartbeatGap() + a.cfg.Agents.SilenceTimeout
 }
 
-// pollOverdueAgent polls the status of an agent if its heartbeat is overdue, whether directly or through
-// peers. While the controllers cannot reach each other, polling is the only source of task statuses from
-// agents that send their heartbeats to another controller.
+// pollOverdueAgent polls the status of an agent if no heartbeat has arrived in time from the agent itself or
+// through a peer. While the controllers cannot reach each other, polling is the only source of task statuses
+// from agents that send their heartbeats to another controller.
 //
 // Polls of an agent that does not respond back off exponentially, and the number in flight is bounded: if
 // every controller polls every machine of a lost zone once a second, each poll holds a socket until its
--- a/core/latestarts.go
+++ b/core/latestarts.go
@@ -11,8 +11,8 @@
 	lateStartLogInterval = time.Second
 )
 
-// lateStartLog limits the log lines about late starts. They show why jobs started late: users only see that
-// they waited.
+// lateStartLog limits the log lines about late starts. The lines show why jobs started late; operators
+// otherwise see only how long users waited.
 type lateStartLog struct {
 	nextAt     time.Duration
 	suppressed int // late starts since the last log line
--- a/core/machine.go
+++ b/core/machine.go
@@ -72,7 +72,7 @@
 	lastExaminedAt   time.Duration
 }
 
-// machineAllocation is the committed assignments to a machine, and what is computed from them.
+// machineAllocation holds the committed assignments to a machine, and what is computed from them.
 type machineAllocation struct {
 	assignments    map[taskKey]jobrecord.Assignment
 	allocated      clusterstate.Resources // cached sum of the requests of the assigned tasks
@@ -92,7 +92,7 @@
 
 // rankCache caches this controller's rank among the controllers that may place tasks on a machine.
 type rankCache struct {
-	registrationsVersion uint64 // controllerSet.nodesVersion that the rank was computed for
+	registrationsVersion uint64 // controllerSet.registrationsVersion that the rank was computed for
 	rank                 int    // 0 is the first
 }
 
@@ -123,7 +123,7 @@
 	resourcesReleased   bool // the release of its resources was recorded as an allocation delta
 	orphanCheckInFlight bool // a read barrier that checks whether its job exists is in flight
 	isOrphan            bool // the read barrier has shown that its job does not exist
-	resentAtOnce        bool // a command was already allowed within the retry interval
+	resentAtOnce        bool // allowImmediateResend was already used for the attempt
 }
 
 // machineTable holds the machines that this controller knows, interned by index.
--- a/core/machinecheck.go
+++ b/core/machinecheck.go
@@ -162,8 +162,9 @@
 	return silence < grace && !m.delayMissesDeadline(c.jobs, c.unixMS(), grace-silence)
 }
 
-// isSilent reports whether a machine without a heartbeat for the given time counts as lost. A new leader
-// first waits for heartbeats for the silence timeout itself.
+// isSilent reports whether a machine without a heartbeat for the given time counts as lost. A new leader first
+// waits for heartbeats for one silence timeout. A controller that may be isolated waits until the agent must have
+// stopped its tasks.
 func (k *machineCheck) isSilent(silence time.Duration) bool {
 	c := k.core
 	if silence <= c.agents.silenceTimeout() || c.now-k.leader.leadingSince <= c.agents.silenceTimeout() {
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -9,11 +9,11 @@
 	"dewlift/wire"
 )
 
-// A faulty job fails on every machine until its user cancels it. Its record shows that to every controller:
-// none of its tasks has completed, and its most recent tasks failed. From then on only a few of its tasks run
-// at a time, on machines where it has not failed, and it causes little scale-out. A job that failed on
-// several machines is no evidence against them; a job that failed on a single machine may have met a faulty
-// one.
+// A faulty job, such as one that was submitted with a mistake, fails on every machine until its user cancels
+// it. Its record shows that to every controller: none of its tasks has completed, and its most recent tasks
+// failed. From then on only a few of its tasks run at a time, on machines where it has not failed, and it
+// causes little scale-out. A job that failed on several machines is no evidence against them; a job that
+// failed on a single machine may have met a faulty one.
 
 const (
 	// failingThreshold is the number of errors, among the stop reasons that a record keeps, at which its job
@@ -26,7 +26,7 @@
 	steadyAfter = 10 * time.Second
 	// quarantineJobThreshold is the number of jobs failing on a machine at which the machine is quarantined.
 	quarantineJobThreshold = 3
-	// returnHealthyJobThreshold is the number of these jobs, healthy elsewhere, that proves the machine
+	// faultyMachineJobThreshold is the number of these jobs, healthy elsewhere, that proves the machine
 	// faulty.
 	faultyMachineJobThreshold = 2
 	// avoidFailedMachineFor is how long a job avoids a machine where it failed. It is bounded because there
--- a/core/zone_liveness.go
+++ b/core/zone_liveness.go
@@ -18,8 +18,8 @@
 	replacementSilenceLimit = 3 * time.Second
 	// minZoneMachines is the least number of machines of a zone for its common silence to be significant.
 	minZoneMachines = 12
-	// missedHeartbeatsForSilence is the number of heartbeats that a healthy zone sends in the shortest
-	// silence that counts.
+	// missedHeartbeatsForSilence is the number of heartbeats that a healthy zone would have sent in the
+	// shortest silence that counts.
 	missedHeartbeatsForSilence = 10
 )
 
@@ -53,7 +53,8 @@
 }
 
 // isZoneSilent reports whether a zone with many machines has sent no heartbeat for at least the given time
-// while another such zone has. If all zones are silent, this controller is probably isolated.
+// while another such zone has. If all zones are silent, none counts as silent, because this controller is
+// probably isolated.
 func (a *agentLiveness) isZoneSilent(zone string, least time.Duration) bool {
 	liveness := a.zones[zone]
 	if liveness == nil || liveness.machinesUp < minZoneMachines ||
