--- a/archive/block.go
+++ b/archive/block.go
@@ -3,8 +3,8 @@
 // blocks.
 //
 // The key-value store keeps its keys in order. The key of a block contains the first ID after its range, so
-// that the first key after that of an ID belongs to the block of that ID: one read finds a job without an
-// index in memory.
+// that the first block key that sorts after an ID is that of the block for the ID: one read finds a job
+// without an index in memory.
 package archive
 
 import (
--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -220,7 +220,8 @@
 	for _, record := range group {
 		entries = append(entries, record.Entry)
 	}
-	// At most the writes of half a second.
+	// A move takes at most half a second of the write rate. Two writes are always allowed: one block and the
+	// deletion of one record.
 	maxWrites := max(2, min(c.cfg.Store.MaxTxnOps, int(c.schema.storeWriteRate()/2)))
 	return block.PlanMerge(entries, c.cfg.Store.MaxValueBytes, maxWrites)
 }
--- a/core/job.go
+++ b/core/job.go
@@ -48,14 +48,14 @@
 	inExamineList       bool          // it is in jobTable.jobsToExamine
 	dirtySince          time.Duration // when it became dirty
 	nextExamineAt       time.Duration // it is not examined before, even if it is dirty
-	separateTxn         bool          // it is written in a transaction of its own, because one with other jobs was refused
+	separateTxn         bool          // it gets a transaction of its own, because one with other jobs was refused
 	refusals            int           // consecutive refusals, as malformed or too large, of writes of this job alone
 	refusedUntil        time.Duration // it is not written before, after a refusal
-	waitsForCompletions bool          // its next record only adds ends of tasks, and waits to combine more of them
+	waitsForCompletions bool          // its next record only adds task completions, which wait to share a write
 }
 
-// jobCancellation is the requests that wait for a job's cancellation, and its cancel marker: a small value in
-// a key of its own, which is written if the cancelled record itself can't be.
+// jobCancellation holds the requests that wait for a job's cancellation, and its cancel marker: a small value
+// in a key of its own, which is written if the cancelled record does not fit in a value.
 type jobCancellation struct {
 	waiters        []cancelWaiter
 	requestedMS    int64         // wall-clock time of the last request, in ms
@@ -77,7 +77,7 @@
 	missingReplicas int           // lost replicas of a service, as of the last scheduling pass
 	enqueueRevision uint64        // revision of the acceptance, which orders the jobs of a priority class
 	rank            queueRank     // rank computed last
-	boostedUntil    time.Duration // until then, it ranks in the first class, for the reserved share of its own class
+	boostedUntil    time.Duration // until then, it ranks in the first class to enforce its own class's reserved share
 }
 
 // jobPlacement is the state of placing a job's tasks, and of the back-off after failures.
@@ -259,7 +259,7 @@
 	})
 }
 
-// mustBeExamined reports whether a job has something to write or requests to respond to in time.
+// mustBeExamined reports whether a job is dirty or has requests to respond to before their deadline.
 func (j *job) mustBeExamined() bool {
 	return j.write.dirty || j.submission != nil || len(j.cancellation.waiters) > 0
 }
--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -33,7 +33,7 @@
 
 	markerRevision   uint64 // revision of keyHistory; 0: it does not exist, so nothing was archived
 	coldRecords      int    // records of ended jobs that are not in memory; may be too high, but never too low
-	snapshotRevision uint64 // of the last page of the snapshot; records archived up to it may not be counted as cold
+	snapshotRevision uint64 // of the snapshot's last page; records archived up to it may not have been counted as cold
 	endedJobs        []*job // ended jobs that are in memory and not archived
 	recalledJobs     []*job // ended jobs that are in memory because of a lookup, oldest lookup first
 	evicting         []*job // jobs that are evicted from memory once nothing refers to them
@@ -145,8 +145,8 @@
 	return strings.Compare(a.id, b.id)
 }
 
-// referencedJobs returns the indexes of the jobs that machines have tasks, commands or failures of: what is
-// known of their attempts must not be lost.
+// referencedJobs returns the indexes of the jobs to which the tasks, assignments, commands or failures of
+// machines refer. Evicting such a job would lose what is known of its attempts.
 func referencedJobs(machines []*machine) map[int32]bool {
 	referenced := map[int32]bool{}
 	for _, machine := range machines {
@@ -302,8 +302,8 @@
 	return c.knownJob(id)
 }
 
-// notArchivedCompare returns the compare on which a job known not to exist has not been archived since. It
-// returns false if the job must be looked up again.
+// notArchivedCompare returns a compare that fails if a job that was known not to exist has been archived since.
+// It returns false if the job must be looked up again.
 func (c *Core) notArchivedCompare(id string) (wire.Compare, bool) {
 	if c.history.markerRevision == 0 {
 		return wire.Compare{Key: keyHistory}, true
@@ -469,8 +469,8 @@
 		lookup.recordAbsent, lookup.recordAbsentAt = true, in.Revision
 	case found && in.Items[0].Revision > c.replica.revision:
 		// The watch will deliver the record, and it was never counted as cold. Subtracting it from
-		// coldRecords makes the count too low, and requests for another job that was evicted are then
-		// answered as if it did not exist.
+		// coldRecords would make the count too low, and requests for another job that was evicted would then
+		// be answered as if it did not exist.
 		lookup.readInFlight = true
 		c.replica.afterReadBarrier(func(bool) {
 			lookup.readInFlight = false
--- a/core/jobrecord/restore.go
+++ b/core/jobrecord/restore.go
@@ -15,8 +15,8 @@
 // PrepareForRestore returns a record for another key-value store, whose revisions start anew. A queued job
 // keeps its position before all jobs that are accepted after the restore, and its order among the restored
 // ones. modRevision is the revision of the record's key and snapshotRevision that of the snapshot. The record
-// is returned unchanged if it can't be decoded, or if its size is so close to a multiple of valueSizeStep
-// that the change might exceed a size limit.
+// is returned unchanged if its job has ended, if it can't be decoded, or if its size is so close to a multiple
+// of valueSizeStep that the change might exceed a size limit.
 func PrepareForRestore(raw json.RawMessage, modRevision, snapshotRevision uint64) json.RawMessage {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(raw, &fields) != nil || fields["s"] == nil ||
