--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -145,11 +145,11 @@
 // it did.
 func (p *commandPlan) add(op string, key attemptKey) bool {
 	c := p.core
-	record := p.machine.commands.attemptOf(key)
-	if record.commandSent && c.now-record.lastCommandAt < c.cfg.Agents.CommandRetryInterval {
+	attempt := p.machine.commands.attemptOf(key)
+	if attempt.commandSent && c.now-attempt.lastCommandAt < c.cfg.Agents.CommandRetryInterval {
 		return false
 	}
-	record.lastCommandAt, record.commandSent = c.now, true
+	attempt.lastCommandAt, attempt.commandSent = c.now, true
 	p.commands = append(p.commands, plannedCommand{
 		key,
 		wire.Command{Op: op, Task: wire.TaskName(c.jobs[key.jobIndex].id, int(key.task)), Attempt: key.attempt},
@@ -201,9 +201,9 @@
 			m.commands.allowImmediateResend(key)
 			p.addStop(key, 0)
 		case status.state != wire.TaskCheckpointing:
-			if record := m.commands.attempts[key]; record != nil && record.stopReason != "" {
+			if attempt := m.commands.attempts[key]; attempt != nil && attempt.stopReason != "" {
 				p.needsRecheck = true
-				p.addStop(key, record.stopGraceSeconds)
+				p.addStop(key, attempt.stopGraceSeconds)
 			}
 		}
 	}
@@ -257,19 +257,19 @@
 // command for them can be executed any more.
 func (p *commandPlan) evictOldAttempts() {
 	c, m := p.core, p.machine
-	for key, record := range m.commands.attempts {
-		if record.startInFlight {
+	for key, attempt := range m.commands.attempts {
+		if attempt.startInFlight {
 			p.needsRecheck = true
 			continue
 		}
-		if _, reported := m.status.tasks[key]; reported || c.now-record.lastCommandAt < attemptRetention {
+		if _, reported := m.status.tasks[key]; reported || c.now-attempt.lastCommandAt < attemptRetention {
 			continue
 		}
 		assignment, assigned := m.allocation.assignments[taskKey{key.jobIndex, key.task}]
 		if assigned && assignment.Attempt == key.attempt {
 			continue
 		}
-		if record.maxUnansweredToken < m.status.fencingToken || record.maxUnansweredToken == 0 {
+		if attempt.maxUnansweredToken < m.status.fencingToken || attempt.maxUnansweredToken == 0 {
 			delete(m.commands.attempts, key)
 		}
 	}
@@ -327,24 +327,24 @@
 // accepted and placed a job that is unknown here, so only a read barrier after the heartbeat proves that:
 // without it, tasks of other controllers' new jobs are stopped and cleared, and then started twice.
 func (c *Core) isOrphan(m *machine, j *job, key attemptKey) bool {
-	record := m.commands.attemptOf(key)
-	if !record.orphanCheckInFlight && !record.isOrphan {
-		record.orphanCheckInFlight = true
+	attempt := m.commands.attemptOf(key)
+	if !attempt.orphanCheckInFlight && !attempt.isOrphan {
+		attempt.orphanCheckInFlight = true
 		c.replica.afterReadBarrier(func(ok bool) {
-			record.orphanCheckInFlight = false
-			record.isOrphan = ok && j.revision == 0
+			attempt.orphanCheckInFlight = false
+			attempt.isOrphan = ok && j.revision == 0
 			c.commands.markDirty(m)
 		})
 	}
-	return record.isOrphan
+	return attempt.isOrphan
 }
 
 // allowImmediateResend allows, once per attempt, that a command different from the last one is sent within
 // the retry interval.
 func (s *machineCommands) allowImmediateResend(key attemptKey) {
-	if record := s.attempts[key]; record != nil && !record.resentAtOnce {
-		record.resentAtOnce = true
-		record.commandSent = false
+	if attempt := s.attempts[key]; attempt != nil && !attempt.resentAtOnce {
+		attempt.resentAtOnce = true
+		attempt.commandSent = false
 	}
 }
 
@@ -406,13 +406,13 @@
 func (s *machineCommands) recordStartOutcomes(in CommandsResult) {
 	answered := in.Status == wire.StatusOK || in.Status == wire.StatusConflict || !in.MaybeDelivered
 	for _, key := range s.requestAttempts {
-		record := s.attempts[key]
-		if record == nil {
+		attempt := s.attempts[key]
+		if attempt == nil {
 			continue
 		}
-		record.startInFlight = false
+		attempt.startInFlight = false
 		if !answered {
-			record.maxUnansweredToken = max(record.maxUnansweredToken, s.requestToken)
+			attempt.maxUnansweredToken = max(attempt.maxUnansweredToken, s.requestToken)
 		}
 	}
 	s.requestAttempts = nil
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -38,9 +38,9 @@
 			continue
 		}
 		key := attemptKey{assignment.jobIndex, assignment.Task, assignment.Attempt}
-		record := m.commands.attemptOf(key)
+		attempt := m.commands.attemptOf(key)
 		status, reported := m.status.tasks[key]
-		if record.stopReason != "" || !reported || status.state == wire.TaskExited ||
+		if attempt.stopReason != "" || !reported || status.state == wire.TaskExited ||
 			status.state == wire.TaskCheckpointing {
 			continue
 		}
--- a/core/zone_liveness.go
+++ b/core/zone_liveness.go
@@ -55,10 +55,10 @@
 // isZoneSilent reports whether a zone with many machines has sent no heartbeat for at least the given time
 // while another such zone has. If all zones are silent, none counts as silent, because this controller is
 // probably isolated.
-func (a *agentLiveness) isZoneSilent(zone string, least time.Duration) bool {
+func (a *agentLiveness) isZoneSilent(zone string, minSilence time.Duration) bool {
 	liveness := a.zones[zone]
 	if liveness == nil || liveness.machinesUp < minZoneMachines ||
-		a.now-liveness.lastHeartbeat <= max(least, a.maxZoneHeartbeatGap(liveness)) {
+		a.now-liveness.lastHeartbeat <= max(minSilence, a.maxZoneHeartbeatGap(liveness)) {
 		return false
 	}
 	for _, other := range a.zones {
