--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -333,8 +333,8 @@
 	return wire.TaskName(c.jobs[first.jobIndex].id, int(first.task))
 }
 
-// stalenessBound returns how long after a cancellation a controller that does not know of it may still renew
-// leases.
+// stalenessBound returns how long after a cancellation was acknowledged a controller that does not know of it
+// may still renew agents' leases.
 func (a *cancelAcks) stalenessBound() time.Duration {
 	return quorum.MaxStaleness(a.cfg.Agents.CancelTimeout, a.cfg.Agents.LeaseTTL)
 }
--- a/core/jobrecord/record.go
+++ b/core/jobrecord/record.go
@@ -313,8 +313,8 @@
 }
 
 // MaxGrowth returns the maximum number of bytes by which a record with these assignments can grow while its
-// tasks end one by one. In the worst case every second task of a run ends first, which leaves one run and one
-// completed range for each task.
+// tasks complete one by one. In the worst case every second task of a run completes first, which leaves one run
+// and one completed range for each task.
 func (r *Record) MaxGrowth(assignments []Assignment) int {
 	if r.Spec == nil || r.Spec.Service {
 		return 0
--- a/core/jobrecord/record_test.go
+++ b/core/jobrecord/record_test.go
@@ -133,7 +133,7 @@
 	})
 }
 
-// Membership, count and validity of a task set must not depend on the order in which tasks end.
+// Membership, count and validity of a task set must not depend on the order in which tasks complete.
 func TestTaskSetMembership(t *testing.T) {
 	var r TaskSet
 	for _, v := range []int{5, 3, 4, 9, 0, 8, 5} {
