--- a/api/api.go
+++ b/api/api.go
@@ -65,8 +65,8 @@
 	retryAfterSeconds = "1"
 )
 
-// New returns a server. clockErrorBound is the largest difference between the clocks of controllers and
-// users. Without a TLS configuration the server uses plain text.
+// New returns a server. clockErrorBound bounds the error of this controller's clock and also that of a token
+// signer's clock. Without a TLS configuration the server uses plain text.
 func New(service Service, clockErrorBound time.Duration, tlsConfig *tls.Config, log *slog.Logger) *Server {
 	return &Server{
 		service:          service,
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// SetPermissions sets the policy. From then on, requests must be authenticated.
+// SetPermissions sets the policy. From then on, users' requests must be authenticated, and agents' heartbeats too
+// if the policy requires it.
 func (s *Server) SetPermissions(policy *access.Policy) { s.authenticator.setPolicy(policy) }
 
 // commonName returns the common name of the client certificate, or "" if the client presented none. The
@@ -162,8 +163,8 @@
 	}
 }
 
-// handleInput passes an input to the core and responds with the core's response, or with status 503 if
-// none arrives within the timeout.
+// handleInput passes an input to the core and responds with the core's response. It responds with status 503 if
+// the input queue is full or the core does not respond within the timeout.
 func (s *Server) handleInput(c fiber.Ctx, timeout time.Duration, newInput func(requestID uint64) core.Input) error {
 	pending := make(chan core.Response, 1)
 	s.mu.Lock()
--- a/api/authenticator.go
+++ b/api/authenticator.go
@@ -21,7 +21,7 @@
 	policy          atomic.Pointer[access.Policy] // nil means that requests are not authenticated
 	clockErrorBound time.Duration
 	verifiedTokens  *lru.Cache[string, verifiedToken]
-	mu              sync.Mutex
+	mu              sync.Mutex               // guards verifyLimiters
 	verifyLimiters  map[string]*rate.Limiter // by key id
 }
 
@@ -82,7 +82,7 @@
 }
 
 // cachedKey returns the key of a token that was verified before. It returns nil if the token is not cached,
-// has expired, or was signed with a key that has since changed.
+// has expired, or was signed with a key that has since been removed or replaced.
 func (a *authenticator) cachedKey(policy *access.Policy, token string, now time.Time) *access.Key {
 	verified, ok := a.verifiedTokens.Get(token)
 	if !ok {
