--- a/connlimit/connlimit_test.go
+++ b/connlimit/connlimit_test.go
@@ -20,7 +20,7 @@
 }
 
 // Connections that users have abandoned must not use up the sockets that agents need: above the limits, the
-// listener closes the connections that are idle for longest, and no others.
+// listener closes the connections that have been idle the longest, and no others.
 func TestIdleConnectionsAreClosedFirst(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/connlimit/listener.go
+++ b/connlimit/listener.go
@@ -11,14 +11,14 @@
 	// softIdleTimeout is longer than the interval between two requests of an agent, so a connection that is idle
 	// for longer does not belong to an agent.
 	softIdleTimeout = 10 * time.Second
-	// hardIdleTimeout applies above the hard limit. It is shorter, but a client that has waited longer for a
-	// response has given up.
+	// hardIdleTimeout applies above the hard limit. Users and agents give up on a response within this time, so a
+	// connection that is idle for longer carries no request that anyone waits for.
 	hardIdleTimeout = 4 * time.Second
 )
 
 // Listener bounds the number of its open connections. Above the soft limit, each new connection closes the
-// one that is idle for longest, provided that this is for more than softIdleTimeout, or above the hard limit
-// for more than hardIdleTimeout. A client can replace a closed connection, but without free sockets new
+// least recently used one if that has been idle for more than softIdleTimeout. Above the hard limit,
+// hardIdleTimeout applies instead. A client can replace a closed connection, but without free sockets new
 // connections would fail.
 type Listener struct {
 	net.Listener
@@ -38,7 +38,8 @@
 	}
 }
 
-// hardLimitFor returns the hard limit for a soft limit. Above the hard limit, only connections in use are kept.
+// hardLimitFor returns the hard limit for a soft limit. Above the hard limit, connections are closed after the shorter
+// hardIdleTimeout.
 func hardLimitFor(soft int) int { return soft + soft/5 }
 
 // Utilization returns the number of open connections as a fraction of the hard limit.
@@ -66,8 +67,8 @@
 	return c, nil
 }
 
-// closeLongestIdle closes the connection that is idle for longest if the limits require it. The caller holds
-// l.mu.
+// closeLongestIdle closes the least recently used connection if the limits require it and it has been idle for longer
+// than the timeout. The caller holds l.mu.
 func (l *Listener) closeLongestIdle(now time.Time) {
 	if l.byLastUse.Len() <= l.softLimit {
 		return
