--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -19,7 +19,7 @@
 	requestTimeout = 2 * time.Second
 	// leaseTimeout bounds lease requests, which must finish sooner than others.
 	leaseTimeout = requestTimeout / 2
-	// longPollTime is how long the store waits for a change before it answers a watch.
+	// longPollTime is the longest time that the store waits for a change before it responds to a long poll.
 	longPollTime = 10 * time.Second
 	// maxPageSize is the largest number of keys that the store returns in a page.
 	maxPageSize = 1000
@@ -51,7 +51,8 @@
 	return core.TxnResult{ID: o.ID, Status: wire.Status(resp.Status), Reply: reply}
 }
 
-// Watch reads the changes after a revision. With LongPoll it waits until there is one.
+// Watch reads the changes of the keys under core.Root after a revision. With LongPoll it waits up to longPollTime
+// for one.
 func (c *Client) Watch(ctx context.Context, o core.Watch) core.WatchResult {
 	hold := time.Duration(0)
 	if o.LongPoll {
@@ -65,7 +66,7 @@
 	return core.WatchResult{LongPoll: o.LongPoll, Status: wire.Status(resp.Status), Changes: changes}
 }
 
-// LoadSnapshot reads a page of all keys.
+// LoadSnapshot reads a page of the keys under core.Root.
 func (c *Client) LoadSnapshot(ctx context.Context, o core.LoadSnapshot) core.SnapshotPage {
 	page, resp := c.readPage(ctx, core.Root, o.AfterKey, maxPageSize)
 	return core.SnapshotPage{
--- a/wire/agent.go
+++ b/wire/agent.go
@@ -42,8 +42,8 @@
 	Spot                bool         `json:"borrowed"`
 	Incarnation         uint64       `json:"shift"` // of the agent; changes when it restarts
 	Sequence            uint64       `json:"tally"`
-	FencingToken        uint64       `json:"baton"` // highest that the agent knows
-	InterruptionNoticeS *float64     `json:"recall_s"`
+	FencingToken        uint64       `json:"baton"`    // highest that the agent knows
+	InterruptionNoticeS *float64     `json:"recall_s"` // until a spot machine is reclaimed; nil without a notice
 	Tasks               []TaskStatus `json:"pieces"`
 }
 
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,12 +1,12 @@
 // Package wire defines the messages exchanged with users, agents, the cloud and the key-value store, and
-// validates incoming ones. It is the only package that knows the names in the platform's interfaces; all
-// other packages use the standard terms of cluster schedulers. It has no state, makes no scheduling
-// decisions, does no I/O and reads no clocks.
+// validates incoming ones. Apart from query parameters and a few path segments, no other package knows the
+// names in the platform's interfaces; all others use the standard terms of cluster schedulers. The package has
+// no state, makes no scheduling decisions, does no I/O and reads no clocks.
 //
 // The platform defines the wire names. They correspond to these terms:
 //
 //	wire name     term                       where
-//	uid           id                         Submission, JobState, Machine, QueuedJob
+//	uid           id; name of a machine      Submission, JobState, QueuedJob; Machine
 //	ware          class of a job             Submission
 //	crew          team                       Submission
 //	form          kind: "batch", "daemon"    Submission
@@ -54,6 +54,7 @@
 //	rights        permissions                Permissions
 //	state         store address              StoreEndpoint
 //	lane(s)       priority class(es)         QueuedJob, JobQueue
+//	ordered_as    effective priority class   QueuedJob
 //	for, why      waiting for, explanation   QueuedJob
 //	booking(s)    reservation(s)             ReservationResponse
 //	clear         reusable from              ReservedSlot
--- a/wire/job.go
+++ b/wire/job.go
@@ -19,7 +19,7 @@
 	// MaxTasksPerJob is the largest number of tasks of a job.
 	MaxTasksPerJob = 100_000
 
-	maxNameBytes    = 200 // of a class, team, image, zone or machine type
+	maxNameBytes    = 200 // of a class, team, image, zone, machine or machine type
 	maxMachineTypes = 50  // per job
 	maxAmount       = 1e9 // of a resource or of seconds
 	jobIDPrefix     = "wk-"
@@ -318,7 +318,7 @@
 	Note            string     `json:"note,omitempty"`         // explanation for the user
 	Dependencies    []string   `json:"awaits,omitempty"`       // the first dependencies that are not done
 	DependencyCount int        `json:"awaits_count,omitempty"` // number of all dependencies that are not done
-	CancelledBy     string     `json:"cancelled_by,omitempty"` // job because of whose end this one was cancelled
+	CancelledBy     string     `json:"cancelled_by,omitempty"` // id of the job whose end caused the cancellation
 }
 
 // TaskStop says why a task stopped.
--- a/wire/permissions.go
+++ b/wire/permissions.go
@@ -1,6 +1,7 @@
 package wire
 
-// PermissionsEdit changes the permissions of an identity. Roles are named as in the current permissions.
+// PermissionsEdit changes the permissions of an identity. Roles are referred to by their names in the current
+// permissions.
 type PermissionsEdit struct {
 	GrantRoles   []string    `json:"grant_roles,omitempty"`
 	RevokeRoles  []string    `json:"revoke_roles,omitempty"`
--- a/wire/queue.go
+++ b/wire/queue.go
@@ -1,6 +1,7 @@
 package wire
 
-// JobQueue is a page of the jobs with waiting tasks, in scheduling order.
+// JobQueue is a page of the jobs with waiting tasks, in scheduling order. It is also the body of a request that
+// replaces the priority classes, of which only PriorityClasses is read.
 type JobQueue struct {
 	Jobs  []QueuedJob `json:"jobs,omitempty"`
 	Total int         `json:"all"` // number of jobs on all pages
@@ -24,6 +25,8 @@
 	Done                   int    `json:"done"`
 	Assigned               int    `json:"assigned"` // tasks assigned to machines
 	WaitedS                int64  `json:"waited_s"` // since the job was accepted
-	WaitingFor             string `json:"for"`      // one of: jobs, errors, limit, room, changes
-	Explanation            string `json:"why"`      // the same as text for users
+	// WaitingFor is what the job waits for: "jobs" (dependencies), "errors" (back-off after failures), "limit"
+	// (quota of the team), "room" (capacity) or "changes" (a write to the store).
+	WaitingFor  string `json:"for"`
+	Explanation string `json:"why"` // the same as text for users
 }
