--- a/controller.go
+++ b/controller.go
@@ -55,17 +55,18 @@
 
 // Options are the optional features of a controller. The zero value enables none of them.
 type Options struct {
-	// Permissions is the initial policy, used if the store has none. With nil, everyone may do everything.
+	// Permissions is the initial policy, used if the store has none. With nil, everyone may do everything until a
+	// policy is stored.
 	Permissions *access.Policy
 	// AuditKey authenticates the audit log. With nil, there is no audit log.
 	AuditKey audit.Key
 	// TLSFiles are the certificates and keys. With nil, all connections use plain text.
 	TLSFiles *tlsconfig.Files
 	// Equipment is the initial inventory of reservable equipment, used if the store has none. With nil,
-	// nothing can be reserved.
+	// nothing can be reserved until an inventory is stored.
 	Equipment *booking.Inventory
 	// PriorityClasses is the initial list, used if the store has none. With nil, there is one class for each
-	// priority.
+	// priority until a list is stored.
 	PriorityClasses *priorityclass.List
 }
 
--- a/coreconfig.go
+++ b/coreconfig.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxStoreRequestDelay bounds the time after which the key-value store may still execute a request.
-	// Delays of several minutes occur.
+	// maxStoreRequestDelay is the longest time after sending a request at which the key-value store may still
+	// execute it. Delays of several minutes occur.
 	maxStoreRequestDelay = 15 * time.Minute
 	// cloudRateShare is the fraction of the cloud's request limit that is used.
 	cloudRateShare = 0.9
--- a/eventloop.go
+++ b/eventloop.go
@@ -114,10 +114,10 @@
 	l.log.Info("health changed", "healthy", healthy)
 }
 
-// handleQueuedInputs handles at most limit queued inputs and returns the time of the last one. It reads the
-// clock after it takes each input. If it read the clock only once, a process that is suspended while it
-// handles inputs would answer later heartbeats with the time before the suspension, and so renew agents'
-// leases on outdated state.
+// handleQueuedInputs handles at most limit queued inputs and returns the time of the last one, or 0 if there was
+// none. It reads the clock after it takes each input. If it read the clock only once, a process that is
+// suspended while it handles inputs would answer later heartbeats with the time before the suspension, and so
+// renew agents' leases on outdated state.
 func handleQueuedInputs(
 	inputs <-chan core.Input,
 	limit int,
--- a/internal/utf8text/utf8text.go
+++ b/internal/utf8text/utf8text.go
@@ -23,7 +23,7 @@
 }
 
 // Truncate returns a text as valid UTF-8 of at most maxBytes. A truncated text ends with the ellipsis, which counts
-// toward maxBytes.
+// toward maxBytes and must not be longer than that.
 func Truncate(text string, maxBytes int, ellipsis string) string {
 	text = strings.ToValidUTF8(text, invalidReplacement)
 	if len(text) <= maxBytes {
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -317,7 +317,8 @@
 	}
 }
 
-// awaitStreamEnd waits until a worker fails, keep-alives are missing or the context ends, and returns the cause.
+// awaitStreamEnd waits until a worker fails, no keep-alive has arrived for peerTimeout or the context ends, and
+// returns the cause.
 func awaitStreamEnd(ctx context.Context, keepAlives <-chan struct{}, failures <-chan error) error {
 	timeout := time.NewTimer(peerTimeout)
 	defer timeout.Stop()
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -163,7 +163,7 @@
 }
 
 // validateNumbers checks the numbers that must be positive, and that the cancellation deadline exceeds the
-// agents' lease by enough.
+// agents' lease by enough for controllers to renew leases in time.
 func (p *Platform) validateNumbers() error {
 	cluster := &p.Cluster
 	for _, number := range []struct {
