--- a/api/authenticator_test.go
+++ b/api/authenticator_test.go
@@ -68,9 +68,9 @@
 	auth, keys := newTestAuthenticator(t, "anna", "potter")
 	token := bearerHeader(t, keys["anna"], now)
 	for range 2 { // verified, then cached
-		if cr, status, _ := auth.authenticate(token, "", now); status != 0 || cr.Identity != "anna" ||
-			cr.KeyID != "key-anna" {
-			t.Fatalf("got %+v, %d", cr, status)
+		if caller, status, _ := auth.authenticate(token, "", now); status != 0 || caller.Identity != "anna" ||
+			caller.KeyID != "key-anna" {
+			t.Fatalf("got %+v, %d", caller, status)
 		}
 	}
 	if _, status, _ := auth.authenticate(token, "", now.Add(2*time.Minute)); status != 401 {
@@ -83,8 +83,8 @@
 		"Bearer x.y.z",
 		"Bearer " + base64.RawURLEncoding.EncodeToString([]byte(`{"kid":"key-anna"}`)) + ".e30.AAAA",
 	} {
-		if cr, status, _ := auth.authenticate(header, "", now); status != 401 {
-			t.Errorf("%q: %+v, %d", header, cr, status)
+		if caller, status, _ := auth.authenticate(header, "", now); status != 401 {
+			t.Errorf("%q: %+v, %d", header, caller, status)
 		}
 	}
 	auth.authenticate(token, "", now)
@@ -240,11 +240,11 @@
 	}
 	auth.setPolicy(policy)
 	f.Fuzz(func(t *testing.T, name, header string) {
-		by, status, why := auth.authenticate(header, name, time.Unix(1_800_000_000, 0))
+		caller, status, reason := auth.authenticate(header, name, time.Unix(1_800_000_000, 0))
 		good := header == "" && name == "anna"
-		if (status == 0) != good || good && (by.Identity != "anna" || by.KeyID != access.CertificateKey) ||
-			!good && (by.Identity != "" || why == "") {
-			t.Errorf("%q with %q: %+v, %d %s", name, header, by, status, why)
+		if (status == 0) != good || good && (caller.Identity != "anna" || caller.KeyID != access.CertificateKey) ||
+			!good && (caller.Identity != "" || reason == "") {
+			t.Errorf("%q with %q: %+v, %d %s", name, header, caller, status, reason)
 		}
 	})
 }
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -78,11 +78,11 @@
 
 // newTLSFiles returns a controller's TLS files with a certificate for a name, issued by one authority, and
 // with a trusted authority.
-func newTLSFiles(t *testing.T, name string, by, trusted *testcert.Authority) *tlsconfig.Files {
+func newTLSFiles(t *testing.T, name string, issuer, trusted *testcert.Authority) *tlsconfig.Files {
 	t.Helper()
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
-	by.Issue(t, name, cert, key)
+	issuer.Issue(t, name, cert, key)
 	path := filepath.Join(dir, "tls")
 	text := fmt.Sprintf("mesh { certificate: %q key: %q authorities: %q }", cert, key, trusted.CertFile)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
