--- a/wire/agent.go
+++ b/wire/agent.go
@@ -40,8 +40,8 @@
 	Type                string       `json:"kiln"`
 	Zone                string       `json:"yard"`
 	Spot                bool         `json:"borrowed"`
-	Incarnation         uint64       `json:"shift"` // of the agent; changes when it restarts
-	Sequence            uint64       `json:"tally"`
+	Incarnation         uint64       `json:"shift"`    // of the agent; increases when it restarts
+	Sequence            uint64       `json:"tally"`    // increases with each heartbeat of an incarnation
 	FencingToken        uint64       `json:"baton"`    // highest that the agent knows
 	InterruptionNoticeS *float64     `json:"recall_s"` // until a spot machine is reclaimed; nil without a notice
 	Tasks               []TaskStatus `json:"pieces"`
