--- a/cmd/dewlift/audit.go
+++ b/cmd/dewlift/audit.go
@@ -66,7 +66,7 @@
 
 // auditChains reads the chains of the audit log, from a running site or from a snapshot.
 type auditChains interface {
-	// heads returns the last block of each chain.
+	// heads returns the last block of each chain, without its MAC if the chains are read from a snapshot.
 	heads(ctx context.Context) ([]wire.AuditChainHead, error)
 	// blocks returns a page of a chain's blocks with numbers above after.
 	blocks(ctx context.Context, node string, after uint64) (wire.AuditPage, error)
@@ -104,13 +104,13 @@
 	}
 }
 
-func (s *liveChains) heads(ctx context.Context) ([]wire.AuditChainHead, error) {
-	page, err := fetchAudit[wire.AuditChainHeads](ctx, s, "")
+func (c *liveChains) heads(ctx context.Context) ([]wire.AuditChainHead, error) {
+	page, err := fetchAudit[wire.AuditChainHeads](ctx, c, "")
 	return page.Heads, err
 }
 
-func (s *liveChains) blocks(ctx context.Context, node string, after uint64) (wire.AuditPage, error) {
-	return fetchAudit[wire.AuditPage](ctx, s, fmt.Sprintf("?node=%s&after=%d", url.QueryEscape(node), after))
+func (c *liveChains) blocks(ctx context.Context, node string, after uint64) (wire.AuditPage, error) {
+	return fetchAudit[wire.AuditPage](ctx, c, fmt.Sprintf("?node=%s&after=%d", url.QueryEscape(node), after))
 }
 
 // snapshotChains holds the blocks of each chain of a snapshot by node, in ascending order of their numbers.
@@ -128,21 +128,21 @@
 	return out, err
 }
 
-func (s snapshotChains) heads(context.Context) ([]wire.AuditChainHead, error) {
+func (c snapshotChains) heads(context.Context) ([]wire.AuditChainHead, error) {
 	var out []wire.AuditChainHead
-	for _, node := range slices.Sorted(maps.Keys(s)) {
-		out = append(out, wire.AuditChainHead{Node: node, BlockNumber: s[node][len(s[node])-1].Number})
+	for _, node := range slices.Sorted(maps.Keys(c)) {
+		out = append(out, wire.AuditChainHead{Node: node, BlockNumber: c[node][len(c[node])-1].Number})
 	}
 	return out, nil
 }
 
-func (s snapshotChains) blocks(_ context.Context, node string, after uint64) (wire.AuditPage, error) {
+func (c snapshotChains) blocks(_ context.Context, node string, after uint64) (wire.AuditPage, error) {
 	i, _ := slices.BinarySearchFunc(
-		s[node],
+		c[node],
 		after+1,
 		func(b wire.AuditBlock, n uint64) int { return cmp.Compare(b.Number, n) },
 	)
-	return wire.AuditPage{Blocks: s[node][i:]}, nil
+	return wire.AuditPage{Blocks: c[node][i:]}, nil
 }
 
 // auditFlags select the source and the events to read, and the time zone in which times are shown.
@@ -163,8 +163,8 @@
 func (f *auditFlags) addFilterFlags(c *cobra.Command) {
 	c.Flags().StringVar(&f.filter.Identity, "who", "", "only events of this identity")
 	c.Flags().
-		StringVar(&f.filter.Verb, "verb", "", "only events of this verb: submit, cancel, read, administer, audit, "+
-			"start, take, stop or restore; for a request that failed authentication, its HTTP method")
+		StringVar(&f.filter.Verb, "verb", "", "only events of this verb, such as submit, cancel, read, administer, "+
+			"audit, start, take, stop or restore; for a request that failed authentication, its HTTP method")
 	c.Flags().StringVar(&f.filter.Object, "object", "", "only events of this object, such as a job or an identity")
 	c.Flags().StringVar(&f.filter.Outcome, "outcome", "", "only events with this outcome: done or refused")
 	c.Flags().
@@ -356,11 +356,11 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			enc := json.NewEncoder(out)
-			return f.forEachEvent(cmd.Context(), identity, func(a *audit.Event) error {
+			return f.forEachEvent(cmd.Context(), identity, func(event *audit.Event) error {
 				if asJSON {
-					return enc.Encode(a)
+					return enc.Encode(event)
 				}
-				return printEvent(out, a)
+				return printEvent(out, event)
 			})
 		},
 	}
@@ -372,15 +372,15 @@
 
 // printEvent prints an event on one line.
 func printEvent(w io.Writer, event *audit.Event) error {
-	times, why := "", ""
+	count, reason := "", ""
 	if event.Count > 1 {
-		times = fmt.Sprintf(" (%d times)", event.Count)
+		count = fmt.Sprintf(" (%d times)", event.Count)
 	}
 	if event.Reason != "" {
-		why = ": " + event.Reason
+		reason = ": " + event.Reason
 	}
 	_, err := fmt.Fprintf(w, "%s %-8s %-12s %s %s%s %s%s\n", event.At.Format("2006-01-02T15:04:05.000Z07:00"),
-		event.Node, cmp.Or(event.Identity, "-"), event.Verb, cmp.Or(event.Object, "-"), times, event.Outcome, why)
+		event.Node, cmp.Or(event.Identity, "-"), event.Verb, cmp.Or(event.Object, "-"), count, event.Outcome, reason)
 	return err
 }
 
@@ -440,7 +440,8 @@
 	if err != nil {
 		return err
 	}
-	for node := range previousEnds { // so that a removed chain is reported
+	// A chain that was removed has no head. It is verified too, so that its removal is reported.
+	for node := range previousEnds {
 		if f.node == "" && !slices.ContainsFunc(heads, func(h wire.AuditChainHead) bool { return h.Node == node }) {
 			heads = append(heads, wire.AuditChainHead{Node: node})
 		}
@@ -490,7 +491,7 @@
 			if _, err := verifier.VerifyNext(block.Number, block.Value); err != nil {
 				return err
 			}
-			if code, ok := known[block.Number]; ok && !bytes.Equal(code, verifier.MAC) {
+			if mac, ok := known[block.Number]; ok && !bytes.Equal(mac, verifier.MAC) {
 				return &audit.ChainError{
 					Node:   verifier.Node,
 					Block:  block.Number,
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -84,7 +84,7 @@
 }
 
 // start runs the controller against a store until stop is called, and waits until it is healthy.
-func (s *testSite) start(state string) {
+func (s *testSite) start(storeAddr string) {
 	s.t.Helper()
 	users, peers := listenLoopback(s.t), listenLoopback(s.t)
 	platform := &settings.Platform{
@@ -93,7 +93,7 @@
 		Listen:   users.Addr().String(),
 		MeshAddr: peers.Addr().String(),
 	}
-	platform.Services.State, platform.Services.Cloud = state, "127.0.0.1:1" // nothing listens there
+	platform.Services.State, platform.Services.Cloud = storeAddr, "127.0.0.1:1" // nothing listens there
 	cluster := &platform.Cluster
 	cluster.Teams = []settings.Team{{Name: "t"}}
 	cluster.Workers.HeartbeatIntervalS = 3
@@ -139,7 +139,7 @@
 	s.t.Fatalf("not %s within a minute", what)
 }
 
-// request makes a request once, with an identity's token, and returns the status of its response.
+// request makes a request once and returns the status of its response. It sends a token if the identity has a key.
 func (s *testSite) request(who, method, path string, body any) int {
 	c := httpjson.New(1, 1, 1<<20)
 	if k := s.keys[who]; k != nil {
@@ -164,11 +164,11 @@
 		s.t.Fatal(err)
 	}
 	for dec := json.NewDecoder(strings.NewReader(out)); dec.More(); {
-		var a audit.Event
-		if err := dec.Decode(&a); err != nil {
+		var event audit.Event
+		if err := dec.Decode(&event); err != nil {
 			s.t.Fatal(err)
 		}
-		events = append(events, a)
+		events = append(events, event)
 	}
 	return events
 }
@@ -221,64 +221,64 @@
 }
 
 // do repeats a request until the controller answers it, and records the expected event.
-func (a *requestScript) do(caller, method, path string, body any, expected expectedEvent, want int) {
-	a.t.Helper()
-	kill, wait := a.rng.Float64() < 0.12, time.Duration(a.rng.Int64N(int64(25*time.Millisecond)))
+func (r *requestScript) do(caller, method, path string, body any, expected expectedEvent, want int) {
+	r.t.Helper()
+	kill, wait := r.rng.Float64() < 0.12, time.Duration(r.rng.Int64N(int64(25*time.Millisecond)))
 	for attempt := range 200 {
-		status := a.requestDuringKill(kill && attempt == 0, wait, caller, method, path, body)
+		status := r.requestDuringKill(kill && attempt == 0, wait, caller, method, path, body)
 		if status == 0 || status == 503 || status == 500 || status == 429 {
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
 		if status != want && (want != 201 || status != 200) {
-			a.t.Fatalf("%s %s %s: %d, want %d", caller, method, path, status, want)
+			r.t.Fatalf("%s %s %s: %d, want %d", caller, method, path, status, want)
 		}
 		if expected.denied {
-			a.deniedNow[expected]++
+			r.deniedNow[expected]++
 		}
-		a.expected = append(a.expected, expected)
+		r.expected = append(r.expected, expected)
 		return
 	}
-	a.t.Fatalf("%s %s %s: no answer", caller, method, path)
+	r.t.Fatalf("%s %s %s: no answer", caller, method, path)
 }
 
 // requestDuringKill makes a request. With kill, the controller is killed during it and restarted.
-func (a *requestScript) requestDuringKill(
+func (r *requestScript) requestDuringKill(
 	kill bool,
 	wait time.Duration,
 	caller, method, path string,
 	body any,
 ) (status int) {
-	a.t.Helper()
+	r.t.Helper()
 	if !kill {
-		return a.site.request(caller, method, path, body)
+		return r.site.request(caller, method, path, body)
 	}
-	stop, killed := a.site.stop, make(chan struct{})
+	stop, killed := r.site.stop, make(chan struct{})
 	go func() {
 		defer close(killed)
 		time.Sleep(wait)
 		stop()
 	}()
-	status = a.site.request(caller, method, path, body)
+	status = r.site.request(caller, method, path, body)
 	<-killed
-	clear(a.deniedNow)
-	a.site.start(a.site.addr)
+	clear(r.deniedNow)
+	r.site.start(r.site.addr)
 	return status
 }
 
 // round makes ten requests about new jobs and a new identity.
-func (a *requestScript) round(i int) {
-	a.t.Helper()
+func (r *requestScript) round(i int) {
+	r.t.Helper()
 	id := func(kind string) string { return fmt.Sprintf("wk-%s%d", kind, i) }
 	submit := func(caller, kind, class string, denied bool, want int) {
-		a.t.Helper()
+		r.t.Helper()
 		body := fakes.JobRequest(id(kind), class)
-		a.do(caller, http.MethodPost, "/v1/jobs", body, expectedEvent{caller, "submit", id(kind), denied}, want)
+		r.do(caller, http.MethodPost, "/v1/jobs", body, expectedEvent{caller, "submit", id(kind), denied}, want)
 	}
 	cancel := func(caller, kind string, denied bool, want int) {
-		a.t.Helper()
+		r.t.Helper()
 		path := "/v1/jobs/" + id(kind) + "/withdraw"
-		a.do(caller, http.MethodPost, path, struct{}{}, expectedEvent{caller, "cancel", id(kind), denied}, want)
+		r.do(caller, http.MethodPost, path, struct{}{}, expectedEvent{caller, "cancel", id(kind), denied}, want)
 	}
 	submit("anna", "fire", "firing", false, 201)
 	submit("potter", "plan", "plan", false, 201)
@@ -287,35 +287,35 @@
 	submit("pia", "label", "labels", false, 201)
 	cancel("pia", "roast", true, 403)
 	read := "/v1/jobs/" + id("fire")
-	a.do("potter", http.MethodGet, read, nil, expectedEvent{"potter", "read", id("fire"), true}, 404)
-	a.do("nobody", http.MethodGet, read, nil, expectedEvent{"", "GET", read, true}, 401)
+	r.do("potter", http.MethodGet, read, nil, expectedEvent{"potter", "read", id("fire"), true}, 404)
+	r.do("nobody", http.MethodGet, read, nil, expectedEvent{"", "GET", read, true}, 401)
 	cancel("anna", "fire", false, 200)
 	guest := fmt.Sprint("guest", i)
 	edit := wire.PermissionsEdit{GrantRoles: []string{"visitor"}}
-	a.do("root", http.MethodPost, "/v1/access/"+guest, edit, expectedEvent{"root", "administer", guest, false}, 200)
+	r.do("root", http.MethodPost, "/v1/access/"+guest, edit, expectedEvent{"root", "administer", guest, false}, 200)
 }
 
 // checkRecorded waits until every expected event is in the audit log as often as required.
-func (a *requestScript) checkRecorded() {
-	a.t.Helper()
+func (r *requestScript) checkRecorded() {
+	r.t.Helper()
 	missing := "nothing was listed"
 	defer func() {
-		if a.t.Failed() {
-			a.t.Log(missing)
+		if r.t.Failed() {
+			r.t.Log(missing)
 		}
 	}()
-	a.site.eventually("recorded", func() bool {
+	r.site.eventually("recorded", func() bool {
 		missing = ""
 		count, entries := map[expectedEvent]uint32{}, map[expectedEvent]int{}
-		for _, event := range a.site.list() {
+		for _, event := range r.site.list() {
 			recorded := expectedEvent{event.Identity, event.Verb, event.Object, event.Outcome == audit.OutcomeRefused}
 			count[recorded] += event.Count
 			entries[recorded]++
 		}
-		for _, want := range a.expected {
+		for _, want := range r.expected {
 			// A denial by a controller that was killed may be lost. A change of permissions that was requested
 			// twice is recorded twice.
-			if want.denied && count[want] < a.deniedNow[want] ||
+			if want.denied && count[want] < r.deniedNow[want] ||
 				!want.denied && (entries[want] == 0 || entries[want] > 1 && want.verb != "administer") {
 				missing += fmt.Sprintf("%+v: %d times in %d entries; ", want, count[want], entries[want])
 			}
@@ -430,11 +430,11 @@
 				),
 			)
 		}
-		raw, _, code, err := key.EncodeNextBlock(h, "n0", 0, list, 8192)
+		raw, _, mac, err := key.EncodeNextBlock(h, "n0", 0, list, 8192)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h = &audit.Head{BlockNumber: uint64(b + 1), MAC: code}
+		h = &audit.Head{BlockNumber: uint64(b + 1), MAC: mac}
 		keys = append(keys, &pb.Key{Name: audit.BlockKey("n0", h.BlockNumber), Value: raw})
 	}
 	s := fakes.NewStore(fakes.Limits{})
--- a/cmd/dewlift/demo.go
+++ b/cmd/dewlift/demo.go
@@ -28,10 +28,10 @@
 
 const (
 	demoNodes        = 3
-	demoMachines     = 240         // for the whole run, since a machine that was scaled in is not reused
-	demoRestartDelay = time.Second // before a controller that exited is restarted
-	demoStartTimeout = time.Minute // for all controllers to become healthy
-	demoBootTime     = 2 * time.Second
+	demoMachines     = 240             // for the whole run, since a machine that was scaled in is not reused
+	demoRestartDelay = time.Second     // before a controller that exited is restarted
+	demoStartTimeout = time.Minute     // for all controllers to become healthy
+	demoBootTime     = 2 * time.Second // of a machine; also the heartbeat interval of the fake agents
 )
 
 // demoSite is a site on the loopback interface. The store, the cloud and the agents are fakes in this process, and
--- a/cmd/dewlift/main.go
+++ b/cmd/dewlift/main.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// exitCode returns the exit code for an error: 1 if an audit chain is damaged or a request was refused, 2 for wrong
-// usage and every other error.
+// exitCode returns the exit code for an error: 1 for a damaged audit chain or a refusedError, 2 for wrong usage and
+// every other error.
 func exitCode(err error) int {
 	fault, refusal := (*audit.ChainError)(nil), refusedError("")
 	if errors.As(err, &fault) || errors.As(err, &refusal) {
--- a/cmd/dewlift/permissions.go
+++ b/cmd/dewlift/permissions.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// tokenLifetime is how long the token of a command's own request is valid.
+	// tokenLifetime is how long the token that authenticates a command's request is valid.
 	tokenLifetime  = 5 * time.Minute
 	requestTimeout = 5 * time.Second
 	// maxResponseBytes limits the size of a response.
 	maxResponseBytes = 16 << 20
 )
 
-// clientIdentity holds the paths of the files that authenticate the caller, and of the trusted authorities of the
-// controllers' certificates.
+// clientIdentity holds the paths of the files that authenticate the caller, and of the file of certificate authorities
+// that may have issued the controllers' certificates.
 type clientIdentity struct{ keyFile, caFile, certificateFile, certificateKeyFile string }
 
 func (identity *clientIdentity) addFlags(f *pflag.FlagSet) {
--- a/cmd/dewlift/reservation.go
+++ b/cmd/dewlift/reservation.go
@@ -39,25 +39,25 @@
 }
 
 // request makes a request and prints the response. A refusal by the controller is returned as a refusedError.
-func (b *reservationCommands) request(
+func (r *reservationCommands) request(
 	cmd *cobra.Command,
 	method, path string,
 	body any,
 	printResponse func(w io.Writer, response *wire.ReservationResponse),
 ) error {
-	resp, err := b.identity.request(cmd.Context(), method, b.server, path, body)
+	resp, err := r.identity.request(cmd.Context(), method, r.server, path, body)
 	if err != nil {
 		return err
 	}
 	if resp.Err != nil {
-		return fmt.Errorf("controller %s: %w", b.server, resp.Err)
+		return fmt.Errorf("controller %s: %w", r.server, resp.Err)
 	}
 	var response wire.ReservationResponse
 	if err := json.Unmarshal(resp.Body, &response); err != nil {
 		return fmt.Errorf("invalid response: %w", err)
 	}
 	accepted := resp.Status == http.StatusOK || resp.Status == http.StatusCreated
-	if b.asJSON {
+	if r.asJSON {
 		if err := json.NewEncoder(cmd.OutOrStdout()).Encode(response); err != nil {
 			return err
 		}
@@ -165,23 +165,23 @@
 }
 
 func reservationCommand(identity *clientIdentity) *cobra.Command {
-	b := &reservationCommands{identity: identity}
+	r := &reservationCommands{identity: identity}
 	cmd := &cobra.Command{Use: "booking", Short: "Book shared equipment and show bookings"}
 	cmd.PersistentFlags().
-		StringVar(&b.server, "server", "127.0.0.1:8080",
+		StringVar(&r.server, "server", "127.0.0.1:8080",
 			"address of a controller, or several addresses separated by commas")
-	cmd.PersistentFlags().BoolVar(&b.asJSON, "json", false, "print JSON")
+	cmd.PersistentFlags().BoolVar(&r.asJSON, "json", false, "print JSON")
 	cmd.AddCommand(
-		b.make("make ID", "Book equipment", false),
-		b.make("hold ID", "Hold equipment for a limited time until the booking is confirmed", true),
-		b.change("confirm ID", "Confirm a held booking", "confirm"),
-		b.move(),
-		b.end(),
-		b.show(),
-		b.free(),
-		b.day(),
-		b.waiting(),
-		b.equipment(),
+		r.make("make ID", "Book equipment", false),
+		r.make("hold ID", "Hold equipment for a limited time until the booking is confirmed", true),
+		r.change("confirm ID", "Confirm a held booking", "confirm"),
+		r.move(),
+		r.end(),
+		r.show(),
+		r.free(),
+		r.day(),
+		r.waiting(),
+		r.equipment(),
 		&cobra.Command{
 			Use: "check FILE", Short: "Check an equipment file", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
@@ -198,10 +198,10 @@
 }
 
 // make returns the command that creates a reservation, which is confirmed at once or held for confirmation.
-func (b *reservationCommands) make(use, short string, hold bool) *cobra.Command {
+func (r *reservationCommands) make(use, short string, hold bool) *cobra.Command {
 	var slots slotFlags
 	var request wire.ReservationRequest
-	var keep time.Duration
+	var holdTime time.Duration
 	cmd := &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		Example: "  dewlift booking make glaze-81 --equipment kiln-2 --from 2027-03-04T08:00 --slots 4",
@@ -210,12 +210,12 @@
 				return err
 			}
 			if hold {
-				if request.HoldS = uint32(keep.Seconds()); keep < time.Second {
-					return fmt.Errorf("--for is %s, must be at least 1s", keep)
+				if request.HoldS = uint32(holdTime.Seconds()); holdTime < time.Second {
+					return fmt.Errorf("--for is %s, must be at least 1s", holdTime)
 				}
 			}
 			request.ID, request.Repeat = args[0], slots.repeat
-			return b.request(cmd, http.MethodPost, wire.PathReservations, request, printReservationResponse)
+			return r.request(cmd, http.MethodPost, wire.PathReservations, request, printReservationResponse)
 		},
 	}
 	slots.addFlags(cmd.Flags())
@@ -224,24 +224,24 @@
 	standard := wire.PriorityName(wire.PriorityStandard)
 	cmd.Flags().StringVar(&request.Priority, "priority", standard, "priority on the waiting list")
 	if hold {
-		cmd.Flags().DurationVar(&keep, "for", 15*time.Minute, "how long the equipment is held")
+		cmd.Flags().DurationVar(&holdTime, "for", 15*time.Minute, "how long the equipment is held")
 	}
 	return cmd
 }
 
-// change returns a command that posts to the path of a reservation and a verb.
-func (b *reservationCommands) change(use, short, verb string) *cobra.Command {
+// change returns a command that changes a reservation by a POST request to the reservation's path followed by verb.
+func (r *reservationCommands) change(use, short, verb string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.request(cmd, http.MethodPost,
+			return r.request(cmd, http.MethodPost,
 				wire.PathReservations+"/"+url.PathEscape(args[0])+"/"+verb, nil, printReservationResponse)
 		},
 	}
 }
 
 // move returns the command that moves a reservation to other slots.
-func (b *reservationCommands) move() *cobra.Command {
+func (r *reservationCommands) move() *cobra.Command {
 	var slots slotFlags
 	cmd := &cobra.Command{
 		Use:   "move ID",
@@ -252,7 +252,7 @@
 			if err != nil {
 				return err
 			}
-			return b.request(
+			return r.request(
 				cmd,
 				http.MethodPost,
 				wire.PathReservations+"/"+url.PathEscape(args[0])+"/move",
@@ -266,12 +266,12 @@
 }
 
 // end returns the command that ends a reservation.
-func (b *reservationCommands) end() *cobra.Command {
+func (r *reservationCommands) end() *cobra.Command {
 	var request wire.ReservationRequest
 	cmd := &cobra.Command{
 		Use: "end ID", Short: "End a booking and free its slots", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.request(cmd, http.MethodPost,
+			return r.request(cmd, http.MethodPost,
 				wire.PathReservations+"/"+url.PathEscape(args[0])+"/end", request, printReservationResponse)
 		},
 	}
@@ -280,18 +280,18 @@
 }
 
 // show returns the command that shows a reservation.
-func (b *reservationCommands) show() *cobra.Command {
+func (r *reservationCommands) show() *cobra.Command {
 	return &cobra.Command{
 		Use: "show ID", Short: "Show a booking and, if it has ended, why", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return b.request(cmd, http.MethodGet,
+			return r.request(cmd, http.MethodGet,
 				wire.PathReservations+"/"+url.PathEscape(args[0]), nil, printReservationResponse)
 		},
 	}
 }
 
 // free returns the command that lists free intervals.
-func (b *reservationCommands) free() *cobra.Command {
+func (r *reservationCommands) free() *cobra.Command {
 	var slots slotFlags
 	var by, team string
 	cmd := &cobra.Command{
@@ -310,7 +310,7 @@
 				"team":  {team},
 				"slots": {strconv.Itoa(int(slots.slots))},
 			}
-			return b.request(
+			return r.request(
 				cmd,
 				http.MethodGet,
 				wire.PathReservations+"?"+q.Encode(),
@@ -327,7 +327,7 @@
 		},
 	}
 	slots.addFlags(cmd.Flags())
-	cmd.Flags().StringVar(&by, "by", "", "latest end")
+	cmd.Flags().StringVar(&by, "by", "", "only free times that end by this time")
 	cmd.Flags().StringVar(&team, "team", "", "team that the booking would be for")
 	return cmd
 }
@@ -345,31 +345,31 @@
 }
 
 // day returns the command that lists the reservations of a day.
-func (b *reservationCommands) day() *cobra.Command {
+func (r *reservationCommands) day() *cobra.Command {
 	return &cobra.Command{
 		Use: "day EQUIPMENT DAY", Short: "List the bookings of a piece of equipment on a day", Args: cobra.ExactArgs(2),
 		Example: "  dewlift booking day kiln-2 2027-03-04",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			q := url.Values{"piece": {args[0]}, "day": {args[1]}}
-			return b.request(cmd, http.MethodGet,
+			return r.request(cmd, http.MethodGet,
 				wire.PathReservations+"?"+q.Encode(), nil, printReservationList("no bookings on this day"))
 		},
 	}
 }
 
 // waiting returns the command that shows the waiting list.
-func (b *reservationCommands) waiting() *cobra.Command {
+func (r *reservationCommands) waiting() *cobra.Command {
 	return &cobra.Command{
 		Use: "waiting", Short: "Show the waiting list", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return b.request(cmd, http.MethodGet,
+			return r.request(cmd, http.MethodGet,
 				wire.PathReservations+"?list=waiting", nil, printReservationList("the waiting list is empty"))
 		},
 	}
 }
 
 // equipment returns the command that prints or replaces the equipment list.
-func (b *reservationCommands) equipment() *cobra.Command {
+func (r *reservationCommands) equipment() *cobra.Command {
 	var edit wire.EquipmentEdit
 	cmd := &cobra.Command{
 		Use:   "equipment [FILE]",
@@ -377,7 +377,7 @@
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return b.request(
+				return r.request(
 					cmd,
 					http.MethodGet,
 					wire.PathEquipment,
@@ -393,7 +393,7 @@
 				return fmt.Errorf("read equipment: %w", err)
 			}
 			edit.Text = string(raw)
-			return b.request(
+			return r.request(
 				cmd,
 				http.MethodPost,
 				wire.PathEquipment,
--- a/cmd/dewlift/snapshot.go
+++ b/cmd/dewlift/snapshot.go
@@ -24,7 +24,8 @@
 	"dewlift/wire"
 )
 
-// snapshotFlags select the key-value store and the share of its request rate that may be used.
+// snapshotFlags select the key-value store, which the command line calls the state service, and the share of its
+// request rate that may be used.
 type snapshotFlags struct {
 	server, storeAddr string
 	requestShare      float64
@@ -126,8 +127,8 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			kinds := map[string]int{} // number of keys by the first two parts of their names
 			trailer, err := snapshot.ReadFile(args[0], func(k *pb.Key) error {
-				part := strings.SplitN(k.Name, "/", 3)
-				kinds[strings.Join(part[:min(2, len(part))], "/")]++
+				parts := strings.SplitN(k.Name, "/", 3)
+				kinds[strings.Join(parts[:min(2, len(parts))], "/")]++
 				return nil
 			})
 			if err != nil {
