--- a/proto/gen.go
+++ b/proto/gen.go
@@ -1,4 +1,4 @@
-// Package proto holds the protobuf messages of the operators' settings, the job archive, snapshots,
+// Package proto holds the protobuf messages of the operators' settings, the archive of ended jobs, snapshots,
 // permissions, reservations, priority classes, the TLS configuration and the audit log.
 package proto
 
