--- a/agent/agent.go
+++ b/agent/agent.go
@@ -39,7 +39,7 @@
 	}
 	heartbeat, err := wire.ParseHeartbeat(resp.Body)
 	if err != nil {
-		result.Status = wire.StatusNoAnswer // an invalid response is treated like a missing one
+		result.Status = wire.StatusNoResponse // an invalid response is treated like a missing one
 		return result
 	}
 	result.Heartbeat = heartbeat
--- a/core/auditlog/recorder_test.go
+++ b/core/auditlog/recorder_test.go
@@ -84,10 +84,10 @@
 	switch {
 	case how == deliverLate:
 		s.delayedTxns = append(s.delayedTxns, txn)
-		return wire.StatusNoAnswer
+		return wire.StatusNoResponse
 	case how == loseAnswer:
 		s.execute(txn)
-		return wire.StatusNoAnswer
+		return wire.StatusNoResponse
 	case how == rejectUnexecuted:
 		return wire.StatusUnavailable
 	case !s.execute(txn):
--- a/core/cloud.go
+++ b/core/cloud.go
@@ -57,7 +57,7 @@
 // isOverload reports whether the cloud was unable to handle any request.
 func (in *CloudResult) isOverload() bool {
 	switch in.Status {
-	case wire.StatusTooManyRequests, wire.StatusNoAnswer:
+	case wire.StatusTooManyRequests, wire.StatusNoResponse:
 		return true
 	case wire.StatusUnavailable:
 		return in.Error != noCapacity
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -1114,8 +1114,8 @@
 	if n := extended(2*time.Second, 8*time.Second, wire.StatusOK); n == 0 {
 		t.Fatal("the lease was not extended")
 	}
-	extended(8*time.Second, 14*time.Second, wire.StatusNoAnswer)
-	if n := extended(14*time.Second, 30*time.Second, wire.StatusNoAnswer); n != 0 || c.ownLease.isHeld() {
+	extended(8*time.Second, 14*time.Second, wire.StatusNoResponse)
+	if n := extended(14*time.Second, 30*time.Second, wire.StatusNoResponse); n != 0 || c.ownLease.isHeld() {
 		t.Errorf("without an answer to a read, the lease was requested %d times", n)
 	}
 	if n := extended(30*time.Second, 33*time.Second, wire.StatusOK); n == 0 || !c.ownLease.isHeld() {
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -352,7 +352,7 @@
 // forwarded to the peer that requested it.
 func (c *Core) handleCommandsResult(in CommandsResult) {
 	if relayed, ok := c.commands.relayed[in.ID]; ok {
-		c.returnRelayedResult(relayed, in)
+		c.forwardRelayedResult(relayed, in)
 		return
 	}
 	request, ok := c.commands.inFlight[in.ID]
@@ -378,8 +378,8 @@
 	}
 }
 
-// returnRelayedResult forwards the outcome of a relayed request to the peer that requested it.
-func (c *Core) returnRelayedResult(relayed relayedCommands, in CommandsResult) {
+// forwardRelayedResult forwards the outcome of a relayed request to the peer that requested it.
+func (c *Core) forwardRelayedResult(relayed relayedCommands, in CommandsResult) {
 	delete(c.commands.relayed, in.ID)
 	if in.Heartbeat != nil {
 		c.applyHeartbeat(in.Heartbeat, true)
@@ -391,7 +391,7 @@
 // recordRequestOutcome records the outcome of the request that was in flight.
 func (s *machineCommands) recordRequestOutcome(in CommandsResult, now time.Duration) {
 	s.requestID = 0
-	if in.Status == wire.StatusNoAnswer {
+	if in.Status == wire.StatusNoResponse {
 		s.unanswered++
 		s.lastUnansweredAt = now
 	} else {
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -57,7 +57,7 @@
 func (i infeasibility) status() wire.Status {
 	switch i {
 	case feasible:
-		return wire.StatusNoAnswer
+		return wire.StatusNoResponse
 	case catalogUnknown:
 		return wire.StatusUnavailable
 	}
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -109,7 +109,7 @@
 	}
 )
 
-// Outcomes of outputs. ID is that of the output. The status wire.StatusNoAnswer (0) means that no answer came:
+// Outcomes of outputs. ID is that of the output. The status wire.StatusNoResponse (0) means that no answer came:
 // the request may have been executed or not.
 type (
 	// AgentPolled is the outcome of a PollAgent.
--- a/core/permissions_test.go
+++ b/core/permissions_test.go
@@ -310,20 +310,20 @@
 		caller   Credential
 		identity string
 		edit     wire.PermissionsEdit
-		status   wire.Status // StatusNoAnswer: the change is committed
+		status   wire.Status // StatusNoResponse: the change is committed
 	}{
 		{anna, "anna", wire.PermissionsEdit{RevokeRoles: []string{"admin"}}, wire.StatusInvalid},
 		{anna, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, wire.StatusInvalid},
 		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"nothing"}}, wire.StatusInvalid},
 		{anna, "pia", wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: "a1", Ed25519: next}}}, wire.StatusInvalid},
-		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"visitor"}}, wire.StatusNoAnswer},
+		{anna, "pia", wire.PermissionsEdit{GrantRoles: []string{"visitor"}}, wire.StatusNoResponse},
 		{potter, "potter", wire.PermissionsEdit{GrantRoles: []string{"technician"}}, wire.StatusForbidden},
 		{potter, "anna", wire.PermissionsEdit{RevokeKeys: []string{"a1"}}, wire.StatusForbidden},
 		{
 			potter,
 			"potter",
 			wire.PermissionsEdit{AddKeys: []wire.PublicKey{{ID: "p2", Ed25519: next}}, RevokeKeys: []string{"p1"}},
-			wire.StatusNoAnswer,
+			wire.StatusNoResponse,
 		},
 		{Credential{"potter", "a1"}, "potter", wire.PermissionsEdit{RevokeKeys: []string{"p1"}}, wire.StatusForbidden},
 	} {
@@ -338,8 +338,8 @@
 			func(commit CommitTxn) bool { return commit.Txn.Then[0].Put == keyIdentity+tt.identity },
 		)
 		responses := outputsOfType[Response](out)
-		if tt.status == wire.StatusNoAnswer && (!wrote || len(responses) != 0) ||
-			tt.status != wire.StatusNoAnswer && (wrote || len(responses) != 1 || responses[0].Status != tt.status) {
+		if tt.status == wire.StatusNoResponse && (!wrote || len(responses) != 0) ||
+			tt.status != wire.StatusNoResponse && (wrote || len(responses) != 1 || responses[0].Status != tt.status) {
 			t.Errorf("%+v: wrote %v, answered %+v", tt, wrote, responses)
 		}
 	}
--- a/core/replica.go
+++ b/core/replica.go
@@ -112,7 +112,7 @@
 
 // recordStatus updates the store's health from the outcome of a request. A refusal counts as an answer.
 func (h *storeHealth) recordStatus(status wire.Status) {
-	if status == wire.StatusNoAnswer || status == wire.StatusUnavailable {
+	if status == wire.StatusNoResponse || status == wire.StatusUnavailable {
 		h.lastFailureAt = h.now
 		return
 	}
@@ -139,7 +139,7 @@
 	if r.pageInFlight || r.now < r.nextPageAt {
 		return
 	}
-	if r.pagesRead >= fastSnapshotPages && r.isSlowestToLoad() {
+	if r.pagesRead >= fastSnapshotPages && r.isBehindAnotherLoad() {
 		r.nextPageAt = r.now + slowLoaderDelay
 		return
 	}
@@ -206,7 +206,7 @@
 		return
 	}
 	switch in.Status {
-	case wire.StatusNoAnswer:
+	case wire.StatusNoResponse:
 		if !in.LongPoll && c.storeHealth.firstLostReadAt == 0 {
 			c.storeHealth.firstLostReadAt = sentAt
 		}
@@ -358,10 +358,10 @@
 		"jobs", len(c.jobIndex), "ended", len(c.history.endedJobs), "cold", c.history.coldRecords)
 }
 
-// isSlowestToLoad reports whether another controller is further ahead in its snapshot load. If controllers
+// isBehindAnotherLoad reports whether another controller is further ahead in its snapshot load. If controllers
 // load one after the other, the first can serve as soon as it is done. If they load at the same time and
 // share the request rate, none can serve before nearly all are done.
-func (r *storeReplica) isSlowestToLoad() bool {
+func (r *storeReplica) isBehindAnotherLoad() bool {
 	for _, name := range r.cfg.Peers {
 		if !r.members.IsReachable(r.now, name) {
 			continue
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -34,9 +34,9 @@
 	// allows in it.
 	reservationComparesPerOp = 4
 
-	// reservationCompactionBudget is the share of the write burst that must be available before past reservations
+	// reservationCompactionShare is the share of the write burst that must be available before past reservations
 	// are archived or pages merged. Neither is urgent.
-	reservationCompactionBudget = 0.75
+	reservationCompactionShare = 0.75
 
 	maxReservationsListed = 500 // in one response
 	maxFreeTimesListed    = 50  // in one response
@@ -202,7 +202,7 @@
 		return
 	}
 	if c.leadership.isHeld() &&
-		rateLimit.WriteTokens >= reservationCompactionBudget*rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
+		rateLimit.WriteTokens >= reservationCompactionShare*rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
 		!rateLimit.IsPaused(c.now) {
 		c.compactReservations()
 	}
--- a/core/reservations/service_test.go
+++ b/core/reservations/service_test.go
@@ -119,7 +119,7 @@
 		if executed == "at once" {
 			store.commit(unknown)
 		}
-		out, mustRead := first.HandleOutcome(wire.StatusNoAnswer, 0)
+		out, mustRead := first.HandleOutcome(wire.StatusNoResponse, 0)
 		if out != nil || !mustRead || first.HasWork(time.Hour, 0) {
 			t.Fatal("the service does not wait for a read before it decides again")
 		}
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -24,8 +24,8 @@
 	minBatchPlacementJobs = 4
 	// batchPlacementTokenShare is the share of the write burst that must be available to place a batch.
 	batchPlacementTokenShare = 0.7
-	// endBatchWriteShare is the share of the write rate that task completions may use.
-	endBatchWriteShare = 0.5
+	// completionBatchWriteShare is the share of the write rate that task completions may use.
+	completionBatchWriteShare = 0.5
 )
 
 // Write priorities. Writes with the smallest value go first.
@@ -229,7 +229,7 @@
 			running++
 		}
 	}
-	seconds := float64(running) / (endBatchWriteShare * c.transactions.rateLimit.WriteRate)
+	seconds := float64(running) / (completionBatchWriteShare * c.transactions.rateLimit.WriteRate)
 	c.transactions.completionBatchDelay = min(
 		c.cfg.Scheduling.MaxCompletionBatchDelay,
 		max(c.cfg.Scheduling.MinCompletionBatchDelay, time.Duration(seconds*float64(time.Second))),
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -130,7 +130,7 @@
 			s.now+throttledPause+s.jitter(throttledPauseJitter),
 			s.now+throttledUrgentPause+s.jitter(throttledUrgentJitter),
 		)
-	case wire.StatusUnavailable, wire.StatusNoAnswer:
+	case wire.StatusUnavailable, wire.StatusNoResponse:
 		until := s.now + unreachablePause + s.jitter(unreachableJitter)
 		s.rateLimit.Pause(until, until)
 	}
@@ -150,7 +150,7 @@
 	switch status {
 	case wire.StatusConflict:
 		s.stats.Conflicts++
-	case wire.StatusNoAnswer:
+	case wire.StatusNoResponse:
 		s.stats.UnknownOutcomes++
 	}
 }
@@ -214,7 +214,7 @@
 		c.completeSubmission(target, wire.StatusUnavailable, reasonStoreUnreachable)
 		c.rejectCancellations(target, reasonStoreUnreachable)
 		return false
-	case wire.StatusNoAnswer:
+	case wire.StatusNoResponse:
 		c.completeSubmission(target, wire.StatusUnavailable, "outcome not known yet")
 		c.rejectCancellations(target, "outcome not known yet")
 	}
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -237,11 +237,11 @@
 // handleCommands executes commands that a controller sent directly. A suspended machine executes them when it resumes.
 func (m *fakeWorker) handleCommands(batch wire.CommandBatch) (wire.Status, *wire.Heartbeat) {
 	if m.gone || !m.up {
-		return wire.StatusNoAnswer, nil
+		return wire.StatusNoResponse, nil
 	}
 	if m.sim.now < m.hungUntil {
 		m.sim.schedule(m.hungUntil-m.sim.now+time.Millisecond, func() { m.handleCommands(batch) })
-		return wire.StatusNoAnswer, nil
+		return wire.StatusNoResponse, nil
 	}
 	if batch.FencingToken < m.fencingToken || batch.Incarnation != m.incarnation {
 		return wire.StatusConflict, m.nextHeartbeat()
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -67,7 +67,7 @@
 	ok bool,
 ) {
 	if !ok {
-		s.Checker.CheckResponsive(sentAt, s.now, id, wire.StatusNoAnswer)
+		s.Checker.CheckResponsive(sentAt, s.now, id, wire.StatusNoResponse)
 	}
 	if !ok || !s.checkPermission(caller, sentAt, verb, id, response.Status) {
 		return
--- a/wire/status.go
+++ b/wire/status.go
@@ -2,13 +2,13 @@
 
 import "net/http"
 
-// Status is the outcome of a request: the HTTP status of the response, or StatusNoAnswer.
+// Status is the outcome of a request: the HTTP status of the response, or StatusNoResponse.
 type Status int
 
 // Outcomes of requests to the platform's services and to controllers.
 const (
-	// StatusNoAnswer means that there was no response. It is unknown whether the request was executed.
-	StatusNoAnswer         Status = 0
+	// StatusNoResponse means that there was no response. It is unknown whether the request was executed.
+	StatusNoResponse       Status = 0
 	StatusOK               Status = http.StatusOK
 	StatusCreated          Status = http.StatusCreated
 	StatusBadRequest       Status = http.StatusBadRequest
