--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -49,7 +49,7 @@
 		return c.listMachines(ctx, o)
 	case core.CloudScaleOut:
 		var started wire.MachineNames
-		started, resp = httpjson.Decode[wire.MachineNames](c.do(ctx, http.MethodPost, wire.PathInstances, o.ScaleOut))
+		started, resp = httpjson.Decode[wire.MachineNames](c.do(ctx, http.MethodPost, wire.PathMachines, o.ScaleOut))
 		result.MachineNames = started.Machines
 	case core.CloudScaleIn:
 		resp = c.do(ctx, http.MethodPost, wire.PathScaleIn, wire.MachineNames{Machines: o.MachineNames})
@@ -66,7 +66,7 @@
 
 // listMachines reads one page of the list of machines.
 func (c *Client) listMachines(ctx context.Context, o core.CloudRequest) core.CloudResult {
-	path := fmt.Sprintf("%s?most=%d", wire.PathInstances, pageSize)
+	path := fmt.Sprintf("%s?most=%d", wire.PathMachines, pageSize)
 	if o.AfterMachine != "" {
 		path += "&from=" + url.QueryEscape(o.AfterMachine)
 	}
--- a/cmd/dewlift/audit_test.go
+++ b/cmd/dewlift/audit_test.go
@@ -34,7 +34,7 @@
 // testSite is a site with permissions and an audit log, whose single controller can be restarted.
 type testSite struct {
 	t        *testing.T
-	state    *fakes.Store
+	store    *fakes.Store
 	addr     string
 	options  dewlift.Options
 	keys     map[string]*access.PrivateKey
@@ -47,14 +47,14 @@
 	t.Helper()
 	s := &testSite{
 		t:     t,
-		state: fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}),
+		store: fakes.NewStore(fakes.Limits{ValueBytes: 8192, TxnOps: 12}),
 		dir:   t.TempDir(),
 		stop:  func() {},
 	}
-	srv := httptest.NewServer(s.state)
+	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
 	s.addr = strings.TrimPrefix(srv.URL, "http://")
-	s.state.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
+	s.store.SetMachineType(wire.MachineType{Name: "x", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}})
 	var err error
 	if s.options.Permissions, s.keys, err = fakes.TestPolicy(); err != nil {
 		t.Fatal(err)
--- a/core/dependencies_test.go
+++ b/core/dependencies_test.go
@@ -315,7 +315,7 @@
 // Tasks of a pipeline once stayed on machines in an unreachable zone until replacement machines had been scaled
 // out, so that its last job missed its deadline. A machine with such a task must be scaled in as soon as it
 // counts as silent, unless replicas of a service keep running there.
-func TestUnreachableMachineIsGivenUpToMeetDeadline(t *testing.T) {
+func TestUnreachableMachineIsScaledInToMeetDeadline(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		deadlineMS int64
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -342,8 +342,8 @@
 // allowImmediateResend allows, once per attempt, that a command different from the last one is sent within
 // the retry interval.
 func (s *machineCommands) allowImmediateResend(key attemptKey) {
-	if attempt := s.attempts[key]; attempt != nil && !attempt.resentAtOnce {
-		attempt.resentAtOnce = true
+	if attempt := s.attempts[key]; attempt != nil && !attempt.immediateResendUsed {
+		attempt.immediateResendUsed = true
 		attempt.commandSent = false
 	}
 }
--- a/core/machine.go
+++ b/core/machine.go
@@ -123,7 +123,7 @@
 	resourcesReleased   bool // the release of its resources was recorded as an allocation delta
 	orphanCheckInFlight bool // a read barrier that checks whether its job exists is in flight
 	isOrphan            bool // the read barrier has shown that its job does not exist
-	resentAtOnce        bool // allowImmediateResend was already used for the attempt
+	immediateResendUsed bool // allowImmediateResend was already used for the attempt
 }
 
 // machineTable holds the machines that this controller knows, interned by index.
--- a/core/yield.go
+++ b/core/yield.go
@@ -22,7 +22,7 @@
 
 // competitorCount counts the other controllers whose waiting work is before a job in the queue, and those
 // that are tied with it: their waiting work is at about the same position, or none is known.
-type competitorCount struct{ before, tied int }
+type competitorCount struct{ ahead, tied int }
 
 // yieldDelay returns how much longer recently freed capacity on a machine is yielded to other controllers.
 // All controllers learn of freed capacity from the same push and would all fill it: while more work waited
@@ -55,8 +55,8 @@
 // one followed only those ahead of it in the rendezvous order, it could have the same rank as a controller
 // whose work had waited longer, and start later work first.
 func (n competitorCount) rank(machineRank int) int {
-	if n.before > 0 {
-		return n.before + n.tied
+	if n.ahead > 0 {
+		return n.ahead + n.tied
 	}
 	return min(machineRank, n.tied)
 }
@@ -64,7 +64,7 @@
 // countCompetitors compares a job's queue position with those of the other controllers' waiting work.
 func (c *Core) countCompetitors(priorityClass int, enqueuedAtMS int64) (counts competitorCounts) {
 	for i := range counts {
-		counts[i].before, counts[i].tied = c.controllers.membership.CountCompetitors(
+		counts[i].ahead, counts[i].tied = c.controllers.membership.CountCompetitors(
 			c.now,
 			c.controllers.isLive,
 			membership.QueuePosition{Priority: priorityClass, EnqueuedAtMS: enqueuedAtMS},
--- a/core/yield_test.go
+++ b/core/yield_test.go
@@ -103,7 +103,7 @@
 		for i, head := range heads {
 			position := membership.QueuePosition{EnqueuedAtMS: int64(head) * 1000}
 			before, tied := othersOf(heads, i).CountCompetitors(0, func(string) bool { return true }, position, false)
-			ranks[i] = competitorCount{before: before, tied: tied}.rank(order[i])
+			ranks[i] = competitorCount{ahead: before, tied: tied}.rank(order[i])
 		}
 		for i, head := range heads {
 			for j, other := range heads {
--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -136,7 +136,7 @@
 	mux.HandleFunc("GET "+wire.PathCatalog, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{ws.machineType}})
 	})
-	mux.HandleFunc("GET "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+wire.PathMachines, func(w http.ResponseWriter, r *http.Request) {
 		limit, err := strconv.Atoi(r.URL.Query().Get("most"))
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: "most: " + err.Error()})
@@ -144,7 +144,7 @@
 		}
 		writeJSON(w, http.StatusOK, ws.listMachines(r.URL.Query().Get("from"), limit))
 	})
-	mux.HandleFunc("POST "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+wire.PathMachines, func(w http.ResponseWriter, r *http.Request) {
 		var request wire.ScaleOutRequest
 		if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
--- a/internal/golden/wire_test.go
+++ b/internal/golden/wire_test.go
@@ -176,7 +176,7 @@
 			wire.PathAgentCommands,
 			wire.PathAgentStatus,
 			wire.PathCatalog,
-			wire.PathInstances,
+			wire.PathMachines,
 			wire.PathScaleIn,
 			wire.PathKeys,
 			wire.PathTxn,
--- a/internal/sim/reservations_test.go
+++ b/internal/sim/reservations_test.go
@@ -93,7 +93,7 @@
 }
 
 // The checker must report a stored inventory of a caller without permission.
-func TestReservationCheckerDetectsDeniedList(t *testing.T) {
+func TestReservationCheckerDetectsDeniedInventory(t *testing.T) {
 	sim := New(Options{Seed: 1})
 	equipment := parseEquipment(` pieces { name: "` + deniedItemName + `" kind: "kiln" slot_minutes: 60 }`).Source()
 	raw, err := reservations.EncodeInventory(equipment)
--- a/wire/paths.go
+++ b/wire/paths.go
@@ -28,9 +28,9 @@
 
 // Paths that the cloud serves.
 const (
-	PathCatalog   = "/catalog"
-	PathInstances = "/rentals"
-	PathScaleIn   = "/rentals/return"
+	PathCatalog  = "/catalog"
+	PathMachines = "/rentals"
+	PathScaleIn  = "/rentals/return"
 )
 
 // Paths that the key-value store serves.
