--- a/clusterstate/copy_test.go
+++ b/clusterstate/copy_test.go
@@ -34,7 +34,7 @@
 		"schedulable again":             {unschedulable, before, nil, true},
 		"no longer schedulable":         {before, unschedulable, nil, false},
 		"still not schedulable":         {unschedulable, unschedulable, nil, false},
-		"finish that is not counted":    {before, before, []Delta{{Request: Resources{1, 0, 0}}}, true},
+		"unacknowledged finish":         {before, before, []Delta{{Request: Resources{1, 0, 0}}}, true},
 		"delta of a machine not pushed": {before, before, []Delta{{Machine: 9, Request: Resources{1, 0, 0}}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// A copy without recent pushes must expire: the leader may have returned machines and others may have
+// A copy without recent pushes must expire: the leader may have scaled in machines and others may have
 // allocated capacity since then.
 func TestCopyExpires(t *testing.T) {
 	c := copyOf(Row{Schedulable: true})
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -59,7 +59,7 @@
 	ReadAudit struct {
 		RequestID  uint64
 		Caller     Credential
-		Node       string // the controller; empty: the last entries of all controllers' logs are requested
+		Controller string // the controller; empty: the last entries of all controllers' logs are requested
 		AfterBlock uint64 // blocks with higher numbers are requested
 	}
 	// ListPermissions requests all permissions.
@@ -109,7 +109,7 @@
 	}
 )
 
-// Outcomes of outputs. ID is that of the output. The status wire.StatusNoAnswer (0) means that no answer came:
+// Outcomes of outputs. ID is that of the output. The status wire.StatusNoResponse (0) means that no answer came:
 // the request may have been executed or not.
 type (
 	// AgentPolled is the outcome of a PollAgent.
--- a/core/machine.go
+++ b/core/machine.go
@@ -54,7 +54,7 @@
 type machineLifecycle struct {
 	interruptionDeadline time.Duration // when the cloud interrupts the machine; 0: there is no notice
 	gone                 bool          // the machine and all tasks on it are proven to be gone
-	returnRequested      bool          // its scale-in was requested from the cloud
+	scaleInRequested     bool          // its scale-in was requested from the cloud
 }
 
 // machineCommands is the state of the commands to one agent. At most one request is in flight at a time.
@@ -72,7 +72,7 @@
 	lastExaminedAt   time.Duration
 }
 
-// machineAllocation is the committed assignments to a machine, and what is computed from them.
+// machineAllocation holds the committed assignments to a machine, and what is computed from them.
 type machineAllocation struct {
 	assignments    map[taskKey]jobrecord.Assignment
 	allocated      clusterstate.Resources // cached sum of the requests of the assigned tasks
@@ -92,8 +92,8 @@
 
 // rankCache caches this controller's rank among the controllers that may place tasks on a machine.
 type rankCache struct {
-	nodesVersion uint64 // controllerSet.nodesVersion that the rank was computed for
-	rank         int    // 0 is the first
+	registrationsVersion uint64 // controllerSet.registrationsVersion that the rank was computed for
+	rank                 int    // 0 is the first
 }
 
 // taskStatus is the status of a task in the last heartbeat of its machine.
@@ -123,7 +123,7 @@
 	resourcesReleased   bool // the release of its resources was recorded as an allocation delta
 	orphanCheckInFlight bool // a read barrier that checks whether its job exists is in flight
 	isOrphan            bool // the read barrier has shown that its job does not exist
-	resentAtOnce        bool // a command was already allowed within the retry interval
+	immediateResendUsed bool // allowImmediateResend was already used for the attempt
 }
 
 // machineTable holds the machines that this controller knows, interned by index.
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -20,7 +20,7 @@
 
 const (
 	// startRefusalCooldown is how long a machine that refused a start gets no new tasks, and how long a
-	// job is not placed after a machine did not know its command.
+	// job is not placed after an agent reported that it does not know the task.
 	startRefusalCooldown = 2 * time.Second
 
 	// machineFailureCooldown is how long a machine gets no new tasks for each consecutive task failure
@@ -195,7 +195,7 @@
 		return nil, retryAt
 	}
 	if due := update.batchingDeadline(); c.now < due {
-		target.write.waitsForTaskEnds = true
+		target.write.waitsForCompletions = true
 		if retryAt == 0 {
 			retryAt = due
 		}
@@ -208,7 +208,7 @@
 // newRecordUpdate starts from a copy of a job's record, so that the record in memory does not change
 // until the write is committed.
 func (c *Core) newRecordUpdate(target *job, builder *txnBuilder) recordUpdate {
-	target.write.waitsForTaskEnds = false
+	target.write.waitsForCompletions = false
 	record := *target.record
 	record.StopReasons = slices.Clone(target.record.StopReasons)
 	if c.schema.active >= schemaPriorityClasses {
@@ -398,7 +398,7 @@
 	if u.urgent || u.builder.slotDrafts[slotNumber(u.job.id, u.job.record)] != nil {
 		return 0
 	}
-	return u.job.write.dirtySince + u.core.transactions.endBatchDelay
+	return u.job.write.dirtySince + u.core.transactions.completionBatchDelay
 }
 
 // keepPermissionFields keeps the fields that read permissions depend on in the record of an ended job.
@@ -449,7 +449,8 @@
 		return status.state == wire.TaskExited, status.cause
 	}
 	// If the newest heartbeat does not list the attempt, that proves that it is not running only if no
-	// start command can still arrive. This is used only for final jobs, as tasks of others must start.
+	// start command can still arrive. This is used only for final jobs: the tasks of other jobs are to be
+	// started anyway.
 	if target.isFinal() && c.noStartPending(host, target, key) {
 		return true, causeNotStarted
 	}
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -34,9 +34,9 @@
 	// allows in it.
 	reservationComparesPerOp = 4
 
-	// reservationCompactionBudget is the share of the write burst that must be available before past reservations
+	// reservationCompactionShare is the share of the write burst that must be available before past reservations
 	// are archived or pages merged. Neither is urgent.
-	reservationCompactionBudget = 0.75
+	reservationCompactionShare = 0.75
 
 	maxReservationsListed = 500 // in one response
 	maxFreeTimesListed    = 50  // in one response
@@ -130,8 +130,8 @@
 	if !booking.ValidID(reservation.ID) {
 		return 0, errors.New("id: letters, digits, dots, dashes and underscores, at most 64")
 	}
-	if !wire.ValidTeam(reservation.Team) {
-		return 0, errors.New("team: " + wire.TeamLimit())
+	if !wire.ValidTeamName(reservation.Team) {
+		return 0, errors.New("team: " + wire.TeamNameLimit())
 	}
 	rank, ok := wire.Priority(cmp.Or(reservation.Priority, wire.PriorityName(wire.PriorityStandard)))
 	if !ok {
@@ -178,8 +178,9 @@
 	)
 }
 
-// advanceReservations responds to expired requests and starts at most one transaction: a batch of requests or, on a
-// leader that has write tokens to spare, a compaction.
+// advanceReservations responds to expired requests, seeds the equipment, starts the reads of archive blocks that
+// requests need, and starts at most one further transaction: a batch of requests or, on a leader that has write tokens
+// to spare, a compaction.
 func (c *Core) advanceReservations() {
 	c.reservations.publishEnabled()
 	for _, response := range c.reservations.service.TakeExpired(c.now) {
@@ -201,7 +202,7 @@
 		return
 	}
 	if c.leadership.isHeld() &&
-		rateLimit.WriteTokens >= reservationCompactionBudget*rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
+		rateLimit.WriteTokens >= reservationCompactionShare*rateLimit.WriteBurst(c.cfg.Store.MaxTxnOps) &&
 		!rateLimit.IsPaused(c.now) {
 		c.compactReservations()
 	}
@@ -294,8 +295,8 @@
 			c.respondToReservation(response)
 		}
 		if mustReadHead {
-			// Another controller committed first. Read at once: with a delayed read, this controller would lose
-			// against it every time.
+			// Another controller may have committed first. Read at once: with a delayed read, this controller
+			// would lose to it every time.
 			c.replica.nextBarrierAt = min(c.replica.nextBarrierAt, c.now)
 			c.replica.afterReadBarrier(func(bool) { c.reservations.service.HeadRead() })
 		}
@@ -336,7 +337,7 @@
 	return compares, ""
 }
 
-// denialReason returns the reason of a denial, which is never "", or "" if the action is allowed.
+// denialReason returns "" if the action is allowed, and otherwise the reason of the denial, which is never "".
 func denialReason(decision access.Decision) string {
 	if decision.Allowed {
 		return ""
--- a/coreconfig.go
+++ b/coreconfig.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxStoreRequestDelay bounds the time after which the key-value store may still execute a request.
-	// Delays of several minutes occur.
+	// maxStoreRequestDelay is the longest time after sending a request at which the key-value store may still
+	// execute it. Delays of several minutes occur.
 	maxStoreRequestDelay = 15 * time.Minute
 	// cloudRateShare is the fraction of the cloud's request limit that is used.
 	cloudRateShare = 0.9
@@ -128,8 +128,8 @@
 		PreferImage:             tuning.GetPreferImage(),
 		PreferSpot:              tuning.GetPreferSpot(),
 		BusyHorizonStep:         milliseconds(tuning.GetHorizonMs()),
-		MinEndBatchDelay:        milliseconds(tuning.GetSettleMs()),
-		MaxEndBatchDelay:        milliseconds(tuning.GetSettleMostMs()),
+		MinCompletionBatchDelay: milliseconds(tuning.GetSettleMs()),
+		MaxCompletionBatchDelay: milliseconds(tuning.GetSettleMostMs()),
 		PreemptionRetryInterval: milliseconds(tuning.GetRoomAgainMs()),
 		SubmitWriteTimeout:      milliseconds(tuning.GetAcceptWaitMs()),
 		FullScanInterval:        milliseconds(tuning.GetLookAllMs()),
--- a/internal/fakes/workers.go
+++ b/internal/fakes/workers.go
@@ -18,9 +18,9 @@
 	"dewlift/wire"
 )
 
-// Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: a task runs
-// shortly after its start command and is done after its duration. All machines share one listener on loopback; each has
-// an address of its own in 127.0.0.0/8.
+// Workers is a fake of a cloud with machines of one type, whose agents follow the protocol but run nothing: they report
+// a task as running shortly after its start command and as done after its duration. All machines share one listener
+// on all interfaces; each has an address of its own in 127.0.0.0/8.
 type Workers struct {
 	machineType       wire.MachineType
 	workers           []*Worker
@@ -136,7 +136,7 @@
 	mux.HandleFunc("GET "+wire.PathCatalog, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{ws.machineType}})
 	})
-	mux.HandleFunc("GET "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+wire.PathMachines, func(w http.ResponseWriter, r *http.Request) {
 		limit, err := strconv.Atoi(r.URL.Query().Get("most"))
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: "most: " + err.Error()})
@@ -144,7 +144,7 @@
 		}
 		writeJSON(w, http.StatusOK, ws.listMachines(r.URL.Query().Get("from"), limit))
 	})
-	mux.HandleFunc("POST "+wire.PathInstances, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+wire.PathMachines, func(w http.ResponseWriter, r *http.Request) {
 		var request wire.ScaleOutRequest
 		if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 			writeJSON(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
@@ -228,8 +228,8 @@
 	}
 }
 
-// RentedCount returns the number of provisioned machines.
-func (ws *Workers) RentedCount() (count int) {
+// ProvisionedCount returns the number of provisioned machines.
+func (ws *Workers) ProvisionedCount() (count int) {
 	ws.provisioningMu.Lock()
 	defer ws.provisioningMu.Unlock()
 	for _, worker := range ws.workers {
--- a/internal/sim/fake_worker.go
+++ b/internal/sim/fake_worker.go
@@ -213,7 +213,7 @@
 }
 
 // handleHeartbeatResponse renews the lease from the moment at which the heartbeat was sent, and executes the
-// commands. A response with a lower fencing token, or to an earlier incarnation, has no effect.
+// commands. A response with a lower fencing token, to an earlier incarnation or to a suspended machine has no effect.
 func (m *fakeWorker) handleHeartbeatResponse(
 	sentAt time.Duration,
 	incarnation uint64,
@@ -237,11 +237,11 @@
 // handleCommands executes commands that a controller sent directly. A suspended machine executes them when it resumes.
 func (m *fakeWorker) handleCommands(batch wire.CommandBatch) (wire.Status, *wire.Heartbeat) {
 	if m.gone || !m.up {
-		return wire.StatusNoAnswer, nil
+		return wire.StatusNoResponse, nil
 	}
 	if m.sim.now < m.hungUntil {
 		m.sim.schedule(m.hungUntil-m.sim.now+time.Millisecond, func() { m.handleCommands(batch) })
-		return wire.StatusNoAnswer, nil
+		return wire.StatusNoResponse, nil
 	}
 	if batch.FencingToken < m.fencingToken || batch.Incarnation != m.incarnation {
 		return wire.StatusConflict, m.nextHeartbeat()
