--- a/internal/measure/guards/main.go
+++ b/internal/measure/guards/main.go
@@ -88,7 +88,7 @@
 	maxAttempts          = 200
 	throttlePeriod       = 25 * time.Millisecond
 	maxValueBytes        = 8192
-	entriesPerBlock      = 160 // nearly fill a value of the store
+	entriesPerBlock      = 160 // as many as nearly fill a value of the store
 	invalidCredential    = "Bearer eyJhbGciOiJFZERTQSIsImtpZCI6Im5vYm9keSJ9.e30.AAAA"
 )
 
@@ -182,7 +182,7 @@
 	return store
 }
 
-// requestBuilder builds the request with a number.
+// requestBuilder builds the request with the given number.
 type requestBuilder func(number int) (method, path string, body any)
 
 // buildSubmission builds the submission of a job.
--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -62,12 +62,12 @@
 	PeakMB    float64 `json:"peak_mb"`
 	Requests  int     `json:"requests"`
 	StoreB    float64 `json:"store_bytes_per_job"`
-	MemoryB   float64 `json:"memory_bytes_per_job"` // relative to the first start of its kind
+	MemoryB   float64 `json:"memory_bytes_per_job"` // peak memory per job beyond those of the first start
 	Ended     string  `json:"ended,omitempty"`      // why the controller did not become healthy
 	PollMS    float64 `json:"poll_ms,omitempty"`    // median for random ended jobs
 	Wrong     int     `json:"wrong"`                // wrong responses to polls
 	Polls     int     `json:"polls"`
-	Committed int     `json:"changes"`
+	Committed int     `json:"changes"` // writes to the store, including those during the polls
 }
 
 // options are the command's flags.
@@ -381,7 +381,7 @@
 	return errors.Join(c.measureHealthy(controller, ended), controller.Stop())
 }
 
-// measureHealthy measures the use of resources of a controller that has just become healthy, and polls jobs.
+// measureHealthy measures the resource usage of a controller that has just become healthy, and polls jobs.
 func (c *StartCost) measureHealthy(controller *process.Process, ended []archive.Entry) error {
 	c.Requests = controller.Store.Counters()["requests"]
 	cpu, _, err := controller.Usage()
--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -27,15 +27,15 @@
 	imagePullTime        = 200 * time.Millisecond
 	pollInterval         = 5 * time.Second
 	startUnixMS          = 1_700_000_000_000
-	// unlimitedRate is a rate of writes and requests that is never reached, so that the demand is
-	// measured rather than a limit.
+	// unlimitedRate is a rate of writes and requests that is never reached, so that the demand is measured rather
+	// than a limit.
 	unlimitedRate = 1e6
 	// firstArrayID is a lower bound of the IDs of job arrays; services have lower IDs.
 	firstArrayID = "wk-500000"
 
 	serviceCPUs      = 1
 	arrayCPUs        = 3
-	replicasPerJob   = 9 // of a service; its first task attempts have the numbers 1 to 9
+	replicasPerJob   = 9 // of a service; its first attempts have the numbers 1 to 9, later ones count as replacements
 	tasksPerArray    = 90
 	minArrayTaskTime = 30 * time.Second
 	maxArrayTaskTime = 70 * time.Second
@@ -60,9 +60,9 @@
 	lastRequestID   uint64 // of requests from users and agents
 	events          eventqueue.Queue
 	nodes           []*node
-	machines        []*machine // currently rented
-	machinesByName  map[string]*machine
-	partitionedZone string // zone whose machines are unreachable and can reach nothing
+	machines        []*machine          // currently rented
+	machinesByName  map[string]*machine // including those that were scaled in
+	partitionedZone string              // zone whose machines are unreachable and can reach nothing
 
 	// The store.
 	revision       uint64
@@ -138,7 +138,7 @@
 	platform := platformSettings(i)
 	tuning := settings.DefaultTuning()
 	if storeWriteLimit == unlimitedRate {
-		tuning.SettleMs = tuning.SettleMostMs // batch task ends for as long as a controller does when writes are scarce
+		tuning.SettleMs = tuning.SettleMostMs // delay task completions as long as controllers do when writes are scarce
 	}
 	tuning.SharedValues = &batchValues
 	n := &node{name: platform.Name, leaseID: uint64(i + 1), pendingRequests: map[uint64]func(core.Response){}}
@@ -189,7 +189,7 @@
 	return m
 }
 
-// removeMachine removes a machine and counts the service replicas on it as lost.
+// removeMachine scales in a machine and counts the service replicas on it as lost.
 func (s *simCluster) removeMachine(name string) {
 	m := s.machinesByName[name]
 	if m == nil || m.returned {
@@ -614,7 +614,7 @@
 	s.pollUntilDone(id)
 }
 
-// heapBytes returns the size of live heap objects after a garbage collection.
+// heapBytes collects garbage and returns the size of the live heap objects.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC() // frees objects that finalizers kept alive during the first collection
--- a/internal/measure/scale/main.go
+++ b/internal/measure/scale/main.go
@@ -50,13 +50,13 @@
 )
 
 var (
-	batchValues     bool
-	storeWriteLimit float64
+	batchValues     bool    // store the records of small jobs in shared values
+	storeWriteLimit float64 // in the controllers' settings, per second; the simulated store does not enforce it
 )
 
-// SizeCost is the cost of one cluster size per simulated second. The values per controller are those of the controller
-// that needs most, except for memory, which is measured for one controller only. Writes are those of all controllers
-// together. The report's template uses its field names.
+// SizeCost is the cost of one cluster size per simulated second. Each cost of a controller is the highest of all
+// controllers, except that inputs are those of the controller with the highest CoreS and that memory is measured for
+// one controller only. Writes are those of all controllers together. The report's template uses its field names.
 type SizeCost struct {
 	Machines int `json:"machines"`
 	Tasks    int `json:"tasks"`
@@ -224,8 +224,8 @@
 	cost.RefusedPct = 100 * float64(counters.refused) / float64(max(1, counters.refused+counters.started))
 }
 
-// measureZoneLoss partitions a zone and measures the costs while its machines are given up and their replicas started
-// elsewhere.
+// measureZoneLoss partitions a zone and measures the costs while the controllers scale in its machines and start the
+// lost replicas elsewhere.
 func (s *simCluster) measureZoneLoss(cost *SizeCost) {
 	before := s.nodeCosts()
 	s.counters = eventCounts{}
--- a/internal/measure/scale/scale_test.go
+++ b/internal/measure/scale/scale_test.go
@@ -7,7 +7,8 @@
 )
 
 // TestSmallCluster guards against a faulty simulation, whose figures would be meaningless. A small cluster must accept
-// its jobs, run about ten tasks per machine, have few refused starts, and replace the replicas of a lost zone.
+// its jobs, run at least six tasks per machine, have few refused starts, and replace 95% of the replicas of a lost zone
+// within a minute.
 func TestSmallCluster(t *testing.T) {
 	storeWriteLimit = unlimitedRate
 	cost := measureSize(120, 1)
