--- a/internal/measure/history/main.go
+++ b/internal/measure/history/main.go
@@ -62,7 +62,7 @@
 	PeakMB    float64 `json:"peak_mb"`
 	Requests  int     `json:"requests"`
 	StoreB    float64 `json:"store_bytes_per_job"`
-	MemoryB   float64 `json:"memory_bytes_per_job"` // peak memory per job beyond those of the first start
+	MemoryB   float64 `json:"memory_bytes_per_job"` // peak memory growth per job added to the first start of its kind
 	Ended     string  `json:"ended,omitempty"`      // why the controller did not become healthy
 	PollMS    float64 `json:"poll_ms,omitempty"`    // median for random ended jobs
 	Wrong     int     `json:"wrong"`                // wrong responses to polls
