--- a/core/archivesweep.go
+++ b/core/archivesweep.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// startArchiveSweep starts a sweep if more than twice as many ended jobs have records as are to be kept.
+// startArchiveSweep starts a sweep if more than twice MaxEndedJobs ended jobs still have records, of which more
+// than MaxEndedJobs are in memory.
 func (c *Core) startArchiveSweep() {
 	h, keep := &c.history, c.cfg.History.MaxEndedJobs
 	h.pruneEndedJobs()
--- a/core/audit.go
+++ b/core/audit.go
@@ -185,7 +185,7 @@
 	}})
 }
 
-// recordDenial logs, counts and records a denied action.
+// recordDenial logs and counts a denied action, and records it in the audit log.
 func (a *auditState) recordDenial(caller Credential, verb, object, reason string) {
 	a.log(LevelInfo, "permission denied", "who", caller.Identity, "verb", verb, "object", object, "why", reason)
 	a.stats.PermissionDenials++
--- a/core/autoscaler.go
+++ b/core/autoscaler.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// appendMachineBins appends a bin for each machine that is up, or booting and not overdue.
+// appendMachineBins appends a bin for each machine that counts as supply and is up, or booting and not overdue.
 func (c *Core) appendMachineBins(bins []*bin) []*bin {
 	for _, machine := range c.aliveMachines {
 		machineType := c.autoscaler.catalog[machine.identity.machineType]
@@ -108,7 +108,7 @@
 		m.lifecycle.interruptionDeadline <= 0 && !m.health.isQuarantined(c.environment, c.jobs)
 }
 
-// isBootOverdue reports whether a machine has sent no heartbeat although it should have booted by now.
+// isBootOverdue reports whether a machine that has not sent a heartbeat yet should have booted by now.
 func (a *autoscalerState) isBootOverdue(m *machine) bool {
 	age := a.now - max(m.identity.firstSeenAt, m.leaderView.provisionedAt)
 	return age > scaleDuration(a.nominalBootTime(m.identity.machineType), bootOverdueFactor)+bootOverdueSlack
@@ -141,7 +141,7 @@
 }
 
 // packDemands packs the demands in order. It counts the jobs that do not fit on machines that are up, and
-// holds capacity for the most urgent unconstrained ones among them.
+// holds capacity for the most urgent of those that may use spot machines of any type in any zone.
 func (c *Core) packDemands(demands []demand, s *supply) {
 	l := c.leaderState
 	l.capacityHold, l.unmetJobs = nil, 0
@@ -191,9 +191,9 @@
 	}
 }
 
-// updateScaleIn advances the scale-in of a running machine that no demand needs. The machine is first
-// offered last, so that it becomes empty. Once it has been idle for long enough, it is cordoned and then
-// scaled in. If it is needed again before that, it is uncordoned and offered normally.
+// updateScaleIn advances the scale-in of a running machine that no demand needs. At first, placement prefers
+// all other machines (offeredLast), so that this one becomes empty. Once it has been idle for long enough, it
+// is cordoned and then scaled in. If it is needed again before that, both restrictions are lifted.
 func (l *leaderState) updateScaleIn(b *bin) {
 	machine := b.machine
 	view := &machine.leaderView
--- a/core/batchvalues.go
+++ b/core/batchvalues.go
@@ -14,16 +14,17 @@
 	"dewlift/wire"
 )
 
-// Small jobs share values (docs/notes/shared.md). Each shard has a few slots. Only the shard's owner
-// adds entries to them, with transactions that compare the revisions of the shard and of the slot. Every
-// later write of a job's own key also compares the revision of the job's slot; a cancellation by a
-// controller that does not own the shard also writes the slot. So if a write of a slot and a write of a
-// job's own key are concurrent, only one of them succeeds, however late either is executed.
+// Small jobs share values (docs/notes/shared.md). Each shard has a few slots: keys whose values hold an
+// entry for each of several jobs. Only the shard's owner adds entries, with transactions that compare the
+// revisions of the shard and of the slot. Every later write of a job's own key also compares the revision of
+// the job's slot; a cancellation by a controller that does not own the shard also writes the slot. So if a
+// write of a slot and a write of a job's own key are concurrent, only one of them succeeds, however late
+// either is executed.
 
 const (
 	keySlot = Root + "over/" // slots, by number
 
-	// serviceSlotsPerShard is the number of a shard's slots for services. Job arrays have one slot of their
+	// serviceSlotsPerShard is the number of a shard's slots for services. Batch jobs have one slot of their
 	// own, as they are written continuously, and services only when tasks are lost.
 	serviceSlotsPerShard = 2
 
@@ -39,7 +40,7 @@
 // slotTable is the replica of the slots, by number.
 type slotTable map[int]*batchvalue.Slot
 
-// slotNumber returns the number of an open job's slot.
+// slotNumber returns the number of an unfinished job's slot.
 func slotNumber(id string, record *jobrecord.Record) int {
 	slot := record.Shard * (1 + serviceSlotsPerShard)
 	if record.Spec.Service {
--- a/core/cancelacks.go
+++ b/core/cancelacks.go
@@ -138,7 +138,7 @@
 	return true
 }
 
-// beginQuery returns a query to the other controllers if one is due, and registers it for their replies;
+// beginQuery returns a quorum read for the other controllers if one is due, and registers it for their replies;
 // otherwise it returns nil.
 func (a *cancelAcks) beginQuery() *QuorumRead {
 	if !a.quorum.IsQueryDue(a.now) {
@@ -305,7 +305,7 @@
 	return commands
 }
 
-// findRestartableCancelledTask returns the name of a cancelled task that is not on a machine but that a
+// findRestartableCancelledTask returns the name of a cancelled task that a machine does not report but that a
 // delayed start command may still start there after the staleness bound; "" if there is none. Such a command
 // is bound to the agent's incarnation, which ends if the lease is not renewed. A higher fencing token would
 // reject the command too, but can't be issued during an outage of the store.
--- a/core/catalog.go
+++ b/core/catalog.go
@@ -66,9 +66,9 @@
 		t.MemoryGB > 0 && t.Price >= 0
 }
 
-// persistCatalog stores the catalog at the leader if it differs from the stored one. Without a stored
-// catalog, a controller that restarts during an outage of the cloud could not serve until the outage
-// ends.
+// persistCatalog, if this controller is the leader, writes the catalog to the key-value store unless the
+// same one is stored already. Without a stored catalog, a controller that restarts during an outage of the
+// cloud could not serve until the outage ends.
 func (c *Core) persistCatalog(catalog *wire.Catalog) {
 	if c.leaderState == nil || c.autoscaler.catalogStoreInFlight || !c.ownLease.isHeld() {
 		return
--- a/core/config.go
+++ b/core/config.go
@@ -126,7 +126,7 @@
 	CancelTimeout time.Duration
 
 	// SilenceTimeout is how long a heartbeat may be overdue before its agent counts as silent and its
-	// machine may be released by scale in. 0: the agent counts as silent as soon as the heartbeat is late.
+	// machine may be scaled in. 0: the agent counts as silent as soon as the heartbeat is late.
 	SilenceTimeout time.Duration
 
 	// CommandRetryInterval is the time after which a command without effect is sent again.
@@ -147,8 +147,8 @@
 	// do not wait. Lost tasks of services never wait.
 	LostTaskBatchDelay time.Duration
 
-	// CancelScaleInShare is the share of CancelTimeout, from 0 to 1, after which scale in releases machines
-	// with tasks of a cancelled job that are not confirmed to have stopped.
+	// CancelScaleInShare is the share of CancelTimeout, from 0 to 1, after which machines are scaled in that
+	// have tasks of a cancelled job which are not confirmed to have stopped.
 	CancelScaleInShare float64
 }
 
@@ -248,11 +248,12 @@
 	// number of boot times. 0: only the resources of tasks past their estimated end do.
 	SoonFreeBootFactor float64
 
-	// IdleTimeout is how long an empty machine is kept. 0: it is released at once.
+	// IdleTimeout is how long an empty machine is kept, in addition to IdleBootFactor boot times. 0: only for
+	// these.
 	IdleTimeout time.Duration
 
 	// BootTimeoutFactor is the number of nominal boot times within which a new machine must send its first
-	// heartbeat; otherwise it is released.
+	// heartbeat; otherwise it is scaled in.
 	BootTimeoutFactor float64
 
 	// CloudListInterval is the time between two requests for pages of the cloud's list of machines.
--- a/core/core.go
+++ b/core/core.go
@@ -196,7 +196,8 @@
 }
 
 // Healthy reports whether this controller can serve users: it has a replica of the store and a
-// catalog, and either holds its lease or the store is down for all controllers.
+// catalog, its permissions and audit log are ready, and either it holds its lease or the store is down
+// for all controllers.
 func (c *Core) Healthy() bool {
 	return c.replica.loaded && !c.access.isNotServing() && c.autoscaler.catalog != nil &&
 		(c.ownLease.isHeld() || c.isStoreOutage())
--- a/core/deltas.go
+++ b/core/deltas.go
@@ -172,9 +172,9 @@
 	}
 }
 
-// sendDeltas sends the unsent deltas as a batch: to the leader, as in the paper, and also to the other
-// controllers, so that no two of them choose the same capacity between two pushes. The batch is
-// retained until a push acknowledges it.
+// sendDeltas sends the unsent deltas as a batch: to the leader, as in the paper (see package
+// clusterstate), and also to the other controllers, so that no two of them choose the same capacity
+// between two pushes. The batch is retained until a push acknowledges it.
 func (c *Core) sendDeltas() {
 	if c.leadership.leader.modRevision == 0 {
 		return
--- a/core/demand.go
+++ b/core/demand.go
@@ -88,7 +88,7 @@
 	return !d.spec.Spread && d.spec.MachineTypes == nil && d.spec.Zone == "" && !d.isHeadroom
 }
 
-// compareDemands orders demands by their packing order.
+// compareDemands orders demands by packing rank, priority class, enqueue time and job class.
 func compareDemands(a, b demand) int {
 	return cmp.Or(
 		cmp.Compare(a.packingRank(), b.packingRank()),
@@ -304,8 +304,8 @@
 	return tasks
 }
 
-// provisioningTime returns how long it takes to provide a machine for a demand: the lead time of the
-// scale-out request plus the boot time of the quickest machine type that fits.
+// provisioningTime returns how long it takes to provide a machine for a demand: ScaleOutLeadTime plus the
+// boot time of the quickest machine type that fits.
 func (a *autoscalerState) provisioningTime(spec *wire.JobSpec) time.Duration {
 	var quickest time.Duration
 	for _, name := range a.typeNames {
--- a/core/eviction.go
+++ b/core/eviction.go
@@ -14,7 +14,7 @@
 	checkpointMargin = 4 * time.Second
 )
 
-// evictInterrupted stops the tasks on machines with an interruption notice that gain nothing by running on:
+// evictInterrupted stops tasks on machines with an interruption notice if they gain nothing by running on:
 // tasks that will not complete in time restart elsewhere at once, and tasks that can checkpoint get the time
 // for it.
 func (c *Core) evictInterrupted() {
--- a/core/feasibility.go
+++ b/core/feasibility.go
@@ -119,8 +119,9 @@
 
 // isKnownUnplaceable reports whether a job's request is known not to fit, because a request that is no
 // larger has not fit since capacity was last freed. If fitting capacity was yielded to other controllers,
-// this applies until it may be used, and only to jobs that are not before the one with that request.
-// Without this check, all waiting jobs of a full cluster would scan all machines several times a second.
+// this holds only until that capacity may be used, and only for jobs that are not ahead, in the queue, of
+// the one with that request. Without this check, all waiting jobs of a full cluster would scan all machines
+// several times a second.
 func (p *placementState) isKnownUnplaceable(
 	spec *wire.JobSpec,
 	priorityClass int,
--- a/core/heartbeats.go
+++ b/core/heartbeats.go
@@ -104,8 +104,8 @@
 	return sum
 }
 
-// isStaleHeartbeat reports whether a heartbeat with these numbers is not newer than the last one applied:
-// heartbeats may be delayed, or arrive again through another controller.
+// isStaleHeartbeat reports whether a heartbeat with these numbers is not newer than the last one applied, or
+// the machine is gone: heartbeats may be delayed, or arrive again through another controller.
 func (m *machine) isStaleHeartbeat(incarnation, sequence uint64) bool {
 	return m.lifecycle.gone || incarnation < m.status.incarnation ||
 		incarnation == m.status.incarnation && sequence <= m.status.heartbeatSeq
--- a/core/inputs.go
+++ b/core/inputs.go
@@ -59,7 +59,7 @@
 	ReadAudit struct {
 		RequestID  uint64
 		Caller     Credential
-		Controller string // the controller; empty: the last entries of all controllers' logs are requested
+		Controller string // the controller; empty: the heads of all chains are requested
 		AfterBlock uint64 // blocks with higher numbers are requested
 	}
 	// ListPermissions requests all permissions.
@@ -80,7 +80,7 @@
 		Caller    Credential
 		Query     wire.ReservationQuery
 	}
-	// SetEquipment replaces the list of equipment that can be reserved.
+	// SetEquipment replaces the inventory of equipment that can be reserved.
 	SetEquipment struct {
 		RequestID uint64
 		Caller    Credential
