--- a/core/joblookup.go
+++ b/core/joblookup.go
@@ -62,7 +62,7 @@
 	lookupTimeout    = 1500 * time.Millisecond // after which a lookup fails
 	maxLookupReads   = 8                       // reads of lookups in flight
 	minLookupBurst   = 4                       // least capacity of the token bucket of lookup reads
-	minQueuedLookups = 8                       // least length of the lookup queue
+	minQueuedLookups = 8                       // lookups that may be queued even at a low rate
 	rangePageSize    = 1000                    // keys per range read, the most that the store returns
 	resolveInterval  = time.Second             // between two lookups of unresolved dependencies
 	endedJobBytes    = 560                     // memory per ended job
