--- a/internal/measure/scale/cluster.go
+++ b/internal/measure/scale/cluster.go
@@ -59,7 +59,7 @@
 	now             time.Duration
 	lastRequestID   uint64 // of requests from users and agents
 	events          eventqueue.Queue
-	nodes           []*node
+	controllers     []*simController
 	machines        []*machine          // currently rented
 	machinesByName  map[string]*machine // including those that were scaled in
 	partitionedZone string              // zone whose machines are unreachable and can reach nothing
@@ -81,8 +81,8 @@
 	writes, accepted, started, refused, lost, replaced int
 }
 
-// node is a controller and its cost.
-type node struct {
+// simController is a controller and its cost.
+type simController struct {
 	name             string
 	core             *core.Core
 	leaseID          uint64
@@ -99,7 +99,7 @@
 // machine is a machine and its agent.
 type machine struct {
 	name, zone        string
-	spot, returned    bool
+	spot, scaledIn    bool
 	rentedAt          time.Duration
 	controllerIndex   int
 	seq, fencingToken uint64
@@ -111,7 +111,7 @@
 }
 
 // isUnreachable reports whether requests to the machine get no response.
-func (m *machine) isUnreachable() bool { return m.returned || m.zone == m.cluster.partitionedZone }
+func (m *machine) isUnreachable() bool { return m.scaledIn || m.zone == m.cluster.partitionedZone }
 
 // newSimCluster returns a cluster without machines, whose controllers start when simulated time advances.
 func newSimCluster(maxMachines int, seed uint64) *simCluster {
@@ -141,9 +141,9 @@
 		tuning.SettleMs = tuning.SettleMostMs // delay task completions as long as controllers do when writes are scarce
 	}
 	tuning.SharedValues = &batchValues
-	n := &node{name: platform.Name, leaseID: uint64(i + 1), pendingRequests: map[uint64]func(core.Response){}}
+	n := &simController{name: platform.Name, leaseID: uint64(i + 1), pendingRequests: map[uint64]func(core.Response){}}
 	n.core = core.New(dewlift.CoreConfig(platform, tuning), 0, seed+uint64(i))
-	s.nodes = append(s.nodes, n)
+	s.controllers = append(s.controllers, n)
 	var tick func()
 	tick = func() {
 		s.deliver(n, core.WallClock{UnixMS: startUnixMS + s.now.Milliseconds()})
@@ -172,8 +172,8 @@
 	return platform
 }
 
-// addMachine adds a machine, which sends its first heartbeat after its boot.
-func (s *simCluster) addMachine(zone string, spot bool) *machine {
+// scaleOutMachine adds a machine, which sends its first heartbeat after its boot.
+func (s *simCluster) scaleOutMachine(zone string, spot bool) *machine {
 	m := &machine{
 		name:            fmt.Sprintf("m-%06d", len(s.machinesByName)),
 		zone:            zone,
@@ -189,13 +189,13 @@
 	return m
 }
 
-// removeMachine scales in a machine and counts the service replicas on it as lost.
-func (s *simCluster) removeMachine(name string) {
+// scaleInMachine scales in a machine and counts the service replicas on it as lost.
+func (s *simCluster) scaleInMachine(name string) {
 	m := s.machinesByName[name]
-	if m == nil || m.returned {
+	if m == nil || m.scaledIn {
 		return
 	}
-	m.returned = true
+	m.scaledIn = true
 	s.machines = slices.DeleteFunc(s.machines, func(other *machine) bool { return other == m })
 	for _, status := range m.tasks {
 		if id, _, _ := wire.SplitTaskName(status.Task); id < firstArrayID && status.Stage != wire.TaskExited {
@@ -222,9 +222,9 @@
 	s.now = until
 }
 
-// deliver passes an input to a node's core. As in a real process, inputs that arrive at about the same time are
+// deliver passes an input to a controller's core. As in a real process, inputs that arrive at about the same time are
 // handled in one batch.
-func (s *simCluster) deliver(n *node, in core.Input) {
+func (s *simCluster) deliver(n *simController, in core.Input) {
 	n.pendingInputs = append(n.pendingInputs, in)
 	n.inputs++
 	if n.advanceScheduled {
@@ -248,7 +248,7 @@
 }
 
 // performOutput carries out one output of a core and delivers the result to the core as an input.
-func (s *simCluster) performOutput(n *node, output core.Output) {
+func (s *simCluster) performOutput(n *simController, output core.Output) {
 	deliverAfter := func(delay time.Duration, in core.Input) { s.schedule(delay, func() { s.deliver(n, in) }) }
 	switch output := output.(type) {
 	case core.Response:
@@ -301,14 +301,14 @@
 }
 
 // sendToPeers sends a message to one peer, or to all if output names none, and measures its encoding and decoding.
-func (s *simCluster) sendToPeers(n *node, output core.SendToPeer) {
+func (s *simCluster) sendToPeers(n *simController, output core.SendToPeer) {
 	startedAt := time.Now()
 	raw, err := json.Marshal(output.Message)
 	n.codecTime += time.Since(startedAt)
 	if err != nil {
 		panic(err) // messages always marshal
 	}
-	for _, peer := range s.nodes {
+	for _, peer := range s.controllers {
 		if peer == n || output.Peer != "" && output.Peer != peer.name {
 			continue
 		}
@@ -342,14 +342,14 @@
 	case core.CloudScaleOut:
 		order := request.ScaleOut
 		for range min(order.Count, s.maxMachines-len(s.machines)) {
-			out.MachineNames = append(out.MachineNames, s.addMachine(order.Zone, order.Spot).name)
+			out.MachineNames = append(out.MachineNames, s.scaleOutMachine(order.Zone, order.Spot).name)
 		}
 		if len(out.MachineNames) == 0 {
 			out.Status, out.Error = wire.StatusUnavailable, "no capacity"
 		}
 	case core.CloudScaleIn:
 		for _, name := range request.MachineNames {
-			s.removeMachine(name)
+			s.scaleInMachine(name)
 		}
 	}
 	return out
@@ -391,7 +391,7 @@
 }
 
 // serveWatch responds with the events after a revision. A long poll waits until there is one.
-func (s *simCluster) serveWatch(n *node, request core.Watch) {
+func (s *simCluster) serveWatch(n *simController, request core.Watch) {
 	respond := func() {
 		first, _ := slices.BinarySearchFunc(
 			s.storeEvents,
@@ -432,7 +432,7 @@
 // sendHeartbeat sends a heartbeat if one is due, and schedules the next.
 func (m *machine) sendHeartbeat() {
 	s := m.cluster
-	if s.now < m.nextHeartbeatAt || m.returned {
+	if s.now < m.nextHeartbeatAt || m.scaledIn {
 		return
 	}
 	m.nextHeartbeatAt = s.now + heartbeatInterval*3/4 + time.Duration(s.rng.Int64N(int64(heartbeatInterval/2)))
@@ -441,7 +441,7 @@
 	if m.isUnreachable() {
 		return
 	}
-	s.sendRequest(s.nodes[m.controllerIndex], func(requestID uint64) core.Input {
+	s.sendRequest(s.controllers[m.controllerIndex], func(requestID uint64) core.Input {
 		return core.AgentHeartbeat{RequestID: requestID, Heartbeat: m.nextHeartbeat()}
 	}, func(response core.Response) {
 		if body, ok := response.Body.(wire.HeartbeatResponse); ok {
@@ -537,7 +537,7 @@
 
 // sendRequest sends a request of a user or an agent to a controller and calls onResponse with the response.
 func (s *simCluster) sendRequest(
-	n *node,
+	n *simController,
 	newInput func(requestID uint64) core.Input,
 	onResponse func(response core.Response),
 ) {
@@ -550,7 +550,7 @@
 }
 
 // randomNode returns a random controller.
-func (s *simCluster) randomNode() *node { return s.nodes[s.rng.IntN(controllerCount)] }
+func (s *simCluster) randomNode() *simController { return s.controllers[s.rng.IntN(controllerCount)] }
 
 // submitUntilAccepted submits a job and retries after the requested delay until it is accepted.
 func (s *simCluster) submitUntilAccepted(spec wire.JobSpec) {
--- a/internal/measure/scale/main.go
+++ b/internal/measure/scale/main.go
@@ -194,8 +194,8 @@
 }
 
 // nodeCosts returns a copy of the costs of all controllers so far.
-func (s *simCluster) nodeCosts() (costs []node) {
-	for _, n := range s.nodes {
+func (s *simCluster) nodeCosts() (costs []simController) {
+	for _, n := range s.controllers {
 		costs = append(costs, *n)
 	}
 	return costs
@@ -207,7 +207,7 @@
 	s.counters = eventCounts{}
 	s.runUntil(warmUpTime + measuredTime)
 	seconds := measuredTime.Seconds()
-	for i, n := range s.nodes {
+	for i, n := range s.controllers {
 		coreTime := (n.coreTime - before[i].coreTime).Seconds()
 		inputs := float64(n.inputs - before[i].inputs)
 		if perSecond := coreTime / seconds; perSecond > cost.CoreS {
@@ -247,7 +247,7 @@
 		}
 	}
 	seconds := zoneLossDuration.Seconds()
-	for i, n := range s.nodes {
+	for i, n := range s.controllers {
 		busy := n.coreTime + n.codecTime - before[i].coreTime - before[i].codecTime
 		cost.LostCoreS = max(cost.LostCoreS, busy.Seconds()/seconds)
 	}
@@ -260,8 +260,8 @@
 // afterwards.
 func (s *simCluster) measureMemory(cost *SizeCost) {
 	before := heapBytes()
-	released := s.nodes[2]
-	s.nodes, s.events = s.nodes[:2:2], eventqueue.Queue{} // scheduled events would keep a reference to the core
+	released := s.controllers[2]
+	s.controllers, s.events = s.controllers[:2:2], eventqueue.Queue{} // scheduled events refer to the core
 	released.core, released.pendingRequests, released.pendingInputs = nil, nil, nil
 	cost.MB = (before - heapBytes()) / 1e6
 	cost.MachineB = cost.MB * 1e6 / float64(cost.Machines)
--- a/internal/measure/scale/overload.go
+++ b/internal/measure/scale/overload.go
@@ -71,7 +71,7 @@
 	s.startDelays = nil
 	s.runUntil(until)
 	maxBusy := 0.0
-	for i, n := range s.nodes {
+	for i, n := range s.controllers {
 		busy := n.coreTime + n.codecTime - before[i].coreTime - before[i].codecTime
 		maxBusy = max(maxBusy, busy.Seconds()/overloadReportInterval.Seconds())
 	}
--- a/internal/measure/scale/scale_test.go
+++ b/internal/measure/scale/scale_test.go
@@ -33,7 +33,7 @@
 				}
 				s.runUntil(30 * time.Second)
 				looks, inputs, bytes := uint64(0), 0, 0
-				for _, n := range s.nodes {
+				for _, n := range s.controllers {
 					looks += n.core.Stats.MachineLooks
 					inputs += n.inputs
 					bytes += n.bytesSent
