--- a/core/leader.go
+++ b/core/leader.go
@@ -21,7 +21,7 @@
 	cordonedAt       time.Duration          // when it was cordoned as idle; 0: it is not cordoned
 	offeredLast      bool                   // placement prefers all other machines, so that this one empties
 	onDemandReserved clusterstate.Resources // reserved for work that may not use spot machines
-	scaleInReason    string                 // why scale in must release it; empty: it need not
+	scaleInReason    string                 // why it must be scaled in; empty: it need not be
 	zoneUnreachable  bool                   // silent like most of its zone: its tasks are to be replaced
 }
 
--- a/core/machine.go
+++ b/core/machine.go
@@ -210,8 +210,8 @@
 }
 
 // markTasksLost marks the jobs dirty whose tasks were lost with a machine or with an incarnation of its
-// agent. The machines of a lost zone are detected one after the other, so a batch job waits for a moment, so
-// that one write covers many of its lost tasks; services do not wait.
+// agent. The machines of a lost zone are detected one after the other. A batch job therefore waits for a moment,
+// so that one write covers many of its lost tasks; services do not wait.
 func (c *Core) markTasksLost(m *machine) {
 	for _, lost := range m.sortedAssignments() {
 		j := c.jobs[lost.jobIndex]
--- a/core/messages.go
+++ b/core/messages.go
@@ -23,7 +23,7 @@
 	StatePush        *StatePush        `json:"p,omitempty"`
 	ResendStatePush  bool              `json:"a,omitempty"` // the sender missed a push and needs a full one
 
-	MachinesToScaleIn []string `json:"s,omitempty"` // machines that the leader must release to the cloud
+	MachinesToScaleIn []string `json:"s,omitempty"` // machines that the leader must scale in
 	SilentMachines    []string `json:"q,omitempty"` // machines without a heartbeat at the sender
 
 	QuorumRead    *QuorumRead     `json:"v,omitempty"`  // requests the cancellations that the receiver holds
@@ -91,10 +91,10 @@
 	CapacityHold  *CapacityHold     `json:"hold,omitempty"` // nil: no capacity is held
 }
 
-// CapacityHold means that tasks of a priority wait for capacity: work of lower priority must leave free Request,
-// the minimum of each resource over their requests.
+// CapacityHold means that tasks of a priority class wait for capacity: work of the classes below it must leave
+// Request free, the minimum of each resource over the requests of these tasks.
 type CapacityHold struct {
-	Priority int                    `json:"p"`
+	Priority int                    `json:"p"` // index of the priority class; 0 is the first
 	Request  clusterstate.Resources `json:"c"`
 }
 
--- a/core/outputs.go
+++ b/core/outputs.go
@@ -64,7 +64,7 @@
 		ID           uint64
 		Op           CloudOp
 		ScaleOut     wire.ScaleOutRequest // CloudScaleOut
-		MachineNames []string             // CloudScaleIn: the machines to release
+		MachineNames []string             // CloudScaleIn: the machines to scale in
 		AfterMachine string               // CloudList: the page begins after this machine; empty: the first page
 	}
 	// SendToPeer sends a message to another controller. It may be lost.
--- a/core/ownership.go
+++ b/core/ownership.go
@@ -342,8 +342,8 @@
 	return false
 }
 
-// handleShardGained is called when this controller has become the owner of a shard. It marks all jobs of the
-// shard and all machines to be examined, as this controller has not acted on them so far.
+// handleShardGained is called when this controller has become the owner of a shard. It marks the open jobs of the
+// shard and all machines dirty, because this controller has not acted on them so far.
 func (c *Core) handleShardGained(n int) {
 	for _, j := range c.openJobs {
 		if j.record != nil && j.record.Shard == n {
--- a/core/peers.go
+++ b/core/peers.go
@@ -8,7 +8,7 @@
 	"dewlift/core/membership"
 )
 
-// scaleInRequestInterval is the time between two requests to the leader to release machines.
+// scaleInRequestInterval is the time between two requests to the leader to scale in machines.
 const scaleInRequestInterval = time.Second
 
 // controllerSet holds the registrations of all controllers, the reachability of the peers, and when this
@@ -66,7 +66,7 @@
 	return sum
 }
 
-// sendToPeers sends a message to a peer, or to all if the name is empty. Unreachable peers get it by a relay:
+// sendToPeers sends a message to a peer, or to all if the name is empty. An unreachable peer gets it through a relay:
 // two zones may be partitioned from each other while a third reaches both, and a leader that lacks the
 // heartbeats of the other zone would consider its live machines silent.
 func (s *controllerSet) sendToPeers(peer string, m Message) {
@@ -109,8 +109,8 @@
 	c.updateRateLimit()
 }
 
-// broadcastUpdates sends the peers the updates collected for them: allocation deltas, heartbeats, and requests
-// to release machines.
+// broadcastUpdates sends the peers the updates collected for them: allocation deltas and heartbeats, and sends
+// the leader requests to scale in machines.
 func (c *Core) broadcastUpdates() {
 	if c.now >= c.deltaLog.nextBatchAt {
 		c.deltaLog.nextBatchAt = c.now + c.cfg.State.DeltaInterval
@@ -226,7 +226,7 @@
 	c.placement.capacityFreed = true
 }
 
-// handlePeerRequests handles peers' requests to the leader: to release machines, and to send a full push.
+// handlePeerRequests handles peers' requests to the leader: to scale in machines, and to send a full push.
 func (l *leaderState) handlePeerRequests(c *Core, m *Message) {
 	if len(m.MachinesToScaleIn)+len(m.SilentMachines) > 0 {
 		l.handleScaleInRequest(c, m.MachinesToScaleIn, m.SilentMachines)
--- a/core/permissions.go
+++ b/core/permissions.go
@@ -44,10 +44,10 @@
 	roles           *pb.Access
 	identities      map[string]storedIdentity
 	policy          *access.Policy
-	publishedPolicy *access.Policy // the policy that was last sent to the request handlers
+	publishedPolicy *access.Policy // the policy that was last sent to the API
 	policyStale     bool           // policy must be rebuilt before use
 	seeding         bool           // a seeding transaction is in flight
-	nextSeedAt      time.Duration  // no seeding is attempted before
+	nextSeedAt      time.Duration  // no seeding is attempted before this time
 }
 
 // newPermissionState returns the replica of a store without permissions.
@@ -141,7 +141,7 @@
 	return policy
 }
 
-// publishPolicy sends a changed policy to the request handlers, which use it to authenticate tokens.
+// publishPolicy sends a changed policy to the API, which authenticates callers by it.
 func (p *permissionState) publishPolicy() {
 	if p.isInForce() && p.currentPolicy() != p.publishedPolicy {
 		p.publishedPolicy = p.policy
@@ -219,8 +219,8 @@
 	c.respond(requestID, wire.StatusForbidden, wire.Error{Error: reason})
 }
 
-// getJobAuthorized answers a poll after a read barrier. A caller without read permission gets the same response as
-// for a job that does not exist.
+// getJobAuthorized answers a status request after a read barrier. A caller without read permission gets the same
+// response as for a job that does not exist.
 func (c *Core) getJobAuthorized(in GetJob) {
 	c.withJobAfterBarrier(in.RequestID, in.ID, func(target *job) {
 		if target == nil || !c.access.canReadJob(in.Caller, target) {
--- a/core/priorityclasses.go
+++ b/core/priorityclasses.go
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// advancePriorityClasses informs the API whether a list is stored. At the leader, it stores the list
-// from the settings if none is stored.
+// advancePriorityClasses informs the API whether a list is stored, whenever that changes. At the leader, it
+// stores the list from the settings if none is stored.
 func (c *Core) advancePriorityClasses() {
 	if enabled := c.priority.revision != 0; enabled != c.priority.enabledPublished {
 		c.priority.enabledPublished = enabled
--- a/core/proposal.go
+++ b/core/proposal.go
@@ -177,7 +177,7 @@
 	proposal *proposal
 	record   *jobrecord.Record // the proposed record, which proposal.record also points to
 	changed  bool              // the proposed record differs from the stored one
-	urgent   bool              // the write must not be delayed to share it with other task completions
+	urgent   bool              // the write must not be delayed to be shared with other task completions
 }
 
 // proposeUpdate proposes the next record of an accepted job that is not yet final in the store.
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -24,9 +24,9 @@
 	failureWindow = 5 * time.Minute
 	// steadyAfter is how long a task must have run before more tasks of its failing job may be tried.
 	steadyAfter = 10 * time.Second
-	// quarantineJobThreshold is the number of jobs failing on a machine at which the machine is quarantined.
+	// quarantineJobThreshold is the number of jobs that failed on a machine at which the machine is quarantined.
 	quarantineJobThreshold = 3
-	// faultyMachineJobThreshold is the number of these jobs, healthy elsewhere, that proves the machine
+	// faultyMachineJobThreshold is the number of these jobs that must be healthy elsewhere to prove the machine
 	// faulty.
 	faultyMachineJobThreshold = 2
 	// avoidFailedMachineFor is how long a job avoids a machine where it failed. It is bounded because there
--- a/core/reservations.go
+++ b/core/reservations.go
@@ -57,7 +57,7 @@
 	schema   *schemaState
 
 	auditEntryIDs    []uint64 // audit entries of the transaction that is being built
-	enabledPublished bool     // the state that was last sent to the request handlers
+	enabledPublished bool     // the state that was last sent to the API
 	nextSeedAt       time.Duration
 }
 
@@ -208,7 +208,7 @@
 	}
 }
 
-// publishEnabled notifies the request handlers when reservations become enabled or disabled.
+// publishEnabled informs the API when reservations become enabled or disabled.
 func (r *reservationState) publishEnabled() {
 	enabled := r.service.IsEnabled() && r.schema.active >= schemaReservations
 	if enabled != r.enabledPublished {
--- a/core/scheduler.go
+++ b/core/scheduler.go
@@ -50,7 +50,7 @@
 	yieldedUntil  time.Duration // when capacity yielded to other controllers may be used; 0: none is yielded
 }
 
-// scheduleJobs examines the jobs that changed and commits their next records.
+// scheduleJobs runs a scheduling pass: it examines the jobs that changed and commits their next records.
 func (c *Core) scheduleJobs() {
 	if c.auditLog.isNotReady() {
 		return
@@ -278,7 +278,8 @@
 	}
 }
 
-// writePriority returns the job's write priority: cancellation, acceptance, placement or completion.
+// writePriority returns the job's write priority: cancellation, acceptance, placement or completion. A job on
+// which others depend has the priority of a placement, because these may become placeable when it ends.
 func (j *job) writePriority() int {
 	switch {
 	case len(j.cancellation.waiters) > 0:
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -18,8 +18,8 @@
 	rateLimit            ratelimit.Limiter
 	limits               storeLimits
 	completionBatchDelay time.Duration // how long task completions may wait so that one write records several
-	nextBlockedScanAt    time.Duration // when blocked jobs are scanned even if nothing can be written
-	backlog              int           // jobs that were waiting for a write at the last scan
+	nextBlockedScanAt    time.Duration // when jobs are next examined even if nothing can be written
+	backlog              int           // jobs that were waiting for a write in the last scheduling pass
 }
 
 // pendingTxn is a transaction in flight. If onDone is set, it handles the outcome, apart from the bookkeeping
@@ -67,8 +67,8 @@
 	s.emit(CommitTxn{ID: id, Txn: txn})
 }
 
-// handleTxnResult handles the outcome of a transaction. Committed proposals become the known state; others
-// are made again, after a read barrier if the outcome is unknown or another write won.
+// handleTxnResult handles the outcome of a transaction. Committed proposals become the known state; for the
+// other jobs, records are proposed again, after a read barrier if the outcome is unknown or another write won.
 func (c *Core) handleTxnResult(in TxnResult) {
 	pending := c.transactions.inFlight[in.ID]
 	if pending == nil {
@@ -225,7 +225,7 @@
 
 // handleRefusedProposals handles the refusal of a transaction as malformed or too large. From now on its jobs are
 // written in separate transactions, so that one refused for its content does not block the others. That one is
-// retried with exponential back-off, and its submission is refused if it is new.
+// retried with exponential back-off; if it is a submission, it is rejected instead.
 func (c *Core) handleRefusedProposals(pending *pendingTxn) {
 	forContent := c.transactions.limits.handleRefusal(&pending.txn)
 	for i := range pending.proposals {
--- a/core/txnbuilder.go
+++ b/core/txnbuilder.go
@@ -62,8 +62,8 @@
 	completionsReserve = 0.2
 )
 
-// addJob proposes a job's next record and adds its write. It returns false if the transaction takes no more
-// jobs, this one included, and true also if the job has nothing to write now or is delayed.
+// addJob proposes a job's next record and adds its write. It returns false if the transaction takes neither
+// this job nor any further one, and true otherwise, even if the job has nothing to write now or is delayed.
 func (b *txnBuilder) addJob(target *job) bool {
 	c := b.core
 	slot := slotOf(target)
