--- a/core/storelimits.go
+++ b/core/storelimits.go
@@ -52,7 +52,7 @@
 	accepted             txnSize       // componentwise maximum of the transactions accepted in this period
 	previousAccepted     txnSize       // componentwise maximum of those accepted in the previous period
 	periodEnd            time.Duration // end of the period of accepted
-	raiseAt              time.Duration // when reduced limits are raised; 0: the limits are as configured
+	raiseAt              time.Duration // when limits are next raised; 0: not reduced since the last restore
 	raiseDelay           time.Duration
 	raisedSinceReduction bool // the limits were raised after the last reduction
 }
--- a/core/transactions.go
+++ b/core/transactions.go
@@ -33,9 +33,9 @@
 	txn           wire.Txn
 }
 
-// Pauses of writes after a refused or lost transaction, each with jitter.
+// Pauses of writes after a throttled or unanswered transaction, each with jitter.
 const (
-	throttledPause        = 80 * time.Millisecond // after the store refused a transaction for its rate limit
+	throttledPause        = 80 * time.Millisecond // after the store throttled a transaction
 	throttledPauseJitter  = 150 * time.Millisecond
 	throttledUrgentPause  = 20 * time.Millisecond // the same for writes that users wait for
 	throttledUrgentJitter = 40 * time.Millisecond
@@ -116,8 +116,8 @@
 	return s.rateLimit.WriteTokens >= cost+s.rateLimit.WriteRate*completionsReserve
 }
 
-// isNotExecuted reports whether a status proves that the store did not execute a transaction, and that it
-// was not refused because of another write.
+// isNotExecuted reports whether a status proves that the store did not execute a transaction, and that the
+// reason was not a conflict with another write.
 func isNotExecuted(status wire.Status) bool {
 	return status == wire.StatusTooManyRequests || status == wire.StatusUnavailable
 }
