--- a/core/core_test.go
+++ b/core/core_test.go
@@ -654,7 +654,7 @@
 }
 
 // A controller that has been cut off must not report machines as silent. When its connections were restored, it had
-// live machines released.
+// live machines scaled in.
 func TestCutOffControllerReportsNoSilentMachines(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		c := newLeadingCore(t)
@@ -678,12 +678,12 @@
 			requested = requested || len(o.Message.SilentMachines) > 0
 		}
 		if requested == cut {
-			t.Errorf("cut off %v: release requested %v", cut, requested)
+			t.Errorf("cut off %v: scale-in requested %v", cut, requested)
 		}
 	}
 }
 
-// With a heartbeat interval of 6 s, a healthy machine may be silent for 7.5 s. It was released after 6.5 s.
+// With a heartbeat interval of 6 s, a healthy machine may be silent for 7.5 s. It was scaled in after 6.5 s.
 func TestMachineWithinSilenceTimeoutIsNotScaledIn(t *testing.T) {
 	c := newLeadingCore(t)
 	c.cfg.Agents.HeartbeatInterval = 6 * time.Second
@@ -702,13 +702,13 @@
 		)
 		runFor(c, at, at+7500*time.Millisecond)
 		if m.leaderView.scaleInReason != "" {
-			t.Fatalf("to be released at %v as %s", c.now, m.leaderView.scaleInReason)
+			t.Fatalf("to be scaled in at %v as %s", c.now, m.leaderView.scaleInReason)
 		}
 	}
 	runFor(c, 31*time.Second, 45*time.Second)
 	if m.leaderView.scaleInReason != "silent" {
 		t.Errorf(
-			"a machine without further heartbeats is to be released as %q, want silent",
+			"a machine without further heartbeats is to be scaled in as %q, want silent",
 			m.leaderView.scaleInReason,
 		)
 	}
@@ -728,7 +728,7 @@
 	}
 }
 
-// A machine must not be released for a cancelled task that has stopped. Machines were released for tasks that had
+// A machine must not be scaled in for a cancelled task that has stopped. Machines were scaled in for tasks that had
 // stopped long before, because the writes of their ends waited for the write budget.
 func TestStoppedTaskDoesNotCauseScaleIn(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
@@ -744,13 +744,13 @@
 		c.Handle(2*time.Second, AgentHeartbeat{RequestID: 10, Heartbeat: testHeartbeat(2, status)})
 		c.now = 2*time.Second + c.cfg.Agents.CancelTimeout/2
 		if got := len(c.enforceCancellations()); got != map[bool]int{false: 1, true: 0}[stopped] {
-			t.Errorf("stopped %v: %d machines are to be released", stopped, got)
+			t.Errorf("stopped %v: %d machines are to be scaled in", stopped, got)
 		}
 	}
 }
 
-// Replacements of an unreachable zone must be provisioned before its machines are released. All machines of a
-// partitioned zone were released after a few seconds, although their tasks were still running and no other machines
+// Replacements of an unreachable zone must be provisioned before its machines are scaled in. All machines of a
+// partitioned zone were scaled in after a few seconds, although their tasks were still running and no other machines
 // were ready for them.
 func TestUnreachableZoneIsReplacedBeforeScaleIn(t *testing.T) {
 	c := newLeadingCore(t)
@@ -768,7 +768,7 @@
 	}
 	report(time.Second, 2, "")
 	lost := c.internMachine("m/3")
-	var scaledOutAt, releasedAt time.Duration
+	var scaledOutAt, scaledInAt time.Duration
 	seq := uint64(2)
 	for now := time.Second; now < 25*time.Second; now += time.Second {
 		seq++
@@ -789,15 +789,15 @@
 		if scaledOutAt == 0 && c.leaderState.scaleOutSeq > 0 {
 			scaledOutAt = now
 		}
-		if releasedAt == 0 && lost.leaderView.scaleInReason != "" {
-			releasedAt = now
+		if scaledInAt == 0 && lost.leaderView.scaleInReason != "" {
+			scaledInAt = now
 		}
 	}
-	if scaledOutAt == 0 || releasedAt == 0 || releasedAt-scaledOutAt < 5*time.Second {
-		t.Errorf("scaled out at %v, machines released at %v", scaledOutAt, releasedAt)
+	if scaledOutAt == 0 || scaledInAt == 0 || scaledInAt-scaledOutAt < 5*time.Second {
+		t.Errorf("scaled out at %v, machines scaled in at %v", scaledOutAt, scaledInAt)
 	}
 	if m := c.internMachine("m/2"); m.leaderView.scaleInReason == "silent" {
-		t.Error("a machine of the other zone is to be released")
+		t.Error("a machine of the other zone is to be scaled in")
 	}
 }
 
